--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -9,13 +9,13 @@
 
 // Queue is where jobs of one kind are handed in.
 type Queue struct {
-	Name    string
-	Host    string
-	Prefix  string // of the path; the longest that matches decides
-	Service string
-	Timeout time.Duration // bound on one call of a caller
-	Public  bool          // calls need no key
-	Terms   workload.Terms
+	Name        string
+	Host        string
+	Prefix      string // of the path; the longest that matches decides
+	Service     string
+	CallTimeout time.Duration // bound on one call of a caller
+	Public      bool          // calls need no key
+	Policy      workload.QueuePolicy
 }
 
 // Service is a pool of workers.
@@ -30,8 +30,8 @@
 // Account is a client account.
 type Account struct {
 	Name string
-	// Guaranteed accelerators belong to the account's jobs of priority 0.
-	Guaranteed int
+	// GuaranteedAccelerators accelerators belong to the account's jobs of priority 0.
+	GuaranteedAccelerators int
 }
 
 // Limits bound what a caller may send.
@@ -55,8 +55,8 @@
 	byHost map[string][]*Queue
 }
 
-// Index prepares c for Match. It is called once, before c is shared.
-func (c *Catalog) Index() *Catalog {
+// BuildIndex prepares c for Match. It is called once, before c is shared.
+func (c *Catalog) BuildIndex() *Catalog {
 	c.byHost = map[string][]*Queue{}
 	for i := range c.Queues {
 		q := &c.Queues[i]
@@ -86,10 +86,10 @@
 	return q, path[len(q.Prefix):], true
 }
 
-// Guaranteed returns the accelerators that an account is guaranteed.
-func (c *Catalog) Guaranteed(account string) int {
+// GuaranteedAccelerators returns the accelerators that an account is guaranteed.
+func (c *Catalog) GuaranteedAccelerators(account string) int {
 	if c == nil {
 		return 0
 	}
-	return c.Accounts[account].Guaranteed
+	return c.Accounts[account].GuaranteedAccelerators
 }
--- a/catalog/cordons.go
+++ b/catalog/cordons.go
@@ -17,14 +17,14 @@
 	ConfirmedAt time.Duration
 }
 
-// Covers says whether a zone is cordoned.
-func (c Cordons) Covers(zone string) bool {
+// Contains says whether a zone is cordoned.
+func (c Cordons) Contains(zone string) bool {
 	_, found := slices.BinarySearch(c.Zones, zone)
 	return found
 }
 
 // Cordons returns the present ones, and false before they are known.
-func (f *InForce) Cordons() (Cordons, bool) {
+func (f *Current) Cordons() (Cordons, bool) {
 	c := f.cordons.Load()
 	if c == nil {
 		return Cordons{}, false
@@ -32,9 +32,9 @@
 	return *c, true
 }
 
-// OfferCordons takes the cordons as they were at c.ConfirmedAt. Older ones than those known
+// UpdateCordons takes the cordons as they were at c.ConfirmedAt. Older ones than those known
 // have no effect. The caller does not change c.Zones any more.
-func (f *InForce) OfferCordons(c Cordons) {
+func (f *Current) UpdateCordons(c Cordons) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	old := f.cordons.Load()
--- a/catalog/inforce.go
+++ b/catalog/inforce.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// View is the catalog in force and how long it has been known to be the newest.
-type View struct {
+// Snapshot is the catalog in force and how long it has been known to be the newest.
+type Snapshot struct {
 	Catalog *Catalog
 	// Raw is the operators' text that Catalog was decoded from, to be passed on.
 	Raw []byte
@@ -16,38 +16,38 @@
 	ConfirmedAt time.Duration
 }
 
-// InForce holds the newest version, and the newest Cordons. Readers take no lock;
+// Current holds the newest version, and the newest Cordons. Readers take no lock;
 // writers may come from several sources (the store's watch, peers) in any order, and an
 // older version never replaces a newer one.
-type InForce struct {
+type Current struct {
 	mu      sync.Mutex
-	view    atomic.Pointer[View]
+	view    atomic.Pointer[Snapshot]
 	cordons atomic.Pointer[Cordons]
 	changed chan struct{}
 }
 
-// NewInForce returns an InForce without a version.
-func NewInForce() *InForce { return &InForce{changed: make(chan struct{})} }
+// NewCurrent returns an InForce without a version.
+func NewCurrent() *Current { return &Current{changed: make(chan struct{})} }
 
-// View returns the present view, and false before the first version is known.
-func (f *InForce) View() (View, bool) {
+// Snapshot returns the present view, and false before the first version is known.
+func (f *Current) Snapshot() (Snapshot, bool) {
 	v := f.view.Load()
 	if v == nil {
-		return View{}, false
+		return Snapshot{}, false
 	}
 	return *v, true
 }
 
-// Offer takes a version that was the newest at time confirmed. It returns whether
+// Update takes a version that was the newest at time confirmed. It returns whether
 // it is now in force for the first time.
-func (f *InForce) Offer(c *Catalog, raw []byte, confirmed time.Duration) bool {
+func (f *Current) Update(c *Catalog, raw []byte, confirmed time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	old := f.view.Load()
 	if old != nil && c.Version < old.Catalog.Version {
 		return false
 	}
-	next := &View{Catalog: c, Raw: raw, ConfirmedAt: confirmed}
+	next := &Snapshot{Catalog: c, Raw: raw, ConfirmedAt: confirmed}
 	fresh := old == nil || c.Version > old.Catalog.Version
 	if !fresh {
 		next.Catalog, next.Raw = old.Catalog, old.Raw
@@ -61,26 +61,26 @@
 }
 
 // notify wakes those who wait for a change. The mutex is held.
-func (f *InForce) notify() {
+func (f *Current) notify() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
 // Confirm says that version was still the newest at time confirmed. It has no
 // effect where another version is in force.
-func (f *InForce) Confirm(version int64, confirmed time.Duration) {
+func (f *Current) Confirm(version int64, confirmed time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	old := f.view.Load()
 	if old == nil || old.Catalog.Version != version || old.ConfirmedAt >= confirmed {
 		return
 	}
-	f.view.Store(&View{Catalog: old.Catalog, Raw: old.Raw, ConfirmedAt: confirmed})
+	f.view.Store(&Snapshot{Catalog: old.Catalog, Raw: old.Raw, ConfirmedAt: confirmed})
 }
 
 // Changed returns a channel that is closed when the next version is in force, or other zones
 // are cordoned.
-func (f *InForce) Changed() <-chan struct{} {
+func (f *Current) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changed
--- a/engine/action.go
+++ b/engine/action.go
@@ -24,11 +24,11 @@
 const (
 	StartUnknown StartOutcome = iota
 	StartOK
-	StartNotSent // the order did not reach the worker and never will
-	StartFull    // the worker has no room
-	StartOld     // the worker knows a run as high
-	StartLate    // the order was too old when it arrived
-	StartFenced  // a newer planner gives the orders
+	StartNotDelivered // the order did not reach the worker and never will
+	StartNoCapacity   // the worker has no room
+	StartSuperseded   // the worker knows a run as high
+	StartExpired      // the order was too old when it arrived
+	StartFenced       // a newer planner gives the orders
 	StartUnhealthy
 	StartInvalid
 	StartDraining
@@ -54,31 +54,31 @@
 	CordonsAt int64
 }
 
-// Decided is one decision that touches a job, for the log.
-type Decided struct {
+// Decision is one decision that touches a job, for the log.
+type Decision struct {
 	Job    workload.JobID
-	What   string
+	Kind   string
 	Detail string
 	Run    workload.RunID
 	Worker WorkerID
 }
 
-// Began: the first task of a job runs, Waited after it was accepted.
-type Began struct {
+// JobStarted: the first task of a job runs, Waited after it was accepted.
+type JobStarted struct {
 	Account string
 	Queue   string
 	Waited  time.Duration
 }
 
-// Finished: a job has come to its end, Took after it was accepted.
-type Finished struct {
+// JobFinished: a job has come to its end, Took after it was accepted.
+type JobFinished struct {
 	Account string
 	Queue   string
 	State   workload.State
 	Took    time.Duration
 }
 
-func (Began) isAction()    {}
-func (Finished) isAction() {}
-func (Orders) isAction()   {}
-func (Decided) isAction()  {}
+func (JobStarted) isAction()  {}
+func (JobFinished) isAction() {}
+func (Orders) isAction()      {}
+func (Decision) isAction()    {}
--- a/engine/advice.go
+++ b/engine/advice.go
@@ -25,26 +25,26 @@
 	adviceAhead = 300 * time.Millisecond
 )
 
-// AskAdvice asks the service which workers may run a step. One is in progress at a time;
+// AdviceRequest asks the service which workers may run a step. One is in progress at a time;
 // it is followed by Advised.
-type AskAdvice struct {
+type AdviceRequest struct {
 	Job        workload.JobID
 	Occurrence int
 	Step       int
 	Workers    []WorkerID
 }
 
-// Advised is the answer to AskAdvice. Workers that were asked for and have no ticket may
+// AdviceResponse is the answer to AskAdvice. Workers that were asked for and have no ticket may
 // not run the step in this life.
-type Advised struct {
-	Asked   AskAdvice
-	Tickets map[WorkerID]string
-	Valid   time.Duration
-	Failed  bool // no answer; nothing is known
+type AdviceResponse struct {
+	Request  AdviceRequest
+	Tickets  map[WorkerID]string
+	Lifetime time.Duration
+	Failed   bool // no answer; nothing is known
 }
 
-func (AskAdvice) isAction() {}
-func (Advised) isEvent()    {}
+func (AdviceRequest) isAction() {}
+func (AdviceResponse) isEvent() {}
 
 // tickets is what is known of the workers that may run a step.
 type tickets struct {
@@ -69,7 +69,7 @@
 	return t
 }
 
-func (u *unit) advised() bool { return u.job.spec.Terms.Advice != nil }
+func (u *unit) advised() bool { return u.job.spec.QueuePolicy.Advice != nil }
 
 // ticketOn returns the ticket with which u may start on a worker; it is empty where none
 // is needed.
@@ -111,7 +111,7 @@
 	for _, w := range r.byRoom(u) {
 		id := w.info.ID
 		if _, ok := u.ticketOn(r.now+ticketMargin, id); ok {
-			room += u.demand().Fits(w.free(), u.size)
+			room += u.demand().CountFitting(w.free(), u.size)
 			continue
 		}
 		if !known.denied[id] && len(ask) < min(max(2*u.size, adviceLeast), adviceMost) {
@@ -122,7 +122,7 @@
 		return false
 	}
 	e.asking = true
-	e.actions = append(e.actions, AskAdvice{Job: u.job.spec.ID, Occurrence: u.occurrence, Step: u.step, Workers: ask})
+	e.actions = append(e.actions, AdviceRequest{Job: u.job.spec.ID, Occurrence: u.occurrence, Step: u.step, Workers: ask})
 	return true
 }
 
@@ -131,10 +131,10 @@
 func (r *round) byRoom(u *unit) []*worker {
 	var now, later []*worker
 	for _, w := range r.all.workers {
-		if w.info.Service != u.job.spec.Service || !w.hasLabel(u.spec().Label) || !u.demand().Within(w.info.Capacity) {
+		if w.info.Service != u.job.spec.Service || !w.hasLabel(u.spec().Label) || !u.demand().FitsIn(w.info.Capacity) {
 			continue
 		}
-		if u.demand().Within(w.free()) {
+		if u.demand().FitsIn(w.free()) {
 			now = append(now, w)
 		} else {
 			later = append(later, w)
@@ -145,9 +145,9 @@
 
 // soon says whether the steps before u's are about to end.
 func (e *Engine) soon(now time.Duration, u *unit) bool {
-	advice := u.job.spec.Terms.Advice
-	lead := advice.Decision + adviceMost*advice.Interval + adviceAhead
-	for _, before := range u.spec().After {
+	advice := u.job.spec.QueuePolicy.Advice
+	lead := advice.DecisionTime + adviceMost*advice.TimePerWorker + adviceAhead
+	for _, before := range u.spec().DependsOn {
 		for _, o := range u.job.units {
 			if o.occurrence != u.occurrence || o.step != before || o.state == unitDone {
 				continue
@@ -166,24 +166,24 @@
 }
 
 // advice takes the answer to a question.
-func (e *Engine) advice(now time.Duration, ev Advised) {
+func (e *Engine) advice(now time.Duration, ev AdviceResponse) {
 	e.asking = false
 	e.replan = true
 	if ev.Failed {
 		e.askAfter = now + adviceRetry
 		return
 	}
-	j := e.jobs[ev.Asked.Job]
+	j := e.jobs[ev.Request.Job]
 	if j == nil {
 		return
 	}
-	known := j.ticketsOf(stepAt{ev.Asked.Occurrence, ev.Asked.Step})
-	for _, id := range ev.Asked.Workers {
+	known := j.ticketsOf(stepAt{ev.Request.Occurrence, ev.Request.Step})
+	for _, id := range ev.Request.Workers {
 		text, allowed := ev.Tickets[id]
 		if !allowed {
 			known.denied[id] = true
 			continue
 		}
-		known.held[id] = ticket{text: text, until: now + ev.Valid}
+		known.held[id] = ticket{text: text, until: now + ev.Lifetime}
 	}
 }
--- a/engine/advice_test.go
+++ b/engine/advice_test.go
@@ -11,22 +11,22 @@
 
 // advised hands in a job of a queue under a policy.
 func (d *desk) advised(steps ...workload.Step) workload.JobID {
-	d.step(Submitted{Order: 1, Job: workload.Job{
+	d.step(JobSubmitted{Revision: 1, Job: workload.Job{
 		ID: "advised", Queue: "q", Service: "s", Steps: steps,
-		Terms: workload.Terms{Priority: 1, MaxAttempts: 3, Stretch: 3, Advice: &workload.Advice{
-			Decision: 100 * time.Millisecond, Interval: 10 * time.Millisecond, Valid: 3 * time.Second,
+		QueuePolicy: workload.QueuePolicy{Priority: 1, MaxAttempts: 3, Stretch: 3, Advice: &workload.Advice{
+			DecisionTime: 100 * time.Millisecond, TimePerWorker: 10 * time.Millisecond, TicketLifetime: 3 * time.Second,
 		}},
 	}})
 	return "advised"
 }
 
 // asked returns the question that the engine asks next, if any, and settles the rest.
-func (d *desk) asked() *AskAdvice {
-	var ask *AskAdvice
+func (d *desk) asked() *AdviceRequest {
+	var ask *AdviceRequest
 	for range 10 {
 		for _, a := range d.e.Decide(d.now) {
 			switch a := a.(type) {
-			case AskAdvice:
+			case AdviceRequest:
 				ask = &a
 			case Orders:
 				for _, s := range a.Starts {
@@ -36,7 +36,7 @@
 			}
 		}
 		if w := d.e.Changes(d.now, time.Unix(1000, 0), 15); !w.Empty() {
-			d.step(Stored{Write: w})
+			d.step(WriteApplied{Write: w})
 		}
 	}
 	return ask
@@ -52,7 +52,7 @@
 	c.Assert(ask, qt.IsNotNil)
 	c.Check(d.starts, qt.HasLen, 0)
 	c.Check(d.asked(), qt.IsNil, qt.Commentf("one question at a time"))
-	d.step(Advised{Asked: *ask, Tickets: map[WorkerID]string{"w1": "t1"}, Valid: 3 * time.Second})
+	d.step(AdviceResponse{Request: *ask, Tickets: map[WorkerID]string{"w1": "t1"}, Lifetime: 3 * time.Second})
 	again := d.asked()
 	c.Assert(d.starts, qt.HasLen, 1)
 	c.Check(d.starts[0].Ticket, qt.Equals, "t1")
@@ -73,7 +73,7 @@
 	d.advised(tasks(1, 8))
 	ask := d.asked()
 	c.Assert(ask, qt.IsNotNil)
-	d.step(Advised{Asked: *ask, Tickets: map[WorkerID]string{"w0": "t0"}, Valid: 3 * time.Second})
+	d.step(AdviceResponse{Request: *ask, Tickets: map[WorkerID]string{"w0": "t0"}, Lifetime: 3 * time.Second})
 	d.asked()
 	for range 40 {
 		d.now += 100 * time.Millisecond
@@ -92,10 +92,10 @@
 	d.advised(tasks(1, 1))
 	ask := d.asked()
 	c.Assert(ask, qt.IsNotNil)
-	d.step(Advised{Asked: *ask, Failed: true})
+	d.step(AdviceResponse{Request: *ask, Failed: true})
 	c.Check(d.asked(), qt.IsNil)
 	d.now += adviceRetry
-	d.step(Tick{Wall: time.Unix(1000, 0)})
+	d.step(Tick{WallTime: time.Unix(1000, 0)})
 	d.e.replan = true
 	c.Check(d.asked(), qt.IsNotNil)
 	c.Check(d.starts, qt.HasLen, 0)
@@ -108,14 +108,14 @@
 	d := newDesk(t, 3)
 	first, second := tasks(1, 1), tasks(1, 1)
 	first.Estimate = 800 * time.Millisecond
-	second.After = []int{0}
+	second.DependsOn = []int{0}
 	d.advised(first, second)
 	ask := d.asked()
-	d.step(Advised{Asked: *ask, Tickets: map[WorkerID]string{"w0": "a", "w1": "b", "w2": "c"}, Valid: 3 * time.Second})
+	d.step(AdviceResponse{Request: *ask, Tickets: map[WorkerID]string{"w0": "a", "w1": "b", "w2": "c"}, Lifetime: 3 * time.Second})
 	ahead := d.asked()
 	c.Assert(d.starts, qt.HasLen, 1)
 	if ahead == nil {
-		d.step(OrdersEnded{Worker: d.on[d.starts[0].Run], Starts: []StartResult{{Run: d.starts[0].Run, Outcome: StartOK}}})
+		d.step(OrdersCompleted{Worker: d.on[d.starts[0].Run], Starts: []StartResult{{Run: d.starts[0].Run, Outcome: StartOK}}})
 		d.now += 400 * time.Millisecond
 		d.e.replan = true
 		ahead = d.asked()
--- a/engine/bench_day_test.go
+++ b/engine/bench_day_test.go
@@ -49,9 +49,9 @@
 	}, 1, f.now, 0)
 	accounts := map[string]catalog.Account{}
 	for i := range 24 {
-		accounts[fmt.Sprint("account", i)] = catalog.Account{Guaranteed: 16}
+		accounts[fmt.Sprint("account", i)] = catalog.Account{GuaranteedAccelerators: 16}
 	}
-	f.e.Step(f.now, CatalogChanged{Catalog: &catalog.Catalog{Accounts: accounts}})
+	f.e.HandleEvent(f.now, CatalogChanged{Catalog: &catalog.Catalog{Accounts: accounts}})
 	for i := range workers {
 		rack := fmt.Sprint("r", i/rackSize)
 		f.workers = append(f.workers, &benchWorker{
@@ -78,7 +78,7 @@
 			}
 		}
 		if f.now%(50*time.Millisecond) == 0 {
-			f.e.Step(f.now, Tick{Wall: time.Unix(1000, 0).Add(f.now)})
+			f.e.HandleEvent(f.now, Tick{WallTime: time.Unix(1000, 0).Add(f.now)})
 		}
 		f.act()
 	}
@@ -90,21 +90,21 @@
 	f.jobs++
 	pick := func(values ...int) int { return values[f.rng.IntN(len(values))] }
 	j := workload.Job{ID: workload.JobID(fmt.Sprintf("%016x", f.jobs)), Service: "s", Account: fmt.Sprint("account", f.rng.IntN(24)), Spec: "spec"}
-	j.Terms = workload.Terms{Priority: 0, MaxAttempts: 3, Stretch: 1.5, TargetLatency: 300 * time.Millisecond}
+	j.QueuePolicy = workload.QueuePolicy{Priority: 0, MaxAttempts: 3, Stretch: 1.5, TargetLatency: 300 * time.Millisecond}
 	step := workload.Step{Count: 1 + f.rng.IntN(15), Estimate: 2500 * time.Millisecond, Gang: f.rng.IntN(2) == 0, SameRack: true,
 		Need: workload.Resources{MilliCPU: 3700, MemoryMB: 8000, Accelerators: pick(1, 2, 4, 8)}}
 	switch kind := f.rng.Float64(); {
 	case kind < 0.13:
-		j.Terms.Priority, j.Terms.Stretch = 1, 3
+		j.QueuePolicy.Priority, j.QueuePolicy.Stretch = 1, 3
 		step.Count, step.Estimate, step.Need.MilliCPU, step.Checkpoints = 1+f.rng.IntN(50), 8500*time.Millisecond, 4000*step.Need.Accelerators, true
 	case kind < 0.28:
-		j.Terms.Priority, j.Terms.Stretch = 2, 5
+		j.QueuePolicy.Priority, j.QueuePolicy.Stretch = 2, 5
 		step.Count, step.Estimate, step.Gang, step.Checkpoints = 20+f.rng.IntN(120), 6100*time.Millisecond, false, true
 		step.Need.MilliCPU, step.Need.Accelerators = 2800, 1
 	}
-	j.Queue = fmt.Sprint("q", j.Terms.Priority)
+	j.Queue = fmt.Sprint("q", j.QueuePolicy.Priority)
 	j.Steps = []workload.Step{step}
-	f.e.Step(f.now, Submitted{Job: j, Order: int64(f.jobs)})
+	f.e.HandleEvent(f.now, JobSubmitted{Job: j, Revision: int64(f.jobs)})
 }
 
 func (f *benchFleet) report(w *benchWorker) {
@@ -135,7 +135,7 @@
 			continue
 		}
 		w := f.workers[workerIndex(o.Worker)]
-		ended := OrdersEnded{Worker: o.Worker}
+		ended := OrdersCompleted{Worker: o.Worker}
 		for _, s := range o.Starts {
 			took := time.Duration((0.3 + 2*f.rng.Float64()) * float64(4*time.Second))
 			w.running[s.Run.Task] = &benchRun{id: s.Run, began: f.now, end: f.now + took}
@@ -148,10 +148,10 @@
 				delete(w.running, run.Task)
 			}
 		}
-		f.e.Step(f.now, ended)
+		f.e.HandleEvent(f.now, ended)
 	}
 	if w := f.e.Changes(f.now, time.Unix(1000, 0).Add(f.now), 15); !w.Empty() {
-		f.e.Step(f.now, Stored{Write: w})
+		f.e.HandleEvent(f.now, WriteApplied{Write: w})
 	}
 }
 
--- a/engine/bench_test.go
+++ b/engine/bench_test.go
@@ -17,7 +17,7 @@
 		MaxHold: 6 * time.Second, StopTime: 200 * time.Millisecond, RemoteFactor: 3,
 		Reclaim: 3 * time.Second, Retention: time.Minute,
 	}, 1, now, 0)
-	e.Step(now, CatalogChanged{Catalog: &catalog.Catalog{}})
+	e.HandleEvent(now, CatalogChanged{Catalog: &catalog.Catalog{}})
 	for i := range workers {
 		e.Report(now, Report{Epoch: 1, Looked: true, Worker: WorkerInfo{
 			ID: WorkerID(fmt.Sprintf("w%05d", i)), Agent: fmt.Sprint("agent", i), Service: "s", Rack: fmt.Sprint("r", i/12),
@@ -30,16 +30,16 @@
 			if w.Empty() {
 				return
 			}
-			e.Step(now, Stored{Write: w})
+			e.HandleEvent(now, WriteApplied{Write: w})
 		}
 	}
 	store()
 	submit := func(n, priority, count, accelerators int, isGang bool) {
 		step := tasks(count, accelerators)
 		step.Gang, step.SameRack = isGang, isGang
-		e.Step(now, Submitted{Order: int64(n), Job: workload.Job{
+		e.HandleEvent(now, JobSubmitted{Revision: int64(n), Job: workload.Job{
 			ID: workload.JobID(fmt.Sprintf("job%06d", n)), Queue: fmt.Sprint("q", priority), Service: "s",
-			Steps: []workload.Step{step}, Terms: workload.Terms{Priority: priority, Stretch: 3},
+			Steps: []workload.Step{step}, QueuePolicy: workload.QueuePolicy{Priority: priority, Stretch: 3},
 		}})
 	}
 	for i := range workers {
--- a/engine/checkpoints.go
+++ b/engine/checkpoints.go
@@ -53,7 +53,7 @@
 	for _, u := range j.units {
 		if p := u.newest(); p != nil {
 			since := max(u.keptTo, p.began)
-			sum += u.total().Cores() * (p.savedAt - since).Seconds()
+			sum += u.total().CoreEquivalent() * (p.savedAt - since).Seconds()
 		}
 	}
 	return sum
--- a/engine/checkpoints_test.go
+++ b/engine/checkpoints_test.go
@@ -54,7 +54,7 @@
 		d.showCheckpoint(d.on[s.Run], fmt.Sprint("saved-", i))
 	}
 	d.now += keepEvery
-	d.step(Tick{Wall: time.Unix(1000, 0)})
+	d.step(Tick{WallTime: time.Unix(1000, 0)})
 	w := d.e.Changes(d.now, time.Unix(1000, 0), 10*jobs)
 	c.Check(w.Jobs, qt.HasLen, keepMost)
 }
--- a/engine/clearing.go
+++ b/engine/clearing.go
@@ -72,7 +72,7 @@
 	slices.SortStableFunc(s.candidates, func(a, b *unit) int {
 		return cmp.Or(
 			cmp.Compare(c.cost[a], c.cost[b]),
-			cmp.Compare(b.job.spec.Terms.Priority, a.job.spec.Terms.Priority),
+			cmp.Compare(b.job.spec.QueuePolicy.Priority, a.job.spec.QueuePolicy.Priority),
 		)
 	})
 	return s
@@ -114,7 +114,7 @@
 	need, room := c.u.demand(), s.room
 	var victims []*unit
 	for _, v := range s.candidates {
-		if need.Within(room) {
+		if need.FitsIn(room) {
 			break
 		}
 		if c.chosen[v] || !v.mayStop(ofStep(maps.Keys(c.chosen), v)+ofStep(slices.Values(victims), v)) {
@@ -123,13 +123,13 @@
 		room = room.Add(held(v, w))
 		victims = append(victims, v)
 	}
-	if !need.Within(room) {
+	if !need.FitsIn(room) {
 		return way{}
 	}
 	cost := 0.0
 	for i := len(victims) - 1; i >= 0; i-- {
 		without := room.Sub(held(victims[i], w))
-		if need.Within(without) {
+		if need.FitsIn(without) {
 			room = without
 			victims = slices.Delete(victims, i, i+1)
 			continue
--- a/engine/cordon.go
+++ b/engine/cordon.go
@@ -16,4 +16,4 @@
 	e.replan = true
 }
 
-func (e *Engine) markCordoned(w *worker) { w.cordoned = e.cordons.Covers(w.info.Zone) }
+func (e *Engine) markCordoned(w *worker) { w.cordoned = e.cordons.Contains(w.info.Zone) }
--- a/engine/crash.go
+++ b/engine/crash.go
@@ -28,9 +28,9 @@
 //   - A task with an early crash is tried again on a worker where nothing else has just
 //     started, and nothing else is started beside it meanwhile (see probation.go).
 const (
-	// ProvenAfter is how long a run is seen at work before it is taken not to crash its
+	// StartupCrashWindow is how long a run is seen at work before it is taken not to crash its
 	// worker by its start; images are loaded and accelerators set up by then.
-	ProvenAfter = time.Second
+	StartupCrashWindow = time.Second
 	// earlyMost is how many early crashes a task is given up after, where nothing else had
 	// just started on the last worker.
 	earlyMost = 2
@@ -59,7 +59,7 @@
 
 // proven says whether looks have shown the run at work for long enough to clear it.
 func (p *placement) proven() bool {
-	return p.began != 0 && p.shownAt-p.began >= ProvenAfter
+	return p.began != 0 && p.shownAt-p.began >= StartupCrashWindow
 }
 
 // crashesOf returns the count of the task with that index.
--- a/engine/crash_test.go
+++ b/engine/crash_test.go
@@ -144,7 +144,7 @@
 func (d *crashDay) crash(w *worker) {
 	away := outage{until: d.now + rebirth, epoch: d.e.epoch}
 	for _, p := range w.sortedPlaces() {
-		if d.now-d.began[p.id()] >= ProvenAfter {
+		if d.now-d.began[p.id()] >= StartupCrashWindow {
 			away.proven = append(away.proven, RunningRow{Run: p.id()})
 		}
 	}
@@ -263,7 +263,7 @@
 	c := qt.New(t)
 	d := newCrashDay(c, 2)
 	next := tasks(1, 1)
-	next.After = []int{0}
+	next.DependsOn = []int{0}
 	id := d.job(1, "other", gang(2, 8), next)
 	d.settle()
 	for _, u := range d.e.jobs[id].units {
--- a/engine/departure.go
+++ b/engine/departure.go
@@ -16,9 +16,9 @@
 
 // WorkerGone: a life of a worker is over. Runs is how many it took with it.
 type WorkerGone struct {
-	Worker WorkerInfo
-	How    Departure
-	Runs   int
+	Worker    WorkerInfo
+	Departure Departure
+	Runs      int
 }
 
 func (WorkerGone) isAction() {}
--- a/engine/discard.go
+++ b/engine/discard.go
@@ -11,27 +11,27 @@
 
 // Causes.
 const (
-	causeNone       Cause = ""
-	CauseEvicted    Cause = "evicted"              // for a unit of higher rank
-	CauseCancelled  Cause = "cancelled"            // by the caller
-	CauseJobFailed  Cause = "job failed"           // another of its tasks failed for good
-	CauseFailed     Cause = "failed"               // by its own fault or the worker's
-	CauseMember     Cause = "member ended"         // another member of the gang ended
-	CauseAlone      Cause = "members missing"      // the other members did not come in time
-	CauseWorkerLost Cause = "worker lost"          // with all that ran there
-	CauseLapsed     Cause = "lease lapsed"         // nobody extended it
-	CauseDrained    Cause = "worker drained"       // moved before the worker left
-	CauseStuck      Cause = "stood still"          // and was moved
-	CauseUnanswered Cause = "start unanswered"     // it may or may not run
-	CauseNotShown   Cause = "not shown"            // looks did not show it
-	CauseRefused    Cause = "gang incomplete"      // not all members could be ordered
-	CauseDisturbs   Cause = "disturbs what serves" // it filled beside it
-	CauseTakeover   Cause = "takeover"             // a predecessor left it half done
+	causeNone            Cause = ""
+	CauseEvicted         Cause = "evicted"              // for a unit of higher rank
+	CauseCancelled       Cause = "cancelled"            // by the caller
+	CauseJobFailed       Cause = "job failed"           // another of its tasks failed for good
+	CauseFailed          Cause = "failed"               // by its own fault or the worker's
+	CauseMemberEnded     Cause = "member ended"         // another member of the gang ended
+	CauseMembersMissing  Cause = "members missing"      // the other members did not come in time
+	CauseWorkerLost      Cause = "worker lost"          // with all that ran there
+	CauseLeaseExpired    Cause = "lease lapsed"         // nobody extended it
+	CauseDrained         Cause = "worker drained"       // moved before the worker left
+	CauseStalled         Cause = "stood still"          // and was moved
+	CauseStartUnanswered Cause = "start unanswered"     // it may or may not run
+	CauseNotListed       Cause = "not shown"            // looks did not show it
+	CauseGangIncomplete  Cause = "gang incomplete"      // not all members could be ordered
+	CauseInterference    Cause = "disturbs what serves" // it filled beside it
+	CauseTakeover        Cause = "takeover"             // a predecessor left it half done
 )
 
-// Discarded is work of one run that was thrown away, in core-seconds; an accelerator
+// WorkDiscarded is work of one run that was thrown away, in core-seconds; an accelerator
 // counts as several cores, see workload.Resources.Cores.
-type Discarded struct {
+type WorkDiscarded struct {
 	Run     workload.RunID
 	Account string
 	Queue   string
@@ -41,7 +41,7 @@
 	Lost, Saved float64
 }
 
-func (Discarded) isAction() {}
+func (WorkDiscarded) isAction() {}
 
 // blame notes why the present run of u ends. The first cause stands: what follows from it,
 // such as the end of a gang's other members, is not another.
@@ -59,8 +59,8 @@
 	}
 	ran := now - p.began
 	saved := min(max(p.savedAt-p.began, 0), ran)
-	cores := p.demand.Cores()
-	e.actions = append(e.actions, Discarded{
+	cores := p.demand.CoreEquivalent()
+	e.actions = append(e.actions, WorkDiscarded{
 		Run:     p.id(),
 		Account: u.job.spec.Account,
 		Queue:   u.job.spec.Queue,
--- a/engine/ended.go
+++ b/engine/ended.go
@@ -20,8 +20,8 @@
 	forgottenRecords = 2
 )
 
-// Outcome is the durable form of a job of which nothing runs any more.
-type Outcome struct {
+// JobOutcome is the durable form of a job of which nothing runs any more.
+type JobOutcome struct {
 	// Epoch makes each write of a record unlike every other.
 	Epoch   uint64         `json:"epoch"`
 	Queue   string         `json:"queue"`
@@ -34,30 +34,30 @@
 // EndedJob is a job whose records are replaced by its outcome, with the revisions at which
 // the caller's own records were created; CancelOrder is 0 where there is no cancellation.
 type EndedJob struct {
-	ID          workload.JobID
-	Order       int64
-	CancelOrder int64
-	Outcome     Outcome
+	ID             workload.JobID
+	Revision       int64
+	CancelRevision int64
+	Outcome        JobOutcome
 }
 
-// ForgottenJob is a job whose outcome is removed.
-type ForgottenJob struct {
+// ExpiredJob is a job whose outcome is removed.
+type ExpiredJob struct {
 	ID workload.JobID
-	// Record is the revision of the outcome where a predecessor wrote it, else 0.
-	Record int64
-	// CancelOrder is the revision of a cancellation that came after the job's end, else 0.
-	CancelOrder int64
+	// OutcomeRevision is the revision of the outcome where a predecessor wrote it, else 0.
+	OutcomeRevision int64
+	// CancelRevision is the revision of a cancellation that came after the job's end, else 0.
+	CancelRevision int64
 }
 
-// EndedRestored is a job that had ended under a predecessor.
-type EndedRestored struct {
-	ID      workload.JobID
-	Outcome Outcome
-	Record  int64         // the revision of the outcome
-	Age     time.Duration // how long ago it ended, as far as is known
+// EndedJobRestored is a job that had ended under a predecessor.
+type EndedJobRestored struct {
+	ID              workload.JobID
+	Outcome         JobOutcome
+	OutcomeRevision int64         // the revision of the outcome
+	Age             time.Duration // how long ago it ended, as far as is known
 }
 
-func (EndedRestored) isEvent() {}
+func (EndedJobRestored) isEvent() {}
 
 // idle says whether nothing of the job holds room on any worker.
 func (j *job) idle() bool {
@@ -77,16 +77,16 @@
 }
 
 func (j *job) ended(epoch uint64, now time.Duration, wall time.Time) EndedJob {
-	return EndedJob{ID: j.spec.ID, Order: j.order, CancelOrder: j.cancelOrder, Outcome: Outcome{
+	return EndedJob{ID: j.spec.ID, Revision: j.order, CancelRevision: j.cancelOrder, Outcome: JobOutcome{
 		Epoch: epoch, Queue: j.spec.Queue, Account: j.spec.Account,
 		State: j.state, Reason: j.reason, EndedAt: wall.Add(j.endedAt - now),
 	}}
 }
 
-func (j *job) forgotten() ForgottenJob {
-	out := ForgottenJob{ID: j.spec.ID, Record: j.record}
+func (j *job) forgotten() ExpiredJob {
+	out := ExpiredJob{ID: j.spec.ID, OutcomeRevision: j.record}
 	if j.cancelOrder != j.cancelClosed {
-		out.CancelOrder = j.cancelOrder
+		out.CancelRevision = j.cancelOrder
 	}
 	return out
 }
@@ -112,15 +112,15 @@
 }
 
 // restoreEnded takes a job that had ended from a predecessor's records.
-func (e *Engine) restoreEnded(now time.Duration, ev EndedRestored) {
+func (e *Engine) restoreEnded(now time.Duration, ev EndedJobRestored) {
 	if e.jobs[ev.ID] != nil {
 		return
 	}
-	j := e.adopt(now, Submitted{Job: workload.Job{ID: ev.ID, Queue: ev.Outcome.Queue, Account: ev.Outcome.Account}, Age: ev.Age})
+	j := e.adopt(now, JobSubmitted{Job: workload.Job{ID: ev.ID, Queue: ev.Outcome.Queue, Account: ev.Outcome.Account}, Age: ev.Age})
 	j.state, j.reason = ev.Outcome.State, ev.Outcome.Reason
 	j.canceled = j.state == workload.Cancelled
 	j.endedAt = now - ev.Age
-	j.record = ev.Record
+	j.record = ev.OutcomeRevision
 	j.cancelOrder = e.cancels[ev.ID]
 	delete(e.cancels, ev.ID)
 	j.close(0)
--- a/engine/ends.go
+++ b/engine/ends.go
@@ -65,9 +65,9 @@
 // cause of its stop.
 var causeOfEnd = map[EndReason]Cause{
 	EndFailed: CauseFailed,
-	EndLapsed: CauseLapsed,
-	EndBroken: CauseMember,
-	EndAlone:  CauseAlone,
+	EndLapsed: CauseLeaseExpired,
+	EndBroken: CauseMemberEnded,
+	EndAlone:  CauseMembersMissing,
 }
 
 func (e *Engine) retry(u *unit) {
@@ -109,7 +109,7 @@
 		u.failures++
 	}
 	e.retry(u)
-	limit := u.job.spec.Terms.MaxAttempts
+	limit := u.job.spec.QueuePolicy.MaxAttempts
 	if limit > 0 && u.failures >= limit && !u.job.state.Final() {
 		u.state = unitFailed
 		e.finish(now, u.job, workload.Failed, "a task failed as often as its queue allows")
@@ -140,7 +140,7 @@
 // is done end by themselves.
 func (e *Engine) stopRest(now time.Duration, u *unit) {
 	if u.verdict == verdictRetry {
-		e.stopAll(now, u, CauseMember)
+		e.stopAll(now, u, CauseMemberEnded)
 	}
 }
 
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -90,22 +90,22 @@
 	}
 }
 
-// Step handles one event. What agents say comes by Report, which answers them.
-func (e *Engine) Step(now time.Duration, event Event) {
+// HandleEvent handles one event. What agents say comes by Report, which answers them.
+func (e *Engine) HandleEvent(now time.Duration, event Event) {
 	switch ev := event.(type) {
-	case Submitted:
+	case JobSubmitted:
 		e.submit(now, ev)
 	case CancelRequested:
 		e.cancel(now, ev)
-	case Restored:
+	case JobRestored:
 		e.restore(now, ev)
 	case WorkerRestored:
 		e.restoreWorker(now, ev.Info)
-	case EndedRestored:
+	case EndedJobRestored:
 		e.restoreEnded(now, ev)
-	case OrdersEnded:
+	case OrdersCompleted:
 		e.ordersEnded(now, ev)
-	case Stored:
+	case WriteApplied:
 		e.stored(now, ev.Write)
 	case CatalogChanged:
 		e.catalog = ev.Catalog
@@ -114,19 +114,19 @@
 		e.cordon(ev)
 	case Tick:
 		e.tick(now, ev)
-	case Advised:
+	case AdviceResponse:
 		e.advice(now, ev)
 	default:
 		panic("engine: unknown event")
 	}
 }
 
-// Postpone makes no planning round before a time. What is decided already still leaves with
+// DelayPlanning makes no planning round before a time. What is decided already still leaves with
 // the next Decide.
-func (e *Engine) Postpone(until time.Duration) { e.planFrom = until }
+func (e *Engine) DelayPlanning(until time.Duration) { e.planFrom = until }
 
-// Postponed returns when Decide would make a round that is due, and false where none is.
-func (e *Engine) Postponed() (until time.Duration, due bool) { return e.planFrom, e.replan }
+// NextPlanning returns when Decide would make a round that is due, and false where none is.
+func (e *Engine) NextPlanning() (until time.Duration, due bool) { return e.planFrom, e.replan }
 
 // Decide places waiting work and returns what is to be done since the last call.
 func (e *Engine) Decide(now time.Duration) []Action {
@@ -155,9 +155,9 @@
 }
 
 func (e *Engine) decided(p *placement, what, detail string) {
-	e.actions = append(e.actions, Decided{
+	e.actions = append(e.actions, Decision{
 		Job:    p.unit.job.spec.ID,
-		What:   what,
+		Kind:   what,
 		Detail: detail,
 		Run:    p.id(),
 		Worker: p.worker.info.ID,
@@ -165,7 +165,7 @@
 }
 
 func (e *Engine) decidedJob(j *job, what, detail string) {
-	e.actions = append(e.actions, Decided{Job: j.spec.ID, What: what, Detail: detail})
+	e.actions = append(e.actions, Decision{Job: j.spec.ID, Kind: what, Detail: detail})
 }
 
 func (e *Engine) change(j *job) {
--- a/engine/evict.go
+++ b/engine/evict.go
@@ -28,7 +28,7 @@
 // still meet its objective is waited for, and no more work is thrown away than u itself
 // is, unless its account's guarantee would be broken or u would come far too late.
 func (r *round) evict(u *unit) bool {
-	if u.job.spec.Terms.Priority != 0 || r.e.gathering(r.now) {
+	if u.job.spec.QueuePolicy.Priority != 0 || r.e.gathering(r.now) {
 		return false
 	}
 	if len(u.claims) > 0 {
@@ -78,7 +78,7 @@
 	if wait <= max(r.e.tracker.stop, time.Duration(policy.EvictionWait*float64(slack))) {
 		return false
 	}
-	own := u.total().Cores() * r.e.estimate(u).Seconds()
+	own := u.total().CoreEquivalent() * r.e.estimate(u).Seconds()
 	if r.now+wait+r.e.estimate(u) > r.e.useless(u.job) {
 		own *= lateFactor
 	}
@@ -122,7 +122,7 @@
 	if !v.mayStop(0) {
 		return false
 	}
-	if v.job.spec.Terms.Priority > u.job.spec.Terms.Priority {
+	if v.job.spec.QueuePolicy.Priority > u.job.spec.QueuePolicy.Priority {
 		return true
 	}
 	return r.reclaims(u) && !r.protected[v.job]
@@ -144,7 +144,7 @@
 		if u.spec().Checkpoints {
 			lost = e.params.Restore
 		}
-		sum += p.demand.Cores() * lost.Seconds()
+		sum += p.demand.CoreEquivalent() * lost.Seconds()
 	}
 	return sum
 }
--- a/engine/fence.go
+++ b/engine/fence.go
@@ -7,18 +7,18 @@
 // life answers under the worker's name: that life has seen no fence, and calls that were meant
 // for an earlier one, and were held up, carry the same name.
 type Fence struct {
-	Epoch uint64
-	Turn  uint64
+	Epoch      uint64
+	Generation uint64
 }
 
-// TurnStep is by how much the turn is raised for another life. Agents count in between, each
+// GenerationStep is by how much the turn is raised for another life. Agents count in between, each
 // time that their worker does not answer, so that whichever life answers next is fenced before
 // a planner has heard of it.
-const TurnStep = 1 << 8
+const GenerationStep = 1 << 8
 
 // Compare returns -1, 0 or 1 as f is lower than o, the same or higher.
 func (f Fence) Compare(o Fence) int {
-	return cmp.Or(cmp.Compare(f.Epoch, o.Epoch), cmp.Compare(f.Turn, o.Turn))
+	return cmp.Or(cmp.Compare(f.Epoch, o.Epoch), cmp.Compare(f.Generation, o.Generation))
 }
 
 // Max returns the higher of two fences.
--- a/engine/fit.go
+++ b/engine/fit.go
@@ -117,7 +117,7 @@
 	room := 0
 	for _, w := range set.workers {
 		if r.eligible(u, w) {
-			room += perWorker(u.spec(), u.demand().Fits(w.info.Capacity, u.size))
+			room += perWorker(u.spec(), u.demand().CountFitting(w.info.Capacity, u.size))
 		}
 	}
 	return room >= u.size
--- a/engine/forecast.go
+++ b/engine/forecast.go
@@ -146,7 +146,7 @@
 
 // set notes the room of the worker at a place.
 func (f *outlook) set(at int, room workload.Resources) {
-	n := max(0, perWorker(f.u.spec(), f.demand.Fits(room, f.u.size)))
+	n := max(0, perWorker(f.u.spec(), f.demand.CountFitting(room, f.u.size)))
 	f.total += n - f.members[at]
 	f.room[at], f.members[at] = room, n
 }
--- a/engine/forecast_test.go
+++ b/engine/forecast_test.go
@@ -18,7 +18,7 @@
 	count := func() int {
 		n := 0
 		for i := range f.workers {
-			n += max(0, perWorker(u.spec(), u.demand().Fits(f.room[i], u.size)))
+			n += max(0, perWorker(u.spec(), u.demand().CountFitting(f.room[i], u.size)))
 		}
 		return n
 	}
--- a/engine/friction.go
+++ b/engine/friction.go
@@ -4,20 +4,20 @@
 // from 0, where it has nothing to share, to 100.
 func (e *Engine) friction(u *unit, w *worker) int {
 	s := u.spec()
-	if !s.Fills && s.TailTarget == 0 {
+	if !s.BestEffortCPU && s.TailLatencyTarget == 0 {
 		return 0
 	}
 	worst := 0.0
 	for _, p := range w.places {
 		o := p.unit.spec()
 		switch {
-		case s.Fills && o.TailTarget > 0 && !o.Fills:
+		case s.BestEffortCPU && o.TailLatencyTarget > 0 && !o.BestEffortCPU:
 			worst = max(worst, fullPace-e.interference.tolerance(imagePair{fills: s.Image, serves: o.Image}))
-		case s.TailTarget > 0 && o.Fills:
+		case s.TailLatencyTarget > 0 && o.BestEffortCPU:
 			worst = max(worst, fullPace-e.interference.tolerance(imagePair{fills: o.Image, serves: s.Image}))
 		}
 	}
-	if s.Fills {
+	if s.BestEffortCPU {
 		worst = max(worst, e.starved(u, w))
 	}
 	return int(worst)
@@ -32,7 +32,7 @@
 	}
 	idle := w.free().MilliCPU
 	for _, p := range w.places {
-		if p.unit.spec().Fills {
+		if p.unit.spec().BestEffortCPU {
 			idle -= p.unit.spec().Need.MilliCPU
 		}
 	}
--- a/engine/headroom.go
+++ b/engine/headroom.go
@@ -129,7 +129,7 @@
 // deadline left. It would leave the room alone for ever, and never run where only that rack
 // has its data, with the room free.
 func (r *round) patient(u *unit) bool {
-	if u.job.spec.Terms.Priority == 0 || r.now-u.since > patientMost {
+	if u.job.spec.QueuePolicy.Priority == 0 || r.now-u.since > patientMost {
 		return false
 	}
 	return r.e.latestStart(r.now, u)-r.now > patientSlack
--- a/engine/helpers_test.go
+++ b/engine/helpers_test.go
@@ -27,7 +27,7 @@
 	on   map[workload.RunID]WorkerID // where each start went
 	ends map[WorkerID]int64
 	// discarded and late are what the engine accounted for.
-	discarded []Discarded
+	discarded []WorkDiscarded
 	late      []Late
 }
 
@@ -37,7 +37,7 @@
 		MaxHold: 6 * time.Second, StopTime: 900 * time.Millisecond, RemoteFactor: 3,
 		Restore: 500 * time.Millisecond, Reclaim: 3 * time.Second, Harm: 4 * time.Second, Retention: time.Minute,
 	}, 1, d.now, 0)
-	d.step(CatalogChanged{Catalog: &catalog.Catalog{Accounts: map[string]catalog.Account{"big": {Guaranteed: 16}}}})
+	d.step(CatalogChanged{Catalog: &catalog.Catalog{Accounts: map[string]catalog.Account{"big": {GuaranteedAccelerators: 16}}}})
 	for i := range workers {
 		d.report(d.worker(i))
 	}
@@ -56,7 +56,7 @@
 
 func (d *desk) report(r Report) Verdict { return d.e.Report(d.now, r) }
 
-func (d *desk) step(ev Event) { d.e.Step(d.now, ev) }
+func (d *desk) step(ev Event) { d.e.HandleEvent(d.now, ev) }
 
 // settle writes all changes, answers all starts with ok and collects orders, until
 // nothing more happens.
@@ -73,14 +73,14 @@
 func (d *desk) turn(outcome StartOutcome) bool {
 	busy := false
 	for _, a := range d.e.Decide(d.now) {
-		if said, ok := a.(Decided); ok {
+		if said, ok := a.(Decision); ok {
 			if d.said[said.Job] == nil {
 				d.said[said.Job] = map[string]int{}
 			}
-			d.said[said.Job][said.What]++
+			d.said[said.Job][said.Kind]++
 		}
 		switch a := a.(type) {
-		case Discarded:
+		case WorkDiscarded:
 			d.discarded = append(d.discarded, a)
 		case Late:
 			d.late = append(d.late, a)
@@ -90,7 +90,7 @@
 			continue
 		}
 		busy = true
-		ended := OrdersEnded{Worker: o.Worker}
+		ended := OrdersCompleted{Worker: o.Worker}
 		for _, s := range o.Starts {
 			d.starts = append(d.starts, s)
 			d.on[s.Run] = o.Worker
@@ -109,7 +109,7 @@
 	}
 	if w := d.e.Changes(d.now, time.Unix(1000, 0), 15); !w.Empty() {
 		busy = true
-		d.step(Stored{Write: w})
+		d.step(WriteApplied{Write: w})
 	}
 	return busy
 }
@@ -118,9 +118,9 @@
 func (d *desk) job(priority int, account string, steps ...workload.Step) workload.JobID {
 	d.jobs++
 	id := workload.JobID(fmt.Sprintf("job%d", d.jobs))
-	d.step(Submitted{Order: int64(d.jobs), Job: workload.Job{
+	d.step(JobSubmitted{Revision: int64(d.jobs), Job: workload.Job{
 		ID: id, Queue: fmt.Sprint("q", priority), Account: account, Service: "s", Steps: steps,
-		Terms: workload.Terms{Priority: priority, MaxAttempts: 3, Stretch: 3, TargetLatency: time.Second},
+		QueuePolicy: workload.QueuePolicy{Priority: priority, MaxAttempts: 3, Stretch: 3, TargetLatency: time.Second},
 	}})
 	return id
 }
@@ -182,7 +182,7 @@
 
 // tick tells the engine the time and lets it settle.
 func (d *desk) tick() {
-	d.step(Tick{Wall: time.Unix(1000, 0).Add(d.now)})
+	d.step(Tick{WallTime: time.Unix(1000, 0).Add(d.now)})
 	d.settle()
 }
 
@@ -208,9 +208,9 @@
 		d.step(WorkerRestored{Info: w.info})
 	}
 	for _, j := range old.sequence {
-		d.step(Restored{
-			Submitted: Submitted{Job: j.spec, Order: j.order},
-			Progress:  j.progress(old.epoch, d.now, time.Unix(1000, 0)),
+		d.step(JobRestored{
+			JobSubmitted: JobSubmitted{Job: j.spec, Revision: j.order},
+			Progress:     j.progress(old.epoch, d.now, time.Unix(1000, 0)),
 		})
 	}
 }
--- a/engine/job.go
+++ b/engine/job.go
@@ -75,11 +75,11 @@
 
 // objectiveFor is the objective of a job whose longest chain of work takes that long.
 func (j *job) objectiveFor(chain time.Duration) time.Duration {
-	stretch := j.spec.Terms.Stretch
+	stretch := j.spec.QueuePolicy.Stretch
 	if stretch <= 0 {
 		stretch = 1
 	}
-	return j.accepted + time.Duration(stretch*float64(chain)) + j.spec.Terms.TargetLatency
+	return j.accepted + time.Duration(stretch*float64(chain)) + j.spec.QueuePolicy.TargetLatency
 }
 
 // lateFactor bounds a late job's use: after that many times its objective its caller has
@@ -102,7 +102,7 @@
 }
 
 func (j *job) ready(u *unit) bool {
-	for _, before := range u.spec().After {
+	for _, before := range u.spec().DependsOn {
 		if !j.stepDone(u.occurrence, before) {
 			return false
 		}
--- a/engine/jobs.go
+++ b/engine/jobs.go
@@ -7,7 +7,7 @@
 )
 
 // submit takes a job that is on record. A repeated one changes nothing.
-func (e *Engine) submit(now time.Duration, ev Submitted) {
+func (e *Engine) submit(now time.Duration, ev JobSubmitted) {
 	if e.jobs[ev.Job.ID] != nil || e.expired[ev.Job.ID] {
 		return
 	}
@@ -15,21 +15,21 @@
 	e.decidedJob(j, "accepted", "")
 	if order, cancelled := e.cancels[ev.Job.ID]; cancelled {
 		delete(e.cancels, ev.Job.ID)
-		e.cancel(now, CancelRequested{Job: ev.Job.ID, Order: order})
+		e.cancel(now, CancelRequested{Job: ev.Job.ID, Revision: order})
 		return
 	}
 	e.occur(now, j)
 	j.unblock(now)
 	e.replan = true
-	if j.spec.Terms.Priority == 0 {
+	if j.spec.QueuePolicy.Priority == 0 {
 		e.urgent.note(now, j.accelerators())
 	}
 }
 
-func (e *Engine) adopt(now time.Duration, ev Submitted) *job {
+func (e *Engine) adopt(now time.Duration, ev JobSubmitted) *job {
 	j := &job{
 		spec:     ev.Job,
-		order:    ev.Order,
+		order:    ev.Revision,
 		accepted: now - ev.Age,
 		state:    workload.Queued,
 	}
@@ -53,10 +53,10 @@
 func (e *Engine) cancel(now time.Duration, ev CancelRequested) {
 	j := e.jobs[ev.Job]
 	if j == nil {
-		e.cancels[ev.Job] = max(e.cancels[ev.Job], ev.Order)
+		e.cancels[ev.Job] = max(e.cancels[ev.Job], ev.Revision)
 		return
 	}
-	j.cancelOrder = max(j.cancelOrder, ev.Order)
+	j.cancelOrder = max(j.cancelOrder, ev.Revision)
 	if j.canceled || j.state.Final() {
 		return
 	}
@@ -72,7 +72,7 @@
 	e.change(j)
 	j.finalAt = j.version
 	e.decidedJob(j, string(state), reason)
-	e.actions = append(e.actions, Finished{Account: j.spec.Account, Queue: j.spec.Queue, State: state, Took: now - j.accepted})
+	e.actions = append(e.actions, JobFinished{Account: j.spec.Account, Queue: j.spec.Queue, State: state, Took: now - j.accepted})
 	for _, u := range j.units {
 		e.dropClaims(u)
 		switch state {
@@ -102,8 +102,8 @@
 	e.finish(now, j, workload.Completed, "")
 }
 
-// Lookup is what a caller may be told of a job.
-type Lookup struct {
+// JobStatus is what a caller may be told of a job.
+type JobStatus struct {
 	State   workload.State
 	Queue   string
 	Account string
@@ -111,16 +111,16 @@
 }
 
 // Lookup returns the state of a job, and false for one that is not known.
-func (e *Engine) Lookup(id workload.JobID) (Lookup, bool) {
+func (e *Engine) Lookup(id workload.JobID) (JobStatus, bool) {
 	j := e.jobs[id]
 	if j == nil {
-		return Lookup{}, false
+		return JobStatus{}, false
 	}
-	return Lookup{State: j.visible(), Queue: j.spec.Queue, Account: j.spec.Account, Reason: j.reason}, true
+	return JobStatus{State: j.visible(), Queue: j.spec.Queue, Account: j.spec.Account, Reason: j.reason}, true
 }
 
-// Pending returns how many jobs of each queue have not begun.
-func (e *Engine) Pending() map[string]int {
+// UnstartedByQueue returns how many jobs of each queue have not begun.
+func (e *Engine) UnstartedByQueue() map[string]int {
 	out := map[string]int{}
 	for _, j := range e.jobs {
 		if !j.hasBegun() && !j.state.Final() {
--- a/engine/lasting.go
+++ b/engine/lasting.go
@@ -58,14 +58,14 @@
 	if !u.spec().LongRunning || !u.atWork() {
 		return true
 	}
-	return u.away()+alsoStopped < u.spec().MayMiss
+	return u.away()+alsoStopped < u.spec().MaxUnavailable
 }
 
 // lastingFits says whether one more task that lasts leaves the accounts' guarantees
 // reclaimable: what lasts can't be evicted for them, so it must never hold more than the
 // service's accelerators less all guarantees.
 func (r *round) lastingFits(u *unit) bool {
-	if !u.spec().LongRunning || u.job.spec.Terms.Priority == 0 || u.demand().Accelerators == 0 {
+	if !u.spec().LongRunning || u.job.spec.QueuePolicy.Priority == 0 || u.demand().Accelerators == 0 {
 		return true
 	}
 	total, held := 0, 0
@@ -75,7 +75,7 @@
 		}
 		total += w.most.Accelerators // room that is away for a while is promised all the same
 		for _, p := range w.places {
-			if p.unit.spec().LongRunning && p.unit.job.spec.Terms.Priority > 0 {
+			if p.unit.spec().LongRunning && p.unit.job.spec.QueuePolicy.Priority > 0 {
 				held += p.demand.Accelerators
 			}
 		}
@@ -90,7 +90,7 @@
 	}
 	sum := 0
 	for _, a := range e.catalog.Accounts {
-		sum += a.Guaranteed
+		sum += a.GuaranteedAccelerators
 	}
 	return sum
 }
--- a/engine/lasting_test.go
+++ b/engine/lasting_test.go
@@ -12,7 +12,7 @@
 func lasting(n, accelerators, mayMiss int) workload.Step {
 	s := tasks(n, accelerators)
 	s.LongRunning = true
-	s.MayMiss = mayMiss
+	s.MaxUnavailable = mayMiss
 	s.Estimate = 0
 	return s
 }
@@ -111,8 +111,8 @@
 	c := qt.New(t)
 	d := newDesk(t, 3)
 	wall := func() time.Time { return time.Unix(1000, 0).Add(d.now) }
-	d.step(Tick{Wall: wall()})
-	d.step(Submitted{Order: 1, Job: workload.Job{
+	d.step(Tick{WallTime: wall()})
+	d.step(JobSubmitted{Revision: 1, Job: workload.Job{
 		ID: "timed", Queue: "q", Service: "s", Steps: []workload.Step{tasks(1, 1)},
 		Schedule: workload.Schedule{First: wall().Add(time.Second), Period: 2 * time.Second, Count: 3},
 	}})
--- a/engine/orders.go
+++ b/engine/orders.go
@@ -9,7 +9,7 @@
 // ordersEnded handles the answers to orders. Only a certain refusal frees the room;
 // an order without an answer may still be carried out, so its run is stopped and
 // keeps its room until that is confirmed.
-func (e *Engine) ordersEnded(now time.Duration, ev OrdersEnded) {
+func (e *Engine) ordersEnded(now time.Duration, ev OrdersCompleted) {
 	w := e.workers[ev.Worker]
 	if w == nil {
 		return
@@ -35,13 +35,13 @@
 		e.decided(p, "start unanswered", "")
 		e.distrust(now, p)
 		e.retry(p.unit)
-		e.stopAll(now, p.unit, CauseUnanswered)
+		e.stopAll(now, p.unit, CauseStartUnanswered)
 		return
 	case StartUnhealthy:
 		if e.params.Policy.WorkerHealth {
 			p.worker.health.rest(now)
 		}
-	case StartFull:
+	case StartNoCapacity:
 		p.worker.health.pause(now)
 	case StartInvalid:
 		e.decided(p, "start invalid", "")
@@ -50,7 +50,7 @@
 		delete(p.unit.job.ticketsOf(p.unit.at()).held, p.worker.info.ID)
 	}
 	e.decided(p, "start refused", outcome.String())
-	if outcome == StartFenced || outcome == StartNotSent || outcome == StartCordoned {
+	if outcome == StartFenced || outcome == StartNotDelivered || outcome == StartCordoned {
 		p.unit.notBefore = now + refusedPause
 	}
 	e.retry(p.unit)
@@ -87,7 +87,7 @@
 	j := p.unit.job
 	if !j.begun {
 		j.begun = true
-		e.actions = append(e.actions, Began{Account: j.spec.Account, Queue: j.spec.Queue, Waited: now - j.accepted})
+		e.actions = append(e.actions, JobStarted{Account: j.spec.Account, Queue: j.spec.Queue, Waited: now - j.accepted})
 		if j.state == workload.Queued {
 			j.state = workload.Running
 		}
@@ -95,18 +95,18 @@
 }
 
 var outcomeNames = [...]string{
-	StartUnknown:   "unknown",
-	StartOK:        "ok",
-	StartNotSent:   "not sent",
-	StartFull:      "no room",
-	StartOld:       "run number too low",
-	StartLate:      "too late",
-	StartFenced:    "newer planner",
-	StartUnhealthy: "unhealthy",
-	StartInvalid:   "invalid",
-	StartDraining:  "draining",
-	StartNoTicket:  "ticket not valid",
-	StartCordoned:  "zone cordoned",
+	StartUnknown:      "unknown",
+	StartOK:           "ok",
+	StartNotDelivered: "not sent",
+	StartNoCapacity:   "no room",
+	StartSuperseded:   "run number too low",
+	StartExpired:      "too late",
+	StartFenced:       "newer planner",
+	StartUnhealthy:    "unhealthy",
+	StartInvalid:      "invalid",
+	StartDraining:     "draining",
+	StartNoTicket:     "ticket not valid",
+	StartCordoned:     "zone cordoned",
 }
 
 // String returns a name for logs.
--- a/engine/orders_test.go
+++ b/engine/orders_test.go
@@ -23,7 +23,7 @@
 				d.beat(other)
 			}
 		}
-		d.step(Stored{Write: w})
+		d.step(WriteApplied{Write: w})
 		d.settle()
 		c.Check(d.starts, qt.HasLen, 0)
 		d.beat(silent)
--- a/engine/pace.go
+++ b/engine/pace.go
@@ -69,7 +69,7 @@
 // for a lower speed is confirmed, and the worker then carries out the first. The task
 // would disturb its neighbours at full speed, and nothing it reports shows the speed.
 func (e *Engine) renewPace(now time.Duration, p *placement) {
-	if !p.unit.spec().Fills || p.state != placeRunning {
+	if !p.unit.spec().BestEffortCPU || p.state != placeRunning {
 		return
 	}
 	since := now - p.pace.sentAt
--- a/engine/pace_test.go
+++ b/engine/pace_test.go
@@ -16,13 +16,13 @@
 	d.settle()
 	c.Assert(d.runs(first), qt.HasLen, 1)
 
-	d.e.Postpone(d.now + 100*time.Millisecond)
+	d.e.DelayPlanning(d.now + 100*time.Millisecond)
 	second := d.job(1, "", tasks(1, 1))
-	d.step(CancelRequested{Job: first, Order: 9})
+	d.step(CancelRequested{Job: first, Revision: 9})
 	d.turn(StartOK)
 	c.Check(d.runs(second), qt.HasLen, 0)
 	c.Check(d.stops, qt.HasLen, 1, qt.Commentf("a stop that is decided leaves at once"))
-	until, due := d.e.Postponed()
+	until, due := d.e.NextPlanning()
 	c.Check(due, qt.IsTrue)
 	d.now = until
 	d.settle()
--- a/engine/plan.go
+++ b/engine/plan.go
@@ -185,7 +185,7 @@
 
 // slots returns how many members of u fit on w now, where there is so much room.
 func (r *round) slots(u *unit, w *worker, room workload.Resources) int {
-	n := u.demand().Fits(room, u.size)
+	n := u.demand().CountFitting(room, u.size)
 	if n <= 0 || !r.eligible(u, w) || w.health.resting(r.now) || !r.admits(u, w) {
 		return 0
 	}
--- a/engine/probation.go
+++ b/engine/probation.go
@@ -69,10 +69,10 @@
 	}
 	risk := 0.0
 	if r.now < u.shuns[w.info.Agent] {
-		risk += w.info.Capacity.Cores()
+		risk += w.info.Capacity.CoreEquivalent()
 	}
 	if u.suspect() {
-		risk += w.used.Cores()
+		risk += w.used.CoreEquivalent()
 	}
 	return risk
 }
--- a/engine/queue.go
+++ b/engine/queue.go
@@ -48,7 +48,7 @@
 		return 1
 	}
 	return cmp.Or(
-		cmp.Compare(a.unit.job.spec.Terms.Priority, b.unit.job.spec.Terms.Priority),
+		cmp.Compare(a.unit.job.spec.QueuePolicy.Priority, b.unit.job.spec.QueuePolicy.Priority),
 		cmp.Compare(a.latest, b.latest),
 		cmp.Compare(a.unit.job.order, b.unit.job.order),
 		cmp.Compare(a.unit.job.spec.ID, b.unit.job.spec.ID),
@@ -89,13 +89,13 @@
 func (e *Engine) protected() map[*job]bool {
 	byAccount := map[string][]*job{}
 	for _, j := range e.sequence {
-		if j.spec.Terms.Priority == 0 && !j.state.Final() && j.spec.Account != "" {
+		if j.spec.QueuePolicy.Priority == 0 && !j.state.Final() && j.spec.Account != "" {
 			byAccount[j.spec.Account] = append(byAccount[j.spec.Account], j)
 		}
 	}
 	out := map[*job]bool{}
 	for account, jobs := range byAccount {
-		left := e.catalog.Guaranteed(account)
+		left := e.catalog.GuaranteedAccelerators(account)
 		slices.SortStableFunc(jobs, func(a, b *job) int { return cmp.Compare(a.order, b.order) })
 		for _, j := range jobs {
 			need := j.accelerators()
--- a/engine/refused_test.go
+++ b/engine/refused_test.go
@@ -13,7 +13,7 @@
 // as it has lost some and its planner has not heard of it yet. The order was repeated as
 // fast as the store took the placements, tens of times a second, until something changed.
 func TestRefusedStartsAreRepeatedAtAPace(t *testing.T) {
-	for _, refusal := range []StartOutcome{StartInvalid, StartFull} {
+	for _, refusal := range []StartOutcome{StartInvalid, StartNoCapacity} {
 		t.Run(refusal.String(), func(t *testing.T) {
 			c := qt.New(t)
 			d := newCrashDay(c, 1)
--- a/engine/reports.go
+++ b/engine/reports.go
@@ -199,7 +199,7 @@
 	w.strays[run] = now
 	o := e.ordersFor(w)
 	o.Stops = append(o.Stops, run)
-	e.actions = append(e.actions, Decided{Job: run.Task.Job, What: "stop", Detail: "not placed by this planner", Run: run, Worker: w.info.ID})
+	e.actions = append(e.actions, Decision{Job: run.Task.Job, Kind: "stop", Detail: "not placed by this planner", Run: run, Worker: w.info.ID})
 }
 
 // absent: a stop was confirmed and a later look did not show the run.
@@ -209,7 +209,7 @@
 	if p == nil || p.run != run.Number || !p.stopping {
 		return
 	}
-	e.lost(now, p, CauseUnanswered, "stopped before it was there")
+	e.lost(now, p, CauseStartUnanswered, "stopped before it was there")
 }
 
 // miss counts the looks that do not show a running task, and stops it after some: the
@@ -222,7 +222,7 @@
 		p.missing++
 		if p.missing >= missingLooks {
 			e.retry(p.unit)
-			e.stopAll(now, p.unit, CauseNotShown)
+			e.stopAll(now, p.unit, CauseNotListed)
 		}
 	}
 	for run := range w.strays {
@@ -254,7 +254,7 @@
 		return
 	}
 	places := w.sortedPlaces()
-	e.actions = append(e.actions, WorkerGone{Worker: w.info, How: how, Runs: len(places)})
+	e.actions = append(e.actions, WorkerGone{Worker: w.info, Departure: how, Runs: len(places)})
 	if how == DepartureCrashed {
 		defer e.charge(now, w, slices.Concat(w.lapsedWith, places), t)
 	}
--- a/engine/restore.go
+++ b/engine/restore.go
@@ -42,15 +42,15 @@
 }
 
 // restore takes a job from a predecessor's records. Workers are restored before.
-func (e *Engine) restore(now time.Duration, ev Restored) {
+func (e *Engine) restore(now time.Duration, ev JobRestored) {
 	if e.jobs[ev.Job.ID] != nil {
 		return
 	}
-	j := e.adopt(now, ev.Submitted)
+	j := e.adopt(now, ev.JobSubmitted)
 	if ev.Progress != nil {
 		e.restoreProgress(now, j, ev.Progress)
 	}
-	j.cancelOrder = ev.CancelOrder
+	j.cancelOrder = ev.CancelRevision
 	if j.state.Final() {
 		for _, u := range j.units {
 			e.stopAll(now, u, CauseTakeover)
@@ -60,7 +60,7 @@
 	order, early := e.cancels[ev.Job.ID]
 	if ev.Cancelled || early {
 		delete(e.cancels, ev.Job.ID)
-		e.cancel(now, CancelRequested{Job: ev.Job.ID, Order: max(order, ev.CancelOrder)})
+		e.cancel(now, CancelRequested{Job: ev.Job.ID, Revision: max(order, ev.CancelRevision)})
 		return
 	}
 	e.occur(now, j)
--- a/engine/restore_test.go
+++ b/engine/restore_test.go
@@ -22,5 +22,5 @@
 	found, ok := d.e.Lookup(id)
 	c.Assert(ok, qt.IsTrue)
 	c.Check(found.State, qt.Equals, workload.Running)
-	c.Check(d.e.Pending(), qt.DeepEquals, map[string]int{})
+	c.Check(d.e.UnstartedByQueue(), qt.DeepEquals, map[string]int{})
 }
--- a/engine/room_test.go
+++ b/engine/room_test.go
@@ -50,7 +50,7 @@
 	d.e.Decide(d.now)
 	w := d.e.Changes(d.now, time.Unix(1000, 0), 15)
 	d.report(d.resized(0, 4))
-	d.step(Stored{Write: w})
+	d.step(WriteApplied{Write: w})
 	d.settle()
 	c.Check(d.starts, qt.HasLen, 0)
 	d.report(d.resized(0, 8))
--- a/engine/sharing.go
+++ b/engine/sharing.go
@@ -55,9 +55,9 @@
 	for _, p := range w.sortedPlaces() {
 		switch {
 		case p.stopping:
-		case p.unit.spec().Fills:
+		case p.unit.spec().BestEffortCPU:
 			filling = append(filling, p)
-		case p.unit.spec().TailTarget > 0:
+		case p.unit.spec().TailLatencyTarget > 0:
 			serving = append(serving, p)
 		}
 	}
@@ -67,7 +67,7 @@
 // fills says whether anything on w fills.
 func (w *worker) fills() bool {
 	for _, p := range w.places {
-		if p.unit.spec().Fills {
+		if p.unit.spec().BestEffortCPU {
 			return true
 		}
 	}
@@ -139,7 +139,7 @@
 			continue
 		}
 		e.decided(p, "move", "the worker does not hold it back")
-		e.stopAll(now, p.unit, CauseDisturbs)
+		e.stopAll(now, p.unit, CauseInterference)
 	}
 }
 
@@ -168,7 +168,7 @@
 	worst := 0.0
 	for _, p := range serving {
 		if p.state == placeRunning {
-			worst = max(worst, float64(p.load)*float64(time.Millisecond)/float64(p.unit.spec().TailTarget))
+			worst = max(worst, float64(p.load)*float64(time.Millisecond)/float64(p.unit.spec().TailLatencyTarget))
 		}
 	}
 	return worst
@@ -234,12 +234,12 @@
 func (e *Engine) join(now time.Duration, p *placement) {
 	p.pace = pace{percent: fullPace, confirmed: true}
 	s := p.unit.spec()
-	if !s.Fills && s.TailTarget == 0 {
+	if !s.BestEffortCPU && s.TailLatencyTarget == 0 {
 		return
 	}
 	serving, filling := p.worker.sharers()
 	for _, f := range filling {
-		if s.Fills && f != p || f.state == placeRecording {
+		if s.BestEffortCPU && f != p || f.state == placeRecording {
 			continue // its own start sets it
 		}
 		if tolerated := e.tolerance(f, serving); tolerated < f.pace.percent {
--- a/engine/sharing_sim_test.go
+++ b/engine/sharing_sim_test.go
@@ -95,7 +95,7 @@
 		w := d.e.workers["w0"]
 		images := map[workload.RunID]string{}
 		for _, p := range w.sortedPlaces() {
-			if p.unit.spec().Fills {
+			if p.unit.spec().BestEffortCPU {
 				images[p.id()] = p.unit.spec().Image
 			}
 		}
--- a/engine/sharing_test.go
+++ b/engine/sharing_test.go
@@ -15,7 +15,7 @@
 func serving(n int) workload.Step {
 	s := lasting(n, 0, 0)
 	s.Image = "serves"
-	s.TailTarget = tailTarget
+	s.TailLatencyTarget = tailTarget
 	return s
 }
 
@@ -23,7 +23,7 @@
 func fillers(n int) workload.Step {
 	s := tasks(n, 0)
 	s.Image = "fills"
-	s.Fills = true
+	s.BestEffortCPU = true
 	s.Checkpoints = true
 	return s
 }
@@ -56,7 +56,7 @@
 	r := Report{Epoch: d.e.epoch, Looked: true, Worker: w.info}
 	for _, p := range w.sortedPlaces() {
 		row := RunningRow{Run: p.id(), Percent: min(p.pulse.percent+1, 98)}
-		if p.unit.spec().TailTarget > 0 {
+		if p.unit.spec().TailLatencyTarget > 0 {
 			row.Percent = 100
 			row.Load = int(strain * float64(tailTarget/time.Millisecond))
 		}
--- a/engine/sim_cordon_test.go
+++ b/engine/sim_cordon_test.go
@@ -65,7 +65,7 @@
 func (w *simWorld) hear(news catalog.Cordons) {
 	if news.Revision > w.cordons.told.Revision {
 		w.cordons.before, w.cordons.told = w.cordons.told, news
-		w.engine.Step(w.now, CordonsChanged{news})
+		w.engine.HandleEvent(w.now, CordonsChanged{news})
 	}
 }
 
@@ -113,7 +113,7 @@
 
 // refusesCordoned says whether the agent knows better than the orders.
 func (w *simWorld) refusesCordoned(sw *simWorker, o Orders) bool {
-	refused := o.CordonsAt <= sw.cordons.Revision && sw.cordons.Covers(sw.info.Zone)
+	refused := o.CordonsAt <= sw.cordons.Revision && sw.cordons.Contains(sw.info.Zone)
 	if refused {
 		w.counts["refused for a cordon"]++
 	}
--- a/engine/sim_crash_test.go
+++ b/engine/sim_crash_test.go
@@ -57,7 +57,7 @@
 	}
 	r := Report{Worker: sw.info, Left: true, Crashed: true, Superseded: sw.info.Name != "", Looked: sw.lookedAt != 0, Ended: sw.lastEnded}
 	for run, from := range sw.shownFrom {
-		if sw.lookedAt-from >= ProvenAfter {
+		if sw.lookedAt-from >= StartupCrashWindow {
 			r.Running = append(r.Running, RunningRow{Run: run})
 		}
 	}
@@ -200,12 +200,12 @@
 		ofGang := 0
 		for i := range j.Steps[s].Count {
 			task := workload.TaskID{Job: j.ID, Step: s, Index: i}
-			if w.crashes.failed[task] >= j.Terms.MaxAttempts || w.crashes.under[task] >= 2 {
+			if w.crashes.failed[task] >= j.QueuePolicy.MaxAttempts || w.crashes.under[task] >= 2 {
 				return true
 			}
 			ofGang += w.crashes.failed[task]
 		}
-		if j.Steps[s].Gang && ofGang >= j.Terms.MaxAttempts {
+		if j.Steps[s].Gang && ofGang >= j.QueuePolicy.MaxAttempts {
 			return true // each member may have failed once
 		}
 	}
--- a/engine/sim_names_test.go
+++ b/engine/sim_names_test.go
@@ -66,7 +66,7 @@
 	if w.dead || w.orders.Epoch == 0 {
 		return
 	}
-	w.raise(Fence{Epoch: w.orders.Epoch, Turn: w.orders.Turn + 1})
+	w.raise(Fence{Epoch: w.orders.Epoch, Generation: w.orders.Generation + 1})
 	if restart {
 		w.orders, w.granted, w.seen = Fence{}, 0, 0
 	}
@@ -75,7 +75,7 @@
 // overtake raises the fence of an agent whose worker has seen a higher one of the same epoch.
 func (w *simWorker) overtake() {
 	if w.info.Name != "" && w.orders.Epoch > 0 && w.orders.Compare(w.fence) < 0 {
-		w.orders.Turn += TurnStep
+		w.orders.Generation += GenerationStep
 		w.raise(w.orders)
 	}
 }
@@ -131,7 +131,7 @@
 		return
 	}
 	w.orders = before.orders
-	w.orders.Turn += TurnStep
+	w.orders.Generation += GenerationStep
 	w.world.after(time.Duration(w.world.rng.Int64N(int64(fencedWithin))), func() { w.raise(w.orders) })
 }
 
--- a/engine/sim_rules_test.go
+++ b/engine/sim_rules_test.go
@@ -13,7 +13,7 @@
 
 // check: no worker is ever over its capacity, work that is being stopped included.
 func (w *simWorld) check(sw *simWorker) {
-	if used := sw.used(); !used.Within(w.roomOf(sw)) {
+	if used := sw.used(); !used.FitsIn(w.roomOf(sw)) {
 		w.violated("worker %s holds %+v of %+v", sw.info.ID, used, sw.info.Capacity)
 	}
 }
@@ -37,7 +37,7 @@
 		}
 	}
 	step := &j.Steps[task.Step]
-	for _, before := range step.After {
+	for _, before := range step.DependsOn {
 		for i := range j.Steps[before].Count {
 			if !w.ranToEnd[workload.TaskID{Job: task.Job, Step: before, Index: i}] {
 				w.violated("start of %s before step %d was done", task, before)
@@ -47,7 +47,7 @@
 	if !sw.hasLabel(step.Label) {
 		w.violated("start of %s on %s without label %s", task, sw.info.ID, step.Label)
 	}
-	if limit := j.Terms.MaxAttempts; limit > 0 && w.attempt[task] >= limit {
+	if limit := j.QueuePolicy.MaxAttempts; limit > 0 && w.attempt[task] >= limit {
 		w.violated("start of %s after %d failed attempts", task, w.attempt[task])
 	}
 	w.perWorker(sw, task, step)
--- a/engine/sim_test.go
+++ b/engine/sim_test.go
@@ -71,7 +71,7 @@
 	e := w.engine
 	w.after(w.latency(), func() {
 		if e == w.engine {
-			e.Step(w.now, Submitted{Job: *j, Order: order})
+			e.HandleEvent(w.now, JobSubmitted{Job: *j, Revision: order})
 		}
 	})
 	if cancelAt == 0 {
@@ -79,9 +79,9 @@
 	}
 	w.after(cancelAt, func() {
 		w.cancels[j.ID] = true
-		w.engine.Step(w.now, CancelRequested{Job: j.ID})
+		w.engine.HandleEvent(w.now, CancelRequested{Job: j.ID})
 	})
-	w.after(cancelAt+time.Second, func() { w.engine.Step(w.now, CancelRequested{Job: j.ID, Order: order}) })
+	w.after(cancelAt+time.Second, func() { w.engine.HandleEvent(w.now, CancelRequested{Job: j.ID, Revision: order}) })
 }
 
 func (w *simWorld) randomJob(n int) *workload.Job {
@@ -90,7 +90,7 @@
 	j := &workload.Job{
 		ID: workload.JobID(fmt.Sprintf("job%04d-%d", n, w.rng.IntN(1000))), Queue: fmt.Sprint("q", w.rng.IntN(3)),
 		Account: account, Service: "s",
-		Terms: workload.Terms{Priority: w.rng.IntN(3), MaxAttempts: 4, Stretch: 3, TargetLatency: time.Second},
+		QueuePolicy: workload.QueuePolicy{Priority: w.rng.IntN(3), MaxAttempts: 4, Stretch: 3, TargetLatency: time.Second},
 	}
 	for i := range pick(1, 1, 2, 3) {
 		s := workload.Step{
@@ -115,7 +115,7 @@
 			s.Label = nowhere
 		}
 		if i > 0 {
-			s.After = []int{i - 1}
+			s.DependsOn = []int{i - 1}
 		}
 		j.Steps = append(j.Steps, s)
 	}
--- a/engine/sim_worker_test.go
+++ b/engine/sim_worker_test.go
@@ -64,7 +64,7 @@
 	case fence.Compare(w.fence) < 0:
 		return StartFenced
 	case until <= now:
-		return StartLate
+		return StartExpired
 	case w.drains != 0:
 		return StartDraining
 	}
@@ -73,7 +73,7 @@
 		return StartOK
 	}
 	if s.Run.Number <= w.highest[s.Run.Task] {
-		return StartOld
+		return StartSuperseded
 	}
 	w.leaseEnd = max(w.leaseEnd, until)
 	w.world.starts(w, s)
@@ -169,7 +169,7 @@
 	w.overtake()
 	r := Report{Worker: w.info, Looked: w.fence == w.orders && w.orders.Epoch > 0}
 	if w.fence == w.orders {
-		r.Epoch, r.Turn = w.orders.Epoch, w.orders.Turn
+		r.Epoch, r.Turn = w.orders.Epoch, w.orders.Generation
 	}
 	if w.drains != 0 {
 		r.Draining = true
@@ -200,7 +200,7 @@
 	if epoch < w.orders.Epoch || w.dead {
 		return
 	}
-	w.raise(Fence{Epoch: epoch, Turn: v.Turn})
+	w.raise(Fence{Epoch: epoch, Generation: v.Turn})
 	if !v.Attached {
 		return
 	}
--- a/engine/sim_world_test.go
+++ b/engine/sim_world_test.go
@@ -43,7 +43,7 @@
 
 	// The store.
 	records map[workload.JobID][]byte
-	ended   map[workload.JobID]Outcome // in the place of the job's other records
+	ended   map[workload.JobID]JobOutcome // in the place of the job's other records
 	known   map[WorkerID]WorkerInfo
 	epoch   uint64
 
@@ -68,7 +68,7 @@
 		jobs:     map[workload.JobID]*workload.Job{},
 		cancels:  map[workload.JobID]bool{},
 		records:  map[workload.JobID][]byte{},
-		ended:    map[workload.JobID]Outcome{},
+		ended:    map[workload.JobID]JobOutcome{},
 		known:    map[WorkerID]WorkerInfo{},
 		ranToEnd: map[workload.TaskID]bool{},
 		done:     map[workload.TaskID]bool{},
@@ -124,24 +124,24 @@
 		MaxHold: simHold, StopTime: 900 * time.Millisecond, RemoteFactor: 3, Restore: 500 * time.Millisecond, Reclaim: 3 * time.Second, Retention: time.Hour,
 	}, w.epoch, w.now, 0)
 	w.engine = e
-	e.Step(w.now, CatalogChanged{Catalog: &catalog.Catalog{Accounts: map[string]catalog.Account{"big": {Guaranteed: 32}}}})
-	e.Step(w.now, CordonsChanged{w.cordonsOfSuccessor()})
-	e.Step(w.now, Tick{Wall: w.wall()})
+	e.HandleEvent(w.now, CatalogChanged{Catalog: &catalog.Catalog{Accounts: map[string]catalog.Account{"big": {GuaranteedAccelerators: 32}}}})
+	e.HandleEvent(w.now, CordonsChanged{w.cordonsOfSuccessor()})
+	e.HandleEvent(w.now, Tick{WallTime: w.wall()})
 	for _, id := range slices.Sorted(keysOf(w.known)) {
-		e.Step(w.now, WorkerRestored{Info: w.known[id]})
+		e.HandleEvent(w.now, WorkerRestored{Info: w.known[id]})
 	}
 	for i, id := range w.order {
 		if _, ended := w.ended[id]; ended {
 			continue
 		}
-		ev := Restored{Submitted: Submitted{Job: *w.jobs[id], Order: int64(i + 1)}, Cancelled: w.cancels[id]}
+		ev := JobRestored{JobSubmitted: JobSubmitted{Job: *w.jobs[id], Revision: int64(i + 1)}, Cancelled: w.cancels[id]}
 		if text, ok := w.records[id]; ok {
 			ev.Progress = &Progress{}
 			if err := json.Unmarshal(text, ev.Progress); err != nil {
 				w.t.Fatal(err)
 			}
 		}
-		e.Step(w.now, ev)
+		e.HandleEvent(w.now, ev)
 	}
 	w.after(time.Duration(w.rng.IntN(3000))*time.Millisecond, func() { w.restoreEnded(e) })
 	w.counts["terms"]++
@@ -154,7 +154,7 @@
 	}
 	for _, id := range w.order {
 		if outcome, ended := w.ended[id]; ended {
-			e.Step(w.now, EndedRestored{ID: id, Outcome: outcome, Record: 1})
+			e.HandleEvent(w.now, EndedJobRestored{ID: id, Outcome: outcome, OutcomeRevision: 1})
 		}
 	}
 }
@@ -181,7 +181,7 @@
 			}
 		}
 		if w.now%(50*time.Millisecond) == 0 {
-			w.engine.Step(w.now, Tick{Wall: w.wall()})
+			w.engine.HandleEvent(w.now, Tick{WallTime: w.wall()})
 		}
 		w.act()
 	}
@@ -203,11 +203,11 @@
 func (w *simWorld) act() {
 	e := w.engine
 	for _, action := range e.Decide(w.now) {
-		if d, ok := action.(Decided); ok && d.What == "carried over" {
-			w.counts[d.What]++
+		if d, ok := action.(Decision); ok && d.Kind == "carried over" {
+			w.counts[d.Kind]++
 		}
-		if d, ok := action.(Decided); ok && *simJob != "" && string(d.Job) == *simJob {
-			w.t.Logf("%v epoch %d: %s %s %v %s", w.now, e.epoch, d.What, d.Detail, d.Run, d.Worker)
+		if d, ok := action.(Decision); ok && *simJob != "" && string(d.Job) == *simJob {
+			w.t.Logf("%v epoch %d: %s %s %v %s", w.now, e.epoch, d.Kind, d.Detail, d.Run, d.Worker)
 		}
 		if o, ok := action.(Orders); ok {
 			w.after(w.transit(), func() { w.deliver(e, e.epoch, o) })
@@ -254,7 +254,7 @@
 	w.after(w.latency(), func() {
 		if e == w.engine {
 			w.writing = false
-			e.Step(w.now, Stored{Write: change})
+			e.HandleEvent(w.now, WriteApplied{Write: change})
 		}
 	})
 }
@@ -263,7 +263,7 @@
 func (w *simWorld) deliver(e *Engine, epoch uint64, o Orders) {
 	sw := w.meant(o.Worker)
 	if sw == nil || sw.cut || epoch < sw.orders.Epoch {
-		w.answer(e, o, StartNotSent)
+		w.answer(e, o, StartNotDelivered)
 		return
 	}
 	if len(o.Starts) > 0 && w.refusesCordoned(sw, o) {
@@ -286,7 +286,7 @@
 	results := w.carryOut(sw, fence, o, sw.granted)
 	w.after(w.latency(), func() {
 		if e == w.engine {
-			e.Step(w.now, OrdersEnded{Worker: o.Worker, Starts: results})
+			e.HandleEvent(w.now, OrdersCompleted{Worker: o.Worker, Starts: results})
 		}
 	})
 }
@@ -319,7 +319,7 @@
 		results = append(results, StartResult{Run: s.Run, Outcome: outcome})
 	}
 	if e == w.engine {
-		e.Step(w.now, OrdersEnded{Worker: o.Worker, Starts: results})
+		e.HandleEvent(w.now, OrdersCompleted{Worker: o.Worker, Starts: results})
 	}
 }
 
--- a/engine/succession.go
+++ b/engine/succession.go
@@ -54,7 +54,7 @@
 	if w.info.Name == "" {
 		return
 	}
-	e.turns += TurnStep
+	e.turns += GenerationStep
 	w.turn = e.turns
 	w.attached = false
 	e.dropSuperseded(w)
--- a/engine/tick.go
+++ b/engine/tick.go
@@ -25,7 +25,7 @@
 )
 
 func (e *Engine) tick(now time.Duration, ev Tick) {
-	e.wall = ev.Wall
+	e.wall = ev.WallTime
 	for _, w := range e.sortedWorkers() {
 		e.tickWorker(now, w)
 	}
@@ -43,7 +43,7 @@
 		w.lapsed = true
 		w.lapsedWith = w.sortedPlaces()
 		for _, p := range w.sortedPlaces() {
-			e.lost(now, p, CauseLapsed, "the worker's lease lapsed")
+			e.lost(now, p, CauseLeaseExpired, "the worker's lease lapsed")
 		}
 		// What it lists later was not placed by anyone any more.
 		w.attached = false
@@ -62,7 +62,7 @@
 			e.distrust(now, p)
 			e.avoid(now, p)
 			p.unit.stalls = min(p.unit.stalls+1, mostStalls)
-			e.stopAll(now, p.unit, CauseStuck)
+			e.stopAll(now, p.unit, CauseStalled)
 		}
 	}
 }
@@ -73,7 +73,7 @@
 	if !e.params.Policy.StandingStill || p.state != placeRunning || p.stopping || p.unit.ending() || p.pulse.percent >= 99 {
 		return false
 	}
-	if p.unit.spec().LongRunning || p.unit.spec().Fills || !p.worker.attached {
+	if p.unit.spec().LongRunning || p.unit.spec().BestEffortCPU || !p.worker.attached {
 		return false
 	}
 	if p.worker.silent || now-p.worker.lookedAt > lookTimeout {
--- a/engine/tracker.go
+++ b/engine/tracker.go
@@ -43,23 +43,23 @@
 		return // how long it ran before this planner is not known
 	}
 	u := p.unit
-	if u.state == unitDone || u.spec().Fills || u.spec().LongRunning || !e.params.Policy.LearnedRunTimes {
+	if u.state == unitDone || u.spec().BestEffortCPU || u.spec().LongRunning || !e.params.Policy.LearnedRunTimes {
 		return // what fills takes what others leave
 	}
 	if u.saved != "" && u.spec().Checkpoints && u.run > 1 {
 		return
 	}
-	e.tracker.runs.Learn(u.job.spec.Queue, u.spec().Estimate, now-p.began)
+	e.tracker.runs.Observe(u.job.spec.Queue, u.spec().Estimate, now-p.began)
 }
 
 // estimate returns how long a run of u is expected to take.
 func (e *Engine) estimate(u *unit) time.Duration { return e.expect(u.job, u.spec()) }
 
 func (e *Engine) expect(j *job, s *workload.Step) time.Duration {
-	if s.Fills {
+	if s.BestEffortCPU {
 		return s.Estimate
 	}
-	return e.tracker.runs.Expect(j.spec.Queue, s.Estimate)
+	return e.tracker.runs.Estimate(j.spec.Queue, s.Estimate)
 }
 
 // chain returns how long the longest chain of work of a job is expected to take.
@@ -75,7 +75,7 @@
 // The caller does not change the slice.
 func (e *Engine) chainsOf(j *job) []time.Duration {
 	if version := e.tracker.runs.Version(); j.chains == nil || j.chainsAt != version {
-		j.chains = j.spec.Chains(func(s *workload.Step) time.Duration { return e.expect(j, s) })
+		j.chains = j.spec.CriticalPaths(func(s *workload.Step) time.Duration { return e.expect(j, s) })
 		j.chainsAt = version
 	}
 	return j.chains
--- a/engine/tracker_test.go
+++ b/engine/tracker_test.go
@@ -30,6 +30,6 @@
 	}
 	d.settle()
 	c.Check(d.e.tracker.runs.Version(), qt.Equals, 0, qt.Commentf("nothing was learned"))
-	c.Check(d.e.tracker.runs.Expect("q1", time.Second), qt.Equals, time.Second)
+	c.Check(d.e.tracker.runs.Estimate("q1", time.Second), qt.Equals, time.Second)
 	c.Check(d.late, qt.HasLen, 0)
 }
--- a/engine/unfit.go
+++ b/engine/unfit.go
@@ -54,7 +54,7 @@
 		}
 		known++
 		if w.hasLabel(s.Label) {
-			room += perWorker(s, s.Demand().Fits(w.info.Capacity, u.size))
+			room += perWorker(s, s.Demand().CountFitting(w.info.Capacity, u.size))
 		}
 	}
 	switch {
--- a/engine/worker.go
+++ b/engine/worker.go
@@ -106,7 +106,7 @@
 
 // stillFits says whether the room that p holds is still there.
 func (w *worker) stillFits(p *placement) bool {
-	return p.demand.Fits(w.free().Add(p.demand), 1) == 1
+	return p.demand.CountFitting(w.free().Add(p.demand), 1) == 1
 }
 
 // sortedPlaces returns the placements in a fixed order, as they are now. The caller does not
--- a/engine/write.go
+++ b/engine/write.go
@@ -18,7 +18,7 @@
 	// Ended are jobs whose records are replaced by their outcomes, Forgotten those of which
 	// nothing is kept any more.
 	Ended     []EndedJob
-	Forgotten []ForgottenJob
+	Forgotten []ExpiredJob
 }
 
 // JobWrite is one job's record.
@@ -119,7 +119,7 @@
 	}
 	for _, ended := range w.Ended {
 		delete(e.closing, ended.ID)
-		e.jobs[ended.ID].close(ended.CancelOrder)
+		e.jobs[ended.ID].close(ended.CancelRevision)
 	}
 	for _, forgotten := range w.Forgotten {
 		delete(e.expired, forgotten.ID)
@@ -182,7 +182,7 @@
 		u.verdict = verdictRetry
 		e.change(u.job)
 	}
-	e.stopAll(now, u, CauseRefused)
+	e.stopAll(now, u, CauseGangIncomplete)
 }
 
 func (j *job) unit(occurrence, step, index int) *unit {
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -15,7 +15,7 @@
 type Source interface {
 	// Follow offers every version and every change of the cordons to f, and confirms what
 	// is in force, until ctx ends.
-	Follow(ctx context.Context, f *catalog.InForce)
+	Follow(ctx context.Context, f *catalog.Current)
 	// Decode reads a version as a peer passed it on.
 	Decode(raw []byte) (*catalog.Catalog, error)
 }
@@ -24,7 +24,7 @@
 type Advisor interface {
 	// Advise returns a ticket for each of the workers that may run the step, and how long
 	// they are valid. The call takes as long as the queue's terms say.
-	Advise(ctx context.Context, ask engine.AskAdvice) (tickets map[engine.WorkerID]string, valid time.Duration, err error)
+	Advise(ctx context.Context, ask engine.AdviceRequest) (tickets map[engine.WorkerID]string, valid time.Duration, err error)
 }
 
 // Config of a Gateway.
--- a/gateway/cordons.go
+++ b/gateway/cordons.go
@@ -46,7 +46,7 @@
 	if reply.Cordons == nil {
 		return
 	}
-	g.inForce.OfferCordons(catalog.Cordons{
+	g.inForce.UpdateCordons(catalog.Cordons{
 		Zones:       reply.Cordons.Zones,
 		Revision:    reply.Cordons.Revision,
 		ConfirmedAt: sent - reply.Cordons.Age,
@@ -63,7 +63,7 @@
 		return o, nil
 	}
 	t.g.counts.StartsWithheld.Add(int64(len(o.Starts)))
-	withheld := allAlike(engine.Orders{Starts: o.Starts}, engine.StartNotSent).Starts
+	withheld := allAlike(engine.Orders{Starts: o.Starts}, engine.StartNotDelivered).Starts
 	o.Starts = nil
 	return o, withheld
 }
--- a/gateway/cordons_test.go
+++ b/gateway/cordons_test.go
@@ -14,8 +14,8 @@
 )
 
 func withCordons(zones []string, revision int64, age time.Duration) *Gateway {
-	g := &Gateway{inForce: catalog.NewInForce()}
-	g.inForce.OfferCordons(catalog.Cordons{Zones: zones, Revision: revision, ConfirmedAt: lease.BootTime() - age})
+	g := &Gateway{inForce: catalog.NewCurrent()}
+	g.inForce.UpdateCordons(catalog.Cordons{Zones: zones, Revision: revision, ConfirmedAt: lease.BootTime() - age})
 	return g
 }
 
@@ -29,7 +29,7 @@
 		g        *Gateway
 		withheld bool
 	}{
-		{&Gateway{inForce: catalog.NewInForce()}, true},
+		{&Gateway{inForce: catalog.NewCurrent()}, true},
 		{withCordons(nil, 1, time.Second), false},
 		{withCordons(nil, 1, DefaultCordonWithin-cordonMargin), true},
 	} {
@@ -38,7 +38,7 @@
 		c.Check(len(left.Starts) == 0, qt.Equals, test.withheld)
 		c.Check(left.Stops, qt.HasLen, 1)
 		for _, r := range withheld {
-			c.Check(r.Outcome, qt.Equals, engine.StartNotSent)
+			c.Check(r.Outcome, qt.Equals, engine.StartNotDelivered)
 		}
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -22,7 +22,7 @@
 type Gateway struct {
 	cfg     Config
 	log     logrus.FieldLogger
-	inForce *catalog.InForce
+	inForce *catalog.Current
 	intake  *records.Intake
 	// relayed is the store as the planner uses it.
 	relayed  *storeRelay
@@ -56,7 +56,7 @@
 	g := &Gateway{
 		cfg:      cfg,
 		log:      cfg.Log,
-		inForce:  catalog.NewInForce(),
+		inForce:  catalog.NewCurrent(),
 		intake:   records.NewIntake(cfg.Store),
 		members:  newMembers(cfg.Listen, cfg.Seeds),
 		planners: &planners{},
@@ -108,7 +108,7 @@
 	var cordoned []string
 	for {
 		changed := g.inForce.Changed()
-		if view, ok := g.inForce.View(); ok && view.Catalog.Version != last {
+		if view, ok := g.inForce.Snapshot(); ok && view.Catalog.Version != last {
 			last = view.Catalog.Version
 			g.log.WithField("version", last).WithField("queues", len(view.Catalog.Queues)).Info("configuration in force")
 			if t := g.currentTerm(); t != nil {
@@ -134,7 +134,7 @@
 // Ready says whether callers should be sent here: not before a configuration is known,
 // and not while stopping.
 func (g *Gateway) Ready() bool {
-	_, ok := g.inForce.View()
+	_, ok := g.inForce.Snapshot()
 	return ok && !g.stopping.Load()
 }
 
@@ -183,8 +183,8 @@
 // View returns the configuration in force. fresh says whether it is known recently
 // enough for keys to be trusted: a process that was paused or cut off must not honour a
 // key that was taken away meanwhile, so the age counts suspension too.
-func (g *Gateway) View() (view catalog.View, fresh, ok bool) {
-	view, ok = g.inForce.View()
+func (g *Gateway) View() (view catalog.Snapshot, fresh, ok bool) {
+	view, ok = g.inForce.Snapshot()
 	if !ok {
 		return view, false, false
 	}
--- a/gateway/lookups.go
+++ b/gateway/lookups.go
@@ -20,7 +20,7 @@
 
 // State returns the state of a job: from the planner, which knows best, else from the
 // records, else through a peer.
-func (g *Gateway) State(ctx context.Context, id workload.JobID) (engine.Lookup, Answer) {
+func (g *Gateway) State(ctx context.Context, id workload.JobID) (engine.JobStatus, Answer) {
 	g.counts.Lookups.Add(1)
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -33,7 +33,7 @@
 		case err == nil && ok:
 			return found, AnswerKnown
 		case err == nil:
-			return engine.Lookup{}, AnswerAbsent
+			return engine.JobStatus{}, AnswerAbsent
 		}
 		g.storeFailed()
 	}
@@ -44,14 +44,14 @@
 	return found, answer
 }
 
-func (g *Gateway) askPlanner(ctx context.Context, id workload.JobID) (engine.Lookup, bool) {
+func (g *Gateway) askPlanner(ctx context.Context, id workload.JobID) (engine.JobStatus, bool) {
 	_, planner := g.planners.get()
 	if planner == g.cfg.Listen || planner == "" {
 		return g.ownLookup(id)
 	}
 	reply := g.lookupAt(ctx, planner, &link.Lookup{Job: id})
 	if reply == nil || !reply.Known {
-		return engine.Lookup{}, false
+		return engine.JobStatus{}, false
 	}
 	return reply.Lookup(), true
 }
@@ -71,7 +71,7 @@
 	return reply
 }
 
-func (g *Gateway) lookupByPeers(ctx context.Context, id workload.JobID) (engine.Lookup, Answer) {
+func (g *Gateway) lookupByPeers(ctx context.Context, id workload.JobID) (engine.JobStatus, Answer) {
 	for _, address := range g.relays() {
 		reply := g.lookupAt(ctx, address, &link.Lookup{Job: id, Records: true})
 		switch {
@@ -79,10 +79,10 @@
 		case reply.Known:
 			return reply.Lookup(), AnswerKnown
 		case reply.Absent:
-			return engine.Lookup{}, AnswerAbsent
+			return engine.JobStatus{}, AnswerAbsent
 		}
 	}
-	return engine.Lookup{}, AnswerUnavailable
+	return engine.JobStatus{}, AnswerUnavailable
 }
 
 // answerLookup answers another gateway's question.
@@ -101,10 +101,10 @@
 	return &link.LookupReply{Known: true, State: found.State, Queue: found.Queue, Account: found.Account}
 }
 
-func (g *Gateway) ownLookup(id workload.JobID) (engine.Lookup, bool) {
+func (g *Gateway) ownLookup(id workload.JobID) (engine.JobStatus, bool) {
 	t := g.currentTerm()
 	if t == nil {
-		return engine.Lookup{}, false
+		return engine.JobStatus{}, false
 	}
 	return t.lookup(id)
 }
--- a/gateway/notice.go
+++ b/gateway/notice.go
@@ -49,7 +49,7 @@
 		return
 	}
 	if n.Job != nil && t.knowsEnded.Load() {
-		t.post(engine.Submitted{Job: *n.Job, Order: n.Order})
+		t.post(engine.JobSubmitted{Job: *n.Job, Revision: n.Order})
 	}
 	if n.Cancel != "" {
 		t.post(engine.CancelRequested{Job: n.Cancel})
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -32,7 +32,7 @@
 func (g *Gateway) question() *link.Peer {
 	epoch, planner := g.planners.get()
 	msg := &link.Peer{Address: g.cfg.Listen, Epoch: epoch, Planner: planner, WantConfig: true, Strength: g.cfg.Strength}
-	if view, ok := g.inForce.View(); ok {
+	if view, ok := g.inForce.Snapshot(); ok {
 		msg.ConfigVersion = view.Catalog.Version
 		msg.WantConfig = lease.BootTime()-view.ConfirmedAt > staleAfter
 	}
@@ -84,7 +84,7 @@
 
 // lacksText says whether a peer has a newer configuration that the store does not bring now.
 func (g *Gateway) lacksText(version int64) bool {
-	view, ok := g.inForce.View()
+	view, ok := g.inForce.Snapshot()
 	newer := version != 0 && (!ok || version > view.Catalog.Version)
 	return newer && g.cfg.StoreAge() > staleAfter
 }
@@ -133,7 +133,7 @@
 		g.log.WithError(err).Warn("configuration from a peer not understood")
 		return
 	}
-	g.inForce.Offer(c, reply.Config, confirmed)
+	g.inForce.Update(c, reply.Config, confirmed)
 }
 
 // answerPeer answers another gateway, or an agent that looks for the planner.
@@ -155,7 +155,7 @@
 		reply.Heirs = g.members.heirs(g.served)
 	}
 	reply.Cordons = g.ownCordons()
-	if view, ok := g.inForce.View(); ok {
+	if view, ok := g.inForce.Snapshot(); ok {
 		reply.ConfigVersion = view.Catalog.Version
 		reply.ConfigAge = lease.BootTime() - view.ConfirmedAt
 		if msg.WantText && msg.ConfigVersion < view.Catalog.Version {
--- a/gateway/term.go
+++ b/gateway/term.go
@@ -139,7 +139,7 @@
 }
 
 func (t *term) post(ev engine.Event) {
-	t.do(func(now time.Duration) { t.engine.Step(now, ev) })
+	t.do(func(now time.Duration) { t.engine.HandleEvent(now, ev) })
 }
 
 func (t *term) configure(c *catalog.Catalog) { t.post(engine.CatalogChanged{Catalog: c}) }
@@ -158,7 +158,7 @@
 			f(lease.BootTime())
 			t.drainInbox()
 		case <-ticker.C:
-			t.engine.Step(lease.BootTime(), engine.Tick{Wall: time.Now()})
+			t.engine.HandleEvent(lease.BootTime(), engine.Tick{WallTime: time.Now()})
 		case <-replan.C:
 		case err := <-written:
 			if err != nil && isFinal(err) {
@@ -171,7 +171,7 @@
 				t.log.WithError(err).Warn("records not written; the duty's lease has lapsed")
 				continue
 			}
-			t.engine.Step(lease.BootTime(), engine.Stored{Write: *writing})
+			t.engine.HandleEvent(lease.BootTime(), engine.WriteApplied{Write: *writing})
 			t.announceRecorded()
 			writing = nil
 		case <-t.tomb.Dying():
--- a/gateway/term_advice.go
+++ b/gateway/term_advice.go
@@ -11,8 +11,8 @@
 const adviceTimeout = 10 * time.Second
 
 // advise asks the advice service.
-func (t *term) advise(ask engine.AskAdvice) {
-	answer := engine.Advised{Asked: ask, Failed: true}
+func (t *term) advise(ask engine.AdviceRequest) {
+	answer := engine.AdviceResponse{Request: ask, Failed: true}
 	if t.g.cfg.Advisor != nil {
 		ctx, cancel := context.WithTimeout(t.tomb.Context(context.Background()), adviceTimeout)
 		defer cancel()
@@ -20,7 +20,7 @@
 		if err != nil {
 			t.log.WithError(err).WithField("job", ask.Job).Warn("no advice")
 		} else {
-			answer = engine.Advised{Asked: ask, Tickets: tickets, Valid: valid}
+			answer = engine.AdviceResponse{Request: ask, Tickets: tickets, Lifetime: valid}
 		}
 	}
 	t.post(answer)
--- a/gateway/term_ask.go
+++ b/gateway/term_ask.go
@@ -24,12 +24,12 @@
 }
 
 // lookup returns the state of a job as this term knows it.
-func (t *term) lookup(id workload.JobID) (engine.Lookup, bool) {
+func (t *term) lookup(id workload.JobID) (engine.JobStatus, bool) {
 	if !t.loaded.Load() {
-		return engine.Lookup{}, false
+		return engine.JobStatus{}, false
 	}
 	type answer struct {
-		found engine.Lookup
+		found engine.JobStatus
 		ok    bool
 	}
 	a, asked := ask(t, func(time.Duration) answer {
@@ -42,5 +42,5 @@
 // pending returns how many jobs of each queue have not begun, and false where the term
 // has ended.
 func (t *term) pending() (map[string]int, bool) {
-	return ask(t, func(time.Duration) map[string]int { return t.engine.Pending() })
+	return ask(t, func(time.Duration) map[string]int { return t.engine.UnstartedByQueue() })
 }
--- a/gateway/term_ledger.go
+++ b/gateway/term_ledger.go
@@ -7,7 +7,7 @@
 )
 
 // logDiscarded accounts for work that was thrown away.
-func (t *term) logDiscarded(d engine.Discarded) {
+func (t *term) logDiscarded(d engine.WorkDiscarded) {
 	label := d.Queue + "/" + string(d.Cause)
 	t.g.lost.Add(label, d.Lost)
 	t.g.saved.Add(label, d.Saved)
@@ -26,12 +26,12 @@
 
 // logWorkerGone accounts for a life of a worker that is over.
 func (t *term) logWorkerGone(w engine.WorkerGone) {
-	t.g.workersGone.Add(w.Worker.Service+"/"+string(w.How), 1)
+	t.g.workersGone.Add(w.Worker.Service+"/"+string(w.Departure), 1)
 	t.log.WithFields(logrus.Fields{
 		"worker":  w.Worker.ID,
 		"agent":   w.Worker.Agent,
 		"service": w.Worker.Service,
-		"how":     w.How,
+		"how":     w.Departure,
 		"runs":    w.Runs,
 	}).Info("worker gone")
 }
--- a/gateway/term_load.go
+++ b/gateway/term_load.go
@@ -53,18 +53,18 @@
 func (t *term) restore(state records.State) {
 	now := lease.BootTime()
 	t.tellUnreadable(state.Unreadable)
-	if view, ok := t.g.inForce.View(); ok {
-		t.engine.Step(now, engine.CatalogChanged{Catalog: view.Catalog})
+	if view, ok := t.g.inForce.Snapshot(); ok {
+		t.engine.HandleEvent(now, engine.CatalogChanged{Catalog: view.Catalog})
 	}
 	if cordons, ok := t.g.inForce.Cordons(); ok {
-		t.engine.Step(now, engine.CordonsChanged{Cordons: cordons})
+		t.engine.HandleEvent(now, engine.CordonsChanged{Cordons: cordons})
 	}
-	t.engine.Step(now, engine.Tick{Wall: time.Now()})
+	t.engine.HandleEvent(now, engine.Tick{WallTime: time.Now()})
 	for _, w := range state.Workers {
-		t.engine.Step(now, engine.WorkerRestored{Info: w})
+		t.engine.HandleEvent(now, engine.WorkerRestored{Info: w})
 	}
 	for _, j := range state.Jobs {
-		t.engine.Step(now, j)
+		t.engine.HandleEvent(now, j)
 	}
 }
 
@@ -124,9 +124,9 @@
 // postIntake gives the engine all submissions and cancellations; it knows most of them.
 func (t *term) postIntake(submitted records.Submissions) {
 	for _, j := range submitted.Jobs {
-		t.post(j.Submitted)
+		t.post(j.JobSubmitted)
 		if j.Cancelled {
-			t.post(engine.CancelRequested{Job: j.Job.ID, Order: j.CancelOrder})
+			t.post(engine.CancelRequested{Job: j.Job.ID, Revision: j.CancelRevision})
 		}
 	}
 }
--- a/gateway/term_orders.go
+++ b/gateway/term_orders.go
@@ -22,13 +22,13 @@
 		switch a := action.(type) {
 		case engine.Orders:
 			go t.send(a)
-		case engine.AskAdvice:
+		case engine.AdviceRequest:
 			go t.advise(a)
-		case engine.Decided:
+		case engine.Decision:
 			t.logDecision(a)
-		case engine.Began:
+		case engine.JobStarted:
 			t.g.waits.Observe(a.Account+"/"+a.Queue, a.Waited)
-		case engine.Discarded:
+		case engine.WorkDiscarded:
 			t.logDiscarded(a)
 		case engine.Resized:
 			t.log.WithField("worker", a.Worker).WithField("detail", a.String()).Info("worker's room changed")
@@ -36,7 +36,7 @@
 			t.logWorkerGone(a)
 		case engine.Late:
 			t.logLate(a)
-		case engine.Finished:
+		case engine.JobFinished:
 			t.g.completions.Observe(a.Account+"/"+a.Queue+"/"+string(a.State), a.Took)
 		}
 	}
@@ -59,24 +59,24 @@
 func (t *term) decide() []engine.Action {
 	began := lease.BootTime()
 	if !t.g.cordonsFresh(began) {
-		t.engine.Postpone(began + tickEvery)
+		t.engine.DelayPlanning(began + tickEvery)
 	}
 	actions := t.engine.Decide(began)
 	if took := lease.BootTime() - began; took > planBrief {
-		t.engine.Postpone(began + took + min(planRest*took, planRestMost))
+		t.engine.DelayPlanning(began + took + min(planRest*took, planRestMost))
 	}
 	return actions
 }
 
 // replanTimer makes the timer fire when a round that was postponed is due.
 func (t *term) replanTimer(timer *time.Timer) {
-	until, due := t.engine.Postponed()
+	until, due := t.engine.NextPlanning()
 	if left := until - lease.BootTime(); due && left > 0 {
 		timer.Reset(left)
 	}
 }
 
-func (t *term) logDecision(d engine.Decided) {
+func (t *term) logDecision(d engine.Decision) {
 	fields := logrus.Fields{"job": d.Job}
 	if d.Detail != "" {
 		fields["detail"] = d.Detail
@@ -88,7 +88,7 @@
 	if d.Worker != "" {
 		fields["worker"] = d.Worker
 	}
-	t.log.WithFields(fields).Info(d.What)
+	t.log.WithFields(fields).Info(d.Kind)
 }
 
 // send gives orders to an agent over the connection on which it last reported.
@@ -103,11 +103,11 @@
 		reply = t.call(conn, o)
 	}
 	if reply == nil {
-		reply = allAlike(o, engine.StartNotSent)
+		reply = allAlike(o, engine.StartNotDelivered)
 	}
 	reply.Starts = append(reply.Starts, withheld...)
 	if len(reply.Starts)+len(reply.Paces) > 0 {
-		t.post(engine.OrdersEnded{Worker: o.Worker, Starts: reply.Starts, Paces: reply.Paces})
+		t.post(engine.OrdersCompleted{Worker: o.Worker, Starts: reply.Starts, Paces: reply.Paces})
 	}
 }
 
@@ -117,7 +117,7 @@
 	defer cancel()
 	raw, err := conn.Call(ctx, link.NewOrders(t.epoch, o))
 	if err != nil && unsent(err) == link.OutcomeNotDone {
-		return allAlike(o, engine.StartNotSent)
+		return allAlike(o, engine.StartNotDelivered)
 	}
 	reply, ok := raw.(*link.OrdersReply)
 	if err != nil || !ok {
--- a/gateway/term_report.go
+++ b/gateway/term_report.go
@@ -36,7 +36,7 @@
 	reply.Closely = v.Closely
 	reply.Turn = v.Turn
 	if cordons, ok := t.g.inForce.Cordons(); ok {
-		reply.Cordoned = cordons.Covers(m.Report.Worker.Zone)
+		reply.Cordoned = cordons.Contains(m.Report.Worker.Zone)
 		reply.CordonsAt = cordons.Revision
 	}
 	return reply
--- a/link/records.go
+++ b/link/records.go
@@ -24,8 +24,8 @@
 }
 
 // Lookup returns the reply's state of the job, where it is Known.
-func (r *LookupReply) Lookup() engine.Lookup {
-	return engine.Lookup{State: r.State, Queue: r.Queue, Account: r.Account}
+func (r *LookupReply) Lookup() engine.JobStatus {
+	return engine.JobStatus{State: r.State, Queue: r.Queue, Account: r.Account}
 }
 
 // Pending asks the planner for the jobs of each queue that have not begun.
--- a/nodeagent/departure.go
+++ b/nodeagent/departure.go
@@ -26,7 +26,7 @@
 	how.looked, how.proven, how.over = a.life.known, a.life.proven(), a.life.ended
 	a.left = append(a.left, how)
 	a.nextFence = a.life.fence
-	a.nextFence.Turn += engine.TurnStep // also above what an agent before this one counted
+	a.nextFence.Generation += engine.GenerationStep // also above what an agent before this one counted
 	a.life = nil
 }
 
--- a/nodeagent/departure_test.go
+++ b/nodeagent/departure_test.go
@@ -75,7 +75,7 @@
 	over := engine.EndRow{Number: 1, Run: run(3).Run, Reason: engine.EndDone}
 	at := time.Second
 	l.take(Look{Clock: at, Running: []engine.RunningRow{run(1), run(3)}}, at, at, 0)
-	at += engine.ProvenAfter
+	at += engine.StartupCrashWindow
 	l.take(Look{Clock: at, Running: []engine.RunningRow{run(1), run(2)}, Ended: []engine.EndRow{over}}, at, at, 0)
 	a.endLife(departure{crashed: true})
 	told := a.reports()[0]
--- a/nodeagent/life.go
+++ b/nodeagent/life.go
@@ -140,7 +140,7 @@
 func (l *life) proven() []engine.RunningRow {
 	var out []engine.RunningRow
 	for _, row := range l.running {
-		if l.readAt-l.shownFrom[row.Run] >= engine.ProvenAfter {
+		if l.readAt-l.shownFrom[row.Run] >= engine.StartupCrashWindow {
 			out = append(out, engine.RunningRow{Run: row.Run})
 		}
 	}
@@ -199,7 +199,7 @@
 	}
 	if l.fenced.Epoch == epoch {
 		r.Epoch = epoch
-		r.Turn = l.fenced.Turn
+		r.Turn = l.fenced.Generation
 	}
 	if l.looks > 0 {
 		l.reporting = l.looks
--- a/nodeagent/orders.go
+++ b/nodeagent/orders.go
@@ -87,7 +87,7 @@
 	a.raiseEpoch(orders.Epoch)
 	l := a.life
 	if l == nil || l.info.ID != orders.Worker {
-		return Order{}, nil, engine.StartNotSent
+		return Order{}, nil, engine.StartNotDelivered
 	}
 	o := Order{Worker: l.info.ID, Fence: l.fence, Until: l.until(a.granted)}
 	switch {
@@ -97,7 +97,7 @@
 		a.counts.StartsCordoned.Add(int64(len(orders.Starts)))
 		return o, l, engine.StartCordoned
 	case o.Until == 0 || l.failing || l.lapsing(now()) || a.granted-now() < leastGrant:
-		return o, l, engine.StartNotSent
+		return o, l, engine.StartNotDelivered
 	}
 	l.extend(a.granted)
 	return o, l, engine.StartOK
--- a/nodeagent/report.go
+++ b/nodeagent/report.go
@@ -125,7 +125,7 @@
 		return
 	}
 	l.reported(r)
-	if l.raise(engine.Fence{Epoch: reply.Epoch, Turn: reply.Turn}) {
+	if l.raise(engine.Fence{Epoch: reply.Epoch, Generation: reply.Turn}) {
 		a.interrupt() // only a look under that fence counts
 	}
 	l.closely = reply.Closely
--- a/nodeagent/silent.go
+++ b/nodeagent/silent.go
@@ -35,7 +35,7 @@
 	l.failingFrom = now
 	l.failureTold = now - silentPause
 	if l.info.Name != "" {
-		l.fence.Turn++
+		l.fence.Generation++
 	}
 }
 
@@ -46,7 +46,7 @@
 // would ever run there again. A worker that follows a newer planner goes on refusing.
 func (l *life) overtake() {
 	if l.info.Name != "" {
-		l.fence.Turn += engine.TurnStep
+		l.fence.Generation += engine.GenerationStep
 	}
 }
 
--- a/nodeagent/succession_test.go
+++ b/nodeagent/succession_test.go
@@ -82,7 +82,7 @@
 		a.mu.Lock()
 		fenced := a.life.fenced
 		a.mu.Unlock()
-		if fenced.Turn == turn {
+		if fenced.Generation == turn {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -99,8 +99,8 @@
 		changed: make(chan struct{}), wake: make(chan struct{}, 1), ended: map[engine.WorkerID]bool{},
 	}
 	c.Assert(a.Announce(context.Background(), heartbeatOf("w-1", 5)), qt.IsNil)
-	a.answered(a.reports()[0], &link.ReportReply{Epoch: 3, Attached: true, Turn: engine.TurnStep, Seen: 57}, now())
-	turned(c, a, engine.TurnStep)
+	a.answered(a.reports()[0], &link.ReportReply{Epoch: 3, Attached: true, Turn: engine.GenerationStep, Seen: 57}, now())
+	turned(c, a, engine.GenerationStep)
 	return a, w
 }
 
@@ -118,7 +118,7 @@
 	l, _ := a.current()
 	a.look(l, 0)
 	ordered, _, _ := a.admit(&link.Orders{Epoch: 3, Worker: "w-1"})
-	c.Check(ordered.Fence, qt.Equals, engine.Fence{Epoch: 3, Turn: engine.TurnStep})
+	c.Check(ordered.Fence, qt.Equals, engine.Fence{Epoch: 3, Generation: engine.GenerationStep})
 	c.Check(w.carried(), qt.DeepEquals, []lookedAt{{ordered.Fence, 57}})
 	w.become("")
 	a.look(l, 0)
@@ -191,11 +191,11 @@
 	told := a.reports()[1]
 	c.Check(told.Ended, qt.DeepEquals, ended)
 	a.answered(a.reports()[0], &link.ReportReply{Epoch: 3}, now())
-	a.answered(told, &link.ReportReply{Epoch: 3, Attached: true, Turn: 3 * engine.TurnStep, Seen: 1}, now())
-	turned(c, a, 3*engine.TurnStep)
+	a.answered(told, &link.ReportReply{Epoch: 3, Attached: true, Turn: 3 * engine.GenerationStep, Seen: 1}, now())
+	turned(c, a, 3*engine.GenerationStep)
 	a.look(l, 0)
 	c.Check(w.carried(), qt.DeepEquals, []lookedAt{
-		{engine.Fence{Epoch: 3, Turn: engine.TurnStep}, 57}, {engine.Fence{Epoch: 3, Turn: 3 * engine.TurnStep}, 1},
+		{engine.Fence{Epoch: 3, Generation: engine.GenerationStep}, 57}, {engine.Fence{Epoch: 3, Generation: 3 * engine.GenerationStep}, 1},
 	})
 }
 
@@ -211,6 +211,6 @@
 	a.life.seen = 58 // recorded, and not acknowledged yet
 	a.mu.Unlock()
 	c.Assert(a.Announce(context.Background(), heartbeatOf("w-2", 1)), qt.IsNil)
-	c.Check(w.last().Fence.Compare(engine.Fence{Epoch: 3, Turn: engine.TurnStep}), qt.Equals, 1)
+	c.Check(w.last().Fence.Compare(engine.Fence{Epoch: 3, Generation: engine.GenerationStep}), qt.Equals, 1)
 	c.Check(w.carried(), qt.DeepEquals, before)
 }
--- a/records/intake.go
+++ b/records/intake.go
@@ -168,14 +168,14 @@
 }
 
 // outcome reads what a job came to, and false where none is on record.
-func (i *Intake) outcome(ctx context.Context, id workload.JobID) (engine.Outcome, bool, error) {
+func (i *Intake) outcome(ctx context.Context, id workload.JobID) (engine.JobOutcome, bool, error) {
 	kv, ok, err := i.store.Get(ctx, endedKey(id))
 	if err != nil || !ok {
-		return engine.Outcome{}, false, err
+		return engine.JobOutcome{}, false, err
 	}
-	var o engine.Outcome
+	var o engine.JobOutcome
 	if err := json.Unmarshal(kv.Value, &o); err != nil {
-		return engine.Outcome{}, false, eris.Wrapf(err, "outcome of job %s", id)
+		return engine.JobOutcome{}, false, eris.Wrapf(err, "outcome of job %s", id)
 	}
 	return o, true, nil
 }
@@ -184,40 +184,40 @@
 //
 // The outcome is read after the others: records that are replaced by it while they are read
 // would else look like those of a job that has not begun.
-func (i *Intake) Lookup(ctx context.Context, id workload.JobID) (engine.Lookup, bool, error) {
+func (i *Intake) Lookup(ctx context.Context, id workload.JobID) (engine.JobStatus, bool, error) {
 	out, open, err := i.lookupOpen(ctx, id)
 	if err != nil || open && out.State != workload.Queued {
 		return out, open, err
 	}
 	o, ended, err := i.outcome(ctx, id)
 	if err != nil {
-		return engine.Lookup{}, false, err
+		return engine.JobStatus{}, false, err
 	}
 	if ended {
-		return engine.Lookup{State: o.State, Queue: o.Queue, Account: o.Account, Reason: o.Reason}, true, nil
+		return engine.JobStatus{State: o.State, Queue: o.Queue, Account: o.Account, Reason: o.Reason}, true, nil
 	}
 	return out, open, nil
 }
 
 // lookupOpen reads the state of a job whose records have not been replaced by its outcome.
-func (i *Intake) lookupOpen(ctx context.Context, id workload.JobID) (engine.Lookup, bool, error) {
+func (i *Intake) lookupOpen(ctx context.Context, id workload.JobID) (engine.JobStatus, bool, error) {
 	kv, ok, err := i.store.Get(ctx, jobKey(id))
 	if err != nil || !ok {
-		return engine.Lookup{}, false, err
+		return engine.JobStatus{}, false, err
 	}
 	var j workload.Job
 	if err := json.Unmarshal(kv.Value, &j); err != nil {
-		return engine.Lookup{}, false, eris.Wrapf(err, "record of job %s", id)
+		return engine.JobStatus{}, false, eris.Wrapf(err, "record of job %s", id)
 	}
-	out := engine.Lookup{State: workload.Queued, Queue: j.Queue, Account: j.Account}
+	out := engine.JobStatus{State: workload.Queued, Queue: j.Queue, Account: j.Account}
 	run, ok, err := i.store.Get(ctx, runKey(id))
 	if err != nil {
-		return engine.Lookup{}, false, err
+		return engine.JobStatus{}, false, err
 	}
 	if ok {
 		var p engine.Progress
 		if err := json.Unmarshal(run.Value, &p); err != nil {
-			return engine.Lookup{}, false, eris.Wrapf(err, "progress of job %s", id)
+			return engine.JobStatus{}, false, eris.Wrapf(err, "progress of job %s", id)
 		}
 		out.State, out.Reason = p.State, p.Reason
 	}
@@ -226,7 +226,7 @@
 	}
 	_, cancelled, err := i.store.Get(ctx, cancelKey(id))
 	if err != nil {
-		return engine.Lookup{}, false, err
+		return engine.JobStatus{}, false, err
 	}
 	if cancelled {
 		out.State = workload.Cancelled
--- a/records/ledger.go
+++ b/records/ledger.go
@@ -101,7 +101,7 @@
 		}
 		progress[id] = p
 	}
-	out.Jobs = slices.DeleteFunc(out.Jobs, func(j engine.Restored) bool { return withheld[j.Job.ID] })
+	out.Jobs = slices.DeleteFunc(out.Jobs, func(j engine.JobRestored) bool { return withheld[j.Job.ID] })
 	for i := range out.Jobs {
 		out.Jobs[i].Progress = progress[out.Jobs[i].Job.ID]
 	}
@@ -109,21 +109,21 @@
 
 // LoadEnded reads the outcomes of jobs that have ended. No planning depends on them. It may
 // run beside Write.
-func (l *Ledger) LoadEnded(ctx context.Context, wall time.Time) ([]engine.EndedRestored, []Unreadable, error) {
+func (l *Ledger) LoadEnded(ctx context.Context, wall time.Time) ([]engine.EndedJobRestored, []Unreadable, error) {
 	snap, err := l.store.List(ctx, endedPrefix)
 	if err != nil {
 		return nil, nil, err
 	}
-	var out []engine.EndedRestored
+	var out []engine.EndedJobRestored
 	var unreadable []Unreadable
 	for _, kv := range snap.Keys {
-		var o engine.Outcome
+		var o engine.JobOutcome
 		if err := json.Unmarshal(kv.Value, &o); err != nil {
 			unreadable = append(unreadable, Unreadable{Key: kv.Key, Why: err})
 			continue
 		}
-		out = append(out, engine.EndedRestored{
-			ID: idOf(kv.Key, endedPrefix), Outcome: o, Record: int64(kv.Mod), Age: ageOf(o.EndedAt, wall),
+		out = append(out, engine.EndedJobRestored{
+			ID: idOf(kv.Key, endedPrefix), Outcome: o, OutcomeRevision: int64(kv.Mod), Age: ageOf(o.EndedAt, wall),
 		})
 	}
 	return out, unreadable, nil
@@ -138,7 +138,7 @@
 				continue
 			}
 			if strings.HasPrefix(e.Key, cancelPrefix) {
-				deliver(engine.CancelRequested{Job: idOf(e.Key, cancelPrefix), Order: int64(e.Mod)})
+				deliver(engine.CancelRequested{Job: idOf(e.Key, cancelPrefix), Revision: int64(e.Mod)})
 				continue
 			}
 			if submitted, err := decodeJob(e.KeyValue, wall()); err == nil {
@@ -213,19 +213,19 @@
 	out := []store.Swap{
 		{Key: endedKey(j.ID), Value: value},
 		{Key: runKey(j.ID), Expect: l.revisions[runKey(j.ID)], Delete: true},
-		{Key: jobKey(j.ID), Expect: store.Revision(j.Order), Delete: true},
+		{Key: jobKey(j.ID), Expect: store.Revision(j.Revision), Delete: true},
 	}
-	return append(out, cancelRemoval(j.ID, j.CancelOrder)...), nil
+	return append(out, cancelRemoval(j.ID, j.CancelRevision)...), nil
 }
 
 // removal removes the outcome of a job.
-func (l *Ledger) removal(j engine.ForgottenJob) []store.Swap {
-	expect := store.Revision(j.Record)
+func (l *Ledger) removal(j engine.ExpiredJob) []store.Swap {
+	expect := store.Revision(j.OutcomeRevision)
 	if expect == 0 {
 		expect = l.revisions[endedKey(j.ID)]
 	}
 	out := []store.Swap{{Key: endedKey(j.ID), Expect: expect, Delete: true}}
-	return append(out, cancelRemoval(j.ID, j.CancelOrder)...)
+	return append(out, cancelRemoval(j.ID, j.CancelRevision)...)
 }
 
 // cancelRemoval removes a cancellation that was created at revision order, 0 for none.
--- a/records/submissions.go
+++ b/records/submissions.go
@@ -16,7 +16,7 @@
 // Submissions are the jobs that callers have handed in and that have not been closed.
 type Submissions struct {
 	// Jobs are in the order of their names, without Progress.
-	Jobs []engine.Restored
+	Jobs []engine.JobRestored
 	// At is where a watch of the intake goes on.
 	At store.Revision
 	// Unreadable are records that another writer left and that are passed over.
@@ -53,7 +53,7 @@
 			continue
 		}
 		order, wasCancelled := cancelled[submitted.Job.ID]
-		out.Jobs = append(out.Jobs, engine.Restored{Submitted: submitted, Cancelled: wasCancelled, CancelOrder: order})
+		out.Jobs = append(out.Jobs, engine.JobRestored{JobSubmitted: submitted, Cancelled: wasCancelled, CancelRevision: order})
 	}
 	return out, nil
 }
@@ -62,15 +62,15 @@
 	s.Unreadable = append(s.Unreadable, Unreadable{Key: key, Why: why})
 }
 
-func decodeJob(kv store.KeyValue, wall time.Time) (engine.Submitted, error) {
+func decodeJob(kv store.KeyValue, wall time.Time) (engine.JobSubmitted, error) {
 	var j workload.Job
 	if err := json.Unmarshal(kv.Value, &j); err != nil {
-		return engine.Submitted{}, eris.Wrapf(err, "record %s", kv.Key)
+		return engine.JobSubmitted{}, eris.Wrapf(err, "record %s", kv.Key)
 	}
 	if j.ID != idOf(kv.Key, jobPrefix) || len(j.Steps) == 0 {
-		return engine.Submitted{}, eris.Errorf("record %s: not a job of that id with steps", kv.Key)
+		return engine.JobSubmitted{}, eris.Errorf("record %s: not a job of that id with steps", kv.Key)
 	}
-	return engine.Submitted{Job: j, Order: int64(kv.Created), Age: ageOf(j.Submitted, wall)}, nil
+	return engine.JobSubmitted{Job: j, Revision: int64(kv.Created), Age: ageOf(j.Submitted, wall)}, nil
 }
 
 // mostAge bounds the age told of a job: the time of day may jump.
--- a/runtimes/model.go
+++ b/runtimes/model.go
@@ -36,9 +36,9 @@
 // Version changes whenever expectations do.
 func (m *Model) Version() int { return m.version }
 
-// Learn takes the length of a run whose work was done, and what had been declared, 0 where
+// Observe takes the length of a run whose work was done, and what had been declared, 0 where
 // nothing was. Runs of no length teach nothing.
-func (m *Model) Learn(name string, declared, took time.Duration) {
+func (m *Model) Observe(name string, declared, took time.Duration) {
 	if took <= 0 {
 		return
 	}
@@ -55,9 +55,9 @@
 	m.version++
 }
 
-// Expect returns how long a run of a queue is expected to take; 0 where nothing is declared
+// Estimate returns how long a run of a queue is expected to take; 0 where nothing is declared
 // and nothing was learned.
-func (m *Model) Expect(name string, declared time.Duration) time.Duration {
+func (m *Model) Estimate(name string, declared time.Duration) time.Duration {
 	q := m.queues[name]
 	if q == nil {
 		return declared
--- a/runtimes/model_test.go
+++ b/runtimes/model_test.go
@@ -24,11 +24,11 @@
 	for i := range 400 {
 		declared, took := l(rng)
 		if i >= 10 {
-			model += off(m.Expect("q", declared), took)
+			model += off(m.Estimate("q", declared), took)
 			declaration += off(declared, took)
 			mean += off(time.Duration(math.Exp(sum/n)*float64(time.Second)), took)
 		}
-		m.Learn("q", declared, took)
+		m.Observe("q", declared, took)
 		sum, n = sum+math.Log(took.Seconds()), n+1
 	}
 	return model / 390, declaration / 390, mean / 390
@@ -70,22 +70,22 @@
 func TestNothingLearnedIsWhatIsDeclared(t *testing.T) {
 	c := qt.New(t)
 	m := runtimes.New()
-	c.Check(m.Expect("q", time.Second), qt.Equals, time.Second)
-	c.Check(m.Expect("q", 0), qt.Equals, time.Duration(0))
-	m.Learn("q", time.Second, 0)
+	c.Check(m.Estimate("q", time.Second), qt.Equals, time.Second)
+	c.Check(m.Estimate("q", 0), qt.Equals, time.Duration(0))
+	m.Observe("q", time.Second, 0)
 	c.Check(m.Version(), qt.Equals, 0)
-	m.Learn("q", 0, 4*time.Second)
-	c.Check(m.Expect("q", 0).Round(time.Millisecond), qt.Equals, 4*time.Second)
-	c.Check(m.Expect("q", time.Second), qt.Equals, time.Second, qt.Commentf("one run of another length says nothing yet"))
+	m.Observe("q", 0, 4*time.Second)
+	c.Check(m.Estimate("q", 0).Round(time.Millisecond), qt.Equals, 4*time.Second)
+	c.Check(m.Estimate("q", time.Second), qt.Equals, time.Second, qt.Commentf("one run of another length says nothing yet"))
 }
 
 // An odd run, of hours where the declaration is of seconds, must not spoil expectations.
 func TestOddRunTeachesLittle(t *testing.T) {
 	m := runtimes.New()
 	for range 20 {
-		m.Learn("q", 2*time.Second, 2*time.Second)
+		m.Observe("q", 2*time.Second, 2*time.Second)
 	}
-	m.Learn("q", 2*time.Second, 5*time.Hour)
-	got := m.Expect("q", 2*time.Second)
+	m.Observe("q", 2*time.Second, 5*time.Hour)
+	got := m.Estimate("q", 2*time.Second)
 	qt.Check(t, got < 5*time.Second, qt.IsTrue, qt.Commentf("%v", got))
 }
--- a/workload/check.go
+++ b/workload/check.go
@@ -19,8 +19,8 @@
 // Error implements error.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// Check returns a *FieldError for a job that can't be accepted.
-func (j *Job) Check() error {
+// Validate returns a *FieldError for a job that can't be accepted.
+func (j *Job) Validate() error {
 	if len(j.Spec) > MaxSpecBytes {
 		return &FieldError{"spec", fmt.Sprintf("has %d bytes, at most %d are accepted", len(j.Spec), MaxSpecBytes)}
 	}
@@ -58,10 +58,10 @@
 	if s.Need.MilliCPU < 0 || s.Need.MemoryMB < 0 || s.Need.Accelerators < 0 {
 		return &FieldError{field("need"), "is negative"}
 	}
-	if s.MaxPerWorker < 0 || s.Estimate < 0 || s.MayMiss < 0 {
+	if s.MaxPerWorker < 0 || s.Estimate < 0 || s.MaxUnavailable < 0 {
 		return &FieldError{field("limits"), "are negative"}
 	}
-	for _, before := range s.After {
+	for _, before := range s.DependsOn {
 		if before < 0 || before >= i {
 			return &FieldError{field("after"), fmt.Sprintf("names step %d, must name earlier steps", before)}
 		}
--- a/workload/job.go
+++ b/workload/job.go
@@ -8,21 +8,21 @@
 // Job is what a caller handed in, with the terms of its queue as they were then.
 // It never changes after acceptance.
 type Job struct {
-	ID      JobID  `json:"id" cbor:"1,keyasint"`
-	Queue   string `json:"queue" cbor:"2,keyasint"`
-	Account string `json:"account,omitempty" cbor:"3,keyasint,omitempty"`
-	Service string `json:"service" cbor:"4,keyasint"`
-	Spec    string `json:"spec,omitempty" cbor:"5,keyasint,omitempty"`
-	Steps   []Step `json:"steps" cbor:"6,keyasint"`
-	Terms   Terms  `json:"terms" cbor:"7,keyasint"`
+	ID          JobID       `json:"id" cbor:"1,keyasint"`
+	Queue       string      `json:"queue" cbor:"2,keyasint"`
+	Account     string      `json:"account,omitempty" cbor:"3,keyasint,omitempty"`
+	Service     string      `json:"service" cbor:"4,keyasint"`
+	Spec        string      `json:"spec,omitempty" cbor:"5,keyasint,omitempty"`
+	Steps       []Step      `json:"steps" cbor:"6,keyasint"`
+	QueuePolicy QueuePolicy `json:"terms" cbor:"7,keyasint"`
 	// Schedule makes the steps run several times; the zero value means once, now.
 	Schedule Schedule `json:"schedule,omitzero" cbor:"8,keyasint,omitzero"`
 	// Submitted is wall time and only orders jobs.
 	Submitted time.Time `json:"submitted" cbor:"9,keyasint"`
 }
 
-// Terms are how a queue treats its jobs.
-type Terms struct {
+// QueuePolicy are how a queue treats its jobs.
+type QueuePolicy struct {
 	Priority    int     `json:"priority,omitempty" cbor:"1,keyasint,omitempty"` // 0 goes first and may evict the others
 	MaxAttempts int     `json:"max_attempts,omitempty" cbor:"2,keyasint,omitempty"`
 	Stretch     float64 `json:"stretch,omitempty" cbor:"3,keyasint,omitempty"`
@@ -34,9 +34,9 @@
 
 // Advice is what a call to the advice service takes, and how long its tickets are valid.
 type Advice struct {
-	Decision time.Duration `json:"decision" cbor:"1,keyasint"`
-	Interval time.Duration `json:"interval" cbor:"2,keyasint"` // for each worker asked for
-	Valid    time.Duration `json:"valid" cbor:"3,keyasint"`
+	DecisionTime   time.Duration `json:"decision" cbor:"1,keyasint"`
+	TimePerWorker  time.Duration `json:"interval" cbor:"2,keyasint"` // for each worker asked for
+	TicketLifetime time.Duration `json:"valid" cbor:"3,keyasint"`
 }
 
 // Schedule is a job's occurrences in time.
@@ -57,13 +57,13 @@
 	return j.Schedule.First.Add(time.Duration(k) * j.Schedule.Period), true
 }
 
-// Chains returns, for each step, the longest chain of work from that step on, where a step
+// CriticalPaths returns, for each step, the longest chain of work from that step on, where a step
 // takes what expect says.
-func (j *Job) Chains(expect func(*Step) time.Duration) []time.Duration {
+func (j *Job) CriticalPaths(expect func(*Step) time.Duration) []time.Duration {
 	longest := make([]time.Duration, len(j.Steps))
 	for i := len(j.Steps) - 1; i >= 0; i-- {
 		longest[i] += expect(&j.Steps[i])
-		for _, before := range j.Steps[i].After {
+		for _, before := range j.Steps[i].DependsOn {
 			longest[before] = max(longest[before], longest[i])
 		}
 	}
--- a/workload/resources.go
+++ b/workload/resources.go
@@ -17,8 +17,8 @@
 	return Resources{r.MilliCPU - o.MilliCPU, r.MemoryMB - o.MemoryMB, r.Accelerators - o.Accelerators}
 }
 
-// Most returns the larger of the two in each dimension.
-func (r Resources) Most(o Resources) Resources {
+// Max returns the larger of the two in each dimension.
+func (r Resources) Max(o Resources) Resources {
 	return Resources{max(r.MilliCPU, o.MilliCPU), max(r.MemoryMB, o.MemoryMB), max(r.Accelerators, o.Accelerators)}
 }
 
@@ -27,13 +27,13 @@
 	return Resources{r.MilliCPU * n, r.MemoryMB * n, r.Accelerators * n}
 }
 
-// Within says whether r fits into room in every dimension.
-func (r Resources) Within(room Resources) bool {
+// FitsIn says whether r fits into room in every dimension.
+func (r Resources) FitsIn(room Resources) bool {
 	return r.MilliCPU <= room.MilliCPU && r.MemoryMB <= room.MemoryMB && r.Accelerators <= room.Accelerators
 }
 
-// Fits returns how many tasks that need r each fit into room; at most limit.
-func (r Resources) Fits(room Resources, limit int) int {
+// CountFitting returns how many tasks that need r each fit into room; at most limit.
+func (r Resources) CountFitting(room Resources, limit int) int {
 	n := limit
 	n = min(n, fits(r.MilliCPU, room.MilliCPU, limit))
 	n = min(n, fits(r.MemoryMB, room.MemoryMB, limit))
@@ -55,7 +55,7 @@
 // different shapes is compared.
 const acceleratorCores = 8
 
-// Cores returns r's weight in cores, with an accelerator as eight of them.
-func (r Resources) Cores() float64 {
+// CoreEquivalent returns r's weight in cores, with an accelerator as eight of them.
+func (r Resources) CoreEquivalent() float64 {
 	return float64(r.MilliCPU)/1000 + float64(acceleratorCores*r.Accelerators)
 }
