--- a/agent/adopt.go
+++ b/agent/adopt.go
@@ -50,7 +50,7 @@
 	if len(tasks) > 0 {
 		g.log.WithFields(logrus.Fields{"running": running, "ended": len(tasks) - running}).Info("adopted the target's tasks")
 	}
-	if !g.do(context.Background(), func() { g.step(gang.Adopted{Tasks: tasks}) }) {
+	if !g.do(context.Background(), func() { g.step(gang.TasksRecovered{Tasks: tasks}) }) {
 		return // the agent stops
 	}
 	close(g.adopted)
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -147,12 +147,12 @@
 		incarnation: a.incarnation,
 
 		member: gang.NewMember(gang.MemberConfig{
-			Accelerators: a.cfg.Accelerators,
-			Incarnation:  a.incarnation,
-			Isolation:    defaultIsolation,
+			Accelerators:     a.cfg.Accelerators,
+			Incarnation:      a.incarnation,
+			IsolationTimeout: defaultIsolation,
 		}),
 		push:    a.pushReply,
-		changed: func(m *gang.Member) { a.reports.tasks(m.Tasks(), m.Fence(), m.Stamp()) },
+		changed: func(m *gang.Member) { a.reports.tasks(m.Tasks(), m.Fence(), m.Timestamp()) },
 	}
 }
 
--- a/agent/gangs.go
+++ b/agent/gangs.go
@@ -135,7 +135,7 @@
 			g.t.Go(func() error { return g.run(a) })
 		case gang.StopTask:
 			g.t.Go(func() error { return g.stopTask(a) })
-		case gang.WakeMember:
+		case gang.TickAt:
 			g.timer.Reset(clock.Until(a.At))
 		}
 	}
@@ -173,7 +173,7 @@
 
 func (g *gangs) setIsolation(d time.Duration) {
 	select {
-	case g.work <- func() { g.member.SetIsolation(d) }:
+	case g.work <- func() { g.member.SetIsolationTimeout(d) }:
 	case <-g.t.Dying():
 	}
 }
--- a/agent/report_once.go
+++ b/agent/report_once.go
@@ -61,7 +61,7 @@
 
 func (r *reports) acked(link *entryLink, sent time.Time, ack *wire.ReportAck) {
 	if ack.Stamp.Epoch != 0 {
-		r.a.gangs.event(gang.Contact{At: sent, Whole: ack.Whole, Stamp: ack.Stamp})
+		r.a.gangs.event(gang.ReportAnswered{SentAt: sent, Renewed: ack.Whole, Timestamp: ack.Stamp})
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/agent/reports.go
+++ b/agent/reports.go
@@ -32,7 +32,7 @@
 	mu        sync.Mutex
 	announcer *membership.Announcer // nil until the agent is announced
 	state     wire.AgentReport
-	stamp     gang.Stamp
+	stamp     gang.PlannerTimestamp
 	entries   map[string]*entryLink // by address
 	relay     *relayLink
 	sending   map[string]bool // members to which a document is on its way
@@ -124,7 +124,7 @@
 	}
 }
 
-func (r *reports) tasks(tasks []gang.Task, fence uint64, stamp gang.Stamp) {
+func (r *reports) tasks(tasks []gang.Task, fence uint64, stamp gang.PlannerTimestamp) {
 	r.mu.Lock()
 	r.stamp = stamp
 	r.mu.Unlock()
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -86,7 +86,7 @@
 	res, err := k.claims.swaps.Swap(ctx, s)
 	switch {
 	case eris.Is(err, store.ErrLeaseNotFound):
-		k.claims.lease.Drop(s.Lease)
+		k.claims.lease.Invalidate(s.Lease)
 		return attempts.Claimed{Result: attempts.ClaimUnavailable}
 	case err != nil || res.Unknown:
 		return attempts.Claimed{Result: attempts.ClaimUnavailable}
--- a/entry/duties.go
+++ b/entry/duties.go
@@ -153,7 +153,7 @@
 	// The store may have been restored from a backup and have given this entry an
 	// epoch that was used before. It shows as agents that refuse it although no
 	// other entry plans; raising the epoch above theirs ends it.
-	if higher := p.Higher(); higher > 0 {
+	if higher := p.SupersedingEpoch(); higher > 0 {
 		du.holder.Observe(higher)
 	}
 	d.register()
--- a/entry/gangcaller.go
+++ b/entry/gangcaller.go
@@ -15,8 +15,8 @@
 	agents *agents
 }
 
-// Gang implements planner.Agents.
-func (c gangCaller) Gang(ctx context.Context, agent string, m gang.Message) (gang.Reply, error) {
+// SendGangMessage implements planner.Agents.
+func (c gangCaller) SendGangMessage(ctx context.Context, agent string, m gang.Message) (gang.Reply, error) {
 	data, err := cbor.Marshal(gang.Pack(m))
 	if err != nil {
 		return gang.Reply{}, err
--- a/entry/handle.go
+++ b/entry/handle.go
@@ -49,7 +49,7 @@
 		return nil, errNotHandled
 	}
 	if p := e.duties.planner(member.Report.Service); p != nil {
-		p.Replied(from.Peer().ID, reply)
+		p.HandleReply(from.Peer().ID, reply)
 	}
 	return &wire.GangReply{}, nil
 }
--- a/entry/http_jobs.go
+++ b/entry/http_jobs.go
@@ -116,7 +116,7 @@
 
 func acceptProblem(err error) *api.Problem {
 	switch {
-	case eris.Is(err, jobs.ErrMismatch):
+	case eris.Is(err, jobs.ErrIdempotencyKeyReused):
 		return api.NewProblem(api.ReasonKeyReused, "the key belongs to a job with another content")
 	case eris.Is(err, jobs.ErrOutcomeUnknown):
 		return api.Busy(api.ReasonAcceptanceLost, "the platform's store did not say whether it took the job; ask at Location, or submit it again with the same idempotency key", comeBack)
--- a/entry/http_jobs_test.go
+++ b/entry/http_jobs_test.go
@@ -50,7 +50,7 @@
 }
 
 func (s *queuedStore) Get(_ context.Context, key string) (store.KeyValue, bool, error) {
-	value, err := json.Marshal(jobs.Record{ID: jobs.IDOf(key), Service: "dispatch", State: jobs.Queued})
+	value, err := json.Marshal(jobs.Record{ID: jobs.IDFromKey(key), Service: "dispatch", State: jobs.Queued})
 	return store.KeyValue{Key: key, Value: value, Mod: 1}, true, err
 }
 
--- a/entry/inspect_job.go
+++ b/entry/inspect_job.go
@@ -32,28 +32,28 @@
 		return nil, noPlanner(service, "the planner of entry "+e.cfg.ID+" has ended or is too busy")
 	}
 	out := &api.JobReport{ID: id, Service: service, Planner: e.reportPlanner(service), At: time.Now()}
-	if !known || w.Stage == planner.StageRebuilding {
+	if !known || w.Stage == planner.StageLoadingRecords {
 		return e.explainRecord(ctx, out)
 	}
 	out.State = liveStatus(w.Status).State
 	out.Waits = waitOf(&w)
 	if w.Stage == planner.StageQueued {
-		out.Decided = w.Why.At
+		out.Decided = w.Explanation.At
 	}
 	return out, nil
 }
 
 // waitOf is why a job that its planner knows waits; nil if it does not.
-func waitOf(w *planner.Wait) *api.JobWait {
+func waitOf(w *planner.WaitStatus) *api.JobWait {
 	spec := w.Record.Spec
 	switch w.Stage {
 	case planner.StageQueued:
-		return schedulerWait(&w.Why)
+		return schedulerWait(&w.Explanation)
 	case planner.StageStarting:
 		return recordWait(spec, api.WaitStarting, sentenceStarting)
-	case planner.StageStoreOut:
+	case planner.StageStoreUnavailable:
 		return recordWait(spec, api.WaitStoreOut, sentenceStoreOut)
-	case planner.StageHeld:
+	case planner.StageUnresolvedPermit:
 		return recordWait(spec, api.WaitHeld, sentenceHeld)
 	case planner.StageEnding:
 		return recordWait(spec, api.WaitEnding, sentenceEnding)
--- a/entry/inspect_service.go
+++ b/entry/inspect_service.go
@@ -26,16 +26,16 @@
 	out.Service = service
 	out.Planner = e.reportPlanner(service)
 	out.Planner.Generation = r.Generation
-	out.StoreOut = r.StoreOut || !e.probe.answers(ctx, e.work, service)
+	out.StoreOut = r.StoreUnavailable || !e.probe.answers(ctx, e.work, service)
 	return out, nil
 }
 
 func reportOf(r *planner.Report, now time.Time) *api.Report {
 	out := &api.Report{
-		At:       r.Taken,
-		Age:      api.Duration(max(0, now.Sub(r.Taken))),
+		At:       r.TakenAt,
+		Age:      api.Duration(max(0, now.Sub(r.TakenAt))),
 		Decided:  r.At,
-		Settling: r.Settling || !r.Rebuilt,
+		Settling: r.Settling || !r.RecordsLoaded,
 		Capacity: api.ReportCapacity{
 			Accelerators:  r.Stats.Accelerators,
 			Free:          r.Stats.Free,
@@ -56,7 +56,7 @@
 		out.Capacity.FreeUnits[api.Adjacency(span.String())] = unitsOf(units)
 	}
 	for _, a := range r.Accounts {
-		out.Accounts = append(out.Accounts, accountOf(a, r.Waited[string(a.ID)], now))
+		out.Accounts = append(out.Accounts, accountOf(a, r.WaitTimes[string(a.ID)], now))
 	}
 	for i := range out.Accounts {
 		addWithheld(&out.Accounts[i], r.Withheld[out.Accounts[i].Account])
--- a/entry/jobs.go
+++ b/entry/jobs.go
@@ -81,7 +81,7 @@
 			return err
 		}, nil
 	}
-	all, err := e.jobs.All(ctx, service)
+	all, err := e.jobs.List(ctx, service)
 	if err != nil {
 		return nil, err
 	}
@@ -90,7 +90,7 @@
 		if !ok {
 			return jobs.ErrNotFound
 		}
-		_, err := e.jobs.CancelFrom(ctx, cur, time.Now())
+		_, err := e.jobs.CancelRecord(ctx, cur, time.Now())
 		return err
 	}, nil
 }
--- a/entry/members.go
+++ b/entry/members.go
@@ -175,7 +175,7 @@
 	case membership.Left:
 		m.e.agents.forget(id)
 		if p := m.e.duties.planner(member.Report.Service); p != nil {
-			p.Left(id)
+			p.HandleAgentLeft(id)
 		}
 	case membership.Joined, membership.Changed:
 		m.e.agents.place(id, member.Report.Address)
--- a/entry/members_planner.go
+++ b/entry/members_planner.go
@@ -22,18 +22,18 @@
 	if p == nil {
 		return
 	}
-	p.Observe(seen(member, r.Stamp, now.Add(-r.Age)))
+	p.HandleReport(seen(member, r.Stamp, now.Add(-r.Age)))
 	if relayed {
 		return
 	}
-	whole, stamp := p.Answer(r.ID)
+	whole, stamp := p.ReportAnswer(r.ID)
 	ack.Whole = append(ack.Whole, whole...)
 	ack.Stamp = stamp
 }
 
-func seen(member *membership.Member, stamp gang.Stamp, at time.Time) planner.Seen {
+func seen(member *membership.Member, stamp gang.PlannerTimestamp, at time.Time) planner.AgentReport {
 	r := &member.Report
-	return planner.Seen{
+	return planner.AgentReport{
 		Worker: scheduler.Worker{
 			ID:           scheduler.WorkerID(r.ID),
 			Zone:         r.Zone,
@@ -45,9 +45,9 @@
 		Incarnation: r.Incarnation,
 		Draining:    r.Draining,
 		Fence:       r.Fence,
-		Stamp:       stamp,
+		Timestamp:   stamp,
 		Tasks:       r.Tasks,
-		At:          at,
+		ReceivedAt:  at,
 	}
 }
 
@@ -55,6 +55,6 @@
 // as it is: only their own next reports prove that their gangs are whole.
 func (m *members) replay(service string, p *planner.Planner) {
 	for _, member := range m.table.Snapshot().Service(service).Members {
-		p.Observe(seen(member, wire.NoEvidence, clock.Now()))
+		p.HandleReport(seen(member, wire.NoEvidence, clock.Now()))
 	}
 }
--- a/entry/sharedlease.go
+++ b/entry/sharedlease.go
@@ -72,8 +72,8 @@
 	return id, nil
 }
 
-// Drop forgets a lease that the store no longer has, as after a restore.
-func (l *sharedLease) Drop(id store.LeaseID) {
+// Invalidate forgets a lease that the store no longer has, as after a restore.
+func (l *sharedLease) Invalidate(id store.LeaseID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.id == id {
--- a/gang/coordinator.go
+++ b/gang/coordinator.go
@@ -23,8 +23,8 @@
 	actions    []Action
 }
 
-// New returns the coordinator of a new attempt.
-func New(c Config, p Plan) *Coordinator {
+// NewCoordinator returns the coordinator of a new attempt.
+func NewCoordinator(c Config, p Plan) *Coordinator {
 	co := &Coordinator{config: c, plan: p}
 	for _, m := range p.Members {
 		co.peers = append(co.peers, &peer{placed: m, incarnation: m.Incarnation})
@@ -32,11 +32,11 @@
 	return co
 }
 
-// Resume returns a coordinator for an attempt that a job's record names and that
+// ResumeCoordinator returns a coordinator for an attempt that a job's record names and that
 // an earlier planner ran: it asks all members how far it got, forbids what was
 // not committed, and either carries on or ends it.
-func Resume(c Config, p Plan) *Coordinator {
-	co := New(c, p)
+func ResumeCoordinator(c Config, p Plan) *Coordinator {
+	co := NewCoordinator(c, p)
 	co.successor = true
 	co.recording = true
 	co.committing = true
@@ -65,17 +65,17 @@
 // otherwise than well.
 func (c *Coordinator) Running() bool { return c.phase == phaseRunning }
 
-// Over says whether Ended was returned.
-func (c *Coordinator) Over() bool { return c.phase == phaseEnded }
+// HasEnded says whether Ended was returned.
+func (c *Coordinator) HasEnded() bool { return c.phase == phaseEnded }
 
-// Whole says whether all members are known to have run within Config.Window.
+// AllMembersAlive says whether all members are known to have run within Config.Window.
 // Only then may a Contact name the attempt: members that are not renewed stop.
-func (c *Coordinator) Whole(now time.Time) bool {
+func (c *Coordinator) AllMembersAlive(now time.Time) bool {
 	if c.phase != phaseRunning {
 		return false
 	}
 	for _, p := range c.peers {
-		if p.task.State != StateEnded && now.Sub(p.heard) > c.config.Window {
+		if p.task.State != StateEnded && now.Sub(p.heard) > c.config.LivenessWindow {
 			return false
 		}
 	}
@@ -98,7 +98,7 @@
 		}
 	case Abort:
 		c.checkpoint = ev.Checkpoint
-		c.abort(CauseAbort, "")
+		c.abort(CauseAborted, "")
 	}
 }
 
@@ -170,7 +170,7 @@
 	for _, t := range r.Tasks {
 		if t.ID == c.plan.ID {
 			p.learn(t, r.Incarnation)
-			p.hear(r.Stamp.evidence(c.config.Epoch, c.now))
+			p.hear(r.Timestamp.evidence(c.config.Epoch, c.now))
 			return
 		}
 	}
--- a/gang/coordinator_action.go
+++ b/gang/coordinator_action.go
@@ -28,11 +28,11 @@
 type Ended struct {
 	Outcome Outcome
 	Cause   Cause
-	// Fault is the agent that the cause is about, if any.
-	Fault   string
-	Members []MemberResult
-	// Recorded says that the job's record may name this attempt.
-	Recorded bool
+	// CauseAgent is the agent that the cause is about, if any.
+	CauseAgent string
+	Members    []MemberResult
+	// MayBeRecorded says that the job's record may name this attempt.
+	MayBeRecorded bool
 }
 
 // MemberResult is how the attempt ended on one agent.
--- a/gang/coordinator_advance.go
+++ b/gang/coordinator_advance.go
@@ -156,9 +156,9 @@
 			continue
 		}
 		if p.task.Result == TaskFailed {
-			return c.abort(CauseTask, p.placed.Agent)
+			return c.abort(CauseTaskFailed, p.placed.Agent)
 		}
-		return c.abort(CauseMember, p.placed.Agent)
+		return c.abort(CauseMemberFailed, p.placed.Agent)
 	}
 	return false
 }
--- a/gang/coordinator_end.go
+++ b/gang/coordinator_end.go
@@ -27,7 +27,7 @@
 		return false
 	}
 	c.phase = phaseEnded
-	c.cause, c.fault = CauseStale, p.placed.Agent
+	c.cause, c.fault = CauseStaleEpoch, p.placed.Agent
 	c.emitEnded(Superseded)
 	return true
 }
@@ -35,7 +35,7 @@
 func (c *Coordinator) finish() bool {
 	c.phase = phaseEnded
 	outcome := c.outcome()
-	if outcome != Done || !c.config.KeepDone {
+	if outcome != Done || !c.config.RetainSucceeded {
 		c.closeAccounts()
 	}
 	c.emitEnded(outcome)
@@ -71,11 +71,11 @@
 	if first.IsZero() {
 		return first
 	}
-	return first.Add(c.config.Settle)
+	return first.Add(c.config.SettleTime)
 }
 
 func (c *Coordinator) emitEnded(o Outcome) {
-	e := Ended{Outcome: o, Cause: c.cause, Fault: c.fault, Recorded: c.recording}
+	e := Ended{Outcome: o, Cause: c.cause, CauseAgent: c.fault, MayBeRecorded: c.recording}
 	for _, p := range c.peers {
 		e.Members = append(e.Members, p.result())
 	}
@@ -135,4 +135,4 @@
 
 // holdMargin is how long reserving and recording may take, so that the Commits
 // still arrive within the hold.
-func (c *Coordinator) holdMargin() time.Duration { return c.config.Hold * 3 / 4 }
+func (c *Coordinator) holdMargin() time.Duration { return c.config.HoldTimeout * 3 / 4 }
--- a/gang/coordinator_event.go
+++ b/gang/coordinator_event.go
@@ -20,9 +20,9 @@
 	Incarnation uint64
 	// Fence is Member.Fence as of the report.
 	Fence uint64
-	// Stamp is Member.Stamp as of the report.
-	Stamp Stamp
-	Tasks []Task
+	// Timestamp is Member.Timestamp as of the report.
+	Timestamp PlannerTimestamp
+	Tasks     []Task
 }
 
 // RecordResult is the outcome of a Record action.
--- a/gang/coordinator_send.go
+++ b/gang/coordinator_send.go
@@ -18,7 +18,7 @@
 }
 
 func (c *Coordinator) due(sent time.Time) bool {
-	return sent.IsZero() || !c.now.Before(sent.Add(c.config.Resend))
+	return sent.IsZero() || !c.now.Before(sent.Add(c.config.ResendInterval))
 }
 
 // awaits says whether the phase waits for an answer of the member.
@@ -46,7 +46,7 @@
 			Header:       h,
 			Accelerators: p.placed.Accelerators,
 			Members:      len(c.peers),
-			Hold:         c.config.Hold,
+			Hold:         c.config.HoldTimeout,
 			Spec:         p.placed.Spec,
 		}
 	case phaseResolving:
@@ -81,7 +81,7 @@
 		earlier(c.began.Add(c.holdMargin()))
 	case phaseRecording:
 		earlier(c.began.Add(c.holdMargin()))
-		earlier(c.recordSent.Add(c.config.Resend))
+		earlier(c.recordSent.Add(c.config.ResendInterval))
 	case phaseStarting:
 		earlier(c.entered.Add(c.config.startWithin()))
 	case phaseStopping:
@@ -91,7 +91,7 @@
 	}
 	for _, p := range c.peers {
 		if c.awaits(p) {
-			earlier(p.sent.Add(c.config.Resend))
+			earlier(p.sent.Add(c.config.ResendInterval))
 		}
 	}
 	if !next.IsZero() {
--- a/gang/isolation.go
+++ b/gang/isolation.go
@@ -2,6 +2,6 @@
 
 import "time"
 
-// SetIsolation changes MemberConfig.Isolation. It holds for deadlines set from
+// SetIsolationTimeout changes MemberConfig.Isolation. It holds for deadlines set from
 // then on.
-func (m *Member) SetIsolation(d time.Duration) { m.config.Isolation = d }
+func (m *Member) SetIsolationTimeout(d time.Duration) { m.config.IsolationTimeout = d }
--- a/gang/member.go
+++ b/gang/member.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// DefaultTombstones is how many ended attempts a Member remembers by default.
-const DefaultTombstones = 1024
+// DefaultMaxTombstones is how many ended attempts a Member remembers by default.
+const DefaultMaxTombstones = 1024
 
 // MemberConfig is the fixed part of a Member.
 type MemberConfig struct {
@@ -14,12 +14,12 @@
 	Accelerators int
 	// Incarnation grows with each start of the agent's process.
 	Incarnation uint64
-	// Isolation is how long a task of several members runs without hearing that
-	// its gang is whole. Coordinator.Whole's window, Isolation and the time that
+	// IsolationTimeout is how long a task of several members runs without hearing that
+	// its gang is whole. Coordinator.Whole's window, IsolationTimeout and the time that
 	// a stop takes must add up to less than the planner's loss timeout.
-	Isolation time.Duration
-	// Tombstones bounds the memory of ended attempts; 0 means the default.
-	Tombstones int
+	IsolationTimeout time.Duration
+	// MaxTombstones bounds the memory of ended attempts; 0 means the default.
+	MaxTombstones int
 }
 
 // Member is the agent's side of all attempts on its worker. It is not safe for
@@ -27,10 +27,10 @@
 type Member struct {
 	config   MemberConfig
 	attempts map[ID]*attempt
-	owners   []*attempt // by accelerator; nil is free
-	fence    uint64     // highest epoch heard of
-	floor    ID         // highest attempt that was forgotten
-	stamp    Stamp      // of the last answer to a report
+	owners   []*attempt       // by accelerator; nil is free
+	fence    uint64           // highest epoch heard of
+	floor    ID               // highest attempt that was forgotten
+	stamp    PlannerTimestamp // of the last answer to a report
 	ended    int
 	ready    bool
 	draining bool
@@ -50,8 +50,8 @@
 
 // NewMember returns a member that refuses everything until Adopted.
 func NewMember(c MemberConfig) *Member {
-	if c.Tombstones == 0 {
-		c.Tombstones = DefaultTombstones
+	if c.MaxTombstones == 0 {
+		c.MaxTombstones = DefaultMaxTombstones
 	}
 	return &Member{
 		config:   c,
@@ -65,14 +65,14 @@
 	m.now, m.actions = now, nil
 	// A renewal that waited behind a pause is taken before deadlines act, and
 	// a message after them: a hold that has expired must not be committed.
-	if c, ok := ev.(Contact); ok {
+	if c, ok := ev.(ReportAnswered); ok {
 		m.contact(c)
 	}
 	m.expire()
 	switch ev := ev.(type) {
 	case Received:
 		m.receive(ev)
-	case Adopted:
+	case TasksRecovered:
 		m.adopt(ev.Tasks)
 	case TaskEnded:
 		m.taskEnded(ev)
@@ -96,8 +96,8 @@
 	return tasks
 }
 
-// Free lists the accelerators that are in no attempt.
-func (m *Member) Free() []int {
+// FreeAccelerators lists the accelerators that are in no attempt.
+func (m *Member) FreeAccelerators() []int {
 	var free []int
 	for i, a := range m.owners {
 		if a == nil {
@@ -110,8 +110,8 @@
 // Ready says whether Adopted has been handled.
 func (m *Member) Ready() bool { return m.ready }
 
-// Stamp returns that of the last Contact, for the next report.
-func (m *Member) Stamp() Stamp { return m.stamp }
+// Timestamp returns that of the last Contact, for the next report.
+func (m *Member) Timestamp() PlannerTimestamp { return m.stamp }
 
 // Fence returns the highest epoch that the member has heard of.
 func (m *Member) Fence() uint64 { return m.fence }
@@ -141,7 +141,7 @@
 		return
 	}
 	a.task.State = StateRunning
-	until := m.now.Add(m.config.Isolation)
+	until := m.now.Add(m.config.IsolationTimeout)
 	if known := time.Unix(0, t.RunUntil); t.RunUntil != 0 && known.Before(until) {
 		until = known
 	}
@@ -166,14 +166,14 @@
 	}
 }
 
-func (m *Member) contact(c Contact) {
-	m.stamp = c.Stamp
-	for _, id := range c.Whole {
+func (m *Member) contact(c ReportAnswered) {
+	m.stamp = c.Timestamp
+	for _, id := range c.Renewed {
 		a := m.attempts[id]
 		if a == nil || a.task.State != StateRunning {
 			continue
 		}
-		if d := c.At.Add(m.config.Isolation); d.After(a.deadline) {
+		if d := c.SentAt.Add(m.config.IsolationTimeout); d.After(a.deadline) {
 			a.runUntil(d)
 		}
 	}
--- a/gang/member_action.go
+++ b/gang/member_action.go
@@ -26,10 +26,10 @@
 	Checkpoint bool
 }
 
-// WakeMember asks for a Tick at At.
-type WakeMember struct{ At time.Time }
+// TickAt asks for a Tick at At.
+type TickAt struct{ At time.Time }
 
-func (SendReply) memberAction()  {}
-func (StartTask) memberAction()  {}
-func (StopTask) memberAction()   {}
-func (WakeMember) memberAction() {}
+func (SendReply) memberAction() {}
+func (StartTask) memberAction() {}
+func (StopTask) memberAction()  {}
+func (TickAt) memberAction()    {}
--- a/gang/member_deadline.go
+++ b/gang/member_deadline.go
@@ -51,6 +51,6 @@
 		}
 	}
 	if !next.IsZero() {
-		m.actions = append(m.actions, WakeMember{At: next})
+		m.actions = append(m.actions, TickAt{At: next})
 	}
 }
--- a/gang/member_event.go
+++ b/gang/member_event.go
@@ -13,13 +13,13 @@
 	Message Message
 }
 
-// Adopted opens a new Member: it lists the tasks that the target runs from
+// TasksRecovered opens a new Member: it lists the tasks that the target runs from
 // before the agent's restart, and as StateEnded with their results those that
 // have ended and that it still remembers. Until then all messages are refused, because an
 // accelerator that looks free may be in use. The target must refuse a start
 // that an earlier incarnation of the agent sent and that arrives after the
 // listing.
-type Adopted struct{ Tasks []Task }
+type TasksRecovered struct{ Tasks []Task }
 
 // TaskEnded is the end of a task at the target, for whatever reason.
 type TaskEnded struct {
@@ -29,14 +29,14 @@
 	Detail       string
 }
 
-// Contact is an answer to a report. Whole lists the attempts of several members
+// ReportAnswered is an answer to a report. Whole lists the attempts of several members
 // that the planner holds whole (Coordinator.Whole); their tasks may run on for
 // Isolation after At, the time when the answered report was sent.
-type Contact struct {
-	At    time.Time
-	Whole []ID
-	// Stamp is the planner's; the next report returns it.
-	Stamp Stamp
+type ReportAnswered struct {
+	SentAt  time.Time
+	Renewed []ID
+	// Timestamp is the planner's; the next report returns it.
+	Timestamp PlannerTimestamp
 }
 
 // Drain makes the member refuse new reservations for good.
@@ -45,9 +45,9 @@
 // Tick lets deadlines act; it is due at the last WakeMember.
 type Tick struct{}
 
-func (Received) memberEvent()  {}
-func (Adopted) memberEvent()   {}
-func (TaskEnded) memberEvent() {}
-func (Contact) memberEvent()   {}
-func (Drain) memberEvent()     {}
-func (Tick) memberEvent()      {}
+func (Received) memberEvent()       {}
+func (TasksRecovered) memberEvent() {}
+func (TaskEnded) memberEvent()      {}
+func (ReportAnswered) memberEvent() {}
+func (Drain) memberEvent()          {}
+func (Tick) memberEvent()           {}
--- a/gang/member_grant.go
+++ b/gang/member_grant.go
@@ -53,7 +53,7 @@
 // committed. The floor prevents both: IDs at or below it that have no account
 // are answered Forgotten, which proves nothing and permits nothing.
 func (m *Member) forget() {
-	for m.ended > m.config.Tombstones {
+	for m.ended > m.config.MaxTombstones {
 		oldest := m.oldestTombstone()
 		if oldest.task.ID.Compare(m.floor) > 0 {
 			m.floor = oldest.task.ID
--- a/gang/member_receive.go
+++ b/gang/member_receive.go
@@ -35,7 +35,7 @@
 	}
 	switch msg := msg.(type) {
 	case Reserve:
-		return acceptIf(a.task.State != StateEnded, Sealed)
+		return acceptIf(a.task.State != StateEnded, AlreadyEnded)
 	case Commit:
 		return m.commit(a)
 	case Start:
@@ -69,7 +69,7 @@
 	case Stop, Seal:
 		return Accepted
 	}
-	return Sealed
+	return AlreadyEnded
 }
 
 func (m *Member) reserve(r Reserve) Refusal {
@@ -101,7 +101,7 @@
 func (m *Member) commit(a *attempt) Refusal {
 	switch a.task.State {
 	case StateEnded:
-		return Sealed
+		return AlreadyEnded
 	case StateReserved:
 		a.task.State = StateCommitted
 		a.task.Committed = true
@@ -112,13 +112,13 @@
 func (m *Member) start(a *attempt) Refusal {
 	switch a.task.State {
 	case StateEnded:
-		return Sealed
+		return AlreadyEnded
 	case StateReserved:
 		return Invalid
 	case StateCommitted:
 		a.task.State = StateRunning
 		a.task.Started = true
-		a.runUntil(m.now.Add(m.config.Isolation))
+		a.runUntil(m.now.Add(m.config.IsolationTimeout))
 		m.actions = append(m.actions, StartTask{Task: a.task, Spec: a.spec})
 		a.spec = nil
 	}
--- a/gang/outcome.go
+++ b/gang/outcome.go
@@ -38,8 +38,8 @@
 const (
 	// NoCause: it was not given up.
 	NoCause Cause = iota
-	// CauseAbort: the caller asked for it.
-	CauseAbort
+	// CauseAborted: the caller asked for it.
+	CauseAborted
 	// CauseRefused: a member refused the reservation.
 	CauseRefused
 	// CauseTimeout: reserving and recording took longer than the hold allows, or
@@ -47,12 +47,12 @@
 	CauseTimeout
 	// CauseConflict: the job's record names another attempt.
 	CauseConflict
-	// CauseMember: a member was lost, restarted, or gave up its hold.
-	CauseMember
-	// CauseTask: a task failed.
-	CauseTask
-	// CauseStale: a member has heard of a planner with a higher epoch.
-	CauseStale
+	// CauseMemberFailed: a member was lost, restarted, or gave up its hold.
+	CauseMemberFailed
+	// CauseTaskFailed: a task failed.
+	CauseTaskFailed
+	// CauseStaleEpoch: a member has heard of a planner with a higher epoch.
+	CauseStaleEpoch
 )
 
 var causeNames = [...]string{
--- a/gang/peer.go
+++ b/gang/peer.go
@@ -4,7 +4,7 @@
 
 // peer is what a coordinator knows of one member.
 type peer struct {
-	placed      Placed
+	placed      PlannedMember
 	task        Task      // its furthest account
 	incarnation uint64    // highest heard of
 	heard       time.Time // up to when the task is known to have run
--- a/gang/refusal.go
+++ b/gang/refusal.go
@@ -17,8 +17,8 @@
 	WrongIncarnation
 	// NotReady: the agent has not yet learnt what its target runs.
 	NotReady
-	// Sealed: the attempt has ended on this member.
-	Sealed
+	// AlreadyEnded: the attempt has ended on this member.
+	AlreadyEnded
 	// Forgotten: the attempt is older than what the member remembers, so that
 	// nothing can be said about it.
 	Forgotten
--- a/gang/search.go
+++ b/gang/search.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Witness is what a successor knows of an agent that it hears.
-type Witness struct {
+// AgentView is what a successor knows of an agent that it hears.
+type AgentView struct {
 	Agent       string
 	Incarnation uint64
-	// Fenced is when the incarnation first reported the successor's epoch as its
+	// FencedAt is when the incarnation first reported the successor's epoch as its
 	// fence, zero if it has not yet.
-	Fenced time.Time
-	// Asked is when the incarnation was first sent a fence, zero if it was not.
-	Asked time.Time
+	FencedAt time.Time
+	// FenceSentAt is when the incarnation was first sent a fence, zero if it was not.
+	FenceSentAt time.Time
 	// Tasks are those of the last report.
 	Tasks []Task
 }
 
 // SearchConfig is the timing of a Search.
 type SearchConfig struct {
-	// Wait is the loss timeout.
-	Wait time.Duration
-	// Settle is Config.Settle.
-	Settle time.Duration
+	// LossTimeout is the loss timeout.
+	LossTimeout time.Duration
+	// SettleTime is Config.SettleTime.
+	SettleTime time.Duration
 }
 
 // Search is a successor's look at all agents for what its predecessors started on
@@ -50,27 +50,27 @@
 // complete says whether all members of the gang hold an account of the attempt.
 func (r *remains) complete() bool { return len(r.plan.Members) == r.size }
 
-// Verdict is what a Search says of a permit.
-type Verdict uint8
+// SearchResult is what a Search says of a permit.
+type SearchResult uint8
 
 // Verdicts of a Search.
 const (
-	// Waiting: the job may be running somewhere; its tasks must be left alone.
-	Waiting Verdict = iota
+	// SearchPending: the job may be running somewhere; its tasks must be left alone.
+	SearchPending SearchResult = iota
 	// Adoptable: the returned plan is an attempt of which all members hold an
 	// account. Resume tells how far it got, or how it ended.
 	Adoptable
 	// Incomplete: part of an attempt is left and the rest is not coming. Its tasks
 	// have to be stopped.
 	Incomplete
-	// Vanished: no agent that can be reached holds anything of the job or will
+	// NotFound: no agent that can be reached holds anything of the job or will
 	// start it, and what the others may hold does not run partially. The job may
 	// have run: this is no proof that it did not.
-	Vanished
+	NotFound
 )
 
 // NewSearch looks at all agents that are not lost.
-func NewSearch(c SearchConfig, now time.Time, agents []Witness) *Search {
+func NewSearch(c SearchConfig, now time.Time, agents []AgentView) *Search {
 	s := &Search{config: c, now: now, fenced: true, found: make(map[string][]remains)}
 	for _, w := range agents {
 		s.fenced = s.fenced && s.refuses(w)
@@ -85,18 +85,18 @@
 // One that reports and can't be told, because its path is broken one way or its
 // target does not answer it, counts as lost in the end: it would keep every job
 // with a permit from starting.
-func (s *Search) refuses(w Witness) bool {
-	if w.Fenced.IsZero() {
-		return !w.Asked.IsZero() && s.now.Sub(w.Asked) >= 2*s.config.Wait
+func (s *Search) refuses(w AgentView) bool {
+	if w.FencedAt.IsZero() {
+		return !w.FenceSentAt.IsZero() && s.now.Sub(w.FenceSentAt) >= 2*s.config.LossTimeout
 	}
-	return s.now.Sub(w.Fenced) >= s.config.Settle
+	return s.now.Sub(w.FencedAt) >= s.config.SettleTime
 }
 
 // add enters a task. A reservation is none: it expires, and with the fence up it
 // can't be committed. Accounts from before the fence may still change and count
 // only as something that is there.
-func (s *Search) add(w Witness, t Task) {
-	if t.State == StateReserved && !w.Fenced.IsZero() {
+func (s *Search) add(w AgentView, t Task) {
+	if t.State == StateReserved && !w.FencedAt.IsZero() {
 		return
 	}
 	all := s.found[t.ID.Job]
@@ -106,13 +106,13 @@
 		all = append(all, remains{plan: Plan{ID: t.ID}, size: t.Members})
 	}
 	r := &all[i]
-	r.plan.Members = append(r.plan.Members, Placed{
+	r.plan.Members = append(r.plan.Members, PlannedMember{
 		Agent:        w.Agent,
 		Incarnation:  w.Incarnation,
 		Accelerators: t.Accelerators,
 	})
 	held := peer{task: t}
-	r.broken = r.broken || w.Fenced.IsZero() || !held.reached(StateCommitted)
+	r.broken = r.broken || w.FencedAt.IsZero() || !held.reached(StateCommitted)
 	s.found[t.ID.Job] = all
 }
 
@@ -126,18 +126,18 @@
 // A gang with no member among them can still run, whole, which is what repeatable
 // jobs allow. An attempt that is whole need not wait; one that has ended must, since
 // the job may have been started again elsewhere.
-func (s *Search) Resolve(job string, epoch uint64, began time.Time) (Verdict, Plan) {
+func (s *Search) Resolve(job string, epoch uint64, began time.Time) (SearchResult, Plan) {
 	last, left := s.last(job, epoch)
-	waiting := s.now.Sub(began) < s.config.Wait || !s.fenced
+	waiting := s.now.Sub(began) < s.config.LossTimeout || !s.fenced
 	switch {
 	case last != nil && (!waiting || !last.broken):
 		return Adoptable, last.plan
 	case waiting:
-		return Waiting, Plan{}
+		return SearchPending, Plan{}
 	case left:
 		return Incomplete, Plan{}
 	}
-	return Vanished, Plan{}
+	return NotFound, Plan{}
 }
 
 // last returns the last attempt under the epoch that is complete, and whether
@@ -158,8 +158,8 @@
 	return last, left
 }
 
-// Fence returns a message that raises the fence of an agent and concerns no job:
+// FenceMessage returns a message that raises the fence of an agent and concerns no job:
 // planners with lower epochs can't start anything there after it.
-func Fence(epoch, incarnation uint64) Seal {
+func FenceMessage(epoch, incarnation uint64) Seal {
 	return Seal{Header: Header{ID: ID{Epoch: epoch}, Sender: epoch, Incarnation: incarnation}}
 }
--- a/gang/search_test.go
+++ b/gang/search_test.go
@@ -24,39 +24,39 @@
 		task.State, task.Result = s, r
 		return task
 	}
-	agent := func(name string, fenced time.Duration, tasks ...Task) Witness {
-		return Witness{Agent: name, Incarnation: 1, Fenced: began.Add(fenced), Tasks: tasks}
+	agent := func(name string, fenced time.Duration, tasks ...Task) AgentView {
+		return AgentView{Agent: name, Incarnation: 1, FencedAt: began.Add(fenced), Tasks: tasks}
 	}
-	unfenced := func(name string, tasks ...Task) Witness {
-		return Witness{Agent: name, Incarnation: 1, Tasks: tasks}
+	unfenced := func(name string, tasks ...Task) AgentView {
+		return AgentView{Agent: name, Incarnation: 1, Tasks: tasks}
 	}
 	for name, row := range map[string]struct {
 		after  time.Duration
-		agents []Witness
-		want   Verdict
+		agents []AgentView
+		want   SearchResult
 	}{
-		"whole":                      {time.Second, []Witness{agent("a", 0, running), agent("b", 0, running)}, Adoptable},
-		"whole, one done":            {time.Second, []Witness{agent("a", 0, with(StateEnded, Succeeded)), agent("b", 0, running)}, Adoptable},
-		"whole, not yet started":     {time.Second, []Witness{agent("a", 0, with(StateCommitted, NoResult)), agent("b", 0, with(StateCommitted, NoResult))}, Adoptable},
-		"whole, one not fenced":      {time.Second, []Witness{agent("a", 0, running), unfenced("b", running)}, Waiting},
-		"part of it, too early":      {wait - 1, []Witness{agent("a", 0, running)}, Waiting},
-		"part of it":                 {wait, []Witness{agent("a", 0, running)}, Incomplete},
-		"one failed, too early":      {wait - 1, []Witness{agent("a", 0, running), agent("b", 0, with(StateEnded, TaskFailed))}, Waiting},
-		"one failed":                 {wait, []Witness{agent("a", 0, running), agent("b", 0, with(StateEnded, TaskFailed))}, Adoptable},
-		"both isolated":              {wait, []Witness{agent("a", 0, with(StateEnded, Isolated)), agent("b", 0, with(StateEnded, Isolated))}, Adoptable},
-		"one only reserved":          {wait, []Witness{agent("a", 0, running), agent("b", 0, with(StateReserved, NoResult))}, Incomplete},
-		"nothing, too early":         {wait - 1, []Witness{agent("a", 0), agent("b", 0)}, Waiting},
-		"nothing, one not fenced":    {time.Hour, []Witness{agent("a", 0), unfenced("b")}, Waiting},
-		"nothing, one can't be told": {2 * wait, []Witness{agent("a", 0), {Agent: "b", Asked: began}}, Vanished},
-		"nothing, one was just told": {2 * wait, []Witness{agent("a", 0), {Agent: "b", Asked: began.Add(1)}}, Waiting},
-		"nothing, one just fenced":   {wait, []Witness{agent("a", 0), agent("b", wait-settle+1)}, Waiting},
-		"nothing":                    {wait, []Witness{agent("a", 0), agent("b", wait-settle)}, Vanished},
-		"only reserved":              {wait, []Witness{agent("a", 0, with(StateReserved, NoResult))}, Vanished},
-		"nobody there":               {wait, nil, Vanished},
+		"whole":                      {time.Second, []AgentView{agent("a", 0, running), agent("b", 0, running)}, Adoptable},
+		"whole, one done":            {time.Second, []AgentView{agent("a", 0, with(StateEnded, Succeeded)), agent("b", 0, running)}, Adoptable},
+		"whole, not yet started":     {time.Second, []AgentView{agent("a", 0, with(StateCommitted, NoResult)), agent("b", 0, with(StateCommitted, NoResult))}, Adoptable},
+		"whole, one not fenced":      {time.Second, []AgentView{agent("a", 0, running), unfenced("b", running)}, SearchPending},
+		"part of it, too early":      {wait - 1, []AgentView{agent("a", 0, running)}, SearchPending},
+		"part of it":                 {wait, []AgentView{agent("a", 0, running)}, Incomplete},
+		"one failed, too early":      {wait - 1, []AgentView{agent("a", 0, running), agent("b", 0, with(StateEnded, TaskFailed))}, SearchPending},
+		"one failed":                 {wait, []AgentView{agent("a", 0, running), agent("b", 0, with(StateEnded, TaskFailed))}, Adoptable},
+		"both isolated":              {wait, []AgentView{agent("a", 0, with(StateEnded, Isolated)), agent("b", 0, with(StateEnded, Isolated))}, Adoptable},
+		"one only reserved":          {wait, []AgentView{agent("a", 0, running), agent("b", 0, with(StateReserved, NoResult))}, Incomplete},
+		"nothing, too early":         {wait - 1, []AgentView{agent("a", 0), agent("b", 0)}, SearchPending},
+		"nothing, one not fenced":    {time.Hour, []AgentView{agent("a", 0), unfenced("b")}, SearchPending},
+		"nothing, one can't be told": {2 * wait, []AgentView{agent("a", 0), {Agent: "b", FenceSentAt: began}}, NotFound},
+		"nothing, one was just told": {2 * wait, []AgentView{agent("a", 0), {Agent: "b", FenceSentAt: began.Add(1)}}, SearchPending},
+		"nothing, one just fenced":   {wait, []AgentView{agent("a", 0), agent("b", wait-settle+1)}, SearchPending},
+		"nothing":                    {wait, []AgentView{agent("a", 0), agent("b", wait-settle)}, NotFound},
+		"only reserved":              {wait, []AgentView{agent("a", 0, with(StateReserved, NoResult))}, NotFound},
+		"nobody there":               {wait, nil, NotFound},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			s := NewSearch(SearchConfig{Wait: wait, Settle: settle}, began.Add(row.after), row.agents)
+			s := NewSearch(SearchConfig{LossTimeout: wait, SettleTime: settle}, began.Add(row.after), row.agents)
 			verdict, plan := s.Resolve("j", 1, began)
 			c.Check(verdict, qt.Equals, row.want)
 			if verdict == Adoptable {
@@ -64,7 +64,7 @@
 				c.Check(plan.Members, qt.HasLen, 2)
 			}
 			other, _ := s.Resolve("j", 2, began)
-			c.Check(other == Waiting || other == Vanished, qt.IsTrue)
+			c.Check(other == SearchPending || other == NotFound, qt.IsTrue)
 		})
 	}
 }
@@ -77,9 +77,9 @@
 	task := func(number uint64) Task {
 		return Task{ID: ID{Job: "j", Epoch: 1, Number: number}, State: StateCommitted, Members: 1}
 	}
-	s := NewSearch(SearchConfig{}, now, []Witness{
-		{Agent: "a", Incarnation: 1, Fenced: now, Tasks: []Task{task(9)}},
-		{Agent: "b", Incarnation: 1, Fenced: now, Tasks: []Task{task(8)}},
+	s := NewSearch(SearchConfig{}, now, []AgentView{
+		{Agent: "a", Incarnation: 1, FencedAt: now, Tasks: []Task{task(9)}},
+		{Agent: "b", Incarnation: 1, FencedAt: now, Tasks: []Task{task(8)}},
 	})
 	verdict, plan := s.Resolve("j", 1, now)
 	c.Assert(verdict, qt.Equals, Adoptable)
--- a/gang/sim_agent_test.go
+++ b/gang/sim_agent_test.go
@@ -21,13 +21,13 @@
 	a.incarnation++
 	a.since = a.w.now
 	a.member = NewMember(MemberConfig{
-		Accelerators: simGPUs,
-		Incarnation:  a.incarnation,
-		Isolation:    simIsolation,
-		Tombstones:   8,
+		Accelerators:     simGPUs,
+		Incarnation:      a.incarnation,
+		IsolationTimeout: simIsolation,
+		MaxTombstones:    8,
 	})
 	a.w.stats.adopted += len(a.tasks)
-	a.step(Adopted{Tasks: slices.Concat(a.tasks, a.finished)})
+	a.step(TasksRecovered{Tasks: slices.Concat(a.tasks, a.finished)})
 	a.finished = nil
 }
 
@@ -95,7 +95,7 @@
 
 func (a *simAgent) report() {
 	sent := a.w.now
-	r := Reported{a.name, a.incarnation, a.member.Fence(), a.member.Stamp(), a.member.Tasks()}
+	r := Reported{a.name, a.incarnation, a.member.Fence(), a.member.Timestamp(), a.member.Tasks()}
 	for _, p := range a.w.planners {
 		a.w.send(p, a, func() { p.report(a, sent, r) })
 	}
--- a/gang/sim_check_test.go
+++ b/gang/sim_check_test.go
@@ -193,7 +193,7 @@
 		}
 	}
 	for _, a := range w.agents {
-		if free := a.member.Free(); len(free) != simGPUs || len(a.tasks) > 0 {
+		if free := a.member.FreeAccelerators(); len(free) != simGPUs || len(a.tasks) > 0 {
 			w.fail("%s still holds %v, %d tasks", a.name, a.member.Tasks(), len(a.tasks))
 		}
 	}
--- a/gang/sim_permit_test.go
+++ b/gang/sim_permit_test.go
@@ -102,17 +102,17 @@
 		return
 	}
 	p.raiseFences()
-	s := NewSearch(SearchConfig{Wait: simLoss, Settle: simSettle}, p.w.now, p.witnesses())
+	s := NewSearch(SearchConfig{LossTimeout: simLoss, SettleTime: simSettle}, p.w.now, p.witnesses())
 	verdict, plan := s.Resolve(p.w.jobs[job].name, rec.permit, h.since)
 	switch verdict {
 	case Adoptable:
 		p.w.stats.found++
 		delete(p.held, job)
-		co := Resume(p.keepDone(), plan)
+		co := ResumeCoordinator(p.keepDone(), plan)
 		p.start(&simRun{job: job, co: co, onPermit: true})
 	case Incomplete:
 		h.incomplete = true
-	case Vanished:
+	case NotFound:
 		h.cleared = true
 	}
 }
@@ -125,7 +125,7 @@
 		return
 	}
 	if plan, ok := p.plan(job); ok {
-		p.launch(job, New(p.config(), plan))
+		p.launch(job, NewCoordinator(p.config(), plan))
 	}
 }
 
@@ -148,7 +148,7 @@
 func (p *simPlanner) raiseFences() {
 	for i, a := range p.w.agents {
 		if p.known[i] != 0 && p.fenced[i].IsZero() {
-			p.sendTo(a, Fence(p.epoch, p.known[i]))
+			p.sendTo(a, FenceMessage(p.epoch, p.known[i]))
 			if p.asked[i].IsZero() {
 				p.asked[i] = p.w.now
 			}
@@ -156,11 +156,11 @@
 	}
 }
 
-func (p *simPlanner) witnesses() []Witness {
-	var all []Witness
+func (p *simPlanner) witnesses() []AgentView {
+	var all []AgentView
 	for i, a := range p.w.agents {
 		if p.known[i] != 0 && p.w.now.Sub(p.heard[i]) <= simLoss {
-			all = append(all, Witness{a.name, p.known[i], p.fenced[i], p.asked[i], p.tasks[i]})
+			all = append(all, AgentView{a.name, p.known[i], p.fenced[i], p.asked[i], p.tasks[i]})
 		}
 	}
 	return all
@@ -217,7 +217,7 @@
 
 func (p *simPlanner) keepDone() Config {
 	c := p.config()
-	c.KeepDone = true
+	c.RetainSucceeded = true
 	return c
 }
 
--- a/gang/sim_planner_test.go
+++ b/gang/sim_planner_test.go
@@ -155,15 +155,15 @@
 		p.endPermitted(job, !p.permit(job).ran)
 	case p.usable(job):
 		if plan, ok := p.plan(job); ok {
-			p.start(&simRun{job: job, co: New(p.keepDone(), plan), onPermit: true})
+			p.start(&simRun{job: job, co: NewCoordinator(p.keepDone(), plan), onPermit: true})
 		}
 	case rec.state == simQueued && rec.attempts == 0 && p.w.jobs[job].repeatable && p.w.chance(p.w.eager):
 		p.writePermit(job)
 	case rec.state == simStarting && rec.plan.ID.Epoch <= p.epoch:
-		p.launch(job, Resume(p.config(), rec.plan))
+		p.launch(job, ResumeCoordinator(p.config(), rec.plan))
 	case rec.state == simQueued, rec.state == simPermitted:
 		if plan, ok := p.plan(job); ok {
-			p.launch(job, New(p.config(), plan))
+			p.launch(job, NewCoordinator(p.config(), plan))
 		}
 	}
 }
@@ -184,12 +184,12 @@
 
 func (p *simPlanner) config() Config {
 	return Config{
-		Epoch:       p.epoch,
-		Resend:      2 * time.Second,
-		Hold:        20 * time.Second,
-		Window:      simWindow,
-		Settle:      simSettle,
-		StartWithin: simStartWithin,
+		Epoch:          p.epoch,
+		ResendInterval: 2 * time.Second,
+		HoldTimeout:    20 * time.Second,
+		LivenessWindow: simWindow,
+		SettleTime:     simSettle,
+		StartTimeout:   simStartWithin,
 	}
 }
 
@@ -202,7 +202,7 @@
 			return plan, false
 		}
 		gpus := p.w.rng.Perm(simGPUs)[:1+p.w.rng.IntN(simGPUs)]
-		plan.Members = append(plan.Members, Placed{p.w.agents[i].name, p.known[i], gpus, nil})
+		plan.Members = append(plan.Members, PlannedMember{p.w.agents[i].name, p.known[i], gpus, nil})
 	}
 	return plan, true
 }
@@ -331,13 +331,13 @@
 		var whole []ID
 		for _, run := range slices.Clone(p.runs) {
 			p.step(run, r)
-			if run.co.Whole(p.w.now) {
+			if run.co.AllMembersAlive(p.w.now) {
 				whole = append(whole, run.co.Plan().ID)
 			}
 		}
-		p.w.send(p, a, func() { a.step(Contact{sent, whole, NewStamp(p.epoch, p.w.now)}) })
+		p.w.send(p, a, func() { a.step(ReportAnswered{sent, whole, NewPlannerTimestamp(p.epoch, p.w.now)}) })
 		for _, t := range r.Tasks {
-			if stop, ok := Orphan(t, r.Incarnation, p.epoch); ok && !p.knows(t.ID) {
+			if stop, ok := OrphanStop(t, r.Incarnation, p.epoch); ok && !p.knows(t.ID) {
 				p.sendTo(a, stop)
 			}
 		}
@@ -346,7 +346,7 @@
 
 func (p *simPlanner) knows(id ID) bool {
 	for _, r := range p.runs {
-		if r.co.Plan().ID == id && !r.co.Over() {
+		if r.co.Plan().ID == id && !r.co.HasEnded() {
 			return true
 		}
 	}
--- a/gang/stories_test.go
+++ b/gang/stories_test.go
@@ -14,30 +14,30 @@
 
 func testConfig(epoch uint64) Config {
 	return Config{
-		Epoch:  epoch,
-		Resend: time.Second,
-		Hold:   20 * time.Second,
-		Window: 6 * time.Second,
-		Settle: 25 * time.Second,
+		Epoch:          epoch,
+		ResendInterval: time.Second,
+		HoldTimeout:    20 * time.Second,
+		LivenessWindow: 6 * time.Second,
+		SettleTime:     25 * time.Second,
 	}
 }
 
 func testPlan(agents ...string) Plan {
 	p := Plan{ID: attempt1}
 	for _, a := range agents {
-		p.Members = append(p.Members, Placed{Agent: a, Incarnation: 1, Accelerators: []int{0}})
+		p.Members = append(p.Members, PlannedMember{Agent: a, Incarnation: 1, Accelerators: []int{0}})
 	}
 	return p
 }
 
 func testMember(incarnation uint64, tasks ...Task) *Member {
 	m := NewMember(MemberConfig{
-		Accelerators: 2,
-		Incarnation:  incarnation,
-		Isolation:    15 * time.Second,
-		Tombstones:   4,
+		Accelerators:     2,
+		Incarnation:      incarnation,
+		IsolationTimeout: 15 * time.Second,
+		MaxTombstones:    4,
 	})
-	m.Step(t0, Adopted{Tasks: tasks})
+	m.Step(t0, TasksRecovered{Tasks: tasks})
 	return m
 }
 
@@ -111,13 +111,13 @@
 func TestStartOnAll(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
-	co := New(testConfig(1), testPlan("a", "b"))
+	co := NewCoordinator(testConfig(1), testPlan("a", "b"))
 	c.Assert(cl.step(co, t0, Begin{}), qt.DeepEquals, []Action{Record{co.Plan()}})
 	c.Assert(cl.members["a"].Tasks()[0].State, qt.Equals, StateReserved)
 	c.Assert(cl.step(co, t0, Recorded{RecordWritten}), qt.DeepEquals, []Action{Started{}})
 	c.Assert(cl.members["b"].Tasks()[0].State, qt.Equals, StateRunning)
-	c.Assert(co.Whole(t0), qt.IsTrue)
-	c.Assert(co.Whole(t0.Add(7*time.Second)), qt.IsFalse)
+	c.Assert(co.AllMembersAlive(t0), qt.IsTrue)
+	c.Assert(co.AllMembersAlive(t0.Add(7*time.Second)), qt.IsFalse)
 }
 
 // The job waits although a third accelerator is free elsewhere, because one of
@@ -127,11 +127,11 @@
 	cl := newCluster("a", "b")
 	other := reserve(Header{ID{"other", 1, 0}, 1, 1})
 	ask(cl.members["b"], t0, other)
-	e := lastEnded(c, cl.step(New(testConfig(1), testPlan("a", "b")), t0, Begin{}))
+	e := lastEnded(c, cl.step(NewCoordinator(testConfig(1), testPlan("a", "b")), t0, Begin{}))
 	c.Assert(e.Outcome, qt.Equals, NotStarted)
 	c.Assert(e.Cause, qt.Equals, CauseRefused)
-	c.Assert(e.Fault, qt.Equals, "b")
-	c.Assert(cl.members["a"].Free(), qt.HasLen, 2)
+	c.Assert(e.CauseAgent, qt.Equals, "b")
+	c.Assert(cl.members["a"].FreeAccelerators(), qt.HasLen, 2)
 }
 
 // A planner is paused between its record and its commits. A successor finds the
@@ -140,9 +140,9 @@
 func TestPausedPlannerIsFenced(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
-	old := New(testConfig(1), testPlan("a", "b"))
+	old := NewCoordinator(testConfig(1), testPlan("a", "b"))
 	cl.step(old, t0, Begin{})
-	e := lastEnded(c, cl.step(Resume(testConfig(2), old.Plan()), t0, Begin{}))
+	e := lastEnded(c, cl.step(ResumeCoordinator(testConfig(2), old.Plan()), t0, Begin{}))
 	c.Assert(e.Outcome, qt.Equals, NotStarted)
 	e = lastEnded(c, cl.step(old, t0, Recorded{RecordWritten}))
 	c.Assert(e.Outcome, qt.Equals, Superseded)
@@ -154,15 +154,15 @@
 func TestSuccessorCarriesOn(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
-	old := New(testConfig(1), testPlan("a", "b"))
+	old := NewCoordinator(testConfig(1), testPlan("a", "b"))
 	cl.step(old, t0, Begin{})
 	for _, m := range cl.members {
 		ask(m, t0, Commit{head(1, 1)})
 	}
 	ask(cl.members["a"], t0, Start{head(1, 1)})
-	next := Resume(testConfig(2), old.Plan())
+	next := ResumeCoordinator(testConfig(2), old.Plan())
 	c.Assert(cl.step(next, t0, Begin{}), qt.DeepEquals, []Action{Started{}})
-	c.Assert(next.Whole(t0), qt.IsTrue)
+	c.Assert(next.AllMembersAlive(t0), qt.IsTrue)
 }
 
 // The planner's Start reaches one of two members, which does all of its work. The
@@ -172,16 +172,16 @@
 func TestSuccessorDoesNotCompleteAPartialRun(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
-	old := New(testConfig(1), testPlan("a", "b"))
+	old := NewCoordinator(testConfig(1), testPlan("a", "b"))
 	cl.step(old, t0, Begin{})
 	for _, m := range cl.members {
 		ask(m, t0, Commit{head(1, 1)})
 	}
 	ask(cl.members["a"], t0, Start{head(1, 1)})
 	cl.members["a"].Step(t0, TaskEnded{ID: attempt1, Result: Succeeded})
-	e := lastEnded(c, cl.step(Resume(testConfig(2), old.Plan()), t0.Add(time.Minute), Begin{}))
+	e := lastEnded(c, cl.step(ResumeCoordinator(testConfig(2), old.Plan()), t0.Add(time.Minute), Begin{}))
 	c.Assert(e.Outcome, qt.Equals, Stopped)
-	c.Assert(cl.members["b"].Free(), qt.HasLen, 2)
+	c.Assert(cl.members["b"].FreeAccelerators(), qt.HasLen, 2)
 	c.Assert(e.Members[1].Started, qt.IsFalse)
 }
 
@@ -190,15 +190,15 @@
 func TestRestartedMemberIsNoProof(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
-	old := New(testConfig(1), testPlan("a", "b"))
+	old := NewCoordinator(testConfig(1), testPlan("a", "b"))
 	cl.step(old, t0, Begin{})
 	for _, m := range cl.members {
 		ask(m, t0, Commit{head(1, 1)})
 	}
 	cl.members["b"] = testMember(2)
-	e := lastEnded(c, cl.step(Resume(testConfig(2), old.Plan()), t0, Begin{}))
+	e := lastEnded(c, cl.step(ResumeCoordinator(testConfig(2), old.Plan()), t0, Begin{}))
 	c.Assert(e.Outcome, qt.Equals, Lost)
-	c.Assert(cl.members["a"].Free(), qt.HasLen, 2)
+	c.Assert(cl.members["a"].FreeAccelerators(), qt.HasLen, 2)
 }
 
 // The owner, cut from the store, still reaches and renews both members. Its
@@ -207,10 +207,10 @@
 func TestSuccessorWaitsForIsolation(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
-	old := New(testConfig(1), testPlan("a", "b"))
+	old := NewCoordinator(testConfig(1), testPlan("a", "b"))
 	cl.step(old, t0, Begin{})
 	cl.step(old, t0, Recorded{RecordWritten})
-	next := Resume(testConfig(2), old.Plan())
+	next := ResumeCoordinator(testConfig(2), old.Plan())
 	cl.cut["a"], cl.cut["b"] = true, true
 	cl.step(next, t0, Begin{})
 	cl.cut["b"] = false
@@ -218,10 +218,10 @@
 	cl.step(next, late, MemberLost{"a"})
 	cl.members["b"].Step(late, TaskEnded{ID: attempt1, Result: TaskStopped})
 	cl.step(next, late.Add(2*time.Second), Wake{})
-	c.Assert(next.Over(), qt.IsFalse)
+	c.Assert(next.HasEnded(), qt.IsFalse)
 	e := lastEnded(c, cl.step(next, late.Add(25*time.Second), Wake{}))
 	c.Assert(e.Outcome, qt.Equals, Lost)
-	c.Assert(e.Fault, qt.Equals, "a")
+	c.Assert(e.CauseAgent, qt.Equals, "a")
 }
 
 // A successor stopped one member before its start and let the other run. The old
@@ -230,7 +230,7 @@
 func TestReportAfterFenceProvesNothing(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
-	old := New(testConfig(1), testPlan("a", "b"))
+	old := NewCoordinator(testConfig(1), testPlan("a", "b"))
 	cl.step(old, t0, Begin{})
 	cl.cut["b"] = true
 	cl.step(old, t0, Recorded{RecordWritten})
@@ -247,11 +247,11 @@
 // accelerators look free, and a second job would be granted them.
 func TestNothingGrantedBeforeAdoption(t *testing.T) {
 	c := qt.New(t)
-	m := NewMember(MemberConfig{Accelerators: 2, Incarnation: 2, Isolation: time.Minute})
+	m := NewMember(MemberConfig{Accelerators: 2, Incarnation: 2, IsolationTimeout: time.Minute})
 	c.Assert(ask(m, t0, reserve(Header{ID{"x", 3, 1}, 3, 2})).Refusal, qt.Equals, NotReady)
-	m.Step(t0, Adopted{Tasks: []Task{{ID: attempt1, Accelerators: []int{0}, Members: 1}}})
+	m.Step(t0, TasksRecovered{Tasks: []Task{{ID: attempt1, Accelerators: []int{0}, Members: 1}}})
 	c.Assert(ask(m, t0, reserve(Header{ID{"x", 3, 1}, 3, 2})).Refusal, qt.Equals, Busy)
-	c.Assert(m.Free(), qt.DeepEquals, []int{1})
+	c.Assert(m.FreeAccelerators(), qt.DeepEquals, []int{1})
 }
 
 // A task succeeds while its agent restarts. The planner must hear of the success
@@ -259,8 +259,8 @@
 func TestEndDuringRestartIsReported(t *testing.T) {
 	c := qt.New(t)
 	m := testMember(2, Task{ID: attempt1, State: StateEnded, Accelerators: []int{0}, Members: 1, Result: Succeeded})
-	c.Assert(m.Free(), qt.HasLen, 2)
-	co := Resume(testConfig(2), testPlan("a"))
+	c.Assert(m.FreeAccelerators(), qt.HasLen, 2)
+	co := ResumeCoordinator(testConfig(2), testPlan("a"))
 	co.Step(t0, Begin{})
 	co.Step(t0, Reported{From: "a", Incarnation: 2, Tasks: m.Tasks()})
 	e := lastEnded(c, co.Step(t0, ReplyReceived{"a", ask(m, t0, Seal{head(2, 1)})}))
@@ -329,7 +329,7 @@
 func TestLateStartIsGivenUp(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
-	co := New(testConfig(1), testPlan("a", "b"))
+	co := NewCoordinator(testConfig(1), testPlan("a", "b"))
 	cl.step(co, t0, Begin{})
 	cl.members["b"].Step(t0, Received{"p", Commit{head(1, 1)}})
 	co.Step(t0, Recorded{RecordWritten})
@@ -338,7 +338,7 @@
 	}
 	ask(cl.members["a"], t0, Start{head(1, 1)})
 	cl.step(co, t0.Add(6*time.Second), Wake{})
-	c.Assert(cl.members["b"].Free(), qt.HasLen, 2)
+	c.Assert(cl.members["b"].FreeAccelerators(), qt.HasLen, 2)
 	c.Assert(cl.members["a"].Tasks()[0].State, qt.Equals, StateStopping)
 }
 
@@ -347,18 +347,18 @@
 func TestQueuedReportIsNoNews(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a")
-	co := New(testConfig(1), testPlan("a"))
+	co := NewCoordinator(testConfig(1), testPlan("a"))
 	cl.step(co, t0, Begin{})
 	cl.step(co, t0, Recorded{RecordWritten})
 	woken := t0.Add(time.Minute)
 	for sent, whole := range map[time.Time]bool{t0: false, woken: true} {
 		r := Reported{From: "a", Incarnation: 1, Fence: 1, Tasks: cl.members["a"].Tasks()}
-		r.Stamp = NewStamp(1, sent)
+		r.Timestamp = NewPlannerTimestamp(1, sent)
 		again := *co
 		again.peers = []*peer{{}}
 		*again.peers[0] = *co.peers[0]
 		again.Step(woken, r)
-		c.Assert(again.Whole(woken), qt.Equals, whole)
+		c.Assert(again.AllMembersAlive(woken), qt.Equals, whole)
 	}
 }
 
@@ -367,7 +367,7 @@
 // successor starts the others.
 func TestReportsDoNotReplaceSeals(t *testing.T) {
 	c := qt.New(t)
-	co := Resume(testConfig(2), testPlan("a", "b"))
+	co := ResumeCoordinator(testConfig(2), testPlan("a", "b"))
 	co.Step(t0, Begin{})
 	for _, a := range []string{"a", "b"} {
 		task := Task{ID: attempt1, State: StateCommitted, Committed: true, Members: 2}
--- a/internal/capacity/planner_test.go
+++ b/internal/capacity/planner_test.go
@@ -32,15 +32,15 @@
 func newGangAgents(n int) *gangAgents {
 	g := &gangAgents{members: make(map[string]*gang.Member)}
 	for i := range n {
-		m := gang.NewMember(gang.MemberConfig{Accelerators: 8, Incarnation: 1, Isolation: time.Hour})
-		m.Step(clock.Now(), gang.Adopted{})
+		m := gang.NewMember(gang.MemberConfig{Accelerators: 8, Incarnation: 1, IsolationTimeout: time.Hour})
+		m.Step(clock.Now(), gang.TasksRecovered{})
 		g.members[fmt.Sprintf("agent-%05d", i)] = m
 	}
 	return g
 }
 
-// Gang implements planner.Agents.
-func (g *gangAgents) Gang(_ context.Context, agent string, msg gang.Message) (gang.Reply, error) {
+// SendGangMessage implements planner.Agents.
+func (g *gangAgents) SendGangMessage(_ context.Context, agent string, msg gang.Message) (gang.Reply, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.members[agent]
@@ -60,9 +60,9 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for name, m := range g.members {
-		p.Observe(planner.Seen{
+		p.HandleReport(planner.AgentReport{
 			Worker:      scheduler.Worker{ID: scheduler.WorkerID(name), Zone: "z", Rack: "r", Accelerators: 8, Cores: 64, MemoryMB: 256_000},
-			Incarnation: 1, Fence: m.Fence(), Stamp: m.Stamp(), Tasks: m.Tasks(), At: clock.Now(),
+			Incarnation: 1, Fence: m.Fence(), Timestamp: m.Timestamp(), Tasks: m.Tasks(), ReceivedAt: clock.Now(),
 		})
 	}
 }
@@ -70,7 +70,7 @@
 type noRetention struct{}
 
 func (noRetention) Current(context.Context) (store.LeaseID, error) { return 0, nil }
-func (noRetention) Drop(store.LeaseID)                             {}
+func (noRetention) Invalidate(store.LeaseID)                       {}
 
 // TestMeasureTakeover gives the time in which a successor has all jobs of its
 // predecessor, and what the planner costs when nothing changes.
--- a/jobs/errors.go
+++ b/jobs/errors.go
@@ -12,6 +12,6 @@
 	// ErrOutcomeUnknown: the write was sent and neither its reply nor a reading
 	// back could show whether it took effect.
 	ErrOutcomeUnknown = eris.New("outcome of the job write is not known")
-	// ErrMismatch: the idempotency key was used before with another request.
-	ErrMismatch = eris.New("idempotency key was used with a different job")
+	// ErrIdempotencyKeyReused: the idempotency key was used before with another request.
+	ErrIdempotencyKeyReused = eris.New("idempotency key was used with a different job")
 )
--- a/jobs/permit.go
+++ b/jobs/permit.go
@@ -7,17 +7,17 @@
 // hears of, and waits out the loss timeout before it starts the job again.
 const AnyAgent = "*"
 
-// Permitted tells whether the record is a permit: the planner of Epoch may have
+// IsPermit tells whether the record is a permit: the planner of Epoch may have
 // started the job, under any Number and on any agents. Only the agents know.
-func (r Record) Permitted() bool {
+func (r Record) IsPermit() bool {
 	return r.State == Starting && len(r.Members) == 1 && r.Members[0].Agent == AnyAgent
 }
 
-// Permittable tells whether a permit may be written over the record. A job that
+// EligibleForPermit tells whether a permit may be written over the record. A job that
 // must not run twice gets none: a permit whose planner is gone leaves no proof of
 // whether the job ran. Neither does a job that has been started before, since
 // WithoutPermit could not tell it from one that never ran.
-func (r Record) Permittable() bool {
+func (r Record) EligibleForPermit() bool {
 	return r.State == Queued && r.Attempt == 0 && r.Spec.Repeatable
 }
 
@@ -47,7 +47,7 @@
 // Placement returns the members of the attempt that the record names, nil for a
 // permit.
 func (r Record) Placement() []Member {
-	if r.Permitted() {
+	if r.IsPermit() {
 		return nil
 	}
 	return r.Members
--- a/jobs/store.go
+++ b/jobs/store.go
@@ -49,7 +49,7 @@
 	got, err := s.write(ctx, Stored{Record: r})
 	if eris.Is(err, ErrConflict) && got.Rev != 0 {
 		if !sameSpec(got.Spec, r.Spec) {
-			return got, ErrMismatch
+			return got, ErrIdempotencyKeyReused
 		}
 		return got, nil
 	}
@@ -100,8 +100,8 @@
 	return s.commit(ctx, r, retention)
 }
 
-// All reads the records of a service's jobs, by id, in one call.
-func (s *Store) All(ctx context.Context, service string) (map[string]Stored, error) {
+// List reads the records of a service's jobs, by id, in one call.
+func (s *Store) List(ctx context.Context, service string) (map[string]Stored, error) {
 	snap, err := s.store.List(ctx, s.Prefix(service))
 	if err != nil {
 		return nil, err
@@ -124,12 +124,12 @@
 	if err != nil {
 		return cur, err
 	}
-	return s.CancelFrom(ctx, cur, now)
+	return s.CancelRecord(ctx, cur, now)
 }
 
-// CancelFrom is Cancel for a record that was read already. Where the record has
+// CancelRecord is Cancel for a record that was read already. Where the record has
 // changed since, it decides again on what it is now.
-func (s *Store) CancelFrom(ctx context.Context, cur Stored, now time.Time) (Stored, error) {
+func (s *Store) CancelRecord(ctx context.Context, cur Stored, now time.Time) (Stored, error) {
 	for {
 		if cur.State.Ended() || cur.CancelRequested {
 			return cur, nil
@@ -192,7 +192,7 @@
 	return decode(kv)
 }
 
-// IDOf returns the job id that a key below any Prefix names.
-func IDOf(key string) string {
+// IDFromKey returns the job id that a key below any Prefix names.
+func IDFromKey(key string) string {
 	return key[strings.LastIndexByte(key, '/')+1:]
 }
--- a/membership/announcer.go
+++ b/membership/announcer.go
@@ -23,7 +23,7 @@
 	self     wire.RelayInfo
 	draining bool
 	inGang   bool
-	stamp    gang.Stamp
+	stamp    gang.PlannerTimestamp
 	planned  time.Time // when an entry with the planner duty last answered
 	reporter *Reporter
 	path     *Path
@@ -87,7 +87,7 @@
 }
 
 // SetStamp takes the stamp that the next reports return.
-func (a *Announcer) SetStamp(s gang.Stamp) { a.stamp = s }
+func (a *Announcer) SetStamp(s gang.PlannerTimestamp) { a.stamp = s }
 
 // Due returns when to report to the entry, or to ask again because the relay's
 // word ends then.
--- a/membership/relay_world_test.go
+++ b/membership/relay_world_test.go
@@ -261,7 +261,7 @@
 	ack.Relay = e.relays[Rack{Zone: "wharf", Name: "rack"}]
 	ack.Digest = xxhash.Sum64String(fmt.Sprint(ack.Relay))
 	if i == w.planner {
-		ack.Stamp = gang.NewStamp(1, w.now)
+		ack.Stamp = gang.NewPlannerTimestamp(1, w.now)
 	}
 	return ack
 }
--- a/planner/attempt_end.go
+++ b/planner/attempt_end.go
@@ -19,7 +19,7 @@
 	}
 	id, attempt := scheduler.JobID(j.stored.ID), j.attempt
 	members := j.coord.Plan().Members
-	if e.Recorded {
+	if e.MayBeRecorded {
 		j.over = j.coord.Plan().ID
 	}
 	p.detach(j)
@@ -46,8 +46,8 @@
 		p.withdraw(j.stored.ID)
 	}
 	ended := scheduler.GangEnded{Job: id, Attempt: attempt, Outcome: outcomeOf(e.Outcome)}
-	if e.Fault != "" {
-		ended.Worker = scheduler.WorkerID(e.Fault)
+	if e.CauseAgent != "" {
+		ended.Worker = scheduler.WorkerID(e.CauseAgent)
 	}
 	if e.Checkpointed() {
 		ended.Checkpointed = time.Now()
@@ -57,7 +57,7 @@
 
 // mayHold notes that workers may hold accelerators for an attempt that was given
 // up: the message that ends the hold is on its way, or was lost.
-func (p *Planner) mayHold(members []gang.Placed) {
+func (p *Planner) mayHold(members []gang.PlannedMember) {
 	until := clock.Now().Add(p.doc.Document.Gang.HoldTimeout.Duration)
 	for _, m := range members {
 		if w := p.workers[m.Agent]; w != nil {
@@ -71,11 +71,11 @@
 // cancellations makes many such refusals at once, and counted as failures they
 // would quarantine workers that are well.
 func (p *Planner) atFault(e gang.Ended) scheduler.WorkerID {
-	w := p.workers[e.Fault]
+	w := p.workers[e.CauseAgent]
 	if w != nil && e.Cause == gang.CauseRefused && clock.Now().Before(w.holds) {
 		return ""
 	}
-	return scheduler.WorkerID(e.Fault)
+	return scheduler.WorkerID(e.CauseAgent)
 }
 
 func outcomeOf(o gang.Outcome) scheduler.Outcome {
--- a/planner/config.go
+++ b/planner/config.go
@@ -14,17 +14,17 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// Agents carries one message of the gang protocol to an agent and its reply
+// AgentClient carries one message of the gang protocol to an agent and its reply
 // back. A lost message or reply is an error; the planner sends again.
-type Agents interface {
-	Gang(ctx context.Context, agent string, m gang.Message) (gang.Reply, error)
+type AgentClient interface {
+	SendGangMessage(ctx context.Context, agent string, m gang.Message) (gang.Reply, error)
 }
 
-// Retention is the store lease under which ended records are kept. Drop says
+// RetentionLease is the store lease under which ended records are kept. Drop says
 // that the store no longer has it.
-type Retention interface {
+type RetentionLease interface {
 	Current(ctx context.Context) (store.LeaseID, error)
-	Drop(id store.LeaseID)
+	Invalidate(id store.LeaseID)
 }
 
 // Config is the fixed part of a Planner.
@@ -34,12 +34,12 @@
 	Epoch   uint64
 	Store   store.Store // for listing and watching the job records
 	Jobs    *jobs.Store
-	Agents  Agents
+	Agents  AgentClient
 	Metrics *metrics.Set
 	Log     *logrus.Entry
 	// Document is what is in force when the term begins.
 	Document  *document.Held
-	Retention Retention
+	Retention RetentionLease
 }
 
 const (
@@ -68,20 +68,20 @@
 func gangConfig(epoch uint64, g document.Gang) gang.Config {
 	window := window(g)
 	return gang.Config{
-		Epoch:  epoch,
-		Resend: resend,
-		Hold:   g.HoldTimeout.Duration,
-		Window: window,
-		Settle: window + g.IsolationTimeout.Duration + stopAllowance,
+		Epoch:          epoch,
+		ResendInterval: resend,
+		HoldTimeout:    g.HoldTimeout.Duration,
+		LivenessWindow: window,
+		SettleTime:     window + g.IsolationTimeout.Duration + stopAllowance,
 
-		StartWithin: g.IsolationTimeout.Duration / 2,
+		StartTimeout: g.IsolationTimeout.Duration / 2,
 	}
 }
 
 // gangConfig is that of an attempt of the job.
 func (p *Planner) gangConfig(j *job) gang.Config {
 	c := gangConfig(p.cfg.Epoch, p.doc.Document.Gang)
-	c.KeepDone = j.stored.Permitted()
+	c.RetainSucceeded = j.stored.IsPermit()
 	return c
 }
 
--- a/planner/coordinate.go
+++ b/planner/coordinate.go
@@ -17,7 +17,7 @@
 		if w == nil {
 			w = &worker{jobs: make(map[string]*job)}
 			w.seen.Worker.ID = scheduler.WorkerID(m.Agent)
-			w.seen.At = clock.Now()
+			w.seen.ReceivedAt = clock.Now()
 			w.up = true
 			p.workers[m.Agent] = w
 		}
@@ -79,7 +79,7 @@
 	p.t.Go(func() error {
 		ctx, cancel := p.context(sendTimeout)
 		defer cancel()
-		reply, err := p.cfg.Agents.Gang(ctx, to, m)
+		reply, err := p.cfg.Agents.SendGangMessage(ctx, to, m)
 		if err != nil || j == nil {
 			return nil
 		}
@@ -88,9 +88,9 @@
 	})
 }
 
-// Replied takes a reply that an agent sent by itself, at the end of a task. It
+// HandleReply takes a reply that an agent sent by itself, at the end of a task. It
 // is safe for concurrent use.
-func (p *Planner) Replied(agent string, r gang.Reply) {
+func (p *Planner) HandleReply(agent string, r gang.Reply) {
 	p.post(func() {
 		if j := p.jobs[r.Task.ID.Job]; j != nil {
 			p.coordinate(j, gang.ReplyReceived{From: agent, Reply: r})
--- a/planner/decide.go
+++ b/planner/decide.go
@@ -62,7 +62,7 @@
 	j.attempt = a.Attempt
 	j.decided = j.stored.Rev
 	j.phase = Starting
-	p.attach(j, gang.New(p.gangConfig(j), plan))
+	p.attach(j, gang.NewCoordinator(p.gangConfig(j), plan))
 	p.post0(func() { p.coordinate(j, gang.Begin{}) })
 }
 
@@ -102,7 +102,7 @@
 		if err != nil {
 			return gang.Plan{}, false
 		}
-		plan.Members = append(plan.Members, gang.Placed{
+		plan.Members = append(plan.Members, gang.PlannedMember{
 			Agent:        string(g.Worker),
 			Incarnation:  w.seen.Incarnation,
 			Accelerators: g.Accelerators,
--- a/planner/end.go
+++ b/planner/end.go
@@ -24,7 +24,7 @@
 	if s == jobs.Done || s == jobs.Failed {
 		final.Result = j.result()
 	}
-	if j.stored.Permitted() {
+	if j.stored.IsPermit() {
 		p.closePermit(j, &final)
 	}
 	j.ending = &final
@@ -60,7 +60,7 @@
 			got, err = p.cfg.Jobs.End(ctx, final, lease)
 		}
 		if eris.Is(err, store.ErrLeaseNotFound) {
-			p.cfg.Retention.Drop(lease)
+			p.cfg.Retention.Invalidate(lease)
 		}
 		p.post(func() { p.endWritten(j, got, err) })
 		return nil
--- a/planner/explain.go
+++ b/planner/explain.go
@@ -6,35 +6,35 @@
 	"github.com/eelgrasshub/eelgrasshub/scheduler"
 )
 
-// Wait says where a job stands on its way to its start.
-type Wait struct {
+// WaitStatus says where a job stands on its way to its start.
+type WaitStatus struct {
 	Status
 	// Stage decides which of the other fields count.
 	Stage Stage
-	// Why is the scheduler's word, for StageQueued.
-	Why scheduler.Explanation
+	// Explanation is the scheduler's word, for StageQueued.
+	Explanation scheduler.Explanation
 }
 
 // Stage is how far a job has come.
 type Stage uint8
 
 const (
-	// StageOver: it has ended, or an attempt of it is on record.
-	StageOver Stage = iota
+	// StagePastStart: it has ended, or an attempt of it is on record.
+	StagePastStart Stage = iota
 	// StageQueued: the scheduler says why it waits.
 	StageQueued
 	// StageStarting: it is placed, and its start is not on record yet.
 	StageStarting
 	// StageEnding: it will not start; its end is being put on record.
 	StageEnding
-	// StageRebuilding: the records are still being read, and this one is not known.
-	StageRebuilding
-	// StageStoreOut: the store does not answer, and the job has no permit to start
+	// StageLoadingRecords: the records are still being read, and this one is not known.
+	StageLoadingRecords
+	// StageStoreUnavailable: the store does not answer, and the job has no permit to start
 	// without a record of it.
-	StageStoreOut
-	// StageHeld: an earlier planner may have started it on a permit, and the agents
+	StageStoreUnavailable
+	// StageUnresolvedPermit: an earlier planner may have started it on a permit, and the agents
 	// have not yet shown whether it did.
-	StageHeld
+	StageUnresolvedPermit
 )
 
 // Explain says why a job waits. Known is false where no record of it was seen.
@@ -42,9 +42,9 @@
 // is safe for concurrent use. The workers are walked over once a second at most for
 // each queue of jobs that need more cores or memory than comes with an accelerator,
 // and never for others, however many ask.
-func (p *Planner) Explain(ctx context.Context, id string) (wait Wait, known, asked bool) {
+func (p *Planner) Explain(ctx context.Context, id string) (wait WaitStatus, known, asked bool) {
 	type answer struct {
-		wait  Wait
+		wait  WaitStatus
 		known bool
 	}
 	a, asked := ask(ctx, p, func() answer {
@@ -54,16 +54,16 @@
 	return a.wait, a.known, asked
 }
 
-func (p *Planner) explain(id string) (Wait, bool) {
+func (p *Planner) explain(id string) (WaitStatus, bool) {
 	s, ok := p.status(id)
 	if !ok {
-		return Wait{Stage: StageRebuilding}, !p.rebuilt
+		return WaitStatus{Stage: StageLoadingRecords}, !p.rebuilt
 	}
-	w := Wait{Status: s, Stage: p.stageOf(p.jobs[id])}
+	w := WaitStatus{Status: s, Stage: p.stageOf(p.jobs[id])}
 	if w.Stage != StageQueued {
 		return w, true
 	}
-	if w.Why, ok = p.explainer().Explain(scheduler.JobID(id)); !ok {
+	if w.Explanation, ok = p.explainer().Explain(scheduler.JobID(id)); !ok {
 		w.Stage = StageEnding // withdrawn for good
 	}
 	return w, true
@@ -73,19 +73,19 @@
 func (p *Planner) stageOf(j *job) Stage {
 	switch {
 	case j == nil:
-		return StageOver
+		return StagePastStart
 	case j.ending != nil:
 		return StageEnding
 	case j.held:
-		return StageHeld
+		return StageUnresolvedPermit
 	case j.withheld:
-		return StageStoreOut
+		return StageStoreUnavailable
 	case j.phase == Queued:
 		return StageQueued
 	case j.phase != Starting || j.stored.Attempt == uint64(j.attempt):
-		return StageOver
+		return StagePastStart
 	case p.storeOut && !p.usable(j):
-		return StageStoreOut
+		return StageStoreUnavailable
 	}
 	return StageStarting
 }
--- a/planner/fake_test.go
+++ b/planner/fake_test.go
@@ -42,8 +42,8 @@
 		cut:     make(map[uint64]bool),
 	}
 	for _, n := range names {
-		m := gang.NewMember(gang.MemberConfig{Accelerators: 8, Incarnation: 1, Isolation: time.Hour})
-		m.Step(clock.Now(), gang.Adopted{})
+		m := gang.NewMember(gang.MemberConfig{Accelerators: 8, Incarnation: 1, IsolationTimeout: time.Hour})
+		m.Step(clock.Now(), gang.TasksRecovered{})
 		f.members[n] = m
 	}
 	return f
@@ -65,8 +65,8 @@
 	f.members[name] = m
 }
 
-// Gang implements Agents.
-func (f *fakeAgents) Gang(_ context.Context, agent string, msg gang.Message) (gang.Reply, error) {
+// SendGangMessage implements Agents.
+func (f *fakeAgents) SendGangMessage(_ context.Context, agent string, msg gang.Message) (gang.Reply, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.members[agent]
@@ -128,19 +128,19 @@
 // report gives a planner what all agents would report now.
 func (f *fakeAgents) report(p *Planner) {
 	f.mu.Lock()
-	var all []Seen
+	var all []AgentReport
 	for name, m := range f.members {
-		all = append(all, Seen{
+		all = append(all, AgentReport{
 			Worker:      scheduler.Worker{ID: scheduler.WorkerID(name), Zone: "z", Rack: "r", Accelerators: 8, Cores: 32, MemoryMB: 65536},
 			Incarnation: 1,
 			Fence:       m.Fence(),
 			Tasks:       m.Tasks(),
-			At:          clock.Now(),
+			ReceivedAt:  clock.Now(),
 		})
 	}
 	f.mu.Unlock()
 	for _, s := range all {
-		p.Observe(s)
+		p.HandleReport(s)
 	}
 }
 
@@ -245,4 +245,4 @@
 type noRetention struct{}
 
 func (noRetention) Current(context.Context) (store.LeaseID, error) { return 0, nil }
-func (noRetention) Drop(store.LeaseID)                             {}
+func (noRetention) Invalidate(store.LeaseID)                       {}
--- a/planner/follow.go
+++ b/planner/follow.go
@@ -100,7 +100,7 @@
 	if p.outranked(r) {
 		return
 	}
-	j := &job{stored: r, begun: !r.Permitted()}
+	j := &job{stored: r, begun: !r.IsPermit()}
 	p.jobs[r.ID] = j
 	p.takeOver(j)
 	p.cancelIfAsked(j)
@@ -113,7 +113,7 @@
 	j.phase = Starting
 	j.held, j.withheld = false, false
 	j.attempt = scheduler.Attempt(r.Attempt)
-	p.attach(j, gang.Resume(p.gangConfig(j), plan))
+	p.attach(j, gang.ResumeCoordinator(p.gangConfig(j), plan))
 	p.decide(scheduler.JobRestored{
 		Job:       schedulerJob(r.Record, p.doc.Document),
 		Attempt:   j.attempt,
--- a/planner/job.go
+++ b/planner/job.go
@@ -77,7 +77,7 @@
 	if len(old.Restore) > 0 {
 		j.stored.Restore = old.Restore
 	}
-	if r.Permitted() {
+	if r.IsPermit() {
 		j.stored.Attempt = max(r.Attempt, old.Attempt)
 		j.stored.Started = old.Started
 	}
@@ -106,7 +106,7 @@
 func planOf(r jobs.Record) gang.Plan {
 	p := gang.Plan{ID: gang.ID{Job: r.ID, Epoch: r.Epoch, Number: r.Number}}
 	for _, m := range r.Members {
-		p.Members = append(p.Members, gang.Placed{
+		p.Members = append(p.Members, gang.PlannedMember{
 			Agent:        m.Agent,
 			Incarnation:  m.Incarnation,
 			Accelerators: m.Accelerators,
--- a/planner/permit.go
+++ b/planner/permit.go
@@ -43,7 +43,7 @@
 
 // ownPermit says whether the record is a permit of this planner.
 func (p *Planner) ownPermit(r jobs.Record) bool {
-	return r.Permitted() && r.Epoch == p.cfg.Epoch
+	return r.IsPermit() && r.Epoch == p.cfg.Epoch
 }
 
 // usable says whether the job may be started without a write.
@@ -84,7 +84,7 @@
 
 func permittable(j *job, now time.Time) bool {
 	return j.waits() && !j.withheld && j.limit == nil &&
-		j.stored.Permittable() && now.Sub(j.stored.Submitted) >= permitAfter
+		j.stored.EligibleForPermit() && now.Sub(j.stored.Submitted) >= permitAfter
 }
 
 // candidate is a job that may be given a permit, with what decides its turn.
@@ -173,7 +173,7 @@
 		return
 	}
 	for _, j := range p.jobs {
-		if j.coord == nil || !j.stored.Permitted() || j.permit.placing || j.phase != Running || j.ending != nil {
+		if j.coord == nil || !j.stored.IsPermit() || j.permit.placing || j.phase != Running || j.ending != nil {
 			continue
 		}
 		if j.stored.Epoch != p.cfg.Epoch || now.Sub(j.stored.Started) >= placeAfter {
--- a/planner/permit_test.go
+++ b/planner/permit_test.go
@@ -279,7 +279,7 @@
 
 func (b *bench) permitted(id string) bool {
 	r, err := b.jobs.Get(context.Background(), "dispatch", id)
-	return err == nil && r.Permitted()
+	return err == nil && r.IsPermit()
 }
 
 func (f *fakeAgents) whole(job string) bool { return f.whole2(job, all/8) }
@@ -386,8 +386,8 @@
 		p.jobs["j"] = j
 		p.hold(j)
 		task := gang.Task{ID: gang.ID{Job: "j", Epoch: 1, Number: 1}, State: gang.StateRunning, Members: 2}
-		p.observe(Seen{Worker: scheduler.Worker{ID: "a", Accelerators: 8}, Incarnation: 1, Tasks: []gang.Task{task}, At: clock.Now()})
-		refused := gang.Ended{Outcome: gang.NotStarted, Cause: gang.CauseRefused, Fault: "a"}
+		p.observe(AgentReport{Worker: scheduler.Worker{ID: "a", Accelerators: 8}, Incarnation: 1, Tasks: []gang.Task{task}, ReceivedAt: clock.Now()})
+		refused := gang.Ended{Outcome: gang.NotStarted, Cause: gang.CauseRefused, CauseAgent: "a"}
 		b.c.Check(p.atFault(refused), qt.Equals, scheduler.WorkerID(""))
 	})
 	<-done
@@ -411,7 +411,7 @@
 		class, _ := p.doc.Document.Class(j.stored.Spec.Class)
 		late := time.Now().Add(2 * class.Deadline.Duration)
 		b.c.Check(limitOf(j, class, late).state, qt.Equals, jobs.Rejected)
-		p.attach(j, gang.New(p.gangConfig(j), gang.Plan{ID: gang.ID{Job: "j", Epoch: 1, Number: 1}}))
+		p.attach(j, gang.NewCoordinator(p.gangConfig(j), gang.Plan{ID: gang.ID{Job: "j", Epoch: 1, Number: 1}}))
 		p.attemptEnded(j, gang.Ended{Outcome: gang.Stopped})
 		b.c.Check(limitOf(j, class, late).state, qt.Equals, jobs.Failed)
 		b.c.Check(finalState(scheduler.RejectTooLarge, j), qt.Equals, jobs.Failed)
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -165,10 +165,10 @@
 	return true
 }
 
-// Higher returns an epoch above this planner's own by which it was superseded,
+// SupersedingEpoch returns an epoch above this planner's own by which it was superseded,
 // 0 if it was not. Where no other planner is behind it, as after the store was
 // restored from a backup, the duty has to go on above it.
-func (p *Planner) Higher() uint64 { return p.higher.Load() }
+func (p *Planner) SupersedingEpoch() uint64 { return p.higher.Load() }
 
 // context ends with the term.
 func (p *Planner) context(timeout time.Duration) (context.Context, context.CancelFunc) {
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -123,7 +123,7 @@
 	full := newFakeAgents("b").remove("b")
 	full.Step(clock.Now(), gang.Drain{})
 	agents.add("b", full)
-	p.Left("a")
+	p.HandleAgentLeft("a")
 	b.eventually("no room elsewhere", report, func() bool {
 		return p.cfg.Metrics.Snapshot().Counters["reservations_refused"] > 0
 	})
@@ -183,7 +183,7 @@
 	p := b.planner(3, agents)
 	agents.report(p)
 	<-p.Done()
-	b.c.Assert(p.Higher(), qt.Equals, uint64(9))
+	b.c.Assert(p.SupersedingEpoch(), qt.Equals, uint64(9))
 }
 
 // The watch of the job records falls behind while a job starts and ends. When it
--- a/planner/record_test.go
+++ b/planner/record_test.go
@@ -57,13 +57,13 @@
 	done := make(chan struct{})
 	p.post(func() {
 		defer close(done)
-		p.mayHold([]gang.Placed{{Agent: "a"}})
+		p.mayHold([]gang.PlannedMember{{Agent: "a"}})
 		for range 10 {
-			e := gang.Ended{Outcome: gang.NotStarted, Cause: gang.CauseRefused, Fault: "a"}
+			e := gang.Ended{Outcome: gang.NotStarted, Cause: gang.CauseRefused, CauseAgent: "a"}
 			b.c.Check(p.atFault(e), qt.Equals, scheduler.WorkerID(""))
 		}
 		p.workers["a"].holds = time.Time{}
-		b.c.Check(p.atFault(gang.Ended{Cause: gang.CauseRefused, Fault: "a"}), qt.Equals, scheduler.WorkerID("a"))
+		b.c.Check(p.atFault(gang.Ended{Cause: gang.CauseRefused, CauseAgent: "a"}), qt.Equals, scheduler.WorkerID("a"))
 	})
 	<-done
 }
--- a/planner/report.go
+++ b/planner/report.go
@@ -19,21 +19,21 @@
 	scheduler.Report
 	// Stats is as of the last housekeeping, up to a quarter of a second older.
 	Stats scheduler.Stats
-	// Waited is the waits of jobs by client account and class, since the start of
+	// WaitTimes is the waits of jobs by client account and class, since the start of
 	// the process.
-	Waited map[string]map[string]metrics.Summary
+	WaitTimes map[string]map[string]metrics.Summary
 	// Withheld counts, by client account and class, the jobs that the scheduler does
 	// not know for now: see StageStoreOut and StageHeld.
 	Withheld map[string]map[string]int
-	// StoreOut says that the store did not take a write of this planner and has not
+	// StoreUnavailable says that the store did not take a write of this planner and has not
 	// answered since.
-	StoreOut bool
+	StoreUnavailable bool
 	// Generation is of the document in force.
 	Generation uint64
-	// Rebuilt says that all job records have been read.
-	Rebuilt bool
-	// Taken is when the report was put together.
-	Taken time.Time
+	// RecordsLoaded says that all job records have been read.
+	RecordsLoaded bool
+	// TakenAt is when the report was put together.
+	TakenAt time.Time
 }
 
 // reports is what a planner keeps of the reports it was asked for.
@@ -60,19 +60,19 @@
 		return Report{}, false
 	}
 	got.Stats = p.Stats()
-	got.Waited = waited(p.cfg.Metrics.Snapshot())
+	got.WaitTimes = waited(p.cfg.Metrics.Snapshot())
 	r.last, r.at = got, clock.Now()
 	return got, true
 }
 
 func (p *Planner) takeReport() Report {
 	return Report{
-		Report:     p.sched.Report(),
-		Generation: p.doc.Version.Generation,
-		Rebuilt:    p.rebuilt,
-		StoreOut:   p.storeOut,
-		Withheld:   p.withheld(),
-		Taken:      time.Now(),
+		Report:           p.sched.Report(),
+		Generation:       p.doc.Version.Generation,
+		RecordsLoaded:    p.rebuilt,
+		StoreUnavailable: p.storeOut,
+		Withheld:         p.withheld(),
+		TakenAt:          time.Now(),
 	}
 }
 
--- a/planner/report_test.go
+++ b/planner/report_test.go
@@ -26,7 +26,7 @@
 	b.accept("large", 64, true)
 	b.eventually("the scheduler's word", report, func() bool {
 		w, _, _ := p.Explain(context.Background(), "large")
-		return w.Stage == StageQueued && w.Why.Reason != scheduler.WaitNone && w.Why.Accelerators == 64
+		return w.Stage == StageQueued && w.Explanation.Reason != scheduler.WaitNone && w.Explanation.Accelerators == 64
 	})
 	_, known, asked := p.Explain(context.Background(), "nobody")
 	b.c.Assert(known, qt.IsFalse)
@@ -42,12 +42,12 @@
 	b.eventually("all records are read", func() { agents.report(p) }, func() bool {
 		r, ok := p.Report(context.Background())
 		last = r
-		return ok && r.Rebuilt && len(r.Accounts) == 4
+		return ok && r.RecordsLoaded && len(r.Accounts) == 4
 	})
 	again, ok := p.Report(context.Background())
 	b.c.Assert(ok, qt.IsTrue)
-	if again.Taken.Sub(last.Taken) < reportEvery {
-		b.c.Assert(again.Taken, qt.Equals, last.Taken)
+	if again.TakenAt.Sub(last.TakenAt) < reportEvery {
+		b.c.Assert(again.TakenAt, qt.Equals, last.TakenAt)
 	}
 	p.Stop()
 	p.reports.at = p.reports.at.Add(-2 * reportEvery)
@@ -100,11 +100,11 @@
 	}
 	b.server.SetFaults(standin.Faults{Down: standin.DownRefuse})
 	agents.finish()
-	b.eventually("the other one waits for the store", report, func() bool { return stage("once") == StageStoreOut })
+	b.eventually("the other one waits for the store", report, func() bool { return stage("once") == StageStoreUnavailable })
 	b.eventually("it is counted", report, func() bool {
 		r, ok := p.Report(context.Background())
-		return ok && r.StoreOut && r.Withheld["harbourline"]["risk-scoring"] == 1
+		return ok && r.StoreUnavailable && r.Withheld["harbourline"]["risk-scoring"] == 1
 	})
 	b.server.SetFaults(standin.Faults{})
-	b.eventually("it is in the queue again", report, func() bool { return stage("once") != StageStoreOut })
+	b.eventually("it is in the queue again", report, func() bool { return stage("once") != StageStoreUnavailable })
 }
--- a/planner/takeover.go
+++ b/planner/takeover.go
@@ -14,7 +14,7 @@
 // takeOver deals with a record that names an attempt or a permit of another
 // planner.
 func (p *Planner) takeOver(j *job) {
-	if !j.stored.Permitted() {
+	if !j.stored.IsPermit() {
 		p.resumeJob(j, planOf(j.stored.Record))
 		return
 	}
@@ -40,7 +40,7 @@
 // search could see, since its agent was lost then. The rest of its gang may follow.
 func (p *Planner) holdAgain(t gang.Task) {
 	j := p.jobs[t.ID.Job]
-	if j != nil && j.cleared && j.waits() && j.stored.Permitted() && t.ID.Epoch == j.stored.Epoch {
+	if j != nil && j.cleared && j.waits() && j.stored.IsPermit() && t.ID.Epoch == j.stored.Epoch {
 		j.cleared, j.incomplete = false, false
 		p.hold(j)
 	}
@@ -75,7 +75,7 @@
 			p.adopt(j, plan)
 		case gang.Incomplete:
 			j.incomplete = true // its tasks are orphans from now on
-		case gang.Vanished:
+		case gang.NotFound:
 			j.cleared = true
 			vanished = append(vanished, j)
 		}
@@ -96,8 +96,8 @@
 func (p *Planner) searchConfig() gang.SearchConfig {
 	g := p.doc.Document.Gang
 	return gang.SearchConfig{
-		Wait:   g.LossTimeout.Duration,
-		Settle: gangConfig(p.cfg.Epoch, g).Settle,
+		LossTimeout: g.LossTimeout.Duration,
+		SettleTime:  gangConfig(p.cfg.Epoch, g).SettleTime,
 	}
 }
 
@@ -121,21 +121,21 @@
 		if w.fenceAsked.IsZero() {
 			w.fenceAsked = now
 		}
-		p.send(nil, id, gang.Fence(p.cfg.Epoch, w.seen.Incarnation))
+		p.send(nil, id, gang.FenceMessage(p.cfg.Epoch, w.seen.Incarnation))
 	}
 }
 
-func (p *Planner) witnesses() []gang.Witness {
-	var all []gang.Witness
+func (p *Planner) witnesses() []gang.AgentView {
+	var all []gang.AgentView
 	for id, w := range p.workers {
 		if !w.up || w.seen.Incarnation == 0 {
 			continue
 		}
-		all = append(all, gang.Witness{
+		all = append(all, gang.AgentView{
 			Agent:       id,
 			Incarnation: w.seen.Incarnation,
-			Fenced:      w.fenced,
-			Asked:       w.fenceAsked,
+			FencedAt:    w.fenced,
+			FenceSentAt: w.fenceAsked,
 			Tasks:       w.seen.Tasks,
 		})
 	}
@@ -144,7 +144,7 @@
 
 // noteFence dates the first report that shows our fence. A restarted agent has
 // forgotten it.
-func (w *worker) noteFence(before Seen, epoch uint64) {
+func (w *worker) noteFence(before AgentReport, epoch uint64) {
 	if before.Incarnation != w.seen.Incarnation {
 		w.fenced, w.fenceAsked = time.Time{}, time.Time{}
 	}
@@ -152,7 +152,7 @@
 	case w.seen.Fence < epoch:
 		w.fenced = time.Time{}
 	case w.fenced.IsZero():
-		w.fenced = w.seen.At
+		w.fenced = w.seen.ReceivedAt
 	}
 }
 
--- a/planner/worker.go
+++ b/planner/worker.go
@@ -8,22 +8,22 @@
 	"github.com/eelgrasshub/eelgrasshub/scheduler"
 )
 
-// Seen is what an agent reported of its worker.
-type Seen struct {
+// AgentReport is what an agent reported of its worker.
+type AgentReport struct {
 	Worker      scheduler.Worker
 	Incarnation uint64
 	Draining    bool
 	// Fence and Tasks are the gang member's; see gang.Reported.
-	Fence uint64
-	Stamp gang.Stamp
-	Tasks []gang.Task
-	// At is when the report was received, by clock.Now.
-	At time.Time
+	Fence     uint64
+	Timestamp gang.PlannerTimestamp
+	Tasks     []gang.Task
+	// ReceivedAt is when the report was received, by clock.Now.
+	ReceivedAt time.Time
 }
 
 // worker is the planner's view of one agent. The planner's goroutine owns it.
 type worker struct {
-	seen Seen
+	seen AgentReport
 	up   bool
 	jobs map[string]*job // with a coordinator that has a member here
 	// holds is until when it may hold accelerators for an attempt given up.
@@ -33,13 +33,13 @@
 	fenced, fenceAsked, fenceSent time.Time
 }
 
-// Observe takes the report of an agent. It is safe for concurrent use.
-func (p *Planner) Observe(s Seen) {
+// HandleReport takes the report of an agent. It is safe for concurrent use.
+func (p *Planner) HandleReport(s AgentReport) {
 	p.post(func() { p.observe(s) })
 }
 
-// Left says that an agent has stopped for good. It is safe for concurrent use.
-func (p *Planner) Left(agent string) {
+// HandleAgentLeft says that an agent has stopped for good. It is safe for concurrent use.
+func (p *Planner) HandleAgentLeft(agent string) {
 	p.post(func() {
 		if w := p.workers[agent]; w != nil {
 			p.lose(agent, w)
@@ -47,7 +47,7 @@
 	})
 }
 
-func (p *Planner) observe(s Seen) {
+func (p *Planner) observe(s AgentReport) {
 	id := string(s.Worker.ID)
 	if s.Fence > p.cfg.Epoch {
 		p.superseded("an agent has heard of a higher epoch", s.Fence)
@@ -69,7 +69,7 @@
 	p.stopOrphans(id, w)
 }
 
-func (p *Planner) tellScheduler(before Seen, wasUp bool, s Seen) {
+func (p *Planner) tellScheduler(before AgentReport, wasUp bool, s AgentReport) {
 	switch {
 	case s.Draining && (!wasUp || !before.Draining):
 		p.decide(scheduler.WorkerDraining{ID: s.Worker.ID})
@@ -84,7 +84,7 @@
 		From:        id,
 		Incarnation: w.seen.Incarnation,
 		Fence:       w.seen.Fence,
-		Stamp:       w.seen.Stamp,
+		Timestamp:   w.seen.Timestamp,
 		Tasks:       w.seen.Tasks,
 	}
 	for _, j := range w.jobs {
@@ -104,7 +104,7 @@
 		if p.accounted(id, t) {
 			continue
 		}
-		if msg, ok := gang.Orphan(t, w.seen.Incarnation, p.cfg.Epoch); ok {
+		if msg, ok := gang.OrphanStop(t, w.seen.Incarnation, p.cfg.Epoch); ok {
 			p.send(nil, id, msg)
 		}
 	}
@@ -118,7 +118,7 @@
 	if j.coord != nil {
 		return j.coord.Plan().ID == t.ID
 	}
-	if j.stored.Permitted() {
+	if j.stored.IsPermit() {
 		return accountedOnPermit(j, t.ID)
 	}
 	r := j.stored.Record
@@ -142,10 +142,10 @@
 func (p *Planner) loseSilent(now time.Time) {
 	limit := p.doc.Document.Gang.LossTimeout.Duration
 	for id, w := range p.workers {
-		if w.up && now.Sub(w.seen.At) > limit {
+		if w.up && now.Sub(w.seen.ReceivedAt) > limit {
 			p.lose(id, w)
 		}
-		if !w.up && len(w.jobs) == 0 && now.Sub(w.seen.At) > forgetWorkers {
+		if !w.up && len(w.jobs) == 0 && now.Sub(w.seen.ReceivedAt) > forgetWorkers {
 			delete(p.workers, id)
 		}
 	}
@@ -154,13 +154,13 @@
 // forgetWorkers is how long a lost worker is remembered.
 const forgetWorkers = 10 * time.Minute
 
-// Answer returns what the answer to a report of the agent has to carry: the
+// ReportAnswer returns what the answer to a report of the agent has to carry: the
 // attempts of several members with a member there that are whole, which is what
 // their tasks need to hear to run on, and the planner's stamp. It is safe for
 // concurrent use and reads what the last housekeeping published.
-func (p *Planner) Answer(agent string) ([]gang.ID, gang.Stamp) {
+func (p *Planner) ReportAnswer(agent string) ([]gang.ID, gang.PlannerTimestamp) {
 	w := p.whole.Load()
-	return w.of(agent, clock.Now()), gang.NewStamp(p.cfg.Epoch, w.at)
+	return w.of(agent, clock.Now()), gang.NewPlannerTimestamp(p.cfg.Epoch, w.at)
 }
 
 // wholeAttempts is what was whole at one moment.
@@ -189,7 +189,7 @@
 func (p *Planner) publishWhole(now time.Time) {
 	whole := make(map[string][]gang.ID)
 	for _, j := range p.jobs {
-		if j.coord == nil || len(j.coord.Plan().Members) < 2 || !j.coord.Whole(now) {
+		if j.coord == nil || len(j.coord.Plan().Members) < 2 || !j.coord.AllMembersAlive(now) {
 			continue
 		}
 		for _, m := range j.coord.Plan().Members {
--- a/wire/messages_report.go
+++ b/wire/messages_report.go
@@ -69,7 +69,7 @@
 	Fence uint64 `cbor:"25,keyasint,omitempty"`
 	// Stamp is that of the planner's last answer. It is of this report alone and
 	// in no group.
-	Stamp gang.Stamp `cbor:"26,keyasint,omitzero"`
+	Stamp gang.PlannerTimestamp `cbor:"26,keyasint,omitzero"`
 	// Relays: the agent can relay the reports of its rack. It goes with the group
 	// ChangedPlace and does not change within an incarnation.
 	Relays bool `cbor:"27,keyasint,omitempty"`
@@ -77,7 +77,7 @@
 
 // NoEvidence is the stamp of a report that must not count as evidence of a gang,
 // however late it comes: it is in no planner's epoch.
-var NoEvidence = gang.Stamp{Epoch: ^uint64(0)}
+var NoEvidence = gang.PlannerTimestamp{Epoch: ^uint64(0)}
 
 // Load is the state of a target's queue. Marked counts answers that carried a
 // congestion mark.
@@ -115,8 +115,8 @@
 	NextReport time.Duration `cbor:"8,keyasint,omitempty"`
 	// Whole lists the attempts of the reporting agents that their planner holds
 	// whole. It and Stamp come from the entry that plans alone.
-	Whole []gang.ID  `cbor:"9,keyasint,omitempty"`
-	Stamp gang.Stamp `cbor:"10,keyasint,omitzero"`
+	Whole []gang.ID             `cbor:"9,keyasint,omitempty"`
+	Stamp gang.PlannerTimestamp `cbor:"10,keyasint,omitzero"`
 	// Relay is the agent by which those of the sender's rack report, the sender
 	// itself included. The zero value: each reports by itself.
 	Relay RelayInfo `cbor:"11,keyasint,omitzero"`
