--- a/entry/inspect_job.go
+++ b/entry/inspect_job.go
@@ -103,7 +103,7 @@
 		Until:        e.Until,
 		First:        string(e.First),
 		Ahead:        e.Ahead,
-		AheadMore:    e.AheadMore,
+		AheadMore:    e.AheadTruncated,
 		Accelerators: e.Accelerators,
 		Adjacency:    api.Adjacency(e.Span.String()),
 		Free:         e.Free,
--- a/entry/inspect_service.go
+++ b/entry/inspect_service.go
@@ -82,7 +82,7 @@
 		Guaranteed:             a.Guaranteed,
 		Used:                   a.Used,
 		Borrowed:               a.Borrowed,
-		Owed:                   a.Owed,
+		Owed:                   a.Unplaced,
 		Evictions:              a.Evicted.Gangs,
 		LostAcceleratorSeconds: a.Evicted.AcceleratorSeconds,
 		Classes:                []api.ReportClass{},
@@ -96,8 +96,8 @@
 			WaitingAccelerators: c.WaitingAccelerators,
 			Waited:              waitsOf(waited[c.Class]),
 		}
-		if !c.Oldest.IsZero() {
-			one.Oldest = api.Duration(max(0, now.Sub(c.Oldest)).Round(time.Millisecond))
+		if !c.OldestSubmission.IsZero() {
+			one.Oldest = api.Duration(max(0, now.Sub(c.OldestSubmission)).Round(time.Millisecond))
 		}
 		out.Classes = append(out.Classes, one)
 	}
--- a/planner/decide.go
+++ b/planner/decide.go
@@ -28,7 +28,7 @@
 		p.stopGang(a)
 	case scheduler.RejectJob:
 		p.giveUp(a)
-	case scheduler.RequeuedJob:
+	case scheduler.JobRequeued:
 		p.requeued(a)
 	case scheduler.WakeAt:
 		p.wake.Reset(time.Until(a.At))
@@ -142,7 +142,7 @@
 	p.post0(func() { p.coordinate(j, gang.Abort{Checkpoint: a.Checkpoint}) })
 }
 
-func (p *Planner) requeued(a scheduler.RequeuedJob) {
+func (p *Planner) requeued(a scheduler.JobRequeued) {
 	if j := p.jobs[string(a.Job)]; j != nil && j.coord == nil {
 		j.phase = Queued
 	}
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -50,7 +50,7 @@
 	p := &Planner{
 		cfg:     cfg,
 		work:    make(chan func(), workQueue),
-		sched:   scheduler.New(scheduler.Options{Start: time.Now(), SettleFor: settleFor}),
+		sched:   scheduler.New(scheduler.Options{Start: time.Now(), SettlingPeriod: settleFor}),
 		doc:     cfg.Document,
 		jobs:    make(map[string]*job),
 		workers: make(map[string]*worker),
--- a/planner/policy.go
+++ b/planner/policy.go
@@ -10,11 +10,11 @@
 func policyOf(h *document.Held) scheduler.Policy {
 	d := h.Document
 	p := scheduler.Policy{
-		Generation:    h.Version.Generation,
-		Objective:     scheduler.CompletionTime,
-		WorkerStrikes: d.Health.FailureThreshold,
-		JobStrikes:    d.Health.JobFailureWorkers,
-		QuarantineFor: d.Health.Quarantine.Duration,
+		Generation:        h.Version.Generation,
+		Objective:         scheduler.CompletionTime,
+		FailureThreshold:  d.Health.FailureThreshold,
+		JobFailureWorkers: d.Health.JobFailureWorkers,
+		QuarantineFor:     d.Health.Quarantine.Duration,
 	}
 	if d.Objective == document.Fragmentation {
 		p.Objective = scheduler.Fragmentation
--- a/scheduler/account.go
+++ b/scheduler/account.go
@@ -12,11 +12,11 @@
 	running int
 	blocks  []*block
 	gen     uint64 // changes when the room in its blocks may have grown
-	evicted Evicted
+	evicted EvictionTotals
 }
 
-// Evicted is the work lost to evictions.
-type Evicted struct {
+// EvictionTotals is the work lost to evictions.
+type EvictionTotals struct {
 	Gangs int
 	// AcceleratorSeconds is the time since the last checkpoint, or since the
 	// start, times the accelerators.
--- a/scheduler/action.go
+++ b/scheduler/action.go
@@ -26,8 +26,8 @@
 		Reason RejectReason
 		Detail string
 	}
-	// RequeuedJob says that a job waits again after an attempt.
-	RequeuedJob struct {
+	// JobRequeued says that a job waits again after an attempt.
+	JobRequeued struct {
 		Job     JobID
 		Attempt Attempt
 	}
@@ -57,7 +57,7 @@
 func (StartGang) action()         {}
 func (StopGang) action()          {}
 func (RejectJob) action()         {}
-func (RequeuedJob) action()       {}
+func (JobRequeued) action()       {}
 func (GuaranteeDegraded) action() {}
 func (GuaranteeRestored) action() {}
 func (QuarantineWorker) action()  {}
--- a/scheduler/claim_test.go
+++ b/scheduler/claim_test.go
@@ -230,7 +230,7 @@
 	if best < 0 {
 		return nil
 	}
-	var byFree [MaxAccelerators + 1][]int
+	var byFree [MaxWorkerAccelerators + 1][]int
 	for i := range b.workers {
 		if at(&b.workers[i]) == best {
 			free := b.workers[i].Accelerators - b.busy[i]
@@ -238,7 +238,7 @@
 		}
 	}
 	var out []piece
-	for free := MaxAccelerators; free > 0 && need > 0; free-- {
+	for free := MaxWorkerAccelerators; free > 0 && need > 0; free-- {
 		for _, i := range byFree[free] {
 			k := min(need, free)
 			out = append(out, piece{nodeID(i), k})
--- a/scheduler/cpu.go
+++ b/scheduler/cpu.go
@@ -78,8 +78,8 @@
 // recountCPU derives what is left for jobs without accelerators from the
 // attempts on the node.
 func (s *Scheduler) recountCPU(n *node) {
-	n.cpuCores = n.cpuBudget(s.policy.CPUShare)
-	n.cpuMem = n.memBudget(s.policy.CPUShare)
+	n.cpuCores = n.cpuBudget(s.policy.CPUSharePercent)
+	n.cpuMem = n.memBudget(s.policy.CPUSharePercent)
 	for _, r := range n.runs {
 		if r.job.Accelerators == 0 {
 			n.cpuCores -= r.job.Cores
@@ -105,7 +105,7 @@
 	if n.Accelerators <= 0 {
 		return
 	}
-	c, m := n.acceleratorShare(s.policy.CPUShare)
+	c, m := n.acceleratorShare(s.policy.CPUSharePercent)
 	if s.minCores == 0 || c < s.minCores {
 		s.minCores = c
 	}
@@ -127,7 +127,7 @@
 	if k.cores <= s.minCores && k.memory <= s.minMem {
 		return 1
 	}
-	c, m := n.acceleratorShare(s.policy.CPUShare)
+	c, m := n.acceleratorShare(s.policy.CPUSharePercent)
 	u := max(1, ceilDiv(k.cores, c), ceilDiv(k.memory, m))
 	if u > n.Accelerators {
 		return 0
@@ -145,7 +145,7 @@
 		return 0
 	}
 	if b <= 0 {
-		return MaxAccelerators + 1
+		return MaxWorkerAccelerators + 1
 	}
 	return (a + b - 1) / b
 }
--- a/scheduler/end.go
+++ b/scheduler/end.go
@@ -63,7 +63,7 @@
 	j.failures++
 	s.blame(r, worker)
 	strikes := s.healthyStrikes(j)
-	if strikes >= s.policy.JobStrikes || j.failures >= s.policy.MaxAttempts {
+	if strikes >= s.policy.JobFailureWorkers || j.failures >= s.policy.MaxAttempts {
 		s.acquit(j)
 		s.endJob(j, RejectFaulty, fmt.Sprintf("failed %d times, on %d healthy workers", j.failures, strikes))
 		return
@@ -99,7 +99,7 @@
 // requeue lets the job of an ended attempt wait again, at its old place.
 func (s *Scheduler) requeue(r *run) {
 	j := r.job
-	s.emit(RequeuedJob{Job: j.ID, Attempt: r.attempt})
+	s.emit(JobRequeued{Job: j.ID, Attempt: r.attempt})
 	if n := j.failures + j.losses; n > 0 {
 		s.delay(j, s.now.Add(backoff(s.policy.RetryAfter, n)))
 		return
--- a/scheduler/evict.go
+++ b/scheduler/evict.go
@@ -79,7 +79,7 @@
 }
 
 // cheapest chooses the evictable runs of a node that free at least short accelerators
-// there at the least cost: a knapsack over at most [MaxAccelerators].
+// there at the least cost: a knapsack over at most [MaxWorkerAccelerators].
 func (s *Scheduler) cheapest(n *node, chosen []*run, short int) []*run {
 	cost := make([]float64, short+1) // least cost to free i accelerators
 	for i := 1; i <= short; i++ {
--- a/scheduler/explain.go
+++ b/scheduler/explain.go
@@ -67,7 +67,7 @@
 	e.First, e.FirstReason, e.Until = first.Job, first.Reason, first.Until
 	for x := j.prev; x != nil; x = x.prev {
 		if e.Ahead == maxAhead {
-			e.AheadMore = true
+			e.AheadTruncated = true
 			break
 		}
 		e.Ahead++
--- a/scheduler/explain_blocked.go
+++ b/scheduler/explain_blocked.go
@@ -20,7 +20,7 @@
 	case s.yielded(q):
 		e.Reason, e.Until = WaitYields, q.grace
 	case s.degradedFor(&q.key, j.account) > 0:
-		e.Reason, e.Blocks = WaitDegraded, s.degradedFor(&q.key, j.account)
+		e.Reason, e.UnplacedBlocks = WaitDegraded, s.degradedFor(&q.key, j.account)
 	case unused != WaitNone:
 		e.Reason = unused
 	case s.largest(&s.open, &q.key, f.reserved) >= j.Accelerators:
--- a/scheduler/explain_test.go
+++ b/scheduler/explain_test.go
@@ -251,7 +251,7 @@
 func TestSettlingIsNotImpossible(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(1e6, 0)
-	s := New(Options{Start: at, SettleFor: 5 * time.Second})
+	s := New(Options{Start: at, SettlingPeriod: 5 * time.Second})
 	s.Step(at, PolicyChanged{Policy{Generation: 1, Accounts: []AccountPolicy{{ID: "a"}}}})
 	s.Step(at, JobsSubmitted{[]Job{{ID: "j", Account: "a", Accelerators: 16, Repeatable: true}}})
 	e, _ := s.Explain("j")
--- a/scheduler/explanation.go
+++ b/scheduler/explanation.go
@@ -22,16 +22,16 @@
 	FirstReason WaitReason
 	// Ahead is how many jobs of the same queue go first. AheadMore says that
 	// there are more than were counted.
-	Ahead     int
-	AheadMore bool
+	Ahead          int
+	AheadTruncated bool
 	// Free is the accelerators that any job could take at once, Largest the most
 	// of them in one unit of the span, in accelerators of the job. Units counts
 	// the units by what is free in them.
 	Free    int
 	Largest int
 	Units   []FreeUnits
-	// Blocks is how many blocks of the account have no place, for WaitDegraded.
-	Blocks int
+	// UnplacedBlocks is how many blocks of the account have no place, for WaitDegraded.
+	UnplacedBlocks int
 	// Evicting is the accelerators that a claim of the job still waits for.
 	Evicting int
 	// Detail is what makes the job impossible.
--- a/scheduler/free_units.go
+++ b/scheduler/free_units.go
@@ -27,7 +27,7 @@
 }
 
 func (x *index) eachWorkerSize(add func(free, units int) bool) {
-	for v := MaxAccelerators; v > 0; v-- {
+	for v := MaxWorkerAccelerators; v > 0; v-- {
 		units := 0
 		for _, z := range x.zones {
 			units += len(z.lists[v-1])
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -52,11 +52,11 @@
 	if !slices.Contains(n.health.strikes, j) {
 		n.health.strikes = append(n.health.strikes, j)
 	}
-	if s.strikes(n, nil) >= s.policy.WorkerStrikes {
+	if s.strikes(n, nil) >= s.policy.FailureThreshold {
 		s.quarantine(n)
 		return
 	}
-	if len(n.health.strikes) > 4*s.policy.WorkerStrikes {
+	if len(n.health.strikes) > 4*s.policy.FailureThreshold {
 		n.health.strikes = n.health.strikes[1:]
 	}
 }
@@ -180,7 +180,7 @@
 			return n
 		}
 		u := s.units(&k, n)
-		if j.Accelerators > 0 && u > 0 && j.Accelerators*u <= min(n.Accelerators, MaxAccelerators) {
+		if j.Accelerators > 0 && u > 0 && j.Accelerators*u <= min(n.Accelerators, MaxWorkerAccelerators) {
 			return n
 		}
 	}
--- a/scheduler/impossible.go
+++ b/scheduler/impossible.go
@@ -26,7 +26,7 @@
 
 func (s *Scheduler) impossibleCPU(k *queueKey) (RejectReason, string, bool) {
 	for _, n := range s.nodeByID {
-		if n.cpuBudget(s.policy.CPUShare) >= k.cores && n.memBudget(s.policy.CPUShare) >= k.memory {
+		if n.cpuBudget(s.policy.CPUSharePercent) >= k.cores && n.memBudget(s.policy.CPUSharePercent) >= k.memory {
 			return 0, "", false
 		}
 	}
--- a/scheduler/node.go
+++ b/scheduler/node.go
@@ -40,7 +40,7 @@
 	if !n.usable() {
 		return 0
 	}
-	return min(n.Accelerators, MaxAccelerators)
+	return min(n.Accelerators, MaxWorkerAccelerators)
 }
 
 // idle is the number of accelerators that no attempt holds.
--- a/scheduler/place_each.go
+++ b/scheduler/place_each.go
@@ -23,7 +23,7 @@
 }
 
 func (z *zonePool) eachWorker(need, limit int, out [][]piece) [][]piece {
-	for v := need; v <= MaxAccelerators; v++ {
+	for v := need; v <= MaxWorkerAccelerators; v++ {
 		for _, n := range z.lists[v-1] {
 			if len(out) >= limit {
 				return out
--- a/scheduler/policy.go
+++ b/scheduler/policy.go
@@ -42,9 +42,9 @@
 
 	// MaxReservations bounds the gangs that hold a reservation at once.
 	MaxReservations int
-	// ReservedShare is the percentage of all accelerators that reservations may
+	// ReservedSharePercent is the percentage of all accelerators that reservations may
 	// hold, besides the first one, which may be of any size.
-	ReservedShare int
+	ReservedSharePercent int
 	// ReserveAfter is how long a job waits before it may hold a reservation.
 	ReserveAfter time.Duration
 	// AgeAfter is how long a job waits before it goes ahead of fair order.
@@ -56,12 +56,12 @@
 	ReclaimAfter time.Duration
 	// MaxEvictions bounds the evictions in progress at once.
 	MaxEvictions int
-	// WorkerStrikes is how many different jobs in a row must fail on a worker
+	// FailureThreshold is how many different jobs in a row must fail on a worker
 	// before it is quarantined.
-	WorkerStrikes int
-	// JobStrikes is on how many different healthy workers a job must fail
+	FailureThreshold int
+	// JobFailureWorkers is on how many different healthy workers a job must fail
 	// before it is rejected.
-	JobStrikes int
+	JobFailureWorkers int
 	// MaxAttempts bounds the starts that end in failure, and those that are lost in a
 	// row soon after.
 	MaxAttempts int
@@ -72,26 +72,26 @@
 	QuarantineFor time.Duration
 	// QuarantineMax bounds one quarantine.
 	QuarantineMax time.Duration
-	// CPUShare is the percentage of the cores and memory of a worker with
+	// CPUSharePercent is the percentage of the cores and memory of a worker with
 	// accelerators that jobs without accelerators may use.
-	CPUShare int
+	CPUSharePercent int
 }
 
 // WithDefaults returns the policy with every zero tunable set.
 func (p Policy) WithDefaults() Policy {
 	p.MaxReservations = orInt(p.MaxReservations, 4)
-	p.ReservedShare = orInt(p.ReservedShare, 40)
+	p.ReservedSharePercent = orInt(p.ReservedSharePercent, 40)
 	p.ReserveAfter = orTime(p.ReserveAfter, time.Second)
 	p.AgeAfter = orTime(p.AgeAfter, 10*time.Minute)
 	p.ReclaimAfter = orTime(p.ReclaimAfter, 10*time.Second)
 	p.MaxEvictions = orInt(p.MaxEvictions, 64)
-	p.WorkerStrikes = orInt(p.WorkerStrikes, 3)
-	p.JobStrikes = orInt(p.JobStrikes, 3)
+	p.FailureThreshold = orInt(p.FailureThreshold, 3)
+	p.JobFailureWorkers = orInt(p.JobFailureWorkers, 3)
 	p.MaxAttempts = orInt(p.MaxAttempts, 8)
 	p.RetryAfter = orTime(p.RetryAfter, time.Second)
 	p.QuarantineFor = orTime(p.QuarantineFor, 30*time.Second)
 	p.QuarantineMax = orTime(p.QuarantineMax, time.Hour)
-	p.CPUShare = orInt(p.CPUShare, 25)
+	p.CPUSharePercent = orInt(p.CPUSharePercent, 25)
 	return p
 }
 
--- a/scheduler/policy_change.go
+++ b/scheduler/policy_change.go
@@ -8,7 +8,7 @@
 	if p.Generation < s.policy.Generation {
 		return
 	}
-	share := s.policy.CPUShare
+	share := s.policy.CPUSharePercent
 	s.policy = p.WithDefaults()
 	for _, a := range s.accountList {
 		a.known = false
@@ -22,7 +22,7 @@
 		s.setBlocks(a)
 	}
 	s.dropUnknown()
-	if share != s.policy.CPUShare {
+	if share != s.policy.CPUSharePercent {
 		s.resizeCPU()
 	}
 	s.grown++
@@ -101,7 +101,7 @@
 func (s *Scheduler) resizeCPU() {
 	s.cores, s.minCores, s.minMem = 0, 0, 0
 	for _, n := range s.nodes {
-		s.cores += n.cpuBudget(s.policy.CPUShare)
+		s.cores += n.cpuBudget(s.policy.CPUSharePercent)
 		s.leastShare(n)
 		s.recountCPU(n)
 		s.refreshCPU(n)
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -5,8 +5,8 @@
 // pool holds the workers of a rack or a zone by the value an index gives them.
 // Workers of value 0 are not listed.
 type pool struct {
-	lists [MaxAccelerators][]nodeID // workers of value i+1
-	mask  uint64                    // bit i is set when lists[i] is not empty
+	lists [MaxWorkerAccelerators][]nodeID // workers of value i+1
+	mask  uint64                          // bit i is set when lists[i] is not empty
 	sum   int
 }
 
@@ -38,7 +38,7 @@
 
 // atLeast returns the smallest value that is listed and not below v, or 0.
 func (p *pool) atLeast(v int) int {
-	if v > MaxAccelerators {
+	if v > MaxWorkerAccelerators {
 		return 0
 	}
 	m := p.mask >> (v - 1) << (v - 1)
--- a/scheduler/report.go
+++ b/scheduler/report.go
@@ -25,12 +25,12 @@
 // WorkerList is workers in one state: how many, and the first of them.
 type WorkerList struct {
 	Count   int
-	Workers []WorkerNote
+	Workers []WorkerStatus
 }
 
-// WorkerNote is a worker that gets no new work. Until is the end of its
+// WorkerStatus is a worker that gets no new work. Until is the end of its
 // quarantine, Since when it was lost; each is zero where it does not apply.
-type WorkerNote struct {
+type WorkerStatus struct {
 	ID    WorkerID
 	Since time.Time
 	Until time.Time
@@ -38,7 +38,7 @@
 	Probing bool
 }
 
-func (l *WorkerList) add(n WorkerNote) {
+func (l *WorkerList) add(n WorkerStatus) {
 	l.Count++
 	if len(l.Workers) < maxListed {
 		l.Workers = append(l.Workers, n)
@@ -53,8 +53,8 @@
 	Guaranteed int
 	Used       int
 	Borrowed   int
-	Owed       int
-	Evicted    Evicted
+	Unplaced   int
+	Evicted    EvictionTotals
 	Classes    []ClassReport
 }
 
@@ -65,8 +65,8 @@
 	RunningAccelerators int
 	Waiting             int
 	WaitingAccelerators int
-	// Oldest is when the job that waits longest was submitted.
-	Oldest time.Time
+	// OldestSubmission is when the job that waits longest was submitted.
+	OldestSubmission time.Time
 }
 
 // Report describes the state. Its cost is linear in workers, attempts and queues;
@@ -89,12 +89,12 @@
 		switch {
 		case n.ID == "":
 		case !n.up && s.now.Sub(n.health.until) < forgetAfter:
-			out.Lost.add(WorkerNote{ID: n.ID, Since: n.health.until})
+			out.Lost.add(WorkerStatus{ID: n.ID, Since: n.health.until})
 		case !n.up:
 		case n.draining:
-			out.Draining.add(WorkerNote{ID: n.ID})
+			out.Draining.add(WorkerStatus{ID: n.ID})
 		case n.health.excluded:
-			out.Quarantined.add(WorkerNote{ID: n.ID, Until: n.health.until, Probing: n.health.probing})
+			out.Quarantined.add(WorkerStatus{ID: n.ID, Until: n.health.until, Probing: n.health.probing})
 		}
 	}
 }
@@ -142,8 +142,8 @@
 func (c *ClassReport) addWaiting(first *job, n int) {
 	c.Waiting += n
 	c.WaitingAccelerators += n * first.Accelerators
-	if c.Oldest.IsZero() || first.Submitted.Before(c.Oldest) {
-		c.Oldest = first.Submitted
+	if c.OldestSubmission.IsZero() || first.Submitted.Before(c.OldestSubmission) {
+		c.OldestSubmission = first.Submitted
 	}
 }
 
@@ -158,7 +158,7 @@
 		out.Guaranteed += b.shape.Accelerators
 		out.Used += b.used
 		if !b.bound() {
-			out.Owed += b.shape.Accelerators
+			out.Unplaced += b.shape.Accelerators
 		}
 	}
 	for _, c := range classes {
--- a/scheduler/report_test.go
+++ b/scheduler/report_test.go
@@ -25,7 +25,7 @@
 		r := m.s.Report()
 		owed := 0
 		for _, a := range r.Accounts {
-			owed += a.Owed
+			owed += a.Unplaced
 			for _, c := range a.Classes {
 				running -= c.RunningAccelerators
 				waiting -= c.Waiting
--- a/scheduler/reserve.go
+++ b/scheduler/reserve.go
@@ -41,7 +41,7 @@
 		}
 	}
 	s.wantPlan = false
-	if have >= s.policy.MaxReservations || have > 0 && reserved*100 >= s.size.total()*s.policy.ReservedShare {
+	if have >= s.policy.MaxReservations || have > 0 && reserved*100 >= s.size.total()*s.policy.ReservedSharePercent {
 		return
 	}
 	for _, j := range s.stuck(s.policy.MaxReservations - have) {
@@ -50,7 +50,7 @@
 			return
 		}
 		reserved += j.Accelerators
-		if have > 0 && reserved*100 > s.size.total()*s.policy.ReservedShare {
+		if have > 0 && reserved*100 > s.size.total()*s.policy.ReservedSharePercent {
 			return
 		}
 		s.reserveFor(j)
--- a/scheduler/reserve_cpu.go
+++ b/scheduler/reserve_cpu.go
@@ -5,7 +5,7 @@
 func (s *Scheduler) reserveCPU(j *job) {
 	var best *node
 	for _, n := range s.nodes {
-		if !n.usable() || n.cpuFor != nil || n.cpuBudget(s.policy.CPUShare) < j.Cores || n.memBudget(s.policy.CPUShare) < j.MemoryMB {
+		if !n.usable() || n.cpuFor != nil || n.cpuBudget(s.policy.CPUSharePercent) < j.Cores || n.memBudget(s.policy.CPUSharePercent) < j.MemoryMB {
 			continue
 		}
 		if best == nil || n.cpuCores > best.cpuCores {
--- a/scheduler/restore.go
+++ b/scheduler/restore.go
@@ -55,7 +55,7 @@
 		}
 		h := held{node: n.id, granted: len(g.Accelerators)}
 		for _, a := range g.Accelerators {
-			if a < 0 || a >= MaxAccelerators {
+			if a < 0 || a >= MaxWorkerAccelerators {
 				return nil, false
 			}
 			h.mask |= 1 << a
@@ -63,7 +63,7 @@
 		if n.used&h.mask != 0 || r.on(n.id) > 0 {
 			return nil, false
 		}
-		h.n = len(numbers(h.mask, MaxAccelerators))
+		h.n = len(numbers(h.mask, MaxWorkerAccelerators))
 		out = append(out, h)
 	}
 	return out, true
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -6,9 +6,9 @@
 type Options struct {
 	// Start is the time of the first decision.
 	Start time.Time
-	// SettleFor is how long after Start jobs are not yet rejected for being
+	// SettlingPeriod is how long after Start jobs are not yet rejected for being
 	// larger than the topology, since workers are still announcing themselves.
-	SettleFor time.Duration
+	SettlingPeriod time.Duration
 }
 
 // Scheduler is the state of one scheduling domain. A single goroutine owns it.
@@ -69,7 +69,7 @@
 func New(o Options) *Scheduler {
 	s := &Scheduler{
 		now:      o.Start,
-		settled:  o.Start.Add(o.SettleFor),
+		settled:  o.Start.Add(o.SettlingPeriod),
 		policy:   Policy{}.WithDefaults(),
 		nodeByID: map[WorkerID]*node{},
 		zoneByID: map[string]int32{},
--- a/scheduler/sentence.go
+++ b/scheduler/sentence.go
@@ -26,7 +26,7 @@
 	case WaitYields:
 		return "it leaves its account's guaranteed blocks to larger jobs of the account until " + clockTime(e.Until)
 	case WaitDegraded:
-		return fmt.Sprintf("the guarantee of its account is degraded: %d blocks that could hold it have no place", e.Blocks)
+		return fmt.Sprintf("the guarantee of its account is degraded: %d blocks that could hold it have no place", e.UnplacedBlocks)
 	}
 	return e.sizeSentence()
 }
@@ -56,7 +56,7 @@
 
 func (e *Explanation) behind() string {
 	more := ""
-	if e.AheadMore {
+	if e.AheadTruncated {
 		more = " or more"
 	}
 	return fmt.Sprintf("%d%s jobs of its account, class and shape go first; the first of them, %s, waits by %s", e.Ahead, more, e.First, e.FirstReason)
--- a/scheduler/settle_test.go
+++ b/scheduler/settle_test.go
@@ -14,7 +14,7 @@
 func TestImpossibleJobIsAnsweredAfterATakeoverOnAQuietSite(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
-	s := New(Options{Start: start, SettleFor: 5 * time.Second})
+	s := New(Options{Start: start, SettlingPeriod: 5 * time.Second})
 	wake := start
 	step := func(now time.Time, ev Event) (rejected []RejectJob) {
 		for _, a := range s.Step(now, ev) {
--- a/scheduler/stats.go
+++ b/scheduler/stats.go
@@ -12,8 +12,8 @@
 	// that wait, averaged over those jobs by their size.
 	Fragmentation float64
 	Quarantined   int
-	// Unplaced is the guaranteed blocks that fit nowhere now.
-	Unplaced int
+	// UnplacedBlocks is the guaranteed blocks that fit nowhere now.
+	UnplacedBlocks int
 	// Evicting is the evictions in progress.
 	Evicting int
 	Starts   uint64
@@ -28,12 +28,12 @@
 	Running int
 	// Borrowed accelerators are in use beyond the guarantee.
 	Borrowed int
-	Evicted  Evicted
+	Evicted  EvictionTotals
 }
 
 // Stats summarises the state. Its cost is linear in workers and queues.
 func (s *Scheduler) Stats() Stats {
-	out := Stats{Unplaced: len(s.unbound), Evicting: s.stopping, Starts: s.starts}
+	out := Stats{UnplacedBlocks: len(s.unbound), Evicting: s.stopping, Starts: s.starts}
 	for _, n := range s.nodes {
 		if n.health.excluded && n.up {
 			out.Quarantined++
--- a/scheduler/topology.go
+++ b/scheduler/topology.go
@@ -112,12 +112,12 @@
 	for _, x := range s.indexes() {
 		x.set(n, 0)
 	}
-	s.cores -= n.cpuBudget(s.policy.CPUShare)
+	s.cores -= n.cpuBudget(s.policy.CPUSharePercent)
 	n.Worker = w
 	n.rack = s.rackOf(w.Zone, w.Rack)
 	n.zone = s.zoneOf(w.Zone)
-	s.cores += n.cpuBudget(s.policy.CPUShare)
-	s.size.set(n, min(max(0, w.Accelerators), MaxAccelerators))
+	s.cores += n.cpuBudget(s.policy.CPUSharePercent)
+	s.size.set(n, min(max(0, w.Accelerators), MaxWorkerAccelerators))
 	s.leastShare(n)
 	s.recountCPU(n)
 }
--- a/scheduler/worker.go
+++ b/scheduler/worker.go
@@ -1,8 +1,8 @@
 package scheduler
 
-// MaxAccelerators is the largest number of accelerators of one worker that the
+// MaxWorkerAccelerators is the largest number of accelerators of one worker that the
 // scheduler uses. Those above it stay idle.
-const MaxAccelerators = 64
+const MaxWorkerAccelerators = 64
 
 // Worker describes the capacity and the position of a worker. Accelerators may
 // be 0. Racks are scoped by their availability zone.
