--- a/engine/advice_test.go
+++ b/engine/advice_test.go
@@ -35,7 +35,7 @@
 				}
 			}
 		}
-		if w := d.e.Changes(d.now, time.Unix(1000, 0), 15); !w.Empty() {
+		if w := d.e.PendingChanges(d.now, time.Unix(1000, 0), 15); !w.Empty() {
 			d.step(Stored{Write: w})
 		}
 	}
--- a/engine/bench_day_test.go
+++ b/engine/bench_day_test.go
@@ -25,7 +25,7 @@
 type benchWorker struct {
 	info    WorkerInfo
 	running map[workload.TaskID]*benchRun
-	ended   []EndRow
+	ended   []RunEnd
 	listed  int64
 	due     time.Duration // of the next report
 }
@@ -44,8 +44,8 @@
 func newBenchFleet(workers, rackSize int) *benchFleet {
 	f := &benchFleet{rng: rand.New(rand.NewPCG(1, 2)), now: time.Second}
 	f.e = New(Params{
-		MaxHold: 10 * time.Second, StopTime: 900 * time.Millisecond, RemoteFactor: 3,
-		Restore: 250 * time.Millisecond, Reclaim: 3400 * time.Millisecond, Retention: 2 * time.Minute,
+		MaxLease: 10 * time.Second, StopTime: 900 * time.Millisecond, RemoteSlowdown: 3,
+		RestoreTime: 250 * time.Millisecond, MaxReclaimWait: 3400 * time.Millisecond, Retention: 2 * time.Minute,
 	}, 1, f.now, 0)
 	accounts := map[string]catalog.Account{}
 	for i := range 24 {
@@ -109,20 +109,20 @@
 
 func (f *benchFleet) report(w *benchWorker) {
 	w.due = f.now + benchReport
-	r := Report{Epoch: 1, Looked: true, Worker: w.info}
+	r := Report{Epoch: 1, Polled: true, Worker: w.info}
 	for id, run := range w.running {
 		if f.now >= run.end {
 			w.listed++
-			w.ended = append(w.ended, EndRow{Number: w.listed, Run: run.id, Reason: EndDone})
+			w.ended = append(w.ended, RunEnd{Sequence: w.listed, Run: run.id, Reason: EndDone})
 			delete(w.running, id)
 			continue
 		}
 		percent := int(100 * (f.now - run.began) / (run.end - run.began))
-		r.Running = append(r.Running, RunningRow{Run: run.id, Percent: percent, Checkpoint: fmt.Sprint(percent / 10)})
+		r.Running = append(r.Running, RunStatus{Run: run.id, Percent: percent, Checkpoint: fmt.Sprint(percent / 10)})
 	}
 	r.Ended = w.ended
 	verdict := f.e.Report(f.now, r)
-	for len(w.ended) > 0 && w.ended[0].Number <= verdict.Seen {
+	for len(w.ended) > 0 && w.ended[0].Sequence <= verdict.AckedEnds {
 		w.ended = w.ended[1:]
 	}
 }
@@ -144,13 +144,13 @@
 		for _, run := range o.Stops {
 			if r := w.running[run.Task]; r != nil && r.id == run {
 				w.listed++
-				w.ended = append(w.ended, EndRow{Number: w.listed, Run: run, Reason: EndStopped})
+				w.ended = append(w.ended, RunEnd{Sequence: w.listed, Run: run, Reason: EndStopped})
 				delete(w.running, run.Task)
 			}
 		}
 		f.e.Step(f.now, ended)
 	}
-	if w := f.e.Changes(f.now, time.Unix(1000, 0).Add(f.now), 15); !w.Empty() {
+	if w := f.e.PendingChanges(f.now, time.Unix(1000, 0).Add(f.now), 15); !w.Empty() {
 		f.e.Step(f.now, Stored{Write: w})
 	}
 }
--- a/engine/bench_test.go
+++ b/engine/bench_test.go
@@ -14,19 +14,19 @@
 func busyFleet(b *testing.B, workers, waiting int) (*Engine, time.Duration) {
 	now := time.Second
 	e := New(Params{
-		MaxHold: 6 * time.Second, StopTime: 200 * time.Millisecond, RemoteFactor: 3,
-		Reclaim: 3 * time.Second, Retention: time.Minute,
+		MaxLease: 6 * time.Second, StopTime: 200 * time.Millisecond, RemoteSlowdown: 3,
+		MaxReclaimWait: 3 * time.Second, Retention: time.Minute,
 	}, 1, now, 0)
 	e.Step(now, CatalogChanged{Catalog: &catalog.Catalog{}})
 	for i := range workers {
-		e.Report(now, Report{Epoch: 1, Looked: true, Worker: WorkerInfo{
+		e.Report(now, Report{Epoch: 1, Polled: true, Worker: WorkerInfo{
 			ID: WorkerID(fmt.Sprintf("w%05d", i)), Agent: fmt.Sprint("agent", i), Service: "s", Rack: fmt.Sprint("r", i/12),
 			Capacity: workload.Resources{MilliCPU: 64000, MemoryMB: 128000, Accelerators: 8},
 		}})
 	}
 	store := func() {
 		for {
-			w := e.Changes(now, time.Unix(1000, 0), 1000)
+			w := e.PendingChanges(now, time.Unix(1000, 0), 1000)
 			if w.Empty() {
 				return
 			}
--- a/engine/cancelled_test.go
+++ b/engine/cancelled_test.go
@@ -30,8 +30,8 @@
 	d.stops = nil
 	d.now += 100 * time.Millisecond
 	d.report(Report{
-		Epoch: d.e.epoch, Looked: true, Worker: d.e.workers[on].info,
-		Running: []RunningRow{{Run: run, Percent: 1}},
+		Epoch: d.e.epoch, Polled: true, Worker: d.e.workers[on].info,
+		Running: []RunStatus{{Run: run, Percent: 1}},
 	})
 	d.settle()
 	return slices.Contains(d.stops, run)
@@ -44,7 +44,7 @@
 	c := qt.New(t)
 	d := newDesk(t, 1)
 	run, on := d.lateRun(c)
-	d.report(Report{Epoch: 1, Looked: true, Worker: d.e.workers[on].info, Absent: []workload.RunID{run}})
+	d.report(Report{Epoch: 1, Polled: true, Worker: d.e.workers[on].info, ConfirmedAbsent: []workload.RunID{run}})
 	d.settle()
 	c.Assert(d.runs(run.Task.Job), qt.HasLen, 0)
 	c.Check(d.showOne(run, on), qt.IsTrue)
@@ -60,7 +60,7 @@
 		run, on := d.lateRun(c)
 		info := d.e.workers[on].info
 		if !recorded {
-			d.report(Report{Epoch: 1, Looked: true, Worker: info, Absent: []workload.RunID{run}})
+			d.report(Report{Epoch: 1, Polled: true, Worker: info, ConfirmedAbsent: []workload.RunID{run}})
 			d.settle()
 		}
 		d.takeOver()
--- a/engine/checkpoints_test.go
+++ b/engine/checkpoints_test.go
@@ -25,7 +25,7 @@
 	d.pass(2 * keepEvery)
 	d.takeOver()
 	for _, w := range d.e.sortedWorkers() {
-		d.report(Report{Worker: w.info, Left: true})
+		d.report(Report{Worker: w.info, Terminated: true})
 	}
 	for i := range 2 {
 		again := d.worker(10 + i)
@@ -55,14 +55,14 @@
 	}
 	d.now += keepEvery
 	d.step(Tick{Wall: time.Unix(1000, 0)})
-	w := d.e.Changes(d.now, time.Unix(1000, 0), 10*jobs)
+	w := d.e.PendingChanges(d.now, time.Unix(1000, 0), 10*jobs)
 	c.Check(w.Jobs, qt.HasLen, keepMost)
 }
 
 // showCheckpoint lets a worker show its one run with a new checkpoint.
 func (d *desk) showCheckpoint(id WorkerID, saved string) {
 	d.now += 100 * time.Millisecond
-	d.show(id, func(p *placement) RunningRow {
-		return RunningRow{Checkpoint: saved, Percent: p.pulse.percent + 1}
+	d.show(id, func(p *placement) RunStatus {
+		return RunStatus{Checkpoint: saved, Percent: p.pulse.percent + 1}
 	})
 }
--- a/engine/crash_test.go
+++ b/engine/crash_test.go
@@ -39,7 +39,7 @@
 	until time.Duration
 	epoch uint64 // the newest planner that the worker had heard of
 	// proven are the runs that the agent had seen at work for a while.
-	proven []RunningRow
+	proven []RunStatus
 }
 
 func newCrashDay(c *qt.C, workers int) *crashDay {
@@ -73,31 +73,31 @@
 	case !down:
 		d.work(w)
 	case d.now < away.until:
-		d.report(Report{Epoch: away.epoch, Worker: w.info, Silent: true})
+		d.report(Report{Epoch: away.epoch, Worker: w.info, Unresponsive: true})
 	default:
 		delete(d.down, agent)
-		d.report(Report{Worker: w.info, Left: true, Crashed: true, Looked: true, Running: away.proven})
+		d.report(Report{Worker: w.info, Terminated: true, Crashed: true, Polled: true, Running: away.proven})
 		d.lives++
 		next := w.info
 		next.ID = WorkerID(fmt.Sprintf("%s-life%d", agent, d.lives))
-		d.report(Report{Epoch: d.e.epoch, Looked: true, Worker: next})
+		d.report(Report{Epoch: d.e.epoch, Polled: true, Worker: next})
 	}
 }
 
 // work lets one worker that is up tell of its runs.
 func (d *crashDay) work(w *worker) {
-	r := Report{Epoch: d.e.epoch, Looked: true, Worker: w.info}
+	r := Report{Epoch: d.e.epoch, Polled: true, Worker: w.info}
 	for _, p := range w.sortedPlaces() {
 		switch {
 		case p.state == placeRecording:
 		case p.stopping:
 			r.Ended = append(r.Ended, d.endOf(w, p, EndStopped))
 		case d.broken(p.unit):
-			r.Ended = append(r.Ended, d.endOf(w, p, EndBroken))
+			r.Ended = append(r.Ended, d.endOf(w, p, EndGangBroken))
 		case d.now-d.began[p.id()] >= d.runTime:
 			r.Ended = append(r.Ended, d.endOf(w, p, EndDone))
 		default:
-			r.Running = append(r.Running, RunningRow{Run: p.id(), Percent: int(100 * (d.now - d.began[p.id()]) / d.runTime)})
+			r.Running = append(r.Running, RunStatus{Run: p.id(), Percent: int(100 * (d.now - d.began[p.id()]) / d.runTime)})
 		}
 	}
 	d.report(r)
@@ -113,9 +113,9 @@
 	return false
 }
 
-func (d *crashDay) endOf(w *worker, p *placement, why EndReason) EndRow {
+func (d *crashDay) endOf(w *worker, p *placement, why EndReason) RunEnd {
 	d.ends[w.info.ID]++
-	return EndRow{Number: d.ends[w.info.ID], Run: p.id(), Reason: why}
+	return RunEnd{Sequence: d.ends[w.info.ID], Run: p.id(), Reason: why}
 }
 
 func (d *crashDay) takeStarts() {
@@ -145,7 +145,7 @@
 	away := outage{until: d.now + rebirth, epoch: d.e.epoch}
 	for _, p := range w.sortedPlaces() {
 		if d.now-d.began[p.id()] >= ProvenAfter {
-			away.proven = append(away.proven, RunningRow{Run: p.id()})
+			away.proven = append(away.proven, RunStatus{Run: p.id()})
 		}
 	}
 	d.down[w.info.Agent] = away
@@ -245,11 +245,11 @@
 	for range 4 {
 		for agent := range 3 {
 			w := d.e.workers[d.e.byAgent[fmt.Sprint("agent", agent)]]
-			d.report(Report{Worker: w.info, Left: true})
+			d.report(Report{Worker: w.info, Terminated: true})
 			d.lives++
 			next := w.info
 			next.ID = WorkerID(fmt.Sprintf("%s-life%d", w.info.Agent, d.lives))
-			d.report(Report{Epoch: d.e.epoch, Looked: true, Worker: next})
+			d.report(Report{Epoch: d.e.epoch, Polled: true, Worker: next})
 			d.run(500 * time.Millisecond)
 		}
 	}
@@ -270,10 +270,10 @@
 		u.noteCrashes(0, crashes{total: 2, early: 1, certain: 2})
 		u.noteCrashes(1, crashes{total: 2, early: 1, certain: 2})
 	}
-	d.show("w0", func(p *placement) RunningRow { return RunningRow{} })
+	d.show("w0", func(p *placement) RunStatus { return RunStatus{} })
 	w := d.e.workers["w0"]
-	d.report(Report{Epoch: 1, Looked: true, Worker: w.info, Ended: []EndRow{d.endOf(w, w.sortedPlaces()[0], EndDone)}})
-	d.report(Report{Worker: d.e.workers["w1"].info, Left: true, Crashed: true, Looked: true})
+	d.report(Report{Epoch: 1, Polled: true, Worker: w.info, Ended: []RunEnd{d.endOf(w, w.sortedPlaces()[0], EndDone)}})
+	d.report(Report{Worker: d.e.workers["w1"].info, Terminated: true, Crashed: true, Polled: true})
 	d.settle()
 	c.Assert(d.state(id), qt.Equals, workload.Running)
 }
@@ -303,9 +303,9 @@
 				d.tick()
 			}
 			c.Assert(d.starts, qt.HasLen, 2)
-			left := Report{Worker: w.info, Left: true, Crashed: true, Looked: true}
+			left := Report{Worker: w.info, Terminated: true, Crashed: true, Polled: true}
 			if tc.ended {
-				left.Ended = []EndRow{{Number: 1, Run: first, Reason: EndLapsed}}
+				left.Ended = []RunEnd{{Sequence: 1, Run: first, Reason: EndLeaseExpired}}
 			}
 			d.report(left)
 			c.Check(d.e.jobs[id].units[0].crashesOf(0).total, qt.Equals, tc.count)
--- a/engine/discard_test.go
+++ b/engine/discard_test.go
@@ -67,9 +67,9 @@
 	d.pass(time.Second)
 	w := d.e.workers["w0"]
 	run := d.runs(id)["w0"][0]
-	d.report(Report{Epoch: 1, Looked: true, Worker: w.info, Running: []RunningRow{{Run: run, Checkpoint: "c1", Percent: 40}}})
+	d.report(Report{Epoch: 1, Polled: true, Worker: w.info, Running: []RunStatus{{Run: run, Checkpoint: "c1", Percent: 40}}})
 	d.now += time.Second
-	d.report(Report{Worker: w.info, Left: true})
+	d.report(Report{Worker: w.info, Terminated: true})
 	d.settle()
 	got := d.account()
 	c.Check(got.lost[CauseWorkerLost] > 60 && got.lost[CauseWorkerLost] < 80, qt.IsTrue, qt.Commentf("%v", got.lost))
@@ -93,5 +93,5 @@
 	d.settle()
 	c.Assert(d.late, qt.HasLen, 1)
 	c.Check(d.late[0].Job, qt.Equals, second)
-	c.Check(d.late[0].Reason, qt.Equals, LateByRoom)
+	c.Check(d.late[0].Reason, qt.Equals, LateByCapacity)
 }
--- a/engine/ends.go
+++ b/engine/ends.go
@@ -10,7 +10,7 @@
 
 // ended handles one listed end. It returns the job that must be stored before the
 // worker may forget the end, nil where nothing depends on it.
-func (e *Engine) ended(now time.Duration, w *worker, row EndRow) *job {
+func (e *Engine) ended(now time.Duration, w *worker, row RunEnd) *job {
 	delete(w.strays, row.Run)
 	p := w.places[row.Run.Task]
 	if p == nil || p.run != row.Run.Number {
@@ -19,7 +19,7 @@
 	reason := row.Reason
 	if row.Void && (reason == EndDone || reason == EndFailed) {
 		e.decided(p, "end does not count", "the worker's lease lapsed after it")
-		reason = EndLapsed
+		reason = EndLeaseExpired
 	}
 	u := p.unit
 	if row.Checkpoint != "" {
@@ -64,10 +64,10 @@
 // causeOfEnd is why a run that ended by itself was in vain. One that was stopped has the
 // cause of its stop.
 var causeOfEnd = map[EndReason]Cause{
-	EndFailed: CauseFailed,
-	EndLapsed: CauseLapsed,
-	EndBroken: CauseMember,
-	EndAlone:  CauseAlone,
+	EndFailed:         CauseFailed,
+	EndLeaseExpired:   CauseLapsed,
+	EndGangBroken:     CauseMember,
+	EndGangIncomplete: CauseAlone,
 }
 
 func (e *Engine) retry(u *unit) {
--- a/engine/event.go
+++ b/engine/event.go
@@ -28,7 +28,7 @@
 // Restored is a job as a predecessor left it.
 type Restored struct {
 	Submitted
-	Progress  *Progress // nil where the job was never touched
+	Progress  *JobProgress // nil where the job was never touched
 	Cancelled bool
 	// CancelOrder is the revision of the cancellation.
 	CancelOrder int64
--- a/engine/evict.go
+++ b/engine/evict.go
@@ -130,7 +130,7 @@
 
 // reclaims says whether u, within its account's guarantee, has to have its room emptied now.
 func (r *round) reclaims(u *unit) bool {
-	return r.protected[u.job] && r.now+r.e.params.StopTime+reclaimMargin >= u.since+r.e.params.Reclaim
+	return r.protected[u.job] && r.now+r.e.params.StopTime+reclaimMargin >= u.since+r.e.params.MaxReclaimWait
 }
 
 // waste returns the work lost by stopping u now, in core-seconds.
@@ -142,7 +142,7 @@
 		}
 		lost := now - p.began
 		if u.spec().Checkpoints {
-			lost = e.params.Restore
+			lost = e.params.RestoreTime
 		}
 		sum += p.demand.Cores() * lost.Seconds()
 	}
--- a/engine/evict_test.go
+++ b/engine/evict_test.go
@@ -18,7 +18,7 @@
 	promised := d.job(0, "big", tasks(1, 8))
 	d.settle()
 	c.Check(d.stops, qt.HasLen, 0)
-	due := d.e.params.Reclaim - d.e.params.StopTime - reclaimMargin
+	due := d.e.params.MaxReclaimWait - d.e.params.StopTime - reclaimMargin
 	d.pass(due - 100*time.Millisecond)
 	c.Check(d.stops, qt.HasLen, 0)
 	d.pass(100*time.Millisecond + 2*replanEvery)
--- a/engine/fit.go
+++ b/engine/fit.go
@@ -127,10 +127,10 @@
 // waiting for room nearby. A guaranteed job does not wait longer than its account was
 // promised.
 func (r *round) worthSpreading(u *unit, near domains) bool {
-	if r.protected[u.job] && r.now-u.since > r.e.params.Reclaim/4 {
+	if r.protected[u.job] && r.now-u.since > r.e.params.MaxReclaimWait/4 {
 		return true
 	}
-	slower := time.Duration((r.e.params.RemoteFactor - 1) * float64(r.e.estimate(u)))
+	slower := time.Duration((r.e.params.RemoteSlowdown - 1) * float64(r.e.estimate(u)))
 	for _, set := range near.sets {
 		if at, _ := r.forecast(u, set, slower); at <= slower {
 			return false
--- a/engine/helpers_test.go
+++ b/engine/helpers_test.go
@@ -28,14 +28,14 @@
 	ends map[WorkerID]int64
 	// discarded and late are what the engine accounted for.
 	discarded []Discarded
-	late      []Late
+	late      []JobLate
 }
 
 func newDesk(t *testing.T, workers int) *desk {
 	d := &desk{t: t, now: time.Second, said: map[workload.JobID]map[string]int{}, on: map[workload.RunID]WorkerID{}, ends: map[WorkerID]int64{}}
 	d.e = New(Params{
-		MaxHold: 6 * time.Second, StopTime: 900 * time.Millisecond, RemoteFactor: 3,
-		Restore: 500 * time.Millisecond, Reclaim: 3 * time.Second, Harm: 4 * time.Second, Retention: time.Minute,
+		MaxLease: 6 * time.Second, StopTime: 900 * time.Millisecond, RemoteSlowdown: 3,
+		RestoreTime: 500 * time.Millisecond, MaxReclaimWait: 3 * time.Second, MaxLatencyViolation: 4 * time.Second, Retention: time.Minute,
 	}, 1, d.now, 0)
 	d.step(CatalogChanged{Catalog: &catalog.Catalog{Accounts: map[string]catalog.Account{"big": {Guaranteed: 16}}}})
 	for i := range workers {
@@ -47,14 +47,14 @@
 
 // worker returns a worker of 32 cores and 8 accelerators, three to a rack.
 func (d *desk) worker(i int) Report {
-	return Report{Epoch: 1, Looked: true, Worker: WorkerInfo{
+	return Report{Epoch: 1, Polled: true, Worker: WorkerInfo{
 		ID: WorkerID(fmt.Sprint("w", i)), Agent: fmt.Sprint("agent", i), Service: "s",
 		Rack: fmt.Sprint("r", i/3), Labels: []string{"a", fmt.Sprint("r", i/3)},
 		Capacity: workload.Resources{MilliCPU: 32000, MemoryMB: 64000, Accelerators: 8},
 	}}
 }
 
-func (d *desk) report(r Report) Verdict { return d.e.Report(d.now, r) }
+func (d *desk) report(r Report) ReportAnswer { return d.e.Report(d.now, r) }
 
 func (d *desk) step(ev Event) { d.e.Step(d.now, ev) }
 
@@ -82,7 +82,7 @@
 		switch a := a.(type) {
 		case Discarded:
 			d.discarded = append(d.discarded, a)
-		case Late:
+		case JobLate:
 			d.late = append(d.late, a)
 		}
 		o, ok := a.(Orders)
@@ -103,11 +103,11 @@
 		d.stops = append(d.stops, o.Stops...)
 		for _, p := range o.Paces {
 			d.paces = append(d.paces, p)
-			ended.Paces = append(ended.Paces, PaceResult{PaceOrder: p, Done: !d.losePaces})
+			ended.Paces = append(ended.Paces, PaceResult{PaceOrder: p, Applied: !d.losePaces})
 		}
 		d.step(ended)
 	}
-	if w := d.e.Changes(d.now, time.Unix(1000, 0), 15); !w.Empty() {
+	if w := d.e.PendingChanges(d.now, time.Unix(1000, 0), 15); !w.Empty() {
 		busy = true
 		d.step(Stored{Write: w})
 	}
@@ -142,10 +142,10 @@
 func (d *desk) end(id workload.JobID, why EndReason) {
 	for worker, runs := range d.runs(id) {
 		w := d.e.workers[worker]
-		r := Report{Epoch: 1, Looked: true, Worker: w.info}
+		r := Report{Epoch: 1, Polled: true, Worker: w.info}
 		for _, run := range runs {
 			d.ends[worker]++
-			r.Ended = append(r.Ended, EndRow{Number: d.ends[worker], Run: run, Reason: why})
+			r.Ended = append(r.Ended, RunEnd{Sequence: d.ends[worker], Run: run, Reason: why})
 		}
 		d.report(r)
 	}
@@ -163,15 +163,15 @@
 
 // beat lets one worker report what is expected of it.
 func (d *desk) beat(id WorkerID) {
-	d.show(id, func(p *placement) RunningRow {
-		return RunningRow{Percent: p.pulse.percent + 1, Checkpoint: p.saved}
+	d.show(id, func(p *placement) RunStatus {
+		return RunStatus{Percent: p.pulse.percent + 1, Checkpoint: p.saved}
 	})
 }
 
 // show lets one worker report its runs, each as row says.
-func (d *desk) show(id WorkerID, row func(p *placement) RunningRow) {
+func (d *desk) show(id WorkerID, row func(p *placement) RunStatus) {
 	w := d.e.workers[id]
-	r := Report{Epoch: d.e.epoch, Looked: true, Worker: w.info}
+	r := Report{Epoch: d.e.epoch, Polled: true, Worker: w.info}
 	for _, p := range w.sortedPlaces() {
 		shown := row(p)
 		shown.Run = p.id()
--- a/engine/lasting_test.go
+++ b/engine/lasting_test.go
@@ -20,11 +20,11 @@
 // work lets all running tasks of a job reach full work.
 func (d *desk) work(id workload.JobID) {
 	for worker := range d.runs(id) {
-		d.show(worker, func(p *placement) RunningRow {
+		d.show(worker, func(p *placement) RunStatus {
 			if p.unit.job.spec.ID == id {
-				return RunningRow{Percent: 100}
+				return RunStatus{Percent: 100}
 			}
-			return RunningRow{Percent: p.pulse.percent}
+			return RunStatus{Percent: p.pulse.percent}
 		})
 	}
 }
@@ -51,7 +51,7 @@
 	d := newDesk(t, 3)
 	id := d.job(1, "", lasting(1, 1, 0))
 	d.settle()
-	for _, why := range []EndReason{EndFailed, EndFailed, EndFailed, EndFailed, EndDone, EndLapsed} {
+	for _, why := range []EndReason{EndFailed, EndFailed, EndFailed, EndFailed, EndDone, EndLeaseExpired} {
 		d.end(id, why)
 		d.settle()
 		d.pass(7 * time.Second)
--- a/engine/orders_test.go
+++ b/engine/orders_test.go
@@ -16,7 +16,7 @@
 		d := newDesk(t, 3)
 		id := d.job(1, "", gang(3, 8))
 		d.e.Decide(d.now)
-		w := d.e.Changes(d.now, time.Unix(1000, 0), 15)
+		w := d.e.PendingChanges(d.now, time.Unix(1000, 0), 15)
 		d.now += 1500 * time.Millisecond
 		for _, other := range []WorkerID{"w0", "w1", "w2"} {
 			if other != silent {
@@ -71,7 +71,7 @@
 	c.Check(d.starts, qt.HasLen, 1)
 	c.Check(d.e.workers["w0"].free().Accelerators, qt.Equals, 0)
 	r := d.worker(0)
-	r.Absent = append(r.Absent, first)
+	r.ConfirmedAbsent = append(r.ConfirmedAbsent, first)
 	d.report(r)
 	d.now += 5 * time.Second
 	d.report(d.worker(0))
--- a/engine/pace.go
+++ b/engine/pace.go
@@ -30,7 +30,7 @@
 // out.
 type PaceResult struct {
 	PaceOrder
-	Done bool `cbor:"3,keyasint,omitempty"`
+	Applied bool `cbor:"3,keyasint,omitempty"`
 }
 
 // pace is the speed that a run was told to work at.
@@ -84,7 +84,7 @@
 	if p == nil || p.run != r.Run.Number {
 		return
 	}
-	if !r.Done {
+	if !r.Applied {
 		p.pace.doubtUntil = now + paceDoubt
 		return
 	}
--- a/engine/params.go
+++ b/engine/params.go
@@ -4,20 +4,20 @@
 
 // Params are the bounds of a deployment.
 type Params struct {
-	// MaxHold is the longest lease that a worker grants what runs on it.
-	MaxHold time.Duration
+	// MaxLease is the longest lease that a worker grants what runs on it.
+	MaxLease time.Duration
 	// StopTime is how long a stopped task may take to end.
 	StopTime time.Duration
-	// RemoteFactor is how many times longer a task takes away from its data, or a
+	// RemoteSlowdown is how many times longer a task takes away from its data, or a
 	// gang when spread over racks.
-	RemoteFactor float64
-	// Restore is what resuming from a checkpoint costs.
-	Restore time.Duration
-	// Reclaim is how long a guaranteed job may wait for its accelerators.
-	Reclaim time.Duration
-	// Harm is how long a task that serves users may be over its target through what
+	RemoteSlowdown float64
+	// RestoreTime is what resuming from a checkpoint costs.
+	RestoreTime time.Duration
+	// MaxReclaimWait is how long a guaranteed job may wait for its accelerators.
+	MaxReclaimWait time.Duration
+	// MaxLatencyViolation is how long a task that serves users may be over its target through what
 	// fills beside it.
-	Harm time.Duration
+	MaxLatencyViolation time.Duration
 	// Retention is how long the state of an ended job is kept.
 	Retention time.Duration
 	Policy    Policy
@@ -50,5 +50,5 @@
 
 // lapse returns when a lease granted now has certainly lapsed.
 func (p Params) lapse(now time.Duration) time.Duration {
-	return now + slowest(p.MaxHold) + lapseSlack
+	return now + slowest(p.MaxLease) + lapseSlack
 }
--- a/engine/progress.go
+++ b/engine/progress.go
@@ -8,30 +8,30 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// Progress is the durable form of what became of a job.
-type Progress struct {
+// JobProgress is the durable form of what became of a job.
+type JobProgress struct {
 	// Epoch and Version make each write of a record unlike every other.
-	Epoch   uint64         `json:"epoch"`
-	Version int            `json:"v"`
-	State   workload.State `json:"state"`
-	Reason  string         `json:"reason,omitempty"`
-	Begun   bool           `json:"begun,omitempty"`
-	Created int            `json:"created,omitempty"`
-	Units   []UnitProgress `json:"units,omitempty"` // those that are not as at first
+	Epoch              uint64         `json:"epoch"`
+	Version            int            `json:"v"`
+	State              workload.State `json:"state"`
+	Reason             string         `json:"reason,omitempty"`
+	Started            bool           `json:"begun,omitempty"`
+	CreatedOccurrences int            `json:"created,omitempty"`
+	Units              []UnitProgress `json:"units,omitempty"` // those that are not as at first
 	// EndedAt is wall time; records are removed some time after.
 	EndedAt time.Time `json:"ended,omitzero"`
 }
 
 // UnitProgress is the durable form of a unit.
 type UnitProgress struct {
-	Occurrence int     `json:"k,omitempty"`
-	Step       int     `json:"s,omitempty"`
-	Index      int     `json:"i,omitempty"`
-	Run        int     `json:"r,omitempty"`
-	Failures   int     `json:"f,omitempty"`
-	Done       bool    `json:"d,omitempty"`
-	Saved      string  `json:"c,omitempty"`
-	Places     []Place `json:"p,omitempty"`
+	Occurrence int               `json:"k,omitempty"`
+	Step       int               `json:"s,omitempty"`
+	Index      int               `json:"i,omitempty"`
+	Run        int               `json:"r,omitempty"`
+	Failures   int               `json:"f,omitempty"`
+	Done       bool              `json:"d,omitempty"`
+	Checkpoint string            `json:"c,omitempty"`
+	Places     []MemberPlacement `json:"p,omitempty"`
 	// Crashes are counts of the workers that crashed under tasks of the unit.
 	Crashes []TaskCrashes `json:"x,omitempty"`
 }
@@ -44,8 +44,8 @@
 	Certain int `json:"c,omitempty"`
 }
 
-// Place says which worker may hold a member's run.
-type Place struct {
+// MemberPlacement says which worker may hold a member's run.
+type MemberPlacement struct {
 	Index  int      `json:"i,omitempty"`
 	Worker WorkerID `json:"w"`
 }
@@ -58,13 +58,13 @@
 		Run:        u.run,
 		Failures:   u.failures,
 		Done:       u.state == unitDone,
-		Saved:      u.saved,
+		Checkpoint: u.saved,
 	}
 	if p.Done {
-		p.Saved = ""
+		p.Checkpoint = ""
 	}
 	for _, place := range u.places {
-		p.Places = append(p.Places, Place{Index: place.index, Worker: place.worker.info.ID})
+		p.Places = append(p.Places, MemberPlacement{Index: place.index, Worker: place.worker.info.ID})
 	}
 	for _, index := range slices.Sorted(maps.Keys(u.crashes)) {
 		c := u.crashes[index]
@@ -77,8 +77,8 @@
 	return u.run == 0 && u.state != unitDone
 }
 
-func (j *job) progress(epoch uint64, now time.Duration, wall time.Time) *Progress {
-	p := &Progress{Epoch: epoch, Version: j.version, State: j.state, Reason: j.reason, Begun: j.begun, Created: j.created}
+func (j *job) progress(epoch uint64, now time.Duration, wall time.Time) *JobProgress {
+	p := &JobProgress{Epoch: epoch, Version: j.version, State: j.state, Reason: j.reason, Started: j.begun, CreatedOccurrences: j.created}
 	if j.state.Final() {
 		p.EndedAt = wall.Add(j.endedAt - now)
 	}
--- a/engine/pulse_test.go
+++ b/engine/pulse_test.go
@@ -51,7 +51,7 @@
 	d.settle()
 	for i := range 100 {
 		d.now += 100 * time.Millisecond
-		d.show("w0", func(*placement) RunningRow { return RunningRow{Percent: 90 + i/14} })
+		d.show("w0", func(*placement) RunStatus { return RunStatus{Percent: 90 + i/14} })
 		d.tick()
 	}
 	c.Assert(d.runs(id), qt.HasLen, 1)
--- a/engine/report.go
+++ b/engine/report.go
@@ -11,16 +11,16 @@
 
 // Reasons.
 const (
-	EndDone    EndReason = "done"
-	EndFailed  EndReason = "failed"  // by its own fault or the worker's
-	EndStopped EndReason = "stopped" // on an order
-	EndLapsed  EndReason = "lapsed"  // the worker's lease ran out
-	EndBroken  EndReason = "broken"  // another member of the gang ended
-	EndAlone   EndReason = "alone"   // the other members did not come
+	EndDone           EndReason = "done"
+	EndFailed         EndReason = "failed"  // by its own fault or the worker's
+	EndStopped        EndReason = "stopped" // on an order
+	EndLeaseExpired   EndReason = "lapsed"  // the worker's lease ran out
+	EndGangBroken     EndReason = "broken"  // another member of the gang ended
+	EndGangIncomplete EndReason = "alone"   // the other members did not come
 )
 
-// RunningRow is a run that is there now.
-type RunningRow struct {
+// RunStatus is a run that is there now.
+type RunStatus struct {
 	Run        workload.RunID `cbor:"1,keyasint"`
 	Checkpoint string         `cbor:"2,keyasint,omitempty"`
 	Percent    int            `cbor:"3,keyasint,omitempty"`
@@ -29,9 +29,9 @@
 	Load int `cbor:"4,keyasint,omitempty"`
 }
 
-// EndRow is a run that has ended. Number counts the ends of one life of a worker.
-type EndRow struct {
-	Number     int64          `cbor:"1,keyasint"`
+// RunEnd is a run that has ended. Number counts the ends of one life of a worker.
+type RunEnd struct {
+	Sequence   int64          `cbor:"1,keyasint"`
 	Run        workload.RunID `cbor:"2,keyasint"`
 	Reason     EndReason      `cbor:"3,keyasint"`
 	Checkpoint string         `cbor:"4,keyasint,omitempty"`
@@ -45,54 +45,54 @@
 	Worker WorkerInfo `cbor:"1,keyasint"`
 	// Epoch is the planner's epoch that the worker has seen; orders of older ones
 	// are refused there.
-	Epoch     uint64        `cbor:"2,keyasint,omitempty"`
-	Draining  bool          `cbor:"3,keyasint,omitempty"`
-	Remaining time.Duration `cbor:"4,keyasint,omitempty"` // while draining
-	// Silent: the worker has not answered the agent's last look. LeaseLeft is then the
+	Epoch          uint64        `cbor:"2,keyasint,omitempty"`
+	Draining       bool          `cbor:"3,keyasint,omitempty"`
+	DrainRemaining time.Duration `cbor:"4,keyasint,omitempty"` // while draining
+	// Unresponsive: the worker has not answered the agent's last look. LeaseLeft is then the
 	// time until the end of its lease, reckoned from every order that left, answered or
 	// not; negative once that is past. It says nothing unless LeaseKnown: an agent that
 	// was started again does not know what its predecessor ordered.
-	Silent    bool             `cbor:"5,keyasint,omitempty"`
-	LeaseLeft time.Duration    `cbor:"6,keyasint,omitempty"`
-	Running   []RunningRow     `cbor:"7,keyasint,omitempty"`
-	Ended     []EndRow         `cbor:"8,keyasint,omitempty"`
-	Absent    []workload.RunID `cbor:"9,keyasint,omitempty"`  // stopped before, and not there
-	Left      bool             `cbor:"10,keyasint,omitempty"` // this life is over
-	// Looked: Running is the worker's own answer, not older than this report's
+	Unresponsive    bool             `cbor:"5,keyasint,omitempty"`
+	LeaseRemaining  time.Duration    `cbor:"6,keyasint,omitempty"`
+	Running         []RunStatus      `cbor:"7,keyasint,omitempty"`
+	Ended           []RunEnd         `cbor:"8,keyasint,omitempty"`
+	ConfirmedAbsent []workload.RunID `cbor:"9,keyasint,omitempty"`  // stopped before, and not there
+	Terminated      bool             `cbor:"10,keyasint,omitempty"` // this life is over
+	// Polled: Running is the worker's own answer, not older than this report's
 	// predecessor.
-	Looked     bool `cbor:"11,keyasint,omitempty"`
+	Polled     bool `cbor:"11,keyasint,omitempty"`
 	LeaseKnown bool `cbor:"12,keyasint,omitempty"`
-	// Extending: the worker has been silent for so short a time that looks still extend its
+	// ExtendingLease: the worker has been silent for so short a time that looks still extend its
 	// lease by what the answer to this report grants.
-	Extending bool `cbor:"13,keyasint,omitempty"`
+	ExtendingLease bool `cbor:"13,keyasint,omitempty"`
 	// Crashed: this life is over, and ended without notice. With Looked, Running are then
 	// the runs that had been at work for ProvenAfter, and Ended those that were over, as far
 	// as the agent saw.
 	Crashed bool `cbor:"14,keyasint,omitempty"`
-	// Turn is what the worker has seen of the planner's turn; see Fence.
-	Turn uint64 `cbor:"15,keyasint,omitempty"`
+	// Generation is what the worker has seen of the planner's turn; see Fence.
+	Generation uint64 `cbor:"15,keyasint,omitempty"`
 	// Superseded: this life is over, and another one answers under its name.
 	Superseded bool `cbor:"16,keyasint,omitempty"`
 }
 
-// Verdict is the answer to a report.
-type Verdict struct {
+// ReportAnswer is the answer to a report.
+type ReportAnswer struct {
 	// Attached: the report was made under this engine's epoch, and the answer grants the
 	// worker's lease its whole time.
 	Attached bool
-	// Turn is the least that orders to this life carry; see Fence.
-	Turn uint64
-	// Seen: ends up to it may be forgotten.
-	Seen int64
-	// Waiting: ends of this report are not on record yet.
-	Waiting bool
-	// Closely: the agent should look often, since tasks that serve users share the worker
+	// Generation is the least that orders to this life carry; see Fence.
+	Generation uint64
+	// AckedEnds: ends up to it may be forgotten.
+	AckedEnds int64
+	// EndsPending: ends of this report are not on record yet.
+	EndsPending bool
+	// PollOften: the agent should look often, since tasks that serve users share the worker
 	// with others that fill.
-	Closely bool
+	PollOften bool
 }
 
-// Listed returns the runs that a worker shows, running or ended.
-func Listed(running []RunningRow, ended []EndRow) map[workload.RunID]bool {
+// ListedRuns returns the runs that a worker shows, running or ended.
+func ListedRuns(running []RunStatus, ended []RunEnd) map[workload.RunID]bool {
 	out := make(map[workload.RunID]bool, len(running)+len(ended))
 	for _, row := range running {
 		out[row.Run] = true
--- a/engine/reports.go
+++ b/engine/reports.go
@@ -14,13 +14,13 @@
 
 // Report handles an agent's report and returns the answer to it, which extends the
 // worker's lease: the caller sends it at once.
-func (e *Engine) Report(now time.Duration, r Report) Verdict {
-	if r.Left {
+func (e *Engine) Report(now time.Duration, r Report) ReportAnswer {
+	if r.Terminated {
 		e.departed(now, r)
-		return Verdict{}
+		return ReportAnswer{}
 	}
 	w := e.meet(now, r.Worker)
-	attached := r.Epoch == e.epoch && r.Turn >= w.turn
+	attached := r.Epoch == e.epoch && r.Generation >= w.turn
 	if now-w.lastReport >= reportTimeout {
 		e.replan = true
 	}
@@ -28,13 +28,13 @@
 	e.drain(now, w, r)
 	if !attached {
 		// Nothing is granted: what the worker's lease allows is bounded already.
-		return Verdict{Turn: w.turn, Seen: w.seen}
+		return ReportAnswer{Generation: w.turn, AckedEnds: w.seen}
 	}
 	first := !w.attached
 	w.attached = true
-	e.noteTurn(w, r.Turn)
+	e.noteTurn(w, r.Generation)
 	granted := e.hold(now, w, r)
-	if r.Looked {
+	if r.Polled {
 		e.settleSuperseded(now, w, r)
 		e.look(now, w, r)
 		e.share(now, w)
@@ -43,12 +43,12 @@
 		e.settleAdopted(now, w)
 		e.replan = true
 	}
-	return Verdict{Attached: granted, Turn: w.turn, Seen: w.forgettable(), Waiting: len(w.pending) > 0, Closely: w.shared()}
+	return ReportAnswer{Attached: granted, Generation: w.turn, AckedEnds: w.forgettable(), EndsPending: len(w.pending) > 0, PollOften: w.shared()}
 }
 
-// Seen returns up to which end a worker may forget, and whether more ends wait to be
+// AckedEnds returns up to which end a worker may forget, and whether more ends wait to be
 // recorded.
-func (e *Engine) Seen(id WorkerID) (seen int64, waiting bool) {
+func (e *Engine) AckedEnds(id WorkerID) (seen int64, waiting bool) {
 	w := e.workers[id]
 	if w == nil {
 		return 0, false
@@ -106,7 +106,7 @@
 		w.draining = true
 		e.replan = true
 	}
-	w.leavesAt = now + r.Remaining
+	w.leavesAt = now + r.DrainRemaining
 }
 
 // hold notes how long the worker's lease may last, and says whether the answer to the
@@ -120,15 +120,15 @@
 // and where the agent does not know it, the last grant to an answering worker bounds it.
 func (e *Engine) hold(now time.Duration, w *worker, r Report) bool {
 	wasSilent := w.silent
-	w.silent = r.Silent
-	granted := !r.Silent || r.Extending
+	w.silent = r.Unresponsive
+	granted := !r.Unresponsive || r.ExtendingLease
 	switch {
 	case granted:
 		w.lapseAt = e.params.lapse(now)
 	case r.LeaseKnown:
-		w.lapseAt = now + slowest(r.LeaseLeft) + lapseSlack
+		w.lapseAt = now + slowest(r.LeaseRemaining) + lapseSlack
 	}
-	if r.Silent {
+	if r.Unresponsive {
 		return granted
 	}
 	w.lapsed = false
@@ -146,25 +146,25 @@
 		e.seen(now, w, row)
 	}
 	for _, row := range r.Ended {
-		if row.Number <= w.listed {
+		if row.Sequence <= w.listed {
 			continue
 		}
-		w.listed = row.Number
+		w.listed = row.Sequence
 		owner := e.ended(now, w, row)
 		version := 0
 		if owner != nil {
 			version = owner.version
 		}
-		w.pending = append(w.pending, pendingEnd{number: row.Number, job: owner, version: version})
+		w.pending = append(w.pending, pendingEnd{number: row.Sequence, job: owner, version: version})
 	}
-	for _, run := range r.Absent {
+	for _, run := range r.ConfirmedAbsent {
 		e.absent(now, w, run)
 	}
-	e.miss(now, w, Listed(r.Running, r.Ended))
+	e.miss(now, w, ListedRuns(r.Running, r.Ended))
 }
 
 // seen handles one run that is there.
-func (e *Engine) seen(now time.Duration, w *worker, row RunningRow) {
+func (e *Engine) seen(now time.Duration, w *worker, row RunStatus) {
 	p := w.places[row.Run.Task]
 	if p == nil || p.run != row.Run.Number {
 		e.stray(now, w, row.Run)
--- a/engine/reserve_test.go
+++ b/engine/reserve_test.go
@@ -15,8 +15,8 @@
 // progress lets a tenth of a second pass, in which each run does its part of that length.
 func (d *desk) progress(length time.Duration) {
 	for _, w := range d.e.sortedWorkers() {
-		d.show(w.info.ID, func(p *placement) RunningRow {
-			return RunningRow{Percent: int(100 * (d.now - p.began) / length)}
+		d.show(w.info.ID, func(p *placement) RunStatus {
+			return RunStatus{Percent: int(100 * (d.now - p.began) / length)}
 		})
 	}
 	d.now += 100 * time.Millisecond
--- a/engine/restore.go
+++ b/engine/restore.go
@@ -69,17 +69,17 @@
 	e.replan = true
 }
 
-func (e *Engine) restoreProgress(now time.Duration, j *job, p *Progress) {
+func (e *Engine) restoreProgress(now time.Duration, j *job, p *JobProgress) {
 	j.state = p.State
 	j.reason = p.Reason
-	j.begun = p.Begun
+	j.begun = p.Started
 	j.version = p.Version
 	j.stored = p.Version
 	if j.state.Final() {
 		j.canceled = j.state == workload.Cancelled
 		j.endedAt = now
 	}
-	for j.created < p.Created {
+	for j.created < p.CreatedOccurrences {
 		j.create(now)
 	}
 	for _, up := range p.Units {
@@ -92,7 +92,7 @@
 func (e *Engine) restoreUnit(now time.Duration, u *unit, up UnitProgress) {
 	u.run = up.Run
 	u.failures = up.Failures
-	u.saved = up.Saved
+	u.saved = up.Checkpoint
 	for _, c := range up.Crashes {
 		u.noteCrashes(c.Index, crashes{total: c.Total, early: c.Early, certain: c.Certain})
 	}
--- a/engine/room.go
+++ b/engine/room.go
@@ -18,22 +18,22 @@
 	if room == w.info.Capacity {
 		return
 	}
-	e.actions = append(e.actions, Resized{Worker: w.info.ID, Before: w.info.Capacity, Now: room, Used: w.used})
+	e.actions = append(e.actions, WorkerResized{Worker: w.info.ID, Before: w.info.Capacity, After: room, Used: w.used})
 	w.info.Capacity = room
 	e.workersChanged = now
 	e.replan = true
 }
 
-// Resized: a worker has more or less room than before. Used is what the planner counts as
+// WorkerResized: a worker has more or less room than before. Used is what the planner counts as
 // taken there.
-type Resized struct {
-	Worker            WorkerID
-	Before, Now, Used workload.Resources
+type WorkerResized struct {
+	Worker              WorkerID
+	Before, After, Used workload.Resources
 }
 
-func (Resized) isAction() {}
+func (WorkerResized) isAction() {}
 
 // String returns the change for the log.
-func (r Resized) String() string {
-	return fmt.Sprintf("%+v before, %+v now, %+v taken", r.Before, r.Now, r.Used)
+func (r WorkerResized) String() string {
+	return fmt.Sprintf("%+v before, %+v now, %+v taken", r.Before, r.After, r.Used)
 }
--- a/engine/room_test.go
+++ b/engine/room_test.go
@@ -48,7 +48,7 @@
 	d := newDesk(t, 1)
 	id := d.job(1, "other", tasks(1, 6))
 	d.e.Decide(d.now)
-	w := d.e.Changes(d.now, time.Unix(1000, 0), 15)
+	w := d.e.PendingChanges(d.now, time.Unix(1000, 0), 15)
 	d.report(d.resized(0, 4))
 	d.step(Stored{Write: w})
 	d.settle()
--- a/engine/sharing.go
+++ b/engine/sharing.go
@@ -106,14 +106,14 @@
 	} else if s.overSince == 0 {
 		s.overSince = now
 	}
-	harmed := s.overFor(now, e.params.Harm, harmShare)
+	harmed := s.overFor(now, e.params.MaxLatencyViolation, harmShare)
 	if now-s.changedAt < strainSettle && !harmed {
 		return
 	}
 	switch {
 	case harmed:
 		e.holdBack(now, w, serving, filling, strain, 0)
-		if s.overFor(now, e.params.Harm, stopShare) {
+		if s.overFor(now, e.params.MaxLatencyViolation, stopShare) {
 			e.stopUnheld(now, filling)
 		}
 	case strain >= 1:
--- a/engine/sharing_test.go
+++ b/engine/sharing_test.go
@@ -53,9 +53,9 @@
 }
 
 func (d *desk) lookAt(w *worker, strain float64) Report {
-	r := Report{Epoch: d.e.epoch, Looked: true, Worker: w.info}
+	r := Report{Epoch: d.e.epoch, Polled: true, Worker: w.info}
 	for _, p := range w.sortedPlaces() {
-		row := RunningRow{Run: p.id(), Percent: min(p.pulse.percent+1, 98)}
+		row := RunStatus{Run: p.id(), Percent: min(p.pulse.percent+1, 98)}
 		if p.unit.spec().TailTarget > 0 {
 			row.Percent = 100
 			row.Load = int(strain * float64(tailTarget/time.Millisecond))
--- a/engine/silent_test.go
+++ b/engine/silent_test.go
@@ -18,9 +18,9 @@
 				d.beat(w.info.ID)
 			}
 		}
-		r := Report{Epoch: 1, Worker: info, Silent: true, LeaseKnown: known}
+		r := Report{Epoch: 1, Worker: info, Unresponsive: true, LeaseKnown: known}
 		if known {
-			r.LeaseLeft = end - d.now
+			r.LeaseRemaining = end - d.now
 		}
 		d.report(r)
 		d.tick()
@@ -79,12 +79,12 @@
 	silent := d.on[d.starts[0].Run]
 	info := d.e.workers[silent].info
 	d.now += 5 * time.Second
-	v := d.report(Report{Epoch: 1, Worker: info, Silent: true, Extending: true})
+	v := d.report(Report{Epoch: 1, Worker: info, Unresponsive: true, ExtendingLease: true})
 	c.Check(v.Attached, qt.IsTrue)
 	granted := d.now
 	d.silence(silent, 5*time.Second, 0, false)
 	c.Check(d.runs(id)[silent], qt.HasLen, 1, qt.Commentf("the lease may last for six seconds from the grant"))
-	v = d.report(Report{Epoch: 1, Worker: info, Silent: true})
+	v = d.report(Report{Epoch: 1, Worker: info, Unresponsive: true})
 	c.Check(v.Attached, qt.IsFalse, qt.Commentf("nothing is granted that is not counted"))
 	d.silence(silent, d.e.params.lapse(granted)-d.now+time.Second, 0, false)
 	c.Check(d.runs(id)[silent], qt.HasLen, 0)
--- a/engine/sim_crash_test.go
+++ b/engine/sim_crash_test.go
@@ -55,10 +55,10 @@
 	if w.crashes.share == 0 && !w.keepNames || sw.cut || sw.drains != 0 || len(sw.info.ID)%3 == 0 && !w.calm {
 		return
 	}
-	r := Report{Worker: sw.info, Left: true, Crashed: true, Superseded: sw.info.Name != "", Looked: sw.lookedAt != 0, Ended: sw.lastEnded}
+	r := Report{Worker: sw.info, Terminated: true, Crashed: true, Superseded: sw.info.Name != "", Polled: sw.lookedAt != 0, Ended: sw.lastEnded}
 	for run, from := range sw.shownFrom {
 		if sw.lookedAt-from >= ProvenAfter {
-			r.Running = append(r.Running, RunningRow{Run: run})
+			r.Running = append(r.Running, RunStatus{Run: run})
 		}
 	}
 	w.engine.Report(w.now, r)
--- a/engine/sim_rules_test.go
+++ b/engine/sim_rules_test.go
@@ -82,7 +82,7 @@
 	if why == EndDone {
 		w.ranToEnd[r.id.Task] = true
 	}
-	if why == EndAlone && w.calm && w.now-w.calmSince > 4*time.Second {
+	if why == EndGangIncomplete && w.calm && w.now-w.calmSince > 4*time.Second {
 		w.violated("%s of a gang was left alone without a fault", r.id.Task)
 	}
 }
@@ -104,7 +104,7 @@
 
 // noted: the planner took note of an end. Where the lease lapsed before, it counts as
 // not having been.
-func (w *simWorld) noted(row EndRow, void bool) {
+func (w *simWorld) noted(row RunEnd, void bool) {
 	if void {
 		return
 	}
@@ -145,7 +145,7 @@
 	}
 	found, at := w.members(r)
 	for i, o := range found {
-		at[i].end(o, EndBroken)
+		at[i].end(o, EndGangBroken)
 	}
 }
 
--- a/engine/sim_worker_test.go
+++ b/engine/sim_worker_test.go
@@ -28,7 +28,7 @@
 	leaseEnd time.Duration
 	running  map[workload.TaskID]*simRun
 	highest  map[workload.TaskID]int // of runs stopped or ended
-	ended    []EndRow
+	ended    []RunEnd
 	ends     int64
 	lapses   int64 // ends up to it came before a lapse
 	// The agent's part.
@@ -47,7 +47,7 @@
 	// What the agent saw last.
 	shownFrom map[workload.RunID]time.Duration
 	lookedAt  time.Duration
-	lastEnded []EndRow
+	lastEnded []RunEnd
 }
 
 func (w *simWorker) used() workload.Resources {
@@ -111,7 +111,7 @@
 	delete(w.running, r.id.Task)
 	w.highest[r.id.Task] = max(w.highest[r.id.Task], r.id.Number)
 	w.ends++
-	row := EndRow{Number: w.ends, Run: r.id, Reason: why}
+	row := RunEnd{Sequence: w.ends, Run: r.id, Reason: why}
 	if r.step.Checkpoints && why != EndDone {
 		row.Checkpoint = fmt.Sprintf("%s-%d", r.id.Task, r.id.Number)
 	}
@@ -129,7 +129,7 @@
 			w.lapses = w.ends
 		}
 		for _, r := range w.sorted() {
-			w.end(r, EndLapsed)
+			w.end(r, EndLeaseExpired)
 			w.lapses = w.ends
 		}
 		return
@@ -144,7 +144,7 @@
 			w.world.breakGang(r)
 		case r.step.Gang && !w.world.whole(r):
 			if now-r.began > 3*time.Second {
-				w.end(r, EndAlone)
+				w.end(r, EndGangIncomplete)
 			}
 		case now >= r.endsAt && r.fails:
 			w.end(r, EndFailed)
@@ -167,15 +167,15 @@
 // report is what the agent says now.
 func (w *simWorker) report(now time.Duration) Report {
 	w.overtake()
-	r := Report{Worker: w.info, Looked: w.fence == w.orders && w.orders.Epoch > 0}
+	r := Report{Worker: w.info, Polled: w.fence == w.orders && w.orders.Epoch > 0}
 	if w.fence == w.orders {
-		r.Epoch, r.Turn = w.orders.Epoch, w.orders.Turn
+		r.Epoch, r.Generation = w.orders.Epoch, w.orders.Turn
 	}
 	if w.drains != 0 {
 		r.Draining = true
-		r.Remaining = w.drains - now
+		r.DrainRemaining = w.drains - now
 	}
-	if !r.Looked {
+	if !r.Polled {
 		return r
 	}
 	for _, run := range w.sorted() {
@@ -183,24 +183,24 @@
 		if run.endsAt > run.began {
 			percent = int(100 * (now - run.began) / (run.endsAt - run.began))
 		}
-		r.Running = append(r.Running, RunningRow{Run: run.id, Percent: min(percent, 99)})
+		r.Running = append(r.Running, RunStatus{Run: run.id, Percent: min(percent, 99)})
 	}
 	for _, row := range w.ended {
-		row.Void = row.Number <= w.lapses
+		row.Void = row.Sequence <= w.lapses
 		r.Ended = append(r.Ended, row)
 	}
 	w.looks(now, r)
-	r.Absent = w.absent
+	r.ConfirmedAbsent = w.absent
 	w.absent = nil
 	return r
 }
 
 // answered takes the planner's answer to a report sent at time sent.
-func (w *simWorker) answered(now, sent time.Duration, epoch uint64, v Verdict) {
+func (w *simWorker) answered(now, sent time.Duration, epoch uint64, v ReportAnswer) {
 	if epoch < w.orders.Epoch || w.dead {
 		return
 	}
-	w.raise(Fence{Epoch: epoch, Turn: v.Turn})
+	w.raise(Fence{Epoch: epoch, Turn: v.Generation})
 	if !v.Attached {
 		return
 	}
@@ -210,13 +210,13 @@
 			w.leaseEnd = max(w.leaseEnd, until)
 		}
 	}
-	w.forget(v.Seen)
+	w.forget(v.AckedEnds)
 }
 
 func (w *simWorker) forget(seen int64) {
 	w.seen = max(w.seen, seen)
-	for len(w.ended) > 0 && w.ended[0].Number <= w.seen {
-		w.world.noted(w.ended[0], w.ended[0].Number <= w.lapses)
+	for len(w.ended) > 0 && w.ended[0].Sequence <= w.seen {
+		w.world.noted(w.ended[0], w.ended[0].Sequence <= w.lapses)
 		w.ended = w.ended[1:]
 	}
 }
--- a/engine/sim_world_test.go
+++ b/engine/sim_world_test.go
@@ -121,7 +121,7 @@
 	w.epoch++
 	w.writing = false
 	e := New(Params{
-		MaxHold: simHold, StopTime: 900 * time.Millisecond, RemoteFactor: 3, Restore: 500 * time.Millisecond, Reclaim: 3 * time.Second, Retention: time.Hour,
+		MaxLease: simHold, StopTime: 900 * time.Millisecond, RemoteSlowdown: 3, RestoreTime: 500 * time.Millisecond, MaxReclaimWait: 3 * time.Second, Retention: time.Hour,
 	}, w.epoch, w.now, 0)
 	w.engine = e
 	e.Step(w.now, CatalogChanged{Catalog: &catalog.Catalog{Accounts: map[string]catalog.Account{"big": {Guaranteed: 32}}}})
@@ -136,7 +136,7 @@
 		}
 		ev := Restored{Submitted: Submitted{Job: *w.jobs[id], Order: int64(i + 1)}, Cancelled: w.cancels[id]}
 		if text, ok := w.records[id]; ok {
-			ev.Progress = &Progress{}
+			ev.Progress = &JobProgress{}
 			if err := json.Unmarshal(text, ev.Progress); err != nil {
 				w.t.Fatal(err)
 			}
@@ -216,7 +216,7 @@
 	if w.writing || w.down {
 		return
 	}
-	change := e.Changes(w.now, w.wall(), 1+w.rng.IntN(15))
+	change := e.PendingChanges(w.now, w.wall(), 1+w.rng.IntN(15))
 	if change.Empty() {
 		return
 	}
@@ -243,10 +243,10 @@
 	for _, info := range change.Workers {
 		w.known[info.ID] = info
 	}
-	for _, id := range change.Gone {
+	for _, id := range change.RemovedWorkers {
 		delete(w.known, id)
 	}
-	for _, ended := range change.Ended {
+	for _, ended := range change.EndedJobs {
 		w.replaced(ended)
 		w.ended[ended.ID] = ended.Outcome
 		delete(w.records, ended.ID)
--- a/engine/spent.go
+++ b/engine/spent.go
@@ -20,14 +20,14 @@
 
 // Reasons.
 const (
-	LateByRoom    LateReason = "waited for room"
-	LateByRecord  LateReason = "waited for the store"
-	LateByRerun   LateReason = "ran again"
-	LateByEarlier LateReason = "time in earlier steps or under earlier planners"
+	LateByCapacity    LateReason = "waited for room"
+	LateByStore       LateReason = "waited for the store"
+	LateByRerun       LateReason = "ran again"
+	LateByEarlierWork LateReason = "time in earlier steps or under earlier planners"
 )
 
-// Late: a job was completed after its objective. Detail has the parts of its last unit.
-type Late struct {
+// JobLate: a job was completed after its objective. Detail has the parts of its last unit.
+type JobLate struct {
 	Job     workload.JobID
 	Account string
 	Queue   string
@@ -35,15 +35,15 @@
 	Detail  string
 }
 
-func (Late) isAction() {}
+func (JobLate) isAction() {}
 
 // reason names the part that weighs most.
 func (s spent) reason() LateReason {
-	reason, most := LateByEarlier, time.Duration(0)
+	reason, most := LateByEarlierWork, time.Duration(0)
 	for _, part := range []struct {
 		reason LateReason
 		took   time.Duration
-	}{{LateByRoom, s.room}, {LateByRecord, s.record}, {LateByRerun, s.again}} {
+	}{{LateByCapacity, s.room}, {LateByStore, s.record}, {LateByRerun, s.again}} {
 		if part.took > most {
 			reason, most = part.reason, part.took
 		}
@@ -76,7 +76,7 @@
 		return
 	}
 	declared := last.spec().Estimate
-	e.actions = append(e.actions, Late{
+	e.actions = append(e.actions, JobLate{
 		Job:     j.spec.ID,
 		Account: j.spec.Account,
 		Queue:   j.spec.Queue,
--- a/engine/stuck_test.go
+++ b/engine/stuck_test.go
@@ -15,7 +15,7 @@
 	d.settle()
 	for range 60 {
 		for _, w := range d.e.sortedWorkers() {
-			d.show(w.info.ID, func(*placement) RunningRow { return RunningRow{Percent: 20} })
+			d.show(w.info.ID, func(*placement) RunStatus { return RunStatus{Percent: 20} })
 		}
 		d.now += 100 * time.Millisecond
 		d.tick()
@@ -36,11 +36,11 @@
 	from := d.now
 	for len(d.stops) == 0 && d.now-from < stuckUnproven {
 		for _, w := range d.e.sortedWorkers() {
-			d.show(w.info.ID, func(p *placement) RunningRow {
+			d.show(w.info.ID, func(p *placement) RunStatus {
 				if p.unit.job.spec.ID == still {
-					return RunningRow{}
+					return RunStatus{}
 				}
-				return RunningRow{Percent: p.pulse.percent + 1}
+				return RunStatus{Percent: p.pulse.percent + 1}
 			})
 		}
 		d.now += 100 * time.Millisecond
@@ -62,7 +62,7 @@
 	runs := len(d.starts)
 	for range 600 {
 		for _, w := range d.e.sortedWorkers() {
-			d.show(w.info.ID, func(*placement) RunningRow { return RunningRow{} })
+			d.show(w.info.ID, func(*placement) RunStatus { return RunStatus{} })
 		}
 		if len(d.stops) > 0 {
 			d.end(id, EndStopped)
@@ -90,7 +90,7 @@
 	d.beat(on)
 	for range 50 {
 		d.now += 100 * time.Millisecond
-		d.report(Report{Epoch: 1, Worker: d.e.workers[on].info, Silent: true, LeaseKnown: true, LeaseLeft: 5 * time.Second})
+		d.report(Report{Epoch: 1, Worker: d.e.workers[on].info, Unresponsive: true, LeaseKnown: true, LeaseRemaining: 5 * time.Second})
 		d.tick()
 	}
 	c.Check(d.stops, qt.HasLen, 0)
--- a/engine/succession.go
+++ b/engine/succession.go
@@ -74,7 +74,7 @@
 	if len(earlier) == 0 {
 		return
 	}
-	listed := Listed(r.Running, r.Ended)
+	listed := ListedRuns(r.Running, r.Ended)
 	for _, old := range slices.Clone(earlier) {
 		for _, p := range slices.Clone(old.sortedPlaces()) {
 			if listed[p.id()] && w.places[p.task()] == nil {
--- a/engine/tracker_test.go
+++ b/engine/tracker_test.go
@@ -18,15 +18,15 @@
 	d.settle()
 	d.pass(time.Second)
 	d.takeOver()
-	runs := map[WorkerID][]EndRow{}
+	runs := map[WorkerID][]RunEnd{}
 	for worker, there := range d.runs(id) {
 		for i, run := range there {
-			runs[worker] = append(runs[worker], EndRow{Number: int64(i + 1), Run: run, Reason: EndDone})
+			runs[worker] = append(runs[worker], RunEnd{Sequence: int64(i + 1), Run: run, Reason: EndDone})
 		}
 	}
 	c.Assert(runs, qt.HasLen, 2)
 	for worker, ended := range runs {
-		d.report(Report{Epoch: d.e.epoch, Looked: true, Worker: d.e.workers[worker].info, Ended: ended})
+		d.report(Report{Epoch: d.e.epoch, Polled: true, Worker: d.e.workers[worker].info, Ended: ended})
 	}
 	d.settle()
 	c.Check(d.e.tracker.runs.Version(), qt.Equals, 0, qt.Commentf("nothing was learned"))
--- a/engine/unfit_test.go
+++ b/engine/unfit_test.go
@@ -17,7 +17,7 @@
 	d := newDesk(t, 9)
 	for i := range 3 {
 		r := d.worker(i)
-		r.Left = true
+		r.Terminated = true
 		d.report(r)
 	}
 	s := gang(8, 8)
--- a/engine/witness.go
+++ b/engine/witness.go
@@ -12,7 +12,7 @@
 }
 
 func (r *Report) witness() witness {
-	out := witness{known: r.Left && r.Looked, proven: map[workload.RunID]bool{}, ended: map[workload.RunID]bool{}}
+	out := witness{known: r.Terminated && r.Polled, proven: map[workload.RunID]bool{}, ended: map[workload.RunID]bool{}}
 	for _, row := range r.Running {
 		out.proven[row.Run] = true
 	}
--- a/engine/write.go
+++ b/engine/write.go
@@ -13,30 +13,30 @@
 type Write struct {
 	Jobs    []JobWrite
 	Workers []WorkerInfo
-	// Gone are workers whose records are removed.
-	Gone []WorkerID
-	// Ended are jobs whose records are replaced by their outcomes, Forgotten those of which
+	// RemovedWorkers are workers whose records are removed.
+	RemovedWorkers []WorkerID
+	// EndedJobs are jobs whose records are replaced by their outcomes, Forgotten those of which
 	// nothing is kept any more.
-	Ended     []EndedJob
-	Forgotten []ForgottenJob
+	EndedJobs     []EndedJob
+	ForgottenJobs []ForgottenJob
 }
 
 // JobWrite is one job's record.
 type JobWrite struct {
 	ID       workload.JobID
 	Version  int
-	Progress *Progress
+	Progress *JobProgress
 }
 
 // Empty says whether there is nothing to write.
 func (w *Write) Empty() bool {
-	return len(w.Jobs)+len(w.Workers)+len(w.Gone)+len(w.Ended)+len(w.Forgotten) == 0
+	return len(w.Jobs)+len(w.Workers)+len(w.RemovedWorkers)+len(w.EndedJobs)+len(w.ForgottenJobs) == 0
 }
 
-// Changes returns the changes that are not on record yet, at most limit records,
+// PendingChanges returns the changes that are not on record yet, at most limit records,
 // those that starts or ends wait for first. The caller writes them and gives Stored;
 // it asks for no further changes before that.
-func (e *Engine) Changes(now time.Duration, wall time.Time, limit int) Write {
+func (e *Engine) PendingChanges(now time.Duration, wall time.Time, limit int) Write {
 	var w Write
 	for _, id := range slices.Sorted(maps.Keys(e.unrecorded)) {
 		if limit == 0 {
@@ -74,21 +74,21 @@
 		if limit <= 0 {
 			return w
 		}
-		w.Gone = append(w.Gone, id)
+		w.RemovedWorkers = append(w.RemovedWorkers, id)
 		limit--
 	}
 	for _, id := range slices.Sorted(maps.Keys(e.closing)) {
 		if limit < endedRecords {
 			return w
 		}
-		w.Ended = append(w.Ended, e.jobs[id].ended(e.epoch, now, wall))
+		w.EndedJobs = append(w.EndedJobs, e.jobs[id].ended(e.epoch, now, wall))
 		limit -= endedRecords
 	}
 	for _, id := range slices.Sorted(maps.Keys(e.expired)) {
 		if limit < forgottenRecords {
 			return w
 		}
-		w.Forgotten = append(w.Forgotten, e.jobs[id].forgotten())
+		w.ForgottenJobs = append(w.ForgottenJobs, e.jobs[id].forgotten())
 		limit -= forgottenRecords
 	}
 	return w
@@ -114,14 +114,14 @@
 		}
 		e.release(now, j, written.Progress)
 	}
-	for _, id := range w.Gone {
+	for _, id := range w.RemovedWorkers {
 		delete(e.goneWorkers, id)
 	}
-	for _, ended := range w.Ended {
+	for _, ended := range w.EndedJobs {
 		delete(e.closing, ended.ID)
 		e.jobs[ended.ID].close(ended.CancelOrder)
 	}
-	for _, forgotten := range w.Forgotten {
+	for _, forgotten := range w.ForgottenJobs {
 		delete(e.expired, forgotten.ID)
 		e.remove(forgotten.ID)
 	}
@@ -134,7 +134,7 @@
 }
 
 // release orders the starts of a job whose placements are on record as written.
-func (e *Engine) release(now time.Duration, j *job, written *Progress) {
+func (e *Engine) release(now time.Duration, j *job, written *JobProgress) {
 	for i := range written.Units {
 		u := j.unit(written.Units[i].Occurrence, written.Units[i].Step, written.Units[i].Index)
 		if u == nil || u.run != written.Units[i].Run {
--- a/gateway/term_ledger.go
+++ b/gateway/term_ledger.go
@@ -37,7 +37,7 @@
 }
 
 // logLate accounts for a job that was completed after its objective.
-func (t *term) logLate(l engine.Late) {
+func (t *term) logLate(l engine.JobLate) {
 	t.g.late.Add(l.Queue+"/"+string(l.Reason), 1)
 	t.log.WithFields(logrus.Fields{
 		"job":     l.Job,
--- a/gateway/term_orders.go
+++ b/gateway/term_orders.go
@@ -30,11 +30,11 @@
 			t.g.waits.Observe(a.Account+"/"+a.Queue, a.Waited)
 		case engine.Discarded:
 			t.logDiscarded(a)
-		case engine.Resized:
+		case engine.WorkerResized:
 			t.log.WithField("worker", a.Worker).WithField("detail", a.String()).Info("worker's room changed")
 		case engine.WorkerGone:
 			t.logWorkerGone(a)
-		case engine.Late:
+		case engine.JobLate:
 			t.logLate(a)
 		case engine.Finished:
 			t.g.completions.Observe(a.Account+"/"+a.Queue+"/"+string(a.State), a.Took)
--- a/gateway/term_report.go
+++ b/gateway/term_report.go
@@ -12,7 +12,7 @@
 // report handles an agent's report and fills in the reply.
 func (t *term) report(ctx context.Context, from *wire.Conn, m *link.Report, reply *link.ReportReply) *link.ReportReply {
 	type answer struct {
-		verdict  engine.Verdict
+		verdict  engine.ReportAnswer
 		recorded <-chan struct{}
 	}
 	a, ok := ask(t, func(now time.Duration) answer {
@@ -24,17 +24,17 @@
 		return reply
 	}
 	v := a.verdict
-	if v.Waiting && len(m.Report.Ended) > 0 {
-		v.Seen = t.awaitRecord(ctx, m.Report.Worker.ID, v, a.recorded)
+	if v.EndsPending && len(m.Report.Ended) > 0 {
+		v.AckedEnds = t.awaitRecord(ctx, m.Report.Worker.ID, v, a.recorded)
 	}
 	if !t.active() && !t.extending() {
 		return reply
 	}
 	reply.Epoch = t.epoch
 	reply.Attached = v.Attached
-	reply.Seen = v.Seen
-	reply.Closely = v.Closely
-	reply.Turn = v.Turn
+	reply.Seen = v.AckedEnds
+	reply.Closely = v.PollOften
+	reply.Turn = v.Generation
 	if cordons, ok := t.g.inForce.Cordons(); ok {
 		reply.Cordoned = cordons.Covers(m.Report.Worker.Zone)
 		reply.CordonsAt = cordons.Revision
@@ -44,16 +44,16 @@
 
 // awaitRecord waits until the ends of a worker are on record, and returns up to which
 // they are.
-func (t *term) awaitRecord(ctx context.Context, id engine.WorkerID, v engine.Verdict, recorded <-chan struct{}) int64 {
+func (t *term) awaitRecord(ctx context.Context, id engine.WorkerID, v engine.ReportAnswer, recorded <-chan struct{}) int64 {
 	deadline := time.NewTimer(recordWait)
 	defer deadline.Stop()
 	for {
 		select {
 		case <-recorded:
 		case <-deadline.C:
-			return v.Seen
+			return v.AckedEnds
 		case <-ctx.Done():
-			return v.Seen
+			return v.AckedEnds
 		}
 		type answer struct {
 			seen     int64
@@ -61,15 +61,15 @@
 			recorded <-chan struct{}
 		}
 		a, ok := ask(t, func(time.Duration) answer {
-			seen, waiting := t.engine.Seen(id)
+			seen, waiting := t.engine.AckedEnds(id)
 			return answer{seen, waiting, t.nextRecord()}
 		})
 		if !ok {
-			return v.Seen
+			return v.AckedEnds
 		}
-		v.Seen, recorded = a.seen, a.recorded
+		v.AckedEnds, recorded = a.seen, a.recorded
 		if !a.waiting {
-			return v.Seen
+			return v.AckedEnds
 		}
 	}
 }
--- a/gateway/term_write.go
+++ b/gateway/term_write.go
@@ -20,7 +20,7 @@
 
 // write begins to write what has changed, and returns nil where nothing has.
 func (t *term) write(written chan<- error) *engine.Write {
-	w := t.engine.Changes(lease.BootTime(), time.Now(), mostChanges)
+	w := t.engine.PendingChanges(lease.BootTime(), time.Now(), mostChanges)
 	t.mu.Lock()
 	t.idle = w.Empty()
 	t.mu.Unlock()
--- a/nodeagent/departure.go
+++ b/nodeagent/departure.go
@@ -10,8 +10,8 @@
 	// looked: proven are the runs that looks had shown for engine.ProvenAfter, over those
 	// that had ended.
 	looked bool
-	proven []engine.RunningRow
-	over   []engine.EndRow
+	proven []engine.RunStatus
+	over   []engine.RunEnd
 }
 
 // endLife notes how the present life has ended. The mutex is held.
--- a/nodeagent/departure_test.go
+++ b/nodeagent/departure_test.go
@@ -55,7 +55,7 @@
 			told := a.reports()
 			c.Assert(told, qt.HasLen, 2)
 			c.Check(told[0].Worker.ID, qt.Equals, engine.WorkerID("w1"))
-			c.Check(told[0].Left, qt.IsTrue)
+			c.Check(told[0].Terminated, qt.IsTrue)
 			c.Check(told[0].Crashed, qt.Equals, tc.crashed)
 			c.Check(told[1].Worker.ID, qt.Equals, engine.WorkerID("w2"))
 		})
@@ -69,17 +69,17 @@
 	a := &Agent{log: logrus.New(), wake: make(chan struct{}, 1), ended: map[engine.WorkerID]bool{}}
 	l := newLife(engine.WorkerInfo{ID: "w"})
 	a.life = l
-	run := func(n int) engine.RunningRow {
-		return engine.RunningRow{Run: workload.RunID{Task: workload.TaskID{Job: "j", Index: n}, Number: 1}}
+	run := func(n int) engine.RunStatus {
+		return engine.RunStatus{Run: workload.RunID{Task: workload.TaskID{Job: "j", Index: n}, Number: 1}}
 	}
-	over := engine.EndRow{Number: 1, Run: run(3).Run, Reason: engine.EndDone}
+	over := engine.RunEnd{Sequence: 1, Run: run(3).Run, Reason: engine.EndDone}
 	at := time.Second
-	l.take(Look{Clock: at, Running: []engine.RunningRow{run(1), run(3)}}, at, at, 0)
+	l.take(Look{Clock: at, Running: []engine.RunStatus{run(1), run(3)}}, at, at, 0)
 	at += engine.ProvenAfter
-	l.take(Look{Clock: at, Running: []engine.RunningRow{run(1), run(2)}, Ended: []engine.EndRow{over}}, at, at, 0)
+	l.take(Look{Clock: at, Running: []engine.RunStatus{run(1), run(2)}, Ended: []engine.RunEnd{over}}, at, at, 0)
 	a.endLife(departure{crashed: true})
 	told := a.reports()[0]
-	c.Check(told.Looked, qt.IsTrue)
-	c.Check(told.Running, qt.DeepEquals, []engine.RunningRow{run(1)})
-	c.Check(told.Ended, qt.DeepEquals, []engine.EndRow{over})
+	c.Check(told.Polled, qt.IsTrue)
+	c.Check(told.Running, qt.DeepEquals, []engine.RunStatus{run(1)})
+	c.Check(told.Ended, qt.DeepEquals, []engine.RunEnd{over})
 }
--- a/nodeagent/life.go
+++ b/nodeagent/life.go
@@ -41,10 +41,10 @@
 	// for since that was so.
 	failingFrom time.Duration
 	failureTold time.Duration
-	running     []engine.RunningRow
+	running     []engine.RunStatus
 	// shownFrom is when a look first showed each of them.
 	shownFrom map[workload.RunID]time.Duration
-	ended     []engine.EndRow
+	ended     []engine.RunEnd
 	void      map[int64]bool // ends that came before a lapse of the lease
 	// stopped are runs whose stop was confirmed, with the time of the confirmation.
 	stopped map[workload.RunID]time.Duration
@@ -103,7 +103,7 @@
 	if before != 0 && sent > before+lapseSlack && l.leaseEnd == before {
 		l.surveyed = before
 		for _, row := range look.Ended {
-			l.void[row.Number] = true
+			l.void[row.Sequence] = true
 		}
 	}
 	l.voidBeforeLapse(look.Ended)
@@ -116,7 +116,7 @@
 	l.noteShown()
 	l.ended = look.Ended
 	for i := range l.ended {
-		l.ended[i].Void = l.void[l.ended[i].Number]
+		l.ended[i].Void = l.void[l.ended[i].Sequence]
 	}
 	l.looks++
 	l.settleStops(sent)
@@ -137,11 +137,11 @@
 
 // proven returns the runs that looks had shown for long enough to tell that they did not
 // crash the worker by their start.
-func (l *life) proven() []engine.RunningRow {
-	var out []engine.RunningRow
+func (l *life) proven() []engine.RunStatus {
+	var out []engine.RunStatus
 	for _, row := range l.running {
 		if l.readAt-l.shownFrom[row.Run] >= engine.ProvenAfter {
-			out = append(out, engine.RunningRow{Run: row.Run})
+			out = append(out, engine.RunStatus{Run: row.Run})
 		}
 	}
 	return out
@@ -153,16 +153,16 @@
 // The failure it guards against: an agent that was away for longer than the lease, and was
 // started again, knows nothing of the lease. It would report a task as done that the
 // planner, to which the lease has lapsed, starts elsewhere.
-func (l *life) voidBeforeLapse(ended []engine.EndRow) {
+func (l *life) voidBeforeLapse(ended []engine.RunEnd) {
 	lapsed := int64(0)
 	for _, row := range ended {
-		if row.Reason == engine.EndLapsed {
-			lapsed = max(lapsed, row.Number)
+		if row.Reason == engine.EndLeaseExpired {
+			lapsed = max(lapsed, row.Sequence)
 		}
 	}
 	for _, row := range ended {
-		if row.Number < lapsed {
-			l.void[row.Number] = true
+		if row.Sequence < lapsed {
+			l.void[row.Sequence] = true
 		}
 	}
 }
@@ -170,7 +170,7 @@
 // settleStops finds the stopped runs that a look, asked for after their stop was
 // confirmed, does not show.
 func (l *life) settleStops(sent time.Duration) {
-	shown := engine.Listed(l.running, l.ended)
+	shown := engine.ListedRuns(l.running, l.ended)
 	for run, at := range l.stopped {
 		if sent < at {
 			continue
@@ -185,38 +185,38 @@
 // report returns the life as a report, and what of it is new since the last.
 func (l *life) report(now time.Duration, epoch uint64) engine.Report {
 	r := engine.Report{
-		Worker:     l.info,
-		Draining:   l.draining,
-		Silent:     l.failing,
-		LeaseKnown: l.leaseEnd != 0,
-		Extending:  l.failing && l.extending(now),
+		Worker:         l.info,
+		Draining:       l.draining,
+		Unresponsive:   l.failing,
+		LeaseKnown:     l.leaseEnd != 0,
+		ExtendingLease: l.failing && l.extending(now),
 	}
 	if r.LeaseKnown {
-		r.LeaseLeft = l.leaseEnd - now
+		r.LeaseRemaining = l.leaseEnd - now
 	}
 	if l.draining {
-		r.Remaining = max(0, l.leavesAt-now)
+		r.DrainRemaining = max(0, l.leavesAt-now)
 	}
 	if l.fenced.Epoch == epoch {
 		r.Epoch = epoch
-		r.Turn = l.fenced.Turn
+		r.Generation = l.fenced.Turn
 	}
 	if l.looks > 0 {
 		l.reporting = l.looks
-		r.Looked = true
+		r.Polled = true
 		r.Running = l.running
 		r.Ended = l.ended
-		r.Absent = l.absent
+		r.ConfirmedAbsent = l.absent
 	}
 	return r
 }
 
 // reported forgets what a planner has taken.
 func (l *life) reported(r engine.Report) {
-	if !r.Looked {
+	if !r.Polled {
 		return
 	}
 	l.looks -= l.reporting
 	l.reporting = 0
-	l.absent = l.absent[min(len(r.Absent), len(l.absent)):]
+	l.absent = l.absent[min(len(r.ConfirmedAbsent), len(l.absent)):]
 }
--- a/nodeagent/life_test.go
+++ b/nodeagent/life_test.go
@@ -18,7 +18,7 @@
 func TestOvertakenLookIsPassedOver(t *testing.T) {
 	c := qt.New(t)
 	l := newLife(engine.WorkerInfo{ID: "w"})
-	l.take(Look{Clock: 2 * time.Second, Running: []engine.RunningRow{{Run: run1}}}, 1000, 1010, 0)
+	l.take(Look{Clock: 2 * time.Second, Running: []engine.RunStatus{{Run: run1}}}, 1000, 1010, 0)
 	l.take(Look{Clock: 1900 * time.Millisecond}, 900, 1020, 0)
 	c.Check(l.report(1030, 0).Running, qt.HasLen, 1)
 	l.take(Look{Clock: 2 * time.Second}, 990, 1040, 0)
@@ -32,12 +32,12 @@
 	l := newLife(engine.WorkerInfo{ID: "w"})
 	l.take(Look{Clock: time.Second}, 1000, 1010, 0)
 	first := l.report(1020, 0)
-	c.Check(first.Looked, qt.IsTrue)
-	c.Check(l.report(1020, 0).Looked, qt.IsTrue, qt.Commentf("the first report was lost"))
+	c.Check(first.Polled, qt.IsTrue)
+	c.Check(l.report(1020, 0).Polled, qt.IsTrue, qt.Commentf("the first report was lost"))
 	l.reported(first)
-	c.Check(l.report(1030, 0).Looked, qt.IsFalse)
+	c.Check(l.report(1030, 0).Polled, qt.IsFalse)
 	l.take(Look{Clock: 2 * time.Second}, 1040, 1050, 0)
-	c.Check(l.report(1060, 0).Looked, qt.IsTrue)
+	c.Check(l.report(1060, 0).Polled, qt.IsTrue)
 }
 
 // A task ends as done while its agent is cut off from the planner, and then the worker's
@@ -47,7 +47,7 @@
 	c := qt.New(t)
 	l := newLife(engine.WorkerInfo{ID: "w"})
 	l.extend(6 * time.Second)
-	done := Look{Clock: 5 * time.Second, Ended: []engine.EndRow{{Number: 1, Run: run1, Reason: engine.EndDone}}}
+	done := Look{Clock: 5 * time.Second, Ended: []engine.RunEnd{{Sequence: 1, Run: run1, Reason: engine.EndDone}}}
 	l.take(done, 5*time.Second, 5*time.Second, 6*time.Second)
 	c.Check(l.report(0, 0).Ended[0].Void, qt.IsFalse)
 	done.Clock = 7 * time.Second
@@ -65,12 +65,12 @@
 	l := newLife(engine.WorkerInfo{ID: "w"})
 	l.stopped[run1] = 2 * time.Second
 	l.take(Look{Clock: time.Second}, time.Second, 3*time.Second, 0)
-	c.Check(l.report(0, 0).Absent, qt.HasLen, 0)
-	l.take(Look{Clock: 2 * time.Second, Running: []engine.RunningRow{{Run: run1}}}, 3*time.Second, 4*time.Second, 0)
-	c.Check(l.report(0, 0).Absent, qt.HasLen, 0, qt.Commentf("it is being stopped"))
+	c.Check(l.report(0, 0).ConfirmedAbsent, qt.HasLen, 0)
+	l.take(Look{Clock: 2 * time.Second, Running: []engine.RunStatus{{Run: run1}}}, 3*time.Second, 4*time.Second, 0)
+	c.Check(l.report(0, 0).ConfirmedAbsent, qt.HasLen, 0, qt.Commentf("it is being stopped"))
 	l.stopped[run1] = 4 * time.Second
 	l.take(Look{Clock: 3 * time.Second}, 5*time.Second, 6*time.Second, 0)
-	c.Check(l.report(0, 0).Absent, qt.DeepEquals, []workload.RunID{run1})
+	c.Check(l.report(0, 0).ConfirmedAbsent, qt.DeepEquals, []workload.RunID{run1})
 }
 
 // Cut off for longer than the lease, the agent finds the planner again. A look that waits
@@ -83,13 +83,13 @@
 	l.extend(6 * time.Second)
 	c.Check(l.lapsing(5*time.Second), qt.IsFalse)
 	c.Check(l.lapsing(6*time.Second), qt.IsTrue, qt.Commentf("nothing may start before a look"))
-	old := engine.EndRow{Number: 1, Run: run1, Reason: engine.EndDone}
-	l.take(Look{Clock: 7 * time.Second, Ended: []engine.EndRow{old}}, 7*time.Second, 7*time.Second, 6*time.Second)
+	old := engine.RunEnd{Sequence: 1, Run: run1, Reason: engine.EndDone}
+	l.take(Look{Clock: 7 * time.Second, Ended: []engine.RunEnd{old}}, 7*time.Second, 7*time.Second, 6*time.Second)
 	c.Check(l.lapsing(7*time.Second), qt.IsFalse)
 	waitsFrom := 7100 * time.Millisecond // asked with the lapsed lease in mind
 	l.extend(13 * time.Second)
-	next := engine.EndRow{Number: 2, Run: workload.RunID{Task: run1.Task, Number: 2}, Reason: engine.EndDone}
-	l.take(Look{Clock: 8 * time.Second, Ended: []engine.EndRow{old, next}}, waitsFrom, 8*time.Second, 6*time.Second)
+	next := engine.RunEnd{Sequence: 2, Run: workload.RunID{Task: run1.Task, Number: 2}, Reason: engine.EndDone}
+	l.take(Look{Clock: 8 * time.Second, Ended: []engine.RunEnd{old, next}}, waitsFrom, 8*time.Second, 6*time.Second)
 	ended := l.report(0, 0).Ended
 	c.Check(ended[0].Void, qt.IsTrue)
 	c.Check(ended[1].Void, qt.IsFalse)
@@ -101,10 +101,10 @@
 func TestRestartedAgentSeesTheLapseInTheEnds(t *testing.T) {
 	c := qt.New(t)
 	l := newLife(engine.WorkerInfo{ID: "w"})
-	l.take(Look{Clock: 20 * time.Second, Ended: []engine.EndRow{
-		{Number: 4, Run: run1, Reason: engine.EndDone},
-		{Number: 5, Run: run1, Reason: engine.EndLapsed},
-		{Number: 6, Run: run1, Reason: engine.EndFailed},
+	l.take(Look{Clock: 20 * time.Second, Ended: []engine.RunEnd{
+		{Sequence: 4, Run: run1, Reason: engine.EndDone},
+		{Sequence: 5, Run: run1, Reason: engine.EndLeaseExpired},
+		{Sequence: 6, Run: run1, Reason: engine.EndFailed},
 	}}, time.Second, time.Second, 0)
 	ended := l.report(0, 0).Ended
 	c.Check(ended[0].Void, qt.IsTrue)
--- a/nodeagent/orders.go
+++ b/nodeagent/orders.go
@@ -58,7 +58,7 @@
 	for i, p := range orders {
 		results[i].PaceOrder = p
 		if l != nil {
-			wg.Go(func() { results[i].Done = a.paceOne(o, p) })
+			wg.Go(func() { results[i].Applied = a.paceOne(o, p) })
 		}
 	}
 	wg.Wait()
--- a/nodeagent/report.go
+++ b/nodeagent/report.go
@@ -53,7 +53,7 @@
 	defer a.mu.Unlock()
 	var out []engine.Report
 	for _, d := range a.left {
-		out = append(out, engine.Report{Worker: d.info, Left: true, Crashed: d.crashed, Superseded: d.superseded, Looked: d.looked, Running: d.proven, Ended: d.over})
+		out = append(out, engine.Report{Worker: d.info, Terminated: true, Crashed: d.crashed, Superseded: d.superseded, Polled: d.looked, Running: d.proven, Ended: d.over})
 	}
 	if a.life != nil {
 		out = append(out, a.life.report(now(), a.epoch))
@@ -116,7 +116,7 @@
 		a.raiseEpoch(reply.Epoch)
 		a.interrupt()
 	}
-	if r.Left {
+	if r.Terminated {
 		a.left = a.left[1:]
 		return
 	}
--- a/nodeagent/silent_test.go
+++ b/nodeagent/silent_test.go
@@ -87,8 +87,8 @@
 	l := newLife(engine.WorkerInfo{ID: "w"})
 	l.extend(6 * time.Second)
 	l.failing = true
-	c.Check(l.report(5*time.Second, 0).LeaseLeft, qt.Equals, time.Second)
-	c.Check(l.report(9*time.Second, 0).LeaseLeft, qt.Equals, -3*time.Second)
+	c.Check(l.report(5*time.Second, 0).LeaseRemaining, qt.Equals, time.Second)
+	c.Check(l.report(9*time.Second, 0).LeaseRemaining, qt.Equals, -3*time.Second)
 }
 
 // An agent that has just been started again does not know how far its predecessor let the
@@ -107,11 +107,11 @@
 func TestReportsSayWhetherLooksExtendTheLease(t *testing.T) {
 	c := qt.New(t)
 	l := newLife(engine.WorkerInfo{ID: "w"})
-	c.Check(l.report(time.Second, 0).Extending, qt.IsFalse, qt.Commentf("the worker answers"))
+	c.Check(l.report(time.Second, 0).ExtendingLease, qt.IsFalse, qt.Commentf("the worker answers"))
 	l.failing, l.failingFrom = true, time.Second
-	c.Check(l.report(time.Second+keepExtending-1, 0).Extending, qt.IsTrue)
+	c.Check(l.report(time.Second+keepExtending-1, 0).ExtendingLease, qt.IsTrue)
 	c.Check(l.extending(time.Second+keepExtending-1), qt.IsTrue)
-	c.Check(l.report(time.Second+keepExtending, 0).Extending, qt.IsFalse)
+	c.Check(l.report(time.Second+keepExtending, 0).ExtendingLease, qt.IsFalse)
 	c.Check(l.extending(time.Second+keepExtending), qt.IsFalse)
 }
 
--- a/nodeagent/succession_test.go
+++ b/nodeagent/succession_test.go
@@ -20,10 +20,10 @@
 	mu    sync.Mutex
 	life  engine.WorkerID // empty: nobody answers
 	looks []lookedAt
-	ended []engine.EndRow
+	ended []engine.RunEnd
 }
 
-func (w *keptNameWorker) end(ended []engine.EndRow) {
+func (w *keptNameWorker) end(ended []engine.RunEnd) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.ended = ended
@@ -169,12 +169,12 @@
 	c := qt.New(t)
 	a, _ := keptName(c)
 	a.Leave("w")
-	c.Check(a.reports()[0].Left, qt.IsFalse)
+	c.Check(a.reports()[0].Terminated, qt.IsFalse)
 	drains := heartbeatOf("w-1", 6)
 	drains.Draining, drains.Remaining = true, time.Second
 	c.Assert(a.Announce(context.Background(), drains), qt.IsNil)
 	a.Leave("w")
-	c.Check(a.reports()[0].Left, qt.IsTrue)
+	c.Check(a.reports()[0].Terminated, qt.IsTrue)
 }
 
 // The next life counts its ends from 1, while 57 of the last were acknowledged. Its own are
@@ -184,7 +184,7 @@
 	a, w := keptName(c)
 	w.become("w-2")
 	c.Assert(a.Announce(context.Background(), heartbeatOf("w-2", 1)), qt.IsNil)
-	ended := []engine.EndRow{{Number: 1, Run: workload.RunID{Number: 2}, Reason: engine.EndDone}}
+	ended := []engine.RunEnd{{Sequence: 1, Run: workload.RunID{Number: 2}, Reason: engine.EndDone}}
 	w.end(ended)
 	l, _ := a.current()
 	a.look(l, 0)
--- a/nodeagent/worker.go
+++ b/nodeagent/worker.go
@@ -31,8 +31,8 @@
 
 // Look is a worker's answer about itself.
 type Look struct {
-	Running []engine.RunningRow
-	Ended   []engine.EndRow
+	Running []engine.RunStatus
+	Ended   []engine.RunEnd
 	// Clock is the worker's own clock at some time during the call.
 	Clock time.Duration
 }
--- a/records/ended_test.go
+++ b/records/ended_test.go
@@ -26,7 +26,7 @@
 	state, err := l.Load(ctx, wall)
 	c.Assert(err, qt.IsNil)
 	c.Assert(l.Write(ctx, progress(id, 1, workload.Cancelled)), qt.IsNil)
-	c.Assert(l.Write(ctx, engine.Write{Ended: []engine.EndedJob{{
+	c.Assert(l.Write(ctx, engine.Write{EndedJobs: []engine.EndedJob{{
 		ID: id, Order: int64(order), CancelOrder: state.Jobs[0].CancelOrder,
 		Outcome: engine.Outcome{Epoch: 1, Queue: "q", Account: "a", State: workload.Cancelled, EndedAt: wall.Add(-time.Minute)},
 	}}}), qt.IsNil)
@@ -37,7 +37,7 @@
 	c, srv, kv := open(t)
 	l := closed(c, kv, "j1")
 	c.Check(srv.Keys("workloads/"), qt.DeepEquals, []string{"workloads/ended/j1"})
-	forgotten := engine.Write{Forgotten: []engine.ForgottenJob{{ID: "j1"}}}
+	forgotten := engine.Write{ForgottenJobs: []engine.ForgottenJob{{ID: "j1"}}}
 	c.Assert(l.Write(context.Background(), forgotten), qt.IsNil)
 	c.Check(srv.Keys("workloads/"), qt.HasLen, 0)
 }
@@ -61,7 +61,7 @@
 	c.Check(unreadable, qt.HasLen, 1)
 	c.Check(ended[0].Outcome.State, qt.Equals, workload.Cancelled)
 	c.Check(ended[0].Age, qt.Equals, time.Minute)
-	forgotten := engine.Write{Forgotten: []engine.ForgottenJob{{ID: "j1", Record: ended[0].Record}}}
+	forgotten := engine.Write{ForgottenJobs: []engine.ForgottenJob{{ID: "j1", Record: ended[0].Record}}}
 	c.Assert(l.Write(ctx, forgotten), qt.IsNil)
 	c.Check(srv.Keys("workloads/ended/"), qt.DeepEquals, []string{"workloads/ended/bytes"})
 }
--- a/records/intake.go
+++ b/records/intake.go
@@ -215,7 +215,7 @@
 		return engine.Lookup{}, false, err
 	}
 	if ok {
-		var p engine.Progress
+		var p engine.JobProgress
 		if err := json.Unmarshal(run.Value, &p); err != nil {
 			return engine.Lookup{}, false, eris.Wrapf(err, "progress of job %s", id)
 		}
--- a/records/ledger.go
+++ b/records/ledger.go
@@ -88,12 +88,12 @@
 
 // takeProgress adds to the submissions what became of them.
 func (l *Ledger) takeProgress(out *State, keys []store.KeyValue) {
-	progress := map[workload.JobID]*engine.Progress{}
+	progress := map[workload.JobID]*engine.JobProgress{}
 	withheld := map[workload.JobID]bool{}
 	for _, kv := range keys {
 		l.revisions[kv.Key] = kv.Mod
 		id := idOf(kv.Key, runPrefix)
-		p := &engine.Progress{}
+		p := &engine.JobProgress{}
 		if err := json.Unmarshal(kv.Value, p); err != nil {
 			out.passOver(kv.Key, err)
 			withheld[id] = true
@@ -188,17 +188,17 @@
 			return nil, err
 		}
 	}
-	for _, id := range w.Gone {
+	for _, id := range w.RemovedWorkers {
 		out = append(out, store.Swap{Key: workerKey(id), Expect: l.revisions[workerKey(id)], Delete: true})
 	}
-	for _, j := range w.Ended {
+	for _, j := range w.EndedJobs {
 		closing, err := l.closing(j)
 		if err != nil {
 			return nil, err
 		}
 		out = append(out, closing...)
 	}
-	for _, j := range w.Forgotten {
+	for _, j := range w.ForgottenJobs {
 		out = append(out, l.removal(j)...)
 	}
 	return out, nil
--- a/records/ledger_test.go
+++ b/records/ledger_test.go
@@ -49,7 +49,7 @@
 }
 
 func progress(id workload.JobID, version int, state workload.State) engine.Write {
-	return engine.Write{Jobs: []engine.JobWrite{{ID: id, Version: version, Progress: &engine.Progress{Version: version, State: state}}}}
+	return engine.Write{Jobs: []engine.JobWrite{{ID: id, Version: version, Progress: &engine.JobProgress{Version: version, State: state}}}}
 }
 
 func TestRecordsAreReadBack(t *testing.T) {
