--- a/engine/event.go
+++ b/engine/event.go
@@ -28,7 +28,7 @@
 // JobRestored is a job as a predecessor left it.
 type JobRestored struct {
 	JobSubmitted
-	Progress  *Progress // nil where the job was never touched
+	Progress  *JobProgress // nil where the job was never touched
 	Cancelled bool
 	// CancelRevision is the revision of the cancellation.
 	CancelRevision int64
