--- a/cmd/eelgrasshub/counter_text.go
+++ b/cmd/eelgrasshub/counter_text.go
@@ -39,7 +39,7 @@
 
 // MetricsHandler implements metered.
 func (r *gatewayRole) MetricsHandler() http.Handler {
-	counters := counterText(r.gateway.Counts())
+	counters := counterText(r.gateway.Counters())
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		counters.ServeHTTP(w, req)
 		r.gateway.WriteMetrics(w)
--- a/cmd/eelgrasshub/node_agent.go
+++ b/cmd/eelgrasshub/node_agent.go
@@ -61,4 +61,4 @@
 type agentMetrics struct{ agent *nodeagent.Agent }
 
 // MetricsHandler implements metered.
-func (m agentMetrics) MetricsHandler() http.Handler { return counterText(m.agent.Counts()) }
+func (m agentMetrics) MetricsHandler() http.Handler { return counterText(m.agent.Counters()) }
--- a/gateway/calls.go
+++ b/gateway/calls.go
@@ -21,7 +21,7 @@
 	outcome := link.OutcomeNotDone
 	if g.storeWorth() {
 		var at store.Revision
-		outcome, at = g.intake.Accept(ctx, j)
+		outcome, at = g.intake.Submit(ctx, j)
 		g.noticeJob(outcome, j, at)
 		g.storeSaid(outcome)
 	}
@@ -73,7 +73,7 @@
 func (g *Gateway) storeWorth() bool {
 	failed := time.Duration(g.storeFailedAt.Load())
 	since := lease.BootTime() - failed
-	return failed == 0 || since > storeRest || g.cfg.StoreAge() < since
+	return failed == 0 || since > storeRest || g.cfg.SinceStoreReply() < since
 }
 
 // storeFailed notes that the store does not serve this gateway now.
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -11,8 +11,8 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// Source follows the operators' configuration.
-type Source interface {
+// ConfigSource follows the operators' configuration.
+type ConfigSource interface {
 	// Follow offers every version and every change of the cordons to f, and confirms what
 	// is in force, until ctx ends.
 	Follow(ctx context.Context, f *catalog.InForce)
@@ -37,26 +37,26 @@
 	Seeds      []string
 	ClusterKey []byte
 	Store      store.Atomic
-	Source     Source
-	// StoreAge returns how long ago the store last answered a call of this process.
-	StoreAge func() time.Duration
+	Source     ConfigSource
+	// SinceStoreReply returns how long ago the store last answered a call of this process.
+	SinceStoreReply func() time.Duration
 	// Advisor says which workers may run a step; nil where there is no such service.
 	Advisor Advisor
 	Engine  engine.Params
-	// KeyLife is how long a key that was taken away may still be honoured; a view of
+	// KeyRevocationDelay is how long a key that was taken away may still be honoured; a view of
 	// the configuration is trusted for less than that.
-	KeyLife time.Duration
-	// CordonWithin is how soon after its acknowledgement nothing may start in a cordoned
+	KeyRevocationDelay time.Duration
+	// CordonDeadline is how soon after its acknowledgement nothing may start in a cordoned
 	// zone any more. Zero: DefaultCordonWithin.
-	CordonWithin time.Duration
-	// Strength is how much planning this instance can carry, against others: the stronger
+	CordonDeadline time.Duration
+	// PlanningCapacity is how much planning this instance can carry, against others: the stronger
 	// ones are first to take the duty of a planner that died. Zero: not known.
-	Strength float64
-	Log      logrus.FieldLogger
+	PlanningCapacity float64
+	Log              logrus.FieldLogger
 }
 
-// DefaultCordonWithin is used where Config.CordonWithin is not set.
-const DefaultCordonWithin = 5 * time.Second
+// DefaultCordonDeadline is used where Config.CordonWithin is not set.
+const DefaultCordonDeadline = 5 * time.Second
 
 const (
 	dutyName = "planner"
--- a/gateway/cordons.go
+++ b/gateway/cordons.go
@@ -22,10 +22,10 @@
 }
 
 func (g *Gateway) cordonWithin() time.Duration {
-	if g.cfg.CordonWithin == 0 {
-		return DefaultCordonWithin
+	if g.cfg.CordonDeadline == 0 {
+		return DefaultCordonDeadline
 	}
-	return g.cfg.CordonWithin
+	return g.cfg.CordonDeadline
 }
 
 // ownCordons returns what this gateway knows, for a peer.
--- a/gateway/cordons_test.go
+++ b/gateway/cordons_test.go
@@ -31,7 +31,7 @@
 	}{
 		{&Gateway{inForce: catalog.NewInForce()}, true},
 		{withCordons(nil, 1, time.Second), false},
-		{withCordons(nil, 1, DefaultCordonWithin-cordonMargin), true},
+		{withCordons(nil, 1, DefaultCordonDeadline-cordonMargin), true},
 	} {
 		left, withheld := (&term{g: test.g}).withhold(orders)
 		c.Check(len(withheld) == 1, qt.Equals, test.withheld)
--- a/gateway/counts.go
+++ b/gateway/counts.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// Counts count what a gateway did since its start.
-type Counts struct {
+// Counters count what a gateway did since its start.
+type Counters struct {
 	Accepted, AcceptUnknown, Refused, Cancelled, Lookups, LookupsFailed atomic.Int64
 	Relayed, Reports, Orders, Writes, WriteFailures, Terms              atomic.Int64
 	// StartsWithheld are orders that did not leave since the cordons known were too old.
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -23,7 +23,7 @@
 	cfg     Config
 	log     logrus.FieldLogger
 	inForce *catalog.InForce
-	intake  *records.Intake
+	intake  *records.JobStore
 	// relayed is the store as the planner uses it.
 	relayed  *storeRelay
 	endpoint *wire.Endpoint
@@ -38,7 +38,7 @@
 	storeFailedAt atomic.Int64
 	suspected     suspicion
 	fetching      atomic.Bool // a peer is being asked for the text of the configuration
-	counts        Counts
+	counts        Counters
 	waits         metrics.Latencies // from acceptance to the first start, by account and queue
 	completions   metrics.Latencies // from acceptance to the end, by account, queue and state
 	calls         metrics.Latencies // of callers, by kind and outcome
@@ -57,7 +57,7 @@
 		cfg:      cfg,
 		log:      cfg.Log,
 		inForce:  catalog.NewInForce(),
-		intake:   records.NewIntake(cfg.Store),
+		intake:   records.NewJobStore(cfg.Store),
 		members:  newMembers(cfg.Listen, cfg.Seeds),
 		planners: &planners{},
 		outage:   newOutage(lease.BootTime()),
@@ -177,8 +177,8 @@
 	g.late.WriteText(w, "eelgrasshub_jobs_late")
 }
 
-// Counts returns the gateway's counters.
-func (g *Gateway) Counts() *Counts { return &g.counts }
+// Counters returns the gateway's counters.
+func (g *Gateway) Counters() *Counters { return &g.counts }
 
 // View returns the configuration in force. fresh says whether it is known recently
 // enough for keys to be trusted: a process that was paused or cut off must not honour a
@@ -188,7 +188,7 @@
 	if !ok {
 		return view, false, false
 	}
-	fresh = lease.BootTime()-view.ConfirmedAt < g.cfg.KeyLife-keyMargin
+	fresh = lease.BootTime()-view.ConfirmedAt < g.cfg.KeyRevocationDelay-keyMargin
 	return view, fresh, true
 }
 
--- a/gateway/handle.go
+++ b/gateway/handle.go
@@ -22,7 +22,7 @@
 		counts, ok := g.ownPending()
 		return &link.PendingReply{Planning: ok, Counts: counts}, nil
 	case *link.Accept:
-		outcome, at := g.intake.Accept(ctx, &m.Job)
+		outcome, at := g.intake.Submit(ctx, &m.Job)
 		g.noticeJob(outcome, &m.Job, at)
 		return &link.RecordReply{Outcome: outcome}, nil
 	case *link.Cancel:
--- a/gateway/lookups.go
+++ b/gateway/lookups.go
@@ -8,37 +8,37 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// Answer is what is known of a job that a caller asks for.
-type Answer int
+// LookupStatus is what is known of a job that a caller asks for.
+type LookupStatus int
 
 // Answers.
 const (
-	AnswerUnavailable Answer = iota // nobody can tell now
-	AnswerKnown
-	AnswerAbsent
+	LookupUnavailable LookupStatus = iota // nobody can tell now
+	LookupFound
+	LookupNotFound
 )
 
 // State returns the state of a job: from the planner, which knows best, else from the
 // records, else through a peer.
-func (g *Gateway) State(ctx context.Context, id workload.JobID) (engine.Lookup, Answer) {
+func (g *Gateway) State(ctx context.Context, id workload.JobID) (engine.Lookup, LookupStatus) {
 	g.counts.Lookups.Add(1)
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if found, ok := g.askPlanner(ctx, id); ok {
-		return found, AnswerKnown
+		return found, LookupFound
 	}
 	if g.storeWorth() {
 		found, ok, err := g.intake.Lookup(ctx, id)
 		switch {
 		case err == nil && ok:
-			return found, AnswerKnown
+			return found, LookupFound
 		case err == nil:
-			return engine.Lookup{}, AnswerAbsent
+			return engine.Lookup{}, LookupNotFound
 		}
 		g.storeFailed()
 	}
 	found, answer := g.lookupByPeers(ctx, id)
-	if answer == AnswerUnavailable {
+	if answer == LookupUnavailable {
 		g.counts.LookupsFailed.Add(1)
 	}
 	return found, answer
@@ -71,18 +71,18 @@
 	return reply
 }
 
-func (g *Gateway) lookupByPeers(ctx context.Context, id workload.JobID) (engine.Lookup, Answer) {
+func (g *Gateway) lookupByPeers(ctx context.Context, id workload.JobID) (engine.Lookup, LookupStatus) {
 	for _, address := range g.relays() {
 		reply := g.lookupAt(ctx, address, &link.Lookup{Job: id, Records: true})
 		switch {
 		case reply == nil:
 		case reply.Known:
-			return reply.Lookup(), AnswerKnown
+			return reply.Lookup(), LookupFound
 		case reply.Absent:
-			return engine.Lookup{}, AnswerAbsent
+			return engine.Lookup{}, LookupNotFound
 		}
 	}
-	return engine.Lookup{}, AnswerUnavailable
+	return engine.Lookup{}, LookupUnavailable
 }
 
 // answerLookup answers another gateway's question.
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -12,7 +12,7 @@
 // not known or this gateway can't follow the configuration by itself.
 func (g *Gateway) peerLoop() error {
 	for {
-		g.outage.sample(lease.BootTime(), g.cfg.StoreAge())
+		g.outage.sample(lease.BootTime(), g.cfg.SinceStoreReply())
 		g.askPeers()
 		select {
 		case <-time.After(peerEvery):
@@ -31,7 +31,7 @@
 
 func (g *Gateway) question() *link.Peer {
 	epoch, planner := g.planners.get()
-	msg := &link.Peer{Address: g.cfg.Listen, Epoch: epoch, Planner: planner, WantConfig: true, Strength: g.cfg.Strength}
+	msg := &link.Peer{Address: g.cfg.Listen, Epoch: epoch, Planner: planner, WantConfig: true, Strength: g.cfg.PlanningCapacity}
 	if view, ok := g.inForce.View(); ok {
 		msg.ConfigVersion = view.Catalog.Version
 		msg.WantConfig = lease.BootTime()-view.ConfirmedAt > staleAfter
@@ -86,7 +86,7 @@
 func (g *Gateway) lacksText(version int64) bool {
 	view, ok := g.inForce.View()
 	newer := version != 0 && (!ok || version > view.Catalog.Version)
-	return newer && g.cfg.StoreAge() > staleAfter
+	return newer && g.cfg.SinceStoreReply() > staleAfter
 }
 
 // fetchText asks one peer for the text of its configuration, if none is being asked.
@@ -146,7 +146,7 @@
 		Epoch:       epoch,
 		Planner:     planner,
 		Members:     g.members.sample(),
-		StoreServes: g.cfg.StoreAge() < servedFresh,
+		StoreServes: g.cfg.SinceStoreReply() < servedFresh,
 	}
 	if msg.Address == "" {
 		return reply
--- a/gateway/register.go
+++ b/gateway/register.go
@@ -18,8 +18,8 @@
 	registerEvery = registerTTL / 3
 )
 
-// Registered lists the addresses of gateways that are registered in the store.
-func Registered(ctx context.Context, kv store.Store) ([]string, error) {
+// ListRegistered lists the addresses of gateways that are registered in the store.
+func ListRegistered(ctx context.Context, kv store.Store) ([]string, error) {
 	snap, err := kv.List(ctx, registerPrefix)
 	if err != nil {
 		return nil, err
@@ -54,7 +54,7 @@
 }
 
 func (g *Gateway) learnRegistered(ctx context.Context) bool {
-	addresses, err := Registered(ctx, g.cfg.Store)
+	addresses, err := ListRegistered(ctx, g.cfg.Store)
 	if err != nil {
 		return false
 	}
--- a/gateway/store_relay.go
+++ b/gateway/store_relay.go
@@ -96,7 +96,7 @@
 	err := error(store.ErrUnavailable)
 	if s.g.storeWorth() {
 		err = s.attempt(ctx, msg.Op, own)
-		if eris.Is(err, store.ErrUnavailable) || eris.Is(err, store.ErrOutcomeUnknown) && s.g.cfg.StoreAge() > ownTime {
+		if eris.Is(err, store.ErrUnavailable) || eris.Is(err, store.ErrOutcomeUnknown) && s.g.cfg.SinceStoreReply() > ownTime {
 			s.g.storeFailed()
 		}
 		if !eris.Is(err, store.ErrUnavailable) {
--- a/gateway/suspect.go
+++ b/gateway/suspect.go
@@ -163,7 +163,7 @@
 			g.suspected.ask(now, planner, epoch)
 			go g.askAlive(planner, epoch)
 		}
-		if g.suspected.due(lease.BootTime(), g.cfg.Listen) && g.cfg.StoreAge() < servedFresh {
+		if g.suspected.due(lease.BootTime(), g.cfg.Listen) && g.cfg.SinceStoreReply() < servedFresh {
 			g.depose(planner, epoch)
 		}
 	}
--- a/gateway/term.go
+++ b/gateway/term.go
@@ -50,7 +50,7 @@
 	frozenAt atomic.Int64
 
 	engine *engine.Engine
-	ledger *records.Ledger
+	ledger *records.PlannerStore
 
 	mu       sync.Mutex
 	conns    map[string]*wire.Conn // by agent
@@ -97,7 +97,7 @@
 		return false
 	}
 	now := lease.BootTime()
-	return now-at < extendMost && t.g.cfg.StoreAge() > servedFresh && t.g.outage.general(now, t.g.members.peers())
+	return now-at < extendMost && t.g.cfg.SinceStoreReply() > servedFresh && t.g.outage.general(now, t.g.members.peers())
 }
 
 // end stops the term for good.
@@ -113,8 +113,8 @@
 	}
 	t.restore(state)
 	t.loaded.Store(true)
-	t.log.WithFields(logrus.Fields{"jobs": len(state.Jobs), "workers": len(state.Workers), "revision": state.At}).Info("records read; planning")
-	t.tomb.Go(func() error { return t.follow(state.At) })
+	t.log.WithFields(logrus.Fields{"jobs": len(state.Jobs), "workers": len(state.Workers), "revision": state.Revision}).Info("records read; planning")
+	t.tomb.Go(func() error { return t.follow(state.Revision) })
 	t.tomb.Go(t.loadEnded)
 	t.loop()
 	t.tomb.Kill(nil) // nobody serves the inbox any more
--- a/gateway/term_load.go
+++ b/gateway/term_load.go
@@ -11,7 +11,7 @@
 )
 
 // load reads the records, until it succeeds or the duty is lost.
-func (t *term) load() (records.State, bool) {
+func (t *term) load() (records.PlannerState, bool) {
 	ctx := t.tomb.Context(context.Background())
 	for t.tomb.Alive() && !t.frozen.Load() {
 		state, err := t.tryLoad(ctx)
@@ -21,36 +21,36 @@
 		t.log.WithError(err).Warn("records not read")
 		t.pause(writeRetry)
 	}
-	return records.State{}, false
+	return records.PlannerState{}, false
 }
 
-func (t *term) tryLoad(ctx context.Context) (records.State, error) {
+func (t *term) tryLoad(ctx context.Context) (records.PlannerState, error) {
 	key := lease.EpochKey(dutyName)
 	kv, ok, err := t.g.relayed.Get(ctx, key)
 	if err != nil {
-		return records.State{}, err
+		return records.PlannerState{}, err
 	}
 	if epoch, err := lease.ParseEpoch(kv.Value); !ok || err != nil || epoch != t.epoch {
-		return records.State{}, records.ErrDeposed
+		return records.PlannerState{}, records.ErrDeposed
 	}
-	t.ledger = records.OpenLedger(t.g.relayed, store.Condition{Key: key, Revision: kv.Mod})
+	t.ledger = records.NewPlannerStore(t.g.relayed, store.Condition{Key: key, Revision: kv.Mod})
 	return t.ledger.Load(ctx, time.Now())
 }
 
 // mostUnreadable bounds the lines of the log about records that can't be read.
 const mostUnreadable = 10
 
-func (t *term) tellUnreadable(all []records.Unreadable) {
+func (t *term) tellUnreadable(all []records.UnreadableRecord) {
 	for i, u := range all {
 		if i == mostUnreadable {
 			t.log.WithField("more", len(all)-i).Error("further records can't be read")
 			return
 		}
-		t.log.WithField("key", u.Key).WithError(u.Why).Error("record can't be read; it is passed over")
+		t.log.WithField("key", u.Key).WithError(u.Err).Error("record can't be read; it is passed over")
 	}
 }
 
-func (t *term) restore(state records.State) {
+func (t *term) restore(state records.PlannerState) {
 	now := lease.BootTime()
 	t.tellUnreadable(state.Unreadable)
 	if view, ok := t.g.inForce.View(); ok {
@@ -76,7 +76,7 @@
 func (t *term) loadEnded() error {
 	ctx := t.tomb.Context(context.Background())
 	for t.tomb.Alive() && !t.frozen.Load() {
-		ended, unreadable, err := t.ledger.LoadEnded(ctx, time.Now())
+		ended, unreadable, err := t.ledger.LoadOutcomes(ctx, time.Now())
 		if err != nil {
 			t.log.WithError(err).Info("outcomes of ended jobs not read")
 			t.pause(endedRetry)
@@ -103,7 +103,7 @@
 	ctx := t.tomb.Context(context.Background())
 	var listed time.Duration
 	for t.tomb.Alive() {
-		err := t.ledger.Follow(ctx, at, time.Now, t.post)
+		err := t.ledger.WatchSubmissions(ctx, at, time.Now, t.post)
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -115,7 +115,7 @@
 			continue
 		}
 		listed = lease.BootTime()
-		at = max(at, submitted.At)
+		at = max(at, submitted.Revision)
 		t.postIntake(submitted)
 	}
 	return nil
--- a/nodeagent/agent.go
+++ b/nodeagent/agent.go
@@ -37,11 +37,11 @@
 	left      []departure // lives that are over and not reported so yet
 	ended     map[engine.WorkerID]bool
 	wake      chan struct{} // has a token when there is something to report
-	counts    Counts
+	counts    Counters
 }
 
-// Counts count what an agent did since its start.
-type Counts struct {
+// Counters count what an agent did since its start.
+type Counters struct {
 	Starts, StartsRefused, StartsCordoned, StartsUnknown, Stops, StopsUnknown  atomic.Int64
 	Looks, LooksFailed, LooksPassedOver, Reports, ReportsFailed, Announcements atomic.Int64
 	Paces, PacesUnknown                                                        atomic.Int64
@@ -91,8 +91,8 @@
 	return a.endpoint.Close()
 }
 
-// Counts returns the agent's counters.
-func (a *Agent) Counts() *Counts { return &a.counts }
+// Counters returns the agent's counters.
+func (a *Agent) Counters() *Counters { return &a.counts }
 
 func now() time.Duration { return lease.BootTime() }
 
--- a/nodeagent/announce.go
+++ b/nodeagent/announce.go
@@ -10,7 +10,7 @@
 // Announce takes a worker's heartbeat. A heartbeat of a life that is over, which was
 // held up on its way, changes nothing: a life other than the present one counts only if
 // the worker itself says that it is the one.
-func (a *Agent) Announce(ctx context.Context, n Announcement) error {
+func (a *Agent) Announce(ctx context.Context, n Heartbeat) error {
 	a.counts.Announcements.Add(1)
 	n.Info.Agent = a.cfg.ID
 	if a.refresh(n) {
@@ -33,14 +33,14 @@
 
 // tellApart takes a heartbeat of another life than the present one, l, which has the same
 // name. Only a look tells them apart: where l answers, the heartbeat is of an earlier life.
-func (a *Agent) tellApart(l *life, n Announcement) error {
+func (a *Agent) tellApart(l *life, n Heartbeat) error {
 	a.doubt(l)
 	_, err := a.tryLook(l, 0)
 	switch {
 	case err == nil:
 		a.log.WithField("announced", n.Info.ID).Info("heartbeat of an earlier life passed over")
 		return nil
-	case errors.Is(err, ErrOtherLife), errors.Is(err, errLifeOver):
+	case errors.Is(err, ErrOtherIncarnation), errors.Is(err, errLifeOver):
 		return a.meet(nil, n)
 	}
 	return err
@@ -57,7 +57,7 @@
 }
 
 // refresh updates the present life, and returns false for another one.
-func (a *Agent) refresh(n Announcement) bool {
+func (a *Agent) refresh(n Heartbeat) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.ended[n.Info.ID] {
@@ -88,7 +88,7 @@
 }
 
 // meet begins a new life in the place of l. It fails where another one is present by now.
-func (a *Agent) meet(l *life, n Announcement) error {
+func (a *Agent) meet(l *life, n Heartbeat) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.ended[n.Info.ID] || a.life != nil && a.life.info.ID == n.Info.ID {
--- a/nodeagent/config.go
+++ b/nodeagent/config.go
@@ -16,12 +16,12 @@
 	Seeds      []string
 	ClusterKey []byte
 	Worker     Worker
-	// Members lists gateways from where they are registered, for when no known one
+	// ListGateways lists gateways from where they are registered, for when no known one
 	// answers. It may be nil.
-	Members func() ([]string, error)
-	// MaxHold is the longest lease a worker grants.
-	MaxHold time.Duration
-	Log     logrus.FieldLogger
+	ListGateways func() ([]string, error)
+	// MaxLease is the longest lease a worker grants.
+	MaxLease time.Duration
+	Log      logrus.FieldLogger
 }
 
 const (
--- a/nodeagent/cordon_test.go
+++ b/nodeagent/cordon_test.go
@@ -21,7 +21,7 @@
 	unanswered func()
 }
 
-func (w *countingWorker) Start(context.Context, Order, engine.StartOrder) engine.StartOutcome {
+func (w *countingWorker) Start(context.Context, OrderHeader, engine.StartOrder) engine.StartOutcome {
 	w.starts.Add(1)
 	if w.unanswered != nil {
 		w.unanswered()
@@ -30,15 +30,15 @@
 	return engine.StartOK
 }
 
-func (w *countingWorker) Stop(context.Context, Order, workload.RunID) error { return nil }
+func (w *countingWorker) Stop(context.Context, OrderHeader, workload.RunID) error { return nil }
 
-func (w *countingWorker) Look(context.Context, Order, int64, time.Duration) (Look, error) {
-	return Look{Clock: time.Minute}, nil
+func (w *countingWorker) Poll(context.Context, OrderHeader, int64, time.Duration) (WorkerStatus, error) {
+	return WorkerStatus{Clock: time.Minute}, nil
 }
 
 // working returns an agent beside a worker that takes orders.
 func working(w Worker) *Agent {
-	a := &Agent{cfg: Config{Worker: w, MaxHold: 6 * time.Second}, log: quietLog(), finder: testFinder(), wake: make(chan struct{}, 1)}
+	a := &Agent{cfg: Config{Worker: w, MaxLease: 6 * time.Second}, log: quietLog(), finder: testFinder(), wake: make(chan struct{}, 1)}
 	a.life = newLife(engine.WorkerInfo{ID: "w", Zone: "z"})
 	a.life.known, a.life.clock, a.life.readAt = true, time.Minute, now()
 	a.granted = now() + 5*time.Second
--- a/nodeagent/departure_test.go
+++ b/nodeagent/departure_test.go
@@ -32,11 +32,11 @@
 		{"goodbye", func(a *Agent) { a.Leave("w1") }, false},
 		{"another life in its place", func(*Agent) {}, true},
 		{"another life in its place after it drained", func(a *Agent) {
-			a.refresh(Announcement{Info: engine.WorkerInfo{ID: "w1"}, Sequence: 2, Draining: true, Remaining: time.Second})
+			a.refresh(Heartbeat{Info: engine.WorkerInfo{ID: "w1"}, Sequence: 2, Draining: true, Remaining: time.Second})
 		}, false},
 		{"goodbye, and a late heartbeat", func(a *Agent) {
 			a.Leave("w1")
-			a.refresh(Announcement{Info: engine.WorkerInfo{ID: "w1"}, Sequence: 2})
+			a.refresh(Heartbeat{Info: engine.WorkerInfo{ID: "w1"}, Sequence: 2})
 		}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -48,10 +48,10 @@
 				cfg: Config{ID: "agent", Worker: w}, log: log,
 				changed: make(chan struct{}), wake: make(chan struct{}, 1), ended: map[engine.WorkerID]bool{},
 			}
-			c.Assert(a.Announce(context.Background(), Announcement{Info: engine.WorkerInfo{ID: "w1"}, Sequence: 1}), qt.IsNil)
+			c.Assert(a.Announce(context.Background(), Heartbeat{Info: engine.WorkerInfo{ID: "w1"}, Sequence: 1}), qt.IsNil)
 			tc.ends(a)
 			w.name = "w2"
-			c.Assert(a.Announce(context.Background(), Announcement{Info: engine.WorkerInfo{ID: "w2"}, Sequence: 1}), qt.IsNil)
+			c.Assert(a.Announce(context.Background(), Heartbeat{Info: engine.WorkerInfo{ID: "w2"}, Sequence: 1}), qt.IsNil)
 			told := a.reports()
 			c.Assert(told, qt.HasLen, 2)
 			c.Check(told[0].Worker.ID, qt.Equals, engine.WorkerID("w1"))
@@ -74,9 +74,9 @@
 	}
 	over := engine.EndRow{Number: 1, Run: run(3).Run, Reason: engine.EndDone}
 	at := time.Second
-	l.take(Look{Clock: at, Running: []engine.RunningRow{run(1), run(3)}}, at, at, 0)
+	l.take(WorkerStatus{Clock: at, Running: []engine.RunningRow{run(1), run(3)}}, at, at, 0)
 	at += engine.ProvenAfter
-	l.take(Look{Clock: at, Running: []engine.RunningRow{run(1), run(2)}, Ended: []engine.EndRow{over}}, at, at, 0)
+	l.take(WorkerStatus{Clock: at, Running: []engine.RunningRow{run(1), run(2)}, Ended: []engine.EndRow{over}}, at, at, 0)
 	a.endLife(departure{crashed: true})
 	told := a.reports()[0]
 	c.Check(told.Looked, qt.IsTrue)
--- a/nodeagent/finder.go
+++ b/nodeagent/finder.go
@@ -205,7 +205,7 @@
 // consultRegister reads the register of gateways when none of those known has answered
 // for a while: all seeds may have been replaced.
 func (f *finder) consultRegister() {
-	if f.cfg.Members == nil {
+	if f.cfg.ListGateways == nil {
 		return
 	}
 	t := now()
@@ -221,7 +221,7 @@
 	if !due {
 		return
 	}
-	members, err := f.cfg.Members()
+	members, err := f.cfg.ListGateways()
 	if err != nil {
 		f.log.WithError(err).Info("register of gateways not read")
 		return
--- a/nodeagent/life.go
+++ b/nodeagent/life.go
@@ -99,7 +99,7 @@
 // so the ends that it shows and that nobody took note of count as not having been. Once
 // the lease is extended again, a look that was sent before may show ends of later runs,
 // which count. It returns false for an answer that tells nothing new.
-func (l *life) take(look Look, sent, now, before time.Duration) bool {
+func (l *life) take(look WorkerStatus, sent, now, before time.Duration) bool {
 	if before != 0 && sent > before+lapseSlack && l.leaseEnd == before {
 		l.surveyed = before
 		for _, row := range look.Ended {
--- a/nodeagent/life_test.go
+++ b/nodeagent/life_test.go
@@ -18,10 +18,10 @@
 func TestOvertakenLookIsPassedOver(t *testing.T) {
 	c := qt.New(t)
 	l := newLife(engine.WorkerInfo{ID: "w"})
-	l.take(Look{Clock: 2 * time.Second, Running: []engine.RunningRow{{Run: run1}}}, 1000, 1010, 0)
-	l.take(Look{Clock: 1900 * time.Millisecond}, 900, 1020, 0)
+	l.take(WorkerStatus{Clock: 2 * time.Second, Running: []engine.RunningRow{{Run: run1}}}, 1000, 1010, 0)
+	l.take(WorkerStatus{Clock: 1900 * time.Millisecond}, 900, 1020, 0)
 	c.Check(l.report(1030, 0).Running, qt.HasLen, 1)
-	l.take(Look{Clock: 2 * time.Second}, 990, 1040, 0)
+	l.take(WorkerStatus{Clock: 2 * time.Second}, 990, 1040, 0)
 	c.Check(l.report(1050, 0).Running, qt.HasLen, 1)
 }
 
@@ -30,13 +30,13 @@
 func TestLookIsToldOnce(t *testing.T) {
 	c := qt.New(t)
 	l := newLife(engine.WorkerInfo{ID: "w"})
-	l.take(Look{Clock: time.Second}, 1000, 1010, 0)
+	l.take(WorkerStatus{Clock: time.Second}, 1000, 1010, 0)
 	first := l.report(1020, 0)
 	c.Check(first.Looked, qt.IsTrue)
 	c.Check(l.report(1020, 0).Looked, qt.IsTrue, qt.Commentf("the first report was lost"))
 	l.reported(first)
 	c.Check(l.report(1030, 0).Looked, qt.IsFalse)
-	l.take(Look{Clock: 2 * time.Second}, 1040, 1050, 0)
+	l.take(WorkerStatus{Clock: 2 * time.Second}, 1040, 1050, 0)
 	c.Check(l.report(1060, 0).Looked, qt.IsTrue)
 }
 
@@ -47,7 +47,7 @@
 	c := qt.New(t)
 	l := newLife(engine.WorkerInfo{ID: "w"})
 	l.extend(6 * time.Second)
-	done := Look{Clock: 5 * time.Second, Ended: []engine.EndRow{{Number: 1, Run: run1, Reason: engine.EndDone}}}
+	done := WorkerStatus{Clock: 5 * time.Second, Ended: []engine.EndRow{{Number: 1, Run: run1, Reason: engine.EndDone}}}
 	l.take(done, 5*time.Second, 5*time.Second, 6*time.Second)
 	c.Check(l.report(0, 0).Ended[0].Void, qt.IsFalse)
 	done.Clock = 7 * time.Second
@@ -64,12 +64,12 @@
 	c := qt.New(t)
 	l := newLife(engine.WorkerInfo{ID: "w"})
 	l.stopped[run1] = 2 * time.Second
-	l.take(Look{Clock: time.Second}, time.Second, 3*time.Second, 0)
+	l.take(WorkerStatus{Clock: time.Second}, time.Second, 3*time.Second, 0)
 	c.Check(l.report(0, 0).Absent, qt.HasLen, 0)
-	l.take(Look{Clock: 2 * time.Second, Running: []engine.RunningRow{{Run: run1}}}, 3*time.Second, 4*time.Second, 0)
+	l.take(WorkerStatus{Clock: 2 * time.Second, Running: []engine.RunningRow{{Run: run1}}}, 3*time.Second, 4*time.Second, 0)
 	c.Check(l.report(0, 0).Absent, qt.HasLen, 0, qt.Commentf("it is being stopped"))
 	l.stopped[run1] = 4 * time.Second
-	l.take(Look{Clock: 3 * time.Second}, 5*time.Second, 6*time.Second, 0)
+	l.take(WorkerStatus{Clock: 3 * time.Second}, 5*time.Second, 6*time.Second, 0)
 	c.Check(l.report(0, 0).Absent, qt.DeepEquals, []workload.RunID{run1})
 }
 
@@ -84,12 +84,12 @@
 	c.Check(l.lapsing(5*time.Second), qt.IsFalse)
 	c.Check(l.lapsing(6*time.Second), qt.IsTrue, qt.Commentf("nothing may start before a look"))
 	old := engine.EndRow{Number: 1, Run: run1, Reason: engine.EndDone}
-	l.take(Look{Clock: 7 * time.Second, Ended: []engine.EndRow{old}}, 7*time.Second, 7*time.Second, 6*time.Second)
+	l.take(WorkerStatus{Clock: 7 * time.Second, Ended: []engine.EndRow{old}}, 7*time.Second, 7*time.Second, 6*time.Second)
 	c.Check(l.lapsing(7*time.Second), qt.IsFalse)
 	waitsFrom := 7100 * time.Millisecond // asked with the lapsed lease in mind
 	l.extend(13 * time.Second)
 	next := engine.EndRow{Number: 2, Run: workload.RunID{Task: run1.Task, Number: 2}, Reason: engine.EndDone}
-	l.take(Look{Clock: 8 * time.Second, Ended: []engine.EndRow{old, next}}, waitsFrom, 8*time.Second, 6*time.Second)
+	l.take(WorkerStatus{Clock: 8 * time.Second, Ended: []engine.EndRow{old, next}}, waitsFrom, 8*time.Second, 6*time.Second)
 	ended := l.report(0, 0).Ended
 	c.Check(ended[0].Void, qt.IsTrue)
 	c.Check(ended[1].Void, qt.IsFalse)
@@ -101,7 +101,7 @@
 func TestRestartedAgentSeesTheLapseInTheEnds(t *testing.T) {
 	c := qt.New(t)
 	l := newLife(engine.WorkerInfo{ID: "w"})
-	l.take(Look{Clock: 20 * time.Second, Ended: []engine.EndRow{
+	l.take(WorkerStatus{Clock: 20 * time.Second, Ended: []engine.EndRow{
 		{Number: 4, Run: run1, Reason: engine.EndDone},
 		{Number: 5, Run: run1, Reason: engine.EndLapsed},
 		{Number: 6, Run: run1, Reason: engine.EndFailed},
--- a/nodeagent/look.go
+++ b/nodeagent/look.go
@@ -57,7 +57,7 @@
 	sent := now()
 	ctx, cancel := context.WithTimeout(a.tomb.Context(context.Background()), wait+lookSlack)
 	defer cancel()
-	look, err := a.cfg.Worker.Look(ctx, o, seen, wait)
+	look, err := a.cfg.Worker.Poll(ctx, o, seen, wait)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.life != l {
@@ -80,16 +80,16 @@
 
 // lookOrder returns the order of the next look. Once the worker has not answered for
 // keepExtending, nothing extends its lease, so that it is certain when it lapses.
-func (a *Agent) lookOrder(l *life, wait time.Duration) (o Order, seen int64, w, before time.Duration) {
+func (a *Agent) lookOrder(l *life, wait time.Duration) (o OrderHeader, seen int64, w, before time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	o = Order{Worker: l.info.ID, Fence: l.fence}
+	o = OrderHeader{Worker: l.info.ID, Fence: l.fence}
 	before = l.leaseEnd
 	lapsing := l.lapsing(now())
 	if !lapsing && l.extending(now()) {
-		o.Until = l.until(a.granted)
+		o.LeaseEnd = l.until(a.granted)
 	}
-	if o.Until > 0 {
+	if o.LeaseEnd > 0 {
 		l.extend(a.granted)
 	}
 	if l.failing || !l.known || l.fenced.Compare(l.fence) < 0 || lapsing {
@@ -100,7 +100,7 @@
 
 func (a *Agent) lookFailed(l *life, err error) time.Duration {
 	a.counts.LooksFailed.Add(1)
-	if errors.Is(err, ErrOtherLife) {
+	if errors.Is(err, ErrOtherIncarnation) {
 		a.log.WithField("worker", l.info.ID).WithError(err).Info("the worker answers as another life")
 		a.endLifeUnannounced(errors.Is(err, ErrSuperseded))
 		a.notify()
@@ -125,7 +125,7 @@
 
 // notePassedOver counts answers that were passed over since the worker's clock was further in
 // an earlier one, and tells of the first in a row. The mutex is held.
-func (a *Agent) notePassedOver(l *life, look Look, clock time.Duration, taken bool) {
+func (a *Agent) notePassedOver(l *life, look WorkerStatus, clock time.Duration, taken bool) {
 	if !taken {
 		a.counts.LooksPassedOver.Add(1)
 	}
--- a/nodeagent/orders.go
+++ b/nodeagent/orders.go
@@ -52,7 +52,7 @@
 }
 
 // pace sets speeds, of runs that may just have been started.
-func (a *Agent) pace(o Order, l *life, orders []engine.PaceOrder) []engine.PaceResult {
+func (a *Agent) pace(o OrderHeader, l *life, orders []engine.PaceOrder) []engine.PaceResult {
 	results := make([]engine.PaceResult, len(orders))
 	var wg sync.WaitGroup
 	for i, p := range orders {
@@ -65,7 +65,7 @@
 	return results
 }
 
-func (a *Agent) paceOne(o Order, p engine.PaceOrder) bool {
+func (a *Agent) paceOne(o OrderHeader, p engine.PaceOrder) bool {
 	a.counts.Paces.Add(1)
 	ctx, cancel := context.WithTimeout(a.tomb.Context(context.Background()), orderTimeout)
 	defer cancel()
@@ -78,25 +78,25 @@
 
 // admit checks whether orders are for the present life and of the newest planner. The
 // outcome is StartOK where starts may go on.
-func (a *Agent) admit(orders *link.Orders) (Order, *life, engine.StartOutcome) {
+func (a *Agent) admit(orders *link.Orders) (OrderHeader, *life, engine.StartOutcome) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if orders.Epoch < a.epoch {
-		return Order{}, nil, engine.StartFenced
+		return OrderHeader{}, nil, engine.StartFenced
 	}
 	a.raiseEpoch(orders.Epoch)
 	l := a.life
 	if l == nil || l.info.ID != orders.Worker {
-		return Order{}, nil, engine.StartNotSent
+		return OrderHeader{}, nil, engine.StartNotSent
 	}
-	o := Order{Worker: l.info.ID, Fence: l.fence, Until: l.until(a.granted)}
+	o := OrderHeader{Worker: l.info.ID, Fence: l.fence, LeaseEnd: l.until(a.granted)}
 	switch {
 	case l.draining:
 		return o, l, engine.StartDraining
 	case a.cordon.bars(orders.CordonsAt):
 		a.counts.StartsCordoned.Add(int64(len(orders.Starts)))
 		return o, l, engine.StartCordoned
-	case o.Until == 0 || l.failing || l.lapsing(now()) || a.granted-now() < leastGrant:
+	case o.LeaseEnd == 0 || l.failing || l.lapsing(now()) || a.granted-now() < leastGrant:
 		return o, l, engine.StartNotSent
 	}
 	l.extend(a.granted)
@@ -105,7 +105,7 @@
 
 // start tries a start until the worker answers. One that never does is unknown; cordonsAt is
 // up to where the planner knew the cordons.
-func (a *Agent) start(o Order, cordonsAt int64, s engine.StartOrder) engine.StartOutcome {
+func (a *Agent) start(o OrderHeader, cordonsAt int64, s engine.StartOrder) engine.StartOutcome {
 	a.counts.Starts.Add(1)
 	outcome := engine.StartUnknown
 	for attempt := range startAttempts {
@@ -137,12 +137,12 @@
 }
 
 // stop stops a run. Where the worker does not confirm it, the planner asks again.
-func (a *Agent) stop(o Order, l *life, run workload.RunID) {
+func (a *Agent) stop(o OrderHeader, l *life, run workload.RunID) {
 	a.counts.Stops.Add(1)
 	ctx, cancel := context.WithTimeout(a.tomb.Context(context.Background()), orderTimeout)
 	defer cancel()
 	err := a.cfg.Worker.Stop(ctx, o, run)
-	if errors.Is(err, ErrOtherLife) {
+	if errors.Is(err, ErrOtherIncarnation) {
 		return // the next look finds out
 	}
 	if err != nil {
--- a/nodeagent/report.go
+++ b/nodeagent/report.go
@@ -130,7 +130,7 @@
 	}
 	l.closely = reply.Closely
 	if reply.Attached {
-		a.granted = max(a.granted, sent+a.cfg.MaxHold)
+		a.granted = max(a.granted, sent+a.cfg.MaxLease)
 		if l.hurry(now()) {
 			a.interrupt() // after a gap; a look that waits would come too late
 		}
--- a/nodeagent/room_test.go
+++ b/nodeagent/room_test.go
@@ -16,8 +16,8 @@
 func TestHeartbeatsTellOfChangedRoom(t *testing.T) {
 	c := qt.New(t)
 	a := &Agent{log: logrus.New(), wake: make(chan struct{}, 1), ended: map[engine.WorkerID]bool{}}
-	said := func(sequence int64, accelerators int) Announcement {
-		return Announcement{Sequence: sequence, Info: engine.WorkerInfo{ID: "w", Capacity: workload.Resources{Accelerators: accelerators}}}
+	said := func(sequence int64, accelerators int) Heartbeat {
+		return Heartbeat{Sequence: sequence, Info: engine.WorkerInfo{ID: "w", Capacity: workload.Resources{Accelerators: accelerators}}}
 	}
 	a.life = newLife(said(1, 8).Info)
 	a.life.sequence = 1
--- a/nodeagent/silent_test.go
+++ b/nodeagent/silent_test.go
@@ -24,16 +24,16 @@
 	looks atomic.Int64
 }
 
-func (w *deadWorker) Look(ctx context.Context, _ Order, _ int64, wait time.Duration) (Look, error) {
+func (w *deadWorker) Poll(ctx context.Context, _ OrderHeader, _ int64, wait time.Duration) (WorkerStatus, error) {
 	w.looks.Add(1)
 	if w.dead.Load() {
-		return Look{}, eris.New("connection refused")
+		return WorkerStatus{}, eris.New("connection refused")
 	}
 	select {
 	case <-ctx.Done():
 	case <-time.After(min(wait, 20*time.Millisecond)):
 	}
-	return Look{Clock: now()}, nil
+	return WorkerStatus{Clock: now()}, nil
 }
 
 func (w *deadWorker) Identify(context.Context) (string, error) { return "w", nil }
@@ -58,7 +58,7 @@
 	w := &deadWorker{}
 	a, err := Start(Config{
 		ID: "agent", Region: "r", Zone: "z", Listen: "127.0.0.1:0", Seeds: []string{address},
-		ClusterKey: []byte("a key for tests only"), Worker: w, MaxHold: time.Second, Log: quietLog(),
+		ClusterKey: []byte("a key for tests only"), Worker: w, MaxLease: time.Second, Log: quietLog(),
 	})
 	c.Assert(err, qt.IsNil)
 	defer func() {
@@ -66,7 +66,7 @@
 		defer cancel()
 		_ = a.Stop(ctx)
 	}()
-	c.Assert(a.Announce(context.Background(), Announcement{Info: engine.WorkerInfo{ID: "w"}, Sequence: 1}), qt.IsNil)
+	c.Assert(a.Announce(context.Background(), Heartbeat{Info: engine.WorkerInfo{ID: "w"}, Sequence: 1}), qt.IsNil)
 	for deadline := time.Now().Add(5 * time.Second); reports.Load() < 3 && time.Now().Before(deadline); {
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/nodeagent/succession_test.go
+++ b/nodeagent/succession_test.go
@@ -43,17 +43,17 @@
 
 func (w *keptNameWorker) Identify(context.Context) (string, error) { return "w", nil }
 
-func (w *keptNameWorker) Look(_ context.Context, o Order, seen int64, _ time.Duration) (Look, error) {
+func (w *keptNameWorker) Poll(_ context.Context, o OrderHeader, seen int64, _ time.Duration) (WorkerStatus, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.looks = append(w.looks, lookedAt{o.Fence, seen})
 	switch w.life {
 	case "":
-		return Look{}, context.DeadlineExceeded
+		return WorkerStatus{}, context.DeadlineExceeded
 	case o.Worker:
-		return Look{Clock: now(), Ended: w.ended}, nil
+		return WorkerStatus{Clock: now(), Ended: w.ended}, nil
 	}
-	return Look{}, ErrSuperseded
+	return WorkerStatus{}, ErrSuperseded
 }
 
 func (w *keptNameWorker) last() lookedAt {
@@ -95,7 +95,7 @@
 func keptName(c *qt.C) (*Agent, *keptNameWorker) {
 	w := &keptNameWorker{life: "w-1"}
 	a := &Agent{
-		cfg: Config{ID: "agent", Worker: w, MaxHold: 6 * time.Second}, log: quietLog(),
+		cfg: Config{ID: "agent", Worker: w, MaxLease: 6 * time.Second}, log: quietLog(),
 		changed: make(chan struct{}), wake: make(chan struct{}, 1), ended: map[engine.WorkerID]bool{},
 	}
 	c.Assert(a.Announce(context.Background(), heartbeatOf("w-1", 5)), qt.IsNil)
@@ -104,8 +104,8 @@
 	return a, w
 }
 
-func heartbeatOf(life engine.WorkerID, sequence int64) Announcement {
-	return Announcement{Info: engine.WorkerInfo{ID: life, Name: "w", Service: "s"}, Sequence: sequence}
+func heartbeatOf(life engine.WorkerID, sequence int64) Heartbeat {
+	return Heartbeat{Info: engine.WorkerInfo{ID: life, Name: "w", Service: "s"}, Sequence: sequence}
 }
 
 // A worker crashes after a start that got no answer, and is back under its name. The start was
--- a/records/intake.go
+++ b/records/intake.go
@@ -16,21 +16,21 @@
 // settlePause is the pause between attempts to learn what became of a write.
 const settlePause = 30 * time.Millisecond
 
-// Intake writes what callers ask for. It is safe for concurrent use.
-type Intake struct {
+// JobStore writes what callers ask for. It is safe for concurrent use.
+type JobStore struct {
 	store store.Atomic
 }
 
-// NewIntake returns an Intake.
-func NewIntake(kv store.Atomic) *Intake { return &Intake{store: kv} }
+// NewJobStore returns an Intake.
+func NewJobStore(kv store.Atomic) *JobStore { return &JobStore{store: kv} }
 
 // probeTimeout bounds the question that goes before a write.
 const probeTimeout = 600 * time.Millisecond
 
-// Accept makes a job durable and returns the revision at which it is, 0 for one that has
+// Submit makes a job durable and returns the revision at which it is, 0 for one that has
 // ended since. A repeated call for the same id finds the first. It goes on until ctx ends to
 // learn what became of a write whose reply was lost.
-func (i *Intake) Accept(ctx context.Context, j *workload.Job) (link.Outcome, store.Revision) {
+func (i *JobStore) Submit(ctx context.Context, j *workload.Job) (link.Outcome, store.Revision) {
 	value, err := json.Marshal(j)
 	if err != nil {
 		return link.OutcomeNotDone, 0
@@ -67,7 +67,7 @@
 // sent leaves its outcome unknown, and the caller can neither be told that it was
 // accepted nor that it was not; a question that gets no answer has changed nothing, so
 // the caller can be refused in truth, at once.
-func (i *Intake) probe(ctx context.Context, key string) (store.KeyValue, bool, error) {
+func (i *JobStore) probe(ctx context.Context, key string) (store.KeyValue, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	return i.store.Get(ctx, key)
@@ -91,7 +91,7 @@
 
 // create makes a key that must not exist, while a condition on another holds. current are
 // both where that is not so.
-func (i *Intake) create(ctx context.Context, while store.Condition, s store.Swap) (outcome link.Outcome, at store.Revision, current []store.KeyValue) {
+func (i *JobStore) create(ctx context.Context, while store.Condition, s store.Swap) (outcome link.Outcome, at store.Revision, current []store.KeyValue) {
 	lost := false
 	for {
 		out, err := i.store.CommitIf(ctx, []store.Condition{while}, []store.Swap{s})
@@ -130,7 +130,7 @@
 
 // Cancel makes a cancellation durable, where the job exists and is of the queue. One of a
 // job that has ended changes nothing.
-func (i *Intake) Cancel(ctx context.Context, queue string, id workload.JobID) link.Outcome {
+func (i *JobStore) Cancel(ctx context.Context, queue string, id workload.JobID) link.Outcome {
 	for {
 		kv, ok, err := i.store.Get(ctx, jobKey(id))
 		if err != nil {
@@ -156,7 +156,7 @@
 }
 
 // cancelEnded answers a cancellation of a job that has no record as a job.
-func (i *Intake) cancelEnded(ctx context.Context, queue string, id workload.JobID) link.Outcome {
+func (i *JobStore) cancelEnded(ctx context.Context, queue string, id workload.JobID) link.Outcome {
 	o, ok, err := i.outcome(ctx, id)
 	switch {
 	case err != nil:
@@ -168,7 +168,7 @@
 }
 
 // outcome reads what a job came to, and false where none is on record.
-func (i *Intake) outcome(ctx context.Context, id workload.JobID) (engine.Outcome, bool, error) {
+func (i *JobStore) outcome(ctx context.Context, id workload.JobID) (engine.Outcome, bool, error) {
 	kv, ok, err := i.store.Get(ctx, endedKey(id))
 	if err != nil || !ok {
 		return engine.Outcome{}, false, err
@@ -184,7 +184,7 @@
 //
 // The outcome is read after the others: records that are replaced by it while they are read
 // would else look like those of a job that has not begun.
-func (i *Intake) Lookup(ctx context.Context, id workload.JobID) (engine.Lookup, bool, error) {
+func (i *JobStore) Lookup(ctx context.Context, id workload.JobID) (engine.Lookup, bool, error) {
 	out, open, err := i.lookupOpen(ctx, id)
 	if err != nil || open && out.State != workload.Queued {
 		return out, open, err
@@ -200,7 +200,7 @@
 }
 
 // lookupOpen reads the state of a job whose records have not been replaced by its outcome.
-func (i *Intake) lookupOpen(ctx context.Context, id workload.JobID) (engine.Lookup, bool, error) {
+func (i *JobStore) lookupOpen(ctx context.Context, id workload.JobID) (engine.Lookup, bool, error) {
 	kv, ok, err := i.store.Get(ctx, jobKey(id))
 	if err != nil || !ok {
 		return engine.Lookup{}, false, err
--- a/records/ledger.go
+++ b/records/ledger.go
@@ -21,23 +21,23 @@
 // ErrConflict: a record is not as this planner left it.
 var ErrConflict = eris.New("record changed by another")
 
-// Ledger is a planner's hold on the records for one term. One goroutine owns it.
-type Ledger struct {
+// PlannerStore is a planner's hold on the records for one term. One goroutine owns it.
+type PlannerStore struct {
 	store store.Atomic
 	guard store.Condition
 	// revisions of the keys that the planner writes.
 	revisions map[string]store.Revision
 }
 
-// State is what a planner has to know before it plans: all work that has not ended.
-type State struct {
+// PlannerState is what a planner has to know before it plans: all work that has not ended.
+type PlannerState struct {
 	Submissions
 	Workers []engine.WorkerInfo
 }
 
-// OpenLedger returns a Ledger that writes while the key of guard is as it says.
-func OpenLedger(kv store.Atomic, guard store.Condition) *Ledger {
-	return &Ledger{store: kv, guard: guard, revisions: map[string]store.Revision{}}
+// NewPlannerStore returns a Ledger that writes while the key of guard is as it says.
+func NewPlannerStore(kv store.Atomic, guard store.Condition) *PlannerStore {
+	return &PlannerStore{store: kv, guard: guard, revisions: map[string]store.Revision{}}
 }
 
 // Load reads what a planner has to know before it plans. What it reads first, only holders
@@ -47,29 +47,29 @@
 // from planning. The others hold: a job whose own record or progress can't be read stays
 // out, since starting it could run it twice; a worker whose record can't be read is known
 // by its key alone, so that what it may hold is waited for.
-func (l *Ledger) Load(ctx context.Context, wall time.Time) (State, error) {
+func (l *PlannerStore) Load(ctx context.Context, wall time.Time) (PlannerState, error) {
 	workers, err := l.store.List(ctx, workerPrefix)
 	if err != nil {
-		return State{}, err
+		return PlannerState{}, err
 	}
 	runs, err := l.store.List(ctx, runPrefix)
 	if err != nil {
-		return State{}, err
+		return PlannerState{}, err
 	}
 	submitted, err := ListSubmissions(ctx, l.store, wall)
 	if err != nil {
-		return State{}, err
+		return PlannerState{}, err
 	}
-	out := State{Submissions: submitted}
+	out := PlannerState{Submissions: submitted}
 	l.takeWorkers(&out, workers.Keys)
 	l.takeProgress(&out, runs.Keys)
 	// An incomplete page may tell an earlier revision than this term's first; a watch from
 	// there would show submissions of jobs that a predecessor has closed since.
-	out.At = max(out.At, l.guard.Revision)
+	out.Revision = max(out.Revision, l.guard.Revision)
 	return out, nil
 }
 
-func (l *Ledger) takeWorkers(out *State, keys []store.KeyValue) {
+func (l *PlannerStore) takeWorkers(out *PlannerState, keys []store.KeyValue) {
 	for _, kv := range keys {
 		l.revisions[kv.Key] = kv.Mod
 		id := engine.WorkerID(strings.TrimPrefix(kv.Key, workerPrefix))
@@ -87,7 +87,7 @@
 }
 
 // takeProgress adds to the submissions what became of them.
-func (l *Ledger) takeProgress(out *State, keys []store.KeyValue) {
+func (l *PlannerStore) takeProgress(out *PlannerState, keys []store.KeyValue) {
 	progress := map[workload.JobID]*engine.Progress{}
 	withheld := map[workload.JobID]bool{}
 	for _, kv := range keys {
@@ -107,19 +107,19 @@
 	}
 }
 
-// LoadEnded reads the outcomes of jobs that have ended. No planning depends on them. It may
+// LoadOutcomes reads the outcomes of jobs that have ended. No planning depends on them. It may
 // run beside Write.
-func (l *Ledger) LoadEnded(ctx context.Context, wall time.Time) ([]engine.EndedRestored, []Unreadable, error) {
+func (l *PlannerStore) LoadOutcomes(ctx context.Context, wall time.Time) ([]engine.EndedRestored, []UnreadableRecord, error) {
 	snap, err := l.store.List(ctx, endedPrefix)
 	if err != nil {
 		return nil, nil, err
 	}
 	var out []engine.EndedRestored
-	var unreadable []Unreadable
+	var unreadable []UnreadableRecord
 	for _, kv := range snap.Keys {
 		var o engine.Outcome
 		if err := json.Unmarshal(kv.Value, &o); err != nil {
-			unreadable = append(unreadable, Unreadable{Key: kv.Key, Why: err})
+			unreadable = append(unreadable, UnreadableRecord{Key: kv.Key, Err: err})
 			continue
 		}
 		out = append(out, engine.EndedRestored{
@@ -129,9 +129,9 @@
 	return out, unreadable, nil
 }
 
-// Follow gives every submission and cancellation recorded after revision at to deliver,
+// WatchSubmissions gives every submission and cancellation recorded after revision at to deliver,
 // until ctx ends. store.ErrCompacted: some may have been missed.
-func (l *Ledger) Follow(ctx context.Context, at store.Revision, wall func() time.Time, deliver func(engine.Event)) error {
+func (l *PlannerStore) WatchSubmissions(ctx context.Context, at store.Revision, wall func() time.Time, deliver func(engine.Event)) error {
 	return l.store.Watch(ctx, inPrefix, at+1, func(b store.WatchBatch) {
 		for _, e := range b.Events {
 			if e.Deleted {
@@ -152,7 +152,7 @@
 // Write makes one attempt to write all changes or none. It is repeated as it is until
 // it returns nil, ErrDeposed or ErrConflict: after a lost reply only that tells what
 // became of it.
-func (l *Ledger) Write(ctx context.Context, w engine.Write) error {
+func (l *PlannerStore) Write(ctx context.Context, w engine.Write) error {
 	swaps, err := l.swaps(w)
 	if err != nil {
 		return err
@@ -168,7 +168,7 @@
 	return l.judge(swaps, out.Current)
 }
 
-func (l *Ledger) swaps(w engine.Write) ([]store.Swap, error) {
+func (l *PlannerStore) swaps(w engine.Write) ([]store.Swap, error) {
 	var out []store.Swap
 	add := func(key string, record any) error {
 		value, err := json.Marshal(record)
@@ -205,7 +205,7 @@
 }
 
 // closing replaces all records of a job that has ended by its outcome.
-func (l *Ledger) closing(j engine.EndedJob) ([]store.Swap, error) {
+func (l *PlannerStore) closing(j engine.EndedJob) ([]store.Swap, error) {
 	value, err := json.Marshal(j.Outcome)
 	if err != nil {
 		return nil, eris.Wrapf(err, "encode outcome of job %s", j.ID)
@@ -219,7 +219,7 @@
 }
 
 // removal removes the outcome of a job.
-func (l *Ledger) removal(j engine.ForgottenJob) []store.Swap {
+func (l *PlannerStore) removal(j engine.ForgottenJob) []store.Swap {
 	expect := store.Revision(j.Record)
 	if expect == 0 {
 		expect = l.revisions[endedKey(j.ID)]
@@ -236,7 +236,7 @@
 	return []store.Swap{{Key: cancelKey(id), Expect: store.Revision(order), Delete: true}}
 }
 
-func (l *Ledger) note(swaps []store.Swap, at store.Revision) {
+func (l *PlannerStore) note(swaps []store.Swap, at store.Revision) {
 	for _, s := range swaps {
 		if s.Delete {
 			delete(l.revisions, s.Key)
@@ -248,7 +248,7 @@
 
 // judge tells why a write did not hold. Keys that have our own values were written by
 // an earlier attempt whose reply was lost.
-func (l *Ledger) judge(swaps []store.Swap, current []store.KeyValue) error {
+func (l *PlannerStore) judge(swaps []store.Swap, current []store.KeyValue) error {
 	now := map[string]store.KeyValue{}
 	for _, kv := range current {
 		now[kv.Key] = kv
--- a/records/ledger_test.go
+++ b/records/ledger_test.go
@@ -27,10 +27,10 @@
 	return qt.New(t), srv, platform.OpenStore(srv.Addr())
 }
 
-func ledger(c *qt.C, kv *platform.KVStore) *records.Ledger {
+func ledger(c *qt.C, kv *platform.KVStore) *records.PlannerStore {
 	guard, _, err := kv.Get(context.Background(), epochKey)
 	c.Assert(err, qt.IsNil)
-	return records.OpenLedger(kv, store.Condition{Key: epochKey, Revision: guard.Mod})
+	return records.NewPlannerStore(kv, store.Condition{Key: epochKey, Revision: guard.Mod})
 }
 
 func aJob(id workload.JobID) *workload.Job {
@@ -41,9 +41,9 @@
 }
 
 // accept puts jobs on record.
-func accept(c *qt.C, intake *records.Intake, ids ...workload.JobID) {
+func accept(c *qt.C, intake *records.JobStore, ids ...workload.JobID) {
 	for _, id := range ids {
-		outcome, _ := intake.Accept(context.Background(), aJob(id))
+		outcome, _ := intake.Submit(context.Background(), aJob(id))
 		c.Assert(outcome, qt.Equals, link.OutcomeStored)
 	}
 }
@@ -55,7 +55,7 @@
 func TestRecordsAreReadBack(t *testing.T) {
 	c, _, kv := open(t)
 	ctx := context.Background()
-	intake := records.NewIntake(kv)
+	intake := records.NewJobStore(kv)
 	accept(c, intake, "j1", "j2")
 	c.Assert(intake.Cancel(ctx, "q", "j2"), qt.Equals, link.OutcomeStored)
 	c.Assert(intake.Cancel(ctx, "q", "none"), qt.Equals, link.OutcomeAbsent)
@@ -121,10 +121,10 @@
 // answer, so nothing was written and the refusal is true.
 func TestOutageIsRefusedInTruth(t *testing.T) {
 	c, srv, kv := open(t)
-	intake := records.NewIntake(kv)
+	intake := records.NewJobStore(kv)
 	for _, faults := range []standin.StoreFaults{{Busy: true}, {Silent: true}} {
 		srv.SetFaults(faults)
-		outcome, _ := intake.Accept(context.Background(), aJob("j1"))
+		outcome, _ := intake.Submit(context.Background(), aJob("j1"))
 		c.Check(outcome, qt.Equals, link.OutcomeNotDone)
 	}
 	c.Check(srv.Writes(), qt.Equals, 0)
@@ -134,20 +134,20 @@
 // once, and a write whose answer never comes is neither refused nor accepted.
 func TestLostAnswerOfASubmission(t *testing.T) {
 	c, srv, kv := open(t)
-	intake := records.NewIntake(kv)
+	intake := records.NewJobStore(kv)
 	srv.SetFaults(standin.StoreFaults{LoseWrites: true})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	outcome, _ := intake.Accept(ctx, aJob("j1"))
+	outcome, _ := intake.Submit(ctx, aJob("j1"))
 	c.Check(outcome, qt.Equals, link.OutcomeUnknown)
 	srv.SetFaults(standin.StoreFaults{})
-	outcome, at := intake.Accept(context.Background(), aJob("j1"))
+	outcome, at := intake.Submit(context.Background(), aJob("j1"))
 	c.Check(outcome, qt.Equals, link.OutcomeStored)
 	item, _ := srv.Get("workloads/in/job/j1")
 	c.Check(int64(at), qt.Equals, item.Created)
 	other := aJob("j1")
 	other.Account = "another"
-	outcome, _ = intake.Accept(context.Background(), other)
+	outcome, _ = intake.Submit(context.Background(), other)
 	c.Check(outcome, qt.Equals, link.OutcomeMismatch)
 }
 
@@ -158,7 +158,7 @@
 func TestUnreadableRecordsAreOnlyTheirOwnLoss(t *testing.T) {
 	c, srv, kv := open(t)
 	ctx := context.Background()
-	intake := records.NewIntake(kv)
+	intake := records.NewJobStore(kv)
 	accept(c, intake, "good", "half")
 	srv.Put("workloads/in/job/bytes", []byte{0xff, 0x00})
 	srv.Put("workloads/in/job/other", []byte(`{"id":"good"}`))
@@ -175,6 +175,6 @@
 	c.Check(state.Workers, qt.DeepEquals, []engine.WorkerInfo{{ID: "w1"}, {ID: "w3"}})
 	c.Check(state.Unreadable, qt.HasLen, 6)
 	for _, u := range state.Unreadable {
-		c.Check(u.Why, qt.Not(qt.IsNil), qt.Commentf("%s", u.Key))
+		c.Check(u.Err, qt.Not(qt.IsNil), qt.Commentf("%s", u.Key))
 	}
 }
--- a/records/submissions.go
+++ b/records/submissions.go
@@ -17,16 +17,16 @@
 type Submissions struct {
 	// Jobs are in the order of their names, without Progress.
 	Jobs []engine.Restored
-	// At is where a watch of the intake goes on.
-	At store.Revision
+	// Revision is where a watch of the intake goes on.
+	Revision store.Revision
 	// Unreadable are records that another writer left and that are passed over.
-	Unreadable []Unreadable
+	Unreadable []UnreadableRecord
 }
 
-// Unreadable is a record that can't be decoded.
-type Unreadable struct {
+// UnreadableRecord is a record that can't be decoded.
+type UnreadableRecord struct {
 	Key string
-	Why error
+	Err error
 }
 
 // ListSubmissions reads what callers have handed in. wall is the time of day, by which the
@@ -42,7 +42,7 @@
 			cancelled[idOf(kv.Key, cancelPrefix)] = int64(kv.Mod)
 		}
 	}
-	out := Submissions{At: snap.At}
+	out := Submissions{Revision: snap.At}
 	for _, kv := range snap.Keys {
 		if !strings.HasPrefix(kv.Key, jobPrefix) {
 			continue
@@ -59,7 +59,7 @@
 }
 
 func (s *Submissions) passOver(key string, why error) {
-	s.Unreadable = append(s.Unreadable, Unreadable{Key: key, Why: why})
+	s.Unreadable = append(s.Unreadable, UnreadableRecord{Key: key, Err: why})
 }
 
 func decodeJob(kv store.KeyValue, wall time.Time) (engine.Submitted, error) {
