--- a/gateway/calls.go
+++ b/gateway/calls.go
@@ -19,28 +19,28 @@
 	defer cancel()
 	began := time.Now()
 	outcome := link.OutcomeNotDone
-	if g.storeWorth() {
+	if g.shouldTryStore() {
 		var at store.Revision
-		outcome, at = g.intake.Submit(ctx, j)
-		g.noticeJob(outcome, j, at)
-		g.storeSaid(outcome)
+		outcome, at = g.jobStore.Submit(ctx, j)
+		g.notifyJobSubmitted(outcome, j, at)
+		g.recordStoreOutcome(outcome)
 	}
 	if outcome == link.OutcomeNotDone {
 		outcome = g.relay(ctx, &link.Accept{Job: *j})
 	}
 	g.countSubmit(outcome)
-	g.calls.Observe("submit/"+outcome.String(), time.Since(began))
+	g.callLatencies.Observe("submit/"+outcome.String(), time.Since(began))
 	return outcome
 }
 
 func (g *Gateway) countSubmit(outcome link.Outcome) {
 	switch outcome {
 	case link.OutcomeStored:
-		g.counts.Accepted.Add(1)
+		g.counters.Accepted.Add(1)
 	case link.OutcomeUnknown:
-		g.counts.AcceptUnknown.Add(1)
+		g.counters.AcceptUnknown.Add(1)
 	default:
-		g.counts.Refused.Add(1)
+		g.counters.Refused.Add(1)
 	}
 }
 
@@ -50,39 +50,39 @@
 	defer cancel()
 	began := time.Now()
 	outcome := link.OutcomeNotDone
-	if g.storeWorth() {
-		outcome = g.intake.Cancel(ctx, queue, id)
+	if g.shouldTryStore() {
+		outcome = g.jobStore.Cancel(ctx, queue, id)
 		if outcome == link.OutcomeStored {
-			g.notice(&link.Notice{Cancel: id})
+			g.notifyPlanner(&link.Notice{Cancel: id})
 		}
-		g.storeSaid(outcome)
+		g.recordStoreOutcome(outcome)
 	}
 	if outcome == link.OutcomeNotDone {
 		outcome = g.relay(ctx, &link.Cancel{Job: id, Queue: queue})
 	}
 	if outcome == link.OutcomeStored {
-		g.counts.Cancelled.Add(1)
+		g.counters.Cancelled.Add(1)
 	}
-	g.calls.Observe("cancel/"+outcome.String(), time.Since(began))
+	g.callLatencies.Observe("cancel/"+outcome.String(), time.Since(began))
 	return outcome
 }
 
-// storeWorth says whether the store is worth a try: after it failed not before it has
+// shouldTryStore says whether the store is worth a try: after it failed not before it has
 // answered another call. The configuration is asked for all the time, so a try here would
 // find nothing out that is not known sooner, and hold its caller up.
-func (g *Gateway) storeWorth() bool {
+func (g *Gateway) shouldTryStore() bool {
 	failed := time.Duration(g.storeFailedAt.Load())
 	since := lease.BootTime() - failed
-	return failed == 0 || since > storeRest || g.cfg.SinceStoreReply() < since
+	return failed == 0 || since > storeRetryAfter || g.cfg.SinceStoreReply() < since
 }
 
-// storeFailed notes that the store does not serve this gateway now.
-func (g *Gateway) storeFailed() { g.storeFailedAt.Store(int64(lease.BootTime())) }
+// markStoreFailed notes that the store does not serve this gateway now.
+func (g *Gateway) markStoreFailed() { g.storeFailedAt.Store(int64(lease.BootTime())) }
 
-func (g *Gateway) storeSaid(outcome link.Outcome) {
+func (g *Gateway) recordStoreOutcome(outcome link.Outcome) {
 	switch outcome {
 	case link.OutcomeNotDone, link.OutcomeUnknown:
-		g.storeFailed()
+		g.markStoreFailed()
 	default:
 		g.storeFailedAt.Store(0)
 	}
@@ -91,7 +91,7 @@
 // relay lets peers write a record, one after the other, until one is served by the
 // store. A peer whose answer is lost may have written it.
 func (g *Gateway) relay(ctx context.Context, msg any) link.Outcome {
-	for _, address := range g.relays() {
+	for _, address := range g.relayCandidates() {
 		if ctx.Err() != nil {
 			return link.OutcomeNotDone
 		}
@@ -103,28 +103,28 @@
 	return link.OutcomeNotDone
 }
 
-// relays returns the peers to work through, the planner first. Those that lately said
+// relayCandidates returns the peers to work through, the planner first. Those that lately said
 // that the store does not serve them either are left out: asking them would only hold up
 // a refusal that is certain, and a question cut short leaves the outcome unknown.
-func (g *Gateway) relays() []string {
-	_, planner := g.planners.get()
-	candidates := g.members.others()
+func (g *Gateway) relayCandidates() []string {
+	_, planner := g.planner.get()
+	candidates := g.members.knownPeers()
 	if planner != "" && planner != g.cfg.Listen {
 		candidates = append([]string{planner}, candidates...)
 	}
 	now := lease.BootTime()
 	var out []string
 	for _, m := range candidates {
-		if !slices.Contains(out, m) && !g.outage.unserved(now, m) {
+		if !slices.Contains(out, m) && !g.storeStatus.peerUnserved(now, m) {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-// callForUs lets one peer make a call for this gateway. The error is wire.ErrNotSent where
+// callPeer lets one peer make a call for this gateway. The error is wire.ErrNotSent where
 // the peer has certainly not seen it.
-func (g *Gateway) callForUs(ctx context.Context, address string, msg any) (any, error) {
+func (g *Gateway) callPeer(ctx context.Context, address string, msg any) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
 	dial, stop := context.WithTimeout(ctx, peerTimeout)
@@ -133,14 +133,14 @@
 	if err != nil {
 		return nil, wire.ErrNotSent
 	}
-	g.counts.Relayed.Add(1)
+	g.counters.Relayed.Add(1)
 	return conn.Call(ctx, msg)
 }
 
 func (g *Gateway) relayTo(ctx context.Context, address string, msg any) link.Outcome {
-	raw, err := g.callForUs(ctx, address, msg)
+	raw, err := g.callPeer(ctx, address, msg)
 	if err != nil {
-		return unsent(err)
+		return outcomeOfCallError(err)
 	}
 	reply, ok := raw.(*link.RecordReply)
 	if !ok {
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -59,34 +59,34 @@
 const DefaultCordonDeadline = 5 * time.Second
 
 const (
-	dutyName = "planner"
+	plannerLeaseName = "planner"
 	// cordonMargin is taken off CordonWithin: a start leaves by then, after the view that it
 	// was decided on was confirmed, and has this long to reach its worker.
 	cordonMargin = 2 * time.Second
-	// dutyTTL bounds how long nobody plans after the planner's machine died. It is six
+	// plannerLeaseTTL bounds how long nobody plans after the planner's machine died. It is six
 	// times a renewal of a store that answers a hundred times slower than usual.
-	dutyTTL = 2 * time.Second
-	// dutyPause bounds the pause between attempts to take the duty while the store is
+	plannerLeaseTTL = 2 * time.Second
+	// plannerLeaseMaxPause bounds the pause between attempts to take the duty while the store is
 	// out, and so how long nobody plans after its return.
-	dutyPause = 300 * time.Millisecond
-	// keyMargin is taken off KeyLife: watches of the store may hear nothing for a
+	plannerLeaseMaxPause = 300 * time.Millisecond
+	// keyRevocationMargin is taken off KeyLife: watches of the store may hear nothing for a
 	// second while changes are made, and clocks differ in rate.
-	keyMargin = 1500 * time.Millisecond
-	// peerEvery is how often a gateway asks the planner's gateway for news.
-	peerEvery   = 500 * time.Millisecond
-	peerTimeout = 400 * time.Millisecond
-	// textTimeout bounds the transfer of a configuration from a peer: of a megabyte over
+	keyRevocationMargin = 1500 * time.Millisecond
+	// peerInterval is how often a gateway asks the planner's gateway for news.
+	peerInterval = 500 * time.Millisecond
+	peerTimeout  = 400 * time.Millisecond
+	// configTransferTimeout bounds the transfer of a configuration from a peer: of a megabyte over
 	// 2 Mbit/s.
-	textTimeout = 5 * time.Second
-	// staleAfter is the age of the configuration's last confirmation from which a
+	configTransferTimeout = 5 * time.Second
+	// configStaleAfter is the age of the configuration's last confirmation from which a
 	// gateway asks its peers for theirs.
-	staleAfter = 1300 * time.Millisecond
-	// memberFor is how long a gateway counts as live after it was last heard.
-	memberFor = 10 * time.Second
-	// storeRest is how long a gateway works through peers after the store failed it, while
+	configStaleAfter = 1300 * time.Millisecond
+	// memberTTL is how long a gateway counts as live after it was last heard.
+	memberTTL = 10 * time.Second
+	// storeRetryAfter is how long a gateway works through peers after the store failed it, while
 	// nothing shows that it serves again. The configuration is read again each second or
 	// sooner, so this is only for the case that nobody reads it.
-	storeRest = 2 * time.Second
+	storeRetryAfter = 2 * time.Second
 	// relayTimeout bounds a call that a peer makes to the store for this gateway.
 	relayTimeout = 1200 * time.Millisecond
 	// lookupTimeout bounds a question to the planner.
--- a/gateway/cordons.go
+++ b/gateway/cordons.go
@@ -17,20 +17,20 @@
 // cordonsFresh says whether the cordons known were confirmed so lately that a start decided
 // on them reaches its worker in time.
 func (g *Gateway) cordonsFresh(now time.Duration) bool {
-	cordons, ok := g.inForce.Cordons()
-	return ok && now-cordons.ConfirmedAt < g.cordonWithin()-cordonMargin
+	cordons, ok := g.currentConfig.Cordons()
+	return ok && now-cordons.ConfirmedAt < g.cordonDeadline()-cordonMargin
 }
 
-func (g *Gateway) cordonWithin() time.Duration {
+func (g *Gateway) cordonDeadline() time.Duration {
 	if g.cfg.CordonDeadline == 0 {
 		return DefaultCordonDeadline
 	}
 	return g.cfg.CordonDeadline
 }
 
-// ownCordons returns what this gateway knows, for a peer.
-func (g *Gateway) ownCordons() *link.Cordons {
-	cordons, ok := g.inForce.Cordons()
+// cordonsForPeer returns what this gateway knows, for a peer.
+func (g *Gateway) cordonsForPeer() *link.Cordons {
+	cordons, ok := g.currentConfig.Cordons()
 	if !ok {
 		return nil
 	}
@@ -41,29 +41,29 @@
 	}
 }
 
-// takeCordons takes what a peer knows. Its age is reckoned from before the question was sent.
-func (g *Gateway) takeCordons(reply *link.PeerReply, sent time.Duration) {
+// mergePeerCordons takes what a peer knows. Its age is reckoned from before the question was sent.
+func (g *Gateway) mergePeerCordons(reply *link.PeerReply, sent time.Duration) {
 	if reply.Cordons == nil {
 		return
 	}
-	g.inForce.UpdateCordons(catalog.Cordons{
+	g.currentConfig.UpdateCordons(catalog.Cordons{
 		Zones:       reply.Cordons.Zones,
 		Revision:    reply.Cordons.Revision,
 		ConfirmedAt: sent - reply.Cordons.Age,
 	})
 }
 
-// cordon tells the engine of other cordons.
-func (t *term) cordon(c catalog.Cordons) { t.post(engine.CordonsChanged{Cordons: c}) }
+// updateCordons tells the engine of other cordons.
+func (t *term) updateCordons(c catalog.Cordons) { t.postEvent(engine.CordonsChanged{Cordons: c}) }
 
-// withhold takes the starts off orders where the cordons known are too old, and returns
+// withholdStarts takes the starts off orders where the cordons known are too old, and returns
 // their outcomes. Stops and speeds are sent all the same.
-func (t *term) withhold(o engine.Orders) (engine.Orders, []engine.StartResult) {
+func (t *term) withholdStarts(o engine.Orders) (engine.Orders, []engine.StartResult) {
 	if len(o.Starts) == 0 || t.g.cordonsFresh(lease.BootTime()) {
 		return o, nil
 	}
-	t.g.counts.StartsWithheld.Add(int64(len(o.Starts)))
-	withheld := allAlike(engine.Orders{Starts: o.Starts}, engine.StartNotDelivered).Starts
+	t.g.counters.StartsWithheld.Add(int64(len(o.Starts)))
+	withheld := uniformReply(engine.Orders{Starts: o.Starts}, engine.StartNotDelivered).Starts
 	o.Starts = nil
 	return o, withheld
 }
--- a/gateway/cordons_test.go
+++ b/gateway/cordons_test.go
@@ -13,15 +13,15 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-func withCordons(zones []string, revision int64, age time.Duration) *Gateway {
-	g := &Gateway{inForce: catalog.NewCurrent()}
-	g.inForce.UpdateCordons(catalog.Cordons{Zones: zones, Revision: revision, ConfirmedAt: lease.BootTime() - age})
+func newGatewayWithCordons(zones []string, revision int64, age time.Duration) *Gateway {
+	g := &Gateway{currentConfig: catalog.NewCurrent()}
+	g.currentConfig.UpdateCordons(catalog.Cordons{Zones: zones, Revision: revision, ConfirmedAt: lease.BootTime() - age})
 	return g
 }
 
 // A planner that was paused, or hears neither the store nor its peers, must not start work
 // where it may have missed a cordon. What it stops it stops all the same.
-func TestStartsAreWithheldWhileCordonsMayHaveBeenMissed(t *testing.T) {
+func TestStartsWithheldWhileCordonsStale(t *testing.T) {
 	c := qt.New(t)
 	run := workload.RunID{Number: 1}
 	orders := engine.Orders{Starts: []engine.StartOrder{{Run: run}}, Stops: []workload.RunID{run}}
@@ -29,11 +29,11 @@
 		g        *Gateway
 		withheld bool
 	}{
-		{&Gateway{inForce: catalog.NewCurrent()}, true},
-		{withCordons(nil, 1, time.Second), false},
-		{withCordons(nil, 1, DefaultCordonDeadline-cordonMargin), true},
+		{&Gateway{currentConfig: catalog.NewCurrent()}, true},
+		{newGatewayWithCordons(nil, 1, time.Second), false},
+		{newGatewayWithCordons(nil, 1, DefaultCordonDeadline-cordonMargin), true},
 	} {
-		left, withheld := (&term{g: test.g}).withhold(orders)
+		left, withheld := (&term{g: test.g}).withholdStarts(orders)
 		c.Check(len(withheld) == 1, qt.Equals, test.withheld)
 		c.Check(len(left.Starts) == 0, qt.Equals, test.withheld)
 		c.Check(left.Stops, qt.HasLen, 1)
@@ -45,16 +45,16 @@
 
 // A gateway that the store does not serve hears of a cordon from a peer; a peer that knows
 // less changes nothing.
-func TestCordonsComeFromPeers(t *testing.T) {
+func TestCordonsLearnedFromPeers(t *testing.T) {
 	c := qt.New(t)
-	g := withCordons(nil, 10, 10*time.Second)
-	peer := withCordons([]string{"z1"}, 20, time.Second)
+	g := newGatewayWithCordons(nil, 10, 10*time.Second)
+	peer := newGatewayWithCordons([]string{"z1"}, 20, time.Second)
 	sent := lease.BootTime()
-	g.takeCordons(&link.PeerReply{Cordons: peer.ownCordons()}, sent)
+	g.mergePeerCordons(&link.PeerReply{Cordons: peer.cordonsForPeer()}, sent)
 	c.Check(g.cordonsFresh(sent), qt.IsTrue)
-	g.takeCordons(&link.PeerReply{Cordons: withCordons(nil, 15, 0).ownCordons()}, sent)
-	g.takeCordons(&link.PeerReply{}, sent)
-	known, _ := g.inForce.Cordons()
+	g.mergePeerCordons(&link.PeerReply{Cordons: newGatewayWithCordons(nil, 15, 0).cordonsForPeer()}, sent)
+	g.mergePeerCordons(&link.PeerReply{}, sent)
+	known, _ := g.currentConfig.Cordons()
 	c.Check(known.Zones, qt.DeepEquals, []string{"z1"})
 	c.Check(known.Revision, qt.Equals, int64(20))
 }
--- a/gateway/errors.go
+++ b/gateway/errors.go
@@ -6,7 +6,7 @@
 	"github.com/eelgrasshub/eelgrasshub/records"
 )
 
-// isFinal says whether repeating a write can't change its outcome.
-func isFinal(err error) bool {
+// isPermanent says whether repeating a write can't change its outcome.
+func isPermanent(err error) bool {
 	return eris.Is(err, records.ErrDeposed) || eris.Is(err, records.ErrConflict)
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -20,32 +20,32 @@
 
 // Gateway is a running gateway. Its methods are safe for concurrent use.
 type Gateway struct {
-	cfg     Config
-	log     logrus.FieldLogger
-	inForce *catalog.Current
-	intake  *records.JobStore
-	// relayed is the store as the planner uses it.
-	relayed  *storeRelay
-	endpoint *wire.Endpoint
-	pool     *wire.Pool
-	duty     *lease.Holder
-	members  *members
-	planners *planners
-	outage   *outage
-	tomb     tomb.Tomb
-	stopping atomic.Bool
+	cfg           Config
+	log           logrus.FieldLogger
+	currentConfig *catalog.Current
+	jobStore      *records.JobStore
+	// relayedStore is the store as the planner uses it.
+	relayedStore *storeRelay
+	endpoint     *wire.Endpoint
+	pool         *wire.Pool
+	plannerLease *lease.Holder
+	members      *members
+	planner      *plannerTracker
+	storeStatus  *storeStatus
+	tomb         tomb.Tomb
+	stopping     atomic.Bool
 	// storeFailedAt is when the store last failed this gateway, on the boot clock.
-	storeFailedAt atomic.Int64
-	suspected     suspicion
-	fetching      atomic.Bool // a peer is being asked for the text of the configuration
-	counts        Counters
-	waits         metrics.Latencies // from acceptance to the first start, by account and queue
-	completions   metrics.Latencies // from acceptance to the end, by account, queue and state
-	calls         metrics.Latencies // of callers, by kind and outcome
-	workersGone   metrics.Sums      // lives of workers that are over, by service and departure
-	lost          metrics.Sums      // core-seconds of work thrown away, by queue and cause
-	saved         metrics.Sums      // core-seconds that checkpoints kept, likewise
-	late          metrics.Sums      // jobs that missed their objective, by queue and reason
+	storeFailedAt    atomic.Int64
+	failureDetector  failureDetector
+	fetchingConfig   atomic.Bool // a peer is being asked for the text of the configuration
+	counters         Counters
+	jobWaits         metrics.Latencies // from acceptance to the first start, by account and queue
+	jobCompletions   metrics.Latencies // from acceptance to the end, by account, queue and state
+	callLatencies    metrics.Latencies // of callers, by kind and outcome
+	workerDepartures metrics.Sums      // lives of workers that are over, by service and departure
+	lostWork         metrics.Sums      // core-seconds of work thrown away, by queue and cause
+	savedWork        metrics.Sums      // core-seconds that checkpoints kept, likewise
+	lateJobs         metrics.Sums      // jobs that missed their objective, by queue and reason
 
 	mu   sync.Mutex
 	term *term // the present or last term of this gateway as planner
@@ -54,13 +54,13 @@
 // Start starts a Gateway.
 func Start(cfg Config) (*Gateway, error) {
 	g := &Gateway{
-		cfg:      cfg,
-		log:      cfg.Log,
-		inForce:  catalog.NewCurrent(),
-		intake:   records.NewJobStore(cfg.Store),
-		members:  newMembers(cfg.Listen, cfg.Seeds),
-		planners: &planners{},
-		outage:   newOutage(lease.BootTime()),
+		cfg:           cfg,
+		log:           cfg.Log,
+		currentConfig: catalog.NewCurrent(),
+		jobStore:      records.NewJobStore(cfg.Store),
+		members:       newMembers(cfg.Listen, cfg.Seeds),
+		planner:       &plannerTracker{},
+		storeStatus:   newStoreStatus(lease.BootTime()),
 	}
 	peer := wire.Peer{ID: cfg.ID, Role: wire.RoleEntry, Incarnation: uint64(time.Now().UnixNano()), Region: cfg.Region, Zone: cfg.Zone, Address: cfg.Listen}
 	id, err := wire.NewIdentity(peer, cfg.ClusterKey)
@@ -72,15 +72,15 @@
 		return nil, err
 	}
 	g.pool = wire.NewPool(g.endpoint)
-	g.relayed = &storeRelay{Atomic: cfg.Store, g: g}
-	g.duty = lease.Run(lease.Options{
-		Store:     g.relayed,
-		Duty:      dutyName,
+	g.relayedStore = &storeRelay{Atomic: cfg.Store, g: g}
+	g.plannerLease = lease.Run(lease.Options{
+		Store:     g.relayedStore,
+		Duty:      plannerLeaseName,
 		Instance:  cfg.ID,
-		TTL:       dutyTTL,
+		TTL:       plannerLeaseTTL,
 		Reclaim:   true,
-		MostPause: dutyPause,
-		Changed:   g.dutyChanged,
+		MostPause: plannerLeaseMaxPause,
+		Changed:   g.plannerLeaseChanged,
 		Log:       cfg.Log,
 	})
 	g.tomb.Go(g.run)
@@ -90,37 +90,37 @@
 
 func (g *Gateway) run() error {
 	g.tomb.Go(func() error {
-		g.cfg.Source.Follow(g.tomb.Context(context.Background()), g.inForce)
+		g.cfg.Source.Follow(g.tomb.Context(context.Background()), g.currentConfig)
 		return nil
 	})
 	g.tomb.Go(g.peerLoop)
-	g.tomb.Go(g.aliveLoop)
-	g.tomb.Go(g.versionLoop)
+	g.tomb.Go(g.livenessLoop)
+	g.tomb.Go(g.configLoop)
 	g.tomb.Go(g.registerLoop)
 	<-g.tomb.Dying()
 	return nil
 }
 
-// versionLoop logs each version of the configuration and each change of the cordons, and
+// configLoop logs each version of the configuration and each change of the cordons, and
 // tells the planner's term.
-func (g *Gateway) versionLoop() error {
+func (g *Gateway) configLoop() error {
 	last := int64(0)
 	var cordoned []string
 	for {
-		changed := g.inForce.Changed()
-		if view, ok := g.inForce.Snapshot(); ok && view.Catalog.Version != last {
+		changed := g.currentConfig.Changed()
+		if view, ok := g.currentConfig.Snapshot(); ok && view.Catalog.Version != last {
 			last = view.Catalog.Version
 			g.log.WithField("version", last).WithField("queues", len(view.Catalog.Queues)).Info("configuration in force")
 			if t := g.currentTerm(); t != nil {
-				t.configure(view.Catalog)
+				t.updateCatalog(view.Catalog)
 			}
 		}
-		if cordons, ok := g.inForce.Cordons(); ok && !slices.Equal(cordoned, cordons.Zones) {
+		if cordons, ok := g.currentConfig.Cordons(); ok && !slices.Equal(cordoned, cordons.Zones) {
 			cordoned = cordons.Zones
-			g.counts.ZonesCordoned.Store(int64(len(cordoned)))
+			g.counters.ZonesCordoned.Store(int64(len(cordoned)))
 			g.log.WithField("zones", cordoned).WithField("revision", cordons.Revision).Info("cordoned availability zones changed")
 			if t := g.currentTerm(); t != nil {
-				t.cordon(cordons)
+				t.updateCordons(cordons)
 			}
 		}
 		select {
@@ -134,7 +134,7 @@
 // Ready says whether callers should be sent here: not before a configuration is known,
 // and not while stopping.
 func (g *Gateway) Ready() bool {
-	_, ok := g.inForce.Snapshot()
+	_, ok := g.currentConfig.Snapshot()
 	return ok && !g.stopping.Load()
 }
 
@@ -146,7 +146,7 @@
 	if t := g.currentTerm(); t != nil {
 		t.flush(ctx)
 	}
-	if err := g.duty.Resign(ctx); err != nil {
+	if err := g.plannerLease.Resign(ctx); err != nil {
 		g.log.WithError(err).Warn("planner's duty not handed over; its lease lapses")
 	}
 }
@@ -168,27 +168,27 @@
 
 // WriteMetrics writes the gateway's histograms as text.
 func (g *Gateway) WriteMetrics(w io.Writer) {
-	g.waits.WriteText(w, "eelgrasshub_job_wait_us")
-	g.completions.WriteText(w, "eelgrasshub_job_completion_us")
-	g.calls.WriteText(w, "eelgrasshub_call_us")
-	g.workersGone.WriteText(w, "eelgrasshub_workers_gone")
-	g.lost.WriteText(w, "eelgrasshub_work_lost_core_seconds")
-	g.saved.WriteText(w, "eelgrasshub_work_saved_core_seconds")
-	g.late.WriteText(w, "eelgrasshub_jobs_late")
+	g.jobWaits.WriteText(w, "eelgrasshub_job_wait_us")
+	g.jobCompletions.WriteText(w, "eelgrasshub_job_completion_us")
+	g.callLatencies.WriteText(w, "eelgrasshub_call_us")
+	g.workerDepartures.WriteText(w, "eelgrasshub_workers_gone")
+	g.lostWork.WriteText(w, "eelgrasshub_work_lost_core_seconds")
+	g.savedWork.WriteText(w, "eelgrasshub_work_saved_core_seconds")
+	g.lateJobs.WriteText(w, "eelgrasshub_jobs_late")
 }
 
 // Counters returns the gateway's counters.
-func (g *Gateway) Counters() *Counters { return &g.counts }
+func (g *Gateway) Counters() *Counters { return &g.counters }
 
 // View returns the configuration in force. fresh says whether it is known recently
 // enough for keys to be trusted: a process that was paused or cut off must not honour a
 // key that was taken away meanwhile, so the age counts suspension too.
 func (g *Gateway) View() (view catalog.Snapshot, fresh, ok bool) {
-	view, ok = g.inForce.Snapshot()
+	view, ok = g.currentConfig.Snapshot()
 	if !ok {
 		return view, false, false
 	}
-	fresh = lease.BootTime()-view.ConfirmedAt < g.cfg.KeyRevocationDelay-keyMargin
+	fresh = lease.BootTime()-view.ConfirmedAt < g.cfg.KeyRevocationDelay-keyRevocationMargin
 	return view, fresh, true
 }
 
@@ -198,8 +198,8 @@
 	return g.term
 }
 
-// dutyChanged is told of the planner's duty by its Holder's goroutine.
-func (g *Gateway) dutyChanged(held lease.Held, ok bool) {
+// plannerLeaseChanged is told of the planner's duty by its Holder's goroutine.
+func (g *Gateway) plannerLeaseChanged(held lease.Held, ok bool) {
 	g.mu.Lock()
 	old := g.term
 	if ok {
@@ -216,19 +216,19 @@
 	if old != nil {
 		old.end()
 	}
-	g.planners.learn(held.Epoch, g.cfg.Listen)
+	g.planner.update(held.Epoch, g.cfg.Listen)
 	g.log.WithField("epoch", held.Epoch).Info("planner's duty taken")
-	go g.askPeers() // so that all name the new planner at once
+	go g.queryPeers() // so that all name the new planner at once
 }
 
 // Stopping says whether the gateway is about to end.
 func (g *Gateway) Stopping() bool { return g.stopping.Load() }
 
 // Planning says whether this gateway plans now.
-func (g *Gateway) Planning() bool { return g.plansUnder() != 0 }
+func (g *Gateway) Planning() bool { return g.planningEpoch() != 0 }
 
-// plansUnder returns the epoch under which this gateway plans; zero where it does not.
-func (g *Gateway) plansUnder() uint64 {
+// planningEpoch returns the epoch under which this gateway plans; zero where it does not.
+func (g *Gateway) planningEpoch() uint64 {
 	t := g.currentTerm()
 	if t == nil || !t.active() {
 		return 0
--- a/gateway/handle.go
+++ b/gateway/handle.go
@@ -13,44 +13,44 @@
 func (g *Gateway) handle(ctx context.Context, from *wire.Conn, msg any) (any, error) {
 	switch m := msg.(type) {
 	case *link.Report:
-		return g.report(ctx, from, m), nil
+		return g.handleReport(ctx, from, m), nil
 	case *link.Peer:
-		return g.answerPeer(m), nil
+		return g.handlePeer(m), nil
 	case *link.Lookup:
-		return g.answerLookup(ctx, m), nil
+		return g.handleLookup(ctx, m), nil
 	case *link.Pending:
-		counts, ok := g.ownPending()
+		counts, ok := g.localPending()
 		return &link.PendingReply{Planning: ok, Counts: counts}, nil
 	case *link.Accept:
-		outcome, at := g.intake.Submit(ctx, &m.Job)
-		g.noticeJob(outcome, &m.Job, at)
+		outcome, at := g.jobStore.Submit(ctx, &m.Job)
+		g.notifyJobSubmitted(outcome, &m.Job, at)
 		return &link.RecordReply{Outcome: outcome}, nil
 	case *link.Cancel:
-		outcome := g.intake.Cancel(ctx, m.Queue, m.Job)
+		outcome := g.jobStore.Cancel(ctx, m.Queue, m.Job)
 		if outcome == link.OutcomeStored {
-			g.notice(&link.Notice{Cancel: m.Job})
+			g.notifyPlanner(&link.Notice{Cancel: m.Job})
 		}
 		return &link.RecordReply{Outcome: outcome}, nil
 	case *link.Alive:
-		return &link.AliveReply{Epoch: g.plansUnder()}, nil
+		return &link.AliveReply{Epoch: g.planningEpoch()}, nil
 	case *link.StoreCall:
-		return g.answerStoreCall(ctx, m), nil
+		return g.handleStoreCall(ctx, m), nil
 	case *link.Notice:
-		g.takeNotice(m)
+		g.handleNotice(m)
 		return &link.NoticeReply{}, nil
 	default:
 		return nil, wire.NotRun(eris.Errorf("unexpected message %T", msg))
 	}
 }
 
-// report passes an agent's report to the planner's term.
-func (g *Gateway) report(ctx context.Context, from *wire.Conn, m *link.Report) *link.ReportReply {
-	g.counts.Reports.Add(1)
-	_, planner := g.planners.get()
+// handleReport passes an agent's handleReport to the planner's term.
+func (g *Gateway) handleReport(ctx context.Context, from *wire.Conn, m *link.Report) *link.ReportReply {
+	g.counters.Reports.Add(1)
+	_, planner := g.planner.get()
 	reply := &link.ReportReply{Planner: planner, Members: g.members.sample()}
 	t := g.currentTerm()
-	if t == nil || planner != g.cfg.Listen || !t.active() && !t.extending() {
+	if t == nil || planner != g.cfg.Listen || !t.active() && !t.extendingGrants() {
 		return reply
 	}
-	return t.report(ctx, from, m, reply)
+	return t.handleReport(ctx, from, m, reply)
 }
--- a/gateway/lookups.go
+++ b/gateway/lookups.go
@@ -21,33 +21,33 @@
 // State returns the state of a job: from the planner, which knows best, else from the
 // records, else through a peer.
 func (g *Gateway) State(ctx context.Context, id workload.JobID) (engine.JobStatus, LookupStatus) {
-	g.counts.Lookups.Add(1)
+	g.counters.Lookups.Add(1)
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	if found, ok := g.askPlanner(ctx, id); ok {
+	if found, ok := g.lookupAtPlanner(ctx, id); ok {
 		return found, LookupFound
 	}
-	if g.storeWorth() {
-		found, ok, err := g.intake.Lookup(ctx, id)
+	if g.shouldTryStore() {
+		found, ok, err := g.jobStore.Lookup(ctx, id)
 		switch {
 		case err == nil && ok:
 			return found, LookupFound
 		case err == nil:
 			return engine.JobStatus{}, LookupNotFound
 		}
-		g.storeFailed()
+		g.markStoreFailed()
 	}
-	found, answer := g.lookupByPeers(ctx, id)
+	found, answer := g.lookupThroughPeers(ctx, id)
 	if answer == LookupUnavailable {
-		g.counts.LookupsFailed.Add(1)
+		g.counters.LookupsFailed.Add(1)
 	}
 	return found, answer
 }
 
-func (g *Gateway) askPlanner(ctx context.Context, id workload.JobID) (engine.JobStatus, bool) {
-	_, planner := g.planners.get()
+func (g *Gateway) lookupAtPlanner(ctx context.Context, id workload.JobID) (engine.JobStatus, bool) {
+	_, planner := g.planner.get()
 	if planner == g.cfg.Listen || planner == "" {
-		return g.ownLookup(id)
+		return g.localLookup(id)
 	}
 	reply := g.lookupAt(ctx, planner, &link.Lookup{Job: id})
 	if reply == nil || !reply.Known {
@@ -71,8 +71,8 @@
 	return reply
 }
 
-func (g *Gateway) lookupByPeers(ctx context.Context, id workload.JobID) (engine.JobStatus, LookupStatus) {
-	for _, address := range g.relays() {
+func (g *Gateway) lookupThroughPeers(ctx context.Context, id workload.JobID) (engine.JobStatus, LookupStatus) {
+	for _, address := range g.relayCandidates() {
 		reply := g.lookupAt(ctx, address, &link.Lookup{Job: id, Records: true})
 		switch {
 		case reply == nil:
@@ -85,12 +85,12 @@
 	return engine.JobStatus{}, LookupUnavailable
 }
 
-// answerLookup answers another gateway's question.
-func (g *Gateway) answerLookup(ctx context.Context, m *link.Lookup) *link.LookupReply {
-	found, ok := g.ownLookup(m.Job)
+// handleLookup answers another gateway's question.
+func (g *Gateway) handleLookup(ctx context.Context, m *link.Lookup) *link.LookupReply {
+	found, ok := g.localLookup(m.Job)
 	if !ok && m.Records {
 		var err error
-		found, ok, err = g.intake.Lookup(ctx, m.Job)
+		found, ok, err = g.jobStore.Lookup(ctx, m.Job)
 		if err == nil && !ok {
 			return &link.LookupReply{Absent: true}
 		}
@@ -101,7 +101,7 @@
 	return &link.LookupReply{Known: true, State: found.State, Queue: found.Queue, Account: found.Account}
 }
 
-func (g *Gateway) ownLookup(id workload.JobID) (engine.JobStatus, bool) {
+func (g *Gateway) localLookup(id workload.JobID) (engine.JobStatus, bool) {
 	t := g.currentTerm()
 	if t == nil {
 		return engine.JobStatus{}, false
@@ -109,7 +109,7 @@
 	return t.lookup(id)
 }
 
-func (g *Gateway) ownPending() (map[string]int, bool) {
+func (g *Gateway) localPending() (map[string]int, bool) {
 	t := g.currentTerm()
 	if t == nil || !t.active() {
 		return nil, false
@@ -120,10 +120,10 @@
 // Pending returns how many accepted jobs of a queue have not begun, and false where the
 // planner can't be asked.
 func (g *Gateway) Pending(ctx context.Context, queue string) (int, bool) {
-	if counts, ok := g.ownPending(); ok {
+	if counts, ok := g.localPending(); ok {
 		return counts[queue], true
 	}
-	_, planner := g.planners.get()
+	_, planner := g.planner.get()
 	if planner == "" || planner == g.cfg.Listen {
 		return 0, false
 	}
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -12,46 +12,46 @@
 
 // members are the other gateways that are known: the seeds, and those heard from.
 type members struct {
-	own   string
-	seeds []string
-	mu    sync.Mutex
-	heard map[string]time.Duration
-	// strength is what each gateway said it can carry, see Config.Strength.
-	strength map[string]float64
-	named    rotation.Turn
+	self      string
+	seeds     []string
+	mu        sync.Mutex
+	lastHeard map[string]time.Duration
+	// capacity is what each gateway said it can carry, see Config.Strength.
+	capacity map[string]float64
+	rotation rotation.Turn
 }
 
 const (
-	// namedMost is how many gateways one answer names. Were it all of them, the traffic of
+	// maxSampleSize is how many gateways one answer names. Were it all of them, the traffic of
 	// each agent would grow with the number of gateways: 800 bytes an answer with 39.
-	namedMost = 6
-	// heirsMost is how many gateways the planner names to take its duty when it dies.
-	heirsMost = 3
+	maxSampleSize = 6
+	// maxSuccessors is how many gateways the planner names to take its duty when it dies.
+	maxSuccessors = 3
 )
 
 func newMembers(own string, seeds []string) *members {
-	return &members{own: own, seeds: seeds, heard: map[string]time.Duration{}, strength: map[string]float64{}}
+	return &members{self: own, seeds: seeds, lastHeard: map[string]time.Duration{}, capacity: map[string]float64{}}
 }
 
-// hear notes that a gateway is there.
-func (m *members) hear(address string) {
-	if address == "" || address == m.own {
+// markHeard notes that a gateway is there.
+func (m *members) markHeard(address string) {
+	if address == "" || address == m.self {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.heard[address] = lease.BootTime()
+	m.lastHeard[address] = lease.BootTime()
 }
 
-// suggest notes a gateway that another one named, unless it is known better.
-func (m *members) suggest(address string) {
-	if address == m.own {
+// addHint notes a gateway that another one named, unless it is known better.
+func (m *members) addHint(address string) {
+	if address == m.self {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, known := m.heard[address]; !known {
-		m.heard[address] = lease.BootTime() - memberFor/2
+	if _, known := m.lastHeard[address]; !known {
+		m.lastHeard[address] = lease.BootTime() - memberTTL/2
 	}
 }
 
@@ -59,9 +59,9 @@
 func (m *members) live() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	out := []string{m.own}
-	for address, at := range m.heard {
-		if lease.BootTime()-at < memberFor {
+	out := []string{m.self}
+	for address, at := range m.lastHeard {
+		if lease.BootTime()-at < memberTTL {
 			out = append(out, address)
 		}
 	}
@@ -75,54 +75,54 @@
 	live := m.live()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.named.Take(live, namedMost)
+	return m.rotation.Take(live, maxSampleSize)
 }
 
-// carries notes what a gateway said it can carry.
-func (m *members) carries(address string, strength float64) {
+// setCapacity notes what a gateway said it can carry.
+func (m *members) setCapacity(address string, strength float64) {
 	if address == "" || strength <= 0 {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.strength[address] = strength
+	m.capacity[address] = strength
 }
 
-// heirs returns the other gateways that are best able to plan, the strongest first: of
+// successors returns the other gateways that are best able to plan, the strongest first: of
 // those that fit says may.
-func (m *members) heirs(fit func(address string) bool) []string {
-	out := slices.DeleteFunc(m.peers(), func(a string) bool { return !fit(a) })
+func (m *members) successors(fit func(address string) bool) []string {
+	out := slices.DeleteFunc(m.livePeers(), func(a string) bool { return !fit(a) })
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	slices.SortStableFunc(out, func(a, b string) int { return cmp.Compare(m.strength[b], m.strength[a]) })
-	return out[:min(len(out), heirsMost)]
+	slices.SortStableFunc(out, func(a, b string) int { return cmp.Compare(m.capacity[b], m.capacity[a]) })
+	return out[:min(len(out), maxSuccessors)]
 }
 
-// peers returns the other gateways heard from lately.
-func (m *members) peers() []string {
-	return slices.DeleteFunc(m.live(), func(a string) bool { return a == m.own })
+// livePeers returns the other gateways heard from lately.
+func (m *members) livePeers() []string {
+	return slices.DeleteFunc(m.live(), func(a string) bool { return a == m.self })
 }
 
-// others returns every gateway worth asking: those heard from, and the seeds.
-func (m *members) others() []string {
-	out := m.peers()
+// knownPeers returns every gateway worth asking: those heard from, and the seeds.
+func (m *members) knownPeers() []string {
+	out := m.livePeers()
 	for _, s := range m.seeds {
-		if s != m.own && !slices.Contains(out, s) {
+		if s != m.self && !slices.Contains(out, s) {
 			out = append(out, s)
 		}
 	}
 	return out
 }
 
-// planners is what is known of who plans.
-type planners struct {
+// plannerTracker is what is known of who plans.
+type plannerTracker struct {
 	mu      sync.Mutex
 	epoch   uint64
 	address string
 }
 
-// learn takes a planner that is not older than the one known.
-func (p *planners) learn(epoch uint64, address string) {
+// update takes a planner that is not older than the one known.
+func (p *plannerTracker) update(epoch uint64, address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if epoch > p.epoch {
@@ -131,7 +131,7 @@
 }
 
 // get returns the newest planner known.
-func (p *planners) get() (epoch uint64, address string) {
+func (p *plannerTracker) get() (epoch uint64, address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.epoch, p.address
--- a/gateway/members_test.go
+++ b/gateway/members_test.go
@@ -11,17 +11,17 @@
 // With 39 gateways each answer to each of 260 agents named all of them, which was most of
 // what the planner sent. An answer names a few, others each time, so that an agent that
 // asks again learns of all.
-func TestAnswersNameSomeGatewaysOthersEachTime(t *testing.T) {
+func TestSampleRotatesThroughGateways(t *testing.T) {
 	c := qt.New(t)
 	m := newMembers("own", nil)
 	const gateways = 39
 	for i := range gateways - 1 {
-		m.hear(fmt.Sprint("g", i))
+		m.markHeard(fmt.Sprint("g", i))
 	}
 	named := map[string]bool{}
 	for range gateways {
 		some := m.sample()
-		c.Assert(some, qt.HasLen, namedMost)
+		c.Assert(some, qt.HasLen, maxSampleSize)
 		for _, g := range some {
 			named[g] = true
 		}
@@ -32,26 +32,26 @@
 // A planner dies at 300 machines. All gateways deposed it at once, and the first had the
 // duty: one with a fifth of a core, which needed longer to read the records than the others
 // waited for it, and was deposed in turn. The strongest that the store serves come first.
-func TestStrongestGatewaysInheritTheDuty(t *testing.T) {
+func TestSuccessorsOrderedByCapacity(t *testing.T) {
 	c := qt.New(t)
 	m := newMembers("planner", nil)
 	for i, strength := range []float64{0.2, 0.8, 0.4, 0.1, 0.6} {
-		m.hear(fmt.Sprint("g", i))
-		m.carries(fmt.Sprint("g", i), strength)
+		m.markHeard(fmt.Sprint("g", i))
+		m.setCapacity(fmt.Sprint("g", i), strength)
 	}
 	served := func(g string) bool { return g != "g4" }
-	heirs := m.heirs(served)
+	heirs := m.successors(served)
 	c.Check(heirs, qt.DeepEquals, []string{"g1", "g2", "g0"})
 
-	s := &suspicion{}
-	s.inherits(heirs)
+	s := &failureDetector{}
+	s.setSuccessors(heirs)
 	waits := []string{"g1", "g2", "g0", "g3"}
-	c.Check(s.patience("g1"), qt.Equals, suspectAfter)
-	c.Check(slices.IsSortedFunc(waits, func(a, b string) int { return int(s.patience(a) - s.patience(b)) }), qt.IsTrue)
-	c.Check(s.patience("g4"), qt.Equals, s.patience("g3"), qt.Commentf("all others wait alike"))
+	c.Check(s.timeout("g1"), qt.Equals, minDetectionTimeout)
+	c.Check(slices.IsSortedFunc(waits, func(a, b string) int { return int(s.timeout(a) - s.timeout(b)) }), qt.IsTrue)
+	c.Check(s.timeout("g4"), qt.Equals, s.timeout("g3"), qt.Commentf("all others wait alike"))
 }
 
 // No planner has named heirs yet, as after a start: nobody waits longer than needed.
-func TestWithoutHeirsNobodyWaitsLonger(t *testing.T) {
-	qt.Check(t, (&suspicion{}).patience("g"), qt.Equals, suspectAfter)
+func TestNoStaggerWithoutSuccessors(t *testing.T) {
+	qt.Check(t, (&failureDetector{}).timeout("g"), qt.Equals, minDetectionTimeout)
 }
--- a/gateway/notice.go
+++ b/gateway/notice.go
@@ -11,20 +11,20 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// noticeJob tells the planner of a job that is on record at a revision; of one that has
+// notifyJobSubmitted tells the planner of a job that is on record at a revision; of one that has
 // ended, which has none, nobody needs to hear.
-func (g *Gateway) noticeJob(outcome link.Outcome, j *workload.Job, at store.Revision) {
+func (g *Gateway) notifyJobSubmitted(outcome link.Outcome, j *workload.Job, at store.Revision) {
 	if outcome == link.OutcomeStored && at != 0 {
-		g.notice(&link.Notice{Job: j, Order: int64(at)})
+		g.notifyPlanner(&link.Notice{Job: j, Order: int64(at)})
 	}
 }
 
-// notice tells the planner of a record at once; its watch of the store, which may hear
+// notifyPlanner tells the planner of a record at once; its watch of the store, which may hear
 // nothing for a second, tells it in any case.
-func (g *Gateway) notice(n *link.Notice) {
-	_, planner := g.planners.get()
+func (g *Gateway) notifyPlanner(n *link.Notice) {
+	_, planner := g.planner.get()
 	if planner == g.cfg.Listen {
-		g.takeNotice(n)
+		g.handleNotice(n)
 		return
 	}
 	if planner == "" {
@@ -37,28 +37,28 @@
 	}()
 }
 
-// takeNotice passes a notice on to the term, if there is one.
+// handleNotice passes a notice on to the term, if there is one.
 //
 // The failure that knowsEnded guards against: a notice is held up on its way for seconds,
 // its job runs and ends meanwhile, and another planner takes over. To the new one the job
 // would look like one that was just handed in, as long as it has not read the outcomes, and
 // run again. Its watch tells it of all that was handed in since it has the duty.
-func (g *Gateway) takeNotice(n *link.Notice) {
+func (g *Gateway) handleNotice(n *link.Notice) {
 	t := g.currentTerm()
 	if t == nil || !t.active() {
 		return
 	}
-	if n.Job != nil && t.knowsEnded.Load() {
-		t.post(engine.JobSubmitted{Job: *n.Job, Revision: n.Order})
+	if n.Job != nil && t.outcomesLoaded.Load() {
+		t.postEvent(engine.JobSubmitted{Job: *n.Job, Revision: n.Order})
 	}
 	if n.Cancel != "" {
-		t.post(engine.CancelRequested{Job: n.Cancel})
+		t.postEvent(engine.CancelRequested{Job: n.Cancel})
 	}
 }
 
-// unsent says what an error of a relayed write means: only a message that was certainly
+// outcomeOfCallError says what an error of a relayed write means: only a message that was certainly
 // not handled is certainly not done.
-func unsent(err error) link.Outcome {
+func outcomeOfCallError(err error) link.Outcome {
 	if errors.Is(err, wire.ErrNotSent) {
 		return link.OutcomeNotDone
 	}
--- a/gateway/outage.go
+++ b/gateway/outage.go
@@ -17,89 +17,89 @@
 // served it all the while, it has said so, and nothing was extended. Otherwise it counts
 // extendMost more.
 const (
-	// extendMost bounds how long a planner grants after its lease has lapsed. With the
+	// maxGrantExtension bounds how long a planner grants after its lease has lapsed. With the
 	// lease and the workers' own it lets work survive outages of over twelve seconds.
-	extendMost = 6 * time.Second
-	// answerFresh is how old the other gateways' word may be: two rounds of questions.
-	answerFresh = 1200 * time.Millisecond
-	// servedFresh is how recently the store must have answered to count as serving; its
+	maxGrantExtension = 6 * time.Second
+	// peerStatusTTL is how old the other gateways' word may be: two rounds of questions.
+	peerStatusTTL = 1200 * time.Millisecond
+	// storeReplyTTL is how recently the store must have answered to count as serving; its
 	// watches return once a second.
-	servedFresh = 1600 * time.Millisecond
-	// touchFresh is how recently a gateway must have reached the planner to count as one
+	storeReplyTTL = 1600 * time.Millisecond
+	// plannerContactTTL is how recently a gateway must have reached the planner to count as one
 	// that the planner asks.
-	touchFresh = 5 * time.Second
+	plannerContactTTL = 5 * time.Second
 )
 
-// outage is what a gateway knows of the store's service, its own and the others'. It is
+// storeStatus is what a gateway knows of the store's service, its own and the others'. It is
 // safe for concurrent use. Times are on the boot clock.
-type outage struct {
-	began time.Duration
+type storeStatus struct {
+	startedAt time.Duration
 
-	mu       sync.Mutex
-	answers  map[string]storeAnswer
-	gapAt    time.Duration // when the store last did not serve this gateway
-	plannerA time.Duration // when the planner last answered this gateway
+	mu                sync.Mutex
+	peers             map[string]peerStoreStatus
+	lastUnservedAt    time.Duration // when the store last did not serve this gateway
+	plannerAnsweredAt time.Duration // when the planner last answered this gateway
 }
 
-// storeAnswer is one gateway's word on whether the store serves it.
-type storeAnswer struct {
+// peerStoreStatus is one gateway's word on whether the store serves it.
+type peerStoreStatus struct {
 	at     time.Duration
 	served bool
 }
 
-func newOutage(now time.Duration) *outage {
-	return &outage{began: now, gapAt: now, answers: map[string]storeAnswer{}}
+func newStoreStatus(now time.Duration) *storeStatus {
+	return &storeStatus{startedAt: now, lastUnservedAt: now, peers: map[string]peerStoreStatus{}}
 }
 
-// sample notes how long ago the store last answered this gateway.
-func (o *outage) sample(now, age time.Duration) {
+// observeSelf notes how long ago the store last answered this gateway.
+func (o *storeStatus) observeSelf(now, age time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if age > servedFresh {
-		o.gapAt = now
+	if age > storeReplyTTL {
+		o.lastUnservedAt = now
 	}
 }
 
-// heard notes another gateway's word.
-func (o *outage) heard(now time.Duration, address string, served, planner bool) {
+// observePeer notes another gateway's word.
+func (o *storeStatus) observePeer(now time.Duration, address string, served, planner bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.answers[address] = storeAnswer{at: now, served: served}
+	o.peers[address] = peerStoreStatus{at: now, served: served}
 	if planner {
-		o.plannerA = now
+		o.plannerAnsweredAt = now
 	}
 }
 
-// general says whether the store serves none of the gateways named, by their own fresh
+// allUnserved says whether the store serves none of the gateways named, by their own fresh
 // word.
-func (o *outage) general(now time.Duration, others []string) bool {
+func (o *storeStatus) allUnserved(now time.Duration, others []string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, address := range others {
-		a, ok := o.answers[address]
-		if !ok || a.served || now-a.at > answerFresh {
+		a, ok := o.peers[address]
+		if !ok || a.served || now-a.at > peerStatusTTL {
 			return false
 		}
 	}
 	return true
 }
 
-// unserved says whether a gateway lately said that the store does not serve it.
-func (o *outage) unserved(now time.Duration, address string) bool {
+// peerUnserved says whether a gateway lately said that the store does not serve it.
+func (o *storeStatus) peerUnserved(now time.Duration, address string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	a, ok := o.answers[address]
-	return ok && !a.served && now-a.at <= answerFresh
+	a, ok := o.peers[address]
+	return ok && !a.served && now-a.at <= peerStatusTTL
 }
 
-// inherited returns how much longer than usual a predecessor may have granted.
-func (o *outage) inherited(now time.Duration) time.Duration {
+// predecessorExtension returns how much longer than usual a predecessor may have granted.
+func (o *storeStatus) predecessorExtension(now time.Duration) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	asked := o.plannerA != 0 && now-o.plannerA < touchFresh+extendMost
-	served := now-o.gapAt > extendMost+2*dutyTTL
-	if asked && served && now-o.began > memberFor {
+	asked := o.plannerAnsweredAt != 0 && now-o.plannerAnsweredAt < plannerContactTTL+maxGrantExtension
+	served := now-o.lastUnservedAt > maxGrantExtension+2*plannerLeaseTTL
+	if asked && served && now-o.startedAt > memberTTL {
 		return 0
 	}
-	return extendMost
+	return maxGrantExtension
 }
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -12,120 +12,122 @@
 // not known or this gateway can't follow the configuration by itself.
 func (g *Gateway) peerLoop() error {
 	for {
-		g.outage.sample(lease.BootTime(), g.cfg.SinceStoreReply())
-		g.askPeers()
+		g.storeStatus.observeSelf(lease.BootTime(), g.cfg.SinceStoreReply())
+		g.queryPeers()
 		select {
-		case <-time.After(peerEvery):
+		case <-time.After(peerInterval):
 		case <-g.tomb.Dying():
 			return nil
 		}
 	}
 }
 
-func (g *Gateway) askPeers() {
-	msg := g.question()
-	for _, address := range g.whomToAsk(msg.WantConfig) {
-		go g.askPeer(address, msg)
+func (g *Gateway) queryPeers() {
+	msg := g.peerQuery()
+	for _, address := range g.peersToQuery(msg.WantConfig) {
+		go g.queryPeer(address, msg)
 	}
 }
 
-func (g *Gateway) question() *link.Peer {
-	epoch, planner := g.planners.get()
+func (g *Gateway) peerQuery() *link.Peer {
+	epoch, planner := g.planner.get()
 	msg := &link.Peer{Address: g.cfg.Listen, Epoch: epoch, Planner: planner, WantConfig: true, Strength: g.cfg.PlanningCapacity}
-	if view, ok := g.inForce.Snapshot(); ok {
+	if view, ok := g.currentConfig.Snapshot(); ok {
 		msg.ConfigVersion = view.Catalog.Version
-		msg.WantConfig = lease.BootTime()-view.ConfirmedAt > staleAfter
+		msg.WantConfig = lease.BootTime()-view.ConfirmedAt > configStaleAfter
 	}
 	return msg
 }
 
-func (g *Gateway) whomToAsk(wantConfig bool) []string {
-	_, planner := g.planners.get()
+func (g *Gateway) peersToQuery(wantConfig bool) []string {
+	_, planner := g.planner.get()
 	if wantConfig || planner == "" || planner == g.cfg.Listen {
-		return g.members.others()
+		return g.members.knownPeers()
 	}
 	return []string{planner}
 }
 
-func (g *Gateway) askPeer(address string, msg *link.Peer) { g.ask(address, msg, peerTimeout) }
+func (g *Gateway) queryPeer(address string, msg *link.Peer) {
+	g.queryPeerWithin(address, msg, peerTimeout)
+}
 
-// ask asks another gateway and takes what it answers.
-func (g *Gateway) ask(address string, msg *link.Peer, timeout time.Duration) {
+// queryPeerWithin asks another gateway and takes what it answers.
+func (g *Gateway) queryPeerWithin(address string, msg *link.Peer, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(g.tomb.Context(context.Background()), timeout)
 	defer cancel()
 	sent := lease.BootTime()
 	raw, err := g.pool.Call(ctx, address, msg)
 	if err != nil {
-		g.peerFailed(address)
+		g.handlePeerFailure(address)
 		return
 	}
 	reply, ok := raw.(*link.PeerReply)
 	if !ok {
 		return
 	}
-	g.members.hear(address)
+	g.members.markHeard(address)
 	if reply.Heirs != nil {
-		g.suspected.inherits(reply.Heirs)
+		g.failureDetector.setSuccessors(reply.Heirs)
 	}
-	_, planner := g.planners.get()
-	g.outage.heard(lease.BootTime(), address, reply.StoreServes, address == planner)
+	_, planner := g.planner.get()
+	g.storeStatus.observePeer(lease.BootTime(), address, reply.StoreServes, address == planner)
 	for _, m := range reply.Members {
 		if m != address {
-			g.members.suggest(m)
+			g.members.addHint(m)
 		}
 	}
-	g.planners.learn(reply.Epoch, reply.Planner)
-	g.takeConfig(reply, sent)
-	g.takeCordons(reply, sent)
-	if !msg.WantText && g.lacksText(reply.ConfigVersion) {
-		g.fetchText(address)
+	g.planner.update(reply.Epoch, reply.Planner)
+	g.mergePeerConfig(reply, sent)
+	g.mergePeerCordons(reply, sent)
+	if !msg.WantText && g.needsConfigOf(reply.ConfigVersion) {
+		g.fetchConfig(address)
 	}
 }
 
-// lacksText says whether a peer has a newer configuration that the store does not bring now.
-func (g *Gateway) lacksText(version int64) bool {
-	view, ok := g.inForce.Snapshot()
+// needsConfigOf says whether a peer has a newer configuration that the store does not bring now.
+func (g *Gateway) needsConfigOf(version int64) bool {
+	view, ok := g.currentConfig.Snapshot()
 	newer := version != 0 && (!ok || version > view.Catalog.Version)
-	return newer && g.cfg.SinceStoreReply() > staleAfter
+	return newer && g.cfg.SinceStoreReply() > configStaleAfter
 }
 
-// fetchText asks one peer for the text of its configuration, if none is being asked.
-func (g *Gateway) fetchText(address string) {
-	if !g.fetching.CompareAndSwap(false, true) {
+// fetchConfig asks one peer for the text of its configuration, if none is being asked.
+func (g *Gateway) fetchConfig(address string) {
+	if !g.fetchingConfig.CompareAndSwap(false, true) {
 		return
 	}
-	defer g.fetching.Store(false)
-	msg := g.question()
+	defer g.fetchingConfig.Store(false)
+	msg := g.peerQuery()
 	msg.WantText = true
-	g.ask(address, msg, textTimeout)
+	g.queryPeerWithin(address, msg, configTransferTimeout)
 }
 
-// peerFailed turns to all others where the planner does not answer.
-func (g *Gateway) peerFailed(address string) {
-	if _, planner := g.planners.get(); planner != address {
+// handlePeerFailure turns to all others where the planner does not answer.
+func (g *Gateway) handlePeerFailure(address string) {
+	if _, planner := g.planner.get(); planner != address {
 		return
 	}
-	for _, other := range g.members.others() {
+	for _, other := range g.members.knownPeers() {
 		if other != address {
-			go g.askPeer(other, g.question())
+			go g.queryPeer(other, g.peerQuery())
 		}
 	}
 }
 
-// served says whether a gateway has not lately said that the store does not serve it.
-func (g *Gateway) served(address string) bool {
-	return !g.outage.unserved(lease.BootTime(), address)
+// peerServed says whether a gateway has not lately said that the store does not serve it.
+func (g *Gateway) peerServed(address string) bool {
+	return !g.storeStatus.peerUnserved(lease.BootTime(), address)
 }
 
-// takeConfig takes what a peer knows of the configuration. Its age is reckoned from
+// mergePeerConfig takes what a peer knows of the configuration. Its age is reckoned from
 // before the question was sent.
-func (g *Gateway) takeConfig(reply *link.PeerReply, sent time.Duration) {
+func (g *Gateway) mergePeerConfig(reply *link.PeerReply, sent time.Duration) {
 	if reply.ConfigVersion == 0 {
 		return
 	}
 	confirmed := sent - reply.ConfigAge
 	if len(reply.Config) == 0 {
-		g.inForce.Confirm(reply.ConfigVersion, confirmed)
+		g.currentConfig.Confirm(reply.ConfigVersion, confirmed)
 		return
 	}
 	c, err := g.cfg.Source.Decode(reply.Config)
@@ -133,29 +135,29 @@
 		g.log.WithError(err).Warn("configuration from a peer not understood")
 		return
 	}
-	g.inForce.Update(c, reply.Config, confirmed)
+	g.currentConfig.Update(c, reply.Config, confirmed)
 }
 
-// answerPeer answers another gateway, or an agent that looks for the planner.
-func (g *Gateway) answerPeer(msg *link.Peer) *link.PeerReply {
-	g.members.hear(msg.Address)
-	g.members.carries(msg.Address, msg.Strength)
-	g.planners.learn(msg.Epoch, msg.Planner)
-	epoch, planner := g.planners.get()
+// handlePeer answers another gateway, or an agent that looks for the planner.
+func (g *Gateway) handlePeer(msg *link.Peer) *link.PeerReply {
+	g.members.markHeard(msg.Address)
+	g.members.setCapacity(msg.Address, msg.Strength)
+	g.planner.update(msg.Epoch, msg.Planner)
+	epoch, planner := g.planner.get()
 	reply := &link.PeerReply{
 		Epoch:       epoch,
 		Planner:     planner,
 		Members:     g.members.sample(),
-		StoreServes: g.cfg.SinceStoreReply() < servedFresh,
+		StoreServes: g.cfg.SinceStoreReply() < storeReplyTTL,
 	}
 	if msg.Address == "" {
 		return reply
 	}
 	if planner == g.cfg.Listen {
-		reply.Heirs = g.members.heirs(g.served)
+		reply.Heirs = g.members.successors(g.peerServed)
 	}
-	reply.Cordons = g.ownCordons()
-	if view, ok := g.inForce.Snapshot(); ok {
+	reply.Cordons = g.cordonsForPeer()
+	if view, ok := g.currentConfig.Snapshot(); ok {
 		reply.ConfigVersion = view.Catalog.Version
 		reply.ConfigAge = lease.BootTime() - view.ConfirmedAt
 		if msg.WantText && msg.ConfigVersion < view.Catalog.Version {
--- a/gateway/register.go
+++ b/gateway/register.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	registerPrefix = "gateways/"
-	// registerTTL bounds how long a gateway that died is listed. The register only
+	registryPrefix = "gateways/"
+	// registrationTTL bounds how long a gateway that died is listed. The register only
 	// serves processes all of whose known gateways are gone.
-	registerTTL   = 12 * time.Second
-	registerEvery = registerTTL / 3
+	registrationTTL      = 12 * time.Second
+	registrationInterval = registrationTTL / 3
 )
 
 // ListRegistered lists the addresses of gateways that are registered in the store.
 func ListRegistered(ctx context.Context, kv store.Store) ([]string, error) {
-	snap, err := kv.List(ctx, registerPrefix)
+	snap, err := kv.List(ctx, registryPrefix)
 	if err != nil {
 		return nil, err
 	}
 	var out []string
 	for _, k := range snap.Keys {
-		out = append(out, strings.TrimPrefix(k.Key, registerPrefix))
+		out = append(out, strings.TrimPrefix(k.Key, registryPrefix))
 	}
 	return out, nil
 }
@@ -38,10 +38,10 @@
 	for {
 		ctx := g.tomb.Context(context.Background())
 		if !listed {
-			listed = g.learnRegistered(ctx)
+			listed = g.addRegisteredPeers(ctx)
 		}
 		id = g.register(ctx, id)
-		wait := registerEvery
+		wait := registrationInterval
 		if id == 0 {
 			wait = time.Second
 		}
@@ -53,13 +53,13 @@
 	}
 }
 
-func (g *Gateway) learnRegistered(ctx context.Context) bool {
+func (g *Gateway) addRegisteredPeers(ctx context.Context) bool {
 	addresses, err := ListRegistered(ctx, g.cfg.Store)
 	if err != nil {
 		return false
 	}
 	for _, a := range addresses {
-		g.members.suggest(a)
+		g.members.addHint(a)
 	}
 	return true
 }
@@ -73,11 +73,11 @@
 			return id
 		}
 	}
-	id, err := g.cfg.Store.Grant(ctx, registerTTL)
+	id, err := g.cfg.Store.Grant(ctx, registrationTTL)
 	if err != nil {
 		return 0
 	}
-	key := registerPrefix + g.cfg.Listen
+	key := registryPrefix + g.cfg.Listen
 	kv, _, err := g.cfg.Store.Get(ctx, key)
 	if err != nil {
 		return 0
--- a/gateway/store_relay.go
+++ b/gateway/store_relay.go
@@ -10,10 +10,10 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// ownTime bounds this gateway's own attempt of a call while a peer could make it: a store
+// directCallTimeout bounds this gateway's own attempt of a call while a peer could make it: a store
 // that is cut off does not answer at all, and the planner's lease of two seconds must be
 // renewed. A store that is slow for all, at a hundred times its usual 4 ms, is waited for.
-const ownTime = 500 * time.Millisecond
+const directCallTimeout = 500 * time.Millisecond
 
 // storeRelay is the store as the planner uses it. Calls that the store does not take from
 // this gateway are made by a peer that it serves.
@@ -30,7 +30,7 @@
 
 // Get implements store.Store.
 func (s *storeRelay) Get(ctx context.Context, key string) (kv store.KeyValue, found bool, err error) {
-	reply, err := s.do(ctx, &link.StoreCall{Op: link.StoreGet, Key: key}, func(ctx context.Context) (err error) {
+	reply, err := s.call(ctx, &link.StoreCall{Op: link.StoreGet, Key: key}, func(ctx context.Context) (err error) {
 		kv, found, err = s.Atomic.Get(ctx, key)
 		return err
 	})
@@ -42,7 +42,7 @@
 
 // Renew implements store.Store.
 func (s *storeRelay) Renew(ctx context.Context, id store.LeaseID) (ttl time.Duration, err error) {
-	reply, err := s.do(ctx, &link.StoreCall{Op: link.StoreRenew, Lease: id}, func(ctx context.Context) (err error) {
+	reply, err := s.call(ctx, &link.StoreCall{Op: link.StoreRenew, Lease: id}, func(ctx context.Context) (err error) {
 		ttl, err = s.Atomic.Renew(ctx, id)
 		return err
 	})
@@ -54,7 +54,7 @@
 
 // Revoke implements store.Store.
 func (s *storeRelay) Revoke(ctx context.Context, id store.LeaseID) error {
-	_, err := s.do(ctx, &link.StoreCall{Op: link.StoreRevoke, Lease: id}, func(ctx context.Context) error {
+	_, err := s.call(ctx, &link.StoreCall{Op: link.StoreRevoke, Lease: id}, func(ctx context.Context) error {
 		return s.Atomic.Revoke(ctx, id)
 	})
 	return err
@@ -64,7 +64,7 @@
 // followed by a peer's: the caller repeats the call, which settles it.
 func (s *storeRelay) CommitIf(ctx context.Context, conditions []store.Condition, swaps []store.Swap) (out store.CommitOutcome, err error) {
 	msg := &link.StoreCall{Op: link.StoreCommit, Conditions: conditions, Swaps: swaps}
-	reply, err := s.do(ctx, msg, func(ctx context.Context) (err error) {
+	reply, err := s.call(ctx, msg, func(ctx context.Context) (err error) {
 		out, err = s.Atomic.CommitIf(ctx, conditions, swaps)
 		return err
 	})
@@ -74,13 +74,13 @@
 	return out, err
 }
 
-// listingRelay also lists through peers. Candidates for a duty list without: one that the
+// listRelay also lists through peers. Candidates for a duty list without: one that the
 // store does not serve could not claim it.
-type listingRelay struct{ *storeRelay }
+type listRelay struct{ *storeRelay }
 
 // List implements store.Store.
-func (s listingRelay) List(ctx context.Context, prefix string) (snap store.Snapshot, err error) {
-	reply, err := s.do(ctx, &link.StoreCall{Op: link.StoreList, Key: prefix}, func(ctx context.Context) (err error) {
+func (s listRelay) List(ctx context.Context, prefix string) (snap store.Snapshot, err error) {
+	reply, err := s.call(ctx, &link.StoreCall{Op: link.StoreList, Key: prefix}, func(ctx context.Context) (err error) {
 		snap, err = s.Atomic.List(ctx, prefix)
 		return err
 	})
@@ -90,14 +90,14 @@
 	return snap, err
 }
 
-// do makes a call by own, unless the store has just failed this gateway, and then through
+// call makes a call by own, unless the store has just failed this gateway, and then through
 // a peer, whose reply it returns. The reply is nil where own has settled the call.
-func (s *storeRelay) do(ctx context.Context, msg *link.StoreCall, own func(context.Context) error) (*link.StoreReply, error) {
+func (s *storeRelay) call(ctx context.Context, msg *link.StoreCall, own func(context.Context) error) (*link.StoreReply, error) {
 	err := error(store.ErrUnavailable)
-	if s.g.storeWorth() {
-		err = s.attempt(ctx, msg.Op, own)
-		if eris.Is(err, store.ErrUnavailable) || eris.Is(err, store.ErrOutcomeUnknown) && s.g.cfg.SinceStoreReply() > ownTime {
-			s.g.storeFailed()
+	if s.g.shouldTryStore() {
+		err = s.callDirect(ctx, msg.Op, own)
+		if eris.Is(err, store.ErrUnavailable) || eris.Is(err, store.ErrOutcomeUnknown) && s.g.cfg.SinceStoreReply() > directCallTimeout {
+			s.g.markStoreFailed()
 		}
 		if !eris.Is(err, store.ErrUnavailable) {
 			return nil, err
@@ -107,17 +107,17 @@
 	if reply == nil {
 		return nil, err
 	}
-	return reply, failureError(reply.Failure)
+	return reply, errorOfFailure(reply.Failure)
 }
 
-// attempt makes the own call, briefly where a peer could make it instead. Commits have
+// callDirect makes the own call, briefly where a peer could make it instead. Commits have
 // their own patience, and one that is cut short has an unknown outcome. Listings are as long
 // as what is on record; they end by themselves once nothing arrives any more.
-func (s *storeRelay) attempt(ctx context.Context, op link.StoreOp, own func(context.Context) error) error {
+func (s *storeRelay) callDirect(ctx context.Context, op link.StoreOp, own func(context.Context) error) error {
 	brief := op != link.StoreCommit && op != link.StoreList
-	if brief && len(s.g.relays()) > 0 {
+	if brief && len(s.g.relayCandidates()) > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, ownTime)
+		ctx, cancel = context.WithTimeout(ctx, directCallTimeout)
 		defer cancel()
 	}
 	return own(ctx)
@@ -126,11 +126,11 @@
 // callThroughPeers lets peers that the store serves make a call, one after the other,
 // until one has. It returns nil where certainly none has.
 func (g *Gateway) callThroughPeers(ctx context.Context, msg *link.StoreCall) *link.StoreReply {
-	for _, address := range g.relays() {
+	for _, address := range g.relayCandidates() {
 		if ctx.Err() != nil {
 			return nil
 		}
-		reply := g.storeCallAt(ctx, address, msg)
+		reply := g.storeCallThrough(ctx, address, msg)
 		if reply != nil && reply.Failure != link.StoreUnavailable {
 			return reply
 		}
@@ -138,19 +138,19 @@
 	return nil
 }
 
-func (g *Gateway) storeCallAt(ctx context.Context, address string, msg *link.StoreCall) *link.StoreReply {
-	raw, err := g.callForUs(ctx, address, msg)
+func (g *Gateway) storeCallThrough(ctx context.Context, address string, msg *link.StoreCall) *link.StoreReply {
+	raw, err := g.callPeer(ctx, address, msg)
 	reply, ok := raw.(*link.StoreReply)
 	switch {
 	case err == nil && ok:
 		return reply
-	case msg.Op == link.StoreCommit && (err == nil || unsent(err) != link.OutcomeNotDone):
+	case msg.Op == link.StoreCommit && (err == nil || outcomeOfCallError(err) != link.OutcomeNotDone):
 		return &link.StoreReply{Failure: link.StoreOutcomeUnknown}
 	}
 	return nil // what only reads or renews may be repeated through another peer
 }
 
-func failureError(f link.StoreFailure) error {
+func errorOfFailure(f link.StoreFailure) error {
 	switch f {
 	case link.StoreOK:
 		return nil
--- a/gateway/store_serve.go
+++ b/gateway/store_serve.go
@@ -9,8 +9,8 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// answerStoreCall makes a call for another gateway.
-func (g *Gateway) answerStoreCall(ctx context.Context, m *link.StoreCall) *link.StoreReply {
+// handleStoreCall makes a call for another gateway.
+func (g *Gateway) handleStoreCall(ctx context.Context, m *link.StoreCall) *link.StoreReply {
 	kv, r := g.cfg.Store, &link.StoreReply{}
 	err := error(store.ErrUnavailable)
 	switch m.Op {
@@ -25,11 +25,11 @@
 	case link.StoreCommit:
 		r.Commit, err = kv.CommitIf(ctx, m.Conditions, m.Swaps)
 	}
-	r.Failure = failureOf(err)
+	r.Failure = failureOfError(err)
 	return r
 }
 
-func failureOf(err error) link.StoreFailure {
+func failureOfError(err error) link.StoreFailure {
 	switch {
 	case err == nil:
 		return link.StoreOK
--- a/gateway/suspect.go
+++ b/gateway/suspect.go
@@ -17,184 +17,184 @@
 // little longer. A planner that lives after all is only replaced: its writes hold under its
 // epoch alone, and workers refuse older epochs than they have seen.
 const (
-	// aliveEvery is the pause between two questions of an heir; each is a message of a few
+	// livenessInterval is the pause between two questions of an heir; each is a message of a few
 	// bytes. The others ask less often, since they only matter when the heirs are gone too:
 	// 54 gateways that all ask at this pace are 360 questions a second for the planner.
-	aliveEvery  = 150 * time.Millisecond
-	othersEvery = 4 * aliveEvery
-	// suspectAfter is how long no answer may come at least: several questions and the time
+	livenessInterval     = 150 * time.Millisecond
+	slowLivenessInterval = 4 * livenessInterval
+	// minDetectionTimeout is how long no answer may come at least: several questions and the time
 	// that a busy machine may be held up, as a core that is given out in tenths of a second is.
-	suspectAfter = 450 * time.Millisecond
-	// slowFactor: no answer may come for so many times as long as the slowest lately took. A
+	minDetectionTimeout = 450 * time.Millisecond
+	// detectionLatencyFactor: no answer may come for so many times as long as the slowest lately took. A
 	// planner whose link is full answers late and lives; to depose it costs the runs under
 	// way and puts the same load on the next, which goes the same way.
-	slowFactor = 3
-	// slowDecay is what is left of the slowest answer's time with each answer after it: half
+	detectionLatencyFactor = 3
+	// peakLatencyDecay is what is left of the slowest answer's time with each answer after it: half
 	// of it after five seconds of answers that are at once.
-	slowDecay = 0.98
-	// answerWait is how long a late answer is waited for, to learn from: by then the
+	peakLatencyDecay = 0.98
+	// livenessTimeout is how long a late answer is waited for, to learn from: by then the
 	// planner's lease has lapsed if it does not live.
-	answerWait = dutyTTL
-	// ownGap between two looks at the silence shows that this process itself was held up or
+	livenessTimeout = plannerLeaseTTL
+	// selfStallThreshold between two looks at the silence shows that this process itself was held up or
 	// suspended, and knows nothing of the time between.
-	ownGap = 3 * aliveEvery
-	// heirStagger is how much longer each gateway waits than the one before it among the
+	selfStallThreshold = 3 * livenessInterval
+	// successorStagger is how much longer each gateway waits than the one before it among the
 	// planner's heirs, and all others than the last heir: it takes 50 to 80 ms to gain the
 	// duty and to say so. Were all to depose at once, the first would win, which may be one
 	// that is too weak to read the records in time and is deposed in turn.
-	heirStagger = 150 * time.Millisecond
+	successorStagger = 150 * time.Millisecond
 )
 
-// suspicion is for how long the planner has not answered. It is safe for concurrent use.
-type suspicion struct {
-	mu      sync.Mutex
-	planner string
-	epoch   uint64
-	heard   bool          // it has answered under this epoch
-	asked   time.Duration // when the first question since its last answer was sent; 0: none
-	last    time.Duration // when the last one was
-	looked  time.Duration // when the silence was last looked at
-	slow    time.Duration // what the slowest answer lately took, of any planner
-	heirs   []string      // of the planner, in their order
+// failureDetector is for how long the planner has not answered. It is safe for concurrent use.
+type failureDetector struct {
+	mu              sync.Mutex
+	planner         string
+	epoch           uint64
+	answered        bool          // it has answered under this epoch
+	unansweredSince time.Duration // when the first question since its last answer was sent; 0: none
+	lastQueryAt     time.Duration // when the last one was
+	lastCheckAt     time.Duration // when the silence was last looked at
+	peakLatency     time.Duration // what the slowest answer lately took, of any planner
+	successors      []string      // of the planner, in their order
 }
 
-// inherits notes whom the planner names to take its duty.
-func (s *suspicion) inherits(heirs []string) {
+// setSuccessors notes whom the planner names to take its duty.
+func (s *failureDetector) setSuccessors(heirs []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heirs = heirs
+	s.successors = heirs
 }
 
-// patience returns how long the gateway at own waits for an answer before it deposes the
+// timeout returns how long the gateway at own waits for an answer before it deposes the
 // planner: the first heir the shortest time. The mutex is held.
-func (s *suspicion) patience(own string) time.Duration {
-	rank := slices.Index(s.heirs, own)
+func (s *failureDetector) timeout(own string) time.Duration {
+	rank := slices.Index(s.successors, own)
 	if rank < 0 {
-		rank = len(s.heirs)
+		rank = len(s.successors)
 	}
-	usual := min(max(suspectAfter, slowFactor*s.slow), dutyTTL)
-	return usual + time.Duration(rank)*heirStagger
+	usual := min(max(minDetectionTimeout, detectionLatencyFactor*s.peakLatency), plannerLeaseTTL)
+	return usual + time.Duration(rank)*successorStagger
 }
 
-// isOf says whether what is noted is of the planner that holds the duty under epoch. The
+// tracks says whether what is noted is of the planner that holds the duty under epoch. The
 // mutex is held.
-func (s *suspicion) isOf(planner string, epoch uint64) bool {
+func (s *failureDetector) tracks(planner string, epoch uint64) bool {
 	return s.planner == planner && s.epoch == epoch
 }
 
-// wants says whether the gateway at own is to ask the planner now: at once where another
+// shouldQuery says whether the gateway at own is to ask the planner now: at once where another
 // has the duty than was asked last, or the new one would be deposed for the silence of the
 // one before it.
-func (s *suspicion) wants(now time.Duration, own, planner string, epoch uint64) bool {
+func (s *failureDetector) shouldQuery(now time.Duration, own, planner string, epoch uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.isOf(planner, epoch) {
+	if !s.tracks(planner, epoch) {
 		return true
 	}
-	every := othersEvery
-	if len(s.heirs) == 0 || slices.Contains(s.heirs, own) {
-		every = aliveEvery
+	every := slowLivenessInterval
+	if len(s.successors) == 0 || slices.Contains(s.successors, own) {
+		every = livenessInterval
 	}
-	return now-s.last >= every
+	return now-s.lastQueryAt >= every
 }
 
-// ask notes a question that is about to be sent.
-func (s *suspicion) ask(now time.Duration, planner string, epoch uint64) {
+// recordQuery notes a question that is about to be sent.
+func (s *failureDetector) recordQuery(now time.Duration, planner string, epoch uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.isOf(planner, epoch) {
-		s.planner, s.epoch, s.heard, s.asked = planner, epoch, false, 0
+	if !s.tracks(planner, epoch) {
+		s.planner, s.epoch, s.answered, s.unansweredSince = planner, epoch, false, 0
 	}
-	s.look(now)
-	if s.asked == 0 {
-		s.asked = now
+	s.recordCheck(now)
+	if s.unansweredSince == 0 {
+		s.unansweredSince = now
 	}
-	s.last = now
+	s.lastQueryAt = now
 }
 
-// look notes that the silence is looked at, and lets it count from now where this process
+// recordCheck notes that the silence is looked at, and lets it count from now where this process
 // was held up. The mutex is held.
-func (s *suspicion) look(now time.Duration) {
-	if s.asked != 0 && now-s.looked > ownGap {
-		s.asked = now
+func (s *failureDetector) recordCheck(now time.Duration) {
+	if s.unansweredSince != 0 && now-s.lastCheckAt > selfStallThreshold {
+		s.unansweredSince = now
 	}
-	s.looked = now
+	s.lastCheckAt = now
 }
 
-// answer notes an answer of the planner that holds the duty under epoch.
-func (s *suspicion) answer(planner string, epoch uint64) {
+// recordAnswer notes an recordAnswer of the planner that holds the duty under epoch.
+func (s *failureDetector) recordAnswer(planner string, epoch uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.isOf(planner, epoch) {
-		s.heard, s.asked = true, 0
+	if s.tracks(planner, epoch) {
+		s.answered, s.unansweredSince = true, 0
 	}
 }
 
-// took notes how long an answer took, of whichever planner: what slows one down slows the
+// recordLatency notes how long an answer recordLatency, of whichever planner: what slows one down slows the
 // next down too.
-func (s *suspicion) took(d time.Duration) {
+func (s *failureDetector) recordLatency(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow = max(d, time.Duration(slowDecay*float64(s.slow)))
+	s.peakLatency = max(d, time.Duration(peakLatencyDecay*float64(s.peakLatency)))
 }
 
-// due says whether the gateway at own is to take the planner for dead. One that has never
+// suspects says whether the gateway at own is to take the planner for dead. One that has never
 // answered under its epoch is not: its lease may be all that is known of it, and it lapses.
-func (s *suspicion) due(now time.Duration, own string) bool {
+func (s *failureDetector) suspects(now time.Duration, own string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.look(now)
-	return s.heard && s.asked != 0 && now-s.asked > s.patience(own)
+	s.recordCheck(now)
+	return s.answered && s.unansweredSince != 0 && now-s.unansweredSince > s.timeout(own)
 }
 
-// aliveLoop asks the planner whether it is alive.
-func (g *Gateway) aliveLoop() error {
+// livenessLoop asks the planner whether it is alive.
+func (g *Gateway) livenessLoop() error {
 	for {
 		select {
-		case <-time.After(aliveEvery):
+		case <-time.After(livenessInterval):
 		case <-g.tomb.Dying():
 			return nil
 		}
-		epoch, planner := g.planners.get()
+		epoch, planner := g.planner.get()
 		if planner == "" || planner == g.cfg.Listen || g.stopping.Load() {
 			continue
 		}
-		if now := lease.BootTime(); g.suspected.wants(now, g.cfg.Listen, planner, epoch) {
-			g.suspected.ask(now, planner, epoch)
-			go g.askAlive(planner, epoch)
+		if now := lease.BootTime(); g.failureDetector.shouldQuery(now, g.cfg.Listen, planner, epoch) {
+			g.failureDetector.recordQuery(now, planner, epoch)
+			go g.queryLiveness(planner, epoch)
 		}
-		if g.suspected.due(lease.BootTime(), g.cfg.Listen) && g.cfg.SinceStoreReply() < servedFresh {
-			g.depose(planner, epoch)
+		if g.failureDetector.suspects(lease.BootTime(), g.cfg.Listen) && g.cfg.SinceStoreReply() < storeReplyTTL {
+			g.deposePlanner(planner, epoch)
 		}
 	}
 }
 
-func (g *Gateway) askAlive(planner string, epoch uint64) {
-	ctx, cancel := context.WithTimeout(g.tomb.Context(context.Background()), answerWait)
+func (g *Gateway) queryLiveness(planner string, epoch uint64) {
+	ctx, cancel := context.WithTimeout(g.tomb.Context(context.Background()), livenessTimeout)
 	defer cancel()
 	sent := lease.BootTime()
 	raw, err := g.pool.Call(ctx, planner, &link.Alive{})
 	if err != nil {
 		return // its silence is what counts
 	}
-	g.suspected.took(lease.BootTime() - sent)
+	g.failureDetector.recordLatency(lease.BootTime() - sent)
 	if reply, ok := raw.(*link.AliveReply); ok && reply.Epoch == epoch {
-		g.suspected.answer(planner, epoch)
+		g.failureDetector.recordAnswer(planner, epoch)
 	}
 }
 
-// depose makes this gateway take the duty of a planner that is believed to be dead.
-func (g *Gateway) depose(planner string, epoch uint64) {
-	if !g.duty.Depose() {
+// deposePlanner makes this gateway take the duty of a planner that is believed to be dead.
+func (g *Gateway) deposePlanner(planner string, epoch uint64) {
+	if !g.plannerLease.Depose() {
 		return // it waits for the store, or another was faster
 	}
 	g.log.WithField("planner", planner).WithField("epoch", epoch).Warn("planner does not answer; its duty is taken")
 }
 
-// inherited returns how much longer than usual a predecessor's grants may last. One that
+// predecessorExtension returns how much longer than usual a predecessor's grants may last. One that
 // was deposed and lives may grant until its lease has lapsed; and whoever takes the duty
 // can't tell, since another gateway may have deposed it. It only concerns workers that do
 // not report to the successor.
-func (g *Gateway) inherited(now time.Duration) time.Duration {
-	return g.outage.inherited(now) + dutyTTL
+func (g *Gateway) predecessorExtension(now time.Duration) time.Duration {
+	return g.storeStatus.predecessorExtension(now) + plannerLeaseTTL
 }
--- a/gateway/term.go
+++ b/gateway/term.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	// tickEvery lets time pass in the engine.
-	tickEvery = 50 * time.Millisecond
-	// recordWait is how long the answer to a report waits for the report's ends to be
+	// tickInterval lets time pass in the engine.
+	tickInterval = 50 * time.Millisecond
+	// reportWriteWait is how long the answer to a report waits for the report's ends to be
 	// on record, so that the worker may forget them at once.
-	recordWait = 250 * time.Millisecond
+	reportWriteWait = 250 * time.Millisecond
 	// inboxSize bounds the events that wait for the engine.
 	inboxSize = 4096
 	// ordersTimeout bounds one set of orders to an agent: its attempts and a margin.
 	ordersTimeout = 1500 * time.Millisecond
-	// writeRetry is the pause after a write that failed, which grows to writeRetryMost:
+	// writeRetryDelay is the pause after a write that failed, which grows to writeRetryMost:
 	// every call is paid for, also one that a store in an outage refuses.
-	writeRetry     = 50 * time.Millisecond
-	writeRetryMost = 250 * time.Millisecond
-	// mostChanges is how many records one write carries; see platform.MaxSwaps.
-	mostChanges = 15
+	writeRetryDelay    = 50 * time.Millisecond
+	maxWriteRetryDelay = 250 * time.Millisecond
+	// maxRecordsPerWrite is how many records one write carries; see platform.MaxSwaps.
+	maxRecordsPerWrite = 15
 )
 
 // term is one holding of the planner's duty. Its loop goroutine owns the engine.
@@ -44,31 +44,31 @@
 	// is only shown where no newer planner is known.
 	frozen atomic.Bool
 	loaded atomic.Bool
-	// knowsEnded: the outcomes of predecessors' jobs are read.
-	knowsEnded atomic.Bool
+	// outcomesLoaded: the outcomes of predecessors' jobs are read.
+	outcomesLoaded atomic.Bool
 	// frozenAt is when the duty's lease lapsed, on the boot clock; 0 where it did not.
 	frozenAt atomic.Int64
 
 	engine *engine.Engine
-	ledger *records.PlannerStore
+	store  *records.PlannerStore
 
-	mu       sync.Mutex
-	conns    map[string]*wire.Conn // by agent
-	recorded chan struct{}         // closed after each write
-	idle     bool                  // nothing is left to write
+	mu        sync.Mutex
+	conns     map[string]*wire.Conn // by agent
+	writeDone chan struct{}         // closed after each write
+	idle      bool                  // nothing is left to write
 }
 
 func newTerm(g *Gateway, epoch uint64) *term {
 	t := &term{
-		g:        g,
-		log:      g.log.WithField("epoch", epoch),
-		epoch:    epoch,
-		inbox:    make(chan func(time.Duration), inboxSize),
-		engine:   engine.New(g.cfg.Engine, epoch, lease.BootTime(), g.inherited(lease.BootTime())),
-		conns:    map[string]*wire.Conn{},
-		recorded: make(chan struct{}),
+		g:         g,
+		log:       g.log.WithField("epoch", epoch),
+		epoch:     epoch,
+		inbox:     make(chan func(time.Duration), inboxSize),
+		engine:    engine.New(g.cfg.Engine, epoch, lease.BootTime(), g.predecessorExtension(lease.BootTime())),
+		conns:     map[string]*wire.Conn{},
+		writeDone: make(chan struct{}),
 	}
-	g.counts.Terms.Add(1)
+	g.counters.Terms.Add(1)
 	t.tomb.Go(t.run)
 	return t
 }
@@ -79,7 +79,7 @@
 	if t.frozen.Load() || !t.loaded.Load() {
 		return false
 	}
-	held, ok := t.g.duty.Current()
+	held, ok := t.g.plannerLease.Current()
 	return ok && held.Epoch == t.epoch
 }
 
@@ -89,15 +89,15 @@
 	}
 }
 
-// extending says whether the term, whose lease has lapsed, still grants what runs its
+// extendingGrants says whether the term, whose lease has lapsed, still grants what runs its
 // time; see outage.
-func (t *term) extending() bool {
+func (t *term) extendingGrants() bool {
 	at := time.Duration(t.frozenAt.Load())
 	if at == 0 || !t.loaded.Load() || !t.tomb.Alive() || t.g.stopping.Load() {
 		return false
 	}
 	now := lease.BootTime()
-	return now-at < extendMost && t.g.cfg.SinceStoreReply() > servedFresh && t.g.outage.general(now, t.g.members.peers())
+	return now-at < maxGrantExtension && t.g.cfg.SinceStoreReply() > storeReplyTTL && t.g.storeStatus.allUnserved(now, t.g.members.livePeers())
 }
 
 // end stops the term for good.
@@ -114,8 +114,8 @@
 	t.restore(state)
 	t.loaded.Store(true)
 	t.log.WithFields(logrus.Fields{"jobs": len(state.Jobs), "workers": len(state.Workers), "revision": state.Revision}).Info("records read; planning")
-	t.tomb.Go(func() error { return t.follow(state.Revision) })
-	t.tomb.Go(t.loadEnded)
+	t.tomb.Go(func() error { return t.watchSubmissions(state.Revision) })
+	t.tomb.Go(t.loadOutcomes)
 	t.loop()
 	t.tomb.Kill(nil) // nobody serves the inbox any more
 	return nil
@@ -128,8 +128,8 @@
 	}
 }
 
-// do runs f on the engine's goroutine. It returns false where the term has ended.
-func (t *term) do(f func(now time.Duration)) bool {
+// enqueue runs f on the engine's goroutine. It returns false where the term has ended.
+func (t *term) enqueue(f func(now time.Duration)) bool {
 	select {
 	case t.inbox <- f:
 		return true
@@ -138,17 +138,17 @@
 	}
 }
 
-func (t *term) post(ev engine.Event) {
-	t.do(func(now time.Duration) { t.engine.HandleEvent(now, ev) })
+func (t *term) postEvent(ev engine.Event) {
+	t.enqueue(func(now time.Duration) { t.engine.HandleEvent(now, ev) })
 }
 
-func (t *term) configure(c *catalog.Catalog) { t.post(engine.CatalogChanged{Catalog: c}) }
+func (t *term) updateCatalog(c *catalog.Catalog) { t.postEvent(engine.CatalogChanged{Catalog: c}) }
 
 // loop owns the engine.
 func (t *term) loop() {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	replan := time.NewTimer(tickEvery)
+	replan := time.NewTimer(tickInterval)
 	defer replan.Stop()
 	written := make(chan error, 1)
 	var writing *engine.Write
@@ -161,8 +161,8 @@
 			t.engine.HandleEvent(lease.BootTime(), engine.Tick{WallTime: time.Now()})
 		case <-replan.C:
 		case err := <-written:
-			if err != nil && isFinal(err) {
-				t.deposed(err)
+			if err != nil && isPermanent(err) {
+				t.stepDown(err)
 				return
 			}
 			if err != nil {
@@ -172,13 +172,13 @@
 				continue
 			}
 			t.engine.HandleEvent(lease.BootTime(), engine.WriteApplied{Write: *writing})
-			t.announceRecorded()
+			t.notifyWriteDone()
 			writing = nil
 		case <-t.tomb.Dying():
 			return
 		}
-		t.act()
-		t.replanTimer(replan)
+		t.executeActions()
+		t.resetReplanTimer(replan)
 		if writing == nil {
 			writing = t.write(written)
 		}
--- a/gateway/term_advice.go
+++ b/gateway/term_advice.go
@@ -23,5 +23,5 @@
 			answer = engine.AdviceResponse{Request: ask, Tickets: tickets, Lifetime: valid}
 		}
 	}
-	t.post(answer)
+	t.postEvent(answer)
 }
--- a/gateway/term_ask.go
+++ b/gateway/term_ask.go
@@ -7,12 +7,12 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// ask runs f on the engine's goroutine and returns its answer, and false where the term
+// queryEngine runs f on the engine's goroutine and returns its answer, and false where the term
 // ends first.
-func ask[T any](t *term, f func(now time.Duration) T) (T, bool) {
+func queryEngine[T any](t *term, f func(now time.Duration) T) (T, bool) {
 	answers := make(chan T, 1)
 	var none T
-	if !t.do(func(now time.Duration) { answers <- f(now) }) {
+	if !t.enqueue(func(now time.Duration) { answers <- f(now) }) {
 		return none, false
 	}
 	select {
@@ -32,7 +32,7 @@
 		found engine.JobStatus
 		ok    bool
 	}
-	a, asked := ask(t, func(time.Duration) answer {
+	a, asked := queryEngine(t, func(time.Duration) answer {
 		found, ok := t.engine.Lookup(id)
 		return answer{found, ok}
 	})
@@ -42,5 +42,5 @@
 // pending returns how many jobs of each queue have not begun, and false where the term
 // has ended.
 func (t *term) pending() (map[string]int, bool) {
-	return ask(t, func(time.Duration) map[string]int { return t.engine.UnstartedByQueue() })
+	return queryEngine(t, func(time.Duration) map[string]int { return t.engine.UnstartedByQueue() })
 }
--- a/gateway/term_ledger.go
+++ b/gateway/term_ledger.go
@@ -9,8 +9,8 @@
 // logDiscarded accounts for work that was thrown away.
 func (t *term) logDiscarded(d engine.WorkDiscarded) {
 	label := d.Queue + "/" + string(d.Cause)
-	t.g.lost.Add(label, d.Lost)
-	t.g.saved.Add(label, d.Saved)
+	t.g.lostWork.Add(label, d.Lost)
+	t.g.savedWork.Add(label, d.Saved)
 	t.log.WithFields(logrus.Fields{
 		"job":                d.Run.Task.Job,
 		"task":               d.Run.Task.String(),
@@ -26,7 +26,7 @@
 
 // logWorkerGone accounts for a life of a worker that is over.
 func (t *term) logWorkerGone(w engine.WorkerGone) {
-	t.g.workersGone.Add(w.Worker.Service+"/"+string(w.Departure), 1)
+	t.g.workerDepartures.Add(w.Worker.Service+"/"+string(w.Departure), 1)
 	t.log.WithFields(logrus.Fields{
 		"worker":  w.Worker.ID,
 		"agent":   w.Worker.Agent,
@@ -38,7 +38,7 @@
 
 // logLate accounts for a job that was completed after its objective.
 func (t *term) logLate(l engine.JobLate) {
-	t.g.late.Add(l.Queue+"/"+string(l.Reason), 1)
+	t.g.lateJobs.Add(l.Queue+"/"+string(l.Reason), 1)
 	t.log.WithFields(logrus.Fields{
 		"job":     l.Job,
 		"queue":   l.Queue,
--- a/gateway/term_load.go
+++ b/gateway/term_load.go
@@ -19,30 +19,30 @@
 			return state, true
 		}
 		t.log.WithError(err).Warn("records not read")
-		t.pause(writeRetry)
+		t.pause(writeRetryDelay)
 	}
 	return records.PlannerState{}, false
 }
 
 func (t *term) tryLoad(ctx context.Context) (records.PlannerState, error) {
-	key := lease.EpochKey(dutyName)
-	kv, ok, err := t.g.relayed.Get(ctx, key)
+	key := lease.EpochKey(plannerLeaseName)
+	kv, ok, err := t.g.relayedStore.Get(ctx, key)
 	if err != nil {
 		return records.PlannerState{}, err
 	}
 	if epoch, err := lease.ParseEpoch(kv.Value); !ok || err != nil || epoch != t.epoch {
 		return records.PlannerState{}, records.ErrDeposed
 	}
-	t.ledger = records.NewPlannerStore(t.g.relayed, store.Condition{Key: key, Revision: kv.Mod})
-	return t.ledger.Load(ctx, time.Now())
+	t.store = records.NewPlannerStore(t.g.relayedStore, store.Condition{Key: key, Revision: kv.Mod})
+	return t.store.Load(ctx, time.Now())
 }
 
-// mostUnreadable bounds the lines of the log about records that can't be read.
-const mostUnreadable = 10
+// maxUnreadableLogged bounds the lines of the log about records that can't be read.
+const maxUnreadableLogged = 10
 
-func (t *term) tellUnreadable(all []records.UnreadableRecord) {
+func (t *term) logUnreadable(all []records.UnreadableRecord) {
 	for i, u := range all {
-		if i == mostUnreadable {
+		if i == maxUnreadableLogged {
 			t.log.WithField("more", len(all)-i).Error("further records can't be read")
 			return
 		}
@@ -52,11 +52,11 @@
 
 func (t *term) restore(state records.PlannerState) {
 	now := lease.BootTime()
-	t.tellUnreadable(state.Unreadable)
-	if view, ok := t.g.inForce.Snapshot(); ok {
+	t.logUnreadable(state.Unreadable)
+	if view, ok := t.g.currentConfig.Snapshot(); ok {
 		t.engine.HandleEvent(now, engine.CatalogChanged{Catalog: view.Catalog})
 	}
-	if cordons, ok := t.g.inForce.Cordons(); ok {
+	if cordons, ok := t.g.currentConfig.Cordons(); ok {
 		t.engine.HandleEvent(now, engine.CordonsChanged{Cordons: cordons})
 	}
 	t.engine.HandleEvent(now, engine.Tick{WallTime: time.Now()})
@@ -68,65 +68,65 @@
 	}
 }
 
-// endedRetry is the pause between attempts to read the outcomes of ended jobs. Callers who
+// outcomesRetryDelay is the pause between attempts to read the outcomes of ended jobs. Callers who
 // ask for one meanwhile are answered from the store.
-const endedRetry = time.Second
+const outcomesRetryDelay = time.Second
 
-// loadEnded reads the outcomes of jobs that ended under predecessors, while this term plans.
-func (t *term) loadEnded() error {
+// loadOutcomes reads the outcomes of jobs that ended under predecessors, while this term plans.
+func (t *term) loadOutcomes() error {
 	ctx := t.tomb.Context(context.Background())
 	for t.tomb.Alive() && !t.frozen.Load() {
-		ended, unreadable, err := t.ledger.LoadOutcomes(ctx, time.Now())
+		ended, unreadable, err := t.store.LoadOutcomes(ctx, time.Now())
 		if err != nil {
 			t.log.WithError(err).Info("outcomes of ended jobs not read")
-			t.pause(endedRetry)
+			t.pause(outcomesRetryDelay)
 			continue
 		}
-		t.tellUnreadable(unreadable)
+		t.logUnreadable(unreadable)
 		for _, e := range ended {
-			t.post(e)
+			t.postEvent(e)
 		}
-		t.knowsEnded.Store(true)
+		t.outcomesLoaded.Store(true)
 		t.log.WithField("jobs", len(ended)).Info("outcomes of ended jobs read")
 		return nil
 	}
 	return nil
 }
 
-// relistPause is the least time between two listings of the intake, while its watch can't
+// relistInterval is the least time between two listings of the intake, while its watch can't
 // be kept: notices tell of nearly all jobs sooner.
-const relistPause = time.Second
+const relistInterval = time.Second
 
-// follow watches the intake. After a gap in the history, and again and again while the
+// watchSubmissions watches the intake. After a gap in the history, and again and again while the
 // store does not serve this gateway, it is listed.
-func (t *term) follow(at store.Revision) error {
+func (t *term) watchSubmissions(at store.Revision) error {
 	ctx := t.tomb.Context(context.Background())
 	var listed time.Duration
 	for t.tomb.Alive() {
-		err := t.ledger.WatchSubmissions(ctx, at, time.Now, t.post)
+		err := t.store.WatchSubmissions(ctx, at, time.Now, t.postEvent)
 		if ctx.Err() != nil {
 			return nil
 		}
-		t.pause(relistPause - (lease.BootTime() - listed))
+		t.pause(relistInterval - (lease.BootTime() - listed))
 		t.log.WithError(err).Info("watch of the intake lost; listing again")
-		submitted, err := records.ListSubmissions(ctx, listingRelay{t.g.relayed}, time.Now())
+		submitted, err := records.ListSubmissions(ctx, listRelay{t.g.relayedStore}, time.Now())
 		if err != nil {
-			t.pause(writeRetry)
+			t.pause(writeRetryDelay)
 			continue
 		}
 		listed = lease.BootTime()
 		at = max(at, submitted.Revision)
-		t.postIntake(submitted)
+		t.postSubmissions(submitted)
 	}
 	return nil
 }
 
-// postIntake gives the engine all submissions and cancellations; it knows most of them.
-func (t *term) postIntake(submitted records.Submissions) {
+// postSubmissions gives the engine all submissions and cancellations; it knows most of them.
+func (t *term) postSubmissions(submitted records.Submissions) {
 	for _, j := range submitted.Jobs {
-		t.post(j.JobSubmitted)
+		t.postEvent(j.JobSubmitted)
 		if j.Cancelled {
-			t.post(engine.CancelRequested{Job: j.Job.ID, Revision: j.CancelRevision})
+			t.postEvent(engine.CancelRequested{Job: j.Job.ID, Revision: j.CancelRevision})
 		}
 	}
 }
--- a/gateway/term_orders.go
+++ b/gateway/term_orders.go
@@ -12,22 +12,22 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// act carries out what the engine decided. A term whose lease has lapsed decides
+// executeActions carries out what the engine decided. A term whose lease has lapsed decides
 // nothing any more.
-func (t *term) act() {
+func (t *term) executeActions() {
 	if !t.active() {
 		return
 	}
 	for _, action := range t.decide() {
 		switch a := action.(type) {
 		case engine.Orders:
-			go t.send(a)
+			go t.sendOrders(a)
 		case engine.AdviceRequest:
 			go t.advise(a)
 		case engine.Decision:
 			t.logDecision(a)
 		case engine.JobStarted:
-			t.g.waits.Observe(a.Account+"/"+a.Queue, a.Waited)
+			t.g.jobWaits.Observe(a.Account+"/"+a.Queue, a.Waited)
 		case engine.WorkDiscarded:
 			t.logDiscarded(a)
 		case engine.WorkerResized:
@@ -37,39 +37,39 @@
 		case engine.JobLate:
 			t.logLate(a)
 		case engine.JobFinished:
-			t.g.completions.Observe(a.Account+"/"+a.Queue+"/"+string(a.State), a.Took)
+			t.g.jobCompletions.Observe(a.Account+"/"+a.Queue+"/"+string(a.State), a.Took)
 		}
 	}
 }
 
 const (
-	// planRest is how long no planning round follows one, in parts of what that took, so that
+	// planPauseFactor is how long no planning round follows one, in parts of what that took, so that
 	// rounds take a third of the process's time at most. Every report may call for a round:
 	// hundreds of agents would keep a weak processor at planning alone, and reports, renewals
 	// and answers to callers would wait behind it.
-	planRest = 2
-	// planRestMost bounds the pause: a process that was suspended in a round has not planned
+	planPauseFactor = 2
+	// maxPlanPause bounds the pause: a process that was suspended in a round has not planned
 	// all that time.
-	planRestMost = 250 * time.Millisecond
-	// planBrief is what a round may take without such a pause.
-	planBrief = time.Millisecond
+	maxPlanPause = 250 * time.Millisecond
+	// planPauseThreshold is what a round may take without such a pause.
+	planPauseThreshold = time.Millisecond
 )
 
 // decide lets the engine decide, at the pace that this process can keep up.
 func (t *term) decide() []engine.Action {
 	began := lease.BootTime()
 	if !t.g.cordonsFresh(began) {
-		t.engine.DelayPlanning(began + tickEvery)
+		t.engine.DelayPlanning(began + tickInterval)
 	}
 	actions := t.engine.Decide(began)
-	if took := lease.BootTime() - began; took > planBrief {
-		t.engine.DelayPlanning(began + took + min(planRest*took, planRestMost))
+	if took := lease.BootTime() - began; took > planPauseThreshold {
+		t.engine.DelayPlanning(began + took + min(planPauseFactor*took, maxPlanPause))
 	}
 	return actions
 }
 
-// replanTimer makes the timer fire when a round that was postponed is due.
-func (t *term) replanTimer(timer *time.Timer) {
+// resetReplanTimer makes the timer fire when a round that was postponed is due.
+func (t *term) resetReplanTimer(timer *time.Timer) {
 	until, due := t.engine.NextPlanning()
 	if left := until - lease.BootTime(); due && left > 0 {
 		timer.Reset(left)
@@ -91,43 +91,43 @@
 	t.log.WithFields(fields).Info(d.Kind)
 }
 
-// send gives orders to an agent over the connection on which it last reported.
-func (t *term) send(o engine.Orders) {
-	t.g.counts.Orders.Add(1)
+// sendOrders gives orders to an agent over the connection on which it last reported.
+func (t *term) sendOrders(o engine.Orders) {
+	t.g.counters.Orders.Add(1)
 	t.mu.Lock()
 	conn := t.conns[o.Agent]
 	t.mu.Unlock()
-	o, withheld := t.withhold(o)
+	o, withheld := t.withholdStarts(o)
 	var reply *link.OrdersReply
 	if conn != nil && t.active() {
-		reply = t.call(conn, o)
+		reply = t.callAgent(conn, o)
 	}
 	if reply == nil {
-		reply = allAlike(o, engine.StartNotDelivered)
+		reply = uniformReply(o, engine.StartNotDelivered)
 	}
 	reply.Starts = append(reply.Starts, withheld...)
 	if len(reply.Starts)+len(reply.Paces) > 0 {
-		t.post(engine.OrdersCompleted{Worker: o.Worker, Starts: reply.Starts, Paces: reply.Paces})
+		t.postEvent(engine.OrdersCompleted{Worker: o.Worker, Starts: reply.Starts, Paces: reply.Paces})
 	}
 }
 
-// call returns the agent's answer, or what is certain without one.
-func (t *term) call(conn *wire.Conn, o engine.Orders) *link.OrdersReply {
+// callAgent returns the agent's answer, or what is certain without one.
+func (t *term) callAgent(conn *wire.Conn, o engine.Orders) *link.OrdersReply {
 	ctx, cancel := context.WithTimeout(t.tomb.Context(context.Background()), ordersTimeout)
 	defer cancel()
 	raw, err := conn.Call(ctx, link.NewOrders(t.epoch, o))
-	if err != nil && unsent(err) == link.OutcomeNotDone {
-		return allAlike(o, engine.StartNotDelivered)
+	if err != nil && outcomeOfCallError(err) == link.OutcomeNotDone {
+		return uniformReply(o, engine.StartNotDelivered)
 	}
 	reply, ok := raw.(*link.OrdersReply)
 	if err != nil || !ok {
-		return allAlike(o, engine.StartUnknown)
+		return uniformReply(o, engine.StartUnknown)
 	}
 	return reply
 }
 
-// allAlike gives all orders of a set the same outcome; no pace among them is confirmed.
-func allAlike(o engine.Orders, outcome engine.StartOutcome) *link.OrdersReply {
+// uniformReply gives all orders of a set the same outcome; no pace among them is confirmed.
+func uniformReply(o engine.Orders, outcome engine.StartOutcome) *link.OrdersReply {
 	reply := &link.OrdersReply{}
 	for _, s := range o.Starts {
 		reply.Starts = append(reply.Starts, engine.StartResult{Run: s.Run, Outcome: outcome})
--- a/gateway/term_report.go
+++ b/gateway/term_report.go
@@ -9,15 +9,15 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// report handles an agent's report and fills in the reply.
-func (t *term) report(ctx context.Context, from *wire.Conn, m *link.Report, reply *link.ReportReply) *link.ReportReply {
+// handleReport handles an agent's handleReport and fills in the reply.
+func (t *term) handleReport(ctx context.Context, from *wire.Conn, m *link.Report, reply *link.ReportReply) *link.ReportReply {
 	type answer struct {
 		verdict  engine.ReportAnswer
 		recorded <-chan struct{}
 	}
-	a, ok := ask(t, func(now time.Duration) answer {
-		t.remember(m.Report.Worker.Agent, from)
-		recorded := t.nextRecord()
+	a, ok := queryEngine(t, func(now time.Duration) answer {
+		t.setConn(m.Report.Worker.Agent, from)
+		recorded := t.nextWrite()
 		return answer{t.engine.Report(now, m.Report), recorded}
 	})
 	if !ok {
@@ -25,9 +25,9 @@
 	}
 	v := a.verdict
 	if v.EndsPending && len(m.Report.Ended) > 0 {
-		v.AckedEnds = t.awaitRecord(ctx, m.Report.Worker.ID, v, a.recorded)
+		v.AckedEnds = t.awaitWrite(ctx, m.Report.Worker.ID, v, a.recorded)
 	}
-	if !t.active() && !t.extending() {
+	if !t.active() && !t.extendingGrants() {
 		return reply
 	}
 	reply.Epoch = t.epoch
@@ -35,17 +35,17 @@
 	reply.Seen = v.AckedEnds
 	reply.Closely = v.PollOften
 	reply.Turn = v.Generation
-	if cordons, ok := t.g.inForce.Cordons(); ok {
+	if cordons, ok := t.g.currentConfig.Cordons(); ok {
 		reply.Cordoned = cordons.Contains(m.Report.Worker.Zone)
 		reply.CordonsAt = cordons.Revision
 	}
 	return reply
 }
 
-// awaitRecord waits until the ends of a worker are on record, and returns up to which
+// awaitWrite waits until the ends of a worker are on record, and returns up to which
 // they are.
-func (t *term) awaitRecord(ctx context.Context, id engine.WorkerID, v engine.ReportAnswer, recorded <-chan struct{}) int64 {
-	deadline := time.NewTimer(recordWait)
+func (t *term) awaitWrite(ctx context.Context, id engine.WorkerID, v engine.ReportAnswer, recorded <-chan struct{}) int64 {
+	deadline := time.NewTimer(reportWriteWait)
 	defer deadline.Stop()
 	for {
 		select {
@@ -60,9 +60,9 @@
 			waiting  bool
 			recorded <-chan struct{}
 		}
-		a, ok := ask(t, func(time.Duration) answer {
+		a, ok := queryEngine(t, func(time.Duration) answer {
 			seen, waiting := t.engine.AckedEnds(id)
-			return answer{seen, waiting, t.nextRecord()}
+			return answer{seen, waiting, t.nextWrite()}
 		})
 		if !ok {
 			return v.AckedEnds
@@ -74,14 +74,14 @@
 	}
 }
 
-// nextRecord returns a channel that is closed after the next write.
-func (t *term) nextRecord() <-chan struct{} {
+// nextWrite returns a channel that is closed after the next write.
+func (t *term) nextWrite() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.recorded
+	return t.writeDone
 }
 
-func (t *term) remember(agent string, conn *wire.Conn) {
+func (t *term) setConn(agent string, conn *wire.Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.conns[agent] = conn
--- a/gateway/term_write.go
+++ b/gateway/term_write.go
@@ -10,17 +10,17 @@
 	"github.com/eelgrasshub/eelgrasshub/lease"
 )
 
-func (t *term) deposed(err error) {
+func (t *term) stepDown(err error) {
 	if t.tomb.Alive() {
 		t.log.WithError(err).Warn("term ended")
 	}
 	t.freeze()
-	t.g.duty.Yield(t.epoch)
+	t.g.plannerLease.Yield(t.epoch)
 }
 
 // write begins to write what has changed, and returns nil where nothing has.
 func (t *term) write(written chan<- error) *engine.Write {
-	w := t.engine.PendingChanges(lease.BootTime(), time.Now(), mostChanges)
+	w := t.engine.PendingChanges(lease.BootTime(), time.Now(), maxRecordsPerWrite)
 	t.mu.Lock()
 	t.idle = w.Empty()
 	t.mu.Unlock()
@@ -36,18 +36,18 @@
 func (t *term) writeUntilSettled(w engine.Write) error {
 	ctx := t.tomb.Context(context.Background())
 	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = writeRetry
-	pause.MaxInterval = writeRetryMost
+	pause.InitialInterval = writeRetryDelay
+	pause.MaxInterval = maxWriteRetryDelay
 	for failures := 0; ; failures++ {
-		t.g.counts.Writes.Add(1)
-		err := t.ledger.Write(ctx, w)
+		t.g.counters.Writes.Add(1)
+		err := t.store.Write(ctx, w)
 		if err == nil && failures > 0 {
 			t.log.WithField("failures", failures).Info("records are written again")
 		}
-		if err == nil || isFinal(err) || !t.tomb.Alive() || t.frozen.Load() {
+		if err == nil || isPermanent(err) || !t.tomb.Alive() || t.frozen.Load() {
 			return err
 		}
-		t.g.counts.WriteFailures.Add(1)
+		t.g.counters.WriteFailures.Add(1)
 		if failures == 0 {
 			t.log.WithError(err).Warn("records not written")
 		}
@@ -55,11 +55,11 @@
 	}
 }
 
-func (t *term) announceRecorded() {
+func (t *term) notifyWriteDone() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	close(t.recorded)
-	t.recorded = make(chan struct{})
+	close(t.writeDone)
+	t.writeDone = make(chan struct{})
 }
 
 // flush waits until everything decided is on record, or ctx ends.
--- a/nodeagent/agent.go
+++ b/nodeagent/agent.go
@@ -21,23 +21,23 @@
 	endpoint *wire.Endpoint
 	pool     *wire.Pool
 	tomb     tomb.Tomb
-	finder   *finder
+	finder   *plannerFinder
 
-	mu      sync.Mutex
-	life    *life
-	changed chan struct{} // closed when life changes
+	mu          sync.Mutex
+	incarnation *incarnation
+	changed     chan struct{} // closed when life changes
 	// epoch is the highest planner's epoch heard of; granted is how far its last
 	// answer lets the worker's lease reach.
-	epoch   uint64
-	granted time.Duration
+	epoch        uint64
+	grantedUntil time.Duration
 	// nextFence is the least that orders to the next life carry, if it has the name of the
 	// last: higher than those that were meant for that one and may still be on their way.
-	nextFence engine.Fence
-	cordon    cordon
-	left      []departure // lives that are over and not reported so yet
-	ended     map[engine.WorkerID]bool
-	wake      chan struct{} // has a token when there is something to report
-	counts    Counters
+	nextFence     engine.Fence
+	cordon        cordonState
+	departures    []departure // lives that are over and not reported so yet
+	endedIDs      map[engine.WorkerID]bool
+	reportPending chan struct{} // has a token when there is something to report
+	counters      Counters
 }
 
 // Counters count what an agent did since its start.
@@ -50,11 +50,11 @@
 // Start starts an Agent.
 func Start(cfg Config) (*Agent, error) {
 	a := &Agent{
-		cfg:     cfg,
-		log:     cfg.Log,
-		changed: make(chan struct{}),
-		wake:    make(chan struct{}, 1),
-		ended:   map[engine.WorkerID]bool{},
+		cfg:           cfg,
+		log:           cfg.Log,
+		changed:       make(chan struct{}),
+		reportPending: make(chan struct{}, 1),
+		endedIDs:      map[engine.WorkerID]bool{},
 	}
 	peer := wire.Peer{ID: cfg.ID, Role: wire.RoleAgent, Incarnation: uint64(time.Now().UnixNano()), Region: cfg.Region, Zone: cfg.Zone}
 	id, err := wire.NewIdentity(peer, cfg.ClusterKey)
@@ -66,7 +66,7 @@
 		return nil, err
 	}
 	a.pool = wire.NewPool(a.endpoint)
-	a.finder = newFinder(cfg, a.pool)
+	a.finder = newPlannerFinder(cfg, a.pool)
 	a.tomb.Go(a.run)
 	a.log.WithField("listen", a.endpoint.Addr()).Info("node agent started")
 	return a, nil
@@ -74,7 +74,7 @@
 
 func (a *Agent) run() error {
 	a.tomb.Go(a.reportLoop)
-	a.tomb.Go(a.lookLoop)
+	a.tomb.Go(a.pollLoop)
 	<-a.tomb.Dying()
 	return nil
 }
@@ -92,13 +92,13 @@
 }
 
 // Counters returns the agent's counters.
-func (a *Agent) Counters() *Counters { return &a.counts }
+func (a *Agent) Counters() *Counters { return &a.counters }
 
 func now() time.Duration { return lease.BootTime() }
 
-func (a *Agent) signal() {
+func (a *Agent) requestReport() {
 	select {
-	case a.wake <- struct{}{}:
+	case a.reportPending <- struct{}{}:
 	default:
 	}
 }
--- a/nodeagent/announce.go
+++ b/nodeagent/announce.go
@@ -11,9 +11,9 @@
 // held up on its way, changes nothing: a life other than the present one counts only if
 // the worker itself says that it is the one.
 func (a *Agent) Announce(ctx context.Context, n Heartbeat) error {
-	a.counts.Announcements.Add(1)
+	a.counters.Announcements.Add(1)
 	n.Info.Agent = a.cfg.ID
-	if a.refresh(n) {
+	if a.updateCurrent(n) {
 		return nil
 	}
 	name, err := a.cfg.Worker.Identify(ctx)
@@ -26,44 +26,44 @@
 	}
 	l, _ := a.current()
 	if l != nil && l.info.SharesName(n.Info) {
-		return a.tellApart(l, n)
+		return a.resolveSharedName(l, n)
 	}
-	return a.meet(l, n)
+	return a.adopt(l, n)
 }
 
-// tellApart takes a heartbeat of another life than the present one, l, which has the same
+// resolveSharedName takes a heartbeat of another life than the present one, l, which has the same
 // name. Only a look tells them apart: where l answers, the heartbeat is of an earlier life.
-func (a *Agent) tellApart(l *life, n Heartbeat) error {
-	a.doubt(l)
-	_, err := a.tryLook(l, 0)
+func (a *Agent) resolveSharedName(l *incarnation, n Heartbeat) error {
+	a.markUnresponsive(l)
+	_, err := a.tryPoll(l, 0)
 	switch {
 	case err == nil:
 		a.log.WithField("announced", n.Info.ID).Info("heartbeat of an earlier life passed over")
 		return nil
-	case errors.Is(err, ErrOtherIncarnation), errors.Is(err, errLifeOver):
-		return a.meet(nil, n)
+	case errors.Is(err, ErrOtherIncarnation), errors.Is(err, errIncarnationEnded):
+		return a.adopt(nil, n)
 	}
 	return err
 }
 
-// doubt takes l for silent until it answers: the connection to it may hang without an error,
+// markUnresponsive takes l for silent until it answers: the connection to it may hang without an error,
 // and the next look be the first that another life answers.
-func (a *Agent) doubt(l *life) {
+func (a *Agent) markUnresponsive(l *incarnation) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.life == l && !l.failing {
-		l.fail(now())
+	if a.incarnation == l && !l.unresponsive {
+		l.markUnresponsive(now())
 	}
 }
 
-// refresh updates the present life, and returns false for another one.
-func (a *Agent) refresh(n Heartbeat) bool {
+// updateCurrent updates the present life, and returns false for another one.
+func (a *Agent) updateCurrent(n Heartbeat) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.ended[n.Info.ID] {
+	if a.endedIDs[n.Info.ID] {
 		return true
 	}
-	l := a.life
+	l := a.incarnation
 	if l == nil || l.info.ID != n.Info.ID {
 		return false
 	}
@@ -74,37 +74,37 @@
 	if n.Info.Capacity != l.info.Capacity {
 		a.log.WithField("worker", l.info.ID).WithField("room", n.Info.Capacity).WithField("before", l.info.Capacity).Info("worker's room changed")
 		l.info.Capacity = n.Info.Capacity
-		a.signal()
+		a.requestReport()
 	}
 	if n.Draining {
 		if !l.draining {
 			a.log.WithField("worker", l.info.ID).WithField("remaining_ms", n.Remaining.Milliseconds()).Info("worker drains")
-			a.signal()
+			a.requestReport()
 		}
 		l.draining = true
-		l.leavesAt = now() + n.Remaining
+		l.departsAt = now() + n.Remaining
 	}
 	return true
 }
 
-// meet begins a new life in the place of l. It fails where another one is present by now.
-func (a *Agent) meet(l *life, n Heartbeat) error {
+// adopt begins a new life in the place of l. It fails where another one is present by now.
+func (a *Agent) adopt(l *incarnation, n Heartbeat) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.ended[n.Info.ID] || a.life != nil && a.life.info.ID == n.Info.ID {
+	if a.endedIDs[n.Info.ID] || a.incarnation != nil && a.incarnation.info.ID == n.Info.ID {
 		return nil
 	}
-	if a.life != l {
-		return errLifeOver
+	if a.incarnation != l {
+		return errIncarnationEnded
 	}
-	a.endLifeUnannounced(false)
-	a.life = newLife(n.Info)
-	a.life.fence = a.nextFence.Max(engine.Fence{Epoch: a.epoch})
-	a.life.sequence = n.Sequence
-	a.life.draining = n.Draining
-	a.life.leavesAt = now() + n.Remaining
+	a.endUnannounced(false)
+	a.incarnation = newIncarnation(n.Info)
+	a.incarnation.fence = a.nextFence.Max(engine.Fence{Epoch: a.epoch})
+	a.incarnation.sequence = n.Sequence
+	a.incarnation.draining = n.Draining
+	a.incarnation.departsAt = now() + n.Remaining
 	a.log.WithField("worker", n.Info.ID).WithField("service", n.Info.Service).Info("worker announced")
-	a.notify()
+	a.notifyChanged()
 	return nil
 }
 
@@ -116,28 +116,28 @@
 func (a *Agent) Leave(name string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.life == nil || a.life.info.CallName() != name {
-		a.ended[engine.WorkerID(name)] = true
+	if a.incarnation == nil || a.incarnation.info.CallName() != name {
+		a.endedIDs[engine.WorkerID(name)] = true
 		return
 	}
-	if a.life.info.Name != "" && !a.life.draining {
-		a.log.WithField("worker", a.life.info.ID).Info("goodbye of an earlier life passed over")
+	if a.incarnation.info.Name != "" && !a.incarnation.draining {
+		a.log.WithField("worker", a.incarnation.info.ID).Info("goodbye of an earlier life passed over")
 		return
 	}
-	a.endLife(departure{})
-	a.notify()
+	a.endIncarnation(departure{})
+	a.notifyChanged()
 }
 
-func (a *Agent) notify() {
+func (a *Agent) notifyChanged() {
 	close(a.changed)
 	a.changed = make(chan struct{})
-	a.signal()
+	a.requestReport()
 }
 
 // current returns the present life, nil where there is none, and a channel that is
 // closed when that changes.
-func (a *Agent) current() (*life, <-chan struct{}) {
+func (a *Agent) current() (*incarnation, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.life, a.changed
+	return a.incarnation, a.changed
 }
--- a/nodeagent/config.go
+++ b/nodeagent/config.go
@@ -25,47 +25,47 @@
 }
 
 const (
-	// reportEvery is the heartbeat towards the planner. It is below half of the time
+	// reportInterval is the heartbeat towards the planner. It is below half of the time
 	// after which the planner gives no new work.
-	reportEvery = 500 * time.Millisecond
+	reportInterval = 500 * time.Millisecond
 	// reportTimeout bounds one report; the planner answers within milliseconds, or
 	// after its wait for the store.
 	reportTimeout = 900 * time.Millisecond
-	// findPause is the pause between two searches for the planner.
-	findPause = 80 * time.Millisecond
-	// lookWait is how long a look waits for an end. Each look renews the lease and
+	// plannerRetryDelay is the pause between two searches for the planner.
+	plannerRetryDelay = 80 * time.Millisecond
+	// pollWait is how long a look waits for an end. Each look renews the lease and
 	// shows progress.
-	lookWait = time.Second
-	// closeWait is the same while the planner wants to see closely how tasks that share
+	pollWait = time.Second
+	// shortPollWait is the same while the planner wants to see closely how tasks that share
 	// the worker do; workers' figures cover half a second.
-	closeWait = 400 * time.Millisecond
-	// lookSlack bounds how much longer than its wait a look may take.
-	lookSlack = 600 * time.Millisecond
-	// silentPause is the pause between looks at a worker that does not answer.
-	silentPause = 250 * time.Millisecond
-	// awaitedPause is the same for awaitedFor, where the worker may be back at any moment under
+	shortPollWait = 400 * time.Millisecond
+	// pollTimeoutMargin bounds how much longer than its wait a look may take.
+	pollTimeoutMargin = 600 * time.Millisecond
+	// unresponsivePollInterval is the pause between looks at a worker that does not answer.
+	unresponsivePollInterval = 250 * time.Millisecond
+	// restartPollInterval is the same for awaitedFor, where the worker may be back at any moment under
 	// its name: orders that are on their way must not find its next life before a look does.
-	awaitedPause = 10 * time.Millisecond
-	awaitedFor   = 3 * time.Second
-	// keepExtending is how long looks that get no answer still extend the worker's lease:
+	restartPollInterval = 10 * time.Millisecond
+	restartPollPeriod   = 3 * time.Second
+	// leaseExtensionPeriod is how long looks that get no answer still extend the worker's lease:
 	// some workers carry out what they don't answer, for about six seconds, which is as
 	// long as a lease. Where the worker is gone, its work starts elsewhere that much later.
-	keepExtending = 2 * time.Second
-	// repeatPause keeps a look that returns at once, since ends wait to be recorded,
+	leaseExtensionPeriod = 2 * time.Second
+	// minPollInterval keeps a look that returns at once, since ends wait to be recorded,
 	// from being repeated at full speed.
-	repeatPause = 25 * time.Millisecond
+	minPollInterval = 25 * time.Millisecond
 	// orderTimeout bounds one attempt of an order; a worker answers in a few
 	// milliseconds. Starts are idempotent and tried again.
 	orderTimeout  = 250 * time.Millisecond
 	startAttempts = 3
-	// leastGrant is how far the planner's last answer must reach for a start: an order
+	// minGrantForStart is how far the planner's last answer must reach for a start: an order
 	// can overtake the answer that follows a gap, and the run would lapse at once.
-	leastGrant = time.Second
-	// renewBelow is the rest of a lease from which a look in progress is not waited for.
-	renewBelow = 3 * time.Second
-	// hurryPause is the least time between two such looks out of turn: several times what
+	minGrantForStart = time.Second
+	// renewalThreshold is the rest of a lease from which a look in progress is not waited for.
+	renewalThreshold = 3 * time.Second
+	// minExtraPollInterval is the least time between two such looks out of turn: several times what
 	// a look takes.
-	hurryPause = 100 * time.Millisecond
-	// membersAfter is how long no known gateway may answer before the register is read.
-	membersAfter = 1500 * time.Millisecond
+	minExtraPollInterval = 100 * time.Millisecond
+	// registryReadDelay is how long no known gateway may answer before the register is read.
+	registryReadDelay = 1500 * time.Millisecond
 )
--- a/nodeagent/departure_test.go
+++ b/nodeagent/departure_test.go
@@ -23,7 +23,7 @@
 
 // A worker that crashed and one that said goodbye left the same line and the same report,
 // so that nobody could tell from outside, nor the planner, whether what ran there was lost.
-func TestCrashIsToldFromAGoodbye(t *testing.T) {
+func TestCrashReportedOnlyWithoutDepartureNotice(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		ends    func(a *Agent)
@@ -32,11 +32,11 @@
 		{"goodbye", func(a *Agent) { a.Leave("w1") }, false},
 		{"another life in its place", func(*Agent) {}, true},
 		{"another life in its place after it drained", func(a *Agent) {
-			a.refresh(Heartbeat{Info: engine.WorkerInfo{ID: "w1"}, Sequence: 2, Draining: true, Remaining: time.Second})
+			a.updateCurrent(Heartbeat{Info: engine.WorkerInfo{ID: "w1"}, Sequence: 2, Draining: true, Remaining: time.Second})
 		}, false},
 		{"goodbye, and a late heartbeat", func(a *Agent) {
 			a.Leave("w1")
-			a.refresh(Heartbeat{Info: engine.WorkerInfo{ID: "w1"}, Sequence: 2})
+			a.updateCurrent(Heartbeat{Info: engine.WorkerInfo{ID: "w1"}, Sequence: 2})
 		}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -46,13 +46,13 @@
 			w := &namedWorker{name: "w1"}
 			a := &Agent{
 				cfg: Config{ID: "agent", Worker: w}, log: log,
-				changed: make(chan struct{}), wake: make(chan struct{}, 1), ended: map[engine.WorkerID]bool{},
+				changed: make(chan struct{}), reportPending: make(chan struct{}, 1), endedIDs: map[engine.WorkerID]bool{},
 			}
 			c.Assert(a.Announce(context.Background(), Heartbeat{Info: engine.WorkerInfo{ID: "w1"}, Sequence: 1}), qt.IsNil)
 			tc.ends(a)
 			w.name = "w2"
 			c.Assert(a.Announce(context.Background(), Heartbeat{Info: engine.WorkerInfo{ID: "w2"}, Sequence: 1}), qt.IsNil)
-			told := a.reports()
+			told := a.pendingReports()
 			c.Assert(told, qt.HasLen, 2)
 			c.Check(told[0].Worker.ID, qt.Equals, engine.WorkerID("w1"))
 			c.Check(told[0].Terminated, qt.IsTrue)
@@ -64,21 +64,21 @@
 
 // What ran for a while on a worker did not crash it by its start; what had just started may
 // have. Only the agent can tell a planner that has just taken over.
-func TestCrashTellsWhatHadBeenAtWork(t *testing.T) {
+func TestCrashReportListsRunsPastStartup(t *testing.T) {
 	c := qt.New(t)
-	a := &Agent{log: logrus.New(), wake: make(chan struct{}, 1), ended: map[engine.WorkerID]bool{}}
-	l := newLife(engine.WorkerInfo{ID: "w"})
-	a.life = l
+	a := &Agent{log: logrus.New(), reportPending: make(chan struct{}, 1), endedIDs: map[engine.WorkerID]bool{}}
+	l := newIncarnation(engine.WorkerInfo{ID: "w"})
+	a.incarnation = l
 	run := func(n int) engine.RunStatus {
 		return engine.RunStatus{Run: workload.RunID{Task: workload.TaskID{Job: "j", Index: n}, Number: 1}}
 	}
 	over := engine.RunEnd{Sequence: 1, Run: run(3).Run, Reason: engine.EndDone}
 	at := time.Second
-	l.take(WorkerStatus{Clock: at, Running: []engine.RunStatus{run(1), run(3)}}, at, at, 0)
+	l.applyStatus(WorkerStatus{Clock: at, Running: []engine.RunStatus{run(1), run(3)}}, at, at, 0)
 	at += engine.StartupCrashWindow
-	l.take(WorkerStatus{Clock: at, Running: []engine.RunStatus{run(1), run(2)}, Ended: []engine.RunEnd{over}}, at, at, 0)
-	a.endLife(departure{crashed: true})
-	told := a.reports()[0]
+	l.applyStatus(WorkerStatus{Clock: at, Running: []engine.RunStatus{run(1), run(2)}, Ended: []engine.RunEnd{over}}, at, at, 0)
+	a.endIncarnation(departure{crashed: true})
+	told := a.pendingReports()[0]
 	c.Check(told.Polled, qt.IsTrue)
 	c.Check(told.Running, qt.DeepEquals, []engine.RunStatus{run(1)})
 	c.Check(told.Ended, qt.DeepEquals, []engine.RunEnd{over})
--- a/nodeagent/look.go
+++ b/nodeagent/look.go
@@ -9,8 +9,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// lookLoop looks at the worker again and again, which renews its lease.
-func (a *Agent) lookLoop() error {
+// pollLoop looks at the worker again and again, which renews its lease.
+func (a *Agent) pollLoop() error {
 	for a.tomb.Alive() {
 		l, changed := a.current()
 		if l == nil {
@@ -20,7 +20,7 @@
 			}
 			continue
 		}
-		pause := a.look(l, a.lookWait(l))
+		pause := a.poll(l, a.pollWait(l))
 		if pause > 0 {
 			select {
 			case <-time.After(pause):
@@ -31,109 +31,109 @@
 	return nil
 }
 
-// lookWait returns how long the next look may wait for an end.
-func (a *Agent) lookWait(l *life) time.Duration {
+// pollWait returns how long the next look may wait for an end.
+func (a *Agent) pollWait(l *incarnation) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if l.closely {
-		return closeWait
+	if l.pollOften {
+		return shortPollWait
 	}
-	return lookWait
+	return pollWait
 }
 
-// look makes one look and returns how long to wait before the next.
-func (a *Agent) look(l *life, wait time.Duration) time.Duration {
-	pause, _ := a.tryLook(l, wait) // what failed is noted of the life
+// poll makes one poll and returns how long to wait before the next.
+func (a *Agent) poll(l *incarnation, wait time.Duration) time.Duration {
+	pause, _ := a.tryPoll(l, wait) // what failed is noted of the life
 	return pause
 }
 
-// errLifeOver: the life that was looked at is not the present one any more.
-var errLifeOver = eris.New("the life is over")
+// errIncarnationEnded: the life that was looked at is not the present one any more.
+var errIncarnationEnded = eris.New("the life is over")
 
-// tryLook makes one look. The error says why it tells nothing of l.
-func (a *Agent) tryLook(l *life, wait time.Duration) (pause time.Duration, err error) {
-	a.counts.Looks.Add(1)
-	o, seen, wait, before := a.lookOrder(l, wait)
+// tryPoll makes one look. The error says why it tells nothing of l.
+func (a *Agent) tryPoll(l *incarnation, wait time.Duration) (pause time.Duration, err error) {
+	a.counters.Looks.Add(1)
+	o, seen, wait, before := a.preparePoll(l, wait)
 	sent := now()
-	ctx, cancel := context.WithTimeout(a.tomb.Context(context.Background()), wait+lookSlack)
+	ctx, cancel := context.WithTimeout(a.tomb.Context(context.Background()), wait+pollTimeoutMargin)
 	defer cancel()
 	look, err := a.cfg.Worker.Poll(ctx, o, seen, wait)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.life != l {
-		return 0, errLifeOver
+	if a.incarnation != l {
+		return 0, errIncarnationEnded
 	}
 	if err != nil {
-		return a.lookFailed(l, err), err
+		return a.handlePollError(l, err), err
 	}
 	waited := now() - sent
-	l.fenced = l.fenced.Max(o.Fence)
-	l.acknowledged = max(l.acknowledged, seen)
-	clock := l.clock
-	a.notePassedOver(l, look, clock, l.take(look, sent, now(), before))
-	a.signal()
-	if (len(look.Ended) > 0 || l.lapsing(now())) && waited < repeatPause {
-		return repeatPause, nil
+	l.confirmedFence = l.confirmedFence.Max(o.Fence)
+	l.ackedEnds = max(l.ackedEnds, seen)
+	clock := l.workerClock
+	a.noteStaleAnswer(l, look, clock, l.applyStatus(look, sent, now(), before))
+	a.requestReport()
+	if (len(look.Ended) > 0 || l.leaseMayHaveExpired(now())) && waited < minPollInterval {
+		return minPollInterval, nil
 	}
 	return 0, nil
 }
 
-// lookOrder returns the order of the next look. Once the worker has not answered for
+// preparePoll returns the order of the next look. Once the worker has not answered for
 // keepExtending, nothing extends its lease, so that it is certain when it lapses.
-func (a *Agent) lookOrder(l *life, wait time.Duration) (o OrderHeader, seen int64, w, before time.Duration) {
+func (a *Agent) preparePoll(l *incarnation, wait time.Duration) (o OrderHeader, seen int64, w, before time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	o = OrderHeader{Worker: l.info.ID, Fence: l.fence}
 	before = l.leaseEnd
-	lapsing := l.lapsing(now())
-	if !lapsing && l.extending(now()) {
-		o.LeaseEnd = l.until(a.granted)
+	lapsing := l.leaseMayHaveExpired(now())
+	if !lapsing && l.mayExtendLease(now()) {
+		o.LeaseEnd = l.workerTime(a.grantedUntil)
 	}
 	if o.LeaseEnd > 0 {
-		l.extend(a.granted)
+		l.extendLease(a.grantedUntil)
 	}
-	if l.failing || !l.known || l.fenced.Compare(l.fence) < 0 || lapsing {
+	if l.unresponsive || !l.polled || l.confirmedFence.Compare(l.fence) < 0 || lapsing {
 		wait = 0
 	}
-	return o, l.acknowledge(), wait, before
+	return o, l.nextAck(), wait, before
 }
 
-func (a *Agent) lookFailed(l *life, err error) time.Duration {
-	a.counts.LooksFailed.Add(1)
+func (a *Agent) handlePollError(l *incarnation, err error) time.Duration {
+	a.counters.LooksFailed.Add(1)
 	if errors.Is(err, ErrOtherIncarnation) {
 		a.log.WithField("worker", l.info.ID).WithError(err).Info("the worker answers as another life")
-		a.endLifeUnannounced(errors.Is(err, ErrSuperseded))
-		a.notify()
+		a.endUnannounced(errors.Is(err, ErrSuperseded))
+		a.notifyChanged()
 		return 0
 	}
 	if errors.Is(err, ErrFenced) {
 		a.log.WithField("worker", l.info.ID).WithField("fence", l.fence).Warn("the worker has seen a higher fence")
-		l.overtake()
-		return silentPause
+		l.raiseRefusedFence()
+		return unresponsivePollInterval
 	}
 	at := now()
-	if !l.failing {
-		a.log.WithField("worker", l.info.ID).WithField("acknowledged", l.acknowledged).WithError(err).Warn("worker does not answer")
-		l.fail(at)
+	if !l.unresponsive {
+		a.log.WithField("worker", l.info.ID).WithField("acknowledged", l.ackedEnds).WithError(err).Warn("worker does not answer")
+		l.markUnresponsive(at)
 	}
-	if at-l.failureTold >= silentPause {
-		l.failureTold = at
-		a.signal()
+	if at-l.failureReportedAt >= unresponsivePollInterval {
+		l.failureReportedAt = at
+		a.requestReport()
 	}
-	return l.silentPause(at)
+	return l.unresponsivePollInterval(at)
 }
 
-// notePassedOver counts answers that were passed over since the worker's clock was further in
+// noteStaleAnswer counts answers that were passed over since the worker's clock was further in
 // an earlier one, and tells of the first in a row. The mutex is held.
-func (a *Agent) notePassedOver(l *life, look WorkerStatus, clock time.Duration, taken bool) {
+func (a *Agent) noteStaleAnswer(l *incarnation, look WorkerStatus, clock time.Duration, taken bool) {
 	if !taken {
-		a.counts.LooksPassedOver.Add(1)
+		a.counters.LooksPassedOver.Add(1)
 	}
-	if !taken && !l.passedOver {
+	if !taken && !l.lastAnswerStale {
 		a.log.WithFields(logrus.Fields{
 			"worker": l.info.ID, "clock_ms": look.Clock.Milliseconds(), "before_ms": clock.Milliseconds(),
-			"ends": len(look.Ended), "acknowledged": l.acknowledged,
+			"ends": len(look.Ended), "acknowledged": l.ackedEnds,
 		}).Info("worker's answer passed over")
 	}
-	l.passedOver = !taken
+	l.lastAnswerStale = !taken
 }
--- a/nodeagent/newer_test.go
+++ b/nodeagent/newer_test.go
@@ -11,8 +11,8 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// listen opens an endpoint on loopback.
-func listen(t *testing.T, name string, role wire.Role, handle wire.HandlerFunc) *wire.Endpoint {
+// listenLoopback opens an endpoint on loopback.
+func listenLoopback(t *testing.T, name string, role wire.Role, handle wire.HandlerFunc) *wire.Endpoint {
 	id, err := wire.NewIdentity(wire.Peer{ID: name, Role: role, Region: "r", Zone: "z"}, []byte("a key for tests only"))
 	qt.Assert(t, err, qt.IsNil)
 	e, err := wire.Listen("127.0.0.1:0", id, handle)
@@ -24,24 +24,24 @@
 // The planner's machine loses power while a report is on its way to it. Its successor can
 // place nothing on the worker before it has a report, so the agent must not wait for the
 // timeout of the first: it gives it up as soon as another gateway names the successor.
-func TestReportIsGivenUpForANewerPlanner(t *testing.T) {
+func TestReportAbandonedForNewerPlanner(t *testing.T) {
 	c := qt.New(t)
-	dead := listen(t, "dead", wire.RoleEntry, func(ctx context.Context, _ *wire.Conn, msg any) (any, error) {
+	dead := listenLoopback(t, "dead", wire.RoleEntry, func(ctx context.Context, _ *wire.Conn, msg any) (any, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	})
 	var successor string
-	next := listen(t, "next", wire.RoleEntry, func(_ context.Context, _ *wire.Conn, msg any) (any, error) {
+	next := listenLoopback(t, "next", wire.RoleEntry, func(_ context.Context, _ *wire.Conn, msg any) (any, error) {
 		return &link.PeerReply{Epoch: 2, Planner: successor}, nil
 	})
 	successor = next.Addr()
-	own := listen(t, "agent", wire.RoleAgent, nil)
+	own := listenLoopback(t, "agent", wire.RoleAgent, nil)
 	pool := wire.NewPool(own)
 	defer pool.Close()
 
-	f := testFinder()
-	f.pool, f.members = pool, []string{dead.Addr(), next.Addr()}
-	c.Assert(f.take(&link.PeerReply{Planner: dead.Addr(), Epoch: 1}), qt.IsTrue)
+	f := newTestFinder()
+	f.pool, f.gateways = pool, []string{dead.Addr(), next.Addr()}
+	c.Assert(f.accept(&link.PeerReply{Planner: dead.Addr(), Epoch: 1}), qt.IsTrue)
 	a := &Agent{pool: pool, finder: f}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
--- a/nodeagent/orders.go
+++ b/nodeagent/orders.go
@@ -23,12 +23,12 @@
 	if err != nil {
 		return nil, wire.NotRun(err)
 	}
-	return a.carryOut(orders, starts), nil
+	return a.execute(orders, starts), nil
 }
 
-// carryOut carries out all orders at once. It goes on when the planner gives up: an
+// execute carries out all orders at once. It goes on when the planner gives up: an
 // order that is half done is settled by the planner's next ones.
-func (a *Agent) carryOut(orders *link.Orders, starts []engine.StartOrder) *link.OrdersReply {
+func (a *Agent) execute(orders *link.Orders, starts []engine.StartOrder) *link.OrdersReply {
 	reply := &link.OrdersReply{Starts: make([]engine.StartResult, len(starts))}
 	o, l, outcome := a.admit(orders)
 	var wg sync.WaitGroup
@@ -44,33 +44,33 @@
 		}
 	}
 	wg.Wait()
-	reply.Paces = a.pace(o, l, orders.Paces)
+	reply.Paces = a.setPaces(o, l, orders.Paces)
 	if l != nil && len(orders.Stops) > 0 {
-		go a.look(l, 0)
+		go a.poll(l, 0)
 	}
 	return reply
 }
 
-// pace sets speeds, of runs that may just have been started.
-func (a *Agent) pace(o OrderHeader, l *life, orders []engine.PaceOrder) []engine.PaceResult {
+// setPaces sets speeds, of runs that may just have been started.
+func (a *Agent) setPaces(o OrderHeader, l *incarnation, orders []engine.PaceOrder) []engine.PaceResult {
 	results := make([]engine.PaceResult, len(orders))
 	var wg sync.WaitGroup
 	for i, p := range orders {
 		results[i].PaceOrder = p
 		if l != nil {
-			wg.Go(func() { results[i].Applied = a.paceOne(o, p) })
+			wg.Go(func() { results[i].Applied = a.setPace(o, p) })
 		}
 	}
 	wg.Wait()
 	return results
 }
 
-func (a *Agent) paceOne(o OrderHeader, p engine.PaceOrder) bool {
-	a.counts.Paces.Add(1)
+func (a *Agent) setPace(o OrderHeader, p engine.PaceOrder) bool {
+	a.counters.Paces.Add(1)
 	ctx, cancel := context.WithTimeout(a.tomb.Context(context.Background()), orderTimeout)
 	defer cancel()
 	if err := a.cfg.Worker.Pace(ctx, o, p); err != nil {
-		a.counts.PacesUnknown.Add(1)
+		a.counters.PacesUnknown.Add(1)
 		return false
 	}
 	return true
@@ -78,38 +78,38 @@
 
 // admit checks whether orders are for the present life and of the newest planner. The
 // outcome is StartOK where starts may go on.
-func (a *Agent) admit(orders *link.Orders) (OrderHeader, *life, engine.StartOutcome) {
+func (a *Agent) admit(orders *link.Orders) (OrderHeader, *incarnation, engine.StartOutcome) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if orders.Epoch < a.epoch {
 		return OrderHeader{}, nil, engine.StartFenced
 	}
 	a.raiseEpoch(orders.Epoch)
-	l := a.life
+	l := a.incarnation
 	if l == nil || l.info.ID != orders.Worker {
 		return OrderHeader{}, nil, engine.StartNotDelivered
 	}
-	o := OrderHeader{Worker: l.info.ID, Fence: l.fence, LeaseEnd: l.until(a.granted)}
+	o := OrderHeader{Worker: l.info.ID, Fence: l.fence, LeaseEnd: l.workerTime(a.grantedUntil)}
 	switch {
 	case l.draining:
 		return o, l, engine.StartDraining
-	case a.cordon.bars(orders.CordonsAt):
-		a.counts.StartsCordoned.Add(int64(len(orders.Starts)))
+	case a.cordon.refuses(orders.CordonsAt):
+		a.counters.StartsCordoned.Add(int64(len(orders.Starts)))
 		return o, l, engine.StartCordoned
-	case o.LeaseEnd == 0 || l.failing || l.lapsing(now()) || a.granted-now() < leastGrant:
+	case o.LeaseEnd == 0 || l.unresponsive || l.leaseMayHaveExpired(now()) || a.grantedUntil-now() < minGrantForStart:
 		return o, l, engine.StartNotDelivered
 	}
-	l.extend(a.granted)
+	l.extendLease(a.grantedUntil)
 	return o, l, engine.StartOK
 }
 
 // start tries a start until the worker answers. One that never does is unknown; cordonsAt is
 // up to where the planner knew the cordons.
 func (a *Agent) start(o OrderHeader, cordonsAt int64, s engine.StartOrder) engine.StartOutcome {
-	a.counts.Starts.Add(1)
+	a.counters.Starts.Add(1)
 	outcome := engine.StartUnknown
 	for attempt := range startAttempts {
-		if attempt > 0 && a.barred(cordonsAt) {
+		if attempt > 0 && a.startsRefused(cordonsAt) {
 			break // the earlier attempt may have been carried out
 		}
 		ctx, cancel := context.WithTimeout(a.tomb.Context(context.Background()), orderTimeout)
@@ -129,16 +129,16 @@
 	switch outcome {
 	case engine.StartOK:
 	case engine.StartUnknown:
-		a.counts.StartsUnknown.Add(1)
+		a.counters.StartsUnknown.Add(1)
 	default:
-		a.counts.StartsRefused.Add(1)
+		a.counters.StartsRefused.Add(1)
 	}
 	return outcome
 }
 
 // stop stops a run. Where the worker does not confirm it, the planner asks again.
-func (a *Agent) stop(o OrderHeader, l *life, run workload.RunID) {
-	a.counts.Stops.Add(1)
+func (a *Agent) stop(o OrderHeader, l *incarnation, run workload.RunID) {
+	a.counters.Stops.Add(1)
 	ctx, cancel := context.WithTimeout(a.tomb.Context(context.Background()), orderTimeout)
 	defer cancel()
 	err := a.cfg.Worker.Stop(ctx, o, run)
@@ -146,10 +146,10 @@
 		return // the next look finds out
 	}
 	if err != nil {
-		a.counts.StopsUnknown.Add(1)
+		a.counters.StopsUnknown.Add(1)
 		return
 	}
 	a.mu.Lock()
-	l.stopped[run] = now()
+	l.confirmedStops[run] = now()
 	a.mu.Unlock()
 }
--- a/nodeagent/report.go
+++ b/nodeagent/report.go
@@ -11,58 +11,58 @@
 // reportLoop reports to the planner, whenever there is something new and at least every
 // reportEvery.
 func (a *Agent) reportLoop() error {
-	timer := time.NewTimer(reportEvery)
+	timer := time.NewTimer(reportInterval)
 	defer timer.Stop()
 	for a.tomb.Alive() {
 		select {
-		case <-a.wake:
+		case <-a.reportPending:
 		case <-timer.C:
 		case <-a.tomb.Dying():
 			return nil
 		}
-		a.reportAll()
-		timer.Reset(reportEvery)
+		a.sendReports()
+		timer.Reset(reportInterval)
 	}
 	return nil
 }
 
-func (a *Agent) reportAll() {
-	for _, r := range a.reports() {
-		reply, sent, ok := a.send(r)
+func (a *Agent) sendReports() {
+	for _, r := range a.pendingReports() {
+		reply, sent, ok := a.sendReport(r)
 		if !ok {
-			a.counts.ReportsFailed.Add(1)
+			a.counters.ReportsFailed.Add(1)
 			a.retryReport()
 			return
 		}
-		a.answered(r, reply, sent)
+		a.handleReply(r, reply, sent)
 	}
 }
 
 // retryReport makes the loop try again soon.
 func (a *Agent) retryReport() {
 	select {
-	case <-time.After(findPause):
+	case <-time.After(plannerRetryDelay):
 	case <-a.tomb.Dying():
 	}
-	a.signal()
+	a.requestReport()
 }
 
-// reports returns what is to be said: of lives that are over, and of the present one.
-func (a *Agent) reports() []engine.Report {
+// pendingReports returns what is to be said: of lives that are over, and of the present one.
+func (a *Agent) pendingReports() []engine.Report {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var out []engine.Report
-	for _, d := range a.left {
-		out = append(out, engine.Report{Worker: d.info, Terminated: true, Crashed: d.crashed, Superseded: d.superseded, Polled: d.looked, Running: d.proven, Ended: d.over})
+	for _, d := range a.departures {
+		out = append(out, engine.Report{Worker: d.info, Terminated: true, Crashed: d.crashed, Superseded: d.superseded, Polled: d.polled, Running: d.pastStartup, Ended: d.ended})
 	}
-	if a.life != nil {
-		out = append(out, a.life.report(now(), a.epoch))
+	if a.incarnation != nil {
+		out = append(out, a.incarnation.report(now(), a.epoch))
 	}
 	return out
 }
 
-func (a *Agent) send(r engine.Report) (*link.ReportReply, time.Duration, bool) {
-	a.counts.Reports.Add(1)
+func (a *Agent) sendReport(r engine.Report) (*link.ReportReply, time.Duration, bool) {
+	a.counters.Reports.Add(1)
 	ctx, cancel := context.WithTimeout(a.tomb.Context(context.Background()), reportTimeout)
 	defer cancel()
 	planner, ok := a.finder.locate(ctx)
@@ -72,15 +72,15 @@
 	sent := now()
 	raw, err := a.callPlanner(ctx, planner, &link.Report{Report: r})
 	if err != nil {
-		a.finder.failed(planner, err)
+		a.finder.markFailed(planner, err)
 		return nil, 0, false
 	}
 	reply, ok := raw.(*link.ReportReply)
 	if !ok {
-		a.finder.failed(planner, nil)
+		a.finder.markFailed(planner, nil)
 		return nil, 0, false
 	}
-	a.finder.learn(reply.Members)
+	a.finder.addGateways(reply.Members)
 	if reply.Epoch == 0 {
 		a.finder.redirect(planner, reply.Planner)
 		return nil, 0, false
@@ -95,63 +95,63 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
-		if a.finder.awaitNewer(ctx) {
+		if a.finder.awaitNewerPlanner(ctx) {
 			cancel()
 		}
 	}()
 	return a.pool.Call(ctx, planner, msg)
 }
 
-// answered takes the planner's answer to a report that was sent at time sent.
-func (a *Agent) answered(r engine.Report, reply *link.ReportReply, sent time.Duration) {
+// handleReply takes the planner's answer to a report that was sent at time sent.
+func (a *Agent) handleReply(r engine.Report, reply *link.ReportReply, sent time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.cordon.learn(reply.Cordoned, reply.CordonsAt)
+	a.cordon.update(reply.Cordoned, reply.CordonsAt)
 	if reply.Epoch < a.epoch {
-		a.finder.stale(reply.Epoch)
+		a.finder.rejectEpoch(reply.Epoch)
 		return
 	}
 	if reply.Epoch > a.epoch {
 		a.log.WithField("epoch", reply.Epoch).WithField("before", a.epoch).Info("planner taken up")
 		a.raiseEpoch(reply.Epoch)
-		a.interrupt()
+		a.pollNow()
 	}
 	if r.Terminated {
-		a.left = a.left[1:]
+		a.departures = a.departures[1:]
 		return
 	}
-	l := a.life
+	l := a.incarnation
 	if l == nil || l.info.ID != r.Worker.ID {
 		return
 	}
-	l.reported(r)
-	if l.raise(engine.Fence{Epoch: reply.Epoch, Generation: reply.Turn}) {
-		a.interrupt() // only a look under that fence counts
+	l.clearReported(r)
+	if l.raiseFence(engine.Fence{Epoch: reply.Epoch, Generation: reply.Turn}) {
+		a.pollNow() // only a look under that fence counts
 	}
-	l.closely = reply.Closely
+	l.pollOften = reply.Closely
 	if reply.Attached {
-		a.granted = max(a.granted, sent+a.cfg.MaxLease)
-		if l.hurry(now()) {
-			a.interrupt() // after a gap; a look that waits would come too late
+		a.grantedUntil = max(a.grantedUntil, sent+a.cfg.MaxLease)
+		if l.claimExtraPoll(now()) {
+			a.pollNow() // after a gap; a look that waits would come too late
 		}
 	}
-	if reply.Seen > l.seen {
-		l.seen = reply.Seen
+	if reply.Seen > l.recordedEnds {
+		l.recordedEnds = reply.Seen
 	}
 }
 
-// interrupt makes a look at once, beside the present one, which may wait for a second
+// pollNow makes a look at once, beside the present one, which may wait for a second
 // more. The mutex is held.
-func (a *Agent) interrupt() {
-	if l := a.life; l != nil {
-		go a.look(l, 0)
+func (a *Agent) pollNow() {
+	if l := a.incarnation; l != nil {
+		go a.poll(l, 0)
 	}
 }
 
 // raiseEpoch notes a planner's epoch. The mutex is held.
 func (a *Agent) raiseEpoch(epoch uint64) {
 	a.epoch = max(a.epoch, epoch)
-	if a.life != nil {
-		a.life.raise(engine.Fence{Epoch: a.epoch})
+	if a.incarnation != nil {
+		a.incarnation.raiseFence(engine.Fence{Epoch: a.epoch})
 	}
 }
--- a/nodeagent/room_test.go
+++ b/nodeagent/room_test.go
@@ -13,19 +13,19 @@
 // A worker's room shrinks while it runs, and its heartbeats say so. The agent kept what the
 // first heartbeat had said, so that no planner ever heard of it. A heartbeat that was held up
 // on its way changes nothing.
-func TestHeartbeatsTellOfChangedRoom(t *testing.T) {
+func TestHeartbeatUpdatesCapacity(t *testing.T) {
 	c := qt.New(t)
-	a := &Agent{log: logrus.New(), wake: make(chan struct{}, 1), ended: map[engine.WorkerID]bool{}}
+	a := &Agent{log: logrus.New(), reportPending: make(chan struct{}, 1), endedIDs: map[engine.WorkerID]bool{}}
 	said := func(sequence int64, accelerators int) Heartbeat {
 		return Heartbeat{Sequence: sequence, Info: engine.WorkerInfo{ID: "w", Capacity: workload.Resources{Accelerators: accelerators}}}
 	}
-	a.life = newLife(said(1, 8).Info)
-	a.life.sequence = 1
+	a.incarnation = newIncarnation(said(1, 8).Info)
+	a.incarnation.sequence = 1
 	for _, step := range []struct {
 		sequence           int64
 		accelerators, told int
 	}{{3, 4, 4}, {2, 8, 4}, {4, 8, 8}} {
-		c.Assert(a.refresh(said(step.sequence, step.accelerators)), qt.IsTrue)
-		c.Check(a.reports()[0].Worker.Capacity.Accelerators, qt.Equals, step.told)
+		c.Assert(a.updateCurrent(said(step.sequence, step.accelerators)), qt.IsTrue)
+		c.Check(a.pendingReports()[0].Worker.Capacity.Accelerators, qt.Equals, step.told)
 	}
 }
--- a/records/ended_test.go
+++ b/records/ended_test.go
@@ -16,16 +16,16 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// closed puts a job on record that was cancelled and closed, and returns its ledger.
-func closed(c *qt.C, kv *platform.KVStore, id workload.JobID) *records.PlannerStore {
+// archivedJob puts a job on record that was cancelled and archivedJob, and returns its ledger.
+func archivedJob(c *qt.C, kv *platform.KVStore, id workload.JobID) *records.PlannerStore {
 	ctx := context.Background()
 	intake := records.NewJobStore(kv)
-	_, order := intake.Submit(ctx, aJob(id))
+	_, order := intake.Submit(ctx, newJob(id))
 	c.Assert(intake.Cancel(ctx, "q", id), qt.Equals, link.OutcomeStored)
-	l := ledger(c, kv)
+	l := newPlannerStore(c, kv)
 	state, err := l.Load(ctx, wall)
 	c.Assert(err, qt.IsNil)
-	c.Assert(l.Write(ctx, progress(id, 1, workload.Cancelled)), qt.IsNil)
+	c.Assert(l.Write(ctx, progressWrite(id, 1, workload.Cancelled)), qt.IsNil)
 	c.Assert(l.Write(ctx, engine.Write{EndedJobs: []engine.EndedJob{{
 		ID: id, Revision: int64(order), CancelRevision: state.Jobs[0].CancelRevision,
 		Outcome: engine.JobOutcome{Epoch: 1, Queue: "q", Account: "a", State: workload.Cancelled, EndedAt: wall.Add(-time.Minute)},
@@ -33,9 +33,9 @@
 	return l
 }
 
-func TestEndedJobLeavesItsOutcomeAndThenNothing(t *testing.T) {
-	c, srv, kv := open(t)
-	l := closed(c, kv, "j1")
+func TestArchivedJobKeepsOutcomeUntilExpired(t *testing.T) {
+	c, srv, kv := openStore(t)
+	l := archivedJob(c, kv, "j1")
 	c.Check(srv.Keys("workloads/"), qt.DeepEquals, []string{"workloads/ended/j1"})
 	forgotten := engine.Write{ForgottenJobs: []engine.ExpiredJob{{ID: "j1"}}}
 	c.Assert(l.Write(context.Background(), forgotten), qt.IsNil)
@@ -44,13 +44,13 @@
 
 // A successor reads the work that is left without the outcomes, then the outcomes, and
 // removes one that it did not write.
-func TestOutcomesAreReadApart(t *testing.T) {
-	c, srv, kv := open(t)
+func TestOutcomesLoadedSeparately(t *testing.T) {
+	c, srv, kv := openStore(t)
 	ctx := context.Background()
-	closed(c, kv, "j1")
-	accept(c, records.NewJobStore(kv), "j2")
+	archivedJob(c, kv, "j1")
+	submit(c, records.NewJobStore(kv), "j2")
 	srv.Put("workloads/ended/bytes", []byte{0xff})
-	l := ledger(c, kv)
+	l := newPlannerStore(c, kv)
 	state, err := l.Load(ctx, wall)
 	c.Assert(err, qt.IsNil)
 	c.Assert(state.Jobs, qt.HasLen, 1)
@@ -68,15 +68,15 @@
 
 // A caller's submission is repeated on its way and arrives after its job has ended: it finds
 // the first and does not run again. Another's job of that name is told apart.
-func TestRepeatedSubmissionFindsTheOutcome(t *testing.T) {
-	c, srv, kv := open(t)
+func TestResubmissionFindsOutcome(t *testing.T) {
+	c, srv, kv := openStore(t)
 	ctx := context.Background()
-	closed(c, kv, "j1")
+	archivedJob(c, kv, "j1")
 	intake := records.NewJobStore(kv)
-	outcome, at := intake.Submit(ctx, aJob("j1"))
+	outcome, at := intake.Submit(ctx, newJob("j1"))
 	c.Check(outcome, qt.Equals, link.OutcomeStored)
 	c.Check(at, qt.Equals, store.Revision(0))
-	other := aJob("j1")
+	other := newJob("j1")
 	other.Account = "another"
 	outcome, _ = intake.Submit(ctx, other)
 	c.Check(outcome, qt.Equals, link.OutcomeMismatch)
@@ -85,24 +85,24 @@
 
 // The write of a submission is on its way for half a second; its repetition is carried out
 // at once, the job runs, ends and is closed. The first must not bring the job back.
-func TestLateSubmissionDoesNotBringAClosedJobBack(t *testing.T) {
-	c, srv, kv := open(t)
+func TestDelayedSubmissionDoesNotRecreateArchivedJob(t *testing.T) {
+	c, srv, kv := openStore(t)
 	const late = 500 * time.Millisecond
 	srv.SetFaults(standin.StoreFaults{LateWrites: late})
 	ctx, cancel := context.WithTimeout(context.Background(), late/2)
-	outcome, _ := records.NewJobStore(kv).Submit(ctx, aJob("j1"))
+	outcome, _ := records.NewJobStore(kv).Submit(ctx, newJob("j1"))
 	cancel()
 	c.Assert(outcome, qt.Equals, link.OutcomeUnknown)
 	srv.SetFaults(standin.StoreFaults{})
-	closed(c, kv, "j1")
+	archivedJob(c, kv, "j1")
 	time.Sleep(2 * late)
 	c.Check(srv.Keys("workloads/"), qt.DeepEquals, []string{"workloads/ended/j1"})
 }
 
-func TestEndedJobIsKnownToCallers(t *testing.T) {
-	c, srv, kv := open(t)
+func TestArchivedJobVisibleToCallers(t *testing.T) {
+	c, srv, kv := openStore(t)
 	ctx := context.Background()
-	closed(c, kv, "j1")
+	archivedJob(c, kv, "j1")
 	intake := records.NewJobStore(kv)
 	found, ok, err := intake.Lookup(ctx, "j1")
 	c.Assert(err, qt.IsNil)
--- a/records/intake.go
+++ b/records/intake.go
@@ -13,8 +13,8 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// settlePause is the pause between attempts to learn what became of a write.
-const settlePause = 30 * time.Millisecond
+// resolveRetryDelay is the pause between attempts to learn what became of a write.
+const resolveRetryDelay = 30 * time.Millisecond
 
 // JobStore writes what callers ask for. It is safe for concurrent use.
 type JobStore struct {
@@ -35,26 +35,26 @@
 	if err != nil {
 		return link.OutcomeNotDone, 0
 	}
-	first, known, err := i.probe(ctx, jobKey(j.ID))
+	first, known, err := i.readBeforeWrite(ctx, jobKey(j.ID))
 	if err != nil {
 		return link.OutcomeNotDone, 0
 	}
 	if known {
-		return repeated(j, first), first.Created
+		return checkResubmission(j, first), first.Created
 	}
 	open := store.Condition{Key: endedKey(j.ID)}
 	outcome, revision, current := i.create(ctx, open, store.Swap{Key: jobKey(j.ID), Value: value})
-	if first, ended := find(current, endedKey(j.ID)); ended {
-		return repeated(j, first), 0
+	if first, ended := findExisting(current, endedKey(j.ID)); ended {
+		return checkResubmission(j, first), 0
 	}
-	if first, known := find(current, jobKey(j.ID)); known {
-		return repeated(j, first), first.Created
+	if first, known := findExisting(current, jobKey(j.ID)); known {
+		return checkResubmission(j, first), first.Created
 	}
 	return outcome, revision
 }
 
-// find returns a key that exists among those of a commit that did not hold.
-func find(current []store.KeyValue, key string) (store.KeyValue, bool) {
+// findExisting returns a key that exists among those of a commit that did not hold.
+func findExisting(current []store.KeyValue, key string) (store.KeyValue, bool) {
 	for _, kv := range current {
 		if kv.Key == key && kv.Mod != 0 {
 			return kv, true
@@ -63,19 +63,19 @@
 	return store.KeyValue{}, false
 }
 
-// probe reads the key before it is written. Where the store is out, a write that was
+// readBeforeWrite reads the key before it is written. Where the store is out, a write that was
 // sent leaves its outcome unknown, and the caller can neither be told that it was
 // accepted nor that it was not; a question that gets no answer has changed nothing, so
 // the caller can be refused in truth, at once.
-func (i *JobStore) probe(ctx context.Context, key string) (store.KeyValue, bool, error) {
+func (i *JobStore) readBeforeWrite(ctx context.Context, key string) (store.KeyValue, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	return i.store.Get(ctx, key)
 }
 
-// repeated judges a submission whose id is on record already, as a job or as its outcome,
+// checkResubmission judges a submission whose id is on record already, as a job or as its outcome,
 // which have the fields that matter in common.
-func repeated(j *workload.Job, kv store.KeyValue) link.Outcome {
+func checkResubmission(j *workload.Job, kv store.KeyValue) link.Outcome {
 	var first struct {
 		Queue   string `json:"queue"`
 		Account string `json:"account"`
@@ -98,7 +98,7 @@
 		switch {
 		case err == nil && out.Committed:
 			return link.OutcomeStored, out.Revision, nil
-		case err == nil && refused(out.Current, while, s):
+		case err == nil && createPrecluded(out.Current, while, s):
 			return link.OutcomeNotDone, 0, out.Current
 		case err == nil:
 			// Not committed although both keys are as they should be: that changed meanwhile.
@@ -108,7 +108,7 @@
 			return link.OutcomeNotDone, 0, nil
 		}
 		select {
-		case <-time.After(settlePause):
+		case <-time.After(resolveRetryDelay):
 		case <-ctx.Done():
 		}
 		if ctx.Err() != nil {
@@ -117,9 +117,9 @@
 	}
 }
 
-// refused says whether a creation did not hold as the keys are: there is one, or the other
+// createPrecluded says whether a creation did not hold as the keys are: there is one, or the other
 // is not as it has to be.
-func refused(current []store.KeyValue, while store.Condition, s store.Swap) bool {
+func createPrecluded(current []store.KeyValue, while store.Condition, s store.Swap) bool {
 	for _, kv := range current {
 		if kv.Key == s.Key && kv.Mod != 0 || kv.Key == while.Key && kv.Mod != while.Revision {
 			return true
@@ -137,7 +137,7 @@
 			return link.OutcomeNotDone
 		}
 		if !ok {
-			return i.cancelEnded(ctx, queue, id)
+			return i.cancelArchived(ctx, queue, id)
 		}
 		var j workload.Job
 		if err := json.Unmarshal(kv.Value, &j); err != nil || j.Queue != queue {
@@ -145,7 +145,7 @@
 		}
 		while := store.Condition{Key: jobKey(id), Revision: kv.Mod}
 		outcome, _, current := i.create(ctx, while, store.Swap{Key: cancelKey(id), Value: []byte("1")})
-		if _, before := find(current, cancelKey(id)); before {
+		if _, before := findExisting(current, cancelKey(id)); before {
 			return link.OutcomeStored
 		}
 		if current == nil {
@@ -155,9 +155,9 @@
 	}
 }
 
-// cancelEnded answers a cancellation of a job that has no record as a job.
-func (i *JobStore) cancelEnded(ctx context.Context, queue string, id workload.JobID) link.Outcome {
-	o, ok, err := i.outcome(ctx, id)
+// cancelArchived answers a cancellation of a job that has no record as a job.
+func (i *JobStore) cancelArchived(ctx context.Context, queue string, id workload.JobID) link.Outcome {
+	o, ok, err := i.readOutcome(ctx, id)
 	switch {
 	case err != nil:
 		return link.OutcomeNotDone
@@ -167,8 +167,8 @@
 	return link.OutcomeStored
 }
 
-// outcome reads what a job came to, and false where none is on record.
-func (i *JobStore) outcome(ctx context.Context, id workload.JobID) (engine.JobOutcome, bool, error) {
+// readOutcome reads what a job came to, and false where none is on record.
+func (i *JobStore) readOutcome(ctx context.Context, id workload.JobID) (engine.JobOutcome, bool, error) {
 	kv, ok, err := i.store.Get(ctx, endedKey(id))
 	if err != nil || !ok {
 		return engine.JobOutcome{}, false, err
@@ -185,11 +185,11 @@
 // The outcome is read after the others: records that are replaced by it while they are read
 // would else look like those of a job that has not begun.
 func (i *JobStore) Lookup(ctx context.Context, id workload.JobID) (engine.JobStatus, bool, error) {
-	out, open, err := i.lookupOpen(ctx, id)
+	out, open, err := i.lookupActive(ctx, id)
 	if err != nil || open && out.State != workload.Queued {
 		return out, open, err
 	}
-	o, ended, err := i.outcome(ctx, id)
+	o, ended, err := i.readOutcome(ctx, id)
 	if err != nil {
 		return engine.JobStatus{}, false, err
 	}
@@ -199,8 +199,8 @@
 	return out, open, nil
 }
 
-// lookupOpen reads the state of a job whose records have not been replaced by its outcome.
-func (i *JobStore) lookupOpen(ctx context.Context, id workload.JobID) (engine.JobStatus, bool, error) {
+// lookupActive reads the state of a job whose records have not been replaced by its outcome.
+func (i *JobStore) lookupActive(ctx context.Context, id workload.JobID) (engine.JobStatus, bool, error) {
 	kv, ok, err := i.store.Get(ctx, jobKey(id))
 	if err != nil || !ok {
 		return engine.JobStatus{}, false, err
--- a/records/ledger.go
+++ b/records/ledger.go
@@ -61,15 +61,15 @@
 		return PlannerState{}, err
 	}
 	out := PlannerState{Submissions: submitted}
-	l.takeWorkers(&out, workers.Keys)
-	l.takeProgress(&out, runs.Keys)
+	l.addWorkers(&out, workers.Keys)
+	l.addProgress(&out, runs.Keys)
 	// An incomplete page may tell an earlier revision than this term's first; a watch from
 	// there would show submissions of jobs that a predecessor has closed since.
 	out.Revision = max(out.Revision, l.guard.Revision)
 	return out, nil
 }
 
-func (l *PlannerStore) takeWorkers(out *PlannerState, keys []store.KeyValue) {
+func (l *PlannerStore) addWorkers(out *PlannerState, keys []store.KeyValue) {
 	for _, kv := range keys {
 		l.revisions[kv.Key] = kv.Mod
 		id := engine.WorkerID(strings.TrimPrefix(kv.Key, workerPrefix))
@@ -79,15 +79,15 @@
 			err = eris.Errorf("is of worker %.40q", w.ID)
 		}
 		if err != nil {
-			out.passOver(kv.Key, err)
+			out.addUnreadable(kv.Key, err)
 			w = engine.WorkerInfo{ID: id}
 		}
 		out.Workers = append(out.Workers, w)
 	}
 }
 
-// takeProgress adds to the submissions what became of them.
-func (l *PlannerStore) takeProgress(out *PlannerState, keys []store.KeyValue) {
+// addProgress adds to the submissions what became of them.
+func (l *PlannerStore) addProgress(out *PlannerState, keys []store.KeyValue) {
 	progress := map[workload.JobID]*engine.JobProgress{}
 	withheld := map[workload.JobID]bool{}
 	for _, kv := range keys {
@@ -95,7 +95,7 @@
 		id := idOf(kv.Key, runPrefix)
 		p := &engine.JobProgress{}
 		if err := json.Unmarshal(kv.Value, p); err != nil {
-			out.passOver(kv.Key, err)
+			out.addUnreadable(kv.Key, err)
 			withheld[id] = true
 			continue
 		}
@@ -162,10 +162,10 @@
 		return err
 	}
 	if out.Committed {
-		l.note(swaps, out.Revision)
+		l.recordRevisions(swaps, out.Revision)
 		return nil
 	}
-	return l.judge(swaps, out.Current)
+	return l.explainRejection(swaps, out.Current)
 }
 
 func (l *PlannerStore) swaps(w engine.Write) ([]store.Swap, error) {
@@ -192,20 +192,20 @@
 		out = append(out, store.Swap{Key: workerKey(id), Expect: l.revisions[workerKey(id)], Delete: true})
 	}
 	for _, j := range w.EndedJobs {
-		closing, err := l.closing(j)
+		closing, err := l.archiveSwaps(j)
 		if err != nil {
 			return nil, err
 		}
 		out = append(out, closing...)
 	}
 	for _, j := range w.ForgottenJobs {
-		out = append(out, l.removal(j)...)
+		out = append(out, l.outcomeRemoval(j)...)
 	}
 	return out, nil
 }
 
-// closing replaces all records of a job that has ended by its outcome.
-func (l *PlannerStore) closing(j engine.EndedJob) ([]store.Swap, error) {
+// archiveSwaps replaces all records of a job that has ended by its outcome.
+func (l *PlannerStore) archiveSwaps(j engine.EndedJob) ([]store.Swap, error) {
 	value, err := json.Marshal(j.Outcome)
 	if err != nil {
 		return nil, eris.Wrapf(err, "encode outcome of job %s", j.ID)
@@ -218,8 +218,8 @@
 	return append(out, cancelRemoval(j.ID, j.CancelRevision)...), nil
 }
 
-// removal removes the outcome of a job.
-func (l *PlannerStore) removal(j engine.ExpiredJob) []store.Swap {
+// outcomeRemoval removes the outcome of a job.
+func (l *PlannerStore) outcomeRemoval(j engine.ExpiredJob) []store.Swap {
 	expect := store.Revision(j.OutcomeRevision)
 	if expect == 0 {
 		expect = l.revisions[endedKey(j.ID)]
@@ -236,7 +236,7 @@
 	return []store.Swap{{Key: cancelKey(id), Expect: store.Revision(order), Delete: true}}
 }
 
-func (l *PlannerStore) note(swaps []store.Swap, at store.Revision) {
+func (l *PlannerStore) recordRevisions(swaps []store.Swap, at store.Revision) {
 	for _, s := range swaps {
 		if s.Delete {
 			delete(l.revisions, s.Key)
@@ -246,9 +246,9 @@
 	}
 }
 
-// judge tells why a write did not hold. Keys that have our own values were written by
+// explainRejection tells why a write did not hold. Keys that have our own values were written by
 // an earlier attempt whose reply was lost.
-func (l *PlannerStore) judge(swaps []store.Swap, current []store.KeyValue) error {
+func (l *PlannerStore) explainRejection(swaps []store.Swap, current []store.KeyValue) error {
 	now := map[string]store.KeyValue{}
 	for _, kv := range current {
 		now[kv.Key] = kv
@@ -264,7 +264,7 @@
 		return eris.Wrapf(ErrConflict, "%s at revision %d, expected %d", s.Key, kv.Mod, s.Expect)
 	}
 	for _, s := range swaps {
-		l.note([]store.Swap{s}, now[s.Key].Mod)
+		l.recordRevisions([]store.Swap{s}, now[s.Key].Mod)
 	}
 	return nil
 }
--- a/records/ledger_test.go
+++ b/records/ledger_test.go
@@ -20,53 +20,53 @@
 
 var wall = time.Unix(1_000_000, 0)
 
-func open(t *testing.T) (*qt.C, *standin.Store, *platform.KVStore) {
+func openStore(t *testing.T) (*qt.C, *standin.Store, *platform.KVStore) {
 	srv := standin.NewStore()
 	t.Cleanup(srv.Close)
 	srv.Put(epochKey, []byte("1"))
 	return qt.New(t), srv, platform.OpenStore(srv.Addr())
 }
 
-func ledger(c *qt.C, kv *platform.KVStore) *records.PlannerStore {
+func newPlannerStore(c *qt.C, kv *platform.KVStore) *records.PlannerStore {
 	guard, _, err := kv.Get(context.Background(), epochKey)
 	c.Assert(err, qt.IsNil)
 	return records.NewPlannerStore(kv, store.Condition{Key: epochKey, Revision: guard.Mod})
 }
 
-func aJob(id workload.JobID) *workload.Job {
+func newJob(id workload.JobID) *workload.Job {
 	return &workload.Job{
 		ID: id, Queue: "q", Account: "a", Service: "s", Submitted: wall.Add(-10 * time.Second),
 		Steps: []workload.Step{{Count: 1, Need: workload.Resources{Accelerators: 1}}},
 	}
 }
 
-// accept puts jobs on record.
-func accept(c *qt.C, intake *records.JobStore, ids ...workload.JobID) {
+// submit puts jobs on record.
+func submit(c *qt.C, intake *records.JobStore, ids ...workload.JobID) {
 	for _, id := range ids {
-		outcome, _ := intake.Submit(context.Background(), aJob(id))
+		outcome, _ := intake.Submit(context.Background(), newJob(id))
 		c.Assert(outcome, qt.Equals, link.OutcomeStored)
 	}
 }
 
-func progress(id workload.JobID, version int, state workload.State) engine.Write {
+func progressWrite(id workload.JobID, version int, state workload.State) engine.Write {
 	return engine.Write{Jobs: []engine.JobWrite{{ID: id, Version: version, Progress: &engine.JobProgress{Version: version, State: state}}}}
 }
 
-func TestRecordsAreReadBack(t *testing.T) {
-	c, _, kv := open(t)
+func TestRecordsRoundTrip(t *testing.T) {
+	c, _, kv := openStore(t)
 	ctx := context.Background()
 	intake := records.NewJobStore(kv)
-	accept(c, intake, "j1", "j2")
+	submit(c, intake, "j1", "j2")
 	c.Assert(intake.Cancel(ctx, "q", "j2"), qt.Equals, link.OutcomeStored)
 	c.Assert(intake.Cancel(ctx, "q", "none"), qt.Equals, link.OutcomeAbsent)
-	l := ledger(c, kv)
+	l := newPlannerStore(c, kv)
 	_, err := l.Load(ctx, wall)
 	c.Assert(err, qt.IsNil)
-	w := progress("j1", 3, workload.Running)
+	w := progressWrite("j1", 3, workload.Running)
 	w.Workers = []engine.WorkerInfo{{ID: "w1", Agent: "a1"}}
 	c.Assert(l.Write(ctx, w), qt.IsNil)
 
-	state, err := ledger(c, kv).Load(ctx, wall)
+	state, err := newPlannerStore(c, kv).Load(ctx, wall)
 	c.Assert(err, qt.IsNil)
 	c.Assert(state.Jobs, qt.HasLen, 2)
 	c.Check(state.Jobs[0].Progress.Version, qt.Equals, 3)
@@ -82,49 +82,49 @@
 
 // A planner is paused, another takes the duty and reads the records, and the first wakes
 // with a write in hand: it must not land, or the successor would not know of a start.
-func TestNothingOfAFormerPlannerLands(t *testing.T) {
-	c, srv, kv := open(t)
+func TestDeposedPlannerCannotWrite(t *testing.T) {
+	c, srv, kv := openStore(t)
 	ctx := context.Background()
-	former := ledger(c, kv)
+	former := newPlannerStore(c, kv)
 	_, err := former.Load(ctx, wall)
 	c.Assert(err, qt.IsNil)
 	srv.Put(epochKey, []byte("2"))
-	c.Check(former.Write(ctx, progress("j1", 1, workload.Running)), qt.ErrorIs, records.ErrDeposed)
+	c.Check(former.Write(ctx, progressWrite("j1", 1, workload.Running)), qt.ErrorIs, records.ErrDeposed)
 	c.Check(srv.Keys("workloads/"), qt.HasLen, 0)
 }
 
 // The answer to a write is lost. Repeated as it is, it turns out to have taken effect, and
 // the next write goes on from there.
-func TestLostAnswerIsSettledByRepeating(t *testing.T) {
-	c, srv, kv := open(t)
+func TestWriteWithLostReplyResolvedByRetry(t *testing.T) {
+	c, srv, kv := openStore(t)
 	ctx := context.Background()
-	l := ledger(c, kv)
-	w := progress("j1", 1, workload.Queued)
+	l := newPlannerStore(c, kv)
+	w := progressWrite("j1", 1, workload.Queued)
 	srv.SetFaults(standin.StoreFaults{LoseWrites: true})
 	c.Assert(l.Write(ctx, w), qt.ErrorIs, store.ErrOutcomeUnknown)
 	srv.SetFaults(standin.StoreFaults{})
 	c.Assert(l.Write(ctx, w), qt.IsNil)
-	c.Assert(l.Write(ctx, progress("j1", 2, workload.Running)), qt.IsNil)
+	c.Assert(l.Write(ctx, progressWrite("j1", 2, workload.Running)), qt.IsNil)
 	c.Check(l.Write(ctx, engine.Write{Workers: []engine.WorkerInfo{{ID: "w"}}}), qt.IsNil)
 }
 
 // Another wrote a planner's record: the term must end instead of writing over it.
-func TestForeignWriteIsAConflict(t *testing.T) {
-	c, srv, kv := open(t)
-	l := ledger(c, kv)
-	c.Assert(l.Write(context.Background(), progress("j1", 1, workload.Queued)), qt.IsNil)
+func TestForeignWriteConflicts(t *testing.T) {
+	c, srv, kv := openStore(t)
+	l := newPlannerStore(c, kv)
+	c.Assert(l.Write(context.Background(), progressWrite("j1", 1, workload.Queued)), qt.IsNil)
 	srv.Put("workloads/run/j1", []byte("{}"))
-	c.Check(l.Write(context.Background(), progress("j1", 2, workload.Running)), qt.ErrorIs, records.ErrConflict)
+	c.Check(l.Write(context.Background(), progressWrite("j1", 2, workload.Running)), qt.ErrorIs, records.ErrConflict)
 }
 
 // The store is out when a caller hands a job in. The question before the write gets no
 // answer, so nothing was written and the refusal is true.
-func TestOutageIsRefusedInTruth(t *testing.T) {
-	c, srv, kv := open(t)
+func TestSubmissionDuringOutageIsNotDone(t *testing.T) {
+	c, srv, kv := openStore(t)
 	intake := records.NewJobStore(kv)
 	for _, faults := range []standin.StoreFaults{{Busy: true}, {Silent: true}} {
 		srv.SetFaults(faults)
-		outcome, _ := intake.Submit(context.Background(), aJob("j1"))
+		outcome, _ := intake.Submit(context.Background(), newJob("j1"))
 		c.Check(outcome, qt.Equals, link.OutcomeNotDone)
 	}
 	c.Check(srv.Writes(), qt.Equals, 0)
@@ -132,20 +132,20 @@
 
 // The store carries the write out and loses the answer: the job is accepted all the same,
 // once, and a write whose answer never comes is neither refused nor accepted.
-func TestLostAnswerOfASubmission(t *testing.T) {
-	c, srv, kv := open(t)
+func TestSubmissionWithLostReply(t *testing.T) {
+	c, srv, kv := openStore(t)
 	intake := records.NewJobStore(kv)
 	srv.SetFaults(standin.StoreFaults{LoseWrites: true})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	outcome, _ := intake.Submit(ctx, aJob("j1"))
+	outcome, _ := intake.Submit(ctx, newJob("j1"))
 	c.Check(outcome, qt.Equals, link.OutcomeUnknown)
 	srv.SetFaults(standin.StoreFaults{})
-	outcome, at := intake.Submit(context.Background(), aJob("j1"))
+	outcome, at := intake.Submit(context.Background(), newJob("j1"))
 	c.Check(outcome, qt.Equals, link.OutcomeStored)
 	item, _ := srv.Get("workloads/in/job/j1")
 	c.Check(int64(at), qt.Equals, item.Created)
-	other := aJob("j1")
+	other := newJob("j1")
 	other.Account = "another"
 	outcome, _ = intake.Submit(context.Background(), other)
 	c.Check(outcome, qt.Equals, link.OutcomeMismatch)
@@ -155,11 +155,11 @@
 // could not read the records then, and nobody planned any more. The other records hold; a
 // job whose progress can't be read is withheld, since it may have run; a worker whose
 // record can't be read is still waited for, since it may hold what is on record.
-func TestUnreadableRecordsAreOnlyTheirOwnLoss(t *testing.T) {
-	c, srv, kv := open(t)
+func TestUnreadableRecordsAreSkipped(t *testing.T) {
+	c, srv, kv := openStore(t)
 	ctx := context.Background()
 	intake := records.NewJobStore(kv)
-	accept(c, intake, "good", "half")
+	submit(c, intake, "good", "half")
 	srv.Put("workloads/in/job/bytes", []byte{0xff, 0x00})
 	srv.Put("workloads/in/job/other", []byte(`{"id":"good"}`))
 	srv.Put("workloads/in/job/type", []byte(`{"id":7}`))
@@ -168,7 +168,7 @@
 	srv.Put("workloads/worker/w3", []byte(`"text"`))
 	srv.Put("workloads/unknown/x", []byte(`{}`))
 
-	state, err := ledger(c, kv).Load(ctx, wall)
+	state, err := newPlannerStore(c, kv).Load(ctx, wall)
 	c.Assert(err, qt.IsNil)
 	c.Assert(state.Jobs, qt.HasLen, 1)
 	c.Check(state.Jobs[0].Job.ID, qt.Equals, workload.JobID("good"))
--- a/records/submissions.go
+++ b/records/submissions.go
@@ -49,7 +49,7 @@
 		}
 		submitted, err := decodeJob(kv, wall)
 		if err != nil {
-			out.passOver(kv.Key, err)
+			out.addUnreadable(kv.Key, err)
 			continue
 		}
 		order, wasCancelled := cancelled[submitted.Job.ID]
@@ -58,7 +58,7 @@
 	return out, nil
 }
 
-func (s *Submissions) passOver(key string, why error) {
+func (s *Submissions) addUnreadable(key string, why error) {
 	s.Unreadable = append(s.Unreadable, UnreadableRecord{Key: key, Err: why})
 }
 
@@ -73,10 +73,10 @@
 	return engine.JobSubmitted{Job: j, Revision: int64(kv.Created), Age: ageOf(j.Submitted, wall)}, nil
 }
 
-// mostAge bounds the age told of a job: the time of day may jump.
-const mostAge = 2 * time.Minute
+// maxAge bounds the age told of a job: the time of day may jump.
+const maxAge = 2 * time.Minute
 
 // ageOf returns how long ago it was then, by the time of day.
 func ageOf(then, wall time.Time) time.Duration {
-	return min(max(wall.Sub(then), 0), mostAge)
+	return min(max(wall.Sub(then), 0), maxAge)
 }
