--- a/gateway/calls.go
+++ b/gateway/calls.go
@@ -14,22 +14,22 @@
 
 // Submit makes a job durable, through a peer where the store does not serve this
 // gateway.
-func (g *Gateway) Submit(ctx context.Context, j *workload.Job) link.Outcome {
+func (g *Gateway) Submit(ctx context.Context, job *workload.Job) link.Outcome {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	outcome := link.OutcomeNotDone
 	if g.shouldTryStore() {
-		var at store.Revision
-		outcome, at = g.jobStore.Submit(ctx, j)
-		g.notifyJobSubmitted(outcome, j, at)
+		var revision store.Revision
+		outcome, revision = g.jobStore.Submit(ctx, job)
+		g.notifyJobSubmitted(outcome, job, revision)
 		g.recordStoreOutcome(outcome)
 	}
 	if outcome == link.OutcomeNotDone {
-		outcome = g.relay(ctx, &link.Accept{Job: *j})
+		outcome = g.relay(ctx, &link.Accept{Job: *job})
 	}
 	g.countSubmit(outcome)
-	g.callLatencies.Observe("submit/"+outcome.String(), time.Since(began))
+	g.callLatencies.Observe("submit/"+outcome.String(), time.Since(start))
 	return outcome
 }
 
@@ -48,7 +48,7 @@
 func (g *Gateway) Cancel(ctx context.Context, queue string, id workload.JobID) link.Outcome {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	outcome := link.OutcomeNotDone
 	if g.shouldTryStore() {
 		outcome = g.jobStore.Cancel(ctx, queue, id)
@@ -63,7 +63,7 @@
 	if outcome == link.OutcomeStored {
 		g.counters.Cancelled.Add(1)
 	}
-	g.callLatencies.Observe("cancel/"+outcome.String(), time.Since(began))
+	g.callLatencies.Observe("cancel/"+outcome.String(), time.Since(start))
 	return outcome
 }
 
@@ -71,9 +71,9 @@
 // answered another call. The configuration is asked for all the time, so a try here would
 // find nothing out that is not known sooner, and hold its caller up.
 func (g *Gateway) shouldTryStore() bool {
-	failed := time.Duration(g.storeFailedAt.Load())
-	since := lease.BootTime() - failed
-	return failed == 0 || since > storeRetryAfter || g.cfg.SinceStoreReply() < since
+	failedAt := time.Duration(g.storeFailedAt.Load())
+	sinceFailure := lease.BootTime() - failedAt
+	return failedAt == 0 || sinceFailure > storeRetryAfter || g.cfg.SinceStoreReply() < sinceFailure
 }
 
 // markStoreFailed notes that the store does not serve this gateway now.
@@ -114,9 +114,9 @@
 	}
 	now := lease.BootTime()
 	var out []string
-	for _, m := range candidates {
-		if !slices.Contains(out, m) && !g.storeStatus.peerUnserved(now, m) {
-			out = append(out, m)
+	for _, address := range candidates {
+		if !slices.Contains(out, address) && !g.storeStatus.peerUnserved(now, address) {
+			out = append(out, address)
 		}
 	}
 	return out
@@ -127,9 +127,9 @@
 func (g *Gateway) callPeer(ctx context.Context, address string, msg any) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	dial, stop := context.WithTimeout(ctx, peerTimeout)
-	defer stop()
-	conn, err := g.pool.Conn(dial, address)
+	dialCtx, cancelDial := context.WithTimeout(ctx, peerTimeout)
+	defer cancelDial()
+	conn, err := g.pool.Conn(dialCtx, address)
 	if err != nil {
 		return nil, wire.ErrNotSent
 	}
--- a/gateway/cordons.go
+++ b/gateway/cordons.go
@@ -58,12 +58,12 @@
 
 // withholdStarts takes the starts off orders where the cordons known are too old, and returns
 // their outcomes. Stops and speeds are sent all the same.
-func (t *term) withholdStarts(o engine.Orders) (engine.Orders, []engine.StartResult) {
-	if len(o.Starts) == 0 || t.g.cordonsFresh(lease.BootTime()) {
-		return o, nil
+func (t *term) withholdStarts(orders engine.Orders) (engine.Orders, []engine.StartResult) {
+	if len(orders.Starts) == 0 || t.g.cordonsFresh(lease.BootTime()) {
+		return orders, nil
 	}
-	t.g.counters.StartsWithheld.Add(int64(len(o.Starts)))
-	withheld := uniformReply(engine.Orders{Starts: o.Starts}, engine.StartNotDelivered).Starts
-	o.Starts = nil
-	return o, withheld
+	t.g.counters.StartsWithheld.Add(int64(len(orders.Starts)))
+	withheld := uniformReply(engine.Orders{Starts: orders.Starts}, engine.StartNotDelivered).Starts
+	orders.Starts = nil
+	return orders, withheld
 }
--- a/gateway/cordons_test.go
+++ b/gateway/cordons_test.go
@@ -33,10 +33,10 @@
 		{newGatewayWithCordons(nil, 1, time.Second), false},
 		{newGatewayWithCordons(nil, 1, DefaultCordonDeadline-cordonMargin), true},
 	} {
-		left, withheld := (&term{g: test.g}).withholdStarts(orders)
+		remaining, withheld := (&term{g: test.g}).withholdStarts(orders)
 		c.Check(len(withheld) == 1, qt.Equals, test.withheld)
-		c.Check(len(left.Starts) == 0, qt.Equals, test.withheld)
-		c.Check(left.Stops, qt.HasLen, 1)
+		c.Check(len(remaining.Starts) == 0, qt.Equals, test.withheld)
+		c.Check(remaining.Stops, qt.HasLen, 1)
 		for _, r := range withheld {
 			c.Check(r.Outcome, qt.Equals, engine.StartNotDelivered)
 		}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -104,21 +104,21 @@
 // configLoop logs each version of the configuration and each change of the cordons, and
 // tells the planner's term.
 func (g *Gateway) configLoop() error {
-	last := int64(0)
-	var cordoned []string
+	lastVersion := int64(0)
+	var lastZones []string
 	for {
 		changed := g.currentConfig.Changed()
-		if view, ok := g.currentConfig.Snapshot(); ok && view.Catalog.Version != last {
-			last = view.Catalog.Version
-			g.log.WithField("version", last).WithField("queues", len(view.Catalog.Queues)).Info("configuration in force")
+		if view, ok := g.currentConfig.Snapshot(); ok && view.Catalog.Version != lastVersion {
+			lastVersion = view.Catalog.Version
+			g.log.WithField("version", lastVersion).WithField("queues", len(view.Catalog.Queues)).Info("configuration in force")
 			if t := g.currentTerm(); t != nil {
 				t.updateCatalog(view.Catalog)
 			}
 		}
-		if cordons, ok := g.currentConfig.Cordons(); ok && !slices.Equal(cordoned, cordons.Zones) {
-			cordoned = cordons.Zones
-			g.counters.ZonesCordoned.Store(int64(len(cordoned)))
-			g.log.WithField("zones", cordoned).WithField("revision", cordons.Revision).Info("cordoned availability zones changed")
+		if cordons, ok := g.currentConfig.Cordons(); ok && !slices.Equal(lastZones, cordons.Zones) {
+			lastZones = cordons.Zones
+			g.counters.ZonesCordoned.Store(int64(len(lastZones)))
+			g.log.WithField("zones", lastZones).WithField("revision", cordons.Revision).Info("cordoned availability zones changed")
 			if t := g.currentTerm(); t != nil {
 				t.updateCordons(cordons)
 			}
--- a/gateway/lookups.go
+++ b/gateway/lookups.go
@@ -37,11 +37,11 @@
 		}
 		g.markStoreFailed()
 	}
-	found, answer := g.lookupThroughPeers(ctx, id)
-	if answer == LookupUnavailable {
+	found, status := g.lookupThroughPeers(ctx, id)
+	if status == LookupUnavailable {
 		g.counters.LookupsFailed.Add(1)
 	}
-	return found, answer
+	return found, status
 }
 
 func (g *Gateway) lookupAtPlanner(ctx context.Context, id workload.JobID) (engine.JobStatus, bool) {
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -29,8 +29,8 @@
 	maxSuccessors = 3
 )
 
-func newMembers(own string, seeds []string) *members {
-	return &members{self: own, seeds: seeds, lastHeard: map[string]time.Duration{}, capacity: map[string]float64{}}
+func newMembers(self string, seeds []string) *members {
+	return &members{self: self, seeds: seeds, lastHeard: map[string]time.Duration{}, capacity: map[string]float64{}}
 }
 
 // markHeard notes that a gateway is there.
@@ -79,19 +79,19 @@
 }
 
 // setCapacity notes what a gateway said it can carry.
-func (m *members) setCapacity(address string, strength float64) {
-	if address == "" || strength <= 0 {
+func (m *members) setCapacity(address string, capacity float64) {
+	if address == "" || capacity <= 0 {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.capacity[address] = strength
+	m.capacity[address] = capacity
 }
 
 // successors returns the other gateways that are best able to plan, the strongest first: of
 // those that fit says may.
-func (m *members) successors(fit func(address string) bool) []string {
-	out := slices.DeleteFunc(m.livePeers(), func(a string) bool { return !fit(a) })
+func (m *members) successors(eligible func(address string) bool) []string {
+	out := slices.DeleteFunc(m.livePeers(), func(a string) bool { return !eligible(a) })
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	slices.SortStableFunc(out, func(a, b string) int { return cmp.Compare(m.capacity[b], m.capacity[a]) })
--- a/gateway/members_test.go
+++ b/gateway/members_test.go
@@ -20,9 +20,9 @@
 	}
 	named := map[string]bool{}
 	for range gateways {
-		some := m.sample()
-		c.Assert(some, qt.HasLen, maxSampleSize)
-		for _, g := range some {
+		sample := m.sample()
+		c.Assert(sample, qt.HasLen, maxSampleSize)
+		for _, g := range sample {
 			named[g] = true
 		}
 	}
@@ -35,20 +35,20 @@
 func TestSuccessorsOrderedByCapacity(t *testing.T) {
 	c := qt.New(t)
 	m := newMembers("planner", nil)
-	for i, strength := range []float64{0.2, 0.8, 0.4, 0.1, 0.6} {
+	for i, capacity := range []float64{0.2, 0.8, 0.4, 0.1, 0.6} {
 		m.markHeard(fmt.Sprint("g", i))
-		m.setCapacity(fmt.Sprint("g", i), strength)
+		m.setCapacity(fmt.Sprint("g", i), capacity)
 	}
 	served := func(g string) bool { return g != "g4" }
-	heirs := m.successors(served)
-	c.Check(heirs, qt.DeepEquals, []string{"g1", "g2", "g0"})
+	successors := m.successors(served)
+	c.Check(successors, qt.DeepEquals, []string{"g1", "g2", "g0"})
 
-	s := &failureDetector{}
-	s.setSuccessors(heirs)
-	waits := []string{"g1", "g2", "g0", "g3"}
-	c.Check(s.timeout("g1"), qt.Equals, minDetectionTimeout)
-	c.Check(slices.IsSortedFunc(waits, func(a, b string) int { return int(s.timeout(a) - s.timeout(b)) }), qt.IsTrue)
-	c.Check(s.timeout("g4"), qt.Equals, s.timeout("g3"), qt.Commentf("all others wait alike"))
+	d := &failureDetector{}
+	d.setSuccessors(successors)
+	order := []string{"g1", "g2", "g0", "g3"}
+	c.Check(d.timeout("g1"), qt.Equals, minDetectionTimeout)
+	c.Check(slices.IsSortedFunc(order, func(a, b string) int { return int(d.timeout(a) - d.timeout(b)) }), qt.IsTrue)
+	c.Check(d.timeout("g4"), qt.Equals, d.timeout("g3"), qt.Commentf("all others wait alike"))
 }
 
 // No planner has named heirs yet, as after a start: nobody waits longer than needed.
--- a/gateway/notice.go
+++ b/gateway/notice.go
@@ -13,9 +13,9 @@
 
 // notifyJobSubmitted tells the planner of a job that is on record at a revision; of one that has
 // ended, which has none, nobody needs to hear.
-func (g *Gateway) notifyJobSubmitted(outcome link.Outcome, j *workload.Job, at store.Revision) {
-	if outcome == link.OutcomeStored && at != 0 {
-		g.notifyPlanner(&link.Notice{Job: j, Order: int64(at)})
+func (g *Gateway) notifyJobSubmitted(outcome link.Outcome, job *workload.Job, revision store.Revision) {
+	if outcome == link.OutcomeStored && revision != 0 {
+		g.notifyPlanner(&link.Notice{Job: job, Order: int64(revision)})
 	}
 }
 
--- a/gateway/outage.go
+++ b/gateway/outage.go
@@ -52,31 +52,31 @@
 }
 
 // observeSelf notes how long ago the store last answered this gateway.
-func (o *storeStatus) observeSelf(now, age time.Duration) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+func (s *storeStatus) observeSelf(now, age time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if age > storeReplyTTL {
-		o.lastUnservedAt = now
+		s.lastUnservedAt = now
 	}
 }
 
 // observePeer notes another gateway's word.
-func (o *storeStatus) observePeer(now time.Duration, address string, served, planner bool) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.peers[address] = peerStoreStatus{at: now, served: served}
-	if planner {
-		o.plannerAnsweredAt = now
+func (s *storeStatus) observePeer(now time.Duration, address string, served, fromPlanner bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.peers[address] = peerStoreStatus{at: now, served: served}
+	if fromPlanner {
+		s.plannerAnsweredAt = now
 	}
 }
 
 // allUnserved says whether the store serves none of the gateways named, by their own fresh
 // word.
-func (o *storeStatus) allUnserved(now time.Duration, others []string) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for _, address := range others {
-		a, ok := o.peers[address]
+func (s *storeStatus) allUnserved(now time.Duration, peers []string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, address := range peers {
+		a, ok := s.peers[address]
 		if !ok || a.served || now-a.at > peerStatusTTL {
 			return false
 		}
@@ -85,20 +85,20 @@
 }
 
 // peerUnserved says whether a gateway lately said that the store does not serve it.
-func (o *storeStatus) peerUnserved(now time.Duration, address string) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	a, ok := o.peers[address]
+func (s *storeStatus) peerUnserved(now time.Duration, address string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	a, ok := s.peers[address]
 	return ok && !a.served && now-a.at <= peerStatusTTL
 }
 
 // predecessorExtension returns how much longer than usual a predecessor may have granted.
-func (o *storeStatus) predecessorExtension(now time.Duration) time.Duration {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	asked := o.plannerAnsweredAt != 0 && now-o.plannerAnsweredAt < plannerContactTTL+maxGrantExtension
-	served := now-o.lastUnservedAt > maxGrantExtension+2*plannerLeaseTTL
-	if asked && served && now-o.startedAt > memberTTL {
+func (s *storeStatus) predecessorExtension(now time.Duration) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	inContact := s.plannerAnsweredAt != 0 && now-s.plannerAnsweredAt < plannerContactTTL+maxGrantExtension
+	alwaysServed := now-s.lastUnservedAt > maxGrantExtension+2*plannerLeaseTTL
+	if inContact && alwaysServed && now-s.startedAt > memberTTL {
 		return 0
 	}
 	return maxGrantExtension
--- a/gateway/outage_test.go
+++ b/gateway/outage_test.go
@@ -13,18 +13,18 @@
 // while each of the others says so itself, and lately.
 func TestAllUnservedNeedsFreshStatusOfEveryPeer(t *testing.T) {
 	c := qt.New(t)
-	o := newStoreStatus(0)
+	s := newStoreStatus(0)
 	others := []string{"b", "c"}
-	c.Check(o.allUnserved(second, others), qt.IsFalse, qt.Commentf("nobody was asked"))
-	o.observePeer(second, "b", false, false)
-	c.Check(o.allUnserved(second, others), qt.IsFalse, qt.Commentf("one was not"))
-	o.observePeer(second, "c", false, false)
-	c.Check(o.allUnserved(second, others), qt.IsTrue)
-	o.observePeer(2*second, "b", true, false)
-	c.Check(o.allUnserved(2*second, others), qt.IsFalse, qt.Commentf("one is served again"))
-	o.observePeer(3*second, "b", false, false)
-	c.Check(o.allUnserved(3*second, others), qt.IsFalse, qt.Commentf("the other's word is old"))
-	c.Check(o.allUnserved(3*second, nil), qt.IsTrue, qt.Commentf("there is nobody else"))
+	c.Check(s.allUnserved(second, others), qt.IsFalse, qt.Commentf("nobody was asked"))
+	s.observePeer(second, "b", false, false)
+	c.Check(s.allUnserved(second, others), qt.IsFalse, qt.Commentf("one was not"))
+	s.observePeer(second, "c", false, false)
+	c.Check(s.allUnserved(second, others), qt.IsTrue)
+	s.observePeer(2*second, "b", true, false)
+	c.Check(s.allUnserved(2*second, others), qt.IsFalse, qt.Commentf("one is served again"))
+	s.observePeer(3*second, "b", false, false)
+	c.Check(s.allUnserved(3*second, others), qt.IsFalse, qt.Commentf("the other's word is old"))
+	c.Check(s.allUnserved(3*second, nil), qt.IsTrue, qt.Commentf("there is nobody else"))
 }
 
 // A gateway takes the planner's duty over. Only one that was in touch with the former
@@ -33,11 +33,11 @@
 func TestPredecessorExtension(t *testing.T) {
 	const now = 60 * second
 	tests := []struct {
-		what      string
-		began     time.Duration
-		gap       time.Duration
-		planner   time.Duration
-		inherited time.Duration
+		what       string
+		startedAt  time.Duration
+		unservedAt time.Duration
+		answeredAt time.Duration
+		extension  time.Duration
 	}{
 		{"in touch and served", 0, 0, now - second, 0},
 		{"just started", now - 2*second, 0, now - second, maxGrantExtension},
@@ -46,14 +46,14 @@
 		{"long out of touch", 0, 0, now - 30*second, maxGrantExtension},
 	}
 	for _, test := range tests {
-		o := newStoreStatus(test.began)
-		if test.gap != 0 {
-			o.observeSelf(test.gap, 2*second)
+		s := newStoreStatus(test.startedAt)
+		if test.unservedAt != 0 {
+			s.observeSelf(test.unservedAt, 2*second)
 		}
-		if test.planner != 0 {
-			o.observePeer(test.planner, "p", true, true)
+		if test.answeredAt != 0 {
+			s.observePeer(test.answeredAt, "p", true, true)
 		}
-		qt.Check(t, o.predecessorExtension(now), qt.Equals, test.inherited, qt.Commentf("%s", test.what))
+		qt.Check(t, s.predecessorExtension(now), qt.Equals, test.extension, qt.Commentf("%s", test.what))
 	}
 }
 
@@ -61,11 +61,11 @@
 // said that it is not served either.
 func TestPeerUnservedStatusExpires(t *testing.T) {
 	c := qt.New(t)
-	o := newStoreStatus(0)
-	c.Check(o.peerUnserved(second, "b"), qt.IsFalse)
-	o.observePeer(second, "b", false, false)
-	c.Check(o.peerUnserved(second, "b"), qt.IsTrue)
-	c.Check(o.peerUnserved(3*second, "b"), qt.IsFalse, qt.Commentf("it may be served again"))
-	o.observePeer(4*second, "b", true, false)
-	c.Check(o.peerUnserved(4*second, "b"), qt.IsFalse)
+	s := newStoreStatus(0)
+	c.Check(s.peerUnserved(second, "b"), qt.IsFalse)
+	s.observePeer(second, "b", false, false)
+	c.Check(s.peerUnserved(second, "b"), qt.IsTrue)
+	c.Check(s.peerUnserved(3*second, "b"), qt.IsFalse, qt.Commentf("it may be served again"))
+	s.observePeer(4*second, "b", true, false)
+	c.Check(s.peerUnserved(4*second, "b"), qt.IsFalse)
 }
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -125,9 +125,9 @@
 	if reply.ConfigVersion == 0 {
 		return
 	}
-	confirmed := sent - reply.ConfigAge
+	confirmedAt := sent - reply.ConfigAge
 	if len(reply.Config) == 0 {
-		g.currentConfig.Confirm(reply.ConfigVersion, confirmed)
+		g.currentConfig.Confirm(reply.ConfigVersion, confirmedAt)
 		return
 	}
 	c, err := g.cfg.Source.Decode(reply.Config)
@@ -135,7 +135,7 @@
 		g.log.WithError(err).Warn("configuration from a peer not understood")
 		return
 	}
-	g.currentConfig.Update(c, reply.Config, confirmed)
+	g.currentConfig.Update(c, reply.Config, confirmedAt)
 }
 
 // handlePeer answers another gateway, or an agent that looks for the planner.
--- a/gateway/register.go
+++ b/gateway/register.go
@@ -34,11 +34,11 @@
 // registerLoop keeps this gateway registered, and learns of the others at its start.
 func (g *Gateway) registerLoop() error {
 	var id store.LeaseID
-	listed := false
+	peersLoaded := false
 	for {
 		ctx := g.tomb.Context(context.Background())
-		if !listed {
-			listed = g.addRegisteredPeers(ctx)
+		if !peersLoaded {
+			peersLoaded = g.addRegisteredPeers(ctx)
 		}
 		id = g.register(ctx, id)
 		wait := registrationInterval
--- a/gateway/store_relay.go
+++ b/gateway/store_relay.go
@@ -92,10 +92,10 @@
 
 // call makes a call by own, unless the store has just failed this gateway, and then through
 // a peer, whose reply it returns. The reply is nil where own has settled the call.
-func (s *storeRelay) call(ctx context.Context, msg *link.StoreCall, own func(context.Context) error) (*link.StoreReply, error) {
+func (s *storeRelay) call(ctx context.Context, msg *link.StoreCall, direct func(context.Context) error) (*link.StoreReply, error) {
 	err := error(store.ErrUnavailable)
 	if s.g.shouldTryStore() {
-		err = s.callDirect(ctx, msg.Op, own)
+		err = s.callDirect(ctx, msg.Op, direct)
 		if eris.Is(err, store.ErrUnavailable) || eris.Is(err, store.ErrOutcomeUnknown) && s.g.cfg.SinceStoreReply() > directCallTimeout {
 			s.g.markStoreFailed()
 		}
@@ -113,14 +113,14 @@
 // callDirect makes the own call, briefly where a peer could make it instead. Commits have
 // their own patience, and one that is cut short has an unknown outcome. Listings are as long
 // as what is on record; they end by themselves once nothing arrives any more.
-func (s *storeRelay) callDirect(ctx context.Context, op link.StoreOp, own func(context.Context) error) error {
-	brief := op != link.StoreCommit && op != link.StoreList
-	if brief && len(s.g.relayCandidates()) > 0 {
+func (s *storeRelay) callDirect(ctx context.Context, op link.StoreOp, direct func(context.Context) error) error {
+	bounded := op != link.StoreCommit && op != link.StoreList
+	if bounded && len(s.g.relayCandidates()) > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, directCallTimeout)
 		defer cancel()
 	}
-	return own(ctx)
+	return direct(ctx)
 }
 
 // callThroughPeers lets peers that the store serves make a call, one after the other,
--- a/gateway/suspect.go
+++ b/gateway/suspect.go
@@ -59,92 +59,92 @@
 }
 
 // setSuccessors notes whom the planner names to take its duty.
-func (s *failureDetector) setSuccessors(heirs []string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.successors = heirs
+func (d *failureDetector) setSuccessors(successors []string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.successors = successors
 }
 
 // timeout returns how long the gateway at own waits for an answer before it deposes the
 // planner: the first heir the shortest time. The mutex is held.
-func (s *failureDetector) timeout(own string) time.Duration {
-	rank := slices.Index(s.successors, own)
+func (d *failureDetector) timeout(self string) time.Duration {
+	rank := slices.Index(d.successors, self)
 	if rank < 0 {
-		rank = len(s.successors)
+		rank = len(d.successors)
 	}
-	usual := min(max(minDetectionTimeout, detectionLatencyFactor*s.peakLatency), plannerLeaseTTL)
-	return usual + time.Duration(rank)*successorStagger
+	base := min(max(minDetectionTimeout, detectionLatencyFactor*d.peakLatency), plannerLeaseTTL)
+	return base + time.Duration(rank)*successorStagger
 }
 
 // tracks says whether what is noted is of the planner that holds the duty under epoch. The
 // mutex is held.
-func (s *failureDetector) tracks(planner string, epoch uint64) bool {
-	return s.planner == planner && s.epoch == epoch
+func (d *failureDetector) tracks(planner string, epoch uint64) bool {
+	return d.planner == planner && d.epoch == epoch
 }
 
 // shouldQuery says whether the gateway at own is to ask the planner now: at once where another
 // has the duty than was asked last, or the new one would be deposed for the silence of the
 // one before it.
-func (s *failureDetector) shouldQuery(now time.Duration, own, planner string, epoch uint64) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if !s.tracks(planner, epoch) {
+func (d *failureDetector) shouldQuery(now time.Duration, self, planner string, epoch uint64) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if !d.tracks(planner, epoch) {
 		return true
 	}
-	every := slowLivenessInterval
-	if len(s.successors) == 0 || slices.Contains(s.successors, own) {
-		every = livenessInterval
+	interval := slowLivenessInterval
+	if len(d.successors) == 0 || slices.Contains(d.successors, self) {
+		interval = livenessInterval
 	}
-	return now-s.lastQueryAt >= every
+	return now-d.lastQueryAt >= interval
 }
 
 // recordQuery notes a question that is about to be sent.
-func (s *failureDetector) recordQuery(now time.Duration, planner string, epoch uint64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if !s.tracks(planner, epoch) {
-		s.planner, s.epoch, s.answered, s.unansweredSince = planner, epoch, false, 0
+func (d *failureDetector) recordQuery(now time.Duration, planner string, epoch uint64) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if !d.tracks(planner, epoch) {
+		d.planner, d.epoch, d.answered, d.unansweredSince = planner, epoch, false, 0
 	}
-	s.recordCheck(now)
-	if s.unansweredSince == 0 {
-		s.unansweredSince = now
+	d.recordCheck(now)
+	if d.unansweredSince == 0 {
+		d.unansweredSince = now
 	}
-	s.lastQueryAt = now
+	d.lastQueryAt = now
 }
 
 // recordCheck notes that the silence is looked at, and lets it count from now where this process
 // was held up. The mutex is held.
-func (s *failureDetector) recordCheck(now time.Duration) {
-	if s.unansweredSince != 0 && now-s.lastCheckAt > selfStallThreshold {
-		s.unansweredSince = now
+func (d *failureDetector) recordCheck(now time.Duration) {
+	if d.unansweredSince != 0 && now-d.lastCheckAt > selfStallThreshold {
+		d.unansweredSince = now
 	}
-	s.lastCheckAt = now
+	d.lastCheckAt = now
 }
 
 // recordAnswer notes an recordAnswer of the planner that holds the duty under epoch.
-func (s *failureDetector) recordAnswer(planner string, epoch uint64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.tracks(planner, epoch) {
-		s.answered, s.unansweredSince = true, 0
+func (d *failureDetector) recordAnswer(planner string, epoch uint64) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.tracks(planner, epoch) {
+		d.answered, d.unansweredSince = true, 0
 	}
 }
 
 // recordLatency notes how long an answer recordLatency, of whichever planner: what slows one down slows the
 // next down too.
-func (s *failureDetector) recordLatency(d time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.peakLatency = max(d, time.Duration(peakLatencyDecay*float64(s.peakLatency)))
+func (d *failureDetector) recordLatency(latency time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.peakLatency = max(latency, time.Duration(peakLatencyDecay*float64(d.peakLatency)))
 }
 
 // suspects says whether the gateway at own is to take the planner for dead. One that has never
 // answered under its epoch is not: its lease may be all that is known of it, and it lapses.
-func (s *failureDetector) suspects(now time.Duration, own string) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.recordCheck(now)
-	return s.answered && s.unansweredSince != 0 && now-s.unansweredSince > s.timeout(own)
+func (d *failureDetector) suspects(now time.Duration, self string) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.recordCheck(now)
+	return d.answered && d.unansweredSince != 0 && now-d.unansweredSince > d.timeout(self)
 }
 
 // livenessLoop asks the planner whether it is alive.
--- a/gateway/suspect_test.go
+++ b/gateway/suspect_test.go
@@ -10,11 +10,11 @@
 const ms = time.Millisecond
 
 // simulateQueries asks every aliveEvery until end, and notes answers while the planner lives.
-func simulateQueries(s *failureDetector, begin, end, livesUntil time.Duration) {
+func simulateQueries(d *failureDetector, begin, end, aliveUntil time.Duration) {
 	for now := begin; now < end; now += livenessInterval {
-		s.recordQuery(now, "p", 1)
-		if now < livesUntil {
-			s.recordAnswer("p", 1)
+		d.recordQuery(now, "p", 1)
+		if now < aliveUntil {
+			d.recordAnswer("p", 1)
 		}
 	}
 }
@@ -23,39 +23,39 @@
 // single answer that is late.
 func TestUnresponsivePlannerIsSuspected(t *testing.T) {
 	c := qt.New(t)
-	s := &failureDetector{}
-	simulateQueries(s, second, 3*second, 3*second)
-	c.Check(s.suspects(3*second, "own"), qt.IsFalse)
-	simulateQueries(s, 3*second, 3*second+350*ms, 0)
-	c.Check(s.suspects(3*second+350*ms, "own"), qt.IsFalse, qt.Commentf("it may be held up"))
-	simulateQueries(s, 3*second+350*ms, 3*second+900*ms, 0)
-	c.Check(s.suspects(3*second+900*ms, "own"), qt.IsTrue)
+	d := &failureDetector{}
+	simulateQueries(d, second, 3*second, 3*second)
+	c.Check(d.suspects(3*second, "own"), qt.IsFalse)
+	simulateQueries(d, 3*second, 3*second+350*ms, 0)
+	c.Check(d.suspects(3*second+350*ms, "own"), qt.IsFalse, qt.Commentf("it may be held up"))
+	simulateQueries(d, 3*second+350*ms, 3*second+900*ms, 0)
+	c.Check(d.suspects(3*second+900*ms, "own"), qt.IsTrue)
 }
 
 // A gateway is suspended for five seconds. That it has heard nothing of the planner says
 // nothing of the planner.
 func TestSuspendedGatewayDoesNotSuspectPlanner(t *testing.T) {
 	c := qt.New(t)
-	s := &failureDetector{}
-	simulateQueries(s, second, 2*second, 2*second)
-	s.recordQuery(2*second, "p", 1)
-	s.recordQuery(7*second, "p", 1)
-	c.Check(s.suspects(7*second, "own"), qt.IsFalse)
-	simulateQueries(s, 7*second, 7*second+400*ms, 8*second)
-	c.Check(s.suspects(7*second+400*ms, "own"), qt.IsFalse)
+	d := &failureDetector{}
+	simulateQueries(d, second, 2*second, 2*second)
+	d.recordQuery(2*second, "p", 1)
+	d.recordQuery(7*second, "p", 1)
+	c.Check(d.suspects(7*second, "own"), qt.IsFalse)
+	simulateQueries(d, 7*second, 7*second+400*ms, 8*second)
+	c.Check(d.suspects(7*second+400*ms, "own"), qt.IsFalse)
 }
 
 // A planner that has not answered under its epoch yet reads its records. To depose it
 // would only begin that again.
 func TestPlannerNotSuspectedBeforeFirstAnswer(t *testing.T) {
 	c := qt.New(t)
-	s := &failureDetector{}
-	simulateQueries(s, second, 4*second, 0)
-	c.Check(s.suspects(4*second, "own"), qt.IsFalse)
-	s.recordQuery(4*second, "p", 2)
-	s.recordAnswer("p", 1)
-	simulateQueries(s, 4*second, 6*second, 0)
-	c.Check(s.suspects(6*second, "own"), qt.IsFalse, qt.Commentf("an answer under another epoch is none"))
+	d := &failureDetector{}
+	simulateQueries(d, second, 4*second, 0)
+	c.Check(d.suspects(4*second, "own"), qt.IsFalse)
+	d.recordQuery(4*second, "p", 2)
+	d.recordAnswer("p", 1)
+	simulateQueries(d, 4*second, 6*second, 0)
+	c.Check(d.suspects(6*second, "own"), qt.IsFalse, qt.Commentf("an answer under another epoch is none"))
 }
 
 // A planner is deposed by one gateway, lives, and grants until its lease has lapsed. The
@@ -73,73 +73,73 @@
 // of a second is no sign of death, and of more than its lease always is.
 func TestSlowPlannerIsNotSuspected(t *testing.T) {
 	c := qt.New(t)
-	s := &failureDetector{}
-	simulateQueries(s, second, 2*second, 2*second)
-	s.recordLatency(400 * ms)
-	simulateQueries(s, 2*second, 3*second, 0)
-	c.Check(s.suspects(3*second, "own"), qt.IsFalse)
-	s.recordLatency(3 * second)
-	simulateQueries(s, 3*second, 5*second, 0)
-	c.Check(s.suspects(5*second, "own"), qt.IsTrue, qt.Commentf("its lease has lapsed"))
+	d := &failureDetector{}
+	simulateQueries(d, second, 2*second, 2*second)
+	d.recordLatency(400 * ms)
+	simulateQueries(d, 2*second, 3*second, 0)
+	c.Check(d.suspects(3*second, "own"), qt.IsFalse)
+	d.recordLatency(3 * second)
+	simulateQueries(d, 3*second, 5*second, 0)
+	c.Check(d.suspects(5*second, "own"), qt.IsTrue, qt.Commentf("its lease has lapsed"))
 }
 
 // Slow answers are forgotten while answers come at once, so that a death is found as fast as
 // before.
 func TestDetectionTimeoutRecoversAfterFastAnswers(t *testing.T) {
 	c := qt.New(t)
-	s := &failureDetector{}
-	s.recordLatency(400 * ms)
+	d := &failureDetector{}
+	d.recordLatency(400 * ms)
 	for range 100 {
-		s.recordLatency(3 * ms)
+		d.recordLatency(3 * ms)
 	}
-	c.Check(s.timeout("own"), qt.Equals, minDetectionTimeout)
+	c.Check(d.timeout("own"), qt.Equals, minDetectionTimeout)
 }
 
 // 55 gateways ask whether the planner lives. Only its heirs ask often, and a gateway that
 // asks seldom still finds its death, and was not itself held up between two questions.
 func TestNonSuccessorsQueryLessOften(t *testing.T) {
 	c := qt.New(t)
-	s := &failureDetector{}
-	s.setSuccessors([]string{"a", "b", "c"})
-	asked := 0
-	live := func(begin, end, until time.Duration) {
+	d := &failureDetector{}
+	d.setSuccessors([]string{"a", "b", "c"})
+	queries := 0
+	simulate := func(begin, end, aliveUntil time.Duration) {
 		for now := begin; now < end; now += livenessInterval {
-			if s.shouldQuery(now, "own", "p", 1) {
-				asked++
-				s.recordQuery(now, "p", 1)
-				if now < until {
-					s.recordAnswer("p", 1)
+			if d.shouldQuery(now, "own", "p", 1) {
+				queries++
+				d.recordQuery(now, "p", 1)
+				if now < aliveUntil {
+					d.recordAnswer("p", 1)
 				}
 			}
-			if s.suspects(now, "own") {
-				c.Check(now-until < 2*second, qt.IsTrue)
+			if d.suspects(now, "own") {
+				c.Check(now-aliveUntil < 2*second, qt.IsTrue)
 				return
 			}
 		}
-		c.Check(until, qt.Equals, end, qt.Commentf("its death was not found"))
+		c.Check(aliveUntil, qt.Equals, end, qt.Commentf("its death was not found"))
 	}
-	live(second, 4*second, 4*second)
-	c.Check(asked <= int(3*second/slowLivenessInterval)+1, qt.IsTrue, qt.Commentf("%d questions in 3 s", asked))
-	live(4*second, 9*second, 4*second)
+	simulate(second, 4*second, 4*second)
+	c.Check(queries <= int(3*second/slowLivenessInterval)+1, qt.IsTrue, qt.Commentf("%d questions in 3 s", queries))
+	simulate(4*second, 9*second, 4*second)
 }
 
 // The planner dies and an heir takes the duty. A gateway that asks seldom has last asked the
 // dead one, long ago; it must not depose the new one for that.
 func TestDetectorResetsForNewPlanner(t *testing.T) {
 	c := qt.New(t)
-	s := &failureDetector{}
-	s.setSuccessors([]string{"a", "b", "c"})
-	s.recordQuery(second, "old", 1)
-	s.recordAnswer("old", 1)
+	d := &failureDetector{}
+	d.setSuccessors([]string{"a", "b", "c"})
+	d.recordQuery(second, "old", 1)
+	d.recordAnswer("old", 1)
 	now := second
 	for ; now < 2*second; now += livenessInterval {
-		if s.shouldQuery(now, "own", "old", 1) {
-			s.recordQuery(now, "old", 1)
+		if d.shouldQuery(now, "own", "old", 1) {
+			d.recordQuery(now, "old", 1)
 		}
-		s.suspects(now, "own")
+		d.suspects(now, "own")
 	}
-	c.Assert(s.shouldQuery(now, "own", "new", 2), qt.IsTrue)
-	s.recordQuery(now, "new", 2)
-	c.Check(s.suspects(now, "own"), qt.IsFalse)
-	c.Check(s.suspects(now+second, "own"), qt.IsFalse)
+	c.Assert(d.shouldQuery(now, "own", "new", 2), qt.IsTrue)
+	d.recordQuery(now, "new", 2)
+	c.Check(d.suspects(now, "own"), qt.IsFalse)
+	c.Check(d.suspects(now+second, "own"), qt.IsFalse)
 }
--- a/gateway/term.go
+++ b/gateway/term.go
@@ -150,8 +150,8 @@
 	defer ticker.Stop()
 	replan := time.NewTimer(tickInterval)
 	defer replan.Stop()
-	written := make(chan error, 1)
-	var writing *engine.Write
+	writeErr := make(chan error, 1)
+	var pending *engine.Write
 	for {
 		select {
 		case f := <-t.inbox:
@@ -160,7 +160,7 @@
 		case <-ticker.C:
 			t.engine.HandleEvent(lease.BootTime(), engine.Tick{WallTime: time.Now()})
 		case <-replan.C:
-		case err := <-written:
+		case err := <-writeErr:
 			if err != nil && isPermanent(err) {
 				t.stepDown(err)
 				return
@@ -171,16 +171,16 @@
 				t.log.WithError(err).Warn("records not written; the duty's lease has lapsed")
 				continue
 			}
-			t.engine.HandleEvent(lease.BootTime(), engine.WriteApplied{Write: *writing})
+			t.engine.HandleEvent(lease.BootTime(), engine.WriteApplied{Write: *pending})
 			t.notifyWriteDone()
-			writing = nil
+			pending = nil
 		case <-t.tomb.Dying():
 			return
 		}
 		t.executeActions()
 		t.resetReplanTimer(replan)
-		if writing == nil {
-			writing = t.write(written)
+		if pending == nil {
+			pending = t.write(writeErr)
 		}
 	}
 }
--- a/gateway/term_advice.go
+++ b/gateway/term_advice.go
@@ -12,7 +12,7 @@
 
 // advise asks the advice service.
 func (t *term) advise(ask engine.AdviceRequest) {
-	answer := engine.AdviceResponse{Request: ask, Failed: true}
+	response := engine.AdviceResponse{Request: ask, Failed: true}
 	if t.g.cfg.Advisor != nil {
 		ctx, cancel := context.WithTimeout(t.tomb.Context(context.Background()), adviceTimeout)
 		defer cancel()
@@ -20,8 +20,8 @@
 		if err != nil {
 			t.log.WithError(err).WithField("job", ask.Job).Warn("no advice")
 		} else {
-			answer = engine.AdviceResponse{Request: ask, Tickets: tickets, Lifetime: valid}
+			response = engine.AdviceResponse{Request: ask, Tickets: tickets, Lifetime: valid}
 		}
 	}
-	t.postEvent(answer)
+	t.postEvent(response)
 }
--- a/gateway/term_load.go
+++ b/gateway/term_load.go
@@ -40,10 +40,10 @@
 // maxUnreadableLogged bounds the lines of the log about records that can't be read.
 const maxUnreadableLogged = 10
 
-func (t *term) logUnreadable(all []records.UnreadableRecord) {
-	for i, u := range all {
+func (t *term) logUnreadable(unreadable []records.UnreadableRecord) {
+	for i, u := range unreadable {
 		if i == maxUnreadableLogged {
-			t.log.WithField("more", len(all)-i).Error("further records can't be read")
+			t.log.WithField("more", len(unreadable)-i).Error("further records can't be read")
 			return
 		}
 		t.log.WithField("key", u.Key).WithError(u.Err).Error("record can't be read; it is passed over")
@@ -99,23 +99,23 @@
 
 // watchSubmissions watches the intake. After a gap in the history, and again and again while the
 // store does not serve this gateway, it is listed.
-func (t *term) watchSubmissions(at store.Revision) error {
+func (t *term) watchSubmissions(revision store.Revision) error {
 	ctx := t.tomb.Context(context.Background())
-	var listed time.Duration
+	var listedAt time.Duration
 	for t.tomb.Alive() {
-		err := t.store.WatchSubmissions(ctx, at, time.Now, t.postEvent)
+		err := t.store.WatchSubmissions(ctx, revision, time.Now, t.postEvent)
 		if ctx.Err() != nil {
 			return nil
 		}
-		t.pause(relistInterval - (lease.BootTime() - listed))
+		t.pause(relistInterval - (lease.BootTime() - listedAt))
 		t.log.WithError(err).Info("watch of the intake lost; listing again")
 		submitted, err := records.ListSubmissions(ctx, listRelay{t.g.relayedStore}, time.Now())
 		if err != nil {
 			t.pause(writeRetryDelay)
 			continue
 		}
-		listed = lease.BootTime()
-		at = max(at, submitted.Revision)
+		listedAt = lease.BootTime()
+		revision = max(revision, submitted.Revision)
 		t.postSubmissions(submitted)
 	}
 	return nil
--- a/gateway/term_orders.go
+++ b/gateway/term_orders.go
@@ -57,13 +57,13 @@
 
 // decide lets the engine decide, at the pace that this process can keep up.
 func (t *term) decide() []engine.Action {
-	began := lease.BootTime()
-	if !t.g.cordonsFresh(began) {
-		t.engine.DelayPlanning(began + tickInterval)
+	start := lease.BootTime()
+	if !t.g.cordonsFresh(start) {
+		t.engine.DelayPlanning(start + tickInterval)
 	}
-	actions := t.engine.Decide(began)
-	if took := lease.BootTime() - began; took > planPauseThreshold {
-		t.engine.DelayPlanning(began + took + min(planPauseFactor*took, maxPlanPause))
+	actions := t.engine.Decide(start)
+	if took := lease.BootTime() - start; took > planPauseThreshold {
+		t.engine.DelayPlanning(start + took + min(planPauseFactor*took, maxPlanPause))
 	}
 	return actions
 }
@@ -92,47 +92,47 @@
 }
 
 // sendOrders gives orders to an agent over the connection on which it last reported.
-func (t *term) sendOrders(o engine.Orders) {
+func (t *term) sendOrders(orders engine.Orders) {
 	t.g.counters.Orders.Add(1)
 	t.mu.Lock()
-	conn := t.conns[o.Agent]
+	conn := t.conns[orders.Agent]
 	t.mu.Unlock()
-	o, withheld := t.withholdStarts(o)
+	orders, withheld := t.withholdStarts(orders)
 	var reply *link.OrdersReply
 	if conn != nil && t.active() {
-		reply = t.callAgent(conn, o)
+		reply = t.callAgent(conn, orders)
 	}
 	if reply == nil {
-		reply = uniformReply(o, engine.StartNotDelivered)
+		reply = uniformReply(orders, engine.StartNotDelivered)
 	}
 	reply.Starts = append(reply.Starts, withheld...)
 	if len(reply.Starts)+len(reply.Paces) > 0 {
-		t.postEvent(engine.OrdersCompleted{Worker: o.Worker, Starts: reply.Starts, Paces: reply.Paces})
+		t.postEvent(engine.OrdersCompleted{Worker: orders.Worker, Starts: reply.Starts, Paces: reply.Paces})
 	}
 }
 
 // callAgent returns the agent's answer, or what is certain without one.
-func (t *term) callAgent(conn *wire.Conn, o engine.Orders) *link.OrdersReply {
+func (t *term) callAgent(conn *wire.Conn, orders engine.Orders) *link.OrdersReply {
 	ctx, cancel := context.WithTimeout(t.tomb.Context(context.Background()), ordersTimeout)
 	defer cancel()
-	raw, err := conn.Call(ctx, link.NewOrders(t.epoch, o))
+	raw, err := conn.Call(ctx, link.NewOrders(t.epoch, orders))
 	if err != nil && outcomeOfCallError(err) == link.OutcomeNotDone {
-		return uniformReply(o, engine.StartNotDelivered)
+		return uniformReply(orders, engine.StartNotDelivered)
 	}
 	reply, ok := raw.(*link.OrdersReply)
 	if err != nil || !ok {
-		return uniformReply(o, engine.StartUnknown)
+		return uniformReply(orders, engine.StartUnknown)
 	}
 	return reply
 }
 
 // uniformReply gives all orders of a set the same outcome; no pace among them is confirmed.
-func uniformReply(o engine.Orders, outcome engine.StartOutcome) *link.OrdersReply {
+func uniformReply(orders engine.Orders, outcome engine.StartOutcome) *link.OrdersReply {
 	reply := &link.OrdersReply{}
-	for _, s := range o.Starts {
+	for _, s := range orders.Starts {
 		reply.Starts = append(reply.Starts, engine.StartResult{Run: s.Run, Outcome: outcome})
 	}
-	for _, p := range o.Paces {
+	for _, p := range orders.Paces {
 		reply.Paces = append(reply.Paces, engine.PaceResult{PaceOrder: p})
 	}
 	return reply
--- a/gateway/term_report.go
+++ b/gateway/term_report.go
@@ -10,31 +10,31 @@
 )
 
 // handleReport handles an agent's handleReport and fills in the reply.
-func (t *term) handleReport(ctx context.Context, from *wire.Conn, m *link.Report, reply *link.ReportReply) *link.ReportReply {
+func (t *term) handleReport(ctx context.Context, conn *wire.Conn, m *link.Report, reply *link.ReportReply) *link.ReportReply {
 	type answer struct {
 		verdict  engine.ReportAnswer
 		recorded <-chan struct{}
 	}
 	a, ok := queryEngine(t, func(now time.Duration) answer {
-		t.setConn(m.Report.Worker.Agent, from)
+		t.setConn(m.Report.Worker.Agent, conn)
 		recorded := t.nextWrite()
 		return answer{t.engine.Report(now, m.Report), recorded}
 	})
 	if !ok {
 		return reply
 	}
-	v := a.verdict
-	if v.EndsPending && len(m.Report.Ended) > 0 {
-		v.AckedEnds = t.awaitWrite(ctx, m.Report.Worker.ID, v, a.recorded)
+	verdict := a.verdict
+	if verdict.EndsPending && len(m.Report.Ended) > 0 {
+		verdict.AckedEnds = t.awaitWrite(ctx, m.Report.Worker.ID, verdict, a.recorded)
 	}
 	if !t.active() && !t.extendingGrants() {
 		return reply
 	}
 	reply.Epoch = t.epoch
-	reply.Attached = v.Attached
-	reply.Seen = v.AckedEnds
-	reply.Closely = v.PollOften
-	reply.Turn = v.Generation
+	reply.Attached = verdict.Attached
+	reply.Seen = verdict.AckedEnds
+	reply.Closely = verdict.PollOften
+	reply.Turn = verdict.Generation
 	if cordons, ok := t.g.currentConfig.Cordons(); ok {
 		reply.Cordoned = cordons.Contains(m.Report.Worker.Zone)
 		reply.CordonsAt = cordons.Revision
@@ -44,16 +44,16 @@
 
 // awaitWrite waits until the ends of a worker are on record, and returns up to which
 // they are.
-func (t *term) awaitWrite(ctx context.Context, id engine.WorkerID, v engine.ReportAnswer, recorded <-chan struct{}) int64 {
+func (t *term) awaitWrite(ctx context.Context, id engine.WorkerID, verdict engine.ReportAnswer, written <-chan struct{}) int64 {
 	deadline := time.NewTimer(reportWriteWait)
 	defer deadline.Stop()
 	for {
 		select {
-		case <-recorded:
+		case <-written:
 		case <-deadline.C:
-			return v.AckedEnds
+			return verdict.AckedEnds
 		case <-ctx.Done():
-			return v.AckedEnds
+			return verdict.AckedEnds
 		}
 		type answer struct {
 			seen     int64
@@ -65,11 +65,11 @@
 			return answer{seen, waiting, t.nextWrite()}
 		})
 		if !ok {
-			return v.AckedEnds
+			return verdict.AckedEnds
 		}
-		v.AckedEnds, recorded = a.seen, a.recorded
+		verdict.AckedEnds, written = a.seen, a.recorded
 		if !a.waiting {
-			return v.AckedEnds
+			return verdict.AckedEnds
 		}
 	}
 }
--- a/gateway/term_write.go
+++ b/gateway/term_write.go
@@ -19,7 +19,7 @@
 }
 
 // write begins to write what has changed, and returns nil where nothing has.
-func (t *term) write(written chan<- error) *engine.Write {
+func (t *term) write(result chan<- error) *engine.Write {
 	w := t.engine.PendingChanges(lease.BootTime(), time.Now(), maxRecordsPerWrite)
 	t.mu.Lock()
 	t.idle = w.Empty()
@@ -27,7 +27,7 @@
 	if w.Empty() || !t.active() {
 		return nil
 	}
-	go func() { written <- t.writeUntilSettled(w) }()
+	go func() { result <- t.writeUntilSettled(w) }()
 	return &w
 }
 
@@ -35,9 +35,9 @@
 // way may take effect until then.
 func (t *term) writeUntilSettled(w engine.Write) error {
 	ctx := t.tomb.Context(context.Background())
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = writeRetryDelay
-	pause.MaxInterval = maxWriteRetryDelay
+	delay := backoff.NewExponentialBackOff()
+	delay.InitialInterval = writeRetryDelay
+	delay.MaxInterval = maxWriteRetryDelay
 	for failures := 0; ; failures++ {
 		t.g.counters.Writes.Add(1)
 		err := t.store.Write(ctx, w)
@@ -51,7 +51,7 @@
 		if failures == 0 {
 			t.log.WithError(err).Warn("records not written")
 		}
-		t.pause(pause.NextBackOff())
+		t.pause(delay.NextBackOff())
 	}
 }
 
--- a/nodeagent/announce.go
+++ b/nodeagent/announce.go
@@ -10,100 +10,100 @@
 // Announce takes a worker's heartbeat. A heartbeat of a life that is over, which was
 // held up on its way, changes nothing: a life other than the present one counts only if
 // the worker itself says that it is the one.
-func (a *Agent) Announce(ctx context.Context, n Heartbeat) error {
+func (a *Agent) Announce(ctx context.Context, hb Heartbeat) error {
 	a.counters.Announcements.Add(1)
-	n.Info.Agent = a.cfg.ID
-	if a.updateCurrent(n) {
+	hb.Info.Agent = a.cfg.ID
+	if a.updateCurrent(hb) {
 		return nil
 	}
-	name, err := a.cfg.Worker.Identify(ctx)
+	currentName, err := a.cfg.Worker.Identify(ctx)
 	if err != nil {
 		return err
 	}
-	if name != n.Info.CallName() {
-		a.log.WithField("announced", n.Info.ID).WithField("answers", name).Info("heartbeat of another life passed over")
+	if currentName != hb.Info.CallName() {
+		a.log.WithField("announced", hb.Info.ID).WithField("answers", currentName).Info("heartbeat of another life passed over")
 		return nil
 	}
-	l, _ := a.current()
-	if l != nil && l.info.SharesName(n.Info) {
-		return a.resolveSharedName(l, n)
+	inc, _ := a.current()
+	if inc != nil && inc.info.SharesName(hb.Info) {
+		return a.resolveSharedName(inc, hb)
 	}
-	return a.adopt(l, n)
+	return a.adopt(inc, hb)
 }
 
 // resolveSharedName takes a heartbeat of another life than the present one, l, which has the same
 // name. Only a look tells them apart: where l answers, the heartbeat is of an earlier life.
-func (a *Agent) resolveSharedName(l *incarnation, n Heartbeat) error {
-	a.markUnresponsive(l)
-	_, err := a.tryPoll(l, 0)
+func (a *Agent) resolveSharedName(inc *incarnation, hb Heartbeat) error {
+	a.markUnresponsive(inc)
+	_, err := a.tryPoll(inc, 0)
 	switch {
 	case err == nil:
-		a.log.WithField("announced", n.Info.ID).Info("heartbeat of an earlier life passed over")
+		a.log.WithField("announced", hb.Info.ID).Info("heartbeat of an earlier life passed over")
 		return nil
 	case errors.Is(err, ErrOtherIncarnation), errors.Is(err, errIncarnationEnded):
-		return a.adopt(nil, n)
+		return a.adopt(nil, hb)
 	}
 	return err
 }
 
 // markUnresponsive takes l for silent until it answers: the connection to it may hang without an error,
 // and the next look be the first that another life answers.
-func (a *Agent) markUnresponsive(l *incarnation) {
+func (a *Agent) markUnresponsive(inc *incarnation) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.incarnation == l && !l.unresponsive {
-		l.markUnresponsive(now())
+	if a.incarnation == inc && !inc.unresponsive {
+		inc.markUnresponsive(now())
 	}
 }
 
 // updateCurrent updates the present life, and returns false for another one.
-func (a *Agent) updateCurrent(n Heartbeat) bool {
+func (a *Agent) updateCurrent(hb Heartbeat) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.endedIDs[n.Info.ID] {
+	if a.endedIDs[hb.Info.ID] {
 		return true
 	}
-	l := a.incarnation
-	if l == nil || l.info.ID != n.Info.ID {
+	inc := a.incarnation
+	if inc == nil || inc.info.ID != hb.Info.ID {
 		return false
 	}
-	if n.Sequence <= l.sequence {
+	if hb.Sequence <= inc.sequence {
 		return true
 	}
-	l.sequence = n.Sequence
-	if n.Info.Capacity != l.info.Capacity {
-		a.log.WithField("worker", l.info.ID).WithField("room", n.Info.Capacity).WithField("before", l.info.Capacity).Info("worker's room changed")
-		l.info.Capacity = n.Info.Capacity
+	inc.sequence = hb.Sequence
+	if hb.Info.Capacity != inc.info.Capacity {
+		a.log.WithField("worker", inc.info.ID).WithField("room", hb.Info.Capacity).WithField("before", inc.info.Capacity).Info("worker's room changed")
+		inc.info.Capacity = hb.Info.Capacity
 		a.requestReport()
 	}
-	if n.Draining {
-		if !l.draining {
-			a.log.WithField("worker", l.info.ID).WithField("remaining_ms", n.Remaining.Milliseconds()).Info("worker drains")
+	if hb.Draining {
+		if !inc.draining {
+			a.log.WithField("worker", inc.info.ID).WithField("remaining_ms", hb.Remaining.Milliseconds()).Info("worker drains")
 			a.requestReport()
 		}
-		l.draining = true
-		l.departsAt = now() + n.Remaining
+		inc.draining = true
+		inc.departsAt = now() + hb.Remaining
 	}
 	return true
 }
 
 // adopt begins a new life in the place of l. It fails where another one is present by now.
-func (a *Agent) adopt(l *incarnation, n Heartbeat) error {
+func (a *Agent) adopt(inc *incarnation, hb Heartbeat) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.endedIDs[n.Info.ID] || a.incarnation != nil && a.incarnation.info.ID == n.Info.ID {
+	if a.endedIDs[hb.Info.ID] || a.incarnation != nil && a.incarnation.info.ID == hb.Info.ID {
 		return nil
 	}
-	if a.incarnation != l {
+	if a.incarnation != inc {
 		return errIncarnationEnded
 	}
 	a.endUnannounced(false)
-	a.incarnation = newIncarnation(n.Info)
+	a.incarnation = newIncarnation(hb.Info)
 	a.incarnation.fence = a.nextFence.Max(engine.Fence{Epoch: a.epoch})
-	a.incarnation.sequence = n.Sequence
-	a.incarnation.draining = n.Draining
-	a.incarnation.departsAt = now() + n.Remaining
-	a.log.WithField("worker", n.Info.ID).WithField("service", n.Info.Service).Info("worker announced")
+	a.incarnation.sequence = hb.Sequence
+	a.incarnation.draining = hb.Draining
+	a.incarnation.departsAt = now() + hb.Remaining
+	a.log.WithField("worker", hb.Info.ID).WithField("service", hb.Info.Service).Info("worker announced")
 	a.notifyChanged()
 	return nil
 }
--- a/nodeagent/cordon.go
+++ b/nodeagent/cordon.go
@@ -11,18 +11,18 @@
 }
 
 // update takes what a planner knows as of a revision, 0 where it knows nothing.
-func (c *cordonState) update(active bool, at int64) {
-	if at > c.revision {
-		c.active, c.revision = active, at
+func (c *cordonState) update(active bool, revision int64) {
+	if revision > c.revision {
+		c.active, c.revision = active, revision
 	}
 }
 
 // refuses says whether starts that were decided on the cordons as of a revision are refused.
-func (c *cordonState) refuses(at int64) bool { return c.active && at <= c.revision }
+func (c *cordonState) refuses(revision int64) bool { return c.active && revision <= c.revision }
 
 // startsRefused says so of starts that have been admitted already.
-func (a *Agent) startsRefused(at int64) bool {
+func (a *Agent) startsRefused(revision int64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.cordon.refuses(at)
+	return a.cordon.refuses(revision)
 }
--- a/nodeagent/cordon_test.go
+++ b/nodeagent/cordon_test.go
@@ -45,9 +45,9 @@
 	return a
 }
 
-func startAndStopOrders(cordonsAt int64) *link.Orders {
+func startAndStopOrders(cordonsRevision int64) *link.Orders {
 	run := workload.RunID{Task: workload.TaskID{Job: "j"}, Number: 1}
-	return link.NewOrders(1, engine.Orders{Worker: "w", Starts: []engine.StartOrder{{Run: run}}, Stops: []workload.RunID{run}, CordonsAt: cordonsAt})
+	return link.NewOrders(1, engine.Orders{Worker: "w", Starts: []engine.StartOrder{{Run: run}}, Stops: []workload.RunID{run}, CordonsAt: cordonsRevision})
 }
 
 func executeStart(c *qt.C, a *Agent, orders *link.Orders) engine.StartOutcome {
--- a/nodeagent/departure.go
+++ b/nodeagent/departure.go
@@ -15,16 +15,16 @@
 }
 
 // endIncarnation notes how the present life has ended. The mutex is held.
-func (a *Agent) endIncarnation(how departure) {
+func (a *Agent) endIncarnation(dep departure) {
 	if a.incarnation == nil {
 		return
 	}
 	id := a.incarnation.info.ID
-	a.log.WithField("worker", id).WithField("crashed", how.crashed).WithField("superseded", how.superseded).Info("worker gone")
+	a.log.WithField("worker", id).WithField("crashed", dep.crashed).WithField("superseded", dep.superseded).Info("worker gone")
 	a.endedIDs[id] = true
-	how.info = a.incarnation.info
-	how.polled, how.pastStartup, how.ended = a.incarnation.polled, a.incarnation.pastStartup(), a.incarnation.ended
-	a.departures = append(a.departures, how)
+	dep.info = a.incarnation.info
+	dep.polled, dep.pastStartup, dep.ended = a.incarnation.polled, a.incarnation.pastStartup(), a.incarnation.ended
+	a.departures = append(a.departures, dep)
 	a.nextFence = a.incarnation.fence
 	a.nextFence.Generation += engine.GenerationStep // also above what an agent before this one counted
 	a.incarnation = nil
--- a/nodeagent/departure_test.go
+++ b/nodeagent/departure_test.go
@@ -25,9 +25,9 @@
 // so that nobody could tell from outside, nor the planner, whether what ran there was lost.
 func TestCrashReportedOnlyWithoutDepartureNotice(t *testing.T) {
 	for _, tc := range []struct {
-		name    string
-		ends    func(a *Agent)
-		crashed bool
+		name           string
+		endIncarnation func(a *Agent)
+		crashed        bool
 	}{
 		{"goodbye", func(a *Agent) { a.Leave("w1") }, false},
 		{"another life in its place", func(*Agent) {}, true},
@@ -49,15 +49,15 @@
 				changed: make(chan struct{}), reportPending: make(chan struct{}, 1), endedIDs: map[engine.WorkerID]bool{},
 			}
 			c.Assert(a.Announce(context.Background(), Heartbeat{Info: engine.WorkerInfo{ID: "w1"}, Sequence: 1}), qt.IsNil)
-			tc.ends(a)
+			tc.endIncarnation(a)
 			w.name = "w2"
 			c.Assert(a.Announce(context.Background(), Heartbeat{Info: engine.WorkerInfo{ID: "w2"}, Sequence: 1}), qt.IsNil)
-			told := a.pendingReports()
-			c.Assert(told, qt.HasLen, 2)
-			c.Check(told[0].Worker.ID, qt.Equals, engine.WorkerID("w1"))
-			c.Check(told[0].Terminated, qt.IsTrue)
-			c.Check(told[0].Crashed, qt.Equals, tc.crashed)
-			c.Check(told[1].Worker.ID, qt.Equals, engine.WorkerID("w2"))
+			reports := a.pendingReports()
+			c.Assert(reports, qt.HasLen, 2)
+			c.Check(reports[0].Worker.ID, qt.Equals, engine.WorkerID("w1"))
+			c.Check(reports[0].Terminated, qt.IsTrue)
+			c.Check(reports[0].Crashed, qt.Equals, tc.crashed)
+			c.Check(reports[1].Worker.ID, qt.Equals, engine.WorkerID("w2"))
 		})
 	}
 }
@@ -67,19 +67,19 @@
 func TestCrashReportListsRunsPastStartup(t *testing.T) {
 	c := qt.New(t)
 	a := &Agent{log: logrus.New(), reportPending: make(chan struct{}, 1), endedIDs: map[engine.WorkerID]bool{}}
-	l := newIncarnation(engine.WorkerInfo{ID: "w"})
-	a.incarnation = l
+	inc := newIncarnation(engine.WorkerInfo{ID: "w"})
+	a.incarnation = inc
 	run := func(n int) engine.RunStatus {
 		return engine.RunStatus{Run: workload.RunID{Task: workload.TaskID{Job: "j", Index: n}, Number: 1}}
 	}
-	over := engine.RunEnd{Sequence: 1, Run: run(3).Run, Reason: engine.EndDone}
+	ended := engine.RunEnd{Sequence: 1, Run: run(3).Run, Reason: engine.EndDone}
 	at := time.Second
-	l.applyStatus(WorkerStatus{Clock: at, Running: []engine.RunStatus{run(1), run(3)}}, at, at, 0)
+	inc.applyStatus(WorkerStatus{Clock: at, Running: []engine.RunStatus{run(1), run(3)}}, at, at, 0)
 	at += engine.StartupCrashWindow
-	l.applyStatus(WorkerStatus{Clock: at, Running: []engine.RunStatus{run(1), run(2)}, Ended: []engine.RunEnd{over}}, at, at, 0)
+	inc.applyStatus(WorkerStatus{Clock: at, Running: []engine.RunStatus{run(1), run(2)}, Ended: []engine.RunEnd{ended}}, at, at, 0)
 	a.endIncarnation(departure{crashed: true})
-	told := a.pendingReports()[0]
-	c.Check(told.Polled, qt.IsTrue)
-	c.Check(told.Running, qt.DeepEquals, []engine.RunStatus{run(1)})
-	c.Check(told.Ended, qt.DeepEquals, []engine.RunEnd{over})
+	report := a.pendingReports()[0]
+	c.Check(report.Polled, qt.IsTrue)
+	c.Check(report.Running, qt.DeepEquals, []engine.RunStatus{run(1)})
+	c.Check(report.Ended, qt.DeepEquals, []engine.RunEnd{ended})
 }
--- a/nodeagent/finder.go
+++ b/nodeagent/finder.go
@@ -67,10 +67,10 @@
 // known.
 func (f *plannerFinder) locate(ctx context.Context) (string, bool) {
 	f.mu.Lock()
-	found := f.address
+	address := f.address
 	f.mu.Unlock()
-	if found != "" {
-		return found, true
+	if address != "" {
+		return address, true
 	}
 	f.readRegistry()
 	return f.queryGateways(ctx, f.chooseGateways())
@@ -84,14 +84,14 @@
 }
 
 // queryGateways asks some gateways at once and takes the newest planner that one names.
-func (f *plannerFinder) queryGateways(ctx context.Context, members []string) (string, bool) {
+func (f *plannerFinder) queryGateways(ctx context.Context, gateways []string) (string, bool) {
 	ctx, cancel := context.WithTimeout(ctx, gatewayQueryTimeout)
 	defer cancel()
-	replies := make(chan *link.PeerReply, len(members))
-	for _, m := range members {
-		go func() { replies <- f.queryGateway(ctx, m) }()
+	replies := make(chan *link.PeerReply, len(gateways))
+	for _, gateway := range gateways {
+		go func() { replies <- f.queryGateway(ctx, gateway) }()
 	}
-	for range members {
+	for range gateways {
 		reply := <-replies
 		if reply == nil {
 			continue
@@ -186,15 +186,15 @@
 }
 
 // addGateways remembers gateways.
-func (f *plannerFinder) addGateways(members []string) {
-	if len(members) == 0 {
+func (f *plannerFinder) addGateways(gateways []string) {
+	if len(gateways) == 0 {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, m := range members {
-		if !slices.Contains(f.gateways, m) {
-			f.gateways = slices.Insert(f.gateways, 0, m)
+	for _, gateway := range gateways {
+		if !slices.Contains(f.gateways, gateway) {
+			f.gateways = slices.Insert(f.gateways, 0, gateway)
 		}
 	}
 	if len(f.gateways) > maxGateways {
@@ -208,23 +208,23 @@
 	if f.cfg.ListGateways == nil {
 		return
 	}
-	t := now()
+	checkedAt := now()
 	f.mu.Lock()
 	if f.lostSince == 0 {
-		f.lostSince = t
+		f.lostSince = checkedAt
 	}
-	due := t-f.lostSince > registryReadDelay && t-f.registryReadAt > registryReadDelay
+	due := checkedAt-f.lostSince > registryReadDelay && checkedAt-f.registryReadAt > registryReadDelay
 	if due {
-		f.registryReadAt = t
+		f.registryReadAt = checkedAt
 	}
 	f.mu.Unlock()
 	if !due {
 		return
 	}
-	members, err := f.cfg.ListGateways()
+	gateways, err := f.cfg.ListGateways()
 	if err != nil {
 		f.log.WithError(err).Info("register of gateways not read")
 		return
 	}
-	f.addGateways(members)
+	f.addGateways(gateways)
 }
--- a/nodeagent/finder_test.go
+++ b/nodeagent/finder_test.go
@@ -49,9 +49,9 @@
 	}
 	asked := map[string]bool{}
 	for range maxGateways {
-		some := f.chooseGateways()
-		c.Assert(some, qt.HasLen, maxQueried)
-		for _, g := range some {
+		chosen := f.chooseGateways()
+		c.Assert(chosen, qt.HasLen, maxQueried)
+		for _, g := range chosen {
 			asked[g] = true
 		}
 	}
--- a/nodeagent/life.go
+++ b/nodeagent/life.go
@@ -62,25 +62,25 @@
 }
 
 // raiseFence makes later orders carry a fence, and returns false where they carry one as high.
-func (l *incarnation) raiseFence(f engine.Fence) bool {
-	if f.Compare(l.fence) <= 0 {
+func (inc *incarnation) raiseFence(f engine.Fence) bool {
+	if f.Compare(inc.fence) <= 0 {
 		return false
 	}
-	l.fence = f
+	inc.fence = f
 	return true
 }
 
 // workerTime turns a time on the agent's clock into one on the worker's. The worker's clock
 // was read before readAt, so the result never lies beyond t.
-func (l *incarnation) workerTime(t time.Duration) time.Duration {
-	if !l.polled || t <= l.clockReadAt {
+func (inc *incarnation) workerTime(t time.Duration) time.Duration {
+	if !inc.polled || t <= inc.clockReadAt {
 		return 0
 	}
-	return l.workerClock + t - l.clockReadAt
+	return inc.workerClock + t - inc.clockReadAt
 }
 
 // extendLease notes that an order with a lease until t leaves.
-func (l *incarnation) extendLease(t time.Duration) { l.leaseEnd = max(l.leaseEnd, t) }
+func (inc *incarnation) extendLease(t time.Duration) { inc.leaseEnd = max(inc.leaseEnd, t) }
 
 // leaseExpiryMargin is how much later than reckoned a lease may lapse, since the worker's clock
 // may be 2% slow over a lease of some seconds, and how much earlier, in transit.
@@ -90,8 +90,8 @@
 // before. Until one has, nothing extends the lease and nothing starts: of an end that was
 // listed only after something ran again, nobody could tell whether it came before the
 // lapse, and counts as not having been, or after it, and counts.
-func (l *incarnation) leaseMayHaveExpired(now time.Duration) bool {
-	return l.leaseEnd != 0 && l.surveyedLeaseEnd != l.leaseEnd && now > l.leaseEnd-leaseExpiryMargin
+func (inc *incarnation) leaseMayHaveExpired(now time.Duration) bool {
+	return inc.leaseEnd != 0 && inc.surveyedLeaseEnd != inc.leaseEnd && now > inc.leaseEnd-leaseExpiryMargin
 }
 
 // applyStatus notes an answered look that was asked for at sent and came at now. before is the
@@ -99,48 +99,48 @@
 // so the ends that it shows and that nobody took note of count as not having been. Once
 // the lease is extended again, a look that was sent before may show ends of later runs,
 // which count. It returns false for an answer that tells nothing new.
-func (l *incarnation) applyStatus(look WorkerStatus, sent, now, before time.Duration) bool {
-	if before != 0 && sent > before+leaseExpiryMargin && l.leaseEnd == before {
-		l.surveyedLeaseEnd = before
-		for _, row := range look.Ended {
-			l.voidEnds[row.Sequence] = true
+func (inc *incarnation) applyStatus(status WorkerStatus, sentAt, receivedAt, leaseEndAtSend time.Duration) bool {
+	if leaseEndAtSend != 0 && sentAt > leaseEndAtSend+leaseExpiryMargin && inc.leaseEnd == leaseEndAtSend {
+		inc.surveyedLeaseEnd = leaseEndAtSend
+		for _, row := range status.Ended {
+			inc.voidEnds[row.Sequence] = true
 		}
 	}
-	l.voidEndsBeforeExpiry(look.Ended)
-	l.unresponsive = false
-	if l.polled && (look.Clock < l.workerClock || look.Clock == l.workerClock && sent < l.polledAt) {
+	inc.voidEndsBeforeExpiry(status.Ended)
+	inc.unresponsive = false
+	if inc.polled && (status.Clock < inc.workerClock || status.Clock == inc.workerClock && sentAt < inc.polledAt) {
 		return false // overtaken on its way by the answer to a later look
 	}
-	l.workerClock, l.clockReadAt, l.polledAt, l.polled = look.Clock, now, sent, true
-	l.running = look.Running
-	l.updateFirstSeen()
-	l.ended = look.Ended
-	for i := range l.ended {
-		l.ended[i].Void = l.voidEnds[l.ended[i].Sequence]
+	inc.workerClock, inc.clockReadAt, inc.polledAt, inc.polled = status.Clock, receivedAt, sentAt, true
+	inc.running = status.Running
+	inc.updateFirstSeen()
+	inc.ended = status.Ended
+	for i := range inc.ended {
+		inc.ended[i].Void = inc.voidEnds[inc.ended[i].Sequence]
 	}
-	l.unreportedPolls++
-	l.resolveStops(sent)
+	inc.unreportedPolls++
+	inc.resolveStops(sentAt)
 	return true
 }
 
 // updateFirstSeen notes since when looks have shown what runs.
-func (l *incarnation) updateFirstSeen() {
-	from := make(map[workload.RunID]time.Duration, len(l.running))
-	for _, row := range l.running {
-		from[row.Run] = l.clockReadAt
-		if before, shown := l.firstSeen[row.Run]; shown {
-			from[row.Run] = before
+func (inc *incarnation) updateFirstSeen() {
+	firstSeen := make(map[workload.RunID]time.Duration, len(inc.running))
+	for _, row := range inc.running {
+		firstSeen[row.Run] = inc.clockReadAt
+		if earlier, seen := inc.firstSeen[row.Run]; seen {
+			firstSeen[row.Run] = earlier
 		}
 	}
-	l.firstSeen = from
+	inc.firstSeen = firstSeen
 }
 
 // pastStartup returns the runs that looks had shown for long enough to tell that they did not
 // crash the worker by their start.
-func (l *incarnation) pastStartup() []engine.RunStatus {
+func (inc *incarnation) pastStartup() []engine.RunStatus {
 	var out []engine.RunStatus
-	for _, row := range l.running {
-		if l.clockReadAt-l.firstSeen[row.Run] >= engine.StartupCrashWindow {
+	for _, row := range inc.running {
+		if inc.clockReadAt-inc.firstSeen[row.Run] >= engine.StartupCrashWindow {
 			out = append(out, engine.RunStatus{Run: row.Run})
 		}
 	}
@@ -153,70 +153,70 @@
 // The failure it guards against: an agent that was away for longer than the lease, and was
 // started again, knows nothing of the lease. It would report a task as done that the
 // planner, to which the lease has lapsed, starts elsewhere.
-func (l *incarnation) voidEndsBeforeExpiry(ended []engine.RunEnd) {
-	lapsed := int64(0)
+func (inc *incarnation) voidEndsBeforeExpiry(ended []engine.RunEnd) {
+	lastExpired := int64(0)
 	for _, row := range ended {
 		if row.Reason == engine.EndLeaseExpired {
-			lapsed = max(lapsed, row.Sequence)
+			lastExpired = max(lastExpired, row.Sequence)
 		}
 	}
 	for _, row := range ended {
-		if row.Sequence < lapsed {
-			l.voidEnds[row.Sequence] = true
+		if row.Sequence < lastExpired {
+			inc.voidEnds[row.Sequence] = true
 		}
 	}
 }
 
 // resolveStops finds the stopped runs that a look, asked for after their stop was
 // confirmed, does not show.
-func (l *incarnation) resolveStops(sent time.Duration) {
-	shown := engine.ListedRuns(l.running, l.ended)
-	for run, at := range l.confirmedStops {
-		if sent < at {
+func (inc *incarnation) resolveStops(polledAt time.Duration) {
+	listed := engine.ListedRuns(inc.running, inc.ended)
+	for run, confirmedAt := range inc.confirmedStops {
+		if polledAt < confirmedAt {
 			continue
 		}
-		if !shown[run] {
-			l.absent = append(l.absent, run)
+		if !listed[run] {
+			inc.absent = append(inc.absent, run)
 		}
-		delete(l.confirmedStops, run)
+		delete(inc.confirmedStops, run)
 	}
 }
 
 // report returns the life as a report, and what of it is new since the last.
-func (l *incarnation) report(now time.Duration, epoch uint64) engine.Report {
+func (inc *incarnation) report(now time.Duration, epoch uint64) engine.Report {
 	r := engine.Report{
-		Worker:         l.info,
-		Draining:       l.draining,
-		Unresponsive:   l.unresponsive,
-		LeaseKnown:     l.leaseEnd != 0,
-		ExtendingLease: l.unresponsive && l.mayExtendLease(now),
+		Worker:         inc.info,
+		Draining:       inc.draining,
+		Unresponsive:   inc.unresponsive,
+		LeaseKnown:     inc.leaseEnd != 0,
+		ExtendingLease: inc.unresponsive && inc.mayExtendLease(now),
 	}
 	if r.LeaseKnown {
-		r.LeaseRemaining = l.leaseEnd - now
+		r.LeaseRemaining = inc.leaseEnd - now
 	}
-	if l.draining {
-		r.DrainRemaining = max(0, l.departsAt-now)
+	if inc.draining {
+		r.DrainRemaining = max(0, inc.departsAt-now)
 	}
-	if l.confirmedFence.Epoch == epoch {
+	if inc.confirmedFence.Epoch == epoch {
 		r.Epoch = epoch
-		r.Generation = l.confirmedFence.Generation
+		r.Generation = inc.confirmedFence.Generation
 	}
-	if l.unreportedPolls > 0 {
-		l.pollsInReport = l.unreportedPolls
+	if inc.unreportedPolls > 0 {
+		inc.pollsInReport = inc.unreportedPolls
 		r.Polled = true
-		r.Running = l.running
-		r.Ended = l.ended
-		r.ConfirmedAbsent = l.absent
+		r.Running = inc.running
+		r.Ended = inc.ended
+		r.ConfirmedAbsent = inc.absent
 	}
 	return r
 }
 
 // clearReported forgets what a planner has taken.
-func (l *incarnation) clearReported(r engine.Report) {
+func (inc *incarnation) clearReported(r engine.Report) {
 	if !r.Polled {
 		return
 	}
-	l.unreportedPolls -= l.pollsInReport
-	l.pollsInReport = 0
-	l.absent = l.absent[min(len(r.ConfirmedAbsent), len(l.absent)):]
+	inc.unreportedPolls -= inc.pollsInReport
+	inc.pollsInReport = 0
+	inc.absent = inc.absent[min(len(r.ConfirmedAbsent), len(inc.absent)):]
 }
--- a/nodeagent/look.go
+++ b/nodeagent/look.go
@@ -12,15 +12,15 @@
 // pollLoop looks at the worker again and again, which renews its lease.
 func (a *Agent) pollLoop() error {
 	for a.tomb.Alive() {
-		l, changed := a.current()
-		if l == nil {
+		inc, changed := a.current()
+		if inc == nil {
 			select {
 			case <-changed:
 			case <-a.tomb.Dying():
 			}
 			continue
 		}
-		pause := a.poll(l, a.pollWait(l))
+		pause := a.poll(inc, a.pollWait(inc))
 		if pause > 0 {
 			select {
 			case <-time.After(pause):
@@ -32,18 +32,18 @@
 }
 
 // pollWait returns how long the next look may wait for an end.
-func (a *Agent) pollWait(l *incarnation) time.Duration {
+func (a *Agent) pollWait(inc *incarnation) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if l.pollOften {
+	if inc.pollOften {
 		return shortPollWait
 	}
 	return pollWait
 }
 
 // poll makes one poll and returns how long to wait before the next.
-func (a *Agent) poll(l *incarnation, wait time.Duration) time.Duration {
-	pause, _ := a.tryPoll(l, wait) // what failed is noted of the life
+func (a *Agent) poll(inc *incarnation, wait time.Duration) time.Duration {
+	pause, _ := a.tryPoll(inc, wait) // what failed is noted of the life
 	return pause
 }
 
@@ -51,28 +51,28 @@
 var errIncarnationEnded = eris.New("the life is over")
 
 // tryPoll makes one look. The error says why it tells nothing of l.
-func (a *Agent) tryPoll(l *incarnation, wait time.Duration) (pause time.Duration, err error) {
+func (a *Agent) tryPoll(inc *incarnation, wait time.Duration) (pause time.Duration, err error) {
 	a.counters.Looks.Add(1)
-	o, seen, wait, before := a.preparePoll(l, wait)
-	sent := now()
+	o, ackedEnds, wait, leaseEnd := a.preparePoll(inc, wait)
+	sentAt := now()
 	ctx, cancel := context.WithTimeout(a.tomb.Context(context.Background()), wait+pollTimeoutMargin)
 	defer cancel()
-	look, err := a.cfg.Worker.Poll(ctx, o, seen, wait)
+	status, err := a.cfg.Worker.Poll(ctx, o, ackedEnds, wait)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.incarnation != l {
+	if a.incarnation != inc {
 		return 0, errIncarnationEnded
 	}
 	if err != nil {
-		return a.handlePollError(l, err), err
+		return a.handlePollError(inc, err), err
 	}
-	waited := now() - sent
-	l.confirmedFence = l.confirmedFence.Max(o.Fence)
-	l.ackedEnds = max(l.ackedEnds, seen)
-	clock := l.workerClock
-	a.noteStaleAnswer(l, look, clock, l.applyStatus(look, sent, now(), before))
+	waited := now() - sentAt
+	inc.confirmedFence = inc.confirmedFence.Max(o.Fence)
+	inc.ackedEnds = max(inc.ackedEnds, ackedEnds)
+	clockBefore := inc.workerClock
+	a.noteStaleAnswer(inc, status, clockBefore, inc.applyStatus(status, sentAt, now(), leaseEnd))
 	a.requestReport()
-	if (len(look.Ended) > 0 || l.leaseMayHaveExpired(now())) && waited < minPollInterval {
+	if (len(status.Ended) > 0 || inc.leaseMayHaveExpired(now())) && waited < minPollInterval {
 		return minPollInterval, nil
 	}
 	return 0, nil
@@ -80,60 +80,60 @@
 
 // preparePoll returns the order of the next look. Once the worker has not answered for
 // keepExtending, nothing extends its lease, so that it is certain when it lapses.
-func (a *Agent) preparePoll(l *incarnation, wait time.Duration) (o OrderHeader, seen int64, w, before time.Duration) {
+func (a *Agent) preparePoll(inc *incarnation, wait time.Duration) (o OrderHeader, ackedEnds int64, w, leaseEnd time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	o = OrderHeader{Worker: l.info.ID, Fence: l.fence}
-	before = l.leaseEnd
-	lapsing := l.leaseMayHaveExpired(now())
-	if !lapsing && l.mayExtendLease(now()) {
-		o.LeaseEnd = l.workerTime(a.grantedUntil)
+	o = OrderHeader{Worker: inc.info.ID, Fence: inc.fence}
+	leaseEnd = inc.leaseEnd
+	mayHaveExpired := inc.leaseMayHaveExpired(now())
+	if !mayHaveExpired && inc.mayExtendLease(now()) {
+		o.LeaseEnd = inc.workerTime(a.grantedUntil)
 	}
 	if o.LeaseEnd > 0 {
-		l.extendLease(a.grantedUntil)
+		inc.extendLease(a.grantedUntil)
 	}
-	if l.unresponsive || !l.polled || l.confirmedFence.Compare(l.fence) < 0 || lapsing {
+	if inc.unresponsive || !inc.polled || inc.confirmedFence.Compare(inc.fence) < 0 || mayHaveExpired {
 		wait = 0
 	}
-	return o, l.nextAck(), wait, before
+	return o, inc.nextAck(), wait, leaseEnd
 }
 
-func (a *Agent) handlePollError(l *incarnation, err error) time.Duration {
+func (a *Agent) handlePollError(inc *incarnation, err error) time.Duration {
 	a.counters.LooksFailed.Add(1)
 	if errors.Is(err, ErrOtherIncarnation) {
-		a.log.WithField("worker", l.info.ID).WithError(err).Info("the worker answers as another life")
+		a.log.WithField("worker", inc.info.ID).WithError(err).Info("the worker answers as another life")
 		a.endUnannounced(errors.Is(err, ErrSuperseded))
 		a.notifyChanged()
 		return 0
 	}
 	if errors.Is(err, ErrFenced) {
-		a.log.WithField("worker", l.info.ID).WithField("fence", l.fence).Warn("the worker has seen a higher fence")
-		l.raiseRefusedFence()
+		a.log.WithField("worker", inc.info.ID).WithField("fence", inc.fence).Warn("the worker has seen a higher fence")
+		inc.raiseRefusedFence()
 		return unresponsivePollInterval
 	}
 	at := now()
-	if !l.unresponsive {
-		a.log.WithField("worker", l.info.ID).WithField("acknowledged", l.ackedEnds).WithError(err).Warn("worker does not answer")
-		l.markUnresponsive(at)
+	if !inc.unresponsive {
+		a.log.WithField("worker", inc.info.ID).WithField("acknowledged", inc.ackedEnds).WithError(err).Warn("worker does not answer")
+		inc.markUnresponsive(at)
 	}
-	if at-l.failureReportedAt >= unresponsivePollInterval {
-		l.failureReportedAt = at
+	if at-inc.failureReportedAt >= unresponsivePollInterval {
+		inc.failureReportedAt = at
 		a.requestReport()
 	}
-	return l.unresponsivePollInterval(at)
+	return inc.unresponsivePollInterval(at)
 }
 
 // noteStaleAnswer counts answers that were passed over since the worker's clock was further in
 // an earlier one, and tells of the first in a row. The mutex is held.
-func (a *Agent) noteStaleAnswer(l *incarnation, look WorkerStatus, clock time.Duration, taken bool) {
-	if !taken {
+func (a *Agent) noteStaleAnswer(inc *incarnation, status WorkerStatus, clockBefore time.Duration, accepted bool) {
+	if !accepted {
 		a.counters.LooksPassedOver.Add(1)
 	}
-	if !taken && !l.lastAnswerStale {
+	if !accepted && !inc.lastAnswerStale {
 		a.log.WithFields(logrus.Fields{
-			"worker": l.info.ID, "clock_ms": look.Clock.Milliseconds(), "before_ms": clock.Milliseconds(),
-			"ends": len(look.Ended), "acknowledged": l.ackedEnds,
+			"worker": inc.info.ID, "clock_ms": status.Clock.Milliseconds(), "before_ms": clockBefore.Milliseconds(),
+			"ends": len(status.Ended), "acknowledged": inc.ackedEnds,
 		}).Info("worker's answer passed over")
 	}
-	l.lastAnswerStale = !taken
+	inc.lastAnswerStale = !accepted
 }
--- a/nodeagent/newer_test.go
+++ b/nodeagent/newer_test.go
@@ -26,26 +26,26 @@
 // timeout of the first: it gives it up as soon as another gateway names the successor.
 func TestReportAbandonedForNewerPlanner(t *testing.T) {
 	c := qt.New(t)
-	dead := listenLoopback(t, "dead", wire.RoleEntry, func(ctx context.Context, _ *wire.Conn, msg any) (any, error) {
+	unresponsive := listenLoopback(t, "dead", wire.RoleEntry, func(ctx context.Context, _ *wire.Conn, msg any) (any, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	})
 	var successor string
-	next := listenLoopback(t, "next", wire.RoleEntry, func(_ context.Context, _ *wire.Conn, msg any) (any, error) {
+	successorEndpoint := listenLoopback(t, "next", wire.RoleEntry, func(_ context.Context, _ *wire.Conn, msg any) (any, error) {
 		return &link.PeerReply{Epoch: 2, Planner: successor}, nil
 	})
-	successor = next.Addr()
-	own := listenLoopback(t, "agent", wire.RoleAgent, nil)
-	pool := wire.NewPool(own)
+	successor = successorEndpoint.Addr()
+	local := listenLoopback(t, "agent", wire.RoleAgent, nil)
+	pool := wire.NewPool(local)
 	defer pool.Close()
 
 	f := newTestFinder()
-	f.pool, f.gateways = pool, []string{dead.Addr(), next.Addr()}
-	c.Assert(f.accept(&link.PeerReply{Planner: dead.Addr(), Epoch: 1}), qt.IsTrue)
+	f.pool, f.gateways = pool, []string{unresponsive.Addr(), successorEndpoint.Addr()}
+	c.Assert(f.accept(&link.PeerReply{Planner: unresponsive.Addr(), Epoch: 1}), qt.IsTrue)
 	a := &Agent{pool: pool, finder: f}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	_, err := a.callPlanner(ctx, dead.Addr(), &link.Report{})
+	_, err := a.callPlanner(ctx, unresponsive.Addr(), &link.Report{})
 	c.Check(err, qt.Not(qt.IsNil))
 	c.Check(ctx.Err(), qt.IsNil, qt.Commentf("given up only at the timeout"))
 	found, ok := f.locate(ctx)
--- a/nodeagent/orders.go
+++ b/nodeagent/orders.go
@@ -30,7 +30,7 @@
 // order that is half done is settled by the planner's next ones.
 func (a *Agent) execute(orders *link.Orders, starts []engine.StartOrder) *link.OrdersReply {
 	reply := &link.OrdersReply{Starts: make([]engine.StartResult, len(starts))}
-	o, l, outcome := a.admit(orders)
+	o, inc, outcome := a.admit(orders)
 	var wg sync.WaitGroup
 	for i, s := range starts {
 		reply.Starts[i] = engine.StartResult{Run: s.Run, Outcome: outcome}
@@ -38,26 +38,26 @@
 			wg.Go(func() { reply.Starts[i].Outcome = a.start(o, orders.CordonsAt, s) })
 		}
 	}
-	if l != nil && len(orders.Stops) > 0 {
+	if inc != nil && len(orders.Stops) > 0 {
 		for _, run := range orders.Stops {
-			wg.Go(func() { a.stop(o, l, run) })
+			wg.Go(func() { a.stop(o, inc, run) })
 		}
 	}
 	wg.Wait()
-	reply.Paces = a.setPaces(o, l, orders.Paces)
-	if l != nil && len(orders.Stops) > 0 {
-		go a.poll(l, 0)
+	reply.Paces = a.setPaces(o, inc, orders.Paces)
+	if inc != nil && len(orders.Stops) > 0 {
+		go a.poll(inc, 0)
 	}
 	return reply
 }
 
 // setPaces sets speeds, of runs that may just have been started.
-func (a *Agent) setPaces(o OrderHeader, l *incarnation, orders []engine.PaceOrder) []engine.PaceResult {
+func (a *Agent) setPaces(o OrderHeader, inc *incarnation, orders []engine.PaceOrder) []engine.PaceResult {
 	results := make([]engine.PaceResult, len(orders))
 	var wg sync.WaitGroup
 	for i, p := range orders {
 		results[i].PaceOrder = p
-		if l != nil {
+		if inc != nil {
 			wg.Go(func() { results[i].Applied = a.setPace(o, p) })
 		}
 	}
@@ -85,31 +85,31 @@
 		return OrderHeader{}, nil, engine.StartFenced
 	}
 	a.raiseEpoch(orders.Epoch)
-	l := a.incarnation
-	if l == nil || l.info.ID != orders.Worker {
+	inc := a.incarnation
+	if inc == nil || inc.info.ID != orders.Worker {
 		return OrderHeader{}, nil, engine.StartNotDelivered
 	}
-	o := OrderHeader{Worker: l.info.ID, Fence: l.fence, LeaseEnd: l.workerTime(a.grantedUntil)}
+	o := OrderHeader{Worker: inc.info.ID, Fence: inc.fence, LeaseEnd: inc.workerTime(a.grantedUntil)}
 	switch {
-	case l.draining:
-		return o, l, engine.StartDraining
+	case inc.draining:
+		return o, inc, engine.StartDraining
 	case a.cordon.refuses(orders.CordonsAt):
 		a.counters.StartsCordoned.Add(int64(len(orders.Starts)))
-		return o, l, engine.StartCordoned
-	case o.LeaseEnd == 0 || l.unresponsive || l.leaseMayHaveExpired(now()) || a.grantedUntil-now() < minGrantForStart:
-		return o, l, engine.StartNotDelivered
+		return o, inc, engine.StartCordoned
+	case o.LeaseEnd == 0 || inc.unresponsive || inc.leaseMayHaveExpired(now()) || a.grantedUntil-now() < minGrantForStart:
+		return o, inc, engine.StartNotDelivered
 	}
-	l.extendLease(a.grantedUntil)
-	return o, l, engine.StartOK
+	inc.extendLease(a.grantedUntil)
+	return o, inc, engine.StartOK
 }
 
 // start tries a start until the worker answers. One that never does is unknown; cordonsAt is
 // up to where the planner knew the cordons.
-func (a *Agent) start(o OrderHeader, cordonsAt int64, s engine.StartOrder) engine.StartOutcome {
+func (a *Agent) start(o OrderHeader, cordonsRevision int64, s engine.StartOrder) engine.StartOutcome {
 	a.counters.Starts.Add(1)
 	outcome := engine.StartUnknown
 	for attempt := range startAttempts {
-		if attempt > 0 && a.startsRefused(cordonsAt) {
+		if attempt > 0 && a.startsRefused(cordonsRevision) {
 			break // the earlier attempt may have been carried out
 		}
 		ctx, cancel := context.WithTimeout(a.tomb.Context(context.Background()), orderTimeout)
@@ -137,7 +137,7 @@
 }
 
 // stop stops a run. Where the worker does not confirm it, the planner asks again.
-func (a *Agent) stop(o OrderHeader, l *incarnation, run workload.RunID) {
+func (a *Agent) stop(o OrderHeader, inc *incarnation, run workload.RunID) {
 	a.counters.Stops.Add(1)
 	ctx, cancel := context.WithTimeout(a.tomb.Context(context.Background()), orderTimeout)
 	defer cancel()
@@ -150,6 +150,6 @@
 		return
 	}
 	a.mu.Lock()
-	l.confirmedStops[run] = now()
+	inc.confirmedStops[run] = now()
 	a.mu.Unlock()
 }
--- a/nodeagent/report.go
+++ b/nodeagent/report.go
@@ -28,13 +28,13 @@
 
 func (a *Agent) sendReports() {
 	for _, r := range a.pendingReports() {
-		reply, sent, ok := a.sendReport(r)
+		reply, sentAt, ok := a.sendReport(r)
 		if !ok {
 			a.counters.ReportsFailed.Add(1)
 			a.retryReport()
 			return
 		}
-		a.handleReply(r, reply, sent)
+		a.handleReply(r, reply, sentAt)
 	}
 }
 
@@ -69,7 +69,7 @@
 	if !ok {
 		return nil, 0, false
 	}
-	sent := now()
+	sentAt := now()
 	raw, err := a.callPlanner(ctx, planner, &link.Report{Report: r})
 	if err != nil {
 		a.finder.markFailed(planner, err)
@@ -85,7 +85,7 @@
 		a.finder.redirect(planner, reply.Planner)
 		return nil, 0, false
 	}
-	return reply, sent, true
+	return reply, sentAt, true
 }
 
 // callPlanner makes a call to the planner, and gives it up as soon as a newer planner is
@@ -103,7 +103,7 @@
 }
 
 // handleReply takes the planner's answer to a report that was sent at time sent.
-func (a *Agent) handleReply(r engine.Report, reply *link.ReportReply, sent time.Duration) {
+func (a *Agent) handleReply(r engine.Report, reply *link.ReportReply, sentAt time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.cordon.update(reply.Cordoned, reply.CordonsAt)
@@ -120,31 +120,31 @@
 		a.departures = a.departures[1:]
 		return
 	}
-	l := a.incarnation
-	if l == nil || l.info.ID != r.Worker.ID {
+	inc := a.incarnation
+	if inc == nil || inc.info.ID != r.Worker.ID {
 		return
 	}
-	l.clearReported(r)
-	if l.raiseFence(engine.Fence{Epoch: reply.Epoch, Generation: reply.Turn}) {
+	inc.clearReported(r)
+	if inc.raiseFence(engine.Fence{Epoch: reply.Epoch, Generation: reply.Turn}) {
 		a.pollNow() // only a look under that fence counts
 	}
-	l.pollOften = reply.Closely
+	inc.pollOften = reply.Closely
 	if reply.Attached {
-		a.grantedUntil = max(a.grantedUntil, sent+a.cfg.MaxLease)
-		if l.claimExtraPoll(now()) {
+		a.grantedUntil = max(a.grantedUntil, sentAt+a.cfg.MaxLease)
+		if inc.claimExtraPoll(now()) {
 			a.pollNow() // after a gap; a look that waits would come too late
 		}
 	}
-	if reply.Seen > l.recordedEnds {
-		l.recordedEnds = reply.Seen
+	if reply.Seen > inc.recordedEnds {
+		inc.recordedEnds = reply.Seen
 	}
 }
 
 // pollNow makes a look at once, beside the present one, which may wait for a second
 // more. The mutex is held.
 func (a *Agent) pollNow() {
-	if l := a.incarnation; l != nil {
-		go a.poll(l, 0)
+	if inc := a.incarnation; inc != nil {
+		go a.poll(inc, 0)
 	}
 }
 
--- a/nodeagent/silent_test.go
+++ b/nodeagent/silent_test.go
@@ -72,47 +72,47 @@
 	}
 	w.crashed.Store(true)
 	time.Sleep(100 * time.Millisecond)
-	looked, reported := w.polls.Load(), reports.Load()
-	const watched = 2 * time.Second
-	time.Sleep(watched)
-	most := int64(3 * watched / unresponsivePollInterval)
-	c.Check(w.polls.Load()-looked <= most, qt.IsTrue, qt.Commentf("%d looks", w.polls.Load()-looked))
-	c.Check(reports.Load()-reported <= most, qt.IsTrue, qt.Commentf("%d reports", reports.Load()-reported))
+	pollsBefore, reportsBefore := w.polls.Load(), reports.Load()
+	const period = 2 * time.Second
+	time.Sleep(period)
+	limit := int64(3 * period / unresponsivePollInterval)
+	c.Check(w.polls.Load()-pollsBefore <= limit, qt.IsTrue, qt.Commentf("%d looks", w.polls.Load()-pollsBefore))
+	c.Check(reports.Load()-reportsBefore <= limit, qt.IsTrue, qt.Commentf("%d reports", reports.Load()-reportsBefore))
 }
 
 // A lease that ran out some time ago is reported as such: were it reported as just running
 // out, each report would put its end off anew.
 func TestExpiredLeaseReportedAsExpired(t *testing.T) {
 	c := qt.New(t)
-	l := newIncarnation(engine.WorkerInfo{ID: "w"})
-	l.extendLease(6 * time.Second)
-	l.unresponsive = true
-	c.Check(l.report(5*time.Second, 0).LeaseRemaining, qt.Equals, time.Second)
-	c.Check(l.report(9*time.Second, 0).LeaseRemaining, qt.Equals, -3*time.Second)
+	inc := newIncarnation(engine.WorkerInfo{ID: "w"})
+	inc.extendLease(6 * time.Second)
+	inc.unresponsive = true
+	c.Check(inc.report(5*time.Second, 0).LeaseRemaining, qt.Equals, time.Second)
+	c.Check(inc.report(9*time.Second, 0).LeaseRemaining, qt.Equals, -3*time.Second)
 }
 
 // An agent that has just been started again does not know how far its predecessor let the
 // lease reach, and must not say that it is over.
 func TestRestartedAgentReportsLeaseUnknown(t *testing.T) {
 	c := qt.New(t)
-	l := newIncarnation(engine.WorkerInfo{ID: "w"})
-	l.unresponsive = true
-	c.Check(l.report(5*time.Second, 0).LeaseKnown, qt.IsFalse)
-	l.extendLease(11 * time.Second)
-	c.Check(l.report(6*time.Second, 0).LeaseKnown, qt.IsTrue)
+	inc := newIncarnation(engine.WorkerInfo{ID: "w"})
+	inc.unresponsive = true
+	c.Check(inc.report(5*time.Second, 0).LeaseKnown, qt.IsFalse)
+	inc.extendLease(11 * time.Second)
+	c.Check(inc.report(6*time.Second, 0).LeaseKnown, qt.IsTrue)
 }
 
 // Looks at a worker that does not answer extend its lease for a while, and no longer than
 // the reports say so: the planner counts what it grants by that word.
 func TestReportsStateWhetherPollsExtendLease(t *testing.T) {
 	c := qt.New(t)
-	l := newIncarnation(engine.WorkerInfo{ID: "w"})
-	c.Check(l.report(time.Second, 0).ExtendingLease, qt.IsFalse, qt.Commentf("the worker answers"))
-	l.unresponsive, l.unresponsiveSince = true, time.Second
-	c.Check(l.report(time.Second+leaseExtensionPeriod-1, 0).ExtendingLease, qt.IsTrue)
-	c.Check(l.mayExtendLease(time.Second+leaseExtensionPeriod-1), qt.IsTrue)
-	c.Check(l.report(time.Second+leaseExtensionPeriod, 0).ExtendingLease, qt.IsFalse)
-	c.Check(l.mayExtendLease(time.Second+leaseExtensionPeriod), qt.IsFalse)
+	inc := newIncarnation(engine.WorkerInfo{ID: "w"})
+	c.Check(inc.report(time.Second, 0).ExtendingLease, qt.IsFalse, qt.Commentf("the worker answers"))
+	inc.unresponsive, inc.unresponsiveSince = true, time.Second
+	c.Check(inc.report(time.Second+leaseExtensionPeriod-1, 0).ExtendingLease, qt.IsTrue)
+	c.Check(inc.mayExtendLease(time.Second+leaseExtensionPeriod-1), qt.IsTrue)
+	c.Check(inc.report(time.Second+leaseExtensionPeriod, 0).ExtendingLease, qt.IsFalse)
+	c.Check(inc.mayExtendLease(time.Second+leaseExtensionPeriod), qt.IsFalse)
 }
 
 func discardLogger() *logrus.Entry {
--- a/nodeagent/succession_test.go
+++ b/nodeagent/succession_test.go
@@ -29,10 +29,10 @@
 	w.ended = ended
 }
 
-func (w *nameReusingWorker) restartAs(life engine.WorkerID) {
+func (w *nameReusingWorker) restartAs(incarnation engine.WorkerID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.incarnation = life
+	w.incarnation = incarnation
 }
 
 // pollRecord is what a look carried.
@@ -43,10 +43,10 @@
 
 func (w *nameReusingWorker) Identify(context.Context) (string, error) { return "w", nil }
 
-func (w *nameReusingWorker) Poll(_ context.Context, o OrderHeader, seen int64, _ time.Duration) (WorkerStatus, error) {
+func (w *nameReusingWorker) Poll(_ context.Context, o OrderHeader, ackedEnds int64, _ time.Duration) (WorkerStatus, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.polls = append(w.polls, pollRecord{o.Fence, seen})
+	w.polls = append(w.polls, pollRecord{o.Fence, ackedEnds})
 	switch w.incarnation {
 	case "":
 		return WorkerStatus{}, context.DeadlineExceeded
@@ -67,9 +67,9 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []pollRecord
-	for _, l := range w.polls {
-		if l.AckedEnds > 0 {
-			out = append(out, l)
+	for _, p := range w.polls {
+		if p.AckedEnds > 0 {
+			out = append(out, p)
 		}
 	}
 	return slices.Compact(out)
@@ -77,12 +77,12 @@
 
 // awaitGeneration waits until the worker has answered a look under a turn, which the agent makes by
 // itself when it hears of that.
-func awaitGeneration(c *qt.C, a *Agent, turn uint64) {
+func awaitGeneration(c *qt.C, a *Agent, generation uint64) {
 	for range 1000 {
 		a.mu.Lock()
-		fenced := a.incarnation.confirmedFence
+		confirmed := a.incarnation.confirmedFence
 		a.mu.Unlock()
-		if fenced.Generation == turn {
+		if confirmed.Generation == generation {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -104,8 +104,8 @@
 	return a, w
 }
 
-func newHeartbeat(life engine.WorkerID, sequence int64) Heartbeat {
-	return Heartbeat{Info: engine.WorkerInfo{ID: life, Name: "w", Service: "s"}, Sequence: sequence}
+func newHeartbeat(id engine.WorkerID, sequence int64) Heartbeat {
+	return Heartbeat{Info: engine.WorkerInfo{ID: id, Name: "w", Service: "s"}, Sequence: sequence}
 }
 
 // A worker crashes after a start that got no answer, and is back under its name. The start was
@@ -115,27 +115,27 @@
 func TestNextIncarnationFencedByFirstAnsweredPoll(t *testing.T) {
 	c := qt.New(t)
 	a, w := startNameReusingAgent(c)
-	l, _ := a.current()
-	a.poll(l, 0)
-	ordered, _, _ := a.admit(&link.Orders{Epoch: 3, Worker: "w-1"})
-	c.Check(ordered.Fence, qt.Equals, engine.Fence{Epoch: 3, Generation: engine.GenerationStep})
-	c.Check(w.ackingPolls(), qt.DeepEquals, []pollRecord{{ordered.Fence, 57}})
+	inc, _ := a.current()
+	a.poll(inc, 0)
+	order, _, _ := a.admit(&link.Orders{Epoch: 3, Worker: "w-1"})
+	c.Check(order.Fence, qt.Equals, engine.Fence{Epoch: 3, Generation: engine.GenerationStep})
+	c.Check(w.ackingPolls(), qt.DeepEquals, []pollRecord{{order.Fence, 57}})
 	w.restartAs("")
-	a.poll(l, 0)
+	a.poll(inc, 0)
 	w.restartAs("w-2")
-	a.poll(l, 0)
-	c.Check(w.lastPoll().Fence.Compare(ordered.Fence), qt.Equals, 1)
+	a.poll(inc, 0)
+	c.Check(w.lastPoll().Fence.Compare(order.Fence), qt.Equals, 1)
 	c.Check(w.lastPoll().AckedEnds, qt.Equals, int64(0))
 	c.Assert(a.Announce(context.Background(), newHeartbeat("w-2", 1)), qt.IsNil)
-	l, _ = a.current()
-	a.poll(l, 0)
-	c.Check(w.lastPoll().Fence.Compare(ordered.Fence), qt.Equals, 1)
+	inc, _ = a.current()
+	a.poll(inc, 0)
+	c.Check(w.lastPoll().Fence.Compare(order.Fence), qt.Equals, 1)
 	c.Check(w.lastPoll().AckedEnds, qt.Equals, int64(0))
-	told := a.pendingReports()
-	c.Assert(told, qt.HasLen, 2)
-	c.Check(told[0].Superseded, qt.IsTrue)
-	c.Check(told[0].Crashed, qt.IsTrue)
-	c.Check(told[1].Worker.ID, qt.Equals, engine.WorkerID("w-2"))
+	reports := a.pendingReports()
+	c.Assert(reports, qt.HasLen, 2)
+	c.Check(reports[0].Superseded, qt.IsTrue)
+	c.Check(reports[0].Crashed, qt.IsTrue)
+	c.Check(reports[1].Worker.ID, qt.Equals, engine.WorkerID("w-2"))
 }
 
 // A heartbeat of a life that crashed was held up, and comes when the next one has reported. The
@@ -145,9 +145,9 @@
 	c := qt.New(t)
 	a, _ := startNameReusingAgent(c)
 	c.Assert(a.Announce(context.Background(), newHeartbeat("w-0", 99)), qt.IsNil)
-	told := a.pendingReports()
-	c.Assert(told, qt.HasLen, 1)
-	c.Check(told[0].Worker.ID, qt.Equals, engine.WorkerID("w-1"))
+	reports := a.pendingReports()
+	c.Assert(reports, qt.HasLen, 1)
+	c.Check(reports[0].Worker.ID, qt.Equals, engine.WorkerID("w-1"))
 }
 
 // The worker does not answer when a heartbeat of another life comes: which of them is the
@@ -170,9 +170,9 @@
 	a, _ := startNameReusingAgent(c)
 	a.Leave("w")
 	c.Check(a.pendingReports()[0].Terminated, qt.IsFalse)
-	drains := newHeartbeat("w-1", 6)
-	drains.Draining, drains.Remaining = true, time.Second
-	c.Assert(a.Announce(context.Background(), drains), qt.IsNil)
+	draining := newHeartbeat("w-1", 6)
+	draining.Draining, draining.Remaining = true, time.Second
+	c.Assert(a.Announce(context.Background(), draining), qt.IsNil)
 	a.Leave("w")
 	c.Check(a.pendingReports()[0].Terminated, qt.IsTrue)
 }
@@ -186,14 +186,14 @@
 	c.Assert(a.Announce(context.Background(), newHeartbeat("w-2", 1)), qt.IsNil)
 	ended := []engine.RunEnd{{Sequence: 1, Run: workload.RunID{Number: 2}, Reason: engine.EndDone}}
 	w.setEnded(ended)
-	l, _ := a.current()
-	a.poll(l, 0)
-	told := a.pendingReports()[1]
-	c.Check(told.Ended, qt.DeepEquals, ended)
+	inc, _ := a.current()
+	a.poll(inc, 0)
+	report := a.pendingReports()[1]
+	c.Check(report.Ended, qt.DeepEquals, ended)
 	a.handleReply(a.pendingReports()[0], &link.ReportReply{Epoch: 3}, now())
-	a.handleReply(told, &link.ReportReply{Epoch: 3, Attached: true, Turn: 3 * engine.GenerationStep, Seen: 1}, now())
+	a.handleReply(report, &link.ReportReply{Epoch: 3, Attached: true, Turn: 3 * engine.GenerationStep, Seen: 1}, now())
 	awaitGeneration(c, a, 3*engine.GenerationStep)
-	a.poll(l, 0)
+	a.poll(inc, 0)
 	c.Check(w.ackingPolls(), qt.DeepEquals, []pollRecord{
 		{engine.Fence{Epoch: 3, Generation: engine.GenerationStep}, 57}, {engine.Fence{Epoch: 3, Generation: 3 * engine.GenerationStep}, 1},
 	})
@@ -205,12 +205,12 @@
 func TestUndetectedRestartFencedByPoll(t *testing.T) {
 	c := qt.New(t)
 	a, w := startNameReusingAgent(c)
-	before := w.ackingPolls()
+	acksBefore := w.ackingPolls()
 	w.restartAs("w-2")
 	a.mu.Lock()
 	a.incarnation.recordedEnds = 58 // recorded, and not acknowledged yet
 	a.mu.Unlock()
 	c.Assert(a.Announce(context.Background(), newHeartbeat("w-2", 1)), qt.IsNil)
 	c.Check(w.lastPoll().Fence.Compare(engine.Fence{Epoch: 3, Generation: engine.GenerationStep}), qt.Equals, 1)
-	c.Check(w.ackingPolls(), qt.DeepEquals, before)
+	c.Check(w.ackingPolls(), qt.DeepEquals, acksBefore)
 }
--- a/nodeagent/worker.go
+++ b/nodeagent/worker.go
@@ -51,7 +51,7 @@
 	Pace(ctx context.Context, o OrderHeader, p engine.PaceOrder) error
 	// Poll extends the lease, lets ends up to seen be forgotten, waits up to wait for
 	// an end, and returns what there is. ErrOtherLife: it is another life that answers.
-	Poll(ctx context.Context, o OrderHeader, seen int64, wait time.Duration) (WorkerStatus, error)
+	Poll(ctx context.Context, o OrderHeader, ackedEnds int64, wait time.Duration) (WorkerStatus, error)
 }
 
 // Heartbeat is a worker's heartbeat.
--- a/records/ended_test.go
+++ b/records/ended_test.go
@@ -19,26 +19,26 @@
 // archivedJob puts a job on record that was cancelled and archivedJob, and returns its ledger.
 func archivedJob(c *qt.C, kv *platform.KVStore, id workload.JobID) *records.PlannerStore {
 	ctx := context.Background()
-	intake := records.NewJobStore(kv)
-	_, order := intake.Submit(ctx, newJob(id))
-	c.Assert(intake.Cancel(ctx, "q", id), qt.Equals, link.OutcomeStored)
-	l := newPlannerStore(c, kv)
-	state, err := l.Load(ctx, wall)
+	jobs := records.NewJobStore(kv)
+	_, order := jobs.Submit(ctx, newJob(id))
+	c.Assert(jobs.Cancel(ctx, "q", id), qt.Equals, link.OutcomeStored)
+	planner := newPlannerStore(c, kv)
+	state, err := planner.Load(ctx, wall)
 	c.Assert(err, qt.IsNil)
-	c.Assert(l.Write(ctx, progressWrite(id, 1, workload.Cancelled)), qt.IsNil)
-	c.Assert(l.Write(ctx, engine.Write{EndedJobs: []engine.EndedJob{{
+	c.Assert(planner.Write(ctx, progressWrite(id, 1, workload.Cancelled)), qt.IsNil)
+	c.Assert(planner.Write(ctx, engine.Write{EndedJobs: []engine.EndedJob{{
 		ID: id, Revision: int64(order), CancelRevision: state.Jobs[0].CancelRevision,
 		Outcome: engine.JobOutcome{Epoch: 1, Queue: "q", Account: "a", State: workload.Cancelled, EndedAt: wall.Add(-time.Minute)},
 	}}}), qt.IsNil)
-	return l
+	return planner
 }
 
 func TestArchivedJobKeepsOutcomeUntilExpired(t *testing.T) {
 	c, srv, kv := openStore(t)
-	l := archivedJob(c, kv, "j1")
+	planner := archivedJob(c, kv, "j1")
 	c.Check(srv.Keys("workloads/"), qt.DeepEquals, []string{"workloads/ended/j1"})
 	forgotten := engine.Write{ForgottenJobs: []engine.ExpiredJob{{ID: "j1"}}}
-	c.Assert(l.Write(context.Background(), forgotten), qt.IsNil)
+	c.Assert(planner.Write(context.Background(), forgotten), qt.IsNil)
 	c.Check(srv.Keys("workloads/"), qt.HasLen, 0)
 }
 
@@ -50,19 +50,19 @@
 	archivedJob(c, kv, "j1")
 	submit(c, records.NewJobStore(kv), "j2")
 	srv.Put("workloads/ended/bytes", []byte{0xff})
-	l := newPlannerStore(c, kv)
-	state, err := l.Load(ctx, wall)
+	planner := newPlannerStore(c, kv)
+	state, err := planner.Load(ctx, wall)
 	c.Assert(err, qt.IsNil)
 	c.Assert(state.Jobs, qt.HasLen, 1)
 	c.Check(state.Jobs[0].Job.ID, qt.Equals, workload.JobID("j2"))
-	ended, unreadable, err := l.LoadOutcomes(ctx, wall)
+	ended, unreadable, err := planner.LoadOutcomes(ctx, wall)
 	c.Assert(err, qt.IsNil)
 	c.Assert(ended, qt.HasLen, 1)
 	c.Check(unreadable, qt.HasLen, 1)
 	c.Check(ended[0].Outcome.State, qt.Equals, workload.Cancelled)
 	c.Check(ended[0].Age, qt.Equals, time.Minute)
 	forgotten := engine.Write{ForgottenJobs: []engine.ExpiredJob{{ID: "j1", OutcomeRevision: ended[0].OutcomeRevision}}}
-	c.Assert(l.Write(ctx, forgotten), qt.IsNil)
+	c.Assert(planner.Write(ctx, forgotten), qt.IsNil)
 	c.Check(srv.Keys("workloads/ended/"), qt.DeepEquals, []string{"workloads/ended/bytes"})
 }
 
@@ -72,13 +72,13 @@
 	c, srv, kv := openStore(t)
 	ctx := context.Background()
 	archivedJob(c, kv, "j1")
-	intake := records.NewJobStore(kv)
-	outcome, at := intake.Submit(ctx, newJob("j1"))
+	jobs := records.NewJobStore(kv)
+	outcome, at := jobs.Submit(ctx, newJob("j1"))
 	c.Check(outcome, qt.Equals, link.OutcomeStored)
 	c.Check(at, qt.Equals, store.Revision(0))
 	other := newJob("j1")
 	other.Account = "another"
-	outcome, _ = intake.Submit(ctx, other)
+	outcome, _ = jobs.Submit(ctx, other)
 	c.Check(outcome, qt.Equals, link.OutcomeMismatch)
 	c.Check(srv.Keys("workloads/in/"), qt.HasLen, 0)
 }
@@ -103,15 +103,15 @@
 	c, srv, kv := openStore(t)
 	ctx := context.Background()
 	archivedJob(c, kv, "j1")
-	intake := records.NewJobStore(kv)
-	found, ok, err := intake.Lookup(ctx, "j1")
+	jobs := records.NewJobStore(kv)
+	found, ok, err := jobs.Lookup(ctx, "j1")
 	c.Assert(err, qt.IsNil)
 	c.Check(ok, qt.IsTrue)
 	c.Check(found, qt.Equals, engine.JobStatus{State: workload.Cancelled, Queue: "q", Account: "a"})
-	_, ok, err = intake.Lookup(ctx, "none")
+	_, ok, err = jobs.Lookup(ctx, "none")
 	c.Assert(err, qt.IsNil)
 	c.Check(ok, qt.IsFalse)
-	c.Check(intake.Cancel(ctx, "q", "j1"), qt.Equals, link.OutcomeStored)
-	c.Check(intake.Cancel(ctx, "other", "j1"), qt.Equals, link.OutcomeAbsent)
+	c.Check(jobs.Cancel(ctx, "q", "j1"), qt.Equals, link.OutcomeStored)
+	c.Check(jobs.Cancel(ctx, "other", "j1"), qt.Equals, link.OutcomeAbsent)
 	c.Check(srv.Keys("workloads/in/"), qt.HasLen, 0)
 }
--- a/records/intake.go
+++ b/records/intake.go
@@ -30,25 +30,25 @@
 // Submit makes a job durable and returns the revision at which it is, 0 for one that has
 // ended since. A repeated call for the same id finds the first. It goes on until ctx ends to
 // learn what became of a write whose reply was lost.
-func (i *JobStore) Submit(ctx context.Context, j *workload.Job) (link.Outcome, store.Revision) {
-	value, err := json.Marshal(j)
+func (js *JobStore) Submit(ctx context.Context, job *workload.Job) (link.Outcome, store.Revision) {
+	value, err := json.Marshal(job)
 	if err != nil {
 		return link.OutcomeNotDone, 0
 	}
-	first, known, err := i.readBeforeWrite(ctx, jobKey(j.ID))
+	first, known, err := js.readBeforeWrite(ctx, jobKey(job.ID))
 	if err != nil {
 		return link.OutcomeNotDone, 0
 	}
 	if known {
-		return checkResubmission(j, first), first.Created
+		return checkResubmission(job, first), first.Created
 	}
-	open := store.Condition{Key: endedKey(j.ID)}
-	outcome, revision, current := i.create(ctx, open, store.Swap{Key: jobKey(j.ID), Value: value})
-	if first, ended := findExisting(current, endedKey(j.ID)); ended {
-		return checkResubmission(j, first), 0
+	notArchived := store.Condition{Key: endedKey(job.ID)}
+	outcome, revision, current := js.create(ctx, notArchived, store.Swap{Key: jobKey(job.ID), Value: value})
+	if first, ended := findExisting(current, endedKey(job.ID)); ended {
+		return checkResubmission(job, first), 0
 	}
-	if first, known := findExisting(current, jobKey(j.ID)); known {
-		return checkResubmission(j, first), first.Created
+	if first, known := findExisting(current, jobKey(job.ID)); known {
+		return checkResubmission(job, first), first.Created
 	}
 	return outcome, revision
 }
@@ -67,15 +67,15 @@
 // sent leaves its outcome unknown, and the caller can neither be told that it was
 // accepted nor that it was not; a question that gets no answer has changed nothing, so
 // the caller can be refused in truth, at once.
-func (i *JobStore) readBeforeWrite(ctx context.Context, key string) (store.KeyValue, bool, error) {
+func (js *JobStore) readBeforeWrite(ctx context.Context, key string) (store.KeyValue, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	return i.store.Get(ctx, key)
+	return js.store.Get(ctx, key)
 }
 
 // checkResubmission judges a submission whose id is on record already, as a job or as its outcome,
 // which have the fields that matter in common.
-func checkResubmission(j *workload.Job, kv store.KeyValue) link.Outcome {
+func checkResubmission(job *workload.Job, kv store.KeyValue) link.Outcome {
 	var first struct {
 		Queue   string `json:"queue"`
 		Account string `json:"account"`
@@ -83,7 +83,7 @@
 	if err := json.Unmarshal(kv.Value, &first); err != nil {
 		return link.OutcomeMismatch
 	}
-	if first.Queue != j.Queue || first.Account != j.Account {
+	if first.Queue != job.Queue || first.Account != job.Account {
 		return link.OutcomeMismatch
 	}
 	return link.OutcomeStored
@@ -91,20 +91,20 @@
 
 // create makes a key that must not exist, while a condition on another holds. current are
 // both where that is not so.
-func (i *JobStore) create(ctx context.Context, while store.Condition, s store.Swap) (outcome link.Outcome, at store.Revision, current []store.KeyValue) {
-	lost := false
+func (js *JobStore) create(ctx context.Context, condition store.Condition, swap store.Swap) (outcome link.Outcome, revision store.Revision, current []store.KeyValue) {
+	mayBeApplied := false
 	for {
-		out, err := i.store.CommitIf(ctx, []store.Condition{while}, []store.Swap{s})
+		out, err := js.store.CommitIf(ctx, []store.Condition{condition}, []store.Swap{swap})
 		switch {
 		case err == nil && out.Committed:
 			return link.OutcomeStored, out.Revision, nil
-		case err == nil && createPrecluded(out.Current, while, s):
+		case err == nil && createPrecluded(out.Current, condition, swap):
 			return link.OutcomeNotDone, 0, out.Current
 		case err == nil:
 			// Not committed although both keys are as they should be: that changed meanwhile.
 		case eris.Is(err, store.ErrOutcomeUnknown):
-			lost = true
-		case !lost:
+			mayBeApplied = true
+		case !mayBeApplied:
 			return link.OutcomeNotDone, 0, nil
 		}
 		select {
@@ -119,9 +119,9 @@
 
 // createPrecluded says whether a creation did not hold as the keys are: there is one, or the other
 // is not as it has to be.
-func createPrecluded(current []store.KeyValue, while store.Condition, s store.Swap) bool {
+func createPrecluded(current []store.KeyValue, condition store.Condition, swap store.Swap) bool {
 	for _, kv := range current {
-		if kv.Key == s.Key && kv.Mod != 0 || kv.Key == while.Key && kv.Mod != while.Revision {
+		if kv.Key == swap.Key && kv.Mod != 0 || kv.Key == condition.Key && kv.Mod != condition.Revision {
 			return true
 		}
 	}
@@ -130,22 +130,22 @@
 
 // Cancel makes a cancellation durable, where the job exists and is of the queue. One of a
 // job that has ended changes nothing.
-func (i *JobStore) Cancel(ctx context.Context, queue string, id workload.JobID) link.Outcome {
+func (js *JobStore) Cancel(ctx context.Context, queue string, id workload.JobID) link.Outcome {
 	for {
-		kv, ok, err := i.store.Get(ctx, jobKey(id))
+		kv, ok, err := js.store.Get(ctx, jobKey(id))
 		if err != nil {
 			return link.OutcomeNotDone
 		}
 		if !ok {
-			return i.cancelArchived(ctx, queue, id)
+			return js.cancelArchived(ctx, queue, id)
 		}
 		var j workload.Job
 		if err := json.Unmarshal(kv.Value, &j); err != nil || j.Queue != queue {
 			return link.OutcomeAbsent
 		}
-		while := store.Condition{Key: jobKey(id), Revision: kv.Mod}
-		outcome, _, current := i.create(ctx, while, store.Swap{Key: cancelKey(id), Value: []byte("1")})
-		if _, before := findExisting(current, cancelKey(id)); before {
+		jobUnchanged := store.Condition{Key: jobKey(id), Revision: kv.Mod}
+		outcome, _, current := js.create(ctx, jobUnchanged, store.Swap{Key: cancelKey(id), Value: []byte("1")})
+		if _, alreadyCancelled := findExisting(current, cancelKey(id)); alreadyCancelled {
 			return link.OutcomeStored
 		}
 		if current == nil {
@@ -156,52 +156,52 @@
 }
 
 // cancelArchived answers a cancellation of a job that has no record as a job.
-func (i *JobStore) cancelArchived(ctx context.Context, queue string, id workload.JobID) link.Outcome {
-	o, ok, err := i.readOutcome(ctx, id)
+func (js *JobStore) cancelArchived(ctx context.Context, queue string, id workload.JobID) link.Outcome {
+	outcome, ok, err := js.readOutcome(ctx, id)
 	switch {
 	case err != nil:
 		return link.OutcomeNotDone
-	case !ok || o.Queue != queue:
+	case !ok || outcome.Queue != queue:
 		return link.OutcomeAbsent
 	}
 	return link.OutcomeStored
 }
 
 // readOutcome reads what a job came to, and false where none is on record.
-func (i *JobStore) readOutcome(ctx context.Context, id workload.JobID) (engine.JobOutcome, bool, error) {
-	kv, ok, err := i.store.Get(ctx, endedKey(id))
+func (js *JobStore) readOutcome(ctx context.Context, id workload.JobID) (engine.JobOutcome, bool, error) {
+	kv, ok, err := js.store.Get(ctx, endedKey(id))
 	if err != nil || !ok {
 		return engine.JobOutcome{}, false, err
 	}
-	var o engine.JobOutcome
-	if err := json.Unmarshal(kv.Value, &o); err != nil {
+	var outcome engine.JobOutcome
+	if err := json.Unmarshal(kv.Value, &outcome); err != nil {
 		return engine.JobOutcome{}, false, eris.Wrapf(err, "outcome of job %s", id)
 	}
-	return o, true, nil
+	return outcome, true, nil
 }
 
 // Lookup reads the state of a job from its records. The error is the store's.
 //
 // The outcome is read after the others: records that are replaced by it while they are read
 // would else look like those of a job that has not begun.
-func (i *JobStore) Lookup(ctx context.Context, id workload.JobID) (engine.JobStatus, bool, error) {
-	out, open, err := i.lookupActive(ctx, id)
-	if err != nil || open && out.State != workload.Queued {
-		return out, open, err
+func (js *JobStore) Lookup(ctx context.Context, id workload.JobID) (engine.JobStatus, bool, error) {
+	found, active, err := js.lookupActive(ctx, id)
+	if err != nil || active && found.State != workload.Queued {
+		return found, active, err
 	}
-	o, ended, err := i.readOutcome(ctx, id)
+	outcome, ended, err := js.readOutcome(ctx, id)
 	if err != nil {
 		return engine.JobStatus{}, false, err
 	}
 	if ended {
-		return engine.JobStatus{State: o.State, Queue: o.Queue, Account: o.Account, Reason: o.Reason}, true, nil
+		return engine.JobStatus{State: outcome.State, Queue: outcome.Queue, Account: outcome.Account, Reason: outcome.Reason}, true, nil
 	}
-	return out, open, nil
+	return found, active, nil
 }
 
 // lookupActive reads the state of a job whose records have not been replaced by its outcome.
-func (i *JobStore) lookupActive(ctx context.Context, id workload.JobID) (engine.JobStatus, bool, error) {
-	kv, ok, err := i.store.Get(ctx, jobKey(id))
+func (js *JobStore) lookupActive(ctx context.Context, id workload.JobID) (engine.JobStatus, bool, error) {
+	kv, ok, err := js.store.Get(ctx, jobKey(id))
 	if err != nil || !ok {
 		return engine.JobStatus{}, false, err
 	}
@@ -210,7 +210,7 @@
 		return engine.JobStatus{}, false, eris.Wrapf(err, "record of job %s", id)
 	}
 	out := engine.JobStatus{State: workload.Queued, Queue: j.Queue, Account: j.Account}
-	run, ok, err := i.store.Get(ctx, runKey(id))
+	run, ok, err := js.store.Get(ctx, runKey(id))
 	if err != nil {
 		return engine.JobStatus{}, false, err
 	}
@@ -224,7 +224,7 @@
 	if out.State.Final() {
 		return out, true, nil
 	}
-	_, cancelled, err := i.store.Get(ctx, cancelKey(id))
+	_, cancelled, err := js.store.Get(ctx, cancelKey(id))
 	if err != nil {
 		return engine.JobStatus{}, false, err
 	}
--- a/records/ledger.go
+++ b/records/ledger.go
@@ -47,31 +47,31 @@
 // from planning. The others hold: a job whose own record or progress can't be read stays
 // out, since starting it could run it twice; a worker whose record can't be read is known
 // by its key alone, so that what it may hold is waited for.
-func (l *PlannerStore) Load(ctx context.Context, wall time.Time) (PlannerState, error) {
-	workers, err := l.store.List(ctx, workerPrefix)
+func (ps *PlannerStore) Load(ctx context.Context, wall time.Time) (PlannerState, error) {
+	workers, err := ps.store.List(ctx, workerPrefix)
 	if err != nil {
 		return PlannerState{}, err
 	}
-	runs, err := l.store.List(ctx, runPrefix)
+	runs, err := ps.store.List(ctx, runPrefix)
 	if err != nil {
 		return PlannerState{}, err
 	}
-	submitted, err := ListSubmissions(ctx, l.store, wall)
+	submitted, err := ListSubmissions(ctx, ps.store, wall)
 	if err != nil {
 		return PlannerState{}, err
 	}
 	out := PlannerState{Submissions: submitted}
-	l.addWorkers(&out, workers.Keys)
-	l.addProgress(&out, runs.Keys)
+	ps.addWorkers(&out, workers.Keys)
+	ps.addProgress(&out, runs.Keys)
 	// An incomplete page may tell an earlier revision than this term's first; a watch from
 	// there would show submissions of jobs that a predecessor has closed since.
-	out.Revision = max(out.Revision, l.guard.Revision)
+	out.Revision = max(out.Revision, ps.guard.Revision)
 	return out, nil
 }
 
-func (l *PlannerStore) addWorkers(out *PlannerState, keys []store.KeyValue) {
+func (ps *PlannerStore) addWorkers(out *PlannerState, keys []store.KeyValue) {
 	for _, kv := range keys {
-		l.revisions[kv.Key] = kv.Mod
+		ps.revisions[kv.Key] = kv.Mod
 		id := engine.WorkerID(strings.TrimPrefix(kv.Key, workerPrefix))
 		var w engine.WorkerInfo
 		err := json.Unmarshal(kv.Value, &w)
@@ -87,21 +87,21 @@
 }
 
 // addProgress adds to the submissions what became of them.
-func (l *PlannerStore) addProgress(out *PlannerState, keys []store.KeyValue) {
+func (ps *PlannerStore) addProgress(out *PlannerState, keys []store.KeyValue) {
 	progress := map[workload.JobID]*engine.JobProgress{}
-	withheld := map[workload.JobID]bool{}
+	unreadable := map[workload.JobID]bool{}
 	for _, kv := range keys {
-		l.revisions[kv.Key] = kv.Mod
+		ps.revisions[kv.Key] = kv.Mod
 		id := idOf(kv.Key, runPrefix)
 		p := &engine.JobProgress{}
 		if err := json.Unmarshal(kv.Value, p); err != nil {
 			out.addUnreadable(kv.Key, err)
-			withheld[id] = true
+			unreadable[id] = true
 			continue
 		}
 		progress[id] = p
 	}
-	out.Jobs = slices.DeleteFunc(out.Jobs, func(j engine.JobRestored) bool { return withheld[j.Job.ID] })
+	out.Jobs = slices.DeleteFunc(out.Jobs, func(j engine.JobRestored) bool { return unreadable[j.Job.ID] })
 	for i := range out.Jobs {
 		out.Jobs[i].Progress = progress[out.Jobs[i].Job.ID]
 	}
@@ -109,21 +109,21 @@
 
 // LoadOutcomes reads the outcomes of jobs that have ended. No planning depends on them. It may
 // run beside Write.
-func (l *PlannerStore) LoadOutcomes(ctx context.Context, wall time.Time) ([]engine.EndedJobRestored, []UnreadableRecord, error) {
-	snap, err := l.store.List(ctx, endedPrefix)
+func (ps *PlannerStore) LoadOutcomes(ctx context.Context, wall time.Time) ([]engine.EndedJobRestored, []UnreadableRecord, error) {
+	snap, err := ps.store.List(ctx, endedPrefix)
 	if err != nil {
 		return nil, nil, err
 	}
 	var out []engine.EndedJobRestored
 	var unreadable []UnreadableRecord
 	for _, kv := range snap.Keys {
-		var o engine.JobOutcome
-		if err := json.Unmarshal(kv.Value, &o); err != nil {
+		var outcome engine.JobOutcome
+		if err := json.Unmarshal(kv.Value, &outcome); err != nil {
 			unreadable = append(unreadable, UnreadableRecord{Key: kv.Key, Err: err})
 			continue
 		}
 		out = append(out, engine.EndedJobRestored{
-			ID: idOf(kv.Key, endedPrefix), Outcome: o, OutcomeRevision: int64(kv.Mod), Age: ageOf(o.EndedAt, wall),
+			ID: idOf(kv.Key, endedPrefix), Outcome: outcome, OutcomeRevision: int64(kv.Mod), Age: ageOf(outcome.EndedAt, wall),
 		})
 	}
 	return out, unreadable, nil
@@ -131,8 +131,8 @@
 
 // WatchSubmissions gives every submission and cancellation recorded after revision at to deliver,
 // until ctx ends. store.ErrCompacted: some may have been missed.
-func (l *PlannerStore) WatchSubmissions(ctx context.Context, at store.Revision, wall func() time.Time, deliver func(engine.Event)) error {
-	return l.store.Watch(ctx, inPrefix, at+1, func(b store.WatchBatch) {
+func (ps *PlannerStore) WatchSubmissions(ctx context.Context, after store.Revision, wall func() time.Time, deliver func(engine.Event)) error {
+	return ps.store.Watch(ctx, inPrefix, after+1, func(b store.WatchBatch) {
 		for _, e := range b.Events {
 			if e.Deleted {
 				continue
@@ -152,30 +152,30 @@
 // Write makes one attempt to write all changes or none. It is repeated as it is until
 // it returns nil, ErrDeposed or ErrConflict: after a lost reply only that tells what
 // became of it.
-func (l *PlannerStore) Write(ctx context.Context, w engine.Write) error {
-	swaps, err := l.swaps(w)
+func (ps *PlannerStore) Write(ctx context.Context, w engine.Write) error {
+	swaps, err := ps.swaps(w)
 	if err != nil {
 		return err
 	}
-	out, err := l.store.CommitIf(ctx, []store.Condition{l.guard}, swaps)
+	out, err := ps.store.CommitIf(ctx, []store.Condition{ps.guard}, swaps)
 	if err != nil {
 		return err
 	}
 	if out.Committed {
-		l.recordRevisions(swaps, out.Revision)
+		ps.recordRevisions(swaps, out.Revision)
 		return nil
 	}
-	return l.explainRejection(swaps, out.Current)
+	return ps.explainRejection(swaps, out.Current)
 }
 
-func (l *PlannerStore) swaps(w engine.Write) ([]store.Swap, error) {
+func (ps *PlannerStore) swaps(w engine.Write) ([]store.Swap, error) {
 	var out []store.Swap
 	add := func(key string, record any) error {
 		value, err := json.Marshal(record)
 		if err != nil {
 			return eris.Wrapf(err, "encode record %s", key)
 		}
-		out = append(out, store.Swap{Key: key, Expect: l.revisions[key], Value: value})
+		out = append(out, store.Swap{Key: key, Expect: ps.revisions[key], Value: value})
 		return nil
 	}
 	for _, j := range w.Jobs {
@@ -189,82 +189,82 @@
 		}
 	}
 	for _, id := range w.RemovedWorkers {
-		out = append(out, store.Swap{Key: workerKey(id), Expect: l.revisions[workerKey(id)], Delete: true})
+		out = append(out, store.Swap{Key: workerKey(id), Expect: ps.revisions[workerKey(id)], Delete: true})
 	}
 	for _, j := range w.EndedJobs {
-		closing, err := l.archiveSwaps(j)
+		swaps, err := ps.archiveSwaps(j)
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, closing...)
+		out = append(out, swaps...)
 	}
 	for _, j := range w.ForgottenJobs {
-		out = append(out, l.outcomeRemoval(j)...)
+		out = append(out, ps.outcomeRemoval(j)...)
 	}
 	return out, nil
 }
 
 // archiveSwaps replaces all records of a job that has ended by its outcome.
-func (l *PlannerStore) archiveSwaps(j engine.EndedJob) ([]store.Swap, error) {
+func (ps *PlannerStore) archiveSwaps(j engine.EndedJob) ([]store.Swap, error) {
 	value, err := json.Marshal(j.Outcome)
 	if err != nil {
 		return nil, eris.Wrapf(err, "encode outcome of job %s", j.ID)
 	}
 	out := []store.Swap{
 		{Key: endedKey(j.ID), Value: value},
-		{Key: runKey(j.ID), Expect: l.revisions[runKey(j.ID)], Delete: true},
+		{Key: runKey(j.ID), Expect: ps.revisions[runKey(j.ID)], Delete: true},
 		{Key: jobKey(j.ID), Expect: store.Revision(j.Revision), Delete: true},
 	}
 	return append(out, cancelRemoval(j.ID, j.CancelRevision)...), nil
 }
 
 // outcomeRemoval removes the outcome of a job.
-func (l *PlannerStore) outcomeRemoval(j engine.ExpiredJob) []store.Swap {
+func (ps *PlannerStore) outcomeRemoval(j engine.ExpiredJob) []store.Swap {
 	expect := store.Revision(j.OutcomeRevision)
 	if expect == 0 {
-		expect = l.revisions[endedKey(j.ID)]
+		expect = ps.revisions[endedKey(j.ID)]
 	}
 	out := []store.Swap{{Key: endedKey(j.ID), Expect: expect, Delete: true}}
 	return append(out, cancelRemoval(j.ID, j.CancelRevision)...)
 }
 
 // cancelRemoval removes a cancellation that was created at revision order, 0 for none.
-func cancelRemoval(id workload.JobID, order int64) []store.Swap {
-	if order == 0 {
+func cancelRemoval(id workload.JobID, cancelRevision int64) []store.Swap {
+	if cancelRevision == 0 {
 		return nil
 	}
-	return []store.Swap{{Key: cancelKey(id), Expect: store.Revision(order), Delete: true}}
+	return []store.Swap{{Key: cancelKey(id), Expect: store.Revision(cancelRevision), Delete: true}}
 }
 
-func (l *PlannerStore) recordRevisions(swaps []store.Swap, at store.Revision) {
+func (ps *PlannerStore) recordRevisions(swaps []store.Swap, revision store.Revision) {
 	for _, s := range swaps {
 		if s.Delete {
-			delete(l.revisions, s.Key)
+			delete(ps.revisions, s.Key)
 			continue
 		}
-		l.revisions[s.Key] = at
+		ps.revisions[s.Key] = revision
 	}
 }
 
 // explainRejection tells why a write did not hold. Keys that have our own values were written by
 // an earlier attempt whose reply was lost.
-func (l *PlannerStore) explainRejection(swaps []store.Swap, current []store.KeyValue) error {
-	now := map[string]store.KeyValue{}
+func (ps *PlannerStore) explainRejection(swaps []store.Swap, current []store.KeyValue) error {
+	byKey := map[string]store.KeyValue{}
 	for _, kv := range current {
-		now[kv.Key] = kv
+		byKey[kv.Key] = kv
 	}
-	if kv, ok := now[l.guard.Key]; ok && kv.Mod != l.guard.Revision {
+	if kv, ok := byKey[ps.guard.Key]; ok && kv.Mod != ps.guard.Revision {
 		return ErrDeposed
 	}
 	for _, s := range swaps {
-		kv := now[s.Key]
+		kv := byKey[s.Key]
 		if s.Delete && kv.Mod == 0 || !s.Delete && bytes.Equal(kv.Value, s.Value) {
 			continue
 		}
 		return eris.Wrapf(ErrConflict, "%s at revision %d, expected %d", s.Key, kv.Mod, s.Expect)
 	}
 	for _, s := range swaps {
-		l.recordRevisions([]store.Swap{s}, now[s.Key].Mod)
+		ps.recordRevisions([]store.Swap{s}, byKey[s.Key].Mod)
 	}
 	return nil
 }
--- a/records/ledger_test.go
+++ b/records/ledger_test.go
@@ -55,16 +55,16 @@
 func TestRecordsRoundTrip(t *testing.T) {
 	c, _, kv := openStore(t)
 	ctx := context.Background()
-	intake := records.NewJobStore(kv)
-	submit(c, intake, "j1", "j2")
-	c.Assert(intake.Cancel(ctx, "q", "j2"), qt.Equals, link.OutcomeStored)
-	c.Assert(intake.Cancel(ctx, "q", "none"), qt.Equals, link.OutcomeAbsent)
-	l := newPlannerStore(c, kv)
-	_, err := l.Load(ctx, wall)
+	jobs := records.NewJobStore(kv)
+	submit(c, jobs, "j1", "j2")
+	c.Assert(jobs.Cancel(ctx, "q", "j2"), qt.Equals, link.OutcomeStored)
+	c.Assert(jobs.Cancel(ctx, "q", "none"), qt.Equals, link.OutcomeAbsent)
+	planner := newPlannerStore(c, kv)
+	_, err := planner.Load(ctx, wall)
 	c.Assert(err, qt.IsNil)
 	w := progressWrite("j1", 3, workload.Running)
 	w.Workers = []engine.WorkerInfo{{ID: "w1", Agent: "a1"}}
-	c.Assert(l.Write(ctx, w), qt.IsNil)
+	c.Assert(planner.Write(ctx, w), qt.IsNil)
 
 	state, err := newPlannerStore(c, kv).Load(ctx, wall)
 	c.Assert(err, qt.IsNil)
@@ -74,7 +74,7 @@
 	c.Check(state.Jobs[0].Cancelled, qt.IsFalse)
 	c.Check(state.Jobs[1].Cancelled, qt.IsTrue)
 	c.Check(state.Workers, qt.HasLen, 1)
-	found, ok, err := intake.Lookup(ctx, "j2")
+	found, ok, err := jobs.Lookup(ctx, "j2")
 	c.Assert(err, qt.IsNil)
 	c.Check(ok, qt.IsTrue)
 	c.Check(found.State, qt.Equals, workload.Cancelled)
@@ -85,11 +85,11 @@
 func TestDeposedPlannerCannotWrite(t *testing.T) {
 	c, srv, kv := openStore(t)
 	ctx := context.Background()
-	former := newPlannerStore(c, kv)
-	_, err := former.Load(ctx, wall)
+	deposed := newPlannerStore(c, kv)
+	_, err := deposed.Load(ctx, wall)
 	c.Assert(err, qt.IsNil)
 	srv.Put(epochKey, []byte("2"))
-	c.Check(former.Write(ctx, progressWrite("j1", 1, workload.Running)), qt.ErrorIs, records.ErrDeposed)
+	c.Check(deposed.Write(ctx, progressWrite("j1", 1, workload.Running)), qt.ErrorIs, records.ErrDeposed)
 	c.Check(srv.Keys("workloads/"), qt.HasLen, 0)
 }
 
@@ -98,33 +98,33 @@
 func TestWriteWithLostReplyResolvedByRetry(t *testing.T) {
 	c, srv, kv := openStore(t)
 	ctx := context.Background()
-	l := newPlannerStore(c, kv)
+	planner := newPlannerStore(c, kv)
 	w := progressWrite("j1", 1, workload.Queued)
 	srv.SetFaults(standin.StoreFaults{LoseWrites: true})
-	c.Assert(l.Write(ctx, w), qt.ErrorIs, store.ErrOutcomeUnknown)
+	c.Assert(planner.Write(ctx, w), qt.ErrorIs, store.ErrOutcomeUnknown)
 	srv.SetFaults(standin.StoreFaults{})
-	c.Assert(l.Write(ctx, w), qt.IsNil)
-	c.Assert(l.Write(ctx, progressWrite("j1", 2, workload.Running)), qt.IsNil)
-	c.Check(l.Write(ctx, engine.Write{Workers: []engine.WorkerInfo{{ID: "w"}}}), qt.IsNil)
+	c.Assert(planner.Write(ctx, w), qt.IsNil)
+	c.Assert(planner.Write(ctx, progressWrite("j1", 2, workload.Running)), qt.IsNil)
+	c.Check(planner.Write(ctx, engine.Write{Workers: []engine.WorkerInfo{{ID: "w"}}}), qt.IsNil)
 }
 
 // Another wrote a planner's record: the term must end instead of writing over it.
 func TestForeignWriteConflicts(t *testing.T) {
 	c, srv, kv := openStore(t)
-	l := newPlannerStore(c, kv)
-	c.Assert(l.Write(context.Background(), progressWrite("j1", 1, workload.Queued)), qt.IsNil)
+	planner := newPlannerStore(c, kv)
+	c.Assert(planner.Write(context.Background(), progressWrite("j1", 1, workload.Queued)), qt.IsNil)
 	srv.Put("workloads/run/j1", []byte("{}"))
-	c.Check(l.Write(context.Background(), progressWrite("j1", 2, workload.Running)), qt.ErrorIs, records.ErrConflict)
+	c.Check(planner.Write(context.Background(), progressWrite("j1", 2, workload.Running)), qt.ErrorIs, records.ErrConflict)
 }
 
 // The store is out when a caller hands a job in. The question before the write gets no
 // answer, so nothing was written and the refusal is true.
 func TestSubmissionDuringOutageIsNotDone(t *testing.T) {
 	c, srv, kv := openStore(t)
-	intake := records.NewJobStore(kv)
+	jobs := records.NewJobStore(kv)
 	for _, faults := range []standin.StoreFaults{{Busy: true}, {Silent: true}} {
 		srv.SetFaults(faults)
-		outcome, _ := intake.Submit(context.Background(), newJob("j1"))
+		outcome, _ := jobs.Submit(context.Background(), newJob("j1"))
 		c.Check(outcome, qt.Equals, link.OutcomeNotDone)
 	}
 	c.Check(srv.Writes(), qt.Equals, 0)
@@ -134,20 +134,20 @@
 // once, and a write whose answer never comes is neither refused nor accepted.
 func TestSubmissionWithLostReply(t *testing.T) {
 	c, srv, kv := openStore(t)
-	intake := records.NewJobStore(kv)
+	jobs := records.NewJobStore(kv)
 	srv.SetFaults(standin.StoreFaults{LoseWrites: true})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	outcome, _ := intake.Submit(ctx, newJob("j1"))
+	outcome, _ := jobs.Submit(ctx, newJob("j1"))
 	c.Check(outcome, qt.Equals, link.OutcomeUnknown)
 	srv.SetFaults(standin.StoreFaults{})
-	outcome, at := intake.Submit(context.Background(), newJob("j1"))
+	outcome, at := jobs.Submit(context.Background(), newJob("j1"))
 	c.Check(outcome, qt.Equals, link.OutcomeStored)
 	item, _ := srv.Get("workloads/in/job/j1")
 	c.Check(int64(at), qt.Equals, item.Created)
 	other := newJob("j1")
 	other.Account = "another"
-	outcome, _ = intake.Submit(context.Background(), other)
+	outcome, _ = jobs.Submit(context.Background(), other)
 	c.Check(outcome, qt.Equals, link.OutcomeMismatch)
 }
 
@@ -158,8 +158,8 @@
 func TestUnreadableRecordsAreSkipped(t *testing.T) {
 	c, srv, kv := openStore(t)
 	ctx := context.Background()
-	intake := records.NewJobStore(kv)
-	submit(c, intake, "good", "half")
+	jobs := records.NewJobStore(kv)
+	submit(c, jobs, "good", "half")
 	srv.Put("workloads/in/job/bytes", []byte{0xff, 0x00})
 	srv.Put("workloads/in/job/other", []byte(`{"id":"good"}`))
 	srv.Put("workloads/in/job/type", []byte(`{"id":7}`))
--- a/records/submissions.go
+++ b/records/submissions.go
@@ -36,10 +36,10 @@
 	if err != nil {
 		return Submissions{}, err
 	}
-	cancelled := map[workload.JobID]int64{}
+	cancelRevisions := map[workload.JobID]int64{}
 	for _, kv := range snap.Keys {
 		if strings.HasPrefix(kv.Key, cancelPrefix) {
-			cancelled[idOf(kv.Key, cancelPrefix)] = int64(kv.Mod)
+			cancelRevisions[idOf(kv.Key, cancelPrefix)] = int64(kv.Mod)
 		}
 	}
 	out := Submissions{Revision: snap.At}
@@ -47,19 +47,19 @@
 		if !strings.HasPrefix(kv.Key, jobPrefix) {
 			continue
 		}
-		submitted, err := decodeJob(kv, wall)
+		job, err := decodeJob(kv, wall)
 		if err != nil {
 			out.addUnreadable(kv.Key, err)
 			continue
 		}
-		order, wasCancelled := cancelled[submitted.Job.ID]
-		out.Jobs = append(out.Jobs, engine.JobRestored{JobSubmitted: submitted, Cancelled: wasCancelled, CancelRevision: order})
+		cancelRevision, wasCancelled := cancelRevisions[job.Job.ID]
+		out.Jobs = append(out.Jobs, engine.JobRestored{JobSubmitted: job, Cancelled: wasCancelled, CancelRevision: cancelRevision})
 	}
 	return out, nil
 }
 
-func (s *Submissions) addUnreadable(key string, why error) {
-	s.Unreadable = append(s.Unreadable, UnreadableRecord{Key: key, Err: why})
+func (s *Submissions) addUnreadable(key string, err error) {
+	s.Unreadable = append(s.Unreadable, UnreadableRecord{Key: key, Err: err})
 }
 
 func decodeJob(kv store.KeyValue, wall time.Time) (engine.JobSubmitted, error) {
@@ -77,6 +77,6 @@
 const maxAge = 2 * time.Minute
 
 // ageOf returns how long ago it was then, by the time of day.
-func ageOf(then, wall time.Time) time.Duration {
-	return min(max(wall.Sub(then), 0), maxAge)
+func ageOf(since, wall time.Time) time.Duration {
+	return min(max(wall.Sub(since), 0), maxAge)
 }
