--- a/gateway/config.go
+++ b/gateway/config.go
@@ -11,86 +11,86 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// ConfigSource follows the operators' configuration.
+// ConfigSource provides the operators' configuration and the cordons.
 type ConfigSource interface {
-	// Follow offers every version and every change of the cordons to f, and confirms what
-	// is in force, until ctx ends.
+	// Follow passes every version of the configuration and every change of the cordons to f,
+	// and confirms which ones are current, until ctx ends.
 	Follow(ctx context.Context, f *catalog.Current)
-	// Decode reads a version as a peer passed it on.
+	// Decode parses a version as received from a peer.
 	Decode(raw []byte) (*catalog.Catalog, error)
 }
 
-// Advisor is the operators' advice service.
+// Advisor is a client of the operators' advice service.
 type Advisor interface {
-	// Advise returns a ticket for each of the workers that may run the step, and how long
-	// they are valid. The call takes as long as the queue's terms say.
+	// Advise returns a ticket for each worker that may run the step, and how long the tickets
+	// are valid. The call may take as long as the queue's policy allows.
 	Advise(ctx context.Context, ask engine.AdviceRequest) (tickets map[engine.WorkerID]string, valid time.Duration, err error)
 }
 
-// Config of a Gateway.
+// Config configures a Gateway.
 type Config struct {
 	ID     string
 	Region string
 	Zone   string
-	Listen string // of the QUIC endpoint, also where others reach it
-	// Seeds are addresses of gateways that may be there, or not any more.
+	Listen string // address of the QUIC endpoint, which peers and agents dial as well
+	// Seeds are addresses of gateways that may or may not still exist.
 	Seeds      []string
 	ClusterKey []byte
 	Store      store.Atomic
 	Source     ConfigSource
-	// SinceStoreReply returns how long ago the store last answered a call of this process.
+	// SinceStoreReply returns the time since the store last answered a call of this process.
 	SinceStoreReply func() time.Duration
-	// Advisor says which workers may run a step; nil where there is no such service.
+	// Advisor selects the workers that may run a step; nil if there is no advice service.
 	Advisor Advisor
 	Engine  engine.Params
-	// KeyRevocationDelay is how long a key that was taken away may still be honoured; a view of
-	// the configuration is trusted for less than that.
+	// KeyRevocationDelay is how long a revoked API key may still be accepted. A configuration
+	// is trusted for authentication for less than that.
 	KeyRevocationDelay time.Duration
-	// CordonDeadline is how soon after its acknowledgement nothing may start in a cordoned
-	// zone any more. Zero: DefaultCordonWithin.
+	// CordonDeadline is the time after the acknowledgement of a cordon by which nothing starts
+	// in the zone any more. Zero selects DefaultCordonDeadline.
 	CordonDeadline time.Duration
-	// PlanningCapacity is how much planning this instance can carry, against others: the stronger
-	// ones are first to take the duty of a planner that died. Zero: not known.
+	// PlanningCapacity is the relative capacity of this instance for planning. Gateways with a
+	// higher capacity are preferred successors of a failed planner. Zero means unknown.
 	PlanningCapacity float64
 	Log              logrus.FieldLogger
 }
 
-// DefaultCordonDeadline is used where Config.CordonWithin is not set.
+// DefaultCordonDeadline applies if Config.CordonDeadline is zero.
 const DefaultCordonDeadline = 5 * time.Second
 
 const (
 	plannerLeaseName = "planner"
-	// cordonMargin is taken off CordonWithin: a start leaves by then, after the view that it
-	// was decided on was confirmed, and has this long to reach its worker.
+	// cordonMargin is subtracted from the cordon deadline. It leaves a start this time to reach
+	// its worker after the cordons were checked.
 	cordonMargin = 2 * time.Second
-	// plannerLeaseTTL bounds how long nobody plans after the planner's machine died. It is six
-	// times a renewal of a store that answers a hundred times slower than usual.
+	// plannerLeaseTTL bounds how long there is no planner after the planner's instance failed.
+	// It leaves room for several renewals against a slow store.
 	plannerLeaseTTL = 2 * time.Second
-	// plannerLeaseMaxPause bounds the pause between attempts to take the duty while the store is
-	// out, and so how long nobody plans after its return.
+	// plannerLeaseMaxPause bounds the pause between attempts to acquire the lease during a
+	// store outage, and so the time without a planner after the store is back.
 	plannerLeaseMaxPause = 300 * time.Millisecond
-	// keyRevocationMargin is taken off KeyLife: watches of the store may hear nothing for a
-	// second while changes are made, and clocks differ in rate.
+	// keyRevocationMargin is subtracted from KeyRevocationDelay to allow for store watches that
+	// lag by up to a second and for clock drift.
 	keyRevocationMargin = 1500 * time.Millisecond
-	// peerInterval is how often a gateway asks the planner's gateway for news.
+	// peerInterval is how often a gateway exchanges state with the planner's gateway.
 	peerInterval = 500 * time.Millisecond
 	peerTimeout  = 400 * time.Millisecond
-	// configTransferTimeout bounds the transfer of a configuration from a peer: of a megabyte over
-	// 2 Mbit/s.
+	// configTransferTimeout bounds the transfer of a configuration of one megabyte from a peer
+	// over a slow link (2 Mbit/s).
 	configTransferTimeout = 5 * time.Second
-	// configStaleAfter is the age of the configuration's last confirmation from which a
-	// gateway asks its peers for theirs.
+	// configStaleAfter is the time since the last confirmation of the configuration after which
+	// a gateway asks its peers for theirs.
 	configStaleAfter = 1300 * time.Millisecond
-	// memberTTL is how long a gateway counts as live after it was last heard.
+	// memberTTL is how long a gateway counts as live after it was last heard from.
 	memberTTL = 10 * time.Second
-	// storeRetryAfter is how long a gateway works through peers after the store failed it, while
-	// nothing shows that it serves again. The configuration is read again each second or
-	// sooner, so this is only for the case that nobody reads it.
+	// storeRetryAfter is how long a gateway works through peers after a store failure if no
+	// other call shows that the store is back. The configuration is normally read every second
+	// or more often, so this applies only if nothing reads it.
 	storeRetryAfter = 2 * time.Second
-	// relayTimeout bounds a call that a peer makes to the store for this gateway.
+	// relayTimeout bounds a store call that a peer makes for this gateway.
 	relayTimeout = 1200 * time.Millisecond
-	// lookupTimeout bounds a question to the planner.
+	// lookupTimeout bounds a request to the planner.
 	lookupTimeout = 400 * time.Millisecond
-	// storeTimeout bounds what a caller's call may wait for the store.
+	// storeTimeout bounds the time that a client call waits for the store.
 	storeTimeout = 1800 * time.Millisecond
 )
--- a/gateway/cordons.go
+++ b/gateway/cordons.go
@@ -9,13 +9,13 @@
 	"github.com/eelgrasshub/eelgrasshub/link"
 )
 
-// Two guards keep work out of a cordoned zone. The planner starts something only while its
-// view of the cordons was confirmed a short time ago, so one that was cut off or paused
-// starts nothing anywhere. An agent that was told of a cordon by a newer view than that of
-// the orders refuses them, whichever planner sent them and however late they come.
+// Two checks keep work out of a cordoned zone. The planner starts work only if its cordons were
+// confirmed recently, so a planner that was cut off or paused starts nothing. An agent that
+// knows of a cordon newer than the one that orders were based on refuses the starts, no matter
+// which planner sent them or how late they arrive.
 
-// cordonsFresh says whether the cordons known were confirmed so lately that a start decided
-// on them reaches its worker in time.
+// cordonsFresh reports whether the cordons were confirmed recently enough that a start based on
+// them reaches its worker before the cordon deadline.
 func (g *Gateway) cordonsFresh(now time.Duration) bool {
 	cordons, ok := g.currentConfig.Cordons()
 	return ok && now-cordons.ConfirmedAt < g.cordonDeadline()-cordonMargin
@@ -28,7 +28,7 @@
 	return g.cfg.CordonDeadline
 }
 
-// cordonsForPeer returns what this gateway knows, for a peer.
+// cordonsForPeer returns the cordons known to this gateway, or nil if it knows none yet.
 func (g *Gateway) cordonsForPeer() *link.Cordons {
 	cordons, ok := g.currentConfig.Cordons()
 	if !ok {
@@ -41,7 +41,8 @@
 	}
 }
 
-// mergePeerCordons takes what a peer knows. Its age is reckoned from before the question was sent.
+// mergePeerCordons updates the cordons from a peer's reply. The age in the reply counts from
+// before the request was sent, so that it is never underestimated.
 func (g *Gateway) mergePeerCordons(reply *link.PeerReply, sent time.Duration) {
 	if reply.Cordons == nil {
 		return
@@ -53,11 +54,11 @@
 	})
 }
 
-// updateCordons tells the engine of other cordons.
+// updateCordons passes changed cordons to the engine.
 func (t *term) updateCordons(c catalog.Cordons) { t.postEvent(engine.CordonsChanged{Cordons: c}) }
 
-// withholdStarts takes the starts off orders where the cordons known are too old, and returns
-// their outcomes. Stops and speeds are sent all the same.
+// withholdStarts removes the starts from orders if the cordons are too old, and returns their
+// results. Stops and speed limits are sent regardless.
 func (t *term) withholdStarts(orders engine.Orders) (engine.Orders, []engine.StartResult) {
 	if len(orders.Starts) == 0 || t.g.cordonsFresh(lease.BootTime()) {
 		return orders, nil
--- a/gateway/cordons_test.go
+++ b/gateway/cordons_test.go
@@ -19,8 +19,8 @@
 	return g
 }
 
-// A planner that was paused, or hears neither the store nor its peers, must not start work
-// where it may have missed a cordon. What it stops it stops all the same.
+// A planner that was paused or cut off from the store and its peers must not start work where
+// it may have missed a cordon. Stops are sent regardless.
 func TestStartsWithheldWhileCordonsStale(t *testing.T) {
 	c := qt.New(t)
 	run := workload.RunID{Number: 1}
@@ -43,8 +43,8 @@
 	}
 }
 
-// A gateway that the store does not serve hears of a cordon from a peer; a peer that knows
-// less changes nothing.
+// A gateway that the store does not serve learns of cordons from a peer, and ignores older
+// state.
 func TestCordonsLearnedFromPeers(t *testing.T) {
 	c := qt.New(t)
 	g := newGatewayWithCordons(nil, 10, 10*time.Second)
--- a/gateway/counts.go
+++ b/gateway/counters.go
@@ -2,12 +2,13 @@
 
 import "sync/atomic"
 
-// Counters count what a gateway did since its start.
+// Counters count events since the start of the gateway. The metrics endpoint derives metric
+// names from the field names.
 type Counters struct {
 	Accepted, AcceptUnknown, Refused, Cancelled, Lookups, LookupsFailed atomic.Int64
 	Relayed, Reports, Orders, Writes, WriteFailures, Terms              atomic.Int64
-	// StartsWithheld are orders that did not leave since the cordons known were too old.
+	// StartsWithheld counts starts that were not sent because the cordons were too old.
 	StartsWithheld atomic.Int64
-	// ZonesCordoned is how many zones are cordoned now.
+	// ZonesCordoned is the current number of cordoned zones.
 	ZonesCordoned atomic.Int64
 }
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -1,8 +1,7 @@
-// Package gateway is the process that callers reach: it takes jobs, cancellations and
-// questions, and one gateway at a time also plans for all.
+// Package gateway implements the process that serves client calls: it accepts jobs and
+// cancellations, answers lookups, and one gateway at a time is the planner.
 //
-// Every gateway can do every gateway's work. What must last is in the store
-// (package records); a gateway that the store turns away works through a peer. The
-// planner is the holder of a duty under a lease of the store; its decisions are made by
-// package engine, and node agents carry them out.
+// Any gateway can serve any call. Durable state is kept in the store (package records); a
+// gateway that cannot reach the store works through a peer. The planner holds a lease in the
+// store. Package engine makes its decisions, and node agents carry them out.
 package gateway
--- a/gateway/errors.go
+++ b/gateway/errors.go
@@ -6,7 +6,7 @@
 	"github.com/eelgrasshub/eelgrasshub/records"
 )
 
-// isPermanent says whether repeating a write can't change its outcome.
+// isPermanent reports whether retrying a write cannot change its outcome.
 func isPermanent(err error) bool {
 	return eris.Is(err, records.ErrDeposed) || eris.Is(err, records.ErrConflict)
 }
--- /dev/null
+++ b/gateway/failure_detector.go
@@ -0,0 +1,200 @@
+package gateway
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/eelgrasshub/eelgrasshub/lease"
+	"github.com/eelgrasshub/eelgrasshub/link"
+)
+
+// The planner lease cannot be short, since it must outlast a slow store. To replace a failed
+// planner before its lease expires, the other gateways query its liveness. The first successor
+// that the planner has named deposes it if it has not answered within the detection timeout and
+// the store serves that gateway; the others wait a little longer. Deposing a planner that is
+// still alive is safe: its writes are conditional on its epoch, and workers refuse orders of an
+// older epoch.
+const (
+	// livenessInterval is the pause between liveness queries of a preferred successor. Other
+	// gateways query less often, since they matter only if the successors have failed too, and
+	// queries from all at this rate would load the planner.
+	livenessInterval     = 150 * time.Millisecond
+	slowLivenessInterval = 4 * livenessInterval
+	// minDetectionTimeout is the minimum time without an answer before the planner is
+	// suspected. It covers several queries and the delays of a busy instance.
+	minDetectionTimeout = 450 * time.Millisecond
+	// detectionLatencyFactor scales the slowest recent answer to the detection timeout. A
+	// planner on a saturated link answers late; deposing it would interrupt its runs and move
+	// the same load to its successor.
+	detectionLatencyFactor = 3
+	// peakLatencyDecay is the factor by which the peak latency shrinks with each answer.
+	peakLatencyDecay = 0.98
+	// livenessTimeout bounds the wait for an answer. Late answers still update the peak
+	// latency; after this time the planner's lease has expired if it has failed.
+	livenessTimeout = plannerLeaseTTL
+	// selfStallThreshold is the gap between two checks that shows that this process itself was
+	// stalled or suspended and cannot judge the time in between.
+	selfStallThreshold = 3 * livenessInterval
+	// successorStagger is the additional wait of each successor over the one before it, and of
+	// all other gateways over the last successor. It exceeds the time to acquire the lease and
+	// announce it. Without it, a gateway too weak to load the records in time could win, and be
+	// deposed in turn.
+	successorStagger = 150 * time.Millisecond
+)
+
+// failureDetector tracks for how long the planner has not answered liveness queries. It is safe
+// for concurrent use.
+type failureDetector struct {
+	mu              sync.Mutex
+	planner         string
+	epoch           uint64
+	answered        bool          // the planner has answered under this epoch
+	unansweredSince time.Duration // when the first query since the last answer was sent; 0 if none
+	lastQueryAt     time.Duration
+	lastCheckAt     time.Duration
+	peakLatency     time.Duration // decaying maximum of answer times, across planners
+	successors      []string      // as named by the planner, in order of preference
+}
+
+// setSuccessors records the planner's preferred successors.
+func (d *failureDetector) setSuccessors(successors []string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.successors = successors
+}
+
+// timeout returns how long this gateway waits for an answer before it deposes the planner. The
+// first successor waits the shortest time. The mutex is held.
+func (d *failureDetector) timeout(self string) time.Duration {
+	rank := slices.Index(d.successors, self)
+	if rank < 0 {
+		rank = len(d.successors)
+	}
+	base := min(max(minDetectionTimeout, detectionLatencyFactor*d.peakLatency), plannerLeaseTTL)
+	return base + time.Duration(rank)*successorStagger
+}
+
+// tracks reports whether the recorded state belongs to the given planner and epoch. The mutex
+// is held.
+func (d *failureDetector) tracks(planner string, epoch uint64) bool {
+	return d.planner == planner && d.epoch == epoch
+}
+
+// shouldQuery reports whether this gateway should query the planner now. A new planner is
+// queried at once, so that it is not deposed for the silence of its predecessor.
+func (d *failureDetector) shouldQuery(now time.Duration, self, planner string, epoch uint64) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if !d.tracks(planner, epoch) {
+		return true
+	}
+	interval := slowLivenessInterval
+	if len(d.successors) == 0 || slices.Contains(d.successors, self) {
+		interval = livenessInterval
+	}
+	return now-d.lastQueryAt >= interval
+}
+
+// recordQuery records a query that is about to be sent.
+func (d *failureDetector) recordQuery(now time.Duration, planner string, epoch uint64) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if !d.tracks(planner, epoch) {
+		d.planner, d.epoch, d.answered, d.unansweredSince = planner, epoch, false, 0
+	}
+	d.recordCheck(now)
+	if d.unansweredSince == 0 {
+		d.unansweredSince = now
+	}
+	d.lastQueryAt = now
+}
+
+// recordCheck records that the silence was checked, and restarts its measurement if this
+// process was stalled since the last check. The mutex is held.
+func (d *failureDetector) recordCheck(now time.Duration) {
+	if d.unansweredSince != 0 && now-d.lastCheckAt > selfStallThreshold {
+		d.unansweredSince = now
+	}
+	d.lastCheckAt = now
+}
+
+// recordAnswer records an answer of the planner under epoch.
+func (d *failureDetector) recordAnswer(planner string, epoch uint64) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.tracks(planner, epoch) {
+		d.answered, d.unansweredSince = true, 0
+	}
+}
+
+// recordLatency updates the peak latency with the time that an answer took. It is kept across
+// planners, since what slows down one slows down the next.
+func (d *failureDetector) recordLatency(latency time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.peakLatency = max(latency, time.Duration(peakLatencyDecay*float64(d.peakLatency)))
+}
+
+// suspects reports whether this gateway should depose the planner. A planner that has not
+// answered under its epoch yet is not suspected; it may still be loading the records.
+func (d *failureDetector) suspects(now time.Duration, self string) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.recordCheck(now)
+	return d.answered && d.unansweredSince != 0 && now-d.unansweredSince > d.timeout(self)
+}
+
+// livenessLoop queries the planner's liveness and deposes it if it is suspected.
+func (g *Gateway) livenessLoop() error {
+	for {
+		select {
+		case <-time.After(livenessInterval):
+		case <-g.tomb.Dying():
+			return nil
+		}
+		epoch, planner := g.planner.get()
+		if planner == "" || planner == g.cfg.Listen || g.stopping.Load() {
+			continue
+		}
+		if now := lease.BootTime(); g.failureDetector.shouldQuery(now, g.cfg.Listen, planner, epoch) {
+			g.failureDetector.recordQuery(now, planner, epoch)
+			go g.queryLiveness(planner, epoch)
+		}
+		if g.failureDetector.suspects(lease.BootTime(), g.cfg.Listen) && g.cfg.SinceStoreReply() < storeReplyTTL {
+			g.deposePlanner(planner, epoch)
+		}
+	}
+}
+
+func (g *Gateway) queryLiveness(planner string, epoch uint64) {
+	ctx, cancel := context.WithTimeout(g.tomb.Context(context.Background()), livenessTimeout)
+	defer cancel()
+	sent := lease.BootTime()
+	raw, err := g.pool.Call(ctx, planner, &link.Alive{})
+	if err != nil {
+		return // a missing answer is noticed by suspects
+	}
+	g.failureDetector.recordLatency(lease.BootTime() - sent)
+	if reply, ok := raw.(*link.AliveReply); ok && reply.Epoch == epoch {
+		g.failureDetector.recordAnswer(planner, epoch)
+	}
+}
+
+// deposePlanner acquires the planner lease in place of a planner that is believed to have
+// failed.
+func (g *Gateway) deposePlanner(planner string, epoch uint64) {
+	if !g.plannerLease.Depose() {
+		return // waiting for the store, or another gateway was faster
+	}
+	g.log.WithField("planner", planner).WithField("epoch", epoch).Warn("planner does not answer; its duty is taken")
+}
+
+// predecessorExtension returns how much longer than normal the grants of a predecessor may
+// last. A deposed planner that is still alive may grant until its lease expires, and its
+// successor cannot tell whether another gateway deposed it. This matters only for workers that
+// do not report to the successor.
+func (g *Gateway) predecessorExtension(now time.Duration) time.Duration {
+	return g.storeStatus.predecessorExtension(now) + plannerLeaseTTL
+}
--- a/gateway/suspect_test.go
+++ b/gateway/failure_detector_test.go
@@ -9,7 +9,8 @@
 
 const ms = time.Millisecond
 
-// simulateQueries asks every aliveEvery until end, and notes answers while the planner lives.
+// simulateQueries sends a query every livenessInterval until end. The planner answers until
+// aliveUntil.
 func simulateQueries(d *failureDetector, begin, end, aliveUntil time.Duration) {
 	for now := begin; now < end; now += livenessInterval {
 		d.recordQuery(now, "p", 1)
@@ -19,8 +20,7 @@
 	}
 }
 
-// The planner's machine loses power. It is taken for dead within a second, but not for a
-// single answer that is late.
+// A failed planner is suspected within a second, but a single late answer is tolerated.
 func TestUnresponsivePlannerIsSuspected(t *testing.T) {
 	c := qt.New(t)
 	d := &failureDetector{}
@@ -32,8 +32,7 @@
 	c.Check(d.suspects(3*second+900*ms, "own"), qt.IsTrue)
 }
 
-// A gateway is suspended for five seconds. That it has heard nothing of the planner says
-// nothing of the planner.
+// A gateway that was suspended must not blame the planner for the missing answers.
 func TestSuspendedGatewayDoesNotSuspectPlanner(t *testing.T) {
 	c := qt.New(t)
 	d := &failureDetector{}
@@ -45,8 +44,8 @@
 	c.Check(d.suspects(7*second+400*ms, "own"), qt.IsFalse)
 }
 
-// A planner that has not answered under its epoch yet reads its records. To depose it
-// would only begin that again.
+// A planner that has not answered under its epoch is still reading its records. Deposing it
+// would only restart that.
 func TestPlannerNotSuspectedBeforeFirstAnswer(t *testing.T) {
 	c := qt.New(t)
 	d := &failureDetector{}
@@ -58,9 +57,8 @@
 	c.Check(d.suspects(6*second, "own"), qt.IsFalse, qt.Commentf("an answer under another epoch is none"))
 }
 
-// A planner is deposed by one gateway, lives, and grants until its lease has lapsed. The
-// duty goes to another gateway, which has only seen that it was vacant, and has to count
-// those grants all the same for workers that it can't reach.
+// A deposed planner that is alive grants until its lease expires. A successor that did not
+// depose it itself must allow for that too.
 func TestPredecessorExtensionCoversDeposedPlanner(t *testing.T) {
 	g := &Gateway{storeStatus: newStoreStatus(0)}
 	g.storeStatus.observePeer(59*second, "planner", true, true)
@@ -68,9 +66,8 @@
 	qt.Check(t, g.predecessorExtension(60*second), qt.Equals, plannerLeaseTTL)
 }
 
-// The planner's link is full and its answers take 400 ms. Five gateways deposed it, and each
-// of its successors, although all lived. Once answers were seen to take that long, silence
-// of a second is no sign of death, and of more than its lease always is.
+// On a saturated link the answers of a live planner are slow. Deposing it would move the load
+// to the next planner, which would be deposed as well.
 func TestSlowPlannerIsNotSuspected(t *testing.T) {
 	c := qt.New(t)
 	d := &failureDetector{}
@@ -83,8 +80,7 @@
 	c.Check(d.suspects(5*second, "own"), qt.IsTrue, qt.Commentf("its lease has lapsed"))
 }
 
-// Slow answers are forgotten while answers come at once, so that a death is found as fast as
-// before.
+// The detection timeout returns to its minimum when answers are fast again.
 func TestDetectionTimeoutRecoversAfterFastAnswers(t *testing.T) {
 	c := qt.New(t)
 	d := &failureDetector{}
@@ -95,8 +91,8 @@
 	c.Check(d.timeout("own"), qt.Equals, minDetectionTimeout)
 }
 
-// 55 gateways ask whether the planner lives. Only its heirs ask often, and a gateway that
-// asks seldom still finds its death, and was not itself held up between two questions.
+// Gateways that are not preferred successors query less often, yet still detect a failure and
+// do not mistake the longer interval for a stall of their own.
 func TestNonSuccessorsQueryLessOften(t *testing.T) {
 	c := qt.New(t)
 	d := &failureDetector{}
@@ -123,8 +119,8 @@
 	simulate(4*second, 9*second, 4*second)
 }
 
-// The planner dies and an heir takes the duty. A gateway that asks seldom has last asked the
-// dead one, long ago; it must not depose the new one for that.
+// A gateway that last queried the failed planner long ago must not depose the new one for that
+// silence.
 func TestDetectorResetsForNewPlanner(t *testing.T) {
 	c := qt.New(t)
 	d := &failureDetector{}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -24,7 +24,7 @@
 	log           logrus.FieldLogger
 	currentConfig *catalog.Current
 	jobStore      *records.JobStore
-	// relayedStore is the store as the planner uses it.
+	// relayedStore is the store as used by the planner: it falls back to peers.
 	relayedStore *storeRelay
 	endpoint     *wire.Endpoint
 	pool         *wire.Pool
@@ -34,24 +34,25 @@
 	storeStatus  *storeStatus
 	tomb         tomb.Tomb
 	stopping     atomic.Bool
-	// storeFailedAt is when the store last failed this gateway, on the boot clock.
+	// storeFailedAt is when the store last failed a call of this gateway, on the boot clock;
+	// zero if none has failed since the last write that it answered.
 	storeFailedAt    atomic.Int64
 	failureDetector  failureDetector
-	fetchingConfig   atomic.Bool // a peer is being asked for the text of the configuration
+	fetchingConfig   atomic.Bool // a configuration is being fetched from a peer
 	counters         Counters
-	jobWaits         metrics.Latencies // from acceptance to the first start, by account and queue
-	jobCompletions   metrics.Latencies // from acceptance to the end, by account, queue and state
-	callLatencies    metrics.Latencies // of callers, by kind and outcome
-	workerDepartures metrics.Sums      // lives of workers that are over, by service and departure
-	lostWork         metrics.Sums      // core-seconds of work thrown away, by queue and cause
-	savedWork        metrics.Sums      // core-seconds that checkpoints kept, likewise
+	jobWaits         metrics.Latencies // from acceptance to first start, by account and queue
+	jobCompletions   metrics.Latencies // from acceptance to end, by account, queue and state
+	callLatencies    metrics.Latencies // client calls, by kind and outcome
+	workerDepartures metrics.Sums      // ended worker incarnations, by service and kind of departure
+	lostWork         metrics.Sums      // core-seconds of discarded work, by queue and cause
+	savedWork        metrics.Sums      // core-seconds of discarded runs kept by checkpoints, by queue and cause
 	lateJobs         metrics.Sums      // jobs that missed their objective, by queue and reason
 
 	mu   sync.Mutex
-	term *term // the present or last term of this gateway as planner
+	term *term // current or last term of this gateway as planner
 }
 
-// Start starts a Gateway.
+// Start starts a Gateway. The caller must call Stop.
 func Start(cfg Config) (*Gateway, error) {
 	g := &Gateway{
 		cfg:           cfg,
@@ -101,8 +102,8 @@
 	return nil
 }
 
-// configLoop logs each version of the configuration and each change of the cordons, and
-// tells the planner's term.
+// configLoop logs each configuration version and each change of the cordons, and passes them to
+// the current term.
 func (g *Gateway) configLoop() error {
 	lastVersion := int64(0)
 	var lastZones []string
@@ -131,15 +132,15 @@
 	}
 }
 
-// Ready says whether callers should be sent here: not before a configuration is known,
-// and not while stopping.
+// Ready reports whether clients should be routed to this gateway: it has a configuration and is
+// not stopping.
 func (g *Gateway) Ready() bool {
 	_, ok := g.currentConfig.Snapshot()
 	return ok && !g.stopping.Load()
 }
 
-// Drain makes the gateway not ready and hands the planner's duty over, while calls are
-// still served.
+// Drain makes the gateway not ready, waits until pending records are written, and hands over
+// the planner lease. Calls are still served meanwhile.
 func (g *Gateway) Drain(ctx context.Context) {
 	g.stopping.Store(true)
 	g.log.Info("gateway draining")
@@ -151,7 +152,7 @@
 	}
 }
 
-// Stop ends the gateway.
+// Stop drains the gateway if that was not done yet, and shuts it down.
 func (g *Gateway) Stop(ctx context.Context) error {
 	if !g.stopping.Load() {
 		g.Drain(ctx)
@@ -166,7 +167,7 @@
 	return err
 }
 
-// WriteMetrics writes the gateway's histograms as text.
+// WriteMetrics writes the gateway's histograms and sums in text format.
 func (g *Gateway) WriteMetrics(w io.Writer) {
 	g.jobWaits.WriteText(w, "eelgrasshub_job_wait_us")
 	g.jobCompletions.WriteText(w, "eelgrasshub_job_completion_us")
@@ -180,9 +181,9 @@
 // Counters returns the gateway's counters.
 func (g *Gateway) Counters() *Counters { return &g.counters }
 
-// View returns the configuration in force. fresh says whether it is known recently
-// enough for keys to be trusted: a process that was paused or cut off must not honour a
-// key that was taken away meanwhile, so the age counts suspension too.
+// View returns the current configuration. fresh reports whether it was confirmed recently
+// enough to authenticate keys. Its age includes time in suspension, so that a process that was
+// paused or cut off does not accept a key that was revoked meanwhile.
 func (g *Gateway) View() (view catalog.Snapshot, fresh, ok bool) {
 	view, ok = g.currentConfig.Snapshot()
 	if !ok {
@@ -198,7 +199,8 @@
 	return g.term
 }
 
-// plannerLeaseChanged is told of the planner's duty by its Holder's goroutine.
+// plannerLeaseChanged is called by the lease holder's goroutine when this gateway acquires or
+// loses the planner lease.
 func (g *Gateway) plannerLeaseChanged(held lease.Held, ok bool) {
 	g.mu.Lock()
 	old := g.term
@@ -218,16 +220,17 @@
 	}
 	g.planner.update(held.Epoch, g.cfg.Listen)
 	g.log.WithField("epoch", held.Epoch).Info("planner's duty taken")
-	go g.queryPeers() // so that all name the new planner at once
+	go g.queryPeers() // announce the new planner to all peers at once
 }
 
-// Stopping says whether the gateway is about to end.
+// Stopping reports whether the gateway is draining or stopped.
 func (g *Gateway) Stopping() bool { return g.stopping.Load() }
 
-// Planning says whether this gateway plans now.
+// Planning reports whether this gateway is the active planner.
 func (g *Gateway) Planning() bool { return g.planningEpoch() != 0 }
 
-// planningEpoch returns the epoch under which this gateway plans; zero where it does not.
+// planningEpoch returns the epoch under which this gateway is the active planner, or zero if it
+// is not.
 func (g *Gateway) planningEpoch() uint64 {
 	t := g.currentTerm()
 	if t == nil || !t.active() {
--- a/gateway/handle.go
+++ b/gateway/handle.go
@@ -9,7 +9,7 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// handle serves the exchanges that agents and other gateways open.
+// handle serves requests from agents and other gateways.
 func (g *Gateway) handle(ctx context.Context, from *wire.Conn, msg any) (any, error) {
 	switch m := msg.(type) {
 	case *link.Report:
@@ -43,7 +43,8 @@
 	}
 }
 
-// handleReport passes an agent's handleReport to the planner's term.
+// handleReport passes an agent's report to the current term. A gateway that is not the planner
+// only replies with the planner's address.
 func (g *Gateway) handleReport(ctx context.Context, from *wire.Conn, m *link.Report) *link.ReportReply {
 	g.counters.Reports.Add(1)
 	_, planner := g.planner.get()
--- a/gateway/calls.go
+++ b/gateway/jobs.go
@@ -12,8 +12,8 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// Submit makes a job durable, through a peer where the store does not serve this
-// gateway.
+// Submit stores a job durably, through a peer if the store does not serve this gateway.
+// OutcomeUnknown means that the job may or may not have been stored.
 func (g *Gateway) Submit(ctx context.Context, job *workload.Job) link.Outcome {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -44,7 +44,8 @@
 	}
 }
 
-// Cancel makes a cancellation durable.
+// Cancel stores a cancellation durably, through a peer if the store does not serve this
+// gateway.
 func (g *Gateway) Cancel(ctx context.Context, queue string, id workload.JobID) link.Outcome {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -67,16 +68,17 @@
 	return outcome
 }
 
-// shouldTryStore says whether the store is worth a try: after it failed not before it has
-// answered another call. The configuration is asked for all the time, so a try here would
-// find nothing out that is not known sooner, and hold its caller up.
+// shouldTryStore reports whether to call the store directly. After a failure it returns false
+// until the store has answered another call of this process, or storeRetryAfter has passed. The
+// configuration is polled all the time, so a direct attempt would only delay the caller and
+// learn nothing new.
 func (g *Gateway) shouldTryStore() bool {
 	failedAt := time.Duration(g.storeFailedAt.Load())
 	sinceFailure := lease.BootTime() - failedAt
 	return failedAt == 0 || sinceFailure > storeRetryAfter || g.cfg.SinceStoreReply() < sinceFailure
 }
 
-// markStoreFailed notes that the store does not serve this gateway now.
+// markStoreFailed records that the store does not serve this gateway now.
 func (g *Gateway) markStoreFailed() { g.storeFailedAt.Store(int64(lease.BootTime())) }
 
 func (g *Gateway) recordStoreOutcome(outcome link.Outcome) {
@@ -88,8 +90,8 @@
 	}
 }
 
-// relay lets peers write a record, one after the other, until one is served by the
-// store. A peer whose answer is lost may have written it.
+// relay asks peers, one after the other, to write a record, and returns the first outcome other
+// than OutcomeNotDone. A peer whose reply is lost may have written the record.
 func (g *Gateway) relay(ctx context.Context, msg any) link.Outcome {
 	for _, address := range g.relayCandidates() {
 		if ctx.Err() != nil {
@@ -103,9 +105,9 @@
 	return link.OutcomeNotDone
 }
 
-// relayCandidates returns the peers to work through, the planner first. Those that lately said
-// that the store does not serve them either are left out: asking them would only hold up
-// a refusal that is certain, and a question cut short leaves the outcome unknown.
+// relayCandidates returns the peers to relay calls through, the planner first. It omits peers
+// that recently reported that the store does not serve them: a call to one would only delay a
+// certain refusal, and one that is cut short leaves the outcome unknown.
 func (g *Gateway) relayCandidates() []string {
 	_, planner := g.planner.get()
 	candidates := g.members.knownPeers()
@@ -122,8 +124,8 @@
 	return out
 }
 
-// callPeer lets one peer make a call for this gateway. The error is wire.ErrNotSent where
-// the peer has certainly not seen it.
+// callPeer sends msg to a peer, which carries out the call for this gateway. The error is
+// wire.ErrNotSent if the peer has certainly not received the message.
 func (g *Gateway) callPeer(ctx context.Context, address string, msg any) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
--- a/gateway/lookups.go
+++ b/gateway/lookup.go
@@ -8,17 +8,17 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// LookupStatus is what is known of a job that a caller asks for.
+// LookupStatus tells whether the state of a job could be determined.
 type LookupStatus int
 
-// Answers.
+// Results of Gateway.State.
 const (
-	LookupUnavailable LookupStatus = iota // nobody can tell now
+	LookupUnavailable LookupStatus = iota // neither the planner nor the records could be read
 	LookupFound
 	LookupNotFound
 )
 
-// State returns the state of a job: from the planner, which knows best, else from the
+// State returns the state of a job: from the planner, which is most up to date, else from the
 // records, else through a peer.
 func (g *Gateway) State(ctx context.Context, id workload.JobID) (engine.JobStatus, LookupStatus) {
 	g.counters.Lookups.Add(1)
@@ -85,7 +85,7 @@
 	return engine.JobStatus{}, LookupUnavailable
 }
 
-// handleLookup answers another gateway's question.
+// handleLookup answers a lookup of another gateway.
 func (g *Gateway) handleLookup(ctx context.Context, m *link.Lookup) *link.LookupReply {
 	found, ok := g.localLookup(m.Job)
 	if !ok && m.Records {
@@ -117,8 +117,8 @@
 	return t.pending()
 }
 
-// Pending returns how many accepted jobs of a queue have not begun, and false where the
-// planner can't be asked.
+// Pending returns how many accepted jobs of a queue have not started. It returns false if the
+// planner cannot be asked.
 func (g *Gateway) Pending(ctx context.Context, queue string) (int, bool) {
 	if counts, ok := g.localPending(); ok {
 		return counts[queue], true
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -10,22 +10,23 @@
 	"github.com/eelgrasshub/eelgrasshub/lease"
 )
 
-// members are the other gateways that are known: the seeds, and those heard from.
+// members tracks the other gateways: the seeds, and those heard from or named by others. It is
+// safe for concurrent use.
 type members struct {
 	self      string
 	seeds     []string
 	mu        sync.Mutex
 	lastHeard map[string]time.Duration
-	// capacity is what each gateway said it can carry, see Config.Strength.
+	// capacity is the reported Config.PlanningCapacity of each gateway.
 	capacity map[string]float64
 	rotation rotation.Turn
 }
 
 const (
-	// maxSampleSize is how many gateways one answer names. Were it all of them, the traffic of
-	// each agent would grow with the number of gateways: 800 bytes an answer with 39.
+	// maxSampleSize is how many gateways one reply names. It keeps the size of replies
+	// independent of the number of gateways.
 	maxSampleSize = 6
-	// maxSuccessors is how many gateways the planner names to take its duty when it dies.
+	// maxSuccessors is how many preferred successors the planner names.
 	maxSuccessors = 3
 )
 
@@ -33,7 +34,7 @@
 	return &members{self: self, seeds: seeds, lastHeard: map[string]time.Duration{}, capacity: map[string]float64{}}
 }
 
-// markHeard notes that a gateway is there.
+// markHeard records that a message from a gateway has arrived.
 func (m *members) markHeard(address string) {
 	if address == "" || address == m.self {
 		return
@@ -43,7 +44,8 @@
 	m.lastHeard[address] = lease.BootTime()
 }
 
-// addHint notes a gateway that another one named, unless it is known better.
+// addHint adds a gateway that another one named. It expires sooner than one that was heard
+// from, and never replaces an existing entry.
 func (m *members) addHint(address string) {
 	if address == m.self {
 		return
@@ -55,7 +57,7 @@
 	}
 }
 
-// live returns the gateways heard from lately, this one included.
+// live returns the gateways heard from within memberTTL, including this one, sorted.
 func (m *members) live() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -69,8 +71,7 @@
 	return out
 }
 
-// sample returns some of the live gateways, others each time, so that who asks again and
-// again learns of all.
+// sample returns a subset of the live gateways. Successive calls rotate through all of them.
 func (m *members) sample() []string {
 	live := m.live()
 	m.mu.Lock()
@@ -78,7 +79,7 @@
 	return m.rotation.Take(live, maxSampleSize)
 }
 
-// setCapacity notes what a gateway said it can carry.
+// setCapacity records the planning capacity that a gateway reported.
 func (m *members) setCapacity(address string, capacity float64) {
 	if address == "" || capacity <= 0 {
 		return
@@ -88,8 +89,8 @@
 	m.capacity[address] = capacity
 }
 
-// successors returns the other gateways that are best able to plan, the strongest first: of
-// those that fit says may.
+// successors returns the preferred successors of the planner: the eligible live peers with the
+// highest planning capacity, in descending order.
 func (m *members) successors(eligible func(address string) bool) []string {
 	out := slices.DeleteFunc(m.livePeers(), func(a string) bool { return !eligible(a) })
 	m.mu.Lock()
@@ -98,12 +99,12 @@
 	return out[:min(len(out), maxSuccessors)]
 }
 
-// livePeers returns the other gateways heard from lately.
+// livePeers returns the other gateways heard from within memberTTL.
 func (m *members) livePeers() []string {
 	return slices.DeleteFunc(m.live(), func(a string) bool { return a == m.self })
 }
 
-// knownPeers returns every gateway worth asking: those heard from, and the seeds.
+// knownPeers returns the live peers and the seeds.
 func (m *members) knownPeers() []string {
 	out := m.livePeers()
 	for _, s := range m.seeds {
@@ -114,14 +115,14 @@
 	return out
 }
 
-// plannerTracker is what is known of who plans.
+// plannerTracker holds the newest known planner. It is safe for concurrent use.
 type plannerTracker struct {
 	mu      sync.Mutex
 	epoch   uint64
 	address string
 }
 
-// update takes a planner that is not older than the one known.
+// update records a planner if its epoch is newer than the known one.
 func (p *plannerTracker) update(epoch uint64, address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,7 +131,7 @@
 	}
 }
 
-// get returns the newest planner known.
+// get returns the newest known planner; the address is empty if none is known.
 func (p *plannerTracker) get() (epoch uint64, address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/gateway/members_test.go
+++ b/gateway/members_test.go
@@ -8,9 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// With 39 gateways each answer to each of 260 agents named all of them, which was most of
-// what the planner sent. An answer names a few, others each time, so that an agent that
-// asks again learns of all.
+// Replies that named all gateways would dominate the planner's traffic. Each names a few, and
+// an agent that asks repeatedly learns of all.
 func TestSampleRotatesThroughGateways(t *testing.T) {
 	c := qt.New(t)
 	m := newMembers("own", nil)
@@ -29,9 +28,8 @@
 	c.Check(named, qt.HasLen, gateways)
 }
 
-// A planner dies at 300 machines. All gateways deposed it at once, and the first had the
-// duty: one with a fifth of a core, which needed longer to read the records than the others
-// waited for it, and was deposed in turn. The strongest that the store serves come first.
+// If all gateways deposed a failed planner at once, a weak one could win and be deposed in turn
+// before it has read the records. The strongest gateways that the store serves come first.
 func TestSuccessorsOrderedByCapacity(t *testing.T) {
 	c := qt.New(t)
 	m := newMembers("planner", nil)
@@ -51,7 +49,7 @@
 	c.Check(d.timeout("g4"), qt.Equals, d.timeout("g3"), qt.Commentf("all others wait alike"))
 }
 
-// No planner has named heirs yet, as after a start: nobody waits longer than needed.
+// Before a planner has named successors, no gateway waits longer than the detection timeout.
 func TestNoStaggerWithoutSuccessors(t *testing.T) {
 	qt.Check(t, (&failureDetector{}).timeout("g"), qt.Equals, minDetectionTimeout)
 }
--- a/gateway/notice.go
+++ b/gateway/notifications.go
@@ -11,16 +11,16 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// notifyJobSubmitted tells the planner of a job that is on record at a revision; of one that has
-// ended, which has none, nobody needs to hear.
+// notifyJobSubmitted notifies the planner of a stored job. A job that has already ended has
+// revision zero and is skipped.
 func (g *Gateway) notifyJobSubmitted(outcome link.Outcome, job *workload.Job, revision store.Revision) {
 	if outcome == link.OutcomeStored && revision != 0 {
 		g.notifyPlanner(&link.Notice{Job: job, Order: int64(revision)})
 	}
 }
 
-// notifyPlanner tells the planner of a record at once; its watch of the store, which may hear
-// nothing for a second, tells it in any case.
+// notifyPlanner sends a notice of a new record to the planner, which would otherwise learn of
+// it from its store watch up to a second later. Notices are best effort.
 func (g *Gateway) notifyPlanner(n *link.Notice) {
 	_, planner := g.planner.get()
 	if planner == g.cfg.Listen {
@@ -33,16 +33,14 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(g.tomb.Context(context.Background()), lookupTimeout)
 		defer cancel()
-		_, _ = g.pool.Call(ctx, planner, n) // the watch makes up for a lost notice
+		_, _ = g.pool.Call(ctx, planner, n) // the watch covers lost notices
 	}()
 }
 
-// handleNotice passes a notice on to the term, if there is one.
-//
-// The failure that knowsEnded guards against: a notice is held up on its way for seconds,
-// its job runs and ends meanwhile, and another planner takes over. To the new one the job
-// would look like one that was just handed in, as long as it has not read the outcomes, and
-// run again. Its watch tells it of all that was handed in since it has the duty.
+// handleNotice passes a notice to the active term. A notice may be delayed until its job has
+// run and ended and another planner has taken over. Before the new planner has loaded the
+// outcomes of ended jobs, such a job would look newly submitted and run again, so submissions
+// are ignored until then. The watch delivers all jobs submitted since the term began.
 func (g *Gateway) handleNotice(n *link.Notice) {
 	t := g.currentTerm()
 	if t == nil || !t.active() {
@@ -56,8 +54,8 @@
 	}
 }
 
-// outcomeOfCallError says what an error of a relayed write means: only a message that was certainly
-// not handled is certainly not done.
+// outcomeOfCallError returns the outcome of a relayed write that failed with err: it is
+// certainly not done only if the message was not sent.
 func outcomeOfCallError(err error) link.Outcome {
 	if errors.Is(err, wire.ErrNotSent) {
 		return link.OutcomeNotDone
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -8,8 +8,8 @@
 	"github.com/eelgrasshub/eelgrasshub/link"
 )
 
-// peerLoop keeps in touch with the planner's gateway, and with all where the planner is
-// not known or this gateway can't follow the configuration by itself.
+// peerLoop exchanges state with the planner's gateway, or with all peers if the planner is
+// unknown, is this gateway, or the configuration is stale.
 func (g *Gateway) peerLoop() error {
 	for {
 		g.storeStatus.observeSelf(lease.BootTime(), g.cfg.SinceStoreReply())
@@ -51,7 +51,7 @@
 	g.queryPeerWithin(address, msg, peerTimeout)
 }
 
-// queryPeerWithin asks another gateway and takes what it answers.
+// queryPeerWithin queries another gateway and merges its reply.
 func (g *Gateway) queryPeerWithin(address string, msg *link.Peer, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(g.tomb.Context(context.Background()), timeout)
 	defer cancel()
@@ -84,14 +84,15 @@
 	}
 }
 
-// needsConfigOf says whether a peer has a newer configuration that the store does not bring now.
+// needsConfigOf reports whether a peer's configuration version is newer than the local one and
+// the store does not provide it now.
 func (g *Gateway) needsConfigOf(version int64) bool {
 	view, ok := g.currentConfig.Snapshot()
 	newer := version != 0 && (!ok || version > view.Catalog.Version)
 	return newer && g.cfg.SinceStoreReply() > configStaleAfter
 }
 
-// fetchConfig asks one peer for the text of its configuration, if none is being asked.
+// fetchConfig fetches the configuration from a peer. Only one fetch runs at a time.
 func (g *Gateway) fetchConfig(address string) {
 	if !g.fetchingConfig.CompareAndSwap(false, true) {
 		return
@@ -102,7 +103,7 @@
 	g.queryPeerWithin(address, msg, configTransferTimeout)
 }
 
-// handlePeerFailure turns to all others where the planner does not answer.
+// handlePeerFailure queries all other gateways if the planner did not answer.
 func (g *Gateway) handlePeerFailure(address string) {
 	if _, planner := g.planner.get(); planner != address {
 		return
@@ -114,13 +115,14 @@
 	}
 }
 
-// peerServed says whether a gateway has not lately said that the store does not serve it.
+// peerServed reports whether a gateway has not recently reported that the store does not serve
+// it.
 func (g *Gateway) peerServed(address string) bool {
 	return !g.storeStatus.peerUnserved(lease.BootTime(), address)
 }
 
-// mergePeerConfig takes what a peer knows of the configuration. Its age is reckoned from
-// before the question was sent.
+// mergePeerConfig updates the configuration from a peer's reply. The age in the reply counts
+// from before the request was sent, so that it is never underestimated.
 func (g *Gateway) mergePeerConfig(reply *link.PeerReply, sent time.Duration) {
 	if reply.ConfigVersion == 0 {
 		return
@@ -138,7 +140,8 @@
 	g.currentConfig.Update(c, reply.Config, confirmedAt)
 }
 
-// handlePeer answers another gateway, or an agent that looks for the planner.
+// handlePeer answers another gateway, or an agent that is looking for the planner, which sends
+// no address.
 func (g *Gateway) handlePeer(msg *link.Peer) *link.PeerReply {
 	g.members.markHeard(msg.Address)
 	g.members.setCapacity(msg.Address, msg.Strength)
--- a/gateway/register.go
+++ b/gateway/registry.go
@@ -12,13 +12,13 @@
 
 const (
 	registryPrefix = "gateways/"
-	// registrationTTL bounds how long a gateway that died is listed. The register only
-	// serves processes all of whose known gateways are gone.
+	// registrationTTL bounds how long a failed gateway remains listed. The registry is read at
+	// startup and by processes that can reach no gateway they know.
 	registrationTTL      = 12 * time.Second
 	registrationInterval = registrationTTL / 3
 )
 
-// ListRegistered lists the addresses of gateways that are registered in the store.
+// ListRegistered returns the addresses of the gateways registered in the store.
 func ListRegistered(ctx context.Context, kv store.Store) ([]string, error) {
 	snap, err := kv.List(ctx, registryPrefix)
 	if err != nil {
@@ -31,7 +31,7 @@
 	return out, nil
 }
 
-// registerLoop keeps this gateway registered, and learns of the others at its start.
+// registerLoop keeps this gateway registered, and reads the registry once at startup.
 func (g *Gateway) registerLoop() error {
 	var id store.LeaseID
 	peersLoaded := false
@@ -64,8 +64,8 @@
 	return true
 }
 
-// register renews the lease of the gateway's key, or makes both anew. It returns the
-// lease, zero where there is none.
+// register renews the lease of this gateway's registry key, or creates both anew. It returns
+// the lease, or zero if there is none.
 func (g *Gateway) register(ctx context.Context, id store.LeaseID) store.LeaseID {
 	if id != 0 {
 		_, err := g.cfg.Store.Renew(ctx, id)
--- a/gateway/store_relay.go
+++ b/gateway/store_relay.go
@@ -10,19 +10,17 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// directCallTimeout bounds this gateway's own attempt of a call while a peer could make it: a store
-// that is cut off does not answer at all, and the planner's lease of two seconds must be
-// renewed. A store that is slow for all, at a hundred times its usual 4 ms, is waited for.
+// directCallTimeout bounds a direct store call if a peer could make it instead: a store that is
+// cut off does not answer at all, and the planner lease must be renewed in time. It is long
+// enough for a store that is slow for all gateways.
 const directCallTimeout = 500 * time.Millisecond
 
-// storeRelay is the store as the planner uses it. Calls that the store does not take from
-// this gateway are made by a peer that it serves.
+// storeRelay is the store as used by the planner. Calls that the store does not take from this
+// gateway are made by a peer.
 //
-// The failure it guards against: the store turns the planner's machine away and serves
-// all others. Its lease would lapse, and for up to two seconds nothing could start,
-// although every worker and every record is in reach. What a peer writes for it holds
-// under the same conditions as its own writes do, so a planner that was replaced meanwhile
-// writes nothing this way either.
+// It keeps the planner working if the store is unreachable from its instance alone; otherwise
+// its lease would expire and nothing could start until another gateway takes over. Writes
+// through a peer carry the same conditions, so a deposed planner cannot write this way either.
 type storeRelay struct {
 	store.Atomic
 	g *Gateway
@@ -60,8 +58,8 @@
 	return err
 }
 
-// CommitIf implements store.Atomic. An own attempt whose outcome is unknown is not
-// followed by a peer's: the caller repeats the call, which settles it.
+// CommitIf implements store.Atomic. A direct attempt with an unknown outcome is not repeated
+// through a peer; the caller retries until the outcome is known.
 func (s *storeRelay) CommitIf(ctx context.Context, conditions []store.Condition, swaps []store.Swap) (out store.CommitOutcome, err error) {
 	msg := &link.StoreCall{Op: link.StoreCommit, Conditions: conditions, Swaps: swaps}
 	reply, err := s.call(ctx, msg, func(ctx context.Context) (err error) {
@@ -74,8 +72,8 @@
 	return out, err
 }
 
-// listRelay also lists through peers. Candidates for a duty list without: one that the
-// store does not serve could not claim it.
+// listRelay also lists through peers. Candidates for the planner lease list directly, since a
+// candidate that the store does not serve could not claim it.
 type listRelay struct{ *storeRelay }
 
 // List implements store.Store.
@@ -90,8 +88,8 @@
 	return snap, err
 }
 
-// call makes a call by own, unless the store has just failed this gateway, and then through
-// a peer, whose reply it returns. The reply is nil where own has settled the call.
+// call makes a store call directly, unless the store has just failed this gateway, and
+// otherwise through a peer. The reply is nil if the direct call was conclusive.
 func (s *storeRelay) call(ctx context.Context, msg *link.StoreCall, direct func(context.Context) error) (*link.StoreReply, error) {
 	err := error(store.ErrUnavailable)
 	if s.g.shouldTryStore() {
@@ -110,9 +108,9 @@
 	return reply, errorOfFailure(reply.Failure)
 }
 
-// callDirect makes the own call, briefly where a peer could make it instead. Commits have
-// their own patience, and one that is cut short has an unknown outcome. Listings are as long
-// as what is on record; they end by themselves once nothing arrives any more.
+// callDirect makes the direct call, with a timeout if a peer could make it instead. Commits
+// have no such timeout, since cutting one short makes its outcome unknown; nor do listings,
+// which may be long and end by themselves once nothing arrives any more.
 func (s *storeRelay) callDirect(ctx context.Context, op link.StoreOp, direct func(context.Context) error) error {
 	bounded := op != link.StoreCommit && op != link.StoreList
 	if bounded && len(s.g.relayCandidates()) > 0 {
@@ -123,8 +121,8 @@
 	return direct(ctx)
 }
 
-// callThroughPeers lets peers that the store serves make a call, one after the other,
-// until one has. It returns nil where certainly none has.
+// callThroughPeers asks peers that the store serves, one after the other, to make a call, until
+// one has. It returns nil if certainly none has.
 func (g *Gateway) callThroughPeers(ctx context.Context, msg *link.StoreCall) *link.StoreReply {
 	for _, address := range g.relayCandidates() {
 		if ctx.Err() != nil {
@@ -147,7 +145,7 @@
 	case msg.Op == link.StoreCommit && (err == nil || outcomeOfCallError(err) != link.OutcomeNotDone):
 		return &link.StoreReply{Failure: link.StoreOutcomeUnknown}
 	}
-	return nil // what only reads or renews may be repeated through another peer
+	return nil // reads and renewals may be retried through another peer
 }
 
 func errorOfFailure(f link.StoreFailure) error {
--- a/gateway/store_serve.go
+++ b/gateway/store_server.go
@@ -9,7 +9,7 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// handleStoreCall makes a call for another gateway.
+// handleStoreCall makes a store call for another gateway.
 func (g *Gateway) handleStoreCall(ctx context.Context, m *link.StoreCall) *link.StoreReply {
 	kv, r := g.cfg.Store, &link.StoreReply{}
 	err := error(store.ErrUnavailable)
--- a/gateway/outage.go
+++ b/gateway/store_status.go
@@ -5,33 +5,32 @@
 	"time"
 )
 
-// During an outage of the store for all gateways the planner's lease lapses, and nobody
-// can take over. Were nothing granted any more, every run would lapse with its worker's
-// lease some seconds later, and hours of work with it. So the planner whose lease has
-// lapsed goes on granting, and does nothing else, while every other gateway says that the
-// store does not serve it either. It stops as soon as one is served again, or does not
-// answer, or knows a newer planner; and after extendMost in any case.
+// During a store outage for all gateways the planner lease expires and no gateway can acquire
+// it. If nothing were granted any more, every run would be lost when its worker's lease expires
+// a few seconds later. So a planner whose lease has expired continues to grant worker leases,
+// and does nothing else, while every other live gateway reports that the store does not serve
+// it either. It stops as soon as one reports otherwise, does not answer or knows a newer
+// planner, and after maxGrantExtension at the latest.
 //
-// A successor has to know how long that may have gone on, for workers that it can't
-// reach. It was among those asked if it was in touch with the planner; if the store has
-// served it all the while, it has said so, and nothing was extended. Otherwise it counts
-// extendMost more.
+// A successor must know how long its predecessor may have granted leases to workers that it
+// cannot reach. If it was in contact with the predecessor and the store served it all the time,
+// it has reported that, and there was no extension. Otherwise it assumes maxGrantExtension.
 const (
-	// maxGrantExtension bounds how long a planner grants after its lease has lapsed. With the
-	// lease and the workers' own it lets work survive outages of over twelve seconds.
+	// maxGrantExtension bounds how long a planner grants worker leases after its own lease has
+	// expired. Together with both lease times it covers outages of more than twelve seconds.
 	maxGrantExtension = 6 * time.Second
-	// peerStatusTTL is how old the other gateways' word may be: two rounds of questions.
+	// peerStatusTTL is the maximum age of a peer's reported store status: two query rounds.
 	peerStatusTTL = 1200 * time.Millisecond
-	// storeReplyTTL is how recently the store must have answered to count as serving; its
+	// storeReplyTTL is how recently the store must have answered to count as available; its
 	// watches return once a second.
 	storeReplyTTL = 1600 * time.Millisecond
 	// plannerContactTTL is how recently a gateway must have reached the planner to count as one
-	// that the planner asks.
+	// that the planner queries.
 	plannerContactTTL = 5 * time.Second
 )
 
-// storeStatus is what a gateway knows of the store's service, its own and the others'. It is
-// safe for concurrent use. Times are on the boot clock.
+// storeStatus tracks whether the store serves this gateway and its peers. It is safe for
+// concurrent use. Times are on the boot clock.
 type storeStatus struct {
 	startedAt time.Duration
 
@@ -41,7 +40,7 @@
 	plannerAnsweredAt time.Duration // when the planner last answered this gateway
 }
 
-// peerStoreStatus is one gateway's word on whether the store serves it.
+// peerStoreStatus is a peer's report on whether the store serves it.
 type peerStoreStatus struct {
 	at     time.Duration
 	served bool
@@ -51,7 +50,7 @@
 	return &storeStatus{startedAt: now, lastUnservedAt: now, peers: map[string]peerStoreStatus{}}
 }
 
-// observeSelf notes how long ago the store last answered this gateway.
+// observeSelf records the time since the store last answered this gateway.
 func (s *storeStatus) observeSelf(now, age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,7 +59,7 @@
 	}
 }
 
-// observePeer notes another gateway's word.
+// observePeer records a peer's report. fromPlanner marks an answer of the planner.
 func (s *storeStatus) observePeer(now time.Duration, address string, served, fromPlanner bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,8 +69,8 @@
 	}
 }
 
-// allUnserved says whether the store serves none of the gateways named, by their own fresh
-// word.
+// allUnserved reports whether each of the given peers has recently reported that the store does
+// not serve it.
 func (s *storeStatus) allUnserved(now time.Duration, peers []string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +83,7 @@
 	return true
 }
 
-// peerUnserved says whether a gateway lately said that the store does not serve it.
+// peerUnserved reports whether a peer has recently reported that the store does not serve it.
 func (s *storeStatus) peerUnserved(now time.Duration, address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +91,8 @@
 	return ok && !a.served && now-a.at <= peerStatusTTL
 }
 
-// predecessorExtension returns how much longer than usual a predecessor may have granted.
+// predecessorExtension returns how long a predecessor may have granted worker leases after its
+// own lease expired; zero if this gateway knows that it did not.
 func (s *storeStatus) predecessorExtension(now time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gateway/outage_test.go
+++ b/gateway/store_status_test.go
@@ -9,8 +9,8 @@
 
 const second = time.Second
 
-// The store serves nobody. The planner's lease has lapsed, and it goes on granting only
-// while each of the others says so itself, and lately.
+// A planner whose lease has expired may extend grants only while each of the others has
+// recently reported that the store does not serve it.
 func TestAllUnservedNeedsFreshStatusOfEveryPeer(t *testing.T) {
 	c := qt.New(t)
 	s := newStoreStatus(0)
@@ -27,9 +27,8 @@
 	c.Check(s.allUnserved(3*second, nil), qt.IsTrue, qt.Commentf("there is nobody else"))
 }
 
-// A gateway takes the planner's duty over. Only one that was in touch with the former
-// planner, and was served by the store all the while, knows that nothing was granted
-// beyond that planner's lease.
+// Only a gateway that was in contact with the former planner, and was served by the store all
+// the time, may assume that nothing was granted beyond that planner's lease.
 func TestPredecessorExtension(t *testing.T) {
 	const now = 60 * second
 	tests := []struct {
@@ -57,8 +56,8 @@
 	}
 }
 
-// A gateway without the store works through others, but not through one that has just
-// said that it is not served either.
+// Calls are not relayed through a peer that has recently reported that the store does not serve
+// it.
 func TestPeerUnservedStatusExpires(t *testing.T) {
 	c := qt.New(t)
 	s := newStoreStatus(0)
--- a/gateway/term.go
+++ b/gateway/term.go
@@ -16,37 +16,39 @@
 )
 
 const (
-	// tickInterval lets time pass in the engine.
+	// tickInterval is the interval of engine ticks.
 	tickInterval = 50 * time.Millisecond
-	// reportWriteWait is how long the answer to a report waits for the report's ends to be
-	// on record, so that the worker may forget them at once.
+	// reportWriteWait bounds how long the reply to a report waits for the report's ended runs
+	// to be written, so that the reply can acknowledge them.
 	reportWriteWait = 250 * time.Millisecond
-	// inboxSize bounds the events that wait for the engine.
+	// inboxSize is the capacity of the queue of engine events.
 	inboxSize = 4096
 	// ordersTimeout bounds one set of orders to an agent: its attempts and a margin.
 	ordersTimeout = 1500 * time.Millisecond
-	// writeRetryDelay is the pause after a write that failed, which grows to writeRetryMost:
-	// every call is paid for, also one that a store in an outage refuses.
+	// writeRetryDelay is the pause after a failed write. It grows to maxWriteRetryDelay, since
+	// each call costs something even if a store in an outage refuses it.
 	writeRetryDelay    = 50 * time.Millisecond
 	maxWriteRetryDelay = 250 * time.Millisecond
-	// maxRecordsPerWrite is how many records one write carries; see platform.MaxSwaps.
+	// maxRecordsPerWrite is the number of records in one write; see platform.MaxSwaps.
 	maxRecordsPerWrite = 15
 )
 
-// term is one holding of the planner's duty. Its loop goroutine owns the engine.
+// term is one period in which this gateway holds the planner lease. Its loop goroutine owns the
+// engine.
 type term struct {
 	g     *Gateway
 	log   logrus.FieldLogger
 	epoch uint64
 	tomb  tomb.Tomb
 	inbox chan func(now time.Duration)
-	// frozen: the duty was lost; nothing is ordered or granted any more, and the state
-	// is only shown where no newer planner is known.
+	// frozen is set when the lease is lost. Nothing is ordered any more, leases are granted
+	// only under extendingGrants, and job states are served only while no newer planner is
+	// known.
 	frozen atomic.Bool
 	loaded atomic.Bool
-	// outcomesLoaded: the outcomes of predecessors' jobs are read.
+	// outcomesLoaded is set once the outcomes of jobs that ended under predecessors are loaded.
 	outcomesLoaded atomic.Bool
-	// frozenAt is when the duty's lease lapsed, on the boot clock; 0 where it did not.
+	// frozenAt is when the lease was lost, on the boot clock; 0 if it is held.
 	frozenAt atomic.Int64
 
 	engine *engine.Engine
@@ -73,8 +75,8 @@
 	return t
 }
 
-// active says whether this term may still decide: the duty's lease, on a clock that
-// runs during suspension, has not lapsed.
+// active reports whether this term may still make decisions: its records are loaded and its
+// lease has not expired, on a clock that includes suspension.
 func (t *term) active() bool {
 	if t.frozen.Load() || !t.loaded.Load() {
 		return false
@@ -89,8 +91,8 @@
 	}
 }
 
-// extendingGrants says whether the term, whose lease has lapsed, still grants what runs its
-// time; see outage.
+// extendingGrants reports whether the term, whose lease has expired, still grants worker leases
+// during a store outage; see storeStatus.
 func (t *term) extendingGrants() bool {
 	at := time.Duration(t.frozenAt.Load())
 	if at == 0 || !t.loaded.Load() || !t.tomb.Alive() || t.g.stopping.Load() {
@@ -100,7 +102,7 @@
 	return now-at < maxGrantExtension && t.g.cfg.SinceStoreReply() > storeReplyTTL && t.g.storeStatus.allUnserved(now, t.g.members.livePeers())
 }
 
-// end stops the term for good.
+// end stops the term permanently.
 func (t *term) end() {
 	t.freeze()
 	t.tomb.Kill(nil)
@@ -117,7 +119,7 @@
 	t.tomb.Go(func() error { return t.watchSubmissions(state.Revision) })
 	t.tomb.Go(t.loadOutcomes)
 	t.loop()
-	t.tomb.Kill(nil) // nobody serves the inbox any more
+	t.tomb.Kill(nil) // the inbox is not served any more
 	return nil
 }
 
@@ -128,7 +130,7 @@
 	}
 }
 
-// enqueue runs f on the engine's goroutine. It returns false where the term has ended.
+// enqueue runs f on the engine's goroutine. It returns false if the term has ended.
 func (t *term) enqueue(f func(now time.Duration)) bool {
 	select {
 	case t.inbox <- f:
@@ -144,7 +146,7 @@
 
 func (t *term) updateCatalog(c *catalog.Catalog) { t.postEvent(engine.CatalogChanged{Catalog: c}) }
 
-// loop owns the engine.
+// loop runs the engine: it handles events, executes decisions and starts writes, one at a time.
 func (t *term) loop() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -166,8 +168,8 @@
 				return
 			}
 			if err != nil {
-				// The lease has lapsed; what is decided no longer counts. The loop goes on
-				// for reports, and writing stays set so that nothing is written.
+				// The lease has expired, so these decisions are void. The loop goes on to
+				// answer reports; pending remains set so that nothing else is written.
 				t.log.WithError(err).Warn("records not written; the duty's lease has lapsed")
 				continue
 			}
--- a/gateway/term_advice.go
+++ b/gateway/term_advice.go
@@ -7,10 +7,10 @@
 	"github.com/eelgrasshub/eelgrasshub/engine"
 )
 
-// adviceTimeout bounds one call to the advice service; it has a queue of its own.
+// adviceTimeout bounds one call to the advice service, including its queueing.
 const adviceTimeout = 10 * time.Second
 
-// advise asks the advice service.
+// advise calls the advice service and passes its response to the engine.
 func (t *term) advise(ask engine.AdviceRequest) {
 	response := engine.AdviceResponse{Request: ask, Failed: true}
 	if t.g.cfg.Advisor != nil {
--- a/gateway/term_load.go
+++ b/gateway/term_load.go
@@ -10,7 +10,7 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// load reads the records, until it succeeds or the duty is lost.
+// load reads the records, retrying until it succeeds or the lease is lost.
 func (t *term) load() (records.PlannerState, bool) {
 	ctx := t.tomb.Context(context.Background())
 	for t.tomb.Alive() && !t.frozen.Load() {
@@ -37,7 +37,7 @@
 	return t.store.Load(ctx, time.Now())
 }
 
-// maxUnreadableLogged bounds the lines of the log about records that can't be read.
+// maxUnreadableLogged bounds the log lines about unreadable records.
 const maxUnreadableLogged = 10
 
 func (t *term) logUnreadable(unreadable []records.UnreadableRecord) {
@@ -68,11 +68,12 @@
 	}
 }
 
-// outcomesRetryDelay is the pause between attempts to read the outcomes of ended jobs. Callers who
-// ask for one meanwhile are answered from the store.
+// outcomesRetryDelay is the pause between attempts to load the outcomes of ended jobs. Lookups
+// of those jobs are answered from the store meanwhile.
 const outcomesRetryDelay = time.Second
 
-// loadOutcomes reads the outcomes of jobs that ended under predecessors, while this term plans.
+// loadOutcomes reads the outcomes of jobs that ended under predecessors. Planning does not wait
+// for it.
 func (t *term) loadOutcomes() error {
 	ctx := t.tomb.Context(context.Background())
 	for t.tomb.Alive() && !t.frozen.Load() {
@@ -93,12 +94,12 @@
 	return nil
 }
 
-// relistInterval is the least time between two listings of the intake, while its watch can't
-// be kept: notices tell of nearly all jobs sooner.
+// relistInterval is the minimum time between two listings of the submissions while they cannot
+// be watched. Notices deliver nearly all jobs sooner.
 const relistInterval = time.Second
 
-// watchSubmissions watches the intake. After a gap in the history, and again and again while the
-// store does not serve this gateway, it is listed.
+// watchSubmissions watches submissions and cancellations. If the watch fails, it lists them and
+// watches again.
 func (t *term) watchSubmissions(revision store.Revision) error {
 	ctx := t.tomb.Context(context.Background())
 	var listedAt time.Duration
@@ -121,7 +122,8 @@
 	return nil
 }
 
-// postSubmissions gives the engine all submissions and cancellations; it knows most of them.
+// postSubmissions passes listed submissions and cancellations to the engine, which ignores
+// those that it knows.
 func (t *term) postSubmissions(submitted records.Submissions) {
 	for _, j := range submitted.Jobs {
 		t.postEvent(j.JobSubmitted)
--- a/gateway/term_ledger.go
+++ b/gateway/term_metrics.go
@@ -6,7 +6,7 @@
 	"github.com/eelgrasshub/eelgrasshub/engine"
 )
 
-// logDiscarded accounts for work that was thrown away.
+// logDiscarded counts and logs discarded work.
 func (t *term) logDiscarded(d engine.WorkDiscarded) {
 	label := d.Queue + "/" + string(d.Cause)
 	t.g.lostWork.Add(label, d.Lost)
@@ -24,7 +24,7 @@
 	}).Info("work thrown away")
 }
 
-// logWorkerGone accounts for a life of a worker that is over.
+// logWorkerGone counts and logs an ended worker incarnation.
 func (t *term) logWorkerGone(w engine.WorkerGone) {
 	t.g.workerDepartures.Add(w.Worker.Service+"/"+string(w.Departure), 1)
 	t.log.WithFields(logrus.Fields{
@@ -36,7 +36,7 @@
 	}).Info("worker gone")
 }
 
-// logLate accounts for a job that was completed after its objective.
+// logLate counts and logs a job that completed after its objective.
 func (t *term) logLate(l engine.JobLate) {
 	t.g.lateJobs.Add(l.Queue+"/"+string(l.Reason), 1)
 	t.log.WithFields(logrus.Fields{
--- a/gateway/term_orders.go
+++ b/gateway/term_orders.go
@@ -12,8 +12,7 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// executeActions carries out what the engine decided. A term whose lease has lapsed decides
-// nothing any more.
+// executeActions carries out the engine's decisions. A term whose lease has expired makes none.
 func (t *term) executeActions() {
 	if !t.active() {
 		return
@@ -43,19 +42,19 @@
 }
 
 const (
-	// planPauseFactor is how long no planning round follows one, in parts of what that took, so that
-	// rounds take a third of the process's time at most. Every report may call for a round:
-	// hundreds of agents would keep a weak processor at planning alone, and reports, renewals
-	// and answers to callers would wait behind it.
+	// planPauseFactor is the pause after a planning round as a multiple of the round's
+	// duration, which limits planning to a third of the process's time. Otherwise frequent
+	// reports could occupy a weak processor with planning alone and delay reports, renewals and
+	// replies to clients.
 	planPauseFactor = 2
-	// maxPlanPause bounds the pause: a process that was suspended in a round has not planned
-	// all that time.
+	// maxPlanPause bounds the pause; a round may seem long because the process was suspended.
 	maxPlanPause = 250 * time.Millisecond
-	// planPauseThreshold is what a round may take without such a pause.
+	// planPauseThreshold is the duration of a round up to which no pause follows.
 	planPauseThreshold = time.Millisecond
 )
 
-// decide lets the engine decide, at the pace that this process can keep up.
+// decide lets the engine decide. It postpones planning while the cordons are too old, and after
+// a long round.
 func (t *term) decide() []engine.Action {
 	start := lease.BootTime()
 	if !t.g.cordonsFresh(start) {
@@ -68,7 +67,7 @@
 	return actions
 }
 
-// resetReplanTimer makes the timer fire when a round that was postponed is due.
+// resetReplanTimer sets the timer to when a postponed round is due.
 func (t *term) resetReplanTimer(timer *time.Timer) {
 	until, due := t.engine.NextPlanning()
 	if left := until - lease.BootTime(); due && left > 0 {
@@ -91,7 +90,8 @@
 	t.log.WithFields(fields).Info(d.Kind)
 }
 
-// sendOrders gives orders to an agent over the connection on which it last reported.
+// sendOrders sends orders to an agent over the connection on which it last reported, and passes
+// the results to the engine.
 func (t *term) sendOrders(orders engine.Orders) {
 	t.g.counters.Orders.Add(1)
 	t.mu.Lock()
@@ -111,7 +111,8 @@
 	}
 }
 
-// callAgent returns the agent's answer, or what is certain without one.
+// callAgent returns the agent's reply. Without a reply, starts are StartNotDelivered if the
+// orders were certainly not sent, and StartUnknown otherwise.
 func (t *term) callAgent(conn *wire.Conn, orders engine.Orders) *link.OrdersReply {
 	ctx, cancel := context.WithTimeout(t.tomb.Context(context.Background()), ordersTimeout)
 	defer cancel()
@@ -126,7 +127,8 @@
 	return reply
 }
 
-// uniformReply gives all orders of a set the same outcome; no pace among them is confirmed.
+// uniformReply returns a reply with the same outcome for all starts and with no speed limit
+// confirmed.
 func uniformReply(orders engine.Orders, outcome engine.StartOutcome) *link.OrdersReply {
 	reply := &link.OrdersReply{}
 	for _, s := range orders.Starts {
--- a/gateway/term_ask.go
+++ b/gateway/term_query.go
@@ -7,8 +7,8 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// queryEngine runs f on the engine's goroutine and returns its answer, and false where the term
-// ends first.
+// queryEngine runs f on the engine's goroutine and returns its result. It returns false if the
+// term ends first.
 func queryEngine[T any](t *term, f func(now time.Duration) T) (T, bool) {
 	answers := make(chan T, 1)
 	var none T
@@ -23,7 +23,7 @@
 	}
 }
 
-// lookup returns the state of a job as this term knows it.
+// lookup returns the state of a job as known to this term.
 func (t *term) lookup(id workload.JobID) (engine.JobStatus, bool) {
 	if !t.loaded.Load() {
 		return engine.JobStatus{}, false
@@ -39,8 +39,8 @@
 	return a.found, asked && a.ok
 }
 
-// pending returns how many jobs of each queue have not begun, and false where the term
-// has ended.
+// pending returns the number of jobs of each queue that have not started. It returns false if
+// the term has ended.
 func (t *term) pending() (map[string]int, bool) {
 	return queryEngine(t, func(time.Duration) map[string]int { return t.engine.UnstartedByQueue() })
 }
--- a/gateway/term_report.go
+++ b/gateway/term_report.go
@@ -9,7 +9,7 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// handleReport handles an agent's handleReport and fills in the reply.
+// handleReport processes an agent's report and fills in the reply.
 func (t *term) handleReport(ctx context.Context, conn *wire.Conn, m *link.Report, reply *link.ReportReply) *link.ReportReply {
 	type answer struct {
 		verdict  engine.ReportAnswer
@@ -42,8 +42,8 @@
 	return reply
 }
 
-// awaitWrite waits until the ends of a worker are on record, and returns up to which
-// they are.
+// awaitWrite waits until a worker's reported ends are written, for at most reportWriteWait, and
+// returns up to which number they are.
 func (t *term) awaitWrite(ctx context.Context, id engine.WorkerID, verdict engine.ReportAnswer, written <-chan struct{}) int64 {
 	deadline := time.NewTimer(reportWriteWait)
 	defer deadline.Stop()
--- a/gateway/term_write.go
+++ b/gateway/term_write.go
@@ -10,6 +10,8 @@
 	"github.com/eelgrasshub/eelgrasshub/lease"
 )
 
+// stepDown ends the term after a write was rejected permanently, and gives up the planner
+// lease.
 func (t *term) stepDown(err error) {
 	if t.tomb.Alive() {
 		t.log.WithError(err).Warn("term ended")
@@ -18,7 +20,8 @@
 	t.g.plannerLease.Yield(t.epoch)
 }
 
-// write begins to write what has changed, and returns nil where nothing has.
+// write starts writing the engine's changes and returns them, or nil if there are none or the
+// lease has expired. The outcome is sent to result.
 func (t *term) write(result chan<- error) *engine.Write {
 	w := t.engine.PendingChanges(lease.BootTime(), time.Now(), maxRecordsPerWrite)
 	t.mu.Lock()
@@ -31,8 +34,8 @@
 	return &w
 }
 
-// writeUntilSettled repeats a write until its outcome is certain: what was lost on its
-// way may take effect until then.
+// writeUntilSettled retries a write until its outcome is certain. An attempt whose reply was
+// lost may take effect until then.
 func (t *term) writeUntilSettled(w engine.Write) error {
 	ctx := t.tomb.Context(context.Background())
 	delay := backoff.NewExponentialBackOff()
@@ -62,7 +65,7 @@
 	t.writeDone = make(chan struct{})
 }
 
-// flush waits until everything decided is on record, or ctx ends.
+// flush waits until all decisions are written, the lease expires or ctx ends.
 func (t *term) flush(ctx context.Context) {
 	for t.active() && ctx.Err() == nil {
 		t.mu.Lock()
--- a/nodeagent/agent.go
+++ b/nodeagent/agent.go
@@ -25,29 +25,30 @@
 
 	mu          sync.Mutex
 	incarnation *incarnation
-	changed     chan struct{} // closed when life changes
-	// epoch is the highest planner's epoch heard of; granted is how far its last
-	// answer lets the worker's lease reach.
+	changed     chan struct{} // closed when incarnation changes
+	// epoch is the highest planner epoch seen. grantedUntil is the time up to which the
+	// planner's replies allow the worker's lease to be extended.
 	epoch        uint64
 	grantedUntil time.Duration
-	// nextFence is the least that orders to the next life carry, if it has the name of the
-	// last: higher than those that were meant for that one and may still be on their way.
+	// nextFence is the lowest fence for orders to the next incarnation. It is higher than those
+	// of delayed orders to the previous incarnation, which may have had the same name.
 	nextFence     engine.Fence
 	cordon        cordonState
-	departures    []departure // lives that are over and not reported so yet
+	departures    []departure // ended incarnations that are not reported yet
 	endedIDs      map[engine.WorkerID]bool
-	reportPending chan struct{} // has a token when there is something to report
+	reportPending chan struct{} // signals the report loop; capacity 1
 	counters      Counters
 }
 
-// Counters count what an agent did since its start.
+// Counters count events since the start of the agent. The metrics endpoint derives metric names
+// from the field names.
 type Counters struct {
 	Starts, StartsRefused, StartsCordoned, StartsUnknown, Stops, StopsUnknown  atomic.Int64
 	Looks, LooksFailed, LooksPassedOver, Reports, ReportsFailed, Announcements atomic.Int64
 	Paces, PacesUnknown                                                        atomic.Int64
 }
 
-// Start starts an Agent.
+// Start starts an Agent. The caller must call Stop.
 func Start(cfg Config) (*Agent, error) {
 	a := &Agent{
 		cfg:           cfg,
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// Stop ends the agent. What runs goes on under its lease.
+// Stop stops the agent. Runs on the worker continue until its lease expires.
 func (a *Agent) Stop(ctx context.Context) error {
 	a.tomb.Kill(nil)
 	a.log.Info("node agent stopping")
--- a/nodeagent/room_test.go
+++ b/nodeagent/capacity_test.go
@@ -10,9 +10,8 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// A worker's room shrinks while it runs, and its heartbeats say so. The agent kept what the
-// first heartbeat had said, so that no planner ever heard of it. A heartbeat that was held up
-// on its way changes nothing.
+// A changed capacity in a heartbeat must reach the planner; a delayed heartbeat must not revert
+// it.
 func TestHeartbeatUpdatesCapacity(t *testing.T) {
 	c := qt.New(t)
 	a := &Agent{log: logrus.New(), reportPending: make(chan struct{}, 1), endedIDs: map[engine.WorkerID]bool{}}
--- a/nodeagent/cordon.go
+++ b/nodeagent/cordon.go
@@ -1,26 +1,27 @@
 package nodeagent
 
-// cordonState is what planners told of the worker's availability zone. The agent's mutex guards
-// it.
+// cordonState is the state of the cordon of the worker's availability zone as reported by
+// planners. The agent's mutex guards it.
 //
-// It keeps out orders that were decided before the cordonState was known to whoever sent them: on
-// their way for long, of a planner that was paused, or of one that is not the newest.
+// It is used to refuse starts that were decided before the cordon was known: delayed orders,
+// and orders of a planner that was paused or deposed.
 type cordonState struct {
 	active   bool
-	revision int64 // the store's revision as of which it is so
+	revision int64 // store revision of this state
 }
 
-// update takes what a planner knows as of a revision, 0 where it knows nothing.
+// update records the state at a store revision, unless a newer one is known. Revision 0 means
+// that the planner knows no cordons.
 func (c *cordonState) update(active bool, revision int64) {
 	if revision > c.revision {
 		c.active, c.revision = active, revision
 	}
 }
 
-// refuses says whether starts that were decided on the cordons as of a revision are refused.
+// refuses reports whether starts that were decided with the cordons at a revision are refused.
 func (c *cordonState) refuses(revision int64) bool { return c.active && revision <= c.revision }
 
-// startsRefused says so of starts that have been admitted already.
+// startsRefused reports whether starts that were already admitted must not be retried.
 func (a *Agent) startsRefused(revision int64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/nodeagent/cordon_test.go
+++ b/nodeagent/cordon_test.go
@@ -13,8 +13,8 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// startCountingWorker counts starts; a start of each run gets no answer the first time where
-// unanswered says so, which is then called.
+// startCountingWorker counts starts. If onUnansweredStart is set, it is called for each start,
+// which then gets no answer.
 type startCountingWorker struct {
 	Worker
 	starts            atomic.Int64
@@ -36,7 +36,7 @@
 	return WorkerStatus{Clock: time.Minute}, nil
 }
 
-// newTestAgent returns an agent beside a worker that takes orders.
+// newTestAgent returns an agent whose worker accepts orders.
 func newTestAgent(w Worker) *Agent {
 	a := &Agent{cfg: Config{Worker: w, MaxLease: 6 * time.Second}, log: discardLogger(), finder: newTestFinder(), reportPending: make(chan struct{}, 1)}
 	a.incarnation = newIncarnation(engine.WorkerInfo{ID: "w", Zone: "z"})
@@ -56,8 +56,7 @@
 	return a.execute(orders, starts).Starts[0].Outcome
 }
 
-// An order that was decided before a cordon comes after the agent was told of it; what is
-// decided on newer cordons is carried out.
+// Starts decided before a cordon are refused if they arrive after the agent has learned of it.
 func TestStartsDecidedBeforeCordonAreRefused(t *testing.T) {
 	c := qt.New(t)
 	w := &startCountingWorker{}
@@ -70,8 +69,8 @@
 	c.Check(executeStart(c, a, startAndStopOrders(30)), qt.Equals, engine.StartOK)
 }
 
-// The answer of a planner that is not the newest, or that overtook another one, must not
-// lift a cordon that the agent knows of, nor set one again that was lifted.
+// A delayed reply, or one of an older planner, must not lift a newer cordon or restore one that
+// was lifted.
 func TestStaleCordonStateIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	a := newTestAgent(&startCountingWorker{})
@@ -84,8 +83,8 @@
 	c.Check(a.startsRefused(20), qt.IsFalse)
 }
 
-// A cordon becomes known between two attempts of a start. The first may have been carried
-// out, so its outcome is not known, and there is no second.
+// If a cordon becomes known after an unanswered attempt, the start is not retried, and its
+// outcome is unknown since the first attempt may have succeeded.
 func TestStartNotRetriedAfterCordon(t *testing.T) {
 	c := qt.New(t)
 	w := &startCountingWorker{}
--- a/nodeagent/departure.go
+++ b/nodeagent/departure.go
@@ -2,19 +2,19 @@
 
 import "github.com/eelgrasshub/eelgrasshub/engine"
 
-// departure is a life that is over.
+// departure describes an ended incarnation.
 type departure struct {
 	info       engine.WorkerInfo
-	crashed    bool // it ended without notice
-	superseded bool // another life answers under its name
-	// polled: proven are the runs that looks had shown for engine.ProvenAfter, over those
-	// that had ended.
+	crashed    bool // ended without notice
+	superseded bool // another incarnation answers under its name
+	// polled is set if a poll was answered. pastStartup are the runs that were seen running for
+	// engine.StartupCrashWindow, and ended the runs that had ended.
 	polled      bool
 	pastStartup []engine.RunStatus
 	ended       []engine.RunEnd
 }
 
-// endIncarnation notes how the present life has ended. The mutex is held.
+// endIncarnation records the end of the current incarnation. The mutex is held.
 func (a *Agent) endIncarnation(dep departure) {
 	if a.incarnation == nil {
 		return
@@ -26,13 +26,13 @@
 	dep.polled, dep.pastStartup, dep.ended = a.incarnation.polled, a.incarnation.pastStartup(), a.incarnation.ended
 	a.departures = append(a.departures, dep)
 	a.nextFence = a.incarnation.fence
-	a.nextFence.Generation += engine.GenerationStep // also above what an agent before this one counted
+	a.nextFence.Generation += engine.GenerationStep // also exceeds what a previous agent process counted
 	a.incarnation = nil
 }
 
-// endUnannounced ends the present life, of which another one was found in its place. It
-// has crashed, unless it was draining: a worker whose goodbye is not answered ends all the
-// same. superseded: the other one has its name. The mutex is held.
+// endUnannounced ends the current incarnation after another one was found in its place. It has
+// crashed unless it was draining: a draining worker exits even if its departure notice is not
+// answered. superseded is set if the other incarnation has the same name. The mutex is held.
 func (a *Agent) endUnannounced(superseded bool) {
 	a.endIncarnation(departure{crashed: a.incarnation != nil && !a.incarnation.draining, superseded: superseded})
 }
--- a/nodeagent/departure_test.go
+++ b/nodeagent/departure_test.go
@@ -13,7 +13,7 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// namedWorker answers as the life that its name says.
+// namedWorker identifies itself by name.
 type namedWorker struct {
 	Worker
 	name string
@@ -21,8 +21,7 @@
 
 func (w *namedWorker) Identify(context.Context) (string, error) { return w.name, nil }
 
-// A worker that crashed and one that said goodbye left the same line and the same report,
-// so that nobody could tell from outside, nor the planner, whether what ran there was lost.
+// A planner must be able to tell a crash from an orderly departure by the agent's report.
 func TestCrashReportedOnlyWithoutDepartureNotice(t *testing.T) {
 	for _, tc := range []struct {
 		name           string
@@ -62,8 +61,8 @@
 	}
 }
 
-// What ran for a while on a worker did not crash it by its start; what had just started may
-// have. Only the agent can tell a planner that has just taken over.
+// A crash report lists the runs that were past startup, which did not crash the worker by
+// starting. A new planner learns this only from the agent.
 func TestCrashReportListsRunsPastStartup(t *testing.T) {
 	c := qt.New(t)
 	a := &Agent{log: logrus.New(), reportPending: make(chan struct{}, 1), endedIDs: map[engine.WorkerID]bool{}}
--- a/nodeagent/announce.go
+++ b/nodeagent/heartbeat.go
@@ -7,9 +7,9 @@
 	"github.com/eelgrasshub/eelgrasshub/engine"
 )
 
-// Announce takes a worker's heartbeat. A heartbeat of a life that is over, which was
-// held up on its way, changes nothing: a life other than the present one counts only if
-// the worker itself says that it is the one.
+// Announce handles a worker's heartbeat. A heartbeat of another incarnation than the current
+// one is accepted only if the worker itself confirms its identity, so a delayed heartbeat of an
+// ended incarnation has no effect.
 func (a *Agent) Announce(ctx context.Context, hb Heartbeat) error {
 	a.counters.Announcements.Add(1)
 	hb.Info.Agent = a.cfg.ID
@@ -31,8 +31,8 @@
 	return a.adopt(inc, hb)
 }
 
-// resolveSharedName takes a heartbeat of another life than the present one, l, which has the same
-// name. Only a look tells them apart: where l answers, the heartbeat is of an earlier life.
+// resolveSharedName handles a heartbeat of an incarnation that has the same name as the current
+// one, inc. It polls the worker: if inc answers, the heartbeat is from an earlier incarnation.
 func (a *Agent) resolveSharedName(inc *incarnation, hb Heartbeat) error {
 	a.markUnresponsive(inc)
 	_, err := a.tryPoll(inc, 0)
@@ -46,8 +46,8 @@
 	return err
 }
 
-// markUnresponsive takes l for silent until it answers: the connection to it may hang without an error,
-// and the next look be the first that another life answers.
+// markUnresponsive treats inc as unresponsive until it answers. The connection to it may hang
+// without an error, and the next poll may be the first that a new incarnation answers.
 func (a *Agent) markUnresponsive(inc *incarnation) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -56,7 +56,8 @@
 	}
 }
 
-// updateCurrent updates the present life, and returns false for another one.
+// updateCurrent applies a heartbeat to the current incarnation. It returns false if the
+// heartbeat belongs to another one that is not known to have ended.
 func (a *Agent) updateCurrent(hb Heartbeat) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -87,7 +88,7 @@
 	return true
 }
 
-// adopt begins a new life in the place of l. It fails where another one is present by now.
+// adopt replaces inc by a new incarnation. It fails if inc is no longer the current one.
 func (a *Agent) adopt(inc *incarnation, hb Heartbeat) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -108,11 +109,11 @@
 	return nil
 }
 
-// Leave takes the goodbye of a worker that answers under a name.
+// Leave handles a departure notice of the worker with the given name.
 //
-// The failure it guards against: a goodbye that was held up comes when another life has the
-// name. Its runs would be taken for over and start elsewhere while they go on. A worker that
-// leaves has said before that it drains.
+// A delayed notice may arrive after another incarnation has taken the name. To keep its runs
+// from being treated as ended, a notice of a named worker is ignored unless the worker has
+// announced before that it is draining.
 func (a *Agent) Leave(name string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -134,8 +135,8 @@
 	a.requestReport()
 }
 
-// current returns the present life, nil where there is none, and a channel that is
-// closed when that changes.
+// current returns the current incarnation, or nil if there is none, and a channel that is
+// closed when it changes.
 func (a *Agent) current() (*incarnation, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/nodeagent/life.go
+++ b/nodeagent/incarnation.go
@@ -7,53 +7,57 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// incarnation is what the agent knows of one incarnation of its worker. The agent's mutex guards it.
+// incarnation is the agent's state of one incarnation of its worker. The agent's mutex guards
+// it.
 type incarnation struct {
 	info      engine.WorkerInfo
 	sequence  int64
 	draining  bool
 	departsAt time.Duration
 
-	// workerClock was the worker's own at some time up to readAt.
+	// workerClock is the worker's clock at some time up to clockReadAt.
 	workerClock time.Duration
 	clockReadAt time.Duration
-	// polledAt is when the last look was asked for.
+	// polledAt is when the last accepted poll was sent.
 	polledAt time.Duration
-	polled   bool
-	// leaseEnd is the latest time, on the agent's clock, to which the lease may have
-	// been extended by any order sent, answered or not.
+	// polled is set once a poll has been answered.
+	polled bool
+	// leaseEnd is the latest time, on the agent's clock, to which any order that was sent may
+	// have extended the lease, whether answered or not.
 	leaseEnd time.Duration
-	// surveyedLeaseEnd is the leaseEnd after whose lapse a look has shown every end there was.
+	// surveyedLeaseEnd is the last leaseEnd for which a poll after its expiry has returned all
+	// earlier ends.
 	surveyedLeaseEnd time.Duration
-	// fence is what orders carry, fenced the highest that the worker certainly has seen.
+	// fence is carried by orders; confirmedFence is the highest one that the worker has
+	// certainly seen.
 	fence          engine.Fence
 	confirmedFence engine.Fence
-	recordedEnds   int64 // ends that may be forgotten
-	// ackedEnds are those of which the worker has certainly heard so.
+	recordedEnds   int64 // ends up to this number are recorded and may be acknowledged
+	// ackedEnds is the highest number that the worker has certainly received as acknowledged.
 	ackedEnds int64
-	// pollOften: the planner wants looks more often.
+	// pollOften is set if the planner asks for frequent polls.
 	pollOften bool
 
-	// extraPollAt is when a look was last made out of turn to renew the lease.
+	// extraPollAt is when the last extra poll was sent to renew the lease.
 	extraPollAt  time.Duration
-	unresponsive bool // the last look got no answer
-	// unresponsiveSince is when looks began to get none, failureTold when a report was last called
-	// for since that was so.
+	unresponsive bool // the last poll got no answer
+	// unresponsiveSince is when polls began to fail, and failureReportedAt when a report on
+	// that was last requested.
 	unresponsiveSince time.Duration
 	failureReportedAt time.Duration
 	running           []engine.RunStatus
-	// firstSeen is when a look first showed each of them.
+	// firstSeen is when a poll first returned each running run.
 	firstSeen map[workload.RunID]time.Duration
 	ended     []engine.RunEnd
-	voidEnds  map[int64]bool // ends that came before a lapse of the lease
+	voidEnds  map[int64]bool // ends before an expiry of the lease
 	// confirmedStops are runs whose stop was confirmed, with the time of the confirmation.
 	confirmedStops  map[workload.RunID]time.Duration
 	absent          []workload.RunID
-	unreportedPolls int // answered looks that no planner has taken yet
-	// lastAnswerStale: the last answer was taken for an older one than the last but one.
+	unreportedPolls int // answered polls not yet reported to a planner
+	// lastAnswerStale is set if the last answer was discarded as older than an earlier one.
 	lastAnswerStale bool
-	// pollsInReport is how many of them the report on its way tells of. A look that was
-	// told once must not count again: it says nothing of runs that began after it.
+	// pollsInReport is how many of them the report in progress covers. A reported poll must not
+	// be counted again, since it says nothing about runs that started after it.
 	pollsInReport int
 }
 
@@ -61,7 +65,7 @@
 	return &incarnation{info: info, voidEnds: map[int64]bool{}, confirmedStops: map[workload.RunID]time.Duration{}}
 }
 
-// raiseFence makes later orders carry a fence, and returns false where they carry one as high.
+// raiseFence raises the fence of later orders to f. It returns false if it is already as high.
 func (inc *incarnation) raiseFence(f engine.Fence) bool {
 	if f.Compare(inc.fence) <= 0 {
 		return false
@@ -70,8 +74,8 @@
 	return true
 }
 
-// workerTime turns a time on the agent's clock into one on the worker's. The worker's clock
-// was read before readAt, so the result never lies beyond t.
+// workerTime converts a time on the agent's clock to the worker's clock. The worker's clock was
+// read at or before clockReadAt, so the result is never later than t.
 func (inc *incarnation) workerTime(t time.Duration) time.Duration {
 	if !inc.polled || t <= inc.clockReadAt {
 		return 0
@@ -79,26 +83,25 @@
 	return inc.workerClock + t - inc.clockReadAt
 }
 
-// extendLease notes that an order with a lease until t leaves.
+// extendLease records that an order with a lease until t is about to be sent.
 func (inc *incarnation) extendLease(t time.Duration) { inc.leaseEnd = max(inc.leaseEnd, t) }
 
-// leaseExpiryMargin is how much later than reckoned a lease may lapse, since the worker's clock
-// may be 2% slow over a lease of some seconds, and how much earlier, in transit.
+// leaseExpiryMargin is the uncertainty of the expiry time: a lease may expire later if the
+// worker's clock is slow, and earlier because of network delay.
 const leaseExpiryMargin = 250 * time.Millisecond
 
-// leaseMayHaveExpired says whether the lease may have lapsed and no look has shown yet what had ended
-// before. Until one has, nothing extends the lease and nothing starts: of an end that was
-// listed only after something ran again, nobody could tell whether it came before the
-// lapse, and counts as not having been, or after it, and counts.
+// leaseMayHaveExpired reports whether the lease may have expired without a poll since then that
+// returned all earlier ends. Until such a poll, nothing extends the lease and nothing starts;
+// otherwise an end that is listed later could be from before the expiry, and void, or from
+// after it.
 func (inc *incarnation) leaseMayHaveExpired(now time.Duration) bool {
 	return inc.leaseEnd != 0 && inc.surveyedLeaseEnd != inc.leaseEnd && now > inc.leaseEnd-leaseExpiryMargin
 }
 
-// applyStatus notes an answered look that was asked for at sent and came at now. before is the
-// lease's end as it was when the look was sent. A look sent after that follows a lapse,
-// so the ends that it shows and that nobody took note of count as not having been. Once
-// the lease is extended again, a look that was sent before may show ends of later runs,
-// which count. It returns false for an answer that tells nothing new.
+// applyStatus applies the answer to a poll that was sent at sentAt, when the lease end was
+// leaseEndAtSend. Ends returned by a poll that was sent after the lease expired are void,
+// unless the lease was extended meanwhile: the answer may then include ends of later runs. It
+// returns false for an outdated answer.
 func (inc *incarnation) applyStatus(status WorkerStatus, sentAt, receivedAt, leaseEndAtSend time.Duration) bool {
 	if leaseEndAtSend != 0 && sentAt > leaseEndAtSend+leaseExpiryMargin && inc.leaseEnd == leaseEndAtSend {
 		inc.surveyedLeaseEnd = leaseEndAtSend
@@ -109,7 +112,7 @@
 	inc.voidEndsBeforeExpiry(status.Ended)
 	inc.unresponsive = false
 	if inc.polled && (status.Clock < inc.workerClock || status.Clock == inc.workerClock && sentAt < inc.polledAt) {
-		return false // overtaken on its way by the answer to a later look
+		return false // reordered: a later poll was answered first
 	}
 	inc.workerClock, inc.clockReadAt, inc.polledAt, inc.polled = status.Clock, receivedAt, sentAt, true
 	inc.running = status.Running
@@ -123,7 +126,7 @@
 	return true
 }
 
-// updateFirstSeen notes since when looks have shown what runs.
+// updateFirstSeen records since when polls have returned each running run.
 func (inc *incarnation) updateFirstSeen() {
 	firstSeen := make(map[workload.RunID]time.Duration, len(inc.running))
 	for _, row := range inc.running {
@@ -135,8 +138,8 @@
 	inc.firstSeen = firstSeen
 }
 
-// pastStartup returns the runs that looks had shown for long enough to tell that they did not
-// crash the worker by their start.
+// pastStartup returns the runs that have been seen running for engine.StartupCrashWindow, so
+// that their start did not crash the worker.
 func (inc *incarnation) pastStartup() []engine.RunStatus {
 	var out []engine.RunStatus
 	for _, row := range inc.running {
@@ -147,12 +150,11 @@
 	return out
 }
 
-// voidEndsBeforeExpiry marks the ends that are listed before a run that lapsed: the lease ran
-// out between them and this look, so they count as not having been.
+// voidEndsBeforeExpiry voids ends that are listed before a run that ended by lease expiry.
 //
-// The failure it guards against: an agent that was away for longer than the lease, and was
-// started again, knows nothing of the lease. It would report a task as done that the
-// planner, to which the lease has lapsed, starts elsewhere.
+// An agent that was away for longer than the lease and was restarted does not know that the
+// lease expired. Without this check it would report as done a task that the planner, for which
+// the lease has expired, restarts elsewhere.
 func (inc *incarnation) voidEndsBeforeExpiry(ended []engine.RunEnd) {
 	lastExpired := int64(0)
 	for _, row := range ended {
@@ -167,8 +169,8 @@
 	}
 }
 
-// resolveStops finds the stopped runs that a look, asked for after their stop was
-// confirmed, does not show.
+// resolveStops finds stopped runs that are not listed by a poll sent after their stop was
+// confirmed.
 func (inc *incarnation) resolveStops(polledAt time.Duration) {
 	listed := engine.ListedRuns(inc.running, inc.ended)
 	for run, confirmedAt := range inc.confirmedStops {
@@ -182,7 +184,7 @@
 	}
 }
 
-// report returns the life as a report, and what of it is new since the last.
+// report returns a report of the incarnation, with the last poll if it is unreported.
 func (inc *incarnation) report(now time.Duration, epoch uint64) engine.Report {
 	r := engine.Report{
 		Worker:         inc.info,
@@ -211,7 +213,7 @@
 	return r
 }
 
-// clearReported forgets what a planner has taken.
+// clearReported removes what a planner has received with report r.
 func (inc *incarnation) clearReported(r engine.Report) {
 	if !r.Polled {
 		return
--- a/nodeagent/life_test.go
+++ b/nodeagent/incarnation_test.go
@@ -12,9 +12,8 @@
 
 var run1 = workload.RunID{Task: workload.TaskID{Job: "j"}, Number: 1}
 
-// Two looks are on their way at once, and the answer to the earlier one comes last. It
-// was given before a run began, so taking it would show a planner that just took over a
-// worker without that run, and the task would start elsewhere while it runs here.
+// An answer that is overtaken by a later poll may miss a run that started meanwhile; a new
+// planner would start its task elsewhere.
 func TestOutOfOrderPollAnswerIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	inc := newIncarnation(engine.WorkerInfo{ID: "w"})
@@ -25,8 +24,8 @@
 	c.Check(inc.report(1050, 0).Running, qt.HasLen, 1)
 }
 
-// The same look was told to the planner with every report until the next one. A run that
-// began meanwhile was missing three times in a row, and was stopped.
+// A poll that is reported again must not count as evidence that a run that started meanwhile is
+// missing.
 func TestPollReportedOnce(t *testing.T) {
 	c := qt.New(t)
 	inc := newIncarnation(engine.WorkerInfo{ID: "w"})
@@ -40,9 +39,8 @@
 	c.Check(inc.report(1060, 0).Polled, qt.IsTrue)
 }
 
-// A task ends as done while its agent is cut off from the planner, and then the worker's
-// lease lapses. By the platform's rules that end counts as not having been: the planner
-// may have started the task elsewhere.
+// An end before the expiry of the lease is void, since the planner may have restarted the task
+// elsewhere.
 func TestEndBeforeLeaseExpiryIsVoid(t *testing.T) {
 	c := qt.New(t)
 	inc := newIncarnation(engine.WorkerInfo{ID: "w"})
@@ -59,7 +57,8 @@
 	c.Check(inc.report(0, 0).Ended[0].Void, qt.IsTrue, qt.Commentf("it stays so"))
 }
 
-// A run whose stop was confirmed is absent only by a look that was asked for later.
+// A run is absent only if it is not listed by a poll that was sent after its stop was
+// confirmed.
 func TestStoppedRunAbsentOnlyByLaterPoll(t *testing.T) {
 	c := qt.New(t)
 	inc := newIncarnation(engine.WorkerInfo{ID: "w"})
@@ -73,10 +72,8 @@
 	c.Check(inc.report(0, 0).ConfirmedAbsent, qt.DeepEquals, []workload.RunID{run1})
 }
 
-// Cut off for longer than the lease, the agent finds the planner again. A look that waits
-// was sent after the lapse; then a task starts, ends as done, and that look shows it. It
-// was taken for an end from before the lapse, the task was started again, and the first
-// end was taken note of all the same: it ran twice.
+// A poll that was sent after an expiry may return an end of a run that started after the lease
+// was extended. Voiding that end would run the task twice.
 func TestEndAfterLeaseExpiryCounts(t *testing.T) {
 	c := qt.New(t)
 	inc := newIncarnation(engine.WorkerInfo{ID: "w"})
@@ -86,7 +83,7 @@
 	old := engine.RunEnd{Sequence: 1, Run: run1, Reason: engine.EndDone}
 	inc.applyStatus(WorkerStatus{Clock: 7 * time.Second, Ended: []engine.RunEnd{old}}, 7*time.Second, 7*time.Second, 6*time.Second)
 	c.Check(inc.leaseMayHaveExpired(7*time.Second), qt.IsFalse)
-	pollSentAt := 7100 * time.Millisecond // asked with the lapsed lease in mind
+	pollSentAt := 7100 * time.Millisecond // after the expiry, before the lease is extended
 	inc.extendLease(13 * time.Second)
 	next := engine.RunEnd{Sequence: 2, Run: workload.RunID{Task: run1.Task, Number: 2}, Reason: engine.EndDone}
 	inc.applyStatus(WorkerStatus{Clock: 8 * time.Second, Ended: []engine.RunEnd{old, next}}, pollSentAt, 8*time.Second, 6*time.Second)
@@ -95,9 +92,8 @@
 	c.Check(ended[1].Void, qt.IsFalse)
 }
 
-// An agent is away for longer than its worker's lease and starts again without a memory.
-// One task had ended as done before, another lapsed with the lease, and a third has run
-// and failed since. The first end must not count; the third does.
+// An agent that was restarted does not know that the lease expired. It must void ends listed
+// before a run that ended by the expiry, and count those after it.
 func TestRestartedAgentDetectsExpiryFromEnds(t *testing.T) {
 	c := qt.New(t)
 	inc := newIncarnation(engine.WorkerInfo{ID: "w"})
--- a/nodeagent/succession_test.go
+++ b/nodeagent/name_reuse_test.go
@@ -14,11 +14,11 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// nameReusingWorker is a worker whose lives share a name. It answers as the life that is set.
+// nameReusingWorker is a worker whose incarnations share a name.
 type nameReusingWorker struct {
 	Worker
 	mu          sync.Mutex
-	incarnation engine.WorkerID // empty: nobody answers
+	incarnation engine.WorkerID // the one that answers; empty if none does
 	polls       []pollRecord
 	ended       []engine.RunEnd
 }
@@ -35,7 +35,7 @@
 	w.incarnation = incarnation
 }
 
-// pollRecord is what a look carried.
+// pollRecord records the arguments of a poll.
 type pollRecord struct {
 	Fence     engine.Fence
 	AckedEnds int64
@@ -62,7 +62,8 @@
 	return w.polls[len(w.polls)-1]
 }
 
-// ackingPolls returns the looks that acknowledged ends; two at once may carry the same.
+// ackingPolls returns the polls that acknowledged ends, without consecutive duplicates: two
+// concurrent polls may carry the same number.
 func (w *nameReusingWorker) ackingPolls() []pollRecord {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -75,8 +76,8 @@
 	return slices.Compact(out)
 }
 
-// awaitGeneration waits until the worker has answered a look under a turn, which the agent makes by
-// itself when it hears of that.
+// awaitGeneration waits until the worker has answered a poll under a generation. The agent
+// sends that poll by itself once it learns of the generation.
 func awaitGeneration(c *qt.C, a *Agent, generation uint64) {
 	for range 1000 {
 		a.mu.Lock()
@@ -90,8 +91,8 @@
 	c.Fatal("no look under the turn")
 }
 
-// startNameReusingAgent returns an agent beside a worker that has announced its first life, to which the
-// planner has given a turn and acknowledged 57 ends.
+// startNameReusingAgent returns an agent whose worker has announced its first incarnation. The
+// planner has assigned it a generation and acknowledged 57 ends.
 func startNameReusingAgent(c *qt.C) (*Agent, *nameReusingWorker) {
 	w := &nameReusingWorker{incarnation: "w-1"}
 	a := &Agent{
@@ -108,10 +109,9 @@
 	return Heartbeat{Info: engine.WorkerInfo{ID: id, Name: "w", Service: "s"}, Sequence: sequence}
 }
 
-// A worker crashes after a start that got no answer, and is back under its name. The start was
-// still on its way: the next life, which has seen no fence, would run what started elsewhere
-// meanwhile. So the first look that it answers carries a higher fence than the start did, also
-// while nobody knows that it is another life, and takes note of none of its ends.
+// A start that got no answer may be delayed until the worker has restarted under the same name.
+// The first poll that the new incarnation answers must carry a higher fence and acknowledge
+// none of its ends, even if the restart is still unknown.
 func TestNextIncarnationFencedByFirstAnsweredPoll(t *testing.T) {
 	c := qt.New(t)
 	a, w := startNameReusingAgent(c)
@@ -138,9 +138,8 @@
 	c.Check(reports[1].Worker.ID, qt.Equals, engine.WorkerID("w-2"))
 }
 
-// A heartbeat of a life that crashed was held up, and comes when the next one has reported. The
-// agent, started again between the two, has seen only one of them. Were the late one believed,
-// all that runs on the present life would count as lost and start elsewhere.
+// A delayed heartbeat of an earlier incarnation must not replace the current one, whose runs
+// would count as lost.
 func TestHeartbeatOfEarlierIncarnationIgnored(t *testing.T) {
 	c := qt.New(t)
 	a, _ := startNameReusingAgent(c)
@@ -150,8 +149,8 @@
 	c.Check(reports[0].Worker.ID, qt.Equals, engine.WorkerID("w-1"))
 }
 
-// The worker does not answer when a heartbeat of another life comes: which of them is the
-// present one can't be told, so the heartbeat is not acknowledged and is sent again.
+// While the worker does not answer, a heartbeat of another incarnation is not acknowledged, so
+// that it is sent again.
 func TestIncarnationsNotDistinguishedWithoutAnswer(t *testing.T) {
 	c := qt.New(t)
 	a, w := startNameReusingAgent(c)
@@ -163,8 +162,8 @@
 	c.Check(a.pendingReports()[1].Worker.ID, qt.Equals, engine.WorkerID("w-2"))
 }
 
-// A goodbye of a life that has left was held up, and comes when the next one has the name. What
-// runs there would count as lost and start elsewhere. A worker that leaves drains before.
+// A delayed departure notice of an earlier incarnation must not end the current one. A worker
+// that departs has drained before.
 func TestDepartureOfEarlierIncarnationIgnored(t *testing.T) {
 	c := qt.New(t)
 	a, _ := startNameReusingAgent(c)
@@ -177,8 +176,8 @@
 	c.Check(a.pendingReports()[0].Terminated, qt.IsTrue)
 }
 
-// The next life counts its ends from 1, while 57 of the last were acknowledged. Its own are
-// told, and acknowledged as they are taken.
+// A new incarnation numbers its ends from 1. They must be reported and acknowledged
+// independently of those of the previous one.
 func TestEndsOfNextIncarnationReported(t *testing.T) {
 	c := qt.New(t)
 	a, w := startNameReusingAgent(c)
@@ -199,9 +198,9 @@
 	})
 }
 
-// The connection to a worker hangs without an error; meanwhile it crashes and is back under its
-// name. Its heartbeat is the first that the agent hears. The look that tells the lives apart is
-// the first call that the new one answers: it must fence it, and acknowledge none of its ends.
+// The restart of a worker is first noticed by the heartbeat of the new incarnation. The poll
+// that distinguishes the two is the first call that it answers, so it must fence it and
+// acknowledge none of its ends.
 func TestUndetectedRestartFencedByPoll(t *testing.T) {
 	c := qt.New(t)
 	a, w := startNameReusingAgent(c)
--- a/nodeagent/orders.go
+++ b/nodeagent/orders.go
@@ -13,7 +13,7 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// handle serves the planner's orders.
+// handle serves orders of the planner.
 func (a *Agent) handle(ctx context.Context, _ *wire.Conn, msg any) (any, error) {
 	orders, ok := msg.(*link.Orders)
 	if !ok {
@@ -26,8 +26,8 @@
 	return a.execute(orders, starts), nil
 }
 
-// execute carries out all orders at once. It goes on when the planner gives up: an
-// order that is half done is settled by the planner's next ones.
+// execute carries out all orders concurrently; paces follow after the starts. It continues if
+// the planner cancels the call: the planner's next orders resolve partially executed ones.
 func (a *Agent) execute(orders *link.Orders, starts []engine.StartOrder) *link.OrdersReply {
 	reply := &link.OrdersReply{Starts: make([]engine.StartResult, len(starts))}
 	o, inc, outcome := a.admit(orders)
@@ -51,7 +51,7 @@
 	return reply
 }
 
-// setPaces sets speeds, of runs that may just have been started.
+// setPaces sets the speed of runs, which may just have been started.
 func (a *Agent) setPaces(o OrderHeader, inc *incarnation, orders []engine.PaceOrder) []engine.PaceResult {
 	results := make([]engine.PaceResult, len(orders))
 	var wg sync.WaitGroup
@@ -76,8 +76,8 @@
 	return true
 }
 
-// admit checks whether orders are for the present life and of the newest planner. The
-// outcome is StartOK where starts may go on.
+// admit checks whether orders are for the current incarnation and from the newest planner. The
+// outcome is StartOK if starts may proceed.
 func (a *Agent) admit(orders *link.Orders) (OrderHeader, *incarnation, engine.StartOutcome) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -103,14 +103,14 @@
 	return o, inc, engine.StartOK
 }
 
-// start tries a start until the worker answers. One that never does is unknown; cordonsAt is
-// up to where the planner knew the cordons.
+// start retries a start until the worker answers. The outcome is unknown if it never does.
+// cordonsRevision is the store revision of the cordons that the planner knew.
 func (a *Agent) start(o OrderHeader, cordonsRevision int64, s engine.StartOrder) engine.StartOutcome {
 	a.counters.Starts.Add(1)
 	outcome := engine.StartUnknown
 	for attempt := range startAttempts {
 		if attempt > 0 && a.startsRefused(cordonsRevision) {
-			break // the earlier attempt may have been carried out
+			break // the earlier attempt may have succeeded
 		}
 		ctx, cancel := context.WithTimeout(a.tomb.Context(context.Background()), orderTimeout)
 		outcome = a.cfg.Worker.Start(ctx, o, s)
@@ -119,7 +119,8 @@
 			break
 		}
 		if attempt > 0 {
-			// A refusal of this attempt does not undo one that got no answer before.
+			// A refusal of this attempt does not rule out that an earlier, unanswered one
+			// succeeded.
 			outcome = engine.StartUnknown
 		}
 		if outcome != engine.StartUnknown {
@@ -136,14 +137,14 @@
 	return outcome
 }
 
-// stop stops a run. Where the worker does not confirm it, the planner asks again.
+// stop stops a run. If the worker does not confirm it, the planner asks again.
 func (a *Agent) stop(o OrderHeader, inc *incarnation, run workload.RunID) {
 	a.counters.Stops.Add(1)
 	ctx, cancel := context.WithTimeout(a.tomb.Context(context.Background()), orderTimeout)
 	defer cancel()
 	err := a.cfg.Worker.Stop(ctx, o, run)
 	if errors.Is(err, ErrOtherIncarnation) {
-		return // the next look finds out
+		return // the next poll detects it
 	}
 	if err != nil {
 		a.counters.StopsUnknown.Add(1)
--- a/nodeagent/newer_test.go
+++ b/nodeagent/planner_change_test.go
@@ -11,7 +11,7 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// listenLoopback opens an endpoint on loopback.
+// listenLoopback opens an endpoint on the loopback interface.
 func listenLoopback(t *testing.T, name string, role wire.Role, handle wire.HandlerFunc) *wire.Endpoint {
 	id, err := wire.NewIdentity(wire.Peer{ID: name, Role: role, Region: "r", Zone: "z"}, []byte("a key for tests only"))
 	qt.Assert(t, err, qt.IsNil)
@@ -21,9 +21,8 @@
 	return e
 }
 
-// The planner's machine loses power while a report is on its way to it. Its successor can
-// place nothing on the worker before it has a report, so the agent must not wait for the
-// timeout of the first: it gives it up as soon as another gateway names the successor.
+// A report to a failed planner is abandoned as soon as another gateway names its successor,
+// which cannot place work on the worker before it gets the report.
 func TestReportAbandonedForNewerPlanner(t *testing.T) {
 	c := qt.New(t)
 	unresponsive := listenLoopback(t, "dead", wire.RoleEntry, func(ctx context.Context, _ *wire.Conn, msg any) (any, error) {
--- a/nodeagent/finder.go
+++ b/nodeagent/planner_finder.go
@@ -13,49 +13,48 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// plannerFinder knows gateways and finds out which of them plans.
+// plannerFinder keeps a list of gateways and determines which one is the planner. It is safe
+// for concurrent use.
 type plannerFinder struct {
 	cfg  Config
 	pool *wire.Pool
 	log  logrus.FieldLogger
 
 	mu      sync.Mutex
-	address string // where the planner is, empty: not known
-	epoch   uint64 // of the planner found
-	// lastFailed is the last planner that did not answer, and deadAt when. Gateways go on
-	// naming it until the next one has the duty.
+	address string // of the planner; empty if not known
+	epoch   uint64 // of the last planner found
+	// lastFailed is the last planner that did not answer, and lastFailedAt when. Gateways
+	// continue to name it until the next one holds the planner lease.
 	lastFailed     plannerID
 	lastFailedAt   time.Duration
-	gateways       []string // gateways, the latest learnt first
+	gateways       []string // most recently learned first
 	rotation       rotation.Turn
 	lostSince      time.Duration
-	registryReadAt time.Duration // when the register was last read
+	registryReadAt time.Duration
 }
 
-// plannerID is one holding of the plannerID's duty.
+// plannerID identifies one period in which a gateway holds the planner lease.
 type plannerID struct {
 	address string
 	epoch   uint64
 }
 
 const (
-	// failedPlannerBackoff is how long a planner that did not answer is not tried again while others
-	// still name it: a call to an instance that is gone takes until its timeout, and the
-	// next planner would wait for the report meanwhile.
+	// failedPlannerBackoff is how long a planner that did not answer is not tried again while
+	// others still name it. A call to a failed instance takes until its timeout, and would
+	// delay the report to the next planner.
 	failedPlannerBackoff = 1500 * time.Millisecond
-	// gatewayQueryTimeout bounds one question to one gateway; a path takes milliseconds, a
-	// handshake about 25.
+	// gatewayQueryTimeout bounds one query to a gateway, including a handshake.
 	gatewayQueryTimeout = 300 * time.Millisecond
-	// slowReportThreshold is how long a planner may take to answer a report before others are asked
-	// for a newer one, and slowAgain the pause before they are asked again. An answer waits
-	// for a quarter of a second at most for ends to be recorded.
+	// slowReportThreshold is how long a planner may take to answer a report before other
+	// gateways are asked for a newer one, and newerPlannerInterval the pause before they are
+	// asked again. The threshold exceeds the planner's wait for ends to be recorded.
 	slowReportThreshold  = 320 * time.Millisecond
 	newerPlannerInterval = 150 * time.Millisecond
-	// maxGateways bounds the gateways that are remembered.
+	// maxGateways bounds the number of remembered gateways.
 	maxGateways = 16
-	// maxQueried is how many of them are asked at once. With hundreds of agents that all look
-	// for the next planner, questions to all that they know would keep the gateways from
-	// answering: 27,000 a second with 260 agents.
+	// maxQueried is how many gateways are queried at once. If many agents search for the
+	// planner at the same time, queries to all gateways would overload them.
 	maxQueried = 4
 )
 
@@ -63,8 +62,8 @@
 	return &plannerFinder{cfg: cfg, pool: pool, log: cfg.Log, gateways: slices.Clone(cfg.Seeds)}
 }
 
-// locate returns the planner's address. It asks the known gateways where it is not
-// known.
+// locate returns the planner's address. If it is not known, locate queries some of the known
+// gateways.
 func (f *plannerFinder) locate(ctx context.Context) (string, bool) {
 	f.mu.Lock()
 	address := f.address
@@ -76,14 +75,14 @@
 	return f.queryGateways(ctx, f.chooseGateways())
 }
 
-// chooseGateways returns the gateways to ask now, others each time.
+// chooseGateways returns the gateways to query next. Successive calls rotate through the list.
 func (f *plannerFinder) chooseGateways() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.rotation.Take(f.gateways, maxQueried)
 }
 
-// queryGateways asks some gateways at once and takes the newest planner that one names.
+// queryGateways queries gateways concurrently and returns the first planner that is accepted.
 func (f *plannerFinder) queryGateways(ctx context.Context, gateways []string) (string, bool) {
 	ctx, cancel := context.WithTimeout(ctx, gatewayQueryTimeout)
 	defer cancel()
@@ -104,8 +103,8 @@
 	return "", false
 }
 
-// awaitNewerPlanner asks the gateways for a newer planner, once the present one has been slow to
-// answer. It returns false when ctx ends first.
+// awaitNewerPlanner waits until the current planner is slow to answer, and then queries the
+// gateways until one names a newer planner. It returns false if ctx ends first.
 func (f *plannerFinder) awaitNewerPlanner(ctx context.Context) bool {
 	f.mu.Lock()
 	epoch := f.epoch
@@ -135,7 +134,8 @@
 	return reply
 }
 
-// accept takes a planner that is not older than the last one.
+// accept takes the planner named in a reply, unless it is older than the last one or has just
+// failed. It reports whether it did.
 func (f *plannerFinder) accept(reply *link.PeerReply) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -164,7 +164,7 @@
 	}
 }
 
-// redirect follows a gateway that does not plan to the one it names.
+// redirect follows a gateway that is not the planner to the one that it names.
 func (f *plannerFinder) redirect(from, to string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -177,7 +177,8 @@
 	}
 }
 
-// rejectEpoch forgets a planner that answered with an epoch that is over.
+// rejectEpoch forgets a planner that answered under an outdated epoch, and rejects planners up
+// to that epoch.
 func (f *plannerFinder) rejectEpoch(epoch uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -185,7 +186,7 @@
 	f.epoch = max(f.epoch, epoch+1)
 }
 
-// addGateways remembers gateways.
+// addGateways adds gateways to the list and drops the oldest ones beyond maxGateways.
 func (f *plannerFinder) addGateways(gateways []string) {
 	if len(gateways) == 0 {
 		return
@@ -202,8 +203,8 @@
 	}
 }
 
-// readRegistry reads the register of gateways when none of those known has answered
-// for a while: all seeds may have been replaced.
+// readRegistry reads the gateway registry if no planner has been found for a while: all seeds
+// may have been replaced.
 func (f *plannerFinder) readRegistry() {
 	if f.cfg.ListGateways == nil {
 		return
--- a/nodeagent/finder_test.go
+++ b/nodeagent/planner_finder_test.go
@@ -13,9 +13,8 @@
 	return newPlannerFinder(Config{Seeds: []string{"a", "b"}, Log: discardLogger()}, nil)
 }
 
-// The planner's instance loses power. Until another has the duty all gateways still name
-// it, and each report that follows them waits for a timeout, past the moment at which the
-// next planner is there.
+// Gateways name a failed planner until a new one has taken over. Retrying it at once would
+// delay the report to the new planner by a timeout.
 func TestFailedPlannerIsNotRetriedImmediately(t *testing.T) {
 	c := qt.New(t)
 	f := newTestFinder()
@@ -29,7 +28,7 @@
 	c.Check(f.accept(&link.PeerReply{Planner: "b", Epoch: 2}), qt.IsTrue, qt.Commentf("it may be back"))
 }
 
-// A planner answers with an epoch that is over: it is not followed again.
+// A planner that answered under an outdated epoch is not followed again.
 func TestExpiredEpochIsNotFollowed(t *testing.T) {
 	c := qt.New(t)
 	f := newTestFinder()
@@ -39,8 +38,8 @@
 	c.Check(f.accept(&link.PeerReply{Planner: "a", Epoch: 4}), qt.IsTrue)
 }
 
-// Hundreds of agents look for the next planner at once. Each asks a few gateways, others
-// each time, so that one of them knows soon and none is kept from answering.
+// Many agents search for the planner at once. Each queries only a few gateways at a time, so
+// that none is overloaded.
 func TestSearchRotatesThroughGateways(t *testing.T) {
 	c := qt.New(t)
 	f := newTestFinder()
--- a/nodeagent/look.go
+++ b/nodeagent/poll.go
@@ -9,7 +9,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// pollLoop looks at the worker again and again, which renews its lease.
+// pollLoop polls the worker continuously, which renews its lease.
 func (a *Agent) pollLoop() error {
 	for a.tomb.Alive() {
 		inc, changed := a.current()
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// pollWait returns how long the next look may wait for an end.
+// pollWait returns how long the next poll may wait for a run to end.
 func (a *Agent) pollWait(inc *incarnation) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -41,16 +41,16 @@
 	return pollWait
 }
 
-// poll makes one poll and returns how long to wait before the next.
+// poll polls the worker once and returns the pause before the next poll.
 func (a *Agent) poll(inc *incarnation, wait time.Duration) time.Duration {
-	pause, _ := a.tryPoll(inc, wait) // what failed is noted of the life
+	pause, _ := a.tryPoll(inc, wait) // errors are recorded in inc
 	return pause
 }
 
-// errIncarnationEnded: the life that was looked at is not the present one any more.
+// errIncarnationEnded means that the polled incarnation is no longer the current one.
 var errIncarnationEnded = eris.New("the life is over")
 
-// tryPoll makes one look. The error says why it tells nothing of l.
+// tryPoll polls the worker once. On error, the poll gave no information on inc.
 func (a *Agent) tryPoll(inc *incarnation, wait time.Duration) (pause time.Duration, err error) {
 	a.counters.Looks.Add(1)
 	o, ackedEnds, wait, leaseEnd := a.preparePoll(inc, wait)
@@ -78,8 +78,9 @@
 	return 0, nil
 }
 
-// preparePoll returns the order of the next look. Once the worker has not answered for
-// keepExtending, nothing extends its lease, so that it is certain when it lapses.
+// preparePoll returns the order header and the acknowledgement of the next poll, its wait, and
+// the current lease end. Once the worker has not answered for leaseExtensionPeriod, polls no
+// longer extend its lease, so that its expiry time is certain.
 func (a *Agent) preparePoll(inc *incarnation, wait time.Duration) (o OrderHeader, ackedEnds int64, w, leaseEnd time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -123,8 +124,8 @@
 	return inc.unresponsivePollInterval(at)
 }
 
-// noteStaleAnswer counts answers that were passed over since the worker's clock was further in
-// an earlier one, and tells of the first in a row. The mutex is held.
+// noteStaleAnswer counts answers that were discarded because the worker's clock was later in an
+// earlier one, and logs the first of a sequence. The mutex is held.
 func (a *Agent) noteStaleAnswer(inc *incarnation, status WorkerStatus, clockBefore time.Duration, accepted bool) {
 	if !accepted {
 		a.counters.LooksPassedOver.Add(1)
--- a/nodeagent/report.go
+++ b/nodeagent/report.go
@@ -8,8 +8,8 @@
 	"github.com/eelgrasshub/eelgrasshub/link"
 )
 
-// reportLoop reports to the planner, whenever there is something new and at least every
-// reportEvery.
+// reportLoop reports to the planner whenever there is something new, and at least once per
+// reportInterval.
 func (a *Agent) reportLoop() error {
 	timer := time.NewTimer(reportInterval)
 	defer timer.Stop()
@@ -38,7 +38,7 @@
 	}
 }
 
-// retryReport makes the loop try again soon.
+// retryReport triggers another report after plannerRetryDelay.
 func (a *Agent) retryReport() {
 	select {
 	case <-time.After(plannerRetryDelay):
@@ -47,7 +47,7 @@
 	a.requestReport()
 }
 
-// pendingReports returns what is to be said: of lives that are over, and of the present one.
+// pendingReports returns a report for each ended incarnation, and one for the current one.
 func (a *Agent) pendingReports() []engine.Report {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -88,9 +88,9 @@
 	return reply, sentAt, true
 }
 
-// callPlanner makes a call to the planner, and gives it up as soon as a newer planner is
-// known: one whose machine has died would keep the report until its timeout, while its
-// successor can place nothing before it.
+// callPlanner calls the planner, and cancels the call as soon as a newer planner is known. A
+// failed planner would hold up the report until its timeout, while its successor cannot place
+// work on the worker without it.
 func (a *Agent) callPlanner(ctx context.Context, planner string, msg any) (any, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -102,7 +102,7 @@
 	return a.pool.Call(ctx, planner, msg)
 }
 
-// handleReply takes the planner's answer to a report that was sent at time sent.
+// handleReply processes the planner's reply to a report that was sent at sentAt.
 func (a *Agent) handleReply(r engine.Report, reply *link.ReportReply, sentAt time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -126,13 +126,13 @@
 	}
 	inc.clearReported(r)
 	if inc.raiseFence(engine.Fence{Epoch: reply.Epoch, Generation: reply.Turn}) {
-		a.pollNow() // only a look under that fence counts
+		a.pollNow() // only a poll under the new fence counts
 	}
 	inc.pollOften = reply.Closely
 	if reply.Attached {
 		a.grantedUntil = max(a.grantedUntil, sentAt+a.cfg.MaxLease)
 		if inc.claimExtraPoll(now()) {
-			a.pollNow() // after a gap; a look that waits would come too late
+			a.pollNow() // after a gap, the poll in progress may end too late to renew the lease
 		}
 	}
 	if reply.Seen > inc.recordedEnds {
@@ -140,15 +140,15 @@
 	}
 }
 
-// pollNow makes a look at once, beside the present one, which may wait for a second
-// more. The mutex is held.
+// pollNow starts a poll that returns at once, in addition to the one in progress, which may
+// wait for a second longer. The mutex is held.
 func (a *Agent) pollNow() {
 	if inc := a.incarnation; inc != nil {
 		go a.poll(inc, 0)
 	}
 }
 
-// raiseEpoch notes a planner's epoch. The mutex is held.
+// raiseEpoch records a planner's epoch and raises the fence to it. The mutex is held.
 func (a *Agent) raiseEpoch(epoch uint64) {
 	a.epoch = max(a.epoch, epoch)
 	if a.incarnation != nil {
--- /dev/null
+++ b/nodeagent/unresponsive.go
@@ -0,0 +1,73 @@
+package nodeagent
+
+import (
+	"time"
+
+	"github.com/eelgrasshub/eelgrasshub/engine"
+)
+
+// mayExtendLease reports whether polls extend the lease: the worker answers, or has not
+// answered for less than leaseExtensionPeriod.
+func (inc *incarnation) mayExtendLease(now time.Duration) bool {
+	return !inc.unresponsive || now-inc.unresponsiveSince < leaseExtensionPeriod
+}
+
+// claimExtraPoll reports whether an extra poll is needed now to renew the lease, and records
+// that it is sent.
+//
+// An unresponsive worker gets no extra polls: if it refuses them at once, each refusal would be
+// reported at once and the reply would trigger the next poll, in a loop at network speed.
+func (inc *incarnation) claimExtraPoll(now time.Duration) bool {
+	if inc.unresponsive || inc.leaseEnd == 0 || inc.leaseEnd-now >= renewalThreshold || now-inc.extraPollAt < minExtraPollInterval {
+		return false
+	}
+	inc.extraPollAt = now
+	return true
+}
+
+// markUnresponsive records that the worker does not answer. From now on another incarnation may
+// have its name, which has seen no fence, and delayed orders to this one may reach it. So polls
+// carry a higher fence than any order so far: the first one that is answered fences whichever
+// incarnation answers.
+func (inc *incarnation) markUnresponsive(now time.Duration) {
+	inc.unresponsive = true
+	inc.unresponsiveSince = now
+	inc.failureReportedAt = now - unresponsivePollInterval
+	if inc.info.Name != "" {
+		inc.fence.Generation++
+	}
+}
+
+// raiseRefusedFence raises the fence of orders to a worker that refused it. A previous agent
+// process may have raised the worker's fence by itself above the planner's generation, and
+// nothing would ever run there again. A worker that follows a newer planner continues to
+// refuse.
+func (inc *incarnation) raiseRefusedFence() {
+	if inc.info.Name != "" {
+		inc.fence.Generation += engine.GenerationStep
+	}
+}
+
+// unresponsivePollInterval returns the pause between polls of an unresponsive worker. It is
+// short at first if another incarnation may take the name, so that it is fenced as soon as it
+// answers.
+func (inc *incarnation) unresponsivePollInterval(now time.Duration) time.Duration {
+	if inc.info.Name != "" && now-inc.unresponsiveSince < restartPollPeriod {
+		return restartPollInterval
+	}
+	return unresponsivePollInterval
+}
+
+// nextAck returns the number up to which the next poll acknowledges ends, or 0 if the worker
+// has already received it.
+//
+// The worker may have restarted unnoticed under the same name, and the new incarnation numbers
+// its ends from 1. It would forget ends that nobody has seen, and completed tasks would run
+// again. So an acknowledgement is repeated only until a poll that carried it is answered, and
+// never while the worker is unresponsive.
+func (inc *incarnation) nextAck() int64 {
+	if inc.unresponsive || inc.recordedEnds <= inc.ackedEnds {
+		return 0
+	}
+	return inc.recordedEnds
+}
--- a/nodeagent/silent_test.go
+++ b/nodeagent/unresponsive_test.go
@@ -16,8 +16,8 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// crashableWorker refuses every call at once, as the port of a crashed process does. Until it
-// dies it answers.
+// crashableWorker refuses every poll at once after it crashed, like the closed port of a
+// process.
 type crashableWorker struct {
 	Worker
 	crashed atomic.Bool
@@ -38,11 +38,9 @@
 
 func (w *crashableWorker) Identify(context.Context) (string, error) { return "w", nil }
 
-// A worker crashes for good; its machine and the agent beside it live. The planner granted
-// more time with each report, the agent looked at once since the lease was nearly over,
-// the look was refused at once, and that was reported at once: a loop as fast as the
-// network. The planner could not see the lease lapse between two reports, and the gang of
-// the worker never started again; each agent in the loop sent ten times its usual traffic.
+// Polls of a crashed worker fail at once. If each failure were reported and each reply
+// triggered an extra poll, agent and planner would loop at network speed, and the planner would
+// never see the lease expire.
 func TestUnresponsiveWorkerPollAndReportRateBounded(t *testing.T) {
 	c := qt.New(t)
 	var reports atomic.Int64
@@ -80,8 +78,8 @@
 	c.Check(reports.Load()-reportsBefore <= limit, qt.IsTrue, qt.Commentf("%d reports", reports.Load()-reportsBefore))
 }
 
-// A lease that ran out some time ago is reported as such: were it reported as just running
-// out, each report would put its end off anew.
+// An expired lease must be reported with its age. Reported as just expiring, each report would
+// postpone its end.
 func TestExpiredLeaseReportedAsExpired(t *testing.T) {
 	c := qt.New(t)
 	inc := newIncarnation(engine.WorkerInfo{ID: "w"})
@@ -91,8 +89,8 @@
 	c.Check(inc.report(9*time.Second, 0).LeaseRemaining, qt.Equals, -3*time.Second)
 }
 
-// An agent that has just been started again does not know how far its predecessor let the
-// lease reach, and must not say that it is over.
+// A restarted agent does not know how far its predecessor extended the lease, and must not
+// report it as expired.
 func TestRestartedAgentReportsLeaseUnknown(t *testing.T) {
 	c := qt.New(t)
 	inc := newIncarnation(engine.WorkerInfo{ID: "w"})
@@ -102,8 +100,8 @@
 	c.Check(inc.report(6*time.Second, 0).LeaseKnown, qt.IsTrue)
 }
 
-// Looks at a worker that does not answer extend its lease for a while, and no longer than
-// the reports say so: the planner counts what it grants by that word.
+// The planner relies on reports to tell for how long polls of an unresponsive worker extend its
+// lease.
 func TestReportsStateWhetherPollsExtendLease(t *testing.T) {
 	c := qt.New(t)
 	inc := newIncarnation(engine.WorkerInfo{ID: "w"})
--- a/nodeagent/worker.go
+++ b/nodeagent/worker.go
@@ -12,53 +12,53 @@
 )
 
 var (
-	// ErrOtherIncarnation: another life of the worker answered than the one meant.
+	// ErrOtherIncarnation means that another incarnation of the worker answered.
 	ErrOtherIncarnation = eris.New("another life of the worker answered")
-	// ErrSuperseded is the ErrOtherLife of a life that has the name of the one meant. Whatever
-	// was ordered of that one may still reach it.
+	// ErrSuperseded is an ErrOtherIncarnation whose sender has the same name as the addressed
+	// incarnation. Delayed orders to the latter may still reach it.
 	ErrSuperseded = fmt.Errorf("%w under its name", ErrOtherIncarnation)
-	// ErrFenced: the worker has seen a newer planner's epoch.
+	// ErrFenced means that the worker has seen a higher fence.
 	ErrFenced = eris.New("the worker follows a newer planner")
 )
 
-// OrderHeader is what every order to a worker carries.
+// OrderHeader is carried by every order to a worker.
 type OrderHeader struct {
-	Worker engine.WorkerID // the life that is meant
-	Fence  engine.Fence    // the worker refuses lower ones than it has seen
-	// LeaseEnd is the end of the worker's lease on its own clock; zero extends nothing.
+	Worker engine.WorkerID // the addressed incarnation
+	Fence  engine.Fence    // the worker refuses a lower fence than it has seen
+	// LeaseEnd is the end of the worker's lease on the worker's clock. Zero does not extend it.
 	LeaseEnd time.Duration
 }
 
-// WorkerStatus is a worker's answer about itself.
+// WorkerStatus is a worker's answer to a poll.
 type WorkerStatus struct {
 	Running []engine.RunStatus
 	Ended   []engine.RunEnd
-	// Clock is the worker's own clock at some time during the call.
+	// Clock is the worker's clock at some time during the call.
 	Clock time.Duration
 }
 
-// Worker is the worker beside the agent. Calls may be carried out although they
-// failed, even later, unless the error says otherwise.
+// Worker is a client of the worker beside the agent. A call that failed may still be carried
+// out, even later, unless the error says otherwise.
 type Worker interface {
-	// Identify returns the name under which the worker answers; see
-	// engine.WorkerInfo.CallName.
+	// Identify returns the name under which the worker answers; see engine.WorkerInfo.CallName.
 	Identify(ctx context.Context) (string, error)
-	// Start starts a run. It is idempotent for one run.
+	// Start starts a run. It is idempotent for the same run.
 	Start(ctx context.Context, o OrderHeader, s engine.StartOrder) engine.StartOutcome
-	// Stop ends a run; one that is not there yet is refused from then on.
+	// Stop ends a run. A run that does not exist yet is refused from then on.
 	Stop(ctx context.Context, o OrderHeader, run workload.RunID) error
-	// Pace sets the speed of a run.
+	// Pace sets the speed limit of a run.
 	Pace(ctx context.Context, o OrderHeader, p engine.PaceOrder) error
-	// Poll extends the lease, lets ends up to seen be forgotten, waits up to wait for
-	// an end, and returns what there is. ErrOtherLife: it is another life that answers.
+	// Poll extends the lease, acknowledges ends up to number ackedEnds, waits up to wait for a
+	// run to end, and returns the worker's status. It fails with ErrOtherIncarnation if another
+	// incarnation answers.
 	Poll(ctx context.Context, o OrderHeader, ackedEnds int64, wait time.Duration) (WorkerStatus, error)
 }
 
-// Heartbeat is a worker's heartbeat.
+// Heartbeat is a periodic message from a worker to its agent.
 type Heartbeat struct {
 	Info     engine.WorkerInfo
 	Sequence int64
 	Draining bool
-	// Remaining is how long a draining worker stays at least.
+	// Remaining is the minimum time that a draining worker stays available.
 	Remaining time.Duration
 }
--- a/records/ended_test.go
+++ b/records/archive_test.go
@@ -16,7 +16,8 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// archivedJob puts a job on record that was cancelled and archivedJob, and returns its ledger.
+// archivedJob records a job that was cancelled and archived, and returns the planner store that
+// did so.
 func archivedJob(c *qt.C, kv *platform.KVStore, id workload.JobID) *records.PlannerStore {
 	ctx := context.Background()
 	jobs := records.NewJobStore(kv)
@@ -42,8 +43,8 @@
 	c.Check(srv.Keys("workloads/"), qt.HasLen, 0)
 }
 
-// A successor reads the work that is left without the outcomes, then the outcomes, and
-// removes one that it did not write.
+// A successor loads the remaining work without the outcomes, and can remove an outcome that a
+// predecessor wrote.
 func TestOutcomesLoadedSeparately(t *testing.T) {
 	c, srv, kv := openStore(t)
 	ctx := context.Background()
@@ -66,8 +67,8 @@
 	c.Check(srv.Keys("workloads/ended/"), qt.DeepEquals, []string{"workloads/ended/bytes"})
 }
 
-// A caller's submission is repeated on its way and arrives after its job has ended: it finds
-// the first and does not run again. Another's job of that name is told apart.
+// A duplicate submission that arrives after the job has ended finds the outcome and does not
+// run the job again. A job of another account with that ID is a mismatch.
 func TestResubmissionFindsOutcome(t *testing.T) {
 	c, srv, kv := openStore(t)
 	ctx := context.Background()
@@ -83,8 +84,8 @@
 	c.Check(srv.Keys("workloads/in/"), qt.HasLen, 0)
 }
 
-// The write of a submission is on its way for half a second; its repetition is carried out
-// at once, the job runs, ends and is closed. The first must not bring the job back.
+// A delayed write of a submission must not recreate the job after a retry was stored, ran and
+// was archived.
 func TestDelayedSubmissionDoesNotRecreateArchivedJob(t *testing.T) {
 	c, srv, kv := openStore(t)
 	const late = 500 * time.Millisecond
--- a/records/doc.go
+++ b/records/doc.go
@@ -1,16 +1,16 @@
-// Package records keeps jobs of steps in the platform's store.
+// Package records keeps jobs and workers in the platform's store.
 //
-//	workloads/in/job/ID     what the caller handed in; created once, by any gateway
-//	workloads/in/cancel/ID  the caller's cancellation; created once, by any gateway
-//	workloads/run/ID        what became of it; written by the planner alone
-//	workloads/worker/ID     a worker that may hold runs; written by the planner alone
-//	workloads/ended/ID      the outcome of a job, in the place of its other records;
-//	                        written by the planner alone
+//	workloads/in/job/ID     a submitted job; created once, by any gateway
+//	workloads/in/cancel/ID  a cancellation; created once, by any gateway
+//	workloads/run/ID        the progress of a job; written by the planner only
+//	workloads/worker/ID     a worker that may hold runs; written by the planner only
+//	workloads/ended/ID      the outcome of a job, which replaces its other records;
+//	                        written by the planner only
 //
-// A name is taken by in/job/ID or by ended/ID, never by neither once it was accepted until
-// the outcome is removed, so a submission that is repeated late finds the first.
+// From its acceptance until its outcome is removed, a job always has either in/job/ID or
+// ended/ID, so a delayed duplicate of a submission finds the first.
 //
-// The planner writes under the condition that the epoch key of its duty is as it was
-// when it took the duty, so nothing of a former planner can take effect after its
-// successor has read the records.
+// All writes of the planner are conditional on the epoch key of its lease being unchanged since
+// it acquired the lease. No write of a former planner can take effect after its successor has
+// read the records.
 package records
--- a/records/intake.go
+++ b/records/job_store.go
@@ -13,23 +13,24 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// resolveRetryDelay is the pause between attempts to learn what became of a write.
+// resolveRetryDelay is the pause between attempts to learn the outcome of a write.
 const resolveRetryDelay = 30 * time.Millisecond
 
-// JobStore writes what callers ask for. It is safe for concurrent use.
+// JobStore stores submissions and cancellations on behalf of clients, and reads the state of
+// jobs. It is safe for concurrent use.
 type JobStore struct {
 	store store.Atomic
 }
 
-// NewJobStore returns an Intake.
+// NewJobStore returns a JobStore that uses kv.
 func NewJobStore(kv store.Atomic) *JobStore { return &JobStore{store: kv} }
 
-// probeTimeout bounds the question that goes before a write.
+// probeTimeout bounds the read that precedes a write.
 const probeTimeout = 600 * time.Millisecond
 
-// Submit makes a job durable and returns the revision at which it is, 0 for one that has
-// ended since. A repeated call for the same id finds the first. It goes on until ctx ends to
-// learn what became of a write whose reply was lost.
+// Submit stores a job durably and returns the revision of its record, or 0 if it has already
+// ended. A repeated call for the same ID finds the first submission. If the reply to a write is
+// lost, Submit retries until ctx ends to learn the outcome.
 func (js *JobStore) Submit(ctx context.Context, job *workload.Job) (link.Outcome, store.Revision) {
 	value, err := json.Marshal(job)
 	if err != nil {
@@ -53,7 +54,8 @@
 	return outcome, revision
 }
 
-// findExisting returns a key that exists among those of a commit that did not hold.
+// findExisting returns the key-value pair of key from those returned by a failed commit, if the
+// key exists.
 func findExisting(current []store.KeyValue, key string) (store.KeyValue, bool) {
 	for _, kv := range current {
 		if kv.Key == key && kv.Mod != 0 {
@@ -63,18 +65,17 @@
 	return store.KeyValue{}, false
 }
 
-// readBeforeWrite reads the key before it is written. Where the store is out, a write that was
-// sent leaves its outcome unknown, and the caller can neither be told that it was
-// accepted nor that it was not; a question that gets no answer has changed nothing, so
-// the caller can be refused in truth, at once.
+// readBeforeWrite reads a key before it is written. During a store outage, a write that was
+// sent has an unknown outcome, while a failed read has changed nothing, so the client can be
+// refused at once.
 func (js *JobStore) readBeforeWrite(ctx context.Context, key string) (store.KeyValue, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	return js.store.Get(ctx, key)
 }
 
-// checkResubmission judges a submission whose id is on record already, as a job or as its outcome,
-// which have the fields that matter in common.
+// checkResubmission returns the outcome of a submission whose ID is already recorded, as a job
+// or as an outcome. Both encode the queue and the account alike.
 func checkResubmission(job *workload.Job, kv store.KeyValue) link.Outcome {
 	var first struct {
 		Queue   string `json:"queue"`
@@ -89,8 +90,8 @@
 	return link.OutcomeStored
 }
 
-// create makes a key that must not exist, while a condition on another holds. current are
-// both where that is not so.
+// create creates a key under a condition on another key. If the key exists or the condition
+// does not hold, it returns the current state of both.
 func (js *JobStore) create(ctx context.Context, condition store.Condition, swap store.Swap) (outcome link.Outcome, revision store.Revision, current []store.KeyValue) {
 	mayBeApplied := false
 	for {
@@ -101,7 +102,7 @@
 		case err == nil && createPrecluded(out.Current, condition, swap):
 			return link.OutcomeNotDone, 0, out.Current
 		case err == nil:
-			// Not committed although both keys are as they should be: that changed meanwhile.
+			// Not committed although both keys are as expected: they changed in between. Retry.
 		case eris.Is(err, store.ErrOutcomeUnknown):
 			mayBeApplied = true
 		case !mayBeApplied:
@@ -117,8 +118,8 @@
 	}
 }
 
-// createPrecluded says whether a creation did not hold as the keys are: there is one, or the other
-// is not as it has to be.
+// createPrecluded reports whether the current keys rule the creation out: the key exists, or
+// the condition does not hold.
 func createPrecluded(current []store.KeyValue, condition store.Condition, swap store.Swap) bool {
 	for _, kv := range current {
 		if kv.Key == swap.Key && kv.Mod != 0 || kv.Key == condition.Key && kv.Mod != condition.Revision {
@@ -128,8 +129,8 @@
 	return false
 }
 
-// Cancel makes a cancellation durable, where the job exists and is of the queue. One of a
-// job that has ended changes nothing.
+// Cancel stores a cancellation durably if the job exists and belongs to the queue. Cancelling a
+// job that has ended has no effect.
 func (js *JobStore) Cancel(ctx context.Context, queue string, id workload.JobID) link.Outcome {
 	for {
 		kv, ok, err := js.store.Get(ctx, jobKey(id))
@@ -151,11 +152,11 @@
 		if current == nil {
 			return outcome
 		}
-		// The job's records were replaced by its outcome since they were read.
+		// The outcome replaced the job's records after they were read. Retry.
 	}
 }
 
-// cancelArchived answers a cancellation of a job that has no record as a job.
+// cancelArchived returns the outcome of cancelling a job that has no job record.
 func (js *JobStore) cancelArchived(ctx context.Context, queue string, id workload.JobID) link.Outcome {
 	outcome, ok, err := js.readOutcome(ctx, id)
 	switch {
@@ -167,7 +168,7 @@
 	return link.OutcomeStored
 }
 
-// readOutcome reads what a job came to, and false where none is on record.
+// readOutcome reads the outcome of a job. It returns false if there is none.
 func (js *JobStore) readOutcome(ctx context.Context, id workload.JobID) (engine.JobOutcome, bool, error) {
 	kv, ok, err := js.store.Get(ctx, endedKey(id))
 	if err != nil || !ok {
@@ -180,10 +181,9 @@
 	return outcome, true, nil
 }
 
-// Lookup reads the state of a job from its records. The error is the store's.
-//
-// The outcome is read after the others: records that are replaced by it while they are read
-// would else look like those of a job that has not begun.
+// Lookup reads the state of a job from its records. It reads the outcome last, since records
+// that are replaced by it meanwhile would otherwise look like those of a job that has not
+// started.
 func (js *JobStore) Lookup(ctx context.Context, id workload.JobID) (engine.JobStatus, bool, error) {
 	found, active, err := js.lookupActive(ctx, id)
 	if err != nil || active && found.State != workload.Queued {
--- a/records/ledger.go
+++ b/records/planner_store.go
@@ -15,13 +15,14 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// ErrDeposed: another planner has taken the duty; nothing was written.
+// ErrDeposed means that another planner has acquired the planner lease. Nothing was written.
 var ErrDeposed = eris.New("another planner has taken the duty")
 
-// ErrConflict: a record is not as this planner left it.
+// ErrConflict means that a record has changed since this planner last wrote or read it.
 var ErrConflict = eris.New("record changed by another")
 
-// PlannerStore is a planner's hold on the records for one term. One goroutine owns it.
+// PlannerStore reads and writes the planner's records during one term. One goroutine owns it,
+// except that LoadOutcomes and WatchSubmissions may run concurrently with Write.
 type PlannerStore struct {
 	store store.Atomic
 	guard store.Condition
@@ -29,24 +30,24 @@
 	revisions map[string]store.Revision
 }
 
-// PlannerState is what a planner has to know before it plans: all work that has not ended.
+// PlannerState is the state that a planner loads before it plans: all work that has not ended.
 type PlannerState struct {
 	Submissions
 	Workers []engine.WorkerInfo
 }
 
-// NewPlannerStore returns a Ledger that writes while the key of guard is as it says.
+// NewPlannerStore returns a PlannerStore whose writes are conditional on guard.
 func NewPlannerStore(kv store.Atomic, guard store.Condition) *PlannerStore {
 	return &PlannerStore{store: kv, guard: guard, revisions: map[string]store.Revision{}}
 }
 
-// Load reads what a planner has to know before it plans. What it reads first, only holders
-// of the duty write, so nothing of that changes after this term has taken it.
+// Load reads the state that a planner needs before it plans. Workers and progress are written
+// by the planner only, so they no longer change once this term has acquired the lease.
 //
-// The failure it guards against: one record that can't be read would keep every planner
-// from planning. The others hold: a job whose own record or progress can't be read stays
-// out, since starting it could run it twice; a worker whose record can't be read is known
-// by its key alone, so that what it may hold is waited for.
+// Unreadable records are skipped, so that a single one cannot stop all planning. A job whose
+// own record or progress is unreadable is left out, since starting it could run it twice. A
+// worker whose record is unreadable is restored by its key alone, so that the runs it may hold
+// are waited for.
 func (ps *PlannerStore) Load(ctx context.Context, wall time.Time) (PlannerState, error) {
 	workers, err := ps.store.List(ctx, workerPrefix)
 	if err != nil {
@@ -63,8 +64,8 @@
 	out := PlannerState{Submissions: submitted}
 	ps.addWorkers(&out, workers.Keys)
 	ps.addProgress(&out, runs.Keys)
-	// An incomplete page may tell an earlier revision than this term's first; a watch from
-	// there would show submissions of jobs that a predecessor has closed since.
+	// A truncated listing may have an earlier revision than the start of this term. A watch
+	// from there would return submissions of jobs that a predecessor has archived since.
 	out.Revision = max(out.Revision, ps.guard.Revision)
 	return out, nil
 }
@@ -86,7 +87,8 @@
 	}
 }
 
-// addProgress adds to the submissions what became of them.
+// addProgress adds the recorded progress to the submitted jobs, and removes jobs whose progress
+// is unreadable.
 func (ps *PlannerStore) addProgress(out *PlannerState, keys []store.KeyValue) {
 	progress := map[workload.JobID]*engine.JobProgress{}
 	unreadable := map[workload.JobID]bool{}
@@ -107,8 +109,8 @@
 	}
 }
 
-// LoadOutcomes reads the outcomes of jobs that have ended. No planning depends on them. It may
-// run beside Write.
+// LoadOutcomes reads the outcomes of ended jobs. Planning does not depend on them. It may run
+// concurrently with Write.
 func (ps *PlannerStore) LoadOutcomes(ctx context.Context, wall time.Time) ([]engine.EndedJobRestored, []UnreadableRecord, error) {
 	snap, err := ps.store.List(ctx, endedPrefix)
 	if err != nil {
@@ -129,8 +131,8 @@
 	return out, unreadable, nil
 }
 
-// WatchSubmissions gives every submission and cancellation recorded after revision at to deliver,
-// until ctx ends. store.ErrCompacted: some may have been missed.
+// WatchSubmissions passes every submission and cancellation recorded after the given revision
+// to deliver, until ctx ends. On store.ErrCompacted, some may have been missed.
 func (ps *PlannerStore) WatchSubmissions(ctx context.Context, after store.Revision, wall func() time.Time, deliver func(engine.Event)) error {
 	return ps.store.Watch(ctx, inPrefix, after+1, func(b store.WatchBatch) {
 		for _, e := range b.Events {
@@ -149,9 +151,9 @@
 	})
 }
 
-// Write makes one attempt to write all changes or none. It is repeated as it is until
-// it returns nil, ErrDeposed or ErrConflict: after a lost reply only that tells what
-// became of it.
+// Write makes one attempt to write all changes atomically. The caller repeats it with the same
+// changes until it returns nil, ErrDeposed or ErrConflict; after a lost reply only that reveals
+// the outcome.
 func (ps *PlannerStore) Write(ctx context.Context, w engine.Write) error {
 	swaps, err := ps.swaps(w)
 	if err != nil {
@@ -204,7 +206,7 @@
 	return out, nil
 }
 
-// archiveSwaps replaces all records of a job that has ended by its outcome.
+// archiveSwaps replaces all records of an ended job by its outcome.
 func (ps *PlannerStore) archiveSwaps(j engine.EndedJob) ([]store.Swap, error) {
 	value, err := json.Marshal(j.Outcome)
 	if err != nil {
@@ -228,7 +230,7 @@
 	return append(out, cancelRemoval(j.ID, j.CancelRevision)...)
 }
 
-// cancelRemoval removes a cancellation that was created at revision order, 0 for none.
+// cancelRemoval removes the cancellation created at cancelRevision; 0 means that there is none.
 func cancelRemoval(id workload.JobID, cancelRevision int64) []store.Swap {
 	if cancelRevision == 0 {
 		return nil
@@ -246,8 +248,8 @@
 	}
 }
 
-// explainRejection tells why a write did not hold. Keys that have our own values were written by
-// an earlier attempt whose reply was lost.
+// explainRejection returns why a write was rejected. It returns nil if all keys already have
+// the written values, from an earlier attempt whose reply was lost.
 func (ps *PlannerStore) explainRejection(swaps []store.Swap, current []store.KeyValue) error {
 	byKey := map[string]store.KeyValue{}
 	for _, kv := range current {
--- a/records/ledger_test.go
+++ b/records/planner_store_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// submit puts jobs on record.
+// submit stores jobs.
 func submit(c *qt.C, intake *records.JobStore, ids ...workload.JobID) {
 	for _, id := range ids {
 		outcome, _ := intake.Submit(context.Background(), newJob(id))
@@ -80,8 +80,8 @@
 	c.Check(found.State, qt.Equals, workload.Cancelled)
 }
 
-// A planner is paused, another takes the duty and reads the records, and the first wakes
-// with a write in hand: it must not land, or the successor would not know of a start.
+// A write of a planner that was paused and replaced must fail, or its successor would not know
+// of a start.
 func TestDeposedPlannerCannotWrite(t *testing.T) {
 	c, srv, kv := openStore(t)
 	ctx := context.Background()
@@ -93,8 +93,8 @@
 	c.Check(srv.Keys("workloads/"), qt.HasLen, 0)
 }
 
-// The answer to a write is lost. Repeated as it is, it turns out to have taken effect, and
-// the next write goes on from there.
+// A write whose reply was lost is repeated unchanged and turns out to have taken effect. The
+// next write continues from there.
 func TestWriteWithLostReplyResolvedByRetry(t *testing.T) {
 	c, srv, kv := openStore(t)
 	ctx := context.Background()
@@ -108,7 +108,7 @@
 	c.Check(planner.Write(ctx, engine.Write{Workers: []engine.WorkerInfo{{ID: "w"}}}), qt.IsNil)
 }
 
-// Another wrote a planner's record: the term must end instead of writing over it.
+// A planner must not overwrite a record that another writer has changed.
 func TestForeignWriteConflicts(t *testing.T) {
 	c, srv, kv := openStore(t)
 	planner := newPlannerStore(c, kv)
@@ -117,8 +117,8 @@
 	c.Check(planner.Write(context.Background(), progressWrite("j1", 2, workload.Running)), qt.ErrorIs, records.ErrConflict)
 }
 
-// The store is out when a caller hands a job in. The question before the write gets no
-// answer, so nothing was written and the refusal is true.
+// During a store outage the read before the write fails, so nothing was written and the refusal
+// is certain.
 func TestSubmissionDuringOutageIsNotDone(t *testing.T) {
 	c, srv, kv := openStore(t)
 	jobs := records.NewJobStore(kv)
@@ -130,8 +130,8 @@
 	c.Check(srv.Writes(), qt.Equals, 0)
 }
 
-// The store carries the write out and loses the answer: the job is accepted all the same,
-// once, and a write whose answer never comes is neither refused nor accepted.
+// A submission whose reply was lost is stored once. While its outcome is not known it is
+// neither refused nor accepted.
 func TestSubmissionWithLostReply(t *testing.T) {
 	c, srv, kv := openStore(t)
 	jobs := records.NewJobStore(kv)
@@ -151,10 +151,9 @@
 	c.Check(outcome, qt.Equals, link.OutcomeMismatch)
 }
 
-// Another writer leaves rows below our prefix that can't be read. A planner that took over
-// could not read the records then, and nobody planned any more. The other records hold; a
-// job whose progress can't be read is withheld, since it may have run; a worker whose
-// record can't be read is still waited for, since it may hold what is on record.
+// Unreadable records must not keep a planner from loading the others. A job with unreadable
+// progress is left out, since it may have run; a worker with an unreadable record is kept,
+// since it may hold runs.
 func TestUnreadableRecordsAreSkipped(t *testing.T) {
 	c, srv, kv := openStore(t)
 	ctx := context.Background()
--- a/records/submissions.go
+++ b/records/submissions.go
@@ -13,24 +13,24 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// Submissions are the jobs that callers have handed in and that have not been closed.
+// Submissions are the submitted jobs that have not been archived.
 type Submissions struct {
-	// Jobs are in the order of their names, without Progress.
+	// Jobs are ordered by ID and have no progress.
 	Jobs []engine.JobRestored
-	// Revision is where a watch of the intake goes on.
+	// Revision is the store revision after which a watch of the submissions continues.
 	Revision store.Revision
-	// Unreadable are records that another writer left and that are passed over.
+	// Unreadable are records written by others that are skipped.
 	Unreadable []UnreadableRecord
 }
 
-// UnreadableRecord is a record that can't be decoded.
+// UnreadableRecord is a record that cannot be decoded.
 type UnreadableRecord struct {
 	Key string
 	Err error
 }
 
-// ListSubmissions reads what callers have handed in. wall is the time of day, by which the
-// age of jobs is told.
+// ListSubmissions reads the submitted jobs and their cancellations. wall is the wall-clock
+// time, from which the age of jobs is computed.
 func ListSubmissions(ctx context.Context, kv store.Store, wall time.Time) (Submissions, error) {
 	snap, err := kv.List(ctx, inPrefix)
 	if err != nil {
@@ -73,10 +73,10 @@
 	return engine.JobSubmitted{Job: j, Revision: int64(kv.Created), Age: ageOf(j.Submitted, wall)}, nil
 }
 
-// maxAge bounds the age told of a job: the time of day may jump.
+// maxAge bounds the computed age of a job, since the wall clock may jump.
 const maxAge = 2 * time.Minute
 
-// ageOf returns how long ago it was then, by the time of day.
+// ageOf returns the time since since by the wall clock, limited to [0, maxAge].
 func ageOf(since, wall time.Time) time.Duration {
 	return min(max(wall.Sub(since), 0), maxAge)
 }
