--- a/gateway/term_write.go
+++ b/gateway/term_write.go
@@ -30,13 +30,13 @@
 	if w.Empty() || !t.active() {
 		return nil
 	}
-	go func() { result <- t.writeUntilSettled(w) }()
+	go func() { result <- t.writeUntilResolved(w) }()
 	return &w
 }
 
-// writeUntilSettled retries a write until its outcome is certain. An attempt whose reply was
+// writeUntilResolved retries a write until its outcome is certain. An attempt whose reply was
 // lost may take effect until then.
-func (t *term) writeUntilSettled(w engine.Write) error {
+func (t *term) writeUntilResolved(w engine.Write) error {
 	ctx := t.tomb.Context(context.Background())
 	delay := backoff.NewExponentialBackOff()
 	delay.InitialInterval = writeRetryDelay
--- a/nodeagent/name_reuse_test.go
+++ b/nodeagent/name_reuse_test.go
@@ -43,14 +43,14 @@
 
 func (w *nameReusingWorker) Identify(context.Context) (string, error) { return "w", nil }
 
-func (w *nameReusingWorker) Poll(_ context.Context, o OrderHeader, ackedEnds int64, _ time.Duration) (WorkerStatus, error) {
+func (w *nameReusingWorker) Poll(_ context.Context, header OrderHeader, ackedEnds int64, _ time.Duration) (WorkerStatus, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.polls = append(w.polls, pollRecord{o.Fence, ackedEnds})
+	w.polls = append(w.polls, pollRecord{header.Fence, ackedEnds})
 	switch w.incarnation {
 	case "":
 		return WorkerStatus{}, context.DeadlineExceeded
-	case o.Worker:
+	case header.Worker:
 		return WorkerStatus{Clock: now(), Ended: w.ended}, nil
 	}
 	return WorkerStatus{}, ErrSuperseded
--- a/nodeagent/orders.go
+++ b/nodeagent/orders.go
@@ -30,21 +30,21 @@
 // the planner cancels the call: the planner's next orders resolve partially executed ones.
 func (a *Agent) execute(orders *link.Orders, starts []engine.StartOrder) *link.OrdersReply {
 	reply := &link.OrdersReply{Starts: make([]engine.StartResult, len(starts))}
-	o, inc, outcome := a.admit(orders)
+	header, inc, outcome := a.admit(orders)
 	var wg sync.WaitGroup
 	for i, s := range starts {
 		reply.Starts[i] = engine.StartResult{Run: s.Run, Outcome: outcome}
 		if outcome == engine.StartOK {
-			wg.Go(func() { reply.Starts[i].Outcome = a.start(o, orders.CordonsAt, s) })
+			wg.Go(func() { reply.Starts[i].Outcome = a.start(header, orders.CordonsAt, s) })
 		}
 	}
 	if inc != nil && len(orders.Stops) > 0 {
 		for _, run := range orders.Stops {
-			wg.Go(func() { a.stop(o, inc, run) })
+			wg.Go(func() { a.stop(header, inc, run) })
 		}
 	}
 	wg.Wait()
-	reply.Paces = a.setPaces(o, inc, orders.Paces)
+	reply.Paces = a.setPaces(header, inc, orders.Paces)
 	if inc != nil && len(orders.Stops) > 0 {
 		go a.poll(inc, 0)
 	}
@@ -52,24 +52,24 @@
 }
 
 // setPaces sets the speed of runs, which may just have been started.
-func (a *Agent) setPaces(o OrderHeader, inc *incarnation, orders []engine.PaceOrder) []engine.PaceResult {
+func (a *Agent) setPaces(header OrderHeader, inc *incarnation, orders []engine.PaceOrder) []engine.PaceResult {
 	results := make([]engine.PaceResult, len(orders))
 	var wg sync.WaitGroup
 	for i, p := range orders {
 		results[i].PaceOrder = p
 		if inc != nil {
-			wg.Go(func() { results[i].Applied = a.setPace(o, p) })
+			wg.Go(func() { results[i].Applied = a.setPace(header, p) })
 		}
 	}
 	wg.Wait()
 	return results
 }
 
-func (a *Agent) setPace(o OrderHeader, p engine.PaceOrder) bool {
+func (a *Agent) setPace(header OrderHeader, p engine.PaceOrder) bool {
 	a.counters.Paces.Add(1)
 	ctx, cancel := context.WithTimeout(a.tomb.Context(context.Background()), orderTimeout)
 	defer cancel()
-	if err := a.cfg.Worker.Pace(ctx, o, p); err != nil {
+	if err := a.cfg.Worker.Pace(ctx, header, p); err != nil {
 		a.counters.PacesUnknown.Add(1)
 		return false
 	}
@@ -89,23 +89,23 @@
 	if inc == nil || inc.info.ID != orders.Worker {
 		return OrderHeader{}, nil, engine.StartNotDelivered
 	}
-	o := OrderHeader{Worker: inc.info.ID, Fence: inc.fence, LeaseEnd: inc.workerTime(a.grantedUntil)}
+	header := OrderHeader{Worker: inc.info.ID, Fence: inc.fence, LeaseEnd: inc.workerTime(a.grantedUntil)}
 	switch {
 	case inc.draining:
-		return o, inc, engine.StartDraining
+		return header, inc, engine.StartDraining
 	case a.cordon.refuses(orders.CordonsAt):
 		a.counters.StartsCordoned.Add(int64(len(orders.Starts)))
-		return o, inc, engine.StartCordoned
-	case o.LeaseEnd == 0 || inc.unresponsive || inc.leaseMayHaveExpired(now()) || a.grantedUntil-now() < minGrantForStart:
-		return o, inc, engine.StartNotDelivered
+		return header, inc, engine.StartCordoned
+	case header.LeaseEnd == 0 || inc.unresponsive || inc.leaseMayHaveExpired(now()) || a.grantedUntil-now() < minGrantForStart:
+		return header, inc, engine.StartNotDelivered
 	}
 	inc.extendLease(a.grantedUntil)
-	return o, inc, engine.StartOK
+	return header, inc, engine.StartOK
 }
 
 // start retries a start until the worker answers. The outcome is unknown if it never does.
 // cordonsRevision is the store revision of the cordons that the planner knew.
-func (a *Agent) start(o OrderHeader, cordonsRevision int64, s engine.StartOrder) engine.StartOutcome {
+func (a *Agent) start(header OrderHeader, cordonsRevision int64, s engine.StartOrder) engine.StartOutcome {
 	a.counters.Starts.Add(1)
 	outcome := engine.StartUnknown
 	for attempt := range startAttempts {
@@ -113,7 +113,7 @@
 			break // the earlier attempt may have succeeded
 		}
 		ctx, cancel := context.WithTimeout(a.tomb.Context(context.Background()), orderTimeout)
-		outcome = a.cfg.Worker.Start(ctx, o, s)
+		outcome = a.cfg.Worker.Start(ctx, header, s)
 		cancel()
 		if outcome == engine.StartOK {
 			break
@@ -138,11 +138,11 @@
 }
 
 // stop stops a run. If the worker does not confirm it, the planner asks again.
-func (a *Agent) stop(o OrderHeader, inc *incarnation, run workload.RunID) {
+func (a *Agent) stop(header OrderHeader, inc *incarnation, run workload.RunID) {
 	a.counters.Stops.Add(1)
 	ctx, cancel := context.WithTimeout(a.tomb.Context(context.Background()), orderTimeout)
 	defer cancel()
-	err := a.cfg.Worker.Stop(ctx, o, run)
+	err := a.cfg.Worker.Stop(ctx, header, run)
 	if errors.Is(err, ErrOtherIncarnation) {
 		return // the next poll detects it
 	}
--- a/nodeagent/poll.go
+++ b/nodeagent/poll.go
@@ -53,11 +53,11 @@
 // tryPoll polls the worker once. On error, the poll gave no information on inc.
 func (a *Agent) tryPoll(inc *incarnation, wait time.Duration) (pause time.Duration, err error) {
 	a.counters.Looks.Add(1)
-	o, ackedEnds, wait, leaseEnd := a.preparePoll(inc, wait)
+	header, ackedEnds, wait, leaseEnd := a.preparePoll(inc, wait)
 	sentAt := now()
 	ctx, cancel := context.WithTimeout(a.tomb.Context(context.Background()), wait+pollTimeoutMargin)
 	defer cancel()
-	status, err := a.cfg.Worker.Poll(ctx, o, ackedEnds, wait)
+	status, err := a.cfg.Worker.Poll(ctx, header, ackedEnds, wait)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.incarnation != inc {
@@ -67,7 +67,7 @@
 		return a.handlePollError(inc, err), err
 	}
 	waited := now() - sentAt
-	inc.confirmedFence = inc.confirmedFence.Max(o.Fence)
+	inc.confirmedFence = inc.confirmedFence.Max(header.Fence)
 	inc.ackedEnds = max(inc.ackedEnds, ackedEnds)
 	clockBefore := inc.workerClock
 	a.noteStaleAnswer(inc, status, clockBefore, inc.applyStatus(status, sentAt, now(), leaseEnd))
@@ -81,22 +81,22 @@
 // preparePoll returns the order header and the acknowledgement of the next poll, its wait, and
 // the current lease end. Once the worker has not answered for leaseExtensionPeriod, polls no
 // longer extend its lease, so that its expiry time is certain.
-func (a *Agent) preparePoll(inc *incarnation, wait time.Duration) (o OrderHeader, ackedEnds int64, w, leaseEnd time.Duration) {
+func (a *Agent) preparePoll(inc *incarnation, wait time.Duration) (header OrderHeader, ackedEnds int64, w, leaseEnd time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	o = OrderHeader{Worker: inc.info.ID, Fence: inc.fence}
+	header = OrderHeader{Worker: inc.info.ID, Fence: inc.fence}
 	leaseEnd = inc.leaseEnd
 	mayHaveExpired := inc.leaseMayHaveExpired(now())
 	if !mayHaveExpired && inc.mayExtendLease(now()) {
-		o.LeaseEnd = inc.workerTime(a.grantedUntil)
+		header.LeaseEnd = inc.workerTime(a.grantedUntil)
 	}
-	if o.LeaseEnd > 0 {
+	if header.LeaseEnd > 0 {
 		inc.extendLease(a.grantedUntil)
 	}
 	if inc.unresponsive || !inc.polled || inc.confirmedFence.Compare(inc.fence) < 0 || mayHaveExpired {
 		wait = 0
 	}
-	return o, inc.nextAck(), wait, leaseEnd
+	return header, inc.nextAck(), wait, leaseEnd
 }
 
 func (a *Agent) handlePollError(inc *incarnation, err error) time.Duration {
--- a/nodeagent/worker.go
+++ b/nodeagent/worker.go
@@ -43,15 +43,15 @@
 	// Identify returns the name under which the worker answers; see engine.WorkerInfo.CallName.
 	Identify(ctx context.Context) (string, error)
 	// Start starts a run. It is idempotent for the same run.
-	Start(ctx context.Context, o OrderHeader, s engine.StartOrder) engine.StartOutcome
+	Start(ctx context.Context, header OrderHeader, s engine.StartOrder) engine.StartOutcome
 	// Stop ends a run. A run that does not exist yet is refused from then on.
-	Stop(ctx context.Context, o OrderHeader, run workload.RunID) error
+	Stop(ctx context.Context, header OrderHeader, run workload.RunID) error
 	// Pace sets the speed limit of a run.
-	Pace(ctx context.Context, o OrderHeader, p engine.PaceOrder) error
+	Pace(ctx context.Context, header OrderHeader, p engine.PaceOrder) error
 	// Poll extends the lease, acknowledges ends up to number ackedEnds, waits up to wait for a
 	// run to end, and returns the worker's status. It fails with ErrOtherIncarnation if another
 	// incarnation answers.
-	Poll(ctx context.Context, o OrderHeader, ackedEnds int64, wait time.Duration) (WorkerStatus, error)
+	Poll(ctx context.Context, header OrderHeader, ackedEnds int64, wait time.Duration) (WorkerStatus, error)
 }
 
 // Heartbeat is a periodic message from a worker to its agent.
--- a/records/job_store.go
+++ b/records/job_store.go
@@ -36,20 +36,20 @@
 	if err != nil {
 		return link.OutcomeNotDone, 0
 	}
-	first, known, err := js.readBeforeWrite(ctx, jobKey(job.ID))
+	existing, known, err := js.readBeforeWrite(ctx, jobKey(job.ID))
 	if err != nil {
 		return link.OutcomeNotDone, 0
 	}
 	if known {
-		return checkResubmission(job, first), first.Created
+		return checkResubmission(job, existing), existing.Created
 	}
-	notArchived := store.Condition{Key: endedKey(job.ID)}
+	notArchived := store.Condition{Key: outcomeKey(job.ID)}
 	outcome, revision, current := js.create(ctx, notArchived, store.Swap{Key: jobKey(job.ID), Value: value})
-	if first, ended := findExisting(current, endedKey(job.ID)); ended {
-		return checkResubmission(job, first), 0
+	if existing, ended := findExisting(current, outcomeKey(job.ID)); ended {
+		return checkResubmission(job, existing), 0
 	}
-	if first, known := findExisting(current, jobKey(job.ID)); known {
-		return checkResubmission(job, first), first.Created
+	if existing, known := findExisting(current, jobKey(job.ID)); known {
+		return checkResubmission(job, existing), existing.Created
 	}
 	return outcome, revision
 }
@@ -77,14 +77,14 @@
 // checkResubmission returns the outcome of a submission whose ID is already recorded, as a job
 // or as an outcome. Both encode the queue and the account alike.
 func checkResubmission(job *workload.Job, kv store.KeyValue) link.Outcome {
-	var first struct {
+	var recorded struct {
 		Queue   string `json:"queue"`
 		Account string `json:"account"`
 	}
-	if err := json.Unmarshal(kv.Value, &first); err != nil {
+	if err := json.Unmarshal(kv.Value, &recorded); err != nil {
 		return link.OutcomeMismatch
 	}
-	if first.Queue != job.Queue || first.Account != job.Account {
+	if recorded.Queue != job.Queue || recorded.Account != job.Account {
 		return link.OutcomeMismatch
 	}
 	return link.OutcomeStored
@@ -170,7 +170,7 @@
 
 // readOutcome reads the outcome of a job. It returns false if there is none.
 func (js *JobStore) readOutcome(ctx context.Context, id workload.JobID) (engine.JobOutcome, bool, error) {
-	kv, ok, err := js.store.Get(ctx, endedKey(id))
+	kv, ok, err := js.store.Get(ctx, outcomeKey(id))
 	if err != nil || !ok {
 		return engine.JobOutcome{}, false, err
 	}
--- a/records/planner_store.go
+++ b/records/planner_store.go
@@ -94,7 +94,7 @@
 	unreadable := map[workload.JobID]bool{}
 	for _, kv := range keys {
 		ps.revisions[kv.Key] = kv.Mod
-		id := idOf(kv.Key, runPrefix)
+		id := jobIDOf(kv.Key, runPrefix)
 		p := &engine.JobProgress{}
 		if err := json.Unmarshal(kv.Value, p); err != nil {
 			out.addUnreadable(kv.Key, err)
@@ -112,7 +112,7 @@
 // LoadOutcomes reads the outcomes of ended jobs. Planning does not depend on them. It may run
 // concurrently with Write.
 func (ps *PlannerStore) LoadOutcomes(ctx context.Context, wall time.Time) ([]engine.EndedJobRestored, []UnreadableRecord, error) {
-	snap, err := ps.store.List(ctx, endedPrefix)
+	snap, err := ps.store.List(ctx, outcomePrefix)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -125,7 +125,7 @@
 			continue
 		}
 		out = append(out, engine.EndedJobRestored{
-			ID: idOf(kv.Key, endedPrefix), Outcome: outcome, OutcomeRevision: int64(kv.Mod), Age: ageOf(outcome.EndedAt, wall),
+			ID: jobIDOf(kv.Key, outcomePrefix), Outcome: outcome, OutcomeRevision: int64(kv.Mod), Age: ageOf(outcome.EndedAt, wall),
 		})
 	}
 	return out, unreadable, nil
@@ -134,13 +134,13 @@
 // WatchSubmissions passes every submission and cancellation recorded after the given revision
 // to deliver, until ctx ends. On store.ErrCompacted, some may have been missed.
 func (ps *PlannerStore) WatchSubmissions(ctx context.Context, after store.Revision, wall func() time.Time, deliver func(engine.Event)) error {
-	return ps.store.Watch(ctx, inPrefix, after+1, func(b store.WatchBatch) {
+	return ps.store.Watch(ctx, submissionPrefix, after+1, func(b store.WatchBatch) {
 		for _, e := range b.Events {
 			if e.Deleted {
 				continue
 			}
 			if strings.HasPrefix(e.Key, cancelPrefix) {
-				deliver(engine.CancelRequested{Job: idOf(e.Key, cancelPrefix), Revision: int64(e.Mod)})
+				deliver(engine.CancelRequested{Job: jobIDOf(e.Key, cancelPrefix), Revision: int64(e.Mod)})
 				continue
 			}
 			if submitted, err := decodeJob(e.KeyValue, wall()); err == nil {
@@ -213,7 +213,7 @@
 		return nil, eris.Wrapf(err, "encode outcome of job %s", j.ID)
 	}
 	out := []store.Swap{
-		{Key: endedKey(j.ID), Value: value},
+		{Key: outcomeKey(j.ID), Value: value},
 		{Key: runKey(j.ID), Expect: ps.revisions[runKey(j.ID)], Delete: true},
 		{Key: jobKey(j.ID), Expect: store.Revision(j.Revision), Delete: true},
 	}
@@ -224,9 +224,9 @@
 func (ps *PlannerStore) outcomeRemoval(j engine.ExpiredJob) []store.Swap {
 	expect := store.Revision(j.OutcomeRevision)
 	if expect == 0 {
-		expect = ps.revisions[endedKey(j.ID)]
+		expect = ps.revisions[outcomeKey(j.ID)]
 	}
-	out := []store.Swap{{Key: endedKey(j.ID), Expect: expect, Delete: true}}
+	out := []store.Swap{{Key: outcomeKey(j.ID), Expect: expect, Delete: true}}
 	return append(out, cancelRemoval(j.ID, j.CancelRevision)...)
 }
 
--- a/records/submissions.go
+++ b/records/submissions.go
@@ -32,14 +32,14 @@
 // ListSubmissions reads the submitted jobs and their cancellations. wall is the wall-clock
 // time, from which the age of jobs is computed.
 func ListSubmissions(ctx context.Context, kv store.Store, wall time.Time) (Submissions, error) {
-	snap, err := kv.List(ctx, inPrefix)
+	snap, err := kv.List(ctx, submissionPrefix)
 	if err != nil {
 		return Submissions{}, err
 	}
 	cancelRevisions := map[workload.JobID]int64{}
 	for _, kv := range snap.Keys {
 		if strings.HasPrefix(kv.Key, cancelPrefix) {
-			cancelRevisions[idOf(kv.Key, cancelPrefix)] = int64(kv.Mod)
+			cancelRevisions[jobIDOf(kv.Key, cancelPrefix)] = int64(kv.Mod)
 		}
 	}
 	out := Submissions{Revision: snap.At}
@@ -67,7 +67,7 @@
 	if err := json.Unmarshal(kv.Value, &j); err != nil {
 		return engine.JobSubmitted{}, eris.Wrapf(err, "record %s", kv.Key)
 	}
-	if j.ID != idOf(kv.Key, jobPrefix) || len(j.Steps) == 0 {
+	if j.ID != jobIDOf(kv.Key, jobPrefix) || len(j.Steps) == 0 {
 		return engine.JobSubmitted{}, eris.Errorf("record %s: not a job of that id with steps", kv.Key)
 	}
 	return engine.JobSubmitted{Job: j, Revision: int64(kv.Created), Age: ageOf(j.Submitted, wall)}, nil
