--- a/gateway/term_query.go
+++ b/gateway/term_query.go
@@ -10,13 +10,13 @@
 // queryEngine runs f on the engine's goroutine and returns its result. It returns false if the
 // term ends first.
 func queryEngine[T any](t *term, f func(now time.Duration) T) (T, bool) {
-	answers := make(chan T, 1)
+	results := make(chan T, 1)
 	var none T
-	if !t.enqueue(func(now time.Duration) { answers <- f(now) }) {
+	if !t.enqueue(func(now time.Duration) { results <- f(now) }) {
 		return none, false
 	}
 	select {
-	case a := <-answers:
+	case a := <-results:
 		return a, true
 	case <-t.tomb.Dying():
 		return none, false
--- a/gateway/term_report.go
+++ b/gateway/term_report.go
@@ -12,20 +12,20 @@
 // handleReport processes an agent's report and fills in the reply.
 func (t *term) handleReport(ctx context.Context, conn *wire.Conn, m *link.Report, reply *link.ReportReply) *link.ReportReply {
 	type answer struct {
-		verdict  engine.ReportAnswer
-		recorded <-chan struct{}
+		verdict engine.ReportAnswer
+		written <-chan struct{}
 	}
 	a, ok := queryEngine(t, func(now time.Duration) answer {
 		t.setConn(m.Report.Worker.Agent, conn)
-		recorded := t.nextWrite()
-		return answer{t.engine.Report(now, m.Report), recorded}
+		written := t.nextWrite()
+		return answer{t.engine.Report(now, m.Report), written}
 	})
 	if !ok {
 		return reply
 	}
 	verdict := a.verdict
 	if verdict.EndsPending && len(m.Report.Ended) > 0 {
-		verdict.AckedEnds = t.awaitWrite(ctx, m.Report.Worker.ID, verdict, a.recorded)
+		verdict.AckedEnds = t.awaitWrite(ctx, m.Report.Worker.ID, verdict, a.written)
 	}
 	if !t.active() && !t.extendingGrants() {
 		return reply
@@ -56,19 +56,19 @@
 			return verdict.AckedEnds
 		}
 		type answer struct {
-			seen     int64
-			waiting  bool
-			recorded <-chan struct{}
+			ackedEnds   int64
+			endsPending bool
+			written     <-chan struct{}
 		}
 		a, ok := queryEngine(t, func(time.Duration) answer {
-			seen, waiting := t.engine.AckedEnds(id)
-			return answer{seen, waiting, t.nextWrite()}
+			ackedEnds, endsPending := t.engine.AckedEnds(id)
+			return answer{ackedEnds, endsPending, t.nextWrite()}
 		})
 		if !ok {
 			return verdict.AckedEnds
 		}
-		verdict.AckedEnds, written = a.seen, a.recorded
-		if !a.waiting {
+		verdict.AckedEnds, written = a.ackedEnds, a.written
+		if !a.endsPending {
 			return verdict.AckedEnds
 		}
 	}
--- a/nodeagent/incarnation.go
+++ b/nodeagent/incarnation.go
@@ -105,8 +105,8 @@
 func (inc *incarnation) applyStatus(status WorkerStatus, sentAt, receivedAt, leaseEndAtSend time.Duration) bool {
 	if leaseEndAtSend != 0 && sentAt > leaseEndAtSend+leaseExpiryMargin && inc.leaseEnd == leaseEndAtSend {
 		inc.surveyedLeaseEnd = leaseEndAtSend
-		for _, row := range status.Ended {
-			inc.voidEnds[row.Sequence] = true
+		for _, end := range status.Ended {
+			inc.voidEnds[end.Sequence] = true
 		}
 	}
 	inc.voidEndsBeforeExpiry(status.Ended)
@@ -129,10 +129,10 @@
 // updateFirstSeen records since when polls have returned each running run.
 func (inc *incarnation) updateFirstSeen() {
 	firstSeen := make(map[workload.RunID]time.Duration, len(inc.running))
-	for _, row := range inc.running {
-		firstSeen[row.Run] = inc.clockReadAt
-		if earlier, seen := inc.firstSeen[row.Run]; seen {
-			firstSeen[row.Run] = earlier
+	for _, running := range inc.running {
+		firstSeen[running.Run] = inc.clockReadAt
+		if earlier, seen := inc.firstSeen[running.Run]; seen {
+			firstSeen[running.Run] = earlier
 		}
 	}
 	inc.firstSeen = firstSeen
@@ -142,9 +142,9 @@
 // that their start did not crash the worker.
 func (inc *incarnation) pastStartup() []engine.RunStatus {
 	var out []engine.RunStatus
-	for _, row := range inc.running {
-		if inc.clockReadAt-inc.firstSeen[row.Run] >= engine.StartupCrashWindow {
-			out = append(out, engine.RunStatus{Run: row.Run})
+	for _, running := range inc.running {
+		if inc.clockReadAt-inc.firstSeen[running.Run] >= engine.StartupCrashWindow {
+			out = append(out, engine.RunStatus{Run: running.Run})
 		}
 	}
 	return out
@@ -157,14 +157,14 @@
 // the lease has expired, restarts elsewhere.
 func (inc *incarnation) voidEndsBeforeExpiry(ended []engine.RunEnd) {
 	lastExpired := int64(0)
-	for _, row := range ended {
-		if row.Reason == engine.EndLeaseExpired {
-			lastExpired = max(lastExpired, row.Sequence)
+	for _, end := range ended {
+		if end.Reason == engine.EndLeaseExpired {
+			lastExpired = max(lastExpired, end.Sequence)
 		}
 	}
-	for _, row := range ended {
-		if row.Sequence < lastExpired {
-			inc.voidEnds[row.Sequence] = true
+	for _, end := range ended {
+		if end.Sequence < lastExpired {
+			inc.voidEnds[end.Sequence] = true
 		}
 	}
 }
--- a/records/archive_test.go
+++ b/records/archive_test.go
@@ -21,14 +21,14 @@
 func archivedJob(c *qt.C, kv *platform.KVStore, id workload.JobID) *records.PlannerStore {
 	ctx := context.Background()
 	jobs := records.NewJobStore(kv)
-	_, order := jobs.Submit(ctx, newJob(id))
+	_, revision := jobs.Submit(ctx, newJob(id))
 	c.Assert(jobs.Cancel(ctx, "q", id), qt.Equals, link.OutcomeStored)
 	planner := newPlannerStore(c, kv)
 	state, err := planner.Load(ctx, wall)
 	c.Assert(err, qt.IsNil)
 	c.Assert(planner.Write(ctx, progressWrite(id, 1, workload.Cancelled)), qt.IsNil)
 	c.Assert(planner.Write(ctx, engine.Write{EndedJobs: []engine.EndedJob{{
-		ID: id, Revision: int64(order), CancelRevision: state.Jobs[0].CancelRevision,
+		ID: id, Revision: int64(revision), CancelRevision: state.Jobs[0].CancelRevision,
 		Outcome: engine.JobOutcome{Epoch: 1, Queue: "q", Account: "a", State: workload.Cancelled, EndedAt: wall.Add(-time.Minute)},
 	}}}), qt.IsNil)
 	return planner
@@ -38,8 +38,8 @@
 	c, srv, kv := openStore(t)
 	planner := archivedJob(c, kv, "j1")
 	c.Check(srv.Keys("workloads/"), qt.DeepEquals, []string{"workloads/ended/j1"})
-	forgotten := engine.Write{ForgottenJobs: []engine.ExpiredJob{{ID: "j1"}}}
-	c.Assert(planner.Write(context.Background(), forgotten), qt.IsNil)
+	expired := engine.Write{ForgottenJobs: []engine.ExpiredJob{{ID: "j1"}}}
+	c.Assert(planner.Write(context.Background(), expired), qt.IsNil)
 	c.Check(srv.Keys("workloads/"), qt.HasLen, 0)
 }
 
@@ -62,8 +62,8 @@
 	c.Check(unreadable, qt.HasLen, 1)
 	c.Check(ended[0].Outcome.State, qt.Equals, workload.Cancelled)
 	c.Check(ended[0].Age, qt.Equals, time.Minute)
-	forgotten := engine.Write{ForgottenJobs: []engine.ExpiredJob{{ID: "j1", OutcomeRevision: ended[0].OutcomeRevision}}}
-	c.Assert(planner.Write(ctx, forgotten), qt.IsNil)
+	expired := engine.Write{ForgottenJobs: []engine.ExpiredJob{{ID: "j1", OutcomeRevision: ended[0].OutcomeRevision}}}
+	c.Assert(planner.Write(ctx, expired), qt.IsNil)
 	c.Check(srv.Keys("workloads/ended/"), qt.DeepEquals, []string{"workloads/ended/bytes"})
 }
 
