--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -52,16 +52,16 @@
 	Keys   map[string]string
 	Limits Limits
 
-	byHost map[string][]*Queue
+	queuesByHost map[string][]*Queue
 }
 
 // BuildIndex prepares c for Match. It is called once, before c is shared.
 func (c *Catalog) BuildIndex() *Catalog {
-	c.byHost = map[string][]*Queue{}
+	c.queuesByHost = map[string][]*Queue{}
 	for i := range c.Queues {
 		q := &c.Queues[i]
 		host := strings.ToLower(q.Host)
-		c.byHost[host] = append(c.byHost[host], q)
+		c.queuesByHost[host] = append(c.queuesByHost[host], q)
 	}
 	return c
 }
@@ -70,10 +70,10 @@
 // the path. host may carry a port.
 func (c *Catalog) Match(host, path string) (q *Queue, rest string, ok bool) {
 	host = strings.ToLower(host)
-	queues, known := c.byHost[host]
+	queues, known := c.queuesByHost[host]
 	if !known {
 		name, _, _ := strings.Cut(host, ":")
-		queues = c.byHost[name]
+		queues = c.queuesByHost[name]
 	}
 	for _, candidate := range queues {
 		if strings.HasPrefix(path, candidate.Prefix) && (q == nil || len(candidate.Prefix) > len(q.Prefix)) {
--- a/catalog/inforce.go
+++ b/catalog/inforce.go
@@ -20,10 +20,10 @@
 // writers may come from several sources (the store's watch, peers) in any order, and an
 // older version never replaces a newer one.
 type Current struct {
-	mu      sync.Mutex
-	view    atomic.Pointer[Snapshot]
-	cordons atomic.Pointer[Cordons]
-	changed chan struct{}
+	mu       sync.Mutex
+	snapshot atomic.Pointer[Snapshot]
+	cordons  atomic.Pointer[Cordons]
+	changed  chan struct{}
 }
 
 // NewCurrent returns an InForce without a version.
@@ -31,7 +31,7 @@
 
 // Snapshot returns the present view, and false before the first version is known.
 func (f *Current) Snapshot() (Snapshot, bool) {
-	v := f.view.Load()
+	v := f.snapshot.Load()
 	if v == nil {
 		return Snapshot{}, false
 	}
@@ -43,7 +43,7 @@
 func (f *Current) Update(c *Catalog, raw []byte, confirmed time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	old := f.view.Load()
+	old := f.snapshot.Load()
 	if old != nil && c.Version < old.Catalog.Version {
 		return false
 	}
@@ -53,7 +53,7 @@
 		next.Catalog, next.Raw = old.Catalog, old.Raw
 		next.ConfirmedAt = max(confirmed, old.ConfirmedAt)
 	}
-	f.view.Store(next)
+	f.snapshot.Store(next)
 	if fresh {
 		f.notify()
 	}
@@ -71,11 +71,11 @@
 func (f *Current) Confirm(version int64, confirmed time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	old := f.view.Load()
+	old := f.snapshot.Load()
 	if old == nil || old.Catalog.Version != version || old.ConfirmedAt >= confirmed {
 		return
 	}
-	f.view.Store(&Snapshot{Catalog: old.Catalog, Raw: old.Raw, ConfirmedAt: confirmed})
+	f.snapshot.Store(&Snapshot{Catalog: old.Catalog, Raw: old.Raw, ConfirmedAt: confirmed})
 }
 
 // Changed returns a channel that is closed when the next version is in force, or other zones
--- a/engine/advice.go
+++ b/engine/advice.go
@@ -11,18 +11,18 @@
 // worker, which a start must carry. Tickets are asked for ahead, a few workers a call, the
 // most urgent unit's first; no unit is placed where it has none.
 const (
-	// ticketMargin is how long a ticket must still be valid to be placed by: the record and
+	// minTicketValidity is how long a ticket must still be valid to be placed by: the record and
 	// the order follow.
-	ticketMargin = 400 * time.Millisecond
+	minTicketValidity = 400 * time.Millisecond
 	// Workers asked for in one call: some more than the unit has members, since some are
 	// not allowed. A call takes longer for each.
-	adviceLeast = 3
-	adviceMost  = 12
-	// adviceRetry is the pause after a call that failed.
-	adviceRetry = 250 * time.Millisecond
-	// adviceAhead is added to the time that a call takes when tickets are fetched for steps
+	minAdviceWorkers = 3
+	maxAdviceWorkers = 12
+	// adviceRetryDelay is the pause after a call that failed.
+	adviceRetryDelay = 250 * time.Millisecond
+	// advicePrefetchLead is added to the time that a call takes when tickets are fetched for steps
 	// whose predecessors still run.
-	adviceAhead = 300 * time.Millisecond
+	advicePrefetchLead = 300 * time.Millisecond
 )
 
 // AdviceRequest asks the service which workers may run a step. One is in progress at a time;
@@ -46,89 +46,89 @@
 func (AdviceRequest) isAction() {}
 func (AdviceResponse) isEvent() {}
 
-// tickets is what is known of the workers that may run a step.
-type tickets struct {
-	held   map[WorkerID]ticket
-	denied map[WorkerID]bool
+// stepTickets is what is known of the workers that may run a step.
+type stepTickets struct {
+	granted map[WorkerID]ticket
+	denied  map[WorkerID]bool
 }
 
 type ticket struct {
-	text  string
-	until time.Duration
+	value     string
+	expiresAt time.Duration
 }
 
-func (j *job) ticketsOf(at stepAt) *tickets {
-	if j.tickets == nil {
-		j.tickets = map[stepAt]*tickets{}
+func (j *job) ticketsFor(at stepAt) *stepTickets {
+	if j.ticketsByStep == nil {
+		j.ticketsByStep = map[stepAt]*stepTickets{}
 	}
-	t := j.tickets[at]
+	t := j.ticketsByStep[at]
 	if t == nil {
-		t = &tickets{held: map[WorkerID]ticket{}, denied: map[WorkerID]bool{}}
-		j.tickets[at] = t
+		t = &stepTickets{granted: map[WorkerID]ticket{}, denied: map[WorkerID]bool{}}
+		j.ticketsByStep[at] = t
 	}
 	return t
 }
 
-func (u *unit) advised() bool { return u.job.spec.QueuePolicy.Advice != nil }
+func (u *unit) needsTicket() bool { return u.job.spec.QueuePolicy.Advice != nil }
 
-// ticketOn returns the ticket with which u may start on a worker; it is empty where none
+// ticketFor returns the ticket with which u may start on a worker; it is empty where none
 // is needed.
-func (u *unit) ticketOn(now time.Duration, id WorkerID) (text string, ok bool) {
-	if !u.advised() {
+func (u *unit) ticketFor(now time.Duration, id WorkerID) (text string, ok bool) {
+	if !u.needsTicket() {
 		return "", true
 	}
-	t, held := u.job.ticketsOf(u.at()).held[id]
-	return t.text, held && now < t.until
+	t, held := u.job.ticketsFor(u.at()).granted[id]
+	return t.value, held && now < t.expiresAt
 }
 
-// askAdvice asks for the unit that needs tickets first.
-func (e *Engine) askAdvice(r *round, queue []*unit) {
-	if e.asking || r.now < e.askAfter {
+// requestAdvice asks for the unit that needs tickets first.
+func (e *Engine) requestAdvice(r *round, queue []*unit) {
+	if e.adviceInFlight || r.now < e.adviceRetryAt {
 		return
 	}
 	for _, u := range queue {
-		if e.ask(r, u) {
+		if e.requestTickets(r, u) {
 			return
 		}
 	}
-	for _, j := range e.sequence {
+	for _, j := range e.orderedJobs {
 		for _, u := range j.units {
-			if u.state == unitBlocked && u.advised() && e.soon(r.now, u) && e.ask(r, u) {
+			if u.state == unitBlocked && u.needsTicket() && e.dependenciesEndSoon(r.now, u) && e.requestTickets(r, u) {
 				return
 			}
 		}
 	}
 }
 
-// ask asks for tickets of u, where those that it has don't reach.
-func (e *Engine) ask(r *round, u *unit) bool {
-	if !u.advised() {
+// requestTickets asks for tickets of u, where those that it has don't reach.
+func (e *Engine) requestTickets(r *round, u *unit) bool {
+	if !u.needsTicket() {
 		return false
 	}
-	known := u.job.ticketsOf(u.at())
+	known := u.job.ticketsFor(u.at())
 	room := 0
 	var ask []WorkerID
-	for _, w := range r.byRoom(u) {
+	for _, w := range r.candidatesFor(u) {
 		id := w.info.ID
-		if _, ok := u.ticketOn(r.now+ticketMargin, id); ok {
+		if _, ok := u.ticketFor(r.now+minTicketValidity, id); ok {
 			room += u.demand().CountFitting(w.free(), u.size)
 			continue
 		}
-		if !known.denied[id] && len(ask) < min(max(2*u.size, adviceLeast), adviceMost) {
+		if !known.denied[id] && len(ask) < min(max(2*u.size, minAdviceWorkers), maxAdviceWorkers) {
 			ask = append(ask, id)
 		}
 	}
 	if room >= u.size || len(ask) == 0 {
 		return false
 	}
-	e.asking = true
+	e.adviceInFlight = true
 	e.actions = append(e.actions, AdviceRequest{Job: u.job.spec.ID, Occurrence: u.occurrence, Step: u.step, Workers: ask})
 	return true
 }
 
-// byRoom returns the workers that could hold a member of u, those with room for one now
+// candidatesFor returns the workers that could hold a member of u, those with room for one now
 // first.
-func (r *round) byRoom(u *unit) []*worker {
+func (r *round) candidatesFor(u *unit) []*worker {
 	var now, later []*worker
 	for _, w := range r.all.workers {
 		if w.info.Service != u.job.spec.Service || !w.hasLabel(u.spec().Label) || !u.demand().FitsIn(w.info.Capacity) {
@@ -143,10 +143,10 @@
 	return append(now, later...)
 }
 
-// soon says whether the steps before u's are about to end.
-func (e *Engine) soon(now time.Duration, u *unit) bool {
+// dependenciesEndSoon says whether the steps before u's are about to end.
+func (e *Engine) dependenciesEndSoon(now time.Duration, u *unit) bool {
 	advice := u.job.spec.QueuePolicy.Advice
-	lead := advice.DecisionTime + adviceMost*advice.TimePerWorker + adviceAhead
+	lead := advice.DecisionTime + maxAdviceWorkers*advice.TimePerWorker + advicePrefetchLead
 	for _, before := range u.spec().DependsOn {
 		for _, o := range u.job.units {
 			if o.occurrence != u.occurrence || o.step != before || o.state == unitDone {
@@ -165,25 +165,25 @@
 	return true
 }
 
-// advice takes the answer to a question.
-func (e *Engine) advice(now time.Duration, ev AdviceResponse) {
-	e.asking = false
-	e.replan = true
+// handleAdvice takes the answer to a question.
+func (e *Engine) handleAdvice(now time.Duration, ev AdviceResponse) {
+	e.adviceInFlight = false
+	e.planNeeded = true
 	if ev.Failed {
-		e.askAfter = now + adviceRetry
+		e.adviceRetryAt = now + adviceRetryDelay
 		return
 	}
 	j := e.jobs[ev.Request.Job]
 	if j == nil {
 		return
 	}
-	known := j.ticketsOf(stepAt{ev.Request.Occurrence, ev.Request.Step})
+	known := j.ticketsFor(stepAt{ev.Request.Occurrence, ev.Request.Step})
 	for _, id := range ev.Request.Workers {
 		text, allowed := ev.Tickets[id]
 		if !allowed {
 			known.denied[id] = true
 			continue
 		}
-		known.held[id] = ticket{text: text, until: now + ev.Lifetime}
+		known.granted[id] = ticket{value: text, expiresAt: now + ev.Lifetime}
 	}
 }
--- a/engine/backoff.go
+++ b/engine/backoff.go
@@ -4,18 +4,18 @@
 
 // backoff is how long to wait before something that did not work is repeated. The zero value
 // has not begun.
-type backoff struct{ repeats int }
+type backoff struct{ attempts int }
 
 // next returns the next pause: first, then twice as long each time, up to most.
 func (b *backoff) next(first, most time.Duration) time.Duration {
 	pause := first
-	for range b.repeats {
+	for range b.attempts {
 		if pause *= 2; pause >= most {
 			return most
 		}
 	}
-	b.repeats++
+	b.attempts++
 	return pause
 }
 
-func (b *backoff) reset() { b.repeats = 0 }
+func (b *backoff) reset() { b.attempts = 0 }
--- a/engine/bench_day_test.go
+++ b/engine/bench_day_test.go
@@ -23,22 +23,22 @@
 }
 
 type benchWorker struct {
-	info    WorkerInfo
-	running map[workload.TaskID]*benchRun
-	ended   []RunEnd
-	listed  int64
-	due     time.Duration // of the next report
+	info          WorkerInfo
+	running       map[workload.TaskID]*benchRun
+	ended         []RunEnd
+	lastEndNumber int64
+	nextReportAt  time.Duration // of the next report
 }
 
 type benchRun struct {
-	id    workload.RunID
-	began time.Duration
-	end   time.Duration
+	id        workload.RunID
+	startedAt time.Duration
+	endsAt    time.Duration
 }
 
 const (
-	benchReport = 250 * time.Millisecond
-	benchStep   = 10 * time.Millisecond
+	benchReportInterval = 250 * time.Millisecond
+	benchTimeStep       = 10 * time.Millisecond
 )
 
 func newBenchFleet(workers, rackSize int) *benchFleet {
@@ -59,21 +59,21 @@
 				ID: WorkerID(fmt.Sprintf("w%05d", i)), Agent: fmt.Sprint("agent", i), Service: "s", Rack: rack, Labels: []string{rack},
 				Capacity: workload.Resources{MilliCPU: 32000, MemoryMB: 128000, Accelerators: 8},
 			},
-			running: map[workload.TaskID]*benchRun{},
-			due:     f.now + time.Duration(i)*benchReport/time.Duration(workers),
+			running:      map[workload.TaskID]*benchRun{},
+			nextReportAt: f.now + time.Duration(i)*benchReportInterval/time.Duration(workers),
 		})
 	}
 	return f
 }
 
-// pass lets time pass, with jobs arriving at a rate a second.
-func (f *benchFleet) pass(by time.Duration, rate float64) {
-	for end := f.now + by; f.now < end; f.now += benchStep {
-		if f.rng.Float64() < rate*benchStep.Seconds() {
+// advance lets time advance, with jobs arriving at a rate a second.
+func (f *benchFleet) advance(by time.Duration, rate float64) {
+	for end := f.now + by; f.now < end; f.now += benchTimeStep {
+		if f.rng.Float64() < rate*benchTimeStep.Seconds() {
 			f.submit()
 		}
 		for _, w := range f.workers {
-			if f.now >= w.due {
+			if f.now >= w.nextReportAt {
 				f.report(w)
 			}
 		}
@@ -108,16 +108,16 @@
 }
 
 func (f *benchFleet) report(w *benchWorker) {
-	w.due = f.now + benchReport
+	w.nextReportAt = f.now + benchReportInterval
 	r := Report{Epoch: 1, Polled: true, Worker: w.info}
 	for id, run := range w.running {
-		if f.now >= run.end {
-			w.listed++
-			w.ended = append(w.ended, RunEnd{Sequence: w.listed, Run: run.id, Reason: EndDone})
+		if f.now >= run.endsAt {
+			w.lastEndNumber++
+			w.ended = append(w.ended, RunEnd{Sequence: w.lastEndNumber, Run: run.id, Reason: EndDone})
 			delete(w.running, id)
 			continue
 		}
-		percent := int(100 * (f.now - run.began) / (run.end - run.began))
+		percent := int(100 * (f.now - run.startedAt) / (run.endsAt - run.startedAt))
 		r.Running = append(r.Running, RunStatus{Run: run.id, Percent: percent, Checkpoint: fmt.Sprint(percent / 10)})
 	}
 	r.Ended = w.ended
@@ -138,13 +138,13 @@
 		ended := OrdersCompleted{Worker: o.Worker}
 		for _, s := range o.Starts {
 			took := time.Duration((0.3 + 2*f.rng.Float64()) * float64(4*time.Second))
-			w.running[s.Run.Task] = &benchRun{id: s.Run, began: f.now, end: f.now + took}
+			w.running[s.Run.Task] = &benchRun{id: s.Run, startedAt: f.now, endsAt: f.now + took}
 			ended.Starts = append(ended.Starts, StartResult{Run: s.Run, Outcome: StartOK})
 		}
 		for _, run := range o.Stops {
 			if r := w.running[run.Task]; r != nil && r.id == run {
-				w.listed++
-				w.ended = append(w.ended, RunEnd{Sequence: w.listed, Run: run, Reason: EndStopped})
+				w.lastEndNumber++
+				w.ended = append(w.ended, RunEnd{Sequence: w.lastEndNumber, Run: run, Reason: EndStopped})
 				delete(w.running, run.Task)
 			}
 		}
@@ -167,9 +167,9 @@
 		b.Run(fmt.Sprintf("workers=%d", size), func(b *testing.B) {
 			f := newBenchFleet(size, 8)
 			rate := 7 * float64(size) / 240
-			f.pass(20*time.Second, rate)
+			f.advance(20*time.Second, rate)
 			for b.Loop() {
-				f.pass(time.Second, rate)
+				f.advance(time.Second, rate)
 			}
 			b.ReportMetric(float64(b.Elapsed().Milliseconds())/float64(b.N), "ms/fleet-s")
 		})
--- a/engine/bench_test.go
+++ b/engine/bench_test.go
@@ -35,7 +35,7 @@
 	}
 	store()
 	submit := func(n, priority, count, accelerators int, isGang bool) {
-		step := tasks(count, accelerators)
+		step := taskStep(count, accelerators)
 		step.Gang, step.SameRack = isGang, isGang
 		e.HandleEvent(now, JobSubmitted{Revision: int64(n), Job: workload.Job{
 			ID: workload.JobID(fmt.Sprintf("job%06d", n)), Queue: fmt.Sprint("q", priority), Service: "s",
--- a/engine/cancelled_test.go
+++ b/engine/cancelled_test.go
@@ -10,23 +10,23 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// lateRun orders a start that gets no answer, and cancels its job. The worker then confirms
+// cancelUnansweredStart orders a start that gets no answer, and cancels its job. The worker then confirms
 // the stop of a run that it does not have yet, and looks show nothing.
-func (d *desk) lateRun(c *qt.C) (workload.RunID, WorkerID) {
-	id := d.job(1, "", tasks(1, 8))
+func (d *driver) cancelUnansweredStart(c *qt.C) (workload.RunID, WorkerID) {
+	id := d.submit(1, "", taskStep(1, 8))
 	var run workload.RunID
 	for range 3 {
-		d.turn(StartUnknown)
+		d.decideAndStore(StartUnknown)
 	}
 	c.Assert(d.starts, qt.HasLen, 1)
 	run = d.starts[0].Run
-	d.step(CancelRequested{Job: id})
+	d.handle(CancelRequested{Job: id})
 	d.settle()
-	return run, d.on[run]
+	return run, d.startedOn[run]
 }
 
-// showOne lets a worker report one run, and returns whether its stop is ordered at once.
-func (d *desk) showOne(run workload.RunID, on WorkerID) bool {
+// reportStopsRun lets a worker report one run, and returns whether its stop is ordered at once.
+func (d *driver) reportStopsRun(run workload.RunID, on WorkerID) bool {
 	d.stops = nil
 	d.now += 100 * time.Millisecond
 	d.report(Report{
@@ -40,24 +40,24 @@
 // A worker leaves a start unanswered, and its job is cancelled. Seconds later, with the
 // placement long given up for lost, the worker carries the order out: nobody asked for the
 // task any more, and it must be stopped with the first look that shows it.
-func TestLateStartOfACancelledJobIsStopped(t *testing.T) {
+func TestLateStartOfCancelledJobIsStopped(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 1)
-	run, on := d.lateRun(c)
+	d := newDriver(t, 1)
+	run, on := d.cancelUnansweredStart(c)
 	d.report(Report{Epoch: 1, Polled: true, Worker: d.e.workers[on].info, ConfirmedAbsent: []workload.RunID{run}})
 	d.settle()
 	c.Assert(d.runs(run.Task.Job), qt.HasLen, 0)
-	c.Check(d.showOne(run, on), qt.IsTrue)
+	c.Check(d.reportStopsRun(run, on), qt.IsTrue)
 	c.Check(d.e.workers[on].usable(d.now), qt.IsFalse, qt.Commentf("its room is taken until it is gone"))
 }
 
 // The same, but the instance whose planner ordered the start has been removed meanwhile.
 // Its successor has read the cancelled job from the records and never ordered the task.
-func TestSuccessorStopsWhatIsCancelledAndStartsLate(t *testing.T) {
+func TestSuccessorStopsLateStartOfCancelledJob(t *testing.T) {
 	for _, recorded := range []bool{true, false} {
 		c := qt.New(t)
-		d := newDesk(t, 1)
-		run, on := d.lateRun(c)
+		d := newDriver(t, 1)
+		run, on := d.cancelUnansweredStart(c)
 		info := d.e.workers[on].info
 		if !recorded {
 			d.report(Report{Epoch: 1, Polled: true, Worker: info, ConfirmedAbsent: []workload.RunID{run}})
@@ -65,7 +65,7 @@
 		}
 		d.takeOver()
 		d.report(Report{Epoch: d.e.epoch, Worker: info})
-		c.Check(d.showOne(run, on), qt.IsTrue, qt.Commentf("placement on record: %v", recorded))
+		c.Check(d.reportStopsRun(run, on), qt.IsTrue, qt.Commentf("placement on record: %v", recorded))
 		c.Check(d.e.workers[on].usable(d.now), qt.IsFalse)
 	}
 }
--- a/engine/checkpoints_test.go
+++ b/engine/checkpoints_test.go
@@ -11,24 +11,24 @@
 // A site loses power: workers, agents and gateways at once. Its tasks had saved their
 // progress each second or so, but only the planner that died had seen the checkpoints, so
 // all of them began anew. The next planner must find them on record.
-func TestCheckpointsOutliveALossOfEverything(t *testing.T) {
+func TestCheckpointsSurviveFullOutage(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 2)
-	step := tasks(1, 8)
+	d := newDriver(t, 2)
+	step := taskStep(1, 8)
 	step.Checkpoints = true
-	id := d.job(1, "", step)
+	id := d.submit(1, "", step)
 	d.settle()
-	on := d.on[d.starts[0].Run]
-	d.showCheckpoint(on, "saved-1")
-	d.pass(2 * keepEvery)
-	d.showCheckpoint(on, "saved-2")
-	d.pass(2 * keepEvery)
+	on := d.startedOn[d.starts[0].Run]
+	d.reportCheckpoint(on, "saved-1")
+	d.advance(2 * checkpointWriteInterval)
+	d.reportCheckpoint(on, "saved-2")
+	d.advance(2 * checkpointWriteInterval)
 	d.takeOver()
 	for _, w := range d.e.sortedWorkers() {
 		d.report(Report{Worker: w.info, Terminated: true})
 	}
 	for i := range 2 {
-		again := d.worker(10 + i)
+		again := d.workerReport(10 + i)
 		again.Epoch = d.e.epoch
 		d.report(again)
 	}
@@ -42,27 +42,27 @@
 // a bounded number of jobs each time, those with the most unkept work first.
 func TestCheckpointWritesAreBounded(t *testing.T) {
 	c := qt.New(t)
-	const jobs = 3 * keepMost
-	d := newDesk(t, jobs)
-	step := tasks(1, 8)
+	const jobs = 3 * maxCheckpointJobs
+	d := newDriver(t, jobs)
+	step := taskStep(1, 8)
 	step.Checkpoints = true
 	for range jobs {
-		d.job(1, "", step)
+		d.submit(1, "", step)
 	}
 	d.settle()
 	for i, s := range d.starts {
-		d.showCheckpoint(d.on[s.Run], fmt.Sprint("saved-", i))
+		d.reportCheckpoint(d.startedOn[s.Run], fmt.Sprint("saved-", i))
 	}
-	d.now += keepEvery
-	d.step(Tick{WallTime: time.Unix(1000, 0)})
+	d.now += checkpointWriteInterval
+	d.handle(Tick{WallTime: time.Unix(1000, 0)})
 	w := d.e.PendingChanges(d.now, time.Unix(1000, 0), 10*jobs)
-	c.Check(w.Jobs, qt.HasLen, keepMost)
+	c.Check(w.Jobs, qt.HasLen, maxCheckpointJobs)
 }
 
-// showCheckpoint lets a worker show its one run with a new checkpoint.
-func (d *desk) showCheckpoint(id WorkerID, saved string) {
+// reportCheckpoint lets a worker show its one run with a new checkpoint.
+func (d *driver) reportCheckpoint(id WorkerID, saved string) {
 	d.now += 100 * time.Millisecond
-	d.show(id, func(p *placement) RunStatus {
+	d.reportRuns(id, func(p *placement) RunStatus {
 		return RunStatus{Checkpoint: saved, Percent: p.pulse.percent + 1}
 	})
 }
--- a/engine/cordon.go
+++ b/engine/cordon.go
@@ -8,12 +8,12 @@
 
 func (CordonsChanged) isEvent() {}
 
-func (e *Engine) cordon(ev CordonsChanged) {
+func (e *Engine) setCordons(ev CordonsChanged) {
 	e.cordons = ev.Cordons
 	for _, w := range e.workers {
 		e.markCordoned(w)
 	}
-	e.replan = true
+	e.planNeeded = true
 }
 
 func (e *Engine) markCordoned(w *worker) { w.cordoned = e.cordons.Contains(w.info.Zone) }
--- a/engine/crash.go
+++ b/engine/crash.go
@@ -31,110 +31,110 @@
 	// StartupCrashWindow is how long a run is seen at work before it is taken not to crash its
 	// worker by its start; images are loaded and accelerators set up by then.
 	StartupCrashWindow = time.Second
-	// earlyMost is how many early crashes a task is given up after, where nothing else had
+	// maxStartupCrashes is how many early crashes a task is given up after, where nothing else had
 	// just started on the last worker.
-	earlyMost = 2
-	// crashesMost is how many crashes of any kind a task is given up after. It bounds tasks
+	maxStartupCrashes = 2
+	// maxCrashes is how many crashes of any kind a task is given up after. It bounds tasks
 	// that crash their workers later in their run, and those whose planner was lost with
 	// their workers, so that nobody knows how long they ran. An innocent task would have to
 	// be on as many workers that fail by themselves. It is not tried once more: a gang may
 	// be started several times before all its members are there, and each start counts.
-	crashesMost = 3
-	// certainLeast is how many of these crashes must be certain; with fewer, the task is given
+	maxCrashes = 3
+	// minConfirmedCrashes is how many of these crashes must be certain; with fewer, the task is given
 	// up after one crash more.
-	certainLeast = 2
-	// forgivenAfter is how long a run has to last for its task's crashes to be forgotten.
+	minConfirmedCrashes = 2
+	// crashResetAfter is how long a run has to last for its task's crashes to be forgotten.
 	// Tasks that run for weeks see many machines fail.
-	forgivenAfter = 10 * time.Minute
+	crashResetAfter = 10 * time.Minute
 )
 
-// crashes counts the workers that crashed under one task.
-type crashes struct {
+// crashCount counts the workers that crashed under one task.
+type crashCount struct {
 	total int
-	// early are those before the run was proven, in which no other was suspected more.
-	early int
-	// certain are those under which the run certainly was.
-	certain int
+	// startup are those before the run was proven, in which no other was suspected more.
+	startup int
+	// confirmed are those under which the run certainly was.
+	confirmed int
 }
 
-// proven says whether looks have shown the run at work for long enough to clear it.
-func (p *placement) proven() bool {
+// pastStartup says whether looks have shown the run at work for long enough to clear it.
+func (p *placement) pastStartup() bool {
 	return p.began != 0 && p.shownAt-p.began >= StartupCrashWindow
 }
 
-// crashesOf returns the count of the task with that index.
-func (u *unit) crashesOf(index int) crashes { return u.crashes[index] }
+// crashCountOf returns the count of the task with that index.
+func (u *unit) crashCountOf(index int) crashCount { return u.crashes[index] }
 
-// suspect says whether a worker has crashed early under one of the unit's tasks.
-func (u *unit) suspect() bool {
+// hasStartupCrash says whether a worker has crashed early under one of the unit's tasks.
+func (u *unit) hasStartupCrash() bool {
 	for _, c := range u.crashes {
-		if c.early > 0 {
+		if c.startup > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// survive clears the task of p, which a look has just shown, as far as the run has lasted.
-func (p *placement) survive() {
+// resetCrashes clears the task of p, which a look has just shown, as far as the run has lasted.
+func (p *placement) resetCrashes() {
 	c, counted := p.unit.crashes[p.index]
 	switch {
 	case !counted:
-	case p.shownAt-p.began >= forgivenAfter:
+	case p.shownAt-p.began >= crashResetAfter:
 		delete(p.unit.crashes, p.index)
-	case p.proven():
-		c.early = 0
+	case p.pastStartup():
+		c.startup = 0
 		p.unit.crashes[p.index] = c
 	}
 }
 
-// charge counts a crash of w against the tasks that it had, in the order of places, and
+// countCrash counts a crash of w against the tasks that it had, in the order of places, and
 // gives up the jobs of those that have had enough.
-func (e *Engine) charge(now time.Duration, w *worker, places []*placement, t witness) {
+func (e *Engine) countCrash(now time.Duration, w *worker, places []*placement, t witness) {
 	blamed, alone := t.suspects(places)
 	for _, p := range places {
 		if !t.under(p) {
 			continue
 		}
 		u := p.unit
-		c := u.crashesOf(p.index)
+		c := u.crashCountOf(p.index)
 		c.total++
 		if blamed[p] {
-			c.early++
+			c.startup++
 		}
 		if t.certain(p) {
-			c.certain++
+			c.confirmed++
 		}
-		u.noteCrashes(p.index, c)
+		u.setCrashCount(p.index, c)
 		u.shun(now, w.info.Agent)
-		e.decided(p, "worker crashed under it", c.String())
-		e.change(u.job)
-		if c.hopeless(alone) && !u.job.state.Final() {
+		e.logDecision(p, "worker crashed under it", c.String())
+		e.markChanged(u.job)
+		if c.exceedsLimit(alone) && !u.job.state.Final() {
 			e.finish(now, u.job, workload.Failed, fmt.Sprintf("%d workers crashed under task %s", c.total, p.task()))
 		}
 	}
 }
 
 // String tells the count for the log.
-func (c crashes) String() string {
-	return fmt.Sprintf("%d times; %d early, %d certain", c.total, c.early, c.certain)
+func (c crashCount) String() string {
+	return fmt.Sprintf("%d times; %d early, %d certain", c.total, c.startup, c.confirmed)
 }
 
-// hopeless says whether the task is given up. alone: nothing of another job had just started
+// exceedsLimit says whether the task is given up. alone: nothing of another job had just started
 // on the last worker.
-func (c crashes) hopeless(alone bool) bool {
-	if c.certain < certainLeast {
-		return c.total > crashesMost
+func (c crashCount) exceedsLimit(alone bool) bool {
+	if c.confirmed < minConfirmedCrashes {
+		return c.total > maxCrashes
 	}
-	return c.total >= crashesMost || alone && c.early >= earlyMost
+	return c.total >= maxCrashes || alone && c.startup >= maxStartupCrashes
 }
 
-// lastChance says whether the next crash gives the task up in any case.
-func (c crashes) lastChance() bool { return c.total == crashesMost-1 }
+// onLastAttempt says whether the next crash gives the task up in any case.
+func (c crashCount) onLastAttempt() bool { return c.total == maxCrashes-1 }
 
-func (u *unit) noteCrashes(index int, c crashes) {
+func (u *unit) setCrashCount(index int, c crashCount) {
 	if u.crashes == nil {
-		u.crashes = map[int]crashes{}
+		u.crashes = map[int]crashCount{}
 	}
 	u.crashes[index] = c
 }
--- a/engine/departure.go
+++ b/engine/departure.go
@@ -31,17 +31,17 @@
 	return DepartureLeft
 }
 
-// replaced is how a life has ended in whose place another one reports. Its agent does not
+// departureOfReplaced is how a life has ended in whose place another one reports. Its agent does not
 // know if it was started again meanwhile.
-func (e *Engine) replaced(id WorkerID) Departure {
+func (e *Engine) departureOfReplaced(id WorkerID) Departure {
 	if w := e.workers[id]; w != nil && w.draining {
 		return DepartureLeft
 	}
 	return DepartureCrashed
 }
 
-// history says, for the log, how long a run was known to be at work.
-func (p *placement) history() string {
+// observedRunTime says, for the log, how long a run was known to be at work.
+func (p *placement) observedRunTime() string {
 	switch {
 	case p.shownAt == 0:
 		return "no look has shown this run"
--- a/engine/discard.go
+++ b/engine/discard.go
@@ -43,16 +43,16 @@
 
 func (WorkDiscarded) isAction() {}
 
-// blame notes why the present run of u ends. The first cause stands: what follows from it,
+// setCauseOnce notes why the present run of u ends. The first cause stands: what follows from it,
 // such as the end of a gang's other members, is not another.
-func (u *unit) blame(c Cause) {
+func (u *unit) setCauseOnce(c Cause) {
 	if u.cause == causeNone && u.state == unitActive {
 		u.cause = c
 	}
 }
 
-// discard accounts for the work of a run that is over without being done.
-func (e *Engine) discard(now time.Duration, p *placement) {
+// recordDiscarded accounts for the work of a run that is over without being done.
+func (e *Engine) recordDiscarded(now time.Duration, p *placement) {
 	u := p.unit
 	if u.verdict == verdictDone || u.cause == causeNone || p.began == 0 || p.state != placeRunning {
 		return
--- a/engine/discard_test.go
+++ b/engine/discard_test.go
@@ -7,12 +7,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// ledger sums what the engine says was thrown away, by cause.
-type ledger struct{ lost, saved map[Cause]float64 }
+// discardedWork sums what the engine says was thrown away, by cause.
+type discardedWork struct{ lost, saved map[Cause]float64 }
 
-// account takes the engine's actions so far.
-func (d *desk) account() ledger {
-	out := ledger{lost: map[Cause]float64{}, saved: map[Cause]float64{}}
+// sumDiscarded takes the engine's actions so far.
+func (d *driver) sumDiscarded() discardedWork {
+	out := discardedWork{lost: map[Cause]float64{}, saved: map[Cause]float64{}}
 	for _, a := range d.discarded {
 		out.lost[a.Cause] += a.Lost
 		out.saved[a.Cause] += a.Saved
@@ -22,56 +22,56 @@
 
 // A job is cancelled after two seconds of work on 4 cores and 8 accelerators: all of it is
 // accounted for under that cause, once.
-func TestCancelledWorkIsAccountedFor(t *testing.T) {
+func TestCancelledWorkIsRecordedAsDiscarded(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 2)
-	id := d.job(1, "", tasks(1, 8))
+	d := newDriver(t, 2)
+	id := d.submit(1, "", taskStep(1, 8))
 	d.settle()
-	d.pass(2 * time.Second)
-	d.step(CancelRequested{Job: id})
-	d.end(id, EndStopped)
+	d.advance(2 * time.Second)
+	d.handle(CancelRequested{Job: id})
+	d.endRuns(id, EndStopped)
 	d.settle()
-	got := d.account()
+	got := d.sumDiscarded()
 	c.Check(got.lost, qt.HasLen, 1)
 	c.Check(got.lost[CauseCancelled] > 100 && got.lost[CauseCancelled] < 150, qt.IsTrue, qt.Commentf("%v", got.lost))
 }
 
 // One member of a gang fails; the others end broken or are stopped. The failure is the one
 // cause of all that was lost, and a gang that is done loses nothing.
-func TestGangIsLostForOneCause(t *testing.T) {
+func TestGangLossHasSingleCause(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 3)
-	id := d.job(1, "", gang(2, 8))
+	d := newDriver(t, 3)
+	id := d.submit(1, "", gangStep(2, 8))
 	d.settle()
-	d.pass(time.Second)
-	d.end(id, EndFailed)
+	d.advance(time.Second)
+	d.endRuns(id, EndFailed)
 	d.settle()
-	c.Check(d.account().lost, qt.HasLen, 1)
-	c.Check(d.account().lost[CauseFailed] > 0, qt.IsTrue)
-	d.pass(time.Second)
+	c.Check(d.sumDiscarded().lost, qt.HasLen, 1)
+	c.Check(d.sumDiscarded().lost[CauseFailed] > 0, qt.IsTrue)
+	d.advance(time.Second)
 	before := len(d.discarded)
-	d.end(id, EndDone)
+	d.endRuns(id, EndDone)
 	d.settle()
 	c.Check(d.discarded, qt.HasLen, before)
 }
 
 // A run that was shown with a checkpoint and is lost with its worker has lost what it did
 // since then.
-func TestCheckpointKeepsWhatWasDoneBefore(t *testing.T) {
+func TestCheckpointedWorkCountsAsSaved(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 1)
-	step := tasks(1, 8)
+	d := newDriver(t, 1)
+	step := taskStep(1, 8)
 	step.Checkpoints = true
-	id := d.job(1, "", step)
+	id := d.submit(1, "", step)
 	d.settle()
-	d.pass(time.Second)
+	d.advance(time.Second)
 	w := d.e.workers["w0"]
 	run := d.runs(id)["w0"][0]
 	d.report(Report{Epoch: 1, Polled: true, Worker: w.info, Running: []RunStatus{{Run: run, Checkpoint: "c1", Percent: 40}}})
 	d.now += time.Second
 	d.report(Report{Worker: w.info, Terminated: true})
 	d.settle()
-	got := d.account()
+	got := d.sumDiscarded()
 	c.Check(got.lost[CauseWorkerLost] > 60 && got.lost[CauseWorkerLost] < 80, qt.IsTrue, qt.Commentf("%v", got.lost))
 	c.Check(got.saved[CauseWorkerLost] > 60, qt.IsTrue, qt.Commentf("%v", got.saved))
 }
@@ -79,17 +79,17 @@
 // A job waits for room behind another, which runs for longer than it declared, for longer than
 // its objective allows. The log names that as its reason, and does not call the other one late,
 // whose callers are served within what its work allows.
-func TestLateJobNamesItsReason(t *testing.T) {
+func TestLateJobReportsReason(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 1)
-	first := d.job(1, "", tasks(1, 8))
+	d := newDriver(t, 1)
+	first := d.submit(1, "", taskStep(1, 8))
 	d.settle()
-	second := d.job(1, "", tasks(1, 8))
-	d.pass(15 * time.Second)
-	d.end(first, EndDone)
+	second := d.submit(1, "", taskStep(1, 8))
+	d.advance(15 * time.Second)
+	d.endRuns(first, EndDone)
 	d.settle()
-	d.pass(4 * time.Second)
-	d.end(second, EndDone)
+	d.advance(4 * time.Second)
+	d.endRuns(second, EndDone)
 	d.settle()
 	c.Assert(d.late, qt.HasLen, 1)
 	c.Check(d.late[0].Job, qt.Equals, second)
--- a/engine/ended.go
+++ b/engine/ended.go
@@ -14,10 +14,10 @@
 // Its name stays taken by the outcome, so that a submission that is repeated late finds it
 // and does not run again.
 const (
-	// endedRecords and forgottenRecords are how many records it takes at most to replace a
+	// archiveRecords and forgottenRecords are how many records it takes at most to replace a
 	// job's records by its outcome, and to remove that.
-	endedRecords     = 4
-	forgottenRecords = 2
+	archiveRecords = 4
+	removalRecords = 2
 )
 
 // JobOutcome is the durable form of a job of which nothing runs any more.
@@ -59,8 +59,8 @@
 
 func (EndedJobRestored) isEvent() {}
 
-// idle says whether nothing of the job holds room on any worker.
-func (j *job) idle() bool {
+// hasNoPlacements says whether nothing of the job holds room on any worker.
+func (j *job) hasNoPlacements() bool {
 	for _, u := range j.units {
 		if len(u.places) > 0 {
 			return false
@@ -69,59 +69,59 @@
 	return true
 }
 
-// settled says whether the records of a job that has ended may be replaced by its outcome:
+// canArchive says whether the records of a job that has ended may be replaced by its outcome:
 // all of it is on record, nothing runs, and the revision of a cancellation is known, so that
 // its record goes too.
-func (j *job) settled() bool {
-	return j.stored == j.version && j.order != 0 && (!j.canceled || j.cancelOrder != 0) && j.idle()
+func (j *job) canArchive() bool {
+	return j.storedVersion == j.version && j.revision != 0 && (!j.canceled || j.cancelRevision != 0) && j.hasNoPlacements()
 }
 
-func (j *job) ended(epoch uint64, now time.Duration, wall time.Time) EndedJob {
-	return EndedJob{ID: j.spec.ID, Revision: j.order, CancelRevision: j.cancelOrder, Outcome: JobOutcome{
+func (j *job) endedJob(epoch uint64, now time.Duration, wall time.Time) EndedJob {
+	return EndedJob{ID: j.spec.ID, Revision: j.revision, CancelRevision: j.cancelRevision, Outcome: JobOutcome{
 		Epoch: epoch, Queue: j.spec.Queue, Account: j.spec.Account,
 		State: j.state, Reason: j.reason, EndedAt: wall.Add(j.endedAt - now),
 	}}
 }
 
-func (j *job) forgotten() ExpiredJob {
-	out := ExpiredJob{ID: j.spec.ID, OutcomeRevision: j.record}
-	if j.cancelOrder != j.cancelClosed {
-		out.CancelRevision = j.cancelOrder
+func (j *job) expiredJob() ExpiredJob {
+	out := ExpiredJob{ID: j.spec.ID, OutcomeRevision: j.outcomeRevision}
+	if j.cancelRevision != j.archivedCancelRevision {
+		out.CancelRevision = j.cancelRevision
 	}
 	return out
 }
 
-// close lets go of all but the outcome of a job, whose records are replaced.
-func (j *job) close(cancelOrder int64) {
-	j.closed = true
-	j.cancelClosed = cancelOrder
+// archive lets go of all but the outcome of a job, whose records are replaced.
+func (j *job) archive(cancelOrder int64) {
+	j.archived = true
+	j.archivedCancelRevision = cancelOrder
 	j.units = nil
-	j.tickets = nil
+	j.ticketsByStep = nil
 	j.spec.Spec, j.spec.Steps = "", nil
 }
 
-// tickEnded moves on a job that has ended: its records are replaced by its outcome, which
+// ageEndedJob moves on a job that has ended: its records are replaced by its outcome, which
 // is removed when callers have no claim to it any more.
-func (e *Engine) tickEnded(now time.Duration, j *job) {
+func (e *Engine) ageEndedJob(now time.Duration, j *job) {
 	switch {
-	case !j.closed && !e.closing[j.spec.ID] && j.settled():
-		e.closing[j.spec.ID] = true
-	case j.closed && now-j.endedAt >= e.params.Retention+retentionSlack:
+	case !j.archived && !e.archiving[j.spec.ID] && j.canArchive():
+		e.archiving[j.spec.ID] = true
+	case j.archived && now-j.endedAt >= e.params.Retention+retentionSlack:
 		e.expired[j.spec.ID] = true
 	}
 }
 
-// restoreEnded takes a job that had ended from a predecessor's records.
-func (e *Engine) restoreEnded(now time.Duration, ev EndedJobRestored) {
+// restoreEndedJob takes a job that had ended from a predecessor's records.
+func (e *Engine) restoreEndedJob(now time.Duration, ev EndedJobRestored) {
 	if e.jobs[ev.ID] != nil {
 		return
 	}
-	j := e.adopt(now, JobSubmitted{Job: workload.Job{ID: ev.ID, Queue: ev.Outcome.Queue, Account: ev.Outcome.Account}, Age: ev.Age})
+	j := e.addJob(now, JobSubmitted{Job: workload.Job{ID: ev.ID, Queue: ev.Outcome.Queue, Account: ev.Outcome.Account}, Age: ev.Age})
 	j.state, j.reason = ev.Outcome.State, ev.Outcome.Reason
 	j.canceled = j.state == workload.Cancelled
 	j.endedAt = now - ev.Age
-	j.record = ev.OutcomeRevision
-	j.cancelOrder = e.cancels[ev.ID]
-	delete(e.cancels, ev.ID)
-	j.close(0)
+	j.outcomeRevision = ev.OutcomeRevision
+	j.cancelRevision = e.earlyCancels[ev.ID]
+	delete(e.earlyCancels, ev.ID)
+	j.archive(0)
 }
--- a/engine/ends.go
+++ b/engine/ends.go
@@ -8,9 +8,9 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// ended handles one listed end. It returns the job that must be stored before the
+// handleRunEnd handles one listed end. It returns the job that must be stored before the
 // worker may forget the end, nil where nothing depends on it.
-func (e *Engine) ended(now time.Duration, w *worker, row RunEnd) *job {
+func (e *Engine) handleRunEnd(now time.Duration, w *worker, row RunEnd) *job {
 	delete(w.strays, row.Run)
 	p := w.places[row.Run.Task]
 	if p == nil || p.run != row.Run.Number {
@@ -18,7 +18,7 @@
 	}
 	reason := row.Reason
 	if row.Void && (reason == EndDone || reason == EndFailed) {
-		e.decided(p, "end does not count", "the worker's lease lapsed after it")
+		e.logDecision(p, "end does not count", "the worker's lease lapsed after it")
 		reason = EndLeaseExpired
 	}
 	u := p.unit
@@ -26,38 +26,38 @@
 		u.saved = row.Checkpoint
 		p.savedAt = now // all work up to its end
 	}
-	e.judge(now, p, reason)
-	e.over(now, p)
-	e.change(u.job)
+	e.applyRunEnd(now, p, reason)
+	e.removePlacement(now, p)
+	e.markChanged(u.job)
 	return u.job
 }
 
-// judge settles what an end means for the run of its unit.
-func (e *Engine) judge(now time.Duration, p *placement, reason EndReason) {
+// applyRunEnd settles what an end means for the run of its unit.
+func (e *Engine) applyRunEnd(now time.Duration, p *placement, reason EndReason) {
 	u := p.unit
-	e.decided(p, "ended", string(reason))
+	e.logDecision(p, "ended", string(reason))
 	if cause, undone := causeOfEnd[reason]; undone {
-		u.blame(cause)
+		u.setCauseOnce(cause)
 	}
 	switch reason {
 	case EndDone:
-		p.worker.health.succeeded()
+		p.worker.health.reset()
 		e.learn(now, p)
 		if u.spec().LongRunning {
-			e.restart(now, p)
+			e.scheduleRestart(now, p)
 			return
 		}
-		e.unitDone(now, u)
+		e.completeUnit(now, u)
 	case EndFailed:
-		e.distrust(now, p)
-		e.unitFailed(now, p)
+		e.countWorkerFailure(now, p)
+		e.handleUnitFailure(now, p)
 	case EndStopped:
 		if p.stopping {
 			e.tracker.stopped(now - p.stopSent)
 		}
-		e.retry(u)
+		e.markRetry(u)
 	default:
-		e.retry(u)
+		e.markRetry(u)
 	}
 }
 
@@ -70,15 +70,15 @@
 	EndGangIncomplete: CauseMembersMissing,
 }
 
-func (e *Engine) retry(u *unit) {
+func (e *Engine) markRetry(u *unit) {
 	if u.verdict == verdictNone {
 		u.verdict = verdictRetry
 	}
 }
 
-// unitDone counts the work of a unit as done. For a gang the first member to say so
+// completeUnit counts the work of a unit as done. For a gang the first member to say so
 // speaks for all.
-func (e *Engine) unitDone(now time.Duration, u *unit) {
+func (e *Engine) completeUnit(now time.Duration, u *unit) {
 	if u.state == unitDone {
 		return
 	}
@@ -87,28 +87,28 @@
 	if len(u.places) > 0 && u.places[0].began != 0 {
 		u.spent.run = now - u.places[0].began
 	}
-	e.change(u.job)
-	e.advance(now, u.job)
+	e.markChanged(u.job)
+	e.advanceJob(now, u.job)
 	if u.job.state == workload.Completed {
 		e.tellLate(now, u)
 	}
 }
 
-func (e *Engine) unitFailed(now time.Duration, p *placement) {
+func (e *Engine) handleUnitFailure(now time.Duration, p *placement) {
 	u := p.unit
 	if u.state == unitDone {
 		return
 	}
 	e.avoid(now, p)
 	if u.spec().LongRunning {
-		e.restart(now, p)
+		e.scheduleRestart(now, p)
 		return
 	}
 	if u.failedRun != p.run {
 		u.failedRun = p.run // the members of a gang fail together, which counts once
 		u.failures++
 	}
-	e.retry(u)
+	e.markRetry(u)
 	limit := u.job.spec.QueuePolicy.MaxAttempts
 	if limit > 0 && u.failures >= limit && !u.job.state.Final() {
 		u.state = unitFailed
@@ -116,16 +116,16 @@
 	}
 }
 
-// over frees what a placement held. When the last of a run is over, the unit waits
+// removePlacement frees what a placement held. When the last of a run is removePlacement, the unit waits
 // again or is settled.
-func (e *Engine) over(now time.Duration, p *placement) {
+func (e *Engine) removePlacement(now time.Duration, p *placement) {
 	p.worker.drop(p)
 	u := p.unit
-	e.discard(now, p)
+	e.recordDiscarded(now, p)
 	u.places = slices.DeleteFunc(u.places, func(o *placement) bool { return o == p })
-	e.replan = true
+	e.planNeeded = true
 	if len(u.places) > 0 {
-		e.stopRest(now, u)
+		e.stopRemainingMembers(now, u)
 		return
 	}
 	if u.state == unitActive {
@@ -136,33 +136,33 @@
 	u.cause = causeNone
 }
 
-// stopRest stops the members of a gang that one member has left. Those of a run that
+// stopRemainingMembers stops the members of a gang that one member has left. Those of a run that
 // is done end by themselves.
-func (e *Engine) stopRest(now time.Duration, u *unit) {
+func (e *Engine) stopRemainingMembers(now time.Duration, u *unit) {
 	if u.verdict == verdictRetry {
-		e.stopAll(now, u, CauseMemberEnded)
+		e.stopUnit(now, u, CauseMemberEnded)
 	}
 }
 
-// stopAll decides that the present run of a unit ends, for a cause.
-func (e *Engine) stopAll(now time.Duration, u *unit, cause Cause) {
-	u.blame(cause)
+// stopUnit decides that the present run of a unit ends, for a cause.
+func (e *Engine) stopUnit(now time.Duration, u *unit, cause Cause) {
+	u.setCauseOnce(cause)
 	if u.state == unitActive && u.verdict == verdictNone {
 		u.verdict = verdictRetry
 	}
 	for _, p := range slices.Clone(u.places) {
-		e.stop(now, p)
+		e.stopRun(now, p)
 	}
 }
 
-// stop orders one run to end, or drops it where no order has left.
-func (e *Engine) stop(now time.Duration, p *placement) {
+// stopRun orders one run to end, or drops it where no order has left.
+func (e *Engine) stopRun(now time.Duration, p *placement) {
 	if p.stopping {
 		return
 	}
 	p.stopping = true
 	if p.state == placeRecording {
-		e.over(now, p)
+		e.removePlacement(now, p)
 		return
 	}
 	e.sendStop(now, p)
@@ -175,12 +175,12 @@
 	}
 	o := e.ordersFor(p.worker)
 	o.Stops = append(o.Stops, p.id())
-	e.decided(p, "stop", p.awaits(now))
+	e.logDecision(p, "stop", p.stopWaitReason(now))
 	p.stops++
 }
 
-// awaits says, for the log, what a stop that is ordered again waits for.
-func (p *placement) awaits(now time.Duration) string {
+// stopWaitReason says, for the log, what a stop that is ordered again waits for.
+func (p *placement) stopWaitReason(now time.Duration) string {
 	if p.stops == 0 {
 		return ""
 	}
@@ -191,14 +191,14 @@
 	return fmt.Sprintf("%s; the worker last answered %d ms ago and lists no end", waited, (now - p.worker.lookedAt).Milliseconds())
 }
 
-// lost ends a placement whose run is certainly over without a listed end.
-func (e *Engine) lost(now time.Duration, p *placement, cause Cause, why string) {
-	e.decided(p, "lost", why)
-	p.unit.blame(cause)
+// handleLostRun ends a placement whose run is certainly over without a listed end.
+func (e *Engine) handleLostRun(now time.Duration, p *placement, cause Cause, why string) {
+	e.logDecision(p, "lost", why)
+	p.unit.setCauseOnce(cause)
 	if p.saved != "" {
 		p.unit.saved = p.saved
 	}
-	e.retry(p.unit)
-	e.over(now, p)
-	e.change(p.unit.job)
+	e.markRetry(p.unit)
+	e.removePlacement(now, p)
+	e.markChanged(p.unit.job)
 }
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -9,58 +9,58 @@
 
 // Engine holds one planner's jobs, workers and decisions.
 type Engine struct {
-	params  Params
-	epoch   uint64
-	catalog *catalog.Catalog
-	began   time.Duration
-	// inherited is how much longer than Params.MaxHold a predecessor's grants may last.
-	inherited time.Duration
+	params    Params
+	epoch     uint64
+	catalog   *catalog.Catalog
+	startedAt time.Duration
+	// inheritedLeaseExtra is how much longer than Params.MaxHold a predecessor's grants may last.
+	inheritedLeaseExtra time.Duration
 
 	jobs map[workload.JobID]*job
-	// sequence is the jobs in the order in which they became known; decisions iterate
+	// orderedJobs is the jobs in the order in which they became known; decisions iterate
 	// over it and never over a map, so that they are the same for the same events.
-	sequence []*job
-	workers  map[WorkerID]*worker
-	// sorted are the workers in the order of their names; nil after one came or went.
-	sorted  []*worker
-	byAgent map[string]WorkerID
+	orderedJobs []*job
+	workers     map[WorkerID]*worker
+	// workersByID are the workers in the order of their names; nil after one came or went.
+	workersByID   []*worker
+	workerByAgent map[string]WorkerID
 	// superseded are the lives that are followed by another one of their name, by agent, and
 	// turns the highest turn given.
-	superseded map[string][]*worker
-	turns      uint64
-	tracker    tracker
+	superseded     map[string][]*worker
+	lastGeneration uint64
+	tracker        tracker
 	// interference is what was learned of images that share workers.
-	interference interference
-	cordons      catalog.Cordons
-	urgent       urgent
-	// asking: a question to the advice service is in progress; askAfter is when the next
+	interference  interferenceModel
+	cordons       catalog.Cordons
+	urgentHistory urgentHistory
+	// adviceInFlight: a question to the advice service is in progress; askAfter is when the next
 	// may follow one that failed.
-	asking   bool
-	askAfter time.Duration
-	// spareRacks are the racks that patient work leaves alone.
-	spareRacks map[string]bool
-	lastPlan   time.Duration
-	// keptAt is when checkpoints of running work were last put on record.
-	keptAt time.Duration
-	// workersChanged is when a worker last came, which may make a job possible.
-	workersChanged time.Duration
-	wall           time.Time
+	adviceInFlight bool
+	adviceRetryAt  time.Duration
+	// headroomRacks are the racks that patient work leaves alone.
+	headroomRacks map[string]bool
+	lastPlanAt    time.Duration
+	// checkpointsWrittenAt is when checkpoints of running work were last put on record.
+	checkpointsWrittenAt time.Duration
+	// workerAddedAt is when a worker last came, which may make a job possible.
+	workerAddedAt time.Duration
+	wallTime      time.Time
 
-	dirty       map[workload.JobID]bool
-	unrecorded  map[WorkerID]*worker
-	goneWorkers map[WorkerID]bool
-	// closing are jobs whose records are being replaced by their outcomes, expired those
+	dirtyJobs         map[workload.JobID]bool
+	unrecordedWorkers map[WorkerID]*worker
+	goneWorkers       map[WorkerID]bool
+	// archiving are jobs whose records are being replaced by their outcomes, expired those
 	// whose outcomes are being removed.
-	closing map[workload.JobID]bool
-	expired map[workload.JobID]bool
-	// cancels of jobs that are not known yet.
-	cancels map[workload.JobID]int64
+	archiving map[workload.JobID]bool
+	expired   map[workload.JobID]bool
+	// earlyCancels of jobs that are not known yet.
+	earlyCancels map[workload.JobID]int64
 
-	orders  []*Orders
-	actions []Action
-	replan  bool
-	// planFrom is the time before which no round is made.
-	planFrom time.Duration
+	orders     []*Orders
+	actions    []Action
+	planNeeded bool
+	// planNotBefore is the time before which no round is made.
+	planNotBefore time.Duration
 }
 
 // New returns an Engine for one term of a planner. inherited is how much longer than
@@ -70,23 +70,23 @@
 		params.Policy = DefaultPolicy()
 	}
 	return &Engine{
-		inherited:      inherited,
-		params:         params,
-		epoch:          epoch,
-		began:          now,
-		workersChanged: now,
-		jobs:           map[workload.JobID]*job{},
-		workers:        map[WorkerID]*worker{},
-		byAgent:        map[string]WorkerID{},
-		superseded:     map[string][]*worker{},
-		tracker:        newTracker(params.StopTime / 2),
-		interference:   newInterference(),
-		dirty:          map[workload.JobID]bool{},
-		unrecorded:     map[WorkerID]*worker{},
-		goneWorkers:    map[WorkerID]bool{},
-		closing:        map[workload.JobID]bool{},
-		expired:        map[workload.JobID]bool{},
-		cancels:        map[workload.JobID]int64{},
+		inheritedLeaseExtra: inherited,
+		params:              params,
+		epoch:               epoch,
+		startedAt:           now,
+		workerAddedAt:       now,
+		jobs:                map[workload.JobID]*job{},
+		workers:             map[WorkerID]*worker{},
+		workerByAgent:       map[string]WorkerID{},
+		superseded:          map[string][]*worker{},
+		tracker:             newTracker(params.StopTime / 2),
+		interference:        newInterferenceModel(),
+		dirtyJobs:           map[workload.JobID]bool{},
+		unrecordedWorkers:   map[WorkerID]*worker{},
+		goneWorkers:         map[WorkerID]bool{},
+		archiving:           map[workload.JobID]bool{},
+		expired:             map[workload.JobID]bool{},
+		earlyCancels:        map[workload.JobID]int64{},
 	}
 }
 
@@ -102,20 +102,20 @@
 	case WorkerRestored:
 		e.restoreWorker(now, ev.Info)
 	case EndedJobRestored:
-		e.restoreEnded(now, ev)
+		e.restoreEndedJob(now, ev)
 	case OrdersCompleted:
 		e.ordersEnded(now, ev)
 	case WriteApplied:
 		e.stored(now, ev.Write)
 	case CatalogChanged:
 		e.catalog = ev.Catalog
-		e.replan = true
+		e.planNeeded = true
 	case CordonsChanged:
-		e.cordon(ev)
+		e.setCordons(ev)
 	case Tick:
 		e.tick(now, ev)
 	case AdviceResponse:
-		e.advice(now, ev)
+		e.handleAdvice(now, ev)
 	default:
 		panic("engine: unknown event")
 	}
@@ -123,15 +123,15 @@
 
 // DelayPlanning makes no planning round before a time. What is decided already still leaves with
 // the next Decide.
-func (e *Engine) DelayPlanning(until time.Duration) { e.planFrom = until }
+func (e *Engine) DelayPlanning(until time.Duration) { e.planNotBefore = until }
 
 // NextPlanning returns when Decide would make a round that is due, and false where none is.
-func (e *Engine) NextPlanning() (until time.Duration, due bool) { return e.planFrom, e.replan }
+func (e *Engine) NextPlanning() (until time.Duration, due bool) { return e.planNotBefore, e.planNeeded }
 
 // Decide places waiting work and returns what is to be done since the last call.
 func (e *Engine) Decide(now time.Duration) []Action {
-	if e.replan && now >= e.planFrom {
-		e.replan = false
+	if e.planNeeded && now >= e.planNotBefore {
+		e.planNeeded = false
 		e.plan(now)
 	}
 	for _, o := range e.orders {
@@ -154,7 +154,7 @@
 	return o
 }
 
-func (e *Engine) decided(p *placement, what, detail string) {
+func (e *Engine) logDecision(p *placement, what, detail string) {
 	e.actions = append(e.actions, Decision{
 		Job:    p.unit.job.spec.ID,
 		Kind:   what,
@@ -164,11 +164,11 @@
 	})
 }
 
-func (e *Engine) decidedJob(j *job, what, detail string) {
+func (e *Engine) logJobDecision(j *job, what, detail string) {
 	e.actions = append(e.actions, Decision{Job: j.spec.ID, Kind: what, Detail: detail})
 }
 
-func (e *Engine) change(j *job) {
-	j.touched()
-	e.dirty[j.spec.ID] = true
+func (e *Engine) markChanged(j *job) {
+	j.bumpVersion()
+	e.dirtyJobs[j.spec.ID] = true
 }
--- a/engine/evict.go
+++ b/engine/evict.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// claimSlack is how much longer than a stop may take room is kept for the unit that
+// claimGrace is how much longer than a stop may take room is kept for the unit that
 // it was emptied for.
-const claimSlack = 1500 * time.Millisecond
+const claimGrace = 1500 * time.Millisecond
 
-// evictPause is the pause between two searches for victims for the same unit. What a search
+// evictRetryInterval is the pause between two searches for victims for the same unit. What a search
 // found too dear stays so, since work only grows, until something else is placed; a search
 // looks at all that runs, and in a burst most of a round's cost was searches in vain.
-const evictPause = 50 * time.Millisecond
+const evictRetryInterval = 50 * time.Millisecond
 
 // eviction is a way to make room for a unit.
 type eviction struct {
@@ -37,18 +37,18 @@
 	if r.now < u.evictNext {
 		return false
 	}
-	u.evictNext = r.now + evictPause
-	near := r.near(u)
-	best := r.cheapest(u, near)
+	u.evictNext = r.now + evictRetryInterval
+	near := r.preferredDomains(u)
+	best := r.cheapestEviction(u, near)
 	if best == nil && !near.anywhere && r.protected[u.job] {
-		best = r.cheapest(u, r.everywhere())
+		best = r.cheapestEviction(u, r.allDomains())
 	}
-	if best == nil || !r.pays(u, best, near) {
+	if best == nil || !r.worthEvicting(u, best, near) {
 		return false
 	}
 	for _, v := range best.victims {
-		r.e.decided(v.places[0], "evict", fmt.Sprintf("for %s, %.0f core-seconds lost of all its victims", u.job.spec.ID, best.cost))
-		r.stopAll(v, CauseEvicted)
+		r.e.logDecision(v.places[0], "evict", fmt.Sprintf("for %s, %.0f core-seconds lost of all its victims", u.job.spec.ID, best.cost))
+		r.stopUnit(v, CauseEvicted)
 	}
 	u.claims = best.slots
 	u.claimedAt = r.now
@@ -60,9 +60,9 @@
 // follows the stop: the record, the order and a report that comes late.
 const reclaimMargin = 700 * time.Millisecond
 
-// pays says whether an eviction is better than waiting.
-func (r *round) pays(u *unit, way *eviction, near domains) bool {
-	if r.reclaims(u) {
+// worthEvicting says whether an eviction is better than waiting.
+func (r *round) worthEvicting(u *unit, way *eviction, near domainSet) bool {
+	if r.mustReclaim(u) {
 		return true
 	}
 	policy := &r.e.params.Policy
@@ -70,8 +70,8 @@
 		return false
 	}
 	wait := never
-	for _, set := range near.sets {
-		at, _ := r.forecast(u, set, never)
+	for _, set := range near.domains {
+		at, _ := r.forecastFit(u, set, never)
 		wait = min(wait, at)
 	}
 	slack := r.e.objective(u.job) - r.now - r.e.estimate(u)
@@ -79,27 +79,27 @@
 		return false
 	}
 	own := u.total().CoreEquivalent() * r.e.estimate(u).Seconds()
-	if r.now+wait+r.e.estimate(u) > r.e.useless(u.job) {
-		own *= lateFactor
+	if r.now+wait+r.e.estimate(u) > r.e.uselessFrom(u.job) {
+		own *= uselessAfterFactor
 	}
 	return way.cost <= policy.EvictionWorth*own
 }
 
-// cheapest returns the eviction that throws the least work away.
-func (r *round) cheapest(u *unit, d domains) *eviction {
+// cheapestEviction returns the eviction that throws the least work away.
+func (r *round) cheapestEviction(u *unit, d domainSet) *eviction {
 	var best *eviction
-	for _, set := range d.sets {
-		if way := r.evictions(u, set); way != nil && (best == nil || way.cost < best.cost) {
+	for _, set := range d.domains {
+		if way := r.planEviction(u, set); way != nil && (best == nil || way.cost < best.cost) {
 			best = way
 		}
 	}
 	return best
 }
 
-// evictions makes room for the members of u one by one, each time on the worker where
+// planEviction makes room for the members of u one by one, each time on the worker where
 // that throws the least work away.
-func (r *round) evictions(u *unit, set *domain) *eviction {
-	c := r.newClearing(u, set)
+func (r *round) planEviction(u *unit, set *domain) *eviction {
+	c := r.newVictimSearch(u, set)
 	defer c.close()
 	out := &eviction{slots: map[*worker]int{}}
 	for range u.size {
@@ -107,7 +107,7 @@
 		if site == nil {
 			return nil
 		}
-		c.take(site, way)
+		c.commit(site, way)
 		out.victims = append(out.victims, way.victims...)
 		out.cost += way.cost
 		out.slots[site.worker]++
@@ -115,26 +115,26 @@
 	return out
 }
 
-// yields says whether v may be evicted for u: work of lower priority always, work of
+// mayEvict says whether v may be evicted for u: work of lower priority always, work of
 // the first priority only beyond its account's guarantee, for work within one that would
 // otherwise start too late for it.
-func (r *round) yields(v, u *unit) bool {
+func (r *round) mayEvict(v, u *unit) bool {
 	if !v.mayStop(0) {
 		return false
 	}
 	if v.job.spec.QueuePolicy.Priority > u.job.spec.QueuePolicy.Priority {
 		return true
 	}
-	return r.reclaims(u) && !r.protected[v.job]
+	return r.mustReclaim(u) && !r.protected[v.job]
 }
 
-// reclaims says whether u, within its account's guarantee, has to have its room emptied now.
-func (r *round) reclaims(u *unit) bool {
+// mustReclaim says whether u, within its account's guarantee, has to have its room emptied now.
+func (r *round) mustReclaim(u *unit) bool {
 	return r.protected[u.job] && r.now+r.e.params.StopTime+reclaimMargin >= u.since+r.e.params.MaxReclaimWait
 }
 
-// waste returns the work lost by stopping u now, in core-seconds.
-func (e *Engine) waste(now time.Duration, u *unit) float64 {
+// lostWork returns the work lost by stopping u now, in core-seconds.
+func (e *Engine) lostWork(now time.Duration, u *unit) float64 {
 	sum := 0.0
 	for _, p := range u.places {
 		if p.state != placeRunning {
@@ -149,19 +149,19 @@
 	return sum
 }
 
-// stopAll is Engine.stopAll within a round.
-func (r *round) stopAll(u *unit, cause Cause) {
+// stopUnit is Engine.stopUnit within a round.
+func (r *round) stopUnit(u *unit, cause Cause) {
 	for _, p := range u.places {
-		r.changed(p.worker)
+		r.invalidateDomains(p.worker)
 	}
-	r.e.stopAll(r.now, u, cause)
+	r.e.stopUnit(r.now, u, cause)
 }
 
 func (e *Engine) dropClaims(u *unit) { u.claims = nil }
 
 // dropWorkerClaims drops the claims on a worker that is gone.
 func (e *Engine) dropWorkerClaims(w *worker) {
-	for _, j := range e.sequence {
+	for _, j := range e.orderedJobs {
 		for _, u := range j.units {
 			if u.claims[w] > 0 {
 				e.dropClaims(u)
@@ -170,9 +170,9 @@
 	}
 }
 
-// leave moves work off workers that drain: what can't end before the worker leaves is
+// moveOffDraining moves work off workers that drain: what can't end before the worker leaves is
 // stopped now, so that it saves its checkpoint and starts elsewhere sooner.
-func (e *Engine) leave(r *round) {
+func (e *Engine) moveOffDraining(r *round) {
 	if !e.params.Policy.DrainMoves {
 		return
 	}
@@ -188,17 +188,17 @@
 			if e.remaining(r.now, p) <= left {
 				continue
 			}
-			if p.unit.spec().Checkpoints && left > 2*e.params.StopTime && !r.elsewhere(p.unit) {
+			if p.unit.spec().Checkpoints && left > 2*e.params.StopTime && !r.fitsElsewhere(p.unit) {
 				continue // it goes on saving here until there is room
 			}
-			e.decided(p, "move", "the worker leaves")
-			r.stopAll(p.unit, CauseDrained)
+			e.logDecision(p, "move", "the worker leaves")
+			r.stopUnit(p.unit, CauseDrained)
 		}
 	}
 }
 
-// elsewhere says whether u could start on other workers now.
-func (r *round) elsewhere(u *unit) bool {
-	at, slots := r.forecast(u, r.all, 0)
+// fitsElsewhere says whether u could start on other workers now.
+func (r *round) fitsElsewhere(u *unit) bool {
+	at, slots := r.forecastFit(u, r.all, 0)
 	return slots != nil && at == 0
 }
--- a/engine/fit.go
+++ b/engine/fit.go
@@ -12,47 +12,47 @@
 
 // sortedWorkers returns all workers in a fixed order. The caller does not change the slice.
 func (e *Engine) sortedWorkers() []*worker {
-	if e.sorted == nil {
-		e.sorted = slices.SortedFunc(maps.Values(e.workers), func(a, b *worker) int { return cmp.Compare(a.info.ID, b.info.ID) })
+	if e.workersByID == nil {
+		e.workersByID = slices.SortedFunc(maps.Values(e.workers), func(a, b *worker) int { return cmp.Compare(a.info.ID, b.info.ID) })
 	}
-	return e.sorted
+	return e.workersByID
 }
 
-// fit returns a worker for each member of u, or nil where it has to wait.
-func (r *round) fit(u *unit) []*worker {
-	near := r.near(u)
-	if workers := r.choose(u, near); workers != nil {
+// findWorkers returns a worker for each member of u, or nil where it has to wait.
+func (r *round) findWorkers(u *unit) []*worker {
+	near := r.preferredDomains(u)
+	if workers := r.chooseWorkers(u, near); workers != nil {
 		return workers
 	}
-	if near.anywhere || !r.worthSpreading(u, near) && !r.idleElsewhere(u) {
+	if near.anywhere || !r.worthRunningRemotely(u, near) && !r.waitedBesideIdleFleet(u) {
 		return nil
 	}
-	return r.choose(u, r.everywhere())
+	return r.chooseWorkers(u, r.allDomains())
 }
 
-// idleWait is how long a unit waits for room nearby while most of the fleet stands idle.
-const idleWait = 2 * time.Second
+// maxWaitBesideIdleFleet is how long a unit waits for room nearby while most of the fleet stands idle.
+const maxWaitBesideIdleFleet = 2 * time.Second
 
-// idleElsewhere says whether u has waited long enough for room nearby while more than half
+// waitedBesideIdleFleet says whether u has waited long enough for room nearby while more than half
 // of its service's room stood idle.
 //
 // The failure it guards against: what runs nearby is always about to end, by forecasts that
 // rest on declared run times, and what ends there makes room for others that go first. A
 // gang waited for its rack for forty seconds, at the end with the rest of the fleet idle.
-func (r *round) idleElsewhere(u *unit) bool {
-	if !r.mostlyIdle(u) {
+func (r *round) waitedBesideIdleFleet(u *unit) bool {
+	if !r.serviceMostlyIdle(u) {
 		u.idleSince = 0
 		return false
 	}
 	if u.idleSince == 0 {
 		u.idleSince = r.now
 	}
-	return r.now-u.idleSince >= idleWait
+	return r.now-u.idleSince >= maxWaitBesideIdleFleet
 }
 
-// mostlyIdle says whether more than half of the room of u's service is free, by accelerators
+// serviceMostlyIdle says whether more than half of the room of u's service is free, by accelerators
 // where it needs them and by processors where it does not.
-func (r *round) mostlyIdle(u *unit) bool {
+func (r *round) serviceMostlyIdle(u *unit) bool {
 	free, all := 0, 0
 	for _, w := range r.all.workers {
 		if w.info.Service != u.job.spec.Service {
@@ -69,51 +69,51 @@
 	return 2*free > all
 }
 
-// domains are sets of workers within which a unit runs at full speed.
-type domains struct {
-	sets []*domain
+// domainSet are sets of workers within which a unit runs at full speed.
+type domainSet struct {
+	domains []*domain
 	// anywhere: there is no set where it would run faster than on all workers.
 	anywhere bool
 }
 
-// everywhere is all workers, where nothing is nearer than anything else.
-func (r *round) everywhere() domains {
-	return domains{sets: []*domain{r.all}, anywhere: true}
+// allDomains is all workers, where nothing is nearer than anything else.
+func (r *round) allDomains() domainSet {
+	return domainSet{domains: []*domain{r.all}, anywhere: true}
 }
 
-// near returns where u runs at full speed: on its preferred rack, on any one rack for
+// preferredDomains returns where u runs at full speed: on its preferred rack, on any one rack for
 // a gang that wants to be close together, else anywhere.
-func (r *round) near(u *unit) domains {
+func (r *round) preferredDomains(u *unit) domainSet {
 	if r.nearOf != u {
-		r.nearOf, r.nearSets = u, r.findNear(u)
+		r.nearOf, r.nearSets = u, r.findPreferredDomains(u)
 	}
 	return r.nearSets
 }
 
-func (r *round) findNear(u *unit) domains {
+func (r *round) findPreferredDomains(u *unit) domainSet {
 	s := u.spec()
 	if !r.e.params.Policy.RackPreference {
-		return r.everywhere()
+		return r.allDomains()
 	}
-	if rack := r.racks[s.PreferredRack]; s.PreferredRack != "" && rack != nil && r.couldHold(u, rack) {
-		return domains{sets: []*domain{rack}}
+	if rack := r.racks[s.PreferredRack]; s.PreferredRack != "" && rack != nil && r.fitsWhenEmpty(u, rack) {
+		return domainSet{domains: []*domain{rack}}
 	}
 	if s.Gang && s.SameRack {
 		var sets []*domain
 		for _, rack := range r.rackNames {
-			if r.couldHold(u, r.racks[rack]) {
+			if r.fitsWhenEmpty(u, r.racks[rack]) {
 				sets = append(sets, r.racks[rack])
 			}
 		}
 		if len(sets) > 0 {
-			return domains{sets: sets}
+			return domainSet{domains: sets}
 		}
 	}
-	return r.everywhere()
+	return r.allDomains()
 }
 
-// couldHold says whether u would fit on the workers if they were empty.
-func (r *round) couldHold(u *unit, set *domain) bool {
+// fitsWhenEmpty says whether u would fit on the workers if they were empty.
+func (r *round) fitsWhenEmpty(u *unit, set *domain) bool {
 	room := 0
 	for _, w := range set.workers {
 		if r.eligible(u, w) {
@@ -123,28 +123,28 @@
 	return room >= u.size
 }
 
-// worthSpreading says whether running far away, several times slower, is better than
+// worthRunningRemotely says whether running far away, several times slower, is better than
 // waiting for room nearby. A guaranteed job does not wait longer than its account was
 // promised.
-func (r *round) worthSpreading(u *unit, near domains) bool {
+func (r *round) worthRunningRemotely(u *unit, near domainSet) bool {
 	if r.protected[u.job] && r.now-u.since > r.e.params.MaxReclaimWait/4 {
 		return true
 	}
 	slower := time.Duration((r.e.params.RemoteSlowdown - 1) * float64(r.e.estimate(u)))
-	for _, set := range near.sets {
-		if at, _ := r.forecast(u, set, slower); at <= slower {
+	for _, set := range near.domains {
+		if at, _ := r.forecastFit(u, set, slower); at <= slower {
 			return false
 		}
 	}
 	return true
 }
 
-// choose returns workers of one of the sets, the one that is left with the least room
+// chooseWorkers returns workers of one of the sets, the one that is left with the least room
 // that a large gang could have used.
-func (r *round) choose(u *unit, d domains) []*worker {
+func (r *round) chooseWorkers(u *unit, d domainSet) []*worker {
 	var best []*worker
 	bestRest := 0
-	for _, set := range d.sets {
+	for _, set := range d.domains {
 		workers, rest := r.pack(u, set)
 		if workers != nil && (best == nil || rest < bestRest) {
 			best, bestRest = workers, rest
@@ -153,29 +153,29 @@
 	return best
 }
 
-// option is a worker that may take members of a unit.
-type option struct {
-	w     *worker
-	slots int
-	rest  int
-	// near and around count tasks of the same step there, where they are spread.
-	near, around int
-	// friction is what it costs to share the worker.
-	friction int
-	// risk is what a crash of the worker under the unit would cost.
-	risk float64
+// candidate is a worker that may take members of a unit.
+type candidate struct {
+	worker   *worker
+	slots    int
+	leftover int
+	// sameStepOnWorker and sameStepOnRack count tasks of the same step there, where they are spread.
+	sameStepOnWorker, sameStepOnRack int
+	// interference is what it costs to share the worker.
+	interference int
+	// crashRisk is what a crash of the worker under the unit would cost.
+	crashRisk float64
 }
 
-// tooFull says whether the set certainly has no room for u: what is free there, however it
+// cannotFit says whether the set certainly has no room for u: what is free there, however it
 // is spread, is less than u takes. It saves looking at each worker of a full fleet.
-func (u *unit) tooFull(set *domain) bool {
+func (u *unit) cannotFit(set *domain) bool {
 	return len(u.claims) == 0 && set.freeAccelerators() < u.size*u.demand().Accelerators
 }
 
 // pack spreads u over as few workers of a set as possible, the fullest first, those
 // without recent failures before others. rest is the accelerators left free in the set.
 func (r *round) pack(u *unit, set *domain) (chosen []*worker, rest int) {
-	if u.tooFull(set) {
+	if u.cannotFit(set) {
 		return nil, 0
 	}
 	need := u.demand().Accelerators
@@ -189,33 +189,33 @@
 			continue
 		}
 		total += n
-		o := option{w: w, slots: n, rest: room.Accelerators - min(n, u.size)*need}
+		o := candidate{worker: w, slots: n, leftover: room.Accelerators - min(n, u.size)*need}
 		if u.spec().LongRunning {
-			o.near, o.around = r.neighbours(u, w)
+			o.sameStepOnWorker, o.sameStepOnRack = r.sameStepCounts(u, w)
 		}
-		o.friction = r.e.friction(u, w)
-		o.risk = r.risk(u, w)
+		o.interference = r.e.interferenceScore(u, w)
+		o.crashRisk = r.risk(u, w)
 		options = append(options, o)
 	}
 	r.options = options
 	if total < u.size {
 		return nil, 0
 	}
-	slices.SortStableFunc(options, func(a, b option) int {
+	slices.SortStableFunc(options, func(a, b candidate) int {
 		return cmp.Or(
-			cmp.Compare(a.w.health.suspicion(), b.w.health.suspicion()),
-			cmp.Compare(a.risk, b.risk),
-			cmp.Compare(a.near, b.near),
-			cmp.Compare(a.around, b.around),
-			cmp.Compare(a.friction, b.friction),
+			cmp.Compare(a.worker.health.failureRank(), b.worker.health.failureRank()),
+			cmp.Compare(a.crashRisk, b.crashRisk),
+			cmp.Compare(a.sameStepOnWorker, b.sameStepOnWorker),
+			cmp.Compare(a.sameStepOnRack, b.sameStepOnRack),
+			cmp.Compare(a.interference, b.interference),
 			cmp.Compare(b.slots, a.slots),
-			cmp.Compare(a.rest, b.rest),
+			cmp.Compare(a.leftover, b.leftover),
 		)
 	})
 	for _, o := range options {
 		for range o.slots {
 			if len(chosen) < u.size {
-				chosen = append(chosen, o.w)
+				chosen = append(chosen, o.worker)
 			}
 		}
 	}
--- a/engine/friction.go
+++ b/engine/friction.go
@@ -1,8 +1,8 @@
 package engine
 
-// friction orders workers for u by how little it would disturb, or be disturbed, there:
+// interferenceScore orders workers for u by how little it would disturb, or be disturbed, there:
 // from 0, where it has nothing to share, to 100.
-func (e *Engine) friction(u *unit, w *worker) int {
+func (e *Engine) interferenceScore(u *unit, w *worker) int {
 	s := u.spec()
 	if !s.BestEffortCPU && s.TailLatencyTarget == 0 {
 		return 0
@@ -12,20 +12,20 @@
 		o := p.unit.spec()
 		switch {
 		case s.BestEffortCPU && o.TailLatencyTarget > 0 && !o.BestEffortCPU:
-			worst = max(worst, fullPace-e.interference.tolerance(imagePair{fills: s.Image, serves: o.Image}))
+			worst = max(worst, fullPace-e.interference.tolerance(imagePair{bestEffort: s.Image, latencySensitive: o.Image}))
 		case s.TailLatencyTarget > 0 && o.BestEffortCPU:
-			worst = max(worst, fullPace-e.interference.tolerance(imagePair{fills: o.Image, serves: s.Image}))
+			worst = max(worst, fullPace-e.interference.tolerance(imagePair{bestEffort: o.Image, latencySensitive: s.Image}))
 		}
 	}
 	if s.BestEffortCPU {
-		worst = max(worst, e.starved(u, w))
+		worst = max(worst, e.cpuShortfall(u, w))
 	}
 	return int(worst)
 }
 
-// starved returns how many of 100 parts of u's processor time w would not have: what
+// cpuShortfall returns how many of 100 parts of u's processor time w would not have: what
 // others are counted with, and what fills there already.
-func (e *Engine) starved(u *unit, w *worker) float64 {
+func (e *Engine) cpuShortfall(u *unit, w *worker) float64 {
 	want := u.spec().Need.MilliCPU
 	if want == 0 {
 		return 0
--- a/engine/headroom.go
+++ b/engine/headroom.go
@@ -11,34 +11,34 @@
 // such a job may be late. So work that can wait leaves some racks as empty as urgent jobs
 // lately needed them. What can't wait any longer takes that room too.
 const (
-	// patientSlack is how much time a unit must have left before its latest start to
+	// deferrableSlack is how much time a unit must have left before its latest start to
 	// leave the room alone. It covers the wait for the next release of room.
-	patientSlack = 6 * time.Second
-	// patientMost bounds how long a unit leaves the room alone after it could have started:
+	deferrableSlack = 6 * time.Second
+	// maxDeferral bounds how long a unit leaves the room alone after it could have started:
 	// several times what an urgent job lasts.
-	patientMost = 12 * time.Second
-	// urgentKept is how many urgent jobs are remembered at least, and urgentFor how long:
+	maxDeferral = 12 * time.Second
+	// minUrgentHistory is how many urgent jobs are remembered at least, and urgentFor how long:
 	// more than a burst brings.
-	urgentKept = 24
-	urgentFor  = 15 * time.Second
-	// spareMost is the largest part of the racks that is kept for urgent jobs: a fleet that
+	minUrgentHistory = 24
+	urgentHistoryAge = 15 * time.Second
+	// maxHeadroomShare is the largest part of the racks that is kept for urgent jobs: a fleet that
 	// stands ready for more has no room for the work that pays for it.
-	spareMost = 0.25
+	maxHeadroomShare = 0.25
 )
 
-// urgent remembers when urgent jobs came and how many accelerators they took.
-type urgent struct {
+// urgentHistory remembers when urgentHistory jobs came and how many accelerators they took.
+type urgentHistory struct {
 	arrivals []urgentArrival
 }
 
 type urgentArrival struct {
-	at   time.Duration
-	size int
+	at           time.Duration
+	accelerators int
 }
 
-func (u *urgent) note(now time.Duration, size int) {
+func (u *urgentHistory) add(now time.Duration, size int) {
 	u.arrivals = append(u.arrivals, urgentArrival{now, size})
-	for len(u.arrivals) > urgentKept && now-u.arrivals[0].at > urgentFor {
+	for len(u.arrivals) > minUrgentHistory && now-u.arrivals[0].at > urgentHistoryAge {
 		u.arrivals = u.arrivals[1:]
 	}
 }
@@ -47,25 +47,25 @@
 // of the latest urgent jobs took, and at least what came together within the time that it
 // takes to make room for more. On a small fleet that is one job; where several come each
 // second, room for one would be gone with the first.
-func (u *urgent) target(share float64, stop time.Duration) int {
+func (u *urgentHistory) target(share float64, stop time.Duration) int {
 	if len(u.arrivals) == 0 {
 		return 0
 	}
 	sizes := make([]int, len(u.arrivals))
 	for i, a := range u.arrivals {
-		sizes[i] = a.size
+		sizes[i] = a.accelerators
 	}
 	slices.Sort(sizes)
-	return max(sizes[int(share*float64(len(sizes)-1))], u.together(stop))
+	return max(sizes[int(share*float64(len(sizes)-1))], u.peakWithin(stop))
 }
 
-// together returns the most accelerators that urgent jobs took which came within a span.
-func (u *urgent) together(span time.Duration) int {
+// peakWithin returns the most accelerators that urgent jobs took which came within a span.
+func (u *urgentHistory) peakWithin(span time.Duration) int {
 	most, sum, first := 0, 0, 0
 	for _, a := range u.arrivals {
-		sum += a.size
+		sum += a.accelerators
 		for a.at-u.arrivals[first].at > span {
-			sum -= u.arrivals[first].size
+			sum -= u.arrivals[first].accelerators
 			first++
 		}
 		most = max(most, sum)
@@ -73,11 +73,11 @@
 	return most
 }
 
-// pickSpare chooses the racks that are kept empty: the emptiest, as many as hold the target.
+// pickHeadroomRacks chooses the racks that are kept empty: the emptiest, as many as hold the target.
 // They stay so unless others are clearly emptier.
-func (r *round) pickSpare() {
+func (r *round) pickHeadroomRacks() {
 	if r.e.params.Policy.Headroom {
-		r.target = r.e.urgent.target(r.e.params.Policy.HeadroomShare, r.e.params.StopTime)
+		r.target = r.e.urgentHistory.target(r.e.params.Policy.HeadroomShare, r.e.params.StopTime)
 	}
 	type candidate struct {
 		rack string
@@ -86,51 +86,51 @@
 	var racks []candidate
 	for _, rack := range r.rackNames {
 		free := r.racks[rack].freeAccelerators()
-		if r.e.spareRacks[rack] {
-			free += min(r.target, r.racks[rack].accelerators()) / 2
+		if r.e.headroomRacks[rack] {
+			free += min(r.target, r.racks[rack].totalAccelerators()) / 2
 		}
 		racks = append(racks, candidate{rack, free})
 	}
 	slices.SortStableFunc(racks, func(a, b candidate) int { return cmp.Compare(b.free, a.free) })
-	most := max(1, int(spareMost*float64(len(racks))))
+	most := max(1, int(maxHeadroomShare*float64(len(racks))))
 	kept, room := map[string]bool{}, 0
 	for _, c := range racks {
 		if len(kept) > 0 && (room >= r.target || len(kept) == most) {
 			break
 		}
 		kept[c.rack] = true
-		room += r.racks[c.rack].accelerators()
+		room += r.racks[c.rack].totalAccelerators()
 	}
-	r.e.spareRacks = kept
+	r.e.headroomRacks = kept
 	r.target = min(r.target, room)
 }
 
-// spareFree returns the accelerators of the spare racks that nothing holds or claims.
-func (r *round) spareFree() int {
+// freeHeadroom returns the accelerators of the spare racks that nothing holds or claims.
+func (r *round) freeHeadroom() int {
 	sum := 0
-	for rack := range r.e.spareRacks {
+	for rack := range r.e.headroomRacks {
 		sum += r.racks[rack].freeAccelerators()
 	}
 	return sum
 }
 
-// spared returns how many members of u may go onto w without using up the headroom.
-func (r *round) spared(u *unit, w *worker, n int) int {
+// limitToHeadroom returns how many members of u may go onto w without using up the headroom.
+func (r *round) limitToHeadroom(u *unit, w *worker, n int) int {
 	need := u.demand().Accelerators
-	if n <= 0 || need == 0 || !r.e.spareRacks[w.info.Rack] || !r.patient(u) {
+	if n <= 0 || need == 0 || !r.e.headroomRacks[w.info.Rack] || !r.deferrable(u) {
 		return n
 	}
-	return max(0, min(n, (r.spareFree()-r.target)/need))
+	return max(0, min(n, (r.freeHeadroom()-r.target)/need))
 }
 
-// patient says whether u can wait.
+// deferrable says whether u can wait.
 //
 // The failure that the bound guards against: a job that has missed its objective has no
 // deadline left. It would leave the room alone for ever, and never run where only that rack
 // has its data, with the room free.
-func (r *round) patient(u *unit) bool {
-	if u.job.spec.QueuePolicy.Priority == 0 || r.now-u.since > patientMost {
+func (r *round) deferrable(u *unit) bool {
+	if u.job.spec.QueuePolicy.Priority == 0 || r.now-u.since > maxDeferral {
 		return false
 	}
-	return r.e.latestStart(r.now, u)-r.now > patientSlack
+	return r.e.latestStart(r.now, u)-r.now > deferrableSlack
 }
--- a/engine/headroom_test.go
+++ b/engine/headroom_test.go
@@ -12,18 +12,18 @@
 // Small patient jobs fill every worker, and then an urgent gang comes: it had to wait for
 // the stop of eight of them. With the sizes of urgent gangs known, patient work leaves a
 // rack alone, and the gang starts at once.
-func TestPatientWorkLeavesARackToUrgentGangs(t *testing.T) {
+func TestDeferrableWorkLeavesHeadroomToUrgentGangs(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 9)
-	d.urgentGangDone()
-	patient := tasks(72, 1)
+	d := newDriver(t, 9)
+	d.finishUrgentGang()
+	patient := taskStep(72, 1)
 	patient.Need.MilliCPU = 1000
 	patient.Need.MemoryMB = 1000
 	patient.Estimate = 8 * time.Second
-	id := d.job(2, "", patient)
+	id := d.submit(2, "", patient)
 	d.settle()
 	c.Check(len(d.starts)-2, qt.Equals, 72-16, qt.Commentf("all but the gang's room"))
-	urgent := d.job(0, "", gang(2, 8))
+	urgent := d.submit(0, "", gangStep(2, 8))
 	d.settle()
 	c.Check(d.runs(urgent), qt.HasLen, 2)
 	c.Check(d.stops, qt.HasLen, 0)
@@ -31,74 +31,74 @@
 }
 
 // The same patient work has waited until it has to start: then the room is its own.
-func TestWorkThatCannotWaitTakesTheHeadroom(t *testing.T) {
+func TestWorkThatCannotWaitUsesHeadroom(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 3)
-	d.urgentGangDone()
-	short := tasks(24, 1)
+	d := newDriver(t, 3)
+	d.finishUrgentGang()
+	short := taskStep(24, 1)
 	short.Need.MilliCPU = 1000
 	short.Need.MemoryMB = 1000
 	short.Estimate = time.Second
-	d.job(2, "", short)
+	d.submit(2, "", short)
 	d.settle()
 	c.Check(d.starts, qt.HasLen, 2+24, qt.Commentf("three times a second and one more: no slack to speak of"))
 }
 
-// urgentGangDone lets an urgent gang of two workers come and go, so that its size is known.
-func (d *desk) urgentGangDone() {
-	first := d.job(0, "", gang(2, 8))
+// finishUrgentGang lets an urgent gang of two workers come and go, so that its size is known.
+func (d *driver) finishUrgentGang() {
+	first := d.submit(0, "", gangStep(2, 8))
 	d.settle()
-	d.end(first, EndDone)
+	d.endRuns(first, EndDone)
 	d.settle()
 }
 
 // Only the rack that is kept for urgent jobs has room. Work that can wait leaves it alone,
 // but not for ever: it runs there after a while, also once it has no deadline left.
-func TestLateWorkIsNotKeptOutOfTheHeadroomForEver(t *testing.T) {
+func TestLateWorkEventuallyUsesHeadroom(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 3)
-	d.urgentGangDone()
+	d := newDriver(t, 3)
+	d.finishUrgentGang()
 	d.fillWorker(t)
-	late := tasks(1, 8)
+	late := taskStep(1, 8)
 	late.Estimate = 20 * time.Second
-	id := d.job(2, "", late)
+	id := d.submit(2, "", late)
 	d.settle()
 	c.Assert(d.runs(id), qt.HasLen, 0, qt.Commentf("it can wait"))
-	d.pass(patientMost + time.Second)
+	d.advance(maxDeferral + time.Second)
 	c.Check(d.runs(id), qt.HasLen, 1)
 }
 
 // fillWorker lets work that can't wait take a worker, so that only the headroom is free.
-func (d *desk) fillWorker(t *testing.T) {
+func (d *driver) fillWorker(t *testing.T) {
 	t.Helper()
-	short := tasks(1, 8)
+	short := taskStep(1, 8)
 	short.Estimate = time.Second
-	d.job(2, "", short)
+	d.submit(2, "", short)
 	d.settle()
 }
 
 // On a fleet of hundreds of workers several urgent jobs come each second. Room for one was
 // gone with the first, and the others waited for stops, which take longer than such a job
 // may be late. What came together before is what is kept free.
-func TestSeveralUrgentJobsAtOnceStartAtOnce(t *testing.T) {
+func TestConcurrentUrgentJobsStartAtOnce(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 36)
+	d := newDriver(t, 36)
 	together := func() (ids []workload.JobID) {
 		for range 3 {
-			ids = append(ids, d.job(0, "", gang(3, 8)))
+			ids = append(ids, d.submit(0, "", gangStep(3, 8)))
 			d.now += 200 * time.Millisecond
 		}
 		d.settle()
 		return ids
 	}
 	for _, id := range together() {
-		d.end(id, EndDone)
+		d.endRuns(id, EndDone)
 	}
 	d.settle()
-	patient := tasks(36*8, 1)
+	patient := taskStep(36*8, 1)
 	patient.Need.MilliCPU, patient.Need.MemoryMB = 1000, 1000
 	patient.Estimate = 8 * time.Second
-	d.job(2, "", patient)
+	d.submit(2, "", patient)
 	d.settle()
 	for _, id := range together() {
 		c.Check(d.runs(id), qt.HasLen, 3)
@@ -110,17 +110,17 @@
 // quarter of the racks is kept for them at most.
 func TestHeadroomIsBounded(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 36)
+	d := newDriver(t, 36)
 	for range 10 {
-		id := d.job(0, "", gang(3, 8))
+		id := d.submit(0, "", gangStep(3, 8))
 		d.settle()
-		d.end(id, EndDone)
+		d.endRuns(id, EndDone)
 		d.settle()
 	}
-	patient := tasks(36*8, 1)
+	patient := taskStep(36*8, 1)
 	patient.Need.MilliCPU, patient.Need.MemoryMB = 1000, 1000
 	patient.Estimate = 8 * time.Second
-	id := d.job(2, "", patient)
+	id := d.submit(2, "", patient)
 	d.settle()
 	placed := 0
 	for _, runs := range d.runs(id) {
--- a/engine/health.go
+++ b/engine/health.go
@@ -6,59 +6,61 @@
 // check is good. Failures count only where different units meet them in a row: a job
 // that fails by its own fault fails on every worker.
 const (
-	// firstRest is how long a worker gets nothing after its second failure in a row;
+	// initialBackoff is how long a worker gets nothing after its second failure in a row;
 	// each further one doubles it, up to maxRest. Disruptions of this kind last about
 	// five seconds, so a worker is tried again two or three times in one.
-	firstRest = 1500 * time.Millisecond
-	maxRest   = 12 * time.Second
-	// restAfter is the number of failures in a row that make a worker rest.
-	restAfter = 2
+	initialBackoff = 1500 * time.Millisecond
+	maxBackoff     = 12 * time.Second
+	// backoffThreshold is the number of failures in a row that make a worker rest.
+	backoffThreshold = 2
 )
 
-// health is what a worker's past runs say of it.
-type health struct {
-	failures int
-	last     *unit
-	rests    time.Duration
-	until    time.Duration
+// workerHealth is what a worker's past runs say of it.
+type workerHealth struct {
+	failures    int
+	lastUnit    *unit
+	lastBackoff time.Duration
+	pausedUntil time.Duration
 }
 
-func (h *health) failed(u *unit, now time.Duration) {
-	if h.last == u {
+func (h *workerHealth) recordFailure(u *unit, now time.Duration) {
+	if h.lastUnit == u {
 		return
 	}
-	h.last = u
+	h.lastUnit = u
 	h.failures++
-	if h.failures < restAfter {
+	if h.failures < backoffThreshold {
 		return
 	}
-	h.rest(now)
+	h.startBackoff(now)
 }
 
-// distrust counts a failure of p against its worker.
-func (e *Engine) distrust(now time.Duration, p *placement) {
+// countWorkerFailure counts a failure of p against its worker.
+func (e *Engine) countWorkerFailure(now time.Duration, p *placement) {
 	if e.params.Policy.WorkerHealth {
-		p.worker.health.failed(p.unit, now)
+		p.worker.health.recordFailure(p.unit, now)
 	}
 }
 
-// rest keeps work away from the worker for a while.
-func (h *health) rest(now time.Duration) {
-	h.rests = min(max(2*h.rests, firstRest), maxRest)
-	h.until = max(h.until, now+h.rests)
+// startBackoff keeps work away from the worker for a while.
+func (h *workerHealth) startBackoff(now time.Duration) {
+	h.lastBackoff = min(max(2*h.lastBackoff, initialBackoff), maxBackoff)
+	h.pausedUntil = max(h.pausedUntil, now+h.lastBackoff)
 }
 
-// fullRest is how long a worker that has no room for what it was to start gets nothing. It
+// noCapacityPause is how long a worker that has no room for what it was to start gets nothing. It
 // has less than it last told, and tells how much it has in each heartbeat.
-const fullRest = 750 * time.Millisecond
+const noCapacityPause = 750 * time.Millisecond
 
-// pause keeps work away from a worker that had no room. It says nothing of its health.
-func (h *health) pause(now time.Duration) { h.until = max(h.until, now+fullRest) }
+// pauseForCapacity keeps work away from a worker that had no room. It says nothing of its health.
+func (h *workerHealth) pauseForCapacity(now time.Duration) {
+	h.pausedUntil = max(h.pausedUntil, now+noCapacityPause)
+}
 
-func (h *health) succeeded() { *h = health{} }
+func (h *workerHealth) reset() { *h = workerHealth{} }
 
-// resting says whether new tasks should go elsewhere.
-func (h *health) resting(now time.Duration) bool { return now < h.until }
+// paused says whether new tasks should go elsewhere.
+func (h *workerHealth) paused(now time.Duration) bool { return now < h.pausedUntil }
 
-// suspicion orders workers: those without failures first.
-func (h *health) suspicion() int { return min(h.failures, restAfter) }
+// failureRank orders workers: those without failures first.
+func (h *workerHealth) failureRank() int { return min(h.failures, backoffThreshold) }
--- a/engine/jobs.go
+++ b/engine/jobs.go
@@ -11,41 +11,41 @@
 	if e.jobs[ev.Job.ID] != nil || e.expired[ev.Job.ID] {
 		return
 	}
-	j := e.adopt(now, ev)
-	e.decidedJob(j, "accepted", "")
-	if order, cancelled := e.cancels[ev.Job.ID]; cancelled {
-		delete(e.cancels, ev.Job.ID)
+	j := e.addJob(now, ev)
+	e.logJobDecision(j, "accepted", "")
+	if order, cancelled := e.earlyCancels[ev.Job.ID]; cancelled {
+		delete(e.earlyCancels, ev.Job.ID)
 		e.cancel(now, CancelRequested{Job: ev.Job.ID, Revision: order})
 		return
 	}
-	e.occur(now, j)
-	j.unblock(now)
-	e.replan = true
+	e.createDueOccurrences(now, j)
+	j.unblockUnits(now)
+	e.planNeeded = true
 	if j.spec.QueuePolicy.Priority == 0 {
-		e.urgent.note(now, j.accelerators())
+		e.urgentHistory.add(now, j.accelerators())
 	}
 }
 
-func (e *Engine) adopt(now time.Duration, ev JobSubmitted) *job {
+func (e *Engine) addJob(now time.Duration, ev JobSubmitted) *job {
 	j := &job{
-		spec:     ev.Job,
-		order:    ev.Revision,
-		accepted: now - ev.Age,
-		state:    workload.Queued,
+		spec:       ev.Job,
+		revision:   ev.Revision,
+		acceptedAt: now - ev.Age,
+		state:      workload.Queued,
 	}
 	e.jobs[ev.Job.ID] = j
-	e.sequence = append(e.sequence, j)
+	e.orderedJobs = append(e.orderedJobs, j)
 	return j
 }
 
-// occur makes the units of the occurrences that are due.
-func (e *Engine) occur(now time.Duration, j *job) {
-	for j.created < j.spec.Occurrences() {
-		due, scheduled := j.spec.Due(j.created)
-		if scheduled && (e.wall.IsZero() || e.wall.Before(due)) {
+// createDueOccurrences makes the units of the occurrences that are due.
+func (e *Engine) createDueOccurrences(now time.Duration, j *job) {
+	for j.createdOccurrences < j.spec.Occurrences() {
+		due, scheduled := j.spec.Due(j.createdOccurrences)
+		if scheduled && (e.wallTime.IsZero() || e.wallTime.Before(due)) {
 			return
 		}
-		j.create(now)
+		j.createOccurrence(now)
 	}
 }
 
@@ -53,10 +53,10 @@
 func (e *Engine) cancel(now time.Duration, ev CancelRequested) {
 	j := e.jobs[ev.Job]
 	if j == nil {
-		e.cancels[ev.Job] = max(e.cancels[ev.Job], ev.Revision)
+		e.earlyCancels[ev.Job] = max(e.earlyCancels[ev.Job], ev.Revision)
 		return
 	}
-	j.cancelOrder = max(j.cancelOrder, ev.Revision)
+	j.cancelRevision = max(j.cancelRevision, ev.Revision)
 	if j.canceled || j.state.Final() {
 		return
 	}
@@ -69,29 +69,29 @@
 	j.state = state
 	j.reason = reason
 	j.endedAt = now
-	e.change(j)
-	j.finalAt = j.version
-	e.decidedJob(j, string(state), reason)
-	e.actions = append(e.actions, JobFinished{Account: j.spec.Account, Queue: j.spec.Queue, State: state, Took: now - j.accepted})
+	e.markChanged(j)
+	j.finalVersion = j.version
+	e.logJobDecision(j, string(state), reason)
+	e.actions = append(e.actions, JobFinished{Account: j.spec.Account, Queue: j.spec.Queue, State: state, Took: now - j.acceptedAt})
 	for _, u := range j.units {
 		e.dropClaims(u)
 		switch state {
 		case workload.Cancelled:
-			e.stopAll(now, u, CauseCancelled)
+			e.stopUnit(now, u, CauseCancelled)
 		case workload.Failed:
-			e.stopAll(now, u, CauseJobFailed)
+			e.stopUnit(now, u, CauseJobFailed)
 		}
 	}
-	e.replan = true
+	e.planNeeded = true
 }
 
-// advance moves a job on after one of its units was done.
-func (e *Engine) advance(now time.Duration, j *job) {
+// advanceJob moves a job on after one of its units was done.
+func (e *Engine) advanceJob(now time.Duration, j *job) {
 	if j.state.Final() {
 		return
 	}
-	j.unblock(now)
-	if j.created < j.spec.Occurrences() {
+	j.unblockUnits(now)
+	if j.createdOccurrences < j.spec.Occurrences() {
 		return
 	}
 	for _, u := range j.units {
@@ -116,14 +116,14 @@
 	if j == nil {
 		return JobStatus{}, false
 	}
-	return JobStatus{State: j.visible(), Queue: j.spec.Queue, Account: j.spec.Account, Reason: j.reason}, true
+	return JobStatus{State: j.reportedState(), Queue: j.spec.Queue, Account: j.spec.Account, Reason: j.reason}, true
 }
 
 // UnstartedByQueue returns how many jobs of each queue have not begun.
 func (e *Engine) UnstartedByQueue() map[string]int {
 	out := map[string]int{}
 	for _, j := range e.jobs {
-		if !j.hasBegun() && !j.state.Final() {
+		if !j.hasStarted() && !j.state.Final() {
 			out[j.spec.Queue]++
 		}
 	}
--- a/engine/lasting.go
+++ b/engine/lasting.go
@@ -10,40 +10,40 @@
 // of them, and stopped by the system only within the number that may be away at once.
 
 const (
-	// steadyAfter is how long a task that lasts has to run for its end to be made up for at
+	// stableAfter is how long a task that lasts has to run for its end to be made up for at
 	// once.
-	steadyAfter = 10 * time.Second
-	// restartFirst and restartMost bound the pause before it starts again otherwise. Its
+	stableAfter = 10 * time.Second
+	// initialRestartDelay and restartMost bound the pause before it starts again otherwise. Its
 	// users wait, so that it stays short, but what can't run must not take a write to the
 	// store, an order and an end each few milliseconds for as long as its job lives.
-	restartFirst = 100 * time.Millisecond
-	restartMost  = 2 * time.Second
+	initialRestartDelay = 100 * time.Millisecond
+	maxRestartDelay     = 2 * time.Second
 )
 
-// restart lets a task that lasts start again after its run p has ended by itself.
-func (e *Engine) restart(now time.Duration, p *placement) {
+// scheduleRestart lets a task that lasts start again after its run p has ended by itself.
+func (e *Engine) scheduleRestart(now time.Duration, p *placement) {
 	u := p.unit
-	e.retry(u)
-	if now-p.began >= steadyAfter {
+	e.markRetry(u)
+	if now-p.began >= stableAfter {
 		u.restarts.reset()
 		return
 	}
-	u.notBefore = now + u.restarts.next(restartFirst, restartMost)
+	u.notBefore = now + u.restarts.next(initialRestartDelay, maxRestartDelay)
 }
 
-// away returns how many tasks of u's step are not at work, for whatever cause.
-func (u *unit) away() int {
+// unavailableTasks returns how many tasks of u's step are not at work, for whatever cause.
+func (u *unit) unavailableTasks() int {
 	n := 0
 	for _, o := range u.job.units {
-		if o.at() == u.at() && !o.atWork() {
+		if o.at() == u.at() && !o.available() {
 			n++
 		}
 	}
 	return n
 }
 
-// atWork says whether all members of the unit run and none is about to be stopped.
-func (u *unit) atWork() bool {
+// available says whether all members of the unit run and none is about to be stopped.
+func (u *unit) available() bool {
 	if u.state != unitActive || u.ending() || len(u.places) < u.size {
 		return false
 	}
@@ -55,16 +55,16 @@
 // mayStop says whether the system may stop a task that lasts, beside alsoStopped others
 // of its step.
 func (u *unit) mayStop(alsoStopped int) bool {
-	if !u.spec().LongRunning || !u.atWork() {
+	if !u.spec().LongRunning || !u.available() {
 		return true
 	}
-	return u.away()+alsoStopped < u.spec().MaxUnavailable
+	return u.unavailableTasks()+alsoStopped < u.spec().MaxUnavailable
 }
 
-// lastingFits says whether one more task that lasts leaves the accounts' guarantees
+// fitsBesideGuarantees says whether one more task that lasts leaves the accounts' guarantees
 // reclaimable: what lasts can't be evicted for them, so it must never hold more than the
 // service's accelerators less all guarantees.
-func (r *round) lastingFits(u *unit) bool {
+func (r *round) fitsBesideGuarantees(u *unit) bool {
 	if !u.spec().LongRunning || u.job.spec.QueuePolicy.Priority == 0 || u.demand().Accelerators == 0 {
 		return true
 	}
@@ -80,11 +80,11 @@
 			}
 		}
 	}
-	return held+u.total().Accelerators <= total-r.e.guaranteed()
+	return held+u.total().Accelerators <= total-r.e.totalGuaranteed()
 }
 
-// guaranteed returns the accelerators that all accounts together are guaranteed.
-func (e *Engine) guaranteed() int {
+// totalGuaranteed returns the accelerators that all accounts together are totalGuaranteed.
+func (e *Engine) totalGuaranteed() int {
 	if e.catalog == nil {
 		return 0
 	}
@@ -95,8 +95,8 @@
 	return sum
 }
 
-// neighbours returns how many tasks of u's step are on w, and on its rack.
-func (r *round) neighbours(u *unit, w *worker) (onWorker, onRack int) {
+// sameStepCounts returns how many tasks of u's step are on w, and on its rack.
+func (r *round) sameStepCounts(u *unit, w *worker) (onWorker, onRack int) {
 	for _, o := range r.racks[w.info.Rack].workers {
 		for _, p := range o.places {
 			if p.unit.job != u.job || p.unit.step != u.step {
--- a/engine/lasting_test.go
+++ b/engine/lasting_test.go
@@ -9,18 +9,18 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-func lasting(n, accelerators, mayMiss int) workload.Step {
-	s := tasks(n, accelerators)
+func longRunningStep(n, accelerators, mayMiss int) workload.Step {
+	s := taskStep(n, accelerators)
 	s.LongRunning = true
 	s.MaxUnavailable = mayMiss
 	s.Estimate = 0
 	return s
 }
 
-// work lets all running tasks of a job reach full work.
-func (d *desk) work(id workload.JobID) {
+// reportFullProgress lets all running tasks of a job reach full reportFullProgress.
+func (d *driver) reportFullProgress(id workload.JobID) {
 	for worker := range d.runs(id) {
-		d.show(worker, func(p *placement) RunStatus {
+		d.reportRuns(worker, func(p *placement) RunStatus {
 			if p.unit.job.spec.ID == id {
 				return RunStatus{Percent: 100}
 			}
@@ -30,10 +30,10 @@
 }
 
 // Six tasks of a service are placed: one worker or rack must not take most of them.
-func TestLastingTasksAreSpread(t *testing.T) {
+func TestLongRunningTasksAreSpread(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 9)
-	id := d.job(1, "", lasting(6, 1, 1))
+	d := newDriver(t, 9)
+	id := d.submit(1, "", longRunningStep(6, 1, 1))
 	d.settle()
 	runs := d.runs(id)
 	c.Check(runs, qt.HasLen, 6)
@@ -46,15 +46,15 @@
 
 // Tasks that last fail again and again. They are restarted without a limit of attempts,
 // and the job never fails.
-func TestLastingTasksAreRestartedForEver(t *testing.T) {
+func TestLongRunningTasksAreAlwaysRestarted(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 3)
-	id := d.job(1, "", lasting(1, 1, 0))
+	d := newDriver(t, 3)
+	id := d.submit(1, "", longRunningStep(1, 1, 0))
 	d.settle()
 	for _, why := range []EndReason{EndFailed, EndFailed, EndFailed, EndFailed, EndDone, EndLeaseExpired} {
-		d.end(id, why)
+		d.endRuns(id, why)
 		d.settle()
-		d.pass(7 * time.Second)
+		d.advance(7 * time.Second)
 		c.Assert(d.runs(id), qt.HasLen, 1, qt.Commentf("after %s", why))
 	}
 	found, _ := d.e.Lookup(id)
@@ -63,16 +63,16 @@
 
 // An urgent guaranteed gang needs the room of a service of which one task may be away at a
 // time: one is stopped and not two, and the rest of the room comes from other work.
-func TestEvictionKeepsTheBudgetOfWhatLasts(t *testing.T) {
+func TestEvictionRespectsMaxUnavailable(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 3)
-	service := d.job(1, "", lasting(2, 4, 1))
+	d := newDriver(t, 3)
+	service := d.submit(1, "", longRunningStep(2, 4, 1))
 	d.settle()
-	d.work(service)
-	filler := d.job(2, "", tasks(4, 4))
+	d.reportFullProgress(service)
+	filler := d.submit(2, "", taskStep(4, 4))
 	d.settle()
 	c.Assert(d.runs(filler), qt.Not(qt.HasLen), 0)
-	d.job(0, "big", gang(2, 8))
+	d.submit(0, "big", gangStep(2, 8))
 	d.settle()
 	stopped := 0
 	for _, run := range d.stops {
@@ -84,10 +84,10 @@
 }
 
 // What lasts can't be evicted, so it must not grow into what accounts are guaranteed.
-func TestWhatLastsLeavesTheGuarantees(t *testing.T) {
+func TestLongRunningTasksLeaveGuaranteesFree(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 3)
-	id := d.job(1, "", lasting(24, 1, 0))
+	d := newDriver(t, 3)
+	id := d.submit(1, "", longRunningStep(24, 1, 0))
 	d.settle()
 	held := 0
 	for _, runs := range d.runs(id) {
@@ -98,9 +98,9 @@
 
 // The accounts' guarantees are sums of accelerators. What lasts and takes none can't stand
 // in their way, also where all accelerators are guaranteed.
-func TestWhatLastsWithoutAcceleratorsIsNotHeldBack(t *testing.T) {
-	d := newDesk(t, 1)
-	id := d.job(1, "", lasting(2, 0, 0))
+func TestLongRunningTasksWithoutAcceleratorsAreNotLimited(t *testing.T) {
+	d := newDriver(t, 1)
+	id := d.submit(1, "", longRunningStep(2, 0, 0))
 	d.settle()
 	qt.Check(t, d.runs(id)["w0"], qt.HasLen, 2)
 }
@@ -109,23 +109,23 @@
 // completed with the last.
 func TestOccurrencesAreStartedWhenDue(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 3)
+	d := newDriver(t, 3)
 	wall := func() time.Time { return time.Unix(1000, 0).Add(d.now) }
-	d.step(Tick{WallTime: wall()})
-	d.step(JobSubmitted{Revision: 1, Job: workload.Job{
-		ID: "timed", Queue: "q", Service: "s", Steps: []workload.Step{tasks(1, 1)},
+	d.handle(Tick{WallTime: wall()})
+	d.handle(JobSubmitted{Revision: 1, Job: workload.Job{
+		ID: "timed", Queue: "q", Service: "s", Steps: []workload.Step{taskStep(1, 1)},
 		Schedule: workload.Schedule{First: wall().Add(time.Second), Period: 2 * time.Second, Count: 3},
 	}})
 	d.settle()
 	c.Check(d.starts, qt.HasLen, 0)
-	d.pass(900 * time.Millisecond)
+	d.advance(900 * time.Millisecond)
 	c.Check(d.starts, qt.HasLen, 0)
-	d.pass(300 * time.Millisecond)
+	d.advance(300 * time.Millisecond)
 	c.Check(d.starts, qt.HasLen, 1)
-	d.pass(4 * time.Second)
+	d.advance(4 * time.Second)
 	c.Check(d.starts, qt.HasLen, 3)
 	c.Check(d.starts[2].Run.Task.Occurrence, qt.Equals, 2)
-	d.end("timed", EndDone)
+	d.endRuns("timed", EndDone)
 	d.settle()
 	found, _ := d.e.Lookup("timed")
 	c.Check(found.State, qt.Equals, workload.Completed)
@@ -135,25 +135,25 @@
 // restarted as fast as the store took the placement, for as long as its owner did not look.
 // It is restarted for ever, but at a pace; once it runs for a while, an end is made up for at
 // once again.
-func TestLastingTaskThatEndsAtOnceIsRestartedAtAPace(t *testing.T) {
+func TestLongRunningTaskThatEndsAtOnceIsRestartedWithBackoff(t *testing.T) {
 	for _, why := range []EndReason{EndFailed, EndDone} {
 		t.Run(string(why), func(t *testing.T) {
 			c := qt.New(t)
-			d := newDesk(t, 60)
-			id := d.job(1, "", lasting(1, 1, 0))
+			d := newDriver(t, 60)
+			id := d.submit(1, "", longRunningStep(1, 1, 0))
 			const span = 30 * time.Second
 			for end := d.now + span; d.now < end; d.now += 50 * time.Millisecond {
 				for _, w := range d.e.sortedWorkers() {
-					d.beat(w.info.ID)
+					d.reportProgress(w.info.ID)
 				}
 				d.tick()
-				d.end(id, why)
+				d.endRuns(id, why)
 			}
 			c.Check(len(d.starts) >= 15, qt.IsTrue, qt.Commentf("%d starts", len(d.starts)))
 			c.Check(len(d.starts) <= 30, qt.IsTrue, qt.Commentf("%d starts", len(d.starts)))
-			d.pass(15 * time.Second)
+			d.advance(15 * time.Second)
 			before := len(d.starts)
-			d.end(id, why)
+			d.endRuns(id, why)
 			d.settle()
 			c.Check(len(d.starts), qt.Equals, before+1)
 			c.Check(d.runs(id), qt.HasLen, 1)
--- a/engine/orders.go
+++ b/engine/orders.go
@@ -32,30 +32,30 @@
 		e.running(now, p)
 		return
 	case StartUnknown:
-		e.decided(p, "start unanswered", "")
-		e.distrust(now, p)
-		e.retry(p.unit)
-		e.stopAll(now, p.unit, CauseStartUnanswered)
+		e.logDecision(p, "start unanswered", "")
+		e.countWorkerFailure(now, p)
+		e.markRetry(p.unit)
+		e.stopUnit(now, p.unit, CauseStartUnanswered)
 		return
 	case StartUnhealthy:
 		if e.params.Policy.WorkerHealth {
-			p.worker.health.rest(now)
+			p.worker.health.startBackoff(now)
 		}
 	case StartNoCapacity:
-		p.worker.health.pause(now)
+		p.worker.health.pauseForCapacity(now)
 	case StartInvalid:
-		e.decided(p, "start invalid", "")
+		e.logDecision(p, "start invalid", "")
 		p.unit.notBefore = now + p.unit.invalid.next(invalidFirst, invalidMost)
 	case StartNoTicket:
-		delete(p.unit.job.ticketsOf(p.unit.at()).held, p.worker.info.ID)
+		delete(p.unit.job.ticketsFor(p.unit.at()).granted, p.worker.info.ID)
 	}
-	e.decided(p, "start refused", outcome.String())
+	e.logDecision(p, "start refused", outcome.String())
 	if outcome == StartFenced || outcome == StartNotDelivered || outcome == StartCordoned {
 		p.unit.notBefore = now + refusedPause
 	}
-	e.retry(p.unit)
-	e.over(now, p)
-	e.change(p.unit.job)
+	e.markRetry(p.unit)
+	e.removePlacement(now, p)
+	e.markChanged(p.unit.job)
 }
 
 // refusedPause keeps a unit from being placed again at once after an order that could
@@ -85,9 +85,9 @@
 		p.began = now
 	}
 	j := p.unit.job
-	if !j.begun {
-		j.begun = true
-		e.actions = append(e.actions, JobStarted{Account: j.spec.Account, Queue: j.spec.Queue, Waited: now - j.accepted})
+	if !j.started {
+		j.started = true
+		e.actions = append(e.actions, JobStarted{Account: j.spec.Account, Queue: j.spec.Queue, Waited: now - j.acceptedAt})
 		if j.state == workload.Queued {
 			j.state = workload.Running
 		}
--- a/engine/orders_test.go
+++ b/engine/orders_test.go
@@ -13,20 +13,20 @@
 func TestGangIsOrderedOnAllWorkersOrNone(t *testing.T) {
 	for _, silent := range []WorkerID{"w0", "w1", "w2"} {
 		c := qt.New(t)
-		d := newDesk(t, 3)
-		id := d.job(1, "", gang(3, 8))
+		d := newDriver(t, 3)
+		id := d.submit(1, "", gangStep(3, 8))
 		d.e.Decide(d.now)
 		w := d.e.PendingChanges(d.now, time.Unix(1000, 0), 15)
 		d.now += 1500 * time.Millisecond
 		for _, other := range []WorkerID{"w0", "w1", "w2"} {
 			if other != silent {
-				d.beat(other)
+				d.reportProgress(other)
 			}
 		}
-		d.step(WriteApplied{Write: w})
+		d.handle(WriteApplied{Write: w})
 		d.settle()
 		c.Check(d.starts, qt.HasLen, 0)
-		d.beat(silent)
+		d.reportProgress(silent)
 		d.settle()
 		c.Check(d.starts, qt.HasLen, 3)
 		for _, s := range d.starts {
@@ -41,16 +41,16 @@
 // waited for a rack that it was not allowed to use for as long as it was known.
 func TestUnitReturnsToAWorkerWhereItFailed(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 9)
-	s := gang(6, 4)
+	d := newDriver(t, 9)
+	s := gangStep(6, 4)
 	s.PreferredRack = "r1"
-	id := d.job(1, "", s)
+	id := d.submit(1, "", s)
 	d.settle()
 	c.Assert(d.runs(id), qt.HasLen, 3)
 	for range 2 {
-		d.end(id, EndFailed)
+		d.endRuns(id, EndFailed)
 		d.settle()
-		d.pass(8 * time.Second)
+		d.advance(8 * time.Second)
 		c.Assert(len(d.runs(id)) > 0, qt.IsTrue)
 	}
 }
@@ -60,21 +60,21 @@
 // later look does not show the run.
 func TestUnansweredStartKeepsItsRoom(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 1)
-	id := d.job(1, "", tasks(1, 8))
+	d := newDriver(t, 1)
+	id := d.submit(1, "", taskStep(1, 8))
 	for len(d.starts) == 0 {
-		d.turn(StartUnknown)
+		d.decideAndStore(StartUnknown)
 	}
 	first := d.starts[0].Run
 	d.settle()
 	c.Check(d.stops, qt.Contains, first)
 	c.Check(d.starts, qt.HasLen, 1)
 	c.Check(d.e.workers["w0"].free().Accelerators, qt.Equals, 0)
-	r := d.worker(0)
+	r := d.workerReport(0)
 	r.ConfirmedAbsent = append(r.ConfirmedAbsent, first)
 	d.report(r)
 	d.now += 5 * time.Second
-	d.report(d.worker(0))
+	d.report(d.workerReport(0))
 	d.settle()
 	c.Check(d.starts, qt.HasLen, 2)
 	c.Check(d.starts[1].Run.Number, qt.Equals, 2)
--- a/engine/pace_test.go
+++ b/engine/pace_test.go
@@ -11,15 +11,15 @@
 // off are made up for at their time, and what is decided already is not held back.
 func TestPostponedRoundIsMadeAtItsTime(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 1)
-	first := d.job(1, "", tasks(1, 1))
+	d := newDriver(t, 1)
+	first := d.submit(1, "", taskStep(1, 1))
 	d.settle()
 	c.Assert(d.runs(first), qt.HasLen, 1)
 
 	d.e.DelayPlanning(d.now + 100*time.Millisecond)
-	second := d.job(1, "", tasks(1, 1))
-	d.step(CancelRequested{Job: first, Revision: 9})
-	d.turn(StartOK)
+	second := d.submit(1, "", taskStep(1, 1))
+	d.handle(CancelRequested{Job: first, Revision: 9})
+	d.decideAndStore(StartOK)
 	c.Check(d.runs(second), qt.HasLen, 0)
 	c.Check(d.stops, qt.HasLen, 1, qt.Commentf("a stop that is decided leaves at once"))
 	until, due := d.e.NextPlanning()
--- a/engine/plan.go
+++ b/engine/plan.go
@@ -20,10 +20,10 @@
 	kept      int // reservations made
 	// nearSets are the domains of nearOf, which is served now.
 	nearOf   *unit
-	nearSets domains
+	nearSets domainSet
 	// outlook and options are kept for their memory.
-	outlook outlook
-	options []option
+	outlook fitForecast
+	options []candidate
 	// target is the accelerators to keep free on the spare racks.
 	target int
 	// full are steps one of whose units found no room in this round.
@@ -47,12 +47,12 @@
 
 // plan places what waits.
 func (e *Engine) plan(now time.Duration) {
-	e.lastPlan = now
+	e.lastPlanAt = now
 	r := e.newRound(now)
-	r.pickSpare()
-	e.leave(r)
+	r.pickHeadroomRacks()
+	e.moveOffDraining(r)
 	queue := e.queue(now, r.protected)
-	e.askAdvice(r, queue)
+	e.requestAdvice(r, queue)
 	for _, u := range queue {
 		r.serve(u)
 	}
@@ -81,7 +81,7 @@
 		rack.workers = append(rack.workers, w)
 	}
 	r.rackNames = slices.Sorted(maps.Keys(r.racks))
-	for _, j := range e.sequence {
+	for _, j := range e.orderedJobs {
 		for _, u := range j.units {
 			r.renewClaims(u)
 		}
@@ -94,7 +94,7 @@
 	if len(u.claims) == 0 {
 		return
 	}
-	if u.state != unitWaiting || r.now-u.claimedAt > r.e.params.StopTime+claimSlack {
+	if u.state != unitWaiting || r.now-u.claimedAt > r.e.params.StopTime+claimGrace {
 		r.e.dropClaims(u)
 		return
 	}
@@ -105,7 +105,7 @@
 func (r *round) countClaims(u *unit, sign int) {
 	for w, n := range u.claims {
 		w.round.claimed = w.round.claimed.Add(u.demand().Times(sign * n))
-		r.changed(w)
+		r.invalidateDomains(w)
 	}
 }
 
@@ -115,10 +115,10 @@
 	if r.full[key] {
 		return
 	}
-	if !r.lastingFits(u) {
+	if !r.fitsBesideGuarantees(u) {
 		return
 	}
-	if workers := r.fit(u); workers != nil {
+	if workers := r.findWorkers(u); workers != nil {
 		r.place(u, workers)
 		return
 	}
@@ -144,10 +144,10 @@
 	u.verdict = verdictNone
 	for i, index := range u.indexes() {
 		r.e.put(u, index, workers[i])
-		r.changed(workers[i])
+		r.invalidateDomains(workers[i])
 	}
-	r.e.change(u.job)
-	r.e.decided(u.places[0], "place", r.grounds(u, workers))
+	r.e.markChanged(u.job)
+	r.e.logDecision(u.places[0], "place", r.grounds(u, workers))
 }
 
 // grounds says, for the log, what a placement was decided on and how old it was.
@@ -186,10 +186,10 @@
 // slots returns how many members of u fit on w now, where there is so much room.
 func (r *round) slots(u *unit, w *worker, room workload.Resources) int {
 	n := u.demand().CountFitting(room, u.size)
-	if n <= 0 || !r.eligible(u, w) || w.health.resting(r.now) || !r.admits(u, w) {
+	if n <= 0 || !r.eligible(u, w) || w.health.paused(r.now) || !r.admits(u, w) {
 		return 0
 	}
-	return r.spared(u, w, r.e.bounded(u, w, n))
+	return r.limitToHeadroom(u, w, r.e.bounded(u, w, n))
 }
 
 // eligible says whether u may run on w. For a while it may not where it failed or stood
@@ -198,7 +198,7 @@
 	if w.info.Service != u.job.spec.Service || !w.hasLabel(u.spec().Label) {
 		return false
 	}
-	if _, ok := u.ticketOn(r.now+ticketMargin, w.info.ID); !ok {
+	if _, ok := u.ticketFor(r.now+minTicketValidity, w.info.ID); !ok {
 		return false
 	}
 	return w.health.failures == 0 || r.now >= u.avoids[w.info.ID]
--- a/engine/probation.go
+++ b/engine/probation.go
@@ -30,18 +30,18 @@
 		if p.unit == u || p.state == placeAdopted {
 			continue
 		}
-		c, fresh := p.unit.crashesOf(p.index), !p.proven()
-		if fresh && c.early > 0 {
+		c, fresh := p.unit.crashCountOf(p.index), !p.pastStartup()
+		if fresh && c.startup > 0 {
 			return false // it is on probation
 		}
 		if fresh {
 			wait = max(wait, probationWait)
 		}
-		if c.lastChance() {
+		if c.onLastAttempt() {
 			wait = max(wait, sparingWait)
 		}
 	}
-	return wait == 0 || !u.suspect() || !r.holdsBack(u, wait)
+	return wait == 0 || !u.hasStartupCrash() || !r.holdsBack(u, wait)
 }
 
 // holdsBack says whether u, which can't have a worker to itself now, goes on waiting for
@@ -71,7 +71,7 @@
 	if r.now < u.shuns[w.info.Agent] {
 		risk += w.info.Capacity.CoreEquivalent()
 	}
-	if u.suspect() {
+	if u.hasStartupCrash() {
 		risk += w.used.CoreEquivalent()
 	}
 	return risk
--- a/engine/progress.go
+++ b/engine/progress.go
@@ -68,7 +68,7 @@
 	}
 	for _, index := range slices.Sorted(maps.Keys(u.crashes)) {
 		c := u.crashes[index]
-		p.Crashes = append(p.Crashes, TaskCrashes{Index: index, Total: c.total, Early: c.early, Certain: c.certain})
+		p.Crashes = append(p.Crashes, TaskCrashes{Index: index, Total: c.total, Early: c.startup, Certain: c.confirmed})
 	}
 	return p
 }
@@ -78,7 +78,7 @@
 }
 
 func (j *job) progress(epoch uint64, now time.Duration, wall time.Time) *JobProgress {
-	p := &JobProgress{Epoch: epoch, Version: j.version, State: j.state, Reason: j.reason, Started: j.begun, CreatedOccurrences: j.created}
+	p := &JobProgress{Epoch: epoch, Version: j.version, State: j.state, Reason: j.reason, Started: j.started, CreatedOccurrences: j.createdOccurrences}
 	if j.state.Final() {
 		p.EndedAt = wall.Add(j.endedAt - now)
 	}
--- a/engine/pulse_test.go
+++ b/engine/pulse_test.go
@@ -42,21 +42,21 @@
 // evicted nothing, while its objective passed. Its progress says that it goes on.
 func TestUrgentJobDoesNotWaitForWorkThatOutlivedItsEstimate(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 1)
-	long := tasks(1, 8)
+	d := newDriver(t, 1)
+	long := taskStep(1, 8)
 	long.Checkpoints = true
-	id := d.job(2, "", long)
+	id := d.submit(2, "", long)
 	d.settle()
-	d.end(id, EndStopped)
+	d.endRuns(id, EndStopped)
 	d.settle()
 	for i := range 100 {
 		d.now += 100 * time.Millisecond
-		d.show("w0", func(*placement) RunStatus { return RunStatus{Percent: 90 + i/14} })
+		d.reportRuns("w0", func(*placement) RunStatus { return RunStatus{Percent: 90 + i/14} })
 		d.tick()
 	}
 	c.Assert(d.runs(id), qt.HasLen, 1)
 	d.stops = nil
-	d.job(0, "", tasks(1, 8))
+	d.submit(0, "", taskStep(1, 8))
 	d.settle()
 	c.Check(d.stops, qt.HasLen, 1)
 }
--- a/engine/queue.go
+++ b/engine/queue.go
@@ -15,7 +15,7 @@
 //  4. by acceptance.
 func (e *Engine) queue(now time.Duration, protected map[*job]bool) []*unit {
 	var ranked []rankedUnit
-	for _, j := range e.sequence {
+	for _, j := range e.orderedJobs {
 		if j.state.Final() {
 			continue
 		}
@@ -50,7 +50,7 @@
 	return cmp.Or(
 		cmp.Compare(a.unit.job.spec.QueuePolicy.Priority, b.unit.job.spec.QueuePolicy.Priority),
 		cmp.Compare(a.latest, b.latest),
-		cmp.Compare(a.unit.job.order, b.unit.job.order),
+		cmp.Compare(a.unit.job.revision, b.unit.job.revision),
 		cmp.Compare(a.unit.job.spec.ID, b.unit.job.spec.ID),
 		cmp.Compare(a.unit.occurrence, b.unit.occurrence),
 		cmp.Compare(a.unit.step, b.unit.step),
@@ -65,7 +65,7 @@
 		return u.since // its users wait from the first moment
 	}
 	if !e.params.Policy.DeadlineOrder {
-		return u.job.accepted
+		return u.job.acceptedAt
 	}
 	left := e.chainFrom(u)
 	return e.deadline(now+left, u.job) - left
@@ -88,7 +88,7 @@
 // order of acceptance.
 func (e *Engine) protected() map[*job]bool {
 	byAccount := map[string][]*job{}
-	for _, j := range e.sequence {
+	for _, j := range e.orderedJobs {
 		if j.spec.QueuePolicy.Priority == 0 && !j.state.Final() && j.spec.Account != "" {
 			byAccount[j.spec.Account] = append(byAccount[j.spec.Account], j)
 		}
@@ -96,7 +96,7 @@
 	out := map[*job]bool{}
 	for account, jobs := range byAccount {
 		left := e.catalog.GuaranteedAccelerators(account)
-		slices.SortStableFunc(jobs, func(a, b *job) int { return cmp.Compare(a.order, b.order) })
+		slices.SortStableFunc(jobs, func(a, b *job) int { return cmp.Compare(a.revision, b.revision) })
 		for _, j := range jobs {
 			need := j.accelerators()
 			if need > left {
--- a/engine/refused_test.go
+++ b/engine/refused_test.go
@@ -16,18 +16,18 @@
 	for _, refusal := range []StartOutcome{StartInvalid, StartNoCapacity} {
 		t.Run(refusal.String(), func(t *testing.T) {
 			c := qt.New(t)
-			d := newCrashDay(c, 1)
-			d.answer = func(StartOrder) StartOutcome { return refusal }
-			id := d.job(0, "other", tasks(1, 1))
+			d := newCrashScenario(c, 1)
+			d.startOutcome = func(StartOrder) StartOutcome { return refusal }
+			id := d.submit(0, "other", taskStep(1, 1))
 			const span = 10 * time.Second
 			for end := d.now + span; d.now < end; d.now += 20 * time.Millisecond {
-				d.work(d.e.workers["w0"])
+				d.reportRunningWorker(d.e.workers["w0"])
 				d.tick()
 			}
 			c.Check(len(d.starts) <= 20, qt.IsTrue, qt.Commentf("%d starts", len(d.starts)))
-			d.answer = nil
-			d.run(8 * time.Second)
-			c.Check(d.state(id), qt.Equals, workload.Completed, qt.Commentf("it is tried again once that is over"))
+			d.startOutcome = nil
+			d.advanceWorkers(8 * time.Second)
+			c.Check(d.jobState(id), qt.Equals, workload.Completed, qt.Commentf("it is tried again once that is over"))
 		})
 	}
 }
--- a/engine/reports.go
+++ b/engine/reports.go
@@ -22,7 +22,7 @@
 	w := e.meet(now, r.Worker)
 	attached := r.Epoch == e.epoch && r.Generation >= w.turn
 	if now-w.lastReport >= reportTimeout {
-		e.replan = true
+		e.planNeeded = true
 	}
 	w.lastReport = now
 	e.drain(now, w, r)
@@ -41,7 +41,7 @@
 	}
 	if first {
 		e.settleAdopted(now, w)
-		e.replan = true
+		e.planNeeded = true
 	}
 	return ReportAnswer{Attached: granted, Generation: w.turn, AckedEnds: w.forgettable(), EndsPending: len(w.pending) > 0, PollOften: w.shared()}
 }
@@ -59,26 +59,26 @@
 // meet returns the worker that reports, which may be new. A new life of the worker
 // beside the same agent proves that the one before is over.
 func (e *Engine) meet(now time.Duration, info WorkerInfo) *worker {
-	before, known := e.byAgent[info.Agent]
+	before, known := e.workerByAgent[info.Agent]
 	if known && before != info.ID {
 		e.replace(now, before, info)
 	}
 	w := e.workers[info.ID]
 	if w == nil {
 		w = e.addWorker(now, info)
-		e.unrecorded[info.ID] = w
+		e.unrecordedWorkers[info.ID] = w
 	}
 	if w.info.Agent == "" {
 		// Its record could not be read; what it says itself goes on record.
 		w.info = info
 		w.recorded = false
-		e.unrecorded[info.ID] = w
+		e.unrecordedWorkers[info.ID] = w
 	}
 	if before != info.ID {
 		e.takeTurn(w)
 	}
 	e.resize(now, w, info.Capacity)
-	e.byAgent[info.Agent] = info.ID
+	e.workerByAgent[info.Agent] = info.ID
 	return w
 }
 
@@ -92,9 +92,9 @@
 	}
 	e.markCordoned(w)
 	e.workers[info.ID] = w
-	e.sorted = nil
-	e.workersChanged = now
-	e.replan = true
+	e.workersByID = nil
+	e.workerAddedAt = now
+	e.planNeeded = true
 	return w
 }
 
@@ -104,7 +104,7 @@
 	}
 	if !w.draining {
 		w.draining = true
-		e.replan = true
+		e.planNeeded = true
 	}
 	w.leavesAt = now + r.DrainRemaining
 }
@@ -134,7 +134,7 @@
 	w.lapsed = false
 	w.lapsedWith = nil
 	if wasSilent {
-		e.replan = true
+		e.planNeeded = true
 	}
 	return granted
 }
@@ -150,7 +150,7 @@
 			continue
 		}
 		w.listed = row.Sequence
-		owner := e.ended(now, w, row)
+		owner := e.handleRunEnd(now, w, row)
 		version := 0
 		if owner != nil {
 			version = owner.version
@@ -175,7 +175,7 @@
 	}
 	p.missing = 0
 	p.shownAt = now
-	p.survive()
+	p.resetCrashes()
 	if row.Percent != p.pulse.percent {
 		p.movedAt = now
 		if p.pulse.seen {
@@ -209,7 +209,7 @@
 	if p == nil || p.run != run.Number || !p.stopping {
 		return
 	}
-	e.lost(now, p, CauseStartUnanswered, "stopped before it was there")
+	e.handleLostRun(now, p, CauseStartUnanswered, "stopped before it was there")
 }
 
 // miss counts the looks that do not show a running task, and stops it after some: the
@@ -221,8 +221,8 @@
 		}
 		p.missing++
 		if p.missing >= missingLooks {
-			e.retry(p.unit)
-			e.stopAll(now, p.unit, CauseNotListed)
+			e.markRetry(p.unit)
+			e.stopUnit(now, p.unit, CauseNotListed)
 		}
 	}
 	for run := range w.strays {
@@ -237,7 +237,7 @@
 func (e *Engine) settleAdopted(now time.Duration, w *worker) {
 	for _, p := range w.sortedPlaces() {
 		if p.state == placeAdopted {
-			e.lost(now, p, CauseTakeover, "not there under the new epoch")
+			e.handleLostRun(now, p, CauseTakeover, "not there under the new epoch")
 		}
 	}
 	for _, p := range w.sortedPlaces() {
@@ -256,25 +256,25 @@
 	places := w.sortedPlaces()
 	e.actions = append(e.actions, WorkerGone{Worker: w.info, Departure: how, Runs: len(places)})
 	if how == DepartureCrashed {
-		defer e.charge(now, w, slices.Concat(w.lapsedWith, places), t)
+		defer e.countCrash(now, w, slices.Concat(w.lapsedWith, places), t)
 	}
 	for _, p := range places {
-		e.lost(now, p, CauseWorkerLost, fmt.Sprintf("its worker %s; %s", how, p.history()))
+		e.handleLostRun(now, p, CauseWorkerLost, fmt.Sprintf("its worker %s; %s", how, p.observedRunTime()))
 	}
 	e.forget(w)
 }
 
 func (e *Engine) forget(w *worker) {
 	delete(e.workers, w.info.ID)
-	e.sorted = nil
-	delete(e.unrecorded, w.info.ID)
+	e.workersByID = nil
+	delete(e.unrecordedWorkers, w.info.ID)
 	e.dropSuperseded(w)
-	if e.byAgent[w.info.Agent] == w.info.ID {
-		delete(e.byAgent, w.info.Agent)
+	if e.workerByAgent[w.info.Agent] == w.info.ID {
+		delete(e.workerByAgent, w.info.Agent)
 	}
 	if w.recorded {
 		e.goneWorkers[w.info.ID] = true
 	}
 	e.dropWorkerClaims(w)
-	e.replan = true
+	e.planNeeded = true
 }
--- a/engine/reserve.go
+++ b/engine/reserve.go
@@ -21,15 +21,15 @@
 	if slots != nil {
 		detail = fmt.Sprintf("for %d ms, %s, room expected in %d ms on %d workers", waited, needs, at.Milliseconds(), len(slots))
 	}
-	r.e.decidedJob(u.job, "waits", detail)
+	r.e.logJobDecision(u.job, "waits", detail)
 }
 
 // reserve keeps the room that will be free first for a unit that waits, against units
 // behind it that would still run then.
 func (r *round) reserve(u *unit) {
 	at, slots := never, map[*worker]int(nil)
-	for _, set := range r.near(u).sets {
-		t, s := r.forecast(u, set, never)
+	for _, set := range r.preferredDomains(u).domains {
+		t, s := r.forecastFit(u, set, never)
 		if s != nil && t < at {
 			at, slots = t, s
 		}
--- a/engine/reserve_test.go
+++ b/engine/reserve_test.go
@@ -13,9 +13,9 @@
 const smallTime = 2 * time.Second
 
 // progress lets a tenth of a second pass, in which each run does its part of that length.
-func (d *desk) progress(length time.Duration) {
+func (d *driver) progress(length time.Duration) {
 	for _, w := range d.e.sortedWorkers() {
-		d.show(w.info.ID, func(p *placement) RunStatus {
+		d.reportRuns(w.info.ID, func(p *placement) RunStatus {
 			return RunStatus{Percent: int(100 * (d.now - p.began) / length)}
 		})
 	}
@@ -26,19 +26,19 @@
 // gangAmongSmallJobs hands in a gang that needs all three workers while small jobs, each a
 // worker for two seconds, come faster than they end, and returns how long the gang waits.
 func gangAmongSmallJobs(t *testing.T, reservations int) time.Duration {
-	d := newDesk(t, 3)
+	d := newDriver(t, 3)
 	d.e.params.Policy.Reservations = reservations
 	began := map[workload.JobID]time.Duration{}
 	small := func() {
-		step := tasks(1, 8)
+		step := taskStep(1, 8)
 		step.Estimate = smallTime
-		began[d.job(2, "", step)] = 0
+		began[d.submit(2, "", step)] = 0
 	}
 	for range 3 {
 		small()
 	}
 	d.settle()
-	gangID := d.job(1, "", gang(3, 8))
+	gangID := d.submit(1, "", gangStep(3, 8))
 	from := d.now
 	for d.now-from < time.Minute {
 		small()
@@ -50,7 +50,7 @@
 				began[id] = d.now
 			}
 			if at != 0 && d.now-at >= smallTime && len(d.runs(id)) > 0 {
-				d.end(id, EndDone)
+				d.endRuns(id, EndDone)
 				d.settle()
 			}
 		}
--- a/engine/restore.go
+++ b/engine/restore.go
@@ -14,13 +14,13 @@
 	}
 	w := e.addWorker(now, info)
 	w.recorded = true
-	w.lapseAt += e.inherited
+	w.lapseAt += e.inheritedLeaseExtra
 	w.lastReport = now - reportTimeout
-	if before := e.workers[e.byAgent[info.Agent]]; before != nil && before.info.SharesName(info) {
+	if before := e.workers[e.workerByAgent[info.Agent]]; before != nil && before.info.SharesName(info) {
 		// Which of them is the present one the agent will say.
 		e.supersede(before, DepartureCrashed, witness{})
 	}
-	e.byAgent[info.Agent] = info.ID
+	e.workerByAgent[info.Agent] = info.ID
 }
 
 // gatherTime is how long a new planner waits for the workers on record before it stops
@@ -30,7 +30,7 @@
 
 // gathering says whether workers that a predecessor knew are still expected.
 func (e *Engine) gathering(now time.Duration) bool {
-	if now-e.began > gatherTime {
+	if now-e.startedAt > gatherTime {
 		return false
 	}
 	for _, w := range e.workers {
@@ -46,41 +46,41 @@
 	if e.jobs[ev.Job.ID] != nil {
 		return
 	}
-	j := e.adopt(now, ev.JobSubmitted)
+	j := e.addJob(now, ev.JobSubmitted)
 	if ev.Progress != nil {
 		e.restoreProgress(now, j, ev.Progress)
 	}
-	j.cancelOrder = ev.CancelRevision
+	j.cancelRevision = ev.CancelRevision
 	if j.state.Final() {
 		for _, u := range j.units {
-			e.stopAll(now, u, CauseTakeover)
+			e.stopUnit(now, u, CauseTakeover)
 		}
 		return
 	}
-	order, early := e.cancels[ev.Job.ID]
+	order, early := e.earlyCancels[ev.Job.ID]
 	if ev.Cancelled || early {
-		delete(e.cancels, ev.Job.ID)
+		delete(e.earlyCancels, ev.Job.ID)
 		e.cancel(now, CancelRequested{Job: ev.Job.ID, Revision: max(order, ev.CancelRevision)})
 		return
 	}
-	e.occur(now, j)
-	j.unblock(now)
-	e.advance(now, j)
-	e.replan = true
+	e.createDueOccurrences(now, j)
+	j.unblockUnits(now)
+	e.advanceJob(now, j)
+	e.planNeeded = true
 }
 
 func (e *Engine) restoreProgress(now time.Duration, j *job, p *JobProgress) {
 	j.state = p.State
 	j.reason = p.Reason
-	j.begun = p.Started
+	j.started = p.Started
 	j.version = p.Version
-	j.stored = p.Version
+	j.storedVersion = p.Version
 	if j.state.Final() {
 		j.canceled = j.state == workload.Cancelled
 		j.endedAt = now
 	}
-	for j.created < p.CreatedOccurrences {
-		j.create(now)
+	for j.createdOccurrences < p.CreatedOccurrences {
+		j.createOccurrence(now)
 	}
 	for _, up := range p.Units {
 		if u := j.unit(up.Occurrence, up.Step, up.Index); u != nil {
@@ -94,7 +94,7 @@
 	u.failures = up.Failures
 	u.saved = up.Checkpoint
 	for _, c := range up.Crashes {
-		u.noteCrashes(c.Index, crashes{total: c.Total, early: c.Early, certain: c.Certain})
+		u.setCrashCount(c.Index, crashCount{total: c.Total, startup: c.Early, confirmed: c.Certain})
 	}
 	for _, place := range up.Places {
 		w := e.workers[place.Worker]
@@ -113,7 +113,7 @@
 		u.state = unitActive
 	case len(u.places) > 0:
 		u.state = unitActive
-		e.stopAll(now, u, CauseTakeover)
+		e.stopUnit(now, u, CauseTakeover)
 	}
 }
 
--- a/engine/restore_test.go
+++ b/engine/restore_test.go
@@ -13,11 +13,11 @@
 // who ask before the agents have reported must not hear that it is queued.
 func TestSuccessorShowsAJobThatRunsAsRunning(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 1)
-	id := d.job(1, "", tasks(1, 8))
+	d := newDriver(t, 1)
+	id := d.submit(1, "", taskStep(1, 8))
 	d.settle()
-	d.pass(time.Second)
-	d.e.jobs[id].begun, d.e.jobs[id].state = false, workload.Queued // as the record has it
+	d.advance(time.Second)
+	d.e.jobs[id].started, d.e.jobs[id].state = false, workload.Queued // as the record has it
 	d.takeOver()
 	found, ok := d.e.Lookup(id)
 	c.Assert(ok, qt.IsTrue)
--- a/engine/room.go
+++ b/engine/room.go
@@ -20,8 +20,8 @@
 	}
 	e.actions = append(e.actions, WorkerResized{Worker: w.info.ID, Before: w.info.Capacity, After: room, Used: w.used})
 	w.info.Capacity = room
-	e.workersChanged = now
-	e.replan = true
+	e.workerAddedAt = now
+	e.planNeeded = true
 }
 
 // WorkerResized: a worker has more or less room than before. Used is what the planner counts as
--- a/engine/room_test.go
+++ b/engine/room_test.go
@@ -10,8 +10,8 @@
 )
 
 // resized returns what a worker of the desk says after its room has changed.
-func (d *desk) resized(i, accelerators int) Report {
-	r := d.worker(i)
+func (d *driver) resized(i, accelerators int) Report {
+	r := d.workerReport(i)
 	part := r.Worker.Capacity
 	r.Worker.Capacity = workload.Resources{
 		MilliCPU: part.MilliCPU * accelerators / 8, MemoryMB: part.MemoryMB * accelerators / 8, Accelerators: accelerators,
@@ -24,16 +24,16 @@
 // than the worker had.
 func TestShrunkWorkerTakesNoMoreThanItHas(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 1)
-	first := d.job(1, "other", tasks(1, 3))
+	d := newDriver(t, 1)
+	first := d.submit(1, "other", taskStep(1, 3))
 	d.settle()
 	c.Assert(d.runs(first), qt.HasLen, 1)
 
 	d.report(d.resized(0, 4))
-	second := d.job(1, "other", tasks(1, 3))
+	second := d.submit(1, "other", taskStep(1, 3))
 	d.settle()
 	c.Check(d.runs(second), qt.HasLen, 0, qt.Commentf("three of four accelerators are taken"))
-	third := d.job(1, "other", tasks(1, 1))
+	third := d.submit(1, "other", taskStep(1, 1))
 	d.settle()
 	c.Check(d.runs(third), qt.HasLen, 1)
 
@@ -45,12 +45,12 @@
 // The room of a worker shrinks between a decision and its record. The order must not leave.
 func TestStartIsWithheldWhereRoomShrankMeanwhile(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 1)
-	id := d.job(1, "other", tasks(1, 6))
+	d := newDriver(t, 1)
+	id := d.submit(1, "other", taskStep(1, 6))
 	d.e.Decide(d.now)
 	w := d.e.PendingChanges(d.now, time.Unix(1000, 0), 15)
 	d.report(d.resized(0, 4))
-	d.step(WriteApplied{Write: w})
+	d.handle(WriteApplied{Write: w})
 	d.settle()
 	c.Check(d.starts, qt.HasLen, 0)
 	d.report(d.resized(0, 8))
--- a/engine/sharing.go
+++ b/engine/sharing.go
@@ -138,8 +138,8 @@
 		if p.pace.confirmed || !p.unit.mayStop(0) {
 			continue
 		}
-		e.decided(p, "move", "the worker does not hold it back")
-		e.stopAll(now, p.unit, CauseInterference)
+		e.logDecision(p, "move", "the worker does not hold it back")
+		e.stopUnit(now, p.unit, CauseInterference)
 	}
 }
 
@@ -182,9 +182,9 @@
 			continue
 		}
 		for _, s := range serving {
-			e.interference.tooMuch(pairOf(p, s), p.pace.percent, strain)
+			e.interference.observeStrain(pairOf(p, s), p.pace.percent, strain)
 		}
-		e.decided(p, "hold back", fmt.Sprintf("from %d%%, tail latency at %.2f of its target", p.pace.percent, strain))
+		e.logDecision(p, "hold back", fmt.Sprintf("from %d%%, tail latency at %.2f of its target", p.pace.percent, strain))
 		e.setPace(now, p, int(part*float64(p.pace.percent)))
 		w.sharing.changedAt = now
 	}
@@ -195,7 +195,7 @@
 	var best *placement
 	for _, p := range filling {
 		for _, s := range serving {
-			e.interference.harmless(pairOf(p, s), p.pace.percent)
+			e.interference.observeTolerated(pairOf(p, s), p.pace.percent)
 		}
 		if p.state != placeRunning || p.pace.percent >= fullPace {
 			continue
@@ -209,7 +209,7 @@
 	}
 	step := max(raiseLeast, e.tolerance(best, serving)-best.pace.percent)
 	percent := min(fullPace, best.pace.percent+step)
-	e.decided(best, "let go", fmt.Sprintf("from %d%% to %d%%", best.pace.percent, percent))
+	e.logDecision(best, "let go", fmt.Sprintf("from %d%% to %d%%", best.pace.percent, percent))
 	e.setPace(now, best, percent)
 	w.sharing.changedAt = now
 	w.sharing.raised = best
@@ -226,7 +226,7 @@
 }
 
 func pairOf(fills, serves *placement) imagePair {
-	return imagePair{fills: fills.unit.spec().Image, serves: serves.unit.spec().Image}
+	return imagePair{bestEffort: fills.unit.spec().Image, latencySensitive: serves.unit.spec().Image}
 }
 
 // join sets speeds as p's start leaves: its own where it fills, that of what fills already
--- a/engine/sharing_sim_test.go
+++ b/engine/sharing_sim_test.go
@@ -79,15 +79,15 @@
 func sharedRun(t *testing.T, seed uint64, fixed int) *sharedHost {
 	h := &sharedHost{rng: rand.New(rand.NewPCG(seed, 11)), speeds: map[workload.RunID]int{}, weights: map[string]float64{}}
 	h.phase = 6 * h.rng.Float64()
-	d := newDesk(t, 1)
-	d.job(1, "", serving(1))
+	d := newDriver(t, 1)
+	d.submit(1, "", serving(1))
 	d.settle()
 	for i, weight := range []float64{0.1, 0.4, 1.0} {
 		s := fillers(1)
 		s.Image = fmt.Sprint("fills", i)
 		s.Estimate = time.Hour
 		h.weights[s.Image] = weight * (0.7 + 0.6*h.rng.Float64())
-		d.job(2, "", s)
+		d.submit(2, "", s)
 	}
 	d.settle()
 	const step = 50 * time.Millisecond
@@ -111,7 +111,7 @@
 	return h
 }
 
-func (h *sharedHost) take(d *desk, images map[workload.RunID]string, fixed int) {
+func (h *sharedHost) take(d *driver, images map[workload.RunID]string, fixed int) {
 	for run := range images {
 		if _, known := h.speeds[run]; !known {
 			h.speeds[run] = fullPace
--- a/engine/sharing_test.go
+++ b/engine/sharing_test.go
@@ -13,7 +13,7 @@
 
 // serving is tasks that serve users and last.
 func serving(n int) workload.Step {
-	s := lasting(n, 0, 0)
+	s := longRunningStep(n, 0, 0)
 	s.Image = "serves"
 	s.TailLatencyTarget = tailTarget
 	return s
@@ -21,7 +21,7 @@
 
 // fillers is tasks that take the processor time that others leave.
 func fillers(n int) workload.Step {
-	s := tasks(n, 0)
+	s := taskStep(n, 0)
 	s.Image = "fills"
 	s.BestEffortCPU = true
 	s.Checkpoints = true
@@ -30,18 +30,18 @@
 
 // sharedDesk returns a desk with one worker, on which a task that serves users runs and
 // another fills.
-func sharedDesk(t *testing.T) (d *desk, service, fills workload.JobID) {
-	d = newDesk(t, 1)
-	service = d.job(1, "", serving(1))
+func sharedDesk(t *testing.T) (d *driver, service, fills workload.JobID) {
+	d = newDriver(t, 1)
+	service = d.submit(1, "", serving(1))
 	d.settle()
-	fills = d.job(2, "", fillers(1))
+	fills = d.submit(2, "", fillers(1))
 	d.settle()
 	return d, service, fills
 }
 
 // looks lets every worker report for a while, with the tail latency of what serves as
 // given in parts of its target.
-func (d *desk) looks(by time.Duration, strain func(now time.Duration) float64) {
+func (d *driver) looks(by time.Duration, strain func(now time.Duration) float64) {
 	for end := d.now + by; d.now < end; d.now += 100 * time.Millisecond {
 		if d.now%(500*time.Millisecond) == 0 {
 			for _, w := range d.e.sortedWorkers() {
@@ -52,7 +52,7 @@
 	}
 }
 
-func (d *desk) lookAt(w *worker, strain float64) Report {
+func (d *driver) lookAt(w *worker, strain float64) Report {
 	r := Report{Epoch: d.e.epoch, Polled: true, Worker: w.info}
 	for _, p := range w.sortedPlaces() {
 		row := RunStatus{Run: p.id(), Percent: min(p.pulse.percent+1, 98)}
@@ -66,7 +66,7 @@
 }
 
 // speeds returns the last speed ordered of each run; 100 where none was.
-func (d *desk) speeds(id workload.JobID) []int {
+func (d *driver) speeds(id workload.JobID) []int {
 	last := map[workload.RunID]int{}
 	for _, p := range d.paces {
 		last[p.Run] = p.Percent
@@ -94,20 +94,20 @@
 func TestUnknownImageBeginsSlowly(t *testing.T) {
 	c := qt.New(t)
 	d, _, id := sharedDesk(t)
-	c.Check(d.speeds(id), qt.DeepEquals, []int{firstTolerance})
+	c.Check(d.speeds(id), qt.DeepEquals, []int{initialTolerance})
 }
 
 // A task serves users where another fills at full speed already.
 func TestFillerIsSlowedBeforeItsNeighbourStarts(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 1)
-	id := d.job(2, "", fillers(1))
+	d := newDriver(t, 1)
+	id := d.submit(2, "", fillers(1))
 	d.settle()
 	d.looks(time.Second, constant(0))
 	c.Check(d.speeds(id), qt.DeepEquals, []int{100})
-	d.job(1, "", serving(1))
+	d.submit(1, "", serving(1))
 	d.settle()
-	c.Check(d.speeds(id), qt.DeepEquals, []int{firstTolerance})
+	c.Check(d.speeds(id), qt.DeepEquals, []int{initialTolerance})
 }
 
 // Response times rise over the target through what fills beside. It has to stand still
@@ -120,16 +120,16 @@
 	d.looks(2*time.Second, constant(1.4))
 	c.Check(d.speeds(id), qt.DeepEquals, []int{0})
 	d.looks(6*time.Second, constant(0.4))
-	c.Check(d.speeds(id)[0] > firstTolerance, qt.IsTrue, qt.Commentf("%v", d.speeds(id)))
+	c.Check(d.speeds(id)[0] > initialTolerance, qt.IsTrue, qt.Commentf("%v", d.speeds(id)))
 }
 
 // What serves users ends. Nothing is left that the other would disturb.
 func TestFillerAloneRunsAtFullSpeed(t *testing.T) {
 	c := qt.New(t)
 	d, service, id := sharedDesk(t)
-	d.step(CancelRequested{Job: service})
+	d.handle(CancelRequested{Job: service})
 	d.settle()
-	d.end(service, EndStopped)
+	d.endRuns(service, EndStopped)
 	d.looks(time.Second, constant(0))
 	c.Check(d.speeds(id), qt.DeepEquals, []int{100})
 }
@@ -138,15 +138,15 @@
 // and for some time after, since the lost one of before may still be carried out.
 func TestUnconfirmedSpeedIsOrderedAgain(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 1)
-	d.job(1, "", serving(1))
+	d := newDriver(t, 1)
+	d.submit(1, "", serving(1))
 	d.settle()
-	d.losePaces = true
-	d.job(2, "", fillers(1))
+	d.dropPaceReplies = true
+	d.submit(2, "", fillers(1))
 	d.settle()
 	d.looks(2*time.Second, constant(0.7))
 	c.Check(len(d.paces) >= 4, qt.IsTrue, qt.Commentf("%d", len(d.paces)))
-	d.losePaces = false
+	d.dropPaceReplies = false
 	before := len(d.paces)
 	d.looks(4*time.Second, constant(0.7))
 	c.Check(len(d.paces) >= before+3, qt.IsTrue, qt.Commentf("in doubt, ordered %d times", len(d.paces)-before))
@@ -165,22 +165,22 @@
 	d.takeOver()
 	d.paces = nil
 	d.looks(600*time.Millisecond, constant(0.7))
-	c.Check(d.speeds(id), qt.DeepEquals, []int{firstTolerance})
+	c.Check(d.speeds(id), qt.DeepEquals, []int{initialTolerance})
 }
 
 // Of two workers one has a task beside which this image did badly.
 func TestFillersGoWhereTheyDisturbLeast(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 2)
-	d.job(1, "", serving(1))
+	d := newDriver(t, 2)
+	d.submit(1, "", serving(1))
 	d.settle()
 	var serves WorkerID
-	for run, w := range d.on {
+	for run, w := range d.startedOn {
 		if run.Task.Step == 0 {
 			serves = w
 		}
 	}
-	id := d.job(2, "", fillers(1))
+	id := d.submit(2, "", fillers(1))
 	d.settle()
 	for w := range d.runs(id) {
 		c.Check(w, qt.Not(qt.Equals), serves)
@@ -191,11 +191,11 @@
 // through what fills. That has to leave before it counts as harm.
 func TestWhatCanNotBeHeldBackIsStopped(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 1)
-	d.job(1, "", serving(1))
+	d := newDriver(t, 1)
+	d.submit(1, "", serving(1))
 	d.settle()
-	d.losePaces = true
-	id := d.job(2, "", fillers(1))
+	d.dropPaceReplies = true
+	id := d.submit(2, "", fillers(1))
 	d.settle()
 	d.looks(2*time.Second, constant(1.3))
 	c.Check(d.stops, qt.HasLen, 0)
--- a/engine/shortcut_test.go
+++ b/engine/shortcut_test.go
@@ -10,38 +10,38 @@
 
 // crowded returns a desk whose workers are nearly full of all kinds of work, and a unit that
 // waits.
-func crowded(t *testing.T, rng *rand.Rand) (*desk, *unit) {
-	d := newDesk(t, 9)
+func crowded(t *testing.T, rng *rand.Rand) (*driver, *unit) {
+	d := newDriver(t, 9)
 	for range 25 {
-		step := tasks(1+rng.IntN(4), 1+rng.IntN(4))
+		step := taskStep(1+rng.IntN(4), 1+rng.IntN(4))
 		step.Gang = rng.IntN(3) == 0
 		step.Checkpoints = rng.IntN(2) == 0
 		step.Estimate = time.Duration(1+rng.IntN(9000)) * time.Millisecond
-		d.job(1+rng.IntN(2), "", step)
+		d.submit(1+rng.IntN(2), "", step)
 		d.settle()
 		d.now += time.Duration(rng.IntN(300)) * time.Millisecond
 		for _, w := range d.e.sortedWorkers() {
-			d.beat(w.info.ID)
+			d.reportProgress(w.info.ID)
 		}
 	}
-	step := gang(1+rng.IntN(6), 1+rng.IntN(8))
+	step := gangStep(1+rng.IntN(6), 1+rng.IntN(8))
 	step.MaxPerWorker = rng.IntN(3)
-	id := d.job(0, "", step)
+	id := d.submit(0, "", step)
 	return d, d.e.jobs[id].units[0]
 }
 
 // surveyedAnew is evictions without what next keeps: after each member all workers are
 // looked at again.
 func surveyedAnew(r *round, u *unit, set *domain) (victims []*unit, cost float64, ok bool) {
-	c := r.newClearing(u, set)
+	c := r.newVictimSearch(u, set)
 	defer c.close()
 	for range u.size {
-		c.forget()
+		c.invalidateAll()
 		site, way := c.next()
 		if site == nil {
 			return nil, 0, false
 		}
-		c.take(site, way)
+		c.commit(site, way)
 		victims = append(victims, way.victims...)
 		cost += way.cost
 	}
@@ -56,9 +56,9 @@
 	for seed := range uint64(300) {
 		d, u := crowded(t, rand.New(rand.NewPCG(seed, 3)))
 		r := d.e.newRound(d.now)
-		r.pickSpare()
+		r.pickHeadroomRacks()
 		victims, cost, ok := surveyedAnew(r, u, r.all)
-		got := r.evictions(u, r.all)
+		got := r.planEviction(u, r.all)
 		c.Assert(got != nil, qt.Equals, ok, qt.Commentf("seed %d", seed))
 		if ok {
 			evicting++
@@ -66,7 +66,7 @@
 			c.Assert(len(got.victims), qt.Equals, len(victims), qt.Commentf("seed %d", seed))
 		}
 		for _, set := range append([]*domain{r.all}, r.racks["r0"], r.racks["r1"], r.racks["r2"]) {
-			if !u.tooFull(set) {
+			if !u.cannotFit(set) {
 				continue
 			}
 			full++
--- a/engine/silent_test.go
+++ b/engine/silent_test.go
@@ -9,13 +9,13 @@
 
 // silence lets the worker id stay silent for a while: its agent reports every few
 // milliseconds that the lease it knows ends at end. The other workers report as usual.
-func (d *desk) silence(id WorkerID, by, end time.Duration, known bool) {
+func (d *driver) silence(id WorkerID, by, end time.Duration, known bool) {
 	info := d.e.workers[id].info
 	const between = 20 * time.Millisecond
 	for until := d.now + by; d.now < until; d.now += between {
 		for _, w := range d.e.sortedWorkers() {
 			if w.info.ID != id {
-				d.beat(w.info.ID)
+				d.reportProgress(w.info.ID)
 			}
 		}
 		r := Report{Epoch: 1, Worker: info, Unresponsive: true, LeaseKnown: known}
@@ -33,16 +33,16 @@
 // anew, with its room free on other workers.
 func TestGangStartsAgainThoughAnAgentKeepsReportingItsDeadWorker(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 4)
-	id := d.job(1, "", gang(2, 8))
+	d := newDriver(t, 4)
+	id := d.submit(1, "", gangStep(2, 8))
 	d.settle()
-	d.pass(500 * time.Millisecond)
-	dead := d.on[d.starts[0].Run]
+	d.advance(500 * time.Millisecond)
+	dead := d.startedOn[d.starts[0].Run]
 	end := d.now + 6*time.Second
 	d.silence(dead, time.Second, end, true)
 	c.Check(d.runs(id)[dead], qt.HasLen, 1, qt.Commentf("it may still run there"))
 	d.silence(dead, 6*time.Second, end, true)
-	d.end(id, EndStopped) // the other member's, which was ordered
+	d.endRuns(id, EndStopped) // the other member's, which was ordered
 	d.settle()
 	runs := d.runs(id)
 	c.Check(runs[dead], qt.HasLen, 0)
@@ -54,11 +54,11 @@
 // nor later.
 func TestSilentWorkerWithAnUnknownLeaseLapsesByTheLastGrant(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 4)
-	id := d.job(1, "", tasks(1, 8))
+	d := newDriver(t, 4)
+	id := d.submit(1, "", taskStep(1, 8))
 	d.settle()
-	d.pass(500 * time.Millisecond)
-	silent := d.on[d.starts[0].Run]
+	d.advance(500 * time.Millisecond)
+	silent := d.startedOn[d.starts[0].Run]
 	granted := d.now
 	d.silence(silent, 5*time.Second, 0, false)
 	c.Check(d.runs(id)[silent], qt.HasLen, 1, qt.Commentf("it may still run there"))
@@ -72,11 +72,11 @@
 // and a task that was done there ran a second time elsewhere.
 func TestGrantToASilentWorkerIsCounted(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 4)
-	id := d.job(1, "", tasks(1, 8))
+	d := newDriver(t, 4)
+	id := d.submit(1, "", taskStep(1, 8))
 	d.settle()
-	d.pass(500 * time.Millisecond)
-	silent := d.on[d.starts[0].Run]
+	d.advance(500 * time.Millisecond)
+	silent := d.startedOn[d.starts[0].Run]
 	info := d.e.workers[silent].info
 	d.now += 5 * time.Second
 	v := d.report(Report{Epoch: 1, Worker: info, Unresponsive: true, ExtendingLease: true})
--- a/engine/stuck_test.go
+++ b/engine/stuck_test.go
@@ -10,12 +10,12 @@
 // A task stands still on a worker that answers well: it is tried elsewhere.
 func TestTaskThatStandsStillIsMoved(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 2)
-	d.job(1, "", tasks(1, 8))
+	d := newDriver(t, 2)
+	d.submit(1, "", taskStep(1, 8))
 	d.settle()
 	for range 60 {
 		for _, w := range d.e.sortedWorkers() {
-			d.show(w.info.ID, func(*placement) RunStatus { return RunStatus{Percent: 20} })
+			d.reportRuns(w.info.ID, func(*placement) RunStatus { return RunStatus{Percent: 20} })
 		}
 		d.now += 100 * time.Millisecond
 		d.tick()
@@ -27,16 +27,16 @@
 // gang has no time to wait until that is beyond all doubt.
 func TestTaskThatStandsStillWhereOthersMoveIsMovedSoon(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 2)
-	d.job(1, "", tasks(1, 8))
+	d := newDriver(t, 2)
+	d.submit(1, "", taskStep(1, 8))
 	d.settle()
-	d.pass(time.Second)
-	still := d.job(1, "", tasks(1, 8))
+	d.advance(time.Second)
+	still := d.submit(1, "", taskStep(1, 8))
 	d.settle()
 	from := d.now
 	for len(d.stops) == 0 && d.now-from < stuckUnproven {
 		for _, w := range d.e.sortedWorkers() {
-			d.show(w.info.ID, func(p *placement) RunStatus {
+			d.reportRuns(w.info.ID, func(p *placement) RunStatus {
 				if p.unit.job.spec.ID == still {
 					return RunStatus{}
 				}
@@ -55,17 +55,17 @@
 // that moves may stand still must end all the same, and not be moved again and again.
 func TestTaskThatShowsNoProgressIsLeftToItself(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 2)
-	id := d.job(1, "", tasks(1, 8))
+	d := newDriver(t, 2)
+	id := d.submit(1, "", taskStep(1, 8))
 	d.settle()
 	began, longest := d.now, time.Duration(0)
 	runs := len(d.starts)
 	for range 600 {
 		for _, w := range d.e.sortedWorkers() {
-			d.show(w.info.ID, func(*placement) RunStatus { return RunStatus{} })
+			d.reportRuns(w.info.ID, func(*placement) RunStatus { return RunStatus{} })
 		}
 		if len(d.stops) > 0 {
-			d.end(id, EndStopped)
+			d.endRuns(id, EndStopped)
 			d.stops = nil
 		}
 		d.now += 100 * time.Millisecond
@@ -83,18 +83,18 @@
 // on all the while. Without a look nothing can be said of it, so it must not be stopped.
 func TestSilentWorkerIsNotTakenForStandingStill(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 2)
-	d.job(1, "", tasks(1, 8))
+	d := newDriver(t, 2)
+	d.submit(1, "", taskStep(1, 8))
 	d.settle()
-	on := d.on[d.starts[0].Run]
-	d.beat(on)
+	on := d.startedOn[d.starts[0].Run]
+	d.reportProgress(on)
 	for range 50 {
 		d.now += 100 * time.Millisecond
 		d.report(Report{Epoch: 1, Worker: d.e.workers[on].info, Unresponsive: true, LeaseKnown: true, LeaseRemaining: 5 * time.Second})
 		d.tick()
 	}
 	c.Check(d.stops, qt.HasLen, 0)
-	d.beat(on)
+	d.reportProgress(on)
 	d.tick()
 	c.Check(d.stops, qt.HasLen, 0)
 }
--- a/engine/succession.go
+++ b/engine/succession.go
@@ -30,10 +30,10 @@
 func (e *Engine) replace(now time.Duration, before WorkerID, info WorkerInfo) {
 	w := e.workers[before]
 	if w != nil && w.info.SharesName(info) {
-		e.supersede(w, e.replaced(before), witness{})
+		e.supersede(w, e.departureOfReplaced(before), witness{})
 		return
 	}
-	e.gone(now, before, e.replaced(before), witness{})
+	e.gone(now, before, e.departureOfReplaced(before), witness{})
 }
 
 // supersede notes that a life is over, as far as anybody has said, and that another one of
@@ -54,8 +54,8 @@
 	if w.info.Name == "" {
 		return
 	}
-	e.turns += GenerationStep
-	w.turn = e.turns
+	e.lastGeneration += GenerationStep
+	w.turn = e.lastGeneration
 	w.attached = false
 	e.dropSuperseded(w)
 }
@@ -64,7 +64,7 @@
 // beside the worker, and for the lives to come.
 func (e *Engine) noteTurn(w *worker, turn uint64) {
 	w.turn = max(w.turn, turn)
-	e.turns = max(e.turns, turn)
+	e.lastGeneration = max(e.lastGeneration, turn)
 }
 
 // settleSuperseded settles the lives that w follows, with its first look under its own fence.
@@ -91,8 +91,8 @@
 	w.hold(p)
 	p.missing = 0
 	p.movedAt = now
-	e.decided(p, "carried over", "ordered of an earlier life of this worker")
-	e.change(p.unit.job)
+	e.logDecision(p, "carried over", "ordered of an earlier life of this worker")
+	e.markChanged(p.unit.job)
 }
 
 func (e *Engine) dropSuperseded(w *worker) {
--- a/engine/tick.go
+++ b/engine/tick.go
@@ -25,16 +25,16 @@
 )
 
 func (e *Engine) tick(now time.Duration, ev Tick) {
-	e.wall = ev.WallTime
+	e.wallTime = ev.WallTime
 	for _, w := range e.sortedWorkers() {
 		e.tickWorker(now, w)
 	}
-	for _, j := range slices.Clone(e.sequence) {
+	for _, j := range slices.Clone(e.orderedJobs) {
 		e.tickJob(now, j)
 	}
-	e.keepCheckpoints(now)
-	if now-e.lastPlan >= replanEvery {
-		e.replan = true
+	e.writeCheckpoints(now)
+	if now-e.lastPlanAt >= replanEvery {
+		e.planNeeded = true
 	}
 }
 
@@ -43,7 +43,7 @@
 		w.lapsed = true
 		w.lapsedWith = w.sortedPlaces()
 		for _, p := range w.sortedPlaces() {
-			e.lost(now, p, CauseLeaseExpired, "the worker's lease lapsed")
+			e.handleLostRun(now, p, CauseLeaseExpired, "the worker's lease lapsed")
 		}
 		// What it lists later was not placed by anyone any more.
 		w.attached = false
@@ -58,11 +58,11 @@
 		}
 		e.renewPace(now, p)
 		if e.stuck(now, p) {
-			e.decided(p, "stuck", fmt.Sprintf("at %d%% for %v", p.pulse.percent, now-p.movedAt))
-			e.distrust(now, p)
+			e.logDecision(p, "stuck", fmt.Sprintf("at %d%% for %v", p.pulse.percent, now-p.movedAt))
+			e.countWorkerFailure(now, p)
 			e.avoid(now, p)
 			p.unit.stalls = min(p.unit.stalls+1, mostStalls)
-			e.stopAll(now, p.unit, CauseStalled)
+			e.stopUnit(now, p.unit, CauseStalled)
 		}
 	}
 }
@@ -89,15 +89,15 @@
 
 func (e *Engine) tickJob(now time.Duration, j *job) {
 	if j.state.Final() {
-		e.tickEnded(now, j)
+		e.ageEndedJob(now, j)
 		return
 	}
-	before := j.created
-	e.occur(now, j)
-	if j.created != before {
-		e.change(j)
-		j.unblock(now)
-		e.replan = true
+	before := j.createdOccurrences
+	e.createDueOccurrences(now, j)
+	if j.createdOccurrences != before {
+		e.markChanged(j)
+		j.unblockUnits(now)
+		e.planNeeded = true
 	}
 	e.tellUnfit(now, j)
 }
--- a/engine/tracker.go
+++ b/engine/tracker.go
@@ -74,11 +74,11 @@
 // chainsOf returns how long the longest chain of work from each step on is expected to take.
 // The caller does not change the slice.
 func (e *Engine) chainsOf(j *job) []time.Duration {
-	if version := e.tracker.runs.Version(); j.chains == nil || j.chainsAt != version {
-		j.chains = j.spec.CriticalPaths(func(s *workload.Step) time.Duration { return e.expect(j, s) })
-		j.chainsAt = version
+	if version := e.tracker.runs.Version(); j.criticalPaths == nil || j.criticalPathsVersion != version {
+		j.criticalPaths = j.spec.CriticalPaths(func(s *workload.Step) time.Duration { return e.expect(j, s) })
+		j.criticalPathsVersion = version
 	}
-	return j.chains
+	return j.criticalPaths
 }
 
 // remaining returns how long a run is expected to go on.
--- a/engine/tracker_test.go
+++ b/engine/tracker_test.go
@@ -12,11 +12,11 @@
 // took them for runs of hours, and every forecast of the queue was three times too long.
 func TestRunsOfAPredecessorTeachNothing(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 2)
+	d := newDriver(t, 2)
 	d.now = time.Hour
-	id := d.job(1, "", tasks(2, 8))
+	id := d.submit(1, "", taskStep(2, 8))
 	d.settle()
-	d.pass(time.Second)
+	d.advance(time.Second)
 	d.takeOver()
 	runs := map[WorkerID][]RunEnd{}
 	for worker, there := range d.runs(id) {
--- a/engine/unfit.go
+++ b/engine/unfit.go
@@ -20,15 +20,15 @@
 
 // tellUnfit logs why a job fits no workers, each time that the reason changes.
 func (e *Engine) tellUnfit(now time.Duration, j *job) {
-	if now-e.workersChanged < settleTime || now-e.began < settleTime || now < j.unfitNext {
+	if now-e.workerAddedAt < settleTime || now-e.startedAt < settleTime || now < j.unfitCheckAt {
 		return
 	}
-	j.unfitNext = now + unfitEvery
+	j.unfitCheckAt = now + unfitEvery
 	why := e.unfit(j)
-	if why != "" && why != j.unfit {
-		e.decidedJob(j, "fits no worker", why)
+	if why != "" && why != j.unfitReason {
+		e.logJobDecision(j, "fits no worker", why)
 	}
-	j.unfit = why
+	j.unfitReason = why
 }
 
 // unfit returns why no set of workers known could hold a unit of the job that waits, and
--- a/engine/unfit_test.go
+++ b/engine/unfit_test.go
@@ -14,46 +14,46 @@
 // the workers to come back.
 func TestGangLargerThanWhatIsLeftWaits(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 9)
+	d := newDriver(t, 9)
 	for i := range 3 {
-		r := d.worker(i)
+		r := d.workerReport(i)
 		r.Terminated = true
 		d.report(r)
 	}
-	s := gang(8, 8)
+	s := gangStep(8, 8)
 	s.SameRack = false
-	id := d.job(1, "", s)
-	d.pass(6 * time.Second)
+	id := d.submit(1, "", s)
+	d.advance(6 * time.Second)
 	found, _ := d.e.Lookup(id)
 	c.Check(found.State, qt.Equals, workload.Queued)
 	for i := range 3 {
-		d.report(d.worker(i))
+		d.report(d.workerReport(i))
 	}
-	d.pass(time.Second)
+	d.advance(time.Second)
 	c.Check(d.runs(id), qt.HasLen, 8)
 }
 
 // The operators are told why a job fits no worker, once.
 func TestReasonWhyAJobFitsNoWorkerIsLoggedOnce(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 1)
-	s := tasks(1, 1)
+	d := newDriver(t, 1)
+	s := taskStep(1, 1)
 	s.Label = "nowhere"
-	id := d.job(1, "", s)
-	d.pass(10 * time.Second)
-	c.Check(d.said[id]["fits no worker"], qt.Equals, 1)
+	id := d.submit(1, "", s)
+	d.advance(10 * time.Second)
+	c.Check(d.decisionCounts[id]["fits no worker"], qt.Equals, 1)
 }
 
 // A job waits for room for a long time. Whoever asks why finds it in the log, and the log
 // does not grow with each decision.
 func TestWhatAJobWaitsForIsLogged(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 1)
-	d.job(1, "", tasks(1, 8))
+	d := newDriver(t, 1)
+	d.submit(1, "", taskStep(1, 8))
 	d.settle()
-	id := d.job(1, "", tasks(1, 8))
-	d.pass(4 * time.Second)
-	c.Check(d.said[id]["waits"], qt.Equals, 0)
-	d.pass(8 * time.Second)
-	c.Check(d.said[id]["waits"], qt.Equals, 2)
+	id := d.submit(1, "", taskStep(1, 8))
+	d.advance(4 * time.Second)
+	c.Check(d.decisionCounts[id]["waits"], qt.Equals, 0)
+	d.advance(8 * time.Second)
+	c.Check(d.decisionCounts[id]["waits"], qt.Equals, 2)
 }
--- a/engine/unit.go
+++ b/engine/unit.go
@@ -61,7 +61,7 @@
 	avoids map[WorkerID]time.Duration
 	// crashes counts the workers that crashed under its tasks, by index; tasks under which
 	// none did are not there. shuns are the agents beside which they did, and until when.
-	crashes map[int]crashes
+	crashes map[int]crashCount
 	shuns   map[string]time.Duration
 	// heldFrom is since when it lets go of room for the sake of its probation; 0 where it
 	// does not.
--- a/engine/unreadable_test.go
+++ b/engine/unreadable_test.go
@@ -10,12 +10,12 @@
 // worker reports, it is used like any other, and its record is written anew.
 func TestWorkerWithoutAReadableRecordIsUsedOnceItReports(t *testing.T) {
 	c := qt.New(t)
-	d := newDesk(t, 0)
-	d.step(WorkerRestored{Info: WorkerInfo{ID: "w0"}})
-	id := d.job(1, "", tasks(1, 8))
+	d := newDriver(t, 0)
+	d.handle(WorkerRestored{Info: WorkerInfo{ID: "w0"}})
+	id := d.submit(1, "", taskStep(1, 8))
 	d.settle()
 	c.Check(d.runs(id), qt.HasLen, 0)
-	d.report(d.worker(0))
+	d.report(d.workerReport(0))
 	d.settle()
 	c.Check(d.runs(id)["w0"], qt.HasLen, 1)
 	c.Check(d.e.workers["w0"].recorded, qt.IsTrue)
--- a/engine/witness.go
+++ b/engine/witness.go
@@ -41,7 +41,7 @@
 // a predecessor ordered and this planner never saw, only the agent can tell.
 func (t witness) fresh(p *placement) bool {
 	switch {
-	case !t.under(p) || p.proven():
+	case !t.under(p) || p.pastStartup():
 		return false
 	case t.known:
 		return !t.proven[p.id()]
@@ -61,12 +61,12 @@
 			continue
 		}
 		fresh = append(fresh, p)
-		most = max(most, p.unit.crashesOf(p.index).early)
+		most = max(most, p.unit.crashCountOf(p.index).startup)
 		alone = alone && p.unit.job == fresh[0].unit.job
 	}
 	blamed = map[*placement]bool{}
 	for _, p := range fresh {
-		blamed[p] = p.unit.crashesOf(p.index).early == most
+		blamed[p] = p.unit.crashCountOf(p.index).startup == most
 	}
 	return blamed, alone
 }
--- a/engine/worker.go
+++ b/engine/worker.go
@@ -74,7 +74,7 @@
 	pending  []pendingEnd
 	seen     int64
 	listed   int64 // the highest end handled
-	health   health
+	health   workerHealth
 	sharing  sharing
 	// round is what the planning round in progress notes of the worker.
 	round roundNotes
@@ -149,7 +149,7 @@
 func (w *worker) forgettable() int64 {
 	for len(w.pending) > 0 {
 		p := w.pending[0]
-		if p.job != nil && p.job.stored < p.version {
+		if p.job != nil && p.job.storedVersion < p.version {
 			break
 		}
 		w.seen = p.number
--- a/engine/write.go
+++ b/engine/write.go
@@ -38,11 +38,11 @@
 // it asks for no further changes before that.
 func (e *Engine) PendingChanges(now time.Duration, wall time.Time, limit int) Write {
 	var w Write
-	for _, id := range slices.Sorted(maps.Keys(e.unrecorded)) {
+	for _, id := range slices.Sorted(maps.Keys(e.unrecordedWorkers)) {
 		if limit == 0 {
 			return w
 		}
-		w.Workers = append(w.Workers, e.unrecorded[id].info)
+		w.Workers = append(w.Workers, e.unrecordedWorkers[id].info)
 		limit--
 	}
 	for _, j := range e.changedJobs() {
@@ -57,13 +57,13 @@
 
 func (e *Engine) changedJobs() []*job {
 	var out []*job
-	for id := range e.dirty {
-		if j := e.jobs[id]; j != nil && j.stored < j.version {
+	for id := range e.dirtyJobs {
+		if j := e.jobs[id]; j != nil && j.storedVersion < j.version {
 			out = append(out, j)
 		}
 	}
 	slices.SortFunc(out, func(a, b *job) int {
-		return cmp.Or(cmp.Compare(a.order, b.order), cmp.Compare(a.spec.ID, b.spec.ID))
+		return cmp.Or(cmp.Compare(a.revision, b.revision), cmp.Compare(a.spec.ID, b.spec.ID))
 	})
 	return out
 }
@@ -77,19 +77,19 @@
 		w.RemovedWorkers = append(w.RemovedWorkers, id)
 		limit--
 	}
-	for _, id := range slices.Sorted(maps.Keys(e.closing)) {
-		if limit < endedRecords {
+	for _, id := range slices.Sorted(maps.Keys(e.archiving)) {
+		if limit < archiveRecords {
 			return w
 		}
-		w.EndedJobs = append(w.EndedJobs, e.jobs[id].ended(e.epoch, now, wall))
-		limit -= endedRecords
+		w.EndedJobs = append(w.EndedJobs, e.jobs[id].endedJob(e.epoch, now, wall))
+		limit -= archiveRecords
 	}
 	for _, id := range slices.Sorted(maps.Keys(e.expired)) {
-		if limit < forgottenRecords {
+		if limit < removalRecords {
 			return w
 		}
-		w.ForgottenJobs = append(w.ForgottenJobs, e.jobs[id].forgotten())
-		limit -= forgottenRecords
+		w.ForgottenJobs = append(w.ForgottenJobs, e.jobs[id].expiredJob())
+		limit -= removalRecords
 	}
 	return w
 }
@@ -99,18 +99,18 @@
 	for _, info := range w.Workers {
 		if known := e.workers[info.ID]; known != nil {
 			known.recorded = true
-			e.replan = true
+			e.planNeeded = true
 		}
-		delete(e.unrecorded, info.ID)
+		delete(e.unrecordedWorkers, info.ID)
 	}
 	for _, written := range w.Jobs {
 		j := e.jobs[written.ID]
 		if j == nil {
 			continue
 		}
-		j.stored = written.Version
-		if j.stored == j.version {
-			delete(e.dirty, written.ID)
+		j.storedVersion = written.Version
+		if j.storedVersion == j.version {
+			delete(e.dirtyJobs, written.ID)
 		}
 		e.release(now, j, written.Progress)
 	}
@@ -118,8 +118,8 @@
 		delete(e.goneWorkers, id)
 	}
 	for _, ended := range w.EndedJobs {
-		delete(e.closing, ended.ID)
-		e.jobs[ended.ID].close(ended.CancelRevision)
+		delete(e.archiving, ended.ID)
+		e.jobs[ended.ID].archive(ended.CancelRevision)
 	}
 	for _, forgotten := range w.ForgottenJobs {
 		delete(e.expired, forgotten.ID)
@@ -130,7 +130,7 @@
 func (e *Engine) remove(id workload.JobID) {
 	j := e.jobs[id]
 	delete(e.jobs, id)
-	e.sequence = slices.DeleteFunc(e.sequence, func(o *job) bool { return o == j })
+	e.orderedJobs = slices.DeleteFunc(e.orderedJobs, func(o *job) bool { return o == j })
 }
 
 // release orders the starts of a job whose placements are on record as written.
@@ -152,7 +152,7 @@
 		if p.state != placeRecording {
 			continue
 		}
-		_, allowed := u.ticketOn(now, p.worker.info.ID)
+		_, allowed := u.ticketFor(now, p.worker.info.ID)
 		if u.ending() || !p.worker.usable(now) || !p.worker.stillFits(p) || !allowed {
 			e.refuse(now, u)
 			return
@@ -170,9 +170,9 @@
 	p.unit.spent.record = now - p.unit.placedAt
 	p.movedAt = now
 	o := e.ordersFor(p.worker)
-	ticket, _ := p.unit.ticketOn(now, p.worker.info.ID)
+	ticket, _ := p.unit.ticketFor(now, p.worker.info.ID)
 	o.Starts = append(o.Starts, StartOrder{Run: p.id(), Spec: p.unit.job.spec.Spec, Checkpoint: p.unit.saved, Ticket: ticket})
-	e.decided(p, "start", "")
+	e.logDecision(p, "start", "")
 	e.join(now, p)
 }
 
@@ -180,9 +180,9 @@
 func (e *Engine) refuse(now time.Duration, u *unit) {
 	if u.verdict == verdictNone {
 		u.verdict = verdictRetry
-		e.change(u.job)
+		e.markChanged(u.job)
 	}
-	e.stopAll(now, u, CauseGangIncomplete)
+	e.stopUnit(now, u, CauseGangIncomplete)
 }
 
 func (j *job) unit(occurrence, step, index int) *unit {
--- a/runtimes/model.go
+++ b/runtimes/model.go
@@ -6,32 +6,32 @@
 )
 
 const (
-	// learnShare is the weight of the newest of many runs. Queues see tens of runs a minute.
-	learnShare = 0.1
-	// startCount is how many runs the declaration counts for before any was seen.
-	startCount = 2.0
-	// startSpread is how far, as a factor's logarithm, declarations are taken to be off then.
-	startSpread = 0.5
-	// leastSpread keeps a few runs that agree by chance from counting as certainty.
-	leastSpread = 0.1
-	// mostFactor bounds what one run may teach, so that an odd one can't spoil decisions.
-	mostFactor = 20.0
+	// minSampleWeight is the weight of the newest of many runs. Queues see tens of runs a minute.
+	minSampleWeight = 0.1
+	// priorCount is how many runs the declaration counts for before any was seen.
+	priorCount = 2.0
+	// priorStdDev is how far, as a factor's logarithm, declarations are taken to be off then.
+	priorStdDev = 0.5
+	// minStdDev keeps a few runs that agree by chance from counting as certainty.
+	minStdDev = 0.1
+	// maxRatio bounds what one run may teach, so that an odd one can't spoil decisions.
+	maxRatio = 20.0
 )
 
 // Model holds what was learned of each queue.
 type Model struct {
-	queues  map[string]*queue
+	queues  map[string]*queueStats
 	version int
 }
 
-// queue is the scatter of lengths by themselves, and of their ratio to what was declared.
-type queue struct {
-	length scatter
-	ratio  scatter
+// queueStats is the scatter of lengths by themselves, and of their ratio to what was declared.
+type queueStats struct {
+	durations movingStats
+	ratios    movingStats
 }
 
 // New returns a Model that knows nothing, and so expects what is declared.
-func New() *Model { return &Model{queues: map[string]*queue{}} }
+func New() *Model { return &Model{queues: map[string]*queueStats{}} }
 
 // Version changes whenever expectations do.
 func (m *Model) Version() int { return m.version }
@@ -44,13 +44,13 @@
 	}
 	q := m.queues[name]
 	if q == nil {
-		q = &queue{}
+		q = &queueStats{}
 		m.queues[name] = q
 	}
-	q.length.add(math.Log(took.Seconds()))
+	q.durations.add(math.Log(took.Seconds()))
 	if declared > 0 {
-		most := math.Log(mostFactor)
-		q.ratio.add(min(max(math.Log(took.Seconds()/declared.Seconds()), -most), most))
+		most := math.Log(maxRatio)
+		q.ratios.add(min(max(math.Log(took.Seconds()/declared.Seconds()), -most), most))
 	}
 	m.version++
 }
@@ -63,43 +63,43 @@
 		return declared
 	}
 	if declared <= 0 {
-		return seconds(math.Exp(q.length.mean))
+		return seconds(math.Exp(q.durations.mean))
 	}
-	byDeclared := math.Log(declared.Seconds()) + q.correction()
-	trust, trustLength := 1/q.declaredVariance(), q.length.weight()
-	return seconds(math.Exp((trust*byDeclared + trustLength*q.length.mean) / (trust + trustLength)))
+	byDeclared := math.Log(declared.Seconds()) + q.declarationBias()
+	trust, trustLength := 1/q.declarationVariance(), q.durations.precision()
+	return seconds(math.Exp((trust*byDeclared + trustLength*q.durations.mean) / (trust + trustLength)))
 }
 
-// correction is by how much declarations are usually off; while few runs were seen, less.
-func (q *queue) correction() float64 {
-	return q.ratio.mean * q.ratio.n / (q.ratio.n + startCount)
+// declarationBias is by how much declarations are usually off; while few runs were seen, less.
+func (q *queueStats) declarationBias() float64 {
+	return q.ratios.mean * q.ratios.count / (q.ratios.count + priorCount)
 }
 
-func (q *queue) declaredVariance() float64 {
-	start := startSpread * startSpread
-	return (q.ratio.variance*q.ratio.n + start*startCount) / (q.ratio.n + startCount)
+func (q *queueStats) declarationVariance() float64 {
+	start := priorStdDev * priorStdDev
+	return (q.ratios.variance*q.ratios.count + start*priorCount) / (q.ratios.count + priorCount)
 }
 
-// scatter is the mean and the variance of the latest values, the newest weighing most.
-type scatter struct {
-	n              float64
+// movingStats is the mean and the variance of the latest values, the newest weighing most.
+type movingStats struct {
+	count          float64
 	mean, variance float64
 }
 
-func (s *scatter) add(x float64) {
-	s.n++
-	share := max(learnShare, 1/s.n)
+func (s *movingStats) add(x float64) {
+	s.count++
+	share := max(minSampleWeight, 1/s.count)
 	off := x - s.mean
 	s.mean += share * off
 	s.variance = (1 - share) * (s.variance + share*off*off)
 }
 
-// weight is how much the mean tells of the next value; nothing while it rests on one.
-func (s *scatter) weight() float64 {
-	if s.n < 2 {
+// precision is how much the mean tells of the next value; nothing while it rests on one.
+func (s *movingStats) precision() float64 {
+	if s.count < 2 {
 		return 0
 	}
-	return (s.n - 1) / s.n / max(s.variance, leastSpread*leastSpread)
+	return (s.count - 1) / s.count / max(s.variance, minStdDev*minStdDev)
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/runtimes/model_test.go
+++ b/runtimes/model_test.go
@@ -11,12 +11,12 @@
 	"github.com/eelgrasshub/eelgrasshub/runtimes"
 )
 
-// load draws runs: their length, and what is declared of it.
-type load func(*rand.Rand) (declared, took time.Duration)
+// runGenerator draws runs: their length, and what is declared of it.
+type runGenerator func(*rand.Rand) (declared, took time.Duration)
 
-// errorOf returns the mean error of expectations over a load, as a factor's logarithm: of
+// meanErrors returns the mean error of expectations over a load, as a factor's logarithm: of
 // the model, of the declaration, and of the mean length.
-func errorOf(l load) (model, declaration, mean float64) {
+func meanErrors(l runGenerator) (model, declaration, mean float64) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	m := runtimes.New()
 	off := func(guess, took time.Duration) float64 { return math.Abs(math.Log(float64(guess) / float64(took))) }
@@ -34,14 +34,14 @@
 	return model / 390, declaration / 390, mean / 390
 }
 
-func spread(rng *rand.Rand, mean time.Duration, by float64) time.Duration {
+func logNormal(rng *rand.Rand, mean time.Duration, by float64) time.Duration {
 	return time.Duration(float64(mean) * math.Exp(by*rng.NormFloat64()))
 }
 
 // Work of one size is declared at a tenth to twice its length: what it took before tells more.
-func TestWorthlessDeclarationsAreSeenThrough(t *testing.T) {
-	model, declaration, mean := errorOf(func(rng *rand.Rand) (time.Duration, time.Duration) {
-		took := spread(rng, 2500*time.Millisecond, 0.4)
+func TestInaccurateDeclarationsLoseWeight(t *testing.T) {
+	model, declaration, mean := meanErrors(func(rng *rand.Rand) (time.Duration, time.Duration) {
+		took := logNormal(rng, 2500*time.Millisecond, 0.4)
 		return time.Duration((0.1 + 1.8*rng.Float64()) * float64(took)), took
 	})
 	qt.Check(t, model < 0.7*declaration, qt.IsTrue, qt.Commentf("%.2f, declared %.2f", model, declaration))
@@ -49,25 +49,25 @@
 }
 
 // Work of all sizes is declared well: the declaration tells more than what others took.
-func TestGoodDeclarationsOfMixedWorkAreKept(t *testing.T) {
-	model, declaration, mean := errorOf(func(rng *rand.Rand) (time.Duration, time.Duration) {
-		took := spread(rng, 10*time.Second, 1.2)
-		return spread(rng, took, 0.1), took
+func TestAccurateDeclarationsKeepWeight(t *testing.T) {
+	model, declaration, mean := meanErrors(func(rng *rand.Rand) (time.Duration, time.Duration) {
+		took := logNormal(rng, 10*time.Second, 1.2)
+		return logNormal(rng, took, 0.1), took
 	})
 	qt.Check(t, model < 1.1*declaration, qt.IsTrue, qt.Commentf("%.2f, declared %.2f", model, declaration))
 	qt.Check(t, model < 0.3*mean, qt.IsTrue, qt.Commentf("%.2f, mean %.2f", model, mean))
 }
 
 // Callers are off by habit: always the same factor.
-func TestHabitsAreCorrected(t *testing.T) {
-	model, declaration, _ := errorOf(func(rng *rand.Rand) (time.Duration, time.Duration) {
-		took := spread(rng, 10*time.Second, 0.8)
+func TestSystematicErrorIsCorrected(t *testing.T) {
+	model, declaration, _ := meanErrors(func(rng *rand.Rand) (time.Duration, time.Duration) {
+		took := logNormal(rng, 10*time.Second, 0.8)
 		return took / 3, took
 	})
 	qt.Check(t, model < 0.2*declaration, qt.IsTrue, qt.Commentf("%.2f, declared %.2f", model, declaration))
 }
 
-func TestNothingLearnedIsWhatIsDeclared(t *testing.T) {
+func TestEstimateWithoutHistoryIsTheDeclaration(t *testing.T) {
 	c := qt.New(t)
 	m := runtimes.New()
 	c.Check(m.Estimate("q", time.Second), qt.Equals, time.Second)
@@ -80,7 +80,7 @@
 }
 
 // An odd run, of hours where the declaration is of seconds, must not spoil expectations.
-func TestOddRunTeachesLittle(t *testing.T) {
+func TestOutlierHasBoundedInfluence(t *testing.T) {
 	m := runtimes.New()
 	for range 20 {
 		m.Observe("q", 2*time.Second, 2*time.Second)
--- a/workload/check.go
+++ b/workload/check.go
@@ -30,16 +30,16 @@
 	if len(j.Steps) > MaxSteps {
 		return &FieldError{"steps", fmt.Sprintf("has %d entries, at most %d are accepted", len(j.Steps), MaxSteps)}
 	}
-	if err := j.Schedule.check(); err != nil {
+	if err := j.Schedule.validate(); err != nil {
 		return err
 	}
-	return j.checkSteps()
+	return j.validateSteps()
 }
 
-func (j *Job) checkSteps() error {
+func (j *Job) validateSteps() error {
 	tasks := 0
 	for i := range j.Steps {
-		if err := j.Steps[i].check(i); err != nil {
+		if err := j.Steps[i].validate(i); err != nil {
 			return err
 		}
 		tasks += j.Steps[i].Count
@@ -50,7 +50,7 @@
 	return nil
 }
 
-func (s *Step) check(i int) error {
+func (s *Step) validate(i int) error {
 	field := func(name string) string { return fmt.Sprintf("steps[%d].%s", i, name) }
 	if s.Count < 1 || s.Count > MaxTasks {
 		return &FieldError{field("count"), fmt.Sprintf("is %d, must be 1 to %d", s.Count, MaxTasks)}
@@ -69,7 +69,7 @@
 	return nil
 }
 
-func (s *Schedule) check() error {
+func (s *Schedule) validate() error {
 	if s.Count < 0 || s.Count > MaxOccurrences {
 		return &FieldError{"schedule.count", fmt.Sprintf("is %d, must be 0 to %d", s.Count, MaxOccurrences)}
 	}
--- a/workload/resources.go
+++ b/workload/resources.go
@@ -35,13 +35,13 @@
 // CountFitting returns how many tasks that need r each fit into room; at most limit.
 func (r Resources) CountFitting(room Resources, limit int) int {
 	n := limit
-	n = min(n, fits(r.MilliCPU, room.MilliCPU, limit))
-	n = min(n, fits(r.MemoryMB, room.MemoryMB, limit))
-	n = min(n, fits(r.Accelerators, room.Accelerators, limit))
+	n = min(n, countFitting(r.MilliCPU, room.MilliCPU, limit))
+	n = min(n, countFitting(r.MemoryMB, room.MemoryMB, limit))
+	n = min(n, countFitting(r.Accelerators, room.Accelerators, limit))
 	return n
 }
 
-func fits(need, room, limit int) int {
+func countFitting(need, room, limit int) int {
 	if room < 0 {
 		return 0
 	}
@@ -51,11 +51,11 @@
 	return room / need
 }
 
-// acceleratorCores is what one accelerator weighs against a core when work of
+// coresPerAccelerator is what one accelerator weighs against a core when work of
 // different shapes is compared.
-const acceleratorCores = 8
+const coresPerAccelerator = 8
 
 // CoreEquivalent returns r's weight in cores, with an accelerator as eight of them.
 func (r Resources) CoreEquivalent() float64 {
-	return float64(r.MilliCPU)/1000 + float64(acceleratorCores*r.Accelerators)
+	return float64(r.MilliCPU)/1000 + float64(coresPerAccelerator*r.Accelerators)
 }
