--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -70,8 +70,8 @@
 // the path. host may carry a port.
 func (c *Catalog) Match(host, path string) (q *Queue, rest string, ok bool) {
 	host = strings.ToLower(host)
-	queues, known := c.queuesByHost[host]
-	if !known {
+	queues, found := c.queuesByHost[host]
+	if !found {
 		name, _, _ := strings.Cut(host, ":")
 		queues = c.queuesByHost[name]
 	}
--- a/catalog/cordons.go
+++ b/catalog/cordons.go
@@ -24,8 +24,8 @@
 }
 
 // Cordons returns the present ones, and false before they are known.
-func (f *Current) Cordons() (Cordons, bool) {
-	c := f.cordons.Load()
+func (cur *Current) Cordons() (Cordons, bool) {
+	c := cur.cordons.Load()
 	if c == nil {
 		return Cordons{}, false
 	}
@@ -34,18 +34,18 @@
 
 // UpdateCordons takes the cordons as they were at c.ConfirmedAt. Older ones than those known
 // have no effect. The caller does not change c.Zones any more.
-func (f *Current) UpdateCordons(c Cordons) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	old := f.cordons.Load()
+func (cur *Current) UpdateCordons(c Cordons) {
+	cur.mu.Lock()
+	defer cur.mu.Unlock()
+	old := cur.cordons.Load()
 	if old != nil {
 		if c.Revision < old.Revision {
 			return
 		}
 		c.ConfirmedAt = max(c.ConfirmedAt, old.ConfirmedAt)
 	}
-	f.cordons.Store(&c)
+	cur.cordons.Store(&c)
 	if old == nil || !slices.Equal(c.Zones, old.Zones) {
-		f.notify()
+		cur.notify()
 	}
 }
--- a/catalog/inforce.go
+++ b/catalog/inforce.go
@@ -30,8 +30,8 @@
 func NewCurrent() *Current { return &Current{changed: make(chan struct{})} }
 
 // Snapshot returns the present view, and false before the first version is known.
-func (f *Current) Snapshot() (Snapshot, bool) {
-	v := f.snapshot.Load()
+func (cur *Current) Snapshot() (Snapshot, bool) {
+	v := cur.snapshot.Load()
 	if v == nil {
 		return Snapshot{}, false
 	}
@@ -40,48 +40,48 @@
 
 // Update takes a version that was the newest at time confirmed. It returns whether
 // it is now in force for the first time.
-func (f *Current) Update(c *Catalog, raw []byte, confirmed time.Duration) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	old := f.snapshot.Load()
+func (cur *Current) Update(c *Catalog, raw []byte, confirmedAt time.Duration) bool {
+	cur.mu.Lock()
+	defer cur.mu.Unlock()
+	old := cur.snapshot.Load()
 	if old != nil && c.Version < old.Catalog.Version {
 		return false
 	}
-	next := &Snapshot{Catalog: c, Raw: raw, ConfirmedAt: confirmed}
-	fresh := old == nil || c.Version > old.Catalog.Version
-	if !fresh {
+	next := &Snapshot{Catalog: c, Raw: raw, ConfirmedAt: confirmedAt}
+	isNewer := old == nil || c.Version > old.Catalog.Version
+	if !isNewer {
 		next.Catalog, next.Raw = old.Catalog, old.Raw
-		next.ConfirmedAt = max(confirmed, old.ConfirmedAt)
+		next.ConfirmedAt = max(confirmedAt, old.ConfirmedAt)
 	}
-	f.snapshot.Store(next)
-	if fresh {
-		f.notify()
+	cur.snapshot.Store(next)
+	if isNewer {
+		cur.notify()
 	}
-	return fresh
+	return isNewer
 }
 
 // notify wakes those who wait for a change. The mutex is held.
-func (f *Current) notify() {
-	close(f.changed)
-	f.changed = make(chan struct{})
+func (cur *Current) notify() {
+	close(cur.changed)
+	cur.changed = make(chan struct{})
 }
 
 // Confirm says that version was still the newest at time confirmed. It has no
 // effect where another version is in force.
-func (f *Current) Confirm(version int64, confirmed time.Duration) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	old := f.snapshot.Load()
-	if old == nil || old.Catalog.Version != version || old.ConfirmedAt >= confirmed {
+func (cur *Current) Confirm(version int64, confirmedAt time.Duration) {
+	cur.mu.Lock()
+	defer cur.mu.Unlock()
+	old := cur.snapshot.Load()
+	if old == nil || old.Catalog.Version != version || old.ConfirmedAt >= confirmedAt {
 		return
 	}
-	f.snapshot.Store(&Snapshot{Catalog: old.Catalog, Raw: old.Raw, ConfirmedAt: confirmed})
+	cur.snapshot.Store(&Snapshot{Catalog: old.Catalog, Raw: old.Raw, ConfirmedAt: confirmedAt})
 }
 
 // Changed returns a channel that is closed when the next version is in force, or other zones
 // are cordoned.
-func (f *Current) Changed() <-chan struct{} {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.changed
+func (cur *Current) Changed() <-chan struct{} {
+	cur.mu.Lock()
+	defer cur.mu.Unlock()
+	return cur.changed
 }
--- a/engine/advice.go
+++ b/engine/advice.go
@@ -73,12 +73,12 @@
 
 // ticketFor returns the ticket with which u may start on a worker; it is empty where none
 // is needed.
-func (u *unit) ticketFor(now time.Duration, id WorkerID) (text string, ok bool) {
+func (u *unit) ticketFor(now time.Duration, id WorkerID) (value string, ok bool) {
 	if !u.needsTicket() {
 		return "", true
 	}
-	t, held := u.job.ticketsFor(u.at()).granted[id]
-	return t.value, held && now < t.expiresAt
+	t, found := u.job.ticketsFor(u.at()).granted[id]
+	return t.value, found && now < t.expiresAt
 }
 
 // requestAdvice asks for the unit that needs tickets first.
@@ -105,51 +105,51 @@
 	if !u.needsTicket() {
 		return false
 	}
-	known := u.job.ticketsFor(u.at())
-	room := 0
-	var ask []WorkerID
+	tickets := u.job.ticketsFor(u.at())
+	placeable := 0
+	var request []WorkerID
 	for _, w := range r.candidatesFor(u) {
 		id := w.info.ID
 		if _, ok := u.ticketFor(r.now+minTicketValidity, id); ok {
-			room += u.demand().CountFitting(w.free(), u.size)
+			placeable += u.demand().CountFitting(w.free(), u.size)
 			continue
 		}
-		if !known.denied[id] && len(ask) < min(max(2*u.size, minAdviceWorkers), maxAdviceWorkers) {
-			ask = append(ask, id)
+		if !tickets.denied[id] && len(request) < min(max(2*u.size, minAdviceWorkers), maxAdviceWorkers) {
+			request = append(request, id)
 		}
 	}
-	if room >= u.size || len(ask) == 0 {
+	if placeable >= u.size || len(request) == 0 {
 		return false
 	}
 	e.adviceInFlight = true
-	e.actions = append(e.actions, AdviceRequest{Job: u.job.spec.ID, Occurrence: u.occurrence, Step: u.step, Workers: ask})
+	e.actions = append(e.actions, AdviceRequest{Job: u.job.spec.ID, Occurrence: u.occurrence, Step: u.step, Workers: request})
 	return true
 }
 
 // candidatesFor returns the workers that could hold a member of u, those with room for one now
 // first.
 func (r *round) candidatesFor(u *unit) []*worker {
-	var now, later []*worker
+	var withRoom, withoutRoom []*worker
 	for _, w := range r.all.workers {
 		if w.info.Service != u.job.spec.Service || !w.hasLabel(u.spec().Label) || !u.demand().FitsIn(w.info.Capacity) {
 			continue
 		}
 		if u.demand().FitsIn(w.free()) {
-			now = append(now, w)
+			withRoom = append(withRoom, w)
 		} else {
-			later = append(later, w)
+			withoutRoom = append(withoutRoom, w)
 		}
 	}
-	return append(now, later...)
+	return append(withRoom, withoutRoom...)
 }
 
 // dependenciesEndSoon says whether the steps before u's are about to end.
 func (e *Engine) dependenciesEndSoon(now time.Duration, u *unit) bool {
 	advice := u.job.spec.QueuePolicy.Advice
 	lead := advice.DecisionTime + maxAdviceWorkers*advice.TimePerWorker + advicePrefetchLead
-	for _, before := range u.spec().DependsOn {
+	for _, dep := range u.spec().DependsOn {
 		for _, o := range u.job.units {
-			if o.occurrence != u.occurrence || o.step != before || o.state == unitDone {
+			if o.occurrence != u.occurrence || o.step != dep || o.state == unitDone {
 				continue
 			}
 			if o.state != unitActive {
@@ -177,13 +177,13 @@
 	if j == nil {
 		return
 	}
-	known := j.ticketsFor(stepAt{ev.Request.Occurrence, ev.Request.Step})
+	tickets := j.ticketsFor(stepAt{ev.Request.Occurrence, ev.Request.Step})
 	for _, id := range ev.Request.Workers {
-		text, allowed := ev.Tickets[id]
+		value, allowed := ev.Tickets[id]
 		if !allowed {
-			known.denied[id] = true
+			tickets.denied[id] = true
 			continue
 		}
-		known.granted[id] = ticket{value: text, expiresAt: now + ev.Lifetime}
+		tickets.granted[id] = ticket{value: value, expiresAt: now + ev.Lifetime}
 	}
 }
--- a/engine/advice_test.go
+++ b/engine/advice_test.go
@@ -22,12 +22,12 @@
 
 // nextAdviceRequest returns the question that the engine asks next, if any, and settles the rest.
 func (d *driver) nextAdviceRequest() *AdviceRequest {
-	var ask *AdviceRequest
+	var request *AdviceRequest
 	for range 10 {
 		for _, a := range d.e.Decide(d.now) {
 			switch a := a.(type) {
 			case AdviceRequest:
-				ask = &a
+				request = &a
 			case Orders:
 				for _, s := range a.Starts {
 					d.starts = append(d.starts, s)
@@ -39,7 +39,7 @@
 			d.handle(WriteApplied{Write: w})
 		}
 	}
-	return ask
+	return request
 }
 
 // The service allows one worker of those asked for. The start goes there with its ticket,
@@ -48,18 +48,18 @@
 	c := qt.New(t)
 	d := newDriver(t, 3)
 	d.submitWithAdvice(taskStep(2, 8))
-	ask := d.nextAdviceRequest()
-	c.Assert(ask, qt.IsNotNil)
+	request := d.nextAdviceRequest()
+	c.Assert(request, qt.IsNotNil)
 	c.Check(d.starts, qt.HasLen, 0)
 	c.Check(d.nextAdviceRequest(), qt.IsNil, qt.Commentf("one question at a time"))
-	d.handle(AdviceResponse{Request: *ask, Tickets: map[WorkerID]string{"w1": "t1"}, Lifetime: 3 * time.Second})
+	d.handle(AdviceResponse{Request: *request, Tickets: map[WorkerID]string{"w1": "t1"}, Lifetime: 3 * time.Second})
 	again := d.nextAdviceRequest()
 	c.Assert(d.starts, qt.HasLen, 1)
 	c.Check(d.starts[0].Ticket, qt.Equals, "t1")
 	c.Check(d.startedOn[d.starts[0].Run], qt.Equals, WorkerID("w1"))
 	if again != nil {
 		for _, id := range again.Workers {
-			c.Check(ask.Workers, qt.Not(qt.Contains), id)
+			c.Check(request.Workers, qt.Not(qt.Contains), id)
 		}
 	}
 }
@@ -71,9 +71,9 @@
 	d.submit(1, "", taskStep(1, 8))
 	d.settle()
 	d.submitWithAdvice(taskStep(1, 8))
-	ask := d.nextAdviceRequest()
-	c.Assert(ask, qt.IsNotNil)
-	d.handle(AdviceResponse{Request: *ask, Tickets: map[WorkerID]string{"w0": "t0"}, Lifetime: 3 * time.Second})
+	request := d.nextAdviceRequest()
+	c.Assert(request, qt.IsNotNil)
+	d.handle(AdviceResponse{Request: *request, Tickets: map[WorkerID]string{"w0": "t0"}, Lifetime: 3 * time.Second})
 	d.nextAdviceRequest()
 	for range 40 {
 		d.now += 100 * time.Millisecond
@@ -90,9 +90,9 @@
 	c := qt.New(t)
 	d := newDriver(t, 1)
 	d.submitWithAdvice(taskStep(1, 1))
-	ask := d.nextAdviceRequest()
-	c.Assert(ask, qt.IsNotNil)
-	d.handle(AdviceResponse{Request: *ask, Failed: true})
+	request := d.nextAdviceRequest()
+	c.Assert(request, qt.IsNotNil)
+	d.handle(AdviceResponse{Request: *request, Failed: true})
 	c.Check(d.nextAdviceRequest(), qt.IsNil)
 	d.now += adviceRetryDelay
 	d.handle(Tick{WallTime: time.Unix(1000, 0)})
@@ -110,16 +110,16 @@
 	first.Estimate = 800 * time.Millisecond
 	second.DependsOn = []int{0}
 	d.submitWithAdvice(first, second)
-	ask := d.nextAdviceRequest()
-	d.handle(AdviceResponse{Request: *ask, Tickets: map[WorkerID]string{"w0": "a", "w1": "b", "w2": "c"}, Lifetime: 3 * time.Second})
-	ahead := d.nextAdviceRequest()
+	request := d.nextAdviceRequest()
+	d.handle(AdviceResponse{Request: *request, Tickets: map[WorkerID]string{"w0": "a", "w1": "b", "w2": "c"}, Lifetime: 3 * time.Second})
+	prefetch := d.nextAdviceRequest()
 	c.Assert(d.starts, qt.HasLen, 1)
-	if ahead == nil {
+	if prefetch == nil {
 		d.handle(OrdersCompleted{Worker: d.startedOn[d.starts[0].Run], Starts: []StartResult{{Run: d.starts[0].Run, Outcome: StartOK}}})
 		d.now += 400 * time.Millisecond
 		d.e.planNeeded = true
-		ahead = d.nextAdviceRequest()
+		prefetch = d.nextAdviceRequest()
 	}
-	c.Assert(ahead, qt.IsNotNil)
-	c.Check(ahead.Step, qt.Equals, 1)
+	c.Assert(prefetch, qt.IsNotNil)
+	c.Check(prefetch.Step, qt.Equals, 1)
 }
--- a/engine/backoff.go
+++ b/engine/backoff.go
@@ -7,15 +7,15 @@
 type backoff struct{ attempts int }
 
 // next returns the next pause: first, then twice as long each time, up to most.
-func (b *backoff) next(first, most time.Duration) time.Duration {
-	pause := first
+func (b *backoff) next(initial, limit time.Duration) time.Duration {
+	delay := initial
 	for range b.attempts {
-		if pause *= 2; pause >= most {
-			return most
+		if delay *= 2; delay >= limit {
+			return limit
 		}
 	}
 	b.attempts++
-	return pause
+	return delay
 }
 
 func (b *backoff) reset() { b.attempts = 0 }
--- a/engine/bench_day_test.go
+++ b/engine/bench_day_test.go
@@ -67,8 +67,8 @@
 }
 
 // advance lets time advance, with jobs arriving at a rate a second.
-func (f *benchFleet) advance(by time.Duration, rate float64) {
-	for end := f.now + by; f.now < end; f.now += benchTimeStep {
+func (f *benchFleet) advance(span time.Duration, rate float64) {
+	for end := f.now + span; f.now < end; f.now += benchTimeStep {
 		if f.rng.Float64() < rate*benchTimeStep.Seconds() {
 			f.submit()
 		}
@@ -137,8 +137,8 @@
 		w := f.workers[workerIndex(o.Worker)]
 		ended := OrdersCompleted{Worker: o.Worker}
 		for _, s := range o.Starts {
-			took := time.Duration((0.3 + 2*f.rng.Float64()) * float64(4*time.Second))
-			w.running[s.Run.Task] = &benchRun{id: s.Run, startedAt: f.now, endsAt: f.now + took}
+			runTime := time.Duration((0.3 + 2*f.rng.Float64()) * float64(4*time.Second))
+			w.running[s.Run.Task] = &benchRun{id: s.Run, startedAt: f.now, endsAt: f.now + runTime}
 			ended.Starts = append(ended.Starts, StartResult{Run: s.Run, Outcome: StartOK})
 		}
 		for _, run := range o.Stops {
--- a/engine/bench_test.go
+++ b/engine/bench_test.go
@@ -34,9 +34,9 @@
 		}
 	}
 	store()
-	submit := func(n, priority, count, accelerators int, isGang bool) {
+	submit := func(n, priority, count, accelerators int, asGang bool) {
 		step := taskStep(count, accelerators)
-		step.Gang, step.SameRack = isGang, isGang
+		step.Gang, step.SameRack = asGang, asGang
 		e.HandleEvent(now, JobSubmitted{Revision: int64(n), Job: workload.Job{
 			ID: workload.JobID(fmt.Sprintf("job%06d", n)), Queue: fmt.Sprint("q", priority), Service: "s",
 			Steps: []workload.Step{step}, QueuePolicy: workload.QueuePolicy{Priority: priority, Stretch: 3},
--- a/engine/checkpoints.go
+++ b/engine/checkpoints.go
@@ -29,17 +29,17 @@
 		job  *job
 		work float64 // core-seconds
 	}
-	var gains []gain
+	var candidates []gain
 	for _, j := range e.orderedJobs {
 		if j.state.Final() {
 			continue
 		}
 		if work := j.unrecordedWork(); work > 0 {
-			gains = append(gains, gain{j, work})
+			candidates = append(candidates, gain{j, work})
 		}
 	}
-	slices.SortStableFunc(gains, func(a, b gain) int { return cmp.Compare(b.work, a.work) })
-	for _, g := range gains[:min(len(gains), maxCheckpointJobs)] {
+	slices.SortStableFunc(candidates, func(a, b gain) int { return cmp.Compare(b.work, a.work) })
+	for _, g := range candidates[:min(len(candidates), maxCheckpointJobs)] {
 		for _, u := range g.job.units {
 			u.recordCheckpoint()
 		}
@@ -52,8 +52,8 @@
 	sum := 0.0
 	for _, u := range j.units {
 		if p := u.newestCheckpoint(); p != nil {
-			since := max(u.keptTo, p.began)
-			sum += u.total().CoreEquivalent() * (p.savedAt - since).Seconds()
+			recordedTo := max(u.keptTo, p.began)
+			sum += u.total().CoreEquivalent() * (p.savedAt - recordedTo).Seconds()
 		}
 	}
 	return sum
--- a/engine/checkpoints_test.go
+++ b/engine/checkpoints_test.go
@@ -28,9 +28,9 @@
 		d.report(Report{Worker: w.info, Terminated: true})
 	}
 	for i := range 2 {
-		again := d.workerReport(10 + i)
-		again.Epoch = d.e.epoch
-		d.report(again)
+		report := d.workerReport(10 + i)
+		report.Epoch = d.e.epoch
+		d.report(report)
 	}
 	d.starts = nil
 	d.settle()
--- a/engine/clearing.go
+++ b/engine/clearing.go
@@ -39,63 +39,63 @@
 }
 
 func (r *round) newVictimSearch(u *unit, set *domain) *victimSearch {
-	c := &victimSearch{round: r, unit: u, costs: map[*unit]float64{}, chosen: map[*unit]bool{}}
+	search := &victimSearch{round: r, unit: u, costs: map[*unit]float64{}, chosen: map[*unit]bool{}}
 	for _, w := range set.workers {
 		if r.eligible(u, w) && !w.health.paused(r.now) && r.admits(u, w) {
-			w.round.at = len(c.workers)
-			c.workers = append(c.workers, c.listCandidates(w))
+			w.round.at = len(search.workers)
+			search.workers = append(search.workers, search.listCandidates(w))
 		}
 	}
-	return c
+	return search
 }
 
 // close forgets the workers' places in the clearing.
-func (c *victimSearch) close() {
-	for _, s := range c.workers {
-		s.worker.round.at = -1
+func (search *victimSearch) close() {
+	for _, wv := range search.workers {
+		wv.worker.round.at = -1
 	}
 }
 
 // listCandidates counts what is free on a worker, or about to be, and who could make room.
-func (c *victimSearch) listCandidates(w *worker) *workerVictims {
-	s := &workerVictims{worker: w, free: w.free().Sub(w.round.claimed)}
+func (search *victimSearch) listCandidates(w *worker) *workerVictims {
+	wv := &workerVictims{worker: w, free: w.free().Sub(w.round.claimed)}
 	for _, p := range w.sortedPlaces() {
 		if p.stopping || p.unit.state != unitActive || p.unit.ending() {
-			s.free = s.free.Add(p.demand)
+			wv.free = wv.free.Add(p.demand)
 			continue
 		}
-		if c.round.mayEvict(p.unit, c.unit) && !slices.Contains(s.candidates, p.unit) {
-			s.candidates = append(s.candidates, p.unit)
-			c.computeCost(p.unit)
+		if search.round.mayEvict(p.unit, search.unit) && !slices.Contains(wv.candidates, p.unit) {
+			wv.candidates = append(wv.candidates, p.unit)
+			search.computeCost(p.unit)
 		}
 	}
-	slices.SortStableFunc(s.candidates, func(a, b *unit) int {
+	slices.SortStableFunc(wv.candidates, func(a, b *unit) int {
 		return cmp.Or(
-			cmp.Compare(c.costs[a], c.costs[b]),
+			cmp.Compare(search.costs[a], search.costs[b]),
 			cmp.Compare(b.job.spec.QueuePolicy.Priority, a.job.spec.QueuePolicy.Priority),
 		)
 	})
-	return s
+	return wv
 }
 
 // computeCost notes what evicting a unit throws away; a gang stands on many workers and is
 // counted once.
-func (c *victimSearch) computeCost(u *unit) {
-	if _, known := c.costs[u]; !known {
-		c.costs[u] = c.round.e.lostWork(c.round.now, u)
+func (search *victimSearch) computeCost(u *unit) {
+	if _, known := search.costs[u]; !known {
+		search.costs[u] = search.round.e.lostWork(search.round.now, u)
 	}
 }
 
 // next returns the worker on which one more member fits at the least cost, and who has to
 // go for it: nil where there is none.
-func (c *victimSearch) next() (*workerVictims, victimChoice) {
+func (search *victimSearch) next() (*workerVictims, victimChoice) {
 	var best *workerVictims
-	for _, s := range c.workers {
-		if !s.choiceValid {
-			s.choice, s.choiceValid = c.chooseVictims(s), true
+	for _, wv := range search.workers {
+		if !wv.choiceValid {
+			wv.choice, wv.choiceValid = search.chooseVictims(wv), true
 		}
-		if s.choice.ok && (best == nil || s.choice.cost < best.choice.cost) {
-			best = s
+		if wv.choice.ok && (best == nil || wv.choice.cost < best.choice.cost) {
+			best = wv
 		}
 	}
 	if best == nil {
@@ -106,35 +106,35 @@
 
 // chooseVictims finds victims on a worker so that one more member fits: the cheapest first, then
 // those that turned out needless are spared, the dearest first.
-func (c *victimSearch) chooseVictims(s *workerVictims) victimChoice {
-	w := s.worker
-	if c.round.e.bounded(c.unit, w, s.placed+1) < s.placed+1 {
+func (search *victimSearch) chooseVictims(wv *workerVictims) victimChoice {
+	w := wv.worker
+	if search.round.e.bounded(search.unit, w, wv.placed+1) < wv.placed+1 {
 		return victimChoice{}
 	}
-	need, room := c.unit.demand(), s.free
+	need, free := search.unit.demand(), wv.free
 	var victims []*unit
-	for _, v := range s.candidates {
-		if need.FitsIn(room) {
+	for _, v := range wv.candidates {
+		if need.FitsIn(free) {
 			break
 		}
-		if c.chosen[v] || !v.mayStop(countSameStep(maps.Keys(c.chosen), v)+countSameStep(slices.Values(victims), v)) {
+		if search.chosen[v] || !v.mayStop(countSameStep(maps.Keys(search.chosen), v)+countSameStep(slices.Values(victims), v)) {
 			continue
 		}
-		room = room.Add(heldOn(v, w))
+		free = free.Add(heldOn(v, w))
 		victims = append(victims, v)
 	}
-	if !need.FitsIn(room) {
+	if !need.FitsIn(free) {
 		return victimChoice{}
 	}
 	cost := 0.0
 	for i := len(victims) - 1; i >= 0; i-- {
-		without := room.Sub(heldOn(victims[i], w))
-		if need.FitsIn(without) {
-			room = without
+		freeWithout := free.Sub(heldOn(victims[i], w))
+		if need.FitsIn(freeWithout) {
+			free = freeWithout
 			victims = slices.Delete(victims, i, i+1)
 			continue
 		}
-		cost += c.costs[victims[i]]
+		cost += search.costs[victims[i]]
 	}
 	return victimChoice{victims, cost, true}
 }
@@ -154,28 +154,28 @@
 }
 
 // commit gives a member its room on a worker. A victim gang makes room on all its workers.
-func (c *victimSearch) commit(s *workerVictims, w victimChoice) {
-	for _, v := range w.victims {
-		c.chosen[v] = true
+func (search *victimSearch) commit(wv *workerVictims, choice victimChoice) {
+	for _, v := range choice.victims {
+		search.chosen[v] = true
 		for _, p := range v.places {
 			if at := p.worker.round.at; at >= 0 {
-				c.workers[at].free = c.workers[at].free.Add(p.demand)
-				c.workers[at].choiceValid = false
+				search.workers[at].free = search.workers[at].free.Add(p.demand)
+				search.workers[at].choiceValid = false
 			}
 		}
 		if v.spec().LongRunning {
-			c.invalidateAll() // others of its step may not be stopped any more
+			search.invalidateAll() // others of its step may not be stopped any more
 		}
 	}
-	s.free = s.free.Sub(c.unit.demand())
-	s.placed++
-	s.choiceValid = false
+	wv.free = wv.free.Sub(search.unit.demand())
+	wv.placed++
+	wv.choiceValid = false
 }
 
 // invalidateAll makes next look at all workers anew.
-func (c *victimSearch) invalidateAll() {
-	for _, s := range c.workers {
-		s.choiceValid = false
+func (search *victimSearch) invalidateAll() {
+	for _, wv := range search.workers {
+		wv.choiceValid = false
 	}
 }
 
--- a/engine/crash.go
+++ b/engine/crash.go
@@ -91,7 +91,7 @@
 // countCrash counts a crash of w against the tasks that it had, in the order of places, and
 // gives up the jobs of those that have had enough.
 func (e *Engine) countCrash(now time.Duration, w *worker, places []*placement, t witness) {
-	blamed, alone := t.suspects(places)
+	blamed, onlySuspect := t.suspects(places)
 	for _, p := range places {
 		if !t.under(p) {
 			continue
@@ -109,7 +109,7 @@
 		u.shun(now, w.info.Agent)
 		e.logDecision(p, "worker crashed under it", c.String())
 		e.markChanged(u.job)
-		if c.exceedsLimit(alone) && !u.job.state.Final() {
+		if c.exceedsLimit(onlySuspect) && !u.job.state.Final() {
 			e.finish(now, u.job, workload.Failed, fmt.Sprintf("%d workers crashed under task %s", c.total, p.task()))
 		}
 	}
@@ -122,11 +122,11 @@
 
 // exceedsLimit says whether the task is given up. alone: nothing of another job had just started
 // on the last worker.
-func (c crashCount) exceedsLimit(alone bool) bool {
+func (c crashCount) exceedsLimit(onlySuspect bool) bool {
 	if c.confirmed < minConfirmedCrashes {
 		return c.total > maxCrashes
 	}
-	return c.total >= maxCrashes || alone && c.startup >= maxStartupCrashes
+	return c.total >= maxCrashes || onlySuspect && c.startup >= maxStartupCrashes
 }
 
 // onLastAttempt says whether the next crash gives the task up in any case.
--- a/engine/crash_test.go
+++ b/engine/crash_test.go
@@ -54,9 +54,9 @@
 
 // advanceWorkers lets time pass. It fails once a task that crashes its workers has been started three
 // times more after three workers had crashed under it.
-func (d *crashScenario) advanceWorkers(by time.Duration) {
+func (d *crashScenario) advanceWorkers(span time.Duration) {
 	const step = 50 * time.Millisecond
-	for end := d.now + by; d.now < end; d.now += step {
+	for end := d.now + span; d.now < end; d.now += step {
 		for _, w := range d.e.sortedWorkers() {
 			d.reportWorker(w)
 		}
@@ -68,15 +68,15 @@
 // reportWorker lets the agent of one worker report.
 func (d *crashScenario) reportWorker(w *worker) {
 	agent := w.info.Agent
-	away, down := d.down[agent]
+	crash, down := d.down[agent]
 	switch {
 	case !down:
 		d.reportRunningWorker(w)
-	case d.now < away.until:
-		d.report(Report{Epoch: away.epoch, Worker: w.info, Unresponsive: true})
+	case d.now < crash.until:
+		d.report(Report{Epoch: crash.epoch, Worker: w.info, Unresponsive: true})
 	default:
 		delete(d.down, agent)
-		d.report(Report{Worker: w.info, Terminated: true, Crashed: true, Polled: true, Running: away.pastStartup})
+		d.report(Report{Worker: w.info, Terminated: true, Crashed: true, Polled: true, Running: crash.pastStartup})
 		d.incarnations++
 		next := w.info
 		next.ID = WorkerID(fmt.Sprintf("%s-life%d", agent, d.incarnations))
@@ -113,13 +113,13 @@
 	return false
 }
 
-func (d *crashScenario) endOf(w *worker, p *placement, why EndReason) RunEnd {
+func (d *crashScenario) endOf(w *worker, p *placement, reason EndReason) RunEnd {
 	d.endCounts[w.info.ID]++
-	return RunEnd{Sequence: d.endCounts[w.info.ID], Run: p.id(), Reason: why}
+	return RunEnd{Sequence: d.endCounts[w.info.ID], Run: p.id(), Reason: reason}
 }
 
 func (d *crashScenario) handleStarts() {
-	deposed := false
+	takeOver := false
 	for ; d.startsHandled < len(d.starts); d.startsHandled++ {
 		run := d.starts[d.startsHandled].Run
 		w := d.e.workers[d.startedOn[run]]
@@ -134,21 +134,21 @@
 			"%v: %v is started three times more after three workers have crashed under it", d.now, run))
 		d.crashesByTask[run.Task]++
 		d.crash(w)
-		deposed = d.replacePlanner
+		takeOver = d.replacePlanner
 	}
-	if deposed {
+	if takeOver {
 		d.takeOver()
 	}
 }
 
 func (d *crashScenario) crash(w *worker) {
-	away := outage{until: d.now + workerRestartTime, epoch: d.e.epoch}
+	crash := outage{until: d.now + workerRestartTime, epoch: d.e.epoch}
 	for _, p := range w.sortedPlaces() {
 		if d.now-d.startedAt[p.id()] >= StartupCrashWindow {
-			away.pastStartup = append(away.pastStartup, RunStatus{Run: p.id()})
+			crash.pastStartup = append(crash.pastStartup, RunStatus{Run: p.id()})
 		}
 	}
-	d.down[w.info.Agent] = away
+	d.down[w.info.Agent] = crash
 }
 
 func (d *crashScenario) jobState(id workload.JobID) workload.State {
@@ -188,14 +188,14 @@
 			if tc.set != nil {
 				tc.set(d)
 			}
-			beside := d.submit(1, "other", taskStep(6, 1))
-			bad := d.submit(0, "other", tc.step)
-			d.crashesWorker = func(r workload.RunID) bool { return r.Task.Job == bad && r.Task.Index == tc.crashing }
+			innocent := d.submit(1, "other", taskStep(6, 1))
+			crashing := d.submit(0, "other", tc.step)
+			d.crashesWorker = func(r workload.RunID) bool { return r.Task.Job == crashing && r.Task.Index == tc.crashing }
 			d.settle()
 			d.handleStarts()
 			d.advanceWorkers(40 * time.Second)
-			c.Assert(d.jobState(bad), qt.Equals, workload.Failed)
-			c.Assert(d.jobState(beside), qt.Equals, workload.Completed)
+			c.Assert(d.jobState(crashing), qt.Equals, workload.Failed)
+			c.Assert(d.jobState(innocent), qt.Equals, workload.Completed)
 		})
 	}
 }
@@ -207,11 +207,11 @@
 	c := qt.New(t)
 	d := newCrashScenario(c, 2)
 	d.crashesWorker = func(r workload.RunID) bool { return r.Task.Job == "job1" || r.Task.Job == "job4" }
-	var kept []workload.JobID
+	var innocent []workload.JobID
 	for i := range 12 {
 		id := d.submit(i%2, "other", taskStep(1, 2))
 		if !d.crashesWorker(workload.RunID{Task: workload.TaskID{Job: id}}) {
-			kept = append(kept, id)
+			innocent = append(innocent, id)
 		}
 		if i%4 == 3 {
 			d.settle()
@@ -222,7 +222,7 @@
 	d.advanceWorkers(60 * time.Second)
 	c.Check(d.jobState("job1"), qt.Equals, workload.Failed)
 	c.Check(d.jobState("job4"), qt.Equals, workload.Failed)
-	for _, id := range kept {
+	for _, id := range innocent {
 		c.Check(d.jobState(id), qt.Equals, workload.Completed, qt.Commentf("%s", id))
 	}
 }
--- a/engine/ended.go
+++ b/engine/ended.go
@@ -92,9 +92,9 @@
 }
 
 // archive lets go of all but the outcome of a job, whose records are replaced.
-func (j *job) archive(cancelOrder int64) {
+func (j *job) archive(cancelRevision int64) {
 	j.archived = true
-	j.archivedCancelRevision = cancelOrder
+	j.archivedCancelRevision = cancelRevision
 	j.units = nil
 	j.ticketsByStep = nil
 	j.spec.Spec, j.spec.Steps = "", nil
--- a/engine/ends.go
+++ b/engine/ends.go
@@ -36,7 +36,7 @@
 func (e *Engine) applyRunEnd(now time.Duration, p *placement, reason EndReason) {
 	u := p.unit
 	e.logDecision(p, "ended", string(reason))
-	if cause, undone := causeOfEnd[reason]; undone {
+	if cause, found := causeOfEnd[reason]; found {
 		u.setCauseOnce(cause)
 	}
 	switch reason {
@@ -192,8 +192,8 @@
 }
 
 // handleLostRun ends a placement whose run is certainly over without a listed end.
-func (e *Engine) handleLostRun(now time.Duration, p *placement, cause Cause, why string) {
-	e.logDecision(p, "lost", why)
+func (e *Engine) handleLostRun(now time.Duration, p *placement, cause Cause, detail string) {
+	e.logDecision(p, "lost", detail)
 	p.unit.setCauseOnce(cause)
 	if p.saved != "" {
 		p.unit.saved = p.saved
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -65,12 +65,12 @@
 
 // New returns an Engine for one term of a planner. inherited is how much longer than
 // usual the leases that predecessors granted may last.
-func New(params Params, epoch uint64, now, inherited time.Duration) *Engine {
+func New(params Params, epoch uint64, now, inheritedLeaseExtra time.Duration) *Engine {
 	if params.Policy == (Policy{}) {
 		params.Policy = DefaultPolicy()
 	}
 	return &Engine{
-		inheritedLeaseExtra: inherited,
+		inheritedLeaseExtra: inheritedLeaseExtra,
 		params:              params,
 		epoch:               epoch,
 		startedAt:           now,
@@ -154,18 +154,18 @@
 	return o
 }
 
-func (e *Engine) logDecision(p *placement, what, detail string) {
+func (e *Engine) logDecision(p *placement, kind, detail string) {
 	e.actions = append(e.actions, Decision{
 		Job:    p.unit.job.spec.ID,
-		Kind:   what,
+		Kind:   kind,
 		Detail: detail,
 		Run:    p.id(),
 		Worker: p.worker.info.ID,
 	})
 }
 
-func (e *Engine) logJobDecision(j *job, what, detail string) {
-	e.actions = append(e.actions, Decision{Job: j.spec.ID, Kind: what, Detail: detail})
+func (e *Engine) logJobDecision(j *job, kind, detail string) {
+	e.actions = append(e.actions, Decision{Job: j.spec.ID, Kind: kind, Detail: detail})
 }
 
 func (e *Engine) markChanged(j *job) {
--- a/engine/evict.go
+++ b/engine/evict.go
@@ -38,12 +38,12 @@
 		return false
 	}
 	u.evictNext = r.now + evictRetryInterval
-	near := r.preferredDomains(u)
-	best := r.cheapestEviction(u, near)
-	if best == nil && !near.anywhere && r.protected[u.job] {
+	preferred := r.preferredDomains(u)
+	best := r.cheapestEviction(u, preferred)
+	if best == nil && !preferred.anywhere && r.protected[u.job] {
 		best = r.cheapestEviction(u, r.allDomains())
 	}
-	if best == nil || !r.worthEvicting(u, best, near) {
+	if best == nil || !r.worthEvicting(u, best, preferred) {
 		return false
 	}
 	for _, v := range best.victims {
@@ -61,7 +61,7 @@
 const reclaimMargin = 700 * time.Millisecond
 
 // worthEvicting says whether an eviction is better than waiting.
-func (r *round) worthEvicting(u *unit, way *eviction, near domainSet) bool {
+func (r *round) worthEvicting(u *unit, plan *eviction, preferred domainSet) bool {
 	if r.mustReclaim(u) {
 		return true
 	}
@@ -70,7 +70,7 @@
 		return false
 	}
 	wait := never
-	for _, set := range near.domains {
+	for _, set := range preferred.domains {
 		at, _ := r.forecastFit(u, set, never)
 		wait = min(wait, at)
 	}
@@ -78,19 +78,19 @@
 	if wait <= max(r.e.tracker.stop, time.Duration(policy.EvictionWait*float64(slack))) {
 		return false
 	}
-	own := u.total().CoreEquivalent() * r.e.estimate(u).Seconds()
+	ownWork := u.total().CoreEquivalent() * r.e.estimate(u).Seconds()
 	if r.now+wait+r.e.estimate(u) > r.e.uselessFrom(u.job) {
-		own *= uselessAfterFactor
+		ownWork *= uselessAfterFactor
 	}
-	return way.cost <= policy.EvictionWorth*own
+	return plan.cost <= policy.EvictionWorth*ownWork
 }
 
 // cheapestEviction returns the eviction that throws the least work away.
 func (r *round) cheapestEviction(u *unit, d domainSet) *eviction {
 	var best *eviction
 	for _, set := range d.domains {
-		if way := r.planEviction(u, set); way != nil && (best == nil || way.cost < best.cost) {
-			best = way
+		if plan := r.planEviction(u, set); plan != nil && (best == nil || plan.cost < best.cost) {
+			best = plan
 		}
 	}
 	return best
@@ -99,20 +99,20 @@
 // planEviction makes room for the members of u one by one, each time on the worker where
 // that throws the least work away.
 func (r *round) planEviction(u *unit, set *domain) *eviction {
-	c := r.newVictimSearch(u, set)
-	defer c.close()
-	out := &eviction{slots: map[*worker]int{}}
+	search := r.newVictimSearch(u, set)
+	defer search.close()
+	plan := &eviction{slots: map[*worker]int{}}
 	for range u.size {
-		site, way := c.next()
-		if site == nil {
+		chosen, choice := search.next()
+		if chosen == nil {
 			return nil
 		}
-		c.commit(site, way)
-		out.victims = append(out.victims, way.victims...)
-		out.cost += way.cost
-		out.slots[site.worker]++
+		search.commit(chosen, choice)
+		plan.victims = append(plan.victims, choice.victims...)
+		plan.cost += choice.cost
+		plan.slots[chosen.worker]++
 	}
-	return out
+	return plan
 }
 
 // mayEvict says whether v may be evicted for u: work of lower priority always, work of
@@ -180,15 +180,15 @@
 		if !w.draining || !w.attached {
 			continue
 		}
-		left := w.leavesAt - r.now
+		untilLeave := w.leavesAt - r.now
 		for _, p := range w.sortedPlaces() {
 			if p.stopping || p.unit.ending() || p.state != placeRunning {
 				continue
 			}
-			if e.remaining(r.now, p) <= left {
+			if e.remaining(r.now, p) <= untilLeave {
 				continue
 			}
-			if p.unit.spec().Checkpoints && left > 2*e.params.StopTime && !r.fitsElsewhere(p.unit) {
+			if p.unit.spec().Checkpoints && untilLeave > 2*e.params.StopTime && !r.fitsElsewhere(p.unit) {
 				continue // it goes on saving here until there is room
 			}
 			e.logDecision(p, "move", "the worker leaves")
--- a/engine/evict_test.go
+++ b/engine/evict_test.go
@@ -15,7 +15,7 @@
 	d := newDriver(t, 1)
 	d.submit(0, "", taskStep(1, 8))
 	d.settle()
-	promised := d.submit(0, "big", taskStep(1, 8))
+	guaranteed := d.submit(0, "big", taskStep(1, 8))
 	d.settle()
 	c.Check(d.stops, qt.HasLen, 0)
 	due := d.e.params.MaxReclaimWait - d.e.params.StopTime - reclaimMargin
@@ -23,7 +23,7 @@
 	c.Check(d.stops, qt.HasLen, 0)
 	d.advance(100*time.Millisecond + 2*replanEvery)
 	c.Check(d.stops, qt.HasLen, 1)
-	c.Check(d.runs(promised), qt.HasLen, 0, qt.Commentf("the room is not free yet"))
+	c.Check(d.runs(guaranteed), qt.HasLen, 0, qt.Commentf("the room is not free yet"))
 }
 
 // Patient work makes room for the same job at once.
--- a/engine/fit.go
+++ b/engine/fit.go
@@ -20,11 +20,11 @@
 
 // findWorkers returns a worker for each member of u, or nil where it has to wait.
 func (r *round) findWorkers(u *unit) []*worker {
-	near := r.preferredDomains(u)
-	if workers := r.chooseWorkers(u, near); workers != nil {
+	preferred := r.preferredDomains(u)
+	if workers := r.chooseWorkers(u, preferred); workers != nil {
 		return workers
 	}
-	if near.anywhere || !r.worthRunningRemotely(u, near) && !r.waitedBesideIdleFleet(u) {
+	if preferred.anywhere || !r.worthRunningRemotely(u, preferred) && !r.waitedBesideIdleFleet(u) {
 		return nil
 	}
 	return r.chooseWorkers(u, r.allDomains())
@@ -53,20 +53,20 @@
 // serviceMostlyIdle says whether more than half of the room of u's service is free, by accelerators
 // where it needs them and by processors where it does not.
 func (r *round) serviceMostlyIdle(u *unit) bool {
-	free, all := 0, 0
+	free, total := 0, 0
 	for _, w := range r.all.workers {
 		if w.info.Service != u.job.spec.Service {
 			continue
 		}
 		if u.demand().Accelerators > 0 {
 			free += w.free().Accelerators
-			all += w.info.Capacity.Accelerators
+			total += w.info.Capacity.Accelerators
 			continue
 		}
 		free += w.free().MilliCPU
-		all += w.info.Capacity.MilliCPU
+		total += w.info.Capacity.MilliCPU
 	}
-	return 2*free > all
+	return 2*free > total
 }
 
 // domainSet are sets of workers within which a unit runs at full speed.
@@ -99,14 +99,14 @@
 		return domainSet{domains: []*domain{rack}}
 	}
 	if s.Gang && s.SameRack {
-		var sets []*domain
+		var racks []*domain
 		for _, rack := range r.rackNames {
 			if r.fitsWhenEmpty(u, r.racks[rack]) {
-				sets = append(sets, r.racks[rack])
+				racks = append(racks, r.racks[rack])
 			}
 		}
-		if len(sets) > 0 {
-			return domainSet{domains: sets}
+		if len(racks) > 0 {
+			return domainSet{domains: racks}
 		}
 	}
 	return r.allDomains()
@@ -114,25 +114,25 @@
 
 // fitsWhenEmpty says whether u would fit on the workers if they were empty.
 func (r *round) fitsWhenEmpty(u *unit, set *domain) bool {
-	room := 0
+	fitting := 0
 	for _, w := range set.workers {
 		if r.eligible(u, w) {
-			room += perWorker(u.spec(), u.demand().CountFitting(w.info.Capacity, u.size))
+			fitting += perWorker(u.spec(), u.demand().CountFitting(w.info.Capacity, u.size))
 		}
 	}
-	return room >= u.size
+	return fitting >= u.size
 }
 
 // worthRunningRemotely says whether running far away, several times slower, is better than
 // waiting for room nearby. A guaranteed job does not wait longer than its account was
 // promised.
-func (r *round) worthRunningRemotely(u *unit, near domainSet) bool {
+func (r *round) worthRunningRemotely(u *unit, preferred domainSet) bool {
 	if r.protected[u.job] && r.now-u.since > r.e.params.MaxReclaimWait/4 {
 		return true
 	}
-	slower := time.Duration((r.e.params.RemoteSlowdown - 1) * float64(r.e.estimate(u)))
-	for _, set := range near.domains {
-		if at, _ := r.forecastFit(u, set, slower); at <= slower {
+	extraTime := time.Duration((r.e.params.RemoteSlowdown - 1) * float64(r.e.estimate(u)))
+	for _, set := range preferred.domains {
+		if at, _ := r.forecastFit(u, set, extraTime); at <= extraTime {
 			return false
 		}
 	}
@@ -143,11 +143,11 @@
 // that a large gang could have used.
 func (r *round) chooseWorkers(u *unit, d domainSet) []*worker {
 	var best []*worker
-	bestRest := 0
+	leastLeftover := 0
 	for _, set := range d.domains {
-		workers, rest := r.pack(u, set)
-		if workers != nil && (best == nil || rest < bestRest) {
-			best, bestRest = workers, rest
+		workers, leftover := r.pack(u, set)
+		if workers != nil && (best == nil || leftover < leastLeftover) {
+			best, leastLeftover = workers, leftover
 		}
 	}
 	return best
@@ -174,34 +174,34 @@
 
 // pack spreads u over as few workers of a set as possible, the fullest first, those
 // without recent failures before others. rest is the accelerators left free in the set.
-func (r *round) pack(u *unit, set *domain) (chosen []*worker, rest int) {
+func (r *round) pack(u *unit, set *domain) (chosen []*worker, leftover int) {
 	if u.cannotFit(set) {
 		return nil, 0
 	}
 	need := u.demand().Accelerators
-	options := r.options[:0]
+	candidates := r.options[:0]
 	total := 0
 	for _, w := range set.workers {
-		room := r.room(u, w)
-		rest += room.Accelerators
-		n := r.slots(u, w, room)
+		free := r.room(u, w)
+		leftover += free.Accelerators
+		n := r.slots(u, w, free)
 		if n <= 0 {
 			continue
 		}
 		total += n
-		o := candidate{worker: w, slots: n, leftover: room.Accelerators - min(n, u.size)*need}
+		o := candidate{worker: w, slots: n, leftover: free.Accelerators - min(n, u.size)*need}
 		if u.spec().LongRunning {
 			o.sameStepOnWorker, o.sameStepOnRack = r.sameStepCounts(u, w)
 		}
 		o.interference = r.e.interferenceScore(u, w)
 		o.crashRisk = r.risk(u, w)
-		options = append(options, o)
+		candidates = append(candidates, o)
 	}
-	r.options = options
+	r.options = candidates
 	if total < u.size {
 		return nil, 0
 	}
-	slices.SortStableFunc(options, func(a, b candidate) int {
+	slices.SortStableFunc(candidates, func(a, b candidate) int {
 		return cmp.Or(
 			cmp.Compare(a.worker.health.failureRank(), b.worker.health.failureRank()),
 			cmp.Compare(a.crashRisk, b.crashRisk),
@@ -212,12 +212,12 @@
 			cmp.Compare(a.leftover, b.leftover),
 		)
 	})
-	for _, o := range options {
-		for range o.slots {
+	for _, c := range candidates {
+		for range c.slots {
 			if len(chosen) < u.size {
-				chosen = append(chosen, o.worker)
+				chosen = append(chosen, c.worker)
 			}
 		}
 	}
-	return chosen, rest - u.size*u.demand().Accelerators
+	return chosen, leftover - u.size*u.demand().Accelerators
 }
--- a/engine/forecast.go
+++ b/engine/forecast.go
@@ -145,15 +145,15 @@
 }
 
 // setFree notes the room of the worker at a place.
-func (f *fitForecast) setFree(at int, room workload.Resources) {
-	n := max(0, perWorker(f.unit.spec(), f.demand.CountFitting(room, f.unit.size)))
-	f.total += n - f.fitting[at]
-	f.freeCapacity[at], f.fitting[at] = room, n
+func (f *fitForecast) setFree(index int, free workload.Resources) {
+	n := max(0, perWorker(f.unit.spec(), f.demand.CountFitting(free, f.unit.size)))
+	f.total += n - f.fitting[index]
+	f.freeCapacity[index], f.fitting[index] = free, n
 }
 
 func (f *fitForecast) addRelease(rel capacityRelease) {
-	at := rel.worker.round.at
-	f.setFree(at, f.freeCapacity[at].Add(rel.freed))
+	index := rel.worker.round.at
+	f.setFree(index, f.freeCapacity[index].Add(rel.freed))
 }
 
 func (f *fitForecast) fits() bool { return f.total >= f.unit.size }
--- a/engine/friction.go
+++ b/engine/friction.go
@@ -26,8 +26,8 @@
 // cpuShortfall returns how many of 100 parts of u's processor time w would not have: what
 // others are counted with, and what fills there already.
 func (e *Engine) cpuShortfall(u *unit, w *worker) float64 {
-	want := u.spec().Need.MilliCPU
-	if want == 0 {
+	needed := u.spec().Need.MilliCPU
+	if needed == 0 {
 		return 0
 	}
 	idle := w.free().MilliCPU
@@ -36,6 +36,6 @@
 			idle -= p.unit.spec().Need.MilliCPU
 		}
 	}
-	missing := float64(want-max(idle, 0)) / float64(want)
+	missing := float64(needed-max(idle, 0)) / float64(needed)
 	return max(0, fullPace*missing)
 }
--- a/engine/headroom.go
+++ b/engine/headroom.go
@@ -36,8 +36,8 @@
 	accelerators int
 }
 
-func (u *urgentHistory) add(now time.Duration, size int) {
-	u.arrivals = append(u.arrivals, urgentArrival{now, size})
+func (u *urgentHistory) add(now time.Duration, accelerators int) {
+	u.arrivals = append(u.arrivals, urgentArrival{now, accelerators})
 	for len(u.arrivals) > minUrgentHistory && now-u.arrivals[0].at > urgentHistoryAge {
 		u.arrivals = u.arrivals[1:]
 	}
@@ -47,7 +47,7 @@
 // of the latest urgent jobs took, and at least what came together within the time that it
 // takes to make room for more. On a small fleet that is one job; where several come each
 // second, room for one would be gone with the first.
-func (u *urgentHistory) target(share float64, stop time.Duration) int {
+func (u *urgentHistory) target(share float64, stopTime time.Duration) int {
 	if len(u.arrivals) == 0 {
 		return 0
 	}
@@ -56,21 +56,21 @@
 		sizes[i] = a.accelerators
 	}
 	slices.Sort(sizes)
-	return max(sizes[int(share*float64(len(sizes)-1))], u.peakWithin(stop))
+	return max(sizes[int(share*float64(len(sizes)-1))], u.peakWithin(stopTime))
 }
 
 // peakWithin returns the most accelerators that urgent jobs took which came within a span.
 func (u *urgentHistory) peakWithin(span time.Duration) int {
-	most, sum, first := 0, 0, 0
+	peak, sum, first := 0, 0, 0
 	for _, a := range u.arrivals {
 		sum += a.accelerators
 		for a.at-u.arrivals[first].at > span {
 			sum -= u.arrivals[first].accelerators
 			first++
 		}
-		most = max(most, sum)
+		peak = max(peak, sum)
 	}
-	return most
+	return peak
 }
 
 // pickHeadroomRacks chooses the racks that are kept empty: the emptiest, as many as hold the target.
@@ -79,30 +79,30 @@
 	if r.e.params.Policy.Headroom {
 		r.target = r.e.urgentHistory.target(r.e.params.Policy.HeadroomShare, r.e.params.StopTime)
 	}
-	type candidate struct {
+	type rackCandidate struct {
 		rack string
 		free int
 	}
-	var racks []candidate
+	var racks []rackCandidate
 	for _, rack := range r.rackNames {
 		free := r.racks[rack].freeAccelerators()
 		if r.e.headroomRacks[rack] {
 			free += min(r.target, r.racks[rack].totalAccelerators()) / 2
 		}
-		racks = append(racks, candidate{rack, free})
+		racks = append(racks, rackCandidate{rack, free})
 	}
-	slices.SortStableFunc(racks, func(a, b candidate) int { return cmp.Compare(b.free, a.free) })
-	most := max(1, int(maxHeadroomShare*float64(len(racks))))
-	kept, room := map[string]bool{}, 0
+	slices.SortStableFunc(racks, func(a, b rackCandidate) int { return cmp.Compare(b.free, a.free) })
+	maxRacks := max(1, int(maxHeadroomShare*float64(len(racks))))
+	picked, capacity := map[string]bool{}, 0
 	for _, c := range racks {
-		if len(kept) > 0 && (room >= r.target || len(kept) == most) {
+		if len(picked) > 0 && (capacity >= r.target || len(picked) == maxRacks) {
 			break
 		}
-		kept[c.rack] = true
-		room += r.racks[c.rack].totalAccelerators()
+		picked[c.rack] = true
+		capacity += r.racks[c.rack].totalAccelerators()
 	}
-	r.e.headroomRacks = kept
-	r.target = min(r.target, room)
+	r.e.headroomRacks = picked
+	r.target = min(r.target, capacity)
 }
 
 // freeHeadroom returns the accelerators of the spare racks that nothing holds or claims.
--- a/engine/headroom_test.go
+++ b/engine/headroom_test.go
@@ -16,11 +16,11 @@
 	c := qt.New(t)
 	d := newDriver(t, 9)
 	d.finishUrgentGang()
-	patient := taskStep(72, 1)
-	patient.Need.MilliCPU = 1000
-	patient.Need.MemoryMB = 1000
-	patient.Estimate = 8 * time.Second
-	id := d.submit(2, "", patient)
+	deferrable := taskStep(72, 1)
+	deferrable.Need.MilliCPU = 1000
+	deferrable.Need.MemoryMB = 1000
+	deferrable.Estimate = 8 * time.Second
+	id := d.submit(2, "", deferrable)
 	d.settle()
 	c.Check(len(d.starts)-2, qt.Equals, 72-16, qt.Commentf("all but the gang's room"))
 	urgent := d.submit(0, "", gangStep(2, 8))
@@ -83,7 +83,7 @@
 func TestConcurrentUrgentJobsStartAtOnce(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 36)
-	together := func() (ids []workload.JobID) {
+	submitThree := func() (ids []workload.JobID) {
 		for range 3 {
 			ids = append(ids, d.submit(0, "", gangStep(3, 8)))
 			d.now += 200 * time.Millisecond
@@ -91,16 +91,16 @@
 		d.settle()
 		return ids
 	}
-	for _, id := range together() {
+	for _, id := range submitThree() {
 		d.endRuns(id, EndDone)
 	}
 	d.settle()
-	patient := taskStep(36*8, 1)
-	patient.Need.MilliCPU, patient.Need.MemoryMB = 1000, 1000
-	patient.Estimate = 8 * time.Second
-	d.submit(2, "", patient)
+	deferrable := taskStep(36*8, 1)
+	deferrable.Need.MilliCPU, deferrable.Need.MemoryMB = 1000, 1000
+	deferrable.Estimate = 8 * time.Second
+	d.submit(2, "", deferrable)
 	d.settle()
-	for _, id := range together() {
+	for _, id := range submitThree() {
 		c.Check(d.runs(id), qt.HasLen, 3)
 	}
 	c.Check(d.stops, qt.HasLen, 0)
@@ -117,10 +117,10 @@
 		d.endRuns(id, EndDone)
 		d.settle()
 	}
-	patient := taskStep(36*8, 1)
-	patient.Need.MilliCPU, patient.Need.MemoryMB = 1000, 1000
-	patient.Estimate = 8 * time.Second
-	id := d.submit(2, "", patient)
+	deferrable := taskStep(36*8, 1)
+	deferrable.Need.MilliCPU, deferrable.Need.MemoryMB = 1000, 1000
+	deferrable.Estimate = 8 * time.Second
+	id := d.submit(2, "", deferrable)
 	d.settle()
 	placed := 0
 	for _, runs := range d.runs(id) {
--- a/engine/helpers_test.go
+++ b/engine/helpers_test.go
@@ -73,11 +73,11 @@
 func (d *driver) decideAndStore(outcome StartOutcome) bool {
 	busy := false
 	for _, a := range d.e.Decide(d.now) {
-		if said, ok := a.(Decision); ok {
-			if d.decisionCounts[said.Job] == nil {
-				d.decisionCounts[said.Job] = map[string]int{}
+		if decision, ok := a.(Decision); ok {
+			if d.decisionCounts[decision.Job] == nil {
+				d.decisionCounts[decision.Job] = map[string]int{}
 			}
-			d.decisionCounts[said.Job][said.Kind]++
+			d.decisionCounts[decision.Job][decision.Kind]++
 		}
 		switch a := a.(type) {
 		case WorkDiscarded:
@@ -94,11 +94,11 @@
 		for _, s := range o.Starts {
 			d.starts = append(d.starts, s)
 			d.startedOn[s.Run] = o.Worker
-			became := outcome
+			result := outcome
 			if d.startOutcome != nil {
-				became = d.startOutcome(s)
+				result = d.startOutcome(s)
 			}
-			ended.Starts = append(ended.Starts, StartResult{Run: s.Run, Outcome: became})
+			ended.Starts = append(ended.Starts, StartResult{Run: s.Run, Outcome: result})
 		}
 		d.stops = append(d.stops, o.Stops...)
 		for _, p := range o.Paces {
@@ -139,21 +139,21 @@
 }
 
 // endRuns lets workers list the endRuns of all runs of a job.
-func (d *driver) endRuns(id workload.JobID, why EndReason) {
+func (d *driver) endRuns(id workload.JobID, reason EndReason) {
 	for worker, runs := range d.runs(id) {
 		w := d.e.workers[worker]
 		r := Report{Epoch: 1, Polled: true, Worker: w.info}
 		for _, run := range runs {
 			d.endCounts[worker]++
-			r.Ended = append(r.Ended, RunEnd{Sequence: d.endCounts[worker], Run: run, Reason: why})
+			r.Ended = append(r.Ended, RunEnd{Sequence: d.endCounts[worker], Run: run, Reason: reason})
 		}
 		d.report(r)
 	}
 }
 
 // advance lets time advance while all workers report what the engine expects of them.
-func (d *driver) advance(by time.Duration) {
-	for end := d.now + by; d.now < end; d.now += 100 * time.Millisecond {
+func (d *driver) advance(span time.Duration) {
+	for end := d.now + span; d.now < end; d.now += 100 * time.Millisecond {
 		for _, w := range d.e.sortedWorkers() {
 			d.reportProgress(w.info.ID)
 		}
@@ -173,9 +173,9 @@
 	w := d.e.workers[id]
 	r := Report{Epoch: d.e.epoch, Polled: true, Worker: w.info}
 	for _, p := range w.sortedPlaces() {
-		shown := row(p)
-		shown.Run = p.id()
-		r.Running = append(r.Running, shown)
+		status := row(p)
+		status.Run = p.id()
+		r.Running = append(r.Running, status)
 	}
 	d.report(r)
 }
--- a/engine/idle_test.go
+++ b/engine/idle_test.go
@@ -50,9 +50,9 @@
 
 // submitRackGang hands in a gang of two workers with its data on rack r0.
 func (d *driver) submitRackGang() workload.JobID {
-	near := gangStep(2, 8)
-	near.PreferredRack = "r0"
-	id := d.submit(1, "", near)
+	step := gangStep(2, 8)
+	step.PreferredRack = "r0"
+	id := d.submit(1, "", step)
 	d.settle()
 	return id
 }
--- a/engine/interference.go
+++ b/engine/interference.go
@@ -27,8 +27,8 @@
 	return interferenceModel{toleratedPercent: map[imagePair]float64{}}
 }
 
-func (i *interferenceModel) tolerance(pair imagePair) float64 {
-	if t, ok := i.toleratedPercent[pair]; ok {
+func (m *interferenceModel) tolerance(pair imagePair) float64 {
+	if t, ok := m.toleratedPercent[pair]; ok {
 		return t
 	}
 	return initialTolerance
@@ -36,16 +36,16 @@
 
 // observeStrain notes that percent brought the neighbour over what it may take; strain is by
 // how much, in parts of its target.
-func (i *interferenceModel) observeStrain(pair imagePair, percent int, strain float64) {
-	safe := float64(percent) * strainCeiling / strain
-	if t := i.tolerance(pair); safe < t {
-		i.toleratedPercent[pair] = t + decreaseWeight*(safe-t)
+func (m *interferenceModel) observeStrain(pair imagePair, percent int, strain float64) {
+	tolerable := float64(percent) * strainCeiling / strain
+	if t := m.tolerance(pair); tolerable < t {
+		m.toleratedPercent[pair] = t + decreaseWeight*(tolerable-t)
 	}
 }
 
 // observeTolerated notes that the neighbour did well at percent.
-func (i *interferenceModel) observeTolerated(pair imagePair, percent int) {
-	if t := i.tolerance(pair); float64(percent) > t {
-		i.toleratedPercent[pair] = t + increaseWeight*(float64(percent)-t)
+func (m *interferenceModel) observeTolerated(pair imagePair, percent int) {
+	if t := m.tolerance(pair); float64(percent) > t {
+		m.toleratedPercent[pair] = t + increaseWeight*(float64(percent)-t)
 	}
 }
--- a/engine/job.go
+++ b/engine/job.go
@@ -74,12 +74,12 @@
 func (e *Engine) objective(j *job) time.Duration { return j.objectiveFor(e.chain(j)) }
 
 // objectiveFor is the objective of a job whose longest chain of work takes that long.
-func (j *job) objectiveFor(chain time.Duration) time.Duration {
+func (j *job) objectiveFor(criticalPath time.Duration) time.Duration {
 	stretch := j.spec.QueuePolicy.Stretch
 	if stretch <= 0 {
 		stretch = 1
 	}
-	return j.acceptedAt + time.Duration(stretch*float64(chain)) + j.spec.QueuePolicy.TargetLatency
+	return j.acceptedAt + time.Duration(stretch*float64(criticalPath)) + j.spec.QueuePolicy.TargetLatency
 }
 
 // uselessAfterFactor bounds a late job's use: after that many times its objective its caller has
@@ -102,8 +102,8 @@
 }
 
 func (j *job) dependenciesDone(u *unit) bool {
-	for _, before := range u.spec().DependsOn {
-		if !j.stepDone(u.occurrence, before) {
+	for _, dep := range u.spec().DependsOn {
+		if !j.stepDone(u.occurrence, dep) {
 			return false
 		}
 	}
--- a/engine/jobs.go
+++ b/engine/jobs.go
@@ -13,9 +13,9 @@
 	}
 	j := e.addJob(now, ev)
 	e.logJobDecision(j, "accepted", "")
-	if order, cancelled := e.earlyCancels[ev.Job.ID]; cancelled {
+	if revision, cancelled := e.earlyCancels[ev.Job.ID]; cancelled {
 		delete(e.earlyCancels, ev.Job.ID)
-		e.cancel(now, CancelRequested{Job: ev.Job.ID, Revision: order})
+		e.cancel(now, CancelRequested{Job: ev.Job.ID, Revision: revision})
 		return
 	}
 	e.createDueOccurrences(now, j)
--- a/engine/lasting_test.go
+++ b/engine/lasting_test.go
@@ -9,10 +9,10 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-func longRunningStep(n, accelerators, mayMiss int) workload.Step {
+func longRunningStep(n, accelerators, maxUnavailable int) workload.Step {
 	s := taskStep(n, accelerators)
 	s.LongRunning = true
-	s.MaxUnavailable = mayMiss
+	s.MaxUnavailable = maxUnavailable
 	s.Estimate = 0
 	return s
 }
@@ -51,11 +51,11 @@
 	d := newDriver(t, 3)
 	id := d.submit(1, "", longRunningStep(1, 1, 0))
 	d.settle()
-	for _, why := range []EndReason{EndFailed, EndFailed, EndFailed, EndFailed, EndDone, EndLeaseExpired} {
-		d.endRuns(id, why)
+	for _, reason := range []EndReason{EndFailed, EndFailed, EndFailed, EndFailed, EndDone, EndLeaseExpired} {
+		d.endRuns(id, reason)
 		d.settle()
 		d.advance(7 * time.Second)
-		c.Assert(d.runs(id), qt.HasLen, 1, qt.Commentf("after %s", why))
+		c.Assert(d.runs(id), qt.HasLen, 1, qt.Commentf("after %s", reason))
 	}
 	found, _ := d.e.Lookup(id)
 	c.Check(found.State, qt.Equals, workload.Running)
@@ -69,9 +69,9 @@
 	service := d.submit(1, "", longRunningStep(2, 4, 1))
 	d.settle()
 	d.reportFullProgress(service)
-	filler := d.submit(2, "", taskStep(4, 4))
+	batch := d.submit(2, "", taskStep(4, 4))
 	d.settle()
-	c.Assert(d.runs(filler), qt.Not(qt.HasLen), 0)
+	c.Assert(d.runs(batch), qt.Not(qt.HasLen), 0)
 	d.submit(0, "big", gangStep(2, 8))
 	d.settle()
 	stopped := 0
@@ -136,8 +136,8 @@
 // It is restarted for ever, but at a pace; once it runs for a while, an end is made up for at
 // once again.
 func TestLongRunningTaskThatEndsAtOnceIsRestartedWithBackoff(t *testing.T) {
-	for _, why := range []EndReason{EndFailed, EndDone} {
-		t.Run(string(why), func(t *testing.T) {
+	for _, reason := range []EndReason{EndFailed, EndDone} {
+		t.Run(string(reason), func(t *testing.T) {
 			c := qt.New(t)
 			d := newDriver(t, 60)
 			id := d.submit(1, "", longRunningStep(1, 1, 0))
@@ -147,13 +147,13 @@
 					d.reportProgress(w.info.ID)
 				}
 				d.tick()
-				d.endRuns(id, why)
+				d.endRuns(id, reason)
 			}
 			c.Check(len(d.starts) >= 15, qt.IsTrue, qt.Commentf("%d starts", len(d.starts)))
 			c.Check(len(d.starts) <= 30, qt.IsTrue, qt.Commentf("%d starts", len(d.starts)))
 			d.advance(15 * time.Second)
 			before := len(d.starts)
-			d.endRuns(id, why)
+			d.endRuns(id, reason)
 			d.settle()
 			c.Check(len(d.starts), qt.Equals, before+1)
 			c.Check(d.runs(id), qt.HasLen, 1)
--- a/runtimes/model.go
+++ b/runtimes/model.go
@@ -38,36 +38,36 @@
 
 // Observe takes the length of a run whose work was done, and what had been declared, 0 where
 // nothing was. Runs of no length teach nothing.
-func (m *Model) Observe(name string, declared, took time.Duration) {
+func (m *Model) Observe(queueName string, declared, took time.Duration) {
 	if took <= 0 {
 		return
 	}
-	q := m.queues[name]
+	q := m.queues[queueName]
 	if q == nil {
 		q = &queueStats{}
-		m.queues[name] = q
+		m.queues[queueName] = q
 	}
 	q.durations.add(math.Log(took.Seconds()))
 	if declared > 0 {
-		most := math.Log(maxRatio)
-		q.ratios.add(min(max(math.Log(took.Seconds()/declared.Seconds()), -most), most))
+		maxLog := math.Log(maxRatio)
+		q.ratios.add(min(max(math.Log(took.Seconds()/declared.Seconds()), -maxLog), maxLog))
 	}
 	m.version++
 }
 
 // Estimate returns how long a run of a queue is expected to take; 0 where nothing is declared
 // and nothing was learned.
-func (m *Model) Estimate(name string, declared time.Duration) time.Duration {
-	q := m.queues[name]
+func (m *Model) Estimate(queueName string, declared time.Duration) time.Duration {
+	q := m.queues[queueName]
 	if q == nil {
 		return declared
 	}
 	if declared <= 0 {
 		return seconds(math.Exp(q.durations.mean))
 	}
-	byDeclared := math.Log(declared.Seconds()) + q.declarationBias()
-	trust, trustLength := 1/q.declarationVariance(), q.durations.precision()
-	return seconds(math.Exp((trust*byDeclared + trustLength*q.durations.mean) / (trust + trustLength)))
+	correctedLog := math.Log(declared.Seconds()) + q.declarationBias()
+	declaredPrecision, historyPrecision := 1/q.declarationVariance(), q.durations.precision()
+	return seconds(math.Exp((declaredPrecision*correctedLog + historyPrecision*q.durations.mean) / (declaredPrecision + historyPrecision)))
 }
 
 // declarationBias is by how much declarations are usually off; while few runs were seen, less.
@@ -76,8 +76,8 @@
 }
 
 func (q *queueStats) declarationVariance() float64 {
-	start := priorStdDev * priorStdDev
-	return (q.ratios.variance*q.ratios.count + start*priorCount) / (q.ratios.count + priorCount)
+	priorVariance := priorStdDev * priorStdDev
+	return (q.ratios.variance*q.ratios.count + priorVariance*priorCount) / (q.ratios.count + priorCount)
 }
 
 // movingStats is the mean and the variance of the latest values, the newest weighing most.
@@ -88,10 +88,10 @@
 
 func (s *movingStats) add(x float64) {
 	s.count++
-	share := max(minSampleWeight, 1/s.count)
-	off := x - s.mean
-	s.mean += share * off
-	s.variance = (1 - share) * (s.variance + share*off*off)
+	weight := max(minSampleWeight, 1/s.count)
+	delta := x - s.mean
+	s.mean += weight * delta
+	s.variance = (1 - weight) * (s.variance + weight*delta*delta)
 }
 
 // precision is how much the mean tells of the next value; nothing while it rests on one.
@@ -102,4 +102,4 @@
 	return (s.count - 1) / s.count / max(s.variance, minStdDev*minStdDev)
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
--- a/runtimes/model_test.go
+++ b/runtimes/model_test.go
@@ -19,14 +19,16 @@
 func meanErrors(l runGenerator) (model, declaration, mean float64) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	m := runtimes.New()
-	off := func(guess, took time.Duration) float64 { return math.Abs(math.Log(float64(guess) / float64(took))) }
+	logError := func(estimate, actual time.Duration) float64 {
+		return math.Abs(math.Log(float64(estimate) / float64(actual)))
+	}
 	sum, n := 0.0, 0.0
 	for i := range 400 {
 		declared, took := l(rng)
 		if i >= 10 {
-			model += off(m.Estimate("q", declared), took)
-			declaration += off(declared, took)
-			mean += off(time.Duration(math.Exp(sum/n)*float64(time.Second)), took)
+			model += logError(m.Estimate("q", declared), took)
+			declaration += logError(declared, took)
+			mean += logError(time.Duration(math.Exp(sum/n)*float64(time.Second)), took)
 		}
 		m.Observe("q", declared, took)
 		sum, n = sum+math.Log(took.Seconds()), n+1
@@ -34,8 +36,8 @@
 	return model / 390, declaration / 390, mean / 390
 }
 
-func logNormal(rng *rand.Rand, mean time.Duration, by float64) time.Duration {
-	return time.Duration(float64(mean) * math.Exp(by*rng.NormFloat64()))
+func logNormal(rng *rand.Rand, mean time.Duration, stdDev float64) time.Duration {
+	return time.Duration(float64(mean) * math.Exp(stdDev*rng.NormFloat64()))
 }
 
 // Work of one size is declared at a tenth to twice its length: what it took before tells more.
--- a/workload/check.go
+++ b/workload/check.go
@@ -50,8 +50,8 @@
 	return nil
 }
 
-func (s *Step) validate(i int) error {
-	field := func(name string) string { return fmt.Sprintf("steps[%d].%s", i, name) }
+func (s *Step) validate(index int) error {
+	field := func(name string) string { return fmt.Sprintf("steps[%d].%s", index, name) }
 	if s.Count < 1 || s.Count > MaxTasks {
 		return &FieldError{field("count"), fmt.Sprintf("is %d, must be 1 to %d", s.Count, MaxTasks)}
 	}
@@ -61,9 +61,9 @@
 	if s.MaxPerWorker < 0 || s.Estimate < 0 || s.MaxUnavailable < 0 {
 		return &FieldError{field("limits"), "are negative"}
 	}
-	for _, before := range s.DependsOn {
-		if before < 0 || before >= i {
-			return &FieldError{field("after"), fmt.Sprintf("names step %d, must name earlier steps", before)}
+	for _, dep := range s.DependsOn {
+		if dep < 0 || dep >= index {
+			return &FieldError{field("after"), fmt.Sprintf("names step %d, must name earlier steps", dep)}
 		}
 	}
 	return nil
--- a/workload/job.go
+++ b/workload/job.go
@@ -59,12 +59,12 @@
 
 // CriticalPaths returns, for each step, the longest chain of work from that step on, where a step
 // takes what expect says.
-func (j *Job) CriticalPaths(expect func(*Step) time.Duration) []time.Duration {
+func (j *Job) CriticalPaths(estimate func(*Step) time.Duration) []time.Duration {
 	longest := make([]time.Duration, len(j.Steps))
 	for i := len(j.Steps) - 1; i >= 0; i-- {
-		longest[i] += expect(&j.Steps[i])
-		for _, before := range j.Steps[i].DependsOn {
-			longest[before] = max(longest[before], longest[i])
+		longest[i] += estimate(&j.Steps[i])
+		for _, dep := range j.Steps[i].DependsOn {
+			longest[dep] = max(longest[dep], longest[i])
 		}
 	}
 	return longest
--- a/workload/resources.go
+++ b/workload/resources.go
@@ -28,27 +28,27 @@
 }
 
 // FitsIn says whether r fits into room in every dimension.
-func (r Resources) FitsIn(room Resources) bool {
-	return r.MilliCPU <= room.MilliCPU && r.MemoryMB <= room.MemoryMB && r.Accelerators <= room.Accelerators
+func (r Resources) FitsIn(capacity Resources) bool {
+	return r.MilliCPU <= capacity.MilliCPU && r.MemoryMB <= capacity.MemoryMB && r.Accelerators <= capacity.Accelerators
 }
 
 // CountFitting returns how many tasks that need r each fit into room; at most limit.
-func (r Resources) CountFitting(room Resources, limit int) int {
+func (r Resources) CountFitting(capacity Resources, limit int) int {
 	n := limit
-	n = min(n, countFitting(r.MilliCPU, room.MilliCPU, limit))
-	n = min(n, countFitting(r.MemoryMB, room.MemoryMB, limit))
-	n = min(n, countFitting(r.Accelerators, room.Accelerators, limit))
+	n = min(n, countFitting(r.MilliCPU, capacity.MilliCPU, limit))
+	n = min(n, countFitting(r.MemoryMB, capacity.MemoryMB, limit))
+	n = min(n, countFitting(r.Accelerators, capacity.Accelerators, limit))
 	return n
 }
 
-func countFitting(need, room, limit int) int {
-	if room < 0 {
+func countFitting(need, capacity, limit int) int {
+	if capacity < 0 {
 		return 0
 	}
 	if need <= 0 {
 		return limit
 	}
-	return room / need
+	return capacity / need
 }
 
 // coresPerAccelerator is what one accelerator weighs against a core when work of
