--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -7,34 +7,34 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// Queue is where jobs of one kind are handed in.
+// Queue is an entry point to which the jobs of one kind are submitted.
 type Queue struct {
 	Name        string
 	Host        string
-	Prefix      string // of the path; the longest that matches decides
+	Prefix      string // path prefix; the longest match wins
 	Service     string
-	CallTimeout time.Duration // bound on one call of a caller
-	Public      bool          // calls need no key
+	CallTimeout time.Duration // limit for one call
+	Public      bool          // calls need no API key
 	Policy      workload.QueuePolicy
 }
 
 // Service is a pool of workers.
 type Service struct {
 	Name string
-	// RejectsOverload: workers refuse what does not fit. Otherwise they start
-	// whatever they are told to.
+	// RejectsOverload: workers refuse tasks that exceed their free capacity. Otherwise they
+	// start every task that they are ordered to start.
 	RejectsOverload bool
 	Standby         bool
 }
 
-// Account is a client account.
+// Account is a client account and what it is guaranteed.
 type Account struct {
 	Name string
-	// GuaranteedAccelerators accelerators belong to the account's jobs of priority 0.
+	// GuaranteedAccelerators is reserved for the account's jobs of priority 0.
 	GuaranteedAccelerators int
 }
 
-// Limits bound what a caller may send.
+// Limits bound the requests of callers.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
@@ -42,7 +42,8 @@
 	IdleTimeout   time.Duration
 }
 
-// Catalog is one version of the configuration.
+// Catalog is one version of the operators' configuration. It is immutable once BuildIndex
+// has been called.
 type Catalog struct {
 	Version  int64
 	Queues   []Queue
@@ -55,7 +56,8 @@
 	queuesByHost map[string][]*Queue
 }
 
-// BuildIndex prepares c for Match. It is called once, before c is shared.
+// BuildIndex builds the index that Match uses and returns c. It must be called once, before
+// c is shared.
 func (c *Catalog) BuildIndex() *Catalog {
 	c.queuesByHost = map[string][]*Queue{}
 	for i := range c.Queues {
@@ -66,8 +68,8 @@
 	return c
 }
 
-// Match returns the queue with the longest prefix of path at host, and the rest of
-// the path. host may carry a port.
+// Match returns the queue whose prefix is the longest one that path starts with at host, and
+// the rest of the path. host may include a port.
 func (c *Catalog) Match(host, path string) (q *Queue, rest string, ok bool) {
 	host = strings.ToLower(host)
 	queues, found := c.queuesByHost[host]
@@ -86,7 +88,8 @@
 	return q, path[len(q.Prefix):], true
 }
 
-// GuaranteedAccelerators returns the accelerators that an account is guaranteed.
+// GuaranteedAccelerators returns the number of accelerators that the account is guaranteed.
+// A nil Catalog guarantees none.
 func (c *Catalog) GuaranteedAccelerators(account string) int {
 	if c == nil {
 		return 0
--- a/catalog/cordons.go
+++ b/catalog/cordons.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Cordons are the availability zones in which nothing new may be started. What runs there
-// goes on.
+// Cordons are the availability zones in which no new tasks may be started. Tasks that run
+// there continue.
 type Cordons struct {
 	Zones []string // sorted
-	// Revision is the store's up to which they are known; of two Cordons, that with the
-	// higher one is newer.
+	// Revision is the store revision at which Zones was read. Of two Cordons, the one with
+	// the higher revision is newer.
 	Revision int64
-	// ConfirmedAt is a time, on a clock that runs during suspension, at which no newer ones
-	// had been acknowledged to an operator.
+	// ConfirmedAt is a time at which no newer Cordons had been acknowledged to an operator,
+	// on a clock that includes time spent in suspension.
 	ConfirmedAt time.Duration
 }
 
-// Contains says whether a zone is cordoned.
+// Contains reports whether a zone is cordoned.
 func (c Cordons) Contains(zone string) bool {
 	_, found := slices.BinarySearch(c.Zones, zone)
 	return found
 }
 
-// Cordons returns the present ones, and false before they are known.
+// Cordons returns the newest known cordons, and false before any are known.
 func (cur *Current) Cordons() (Cordons, bool) {
 	c := cur.cordons.Load()
 	if c == nil {
@@ -32,8 +32,8 @@
 	return *c, true
 }
 
-// UpdateCordons takes the cordons as they were at c.ConfirmedAt. Older ones than those known
-// have no effect. The caller does not change c.Zones any more.
+// UpdateCordons replaces the known cordons by c unless c is older. The caller must not modify
+// c.Zones afterwards.
 func (cur *Current) UpdateCordons(c Cordons) {
 	cur.mu.Lock()
 	defer cur.mu.Unlock()
--- a/catalog/inforce.go
+++ b/catalog/current.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Snapshot is the catalog in force and how long it has been known to be the newest.
+// Snapshot is a catalog and the time up to which it is known to be the newest.
 type Snapshot struct {
 	Catalog *Catalog
-	// Raw is the operators' text that Catalog was decoded from, to be passed on.
+	// Raw is the encoded form that Catalog was decoded from, kept for forwarding.
 	Raw []byte
-	// ConfirmedAt is a time, on a clock that runs during suspension, at which no
-	// newer version had been acknowledged to an operator.
+	// ConfirmedAt is a time at which no newer version had been acknowledged to an operator,
+	// on a clock that includes time spent in suspension.
 	ConfirmedAt time.Duration
 }
 
-// Current holds the newest version, and the newest Cordons. Readers take no lock;
-// writers may come from several sources (the store's watch, peers) in any order, and an
-// older version never replaces a newer one.
+// Current holds the newest known Catalog and Cordons. Reads take no lock. Updates may come
+// from several sources (a watch of the store, peers) in any order; an older version never
+// replaces a newer one.
 type Current struct {
 	mu       sync.Mutex
 	snapshot atomic.Pointer[Snapshot]
@@ -26,10 +26,10 @@
 	changed  chan struct{}
 }
 
-// NewCurrent returns an InForce without a version.
+// NewCurrent returns a Current without a catalog.
 func NewCurrent() *Current { return &Current{changed: make(chan struct{})} }
 
-// Snapshot returns the present view, and false before the first version is known.
+// Snapshot returns the newest known catalog, and false before the first one is known.
 func (cur *Current) Snapshot() (Snapshot, bool) {
 	v := cur.snapshot.Load()
 	if v == nil {
@@ -38,8 +38,8 @@
 	return *v, true
 }
 
-// Update takes a version that was the newest at time confirmed. It returns whether
-// it is now in force for the first time.
+// Update offers a version that was the newest at confirmedAt. It reports whether the version
+// replaced an older one or is the first.
 func (cur *Current) Update(c *Catalog, raw []byte, confirmedAt time.Duration) bool {
 	cur.mu.Lock()
 	defer cur.mu.Unlock()
@@ -60,14 +60,14 @@
 	return isNewer
 }
 
-// notify wakes those who wait for a change. The mutex is held.
+// notify wakes all receivers of Changed. The mutex must be held.
 func (cur *Current) notify() {
 	close(cur.changed)
 	cur.changed = make(chan struct{})
 }
 
-// Confirm says that version was still the newest at time confirmed. It has no
-// effect where another version is in force.
+// Confirm records that version was still the newest at confirmedAt. It has no effect if a
+// different version is current.
 func (cur *Current) Confirm(version int64, confirmedAt time.Duration) {
 	cur.mu.Lock()
 	defer cur.mu.Unlock()
@@ -78,8 +78,8 @@
 	cur.snapshot.Store(&Snapshot{Catalog: old.Catalog, Raw: old.Raw, ConfirmedAt: confirmedAt})
 }
 
-// Changed returns a channel that is closed when the next version is in force, or other zones
-// are cordoned.
+// Changed returns a channel that is closed at the next change of the catalog version or of
+// the cordoned zones.
 func (cur *Current) Changed() <-chan struct{} {
 	cur.mu.Lock()
 	defer cur.mu.Unlock()
--- a/runtimes/model.go
+++ b/runtimes/model.go
@@ -6,38 +6,41 @@
 )
 
 const (
-	// minSampleWeight is the weight of the newest of many runs. Queues see tens of runs a minute.
+	// minSampleWeight is the weight of the newest sample once many have been seen.
 	minSampleWeight = 0.1
-	// priorCount is how many runs the declaration counts for before any was seen.
+	// priorCount is the number of samples that the prior on declarations counts for.
 	priorCount = 2.0
-	// priorStdDev is how far, as a factor's logarithm, declarations are taken to be off then.
+	// priorStdDev is the prior standard deviation of the logarithm of actual over declared
+	// duration.
 	priorStdDev = 0.5
-	// minStdDev keeps a few runs that agree by chance from counting as certainty.
+	// minStdDev keeps a few samples that agree by chance from being trusted too much.
 	minStdDev = 0.1
-	// maxRatio bounds what one run may teach, so that an odd one can't spoil decisions.
+	// maxRatio limits the ratio of actual to declared duration, to bound the influence of
+	// an outlier.
 	maxRatio = 20.0
 )
 
-// Model holds what was learned of each queue.
+// Model holds the statistics of each queue.
 type Model struct {
 	queues  map[string]*queueStats
 	version int
 }
 
-// queueStats is the scatter of lengths by themselves, and of their ratio to what was declared.
+// queueStats holds statistics of the logarithm of the durations of a queue's runs, and of the
+// logarithm of the ratio of actual to declared duration.
 type queueStats struct {
 	durations movingStats
 	ratios    movingStats
 }
 
-// New returns a Model that knows nothing, and so expects what is declared.
+// New returns a Model without samples; its estimates are the declared durations.
 func New() *Model { return &Model{queues: map[string]*queueStats{}} }
 
-// Version changes whenever expectations do.
+// Version changes whenever an estimate may have changed.
 func (m *Model) Version() int { return m.version }
 
-// Observe takes the length of a run whose work was done, and what had been declared, 0 where
-// nothing was. Runs of no length teach nothing.
+// Observe records the duration of a run that completed its work, and the declared duration,
+// 0 if none was declared. Runs without a positive duration are ignored.
 func (m *Model) Observe(queueName string, declared, took time.Duration) {
 	if took <= 0 {
 		return
@@ -55,8 +58,8 @@
 	m.version++
 }
 
-// Estimate returns how long a run of a queue is expected to take; 0 where nothing is declared
-// and nothing was learned.
+// Estimate returns the expected duration of a run of a queue. It is 0 if nothing is declared
+// and no run has been observed.
 func (m *Model) Estimate(queueName string, declared time.Duration) time.Duration {
 	q := m.queues[queueName]
 	if q == nil {
@@ -70,17 +73,18 @@
 	return seconds(math.Exp((declaredPrecision*correctedLog + historyPrecision*q.durations.mean) / (declaredPrecision + historyPrecision)))
 }
 
-// declarationBias is by how much declarations are usually off; while few runs were seen, less.
+// declarationBias returns the mean log ratio, shrunk towards zero while there are few samples.
 func (q *queueStats) declarationBias() float64 {
 	return q.ratios.mean * q.ratios.count / (q.ratios.count + priorCount)
 }
 
+// declarationVariance returns the variance of the log ratio, combined with the prior.
 func (q *queueStats) declarationVariance() float64 {
 	priorVariance := priorStdDev * priorStdDev
 	return (q.ratios.variance*q.ratios.count + priorVariance*priorCount) / (q.ratios.count + priorCount)
 }
 
-// movingStats is the mean and the variance of the latest values, the newest weighing most.
+// movingStats is an exponentially weighted mean and variance.
 type movingStats struct {
 	count          float64
 	mean, variance float64
@@ -94,7 +98,8 @@
 	s.variance = (1 - weight) * (s.variance + weight*delta*delta)
 }
 
-// precision is how much the mean tells of the next value; nothing while it rests on one.
+// precision returns the inverse variance as the weight of the mean; 0 with fewer than two
+// samples.
 func (s *movingStats) precision() float64 {
 	if s.count < 2 {
 		return 0
--- a/runtimes/model_test.go
+++ b/runtimes/model_test.go
@@ -11,11 +11,11 @@
 	"github.com/eelgrasshub/eelgrasshub/runtimes"
 )
 
-// runGenerator draws runs: their length, and what is declared of it.
+// runGenerator draws a run: its declared and its actual duration.
 type runGenerator func(*rand.Rand) (declared, took time.Duration)
 
-// meanErrors returns the mean error of expectations over a load, as a factor's logarithm: of
-// the model, of the declaration, and of the mean length.
+// meanErrors returns the mean absolute log error of three estimates: the model's, the
+// declaration, and the mean of past durations.
 func meanErrors(l runGenerator) (model, declaration, mean float64) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	m := runtimes.New()
@@ -40,7 +40,8 @@
 	return time.Duration(float64(mean) * math.Exp(stdDev*rng.NormFloat64()))
 }
 
-// Work of one size is declared at a tenth to twice its length: what it took before tells more.
+// Declarations range from a tenth to twice the actual duration, which varies little: past
+// durations are the better estimate.
 func TestInaccurateDeclarationsLoseWeight(t *testing.T) {
 	model, declaration, mean := meanErrors(func(rng *rand.Rand) (time.Duration, time.Duration) {
 		took := logNormal(rng, 2500*time.Millisecond, 0.4)
@@ -50,7 +51,7 @@
 	qt.Check(t, model < mean, qt.IsTrue, qt.Commentf("%.2f, mean %.2f", model, mean))
 }
 
-// Work of all sizes is declared well: the declaration tells more than what others took.
+// Durations vary widely and are declared well: the declaration is the better estimate.
 func TestAccurateDeclarationsKeepWeight(t *testing.T) {
 	model, declaration, mean := meanErrors(func(rng *rand.Rand) (time.Duration, time.Duration) {
 		took := logNormal(rng, 10*time.Second, 1.2)
@@ -60,7 +61,7 @@
 	qt.Check(t, model < 0.3*mean, qt.IsTrue, qt.Commentf("%.2f, mean %.2f", model, mean))
 }
 
-// Callers are off by habit: always the same factor.
+// Declarations are always wrong by the same factor.
 func TestSystematicErrorIsCorrected(t *testing.T) {
 	model, declaration, _ := meanErrors(func(rng *rand.Rand) (time.Duration, time.Duration) {
 		took := logNormal(rng, 10*time.Second, 0.8)
@@ -81,7 +82,7 @@
 	c.Check(m.Estimate("q", time.Second), qt.Equals, time.Second, qt.Commentf("one run of another length says nothing yet"))
 }
 
-// An odd run, of hours where the declaration is of seconds, must not spoil expectations.
+// A run of hours that was declared to take seconds must not dominate the estimates.
 func TestOutlierHasBoundedInfluence(t *testing.T) {
 	m := runtimes.New()
 	for range 20 {
--- a/workload/doc.go
+++ b/workload/doc.go
@@ -1,7 +1,7 @@
-// Package workload is the model of the jobs that callers hand in: a job is a set of
-// steps with dependencies, a step is a number of equal tasks, and a gang is a step
-// whose tasks only work together. A job of one gang step is the simplest case.
+// Package workload defines the jobs that callers submit. A job is a set of steps with
+// dependencies, a step is a number of identical tasks, and a gang is a step whose tasks can
+// only run together.
 //
-// The types are plain values. They are encoded into the store (JSON) and between
-// processes (CBOR), so fields are only ever added.
+// The types are plain values. They are encoded as JSON in the store and as CBOR between
+// processes, so fields may only be added.
 package workload
--- a/workload/state.go
+++ b/workload/state.go
@@ -1,9 +1,9 @@
 package workload
 
-// State is what a caller is told of a job.
+// State is the state of a job as reported to callers.
 type State string
 
-// States. The last three are final.
+// The states of a job. Completed, Failed and Cancelled are final.
 const (
 	Queued    State = "queued"
 	Running   State = "running"
@@ -12,7 +12,7 @@
 	Cancelled State = "cancelled"
 )
 
-// Final says whether no other state can follow.
+// Final reports whether s can't change any more.
 func (s State) Final() bool {
 	return s == Completed || s == Failed || s == Cancelled
 }
--- a/workload/task.go
+++ b/workload/task.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// TaskID names one task of one occurrence of a job.
+// TaskID identifies one task of one occurrence of a job.
 type TaskID struct {
 	Job        JobID `cbor:"1,keyasint"`
 	Occurrence int   `cbor:"2,keyasint,omitempty"`
@@ -10,13 +10,13 @@
 	Index      int   `cbor:"4,keyasint,omitempty"`
 }
 
-// String returns a form for logs.
+// String formats t for logs.
 func (t TaskID) String() string {
 	return fmt.Sprintf("%s/%d/%d/%d", t.Job, t.Occurrence, t.Step, t.Index)
 }
 
-// RunID names one start of a task. Numbers rise with each start, over changes of
-// the planner too; the members of a gang share one.
+// RunID identifies one run of a task. Numbers increase with each run, also across changes of
+// the planner. All members of a gang share the run number.
 type RunID struct {
 	Task   TaskID `cbor:"1,keyasint"`
 	Number int    `cbor:"2,keyasint"`
--- a/workload/check.go
+++ b/workload/validate.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Limits of a job that Check accepts. They bound what one job costs a planner.
+// Limits that Validate enforces. They bound the cost of one job to a planner.
 const (
 	MaxSpecBytes   = 4000
 	MaxSteps       = 256
@@ -10,7 +10,7 @@
 	MaxOccurrences = 1_000_000
 )
 
-// FieldError says which field of a job can't be accepted, and why.
+// FieldError reports an invalid field of a job and the reason.
 type FieldError struct {
 	Field  string
 	Reason string
@@ -19,7 +19,7 @@
 // Error implements error.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// Validate returns a *FieldError for a job that can't be accepted.
+// Validate returns a *FieldError if the job can't be accepted.
 func (j *Job) Validate() error {
 	if len(j.Spec) > MaxSpecBytes {
 		return &FieldError{"spec", fmt.Sprintf("has %d bytes, at most %d are accepted", len(j.Spec), MaxSpecBytes)}
