--- a/engine/action.go
+++ b/engine/action.go
@@ -6,55 +6,56 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// Action is an output of Engine.Step.
+// Action is an output of the engine, returned by Engine.Decide.
 type Action interface{ isAction() }
 
-// StartOrder starts one run.
+// StartOrder tells an agent to start one run.
 type StartOrder struct {
 	Run        workload.RunID `cbor:"1,keyasint"`
 	Spec       string         `cbor:"2,keyasint,omitempty"`
 	Checkpoint string         `cbor:"3,keyasint,omitempty"`
-	Ticket     string         `cbor:"4,keyasint,omitempty"` // of the advice service
+	Ticket     string         `cbor:"4,keyasint,omitempty"` // issued by the advice service
 }
 
-// StartOutcome is what became of a StartOrder.
+// StartOutcome is the result of a StartOrder.
 type StartOutcome int
 
-// Outcomes. All but StartUnknown are certain.
+// The possible outcomes of a start. After any but StartUnknown it is certain whether the run
+// was started.
 const (
 	StartUnknown StartOutcome = iota
 	StartOK
-	StartNotDelivered // the order did not reach the worker and never will
-	StartNoCapacity   // the worker has no room
-	StartSuperseded   // the worker knows a run as high
-	StartExpired      // the order was too old when it arrived
-	StartFenced       // a newer planner gives the orders
+	StartNotDelivered // the order has not reached the worker and never will
+	StartNoCapacity   // the worker has too little free capacity
+	StartSuperseded   // the worker knows a run of the task with the same or a higher number
+	StartExpired      // the order arrived too late
+	StartFenced       // the worker has accepted orders of a newer planner
 	StartUnhealthy
 	StartInvalid
 	StartDraining
-	StartNoTicket // its ticket is not valid there
+	StartNoTicket // the worker does not accept the ticket
 	StartCordoned // the worker's availability zone is cordoned
 )
 
-// StartResult is the outcome of one start.
+// StartResult is the outcome of starting one run.
 type StartResult struct {
 	Run     workload.RunID `cbor:"1,keyasint"`
 	Outcome StartOutcome   `cbor:"2,keyasint"`
 }
 
-// Orders go to one worker's agent, all at once.
+// Orders are sent to one worker's agent in a single message.
 type Orders struct {
 	Worker WorkerID
 	Agent  string
 	Starts []StartOrder
 	Stops  []workload.RunID
-	// Paces are carried out after the starts.
+	// Paces are applied after the starts.
 	Paces []PaceOrder
-	// CordonsAt is the revision of the cordons that the starts were decided on.
+	// CordonsAt is the revision of the cordons on which the starts were decided.
 	CordonsAt int64
 }
 
-// Decision is one decision that touches a job, for the log.
+// Decision is a log entry about a decision on a job.
 type Decision struct {
 	Job    workload.JobID
 	Kind   string
@@ -63,14 +64,15 @@
 	Worker WorkerID
 }
 
-// JobStarted: the first task of a job runs, Waited after it was accepted.
+// JobStarted reports that the first task of a job runs. Waited is the time since acceptance.
 type JobStarted struct {
 	Account string
 	Queue   string
 	Waited  time.Duration
 }
 
-// JobFinished: a job has come to its end, Took after it was accepted.
+// JobFinished reports that a job has reached its final state. Took is the time since
+// acceptance.
 type JobFinished struct {
 	Account string
 	Queue   string
--- a/engine/advice.go
+++ b/engine/advice.go
@@ -6,27 +6,28 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// Queues may be under a policy that lets only some workers run a step. A service that the
-// operators run decides it, one call at a time and slowly, and gives out a ticket for each
-// worker, which a start must carry. Tickets are asked for ahead, a few workers a call, the
-// most urgent unit's first; no unit is placed where it has none.
+// The policy of a queue may restrict which workers may run a step. An external advice service
+// decides this. It handles one slow call at a time and issues a ticket for each allowed worker,
+// which a start order must carry. Tickets are requested in advance, for a few workers per call
+// and for the most urgent unit first; a unit is placed only on workers that it has tickets for.
 const (
-	// minTicketValidity is how long a ticket must still be valid to be placed by: the record and
-	// the order follow.
+	// minTicketValidity is how long a ticket must remain valid when a placement is decided,
+	// since storing the placement and sending the order take time.
 	minTicketValidity = 400 * time.Millisecond
-	// Workers asked for in one call: some more than the unit has members, since some are
-	// not allowed. A call takes longer for each.
+	// minAdviceWorkers and maxAdviceWorkers bound the workers in one request. A request names
+	// more workers than the unit has members, as some may be denied; each one adds to the
+	// duration of the call.
 	minAdviceWorkers = 3
 	maxAdviceWorkers = 12
-	// adviceRetryDelay is the pause after a call that failed.
+	// adviceRetryDelay is the delay before the next request after a failed one.
 	adviceRetryDelay = 250 * time.Millisecond
-	// advicePrefetchLead is added to the time that a call takes when tickets are fetched for steps
-	// whose predecessors still run.
+	// advicePrefetchLead is added to the duration of a call to decide when to request tickets
+	// for a step whose dependencies still run.
 	advicePrefetchLead = 300 * time.Millisecond
 )
 
-// AdviceRequest asks the service which workers may run a step. One is in progress at a time;
-// it is followed by Advised.
+// AdviceRequest asks the advice service which workers may run a step. At most one is in flight;
+// the caller answers it with an AdviceResponse.
 type AdviceRequest struct {
 	Job        workload.JobID
 	Occurrence int
@@ -34,19 +35,19 @@
 	Workers    []WorkerID
 }
 
-// AdviceResponse is the answer to AskAdvice. Workers that were asked for and have no ticket may
-// not run the step in this life.
+// AdviceResponse answers an AdviceRequest. Workers in the request that have no ticket may not
+// run the step in their current incarnation.
 type AdviceResponse struct {
 	Request  AdviceRequest
 	Tickets  map[WorkerID]string
 	Lifetime time.Duration
-	Failed   bool // no answer; nothing is known
+	Failed   bool // no answer was received
 }
 
 func (AdviceRequest) isAction() {}
 func (AdviceResponse) isEvent() {}
 
-// stepTickets is what is known of the workers that may run a step.
+// stepTickets holds the tickets of one step and the workers that were denied.
 type stepTickets struct {
 	granted map[WorkerID]ticket
 	denied  map[WorkerID]bool
@@ -57,6 +58,7 @@
 	expiresAt time.Duration
 }
 
+// ticketsFor returns the tickets of a step, creating an empty set if there is none.
 func (j *job) ticketsFor(at stepAt) *stepTickets {
 	if j.ticketsByStep == nil {
 		j.ticketsByStep = map[stepAt]*stepTickets{}
@@ -69,10 +71,11 @@
 	return t
 }
 
+// needsTicket reports whether the unit may start only with a ticket of the advice service.
 func (u *unit) needsTicket() bool { return u.job.spec.QueuePolicy.Advice != nil }
 
-// ticketFor returns the ticket with which u may start on a worker; it is empty where none
-// is needed.
+// ticketFor returns a valid ticket for starting u on a worker. The ticket is empty if u needs
+// none; ok is false if u needs one and has none.
 func (u *unit) ticketFor(now time.Duration, id WorkerID) (value string, ok bool) {
 	if !u.needsTicket() {
 		return "", true
@@ -81,7 +84,8 @@
 	return t.value, found && now < t.expiresAt
 }
 
-// requestAdvice asks for the unit that needs tickets first.
+// requestAdvice requests tickets for the first unit in the queue that lacks them, else for a
+// blocked unit whose dependencies are about to end.
 func (e *Engine) requestAdvice(r *round, queue []*unit) {
 	if e.adviceInFlight || r.now < e.adviceRetryAt {
 		return
@@ -100,7 +104,8 @@
 	}
 }
 
-// requestTickets asks for tickets of u, where those that it has don't reach.
+// requestTickets requests tickets for u if those it has don't suffice for all its members. It
+// reports whether it did.
 func (e *Engine) requestTickets(r *round, u *unit) bool {
 	if !u.needsTicket() {
 		return false
@@ -126,8 +131,8 @@
 	return true
 }
 
-// candidatesFor returns the workers that could hold a member of u, those with room for one now
-// first.
+// candidatesFor returns the workers with enough total capacity for a member of u, those with
+// enough free capacity first.
 func (r *round) candidatesFor(u *unit) []*worker {
 	var withRoom, withoutRoom []*worker
 	for _, w := range r.all.workers {
@@ -143,7 +148,8 @@
 	return append(withRoom, withoutRoom...)
 }
 
-// dependenciesEndSoon says whether the steps before u's are about to end.
+// dependenciesEndSoon reports whether the steps that u depends on are expected to end within
+// the time that a request for tickets takes.
 func (e *Engine) dependenciesEndSoon(now time.Duration, u *unit) bool {
 	advice := u.job.spec.QueuePolicy.Advice
 	lead := advice.DecisionTime + maxAdviceWorkers*advice.TimePerWorker + advicePrefetchLead
@@ -165,7 +171,7 @@
 	return true
 }
 
-// handleAdvice takes the answer to a question.
+// handleAdvice stores the tickets and denials of a response.
 func (e *Engine) handleAdvice(now time.Duration, ev AdviceResponse) {
 	e.adviceInFlight = false
 	e.planNeeded = true
--- a/engine/archive.go
+++ b/engine/archive.go
@@ -6,33 +6,30 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// A job that has ended and of which nothing runs any more is of no use to a planner, but
-// callers may ask for its state for a while. So its records, which are kilobytes, are
-// replaced by its outcome, which is some hundred bytes: whoever takes over the duty reads
-// the work that is left before it plans, and the outcomes afterwards.
-//
-// Its name stays taken by the outcome, so that a submission that is repeated late finds it
-// and does not run again.
+// Once a job has ended and none of its runs remain, its records are replaced by its outcome,
+// which is much smaller. Callers can still ask for its state for a while, and a repeated
+// submission finds the outcome and does not run the job again. A successor reads the records of
+// open jobs before it plans, and the outcomes afterwards.
 const (
-	// archiveRecords and forgottenRecords are how many records it takes at most to replace a
-	// job's records by its outcome, and to remove that.
+	// archiveRecords and removalRecords are the maximum number of store records that change
+	// when a job is archived, and when its outcome is removed.
 	archiveRecords = 4
 	removalRecords = 2
 )
 
-// JobOutcome is the durable form of a job of which nothing runs any more.
+// JobOutcome is the stored form of an archived job.
 type JobOutcome struct {
-	// Epoch makes each write of a record unlike every other.
+	// Epoch makes each write of the record distinct.
 	Epoch   uint64         `json:"epoch"`
 	Queue   string         `json:"queue"`
 	Account string         `json:"account,omitempty"`
 	State   workload.State `json:"state"`
 	Reason  string         `json:"reason,omitempty"`
-	EndedAt time.Time      `json:"ended"` // wall time
+	EndedAt time.Time      `json:"ended"` // wall-clock time
 }
 
-// EndedJob is a job whose records are replaced by its outcome, with the revisions at which
-// the caller's own records were created; CancelOrder is 0 where there is no cancellation.
+// EndedJob is a job to be archived, with the revisions at which the caller's records were
+// created. CancelRevision is 0 if there is no cancellation.
 type EndedJob struct {
 	ID             workload.JobID
 	Revision       int64
@@ -40,26 +37,26 @@
 	Outcome        JobOutcome
 }
 
-// ExpiredJob is a job whose outcome is removed.
+// ExpiredJob is a job whose outcome is to be removed.
 type ExpiredJob struct {
 	ID workload.JobID
-	// OutcomeRevision is the revision of the outcome where a predecessor wrote it, else 0.
+	// OutcomeRevision is the outcome's revision if a previous planner wrote it, else 0.
 	OutcomeRevision int64
-	// CancelRevision is the revision of a cancellation that came after the job's end, else 0.
+	// CancelRevision is the revision of a cancellation that arrived after archiving, else 0.
 	CancelRevision int64
 }
 
-// EndedJobRestored is a job that had ended under a predecessor.
+// EndedJobRestored adds a job that a previous planner archived.
 type EndedJobRestored struct {
 	ID              workload.JobID
 	Outcome         JobOutcome
-	OutcomeRevision int64         // the revision of the outcome
-	Age             time.Duration // how long ago it ended, as far as is known
+	OutcomeRevision int64         // the store revision of the outcome
+	Age             time.Duration // time since the job ended, as far as known
 }
 
 func (EndedJobRestored) isEvent() {}
 
-// hasNoPlacements says whether nothing of the job holds room on any worker.
+// hasNoPlacements reports whether none of the job's tasks holds capacity on a worker.
 func (j *job) hasNoPlacements() bool {
 	for _, u := range j.units {
 		if len(u.places) > 0 {
@@ -69,13 +66,13 @@
 	return true
 }
 
-// canArchive says whether the records of a job that has ended may be replaced by its outcome:
-// all of it is on record, nothing runs, and the revision of a cancellation is known, so that
-// its record goes too.
+// canArchive reports whether the records of an ended job may be replaced by its outcome: all
+// changes are stored, nothing runs, and the revisions of the records to remove are known.
 func (j *job) canArchive() bool {
 	return j.storedVersion == j.version && j.revision != 0 && (!j.canceled || j.cancelRevision != 0) && j.hasNoPlacements()
 }
 
+// endedJob returns the write that archives the job. now and wall are the same instant.
 func (j *job) endedJob(epoch uint64, now time.Duration, wall time.Time) EndedJob {
 	return EndedJob{ID: j.spec.ID, Revision: j.revision, CancelRevision: j.cancelRevision, Outcome: JobOutcome{
 		Epoch: epoch, Queue: j.spec.Queue, Account: j.spec.Account,
@@ -83,6 +80,7 @@
 	}}
 }
 
+// expiredJob returns the write that removes the job's outcome.
 func (j *job) expiredJob() ExpiredJob {
 	out := ExpiredJob{ID: j.spec.ID, OutcomeRevision: j.outcomeRevision}
 	if j.cancelRevision != j.archivedCancelRevision {
@@ -91,7 +89,7 @@
 	return out
 }
 
-// archive lets go of all but the outcome of a job, whose records are replaced.
+// archive releases all state of an archived job except its outcome.
 func (j *job) archive(cancelRevision int64) {
 	j.archived = true
 	j.archivedCancelRevision = cancelRevision
@@ -100,8 +98,8 @@
 	j.spec.Spec, j.spec.Steps = "", nil
 }
 
-// ageEndedJob moves on a job that has ended: its records are replaced by its outcome, which
-// is removed when callers have no claim to it any more.
+// ageEndedJob schedules an ended job for archiving, and an archived one for removal after the
+// retention time.
 func (e *Engine) ageEndedJob(now time.Duration, j *job) {
 	switch {
 	case !j.archived && !e.archiving[j.spec.ID] && j.canArchive():
@@ -111,7 +109,7 @@
 	}
 }
 
-// restoreEndedJob takes a job that had ended from a predecessor's records.
+// restoreEndedJob adds a job that a previous planner archived.
 func (e *Engine) restoreEndedJob(now time.Duration, ev EndedJobRestored) {
 	if e.jobs[ev.ID] != nil {
 		return
--- a/engine/backoff.go
+++ b/engine/backoff.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// backoff is how long to wait before something that did not work is repeated. The zero value
-// has not begun.
+// backoff computes exponentially growing delays between retries. The zero value is ready to
+// use.
 type backoff struct{ attempts int }
 
-// next returns the next pause: first, then twice as long each time, up to most.
+// next returns the next delay: initial at first, doubled each time, at most limit.
 func (b *backoff) next(initial, limit time.Duration) time.Duration {
 	delay := initial
 	for range b.attempts {
--- a/engine/checkpoints.go
+++ b/engine/checkpoints.go
@@ -6,20 +6,19 @@
 	"time"
 )
 
-// Checkpoints of running work are put on record from time to time. Without that a planner
-// whose predecessor went down together with the workers, as when a site loses power, knows
-// none of them, and all work since the start of each run is done again.
+// The newest checkpoints of running tasks are stored periodically. Otherwise, if a planner and
+// the workers are lost together, as in a power failure, the next planner knows no checkpoint
+// and all work since the start of each run has to be repeated.
 const (
-	// checkpointWriteInterval is the least time between two such writes. Tasks save their progress each
-	// second or two.
+	// checkpointWriteInterval is the minimum time between two such writes.
 	checkpointWriteInterval = time.Second
-	// maxCheckpointJobs is how many jobs one such write covers: as many as share one call to the
-	// store, so that the cost does not grow with the fleet. Those with the most work that is
-	// not on record go first.
+	// maxCheckpointJobs limits the jobs in one write so that its cost does not grow with the
+	// number of workers. Jobs with the most unrecorded work go first. This many fit into one
+	// call to the store.
 	maxCheckpointJobs = 15
 )
 
-// writeCheckpoints marks the jobs whose newest checkpoints go on record now.
+// writeCheckpoints marks the jobs whose newest checkpoints are to be stored now.
 func (e *Engine) writeCheckpoints(now time.Duration) {
 	if !e.params.Policy.KeptCheckpoints || now-e.checkpointsWrittenAt < checkpointWriteInterval {
 		return
@@ -47,7 +46,7 @@
 	}
 }
 
-// unrecordedWork returns the work, in core-seconds, that checkpoints hold and the record does not.
+// unrecordedWork returns the work that checkpoints hold beyond the stored ones, in core-seconds.
 func (j *job) unrecordedWork() float64 {
 	sum := 0.0
 	for _, u := range j.units {
@@ -59,8 +58,8 @@
 	return sum
 }
 
-// newestCheckpoint returns the running member with the newestCheckpoint checkpoint that is not on record, nil
-// where there is none. The checkpoint of any member is valid for the whole gang.
+// newestCheckpoint returns the running member with the newest checkpoint that is not stored, or
+// nil. A checkpoint of any member is valid for the whole gang.
 func (u *unit) newestCheckpoint() *placement {
 	if u.state != unitActive || u.ending() {
 		return nil
@@ -80,7 +79,7 @@
 	return best
 }
 
-// recordCheckpoint makes the newest checkpoint the one from which the next run goes on.
+// recordCheckpoint makes the newest checkpoint the one that the next run resumes from.
 func (u *unit) recordCheckpoint() {
 	if p := u.newestCheckpoint(); p != nil {
 		u.saved = p.saved
--- a/engine/cordon.go
+++ b/engine/cordon.go
@@ -2,8 +2,9 @@
 
 import "github.com/eelgrasshub/eelgrasshub/catalog"
 
-// CordonsChanged: nothing new may start in other availability zones than before. What runs
-// there goes on, and the room there still counts for what is promised: it comes back.
+// CordonsChanged replaces the set of cordoned availability zones. Nothing new may start in them,
+// but tasks there continue, and capacity there still counts towards guarantees because cordons
+// are temporary.
 type CordonsChanged struct{ Cordons catalog.Cordons }
 
 func (CordonsChanged) isEvent() {}
--- a/engine/crash.go
+++ b/engine/crash.go
@@ -7,65 +7,59 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// A task may crash the worker that starts it. The worker lists no end of it, since it has
-// forgotten everything in its next life, so the run is lost with the worker and counts as
-// no attempt: tried again like other lost work, such a task takes one worker after the
-// other down, with all that others run there.
+// A task may crash the worker that starts it. The worker loses its state and reports no end of
+// the run, so the run does not count as a failed attempt. Without a limit such a task would
+// crash one worker after another, with all other tasks that run there.
 //
-// So each task keeps count of the workers that crashed under it, in its job's record, and
-// its job is given up after a few. Most tasks under which a worker crashes did nothing
-// wrong: they shared it with the one that did, or the machine failed by itself. Four
-// things tell them apart:
+// So the job's record counts the worker crashes of each task, and the job fails after a few.
+// Most tasks on a crashed worker are innocent. To find the culprit:
 //
-//   - A run that has been seen at work for ProvenAfter did not crash its worker by its
-//     start. Only a crash before that is an early one, and a run that is seen that long
-//     clears its task of earlier ones.
-//   - A run whose start got no answer may not have been there; one whose agent was cut off
-//     or lost with its worker may have been over. So one crash more is borne where fewer than
-//     certainLeast are certain.
-//   - Of those that had just started, the crash is early for those under which most workers
-//     crashed early before.
-//   - A task with an early crash is tried again on a worker where nothing else has just
-//     started, and nothing else is started beside it meanwhile (see probation.go).
+//   - A crash counts as a startup crash only if the run had been observed for less than
+//     StartupCrashWindow. A run observed for longer clears its task's startup crashes.
+//   - A run may not have been present at the crash: its start got no answer, or its agent
+//     was disconnected. With fewer than minConfirmedCrashes confirmed crashes, one more
+//     crash is tolerated.
+//   - Among the runs that had just started, only those with the most previous startup
+//     crashes are suspected.
+//   - A task with a startup crash is retried on a worker where nothing else has just
+//     started, and nothing else is started there meanwhile; see probation.go.
 const (
-	// StartupCrashWindow is how long a run is seen at work before it is taken not to crash its
-	// worker by its start; images are loaded and accelerators set up by then.
+	// StartupCrashWindow is how long a run must be observed before a crash of its worker is no
+	// longer attributed to its start. Images are loaded and accelerators set up by then.
 	StartupCrashWindow = time.Second
-	// maxStartupCrashes is how many early crashes a task is given up after, where nothing else had
-	// just started on the last worker.
+	// maxStartupCrashes is the number of startup crashes after which a task is given up, if no
+	// other job's run had just started on the worker.
 	maxStartupCrashes = 2
-	// maxCrashes is how many crashes of any kind a task is given up after. It bounds tasks
-	// that crash their workers later in their run, and those whose planner was lost with
-	// their workers, so that nobody knows how long they ran. An innocent task would have to
-	// be on as many workers that fail by themselves. It is not tried once more: a gang may
-	// be started several times before all its members are there, and each start counts.
+	// maxCrashes is the number of crashes of any kind after which a task is given up. It also
+	// covers tasks that crash their workers later, and crashes whose run time is unknown since
+	// the planner was lost too.
 	maxCrashes = 3
-	// minConfirmedCrashes is how many of these crashes must be certain; with fewer, the task is given
-	// up after one crash more.
+	// minConfirmedCrashes is how many of the crashes must be confirmed; with fewer, one more
+	// crash is tolerated.
 	minConfirmedCrashes = 2
-	// crashResetAfter is how long a run has to last for its task's crashes to be forgotten.
-	// Tasks that run for weeks see many machines fail.
+	// crashResetAfter is how long a run must last to clear its task's count, since tasks that
+	// run for weeks outlive many machines.
 	crashResetAfter = 10 * time.Minute
 )
 
-// crashCount counts the workers that crashed under one task.
+// crashCount counts the worker crashes of one task.
 type crashCount struct {
 	total int
-	// startup are those before the run was proven, in which no other was suspected more.
+	// startup counts crashes within StartupCrashWindow in which no other run was a likelier cause.
 	startup int
-	// confirmed are those under which the run certainly was.
+	// confirmed counts crashes at which the run was certainly present.
 	confirmed int
 }
 
-// pastStartup says whether looks have shown the run at work for long enough to clear it.
+// pastStartup reports whether the run has been observed for at least StartupCrashWindow.
 func (p *placement) pastStartup() bool {
 	return p.began != 0 && p.shownAt-p.began >= StartupCrashWindow
 }
 
-// crashCountOf returns the count of the task with that index.
+// crashCountOf returns the crash count of the task with the given index.
 func (u *unit) crashCountOf(index int) crashCount { return u.crashes[index] }
 
-// hasStartupCrash says whether a worker has crashed early under one of the unit's tasks.
+// hasStartupCrash reports whether one of the unit's tasks has a startup crash.
 func (u *unit) hasStartupCrash() bool {
 	for _, c := range u.crashes {
 		if c.startup > 0 {
@@ -75,7 +69,8 @@
 	return false
 }
 
-// resetCrashes clears the task of p, which a look has just shown, as far as the run has lasted.
+// resetCrashes clears crashes of the task of p, which has just been observed, according to how
+// long the run has lasted.
 func (p *placement) resetCrashes() {
 	c, counted := p.unit.crashes[p.index]
 	switch {
@@ -88,8 +83,8 @@
 	}
 }
 
-// countCrash counts a crash of w against the tasks that it had, in the order of places, and
-// gives up the jobs of those that have had enough.
+// countCrash counts a crash of w for the tasks that ran there, in the order of places, and
+// fails the jobs of tasks that exceed the limit.
 func (e *Engine) countCrash(now time.Duration, w *worker, places []*placement, t witness) {
 	blamed, onlySuspect := t.suspects(places)
 	for _, p := range places {
@@ -115,13 +110,13 @@
 	}
 }
 
-// String tells the count for the log.
+// String formats the count for logs.
 func (c crashCount) String() string {
 	return fmt.Sprintf("%d times; %d early, %d certain", c.total, c.startup, c.confirmed)
 }
 
-// exceedsLimit says whether the task is given up. alone: nothing of another job had just started
-// on the last worker.
+// exceedsLimit reports whether the task is given up. onlySuspect means that no other job's run
+// had just started on the worker that crashed last.
 func (c crashCount) exceedsLimit(onlySuspect bool) bool {
 	if c.confirmed < minConfirmedCrashes {
 		return c.total > maxCrashes
@@ -129,7 +124,7 @@
 	return c.total >= maxCrashes || onlySuspect && c.startup >= maxStartupCrashes
 }
 
-// onLastAttempt says whether the next crash gives the task up in any case.
+// onLastAttempt reports whether the count is one crash below maxCrashes.
 func (c crashCount) onLastAttempt() bool { return c.total == maxCrashes-1 }
 
 func (u *unit) setCrashCount(index int, c crashCount) {
--- a/engine/departure.go
+++ b/engine/departure.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// Departure is how a life of a worker ended.
+// Departure is how an incarnation of a worker ended.
 type Departure string
 
-// Departures.
+// The ways in which an incarnation ends.
 const (
-	DepartureLeft    Departure = "left"    // it said goodbye, or was about to
-	DepartureCrashed Departure = "crashed" // without notice, with all that ran there
+	DepartureLeft    Departure = "left"    // it announced its departure or was draining
+	DepartureCrashed Departure = "crashed" // ended without notice; all its runs are lost
 )
 
-// WorkerGone: a life of a worker is over. Runs is how many it took with it.
+// WorkerGone reports that an incarnation of a worker has ended. Runs is the number of runs that
+// were lost with it.
 type WorkerGone struct {
 	Worker    WorkerInfo
 	Departure Departure
@@ -23,7 +24,7 @@
 
 func (WorkerGone) isAction() {}
 
-// departure is how the life that the report is of has ended.
+// departure returns how the reported incarnation ended.
 func (r *Report) departure() Departure {
 	if r.Crashed {
 		return DepartureCrashed
@@ -31,8 +32,8 @@
 	return DepartureLeft
 }
 
-// departureOfReplaced is how a life has ended in whose place another one reports. Its agent does not
-// know if it was started again meanwhile.
+// departureOfReplaced returns how an incarnation ended that was replaced by another one without
+// a report of its end. A restarted agent does not know how it ended.
 func (e *Engine) departureOfReplaced(id WorkerID) Departure {
 	if w := e.workers[id]; w != nil && w.draining {
 		return DepartureLeft
@@ -40,7 +41,7 @@
 	return DepartureCrashed
 }
 
-// observedRunTime says, for the log, how long a run was known to be at work.
+// observedRunTime describes for logs how long a run was known to be running.
 func (p *placement) observedRunTime() string {
 	switch {
 	case p.shownAt == 0:
--- a/engine/discard.go
+++ b/engine/discard.go
@@ -6,52 +6,52 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// Cause is why a run ended without its work being done.
+// Cause is why a run ended without completing its work.
 type Cause string
 
-// Causes.
+// The causes of runs that ended without completing their work.
 const (
 	causeNone            Cause = ""
-	CauseEvicted         Cause = "evicted"              // for a unit of higher rank
+	CauseEvicted         Cause = "evicted"              // to make room for a unit with precedence
 	CauseCancelled       Cause = "cancelled"            // by the caller
 	CauseJobFailed       Cause = "job failed"           // another of its tasks failed for good
-	CauseFailed          Cause = "failed"               // by its own fault or the worker's
+	CauseFailed          Cause = "failed"               // reported as failed, through its own fault or the worker's
 	CauseMemberEnded     Cause = "member ended"         // another member of the gang ended
-	CauseMembersMissing  Cause = "members missing"      // the other members did not come in time
-	CauseWorkerLost      Cause = "worker lost"          // with all that ran there
-	CauseLeaseExpired    Cause = "lease lapsed"         // nobody extended it
-	CauseDrained         Cause = "worker drained"       // moved before the worker left
-	CauseStalled         Cause = "stood still"          // and was moved
-	CauseStartUnanswered Cause = "start unanswered"     // it may or may not run
-	CauseNotListed       Cause = "not shown"            // looks did not show it
-	CauseGangIncomplete  Cause = "gang incomplete"      // not all members could be ordered
-	CauseInterference    Cause = "disturbs what serves" // it filled beside it
-	CauseTakeover        Cause = "takeover"             // a predecessor left it half done
+	CauseMembersMissing  Cause = "members missing"      // the other gang members did not start in time
+	CauseWorkerLost      Cause = "worker lost"          // the worker crashed or left
+	CauseLeaseExpired    Cause = "lease lapsed"         // the worker's lease was not renewed in time
+	CauseDrained         Cause = "worker drained"       // moved before the worker leaves
+	CauseStalled         Cause = "stood still"          // made no progress and was moved
+	CauseStartUnanswered Cause = "start unanswered"     // unknown whether it was started
+	CauseNotListed       Cause = "not shown"            // the worker does not list it as running
+	CauseGangIncomplete  Cause = "gang incomplete"      // not all members could be started
+	CauseInterference    Cause = "disturbs what serves" // a best-effort task slowed latency-sensitive tasks
+	CauseTakeover        Cause = "takeover"             // the previous planner left the gang incomplete
 )
 
-// WorkDiscarded is work of one run that was thrown away, in core-seconds; an accelerator
-// counts as several cores, see workload.Resources.Cores.
+// WorkDiscarded reports the work of one run that was not completed, in core-seconds. See
+// workload.Resources.CoreEquivalent for accelerators.
 type WorkDiscarded struct {
 	Run     workload.RunID
 	Account string
 	Queue   string
 	Worker  WorkerID
 	Cause   Cause
-	// Lost has to be done again; Saved is kept by a checkpoint.
+	// Lost work has to be repeated; Saved work is kept in a checkpoint.
 	Lost, Saved float64
 }
 
 func (WorkDiscarded) isAction() {}
 
-// setCauseOnce notes why the present run of u ends. The first cause stands: what follows from it,
-// such as the end of a gang's other members, is not another.
+// setCauseOnce sets why the current run of u ends unless a cause is set already, so that
+// consequences such as the end of the other gang members don't replace it.
 func (u *unit) setCauseOnce(c Cause) {
 	if u.cause == causeNone && u.state == unitActive {
 		u.cause = c
 	}
 }
 
-// recordDiscarded accounts for the work of a run that is over without being done.
+// recordDiscarded reports the work of a run that ended without completing it.
 func (e *Engine) recordDiscarded(now time.Duration, p *placement) {
 	u := p.unit
 	if u.verdict == verdictDone || u.cause == causeNone || p.began == 0 || p.state != placeRunning {
@@ -70,6 +70,6 @@
 		Saved:   cores * saved.Seconds(),
 	})
 	if len(u.places) == 1 {
-		u.spent.again += ran // the members of a gang run beside each other
+		u.spent.again += ran // gang members run in parallel, so their times don't add up
 	}
 }
--- a/engine/doc.go
+++ b/engine/doc.go
@@ -1,18 +1,18 @@
-// Package engine decides where and when the tasks of accepted jobs run. It is the
-// planner's part without network, clock or log: Step takes the time and an event and
-// returns actions; one goroutine owns an Engine.
+// Package engine decides where and when the tasks of accepted jobs run. It contains the
+// planner's logic without network, clock or log: HandleEvent and Report take the time and an
+// input, Decide returns the resulting actions. An Engine is owned by one goroutine.
 //
-// # What it guarantees
+// # Guarantees
 //
-//   - A worker is never given more than it has. A run takes its room from the decision
-//     on until it is certain that it is over: its end was listed, its start was refused,
-//     its stop was confirmed by a later look, or the worker's lease lapsed.
+//   - A worker is never given more than its capacity. A run holds its capacity from the
+//     decision until it is certain that it is over: its end was reported, its start was
+//     refused, its stop was confirmed by a later poll, or the worker's lease expired.
 //   - A task has at most one run at a time, for the same reasons.
-//   - A placement is on record before its first order leaves, so that a successor knows
-//     which worker may hold what. An end is on record before the worker may forget it.
-//   - A task under which workers crash again and again is given up, see crash.go.
-//   - A gang is ordered on all its workers at once; when one member is lost the rest
-//     are stopped before it starts again.
+//   - A placement is stored before its first order is sent, so that a successor knows what
+//     each worker may hold. An end is stored before the worker may forget it.
+//   - A job is failed if workers crash repeatedly under one of its tasks; see crash.go.
+//   - A gang is ordered on all its workers at the same time. If a member is lost, the others
+//     are stopped before the gang starts again.
 //
-// Times are durations on a clock that runs during suspension.
+// Times are durations on a clock that includes time spent in suspension.
 package engine
--- a/engine/ending.go
+++ b/engine/ending.go
@@ -8,8 +8,8 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// handleRunEnd handles one listed end. It returns the job that must be stored before the
-// worker may forget the end, nil where nothing depends on it.
+// handleRunEnd handles the reported end of one run. It returns the job that must be stored
+// before the worker may forget the end, or nil if the end changes nothing.
 func (e *Engine) handleRunEnd(now time.Duration, w *worker, row RunEnd) *job {
 	delete(w.strays, row.Run)
 	p := w.places[row.Run.Task]
@@ -24,7 +24,7 @@
 	u := p.unit
 	if row.Checkpoint != "" {
 		u.saved = row.Checkpoint
-		p.savedAt = now // all work up to its end
+		p.savedAt = now // the checkpoint covers all work up to the end
 	}
 	e.applyRunEnd(now, p, reason)
 	e.removePlacement(now, p)
@@ -32,7 +32,7 @@
 	return u.job
 }
 
-// applyRunEnd settles what an end means for the run of its unit.
+// applyRunEnd updates the unit according to how its run ended.
 func (e *Engine) applyRunEnd(now time.Duration, p *placement, reason EndReason) {
 	u := p.unit
 	e.logDecision(p, "ended", string(reason))
@@ -61,8 +61,8 @@
 	}
 }
 
-// causeOfEnd is why a run that ended by itself was in vain. One that was stopped has the
-// cause of its stop.
+// causeOfEnd maps the ways in which a run may end by itself to causes. A stopped run already has
+// the cause of its stop.
 var causeOfEnd = map[EndReason]Cause{
 	EndFailed:         CauseFailed,
 	EndLeaseExpired:   CauseLeaseExpired,
@@ -70,14 +70,15 @@
 	EndGangIncomplete: CauseMembersMissing,
 }
 
+// markRetry makes the unit start again once its current run is over, unless its outcome is
+// already decided.
 func (e *Engine) markRetry(u *unit) {
 	if u.verdict == verdictNone {
 		u.verdict = verdictRetry
 	}
 }
 
-// completeUnit counts the work of a unit as done. For a gang the first member to say so
-// speaks for all.
+// completeUnit marks a unit as done. A gang is done when its first member reports it.
 func (e *Engine) completeUnit(now time.Duration, u *unit) {
 	if u.state == unitDone {
 		return
@@ -94,6 +95,8 @@
 	}
 }
 
+// handleUnitFailure counts a failed attempt. The job fails once its queue's MaxAttempts is
+// reached; long-running tasks are restarted without a limit.
 func (e *Engine) handleUnitFailure(now time.Duration, p *placement) {
 	u := p.unit
 	if u.state == unitDone {
@@ -105,7 +108,7 @@
 		return
 	}
 	if u.failedRun != p.run {
-		u.failedRun = p.run // the members of a gang fail together, which counts once
+		u.failedRun = p.run // the failures of all members of a gang count once
 		u.failures++
 	}
 	e.markRetry(u)
@@ -116,8 +119,8 @@
 	}
 }
 
-// removePlacement frees what a placement held. When the last of a run is removePlacement, the unit waits
-// again or is settled.
+// removePlacement frees the capacity of a placement that is over. After the last one of a run,
+// an active unit becomes waiting again.
 func (e *Engine) removePlacement(now time.Duration, p *placement) {
 	p.worker.drop(p)
 	u := p.unit
@@ -136,15 +139,15 @@
 	u.cause = causeNone
 }
 
-// stopRemainingMembers stops the members of a gang that one member has left. Those of a run that
-// is done end by themselves.
+// stopRemainingMembers stops the other members of a gang that has lost one. If the gang is done,
+// they end by themselves.
 func (e *Engine) stopRemainingMembers(now time.Duration, u *unit) {
 	if u.verdict == verdictRetry {
 		e.stopUnit(now, u, CauseMemberEnded)
 	}
 }
 
-// stopUnit decides that the present run of a unit ends, for a cause.
+// stopUnit ends the current run of a unit for the given cause.
 func (e *Engine) stopUnit(now time.Duration, u *unit, cause Cause) {
 	u.setCauseOnce(cause)
 	if u.state == unitActive && u.verdict == verdictNone {
@@ -155,7 +158,7 @@
 	}
 }
 
-// stopRun orders one run to end, or drops it where no order has left.
+// stopRun stops one run, or removes it at once if no order has been sent.
 func (e *Engine) stopRun(now time.Duration, p *placement) {
 	if p.stopping {
 		return
@@ -168,6 +171,7 @@
 	e.sendStop(now, p)
 }
 
+// sendStop orders the stop of a run if the worker is attached.
 func (e *Engine) sendStop(now time.Duration, p *placement) {
 	p.stopSent = now
 	if !p.worker.attached {
@@ -179,7 +183,7 @@
 	p.stops++
 }
 
-// stopWaitReason says, for the log, what a stop that is ordered again waits for.
+// stopWaitReason describes for logs why a stop is ordered again; it is empty for the first order.
 func (p *placement) stopWaitReason(now time.Duration) string {
 	if p.stops == 0 {
 		return ""
@@ -191,7 +195,7 @@
 	return fmt.Sprintf("%s; the worker last answered %d ms ago and lists no end", waited, (now - p.worker.lookedAt).Milliseconds())
 }
 
-// handleLostRun ends a placement whose run is certainly over without a listed end.
+// handleLostRun ends a placement whose run is certainly over though no end was reported.
 func (e *Engine) handleLostRun(now time.Duration, p *placement, cause Cause, detail string) {
 	e.logDecision(p, "lost", detail)
 	p.unit.setCauseOnce(cause)
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -7,64 +7,66 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// Engine holds one planner's jobs, workers and decisions.
+// Engine holds the jobs, workers and decisions of one planner.
 type Engine struct {
 	params    Params
 	epoch     uint64
 	catalog   *catalog.Catalog
 	startedAt time.Duration
-	// inheritedLeaseExtra is how much longer than Params.MaxHold a predecessor's grants may last.
+	// inheritedLeaseExtra is how much longer than Params.MaxHold the leases granted by a
+	// previous planner may last.
 	inheritedLeaseExtra time.Duration
 
 	jobs map[workload.JobID]*job
-	// orderedJobs is the jobs in the order in which they became known; decisions iterate
-	// over it and never over a map, so that they are the same for the same events.
+	// orderedJobs lists jobs in the order in which they became known. Decisions iterate over
+	// it and never over a map, so that they are deterministic.
 	orderedJobs []*job
 	workers     map[WorkerID]*worker
-	// workersByID are the workers in the order of their names; nil after one came or went.
+	// workersByID is the cache of sortedWorkers; nil after a worker was added or removed.
 	workersByID   []*worker
 	workerByAgent map[string]WorkerID
-	// superseded are the lives that are followed by another one of their name, by agent, and
-	// turns the highest turn given.
+	// superseded holds, by agent, incarnations that were followed by another one of the same
+	// name. lastGeneration is the highest Fence.Generation assigned.
 	superseded     map[string][]*worker
 	lastGeneration uint64
 	tracker        tracker
-	// interference is what was learned of images that share workers.
+	// interference holds what is known about images that share workers.
 	interference  interferenceModel
 	cordons       catalog.Cordons
 	urgentHistory urgentHistory
-	// adviceInFlight: a question to the advice service is in progress; askAfter is when the next
-	// may follow one that failed.
+	// adviceInFlight: a request to the advice service is unanswered. adviceRetryAt is the
+	// earliest time of the next request after a failed one.
 	adviceInFlight bool
 	adviceRetryAt  time.Duration
-	// headroomRacks are the racks that patient work leaves alone.
+	// headroomRacks are kept free of deferrable work.
 	headroomRacks map[string]bool
 	lastPlanAt    time.Duration
-	// checkpointsWrittenAt is when checkpoints of running work were last put on record.
+	// checkpointsWrittenAt is when checkpoints of running tasks were last stored.
 	checkpointsWrittenAt time.Duration
-	// workerAddedAt is when a worker last came, which may make a job possible.
+	// workerAddedAt is when a worker was last added. A job that no worker could run may be
+	// schedulable since then.
 	workerAddedAt time.Duration
 	wallTime      time.Time
 
 	dirtyJobs         map[workload.JobID]bool
 	unrecordedWorkers map[WorkerID]*worker
 	goneWorkers       map[WorkerID]bool
-	// archiving are jobs whose records are being replaced by their outcomes, expired those
+	// archiving holds jobs whose records are being replaced by their outcomes, expired those
 	// whose outcomes are being removed.
 	archiving map[workload.JobID]bool
 	expired   map[workload.JobID]bool
-	// earlyCancels of jobs that are not known yet.
+	// earlyCancels holds the revisions of cancellations of jobs that are not known yet.
 	earlyCancels map[workload.JobID]int64
 
 	orders     []*Orders
 	actions    []Action
 	planNeeded bool
-	// planNotBefore is the time before which no round is made.
+	// planNotBefore is the earliest time of the next planning round.
 	planNotBefore time.Duration
 }
 
-// New returns an Engine for one term of a planner. inherited is how much longer than
-// usual the leases that predecessors granted may last.
+// New returns an Engine for one term of a planner. inheritedLeaseExtra is how much longer than
+// usual the leases granted by previous planners may last.
 func New(params Params, epoch uint64, now, inheritedLeaseExtra time.Duration) *Engine {
 	if params.Policy == (Policy{}) {
 		params.Policy = DefaultPolicy()
@@ -90,7 +92,8 @@
 	}
 }
 
-// HandleEvent handles one event. What agents say comes by Report, which answers them.
+// HandleEvent processes one event. Reports of agents are passed to Report instead, which answers
+// them.
 func (e *Engine) HandleEvent(now time.Duration, event Event) {
 	switch ev := event.(type) {
 	case JobSubmitted:
@@ -121,14 +124,15 @@
 	}
 }
 
-// DelayPlanning makes no planning round before a time. What is decided already still leaves with
-// the next Decide.
+// DelayPlanning prevents planning rounds before a time. Actions that are already decided are
+// still returned by the next Decide.
 func (e *Engine) DelayPlanning(until time.Duration) { e.planNotBefore = until }
 
-// NextPlanning returns when Decide would make a round that is due, and false where none is.
+// NextPlanning reports whether a planning round is due and the earliest time at which Decide
+// makes it.
 func (e *Engine) NextPlanning() (until time.Duration, due bool) { return e.planNotBefore, e.planNeeded }
 
-// Decide places waiting work and returns what is to be done since the last call.
+// Decide places waiting units and returns all actions since the last call.
 func (e *Engine) Decide(now time.Duration) []Action {
 	if e.planNeeded && now >= e.planNotBefore {
 		e.planNeeded = false
@@ -143,6 +147,7 @@
 	return actions
 }
 
+// ordersFor returns the pending orders for a worker, creating them if necessary.
 func (e *Engine) ordersFor(w *worker) *Orders {
 	for _, o := range e.orders {
 		if o.Worker == w.info.ID {
@@ -154,6 +159,7 @@
 	return o
 }
 
+// logDecision adds a log entry about a placement.
 func (e *Engine) logDecision(p *placement, kind, detail string) {
 	e.actions = append(e.actions, Decision{
 		Job:    p.unit.job.spec.ID,
@@ -164,10 +170,12 @@
 	})
 }
 
+// logJobDecision adds a log entry about a job.
 func (e *Engine) logJobDecision(j *job, kind, detail string) {
 	e.actions = append(e.actions, Decision{Job: j.spec.ID, Kind: kind, Detail: detail})
 }
 
+// markChanged marks a job's record to be stored.
 func (e *Engine) markChanged(j *job) {
 	j.bumpVersion()
 	e.dirtyJobs[j.spec.ID] = true
--- a/engine/event.go
+++ b/engine/event.go
@@ -7,52 +7,52 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// Event is an input of Engine.Step.
+// Event is an input of Engine.HandleEvent.
 type Event interface{ isEvent() }
 
-// JobSubmitted: a job is on record. Order is the revision at which it was accepted.
+// JobSubmitted adds a job that has been stored. Revision is the store revision of its acceptance.
 type JobSubmitted struct {
 	Job      workload.Job
 	Revision int64
-	// Age is how long ago that was, as far as is known.
+	// Age is the time since acceptance, as far as known.
 	Age time.Duration
 }
 
-// CancelRequested: a cancellation is on record. Order is its revision, 0 where that is
-// not known.
+// CancelRequested cancels a job. Revision is the store revision of the cancellation, 0 if
+// unknown.
 type CancelRequested struct {
 	Job      workload.JobID
 	Revision int64
 }
 
-// JobRestored is a job as a predecessor left it.
+// JobRestored adds a job as a previous planner left it.
 type JobRestored struct {
 	JobSubmitted
-	Progress  *JobProgress // nil where the job was never touched
+	Progress  *JobProgress // nil if none was stored
 	Cancelled bool
-	// CancelRevision is the revision of the cancellation.
+	// CancelRevision is the store revision of the cancellation.
 	CancelRevision int64
 }
 
-// WorkerRestored is a worker that a predecessor knew.
+// WorkerRestored adds a worker that a previous planner knew.
 type WorkerRestored struct{ Info WorkerInfo }
 
-// OrdersCompleted is what became of the orders of one action.
+// OrdersCompleted reports the results of one Orders action.
 type OrdersCompleted struct {
 	Worker WorkerID
 	Starts []StartResult
 	Paces  []PaceResult
 }
 
-// WriteApplied: a write made by Engine.Changes took effect.
+// WriteApplied reports that a write returned by Engine.Changes took effect.
 type WriteApplied struct{ Write Write }
 
-// CatalogChanged: another version of the configuration is in force.
+// CatalogChanged replaces the operators' configuration.
 type CatalogChanged struct{ Catalog *catalog.Catalog }
 
-// Tick lets time pass.
+// Tick advances the time.
 type Tick struct {
-	// WallTime is the time of day, by which occurrences are due.
+	// WallTime is the wall-clock time that decides which occurrences are due.
 	WallTime time.Time
 }
 
--- a/engine/victims.go
+++ b/engine/victims.go
@@ -9,8 +9,8 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// victimSearch is room on a set of workers as it grows while victims are chosen. One is open at
-// a time.
+// victimSearch finds victims whose eviction frees enough capacity for a unit, one member at a
+// time. At most one search is open at a time, as it uses worker.round.at.
 type victimSearch struct {
 	round   *round
 	unit    *unit
@@ -19,25 +19,26 @@
 	chosen  map[*unit]bool
 }
 
-// workerVictims is one worker of a clearing.
+// workerVictims is the state of one worker in a victimSearch.
 type workerVictims struct {
 	worker *worker
 	free   workload.Resources
 	placed int
-	// candidates are units that may be evicted, the cheapest first.
+	// candidates are the units that may be evicted, the cheapest first.
 	candidates []*unit
-	// choice is how one more member would get its room, as far as known.
+	// choice is how to make room for one more member; it is computed if choiceValid is set.
 	choice      victimChoice
 	choiceValid bool
 }
 
-// victimChoice is a victimChoice to make room for one more member on one worker.
+// victimChoice is a set of victims that makes room for one more member on one worker.
 type victimChoice struct {
 	victims []*unit
 	cost    float64
 	ok      bool
 }
 
+// newVictimSearch starts a search on the workers of set where u may run.
 func (r *round) newVictimSearch(u *unit, set *domain) *victimSearch {
 	search := &victimSearch{round: r, unit: u, costs: map[*unit]float64{}, chosen: map[*unit]bool{}}
 	for _, w := range set.workers {
@@ -49,14 +50,15 @@
 	return search
 }
 
-// close forgets the workers' places in the clearing.
+// close clears the workers' indexes in the search.
 func (search *victimSearch) close() {
 	for _, wv := range search.workers {
 		wv.worker.round.at = -1
 	}
 }
 
-// listCandidates counts what is free on a worker, or about to be, and who could make room.
+// listCandidates determines a worker's free capacity, including what is about to be freed, and
+// the units there that may be evicted.
 func (search *victimSearch) listCandidates(w *worker) *workerVictims {
 	wv := &workerVictims{worker: w, free: w.free().Sub(w.round.claimed)}
 	for _, p := range w.sortedPlaces() {
@@ -78,16 +80,16 @@
 	return wv
 }
 
-// computeCost notes what evicting a unit throws away; a gang stands on many workers and is
-// counted once.
+// computeCost stores the work that is lost by evicting a unit. A gang is counted once, though it
+// runs on several workers.
 func (search *victimSearch) computeCost(u *unit) {
 	if _, known := search.costs[u]; !known {
 		search.costs[u] = search.round.e.lostWork(search.round.now, u)
 	}
 }
 
-// next returns the worker on which one more member fits at the least cost, and who has to
-// go for it: nil where there is none.
+// next returns the worker where one more member can be placed at the least cost and the victims
+// to evict there, or nil if there is none.
 func (search *victimSearch) next() (*workerVictims, victimChoice) {
 	var best *workerVictims
 	for _, wv := range search.workers {
@@ -104,8 +106,8 @@
 	return best, best.choice
 }
 
-// chooseVictims finds victims on a worker so that one more member fits: the cheapest first, then
-// those that turned out needless are spared, the dearest first.
+// chooseVictims chooses victims on a worker so that one more member fits. It adds the cheapest
+// units until there is room, then drops those that are not needed, the costliest first.
 func (search *victimSearch) chooseVictims(wv *workerVictims) victimChoice {
 	w := wv.worker
 	if search.round.e.bounded(search.unit, w, wv.placed+1) < wv.placed+1 {
@@ -139,10 +141,10 @@
 	return victimChoice{victims, cost, true}
 }
 
-// countSameStep returns how many of the units are of v's step.
+// countSameStep returns how many of the units belong to v's step; 0 if the step is not long-running.
 func countSameStep(units iter.Seq[*unit], v *unit) int {
 	if !v.spec().LongRunning {
-		return 0 // nothing bounds how many of them may be away
+		return 0 // only long-running steps have a limit
 	}
 	n := 0
 	for o := range units {
@@ -153,7 +155,8 @@
 	return n
 }
 
-// commit gives a member its room on a worker. A victim gang makes room on all its workers.
+// commit places a member on a worker and marks the victims as chosen. An evicted gang frees
+// capacity on all its workers.
 func (search *victimSearch) commit(wv *workerVictims, choice victimChoice) {
 	for _, v := range choice.victims {
 		search.chosen[v] = true
@@ -164,7 +167,7 @@
 			}
 		}
 		if v.spec().LongRunning {
-			search.invalidateAll() // others of its step may not be stopped any more
+			search.invalidateAll() // its step may have reached MaxUnavailable
 		}
 	}
 	wv.free = wv.free.Sub(search.unit.demand())
@@ -172,14 +175,14 @@
 	wv.choiceValid = false
 }
 
-// invalidateAll makes next look at all workers anew.
+// invalidateAll discards the computed choices of all workers.
 func (search *victimSearch) invalidateAll() {
 	for _, wv := range search.workers {
 		wv.choiceValid = false
 	}
 }
 
-// heldOn is what a unit holds on one worker.
+// heldOn returns the capacity that a unit holds on a worker.
 func heldOn(u *unit, w *worker) workload.Resources {
 	var sum workload.Resources
 	for _, p := range u.places {
