--- a/engine/interference.go
+++ b/engine/interference.go
@@ -34,9 +34,9 @@
 	return initialTolerance
 }
 
-// observeStrain notes that percent brought the neighbour over what it may take; strain is by
+// observeViolation notes that percent brought the neighbour over what it may take; strain is by
 // how much, in parts of its target.
-func (m *interferenceModel) observeStrain(pair imagePair, percent int, strain float64) {
+func (m *interferenceModel) observeViolation(pair imagePair, percent int, strain float64) {
 	tolerable := float64(percent) * strainCeiling / strain
 	if t := m.tolerance(pair); tolerable < t {
 		m.toleratedPercent[pair] = t + decreaseWeight*(tolerable-t)
--- a/engine/job.go
+++ b/engine/job.go
@@ -33,9 +33,9 @@
 	criticalPaths        []time.Duration
 	criticalPathsVersion int
 	ticketsByStep        map[stepAt]*stepTickets
-	// unfitReason is why the job fits no workers, as last logged; unfitNext is when to look again.
-	unfitReason  string
-	unfitCheckAt time.Duration
+	// unschedulableReason is why the job fits no workers, as last logged; unfitNext is when to look again.
+	unschedulableReason  string
+	unschedulableCheckAt time.Duration
 	// archived: its records are replaced by its outcome, whose revision is record where a
 	// predecessor wrote it. cancelClosed is the revision of the cancellation that went too.
 	archived               bool
--- a/engine/sharing.go
+++ b/engine/sharing.go
@@ -182,7 +182,7 @@
 			continue
 		}
 		for _, s := range serving {
-			e.interference.observeStrain(pairOf(p, s), p.pace.percent, strain)
+			e.interference.observeViolation(pairOf(p, s), p.pace.percent, strain)
 		}
 		e.logDecision(p, "hold back", fmt.Sprintf("from %d%%, tail latency at %.2f of its target", p.pace.percent, strain))
 		e.setPace(now, p, int(part*float64(p.pace.percent)))
--- a/engine/unfit.go
+++ b/engine/unfit.go
@@ -20,15 +20,15 @@
 
 // tellUnfit logs why a job fits no workers, each time that the reason changes.
 func (e *Engine) tellUnfit(now time.Duration, j *job) {
-	if now-e.workerAddedAt < settleTime || now-e.startedAt < settleTime || now < j.unfitCheckAt {
+	if now-e.workerAddedAt < settleTime || now-e.startedAt < settleTime || now < j.unschedulableCheckAt {
 		return
 	}
-	j.unfitCheckAt = now + unfitEvery
+	j.unschedulableCheckAt = now + unfitEvery
 	why := e.unfit(j)
-	if why != "" && why != j.unfitReason {
+	if why != "" && why != j.unschedulableReason {
 		e.logJobDecision(j, "fits no worker", why)
 	}
-	j.unfitReason = why
+	j.unschedulableReason = why
 }
 
 // unfit returns why no set of workers known could hold a unit of the job that waits, and
