--- a/engine/interference.go
+++ b/engine/interference.go
@@ -36,8 +36,8 @@
 
 // observeViolation notes that percent brought the neighbour over what it may take; strain is by
 // how much, in parts of its target.
-func (m *interferenceModel) observeViolation(pair imagePair, percent int, strain float64) {
-	tolerable := float64(percent) * strainCeiling / strain
+func (m *interferenceModel) observeViolation(pair imagePair, percent int, latencyRatio float64) {
+	tolerable := float64(percent) * strainCeiling / latencyRatio
 	if t := m.tolerance(pair); tolerable < t {
 		m.toleratedPercent[pair] = t + decreaseWeight*(tolerable-t)
 	}
