--- a/engine/advice_test.go
+++ b/engine/advice_test.go
@@ -9,7 +9,7 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// submitWithAdvice hands in a job of a queue under a policy.
+// submitWithAdvice submits a job whose queue policy requires tickets.
 func (d *driver) submitWithAdvice(steps ...workload.Step) workload.JobID {
 	d.handle(JobSubmitted{Revision: 1, Job: workload.Job{
 		ID: "advised", Queue: "q", Service: "s", Steps: steps,
@@ -20,7 +20,8 @@
 	return "advised"
 }
 
-// nextAdviceRequest returns the question that the engine asks next, if any, and settles the rest.
+// nextAdviceRequest returns the engine's next request for advice, if any, and applies all other
+// actions.
 func (d *driver) nextAdviceRequest() *AdviceRequest {
 	var request *AdviceRequest
 	for range 10 {
@@ -42,8 +43,8 @@
 	return request
 }
 
-// The service allows one worker of those asked for. The start goes there with its ticket,
-// and the others are not asked for again.
+// A start is ordered on the allowed worker with its ticket, and denied workers are not requested
+// again.
 func TestStartCarriesTicket(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 3)
@@ -64,7 +65,7 @@
 	}
 }
 
-// A ticket runs out while its unit waits for room: it must not be started with.
+// A ticket that expires while its unit waits for capacity must not be used.
 func TestExpiredTicketIsRequestedAgain(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
@@ -85,7 +86,7 @@
 	c.Check(d.starts, qt.HasLen, before)
 }
 
-// The service does not answer: it is asked again after a pause, and nothing starts.
+// After a failed request nothing starts, and the request is repeated after a delay.
 func TestFailedAdviceRequestIsRetried(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
@@ -101,8 +102,8 @@
 	c.Check(d.starts, qt.HasLen, 0)
 }
 
-// Tickets for a second step are fetched while the first still runs, so that the service's
-// slowness does not show.
+// Tickets for a step are requested while the step that it depends on still runs, to hide the
+// latency of the advice service.
 func TestTicketsArePrefetched(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 3)
--- a/engine/bench_fleet_test.go
+++ b/engine/bench_fleet_test.go
@@ -10,10 +10,9 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// benchFleet is workers, agents and a store that serve one engine without faults: starts
-// take effect at once, runs last what the random numbers say, and agents report each
-// benchReport. It is the load of a planner and nothing else, so that its time is the
-// engine's.
+// benchFleet simulates workers, agents and a store for one engine, without faults. Starts take
+// effect immediately, durations are random, and agents report every benchReportInterval. It does
+// little work itself, so that mostly the engine's time is measured.
 type benchFleet struct {
 	rng     *rand.Rand
 	e       *Engine
@@ -27,7 +26,7 @@
 	running       map[workload.TaskID]*benchRun
 	ended         []RunEnd
 	lastEndNumber int64
-	nextReportAt  time.Duration // of the next report
+	nextReportAt  time.Duration
 }
 
 type benchRun struct {
@@ -66,7 +65,7 @@
 	return f
 }
 
-// advance lets time advance, with jobs arriving at a rate a second.
+// advance simulates a span of time, with jobs arriving at rate per second.
 func (f *benchFleet) advance(span time.Duration, rate float64) {
 	for end := f.now + span; f.now < end; f.now += benchTimeStep {
 		if f.rng.Float64() < rate*benchTimeStep.Seconds() {
@@ -84,8 +83,8 @@
 	}
 }
 
-// submit hands in one of three kinds of jobs: urgent gangs of seconds, gangs of ten, and
-// wide overnight steps of one accelerator a task.
+// submit submits one of three kinds of jobs: urgent jobs of a few seconds, gangs of medium
+// length, and wide steps of single-accelerator tasks.
 func (f *benchFleet) submit() {
 	f.jobs++
 	pick := func(values ...int) int { return values[f.rng.IntN(len(values))] }
@@ -127,7 +126,7 @@
 	}
 }
 
-// act carries out orders and writes all changes.
+// act carries out orders and applies writes.
 func (f *benchFleet) act() {
 	for _, action := range f.e.Decide(f.now) {
 		o, ok := action.(Orders)
@@ -156,12 +155,11 @@
 }
 
 func workerIndex(id WorkerID) (i int) {
-	_, _ = fmt.Sscanf(string(id), "w%d", &i) // made by newBenchFleet
+	_, _ = fmt.Sscanf(string(id), "w%d", &i) // the format used by newBenchFleet
 	return i
 }
 
-// BenchmarkBusyFleet is a second of a fleet that gets about as much work as it can do: what
-// share of a core the engine takes.
+// BenchmarkBusyFleet measures the engine's time for one second of a fully loaded fleet.
 func BenchmarkBusyFleet(b *testing.B) {
 	for _, size := range []int{30, 75, 240} {
 		b.Run(fmt.Sprintf("workers=%d", size), func(b *testing.B) {
--- a/engine/bench_test.go
+++ b/engine/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// busyFleet returns an engine whose workers are all full and whose queue holds waiting
-// units: gangs, urgent tasks and overnight tasks in equal parts.
+// busyFleet returns an engine whose workers are all full and whose queue holds equal numbers of
+// gangs, urgent tasks and low-priority tasks.
 func busyFleet(b *testing.B, workers, waiting int) (*Engine, time.Duration) {
 	now := time.Second
 	e := New(Params{
@@ -56,13 +56,12 @@
 	return e, now
 }
 
-// BenchmarkRound is one pass over the queue: what an event costs that can change a
-// decision, such as an end or a submission.
+// BenchmarkRound measures one planning round.
 func BenchmarkRound(b *testing.B) {
 	for _, size := range []struct{ workers, waiting int }{{30, 100}, {100, 300}, {300, 1000}, {1000, 1000}} {
 		b.Run(fmt.Sprintf("workers=%d/waiting=%d", size.workers, size.waiting), func(b *testing.B) {
 			e, now := busyFleet(b, size.workers, size.waiting)
-			e.plan(now) // claims and evictions of the first pass
+			e.plan(now) // the first round makes claims and evictions
 			b.ResetTimer()
 			for range b.N {
 				e.plan(now)
--- a/engine/checkpoints_test.go
+++ b/engine/checkpoints_test.go
@@ -8,9 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A site loses power: workers, agents and gateways at once. Its tasks had saved their
-// progress each second or so, but only the planner that died had seen the checkpoints, so
-// all of them began anew. The next planner must find them on record.
+// Workers, agents and planner fail together. The next planner must find the newest checkpoints in
+// the store, or all work is lost.
 func TestCheckpointsSurviveFullOutage(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 2)
@@ -38,8 +37,7 @@
 	c.Check(d.starts[0].Checkpoint, qt.Equals, "saved-2")
 }
 
-// Tens of thousands of tasks save their progress. What is written must not grow with them:
-// a bounded number of jobs each time, those with the most unkept work first.
+// The number of jobs in one write of checkpoints must not grow with the number of running tasks.
 func TestCheckpointWritesAreBounded(t *testing.T) {
 	c := qt.New(t)
 	const jobs = 3 * maxCheckpointJobs
@@ -59,7 +57,7 @@
 	c.Check(w.Jobs, qt.HasLen, maxCheckpointJobs)
 }
 
-// reportCheckpoint lets a worker show its one run with a new checkpoint.
+// reportCheckpoint reports the single run of a worker with a new checkpoint.
 func (d *driver) reportCheckpoint(id WorkerID, saved string) {
 	d.now += 100 * time.Millisecond
 	d.reportRuns(id, func(p *placement) RunStatus {
--- a/engine/crash_test.go
+++ b/engine/crash_test.go
@@ -10,35 +10,36 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// workerRestartTime is how long a worker that has crashed is away.
+// workerRestartTime is how long a crashed worker takes to come back.
 const workerRestartTime = 3200 * time.Millisecond
 
-// crashScenario is a fleet on which some tasks crash the worker that starts them. The worker is
-// silent at once, and its next life is there after rebirth. Other tasks end after runTime.
+// crashScenario is a driver with tasks that crash the worker on which they start. The worker is
+// unresponsive at once; its next incarnation appears after workerRestartTime. Other tasks end after
+// runTime.
 type crashScenario struct {
 	*driver
 	c             *qt.C
 	crashesWorker func(workload.RunID) bool
 	runTime       time.Duration
-	// down are the workers that are down, by agent.
+	// down holds the workers that are down, by agent.
 	down          map[string]outage
 	incarnations  int
-	startsHandled int // starts that were looked at
-	// startedAt is when each run was started.
+	startsHandled int // number of starts already processed
+	// startedAt is the start time of each run.
 	startedAt map[workload.RunID]time.Duration
-	// crashesByTask counts the workers that crashesByTask under each task, after the starts that it had
-	// had since the third.
+	// crashesByTask counts the crashes by each task, startsAfterThirdCrash its starts after the
+	// third one.
 	crashesByTask         map[workload.TaskID]int
 	startsAfterThirdCrash map[workload.TaskID]int
-	// after each crash, a new planner takes over.
+	// replacePlanner makes a new planner take over after each crash.
 	replacePlanner bool
 }
 
-// outage is the time between two lives of a worker.
+// outage is the time between two incarnations of a worker.
 type outage struct {
 	until time.Duration
-	epoch uint64 // the newest planner that the worker had heard of
-	// pastStartup are the runs that the agent had seen at work for a while.
+	epoch uint64 // of the newest planner known to the worker
+	// pastStartup holds the runs that the agent had observed for StartupCrashWindow.
 	pastStartup []RunStatus
 }
 
@@ -52,8 +53,8 @@
 	}
 }
 
-// advanceWorkers lets time pass. It fails once a task that crashes its workers has been started three
-// times more after three workers had crashed under it.
+// advanceWorkers simulates a span of time. It fails the test if a task is started three more times
+// after it has crashed three workers.
 func (d *crashScenario) advanceWorkers(span time.Duration) {
 	const step = 50 * time.Millisecond
 	for end := d.now + span; d.now < end; d.now += step {
@@ -65,7 +66,7 @@
 	}
 }
 
-// reportWorker lets the agent of one worker report.
+// reportWorker sends the report of one worker's agent.
 func (d *crashScenario) reportWorker(w *worker) {
 	agent := w.info.Agent
 	crash, down := d.down[agent]
@@ -84,7 +85,7 @@
 	}
 }
 
-// reportRunningWorker lets one worker that is up tell of its runs.
+// reportRunningWorker reports the runs of a worker that is up.
 func (d *crashScenario) reportRunningWorker(w *worker) {
 	r := Report{Epoch: d.e.epoch, Polled: true, Worker: w.info}
 	for _, p := range w.sortedPlaces() {
@@ -103,7 +104,7 @@
 	d.report(r)
 }
 
-// memberDown says whether a member of a gang is gone.
+// memberDown reports whether the worker of a gang member is down.
 func (d *crashScenario) memberDown(u *unit) bool {
 	for _, p := range u.places {
 		if _, down := d.down[p.worker.info.Agent]; down {
@@ -157,15 +158,13 @@
 	return found.State
 }
 
-// A caller's urgent job is tried for hours, and every few seconds a worker is gone with all
-// that others run on it. One of its tasks crashes each worker within milliseconds of its
-// start. The worker lists no end, as it has forgotten everything when it is back, so the run
-// is lost with it, counts as no attempt, and the task is placed anew at once.
+// A task crashes each worker within milliseconds of its start. Since the worker reports no end, the
+// run does not count as a failed attempt; the job must fail nevertheless.
 func TestTaskThatCrashesWorkersFailsItsJob(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		step workload.Step
-		// crashing is the task of the step that crashes workers.
+		// crashing is the index of the task that crashes workers.
 		crashing int
 		set      func(d *crashScenario)
 	}{
@@ -200,9 +199,8 @@
 	}
 }
 
-// Two tasks start together on one worker, which crashes: one of them did it. Both are tried
-// again, each where nothing else has just started, and nothing is started beside them until
-// they are proven, so that the innocent one is completed, and so are those that came later.
+// Tasks that share a worker with a crashing task must complete: suspects are retried where nothing
+// else has just started, and nothing is started beside them until they are past startup.
 func TestTasksBesideCrashingTaskComplete(t *testing.T) {
 	c := qt.New(t)
 	d := newCrashScenario(c, 2)
@@ -227,8 +225,8 @@
 	}
 }
 
-// A site loses power twice while a job is at work, and its worker leaves for repairs some
-// times more. None of that says anything of the job.
+// Workers fail and leave repeatedly under a running job for reasons of their own. The job must not
+// fail.
 func TestUnrelatedWorkerFailuresDoNotFailJob(t *testing.T) {
 	c := qt.New(t)
 	d := newCrashScenario(c, 3)
@@ -257,8 +255,8 @@
 	c.Assert(d.jobState(id), qt.Equals, workload.Completed)
 }
 
-// A gang ends as done on one of its workers; the other one crashes before it lists its end.
-// The job went on to its next step, and must not be failed for a crash after its work.
+// One worker of a gang crashes after another one has reported the gang as done. The crash must not
+// be counted, or the job could fail after its work is done.
 func TestCrashAfterGangIsDoneIsNotCounted(t *testing.T) {
 	c := qt.New(t)
 	d := newCrashScenario(c, 2)
@@ -278,9 +276,8 @@
 	c.Assert(d.jobState(id), qt.Equals, workload.Running)
 }
 
-// A worker is out of reach for longer than its lease, its task starts elsewhere, and only
-// then is it known that the worker had crashed. It counts, unless the worker's agent saw
-// that the run was over before.
+// A crash that becomes known only after the worker's lease has expired still counts, unless the
+// agent had observed the end of the run before.
 func TestLateCrashReportIsCounted(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -313,7 +310,7 @@
 	}
 }
 
-// A task that lasts for weeks meets many workers that fail. Each run that lasts clears it.
+// A task that runs for weeks outlives many workers. Each long run resets its crash count.
 func TestLongRunResetsCrashCount(t *testing.T) {
 	c := qt.New(t)
 	d := newCrashScenario(c, 3)
--- a/engine/discard_test.go
+++ b/engine/discard_test.go
@@ -7,10 +7,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// discardedWork sums what the engine says was thrown away, by cause.
+// discardedWork is the reported discarded work in core-seconds, by cause.
 type discardedWork struct{ lost, saved map[Cause]float64 }
 
-// sumDiscarded takes the engine's actions so far.
+// sumDiscarded sums the work discarded so far.
 func (d *driver) sumDiscarded() discardedWork {
 	out := discardedWork{lost: map[Cause]float64{}, saved: map[Cause]float64{}}
 	for _, a := range d.discarded {
@@ -20,8 +20,7 @@
 	return out
 }
 
-// A job is cancelled after two seconds of work on 4 cores and 8 accelerators: all of it is
-// accounted for under that cause, once.
+// All work of a cancelled job is recorded once, under that cause.
 func TestCancelledWorkIsRecordedAsDiscarded(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 2)
@@ -36,8 +35,8 @@
 	c.Check(got.lost[CauseCancelled] > 100 && got.lost[CauseCancelled] < 150, qt.IsTrue, qt.Commentf("%v", got.lost))
 }
 
-// One member of a gang fails; the others end broken or are stopped. The failure is the one
-// cause of all that was lost, and a gang that is done loses nothing.
+// When a gang member fails, all lost work has that failure as its cause. A gang that is done loses
+// nothing.
 func TestGangLossHasSingleCause(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 3)
@@ -55,8 +54,7 @@
 	c.Check(d.discarded, qt.HasLen, before)
 }
 
-// A run that was shown with a checkpoint and is lost with its worker has lost what it did
-// since then.
+// If a run is lost, only the work since its last checkpoint counts as lost.
 func TestCheckpointedWorkCountsAsSaved(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
@@ -76,9 +74,8 @@
 	c.Check(got.saved[CauseWorkerLost] > 60, qt.IsTrue, qt.Commentf("%v", got.saved))
 }
 
-// A job waits for room behind another, which runs for longer than it declared, for longer than
-// its objective allows. The log names that as its reason, and does not call the other one late,
-// whose callers are served within what its work allows.
+// A job is late because it waited for another one that ran longer than declared. The waiting time
+// is reported as the reason, and the other job is not reported as late.
 func TestLateJobReportsReason(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
--- a/engine/evict.go
+++ b/engine/evict.go
@@ -5,34 +5,33 @@
 	"time"
 )
 
-// claimGrace is how much longer than a stop may take room is kept for the unit that
-// it was emptied for.
+// claimGrace is how much longer than Params.StopTime capacity is kept for the unit for which
+// it was freed.
 const claimGrace = 1500 * time.Millisecond
 
-// evictRetryInterval is the pause between two searches for victims for the same unit. What a search
-// found too dear stays so, since work only grows, until something else is placed; a search
-// looks at all that runs, and in a burst most of a round's cost was searches in vain.
+// evictRetryInterval is the minimum time between two victim searches for the same unit. A search
+// looks at all running units, and the cost of evicting them only grows while they run.
 const evictRetryInterval = 50 * time.Millisecond
 
-// eviction is a way to make room for a unit.
+// eviction is a set of victims that makes room for a unit.
 type eviction struct {
 	victims []*unit
-	cost    float64 // core-seconds thrown away
+	cost    float64 // lost work in core-seconds
 	slots   map[*worker]int
 }
 
-// evict stops work of lower rank so that u can start, and keeps the room for it. It
-// returns whether room is on its way.
+// evict stops units that may be evicted so that u can start, and keeps their capacity for u. It
+// reports whether capacity is being freed for u.
 //
-// It evicts only where waiting would cost more: room that frees by itself while u can
-// still meet its objective is waited for, and no more work is thrown away than u itself
-// is, unless its account's guarantee would be broken or u would come far too late.
+// It evicts only if waiting is worse: if u could not meet its objective with capacity that becomes
+// free anyway, and the victims lose no more work than u consists of. An account's guarantee that
+// would be broken, or a job that would end far too late, justify higher losses.
 func (r *round) evict(u *unit) bool {
 	if u.job.spec.QueuePolicy.Priority != 0 || r.e.gathering(r.now) {
 		return false
 	}
 	if len(u.claims) > 0 {
-		return true // its room is being emptied already
+		return true // victims are being stopped already
 	}
 	if r.now < u.evictNext {
 		return false
@@ -56,11 +55,11 @@
 	return true
 }
 
-// reclaimMargin is kept from the time in which a guaranteed job has to start, for what
-// follows the stop: the record, the order and a report that comes late.
+// reclaimMargin is subtracted from the time by which a guaranteed job must start, since after
+// the victims have stopped the placement is stored and ordered.
 const reclaimMargin = 700 * time.Millisecond
 
-// worthEvicting says whether an eviction is better than waiting.
+// worthEvicting reports whether evicting is better than waiting for capacity.
 func (r *round) worthEvicting(u *unit, plan *eviction, preferred domainSet) bool {
 	if r.mustReclaim(u) {
 		return true
@@ -85,7 +84,7 @@
 	return plan.cost <= policy.EvictionWorth*ownWork
 }
 
-// cheapestEviction returns the eviction that throws the least work away.
+// cheapestEviction returns the eviction that loses the least work, or nil if there is none.
 func (r *round) cheapestEviction(u *unit, d domainSet) *eviction {
 	var best *eviction
 	for _, set := range d.domains {
@@ -96,8 +95,8 @@
 	return best
 }
 
-// planEviction makes room for the members of u one by one, each time on the worker where
-// that throws the least work away.
+// planEviction makes room for the members of u one by one, each on the worker where that loses
+// the least work. It returns nil if there is no room for all of them.
 func (r *round) planEviction(u *unit, set *domain) *eviction {
 	search := r.newVictimSearch(u, set)
 	defer search.close()
@@ -115,9 +114,9 @@
 	return plan
 }
 
-// mayEvict says whether v may be evicted for u: work of lower priority always, work of
-// the first priority only beyond its account's guarantee, for work within one that would
-// otherwise start too late for it.
+// mayEvict reports whether v may be evicted for u. It must be allowed to stop (see mayStop), and it
+// must have a lower priority or, if u has to reclaim capacity for its account's guarantee, not be
+// protected by a guarantee itself.
 func (r *round) mayEvict(v, u *unit) bool {
 	if !v.mayStop(0) {
 		return false
@@ -128,7 +127,8 @@
 	return r.mustReclaim(u) && !r.protected[v.job]
 }
 
-// mustReclaim says whether u, within its account's guarantee, has to have its room emptied now.
+// mustReclaim reports whether u is covered by its account's guarantee and its victims have to be
+// stopped now for it to start in time.
 func (r *round) mustReclaim(u *unit) bool {
 	return r.protected[u.job] && r.now+r.e.params.StopTime+reclaimMargin >= u.since+r.e.params.MaxReclaimWait
 }
@@ -149,7 +149,7 @@
 	return sum
 }
 
-// stopUnit is Engine.stopUnit within a round.
+// stopUnit calls Engine.stopUnit and invalidates what the round has cached of the workers.
 func (r *round) stopUnit(u *unit, cause Cause) {
 	for _, p := range u.places {
 		r.invalidateDomains(p.worker)
@@ -159,7 +159,7 @@
 
 func (e *Engine) dropClaims(u *unit) { u.claims = nil }
 
-// dropWorkerClaims drops the claims on a worker that is gone.
+// dropWorkerClaims drops all claims on a worker that is gone.
 func (e *Engine) dropWorkerClaims(w *worker) {
 	for _, j := range e.orderedJobs {
 		for _, u := range j.units {
@@ -170,8 +170,8 @@
 	}
 }
 
-// moveOffDraining moves work off workers that drain: what can't end before the worker leaves is
-// stopped now, so that it saves its checkpoint and starts elsewhere sooner.
+// moveOffDraining stops runs on draining workers that can't end before the worker leaves, so that
+// they save a checkpoint and start elsewhere sooner.
 func (e *Engine) moveOffDraining(r *round) {
 	if !e.params.Policy.DrainMoves {
 		return
@@ -189,7 +189,7 @@
 				continue
 			}
 			if p.unit.spec().Checkpoints && untilLeave > 2*e.params.StopTime && !r.fitsElsewhere(p.unit) {
-				continue // it goes on saving here until there is room
+				continue // it makes progress here until there is room elsewhere
 			}
 			e.logDecision(p, "move", "the worker leaves")
 			r.stopUnit(p.unit, CauseDrained)
@@ -197,7 +197,7 @@
 	}
 }
 
-// fitsElsewhere says whether u could start on other workers now.
+// fitsElsewhere reports whether u could start on other workers now.
 func (r *round) fitsElsewhere(u *unit) bool {
 	at, slots := r.forecastFit(u, r.all, 0)
 	return slots != nil && at == 0
--- a/engine/evict_test.go
+++ b/engine/evict_test.go
@@ -7,9 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// An urgent job beyond its account's guarantee has just started on the only worker, when one
-// within a guarantee comes. What has just started throws the least work away, so that it was
-// stopped at once, and was late; it may run until the guarantee leaves no more time to wait.
+// An urgent job that has just started is the cheapest victim for a guaranteed one. It must be
+// evicted only when the guarantee allows no further waiting.
 func TestUrgentWorkIsEvictedForGuaranteeOnlyWhenDue(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
@@ -26,7 +25,7 @@
 	c.Check(d.runs(guaranteed), qt.HasLen, 0, qt.Commentf("the room is not free yet"))
 }
 
-// Patient work makes room for the same job at once.
+// Deferrable work is evicted for the same job at once.
 func TestDeferrableWorkIsEvictedForUrgentWorkAtOnce(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
--- a/engine/fence.go
+++ b/engine/fence.go
@@ -2,21 +2,21 @@
 
 import "cmp"
 
-// Fence orders all that is ordered of one worker: the worker refuses whatever carries a lower
-// fence than it has seen. Epoch is the planner's. Turn rises within an epoch whenever another
-// life answers under the worker's name: that life has seen no fence, and calls that were meant
-// for an earlier one, and were held up, carry the same name.
+// Fence orders all calls to one worker: the worker refuses calls with a lower fence than the
+// highest it has seen. Epoch is the planner's. Generation increases within an epoch whenever
+// another incarnation answers under the worker's name: a new incarnation has seen no fence, and
+// delayed calls to an earlier one carry the same name.
 type Fence struct {
 	Epoch      uint64
 	Generation uint64
 }
 
-// GenerationStep is by how much the turn is raised for another life. Agents count in between, each
-// time that their worker does not answer, so that whichever life answers next is fenced before
-// a planner has heard of it.
+// GenerationStep is how much a planner raises the generation for a new incarnation. Agents raise
+// it by smaller amounts each time their worker does not answer, so that the next incarnation is
+// fenced before a planner knows of it.
 const GenerationStep = 1 << 8
 
-// Compare returns -1, 0 or 1 as f is lower than o, the same or higher.
+// Compare returns -1, 0 or 1 if f is lower than, equal to or higher than o.
 func (f Fence) Compare(o Fence) int {
 	return cmp.Or(cmp.Compare(f.Epoch, o.Epoch), cmp.Compare(f.Generation, o.Generation))
 }
--- a/engine/fit.go
+++ b/engine/fit.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// never is a time that does not come.
+// never is later than any time that occurs.
 const never = time.Duration(1<<62 - 1)
 
-// sortedWorkers returns all workers in a fixed order. The caller does not change the slice.
+// sortedWorkers returns all workers ordered by ID. The caller must not change the slice.
 func (e *Engine) sortedWorkers() []*worker {
 	if e.workersByID == nil {
 		e.workersByID = slices.SortedFunc(maps.Values(e.workers), func(a, b *worker) int { return cmp.Compare(a.info.ID, b.info.ID) })
@@ -18,7 +18,7 @@
 	return e.workersByID
 }
 
-// findWorkers returns a worker for each member of u, or nil where it has to wait.
+// findWorkers returns a worker for each member of u, or nil if u has to wait.
 func (r *round) findWorkers(u *unit) []*worker {
 	preferred := r.preferredDomains(u)
 	if workers := r.chooseWorkers(u, preferred); workers != nil {
@@ -30,15 +30,14 @@
 	return r.chooseWorkers(u, r.allDomains())
 }
 
-// maxWaitBesideIdleFleet is how long a unit waits for room nearby while most of the fleet stands idle.
+// maxWaitBesideIdleFleet limits the wait for preferred workers while most of the service is idle.
 const maxWaitBesideIdleFleet = 2 * time.Second
 
-// waitedBesideIdleFleet says whether u has waited long enough for room nearby while more than half
-// of its service's room stood idle.
+// waitedBesideIdleFleet reports whether u has waited maxWaitBesideIdleFleet for its preferred
+// workers while more than half of its service's capacity was free.
 //
-// The failure it guards against: what runs nearby is always about to end, by forecasts that
-// rest on declared run times, and what ends there makes room for others that go first. A
-// gang waited for its rack for forty seconds, at the end with the rest of the fleet idle.
+// It guards against endless waiting: forecasts rely on declared durations, which may be too
+// short, and capacity that becomes free may go to units ahead of u.
 func (r *round) waitedBesideIdleFleet(u *unit) bool {
 	if !r.serviceMostlyIdle(u) {
 		u.idleSince = 0
@@ -50,8 +49,8 @@
 	return r.now-u.idleSince >= maxWaitBesideIdleFleet
 }
 
-// serviceMostlyIdle says whether more than half of the room of u's service is free, by accelerators
-// where it needs them and by processors where it does not.
+// serviceMostlyIdle reports whether more than half of the capacity of u's service is free,
+// measured in accelerators if u needs them, else in processors.
 func (r *round) serviceMostlyIdle(u *unit) bool {
 	free, total := 0, 0
 	for _, w := range r.all.workers {
@@ -69,20 +68,20 @@
 	return 2*free > total
 }
 
-// domainSet are sets of workers within which a unit runs at full speed.
+// domainSet holds alternative domains, within each of which a unit runs at full speed.
 type domainSet struct {
 	domains []*domain
-	// anywhere: there is no set where it would run faster than on all workers.
+	// anywhere is set if the only domain is all workers.
 	anywhere bool
 }
 
-// allDomains is all workers, where nothing is nearer than anything else.
+// allDomains returns the domain of all workers.
 func (r *round) allDomains() domainSet {
 	return domainSet{domains: []*domain{r.all}, anywhere: true}
 }
 
-// preferredDomains returns where u runs at full speed: on its preferred rack, on any one rack for
-// a gang that wants to be close together, else anywhere.
+// preferredDomains returns the domains in which u runs at full speed: its preferred rack, each
+// single rack for a gang with SameRack, else all workers.
 func (r *round) preferredDomains(u *unit) domainSet {
 	if r.nearOf != u {
 		r.nearOf, r.nearSets = u, r.findPreferredDomains(u)
@@ -112,7 +111,7 @@
 	return r.allDomains()
 }
 
-// fitsWhenEmpty says whether u would fit on the workers if they were empty.
+// fitsWhenEmpty reports whether u would fit on the workers of set if nothing ran there.
 func (r *round) fitsWhenEmpty(u *unit, set *domain) bool {
 	fitting := 0
 	for _, w := range set.workers {
@@ -123,9 +122,9 @@
 	return fitting >= u.size
 }
 
-// worthRunningRemotely says whether running far away, several times slower, is better than
-// waiting for room nearby. A guaranteed job does not wait longer than its account was
-// promised.
+// worthRunningRemotely reports whether running several times slower outside of the preferred
+// domains is better than waiting for them. A unit covered by a guarantee waits only for part of
+// the time in which its account may reclaim capacity.
 func (r *round) worthRunningRemotely(u *unit, preferred domainSet) bool {
 	if r.protected[u.job] && r.now-u.since > r.e.params.MaxReclaimWait/4 {
 		return true
@@ -139,8 +138,8 @@
 	return true
 }
 
-// chooseWorkers returns workers of one of the sets, the one that is left with the least room
-// that a large gang could have used.
+// chooseWorkers returns workers in one of the domains: the one with the fewest accelerators left
+// over, to keep space for large gangs elsewhere. It returns nil if u fits in none.
 func (r *round) chooseWorkers(u *unit, d domainSet) []*worker {
 	var best []*worker
 	leastLeftover := 0
@@ -153,27 +152,28 @@
 	return best
 }
 
-// candidate is a worker that may take members of a unit.
+// candidate is a worker where members of a unit can be placed.
 type candidate struct {
 	worker   *worker
 	slots    int
 	leftover int
-	// sameStepOnWorker and sameStepOnRack count tasks of the same step there, where they are spread.
+	// sameStepOnWorker and sameStepOnRack count tasks of the same step, for long-running steps.
 	sameStepOnWorker, sameStepOnRack int
-	// interference is what it costs to share the worker.
+	// interference is the score of sharing the worker; see Engine.interferenceScore.
 	interference int
-	// crashRisk is what a crash of the worker under the unit would cost.
+	// crashRisk is the cost of a crash of the worker under the unit.
 	crashRisk float64
 }
 
-// cannotFit says whether the set certainly has no room for u: what is free there, however it
-// is spread, is less than u takes. It saves looking at each worker of a full fleet.
+// cannotFit reports whether set certainly has too few free accelerators for u. It is a cheap test
+// that avoids examining each worker of a full set.
 func (u *unit) cannotFit(set *domain) bool {
 	return len(u.claims) == 0 && set.freeAccelerators() < u.size*u.demand().Accelerators
 }
 
-// pack spreads u over as few workers of a set as possible, the fullest first, those
-// without recent failures before others. rest is the accelerators left free in the set.
+// pack places u on as few workers of a set as possible, preferring workers without recent failures
+// and then the fullest. It returns nil if u does not fit; leftover is the number of accelerators
+// that remain free in the set.
 func (r *round) pack(u *unit, set *domain) (chosen []*worker, leftover int) {
 	if u.cannotFit(set) {
 		return nil, 0
--- a/engine/fit_test.go
+++ b/engine/fit_test.go
@@ -9,9 +9,8 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// A gang is to run on the rack of its data, where work goes on that has long been about to
-// end. The rest of the fleet stands idle. The gang waited for its rack for ever; it starts
-// elsewhere, several times slower, after a moment.
+// The declared durations of tasks on a gang's preferred rack are too short, so that capacity there
+// always seems about to become free. With the other racks idle, the gang must start elsewhere.
 func TestGangDoesNotWaitForRackInIdleFleet(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 9)
@@ -24,8 +23,7 @@
 	c.Check(d.runs(id), qt.HasLen, 2)
 }
 
-// The same with most of the fleet at work: the gang waits for its rack, where it takes a
-// third of the time.
+// While most of the fleet is busy, the gang waits for its preferred rack.
 func TestGangWaitsForRackInBusyFleet(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 9)
@@ -40,7 +38,7 @@
 	c.Check(d.runs(id), qt.HasLen, 0)
 }
 
-// fillRack fills rack r0 with work that its callers declared to take a second.
+// fillRack fills rack r0 with tasks that are declared to take one second.
 func (d *driver) fillRack() {
 	busy := taskStep(3, 8)
 	busy.PreferredRack = "r0"
@@ -48,7 +46,7 @@
 	d.submit(1, "", busy)
 }
 
-// submitRackGang hands in a gang of two workers with its data on rack r0.
+// submitRackGang submits a gang of two members that prefers rack r0.
 func (d *driver) submitRackGang() workload.JobID {
 	step := gangStep(2, 8)
 	step.PreferredRack = "r0"
--- a/engine/forecast.go
+++ b/engine/forecast.go
@@ -8,29 +8,29 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// capacityRelease is room that becomes free.
+// capacityRelease is capacity that becomes free after a delay.
 type capacityRelease struct {
 	at     time.Duration
 	worker *worker
 	freed  workload.Resources
-	// seq tells apart what becomes free at the same time.
+	// seq breaks ties between releases at the same time.
 	seq int
 }
 
-// domain is a set of workers within a round.
+// domain is a set of workers within a planning round, with cached values.
 type domain struct {
 	workers []*worker
-	// upcoming are the releases expected there, the earliest first; known says whether they
-	// are as the placements are now.
+	// upcoming are the expected releases, the earliest first. upcomingValid is set if they
+	// match the current placements.
 	upcoming      []capacityRelease
 	upcomingValid bool
-	// freeCount are the accelerators that nothing holds or claims, counted says whether they are
-	// as the placements and claims are now.
+	// freeCount is the number of accelerators that are neither held nor claimed. freeCountValid is
+	// set if it matches the current placements and claims.
 	freeCount      int
 	freeCountValid bool
 }
 
-// freeAccelerators returns the accelerators of the set that nothing holds or claims.
+// freeAccelerators returns the number of accelerators that are neither held nor claimed.
 func (d *domain) freeAccelerators() int {
 	if d.freeCountValid {
 		return d.freeCount
@@ -43,7 +43,7 @@
 	return d.freeCount
 }
 
-// totalAccelerators returns how many the workers of the set have.
+// totalAccelerators returns the number of accelerators of all workers in the domain.
 func (d *domain) totalAccelerators() int {
 	sum := 0
 	for _, w := range d.workers {
@@ -52,9 +52,8 @@
 	return sum
 }
 
-// upcomingReleases returns what becomes free on the workers, the earliest first. They are the same
-// for every unit that waits, and sorting them anew for each is a good part of a round's
-// cost with hundreds of workers.
+// upcomingReleases returns the capacity that becomes free on the workers, the earliest first. The
+// result is cached since it is the same for all waiting units.
 func (d *domain) upcomingReleases(r *round) []capacityRelease {
 	if d.upcomingValid {
 		return d.upcoming
@@ -72,7 +71,7 @@
 	return d.upcoming
 }
 
-// invalidateDomains notes that the round has invalidateDomains the placements or the claims on a worker.
+// invalidateDomains clears cached values after placements or claims on a worker have changed.
 func (r *round) invalidateDomains(w *worker) {
 	r.all.upcomingValid, r.all.freeCountValid = false, false
 	if rack := r.racks[w.info.Rack]; rack != nil {
@@ -80,12 +79,12 @@
 	}
 }
 
-// forecastFit returns in how long u is expected to fit on the workers of a set, if nothing else
-// is placed there, and on which of them; never where it does not fit within the limit.
+// forecastFit returns after what delay u is expected to fit on the workers of a set if nothing else
+// is placed there, and the number of members for each worker. It returns never if u does not fit
+// within limit.
 //
-// Each release changes what fits on its own worker only, so the sum over the set is kept up
-// instead of being counted anew: with 300 workers and 1,000 waiting units that is most of
-// what a round costs.
+// A release changes the count on its own worker only, so the total is updated instead of counting
+// all workers again.
 func (r *round) forecastFit(u *unit, set *domain, limit time.Duration) (time.Duration, map[*worker]int) {
 	f := newFitForecast(r, u, set)
 	defer f.close()
@@ -100,7 +99,7 @@
 			break
 		}
 		if rel.worker.round.at < 0 {
-			continue // u may not run there
+			continue // u may not run on this worker
 		}
 		f.addRelease(rel)
 		if f.fits() {
@@ -110,17 +109,18 @@
 	return never, nil
 }
 
-// fitForecast is the room for one unit on a set of workers as time passes. One is open at a
-// time.
+// fitForecast is the capacity for one unit on a set of workers as releases are added. At most one
+// is open at a time, as it uses worker.round.at.
 type fitForecast struct {
 	unit         *unit
 	demand       workload.Resources
-	workers      []*worker // where u may run, in a fixed order
+	workers      []*worker // where the unit may run, in a fixed order
 	freeCapacity []workload.Resources
-	fitting      []int // how many members of u fit there
-	total        int   // the sum of members
+	fitting      []int // how many members fit on each worker
+	total        int   // the sum of fitting
 }
 
+// newFitForecast starts a forecast with the current free capacity.
 func newFitForecast(r *round, u *unit, set *domain) *fitForecast {
 	f := &r.outlook
 	*f = fitForecast{unit: u, demand: u.demand(), workers: f.workers[:0], freeCapacity: f.freeCapacity[:0], fitting: f.fitting[:0]}
@@ -137,14 +137,14 @@
 	return f
 }
 
-// close forgets the workers' places in the outlook.
+// close clears the workers' indexes in the forecast.
 func (f *fitForecast) close() {
 	for _, w := range f.workers {
 		w.round.at = -1
 	}
 }
 
-// setFree notes the room of the worker at a place.
+// setFree sets the free capacity of the worker at an index.
 func (f *fitForecast) setFree(index int, free workload.Resources) {
 	n := max(0, perWorker(f.unit.spec(), f.demand.CountFitting(free, f.unit.size)))
 	f.total += n - f.fitting[index]
@@ -156,9 +156,10 @@
 	f.setFree(index, f.freeCapacity[index].Add(rel.freed))
 }
 
+// fits reports whether all members of the unit fit.
 func (f *fitForecast) fits() bool { return f.total >= f.unit.size }
 
-// slots spreads u over the room there is.
+// slots distributes the members over the workers.
 func (f *fitForecast) slots() map[*worker]int {
 	out := map[*worker]int{}
 	left := f.unit.size
--- a/engine/forecast_test.go
+++ b/engine/forecast_test.go
@@ -11,7 +11,7 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// naiveForecast is forecast without its sums: after each release all workers are counted.
+// naiveForecast computes forecastFit's delay by counting all workers after each release.
 func naiveForecast(r *round, u *unit, set *domain) time.Duration {
 	f := newFitForecast(r, u, set)
 	defer f.close()
@@ -35,8 +35,8 @@
 	return never
 }
 
-// The sums that a forecast keeps up must say what counting all workers after each release
-// says, also where claims leave less than nothing free on a worker.
+// forecastFit must return the same as naiveForecast, also if claims exceed the free capacity of a
+// worker.
 func TestForecastMatchesNaiveForecast(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(200) {
--- a/engine/headroom.go
+++ b/engine/headroom.go
@@ -6,27 +6,25 @@
 	"time"
 )
 
-// Headroom answers bursts of urgent jobs that fit on one rack and last for a second or
-// three: stopping other work for each takes as long as a stop does, which is most of what
-// such a job may be late. So work that can wait leaves some racks as empty as urgent jobs
-// lately needed them. What can't wait any longer takes that room too.
+// Stopping other work to make room takes most of the time that a short urgent job may be late. So
+// work that can be deferred leaves some racks, the headroom, as empty as recent urgent jobs needed.
+// Work that can't be deferred any longer uses the headroom too.
 const (
-	// deferrableSlack is how much time a unit must have left before its latest start to
-	// leave the room alone. It covers the wait for the next release of room.
+	// deferrableSlack is the minimum time to a unit's latest start at which it is deferrable. It
+	// covers the wait for the next release of capacity.
 	deferrableSlack = 6 * time.Second
-	// maxDeferral bounds how long a unit leaves the room alone after it could have started:
-	// several times what an urgent job lasts.
+	// maxDeferral limits how long a unit that could have started is kept out of the headroom.
 	maxDeferral = 12 * time.Second
-	// minUrgentHistory is how many urgent jobs are remembered at least, and urgentFor how long:
-	// more than a burst brings.
+	// minUrgentHistory is the number of urgent jobs that are always remembered. Further ones are
+	// remembered for urgentHistoryAge, to cover a whole burst.
 	minUrgentHistory = 24
 	urgentHistoryAge = 15 * time.Second
-	// maxHeadroomShare is the largest part of the racks that is kept for urgent jobs: a fleet that
-	// stands ready for more has no room for the work that pays for it.
+	// maxHeadroomShare limits the share of racks kept as headroom, so that enough remain for
+	// other work.
 	maxHeadroomShare = 0.25
 )
 
-// urgentHistory remembers when urgentHistory jobs came and how many accelerators they took.
+// urgentHistory holds the arrival times and sizes of recent urgent jobs.
 type urgentHistory struct {
 	arrivals []urgentArrival
 }
@@ -43,10 +41,9 @@
 	}
 }
 
-// target returns the accelerators to keep free: as many as all but the largest of a share
-// of the latest urgent jobs took, and at least what came together within the time that it
-// takes to make room for more. On a small fleet that is one job; where several come each
-// second, room for one would be gone with the first.
+// target returns the number of accelerators to keep free: a quantile of the sizes of recent urgent
+// jobs, given by share, but at least the peak demand within stopTime. The peak matters if several
+// urgent jobs arrive in the time that it takes to stop other work.
 func (u *urgentHistory) target(share float64, stopTime time.Duration) int {
 	if len(u.arrivals) == 0 {
 		return 0
@@ -59,7 +56,8 @@
 	return max(sizes[int(share*float64(len(sizes)-1))], u.peakWithin(stopTime))
 }
 
-// peakWithin returns the most accelerators that urgent jobs took which came within a span.
+// peakWithin returns the most accelerators that urgent jobs requested within any span of that
+// length.
 func (u *urgentHistory) peakWithin(span time.Duration) int {
 	peak, sum, first := 0, 0, 0
 	for _, a := range u.arrivals {
@@ -73,8 +71,8 @@
 	return peak
 }
 
-// pickHeadroomRacks chooses the racks that are kept empty: the emptiest, as many as hold the target.
-// They stay so unless others are clearly emptier.
+// pickHeadroomRacks chooses the emptiest racks as headroom, enough to hold the target. The
+// present headroom racks are preferred, so that they change only if others are clearly emptier.
 func (r *round) pickHeadroomRacks() {
 	if r.e.params.Policy.Headroom {
 		r.target = r.e.urgentHistory.target(r.e.params.Policy.HeadroomShare, r.e.params.StopTime)
@@ -105,7 +103,7 @@
 	r.target = min(r.target, capacity)
 }
 
-// freeHeadroom returns the accelerators of the spare racks that nothing holds or claims.
+// freeHeadroom returns the number of free and unclaimed accelerators of the headroom racks.
 func (r *round) freeHeadroom() int {
 	sum := 0
 	for rack := range r.e.headroomRacks {
@@ -114,7 +112,8 @@
 	return sum
 }
 
-// limitToHeadroom returns how many members of u may go onto w without using up the headroom.
+// limitToHeadroom returns how many of n members of u may be placed on w without using headroom
+// that must stay free.
 func (r *round) limitToHeadroom(u *unit, w *worker, n int) int {
 	need := u.demand().Accelerators
 	if n <= 0 || need == 0 || !r.e.headroomRacks[w.info.Rack] || !r.deferrable(u) {
@@ -123,11 +122,10 @@
 	return max(0, min(n, (r.freeHeadroom()-r.target)/need))
 }
 
-// deferrable says whether u can wait.
+// deferrable reports whether u can be kept out of the headroom.
 //
-// The failure that the bound guards against: a job that has missed its objective has no
-// deadline left. It would leave the room alone for ever, and never run where only that rack
-// has its data, with the room free.
+// The time limit guards against starvation: a job that has missed its objective has no deadline
+// left, so it would never run if only a headroom rack holds its data.
 func (r *round) deferrable(u *unit) bool {
 	if u.job.spec.QueuePolicy.Priority == 0 || r.now-u.since > maxDeferral {
 		return false
--- a/engine/headroom_test.go
+++ b/engine/headroom_test.go
@@ -9,9 +9,8 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// Small patient jobs fill every worker, and then an urgent gang comes: it had to wait for
-// the stop of eight of them. With the sizes of urgent gangs known, patient work leaves a
-// rack alone, and the gang starts at once.
+// Deferrable work must leave a rack free for urgent gangs whose size is known, so that they start
+// without evictions.
 func TestDeferrableWorkLeavesHeadroomToUrgentGangs(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 9)
@@ -30,7 +29,7 @@
 	c.Check(len(d.runs(id)) >= 7, qt.IsTrue)
 }
 
-// The same patient work has waited until it has to start: then the room is its own.
+// Work that can't be deferred any longer uses the headroom.
 func TestWorkThatCannotWaitUsesHeadroom(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 3)
@@ -44,7 +43,7 @@
 	c.Check(d.starts, qt.HasLen, 2+24, qt.Commentf("three times a second and one more: no slack to speak of"))
 }
 
-// finishUrgentGang lets an urgent gang of two workers come and go, so that its size is known.
+// finishUrgentGang runs an urgent gang of two workers to its end, so that its size is known.
 func (d *driver) finishUrgentGang() {
 	first := d.submit(0, "", gangStep(2, 8))
 	d.settle()
@@ -52,8 +51,7 @@
 	d.settle()
 }
 
-// Only the rack that is kept for urgent jobs has room. Work that can wait leaves it alone,
-// but not for ever: it runs there after a while, also once it has no deadline left.
+// Late work has no deadline left. It must not be kept out of the headroom forever.
 func TestLateWorkEventuallyUsesHeadroom(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 3)
@@ -68,7 +66,7 @@
 	c.Check(d.runs(id), qt.HasLen, 1)
 }
 
-// fillWorker lets work that can't wait take a worker, so that only the headroom is free.
+// fillWorker fills a worker with work that can't be deferred, so that only the headroom is free.
 func (d *driver) fillWorker(t *testing.T) {
 	t.Helper()
 	short := taskStep(1, 8)
@@ -77,9 +75,7 @@
 	d.settle()
 }
 
-// On a fleet of hundreds of workers several urgent jobs come each second. Room for one was
-// gone with the first, and the others waited for stops, which take longer than such a job
-// may be late. What came together before is what is kept free.
+// Several urgent jobs arrive within the time that a stop takes. The headroom must hold all of them.
 func TestConcurrentUrgentJobsStartAtOnce(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 36)
@@ -106,8 +102,7 @@
 	c.Check(d.stops, qt.HasLen, 0)
 }
 
-// Urgent jobs that together take most of the fleet don't keep the rest of the work out: a
-// quarter of the racks is kept for them at most.
+// However much urgent jobs request, at most a quarter of the racks is kept for them.
 func TestHeadroomIsBounded(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 36)
--- a/engine/health.go
+++ b/engine/health.go
@@ -2,20 +2,18 @@
 
 import "time"
 
-// Health of workers that fail what they start, or refuse it, while their health
-// check is good. Failures count only where different units meet them in a row: a job
-// that fails by its own fault fails on every worker.
+// New tasks are kept off workers that fail or refuse tasks although their health check passes.
+// Only consecutive failures of different units count, as a faulty job fails on every worker.
 const (
-	// initialBackoff is how long a worker gets nothing after its second failure in a row;
-	// each further one doubles it, up to maxRest. Disruptions of this kind last about
-	// five seconds, so a worker is tried again two or three times in one.
+	// initialBackoff is how long a worker gets no tasks after backoffThreshold failures in a row.
+	// Each further failure doubles it, up to maxBackoff.
 	initialBackoff = 1500 * time.Millisecond
 	maxBackoff     = 12 * time.Second
-	// backoffThreshold is the number of failures in a row that make a worker rest.
+	// backoffThreshold is the number of failures in a row after which a worker backs off.
 	backoffThreshold = 2
 )
 
-// workerHealth is what a worker's past runs say of it.
+// workerHealth is the recent failure history of a worker.
 type workerHealth struct {
 	failures    int
 	lastUnit    *unit
@@ -23,6 +21,7 @@
 	pausedUntil time.Duration
 }
 
+// recordFailure counts a failure, unless the last one was of the same unit.
 func (h *workerHealth) recordFailure(u *unit, now time.Duration) {
 	if h.lastUnit == u {
 		return
@@ -35,32 +34,32 @@
 	h.startBackoff(now)
 }
 
-// countWorkerFailure counts a failure of p against its worker.
+// countWorkerFailure counts a failure of p against its worker if the policy says so.
 func (e *Engine) countWorkerFailure(now time.Duration, p *placement) {
 	if e.params.Policy.WorkerHealth {
 		p.worker.health.recordFailure(p.unit, now)
 	}
 }
 
-// startBackoff keeps work away from the worker for a while.
+// startBackoff keeps new tasks off the worker for a growing time.
 func (h *workerHealth) startBackoff(now time.Duration) {
 	h.lastBackoff = min(max(2*h.lastBackoff, initialBackoff), maxBackoff)
 	h.pausedUntil = max(h.pausedUntil, now+h.lastBackoff)
 }
 
-// noCapacityPause is how long a worker that has no room for what it was to start gets nothing. It
-// has less than it last told, and tells how much it has in each heartbeat.
+// noCapacityPause is how long a worker gets no tasks after refusing one for lack of capacity. Its
+// next heartbeat reports its actual capacity.
 const noCapacityPause = 750 * time.Millisecond
 
-// pauseForCapacity keeps work away from a worker that had no room. It says nothing of its health.
+// pauseForCapacity keeps new tasks off a worker that lacked capacity, without counting a failure.
 func (h *workerHealth) pauseForCapacity(now time.Duration) {
 	h.pausedUntil = max(h.pausedUntil, now+noCapacityPause)
 }
 
 func (h *workerHealth) reset() { *h = workerHealth{} }
 
-// paused says whether new tasks should go elsewhere.
+// paused reports whether the worker gets no new tasks at present.
 func (h *workerHealth) paused(now time.Duration) bool { return now < h.pausedUntil }
 
-// failureRank orders workers: those without failures first.
+// failureRank orders workers by recent failures, those without any first.
 func (h *workerHealth) failureRank() int { return min(h.failures, backoffThreshold) }
--- a/engine/helpers_test.go
+++ b/engine/helpers_test.go
@@ -9,7 +9,7 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// driver drives one Engine by hand.
+// driver drives one Engine and simulates its workers and store.
 type driver struct {
 	t      *testing.T
 	e      *Engine
@@ -18,15 +18,15 @@
 	starts []StartOrder
 	stops  []workload.RunID
 	paces  []PaceOrder
-	// dropPaceReplies: orders of speeds get no answer.
+	// dropPaceReplies leaves pace orders unanswered.
 	dropPaceReplies bool
-	// startOutcome is what becomes of a start; nil: as the turn says.
+	// startOutcome overrides the outcome of starts if it is set.
 	startOutcome func(StartOrder) StartOutcome
-	// decisionCounts counts what was decided of each job.
+	// decisionCounts counts the decisions on each job by kind.
 	decisionCounts map[workload.JobID]map[string]int
-	startedOn      map[workload.RunID]WorkerID // where each start went
+	startedOn      map[workload.RunID]WorkerID // the worker of each start
 	endCounts      map[WorkerID]int64
-	// discarded and late are what the engine accounted for.
+	// discarded and late are the corresponding actions so far.
 	discarded []WorkDiscarded
 	late      []JobLate
 }
@@ -45,7 +45,8 @@
 	return d
 }
 
-// workerReport returns a workerReport of 32 cores and 8 accelerators, three to a rack.
+// workerReport returns the first report of a worker with 32 cores and 8 accelerators. There are
+// three workers in a rack.
 func (d *driver) workerReport(i int) Report {
 	return Report{Epoch: 1, Polled: true, Worker: WorkerInfo{
 		ID: WorkerID(fmt.Sprint("w", i)), Agent: fmt.Sprint("agent", i), Service: "s",
@@ -58,8 +59,8 @@
 
 func (d *driver) handle(ev Event) { d.e.HandleEvent(d.now, ev) }
 
-// settle writes all changes, answers all starts with ok and collects orders, until
-// nothing more happens.
+// settle applies all writes and orders, answering starts with StartOK, until there are no more. It
+// fails the test if the engine does not settle.
 func (d *driver) settle() {
 	for range 20 {
 		if !d.decideAndStore(StartOK) {
@@ -69,7 +70,8 @@
 	d.t.Fatal("the engine does not come to rest")
 }
 
-// decideAndStore makes one round of decisions and one write, and answers starts with outcome.
+// decideAndStore applies the actions of one Decide and one write, answers starts with outcome, and
+// reports whether there were orders or writes.
 func (d *driver) decideAndStore(outcome StartOutcome) bool {
 	busy := false
 	for _, a := range d.e.Decide(d.now) {
@@ -114,7 +116,7 @@
 	return busy
 }
 
-// submit hands in a submit of the given steps.
+// submit submits a job of the given steps.
 func (d *driver) submit(priority int, account string, steps ...workload.Step) workload.JobID {
 	d.jobs++
 	id := workload.JobID(fmt.Sprintf("job%d", d.jobs))
@@ -125,7 +127,7 @@
 	return id
 }
 
-// runs returns the last runs ordered of a job that have not been stopped, by worker.
+// runs returns the runs that hold capacity for a job, by worker.
 func (d *driver) runs(id workload.JobID) map[WorkerID][]workload.RunID {
 	out := map[WorkerID][]workload.RunID{}
 	for _, w := range d.e.sortedWorkers() {
@@ -138,7 +140,7 @@
 	return out
 }
 
-// endRuns lets workers list the endRuns of all runs of a job.
+// endRuns reports the end of all runs of a job.
 func (d *driver) endRuns(id workload.JobID, reason EndReason) {
 	for worker, runs := range d.runs(id) {
 		w := d.e.workers[worker]
@@ -151,7 +153,7 @@
 	}
 }
 
-// advance lets time advance while all workers report what the engine expects of them.
+// advance advances the time in steps of 100 ms; each worker reports progress in each step.
 func (d *driver) advance(span time.Duration) {
 	for end := d.now + span; d.now < end; d.now += 100 * time.Millisecond {
 		for _, w := range d.e.sortedWorkers() {
@@ -161,14 +163,14 @@
 	}
 }
 
-// reportProgress lets one worker report what is expected of it.
+// reportProgress reports all runs of a worker with some progress.
 func (d *driver) reportProgress(id WorkerID) {
 	d.reportRuns(id, func(p *placement) RunStatus {
 		return RunStatus{Percent: p.pulse.percent + 1, Checkpoint: p.saved}
 	})
 }
 
-// reportRuns lets one worker report its runs, each as row says.
+// reportRuns reports all runs of a worker as row describes them.
 func (d *driver) reportRuns(id WorkerID, row func(p *placement) RunStatus) {
 	w := d.e.workers[id]
 	r := Report{Epoch: d.e.epoch, Polled: true, Worker: w.info}
@@ -180,7 +182,7 @@
 	d.report(r)
 }
 
-// tick tells the engine the time and lets it settle.
+// tick sends a Tick and settles.
 func (d *driver) tick() {
 	d.handle(Tick{WallTime: time.Unix(1000, 0).Add(d.now)})
 	d.settle()
@@ -199,7 +201,7 @@
 	return s
 }
 
-// takeOver puts the next planner in the place of the present one, from its records.
+// takeOver replaces the engine by that of the next planner, restored from the stored records.
 func (d *driver) takeOver() {
 	old := d.e
 	d.e = New(old.params, old.epoch+1, d.now, 0)
--- a/engine/interference.go
+++ b/engine/interference.go
@@ -1,24 +1,23 @@
 package engine
 
-// imagePair is a task that fills beside one that serves users.
+// imagePair is the image of a best-effort task and that of a latency-sensitive task on one worker.
 type imagePair struct {
 	bestEffort       string
 	latencySensitive string
 }
 
 const (
-	// initialTolerance is the speed in percent at which an unknown image begins to fill: so
-	// low that even one that would double its neighbour's response times stays harmless,
-	// and high enough to show an effect.
+	// initialTolerance is the speed in percent at which a best-effort task of an unknown pair of
+	// images starts: low enough to be harmless and high enough for an effect to be measurable.
 	initialTolerance = 25
-	// Weights of the newest observation: what is too much counts at once, what is
-	// tolerated takes some seconds to be believed, since loads change within seconds.
+	// decreaseWeight and increaseWeight are the weights of the newest observation. Violations
+	// count more, since load changes within seconds.
 	decreaseWeight = 0.5
 	increaseWeight = 0.25
 )
 
-// interferenceModel learns, by pair of images, the speed in percent at which one may fill
-// beside the other so that the other keeps its target.
+// interferenceModel estimates for each pair of images the speed in percent at which the
+// best-effort task may run while the latency-sensitive task still meets its target.
 type interferenceModel struct {
 	toleratedPercent map[imagePair]float64
 }
@@ -27,6 +26,7 @@
 	return interferenceModel{toleratedPercent: map[imagePair]float64{}}
 }
 
+// tolerance returns the estimated speed in percent.
 func (m *interferenceModel) tolerance(pair imagePair) float64 {
 	if t, ok := m.toleratedPercent[pair]; ok {
 		return t
@@ -34,8 +34,8 @@
 	return initialTolerance
 }
 
-// observeViolation notes that percent brought the neighbour over what it may take; strain is by
-// how much, in parts of its target.
+// observeViolation records that a best-effort task at percent raised the tail latency to
+// latencyRatio, as a fraction of the target.
 func (m *interferenceModel) observeViolation(pair imagePair, percent int, latencyRatio float64) {
 	tolerable := float64(percent) * strainCeiling / latencyRatio
 	if t := m.tolerance(pair); tolerable < t {
@@ -43,7 +43,7 @@
 	}
 }
 
-// observeTolerated notes that the neighbour did well at percent.
+// observeTolerated records that the latency-sensitive task met its target at percent.
 func (m *interferenceModel) observeTolerated(pair imagePair, percent int) {
 	if t := m.tolerance(pair); float64(percent) > t {
 		m.toleratedPercent[pair] = t + increaseWeight*(float64(percent)-t)
--- a/engine/interference_score.go
+++ b/engine/interference_score.go
@@ -1,7 +1,7 @@
 package engine
 
-// interferenceScore orders workers for u by how little it would disturb, or be disturbed, there:
-// from 0, where it has nothing to share, to 100.
+// interferenceScore estimates how much sharing a worker would slow u or the tasks that run there,
+// from 0 (none) to 100.
 func (e *Engine) interferenceScore(u *unit, w *worker) int {
 	s := u.spec()
 	if !s.BestEffortCPU && s.TailLatencyTarget == 0 {
@@ -23,8 +23,8 @@
 	return int(worst)
 }
 
-// cpuShortfall returns how many of 100 parts of u's processor time w would not have: what
-// others are counted with, and what fills there already.
+// cpuShortfall returns the percentage of the processor time that u needs which w can't provide,
+// given what is reserved there and what other best-effort tasks need.
 func (e *Engine) cpuShortfall(u *unit, w *worker) float64 {
 	needed := u.spec().Need.MilliCPU
 	if needed == 0 {
--- a/engine/job.go
+++ b/engine/job.go
@@ -7,50 +7,53 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// job is an accepted job and what is known of its units.
+// job is an accepted job and the state of its units.
 type job struct {
 	spec     workload.Job
-	revision int64 // revision at which it was accepted
-	// acceptedAt is on the engine's clock.
+	revision int64 // store revision of its acceptance
+	// acceptedAt is a time of the engine's clock.
 	acceptedAt time.Duration
 	units      []*unit
-	// createdOccurrences are the occurrences whose units exist.
+	// createdOccurrences is the number of occurrences whose units exist.
 	createdOccurrences int
 	state              workload.State
 	reason             string
 	started            bool // a task has started
 	canceled           bool
-	// cancelRevision is the revision of the cancellation, 0 where there is none.
+	// cancelRevision is the store revision of the cancellation, 0 if there is none.
 	cancelRevision int64
 	endedAt        time.Duration
-	// version counts changes that have to be on record; stored is the last that is.
+	// version counts the changes to be stored; storedVersion is the last stored one.
 	version       int
 	storedVersion int
-	// finalVersion is the version that made the state final.
+	// finalVersion is the version in which the state became final.
 	finalVersion int
-	// criticalPaths are what Engine.chainsOf returns, as of chainsAt of what was learned of run
-	// times; nil before they are asked for.
+	// criticalPaths caches the result of Engine.chainsOf, nil before the first use.
+	// criticalPathsVersion is the version of the run time estimates that it is based on.
 	criticalPaths        []time.Duration
 	criticalPathsVersion int
 	ticketsByStep        map[stepAt]*stepTickets
-	// unschedulableReason is why the job fits no workers, as last logged; unfitNext is when to look again.
+	// unschedulableReason is the last logged reason why no worker can run the job.
+	// unschedulableCheckAt is when to check again.
 	unschedulableReason  string
 	unschedulableCheckAt time.Duration
-	// archived: its records are replaced by its outcome, whose revision is record where a
-	// predecessor wrote it. cancelClosed is the revision of the cancellation that went too.
+	// archived: the records are replaced by the outcome. outcomeRevision is the revision of the
+	// outcome if a previous planner wrote it. archivedCancelRevision is the revision of the
+	// cancellation that was removed with the records.
 	archived               bool
 	outcomeRevision        int64
 	archivedCancelRevision int64
 }
 
-// bumpVersion marks a change that has to be on record.
+// bumpVersion records that the job has changed and must be stored.
 func (j *job) bumpVersion() { j.version++ }
 
-// Visible is the state that may be told: a final one only once it is on record.
+// reportedState returns the state to report to callers. A final state is reported only once it
+// is stored.
 func (j *job) reportedState() workload.State {
 	if j.state.Final() && j.storedVersion < j.finalVersion {
 		if j.state == workload.Cancelled {
-			return j.state // the request itself is on record
+			return j.state // the cancellation itself is stored
 		}
 		return workload.Running
 	}
@@ -60,20 +63,19 @@
 	return j.state
 }
 
-// hasStarted says whether a task of the job has started, as far as is known.
+// hasStarted reports whether a task of the job has started, as far as known.
 //
-// The failure it guards against: that a task began is not on record by itself, but its
-// placement is. A planner that has just taken over called jobs queued that ran, until the
-// agents had reported.
+// A placement is stored, but not that its task has started. So after a change of planner a stored
+// placement counts as started until the agents have reported.
 func (j *job) hasStarted() bool {
 	return j.started || slices.ContainsFunc(j.units, (*unit).adopted)
 }
 
-// objective returns the time by which the job should be completed, if its work takes as long
-// as is expected.
+// objective returns the time by which the job should complete, given the expected duration of its
+// work.
 func (e *Engine) objective(j *job) time.Duration { return j.objectiveFor(e.chain(j)) }
 
-// objectiveFor is the objective of a job whose longest chain of work takes that long.
+// objectiveFor returns the objective for a given duration of the critical path.
 func (j *job) objectiveFor(criticalPath time.Duration) time.Duration {
 	stretch := j.spec.QueuePolicy.Stretch
 	if stretch <= 0 {
@@ -82,16 +84,16 @@
 	return j.acceptedAt + time.Duration(stretch*float64(criticalPath)) + j.spec.QueuePolicy.TargetLatency
 }
 
-// uselessAfterFactor bounds a late job's use: after that many times its objective its caller has
-// no use for it.
+// uselessAfterFactor is the multiple of its objective after which a job's completion is of no use
+// to the caller.
 const uselessAfterFactor = 3
 
-// uselessFrom returns the time from which the job's caller has no use for it.
+// uselessFrom returns the time from which the job's completion is of no use to the caller.
 func (e *Engine) uselessFrom(j *job) time.Duration {
 	return j.acceptedAt + uselessAfterFactor*(e.objective(j)-j.acceptedAt)
 }
 
-// stepDone says whether all tasks of a step of an occurrence are done.
+// stepDone reports whether all tasks of a step of an occurrence are done.
 func (j *job) stepDone(occurrence, step int) bool {
 	for _, u := range j.units {
 		if u.occurrence == occurrence && u.step == step && u.state != unitDone {
@@ -101,6 +103,7 @@
 	return true
 }
 
+// dependenciesDone reports whether all steps that u depends on are done.
 func (j *job) dependenciesDone(u *unit) bool {
 	for _, dep := range u.spec().DependsOn {
 		if !j.stepDone(u.occurrence, dep) {
@@ -110,7 +113,7 @@
 	return true
 }
 
-// createOccurrence makes the units of the next occurrence.
+// createOccurrence creates the units of the next occurrence.
 func (j *job) createOccurrence(now time.Duration) {
 	k := j.createdOccurrences
 	j.createdOccurrences++
@@ -126,7 +129,7 @@
 	}
 }
 
-// unblockUnits moves the units whose earlier steps are done to the queue.
+// unblockUnits moves blocked units whose dependencies are done to the queue.
 func (j *job) unblockUnits(now time.Duration) {
 	for _, u := range j.units {
 		if u.state == unitBlocked && j.dependenciesDone(u) {
--- a/engine/jobs.go
+++ b/engine/jobs.go
@@ -6,7 +6,7 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// submit takes a job that is on record. A repeated one changes nothing.
+// submit adds a stored job. A repeated submission has no effect.
 func (e *Engine) submit(now time.Duration, ev JobSubmitted) {
 	if e.jobs[ev.Job.ID] != nil || e.expired[ev.Job.ID] {
 		return
@@ -26,6 +26,7 @@
 	}
 }
 
+// addJob adds a job without units.
 func (e *Engine) addJob(now time.Duration, ev JobSubmitted) *job {
 	j := &job{
 		spec:       ev.Job,
@@ -38,7 +39,7 @@
 	return j
 }
 
-// createDueOccurrences makes the units of the occurrences that are due.
+// createDueOccurrences creates the units of all occurrences that are due.
 func (e *Engine) createDueOccurrences(now time.Duration, j *job) {
 	for j.createdOccurrences < j.spec.Occurrences() {
 		due, scheduled := j.spec.Due(j.createdOccurrences)
@@ -49,7 +50,8 @@
 	}
 }
 
-// cancel ends a job at the caller's request: nothing of it starts any more.
+// cancel ends a job at its caller's request. A cancellation of an unknown job is kept until the
+// job is added.
 func (e *Engine) cancel(now time.Duration, ev CancelRequested) {
 	j := e.jobs[ev.Job]
 	if j == nil {
@@ -64,7 +66,7 @@
 	e.finish(now, j, workload.Cancelled, "cancelled by the caller")
 }
 
-// finish makes a job's state final and stops what still runs of it.
+// finish sets a job's final state and, if it was cancelled or has failed, stops its runs.
 func (e *Engine) finish(now time.Duration, j *job, state workload.State, reason string) {
 	j.state = state
 	j.reason = reason
@@ -85,7 +87,7 @@
 	e.planNeeded = true
 }
 
-// advanceJob moves a job on after one of its units was done.
+// advanceJob unblocks units after one is done, and completes the job after the last one.
 func (e *Engine) advanceJob(now time.Duration, j *job) {
 	if j.state.Final() {
 		return
@@ -102,7 +104,7 @@
 	e.finish(now, j, workload.Completed, "")
 }
 
-// JobStatus is what a caller may be told of a job.
+// JobStatus is the state of a job as reported to callers.
 type JobStatus struct {
 	State   workload.State
 	Queue   string
@@ -110,7 +112,7 @@
 	Reason  string
 }
 
-// Lookup returns the state of a job, and false for one that is not known.
+// Lookup returns the status of a job, and false if the job is not known.
 func (e *Engine) Lookup(id workload.JobID) (JobStatus, bool) {
 	j := e.jobs[id]
 	if j == nil {
@@ -119,7 +121,7 @@
 	return JobStatus{State: j.reportedState(), Queue: j.spec.Queue, Account: j.spec.Account, Reason: j.reason}, true
 }
 
-// UnstartedByQueue returns how many jobs of each queue have not begun.
+// UnstartedByQueue returns the number of jobs of each queue that have not started.
 func (e *Engine) UnstartedByQueue() map[string]int {
 	out := map[string]int{}
 	for _, j := range e.jobs {
--- a/engine/late_start_test.go
+++ b/engine/late_start_test.go
@@ -10,8 +10,7 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// cancelUnansweredStart orders a start that gets no answer, and cancels its job. The worker then confirms
-// the stop of a run that it does not have yet, and looks show nothing.
+// cancelUnansweredStart orders a start that gets no answer, and cancels its job.
 func (d *driver) cancelUnansweredStart(c *qt.C) (workload.RunID, WorkerID) {
 	id := d.submit(1, "", taskStep(1, 8))
 	var run workload.RunID
@@ -25,7 +24,7 @@
 	return run, d.startedOn[run]
 }
 
-// reportStopsRun lets a worker report one run, and returns whether its stop is ordered at once.
+// reportStopsRun reports a single run on a worker and returns whether its stop is ordered at once.
 func (d *driver) reportStopsRun(run workload.RunID, on WorkerID) bool {
 	d.stops = nil
 	d.now += 100 * time.Millisecond
@@ -37,9 +36,8 @@
 	return slices.Contains(d.stops, run)
 }
 
-// A worker leaves a start unanswered, and its job is cancelled. Seconds later, with the
-// placement long given up for lost, the worker carries the order out: nobody asked for the
-// task any more, and it must be stopped with the first look that shows it.
+// A start gets no answer, its job is cancelled and its placement given up. If the worker carries the
+// order out later, the run must be stopped with the first report that lists it.
 func TestLateStartOfCancelledJobIsStopped(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
@@ -51,8 +49,8 @@
 	c.Check(d.e.workers[on].usable(d.now), qt.IsFalse, qt.Commentf("its room is taken until it is gone"))
 }
 
-// The same, but the instance whose planner ordered the start has been removed meanwhile.
-// Its successor has read the cancelled job from the records and never ordered the task.
+// The same after a change of planner: the successor has read the cancelled job from the store and
+// never ordered the task.
 func TestSuccessorStopsLateStartOfCancelledJob(t *testing.T) {
 	for _, recorded := range []bool{true, false} {
 		c := qt.New(t)
--- a/engine/longrunning.go
+++ b/engine/longrunning.go
@@ -5,22 +5,21 @@
 	"time"
 )
 
-// Steps that last (Step.LongRunning) serve users of their own for as long as their job
-// lives. They are restarted however they end, spread so that one worker or rack takes few
-// of them, and stopped by the system only within the number that may be away at once.
+// Long-running steps (Step.LongRunning) serve users for as long as their job lives. Their tasks are
+// restarted whenever they end, spread over workers and racks, and stopped by the scheduler only
+// within MaxUnavailable.
 
 const (
-	// stableAfter is how long a task that lasts has to run for its end to be made up for at
-	// once.
+	// stableAfter is how long a task must have run for it to be restarted without a delay.
 	stableAfter = 10 * time.Second
-	// initialRestartDelay and restartMost bound the pause before it starts again otherwise. Its
-	// users wait, so that it stays short, but what can't run must not take a write to the
-	// store, an order and an end each few milliseconds for as long as its job lives.
+	// initialRestartDelay and maxRestartDelay bound the delay before restarting a task that ended
+	// sooner. It is short, as users wait, but prevents a task that can't run from causing
+	// continuous writes and orders.
 	initialRestartDelay = 100 * time.Millisecond
 	maxRestartDelay     = 2 * time.Second
 )
 
-// scheduleRestart lets a task that lasts start again after its run p has ended by itself.
+// scheduleRestart restarts a long-running task after its run p has ended by itself.
 func (e *Engine) scheduleRestart(now time.Duration, p *placement) {
 	u := p.unit
 	e.markRetry(u)
@@ -31,7 +30,7 @@
 	u.notBefore = now + u.restarts.next(initialRestartDelay, maxRestartDelay)
 }
 
-// unavailableTasks returns how many tasks of u's step are not at work, for whatever cause.
+// unavailableTasks returns how many units of u's step are not available, for whatever reason.
 func (u *unit) unavailableTasks() int {
 	n := 0
 	for _, o := range u.job.units {
@@ -42,7 +41,7 @@
 	return n
 }
 
-// available says whether all members of the unit run and none is about to be stopped.
+// available reports whether all members of the unit run at full progress and none is being stopped.
 func (u *unit) available() bool {
 	if u.state != unitActive || u.ending() || len(u.places) < u.size {
 		return false
@@ -52,8 +51,8 @@
 	})
 }
 
-// mayStop says whether the system may stop a task that lasts, beside alsoStopped others
-// of its step.
+// mayStop reports whether the scheduler may stop u while alsoStopped other units of its step are
+// stopped too.
 func (u *unit) mayStop(alsoStopped int) bool {
 	if !u.spec().LongRunning || !u.available() {
 		return true
@@ -61,9 +60,9 @@
 	return u.unavailableTasks()+alsoStopped < u.spec().MaxUnavailable
 }
 
-// fitsBesideGuarantees says whether one more task that lasts leaves the accounts' guarantees
-// reclaimable: what lasts can't be evicted for them, so it must never hold more than the
-// service's accelerators less all guarantees.
+// fitsBesideGuarantees reports whether u can start without endangering guarantees. Long-running
+// tasks can't be evicted, so those outside of priority 0 must not hold more than the accelerators
+// of their service less all guarantees.
 func (r *round) fitsBesideGuarantees(u *unit) bool {
 	if !u.spec().LongRunning || u.job.spec.QueuePolicy.Priority == 0 || u.demand().Accelerators == 0 {
 		return true
@@ -73,7 +72,7 @@
 		if w.info.Service != u.job.spec.Service || !w.sound(r.now) {
 			continue
 		}
-		total += w.most.Accelerators // room that is away for a while is promised all the same
+		total += w.most.Accelerators // the guarantees count on temporarily missing capacity too
 		for _, p := range w.places {
 			if p.unit.spec().LongRunning && p.unit.job.spec.QueuePolicy.Priority > 0 {
 				held += p.demand.Accelerators
@@ -83,7 +82,7 @@
 	return held+u.total().Accelerators <= total-r.e.totalGuaranteed()
 }
 
-// totalGuaranteed returns the accelerators that all accounts together are totalGuaranteed.
+// totalGuaranteed returns the sum of the accelerators guaranteed to all accounts.
 func (e *Engine) totalGuaranteed() int {
 	if e.catalog == nil {
 		return 0
--- a/engine/longrunning_test.go
+++ b/engine/longrunning_test.go
@@ -17,7 +17,7 @@
 	return s
 }
 
-// reportFullProgress lets all running tasks of a job reach full reportFullProgress.
+// reportFullProgress reports full progress of all running tasks of a job.
 func (d *driver) reportFullProgress(id workload.JobID) {
 	for worker := range d.runs(id) {
 		d.reportRuns(worker, func(p *placement) RunStatus {
@@ -29,7 +29,7 @@
 	}
 }
 
-// Six tasks of a service are placed: one worker or rack must not take most of them.
+// Tasks of a long-running step are spread evenly over workers and racks.
 func TestLongRunningTasksAreSpread(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 9)
@@ -44,8 +44,7 @@
 	c.Check(racks, qt.DeepEquals, map[string]int{"r0": 2, "r1": 2, "r2": 2})
 }
 
-// Tasks that last fail again and again. They are restarted without a limit of attempts,
-// and the job never fails.
+// Long-running tasks are restarted without a limit of attempts, and their job never fails.
 func TestLongRunningTasksAreAlwaysRestarted(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 3)
@@ -61,8 +60,8 @@
 	c.Check(found.State, qt.Equals, workload.Running)
 }
 
-// An urgent guaranteed gang needs the room of a service of which one task may be away at a
-// time: one is stopped and not two, and the rest of the room comes from other work.
+// An eviction stops at most MaxUnavailable tasks of a long-running step and frees the rest of the
+// capacity from other work.
 func TestEvictionRespectsMaxUnavailable(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 3)
@@ -83,7 +82,7 @@
 	c.Check(stopped <= 1, qt.IsTrue, qt.Commentf("%d stopped", stopped))
 }
 
-// What lasts can't be evicted, so it must not grow into what accounts are guaranteed.
+// Long-running tasks can't be evicted, so they must not use capacity that is guaranteed to accounts.
 func TestLongRunningTasksLeaveGuaranteesFree(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 3)
@@ -96,8 +95,7 @@
 	c.Check(held, qt.Equals, 24-16)
 }
 
-// The accounts' guarantees are sums of accelerators. What lasts and takes none can't stand
-// in their way, also where all accelerators are guaranteed.
+// Guarantees are counted in accelerators, so they don't limit long-running tasks that use none.
 func TestLongRunningTasksWithoutAcceleratorsAreNotLimited(t *testing.T) {
 	d := newDriver(t, 1)
 	id := d.submit(1, "", longRunningStep(2, 0, 0))
@@ -105,8 +103,8 @@
 	qt.Check(t, d.runs(id)["w0"], qt.HasLen, 2)
 }
 
-// Occurrences start when they are due and not before, also when they overlap; the job is
-// completed with the last.
+// Occurrences start when they are due and not before, even if they overlap. The job completes with
+// the last one.
 func TestOccurrencesAreStartedWhenDue(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 3)
@@ -131,10 +129,8 @@
 	c.Check(found.State, qt.Equals, workload.Completed)
 }
 
-// A service can't start: its task ends a moment after each start, failed or done. It was
-// restarted as fast as the store took the placement, for as long as its owner did not look.
-// It is restarted for ever, but at a pace; once it runs for a while, an end is made up for at
-// once again.
+// A long-running task that ends soon after each start is restarted forever, but with a growing
+// delay. After a longer run it is restarted at once.
 func TestLongRunningTaskThatEndsAtOnceIsRestartedWithBackoff(t *testing.T) {
 	for _, reason := range []EndReason{EndFailed, EndDone} {
 		t.Run(string(reason), func(t *testing.T) {
