--- a/engine/engine.go
+++ b/engine/engine.go
@@ -13,7 +13,7 @@
 	epoch     uint64
 	catalog   *catalog.Catalog
 	startedAt time.Duration
-	// inheritedLeaseExtra is how much longer than Params.MaxHold the leases granted by a
+	// inheritedLeaseExtra is how much longer than Params.MaxLease the leases granted by a
 	// previous planner may last.
 	inheritedLeaseExtra time.Duration
 
--- a/engine/fit.go
+++ b/engine/fit.go
@@ -171,9 +171,9 @@
 	return len(u.claims) == 0 && set.freeAccelerators() < u.size*u.demand().Accelerators
 }
 
-// pack places u on as few workers of a set as possible, preferring workers without recent failures
-// and then the fullest. It returns nil if u does not fit; leftover is the number of accelerators
-// that remain free in the set.
+// pack places u on as few workers of a set as possible, the fullest first. Recent failures, crash
+// risk, the spreading of long-running steps and interference take precedence. It returns nil if u
+// does not fit; leftover is the number of accelerators that remain free in the set.
 func (r *round) pack(u *unit, set *domain) (chosen []*worker, leftover int) {
 	if u.cannotFit(set) {
 		return nil, 0
