--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -7,34 +7,34 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// Queue is where jobs of one kind are handed in.
+// Queue is an entry point to which the jobs of one kind are submitted.
 type Queue struct {
 	Name        string
 	Host        string
-	Prefix      string // of the path; the longest that matches decides
+	Prefix      string // path prefix; the longest match wins
 	Service     string
-	CallTimeout time.Duration // bound on one call of a caller
-	Public      bool          // calls need no key
+	CallTimeout time.Duration // limit for one call
+	Public      bool          // calls need no API key
 	Policy      workload.QueuePolicy
 }
 
 // Service is a pool of workers.
 type Service struct {
 	Name string
-	// RejectsOverload: workers refuse what does not fit. Otherwise they start
-	// whatever they are told to.
+	// RejectsOverload: workers refuse tasks that exceed their free capacity. Otherwise they
+	// start every task that they are ordered to start.
 	RejectsOverload bool
 	Standby         bool
 }
 
-// Account is a client account.
+// Account is a client account and what it is guaranteed.
 type Account struct {
 	Name string
-	// GuaranteedAccelerators accelerators belong to the account's jobs of priority 0.
+	// GuaranteedAccelerators is reserved for the account's jobs of priority 0.
 	GuaranteedAccelerators int
 }
 
-// Limits bound what a caller may send.
+// Limits bound the requests of callers.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
@@ -42,7 +42,8 @@
 	IdleTimeout   time.Duration
 }
 
-// Catalog is one version of the configuration.
+// Catalog is one version of the operators' configuration. It is immutable once BuildIndex
+// has been called.
 type Catalog struct {
 	Version  int64
 	Queues   []Queue
@@ -52,28 +53,29 @@
 	Keys   map[string]string
 	Limits Limits
 
-	byHost map[string][]*Queue
+	queuesByHost map[string][]*Queue
 }
 
-// BuildIndex prepares c for Match. It is called once, before c is shared.
+// BuildIndex builds the index that Match uses and returns c. It must be called once, before
+// c is shared.
 func (c *Catalog) BuildIndex() *Catalog {
-	c.byHost = map[string][]*Queue{}
+	c.queuesByHost = map[string][]*Queue{}
 	for i := range c.Queues {
 		q := &c.Queues[i]
 		host := strings.ToLower(q.Host)
-		c.byHost[host] = append(c.byHost[host], q)
+		c.queuesByHost[host] = append(c.queuesByHost[host], q)
 	}
 	return c
 }
 
-// Match returns the queue with the longest prefix of path at host, and the rest of
-// the path. host may carry a port.
+// Match returns the queue whose prefix is the longest one that path starts with at host, and
+// the rest of the path. host may include a port.
 func (c *Catalog) Match(host, path string) (q *Queue, rest string, ok bool) {
 	host = strings.ToLower(host)
-	queues, known := c.byHost[host]
-	if !known {
+	queues, found := c.queuesByHost[host]
+	if !found {
 		name, _, _ := strings.Cut(host, ":")
-		queues = c.byHost[name]
+		queues = c.queuesByHost[name]
 	}
 	for _, candidate := range queues {
 		if strings.HasPrefix(path, candidate.Prefix) && (q == nil || len(candidate.Prefix) > len(q.Prefix)) {
@@ -86,7 +88,8 @@
 	return q, path[len(q.Prefix):], true
 }
 
-// GuaranteedAccelerators returns the accelerators that an account is guaranteed.
+// GuaranteedAccelerators returns the number of accelerators that the account is guaranteed.
+// A nil Catalog guarantees none.
 func (c *Catalog) GuaranteedAccelerators(account string) int {
 	if c == nil {
 		return 0
--- a/engine/advice.go
+++ b/engine/advice.go
@@ -6,27 +6,28 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// Queues may be under a policy that lets only some workers run a step. A service that the
-// operators run decides it, one call at a time and slowly, and gives out a ticket for each
-// worker, which a start must carry. Tickets are asked for ahead, a few workers a call, the
-// most urgent unit's first; no unit is placed where it has none.
+// The policy of a queue may restrict which workers may run a step. An external advice service
+// decides this. It handles one slow call at a time and issues a ticket for each allowed worker,
+// which a start order must carry. Tickets are requested in advance, for a few workers per call
+// and for the most urgent unit first; a unit is placed only on workers that it has tickets for.
 const (
-	// ticketMargin is how long a ticket must still be valid to be placed by: the record and
-	// the order follow.
-	ticketMargin = 400 * time.Millisecond
-	// Workers asked for in one call: some more than the unit has members, since some are
-	// not allowed. A call takes longer for each.
-	adviceLeast = 3
-	adviceMost  = 12
-	// adviceRetry is the pause after a call that failed.
-	adviceRetry = 250 * time.Millisecond
-	// adviceAhead is added to the time that a call takes when tickets are fetched for steps
-	// whose predecessors still run.
-	adviceAhead = 300 * time.Millisecond
+	// minTicketValidity is how long a ticket must remain valid when a placement is decided,
+	// since storing the placement and sending the order take time.
+	minTicketValidity = 400 * time.Millisecond
+	// minAdviceWorkers and maxAdviceWorkers bound the workers in one request. A request names
+	// more workers than the unit has members, as some may be denied; each one adds to the
+	// duration of the call.
+	minAdviceWorkers = 3
+	maxAdviceWorkers = 12
+	// adviceRetryDelay is the delay before the next request after a failed one.
+	adviceRetryDelay = 250 * time.Millisecond
+	// advicePrefetchLead is added to the duration of a call to decide when to request tickets
+	// for a step whose dependencies still run.
+	advicePrefetchLead = 300 * time.Millisecond
 )
 
-// AdviceRequest asks the service which workers may run a step. One is in progress at a time;
-// it is followed by Advised.
+// AdviceRequest asks the advice service which workers may run a step. At most one is in flight;
+// the caller answers it with an AdviceResponse.
 type AdviceRequest struct {
 	Job        workload.JobID
 	Occurrence int
@@ -34,122 +35,127 @@
 	Workers    []WorkerID
 }
 
-// AdviceResponse is the answer to AskAdvice. Workers that were asked for and have no ticket may
-// not run the step in this life.
+// AdviceResponse answers an AdviceRequest. Workers in the request that have no ticket may not
+// run the step in their current incarnation.
 type AdviceResponse struct {
 	Request  AdviceRequest
 	Tickets  map[WorkerID]string
 	Lifetime time.Duration
-	Failed   bool // no answer; nothing is known
+	Failed   bool // no answer was received
 }
 
 func (AdviceRequest) isAction() {}
 func (AdviceResponse) isEvent() {}
 
-// tickets is what is known of the workers that may run a step.
-type tickets struct {
-	held   map[WorkerID]ticket
-	denied map[WorkerID]bool
+// stepTickets holds the tickets of one step and the workers that were denied.
+type stepTickets struct {
+	granted map[WorkerID]ticket
+	denied  map[WorkerID]bool
 }
 
 type ticket struct {
-	text  string
-	until time.Duration
+	value     string
+	expiresAt time.Duration
 }
 
-func (j *job) ticketsOf(at stepAt) *tickets {
-	if j.tickets == nil {
-		j.tickets = map[stepAt]*tickets{}
+// ticketsFor returns the tickets of a step, creating an empty set if there is none.
+func (j *job) ticketsFor(at stepAt) *stepTickets {
+	if j.ticketsByStep == nil {
+		j.ticketsByStep = map[stepAt]*stepTickets{}
 	}
-	t := j.tickets[at]
+	t := j.ticketsByStep[at]
 	if t == nil {
-		t = &tickets{held: map[WorkerID]ticket{}, denied: map[WorkerID]bool{}}
-		j.tickets[at] = t
+		t = &stepTickets{granted: map[WorkerID]ticket{}, denied: map[WorkerID]bool{}}
+		j.ticketsByStep[at] = t
 	}
 	return t
 }
 
-func (u *unit) advised() bool { return u.job.spec.QueuePolicy.Advice != nil }
+// needsTicket reports whether the unit may start only with a ticket of the advice service.
+func (u *unit) needsTicket() bool { return u.job.spec.QueuePolicy.Advice != nil }
 
-// ticketOn returns the ticket with which u may start on a worker; it is empty where none
-// is needed.
-func (u *unit) ticketOn(now time.Duration, id WorkerID) (text string, ok bool) {
-	if !u.advised() {
+// ticketFor returns a valid ticket for starting u on a worker. The ticket is empty if u needs
+// none; ok is false if u needs one and has none.
+func (u *unit) ticketFor(now time.Duration, id WorkerID) (value string, ok bool) {
+	if !u.needsTicket() {
 		return "", true
 	}
-	t, held := u.job.ticketsOf(u.at()).held[id]
-	return t.text, held && now < t.until
+	t, found := u.job.ticketsFor(u.at()).granted[id]
+	return t.value, found && now < t.expiresAt
 }
 
-// askAdvice asks for the unit that needs tickets first.
-func (e *Engine) askAdvice(r *round, queue []*unit) {
-	if e.asking || r.now < e.askAfter {
+// requestAdvice requests tickets for the first unit in the queue that lacks them, else for a
+// blocked unit whose dependencies are about to end.
+func (e *Engine) requestAdvice(r *round, queue []*unit) {
+	if e.adviceInFlight || r.now < e.adviceRetryAt {
 		return
 	}
 	for _, u := range queue {
-		if e.ask(r, u) {
+		if e.requestTickets(r, u) {
 			return
 		}
 	}
-	for _, j := range e.sequence {
+	for _, j := range e.orderedJobs {
 		for _, u := range j.units {
-			if u.state == unitBlocked && u.advised() && e.soon(r.now, u) && e.ask(r, u) {
+			if u.state == unitBlocked && u.needsTicket() && e.dependenciesEndSoon(r.now, u) && e.requestTickets(r, u) {
 				return
 			}
 		}
 	}
 }
 
-// ask asks for tickets of u, where those that it has don't reach.
-func (e *Engine) ask(r *round, u *unit) bool {
-	if !u.advised() {
+// requestTickets requests tickets for u if those it has don't suffice for all its members. It
+// reports whether it did.
+func (e *Engine) requestTickets(r *round, u *unit) bool {
+	if !u.needsTicket() {
 		return false
 	}
-	known := u.job.ticketsOf(u.at())
-	room := 0
-	var ask []WorkerID
-	for _, w := range r.byRoom(u) {
+	tickets := u.job.ticketsFor(u.at())
+	placeable := 0
+	var request []WorkerID
+	for _, w := range r.candidatesFor(u) {
 		id := w.info.ID
-		if _, ok := u.ticketOn(r.now+ticketMargin, id); ok {
-			room += u.demand().CountFitting(w.free(), u.size)
+		if _, ok := u.ticketFor(r.now+minTicketValidity, id); ok {
+			placeable += u.demand().CountFitting(w.free(), u.size)
 			continue
 		}
-		if !known.denied[id] && len(ask) < min(max(2*u.size, adviceLeast), adviceMost) {
-			ask = append(ask, id)
+		if !tickets.denied[id] && len(request) < min(max(2*u.size, minAdviceWorkers), maxAdviceWorkers) {
+			request = append(request, id)
 		}
 	}
-	if room >= u.size || len(ask) == 0 {
+	if placeable >= u.size || len(request) == 0 {
 		return false
 	}
-	e.asking = true
-	e.actions = append(e.actions, AdviceRequest{Job: u.job.spec.ID, Occurrence: u.occurrence, Step: u.step, Workers: ask})
+	e.adviceInFlight = true
+	e.actions = append(e.actions, AdviceRequest{Job: u.job.spec.ID, Occurrence: u.occurrence, Step: u.step, Workers: request})
 	return true
 }
 
-// byRoom returns the workers that could hold a member of u, those with room for one now
-// first.
-func (r *round) byRoom(u *unit) []*worker {
-	var now, later []*worker
+// candidatesFor returns the workers with enough total capacity for a member of u, those with
+// enough free capacity first.
+func (r *round) candidatesFor(u *unit) []*worker {
+	var withRoom, withoutRoom []*worker
 	for _, w := range r.all.workers {
 		if w.info.Service != u.job.spec.Service || !w.hasLabel(u.spec().Label) || !u.demand().FitsIn(w.info.Capacity) {
 			continue
 		}
 		if u.demand().FitsIn(w.free()) {
-			now = append(now, w)
+			withRoom = append(withRoom, w)
 		} else {
-			later = append(later, w)
+			withoutRoom = append(withoutRoom, w)
 		}
 	}
-	return append(now, later...)
+	return append(withRoom, withoutRoom...)
 }
 
-// soon says whether the steps before u's are about to end.
-func (e *Engine) soon(now time.Duration, u *unit) bool {
+// dependenciesEndSoon reports whether the steps that u depends on are expected to end within
+// the time that a request for tickets takes.
+func (e *Engine) dependenciesEndSoon(now time.Duration, u *unit) bool {
 	advice := u.job.spec.QueuePolicy.Advice
-	lead := advice.DecisionTime + adviceMost*advice.TimePerWorker + adviceAhead
-	for _, before := range u.spec().DependsOn {
+	lead := advice.DecisionTime + maxAdviceWorkers*advice.TimePerWorker + advicePrefetchLead
+	for _, dep := range u.spec().DependsOn {
 		for _, o := range u.job.units {
-			if o.occurrence != u.occurrence || o.step != before || o.state == unitDone {
+			if o.occurrence != u.occurrence || o.step != dep || o.state == unitDone {
 				continue
 			}
 			if o.state != unitActive {
@@ -165,25 +171,25 @@
 	return true
 }
 
-// advice takes the answer to a question.
-func (e *Engine) advice(now time.Duration, ev AdviceResponse) {
-	e.asking = false
-	e.replan = true
+// handleAdvice stores the tickets and denials of a response.
+func (e *Engine) handleAdvice(now time.Duration, ev AdviceResponse) {
+	e.adviceInFlight = false
+	e.planNeeded = true
 	if ev.Failed {
-		e.askAfter = now + adviceRetry
+		e.adviceRetryAt = now + adviceRetryDelay
 		return
 	}
 	j := e.jobs[ev.Request.Job]
 	if j == nil {
 		return
 	}
-	known := j.ticketsOf(stepAt{ev.Request.Occurrence, ev.Request.Step})
+	tickets := j.ticketsFor(stepAt{ev.Request.Occurrence, ev.Request.Step})
 	for _, id := range ev.Request.Workers {
-		text, allowed := ev.Tickets[id]
+		value, allowed := ev.Tickets[id]
 		if !allowed {
-			known.denied[id] = true
+			tickets.denied[id] = true
 			continue
 		}
-		known.held[id] = ticket{text: text, until: now + ev.Lifetime}
+		tickets.granted[id] = ticket{value: value, expiresAt: now + ev.Lifetime}
 	}
 }
--- a/engine/backoff.go
+++ b/engine/backoff.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// backoff is how long to wait before something that did not work is repeated. The zero value
-// has not begun.
-type backoff struct{ repeats int }
+// backoff computes exponentially growing delays between retries. The zero value is ready to
+// use.
+type backoff struct{ attempts int }
 
-// next returns the next pause: first, then twice as long each time, up to most.
-func (b *backoff) next(first, most time.Duration) time.Duration {
-	pause := first
-	for range b.repeats {
-		if pause *= 2; pause >= most {
-			return most
+// next returns the next delay: initial at first, doubled each time, at most limit.
+func (b *backoff) next(initial, limit time.Duration) time.Duration {
+	delay := initial
+	for range b.attempts {
+		if delay *= 2; delay >= limit {
+			return limit
 		}
 	}
-	b.repeats++
-	return pause
+	b.attempts++
+	return delay
 }
 
-func (b *backoff) reset() { b.repeats = 0 }
+func (b *backoff) reset() { b.attempts = 0 }
--- a/engine/cordon.go
+++ b/engine/cordon.go
@@ -2,18 +2,19 @@
 
 import "github.com/eelgrasshub/eelgrasshub/catalog"
 
-// CordonsChanged: nothing new may start in other availability zones than before. What runs
-// there goes on, and the room there still counts for what is promised: it comes back.
+// CordonsChanged replaces the set of cordoned availability zones. Nothing new may start in them,
+// but tasks there continue, and capacity there still counts towards guarantees because cordons
+// are temporary.
 type CordonsChanged struct{ Cordons catalog.Cordons }
 
 func (CordonsChanged) isEvent() {}
 
-func (e *Engine) cordon(ev CordonsChanged) {
+func (e *Engine) setCordons(ev CordonsChanged) {
 	e.cordons = ev.Cordons
 	for _, w := range e.workers {
 		e.markCordoned(w)
 	}
-	e.replan = true
+	e.planNeeded = true
 }
 
 func (e *Engine) markCordoned(w *worker) { w.cordoned = e.cordons.Contains(w.info.Zone) }
--- a/engine/departure.go
+++ b/engine/departure.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// Departure is how a life of a worker ended.
+// Departure is how an incarnation of a worker ended.
 type Departure string
 
-// Departures.
+// The ways in which an incarnation ends.
 const (
-	DepartureLeft    Departure = "left"    // it said goodbye, or was about to
-	DepartureCrashed Departure = "crashed" // without notice, with all that ran there
+	DepartureLeft    Departure = "left"    // it announced its departure or was draining
+	DepartureCrashed Departure = "crashed" // ended without notice; all its runs are lost
 )
 
-// WorkerGone: a life of a worker is over. Runs is how many it took with it.
+// WorkerGone reports that an incarnation of a worker has ended. Runs is the number of runs that
+// were lost with it.
 type WorkerGone struct {
 	Worker    WorkerInfo
 	Departure Departure
@@ -23,7 +24,7 @@
 
 func (WorkerGone) isAction() {}
 
-// departure is how the life that the report is of has ended.
+// departure returns how the reported incarnation ended.
 func (r *Report) departure() Departure {
 	if r.Crashed {
 		return DepartureCrashed
@@ -31,17 +32,17 @@
 	return DepartureLeft
 }
 
-// replaced is how a life has ended in whose place another one reports. Its agent does not
-// know if it was started again meanwhile.
-func (e *Engine) replaced(id WorkerID) Departure {
+// departureOfReplaced returns how an incarnation ended that was replaced by another one without
+// a report of its end. A restarted agent does not know how it ended.
+func (e *Engine) departureOfReplaced(id WorkerID) Departure {
 	if w := e.workers[id]; w != nil && w.draining {
 		return DepartureLeft
 	}
 	return DepartureCrashed
 }
 
-// history says, for the log, how long a run was known to be at work.
-func (p *placement) history() string {
+// observedRunTime describes for logs how long a run was known to be running.
+func (p *placement) observedRunTime() string {
 	switch {
 	case p.shownAt == 0:
 		return "no look has shown this run"
--- /dev/null
+++ b/engine/ending.go
@@ -0,0 +1,208 @@
+package engine
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"github.com/eelgrasshub/eelgrasshub/workload"
+)
+
+// handleRunEnd handles the reported end of one run. It returns the job that must be stored
+// before the worker may forget the end, or nil if the end changes nothing.
+func (e *Engine) handleRunEnd(now time.Duration, w *worker, row RunEnd) *job {
+	delete(w.strays, row.Run)
+	p := w.places[row.Run.Task]
+	if p == nil || p.run != row.Run.Number {
+		return nil
+	}
+	reason := row.Reason
+	if row.Void && (reason == EndDone || reason == EndFailed) {
+		e.logDecision(p, "end does not count", "the worker's lease lapsed after it")
+		reason = EndLeaseExpired
+	}
+	u := p.unit
+	if row.Checkpoint != "" {
+		u.saved = row.Checkpoint
+		p.savedAt = now // the checkpoint covers all work up to the end
+	}
+	e.applyRunEnd(now, p, reason)
+	e.removePlacement(now, p)
+	e.markChanged(u.job)
+	return u.job
+}
+
+// applyRunEnd updates the unit according to how its run ended.
+func (e *Engine) applyRunEnd(now time.Duration, p *placement, reason EndReason) {
+	u := p.unit
+	e.logDecision(p, "ended", string(reason))
+	if cause, found := causeOfEnd[reason]; found {
+		u.setCauseOnce(cause)
+	}
+	switch reason {
+	case EndDone:
+		p.worker.health.reset()
+		e.learn(now, p)
+		if u.spec().LongRunning {
+			e.scheduleRestart(now, p)
+			return
+		}
+		e.completeUnit(now, u)
+	case EndFailed:
+		e.countWorkerFailure(now, p)
+		e.handleUnitFailure(now, p)
+	case EndStopped:
+		if p.stopping {
+			e.tracker.stopped(now - p.stopSent)
+		}
+		e.markRetry(u)
+	default:
+		e.markRetry(u)
+	}
+}
+
+// causeOfEnd maps the ways in which a run may end by itself to causes. A stopped run already has
+// the cause of its stop.
+var causeOfEnd = map[EndReason]Cause{
+	EndFailed:         CauseFailed,
+	EndLeaseExpired:   CauseLeaseExpired,
+	EndGangBroken:     CauseMemberEnded,
+	EndGangIncomplete: CauseMembersMissing,
+}
+
+// markRetry makes the unit start again once its current run is over, unless its outcome is
+// already decided.
+func (e *Engine) markRetry(u *unit) {
+	if u.verdict == verdictNone {
+		u.verdict = verdictRetry
+	}
+}
+
+// completeUnit marks a unit as done. A gang is done when its first member reports it.
+func (e *Engine) completeUnit(now time.Duration, u *unit) {
+	if u.state == unitDone {
+		return
+	}
+	u.verdict = verdictDone
+	u.state = unitDone
+	if len(u.places) > 0 && u.places[0].began != 0 {
+		u.spent.run = now - u.places[0].began
+	}
+	e.markChanged(u.job)
+	e.advanceJob(now, u.job)
+	if u.job.state == workload.Completed {
+		e.tellLate(now, u)
+	}
+}
+
+// handleUnitFailure counts a failed attempt. The job fails once its queue's MaxAttempts is
+// reached; long-running tasks are restarted without a limit.
+func (e *Engine) handleUnitFailure(now time.Duration, p *placement) {
+	u := p.unit
+	if u.state == unitDone {
+		return
+	}
+	e.avoid(now, p)
+	if u.spec().LongRunning {
+		e.scheduleRestart(now, p)
+		return
+	}
+	if u.failedRun != p.run {
+		u.failedRun = p.run // the failures of all members of a gang count once
+		u.failures++
+	}
+	e.markRetry(u)
+	limit := u.job.spec.QueuePolicy.MaxAttempts
+	if limit > 0 && u.failures >= limit && !u.job.state.Final() {
+		u.state = unitFailed
+		e.finish(now, u.job, workload.Failed, "a task failed as often as its queue allows")
+	}
+}
+
+// removePlacement frees the capacity of a placement that is over. After the last one of a run,
+// an active unit becomes waiting again.
+func (e *Engine) removePlacement(now time.Duration, p *placement) {
+	p.worker.drop(p)
+	u := p.unit
+	e.recordDiscarded(now, p)
+	u.places = slices.DeleteFunc(u.places, func(o *placement) bool { return o == p })
+	e.planNeeded = true
+	if len(u.places) > 0 {
+		e.stopRemainingMembers(now, u)
+		return
+	}
+	if u.state == unitActive {
+		u.state = unitWaiting
+		u.since = now
+	}
+	u.verdict = verdictNone
+	u.cause = causeNone
+}
+
+// stopRemainingMembers stops the other members of a gang that has lost one. If the gang is done,
+// they end by themselves.
+func (e *Engine) stopRemainingMembers(now time.Duration, u *unit) {
+	if u.verdict == verdictRetry {
+		e.stopUnit(now, u, CauseMemberEnded)
+	}
+}
+
+// stopUnit ends the current run of a unit for the given cause.
+func (e *Engine) stopUnit(now time.Duration, u *unit, cause Cause) {
+	u.setCauseOnce(cause)
+	if u.state == unitActive && u.verdict == verdictNone {
+		u.verdict = verdictRetry
+	}
+	for _, p := range slices.Clone(u.places) {
+		e.stopRun(now, p)
+	}
+}
+
+// stopRun stops one run, or removes it at once if no order has been sent.
+func (e *Engine) stopRun(now time.Duration, p *placement) {
+	if p.stopping {
+		return
+	}
+	p.stopping = true
+	if p.state == placeRecording {
+		e.removePlacement(now, p)
+		return
+	}
+	e.sendStop(now, p)
+}
+
+// sendStop orders the stop of a run if the worker is attached.
+func (e *Engine) sendStop(now time.Duration, p *placement) {
+	p.stopSent = now
+	if !p.worker.attached {
+		return
+	}
+	o := e.ordersFor(p.worker)
+	o.Stops = append(o.Stops, p.id())
+	e.logDecision(p, "stop", p.stopWaitReason(now))
+	p.stops++
+}
+
+// stopWaitReason describes for logs why a stop is ordered again; it is empty for the first order.
+func (p *placement) stopWaitReason(now time.Duration) string {
+	if p.stops == 0 {
+		return ""
+	}
+	waited := fmt.Sprintf("ordered %d times before", p.stops)
+	if p.worker.silent {
+		return fmt.Sprintf("%s; the worker does not answer, its lease is over in %d ms", waited, (p.worker.lapseAt - now).Milliseconds())
+	}
+	return fmt.Sprintf("%s; the worker last answered %d ms ago and lists no end", waited, (now - p.worker.lookedAt).Milliseconds())
+}
+
+// handleLostRun ends a placement whose run is certainly over though no end was reported.
+func (e *Engine) handleLostRun(now time.Duration, p *placement, cause Cause, detail string) {
+	e.logDecision(p, "lost", detail)
+	p.unit.setCauseOnce(cause)
+	if p.saved != "" {
+		p.unit.saved = p.saved
+	}
+	e.markRetry(p.unit)
+	e.removePlacement(now, p)
+	e.markChanged(p.unit.job)
+}
--- a/engine/evict.go
+++ b/engine/evict.go
@@ -5,50 +5,49 @@
 	"time"
 )
 
-// claimSlack is how much longer than a stop may take room is kept for the unit that
-// it was emptied for.
-const claimSlack = 1500 * time.Millisecond
+// claimGrace is how much longer than Params.StopTime capacity is kept for the unit for which
+// it was freed.
+const claimGrace = 1500 * time.Millisecond
 
-// evictPause is the pause between two searches for victims for the same unit. What a search
-// found too dear stays so, since work only grows, until something else is placed; a search
-// looks at all that runs, and in a burst most of a round's cost was searches in vain.
-const evictPause = 50 * time.Millisecond
+// evictRetryInterval is the minimum time between two victim searches for the same unit. A search
+// looks at all running units, and the cost of evicting them only grows while they run.
+const evictRetryInterval = 50 * time.Millisecond
 
-// eviction is a way to make room for a unit.
+// eviction is a set of victims that makes room for a unit.
 type eviction struct {
 	victims []*unit
-	cost    float64 // core-seconds thrown away
+	cost    float64 // lost work in core-seconds
 	slots   map[*worker]int
 }
 
-// evict stops work of lower rank so that u can start, and keeps the room for it. It
-// returns whether room is on its way.
+// evict stops units that may be evicted so that u can start, and keeps their capacity for u. It
+// reports whether capacity is being freed for u.
 //
-// It evicts only where waiting would cost more: room that frees by itself while u can
-// still meet its objective is waited for, and no more work is thrown away than u itself
-// is, unless its account's guarantee would be broken or u would come far too late.
+// It evicts only if waiting is worse: if u could not meet its objective with capacity that becomes
+// free anyway, and the victims lose no more work than u consists of. An account's guarantee that
+// would be broken, or a job that would end far too late, justify higher losses.
 func (r *round) evict(u *unit) bool {
 	if u.job.spec.QueuePolicy.Priority != 0 || r.e.gathering(r.now) {
 		return false
 	}
 	if len(u.claims) > 0 {
-		return true // its room is being emptied already
+		return true // victims are being stopped already
 	}
 	if r.now < u.evictNext {
 		return false
 	}
-	u.evictNext = r.now + evictPause
-	near := r.near(u)
-	best := r.cheapest(u, near)
-	if best == nil && !near.anywhere && r.protected[u.job] {
-		best = r.cheapest(u, r.everywhere())
+	u.evictNext = r.now + evictRetryInterval
+	preferred := r.preferredDomains(u)
+	best := r.cheapestEviction(u, preferred)
+	if best == nil && !preferred.anywhere && r.protected[u.job] {
+		best = r.cheapestEviction(u, r.allDomains())
 	}
-	if best == nil || !r.pays(u, best, near) {
+	if best == nil || !r.worthEvicting(u, best, preferred) {
 		return false
 	}
 	for _, v := range best.victims {
-		r.e.decided(v.places[0], "evict", fmt.Sprintf("for %s, %.0f core-seconds lost of all its victims", u.job.spec.ID, best.cost))
-		r.stopAll(v, CauseEvicted)
+		r.e.logDecision(v.places[0], "evict", fmt.Sprintf("for %s, %.0f core-seconds lost of all its victims", u.job.spec.ID, best.cost))
+		r.stopUnit(v, CauseEvicted)
 	}
 	u.claims = best.slots
 	u.claimedAt = r.now
@@ -56,13 +55,13 @@
 	return true
 }
 
-// reclaimMargin is kept from the time in which a guaranteed job has to start, for what
-// follows the stop: the record, the order and a report that comes late.
+// reclaimMargin is subtracted from the time by which a guaranteed job must start, since after
+// the victims have stopped the placement is stored and ordered.
 const reclaimMargin = 700 * time.Millisecond
 
-// pays says whether an eviction is better than waiting.
-func (r *round) pays(u *unit, way *eviction, near domains) bool {
-	if r.reclaims(u) {
+// worthEvicting reports whether evicting is better than waiting for capacity.
+func (r *round) worthEvicting(u *unit, plan *eviction, preferred domainSet) bool {
+	if r.mustReclaim(u) {
 		return true
 	}
 	policy := &r.e.params.Policy
@@ -70,71 +69,72 @@
 		return false
 	}
 	wait := never
-	for _, set := range near.sets {
-		at, _ := r.forecast(u, set, never)
+	for _, set := range preferred.domains {
+		at, _ := r.forecastFit(u, set, never)
 		wait = min(wait, at)
 	}
 	slack := r.e.objective(u.job) - r.now - r.e.estimate(u)
 	if wait <= max(r.e.tracker.stop, time.Duration(policy.EvictionWait*float64(slack))) {
 		return false
 	}
-	own := u.total().CoreEquivalent() * r.e.estimate(u).Seconds()
-	if r.now+wait+r.e.estimate(u) > r.e.useless(u.job) {
-		own *= lateFactor
+	ownWork := u.total().CoreEquivalent() * r.e.estimate(u).Seconds()
+	if r.now+wait+r.e.estimate(u) > r.e.uselessFrom(u.job) {
+		ownWork *= uselessAfterFactor
 	}
-	return way.cost <= policy.EvictionWorth*own
+	return plan.cost <= policy.EvictionWorth*ownWork
 }
 
-// cheapest returns the eviction that throws the least work away.
-func (r *round) cheapest(u *unit, d domains) *eviction {
+// cheapestEviction returns the eviction that loses the least work, or nil if there is none.
+func (r *round) cheapestEviction(u *unit, d domainSet) *eviction {
 	var best *eviction
-	for _, set := range d.sets {
-		if way := r.evictions(u, set); way != nil && (best == nil || way.cost < best.cost) {
-			best = way
+	for _, set := range d.domains {
+		if plan := r.planEviction(u, set); plan != nil && (best == nil || plan.cost < best.cost) {
+			best = plan
 		}
 	}
 	return best
 }
 
-// evictions makes room for the members of u one by one, each time on the worker where
-// that throws the least work away.
-func (r *round) evictions(u *unit, set *domain) *eviction {
-	c := r.newClearing(u, set)
-	defer c.close()
-	out := &eviction{slots: map[*worker]int{}}
+// planEviction makes room for the members of u one by one, each on the worker where that loses
+// the least work. It returns nil if there is no room for all of them.
+func (r *round) planEviction(u *unit, set *domain) *eviction {
+	search := r.newVictimSearch(u, set)
+	defer search.close()
+	plan := &eviction{slots: map[*worker]int{}}
 	for range u.size {
-		site, way := c.next()
-		if site == nil {
+		chosen, choice := search.next()
+		if chosen == nil {
 			return nil
 		}
-		c.take(site, way)
-		out.victims = append(out.victims, way.victims...)
-		out.cost += way.cost
-		out.slots[site.worker]++
+		search.commit(chosen, choice)
+		plan.victims = append(plan.victims, choice.victims...)
+		plan.cost += choice.cost
+		plan.slots[chosen.worker]++
 	}
-	return out
+	return plan
 }
 
-// yields says whether v may be evicted for u: work of lower priority always, work of
-// the first priority only beyond its account's guarantee, for work within one that would
-// otherwise start too late for it.
-func (r *round) yields(v, u *unit) bool {
+// mayEvict reports whether v may be evicted for u. It must be allowed to stop (see mayStop), and it
+// must have a lower priority or, if u has to reclaim capacity for its account's guarantee, not be
+// protected by a guarantee itself.
+func (r *round) mayEvict(v, u *unit) bool {
 	if !v.mayStop(0) {
 		return false
 	}
 	if v.job.spec.QueuePolicy.Priority > u.job.spec.QueuePolicy.Priority {
 		return true
 	}
-	return r.reclaims(u) && !r.protected[v.job]
+	return r.mustReclaim(u) && !r.protected[v.job]
 }
 
-// reclaims says whether u, within its account's guarantee, has to have its room emptied now.
-func (r *round) reclaims(u *unit) bool {
+// mustReclaim reports whether u is covered by its account's guarantee and its victims have to be
+// stopped now for it to start in time.
+func (r *round) mustReclaim(u *unit) bool {
 	return r.protected[u.job] && r.now+r.e.params.StopTime+reclaimMargin >= u.since+r.e.params.MaxReclaimWait
 }
 
-// waste returns the work lost by stopping u now, in core-seconds.
-func (e *Engine) waste(now time.Duration, u *unit) float64 {
+// lostWork returns the work lost by stopping u now, in core-seconds.
+func (e *Engine) lostWork(now time.Duration, u *unit) float64 {
 	sum := 0.0
 	for _, p := range u.places {
 		if p.state != placeRunning {
@@ -149,19 +149,19 @@
 	return sum
 }
 
-// stopAll is Engine.stopAll within a round.
-func (r *round) stopAll(u *unit, cause Cause) {
+// stopUnit calls Engine.stopUnit and invalidates what the round has cached of the workers.
+func (r *round) stopUnit(u *unit, cause Cause) {
 	for _, p := range u.places {
-		r.changed(p.worker)
+		r.invalidateDomains(p.worker)
 	}
-	r.e.stopAll(r.now, u, cause)
+	r.e.stopUnit(r.now, u, cause)
 }
 
 func (e *Engine) dropClaims(u *unit) { u.claims = nil }
 
-// dropWorkerClaims drops the claims on a worker that is gone.
+// dropWorkerClaims drops all claims on a worker that is gone.
 func (e *Engine) dropWorkerClaims(w *worker) {
-	for _, j := range e.sequence {
+	for _, j := range e.orderedJobs {
 		for _, u := range j.units {
 			if u.claims[w] > 0 {
 				e.dropClaims(u)
@@ -170,9 +170,9 @@
 	}
 }
 
-// leave moves work off workers that drain: what can't end before the worker leaves is
-// stopped now, so that it saves its checkpoint and starts elsewhere sooner.
-func (e *Engine) leave(r *round) {
+// moveOffDraining stops runs on draining workers that can't end before the worker leaves, so that
+// they save a checkpoint and start elsewhere sooner.
+func (e *Engine) moveOffDraining(r *round) {
 	if !e.params.Policy.DrainMoves {
 		return
 	}
@@ -180,25 +180,25 @@
 		if !w.draining || !w.attached {
 			continue
 		}
-		left := w.leavesAt - r.now
+		untilLeave := w.leavesAt - r.now
 		for _, p := range w.sortedPlaces() {
 			if p.stopping || p.unit.ending() || p.state != placeRunning {
 				continue
 			}
-			if e.remaining(r.now, p) <= left {
+			if e.remaining(r.now, p) <= untilLeave {
 				continue
 			}
-			if p.unit.spec().Checkpoints && left > 2*e.params.StopTime && !r.elsewhere(p.unit) {
-				continue // it goes on saving here until there is room
+			if p.unit.spec().Checkpoints && untilLeave > 2*e.params.StopTime && !r.fitsElsewhere(p.unit) {
+				continue // it makes progress here until there is room elsewhere
 			}
-			e.decided(p, "move", "the worker leaves")
-			r.stopAll(p.unit, CauseDrained)
+			e.logDecision(p, "move", "the worker leaves")
+			r.stopUnit(p.unit, CauseDrained)
 		}
 	}
 }
 
-// elsewhere says whether u could start on other workers now.
-func (r *round) elsewhere(u *unit) bool {
-	at, slots := r.forecast(u, r.all, 0)
+// fitsElsewhere reports whether u could start on other workers now.
+func (r *round) fitsElsewhere(u *unit) bool {
+	at, slots := r.forecastFit(u, r.all, 0)
 	return slots != nil && at == 0
 }
--- a/engine/fit.go
+++ b/engine/fit.go
@@ -7,217 +7,217 @@
 	"time"
 )
 
-// never is a time that does not come.
+// never is later than any time that occurs.
 const never = time.Duration(1<<62 - 1)
 
-// sortedWorkers returns all workers in a fixed order. The caller does not change the slice.
+// sortedWorkers returns all workers ordered by ID. The caller must not change the slice.
 func (e *Engine) sortedWorkers() []*worker {
-	if e.sorted == nil {
-		e.sorted = slices.SortedFunc(maps.Values(e.workers), func(a, b *worker) int { return cmp.Compare(a.info.ID, b.info.ID) })
+	if e.workersByID == nil {
+		e.workersByID = slices.SortedFunc(maps.Values(e.workers), func(a, b *worker) int { return cmp.Compare(a.info.ID, b.info.ID) })
 	}
-	return e.sorted
+	return e.workersByID
 }
 
-// fit returns a worker for each member of u, or nil where it has to wait.
-func (r *round) fit(u *unit) []*worker {
-	near := r.near(u)
-	if workers := r.choose(u, near); workers != nil {
+// findWorkers returns a worker for each member of u, or nil if u has to wait.
+func (r *round) findWorkers(u *unit) []*worker {
+	preferred := r.preferredDomains(u)
+	if workers := r.chooseWorkers(u, preferred); workers != nil {
 		return workers
 	}
-	if near.anywhere || !r.worthSpreading(u, near) && !r.idleElsewhere(u) {
+	if preferred.anywhere || !r.worthRunningRemotely(u, preferred) && !r.waitedBesideIdleFleet(u) {
 		return nil
 	}
-	return r.choose(u, r.everywhere())
+	return r.chooseWorkers(u, r.allDomains())
 }
 
-// idleWait is how long a unit waits for room nearby while most of the fleet stands idle.
-const idleWait = 2 * time.Second
+// maxWaitBesideIdleFleet limits the wait for preferred workers while most of the service is idle.
+const maxWaitBesideIdleFleet = 2 * time.Second
 
-// idleElsewhere says whether u has waited long enough for room nearby while more than half
-// of its service's room stood idle.
+// waitedBesideIdleFleet reports whether u has waited maxWaitBesideIdleFleet for its preferred
+// workers while more than half of its service's capacity was free.
 //
-// The failure it guards against: what runs nearby is always about to end, by forecasts that
-// rest on declared run times, and what ends there makes room for others that go first. A
-// gang waited for its rack for forty seconds, at the end with the rest of the fleet idle.
-func (r *round) idleElsewhere(u *unit) bool {
-	if !r.mostlyIdle(u) {
+// It guards against endless waiting: forecasts rely on declared durations, which may be too
+// short, and capacity that becomes free may go to units ahead of u.
+func (r *round) waitedBesideIdleFleet(u *unit) bool {
+	if !r.serviceMostlyIdle(u) {
 		u.idleSince = 0
 		return false
 	}
 	if u.idleSince == 0 {
 		u.idleSince = r.now
 	}
-	return r.now-u.idleSince >= idleWait
+	return r.now-u.idleSince >= maxWaitBesideIdleFleet
 }
 
-// mostlyIdle says whether more than half of the room of u's service is free, by accelerators
-// where it needs them and by processors where it does not.
-func (r *round) mostlyIdle(u *unit) bool {
-	free, all := 0, 0
+// serviceMostlyIdle reports whether more than half of the capacity of u's service is free,
+// measured in accelerators if u needs them, else in processors.
+func (r *round) serviceMostlyIdle(u *unit) bool {
+	free, total := 0, 0
 	for _, w := range r.all.workers {
 		if w.info.Service != u.job.spec.Service {
 			continue
 		}
 		if u.demand().Accelerators > 0 {
 			free += w.free().Accelerators
-			all += w.info.Capacity.Accelerators
+			total += w.info.Capacity.Accelerators
 			continue
 		}
 		free += w.free().MilliCPU
-		all += w.info.Capacity.MilliCPU
+		total += w.info.Capacity.MilliCPU
 	}
-	return 2*free > all
+	return 2*free > total
 }
 
-// domains are sets of workers within which a unit runs at full speed.
-type domains struct {
-	sets []*domain
-	// anywhere: there is no set where it would run faster than on all workers.
+// domainSet holds alternative domains, within each of which a unit runs at full speed.
+type domainSet struct {
+	domains []*domain
+	// anywhere is set if the only domain is all workers.
 	anywhere bool
 }
 
-// everywhere is all workers, where nothing is nearer than anything else.
-func (r *round) everywhere() domains {
-	return domains{sets: []*domain{r.all}, anywhere: true}
+// allDomains returns the domain of all workers.
+func (r *round) allDomains() domainSet {
+	return domainSet{domains: []*domain{r.all}, anywhere: true}
 }
 
-// near returns where u runs at full speed: on its preferred rack, on any one rack for
-// a gang that wants to be close together, else anywhere.
-func (r *round) near(u *unit) domains {
+// preferredDomains returns the domains in which u runs at full speed: its preferred rack, each
+// single rack for a gang with SameRack, else all workers.
+func (r *round) preferredDomains(u *unit) domainSet {
 	if r.nearOf != u {
-		r.nearOf, r.nearSets = u, r.findNear(u)
+		r.nearOf, r.nearSets = u, r.findPreferredDomains(u)
 	}
 	return r.nearSets
 }
 
-func (r *round) findNear(u *unit) domains {
+func (r *round) findPreferredDomains(u *unit) domainSet {
 	s := u.spec()
 	if !r.e.params.Policy.RackPreference {
-		return r.everywhere()
+		return r.allDomains()
 	}
-	if rack := r.racks[s.PreferredRack]; s.PreferredRack != "" && rack != nil && r.couldHold(u, rack) {
-		return domains{sets: []*domain{rack}}
+	if rack := r.racks[s.PreferredRack]; s.PreferredRack != "" && rack != nil && r.fitsWhenEmpty(u, rack) {
+		return domainSet{domains: []*domain{rack}}
 	}
 	if s.Gang && s.SameRack {
-		var sets []*domain
+		var racks []*domain
 		for _, rack := range r.rackNames {
-			if r.couldHold(u, r.racks[rack]) {
-				sets = append(sets, r.racks[rack])
+			if r.fitsWhenEmpty(u, r.racks[rack]) {
+				racks = append(racks, r.racks[rack])
 			}
 		}
-		if len(sets) > 0 {
-			return domains{sets: sets}
+		if len(racks) > 0 {
+			return domainSet{domains: racks}
 		}
 	}
-	return r.everywhere()
+	return r.allDomains()
 }
 
-// couldHold says whether u would fit on the workers if they were empty.
-func (r *round) couldHold(u *unit, set *domain) bool {
-	room := 0
+// fitsWhenEmpty reports whether u would fit on the workers of set if nothing ran there.
+func (r *round) fitsWhenEmpty(u *unit, set *domain) bool {
+	fitting := 0
 	for _, w := range set.workers {
 		if r.eligible(u, w) {
-			room += perWorker(u.spec(), u.demand().CountFitting(w.info.Capacity, u.size))
+			fitting += perWorker(u.spec(), u.demand().CountFitting(w.info.Capacity, u.size))
 		}
 	}
-	return room >= u.size
+	return fitting >= u.size
 }
 
-// worthSpreading says whether running far away, several times slower, is better than
-// waiting for room nearby. A guaranteed job does not wait longer than its account was
-// promised.
-func (r *round) worthSpreading(u *unit, near domains) bool {
+// worthRunningRemotely reports whether running several times slower outside of the preferred
+// domains is better than waiting for them. A unit covered by a guarantee waits only for part of
+// the time in which its account may reclaim capacity.
+func (r *round) worthRunningRemotely(u *unit, preferred domainSet) bool {
 	if r.protected[u.job] && r.now-u.since > r.e.params.MaxReclaimWait/4 {
 		return true
 	}
-	slower := time.Duration((r.e.params.RemoteSlowdown - 1) * float64(r.e.estimate(u)))
-	for _, set := range near.sets {
-		if at, _ := r.forecast(u, set, slower); at <= slower {
+	extraTime := time.Duration((r.e.params.RemoteSlowdown - 1) * float64(r.e.estimate(u)))
+	for _, set := range preferred.domains {
+		if at, _ := r.forecastFit(u, set, extraTime); at <= extraTime {
 			return false
 		}
 	}
 	return true
 }
 
-// choose returns workers of one of the sets, the one that is left with the least room
-// that a large gang could have used.
-func (r *round) choose(u *unit, d domains) []*worker {
+// chooseWorkers returns workers in one of the domains: the one with the fewest accelerators left
+// over, to keep space for large gangs elsewhere. It returns nil if u fits in none.
+func (r *round) chooseWorkers(u *unit, d domainSet) []*worker {
 	var best []*worker
-	bestRest := 0
-	for _, set := range d.sets {
-		workers, rest := r.pack(u, set)
-		if workers != nil && (best == nil || rest < bestRest) {
-			best, bestRest = workers, rest
+	leastLeftover := 0
+	for _, set := range d.domains {
+		workers, leftover := r.pack(u, set)
+		if workers != nil && (best == nil || leftover < leastLeftover) {
+			best, leastLeftover = workers, leftover
 		}
 	}
 	return best
 }
 
-// option is a worker that may take members of a unit.
-type option struct {
-	w     *worker
-	slots int
-	rest  int
-	// near and around count tasks of the same step there, where they are spread.
-	near, around int
-	// friction is what it costs to share the worker.
-	friction int
-	// risk is what a crash of the worker under the unit would cost.
-	risk float64
+// candidate is a worker where members of a unit can be placed.
+type candidate struct {
+	worker   *worker
+	slots    int
+	leftover int
+	// sameStepOnWorker and sameStepOnRack count tasks of the same step, for long-running steps.
+	sameStepOnWorker, sameStepOnRack int
+	// interference is the score of sharing the worker; see Engine.interferenceScore.
+	interference int
+	// crashRisk is the cost of a crash of the worker under the unit.
+	crashRisk float64
 }
 
-// tooFull says whether the set certainly has no room for u: what is free there, however it
-// is spread, is less than u takes. It saves looking at each worker of a full fleet.
-func (u *unit) tooFull(set *domain) bool {
+// cannotFit reports whether set certainly has too few free accelerators for u. It is a cheap test
+// that avoids examining each worker of a full set.
+func (u *unit) cannotFit(set *domain) bool {
 	return len(u.claims) == 0 && set.freeAccelerators() < u.size*u.demand().Accelerators
 }
 
-// pack spreads u over as few workers of a set as possible, the fullest first, those
-// without recent failures before others. rest is the accelerators left free in the set.
-func (r *round) pack(u *unit, set *domain) (chosen []*worker, rest int) {
-	if u.tooFull(set) {
+// pack places u on as few workers of a set as possible, the fullest first. Recent failures, crash
+// risk, the spreading of long-running steps and interference take precedence. It returns nil if u
+// does not fit; leftover is the number of accelerators that remain free in the set.
+func (r *round) pack(u *unit, set *domain) (chosen []*worker, leftover int) {
+	if u.cannotFit(set) {
 		return nil, 0
 	}
 	need := u.demand().Accelerators
-	options := r.options[:0]
+	candidates := r.options[:0]
 	total := 0
 	for _, w := range set.workers {
-		room := r.room(u, w)
-		rest += room.Accelerators
-		n := r.slots(u, w, room)
+		free := r.room(u, w)
+		leftover += free.Accelerators
+		n := r.slots(u, w, free)
 		if n <= 0 {
 			continue
 		}
 		total += n
-		o := option{w: w, slots: n, rest: room.Accelerators - min(n, u.size)*need}
+		o := candidate{worker: w, slots: n, leftover: free.Accelerators - min(n, u.size)*need}
 		if u.spec().LongRunning {
-			o.near, o.around = r.neighbours(u, w)
+			o.sameStepOnWorker, o.sameStepOnRack = r.sameStepCounts(u, w)
 		}
-		o.friction = r.e.friction(u, w)
-		o.risk = r.risk(u, w)
-		options = append(options, o)
+		o.interference = r.e.interferenceScore(u, w)
+		o.crashRisk = r.risk(u, w)
+		candidates = append(candidates, o)
 	}
-	r.options = options
+	r.options = candidates
 	if total < u.size {
 		return nil, 0
 	}
-	slices.SortStableFunc(options, func(a, b option) int {
+	slices.SortStableFunc(candidates, func(a, b candidate) int {
 		return cmp.Or(
-			cmp.Compare(a.w.health.suspicion(), b.w.health.suspicion()),
-			cmp.Compare(a.risk, b.risk),
-			cmp.Compare(a.near, b.near),
-			cmp.Compare(a.around, b.around),
-			cmp.Compare(a.friction, b.friction),
+			cmp.Compare(a.worker.health.failureRank(), b.worker.health.failureRank()),
+			cmp.Compare(a.crashRisk, b.crashRisk),
+			cmp.Compare(a.sameStepOnWorker, b.sameStepOnWorker),
+			cmp.Compare(a.sameStepOnRack, b.sameStepOnRack),
+			cmp.Compare(a.interference, b.interference),
 			cmp.Compare(b.slots, a.slots),
-			cmp.Compare(a.rest, b.rest),
+			cmp.Compare(a.leftover, b.leftover),
 		)
 	})
-	for _, o := range options {
-		for range o.slots {
+	for _, c := range candidates {
+		for range c.slots {
 			if len(chosen) < u.size {
-				chosen = append(chosen, o.w)
+				chosen = append(chosen, c.worker)
 			}
 		}
 	}
-	return chosen, rest - u.size*u.demand().Accelerators
+	return chosen, leftover - u.size*u.demand().Accelerators
 }
--- a/engine/headroom.go
+++ b/engine/headroom.go
@@ -6,131 +6,129 @@
 	"time"
 )
 
-// Headroom answers bursts of urgent jobs that fit on one rack and last for a second or
-// three: stopping other work for each takes as long as a stop does, which is most of what
-// such a job may be late. So work that can wait leaves some racks as empty as urgent jobs
-// lately needed them. What can't wait any longer takes that room too.
+// Stopping other work to make room takes most of the time that a short urgent job may be late. So
+// work that can be deferred leaves some racks, the headroom, as empty as recent urgent jobs needed.
+// Work that can't be deferred any longer uses the headroom too.
 const (
-	// patientSlack is how much time a unit must have left before its latest start to
-	// leave the room alone. It covers the wait for the next release of room.
-	patientSlack = 6 * time.Second
-	// patientMost bounds how long a unit leaves the room alone after it could have started:
-	// several times what an urgent job lasts.
-	patientMost = 12 * time.Second
-	// urgentKept is how many urgent jobs are remembered at least, and urgentFor how long:
-	// more than a burst brings.
-	urgentKept = 24
-	urgentFor  = 15 * time.Second
-	// spareMost is the largest part of the racks that is kept for urgent jobs: a fleet that
-	// stands ready for more has no room for the work that pays for it.
-	spareMost = 0.25
+	// deferrableSlack is the minimum time to a unit's latest start at which it is deferrable. It
+	// covers the wait for the next release of capacity.
+	deferrableSlack = 6 * time.Second
+	// maxDeferral limits how long a unit that could have started is kept out of the headroom.
+	maxDeferral = 12 * time.Second
+	// minUrgentHistory is the number of urgent jobs that are always remembered. Further ones are
+	// remembered for urgentHistoryAge, to cover a whole burst.
+	minUrgentHistory = 24
+	urgentHistoryAge = 15 * time.Second
+	// maxHeadroomShare limits the share of racks kept as headroom, so that enough remain for
+	// other work.
+	maxHeadroomShare = 0.25
 )
 
-// urgent remembers when urgent jobs came and how many accelerators they took.
-type urgent struct {
+// urgentHistory holds the arrival times and sizes of recent urgent jobs.
+type urgentHistory struct {
 	arrivals []urgentArrival
 }
 
 type urgentArrival struct {
-	at   time.Duration
-	size int
+	at           time.Duration
+	accelerators int
 }
 
-func (u *urgent) note(now time.Duration, size int) {
-	u.arrivals = append(u.arrivals, urgentArrival{now, size})
-	for len(u.arrivals) > urgentKept && now-u.arrivals[0].at > urgentFor {
+func (u *urgentHistory) add(now time.Duration, accelerators int) {
+	u.arrivals = append(u.arrivals, urgentArrival{now, accelerators})
+	for len(u.arrivals) > minUrgentHistory && now-u.arrivals[0].at > urgentHistoryAge {
 		u.arrivals = u.arrivals[1:]
 	}
 }
 
-// target returns the accelerators to keep free: as many as all but the largest of a share
-// of the latest urgent jobs took, and at least what came together within the time that it
-// takes to make room for more. On a small fleet that is one job; where several come each
-// second, room for one would be gone with the first.
-func (u *urgent) target(share float64, stop time.Duration) int {
+// target returns the number of accelerators to keep free: a quantile of the sizes of recent urgent
+// jobs, given by share, but at least the peak demand within stopTime. The peak matters if several
+// urgent jobs arrive in the time that it takes to stop other work.
+func (u *urgentHistory) target(share float64, stopTime time.Duration) int {
 	if len(u.arrivals) == 0 {
 		return 0
 	}
 	sizes := make([]int, len(u.arrivals))
 	for i, a := range u.arrivals {
-		sizes[i] = a.size
+		sizes[i] = a.accelerators
 	}
 	slices.Sort(sizes)
-	return max(sizes[int(share*float64(len(sizes)-1))], u.together(stop))
+	return max(sizes[int(share*float64(len(sizes)-1))], u.peakWithin(stopTime))
 }
 
-// together returns the most accelerators that urgent jobs took which came within a span.
-func (u *urgent) together(span time.Duration) int {
-	most, sum, first := 0, 0, 0
+// peakWithin returns the most accelerators that urgent jobs requested within any span of that
+// length.
+func (u *urgentHistory) peakWithin(span time.Duration) int {
+	peak, sum, first := 0, 0, 0
 	for _, a := range u.arrivals {
-		sum += a.size
+		sum += a.accelerators
 		for a.at-u.arrivals[first].at > span {
-			sum -= u.arrivals[first].size
+			sum -= u.arrivals[first].accelerators
 			first++
 		}
-		most = max(most, sum)
+		peak = max(peak, sum)
 	}
-	return most
+	return peak
 }
 
-// pickSpare chooses the racks that are kept empty: the emptiest, as many as hold the target.
-// They stay so unless others are clearly emptier.
-func (r *round) pickSpare() {
+// pickHeadroomRacks chooses the emptiest racks as headroom, enough to hold the target. The
+// present headroom racks are preferred, so that they change only if others are clearly emptier.
+func (r *round) pickHeadroomRacks() {
 	if r.e.params.Policy.Headroom {
-		r.target = r.e.urgent.target(r.e.params.Policy.HeadroomShare, r.e.params.StopTime)
+		r.target = r.e.urgentHistory.target(r.e.params.Policy.HeadroomShare, r.e.params.StopTime)
 	}
-	type candidate struct {
+	type rackCandidate struct {
 		rack string
 		free int
 	}
-	var racks []candidate
+	var racks []rackCandidate
 	for _, rack := range r.rackNames {
 		free := r.racks[rack].freeAccelerators()
-		if r.e.spareRacks[rack] {
-			free += min(r.target, r.racks[rack].accelerators()) / 2
+		if r.e.headroomRacks[rack] {
+			free += min(r.target, r.racks[rack].totalAccelerators()) / 2
 		}
-		racks = append(racks, candidate{rack, free})
+		racks = append(racks, rackCandidate{rack, free})
 	}
-	slices.SortStableFunc(racks, func(a, b candidate) int { return cmp.Compare(b.free, a.free) })
-	most := max(1, int(spareMost*float64(len(racks))))
-	kept, room := map[string]bool{}, 0
+	slices.SortStableFunc(racks, func(a, b rackCandidate) int { return cmp.Compare(b.free, a.free) })
+	maxRacks := max(1, int(maxHeadroomShare*float64(len(racks))))
+	picked, capacity := map[string]bool{}, 0
 	for _, c := range racks {
-		if len(kept) > 0 && (room >= r.target || len(kept) == most) {
+		if len(picked) > 0 && (capacity >= r.target || len(picked) == maxRacks) {
 			break
 		}
-		kept[c.rack] = true
-		room += r.racks[c.rack].accelerators()
+		picked[c.rack] = true
+		capacity += r.racks[c.rack].totalAccelerators()
 	}
-	r.e.spareRacks = kept
-	r.target = min(r.target, room)
+	r.e.headroomRacks = picked
+	r.target = min(r.target, capacity)
 }
 
-// spareFree returns the accelerators of the spare racks that nothing holds or claims.
-func (r *round) spareFree() int {
+// freeHeadroom returns the number of free and unclaimed accelerators of the headroom racks.
+func (r *round) freeHeadroom() int {
 	sum := 0
-	for rack := range r.e.spareRacks {
+	for rack := range r.e.headroomRacks {
 		sum += r.racks[rack].freeAccelerators()
 	}
 	return sum
 }
 
-// spared returns how many members of u may go onto w without using up the headroom.
-func (r *round) spared(u *unit, w *worker, n int) int {
+// limitToHeadroom returns how many of n members of u may be placed on w without using headroom
+// that must stay free.
+func (r *round) limitToHeadroom(u *unit, w *worker, n int) int {
 	need := u.demand().Accelerators
-	if n <= 0 || need == 0 || !r.e.spareRacks[w.info.Rack] || !r.patient(u) {
+	if n <= 0 || need == 0 || !r.e.headroomRacks[w.info.Rack] || !r.deferrable(u) {
 		return n
 	}
-	return max(0, min(n, (r.spareFree()-r.target)/need))
+	return max(0, min(n, (r.freeHeadroom()-r.target)/need))
 }
 
-// patient says whether u can wait.
+// deferrable reports whether u can be kept out of the headroom.
 //
-// The failure that the bound guards against: a job that has missed its objective has no
-// deadline left. It would leave the room alone for ever, and never run where only that rack
-// has its data, with the room free.
-func (r *round) patient(u *unit) bool {
-	if u.job.spec.QueuePolicy.Priority == 0 || r.now-u.since > patientMost {
+// The time limit guards against starvation: a job that has missed its objective has no deadline
+// left, so it would never run if only a headroom rack holds its data.
+func (r *round) deferrable(u *unit) bool {
+	if u.job.spec.QueuePolicy.Priority == 0 || r.now-u.since > maxDeferral {
 		return false
 	}
-	return r.e.latestStart(r.now, u)-r.now > patientSlack
+	return r.e.latestStart(r.now, u)-r.now > deferrableSlack
 }
--- a/engine/interference.go
+++ b/engine/interference.go
@@ -1,51 +1,51 @@
 package engine
 
-// imagePair is a task that fills beside one that serves users.
+// imagePair is the image of a best-effort task and that of a latency-sensitive task on one worker.
 type imagePair struct {
-	fills  string
-	serves string
+	bestEffort       string
+	latencySensitive string
 }
 
 const (
-	// firstTolerance is the speed in percent at which an unknown image begins to fill: so
-	// low that even one that would double its neighbour's response times stays harmless,
-	// and high enough to show an effect.
-	firstTolerance = 25
-	// Weights of the newest observation: what is too much counts at once, what is
-	// tolerated takes some seconds to be believed, since loads change within seconds.
-	learnDown = 0.5
-	learnUp   = 0.25
+	// initialTolerance is the speed in percent at which a best-effort task of an unknown pair of
+	// images starts: low enough to be harmless and high enough for an effect to be measurable.
+	initialTolerance = 25
+	// decreaseWeight and increaseWeight are the weights of the newest observation. Violations
+	// count more, since load changes within seconds.
+	decreaseWeight = 0.5
+	increaseWeight = 0.25
 )
 
-// interference learns, by pair of images, the speed in percent at which one may fill
-// beside the other so that the other keeps its target.
-type interference struct {
-	tolerated map[imagePair]float64
+// interferenceModel estimates for each pair of images the speed in percent at which the
+// best-effort task may run while the latency-sensitive task still meets its target.
+type interferenceModel struct {
+	toleratedPercent map[imagePair]float64
 }
 
-func newInterference() interference {
-	return interference{tolerated: map[imagePair]float64{}}
+func newInterferenceModel() interferenceModel {
+	return interferenceModel{toleratedPercent: map[imagePair]float64{}}
 }
 
-func (i *interference) tolerance(pair imagePair) float64 {
-	if t, ok := i.tolerated[pair]; ok {
+// tolerance returns the estimated speed in percent.
+func (m *interferenceModel) tolerance(pair imagePair) float64 {
+	if t, ok := m.toleratedPercent[pair]; ok {
 		return t
 	}
-	return firstTolerance
+	return initialTolerance
 }
 
-// tooMuch notes that percent brought the neighbour over what it may take; strain is by
-// how much, in parts of its target.
-func (i *interference) tooMuch(pair imagePair, percent int, strain float64) {
-	safe := float64(percent) * strainCeiling / strain
-	if t := i.tolerance(pair); safe < t {
-		i.tolerated[pair] = t + learnDown*(safe-t)
+// observeViolation records that a best-effort task at percent raised the tail latency to
+// latencyRatio, as a fraction of the target.
+func (m *interferenceModel) observeViolation(pair imagePair, percent int, latencyRatio float64) {
+	tolerable := float64(percent) * strainCeiling / latencyRatio
+	if t := m.tolerance(pair); tolerable < t {
+		m.toleratedPercent[pair] = t + decreaseWeight*(tolerable-t)
 	}
 }
 
-// harmless notes that the neighbour did well at percent.
-func (i *interference) harmless(pair imagePair, percent int) {
-	if t := i.tolerance(pair); float64(percent) > t {
-		i.tolerated[pair] = t + learnUp*(float64(percent)-t)
+// observeTolerated records that the latency-sensitive task met its target at percent.
+func (m *interferenceModel) observeTolerated(pair imagePair, percent int) {
+	if t := m.tolerance(pair); float64(percent) > t {
+		m.toleratedPercent[pair] = t + increaseWeight*(float64(percent)-t)
 	}
 }
--- a/engine/job.go
+++ b/engine/job.go
@@ -7,91 +7,93 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// job is an accepted job and what is known of its units.
+// job is an accepted job and the state of its units.
 type job struct {
-	spec  workload.Job
-	order int64 // revision at which it was accepted
-	// accepted is on the engine's clock.
-	accepted time.Duration
-	units    []*unit
-	// created are the occurrences whose units exist.
-	created  int
-	state    workload.State
-	reason   string
-	begun    bool // a task has started
-	canceled bool
-	// cancelOrder is the revision of the cancellation, 0 where there is none.
-	cancelOrder int64
-	endedAt     time.Duration
-	// version counts changes that have to be on record; stored is the last that is.
-	version int
-	stored  int
-	// finalAt is the version that made the state final.
-	finalAt int
-	// chains are what Engine.chainsOf returns, as of chainsAt of what was learned of run
-	// times; nil before they are asked for.
-	chains   []time.Duration
-	chainsAt int
-	tickets  map[stepAt]*tickets
-	// unfit is why the job fits no workers, as last logged; unfitNext is when to look again.
-	unfit     string
-	unfitNext time.Duration
-	// closed: its records are replaced by its outcome, whose revision is record where a
-	// predecessor wrote it. cancelClosed is the revision of the cancellation that went too.
-	closed       bool
-	record       int64
-	cancelClosed int64
+	spec     workload.Job
+	revision int64 // store revision of its acceptance
+	// acceptedAt is a time of the engine's clock.
+	acceptedAt time.Duration
+	units      []*unit
+	// createdOccurrences is the number of occurrences whose units exist.
+	createdOccurrences int
+	state              workload.State
+	reason             string
+	started            bool // a task has started
+	canceled           bool
+	// cancelRevision is the store revision of the cancellation, 0 if there is none.
+	cancelRevision int64
+	endedAt        time.Duration
+	// version counts the changes to be stored; storedVersion is the last stored one.
+	version       int
+	storedVersion int
+	// finalVersion is the version in which the state became final.
+	finalVersion int
+	// criticalPaths caches the result of Engine.chainsOf, nil before the first use.
+	// criticalPathsVersion is the version of the run time estimates that it is based on.
+	criticalPaths        []time.Duration
+	criticalPathsVersion int
+	ticketsByStep        map[stepAt]*stepTickets
+	// unschedulableReason is the last logged reason why no worker can run the job.
+	// unschedulableCheckAt is when to check again.
+	unschedulableReason  string
+	unschedulableCheckAt time.Duration
+	// archived: the records are replaced by the outcome. outcomeRevision is the revision of the
+	// outcome if a previous planner wrote it. archivedCancelRevision is the revision of the
+	// cancellation that was removed with the records.
+	archived               bool
+	outcomeRevision        int64
+	archivedCancelRevision int64
 }
 
-// touched marks a change that has to be on record.
-func (j *job) touched() { j.version++ }
+// bumpVersion records that the job has changed and must be stored.
+func (j *job) bumpVersion() { j.version++ }
 
-// Visible is the state that may be told: a final one only once it is on record.
-func (j *job) visible() workload.State {
-	if j.state.Final() && j.stored < j.finalAt {
+// reportedState returns the state to report to callers. A final state is reported only once it
+// is stored.
+func (j *job) reportedState() workload.State {
+	if j.state.Final() && j.storedVersion < j.finalVersion {
 		if j.state == workload.Cancelled {
-			return j.state // the request itself is on record
+			return j.state // the cancellation itself is stored
 		}
 		return workload.Running
 	}
-	if !j.state.Final() && j.hasBegun() {
+	if !j.state.Final() && j.hasStarted() {
 		return workload.Running
 	}
 	return j.state
 }
 
-// hasBegun says whether a task of the job has started, as far as is known.
+// hasStarted reports whether a task of the job has started, as far as known.
 //
-// The failure it guards against: that a task began is not on record by itself, but its
-// placement is. A planner that has just taken over called jobs queued that ran, until the
-// agents had reported.
-func (j *job) hasBegun() bool {
-	return j.begun || slices.ContainsFunc(j.units, (*unit).adopted)
+// A placement is stored, but not that its task has started. So after a change of planner a stored
+// placement counts as started until the agents have reported.
+func (j *job) hasStarted() bool {
+	return j.started || slices.ContainsFunc(j.units, (*unit).adopted)
 }
 
-// objective returns the time by which the job should be completed, if its work takes as long
-// as is expected.
+// objective returns the time by which the job should complete, given the expected duration of its
+// work.
 func (e *Engine) objective(j *job) time.Duration { return j.objectiveFor(e.chain(j)) }
 
-// objectiveFor is the objective of a job whose longest chain of work takes that long.
-func (j *job) objectiveFor(chain time.Duration) time.Duration {
+// objectiveFor returns the objective for a given duration of the critical path.
+func (j *job) objectiveFor(criticalPath time.Duration) time.Duration {
 	stretch := j.spec.QueuePolicy.Stretch
 	if stretch <= 0 {
 		stretch = 1
 	}
-	return j.accepted + time.Duration(stretch*float64(chain)) + j.spec.QueuePolicy.TargetLatency
+	return j.acceptedAt + time.Duration(stretch*float64(criticalPath)) + j.spec.QueuePolicy.TargetLatency
 }
 
-// lateFactor bounds a late job's use: after that many times its objective its caller has
-// no use for it.
-const lateFactor = 3
+// uselessAfterFactor is the multiple of its objective after which a job's completion is of no use
+// to the caller.
+const uselessAfterFactor = 3
 
-// useless returns the time from which the job's caller has no use for it.
-func (e *Engine) useless(j *job) time.Duration {
-	return j.accepted + lateFactor*(e.objective(j)-j.accepted)
+// uselessFrom returns the time from which the job's completion is of no use to the caller.
+func (e *Engine) uselessFrom(j *job) time.Duration {
+	return j.acceptedAt + uselessAfterFactor*(e.objective(j)-j.acceptedAt)
 }
 
-// stepDone says whether all tasks of a step of an occurrence are done.
+// stepDone reports whether all tasks of a step of an occurrence are done.
 func (j *job) stepDone(occurrence, step int) bool {
 	for _, u := range j.units {
 		if u.occurrence == occurrence && u.step == step && u.state != unitDone {
@@ -101,19 +103,20 @@
 	return true
 }
 
-func (j *job) ready(u *unit) bool {
-	for _, before := range u.spec().DependsOn {
-		if !j.stepDone(u.occurrence, before) {
+// dependenciesDone reports whether all steps that u depends on are done.
+func (j *job) dependenciesDone(u *unit) bool {
+	for _, dep := range u.spec().DependsOn {
+		if !j.stepDone(u.occurrence, dep) {
 			return false
 		}
 	}
 	return true
 }
 
-// create makes the units of the next occurrence.
-func (j *job) create(now time.Duration) {
-	k := j.created
-	j.created++
+// createOccurrence creates the units of the next occurrence.
+func (j *job) createOccurrence(now time.Duration) {
+	k := j.createdOccurrences
+	j.createdOccurrences++
 	for i := range j.spec.Steps {
 		s := &j.spec.Steps[i]
 		if s.Gang {
@@ -126,10 +129,10 @@
 	}
 }
 
-// unblock moves the units whose earlier steps are done to the queue.
-func (j *job) unblock(now time.Duration) {
+// unblockUnits moves blocked units whose dependencies are done to the queue.
+func (j *job) unblockUnits(now time.Duration) {
 	for _, u := range j.units {
-		if u.state == unitBlocked && j.ready(u) {
+		if u.state == unitBlocked && j.dependenciesDone(u) {
 			u.state = unitWaiting
 			u.since = now
 		}
--- a/engine/jobs.go
+++ b/engine/jobs.go
@@ -6,57 +6,59 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// submit takes a job that is on record. A repeated one changes nothing.
+// submit adds a stored job. A repeated submission has no effect.
 func (e *Engine) submit(now time.Duration, ev JobSubmitted) {
 	if e.jobs[ev.Job.ID] != nil || e.expired[ev.Job.ID] {
 		return
 	}
-	j := e.adopt(now, ev)
-	e.decidedJob(j, "accepted", "")
-	if order, cancelled := e.cancels[ev.Job.ID]; cancelled {
-		delete(e.cancels, ev.Job.ID)
-		e.cancel(now, CancelRequested{Job: ev.Job.ID, Revision: order})
+	j := e.addJob(now, ev)
+	e.logJobDecision(j, "accepted", "")
+	if revision, cancelled := e.earlyCancels[ev.Job.ID]; cancelled {
+		delete(e.earlyCancels, ev.Job.ID)
+		e.cancel(now, CancelRequested{Job: ev.Job.ID, Revision: revision})
 		return
 	}
-	e.occur(now, j)
-	j.unblock(now)
-	e.replan = true
+	e.createDueOccurrences(now, j)
+	j.unblockUnits(now)
+	e.planNeeded = true
 	if j.spec.QueuePolicy.Priority == 0 {
-		e.urgent.note(now, j.accelerators())
+		e.urgentHistory.add(now, j.accelerators())
 	}
 }
 
-func (e *Engine) adopt(now time.Duration, ev JobSubmitted) *job {
+// addJob adds a job without units.
+func (e *Engine) addJob(now time.Duration, ev JobSubmitted) *job {
 	j := &job{
-		spec:     ev.Job,
-		order:    ev.Revision,
-		accepted: now - ev.Age,
-		state:    workload.Queued,
+		spec:       ev.Job,
+		revision:   ev.Revision,
+		acceptedAt: now - ev.Age,
+		state:      workload.Queued,
 	}
 	e.jobs[ev.Job.ID] = j
-	e.sequence = append(e.sequence, j)
+	e.orderedJobs = append(e.orderedJobs, j)
 	return j
 }
 
-// occur makes the units of the occurrences that are due.
-func (e *Engine) occur(now time.Duration, j *job) {
-	for j.created < j.spec.Occurrences() {
-		due, scheduled := j.spec.Due(j.created)
-		if scheduled && (e.wall.IsZero() || e.wall.Before(due)) {
+// createDueOccurrences creates the units of all occurrences that are due.
+func (e *Engine) createDueOccurrences(now time.Duration, j *job) {
+	for j.createdOccurrences < j.spec.Occurrences() {
+		due, scheduled := j.spec.Due(j.createdOccurrences)
+		if scheduled && (e.wallTime.IsZero() || e.wallTime.Before(due)) {
 			return
 		}
-		j.create(now)
+		j.createOccurrence(now)
 	}
 }
 
-// cancel ends a job at the caller's request: nothing of it starts any more.
+// cancel ends a job at its caller's request. A cancellation of an unknown job is kept until the
+// job is added.
 func (e *Engine) cancel(now time.Duration, ev CancelRequested) {
 	j := e.jobs[ev.Job]
 	if j == nil {
-		e.cancels[ev.Job] = max(e.cancels[ev.Job], ev.Revision)
+		e.earlyCancels[ev.Job] = max(e.earlyCancels[ev.Job], ev.Revision)
 		return
 	}
-	j.cancelOrder = max(j.cancelOrder, ev.Revision)
+	j.cancelRevision = max(j.cancelRevision, ev.Revision)
 	if j.canceled || j.state.Final() {
 		return
 	}
@@ -64,34 +66,34 @@
 	e.finish(now, j, workload.Cancelled, "cancelled by the caller")
 }
 
-// finish makes a job's state final and stops what still runs of it.
+// finish sets a job's final state and, if it was cancelled or has failed, stops its runs.
 func (e *Engine) finish(now time.Duration, j *job, state workload.State, reason string) {
 	j.state = state
 	j.reason = reason
 	j.endedAt = now
-	e.change(j)
-	j.finalAt = j.version
-	e.decidedJob(j, string(state), reason)
-	e.actions = append(e.actions, JobFinished{Account: j.spec.Account, Queue: j.spec.Queue, State: state, Took: now - j.accepted})
+	e.markChanged(j)
+	j.finalVersion = j.version
+	e.logJobDecision(j, string(state), reason)
+	e.actions = append(e.actions, JobFinished{Account: j.spec.Account, Queue: j.spec.Queue, State: state, Took: now - j.acceptedAt})
 	for _, u := range j.units {
 		e.dropClaims(u)
 		switch state {
 		case workload.Cancelled:
-			e.stopAll(now, u, CauseCancelled)
+			e.stopUnit(now, u, CauseCancelled)
 		case workload.Failed:
-			e.stopAll(now, u, CauseJobFailed)
+			e.stopUnit(now, u, CauseJobFailed)
 		}
 	}
-	e.replan = true
+	e.planNeeded = true
 }
 
-// advance moves a job on after one of its units was done.
-func (e *Engine) advance(now time.Duration, j *job) {
+// advanceJob unblocks units after one is done, and completes the job after the last one.
+func (e *Engine) advanceJob(now time.Duration, j *job) {
 	if j.state.Final() {
 		return
 	}
-	j.unblock(now)
-	if j.created < j.spec.Occurrences() {
+	j.unblockUnits(now)
+	if j.createdOccurrences < j.spec.Occurrences() {
 		return
 	}
 	for _, u := range j.units {
@@ -102,7 +104,7 @@
 	e.finish(now, j, workload.Completed, "")
 }
 
-// JobStatus is what a caller may be told of a job.
+// JobStatus is the state of a job as reported to callers.
 type JobStatus struct {
 	State   workload.State
 	Queue   string
@@ -110,20 +112,20 @@
 	Reason  string
 }
 
-// Lookup returns the state of a job, and false for one that is not known.
+// Lookup returns the status of a job, and false if the job is not known.
 func (e *Engine) Lookup(id workload.JobID) (JobStatus, bool) {
 	j := e.jobs[id]
 	if j == nil {
 		return JobStatus{}, false
 	}
-	return JobStatus{State: j.visible(), Queue: j.spec.Queue, Account: j.spec.Account, Reason: j.reason}, true
+	return JobStatus{State: j.reportedState(), Queue: j.spec.Queue, Account: j.spec.Account, Reason: j.reason}, true
 }
 
-// UnstartedByQueue returns how many jobs of each queue have not begun.
+// UnstartedByQueue returns the number of jobs of each queue that have not started.
 func (e *Engine) UnstartedByQueue() map[string]int {
 	out := map[string]int{}
 	for _, j := range e.jobs {
-		if !j.hasBegun() && !j.state.Final() {
+		if !j.hasStarted() && !j.state.Final() {
 			out[j.spec.Queue]++
 		}
 	}
--- /dev/null
+++ b/engine/late_start_test.go
@@ -0,0 +1,69 @@
+package engine
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"github.com/eelgrasshub/eelgrasshub/workload"
+)
+
+// cancelUnansweredStart orders a start that gets no answer, and cancels its job.
+func (d *driver) cancelUnansweredStart(c *qt.C) (workload.RunID, WorkerID) {
+	id := d.submit(1, "", taskStep(1, 8))
+	var run workload.RunID
+	for range 3 {
+		d.decideAndStore(StartUnknown)
+	}
+	c.Assert(d.starts, qt.HasLen, 1)
+	run = d.starts[0].Run
+	d.handle(CancelRequested{Job: id})
+	d.settle()
+	return run, d.startedOn[run]
+}
+
+// reportStopsRun reports a single run on a worker and returns whether its stop is ordered at once.
+func (d *driver) reportStopsRun(run workload.RunID, on WorkerID) bool {
+	d.stops = nil
+	d.now += 100 * time.Millisecond
+	d.report(Report{
+		Epoch: d.e.epoch, Polled: true, Worker: d.e.workers[on].info,
+		Running: []RunStatus{{Run: run, Percent: 1}},
+	})
+	d.settle()
+	return slices.Contains(d.stops, run)
+}
+
+// A start gets no answer, its job is cancelled and its placement given up. If the worker carries the
+// order out later, the run must be stopped with the first report that lists it.
+func TestLateStartOfCancelledJobIsStopped(t *testing.T) {
+	c := qt.New(t)
+	d := newDriver(t, 1)
+	run, on := d.cancelUnansweredStart(c)
+	d.report(Report{Epoch: 1, Polled: true, Worker: d.e.workers[on].info, ConfirmedAbsent: []workload.RunID{run}})
+	d.settle()
+	c.Assert(d.runs(run.Task.Job), qt.HasLen, 0)
+	c.Check(d.reportStopsRun(run, on), qt.IsTrue)
+	c.Check(d.e.workers[on].usable(d.now), qt.IsFalse, qt.Commentf("its room is taken until it is gone"))
+}
+
+// The same after a change of planner: the successor has read the cancelled job from the store and
+// never ordered the task.
+func TestSuccessorStopsLateStartOfCancelledJob(t *testing.T) {
+	for _, recorded := range []bool{true, false} {
+		c := qt.New(t)
+		d := newDriver(t, 1)
+		run, on := d.cancelUnansweredStart(c)
+		info := d.e.workers[on].info
+		if !recorded {
+			d.report(Report{Epoch: 1, Polled: true, Worker: info, ConfirmedAbsent: []workload.RunID{run}})
+			d.settle()
+		}
+		d.takeOver()
+		d.report(Report{Epoch: d.e.epoch, Worker: info})
+		c.Check(d.reportStopsRun(run, on), qt.IsTrue, qt.Commentf("placement on record: %v", recorded))
+		c.Check(d.e.workers[on].usable(d.now), qt.IsFalse)
+	}
+}
--- /dev/null
+++ b/engine/longrunning.go
@@ -0,0 +1,111 @@
+package engine
+
+import (
+	"slices"
+	"time"
+)
+
+// Long-running steps (Step.LongRunning) serve users for as long as their job lives. Their tasks are
+// restarted whenever they end, spread over workers and racks, and stopped by the scheduler only
+// within MaxUnavailable.
+
+const (
+	// stableAfter is how long a task must have run for it to be restarted without a delay.
+	stableAfter = 10 * time.Second
+	// initialRestartDelay and maxRestartDelay bound the delay before restarting a task that ended
+	// sooner. It is short, as users wait, but prevents a task that can't run from causing
+	// continuous writes and orders.
+	initialRestartDelay = 100 * time.Millisecond
+	maxRestartDelay     = 2 * time.Second
+)
+
+// scheduleRestart restarts a long-running task after its run p has ended by itself.
+func (e *Engine) scheduleRestart(now time.Duration, p *placement) {
+	u := p.unit
+	e.markRetry(u)
+	if now-p.began >= stableAfter {
+		u.restarts.reset()
+		return
+	}
+	u.notBefore = now + u.restarts.next(initialRestartDelay, maxRestartDelay)
+}
+
+// unavailableTasks returns how many units of u's step are not available, for whatever reason.
+func (u *unit) unavailableTasks() int {
+	n := 0
+	for _, o := range u.job.units {
+		if o.at() == u.at() && !o.available() {
+			n++
+		}
+	}
+	return n
+}
+
+// available reports whether all members of the unit run at full progress and none is being stopped.
+func (u *unit) available() bool {
+	if u.state != unitActive || u.ending() || len(u.places) < u.size {
+		return false
+	}
+	return !slices.ContainsFunc(u.places, func(p *placement) bool {
+		return p.stopping || p.state != placeRunning || p.pulse.percent < 100
+	})
+}
+
+// mayStop reports whether the scheduler may stop u while alsoStopped other units of its step are
+// stopped too.
+func (u *unit) mayStop(alsoStopped int) bool {
+	if !u.spec().LongRunning || !u.available() {
+		return true
+	}
+	return u.unavailableTasks()+alsoStopped < u.spec().MaxUnavailable
+}
+
+// fitsBesideGuarantees reports whether u can start without endangering guarantees. Long-running
+// tasks can't be evicted, so those outside of priority 0 must not hold more than the accelerators
+// of their service less all guarantees.
+func (r *round) fitsBesideGuarantees(u *unit) bool {
+	if !u.spec().LongRunning || u.job.spec.QueuePolicy.Priority == 0 || u.demand().Accelerators == 0 {
+		return true
+	}
+	total, held := 0, 0
+	for _, w := range r.e.sortedWorkers() {
+		if w.info.Service != u.job.spec.Service || !w.sound(r.now) {
+			continue
+		}
+		total += w.most.Accelerators // the guarantees count on temporarily missing capacity too
+		for _, p := range w.places {
+			if p.unit.spec().LongRunning && p.unit.job.spec.QueuePolicy.Priority > 0 {
+				held += p.demand.Accelerators
+			}
+		}
+	}
+	return held+u.total().Accelerators <= total-r.e.totalGuaranteed()
+}
+
+// totalGuaranteed returns the sum of the accelerators guaranteed to all accounts.
+func (e *Engine) totalGuaranteed() int {
+	if e.catalog == nil {
+		return 0
+	}
+	sum := 0
+	for _, a := range e.catalog.Accounts {
+		sum += a.GuaranteedAccelerators
+	}
+	return sum
+}
+
+// sameStepCounts returns how many tasks of u's step are on w, and on its rack.
+func (r *round) sameStepCounts(u *unit, w *worker) (onWorker, onRack int) {
+	for _, o := range r.racks[w.info.Rack].workers {
+		for _, p := range o.places {
+			if p.unit.job != u.job || p.unit.step != u.step {
+				continue
+			}
+			onRack++
+			if o == w {
+				onWorker++
+			}
+		}
+	}
+	return onWorker, onRack
+}
--- a/runtimes/model.go
+++ b/runtimes/model.go
@@ -6,100 +6,105 @@
 )
 
 const (
-	// learnShare is the weight of the newest of many runs. Queues see tens of runs a minute.
-	learnShare = 0.1
-	// startCount is how many runs the declaration counts for before any was seen.
-	startCount = 2.0
-	// startSpread is how far, as a factor's logarithm, declarations are taken to be off then.
-	startSpread = 0.5
-	// leastSpread keeps a few runs that agree by chance from counting as certainty.
-	leastSpread = 0.1
-	// mostFactor bounds what one run may teach, so that an odd one can't spoil decisions.
-	mostFactor = 20.0
+	// minSampleWeight is the weight of the newest sample once many have been seen.
+	minSampleWeight = 0.1
+	// priorCount is the number of samples that the prior on declarations counts for.
+	priorCount = 2.0
+	// priorStdDev is the prior standard deviation of the logarithm of actual over declared
+	// duration.
+	priorStdDev = 0.5
+	// minStdDev keeps a few samples that agree by chance from being trusted too much.
+	minStdDev = 0.1
+	// maxRatio limits the ratio of actual to declared duration, to bound the influence of
+	// an outlier.
+	maxRatio = 20.0
 )
 
-// Model holds what was learned of each queue.
+// Model holds the statistics of each queue.
 type Model struct {
-	queues  map[string]*queue
+	queues  map[string]*queueStats
 	version int
 }
 
-// queue is the scatter of lengths by themselves, and of their ratio to what was declared.
-type queue struct {
-	length scatter
-	ratio  scatter
+// queueStats holds statistics of the logarithm of the durations of a queue's runs, and of the
+// logarithm of the ratio of actual to declared duration.
+type queueStats struct {
+	durations movingStats
+	ratios    movingStats
 }
 
-// New returns a Model that knows nothing, and so expects what is declared.
-func New() *Model { return &Model{queues: map[string]*queue{}} }
+// New returns a Model without samples; its estimates are the declared durations.
+func New() *Model { return &Model{queues: map[string]*queueStats{}} }
 
-// Version changes whenever expectations do.
+// Version changes whenever an estimate may have changed.
 func (m *Model) Version() int { return m.version }
 
-// Observe takes the length of a run whose work was done, and what had been declared, 0 where
-// nothing was. Runs of no length teach nothing.
-func (m *Model) Observe(name string, declared, took time.Duration) {
+// Observe records the duration of a run that completed its work, and the declared duration,
+// 0 if none was declared. Runs without a positive duration are ignored.
+func (m *Model) Observe(queueName string, declared, took time.Duration) {
 	if took <= 0 {
 		return
 	}
-	q := m.queues[name]
+	q := m.queues[queueName]
 	if q == nil {
-		q = &queue{}
-		m.queues[name] = q
+		q = &queueStats{}
+		m.queues[queueName] = q
 	}
-	q.length.add(math.Log(took.Seconds()))
+	q.durations.add(math.Log(took.Seconds()))
 	if declared > 0 {
-		most := math.Log(mostFactor)
-		q.ratio.add(min(max(math.Log(took.Seconds()/declared.Seconds()), -most), most))
+		maxLog := math.Log(maxRatio)
+		q.ratios.add(min(max(math.Log(took.Seconds()/declared.Seconds()), -maxLog), maxLog))
 	}
 	m.version++
 }
 
-// Estimate returns how long a run of a queue is expected to take; 0 where nothing is declared
-// and nothing was learned.
-func (m *Model) Estimate(name string, declared time.Duration) time.Duration {
-	q := m.queues[name]
+// Estimate returns the expected duration of a run of a queue. It is 0 if nothing is declared
+// and no run has been observed.
+func (m *Model) Estimate(queueName string, declared time.Duration) time.Duration {
+	q := m.queues[queueName]
 	if q == nil {
 		return declared
 	}
 	if declared <= 0 {
-		return seconds(math.Exp(q.length.mean))
+		return seconds(math.Exp(q.durations.mean))
 	}
-	byDeclared := math.Log(declared.Seconds()) + q.correction()
-	trust, trustLength := 1/q.declaredVariance(), q.length.weight()
-	return seconds(math.Exp((trust*byDeclared + trustLength*q.length.mean) / (trust + trustLength)))
+	correctedLog := math.Log(declared.Seconds()) + q.declarationBias()
+	declaredPrecision, historyPrecision := 1/q.declarationVariance(), q.durations.precision()
+	return seconds(math.Exp((declaredPrecision*correctedLog + historyPrecision*q.durations.mean) / (declaredPrecision + historyPrecision)))
 }
 
-// correction is by how much declarations are usually off; while few runs were seen, less.
-func (q *queue) correction() float64 {
-	return q.ratio.mean * q.ratio.n / (q.ratio.n + startCount)
+// declarationBias returns the mean log ratio, shrunk towards zero while there are few samples.
+func (q *queueStats) declarationBias() float64 {
+	return q.ratios.mean * q.ratios.count / (q.ratios.count + priorCount)
 }
 
-func (q *queue) declaredVariance() float64 {
-	start := startSpread * startSpread
-	return (q.ratio.variance*q.ratio.n + start*startCount) / (q.ratio.n + startCount)
+// declarationVariance returns the variance of the log ratio, combined with the prior.
+func (q *queueStats) declarationVariance() float64 {
+	priorVariance := priorStdDev * priorStdDev
+	return (q.ratios.variance*q.ratios.count + priorVariance*priorCount) / (q.ratios.count + priorCount)
 }
 
-// scatter is the mean and the variance of the latest values, the newest weighing most.
-type scatter struct {
-	n              float64
+// movingStats is an exponentially weighted mean and variance.
+type movingStats struct {
+	count          float64
 	mean, variance float64
 }
 
-func (s *scatter) add(x float64) {
-	s.n++
-	share := max(learnShare, 1/s.n)
-	off := x - s.mean
-	s.mean += share * off
-	s.variance = (1 - share) * (s.variance + share*off*off)
+func (s *movingStats) add(x float64) {
+	s.count++
+	weight := max(minSampleWeight, 1/s.count)
+	delta := x - s.mean
+	s.mean += weight * delta
+	s.variance = (1 - weight) * (s.variance + weight*delta*delta)
 }
 
-// weight is how much the mean tells of the next value; nothing while it rests on one.
-func (s *scatter) weight() float64 {
-	if s.n < 2 {
+// precision returns the inverse variance as the weight of the mean; 0 with fewer than two
+// samples.
+func (s *movingStats) precision() float64 {
+	if s.count < 2 {
 		return 0
 	}
-	return (s.n - 1) / s.n / max(s.variance, leastSpread*leastSpread)
+	return (s.count - 1) / s.count / max(s.variance, minStdDev*minStdDev)
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
--- a/workload/check.go
+++ b/workload/validate.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Limits of a job that Check accepts. They bound what one job costs a planner.
+// Limits that Validate enforces. They bound the cost of one job to a planner.
 const (
 	MaxSpecBytes   = 4000
 	MaxSteps       = 256
@@ -10,7 +10,7 @@
 	MaxOccurrences = 1_000_000
 )
 
-// FieldError says which field of a job can't be accepted, and why.
+// FieldError reports an invalid field of a job and the reason.
 type FieldError struct {
 	Field  string
 	Reason string
@@ -19,7 +19,7 @@
 // Error implements error.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// Validate returns a *FieldError for a job that can't be accepted.
+// Validate returns a *FieldError if the job can't be accepted.
 func (j *Job) Validate() error {
 	if len(j.Spec) > MaxSpecBytes {
 		return &FieldError{"spec", fmt.Sprintf("has %d bytes, at most %d are accepted", len(j.Spec), MaxSpecBytes)}
@@ -30,16 +30,16 @@
 	if len(j.Steps) > MaxSteps {
 		return &FieldError{"steps", fmt.Sprintf("has %d entries, at most %d are accepted", len(j.Steps), MaxSteps)}
 	}
-	if err := j.Schedule.check(); err != nil {
+	if err := j.Schedule.validate(); err != nil {
 		return err
 	}
-	return j.checkSteps()
+	return j.validateSteps()
 }
 
-func (j *Job) checkSteps() error {
+func (j *Job) validateSteps() error {
 	tasks := 0
 	for i := range j.Steps {
-		if err := j.Steps[i].check(i); err != nil {
+		if err := j.Steps[i].validate(i); err != nil {
 			return err
 		}
 		tasks += j.Steps[i].Count
@@ -50,8 +50,8 @@
 	return nil
 }
 
-func (s *Step) check(i int) error {
-	field := func(name string) string { return fmt.Sprintf("steps[%d].%s", i, name) }
+func (s *Step) validate(index int) error {
+	field := func(name string) string { return fmt.Sprintf("steps[%d].%s", index, name) }
 	if s.Count < 1 || s.Count > MaxTasks {
 		return &FieldError{field("count"), fmt.Sprintf("is %d, must be 1 to %d", s.Count, MaxTasks)}
 	}
@@ -61,15 +61,15 @@
 	if s.MaxPerWorker < 0 || s.Estimate < 0 || s.MaxUnavailable < 0 {
 		return &FieldError{field("limits"), "are negative"}
 	}
-	for _, before := range s.DependsOn {
-		if before < 0 || before >= i {
-			return &FieldError{field("after"), fmt.Sprintf("names step %d, must name earlier steps", before)}
+	for _, dep := range s.DependsOn {
+		if dep < 0 || dep >= index {
+			return &FieldError{field("after"), fmt.Sprintf("names step %d, must name earlier steps", dep)}
 		}
 	}
 	return nil
 }
 
-func (s *Schedule) check() error {
+func (s *Schedule) validate() error {
 	if s.Count < 0 || s.Count > MaxOccurrences {
 		return &FieldError{"schedule.count", fmt.Sprintf("is %d, must be 0 to %d", s.Count, MaxOccurrences)}
 	}
