--- a/engine/action.go
+++ b/engine/action.go
@@ -51,8 +51,8 @@
 	Stops  []workload.RunID
 	// Paces are applied after the starts.
 	Paces []PaceOrder
-	// CordonsAt is the revision of the cordons on which the starts were decided.
-	CordonsAt int64
+	// CordonsRevision is the revision of the cordons on which the starts were decided.
+	CordonsRevision int64
 }
 
 // Decision is a log entry about a decision on a job.
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -154,7 +154,7 @@
 			return o
 		}
 	}
-	o := &Orders{Worker: w.info.ID, Agent: w.info.Agent, CordonsAt: e.cordons.Revision}
+	o := &Orders{Worker: w.info.ID, Agent: w.info.Agent, CordonsRevision: e.cordons.Revision}
 	e.orders = append(e.orders, o)
 	return o
 }
--- a/engine/sim_cordon_test.go
+++ b/engine/sim_cordon_test.go
@@ -113,7 +113,7 @@
 
 // refusesCordoned says whether the agent knows better than the orders.
 func (w *simWorld) refusesCordoned(sw *simWorker, o Orders) bool {
-	refused := o.CordonsAt <= sw.cordons.Revision && sw.cordons.Contains(sw.info.Zone)
+	refused := o.CordonsRevision <= sw.cordons.Revision && sw.cordons.Contains(sw.info.Zone)
 	if refused {
 		w.counts["refused for a cordon"]++
 	}
--- a/link/orders.go
+++ b/link/orders.go
@@ -33,7 +33,7 @@
 
 // NewOrders returns the message of orders given under an epoch.
 func NewOrders(epoch uint64, o engine.Orders) *Orders {
-	m := &Orders{Epoch: epoch, Worker: o.Worker, Stops: o.Stops, Paces: o.Paces, CordonsAt: o.CordonsAt}
+	m := &Orders{Epoch: epoch, Worker: o.Worker, Stops: o.Stops, Paces: o.Paces, CordonsAt: o.CordonsRevision}
 	at := map[string]int{}
 	for _, s := range o.Starts {
 		spec, sent := at[s.Spec]
--- a/nodeagent/cordon_test.go
+++ b/nodeagent/cordon_test.go
@@ -47,7 +47,7 @@
 
 func oneStart(cordonsAt int64) *link.Orders {
 	run := workload.RunID{Task: workload.TaskID{Job: "j"}, Number: 1}
-	return link.NewOrders(1, engine.Orders{Worker: "w", Starts: []engine.StartOrder{{Run: run}}, Stops: []workload.RunID{run}, CordonsAt: cordonsAt})
+	return link.NewOrders(1, engine.Orders{Worker: "w", Starts: []engine.StartOrder{{Run: run}}, Stops: []workload.RunID{run}, CordonsRevision: cordonsAt})
 }
 
 func outcomeOf(c *qt.C, a *Agent, orders *link.Orders) engine.StartOutcome {
