--- a/nodeagent/cordon_test.go
+++ b/nodeagent/cordon_test.go
@@ -47,7 +47,7 @@
 
 func startAndStopOrders(cordonsRevision int64) *link.Orders {
 	run := workload.RunID{Task: workload.TaskID{Job: "j"}, Number: 1}
-	return link.NewOrders(1, engine.Orders{Worker: "w", Starts: []engine.StartOrder{{Run: run}}, Stops: []workload.RunID{run}, CordonsAt: cordonsRevision})
+	return link.NewOrders(1, engine.Orders{Worker: "w", Starts: []engine.StartOrder{{Run: run}}, Stops: []workload.RunID{run}, CordonsRevision: cordonsRevision})
 }
 
 func executeStart(c *qt.C, a *Agent, orders *link.Orders) engine.StartOutcome {
