--- a/engine/job.go
+++ b/engine/job.go
@@ -28,7 +28,7 @@
 	storedVersion int
 	// finalVersion is the version in which the state became final.
 	finalVersion int
-	// criticalPaths caches the result of Engine.chainsOf, nil before the first use.
+	// criticalPaths caches the expected critical path from each step on, nil before the first use.
 	// criticalPathsVersion is the version of the run time estimates that it is based on.
 	criticalPaths        []time.Duration
 	criticalPathsVersion int
--- a/workload/step.go
+++ b/workload/step.go
@@ -24,8 +24,10 @@
 	// Speculative: several copies of a task may run in parallel; the first result counts.
 	Speculative bool `json:"copies,omitempty" cbor:"11,keyasint,omitempty"`
 	// LongRunning: tasks are restarted whenever they end, until the job is cancelled.
-	LongRunning       bool          `json:"long_running,omitempty" cbor:"12,keyasint,omitempty"`
-	Image             string        `json:"image,omitempty" cbor:"13,keyasint,omitempty"`
+	LongRunning bool   `json:"long_running,omitempty" cbor:"12,keyasint,omitempty"`
+	Image       string `json:"image,omitempty" cbor:"13,keyasint,omitempty"`
+	// TailLatencyTarget is the tail latency that the tasks must keep; 0 if they are not
+	// latency-sensitive.
 	TailLatencyTarget time.Duration `json:"tail,omitempty" cbor:"14,keyasint,omitempty"`
 	// BestEffortCPU: the tasks use only processor time that other tasks leave idle, so
 	// their CPU need is not counted against the worker's capacity.
