--- a/scheduler/account.go
+++ b/scheduler/account.go
@@ -2,17 +2,17 @@
 
 // account is the state of one client account.
 type account struct {
-	policy  AccountPolicy
-	known   bool // in the policy in force
-	queues  map[queueKey]*queue
-	order   []*queue // the queues, oldest first, for a deterministic walk
-	waiting int
-	used    int // accelerators in use beyond the guarantee
-	cores   int // cores in use by jobs without accelerators
-	running int
-	blocks  []*block
-	gen     uint64 // changes when the room in its blocks may have grown
-	evicted EvictionTotals
+	policy            AccountPolicy
+	declared          bool // in the policy in force
+	queueByKey        map[queueKey]*queue
+	queueList         []*queue // the queues, oldest first, for a deterministic walk
+	waiting           int
+	usedOutsideBlocks int // accelerators in use beyond the guarantee
+	cpuJobCores       int // cores in use by jobs without accelerators
+	running           int
+	blocks            []*block
+	blockGen          uint64 // changes when the room in its blocks may have grown
+	evicted           EvictionTotals
 }
 
 // EvictionTotals is the work lost to evictions.
@@ -30,16 +30,16 @@
 func (s *Scheduler) accountOf(id AccountID) *account {
 	a := s.accounts[id]
 	if a == nil {
-		a = &account{policy: AccountPolicy{ID: id}, queues: map[queueKey]*queue{}}
+		a = &account{policy: AccountPolicy{ID: id}, queueByKey: map[queueKey]*queue{}}
 		s.accounts[id] = a
 		s.accountList = append(s.accountList, a)
 	}
 	return a
 }
 
-// share is the dominant use beyond the guarantee, divided by the weight.
-func (s *Scheduler) share(a *account) float64 {
-	acc := float64(a.used) / float64(max(1, s.size.total()))
-	cpu := float64(a.cores) / float64(max(1, s.cores))
+// weightedShare is the dominant use beyond the guarantee, divided by the weight.
+func (s *Scheduler) weightedShare(a *account) float64 {
+	acc := float64(a.usedOutsideBlocks) / float64(max(1, s.installed.total()))
+	cpu := float64(a.cpuJobCores) / float64(max(1, s.cpuJobCores))
 	return max(acc, cpu) / a.weight()
 }
--- a/scheduler/baseline_test.go
+++ b/scheduler/baseline_test.go
@@ -36,7 +36,7 @@
 type baseJob struct {
 	Job
 	attempt   Attempt
-	on        []piece
+	on        []allocation
 	masks     []uint64
 	within    []int // of each piece, what is in the part of the account
 	running   bool
@@ -125,7 +125,7 @@
 	for i, p := range j.on {
 		b.used[p.node] &^= j.masks[i]
 		b.inside[p.node] -= j.within[i]
-		b.busy[p.node] -= p.n
+		b.busy[p.node] -= p.count
 	}
 	b.use[j.Account] -= j.Accelerators
 	j.on, j.masks, j.within, j.running, j.stopping = nil, nil, nil, false, false
@@ -147,7 +147,7 @@
 		if b.parted {
 			k.class = string(j.Account)
 		}
-		at := []piece(nil)
+		at := []allocation(nil)
 		if !failed[k] {
 			at = b.scan(j.Account, j.Accelerators, j.Adjacency)
 		}
@@ -168,7 +168,7 @@
 }
 
 // scan takes the first workers in order that have room within one span.
-func (b *baseline) scan(a AccountID, need int, span Adjacency) []piece {
+func (b *baseline) scan(a AccountID, need int, span Adjacency) []allocation {
 	have := map[string]int{}
 	name := func(w *Worker) string {
 		switch span {
@@ -195,13 +195,13 @@
 	return nil
 }
 
-func (b *baseline) take(a AccountID, need int, in string, name func(*Worker) string) []piece {
-	var out []piece
+func (b *baseline) take(a AccountID, need int, in string, name func(*Worker) string) []allocation {
+	var out []allocation
 	for i := range b.workers {
 		w := &b.workers[i]
 		k := min(need, b.room(i, a))
 		if k > 0 && name(w) == in {
-			out = append(out, piece{nodeID(i), k})
+			out = append(out, allocation{nodeID(i), k})
 			if need -= k; need == 0 {
 				break
 			}
@@ -210,7 +210,7 @@
 	return out
 }
 
-func (b *baseline) start(j *baseJob, at []piece) Action {
+func (b *baseline) start(j *baseJob, at []allocation) Action {
 	b.order++
 	j.attempt++
 	j.on, j.running, j.started = at, true, b.order
@@ -218,7 +218,7 @@
 	place := make(Placement, len(at))
 	for i, p := range at {
 		var mask uint64
-		for bit, n := 0, 0; n < p.n; bit++ {
+		for bit, n := 0, 0; n < p.count; bit++ {
 			if b.used[p.node]&(1<<bit) == 0 {
 				mask |= 1 << bit
 				n++
@@ -226,14 +226,14 @@
 		}
 		j.masks = append(j.masks, mask)
 		b.used[p.node] |= mask
-		b.busy[p.node] += p.n
+		b.busy[p.node] += p.count
 		in := 0
 		if b.own[p.node] == j.Account {
-			in = min(p.n, b.kept[p.node]-b.inside[p.node])
+			in = min(p.count, b.kept[p.node]-b.inside[p.node])
 		}
 		b.inside[p.node] += in
 		j.within = append(j.within, in)
-		place[i] = Grant{b.workers[p.node].ID, numbers(mask, p.n)}
+		place[i] = Grant{b.workers[p.node].ID, lowestBits(mask, p.count)}
 	}
 	return StartGang{j.ID, j.attempt, place}
 }
--- a/scheduler/bind.go
+++ b/scheduler/bind.go
@@ -6,7 +6,7 @@
 // comes before any new work. When the tightest first order finds no place, all
 // unused blocks are taken up and bound again, once per growth of capacity.
 func (s *Scheduler) rebindUnbound() {
-	if len(s.unbound) == 0 || s.packed == s.grown {
+	if len(s.unbound) == 0 || s.repackGen == s.capacityGen {
 		return
 	}
 	s.bindAll(slices.Clone(s.unbound))
@@ -16,23 +16,23 @@
 	if len(s.unbound) > 0 {
 		s.repack()
 	}
-	if s.owes() && s.unprotectBorrowers() {
+	if s.missesGuarantee() && s.unprotectRuns() {
 		s.bindAll(slices.Clone(s.unbound))
 		s.repack()
 	}
-	s.packed = s.grown
+	s.repackGen = s.capacityGen
 }
 
-// unpacked has the blocks without a place tried again although no capacity has
+// retryRepack has the blocks without a place tried again although no capacity has
 // grown: one has just lost its place and may fit where another worker has room.
-func (s *Scheduler) unpacked() { s.packed = s.grown - 1 }
+func (s *Scheduler) retryRepack() { s.repackGen = s.capacityGen - 1 }
 
 // dropReservations gives up the reservations of work that may not be evicted,
 // which keep blocks from being bound: what is owed goes first.
 func (s *Scheduler) dropReservations() bool {
 	dropped := false
 	for _, c := range slices.Clone(s.claims) {
-		if !c.guaranteed() && !c.job.borrows() {
+		if !c.guaranteed() && !c.job.mayBorrow() {
 			s.dropClaim(c)
 			dropped = true
 		}
@@ -40,23 +40,23 @@
 	return dropped
 }
 
-// moveAway binds the unused blocks of some nodes elsewhere, as far as they find
+// tryMoveBlocksFrom binds the unused blocks of some nodes elsewhere, as far as they find
 // another place.
-func (s *Scheduler) moveAway(at []piece) {
-	before := s.grown
+func (s *Scheduler) tryMoveBlocksFrom(at []allocation) {
+	before := s.capacityGen
 	for _, p := range at {
 		for _, b := range slices.Clone(s.nodes[p.node].blocks) {
 			if b.used > 0 {
 				continue
 			}
-			old := b.pieces()
+			old := b.allocations()
 			s.detach(b)
 			if !s.bind(b) {
 				s.attach(b, old)
 			}
 		}
 	}
-	s.grown = before + 1
+	s.capacityGen = before + 1
 }
 
 func (s *Scheduler) bindAll(blocks []*block) {
@@ -75,7 +75,7 @@
 
 // bind gives an unbound block a place. It reports false if there is none.
 func (s *Scheduler) bind(b *block) bool {
-	at := s.slack.place(b.shape.Accelerators, b.shape.Adjacency, s.nodes)
+	at := s.bindable.findPlace(b.shape.Accelerators, b.shape.Adjacency, s.nodes)
 	if at == nil {
 		return false
 	}
@@ -88,12 +88,12 @@
 func (s *Scheduler) repack() {
 	before := len(s.unbound)
 	var moved []*block
-	var old [][]piece
+	var old [][]allocation
 	for _, a := range s.accountList {
 		for _, b := range a.blocks {
 			if b.bound() && b.used == 0 {
 				moved = append(moved, b)
-				old = append(old, b.pieces())
+				old = append(old, b.allocations())
 			}
 		}
 	}
@@ -118,62 +118,62 @@
 	}
 }
 
-func (b *block) pieces() []piece {
-	out := make([]piece, len(b.parts))
+func (b *block) allocations() []allocation {
+	out := make([]allocation, len(b.parts))
 	for i, p := range b.parts {
-		out[i] = piece{node: p.node, n: p.n}
+		out[i] = allocation{node: p.node, count: p.count}
 	}
 	return out
 }
 
-// clear makes room for work that may not be evicted on workers where unused
+// moveBlocksAside makes room for work that may not be evicted on workers where unused
 // blocks stand in the way, by moving those blocks. It reports false, with
 // nothing changed, if one of them would find no other place.
 // Blocks of own may stay without a place: a job of that account larger than each
 // of them uses what they are bound to, or it would wait for its own account for
 // ever.
-func (s *Scheduler) clear(at []piece, own *account) bool {
-	before := s.grown
+func (s *Scheduler) moveBlocksAside(at []allocation, own *account) bool {
+	before := s.capacityGen
 	var moved []*block
-	var old [][]piece
+	var old [][]allocation
 	for _, p := range at {
 		n := s.nodes[p.node]
-		for i := 0; i < len(n.blocks) && n.slack() < p.n; {
+		for i := 0; i < len(n.blocks) && n.slack() < p.count; {
 			b := n.blocks[i]
 			if b.used > 0 {
 				i++
 				continue
 			}
 			moved = append(moved, b)
-			old = append(old, b.pieces())
+			old = append(old, b.allocations())
 			s.detach(b)
 		}
-		if n.slack() < p.n {
-			s.putBack(moved, old)
-			s.grown = before
+		if n.slack() < p.count {
+			s.restoreBindings(moved, old)
+			s.capacityGen = before
 			return false
 		}
 	}
-	s.reserveProtected(at, 1)
+	s.addProtected(at, 1)
 	s.bindAll(slices.Clone(moved))
 	if own != nil {
-		moved, old = s.releaseOwn(own, moved, old)
+		moved, old = s.rebindOwnBlocks(own, moved, old)
 	}
-	s.reserveProtected(at, -1)
+	s.addProtected(at, -1)
 	for _, b := range moved {
 		if !b.bound() && b.account != own {
-			s.putBack(moved, old)
-			s.grown = before
+			s.restoreBindings(moved, old)
+			s.capacityGen = before
 			return false
 		}
 	}
 	return true
 }
 
-// releaseOwn takes up the unused blocks of an account if blocks of others have no
+// rebindOwnBlocks takes up the unused blocks of an account if blocks of others have no
 // place, so that these may be bound where they were. It returns moved and old with
 // what it took up.
-func (s *Scheduler) releaseOwn(own *account, moved []*block, old [][]piece) ([]*block, [][]piece) {
+func (s *Scheduler) rebindOwnBlocks(own *account, moved []*block, old [][]allocation) ([]*block, [][]allocation) {
 	unplaced := func(b *block) bool { return !b.bound() && b.account != own }
 	if !slices.ContainsFunc(moved, unplaced) {
 		return moved, old
@@ -181,7 +181,7 @@
 	for _, b := range own.blocks {
 		if b.bound() && b.used == 0 && !slices.Contains(moved, b) {
 			moved = append(moved, b)
-			old = append(old, b.pieces())
+			old = append(old, b.allocations())
 			s.detach(b)
 		}
 	}
@@ -197,15 +197,15 @@
 	return moved, old
 }
 
-func (s *Scheduler) reserveProtected(at []piece, sign int) {
+func (s *Scheduler) addProtected(at []allocation, sign int) {
 	for _, p := range at {
 		n := s.nodes[p.node]
-		n.protected += sign * p.n
-		s.refresh(n)
+		n.protected += sign * p.count
+		s.refreshIndexes(n)
 	}
 }
 
-func (s *Scheduler) putBack(moved []*block, old [][]piece) {
+func (s *Scheduler) restoreBindings(moved []*block, old [][]allocation) {
 	for _, b := range moved {
 		if b.bound() {
 			s.detach(b)
--- a/scheduler/block.go
+++ b/scheduler/block.go
@@ -3,55 +3,55 @@
 // block is one guaranteed shape of an account. It is bound to workers that can
 // hold it, or unbound while there are none.
 type block struct {
-	account *account
-	shape   Shape
-	parts   []part // empty while unbound
-	used    int
-	index   int // position in Scheduler.unbound while unbound, else -1
+	account      *account
+	shape        Shape
+	parts        []part // empty while unbound
+	used         int
+	unboundIndex int // position in Scheduler.unbound while unbound, else -1
 }
 
 // part is the piece of a block on one worker. Of its n accelerators, used are
 // taken by jobs of the account itself.
 type part struct {
-	node nodeID
-	n    int
-	used int
+	node  nodeID
+	count int
+	used  int
 }
 
 func (b *block) bound() bool { return len(b.parts) > 0 }
 
-func (b *block) room() int {
+func (b *block) unused() int {
 	if !b.bound() {
 		return 0
 	}
 	return b.shape.Accelerators - b.used
 }
 
-// on is the part of the block on a node.
-func (b *block) on(id nodeID) int {
+// acceleratorsOn is the part of the block acceleratorsOn a node.
+func (b *block) acceleratorsOn(id nodeID) int {
 	for _, p := range b.parts {
 		if p.node == id {
-			return p.n
+			return p.count
 		}
 	}
 	return 0
 }
 
-// same reports whether two shapes differ in no more than their count.
-func same(a, b Shape) bool {
+// sameShape reports whether two shapes differ in no more than their count.
+func sameShape(a, b Shape) bool {
 	return a.Accelerators == b.Accelerators && a.Adjacency == b.Adjacency
 }
 
 // attach binds a block to workers. The caller has checked that they have slack.
-func (s *Scheduler) attach(b *block, at []piece) {
-	s.tighten(b)
-	b.account.gen++
+func (s *Scheduler) attach(b *block, at []allocation) {
+	s.removeUnbound(b)
+	b.account.blockGen++
 	for _, p := range at {
-		b.parts = append(b.parts, part{node: p.node, n: p.n})
+		b.parts = append(b.parts, part{node: p.node, count: p.count})
 		n := s.nodes[p.node]
-		n.bound += p.n
+		n.bound += p.count
 		n.blocks = append(n.blocks, b)
-		s.refresh(n)
+		s.refreshIndexes(n)
 	}
 }
 
@@ -60,29 +60,29 @@
 func (s *Scheduler) detach(b *block) {
 	var others []*block
 	if b.used > 0 {
-		others = s.disown(b)
+		others = s.dropBlockUsers(b)
 	}
 	for _, p := range b.parts {
 		n := s.nodes[p.node]
-		n.bound -= p.n
-		n.dropBlock(b)
-		s.refresh(n)
+		n.bound -= p.count
+		n.removeBlock(b)
+		s.refreshIndexes(n)
 	}
 	b.parts = nil
 	s.addUnbound(b)
 	for _, x := range others {
-		s.detachCrowded(x)
+		s.detachIfOvercommitted(x)
 	}
 }
 
-// detachCrowded unbinds a block that an attempt has left which stays protected where
+// detachIfOvercommitted unbinds a block that an attempt has left which stays protected where
 // the block is. Block and attempt would both count on the same accelerators, and
 // the guarantee would show as whole although it could not be claimed.
-func (s *Scheduler) detachCrowded(b *block) {
+func (s *Scheduler) detachIfOvercommitted(b *block) {
 	for _, p := range b.parts {
 		if n := s.nodes[p.node]; n.bound > 0 && n.protected+n.bound > n.capacity() {
 			s.detach(b)
-			s.unpacked()
+			s.retryRepack()
 			return
 		}
 	}
@@ -90,34 +90,34 @@
 
 // addUnbound puts a block on the list of those that have no place.
 func (s *Scheduler) addUnbound(b *block) {
-	if b.index >= 0 {
+	if b.unboundIndex >= 0 {
 		return
 	}
-	b.index = len(s.unbound)
+	b.unboundIndex = len(s.unbound)
 	s.unbound = append(s.unbound, b)
 }
 
-// tighten takes a block off the list of those that have no place.
-func (s *Scheduler) tighten(b *block) {
-	if b.index < 0 {
+// removeUnbound takes a block off the list of those that have no place.
+func (s *Scheduler) removeUnbound(b *block) {
+	if b.unboundIndex < 0 {
 		return
 	}
 	last := len(s.unbound) - 1
 	moved := s.unbound[last]
-	s.unbound[b.index] = moved
-	moved.index = b.index
+	s.unbound[b.unboundIndex] = moved
+	moved.unboundIndex = b.unboundIndex
 	s.unbound = s.unbound[:last]
-	b.index = -1
+	b.unboundIndex = -1
 }
 
-// disown takes every attempt and claim out of a block. It returns the other
+// dropBlockUsers takes every attempt and claim out of a block. It returns the other
 // blocks that these attempts used.
-func (s *Scheduler) disown(b *block) []*block {
+func (s *Scheduler) dropBlockUsers(b *block) []*block {
 	var others []*block
 	for _, p := range b.parts {
 		for _, r := range append([]*run(nil), s.nodes[p.node].runs...) {
-			if r.uses(b) {
-				for _, x := range r.shares {
+			if r.usesBlock(b) {
+				for _, x := range r.blockUses {
 					if x.block != b {
 						others = append(others, x.block)
 					}
@@ -127,18 +127,18 @@
 		}
 	}
 	for _, c := range append([]*claim(nil), s.claims...) {
-		if c.uses(b) {
+		if c.usesBlock(b) {
 			s.dropClaim(c)
 		}
 	}
 	return others
 }
 
-func (r *run) uses(b *block) bool { return sharesUse(r.shares, b) }
+func (r *run) usesBlock(b *block) bool { return anyUses(r.blockUses, b) }
 
-func (c *claim) uses(b *block) bool { return sharesUse(c.shares, b) }
+func (c *claim) usesBlock(b *block) bool { return anyUses(c.blockUses, b) }
 
-func sharesUse(shares []share, b *block) bool {
+func anyUses(shares []blockUse, b *block) bool {
 	for _, x := range shares {
 		if x.block == b {
 			return true
@@ -147,47 +147,47 @@
 	return false
 }
 
-// takeShares moves accelerators from the unused to the used part of blocks.
-func (s *Scheduler) takeShares(shares []share, sign int) {
+// useBlocks moves accelerators from the unused to the used part of blocks.
+func (s *Scheduler) useBlocks(shares []blockUse, sign int) {
 	for _, x := range shares {
 		p := &x.block.parts[x.part]
-		p.used += sign * x.n
-		x.block.used += sign * x.n
+		p.used += sign * x.count
+		x.block.used += sign * x.count
 		n := s.nodes[p.node]
-		n.bound -= sign * x.n
-		n.protected += sign * x.n
-		s.refresh(n)
+		n.bound -= sign * x.count
+		n.protected += sign * x.count
+		s.refreshIndexes(n)
 		if sign < 0 {
-			x.block.account.gen++
+			x.block.account.blockGen++
 		}
 	}
 }
 
 // leaveGuarantee turns an attempt that uses blocks into one that does not.
 func (s *Scheduler) leaveGuarantee(r *run) {
-	s.takeShares(r.shares, -1)
-	r.shares = nil
+	s.useBlocks(r.blockUses, -1)
+	r.blockUses = nil
 	r.protected = !r.job.Evictable()
-	r.job.account.used += r.size()
-	for _, p := range r.pieces {
+	r.job.account.usedOutsideBlocks += r.size()
+	for _, p := range r.held {
 		n := s.nodes[p.node]
 		switch {
 		case r.protected:
-			n.protected += p.n
+			n.protected += p.count
 		case r.state == runStopping:
-			n.leave += p.n
+			n.stopping += p.count
 		default:
-			n.evictable += p.n
+			n.evictable += p.count
 		}
-		s.refresh(n)
+		s.refreshIndexes(n)
 	}
 }
 
 // size is the accelerators that the attempt holds.
 func (r *run) size() int {
 	t := 0
-	for _, p := range r.pieces {
-		t += p.n
+	for _, p := range r.held {
+		t += p.count
 	}
 	return t
 }
--- a/scheduler/borrowing.go
+++ b/scheduler/borrowing.go
@@ -13,24 +13,24 @@
 // work lost over and over by the same job while all others wait behind it. A job
 // that may not borrow is never evicted, so each loses work to claims once.
 func (s *Scheduler) stopBorrowing(j *job) {
-	if j.Accelerators == 0 || j.Checkpointable || j.borrowingEnded || !s.guarantees() {
+	if j.Accelerators == 0 || j.Checkpointable || j.borrowingEnded || !s.hasGuarantees() {
 		return
 	}
 	k := j.key()
-	j.borrowingEnded = s.plain(&k) && s.fitsBesideBlocks(need{j.Accelerators, j.Adjacency})
+	j.borrowingEnded = s.fitsMinShare(&k) && s.fitsBesideBlocks(demand{j.Accelerators, j.Adjacency})
 }
 
 // resumeBorrowing lets jobs borrow again that no longer fit beside all blocks, since
 // workers are gone or a policy guarantees more. They would wait for ever although
 // the capacity of a guarantee that nobody uses is idle.
 func (s *Scheduler) resumeBorrowing() {
-	if s.borrowingAt == s.shrunk {
+	if s.borrowingGen == s.shrinkGen {
 		return
 	}
-	s.borrowingAt = s.shrunk
+	s.borrowingGen = s.shrinkGen
 	var back []*job
 	for _, j := range s.jobs {
-		if j.borrowingEnded && j.queue != nil && !s.fitsBesideBlocks(need{j.Accelerators, j.Adjacency}) {
+		if j.borrowingEnded && j.queue != nil && !s.fitsBesideBlocks(demand{j.Accelerators, j.Adjacency}) {
 			back = append(back, j)
 		}
 	}
@@ -42,26 +42,26 @@
 	}
 }
 
-func (s *Scheduler) guarantees() bool {
+func (s *Scheduler) hasGuarantees() bool {
 	return slices.ContainsFunc(s.accountList, func(a *account) bool { return len(a.blocks) > 0 })
 }
 
 // fitsBesideBlocks reports whether a shape fits on idle workers together with
 // all guaranteed ones.
-func (s *Scheduler) fitsBesideBlocks(w need) bool {
-	if at := s.shape + s.shrunk; s.besideAt != at {
-		s.besideAt = at
-		clear(s.beside)
+func (s *Scheduler) fitsBesideBlocks(w demand) bool {
+	if at := s.topologyGen + s.shrinkGen; s.fitsBesideGen != at {
+		s.fitsBesideGen = at
+		clear(s.fitsBeside)
 	}
-	fits, ok := s.beside[w]
+	fits, ok := s.fitsBeside[w]
 	if !ok {
-		fits = s.packsWith(Shape{w.accelerators, w.span, 1})
-		s.beside[w] = fits
+		fits = s.allBlocksFitWith(Shape{w.accelerators, w.span, 1})
+		s.fitsBeside[w] = fits
 	}
 	return fits
 }
 
-func (s *Scheduler) packsWith(shape Shape) bool {
+func (s *Scheduler) allBlocksFitWith(shape Shape) bool {
 	p := s.policy
 	p.Accounts = append(p.Accounts[:len(p.Accounts):len(p.Accounts)], AccountPolicy{ID: "beside", Guaranteed: []Shape{shape}})
 	x := New(Options{})
@@ -70,7 +70,7 @@
 			x.workerUp(n.Worker)
 		}
 	}
-	x.policyChanged(p)
+	x.applyPolicy(p)
 	x.rebindUnbound()
 	return len(x.unbound) == 0
 }
--- a/scheduler/check.go
+++ b/scheduler/check.go
@@ -24,23 +24,23 @@
 	return nil
 }
 
-func broken(format string, args ...any) error {
+func invariantError(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrInvariant, fmt.Sprintf(format, args...))
 }
 
 func (s *Scheduler) checkJobs() error {
 	for id, j := range s.jobs {
 		places := 0
-		for _, in := range []bool{j.queue != nil, j.run != nil, j.delayed >= 0} {
+		for _, in := range []bool{j.queue != nil, j.run != nil, j.delayIndex >= 0} {
 			if in {
 				places++
 			}
 		}
 		if places != 1 {
-			return broken("job %q is in %d places", id, places)
+			return invariantError("job %q is in %d places", id, places)
 		}
 		if j.claim != nil && j.queue == nil {
-			return broken("job %q holds a claim but does not wait", id)
+			return invariantError("job %q holds a claim but does not wait", id)
 		}
 		if err := s.checkRun(j.run); err != nil {
 			return err
@@ -50,100 +50,100 @@
 }
 
 func (s *Scheduler) checkRun(r *run) error {
-	if r == nil || r.stop == StopConflict {
+	if r == nil || r.stopReason == StopConflict {
 		return nil
 	}
 	granted, shared := 0, 0
-	for _, h := range r.pieces {
+	for _, h := range r.held {
 		granted += h.granted
-		if bits.OnesCount64(h.mask) != h.n {
-			return broken("job %q holds %d accelerators for a piece of %d", r.job.ID, bits.OnesCount64(h.mask), h.n)
+		if bits.OnesCount64(h.mask) != h.count {
+			return invariantError("job %q holds %d accelerators for a piece of %d", r.job.ID, bits.OnesCount64(h.mask), h.count)
 		}
 	}
-	for _, x := range r.shares {
-		shared += x.n
+	for _, x := range r.blockUses {
+		shared += x.count
 	}
 	if granted != r.job.Accelerators {
-		return broken("job %q of %d accelerators was granted %d", r.job.ID, r.job.Accelerators, granted)
+		return invariantError("job %q of %d accelerators was granted %d", r.job.ID, r.job.Accelerators, granted)
 	}
 	if shared != 0 && shared != r.size() {
-		return broken("job %q holds %d of a guarantee and %d in all", r.job.ID, shared, r.size())
+		return invariantError("job %q holds %d of a guarantee and %d in all", r.job.ID, shared, r.size())
 	}
 	return s.checkSpan(r)
 }
 
 func (s *Scheduler) checkSpan(r *run) error {
-	for _, h := range r.pieces {
-		a, b := s.nodes[r.pieces[0].node], s.nodes[h.node]
-		if a.up && b.up && spanOf(a, r.job.Adjacency) != spanOf(b, r.job.Adjacency) {
-			return broken("job %q is spread wider than a %s", r.job.ID, r.job.Adjacency)
+	for _, h := range r.held {
+		a, b := s.nodes[r.held[0].node], s.nodes[h.node]
+		if a.up && b.up && unitOf(a, r.job.Adjacency) != unitOf(b, r.job.Adjacency) {
+			return invariantError("job %q is spread wider than a %s", r.job.ID, r.job.Adjacency)
 		}
 	}
 	return nil
 }
 
-// counts is what checkNodes recounts.
-type counts struct{ held, protected, evictable, leave, bound, claim, wait int }
+// nodeCounts is what checkNodes recounts.
+type nodeCounts struct{ held, protected, evictable, stopping, bound, claimed, reserved int }
 
 func (s *Scheduler) checkNodes() error {
-	want := make([]counts, len(s.nodes))
+	want := make([]nodeCounts, len(s.nodes))
 	used := make([]uint64, len(s.nodes))
 	for _, j := range s.jobs {
 		if j.run == nil {
 			continue
 		}
-		for _, h := range j.run.pieces {
+		for _, h := range j.run.held {
 			if used[h.node]&h.mask != 0 {
-				return broken("an accelerator of worker %q is held twice", s.nodes[h.node].ID)
+				return invariantError("an accelerator of worker %q is held twice", s.nodes[h.node].ID)
 			}
 			used[h.node] |= h.mask
-			j.run.recount(&want[h.node], h.n)
+			j.run.recount(&want[h.node], h.count)
 		}
 	}
-	s.recountPlans(want)
+	s.recountClaims(want)
 	for i, n := range s.nodes {
-		got := counts{n.held, n.protected, n.evictable, n.leave, n.bound, n.claim, n.wait}
-		if got != want[i] || n.used != used[i] {
-			return broken("worker %q counts %+v, recounted %+v", n.ID, got, want[i])
+		got := nodeCounts{n.held, n.protected, n.evictable, n.stopping, n.bound, n.claimed, n.reserved}
+		if got != want[i] || n.usedMask != used[i] {
+			return invariantError("worker %q counts %+v, recounted %+v", n.ID, got, want[i])
 		}
 		if n.bound > 0 && n.protected+n.bound > n.capacity() {
-			return broken("worker %q has %d, of which %d are protected and %d bound", n.ID, n.capacity(), n.protected, n.bound)
+			return invariantError("worker %q has %d, of which %d are protected and %d bound", n.ID, n.capacity(), n.protected, n.bound)
 		}
-		if int(s.open.val[i]) != n.open() || int(s.slack.val[i]) != n.bindable() {
-			return broken("the indexes of worker %q are stale", n.ID)
+		if int(s.open.values[i]) != n.open() || int(s.bindable.values[i]) != n.bindable() {
+			return invariantError("the indexes of worker %q are stale", n.ID)
 		}
 	}
 	return nil
 }
 
-func (r *run) recount(c *counts, n int) {
+func (r *run) recount(c *nodeCounts, n int) {
 	c.held += n
 	switch {
-	case len(r.shares) > 0:
+	case len(r.blockUses) > 0:
 	case r.protected:
 		c.protected += n
 	case r.state == runStopping:
-		c.leave += n
+		c.stopping += n
 	default:
 		c.evictable += n
 	}
 }
 
-func (s *Scheduler) recountPlans(want []counts) {
+func (s *Scheduler) recountClaims(want []nodeCounts) {
 	for _, a := range s.accountList {
 		for _, b := range a.blocks {
 			for _, p := range b.parts {
-				want[p.node].bound += p.n - p.used
+				want[p.node].bound += p.count - p.used
 				want[p.node].protected += p.used
 			}
 		}
 	}
 	for _, c := range s.claims {
-		for _, p := range c.pieces {
+		for _, p := range c.allocations {
 			if c.guaranteed() {
-				want[p.node].claim += p.n
+				want[p.node].claimed += p.count
 			} else {
-				want[p.node].wait += p.n
+				want[p.node].reserved += p.count
 			}
 		}
 	}
@@ -163,7 +163,7 @@
 		}
 	}
 	if unbound != len(s.unbound) {
-		return broken("%d blocks have no place, %d are listed", unbound, len(s.unbound))
+		return invariantError("%d blocks have no place, %d are listed", unbound, len(s.unbound))
 	}
 	return nil
 }
@@ -171,18 +171,18 @@
 func (s *Scheduler) checkBlock(b *block) error {
 	sum, used := 0, 0
 	for _, p := range b.parts {
-		sum += p.n
+		sum += p.count
 		used += p.used
-		if p.used < 0 || p.used > p.n {
-			return broken("a block of account %q uses %d of a part of %d", b.account.policy.ID, p.used, p.n)
+		if p.used < 0 || p.used > p.count {
+			return invariantError("a block of account %q uses %d of a part of %d", b.account.policy.ID, p.used, p.count)
 		}
 		n := s.nodes[p.node]
-		if !n.usable() || spanOf(n, b.shape.Adjacency) != spanOf(s.nodes[b.parts[0].node], b.shape.Adjacency) {
-			return broken("a block of account %q lies on worker %q outside its span", b.account.policy.ID, n.ID)
+		if !n.usable() || unitOf(n, b.shape.Adjacency) != unitOf(s.nodes[b.parts[0].node], b.shape.Adjacency) {
+			return invariantError("a block of account %q lies on worker %q outside its span", b.account.policy.ID, n.ID)
 		}
 	}
 	if sum != b.shape.Accelerators || used != b.used {
-		return broken("a block of account %q of %d has parts of %d", b.account.policy.ID, b.shape.Accelerators, sum)
+		return invariantError("a block of account %q of %d has parts of %d", b.account.policy.ID, b.shape.Accelerators, sum)
 	}
 	return nil
 }
@@ -190,21 +190,21 @@
 func (s *Scheduler) checkQueues() error {
 	for _, a := range s.accountList {
 		waiting := 0
-		for _, q := range a.order {
+		for _, q := range a.queueList {
 			n := 0
 			for j := q.head; j != nil; j = j.next {
 				if j.queue != q || j.next != nil && j.next.seq < j.seq {
-					return broken("the queue of job %q is out of order", j.ID)
+					return invariantError("the queue of job %q is out of order", j.ID)
 				}
 				n++
 			}
-			if n != q.n {
-				return broken("a queue of account %q counts %d of %d", a.policy.ID, q.n, n)
+			if n != q.length {
+				return invariantError("a queue of account %q counts %d of %d", a.policy.ID, q.length, n)
 			}
 			waiting += n
 		}
 		if waiting != a.waiting {
-			return broken("account %q counts %d of %d waiting", a.policy.ID, a.waiting, waiting)
+			return invariantError("account %q counts %d of %d waiting", a.policy.ID, a.waiting, waiting)
 		}
 	}
 	return nil
--- a/scheduler/check_policy.go
+++ b/scheduler/check_policy.go
@@ -42,7 +42,7 @@
 	for _, w := range workers {
 		s.workerUp(w)
 	}
-	s.policyChanged(p)
+	s.applyPolicy(p)
 	s.rebindUnbound()
 	if len(s.unbound) == 0 {
 		return nil
@@ -56,15 +56,15 @@
 			missing++
 		}
 	}
-	return &ShapeError{b.account.policy.ID, declared(b), missing}
+	return &ShapeError{b.account.policy.ID, declaredShape(b), missing}
 }
 
-// declared returns the shape of a block as its account declares it.
-func declared(b *block) Shape {
+// declaredShape returns the shape of a block as its account declares it.
+func declaredShape(b *block) Shape {
 	out := b.shape
 	out.Count = 0
 	for _, g := range b.account.policy.Guaranteed {
-		if same(g, b.shape) {
+		if sameShape(g, b.shape) {
 			out.Count += g.Count
 		}
 	}
--- a/scheduler/claim.go
+++ b/scheduler/claim.go
@@ -6,17 +6,17 @@
 // claim on a guarantee has shares and waits for the evictions it asked for; a
 // reservation has none and waits for work to end.
 type claim struct {
-	job    *job
-	pieces []piece
-	shares []share
-	ready  time.Time // when a reservation is expected to be complete
-	made   time.Time
+	job         *job
+	allocations []allocation
+	blockUses   []blockUse
+	readyAt     time.Time // when a reservation is expected to be complete
+	plannedAt   time.Time
 }
 
-func (c *claim) guaranteed() bool { return len(c.shares) > 0 }
+func (c *claim) guaranteed() bool { return len(c.blockUses) > 0 }
 
-func (c *claim) on(id nodeID) bool {
-	for _, p := range c.pieces {
+func (c *claim) includesNode(id nodeID) bool {
+	for _, p := range c.allocations {
 		if p.node == id {
 			return true
 		}
@@ -27,36 +27,36 @@
 // addClaim sets capacity aside. Capacity of a claim on a guarantee counts as
 // protected from now on, through its shares.
 func (s *Scheduler) addClaim(c *claim) {
-	c.made = s.now
+	c.plannedAt = s.now
 	c.job.claim = c
 	s.claims = append(s.claims, c)
-	s.takeShares(c.shares, 1)
+	s.useBlocks(c.blockUses, 1)
 	s.countClaim(c, 1)
 }
 
 func (s *Scheduler) countClaim(c *claim, sign int) {
-	for _, p := range c.pieces {
+	for _, p := range c.allocations {
 		n := s.nodes[p.node]
 		if c.guaranteed() {
-			n.claim += sign * p.n
+			n.claimed += sign * p.count
 		} else {
-			n.wait += sign * p.n
-			if !c.job.borrows() {
-				n.waitProtected += sign * p.n
+			n.reserved += sign * p.count
+			if !c.job.mayBorrow() {
+				n.reservedProtected += sign * p.count
 			}
 		}
-		s.refresh(n)
+		s.refreshIndexes(n)
 	}
 }
 
 // dropClaim gives the capacity back. Evictions are chosen when they are sent, so
 // those not sent yet go with the claim and a cancelled demand causes no more.
 func (s *Scheduler) dropClaim(c *claim) {
-	s.forgetClaim(c)
-	s.takeShares(c.shares, -1)
+	s.removeClaim(c)
+	s.useBlocks(c.blockUses, -1)
 }
 
-func (s *Scheduler) forgetClaim(c *claim) {
+func (s *Scheduler) removeClaim(c *claim) {
 	for i, x := range s.claims {
 		if x == c {
 			s.claims = append(s.claims[:i], s.claims[i+1:]...)
@@ -71,7 +71,7 @@
 func (s *Scheduler) startClaims() {
 	for i := 0; i < len(s.claims); {
 		c := s.claims[i]
-		if !s.complete(c) {
+		if !s.claimReady(c) {
 			i++
 			continue
 		}
@@ -79,23 +79,23 @@
 	}
 }
 
-// complete reports whether the capacity of a claim is idle. A reservation
+// claimReady reports whether the capacity of a claim is idle. A reservation
 // leaves alone what claims on guarantees are waiting for.
-func (s *Scheduler) complete(c *claim) bool {
-	for _, p := range c.pieces {
+func (s *Scheduler) claimReady(c *claim) bool {
+	for _, p := range c.allocations {
 		n := s.nodes[p.node]
 		have := n.idle()
 		if !c.guaranteed() {
 			have = n.free()
 		}
-		if have < p.n {
+		if have < p.count {
 			return false
 		}
 	}
-	return c.guaranteed() || c.job.borrows() || s.clear(c.pieces, c.job.beyondBlocks())
+	return c.guaranteed() || c.job.mayBorrow() || s.moveBlocksAside(c.allocations, c.job.oversizedAccount())
 }
 
 func (s *Scheduler) startClaim(c *claim) {
-	s.forgetClaim(c)
-	s.start(c.job, c.pieces, c.shares, !c.job.borrows())
+	s.removeClaim(c)
+	s.start(c.job, c.allocations, c.blockUses, !c.job.mayBorrow())
 }
--- a/scheduler/claim_joined.go
+++ b/scheduler/claim_joined.go
@@ -2,44 +2,44 @@
 
 import "slices"
 
-// joinedLoss is what a claim on blocks next to each other may evict per
+// maxAdjacentLoss is what a claim on blocks next to each other may evict per
 // accelerator, in accelerator seconds: their account is promised each of them at
 // once, not that they adjoin.
-const joinedLoss = 20.0
+const maxAdjacentLoss = 20.0
 
-// claimJoined claims several unused blocks of an account for a job that is
+// claimAdjacentBlocks claims several unused blocks of an account for a job that is
 // larger than each of them, and binds them next to each other within the span of
 // the job. It returns nil, with nothing changed, if they find no such place.
-func (s *Scheduler) claimJoined(j *job, k *queueKey) *claim {
-	blocks := j.account.joinable(k.accelerators)
-	if blocks == nil || !s.plain(k) {
+func (s *Scheduler) claimAdjacentBlocks(j *job, k *queueKey) *claim {
+	blocks := j.account.unusedBlocksFor(k.accelerators)
+	if blocks == nil || !s.fitsMinShare(k) {
 		return nil
 	}
-	before, gen := s.grown, j.account.gen
-	var best [][]piece
+	before, gen := s.capacityGen, j.account.blockGen
+	var best [][]allocation
 	for _, b := range blocks {
-		best = append(best, b.pieces())
+		best = append(best, b.allocations())
 	}
 	for _, b := range blocks {
 		s.detach(b)
 	}
-	at := s.placeJoined(blocks, k)
+	at := s.placeAdjacentBlocks(blocks, k)
 	if at != nil {
 		best = at
 	}
 	for i, b := range blocks {
 		s.attach(b, best[i])
 	}
-	s.grown, j.account.gen = before, gen
+	s.capacityGen, j.account.blockGen = before, gen
 	if at == nil {
 		return nil
 	}
-	return s.claimOf(j, sharesOf(blocks, k.accelerators))
+	return s.newClaim(j, blockUsesOf(blocks, k.accelerators))
 }
 
-// joinable returns unused blocks, largest first, that hold a job together which
+// unusedBlocksFor returns unused blocks, largest first, that hold a job together which
 // none of the account's blocks holds alone.
-func (a *account) joinable(need int) []*block {
+func (a *account) unusedBlocksFor(need int) []*block {
 	var out []*block
 	for _, b := range a.blocks {
 		if b.shape.Accelerators >= need {
@@ -58,39 +58,39 @@
 	return nil
 }
 
-// placeJoined returns the places for blocks within one span where a job evicts
+// placeAdjacentBlocks returns the places for blocks within one span where a job evicts
 // least.
-func (s *Scheduler) placeJoined(blocks []*block, k *queueKey) [][]piece {
+func (s *Scheduler) placeAdjacentBlocks(blocks []*block, k *queueKey) [][]allocation {
 	sum := 0
 	for _, b := range blocks {
 		sum += b.shape.Accelerators
 	}
-	var best [][]piece
+	var best [][]allocation
 	var cost float64
-	for _, at := range s.slack.each(sum, k.span, maxPlaces) {
+	for _, at := range s.bindable.listPlaces(sum, k.span, maxComparedPlaces) {
 		c := s.placeCost(at, k.accelerators)
-		if _, lost := s.victims(at); lost > joinedLoss*float64(k.accelerators) {
+		if _, lost := s.victims(at); lost > maxAdjacentLoss*float64(k.accelerators) {
 			continue
 		}
 		if best != nil && c >= cost {
 			continue
 		}
-		if parts := s.split(at, blocks); parts != nil {
+		if parts := s.splitPlace(at, blocks); parts != nil {
 			best, cost = parts, c
 		}
 	}
 	return best
 }
 
-// split divides a place between blocks so that each keeps to its own span. It
+// splitPlace divides a place between blocks so that each keeps to its own span. It
 // returns nil if the tightest first order fails.
-func (s *Scheduler) split(at []piece, blocks []*block) [][]piece {
+func (s *Scheduler) splitPlace(at []allocation, blocks []*block) [][]allocation {
 	at = slices.Clone(at)
 	order := slices.Clone(blocks)
 	slices.SortStableFunc(order, tightestFirst)
-	out := make([][]piece, len(blocks))
+	out := make([][]allocation, len(blocks))
 	for _, b := range order {
-		got := s.cut(at, b.shape)
+		got := s.takeShape(at, b.shape)
 		if got == nil {
 			return nil
 		}
@@ -99,15 +99,15 @@
 	return out
 }
 
-// cut takes a shape out of a place, from the tightest unit that holds it.
-func (s *Scheduler) cut(at []piece, shape Shape) []piece {
+// takeShape takes a shape out of a place, from the tightest unit that holds it.
+func (s *Scheduler) takeShape(at []allocation, shape Shape) []allocation {
 	sums := map[int32]int{}
 	for _, p := range at {
-		sums[spanOf(s.nodes[p.node], shape.Adjacency)] += p.n
+		sums[unitOf(s.nodes[p.node], shape.Adjacency)] += p.count
 	}
 	unit := int32(-1)
 	for _, p := range at {
-		u := spanOf(s.nodes[p.node], shape.Adjacency)
+		u := unitOf(s.nodes[p.node], shape.Adjacency)
 		if sums[u] >= shape.Accelerators && (unit < 0 || sums[u] < sums[unit]) {
 			unit = u
 		}
@@ -115,26 +115,26 @@
 	if unit < 0 {
 		return nil
 	}
-	var out []piece
+	var out []allocation
 	need := shape.Accelerators
 	for i, p := range at {
-		n := min(need, p.n)
-		if n == 0 || spanOf(s.nodes[p.node], shape.Adjacency) != unit {
+		n := min(need, p.count)
+		if n == 0 || unitOf(s.nodes[p.node], shape.Adjacency) != unit {
 			continue
 		}
-		out = append(out, piece{node: p.node, n: n})
-		at[i].n -= n
+		out = append(out, allocation{node: p.node, count: n})
+		at[i].count -= n
 		need -= n
 	}
 	return out
 }
 
-func sharesOf(blocks []*block, need int) []share {
-	var out []share
+func blockUsesOf(blocks []*block, need int) []blockUse {
+	var out []blockUse
 	for _, b := range blocks {
 		for i, p := range b.parts {
-			if n := min(need, p.n); n > 0 {
-				out = append(out, share{b, i, n})
+			if n := min(need, p.count); n > 0 {
+				out = append(out, blockUse{b, i, n})
 				need -= n
 			}
 		}
--- a/scheduler/claim_test.go
+++ b/scheduler/claim_test.go
@@ -40,11 +40,11 @@
 // many accelerators were free in sum.
 func youngest(s *Scheduler, accounts []AccountPolicy) (lost float64, sumsHonoured int) {
 	free := index{}
-	free.whole = &free
+	free.installed = &free
 	for range s.open.zones {
 		free.addZone()
 	}
-	for _, z := range s.open.rackOf {
+	for _, z := range s.open.zoneOfRack {
 		free.addRack(z)
 	}
 	for _, n := range s.nodes {
@@ -61,7 +61,7 @@
 	for _, a := range accounts {
 		for _, g := range a.Guaranteed {
 			for range g.Count {
-				at := free.place(g.Accelerators, g.Adjacency, s.nodes)
+				at := free.findPlace(g.Accelerators, g.Adjacency, s.nodes)
 				bySum := at != nil
 				for at == nil && len(runs) > 0 {
 					if free.total() >= g.Accelerators {
@@ -72,17 +72,17 @@
 					if !r.job.Checkpointable {
 						lost += s.lostWork(r)
 					}
-					for _, h := range r.pieces {
-						free.set(s.nodes[h.node], int(free.val[h.node])+h.n)
+					for _, h := range r.held {
+						free.set(s.nodes[h.node], int(free.values[h.node])+h.count)
 					}
-					at = free.place(g.Accelerators, g.Adjacency, s.nodes)
+					at = free.findPlace(g.Accelerators, g.Adjacency, s.nodes)
 					bySum = bySum || at != nil && free.total()-r.size() < g.Accelerators
 				}
 				if bySum {
 					sumsHonoured++
 				}
 				for _, p := range at {
-					free.set(s.nodes[p.node], int(free.val[p.node])-p.n)
+					free.set(s.nodes[p.node], int(free.values[p.node])-p.count)
 				}
 			}
 		}
@@ -186,13 +186,13 @@
 			busy := rng.IntN(w.Accelerators + 1)
 			n := s.nodes[i]
 			n.held, n.evictable = busy, busy
-			s.refresh(n)
+			s.refreshIndexes(n)
 			base.busy[i] = busy
 		}
 		for _, span := range []Adjacency{AdjacentZone, AdjacentAny} {
 			b.Run(fmt.Sprintf("index/%s/%d", span, workers), func(b *testing.B) {
 				for b.Loop() {
-					if s.open.place(256, span, s.nodes) == nil {
+					if s.open.findPlace(256, span, s.nodes) == nil {
 						b.Fatal("no place")
 					}
 				}
@@ -210,7 +210,7 @@
 
 // scanAll is the scan with the best fit that the indexes also find: it looks at
 // every worker before it takes any.
-func (b *baseline) scanAll(need int, span Adjacency) []piece {
+func (b *baseline) scanAll(need int, span Adjacency) []allocation {
 	var sums [8]int
 	at := func(w *Worker) int {
 		if span == AdjacentAny {
@@ -237,11 +237,11 @@
 			byFree[free] = append(byFree[free], i)
 		}
 	}
-	var out []piece
+	var out []allocation
 	for free := MaxWorkerAccelerators; free > 0 && need > 0; free-- {
 		for _, i := range byFree[free] {
 			k := min(need, free)
-			out = append(out, piece{nodeID(i), k})
+			out = append(out, allocation{nodeID(i), k})
 			if need -= k; need == 0 {
 				break
 			}
--- a/scheduler/cpu.go
+++ b/scheduler/cpu.go
@@ -4,55 +4,55 @@
 
 // cpuIndex orders workers by the cores that jobs without accelerators may use.
 type cpuIndex struct {
-	val   []int32
-	pos   []int32
-	lists [][]nodeID
-	set   bitset.BitSet
+	values    []int32
+	positions []int32
+	byCores   [][]nodeID
+	nonEmpty  bitset.BitSet
 }
 
 func (x *cpuIndex) addNode() {
-	x.val = append(x.val, 0)
-	x.pos = append(x.pos, 0)
+	x.values = append(x.values, 0)
+	x.positions = append(x.positions, 0)
 }
 
-func (x *cpuIndex) put(n nodeID, v int32) {
-	old := x.val[n]
+func (x *cpuIndex) update(n nodeID, v int32) {
+	old := x.values[n]
 	if old == v {
 		return
 	}
 	if old > 0 {
 		x.remove(n, old)
 	}
-	x.val[n] = v
+	x.values[n] = v
 	if v == 0 {
 		return
 	}
-	for len(x.lists) <= int(v) {
-		x.lists = append(x.lists, nil)
+	for len(x.byCores) <= int(v) {
+		x.byCores = append(x.byCores, nil)
 	}
-	x.pos[n] = int32(len(x.lists[v]))
-	x.lists[v] = append(x.lists[v], n)
-	x.set.Set(uint(v))
+	x.positions[n] = int32(len(x.byCores[v]))
+	x.byCores[v] = append(x.byCores[v], n)
+	x.nonEmpty.Set(uint(v))
 }
 
 func (x *cpuIndex) remove(n nodeID, v int32) {
-	list := x.lists[v]
+	list := x.byCores[v]
 	last := len(list) - 1
 	moved := list[last]
-	list[x.pos[n]] = moved
-	x.pos[moved] = x.pos[n]
-	x.lists[v] = list[:last]
+	list[x.positions[n]] = moved
+	x.positions[moved] = x.positions[n]
+	x.byCores[v] = list[:last]
 	if last == 0 {
-		x.set.Clear(uint(v))
+		x.nonEmpty.Clear(uint(v))
 	}
 }
 
 // placeCPU returns the tightest worker by cores that also has the memory, or
 // nil.
 func (s *Scheduler) placeCPU(cores, mem int) *node {
-	for v, ok := s.cpu.set.NextSet(uint(max(1, cores))); ok; v, ok = s.cpu.set.NextSet(v + 1) {
-		for _, id := range s.cpu.lists[v] {
-			if s.nodes[id].cpuMem >= mem {
+	for v, ok := s.cpu.nonEmpty.NextSet(uint(max(1, cores))); ok; v, ok = s.cpu.nonEmpty.NextSet(v + 1) {
+		for _, id := range s.cpu.byCores[v] {
+			if s.nodes[id].freeCPUMem >= mem {
 				return s.nodes[id]
 			}
 		}
@@ -78,39 +78,39 @@
 // recountCPU derives what is left for jobs without accelerators from the
 // attempts on the node.
 func (s *Scheduler) recountCPU(n *node) {
-	n.cpuCores = n.cpuBudget(s.policy.CPUSharePercent)
-	n.cpuMem = n.memBudget(s.policy.CPUSharePercent)
+	n.freeCPUCores = n.cpuBudget(s.policy.CPUSharePercent)
+	n.freeCPUMem = n.memBudget(s.policy.CPUSharePercent)
 	for _, r := range n.runs {
 		if r.job.Accelerators == 0 {
-			n.cpuCores -= r.job.Cores
-			n.cpuMem -= r.job.MemoryMB
+			n.freeCPUCores -= r.job.Cores
+			n.freeCPUMem -= r.job.MemoryMB
 		}
 	}
 }
 
 func (s *Scheduler) refreshCPU(n *node) {
 	v := int32(0)
-	if n.usable() && n.cpuFor == nil {
-		v = int32(max(0, n.cpuCores))
+	if n.usable() && n.cpuReservedFor == nil {
+		v = int32(max(0, n.freeCPUCores))
 	}
-	if v > s.cpu.val[n.id] {
-		s.grownCPU++
+	if v > s.cpu.values[n.id] {
+		s.cpuCapacityGen++
 	}
-	s.cpu.put(n.id, v)
+	s.cpu.update(n.id, v)
 }
 
-// leastShare keeps the least cores and memory that come with one accelerator
+// lowerMinShare keeps the least cores and memory that come with one accelerator
 // anywhere. Jobs that need no more take the fast way through the indexes.
-func (s *Scheduler) leastShare(n *node) {
+func (s *Scheduler) lowerMinShare(n *node) {
 	if n.Accelerators <= 0 {
 		return
 	}
 	c, m := n.acceleratorShare(s.policy.CPUSharePercent)
-	if s.minCores == 0 || c < s.minCores {
-		s.minCores = c
+	if s.minCoresPerAccelerator == 0 || c < s.minCoresPerAccelerator {
+		s.minCoresPerAccelerator = c
 	}
-	if s.minMem == 0 || m < s.minMem {
-		s.minMem = m
+	if s.minMemPerAccelerator == 0 || m < s.minMemPerAccelerator {
+		s.minMemPerAccelerator = m
 	}
 }
 
@@ -120,11 +120,11 @@
 	return (n.Cores - n.cpuBudget(cpuPercent)) / a, (n.MemoryMB - n.memBudget(cpuPercent)) / a
 }
 
-// units is how many accelerators of a node one accelerator of a job takes up: 1
+// footprint is how many accelerators of a node one accelerator of a job takes up: 1
 // unless the job needs more than the share of cores or memory of one. It is 0
 // if the node can't hold the job at all.
-func (s *Scheduler) units(k *queueKey, n *node) int {
-	if k.cores <= s.minCores && k.memory <= s.minMem {
+func (s *Scheduler) footprint(k *queueKey, n *node) int {
+	if k.cores <= s.minCoresPerAccelerator && k.memory <= s.minMemPerAccelerator {
 		return 1
 	}
 	c, m := n.acceleratorShare(s.policy.CPUSharePercent)
@@ -135,9 +135,9 @@
 	return u
 }
 
-// plain reports whether the job takes one unit per accelerator everywhere.
-func (s *Scheduler) plain(k *queueKey) bool {
-	return k.cores <= s.minCores && k.memory <= s.minMem
+// fitsMinShare reports whether the job takes one unit per accelerator everywhere.
+func (s *Scheduler) fitsMinShare(k *queueKey) bool {
+	return k.cores <= s.minCoresPerAccelerator && k.memory <= s.minMemPerAccelerator
 }
 
 func ceilDiv(a, b int) int {
--- a/scheduler/delay.go
+++ b/scheduler/delay.go
@@ -13,13 +13,13 @@
 
 func (h delayHeap) Swap(a, b int) {
 	h[a], h[b] = h[b], h[a]
-	h[a].delayed, h[b].delayed = a, b
+	h[a].delayIndex, h[b].delayIndex = a, b
 }
 
 // Push implements heap.Interface.
 func (h *delayHeap) Push(x any) {
 	j := x.(*job)
-	j.delayed = len(*h)
+	j.delayIndex = len(*h)
 	*h = append(*h, j)
 }
 
@@ -29,7 +29,7 @@
 	j := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	j.delayed = -1
+	j.delayIndex = -1
 	return j
 }
 
@@ -38,21 +38,21 @@
 	heap.Push(&s.delayed, j)
 }
 
-func (s *Scheduler) undelay(j *job) {
-	if j.delayed >= 0 {
-		heap.Remove(&s.delayed, j.delayed)
+func (s *Scheduler) removeDelayed(j *job) {
+	if j.delayIndex >= 0 {
+		heap.Remove(&s.delayed, j.delayIndex)
 	}
 }
 
-// wakeJobs queues the jobs whose delay is over.
-func (s *Scheduler) wakeJobs() {
+// enqueueDelayed queues the jobs whose delay is over.
+func (s *Scheduler) enqueueDelayed() {
 	for len(s.delayed) > 0 && !s.delayed[0].notBefore.After(s.now) {
 		s.enqueue(heap.Pop(&s.delayed).(*job))
 	}
 }
 
-// wakeAt asks for the next time at which something changes by itself.
-func (s *Scheduler) wakeAt() {
+// scheduleWake asks for the next time at which something changes by itself.
+func (s *Scheduler) scheduleWake() {
 	var at time.Time
 	sooner := func(t time.Time) {
 		if t.After(s.now) && (at.IsZero() || t.Before(at)) {
@@ -67,20 +67,20 @@
 	}
 	for _, c := range s.claims {
 		if !c.guaranteed() {
-			sooner(c.made.Add(replanAfter))
+			sooner(c.plannedAt.Add(replanInterval))
 		}
 	}
-	sooner(s.settled)
+	sooner(s.settlingEnds)
 	for _, a := range s.accountList {
-		for _, q := range a.order {
-			sooner(q.grace)
+		for _, q := range a.queueList {
+			sooner(q.yieldUntil)
 		}
 	}
-	if s.wantPlan {
-		sooner(s.planAt)
+	if s.planPending {
+		sooner(s.nextPlanAt)
 	}
-	if !at.IsZero() && !at.Equal(s.woken) {
-		s.woken = at
+	if !at.IsZero() && !at.Equal(s.lastWakeAt) {
+		s.lastWakeAt = at
 		s.emit(WakeAt{at})
 	}
 }
--- a/scheduler/displace.go
+++ b/scheduler/displace.go
@@ -1,11 +1,11 @@
 package scheduler
 
-// displace moves an unused block to where a claim evicts less although unused
+// moveBlockDisplacing moves an unused block to where a claim evicts less although unused
 // blocks of whichever account are bound there, if those find another place. It
 // returns what the claim evicts now.
-func (s *Scheduler) displace(b *block, k *queueKey, cost float64) float64 {
-	var best []piece
-	for _, at := range s.takenPlaces(b) {
+func (s *Scheduler) moveBlockDisplacing(b *block, k *queueKey, cost float64) float64 {
+	var best []allocation
+	for _, at := range s.unusedBlockPlaces(b) {
 		if c := s.placeCost(at, k.accelerators); c < cost {
 			best, cost = at, c
 		}
@@ -13,44 +13,44 @@
 	if best == nil {
 		return cost
 	}
-	here, before := b.pieces(), s.grown
+	here, before := b.allocations(), s.capacityGen
 	s.detach(b)
-	if !s.clear(best, nil) {
+	if !s.moveBlocksAside(best, nil) {
 		best = here
 	}
 	s.attach(b, best)
-	s.grown = before
+	s.capacityGen = before
 	return s.placeCost(best, k.accelerators)
 }
 
-// takenPlaces lists places to which unused blocks are bound and that could hold
+// unusedBlockPlaces lists places to which unused blocks are bound and that could hold
 // a block: those of blocks of the same shape, and workers if it needs only one.
-func (s *Scheduler) takenPlaces(b *block) [][]piece {
-	var out [][]piece
+func (s *Scheduler) unusedBlockPlaces(b *block) [][]allocation {
+	var out [][]allocation
 	for _, a := range s.accountList {
 		for _, x := range a.blocks {
 			if x == b || x.used > 0 || !x.bound() {
 				continue
 			}
-			if len(out) >= maxPlaces {
+			if len(out) >= maxComparedPlaces {
 				return out
 			}
-			if same(x.shape, b.shape) {
-				out = append(out, x.pieces())
+			if sameShape(x.shape, b.shape) {
+				out = append(out, x.allocations())
 				continue
 			}
 			if b.shape.Adjacency == AdjacentWorker {
-				out = s.workersOf(x, b.shape.Accelerators, out)
+				out = s.appendWorkers(x, b.shape.Accelerators, out)
 			}
 		}
 	}
 	return out
 }
 
-func (s *Scheduler) workersOf(x *block, need int, out [][]piece) [][]piece {
+func (s *Scheduler) appendWorkers(x *block, need int, out [][]allocation) [][]allocation {
 	for _, p := range x.parts {
-		if s.nodes[p.node].movable() >= need {
-			out = append(out, []piece{{node: p.node, n: need}})
+		if s.nodes[p.node].slackWithoutUnused() >= need {
+			out = append(out, []allocation{{node: p.node, count: need}})
 		}
 	}
 	return out
--- a/scheduler/driver_test.go
+++ b/scheduler/driver_test.go
@@ -247,11 +247,11 @@
 	if x.now.Sub(x.start) < x.horizon {
 		x.after(sampleEvery, x.sample)
 	}
-	waiting := map[need]float64{}
+	waiting := map[demand]float64{}
 	weight, idle := 0.0, 0
 	for _, j := range x.jobs {
 		if !j.running && !j.ended && j.Accelerators > 0 && x.now.Sub(j.since) > time.Second {
-			waiting[need{j.Accelerators, j.Adjacency}] += float64(j.Accelerators)
+			waiting[demand{j.Accelerators, j.Adjacency}] += float64(j.Accelerators)
 			weight += float64(j.Accelerators)
 		}
 	}
@@ -267,7 +267,7 @@
 	}
 }
 
-func (x *driver) tooSmall(w need) int {
+func (x *driver) tooSmall(w demand) int {
 	units := map[string]int{}
 	for id, f := range x.free {
 		u := x.workers[id]
--- a/scheduler/evict.go
+++ b/scheduler/evict.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// stopCost is what any eviction costs, in accelerator seconds per
+	// restartCost is what any eviction costs, in accelerator seconds per
 	// accelerator, besides the work it loses: the time to stop and start again.
-	stopCost = 2.0
-	// reservedCost is what a claim is charged per accelerator that is reserved for
+	restartCost = 2.0
+	// reservedCapacityCost is what a claim is charged per accelerator that is reserved for
 	// a waiting gang, in accelerator seconds.
-	reservedCost = 60.0
-	// againFactor makes each further eviction of the same job dearer, so that
+	reservedCapacityCost = 60.0
+	// repeatEvictionFactor makes each further eviction of the same job dearer, so that
 	// evictions don't fall on one job over and over.
-	againFactor = 1.0
+	repeatEvictionFactor = 1.0
 )
 
 // lostWork is the accelerator seconds that an eviction of the run would lose.
@@ -25,73 +25,73 @@
 		return 0
 	}
 	since := r.started
-	if r.checkpoint.After(since) {
-		since = r.checkpoint
+	if r.lastCheckpoint.After(since) {
+		since = r.lastCheckpoint
 	}
 	return max(0, s.now.Sub(since).Seconds()) * float64(r.size())
 }
 
-// evictionOf is the cost by which victims are chosen.
-func (s *Scheduler) evictionOf(r *run) float64 {
-	cost := stopCost * float64(r.size())
+// runEvictionCost is the cost by which victims are chosen.
+func (s *Scheduler) runEvictionCost(r *run) float64 {
+	cost := restartCost * float64(r.size())
 	if !r.job.Checkpointable {
 		cost += s.lostWork(r)
 	}
-	return cost * (1 + againFactor*float64(r.job.evictions))
+	return cost * (1 + repeatEvictionFactor*float64(r.job.evictions))
 }
 
 // victims returns the evictions that make the pieces available, and their cost.
 // It goes node by node and counts no run twice.
-func (s *Scheduler) victims(at []piece) ([]*run, float64) {
+func (s *Scheduler) victims(at []allocation) ([]*run, float64) {
 	var out []*run
 	total := 0.0
 	for _, p := range at {
 		n := s.nodes[p.node]
-		short := p.n - s.coming(n, out)
+		short := p.count - s.availableSoon(n, out)
 		if short <= 0 {
 			continue
 		}
-		for _, r := range s.cheapest(n, out, short) {
+		for _, r := range s.cheapestVictims(n, out, short) {
 			out = append(out, r)
-			total += s.evictionOf(r)
+			total += s.runEvictionCost(r)
 		}
 	}
 	return out, total
 }
 
-// coming is what a claim may count on at a node: idle accelerators and those
+// availableSoon is what a claim may count on at a node: idle accelerators and those
 // being stopped, less earlier claims, plus what the chosen victims hold there.
-func (s *Scheduler) coming(n *node, chosen []*run) int {
-	have := max(0, n.capacity()-n.held+n.leave-n.claim)
+func (s *Scheduler) availableSoon(n *node, chosen []*run) int {
+	have := max(0, n.capacity()-n.held+n.stopping-n.claimed)
 	for _, r := range chosen {
-		have += r.on(n.id)
+		have += r.acceleratorsOn(n.id)
 	}
 	return have
 }
 
-func (r *run) on(id nodeID) int {
-	for _, p := range r.pieces {
+func (r *run) acceleratorsOn(id nodeID) int {
+	for _, p := range r.held {
 		if p.node == id {
-			return p.n
+			return p.count
 		}
 	}
 	return 0
 }
 
-// cheapest chooses the evictable runs of a node that free at least short accelerators
+// cheapestVictims chooses the evictable runs of a node that free at least short accelerators
 // there at the least cost: a knapsack over at most [MaxWorkerAccelerators].
-func (s *Scheduler) cheapest(n *node, chosen []*run, short int) []*run {
+func (s *Scheduler) cheapestVictims(n *node, chosen []*run, short int) []*run {
 	cost := make([]float64, short+1) // least cost to free i accelerators
 	for i := 1; i <= short; i++ {
 		cost[i] = math.Inf(1)
 	}
 	last := make([][]*run, short+1)
 	for _, r := range n.runs {
-		k := r.on(n.id)
+		k := r.acceleratorsOn(n.id)
 		if r.protected || r.state == runStopping || k == 0 || slices.Contains(chosen, r) {
 			continue
 		}
-		price := s.evictionOf(r)
+		price := s.runEvictionCost(r)
 		for i := short; i > 0; i-- {
 			from := max(0, i-k)
 			if c := cost[from] + price; c < cost[i] {
@@ -103,29 +103,29 @@
 	return last[short]
 }
 
-// evictionCost is what a job of need accelerators would evict in a place that
+// placeEvictionCost is what a job of need accelerators would evict in a place that
 // may be larger than the job.
-func (s *Scheduler) evictionCost(at []piece, need int) float64 {
-	var part []piece
+func (s *Scheduler) placeEvictionCost(at []allocation, need int) float64 {
+	var part []allocation
 	for _, p := range at {
 		if need == 0 {
 			break
 		}
-		k := min(need, p.n)
-		part = append(part, piece{node: p.node, n: k})
+		k := min(need, p.count)
+		part = append(part, allocation{node: p.node, count: k})
 		need -= k
 	}
 	_, cost := s.victims(part)
 	for _, p := range part {
 		n := s.nodes[p.node]
-		cost += reservedCost * float64(max(0, p.n-s.openTo(n)))
+		cost += reservedCapacityCost * float64(max(0, p.count-s.openForClaim(n)))
 	}
 	return cost
 }
 
-// openTo is what a claim could take of a node without touching a reservation.
-func (s *Scheduler) openTo(n *node) int {
-	if n.wait == 0 {
+// openForClaim is what a claim could take of a node without touching a reservation.
+func (s *Scheduler) openForClaim(n *node) int {
+	if n.reserved == 0 {
 		return n.capacity()
 	}
 	return n.open()
@@ -144,34 +144,34 @@
 // evictFor sends evictions of one claim. It chooses the victims afresh, since
 // work may have ended in the meantime.
 func (s *Scheduler) evictFor(c *claim) {
-	if s.stopping >= s.policy.MaxEvictions {
+	if s.evictionsInProgress >= s.policy.MaxEvictions {
 		return
 	}
-	for _, r := range s.victimsOf(c) {
-		if s.stopping >= s.policy.MaxEvictions {
+	for _, r := range s.claimVictims(c) {
+		if s.evictionsInProgress >= s.policy.MaxEvictions {
 			return
 		}
 		s.stopRun(r, StopReclaim, r.job.Checkpointable)
 	}
 }
 
-// victimsOf chooses whom a claim evicts. The claim itself counts among those of
+// claimVictims chooses whom a claim evicts. The claim itself counts among those of
 // its nodes, so it is taken out while choosing.
-func (s *Scheduler) victimsOf(c *claim) []*run {
-	for _, p := range c.pieces {
-		s.nodes[p.node].claim -= p.n
+func (s *Scheduler) claimVictims(c *claim) []*run {
+	for _, p := range c.allocations {
+		s.nodes[p.node].claimed -= p.count
 	}
-	out, _ := s.victims(c.pieces)
-	for _, p := range c.pieces {
-		s.nodes[p.node].claim += p.n
+	out, _ := s.victims(c.allocations)
+	for _, p := range c.allocations {
+		s.nodes[p.node].claimed += p.count
 	}
 	return out
 }
 
-// evictedRun records what an eviction lost.
-func (s *Scheduler) evictedRun(r *run, checkpointed time.Time) {
-	if checkpointed.After(r.checkpoint) {
-		r.checkpoint = checkpointed
+// recordEviction records what an eviction lost.
+func (s *Scheduler) recordEviction(r *run, checkpointed time.Time) {
+	if checkpointed.After(r.lastCheckpoint) {
+		r.lastCheckpoint = checkpointed
 	}
 	r.job.evictions++
 	e := &r.job.account.evicted
--- a/scheduler/explain.go
+++ b/scheduler/explain.go
@@ -1,11 +1,11 @@
 package scheduler
 
 const (
-	// maxAhead bounds how many jobs before another one are counted, which is a walk
+	// maxJobsAhead bounds how many jobs before another one are counted, which is a walk
 	// over them.
-	maxAhead = 1_000
-	// maxUnits bounds the sizes of free units that an explanation names.
-	maxUnits = 8
+	maxJobsAhead = 1_000
+	// maxUnitSizes bounds the sizes of free units that an explanation names.
+	maxUnitSizes = 8
 )
 
 // Explain says why a job has not started. It reads the state that the last
@@ -17,7 +17,7 @@
 // WaitOverShare say that no place for the job exists on open capacity. Like
 // Step, it belongs to the goroutine that owns the Scheduler.
 func (s *Scheduler) Explain(id JobID) (Explanation, bool) {
-	f := s.factsNow()
+	f := s.newExplainState()
 	return s.explain(id, func(q *queue, j *job) Explanation { return s.explainHead(q, j, f) })
 }
 
@@ -31,21 +31,21 @@
 	q := j.queue
 	switch {
 	case j.run != nil:
-		return s.explained(j, WaitNone), true
+		return s.newExplanation(j, WaitNone), true
 	case q == nil:
-		e := s.explained(j, WaitRetry)
+		e := s.newExplanation(j, WaitRetry)
 		e.Until = j.notBefore
 		return e, true
 	case j.claim != nil && j.claim.guaranteed():
 		return s.explainReclaim(j), true
 	}
-	if first := s.claimHead(q); first != j {
+	if first := s.firstUnclaimed(q); first != j {
 		return s.explainBehind(j, head(q, first)), true
 	}
 	return head(q, j), true
 }
 
-func (s *Scheduler) explained(j *job, why WaitReason) Explanation {
+func (s *Scheduler) newExplanation(j *job, why WaitReason) Explanation {
 	return Explanation{
 		Job: j.ID, Account: j.Account, Reason: why, At: s.now,
 		Accelerators: j.Accelerators, Span: j.Adjacency,
@@ -55,18 +55,18 @@
 // explainReclaim: what a claim waits for is evicted, or will be once the bound on
 // evictions in progress allows.
 func (s *Scheduler) explainReclaim(j *job) Explanation {
-	e := s.explained(j, WaitReclaim)
-	for _, p := range j.claim.pieces {
-		e.Evicting += max(0, p.n-s.nodes[p.node].idle())
+	e := s.newExplanation(j, WaitReclaim)
+	for _, p := range j.claim.allocations {
+		e.Evicting += max(0, p.count-s.nodes[p.node].idle())
 	}
 	return e
 }
 
 func (s *Scheduler) explainBehind(j *job, first Explanation) Explanation {
-	e := s.explained(j, WaitBehind)
+	e := s.newExplanation(j, WaitBehind)
 	e.First, e.FirstReason, e.Until = first.Job, first.Reason, first.Until
 	for x := j.prev; x != nil; x = x.prev {
-		if e.Ahead == maxAhead {
+		if e.Ahead == maxJobsAhead {
 			e.AheadTruncated = true
 			break
 		}
@@ -77,22 +77,22 @@
 
 // explainHead explains the first job of a queue that holds no claim on a
 // guarantee.
-func (s *Scheduler) explainHead(q *queue, j *job, f *facts) Explanation {
+func (s *Scheduler) explainHead(q *queue, j *job, f *explainState) Explanation {
 	switch {
 	case len(s.nodeByID) == 0:
-		return s.explained(j, WaitNoWorkers)
+		return s.newExplanation(j, WaitNoWorkers)
 	case j.claim != nil:
-		e := s.explained(j, WaitReserved)
-		e.Until = j.claim.ready
+		e := s.newExplanation(j, WaitReserved)
+		e.Until = j.claim.readyAt
 		return e
-	case j.cpuOn != nil:
-		return s.explained(j, WaitReserved)
+	case j.cpuNode != nil:
+		return s.newExplanation(j, WaitReserved)
 	}
-	if e, never := s.explainImpossible(q, j); never {
+	if e, never := s.explainIfImpossible(q, j); never {
 		return e
 	}
 	if s.startsNext(q, j, f) {
-		return s.explained(j, WaitFitsNow)
+		return s.newExplanation(j, WaitFitsNow)
 	}
 	if j.Accelerators == 0 {
 		return s.explainCores(j)
@@ -102,24 +102,24 @@
 
 func (s *Scheduler) explainCores(j *job) Explanation {
 	if s.placeCPU(j.Cores, j.MemoryMB) != nil {
-		return s.explained(j, WaitNextDecision)
+		return s.newExplanation(j, WaitNextDecision)
 	}
-	return s.explained(j, WaitNoCores)
+	return s.newExplanation(j, WaitNoCores)
 }
 
-func (s *Scheduler) explainImpossible(q *queue, j *job) (Explanation, bool) {
-	if q.sized == s.shape+1 {
+func (s *Scheduler) explainIfImpossible(q *queue, j *job) (Explanation, bool) {
+	if q.sizeCheckedStamp == s.topologyGen+1 {
 		return Explanation{}, false
 	}
-	_, detail, never := s.impossible(q)
+	_, detail, never := s.impossibleReason(q)
 	if !never {
 		return Explanation{}, false
 	}
-	e := s.explained(j, WaitImpossible)
+	e := s.newExplanation(j, WaitImpossible)
 	e.Detail = detail
-	if s.now.Before(s.settled) {
+	if s.now.Before(s.settlingEnds) {
 		e.Reason = WaitSettling
-		e.Until = s.settled
+		e.Until = s.settlingEnds
 	}
 	return e, true
 }
--- a/scheduler/explain_next.go
+++ b/scheduler/explain_next.go
@@ -1,15 +1,15 @@
 package scheduler
 
-// settlesNext reports whether the next decision looks at every queue again
+// settlingEndsNext reports whether the next decision looks at every queue again
 // because workers have had the time to announce themselves.
-func (s *Scheduler) settlesNext() bool {
-	return !s.hasSettled && !s.now.Before(s.settled)
+func (s *Scheduler) settlingEndsNext() bool {
+	return !s.settlingDone && !s.now.Before(s.settlingEnds)
 }
 
 // startsNext reports whether the next decision certainly starts a job: it is the
 // first one tried, and there is a place. Where it can't tell it reports false.
-func (s *Scheduler) startsNext(q *queue, j *job, f *facts) bool {
-	if f.tried != q {
+func (s *Scheduler) startsNext(q *queue, j *job, f *explainState) bool {
+	if f.triedQueue != q {
 		return false
 	}
 	if s.probeFor(j) != nil {
@@ -19,20 +19,20 @@
 		return s.placeCPU(j.Cores, j.MemoryMB) != nil
 	}
 	x := &s.open
-	if !j.borrows() || s.withinGuarantee(j) {
-		x = &s.steady
+	if !j.mayBorrow() || s.withinGuarantee(j) {
+		x = &s.unguaranteed
 	}
-	var c changes
-	if s.avoids(q, j) {
-		c = without(x, j.failed)
+	var c indexDeltas
+	if s.avoidsFailedNodes(q, j) {
+		c = withoutNodes(x, j.failedNodes)
 	}
-	return s.largest(x, &q.key, c) >= j.Accelerators
+	return s.largestFit(x, &q.key, c) >= j.Accelerators
 }
 
 // bindsNext reports whether the next decision looks for a place for blocks, or
 // wakes workers or jobs.
 func (s *Scheduler) bindsNext() bool {
-	if len(s.unbound) > 0 && s.packed != s.grown {
+	if len(s.unbound) > 0 && s.repackGen != s.capacityGen {
 		return true
 	}
 	if len(s.delayed) > 0 && !s.delayed[0].notBefore.After(s.now) {
@@ -50,7 +50,7 @@
 // before it looks at the open queue.
 func (s *Scheduler) claimsNext() bool {
 	for _, c := range s.claims {
-		if s.idleFor(c) {
+		if s.claimIsIdle(c) {
 			return true
 		}
 	}
@@ -62,9 +62,9 @@
 	return false
 }
 
-func (s *Scheduler) idleFor(c *claim) bool {
-	for _, p := range c.pieces {
-		if s.nodes[p.node].idle() < p.n {
+func (s *Scheduler) claimIsIdle(c *claim) bool {
+	for _, p := range c.allocations {
+		if s.nodes[p.node].idle() < p.count {
 			return false
 		}
 	}
@@ -74,12 +74,12 @@
 // mayClaim reports whether a job of an account may find room in its blocks before
 // open capacity is given out.
 func (s *Scheduler) mayClaim(a *account) bool {
-	for _, q := range a.order {
-		if s.claimHead(q) == nil || q.key.accelerators == 0 || q.claimed >= s.claimStamp(a, beforeOpen) {
+	for _, q := range a.queueList {
+		if s.firstUnclaimed(q) == nil || q.key.accelerators == 0 || q.noClaimStamp >= s.claimStamp(a, beforeOpen) {
 			continue
 		}
 		for _, b := range a.blocks {
-			if s.serves(b, &q.key, beforeOpen) {
+			if s.fitsBlock(b, &q.key, beforeOpen) {
 				return true
 			}
 		}
@@ -87,10 +87,10 @@
 	return false
 }
 
-// firstTried is the queue of which the next decision certainly tries the first job
+// firstTriedQueue is the queue of which the next decision certainly tries the first job
 // before it changes anything, or nil where something comes before the open queue.
-func (s *Scheduler) firstTried() *queue {
-	if s.settlesNext() || s.bindsNext() || s.claimsNext() {
+func (s *Scheduler) firstTriedQueue() *queue {
+	if s.settlingEndsNext() || s.bindsNext() || s.claimsNext() {
 		return nil
 	}
 	var first *queue
@@ -99,7 +99,7 @@
 			continue
 		}
 		q := s.nextOpen(a)
-		if q != nil && (first == nil || s.ahead(s.claimHead(q), s.claimHead(first))) {
+		if q != nil && (first == nil || s.precedesOverall(s.firstUnclaimed(q), s.firstUnclaimed(first))) {
 			first = q
 		}
 	}
--- a/scheduler/explain_test.go
+++ b/scheduler/explain_test.go
@@ -112,11 +112,11 @@
 		if (e.Free >= j.Accelerators) != (m.total(open) >= j.Accelerators) {
 			fail("free accelerators")
 		}
-		if e.Reason == WaitOverShare && m.s.share(m.s.jobs[e.First].account) >= m.s.share(x.account) {
+		if e.Reason == WaitOverShare && m.s.weightedShare(m.s.jobs[e.First].account) >= m.s.weightedShare(x.account) {
 			fail("the share of the first is not lower")
 		}
 	case WaitNextDecision:
-		if q := x.queue; q.blocked == m.s.stamp(q) && q.claimed >= m.s.claimStamp(x.account, afterOpen) {
+		if q := x.queue; q.noPlaceStamp == m.s.capacityStamp(q) && q.noClaimStamp >= m.s.claimStamp(x.account, afterOpen) {
 			fail("its queue was tried and is not tried again")
 		}
 	case WaitReservations:
@@ -124,15 +124,15 @@
 			fail("a place with or without reservations")
 		}
 	case WaitFailedWorkers:
-		if !m.bruteFits(j, open, nil) || m.bruteFits(j, open, x.failed) {
+		if !m.bruteFits(j, open, nil) || m.bruteFits(j, open, x.failedNodes) {
 			fail("a place with or without the workers it failed on")
 		}
 	case WaitGuaranteed:
-		if x.borrows() || !m.bruteFits(j, open, nil) {
+		if x.mayBorrow() || !m.bruteFits(j, open, nil) {
 			fail("a place that is bound to a guarantee")
 		}
 	case WaitReclaim:
-		if e.Evicting == 0 || len(x.claim.shares) == 0 {
+		if e.Evicting == 0 || len(x.claim.blockUses) == 0 {
 			fail("it waits for nothing")
 		}
 	case WaitBehind:
@@ -159,19 +159,19 @@
 		if j.run == nil {
 			continue
 		}
-		for _, p := range j.run.pieces {
-			held[p.node] += p.n
+		for _, p := range j.run.held {
+			held[p.node] += p.count
 			if !j.run.protected && j.run.state == runStopping {
-				coming[p.node] += p.n
+				coming[p.node] += p.count
 			}
 		}
 	}
 	for _, c := range m.s.claims {
-		for _, p := range c.pieces {
+		for _, p := range c.allocations {
 			if c.guaranteed() {
-				claimed[p.node] += p.n
+				claimed[p.node] += p.count
 			} else if !reservations {
-				reserved[p.node] += p.n
+				reserved[p.node] += p.count
 			}
 		}
 	}
--- a/scheduler/facts.go
+++ b/scheduler/facts.go
@@ -1,24 +1,24 @@
 package scheduler
 
-// facts are what the explanations of all jobs share at one state. Their cost is
+// explainState are what the explanations of all jobs share at one state. Their cost is
 // linear in queues and claims.
-type facts struct {
+type explainState struct {
 	steps uint64
-	// first goes first when open capacity turns up; nil if no job waits for it.
-	first *job
-	// tried is the queue whose first job the next decision tries before anything
+	// firstJob goes firstJob when open capacity turns up; nil if no job waits for it.
+	firstJob *job
+	// triedQueue is the queue whose first job the next decision tries before anything
 	// else changes; nil if that is not certain.
-	tried *queue
-	// reserved is what open capacity would be larger by without reservations.
-	reserved changes
+	triedQueue *queue
+	// reservedDeltas is what open capacity would be larger by without reservations.
+	reservedDeltas indexDeltas
 }
 
-func (s *Scheduler) factsNow() *facts {
-	return &facts{
-		steps:    s.steps,
-		first:    s.firstWaiting(),
-		tried:    s.firstTried(),
-		reserved: s.reservations(),
+func (s *Scheduler) newExplainState() *explainState {
+	return &explainState{
+		steps:          s.steps,
+		firstJob:       s.firstWaiting(),
+		triedQueue:     s.firstTriedQueue(),
+		reservedDeltas: s.reservedDeltas(),
 	}
 }
 
@@ -26,7 +26,7 @@
 func (s *Scheduler) firstWaiting() *job {
 	var first *job
 	for _, a := range s.accountList {
-		if j := s.firstOfAccount(a); j != nil && (first == nil || s.ahead(j, first)) {
+		if j := s.firstOfAccount(a); j != nil && (first == nil || s.precedesOverall(j, first)) {
 			first = j
 		}
 	}
@@ -35,8 +35,8 @@
 
 func (s *Scheduler) firstOfAccount(a *account) *job {
 	var first *job
-	for _, q := range a.order {
-		if j := s.claimHead(q); j != nil && (first == nil || s.before(j, first)) {
+	for _, q := range a.queueList {
+		if j := s.firstUnclaimed(q); j != nil && (first == nil || s.precedesInAccount(j, first)) {
 			first = j
 		}
 	}
--- a/scheduler/free_units.go
+++ b/scheduler/free_units.go
@@ -30,7 +30,7 @@
 	for v := MaxWorkerAccelerators; v > 0; v-- {
 		units := 0
 		for _, z := range x.zones {
-			units += len(z.lists[v-1])
+			units += len(z.byValue[v-1])
 		}
 		if !add(v, units) {
 			return
@@ -41,13 +41,13 @@
 func (x *index) eachRackSize(add func(free, units int) bool) {
 	most := 0
 	for _, z := range x.zones {
-		most = max(most, len(z.bySum)-1)
+		most = max(most, len(z.racksBySum)-1)
 	}
 	for sum := most; sum > 0; sum-- {
 		units := 0
 		for _, z := range x.zones {
-			if sum < len(z.bySum) {
-				units += len(z.bySum[sum])
+			if sum < len(z.racksBySum) {
+				units += len(z.racksBySum[sum])
 			}
 		}
 		if !add(sum, units) {
--- a/scheduler/guarantee.go
+++ b/scheduler/guarantee.go
@@ -24,7 +24,7 @@
 
 // claimStamp says at which state of an account's blocks a queue was tried.
 func (s *Scheduler) claimStamp(a *account, p claimPhase) uint64 {
-	return (a.gen+1)*2 + uint64(p)
+	return (a.blockGen+1)*2 + uint64(p)
 }
 
 // phaseStamp numbers the claim phases of all steps.
@@ -34,20 +34,20 @@
 // account that may still find room in its blocks.
 func (s *Scheduler) nextClaimant(a *account, p claimPhase) *queue {
 	var best *queue
-	for _, q := range a.order {
-		j := s.claimHead(q)
-		if j == nil || q.key.accelerators == 0 || q.claimed >= s.claimStamp(a, p) || q.yieldedIn == s.phaseStamp(p) {
+	for _, q := range a.queueList {
+		j := s.firstUnclaimed(q)
+		if j == nil || q.key.accelerators == 0 || q.noClaimStamp >= s.claimStamp(a, p) || q.yieldedPhase == s.phaseStamp(p) {
 			continue
 		}
-		if best == nil || s.claimsBefore(j, s.claimHead(best)) {
+		if best == nil || s.claimsBefore(j, s.firstUnclaimed(best)) {
 			best = q
 		}
 	}
 	return best
 }
 
-// claimHead is the first job of a queue that holds no claim on a guarantee yet.
-func (s *Scheduler) claimHead(q *queue) *job {
+// firstUnclaimed is the first job of a queue that holds no claim on a guarantee yet.
+func (s *Scheduler) firstUnclaimed(q *queue) *job {
 	j := q.head
 	for j != nil && j.claim != nil && j.claim.guaranteed() {
 		j = j.next
@@ -58,25 +58,25 @@
 // claimBlocks sets room in the blocks of an account aside for the first job of
 // a queue, and starts it if that room is idle.
 func (s *Scheduler) claimBlocks(q *queue, p claimPhase) {
-	j := s.claimHead(q)
+	j := s.firstUnclaimed(q)
 	c, yields := s.findClaim(j, &q.key, p)
 	switch {
 	case c != nil:
-		s.useClaim(c)
+		s.applyClaim(c)
 	case yields:
-		q.yieldedIn = s.phaseStamp(p)
-		q.grace = j.Submitted.Add(s.policy.ReclaimAfter)
+		q.yieldedPhase = s.phaseStamp(p)
+		q.yieldUntil = j.Submitted.Add(s.policy.ReclaimAfter)
 	default:
-		q.claimed = s.claimStamp(q.account, p)
+		q.noClaimStamp = s.claimStamp(q.account, p)
 	}
 }
 
-func (s *Scheduler) useClaim(c *claim) {
+func (s *Scheduler) applyClaim(c *claim) {
 	if c.job.claim != nil {
 		s.dropClaim(c.job.claim)
 	}
 	s.addClaim(c)
-	if s.complete(c) {
+	if s.claimReady(c) {
 		s.startClaim(c)
 		return
 	}
@@ -87,126 +87,126 @@
 // if there is none, and whether that is only because larger jobs go first.
 func (s *Scheduler) findClaim(j *job, k *queueKey, p claimPhase) (c *claim, yields bool) {
 	var best *block
-	var offer offer
+	var offer blockCost
 	for _, b := range j.account.blocks {
-		if !s.serves(b, k, p) {
+		if !s.fitsBlock(b, k, p) {
 			continue
 		}
-		if s.yields(j, k, b) || p == beforeOpen && s.urgentWaits(j, b) {
+		if s.yieldsBlock(j, k, b) || p == beforeOpen && s.urgentJobWaits(j, b) {
 			yields = true
 			continue
 		}
-		at := s.offerOf(b, k)
+		at := s.blockCostOf(b, k)
 		if best == nil || at.less(offer) {
 			best, offer = b, at
 		}
 	}
 	if best != nil {
-		return s.claimOne(j, k, best), false
+		return s.claimBlock(j, k, best), false
 	}
 	if p == afterOpen && k.span == AdjacentAny {
-		return s.claimMany(j, k), yields
+		return s.claimSeveralBlocks(j, k), yields
 	}
 	if p == afterOpen && k.span != AdjacentWorker {
-		return s.claimJoined(j, k), yields
+		return s.claimAdjacentBlocks(j, k), yields
 	}
 	return nil, yields
 }
 
-// serves reports whether a job fits into what is left of a block and may use it
+// fitsBlock reports whether a job fits into what is left of a block and may use it
 // in a phase.
-func (s *Scheduler) serves(b *block, k *queueKey, p claimPhase) bool {
-	if b.room() < k.accelerators {
+func (s *Scheduler) fitsBlock(b *block, k *queueKey, p claimPhase) bool {
+	if b.unused() < k.accelerators {
 		return false
 	}
 	exact := b.shape.Accelerators == k.accelerators && b.shape.Adjacency == k.span
 	if p == beforeOpen && !exact {
 		return false
 	}
-	return s.partsFor(b, k) != nil
+	return s.blockUsesFor(b, k) != nil
 }
 
-// partsFor returns a part of the room of a block that the job may use, in
+// blockUsesFor returns a part of the room of a block that the job may use, in
 // accelerators of its nodes.
-func (s *Scheduler) partsFor(b *block, k *queueKey) []share {
+func (s *Scheduler) blockUsesFor(b *block, k *queueKey) []blockUse {
 	need := k.accelerators
-	var out []share
-	for _, i := range s.partOrder(b, k) {
+	var out []blockUse
+	for _, i := range s.orderParts(b, k) {
 		p := b.parts[i]
-		u := s.units(k, s.nodes[p.node])
-		if u == 0 || p.used == p.n {
+		u := s.footprint(k, s.nodes[p.node])
+		if u == 0 || p.used == p.count {
 			continue
 		}
-		got := min(need, (p.n-p.used)/u)
+		got := min(need, (p.count-p.used)/u)
 		if k.span == AdjacentWorker && got < k.accelerators || got == 0 {
 			continue
 		}
-		out = append(out, share{b, i, got * u})
+		out = append(out, blockUse{b, i, got * u})
 		if need -= got; need == 0 {
 			break
 		}
 	}
-	if need > 0 || k.span > b.shape.Adjacency && !s.within(out, k.span) {
+	if need > 0 || k.span > b.shape.Adjacency && !s.inOneUnit(out, k.span) {
 		return nil
 	}
 	return out
 }
 
-// within reports whether all shares lie within one span.
-func (s *Scheduler) within(shares []share, span Adjacency) bool {
+// inOneUnit reports whether all shares lie inOneUnit one span.
+func (s *Scheduler) inOneUnit(shares []blockUse, span Adjacency) bool {
 	for _, x := range shares[1:] {
 		first := shares[0].block.parts[shares[0].part].node
-		if spanOf(s.nodes[first], span) != spanOf(s.nodes[x.block.parts[x.part].node], span) {
+		if unitOf(s.nodes[first], span) != unitOf(s.nodes[x.block.parts[x.part].node], span) {
 			return false
 		}
 	}
 	return true
 }
 
-// claimOne claims room in one block. An unused block first moves to the place
+// claimBlock claims room in one block. An unused block first moves to the place
 // where the claim evicts least.
-func (s *Scheduler) claimOne(j *job, k *queueKey, b *block) *claim {
-	if b.used == 0 && s.plain(k) {
-		s.moveBlock(b, k)
+func (s *Scheduler) claimBlock(j *job, k *queueKey, b *block) *claim {
+	if b.used == 0 && s.fitsMinShare(k) {
+		s.moveToCheapestPlace(b, k)
 	}
-	return s.claimOf(j, s.partsFor(b, k))
+	return s.newClaim(j, s.blockUsesFor(b, k))
 }
 
-// claimMany claims the room of several blocks for a gang that may be spread.
-func (s *Scheduler) claimMany(j *job, k *queueKey) *claim {
-	if !s.plain(k) {
+// claimSeveralBlocks claims the room of several blocks for a gang that may be spread.
+func (s *Scheduler) claimSeveralBlocks(j *job, k *queueKey) *claim {
+	if !s.fitsMinShare(k) {
 		return nil
 	}
 	need := k.accelerators
-	var out []share
+	var out []blockUse
 	for _, b := range j.account.blocks {
-		if s.yields(j, k, b) {
+		if s.yieldsBlock(j, k, b) {
 			continue
 		}
 		for i, p := range b.parts {
-			got := min(need, p.n-p.used)
+			got := min(need, p.count-p.used)
 			if got == 0 {
 				continue
 			}
-			out = append(out, share{b, i, got})
+			out = append(out, blockUse{b, i, got})
 			if need -= got; need == 0 {
-				return s.claimOf(j, out)
+				return s.newClaim(j, out)
 			}
 		}
 	}
 	return nil
 }
 
-func (s *Scheduler) claimOf(j *job, shares []share) *claim {
+func (s *Scheduler) newClaim(j *job, shares []blockUse) *claim {
 	if shares == nil {
 		return nil
 	}
-	return &claim{job: j, shares: shares, pieces: piecesOf(shares)}
+	return &claim{job: j, blockUses: shares, allocations: allocationsOf(shares)}
 }
 
-// piecesOf merges shares by node.
-func piecesOf(shares []share) []piece {
-	var out []piece
+// allocationsOf merges shares by node.
+func allocationsOf(shares []blockUse) []allocation {
+	var out []allocation
 	at := map[nodeID]int{}
 	for _, x := range shares {
 		id := x.block.parts[x.part].node
@@ -214,9 +214,9 @@
 		if !ok {
 			i = len(out)
 			at[id] = i
-			out = append(out, piece{node: id})
+			out = append(out, allocation{node: id})
 		}
-		out[i].n += x.n
+		out[i].count += x.count
 	}
 	return out
 }
--- a/scheduler/guarantee_test.go
+++ b/scheduler/guarantee_test.go
@@ -152,7 +152,7 @@
 	b.submit(Job{ID: "o", Account: "owner", Accelerators: 4, Adjacency: AdjacentWorker, Repeatable: true})
 	b.Assert(b.s.jobs["o"].run.protected, qt.IsTrue)
 	for _, w := range []WorkerID{"w0", "w1", "w2"} {
-		if w == b.s.nodes[b.s.jobs["o"].run.pieces[0].node].ID {
+		if w == b.s.nodes[b.s.jobs["o"].run.held[0].node].ID {
 			continue
 		}
 		b.Assert(of[GuaranteeDegraded](b.step(WorkerDown{w})), qt.HasLen, 0)
@@ -224,7 +224,7 @@
 	b.stopAll(b.submit(Job{ID: "o", Account: "owner", Accelerators: 16, Adjacency: AdjacentRack, Submitted: b.now}))
 	b.Assert(b.s.jobs["large"].borrowingEnded, qt.IsTrue)
 	b.end("o", Done, "")
-	b.step(WorkerDown{b.s.nodes[b.s.jobs["protected"].run.pieces[0].node].ID})
+	b.step(WorkerDown{b.s.nodes[b.s.jobs["protected"].run.held[0].node].ID})
 	starts := of[StartGang](b.end("protected", Lost, ""))
 	b.Assert(b.s.jobs["large"].borrowingEnded, qt.IsFalse)
 	b.Assert(b.s.jobs["large"].run != nil, qt.IsTrue, qt.Commentf("%+v", starts))
@@ -266,5 +266,5 @@
 	b.now = b.now.Add(10 * time.Second)
 	starts := b.stopAll(b.submit(Job{ID: "o", Account: "owner", Accelerators: 16, Adjacency: AdjacentRack, Submitted: b.now}))
 	b.Assert(len(starts) > 0 && starts[0].Job == "o", qt.IsTrue)
-	b.Assert(b.s.jobs["o"].run.shares, qt.HasLen, 2)
+	b.Assert(b.s.jobs["o"].run.blockUses, qt.HasLen, 2)
 }
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -7,29 +7,29 @@
 
 // health is the record of failures of a worker.
 type health struct {
-	excluded bool          // quarantined or on probe: not in the indexes
-	probing  bool          // waits for, or runs, a single probe
-	strikes  []*job        // different jobs that failed here since the last success
-	backoff  time.Duration // length of the last quarantine, 0 if healthy
-	until    time.Time     // end of the quarantine, or when the worker went down
-	good     time.Time     // last success
+	excluded    bool          // quarantined or on probe: not in the indexes
+	probing     bool          // waits for, or runs, a single probe
+	failedJobs  []*job        // different jobs that failed here since the last success
+	backoff     time.Duration // length of the last quarantine, 0 if healthy
+	until       time.Time     // end of the quarantine, or when the worker went down
+	lastSuccess time.Time     // last success
 }
 
-// atFault returns the node that a failure is charged to, or nil if unknown.
-func (s *Scheduler) atFault(r *run, worker WorkerID) *node {
+// faultyNode returns the node that a failure is charged to, or nil if unknown.
+func (s *Scheduler) faultyNode(r *run, worker WorkerID) *node {
 	if n := s.nodeByID[worker]; n != nil {
 		return n
 	}
-	if len(r.pieces) == 1 {
-		return s.nodes[r.pieces[0].node]
+	if len(r.held) == 1 {
+		return s.nodes[r.held[0].node]
 	}
 	return nil
 }
 
-// blame records a failure with both the job and the worker, since which of them
+// recordFailure records a failure with both the job and the worker, since which of them
 // is at fault shows only over several failures.
-func (s *Scheduler) blame(r *run, worker WorkerID) {
-	n := s.atFault(r, worker)
+func (s *Scheduler) recordFailure(r *run, worker WorkerID) {
+	n := s.faultyNode(r, worker)
 	if n == nil {
 		return
 	}
@@ -39,33 +39,33 @@
 		s.quarantine(n)
 		return
 	}
-	if !slices.Contains(j.failed, n.id) && len(j.failed) < maxFailedWorkers {
-		j.failed = append(j.failed, n.id)
+	if !slices.Contains(j.failedNodes, n.id) && len(j.failedNodes) < maxFailedNodes {
+		j.failedNodes = append(j.failedNodes, n.id)
 	}
-	s.strike(n, j)
+	s.recordWorkerFailure(n, j)
 }
 
-func (s *Scheduler) strike(n *node, j *job) {
+func (s *Scheduler) recordWorkerFailure(n *node, j *job) {
 	if n.health.excluded {
 		return
 	}
-	if !slices.Contains(n.health.strikes, j) {
-		n.health.strikes = append(n.health.strikes, j)
+	if !slices.Contains(n.health.failedJobs, j) {
+		n.health.failedJobs = append(n.health.failedJobs, j)
 	}
-	if s.strikes(n, nil) >= s.policy.FailureThreshold {
+	if s.countWorkerFailures(n, nil) >= s.policy.FailureThreshold {
 		s.quarantine(n)
 		return
 	}
-	if len(n.health.strikes) > 4*s.policy.FailureThreshold {
-		n.health.strikes = n.health.strikes[1:]
+	if len(n.health.failedJobs) > 4*s.policy.FailureThreshold {
+		n.health.failedJobs = n.health.failedJobs[1:]
 	}
 }
 
-// strikes counts the jobs that speak against a worker. A job that also failed on
+// countWorkerFailures counts the jobs that speak against a worker. A job that also failed on
 // another worker in good standing speaks against itself instead.
-func (s *Scheduler) strikes(n *node, except *job) int {
+func (s *Scheduler) countWorkerFailures(n *node, except *job) int {
 	t := 0
-	for _, j := range n.health.strikes {
+	for _, j := range n.health.failedJobs {
 		if j != except && !s.failedElsewhere(j, n) {
 			t++
 		}
@@ -74,7 +74,7 @@
 }
 
 func (s *Scheduler) failedElsewhere(j *job, n *node) bool {
-	for _, id := range j.failed {
+	for _, id := range j.failedNodes {
 		if id != n.id && !s.nodes[id].health.excluded {
 			return true
 		}
@@ -82,50 +82,50 @@
 	return false
 }
 
-// healthyStrikes counts the workers in good standing on which a job failed: not
+// countHealthyWorkerFailures counts the workers in good standing on which a job failed: not
 // quarantined, and no other job speaks against them.
-func (s *Scheduler) healthyStrikes(j *job) int {
+func (s *Scheduler) countHealthyWorkerFailures(j *job) int {
 	t := 0
-	for _, id := range j.failed {
+	for _, id := range j.failedNodes {
 		n := s.nodes[id]
-		if !n.health.excluded && s.strikes(n, j) == 0 {
+		if !n.health.excluded && s.countWorkerFailures(n, j) == 0 {
 			t++
 		}
 	}
 	return t
 }
 
-// acquit takes the failures of a job that is itself at fault off the workers.
-func (s *Scheduler) acquit(j *job) {
-	for _, id := range j.failed {
+// clearWorkerFailures takes the failures of a job that is itself at fault off the workers.
+func (s *Scheduler) clearWorkerFailures(j *job) {
+	for _, id := range j.failedNodes {
 		h := &s.nodes[id].health
-		h.strikes = slices.DeleteFunc(h.strikes, func(x *job) bool { return x == j })
+		h.failedJobs = slices.DeleteFunc(h.failedJobs, func(x *job) bool { return x == j })
 	}
 }
 
-// refused counts a refusal to start against the worker, but not the job.
-func (s *Scheduler) refused(n *node, j *job) {
+// recordRefusal counts a refusal to start against the worker, but not the job.
+func (s *Scheduler) recordRefusal(n *node, j *job) {
 	if n.health.probing {
 		s.quarantine(n)
 		return
 	}
-	s.strike(n, j)
+	s.recordWorkerFailure(n, j)
 }
 
-// succeeded clears the failures of every worker of a gang that is done, and
+// attemptSucceeded clears the failures of every worker of a gang that is done, and
 // learns its run time.
-func (s *Scheduler) succeeded(r *run) {
-	for _, p := range r.pieces {
+func (s *Scheduler) attemptSucceeded(r *run) {
+	for _, p := range r.held {
 		n := s.nodes[p.node]
 		h := &n.health
-		h.strikes = nil
-		h.good = s.now
+		h.failedJobs = nil
+		h.lastSuccess = s.now
 		if h.probing {
 			s.restoreWorker(n)
 		}
 	}
 	if r.job.evictions == 0 && r.state != runStarting {
-		s.learned.add(&r.job.Job, s.now.Sub(r.started))
+		s.runTimes.add(&r.job.Job, s.now.Sub(r.started))
 	}
 }
 
@@ -138,7 +138,7 @@
 	h.probing = false
 	if !h.excluded {
 		h.excluded = true
-		s.leave(n)
+		s.dropPlansOn(n)
 	}
 	if !slices.Contains(s.quarantined, n) {
 		s.quarantined = append(s.quarantined, n)
@@ -147,20 +147,20 @@
 }
 
 func (s *Scheduler) restoreWorker(n *node) {
-	n.health = health{good: s.now}
+	n.health = health{lastSuccess: s.now}
 	s.quarantined = slices.DeleteFunc(s.quarantined, func(x *node) bool { return x == n })
 	s.emit(WorkerHealthy{Worker: n.ID})
-	s.refresh(n)
+	s.refreshIndexes(n)
 	s.refreshCPU(n)
 }
 
-// wakeWorkers lets every worker whose quarantine is over run a probe.
-func (s *Scheduler) wakeWorkers() {
+// endQuarantines lets every worker whose quarantine is over run a probe.
+func (s *Scheduler) endQuarantines() {
 	for _, n := range s.quarantined {
 		if !n.health.probing && !n.health.until.After(s.now) {
 			n.health.probing = true
-			s.grown++
-			s.grownCPU++
+			s.capacityGen++
+			s.cpuCapacityGen++
 		}
 	}
 }
@@ -176,10 +176,10 @@
 		if !n.health.probing || !n.up || n.draining || len(n.runs) > 0 {
 			continue
 		}
-		if j.Accelerators == 0 && n.cpuCores >= j.Cores && n.cpuMem >= j.MemoryMB {
+		if j.Accelerators == 0 && n.freeCPUCores >= j.Cores && n.freeCPUMem >= j.MemoryMB {
 			return n
 		}
-		u := s.units(&k, n)
+		u := s.footprint(&k, n)
 		if j.Accelerators > 0 && u > 0 && j.Accelerators*u <= min(n.Accelerators, MaxWorkerAccelerators) {
 			return n
 		}
@@ -189,6 +189,6 @@
 
 func (s *Scheduler) startProbe(j *job, n *node) {
 	k := j.key()
-	s.dropCPU(j)
-	s.start(j, []piece{{node: n.id, n: j.Accelerators * s.units(&k, n)}}, nil, false)
+	s.dropCPUReservation(j)
+	s.start(j, []allocation{{node: n.id, count: j.Accelerators * s.footprint(&k, n)}}, nil, false)
 }
--- a/scheduler/impossible.go
+++ b/scheduler/impossible.go
@@ -2,29 +2,29 @@
 
 import "fmt"
 
-// impossible says why jobs of a key can never run on the workers known, whether
+// impossibleReason says why jobs of a key can never run on the workers known, whether
 // they are healthy or not.
-func (s *Scheduler) impossible(q *queue) (RejectReason, string, bool) {
+func (s *Scheduler) impossibleReason(q *queue) (RejectReason, string, bool) {
 	k := &q.key
 	if k.accelerators == 0 {
-		return s.impossibleCPU(k)
+		return s.impossibleCPUReason(k)
 	}
-	if total := s.size.total(); k.accelerators > total {
+	if total := s.installed.total(); k.accelerators > total {
 		return RejectTooLarge, fmt.Sprintf("%d accelerators asked, %d exist", k.accelerators, total), true
 	}
 	if !s.someWorkerFits(k) {
 		return RejectWorkerSize, "no worker has the cores and memory for one accelerator of the job", true
 	}
-	if s.find(&s.size, k) == nil {
+	if s.find(&s.installed, k) == nil {
 		return RejectAdjacency, fmt.Sprintf("no %s has %d accelerators with the cores and memory", k.span, k.accelerators), true
 	}
-	if reserved := s.othersBlocks(q.account); !q.head.Job.borrows() && k.accelerators > s.size.total()-reserved {
+	if reserved := s.guaranteedToOthers(q.account); !q.head.Job.mayBorrow() && k.accelerators > s.installed.total()-reserved {
 		return RejectTooLarge, "a job that may not borrow may not use what is guaranteed to others", true
 	}
 	return 0, "", false
 }
 
-func (s *Scheduler) impossibleCPU(k *queueKey) (RejectReason, string, bool) {
+func (s *Scheduler) impossibleCPUReason(k *queueKey) (RejectReason, string, bool) {
 	for _, n := range s.nodeByID {
 		if n.cpuBudget(s.policy.CPUSharePercent) >= k.cores && n.memBudget(s.policy.CPUSharePercent) >= k.memory {
 			return 0, "", false
@@ -34,18 +34,18 @@
 }
 
 func (s *Scheduler) someWorkerFits(k *queueKey) bool {
-	if s.plain(k) {
+	if s.fitsMinShare(k) {
 		return true
 	}
 	for _, n := range s.nodeByID {
-		if n.Accelerators > 0 && s.units(k, n) > 0 {
+		if n.Accelerators > 0 && s.footprint(k, n) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *Scheduler) othersBlocks(a *account) int {
+func (s *Scheduler) guaranteedToOthers(a *account) int {
 	t := 0
 	for _, x := range s.accountList {
 		if x == a {
@@ -61,12 +61,12 @@
 // rejectImpossible rejects the whole queue if its jobs can never run. While
 // workers still announce themselves nobody is rejected for size.
 func (s *Scheduler) rejectImpossible(q *queue) bool {
-	if s.now.Before(s.settled) || len(s.nodeByID) == 0 || q.sized == s.shape+1 {
+	if s.now.Before(s.settlingEnds) || len(s.nodeByID) == 0 || q.sizeCheckedStamp == s.topologyGen+1 {
 		return false
 	}
-	why, detail, never := s.impossible(q)
+	why, detail, never := s.impossibleReason(q)
 	if !never {
-		q.sized = s.shape + 1
+		q.sizeCheckedStamp = s.topologyGen + 1
 		return false
 	}
 	for q.head != nil {
--- a/scheduler/index.go
+++ b/scheduler/index.go
@@ -6,77 +6,77 @@
 // and racks by their sum within zones. An update costs the same at any size; a
 // search visits only the workers that it takes.
 type index struct {
-	whole   *index // accelerators of all workers, for the sizes of units
-	val     []uint8
-	rackPos []int32
-	zonePos []int32
-	racks   []*pool
-	rackAt  []int32 // position of a rack in the list of its sum
-	rackOf  []int32 // zone of a rack
-	zones   []*zonePool
+	installed   *index // accelerators of all workers, for the sizes of units
+	values      []uint8
+	posInRack   []int32
+	posInZone   []int32
+	racks       []*pool
+	rackListPos []int32 // position of a rack in the list of its sum
+	zoneOfRack  []int32 // zone of a rack
+	zones       []*zonePool
 }
 
 // zonePool is a pool of the workers of a zone, and its racks by sum.
 type zonePool struct {
 	pool
-	bySum [][]int32
-	sums  *bitset.BitSet
+	racksBySum   [][]int32
+	nonEmptySums *bitset.BitSet
 }
 
 func (x *index) addZone() {
-	x.zones = append(x.zones, &zonePool{sums: bitset.New(1024)})
+	x.zones = append(x.zones, &zonePool{nonEmptySums: bitset.New(1024)})
 }
 
 func (x *index) addRack(zone int32) {
 	r := int32(len(x.racks))
 	x.racks = append(x.racks, &pool{})
-	x.rackOf = append(x.rackOf, zone)
-	x.rackAt = append(x.rackAt, 0)
-	x.zones[zone].addRack(x.rackAt, r, 0)
+	x.zoneOfRack = append(x.zoneOfRack, zone)
+	x.rackListPos = append(x.rackListPos, 0)
+	x.zones[zone].addRack(x.rackListPos, r, 0)
 }
 
 func (x *index) addNode() {
-	x.val = append(x.val, 0)
-	x.rackPos = append(x.rackPos, 0)
-	x.zonePos = append(x.zonePos, 0)
+	x.values = append(x.values, 0)
+	x.posInRack = append(x.posInRack, 0)
+	x.posInZone = append(x.posInZone, 0)
 }
 
 func (z *zonePool) addRack(at []int32, r int32, sum int) {
-	for len(z.bySum) <= sum {
-		z.bySum = append(z.bySum, nil)
+	for len(z.racksBySum) <= sum {
+		z.racksBySum = append(z.racksBySum, nil)
 	}
-	at[r] = int32(len(z.bySum[sum]))
-	z.bySum[sum] = append(z.bySum[sum], r)
-	z.sums.Set(uint(sum))
+	at[r] = int32(len(z.racksBySum[sum]))
+	z.racksBySum[sum] = append(z.racksBySum[sum], r)
+	z.nonEmptySums.Set(uint(sum))
 }
 
 func (z *zonePool) removeRack(at []int32, r int32, sum int) {
-	list := z.bySum[sum]
+	list := z.racksBySum[sum]
 	last := len(list) - 1
 	moved := list[last]
 	list[at[r]] = moved
 	at[moved] = at[r]
-	z.bySum[sum] = list[:last]
+	z.racksBySum[sum] = list[:last]
 	if last == 0 {
-		z.sums.Clear(uint(sum))
+		z.nonEmptySums.Clear(uint(sum))
 	}
 }
 
 // set changes the value of a worker.
 func (x *index) set(n *node, v int) {
-	old := int(x.val[n.id])
+	old := int(x.values[n.id])
 	if old == v {
 		return
 	}
 	rack, zone := x.racks[n.rack], x.zones[n.zone]
 	before := rack.sum
-	rack.remove(x.rackPos, n.id, old)
-	rack.add(x.rackPos, n.id, v)
-	zone.remove(x.zonePos, n.id, old)
-	zone.add(x.zonePos, n.id, v)
-	zone.removeRack(x.rackAt, n.rack, before)
-	zone.addRack(x.rackAt, n.rack, rack.sum)
-	x.val[n.id] = uint8(v)
+	rack.remove(x.posInRack, n.id, old)
+	rack.add(x.posInRack, n.id, v)
+	zone.remove(x.posInZone, n.id, old)
+	zone.add(x.posInZone, n.id, v)
+	zone.removeRack(x.rackListPos, n.rack, before)
+	zone.addRack(x.rackListPos, n.rack, rack.sum)
+	x.values[n.id] = uint8(v)
 }
 
 // total is the sum over all workers.
@@ -88,11 +88,11 @@
 	return t
 }
 
-// tightRack returns the rack of least sum that is not below need, in one zone.
-func (z *zonePool) tightRack(need int) (rack int32, sum int, ok bool) {
-	i, ok := z.sums.NextSet(uint(need))
+// bestFitRack returns the rack of least sum that is not below need, in one zone.
+func (z *zonePool) bestFitRack(need int) (rack int32, sum int, ok bool) {
+	i, ok := z.nonEmptySums.NextSet(uint(need))
 	if !ok {
 		return 0, 0, false
 	}
-	return z.bySum[i][0], int(i), true
+	return z.racksBySum[i][0], int(i), true
 }
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -37,8 +37,8 @@
 	return j.Repeatable || j.Checkpointable
 }
 
-// borrows reports whether the job may run on capacity that the guarantee of
+// mayBorrow reports whether the job may run on capacity that the guarantee of
 // another account needs.
-func (j *Job) borrows() bool {
+func (j *Job) mayBorrow() bool {
 	return j.Evictable() && !j.NoBorrow
 }
--- a/scheduler/largest.go
+++ b/scheduler/largest.go
@@ -1,36 +1,36 @@
 package scheduler
 
-// changes are differences to the value that an index gives some workers. A search
+// indexDeltas are differences to the value that an index gives some workers. A search
 // that asks "what if" uses them in place of changing the index.
-type changes map[nodeID]int
+type indexDeltas map[nodeID]int
 
-// byUnit sums the changes by unit of a span.
-func (s *Scheduler) byUnit(span Adjacency, c changes) map[int32]int {
+// sumByUnit sums the changes by unit of a span.
+func (s *Scheduler) sumByUnit(span Adjacency, c indexDeltas) map[int32]int {
 	out := make(map[int32]int, len(c))
 	for id, d := range c {
-		out[spanOf(s.nodes[id], span)] += d
+		out[unitOf(s.nodes[id], span)] += d
 	}
 	return out
 }
 
-// without takes workers out of an index.
-func without(x *index, nodes []nodeID) changes {
-	c := make(changes, len(nodes))
+// withoutNodes takes workers out of an index.
+func withoutNodes(x *index, nodes []nodeID) indexDeltas {
+	c := make(indexDeltas, len(nodes))
 	for _, id := range nodes {
-		c[id] = -int(x.val[id])
+		c[id] = -int(x.values[id])
 	}
 	return c
 }
 
-// largest is how many accelerators of a key the unit of its span with most of
+// largestFit is how many accelerators of a key the unit of its span with most of
 // them holds, in an index with changes. A job of the key has a place exactly if
 // it needs no more. Its cost depends on the changes and the sizes of units, not on
 // the number of workers, unless the job takes several units per accelerator.
-func (s *Scheduler) largest(x *index, k *queueKey, c changes) int {
-	if !s.plain(k) {
-		return s.largestUnits(x, k, c)
+func (s *Scheduler) largestFit(x *index, k *queueKey, c indexDeltas) int {
+	if !s.fitsMinShare(k) {
+		return s.largestByFootprint(x, k, c)
 	}
-	units := s.byUnit(k.span, c)
+	units := s.sumByUnit(k.span, c)
 	most := x.largestUnchanged(k.span, units)
 	for id, d := range units {
 		most = max(most, x.unitValue(k.span, id)+d)
@@ -42,7 +42,7 @@
 func (x *index) unitValue(span Adjacency, id int32) int {
 	switch span {
 	case AdjacentWorker:
-		return int(x.val[id])
+		return int(x.values[id])
 	case AdjacentRack:
 		return x.racks[id].sum
 	case AdjacentZone:
@@ -74,8 +74,8 @@
 }
 
 func (z *zonePool) largestWorker(changed map[int32]int) int {
-	for v := z.most(); v > 0; v-- {
-		if anyOutside(z.lists[v-1], changed) {
+	for v := z.largest(); v > 0; v-- {
+		if anyOutside(z.byValue[v-1], changed) {
 			return v
 		}
 	}
@@ -83,9 +83,9 @@
 }
 
 func (z *zonePool) largestRack(changed map[int32]int) int {
-	sum, ok := z.sums.PreviousSet(uint(max(0, len(z.bySum)-1)))
-	for ; ok && sum > 0; sum, ok = z.sums.PreviousSet(sum - 1) {
-		if anyOutside(z.bySum[sum], changed) {
+	sum, ok := z.nonEmptySums.PreviousSet(uint(max(0, len(z.racksBySum)-1)))
+	for ; ok && sum > 0; sum, ok = z.nonEmptySums.PreviousSet(sum - 1) {
+		if anyOutside(z.racksBySum[sum], changed) {
 			return int(sum)
 		}
 	}
@@ -101,13 +101,13 @@
 	return false
 }
 
-// largestUnits is largest for a job that takes several units per accelerator on
+// largestByFootprint is largest for a job that takes several units per accelerator on
 // some workers. It visits every worker, as the search for a place does.
-func (s *Scheduler) largestUnits(x *index, k *queueKey, c changes) int {
+func (s *Scheduler) largestByFootprint(x *index, k *queueKey, c indexDeltas) int {
 	fits := map[int32]int{}
 	for _, n := range s.nodes {
-		if u := s.units(k, n); u > 0 {
-			fits[spanOf(n, k.span)] += (int(x.val[n.id]) + c[n.id]) / u
+		if u := s.footprint(k, n); u > 0 {
+			fits[unitOf(n, k.span)] += (int(x.values[n.id]) + c[n.id]) / u
 		}
 	}
 	most := 0
--- a/scheduler/machine_test.go
+++ b/scheduler/machine_test.go
@@ -84,7 +84,7 @@
 			if j := m.jobs[a.Job]; j == nil || j.attempt != a.Attempt {
 				m.fatalf("stop of %v, which does not run", a)
 			}
-			if r := m.s.jobs[a.Job].run; a.Reason == StopReclaim && len(r.shares) > 0 {
+			if r := m.s.jobs[a.Job].run; a.Reason == StopReclaim && len(r.blockUses) > 0 {
 				m.fatalf("job %q is evicted from the guarantee of its account", a.Job)
 			}
 			m.jobs[a.Job].stopping = true
@@ -116,8 +116,8 @@
 	}
 	j.attempt, j.place, j.running, j.stopping = a.Attempt, a.Placement, false, false
 	r := m.s.jobs[a.Job].run
-	probe := !m.s.nodes[r.pieces[0].node].usable()
-	if !j.borrows() && !r.protected && !probe {
+	probe := !m.s.nodes[r.held[0].node].usable()
+	if !j.mayBorrow() && !r.protected && !probe {
 		m.fatalf("job %q may not borrow and runs where it can be evicted", a.Job)
 	}
 	total := 0
--- a/scheduler/node.go
+++ b/scheduler/node.go
@@ -14,21 +14,21 @@
 	draining bool
 	health   health
 
-	used          uint64 // bit per accelerator held by an attempt
-	held          int    // accelerators held by attempts, stopping ones included
-	protected     int    // held by, or claimed for, work that may not be evicted
-	evictable     int    // held by evictable attempts that are not stopping
-	bound         int    // bound to the unused part of guaranteed blocks
-	claim         int    // claimed for guarantees, not yet held
-	wait          int    // reserved for gangs that wait for work to end
-	waitProtected int    // the part of wait for work that may not be evicted
-	leave         int    // held by attempts that are stopping
-	runs          []*run // attempts with a piece here
-	blocks        []*block
+	usedMask          uint64 // bit per accelerator held by an attempt
+	held              int    // accelerators held by attempts, stopping ones included
+	protected         int    // held by, or claimed for, work that may not be evicted
+	evictable         int    // held by evictable attempts that are not stopping
+	bound             int    // bound to the unused part of guaranteed blocks
+	claimed           int    // claimed for guarantees, not yet held
+	reserved          int    // reserved for gangs that wait for work to end
+	reservedProtected int    // the part of wait for work that may not be evicted
+	stopping          int    // held by attempts that are stopping
+	runs              []*run // attempts with a piece here
+	blocks            []*block
 
-	cpuCores int // cores that jobs without accelerators may still use
-	cpuMem   int // memory that jobs without accelerators may still use
-	cpuFor   *job
+	freeCPUCores   int // cores that jobs without accelerators may still use
+	freeCPUMem     int // memory that jobs without accelerators may still use
+	cpuReservedFor *job
 }
 
 // usable reports whether new work may be placed on the worker.
@@ -51,31 +51,31 @@
 	if !n.usable() {
 		return 0
 	}
-	return max(0, min(n.idle(), n.capacity()-n.held+n.leave-n.claim))
+	return max(0, min(n.idle(), n.capacity()-n.held+n.stopping-n.claimed))
 }
 
 // open is what any job could take at once, without regard to guarantees.
-func (n *node) open() int { return max(0, n.free()-n.wait) }
+func (n *node) open() int { return max(0, n.free()-n.reserved) }
 
 // slack is what work that may not be evicted could take, if it were free.
 func (n *node) slack() int { return max(0, n.capacity()-n.protected-n.bound) }
 
 // bindable is the slack that blocks may be bound to: not what is reserved for
 // work that may not be evicted, which would then wait for the block to move.
-func (n *node) bindable() int { return max(0, n.slack()-n.waitProtected) }
+func (n *node) bindable() int { return max(0, n.slack()-n.reservedProtected) }
 
-// movable is the slack if the unused blocks here were bound elsewhere.
-func (n *node) movable() int {
+// slackWithoutUnused is the slack if the unused blocks here were bound elsewhere.
+func (n *node) slackWithoutUnused() int {
 	t := n.slack()
 	for _, b := range n.blocks {
 		if b.used == 0 {
-			t += b.on(n.id)
+			t += b.acceleratorsOn(n.id)
 		}
 	}
 	return t
 }
 
-func (n *node) drop(r *run) {
+func (n *node) removeRun(r *run) {
 	for i, x := range n.runs {
 		if x == r {
 			last := len(n.runs) - 1
@@ -87,7 +87,7 @@
 	}
 }
 
-func (n *node) dropBlock(b *block) {
+func (n *node) removeBlock(b *block) {
 	for i, x := range n.blocks {
 		if x == b {
 			last := len(n.blocks) - 1
--- a/scheduler/open.go
+++ b/scheduler/open.go
@@ -2,25 +2,25 @@
 
 import "slices"
 
-// stamp is the capacity generation that decides whether a queue is worth trying
+// capacityStamp is the capacity generation that decides whether a queue is worth trying
 // again.
-func (s *Scheduler) stamp(q *queue) uint64 {
+func (s *Scheduler) capacityStamp(q *queue) uint64 {
 	if q.key.accelerators == 0 {
-		return s.grownCPU + 1
+		return s.cpuCapacityGen + 1
 	}
-	return s.grown + 1
+	return s.capacityGen + 1
 }
 
 // nextOpen returns the queue of an account that goes first among those that may
 // find a place.
 func (s *Scheduler) nextOpen(a *account) *queue {
 	var best *queue
-	for _, q := range a.order {
-		j := s.claimHead(q)
-		if j == nil || q.blocked == s.stamp(q) {
+	for _, q := range a.queueList {
+		j := s.firstUnclaimed(q)
+		if j == nil || q.noPlaceStamp == s.capacityStamp(q) {
 			continue
 		}
-		if best == nil || s.before(j, s.claimHead(best)) {
+		if best == nil || s.precedesInAccount(j, s.firstUnclaimed(best)) {
 			best = q
 		}
 	}
@@ -29,7 +29,7 @@
 
 // startOpen starts jobs on open capacity until nothing that waits fits.
 func (s *Scheduler) startOpen() {
-	heads := s.heads[:0]
+	heads := s.headsBuf[:0]
 	for _, a := range s.accountList {
 		if a.waiting == 0 {
 			continue
@@ -39,22 +39,22 @@
 		}
 	}
 	for len(heads) > 0 {
-		i := s.firstOf(heads)
+		i := s.firstInOrder(heads)
 		q := heads[i]
 		if s.rejectImpossible(q) || !s.tryOpen(q) {
-			q.blocked = s.stamp(q)
+			q.noPlaceStamp = s.capacityStamp(q)
 		}
 		if heads[i] = s.nextOpen(q.account); heads[i] == nil {
 			heads = slices.Delete(heads, i, i+1)
 		}
 	}
-	s.heads = heads[:0]
+	s.headsBuf = heads[:0]
 }
 
-func (s *Scheduler) firstOf(heads []*queue) int {
+func (s *Scheduler) firstInOrder(heads []*queue) int {
 	best := 0
 	for i := 1; i < len(heads); i++ {
-		if s.ahead(s.claimHead(heads[i]), s.claimHead(heads[best])) {
+		if s.precedesOverall(s.firstUnclaimed(heads[i]), s.firstUnclaimed(heads[best])) {
 			best = i
 		}
 	}
@@ -63,7 +63,7 @@
 
 // tryOpen starts the first job of a queue if there is a place for it.
 func (s *Scheduler) tryOpen(q *queue) bool {
-	j := s.claimHead(q)
+	j := s.firstUnclaimed(q)
 	if j == nil {
 		return false
 	}
@@ -72,119 +72,119 @@
 		return true
 	}
 	if j.Accelerators == 0 {
-		return s.tryCPU(j)
+		return s.tryCPUJob(j)
 	}
 	if s.withinGuarantee(j) && s.startWithinGuarantee(j, &q.key) {
 		return true
 	}
-	protected := !j.borrows()
-	at := s.avoiding(j, func() []piece { return s.findOpen(j, &q.key, protected) })
+	protected := !j.mayBorrow()
+	at := s.withoutFailedNodes(j, func() []allocation { return s.findOpen(j, &q.key, protected) })
 	if at == nil {
-		at = s.findBackfill(j, &q.key)
+		at = s.findTimedBackfill(j, &q.key)
 	}
 	var under *claim
 	if at == nil {
-		at, under = s.findUnderReservation(j, &q.key)
+		at, under = s.findPreemptibleBackfill(j, &q.key)
 	}
 	if at == nil {
 		return false
 	}
 	s.start(j, at, nil, protected)
-	j.run.under = under
+	j.run.backfilled = under
 	return true
 }
 
 // findOpen looks for a place beyond the guarantees. Capacity that is reserved
 // for the job itself counts as open.
-func (s *Scheduler) findOpen(j *job, k *queueKey, protected bool) []piece {
-	before := s.grown
+func (s *Scheduler) findOpen(j *job, k *queueKey, protected bool) []allocation {
+	before := s.capacityGen
 	if j.claim != nil {
 		s.countClaim(j.claim, -1)
 		defer func() {
 			if j.claim != nil {
 				s.countClaim(j.claim, 1)
 			}
-			s.grown = before
+			s.capacityGen = before
 		}()
 	}
 	if !protected {
 		return s.find(&s.open, k)
 	}
-	if at := s.find(&s.steady, k); at != nil {
+	if at := s.find(&s.unguaranteed, k); at != nil {
 		return at
 	}
 	at := s.find(&s.open, k)
-	if at == nil || !s.clear(at, j.beyondBlocks()) {
+	if at == nil || !s.moveBlocksAside(at, j.oversizedAccount()) {
 		return nil
 	}
 	return at
 }
 
-// findBackfill looks for a worker whose reserved capacity is idle for longer
+// findTimedBackfill looks for a worker whose reserved capacity is idle for longer
 // than the job is likely to run, so that the reservation is not delayed.
-func (s *Scheduler) findBackfill(j *job, k *queueKey) []piece {
-	run, known := s.learned.total(&j.Job, 0, backfillQuantile)
+func (s *Scheduler) findTimedBackfill(j *job, k *queueKey) []allocation {
+	run, known := s.runTimes.predict(&j.Job, 0, backfillQuantile)
 	if !known {
 		return nil
 	}
 	end := s.now.Add(run)
 	for _, c := range s.claims {
-		if c.guaranteed() || c.job == j || end.After(c.ready) {
+		if c.guaranteed() || c.job == j || end.After(c.readyAt) {
 			continue
 		}
-		for _, p := range c.pieces {
+		for _, p := range c.allocations {
 			n := s.nodes[p.node]
-			need := j.Accelerators * s.units(k, n)
-			if need == 0 || n.free() < need || !j.borrows() && n.slack() < need {
+			need := j.Accelerators * s.footprint(k, n)
+			if need == 0 || n.free() < need || !j.mayBorrow() && n.slack() < need {
 				continue
 			}
-			return []piece{{node: n.id, n: need}}
+			return []allocation{{node: n.id, count: need}}
 		}
 	}
 	return nil
 }
 
-// avoiding runs a search with the workers on which the job has failed taken out
+// withoutFailedNodes runs a search with the workers on which the job has failed taken out
 // of the indexes, as long as the job would fit without them.
-func (s *Scheduler) avoiding(j *job, search func() []piece) []piece {
-	if len(j.failed) == 0 {
+func (s *Scheduler) withoutFailedNodes(j *job, search func() []allocation) []allocation {
+	if len(j.failedNodes) == 0 {
 		return search()
 	}
-	before := s.grown
-	size := make([]int, len(j.failed))
-	for i, id := range j.failed {
-		size[i] = int(s.size.val[id])
+	before := s.capacityGen
+	size := make([]int, len(j.failedNodes))
+	for i, id := range j.failedNodes {
+		size[i] = int(s.installed.values[id])
 		for _, x := range s.indexes() {
 			x.set(s.nodes[id], 0)
 		}
 	}
 	k := j.key()
-	fits := s.find(&s.size, &k) != nil
-	var at []piece
+	fits := s.find(&s.installed, &k) != nil
+	var at []allocation
 	if fits {
 		at = search()
 	}
-	for i, id := range j.failed {
-		s.size.set(s.nodes[id], size[i])
-		s.refresh(s.nodes[id])
+	for i, id := range j.failedNodes {
+		s.installed.set(s.nodes[id], size[i])
+		s.refreshIndexes(s.nodes[id])
 	}
-	s.grown = before
+	s.capacityGen = before
 	if !fits {
 		return search()
 	}
 	return at
 }
 
-// tryCPU starts a job without accelerators.
-func (s *Scheduler) tryCPU(j *job) bool {
+// tryCPUJob starts a job without accelerators.
+func (s *Scheduler) tryCPUJob(j *job) bool {
 	n := s.placeCPU(j.Cores, j.MemoryMB)
-	if n == nil && j.cpuOn != nil && j.cpuOn.cpuCores >= j.Cores && j.cpuOn.cpuMem >= j.MemoryMB {
-		n = j.cpuOn
+	if n == nil && j.cpuNode != nil && j.cpuNode.freeCPUCores >= j.Cores && j.cpuNode.freeCPUMem >= j.MemoryMB {
+		n = j.cpuNode
 	}
 	if n == nil {
 		return false
 	}
-	s.dropCPU(j)
-	s.start(j, []piece{{node: n.id}}, nil, !j.borrows())
+	s.dropCPUReservation(j)
+	s.start(j, []allocation{{node: n.id}}, nil, !j.mayBorrow())
 	return true
 }
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -6,9 +6,9 @@
 	return s.now.Sub(j.Submitted) >= s.policy.AgeAfter
 }
 
-// before orders the jobs of one account: urgent ones first, then those that
+// precedesInAccount orders the jobs of one account: urgent ones first, then those that
 // have waited long, then by priority and by the objective.
-func (s *Scheduler) before(a, b *job) bool {
+func (s *Scheduler) precedesInAccount(a, b *job) bool {
 	if a.Urgent != b.Urgent {
 		return a.Urgent
 	}
@@ -26,9 +26,9 @@
 	return a.seq < b.seq
 }
 
-// ahead orders the first jobs of different accounts: urgent and aged ones as
+// precedesOverall orders the first jobs of different accounts: urgent and aged ones as
 // within an account, the others by the weighted share of their accounts.
-func (s *Scheduler) ahead(a, b *job) bool {
+func (s *Scheduler) precedesOverall(a, b *job) bool {
 	if a.Urgent != b.Urgent {
 		return a.Urgent
 	}
@@ -37,7 +37,7 @@
 	} else if x {
 		return a.seq < b.seq
 	}
-	if x, y := s.share(a.account), s.share(b.account); x != y {
+	if x, y := s.weightedShare(a.account), s.weightedShare(b.account); x != y {
 		return x < y
 	}
 	return a.seq < b.seq
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -1,17 +1,17 @@
 package scheduler
 
-// piece is a number of accelerators on one worker.
-type piece struct {
-	node nodeID
-	n    int
+// allocation is a number of accelerators on one worker.
+type allocation struct {
+	node  nodeID
+	count int
 }
 
-// candidates bounds how many equal workers are compared for a place.
-const candidates = 16
+// maxCandidates bounds how many equal workers are compared for a place.
+const maxCandidates = 16
 
-// place finds need accelerators within the span, in the tightest unit that holds
+// findPlace finds need accelerators within the span, in the tightest unit that holds
 // them. It returns nil if there are none.
-func (x *index) place(need int, span Adjacency, nodes []*node) []piece {
+func (x *index) findPlace(need int, span Adjacency, nodes []*node) []allocation {
 	if p := x.placeWorker(need, nodes); p != nil || span == AdjacentWorker {
 		return p
 	}
@@ -24,36 +24,36 @@
 	return x.placeAny(need)
 }
 
-// rank orders places that fit: a tighter fit first, then the smaller zone and
+// placeRank orders places that fit: a tighter fit first, then the smaller zone and
 // rack, so that what only a large unit can hold finds it whole, then the unit
 // with least left.
-type rank struct{ fit, zone, rack, left int }
+type placeRank struct{ fit, zone, rack, remaining int }
 
-func (a rank) less(b rank) bool {
+func (a placeRank) less(b placeRank) bool {
 	switch {
 	case a.fit != b.fit:
 		return a.fit < b.fit
 	case false:
 		return a.rack < b.rack
-	case a.left != b.left:
-		return a.left < b.left
+	case a.remaining != b.remaining:
+		return a.remaining < b.remaining
 	}
 	return a.zone < b.zone
 }
 
 // placeWorker returns the tightest worker.
-func (x *index) placeWorker(need int, nodes []*node) []piece {
+func (x *index) placeWorker(need int, nodes []*node) []allocation {
 	best := nodeID(-1)
-	var at rank
+	var at placeRank
 	for i, z := range x.zones {
-		v := z.atLeast(need)
+		v := z.smallestAtLeast(need)
 		if v == 0 {
 			continue
 		}
-		list := z.lists[v-1]
-		for _, n := range list[:min(len(list), candidates)] {
+		list := z.byValue[v-1]
+		for _, n := range list[:min(len(list), maxCandidates)] {
 			rack := nodes[n].rack
-			r := rank{v, x.whole.zones[i].sum, x.whole.racks[rack].sum, x.racks[rack].sum}
+			r := placeRank{v, x.installed.zones[i].sum, x.installed.racks[rack].sum, x.racks[rack].sum}
 			if best < 0 || r.less(at) {
 				best, at = n, r
 			}
@@ -62,19 +62,19 @@
 	if best < 0 {
 		return nil
 	}
-	return []piece{{node: best, n: need}}
+	return []allocation{{node: best, count: need}}
 }
 
 // placeRack returns pieces in the best rack of those with least left.
-func (x *index) placeRack(need int) []piece {
+func (x *index) placeRack(need int) []allocation {
 	best := int32(-1)
-	var at rank
+	var at placeRank
 	for i, z := range x.zones {
 		seen := 0
-		for sum, ok := z.sums.NextSet(uint(need)); ok && seen < candidates; sum, ok = z.sums.NextSet(sum + 1) {
-			for _, id := range z.bySum[sum][:min(len(z.bySum[sum]), candidates)] {
+		for sum, ok := z.nonEmptySums.NextSet(uint(need)); ok && seen < maxCandidates; sum, ok = z.nonEmptySums.NextSet(sum + 1) {
+			for _, id := range z.racksBySum[sum][:min(len(z.racksBySum[sum]), maxCandidates)] {
 				seen++
-				r := rank{0, x.whole.zones[i].sum, x.whole.racks[id].sum, int(sum)}
+				r := placeRank{0, x.installed.zones[i].sum, x.installed.racks[id].sum, int(sum)}
 				if best < 0 || r.less(at) {
 					best, at = id, r
 				}
@@ -84,26 +84,26 @@
 	if best < 0 {
 		return nil
 	}
-	_, out := x.racks[best].fill(need, nil)
+	_, out := x.racks[best].take(need, nil)
 	return out
 }
 
 // placeZone returns pieces in the best zone that holds all, in as few
 // racks as possible.
-func (x *index) placeZone(need int) []piece {
-	best := x.tightZone(need)
+func (x *index) placeZone(need int) []allocation {
+	best := x.bestFitZone(need)
 	if best == nil {
 		return nil
 	}
-	_, out := x.fillZone(best, need, nil)
+	_, out := x.takeFromZone(best, need, nil)
 	return out
 }
 
-func (x *index) tightZone(need int) *zonePool {
+func (x *index) bestFitZone(need int) *zonePool {
 	var best *zonePool
-	var at rank
+	var at placeRank
 	for i, z := range x.zones {
-		r := rank{zone: x.whole.zones[i].sum, left: z.sum}
+		r := placeRank{zone: x.installed.zones[i].sum, remaining: z.sum}
 		if z.sum >= need && (best == nil || r.less(at)) {
 			best, at = z, r
 		}
@@ -111,36 +111,36 @@
 	return best
 }
 
-// fillZone takes racks from the fullest down; the remainder comes from the
+// takeFromZone takes racks from the fullest down; the remainder comes from the
 // tightest rack that holds it.
-func (x *index) fillZone(z *zonePool, need int, out []piece) (int, []piece) {
+func (x *index) takeFromZone(z *zonePool, need int, out []allocation) (int, []allocation) {
 	took := 0
-	sum, ok := z.sums.PreviousSet(uint(max(0, len(z.bySum)-1)))
-	for ; ok && sum > 0 && took < need; sum, ok = z.sums.PreviousSet(sum - 1) {
-		for _, r := range z.bySum[sum] {
+	sum, ok := z.nonEmptySums.PreviousSet(uint(max(0, len(z.racksBySum)-1)))
+	for ; ok && sum > 0 && took < need; sum, ok = z.nonEmptySums.PreviousSet(sum - 1) {
+		for _, r := range z.racksBySum[sum] {
 			rest := need - took
 			if rest == 0 {
 				break
 			}
-			if tight, s, fits := z.tightRack(rest); fits && s < int(sum) {
+			if tight, s, fits := z.bestFitRack(rest); fits && s < int(sum) {
 				r = tight
 			}
 			var k int
-			k, out = x.racks[r].fill(rest, out)
+			k, out = x.racks[r].take(rest, out)
 			took += k
 		}
 	}
 	return took, out
 }
 
-func (x *index) placeAny(need int) []piece {
+func (x *index) placeAny(need int) []allocation {
 	if x.total() < need {
 		return nil
 	}
-	var out []piece
+	var out []allocation
 	for _, z := range x.zones {
 		var k int
-		k, out = x.fillZone(z, need, out)
+		k, out = x.takeFromZone(z, need, out)
 		if need -= k; need == 0 {
 			break
 		}
--- a/scheduler/place_cheap.go
+++ b/scheduler/place_cheap.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// maxCompared bounds the workers of one unit that are compared by what a claim
+// maxComparedNodes bounds the workers of one unit that are compared by what a claim
 // would evict there.
-const maxCompared = 256
+const maxComparedNodes = 256
 
-// cheapestIn returns a place for a shape in the unit around a node that takes
+// cheapestPlaceAround returns a place for a shape in the unit around a node that takes
 // the workers where a claim evicts least per accelerator. It returns nil if those
 // compared don't hold the shape.
-func (s *Scheduler) cheapestIn(around nodeID, shape Shape) []piece {
+func (s *Scheduler) cheapestPlaceAround(around nodeID, shape Shape) []allocation {
 	type offer struct {
-		piece
+		allocation
 		cost float64
 	}
 	var offers []offer
-	for _, id := range s.unitOf(s.nodes[around], shape.Adjacency) {
-		p := piece{node: id, n: min(int(s.slack.val[id]), shape.Accelerators)}
-		cost := s.evictionCost([]piece{p}, p.n)
-		offers = append(offers, offer{p, cost / float64(p.n)})
+	for _, id := range s.nodesInUnit(s.nodes[around], shape.Adjacency) {
+		p := allocation{node: id, count: min(int(s.bindable.values[id]), shape.Accelerators)}
+		cost := s.placeEvictionCost([]allocation{p}, p.count)
+		offers = append(offers, offer{p, cost / float64(p.count)})
 	}
 	slices.SortStableFunc(offers, func(a, b offer) int {
 		switch {
@@ -27,13 +27,13 @@
 		case a.cost > b.cost:
 			return 1
 		}
-		return b.n - a.n
+		return b.count - a.count
 	})
 	need := shape.Accelerators
-	var out []piece
+	var out []allocation
 	for _, o := range offers {
-		k := min(need, o.n)
-		out = append(out, piece{node: o.node, n: k})
+		k := min(need, o.count)
+		out = append(out, allocation{node: o.node, count: k})
 		if need -= k; need == 0 {
 			return out
 		}
@@ -41,17 +41,17 @@
 	return nil
 }
 
-// unitOf lists workers with slack in the unit of a span around a node, those
+// nodesInUnit lists workers with slack in the unit of a span around a node, those
 // with most first, up to maxCompared.
-func (s *Scheduler) unitOf(n *node, span Adjacency) []nodeID {
-	p := &s.slack.zones[n.zone].pool
+func (s *Scheduler) nodesInUnit(n *node, span Adjacency) []nodeID {
+	p := &s.bindable.zones[n.zone].pool
 	if span == AdjacentRack {
-		p = s.slack.racks[n.rack]
+		p = s.bindable.racks[n.rack]
 	}
 	var out []nodeID
-	for v := p.most(); v > 0; v-- {
-		list := p.lists[v-1]
-		out = append(out, list[:min(len(list), maxCompared-len(out))]...)
+	for v := p.largest(); v > 0; v-- {
+		list := p.byValue[v-1]
+		out = append(out, list[:min(len(list), maxComparedNodes-len(out))]...)
 	}
 	return out
 }
--- a/scheduler/place_each.go
+++ b/scheduler/place_each.go
@@ -1,20 +1,20 @@
 package scheduler
 
-// maxPlaces bounds how many places are compared by what a claim would evict.
-const maxPlaces = 128
+// maxComparedPlaces bounds how many places are compared by what a claim would evict.
+const maxComparedPlaces = 128
 
-// each lists up to limit places in different units of a span.
-func (x *index) each(need int, span Adjacency, limit int) [][]piece {
-	var out [][]piece
+// listPlaces lists up to limit places in different units of a span.
+func (x *index) listPlaces(need int, span Adjacency, limit int) [][]allocation {
+	var out [][]allocation
 	for _, z := range x.zones {
 		switch span {
 		case AdjacentWorker:
-			out = z.eachWorker(need, limit, out)
+			out = z.appendWorkerPlaces(need, limit, out)
 		case AdjacentRack:
-			out = x.eachRack(z, need, limit, out)
+			out = x.appendRackPlaces(z, need, limit, out)
 		default:
 			if z.sum >= need {
-				_, p := x.fillZone(z, need, nil)
+				_, p := x.takeFromZone(z, need, nil)
 				out = append(out, p)
 			}
 		}
@@ -22,25 +22,25 @@
 	return out
 }
 
-func (z *zonePool) eachWorker(need, limit int, out [][]piece) [][]piece {
+func (z *zonePool) appendWorkerPlaces(need, limit int, out [][]allocation) [][]allocation {
 	for v := need; v <= MaxWorkerAccelerators; v++ {
-		for _, n := range z.lists[v-1] {
+		for _, n := range z.byValue[v-1] {
 			if len(out) >= limit {
 				return out
 			}
-			out = append(out, []piece{{node: n, n: need}})
+			out = append(out, []allocation{{node: n, count: need}})
 		}
 	}
 	return out
 }
 
-func (x *index) eachRack(z *zonePool, need, limit int, out [][]piece) [][]piece {
-	for sum, ok := z.sums.NextSet(uint(need)); ok; sum, ok = z.sums.NextSet(sum + 1) {
-		for _, r := range z.bySum[sum] {
+func (x *index) appendRackPlaces(z *zonePool, need, limit int, out [][]allocation) [][]allocation {
+	for sum, ok := z.nonEmptySums.NextSet(uint(need)); ok; sum, ok = z.nonEmptySums.NextSet(sum + 1) {
+		for _, r := range z.racksBySum[sum] {
 			if len(out) >= limit {
 				return out
 			}
-			_, p := x.racks[r].fill(need, nil)
+			_, p := x.racks[r].take(need, nil)
 			out = append(out, p)
 		}
 	}
--- a/scheduler/plan.go
+++ b/scheduler/plan.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// ending is accelerators of a node that become available at a time.
-type ending struct {
+// expectedRelease is accelerators of a node that become available at a time.
+type expectedRelease struct {
 	at   time.Time
 	node nodeID
 	n    int
 }
 
-// plan finds where a job could start first, going by learned run times: the unit
+// planReservation finds where a job could start first, going by learned run times: the unit
 // of its span where enough work ends soonest.
-func (s *Scheduler) plan(j *job) ([]piece, time.Time) {
+func (s *Scheduler) planReservation(j *job) ([]allocation, time.Time) {
 	k := j.key()
-	groups := map[int32][]ending{}
+	groups := map[int32][]expectedRelease{}
 	count := 0
 	for _, n := range s.nodes {
-		if n.capacity() == 0 || slices.Contains(j.failed, n.id) {
+		if n.capacity() == 0 || slices.Contains(j.failedNodes, n.id) {
 			continue
 		}
-		ends := s.endings(n, j)
+		ends := s.expectedReleases(n, j)
 		count += len(ends)
-		span := spanOf(n, k.span)
+		span := unitOf(n, k.span)
 		groups[span] = append(groups[span], ends...)
 	}
-	s.planAt = s.now.Add(max(planEvery, time.Duration(count)*planCost))
-	var best []piece
+	s.nextPlanAt = s.now.Add(max(minPlanInterval, time.Duration(count)*planCostPerRelease))
+	var best []allocation
 	var ready time.Time
 	bestSpan := int32(-1)
 	for span, ends := range groups {
-		at, t := s.gather(&k, ends)
+		at, t := s.earliestPlace(&k, ends)
 		if at == nil || best != nil && (t.After(ready) || t.Equal(ready) && span > bestSpan) {
 			continue
 		}
@@ -41,41 +41,41 @@
 	return best, ready
 }
 
-// endings lists when accelerators of a node become available for a reservation.
+// expectedReleases lists when accelerators of a node become available for a reservation.
 // Work that may not be evicted can't count on what is bound to guarantees.
-func (s *Scheduler) endings(n *node, j *job) []ending {
-	borrows := j.borrows()
-	have := n.capacity() - n.held + n.leave - n.claim - n.wait
+func (s *Scheduler) expectedReleases(n *node, j *job) []expectedRelease {
+	borrows := j.mayBorrow()
+	have := n.capacity() - n.held + n.stopping - n.claimed - n.reserved
 	if !borrows {
-		have = min(have, n.movable()-n.wait)
+		have = min(have, n.slackWithoutUnused()-n.reserved)
 	}
-	out := []ending{{s.now, n.id, have}}
+	out := []expectedRelease{{s.now, n.id, have}}
 	for _, r := range n.runs {
-		k := r.on(n.id)
+		k := r.acceleratorsOn(n.id)
 		if k == 0 || !r.protected && r.state == runStopping {
 			continue
 		}
-		if !borrows && len(r.shares) > 0 {
+		if !borrows && len(r.blockUses) > 0 {
 			continue
 		}
-		out = append(out, ending{s.preemptEnd(r, j, s.endOf(r)), n.id, k})
+		out = append(out, expectedRelease{s.endOrPreemption(r, j, s.expectedEnd(r)), n.id, k})
 	}
 	return out
 }
 
-func (s *Scheduler) endOf(r *run) time.Time {
-	total, _ := s.learned.total(&r.job.Job, s.now.Sub(r.started), endQuantile)
+func (s *Scheduler) expectedEnd(r *run) time.Time {
+	total, _ := s.runTimes.predict(&r.job.Job, s.now.Sub(r.started), endQuantile)
 	return r.started.Add(total)
 }
 
-// gather accumulates the ends of work in one unit of a span until the job fits.
-func (s *Scheduler) gather(k *queueKey, ends []ending) ([]piece, time.Time) {
-	slices.SortStableFunc(ends, func(a, b ending) int { return a.at.Compare(b.at) })
+// earliestPlace accumulates the ends of work in one unit of a span until the job fits.
+func (s *Scheduler) earliestPlace(k *queueKey, ends []expectedRelease) ([]allocation, time.Time) {
+	slices.SortStableFunc(ends, func(a, b expectedRelease) int { return a.at.Compare(b.at) })
 	have := map[nodeID]int{}
 	sum := 0
 	for _, e := range ends {
 		n := s.nodes[e.node]
-		u := s.units(k, n)
+		u := s.footprint(k, n)
 		if u == 0 {
 			continue
 		}
@@ -83,14 +83,14 @@
 		have[e.node] += e.n
 		sum += max(0, have[e.node])/u - old
 		if sum >= k.accelerators {
-			return s.pick(k, have), e.at
+			return s.takeFromFullest(k, have), e.at
 		}
 	}
 	return nil, time.Time{}
 }
 
-// pick takes what the job needs from the nodes that have most.
-func (s *Scheduler) pick(k *queueKey, have map[nodeID]int) []piece {
+// takeFromFullest takes what the job needs from the nodes that have most.
+func (s *Scheduler) takeFromFullest(k *queueKey, have map[nodeID]int) []allocation {
 	nodes := make([]nodeID, 0, len(have))
 	for id, n := range have {
 		if n > 0 {
@@ -104,14 +104,14 @@
 		return int(a - b)
 	})
 	need := k.accelerators
-	var out []piece
+	var out []allocation
 	for _, id := range nodes {
-		u := s.units(k, s.nodes[id])
+		u := s.footprint(k, s.nodes[id])
 		got := min(need, have[id]/u)
 		if got == 0 {
 			continue
 		}
-		out = append(out, piece{node: id, n: got * u})
+		out = append(out, allocation{node: id, count: got * u})
 		if need -= got; need == 0 {
 			break
 		}
--- a/scheduler/policy_change.go
+++ b/scheduler/policy_change.go
@@ -2,50 +2,50 @@
 
 import "slices"
 
-// policyChanged puts a policy in force. Blocks that stay guaranteed keep their
+// applyPolicy puts a policy in force. Blocks that stay guaranteed keep their
 // place and the jobs in them.
-func (s *Scheduler) policyChanged(p Policy) {
+func (s *Scheduler) applyPolicy(p Policy) {
 	if p.Generation < s.policy.Generation {
 		return
 	}
 	share := s.policy.CPUSharePercent
 	s.policy = p.WithDefaults()
 	for _, a := range s.accountList {
-		a.known = false
+		a.declared = false
 	}
 	for _, ap := range s.policy.Accounts {
 		a := s.accountOf(ap.ID)
-		a.known = true
+		a.declared = true
 		a.policy = ap
 	}
 	for _, a := range s.accountList {
 		s.setBlocks(a)
 	}
-	s.dropUnknown()
+	s.dropUndeclaredAccounts()
 	if share != s.policy.CPUSharePercent {
 		s.resizeCPU()
 	}
-	s.grown++
-	s.shape++
-	s.shrunk++ // blocks may need more
+	s.capacityGen++
+	s.topologyGen++
+	s.shrinkGen++ // blocks may need more
 }
 
 // setBlocks makes the blocks of an account those that its policy declares.
 func (s *Scheduler) setBlocks(a *account) {
 	want := map[degradedKey]int{}
-	if a.known {
+	if a.declared {
 		for _, g := range a.policy.Guaranteed {
 			want[keyOfShape(a, g)] += g.Count
 		}
 	}
 	s.dropBlocks(a, want)
-	if !a.known {
+	if !a.declared {
 		return
 	}
 	for _, g := range a.policy.Guaranteed {
 		k := keyOfShape(a, g)
 		for ; want[k] > 0; want[k]-- {
-			b := &block{account: a, shape: g, index: -1}
+			b := &block{account: a, shape: g, unboundIndex: -1}
 			b.shape.Count = 1
 			a.blocks = append(a.blocks, b)
 			s.addUnbound(b)
@@ -67,30 +67,30 @@
 			continue
 		}
 		s.detach(b)
-		s.tighten(b)
+		s.removeUnbound(b)
 	}
 }
 
-// dropUnknown ends the waiting jobs of accounts that are no longer declared and
+// dropUndeclaredAccounts ends the waiting jobs of accounts that are no longer declared and
 // forgets those accounts once nothing of theirs runs.
-func (s *Scheduler) dropUnknown() {
+func (s *Scheduler) dropUndeclaredAccounts() {
 	for _, j := range slices.Clone(s.delayed) {
-		if !j.account.known {
+		if !j.account.declared {
 			s.endJob(j, RejectUnknownAccount, "the account was removed")
 		}
 	}
 	for _, a := range s.accountList {
-		if a.known {
+		if a.declared {
 			continue
 		}
-		for _, q := range a.order {
+		for _, q := range a.queueList {
 			for q.head != nil {
 				s.endJob(q.head, RejectUnknownAccount, "the account was removed")
 			}
 		}
 	}
 	s.accountList = slices.DeleteFunc(s.accountList, func(a *account) bool {
-		gone := !a.known && a.running == 0 && a.waiting == 0
+		gone := !a.declared && a.running == 0 && a.waiting == 0
 		if gone {
 			delete(s.accounts, a.policy.ID)
 		}
@@ -99,10 +99,10 @@
 }
 
 func (s *Scheduler) resizeCPU() {
-	s.cores, s.minCores, s.minMem = 0, 0, 0
+	s.cpuJobCores, s.minCoresPerAccelerator, s.minMemPerAccelerator = 0, 0, 0
 	for _, n := range s.nodes {
-		s.cores += n.cpuBudget(s.policy.CPUSharePercent)
-		s.leastShare(n)
+		s.cpuJobCores += n.cpuBudget(s.policy.CPUSharePercent)
+		s.lowerMinShare(n)
 		s.recountCPU(n)
 		s.refreshCPU(n)
 	}
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// preemptSize is how many times larger than a victim that loses work a gang must
+// preemptSizeRatio is how many times larger than a victim that loses work a gang must
 // be to evict it without a guarantee. Above 1 it excludes cycles: a victim never evicts
 // what evicted it.
-const preemptSize = 2
+const preemptSizeRatio = 2
 
-// preemptMost is how often one job that loses work by it may be evicted without a guarantee.
-func (s *Scheduler) preemptMost() int {
+// maxPreemptions is how often one job that loses work by it may be evicted without a guarantee.
+func (s *Scheduler) maxPreemptions() int {
 	if s.policy.Objective == Fragmentation {
 		return 6
 	}
 	return 2
 }
 
-// preemptGain is how much larger than the loss the delay that is saved must be,
+// minPreemptGain is how much larger than the loss the delay that is saved must be,
 // in accelerator seconds: whoever weighs fragmentation more pays more work for
 // whole blocks.
-func (s *Scheduler) preemptGain() float64 {
+func (s *Scheduler) minPreemptGain() float64 {
 	if s.policy.Objective == Fragmentation {
 		return 0.3
 	}
@@ -27,30 +27,30 @@
 
 // preemptible reports whether a gang may evict a run without a guarantee.
 func (s *Scheduler) preemptible(r *run, j *job) bool {
-	if r.under != nil && r.under == j.claim {
+	if r.backfilled != nil && r.backfilled == j.claim {
 		return !r.protected
 	}
 	return !r.protected && r.state == runRunning && !r.job.Urgent &&
-		r.job.Priority <= j.Priority && s.outgrows(j, r.job) && !r.covered()
+		r.job.Priority <= j.Priority && s.mayPreemptBySize(j, r.job) && !r.coveredByGuarantee()
 }
 
-// outgrows reports whether a gang is large enough to evict a job. One that can
+// mayPreemptBySize reports whether a gang is large enough to evict a job. One that can
 // checkpoint loses nothing, so any larger gang may evict it, as often as that
 // costs less than the wait.
-func (s *Scheduler) outgrows(gang, victim *job) bool {
+func (s *Scheduler) mayPreemptBySize(gang, victim *job) bool {
 	if victim.Checkpointable {
 		return victim.Accelerators < gang.Accelerators
 	}
-	return victim.Accelerators*preemptSize <= gang.Accelerators && victim.evictions < s.preemptMost()
+	return victim.Accelerators*preemptSizeRatio <= gang.Accelerators && victim.evictions < s.maxPreemptions()
 }
 
-// preemptEnd is the time at which a run counts as ended when a gang plans its
+// endOrPreemption is the time at which a run counts as ended when a gang plans its
 // place: its likely end, or earlier if evicting it costs less than waiting.
-func (s *Scheduler) preemptEnd(r *run, j *job, end time.Time) time.Time {
+func (s *Scheduler) endOrPreemption(r *run, j *job, end time.Time) time.Time {
 	if !s.preemptible(r, j) {
 		return end
 	}
-	worth := s.preemptGain() * s.evictionOf(r) / float64(j.Accelerators)
+	worth := s.minPreemptGain() * s.runEvictionCost(r) / float64(j.Accelerators)
 	at := s.now.Add(time.Duration(worth * float64(time.Second)))
 	if at.Before(end) {
 		return at
@@ -62,17 +62,17 @@
 // loses less than the wait that it saves.
 func (s *Scheduler) preempt(c *claim) {
 	victims, cost := s.preemptVictims(c)
-	if len(victims) == 0 || !beyondGuarantees(victims) {
+	if len(victims) == 0 || !guaranteesMetWithout(victims) {
 		return
 	}
-	saved := c.ready.Sub(s.now).Seconds() * float64(c.job.Accelerators)
-	if s.preemptGain()*cost > saved || s.stopping+len(victims) > s.policy.MaxEvictions {
+	saved := c.readyAt.Sub(s.now).Seconds() * float64(c.job.Accelerators)
+	if s.minPreemptGain()*cost > saved || s.evictionsInProgress+len(victims) > s.policy.MaxEvictions {
 		return
 	}
 	for _, r := range victims {
 		s.stopRun(r, StopReclaim, r.job.Checkpointable)
 	}
-	c.ready = s.now
+	c.readyAt = s.now
 }
 
 // preemptVictims returns whom a reservation has to evict to be complete, or
@@ -80,19 +80,19 @@
 func (s *Scheduler) preemptVictims(c *claim) ([]*run, float64) {
 	var out []*run
 	total := 0.0
-	for _, p := range c.pieces {
+	for _, p := range c.allocations {
 		n := s.nodes[p.node]
-		short := p.n - s.coming(n, out)
+		short := p.count - s.availableSoon(n, out)
 		if short <= 0 {
 			continue
 		}
-		for _, r := range s.cheapest(n, out, short) {
+		for _, r := range s.cheapestVictims(n, out, short) {
 			if !s.preemptible(r, c.job) {
 				return nil, 0
 			}
-			short -= r.on(n.id)
+			short -= r.acceleratorsOn(n.id)
 			out = append(out, r)
-			total += s.evictionOf(r)
+			total += s.runEvictionCost(r)
 		}
 		if short > 0 {
 			return nil, 0
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -12,16 +12,16 @@
 	memory       int
 	urgent       bool
 	priority     int
-	borrows      bool
+	mayBorrow    bool
 }
 
-// borrows reports whether the job may run on capacity that the guarantee of
+// mayBorrow reports whether the job may run on capacity that the guarantee of
 // another account needs.
-func (j *job) borrows() bool { return j.Job.borrows() && !j.borrowingEnded }
+func (j *job) mayBorrow() bool { return j.Job.mayBorrow() && !j.borrowingEnded }
 
 func (j *job) key() queueKey {
 	k := keyOf(&j.Job)
-	k.borrows = j.borrows()
+	k.mayBorrow = j.mayBorrow()
 	return k
 }
 
@@ -29,7 +29,7 @@
 	return queueKey{
 		class: j.Class, accelerators: j.Accelerators, span: j.Adjacency,
 		cores: j.Cores, memory: j.MemoryMB,
-		urgent: j.Urgent, priority: j.Priority, borrows: j.borrows(),
+		urgent: j.Urgent, priority: j.Priority, mayBorrow: j.mayBorrow(),
 	}
 }
 
@@ -40,22 +40,22 @@
 	account *account
 	head    *job
 	tail    *job
-	n       int
+	length  int
 
-	blocked uint64 // capacity generation at which no place was found
-	claimed uint64 // account generation at which no block had room
-	// grace is when its head need no longer leave blocks to larger jobs, and
+	noPlaceStamp uint64 // capacity generation at which no place was found
+	noClaimStamp uint64 // account generation at which no block had room
+	// yieldUntil is when its head need no longer leave blocks to larger jobs, and
 	// yieldedIn the phase in which it last did.
-	grace     time.Time
-	yieldedIn uint64
-	sized     uint64 // topology generation at which the size was found possible
+	yieldUntil       time.Time
+	yieldedPhase     uint64
+	sizeCheckedStamp uint64 // topology generation at which the size was found possible
 }
 
 // insert puts a job at its place by order of submission, searching from the
 // tail, where new jobs go, or from the head, where evicted ones go.
 func (q *queue) insert(j *job) {
 	j.queue = q
-	q.n++
+	q.length++
 	q.account.waiting++
 	if q.head == nil || j.seq < q.head.seq {
 		q.link(nil, j, q.head)
@@ -94,17 +94,17 @@
 		j.next.prev = j.prev
 	}
 	j.prev, j.next, j.queue = nil, nil, nil
-	q.n--
+	q.length--
 	q.account.waiting--
 }
 
 func (s *Scheduler) enqueue(j *job) {
 	k := j.key()
-	q := j.account.queues[k]
+	q := j.account.queueByKey[k]
 	if q == nil {
 		q = &queue{key: k, account: j.account}
-		j.account.queues[k] = q
-		j.account.order = append(j.account.order, q)
+		j.account.queueByKey[k] = q
+		j.account.queueList = append(j.account.queueList, q)
 	}
 	q.insert(j)
 }
@@ -117,26 +117,26 @@
 	}
 	q := j.queue
 	q.remove(j)
-	if q.n == 0 {
-		s.sweep = true
+	if q.length == 0 {
+		s.sweepNeeded = true
 	}
 }
 
 func (s *Scheduler) sweepQueues() {
-	if !s.sweep {
+	if !s.sweepNeeded {
 		return
 	}
-	s.sweep = false
+	s.sweepNeeded = false
 	for _, a := range s.accountList {
-		kept := a.order[:0]
-		for _, q := range a.order {
-			if q.n > 0 {
+		kept := a.queueList[:0]
+		for _, q := range a.queueList {
+			if q.length > 0 {
 				kept = append(kept, q)
 				continue
 			}
-			delete(a.queues, q.key)
+			delete(a.queueByKey, q.key)
 		}
-		clear(a.order[len(kept):])
-		a.order = kept
+		clear(a.queueList[len(kept):])
+		a.queueList = kept
 	}
 }
--- a/scheduler/report.go
+++ b/scheduler/report.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// maxListed bounds each list of workers of a Report.
-const maxListed = 64
+// maxListedWorkers bounds each list of workers of a Report.
+const maxListedWorkers = 64
 
 // Report is what operators and client accounts ask about a scheduling domain, as
 // of the last decision.
@@ -40,7 +40,7 @@
 
 func (l *WorkerList) add(n WorkerStatus) {
 	l.Count++
-	if len(l.Workers) < maxListed {
+	if len(l.Workers) < maxListedWorkers {
 		l.Workers = append(l.Workers, n)
 	}
 }
@@ -72,9 +72,9 @@
 // Report describes the state. Its cost is linear in workers, attempts and queues;
 // ask once for many readers.
 func (s *Scheduler) Report() Report {
-	out := Report{At: s.now, Settling: s.now.Before(s.settled), FreeUnits: map[Adjacency][]FreeUnits{}}
+	out := Report{At: s.now, Settling: s.now.Before(s.settlingEnds), FreeUnits: map[Adjacency][]FreeUnits{}}
 	for span := AdjacentAny; span <= AdjacentWorker; span++ {
-		out.FreeUnits[span] = s.open.freeUnits(span, maxUnits)
+		out.FreeUnits[span] = s.open.freeUnits(span, maxUnitSizes)
 	}
 	s.reportWorkers(&out)
 	classes := s.reportClasses()
@@ -88,7 +88,7 @@
 	for _, n := range s.nodes {
 		switch {
 		case n.ID == "":
-		case !n.up && s.now.Sub(n.health.until) < forgetAfter:
+		case !n.up && s.now.Sub(n.health.until) < forgetNodeAfter:
 			out.Lost.add(WorkerStatus{ID: n.ID, Since: n.health.until})
 		case !n.up:
 		case n.draining:
@@ -102,7 +102,7 @@
 // classReports is the classes of one account by name.
 type classReports map[string]*ClassReport
 
-func (c classReports) of(class string) *ClassReport {
+func (c classReports) get(class string) *ClassReport {
 	if c[class] == nil {
 		c[class] = &ClassReport{Class: class}
 	}
@@ -115,17 +115,17 @@
 	out := map[*account]classReports{}
 	for _, a := range s.accountList {
 		out[a] = classReports{}
-		for _, q := range a.order {
-			out[a].of(q.key.class).addQueue(q)
+		for _, q := range a.queueList {
+			out[a].get(q.key.class).addQueue(q)
 		}
 	}
 	for _, j := range s.delayed {
-		out[j.account].of(j.Class).addWaiting(j, 1)
+		out[j.account].get(j.Class).addWaiting(j, 1)
 	}
 	for _, n := range s.nodes {
 		for _, r := range n.runs {
-			if r.pieces[0].node == n.id {
-				out[r.job.account].of(r.job.Class).addRun(r)
+			if r.held[0].node == n.id {
+				out[r.job.account].get(r.job.Class).addRun(r)
 			}
 		}
 	}
@@ -133,8 +133,8 @@
 }
 
 func (c *ClassReport) addQueue(q *queue) {
-	if q.n > 0 {
-		c.addWaiting(q.head, q.n)
+	if q.length > 0 {
+		c.addWaiting(q.head, q.length)
 	}
 }
 
@@ -153,7 +153,7 @@
 }
 
 func (a *account) report(classes classReports) AccountReport {
-	out := AccountReport{ID: a.policy.ID, Borrowed: a.used, Evicted: a.evicted}
+	out := AccountReport{ID: a.policy.ID, Borrowed: a.usedOutsideBlocks, Evicted: a.evicted}
 	for _, b := range a.blocks {
 		out.Guaranteed += b.shape.Accelerators
 		out.Used += b.used
--- a/scheduler/report_test.go
+++ b/scheduler/report_test.go
@@ -89,7 +89,7 @@
 	}
 	queues := 0
 	for _, a := range s.accountList {
-		queues += len(a.order)
+		queues += len(a.queueList)
 	}
 	b.Logf("%d workers, %d jobs, %d queues", len(site.workers), len(s.jobs), queues)
 	b.ResetTimer()
--- a/scheduler/reserve.go
+++ b/scheduler/reserve.go
@@ -11,17 +11,17 @@
 	// endQuantile is the quantile of learned run times at which running work is
 	// expected to end.
 	endQuantile = 0.7
-	// replanAfter is how often a reservation looks for an earlier place.
-	replanAfter = 10 * time.Second
-	// planCost paces planning at large sizes: after a plan that looked at n ends
+	// replanInterval is how often a reservation looks for an earlier place.
+	replanInterval = 10 * time.Second
+	// planCostPerRelease paces planning at large sizes: after a plan that looked at n ends
 	// of work, the next one waits n times this long.
-	planCost = 20 * time.Microsecond
-	// moveGain is the percentage of its remaining wait below which the wait at
+	planCostPerRelease = 20 * time.Microsecond
+	// moveWaitPercent is the percentage of its remaining wait below which the wait at
 	// another place must lie for a reservation to move: one that moves often
 	// drains one place after the other.
-	moveGain = 50
-	// planEvery is the shortest time between two plans.
-	planEvery = 100 * time.Millisecond
+	moveWaitPercent = 50
+	// minPlanInterval is the shortest time between two plans.
+	minPlanInterval = 100 * time.Millisecond
 )
 
 // reserve gives jobs that have waited longest a reservation, so that smaller
@@ -37,20 +37,20 @@
 	s.replan()
 	for _, c := range s.claims {
 		if !c.guaranteed() {
-			s.recall(c)
+			s.stopBackfilled(c)
 		}
 	}
-	s.wantPlan = false
-	if have >= s.policy.MaxReservations || have > 0 && reserved*100 >= s.size.total()*s.policy.ReservedSharePercent {
+	s.planPending = false
+	if have >= s.policy.MaxReservations || have > 0 && reserved*100 >= s.installed.total()*s.policy.ReservedSharePercent {
 		return
 	}
-	for _, j := range s.stuck(s.policy.MaxReservations - have) {
-		if s.now.Before(s.planAt) {
-			s.wantPlan = true
+	for _, j := range s.reservationCandidates(s.policy.MaxReservations - have) {
+		if s.now.Before(s.nextPlanAt) {
+			s.planPending = true
 			return
 		}
 		reserved += j.Accelerators
-		if have > 0 && reserved*100 > s.size.total()*s.policy.ReservedSharePercent {
+		if have > 0 && reserved*100 > s.installed.total()*s.policy.ReservedSharePercent {
 			return
 		}
 		s.reserveFor(j)
@@ -58,13 +58,13 @@
 	}
 }
 
-// stuck lists the first jobs of queues that found no place, oldest first.
-func (s *Scheduler) stuck(limit int) []*job {
+// reservationCandidates lists the first jobs of queues that found no place, oldest first.
+func (s *Scheduler) reservationCandidates(limit int) []*job {
 	var out []*job
 	for _, a := range s.accountList {
-		for _, q := range a.order {
-			j := s.claimHead(q)
-			if j == nil || j.claim != nil || j.cpuOn != nil || !s.mayReserve(j) {
+		for _, q := range a.queueList {
+			j := s.firstUnclaimed(q)
+			if j == nil || j.claim != nil || j.cpuNode != nil || !s.mayReserve(j) {
 				continue
 			}
 			out = append(out, j)
@@ -87,7 +87,7 @@
 // mayReserve reports whether a job has waited long enough for a reservation and
 // has not just failed to get one.
 func (s *Scheduler) mayReserve(j *job) bool {
-	return s.now.Sub(j.Submitted) >= s.policy.ReserveAfter && !s.now.Before(j.planAfter)
+	return s.now.Sub(j.Submitted) >= s.policy.ReserveAfter && !s.now.Before(j.noPlanBefore)
 }
 
 func (s *Scheduler) reserveFor(j *job) {
@@ -95,17 +95,17 @@
 		s.reserveCPU(j)
 		return
 	}
-	at, ready := s.plan(j)
+	at, ready := s.planReservation(j)
 	if at == nil {
-		j.planAfter = s.now.Add(replanAfter)
+		j.noPlanBefore = s.now.Add(replanInterval)
 		return
 	}
-	c := &claim{job: j, pieces: at, ready: ready}
+	c := &claim{job: j, allocations: at, readyAt: ready}
 	s.addClaim(c)
-	if !j.borrows() {
-		s.moveAway(at)
+	if !j.mayBorrow() {
+		s.tryMoveBlocksFrom(at)
 	}
-	s.expect(c)
+	s.updateReadyAt(c)
 	s.preempt(c)
 }
 
@@ -113,11 +113,11 @@
 // turned up for.
 func (s *Scheduler) replan() {
 	for _, c := range slices.Clone(s.claims) {
-		if c.guaranteed() || s.now.Before(s.planAt) {
+		if c.guaranteed() || s.now.Before(s.nextPlanAt) {
 			continue
 		}
-		late := s.now.After(c.ready) && s.now.Sub(c.made) >= time.Second
-		if !late && s.now.Sub(c.made) < replanAfter {
+		late := s.now.After(c.readyAt) && s.now.Sub(c.plannedAt) >= time.Second
+		if !late && s.now.Sub(c.plannedAt) < replanInterval {
 			continue
 		}
 		s.moveReservation(c)
@@ -125,48 +125,48 @@
 }
 
 func (s *Scheduler) moveReservation(c *claim) {
-	before := s.grown
+	before := s.capacityGen
 	s.countClaim(c, -1)
-	old := c.pieces
-	s.expect(c)
-	stay := c.ready
-	if at, _ := s.plan(c.job); at != nil {
-		c.pieces = at
-		s.expect(c)
+	old := c.allocations
+	s.updateReadyAt(c)
+	stay := c.readyAt
+	if at, _ := s.planReservation(c.job); at != nil {
+		c.allocations = at
+		s.updateReadyAt(c)
 	}
-	if c.ready.Sub(s.now) > stay.Sub(s.now)*moveGain/100 {
-		c.pieces, c.ready = old, stay
+	if c.readyAt.Sub(s.now) > stay.Sub(s.now)*moveWaitPercent/100 {
+		c.allocations, c.readyAt = old, stay
 	}
-	c.made = s.now
+	c.plannedAt = s.now
 	s.countClaim(c, 1)
-	s.grown = before + 1
+	s.capacityGen = before + 1
 	s.preempt(c)
 }
 
-// expect sets when a reservation is likely to be complete without evictions.
-func (s *Scheduler) expect(c *claim) {
-	c.ready = s.now
-	for _, p := range c.pieces {
-		if t := s.readyAt(s.nodes[p.node], p.n); t.After(c.ready) {
-			c.ready = t
+// updateReadyAt sets when a reservation is likely to be complete without evictions.
+func (s *Scheduler) updateReadyAt(c *claim) {
+	c.readyAt = s.now
+	for _, p := range c.allocations {
+		if t := s.nodeReadyAt(s.nodes[p.node], p.count); t.After(c.readyAt) {
+			c.readyAt = t
 		}
 	}
 }
 
-// readyAt is when a node is likely to have need accelerators without work.
-func (s *Scheduler) readyAt(n *node, need int) time.Time {
-	have := n.capacity() - n.held + n.leave - n.claim
-	var ends []ending
+// nodeReadyAt is when a node is likely to have need accelerators without work.
+func (s *Scheduler) nodeReadyAt(n *node, need int) time.Time {
+	have := n.capacity() - n.held + n.stopping - n.claimed
+	var ends []expectedRelease
 	for _, r := range n.runs {
-		if k := r.on(n.id); k > 0 && (r.protected || r.state != runStopping) {
-			end := s.endOf(r)
-			if r.under != nil && r.under.on(n.id) {
+		if k := r.acceleratorsOn(n.id); k > 0 && (r.protected || r.state != runStopping) {
+			end := s.expectedEnd(r)
+			if r.backfilled != nil && r.backfilled.includesNode(n.id) {
 				end = s.now
 			}
-			ends = append(ends, ending{end, n.id, k})
+			ends = append(ends, expectedRelease{end, n.id, k})
 		}
 	}
-	slices.SortStableFunc(ends, func(a, b ending) int { return a.at.Compare(b.at) })
+	slices.SortStableFunc(ends, func(a, b expectedRelease) int { return a.at.Compare(b.at) })
 	at := s.now
 	for _, e := range ends {
 		if have >= need {
--- a/scheduler/reserve_cpu.go
+++ b/scheduler/reserve_cpu.go
@@ -5,27 +5,27 @@
 func (s *Scheduler) reserveCPU(j *job) {
 	var best *node
 	for _, n := range s.nodes {
-		if !n.usable() || n.cpuFor != nil || n.cpuBudget(s.policy.CPUSharePercent) < j.Cores || n.memBudget(s.policy.CPUSharePercent) < j.MemoryMB {
+		if !n.usable() || n.cpuReservedFor != nil || n.cpuBudget(s.policy.CPUSharePercent) < j.Cores || n.memBudget(s.policy.CPUSharePercent) < j.MemoryMB {
 			continue
 		}
-		if best == nil || n.cpuCores > best.cpuCores {
+		if best == nil || n.freeCPUCores > best.freeCPUCores {
 			best = n
 		}
 	}
 	if best == nil {
 		return
 	}
-	best.cpuFor = j
-	j.cpuOn = best
+	best.cpuReservedFor = j
+	j.cpuNode = best
 	s.refreshCPU(best)
 }
 
-// dropCPU gives up the worker that is set aside for a job.
-func (s *Scheduler) dropCPU(j *job) {
-	if j.cpuOn == nil {
+// dropCPUReservation gives up the worker that is set aside for a job.
+func (s *Scheduler) dropCPUReservation(j *job) {
+	if j.cpuNode == nil {
 		return
 	}
-	n := j.cpuOn
-	n.cpuFor, j.cpuOn = nil, nil
+	n := j.cpuNode
+	n.cpuReservedFor, j.cpuNode = nil, nil
 	s.refreshCPU(n)
 }
--- a/scheduler/scenario_test.go
+++ b/scheduler/scenario_test.go
@@ -161,7 +161,7 @@
 		b.Assert(i < 20, qt.IsTrue)
 		b.submit(Job{ID: JobID(fmt.Sprint("j", i)), Account: "a", Accelerators: 8, Adjacency: AdjacentWorker, Repeatable: true})
 		for _, j := range b.s.jobs {
-			if j.run != nil && b.s.nodes[j.run.pieces[0].node].ID == "w0" {
+			if j.run != nil && b.s.nodes[j.run.held[0].node].ID == "w0" {
 				out = append(out, b.end(j.ID, Failed, "w0")...)
 			} else if j.run != nil && i%2 == 1 {
 				b.end(j.ID, Done, "")
@@ -203,7 +203,7 @@
 	b := newBench(t, Policy{Accounts: []AccountPolicy{{ID: "a"}}}, eight(2)...)
 	b.submit(Job{ID: "once", Account: "a", Accelerators: 1})
 	b.step(GangStarted{"once", 1})
-	b.step(WorkerDown{b.s.nodes[b.s.jobs["once"].run.pieces[0].node].ID})
+	b.step(WorkerDown{b.s.nodes[b.s.jobs["once"].run.held[0].node].ID})
 	out := b.end("once", Lost, "")
 	b.Assert(of[StartGang](out), qt.HasLen, 0)
 	b.Assert(of[RejectJob](out)[0].Reason, qt.Equals, RejectNotRepeatable)
@@ -248,7 +248,7 @@
 	for i := 0; b.s.jobs["bad"] != nil; i++ {
 		b.Assert(i < 10, qt.IsTrue, qt.Commentf("started once more after %d workers", i))
 		r := b.s.jobs["bad"].run
-		at := b.s.nodes[r.pieces[0].node].Worker
+		at := b.s.nodes[r.held[0].node].Worker
 		b.step(GangStarted{"bad", r.attempt})
 		b.step(WorkerDown{at.ID})
 		out = append(out, b.end("bad", Lost, "")...)
@@ -264,7 +264,7 @@
 	b.submit(Job{ID: "long", Account: "a", Accelerators: 8, Repeatable: true})
 	for range 30 {
 		r := b.s.jobs["long"].run
-		at := b.s.nodes[r.pieces[0].node].Worker
+		at := b.s.nodes[r.held[0].node].Worker
 		b.step(GangStarted{"long", r.attempt})
 		b.now = b.now.Add(50 * time.Hour)
 		b.step(WorkerDown{at.ID})
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -13,53 +13,53 @@
 
 // Scheduler is the state of one scheduling domain. A single goroutine owns it.
 type Scheduler struct {
-	now     time.Time
-	settled time.Time
-	// hasSettled is set by the first decision at or after settled.
-	hasSettled bool
-	policy     Policy
-	actions    []Action
+	now          time.Time
+	settlingEnds time.Time
+	// settlingDone is set by the first decision at or after settled.
+	settlingDone bool
+	policy       Policy
+	actions      []Action
 
-	nodes    []*node
-	nodeByID map[WorkerID]*node
-	zoneByID map[string]int32
-	rackByID map[rackKey]int32
-	gone     []*node // down workers, whose records may be used again
-	cores    int     // cores that jobs without accelerators may use
+	nodes       []*node
+	nodeByID    map[WorkerID]*node
+	zoneByID    map[string]int32
+	rackByID    map[rackKey]int32
+	downNodes   []*node // down workers, whose records may be used again
+	cpuJobCores int     // cores that jobs without accelerators may use
 
-	size             index // accelerators of every known worker, healthy or not
-	open             index // what an evictable job may take
-	steady           index // what a job that may not be evicted may take
-	slack            index // what guaranteed blocks may be bound to
-	cpu              cpuIndex
-	grown            uint64 // changes when any capacity grows
-	grownCPU         uint64 // the same for jobs without accelerators
-	shape            uint64 // changes when the topology grows
-	minCores, minMem int    // least share of an accelerator over all workers
+	installed                                    index // accelerators of every known worker, healthy or not
+	open                                         index // what an evictable job may take
+	unguaranteed                                 index // what a job that may not be evicted may take
+	bindable                                     index // what guaranteed blocks may be bound to
+	cpu                                          cpuIndex
+	capacityGen                                  uint64 // changes when any capacity grows
+	cpuCapacityGen                               uint64 // the same for jobs without accelerators
+	topologyGen                                  uint64 // changes when the topology grows
+	minCoresPerAccelerator, minMemPerAccelerator int    // least share of an accelerator over all workers
 
-	accounts    map[AccountID]*account
-	accountList []*account
-	jobs        map[JobID]*job
-	seq         uint64
-	delayed     delayHeap
-	claims      []*claim
-	unbound     []*block // guaranteed blocks without a place
-	degraded    map[degradedKey]int
-	beside      map[need]bool // shapes that fit beside all blocks
-	besideAt    uint64        // shape and shrunk when these were found
-	shrunk      uint64        // changes when the topology shrinks or blocks need more
-	borrowingAt uint64        // shrunk when retreats were last looked at
-	packed      uint64        // grown when the last repacking failed
-	stopping    int           // evictions in progress
-	quarantined []*node
-	heads       []*queue  // scratch
-	planAt      time.Time // no plan for a reservation before
-	wantPlan    bool      // a job waits for such a plan
-	learned     learner
-	sweep       bool
-	woken       time.Time // last WakeAt
-	starts      uint64
-	steps       uint64
+	accounts            map[AccountID]*account
+	accountList         []*account
+	jobs                map[JobID]*job
+	seq                 uint64
+	delayed             delayHeap
+	claims              []*claim
+	unbound             []*block // guaranteed blocks without a place
+	degraded            map[degradedKey]int
+	fitsBeside          map[demand]bool // shapes that fit beside all blocks
+	fitsBesideGen       uint64          // shape and shrunk when these were found
+	shrinkGen           uint64          // changes when the topology shrinks or blocks need more
+	borrowingGen        uint64          // shrunk when retreats were last looked at
+	repackGen           uint64          // grown when the last repacking failed
+	evictionsInProgress int             // evictions in progress
+	quarantined         []*node
+	headsBuf            []*queue  // scratch
+	nextPlanAt          time.Time // no plan for a reservation before
+	planPending         bool      // a job waits for such a plan
+	runTimes            runTimePredictor
+	sweepNeeded         bool
+	lastWakeAt          time.Time // last WakeAt
+	starts              uint64
+	steps               uint64
 }
 
 type rackKey struct{ zone, rack string }
@@ -68,20 +68,20 @@
 // account are rejected, so PolicyChanged goes first.
 func New(o Options) *Scheduler {
 	s := &Scheduler{
-		now:      o.Start,
-		settled:  o.Start.Add(o.SettlingPeriod),
-		policy:   Policy{}.WithDefaults(),
-		nodeByID: map[WorkerID]*node{},
-		zoneByID: map[string]int32{},
-		rackByID: map[rackKey]int32{},
-		accounts: map[AccountID]*account{},
-		jobs:     map[JobID]*job{},
-		degraded: map[degradedKey]int{},
-		beside:   map[need]bool{},
-		learned:  newLearner(),
+		now:          o.Start,
+		settlingEnds: o.Start.Add(o.SettlingPeriod),
+		policy:       Policy{}.WithDefaults(),
+		nodeByID:     map[WorkerID]*node{},
+		zoneByID:     map[string]int32{},
+		rackByID:     map[rackKey]int32{},
+		accounts:     map[AccountID]*account{},
+		jobs:         map[JobID]*job{},
+		degraded:     map[degradedKey]int{},
+		fitsBeside:   map[demand]bool{},
+		runTimes:     newRunTimePredictor(),
 	}
 	for _, x := range s.indexes() {
-		x.whole = &s.size
+		x.installed = &s.installed
 	}
 	return s
 }
@@ -115,7 +115,7 @@
 	case WorkerDraining:
 		s.workerDraining(e.ID)
 	case PolicyChanged:
-		s.policyChanged(e.Policy)
+		s.applyPolicy(e.Policy)
 	case JobsSubmitted:
 		for i := range e.Jobs {
 			s.submit(e.Jobs[i])
@@ -141,9 +141,9 @@
 // decide brings what is owed up to date and then starts what fits: repairs of
 // guarantees go first, then claims on guarantees, then the open queue.
 func (s *Scheduler) decide() {
-	s.settle()
-	s.wakeWorkers()
-	s.wakeJobs()
+	s.endSettling()
+	s.endQuarantines()
+	s.enqueueDelayed()
 	s.rebindUnbound()
 	s.resumeBorrowing()
 	s.startClaims()
@@ -154,5 +154,5 @@
 	s.sendEvictions()
 	s.reportGuarantees()
 	s.sweepQueues()
-	s.wakeAt()
+	s.scheduleWake()
 }
--- a/scheduler/sentence.go
+++ b/scheduler/sentence.go
@@ -20,9 +20,9 @@
 	case WaitReclaim:
 		return fmt.Sprintf("its account's guarantee is being reclaimed for it: %d accelerators are still held by work that is evicted", e.Evicting)
 	case WaitReserved:
-		return "a place is reserved for it, where work has to end" + expected(e.Until)
+		return "a place is reserved for it, where work has to end" + expectedBy(e.Until)
 	case WaitBehind:
-		return e.behind()
+		return e.behindSentence()
 	case WaitYields:
 		return "it leaves its account's guaranteed blocks to larger jobs of the account until " + clockTime(e.Until)
 	case WaitDegraded:
@@ -43,18 +43,18 @@
 	case WaitNoCores:
 		return "no worker has its cores and memory left for jobs without accelerators"
 	case WaitFailedWorkers:
-		return e.need() + ", and the only free places are on workers on which it has failed"
+		return e.needText() + ", and the only free places are on workers on which it has failed"
 	case WaitGuaranteed:
-		return e.need() + ", which it may not use: it can't be evicted there, or may not borrow, and guarantees are bound to it"
+		return e.needText() + ", which it may not use: it can't be evicted there, or may not borrow, and guarantees are bound to it"
 	case WaitReservations:
-		return e.need() + ", and what else is free is reserved for larger jobs that have waited longer"
+		return e.needText() + ", and what else is free is reserved for larger jobs that have waited longer"
 	case WaitOverShare:
-		return fmt.Sprintf("%s, and its account uses more than its share: job %s of another account goes first", e.need(), e.First)
+		return fmt.Sprintf("%s, and its account uses more than its share: job %s of another account goes first", e.needText(), e.First)
 	}
-	return e.need() + e.firstInOrder()
+	return e.needText() + e.firstText()
 }
 
-func (e *Explanation) behind() string {
+func (e *Explanation) behindSentence() string {
 	more := ""
 	if e.AheadTruncated {
 		more = " or more"
@@ -62,8 +62,8 @@
 	return fmt.Sprintf("%d%s jobs of its account, class and shape go first; the first of them, %s, waits by %s", e.Ahead, more, e.First, e.FirstReason)
 }
 
-// need is what the job needs and what is free.
-func (e *Explanation) need() string {
+// needText is what the job needs and what is free.
+func (e *Explanation) needText() string {
 	if e.Free == 0 {
 		return fmt.Sprintf("it needs %d accelerators and none is free", e.Accelerators)
 	}
@@ -71,11 +71,11 @@
 		return fmt.Sprintf("it needs %d accelerators and %d are free", e.Accelerators, e.Free)
 	}
 	return fmt.Sprintf("it needs %d accelerators in one %s; %d are free, at most %d of them in one %s%s",
-		e.Accelerators, e.Span, e.Free, e.Largest, e.Span, e.units())
+		e.Accelerators, e.Span, e.Free, e.Largest, e.Span, e.unitCounts())
 }
 
-// units lists how many units of the span have how many free.
-func (e *Explanation) units() string {
+// unitCounts lists how many unitCounts of the span have how many free.
+func (e *Explanation) unitCounts() string {
 	if len(e.Units) == 0 {
 		return ""
 	}
@@ -86,7 +86,7 @@
 	return " (" + strings.Join(parts, ", ") + ")"
 }
 
-func (e *Explanation) firstInOrder() string {
+func (e *Explanation) firstText() string {
 	switch e.First {
 	case "":
 		return ""
@@ -96,7 +96,7 @@
 	return fmt.Sprintf("; job %s is the first in the order", e.First)
 }
 
-func expected(at time.Time) string {
+func expectedBy(at time.Time) string {
 	if at.IsZero() {
 		return ""
 	}
--- a/scheduler/start.go
+++ b/scheduler/start.go
@@ -7,30 +7,30 @@
 
 // start begins an attempt on pieces that are idle. With shares it runs within
 // the guarantee of its account and is never evicted, nor is it if it is protected.
-func (s *Scheduler) start(j *job, at []piece, shares []share, protected bool) {
+func (s *Scheduler) start(j *job, at []allocation, shares []blockUse, protected bool) {
 	s.dequeue(j)
 	if j.claim != nil {
 		s.dropClaim(j.claim)
 	}
-	j.last++
-	r := &run{job: j, attempt: j.last, shares: shares, started: s.now}
+	j.lastAttempt++
+	r := &run{job: j, attempt: j.lastAttempt, blockUses: shares, started: s.now}
 	r.protected = len(shares) > 0 || protected
 	j.run = r
 	key := j.key()
 	for _, p := range at {
-		s.holdPiece(r, p, s.units(&key, s.nodes[p.node]))
+		s.holdLowest(r, p, s.footprint(&key, s.nodes[p.node]))
 	}
 	s.countRun(r, 1)
 	s.starts++
 	s.emit(StartGang{Job: j.ID, Attempt: r.attempt, Placement: s.placement(r)})
 }
 
-// holdPiece gives a run the lowest idle accelerators of a node.
-func (s *Scheduler) holdPiece(r *run, p piece, units int) {
+// holdLowest gives a run the lowest idle accelerators of a node.
+func (s *Scheduler) holdLowest(r *run, p allocation, units int) {
 	n := s.nodes[p.node]
-	h := held{node: p.node, n: p.n, granted: p.n / max(1, units)}
-	idle := ^n.used
-	for range p.n {
+	h := heldAllocation{node: p.node, count: p.count, granted: p.count / max(1, units)}
+	idle := ^n.usedMask
+	for range p.count {
 		bit := idle & -idle
 		h.mask |= bit
 		idle &^= bit
@@ -40,84 +40,84 @@
 
 // hold enters a piece into the counts of its node. Firm pieces within a
 // guarantee are counted by their shares.
-func (s *Scheduler) hold(r *run, h held) {
+func (s *Scheduler) hold(r *run, h heldAllocation) {
 	n := s.nodes[h.node]
-	r.pieces = append(r.pieces, h)
+	r.held = append(r.held, h)
 	n.runs = append(n.runs, r)
-	n.used |= h.mask
-	n.held += h.n
+	n.usedMask |= h.mask
+	n.held += h.count
 	switch {
-	case len(r.shares) > 0:
+	case len(r.blockUses) > 0:
 	case r.protected:
-		n.protected += h.n
+		n.protected += h.count
 	default:
-		n.evictable += h.n
+		n.evictable += h.count
 	}
 	if r.job.Accelerators == 0 {
-		n.cpuCores -= r.job.Cores
-		n.cpuMem -= r.job.MemoryMB
+		n.freeCPUCores -= r.job.Cores
+		n.freeCPUMem -= r.job.MemoryMB
 		s.refreshCPU(n)
 	}
-	s.refresh(n)
+	s.refreshIndexes(n)
 }
 
 // release takes a run that has ended out of the counts.
 func (s *Scheduler) release(r *run) {
 	s.countRun(r, -1)
-	for _, h := range r.pieces {
-		s.releasePiece(r, h)
+	for _, h := range r.held {
+		s.releaseHeld(r, h)
 	}
-	s.takeShares(r.shares, -1)
-	if r.state == runStopping && r.stop == StopReclaim {
-		s.stopping--
+	s.useBlocks(r.blockUses, -1)
+	if r.state == runStopping && r.stopReason == StopReclaim {
+		s.evictionsInProgress--
 	}
 	r.job.run = nil
 }
 
-func (s *Scheduler) releasePiece(r *run, h held) {
+func (s *Scheduler) releaseHeld(r *run, h heldAllocation) {
 	n := s.nodes[h.node]
-	n.drop(r)
-	n.used &^= h.mask
-	n.held -= h.n
+	n.removeRun(r)
+	n.usedMask &^= h.mask
+	n.held -= h.count
 	switch {
-	case len(r.shares) > 0:
+	case len(r.blockUses) > 0:
 	case r.protected:
-		n.protected -= h.n
+		n.protected -= h.count
 	case r.state == runStopping:
-		n.leave -= h.n
+		n.stopping -= h.count
 	default:
-		n.evictable -= h.n
+		n.evictable -= h.count
 	}
 	if r.job.Accelerators == 0 {
-		n.cpuCores += r.job.Cores
-		n.cpuMem += r.job.MemoryMB
+		n.freeCPUCores += r.job.Cores
+		n.freeCPUMem += r.job.MemoryMB
 		s.refreshCPU(n)
 	}
-	s.refresh(n)
+	s.refreshIndexes(n)
 }
 
 // countRun enters a run into the use of its account.
 func (s *Scheduler) countRun(r *run, sign int) {
 	a := r.job.account
 	a.running += sign
-	if len(r.shares) == 0 {
-		a.used += sign * r.size()
+	if len(r.blockUses) == 0 {
+		a.usedOutsideBlocks += sign * r.size()
 	}
 	if r.job.Accelerators == 0 {
-		a.cores += sign * r.job.Cores
+		a.cpuJobCores += sign * r.job.Cores
 	}
 }
 
 func (s *Scheduler) placement(r *run) Placement {
-	out := make(Placement, len(r.pieces))
-	for i, h := range r.pieces {
-		out[i] = Grant{Worker: s.nodes[h.node].ID, Accelerators: numbers(h.mask, h.granted)}
+	out := make(Placement, len(r.held))
+	for i, h := range r.held {
+		out[i] = Grant{Worker: s.nodes[h.node].ID, Accelerators: lowestBits(h.mask, h.granted)}
 	}
 	return out
 }
 
-// numbers lists the lowest count bits of a mask.
-func numbers(mask uint64, count int) []int {
+// lowestBits lists the lowest count bits of a mask.
+func lowestBits(mask uint64, count int) []int {
 	out := make([]int, 0, count)
 	for ; mask != 0 && len(out) < count; mask &= mask - 1 {
 		out = append(out, bits.TrailingZeros64(mask))
@@ -132,23 +132,23 @@
 		return
 	}
 	if !r.protected {
-		for _, p := range r.pieces {
+		for _, p := range r.held {
 			n := s.nodes[p.node]
-			n.evictable -= p.n
-			n.leave += p.n
-			s.refresh(n)
+			n.evictable -= p.count
+			n.stopping += p.count
+			s.refreshIndexes(n)
 		}
 	}
 	r.state = runStopping
-	r.stop = why
+	r.stopReason = why
 	if why == StopReclaim {
-		s.stopping++
+		s.evictionsInProgress++
 	}
 	s.emit(StopGang{Job: r.job.ID, Attempt: r.attempt, Checkpoint: checkpoint, Reason: why})
 }
 
 func (s *Scheduler) gangStarted(e GangStarted) {
-	r := s.runOf(e.Job, e.Attempt)
+	r := s.currentRun(e.Job, e.Attempt)
 	if r == nil || r.state != runStarting {
 		return
 	}
@@ -158,13 +158,13 @@
 
 func (s *Scheduler) checkpointTaken(e CheckpointTaken) {
 	j := s.jobs[e.Job]
-	if j != nil && j.run != nil && e.At.After(j.run.checkpoint) {
-		j.run.checkpoint = e.At
+	if j != nil && j.run != nil && e.At.After(j.run.lastCheckpoint) {
+		j.run.lastCheckpoint = e.At
 	}
 }
 
-// runOf returns the current attempt of a job, or nil if the event is stale.
-func (s *Scheduler) runOf(id JobID, attempt Attempt) *run {
+// currentRun returns the current attempt of a job, or nil if the event is stale.
+func (s *Scheduler) currentRun(id JobID, attempt Attempt) *run {
 	j := s.jobs[id]
 	if j == nil || j.run == nil || j.run.attempt != attempt {
 		return nil
--- a/scheduler/stats.go
+++ b/scheduler/stats.go
@@ -33,7 +33,7 @@
 
 // Stats summarises the state. Its cost is linear in workers and queues.
 func (s *Scheduler) Stats() Stats {
-	out := Stats{UnplacedBlocks: len(s.unbound), Evicting: s.stopping, Starts: s.starts}
+	out := Stats{UnplacedBlocks: len(s.unbound), Evicting: s.evictionsInProgress, Starts: s.starts}
 	for _, n := range s.nodes {
 		if n.health.excluded && n.up {
 			out.Quarantined++
@@ -42,7 +42,7 @@
 			out.Workers++
 			out.Accelerators += n.capacity()
 			out.Free += n.idle()
-			out.Reserved += min(n.idle(), n.wait+n.claim)
+			out.Reserved += min(n.idle(), n.reserved+n.claimed)
 		}
 	}
 	for _, a := range s.accountList {
@@ -53,33 +53,33 @@
 }
 
 func (a *account) stats() AccountStats {
-	out := AccountStats{ID: a.policy.ID, Waiting: map[string]int{}, Running: a.running, Borrowed: a.used, Evicted: a.evicted}
-	for _, q := range a.order {
-		out.Waiting[q.key.class] += q.n
+	out := AccountStats{ID: a.policy.ID, Waiting: map[string]int{}, Running: a.running, Borrowed: a.usedOutsideBlocks, Evicted: a.evicted}
+	for _, q := range a.queueList {
+		out.Waiting[q.key.class] += q.length
 	}
 	return out
 }
 
-// need is what matters for the pieces that a waiting job can use.
-type need struct {
+// demand is what matters for the pieces that a waiting job can use.
+type demand struct {
 	accelerators int
 	span         Adjacency
 }
 
 func (s *Scheduler) fragmentation() float64 {
-	waiting := map[need]int{}
+	waiting := map[demand]int{}
 	weight := 0
 	for _, a := range s.accountList {
-		for _, q := range a.order {
+		for _, q := range a.queueList {
 			if q.key.accelerators > 0 {
-				waiting[need{q.key.accelerators, q.key.span}] += q.n
-				weight += q.n * q.key.accelerators
+				waiting[demand{q.key.accelerators, q.key.span}] += q.length
+				weight += q.length * q.key.accelerators
 			}
 		}
 	}
 	lost := 0
 	for w, n := range waiting {
-		lost += n * w.accelerators * s.tooSmall(w)
+		lost += n * w.accelerators * s.unusableFree(w)
 	}
 	if weight == 0 {
 		return 0
@@ -87,11 +87,11 @@
 	return float64(lost) / float64(weight)
 }
 
-// tooSmall is the free accelerators in units of a span that have too few.
-func (s *Scheduler) tooSmall(w need) int {
+// unusableFree is the free accelerators in units of a span that have too few.
+func (s *Scheduler) unusableFree(w demand) int {
 	units := map[int32]int{}
 	for _, n := range s.nodes {
-		units[spanOf(n, w.span)] += n.idle()
+		units[unitOf(n, w.span)] += n.idle()
 	}
 	t := 0
 	for _, free := range units {
--- a/scheduler/submit.go
+++ b/scheduler/submit.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// maxFailedWorkers bounds the workers remembered per job.
-const maxFailedWorkers = 8
+// maxFailedNodes bounds the workers remembered per job.
+const maxFailedNodes = 8
 
 func (s *Scheduler) newJob(spec Job) *job {
 	s.seq++
-	j := &job{Job: spec, account: s.accountOf(spec.Account), last: spec.LastAttempt, seq: s.seq, delayed: -1}
+	j := &job{Job: spec, account: s.accountOf(spec.Account), lastAttempt: spec.LastAttempt, seq: s.seq, delayIndex: -1}
 	if j.Submitted.IsZero() {
 		j.Submitted = s.now
 	}
@@ -21,11 +21,11 @@
 		return
 	}
 	a := s.accounts[spec.Account]
-	if a == nil || !a.known {
+	if a == nil || !a.declared {
 		s.emit(RejectJob{spec.ID, RejectUnknownAccount, fmt.Sprintf("account %q is not in the policy", spec.Account)})
 		return
 	}
-	if !valid(&spec) {
+	if !validJob(&spec) {
 		s.emit(RejectJob{spec.ID, RejectInvalid, "a size is negative or the adjacency is unknown"})
 		return
 	}
@@ -36,7 +36,7 @@
 	s.enqueue(s.newJob(spec))
 }
 
-func valid(j *Job) bool {
+func validJob(j *Job) bool {
 	return j.Accelerators >= 0 && j.Cores >= 0 && j.MemoryMB >= 0 &&
 		j.Adjacency <= AdjacentWorker && j.Accelerators+j.Cores+j.MemoryMB > 0
 }
--- a/scheduler/topology.go
+++ b/scheduler/topology.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// forgetAfter is how long the record of a worker that is down is kept before a
+// forgetNodeAfter is how long the record of a worker that is down is kept before a
 // new worker may take its place in the tables.
-const forgetAfter = 10 * time.Minute
+const forgetNodeAfter = 10 * time.Minute
 
 func (s *Scheduler) indexes() [4]*index {
-	return [4]*index{&s.size, &s.open, &s.steady, &s.slack}
+	return [4]*index{&s.installed, &s.open, &s.unguaranteed, &s.bindable}
 }
 
-// refresh brings the indexes up to date with a node.
-func (s *Scheduler) refresh(n *node) {
+// refreshIndexes brings the indexes up to date with a node.
+func (s *Scheduler) refreshIndexes(n *node) {
 	slack, open := n.bindable(), n.open()
 	steady := min(open, n.slack())
-	if open > int(s.open.val[n.id]) || steady > int(s.steady.val[n.id]) {
-		s.grown++
+	if open > int(s.open.values[n.id]) || steady > int(s.unguaranteed.values[n.id]) {
+		s.capacityGen++
 	}
-	if slack > int(s.slack.val[n.id]) {
-		s.grown++
+	if slack > int(s.bindable.values[n.id]) {
+		s.capacityGen++
 	}
-	s.slack.set(n, slack)
+	s.bindable.set(n, slack)
 	s.open.set(n, open)
-	s.steady.set(n, steady)
+	s.unguaranteed.set(n, steady)
 }
 
-func (s *Scheduler) zoneOf(name string) int32 {
+func (s *Scheduler) zoneIndex(name string) int32 {
 	z, ok := s.zoneByID[name]
 	if !ok {
 		z = int32(len(s.zoneByID))
@@ -37,8 +37,8 @@
 	return z
 }
 
-func (s *Scheduler) rackOf(zone, name string) int32 {
-	z := s.zoneOf(zone)
+func (s *Scheduler) rackIndex(zone, name string) int32 {
+	z := s.zoneIndex(zone)
 	k := rackKey{zone, name}
 	r, ok := s.rackByID[k]
 	if !ok {
@@ -54,7 +54,7 @@
 // addNode returns the record for a worker that is not known, which is that of a
 // worker long gone if there is one.
 func (s *Scheduler) addNode(w Worker) *node {
-	if n := s.forget(); n != nil {
+	if n := s.reuseDownNode(); n != nil {
 		s.nodeByID[w.ID] = n
 		return n
 	}
@@ -68,19 +68,19 @@
 	return n
 }
 
-func (s *Scheduler) forget() *node {
-	for len(s.gone) > 0 {
-		n := s.gone[0]
+func (s *Scheduler) reuseDownNode() *node {
+	for len(s.downNodes) > 0 {
+		n := s.downNodes[0]
 		if n.up {
-			s.gone = s.gone[1:]
+			s.downNodes = s.downNodes[1:]
 			continue
 		}
-		if s.now.Sub(n.health.until) < forgetAfter || len(n.runs) > 0 || n.wait > 0 || n.claim > 0 {
+		if s.now.Sub(n.health.until) < forgetNodeAfter || len(n.runs) > 0 || n.reserved > 0 || n.claimed > 0 {
 			return nil
 		}
-		s.gone = s.gone[1:]
+		s.downNodes = s.downNodes[1:]
 		delete(s.nodeByID, n.ID)
-		s.size.set(n, 0)
+		s.installed.set(n, 0)
 		*n = node{id: n.id, zone: n.zone, rack: n.rack}
 		return n
 	}
@@ -96,55 +96,55 @@
 		return
 	}
 	if n.up && n.Worker != w {
-		s.vacate(n)
+		s.takeDown(n)
 	}
-	s.describe(n, w)
+	s.setWorker(n, w)
 	n.up = true
 	n.draining = false
-	s.shape++
-	s.refresh(n)
+	s.topologyGen++
+	s.refreshIndexes(n)
 	s.refreshCPU(n)
 }
 
-// describe puts the size and position of a worker in force. The node must not be
+// setWorker puts the size and position of a worker in force. The node must not be
 // usable yet, so that only its size is in an index.
-func (s *Scheduler) describe(n *node, w Worker) {
+func (s *Scheduler) setWorker(n *node, w Worker) {
 	for _, x := range s.indexes() {
 		x.set(n, 0)
 	}
-	s.cores -= n.cpuBudget(s.policy.CPUSharePercent)
+	s.cpuJobCores -= n.cpuBudget(s.policy.CPUSharePercent)
 	n.Worker = w
-	n.rack = s.rackOf(w.Zone, w.Rack)
-	n.zone = s.zoneOf(w.Zone)
-	s.cores += n.cpuBudget(s.policy.CPUSharePercent)
-	s.size.set(n, min(max(0, w.Accelerators), MaxWorkerAccelerators))
-	s.leastShare(n)
+	n.rack = s.rackIndex(w.Zone, w.Rack)
+	n.zone = s.zoneIndex(w.Zone)
+	s.cpuJobCores += n.cpuBudget(s.policy.CPUSharePercent)
+	s.installed.set(n, min(max(0, w.Accelerators), MaxWorkerAccelerators))
+	s.lowerMinShare(n)
 	s.recountCPU(n)
 }
 
-// vacate takes a node out of use: blocks and reservations move away, attempts
+// takeDown takes a node out of use: blocks and reservations move away, attempts
 // stay.
-func (s *Scheduler) vacate(n *node) {
+func (s *Scheduler) takeDown(n *node) {
 	n.up = false
-	s.leave(n)
+	s.dropPlansOn(n)
 }
 
-// leave gives up what is planned on a node that has just become unusable.
-func (s *Scheduler) leave(n *node) {
-	s.shrunk++
+// dropPlansOn gives up what is planned on a node that has just become unusable.
+func (s *Scheduler) dropPlansOn(n *node) {
+	s.shrinkGen++
 	for len(n.blocks) > 0 {
 		s.detach(n.blocks[0])
-		s.unpacked()
+		s.retryRepack()
 	}
 	for _, c := range append([]*claim(nil), s.claims...) {
-		if c.on(n.id) {
+		if c.includesNode(n.id) {
 			s.dropClaim(c)
 		}
 	}
-	if n.cpuFor != nil {
-		s.dropCPU(n.cpuFor)
+	if n.cpuReservedFor != nil {
+		s.dropCPUReservation(n.cpuReservedFor)
 	}
-	s.refresh(n)
+	s.refreshIndexes(n)
 	s.refreshCPU(n)
 }
 
@@ -154,7 +154,7 @@
 		return
 	}
 	n.draining = true
-	s.leave(n)
+	s.dropPlansOn(n)
 }
 
 // workerDown stops every gang that has a member on the worker: a gang never
@@ -164,9 +164,9 @@
 	if n == nil || !n.up {
 		return
 	}
-	s.vacate(n)
+	s.takeDown(n)
 	n.health.until = s.now
-	s.gone = append(s.gone, n)
+	s.downNodes = append(s.downNodes, n)
 	for _, r := range append([]*run(nil), n.runs...) {
 		s.stopRun(r, StopWorkerLost, false)
 	}
--- a/scheduler/under_reservation_test.go
+++ b/scheduler/under_reservation_test.go
@@ -35,7 +35,7 @@
 	b := newBench(t, Policy{Accounts: []AccountPolicy{{ID: "a"}, {ID: "b"}}}, eight(3)...)
 	b.submit(Job{ID: "saves", Account: "a", Accelerators: 16, Checkpointable: true, Estimate: time.Hour})
 	b.step(GangStarted{"saves", 1})
-	b.s.jobs["saves"].evictions = b.s.preemptMost()
+	b.s.jobs["saves"].evictions = b.s.maxPreemptions()
 	b.submit(Job{ID: "gang", Account: "b", Accelerators: 24, Submitted: b.now})
 	b.now = b.now.Add(2 * time.Second)
 	b.Assert(of[StopGang](b.step(Tick{})), qt.DeepEquals, []StopGang{{Job: "saves", Attempt: 1, Checkpoint: true, Reason: StopReclaim}})
--- a/scheduler/within_guarantee.go
+++ b/scheduler/within_guarantee.go
@@ -3,7 +3,7 @@
 // withinGuarantee reports whether a job that could be evicted is within the guarantee
 // of its account, together with all that the account runs beside its blocks.
 func (s *Scheduler) withinGuarantee(j *job) bool {
-	return j.borrows() && j.account.used+j.Accelerators <= j.account.room()
+	return j.mayBorrow() && j.account.usedOutsideBlocks+j.Accelerators <= j.account.unusedGuarantee()
 }
 
 // startWithinGuarantee starts a job that is within the guarantee of its account where
@@ -11,7 +11,7 @@
 // in a block of its account. As a borrower it would lose its work to a claim or a
 // reservation of another account while its own block is idle.
 func (s *Scheduler) startWithinGuarantee(j *job, k *queueKey) bool {
-	if at := s.avoiding(j, func() []piece { return s.find(&s.steady, k) }); at != nil {
+	if at := s.withoutFailedNodes(j, func() []allocation { return s.find(&s.unguaranteed, k) }); at != nil {
 		s.start(j, at, nil, true)
 		return true
 	}
@@ -19,18 +19,18 @@
 	if c == nil {
 		return false
 	}
-	s.useClaim(c)
+	s.applyClaim(c)
 	return true
 }
 
-// unprotectBorrowers makes borrowers of all attempts that could be evicted and run beside
+// unprotectRuns makes borrowers of all attempts that could be evicted and run beside
 // the blocks without being evictable. They stand in the way when workers fail or
 // a policy adds guarantees: a block that has no place goes first.
-func (s *Scheduler) unprotectBorrowers() bool {
+func (s *Scheduler) unprotectRuns() bool {
 	found := false
 	for _, n := range s.nodes {
 		for _, r := range n.runs {
-			if !r.protected || len(r.shares) > 0 || r.state == runStopping || !r.job.Job.borrows() {
+			if !r.protected || len(r.blockUses) > 0 || r.state == runStopping || !r.job.Job.mayBorrow() {
 				continue
 			}
 			s.unprotect(r)
@@ -40,29 +40,29 @@
 	return found
 }
 
-// owes reports whether an account misses a block that has no place: it does not
+// missesGuarantee reports whether an account misses a block that has no place: it does not
 // run jobs of that size on what its blocks were bound to.
-func (s *Scheduler) owes() bool {
+func (s *Scheduler) missesGuarantee() bool {
 	missing := map[*account]int{}
 	for _, b := range s.unbound {
 		missing[b.account] += b.shape.Accelerators
 	}
 	for a, n := range missing {
-		if n > s.beyond(a) {
+		if n > s.oversizedUse(a) {
 			return true
 		}
 	}
 	return false
 }
 
-// beyond is the size of the jobs of an account that are larger than its blocks and
+// oversizedUse is the size of the jobs of an account that are larger than its blocks and
 // may use what these are bound to.
-func (s *Scheduler) beyond(a *account) int {
+func (s *Scheduler) oversizedUse(a *account) int {
 	t := 0
 	for _, n := range s.nodes {
 		for _, r := range n.runs {
-			if r.job.account == a && r.protected && len(r.shares) == 0 && r.job.beyondBlocks() != nil {
-				t += r.on(n.id)
+			if r.job.account == a && r.protected && len(r.blockUses) == 0 && r.job.oversizedAccount() != nil {
+				t += r.acceleratorsOn(n.id)
 			}
 		}
 	}
@@ -71,10 +71,10 @@
 
 func (s *Scheduler) unprotect(r *run) {
 	r.protected = false
-	for _, p := range r.pieces {
+	for _, p := range r.held {
 		n := s.nodes[p.node]
-		n.protected -= p.n
-		n.evictable += p.n
-		s.refresh(n)
+		n.protected -= p.count
+		n.evictable += p.count
+		s.refreshIndexes(n)
 	}
 }
--- a/scheduler/yield.go
+++ b/scheduler/yield.go
@@ -6,9 +6,9 @@
 // small one has waited for ReclaimAfter.
 func (s *Scheduler) claimsBefore(a, b *job) bool {
 	if a.Urgent != b.Urgent || s.aged(a) || s.aged(b) || a.Priority != b.Priority {
-		return s.before(a, b)
+		return s.precedesInAccount(a, b)
 	}
-	x, y := s.overdue(a), s.overdue(b)
+	x, y := s.yieldExpired(a), s.yieldExpired(b)
 	if x != y {
 		return x
 	}
@@ -18,43 +18,43 @@
 	return a.seq < b.seq
 }
 
-// overdue reports whether a job need no longer leave its account's blocks to
+// yieldExpired reports whether a job need no longer leave its account's blocks to
 // larger jobs.
-func (s *Scheduler) overdue(j *job) bool {
+func (s *Scheduler) yieldExpired(j *job) bool {
 	return s.now.Sub(j.Submitted) >= s.policy.ReclaimAfter
 }
 
-// yields reports whether a job does not use a block yet, because a larger job of
+// yieldsBlock reports whether a job does not use a block yet, because a larger job of
 // the same account waits, goes first and could use it, or because the account
 // already runs as much beside its blocks as they have room for. Urgent jobs and
 // those as large as the block yield to none.
-func (s *Scheduler) yields(j *job, k *queueKey, b *block) bool {
-	if k.urgent || k.accelerators >= b.shape.Accelerators || s.overdue(j) {
+func (s *Scheduler) yieldsBlock(j *job, k *queueKey, b *block) bool {
+	if k.urgent || k.accelerators >= b.shape.Accelerators || s.yieldExpired(j) {
 		return false
 	}
-	if a := j.account; a.used+k.accelerators > a.room() {
+	if a := j.account; a.usedOutsideBlocks+k.accelerators > a.unusedGuarantee() {
 		return true
 	}
-	for _, q := range j.account.order {
+	for _, q := range j.account.queueList {
 		if q.key.accelerators <= k.accelerators {
 			continue
 		}
-		x := s.claimHead(q)
-		if x != nil && s.claimsBefore(x, j) && s.serves(b, &q.key, afterOpen) {
+		x := s.firstUnclaimed(q)
+		if x != nil && s.claimsBefore(x, j) && s.fitsBlock(b, &q.key, afterOpen) {
 			return true
 		}
 	}
 	return false
 }
 
-// urgentWaits reports whether an urgent job of the same account waits that could
+// urgentJobWaits reports whether an urgent job of the same account waits that could
 // use a block. It may still find open capacity, and the block is claimed after.
-func (s *Scheduler) urgentWaits(j *job, b *block) bool {
+func (s *Scheduler) urgentJobWaits(j *job, b *block) bool {
 	if j.Urgent {
 		return false
 	}
-	for _, q := range j.account.order {
-		if q.key.urgent && q.key.accelerators > 0 && s.claimHead(q) != nil && s.serves(b, &q.key, afterOpen) {
+	for _, q := range j.account.queueList {
+		if q.key.urgent && q.key.accelerators > 0 && s.firstUnclaimed(q) != nil && s.fitsBlock(b, &q.key, afterOpen) {
 			return true
 		}
 	}
