--- a/scheduler/baseline_test.go
+++ b/scheduler/baseline_test.go
@@ -15,38 +15,38 @@
 // its shapes has the youngest borrowers evicted until the sum is free.
 type baseline struct {
 	strict bool
-	// parted keeps guarantees the simple way: workers of its own for each
+	// partitioned keeps guarantees the simple way: workers of its own for each
 	// shape, which stay idle while their account does not use them.
-	parted  bool
-	policy  Policy      // whose workers have not been set aside yet
-	own     []AccountID // account that a worker is set aside for
-	kept    []int       // accelerators of it set aside
-	inside  []int       // of these, in use
-	workers []Worker
-	used    []uint64
-	busy    []int
-	queue   []*baseJob
-	jobs    map[JobID]*baseJob
-	at      map[WorkerID]int
-	sums    map[AccountID]int
-	use     map[AccountID]int
-	order   int
+	partitioned    bool
+	policy         Policy      // whose workers have not been set aside yet
+	partitionOwner []AccountID // account that a worker is set aside for
+	partitionSize  []int       // accelerators of it set aside
+	partitionUsed  []int       // of these, in use
+	workers        []Worker
+	usedMasks      []uint64
+	busy           []int
+	queue          []*baselineJob
+	jobs           map[JobID]*baselineJob
+	indexByWorker  map[WorkerID]int
+	guaranteedSums map[AccountID]int
+	usedByAccount  map[AccountID]int
+	startCount     int
 }
 
-type baseJob struct {
+type baselineJob struct {
 	Job
-	attempt   Attempt
-	on        []allocation
-	masks     []uint64
-	within    []int // of each piece, what is in the part of the account
-	running   bool
-	stopping  bool
-	cancelled bool
-	started   int // order of starts
+	attempt     Attempt
+	place       []allocation
+	masks       []uint64
+	inPartition []int // of each piece, what is in the part of the account
+	running     bool
+	stopping    bool
+	cancelled   bool
+	started     int // order of starts
 }
 
 func newBaseline(strict bool) *baseline {
-	return &baseline{strict: strict, jobs: map[JobID]*baseJob{}, at: map[WorkerID]int{}, sums: map[AccountID]int{}, use: map[AccountID]int{}}
+	return &baseline{strict: strict, jobs: map[JobID]*baselineJob{}, indexByWorker: map[WorkerID]int{}, guaranteedSums: map[AccountID]int{}, usedByAccount: map[AccountID]int{}}
 }
 
 func (b *baseline) Step(now time.Time, ev Event) []Action {
@@ -58,10 +58,10 @@
 	for _, e := range evs {
 		switch e := e.(type) {
 		case WorkerUp:
-			b.at[e.Worker.ID] = len(b.workers)
+			b.indexByWorker[e.Worker.ID] = len(b.workers)
 			b.workers = append(b.workers, e.Worker)
-			b.used, b.busy = append(b.used, 0), append(b.busy, 0)
-			b.own, b.kept, b.inside = append(b.own, ""), append(b.kept, 0), append(b.inside, 0)
+			b.usedMasks, b.busy = append(b.usedMasks, 0), append(b.busy, 0)
+			b.partitionOwner, b.partitionSize, b.partitionUsed = append(b.partitionOwner, ""), append(b.partitionSize, 0), append(b.partitionUsed, 0)
 		case PolicyChanged:
 			b.policy = e.Policy
 		case JobsSubmitted:
@@ -73,20 +73,20 @@
 				out = append(out, b.cancel(id)...)
 			}
 		case GangEnded:
-			out = append(out, b.ended(e)...)
+			out = append(out, b.gangEnded(e)...)
 		}
 	}
-	b.guarantee()
-	return append(out, b.decide()...)
+	b.applyPolicy()
+	return append(out, b.startQueued()...)
 }
 
-// guarantee puts the policy of a batch in force once the workers of the batch
+// applyPolicy puts the policy of a batch in force once the workers of the batch
 // are known, since the driver sends the policy first.
-func (b *baseline) guarantee() {
+func (b *baseline) applyPolicy() {
 	for _, a := range b.policy.Accounts {
 		for _, g := range a.Guaranteed {
-			b.sums[a.ID] += g.Accelerators * g.Count
-			b.part(a.ID, g)
+			b.guaranteedSums[a.ID] += g.Accelerators * g.Count
+			b.partition(a.ID, g)
 		}
 	}
 	b.policy = Policy{}
@@ -100,7 +100,7 @@
 	if j.Accelerators > total {
 		return []Action{RejectJob{Job: j.ID, Reason: RejectTooLarge}}
 	}
-	b.jobs[j.ID] = &baseJob{Job: j}
+	b.jobs[j.ID] = &baselineJob{Job: j}
 	b.queue = append(b.queue, b.jobs[j.ID])
 	return nil
 }
@@ -116,19 +116,19 @@
 		return []Action{StopGang{Job: id, Attempt: j.attempt, Reason: StopCancelled}}
 	}
 	delete(b.jobs, id)
-	b.queue = slices.DeleteFunc(b.queue, func(x *baseJob) bool { return x == j })
+	b.queue = slices.DeleteFunc(b.queue, func(x *baselineJob) bool { return x == j })
 	return []Action{RejectJob{Job: id, Reason: RejectCancelled}}
 }
 
-func (b *baseline) ended(e GangEnded) []Action {
+func (b *baseline) gangEnded(e GangEnded) []Action {
 	j := b.jobs[e.Job]
-	for i, p := range j.on {
-		b.used[p.node] &^= j.masks[i]
-		b.inside[p.node] -= j.within[i]
+	for i, p := range j.place {
+		b.usedMasks[p.node] &^= j.masks[i]
+		b.partitionUsed[p.node] -= j.inPartition[i]
 		b.busy[p.node] -= p.count
 	}
-	b.use[j.Account] -= j.Accelerators
-	j.on, j.masks, j.within, j.running, j.stopping = nil, nil, nil, false, false
+	b.usedByAccount[j.Account] -= j.Accelerators
+	j.place, j.masks, j.inPartition, j.running, j.stopping = nil, nil, nil, false, false
 	if e.Outcome == Done || j.cancelled {
 		delete(b.jobs, e.Job)
 		return []Action{RejectJob{Job: e.Job, Reason: RejectCancelled}}
@@ -137,19 +137,19 @@
 	return nil
 }
 
-func (b *baseline) decide() []Action {
+func (b *baseline) startQueued() []Action {
 	var out []Action
 	failed := map[queueKey]bool{}
 	kept := b.queue[:0]
 	for i, j := range b.queue {
 		k := keyOf(&j.Job)
 		k.class = ""
-		if b.parted {
+		if b.partitioned {
 			k.class = string(j.Account)
 		}
 		at := []allocation(nil)
 		if !failed[k] {
-			at = b.scan(j.Account, j.Accelerators, j.Adjacency)
+			at = b.firstFit(j.Account, j.Accelerators, j.Adjacency)
 		}
 		if at == nil {
 			failed[k] = true
@@ -167,8 +167,8 @@
 	return out
 }
 
-// scan takes the first workers in order that have room within one span.
-func (b *baseline) scan(a AccountID, need int, span Adjacency) []allocation {
+// firstFit takes the first workers in order that have room within one span.
+func (b *baseline) firstFit(a AccountID, need int, span Adjacency) []allocation {
 	have := map[string]int{}
 	name := func(w *Worker) string {
 		switch span {
@@ -183,23 +183,23 @@
 	}
 	for i := range b.workers {
 		w := &b.workers[i]
-		free := b.room(i, a)
+		free := b.freeFor(i, a)
 		if free <= 0 {
 			continue
 		}
 		n := name(w)
 		if have[n] += free; have[n] >= need {
-			return b.take(a, need, n, name)
+			return b.takeInUnit(a, need, n, name)
 		}
 	}
 	return nil
 }
 
-func (b *baseline) take(a AccountID, need int, in string, name func(*Worker) string) []allocation {
+func (b *baseline) takeInUnit(a AccountID, need int, in string, name func(*Worker) string) []allocation {
 	var out []allocation
 	for i := range b.workers {
 		w := &b.workers[i]
-		k := min(need, b.room(i, a))
+		k := min(need, b.freeFor(i, a))
 		if k > 0 && name(w) == in {
 			out = append(out, allocation{nodeID(i), k})
 			if need -= k; need == 0 {
@@ -210,29 +210,29 @@
 	return out
 }
 
-func (b *baseline) start(j *baseJob, at []allocation) Action {
-	b.order++
+func (b *baseline) start(j *baselineJob, at []allocation) Action {
+	b.startCount++
 	j.attempt++
-	j.on, j.running, j.started = at, true, b.order
-	b.use[j.Account] += j.Accelerators
+	j.place, j.running, j.started = at, true, b.startCount
+	b.usedByAccount[j.Account] += j.Accelerators
 	place := make(Placement, len(at))
 	for i, p := range at {
 		var mask uint64
 		for bit, n := 0, 0; n < p.count; bit++ {
-			if b.used[p.node]&(1<<bit) == 0 {
+			if b.usedMasks[p.node]&(1<<bit) == 0 {
 				mask |= 1 << bit
 				n++
 			}
 		}
 		j.masks = append(j.masks, mask)
-		b.used[p.node] |= mask
+		b.usedMasks[p.node] |= mask
 		b.busy[p.node] += p.count
 		in := 0
-		if b.own[p.node] == j.Account {
-			in = min(p.count, b.kept[p.node]-b.inside[p.node])
+		if b.partitionOwner[p.node] == j.Account {
+			in = min(p.count, b.partitionSize[p.node]-b.partitionUsed[p.node])
 		}
-		b.inside[p.node] += in
-		j.within = append(j.within, in)
+		b.partitionUsed[p.node] += in
+		j.inPartition = append(j.inPartition, in)
 		place[i] = Grant{b.workers[p.node].ID, lowestBits(mask, p.count)}
 	}
 	return StartGang{j.ID, j.attempt, place}
@@ -240,8 +240,8 @@
 
 // reclaim evicts the youngest borrowers until the sum that is free, or being
 // freed, would hold the job.
-func (b *baseline) reclaim(j *baseJob) []Action {
-	if b.parted || b.sums[j.Account] == 0 || b.use[j.Account]+j.Accelerators > b.sums[j.Account] {
+func (b *baseline) reclaim(j *baselineJob) []Action {
+	if b.partitioned || b.guaranteedSums[j.Account] == 0 || b.usedByAccount[j.Account]+j.Accelerators > b.guaranteedSums[j.Account] {
 		return nil
 	}
 	coming := 0
@@ -255,7 +255,7 @@
 		}
 	}
 	for coming < j.Accelerators {
-		y := b.youngest(j.Account)
+		y := b.youngestBorrower(j.Account)
 		if y == nil {
 			return out
 		}
@@ -266,10 +266,10 @@
 	return out
 }
 
-func (b *baseline) youngest(but AccountID) *baseJob {
-	var best *baseJob
+func (b *baseline) youngestBorrower(but AccountID) *baselineJob {
+	var best *baselineJob
 	for _, x := range b.jobs {
-		over := b.use[x.Account] > b.sums[x.Account]
+		over := b.usedByAccount[x.Account] > b.guaranteedSums[x.Account]
 		if x.running && !x.stopping && over && x.Account != but && x.Evictable() && (best == nil || x.started > best.started) {
 			best = x
 		}
@@ -277,36 +277,36 @@
 	return best
 }
 
-// part sets workers aside for a shape, from the last one down so that racks stay
+// partition sets workers aside for a shape, from the last one down so that racks stay
 // together.
-func (b *baseline) part(a AccountID, g Shape) {
-	if !b.parted {
+func (b *baseline) partition(a AccountID, g Shape) {
+	if !b.partitioned {
 		return
 	}
 	for need, i := g.Accelerators*g.Count, len(b.workers)-1; need > 0 && i >= 0; i-- {
-		if b.kept[i] > 0 {
+		if b.partitionSize[i] > 0 {
 			continue
 		}
-		b.own[i], b.kept[i] = a, min(need, b.workers[i].Accelerators)
-		need -= b.kept[i]
+		b.partitionOwner[i], b.partitionSize[i] = a, min(need, b.workers[i].Accelerators)
+		need -= b.partitionSize[i]
 	}
 }
 
-// room is what an account may still use of a worker.
-func (b *baseline) room(i int, a AccountID) int {
+// freeFor is what an account may still use of a worker.
+func (b *baseline) freeFor(i int, a AccountID) int {
 	free := b.workers[i].Accelerators - b.busy[i]
-	if b.own[i] != a {
-		free -= b.kept[i] - b.inside[i]
+	if b.partitionOwner[i] != a {
+		free -= b.partitionSize[i] - b.partitionUsed[i]
 	}
 	return free
 }
 
-func TestOwnWorkersAreSetAside(t *testing.T) {
+func TestBaselinePartitionsWorkers(t *testing.T) {
 	// The report says that workers of their own serve gangs better than guarantees
 	// on demand. The driver sends the policy before the workers, so no worker was set
 	// aside, and what was measured was first fit without any guarantee.
 	p := newBaseline(false)
-	p.parted = true
-	newDriver(p, tidewater().workers, Policy{Accounts: tidewater().accounts}, nil, time.Hour)
-	qt.Assert(t, p.kept, qt.DeepEquals, []int{0, 0, 0, 0, 0, 2, 8, 8, 8, 8, 8})
+	p.partitioned = true
+	newSimulator(p, tidewater().workers, Policy{Accounts: tidewater().accounts}, nil, time.Hour)
+	qt.Assert(t, p.partitionSize, qt.DeepEquals, []int{0, 0, 0, 0, 0, 2, 8, 8, 8, 8, 8})
 }
--- a/scheduler/claim_test.go
+++ b/scheduler/claim_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// borrowed returns a scheduler whose site is full of borrowers of one account
+// siteFullOfBorrowers returns a scheduler whose site is full of borrowers of one account
 // without guarantees, started one after the other, some with checkpoints.
-func borrowed(site site, seed uint64) (*Scheduler, time.Time) {
+func siteFullOfBorrowers(site site, seed uint64) (*Scheduler, time.Time) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	now := time.Unix(1e9, 0)
 	s := New(Options{Start: now})
@@ -35,10 +35,10 @@
 	return s, now.Add(time.Minute)
 }
 
-// youngest is what evicting the youngest borrowers until every guaranteed shape
+// evictYoungest is what evicting the evictYoungest borrowers until every guaranteed shape
 // fits as a block would lose, and whether the shapes would have fitted when as
 // many accelerators were free in sum.
-func youngest(s *Scheduler, accounts []AccountPolicy) (lost float64, sumsHonoured int) {
+func evictYoungest(s *Scheduler, accounts []AccountPolicy) (lost float64, sumsHonoured int) {
 	free := index{}
 	free.installed = &free
 	for range s.open.zones {
@@ -90,10 +90,10 @@
 	return lost, sumsHonoured
 }
 
-// claimEverything claims every guaranteed shape at once and stops what is asked
+// claimAllShapes claims every guaranteed shape at once and stops what is asked
 // to stop. It returns how many claims there were, how many started, and the work
 // that was lost.
-func claimEverything(s *Scheduler, now time.Time, accounts []AccountPolicy) (claims, started int, lost float64) {
+func claimAllShapes(s *Scheduler, now time.Time, accounts []AccountPolicy) (claims, started int, lost float64) {
 	var jobs []Job
 	for _, a := range accounts {
 		for _, g := range a.Guaranteed {
@@ -128,27 +128,27 @@
 }
 
 func BenchmarkReclaim(b *testing.B) {
-	for _, site := range []site{tidewater(), hundreds()} {
-		b.Run(site.name+"/all", func(b *testing.B) { reclaim(b, site, site.accounts) })
+	for _, site := range []site{tidewater(), mediumSite()} {
+		b.Run(site.name+"/all", func(b *testing.B) { benchmarkReclaim(b, site, site.accounts) })
 		b.Run(site.name+"/one", func(b *testing.B) {
 			one := site.accounts[0]
 			one.Guaranteed = []Shape{{8, AdjacentWorker, 1}}
-			reclaim(b, site, []AccountPolicy{one})
+			benchmarkReclaim(b, site, []AccountPolicy{one})
 		})
 	}
 }
 
-// reclaim has accounts claim their shapes at once, on 20 sites full of borrowers.
-func reclaim(b *testing.B, site site, accounts []AccountPolicy) {
+// benchmarkReclaim has accounts claim their shapes at once, on 20 sites full of borrowers.
+func benchmarkReclaim(b *testing.B, site site, accounts []AccountPolicy) {
 	var claims, started, sums int
 	var ours, theirs float64
 	for seed := range uint64(20) {
-		s, now := borrowed(site, seed)
+		s, now := siteFullOfBorrowers(site, seed)
 		s.Step(now, Tick{})
-		lost, honoured := youngest(s, accounts)
+		lost, honoured := evictYoungest(s, accounts)
 		theirs += lost
 		sums += honoured
-		n, ok, mine := claimEverything(s, now, accounts)
+		n, ok, mine := claimAllShapes(s, now, accounts)
 		claims, started, ours = claims+n, started+ok, ours+mine
 	}
 	b.Logf("%d claims: honoured %d, by sums alone %d; work lost %.0f, evicting the youngest %.0f accelerator seconds", claims, started, sums, ours, theirs)
@@ -156,9 +156,9 @@
 	b.ReportMetric(float64(started)/float64(claims), "honoured")
 }
 
-// hundreds is a site of 500 workers with a third of its capacity guaranteed.
-func hundreds() site {
-	s := twoYears()
+// mediumSite is a site of 500 workers with a third of its capacity guaranteed.
+func mediumSite() site {
+	s := largeSite()
 	s.name = "500 workers"
 	s.workers = nil
 	for i := range 500 {
@@ -171,11 +171,11 @@
 	return s
 }
 
-// BenchmarkPlace256 compares a search through the indexes with a scan of all
+// BenchmarkPlaceLargeGang compares a search through the indexes with a scan of all
 // workers, for a gang of 256 on a busy site of growing size.
-func BenchmarkPlace256(b *testing.B) {
+func BenchmarkPlaceLargeGang(b *testing.B) {
 	for _, workers := range []int{2_125, 4_250, 8_500, 17_000} {
-		site := twoYears()
+		site := largeSite()
 		site.workers = site.workers[:workers]
 		rng := rand.New(rand.NewPCG(1, 1))
 		s := New(Options{})
@@ -199,7 +199,7 @@
 			})
 			b.Run(fmt.Sprintf("scan/%s/%d", span, workers), func(b *testing.B) {
 				for b.Loop() {
-					if base.scanAll(256, span) == nil {
+					if base.bestFit(256, span) == nil {
 						b.Fatal("no place")
 					}
 				}
@@ -208,9 +208,9 @@
 	}
 }
 
-// scanAll is the scan with the best fit that the indexes also find: it looks at
+// bestFit is the scan with the best fit that the indexes also find: it looks at
 // every worker before it takes any.
-func (b *baseline) scanAll(need int, span Adjacency) []allocation {
+func (b *baseline) bestFit(need int, span Adjacency) []allocation {
 	var sums [8]int
 	at := func(w *Worker) int {
 		if span == AdjacentAny {
--- a/scheduler/explain_test.go
+++ b/scheduler/explain_test.go
@@ -8,21 +8,21 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// explained counts what a randomised run was told, by reason.
-type explained map[WaitReason]int
+// reasonCounts counts what a randomised run was told, by reason.
+type reasonCounts map[WaitReason]int
 
-// TestExplanationsHoldAgainstDecisions: an operator acts at night on "fits now" or
+// TestExplanationsMatchDecisions: an operator acts at night on "fits now" or
 // on "no place". Each is held against what the scheduler does next and against a
 // search of every worker that shares no code with the scheduler's indexes.
-func TestExplanationsHoldAgainstDecisions(t *testing.T) {
-	told := explained{}
+func TestExplanationsMatchDecisions(t *testing.T) {
+	told := reasonCounts{}
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
-			m := newAgents(t, seed+100, 8+int(seed)*3)
+			m := newModel(t, seed+100, 8+int(seed)*3)
 			for range 400 {
-				m.random()
+				m.randomEvent()
 				m.checkExplanations(told)
-				m.submitExplained(told)
+				m.submitAndExplain(told)
 			}
 		})
 	}
@@ -35,24 +35,24 @@
 	}
 }
 
-// submitExplained gives the scheduler a job, asks before the decision, and then
+// submitAndExplain gives the scheduler a job, asks before the decision, and then
 // lets it decide.
-func (m *agents) submitExplained(told explained) {
+func (m *model) submitAndExplain(told reasonCounts) {
 	if m.rng.IntN(3) > 0 {
 		return
 	}
 	j := m.newJob()
 	m.s.apply(JobsSubmitted{[]Job{j}})
 	if m.s.jobs[j.ID] == nil {
-		m.end(j.ID) // the queue of its account is full
+		m.endJob(j.ID) // the queue of its account is full
 		return
 	}
-	m.checkPromises(told)
+	m.checkPredictions(told)
 }
 
 // checkExplanations holds every explanation against the truth.
-func (m *agents) checkExplanations(told explained) {
-	open, whole := m.bruteOpen(false), m.bruteOpen(true)
+func (m *model) checkExplanations(told reasonCounts) {
+	open, whole := m.recountOpen(false), m.recountOpen(true)
 	for _, id := range m.order {
 		e, ok := m.s.Explain(id)
 		if !ok {
@@ -61,11 +61,11 @@
 		told[e.Reason]++
 		m.checkExplanation(m.jobs[id], e, open, whole)
 	}
-	m.checkPromises(told)
+	m.checkPredictions(told)
 }
 
-// checkPromises holds what is said to start against the next decision.
-func (m *agents) checkPromises(told explained) {
+// checkPredictions holds what is said to start against the next decision.
+func (m *model) checkPredictions(told reasonCounts) {
 	var promised, denied []JobID
 	// A block without a place takes what is reserved before the queue is looked at.
 	binds := m.s.bindsNext()
@@ -98,7 +98,7 @@
 	}
 }
 
-func (m *agents) checkExplanation(j *modelJob, e Explanation, open, whole map[WorkerID]int) {
+func (m *model) checkExplanation(j *modelJob, e Explanation, open, whole map[WorkerID]int) {
 	fail := func(why string) { m.fatalf("job %q is said to wait by %+v: %s", j.ID, e, why) }
 	if (e.Reason == WaitNone) != (j.place != nil) {
 		fail("it has an attempt or not")
@@ -106,7 +106,7 @@
 	x := m.s.jobs[j.ID]
 	switch e.Reason {
 	case WaitNoPlace, WaitNoCapacity, WaitOverShare:
-		if m.bruteFits(j, open, nil) {
+		if m.fitsBySearch(j, open, nil) {
 			fail("there is a place")
 		}
 		if (e.Free >= j.Accelerators) != (m.total(open) >= j.Accelerators) {
@@ -120,15 +120,15 @@
 			fail("its queue was tried and is not tried again")
 		}
 	case WaitReservations:
-		if m.bruteFits(j, open, nil) || !m.bruteFits(j, whole, nil) {
+		if m.fitsBySearch(j, open, nil) || !m.fitsBySearch(j, whole, nil) {
 			fail("a place with or without reservations")
 		}
 	case WaitFailedWorkers:
-		if !m.bruteFits(j, open, nil) || m.bruteFits(j, open, x.failedNodes) {
+		if !m.fitsBySearch(j, open, nil) || m.fitsBySearch(j, open, x.failedNodes) {
 			fail("a place with or without the workers it failed on")
 		}
 	case WaitGuaranteed:
-		if x.mayBorrow() || !m.bruteFits(j, open, nil) {
+		if x.mayBorrow() || !m.fitsBySearch(j, open, nil) {
 			fail("a place that is bound to a guarantee")
 		}
 	case WaitReclaim:
@@ -144,16 +144,16 @@
 			fail("its delay")
 		}
 	case WaitDegraded:
-		if len(m.deg) == 0 {
+		if len(m.degraded) == 0 {
 			fail("no guarantee is degraded")
 		}
 	}
 }
 
-// bruteOpen is what any job could take of each worker, counted from attempts and
+// recountOpen is what any job could take of each worker, counted from attempts and
 // claims one by one; with reservations as if they were not there. An attempt holds
 // more than it was granted where it needs more cores or memory than its share.
-func (m *agents) bruteOpen(reservations bool) map[WorkerID]int {
+func (m *model) recountOpen(reservations bool) map[WorkerID]int {
 	held, coming, claimed, reserved := map[nodeID]int{}, map[nodeID]int{}, map[nodeID]int{}, map[nodeID]int{}
 	for _, j := range m.s.jobs {
 		if j.run == nil {
@@ -187,7 +187,7 @@
 	return free
 }
 
-func (m *agents) total(free map[WorkerID]int) int {
+func (m *model) total(free map[WorkerID]int) int {
 	t := 0
 	for _, n := range free {
 		t += n
@@ -195,8 +195,8 @@
 	return t
 }
 
-// bruteFits reports whether one unit of the span of a job holds it.
-func (m *agents) bruteFits(j *modelJob, free map[WorkerID]int, except []nodeID) bool {
+// fitsBySearch reports whether one unit of the span of a job holds it.
+func (m *model) fitsBySearch(j *modelJob, free map[WorkerID]int, except []nodeID) bool {
 	units := map[string]int{}
 	for id, n := range free {
 		skip := false
@@ -205,7 +205,7 @@
 		}
 		w := m.workers[id]
 		span := [...]string{"", w.Zone, w.Zone + "/" + w.Rack, string(id)}[j.Adjacency]
-		if u := bruteUnits(j, w); !skip && u <= w.Accelerators {
+		if u := searchFootprint(j, w); !skip && u <= w.Accelerators {
 			units[span] += n / u
 		}
 	}
@@ -217,9 +217,9 @@
 	return false
 }
 
-// bruteUnits is how many accelerators of a worker one of the job takes up. A
+// searchFootprint is how many accelerators of a worker one of the job takes up. A
 // quarter of cores and memory is kept for jobs without accelerators.
-func bruteUnits(j *modelJob, w Worker) int {
+func searchFootprint(j *modelJob, w Worker) int {
 	u := 1
 	for u <= w.Accelerators && (j.Cores > (w.Cores-w.Cores/4)/w.Accelerators*u || j.MemoryMB > (w.MemoryMB-w.MemoryMB/4)/w.Accelerators*u) {
 		u++
@@ -229,10 +229,10 @@
 
 // A job that waits behind another account's is told which one and why: the other
 // account uses less of what it is not guaranteed.
-func TestOverShareNamesWhoGoesFirst(t *testing.T) {
+func TestOverShareNamesFirstJob(t *testing.T) {
 	c := qt.New(t)
 	p := Policy{Generation: 1, Accounts: []AccountPolicy{{ID: "heavy"}, {ID: "light"}}}
-	b := newBench(t, p, eight(1)...)
+	b := newHarness(t, p, eightAcceleratorWorkers(1)...)
 	b.submit(Job{ID: "runs", Account: "heavy", Accelerators: 8, Repeatable: true})
 	b.submit(Job{ID: "more", Account: "heavy", Accelerators: 4, Repeatable: true})
 	b.submit(Job{ID: "other", Account: "light", Accelerators: 4, Repeatable: true})
@@ -248,7 +248,7 @@
 
 // Right after a takeover a large job finds too few workers. It isn't impossible:
 // the others are still announcing themselves.
-func TestSettlingIsNotImpossible(t *testing.T) {
+func TestLargeJobIsSettlingNotImpossible(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(1e6, 0)
 	s := New(Options{Start: at, SettlingPeriod: 5 * time.Second})
@@ -256,7 +256,7 @@
 	s.Step(at, JobsSubmitted{[]Job{{ID: "j", Account: "a", Accelerators: 16, Repeatable: true}}})
 	e, _ := s.Explain("j")
 	c.Check(e.Reason, qt.Equals, WaitNoWorkers)
-	s.Step(at, WorkerUp{eight(1)[0]})
+	s.Step(at, WorkerUp{eightAcceleratorWorkers(1)[0]})
 	e, _ = s.Explain("j")
 	c.Check(e.Reason, qt.Equals, WaitSettling)
 	c.Check(e.Until, qt.Equals, at.Add(5*time.Second))
--- a/scheduler/machine_test.go
+++ b/scheduler/machine_test.go
@@ -16,22 +16,22 @@
 	longSeed  = flag.Uint64("scheduler.seed", 1, "seed of the long randomised run")
 )
 
-// agents is what the workers hold: the truth against which plans are checked.
-type agents struct {
-	t       testing.TB
-	s       *Scheduler
-	rng     *rand.Rand
-	now     time.Time
-	workers map[WorkerID]Worker
-	up      map[WorkerID]bool
-	ids     []WorkerID
-	holds   map[string]JobID // by worker and accelerator
-	jobs    map[JobID]*modelJob
-	order   []JobID // live jobs, oldest first
-	next    int
-	gen     uint64
-	deg     map[string]bool
-	ended   int
+// model is what the workers hold: the truth against which plans are checked.
+type model struct {
+	t          testing.TB
+	s          *Scheduler
+	rng        *rand.Rand
+	now        time.Time
+	workers    map[WorkerID]Worker
+	up         map[WorkerID]bool
+	ids        []WorkerID
+	holders    map[string]JobID // by worker and accelerator
+	jobs       map[JobID]*modelJob
+	order      []JobID // live jobs, oldest first
+	nextID     int
+	policyGen  uint64
+	degraded   map[string]bool
+	endedCount int
 }
 
 type modelJob struct {
@@ -42,11 +42,11 @@
 	stopping bool
 }
 
-func newAgents(t testing.TB, seed uint64, workers int) *agents {
-	m := &agents{
+func newModel(t testing.TB, seed uint64, workers int) *model {
+	m := &model{
 		t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1e6, 0),
-		workers: map[WorkerID]Worker{}, up: map[WorkerID]bool{}, holds: map[string]JobID{},
-		jobs: map[JobID]*modelJob{}, deg: map[string]bool{},
+		workers: map[WorkerID]Worker{}, up: map[WorkerID]bool{}, holders: map[string]JobID{},
+		jobs: map[JobID]*modelJob{}, degraded: map[string]bool{},
 	}
 	m.s = New(Options{Start: m.now})
 	var evs []Event
@@ -60,13 +60,13 @@
 		m.up[w.ID] = true
 		evs = append(evs, WorkerUp{w})
 	}
-	m.step(Batch{append(evs, m.policy(CompletionTime))})
+	m.step(Batch{append(evs, m.newPolicy(CompletionTime))})
 	return m
 }
 
-func (m *agents) policy(o Objective) Event {
-	m.gen++
-	p := Policy{Generation: m.gen, Objective: o, QuarantineFor: 5 * time.Second, Accounts: []AccountPolicy{
+func (m *model) newPolicy(o Objective) Event {
+	m.policyGen++
+	p := Policy{Generation: m.policyGen, Objective: o, QuarantineFor: 5 * time.Second, Accounts: []AccountPolicy{
 		{ID: "a", Weight: 2, Guaranteed: []Shape{{8, AdjacentWorker, 2}, {1, AdjacentAny, 1 + m.rng.IntN(3)}}},
 		{ID: "b", Guaranteed: []Shape{{12, AdjacentRack, 1}, {2, AdjacentWorker, 2}}},
 		{ID: "c", MaxQueued: 40},
@@ -75,11 +75,11 @@
 }
 
 // step runs one event and holds every action against the truth.
-func (m *agents) step(ev Event) {
+func (m *model) step(ev Event) {
 	for _, a := range m.s.Step(m.now, ev) {
 		switch a := a.(type) {
 		case StartGang:
-			m.start(a)
+			m.startJob(a)
 		case StopGang:
 			if j := m.jobs[a.Job]; j == nil || j.attempt != a.Attempt {
 				m.fatalf("stop of %v, which does not run", a)
@@ -89,11 +89,11 @@
 			}
 			m.jobs[a.Job].stopping = true
 		case RejectJob:
-			m.end(a.Job)
+			m.endJob(a.Job)
 		case GuaranteeDegraded:
-			m.deg[fmt.Sprint(a.Account, a.Shape.Accelerators, a.Shape.Adjacency)] = true
+			m.degraded[fmt.Sprint(a.Account, a.Shape.Accelerators, a.Shape.Adjacency)] = true
 		case GuaranteeRestored:
-			delete(m.deg, fmt.Sprint(a.Account, a.Shape.Accelerators, a.Shape.Adjacency))
+			delete(m.degraded, fmt.Sprint(a.Account, a.Shape.Accelerators, a.Shape.Adjacency))
 		}
 	}
 	if err := m.s.Check(); err != nil {
@@ -104,12 +104,12 @@
 	}
 }
 
-func (m *agents) fatalf(format string, args ...any) {
+func (m *model) fatalf(format string, args ...any) {
 	m.t.Helper()
 	m.t.Fatalf(format, args...)
 }
 
-func (m *agents) start(a StartGang) {
+func (m *model) startJob(a StartGang) {
 	j := m.jobs[a.Job]
 	if j == nil || j.attempt >= a.Attempt || j.place != nil {
 		m.fatalf("start of %v beside %+v", a, j)
@@ -128,10 +128,10 @@
 		}
 		for _, x := range g.Accelerators {
 			k := fmt.Sprint(g.Worker, "/", x)
-			if other, ok := m.holds[k]; ok || x >= m.workers[g.Worker].Accelerators {
+			if other, ok := m.holders[k]; ok || x >= m.workers[g.Worker].Accelerators {
 				m.fatalf("accelerator %s granted to %q and %q", k, a.Job, other)
 			}
-			m.holds[k] = a.Job
+			m.holders[k] = a.Job
 		}
 	}
 	if total != j.Accelerators {
@@ -139,16 +139,16 @@
 	}
 }
 
-func (m *agents) free(j *modelJob) {
+func (m *model) releaseJob(j *modelJob) {
 	for _, g := range j.place {
 		for _, x := range g.Accelerators {
-			delete(m.holds, fmt.Sprint(g.Worker, "/", x))
+			delete(m.holders, fmt.Sprint(g.Worker, "/", x))
 		}
 	}
 	j.place, j.running, j.stopping = nil, false, false
 }
 
-func (m *agents) end(id JobID) {
+func (m *model) endJob(id JobID) {
 	j := m.jobs[id]
 	if j == nil {
 		m.fatalf("job %q ended twice", id)
@@ -158,28 +158,28 @@
 	}
 	delete(m.jobs, id)
 	m.order = slices.DeleteFunc(m.order, func(x JobID) bool { return x == id })
-	m.ended++
+	m.endedCount++
 }
 
-func (m *agents) newJob() Job {
-	m.next++
+func (m *model) newJob() Job {
+	m.nextID++
 	j := Job{
-		ID: JobID(fmt.Sprint("j", m.next)), Account: AccountID("abc"[m.rng.IntN(3):][:1]), Class: fmt.Sprint(m.rng.IntN(4)),
+		ID: JobID(fmt.Sprint("j", m.nextID)), Account: AccountID("abc"[m.rng.IntN(3):][:1]), Class: fmt.Sprint(m.rng.IntN(4)),
 		Accelerators: []int{0, 1, 1, 2, 2, 4, 8, 8, 12, 20, 500}[m.rng.IntN(11)], Adjacency: Adjacency(m.rng.IntN(4)),
 		Urgent: m.rng.IntN(10) == 0, Repeatable: m.rng.IntN(3) > 0, Checkpointable: m.rng.IntN(2) > 0, NoBorrow: m.rng.IntN(4) == 0,
 		Cores: m.rng.IntN(6), MemoryMB: 1000, Estimate: time.Minute, Submitted: m.now,
 	}
-	m.know(j)
+	m.track(j)
 	return j
 }
 
-func (m *agents) know(j Job) {
+func (m *model) track(j Job) {
 	m.jobs[j.ID] = &modelJob{Job: j}
 	m.order = append(m.order, j.ID)
 }
 
-// pick returns a live job for which the filter holds, or nil.
-func (m *agents) pick(f func(*modelJob) bool) *modelJob {
+// pickJob returns a live job for which the filter holds, or nil.
+func (m *model) pickJob(f func(*modelJob) bool) *modelJob {
 	if len(m.order) == 0 {
 		return nil
 	}
@@ -192,22 +192,22 @@
 	return nil
 }
 
-func held1(j *modelJob) bool  { return j.place != nil }
-func stops(j *modelJob) bool  { return j.stopping }
-func runs(j *modelJob) bool   { return j.running && !j.stopping }
-func starts(j *modelJob) bool { return j.place != nil && !j.running && !j.stopping }
+func hasAttempt(j *modelJob) bool { return j.place != nil }
+func isStopping(j *modelJob) bool { return j.stopping }
+func isRunning(j *modelJob) bool  { return j.running && !j.stopping }
+func isStarting(j *modelJob) bool { return j.place != nil && !j.running && !j.stopping }
 
-// finish ends an attempt.
-func (m *agents) finish(j *modelJob, o Outcome) {
+// endAttempt ends an attempt.
+func (m *model) endAttempt(j *modelJob, o Outcome) {
 	id, attempt, worker := j.ID, j.attempt, j.place[m.rng.IntN(len(j.place))].Worker
-	m.free(j)
+	m.releaseJob(j)
 	if o == Done {
-		m.end(id)
+		m.endJob(id)
 	}
 	m.step(GangEnded{Job: id, Attempt: attempt, Outcome: o, Worker: worker})
 }
 
-func (m *agents) random() {
+func (m *model) randomEvent() {
 	m.now = m.now.Add(time.Duration(m.rng.IntN(3000)) * time.Millisecond)
 	id := m.ids[m.rng.IntN(len(m.ids))]
 	switch m.rng.IntN(17) {
@@ -218,48 +218,48 @@
 		}
 		m.step(JobsSubmitted{jobs})
 	case 3, 4, 5:
-		if j := m.pick(starts); j != nil {
+		if j := m.pickJob(isStarting); j != nil {
 			j.running = true
 			m.step(GangStarted{j.ID, j.attempt})
 		}
 	case 6, 7, 8:
-		if j := m.pick(runs); j != nil {
-			m.finish(j, Done)
+		if j := m.pickJob(isRunning); j != nil {
+			m.endAttempt(j, Done)
 		}
 	case 9:
-		if j := m.pick(held1); j != nil {
-			m.finish(j, []Outcome{Failed, Lost}[m.rng.IntN(2)])
+		if j := m.pickJob(hasAttempt); j != nil {
+			m.endAttempt(j, []Outcome{Failed, Lost}[m.rng.IntN(2)])
 		}
 	case 10, 11:
-		if j := m.pick(stops); j != nil {
-			m.finish(j, []Outcome{Stopped, Stopped, Done}[m.rng.IntN(3)])
+		if j := m.pickJob(isStopping); j != nil {
+			m.endAttempt(j, []Outcome{Stopped, Stopped, Done}[m.rng.IntN(3)])
 		}
 	case 12:
-		if j := m.pick(starts); j != nil {
+		if j := m.pickJob(isStarting); j != nil {
 			w := j.place[0].Worker
-			m.free(j)
+			m.releaseJob(j)
 			m.step(GangRefused{j.ID, j.attempt, w})
 		}
 	case 13:
 		var ids []JobID
 		for range 1 + m.rng.IntN(8) {
-			if j := m.pick(func(*modelJob) bool { return true }); j != nil {
+			if j := m.pickJob(func(*modelJob) bool { return true }); j != nil {
 				ids = append(ids, j.ID)
 			}
 		}
 		m.step(JobsCancelled{ids})
 	case 14:
-		m.worker(id)
+		m.changeWorker(id)
 	case 15:
-		if j := m.pick(runs); j != nil {
+		if j := m.pickJob(isRunning); j != nil {
 			m.step(CheckpointTaken{j.ID, m.now})
 		}
 	case 16:
-		m.rare()
+		m.rareEvent()
 	}
 }
 
-func (m *agents) worker(id WorkerID) {
+func (m *model) changeWorker(id WorkerID) {
 	switch {
 	case !m.up[id]:
 		m.up[id] = true
@@ -273,14 +273,14 @@
 	}
 }
 
-func (m *agents) rare() {
+func (m *model) rareEvent() {
 	switch m.rng.IntN(6) {
 	case 0:
-		m.step(m.policy(Objective(m.rng.IntN(2))))
+		m.step(m.newPolicy(Objective(m.rng.IntN(2))))
 	case 1:
 		m.takeover()
 	case 2:
-		m.claimAll()
+		m.claimAllGuarantees()
 	default:
 		m.step(Tick{})
 	}
@@ -288,10 +288,10 @@
 
 // takeover replaces the scheduler and rebuilds it from the job records and what
 // the agents report.
-func (m *agents) takeover() {
+func (m *model) takeover() {
 	m.s = New(Options{Start: m.now})
-	m.deg = map[string]bool{}
-	evs := []Event{m.policy(CompletionTime)}
+	m.degraded = map[string]bool{}
+	evs := []Event{m.newPolicy(CompletionTime)}
 	for _, id := range m.ids {
 		if m.up[id] {
 			evs = append(evs, WorkerUp{m.workers[id]})
@@ -311,10 +311,10 @@
 	m.step(Batch{append(evs, JobsSubmitted{waiting})})
 }
 
-// claimAll is the guarantee seen from outside: with every worker up and nobody
+// claimAllGuarantees is the guarantee seen from outside: with every worker up and nobody
 // else's work ending by itself, all accounts claim all their shapes at once, and
 // all must start as soon as evicted work has stopped.
-func (m *agents) claimAll() {
+func (m *model) claimAllGuarantees() {
 	for _, id := range m.ids {
 		if !m.up[id] {
 			m.up[id] = true
@@ -325,28 +325,28 @@
 		j := m.jobs[id]
 		return !slices.Contains([]AccountID{"a", "b"}, j.Account)
 	})})
-	m.drainStops()
-	if len(m.deg) > 0 || m.s.Stats().Quarantined > 0 {
+	m.finishStops()
+	if len(m.degraded) > 0 || m.s.Stats().Quarantined > 0 {
 		return
 	}
 	for i := range 6 {
-		j := Job{ID: JobID(fmt.Sprint("other", m.next, i)), Account: "c", Accelerators: 8 << (i % 2), Repeatable: true, Submitted: m.now}
-		m.know(j)
+		j := Job{ID: JobID(fmt.Sprint("other", m.nextID, i)), Account: "c", Accelerators: 8 << (i % 2), Repeatable: true, Submitted: m.now}
+		m.track(j)
 		m.step(JobsSubmitted{[]Job{j}})
 	}
 	var claims []Job
 	for _, a := range m.s.policy.Accounts {
 		for _, g := range a.Guaranteed {
 			for range g.Count {
-				m.next++
-				j := Job{ID: JobID(fmt.Sprint("claim", m.next)), Account: a.ID, Accelerators: g.Accelerators, Adjacency: g.Adjacency, Submitted: m.now}
-				m.know(j)
+				m.nextID++
+				j := Job{ID: JobID(fmt.Sprint("claim", m.nextID)), Account: a.ID, Accelerators: g.Accelerators, Adjacency: g.Adjacency, Submitted: m.now}
+				m.track(j)
 				claims = append(claims, j)
 			}
 		}
 	}
 	m.step(JobsSubmitted{claims})
-	m.drainStops()
+	m.finishStops()
 	for _, j := range claims {
 		if m.jobs[j.ID].place == nil {
 			m.fatalf("guaranteed shape of account %q, %d within one %s, was not reclaimed", j.Account, j.Accelerators, j.Adjacency)
@@ -354,20 +354,20 @@
 	}
 }
 
-func (m *agents) drainStops() {
-	for j := m.pick(stops); j != nil; j = m.pick(stops) {
-		m.finish(j, Stopped)
+func (m *model) finishStops() {
+	for j := m.pickJob(isStopping); j != nil; j = m.pickJob(isStopping) {
+		m.endAttempt(j, Stopped)
 	}
 }
 
 func TestRandomisedRun(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
-			m := newAgents(t, seed, 8+int(seed)*3)
+			m := newModel(t, seed, 8+int(seed)*3)
 			for range 1500 {
-				m.random()
+				m.randomEvent()
 			}
-			qt.Assert(t, m.ended > 100, qt.IsTrue)
+			qt.Assert(t, m.endedCount > 100, qt.IsTrue)
 		})
 	}
 }
@@ -377,9 +377,9 @@
 		t.Skip("set -scheduler.long")
 	}
 	t.Logf("seed %d, %d steps", *longSeed, *longSteps)
-	m := newAgents(t, *longSeed, 30)
+	m := newModel(t, *longSeed, 30)
 	for range *longSteps {
-		m.random()
+		m.randomEvent()
 	}
-	t.Logf("%d jobs ended", m.ended)
+	t.Logf("%d jobs ended", m.endedCount)
 }
--- a/scheduler/measure_test.go
+++ b/scheduler/measure_test.go
@@ -7,43 +7,43 @@
 	"time"
 )
 
-// measured plays a workload and times every decision.
-type measured struct {
-	decider
-	spent []float64
+// timedScheduler plays a workload and times every decision.
+type timedScheduler struct {
+	stepper
+	stepTimes []float64
 }
 
-func (m *measured) Step(now time.Time, ev Event) []Action {
+func (m *timedScheduler) Step(now time.Time, ev Event) []Action {
 	t := time.Now()
-	out := m.decider.Step(now, ev)
-	m.spent = append(m.spent, float64(time.Since(t).Microseconds()))
+	out := m.stepper.Step(now, ev)
+	m.stepTimes = append(m.stepTimes, float64(time.Since(t).Microseconds()))
 	return out
 }
 
-func play(d decider, s site, o Objective, load float64, seed uint64) *result {
-	m := &measured{decider: d}
+func simulate(d stepper, s site, o Objective, load float64, seed uint64) *result {
+	m := &timedScheduler{stepper: d}
 	p := Policy{Generation: 1, Objective: o, Accounts: s.accounts}
-	r := newDriver(m, s.workers, p, s.workload(load, seed), s.horizon).run()
-	r.decide = m.spent
+	r := newSimulator(m, s.workers, p, s.workload(load, seed), s.horizon).run()
+	r.decisionTimes = m.stepTimes
 	return r
 }
 
-func (r *result) row(name string) string {
+func (r *result) summary(name string) string {
 	mean := 0.0
 	for _, x := range r.completion {
 		mean += x / float64(len(r.completion))
 	}
 	us := 0.0
-	for _, x := range r.decide {
-		us += x / float64(len(r.decide))
+	for _, x := range r.decisionTimes {
+		us += x / float64(len(r.decisionTimes))
 	}
 	return fmt.Sprintf("%-22s gang wait p50 %7.0f p99 %7.0f | small p50 %6.1f p99 %6.0f | completion mean %6.0f p99 %6.0f | frag %9.0f idle %9.0f | lost %8.0f in %4d | unfinished %d rejected %d | decide %5.0f us",
-		name, quantile(r.gangs, .5), quantile(r.gangs, .99), quantile(r.small, .5), quantile(r.small, .99),
-		mean, quantile(r.completion, .99), r.frag, r.idle, r.lost, r.evictions, r.unfinished, r.rejected, us)
+		name, quantile(r.gangs, .5), quantile(r.gangs, .99), quantile(r.smallJobs, .5), quantile(r.smallJobs, .99),
+		mean, quantile(r.completion, .99), r.fragmentation, r.idle, r.lostWork, r.evictions, r.unfinished, r.rejected, us)
 }
 
-// lend returns the site without guarantees.
-func (s site) lend() site {
+// withoutGuarantees returns the site without guarantees.
+func (s site) withoutGuarantees() site {
 	s.accounts = slices.Clone(s.accounts)
 	for i := range s.accounts {
 		s.accounts[i].Guaranteed = nil
@@ -58,22 +58,22 @@
 	var base, fifo, parted [3]float64
 	var ours [2][3]float64
 	for seed := range seeds {
-		r := play(newBaseline(false), s, 0, load, seed)
-		b.Log("\n", s.name, "load", load, "seed", seed, "\n", r.row("first fit"))
+		r := simulate(newBaseline(false), s, 0, load, seed)
+		b.Log("\n", s.name, "load", load, "seed", seed, "\n", r.summary("first fit"))
 		r.addTo(&base)
 		if len(s.workers) < 100 {
-			r = play(newBaseline(true), s, 0, load, seed)
-			b.Log("\n", r.row("strict FIFO"))
+			r = simulate(newBaseline(true), s, 0, load, seed)
+			b.Log("\n", r.summary("strict FIFO"))
 			r.addTo(&fifo)
 			p := newBaseline(false)
-			p.parted = true
-			r = play(p, s, 0, load, seed)
-			b.Log("\n", r.row("own workers"))
+			p.partitioned = true
+			r = simulate(p, s, 0, load, seed)
+			b.Log("\n", r.summary("own workers"))
 			r.addTo(&parted)
 		}
 		for _, o := range []Objective{CompletionTime, Fragmentation} {
-			r := play(New(Options{Start: time.Unix(1e9, 0)}), s, o, load, seed)
-			b.Log("\n", r.row([]string{"CompletionTime", "Fragmentation"}[o]))
+			r := simulate(New(Options{Start: time.Unix(1e9, 0)}), s, o, load, seed)
+			b.Log("\n", r.summary([]string{"CompletionTime", "Fragmentation"}[o]))
 			r.addTo(&ours[o])
 		}
 	}
@@ -94,16 +94,22 @@
 // addTo sums waiting of gangs at p99, fragmentation and mean completion.
 func (r *result) addTo(sum *[3]float64) {
 	sum[0] += quantile(r.gangs, .99)
-	sum[1] += r.frag
+	sum[1] += r.fragmentation
 	for _, x := range r.completion {
 		sum[2] += x / float64(len(r.completion))
 	}
 }
 
-const fewSeeds = 4
+const benchmarkSeeds = 4
 
-func BenchmarkTidewater(b *testing.B)     { compare(b, tidewater(), 0.7, fewSeeds) }
-func BenchmarkPeachline(b *testing.B)     { compare(b, peachline(), 0.8, fewSeeds) }
-func BenchmarkTidewaterLend(b *testing.B) { compare(b, tidewater().lend(), 0.7, fewSeeds) }
-func BenchmarkPeachlineLend(b *testing.B) { compare(b, peachline().lend(), 0.8, fewSeeds) }
-func BenchmarkTwoYearsLend(b *testing.B)  { compare(b, twoYears().lend(), 1.1, 1) }
+func BenchmarkTidewater(b *testing.B) { compare(b, tidewater(), 0.7, benchmarkSeeds) }
+func BenchmarkPeachline(b *testing.B) { compare(b, peachline(), 0.8, benchmarkSeeds) }
+func BenchmarkTidewaterNoGuarantees(b *testing.B) {
+	compare(b, tidewater().withoutGuarantees(), 0.7, benchmarkSeeds)
+}
+func BenchmarkPeachlineNoGuarantees(b *testing.B) {
+	compare(b, peachline().withoutGuarantees(), 0.8, benchmarkSeeds)
+}
+func BenchmarkLargeSiteNoGuarantees(b *testing.B) {
+	compare(b, largeSite().withoutGuarantees(), 1.1, 1)
+}
--- a/scheduler/report_test.go
+++ b/scheduler/report_test.go
@@ -10,10 +10,10 @@
 )
 
 // The sums of a report are what the agents hold, in every state of a random run.
-func TestReportCountsWhatTheAgentsHold(t *testing.T) {
-	m := newAgents(t, 5, 20)
+func TestReportMatchesModel(t *testing.T) {
+	m := newModel(t, 5, 20)
 	for range 400 {
-		m.random()
+		m.randomEvent()
 		running, waiting := 0, 0
 		for _, j := range m.jobs {
 			if j.place != nil {
@@ -37,13 +37,13 @@
 				up++
 			}
 		}
-		if running != 0 || waiting != 0 || (owed > 0) != (len(m.deg) > 0) || up != m.s.Stats().Workers+r.Quarantined.Count {
-			t.Fatalf("off by %d running, %d waiting; owed %d, degraded %v; %d up: %+v", running, waiting, owed, m.deg, up, r)
+		if running != 0 || waiting != 0 || (owed > 0) != (len(m.degraded) > 0) || up != m.s.Stats().Workers+r.Quarantined.Count {
+			t.Fatalf("off by %d running, %d waiting; owed %d, degraded %v; %d up: %+v", running, waiting, owed, m.degraded, up, r)
 		}
 	}
 }
 
-func TestSentencesNameTheNumbers(t *testing.T) {
+func TestSentences(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(0, 0)
 	e := Explanation{Job: "j", Reason: WaitNoPlace, Accelerators: 16, Span: AdjacentRack, Free: 20, Largest: 12, Units: []FreeUnits{{12, 1}, {4, 2}}, First: "k"}
@@ -56,14 +56,14 @@
 	}
 }
 
-var explainSize = flag.Bool("scheduler.size", false, "measure explanations at 17,000 workers and 70,000 jobs; without it they run at today's size")
+var largeScale = flag.Bool("scheduler.size", false, "measure explanations at 17,000 workers and 70,000 jobs; without it they run at today's size")
 
-// loaded returns a scheduler under load and the ids of its jobs: at the size to
+// loadedScheduler returns a scheduler under load and the ids of its jobs: at the size to
 // design for only with the flag.
-func loaded(b *testing.B) (*Scheduler, []JobID) {
+func loadedScheduler(b *testing.B) (*Scheduler, []JobID) {
 	site, n := tidewater(), 500
-	if *explainSize {
-		site, n = twoYears(), 70_000
+	if *largeScale {
+		site, n = largeSite(), 70_000
 	}
 	s := New(Options{Start: time.Unix(1e9, 0)})
 	evs := []Event{PolicyChanged{Policy{Generation: 1, Accounts: site.accounts}}}
@@ -97,14 +97,14 @@
 }
 
 func BenchmarkExplain(b *testing.B) {
-	s, ids := loaded(b)
+	s, ids := loadedScheduler(b)
 	for i := 0; b.Loop(); i++ {
 		s.Explain(ids[i*7919%len(ids)])
 	}
 }
 
 func BenchmarkExplainer(b *testing.B) {
-	s, ids := loaded(b)
+	s, ids := loadedScheduler(b)
 	x := NewExplainer(s)
 	for i := 0; b.Loop(); i++ {
 		x.Explain(ids[i*7919%len(ids)])
@@ -112,14 +112,14 @@
 }
 
 func BenchmarkStats(b *testing.B) {
-	s, _ := loaded(b)
+	s, _ := loadedScheduler(b)
 	for b.Loop() {
 		s.Stats()
 	}
 }
 
 func BenchmarkReport(b *testing.B) {
-	s, _ := loaded(b)
+	s, _ := loadedScheduler(b)
 	for b.Loop() {
 		s.Report()
 	}
--- a/scheduler/settle_test.go
+++ b/scheduler/settle_test.go
@@ -11,7 +11,7 @@
 // that no rack could ever hold. Nothing changes after that. The job's caller
 // hears that it is impossible as soon as workers have had the time to announce
 // themselves, and does not wait for ever.
-func TestImpossibleJobIsAnsweredAfterATakeoverOnAQuietSite(t *testing.T) {
+func TestImpossibleJobIsRejectedWhenSettlingEnds(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
 	s := New(Options{Start: start, SettlingPeriod: 5 * time.Second})
--- a/scheduler/under_reservation_test.go
+++ b/scheduler/under_reservation_test.go
@@ -7,45 +7,45 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestReservedCapacityIsUsedMeanwhile(t *testing.T) {
+func TestCheckpointableJobBackfillsReservation(t *testing.T) {
 	// A gang waits for the last worker of its place for an hour while the others
 	// stand idle under its reservation, and a job that could checkpoint at any
 	// moment waits beside them. It must run there, and make way once that worker is
 	// free; a job that would lose its work must not.
-	b := newBench(t, Policy{Accounts: []AccountPolicy{{ID: "a"}, {ID: "b"}}}, eight(2)...)
+	b := newHarness(t, Policy{Accounts: []AccountPolicy{{ID: "a"}, {ID: "b"}}}, eightAcceleratorWorkers(2)...)
 	b.submit(Job{ID: "busy", Account: "a", Accelerators: 8, Adjacency: AdjacentWorker, Estimate: time.Hour})
 	b.submit(Job{ID: "gang", Account: "b", Accelerators: 16, Submitted: b.now})
 	b.now = b.now.Add(2 * time.Second)
 	b.step(Tick{})
 	saves := Job{ID: "saves", Account: "a", Accelerators: 4, Checkpointable: true, Class: "x"}
 	loses := Job{ID: "loses", Account: "a", Accelerators: 4, Repeatable: true, Class: "y"}
-	starts := of[StartGang](b.submit(loses, saves))
+	starts := actionsOf[StartGang](b.submit(loses, saves))
 	b.Assert(starts, qt.HasLen, 1)
 	b.Assert(starts[0].Job, qt.Equals, JobID("saves"))
 	b.step(GangStarted{"saves", 1})
-	stops := of[StopGang](b.end("busy", Done, ""))
+	stops := actionsOf[StopGang](b.endAttempt("busy", Done, ""))
 	b.Assert(stops, qt.DeepEquals, []StopGang{{Job: "saves", Attempt: 1, Checkpoint: true, Reason: StopReclaim}})
-	b.Assert(of[StartGang](b.end("saves", Stopped, ""))[0].Job, qt.Equals, JobID("gang"))
+	b.Assert(actionsOf[StartGang](b.endAttempt("saves", Stopped, ""))[0].Job, qt.Equals, JobID("gang"))
 }
 
-func TestGangEvictsWhatLosesNothing(t *testing.T) {
+func TestGangPreemptsCheckpointableJob(t *testing.T) {
 	// A gang of 24 waits for an hour for a job of 16 that could checkpoint and go on
 	// elsewhere: only work at most half as large was ever evicted for a gang, and no
 	// job more than a few times.
-	b := newBench(t, Policy{Accounts: []AccountPolicy{{ID: "a"}, {ID: "b"}}}, eight(3)...)
+	b := newHarness(t, Policy{Accounts: []AccountPolicy{{ID: "a"}, {ID: "b"}}}, eightAcceleratorWorkers(3)...)
 	b.submit(Job{ID: "saves", Account: "a", Accelerators: 16, Checkpointable: true, Estimate: time.Hour})
 	b.step(GangStarted{"saves", 1})
 	b.s.jobs["saves"].evictions = b.s.maxPreemptions()
 	b.submit(Job{ID: "gang", Account: "b", Accelerators: 24, Submitted: b.now})
 	b.now = b.now.Add(2 * time.Second)
-	b.Assert(of[StopGang](b.step(Tick{})), qt.DeepEquals, []StopGang{{Job: "saves", Attempt: 1, Checkpoint: true, Reason: StopReclaim}})
+	b.Assert(actionsOf[StopGang](b.step(Tick{})), qt.DeepEquals, []StopGang{{Job: "saves", Attempt: 1, Checkpoint: true, Reason: StopReclaim}})
 }
 
-func TestReservationThatIsBlockedIsNotFilledAgain(t *testing.T) {
+func TestBlockedReservationIsNotBackfilledAgain(t *testing.T) {
 	// A job under a reservation is stopped and started without end: all else is free,
 	// so it makes way, but the gang can't start while a block there finds no other
 	// place, and the job takes the place again.
-	b := newBench(t, twoAccounts, eight(3)...)
+	b := newHarness(t, ownerAndGuest, eightAcceleratorWorkers(3)...)
 	protected := Job{ID: "protected", Account: "guest", Accelerators: 8, Adjacency: AdjacentWorker, Class: "f", Estimate: 2 * time.Hour}
 	soon := Job{ID: "soon", Account: "guest", Accelerators: 8, Adjacency: AdjacentWorker, Class: "s", Estimate: time.Hour}
 	b.submit(protected)
@@ -55,7 +55,7 @@
 	b.now = b.now.Add(2 * time.Second)
 	b.step(Tick{})
 	saves := Job{ID: "saves", Account: "guest", Accelerators: 8, Checkpointable: true, Class: "x"}
-	b.Assert(of[StartGang](b.submit(saves)), qt.HasLen, 1)
-	b.Assert(of[StopGang](b.end("soon", Done, "")), qt.HasLen, 1)
-	b.Assert(of[StartGang](b.end("saves", Stopped, "")), qt.HasLen, 0)
+	b.Assert(actionsOf[StartGang](b.submit(saves)), qt.HasLen, 1)
+	b.Assert(actionsOf[StopGang](b.endAttempt("soon", Done, "")), qt.HasLen, 1)
+	b.Assert(actionsOf[StartGang](b.endAttempt("saves", Stopped, "")), qt.HasLen, 0)
 }
--- a/scheduler/wave_test.go
+++ b/scheduler/wave_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// BenchmarkCancelWave cancels waves of growing size out of a queue of twice
+// BenchmarkCancelJobs cancels waves of growing size out of a queue of twice
 // that size and reports the cost per job.
-func BenchmarkCancelWave(b *testing.B) {
+func BenchmarkCancelJobs(b *testing.B) {
 	for _, wave := range []int{1_000, 4_000, 16_000} {
 		b.Run(fmt.Sprint(wave), func(b *testing.B) {
 			now := time.Unix(1e9, 0)
 			var spent time.Duration
 			for range b.N {
 				s := New(Options{Start: now})
-				s.Step(now, Batch{[]Event{PolicyChanged{Policy{Generation: 1, Accounts: []AccountPolicy{{ID: "a", MaxQueued: 4 * wave}}}}, WorkerUp{eight(1)[0]}}})
+				s.Step(now, Batch{[]Event{PolicyChanged{Policy{Generation: 1, Accounts: []AccountPolicy{{ID: "a", MaxQueued: 4 * wave}}}}, WorkerUp{eightAcceleratorWorkers(1)[0]}}})
 				var jobs []Job
 				var ids []JobID
 				for i := range 2 * wave {
--- a/scheduler/workload_test.go
+++ b/scheduler/workload_test.go
@@ -17,8 +17,8 @@
 	horizon  time.Duration
 }
 
-// threeToARack is the site of today's two services: 11 workers of 8.
-func threeToARack(name string, zones []string, cores, mem int) site {
+// smallSite is the site of today's two services: 11 workers of 8.
+func smallSite(name string, zones []string, cores, mem int) site {
 	var ws []Worker
 	for i := range 11 {
 		ws = append(ws, Worker{
@@ -36,15 +36,15 @@
 }
 
 func tidewater() site {
-	return threeToARack("Tidewater", []string{"wharf", "airside", "east"}, 32, 64_000)
+	return smallSite("Tidewater", []string{"wharf", "airside", "east"}, 32, 64_000)
 }
 
 func peachline() site {
-	return threeToARack("Peachline", []string{"macon", "augusta", "valdosta"}, 128, 256_000)
+	return smallSite("Peachline", []string{"macon", "augusta", "valdosta"}, 128, 256_000)
 }
 
-// twoYears is 17,000 workers with 42,000 accelerators and 94 accounts.
-func twoYears() site {
+// largeSite is 17,000 workers with 42,000 accelerators and 94 accounts.
+func largeSite() site {
 	s := site{name: "17,000 workers", horizon: 30 * time.Minute, largest: 256}
 	for i := range 17_000 {
 		acc := 0
@@ -75,21 +75,21 @@
 // the accelerators: heavy-tailed sizes and run times, declared run times wrong
 // by up to 10 times either way, bursts of small and of large jobs, waves of
 // cancellations, and jobs that can never run.
-func (s site) workload(load float64, seed uint64) []work {
+func (s site) workload(load float64, seed uint64) []simulatedJob {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	total := 0
 	for _, w := range s.workers {
 		total += w.Accelerators
 	}
 	budget := load * float64(total) * s.horizon.Seconds()
-	var out []work
+	var out []simulatedJob
 	for used := 0.0; used < budget; {
 		at := time.Duration(rng.Float64() * float64(s.horizon))
 		batch := 1
 		if rng.IntN(50) == 0 {
 			batch = 2 + rng.IntN(max(12, total/150))
 		}
-		first := s.draw(rng, at)
+		first := s.drawJob(rng, at)
 		if batch > 1 && first.Accelerators > gangSize {
 			batch = min(batch, 3)
 		}
@@ -97,23 +97,23 @@
 		for range batch {
 			w := first
 			w.ID = JobID(fmt.Sprint("j", len(out)))
-			w.run = runTime(rng, w.Accelerators)
-			w.Estimate = time.Duration(float64(w.run) * math.Pow(10, 2*rng.Float64()-1))
+			w.runTime = runTime(rng, w.Accelerators)
+			w.Estimate = time.Duration(float64(w.runTime) * math.Pow(10, 2*rng.Float64()-1))
 			if cancelled && rng.IntN(2) == 0 {
-				w.cancel = at + time.Duration(rng.IntN(60))*time.Second
+				w.cancelAt = at + time.Duration(rng.IntN(60))*time.Second
 			}
 			out = append(out, w)
 			if w.Accelerators <= total {
-				used += float64(w.Accelerators) * w.run.Seconds()
+				used += float64(w.Accelerators) * w.runTime.Seconds()
 			}
 		}
 	}
-	slices.SortStableFunc(out, func(a, b work) int { return int(a.at - b.at) })
+	slices.SortStableFunc(out, func(a, b simulatedJob) int { return int(a.submitAt - b.submitAt) })
 	return out
 }
 
-func (s site) draw(rng *rand.Rand, at time.Duration) work {
-	size := s.size(rng)
+func (s site) drawJob(rng *rand.Rand, at time.Duration) simulatedJob {
+	size := s.drawSize(rng)
 	a := s.accounts[min(rng.IntN(len(s.accounts)), rng.IntN(len(s.accounts)))]
 	j := Job{
 		Account: a.ID, Accelerators: size, Cores: 2, MemoryMB: 4000,
@@ -135,13 +135,13 @@
 	if rng.IntN(200) == 0 {
 		j.Accelerators, j.Adjacency = 100_000, AdjacentAny
 	}
-	return work{Job: j, at: at}
+	return simulatedJob{Job: j, submitAt: at}
 }
 
-// size draws powers of 2, each half as frequent as the one before, so that every
-// size asks for about as many accelerators in all. Half of the gangs of 32 ask
+// drawSize draws powers of 2, each half as frequent as the one before, so that every
+// drawSize asks for about as many accelerators in all. Half of the gangs of 32 ask
 // for 24, which is a whole rack of today's sites.
-func (s site) size(rng *rand.Rand) int {
+func (s site) drawSize(rng *rand.Rand) int {
 	size := 1
 	for size < s.largest && rng.IntN(2) == 0 {
 		size *= 2
