--- a/scheduler/bind.go
+++ b/scheduler/bind.go
@@ -42,9 +42,9 @@
 
 // tryMoveBlocksFrom binds the unused blocks of some nodes elsewhere, as far as they find
 // another place.
-func (s *Scheduler) tryMoveBlocksFrom(at []allocation) {
+func (s *Scheduler) tryMoveBlocksFrom(place []allocation) {
 	before := s.capacityGen
-	for _, p := range at {
+	for _, p := range place {
 		for _, b := range slices.Clone(s.nodes[p.node].blocks) {
 			if b.used > 0 {
 				continue
@@ -75,11 +75,11 @@
 
 // bind gives an unbound block a place. It reports false if there is none.
 func (s *Scheduler) bind(b *block) bool {
-	at := s.bindable.findPlace(b.shape.Accelerators, b.shape.Adjacency, s.nodes)
-	if at == nil {
+	place := s.bindable.findPlace(b.shape.Accelerators, b.shape.Adjacency, s.nodes)
+	if place == nil {
 		return false
 	}
-	s.attach(b, at)
+	s.attach(b, place)
 	return true
 }
 
@@ -132,11 +132,11 @@
 // Blocks of own may stay without a place: a job of that account larger than each
 // of them uses what they are bound to, or it would wait for its own account for
 // ever.
-func (s *Scheduler) moveBlocksAside(at []allocation, own *account) bool {
+func (s *Scheduler) moveBlocksAside(place []allocation, own *account) bool {
 	before := s.capacityGen
 	var moved []*block
 	var old [][]allocation
-	for _, p := range at {
+	for _, p := range place {
 		n := s.nodes[p.node]
 		for i := 0; i < len(n.blocks) && n.slack() < p.count; {
 			b := n.blocks[i]
@@ -154,12 +154,12 @@
 			return false
 		}
 	}
-	s.addProtected(at, 1)
+	s.addProtected(place, 1)
 	s.bindAll(slices.Clone(moved))
 	if own != nil {
 		moved, old = s.rebindOwnBlocks(own, moved, old)
 	}
-	s.addProtected(at, -1)
+	s.addProtected(place, -1)
 	for _, b := range moved {
 		if !b.bound() && b.account != own {
 			s.restoreBindings(moved, old)
@@ -174,8 +174,8 @@
 // place, so that these may be bound where they were. It returns moved and old with
 // what it took up.
 func (s *Scheduler) rebindOwnBlocks(own *account, moved []*block, old [][]allocation) ([]*block, [][]allocation) {
-	unplaced := func(b *block) bool { return !b.bound() && b.account != own }
-	if !slices.ContainsFunc(moved, unplaced) {
+	othersUnbound := func(b *block) bool { return !b.bound() && b.account != own }
+	if !slices.ContainsFunc(moved, othersUnbound) {
 		return moved, old
 	}
 	for _, b := range own.blocks {
@@ -185,20 +185,20 @@
 			s.detach(b)
 		}
 	}
-	var rest []*block
+	var unplacedOwn []*block
 	for _, b := range moved {
-		if unplaced(b) {
+		if othersUnbound(b) {
 			s.bind(b)
 		} else if !b.bound() {
-			rest = append(rest, b)
+			unplacedOwn = append(unplacedOwn, b)
 		}
 	}
-	s.bindAll(rest)
+	s.bindAll(unplacedOwn)
 	return moved, old
 }
 
-func (s *Scheduler) addProtected(at []allocation, sign int) {
-	for _, p := range at {
+func (s *Scheduler) addProtected(place []allocation, sign int) {
+	for _, p := range place {
 		n := s.nodes[p.node]
 		n.protected += sign * p.count
 		s.refreshIndexes(n)
--- a/scheduler/block.go
+++ b/scheduler/block.go
@@ -43,10 +43,10 @@
 }
 
 // attach binds a block to workers. The caller has checked that they have slack.
-func (s *Scheduler) attach(b *block, at []allocation) {
+func (s *Scheduler) attach(b *block, place []allocation) {
 	s.removeUnbound(b)
 	b.account.blockGen++
-	for _, p := range at {
+	for _, p := range place {
 		b.parts = append(b.parts, part{node: p.node, count: p.count})
 		n := s.nodes[p.node]
 		n.bound += p.count
@@ -70,8 +70,8 @@
 	}
 	b.parts = nil
 	s.addUnbound(b)
-	for _, x := range others {
-		s.detachIfOvercommitted(x)
+	for _, other := range others {
+		s.detachIfOvercommitted(other)
 	}
 }
 
@@ -117,9 +117,9 @@
 	for _, p := range b.parts {
 		for _, r := range append([]*run(nil), s.nodes[p.node].runs...) {
 			if r.usesBlock(b) {
-				for _, x := range r.blockUses {
-					if x.block != b {
-						others = append(others, x.block)
+				for _, use := range r.blockUses {
+					if use.block != b {
+						others = append(others, use.block)
 					}
 				}
 				s.leaveGuarantee(r)
@@ -138,9 +138,9 @@
 
 func (c *claim) usesBlock(b *block) bool { return anyUses(c.blockUses, b) }
 
-func anyUses(shares []blockUse, b *block) bool {
-	for _, x := range shares {
-		if x.block == b {
+func anyUses(uses []blockUse, b *block) bool {
+	for _, use := range uses {
+		if use.block == b {
 			return true
 		}
 	}
@@ -148,17 +148,17 @@
 }
 
 // useBlocks moves accelerators from the unused to the used part of blocks.
-func (s *Scheduler) useBlocks(shares []blockUse, sign int) {
-	for _, x := range shares {
-		p := &x.block.parts[x.part]
-		p.used += sign * x.count
-		x.block.used += sign * x.count
+func (s *Scheduler) useBlocks(uses []blockUse, sign int) {
+	for _, use := range uses {
+		p := &use.block.parts[use.part]
+		p.used += sign * use.count
+		use.block.used += sign * use.count
 		n := s.nodes[p.node]
-		n.bound -= sign * x.count
-		n.protected += sign * x.count
+		n.bound -= sign * use.count
+		n.protected += sign * use.count
 		s.refreshIndexes(n)
 		if sign < 0 {
-			x.block.account.blockGen++
+			use.block.account.blockGen++
 		}
 	}
 }
--- a/scheduler/borrowing.go
+++ b/scheduler/borrowing.go
@@ -28,14 +28,14 @@
 		return
 	}
 	s.borrowingGen = s.shrinkGen
-	var back []*job
+	var resumed []*job
 	for _, j := range s.jobs {
 		if j.borrowingEnded && j.queue != nil && !s.fitsBesideBlocks(demand{j.Accelerators, j.Adjacency}) {
-			back = append(back, j)
+			resumed = append(resumed, j)
 		}
 	}
-	slices.SortFunc(back, func(a, b *job) int { return cmp.Compare(a.seq, b.seq) })
-	for _, j := range back {
+	slices.SortFunc(resumed, func(a, b *job) int { return cmp.Compare(a.seq, b.seq) })
+	for _, j := range resumed {
 		s.dequeue(j)
 		j.borrowingEnded = false
 		s.enqueue(j)
@@ -48,15 +48,15 @@
 
 // fitsBesideBlocks reports whether a shape fits on idle workers together with
 // all guaranteed ones.
-func (s *Scheduler) fitsBesideBlocks(w demand) bool {
-	if at := s.topologyGen + s.shrinkGen; s.fitsBesideGen != at {
-		s.fitsBesideGen = at
+func (s *Scheduler) fitsBesideBlocks(d demand) bool {
+	if gen := s.topologyGen + s.shrinkGen; s.fitsBesideGen != gen {
+		s.fitsBesideGen = gen
 		clear(s.fitsBeside)
 	}
-	fits, ok := s.fitsBeside[w]
+	fits, ok := s.fitsBeside[d]
 	if !ok {
-		fits = s.allBlocksFitWith(Shape{w.accelerators, w.span, 1})
-		s.fitsBeside[w] = fits
+		fits = s.allBlocksFitWith(Shape{d.accelerators, d.span, 1})
+		s.fitsBeside[d] = fits
 	}
 	return fits
 }
--- a/scheduler/check.go
+++ b/scheduler/check.go
@@ -31,8 +31,8 @@
 func (s *Scheduler) checkJobs() error {
 	for id, j := range s.jobs {
 		places := 0
-		for _, in := range []bool{j.queue != nil, j.run != nil, j.delayIndex >= 0} {
-			if in {
+		for _, present := range []bool{j.queue != nil, j.run != nil, j.delayIndex >= 0} {
+			if present {
 				places++
 			}
 		}
@@ -60,8 +60,8 @@
 			return invariantError("job %q holds %d accelerators for a piece of %d", r.job.ID, bits.OnesCount64(h.mask), h.count)
 		}
 	}
-	for _, x := range r.blockUses {
-		shared += x.count
+	for _, use := range r.blockUses {
+		shared += use.count
 	}
 	if granted != r.job.Accelerators {
 		return invariantError("job %q of %d accelerators was granted %d", r.job.ID, r.job.Accelerators, granted)
--- a/scheduler/claim_joined.go
+++ b/scheduler/claim_joined.go
@@ -16,22 +16,22 @@
 		return nil
 	}
 	before, gen := s.capacityGen, j.account.blockGen
-	var best [][]allocation
+	var bindings [][]allocation
 	for _, b := range blocks {
-		best = append(best, b.allocations())
+		bindings = append(bindings, b.allocations())
 	}
 	for _, b := range blocks {
 		s.detach(b)
 	}
-	at := s.placeAdjacentBlocks(blocks, k)
-	if at != nil {
-		best = at
+	places := s.placeAdjacentBlocks(blocks, k)
+	if places != nil {
+		bindings = places
 	}
 	for i, b := range blocks {
-		s.attach(b, best[i])
+		s.attach(b, bindings[i])
 	}
 	s.capacityGen, j.account.blockGen = before, gen
-	if at == nil {
+	if places == nil {
 		return nil
 	}
 	return s.newClaim(j, blockUsesOf(blocks, k.accelerators))
@@ -67,15 +67,15 @@
 	}
 	var best [][]allocation
 	var cost float64
-	for _, at := range s.bindable.listPlaces(sum, k.span, maxComparedPlaces) {
-		c := s.placeCost(at, k.accelerators)
-		if _, lost := s.victims(at); lost > maxAdjacentLoss*float64(k.accelerators) {
+	for _, place := range s.bindable.listPlaces(sum, k.span, maxComparedPlaces) {
+		c := s.placeCost(place, k.accelerators)
+		if _, lost := s.victims(place); lost > maxAdjacentLoss*float64(k.accelerators) {
 			continue
 		}
 		if best != nil && c >= cost {
 			continue
 		}
-		if parts := s.splitPlace(at, blocks); parts != nil {
+		if parts := s.splitPlace(place, blocks); parts != nil {
 			best, cost = parts, c
 		}
 	}
@@ -84,29 +84,29 @@
 
 // splitPlace divides a place between blocks so that each keeps to its own span. It
 // returns nil if the tightest first order fails.
-func (s *Scheduler) splitPlace(at []allocation, blocks []*block) [][]allocation {
-	at = slices.Clone(at)
+func (s *Scheduler) splitPlace(place []allocation, blocks []*block) [][]allocation {
+	place = slices.Clone(place)
 	order := slices.Clone(blocks)
 	slices.SortStableFunc(order, tightestFirst)
 	out := make([][]allocation, len(blocks))
 	for _, b := range order {
-		got := s.takeShape(at, b.shape)
-		if got == nil {
+		taken := s.takeShape(place, b.shape)
+		if taken == nil {
 			return nil
 		}
-		out[slices.Index(blocks, b)] = got
+		out[slices.Index(blocks, b)] = taken
 	}
 	return out
 }
 
 // takeShape takes a shape out of a place, from the tightest unit that holds it.
-func (s *Scheduler) takeShape(at []allocation, shape Shape) []allocation {
+func (s *Scheduler) takeShape(place []allocation, shape Shape) []allocation {
 	sums := map[int32]int{}
-	for _, p := range at {
+	for _, p := range place {
 		sums[unitOf(s.nodes[p.node], shape.Adjacency)] += p.count
 	}
 	unit := int32(-1)
-	for _, p := range at {
+	for _, p := range place {
 		u := unitOf(s.nodes[p.node], shape.Adjacency)
 		if sums[u] >= shape.Accelerators && (unit < 0 || sums[u] < sums[unit]) {
 			unit = u
@@ -117,13 +117,13 @@
 	}
 	var out []allocation
 	need := shape.Accelerators
-	for i, p := range at {
+	for i, p := range place {
 		n := min(need, p.count)
 		if n == 0 || unitOf(s.nodes[p.node], shape.Adjacency) != unit {
 			continue
 		}
 		out = append(out, allocation{node: p.node, count: n})
-		at[i].count -= n
+		place[i].count -= n
 		need -= n
 	}
 	return out
--- a/scheduler/covered.go
+++ b/scheduler/covered.go
@@ -18,11 +18,11 @@
 // guaranteesMetWithout reports whether the accounts of all runs would still use as
 // much as they are guaranteed without them.
 func guaranteesMetWithout(runs []*run) bool {
-	sizes := map[*account]int{}
+	released := map[*account]int{}
 	for _, r := range runs {
-		sizes[r.job.account] += r.size()
+		released[r.job.account] += r.size()
 	}
-	for a, n := range sizes {
+	for a, n := range released {
 		if a.usedOutsideBlocks-n < a.unusedGuarantee() {
 			return false
 		}
--- a/scheduler/degraded.go
+++ b/scheduler/degraded.go
@@ -17,23 +17,23 @@
 	if len(s.unbound) == 0 && len(s.degraded) == 0 {
 		return
 	}
-	now := map[degradedKey]int{}
+	unplaced := map[degradedKey]int{}
 	for _, b := range s.unbound {
-		now[keyOfShape(b.account, b.shape)]++
+		unplaced[keyOfShape(b.account, b.shape)]++
 	}
 	for _, a := range s.accountList {
 		for _, g := range a.policy.Guaranteed {
 			k := keyOfShape(a, g)
-			if now[k] == s.degraded[k] {
+			if unplaced[k] == s.degraded[k] {
 				continue
 			}
-			if now[k] == 0 {
+			if unplaced[k] == 0 {
 				s.emit(GuaranteeRestored{a.policy.ID, g})
 			} else {
-				s.emit(GuaranteeDegraded{a.policy.ID, g, now[k]})
+				s.emit(GuaranteeDegraded{a.policy.ID, g, unplaced[k]})
 			}
-			s.degraded[k] = now[k]
+			s.degraded[k] = unplaced[k]
 		}
 	}
-	s.degraded = now
+	s.degraded = unplaced
 }
--- a/scheduler/delay.go
+++ b/scheduler/delay.go
@@ -54,30 +54,30 @@
 // scheduleWake asks for the next time at which something changes by itself.
 func (s *Scheduler) scheduleWake() {
 	var at time.Time
-	sooner := func(t time.Time) {
+	wakeBy := func(t time.Time) {
 		if t.After(s.now) && (at.IsZero() || t.Before(at)) {
 			at = t
 		}
 	}
 	if len(s.delayed) > 0 {
-		sooner(s.delayed[0].notBefore)
+		wakeBy(s.delayed[0].notBefore)
 	}
 	for _, n := range s.quarantined {
-		sooner(n.health.until)
+		wakeBy(n.health.until)
 	}
 	for _, c := range s.claims {
 		if !c.guaranteed() {
-			sooner(c.plannedAt.Add(replanInterval))
+			wakeBy(c.plannedAt.Add(replanInterval))
 		}
 	}
-	sooner(s.settlingEnds)
+	wakeBy(s.settlingEnds)
 	for _, a := range s.accountList {
 		for _, q := range a.queueList {
-			sooner(q.yieldUntil)
+			wakeBy(q.yieldUntil)
 		}
 	}
 	if s.planPending {
-		sooner(s.nextPlanAt)
+		wakeBy(s.nextPlanAt)
 	}
 	if !at.IsZero() && !at.Equal(s.lastWakeAt) {
 		s.lastWakeAt = at
--- a/scheduler/displace.go
+++ b/scheduler/displace.go
@@ -5,18 +5,18 @@
 // returns what the claim evicts now.
 func (s *Scheduler) moveBlockDisplacing(b *block, k *queueKey, cost float64) float64 {
 	var best []allocation
-	for _, at := range s.unusedBlockPlaces(b) {
-		if c := s.placeCost(at, k.accelerators); c < cost {
-			best, cost = at, c
+	for _, place := range s.unusedBlockPlaces(b) {
+		if c := s.placeCost(place, k.accelerators); c < cost {
+			best, cost = place, c
 		}
 	}
 	if best == nil {
 		return cost
 	}
-	here, before := b.allocations(), s.capacityGen
+	current, before := b.allocations(), s.capacityGen
 	s.detach(b)
 	if !s.moveBlocksAside(best, nil) {
-		best = here
+		best = current
 	}
 	s.attach(b, best)
 	s.capacityGen = before
--- a/scheduler/end.go
+++ b/scheduler/end.go
@@ -108,8 +108,8 @@
 }
 
 // endJob reports the one reason with which a job ends and forgets the job.
-func (s *Scheduler) endJob(j *job, why RejectReason, detail string) {
-	s.emit(RejectJob{Job: j.ID, Reason: why, Detail: detail})
+func (s *Scheduler) endJob(j *job, reason RejectReason, detail string) {
+	s.emit(RejectJob{Job: j.ID, Reason: reason, Detail: detail})
 	s.forgetJob(j)
 }
 
--- a/scheduler/evict.go
+++ b/scheduler/evict.go
@@ -42,10 +42,10 @@
 
 // victims returns the evictions that make the pieces available, and their cost.
 // It goes node by node and counts no run twice.
-func (s *Scheduler) victims(at []allocation) ([]*run, float64) {
+func (s *Scheduler) victims(place []allocation) ([]*run, float64) {
 	var out []*run
 	total := 0.0
-	for _, p := range at {
+	for _, p := range place {
 		n := s.nodes[p.node]
 		short := p.count - s.availableSoon(n, out)
 		if short <= 0 {
@@ -62,11 +62,11 @@
 // availableSoon is what a claim may count on at a node: idle accelerators and those
 // being stopped, less earlier claims, plus what the chosen victims hold there.
 func (s *Scheduler) availableSoon(n *node, chosen []*run) int {
-	have := max(0, n.capacity()-n.held+n.stopping-n.claimed)
+	available := max(0, n.capacity()-n.held+n.stopping-n.claimed)
 	for _, r := range chosen {
-		have += r.acceleratorsOn(n.id)
+		available += r.acceleratorsOn(n.id)
 	}
-	return have
+	return available
 }
 
 func (r *run) acceleratorsOn(id nodeID) int {
@@ -105,9 +105,9 @@
 
 // placeEvictionCost is what a job of need accelerators would evict in a place that
 // may be larger than the job.
-func (s *Scheduler) placeEvictionCost(at []allocation, need int) float64 {
+func (s *Scheduler) placeEvictionCost(place []allocation, need int) float64 {
 	var part []allocation
-	for _, p := range at {
+	for _, p := range place {
 		if need == 0 {
 			break
 		}
--- a/scheduler/explain.go
+++ b/scheduler/explain.go
@@ -45,9 +45,9 @@
 	return head(q, j), true
 }
 
-func (s *Scheduler) newExplanation(j *job, why WaitReason) Explanation {
+func (s *Scheduler) newExplanation(j *job, reason WaitReason) Explanation {
 	return Explanation{
-		Job: j.ID, Account: j.Account, Reason: why, At: s.now,
+		Job: j.ID, Account: j.Account, Reason: reason, At: s.now,
 		Accelerators: j.Accelerators, Span: j.Adjacency,
 	}
 }
--- a/scheduler/guarantee.go
+++ b/scheduler/guarantee.go
@@ -96,9 +96,9 @@
 			yields = true
 			continue
 		}
-		at := s.blockCostOf(b, k)
-		if best == nil || at.less(offer) {
-			best, offer = b, at
+		cost := s.blockCostOf(b, k)
+		if best == nil || cost.less(offer) {
+			best, offer = b, cost
 		}
 	}
 	if best != nil {
@@ -153,10 +153,10 @@
 }
 
 // inOneUnit reports whether all shares lie inOneUnit one span.
-func (s *Scheduler) inOneUnit(shares []blockUse, span Adjacency) bool {
-	for _, x := range shares[1:] {
-		first := shares[0].block.parts[shares[0].part].node
-		if unitOf(s.nodes[first], span) != unitOf(s.nodes[x.block.parts[x.part].node], span) {
+func (s *Scheduler) inOneUnit(uses []blockUse, span Adjacency) bool {
+	for _, use := range uses[1:] {
+		first := uses[0].block.parts[uses[0].part].node
+		if unitOf(s.nodes[first], span) != unitOf(s.nodes[use.block.parts[use.part].node], span) {
 			return false
 		}
 	}
@@ -197,26 +197,26 @@
 	return nil
 }
 
-func (s *Scheduler) newClaim(j *job, shares []blockUse) *claim {
-	if shares == nil {
+func (s *Scheduler) newClaim(j *job, uses []blockUse) *claim {
+	if uses == nil {
 		return nil
 	}
-	return &claim{job: j, blockUses: shares, allocations: allocationsOf(shares)}
+	return &claim{job: j, blockUses: uses, allocations: allocationsOf(uses)}
 }
 
 // allocationsOf merges shares by node.
-func allocationsOf(shares []blockUse) []allocation {
+func allocationsOf(uses []blockUse) []allocation {
 	var out []allocation
-	at := map[nodeID]int{}
-	for _, x := range shares {
-		id := x.block.parts[x.part].node
-		i, ok := at[id]
+	position := map[nodeID]int{}
+	for _, use := range uses {
+		id := use.block.parts[use.part].node
+		i, ok := position[id]
 		if !ok {
 			i = len(out)
-			at[id] = i
+			position[id] = i
 			out = append(out, allocation{node: id})
 		}
-		out[i].count += x.count
+		out[i].count += use.count
 	}
 	return out
 }
--- a/scheduler/impossible.go
+++ b/scheduler/impossible.go
@@ -64,13 +64,13 @@
 	if s.now.Before(s.settlingEnds) || len(s.nodeByID) == 0 || q.sizeCheckedStamp == s.topologyGen+1 {
 		return false
 	}
-	why, detail, never := s.impossibleReason(q)
+	reason, detail, never := s.impossibleReason(q)
 	if !never {
 		q.sizeCheckedStamp = s.topologyGen + 1
 		return false
 	}
 	for q.head != nil {
-		s.endJob(q.head, why, detail)
+		s.endJob(q.head, reason, detail)
 	}
 	return true
 }
--- a/scheduler/index.go
+++ b/scheduler/index.go
@@ -41,21 +41,21 @@
 	x.posInZone = append(x.posInZone, 0)
 }
 
-func (z *zonePool) addRack(at []int32, r int32, sum int) {
+func (z *zonePool) addRack(positions []int32, r int32, sum int) {
 	for len(z.racksBySum) <= sum {
 		z.racksBySum = append(z.racksBySum, nil)
 	}
-	at[r] = int32(len(z.racksBySum[sum]))
+	positions[r] = int32(len(z.racksBySum[sum]))
 	z.racksBySum[sum] = append(z.racksBySum[sum], r)
 	z.nonEmptySums.Set(uint(sum))
 }
 
-func (z *zonePool) removeRack(at []int32, r int32, sum int) {
+func (z *zonePool) removeRack(positions []int32, r int32, sum int) {
 	list := z.racksBySum[sum]
 	last := len(list) - 1
 	moved := list[last]
-	list[at[r]] = moved
-	at[moved] = at[r]
+	list[positions[r]] = moved
+	positions[moved] = positions[r]
 	z.racksBySum[sum] = list[:last]
 	if last == 0 {
 		z.nonEmptySums.Clear(uint(sum))
--- a/scheduler/move_block.go
+++ b/scheduler/move_block.go
@@ -3,21 +3,21 @@
 // moveToCheapestPlace binds an unused block to the place where a job evicts least: where
 // it is, where all is idle, or the tightest places that have slack.
 func (s *Scheduler) moveToCheapestPlace(b *block, k *queueKey) {
-	here := b.allocations()
-	cost := s.placeCost(here, k.accelerators)
+	current := b.allocations()
+	cost := s.placeCost(current, k.accelerators)
 	if cost == 0 {
 		return
 	}
 	if cost = s.moveBlockDisplacing(b, k, cost); cost == 0 {
 		return
 	}
-	here = b.allocations()
+	current = b.allocations()
 	before := s.capacityGen
 	s.detach(b)
-	best := here
-	for _, at := range s.blockPlaces(b.shape) {
-		if c := s.placeCost(at, k.accelerators); c < cost {
-			best, cost = at, c
+	best := current
+	for _, place := range s.blockPlaces(b.shape) {
+		if c := s.placeCost(place, k.accelerators); c < cost {
+			best, cost = place, c
 		}
 	}
 	s.attach(b, best)
@@ -28,9 +28,9 @@
 func (s *Scheduler) blockPlaces(shape Shape) [][]allocation {
 	need := shape.Accelerators
 	var out [][]allocation
-	add := func(at []allocation) {
-		if at != nil {
-			out = append(out, at)
+	add := func(place []allocation) {
+		if place != nil {
+			out = append(out, place)
 		}
 	}
 	add(s.unguaranteed.findPlace(need, shape.Adjacency, s.nodes))
@@ -38,10 +38,10 @@
 		return out
 	}
 	add(s.bindable.findPlace(need, shape.Adjacency, s.nodes))
-	for _, at := range s.bindable.listPlaces(need, shape.Adjacency, maxComparedPlaces) {
-		add(at)
-		if len(at) > 1 {
-			add(s.cheapestPlaceAround(at[0].node, shape))
+	for _, place := range s.bindable.listPlaces(need, shape.Adjacency, maxComparedPlaces) {
+		add(place)
+		if len(place) > 1 {
+			add(s.cheapestPlaceAround(place[0].node, shape))
 		}
 	}
 	return out
--- a/scheduler/open.go
+++ b/scheduler/open.go
@@ -78,19 +78,19 @@
 		return true
 	}
 	protected := !j.mayBorrow()
-	at := s.withoutFailedNodes(j, func() []allocation { return s.findOpen(j, &q.key, protected) })
-	if at == nil {
-		at = s.findTimedBackfill(j, &q.key)
+	place := s.withoutFailedNodes(j, func() []allocation { return s.findOpen(j, &q.key, protected) })
+	if place == nil {
+		place = s.findTimedBackfill(j, &q.key)
 	}
-	var under *claim
-	if at == nil {
-		at, under = s.findPreemptibleBackfill(j, &q.key)
+	var reservation *claim
+	if place == nil {
+		place, reservation = s.findPreemptibleBackfill(j, &q.key)
 	}
-	if at == nil {
+	if place == nil {
 		return false
 	}
-	s.start(j, at, nil, protected)
-	j.run.backfilled = under
+	s.start(j, place, nil, protected)
+	j.run.backfilled = reservation
 	return true
 }
 
@@ -110,14 +110,14 @@
 	if !protected {
 		return s.find(&s.open, k)
 	}
-	if at := s.find(&s.unguaranteed, k); at != nil {
-		return at
+	if place := s.find(&s.unguaranteed, k); place != nil {
+		return place
 	}
-	at := s.find(&s.open, k)
-	if at == nil || !s.moveBlocksAside(at, j.oversizedAccount()) {
+	place := s.find(&s.open, k)
+	if place == nil || !s.moveBlocksAside(place, j.oversizedAccount()) {
 		return nil
 	}
-	return at
+	return place
 }
 
 // findTimedBackfill looks for a worker whose reserved capacity is idle for longer
@@ -160,9 +160,9 @@
 	}
 	k := j.key()
 	fits := s.find(&s.installed, &k) != nil
-	var at []allocation
+	var place []allocation
 	if fits {
-		at = search()
+		place = search()
 	}
 	for i, id := range j.failedNodes {
 		s.installed.set(s.nodes[id], size[i])
@@ -172,7 +172,7 @@
 	if !fits {
 		return search()
 	}
-	return at
+	return place
 }
 
 // tryCPUJob starts a job without accelerators.
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -44,7 +44,7 @@
 // placeWorker returns the tightest worker.
 func (x *index) placeWorker(need int, nodes []*node) []allocation {
 	best := nodeID(-1)
-	var at placeRank
+	var bestRank placeRank
 	for i, z := range x.zones {
 		v := z.smallestAtLeast(need)
 		if v == 0 {
@@ -54,8 +54,8 @@
 		for _, n := range list[:min(len(list), maxCandidates)] {
 			rack := nodes[n].rack
 			r := placeRank{v, x.installed.zones[i].sum, x.installed.racks[rack].sum, x.racks[rack].sum}
-			if best < 0 || r.less(at) {
-				best, at = n, r
+			if best < 0 || r.less(bestRank) {
+				best, bestRank = n, r
 			}
 		}
 	}
@@ -68,15 +68,15 @@
 // placeRack returns pieces in the best rack of those with least left.
 func (x *index) placeRack(need int) []allocation {
 	best := int32(-1)
-	var at placeRank
+	var bestRank placeRank
 	for i, z := range x.zones {
 		seen := 0
 		for sum, ok := z.nonEmptySums.NextSet(uint(need)); ok && seen < maxCandidates; sum, ok = z.nonEmptySums.NextSet(sum + 1) {
 			for _, id := range z.racksBySum[sum][:min(len(z.racksBySum[sum]), maxCandidates)] {
 				seen++
 				r := placeRank{0, x.installed.zones[i].sum, x.installed.racks[id].sum, int(sum)}
-				if best < 0 || r.less(at) {
-					best, at = id, r
+				if best < 0 || r.less(bestRank) {
+					best, bestRank = id, r
 				}
 			}
 		}
@@ -101,11 +101,11 @@
 
 func (x *index) bestFitZone(need int) *zonePool {
 	var best *zonePool
-	var at placeRank
+	var bestRank placeRank
 	for i, z := range x.zones {
 		r := placeRank{zone: x.installed.zones[i].sum, remaining: z.sum}
-		if z.sum >= need && (best == nil || r.less(at)) {
-			best, at = z, r
+		if z.sum >= need && (best == nil || r.less(bestRank)) {
+			best, bestRank = z, r
 		}
 	}
 	return best
@@ -114,11 +114,11 @@
 // takeFromZone takes racks from the fullest down; the remainder comes from the
 // tightest rack that holds it.
 func (x *index) takeFromZone(z *zonePool, need int, out []allocation) (int, []allocation) {
-	took := 0
+	taken := 0
 	sum, ok := z.nonEmptySums.PreviousSet(uint(max(0, len(z.racksBySum)-1)))
-	for ; ok && sum > 0 && took < need; sum, ok = z.nonEmptySums.PreviousSet(sum - 1) {
+	for ; ok && sum > 0 && taken < need; sum, ok = z.nonEmptySums.PreviousSet(sum - 1) {
 		for _, r := range z.racksBySum[sum] {
-			rest := need - took
+			rest := need - taken
 			if rest == 0 {
 				break
 			}
@@ -127,10 +127,10 @@
 			}
 			var k int
 			k, out = x.racks[r].take(rest, out)
-			took += k
+			taken += k
 		}
 	}
-	return took, out
+	return taken, out
 }
 
 func (x *index) placeAny(need int) []allocation {
--- a/scheduler/place_cheap.go
+++ b/scheduler/place_cheap.go
@@ -9,13 +9,13 @@
 // cheapestPlaceAround returns a place for a shape in the unit around a node that takes
 // the workers where a claim evicts least per accelerator. It returns nil if those
 // compared don't hold the shape.
-func (s *Scheduler) cheapestPlaceAround(around nodeID, shape Shape) []allocation {
+func (s *Scheduler) cheapestPlaceAround(center nodeID, shape Shape) []allocation {
 	type offer struct {
 		allocation
 		cost float64
 	}
 	var offers []offer
-	for _, id := range s.nodesInUnit(s.nodes[around], shape.Adjacency) {
+	for _, id := range s.nodesInUnit(s.nodes[center], shape.Adjacency) {
 		p := allocation{node: id, count: min(int(s.bindable.values[id]), shape.Accelerators)}
 		cost := s.placeEvictionCost([]allocation{p}, p.count)
 		offers = append(offers, offer{p, cost / float64(p.count)})
--- a/scheduler/place_cost.go
+++ b/scheduler/place_cost.go
@@ -7,10 +7,10 @@
 
 // placeCost is what a claim costs in a place: the work it evicts, and the racks
 // it takes from gangs that need one whole.
-func (s *Scheduler) placeCost(at []allocation, need int) float64 {
-	cost := s.placeEvictionCost(at, need)
+func (s *Scheduler) placeCost(place []allocation, need int) float64 {
+	cost := s.placeEvictionCost(place, need)
 	last := int32(-1)
-	for _, p := range at {
+	for _, p := range place {
 		if need <= 0 {
 			break
 		}
--- a/scheduler/place_units.go
+++ b/scheduler/place_units.go
@@ -27,18 +27,18 @@
 // workers. It visits every worker: such jobs are rare, and how many units they
 // take differs from worker to worker, so no sum in the indexes fits.
 func (s *Scheduler) findByFootprint(x *index, k *queueKey) []allocation {
-	fits := map[int32]int{}
+	capacity := map[int32]int{}
 	for _, n := range s.nodes {
 		if u := s.footprint(k, n); u > 0 {
-			fits[unitOf(n, k.span)] += int(x.values[n.id]) / u
+			capacity[unitOf(n, k.span)] += int(x.values[n.id]) / u
 		}
 	}
 	best := int32(-1)
-	for span, sum := range fits {
+	for span, sum := range capacity {
 		if sum < k.accelerators {
 			continue
 		}
-		if best < 0 || sum < fits[best] || sum == fits[best] && span < best {
+		if best < 0 || sum < capacity[best] || sum == capacity[best] && span < best {
 			best = span
 		}
 	}
@@ -49,16 +49,16 @@
 }
 
 func (s *Scheduler) takeByFootprint(x *index, k *queueKey, span int32) []allocation {
-	var on []*node
+	var nodes []*node
 	for _, n := range s.nodes {
 		if unitOf(n, k.span) == span && x.values[n.id] > 0 && s.footprint(k, n) > 0 {
-			on = append(on, n)
+			nodes = append(nodes, n)
 		}
 	}
-	slices.SortStableFunc(on, func(a, b *node) int { return int(x.values[b.id]) - int(x.values[a.id]) })
+	slices.SortStableFunc(nodes, func(a, b *node) int { return int(x.values[b.id]) - int(x.values[a.id]) })
 	var out []allocation
 	need := k.accelerators
-	for _, n := range on {
+	for _, n := range nodes {
 		u := s.footprint(k, n)
 		got := min(need, int(x.values[n.id])/u)
 		if got == 0 {
--- a/scheduler/plan.go
+++ b/scheduler/plan.go
@@ -7,9 +7,9 @@
 
 // expectedRelease is accelerators of a node that become available at a time.
 type expectedRelease struct {
-	at   time.Time
-	node nodeID
-	n    int
+	at    time.Time
+	node  nodeID
+	count int
 }
 
 // planReservation finds where a job could start first, going by learned run times: the unit
@@ -32,11 +32,11 @@
 	var ready time.Time
 	bestSpan := int32(-1)
 	for span, ends := range groups {
-		at, t := s.earliestPlace(&k, ends)
-		if at == nil || best != nil && (t.After(ready) || t.Equal(ready) && span > bestSpan) {
+		place, t := s.earliestPlace(&k, ends)
+		if place == nil || best != nil && (t.After(ready) || t.Equal(ready) && span > bestSpan) {
 			continue
 		}
-		best, ready, bestSpan = at, t, span
+		best, ready, bestSpan = place, t, span
 	}
 	return best, ready
 }
@@ -80,7 +80,7 @@
 			continue
 		}
 		old := max(0, have[e.node]) / u
-		have[e.node] += e.n
+		have[e.node] += e.count
 		sum += max(0, have[e.node])/u - old
 		if sum >= k.accelerators {
 			return s.takeFromFullest(k, have), e.at
--- a/scheduler/policy_change.go
+++ b/scheduler/policy_change.go
@@ -8,7 +8,7 @@
 	if p.Generation < s.policy.Generation {
 		return
 	}
-	share := s.policy.CPUSharePercent
+	oldCPUShare := s.policy.CPUSharePercent
 	s.policy = p.WithDefaults()
 	for _, a := range s.accountList {
 		a.declared = false
@@ -22,7 +22,7 @@
 		s.setBlocks(a)
 	}
 	s.dropUndeclaredAccounts()
-	if share != s.policy.CPUSharePercent {
+	if oldCPUShare != s.policy.CPUSharePercent {
 		s.resizeCPU()
 	}
 	s.capacityGen++
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -54,10 +54,10 @@
 // take takes need accelerators from the pool, largest workers first, and the
 // remainder from the tightest worker that holds it. It reports how many it took.
 func (p *pool) take(need int, out []allocation) (int, []allocation) {
-	took := 0
-	for v := p.largest(); v > 0 && took < need; v-- {
+	taken := 0
+	for v := p.largest(); v > 0 && taken < need; v-- {
 		for _, n := range p.byValue[v-1] {
-			rest := need - took
+			rest := need - taken
 			if rest == 0 {
 				break
 			}
@@ -66,8 +66,8 @@
 			}
 			k := min(v, rest)
 			out = append(out, allocation{node: n, count: k})
-			took += k
+			taken += k
 		}
 	}
-	return took, out
+	return taken, out
 }
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -50,10 +50,10 @@
 	if !s.preemptible(r, j) {
 		return end
 	}
-	worth := s.minPreemptGain() * s.runEvictionCost(r) / float64(j.Accelerators)
-	at := s.now.Add(time.Duration(worth * float64(time.Second)))
-	if at.Before(end) {
-		return at
+	delay := s.minPreemptGain() * s.runEvictionCost(r) / float64(j.Accelerators)
+	preemptedAt := s.now.Add(time.Duration(delay * float64(time.Second)))
+	if preemptedAt.Before(end) {
+		return preemptedAt
 	}
 	return end
 }
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -61,11 +61,11 @@
 		q.link(nil, j, q.head)
 		return
 	}
-	at := q.tail
-	for at.seq > j.seq {
-		at = at.prev
+	prev := q.tail
+	for prev.seq > j.seq {
+		prev = prev.prev
 	}
-	q.link(at, j, at.next)
+	q.link(prev, j, prev.next)
 }
 
 func (q *queue) link(prev, j, next *job) {
--- a/scheduler/reserve.go
+++ b/scheduler/reserve.go
@@ -95,15 +95,15 @@
 		s.reserveCPU(j)
 		return
 	}
-	at, ready := s.planReservation(j)
-	if at == nil {
+	place, ready := s.planReservation(j)
+	if place == nil {
 		j.noPlanBefore = s.now.Add(replanInterval)
 		return
 	}
-	c := &claim{job: j, allocations: at, readyAt: ready}
+	c := &claim{job: j, allocations: place, readyAt: ready}
 	s.addClaim(c)
 	if !j.mayBorrow() {
-		s.tryMoveBlocksFrom(at)
+		s.tryMoveBlocksFrom(place)
 	}
 	s.updateReadyAt(c)
 	s.preempt(c)
@@ -129,13 +129,13 @@
 	s.countClaim(c, -1)
 	old := c.allocations
 	s.updateReadyAt(c)
-	stay := c.readyAt
-	if at, _ := s.planReservation(c.job); at != nil {
-		c.allocations = at
+	stayReadyAt := c.readyAt
+	if place, _ := s.planReservation(c.job); place != nil {
+		c.allocations = place
 		s.updateReadyAt(c)
 	}
-	if c.readyAt.Sub(s.now) > stay.Sub(s.now)*moveWaitPercent/100 {
-		c.allocations, c.readyAt = old, stay
+	if c.readyAt.Sub(s.now) > stayReadyAt.Sub(s.now)*moveWaitPercent/100 {
+		c.allocations, c.readyAt = old, stayReadyAt
 	}
 	c.plannedAt = s.now
 	s.countClaim(c, 1)
@@ -167,13 +167,13 @@
 		}
 	}
 	slices.SortStableFunc(ends, func(a, b expectedRelease) int { return a.at.Compare(b.at) })
-	at := s.now
+	readyAt := s.now
 	for _, e := range ends {
 		if have >= need {
 			break
 		}
-		have += e.n
-		at = e.at
+		have += e.count
+		readyAt = e.at
 	}
-	return at
+	return readyAt
 }
--- a/scheduler/restore.go
+++ b/scheduler/restore.go
@@ -25,7 +25,7 @@
 	j.lastAttempt = max(j.lastAttempt, e.Attempt)
 	r := &run{job: j, attempt: e.Attempt, state: runRunning, started: e.Started, protected: !j.Evictable()}
 	j.run = r
-	pieces, ok := s.restoredAllocations(e, r)
+	allocations, ok := s.restoredAllocations(e, r)
 	if !ok {
 		// Two attempts can't hold one accelerator at an agent, so one of the
 		// reports is stale. The attempt is stopped and holds nothing here.
@@ -33,7 +33,7 @@
 		s.countRun(r, 1)
 		return
 	}
-	for _, h := range pieces {
+	for _, h := range allocations {
 		s.hold(r, h)
 	}
 	s.countRun(r, 1)
@@ -117,7 +117,7 @@
 		s.detach(b)
 	}
 	s.countRun(r, -1)
-	var at []allocation
+	var place []allocation
 	for _, h := range r.held {
 		n := s.nodes[h.node]
 		if r.protected {
@@ -129,11 +129,11 @@
 			s.detach(n.blocks[len(n.blocks)-1])
 			s.retryRepack()
 		}
-		at = append(at, allocation{node: h.node, count: h.count})
+		place = append(place, allocation{node: h.node, count: h.count})
 	}
-	s.attach(b, at)
+	s.attach(b, place)
 	r.protected = true
-	for i, p := range at {
+	for i, p := range place {
 		r.blockUses = append(r.blockUses, blockUse{b, i, p.count})
 	}
 	s.useBlocks(r.blockUses, 1)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -80,8 +80,8 @@
 		fitsBeside:   map[demand]bool{},
 		runTimes:     newRunTimePredictor(),
 	}
-	for _, x := range s.indexes() {
-		x.installed = &s.installed
+	for _, idx := range s.indexes() {
+		idx.installed = &s.installed
 	}
 	return s
 }
--- a/scheduler/start.go
+++ b/scheduler/start.go
@@ -7,17 +7,17 @@
 
 // start begins an attempt on pieces that are idle. With shares it runs within
 // the guarantee of its account and is never evicted, nor is it if it is protected.
-func (s *Scheduler) start(j *job, at []allocation, shares []blockUse, protected bool) {
+func (s *Scheduler) start(j *job, place []allocation, uses []blockUse, protected bool) {
 	s.dequeue(j)
 	if j.claim != nil {
 		s.dropClaim(j.claim)
 	}
 	j.lastAttempt++
-	r := &run{job: j, attempt: j.lastAttempt, blockUses: shares, started: s.now}
-	r.protected = len(shares) > 0 || protected
+	r := &run{job: j, attempt: j.lastAttempt, blockUses: uses, started: s.now}
+	r.protected = len(uses) > 0 || protected
 	j.run = r
 	key := j.key()
-	for _, p := range at {
+	for _, p := range place {
 		s.holdLowest(r, p, s.footprint(&key, s.nodes[p.node]))
 	}
 	s.countRun(r, 1)
@@ -127,7 +127,7 @@
 
 // stopRun asks for the end of a run. A run is asked once: a later reason only
 // replaces the first one where it decides what becomes of the job.
-func (s *Scheduler) stopRun(r *run, why StopReason, checkpoint bool) {
+func (s *Scheduler) stopRun(r *run, reason StopReason, checkpoint bool) {
 	if r.state == runStopping {
 		return
 	}
@@ -140,11 +140,11 @@
 		}
 	}
 	r.state = runStopping
-	r.stopReason = why
-	if why == StopReclaim {
+	r.stopReason = reason
+	if reason == StopReclaim {
 		s.evictionsInProgress++
 	}
-	s.emit(StopGang{Job: r.job.ID, Attempt: r.attempt, Checkpoint: checkpoint, Reason: why})
+	s.emit(StopGang{Job: r.job.ID, Attempt: r.attempt, Checkpoint: checkpoint, Reason: reason})
 }
 
 func (s *Scheduler) gangStarted(e GangStarted) {
--- a/scheduler/stats.go
+++ b/scheduler/stats.go
@@ -78,8 +78,8 @@
 		}
 	}
 	lost := 0
-	for w, n := range waiting {
-		lost += n * w.accelerators * s.unusableFree(w)
+	for d, n := range waiting {
+		lost += n * d.accelerators * s.unusableFree(d)
 	}
 	if weight == 0 {
 		return 0
@@ -88,14 +88,14 @@
 }
 
 // unusableFree is the free accelerators in units of a span that have too few.
-func (s *Scheduler) unusableFree(w demand) int {
+func (s *Scheduler) unusableFree(d demand) int {
 	units := map[int32]int{}
 	for _, n := range s.nodes {
-		units[unitOf(n, w.span)] += n.idle()
+		units[unitOf(n, d.span)] += n.idle()
 	}
 	t := 0
 	for _, free := range units {
-		if free < w.accelerators {
+		if free < d.accelerators {
 			t += free
 		}
 	}
--- a/scheduler/under_reservation.go
+++ b/scheduler/under_reservation.go
@@ -23,8 +23,8 @@
 		if _, due := s.backfilledRuns(c); due {
 			continue
 		}
-		if at := s.placeInReservation(c, k); at != nil {
-			return at, c
+		if place := s.placeInReservation(c, k); place != nil {
+			return place, c
 		}
 	}
 	return nil, nil
@@ -37,16 +37,16 @@
 	for _, p := range c.allocations {
 		sums[unitOf(s.nodes[p.node], k.span)] += idle(p)
 	}
-	pieces := slices.Clone(c.allocations)
-	slices.SortStableFunc(pieces, func(a, b allocation) int { return idle(b) - idle(a) })
-	for _, first := range pieces {
+	allocations := slices.Clone(c.allocations)
+	slices.SortStableFunc(allocations, func(a, b allocation) int { return idle(b) - idle(a) })
+	for _, first := range allocations {
 		span := unitOf(s.nodes[first.node], k.span)
 		if sums[span] < k.accelerators {
 			continue
 		}
 		var out []allocation
 		need := k.accelerators
-		for _, p := range pieces {
+		for _, p := range allocations {
 			got := min(need, idle(p))
 			if unitOf(s.nodes[p.node], k.span) != span || got == 0 {
 				continue
--- a/scheduler/within_guarantee.go
+++ b/scheduler/within_guarantee.go
@@ -11,8 +11,8 @@
 // in a block of its account. As a borrower it would lose its work to a claim or a
 // reservation of another account while its own block is idle.
 func (s *Scheduler) startWithinGuarantee(j *job, k *queueKey) bool {
-	if at := s.withoutFailedNodes(j, func() []allocation { return s.find(&s.unguaranteed, k) }); at != nil {
-		s.start(j, at, nil, true)
+	if place := s.withoutFailedNodes(j, func() []allocation { return s.find(&s.unguaranteed, k) }); place != nil {
+		s.start(j, place, nil, true)
 		return true
 	}
 	c, _ := s.findClaim(j, k, afterOpen)
