--- a/scheduler/action.go
+++ b/scheduler/action.go
@@ -6,51 +6,54 @@
 type Action interface{ action() }
 
 type (
-	// StartGang asks to start an attempt on all of its placement or not at all.
+	// StartGang asks to start an attempt on its whole placement or not at all.
 	StartGang struct {
 		Job       JobID
 		Attempt   Attempt
 		Placement Placement
 	}
-	// StopGang asks to stop an attempt, after a checkpoint if Checkpoint is set.
-	// GangEnded must follow.
+	// StopGang asks to stop an attempt, after a checkpoint if Checkpoint is
+	// set. The caller must report GangEnded for it.
 	StopGang struct {
 		Job        JobID
 		Attempt    Attempt
 		Checkpoint bool
 		Reason     StopReason
 	}
-	// RejectJob ends a job that is not done. The scheduler forgets it.
+	// RejectJob ends a job that has not finished. The scheduler forgets the
+	// job.
 	RejectJob struct {
 		Job    JobID
 		Reason RejectReason
 		Detail string
 	}
-	// JobRequeued says that a job waits again after an attempt.
+	// JobRequeued reports that a job waits again after an attempt.
 	JobRequeued struct {
 		Job     JobID
 		Attempt Attempt
 	}
-	// GuaranteeDegraded says that Missing blocks of a shape fit nowhere now.
+	// GuaranteeDegraded reports that Missing blocks of a shape can't be bound
+	// to any workers now.
 	GuaranteeDegraded struct {
 		Account AccountID
 		Shape   Shape
 		Missing int
 	}
-	// GuaranteeRestored says that every block of a shape fits again.
+	// GuaranteeRestored reports that every block of a shape is bound again.
 	GuaranteeRestored struct {
 		Account AccountID
 		Shape   Shape
 	}
-	// QuarantineWorker says that a worker gets no work until Until, and then a
-	// single probe.
+	// QuarantineWorker reports that a worker gets no work until Until, and then
+	// a single probe job.
 	QuarantineWorker struct {
 		Worker WorkerID
 		Until  time.Time
 	}
-	// WorkerHealthy says that a probe succeeded and the worker is back.
+	// WorkerHealthy reports that a probe job succeeded and the worker is in use
+	// again.
 	WorkerHealthy struct{ Worker WorkerID }
-	// WakeAt asks for a Tick at a time. A later WakeAt replaces it.
+	// WakeAt asks for a Tick at a time. A later WakeAt replaces an earlier one.
 	WakeAt struct{ At time.Time }
 )
 
--- a/scheduler/adjacency.go
+++ b/scheduler/adjacency.go
@@ -1,9 +1,10 @@
 package scheduler
 
-// Adjacency is the widest span over which the accelerators of a gang may lie.
+// Adjacency is the widest unit of the topology over which the accelerators of a
+// gang may be spread.
 type Adjacency uint8
 
-// Spans from the widest to the tightest.
+// Adjacencies from the widest to the narrowest.
 const (
 	AdjacentAny Adjacency = iota
 	AdjacentZone
@@ -11,7 +12,7 @@
 	AdjacentWorker
 )
 
-// String returns the name that documents use for the span.
+// String returns the name of the adjacency in service documents.
 func (a Adjacency) String() string {
 	switch a {
 	case AdjacentAny:
--- a/scheduler/under_reservation.go
+++ b/scheduler/backfill.go
@@ -5,13 +5,15 @@
 	"time"
 )
 
-// minBackfillWait is how far off a reservation must be for work to run under it.
+// minBackfillWait is the shortest expected wait of a reservation that
+// preemptible work may backfill.
 const minBackfillWait = 30 * time.Second
 
-// findPreemptibleBackfill looks for room under a reservation that still waits for other work
-// to end. Only a job that can checkpoint runs there: it makes way at once when
-// the rest is free, and loses no work by that. Under a reservation that waits for
-// nothing else but a block to move, it would be stopped and started without end.
+// findPreemptibleBackfill looks for idle capacity of a reservation that still
+// waits for other work. Only checkpointable jobs run there: they are stopped
+// once the rest is free, and lose no work. A reservation that waits only for
+// blocks to move is not backfilled, since the job would be stopped and started
+// over and over.
 func (s *Scheduler) findPreemptibleBackfill(j *job, k *queueKey) ([]allocation, *claim) {
 	if !j.Checkpointable || !j.mayBorrow() || j.Urgent || j.claim != nil || !s.fitsMinShare(k) {
 		return nil, nil
@@ -30,7 +32,8 @@
 	return nil, nil
 }
 
-// placeInReservation returns a place for a job on what is idle under a reservation.
+// placeInReservation returns a place for a job on idle capacity of a
+// reservation, or nil.
 func (s *Scheduler) placeInReservation(c *claim, k *queueKey) []allocation {
 	sums := map[int32]int{}
 	idle := func(p allocation) int { return min(p.count, s.nodes[p.node].free()) }
@@ -60,8 +63,8 @@
 	return nil
 }
 
-// stopBackfilled stops the work under a reservation once nothing else keeps the
-// reservation from being complete.
+// stopBackfilled stops the attempts that backfill a reservation once nothing
+// else keeps it from being complete.
 func (s *Scheduler) stopBackfilled(c *claim) {
 	under, due := s.backfilledRuns(c)
 	if !due {
@@ -72,8 +75,8 @@
 	}
 }
 
-// backfilledRuns lists the work that a reservation has to wait for among that under
-// it, and reports whether it waits for nothing else.
+// backfilledRuns lists the backfilling attempts that must stop for a
+// reservation to be complete, and reports whether it waits for nothing else.
 func (s *Scheduler) backfilledRuns(c *claim) ([]*run, bool) {
 	var out []*run
 	for _, p := range c.allocations {
--- a/scheduler/bind.go
+++ b/scheduler/bind.go
@@ -2,9 +2,10 @@
 
 import "slices"
 
-// rebindUnbound looks for a place for every block that has none. What is owed
-// comes before any new work. When the tightest first order finds no place, all
-// unused blocks are taken up and bound again, once per growth of capacity.
+// rebindUnbound looks for workers for every unbound block, once per growth of
+// capacity. If greedy binding fails, it gives up reservations of work that may
+// not be evicted, then rebinds all unused blocks, and then makes protected work
+// outside the blocks evictable.
 func (s *Scheduler) rebindUnbound() {
 	if len(s.unbound) == 0 || s.repackGen == s.capacityGen {
 		return
@@ -23,12 +24,13 @@
 	s.repackGen = s.capacityGen
 }
 
-// retryRepack has the blocks without a place tried again although no capacity has
-// grown: one has just lost its place and may fit where another worker has room.
+// retryRepack makes the next decision try the unbound blocks again although no
+// capacity has grown, because a block that has just been unbound may fit on
+// other workers.
 func (s *Scheduler) retryRepack() { s.repackGen = s.capacityGen - 1 }
 
-// dropReservations gives up the reservations of work that may not be evicted,
-// which keep blocks from being bound: what is owed goes first.
+// dropReservations drops the reservations of jobs that may not borrow, since
+// these keep blocks from being bound. It reports whether there were any.
 func (s *Scheduler) dropReservations() bool {
 	dropped := false
 	for _, c := range slices.Clone(s.claims) {
@@ -40,8 +42,8 @@
 	return dropped
 }
 
-// tryMoveBlocksFrom binds the unused blocks of some nodes elsewhere, as far as they find
-// another place.
+// tryMoveBlocksFrom binds the unused blocks on some nodes elsewhere, where that
+// is possible.
 func (s *Scheduler) tryMoveBlocksFrom(place []allocation) {
 	before := s.capacityGen
 	for _, p := range place {
@@ -66,6 +68,8 @@
 	}
 }
 
+// tightestFirst orders blocks by the narrowest span and then by the largest
+// size.
 func tightestFirst(a, b *block) int {
 	if d := int(b.shape.Adjacency) - int(a.shape.Adjacency); d != 0 {
 		return d
@@ -73,7 +77,7 @@
 	return b.shape.Accelerators - a.shape.Accelerators
 }
 
-// bind gives an unbound block a place. It reports false if there is none.
+// bind binds an unbound block. It reports false if no workers can hold it.
 func (s *Scheduler) bind(b *block) bool {
 	place := s.bindable.findPlace(b.shape.Accelerators, b.shape.Adjacency, s.nodes)
 	if place == nil {
@@ -83,8 +87,8 @@
 	return true
 }
 
-// repack takes up every unused block and binds all again, keeping the outcome
-// only if fewer are left without a place.
+// repack unbinds every unused block and binds all of them again. It keeps the
+// result only if fewer blocks are left unbound.
 func (s *Scheduler) repack() {
 	before := len(s.unbound)
 	var moved []*block
@@ -126,12 +130,11 @@
 	return out
 }
 
-// moveBlocksAside makes room for work that may not be evicted on workers where unused
-// blocks stand in the way, by moving those blocks. It reports false, with
-// nothing changed, if one of them would find no other place.
-// Blocks of own may stay without a place: a job of that account larger than each
-// of them uses what they are bound to, or it would wait for its own account for
-// ever.
+// moveBlocksAside moves unused blocks off the nodes of a place where they leave
+// too little slack for work that may not be evicted. It reports false, with
+// nothing changed, if one of them can't be bound elsewhere. Blocks of own may
+// stay unbound: a job of that account that is larger than each of them uses
+// their capacity, since otherwise it would wait for its own account forever.
 func (s *Scheduler) moveBlocksAside(place []allocation, own *account) bool {
 	before := s.capacityGen
 	var moved []*block
@@ -170,9 +173,9 @@
 	return true
 }
 
-// rebindOwnBlocks takes up the unused blocks of an account if blocks of others have no
-// place, so that these may be bound where they were. It returns moved and old with
-// what it took up.
+// rebindOwnBlocks also unbinds the unused blocks of own if blocks of other
+// accounts are still unbound, binds those first, and then its own. It returns
+// moved and old with the blocks that it unbound added.
 func (s *Scheduler) rebindOwnBlocks(own *account, moved []*block, old [][]allocation) ([]*block, [][]allocation) {
 	othersUnbound := func(b *block) bool { return !b.bound() && b.account != own }
 	if !slices.ContainsFunc(moved, othersUnbound) {
@@ -197,6 +200,8 @@
 	return moved, old
 }
 
+// addProtected adds the allocations to the protected accelerators of their
+// nodes, or subtracts them if sign is -1.
 func (s *Scheduler) addProtected(place []allocation, sign int) {
 	for _, p := range place {
 		n := s.nodes[p.node]
@@ -205,6 +210,7 @@
 	}
 }
 
+// restoreBindings binds the moved blocks to their old places again.
 func (s *Scheduler) restoreBindings(moved []*block, old [][]allocation) {
 	for _, b := range moved {
 		if b.bound() {
--- a/scheduler/block.go
+++ b/scheduler/block.go
@@ -1,17 +1,17 @@
 package scheduler
 
-// block is one guaranteed shape of an account. It is bound to workers that can
-// hold it, or unbound while there are none.
+// block is one guaranteed shape of an account. It is unbound while no workers
+// can hold it.
 type block struct {
 	account      *account
 	shape        Shape
 	parts        []part // empty while unbound
 	used         int
-	unboundIndex int // position in Scheduler.unbound while unbound, else -1
+	unboundIndex int // position in Scheduler.unbound, or -1 while bound
 }
 
-// part is the piece of a block on one worker. Of its n accelerators, used are
-// taken by jobs of the account itself.
+// part is the portion of a block on one worker: of its count accelerators, used
+// are taken by jobs of the account.
 type part struct {
 	node  nodeID
 	count int
@@ -20,6 +20,7 @@
 
 func (b *block) bound() bool { return len(b.parts) > 0 }
 
+// unused returns the accelerators of a bound block that no job uses.
 func (b *block) unused() int {
 	if !b.bound() {
 		return 0
@@ -27,7 +28,7 @@
 	return b.shape.Accelerators - b.used
 }
 
-// acceleratorsOn is the part of the block acceleratorsOn a node.
+// acceleratorsOn returns the size of the block's part on a node.
 func (b *block) acceleratorsOn(id nodeID) int {
 	for _, p := range b.parts {
 		if p.node == id {
@@ -37,12 +38,13 @@
 	return 0
 }
 
-// sameShape reports whether two shapes differ in no more than their count.
+// sameShape reports whether two shapes are equal except for their count.
 func sameShape(a, b Shape) bool {
 	return a.Accelerators == b.Accelerators && a.Adjacency == b.Adjacency
 }
 
-// attach binds a block to workers. The caller has checked that they have slack.
+// attach binds a block to a place. The caller has checked that the nodes have
+// room.
 func (s *Scheduler) attach(b *block, place []allocation) {
 	s.removeUnbound(b)
 	b.account.blockGen++
@@ -55,8 +57,8 @@
 	}
 }
 
-// detach unbinds a block. Attempts that used it go on without a guarantee: those
-// that may be evicted become borrowers, others stay protected.
+// detach unbinds a block. Attempts that use it go on outside the guarantee:
+// evictable ones become borrowers, the others stay protected.
 func (s *Scheduler) detach(b *block) {
 	var others []*block
 	if b.used > 0 {
@@ -75,9 +77,10 @@
 	}
 }
 
-// detachIfOvercommitted unbinds a block that an attempt has left which stays protected where
-// the block is. Block and attempt would both count on the same accelerators, and
-// the guarantee would show as whole although it could not be claimed.
+// detachIfOvercommitted unbinds a block if a node of it has less capacity than
+// protected work and blocks need. That happens when a protected attempt leaves
+// the block but stays on its nodes; the block would seem available although it
+// could not be claimed.
 func (s *Scheduler) detachIfOvercommitted(b *block) {
 	for _, p := range b.parts {
 		if n := s.nodes[p.node]; n.bound > 0 && n.protected+n.bound > n.capacity() {
@@ -88,7 +91,7 @@
 	}
 }
 
-// addUnbound puts a block on the list of those that have no place.
+// addUnbound adds a block to the list of unbound blocks.
 func (s *Scheduler) addUnbound(b *block) {
 	if b.unboundIndex >= 0 {
 		return
@@ -97,7 +100,7 @@
 	s.unbound = append(s.unbound, b)
 }
 
-// removeUnbound takes a block off the list of those that have no place.
+// removeUnbound removes a block from the list of unbound blocks.
 func (s *Scheduler) removeUnbound(b *block) {
 	if b.unboundIndex < 0 {
 		return
@@ -110,8 +113,8 @@
 	b.unboundIndex = -1
 }
 
-// dropBlockUsers takes every attempt and claim out of a block. It returns the other
-// blocks that these attempts used.
+// dropBlockUsers removes every attempt and claim from a block. It returns the
+// other blocks that these attempts used.
 func (s *Scheduler) dropBlockUsers(b *block) []*block {
 	var others []*block
 	for _, p := range b.parts {
@@ -147,7 +150,8 @@
 	return false
 }
 
-// useBlocks moves accelerators from the unused to the used part of blocks.
+// useBlocks moves accelerators of blocks from unused to used, or back if sign
+// is -1.
 func (s *Scheduler) useBlocks(uses []blockUse, sign int) {
 	for _, use := range uses {
 		p := &use.block.parts[use.part]
@@ -163,7 +167,8 @@
 	}
 }
 
-// leaveGuarantee turns an attempt that uses blocks into one that does not.
+// leaveGuarantee removes an attempt from the blocks that it uses. It stays
+// protected only if its job may not be evicted.
 func (s *Scheduler) leaveGuarantee(r *run) {
 	s.useBlocks(r.blockUses, -1)
 	r.blockUses = nil
@@ -183,7 +188,7 @@
 	}
 }
 
-// size is the accelerators that the attempt holds.
+// size returns the accelerators that the attempt holds.
 func (r *run) size() int {
 	t := 0
 	for _, p := range r.held {
--- a/scheduler/offer.go
+++ b/scheduler/block_cost.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// blockCost is what a job would cause in a block.
+// blockCost ranks a block for a claim.
 type blockCost struct {
-	cost   float64
-	pinned bool // in use already, so that it could not move anyway
-	unused int
+	cost   float64 // eviction cost in accelerator seconds
+	pinned bool    // in use already, so the block can't be moved
+	unused int     // accelerators
 }
 
-// less prefers evicting least, then blocks that are in use already, then the
-// tightest.
+// less prefers the lowest eviction cost, then blocks that are in use already,
+// then those with the fewest unused accelerators.
 func (a blockCost) less(b blockCost) bool {
 	if a.cost != b.cost {
 		return a.cost < b.cost
@@ -24,16 +24,15 @@
 	return a.unused < b.unused
 }
 
-// blockCostOf judges a block where it is. One that is unused may still move to a
-// place where the job evicts less.
+// blockCostOf ranks a block at its present place.
 func (s *Scheduler) blockCostOf(b *block, k *queueKey) blockCost {
 	_, cost := s.victims(allocationsOf(s.blockUsesFor(b, k)))
 	return blockCost{cost: cost, pinned: b.used > 0, unused: b.unused()}
 }
 
-// orderParts lists the parts of a block with the idle ones first, then those in
-// use already, so that a job smaller than the block evicts no borrower for
-// nothing.
+// orderParts lists the parts of a block, those with the most idle accelerators
+// first and then those most used already, so that a job smaller than the block
+// evicts as few borrowers as possible.
 func (s *Scheduler) orderParts(b *block, k *queueKey) []int {
 	out := make([]int, len(b.parts))
 	for i := range out {
--- a/scheduler/borrowing.go
+++ b/scheduler/borrowing.go
@@ -5,13 +5,10 @@
 	"slices"
 )
 
-// stopBorrowing has a job that has just lost work to a claim run only where no block
-// needs the place from now on, if such a place exists once other work has ended.
-//
-// The failure this guards against: a large gang borrows, runs for half an hour,
-// is evicted by the claim of a small job, starts again, and so on. It shows as
-// work lost over and over by the same job while all others wait behind it. A job
-// that may not borrow is never evicted, so each loses work to claims once.
+// stopBorrowing keeps a job that has just lost work to a claim off capacity
+// that blocks may need, if it fits beside all blocks on idle workers. Such a
+// job can't be evicted for a claim again; otherwise a long job could borrow, be
+// evicted and start over again and again.
 func (s *Scheduler) stopBorrowing(j *job) {
 	if j.Accelerators == 0 || j.Checkpointable || j.borrowingEnded || !s.hasGuarantees() {
 		return
@@ -20,9 +17,9 @@
 	j.borrowingEnded = s.fitsMinShare(&k) && s.fitsBesideBlocks(demand{j.Accelerators, j.Adjacency})
 }
 
-// resumeBorrowing lets jobs borrow again that no longer fit beside all blocks, since
-// workers are gone or a policy guarantees more. They would wait for ever although
-// the capacity of a guarantee that nobody uses is idle.
+// resumeBorrowing lets jobs borrow again that no longer fit beside all blocks
+// because workers are gone or the policy guarantees more. They would otherwise
+// wait forever while unused guaranteed capacity is idle.
 func (s *Scheduler) resumeBorrowing() {
 	if s.borrowingGen == s.shrinkGen {
 		return
@@ -47,7 +44,7 @@
 }
 
 // fitsBesideBlocks reports whether a shape fits on idle workers together with
-// all guaranteed ones.
+// all guaranteed blocks.
 func (s *Scheduler) fitsBesideBlocks(d demand) bool {
 	if gen := s.topologyGen + s.shrinkGen; s.fitsBesideGen != gen {
 		s.fitsBesideGen = gen
@@ -61,6 +58,8 @@
 	return fits
 }
 
+// allBlocksFitWith tries to bind all guaranteed blocks and one more shape on a
+// scratch scheduler with the usable workers, all idle.
 func (s *Scheduler) allBlocksFitWith(shape Shape) bool {
 	p := s.policy
 	p.Accounts = append(p.Accounts[:len(p.Accounts):len(p.Accounts)], AccountPolicy{ID: "beside", Guaranteed: []Shape{shape}})
--- a/scheduler/check.go
+++ b/scheduler/check.go
@@ -9,12 +9,12 @@
 // ErrInvariant is wrapped by every error of [Scheduler.Check].
 var ErrInvariant = errors.New("scheduler invariant broken")
 
-// Check recounts the whole state from its attempts, claims and blocks and
-// compares. It guarantees that no accelerator is held twice, that no gang is
-// held in part, that every job is in exactly one place, and that the unused
-// guaranteed shapes of all accounts fit at once, as blocks, into capacity that
-// is free or held by work that may be evicted, except those reported as
-// degraded. Its cost is linear in workers and jobs.
+// Check recounts the whole state from attempts, claims and blocks and compares
+// it with the maintained counts. It verifies that no accelerator is held twice,
+// that no gang is held in part, that every job is in exactly one place, and
+// that the unused blocks of all accounts except the unbound ones fit at once
+// into capacity that is free or held by evictable work. Its cost is linear in
+// workers and jobs.
 func (s *Scheduler) Check() error {
 	for _, f := range []func() error{s.checkJobs, s.checkNodes, s.checkBlocks, s.checkQueues} {
 		if err := f(); err != nil {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// nodeCounts is what checkNodes recounts.
+// nodeCounts holds the counts of a node that checkNodes recounts.
 type nodeCounts struct{ held, protected, evictable, stopping, bound, claimed, reserved int }
 
 func (s *Scheduler) checkNodes() error {
--- a/scheduler/check_policy.go
+++ b/scheduler/check_policy.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// ShapeError says that guaranteed shapes don't fit together. Account and Shape
-// are the first that found no place when the tightest and largest are placed
-// first; Missing of its blocks were left over.
+// ShapeError reports that guaranteed shapes don't fit together. Account and
+// Shape are the first that could not be bound when the narrowest and largest
+// are placed first; Missing blocks of that shape were left over.
 type ShapeError struct {
 	Account AccountID
 	Shape   Shape
@@ -20,7 +20,7 @@
 		e.Account, e.Missing, e.Shape.Count, e.Shape.Accelerators, e.Shape.Adjacency)
 }
 
-// AccountError says that an account is declared wrongly.
+// AccountError reports that the declaration of an account is invalid.
 type AccountError struct {
 	Account AccountID
 	Problem string
@@ -31,9 +31,10 @@
 	return fmt.Sprintf("account %q: %s", e.Account, e.Problem)
 }
 
-// CheckPolicy reports whether all guaranteed shapes of a policy fit at once on
-// idle workers, as blocks. It places the tightest and largest first, so in rare
-// cases it refuses shapes that a full search could fit.
+// CheckPolicy returns an error unless all guaranteed shapes of a policy fit at
+// once on the given workers, all idle. It binds the narrowest and largest
+// blocks first, so in rare cases it refuses shapes that an exhaustive search
+// could fit.
 func CheckPolicy(p Policy, workers []Worker) error {
 	if err := checkAccounts(p); err != nil {
 		return err
@@ -59,7 +60,8 @@
 	return &ShapeError{b.account.policy.ID, declaredShape(b), missing}
 }
 
-// declaredShape returns the shape of a block as its account declares it.
+// declaredShape returns the shape of a block with the count that its account
+// declares.
 func declaredShape(b *block) Shape {
 	out := b.shape
 	out.Count = 0
--- a/scheduler/claim.go
+++ b/scheduler/claim.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// claim is capacity set aside for one job until it starts or is cancelled. A
-// claim on a guarantee has shares and waits for the evictions it asked for; a
-// reservation has none and waits for work to end.
+// claim is capacity set aside for one job until the job starts or is cancelled.
+// A claim on a guarantee has blockUses and waits for the evictions it asked
+// for. A reservation has none and waits for work to end.
 type claim struct {
 	job         *job
 	allocations []allocation
 	blockUses   []blockUse
-	readyAt     time.Time // when a reservation is expected to be complete
-	plannedAt   time.Time
+	readyAt     time.Time // expected completion of a reservation
+	plannedAt   time.Time // when the place was chosen or last reconsidered
 }
 
 func (c *claim) guaranteed() bool { return len(c.blockUses) > 0 }
@@ -24,8 +24,8 @@
 	return false
 }
 
-// addClaim sets capacity aside. Capacity of a claim on a guarantee counts as
-// protected from now on, through its shares.
+// addClaim sets capacity aside. The capacity of a claim on a guarantee counts
+// as protected from now on, through its blockUses.
 func (s *Scheduler) addClaim(c *claim) {
 	c.plannedAt = s.now
 	c.job.claim = c
@@ -34,6 +34,8 @@
 	s.countClaim(c, 1)
 }
 
+// countClaim adds a claim to the counts of its nodes, or removes it if sign is
+// -1.
 func (s *Scheduler) countClaim(c *claim, sign int) {
 	for _, p := range c.allocations {
 		n := s.nodes[p.node]
@@ -49,13 +51,15 @@
 	}
 }
 
-// dropClaim gives the capacity back. Evictions are chosen when they are sent, so
-// those not sent yet go with the claim and a cancelled demand causes no more.
+// dropClaim gives the capacity of a claim back. Victims are chosen when
+// evictions are sent, so a dropped claim causes no further evictions.
 func (s *Scheduler) dropClaim(c *claim) {
 	s.removeClaim(c)
 	s.useBlocks(c.blockUses, -1)
 }
 
+// removeClaim removes a claim from the list, the counts and its job, but keeps
+// its blockUses in effect.
 func (s *Scheduler) removeClaim(c *claim) {
 	for i, x := range s.claims {
 		if x == c {
@@ -67,7 +71,7 @@
 	c.job.claim = nil
 }
 
-// startClaims starts every claim whose capacity is idle.
+// startClaims starts the job of every claim whose capacity is idle.
 func (s *Scheduler) startClaims() {
 	for i := 0; i < len(s.claims); {
 		c := s.claims[i]
@@ -79,8 +83,9 @@
 	}
 }
 
-// claimReady reports whether the capacity of a claim is idle. A reservation
-// leaves alone what claims on guarantees are waiting for.
+// claimReady reports whether the capacity of a claim is idle. A reservation may
+// not take what claims on guarantees wait for. For a job that may not borrow it
+// also moves unused blocks aside.
 func (s *Scheduler) claimReady(c *claim) bool {
 	for _, p := range c.allocations {
 		n := s.nodes[p.node]
--- a/scheduler/claim_joined.go
+++ b/scheduler/claim_adjacent.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// maxAdjacentLoss is what a claim on blocks next to each other may evict per
-// accelerator, in accelerator seconds: their account is promised each of them at
-// once, not that they adjoin.
+// maxAdjacentLoss is the highest eviction cost of a claim on adjacent blocks,
+// in accelerator seconds per accelerator of the job. The guarantee covers each
+// block but not their adjacency, so such a claim may evict little.
 const maxAdjacentLoss = 20.0
 
-// claimAdjacentBlocks claims several unused blocks of an account for a job that is
-// larger than each of them, and binds them next to each other within the span of
-// the job. It returns nil, with nothing changed, if they find no such place.
+// claimAdjacentBlocks claims several unused blocks of an account for a job that
+// is larger than each of them, after binding them within one unit of the job's
+// span. It returns nil, with nothing changed, if there is no such place.
 func (s *Scheduler) claimAdjacentBlocks(j *job, k *queueKey) *claim {
 	blocks := j.account.unusedBlocksFor(k.accelerators)
 	if blocks == nil || !s.fitsMinShare(k) {
@@ -37,8 +37,9 @@
 	return s.newClaim(j, blockUsesOf(blocks, k.accelerators))
 }
 
-// unusedBlocksFor returns unused blocks, largest first, that hold a job together which
-// none of the account's blocks holds alone.
+// unusedBlocksFor returns the largest unused blocks that together hold need
+// accelerators. It returns nil if a single block of the account could hold
+// them, or if all together can't.
 func (a *account) unusedBlocksFor(need int) []*block {
 	var out []*block
 	for _, b := range a.blocks {
@@ -58,8 +59,8 @@
 	return nil
 }
 
-// placeAdjacentBlocks returns the places for blocks within one span where a job evicts
-// least.
+// placeAdjacentBlocks returns one place per block, all within one unit of the
+// job's span, where the job evicts least.
 func (s *Scheduler) placeAdjacentBlocks(blocks []*block, k *queueKey) [][]allocation {
 	sum := 0
 	for _, b := range blocks {
@@ -82,8 +83,8 @@
 	return best
 }
 
-// splitPlace divides a place between blocks so that each keeps to its own span. It
-// returns nil if the tightest first order fails.
+// splitPlace divides a place between blocks so that each stays within its own
+// span. It returns nil if that fails in narrowest-first order.
 func (s *Scheduler) splitPlace(place []allocation, blocks []*block) [][]allocation {
 	place = slices.Clone(place)
 	order := slices.Clone(blocks)
@@ -99,7 +100,8 @@
 	return out
 }
 
-// takeShape takes a shape out of a place, from the tightest unit that holds it.
+// takeShape takes a shape out of a place, from the unit of its span with the
+// fewest accelerators that holds it.
 func (s *Scheduler) takeShape(place []allocation, shape Shape) []allocation {
 	sums := map[int32]int{}
 	for _, p := range place {
@@ -129,6 +131,7 @@
 	return out
 }
 
+// blockUsesOf takes need accelerators from the parts of blocks, in order.
 func blockUsesOf(blocks []*block, need int) []blockUse {
 	var out []blockUse
 	for _, b := range blocks {
--- a/scheduler/cpu.go
+++ b/scheduler/cpu.go
@@ -2,7 +2,8 @@
 
 import "github.com/bits-and-blooms/bitset"
 
-// cpuIndex orders workers by the cores that jobs without accelerators may use.
+// cpuIndex orders workers by the cores that are left for jobs without
+// accelerators.
 type cpuIndex struct {
 	values    []int32
 	positions []int32
@@ -47,8 +48,8 @@
 	}
 }
 
-// placeCPU returns the tightest worker by cores that also has the memory, or
-// nil.
+// placeCPU returns the worker with the fewest sufficient cores left that also
+// has the memory, or nil.
 func (s *Scheduler) placeCPU(cores, mem int) *node {
 	for v, ok := s.cpu.nonEmpty.NextSet(uint(max(1, cores))); ok; v, ok = s.cpu.nonEmpty.NextSet(v + 1) {
 		for _, id := range s.cpu.byCores[v] {
@@ -60,7 +61,7 @@
 	return nil
 }
 
-// cpuBudget is the cores that jobs without accelerators may use.
+// cpuBudget returns the cores that jobs without accelerators may use.
 func (n *node) cpuBudget(percent int) int {
 	if n.Accelerators <= 0 {
 		return n.Cores
@@ -68,6 +69,7 @@
 	return n.Cores * percent / 100
 }
 
+// memBudget returns the memory in MB that jobs without accelerators may use.
 func (n *node) memBudget(percent int) int {
 	if n.Accelerators <= 0 {
 		return n.MemoryMB
@@ -75,7 +77,7 @@
 	return n.MemoryMB * percent / 100
 }
 
-// recountCPU derives what is left for jobs without accelerators from the
+// recountCPU recomputes what is left for jobs without accelerators from the
 // attempts on the node.
 func (s *Scheduler) recountCPU(n *node) {
 	n.freeCPUCores = n.cpuBudget(s.policy.CPUSharePercent)
@@ -88,6 +90,7 @@
 	}
 }
 
+// refreshCPU updates the index of cores from a node.
 func (s *Scheduler) refreshCPU(n *node) {
 	v := int32(0)
 	if n.usable() && n.cpuReservedFor == nil {
@@ -99,8 +102,9 @@
 	s.cpu.update(n.id, v)
 }
 
-// lowerMinShare keeps the least cores and memory that come with one accelerator
-// anywhere. Jobs that need no more take the fast way through the indexes.
+// lowerMinShare updates the smallest cores and memory that come with one
+// accelerator on any worker. Jobs that need no more are placed through the
+// indexes alone.
 func (s *Scheduler) lowerMinShare(n *node) {
 	if n.Accelerators <= 0 {
 		return
@@ -114,15 +118,15 @@
 	}
 }
 
-// acceleratorShare is the cores and memory that come with one accelerator.
+// acceleratorShare returns the cores and memory that come with one accelerator.
 func (n *node) acceleratorShare(cpuPercent int) (cores, mem int) {
 	a := max(1, n.Accelerators)
 	return (n.Cores - n.cpuBudget(cpuPercent)) / a, (n.MemoryMB - n.memBudget(cpuPercent)) / a
 }
 
-// footprint is how many accelerators of a node one accelerator of a job takes up: 1
-// unless the job needs more than the share of cores or memory of one. It is 0
-// if the node can't hold the job at all.
+// footprint returns how many accelerators of a node one accelerator of a job
+// takes up: 1 unless the job needs more cores or memory than come with one. It
+// returns 0 if the node can't hold the job at all.
 func (s *Scheduler) footprint(k *queueKey, n *node) int {
 	if k.cores <= s.minCoresPerAccelerator && k.memory <= s.minMemPerAccelerator {
 		return 1
@@ -135,11 +139,13 @@
 	return u
 }
 
-// fitsMinShare reports whether the job takes one unit per accelerator everywhere.
+// fitsMinShare reports whether the footprint of the job is 1 on every worker.
 func (s *Scheduler) fitsMinShare(k *queueKey) bool {
 	return k.cores <= s.minCoresPerAccelerator && k.memory <= s.minMemPerAccelerator
 }
 
+// ceilDiv returns a/b rounded up. If b is 0 it returns more than any worker
+// has.
 func ceilDiv(a, b int) int {
 	if a <= 0 {
 		return 0
--- a/scheduler/degraded.go
+++ b/scheduler/degraded.go
@@ -11,8 +11,8 @@
 	return degradedKey{a.policy.ID, g.Accelerators, g.Adjacency}
 }
 
-// reportGuarantees says which guarantees have changed between whole and degraded
-// since the last decision, in the order of the accounts.
+// reportGuarantees emits an action for every shape whose number of unbound
+// blocks has changed since the last decision, in the order of the accounts.
 func (s *Scheduler) reportGuarantees() {
 	if len(s.unbound) == 0 && len(s.degraded) == 0 {
 		return
--- a/scheduler/delay.go
+++ b/scheduler/delay.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// delayHeap orders jobs that wait for a time before they are queued again.
+// delayHeap is a min-heap of the jobs that wait before they are queued again,
+// by the end of their delay.
 type delayHeap []*job
 
 func (h delayHeap) Len() int           { return len(h) }
@@ -51,7 +52,8 @@
 	}
 }
 
-// scheduleWake asks for the next time at which something changes by itself.
+// scheduleWake emits WakeAt for the next time at which the state changes
+// without an event.
 func (s *Scheduler) scheduleWake() {
 	var at time.Time
 	wakeBy := func(t time.Time) {
--- a/scheduler/displace.go
+++ b/scheduler/displace.go
@@ -1,8 +1,8 @@
 package scheduler
 
-// moveBlockDisplacing moves an unused block to where a claim evicts less although unused
-// blocks of whichever account are bound there, if those find another place. It
-// returns what the claim evicts now.
+// moveBlockDisplacing moves an unused block to a place where a claim costs
+// less, although unused blocks of any account are bound there, if those can be
+// bound elsewhere. It returns the cost of the claim afterwards.
 func (s *Scheduler) moveBlockDisplacing(b *block, k *queueKey, cost float64) float64 {
 	var best []allocation
 	for _, place := range s.unusedBlockPlaces(b) {
@@ -23,8 +23,9 @@
 	return s.placeCost(best, k.accelerators)
 }
 
-// unusedBlockPlaces lists places to which unused blocks are bound and that could hold
-// a block: those of blocks of the same shape, and workers if it needs only one.
+// unusedBlockPlaces lists places of other unused blocks that could hold a
+// block: those of blocks of the same shape, and single workers if the block
+// must lie on one.
 func (s *Scheduler) unusedBlockPlaces(b *block) [][]allocation {
 	var out [][]allocation
 	for _, a := range s.accountList {
@@ -47,6 +48,8 @@
 	return out
 }
 
+// appendWorkers appends the workers of an unused block that would hold need
+// accelerators if all unused blocks on them moved.
 func (s *Scheduler) appendWorkers(x *block, need int, out [][]allocation) [][]allocation {
 	for _, p := range x.parts {
 		if s.nodes[p.node].slackWithoutUnused() >= need {
--- a/scheduler/end.go
+++ b/scheduler/end.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// gangRefused takes back an attempt that did not start. The job goes back to its
-// place in the queue after a short delay, so that a stale plan is not repeated
-// at once.
+// gangRefused releases an attempt that did not start. The job returns to its
+// place in the queue after a delay, so that the same plan is not repeated at
+// once on stale state.
 func (s *Scheduler) gangRefused(e GangRefused) {
 	r := s.currentRun(e.Job, e.Attempt)
 	if r == nil {
@@ -25,7 +25,8 @@
 	s.requeue(r)
 }
 
-// gangEnded decides what becomes of the job of an attempt that has ended.
+// gangEnded releases an attempt that has ended and finishes, rejects or
+// requeues its job.
 func (s *Scheduler) gangEnded(e GangEnded) {
 	r := s.currentRun(e.Job, e.Attempt)
 	if r == nil {
@@ -56,8 +57,9 @@
 	}
 }
 
-// attemptFailed charges a failure to the worker or to the job, and tries again unless
-// the job is at fault.
+// attemptFailed records a failure with the worker and the job. It rejects the
+// job if it has failed too often or on too many healthy workers, and otherwise
+// requeues it.
 func (s *Scheduler) attemptFailed(r *run, worker WorkerID) {
 	j := r.job
 	j.failures++
@@ -71,16 +73,13 @@
 	s.requeue(r)
 }
 
-// earlyLossPeriod is how soon after its start an attempt has to be lost for that to speak
-// against its job. Jobs that run for weeks see many workers go.
+// earlyLossPeriod is how soon after its start the loss of an attempt counts
+// against its job. Long jobs outlive many workers, so later losses don't count.
 const earlyLossPeriod = 10 * time.Minute
 
-// attemptLost tries an attempt again that went with a worker, unless that has happened too
-// often.
-//
-// The failure it guards against: a job that takes down the workers that start it
-// never fails, since nothing of it is left to say so, and would go on to the next
-// worker for ever.
+// attemptLost requeues the job of an attempt that was lost with a worker. It
+// rejects the job if early losses repeat: a job that crashes the workers it
+// starts on never reports a failure.
 func (s *Scheduler) attemptLost(r *run) {
 	j := r.job
 	if r.state != runStarting && s.now.Sub(r.started) >= earlyLossPeriod {
@@ -96,7 +95,8 @@
 	s.requeue(r)
 }
 
-// requeue lets the job of an ended attempt wait again, at its old place.
+// requeue makes the job of an ended attempt wait again, at its old position and
+// after a backoff if it has failed.
 func (s *Scheduler) requeue(r *run) {
 	j := r.job
 	s.emit(JobRequeued{Job: j.ID, Attempt: r.attempt})
@@ -107,7 +107,7 @@
 	s.enqueue(j)
 }
 
-// endJob reports the one reason with which a job ends and forgets the job.
+// endJob emits the final rejection of a job and forgets the job.
 func (s *Scheduler) endJob(j *job, reason RejectReason, detail string) {
 	s.emit(RejectJob{Job: j.ID, Reason: reason, Detail: detail})
 	s.forgetJob(j)
--- a/scheduler/event.go
+++ b/scheduler/event.go
@@ -6,41 +6,44 @@
 type Event interface{ event() }
 
 type (
-	// WorkerUp adds a worker, or returns one that was down or draining.
+	// WorkerUp adds a worker, or returns one that was down or draining to use.
 	WorkerUp struct{ Worker Worker }
-	// WorkerDown says that a worker is gone. Its gangs are stopped everywhere.
+	// WorkerDown reports that a worker is lost. Every gang with a member on it
+	// is stopped.
 	WorkerDown struct{ ID WorkerID }
-	// WorkerDraining says that a worker takes no new work and ends what it runs.
+	// WorkerDraining reports that a worker takes no new work but finishes what
+	// it runs.
 	WorkerDraining struct{ ID WorkerID }
 	// PolicyChanged puts a policy in force.
 	PolicyChanged struct{ Policy Policy }
-	// JobsSubmitted queues jobs. A job that is already known is ignored.
+	// JobsSubmitted queues jobs. Jobs that are already known are ignored.
 	JobsSubmitted struct{ Jobs []Job }
-	// JobsCancelled withdraws jobs. Those that run are stopped.
+	// JobsCancelled withdraws jobs. Their running attempts are stopped.
 	JobsCancelled struct{ IDs []JobID }
-	// JobRestored reports an attempt that agents hold, after a takeover.
+	// JobRestored reports an attempt that agents hold, after a takeover by a
+	// new planner.
 	JobRestored struct {
 		Job       Job
 		Attempt   Attempt
 		Placement Placement
 		Started   time.Time
-		// Stopping attempts are not asked to stop again.
+		// Stopping is set if the agents were already asked to stop the attempt.
 		Stopping bool
 	}
-	// GangStarted says that every member of the attempt runs.
+	// GangStarted reports that every member of the attempt runs.
 	GangStarted struct {
 		Job     JobID
 		Attempt Attempt
 	}
-	// GangRefused says that the attempt did not start anywhere, because Worker
+	// GangRefused reports that no member of the attempt started, because Worker
 	// refused it or did not answer.
 	GangRefused struct {
 		Job     JobID
 		Attempt Attempt
 		Worker  WorkerID
 	}
-	// GangEnded says that no member of the attempt runs any more. Worker names
-	// the member at fault, if one is known.
+	// GangEnded reports that no member of the attempt runs any more. Worker is
+	// the member at fault, if known.
 	GangEnded struct {
 		Job          JobID
 		Attempt      Attempt
@@ -48,14 +51,14 @@
 		Worker       WorkerID
 		Checkpointed time.Time
 	}
-	// CheckpointTaken says that the work of a job up to At is safe.
+	// CheckpointTaken reports that the work of a job up to At is saved.
 	CheckpointTaken struct {
 		Job JobID
 		At  time.Time
 	}
-	// Tick only lets time pass.
+	// Tick only advances the time.
 	Tick struct{}
-	// Batch applies events in order and decides once after the last.
+	// Batch applies events in order and decides once, after the last.
 	Batch struct{ Events []Event }
 )
 
--- a/scheduler/evict.go
+++ b/scheduler/evict.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// restartCost is what any eviction costs, in accelerator seconds per
-	// accelerator, besides the work it loses: the time to stop and start again.
+	// restartCost is the cost of stopping and restarting an attempt, in
+	// accelerator seconds per accelerator, on top of the work that it loses.
 	restartCost = 2.0
-	// reservedCapacityCost is what a claim is charged per accelerator that is reserved for
-	// a waiting gang, in accelerator seconds.
+	// reservedCapacityCost is the cost to a claim of taking accelerators that
+	// are reserved for a waiting gang, in accelerator seconds per accelerator.
 	reservedCapacityCost = 60.0
-	// repeatEvictionFactor makes each further eviction of the same job dearer, so that
-	// evictions don't fall on one job over and over.
+	// repeatEvictionFactor raises the cost of each further eviction of the same
+	// job, so that evictions are spread over jobs.
 	repeatEvictionFactor = 1.0
 )
 
-// lostWork is the accelerator seconds that an eviction of the run would lose.
-// A run that can checkpoint loses only what the checkpoint does not cover.
+// lostWork returns the accelerator seconds that evicting the attempt would
+// lose: the time since its start or its last checkpoint.
 func (s *Scheduler) lostWork(r *run) float64 {
 	if r.state == runStarting {
 		return 0
@@ -31,7 +31,9 @@
 	return max(0, s.now.Sub(since).Seconds()) * float64(r.size())
 }
 
-// runEvictionCost is the cost by which victims are chosen.
+// runEvictionCost returns the cost by which victims are chosen. A
+// checkpointable attempt saves its work before it stops, so only its restart
+// counts.
 func (s *Scheduler) runEvictionCost(r *run) float64 {
 	cost := restartCost * float64(r.size())
 	if !r.job.Checkpointable {
@@ -40,8 +42,8 @@
 	return cost * (1 + repeatEvictionFactor*float64(r.job.evictions))
 }
 
-// victims returns the evictions that make the pieces available, and their cost.
-// It goes node by node and counts no run twice.
+// victims returns the evictions that make a place available, and their cost. It
+// goes through the nodes in order and takes each attempt once.
 func (s *Scheduler) victims(place []allocation) ([]*run, float64) {
 	var out []*run
 	total := 0.0
@@ -59,8 +61,9 @@
 	return out, total
 }
 
-// availableSoon is what a claim may count on at a node: idle accelerators and those
-// being stopped, less earlier claims, plus what the chosen victims hold there.
+// availableSoon returns the accelerators of a node that a claim can count on:
+// idle ones and those being stopped, less earlier claims, plus what the chosen
+// victims hold there.
 func (s *Scheduler) availableSoon(n *node, chosen []*run) int {
 	available := max(0, n.capacity()-n.held+n.stopping-n.claimed)
 	for _, r := range chosen {
@@ -69,6 +72,7 @@
 	return available
 }
 
+// acceleratorsOn returns the accelerators that the attempt holds on a node.
 func (r *run) acceleratorsOn(id nodeID) int {
 	for _, p := range r.held {
 		if p.node == id {
@@ -78,10 +82,11 @@
 	return 0
 }
 
-// cheapestVictims chooses the evictable runs of a node that free at least short accelerators
-// there at the least cost: a knapsack over at most [MaxWorkerAccelerators].
+// cheapestVictims chooses the evictable attempts that free at least short
+// accelerators of a node at the lowest total cost. This is a knapsack of at
+// most [MaxWorkerAccelerators] units.
 func (s *Scheduler) cheapestVictims(n *node, chosen []*run, short int) []*run {
-	cost := make([]float64, short+1) // least cost to free i accelerators
+	cost := make([]float64, short+1) // lowest cost to free i accelerators
 	for i := 1; i <= short; i++ {
 		cost[i] = math.Inf(1)
 	}
@@ -103,8 +108,9 @@
 	return last[short]
 }
 
-// placeEvictionCost is what a job of need accelerators would evict in a place that
-// may be larger than the job.
+// placeEvictionCost returns what a job of need accelerators would evict in the
+// first part of a place that may be larger than the job, plus the cost of
+// reserved capacity that it would take.
 func (s *Scheduler) placeEvictionCost(place []allocation, need int) float64 {
 	var part []allocation
 	for _, p := range place {
@@ -123,7 +129,8 @@
 	return cost
 }
 
-// openForClaim is what a claim could take of a node without touching a reservation.
+// openForClaim returns the accelerators of a node that a claim could take
+// without taking reserved ones.
 func (s *Scheduler) openForClaim(n *node) int {
 	if n.reserved == 0 {
 		return n.capacity()
@@ -131,8 +138,8 @@
 	return n.open()
 }
 
-// sendEvictions sends the evictions of claims, oldest claim first, as far as the
-// bound on those in progress allows.
+// sendEvictions sends the evictions that claims need, oldest claim first, up to
+// MaxEvictions in progress.
 func (s *Scheduler) sendEvictions() {
 	for _, c := range s.claims {
 		if c.guaranteed() {
@@ -141,8 +148,8 @@
 	}
 }
 
-// evictFor sends evictions of one claim. It chooses the victims afresh, since
-// work may have ended in the meantime.
+// evictFor sends the evictions of one claim. It chooses the victims again each
+// time, since work may have ended in the meantime.
 func (s *Scheduler) evictFor(c *claim) {
 	if s.evictionsInProgress >= s.policy.MaxEvictions {
 		return
@@ -155,8 +162,8 @@
 	}
 }
 
-// claimVictims chooses whom a claim evicts. The claim itself counts among those of
-// its nodes, so it is taken out while choosing.
+// claimVictims chooses the victims of a claim. The claim's own accelerators are
+// not counted as claimed meanwhile.
 func (s *Scheduler) claimVictims(c *claim) []*run {
 	for _, p := range c.allocations {
 		s.nodes[p.node].claimed -= p.count
@@ -168,7 +175,8 @@
 	return out
 }
 
-// recordEviction records what an eviction lost.
+// recordEviction adds the work that an eviction lost to the totals of the
+// account.
 func (s *Scheduler) recordEviction(r *run, checkpointed time.Time) {
 	if checkpointed.After(r.lastCheckpoint) {
 		r.lastCheckpoint = checkpointed
--- a/scheduler/explain.go
+++ b/scheduler/explain.go
@@ -1,28 +1,27 @@
 package scheduler
 
 const (
-	// maxJobsAhead bounds how many jobs before another one are counted, which is a walk
-	// over them.
+	// maxJobsAhead bounds how many preceding jobs in a queue are counted.
 	maxJobsAhead = 1_000
-	// maxUnitSizes bounds the sizes of free units that an explanation names.
+	// maxUnitSizes bounds the sizes of free units that an explanation lists.
 	maxUnitSizes = 8
 )
 
-// Explain says why a job has not started. It reads the state that the last
-// decision left, changes nothing that decides, and reports false for a job that is
-// not known. It counts as a use of what was learned of the job's class.
+// Explain returns why a job has not started, as of the last decision. It
+// reports false for a job that is not known. It changes no scheduling state,
+// except that it counts as a use of the run times recorded for the job's class.
 //
-// WaitFitsNow is a promise: the next Step starts the job unless its event or the
-// passing of time changes the state first. WaitNoPlace, WaitNoCapacity and
-// WaitOverShare say that no place for the job exists on open capacity. Like
-// Step, it belongs to the goroutine that owns the Scheduler.
+// WaitFitsNow guarantees that the next Step starts the job unless its event or
+// the passing of time changes the state first. WaitNoPlace, WaitNoCapacity and
+// WaitOverShare guarantee that open capacity has no place for the job. Explain
+// must run on the goroutine that owns the Scheduler.
 func (s *Scheduler) Explain(id JobID) (Explanation, bool) {
 	f := s.newExplainState()
 	return s.explain(id, func(q *queue, j *job) Explanation { return s.explainHead(q, j, f) })
 }
 
-// explain leaves the first job of a queue to head, so that a caller can keep its
-// explanation for the others.
+// explain calls head for the first unclaimed job of a queue, so that a caller
+// can cache that explanation for the other jobs of the queue.
 func (s *Scheduler) explain(id JobID, head func(*queue, *job) Explanation) (Explanation, bool) {
 	j := s.jobs[id]
 	if j == nil {
@@ -52,8 +51,8 @@
 	}
 }
 
-// explainReclaim: what a claim waits for is evicted, or will be once the bound on
-// evictions in progress allows.
+// explainReclaim explains a job with a claim on its account's guarantee by the
+// accelerators that are still to be evicted.
 func (s *Scheduler) explainReclaim(j *job) Explanation {
 	e := s.newExplanation(j, WaitReclaim)
 	for _, p := range j.claim.allocations {
@@ -62,6 +61,7 @@
 	return e
 }
 
+// explainBehind explains a job that follows others in its queue.
 func (s *Scheduler) explainBehind(j *job, first Explanation) Explanation {
 	e := s.newExplanation(j, WaitBehind)
 	e.First, e.FirstReason, e.Until = first.Job, first.Reason, first.Until
@@ -107,6 +107,8 @@
 	return s.newExplanation(j, WaitNoCores)
 }
 
+// explainIfImpossible explains a job that no known worker could ever hold.
+// While workers may still register it is only reported as settling.
 func (s *Scheduler) explainIfImpossible(q *queue, j *job) (Explanation, bool) {
 	if q.sizeCheckedStamp == s.topologyGen+1 {
 		return Explanation{}, false
--- a/scheduler/explain_blocked.go
+++ b/scheduler/explain_blocked.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// explainBlocked explains the first job of a queue that found no place, by what the
-// search for one would find now.
+// explainBlocked explains the first job of a queue that has no place on open
+// capacity.
 func (s *Scheduler) explainBlocked(q *queue, j *job, f *explainState) Explanation {
 	e := s.newExplanation(j, WaitNoCapacity)
 	e.Free = s.open.total()
@@ -33,9 +33,9 @@
 	return e
 }
 
-// mayStartAgain reports whether a decision may start a job, or set capacity aside for
-// it, otherwise than on open capacity: on a worker on probe, in a block, or on what
-// is reserved for others until they need it.
+// mayStartAgain reports whether a decision may start a job, or set capacity
+// aside for it, by other means than open capacity: as a probe, in a block, or
+// by backfilling a reservation.
 func (s *Scheduler) mayStartAgain(q *queue, j *job) bool {
 	if s.probeFor(j) != nil || s.mayClaimAgain(q, j) {
 		return true
@@ -47,8 +47,8 @@
 	return filler != nil || s.findTimedBackfill(j, &q.key) != nil
 }
 
-// mayClaimAgain reports whether room in the blocks of its account has turned up for a
-// job since its queue was last tried there.
+// mayClaimAgain reports whether blocks of the account have gained room for a
+// job since its queue last tried to claim it.
 func (s *Scheduler) mayClaimAgain(q *queue, j *job) bool {
 	if q.noClaimStamp >= s.claimStamp(j.account, afterOpen) {
 		return false
@@ -61,14 +61,14 @@
 	return q.key.span == AdjacentAny && s.claimSeveralBlocks(j, &q.key) != nil
 }
 
-// yieldedLately reports whether the last decision left the blocks of an account to
-// larger jobs than the first one of a queue.
+// yieldedLately reports whether the first job of a queue yielded blocks of its
+// account to larger jobs in the last decision.
 func (s *Scheduler) yieldedLately(q *queue) bool {
 	last := max(s.phaseStamp(beforeOpen), s.phaseStamp(afterOpen))
 	return q.yieldedPhase+1 >= last && q.yieldUntil.After(s.now)
 }
 
-// unboundBlocksFor counts the blocks of an account that have no place and could hold a
+// unboundBlocksFor counts the unbound blocks of an account that could hold a
 // job of the key.
 func (s *Scheduler) unboundBlocksFor(k *queueKey, a *account) int {
 	t := 0
@@ -80,7 +80,8 @@
 	return t
 }
 
-// explainUnused says why a job does not use a place that any job could take.
+// explainUnused returns why a job does not use a place on open capacity that
+// other jobs could take.
 func (s *Scheduler) explainUnused(q *queue, j *job) WaitReason {
 	open, steady := indexDeltas(nil), indexDeltas(nil)
 	if s.avoidsFailedNodes(q, j) {
@@ -90,20 +91,21 @@
 	case s.largestFit(&s.open, &q.key, open) < j.Accelerators:
 		return WaitFailedWorkers
 	case !j.mayBorrow() && q.noPlaceStamp == s.capacityStamp(q) && s.largestFit(&s.unguaranteed, &q.key, steady) < j.Accelerators:
-		// The last decision could not move the blocks away. One that comes after a
-		// change of capacity may.
+		// The last decision could not move the blocks away. A later one may,
+		// once capacity has changed.
 		return WaitGuaranteed
 	}
 	return WaitNextDecision
 }
 
-// avoidsFailedNodes reports whether a job is kept off the workers on which it has failed:
-// it is as long as it would fit without them.
+// avoidsFailedNodes reports whether a job is kept off the workers on which it
+// has failed. It is, as long as the other workers could hold it.
 func (s *Scheduler) avoidsFailedNodes(q *queue, j *job) bool {
 	return len(j.failedNodes) > 0 && s.largestFit(&s.installed, &q.key, withoutNodes(&s.installed, j.failedNodes)) >= j.Accelerators
 }
 
-// reservedDeltas is what open capacity would be larger by without reservedDeltas.
+// reservedDeltas returns by how much open capacity would grow on each node
+// without reservations.
 func (s *Scheduler) reservedDeltas() indexDeltas {
 	c := indexDeltas{}
 	for _, x := range s.claims {
@@ -118,9 +120,9 @@
 	return c
 }
 
-// overShare reports whether first goes ahead of a job because its account has a
-// lower share, and fits wherever the job does: whatever turns up for the job, the
-// other one takes.
+// overShare reports whether first precedes a job because its account has a
+// lower share, and fits wherever the job does, so that it takes any capacity
+// that the job could use.
 func (s *Scheduler) overShare(j, first *job) bool {
 	if first.account == j.account || j.account.usedOutsideBlocks == 0 || j.Urgent != first.Urgent || s.aged(j) || s.aged(first) {
 		return false
--- a/scheduler/explain_next.go
+++ b/scheduler/explain_next.go
@@ -1,13 +1,13 @@
 package scheduler
 
-// settlingEndsNext reports whether the next decision looks at every queue again
-// because workers have had the time to announce themselves.
+// settlingEndsNext reports whether the next decision ends settling and
+// therefore tries every queue again.
 func (s *Scheduler) settlingEndsNext() bool {
 	return !s.settlingDone && !s.now.Before(s.settlingEnds)
 }
 
-// startsNext reports whether the next decision certainly starts a job: it is the
-// first one tried, and there is a place. Where it can't tell it reports false.
+// startsNext reports whether the next decision is certain to start a job: the
+// job is tried first, and there is a place for it.
 func (s *Scheduler) startsNext(q *queue, j *job, f *explainState) bool {
 	if f.triedQueue != q {
 		return false
@@ -29,8 +29,8 @@
 	return s.largestFit(x, &q.key, c) >= j.Accelerators
 }
 
-// bindsNext reports whether the next decision looks for a place for blocks, or
-// wakes workers or jobs.
+// bindsNext reports whether the next decision tries to bind blocks, ends a
+// quarantine or queues a delayed job.
 func (s *Scheduler) bindsNext() bool {
 	if len(s.unbound) > 0 && s.repackGen != s.capacityGen {
 		return true
@@ -47,7 +47,7 @@
 }
 
 // claimsNext reports whether the next decision may start a claim, or make one
-// before it looks at the open queue.
+// before it starts jobs on open capacity.
 func (s *Scheduler) claimsNext() bool {
 	for _, c := range s.claims {
 		if s.claimIsIdle(c) {
@@ -62,6 +62,7 @@
 	return false
 }
 
+// claimIsIdle reports whether no attempt holds the capacity of a claim.
 func (s *Scheduler) claimIsIdle(c *claim) bool {
 	for _, p := range c.allocations {
 		if s.nodes[p.node].idle() < p.count {
@@ -71,8 +72,8 @@
 	return true
 }
 
-// mayClaim reports whether a job of an account may find room in its blocks before
-// open capacity is given out.
+// mayClaim reports whether a job of an account may claim room in its blocks
+// before open capacity is given out.
 func (s *Scheduler) mayClaim(a *account) bool {
 	for _, q := range a.queueList {
 		if s.firstUnclaimed(q) == nil || q.key.accelerators == 0 || q.noClaimStamp >= s.claimStamp(a, beforeOpen) {
@@ -87,8 +88,8 @@
 	return false
 }
 
-// firstTriedQueue is the queue of which the next decision certainly tries the first job
-// before it changes anything, or nil where something comes before the open queue.
+// firstTriedQueue returns the queue whose first job the next decision is
+// certain to try before anything else changes, or nil if there is none.
 func (s *Scheduler) firstTriedQueue() *queue {
 	if s.settlingEndsNext() || s.bindsNext() || s.claimsNext() {
 		return nil
--- a/scheduler/facts.go
+++ b/scheduler/explain_state.go
@@ -1,15 +1,17 @@
 package scheduler
 
-// explainState are what the explanations of all jobs share at one state. Their cost is
-// linear in queues and claims.
+// explainState is what the explanations of all jobs share after one decision.
+// Computing it is linear in queues and claims.
 type explainState struct {
+	// steps is Scheduler.steps at that decision.
 	steps uint64
-	// firstJob goes firstJob when open capacity turns up; nil if no job waits for it.
+	// firstJob gets open capacity first, or is nil if no job waits for it.
 	firstJob *job
-	// triedQueue is the queue whose first job the next decision tries before anything
-	// else changes; nil if that is not certain.
+	// triedQueue is the queue whose first job the next decision is certain to
+	// try before anything else changes, or nil.
 	triedQueue *queue
-	// reservedDeltas is what open capacity would be larger by without reservations.
+	// reservedDeltas is by how much open capacity would grow without
+	// reservations.
 	reservedDeltas indexDeltas
 }
 
@@ -22,7 +24,7 @@
 	}
 }
 
-// firstWaiting is the job that goes first when open capacity turns up, or nil.
+// firstWaiting returns the job that gets open capacity first, or nil.
 func (s *Scheduler) firstWaiting() *job {
 	var first *job
 	for _, a := range s.accountList {
--- a/scheduler/explainer.go
+++ b/scheduler/explainer.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// explainCacheTTL is for how long an Explainer keeps what it knows of a queue.
+// explainCacheTTL is how long an Explainer keeps the explanations of the first
+// jobs of queues.
 const explainCacheTTL = time.Second
 
-// Explainer explains jobs at a bounded cost, however many are asked about: what
-// all explanations share is worked out once for each decision, and what holds for
-// all jobs of a queue once a second. It belongs to the goroutine that owns the
-// Scheduler.
+// Explainer explains jobs at a bounded cost, however many are asked about. It
+// computes what all explanations share once per decision, and the explanation
+// of the first job of each queue once a second. Only the goroutine that owns
+// the Scheduler may use it.
 type Explainer struct {
 	s           *Scheduler
 	cachedSince time.Time
@@ -21,8 +22,8 @@
 	return &Explainer{s: s, cachedSince: s.now, cache: map[*queue]Explanation{}}
 }
 
-// Explain is [Scheduler.Explain] as of a decision that may be a second old; the
-// explanation names its time.
+// Explain is like [Scheduler.Explain], but the explanation may refer to a
+// decision up to a second ago, whose time it names.
 func (x *Explainer) Explain(id JobID) (Explanation, bool) {
 	if x.s.now.Sub(x.cachedSince) >= explainCacheTTL {
 		x.cachedSince = x.s.now
--- a/scheduler/free_units.go
+++ b/scheduler/free_units.go
@@ -1,8 +1,8 @@
 package scheduler
 
-// freeUnits counts the units of a span by what an index holds of them, the
-// fullest first and at most limit sizes. Its cost does not depend on the number
-// of workers.
+// freeUnits counts the units of a span by the accelerators that the index has
+// for them, fullest first, up to limit different sizes. Its cost does not
+// depend on the number of workers.
 func (x *index) freeUnits(span Adjacency, limit int) []FreeUnits {
 	var out []FreeUnits
 	add := func(free, units int) bool {
--- a/scheduler/guarantee.go
+++ b/scheduler/guarantee.go
@@ -1,9 +1,9 @@
 package scheduler
 
-// claimPhase is when in a decision an account claims its blocks. Jobs of exactly
-// the shape of a block claim before open capacity is given out, unless an urgent
-// job of the account needs the block. The others look there first, so that they
-// don't pin a block without need.
+// claimPhase is the part of a decision in which an account claims its blocks.
+// Jobs that have exactly the shape of a block claim it before open capacity is
+// given out, unless an urgent job of the account needs the block. Other jobs
+// try open capacity first, so that they don't pin a block without need.
 type claimPhase uint8
 
 const (
@@ -22,7 +22,8 @@
 	}
 }
 
-// claimStamp says at which state of an account's blocks a queue was tried.
+// claimStamp identifies the state of an account's blocks and the phase at which
+// a queue was last tried.
 func (s *Scheduler) claimStamp(a *account, p claimPhase) uint64 {
 	return (a.blockGen+1)*2 + uint64(p)
 }
@@ -30,8 +31,8 @@
 // phaseStamp numbers the claim phases of all steps.
 func (s *Scheduler) phaseStamp(p claimPhase) uint64 { return s.steps*2 + uint64(p) }
 
-// nextClaimant returns the queue whose head goes first among those of an
-// account that may still find room in its blocks.
+// nextClaimant returns the queue whose first job precedes the others among
+// those that may still find room in the blocks of an account, or nil.
 func (s *Scheduler) nextClaimant(a *account, p claimPhase) *queue {
 	var best *queue
 	for _, q := range a.queueList {
@@ -46,7 +47,8 @@
 	return best
 }
 
-// firstUnclaimed is the first job of a queue that holds no claim on a guarantee yet.
+// firstUnclaimed returns the first job of a queue that holds no claim on a
+// guarantee, or nil.
 func (s *Scheduler) firstUnclaimed(q *queue) *job {
 	j := q.head
 	for j != nil && j.claim != nil && j.claim.guaranteed() {
@@ -55,8 +57,8 @@
 	return j
 }
 
-// claimBlocks sets room in the blocks of an account aside for the first job of
-// a queue, and starts it if that room is idle.
+// claimBlocks claims room in the blocks of an account for the first job of a
+// queue.
 func (s *Scheduler) claimBlocks(q *queue, p claimPhase) {
 	j := s.firstUnclaimed(q)
 	c, yields := s.findClaim(j, &q.key, p)
@@ -71,6 +73,8 @@
 	}
 }
 
+// applyClaim replaces any claim of the job by c, and starts the job if the
+// capacity is idle. Otherwise it sends the evictions of c.
 func (s *Scheduler) applyClaim(c *claim) {
 	if c.job.claim != nil {
 		s.dropClaim(c.job.claim)
@@ -83,8 +87,9 @@
 	s.evictFor(c)
 }
 
-// findClaim returns the claim on the block that a job fits best. It returns nil
-// if there is none, and whether that is only because larger jobs go first.
+// findClaim returns a claim on the block that suits a job best. If it returns
+// nil, yields reports whether the job only leaves a block to other jobs of its
+// account for now.
 func (s *Scheduler) findClaim(j *job, k *queueKey, p claimPhase) (c *claim, yields bool) {
 	var best *block
 	var offer blockCost
@@ -113,8 +118,8 @@
 	return nil, yields
 }
 
-// fitsBlock reports whether a job fits into what is left of a block and may use it
-// in a phase.
+// fitsBlock reports whether a job fits into the unused part of a block and may
+// use the block in a phase.
 func (s *Scheduler) fitsBlock(b *block, k *queueKey, p claimPhase) bool {
 	if b.unused() < k.accelerators {
 		return false
@@ -126,8 +131,9 @@
 	return s.blockUsesFor(b, k) != nil
 }
 
-// blockUsesFor returns a part of the room of a block that the job may use, in
-// accelerators of its nodes.
+// blockUsesFor returns the unused accelerators of a block that the job would
+// take, scaled by its footprint on each node. It returns nil if the job does
+// not fit.
 func (s *Scheduler) blockUsesFor(b *block, k *queueKey) []blockUse {
 	need := k.accelerators
 	var out []blockUse
@@ -152,7 +158,7 @@
 	return out
 }
 
-// inOneUnit reports whether all shares lie inOneUnit one span.
+// inOneUnit reports whether all uses lie within one unit of a span.
 func (s *Scheduler) inOneUnit(uses []blockUse, span Adjacency) bool {
 	for _, use := range uses[1:] {
 		first := uses[0].block.parts[uses[0].part].node
@@ -163,8 +169,8 @@
 	return true
 }
 
-// claimBlock claims room in one block. An unused block first moves to the place
-// where the claim evicts least.
+// claimBlock claims room in one block. An unused block is first moved to the
+// place where the claim evicts least.
 func (s *Scheduler) claimBlock(j *job, k *queueKey, b *block) *claim {
 	if b.used == 0 && s.fitsMinShare(k) {
 		s.moveToCheapestPlace(b, k)
@@ -172,7 +178,8 @@
 	return s.newClaim(j, s.blockUsesFor(b, k))
 }
 
-// claimSeveralBlocks claims the room of several blocks for a gang that may be spread.
+// claimSeveralBlocks claims room in several blocks for a gang that may be
+// spread over the domain.
 func (s *Scheduler) claimSeveralBlocks(j *job, k *queueKey) *claim {
 	if !s.fitsMinShare(k) {
 		return nil
@@ -197,6 +204,7 @@
 	return nil
 }
 
+// newClaim returns a claim on uses, or nil if uses is nil.
 func (s *Scheduler) newClaim(j *job, uses []blockUse) *claim {
 	if uses == nil {
 		return nil
@@ -204,7 +212,7 @@
 	return &claim{job: j, blockUses: uses, allocations: allocationsOf(uses)}
 }
 
-// allocationsOf merges shares by node.
+// allocationsOf sums uses by node.
 func allocationsOf(uses []blockUse) []allocation {
 	var out []allocation
 	position := map[nodeID]int{}
--- a/scheduler/covered.go
+++ b/scheduler/guarantee_use.go
@@ -1,6 +1,7 @@
 package scheduler
 
-// unusedGuarantee is how many accelerators of its guarantee an account does not use.
+// unusedGuarantee returns the accelerators of the account's bound blocks that
+// its jobs don't use.
 func (a *account) unusedGuarantee() int {
 	t := 0
 	for _, b := range a.blocks {
@@ -9,14 +10,14 @@
 	return t
 }
 
-// coveredByGuarantee reports whether evicting a run without need of a guarantee would leave
-// its account with less than its guarantee although it could use it all. Such a
-// run started beside the block, while a larger job waited or the block was in
-// use, and its account counts on it no less.
+// coveredByGuarantee reports whether evicting the attempt would leave its
+// account with less than its guarantee. Such an attempt runs outside the
+// blocks, because a larger job waited or the block was in use, but the account
+// has not used its guarantee up.
 func (r *run) coveredByGuarantee() bool { return !guaranteesMetWithout([]*run{r}) }
 
-// guaranteesMetWithout reports whether the accounts of all runs would still use as
-// much as they are guaranteed without them.
+// guaranteesMetWithout reports whether the accounts of all attempts would still
+// use as much as they are guaranteed without these attempts.
 func guaranteesMetWithout(runs []*run) bool {
 	released := map[*account]int{}
 	for _, r := range runs {
@@ -30,9 +31,9 @@
 	return true
 }
 
-// oversizedAccount returns the account of a job that the blocks of its account could
-// not hold if all were unused, else nil. Only a job that may be spread uses
-// several blocks.
+// oversizedAccount returns the account of a job that its account's blocks could
+// not hold if all were unused, else nil. Only a job that may be spread over the
+// domain can use several blocks.
 func (j *job) oversizedAccount() *account {
 	sum := 0
 	for _, b := range j.account.blocks {
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// health is the record of failures of a worker.
+// health is the failure record of a worker.
 type health struct {
-	excluded    bool          // quarantined or on probe: not in the indexes
-	probing     bool          // waits for, or runs, a single probe
+	excluded    bool          // quarantined or on probe, so not usable
+	probing     bool          // waits for, or runs, a single probe job
 	failedJobs  []*job        // different jobs that failed here since the last success
-	backoff     time.Duration // length of the last quarantine, 0 if healthy
+	backoff     time.Duration // length of the last quarantine, or 0 if healthy
 	until       time.Time     // end of the quarantine, or when the worker went down
-	lastSuccess time.Time     // last success
+	lastSuccess time.Time     // when an attempt last succeeded here
 }
 
-// faultyNode returns the node that a failure is charged to, or nil if unknown.
+// faultyNode returns the node that a failure is charged to, or nil if that is
+// unknown.
 func (s *Scheduler) faultyNode(r *run, worker WorkerID) *node {
 	if n := s.nodeByID[worker]; n != nil {
 		return n
@@ -26,8 +27,9 @@
 	return nil
 }
 
-// recordFailure records a failure with both the job and the worker, since which of them
-// is at fault shows only over several failures.
+// recordFailure records a failure with both the job and the worker, since a
+// single failure does not show which of them is at fault. The failure of a
+// probe counts against the worker only.
 func (s *Scheduler) recordFailure(r *run, worker WorkerID) {
 	n := s.faultyNode(r, worker)
 	if n == nil {
@@ -45,6 +47,8 @@
 	s.recordWorkerFailure(n, j)
 }
 
+// recordWorkerFailure adds a job to those that failed on a worker, and
+// quarantines the worker at the failure threshold.
 func (s *Scheduler) recordWorkerFailure(n *node, j *job) {
 	if n.health.excluded {
 		return
@@ -61,8 +65,9 @@
 	}
 }
 
-// countWorkerFailures counts the jobs that speak against a worker. A job that also failed on
-// another worker in good standing speaks against itself instead.
+// countWorkerFailures counts the jobs other than except whose failures count
+// against a worker. Those of jobs that also failed on another worker in good
+// standing don't.
 func (s *Scheduler) countWorkerFailures(n *node, except *job) int {
 	t := 0
 	for _, j := range n.health.failedJobs {
@@ -73,6 +78,8 @@
 	return t
 }
 
+// failedElsewhere reports whether a job failed on another worker that is not
+// excluded.
 func (s *Scheduler) failedElsewhere(j *job, n *node) bool {
 	for _, id := range j.failedNodes {
 		if id != n.id && !s.nodes[id].health.excluded {
@@ -82,8 +89,8 @@
 	return false
 }
 
-// countHealthyWorkerFailures counts the workers in good standing on which a job failed: not
-// quarantined, and no other job speaks against them.
+// countHealthyWorkerFailures counts the workers on which a job failed that are
+// not quarantined and have no counted failures of other jobs.
 func (s *Scheduler) countHealthyWorkerFailures(j *job) int {
 	t := 0
 	for _, id := range j.failedNodes {
@@ -95,7 +102,8 @@
 	return t
 }
 
-// clearWorkerFailures takes the failures of a job that is itself at fault off the workers.
+// clearWorkerFailures removes the failures of a faulty job from the records of
+// the workers.
 func (s *Scheduler) clearWorkerFailures(j *job) {
 	for _, id := range j.failedNodes {
 		h := &s.nodes[id].health
@@ -103,7 +111,8 @@
 	}
 }
 
-// recordRefusal counts a refusal to start against the worker, but not the job.
+// recordRefusal counts a refusal to start against the worker but not against
+// the job.
 func (s *Scheduler) recordRefusal(n *node, j *job) {
 	if n.health.probing {
 		s.quarantine(n)
@@ -112,8 +121,8 @@
 	s.recordWorkerFailure(n, j)
 }
 
-// attemptSucceeded clears the failures of every worker of a gang that is done, and
-// learns its run time.
+// attemptSucceeded clears the failure records of the workers of a finished
+// gang, ends their probes and records its run time.
 func (s *Scheduler) attemptSucceeded(r *run) {
 	for _, p := range r.held {
 		n := s.nodes[p.node]
@@ -129,8 +138,9 @@
 	}
 }
 
-// quarantine takes a worker that fails what it starts out of use: it looks idle
-// and would attract everything.
+// quarantine excludes a failing worker, with exponential backoff. A worker on
+// which everything fails at once is always idle and would otherwise attract
+// most jobs.
 func (s *Scheduler) quarantine(n *node) {
 	h := &n.health
 	h.backoff = min(max(s.policy.QuarantineFor, 2*h.backoff), s.policy.QuarantineMax)
@@ -154,7 +164,7 @@
 	s.refreshCPU(n)
 }
 
-// endQuarantines lets every worker whose quarantine is over run a probe.
+// endQuarantines lets every worker whose quarantine is over run a probe job.
 func (s *Scheduler) endQuarantines() {
 	for _, n := range s.quarantined {
 		if !n.health.probing && !n.health.until.After(s.now) {
@@ -165,8 +175,8 @@
 	}
 }
 
-// probeFor returns a worker on probe that is idle and may run the job. Only work
-// that may run again, and is not urgent, is risked.
+// probeFor returns an idle worker on probe that can hold the job, or nil. Only
+// jobs that may run again and are not urgent serve as probes.
 func (s *Scheduler) probeFor(j *job) *node {
 	if j.Urgent || !j.Evictable() {
 		return nil
--- a/scheduler/impossible.go
+++ b/scheduler/impossible.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// impossibleReason says why jobs of a key can never run on the workers known, whether
-// they are healthy or not.
+// impossibleReason reports whether the jobs of a queue can never run on the
+// known workers, healthy or not, and why.
 func (s *Scheduler) impossibleReason(q *queue) (RejectReason, string, bool) {
 	k := &q.key
 	if k.accelerators == 0 {
@@ -45,6 +45,8 @@
 	return false
 }
 
+// guaranteedToOthers returns the accelerators of the blocks of all other
+// accounts.
 func (s *Scheduler) guaranteedToOthers(a *account) int {
 	t := 0
 	for _, x := range s.accountList {
@@ -58,8 +60,8 @@
 	return t
 }
 
-// rejectImpossible rejects the whole queue if its jobs can never run. While
-// workers still announce themselves nobody is rejected for size.
+// rejectImpossible rejects all jobs of a queue if they can never run. It
+// rejects none while workers may still register.
 func (s *Scheduler) rejectImpossible(q *queue) bool {
 	if s.now.Before(s.settlingEnds) || len(s.nodeByID) == 0 || q.sizeCheckedStamp == s.topologyGen+1 {
 		return false
--- a/scheduler/index.go
+++ b/scheduler/index.go
@@ -2,21 +2,22 @@
 
 import "github.com/bits-and-blooms/bitset"
 
-// index orders workers by one value (such as free accelerators), within racks,
-// and racks by their sum within zones. An update costs the same at any size; a
-// search visits only the workers that it takes.
+// index orders workers by one value, such as open accelerators, within racks
+// and zones, and racks by their sum within zones. The cost of an update does
+// not depend on the number of workers. A search visits the workers that it
+// takes and a bounded number of others per zone.
 type index struct {
-	installed   *index // accelerators of all workers, for the sizes of units
-	values      []uint8
-	posInRack   []int32
-	posInZone   []int32
+	installed   *index  // all accelerators of the workers, for the sizes of zones and racks
+	values      []uint8 // by node
+	posInRack   []int32 // position of a node in the list of its value in its rack's pool
+	posInZone   []int32 // the same in its zone's pool
 	racks       []*pool
-	rackListPos []int32 // position of a rack in the list of its sum
-	zoneOfRack  []int32 // zone of a rack
+	rackListPos []int32 // position of a rack in racksBySum of its zone
+	zoneOfRack  []int32
 	zones       []*zonePool
 }
 
-// zonePool is a pool of the workers of a zone, and its racks by sum.
+// zonePool is the pool of a zone's workers, and its racks by their sum.
 type zonePool struct {
 	pool
 	racksBySum   [][]int32
@@ -79,7 +80,7 @@
 	x.values[n.id] = uint8(v)
 }
 
-// total is the sum over all workers.
+// total returns the sum over all workers.
 func (x *index) total() int {
 	t := 0
 	for _, z := range x.zones {
@@ -88,7 +89,8 @@
 	return t
 }
 
-// bestFitRack returns the rack of least sum that is not below need, in one zone.
+// bestFitRack returns a rack of the zone with the smallest sum that is at least
+// need.
 func (z *zonePool) bestFitRack(need int) (rack int32, sum int, ok bool) {
 	i, ok := z.nonEmptySums.NextSet(uint(need))
 	if !ok {
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -2,10 +2,8 @@
 
 import "time"
 
-// Job is a request for capacity.
-//
-// Cores and MemoryMB are per accelerator when Accelerators is positive, and for
-// the whole job, on one worker, when it is 0.
+// Job is a request for capacity. Cores and MemoryMB are per accelerator if
+// Accelerators is positive, and otherwise for the whole job on one worker.
 type Job struct {
 	ID           JobID
 	Account      AccountID
@@ -16,19 +14,19 @@
 	Adjacency    Adjacency
 	Cores        int
 	MemoryMB     int
-	// Estimate is what the caller declared. It is used only until run times of
-	// the account and class have been learned.
+	// Estimate is the run time that the caller declared. It is used only until
+	// enough run times of the account and class are known.
 	Estimate time.Duration
 	// Repeatable jobs may run again after a failure or an eviction.
 	Repeatable bool
 	// Checkpointable jobs resume from their last checkpoint.
 	Checkpointable bool
-	// NoBorrow keeps the job off capacity that the guarantee of another account
-	// needs, although it could be evicted from there.
+	// NoBorrow keeps the job off capacity that blocks of other accounts need,
+	// although it could be evicted from there.
 	NoBorrow  bool
 	Submitted time.Time
-	// LastAttempt is the highest attempt known to have been started, so that a
-	// planner that takes over never reuses a number.
+	// LastAttempt is the highest attempt number known to have been started, so
+	// that a planner that takes over never reuses one.
 	LastAttempt Attempt
 }
 
@@ -37,8 +35,8 @@
 	return j.Repeatable || j.Checkpointable
 }
 
-// mayBorrow reports whether the job may run on capacity that the guarantee of
-// another account needs.
+// mayBorrow reports whether the job may run on capacity that blocks of other
+// accounts need.
 func (j *Job) mayBorrow() bool {
 	return j.Evictable() && !j.NoBorrow
 }
--- a/scheduler/job_state.go
+++ b/scheduler/job_state.go
@@ -2,57 +2,56 @@
 
 import "time"
 
-// job is a Job that has not ended.
+// job is the state of a job that has not ended.
 type job struct {
 	Job
 	account        *account
-	queue          *queue // nil unless it waits there
-	run            *run   // nil unless an attempt exists
-	claim          *claim // nil unless capacity is set aside for it
-	lastAttempt    Attempt
-	failedNodes    []nodeID // different workers it failed on
+	queue          *queue   // nil unless the job waits in a queue
+	run            *run     // nil unless an attempt exists
+	claim          *claim   // nil unless capacity is set aside for the job
+	lastAttempt    Attempt  // highest attempt number used
+	failedNodes    []nodeID // different workers on which the job failed, at most maxFailedNodes
 	failures       int
-	earlyLosses    int // attempts in a row that went with a worker soon after their start
+	earlyLosses    int // attempts in a row that were lost with a worker soon after their start
 	evictions      int
-	borrowingEnded bool // borrows no more, since it lost work to a claim
-	notBefore      time.Time
-	noPlanBefore   time.Time // no reservation before
+	borrowingEnded bool      // the job lost work to a claim and may not borrow now
+	notBefore      time.Time // end of the delay before the job is queued again
+	noPlanBefore   time.Time // earliest time of a reservation
 	delayIndex     int       // index in the heap of delayed jobs, or -1
 	cancelled      bool
-	cpuNode        *node  // set aside for it, if it needs no accelerators
+	cpuNode        *node  // worker reserved for a job without accelerators
 	seq            uint64 // order of submission
-	prev           *job   // neighbours in the queue
+	prev           *job   // adjacent jobs in the queue
 	next           *job
 }
 
-// run is an attempt of a job.
+// run is one attempt of a job.
 type run struct {
 	job            *job
 	attempt        Attempt
 	held           []heldAllocation
-	blockUses      []blockUse // the parts of guaranteed blocks it uses
-	protected      bool
+	blockUses      []blockUse // parts of blocks that the attempt uses, or empty outside blocks
+	protected      bool       // may not be evicted
 	state          runState
 	started        time.Time
 	lastCheckpoint time.Time
 	stopReason     StopReason
-	backfilled     *claim // reservation that the run makes way for at once, if any
+	backfilled     *claim // reservation whose capacity the attempt uses until the rest is free, or nil
 }
 
-// heldAllocation is the accelerators that an attempt holds on one worker. Jobs whose need
-// of cores or memory exceeds the share of an accelerator hold more of them than
-// they are granted.
+// heldAllocation is the accelerators that an attempt holds on one worker. A job
+// whose footprint is above 1 holds more of them than it is granted.
 type heldAllocation struct {
 	node    nodeID
 	count   int
-	mask    uint64
-	granted int
+	mask    uint64 // bit per accelerator held
+	granted int    // accelerators granted to the job
 }
 
-// blockUse is the use of a piece of a guaranteed block.
+// blockUse is the use of one part of a guaranteed block.
 type blockUse struct {
 	block *block
-	part  int
+	part  int // index in block.parts
 	count int
 }
 
--- a/scheduler/largest.go
+++ b/scheduler/largest_fit.go
@@ -1,10 +1,10 @@
 package scheduler
 
-// indexDeltas are differences to the value that an index gives some workers. A search
-// that asks "what if" uses them in place of changing the index.
+// indexDeltas are differences to the values of an index for some workers.
+// Hypothetical searches use them instead of changing the index.
 type indexDeltas map[nodeID]int
 
-// sumByUnit sums the changes by unit of a span.
+// sumByUnit sums the deltas by unit of a span.
 func (s *Scheduler) sumByUnit(span Adjacency, c indexDeltas) map[int32]int {
 	out := make(map[int32]int, len(c))
 	for id, d := range c {
@@ -13,7 +13,7 @@
 	return out
 }
 
-// withoutNodes takes workers out of an index.
+// withoutNodes returns deltas that set the values of nodes to 0.
 func withoutNodes(x *index, nodes []nodeID) indexDeltas {
 	c := make(indexDeltas, len(nodes))
 	for _, id := range nodes {
@@ -22,10 +22,11 @@
 	return c
 }
 
-// largestFit is how many accelerators of a key the unit of its span with most of
-// them holds, in an index with changes. A job of the key has a place exactly if
-// it needs no more. Its cost depends on the changes and the sizes of units, not on
-// the number of workers, unless the job takes several units per accelerator.
+// largestFit returns the most accelerators of a job of the key that one unit of
+// its span can hold, in an index with deltas. The job has a place exactly if it
+// asks for no more. The cost depends on the deltas and the sizes of units, not
+// on the number of workers, unless the footprint of the job differs between
+// workers.
 func (s *Scheduler) largestFit(x *index, k *queueKey, c indexDeltas) int {
 	if !s.fitsMinShare(k) {
 		return s.largestByFootprint(x, k, c)
@@ -38,7 +39,7 @@
 	return most
 }
 
-// unitValue is the value of one unit of a span.
+// unitValue returns the value of one unit of a span.
 func (x *index) unitValue(span Adjacency, id int32) int {
 	switch span {
 	case AdjacentWorker:
@@ -51,8 +52,8 @@
 	return x.total()
 }
 
-// largestUnchanged is the most that a unit of a span holds among those that are
-// not in changed.
+// largestUnchanged returns the largest value of a unit of a span that is not in
+// changed.
 func (x *index) largestUnchanged(span Adjacency, changed map[int32]int) int {
 	most := 0
 	for id, z := range x.zones {
@@ -101,8 +102,8 @@
 	return false
 }
 
-// largestByFootprint is largest for a job that takes several units per accelerator on
-// some workers. It visits every worker, as the search for a place does.
+// largestByFootprint is largestFit for a job whose footprint may exceed 1. It
+// visits every worker.
 func (s *Scheduler) largestByFootprint(x *index, k *queueKey, c indexDeltas) int {
 	fits := map[int32]int{}
 	for _, n := range s.nodes {
--- a/scheduler/move_block.go
+++ b/scheduler/move_block.go
@@ -1,7 +1,8 @@
 package scheduler
 
-// moveToCheapestPlace binds an unused block to the place where a job evicts least: where
-// it is, where all is idle, or the tightest places that have slack.
+// moveToCheapestPlace binds an unused block to the place where a claim by a job
+// costs least: its present one, one of other unused blocks, or one with enough
+// bindable capacity.
 func (s *Scheduler) moveToCheapestPlace(b *block, k *queueKey) {
 	current := b.allocations()
 	cost := s.placeCost(current, k.accelerators)
@@ -24,7 +25,7 @@
 	s.capacityGen = max(before, s.capacityGen-1)
 }
 
-// blockPlaces lists places that have the slack for a shape.
+// blockPlaces lists places with enough bindable capacity for a shape.
 func (s *Scheduler) blockPlaces(shape Shape) [][]allocation {
 	need := shape.Accelerators
 	var out [][]allocation
--- a/scheduler/node.go
+++ b/scheduler/node.go
@@ -1,10 +1,11 @@
 package scheduler
 
-// nodeID indexes Scheduler.nodes. Nodes keep their index for good, so that a
-// worker that returns finds its history.
+// nodeID is an index into Scheduler.nodes. A worker keeps its index while it is
+// down, so that its history is found when it returns.
 type nodeID = int32
 
-// node is the state of one worker. All counts are in accelerators unless said.
+// node is the state of one worker. Counts are in accelerators unless stated
+// otherwise.
 type node struct {
 	Worker
 	id       nodeID
@@ -15,20 +16,20 @@
 	health   health
 
 	usedMask          uint64 // bit per accelerator held by an attempt
-	held              int    // accelerators held by attempts, stopping ones included
-	protected         int    // held by, or claimed for, work that may not be evicted
+	held              int    // held by attempts, including stopping ones
+	protected         int    // held by or claimed for work that may not be evicted
 	evictable         int    // held by evictable attempts that are not stopping
-	bound             int    // bound to the unused part of guaranteed blocks
-	claimed           int    // claimed for guarantees, not yet held
+	bound             int    // bound to the unused portions of blocks
+	claimed           int    // claimed on guarantees and not yet held
 	reserved          int    // reserved for gangs that wait for work to end
-	reservedProtected int    // the part of wait for work that may not be evicted
-	stopping          int    // held by attempts that are stopping
-	runs              []*run // attempts with a piece here
+	reservedProtected int    // portion of reserved for jobs that may not borrow
+	stopping          int    // held by unprotected attempts that are stopping
+	runs              []*run // attempts that hold accelerators or cores here
 	blocks            []*block
 
-	freeCPUCores   int // cores that jobs without accelerators may still use
-	freeCPUMem     int // memory that jobs without accelerators may still use
-	cpuReservedFor *job
+	freeCPUCores   int  // cores left for jobs without accelerators
+	freeCPUMem     int  // memory in MB left for jobs without accelerators
+	cpuReservedFor *job // job without accelerators that the worker is reserved for
 }
 
 // usable reports whether new work may be placed on the worker.
@@ -36,6 +37,8 @@
 	return n.up && !n.draining && !n.health.excluded
 }
 
+// capacity returns the accelerators that new work could use if the worker were
+// idle.
 func (n *node) capacity() int {
 	if !n.usable() {
 		return 0
@@ -43,10 +46,11 @@
 	return min(n.Accelerators, MaxWorkerAccelerators)
 }
 
-// idle is the number of accelerators that no attempt holds.
+// idle returns the accelerators that no attempt holds.
 func (n *node) idle() int { return max(0, n.capacity()-n.held) }
 
-// free is what a claim for a guarantee could take at once.
+// free returns the idle accelerators that no claim on a guarantee needs,
+// counting on those being stopped to satisfy claims.
 func (n *node) free() int {
 	if !n.usable() {
 		return 0
@@ -54,17 +58,21 @@
 	return max(0, min(n.idle(), n.capacity()-n.held+n.stopping-n.claimed))
 }
 
-// open is what any job could take at once, without regard to guarantees.
+// open returns the accelerators that any job could take at once, regardless of
+// bound blocks.
 func (n *node) open() int { return max(0, n.free()-n.reserved) }
 
-// slack is what work that may not be evicted could take, if it were free.
+// slack returns the accelerators that are neither protected nor bound to unused
+// blocks, whether or not evictable work holds them.
 func (n *node) slack() int { return max(0, n.capacity()-n.protected-n.bound) }
 
-// bindable is the slack that blocks may be bound to: not what is reserved for
-// work that may not be evicted, which would then wait for the block to move.
+// bindable returns the slack to which blocks may be bound. It excludes what is
+// reserved for jobs that may not borrow, which would have to wait for the block
+// to move.
 func (n *node) bindable() int { return max(0, n.slack()-n.reservedProtected) }
 
-// slackWithoutUnused is the slack if the unused blocks here were bound elsewhere.
+// slackWithoutUnused returns the slack if the blocks here that are not used at
+// all were bound elsewhere.
 func (n *node) slackWithoutUnused() int {
 	t := n.slack()
 	for _, b := range n.blocks {
--- a/scheduler/open.go
+++ b/scheduler/open.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// capacityStamp is the capacity generation that decides whether a queue is worth trying
-// again.
+// capacityStamp identifies the capacity on which a queue was last tried. It is
+// never 0.
 func (s *Scheduler) capacityStamp(q *queue) uint64 {
 	if q.key.accelerators == 0 {
 		return s.cpuCapacityGen + 1
@@ -11,8 +11,8 @@
 	return s.capacityGen + 1
 }
 
-// nextOpen returns the queue of an account that goes first among those that may
-// find a place.
+// nextOpen returns the queue of an account whose first job precedes the others
+// among those that may find a place, or nil.
 func (s *Scheduler) nextOpen(a *account) *queue {
 	var best *queue
 	for _, q := range a.queueList {
@@ -27,7 +27,7 @@
 	return best
 }
 
-// startOpen starts jobs on open capacity until nothing that waits fits.
+// startOpen starts jobs on open capacity, in order, until no waiting job fits.
 func (s *Scheduler) startOpen() {
 	heads := s.headsBuf[:0]
 	for _, a := range s.accountList {
@@ -51,6 +51,8 @@
 	s.headsBuf = heads[:0]
 }
 
+// firstInOrder returns the index of the queue whose first job precedes the
+// others.
 func (s *Scheduler) firstInOrder(heads []*queue) int {
 	best := 0
 	for i := 1; i < len(heads); i++ {
@@ -94,8 +96,9 @@
 	return true
 }
 
-// findOpen looks for a place beyond the guarantees. Capacity that is reserved
-// for the job itself counts as open.
+// findOpen looks for a place on open capacity. What is reserved for the job
+// itself counts as open. For a protected job it moves unused blocks aside if
+// necessary.
 func (s *Scheduler) findOpen(j *job, k *queueKey, protected bool) []allocation {
 	before := s.capacityGen
 	if j.claim != nil {
@@ -120,8 +123,8 @@
 	return place
 }
 
-// findTimedBackfill looks for a worker whose reserved capacity is idle for longer
-// than the job is likely to run, so that the reservation is not delayed.
+// findTimedBackfill looks for a worker whose reserved capacity stays idle
+// longer than the job is likely to run, so that the reservation is not delayed.
 func (s *Scheduler) findTimedBackfill(j *job, k *queueKey) []allocation {
 	run, known := s.runTimes.predict(&j.Job, 0, backfillQuantile)
 	if !known {
@@ -144,8 +147,8 @@
 	return nil
 }
 
-// withoutFailedNodes runs a search with the workers on which the job has failed taken out
-// of the indexes, as long as the job would fit without them.
+// withoutFailedNodes runs a search with the workers on which the job has failed
+// removed from the indexes, as long as the other workers could hold the job.
 func (s *Scheduler) withoutFailedNodes(j *job, search func() []allocation) []allocation {
 	if len(j.failedNodes) == 0 {
 		return search()
@@ -175,7 +178,7 @@
 	return place
 }
 
-// tryCPUJob starts a job without accelerators.
+// tryCPUJob starts a job without accelerators if a worker has room.
 func (s *Scheduler) tryCPUJob(j *job) bool {
 	n := s.placeCPU(j.Cores, j.MemoryMB)
 	if n == nil && j.cpuNode != nil && j.cpuNode.freeCPUCores >= j.Cores && j.cpuNode.freeCPUMem >= j.MemoryMB {
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -1,13 +1,14 @@
 package scheduler
 
-// aged reports whether a job has waited so long that it goes ahead of the fair
+// aged reports whether a job has waited so long that it precedes the fair
 // order.
 func (s *Scheduler) aged(j *job) bool {
 	return s.now.Sub(j.Submitted) >= s.policy.AgeAfter
 }
 
-// precedesInAccount orders the jobs of one account: urgent ones first, then those that
-// have waited long, then by priority and by the objective.
+// precedesInAccount orders the jobs of one account: urgent ones first, then
+// aged ones, then by priority, and then by size if the objective is
+// Fragmentation.
 func (s *Scheduler) precedesInAccount(a, b *job) bool {
 	if a.Urgent != b.Urgent {
 		return a.Urgent
@@ -26,8 +27,8 @@
 	return a.seq < b.seq
 }
 
-// precedesOverall orders the first jobs of different accounts: urgent and aged ones as
-// within an account, the others by the weighted share of their accounts.
+// precedesOverall orders the first jobs of different accounts: urgent ones
+// first, then aged ones, then by the weighted share of their accounts.
 func (s *Scheduler) precedesOverall(a, b *job) bool {
 	if a.Urgent != b.Urgent {
 		return a.Urgent
--- a/scheduler/outcome.go
+++ b/scheduler/outcome.go
@@ -6,10 +6,10 @@
 const (
 	// Done means that the job finished.
 	Done Outcome = iota
-	// Failed means that the job, or a worker under it, failed.
+	// Failed means that the job, or a worker that it ran on, failed.
 	Failed
-	// Stopped means that the attempt ended because it was asked to.
+	// Stopped means that the attempt ended because it was asked to stop.
 	Stopped
-	// Lost means that the attempt ended with a worker that went away.
+	// Lost means that the attempt was lost with a worker.
 	Lost
 )
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -1,16 +1,17 @@
 package scheduler
 
-// allocation is a number of accelerators on one worker.
+// allocation is a number of accelerators on one worker. A slice of them makes
+// up a place for a job or a block.
 type allocation struct {
 	node  nodeID
 	count int
 }
 
-// maxCandidates bounds how many equal workers are compared for a place.
+// maxCandidates bounds how many equally good units per zone are compared.
 const maxCandidates = 16
 
-// findPlace finds need accelerators within the span, in the tightest unit that holds
-// them. It returns nil if there are none.
+// findPlace returns a place for need accelerators in the narrowest unit within
+// the span that holds them, or nil.
 func (x *index) findPlace(need int, span Adjacency, nodes []*node) []allocation {
 	if p := x.placeWorker(need, nodes); p != nil || span == AdjacentWorker {
 		return p
@@ -24,9 +25,9 @@
 	return x.placeAny(need)
 }
 
-// placeRank orders places that fit: a tighter fit first, then the smaller zone and
-// rack, so that what only a large unit can hold finds it whole, then the unit
-// with least left.
+// placeRank orders places: a closer fit first, then the rack or zone with the
+// least left, then the smaller zone, so that large units stay whole for what
+// only they can hold.
 type placeRank struct{ fit, zone, rack, remaining int }
 
 func (a placeRank) less(b placeRank) bool {
@@ -41,7 +42,7 @@
 	return a.zone < b.zone
 }
 
-// placeWorker returns the tightest worker.
+// placeWorker returns the best place on one worker, or nil.
 func (x *index) placeWorker(need int, nodes []*node) []allocation {
 	best := nodeID(-1)
 	var bestRank placeRank
@@ -65,7 +66,7 @@
 	return []allocation{{node: best, count: need}}
 }
 
-// placeRack returns pieces in the best rack of those with least left.
+// placeRack returns the best place in one rack, or nil.
 func (x *index) placeRack(need int) []allocation {
 	best := int32(-1)
 	var bestRank placeRank
@@ -88,8 +89,8 @@
 	return out
 }
 
-// placeZone returns pieces in the best zone that holds all, in as few
-// racks as possible.
+// placeZone returns a place in the best zone, in as few racks as possible, or
+// nil.
 func (x *index) placeZone(need int) []allocation {
 	best := x.bestFitZone(need)
 	if best == nil {
@@ -99,6 +100,8 @@
 	return out
 }
 
+// bestFitZone returns the zone with the smallest sum that is at least need, or
+// nil.
 func (x *index) bestFitZone(need int) *zonePool {
 	var best *zonePool
 	var bestRank placeRank
@@ -111,8 +114,8 @@
 	return best
 }
 
-// takeFromZone takes racks from the fullest down; the remainder comes from the
-// tightest rack that holds it.
+// takeFromZone takes accelerators of a zone from the fullest racks down, and
+// the remainder from the best fitting rack. It returns how many it took.
 func (x *index) takeFromZone(z *zonePool, need int, out []allocation) (int, []allocation) {
 	taken := 0
 	sum, ok := z.nonEmptySums.PreviousSet(uint(max(0, len(z.racksBySum)-1)))
--- a/scheduler/place_cheap.go
+++ b/scheduler/place_cheapest.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// maxComparedNodes bounds the workers of one unit that are compared by what a claim
-// would evict there.
+// maxComparedNodes bounds the workers of one unit whose eviction costs are
+// compared.
 const maxComparedNodes = 256
 
-// cheapestPlaceAround returns a place for a shape in the unit around a node that takes
-// the workers where a claim evicts least per accelerator. It returns nil if those
-// compared don't hold the shape.
+// cheapestPlaceAround returns a place for a shape in the unit of its span
+// around a node, on the workers with the lowest eviction cost per accelerator.
+// It returns nil if the workers compared don't hold the shape.
 func (s *Scheduler) cheapestPlaceAround(center nodeID, shape Shape) []allocation {
 	type offer struct {
 		allocation
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// nodesInUnit lists workers with slack in the unit of a span around a node, those
-// with most first, up to maxCompared.
+// nodesInUnit lists up to maxComparedNodes workers with bindable capacity in
+// the unit of a span around a node, those with the most first.
 func (s *Scheduler) nodesInUnit(n *node, span Adjacency) []nodeID {
 	p := &s.bindable.zones[n.zone].pool
 	if span == AdjacentRack {
--- a/scheduler/place_cost.go
+++ b/scheduler/place_cost.go
@@ -1,12 +1,12 @@
 package scheduler
 
-// wholeRackCost is what a claim is charged per accelerator of a rack without work
-// that can't be evicted, in accelerator seconds: once a block is in use there, no
-// gang that needs the rack whole finds it until that use ends.
+// wholeRackCost is the cost to a claim of using a rack in which all work is
+// evictable, in accelerator seconds per accelerator of the rack. Once a block
+// is in use there, no gang can get the whole rack until that use ends.
 const wholeRackCost = 30.0
 
-// placeCost is what a claim costs in a place: the work it evicts, and the racks
-// it takes from gangs that need one whole.
+// placeCost returns the cost of a claim in a place: the work that it evicts and
+// the whole racks that it breaks up.
 func (s *Scheduler) placeCost(place []allocation, need int) float64 {
 	cost := s.placeEvictionCost(place, need)
 	last := int32(-1)
@@ -24,7 +24,7 @@
 	return cost
 }
 
-// allEvictable reports whether all work in a rack could be evicted.
+// allEvictable reports whether all work in a rack is evictable.
 func (s *Scheduler) allEvictable(rack int32) bool {
 	for _, list := range s.installed.racks[rack].byValue {
 		for _, id := range list {
--- a/scheduler/place_units.go
+++ b/scheduler/place_footprint.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// find returns a place for a job of the key in an index, in units of the nodes.
+// find returns a place in an index for a job of the key, in accelerators scaled
+// by its footprint, or nil.
 func (s *Scheduler) find(x *index, k *queueKey) []allocation {
 	if s.fitsMinShare(k) {
 		return x.findPlace(k.accelerators, k.span, s.nodes)
@@ -10,7 +11,7 @@
 	return s.findByFootprint(x, k)
 }
 
-// unitOf numbers the unit of a span that a node belongs to.
+// unitOf returns the number of the unit of a span that a node belongs to.
 func unitOf(n *node, span Adjacency) int32 {
 	switch span {
 	case AdjacentWorker:
@@ -23,9 +24,9 @@
 	return 0
 }
 
-// findByFootprint places a job that takes several units per accelerator on some
-// workers. It visits every worker: such jobs are rare, and how many units they
-// take differs from worker to worker, so no sum in the indexes fits.
+// findByFootprint places a job whose footprint may exceed 1. It visits every
+// worker, since the footprint differs between workers and the sums in the
+// indexes don't apply. Such jobs are rare.
 func (s *Scheduler) findByFootprint(x *index, k *queueKey) []allocation {
 	capacity := map[int32]int{}
 	for _, n := range s.nodes {
--- a/scheduler/place_each.go
+++ b/scheduler/place_list.go
@@ -1,9 +1,10 @@
 package scheduler
 
-// maxComparedPlaces bounds how many places are compared by what a claim would evict.
+// maxComparedPlaces bounds how many places are compared by cost.
 const maxComparedPlaces = 128
 
-// listPlaces lists up to limit places in different units of a span.
+// listPlaces lists places for need accelerators in different units of a span,
+// up to limit for workers and racks.
 func (x *index) listPlaces(need int, span Adjacency, limit int) [][]allocation {
 	var out [][]allocation
 	for _, z := range x.zones {
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -1,11 +1,11 @@
 package scheduler
 
-// Grant is the accelerators of one worker that a gang holds, by number from 0.
+// Grant is the accelerators of one worker that a gang holds, numbered from 0.
 // It is empty for a job without accelerators.
 type Grant struct {
 	Worker       WorkerID
 	Accelerators []int
 }
 
-// Placement is every grant of one gang.
+// Placement holds all grants of one gang.
 type Placement []Grant
--- a/scheduler/plan.go
+++ b/scheduler/plan.go
@@ -5,15 +5,17 @@
 	"time"
 )
 
-// expectedRelease is accelerators of a node that become available at a time.
+// expectedRelease is a number of accelerators of a node that become available
+// at a time.
 type expectedRelease struct {
 	at    time.Time
 	node  nodeID
 	count int
 }
 
-// planReservation finds where a job could start first, going by learned run times: the unit
-// of its span where enough work ends soonest.
+// planReservation returns the place where a job could start soonest and the
+// time, by predicted run times: the unit of its span in which enough
+// accelerators are released first. It also sets nextPlanAt.
 func (s *Scheduler) planReservation(j *job) ([]allocation, time.Time) {
 	k := j.key()
 	groups := map[int32][]expectedRelease{}
@@ -41,8 +43,9 @@
 	return best, ready
 }
 
-// expectedReleases lists when accelerators of a node become available for a reservation.
-// Work that may not be evicted can't count on what is bound to guarantees.
+// expectedReleases lists when accelerators of a node become available for a
+// reservation. Jobs that may not borrow can't count on what is bound to blocks
+// in use.
 func (s *Scheduler) expectedReleases(n *node, j *job) []expectedRelease {
 	borrows := j.mayBorrow()
 	have := n.capacity() - n.held + n.stopping - n.claimed - n.reserved
@@ -63,12 +66,14 @@
 	return out
 }
 
+// expectedEnd returns when an attempt is predicted to end.
 func (s *Scheduler) expectedEnd(r *run) time.Time {
 	total, _ := s.runTimes.predict(&r.job.Job, s.now.Sub(r.started), endQuantile)
 	return r.started.Add(total)
 }
 
-// earliestPlace accumulates the ends of work in one unit of a span until the job fits.
+// earliestPlace accumulates the releases in one unit in order of time until the
+// job fits, and returns its place and that time.
 func (s *Scheduler) earliestPlace(k *queueKey, ends []expectedRelease) ([]allocation, time.Time) {
 	slices.SortStableFunc(ends, func(a, b expectedRelease) int { return a.at.Compare(b.at) })
 	have := map[nodeID]int{}
@@ -89,7 +94,7 @@
 	return nil, time.Time{}
 }
 
-// takeFromFullest takes what the job needs from the nodes that have most.
+// takeFromFullest takes what the job needs from the nodes that have the most.
 func (s *Scheduler) takeFromFullest(k *queueKey, have map[nodeID]int) []allocation {
 	nodes := make([]nodeID, 0, len(have))
 	for id, n := range have {
--- a/scheduler/policy.go
+++ b/scheduler/policy.go
@@ -2,17 +2,19 @@
 
 import "time"
 
-// Objective selects what the order of the queue and the choice of place favour.
+// Objective selects what the order of the queue and the choice of places
+// favour.
 type Objective uint8
 
 const (
-	// CompletionTime favours the time from request to answer.
+	// CompletionTime favours a short time from submission to completion.
 	CompletionTime Objective = iota
 	// Fragmentation favours keeping large blocks whole.
 	Fragmentation
 )
 
-// Shape is a guaranteed block and how many of it an account is guaranteed.
+// Shape is a guaranteed block and the number of such blocks that an account is
+// guaranteed.
 type Shape struct {
 	Accelerators int
 	Adjacency    Adjacency
@@ -29,55 +31,57 @@
 	MaxQueued  int
 }
 
-// DefaultMaxQueued bounds the waiting jobs of an account that sets no bound.
+// DefaultMaxQueued is the limit on waiting jobs of an account that sets none.
 const DefaultMaxQueued = 20_000
 
-// Policy is the part of a service's document that the scheduler obeys. A
-// policy whose Generation is lower than the one in force is ignored. Zero
-// tunables take their defaults.
+// Policy is the part of a service document that configures the scheduler. A
+// policy whose Generation is lower than that of the one in force is ignored.
+// Fields after Accounts take their defaults if they are zero.
 type Policy struct {
 	Generation uint64
 	Objective  Objective
 	Accounts   []AccountPolicy
 
-	// MaxReservations bounds the gangs that hold a reservation at once.
+	// MaxReservations bounds the reservations that exist at once.
 	MaxReservations int
-	// ReservedSharePercent is the percentage of all accelerators that reservations may
-	// hold, besides the first one, which may be of any size.
+	// ReservedSharePercent is the percentage of all accelerators that
+	// reservations may hold. The first reservation may be of any size.
 	ReservedSharePercent int
-	// ReserveAfter is how long a job waits before it may hold a reservation.
+	// ReserveAfter is how long a job waits before it may get a reservation.
 	ReserveAfter time.Duration
-	// AgeAfter is how long a job waits before it goes ahead of fair order.
+	// AgeAfter is how long a job waits before it precedes the fair order.
 	AgeAfter time.Duration
-	// ReclaimAfter is how long a job leaves its account's guaranteed block to
-	// larger jobs of the account that wait, or waits for open capacity because the
-	// account already uses as much as it is guaranteed. Urgent jobs and those as
-	// large as the block use it at once.
+	// ReclaimAfter is how long a job leaves a guaranteed block of its account
+	// to larger waiting jobs of the account, or waits for open capacity because
+	// the account already uses as much as it is guaranteed. Urgent jobs and
+	// those as large as the block don't wait.
 	ReclaimAfter time.Duration
 	// MaxEvictions bounds the evictions in progress at once.
 	MaxEvictions int
-	// FailureThreshold is how many different jobs in a row must fail on a worker
-	// before it is quarantined.
+	// FailureThreshold is the number of different jobs that must fail on a
+	// worker without a success between them before it is quarantined.
 	FailureThreshold int
-	// JobFailureWorkers is on how many different healthy workers a job must fail
-	// before it is rejected.
+	// JobFailureWorkers is the number of different healthy workers on which a
+	// job must fail before it is rejected.
 	JobFailureWorkers int
-	// MaxAttempts bounds the starts that end in failure, and those that are lost in a
-	// row soon after.
+	// MaxAttempts bounds the failed starts of a job, and its early losses in a
+	// row.
 	MaxAttempts int
-	// RetryAfter is the first delay after a failure; it doubles up to 64 times.
+	// RetryAfter is the delay after the first failure. It doubles with each
+	// further failure, up to 64 times the first delay.
 	RetryAfter time.Duration
-	// QuarantineFor is the first quarantine of a worker; it doubles up to
-	// QuarantineMax.
+	// QuarantineFor is the length of the first quarantine of a worker. It
+	// doubles with each further quarantine, up to QuarantineMax.
 	QuarantineFor time.Duration
-	// QuarantineMax bounds one quarantine.
+	// QuarantineMax bounds the length of one quarantine.
 	QuarantineMax time.Duration
-	// CPUSharePercent is the percentage of the cores and memory of a worker with
-	// accelerators that jobs without accelerators may use.
+	// CPUSharePercent is the percentage of the cores and memory of a worker
+	// with accelerators that jobs without accelerators may use.
 	CPUSharePercent int
 }
 
-// WithDefaults returns the policy with every zero tunable set.
+// WithDefaults returns the policy with defaults in place of its zero limits,
+// delays and percentages.
 func (p Policy) WithDefaults() Policy {
 	p.MaxReservations = orInt(p.MaxReservations, 4)
 	p.ReservedSharePercent = orInt(p.ReservedSharePercent, 40)
--- a/scheduler/policy_change.go
+++ b/scheduler/policy_change.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // applyPolicy puts a policy in force. Blocks that stay guaranteed keep their
-// place and the jobs in them.
+// bindings and the jobs in them.
 func (s *Scheduler) applyPolicy(p Policy) {
 	if p.Generation < s.policy.Generation {
 		return
@@ -30,7 +30,7 @@
 	s.shrinkGen++ // blocks may need more
 }
 
-// setBlocks makes the blocks of an account those that its policy declares.
+// setBlocks adds and drops blocks of an account to match its policy.
 func (s *Scheduler) setBlocks(a *account) {
 	want := map[degradedKey]int{}
 	if a.declared {
@@ -53,8 +53,8 @@
 	}
 }
 
-// dropBlocks takes surplus blocks away, unused ones first, and counts those that
-// are kept off want.
+// dropBlocks drops surplus blocks, unused ones first, and subtracts those that
+// it keeps from want.
 func (s *Scheduler) dropBlocks(a *account, want map[degradedKey]int) {
 	sorted := slices.Clone(a.blocks)
 	slices.SortStableFunc(sorted, func(x, y *block) int { return y.used - x.used })
@@ -71,8 +71,8 @@
 	}
 }
 
-// dropUndeclaredAccounts ends the waiting jobs of accounts that are no longer declared and
-// forgets those accounts once nothing of theirs runs.
+// dropUndeclaredAccounts rejects the waiting jobs of accounts that are no
+// longer declared, and forgets those accounts once none of their attempts run.
 func (s *Scheduler) dropUndeclaredAccounts() {
 	for _, j := range slices.Clone(s.delayed) {
 		if !j.account.declared {
@@ -98,6 +98,7 @@
 	})
 }
 
+// resizeCPU recomputes all counts that depend on CPUSharePercent.
 func (s *Scheduler) resizeCPU() {
 	s.cpuJobCores, s.minCoresPerAccelerator, s.minMemPerAccelerator = 0, 0, 0
 	for _, n := range s.nodes {
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -2,11 +2,11 @@
 
 import "math/bits"
 
-// pool holds the workers of a rack or a zone by the value an index gives them.
-// Workers of value 0 are not listed.
+// pool holds the workers of a rack or a zone by the value that an index gives
+// them. Workers of value 0 are not listed.
 type pool struct {
-	byValue  [MaxWorkerAccelerators][]nodeID // workers of value i+1
-	nonEmpty uint64                          // bit i is set when lists[i] is not empty
+	byValue  [MaxWorkerAccelerators][]nodeID // byValue[i] lists the workers of value i+1
+	nonEmpty uint64                          // bit i is set if byValue[i] is not empty
 	sum      int
 }
 
@@ -36,7 +36,7 @@
 	p.sum -= v
 }
 
-// smallestAtLeast returns the smallest value that is listed and not below v, or 0.
+// smallestAtLeast returns the smallest listed value that is at least v, or 0.
 func (p *pool) smallestAtLeast(v int) int {
 	if v > MaxWorkerAccelerators {
 		return 0
@@ -48,11 +48,12 @@
 	return bits.TrailingZeros64(m) + 1
 }
 
-// largest returns the largest value that is listed, or 0.
+// largest returns the largest listed value, or 0.
 func (p *pool) largest() int { return bits.Len64(p.nonEmpty) }
 
-// take takes need accelerators from the pool, largest workers first, and the
-// remainder from the tightest worker that holds it. It reports how many it took.
+// take takes need accelerators from the largest workers down, and the remainder
+// from the best fitting worker. It returns how many it took, and out with the
+// allocations appended.
 func (p *pool) take(need int, out []allocation) (int, []allocation) {
 	taken := 0
 	for v := p.largest(); v > 0 && taken < need; v-- {
--- a/scheduler/learn.go
+++ b/scheduler/predict.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	// maxClasses bounds the table of run times; the least used go first.
+	// maxClasses bounds the number of classes with recorded run times. The
+	// least recently used are dropped first.
 	maxClasses = 4096
-	// maxRunsPerClass is how many of the last run times of a class are kept.
+	// maxRunsPerClass is the number of most recent run times kept per class.
 	maxRunsPerClass = 31
-	// minRunsToPredict is how many run times are needed before they are used.
+	// minRunsToPredict is the number of run times needed before they are used.
 	minRunsToPredict = 4
-	// defaultRunTime stands for a run time when nothing at all is known.
+	// defaultRunTime is assumed if neither run times nor an estimate are known.
 	defaultRunTime = time.Hour
 )
 
@@ -23,7 +24,7 @@
 	class   string
 }
 
-// runTimeHistory keeps the last run times of one account and class, sorted on demand.
+// runTimeHistory keeps the most recent run times of one account and class.
 type runTimeHistory struct {
 	ring   []time.Duration
 	next   int
@@ -41,8 +42,8 @@
 	slices.Sort(r.sorted)
 }
 
-// quantileAbove returns a quantile of the run times that are longer than elapsed. When
-// none is, a run is taken to last as long again as it has so far.
+// quantileAbove returns the q quantile of the run times longer than elapsed, or
+// twice elapsed if there are none.
 func (r *runTimeHistory) quantileAbove(elapsed time.Duration, q float64) time.Duration {
 	i, _ := slices.BinarySearch(r.sorted, elapsed+1)
 	rest := r.sorted[i:]
@@ -52,8 +53,8 @@
 	return rest[int(q*float64(len(rest)-1)+0.5)]
 }
 
-// runTimePredictor predicts run times by account and class, since declared ones are
-// often wrong.
+// runTimePredictor predicts run times by account and class, since declared
+// estimates are often wrong.
 type runTimePredictor struct {
 	histories *simplelru.LRU[classKey, *runTimeHistory]
 }
@@ -76,8 +77,8 @@
 	r.add(d)
 }
 
-// predict predicts the whole run time of a job that has run for elapsed. It
-// reports false when it has only the declared time to go by.
+// predict returns the q quantile of the whole run time of a job that has run
+// for elapsed. It reports false if only the declared estimate is known.
 func (l runTimePredictor) predict(j *Job, elapsed time.Duration, q float64) (time.Duration, bool) {
 	r, ok := l.histories.Get(classKey{j.Account, j.Class})
 	if ok && len(r.ring) >= minRunsToPredict {
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// preemptSizeRatio is how many times larger than a victim that loses work a gang must
-// be to evict it without a guarantee. Above 1 it excludes cycles: a victim never evicts
-// what evicted it.
+// preemptSizeRatio is how many times larger than a victim that loses work a
+// gang must be to preempt it. Above 1 it excludes cycles in which a victim
+// preempts the gang that preempted it.
 const preemptSizeRatio = 2
 
-// maxPreemptions is how often one job that loses work by it may be evicted without a guarantee.
+// maxPreemptions returns how many evictions a job that loses work may have had
+// and still be preempted for a reservation.
 func (s *Scheduler) maxPreemptions() int {
 	if s.policy.Objective == Fragmentation {
 		return 6
@@ -15,9 +16,9 @@
 	return 2
 }
 
-// minPreemptGain is how much larger than the loss the delay that is saved must be,
-// in accelerator seconds: whoever weighs fragmentation more pays more work for
-// whole blocks.
+// minPreemptGain returns the minimum ratio of the delay saved to the work lost
+// by a preemption, both in accelerator seconds. Under Fragmentation, whole
+// blocks justify more lost work.
 func (s *Scheduler) minPreemptGain() float64 {
 	if s.policy.Objective == Fragmentation {
 		return 0.3
@@ -25,7 +26,7 @@
 	return 2
 }
 
-// preemptible reports whether a gang may evict a run without a guarantee.
+// preemptible reports whether the reservation of a gang may preempt an attempt.
 func (s *Scheduler) preemptible(r *run, j *job) bool {
 	if r.backfilled != nil && r.backfilled == j.claim {
 		return !r.protected
@@ -34,9 +35,9 @@
 		r.job.Priority <= j.Priority && s.mayPreemptBySize(j, r.job) && !r.coveredByGuarantee()
 }
 
-// mayPreemptBySize reports whether a gang is large enough to evict a job. One that can
-// checkpoint loses nothing, so any larger gang may evict it, as often as that
-// costs less than the wait.
+// mayPreemptBySize reports whether a gang is large enough to preempt a job. A
+// checkpointable victim loses no work, so any larger gang may preempt it, any
+// number of times.
 func (s *Scheduler) mayPreemptBySize(gang, victim *job) bool {
 	if victim.Checkpointable {
 		return victim.Accelerators < gang.Accelerators
@@ -44,8 +45,9 @@
 	return victim.Accelerators*preemptSizeRatio <= gang.Accelerators && victim.evictions < s.maxPreemptions()
 }
 
-// endOrPreemption is the time at which a run counts as ended when a gang plans its
-// place: its likely end, or earlier if evicting it costs less than waiting.
+// endOrPreemption returns when an attempt counts as ended in planning a
+// reservation: at its expected end, or earlier if preempting it would cost less
+// than waiting.
 func (s *Scheduler) endOrPreemption(r *run, j *job, end time.Time) time.Time {
 	if !s.preemptible(r, j) {
 		return end
@@ -58,8 +60,9 @@
 	return end
 }
 
-// preempt evicts the work on the place of a reservation if that completes it and
-// loses less than the wait that it saves.
+// preempt evicts the attempts in the way of a reservation if that completes it,
+// if the wait saved outweighs the work lost, and if their accounts still use as
+// much as they are guaranteed.
 func (s *Scheduler) preempt(c *claim) {
 	victims, cost := s.preemptVictims(c)
 	if len(victims) == 0 || !guaranteesMetWithout(victims) {
@@ -75,8 +78,8 @@
 	c.readyAt = s.now
 }
 
-// preemptVictims returns whom a reservation has to evict to be complete, or
-// nothing if evictions alone don't complete it.
+// preemptVictims returns the attempts that a reservation has to evict and their
+// cost, or none if evictions alone can't complete it.
 func (s *Scheduler) preemptVictims(c *claim) ([]*run, float64) {
 	var out []*run
 	total := 0.0
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// queueKey is what makes two waiting jobs of an account interchangeable for
-// placement: if one finds no place, neither does the other.
+// queueKey is what makes waiting jobs of an account interchangeable for
+// placement: if one finds no place, neither do the others.
 type queueKey struct {
 	class        string
 	accelerators int
@@ -15,8 +15,8 @@
 	mayBorrow    bool
 }
 
-// mayBorrow reports whether the job may run on capacity that the guarantee of
-// another account needs.
+// mayBorrow reports whether the job may run on capacity that blocks of other
+// accounts need.
 func (j *job) mayBorrow() bool { return j.Job.mayBorrow() && !j.borrowingEnded }
 
 func (j *job) key() queueKey {
@@ -33,8 +33,8 @@
 	}
 }
 
-// queue is the waiting jobs of one account and key, by order of submission. It
-// is a linked list, so that a wave of cancellations costs the same per job.
+// queue holds the waiting jobs of one account and key in order of submission.
+// It is a linked list, so that removing a job takes constant time.
 type queue struct {
 	key     queueKey
 	account *account
@@ -42,17 +42,18 @@
 	tail    *job
 	length  int
 
-	noPlaceStamp uint64 // capacity generation at which no place was found
-	noClaimStamp uint64 // account generation at which no block had room
-	// yieldUntil is when its head need no longer leave blocks to larger jobs, and
-	// yieldedIn the phase in which it last did.
+	noPlaceStamp uint64 // capacityStamp at which no place was found
+	noClaimStamp uint64 // claimStamp at which no block had room
+	// yieldUntil is when the first job need no longer yield blocks to larger
+	// jobs, and yieldedPhase the phase in which it last did.
 	yieldUntil       time.Time
 	yieldedPhase     uint64
-	sizeCheckedStamp uint64 // topology generation at which the size was found possible
+	sizeCheckedStamp uint64 // topologyGen+1 at which the jobs were found to be possible
 }
 
-// insert puts a job at its place by order of submission, searching from the
-// tail, where new jobs go, or from the head, where evicted ones go.
+// insert puts a job at its place in order of submission. It tries the head,
+// where requeued jobs usually belong, and then searches from the tail, where
+// new jobs belong.
 func (q *queue) insert(j *job) {
 	j.queue = q
 	q.length++
@@ -109,8 +110,8 @@
 	q.insert(j)
 }
 
-// dequeue takes a job out of its queue. Empty queues are swept later, once per
-// decision, so that a wave of cancellations stays linear.
+// dequeue removes a job from its queue. Empty queues are removed once per
+// decision, so that cancelling many jobs takes linear time.
 func (s *Scheduler) dequeue(j *job) {
 	if j.queue == nil {
 		return
@@ -122,6 +123,7 @@
 	}
 }
 
+// sweepQueues removes empty queues.
 func (s *Scheduler) sweepQueues() {
 	if !s.sweepNeeded {
 		return
--- a/scheduler/reason.go
+++ b/scheduler/reason.go
@@ -1,14 +1,16 @@
 package scheduler
 
-// RejectReason says why a job ended without being done.
+// RejectReason states why a job ended without finishing.
 type RejectReason uint8
 
 const (
-	// RejectTooLarge means that the job asks for more than the whole topology.
+	// RejectTooLarge means that the job asks for more than the whole topology
+	// has.
 	RejectTooLarge RejectReason = iota
-	// RejectAdjacency means that no unit of the span is as large as the job.
+	// RejectAdjacency means that no unit of the job's span is large enough.
 	RejectAdjacency
-	// RejectWorkerSize means that no worker has the cores or memory it needs.
+	// RejectWorkerSize means that no worker has the cores or memory that the
+	// job needs.
 	RejectWorkerSize
 	// RejectQueueFull means that the account already has MaxQueued jobs waiting.
 	RejectQueueFull
@@ -31,18 +33,19 @@
 	"invalid", "faulty", "not repeatable", "cancelled",
 }
 
-// String names the reason.
+// String returns the name of the reason.
 func (r RejectReason) String() string { return rejectNames[r] }
 
-// StopReason says why an attempt is stopped.
+// StopReason states why an attempt is stopped.
 type StopReason uint8
 
 const (
-	// StopReclaim means that a guarantee needs the capacity.
+	// StopReclaim means that the attempt is evicted for a guarantee or a
+	// reservation.
 	StopReclaim StopReason = iota
 	// StopCancelled means that the job was withdrawn.
 	StopCancelled
-	// StopWorkerLost means that a member of the gang is gone.
+	// StopWorkerLost means that a member of the gang was lost.
 	StopWorkerLost
 	// StopConflict means that a restored attempt overlaps another one.
 	StopConflict
@@ -50,5 +53,5 @@
 
 var stopNames = [...]string{"reclaim", "cancelled", "worker lost", "conflict"}
 
-// String names the reason.
+// String returns the name of the reason.
 func (r StopReason) String() string { return stopNames[r] }
--- a/scheduler/report.go
+++ b/scheduler/report.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// maxListedWorkers bounds each list of workers of a Report.
+// maxListedWorkers bounds the workers that each list of a Report names.
 const maxListedWorkers = 64
 
-// Report is what operators and client accounts ask about a scheduling domain, as
-// of the last decision.
+// Report describes a scheduling domain to operators and client accounts, as of
+// the last decision.
 type Report struct {
 	At time.Time
-	// Settling says that workers are still announcing themselves.
+	// Settling is set while workers may still be registering.
 	Settling bool
-	// FreeUnits counts, by span, the units by what any job could take of them now.
+	// FreeUnits counts, by span, the units by their open accelerators.
 	FreeUnits   map[Adjacency][]FreeUnits
 	Accounts    []AccountReport
 	Quarantined WorkerList
@@ -22,19 +22,21 @@
 	Lost        WorkerList
 }
 
-// WorkerList is workers in one state: how many, and the first of them.
+// WorkerList counts the workers in one state and names the first of them.
 type WorkerList struct {
 	Count   int
 	Workers []WorkerStatus
 }
 
-// WorkerStatus is a worker that gets no new work. Until is the end of its
-// quarantine, Since when it was lost; each is zero where it does not apply.
+// WorkerStatus describes a worker that gets no new work. Until is the end of
+// its quarantine and Since the time at which it was lost; each is zero where it
+// does not apply.
 type WorkerStatus struct {
 	ID    WorkerID
 	Since time.Time
 	Until time.Time
-	// Probing says that the quarantine is over and one job tries the worker.
+	// Probing is set if the quarantine is over and a single job probes the
+	// worker.
 	Probing bool
 }
 
@@ -45,11 +47,13 @@
 	}
 }
 
-// AccountReport is the part of one account, in accelerators unless said.
+// AccountReport is the state of one account, in accelerators unless stated
+// otherwise.
 type AccountReport struct {
 	ID AccountID
-	// Guaranteed is the sum of its blocks, Used what runs in them, Borrowed what
-	// runs beside them, and Owed the sum of the blocks that have no place now.
+	// Guaranteed is the total size of the account's blocks, Used what its jobs
+	// use of them, Borrowed what its jobs use outside them, and Unplaced the
+	// size of the blocks that are unbound now.
 	Guaranteed int
 	Used       int
 	Borrowed   int
@@ -58,19 +62,19 @@
 	Classes    []ClassReport
 }
 
-// ClassReport is the jobs of one account and class.
+// ClassReport counts the jobs of one account and class.
 type ClassReport struct {
 	Class               string
 	Running             int
 	RunningAccelerators int
 	Waiting             int
 	WaitingAccelerators int
-	// OldestSubmission is when the job that waits longest was submitted.
+	// OldestSubmission is when the job that has waited longest was submitted.
 	OldestSubmission time.Time
 }
 
-// Report describes the state. Its cost is linear in workers, attempts and queues;
-// ask once for many readers.
+// Report describes the state after the last decision. Its cost is linear in
+// workers, attempts and queues, so one report should serve many readers.
 func (s *Scheduler) Report() Report {
 	out := Report{At: s.now, Settling: s.now.Before(s.settlingEnds), FreeUnits: map[Adjacency][]FreeUnits{}}
 	for span := AdjacentAny; span <= AdjacentWorker; span++ {
@@ -99,7 +103,7 @@
 	}
 }
 
-// classReports is the classes of one account by name.
+// classReports holds the reports of one account by class.
 type classReports map[string]*ClassReport
 
 func (c classReports) get(class string) *ClassReport {
@@ -109,8 +113,8 @@
 	return c[class]
 }
 
-// reportClasses counts by attempts and queues, so that its cost does not grow with
-// the jobs that wait.
+// reportClasses counts by attempts and queues, so that its cost does not depend
+// on the number of queued jobs.
 func (s *Scheduler) reportClasses() map[*account]classReports {
 	out := map[*account]classReports{}
 	for _, a := range s.accountList {
@@ -138,7 +142,7 @@
 	}
 }
 
-// addWaiting counts n jobs of one size, of which first was submitted first.
+// addWaiting counts n jobs of equal size, of which first was submitted first.
 func (c *ClassReport) addWaiting(first *job, n int) {
 	c.Waiting += n
 	c.WaitingAccelerators += n * first.Accelerators
--- a/scheduler/reserve.go
+++ b/scheduler/reserve.go
@@ -6,26 +6,29 @@
 )
 
 const (
-	// backfillQuantile is how sure a backfilled job must be to end in time.
+	// backfillQuantile is the quantile of a job's run time that must end before
+	// the reservation that it backfills is ready.
 	backfillQuantile = 0.9
-	// endQuantile is the quantile of learned run times at which running work is
+	// endQuantile is the quantile of run times at which running work is
 	// expected to end.
 	endQuantile = 0.7
-	// replanInterval is how often a reservation looks for an earlier place.
+	// replanInterval is how often an earlier place is sought for a reservation,
+	// or for a job that got none.
 	replanInterval = 10 * time.Second
-	// planCostPerRelease paces planning at large sizes: after a plan that looked at n ends
-	// of work, the next one waits n times this long.
+	// planCostPerRelease paces planning on large topologies: the next plan
+	// waits this long for each release that the last one looked at.
 	planCostPerRelease = 20 * time.Microsecond
-	// moveWaitPercent is the percentage of its remaining wait below which the wait at
-	// another place must lie for a reservation to move: one that moves often
-	// drains one place after the other.
+	// moveWaitPercent is the percentage of its remaining wait that the wait at
+	// another place must not exceed for a reservation to move. Frequent moves
+	// would drain one place after another.
 	moveWaitPercent = 50
 	// minPlanInterval is the shortest time between two plans.
 	minPlanInterval = 100 * time.Millisecond
 )
 
-// reserve gives jobs that have waited longest a reservation, so that smaller
-// jobs don't pass them for ever.
+// reserve gives reservations to the jobs that have waited longest, so that
+// smaller jobs don't starve them. It first updates existing reservations and
+// stops backfilled work that is in their way.
 func (s *Scheduler) reserve() {
 	have, reserved := 0, 0
 	for _, c := range s.claims {
@@ -58,7 +61,8 @@
 	}
 }
 
-// reservationCandidates lists the first jobs of queues that found no place, oldest first.
+// reservationCandidates lists up to limit first jobs of queues that may get a
+// reservation, urgent ones first and then the oldest.
 func (s *Scheduler) reservationCandidates(limit int) []*job {
 	var out []*job
 	for _, a := range s.accountList {
@@ -85,7 +89,7 @@
 }
 
 // mayReserve reports whether a job has waited long enough for a reservation and
-// has not just failed to get one.
+// has not failed to get one recently.
 func (s *Scheduler) mayReserve(j *job) bool {
 	return s.now.Sub(j.Submitted) >= s.policy.ReserveAfter && !s.now.Before(j.noPlanBefore)
 }
@@ -109,8 +113,8 @@
 	s.preempt(c)
 }
 
-// replan moves reservations whose time has passed, or that a better place has
-// turned up for.
+// replan reconsiders the places of reservations that are late or were last
+// considered a replanInterval ago.
 func (s *Scheduler) replan() {
 	for _, c := range slices.Clone(s.claims) {
 		if c.guaranteed() || s.now.Before(s.nextPlanAt) {
@@ -124,6 +128,8 @@
 	}
 }
 
+// moveReservation moves a reservation to a place that is ready much sooner, if
+// there is one, and preempts for it if worthwhile.
 func (s *Scheduler) moveReservation(c *claim) {
 	before := s.capacityGen
 	s.countClaim(c, -1)
@@ -143,7 +149,8 @@
 	s.preempt(c)
 }
 
-// updateReadyAt sets when a reservation is likely to be complete without evictions.
+// updateReadyAt sets when a reservation is expected to be complete without
+// evictions.
 func (s *Scheduler) updateReadyAt(c *claim) {
 	c.readyAt = s.now
 	for _, p := range c.allocations {
@@ -153,7 +160,7 @@
 	}
 }
 
-// nodeReadyAt is when a node is likely to have need accelerators without work.
+// nodeReadyAt returns when a node is expected to have need free accelerators.
 func (s *Scheduler) nodeReadyAt(n *node, need int) time.Time {
 	have := n.capacity() - n.held + n.stopping - n.claimed
 	var ends []expectedRelease
--- a/scheduler/reserve_cpu.go
+++ b/scheduler/reserve_cpu.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// reserveCPU sets a worker aside for a job without accelerators: the one with
-// the most cores left among those that could ever hold it.
+// reserveCPU reserves a worker for a job without accelerators: of the workers
+// that could ever hold the job, the one with the most cores left.
 func (s *Scheduler) reserveCPU(j *job) {
 	var best *node
 	for _, n := range s.nodes {
@@ -20,7 +20,7 @@
 	s.refreshCPU(best)
 }
 
-// dropCPUReservation gives up the worker that is set aside for a job.
+// dropCPUReservation gives up the worker that is reserved for a job.
 func (s *Scheduler) dropCPUReservation(j *job) {
 	if j.cpuNode == nil {
 		return
--- a/scheduler/restore.go
+++ b/scheduler/restore.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// restore rebuilds an attempt that agents hold, after a takeover. What agents
-// report is the truth: the attempt is entered even where it breaks a guarantee,
-// which then shows as degraded.
+// restore adds an attempt that agents hold after a takeover. Agents are the
+// source of truth: the attempt is added even if it leaves blocks unbound, whose
+// guarantees are then reported as degraded.
 func (s *Scheduler) restore(e JobRestored) {
 	j := s.jobs[e.Job.ID]
 	if j == nil {
@@ -27,7 +27,7 @@
 	j.run = r
 	allocations, ok := s.restoredAllocations(e, r)
 	if !ok {
-		// Two attempts can't hold one accelerator at an agent, so one of the
+		// An agent can't run two attempts on one accelerator, so one of the
 		// reports is stale. The attempt is stopped and holds nothing here.
 		s.stopRun(r, StopConflict, false)
 		s.countRun(r, 1)
@@ -43,8 +43,8 @@
 	}
 }
 
-// restoredAllocations turns the grants of a report into pieces. It reports false if
-// one overlaps an accelerator that is in use.
+// restoredAllocations converts the grants of a restored attempt. It reports
+// false if an accelerator is out of range or already in use.
 func (s *Scheduler) restoredAllocations(e JobRestored, r *run) ([]heldAllocation, bool) {
 	var out []heldAllocation
 	for _, g := range e.Placement {
@@ -69,9 +69,9 @@
 	return out, true
 }
 
-// bindRestored puts a restored attempt into a block of its account if one can
-// be bound around it. Otherwise it is a borrower; if it may not be evicted,
-// blocks that stand in its way move or lose their place.
+// bindRestored binds an unused block of the account around a restored attempt
+// if one fits. Otherwise the attempt runs outside the blocks; if it may not be
+// evicted, blocks that no longer fit beside it are unbound.
 func (s *Scheduler) bindRestored(r *run) {
 	if s.bindBlockToRun(r) {
 		return
@@ -88,7 +88,8 @@
 	}
 }
 
-// bindBlockToRun binds an unused block of the same size around a restored attempt.
+// bindBlockToRun binds an unused block of the same size and a fitting span
+// around a restored attempt, and reports whether there is one.
 func (s *Scheduler) bindBlockToRun(r *run) bool {
 	for _, b := range r.job.account.blocks {
 		if b.used > 0 || b.shape.Accelerators != r.size() || !s.usableWithin(r, b.shape.Adjacency) {
@@ -100,6 +101,8 @@
 	return false
 }
 
+// usableWithin reports whether all workers of an attempt are usable and lie in
+// one unit of a span.
 func (s *Scheduler) usableWithin(r *run, span Adjacency) bool {
 	for _, h := range r.held {
 		n := s.nodes[h.node]
@@ -110,8 +113,8 @@
 	return len(r.held) > 0
 }
 
-// bindBlockAround binds a block exactly where an attempt runs and lets the attempt
-// use it. Blocks of others that stand there move away.
+// bindBlockAround binds a block exactly where an attempt runs and puts the
+// attempt into it. Other blocks that no longer fit there are unbound.
 func (s *Scheduler) bindBlockAround(b *block, r *run) {
 	if b.bound() {
 		s.detach(b)
@@ -140,7 +143,7 @@
 	s.countRun(r, 1)
 }
 
-// markStopping marks an attempt as stopping without asking agents again.
+// markStopping marks an attempt as stopping without emitting StopGang.
 func (s *Scheduler) markStopping(r *run) {
 	sent := len(s.actions)
 	s.stopRun(r, StopReclaim, false)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -6,8 +6,8 @@
 type Options struct {
 	// Start is the time of the first decision.
 	Start time.Time
-	// SettlingPeriod is how long after Start jobs are not yet rejected for being
-	// larger than the topology, since workers are still announcing themselves.
+	// SettlingPeriod is the time after Start during which no job is rejected
+	// for being larger than the topology, since workers are still registering.
 	SettlingPeriod time.Duration
 }
 
@@ -15,7 +15,7 @@
 type Scheduler struct {
 	now          time.Time
 	settlingEnds time.Time
-	// settlingDone is set by the first decision at or after settled.
+	// settlingDone is set by the first decision at or after settlingEnds.
 	settlingDone bool
 	policy       Policy
 	actions      []Action
@@ -24,18 +24,21 @@
 	nodeByID    map[WorkerID]*node
 	zoneByID    map[string]int32
 	rackByID    map[rackKey]int32
-	downNodes   []*node // down workers, whose records may be used again
-	cpuJobCores int     // cores that jobs without accelerators may use
+	downNodes   []*node // down workers, oldest first, whose records may be reused
+	cpuJobCores int     // total cores that jobs without accelerators may use
 
-	installed                                    index // accelerators of every known worker, healthy or not
-	open                                         index // what an evictable job may take
-	unguaranteed                                 index // what a job that may not be evicted may take
-	bindable                                     index // what guaranteed blocks may be bound to
-	cpu                                          cpuIndex
-	capacityGen                                  uint64 // changes when any capacity grows
+	// Indexes of workers by accelerators.
+	installed    index // accelerators of every known worker, healthy or not
+	open         index // open capacity, for evictable jobs
+	unguaranteed index // open capacity to which no unused block is bound
+	bindable     index // capacity to which blocks may be bound
+	cpu          cpuIndex
+	// Generations: each changes when the state that it covers does, so that
+	// searches that failed are not repeated on the same state.
+	capacityGen                                  uint64 // changes when the capacity of any worker grows
 	cpuCapacityGen                               uint64 // the same for jobs without accelerators
-	topologyGen                                  uint64 // changes when the topology grows
-	minCoresPerAccelerator, minMemPerAccelerator int    // least share of an accelerator over all workers
+	topologyGen                                  uint64 // changes when workers are added or the policy changes
+	minCoresPerAccelerator, minMemPerAccelerator int    // smallest share of one accelerator on any worker
 
 	accounts            map[AccountID]*account
 	accountList         []*account
@@ -43,21 +46,21 @@
 	seq                 uint64
 	delayed             delayHeap
 	claims              []*claim
-	unbound             []*block // guaranteed blocks without a place
+	unbound             []*block // guaranteed blocks that no worker can hold now
 	degraded            map[degradedKey]int
-	fitsBeside          map[demand]bool // shapes that fit beside all blocks
-	fitsBesideGen       uint64          // shape and shrunk when these were found
-	shrinkGen           uint64          // changes when the topology shrinks or blocks need more
-	borrowingGen        uint64          // shrunk when retreats were last looked at
-	repackGen           uint64          // grown when the last repacking failed
-	evictionsInProgress int             // evictions in progress
+	fitsBeside          map[demand]bool // whether a shape fits on idle workers together with all blocks
+	fitsBesideGen       uint64          // topologyGen+shrinkGen for which fitsBeside holds
+	shrinkGen           uint64          // changes when the topology shrinks or the policy changes
+	borrowingGen        uint64          // shrinkGen when resumeBorrowing last ran
+	repackGen           uint64          // capacityGen when the unbound blocks were last tried
+	evictionsInProgress int
 	quarantined         []*node
-	headsBuf            []*queue  // scratch
-	nextPlanAt          time.Time // no plan for a reservation before
-	planPending         bool      // a job waits for such a plan
+	headsBuf            []*queue  // reused by startOpen
+	nextPlanAt          time.Time // earliest time of the next search for a reservation
+	planPending         bool      // a job waits for nextPlanAt
 	runTimes            runTimePredictor
-	sweepNeeded         bool
-	lastWakeAt          time.Time // last WakeAt
+	sweepNeeded         bool      // a queue became empty
+	lastWakeAt          time.Time // time of the last WakeAt action
 	starts              uint64
 	steps               uint64
 }
@@ -65,7 +68,7 @@
 type rackKey struct{ zone, rack string }
 
 // New returns a scheduler without workers, accounts or jobs. Jobs of an unknown
-// account are rejected, so PolicyChanged goes first.
+// account are rejected, so PolicyChanged must come first.
 func New(o Options) *Scheduler {
 	s := &Scheduler{
 		now:          o.Start,
@@ -86,9 +89,9 @@
 	return s
 }
 
-// Step applies an event and returns what is to be done, in order. Time never
-// goes back: an earlier now counts as the last one. The actions belong to the
-// caller.
+// Step applies an event and returns the actions that it causes, in order. Time
+// never goes back: if now is earlier than in a previous call, the latest time
+// is used. The caller owns the actions.
 func (s *Scheduler) Step(now time.Time, ev Event) []Action {
 	if now.After(s.now) {
 		s.now = now
@@ -138,8 +141,9 @@
 	}
 }
 
-// decide brings what is owed up to date and then starts what fits: repairs of
-// guarantees go first, then claims on guarantees, then the open queue.
+// decide first updates state that depends on time and on changed capacity, and
+// then starts jobs: rebinding of blocks precedes claims on guarantees, and
+// these precede jobs on open capacity.
 func (s *Scheduler) decide() {
 	s.endSettling()
 	s.endQuarantines()
--- a/scheduler/sentence.go
+++ b/scheduler/sentence.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sentence says in one sentence, for a human reader, why the job waits.
+// Sentence returns the explanation as one sentence for operators.
 func (e *Explanation) Sentence() string {
 	switch e.Reason {
 	case WaitNone:
@@ -31,7 +31,8 @@
 	return e.sizeSentence()
 }
 
-// sizeSentence is the sentence of a reason that lies in the workers.
+// sizeSentence returns the sentence for reasons that concern workers and
+// capacity.
 func (e *Explanation) sizeSentence() string {
 	switch e.Reason {
 	case WaitSettling:
@@ -62,7 +63,7 @@
 	return fmt.Sprintf("%d%s jobs of its account, class and shape go first; the first of them, %s, waits by %s", e.Ahead, more, e.First, e.FirstReason)
 }
 
-// needText is what the job needs and what is free.
+// needText states what the job needs and what is free.
 func (e *Explanation) needText() string {
 	if e.Free == 0 {
 		return fmt.Sprintf("it needs %d accelerators and none is free", e.Accelerators)
@@ -74,7 +75,7 @@
 		e.Accelerators, e.Span, e.Free, e.Largest, e.Span, e.unitCounts())
 }
 
-// unitCounts lists how many unitCounts of the span have how many free.
+// unitCounts lists the units of the span by their free accelerators.
 func (e *Explanation) unitCounts() string {
 	if len(e.Units) == 0 {
 		return ""
@@ -86,6 +87,7 @@
 	return " (" + strings.Join(parts, ", ") + ")"
 }
 
+// firstText names the job that is first in the order.
 func (e *Explanation) firstText() string {
 	switch e.First {
 	case "":
--- a/scheduler/start.go
+++ b/scheduler/start.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// start begins an attempt on pieces that are idle. With shares it runs within
-// the guarantee of its account and is never evicted, nor is it if it is protected.
+// start begins an attempt on idle accelerators. With uses it runs in blocks of
+// its account. It is never evicted then, nor if it is protected.
 func (s *Scheduler) start(j *job, place []allocation, uses []blockUse, protected bool) {
 	s.dequeue(j)
 	if j.claim != nil {
@@ -25,7 +25,7 @@
 	s.emit(StartGang{Job: j.ID, Attempt: r.attempt, Placement: s.placement(r)})
 }
 
-// holdLowest gives a run the lowest idle accelerators of a node.
+// holdLowest gives an attempt the lowest idle accelerators of a node.
 func (s *Scheduler) holdLowest(r *run, p allocation, units int) {
 	n := s.nodes[p.node]
 	h := heldAllocation{node: p.node, count: p.count, granted: p.count / max(1, units)}
@@ -38,8 +38,8 @@
 	s.hold(r, h)
 }
 
-// hold enters a piece into the counts of its node. Firm pieces within a
-// guarantee are counted by their shares.
+// hold adds held accelerators to the counts of their node. Within blocks they
+// are counted as protected by useBlocks instead.
 func (s *Scheduler) hold(r *run, h heldAllocation) {
 	n := s.nodes[h.node]
 	r.held = append(r.held, h)
@@ -61,7 +61,7 @@
 	s.refreshIndexes(n)
 }
 
-// release takes a run that has ended out of the counts.
+// release removes an attempt that has ended from all counts.
 func (s *Scheduler) release(r *run) {
 	s.countRun(r, -1)
 	for _, h := range r.held {
@@ -96,7 +96,8 @@
 	s.refreshIndexes(n)
 }
 
-// countRun enters a run into the use of its account.
+// countRun adds an attempt to the counts of its account, or removes it if sign
+// is -1.
 func (s *Scheduler) countRun(r *run, sign int) {
 	a := r.job.account
 	a.running += sign
@@ -116,7 +117,7 @@
 	return out
 }
 
-// lowestBits lists the lowest count bits of a mask.
+// lowestBits lists the positions of the lowest count set bits of a mask.
 func lowestBits(mask uint64, count int) []int {
 	out := make([]int, 0, count)
 	for ; mask != 0 && len(out) < count; mask &= mask - 1 {
@@ -125,8 +126,8 @@
 	return out
 }
 
-// stopRun asks for the end of a run. A run is asked once: a later reason only
-// replaces the first one where it decides what becomes of the job.
+// stopRun asks to stop an attempt. It does nothing if the attempt is already
+// stopping.
 func (s *Scheduler) stopRun(r *run, reason StopReason, checkpoint bool) {
 	if r.state == runStopping {
 		return
@@ -163,7 +164,8 @@
 	}
 }
 
-// currentRun returns the current attempt of a job, or nil if the event is stale.
+// currentRun returns the current attempt of a job, or nil if the event refers
+// to another one.
 func (s *Scheduler) currentRun(id JobID, attempt Attempt) *run {
 	j := s.jobs[id]
 	if j == nil || j.run == nil || j.run.attempt != attempt {
@@ -172,7 +174,7 @@
 	return j.run
 }
 
-// backoff doubles a delay for each try, up to 64 times the first.
+// backoff doubles a delay with each try, up to 64 times the first.
 func backoff(first time.Duration, tries int) time.Duration {
 	return first << min(max(0, tries-1), 6)
 }
--- a/scheduler/stats.go
+++ b/scheduler/stats.go
@@ -1,32 +1,33 @@
 package scheduler
 
-// Stats is a summary of the state of a scheduler.
+// Stats summarises the state of a scheduler.
 type Stats struct {
-	// Workers that may be given work, and their accelerators.
+	// Workers counts those that may get work, and Accelerators what they have.
 	Workers      int
 	Accelerators int
-	// Free accelerators are held by no attempt, Reserved ones are set aside.
+	// Free accelerators are held by no attempt. Reserved ones are those of them
+	// that are claimed or reserved.
 	Free     int
 	Reserved int
-	// Fragmentation is the free accelerators in pieces too small for the jobs
-	// that wait, averaged over those jobs by their size.
+	// Fragmentation is the number of free accelerators in units too small for
+	// the waiting jobs, averaged over these jobs weighted by their size.
 	Fragmentation float64
 	Quarantined   int
-	// UnplacedBlocks is the guaranteed blocks that fit nowhere now.
+	// UnplacedBlocks counts the guaranteed blocks that are unbound now.
 	UnplacedBlocks int
-	// Evicting is the evictions in progress.
+	// Evicting counts the evictions in progress.
 	Evicting int
 	Starts   uint64
 	Accounts []AccountStats
 }
 
-// AccountStats is the part of one account.
+// AccountStats summarises the state of one account.
 type AccountStats struct {
 	ID AccountID
-	// Waiting counts jobs by class, Running all attempts.
+	// Waiting counts jobs by class. Running counts all attempts.
 	Waiting map[string]int
 	Running int
-	// Borrowed accelerators are in use beyond the guarantee.
+	// Borrowed counts the accelerators in use outside the account's blocks.
 	Borrowed int
 	Evicted  EvictionTotals
 }
@@ -60,12 +61,13 @@
 	return out
 }
 
-// demand is what matters for the pieces that a waiting job can use.
+// demand is what decides which free accelerators a waiting job can use.
 type demand struct {
 	accelerators int
 	span         Adjacency
 }
 
+// fragmentation computes Stats.Fragmentation.
 func (s *Scheduler) fragmentation() float64 {
 	waiting := map[demand]int{}
 	weight := 0
@@ -87,7 +89,8 @@
 	return float64(lost) / float64(weight)
 }
 
-// unusableFree is the free accelerators in units of a span that have too few.
+// unusableFree returns the free accelerators in units that have too few for a
+// demand.
 func (s *Scheduler) unusableFree(d demand) int {
 	units := map[int32]int{}
 	for _, n := range s.nodes {
--- a/scheduler/submit.go
+++ b/scheduler/submit.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// maxFailedNodes bounds the workers remembered per job.
+// maxFailedNodes bounds the failed workers that are remembered per job.
 const maxFailedNodes = 8
 
 func (s *Scheduler) newJob(spec Job) *job {
@@ -41,8 +41,8 @@
 		j.Adjacency <= AdjacentWorker && j.Accelerators+j.Cores+j.MemoryMB > 0
 }
 
-// cancel withdraws a job, at a cost that does not depend on how many others
-// there are.
+// cancel withdraws a job. Its cost does not depend on the number of waiting
+// jobs.
 func (s *Scheduler) cancel(id JobID) {
 	j := s.jobs[id]
 	if j == nil || j.cancelled {
--- a/scheduler/topology.go
+++ b/scheduler/topology.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// forgetNodeAfter is how long the record of a worker that is down is kept before a
-// new worker may take its place in the tables.
+// forgetNodeAfter is how long the record of a worker that is down is kept
+// before a new worker may reuse it.
 const forgetNodeAfter = 10 * time.Minute
 
 func (s *Scheduler) indexes() [4]*index {
 	return [4]*index{&s.installed, &s.open, &s.unguaranteed, &s.bindable}
 }
 
-// refreshIndexes brings the indexes up to date with a node.
+// refreshIndexes updates the indexes from the counts of a node.
 func (s *Scheduler) refreshIndexes(n *node) {
 	slack, open := n.bindable(), n.open()
 	steady := min(open, n.slack())
@@ -25,6 +25,7 @@
 	s.unguaranteed.set(n, steady)
 }
 
+// zoneIndex returns the number of a zone, and adds the zone if it is new.
 func (s *Scheduler) zoneIndex(name string) int32 {
 	z, ok := s.zoneByID[name]
 	if !ok {
@@ -37,6 +38,7 @@
 	return z
 }
 
+// rackIndex returns the number of a rack, and adds the rack if it is new.
 func (s *Scheduler) rackIndex(zone, name string) int32 {
 	z := s.zoneIndex(zone)
 	k := rackKey{zone, name}
@@ -51,8 +53,8 @@
 	return r
 }
 
-// addNode returns the record for a worker that is not known, which is that of a
-// worker long gone if there is one.
+// addNode returns a record for an unknown worker: a reused one if there is any,
+// or a new one.
 func (s *Scheduler) addNode(w Worker) *node {
 	if n := s.reuseDownNode(); n != nil {
 		s.nodeByID[w.ID] = n
@@ -68,6 +70,8 @@
 	return n
 }
 
+// reuseDownNode clears and returns the record of the worker that has been down
+// longest, if its history may be forgotten, or nil.
 func (s *Scheduler) reuseDownNode() *node {
 	for len(s.downNodes) > 0 {
 		n := s.downNodes[0]
@@ -106,7 +110,7 @@
 	s.refreshCPU(n)
 }
 
-// setWorker puts the size and position of a worker in force. The node must not be
+// setWorker sets the size and the position of a worker. The node must not be
 // usable yet, so that only its size is in an index.
 func (s *Scheduler) setWorker(n *node, w Worker) {
 	for _, x := range s.indexes() {
@@ -122,14 +126,15 @@
 	s.recountCPU(n)
 }
 
-// takeDown takes a node out of use: blocks and reservations move away, attempts
+// takeDown marks a node as down and drops what is planned on it. Its attempts
 // stay.
 func (s *Scheduler) takeDown(n *node) {
 	n.up = false
 	s.dropPlansOn(n)
 }
 
-// dropPlansOn gives up what is planned on a node that has just become unusable.
+// dropPlansOn unbinds the blocks and drops the claims and reservations on a
+// node that has just become unusable.
 func (s *Scheduler) dropPlansOn(n *node) {
 	s.shrinkGen++
 	for len(n.blocks) > 0 {
@@ -157,8 +162,8 @@
 	s.dropPlansOn(n)
 }
 
-// workerDown stops every gang that has a member on the worker: a gang never
-// goes on without one of its members.
+// workerDown stops every gang that has a member on the worker, since a gang
+// never runs without one of its members.
 func (s *Scheduler) workerDown(id WorkerID) {
 	n := s.nodeByID[id]
 	if n == nil || !n.up {
--- a/scheduler/wait_reason.go
+++ b/scheduler/wait_reason.go
@@ -1,59 +1,61 @@
 package scheduler
 
-// WaitReason says why a job has not started. Exactly one holds for a job that
-// waits.
+// WaitReason states why a job has not started. Exactly one reason holds for a
+// job.
 type WaitReason uint8
 
 const (
-	// WaitNone means that the job does not wait: an attempt of it exists.
+	// WaitNone means that an attempt of the job exists.
 	WaitNone WaitReason = iota
-	// WaitFitsNow means that the next decision starts it, if nothing changes
-	// before.
+	// WaitFitsNow means that the next decision starts the job, if nothing
+	// changes before.
 	WaitFitsNow
-	// WaitNextDecision means that a place, or room in the blocks of its account, has
-	// turned up since its queue was last tried, and that a later decision tries it,
-	// after others that go first.
+	// WaitNextDecision means that a place, or room in the blocks of the
+	// account, has turned up since the queue was last tried. A later decision
+	// tries the job, after those that precede it.
 	WaitNextDecision
-	// WaitRetry means that an attempt failed or was refused, and the delay before
-	// the next one is not over.
+	// WaitRetry means that an attempt failed or was refused, and the delay
+	// before the next one is not over.
 	WaitRetry
-	// WaitReclaim means that capacity of its account's guarantee is set aside for
-	// it and work on it is being evicted.
+	// WaitReclaim means that capacity of the account's guarantee is claimed for
+	// the job and work on it is being evicted.
 	WaitReclaim
-	// WaitReserved means that a place is reserved for it, where work has to end.
+	// WaitReserved means that a place is reserved for the job, where other work
+	// has to end.
 	WaitReserved
-	// WaitBehind means that another job of the same account, class and shape goes
-	// first.
+	// WaitBehind means that another job of the same account, class and shape
+	// precedes it.
 	WaitBehind
-	// WaitSettling means that no worker known so far could hold it, and workers
-	// are still announcing themselves after a change of planner.
+	// WaitSettling means that no known worker could hold the job, but workers
+	// may still be registering after a change of planner.
 	WaitSettling
 	// WaitNoWorkers means that no worker is known.
 	WaitNoWorkers
-	// WaitImpossible means that it can never run as declared; it is rejected when it
-	// is tried next.
+	// WaitImpossible means that the job can never run as declared. It is
+	// rejected when it is next tried.
 	WaitImpossible
-	// WaitYields means that it leaves its account's guaranteed blocks to larger
-	// jobs of the account.
+	// WaitYields means that the job leaves the guaranteed blocks of its account
+	// to larger jobs of the account.
 	WaitYields
-	// WaitDegraded means that a block of its account that could hold it has no
-	// place now.
+	// WaitDegraded means that a block of the account that could hold the job is
+	// unbound now.
 	WaitDegraded
 	// WaitFailedWorkers means that the only free places are on workers on which
-	// it has failed.
+	// the job has failed.
 	WaitFailedWorkers
-	// WaitGuaranteed means that what is free is bound to guarantees, and the job
-	// may not be evicted from there.
+	// WaitGuaranteed means that the free capacity is bound to guaranteed blocks
+	// and the job may not borrow it.
 	WaitGuaranteed
-	// WaitReservations means that what is free is reserved for larger jobs.
+	// WaitReservations means that the free capacity is reserved for larger
+	// jobs.
 	WaitReservations
 	// WaitOverShare means that there is no place, and that a job of an account
-	// with a lower share, which fits wherever this one does, goes first.
+	// with a lower share, which fits wherever this one does, precedes it.
 	WaitOverShare
-	// WaitNoPlace means that enough accelerators are free, but too few in any one
-	// unit of the span it needs.
+	// WaitNoPlace means that enough accelerators are free, but too few in any
+	// one unit of the span.
 	WaitNoPlace
-	// WaitNoCapacity means that fewer accelerators are free than it needs.
+	// WaitNoCapacity means that fewer accelerators are free than the job needs.
 	WaitNoCapacity
 	// WaitNoCores means that no worker has the cores and memory left for a job
 	// without accelerators.
@@ -68,5 +70,5 @@
 	"no-cores",
 }
 
-// String names the reason as reports show it.
+// String returns the name of the reason in reports.
 func (r WaitReason) String() string { return waitNames[r] }
--- a/scheduler/within_guarantee.go
+++ b/scheduler/within_guarantee.go
@@ -1,15 +1,16 @@
 package scheduler
 
-// withinGuarantee reports whether a job that could be evicted is within the guarantee
-// of its account, together with all that the account runs beside its blocks.
+// withinGuarantee reports whether a job that may borrow fits within the unused
+// guarantee of its account, together with all that the account runs outside its
+// blocks.
 func (s *Scheduler) withinGuarantee(j *job) bool {
 	return j.mayBorrow() && j.account.usedOutsideBlocks+j.Accelerators <= j.account.unusedGuarantee()
 }
 
-// startWithinGuarantee starts a job that is within the guarantee of its account where
-// nobody evicts it: on capacity that no block needs, which pins no block, or else
-// in a block of its account. As a borrower it would lose its work to a claim or a
-// reservation of another account while its own block is idle.
+// startWithinGuarantee starts such a job where it can't be evicted: on capacity
+// that no block needs, which leaves the blocks movable, or else in a block of
+// its account. As a borrower it could be evicted for another account while its
+// own block is unused.
 func (s *Scheduler) startWithinGuarantee(j *job, k *queueKey) bool {
 	if place := s.withoutFailedNodes(j, func() []allocation { return s.find(&s.unguaranteed, k) }); place != nil {
 		s.start(j, place, nil, true)
@@ -23,9 +24,9 @@
 	return true
 }
 
-// unprotectRuns makes borrowers of all attempts that could be evicted and run beside
-// the blocks without being evictable. They stand in the way when workers fail or
-// a policy adds guarantees: a block that has no place goes first.
+// unprotectRuns makes all protected attempts outside the blocks whose jobs may
+// borrow evictable, since unbound blocks take precedence over them. It reports
+// whether there were any.
 func (s *Scheduler) unprotectRuns() bool {
 	found := false
 	for _, n := range s.nodes {
@@ -40,8 +41,8 @@
 	return found
 }
 
-// missesGuarantee reports whether an account misses a block that has no place: it does not
-// run jobs of that size on what its blocks were bound to.
+// missesGuarantee reports whether an account has unbound blocks beyond the size
+// of its own oversized jobs, which may run on the capacity of its blocks.
 func (s *Scheduler) missesGuarantee() bool {
 	missing := map[*account]int{}
 	for _, b := range s.unbound {
@@ -55,8 +56,8 @@
 	return false
 }
 
-// oversizedUse is the size of the jobs of an account that are larger than its blocks and
-// may use what these are bound to.
+// oversizedUse returns the accelerators held outside blocks by protected jobs
+// of an account that its blocks could not hold.
 func (s *Scheduler) oversizedUse(a *account) int {
 	t := 0
 	for _, n := range s.nodes {
--- a/scheduler/worker.go
+++ b/scheduler/worker.go
@@ -1,11 +1,11 @@
 package scheduler
 
-// MaxWorkerAccelerators is the largest number of accelerators of one worker that the
-// scheduler uses. Those above it stay idle.
+// MaxWorkerAccelerators is the most accelerators of one worker that the
+// scheduler uses. Any others stay idle.
 const MaxWorkerAccelerators = 64
 
 // Worker describes the capacity and the position of a worker. Accelerators may
-// be 0. Racks are scoped by their availability zone.
+// be 0. Rack names are scoped by their availability zone.
 type Worker struct {
 	ID           WorkerID
 	Zone         string
--- a/scheduler/yield.go
+++ b/scheduler/yield.go
@@ -1,9 +1,9 @@
 package scheduler
 
-// claimsBefore orders the jobs of one account that claim its blocks: urgent ones,
-// then those that have waited long, then by priority. Among equals the larger one
-// goes first, since a small job in a block leaves no room for it, until the
-// small one has waited for ReclaimAfter.
+// claimsBefore orders the jobs of one account that claim its blocks: urgent
+// ones first, then aged ones, then by priority. Among equals the larger job
+// precedes, since a small job in a block leaves no room for it, until the small
+// one has waited for ReclaimAfter.
 func (s *Scheduler) claimsBefore(a, b *job) bool {
 	if a.Urgent != b.Urgent || s.aged(a) || s.aged(b) || a.Priority != b.Priority {
 		return s.precedesInAccount(a, b)
@@ -18,16 +18,16 @@
 	return a.seq < b.seq
 }
 
-// yieldExpired reports whether a job need no longer leave its account's blocks to
-// larger jobs.
+// yieldExpired reports whether a job has waited for ReclaimAfter and need not
+// yield blocks any longer.
 func (s *Scheduler) yieldExpired(j *job) bool {
 	return s.now.Sub(j.Submitted) >= s.policy.ReclaimAfter
 }
 
-// yieldsBlock reports whether a job does not use a block yet, because a larger job of
-// the same account waits, goes first and could use it, or because the account
-// already runs as much beside its blocks as they have room for. Urgent jobs and
-// those as large as the block yield to none.
+// yieldsBlock reports whether a job does not use a block yet, because a larger
+// job of the account precedes it and could use the block, or because the
+// account already runs as much outside its blocks as they have room for. Urgent
+// jobs and those as large as the block never yield.
 func (s *Scheduler) yieldsBlock(j *job, k *queueKey, b *block) bool {
 	if k.urgent || k.accelerators >= b.shape.Accelerators || s.yieldExpired(j) {
 		return false
@@ -47,8 +47,9 @@
 	return false
 }
 
-// urgentJobWaits reports whether an urgent job of the same account waits that could
-// use a block. It may still find open capacity, and the block is claimed after.
+// urgentJobWaits reports whether an urgent job of the account waits that could
+// use a block. That job may still find open capacity, in which case the block
+// is claimed afterwards.
 func (s *Scheduler) urgentJobWaits(j *job, b *block) bool {
 	if j.Urgent {
 		return false
