--- a/scheduler/baseline_test.go
+++ b/scheduler/baseline_test.go
@@ -170,7 +170,7 @@
 // firstFit takes the first workers in order that have room within one span.
 func (b *baseline) firstFit(a AccountID, need int, span Adjacency) []allocation {
 	have := map[string]int{}
-	name := func(w *Worker) string {
+	unitName := func(w *Worker) string {
 		switch span {
 		case AdjacentWorker:
 			return string(w.ID)
@@ -187,20 +187,20 @@
 		if free <= 0 {
 			continue
 		}
-		n := name(w)
+		n := unitName(w)
 		if have[n] += free; have[n] >= need {
-			return b.takeInUnit(a, need, n, name)
+			return b.takeInUnit(a, need, n, unitName)
 		}
 	}
 	return nil
 }
 
-func (b *baseline) takeInUnit(a AccountID, need int, in string, name func(*Worker) string) []allocation {
+func (b *baseline) takeInUnit(a AccountID, need int, unit string, unitName func(*Worker) string) []allocation {
 	var out []allocation
 	for i := range b.workers {
 		w := &b.workers[i]
 		k := min(need, b.freeFor(i, a))
-		if k > 0 && name(w) == in {
+		if k > 0 && unitName(w) == unit {
 			out = append(out, allocation{nodeID(i), k})
 			if need -= k; need == 0 {
 				break
@@ -266,11 +266,11 @@
 	return out
 }
 
-func (b *baseline) youngestBorrower(but AccountID) *baselineJob {
+func (b *baseline) youngestBorrower(except AccountID) *baselineJob {
 	var best *baselineJob
 	for _, x := range b.jobs {
 		over := b.usedByAccount[x.Account] > b.guaranteedSums[x.Account]
-		if x.running && !x.stopping && over && x.Account != but && x.Evictable() && (best == nil || x.started > best.started) {
+		if x.running && !x.stopping && over && x.Account != except && x.Evictable() && (best == nil || x.started > best.started) {
 			best = x
 		}
 	}
--- a/scheduler/explain_test.go
+++ b/scheduler/explain_test.go
@@ -15,29 +15,29 @@
 // on "no place". Each is held against what the scheduler does next and against a
 // search of every worker that shares no code with the scheduler's indexes.
 func TestExplanationsMatchDecisions(t *testing.T) {
-	told := reasonCounts{}
+	counts := reasonCounts{}
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			m := newModel(t, seed+100, 8+int(seed)*3)
 			for range 400 {
 				m.randomEvent()
-				m.checkExplanations(told)
-				m.submitAndExplain(told)
+				m.checkExplanations(counts)
+				m.submitAndExplain(counts)
 			}
 		})
 	}
-	t.Log(told)
+	t.Log(counts)
 	for _, r := range []WaitReason{
 		WaitNone, WaitFitsNow, WaitRetry, WaitReclaim, WaitReserved, WaitBehind, WaitYields, WaitDegraded,
 		WaitGuaranteed, WaitReservations, WaitOverShare, WaitNoPlace, WaitNoCapacity,
 	} {
-		qt.Check(t, told[r] > 0, qt.IsTrue, qt.Commentf("%v was never told", r))
+		qt.Check(t, counts[r] > 0, qt.IsTrue, qt.Commentf("%v was never told", r))
 	}
 }
 
 // submitAndExplain gives the scheduler a job, asks before the decision, and then
 // lets it decide.
-func (m *model) submitAndExplain(told reasonCounts) {
+func (m *model) submitAndExplain(counts reasonCounts) {
 	if m.rng.IntN(3) > 0 {
 		return
 	}
@@ -47,25 +47,25 @@
 		m.endJob(j.ID) // the queue of its account is full
 		return
 	}
-	m.checkPredictions(told)
+	m.checkPredictions(counts)
 }
 
 // checkExplanations holds every explanation against the truth.
-func (m *model) checkExplanations(told reasonCounts) {
-	open, whole := m.recountOpen(false), m.recountOpen(true)
+func (m *model) checkExplanations(counts reasonCounts) {
+	open, withoutReservations := m.recountOpen(false), m.recountOpen(true)
 	for _, id := range m.order {
 		e, ok := m.s.Explain(id)
 		if !ok {
 			m.fatalf("live job %q is not explained", id)
 		}
-		told[e.Reason]++
-		m.checkExplanation(m.jobs[id], e, open, whole)
+		counts[e.Reason]++
+		m.checkExplanation(m.jobs[id], e, open, withoutReservations)
 	}
-	m.checkPredictions(told)
+	m.checkPredictions(counts)
 }
 
 // checkPredictions holds what is said to start against the next decision.
-func (m *model) checkPredictions(told reasonCounts) {
+func (m *model) checkPredictions(counts reasonCounts) {
 	var promised, denied []JobID
 	// A block without a place takes what is reserved before the queue is looked at.
 	binds := m.s.bindsNext()
@@ -73,7 +73,7 @@
 		switch e, _ := m.s.Explain(id); e.Reason {
 		case WaitFitsNow:
 			promised = append(promised, id)
-			told[WaitFitsNow]++
+			counts[WaitFitsNow]++
 		case WaitNextDecision, WaitReclaim, WaitReserved, WaitBehind, WaitNone:
 			// They may start, or are not the first of their queue.
 		case WaitReservations:
@@ -98,7 +98,7 @@
 	}
 }
 
-func (m *model) checkExplanation(j *modelJob, e Explanation, open, whole map[WorkerID]int) {
+func (m *model) checkExplanation(j *modelJob, e Explanation, open, withoutReservations map[WorkerID]int) {
 	fail := func(why string) { m.fatalf("job %q is said to wait by %+v: %s", j.ID, e, why) }
 	if (e.Reason == WaitNone) != (j.place != nil) {
 		fail("it has an attempt or not")
@@ -120,7 +120,7 @@
 			fail("its queue was tried and is not tried again")
 		}
 	case WaitReservations:
-		if m.fitsBySearch(j, open, nil) || !m.fitsBySearch(j, whole, nil) {
+		if m.fitsBySearch(j, open, nil) || !m.fitsBySearch(j, withoutReservations, nil) {
 			fail("a place with or without reservations")
 		}
 	case WaitFailedWorkers:
@@ -153,7 +153,7 @@
 // recountOpen is what any job could take of each worker, counted from attempts and
 // claims one by one; with reservations as if they were not there. An attempt holds
 // more than it was granted where it needs more cores or memory than its share.
-func (m *model) recountOpen(reservations bool) map[WorkerID]int {
+func (m *model) recountOpen(ignoreReservations bool) map[WorkerID]int {
 	held, coming, claimed, reserved := map[nodeID]int{}, map[nodeID]int{}, map[nodeID]int{}, map[nodeID]int{}
 	for _, j := range m.s.jobs {
 		if j.run == nil {
@@ -170,7 +170,7 @@
 		for _, p := range c.allocations {
 			if c.guaranteed() {
 				claimed[p.node] += p.count
-			} else if !reservations {
+			} else if !ignoreReservations {
 				reserved[p.node] += p.count
 			}
 		}
--- a/scheduler/guarantee_test.go
+++ b/scheduler/guarantee_test.go
@@ -38,8 +38,8 @@
 	// waits for minutes: jobs that are not of exactly the guaranteed shape had to
 	// wait for open capacity before they could claim.
 	for _, c := range []struct {
-		story string
-		job   Job
+		name string
+		job  Job
 	}{
 		{"smaller, must run once", Job{Accelerators: 4, Adjacency: AdjacentWorker}},
 		{"smaller, repeatable", Job{Accelerators: 4, Adjacency: AdjacentWorker, Repeatable: true}},
@@ -48,7 +48,7 @@
 		{"as large, accepts a wider span, repeatable", Job{Accelerators: 16, Adjacency: AdjacentZone, Repeatable: true}},
 		{"urgent", Job{Accelerators: 2, Adjacency: AdjacentRack, Urgent: true, Repeatable: true}},
 	} {
-		t.Run(c.story, func(t *testing.T) {
+		t.Run(c.name, func(t *testing.T) {
 			b := newHarness(t, rackOwnerAndGuests, eightAcceleratorWorkers(3)...)
 			b.fillWithGuests()
 			b.now = b.now.Add(time.Minute)
@@ -65,7 +65,7 @@
 	// to end, although the site has room for the small one soon. Urgent work goes
 	// first all the same.
 	for _, c := range []struct {
-		story  string
+		name   string
 		urgent bool
 		large  int
 		want   JobID
@@ -74,7 +74,7 @@
 		{"the larger one fits only alone", false, 15, "large"},
 		{"the small one is urgent", true, 16, "small"},
 	} {
-		t.Run(c.story, func(t *testing.T) {
+		t.Run(c.name, func(t *testing.T) {
 			b := newHarness(t, rackOwnerAndGuests, eightAcceleratorWorkers(2)...)
 			b.fillWithGuests()
 			small := Job{ID: "small", Account: "owner", Accelerators: 2, Urgent: c.urgent, Repeatable: true, Submitted: b.now}
--- a/scheduler/model_test.go
+++ b/scheduler/model_test.go
@@ -179,13 +179,13 @@
 }
 
 // pickJob returns a live job for which the filter holds, or nil.
-func (m *model) pickJob(f func(*modelJob) bool) *modelJob {
+func (m *model) pickJob(matches func(*modelJob) bool) *modelJob {
 	if len(m.order) == 0 {
 		return nil
 	}
-	at := m.rng.IntN(len(m.order))
+	first := m.rng.IntN(len(m.order))
 	for i := range m.order {
-		if j := m.jobs[m.order[(at+i)%len(m.order)]]; f(j) {
+		if j := m.jobs[m.order[(first+i)%len(m.order)]]; matches(j) {
 			return j
 		}
 	}
--- a/scheduler/reclaim_test.go
+++ b/scheduler/reclaim_test.go
@@ -61,9 +61,9 @@
 	for _, a := range accounts {
 		for _, g := range a.Guaranteed {
 			for range g.Count {
-				at := free.findPlace(g.Accelerators, g.Adjacency, s.nodes)
-				bySum := at != nil
-				for at == nil && len(runs) > 0 {
+				place := free.findPlace(g.Accelerators, g.Adjacency, s.nodes)
+				bySum := place != nil
+				for place == nil && len(runs) > 0 {
 					if free.total() >= g.Accelerators {
 						bySum = false
 					}
@@ -75,13 +75,13 @@
 					for _, h := range r.held {
 						free.set(s.nodes[h.node], int(free.values[h.node])+h.count)
 					}
-					at = free.findPlace(g.Accelerators, g.Adjacency, s.nodes)
-					bySum = bySum || at != nil && free.total()-r.size() < g.Accelerators
+					place = free.findPlace(g.Accelerators, g.Adjacency, s.nodes)
+					bySum = bySum || place != nil && free.total()-r.size() < g.Accelerators
 				}
 				if bySum {
 					sumsHonoured++
 				}
-				for _, p := range at {
+				for _, p := range place {
 					free.set(s.nodes[p.node], int(free.values[p.node])-p.count)
 				}
 			}
@@ -102,10 +102,10 @@
 			}
 		}
 	}
-	todo := s.Step(now, JobsSubmitted{jobs})
-	for len(todo) > 0 {
+	actions := s.Step(now, JobsSubmitted{jobs})
+	for len(actions) > 0 {
 		var evs []Event
-		for _, a := range todo {
+		for _, a := range actions {
 			switch a := a.(type) {
 			case StopGang:
 				r := s.jobs[a.Job].run
@@ -122,7 +122,7 @@
 		if len(evs) == 0 {
 			break
 		}
-		todo = s.Step(now, Batch{evs})
+		actions = s.Step(now, Batch{evs})
 	}
 	return len(jobs), started, lost
 }
@@ -140,19 +140,19 @@
 
 // benchmarkReclaim has accounts claim their shapes at once, on 20 sites full of borrowers.
 func benchmarkReclaim(b *testing.B, site site, accounts []AccountPolicy) {
-	var claims, started, sums int
-	var ours, theirs float64
+	var claims, started, sumsHonoured int
+	var lostByScheduler, lostByYoungest float64
 	for seed := range uint64(20) {
 		s, now := siteFullOfBorrowers(site, seed)
 		s.Step(now, Tick{})
 		lost, honoured := evictYoungest(s, accounts)
-		theirs += lost
-		sums += honoured
+		lostByYoungest += lost
+		sumsHonoured += honoured
 		n, ok, mine := claimAllShapes(s, now, accounts)
-		claims, started, ours = claims+n, started+ok, ours+mine
+		claims, started, lostByScheduler = claims+n, started+ok, lostByScheduler+mine
 	}
-	b.Logf("%d claims: honoured %d, by sums alone %d; work lost %.0f, evicting the youngest %.0f accelerator seconds", claims, started, sums, ours, theirs)
-	b.ReportMetric(ours/theirs, "lost/youngest")
+	b.Logf("%d claims: honoured %d, by sums alone %d; work lost %.0f, evicting the youngest %.0f accelerator seconds", claims, started, sumsHonoured, lostByScheduler, lostByYoungest)
+	b.ReportMetric(lostByScheduler/lostByYoungest, "lost/youngest")
 	b.ReportMetric(float64(started)/float64(claims), "honoured")
 }
 
@@ -212,14 +212,14 @@
 // every worker before it takes any.
 func (b *baseline) bestFit(need int, span Adjacency) []allocation {
 	var sums [8]int
-	at := func(w *Worker) int {
+	unitIndex := func(w *Worker) int {
 		if span == AdjacentAny {
 			return 0
 		}
 		return int(w.Zone[1] - '0')
 	}
 	for i := range b.workers {
-		sums[at(&b.workers[i])] += b.workers[i].Accelerators - b.busy[i]
+		sums[unitIndex(&b.workers[i])] += b.workers[i].Accelerators - b.busy[i]
 	}
 	best := -1
 	for i, sum := range sums {
@@ -232,7 +232,7 @@
 	}
 	var byFree [MaxWorkerAccelerators + 1][]int
 	for i := range b.workers {
-		if at(&b.workers[i]) == best {
+		if unitIndex(&b.workers[i]) == best {
 			free := b.workers[i].Accelerators - b.busy[i]
 			byFree[free] = append(byFree[free], i)
 		}
--- a/scheduler/scenario_test.go
+++ b/scheduler/scenario_test.go
@@ -109,9 +109,9 @@
 
 func TestImpossibleJobsAreRejectedAtOnce(t *testing.T) {
 	for _, c := range []struct {
-		story string
-		job   Job
-		why   RejectReason
+		name string
+		job  Job
+		why  RejectReason
 	}{
 		{"more than exists", Job{Accelerators: 17}, RejectTooLarge},
 		{"more than any worker has", Job{Accelerators: 9, Adjacency: AdjacentWorker}, RejectAdjacency},
@@ -119,7 +119,7 @@
 		{"may not be evicted and everything else is guaranteed", Job{Accelerators: 9}, RejectTooLarge},
 		{"no capacity asked", Job{}, RejectInvalid},
 	} {
-		t.Run(c.story, func(t *testing.T) {
+		t.Run(c.name, func(t *testing.T) {
 			b := newHarness(t, ownerAndGuest, eightAcceleratorWorkers(2)...)
 			c.job.ID, c.job.Account = "j", "guest"
 			got := actionsOf[RejectJob](b.submit(c.job))
--- a/scheduler/simulator_test.go
+++ b/scheduler/simulator_test.go
@@ -80,8 +80,8 @@
 	result
 }
 
-func newSimulator(d stepper, workers []Worker, p Policy, jobs []simulatedJob, horizon time.Duration) *simulator {
-	x := &simulator{scheduler: d, now: time.Unix(1e9, 0), jobs: map[JobID]*simulatedAttempt{}, free: map[WorkerID]int{}, workers: map[WorkerID]Worker{}, horizon: horizon, batchDelay: 20 * time.Millisecond}
+func newSimulator(scheduler stepper, workers []Worker, p Policy, jobs []simulatedJob, horizon time.Duration) *simulator {
+	x := &simulator{scheduler: scheduler, now: time.Unix(1e9, 0), jobs: map[JobID]*simulatedAttempt{}, free: map[WorkerID]int{}, workers: map[WorkerID]Worker{}, horizon: horizon, batchDelay: 20 * time.Millisecond}
 	if len(workers) > 1000 {
 		x.batchDelay = time.Second
 	}
@@ -91,7 +91,7 @@
 		x.workers[w.ID], x.free[w.ID] = w, w.Accelerators
 		evs = append(evs, WorkerUp{w})
 	}
-	x.apply(d.Step(x.now, Batch{evs}))
+	x.apply(scheduler.Step(x.now, Batch{evs}))
 	for i := range jobs {
 		w := &jobs[i]
 		w.Submitted = x.now.Add(w.submitAt)
@@ -165,16 +165,16 @@
 	j.number, j.place, j.started = a.Attempt, a.Placement, x.now
 	j.running, j.stopping = true, false
 	j.waited += x.now.Sub(j.waitingSince)
-	bad := false
+	faulty := false
 	for _, g := range a.Placement {
 		x.free[g.Worker] -= len(g.Accelerators)
 		if x.free[g.Worker] < 0 {
 			panic("an accelerator is granted twice")
 		}
-		bad = bad || g.Worker == x.faultyWorker
+		faulty = faulty || g.Worker == x.faultyWorker
 	}
 	x.schedule(startDelay, func() { x.queueEvent(GangStarted{a.Job, a.Attempt}) })
-	if bad {
+	if faulty {
 		x.schedule(time.Second, func() { x.end(j, a.Attempt, Failed, x.faultyWorker) })
 		return
 	}
@@ -226,7 +226,7 @@
 	})
 }
 
-func (x *simulator) end(j *simulatedAttempt, n Attempt, o Outcome, at WorkerID) {
+func (x *simulator) end(j *simulatedAttempt, n Attempt, o Outcome, worker WorkerID) {
 	if !j.running || j.number != n || o == Done && j.stopping {
 		return
 	}
@@ -238,7 +238,7 @@
 		j.ended = true
 		x.recordWait(j)
 	}
-	x.queueEvent(GangEnded{Job: j.ID, Attempt: n, Outcome: o, Worker: at, Checkpointed: j.started})
+	x.queueEvent(GangEnded{Job: j.ID, Attempt: n, Outcome: o, Worker: worker, Checkpointed: j.started})
 }
 
 // sample adds the capacity that is free in pieces too small for the jobs that
@@ -267,11 +267,11 @@
 	}
 }
 
-func (x *simulator) unusableFree(w demand) int {
+func (x *simulator) unusableFree(d demand) int {
 	units := map[string]int{}
 	for id, f := range x.free {
 		u := x.workers[id]
-		switch w.span {
+		switch d.span {
 		case AdjacentWorker:
 			units[string(id)] += f
 		case AdjacentRack:
@@ -284,7 +284,7 @@
 	}
 	t := 0
 	for _, f := range units {
-		if f < w.accelerators {
+		if f < d.accelerators {
 			t += f
 		}
 	}
