--- a/scheduler/backfill_test.go
+++ b/scheduler/backfill_test.go
@@ -7,11 +7,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
+// TestCheckpointableJobBackfillsReservation verifies that a checkpointable job
+// runs on idle reserved capacity and is stopped once the rest of the
+// reservation is free. A job that would lose its work must not run there.
 func TestCheckpointableJobBackfillsReservation(t *testing.T) {
-	// A gang waits for the last worker of its place for an hour while the others
-	// stand idle under its reservation, and a job that could checkpoint at any
-	// moment waits beside them. It must run there, and make way once that worker is
-	// free; a job that would lose its work must not.
 	b := newHarness(t, Policy{Accounts: []AccountPolicy{{ID: "a"}, {ID: "b"}}}, eightAcceleratorWorkers(2)...)
 	b.submit(Job{ID: "busy", Account: "a", Accelerators: 8, Adjacency: AdjacentWorker, Estimate: time.Hour})
 	b.submit(Job{ID: "gang", Account: "b", Accelerators: 16, Submitted: b.now})
@@ -28,10 +27,10 @@
 	b.Assert(actionsOf[StartGang](b.endAttempt("saves", Stopped, ""))[0].Job, qt.Equals, JobID("gang"))
 }
 
+// TestGangPreemptsCheckpointableJob verifies that a reservation evicts a
+// checkpointable job that is more than half as large as the gang, however often
+// it was evicted before.
 func TestGangPreemptsCheckpointableJob(t *testing.T) {
-	// A gang of 24 waits for an hour for a job of 16 that could checkpoint and go on
-	// elsewhere: only work at most half as large was ever evicted for a gang, and no
-	// job more than a few times.
 	b := newHarness(t, Policy{Accounts: []AccountPolicy{{ID: "a"}, {ID: "b"}}}, eightAcceleratorWorkers(3)...)
 	b.submit(Job{ID: "saves", Account: "a", Accelerators: 16, Checkpointable: true, Estimate: time.Hour})
 	b.step(GangStarted{"saves", 1})
@@ -41,10 +40,10 @@
 	b.Assert(actionsOf[StopGang](b.step(Tick{})), qt.DeepEquals, []StopGang{{Job: "saves", Attempt: 1, Checkpoint: true, Reason: StopReclaim}})
 }
 
+// TestBlockedReservationIsNotBackfilledAgain verifies that a reservation that
+// waits only for a block to move is not backfilled: the job would be stopped
+// and started over and over.
 func TestBlockedReservationIsNotBackfilledAgain(t *testing.T) {
-	// A job under a reservation is stopped and started without end: all else is free,
-	// so it makes way, but the gang can't start while a block there finds no other
-	// place, and the job takes the place again.
 	b := newHarness(t, ownerAndGuest, eightAcceleratorWorkers(3)...)
 	protected := Job{ID: "protected", Account: "guest", Accelerators: 8, Adjacency: AdjacentWorker, Class: "f", Estimate: 2 * time.Hour}
 	soon := Job{ID: "soon", Account: "guest", Accelerators: 8, Adjacency: AdjacentWorker, Class: "s", Estimate: time.Hour}
--- a/scheduler/baseline_test.go
+++ b/scheduler/baseline_test.go
@@ -8,20 +8,21 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// baseline is the policy that the scheduler is measured against: jobs in order of
-// arrival, each on the first workers of a scan that have room, jobs that don't
-// fit are passed over, nothing is reserved, nothing is learned. With strict set
-// nothing passes the first job. Guarantees are sums: an account below the sum of
-// its shapes has the youngest borrowers evicted until the sum is free.
+// baseline is the scheduler that benchmarks compare against. It starts jobs in
+// order of arrival by first fit, without reservations or predictions, and
+// passes over jobs that don't fit. Guarantees are sums: an account below the
+// sum of its shapes has the youngest borrowers evicted until enough
+// accelerators are free.
 type baseline struct {
+	// strict lets no job pass the first one in the queue.
 	strict bool
-	// partitioned keeps guarantees the simple way: workers of its own for each
-	// shape, which stay idle while their account does not use them.
+	// partitioned sets workers aside for each guaranteed shape. They stay idle
+	// while their account does not use them.
 	partitioned    bool
-	policy         Policy      // whose workers have not been set aside yet
-	partitionOwner []AccountID // account that a worker is set aside for
-	partitionSize  []int       // accelerators of it set aside
-	partitionUsed  []int       // of these, in use
+	policy         Policy      // not yet applied
+	partitionOwner []AccountID // by worker: the account that it is set aside for
+	partitionSize  []int       // by worker: accelerators set aside
+	partitionUsed  []int       // by worker: those of them in use
 	workers        []Worker
 	usedMasks      []uint64
 	busy           []int
@@ -33,12 +34,13 @@
 	startCount     int
 }
 
+// baselineJob is a job of the baseline.
 type baselineJob struct {
 	Job
 	attempt     Attempt
 	place       []allocation
 	masks       []uint64
-	inPartition []int // of each piece, what is in the part of the account
+	inPartition []int // by allocation: accelerators within the account's partition
 	running     bool
 	stopping    bool
 	cancelled   bool
@@ -80,8 +82,8 @@
 	return append(out, b.startQueued()...)
 }
 
-// applyPolicy puts the policy of a batch in force once the workers of the batch
-// are known, since the driver sends the policy first.
+// applyPolicy puts the policy of a batch in force after the workers of the
+// batch are added, since the simulator sends the policy first.
 func (b *baseline) applyPolicy() {
 	for _, a := range b.policy.Accounts {
 		for _, g := range a.Guaranteed {
@@ -167,7 +169,8 @@
 	return out
 }
 
-// firstFit takes the first workers in order that have room within one span.
+// firstFit takes the first workers in order that have room within one unit of a
+// span.
 func (b *baseline) firstFit(a AccountID, need int, span Adjacency) []allocation {
 	have := map[string]int{}
 	unitName := func(w *Worker) string {
@@ -238,8 +241,8 @@
 	return StartGang{j.ID, j.attempt, place}
 }
 
-// reclaim evicts the youngest borrowers until the sum that is free, or being
-// freed, would hold the job.
+// reclaim evicts the youngest borrowers until the sum of the accelerators that
+// are free or being freed would hold the job.
 func (b *baseline) reclaim(j *baselineJob) []Action {
 	if b.partitioned || b.guaranteedSums[j.Account] == 0 || b.usedByAccount[j.Account]+j.Accelerators > b.guaranteedSums[j.Account] {
 		return nil
@@ -277,8 +280,8 @@
 	return best
 }
 
-// partition sets workers aside for a shape, from the last one down so that racks stay
-// together.
+// partition sets workers aside for a shape, from the last one down, so that
+// racks stay together.
 func (b *baseline) partition(a AccountID, g Shape) {
 	if !b.partitioned {
 		return
@@ -292,7 +295,7 @@
 	}
 }
 
-// freeFor is what an account may still use of a worker.
+// freeFor returns the accelerators of a worker that an account may use.
 func (b *baseline) freeFor(i int, a AccountID) int {
 	free := b.workers[i].Accelerators - b.busy[i]
 	if b.partitionOwner[i] != a {
@@ -301,10 +304,10 @@
 	return free
 }
 
+// TestBaselinePartitionsWorkers verifies that the baseline sets workers aside
+// although the simulator sends the policy before the workers. Otherwise
+// benchmarks would compare against first fit without guarantees.
 func TestBaselinePartitionsWorkers(t *testing.T) {
-	// The report says that workers of their own serve gangs better than guarantees
-	// on demand. The driver sends the policy before the workers, so no worker was set
-	// aside, and what was measured was first fit without any guarantee.
 	p := newBaseline(false)
 	p.partitioned = true
 	newSimulator(p, tidewater().workers, Policy{Accounts: tidewater().accounts}, nil, time.Hour)
--- a/scheduler/cancel_test.go
+++ b/scheduler/cancel_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkCancelJobs cancels waves of growing size out of a queue of twice
-// that size and reports the cost per job.
+// BenchmarkCancelJobs cancels growing numbers of jobs out of a queue of twice
+// that size and reports the time per cancelled job.
 func BenchmarkCancelJobs(b *testing.B) {
 	for _, wave := range []int{1_000, 4_000, 16_000} {
 		b.Run(fmt.Sprint(wave), func(b *testing.B) {
--- a/scheduler/compare_test.go
+++ b/scheduler/compare_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// timedScheduler plays a workload and times every decision.
+// timedScheduler times every decision of a scheduler.
 type timedScheduler struct {
 	stepper
 	stepTimes []float64
@@ -20,6 +20,7 @@
 	return out
 }
 
+// simulate runs a workload of a site against a scheduler.
 func simulate(d stepper, s site, o Objective, load float64, seed uint64) *result {
 	m := &timedScheduler{stepper: d}
 	p := Policy{Generation: 1, Objective: o, Accounts: s.accounts}
@@ -42,7 +43,7 @@
 		mean, quantile(r.completion, .99), r.fragmentation, r.idle, r.lostWork, r.evictions, r.unfinished, r.rejected, us)
 }
 
-// withoutGuarantees returns the site without guarantees.
+// withoutGuarantees returns the site with no guaranteed shapes.
 func (s site) withoutGuarantees() site {
 	s.accounts = slices.Clone(s.accounts)
 	for i := range s.accounts {
@@ -51,9 +52,10 @@
 	return s
 }
 
-// compare plays the same workloads under the baselines and under both
-// objectives, and reports the ratios to first fit of gangs waiting at p99
-// (above 1 is shorter than the baseline) and of fragmentation (below 1 is less).
+// compare simulates the same workloads with the baselines and with both
+// objectives. It reports ratios to first fit: of the p99 wait of gangs (above 1
+// means a shorter wait than the baseline), of fragmentation and of mean
+// completion time (below 1 means less than the baseline).
 func compare(b *testing.B, s site, load float64, seeds uint64) {
 	var base, fifo, parted [3]float64
 	var ours [2][3]float64
@@ -91,7 +93,8 @@
 	}
 }
 
-// addTo sums waiting of gangs at p99, fragmentation and mean completion.
+// addTo adds the p99 wait of gangs, fragmentation and the mean completion time
+// to sum.
 func (r *result) addTo(sum *[3]float64) {
 	sum[0] += quantile(r.gangs, .99)
 	sum[1] += r.fragmentation
--- a/scheduler/explain_test.go
+++ b/scheduler/explain_test.go
@@ -8,12 +8,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// reasonCounts counts what a randomised run was told, by reason.
+// reasonCounts counts the explanations in a randomised run by reason.
 type reasonCounts map[WaitReason]int
 
-// TestExplanationsMatchDecisions: an operator acts at night on "fits now" or
-// on "no place". Each is held against what the scheduler does next and against a
-// search of every worker that shares no code with the scheduler's indexes.
+// TestExplanationsMatchDecisions compares every explanation with the next
+// decision and with a search of all workers that shares no code with the
+// indexes.
 func TestExplanationsMatchDecisions(t *testing.T) {
 	counts := reasonCounts{}
 	for seed := range uint64(12) {
@@ -35,8 +35,8 @@
 	}
 }
 
-// submitAndExplain gives the scheduler a job, asks before the decision, and then
-// lets it decide.
+// submitAndExplain submits a job without a decision, checks the predictions for
+// it, and then lets the scheduler decide.
 func (m *model) submitAndExplain(counts reasonCounts) {
 	if m.rng.IntN(3) > 0 {
 		return
@@ -50,7 +50,7 @@
 	m.checkPredictions(counts)
 }
 
-// checkExplanations holds every explanation against the truth.
+// checkExplanations compares the explanation of every live job with the model.
 func (m *model) checkExplanations(counts reasonCounts) {
 	open, withoutReservations := m.recountOpen(false), m.recountOpen(true)
 	for _, id := range m.order {
@@ -64,10 +64,11 @@
 	m.checkPredictions(counts)
 }
 
-// checkPredictions holds what is said to start against the next decision.
+// checkPredictions compares what is predicted to start, or to wait, with the
+// next decision.
 func (m *model) checkPredictions(counts reasonCounts) {
 	var promised, denied []JobID
-	// A block without a place takes what is reserved before the queue is looked at.
+	// Unbound blocks take reserved capacity before the queue is tried.
 	binds := m.s.bindsNext()
 	for _, id := range m.order {
 		switch e, _ := m.s.Explain(id); e.Reason {
@@ -75,7 +76,7 @@
 			promised = append(promised, id)
 			counts[WaitFitsNow]++
 		case WaitNextDecision, WaitReclaim, WaitReserved, WaitBehind, WaitNone:
-			// They may start, or are not the first of their queue.
+			// These may start, or are not the first of their queue.
 		case WaitReservations:
 			if !binds {
 				denied = append(denied, id)
@@ -98,6 +99,7 @@
 	}
 }
 
+// checkExplanation verifies one explanation against a search of all workers.
 func (m *model) checkExplanation(j *modelJob, e Explanation, open, withoutReservations map[WorkerID]int) {
 	fail := func(why string) { m.fatalf("job %q is said to wait by %+v: %s", j.ID, e, why) }
 	if (e.Reason == WaitNone) != (j.place != nil) {
@@ -150,9 +152,9 @@
 	}
 }
 
-// recountOpen is what any job could take of each worker, counted from attempts and
-// claims one by one; with reservations as if they were not there. An attempt holds
-// more than it was granted where it needs more cores or memory than its share.
+// recountOpen counts the open accelerators of each worker from the attempts and
+// claims, optionally as if there were no reservations. Attempts whose footprint
+// is above 1 hold more than they were granted.
 func (m *model) recountOpen(ignoreReservations bool) map[WorkerID]int {
 	held, coming, claimed, reserved := map[nodeID]int{}, map[nodeID]int{}, map[nodeID]int{}, map[nodeID]int{}
 	for _, j := range m.s.jobs {
@@ -195,7 +197,8 @@
 	return t
 }
 
-// fitsBySearch reports whether one unit of the span of a job holds it.
+// fitsBySearch reports whether one unit of a job's span holds it, without the
+// excluded nodes.
 func (m *model) fitsBySearch(j *modelJob, free map[WorkerID]int, except []nodeID) bool {
 	units := map[string]int{}
 	for id, n := range free {
@@ -217,8 +220,9 @@
 	return false
 }
 
-// searchFootprint is how many accelerators of a worker one of the job takes up. A
-// quarter of cores and memory is kept for jobs without accelerators.
+// searchFootprint returns how many accelerators of a worker one accelerator of
+// the job takes up. A quarter of the cores and memory is kept for jobs without
+// accelerators.
 func searchFootprint(j *modelJob, w Worker) int {
 	u := 1
 	for u <= w.Accelerators && (j.Cores > (w.Cores-w.Cores/4)/w.Accelerators*u || j.MemoryMB > (w.MemoryMB-w.MemoryMB/4)/w.Accelerators*u) {
@@ -227,8 +231,8 @@
 	return u
 }
 
-// A job that waits behind another account's is told which one and why: the other
-// account uses less of what it is not guaranteed.
+// TestOverShareNamesFirstJob verifies that a job that waits for a job of an
+// account with a lower share is told which one.
 func TestOverShareNamesFirstJob(t *testing.T) {
 	c := qt.New(t)
 	p := Policy{Generation: 1, Accounts: []AccountPolicy{{ID: "heavy"}, {ID: "light"}}}
@@ -246,8 +250,8 @@
 	c.Check(ok, qt.IsFalse)
 }
 
-// Right after a takeover a large job finds too few workers. It isn't impossible:
-// the others are still announcing themselves.
+// TestLargeJobIsSettlingNotImpossible verifies that a job too large for the
+// workers registered so far is not called impossible while settling.
 func TestLargeJobIsSettlingNotImpossible(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(1e6, 0)
--- a/scheduler/guarantee_test.go
+++ b/scheduler/guarantee_test.go
@@ -8,13 +8,13 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// rackOwnerAndGuests guarantees the owner 16 accelerators in one rack. The others have
-// no guarantee.
+// rackOwnerAndGuests guarantees the owner 16 accelerators in one rack and the
+// other accounts nothing.
 var rackOwnerAndGuests = Policy{Accounts: []AccountPolicy{
 	{ID: "owner", Guaranteed: []Shape{{16, AdjacentRack, 1}}}, {ID: "guest"}, {ID: "rival"},
 }}
 
-// fillWithGuests has guests borrow everything that is idle.
+// fillWithGuests lets guests borrow all open capacity.
 func (b *harness) fillWithGuests() {
 	for i := 0; b.s.open.total() > 0; i++ {
 		b.submit(Job{ID: JobID(fmt.Sprint("g", i)), Account: "guest", Accelerators: 4, Adjacency: AdjacentWorker, Repeatable: true, Class: "fill", Submitted: b.now})
@@ -24,7 +24,7 @@
 	}
 }
 
-// finishStops ends whatever is being stopped and returns all starts.
+// finishStops ends the attempts that are being stopped and returns all starts.
 func (b *harness) finishStops(actions []Action) []StartGang {
 	starts := actionsOf[StartGang](actions)
 	for _, a := range actionsOf[StopGang](actions) {
@@ -33,10 +33,10 @@
 	return starts
 }
 
+// TestJobUsesUnusedBlockAtOnce verifies that jobs of an account claim its
+// unused block on a full site at once, even if they don't have exactly the
+// shape of the block.
 func TestJobUsesUnusedBlockAtOnce(t *testing.T) {
-	// An account with an unused guarantee of 16 submits a job to a full site and
-	// waits for minutes: jobs that are not of exactly the guaranteed shape had to
-	// wait for open capacity before they could claim.
 	for _, c := range []struct {
 		name string
 		job  Job
@@ -59,11 +59,9 @@
 	}
 }
 
+// TestSmallJobYieldsBlockToLargerJob verifies that a small job does not take
+// the block that a larger job of the account needs, unless it is urgent.
 func TestSmallJobYieldsBlockToLargerJob(t *testing.T) {
-	// An account submits a small job and, in the same moment, one that needs most
-	// of its block. The small one takes the block, and the large one waits for it
-	// to end, although the site has room for the small one soon. Urgent work goes
-	// first all the same.
 	for _, c := range []struct {
 		name   string
 		urgent bool
@@ -85,10 +83,10 @@
 	}
 }
 
+// TestAccountBeyondGuaranteeYieldsBeforeReclaim verifies that an account that
+// already uses more than its guarantee waits for ReclaimAfter before a small
+// job of it evicts others.
 func TestAccountBeyondGuaranteeYieldsBeforeReclaim(t *testing.T) {
-	// An account borrows more than its guarantee, whose block is unused. Each
-	// further small job of it evicts others at once, so that it would hold its
-	// borrowings and its guarantee. It waits for open capacity, but only seconds.
 	b := newHarness(t, rackOwnerAndGuests, eightAcceleratorWorkers(4)...)
 	b.submit(Job{ID: "borrowed", Account: "owner", Accelerators: 24, Adjacency: AdjacentZone, Repeatable: true, Submitted: b.now})
 	b.fillWithGuests()
@@ -97,10 +95,10 @@
 	b.Assert(b.finishStops(b.step(Tick{}))[0].Job, qt.Equals, JobID("o"))
 }
 
+// TestJobWithinGuaranteeIsNotEvicted verifies that a job within the guarantee
+// of its account is evicted neither for a gang without a guarantee nor for
+// another account's claim.
 func TestJobWithinGuaranteeIsNotEvicted(t *testing.T) {
-	// An account runs 8 of its guaranteed 16, and is evicted seconds later for a
-	// gang of an account without any guarantee, or for another account's claim:
-	// the job had started as a borrower, beside its own unused block.
 	p := rackOwnerAndGuests
 	p.Objective = Fragmentation
 	p.Accounts = append(p.Accounts, AccountPolicy{ID: "other", Guaranteed: []Shape{{8, AdjacentWorker, 2}}})
@@ -126,9 +124,10 @@
 	}
 }
 
+// TestReservationDoesNotPreemptWithinGuarantee verifies that a reservation does
+// not evict a restored job that runs outside its account's unused block but
+// within the guarantee.
 func TestReservationDoesNotPreemptWithinGuarantee(t *testing.T) {
-	// After a takeover an account's job runs beside its unused block, as a
-	// borrower. A reservation of an account without guarantees evicts it.
 	b := newHarness(t, rackOwnerAndGuests, eightAcceleratorWorkers(4)...)
 	b.step(JobRestored{Job: Job{ID: "o", Account: "owner", Accelerators: 8, Repeatable: true}, Attempt: 1, Placement: Placement{{"w0", []int{0, 1, 2, 3, 4, 5, 6, 7}}}, Started: b.now})
 	gang := Job{ID: "gang", Account: "rival", Accelerators: 32, Repeatable: true, Submitted: b.now}
@@ -140,10 +139,10 @@
 	b.Assert(actionsOf[StopGang](out), qt.HasLen, 0)
 }
 
+// TestProtectedRunYieldsToUnboundBlock verifies that a protected job that may
+// borrow becomes evictable when a block loses its worker and has no other
+// place. The guarantee must not show as degraded.
 func TestProtectedRunYieldsToUnboundBlock(t *testing.T) {
-	// A worker fails and an account's guarantee shows as degraded until some work
-	// ends, although a worker has the room: work that could be evicted stands there
-	// and counted as fixed, and blocks were only tried again when capacity grew.
 	p := Policy{Accounts: []AccountPolicy{
 		{ID: "owner", Guaranteed: []Shape{{8, AdjacentWorker, 1}}},
 		{ID: "other", Guaranteed: []Shape{{8, AdjacentWorker, 1}}},
@@ -161,10 +160,10 @@
 	b.Assert(b.s.jobs["o"].run.protected, qt.IsFalse)
 }
 
+// TestNoBorrowStaysOffOthersGuarantees verifies that a repeatable job that may
+// not borrow waits instead of running on capacity guaranteed to another
+// account, and is not evicted.
 func TestNoBorrowStaysOffOthersGuarantees(t *testing.T) {
-	// A class with may_borrow = false runs on another account's guaranteed worker
-	// and is evicted when that is claimed: being repeatable was taken for leave to
-	// borrow. It must wait instead, and what it holds must never be claimed.
 	b := newHarness(t, ownerAndGuest, eightAcceleratorWorkers(2)...)
 	job := Job{Account: "guest", Accelerators: 8, Adjacency: AdjacentWorker, Repeatable: true, NoBorrow: true}
 	first, second := job, job
@@ -175,11 +174,10 @@
 	b.Assert(actionsOf[StartGang](out), qt.HasLen, 1)
 }
 
+// TestBlockIsUnboundUnderRunThatLeftIt verifies that if a job that can't be
+// evicted loses one of its blocks, its other block does not count as unused
+// while the job holds its worker.
 func TestBlockIsUnboundUnderRunThatLeftIt(t *testing.T) {
-	// A job that must run once spans two blocks of its account. One of its workers
-	// drains, which ends that block. The other block counts as unused although the
-	// job still holds its worker: the operator sees the guarantee whole, and a claim
-	// of it waits for the job to end.
 	p := Policy{Accounts: []AccountPolicy{{ID: "owner", Guaranteed: []Shape{{8, AdjacentWorker, 2}}}}}
 	b := newHarness(t, p, eightAcceleratorWorkers(2)...)
 	b.Assert(actionsOf[StartGang](b.submit(Job{ID: "o", Account: "owner", Accelerators: 16})), qt.HasLen, 1)
@@ -187,10 +185,10 @@
 	b.Assert(actionsOf[GuaranteeDegraded](out), qt.DeepEquals, []GuaranteeDegraded{{"owner", Shape{8, AdjacentWorker, 2}, 2}})
 }
 
+// TestJobLargerThanItsBlockUsesBlock verifies that a job that may not borrow
+// can use what its own account's unused block is bound to. Otherwise it would
+// wait forever.
 func TestJobLargerThanItsBlockUsesBlock(t *testing.T) {
-	// An account guaranteed 16 submits 24 that may not borrow to an idle site of 32,
-	// and waits for ever: what its own unused block is bound to counted as needed by
-	// a guarantee.
 	b := newHarness(t, rackOwnerAndGuests, eightAcceleratorWorkers(4)...)
 	out := b.submit(Job{ID: "o", Account: "owner", Accelerators: 24, Repeatable: true, NoBorrow: true})
 	b.Assert(actionsOf[StartGang](out), qt.HasLen, 1)
@@ -198,10 +196,10 @@
 	b.Assert(b.s.unbound, qt.HasLen, 0)
 }
 
+// TestEvictedJobStopsBorrowing verifies that a job that has lost work to a
+// claim does not borrow again while it fits beside all blocks. It would be
+// evicted repeatedly.
 func TestEvictedJobStopsBorrowing(t *testing.T) {
-	// A large job runs for half an hour on a guest's site, is evicted by a claim and
-	// starts over on capacity that is guaranteed to others, again and again: it lost
-	// 28 runs in a day, and all others waited behind it.
 	b := newHarness(t, rackOwnerAndGuests, eightAcceleratorWorkers(4)...)
 	b.submit(Job{ID: "large", Account: "guest", Accelerators: 16, Repeatable: true, Submitted: b.now})
 	b.submit(Job{ID: "protected", Account: "rival", Accelerators: 8, Adjacency: AdjacentWorker, Submitted: b.now})
@@ -213,10 +211,10 @@
 	b.Assert(b.s.jobs["large"].run.protected, qt.IsTrue)
 }
 
+// TestJobResumesBorrowingOnSmallerSite verifies that a job that stopped
+// borrowing after an eviction borrows again when a worker is lost and it no
+// longer fits beside all blocks. Otherwise it would wait forever.
 func TestJobResumesBorrowingOnSmallerSite(t *testing.T) {
-	// A large job has lost work to a claim and waits for a place that no block needs.
-	// Then a worker fails for good, and there is no such place any more. The guarantee
-	// that evicted it stays unused, and the job would wait beside it for ever.
 	b := newHarness(t, rackOwnerAndGuests, eightAcceleratorWorkers(4)...)
 	b.submit(Job{ID: "large", Account: "guest", Accelerators: 16, Repeatable: true, Submitted: b.now})
 	b.submit(Job{ID: "protected", Account: "rival", Accelerators: 8, Adjacency: AdjacentWorker, Submitted: b.now})
@@ -230,10 +228,10 @@
 	b.Assert(b.s.jobs["large"].run != nil, qt.IsTrue, qt.Commentf("%+v", starts))
 }
 
+// TestProtectedRunStaysWhileOthersUseTheirBlocks verifies that protected jobs
+// stay protected when another account's block is unbound because of a larger
+// job of that account.
 func TestProtectedRunStaysWhileOthersUseTheirBlocks(t *testing.T) {
-	// A job within its account's guarantee is evicted by a claim of another account,
-	// since a third one runs a job larger than its blocks on what they were bound to.
-	// These blocks counted as owed, and all protected work gave way to them.
 	p := rackOwnerAndGuests
 	p.Accounts = append(p.Accounts, AccountPolicy{ID: "small", Guaranteed: []Shape{{2, AdjacentWorker, 1}}})
 	b := newHarness(t, p, eightAcceleratorWorkers(4)...)
@@ -244,10 +242,10 @@
 	b.Assert(b.s.jobs["s"].run.protected, qt.IsTrue)
 }
 
+// TestOversizedJobRebindsItsBlockForOthers verifies that the unused block of an
+// account makes room for a block of another account that is in the way of a job
+// larger than the account's own block.
 func TestOversizedJobRebindsItsBlockForOthers(t *testing.T) {
-	// An account guaranteed 16 submits 24 that must run once, and a rack is idle. It
-	// waits for ever: another account's block is bound there and finds no other
-	// place, since the account's own unused block takes the rest of the site.
 	p := rackOwnerAndGuests
 	p.Accounts = append(p.Accounts, AccountPolicy{ID: "other", Guaranteed: []Shape{{8, AdjacentWorker, 2}}})
 	b := newHarness(t, p, eightAcceleratorWorkers(6)...)
@@ -256,10 +254,9 @@
 	b.Assert(actionsOf[StartGang](b.submit(Job{ID: "o", Account: "owner", Accelerators: 24, Adjacency: AdjacentRack})), qt.HasLen, 1)
 }
 
+// TestUnusedBlocksMoveTogetherForLargerJob verifies that unused blocks of an
+// account are bound in one rack for a job that needs several of them together.
 func TestUnusedBlocksMoveTogetherForLargerJob(t *testing.T) {
-	// An account guaranteed two workers submits a job for both, within a rack. It
-	// waits for hours beside its own unused blocks, which lie in different racks or
-	// under guests: only a job that may be spread used several of them.
 	p := Policy{Accounts: []AccountPolicy{{ID: "owner", Guaranteed: []Shape{{8, AdjacentWorker, 2}}}, {ID: "guest"}}}
 	b := newHarness(t, p, eightAcceleratorWorkers(6)...)
 	b.fillWithGuests()
--- a/scheduler/model_test.go
+++ b/scheduler/model_test.go
@@ -16,7 +16,8 @@
 	longSeed  = flag.Uint64("scheduler.seed", 1, "seed of the long randomised run")
 )
 
-// model is what the workers hold: the truth against which plans are checked.
+// model tracks what the workers hold and checks every action of a scheduler
+// against it.
 type model struct {
 	t          testing.TB
 	s          *Scheduler
@@ -34,6 +35,7 @@
 	endedCount int
 }
 
+// modelJob is a live job of the model.
 type modelJob struct {
 	Job
 	attempt  Attempt
@@ -74,7 +76,7 @@
 	return PolicyChanged{p}
 }
 
-// step runs one event and holds every action against the truth.
+// step applies one event and checks every action against the model.
 func (m *model) step(ev Event) {
 	for _, a := range m.s.Step(m.now, ev) {
 		switch a := a.(type) {
@@ -178,7 +180,7 @@
 	m.order = append(m.order, j.ID)
 }
 
-// pickJob returns a live job for which the filter holds, or nil.
+// pickJob returns a random live job that matches, or nil.
 func (m *model) pickJob(matches func(*modelJob) bool) *modelJob {
 	if len(m.order) == 0 {
 		return nil
@@ -197,7 +199,7 @@
 func isRunning(j *modelJob) bool  { return j.running && !j.stopping }
 func isStarting(j *modelJob) bool { return j.place != nil && !j.running && !j.stopping }
 
-// endAttempt ends an attempt.
+// endAttempt ends an attempt with an outcome.
 func (m *model) endAttempt(j *modelJob, o Outcome) {
 	id, attempt, worker := j.ID, j.attempt, j.place[m.rng.IntN(len(j.place))].Worker
 	m.releaseJob(j)
@@ -286,8 +288,8 @@
 	}
 }
 
-// takeover replaces the scheduler and rebuilds it from the job records and what
-// the agents report.
+// takeover replaces the scheduler and restores it from the job records and the
+// agents' reports.
 func (m *model) takeover() {
 	m.s = New(Options{Start: m.now})
 	m.degraded = map[string]bool{}
@@ -311,9 +313,9 @@
 	m.step(Batch{append(evs, JobsSubmitted{waiting})})
 }
 
-// claimAllGuarantees is the guarantee seen from outside: with every worker up and nobody
-// else's work ending by itself, all accounts claim all their shapes at once, and
-// all must start as soon as evicted work has stopped.
+// claimAllGuarantees brings every worker up and lets all accounts claim all
+// their shapes at once. All claims must start once the evicted work has
+// stopped.
 func (m *model) claimAllGuarantees() {
 	for _, id := range m.ids {
 		if !m.up[id] {
@@ -360,6 +362,8 @@
 	}
 }
 
+// TestRandomisedRun applies random events and checks the invariants and the
+// model after each one.
 func TestRandomisedRun(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
@@ -372,6 +376,8 @@
 	}
 }
 
+// TestRandomisedRunLong is TestRandomisedRun with the length and seed of the
+// flags.
 func TestRandomisedRunLong(t *testing.T) {
 	if *longSteps == 0 {
 		t.Skip("set -scheduler.long")
--- a/scheduler/reclaim_test.go
+++ b/scheduler/reclaim_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// siteFullOfBorrowers returns a scheduler whose site is full of borrowers of one account
-// without guarantees, started one after the other, some with checkpoints.
+// siteFullOfBorrowers returns a scheduler whose site is full of evictable jobs
+// of an account without guarantees. They started one after another, some with
+// checkpoints.
 func siteFullOfBorrowers(site site, seed uint64) (*Scheduler, time.Time) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	now := time.Unix(1e9, 0)
@@ -35,9 +36,9 @@
 	return s, now.Add(time.Minute)
 }
 
-// evictYoungest is what evicting the evictYoungest borrowers until every guaranteed shape
-// fits as a block would lose, and whether the shapes would have fitted when as
-// many accelerators were free in sum.
+// evictYoungest returns the work that would be lost by evicting the youngest
+// borrowers until every guaranteed shape fits as a block, and for how many
+// shapes evicting only until the sum is free would have sufficed.
 func evictYoungest(s *Scheduler, accounts []AccountPolicy) (lost float64, sumsHonoured int) {
 	free := index{}
 	free.installed = &free
@@ -90,9 +91,9 @@
 	return lost, sumsHonoured
 }
 
-// claimAllShapes claims every guaranteed shape at once and stops what is asked
-// to stop. It returns how many claims there were, how many started, and the work
-// that was lost.
+// claimAllShapes claims every guaranteed shape at once and ends the attempts
+// that are asked to stop. It returns the number of claims, how many of them
+// started, and the work lost.
 func claimAllShapes(s *Scheduler, now time.Time, accounts []AccountPolicy) (claims, started int, lost float64) {
 	var jobs []Job
 	for _, a := range accounts {
@@ -127,6 +128,8 @@
 	return len(jobs), started, lost
 }
 
+// BenchmarkReclaim compares the work lost to claims with evicting the youngest
+// borrowers.
 func BenchmarkReclaim(b *testing.B) {
 	for _, site := range []site{tidewater(), mediumSite()} {
 		b.Run(site.name+"/all", func(b *testing.B) { benchmarkReclaim(b, site, site.accounts) })
@@ -138,7 +141,8 @@
 	}
 }
 
-// benchmarkReclaim has accounts claim their shapes at once, on 20 sites full of borrowers.
+// benchmarkReclaim lets accounts claim all their shapes at once on 20 sites
+// full of borrowers.
 func benchmarkReclaim(b *testing.B, site site, accounts []AccountPolicy) {
 	var claims, started, sumsHonoured int
 	var lostByScheduler, lostByYoungest float64
@@ -156,7 +160,7 @@
 	b.ReportMetric(float64(started)/float64(claims), "honoured")
 }
 
-// mediumSite is a site of 500 workers with a third of its capacity guaranteed.
+// mediumSite has 500 workers, a third of whose capacity is guaranteed.
 func mediumSite() site {
 	s := largeSite()
 	s.name = "500 workers"
@@ -171,8 +175,8 @@
 	return s
 }
 
-// BenchmarkPlaceLargeGang compares a search through the indexes with a scan of all
-// workers, for a gang of 256 on a busy site of growing size.
+// BenchmarkPlaceLargeGang compares a search through the indexes with a scan of
+// all workers, for a gang of 256 on busy sites of growing size.
 func BenchmarkPlaceLargeGang(b *testing.B) {
 	for _, workers := range []int{2_125, 4_250, 8_500, 17_000} {
 		site := largeSite()
@@ -208,8 +212,7 @@
 	}
 }
 
-// bestFit is the scan with the best fit that the indexes also find: it looks at
-// every worker before it takes any.
+// bestFit finds the best fit, as the indexes do, by a scan of all workers.
 func (b *baseline) bestFit(need int, span Adjacency) []allocation {
 	var sums [8]int
 	unitIndex := func(w *Worker) int {
--- a/scheduler/report_test.go
+++ b/scheduler/report_test.go
@@ -9,7 +9,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The sums of a report are what the agents hold, in every state of a random run.
+// TestReportMatchesModel compares the sums of the report with the model in
+// every state of a random run.
 func TestReportMatchesModel(t *testing.T) {
 	m := newModel(t, 5, 20)
 	for range 400 {
@@ -43,6 +44,8 @@
 	}
 }
 
+// TestSentences verifies that sentences contain the numbers of the explanation
+// and that every reason has one.
 func TestSentences(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(0, 0)
@@ -58,8 +61,8 @@
 
 var largeScale = flag.Bool("scheduler.size", false, "measure explanations at 17,000 workers and 70,000 jobs; without it they run at today's size")
 
-// loadedScheduler returns a scheduler under load and the ids of its jobs: at the size to
-// design for only with the flag.
+// loadedScheduler returns a scheduler under load and the ids of its jobs: the
+// small site with 500 jobs, or the large one with 70,000 if the flag is set.
 func loadedScheduler(b *testing.B) (*Scheduler, []JobID) {
 	site, n := tidewater(), 500
 	if *largeScale {
--- a/scheduler/scenario_test.go
+++ b/scheduler/scenario_test.go
@@ -8,8 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// harness is a small site for scenarios: steps advance the time by hand, and every
-// step is followed by Check.
+// harness runs scenarios on a small site. Tests advance the time by hand, and
+// every step is followed by Check.
 type harness struct {
 	*qt.C
 	s   *Scheduler
@@ -41,7 +41,7 @@
 	return b.step(GangEnded{Job: id, Attempt: b.s.jobs[id].run.attempt, Outcome: o, Worker: at})
 }
 
-// actionsOf keeps the actions actionsOf one type.
+// actionsOf returns the actions of one type.
 func actionsOf[A Action](actions []Action) []A {
 	var out []A
 	for _, a := range actions {
@@ -52,6 +52,8 @@
 	return out
 }
 
+// eightAcceleratorWorkers returns n workers with 8 accelerators each, three to
+// a rack.
 func eightAcceleratorWorkers(n int) []Worker {
 	var out []Worker
 	for i := range n {
@@ -62,10 +64,10 @@
 
 var ownerAndGuest = Policy{Accounts: []AccountPolicy{{ID: "owner", Guaranteed: []Shape{{8, AdjacentWorker, 1}}}, {ID: "guest"}}}
 
+// TestGuaranteedShapeFitsOnOneWorker verifies that jobs that can't be evicted
+// leave a whole worker for a guaranteed shape of 8, not only 8 free
+// accelerators in all.
 func TestGuaranteedShapeFitsOnOneWorker(t *testing.T) {
-	// A large tenant claims its guaranteed 8 on one worker and is told to wait:
-	// 8 are free, but as 4 and 4. Work that can't be evicted had been let onto
-	// both workers, because the sum still held.
 	b := newHarness(t, ownerAndGuest, eightAcceleratorWorkers(2)...)
 	var guests []Job
 	for i := range 4 {
@@ -75,9 +77,9 @@
 	b.Assert(actionsOf[StartGang](b.submit(Job{ID: "o", Account: "owner", Accelerators: 8, Adjacency: AdjacentWorker})), qt.HasLen, 1)
 }
 
+// TestCancelledClaimStopsEvictions verifies that cancelling a claim stops the
+// evictions that it has not sent yet because of MaxEvictions.
 func TestCancelledClaimStopsEvictions(t *testing.T) {
-	// An owner claims and withdraws at once; borrowers go on being evicted one by
-	// one for nobody. Evictions beyond the bound had been queued on the claim.
 	p := ownerAndGuest
 	p.MaxEvictions = 2
 	b := newHarness(t, p, eightAcceleratorWorkers(1)...)
@@ -93,9 +95,9 @@
 	}
 }
 
+// TestEvictionLosesLeastWork verifies that a claim evicts a checkpointable job
+// rather than one that would lose its work.
 func TestEvictionLosesLeastWork(t *testing.T) {
-	// A claim throws away an hour of one borrower although another had just
-	// checkpointed. Victims were chosen by when they started.
 	b := newHarness(t, ownerAndGuest, eightAcceleratorWorkers(2)...)
 	b.submit(Job{ID: "old", Account: "guest", Accelerators: 8, Adjacency: AdjacentWorker, Checkpointable: true})
 	b.step(GangStarted{"old", 1})
@@ -107,6 +109,8 @@
 	b.Assert(stops, qt.DeepEquals, []StopGang{{Job: "old", Attempt: 1, Checkpoint: true, Reason: StopReclaim}})
 }
 
+// TestImpossibleJobsAreRejectedAtOnce verifies the reasons with which jobs that
+// can never run are rejected.
 func TestImpossibleJobsAreRejectedAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -129,9 +133,9 @@
 	}
 }
 
+// TestGangIsNotStarvedBySmallJobs verifies that a gang that needs the whole
+// site starts although small jobs keep arriving.
 func TestGangIsNotStarvedBySmallJobs(t *testing.T) {
-	// A gang of 16 waits for days on a busy site although it fits: each worker
-	// that comes free is taken by one of the small jobs that never stop coming.
 	b := newHarness(t, Policy{Accounts: []AccountPolicy{{ID: "a"}, {ID: "b"}}}, eightAcceleratorWorkers(2)...)
 	for i := range 400 {
 		b.submit(Job{ID: JobID(fmt.Sprint("s", i)), Account: "a", Accelerators: 1, Class: "s", Submitted: b.now})
@@ -152,9 +156,10 @@
 	b.Fatal("the gang never started")
 }
 
+// TestFaultyWorkerIsQuarantinedAndProbed verifies that a worker on which every
+// job fails is quarantined, that the jobs are not rejected, and that it returns
+// after a single successful probe.
 func TestFaultyWorkerIsQuarantinedAndProbed(t *testing.T) {
-	// Every job that lands on one worker fails within a second. It is always idle,
-	// so it attracts all that comes, and the jobs are blamed.
 	b := newHarness(t, Policy{Accounts: []AccountPolicy{{ID: "a"}}, QuarantineFor: time.Minute}, eightAcceleratorWorkers(3)...)
 	var out []Action
 	for i := 0; len(actionsOf[QuarantineWorker](out)) == 0; i++ {
@@ -181,9 +186,9 @@
 	b.Assert(probes, qt.Equals, 1)
 }
 
+// TestFaultyJobDoesNotQuarantineWorkers verifies that a job that fails on every
+// worker is rejected and that its failures quarantine no worker.
 func TestFaultyJobDoesNotQuarantineWorkers(t *testing.T) {
-	// One job crashes wherever it runs. Worker after worker goes into quarantine
-	// until nothing is left, because each failure was charged to the worker.
 	b := newHarness(t, Policy{Accounts: []AccountPolicy{{ID: "a"}}}, eightAcceleratorWorkers(4)...)
 	b.submit(Job{ID: "bad", Account: "a", Accelerators: 1, Repeatable: true})
 	var out []Action
@@ -197,9 +202,9 @@
 	b.Assert(actionsOf[QuarantineWorker](out), qt.HasLen, 0)
 }
 
+// TestNotRepeatableJobRunsOnce verifies that a job that must not run twice is
+// rejected, not restarted, when its worker is lost.
 func TestNotRepeatableJobRunsOnce(t *testing.T) {
-	// A worker dies under a job that books cargo space. The job is started again
-	// elsewhere and the space is booked twice.
 	b := newHarness(t, Policy{Accounts: []AccountPolicy{{ID: "a"}}}, eightAcceleratorWorkers(2)...)
 	b.submit(Job{ID: "once", Account: "a", Accelerators: 1})
 	b.step(GangStarted{"once", 1})
@@ -209,9 +214,10 @@
 	b.Assert(actionsOf[RejectJob](out)[0].Reason, qt.Equals, RejectNotRepeatable)
 }
 
+// TestLostWorkerDegradesAndRestoresGuarantee verifies that the loss of a worker
+// reports the guarantee that no longer fits, and its return reports it
+// restored.
 func TestLostWorkerDegradesAndRestoresGuarantee(t *testing.T) {
-	// Half the site fails. The operator must hear which account's block no longer
-	// fits, and the block must be whole again before new work takes the space.
 	b := newHarness(t, Policy{Accounts: []AccountPolicy{{ID: "owner", Guaranteed: []Shape{{8, AdjacentWorker, 2}}}}}, eightAcceleratorWorkers(2)...)
 	out := b.step(WorkerDown{"w1"})
 	b.Assert(actionsOf[GuaranteeDegraded](out), qt.DeepEquals, []GuaranteeDegraded{{"owner", Shape{8, AdjacentWorker, 2}, 1}})
@@ -219,17 +225,19 @@
 	b.Assert(actionsOf[GuaranteeRestored](out), qt.HasLen, 1)
 }
 
+// TestCheckPolicyRefusesShapesThatDoNotFit verifies that CheckPolicy names the
+// shape that does not fit.
 func TestCheckPolicyRefusesShapesThatDoNotFit(t *testing.T) {
 	c := qt.New(t)
 	p := Policy{Accounts: []AccountPolicy{{ID: "a", Guaranteed: []Shape{{8, AdjacentWorker, 1}}}, {ID: "b", Guaranteed: []Shape{{6, AdjacentWorker, 2}}}}}
 	c.Assert(CheckPolicy(p, eightAcceleratorWorkers(3)), qt.IsNil)
-	err := CheckPolicy(p, eightAcceleratorWorkers(2)) // 20 of 16, and 6 and 6 never share a worker
+	err := CheckPolicy(p, eightAcceleratorWorkers(2)) // 20 of 16 accelerators, and 6 and 6 never share a worker
 	c.Assert(err, qt.DeepEquals, &ShapeError{Account: "b", Shape: Shape{6, AdjacentWorker, 2}, Missing: 1})
 }
 
+// TestObjectiveDecidesOrder verifies that CompletionTime starts the oldest job
+// first and Fragmentation the largest.
 func TestObjectiveDecidesOrder(t *testing.T) {
-	// The same two jobs wait for a worker. One firm wants the first answer soon,
-	// the other wants large blocks used whole.
 	for o, first := range map[Objective]JobID{CompletionTime: "small", Fragmentation: "large"} {
 		b := newHarness(t, Policy{Objective: o, Accounts: []AccountPolicy{{ID: "a"}}}, eightAcceleratorWorkers(1)...)
 		b.submit(Job{ID: "busy", Account: "a", Accelerators: 8})
@@ -238,10 +246,10 @@
 	}
 }
 
+// TestJobThatCrashesWorkersIsRejected verifies that a job whose attempts are
+// lost soon after their start, again and again, is rejected although none
+// reports a failure.
 func TestJobThatCrashesWorkersIsRejected(t *testing.T) {
-	// One job takes down each worker that starts it, with all that others run there.
-	// Its attempts are lost and not failed, so that they counted as nothing and it
-	// was started again without end.
 	b := newHarness(t, Policy{Accounts: []AccountPolicy{{ID: "a"}}}, eightAcceleratorWorkers(12)...)
 	b.submit(Job{ID: "bad", Account: "a", Accelerators: 8, Repeatable: true})
 	var out []Action
@@ -258,8 +266,9 @@
 	b.Assert(actionsOf[RejectJob](out)[0].Reason, qt.Equals, RejectFaulty)
 }
 
+// TestLateLossesDoNotRejectLongJob verifies that losing workers long after the
+// start does not count against a job.
 func TestLateLossesDoNotRejectLongJob(t *testing.T) {
-	// A large gang loses a worker every few days. None of that speaks against it.
 	b := newHarness(t, Policy{Accounts: []AccountPolicy{{ID: "a"}}}, eightAcceleratorWorkers(12)...)
 	b.submit(Job{ID: "long", Account: "a", Accelerators: 8, Repeatable: true})
 	for range 30 {
--- a/scheduler/settling_test.go
+++ b/scheduler/settling_test.go
@@ -7,10 +7,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A planner takes over on a quiet site: the workers are known, and a job waits
-// that no rack could ever hold. Nothing changes after that. The job's caller
-// hears that it is impossible as soon as workers have had the time to announce
-// themselves, and does not wait for ever.
+// TestImpossibleJobIsRejectedWhenSettlingEnds verifies that a job that can
+// never run is rejected when settling ends after a takeover, although no other
+// event follows.
 func TestImpossibleJobIsRejectedWhenSettlingEnds(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
--- a/scheduler/simulator_test.go
+++ b/scheduler/simulator_test.go
@@ -6,19 +6,22 @@
 	"time"
 )
 
-// stepper is what the driver drives: the scheduler or a baseline.
+// stepper is the scheduler or a baseline.
 type stepper interface {
 	Step(now time.Time, ev Event) []Action
 }
 
-// simulatedJob is a job of a workload with what the scheduler is not told.
+// simulatedJob is a job of a workload with what the scheduler does not know of
+// it.
 type simulatedJob struct {
 	Job
-	submitAt time.Duration // when it is submitted
+	submitAt time.Duration // after the start of the simulation
 	runTime  time.Duration // true run time
-	cancelAt time.Duration // when it is cancelled, if positive
+	cancelAt time.Duration // after the start of the simulation, if positive
 }
 
+// timedEvent is a function to call at a time. Those of the same time are called
+// in order of seq.
 type timedEvent struct {
 	at  time.Time
 	seq int
@@ -48,7 +51,8 @@
 	sampleEvery     = 10 * time.Second
 )
 
-// simulatedAttempt is a job in the driver.
+// simulatedAttempt is the state of a job in the simulator and of its current
+// attempt.
 type simulatedAttempt struct {
 	*simulatedJob
 	number       Attempt
@@ -56,13 +60,13 @@
 	started      time.Time
 	running      bool
 	stopping     bool
-	checkpointed time.Duration // run time that a checkpoint covers
+	checkpointed time.Duration // run time that the last checkpoint covers
 	waitingSince time.Time     // start of the current wait
 	waited       time.Duration
 	ended        bool
 }
 
-// simulator plays a workload against a decider in virtual time.
+// simulator runs a workload against a scheduler in virtual time.
 type simulator struct {
 	scheduler    stepper
 	now          time.Time
@@ -73,9 +77,9 @@
 	jobs         map[JobID]*simulatedAttempt
 	free         map[WorkerID]int
 	workers      map[WorkerID]Worker
-	faultyWorker WorkerID // fails everything it starts
+	faultyWorker WorkerID // fails everything that it starts
 	horizon      time.Duration
-	batchDelay   time.Duration // events of one planner round
+	batchDelay   time.Duration // delay by which events are batched into one decision
 	wakeAt       time.Time
 	result
 }
@@ -111,7 +115,7 @@
 	heap.Push(&x.heap, timedEvent{x.now.Add(d), x.seq, do})
 }
 
-// queueEvent queues an event for the next planner round.
+// queueEvent adds an event to the next batch.
 func (x *simulator) queueEvent(ev Event) {
 	if len(x.pending) == 0 {
 		x.schedule(x.batchDelay, x.flush)
@@ -197,7 +201,7 @@
 	})
 }
 
-// checkpoint makes the progress of the attempt safe.
+// checkpoint saves the progress of an attempt.
 func (x *simulator) checkpoint(j *simulatedAttempt) {
 	j.checkpointed += x.now.Sub(j.started)
 	j.started = x.now
@@ -241,8 +245,9 @@
 	x.queueEvent(GangEnded{Job: j.ID, Attempt: n, Outcome: o, Worker: worker, Checkpointed: j.started})
 }
 
-// sample adds the capacity that is free in pieces too small for the jobs that
-// wait, averaged over these by their size.
+// sample adds to the idle and the fragmented accelerator seconds. Fragmentation
+// is the free capacity in units too small for the waiting jobs, averaged over
+// these by size.
 func (x *simulator) sample() {
 	if x.now.Sub(x.start) < x.horizon {
 		x.schedule(sampleEvery, x.sample)
@@ -291,23 +296,24 @@
 	return t
 }
 
-// gangSize is from how many accelerators on a job counts as a gang.
+// gangSize is the number of accelerators from which a job counts as a gang.
 const gangSize = 8
 
-// result is what a run measured.
+// result holds the measurements of a simulation.
 type result struct {
-	gangs         []float64 // waiting of gangs, seconds
-	smallJobs     []float64 // waiting of other jobs
-	completion    []float64 // from submission to end, all jobs
+	gangs         []float64 // waits of gangs, in seconds
+	smallJobs     []float64 // waits of other jobs, in seconds
+	completion    []float64 // time from submission to end of all jobs, in seconds
 	fragmentation float64   // accelerator seconds
-	idle          float64
-	lostWork      float64
+	idle          float64   // accelerator seconds
+	lostWork      float64   // accelerator seconds
 	evictions     int
 	rejected      int
 	unfinished    int
 	decisionTimes []float64 // microseconds
 }
 
+// recordWait adds the completion and wait of a job to the result.
 func (x *simulator) recordWait(j *simulatedAttempt) {
 	x.completion = append(x.completion, x.now.Sub(j.Submitted).Seconds())
 	if j.Accelerators >= gangSize {
@@ -317,8 +323,8 @@
 	}
 }
 
-// countUnfinished counts jobs that still wait as if they had started at the limit. Those
-// that still run are left out.
+// countUnfinished counts the jobs that still wait as if they had started at the
+// end of the simulation. Those that still run are left out.
 func (x *simulator) countUnfinished() {
 	for _, j := range x.jobs {
 		if !j.ended && !j.running {
@@ -332,6 +338,7 @@
 	}
 }
 
+// quantile returns the q quantile of sorted values.
 func quantile(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/scheduler/workload_test.go
+++ b/scheduler/workload_test.go
@@ -17,7 +17,7 @@
 	horizon  time.Duration
 }
 
-// smallSite is the site of today's two services: 11 workers of 8.
+// smallSite has 11 workers with 8 accelerators each, in three zones.
 func smallSite(name string, zones []string, cores, mem int) site {
 	var ws []Worker
 	for i := range 11 {
@@ -43,7 +43,7 @@
 	return smallSite("Peachline", []string{"macon", "augusta", "valdosta"}, 128, 256_000)
 }
 
-// largeSite is 17,000 workers with 42,000 accelerators and 94 accounts.
+// largeSite has 17,000 workers, 42,000 accelerators and 94 accounts.
 func largeSite() site {
 	s := site{name: "17,000 workers", horizon: 30 * time.Minute, largest: 256}
 	for i := range 17_000 {
@@ -71,10 +71,10 @@
 	return s
 }
 
-// workload draws jobs of the brief's kind at an offered load, given as a part of
-// the accelerators: heavy-tailed sizes and run times, declared run times wrong
-// by up to 10 times either way, bursts of small and of large jobs, waves of
-// cancellations, and jobs that can never run.
+// workload draws jobs that together ask for load times the capacity of the
+// site. Sizes and run times are heavy-tailed, declared run times are wrong by
+// up to 10 times either way, and there are bursts of small and of large jobs,
+// mass cancellations, and jobs that can never run.
 func (s site) workload(load float64, seed uint64) []simulatedJob {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	total := 0
@@ -112,6 +112,7 @@
 	return out
 }
 
+// drawJob draws a job that is submitted at a time.
 func (s site) drawJob(rng *rand.Rand, at time.Duration) simulatedJob {
 	size := s.drawSize(rng)
 	a := s.accounts[min(rng.IntN(len(s.accounts)), rng.IntN(len(s.accounts)))]
@@ -124,8 +125,8 @@
 	case size > 64:
 		j.Adjacency = Adjacency(rng.IntN(2))
 	case size > 24 && len(s.workers) < 100:
-		// Only one of the three zones could hold it, and its own queue would
-		// hide everything else.
+		// Only one of the three zones could hold the job, and the wait for that
+		// zone would dominate the results.
 		j.Adjacency = AdjacentAny
 	case size > 24:
 		j.Adjacency = AdjacentZone
@@ -138,9 +139,9 @@
 	return simulatedJob{Job: j, submitAt: at}
 }
 
-// drawSize draws powers of 2, each half as frequent as the one before, so that every
-// drawSize asks for about as many accelerators in all. Half of the gangs of 32 ask
-// for 24, which is a whole rack of today's sites.
+// drawSize draws powers of 2, each half as frequent as the one before, so that
+// every size asks for about as many accelerators in all. Half of the gangs of
+// 32 ask for 24 instead, a whole rack of the small sites.
 func (s site) drawSize(rng *rand.Rand) int {
 	size := 1
 	for size < s.largest && rng.IntN(2) == 0 {
@@ -152,7 +153,7 @@
 	return size
 }
 
-// runTime is log-normal, longer for larger jobs.
+// runTime draws a log-normal run time, longer for gangs.
 func runTime(rng *rand.Rand, size int) time.Duration {
 	median := 60.0
 	if size >= gangSize {
