--- a/scheduler/bind.go
+++ b/scheduler/bind.go
@@ -62,15 +62,15 @@
 }
 
 func (s *Scheduler) bindAll(blocks []*block) {
-	slices.SortStableFunc(blocks, tightestFirst)
+	slices.SortStableFunc(blocks, narrowestFirst)
 	for _, b := range blocks {
 		s.bind(b)
 	}
 }
 
-// tightestFirst orders blocks by the narrowest span and then by the largest
+// narrowestFirst orders blocks by the narrowest span and then by the largest
 // size.
-func tightestFirst(a, b *block) int {
+func narrowestFirst(a, b *block) int {
 	if d := int(b.shape.Adjacency) - int(a.shape.Adjacency); d != 0 {
 		return d
 	}
--- a/scheduler/check_policy.go
+++ b/scheduler/check_policy.go
@@ -48,12 +48,12 @@
 	if len(s.unbound) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(s.unbound, tightestFirst)
+	slices.SortStableFunc(s.unbound, narrowestFirst)
 	b := s.unbound[0]
-	k := keyOfShape(b.account, b.shape)
+	k := shapeKeyOf(b.account, b.shape)
 	missing := 0
 	for _, x := range s.unbound {
-		if keyOfShape(x.account, x.shape) == k {
+		if shapeKeyOf(x.account, x.shape) == k {
 			missing++
 		}
 	}
--- a/scheduler/claim_adjacent.go
+++ b/scheduler/claim_adjacent.go
@@ -88,7 +88,7 @@
 func (s *Scheduler) splitPlace(place []allocation, blocks []*block) [][]allocation {
 	place = slices.Clone(place)
 	order := slices.Clone(blocks)
-	slices.SortStableFunc(order, tightestFirst)
+	slices.SortStableFunc(order, narrowestFirst)
 	out := make([][]allocation, len(blocks))
 	for _, b := range order {
 		taken := s.takeShape(place, b.shape)
--- a/scheduler/degraded.go
+++ b/scheduler/degraded.go
@@ -1,14 +1,14 @@
 package scheduler
 
-// degradedKey is a shape of an account, without its count.
-type degradedKey struct {
+// shapeKey is a shape of an account, without its count.
+type shapeKey struct {
 	account      AccountID
 	accelerators int
 	span         Adjacency
 }
 
-func keyOfShape(a *account, g Shape) degradedKey {
-	return degradedKey{a.policy.ID, g.Accelerators, g.Adjacency}
+func shapeKeyOf(a *account, g Shape) shapeKey {
+	return shapeKey{a.policy.ID, g.Accelerators, g.Adjacency}
 }
 
 // reportGuarantees emits an action for every shape whose number of unbound
@@ -17,13 +17,13 @@
 	if len(s.unbound) == 0 && len(s.degraded) == 0 {
 		return
 	}
-	unplaced := map[degradedKey]int{}
+	unplaced := map[shapeKey]int{}
 	for _, b := range s.unbound {
-		unplaced[keyOfShape(b.account, b.shape)]++
+		unplaced[shapeKeyOf(b.account, b.shape)]++
 	}
 	for _, a := range s.accountList {
 		for _, g := range a.policy.Guaranteed {
-			k := keyOfShape(a, g)
+			k := shapeKeyOf(a, g)
 			if unplaced[k] == s.degraded[k] {
 				continue
 			}
--- a/scheduler/explainer.go
+++ b/scheduler/explainer.go
@@ -29,10 +29,10 @@
 		x.cachedSince = x.s.now
 		clear(x.cache)
 	}
-	return x.s.explain(id, x.head)
+	return x.s.explain(id, x.explainHead)
 }
 
-func (x *Explainer) head(q *queue, j *job) Explanation {
+func (x *Explainer) explainHead(q *queue, j *job) Explanation {
 	if e, ok := x.cache[q]; ok && e.Job == j.ID {
 		return e
 	}
--- a/scheduler/impossible.go
+++ b/scheduler/impossible.go
@@ -15,7 +15,7 @@
 	if !s.someWorkerFits(k) {
 		return RejectWorkerSize, "no worker has the cores and memory for one accelerator of the job", true
 	}
-	if s.find(&s.installed, k) == nil {
+	if s.findPlace(&s.installed, k) == nil {
 		return RejectAdjacency, fmt.Sprintf("no %s has %d accelerators with the cores and memory", k.span, k.accelerators), true
 	}
 	if reserved := s.guaranteedToOthers(q.account); !q.head.Job.mayBorrow() && k.accelerators > s.installed.total()-reserved {
--- a/scheduler/open.go
+++ b/scheduler/open.go
@@ -111,12 +111,12 @@
 		}()
 	}
 	if !protected {
-		return s.find(&s.open, k)
+		return s.findPlace(&s.open, k)
 	}
-	if place := s.find(&s.unguaranteed, k); place != nil {
+	if place := s.findPlace(&s.unguaranteed, k); place != nil {
 		return place
 	}
-	place := s.find(&s.open, k)
+	place := s.findPlace(&s.open, k)
 	if place == nil || !s.moveBlocksAside(place, j.oversizedAccount()) {
 		return nil
 	}
@@ -162,7 +162,7 @@
 		}
 	}
 	k := j.key()
-	fits := s.find(&s.installed, &k) != nil
+	fits := s.findPlace(&s.installed, &k) != nil
 	var place []allocation
 	if fits {
 		place = search()
--- a/scheduler/place_footprint.go
+++ b/scheduler/place_footprint.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// find returns a place in an index for a job of the key, in accelerators scaled
+// findPlace returns a place in an index for a job of the key, in accelerators scaled
 // by its footprint, or nil.
-func (s *Scheduler) find(x *index, k *queueKey) []allocation {
+func (s *Scheduler) findPlace(x *index, k *queueKey) []allocation {
 	if s.fitsMinShare(k) {
 		return x.findPlace(k.accelerators, k.span, s.nodes)
 	}
--- a/scheduler/policy_change.go
+++ b/scheduler/policy_change.go
@@ -32,10 +32,10 @@
 
 // setBlocks adds and drops blocks of an account to match its policy.
 func (s *Scheduler) setBlocks(a *account) {
-	want := map[degradedKey]int{}
+	want := map[shapeKey]int{}
 	if a.declared {
 		for _, g := range a.policy.Guaranteed {
-			want[keyOfShape(a, g)] += g.Count
+			want[shapeKeyOf(a, g)] += g.Count
 		}
 	}
 	s.dropBlocks(a, want)
@@ -43,7 +43,7 @@
 		return
 	}
 	for _, g := range a.policy.Guaranteed {
-		k := keyOfShape(a, g)
+		k := shapeKeyOf(a, g)
 		for ; want[k] > 0; want[k]-- {
 			b := &block{account: a, shape: g, unboundIndex: -1}
 			b.shape.Count = 1
@@ -55,12 +55,12 @@
 
 // dropBlocks drops surplus blocks, unused ones first, and subtracts those that
 // it keeps from want.
-func (s *Scheduler) dropBlocks(a *account, want map[degradedKey]int) {
+func (s *Scheduler) dropBlocks(a *account, want map[shapeKey]int) {
 	sorted := slices.Clone(a.blocks)
 	slices.SortStableFunc(sorted, func(x, y *block) int { return y.used - x.used })
 	a.blocks = nil
 	for _, b := range sorted {
-		k := keyOfShape(a, b.shape)
+		k := shapeKeyOf(a, b.shape)
 		if want[k] > 0 {
 			want[k]--
 			a.blocks = append(a.blocks, b)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -47,7 +47,7 @@
 	delayed             delayHeap
 	claims              []*claim
 	unbound             []*block // guaranteed blocks that no worker can hold now
-	degraded            map[degradedKey]int
+	degraded            map[shapeKey]int
 	fitsBeside          map[demand]bool // whether a shape fits on idle workers together with all blocks
 	fitsBesideGen       uint64          // topologyGen+shrinkGen for which fitsBeside holds
 	shrinkGen           uint64          // changes when the topology shrinks or the policy changes
@@ -79,7 +79,7 @@
 		rackByID:     map[rackKey]int32{},
 		accounts:     map[AccountID]*account{},
 		jobs:         map[JobID]*job{},
-		degraded:     map[degradedKey]int{},
+		degraded:     map[shapeKey]int{},
 		fitsBeside:   map[demand]bool{},
 		runTimes:     newRunTimePredictor(),
 	}
--- a/scheduler/within_guarantee.go
+++ b/scheduler/within_guarantee.go
@@ -12,7 +12,7 @@
 // its account. As a borrower it could be evicted for another account while its
 // own block is unused.
 func (s *Scheduler) startWithinGuarantee(j *job, k *queueKey) bool {
-	if place := s.withoutFailedNodes(j, func() []allocation { return s.find(&s.unguaranteed, k) }); place != nil {
+	if place := s.withoutFailedNodes(j, func() []allocation { return s.findPlace(&s.unguaranteed, k) }); place != nil {
 		s.start(j, place, nil, true)
 		return true
 	}
