--- a/scheduler/backfill.go
+++ b/scheduler/backfill.go
@@ -22,7 +22,7 @@
 		if c.guaranteed() || c.readyAt.Sub(s.now) < minBackfillWait {
 			continue
 		}
-		if _, due := s.backfilledRuns(c); due {
+		if _, onlyBackfilled := s.backfilledRuns(c); onlyBackfilled {
 			continue
 		}
 		if place := s.placeInReservation(c, k); place != nil {
@@ -43,15 +43,15 @@
 	allocations := slices.Clone(c.allocations)
 	slices.SortStableFunc(allocations, func(a, b allocation) int { return idle(b) - idle(a) })
 	for _, first := range allocations {
-		span := unitOf(s.nodes[first.node], k.span)
-		if sums[span] < k.accelerators {
+		unit := unitOf(s.nodes[first.node], k.span)
+		if sums[unit] < k.accelerators {
 			continue
 		}
 		var out []allocation
 		need := k.accelerators
 		for _, p := range allocations {
 			got := min(need, idle(p))
-			if unitOf(s.nodes[p.node], k.span) != span || got == 0 {
+			if unitOf(s.nodes[p.node], k.span) != unit || got == 0 {
 				continue
 			}
 			out = append(out, allocation{node: p.node, count: got})
@@ -66,11 +66,11 @@
 // stopBackfilled stops the attempts that backfill a reservation once nothing
 // else keeps it from being complete.
 func (s *Scheduler) stopBackfilled(c *claim) {
-	under, due := s.backfilledRuns(c)
-	if !due {
+	backfilled, onlyBackfilled := s.backfilledRuns(c)
+	if !onlyBackfilled {
 		return
 	}
-	for _, r := range under {
+	for _, r := range backfilled {
 		s.stopRun(r, StopReclaim, true)
 	}
 }
--- a/scheduler/compare_test.go
+++ b/scheduler/compare_test.go
@@ -57,7 +57,7 @@
 // means a shorter wait than the baseline), of fragmentation and of mean
 // completion time (below 1 means less than the baseline).
 func compare(b *testing.B, s site, load float64, seeds uint64) {
-	var base, fifo, parted [3]float64
+	var base, fifo, partitioned [3]float64
 	var ours [2][3]float64
 	for seed := range seeds {
 		r := simulate(newBaseline(false), s, 0, load, seed)
@@ -71,7 +71,7 @@
 			p.partitioned = true
 			r = simulate(p, s, 0, load, seed)
 			b.Log("\n", r.summary("own workers"))
-			r.addTo(&parted)
+			r.addTo(&partitioned)
 		}
 		for _, o := range []Objective{CompletionTime, Fragmentation} {
 			r := simulate(New(Options{Start: time.Unix(1e9, 0)}), s, o, load, seed)
@@ -87,9 +87,9 @@
 			continue
 		}
 		b.ReportMetric(fifo[0]/ours[o][0], "p99-x-fifo-"+name)
-		b.ReportMetric(parted[0]/ours[o][0], "p99-x-parted-"+name)
-		b.ReportMetric(ours[o][1]/parted[1], "frag-of-parted-"+name)
-		b.ReportMetric(ours[o][2]/parted[2], "completion-of-parted-"+name)
+		b.ReportMetric(partitioned[0]/ours[o][0], "p99-x-parted-"+name)
+		b.ReportMetric(ours[o][1]/partitioned[1], "frag-of-parted-"+name)
+		b.ReportMetric(ours[o][2]/partitioned[2], "completion-of-parted-"+name)
 	}
 }
 
--- a/scheduler/explain.go
+++ b/scheduler/explain.go
@@ -16,8 +16,8 @@
 // WaitOverShare guarantee that open capacity has no place for the job. Explain
 // must run on the goroutine that owns the Scheduler.
 func (s *Scheduler) Explain(id JobID) (Explanation, bool) {
-	f := s.newExplainState()
-	return s.explain(id, func(q *queue, j *job) Explanation { return s.explainHead(q, j, f) })
+	state := s.newExplainState()
+	return s.explain(id, func(q *queue, j *job) Explanation { return s.explainHead(q, j, state) })
 }
 
 // explain calls head for the first unclaimed job of a queue, so that a caller
@@ -77,7 +77,7 @@
 
 // explainHead explains the first job of a queue that holds no claim on a
 // guarantee.
-func (s *Scheduler) explainHead(q *queue, j *job, f *explainState) Explanation {
+func (s *Scheduler) explainHead(q *queue, j *job, state *explainState) Explanation {
 	switch {
 	case len(s.nodeByID) == 0:
 		return s.newExplanation(j, WaitNoWorkers)
@@ -91,13 +91,13 @@
 	if e, never := s.explainIfImpossible(q, j); never {
 		return e
 	}
-	if s.startsNext(q, j, f) {
+	if s.startsNext(q, j, state) {
 		return s.newExplanation(j, WaitFitsNow)
 	}
 	if j.Accelerators == 0 {
 		return s.explainCores(j)
 	}
-	return s.explainBlocked(q, j, f)
+	return s.explainBlocked(q, j, state)
 }
 
 func (s *Scheduler) explainCores(j *job) Explanation {
--- a/scheduler/explain_blocked.go
+++ b/scheduler/explain_blocked.go
@@ -2,13 +2,13 @@
 
 // explainBlocked explains the first job of a queue that has no place on open
 // capacity.
-func (s *Scheduler) explainBlocked(q *queue, j *job, f *explainState) Explanation {
+func (s *Scheduler) explainBlocked(q *queue, j *job, state *explainState) Explanation {
 	e := s.newExplanation(j, WaitNoCapacity)
 	e.Free = s.open.total()
 	e.Units = s.open.freeUnits(j.Adjacency, maxUnitSizes)
 	e.Largest = s.largestFit(&s.open, &q.key, nil)
-	if f.firstJob != nil {
-		e.First = f.firstJob.ID
+	if state.firstJob != nil {
+		e.First = state.firstJob.ID
 	}
 	unused := WaitNone
 	if e.Largest >= j.Accelerators {
@@ -23,9 +23,9 @@
 		e.Reason, e.UnplacedBlocks = WaitDegraded, s.unboundBlocksFor(&q.key, j.account)
 	case unused != WaitNone:
 		e.Reason = unused
-	case s.largestFit(&s.open, &q.key, f.reservedDeltas) >= j.Accelerators:
+	case s.largestFit(&s.open, &q.key, state.reservedDeltas) >= j.Accelerators:
 		e.Reason = WaitReservations
-	case f.firstJob != nil && s.overShare(j, f.firstJob):
+	case state.firstJob != nil && s.overShare(j, state.firstJob):
 		e.Reason = WaitOverShare
 	case e.Free >= j.Accelerators:
 		e.Reason = WaitNoPlace
@@ -83,14 +83,14 @@
 // explainUnused returns why a job does not use a place on open capacity that
 // other jobs could take.
 func (s *Scheduler) explainUnused(q *queue, j *job) WaitReason {
-	open, steady := indexDeltas(nil), indexDeltas(nil)
+	open, unguaranteed := indexDeltas(nil), indexDeltas(nil)
 	if s.avoidsFailedNodes(q, j) {
-		open, steady = withoutNodes(&s.open, j.failedNodes), withoutNodes(&s.unguaranteed, j.failedNodes)
+		open, unguaranteed = withoutNodes(&s.open, j.failedNodes), withoutNodes(&s.unguaranteed, j.failedNodes)
 	}
 	switch {
 	case s.largestFit(&s.open, &q.key, open) < j.Accelerators:
 		return WaitFailedWorkers
-	case !j.mayBorrow() && q.noPlaceStamp == s.capacityStamp(q) && s.largestFit(&s.unguaranteed, &q.key, steady) < j.Accelerators:
+	case !j.mayBorrow() && q.noPlaceStamp == s.capacityStamp(q) && s.largestFit(&s.unguaranteed, &q.key, unguaranteed) < j.Accelerators:
 		// The last decision could not move the blocks away. A later one may,
 		// once capacity has changed.
 		return WaitGuaranteed
--- a/scheduler/explain_next.go
+++ b/scheduler/explain_next.go
@@ -8,8 +8,8 @@
 
 // startsNext reports whether the next decision is certain to start a job: the
 // job is tried first, and there is a place for it.
-func (s *Scheduler) startsNext(q *queue, j *job, f *explainState) bool {
-	if f.triedQueue != q {
+func (s *Scheduler) startsNext(q *queue, j *job, state *explainState) bool {
+	if state.triedQueue != q {
 		return false
 	}
 	if s.probeFor(j) != nil {
--- a/scheduler/guarantee.go
+++ b/scheduler/guarantee.go
@@ -22,8 +22,9 @@
 	}
 }
 
-// claimStamp identifies the state of an account's blocks and the phase at which
-// a queue was last tried.
+// claimStamp identifies the state of an account's blocks, and a phase. A queue
+// that found no room in the blocks is not tried again up to the same stamp. It
+// is never 0.
 func (s *Scheduler) claimStamp(a *account, p claimPhase) uint64 {
 	return (a.blockGen+1)*2 + uint64(p)
 }
@@ -92,7 +93,7 @@
 // account for now.
 func (s *Scheduler) findClaim(j *job, k *queueKey, p claimPhase) (c *claim, yields bool) {
 	var best *block
-	var offer blockCost
+	var bestCost blockCost
 	for _, b := range j.account.blocks {
 		if !s.fitsBlock(b, k, p) {
 			continue
@@ -102,8 +103,8 @@
 			continue
 		}
 		cost := s.blockCostOf(b, k)
-		if best == nil || cost.less(offer) {
-			best, offer = b, cost
+		if best == nil || cost.less(bestCost) {
+			best, bestCost = b, cost
 		}
 	}
 	if best != nil {
--- a/scheduler/largest_fit.go
+++ b/scheduler/largest_fit.go
@@ -5,9 +5,9 @@
 type indexDeltas map[nodeID]int
 
 // sumByUnit sums the deltas by unit of a span.
-func (s *Scheduler) sumByUnit(span Adjacency, c indexDeltas) map[int32]int {
-	out := make(map[int32]int, len(c))
-	for id, d := range c {
+func (s *Scheduler) sumByUnit(span Adjacency, deltas indexDeltas) map[int32]int {
+	out := make(map[int32]int, len(deltas))
+	for id, d := range deltas {
 		out[unitOf(s.nodes[id], span)] += d
 	}
 	return out
@@ -27,11 +27,11 @@
 // asks for no more. The cost depends on the deltas and the sizes of units, not
 // on the number of workers, unless the footprint of the job differs between
 // workers.
-func (s *Scheduler) largestFit(x *index, k *queueKey, c indexDeltas) int {
+func (s *Scheduler) largestFit(x *index, k *queueKey, deltas indexDeltas) int {
 	if !s.fitsMinShare(k) {
-		return s.largestByFootprint(x, k, c)
+		return s.largestByFootprint(x, k, deltas)
 	}
-	units := s.sumByUnit(k.span, c)
+	units := s.sumByUnit(k.span, deltas)
 	most := x.largestUnchanged(k.span, units)
 	for id, d := range units {
 		most = max(most, x.unitValue(k.span, id)+d)
@@ -104,11 +104,11 @@
 
 // largestByFootprint is largestFit for a job whose footprint may exceed 1. It
 // visits every worker.
-func (s *Scheduler) largestByFootprint(x *index, k *queueKey, c indexDeltas) int {
+func (s *Scheduler) largestByFootprint(x *index, k *queueKey, deltas indexDeltas) int {
 	fits := map[int32]int{}
 	for _, n := range s.nodes {
 		if u := s.footprint(k, n); u > 0 {
-			fits[unitOf(n, k.span)] += (int(x.values[n.id]) + c[n.id]) / u
+			fits[unitOf(n, k.span)] += (int(x.values[n.id]) + deltas[n.id]) / u
 		}
 	}
 	most := 0
--- a/scheduler/open.go
+++ b/scheduler/open.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// capacityStamp identifies the capacity on which a queue was last tried. It is
-// never 0.
+// capacityStamp identifies the state of the capacity that the jobs of a queue
+// need. A queue whose first job found no place is not tried again at the same
+// stamp. It is never 0.
 func (s *Scheduler) capacityStamp(q *queue) uint64 {
 	if q.key.accelerators == 0 {
 		return s.cpuCapacityGen + 1
--- a/scheduler/place_footprint.go
+++ b/scheduler/place_footprint.go
@@ -35,12 +35,12 @@
 		}
 	}
 	best := int32(-1)
-	for span, sum := range capacity {
+	for unit, sum := range capacity {
 		if sum < k.accelerators {
 			continue
 		}
-		if best < 0 || sum < capacity[best] || sum == capacity[best] && span < best {
-			best = span
+		if best < 0 || sum < capacity[best] || sum == capacity[best] && unit < best {
+			best = unit
 		}
 	}
 	if best < 0 {
@@ -49,10 +49,10 @@
 	return s.takeByFootprint(x, k, best)
 }
 
-func (s *Scheduler) takeByFootprint(x *index, k *queueKey, span int32) []allocation {
+func (s *Scheduler) takeByFootprint(x *index, k *queueKey, unit int32) []allocation {
 	var nodes []*node
 	for _, n := range s.nodes {
-		if unitOf(n, k.span) == span && x.values[n.id] > 0 && s.footprint(k, n) > 0 {
+		if unitOf(n, k.span) == unit && x.values[n.id] > 0 && s.footprint(k, n) > 0 {
 			nodes = append(nodes, n)
 		}
 	}
--- a/scheduler/plan.go
+++ b/scheduler/plan.go
@@ -26,19 +26,19 @@
 		}
 		ends := s.expectedReleases(n, j)
 		count += len(ends)
-		span := unitOf(n, k.span)
-		groups[span] = append(groups[span], ends...)
+		unit := unitOf(n, k.span)
+		groups[unit] = append(groups[unit], ends...)
 	}
 	s.nextPlanAt = s.now.Add(max(minPlanInterval, time.Duration(count)*planCostPerRelease))
 	var best []allocation
 	var ready time.Time
-	bestSpan := int32(-1)
-	for span, ends := range groups {
+	bestUnit := int32(-1)
+	for unit, ends := range groups {
 		place, t := s.earliestPlace(&k, ends)
-		if place == nil || best != nil && (t.After(ready) || t.Equal(ready) && span > bestSpan) {
+		if place == nil || best != nil && (t.After(ready) || t.Equal(ready) && unit > bestUnit) {
 			continue
 		}
-		best, ready, bestSpan = place, t, span
+		best, ready, bestUnit = place, t, unit
 	}
 	return best, ready
 }
@@ -47,9 +47,9 @@
 // reservation. Jobs that may not borrow can't count on what is bound to blocks
 // in use.
 func (s *Scheduler) expectedReleases(n *node, j *job) []expectedRelease {
-	borrows := j.mayBorrow()
+	mayBorrow := j.mayBorrow()
 	have := n.capacity() - n.held + n.stopping - n.claimed - n.reserved
-	if !borrows {
+	if !mayBorrow {
 		have = min(have, n.slackWithoutUnused()-n.reserved)
 	}
 	out := []expectedRelease{{s.now, n.id, have}}
@@ -58,7 +58,7 @@
 		if k == 0 || !r.protected && r.state == runStopping {
 			continue
 		}
-		if !borrows && len(r.blockUses) > 0 {
+		if !mayBorrow && len(r.blockUses) > 0 {
 			continue
 		}
 		out = append(out, expectedRelease{s.endOrPreemption(r, j, s.expectedEnd(r)), n.id, k})
--- a/scheduler/topology.go
+++ b/scheduler/topology.go
@@ -13,8 +13,8 @@
 // refreshIndexes updates the indexes from the counts of a node.
 func (s *Scheduler) refreshIndexes(n *node) {
 	slack, open := n.bindable(), n.open()
-	steady := min(open, n.slack())
-	if open > int(s.open.values[n.id]) || steady > int(s.unguaranteed.values[n.id]) {
+	unguaranteed := min(open, n.slack())
+	if open > int(s.open.values[n.id]) || unguaranteed > int(s.unguaranteed.values[n.id]) {
 		s.capacityGen++
 	}
 	if slack > int(s.bindable.values[n.id]) {
@@ -22,7 +22,7 @@
 	}
 	s.bindable.set(n, slack)
 	s.open.set(n, open)
-	s.unguaranteed.set(n, steady)
+	s.unguaranteed.set(n, unguaranteed)
 }
 
 // zoneIndex returns the number of a zone, and adds the zone if it is new.
