--- a/scheduler/report_test.go
+++ b/scheduler/report_test.go
@@ -24,9 +24,9 @@
 			}
 		}
 		r := m.s.Report()
-		owed := 0
+		unplaced := 0
 		for _, a := range r.Accounts {
-			owed += a.Unplaced
+			unplaced += a.Unplaced
 			for _, c := range a.Classes {
 				running -= c.RunningAccelerators
 				waiting -= c.Waiting
@@ -38,8 +38,8 @@
 				up++
 			}
 		}
-		if running != 0 || waiting != 0 || (owed > 0) != (len(m.degraded) > 0) || up != m.s.Stats().Workers+r.Quarantined.Count {
-			t.Fatalf("off by %d running, %d waiting; owed %d, degraded %v; %d up: %+v", running, waiting, owed, m.degraded, up, r)
+		if running != 0 || waiting != 0 || (unplaced > 0) != (len(m.degraded) > 0) || up != m.s.Stats().Workers+r.Quarantined.Count {
+			t.Fatalf("off by %d running, %d waiting; owed %d, degraded %v; %d up: %+v", running, waiting, unplaced, m.degraded, up, r)
 		}
 	}
 }
