--- a/scheduler/place_cheapest.go
+++ b/scheduler/place_cheapest.go
@@ -42,7 +42,8 @@
 }
 
 // nodesInUnit lists up to maxComparedNodes workers with bindable capacity in
-// the unit of a span around a node, those with the most first.
+// the unit of a span around a node, or at most in its zone, those with the most
+// first.
 func (s *Scheduler) nodesInUnit(n *node, span Adjacency) []nodeID {
 	p := &s.bindable.zones[n.zone].pool
 	if span == AdjacentRack {
--- a/scheduler/place_footprint.go
+++ b/scheduler/place_footprint.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// findPlace returns a place in an index for a job of the key, in accelerators scaled
-// by its footprint, or nil.
+// findPlace returns a place in an index for a job of the key, in accelerators
+// scaled by its footprint, or nil.
 func (s *Scheduler) findPlace(x *index, k *queueKey) []allocation {
 	if s.fitsMinShare(k) {
 		return x.findPlace(k.accelerators, k.span, s.nodes)
--- a/scheduler/policy_change.go
+++ b/scheduler/policy_change.go
@@ -27,7 +27,7 @@
 	}
 	s.capacityGen++
 	s.topologyGen++
-	s.shrinkGen++ // blocks may need more
+	s.shrinkGen++ // the policy may guarantee more
 }
 
 // setBlocks adds and drops blocks of an account to match its policy.
--- a/scheduler/reserve.go
+++ b/scheduler/reserve.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// backfillQuantile is the quantile of a job's run time that must end before
-	// the reservation that it backfills is ready.
+	// backfillQuantile is the quantile of a job's predicted run time that must
+	// end before the reservation that the job backfills is ready.
 	backfillQuantile = 0.9
 	// endQuantile is the quantile of run times at which running work is
 	// expected to end.
