--- a/scheduler/baseline_test.go
+++ b/scheduler/baseline_test.go
@@ -8,45 +8,47 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// baseline is the policy that the scheduler is measured against: jobs in order of
-// arrival, each on the first workers of a scan that have room, jobs that don't
-// fit are passed over, nothing is reserved, nothing is learned. With strict set
-// nothing passes the first job. Guarantees are sums: an account below the sum of
-// its shapes has the youngest borrowers evicted until the sum is free.
+// baseline is the scheduler that benchmarks compare against. It starts jobs in
+// order of arrival by first fit, without reservations or predictions, and
+// passes over jobs that don't fit. Guarantees are sums: an account below the
+// sum of its shapes has the youngest borrowers evicted until enough
+// accelerators are free.
 type baseline struct {
+	// strict lets no job pass the first one in the queue.
 	strict bool
-	// parted keeps guarantees the simple way: workers of its own for each
-	// shape, which stay idle while their account does not use them.
-	parted  bool
-	policy  Policy      // whose workers have not been set aside yet
-	own     []AccountID // account that a worker is set aside for
-	kept    []int       // accelerators of it set aside
-	inside  []int       // of these, in use
-	workers []Worker
-	used    []uint64
-	busy    []int
-	queue   []*baseJob
-	jobs    map[JobID]*baseJob
-	at      map[WorkerID]int
-	sums    map[AccountID]int
-	use     map[AccountID]int
-	order   int
+	// partitioned sets workers aside for each guaranteed shape. They stay idle
+	// while their account does not use them.
+	partitioned    bool
+	policy         Policy      // not yet applied
+	partitionOwner []AccountID // by worker: the account that it is set aside for
+	partitionSize  []int       // by worker: accelerators set aside
+	partitionUsed  []int       // by worker: those of them in use
+	workers        []Worker
+	usedMasks      []uint64
+	busy           []int
+	queue          []*baselineJob
+	jobs           map[JobID]*baselineJob
+	indexByWorker  map[WorkerID]int
+	guaranteedSums map[AccountID]int
+	usedByAccount  map[AccountID]int
+	startCount     int
 }
 
-type baseJob struct {
+// baselineJob is a job of the baseline.
+type baselineJob struct {
 	Job
-	attempt   Attempt
-	on        []piece
-	masks     []uint64
-	within    []int // of each piece, what is in the part of the account
-	running   bool
-	stopping  bool
-	cancelled bool
-	started   int // order of starts
+	attempt     Attempt
+	place       []allocation
+	masks       []uint64
+	inPartition []int // by allocation: accelerators within the account's partition
+	running     bool
+	stopping    bool
+	cancelled   bool
+	started     int // order of starts
 }
 
 func newBaseline(strict bool) *baseline {
-	return &baseline{strict: strict, jobs: map[JobID]*baseJob{}, at: map[WorkerID]int{}, sums: map[AccountID]int{}, use: map[AccountID]int{}}
+	return &baseline{strict: strict, jobs: map[JobID]*baselineJob{}, indexByWorker: map[WorkerID]int{}, guaranteedSums: map[AccountID]int{}, usedByAccount: map[AccountID]int{}}
 }
 
 func (b *baseline) Step(now time.Time, ev Event) []Action {
@@ -58,10 +60,10 @@
 	for _, e := range evs {
 		switch e := e.(type) {
 		case WorkerUp:
-			b.at[e.Worker.ID] = len(b.workers)
+			b.indexByWorker[e.Worker.ID] = len(b.workers)
 			b.workers = append(b.workers, e.Worker)
-			b.used, b.busy = append(b.used, 0), append(b.busy, 0)
-			b.own, b.kept, b.inside = append(b.own, ""), append(b.kept, 0), append(b.inside, 0)
+			b.usedMasks, b.busy = append(b.usedMasks, 0), append(b.busy, 0)
+			b.partitionOwner, b.partitionSize, b.partitionUsed = append(b.partitionOwner, ""), append(b.partitionSize, 0), append(b.partitionUsed, 0)
 		case PolicyChanged:
 			b.policy = e.Policy
 		case JobsSubmitted:
@@ -73,20 +75,20 @@
 				out = append(out, b.cancel(id)...)
 			}
 		case GangEnded:
-			out = append(out, b.ended(e)...)
+			out = append(out, b.gangEnded(e)...)
 		}
 	}
-	b.guarantee()
-	return append(out, b.decide()...)
+	b.applyPolicy()
+	return append(out, b.startQueued()...)
 }
 
-// guarantee puts the policy of a batch in force once the workers of the batch
-// are known, since the driver sends the policy first.
-func (b *baseline) guarantee() {
+// applyPolicy puts the policy of a batch in force after the workers of the
+// batch are added, since the simulator sends the policy first.
+func (b *baseline) applyPolicy() {
 	for _, a := range b.policy.Accounts {
 		for _, g := range a.Guaranteed {
-			b.sums[a.ID] += g.Accelerators * g.Count
-			b.part(a.ID, g)
+			b.guaranteedSums[a.ID] += g.Accelerators * g.Count
+			b.partition(a.ID, g)
 		}
 	}
 	b.policy = Policy{}
@@ -100,7 +102,7 @@
 	if j.Accelerators > total {
 		return []Action{RejectJob{Job: j.ID, Reason: RejectTooLarge}}
 	}
-	b.jobs[j.ID] = &baseJob{Job: j}
+	b.jobs[j.ID] = &baselineJob{Job: j}
 	b.queue = append(b.queue, b.jobs[j.ID])
 	return nil
 }
@@ -116,19 +118,19 @@
 		return []Action{StopGang{Job: id, Attempt: j.attempt, Reason: StopCancelled}}
 	}
 	delete(b.jobs, id)
-	b.queue = slices.DeleteFunc(b.queue, func(x *baseJob) bool { return x == j })
+	b.queue = slices.DeleteFunc(b.queue, func(x *baselineJob) bool { return x == j })
 	return []Action{RejectJob{Job: id, Reason: RejectCancelled}}
 }
 
-func (b *baseline) ended(e GangEnded) []Action {
+func (b *baseline) gangEnded(e GangEnded) []Action {
 	j := b.jobs[e.Job]
-	for i, p := range j.on {
-		b.used[p.node] &^= j.masks[i]
-		b.inside[p.node] -= j.within[i]
-		b.busy[p.node] -= p.n
+	for i, p := range j.place {
+		b.usedMasks[p.node] &^= j.masks[i]
+		b.partitionUsed[p.node] -= j.inPartition[i]
+		b.busy[p.node] -= p.count
 	}
-	b.use[j.Account] -= j.Accelerators
-	j.on, j.masks, j.within, j.running, j.stopping = nil, nil, nil, false, false
+	b.usedByAccount[j.Account] -= j.Accelerators
+	j.place, j.masks, j.inPartition, j.running, j.stopping = nil, nil, nil, false, false
 	if e.Outcome == Done || j.cancelled {
 		delete(b.jobs, e.Job)
 		return []Action{RejectJob{Job: e.Job, Reason: RejectCancelled}}
@@ -137,19 +139,19 @@
 	return nil
 }
 
-func (b *baseline) decide() []Action {
+func (b *baseline) startQueued() []Action {
 	var out []Action
 	failed := map[queueKey]bool{}
 	kept := b.queue[:0]
 	for i, j := range b.queue {
 		k := keyOf(&j.Job)
 		k.class = ""
-		if b.parted {
+		if b.partitioned {
 			k.class = string(j.Account)
 		}
-		at := []piece(nil)
+		at := []allocation(nil)
 		if !failed[k] {
-			at = b.scan(j.Account, j.Accelerators, j.Adjacency)
+			at = b.firstFit(j.Account, j.Accelerators, j.Adjacency)
 		}
 		if at == nil {
 			failed[k] = true
@@ -167,10 +169,11 @@
 	return out
 }
 
-// scan takes the first workers in order that have room within one span.
-func (b *baseline) scan(a AccountID, need int, span Adjacency) []piece {
+// firstFit takes the first workers in order that have room within one unit of a
+// span.
+func (b *baseline) firstFit(a AccountID, need int, span Adjacency) []allocation {
 	have := map[string]int{}
-	name := func(w *Worker) string {
+	unitName := func(w *Worker) string {
 		switch span {
 		case AdjacentWorker:
 			return string(w.ID)
@@ -183,25 +186,25 @@
 	}
 	for i := range b.workers {
 		w := &b.workers[i]
-		free := b.room(i, a)
+		free := b.freeFor(i, a)
 		if free <= 0 {
 			continue
 		}
-		n := name(w)
+		n := unitName(w)
 		if have[n] += free; have[n] >= need {
-			return b.take(a, need, n, name)
+			return b.takeInUnit(a, need, n, unitName)
 		}
 	}
 	return nil
 }
 
-func (b *baseline) take(a AccountID, need int, in string, name func(*Worker) string) []piece {
-	var out []piece
+func (b *baseline) takeInUnit(a AccountID, need int, unit string, unitName func(*Worker) string) []allocation {
+	var out []allocation
 	for i := range b.workers {
 		w := &b.workers[i]
-		k := min(need, b.room(i, a))
-		if k > 0 && name(w) == in {
-			out = append(out, piece{nodeID(i), k})
+		k := min(need, b.freeFor(i, a))
+		if k > 0 && unitName(w) == unit {
+			out = append(out, allocation{nodeID(i), k})
 			if need -= k; need == 0 {
 				break
 			}
@@ -210,38 +213,38 @@
 	return out
 }
 
-func (b *baseline) start(j *baseJob, at []piece) Action {
-	b.order++
+func (b *baseline) start(j *baselineJob, at []allocation) Action {
+	b.startCount++
 	j.attempt++
-	j.on, j.running, j.started = at, true, b.order
-	b.use[j.Account] += j.Accelerators
+	j.place, j.running, j.started = at, true, b.startCount
+	b.usedByAccount[j.Account] += j.Accelerators
 	place := make(Placement, len(at))
 	for i, p := range at {
 		var mask uint64
-		for bit, n := 0, 0; n < p.n; bit++ {
-			if b.used[p.node]&(1<<bit) == 0 {
+		for bit, n := 0, 0; n < p.count; bit++ {
+			if b.usedMasks[p.node]&(1<<bit) == 0 {
 				mask |= 1 << bit
 				n++
 			}
 		}
 		j.masks = append(j.masks, mask)
-		b.used[p.node] |= mask
-		b.busy[p.node] += p.n
+		b.usedMasks[p.node] |= mask
+		b.busy[p.node] += p.count
 		in := 0
-		if b.own[p.node] == j.Account {
-			in = min(p.n, b.kept[p.node]-b.inside[p.node])
+		if b.partitionOwner[p.node] == j.Account {
+			in = min(p.count, b.partitionSize[p.node]-b.partitionUsed[p.node])
 		}
-		b.inside[p.node] += in
-		j.within = append(j.within, in)
-		place[i] = Grant{b.workers[p.node].ID, numbers(mask, p.n)}
+		b.partitionUsed[p.node] += in
+		j.inPartition = append(j.inPartition, in)
+		place[i] = Grant{b.workers[p.node].ID, lowestBits(mask, p.count)}
 	}
 	return StartGang{j.ID, j.attempt, place}
 }
 
-// reclaim evicts the youngest borrowers until the sum that is free, or being
-// freed, would hold the job.
-func (b *baseline) reclaim(j *baseJob) []Action {
-	if b.parted || b.sums[j.Account] == 0 || b.use[j.Account]+j.Accelerators > b.sums[j.Account] {
+// reclaim evicts the youngest borrowers until the sum of the accelerators that
+// are free or being freed would hold the job.
+func (b *baseline) reclaim(j *baselineJob) []Action {
+	if b.partitioned || b.guaranteedSums[j.Account] == 0 || b.usedByAccount[j.Account]+j.Accelerators > b.guaranteedSums[j.Account] {
 		return nil
 	}
 	coming := 0
@@ -255,7 +258,7 @@
 		}
 	}
 	for coming < j.Accelerators {
-		y := b.youngest(j.Account)
+		y := b.youngestBorrower(j.Account)
 		if y == nil {
 			return out
 		}
@@ -266,47 +269,47 @@
 	return out
 }
 
-func (b *baseline) youngest(but AccountID) *baseJob {
-	var best *baseJob
+func (b *baseline) youngestBorrower(except AccountID) *baselineJob {
+	var best *baselineJob
 	for _, x := range b.jobs {
-		over := b.use[x.Account] > b.sums[x.Account]
-		if x.running && !x.stopping && over && x.Account != but && x.Evictable() && (best == nil || x.started > best.started) {
+		over := b.usedByAccount[x.Account] > b.guaranteedSums[x.Account]
+		if x.running && !x.stopping && over && x.Account != except && x.Evictable() && (best == nil || x.started > best.started) {
 			best = x
 		}
 	}
 	return best
 }
 
-// part sets workers aside for a shape, from the last one down so that racks stay
-// together.
-func (b *baseline) part(a AccountID, g Shape) {
-	if !b.parted {
+// partition sets workers aside for a shape, from the last one down, so that
+// racks stay together.
+func (b *baseline) partition(a AccountID, g Shape) {
+	if !b.partitioned {
 		return
 	}
 	for need, i := g.Accelerators*g.Count, len(b.workers)-1; need > 0 && i >= 0; i-- {
-		if b.kept[i] > 0 {
+		if b.partitionSize[i] > 0 {
 			continue
 		}
-		b.own[i], b.kept[i] = a, min(need, b.workers[i].Accelerators)
-		need -= b.kept[i]
+		b.partitionOwner[i], b.partitionSize[i] = a, min(need, b.workers[i].Accelerators)
+		need -= b.partitionSize[i]
 	}
 }
 
-// room is what an account may still use of a worker.
-func (b *baseline) room(i int, a AccountID) int {
+// freeFor returns the accelerators of a worker that an account may use.
+func (b *baseline) freeFor(i int, a AccountID) int {
 	free := b.workers[i].Accelerators - b.busy[i]
-	if b.own[i] != a {
-		free -= b.kept[i] - b.inside[i]
+	if b.partitionOwner[i] != a {
+		free -= b.partitionSize[i] - b.partitionUsed[i]
 	}
 	return free
 }
 
-func TestOwnWorkersAreSetAside(t *testing.T) {
-	// The report says that workers of their own serve gangs better than guarantees
-	// on demand. The driver sends the policy before the workers, so no worker was set
-	// aside, and what was measured was first fit without any guarantee.
+// TestBaselinePartitionsWorkers verifies that the baseline sets workers aside
+// although the simulator sends the policy before the workers. Otherwise
+// benchmarks would compare against first fit without guarantees.
+func TestBaselinePartitionsWorkers(t *testing.T) {
 	p := newBaseline(false)
-	p.parted = true
-	newDriver(p, tidewater().workers, Policy{Accounts: tidewater().accounts}, nil, time.Hour)
-	qt.Assert(t, p.kept, qt.DeepEquals, []int{0, 0, 0, 0, 0, 2, 8, 8, 8, 8, 8})
+	p.partitioned = true
+	newSimulator(p, tidewater().workers, Policy{Accounts: tidewater().accounts}, nil, time.Hour)
+	qt.Assert(t, p.partitionSize, qt.DeepEquals, []int{0, 0, 0, 0, 0, 2, 8, 8, 8, 8, 8})
 }
--- a/scheduler/bind.go
+++ b/scheduler/bind.go
@@ -2,11 +2,12 @@
 
 import "slices"
 
-// rebindUnbound looks for a place for every block that has none. What is owed
-// comes before any new work. When the tightest first order finds no place, all
-// unused blocks are taken up and bound again, once per growth of capacity.
+// rebindUnbound looks for workers for every unbound block, once per growth of
+// capacity. If greedy binding fails, it gives up reservations of work that may
+// not be evicted, then rebinds all unused blocks, and then makes protected work
+// outside the blocks evictable.
 func (s *Scheduler) rebindUnbound() {
-	if len(s.unbound) == 0 || s.packed == s.grown {
+	if len(s.unbound) == 0 || s.repackGen == s.capacityGen {
 		return
 	}
 	s.bindAll(slices.Clone(s.unbound))
@@ -16,23 +17,24 @@
 	if len(s.unbound) > 0 {
 		s.repack()
 	}
-	if s.owes() && s.unprotectBorrowers() {
+	if s.missesGuarantee() && s.unprotectRuns() {
 		s.bindAll(slices.Clone(s.unbound))
 		s.repack()
 	}
-	s.packed = s.grown
+	s.repackGen = s.capacityGen
 }
 
-// unpacked has the blocks without a place tried again although no capacity has
-// grown: one has just lost its place and may fit where another worker has room.
-func (s *Scheduler) unpacked() { s.packed = s.grown - 1 }
+// retryRepack makes the next decision try the unbound blocks again although no
+// capacity has grown, because a block that has just been unbound may fit on
+// other workers.
+func (s *Scheduler) retryRepack() { s.repackGen = s.capacityGen - 1 }
 
-// dropReservations gives up the reservations of work that may not be evicted,
-// which keep blocks from being bound: what is owed goes first.
+// dropReservations drops the reservations of jobs that may not borrow, since
+// these keep blocks from being bound. It reports whether there were any.
 func (s *Scheduler) dropReservations() bool {
 	dropped := false
 	for _, c := range slices.Clone(s.claims) {
-		if !c.guaranteed() && !c.job.borrows() {
+		if !c.guaranteed() && !c.job.mayBorrow() {
 			s.dropClaim(c)
 			dropped = true
 		}
@@ -40,60 +42,62 @@
 	return dropped
 }
 
-// moveAway binds the unused blocks of some nodes elsewhere, as far as they find
-// another place.
-func (s *Scheduler) moveAway(at []piece) {
-	before := s.grown
-	for _, p := range at {
+// tryMoveBlocksFrom binds the unused blocks on some nodes elsewhere, where that
+// is possible.
+func (s *Scheduler) tryMoveBlocksFrom(place []allocation) {
+	before := s.capacityGen
+	for _, p := range place {
 		for _, b := range slices.Clone(s.nodes[p.node].blocks) {
 			if b.used > 0 {
 				continue
 			}
-			old := b.pieces()
+			old := b.allocations()
 			s.detach(b)
 			if !s.bind(b) {
 				s.attach(b, old)
 			}
 		}
 	}
-	s.grown = before + 1
+	s.capacityGen = before + 1
 }
 
 func (s *Scheduler) bindAll(blocks []*block) {
-	slices.SortStableFunc(blocks, tightestFirst)
+	slices.SortStableFunc(blocks, narrowestFirst)
 	for _, b := range blocks {
 		s.bind(b)
 	}
 }
 
-func tightestFirst(a, b *block) int {
+// narrowestFirst orders blocks by the narrowest span and then by the largest
+// size.
+func narrowestFirst(a, b *block) int {
 	if d := int(b.shape.Adjacency) - int(a.shape.Adjacency); d != 0 {
 		return d
 	}
 	return b.shape.Accelerators - a.shape.Accelerators
 }
 
-// bind gives an unbound block a place. It reports false if there is none.
+// bind binds an unbound block. It reports false if no workers can hold it.
 func (s *Scheduler) bind(b *block) bool {
-	at := s.slack.place(b.shape.Accelerators, b.shape.Adjacency, s.nodes)
-	if at == nil {
+	place := s.bindable.findPlace(b.shape.Accelerators, b.shape.Adjacency, s.nodes)
+	if place == nil {
 		return false
 	}
-	s.attach(b, at)
+	s.attach(b, place)
 	return true
 }
 
-// repack takes up every unused block and binds all again, keeping the outcome
-// only if fewer are left without a place.
+// repack unbinds every unused block and binds all of them again. It keeps the
+// result only if fewer blocks are left unbound.
 func (s *Scheduler) repack() {
 	before := len(s.unbound)
 	var moved []*block
-	var old [][]piece
+	var old [][]allocation
 	for _, a := range s.accountList {
 		for _, b := range a.blocks {
 			if b.bound() && b.used == 0 {
 				moved = append(moved, b)
-				old = append(old, b.pieces())
+				old = append(old, b.allocations())
 			}
 		}
 	}
@@ -118,94 +122,96 @@
 	}
 }
 
-func (b *block) pieces() []piece {
-	out := make([]piece, len(b.parts))
+func (b *block) allocations() []allocation {
+	out := make([]allocation, len(b.parts))
 	for i, p := range b.parts {
-		out[i] = piece{node: p.node, n: p.n}
+		out[i] = allocation{node: p.node, count: p.count}
 	}
 	return out
 }
 
-// clear makes room for work that may not be evicted on workers where unused
-// blocks stand in the way, by moving those blocks. It reports false, with
-// nothing changed, if one of them would find no other place.
-// Blocks of own may stay without a place: a job of that account larger than each
-// of them uses what they are bound to, or it would wait for its own account for
-// ever.
-func (s *Scheduler) clear(at []piece, own *account) bool {
-	before := s.grown
+// moveBlocksAside moves unused blocks off the nodes of a place where they leave
+// too little slack for work that may not be evicted. It reports false, with
+// nothing changed, if one of them can't be bound elsewhere. Blocks of own may
+// stay unbound: a job of that account that is larger than each of them uses
+// their capacity, since otherwise it would wait for its own account forever.
+func (s *Scheduler) moveBlocksAside(place []allocation, own *account) bool {
+	before := s.capacityGen
 	var moved []*block
-	var old [][]piece
-	for _, p := range at {
+	var old [][]allocation
+	for _, p := range place {
 		n := s.nodes[p.node]
-		for i := 0; i < len(n.blocks) && n.slack() < p.n; {
+		for i := 0; i < len(n.blocks) && n.slack() < p.count; {
 			b := n.blocks[i]
 			if b.used > 0 {
 				i++
 				continue
 			}
 			moved = append(moved, b)
-			old = append(old, b.pieces())
+			old = append(old, b.allocations())
 			s.detach(b)
 		}
-		if n.slack() < p.n {
-			s.putBack(moved, old)
-			s.grown = before
+		if n.slack() < p.count {
+			s.restoreBindings(moved, old)
+			s.capacityGen = before
 			return false
 		}
 	}
-	s.reserveProtected(at, 1)
+	s.addProtected(place, 1)
 	s.bindAll(slices.Clone(moved))
 	if own != nil {
-		moved, old = s.releaseOwn(own, moved, old)
+		moved, old = s.rebindOwnBlocks(own, moved, old)
 	}
-	s.reserveProtected(at, -1)
+	s.addProtected(place, -1)
 	for _, b := range moved {
 		if !b.bound() && b.account != own {
-			s.putBack(moved, old)
-			s.grown = before
+			s.restoreBindings(moved, old)
+			s.capacityGen = before
 			return false
 		}
 	}
 	return true
 }
 
-// releaseOwn takes up the unused blocks of an account if blocks of others have no
-// place, so that these may be bound where they were. It returns moved and old with
-// what it took up.
-func (s *Scheduler) releaseOwn(own *account, moved []*block, old [][]piece) ([]*block, [][]piece) {
-	unplaced := func(b *block) bool { return !b.bound() && b.account != own }
-	if !slices.ContainsFunc(moved, unplaced) {
+// rebindOwnBlocks also unbinds the unused blocks of own if blocks of other
+// accounts are still unbound, binds those first, and then its own. It returns
+// moved and old with the blocks that it unbound added.
+func (s *Scheduler) rebindOwnBlocks(own *account, moved []*block, old [][]allocation) ([]*block, [][]allocation) {
+	othersUnbound := func(b *block) bool { return !b.bound() && b.account != own }
+	if !slices.ContainsFunc(moved, othersUnbound) {
 		return moved, old
 	}
 	for _, b := range own.blocks {
 		if b.bound() && b.used == 0 && !slices.Contains(moved, b) {
 			moved = append(moved, b)
-			old = append(old, b.pieces())
+			old = append(old, b.allocations())
 			s.detach(b)
 		}
 	}
-	var rest []*block
+	var unplacedOwn []*block
 	for _, b := range moved {
-		if unplaced(b) {
+		if othersUnbound(b) {
 			s.bind(b)
 		} else if !b.bound() {
-			rest = append(rest, b)
+			unplacedOwn = append(unplacedOwn, b)
 		}
 	}
-	s.bindAll(rest)
+	s.bindAll(unplacedOwn)
 	return moved, old
 }
 
-func (s *Scheduler) reserveProtected(at []piece, sign int) {
-	for _, p := range at {
+// addProtected adds the allocations to the protected accelerators of their
+// nodes, or subtracts them if sign is -1.
+func (s *Scheduler) addProtected(place []allocation, sign int) {
+	for _, p := range place {
 		n := s.nodes[p.node]
-		n.protected += sign * p.n
-		s.refresh(n)
+		n.protected += sign * p.count
+		s.refreshIndexes(n)
 	}
 }
 
-func (s *Scheduler) putBack(moved []*block, old [][]piece) {
+// restoreBindings binds the moved blocks to their old places again.
+func (s *Scheduler) restoreBindings(moved []*block, old [][]allocation) {
 	for _, b := range moved {
 		if b.bound() {
 			s.detach(b)
--- a/scheduler/borrowing.go
+++ b/scheduler/borrowing.go
@@ -5,63 +5,62 @@
 	"slices"
 )
 
-// stopBorrowing has a job that has just lost work to a claim run only where no block
-// needs the place from now on, if such a place exists once other work has ended.
-//
-// The failure this guards against: a large gang borrows, runs for half an hour,
-// is evicted by the claim of a small job, starts again, and so on. It shows as
-// work lost over and over by the same job while all others wait behind it. A job
-// that may not borrow is never evicted, so each loses work to claims once.
+// stopBorrowing keeps a job that has just lost work to a claim off capacity
+// that blocks may need, if it fits beside all blocks on idle workers. Such a
+// job can't be evicted for a claim again; otherwise a long job could borrow, be
+// evicted and start over again and again.
 func (s *Scheduler) stopBorrowing(j *job) {
-	if j.Accelerators == 0 || j.Checkpointable || j.borrowingEnded || !s.guarantees() {
+	if j.Accelerators == 0 || j.Checkpointable || j.borrowingEnded || !s.hasGuarantees() {
 		return
 	}
 	k := j.key()
-	j.borrowingEnded = s.plain(&k) && s.fitsBesideBlocks(need{j.Accelerators, j.Adjacency})
+	j.borrowingEnded = s.fitsMinShare(&k) && s.fitsBesideBlocks(demand{j.Accelerators, j.Adjacency})
 }
 
-// resumeBorrowing lets jobs borrow again that no longer fit beside all blocks, since
-// workers are gone or a policy guarantees more. They would wait for ever although
-// the capacity of a guarantee that nobody uses is idle.
+// resumeBorrowing lets jobs borrow again that no longer fit beside all blocks
+// because workers are gone or the policy guarantees more. They would otherwise
+// wait forever while unused guaranteed capacity is idle.
 func (s *Scheduler) resumeBorrowing() {
-	if s.borrowingAt == s.shrunk {
+	if s.borrowingGen == s.shrinkGen {
 		return
 	}
-	s.borrowingAt = s.shrunk
-	var back []*job
+	s.borrowingGen = s.shrinkGen
+	var resumed []*job
 	for _, j := range s.jobs {
-		if j.borrowingEnded && j.queue != nil && !s.fitsBesideBlocks(need{j.Accelerators, j.Adjacency}) {
-			back = append(back, j)
+		if j.borrowingEnded && j.queue != nil && !s.fitsBesideBlocks(demand{j.Accelerators, j.Adjacency}) {
+			resumed = append(resumed, j)
 		}
 	}
-	slices.SortFunc(back, func(a, b *job) int { return cmp.Compare(a.seq, b.seq) })
-	for _, j := range back {
+	slices.SortFunc(resumed, func(a, b *job) int { return cmp.Compare(a.seq, b.seq) })
+	for _, j := range resumed {
 		s.dequeue(j)
 		j.borrowingEnded = false
 		s.enqueue(j)
 	}
 }
 
-func (s *Scheduler) guarantees() bool {
+func (s *Scheduler) hasGuarantees() bool {
 	return slices.ContainsFunc(s.accountList, func(a *account) bool { return len(a.blocks) > 0 })
 }
 
 // fitsBesideBlocks reports whether a shape fits on idle workers together with
-// all guaranteed ones.
-func (s *Scheduler) fitsBesideBlocks(w need) bool {
-	if at := s.shape + s.shrunk; s.besideAt != at {
-		s.besideAt = at
-		clear(s.beside)
+// all guaranteed blocks.
+func (s *Scheduler) fitsBesideBlocks(d demand) bool {
+	if gen := s.topologyGen + s.shrinkGen; s.fitsBesideGen != gen {
+		s.fitsBesideGen = gen
+		clear(s.fitsBeside)
 	}
-	fits, ok := s.beside[w]
+	fits, ok := s.fitsBeside[d]
 	if !ok {
-		fits = s.packsWith(Shape{w.accelerators, w.span, 1})
-		s.beside[w] = fits
+		fits = s.allBlocksFitWith(Shape{d.accelerators, d.span, 1})
+		s.fitsBeside[d] = fits
 	}
 	return fits
 }
 
-func (s *Scheduler) packsWith(shape Shape) bool {
+// allBlocksFitWith tries to bind all guaranteed blocks and one more shape on a
+// scratch scheduler with the usable workers, all idle.
+func (s *Scheduler) allBlocksFitWith(shape Shape) bool {
 	p := s.policy
 	p.Accounts = append(p.Accounts[:len(p.Accounts):len(p.Accounts)], AccountPolicy{ID: "beside", Guaranteed: []Shape{shape}})
 	x := New(Options{})
@@ -70,7 +69,7 @@
 			x.workerUp(n.Worker)
 		}
 	}
-	x.policyChanged(p)
+	x.applyPolicy(p)
 	x.rebindUnbound()
 	return len(x.unbound) == 0
 }
--- a/scheduler/explain.go
+++ b/scheduler/explain.go
@@ -1,28 +1,27 @@
 package scheduler
 
 const (
-	// maxAhead bounds how many jobs before another one are counted, which is a walk
-	// over them.
-	maxAhead = 1_000
-	// maxUnits bounds the sizes of free units that an explanation names.
-	maxUnits = 8
+	// maxJobsAhead bounds how many preceding jobs in a queue are counted.
+	maxJobsAhead = 1_000
+	// maxUnitSizes bounds the sizes of free units that an explanation lists.
+	maxUnitSizes = 8
 )
 
-// Explain says why a job has not started. It reads the state that the last
-// decision left, changes nothing that decides, and reports false for a job that is
-// not known. It counts as a use of what was learned of the job's class.
+// Explain returns why a job has not started, as of the last decision. It
+// reports false for a job that is not known. It changes no scheduling state,
+// except that it counts as a use of the run times recorded for the job's class.
 //
-// WaitFitsNow is a promise: the next Step starts the job unless its event or the
-// passing of time changes the state first. WaitNoPlace, WaitNoCapacity and
-// WaitOverShare say that no place for the job exists on open capacity. Like
-// Step, it belongs to the goroutine that owns the Scheduler.
+// WaitFitsNow guarantees that the next Step starts the job unless its event or
+// the passing of time changes the state first. WaitNoPlace, WaitNoCapacity and
+// WaitOverShare guarantee that open capacity has no place for the job. Explain
+// must run on the goroutine that owns the Scheduler.
 func (s *Scheduler) Explain(id JobID) (Explanation, bool) {
-	f := s.factsNow()
-	return s.explain(id, func(q *queue, j *job) Explanation { return s.explainHead(q, j, f) })
+	state := s.newExplainState()
+	return s.explain(id, func(q *queue, j *job) Explanation { return s.explainHead(q, j, state) })
 }
 
-// explain leaves the first job of a queue to head, so that a caller can keep its
-// explanation for the others.
+// explain calls head for the first unclaimed job of a queue, so that a caller
+// can cache that explanation for the other jobs of the queue.
 func (s *Scheduler) explain(id JobID, head func(*queue, *job) Explanation) (Explanation, bool) {
 	j := s.jobs[id]
 	if j == nil {
@@ -31,42 +30,43 @@
 	q := j.queue
 	switch {
 	case j.run != nil:
-		return s.explained(j, WaitNone), true
+		return s.newExplanation(j, WaitNone), true
 	case q == nil:
-		e := s.explained(j, WaitRetry)
+		e := s.newExplanation(j, WaitRetry)
 		e.Until = j.notBefore
 		return e, true
 	case j.claim != nil && j.claim.guaranteed():
 		return s.explainReclaim(j), true
 	}
-	if first := s.claimHead(q); first != j {
+	if first := s.firstUnclaimed(q); first != j {
 		return s.explainBehind(j, head(q, first)), true
 	}
 	return head(q, j), true
 }
 
-func (s *Scheduler) explained(j *job, why WaitReason) Explanation {
+func (s *Scheduler) newExplanation(j *job, reason WaitReason) Explanation {
 	return Explanation{
-		Job: j.ID, Account: j.Account, Reason: why, At: s.now,
+		Job: j.ID, Account: j.Account, Reason: reason, At: s.now,
 		Accelerators: j.Accelerators, Span: j.Adjacency,
 	}
 }
 
-// explainReclaim: what a claim waits for is evicted, or will be once the bound on
-// evictions in progress allows.
+// explainReclaim explains a job with a claim on its account's guarantee by the
+// accelerators that are still to be evicted.
 func (s *Scheduler) explainReclaim(j *job) Explanation {
-	e := s.explained(j, WaitReclaim)
-	for _, p := range j.claim.pieces {
-		e.Evicting += max(0, p.n-s.nodes[p.node].idle())
+	e := s.newExplanation(j, WaitReclaim)
+	for _, p := range j.claim.allocations {
+		e.Evicting += max(0, p.count-s.nodes[p.node].idle())
 	}
 	return e
 }
 
+// explainBehind explains a job that follows others in its queue.
 func (s *Scheduler) explainBehind(j *job, first Explanation) Explanation {
-	e := s.explained(j, WaitBehind)
+	e := s.newExplanation(j, WaitBehind)
 	e.First, e.FirstReason, e.Until = first.Job, first.Reason, first.Until
 	for x := j.prev; x != nil; x = x.prev {
-		if e.Ahead == maxAhead {
+		if e.Ahead == maxJobsAhead {
 			e.AheadTruncated = true
 			break
 		}
@@ -77,49 +77,51 @@
 
 // explainHead explains the first job of a queue that holds no claim on a
 // guarantee.
-func (s *Scheduler) explainHead(q *queue, j *job, f *facts) Explanation {
+func (s *Scheduler) explainHead(q *queue, j *job, state *explainState) Explanation {
 	switch {
 	case len(s.nodeByID) == 0:
-		return s.explained(j, WaitNoWorkers)
+		return s.newExplanation(j, WaitNoWorkers)
 	case j.claim != nil:
-		e := s.explained(j, WaitReserved)
-		e.Until = j.claim.ready
+		e := s.newExplanation(j, WaitReserved)
+		e.Until = j.claim.readyAt
 		return e
-	case j.cpuOn != nil:
-		return s.explained(j, WaitReserved)
+	case j.cpuNode != nil:
+		return s.newExplanation(j, WaitReserved)
 	}
-	if e, never := s.explainImpossible(q, j); never {
+	if e, never := s.explainIfImpossible(q, j); never {
 		return e
 	}
-	if s.startsNext(q, j, f) {
-		return s.explained(j, WaitFitsNow)
+	if s.startsNext(q, j, state) {
+		return s.newExplanation(j, WaitFitsNow)
 	}
 	if j.Accelerators == 0 {
 		return s.explainCores(j)
 	}
-	return s.explainBlocked(q, j, f)
+	return s.explainBlocked(q, j, state)
 }
 
 func (s *Scheduler) explainCores(j *job) Explanation {
 	if s.placeCPU(j.Cores, j.MemoryMB) != nil {
-		return s.explained(j, WaitNextDecision)
+		return s.newExplanation(j, WaitNextDecision)
 	}
-	return s.explained(j, WaitNoCores)
+	return s.newExplanation(j, WaitNoCores)
 }
 
-func (s *Scheduler) explainImpossible(q *queue, j *job) (Explanation, bool) {
-	if q.sized == s.shape+1 {
+// explainIfImpossible explains a job that no known worker could ever hold.
+// While workers may still register it is only reported as settling.
+func (s *Scheduler) explainIfImpossible(q *queue, j *job) (Explanation, bool) {
+	if q.sizeCheckedStamp == s.topologyGen+1 {
 		return Explanation{}, false
 	}
-	_, detail, never := s.impossible(q)
+	_, detail, never := s.impossibleReason(q)
 	if !never {
 		return Explanation{}, false
 	}
-	e := s.explained(j, WaitImpossible)
+	e := s.newExplanation(j, WaitImpossible)
 	e.Detail = detail
-	if s.now.Before(s.settled) {
+	if s.now.Before(s.settlingEnds) {
 		e.Reason = WaitSettling
-		e.Until = s.settled
+		e.Until = s.settlingEnds
 	}
 	return e, true
 }
--- a/scheduler/explain_test.go
+++ b/scheduler/explain_test.go
@@ -8,74 +8,75 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// explained counts what a randomised run was told, by reason.
-type explained map[WaitReason]int
+// reasonCounts counts the explanations in a randomised run by reason.
+type reasonCounts map[WaitReason]int
 
-// TestExplanationsHoldAgainstDecisions: an operator acts at night on "fits now" or
-// on "no place". Each is held against what the scheduler does next and against a
-// search of every worker that shares no code with the scheduler's indexes.
-func TestExplanationsHoldAgainstDecisions(t *testing.T) {
-	told := explained{}
+// TestExplanationsMatchDecisions compares every explanation with the next
+// decision and with a search of all workers that shares no code with the
+// indexes.
+func TestExplanationsMatchDecisions(t *testing.T) {
+	counts := reasonCounts{}
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
-			m := newAgents(t, seed+100, 8+int(seed)*3)
+			m := newModel(t, seed+100, 8+int(seed)*3)
 			for range 400 {
-				m.random()
-				m.checkExplanations(told)
-				m.submitExplained(told)
+				m.randomEvent()
+				m.checkExplanations(counts)
+				m.submitAndExplain(counts)
 			}
 		})
 	}
-	t.Log(told)
+	t.Log(counts)
 	for _, r := range []WaitReason{
 		WaitNone, WaitFitsNow, WaitRetry, WaitReclaim, WaitReserved, WaitBehind, WaitYields, WaitDegraded,
 		WaitGuaranteed, WaitReservations, WaitOverShare, WaitNoPlace, WaitNoCapacity,
 	} {
-		qt.Check(t, told[r] > 0, qt.IsTrue, qt.Commentf("%v was never told", r))
+		qt.Check(t, counts[r] > 0, qt.IsTrue, qt.Commentf("%v was never told", r))
 	}
 }
 
-// submitExplained gives the scheduler a job, asks before the decision, and then
-// lets it decide.
-func (m *agents) submitExplained(told explained) {
+// submitAndExplain submits a job without a decision, checks the predictions for
+// it, and then lets the scheduler decide.
+func (m *model) submitAndExplain(counts reasonCounts) {
 	if m.rng.IntN(3) > 0 {
 		return
 	}
 	j := m.newJob()
 	m.s.apply(JobsSubmitted{[]Job{j}})
 	if m.s.jobs[j.ID] == nil {
-		m.end(j.ID) // the queue of its account is full
+		m.endJob(j.ID) // the queue of its account is full
 		return
 	}
-	m.checkPromises(told)
+	m.checkPredictions(counts)
 }
 
-// checkExplanations holds every explanation against the truth.
-func (m *agents) checkExplanations(told explained) {
-	open, whole := m.bruteOpen(false), m.bruteOpen(true)
+// checkExplanations compares the explanation of every live job with the model.
+func (m *model) checkExplanations(counts reasonCounts) {
+	open, withoutReservations := m.recountOpen(false), m.recountOpen(true)
 	for _, id := range m.order {
 		e, ok := m.s.Explain(id)
 		if !ok {
 			m.fatalf("live job %q is not explained", id)
 		}
-		told[e.Reason]++
-		m.checkExplanation(m.jobs[id], e, open, whole)
+		counts[e.Reason]++
+		m.checkExplanation(m.jobs[id], e, open, withoutReservations)
 	}
-	m.checkPromises(told)
+	m.checkPredictions(counts)
 }
 
-// checkPromises holds what is said to start against the next decision.
-func (m *agents) checkPromises(told explained) {
+// checkPredictions compares what is predicted to start, or to wait, with the
+// next decision.
+func (m *model) checkPredictions(counts reasonCounts) {
 	var promised, denied []JobID
-	// A block without a place takes what is reserved before the queue is looked at.
+	// Unbound blocks take reserved capacity before the queue is tried.
 	binds := m.s.bindsNext()
 	for _, id := range m.order {
 		switch e, _ := m.s.Explain(id); e.Reason {
 		case WaitFitsNow:
 			promised = append(promised, id)
-			told[WaitFitsNow]++
+			counts[WaitFitsNow]++
 		case WaitNextDecision, WaitReclaim, WaitReserved, WaitBehind, WaitNone:
-			// They may start, or are not the first of their queue.
+			// These may start, or are not the first of their queue.
 		case WaitReservations:
 			if !binds {
 				denied = append(denied, id)
@@ -98,7 +99,8 @@
 	}
 }
 
-func (m *agents) checkExplanation(j *modelJob, e Explanation, open, whole map[WorkerID]int) {
+// checkExplanation verifies one explanation against a search of all workers.
+func (m *model) checkExplanation(j *modelJob, e Explanation, open, withoutReservations map[WorkerID]int) {
 	fail := func(why string) { m.fatalf("job %q is said to wait by %+v: %s", j.ID, e, why) }
 	if (e.Reason == WaitNone) != (j.place != nil) {
 		fail("it has an attempt or not")
@@ -106,33 +108,33 @@
 	x := m.s.jobs[j.ID]
 	switch e.Reason {
 	case WaitNoPlace, WaitNoCapacity, WaitOverShare:
-		if m.bruteFits(j, open, nil) {
+		if m.fitsBySearch(j, open, nil) {
 			fail("there is a place")
 		}
 		if (e.Free >= j.Accelerators) != (m.total(open) >= j.Accelerators) {
 			fail("free accelerators")
 		}
-		if e.Reason == WaitOverShare && m.s.share(m.s.jobs[e.First].account) >= m.s.share(x.account) {
+		if e.Reason == WaitOverShare && m.s.weightedShare(m.s.jobs[e.First].account) >= m.s.weightedShare(x.account) {
 			fail("the share of the first is not lower")
 		}
 	case WaitNextDecision:
-		if q := x.queue; q.blocked == m.s.stamp(q) && q.claimed >= m.s.claimStamp(x.account, afterOpen) {
+		if q := x.queue; q.noPlaceStamp == m.s.capacityStamp(q) && q.noClaimStamp >= m.s.claimStamp(x.account, afterOpen) {
 			fail("its queue was tried and is not tried again")
 		}
 	case WaitReservations:
-		if m.bruteFits(j, open, nil) || !m.bruteFits(j, whole, nil) {
+		if m.fitsBySearch(j, open, nil) || !m.fitsBySearch(j, withoutReservations, nil) {
 			fail("a place with or without reservations")
 		}
 	case WaitFailedWorkers:
-		if !m.bruteFits(j, open, nil) || m.bruteFits(j, open, x.failed) {
+		if !m.fitsBySearch(j, open, nil) || m.fitsBySearch(j, open, x.failedNodes) {
 			fail("a place with or without the workers it failed on")
 		}
 	case WaitGuaranteed:
-		if x.borrows() || !m.bruteFits(j, open, nil) {
+		if x.mayBorrow() || !m.fitsBySearch(j, open, nil) {
 			fail("a place that is bound to a guarantee")
 		}
 	case WaitReclaim:
-		if e.Evicting == 0 || len(x.claim.shares) == 0 {
+		if e.Evicting == 0 || len(x.claim.blockUses) == 0 {
 			fail("it waits for nothing")
 		}
 	case WaitBehind:
@@ -144,34 +146,34 @@
 			fail("its delay")
 		}
 	case WaitDegraded:
-		if len(m.deg) == 0 {
+		if len(m.degraded) == 0 {
 			fail("no guarantee is degraded")
 		}
 	}
 }
 
-// bruteOpen is what any job could take of each worker, counted from attempts and
-// claims one by one; with reservations as if they were not there. An attempt holds
-// more than it was granted where it needs more cores or memory than its share.
-func (m *agents) bruteOpen(reservations bool) map[WorkerID]int {
+// recountOpen counts the open accelerators of each worker from the attempts and
+// claims, optionally as if there were no reservations. Attempts whose footprint
+// is above 1 hold more than they were granted.
+func (m *model) recountOpen(ignoreReservations bool) map[WorkerID]int {
 	held, coming, claimed, reserved := map[nodeID]int{}, map[nodeID]int{}, map[nodeID]int{}, map[nodeID]int{}
 	for _, j := range m.s.jobs {
 		if j.run == nil {
 			continue
 		}
-		for _, p := range j.run.pieces {
-			held[p.node] += p.n
+		for _, p := range j.run.held {
+			held[p.node] += p.count
 			if !j.run.protected && j.run.state == runStopping {
-				coming[p.node] += p.n
+				coming[p.node] += p.count
 			}
 		}
 	}
 	for _, c := range m.s.claims {
-		for _, p := range c.pieces {
+		for _, p := range c.allocations {
 			if c.guaranteed() {
-				claimed[p.node] += p.n
-			} else if !reservations {
-				reserved[p.node] += p.n
+				claimed[p.node] += p.count
+			} else if !ignoreReservations {
+				reserved[p.node] += p.count
 			}
 		}
 	}
@@ -187,7 +189,7 @@
 	return free
 }
 
-func (m *agents) total(free map[WorkerID]int) int {
+func (m *model) total(free map[WorkerID]int) int {
 	t := 0
 	for _, n := range free {
 		t += n
@@ -195,8 +197,9 @@
 	return t
 }
 
-// bruteFits reports whether one unit of the span of a job holds it.
-func (m *agents) bruteFits(j *modelJob, free map[WorkerID]int, except []nodeID) bool {
+// fitsBySearch reports whether one unit of a job's span holds it, without the
+// excluded nodes.
+func (m *model) fitsBySearch(j *modelJob, free map[WorkerID]int, except []nodeID) bool {
 	units := map[string]int{}
 	for id, n := range free {
 		skip := false
@@ -205,7 +208,7 @@
 		}
 		w := m.workers[id]
 		span := [...]string{"", w.Zone, w.Zone + "/" + w.Rack, string(id)}[j.Adjacency]
-		if u := bruteUnits(j, w); !skip && u <= w.Accelerators {
+		if u := searchFootprint(j, w); !skip && u <= w.Accelerators {
 			units[span] += n / u
 		}
 	}
@@ -217,9 +220,10 @@
 	return false
 }
 
-// bruteUnits is how many accelerators of a worker one of the job takes up. A
-// quarter of cores and memory is kept for jobs without accelerators.
-func bruteUnits(j *modelJob, w Worker) int {
+// searchFootprint returns how many accelerators of a worker one accelerator of
+// the job takes up. A quarter of the cores and memory is kept for jobs without
+// accelerators.
+func searchFootprint(j *modelJob, w Worker) int {
 	u := 1
 	for u <= w.Accelerators && (j.Cores > (w.Cores-w.Cores/4)/w.Accelerators*u || j.MemoryMB > (w.MemoryMB-w.MemoryMB/4)/w.Accelerators*u) {
 		u++
@@ -227,12 +231,12 @@
 	return u
 }
 
-// A job that waits behind another account's is told which one and why: the other
-// account uses less of what it is not guaranteed.
-func TestOverShareNamesWhoGoesFirst(t *testing.T) {
+// TestOverShareNamesFirstJob verifies that a job that waits for a job of an
+// account with a lower share is told which one.
+func TestOverShareNamesFirstJob(t *testing.T) {
 	c := qt.New(t)
 	p := Policy{Generation: 1, Accounts: []AccountPolicy{{ID: "heavy"}, {ID: "light"}}}
-	b := newBench(t, p, eight(1)...)
+	b := newHarness(t, p, eightAcceleratorWorkers(1)...)
 	b.submit(Job{ID: "runs", Account: "heavy", Accelerators: 8, Repeatable: true})
 	b.submit(Job{ID: "more", Account: "heavy", Accelerators: 4, Repeatable: true})
 	b.submit(Job{ID: "other", Account: "light", Accelerators: 4, Repeatable: true})
@@ -246,9 +250,9 @@
 	c.Check(ok, qt.IsFalse)
 }
 
-// Right after a takeover a large job finds too few workers. It isn't impossible:
-// the others are still announcing themselves.
-func TestSettlingIsNotImpossible(t *testing.T) {
+// TestLargeJobIsSettlingNotImpossible verifies that a job too large for the
+// workers registered so far is not called impossible while settling.
+func TestLargeJobIsSettlingNotImpossible(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(1e6, 0)
 	s := New(Options{Start: at, SettlingPeriod: 5 * time.Second})
@@ -256,7 +260,7 @@
 	s.Step(at, JobsSubmitted{[]Job{{ID: "j", Account: "a", Accelerators: 16, Repeatable: true}}})
 	e, _ := s.Explain("j")
 	c.Check(e.Reason, qt.Equals, WaitNoWorkers)
-	s.Step(at, WorkerUp{eight(1)[0]})
+	s.Step(at, WorkerUp{eightAcceleratorWorkers(1)[0]})
 	e, _ = s.Explain("j")
 	c.Check(e.Reason, qt.Equals, WaitSettling)
 	c.Check(e.Until, qt.Equals, at.Add(5*time.Second))
--- a/scheduler/guarantee_test.go
+++ b/scheduler/guarantee_test.go
@@ -8,14 +8,14 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// rackAndGuests guarantees the owner 16 accelerators in one rack. The others have
-// no guarantee.
-var rackAndGuests = Policy{Accounts: []AccountPolicy{
+// rackOwnerAndGuests guarantees the owner 16 accelerators in one rack and the
+// other accounts nothing.
+var rackOwnerAndGuests = Policy{Accounts: []AccountPolicy{
 	{ID: "owner", Guaranteed: []Shape{{16, AdjacentRack, 1}}}, {ID: "guest"}, {ID: "rival"},
 }}
 
-// fillSite has guests borrow everything that is idle.
-func (b *bench) fillSite() {
+// fillWithGuests lets guests borrow all open capacity.
+func (b *harness) fillWithGuests() {
 	for i := 0; b.s.open.total() > 0; i++ {
 		b.submit(Job{ID: JobID(fmt.Sprint("g", i)), Account: "guest", Accelerators: 4, Adjacency: AdjacentWorker, Repeatable: true, Class: "fill", Submitted: b.now})
 	}
@@ -24,22 +24,22 @@
 	}
 }
 
-// stopAll ends whatever is being stopped and returns all starts.
-func (b *bench) stopAll(actions []Action) []StartGang {
-	starts := of[StartGang](actions)
-	for _, a := range of[StopGang](actions) {
-		starts = append(starts, of[StartGang](b.end(a.Job, Stopped, ""))...)
+// finishStops ends the attempts that are being stopped and returns all starts.
+func (b *harness) finishStops(actions []Action) []StartGang {
+	starts := actionsOf[StartGang](actions)
+	for _, a := range actionsOf[StopGang](actions) {
+		starts = append(starts, actionsOf[StartGang](b.endAttempt(a.Job, Stopped, ""))...)
 	}
 	return starts
 }
 
-func TestAccountUsesItsUnusedBlockAtOnce(t *testing.T) {
-	// An account with an unused guarantee of 16 submits a job to a full site and
-	// waits for minutes: jobs that are not of exactly the guaranteed shape had to
-	// wait for open capacity before they could claim.
+// TestJobUsesUnusedBlockAtOnce verifies that jobs of an account claim its
+// unused block on a full site at once, even if they don't have exactly the
+// shape of the block.
+func TestJobUsesUnusedBlockAtOnce(t *testing.T) {
 	for _, c := range []struct {
-		story string
-		job   Job
+		name string
+		job  Job
 	}{
 		{"smaller, must run once", Job{Accelerators: 4, Adjacency: AdjacentWorker}},
 		{"smaller, repeatable", Job{Accelerators: 4, Adjacency: AdjacentWorker, Repeatable: true}},
@@ -48,24 +48,22 @@
 		{"as large, accepts a wider span, repeatable", Job{Accelerators: 16, Adjacency: AdjacentZone, Repeatable: true}},
 		{"urgent", Job{Accelerators: 2, Adjacency: AdjacentRack, Urgent: true, Repeatable: true}},
 	} {
-		t.Run(c.story, func(t *testing.T) {
-			b := newBench(t, rackAndGuests, eight(3)...)
-			b.fillSite()
+		t.Run(c.name, func(t *testing.T) {
+			b := newHarness(t, rackOwnerAndGuests, eightAcceleratorWorkers(3)...)
+			b.fillWithGuests()
 			b.now = b.now.Add(time.Minute)
 			c.job.ID, c.job.Account, c.job.Submitted = "o", "owner", b.now
-			starts := b.stopAll(b.submit(c.job))
+			starts := b.finishStops(b.submit(c.job))
 			b.Assert(len(starts) > 0 && starts[0].Job == "o", qt.IsTrue)
 		})
 	}
 }
 
-func TestSmallJobLeavesTheBlockToALargerOne(t *testing.T) {
-	// An account submits a small job and, in the same moment, one that needs most
-	// of its block. The small one takes the block, and the large one waits for it
-	// to end, although the site has room for the small one soon. Urgent work goes
-	// first all the same.
+// TestSmallJobYieldsBlockToLargerJob verifies that a small job does not take
+// the block that a larger job of the account needs, unless it is urgent.
+func TestSmallJobYieldsBlockToLargerJob(t *testing.T) {
 	for _, c := range []struct {
-		story  string
+		name   string
 		urgent bool
 		large  int
 		want   JobID
@@ -74,41 +72,41 @@
 		{"the larger one fits only alone", false, 15, "large"},
 		{"the small one is urgent", true, 16, "small"},
 	} {
-		t.Run(c.story, func(t *testing.T) {
-			b := newBench(t, rackAndGuests, eight(2)...)
-			b.fillSite()
+		t.Run(c.name, func(t *testing.T) {
+			b := newHarness(t, rackOwnerAndGuests, eightAcceleratorWorkers(2)...)
+			b.fillWithGuests()
 			small := Job{ID: "small", Account: "owner", Accelerators: 2, Urgent: c.urgent, Repeatable: true, Submitted: b.now}
 			large := Job{ID: "large", Account: "owner", Accelerators: c.large, Adjacency: AdjacentRack, Class: "l", Submitted: b.now}
-			starts := b.stopAll(b.submit(small, large))
+			starts := b.finishStops(b.submit(small, large))
 			b.Assert(starts[0].Job, qt.Equals, c.want)
 		})
 	}
 }
 
-func TestBeyondItsGuaranteeAnAccountWaitsSeconds(t *testing.T) {
-	// An account borrows more than its guarantee, whose block is unused. Each
-	// further small job of it evicts others at once, so that it would hold its
-	// borrowings and its guarantee. It waits for open capacity, but only seconds.
-	b := newBench(t, rackAndGuests, eight(4)...)
+// TestAccountBeyondGuaranteeYieldsBeforeReclaim verifies that an account that
+// already uses more than its guarantee waits for ReclaimAfter before a small
+// job of it evicts others.
+func TestAccountBeyondGuaranteeYieldsBeforeReclaim(t *testing.T) {
+	b := newHarness(t, rackOwnerAndGuests, eightAcceleratorWorkers(4)...)
 	b.submit(Job{ID: "borrowed", Account: "owner", Accelerators: 24, Adjacency: AdjacentZone, Repeatable: true, Submitted: b.now})
-	b.fillSite()
+	b.fillWithGuests()
 	b.Assert(b.submit(Job{ID: "o", Account: "owner", Accelerators: 2, Submitted: b.now}), qt.DeepEquals, []Action{WakeAt{b.now.Add(10 * time.Second)}})
 	b.now = b.now.Add(10 * time.Second)
-	b.Assert(b.stopAll(b.step(Tick{}))[0].Job, qt.Equals, JobID("o"))
+	b.Assert(b.finishStops(b.step(Tick{}))[0].Job, qt.Equals, JobID("o"))
 }
 
-func TestWorkWithinTheGuaranteeIsNotEvicted(t *testing.T) {
-	// An account runs 8 of its guaranteed 16, and is evicted seconds later for a
-	// gang of an account without any guarantee, or for another account's claim:
-	// the job had started as a borrower, beside its own unused block.
-	p := rackAndGuests
+// TestJobWithinGuaranteeIsNotEvicted verifies that a job within the guarantee
+// of its account is evicted neither for a gang without a guarantee nor for
+// another account's claim.
+func TestJobWithinGuaranteeIsNotEvicted(t *testing.T) {
+	p := rackOwnerAndGuests
 	p.Objective = Fragmentation
 	p.Accounts = append(p.Accounts, AccountPolicy{ID: "other", Guaranteed: []Shape{{8, AdjacentWorker, 2}}})
 	for _, size := range []int{8, 16} {
-		b := newBench(t, p, eight(6)...)
+		b := newHarness(t, p, eightAcceleratorWorkers(6)...)
 		b.submit(Job{ID: "o", Account: "owner", Accelerators: size, Adjacency: AdjacentAny, Repeatable: true, Submitted: b.now})
 		b.step(GangStarted{"o", 1})
-		b.fillSite()
+		b.fillWithGuests()
 		claim := Job{Account: "other", Accelerators: 8, Adjacency: AdjacentWorker, Submitted: b.now}
 		gang := Job{ID: "gang", Account: "rival", Accelerators: 32, Adjacency: AdjacentAny, Repeatable: true, Submitted: b.now}
 		one, two := claim, claim
@@ -118,7 +116,7 @@
 			b.now = b.now.Add(time.Second)
 			out = append(out, b.step(Tick{})...)
 		}
-		stops := of[StopGang](out)
+		stops := actionsOf[StopGang](out)
 		b.Assert(len(stops) > 0, qt.IsTrue)
 		for _, a := range stops {
 			b.Assert(a.Job, qt.Not(qt.Equals), JobID("o"))
@@ -126,10 +124,11 @@
 	}
 }
 
-func TestReservationSparesWhatItsAccountIsGuaranteed(t *testing.T) {
-	// After a takeover an account's job runs beside its unused block, as a
-	// borrower. A reservation of an account without guarantees evicts it.
-	b := newBench(t, rackAndGuests, eight(4)...)
+// TestReservationDoesNotPreemptWithinGuarantee verifies that a reservation does
+// not evict a restored job that runs outside its account's unused block but
+// within the guarantee.
+func TestReservationDoesNotPreemptWithinGuarantee(t *testing.T) {
+	b := newHarness(t, rackOwnerAndGuests, eightAcceleratorWorkers(4)...)
 	b.step(JobRestored{Job: Job{ID: "o", Account: "owner", Accelerators: 8, Repeatable: true}, Attempt: 1, Placement: Placement{{"w0", []int{0, 1, 2, 3, 4, 5, 6, 7}}}, Started: b.now})
 	gang := Job{ID: "gang", Account: "rival", Accelerators: 32, Repeatable: true, Submitted: b.now}
 	out := b.submit(gang)
@@ -137,106 +136,105 @@
 		b.now = b.now.Add(time.Second)
 		out = append(out, b.step(Tick{})...)
 	}
-	b.Assert(of[StopGang](out), qt.HasLen, 0)
+	b.Assert(actionsOf[StopGang](out), qt.HasLen, 0)
 }
 
-func TestSheltersGiveWayToBlocksWithoutAPlace(t *testing.T) {
-	// A worker fails and an account's guarantee shows as degraded until some work
-	// ends, although a worker has the room: work that could be evicted stands there
-	// and counted as fixed, and blocks were only tried again when capacity grew.
+// TestProtectedRunYieldsToUnboundBlock verifies that a protected job that may
+// borrow becomes evictable when a block loses its worker and has no other
+// place. The guarantee must not show as degraded.
+func TestProtectedRunYieldsToUnboundBlock(t *testing.T) {
 	p := Policy{Accounts: []AccountPolicy{
 		{ID: "owner", Guaranteed: []Shape{{8, AdjacentWorker, 1}}},
 		{ID: "other", Guaranteed: []Shape{{8, AdjacentWorker, 1}}},
 	}}
-	b := newBench(t, p, eight(3)...)
+	b := newHarness(t, p, eightAcceleratorWorkers(3)...)
 	b.submit(Job{ID: "o", Account: "owner", Accelerators: 4, Adjacency: AdjacentWorker, Repeatable: true})
 	b.Assert(b.s.jobs["o"].run.protected, qt.IsTrue)
 	for _, w := range []WorkerID{"w0", "w1", "w2"} {
-		if w == b.s.nodes[b.s.jobs["o"].run.pieces[0].node].ID {
+		if w == b.s.nodes[b.s.jobs["o"].run.held[0].node].ID {
 			continue
 		}
-		b.Assert(of[GuaranteeDegraded](b.step(WorkerDown{w})), qt.HasLen, 0)
+		b.Assert(actionsOf[GuaranteeDegraded](b.step(WorkerDown{w})), qt.HasLen, 0)
 		break
 	}
 	b.Assert(b.s.jobs["o"].run.protected, qt.IsFalse)
 }
 
-func TestNoBorrowKeepsOffOthersGuarantees(t *testing.T) {
-	// A class with may_borrow = false runs on another account's guaranteed worker
-	// and is evicted when that is claimed: being repeatable was taken for leave to
-	// borrow. It must wait instead, and what it holds must never be claimed.
-	b := newBench(t, twoAccounts, eight(2)...)
+// TestNoBorrowStaysOffOthersGuarantees verifies that a repeatable job that may
+// not borrow waits instead of running on capacity guaranteed to another
+// account, and is not evicted.
+func TestNoBorrowStaysOffOthersGuarantees(t *testing.T) {
+	b := newHarness(t, ownerAndGuest, eightAcceleratorWorkers(2)...)
 	job := Job{Account: "guest", Accelerators: 8, Adjacency: AdjacentWorker, Repeatable: true, NoBorrow: true}
 	first, second := job, job
 	first.ID, second.ID = "first", "second"
-	b.Assert(of[StartGang](b.submit(first, second)), qt.HasLen, 1)
+	b.Assert(actionsOf[StartGang](b.submit(first, second)), qt.HasLen, 1)
 	out := b.submit(Job{ID: "o", Account: "owner", Accelerators: 8, Adjacency: AdjacentWorker})
-	b.Assert(of[StopGang](out), qt.HasLen, 0)
-	b.Assert(of[StartGang](out), qt.HasLen, 1)
+	b.Assert(actionsOf[StopGang](out), qt.HasLen, 0)
+	b.Assert(actionsOf[StartGang](out), qt.HasLen, 1)
 }
 
-func TestBlockIsNotCountedUnderWorkThatLeftIt(t *testing.T) {
-	// A job that must run once spans two blocks of its account. One of its workers
-	// drains, which ends that block. The other block counts as unused although the
-	// job still holds its worker: the operator sees the guarantee whole, and a claim
-	// of it waits for the job to end.
+// TestBlockIsUnboundUnderRunThatLeftIt verifies that if a job that can't be
+// evicted loses one of its blocks, its other block does not count as unused
+// while the job holds its worker.
+func TestBlockIsUnboundUnderRunThatLeftIt(t *testing.T) {
 	p := Policy{Accounts: []AccountPolicy{{ID: "owner", Guaranteed: []Shape{{8, AdjacentWorker, 2}}}}}
-	b := newBench(t, p, eight(2)...)
-	b.Assert(of[StartGang](b.submit(Job{ID: "o", Account: "owner", Accelerators: 16})), qt.HasLen, 1)
+	b := newHarness(t, p, eightAcceleratorWorkers(2)...)
+	b.Assert(actionsOf[StartGang](b.submit(Job{ID: "o", Account: "owner", Accelerators: 16})), qt.HasLen, 1)
 	out := b.step(WorkerDraining{"w0"})
-	b.Assert(of[GuaranteeDegraded](out), qt.DeepEquals, []GuaranteeDegraded{{"owner", Shape{8, AdjacentWorker, 2}, 2}})
+	b.Assert(actionsOf[GuaranteeDegraded](out), qt.DeepEquals, []GuaranteeDegraded{{"owner", Shape{8, AdjacentWorker, 2}, 2}})
 }
 
-func TestJobLargerThanItsBlockUsesIt(t *testing.T) {
-	// An account guaranteed 16 submits 24 that may not borrow to an idle site of 32,
-	// and waits for ever: what its own unused block is bound to counted as needed by
-	// a guarantee.
-	b := newBench(t, rackAndGuests, eight(4)...)
+// TestJobLargerThanItsBlockUsesBlock verifies that a job that may not borrow
+// can use what its own account's unused block is bound to. Otherwise it would
+// wait forever.
+func TestJobLargerThanItsBlockUsesBlock(t *testing.T) {
+	b := newHarness(t, rackOwnerAndGuests, eightAcceleratorWorkers(4)...)
 	out := b.submit(Job{ID: "o", Account: "owner", Accelerators: 24, Repeatable: true, NoBorrow: true})
-	b.Assert(of[StartGang](out), qt.HasLen, 1)
-	b.end("o", Done, "")
+	b.Assert(actionsOf[StartGang](out), qt.HasLen, 1)
+	b.endAttempt("o", Done, "")
 	b.Assert(b.s.unbound, qt.HasLen, 0)
 }
 
-func TestJobThatLostWorkBorrowsNoMore(t *testing.T) {
-	// A large job runs for half an hour on a guest's site, is evicted by a claim and
-	// starts over on capacity that is guaranteed to others, again and again: it lost
-	// 28 runs in a day, and all others waited behind it.
-	b := newBench(t, rackAndGuests, eight(4)...)
+// TestEvictedJobStopsBorrowing verifies that a job that has lost work to a
+// claim does not borrow again while it fits beside all blocks. It would be
+// evicted repeatedly.
+func TestEvictedJobStopsBorrowing(t *testing.T) {
+	b := newHarness(t, rackOwnerAndGuests, eightAcceleratorWorkers(4)...)
 	b.submit(Job{ID: "large", Account: "guest", Accelerators: 16, Repeatable: true, Submitted: b.now})
 	b.submit(Job{ID: "protected", Account: "rival", Accelerators: 8, Adjacency: AdjacentWorker, Submitted: b.now})
 	b.step(GangStarted{"large", 1})
 	claim := Job{ID: "o", Account: "owner", Accelerators: 16, Adjacency: AdjacentRack, Submitted: b.now}
-	b.stopAll(b.submit(claim))
-	b.Assert(of[StartGang](b.end("o", Done, "")), qt.HasLen, 0)
-	b.Assert(of[StartGang](b.end("protected", Done, "")), qt.HasLen, 1)
+	b.finishStops(b.submit(claim))
+	b.Assert(actionsOf[StartGang](b.endAttempt("o", Done, "")), qt.HasLen, 0)
+	b.Assert(actionsOf[StartGang](b.endAttempt("protected", Done, "")), qt.HasLen, 1)
 	b.Assert(b.s.jobs["large"].run.protected, qt.IsTrue)
 }
 
-func TestJobThatLostWorkBorrowsAgainOnASmallerSite(t *testing.T) {
-	// A large job has lost work to a claim and waits for a place that no block needs.
-	// Then a worker fails for good, and there is no such place any more. The guarantee
-	// that evicted it stays unused, and the job would wait beside it for ever.
-	b := newBench(t, rackAndGuests, eight(4)...)
+// TestJobResumesBorrowingOnSmallerSite verifies that a job that stopped
+// borrowing after an eviction borrows again when a worker is lost and it no
+// longer fits beside all blocks. Otherwise it would wait forever.
+func TestJobResumesBorrowingOnSmallerSite(t *testing.T) {
+	b := newHarness(t, rackOwnerAndGuests, eightAcceleratorWorkers(4)...)
 	b.submit(Job{ID: "large", Account: "guest", Accelerators: 16, Repeatable: true, Submitted: b.now})
 	b.submit(Job{ID: "protected", Account: "rival", Accelerators: 8, Adjacency: AdjacentWorker, Submitted: b.now})
 	b.step(GangStarted{"large", 1})
-	b.stopAll(b.submit(Job{ID: "o", Account: "owner", Accelerators: 16, Adjacency: AdjacentRack, Submitted: b.now}))
+	b.finishStops(b.submit(Job{ID: "o", Account: "owner", Accelerators: 16, Adjacency: AdjacentRack, Submitted: b.now}))
 	b.Assert(b.s.jobs["large"].borrowingEnded, qt.IsTrue)
-	b.end("o", Done, "")
-	b.step(WorkerDown{b.s.nodes[b.s.jobs["protected"].run.pieces[0].node].ID})
-	starts := of[StartGang](b.end("protected", Lost, ""))
+	b.endAttempt("o", Done, "")
+	b.step(WorkerDown{b.s.nodes[b.s.jobs["protected"].run.held[0].node].ID})
+	starts := actionsOf[StartGang](b.endAttempt("protected", Lost, ""))
 	b.Assert(b.s.jobs["large"].borrowingEnded, qt.IsFalse)
 	b.Assert(b.s.jobs["large"].run != nil, qt.IsTrue, qt.Commentf("%+v", starts))
 }
 
-func TestShelterStaysWhileOthersFillTheirBlocks(t *testing.T) {
-	// A job within its account's guarantee is evicted by a claim of another account,
-	// since a third one runs a job larger than its blocks on what they were bound to.
-	// These blocks counted as owed, and all protected work gave way to them.
-	p := rackAndGuests
+// TestProtectedRunStaysWhileOthersUseTheirBlocks verifies that protected jobs
+// stay protected when another account's block is unbound because of a larger
+// job of that account.
+func TestProtectedRunStaysWhileOthersUseTheirBlocks(t *testing.T) {
+	p := rackOwnerAndGuests
 	p.Accounts = append(p.Accounts, AccountPolicy{ID: "small", Guaranteed: []Shape{{2, AdjacentWorker, 1}}})
-	b := newBench(t, p, eight(4)...)
+	b := newHarness(t, p, eightAcceleratorWorkers(4)...)
 	b.submit(Job{ID: "s", Account: "small", Accelerators: 1, Repeatable: true, Submitted: b.now})
 	b.submit(Job{ID: "o", Account: "owner", Accelerators: 24, Submitted: b.now})
 	b.Assert(b.s.unbound, qt.HasLen, 1)
@@ -244,27 +242,26 @@
 	b.Assert(b.s.jobs["s"].run.protected, qt.IsTrue)
 }
 
-func TestJobLargerThanItsBlockGivesItToOthers(t *testing.T) {
-	// An account guaranteed 16 submits 24 that must run once, and a rack is idle. It
-	// waits for ever: another account's block is bound there and finds no other
-	// place, since the account's own unused block takes the rest of the site.
-	p := rackAndGuests
+// TestOversizedJobRebindsItsBlockForOthers verifies that the unused block of an
+// account makes room for a block of another account that is in the way of a job
+// larger than the account's own block.
+func TestOversizedJobRebindsItsBlockForOthers(t *testing.T) {
+	p := rackOwnerAndGuests
 	p.Accounts = append(p.Accounts, AccountPolicy{ID: "other", Guaranteed: []Shape{{8, AdjacentWorker, 2}}})
-	b := newBench(t, p, eight(6)...)
+	b := newHarness(t, p, eightAcceleratorWorkers(6)...)
 	b.step(JobRestored{Job: Job{ID: "r", Account: "rival", Accelerators: 8}, Attempt: 1, Placement: Placement{{"w5", []int{0, 1, 2, 3, 4, 5, 6, 7}}}, Started: b.now})
 	b.Assert(b.s.nodeByID["w3"].bound+b.s.nodeByID["w4"].bound, qt.Equals, 16)
-	b.Assert(of[StartGang](b.submit(Job{ID: "o", Account: "owner", Accelerators: 24, Adjacency: AdjacentRack})), qt.HasLen, 1)
+	b.Assert(actionsOf[StartGang](b.submit(Job{ID: "o", Account: "owner", Accelerators: 24, Adjacency: AdjacentRack})), qt.HasLen, 1)
 }
 
-func TestBlocksAdjoinForALargerJob(t *testing.T) {
-	// An account guaranteed two workers submits a job for both, within a rack. It
-	// waits for hours beside its own unused blocks, which lie in different racks or
-	// under guests: only a job that may be spread used several of them.
+// TestUnusedBlocksMoveTogetherForLargerJob verifies that unused blocks of an
+// account are bound in one rack for a job that needs several of them together.
+func TestUnusedBlocksMoveTogetherForLargerJob(t *testing.T) {
 	p := Policy{Accounts: []AccountPolicy{{ID: "owner", Guaranteed: []Shape{{8, AdjacentWorker, 2}}}, {ID: "guest"}}}
-	b := newBench(t, p, eight(6)...)
-	b.fillSite()
+	b := newHarness(t, p, eightAcceleratorWorkers(6)...)
+	b.fillWithGuests()
 	b.now = b.now.Add(10 * time.Second)
-	starts := b.stopAll(b.submit(Job{ID: "o", Account: "owner", Accelerators: 16, Adjacency: AdjacentRack, Submitted: b.now}))
+	starts := b.finishStops(b.submit(Job{ID: "o", Account: "owner", Accelerators: 16, Adjacency: AdjacentRack, Submitted: b.now}))
 	b.Assert(len(starts) > 0 && starts[0].Job == "o", qt.IsTrue)
-	b.Assert(b.s.jobs["o"].run.shares, qt.HasLen, 2)
+	b.Assert(b.s.jobs["o"].run.blockUses, qt.HasLen, 2)
 }
--- a/scheduler/job_state.go
+++ b/scheduler/job_state.go
@@ -2,58 +2,57 @@
 
 import "time"
 
-// job is a Job that has not ended.
+// job is the state of a job that has not ended.
 type job struct {
 	Job
 	account        *account
-	queue          *queue // nil unless it waits there
-	run            *run   // nil unless an attempt exists
-	claim          *claim // nil unless capacity is set aside for it
-	last           Attempt
-	failed         []nodeID // different workers it failed on
+	queue          *queue   // nil unless the job waits in a queue
+	run            *run     // nil unless an attempt exists
+	claim          *claim   // nil unless capacity is set aside for the job
+	lastAttempt    Attempt  // highest attempt number used
+	failedNodes    []nodeID // different workers on which the job failed, at most maxFailedNodes
 	failures       int
-	losses         int // attempts in a row that went with a worker soon after their start
+	earlyLosses    int // attempts in a row that were lost with a worker soon after their start
 	evictions      int
-	borrowingEnded bool // borrows no more, since it lost work to a claim
-	notBefore      time.Time
-	planAfter      time.Time // no reservation before
-	delayed        int       // index in the heap of delayed jobs, or -1
+	borrowingEnded bool      // the job lost work to a claim and may not borrow now
+	notBefore      time.Time // end of the delay before the job is queued again
+	noPlanBefore   time.Time // earliest time of a reservation
+	delayIndex     int       // index in the heap of delayed jobs, or -1
 	cancelled      bool
-	cpuOn          *node  // set aside for it, if it needs no accelerators
+	cpuNode        *node  // worker reserved for a job without accelerators
 	seq            uint64 // order of submission
-	prev           *job   // neighbours in the queue
+	prev           *job   // adjacent jobs in the queue
 	next           *job
 }
 
-// run is an attempt of a job.
+// run is one attempt of a job.
 type run struct {
-	job        *job
-	attempt    Attempt
-	pieces     []held
-	shares     []share // the parts of guaranteed blocks it uses
-	protected  bool
-	state      runState
-	started    time.Time
-	checkpoint time.Time
-	stop       StopReason
-	under      *claim // reservation that the run makes way for at once, if any
+	job            *job
+	attempt        Attempt
+	held           []heldAllocation
+	blockUses      []blockUse // parts of blocks that the attempt uses, or empty outside blocks
+	protected      bool       // may not be evicted
+	state          runState
+	started        time.Time
+	lastCheckpoint time.Time
+	stopReason     StopReason
+	backfilled     *claim // reservation whose capacity the attempt uses until the rest is free, or nil
 }
 
-// held is the accelerators that an attempt holds on one worker. Jobs whose need
-// of cores or memory exceeds the share of an accelerator hold more of them than
-// they are granted.
-type held struct {
+// heldAllocation is the accelerators that an attempt holds on one worker. A job
+// whose footprint is above 1 holds more of them than it is granted.
+type heldAllocation struct {
 	node    nodeID
-	n       int
-	mask    uint64
-	granted int
+	count   int
+	mask    uint64 // bit per accelerator held
+	granted int    // accelerators granted to the job
 }
 
-// share is the use of a piece of a guaranteed block.
-type share struct {
+// blockUse is the use of one part of a guaranteed block.
+type blockUse struct {
 	block *block
-	part  int
-	n     int
+	part  int // index in block.parts
+	count int
 }
 
 type runState uint8
--- a/scheduler/move_block.go
+++ b/scheduler/move_block.go
@@ -1,47 +1,48 @@
 package scheduler
 
-// moveBlock binds an unused block to the place where a job evicts least: where
-// it is, where all is idle, or the tightest places that have slack.
-func (s *Scheduler) moveBlock(b *block, k *queueKey) {
-	here := b.pieces()
-	cost := s.placeCost(here, k.accelerators)
+// moveToCheapestPlace binds an unused block to the place where a claim by a job
+// costs least: its present one, one of other unused blocks, or one with enough
+// bindable capacity.
+func (s *Scheduler) moveToCheapestPlace(b *block, k *queueKey) {
+	current := b.allocations()
+	cost := s.placeCost(current, k.accelerators)
 	if cost == 0 {
 		return
 	}
-	if cost = s.displace(b, k, cost); cost == 0 {
+	if cost = s.moveBlockDisplacing(b, k, cost); cost == 0 {
 		return
 	}
-	here = b.pieces()
-	before := s.grown
+	current = b.allocations()
+	before := s.capacityGen
 	s.detach(b)
-	best := here
-	for _, at := range s.blockPlaces(b.shape) {
-		if c := s.placeCost(at, k.accelerators); c < cost {
-			best, cost = at, c
+	best := current
+	for _, place := range s.blockPlaces(b.shape) {
+		if c := s.placeCost(place, k.accelerators); c < cost {
+			best, cost = place, c
 		}
 	}
 	s.attach(b, best)
-	s.grown = max(before, s.grown-1)
+	s.capacityGen = max(before, s.capacityGen-1)
 }
 
-// blockPlaces lists places that have the slack for a shape.
-func (s *Scheduler) blockPlaces(shape Shape) [][]piece {
+// blockPlaces lists places with enough bindable capacity for a shape.
+func (s *Scheduler) blockPlaces(shape Shape) [][]allocation {
 	need := shape.Accelerators
-	var out [][]piece
-	add := func(at []piece) {
-		if at != nil {
-			out = append(out, at)
+	var out [][]allocation
+	add := func(place []allocation) {
+		if place != nil {
+			out = append(out, place)
 		}
 	}
-	add(s.steady.place(need, shape.Adjacency, s.nodes))
-	if len(out) > 0 && s.evictionCost(out[0], need) == 0 {
+	add(s.unguaranteed.findPlace(need, shape.Adjacency, s.nodes))
+	if len(out) > 0 && s.placeEvictionCost(out[0], need) == 0 {
 		return out
 	}
-	add(s.slack.place(need, shape.Adjacency, s.nodes))
-	for _, at := range s.slack.each(need, shape.Adjacency, maxPlaces) {
-		add(at)
-		if len(at) > 1 {
-			add(s.cheapestIn(at[0].node, shape))
+	add(s.bindable.findPlace(need, shape.Adjacency, s.nodes))
+	for _, place := range s.bindable.listPlaces(need, shape.Adjacency, maxComparedPlaces) {
+		add(place)
+		if len(place) > 1 {
+			add(s.cheapestPlaceAround(place[0].node, shape))
 		}
 	}
 	return out
--- a/scheduler/claim_test.go
+++ b/scheduler/reclaim_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// borrowed returns a scheduler whose site is full of borrowers of one account
-// without guarantees, started one after the other, some with checkpoints.
-func borrowed(site site, seed uint64) (*Scheduler, time.Time) {
+// siteFullOfBorrowers returns a scheduler whose site is full of evictable jobs
+// of an account without guarantees. They started one after another, some with
+// checkpoints.
+func siteFullOfBorrowers(site site, seed uint64) (*Scheduler, time.Time) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	now := time.Unix(1e9, 0)
 	s := New(Options{Start: now})
@@ -35,16 +36,16 @@
 	return s, now.Add(time.Minute)
 }
 
-// youngest is what evicting the youngest borrowers until every guaranteed shape
-// fits as a block would lose, and whether the shapes would have fitted when as
-// many accelerators were free in sum.
-func youngest(s *Scheduler, accounts []AccountPolicy) (lost float64, sumsHonoured int) {
+// evictYoungest returns the work that would be lost by evicting the youngest
+// borrowers until every guaranteed shape fits as a block, and for how many
+// shapes evicting only until the sum is free would have sufficed.
+func evictYoungest(s *Scheduler, accounts []AccountPolicy) (lost float64, sumsHonoured int) {
 	free := index{}
-	free.whole = &free
+	free.installed = &free
 	for range s.open.zones {
 		free.addZone()
 	}
-	for _, z := range s.open.rackOf {
+	for _, z := range s.open.zoneOfRack {
 		free.addRack(z)
 	}
 	for _, n := range s.nodes {
@@ -61,9 +62,9 @@
 	for _, a := range accounts {
 		for _, g := range a.Guaranteed {
 			for range g.Count {
-				at := free.place(g.Accelerators, g.Adjacency, s.nodes)
-				bySum := at != nil
-				for at == nil && len(runs) > 0 {
+				place := free.findPlace(g.Accelerators, g.Adjacency, s.nodes)
+				bySum := place != nil
+				for place == nil && len(runs) > 0 {
 					if free.total() >= g.Accelerators {
 						bySum = false
 					}
@@ -72,17 +73,17 @@
 					if !r.job.Checkpointable {
 						lost += s.lostWork(r)
 					}
-					for _, h := range r.pieces {
-						free.set(s.nodes[h.node], int(free.val[h.node])+h.n)
+					for _, h := range r.held {
+						free.set(s.nodes[h.node], int(free.values[h.node])+h.count)
 					}
-					at = free.place(g.Accelerators, g.Adjacency, s.nodes)
-					bySum = bySum || at != nil && free.total()-r.size() < g.Accelerators
+					place = free.findPlace(g.Accelerators, g.Adjacency, s.nodes)
+					bySum = bySum || place != nil && free.total()-r.size() < g.Accelerators
 				}
 				if bySum {
 					sumsHonoured++
 				}
-				for _, p := range at {
-					free.set(s.nodes[p.node], int(free.val[p.node])-p.n)
+				for _, p := range place {
+					free.set(s.nodes[p.node], int(free.values[p.node])-p.count)
 				}
 			}
 		}
@@ -90,10 +91,10 @@
 	return lost, sumsHonoured
 }
 
-// claimEverything claims every guaranteed shape at once and stops what is asked
-// to stop. It returns how many claims there were, how many started, and the work
-// that was lost.
-func claimEverything(s *Scheduler, now time.Time, accounts []AccountPolicy) (claims, started int, lost float64) {
+// claimAllShapes claims every guaranteed shape at once and ends the attempts
+// that are asked to stop. It returns the number of claims, how many of them
+// started, and the work lost.
+func claimAllShapes(s *Scheduler, now time.Time, accounts []AccountPolicy) (claims, started int, lost float64) {
 	var jobs []Job
 	for _, a := range accounts {
 		for _, g := range a.Guaranteed {
@@ -102,10 +103,10 @@
 			}
 		}
 	}
-	todo := s.Step(now, JobsSubmitted{jobs})
-	for len(todo) > 0 {
+	actions := s.Step(now, JobsSubmitted{jobs})
+	for len(actions) > 0 {
 		var evs []Event
-		for _, a := range todo {
+		for _, a := range actions {
 			switch a := a.(type) {
 			case StopGang:
 				r := s.jobs[a.Job].run
@@ -122,43 +123,46 @@
 		if len(evs) == 0 {
 			break
 		}
-		todo = s.Step(now, Batch{evs})
+		actions = s.Step(now, Batch{evs})
 	}
 	return len(jobs), started, lost
 }
 
+// BenchmarkReclaim compares the work lost to claims with evicting the youngest
+// borrowers.
 func BenchmarkReclaim(b *testing.B) {
-	for _, site := range []site{tidewater(), hundreds()} {
-		b.Run(site.name+"/all", func(b *testing.B) { reclaim(b, site, site.accounts) })
+	for _, site := range []site{tidewater(), mediumSite()} {
+		b.Run(site.name+"/all", func(b *testing.B) { benchmarkReclaim(b, site, site.accounts) })
 		b.Run(site.name+"/one", func(b *testing.B) {
 			one := site.accounts[0]
 			one.Guaranteed = []Shape{{8, AdjacentWorker, 1}}
-			reclaim(b, site, []AccountPolicy{one})
+			benchmarkReclaim(b, site, []AccountPolicy{one})
 		})
 	}
 }
 
-// reclaim has accounts claim their shapes at once, on 20 sites full of borrowers.
-func reclaim(b *testing.B, site site, accounts []AccountPolicy) {
-	var claims, started, sums int
-	var ours, theirs float64
+// benchmarkReclaim lets accounts claim all their shapes at once on 20 sites
+// full of borrowers.
+func benchmarkReclaim(b *testing.B, site site, accounts []AccountPolicy) {
+	var claims, started, sumsHonoured int
+	var lostByScheduler, lostByYoungest float64
 	for seed := range uint64(20) {
-		s, now := borrowed(site, seed)
+		s, now := siteFullOfBorrowers(site, seed)
 		s.Step(now, Tick{})
-		lost, honoured := youngest(s, accounts)
-		theirs += lost
-		sums += honoured
-		n, ok, mine := claimEverything(s, now, accounts)
-		claims, started, ours = claims+n, started+ok, ours+mine
-	}
-	b.Logf("%d claims: honoured %d, by sums alone %d; work lost %.0f, evicting the youngest %.0f accelerator seconds", claims, started, sums, ours, theirs)
-	b.ReportMetric(ours/theirs, "lost/youngest")
+		lost, honoured := evictYoungest(s, accounts)
+		lostByYoungest += lost
+		sumsHonoured += honoured
+		n, ok, mine := claimAllShapes(s, now, accounts)
+		claims, started, lostByScheduler = claims+n, started+ok, lostByScheduler+mine
+	}
+	b.Logf("%d claims: honoured %d, by sums alone %d; work lost %.0f, evicting the youngest %.0f accelerator seconds", claims, started, sumsHonoured, lostByScheduler, lostByYoungest)
+	b.ReportMetric(lostByScheduler/lostByYoungest, "lost/youngest")
 	b.ReportMetric(float64(started)/float64(claims), "honoured")
 }
 
-// hundreds is a site of 500 workers with a third of its capacity guaranteed.
-func hundreds() site {
-	s := twoYears()
+// mediumSite has 500 workers, a third of whose capacity is guaranteed.
+func mediumSite() site {
+	s := largeSite()
 	s.name = "500 workers"
 	s.workers = nil
 	for i := range 500 {
@@ -171,11 +175,11 @@
 	return s
 }
 
-// BenchmarkPlace256 compares a search through the indexes with a scan of all
-// workers, for a gang of 256 on a busy site of growing size.
-func BenchmarkPlace256(b *testing.B) {
+// BenchmarkPlaceLargeGang compares a search through the indexes with a scan of
+// all workers, for a gang of 256 on busy sites of growing size.
+func BenchmarkPlaceLargeGang(b *testing.B) {
 	for _, workers := range []int{2_125, 4_250, 8_500, 17_000} {
-		site := twoYears()
+		site := largeSite()
 		site.workers = site.workers[:workers]
 		rng := rand.New(rand.NewPCG(1, 1))
 		s := New(Options{})
@@ -186,20 +190,20 @@
 			busy := rng.IntN(w.Accelerators + 1)
 			n := s.nodes[i]
 			n.held, n.evictable = busy, busy
-			s.refresh(n)
+			s.refreshIndexes(n)
 			base.busy[i] = busy
 		}
 		for _, span := range []Adjacency{AdjacentZone, AdjacentAny} {
 			b.Run(fmt.Sprintf("index/%s/%d", span, workers), func(b *testing.B) {
 				for b.Loop() {
-					if s.open.place(256, span, s.nodes) == nil {
+					if s.open.findPlace(256, span, s.nodes) == nil {
 						b.Fatal("no place")
 					}
 				}
 			})
 			b.Run(fmt.Sprintf("scan/%s/%d", span, workers), func(b *testing.B) {
 				for b.Loop() {
-					if base.scanAll(256, span) == nil {
+					if base.bestFit(256, span) == nil {
 						b.Fatal("no place")
 					}
 				}
@@ -208,18 +212,17 @@
 	}
 }
 
-// scanAll is the scan with the best fit that the indexes also find: it looks at
-// every worker before it takes any.
-func (b *baseline) scanAll(need int, span Adjacency) []piece {
+// bestFit finds the best fit, as the indexes do, by a scan of all workers.
+func (b *baseline) bestFit(need int, span Adjacency) []allocation {
 	var sums [8]int
-	at := func(w *Worker) int {
+	unitIndex := func(w *Worker) int {
 		if span == AdjacentAny {
 			return 0
 		}
 		return int(w.Zone[1] - '0')
 	}
 	for i := range b.workers {
-		sums[at(&b.workers[i])] += b.workers[i].Accelerators - b.busy[i]
+		sums[unitIndex(&b.workers[i])] += b.workers[i].Accelerators - b.busy[i]
 	}
 	best := -1
 	for i, sum := range sums {
@@ -232,16 +235,16 @@
 	}
 	var byFree [MaxWorkerAccelerators + 1][]int
 	for i := range b.workers {
-		if at(&b.workers[i]) == best {
+		if unitIndex(&b.workers[i]) == best {
 			free := b.workers[i].Accelerators - b.busy[i]
 			byFree[free] = append(byFree[free], i)
 		}
 	}
-	var out []piece
+	var out []allocation
 	for free := MaxWorkerAccelerators; free > 0 && need > 0; free-- {
 		for _, i := range byFree[free] {
 			k := min(need, free)
-			out = append(out, piece{nodeID(i), k})
+			out = append(out, allocation{nodeID(i), k})
 			if need -= k; need == 0 {
 				break
 			}
--- a/scheduler/reserve.go
+++ b/scheduler/reserve.go
@@ -6,26 +6,29 @@
 )
 
 const (
-	// backfillQuantile is how sure a backfilled job must be to end in time.
+	// backfillQuantile is the quantile of a job's predicted run time that must
+	// end before the reservation that the job backfills is ready.
 	backfillQuantile = 0.9
-	// endQuantile is the quantile of learned run times at which running work is
+	// endQuantile is the quantile of run times at which running work is
 	// expected to end.
 	endQuantile = 0.7
-	// replanAfter is how often a reservation looks for an earlier place.
-	replanAfter = 10 * time.Second
-	// planCost paces planning at large sizes: after a plan that looked at n ends
-	// of work, the next one waits n times this long.
-	planCost = 20 * time.Microsecond
-	// moveGain is the percentage of its remaining wait below which the wait at
-	// another place must lie for a reservation to move: one that moves often
-	// drains one place after the other.
-	moveGain = 50
-	// planEvery is the shortest time between two plans.
-	planEvery = 100 * time.Millisecond
+	// replanInterval is how often an earlier place is sought for a reservation,
+	// or for a job that got none.
+	replanInterval = 10 * time.Second
+	// planCostPerRelease paces planning on large topologies: the next plan
+	// waits this long for each release that the last one looked at.
+	planCostPerRelease = 20 * time.Microsecond
+	// moveWaitPercent is the percentage of its remaining wait that the wait at
+	// another place must not exceed for a reservation to move. Frequent moves
+	// would drain one place after another.
+	moveWaitPercent = 50
+	// minPlanInterval is the shortest time between two plans.
+	minPlanInterval = 100 * time.Millisecond
 )
 
-// reserve gives jobs that have waited longest a reservation, so that smaller
-// jobs don't pass them for ever.
+// reserve gives reservations to the jobs that have waited longest, so that
+// smaller jobs don't starve them. It first updates existing reservations and
+// stops backfilled work that is in their way.
 func (s *Scheduler) reserve() {
 	have, reserved := 0, 0
 	for _, c := range s.claims {
@@ -37,20 +40,20 @@
 	s.replan()
 	for _, c := range s.claims {
 		if !c.guaranteed() {
-			s.recall(c)
+			s.stopBackfilled(c)
 		}
 	}
-	s.wantPlan = false
-	if have >= s.policy.MaxReservations || have > 0 && reserved*100 >= s.size.total()*s.policy.ReservedSharePercent {
+	s.planPending = false
+	if have >= s.policy.MaxReservations || have > 0 && reserved*100 >= s.installed.total()*s.policy.ReservedSharePercent {
 		return
 	}
-	for _, j := range s.stuck(s.policy.MaxReservations - have) {
-		if s.now.Before(s.planAt) {
-			s.wantPlan = true
+	for _, j := range s.reservationCandidates(s.policy.MaxReservations - have) {
+		if s.now.Before(s.nextPlanAt) {
+			s.planPending = true
 			return
 		}
 		reserved += j.Accelerators
-		if have > 0 && reserved*100 > s.size.total()*s.policy.ReservedSharePercent {
+		if have > 0 && reserved*100 > s.installed.total()*s.policy.ReservedSharePercent {
 			return
 		}
 		s.reserveFor(j)
@@ -58,13 +61,14 @@
 	}
 }
 
-// stuck lists the first jobs of queues that found no place, oldest first.
-func (s *Scheduler) stuck(limit int) []*job {
+// reservationCandidates lists up to limit first jobs of queues that may get a
+// reservation, urgent ones first and then the oldest.
+func (s *Scheduler) reservationCandidates(limit int) []*job {
 	var out []*job
 	for _, a := range s.accountList {
-		for _, q := range a.order {
-			j := s.claimHead(q)
-			if j == nil || j.claim != nil || j.cpuOn != nil || !s.mayReserve(j) {
+		for _, q := range a.queueList {
+			j := s.firstUnclaimed(q)
+			if j == nil || j.claim != nil || j.cpuNode != nil || !s.mayReserve(j) {
 				continue
 			}
 			out = append(out, j)
@@ -85,9 +89,9 @@
 }
 
 // mayReserve reports whether a job has waited long enough for a reservation and
-// has not just failed to get one.
+// has not failed to get one recently.
 func (s *Scheduler) mayReserve(j *job) bool {
-	return s.now.Sub(j.Submitted) >= s.policy.ReserveAfter && !s.now.Before(j.planAfter)
+	return s.now.Sub(j.Submitted) >= s.policy.ReserveAfter && !s.now.Before(j.noPlanBefore)
 }
 
 func (s *Scheduler) reserveFor(j *job) {
@@ -95,85 +99,88 @@
 		s.reserveCPU(j)
 		return
 	}
-	at, ready := s.plan(j)
-	if at == nil {
-		j.planAfter = s.now.Add(replanAfter)
+	place, ready := s.planReservation(j)
+	if place == nil {
+		j.noPlanBefore = s.now.Add(replanInterval)
 		return
 	}
-	c := &claim{job: j, pieces: at, ready: ready}
+	c := &claim{job: j, allocations: place, readyAt: ready}
 	s.addClaim(c)
-	if !j.borrows() {
-		s.moveAway(at)
+	if !j.mayBorrow() {
+		s.tryMoveBlocksFrom(place)
 	}
-	s.expect(c)
+	s.updateReadyAt(c)
 	s.preempt(c)
 }
 
-// replan moves reservations whose time has passed, or that a better place has
-// turned up for.
+// replan reconsiders the places of reservations that are late or were last
+// considered a replanInterval ago.
 func (s *Scheduler) replan() {
 	for _, c := range slices.Clone(s.claims) {
-		if c.guaranteed() || s.now.Before(s.planAt) {
+		if c.guaranteed() || s.now.Before(s.nextPlanAt) {
 			continue
 		}
-		late := s.now.After(c.ready) && s.now.Sub(c.made) >= time.Second
-		if !late && s.now.Sub(c.made) < replanAfter {
+		late := s.now.After(c.readyAt) && s.now.Sub(c.plannedAt) >= time.Second
+		if !late && s.now.Sub(c.plannedAt) < replanInterval {
 			continue
 		}
 		s.moveReservation(c)
 	}
 }
 
+// moveReservation moves a reservation to a place that is ready much sooner, if
+// there is one, and preempts for it if worthwhile.
 func (s *Scheduler) moveReservation(c *claim) {
-	before := s.grown
+	before := s.capacityGen
 	s.countClaim(c, -1)
-	old := c.pieces
-	s.expect(c)
-	stay := c.ready
-	if at, _ := s.plan(c.job); at != nil {
-		c.pieces = at
-		s.expect(c)
+	old := c.allocations
+	s.updateReadyAt(c)
+	stayReadyAt := c.readyAt
+	if place, _ := s.planReservation(c.job); place != nil {
+		c.allocations = place
+		s.updateReadyAt(c)
 	}
-	if c.ready.Sub(s.now) > stay.Sub(s.now)*moveGain/100 {
-		c.pieces, c.ready = old, stay
+	if c.readyAt.Sub(s.now) > stayReadyAt.Sub(s.now)*moveWaitPercent/100 {
+		c.allocations, c.readyAt = old, stayReadyAt
 	}
-	c.made = s.now
+	c.plannedAt = s.now
 	s.countClaim(c, 1)
-	s.grown = before + 1
+	s.capacityGen = before + 1
 	s.preempt(c)
 }
 
-// expect sets when a reservation is likely to be complete without evictions.
-func (s *Scheduler) expect(c *claim) {
-	c.ready = s.now
-	for _, p := range c.pieces {
-		if t := s.readyAt(s.nodes[p.node], p.n); t.After(c.ready) {
-			c.ready = t
+// updateReadyAt sets when a reservation is expected to be complete without
+// evictions.
+func (s *Scheduler) updateReadyAt(c *claim) {
+	c.readyAt = s.now
+	for _, p := range c.allocations {
+		if t := s.nodeReadyAt(s.nodes[p.node], p.count); t.After(c.readyAt) {
+			c.readyAt = t
 		}
 	}
 }
 
-// readyAt is when a node is likely to have need accelerators without work.
-func (s *Scheduler) readyAt(n *node, need int) time.Time {
-	have := n.capacity() - n.held + n.leave - n.claim
-	var ends []ending
+// nodeReadyAt returns when a node is expected to have need free accelerators.
+func (s *Scheduler) nodeReadyAt(n *node, need int) time.Time {
+	have := n.capacity() - n.held + n.stopping - n.claimed
+	var ends []expectedRelease
 	for _, r := range n.runs {
-		if k := r.on(n.id); k > 0 && (r.protected || r.state != runStopping) {
-			end := s.endOf(r)
-			if r.under != nil && r.under.on(n.id) {
+		if k := r.acceleratorsOn(n.id); k > 0 && (r.protected || r.state != runStopping) {
+			end := s.expectedEnd(r)
+			if r.backfilled != nil && r.backfilled.includesNode(n.id) {
 				end = s.now
 			}
-			ends = append(ends, ending{end, n.id, k})
+			ends = append(ends, expectedRelease{end, n.id, k})
 		}
 	}
-	slices.SortStableFunc(ends, func(a, b ending) int { return a.at.Compare(b.at) })
-	at := s.now
+	slices.SortStableFunc(ends, func(a, b expectedRelease) int { return a.at.Compare(b.at) })
+	readyAt := s.now
 	for _, e := range ends {
 		if have >= need {
 			break
 		}
-		have += e.n
-		at = e.at
+		have += e.count
+		readyAt = e.at
 	}
-	return at
+	return readyAt
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -6,89 +6,92 @@
 type Options struct {
 	// Start is the time of the first decision.
 	Start time.Time
-	// SettlingPeriod is how long after Start jobs are not yet rejected for being
-	// larger than the topology, since workers are still announcing themselves.
+	// SettlingPeriod is the time after Start during which no job is rejected
+	// for being larger than the topology, since workers are still registering.
 	SettlingPeriod time.Duration
 }
 
 // Scheduler is the state of one scheduling domain. A single goroutine owns it.
 type Scheduler struct {
-	now     time.Time
-	settled time.Time
-	// hasSettled is set by the first decision at or after settled.
-	hasSettled bool
-	policy     Policy
-	actions    []Action
+	now          time.Time
+	settlingEnds time.Time
+	// settlingDone is set by the first decision at or after settlingEnds.
+	settlingDone bool
+	policy       Policy
+	actions      []Action
 
-	nodes    []*node
-	nodeByID map[WorkerID]*node
-	zoneByID map[string]int32
-	rackByID map[rackKey]int32
-	gone     []*node // down workers, whose records may be used again
-	cores    int     // cores that jobs without accelerators may use
+	nodes       []*node
+	nodeByID    map[WorkerID]*node
+	zoneByID    map[string]int32
+	rackByID    map[rackKey]int32
+	downNodes   []*node // down workers, oldest first, whose records may be reused
+	cpuJobCores int     // total cores that jobs without accelerators may use
 
-	size             index // accelerators of every known worker, healthy or not
-	open             index // what an evictable job may take
-	steady           index // what a job that may not be evicted may take
-	slack            index // what guaranteed blocks may be bound to
-	cpu              cpuIndex
-	grown            uint64 // changes when any capacity grows
-	grownCPU         uint64 // the same for jobs without accelerators
-	shape            uint64 // changes when the topology grows
-	minCores, minMem int    // least share of an accelerator over all workers
+	// Indexes of workers by accelerators.
+	installed    index // accelerators of every known worker, healthy or not
+	open         index // open capacity, for evictable jobs
+	unguaranteed index // open capacity to which no unused block is bound
+	bindable     index // capacity to which blocks may be bound
+	cpu          cpuIndex
+	// Generations: each changes when the state that it covers does, so that
+	// searches that failed are not repeated on the same state.
+	capacityGen                                  uint64 // changes when the capacity of any worker grows
+	cpuCapacityGen                               uint64 // the same for jobs without accelerators
+	topologyGen                                  uint64 // changes when workers are added or the policy changes
+	minCoresPerAccelerator, minMemPerAccelerator int    // smallest share of one accelerator on any worker
 
-	accounts    map[AccountID]*account
-	accountList []*account
-	jobs        map[JobID]*job
-	seq         uint64
-	delayed     delayHeap
-	claims      []*claim
-	unbound     []*block // guaranteed blocks without a place
-	degraded    map[degradedKey]int
-	beside      map[need]bool // shapes that fit beside all blocks
-	besideAt    uint64        // shape and shrunk when these were found
-	shrunk      uint64        // changes when the topology shrinks or blocks need more
-	borrowingAt uint64        // shrunk when retreats were last looked at
-	packed      uint64        // grown when the last repacking failed
-	stopping    int           // evictions in progress
-	quarantined []*node
-	heads       []*queue  // scratch
-	planAt      time.Time // no plan for a reservation before
-	wantPlan    bool      // a job waits for such a plan
-	learned     learner
-	sweep       bool
-	woken       time.Time // last WakeAt
-	starts      uint64
-	steps       uint64
+	accounts            map[AccountID]*account
+	accountList         []*account
+	jobs                map[JobID]*job
+	seq                 uint64
+	delayed             delayHeap
+	claims              []*claim
+	unbound             []*block // guaranteed blocks that no worker can hold now
+	degraded            map[shapeKey]int
+	fitsBeside          map[demand]bool // whether a shape fits on idle workers together with all blocks
+	fitsBesideGen       uint64          // topologyGen+shrinkGen for which fitsBeside holds
+	shrinkGen           uint64          // changes when the topology shrinks or the policy changes
+	borrowingGen        uint64          // shrinkGen when resumeBorrowing last ran
+	repackGen           uint64          // capacityGen when the unbound blocks were last tried
+	evictionsInProgress int
+	quarantined         []*node
+	headsBuf            []*queue  // reused by startOpen
+	nextPlanAt          time.Time // earliest time of the next search for a reservation
+	planPending         bool      // a job waits for nextPlanAt
+	runTimes            runTimePredictor
+	sweepNeeded         bool      // a queue became empty
+	lastWakeAt          time.Time // time of the last WakeAt action
+	starts              uint64
+	steps               uint64
 }
 
 type rackKey struct{ zone, rack string }
 
 // New returns a scheduler without workers, accounts or jobs. Jobs of an unknown
-// account are rejected, so PolicyChanged goes first.
+// account are rejected, so PolicyChanged must come first.
 func New(o Options) *Scheduler {
 	s := &Scheduler{
-		now:      o.Start,
-		settled:  o.Start.Add(o.SettlingPeriod),
-		policy:   Policy{}.WithDefaults(),
-		nodeByID: map[WorkerID]*node{},
-		zoneByID: map[string]int32{},
-		rackByID: map[rackKey]int32{},
-		accounts: map[AccountID]*account{},
-		jobs:     map[JobID]*job{},
-		degraded: map[degradedKey]int{},
-		beside:   map[need]bool{},
-		learned:  newLearner(),
+		now:          o.Start,
+		settlingEnds: o.Start.Add(o.SettlingPeriod),
+		policy:       Policy{}.WithDefaults(),
+		nodeByID:     map[WorkerID]*node{},
+		zoneByID:     map[string]int32{},
+		rackByID:     map[rackKey]int32{},
+		accounts:     map[AccountID]*account{},
+		jobs:         map[JobID]*job{},
+		degraded:     map[shapeKey]int{},
+		fitsBeside:   map[demand]bool{},
+		runTimes:     newRunTimePredictor(),
 	}
-	for _, x := range s.indexes() {
-		x.whole = &s.size
+	for _, idx := range s.indexes() {
+		idx.installed = &s.installed
 	}
 	return s
 }
 
-// Step applies an event and returns what is to be done, in order. Time never
-// goes back: an earlier now counts as the last one. The actions belong to the
-// caller.
+// Step applies an event and returns the actions that it causes, in order. Time
+// never goes back: if now is earlier than in a previous call, the latest time
+// is used. The caller owns the actions.
 func (s *Scheduler) Step(now time.Time, ev Event) []Action {
 	if now.After(s.now) {
 		s.now = now
@@ -115,7 +118,7 @@
 	case WorkerDraining:
 		s.workerDraining(e.ID)
 	case PolicyChanged:
-		s.policyChanged(e.Policy)
+		s.applyPolicy(e.Policy)
 	case JobsSubmitted:
 		for i := range e.Jobs {
 			s.submit(e.Jobs[i])
@@ -138,12 +141,13 @@
 	}
 }
 
-// decide brings what is owed up to date and then starts what fits: repairs of
-// guarantees go first, then claims on guarantees, then the open queue.
+// decide first updates state that depends on time and on changed capacity, and
+// then starts jobs: rebinding of blocks precedes claims on guarantees, and
+// these precede jobs on open capacity.
 func (s *Scheduler) decide() {
-	s.settle()
-	s.wakeWorkers()
-	s.wakeJobs()
+	s.endSettling()
+	s.endQuarantines()
+	s.enqueueDelayed()
 	s.rebindUnbound()
 	s.resumeBorrowing()
 	s.startClaims()
@@ -154,5 +158,5 @@
 	s.sendEvictions()
 	s.reportGuarantees()
 	s.sweepQueues()
-	s.wakeAt()
+	s.scheduleWake()
 }
--- a/scheduler/stats.go
+++ b/scheduler/stats.go
@@ -1,39 +1,40 @@
 package scheduler
 
-// Stats is a summary of the state of a scheduler.
+// Stats summarises the state of a scheduler.
 type Stats struct {
-	// Workers that may be given work, and their accelerators.
+	// Workers counts those that may get work, and Accelerators what they have.
 	Workers      int
 	Accelerators int
-	// Free accelerators are held by no attempt, Reserved ones are set aside.
+	// Free accelerators are held by no attempt. Reserved ones are those of them
+	// that are claimed or reserved.
 	Free     int
 	Reserved int
-	// Fragmentation is the free accelerators in pieces too small for the jobs
-	// that wait, averaged over those jobs by their size.
+	// Fragmentation is the number of free accelerators in units too small for
+	// the waiting jobs, averaged over these jobs weighted by their size.
 	Fragmentation float64
 	Quarantined   int
-	// UnplacedBlocks is the guaranteed blocks that fit nowhere now.
+	// UnplacedBlocks counts the guaranteed blocks that are unbound now.
 	UnplacedBlocks int
-	// Evicting is the evictions in progress.
+	// Evicting counts the evictions in progress.
 	Evicting int
 	Starts   uint64
 	Accounts []AccountStats
 }
 
-// AccountStats is the part of one account.
+// AccountStats summarises the state of one account.
 type AccountStats struct {
 	ID AccountID
-	// Waiting counts jobs by class, Running all attempts.
+	// Waiting counts jobs by class. Running counts all attempts.
 	Waiting map[string]int
 	Running int
-	// Borrowed accelerators are in use beyond the guarantee.
+	// Borrowed counts the accelerators in use outside the account's blocks.
 	Borrowed int
 	Evicted  EvictionTotals
 }
 
 // Stats summarises the state. Its cost is linear in workers and queues.
 func (s *Scheduler) Stats() Stats {
-	out := Stats{UnplacedBlocks: len(s.unbound), Evicting: s.stopping, Starts: s.starts}
+	out := Stats{UnplacedBlocks: len(s.unbound), Evicting: s.evictionsInProgress, Starts: s.starts}
 	for _, n := range s.nodes {
 		if n.health.excluded && n.up {
 			out.Quarantined++
@@ -42,7 +43,7 @@
 			out.Workers++
 			out.Accelerators += n.capacity()
 			out.Free += n.idle()
-			out.Reserved += min(n.idle(), n.wait+n.claim)
+			out.Reserved += min(n.idle(), n.reserved+n.claimed)
 		}
 	}
 	for _, a := range s.accountList {
@@ -53,33 +54,34 @@
 }
 
 func (a *account) stats() AccountStats {
-	out := AccountStats{ID: a.policy.ID, Waiting: map[string]int{}, Running: a.running, Borrowed: a.used, Evicted: a.evicted}
-	for _, q := range a.order {
-		out.Waiting[q.key.class] += q.n
+	out := AccountStats{ID: a.policy.ID, Waiting: map[string]int{}, Running: a.running, Borrowed: a.usedOutsideBlocks, Evicted: a.evicted}
+	for _, q := range a.queueList {
+		out.Waiting[q.key.class] += q.length
 	}
 	return out
 }
 
-// need is what matters for the pieces that a waiting job can use.
-type need struct {
+// demand is what decides which free accelerators a waiting job can use.
+type demand struct {
 	accelerators int
 	span         Adjacency
 }
 
+// fragmentation computes Stats.Fragmentation.
 func (s *Scheduler) fragmentation() float64 {
-	waiting := map[need]int{}
+	waiting := map[demand]int{}
 	weight := 0
 	for _, a := range s.accountList {
-		for _, q := range a.order {
+		for _, q := range a.queueList {
 			if q.key.accelerators > 0 {
-				waiting[need{q.key.accelerators, q.key.span}] += q.n
-				weight += q.n * q.key.accelerators
+				waiting[demand{q.key.accelerators, q.key.span}] += q.length
+				weight += q.length * q.key.accelerators
 			}
 		}
 	}
 	lost := 0
-	for w, n := range waiting {
-		lost += n * w.accelerators * s.tooSmall(w)
+	for d, n := range waiting {
+		lost += n * d.accelerators * s.unusableFree(d)
 	}
 	if weight == 0 {
 		return 0
@@ -87,15 +89,16 @@
 	return float64(lost) / float64(weight)
 }
 
-// tooSmall is the free accelerators in units of a span that have too few.
-func (s *Scheduler) tooSmall(w need) int {
+// unusableFree returns the free accelerators in units that have too few for a
+// demand.
+func (s *Scheduler) unusableFree(d demand) int {
 	units := map[int32]int{}
 	for _, n := range s.nodes {
-		units[spanOf(n, w.span)] += n.idle()
+		units[unitOf(n, d.span)] += n.idle()
 	}
 	t := 0
 	for _, free := range units {
-		if free < w.accelerators {
+		if free < d.accelerators {
 			t += free
 		}
 	}
--- a/scheduler/within_guarantee.go
+++ b/scheduler/within_guarantee.go
@@ -1,36 +1,37 @@
 package scheduler
 
-// withinGuarantee reports whether a job that could be evicted is within the guarantee
-// of its account, together with all that the account runs beside its blocks.
+// withinGuarantee reports whether a job that may borrow fits within the unused
+// guarantee of its account, together with all that the account runs outside its
+// blocks.
 func (s *Scheduler) withinGuarantee(j *job) bool {
-	return j.borrows() && j.account.used+j.Accelerators <= j.account.room()
+	return j.mayBorrow() && j.account.usedOutsideBlocks+j.Accelerators <= j.account.unusedGuarantee()
 }
 
-// startWithinGuarantee starts a job that is within the guarantee of its account where
-// nobody evicts it: on capacity that no block needs, which pins no block, or else
-// in a block of its account. As a borrower it would lose its work to a claim or a
-// reservation of another account while its own block is idle.
+// startWithinGuarantee starts such a job where it can't be evicted: on capacity
+// that no block needs, which leaves the blocks movable, or else in a block of
+// its account. As a borrower it could be evicted for another account while its
+// own block is unused.
 func (s *Scheduler) startWithinGuarantee(j *job, k *queueKey) bool {
-	if at := s.avoiding(j, func() []piece { return s.find(&s.steady, k) }); at != nil {
-		s.start(j, at, nil, true)
+	if place := s.withoutFailedNodes(j, func() []allocation { return s.findPlace(&s.unguaranteed, k) }); place != nil {
+		s.start(j, place, nil, true)
 		return true
 	}
 	c, _ := s.findClaim(j, k, afterOpen)
 	if c == nil {
 		return false
 	}
-	s.useClaim(c)
+	s.applyClaim(c)
 	return true
 }
 
-// unprotectBorrowers makes borrowers of all attempts that could be evicted and run beside
-// the blocks without being evictable. They stand in the way when workers fail or
-// a policy adds guarantees: a block that has no place goes first.
-func (s *Scheduler) unprotectBorrowers() bool {
+// unprotectRuns makes all protected attempts outside the blocks whose jobs may
+// borrow evictable, since unbound blocks take precedence over them. It reports
+// whether there were any.
+func (s *Scheduler) unprotectRuns() bool {
 	found := false
 	for _, n := range s.nodes {
 		for _, r := range n.runs {
-			if !r.protected || len(r.shares) > 0 || r.state == runStopping || !r.job.Job.borrows() {
+			if !r.protected || len(r.blockUses) > 0 || r.state == runStopping || !r.job.Job.mayBorrow() {
 				continue
 			}
 			s.unprotect(r)
@@ -40,29 +41,29 @@
 	return found
 }
 
-// owes reports whether an account misses a block that has no place: it does not
-// run jobs of that size on what its blocks were bound to.
-func (s *Scheduler) owes() bool {
+// missesGuarantee reports whether an account has unbound blocks beyond the size
+// of its own oversized jobs, which may run on the capacity of its blocks.
+func (s *Scheduler) missesGuarantee() bool {
 	missing := map[*account]int{}
 	for _, b := range s.unbound {
 		missing[b.account] += b.shape.Accelerators
 	}
 	for a, n := range missing {
-		if n > s.beyond(a) {
+		if n > s.oversizedUse(a) {
 			return true
 		}
 	}
 	return false
 }
 
-// beyond is the size of the jobs of an account that are larger than its blocks and
-// may use what these are bound to.
-func (s *Scheduler) beyond(a *account) int {
+// oversizedUse returns the accelerators held outside blocks by protected jobs
+// of an account that its blocks could not hold.
+func (s *Scheduler) oversizedUse(a *account) int {
 	t := 0
 	for _, n := range s.nodes {
 		for _, r := range n.runs {
-			if r.job.account == a && r.protected && len(r.shares) == 0 && r.job.beyondBlocks() != nil {
-				t += r.on(n.id)
+			if r.job.account == a && r.protected && len(r.blockUses) == 0 && r.job.oversizedAccount() != nil {
+				t += r.acceleratorsOn(n.id)
 			}
 		}
 	}
@@ -71,10 +72,10 @@
 
 func (s *Scheduler) unprotect(r *run) {
 	r.protected = false
-	for _, p := range r.pieces {
+	for _, p := range r.held {
 		n := s.nodes[p.node]
-		n.protected -= p.n
-		n.evictable += p.n
-		s.refresh(n)
+		n.protected -= p.count
+		n.evictable += p.count
+		s.refreshIndexes(n)
 	}
 }
