--- a/cmd/eelgrasshub/config_status.go
+++ b/cmd/eelgrasshub/config_status.go
@@ -53,7 +53,7 @@
 
 // askEntries asks every entry that is registered in the region.
 func askEntries(ctx context.Context, store store.Store, region string) []entryStatus {
-	registered, err := entry.Registered(ctx, store, region)
+	registered, err := entry.ListRegistrations(ctx, store, region)
 	if err != nil {
 		return nil
 	}
--- a/entry/prober_test.go
+++ b/entry/prober_test.go
@@ -77,7 +77,7 @@
 }
 
 func (s *still) registered() int {
-	all, err := entry.Registered(context.Background(), s.client, "auckland")
+	all, err := entry.ListRegistrations(context.Background(), s.client, "auckland")
 	s.Assert(err, qt.IsNil)
 	return len(all)
 }
--- a/entry/registration.go
+++ b/entry/registration.go
@@ -13,8 +13,8 @@
 	HTTP string // host:port of its callers' interface
 }
 
-// Registered lists the entries of a region that are registered in the store.
-func Registered(ctx context.Context, store store.Store, region string) ([]Registration, error) {
+// ListRegistrations lists the entries of a region that are registered in the store.
+func ListRegistrations(ctx context.Context, store store.Store, region string) ([]Registration, error) {
 	snap, err := store.List(ctx, "entries/"+region+"/")
 	if err != nil {
 		return nil, err
