--- a/agent/rack_test.go
+++ b/agent/rack_test.go
@@ -144,7 +144,7 @@
 
 // names returns n agents of the rack, the one that entries name as relay first.
 func names(n int) []string {
-	view := &membership.Service{Name: service}
+	view := &membership.ServiceView{Name: service}
 	var ids []string
 	for i := range n {
 		ids = append(ids, fmt.Sprint("worker-", i))
--- a/agent/relay.go
+++ b/agent/relay.go
@@ -20,7 +20,7 @@
 	if r.announcer == nil {
 		return nil, errPaused
 	}
-	ack, news := r.announcer.Serve(clock.Now(), m)
+	ack, news := r.announcer.HandleMemberReport(clock.Now(), m)
 	if ack == nil {
 		return nil, errPaused
 	}
--- a/agent/report_once.go
+++ b/agent/report_once.go
@@ -30,7 +30,7 @@
 // freshLoad is called with the lock held.
 func (r *reports) freshLoad(now time.Time) {
 	r.state.Load = r.load()
-	r.announcer.Set(now, r.state)
+	r.announcer.SetState(now, r.state)
 }
 
 func (r *reports) call(addr string, msg *wire.Report) (*wire.ReportAck, bool) {
@@ -46,11 +46,11 @@
 func (r *reports) failed(link *entryLink) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	failures := r.announcer.Failed(clock.Now(), link.addr)
+	failures := r.announcer.HandleFailure(clock.Now(), link.addr)
 	if link.seed || failures < dropAfter {
 		return true
 	}
-	r.announcer.DropEntry(link.addr)
+	r.announcer.RemoveEntry(link.addr)
 	delete(r.entries, link.addr)
 	return false
 }
@@ -65,7 +65,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	added := r.announcer.Acked(clock.Now(), link.addr, ack)
+	added := r.announcer.HandleAck(clock.Now(), link.addr, ack)
 	for _, addr := range added {
 		r.begin(addr, false)
 	}
@@ -81,7 +81,7 @@
 		r.mu.Unlock()
 		return // nobody has heard of this incarnation
 	}
-	msg := r.announcer.Goodbye()
+	msg := r.announcer.DepartureReport()
 	var wg sync.WaitGroup
 	tell := func(addr string) {
 		wg.Go(func() { _, _ = r.a.pool.Call(ctx, addr, msg) }) // an entry that misses it finds out by silence
--- a/agent/report_relay.go
+++ b/agent/report_relay.go
@@ -49,12 +49,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !answered {
-		r.announcer.RelayFailed(clock.Now(), to)
+		r.announcer.HandleRelayFailure(clock.Now(), to)
 		r.a.metrics.Add(metrics.RelaysFailed, 1)
 		r.relayMoved()
 		return
 	}
-	for _, addr := range r.announcer.RelayAcked(clock.Now(), to, ack) {
+	for _, addr := range r.announcer.HandleRelayAck(clock.Now(), to, ack) {
 		r.begin(addr, false)
 	}
 	if ack.Entries != nil {
--- a/agent/reports.go
+++ b/agent/reports.go
@@ -30,7 +30,7 @@
 	a *Agent
 
 	mu        sync.Mutex
-	announcer *membership.Announcer // nil until the agent is announced
+	announcer *membership.ReportRouter // nil until the agent is announced
 	state     wire.AgentReport
 	stamp     gang.PlannerTimestamp
 	entries   map[string]*entryLink // by address
@@ -71,15 +71,15 @@
 
 // start announces the agent to the entries of its settings.
 func (r *reports) start() {
-	cfg := membership.AnnouncerConfig{
-		ReporterConfig: membership.ReporterConfig{Every: r.a.cfg.ReportEvery.Duration, Coalesce: reportCoalesce},
-		GangEvery:      gangReportEvery,
-		MaxEntries:     maxEntries,
+	cfg := membership.ReportRouterConfig{
+		ReporterConfig:   membership.ReporterConfig{Period: r.a.cfg.ReportEvery.Duration, Coalesce: reportCoalesce},
+		GangReportPeriod: gangReportEvery,
+		MaxEntries:       maxEntries,
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.state.Address = r.a.ep.Addr()
-	r.announcer = membership.NewAnnouncer(cfg, r.state, random)
+	r.announcer = membership.NewReportRouter(cfg, r.state, random)
 	for _, addr := range r.a.cfg.Seeds {
 		if r.announcer.AddEntry(addr) {
 			r.begin(addr, true)
@@ -104,8 +104,8 @@
 	if r.announcer == nil {
 		return // not announced yet
 	}
-	r.announcer.SetStamp(r.stamp)
-	r.announcer.Set(clock.Now(), r.state)
+	r.announcer.SetTimestamp(r.stamp)
+	r.announcer.SetState(clock.Now(), r.state)
 	r.wake()
 }
 
@@ -182,7 +182,7 @@
 	defer r.mu.Unlock()
 	now := clock.Now()
 	due := r.announcer.Due(now, link.addr)
-	if r.announcer.Unused(now, link.addr) {
+	if r.announcer.ConnectionIdle(now, link.addr) {
 		r.release(link.addr)
 	}
 	return due.Sub(now)
--- a/entry/duties.go
+++ b/entry/duties.go
@@ -36,7 +36,7 @@
 // duty is the candidacy for one service.
 type duty struct {
 	service string
-	holder  *lease.Holder
+	holder  *lease.Candidate
 	planner *planner.Planner
 	epoch   uint64
 	since   time.Time
@@ -76,18 +76,18 @@
 	if d.stopped {
 		return
 	}
-	du.holder = lease.Run(lease.Options{
-		Session:  d.e.session,
-		Duty:     d.e.cfg.Region + "/" + du.service,
-		Instance: d.e.cfg.ID,
-		Hesitate: func() time.Duration { return d.hesitate(du.service) },
-		Changed:  func(held lease.Held, ok bool) { d.changed(du, held, ok) },
-		Log:      d.e.log,
+	du.holder = lease.StartCandidate(lease.CandidateOptions{
+		Session:    d.e.session,
+		Election:   d.e.cfg.Region + "/" + du.service,
+		Instance:   d.e.cfg.ID,
+		ClaimDelay: func() time.Duration { return d.hesitate(du.service) },
+		OnChange:   func(held lease.Leadership, ok bool) { d.changed(du, held, ok) },
+		Log:        d.e.log,
 	})
 }
 
 // changed is called from the holder's goroutine and must not block.
-func (d *duties) changed(du *duty, held lease.Held, ok bool) {
+func (d *duties) changed(du *duty, held lease.Leadership, ok bool) {
 	if ok {
 		go d.gained(du, held.Epoch)
 	}
@@ -154,7 +154,7 @@
 	// epoch that was used before. It shows as agents that refuse it although no
 	// other entry plans; raising the epoch above theirs ends it.
 	if higher := p.SupersedingEpoch(); higher > 0 {
-		du.holder.Observe(higher)
+		du.holder.ObserveEpoch(higher)
 	}
 	d.register()
 }
--- a/entry/members.go
+++ b/entry/members.go
@@ -34,7 +34,7 @@
 func newMembers(e *Entry) *members {
 	return &members{
 		e:       e,
-		table:   membership.NewTable(membership.Config{ReportEvery: e.cfg.ReportEvery.Duration}),
+		table:   membership.NewTable(membership.Config{ReportPeriod: e.cfg.ReportEvery.Duration}),
 		sending: make(map[string]bool),
 		homes:   make(map[string]string),
 		since:   make(map[string]time.Time),
@@ -227,7 +227,7 @@
 			Zone:        r.Zone,
 			Slots:       r.Slots,
 			Connections: min(r.Connections, most),
-			Draining:    !member.Offered(),
+			Draining:    !member.Schedulable(),
 			Incarnation: r.Incarnation,
 		})
 	}
--- a/entry/session.go
+++ b/entry/session.go
@@ -18,7 +18,7 @@
 
 // openSession begins the one lease for this entry's registration and duties.
 func (e *Entry) openSession() {
-	e.session = lease.Open(lease.SessionOptions{
+	e.session = lease.OpenSession(lease.SessionOptions{
 		Store:    e.store,
 		Domain:   e.cfg.Region,
 		Instance: e.cfg.ID,
--- a/gateway/failure_detector.go
+++ b/gateway/failure_detector.go
@@ -185,7 +185,7 @@
 // deposePlanner acquires the planner lease in place of a planner that is believed to have
 // failed.
 func (g *Gateway) deposePlanner(planner string, epoch uint64) {
-	if !g.plannerLease.Depose() {
+	if !g.plannerLease.ForceTakeover() {
 		return // waiting for the store, or another gateway was faster
 	}
 	g.log.WithField("planner", planner).WithField("epoch", epoch).Warn("planner does not answer; its duty is taken")
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -28,7 +28,7 @@
 	relayedStore *storeRelay
 	endpoint     *wire.Endpoint
 	pool         *wire.Pool
-	plannerLease *lease.Holder
+	plannerLease *lease.Candidate
 	members      *members
 	planner      *plannerTracker
 	storeStatus  *storeStatus
@@ -74,15 +74,15 @@
 	}
 	g.pool = wire.NewPool(g.endpoint)
 	g.relayedStore = &storeRelay{Atomic: cfg.Store, g: g}
-	g.plannerLease = lease.Run(lease.Options{
-		Store:     g.relayedStore,
-		Duty:      plannerLeaseName,
-		Instance:  cfg.ID,
-		TTL:       plannerLeaseTTL,
-		Reclaim:   true,
-		MostPause: plannerLeaseMaxPause,
-		Changed:   g.plannerLeaseChanged,
-		Log:       cfg.Log,
+	g.plannerLease = lease.StartCandidate(lease.CandidateOptions{
+		Store:            g.relayedStore,
+		Election:         plannerLeaseName,
+		Instance:         cfg.ID,
+		TTL:              plannerLeaseTTL,
+		RemoveStaleClaim: true,
+		MaxRetryDelay:    plannerLeaseMaxPause,
+		OnChange:         g.plannerLeaseChanged,
+		Log:              cfg.Log,
 	})
 	g.tomb.Go(g.run)
 	g.log.WithField("listen", cfg.Listen).Info("gateway started")
@@ -201,7 +201,7 @@
 
 // plannerLeaseChanged is called by the lease holder's goroutine when this gateway acquires or
 // loses the planner lease.
-func (g *Gateway) plannerLeaseChanged(held lease.Held, ok bool) {
+func (g *Gateway) plannerLeaseChanged(held lease.Leadership, ok bool) {
 	g.mu.Lock()
 	old := g.term
 	if ok {
--- a/internal/capacity/standin.go
+++ b/internal/capacity/standin.go
@@ -35,7 +35,7 @@
 
 	mu        sync.Mutex
 	state     wire.AgentReport
-	announcer *membership.Announcer
+	announcer *membership.ReportRouter
 	admitted  bool
 }
 
@@ -56,11 +56,11 @@
 		ID: id, Incarnation: peer.Incarnation, Service: service, Region: region, Zone: "z1", Rack: rack, Address: a.ep.Addr(),
 		Accelerators: 8, Slots: 8, Connections: 64, Cores: 32, MemoryMB: 65536,
 	}
-	cfg := membership.AnnouncerConfig{
-		ReporterConfig: membership.ReporterConfig{Every: f.every, Coalesce: reportCoalesce},
+	cfg := membership.ReportRouterConfig{
+		ReporterConfig: membership.ReporterConfig{Period: f.every, Coalesce: reportCoalesce},
 		MaxEntries:     1,
 	}
-	a.announcer = membership.NewAnnouncer(cfg, a.state, rand.Float64)
+	a.announcer = membership.NewReportRouter(cfg, a.state, rand.Float64)
 	a.announcer.AddEntry(f.entry)
 	a.tomb.Go(func() error {
 		a.tomb.Go(func() error { return a.loop(a.kickEntry, a.untilDue, a.report) })
@@ -102,7 +102,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	change(&a.state)
-	a.announcer.Set(time.Now(), a.state)
+	a.announcer.SetState(time.Now(), a.state)
 }
 
 func (a *standinAgent) loop(kick <-chan struct{}, until func() time.Duration, report func()) error {
@@ -129,7 +129,7 @@
 	defer a.mu.Unlock()
 	now := time.Now()
 	due := a.announcer.Due(now, a.fleet.entry)
-	if a.announcer.Unused(now, a.fleet.entry) {
+	if a.announcer.ConnectionIdle(now, a.fleet.entry) {
 		a.tomb.Go(func() error {
 			_ = a.pool.Release(a.tomb.Context(context.Background()), a.fleet.entry) // the stand-in ends
 			return nil
@@ -163,7 +163,7 @@
 	defer a.mu.Unlock()
 	if !ok {
 		a.fleet.Failed.Add(1)
-		a.announcer.Failed(time.Now(), a.fleet.entry)
+		a.announcer.HandleFailure(time.Now(), a.fleet.entry)
 		return
 	}
 	a.fleet.Reports.Add(1)
@@ -172,7 +172,7 @@
 		a.fleet.Admitted.Add(1)
 	}
 	a.fleet.Shed.Add(int64(len(ack.Refused)))
-	a.announcer.Acked(time.Now(), a.fleet.entry, ack)
+	a.announcer.HandleAck(time.Now(), a.fleet.entry, ack)
 	a.wake()
 }
 
@@ -201,12 +201,12 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !ok {
-		a.announcer.RelayFailed(time.Now(), to)
+		a.announcer.HandleRelayFailure(time.Now(), to)
 		a.wake()
 		return
 	}
 	a.fleet.Relayed.Add(1)
-	a.announcer.RelayAcked(time.Now(), to, ack)
+	a.announcer.HandleRelayAck(time.Now(), to, ack)
 }
 
 func (a *standinAgent) stop() {
--- a/internal/capacity/table_test.go
+++ b/internal/capacity/table_test.go
@@ -18,7 +18,7 @@
 		for _, n := range []int{180, 900, 3400, 17000} {
 			for _, pause := range []time.Duration{0, 20 * time.Millisecond} {
 				empty := ReadUsage()
-				table := membership.NewTable(membership.Config{FullBurst: 1e6, PublishEvery: pause})
+				table := membership.NewTable(membership.Config{JoinBurst: 1e6, PublishInterval: pause})
 				now := time.Unix(1e9, 0)
 				reports := make([]wire.AgentReport, n)
 				for i := range reports {
--- a/lease/action.go
+++ b/lease/action.go
@@ -21,8 +21,8 @@
 	ReadEpoch struct{}
 	// RaiseEpoch swaps the epoch key, then Raised.
 	RaiseEpoch struct {
-		Expect store.Revision
-		Epoch  uint64
+		ExpectRevision store.Revision
+		Epoch          uint64
 	}
 	// Verify reads the holder key, then Verified.
 	Verify struct{ Lease store.LeaseID }
@@ -32,9 +32,9 @@
 	Revoke struct{ Lease store.LeaseID }
 	// Sleep waits until an instant, then Woke.
 	Sleep struct{ Until time.Duration }
-	// Pause waits for a time that grows with each Pause in a row, with jitter,
+	// BackOff waits for a time that grows with each BackOff in a row, with jitter,
 	// then Woke.
-	Pause struct{}
+	BackOff struct{}
 	// Done ends the Elector.
 	Done struct{}
 )
@@ -48,5 +48,5 @@
 func (Renew) isAction()       {}
 func (Revoke) isAction()      {}
 func (Sleep) isAction()       {}
-func (Pause) isAction()       {}
+func (BackOff) isAction()     {}
 func (Done) isAction()        {}
--- a/lease/elector.go
+++ b/lease/elector.go
@@ -37,9 +37,9 @@
 // is Start.
 func NewElector(ttl time.Duration) *Elector { return &Elector{ttl: ttl} }
 
-// Held returns the present holding. The caller compares Until with its clock.
-func (e *Elector) Held() (Held, bool) {
-	return Held{Epoch: e.epoch, Until: e.until}, e.held
+// Leadership returns the present holding. The caller compares Until with its clock.
+func (e *Elector) Leadership() (Leadership, bool) {
+	return Leadership{Epoch: e.epoch, ValidUntil: e.until}, e.held
 }
 
 // Deadline returns when the action in progress is no longer of use, and false
@@ -56,7 +56,7 @@
 	case Resign:
 		e.resigning = true
 		return e.release()
-	case Outdated:
+	case HigherEpoch:
 		return e.outdated(now, ev)
 	case Yield:
 		return e.yield(now, ev)
@@ -89,7 +89,7 @@
 		e.pending = e.until
 		return Claim{Lease: e.lease}
 	case Failed:
-		return Pause{}
+		return BackOff{}
 	}
 	return AwaitVacant{}
 }
@@ -100,19 +100,19 @@
 func (e *Elector) claimant(now time.Duration, ev Event) Action {
 	switch ev := ev.(type) {
 	case Claimed:
-		if ev.Won {
+		if ev.Succeeded {
 			return ReadEpoch{}
 		}
 	case EpochRead:
 		e.epoch = max(ev.Epoch, e.floor) + 1
-		return RaiseEpoch{Expect: ev.Mod, Epoch: e.epoch}
+		return RaiseEpoch{ExpectRevision: ev.Revision, Epoch: e.epoch}
 	case Raised:
-		if ev.Won && now > e.until-e.ttl+e.ttl/slowShare {
+		if ev.Succeeded && now > e.until-e.ttl+e.ttl/slowShare {
 			// The store is slow: the lease would be all but over when the claim is
 			// verified, and lapse before its first renewal.
 			return Renew{Lease: e.lease}
 		}
-		if ev.Won {
+		if ev.Succeeded {
 			return Verify{Lease: e.lease}
 		}
 		// Another's raise, or a late one of our own; read and raise again.
@@ -121,7 +121,7 @@
 		e.pending = usable(ev.Sent, e.ttl)
 		return Verify{Lease: e.lease}
 	case Verified:
-		if ev.Ours {
+		if ev.Owned {
 			e.held = true
 			e.until = max(e.until, e.pending)
 			return e.rest(now)
@@ -133,7 +133,7 @@
 // holder holds the duty.
 func (e *Elector) holder(now time.Duration, ev Event) Action {
 	switch ev := ev.(type) {
-	case Woke:
+	case WaitEnded:
 		return Renew{Lease: e.lease}
 	case Renewed:
 		// The lease may live on without the holder key: deleted by an
@@ -141,13 +141,13 @@
 		e.pending = usable(ev.Sent, e.ttl)
 		return Verify{Lease: e.lease}
 	case Verified:
-		if !ev.Ours {
+		if !ev.Owned {
 			return e.release()
 		}
 		e.until = max(e.until, e.pending)
 		return e.rest(now)
 	case Failed:
-		if ev.Gone {
+		if ev.LeaseNotFound {
 			return e.release()
 		}
 		return Sleep{Until: min(now+e.ttl/retryShare, e.until)}
@@ -163,7 +163,7 @@
 
 // outdated takes up a higher epoch. A holder that learns of one cannot be
 // obeyed until it has raised its own above it.
-func (e *Elector) outdated(now time.Duration, ev Outdated) Action {
+func (e *Elector) outdated(now time.Duration, ev HigherEpoch) Action {
 	e.floor = max(e.floor, ev.Epoch)
 	if !e.held || now >= e.until {
 		return e.release()
@@ -200,7 +200,7 @@
 	if e.resigning {
 		return Done{}
 	}
-	return Pause{}
+	return BackOff{}
 }
 
 // usable returns until when a lease granted or renewed by a call sent at sent
--- a/lease/elector_test.go
+++ b/lease/elector_test.go
@@ -65,7 +65,7 @@
 	_, ok := a.valid(m.now)
 	c.Assert(ok, qt.IsFalse)
 	a.step(m.now, reply)
-	_, ok = a.Held()
+	_, ok = a.Leadership()
 	c.Assert(ok, qt.IsFalse)
 	c.Assert(a.act, qt.Equals, lease.Action(lease.Revoke{Lease: a.claimed}))
 }
@@ -81,9 +81,9 @@
 	m.now += 5 * time.Second
 	a.step(m.now, reply)
 	a.step(m.now, m.apply(a.act, a.sent))
-	held, ok := a.Held()
+	held, ok := a.Leadership()
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(held.Until < lapses, qt.IsTrue, qt.Commentf("until %v, lapses %v", held.Until, lapses))
+	c.Assert(held.ValidUntil < lapses, qt.IsTrue, qt.Commentf("until %v, lapses %v", held.ValidUntil, lapses))
 }
 
 func TestFence(t *testing.T) {
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -16,13 +16,13 @@
 	pauseMax   = 5 * time.Second
 )
 
-// Holder competes for one duty until it resigns. It is safe for concurrent use.
-type Holder struct {
-	opts    Options
+// Candidate competes for one duty until it resigns. It is safe for concurrent use.
+type Candidate struct {
+	opts    CandidateOptions
 	tomb    tomb.Tomb
-	current atomic.Pointer[Held] // nil: not held
-	over    atomic.Bool          // Resign was called
-	seen    atomic.Uint64        // highest epoch told to Observe
+	current atomic.Pointer[Leadership] // nil: not held
+	over    atomic.Bool                // Resign was called
+	seen    atomic.Uint64              // highest epoch told to Observe
 	observe chan struct{}
 	unwant  atomic.Uint64 // epoch last told to Yield
 	yield   chan struct{}
@@ -36,15 +36,15 @@
 	pause   *backoff.ExponentialBackOff
 }
 
-// Run starts a Holder.
-func Run(opts Options) *Holder {
+// StartCandidate starts a Holder.
+func StartCandidate(opts CandidateOptions) *Candidate {
 	if s := opts.Session; s != nil {
 		opts.Store, opts.TTL, opts.Clock = s.opts.Store, s.opts.TTL, s.opts.Clock
 	}
 	if opts.Clock == nil {
 		opts.Clock = BootTime
 	}
-	h := &Holder{
+	h := &Candidate{
 		opts:    opts,
 		observe: make(chan struct{}, 1),
 		yield:   make(chan struct{}, 1),
@@ -54,8 +54,8 @@
 	}
 	h.pause.InitialInterval = pauseFirst
 	h.pause.MaxInterval = pauseMax
-	if opts.MostPause > 0 {
-		h.pause.MaxInterval = opts.MostPause
+	if opts.MaxRetryDelay > 0 {
+		h.pause.MaxInterval = opts.MaxRetryDelay
 	}
 	h.pause.Reset()
 	h.tenure = h.newTenure()
@@ -63,8 +63,8 @@
 	return h
 }
 
-func (h *Holder) newTenure() tenure {
-	key := holderKey(h.opts.Duty)
+func (h *Candidate) newTenure() tenure {
+	key := holderKey(h.opts.Election)
 	if s := h.opts.Session; s != nil {
 		return &sharedTenure{s: s, key: key, taken: h.foundTaken}
 	}
@@ -73,15 +73,15 @@
 
 // leftBehind says whether the value of the holder key was written by an earlier process
 // of this instance.
-func (h *Holder) leftBehind(value []byte) bool {
-	if !h.opts.Reclaim {
+func (h *Candidate) leftBehind(value []byte) bool {
+	if !h.opts.RemoveStaleClaim {
 		return false
 	}
 	var r record
 	return json.Unmarshal(value, &r) == nil && r.Instance == h.opts.Instance
 }
 
-func (h *Holder) foundTaken() {
+func (h *Candidate) foundTaken() {
 	h.taken = true
 	h.pause.Reset()
 }
@@ -89,17 +89,17 @@
 // Current returns the present holding, and false where the duty is not held.
 // It takes no lock and reads the clock, so that a process that was paused past
 // the end of its lease gets false at once, before any renewal has failed.
-func (h *Holder) Current() (Held, bool) {
+func (h *Candidate) Current() (Leadership, bool) {
 	held := h.current.Load()
-	if held == nil || h.over.Load() || h.opts.Clock() >= held.Until {
-		return Held{}, false
+	if held == nil || h.over.Load() || h.opts.Clock() >= held.ValidUntil {
+		return Leadership{}, false
 	}
 	return *held, true
 }
 
-// Observe tells the Holder that a receiver refused it with a higher epoch. It
+// ObserveEpoch tells the Holder that a receiver refused it with a higher epoch. It
 // goes on with one above it, if it still holds the duty.
-func (h *Holder) Observe(epoch uint64) {
+func (h *Candidate) ObserveEpoch(epoch uint64) {
 	for {
 		seen := h.seen.Load()
 		if epoch <= seen {
@@ -118,7 +118,7 @@
 // Yield gives the duty up if it is still held under epoch, and goes on as a
 // candidate. It returns at once; Changed tells when it is done. With Hesitate
 // others can come first.
-func (h *Holder) Yield(epoch uint64) {
+func (h *Candidate) Yield(epoch uint64) {
 	h.unwant.Store(epoch)
 	select {
 	case h.yield <- struct{}{}:
@@ -126,7 +126,7 @@
 	}
 }
 
-// Depose tells a waiting candidate that the present holder is believed to be dead: its
+// ForceTakeover tells a waiting candidate that the present holder is believed to be dead: its
 // claim is removed, instead of waiting for its lease to lapse. It returns whether the
 // candidate was waiting. With a Session it has no effect.
 //
@@ -134,7 +134,7 @@
 // lease until that would have lapsed. So this is only for duties whose every effect is
 // guarded by the epoch, and whoever takes over reckons with what a living predecessor
 // may still promise for a TTL.
-func (h *Holder) Depose() bool {
+func (h *Candidate) ForceTakeover() bool {
 	select {
 	case h.depose <- struct{}{}:
 		return true
@@ -147,7 +147,7 @@
 // next candidate takes over at once, without waiting for the lease to lapse.
 // It returns when that is done, or with the context's error; the lease then
 // lapses by itself at worst.
-func (h *Holder) Resign(ctx context.Context) error {
+func (h *Candidate) Resign(ctx context.Context) error {
 	h.over.Store(true)
 	h.tomb.Kill(nil)
 	select {
@@ -158,7 +158,7 @@
 	}
 }
 
-func (h *Holder) run() error {
+func (h *Candidate) run() error {
 	act := h.step(Start{})
 	told := false
 	for {
@@ -174,9 +174,9 @@
 }
 
 // step lets the Elector decide and publishes what it holds.
-func (h *Holder) step(ev Event) Action {
+func (h *Candidate) step(ev Event) Action {
 	act := h.elector.Step(h.opts.Clock(), ev)
-	held, ok := h.elector.Held()
+	held, ok := h.elector.Leadership()
 	before := h.current.Load()
 	switch {
 	case ok && (before == nil || *before != held):
@@ -190,27 +190,27 @@
 	return act
 }
 
-func (h *Holder) changed(held Held, ok bool) {
+func (h *Candidate) changed(held Leadership, ok bool) {
 	if ok {
 		h.pause.Reset()
 	}
 	if h.opts.Log != nil {
-		log := h.opts.Log.WithField("duty", h.opts.Duty).WithField("epoch", held.Epoch)
+		log := h.opts.Log.WithField("duty", h.opts.Election).WithField("epoch", held.Epoch)
 		if ok {
 			log.Info("duty gained")
 		} else {
 			log.Info("duty lost")
 		}
 	}
-	if h.opts.Changed != nil {
-		h.opts.Changed(held, ok)
+	if h.opts.OnChange != nil {
+		h.opts.OnChange(held, ok)
 	}
 }
 
 // context returns the context of an action: it ends with the Holder, and when
 // the lease could have lapsed, so that a call that hangs cannot keep the
 // Holder from dropping the duty.
-func (h *Holder) context() (context.Context, context.CancelFunc) {
+func (h *Candidate) context() (context.Context, context.CancelFunc) {
 	ctx := h.tomb.Context(context.Background())
 	if until, ok := h.elector.Deadline(); ok {
 		return context.WithTimeout(ctx, until-h.opts.Clock())
@@ -221,7 +221,7 @@
 // sleep waits for d and returns early where the Holder resigns or, with
 // listen, where a higher epoch was observed, the duty is to be yielded, or the
 // lease was lost.
-func (h *Holder) sleep(d time.Duration, listen bool) Event {
+func (h *Candidate) sleep(d time.Duration, listen bool) Event {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	observe, yield, lost := h.observe, h.yield, h.tenure.lost()
@@ -233,9 +233,9 @@
 	case <-h.tomb.Dying():
 	case <-lost:
 	case <-observe:
-		return Outdated{Epoch: h.seen.Load()}
+		return HigherEpoch{Epoch: h.seen.Load()}
 	case <-yield:
 		return Yield{Epoch: h.unwant.Load()}
 	}
-	return Woke{}
+	return WaitEnded{}
 }
--- a/lease/holder_test.go
+++ b/lease/holder_test.go
@@ -39,15 +39,15 @@
 }
 
 // run starts a candidate and returns it with the channel of its changes.
-func (b *bench) run(t *testing.T, ttl time.Duration, change ...func(*lease.Options)) (*lease.Holder, <-chan lease.Held) {
+func (b *bench) run(t *testing.T, ttl time.Duration, change ...func(*lease.CandidateOptions)) (*lease.Candidate, <-chan lease.Leadership) {
 	store := store.NewClient(store.Options{
 		Endpoints:   []string{b.url},
 		CallTimeout: 200 * time.Millisecond,
 		WatchIdle:   200 * time.Millisecond,
 	})
-	gained := make(chan lease.Held, 100)
-	opts := lease.Options{Store: store, Duty: duty, Instance: t.Name(), TTL: ttl}
-	opts.Changed = func(held lease.Held, ok bool) {
+	gained := make(chan lease.Leadership, 100)
+	opts := lease.CandidateOptions{Store: store, Election: duty, Instance: t.Name(), TTL: ttl}
+	opts.OnChange = func(held lease.Leadership, ok bool) {
 		if ok {
 			gained <- held
 		}
@@ -58,7 +58,7 @@
 	if inSessions {
 		opts.Session = b.session(opts)
 	}
-	h := lease.Run(opts)
+	h := lease.StartCandidate(opts)
 	t.Cleanup(func() {
 		_ = h.Resign(context.Background())
 		if opts.Session != nil {
@@ -112,7 +112,7 @@
 	c := qt.New(t)
 	b := newBench(t, standin.Options{})
 	var clock atomic.Int64
-	h, gained := b.run(t, 10*time.Minute, func(o *lease.Options) {
+	h, gained := b.run(t, 10*time.Minute, func(o *lease.CandidateOptions) {
 		o.Clock = func() time.Duration { return time.Duration(clock.Load()) }
 	})
 	<-gained
@@ -130,7 +130,7 @@
 	b := newBench(t, standin.Options{})
 	h, gained := b.run(t, 10*time.Minute)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(1))
-	h.Observe(41)
+	h.ObserveEpoch(41)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(42))
 }
 
@@ -145,19 +145,19 @@
 	b := newBench(t, standin.Options{})
 	var mu sync.Mutex
 	var epochs []uint64
-	run := func() *lease.Holder {
-		h, _ := b.run(t, time.Second, func(o *lease.Options) {
-			o.Changed = func(held lease.Held, ok bool) {
+	run := func() *lease.Candidate {
+		h, _ := b.run(t, time.Second, func(o *lease.CandidateOptions) {
+			o.OnChange = func(held lease.Leadership, ok bool) {
 				mu.Lock()
 				defer mu.Unlock()
-				if ok && lease.BootTime() < held.Until {
+				if ok && lease.BootTime() < held.ValidUntil {
 					epochs = append(epochs, held.Epoch)
 				}
 			}
 		})
 		return h
 	}
-	holders := []*lease.Holder{run(), run()}
+	holders := []*lease.Candidate{run(), run()}
 	rng := rand.New(rand.NewPCG(seed, 0))
 	for round := range rounds {
 		checks := 20
@@ -194,7 +194,7 @@
 
 // waitForHolder returns which of the two holds the duty, once one of them does.
 // A lease that has lapsed meanwhile is waited for again.
-func waitForHolder(c *qt.C, holders []*lease.Holder) (int, lease.Held) {
+func waitForHolder(c *qt.C, holders []*lease.Candidate) (int, lease.Leadership) {
 	for {
 		checkHolders(c, holders[0], holders[1])
 		for i, h := range holders {
@@ -209,7 +209,7 @@
 // checkHolders asks the first again after the second, so that a change of
 // holder between two questions is not taken for two holders. The same epoch in
 // both answers says that the first held the duty all the while.
-func checkHolders(c *qt.C, a, b *lease.Holder) {
+func checkHolders(c *qt.C, a, b *lease.Candidate) {
 	one, ok1 := a.Current()
 	two, ok2 := b.Current()
 	later, again := a.Current()
--- a/lease/model_test.go
+++ b/lease/model_test.go
@@ -50,26 +50,26 @@
 		return lease.Granted{Lease: id, Sent: sent}
 	case lease.Claim:
 		if _, ok := m.leases[act.Lease]; !ok {
-			return lease.Failed{Gone: true}
+			return lease.Failed{LeaseNotFound: true}
 		}
 		won := m.holder == 0
 		if won {
 			m.holder = act.Lease
 		}
-		return lease.Claimed{Won: won}
+		return lease.Claimed{Succeeded: won}
 	case lease.ReadEpoch:
-		return lease.EpochRead{Epoch: m.epoch, Mod: m.mod}
+		return lease.EpochRead{Epoch: m.epoch, Revision: m.mod}
 	case lease.RaiseEpoch:
-		won := m.mod == act.Expect
+		won := m.mod == act.ExpectRevision
 		if won {
 			m.epoch, m.mod = act.Epoch, m.rev
 		}
-		return lease.Raised{Won: won}
+		return lease.Raised{Succeeded: won}
 	case lease.Verify:
-		return lease.Verified{Ours: m.holder == act.Lease}
+		return lease.Verified{Owned: m.holder == act.Lease}
 	case lease.Renew:
 		if _, ok := m.leases[act.Lease]; !ok {
-			return lease.Failed{Gone: true}
+			return lease.Failed{LeaseNotFound: true}
 		}
 		m.leases[act.Lease] = m.now + ttl
 		return lease.Renewed{Sent: sent}
@@ -77,7 +77,7 @@
 		m.drop(act.Lease)
 		return lease.Revoked{}
 	}
-	return lease.Woke{}
+	return lease.WaitEnded{}
 }
 
 // candidate is one Elector with its clock, its action and that action's event
@@ -106,7 +106,7 @@
 	}
 }
 
-func (c *candidate) valid(now time.Duration) (lease.Held, bool) {
-	held, ok := c.Held()
-	return held, ok && c.clock(now) < held.Until
+func (c *candidate) valid(now time.Duration) (lease.Leadership, bool) {
+	held, ok := c.Leadership()
+	return held, ok && c.clock(now) < held.ValidUntil
 }
--- a/lease/perform.go
+++ b/lease/perform.go
@@ -10,7 +10,7 @@
 )
 
 // perform carries out one action and returns its event.
-func (h *Holder) perform(act Action) Event {
+func (h *Candidate) perform(act Action) Event {
 	ctx, cancel := h.context()
 	defer cancel()
 	switch act := act.(type) {
@@ -25,7 +25,7 @@
 	case RaiseEpoch:
 		return h.raiseEpoch(ctx, act)
 	case Verify:
-		_, held := h.elector.Held()
+		_, held := h.elector.Leadership()
 		return h.tenure.verify(ctx, h.claim, held)
 	case Renew:
 		return h.tenure.renew(ctx, act.Lease)
@@ -34,36 +34,36 @@
 		return Revoked{}
 	case Sleep:
 		return h.sleep(act.Until-h.opts.Clock(), true)
-	case Pause:
+	case BackOff:
 		return h.sleep(h.pause.NextBackOff(), false)
 	}
 	panic("lease: unknown action")
 }
 
 // awaitVacant finds the duty vacant twice where others are to come first.
-func (h *Holder) awaitVacant(ctx context.Context) Event {
+func (h *Candidate) awaitVacant(ctx context.Context) Event {
 	for hesitated := false; ; hesitated = true {
 		h.taken = false
 		ev := h.tenure.awaitVacant(ctx)
 		_, vacant := ev.(Vacant)
-		if !vacant || h.opts.Hesitate == nil || hesitated && !h.taken {
+		if !vacant || h.opts.ClaimDelay == nil || hesitated && !h.taken {
 			return ev
 		}
-		rest(ctx, h.opts.Hesitate())
+		rest(ctx, h.opts.ClaimDelay())
 	}
 }
 
-func (h *Holder) claimKey(ctx context.Context, act Claim) Event {
+func (h *Candidate) claimKey(ctx context.Context, act Claim) Event {
 	h.claim = record{Instance: h.opts.Instance, Token: uuid.NewString()}.encode()
-	won, err := h.tenure.swap(ctx, store.Swap{Key: holderKey(h.opts.Duty), Value: h.claim, Lease: act.Lease})
+	won, err := h.tenure.swap(ctx, store.Swap{Key: holderKey(h.opts.Election), Value: h.claim, Lease: act.Lease})
 	if err != nil {
 		return failed(err)
 	}
-	return Claimed{Won: won}
+	return Claimed{Succeeded: won}
 }
 
-func (h *Holder) readEpoch(ctx context.Context) Event {
-	kv, ok, err := h.tenure.read(ctx, epochKey(h.opts.Duty))
+func (h *Candidate) readEpoch(ctx context.Context) Event {
+	kv, ok, err := h.tenure.read(ctx, epochKey(h.opts.Election))
 	if err != nil {
 		return failed(err)
 	}
@@ -74,14 +74,14 @@
 	if err := json.Unmarshal(kv.Value, &r); err != nil {
 		return failed(err)
 	}
-	return EpochRead{Epoch: r.Epoch, Mod: kv.Mod}
+	return EpochRead{Epoch: r.Epoch, Revision: kv.Mod}
 }
 
-func (h *Holder) raiseEpoch(ctx context.Context, act RaiseEpoch) Event {
+func (h *Candidate) raiseEpoch(ctx context.Context, act RaiseEpoch) Event {
 	r := record{Instance: h.opts.Instance, Token: uuid.NewString(), Epoch: act.Epoch}
-	won, err := h.tenure.swap(ctx, store.Swap{Key: epochKey(h.opts.Duty), Expect: act.Expect, Value: r.encode()})
+	won, err := h.tenure.swap(ctx, store.Swap{Key: epochKey(h.opts.Election), Expect: act.ExpectRevision, Value: r.encode()})
 	if err != nil {
 		return failed(err)
 	}
-	return Raised{Won: won}
+	return Raised{Succeeded: won}
 }
--- a/lease/reclaim_test.go
+++ b/lease/reclaim_test.go
@@ -27,10 +27,10 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(res[0].Swapped, qt.IsTrue)
 
-	gained := make(chan lease.Held, 1)
-	h := lease.Run(lease.Options{
-		Store: kv, Duty: "plan", Instance: "a", TTL: 2 * time.Second, Reclaim: true,
-		Changed: func(held lease.Held, ok bool) {
+	gained := make(chan lease.Leadership, 1)
+	h := lease.StartCandidate(lease.CandidateOptions{
+		Store: kv, Election: "plan", Instance: "a", TTL: 2 * time.Second, RemoveStaleClaim: true,
+		OnChange: func(held lease.Leadership, ok bool) {
 			if ok {
 				gained <- held
 			}
--- a/lease/session.go
+++ b/lease/session.go
@@ -29,8 +29,8 @@
 	changed chan struct{} // closed and replaced when term changes
 }
 
-// Open starts a Session. Close ends it.
-func Open(opts SessionOptions) *Session {
+// OpenSession starts a Session. Close ends it.
+func OpenSession(opts SessionOptions) *Session {
 	if opts.Clock == nil {
 		opts.Clock = BootTime
 	}
--- a/lease/session_test.go
+++ b/lease/session_test.go
@@ -22,9 +22,9 @@
 var inSessions = false
 
 // session opens a Session for a candidate and waits until it watches.
-func (b *bench) session(o lease.Options) *lease.Session {
+func (b *bench) session(o lease.CandidateOptions) *lease.Session {
 	before := b.srv.Counters().Watch
-	s := lease.Open(lease.SessionOptions{Store: o.Store, Domain: domain, Instance: o.Instance, TTL: o.TTL, Clock: o.Clock})
+	s := lease.OpenSession(lease.SessionOptions{Store: o.Store, Domain: domain, Instance: o.Instance, TTL: o.TTL, Clock: o.Clock})
 	for b.srv.Faults() == (standin.Faults{}) && b.srv.Counters().Watch == before {
 		time.Sleep(time.Millisecond)
 	}
@@ -46,28 +46,28 @@
 // member is a Session with a Holder for each of some duties.
 type member struct {
 	session *lease.Session
-	holders []*lease.Holder
-	gained  []chan lease.Held
+	holders []*lease.Candidate
+	gained  []chan lease.Leadership
 	// took is told of each holding that is valid when it is told.
 	took func(duty int, epoch uint64)
 }
 
 func (b *bench) member(t *testing.T, ttl time.Duration, duties int, took ...func(duty int, epoch uint64)) *member {
 	store := store.NewClient(store.Options{Endpoints: []string{b.url}, CallTimeout: 200 * time.Millisecond, WatchIdle: b.watchIdle})
-	m := &member{session: b.session(lease.Options{Store: store, TTL: ttl, Instance: t.Name()})}
+	m := &member{session: b.session(lease.CandidateOptions{Store: store, TTL: ttl, Instance: t.Name()})}
 	if len(took) > 0 {
 		m.took = took[0]
 	}
 	for i := range duties {
-		gained := make(chan lease.Held, 100)
+		gained := make(chan lease.Leadership, 100)
 		m.gained = append(m.gained, gained)
-		m.holders = append(m.holders, lease.Run(lease.Options{
-			Session: m.session, Duty: fmt.Sprintf("%s/service-%02d", domain, i), Instance: t.Name(),
-			Changed: func(held lease.Held, ok bool) {
+		m.holders = append(m.holders, lease.StartCandidate(lease.CandidateOptions{
+			Session: m.session, Election: fmt.Sprintf("%s/service-%02d", domain, i), Instance: t.Name(),
+			OnChange: func(held lease.Leadership, ok bool) {
 				if !ok {
 					return
 				}
-				if m.took != nil && lease.BootTime() < held.Until {
+				if m.took != nil && lease.BootTime() < held.ValidUntil {
 					m.took(i, held.Epoch)
 				}
 				gained <- held
@@ -116,7 +116,7 @@
 	b := newBench(t, standin.Options{})
 	b.watchIdle = time.Hour
 	m := b.member(t, time.Second, 2)
-	first := []lease.Held{<-m.gained[0], <-m.gained[1]}
+	first := []lease.Leadership{<-m.gained[0], <-m.gained[1]}
 	b.srv.SetFaults(standin.Faults{FreezeWatches: true})
 	b.srv.Snapshot()
 	late := m.late(t, c)
@@ -128,9 +128,9 @@
 }
 
 // late adds a Holder that gains its duty now, and returns what it gains after.
-func (m *member) late(t *testing.T, c *qt.C) <-chan lease.Held {
-	gained := make(chan lease.Held, 100)
-	h := lease.Run(lease.Options{Session: m.session, Duty: domain + "/late", Instance: t.Name(), Changed: func(held lease.Held, ok bool) {
+func (m *member) late(t *testing.T, c *qt.C) <-chan lease.Leadership {
+	gained := make(chan lease.Leadership, 100)
+	h := lease.StartCandidate(lease.CandidateOptions{Session: m.session, Election: domain + "/late", Instance: t.Name(), OnChange: func(held lease.Leadership, ok bool) {
 		if ok {
 			gained <- held
 		}
--- a/lease/session_world_test.go
+++ b/lease/session_world_test.go
@@ -71,7 +71,7 @@
 		return lease.Granted{Lease: claim, Sent: s.sent}
 	case lease.Renew:
 		if _, lives := m.leases[act.Lease]; !lives {
-			return lease.Failed{Gone: true}
+			return lease.Failed{LeaseNotFound: true}
 		}
 		if s.sent <= s.taken {
 			return nil
--- a/lease/slow_test.go
+++ b/lease/slow_test.go
@@ -24,17 +24,17 @@
 	act := e.Step(now, lease.Start{})
 	var heldFrom time.Duration
 	for now < 15*time.Second {
-		held, ok := e.Held()
+		held, ok := e.Leadership()
 		if ok && heldFrom == 0 {
 			heldFrom = now
 		}
 		if heldFrom != 0 {
-			c.Assert(ok && now < held.Until, qt.IsTrue, qt.Commentf("lost at %v, held from %v", now, heldFrom))
+			c.Assert(ok && now < held.ValidUntil, qt.IsTrue, qt.Commentf("lost at %v, held from %v", now, heldFrom))
 		}
 		sent := now
 		if sleep, ok := act.(lease.Sleep); ok {
 			now = max(now, sleep.Until)
-			act = e.Step(now, lease.Woke{})
+			act = e.Step(now, lease.WaitEnded{})
 			continue
 		}
 		now += answer
@@ -51,17 +51,17 @@
 	case lease.Grant:
 		return lease.Granted{Lease: 1, Sent: sent}
 	case lease.Claim:
-		return lease.Claimed{Won: true}
+		return lease.Claimed{Succeeded: true}
 	case lease.ReadEpoch:
-		return lease.EpochRead{Epoch: 4, Mod: 9}
+		return lease.EpochRead{Epoch: 4, Revision: 9}
 	case lease.RaiseEpoch:
-		return lease.Raised{Won: true}
+		return lease.Raised{Succeeded: true}
 	case lease.Verify:
-		return lease.Verified{Ours: true}
+		return lease.Verified{Owned: true}
 	case lease.Renew:
 		return lease.Renewed{Sent: sent}
 	case lease.Revoke:
 		return lease.Revoked{}
 	}
-	return lease.Woke{}
+	return lease.WaitEnded{}
 }
--- a/lease/tenure.go
+++ b/lease/tenure.go
@@ -35,5 +35,5 @@
 }
 
 func failed(err error) Event {
-	return Failed{Gone: eris.Is(err, store.ErrLeaseNotFound)}
+	return Failed{LeaseNotFound: eris.Is(err, store.ErrLeaseNotFound)}
 }
--- a/lease/tenure_own.go
+++ b/lease/tenure_own.go
@@ -126,7 +126,7 @@
 	if err != nil {
 		return failed(err)
 	}
-	return Verified{Ours: ok && bytes.Equal(kv.Value, claim)}
+	return Verified{Owned: ok && bytes.Equal(kv.Value, claim)}
 }
 
 func (o *ownTenure) renew(ctx context.Context, lease store.LeaseID) Event {
--- a/lease/tenure_shared.go
+++ b/lease/tenure_shared.go
@@ -116,7 +116,7 @@
 func (o *sharedTenure) verify(ctx context.Context, claim []byte, held bool) Event {
 	if held {
 		kv, ok, ready, _ := o.term.view.get(o.key, o.claimed)
-		return Verified{Ours: !ready || ok && bytes.Equal(kv.Value, claim)}
+		return Verified{Owned: !ready || ok && bytes.Equal(kv.Value, claim)}
 	}
 	if err := o.term.seal(ctx); err != nil {
 		return failed(err)
@@ -125,7 +125,7 @@
 	if err != nil {
 		return failed(err)
 	}
-	return Verified{Ours: ok && bytes.Equal(kv.Value, claim)}
+	return Verified{Owned: ok && bytes.Equal(kv.Value, claim)}
 }
 
 func (o *sharedTenure) renew(ctx context.Context, _ store.LeaseID) Event {
--- a/lease/world_test.go
+++ b/lease/world_test.go
@@ -35,10 +35,10 @@
 		}
 	default:
 		c := w.candidates[i]
-		held, ok := c.Held()
+		held, ok := c.Leadership()
 		switch {
 		case ok && w.rng.IntN(2) == 0:
-			c.step(w.store.now, lease.Outdated{Epoch: w.store.epoch + 1})
+			c.step(w.store.now, lease.HigherEpoch{Epoch: w.store.epoch + 1})
 		case ok:
 			c.step(w.store.now, lease.Yield{Epoch: held.Epoch - uint64(w.rng.IntN(2))})
 		}
@@ -53,7 +53,7 @@
 	candidates []*candidate
 	sessions   []*session // one for each candidate; nil: leases of their own
 	late       []lease.Action
-	last       lease.Held // the newest valid holding seen
+	last       lease.Leadership // the newest valid holding seen
 	lastBy     *candidate
 	holdings   int
 }
--- a/lease/yield_test.go
+++ b/lease/yield_test.go
@@ -15,17 +15,17 @@
 func TestHolderYields(t *testing.T) {
 	c := qt.New(t)
 	b := newBench(t, standin.Options{})
-	hesitate := func(o *lease.Options) { o.Hesitate = func() time.Duration { return time.Hour } }
+	hesitate := func(o *lease.CandidateOptions) { o.ClaimDelay = func() time.Duration { return time.Hour } }
 	first, gained := b.run(t, 10*time.Minute)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(1))
 	_, other := b.run(t, 10*time.Minute, hesitate)
 	// Meant for an earlier holding: ignored.
 	first.Yield(0)
-	first.Observe(4)
+	first.ObserveEpoch(4)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(5))
 	third, won := b.run(t, 10*time.Minute)
 	first.Yield(5)
-	var held lease.Held
+	var held lease.Leadership
 	select {
 	case held = <-won:
 		_, ok := third.Current()
@@ -46,8 +46,8 @@
 	first, gained := b.run(t, 3*time.Second)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(1))
 	second, won := b.run(t, 10*time.Minute)
-	c.Assert(first.Depose(), qt.IsFalse, qt.Commentf("a holder has nobody to depose"))
-	for !second.Depose() {
+	c.Assert(first.ForceTakeover(), qt.IsFalse, qt.Commentf("a holder has nobody to depose"))
+	for !second.ForceTakeover() {
 		time.Sleep(time.Millisecond) // it does not wait for the duty yet
 	}
 	c.Assert((<-won).Epoch, qt.Equals, uint64(2))
--- a/membership/action.go
+++ b/membership/action.go
@@ -45,19 +45,19 @@
 // Refused: the agent's report was shed.
 type Refused struct{ ID string }
 
-// Next: when the sender should report again at the earliest.
-type Next struct{ After time.Duration }
+// NextReport: when the sender should report again at the earliest.
+type NextReport struct{ After time.Duration }
 
-func (Joined) action()    {}
-func (Changed) action()   {}
-func (Suspected) action() {}
-func (Recovered) action() {}
-func (Lost) action()      {}
-func (Left) action()      {}
-func (NeedFull) action()  {}
-func (Newer) action()     {}
-func (Refused) action()   {}
-func (Next) action()      {}
+func (Joined) action()     {}
+func (Changed) action()    {}
+func (Suspected) action()  {}
+func (Recovered) action()  {}
+func (Lost) action()       {}
+func (Left) action()       {}
+func (NeedFull) action()   {}
+func (Newer) action()      {}
+func (Refused) action()    {}
+func (NextReport) action() {}
 
 // FillAck puts into ack what actions have to tell the sender of the reports.
 func FillAck(ack *wire.ReportAck, actions []Action) {
@@ -69,7 +69,7 @@
 			ack.Newer = append(ack.Newer, wire.AgentSeen{ID: a.ID, Incarnation: a.Incarnation})
 		case Refused:
 			ack.Refused = append(ack.Refused, a.ID)
-		case Next:
+		case NextReport:
 			ack.NextReport = max(ack.NextReport, a.After)
 		}
 	}
--- a/membership/admit.go
+++ b/membership/admit.go
@@ -25,7 +25,7 @@
 		}
 	}
 	if len(t.records) >= t.cfg.MaxMembers && !t.dropGone() {
-		t.refuse(in.ID, t.cfg.ReportEvery)
+		t.refuse(in.ID, t.cfg.ReportPeriod)
 		return nil
 	}
 	r := &record{id: in.ID, incarnation: in.Incarnation, gone: now}
@@ -36,7 +36,7 @@
 func (t *Table) refuse(id string, after time.Duration) {
 	t.refused++
 	t.emit(Refused{ID: id})
-	t.emit(Next{After: after})
+	t.emit(NextReport{After: after})
 }
 
 // dropGone forgets the record whose member has been gone for longest.
--- a/membership/announcer.go
+++ b/membership/announcer.go
@@ -13,20 +13,20 @@
 // soon as it plans.
 const gangSilence = 2500 * time.Millisecond
 
-// Announcer decides when an agent reports to whom and what: to each entry by
+// ReportRouter decides when an agent reports to whom and what: to each entry by
 // itself, or to the relay of its rack, and as a relay for others. One goroutine
 // owns it, or its owner locks it; now must not go back, and should run on during
 // suspension. There is at most one report under way to each entry and to the
 // relay.
-type Announcer struct {
-	cfg      AnnouncerConfig
+type ReportRouter struct {
+	cfg      ReportRouterConfig
 	self     wire.RelayInfo
 	draining bool
 	inGang   bool
 	stamp    gang.PlannerTimestamp
 	planned  time.Time // when an entry with the planner duty last answered
 	reporter *Reporter
-	path     *Path
+	path     *RelayRoute
 	relayer  *Relayer
 	entries  map[string]*entryLink
 	toRelay  relayLink
@@ -35,31 +35,31 @@
 	pausedAt time.Time
 }
 
-// AnnouncerConfig holds an Announcer's settings.
-type AnnouncerConfig struct {
+// ReportRouterConfig holds an Announcer's settings.
+type ReportRouterConfig struct {
 	ReporterConfig
-	// GangEvery is the longest period of an agent's own reports while a task of
+	// GangReportPeriod is the longest period of an agent's own reports while a task of
 	// several members runs there.
-	GangEvery time.Duration
+	GangReportPeriod time.Duration
 	// MaxEntries bounds the entries that are reported to.
 	MaxEntries int
 }
 
-// NewAnnouncer returns one for the agent that state describes, without entries.
-func NewAnnouncer(cfg AnnouncerConfig, state wire.AgentReport, random func() float64) *Announcer {
+// NewReportRouter returns one for the agent that state describes, without entries.
+func NewReportRouter(cfg ReportRouterConfig, state wire.AgentReport, random func() float64) *ReportRouter {
 	cfg.ReporterConfig = cfg.withDefaults()
-	return &Announcer{
+	return &ReportRouter{
 		cfg:      cfg,
 		self:     RelayOf(&state),
 		reporter: NewReporter(cfg.ReporterConfig, state, random),
-		path:     NewPath(state.ID),
+		path:     NewRelayRoute(state.ID),
 		relayer:  NewRelayer(),
 		entries:  make(map[string]*entryLink),
 	}
 }
 
 // AddEntry begins reports to an entry. False: it is known, or there are too many.
-func (a *Announcer) AddEntry(addr string) bool {
+func (a *ReportRouter) AddEntry(addr string) bool {
 	if a.entries[addr] != nil || len(a.entries) >= a.cfg.MaxEntries {
 		return false
 	}
@@ -67,8 +67,8 @@
 	return true
 }
 
-// DropEntry ends reports to an entry.
-func (a *Announcer) DropEntry(addr string) {
+// RemoveEntry ends reports to an entry.
+func (a *ReportRouter) RemoveEntry(addr string) {
 	if l := a.entries[addr]; l != nil && l.planner {
 		a.planned = time.Time{}
 	}
@@ -77,33 +77,33 @@
 	a.relayer.Forget(addr)
 }
 
-// Set takes the agent's whole state.
-func (a *Announcer) Set(now time.Time, state wire.AgentReport) {
+// SetState takes the agent's whole state.
+func (a *ReportRouter) SetState(now time.Time, state wire.AgentReport) {
 	a.draining = a.draining || state.Draining
 	a.inGang = slices.ContainsFunc(state.Tasks, func(t gang.Task) bool {
 		return t.Members > 1 && t.State == gang.StateRunning
 	})
-	a.reporter.Set(now, state)
+	a.reporter.SetState(now, state)
 }
 
-// SetStamp takes the stamp that the next reports return.
-func (a *Announcer) SetStamp(s gang.PlannerTimestamp) { a.stamp = s }
+// SetTimestamp takes the stamp that the next reports return.
+func (a *ReportRouter) SetTimestamp(s gang.PlannerTimestamp) { a.stamp = s }
 
 // Due returns when to report to the entry, or to ask again because the relay's
 // word ends then.
-func (a *Announcer) Due(now time.Time, addr string) time.Time {
+func (a *ReportRouter) Due(now time.Time, addr string) time.Time {
 	l := a.entries[addr]
 	if a.byRelay(now, addr) {
 		a.cover(now, addr)
 		if a.inGang {
-			return earlier(a.path.Until(), now.Add(a.cfg.GangEvery)) // for gangSilence
+			return earlier(a.path.ValidUntil(), now.Add(a.cfg.GangReportPeriod)) // for gangSilence
 		}
-		return a.path.Until()
+		return a.path.ValidUntil()
 	}
 	l.covered = false
 	due := a.reporter.Due(now, addr)
 	if a.inGang {
-		due = earlier(due, l.sent.Add(a.cfg.GangEvery))
+		due = earlier(due, l.sent.Add(a.cfg.GangReportPeriod))
 	}
 	if a.relays() {
 		due = earlier(due, l.sent.Add(RelayPeriod))
@@ -118,8 +118,8 @@
 // dies in that moment. So does a member of a gang to the entry that plans:
 // its gang runs on by the evidence of its reports, whose age a relay would add
 // to, and stops when a relay dies for as long as that goes unnoticed.
-func (a *Announcer) byRelay(now time.Time, addr string) bool {
-	if a.draining || !a.path.Covered(now, addr) {
+func (a *ReportRouter) byRelay(now time.Time, addr string) bool {
+	if a.draining || !a.path.ForwardsTo(now, addr) {
 		return false
 	}
 	return !a.inGang || (!a.entries[addr].planner && now.Sub(a.planned) <= gangSilence)
@@ -128,7 +128,7 @@
 // cover notes that reports to the entry go by the relay from now on. What the
 // entry has is not followed any more, so the next own report is a full one, due
 // at once.
-func (a *Announcer) cover(now time.Time, addr string) {
+func (a *ReportRouter) cover(now time.Time, addr string) {
 	l := a.entries[addr]
 	if l.covered {
 		return
@@ -142,7 +142,7 @@
 // batchDue is when the entry has to hear news of members, or a full report of
 // one that it asked for. An entry that does not answer is not asked more often
 // for that.
-func (a *Announcer) batchDue(addr string, l *entryLink, due time.Time) time.Time {
+func (a *ReportRouter) batchDue(addr string, l *entryLink, due time.Time) time.Time {
 	if a.reporter.Failures(addr) > 0 {
 		return due
 	}
@@ -150,7 +150,7 @@
 	if l.news {
 		return soon
 	}
-	if at, ok := a.relayer.Owed(addr); ok {
+	if at, ok := a.relayer.FullReportDue(addr); ok {
 		return laterOf(at, soon)
 	}
 	return due
@@ -164,7 +164,7 @@
 }
 
 // Report returns what to send to the entry now. Follow it with Acked or Failed.
-func (a *Announcer) Report(now time.Time, addr string) *wire.Report {
+func (a *ReportRouter) Report(now time.Time, addr string) *wire.Report {
 	l := a.entries[addr]
 	own := a.reporter.Report(now, addr)
 	own.Stamp = a.stamp
@@ -176,14 +176,14 @@
 	return &wire.Report{Batch: append([]wire.AgentReport{own}, l.batch...), Known: l.known}
 }
 
-// Acked takes the entry's answer to the last report. It returns the addresses of
+// HandleAck takes the entry's answer to the last report. It returns the addresses of
 // entries that the answer names and that are new.
-func (a *Announcer) Acked(now time.Time, addr string, ack *wire.ReportAck) []string {
+func (a *ReportRouter) HandleAck(now time.Time, addr string, ack *wire.ReportAck) []string {
 	l := a.entries[addr]
 	l.answered = true
-	a.reporter.Acked(now, addr, l.sequence, ack)
+	a.reporter.HandleAck(now, addr, l.sequence, ack)
 	if a.relays() {
-		a.relayer.Acked(now, addr, l.batch, l.cursor, ack)
+		a.relayer.HandleAck(now, addr, l.batch, l.cursor, ack)
 	}
 	a.notePlanner(now, l, ack.Stamp.Epoch != 0)
 	fresh := ack.Digest != l.known
@@ -202,7 +202,7 @@
 
 // notePlanner: when the entry that planned does not any more, the member of a
 // gang has to find the next one at once.
-func (a *Announcer) notePlanner(now time.Time, l *entryLink, plans bool) {
+func (a *ReportRouter) notePlanner(now time.Time, l *entryLink, plans bool) {
 	if plans {
 		a.planned = now
 	} else if l.planner {
@@ -211,7 +211,7 @@
 	l.planner = plans
 }
 
-func (a *Announcer) learn(entries []wire.EntryInfo) []string {
+func (a *ReportRouter) learn(entries []wire.EntryInfo) []string {
 	var added []string
 	for _, e := range entries {
 		if a.AddEntry(e.Address) {
@@ -221,17 +221,17 @@
 	return added
 }
 
-// Failed notes that the entry did not answer the last report. It returns how
+// HandleFailure notes that the entry did not answer the last report. It returns how
 // many it left unanswered in a row.
-func (a *Announcer) Failed(now time.Time, addr string) int {
+func (a *ReportRouter) HandleFailure(now time.Time, addr string) int {
 	a.notePlanner(now, a.entries[addr], false)
-	a.reporter.Failed(now, addr)
+	a.reporter.HandleFailure(now, addr)
 	return a.reporter.Failures(addr)
 }
 
-// Unused says, once, that the connection to the entry has had no use for some
+// ConnectionIdle says, once, that the connection to the entry has had no use for some
 // time: reports go by the relay.
-func (a *Announcer) Unused(now time.Time, addr string) bool {
+func (a *ReportRouter) ConnectionIdle(now time.Time, addr string) bool {
 	l := a.entries[addr]
 	if !l.covered || l.closed || now.Sub(l.since) < linkUnused {
 		return false
@@ -244,7 +244,7 @@
 // own report: a relay that is taken on and fails at once costs no new handshake.
 const linkUnused = 10 * time.Second
 
-// Goodbye returns the report of the agent's end.
-func (a *Announcer) Goodbye() *wire.Report {
-	return &wire.Report{Batch: []wire.AgentReport{a.reporter.Goodbye()}}
+// DepartureReport returns the report of the agent's end.
+func (a *ReportRouter) DepartureReport() *wire.Report {
+	return &wire.Report{Batch: []wire.AgentReport{a.reporter.DepartureReport()}}
 }
--- a/membership/announcer_relay.go
+++ b/membership/announcer_relay.go
@@ -16,20 +16,20 @@
 const coverFailures = 2
 
 // follow takes an entry's word on the relay of the rack.
-func (a *Announcer) follow(now time.Time, named wire.RelayInfo) {
+func (a *ReportRouter) follow(now time.Time, named wire.RelayInfo) {
 	if a.serving(now) {
 		a.leave()
 		return
 	}
 	if !a.draining {
-		a.path.Named(now, named)
+		a.path.OfferRelay(now, named)
 	}
 }
 
-func (a *Announcer) leave() {
+func (a *ReportRouter) leave() {
 	if relay, ok := a.path.Relay(); ok {
 		a.reporter.Forget(relay.ID)
-		a.path.Leave()
+		a.path.Clear()
 	}
 }
 
@@ -38,7 +38,7 @@
 // each of those may serve. Entries that name none are those that have just
 // started: a relay goes on for servingAfter, or a restart of the entries would
 // bring them the reports of every single agent in their first moments.
-func (a *Announcer) serving(now time.Time) bool {
+func (a *ReportRouter) serving(now time.Time) bool {
 	if a.draining {
 		return false
 	}
@@ -56,13 +56,13 @@
 const servingAfter = 30 * time.Second
 
 // relays says whether there is something to relay.
-func (a *Announcer) relays() bool { return a.relayer.table.Len() > 0 }
+func (a *ReportRouter) relays() bool { return a.relayer.table.Len() > 0 }
 
 // Relay returns the relay that the agent reports to now; false: there is none.
-func (a *Announcer) Relay() (wire.RelayInfo, bool) { return a.path.Relay() }
+func (a *ReportRouter) Relay() (wire.RelayInfo, bool) { return a.path.Relay() }
 
 // RelayDue returns when to report to the relay next; false: there is none.
-func (a *Announcer) RelayDue(now time.Time) (time.Time, bool) {
+func (a *ReportRouter) RelayDue(now time.Time) (time.Time, bool) {
 	relay, ok := a.path.Relay()
 	if !ok {
 		return time.Time{}, false
@@ -72,21 +72,21 @@
 
 // ReportToRelay returns what to send to the relay now. Follow it with RelayAcked
 // or RelayFailed.
-func (a *Announcer) ReportToRelay(now time.Time) *wire.Report {
+func (a *ReportRouter) ReportToRelay(now time.Time) *wire.Report {
 	relay, _ := a.path.Relay()
 	own := a.reporter.Report(now, relay.ID)
 	a.toRelay = relayLink{sent: now, sequence: own.Sequence}
 	return &wire.Report{Batch: []wire.AgentReport{own}, Known: a.path.Digest()}
 }
 
-// RelayAcked takes the answer of the relay to the last report. It returns the
+// HandleRelayAck takes the answer of the relay to the last report. It returns the
 // addresses of entries that the answer names and that are new.
-func (a *Announcer) RelayAcked(now time.Time, from wire.RelayInfo, ack *wire.ReportAck) []string {
+func (a *ReportRouter) HandleRelayAck(now time.Time, from wire.RelayInfo, ack *wire.ReportAck) []string {
 	if relay, ok := a.path.Relay(); !ok || relay != from {
 		return nil // left meanwhile
 	}
-	a.reporter.Acked(now, from.ID, a.toRelay.sequence, ack)
-	a.path.Answered(now, a.toRelay.sent, ack)
+	a.reporter.HandleAck(now, from.ID, a.toRelay.sequence, ack)
+	a.path.HandleAck(now, a.toRelay.sent, ack)
 	if relay, _ := a.path.Relay(); relay != from {
 		a.reporter.Forget(from.ID)
 		return nil
@@ -94,28 +94,28 @@
 	return a.learn(ack.Entries)
 }
 
-// RelayFailed notes that the relay did not answer, or refused the report: the
+// HandleRelayFailure notes that the relay did not answer, or refused the report: the
 // agent reports by itself again.
-func (a *Announcer) RelayFailed(now time.Time, from wire.RelayInfo) {
+func (a *ReportRouter) HandleRelayFailure(now time.Time, from wire.RelayInfo) {
 	if relay, ok := a.path.Relay(); !ok || relay != from {
 		return
 	}
 	a.reporter.Forget(from.ID)
-	a.path.Failed(now)
+	a.path.HandleFailure(now)
 }
 
-// Serve answers a report that another agent sent to this one as its relay. news
+// HandleMemberReport answers a report that another agent sent to this one as its relay. news
 // says that entries should hear of it at once. An agent that is not the relay
 // (any more) does not take the report and names the one that is, as far as it
 // knows. A nil answer: the report was not taken, and the age of it is not known.
-func (a *Announcer) Serve(now time.Time, r *wire.Report) (ack *wire.ReportAck, news bool) {
+func (a *ReportRouter) HandleMemberReport(now time.Time, r *wire.Report) (ack *wire.ReportAck, news bool) {
 	if a.paused(now) {
 		return nil, false
 	}
 	if len(r.Batch) != 1 || !a.serving(now) {
 		return a.finish(&wire.ReportAck{Relay: a.other()}, r.Known), false
 	}
-	ack, news = a.relayer.Take(now, r.Batch[0])
+	ack, news = a.relayer.HandleReport(now, r.Batch[0])
 	if news {
 		for _, l := range a.entries {
 			l.news = true
@@ -127,7 +127,7 @@
 }
 
 // other is the relay that entries name in place of this agent.
-func (a *Announcer) other() wire.RelayInfo {
+func (a *ReportRouter) other() wire.RelayInfo {
 	if relay, ok := a.path.Relay(); ok {
 		return relay
 	}
@@ -140,7 +140,7 @@
 }
 
 // reached lists the entries that take this relay's reports now.
-func (a *Announcer) reached() []wire.EntryInfo {
+func (a *ReportRouter) reached() []wire.EntryInfo {
 	var out []wire.EntryInfo
 	for _, addr := range slices.Sorted(maps.Keys(a.entries)) {
 		if a.entries[addr].answered && a.reporter.Failures(addr) < coverFailures {
@@ -152,7 +152,7 @@
 
 // finish sets the digest of what the member has to know, and leaves that out
 // where it does.
-func (a *Announcer) finish(ack *wire.ReportAck, known uint64) *wire.ReportAck {
+func (a *ReportRouter) finish(ack *wire.ReportAck, known uint64) *wire.ReportAck {
 	h := xxhash.New()
 	_, _ = h.WriteString(ack.Relay.ID + "/" + ack.Relay.Address)
 	_, _ = h.Write(binary.BigEndian.AppendUint64(nil, ack.Relay.Incarnation))
@@ -168,7 +168,7 @@
 
 // Tick drops members that have not reported for long. Send one about every
 // second.
-func (a *Announcer) Tick(now time.Time) {
+func (a *ReportRouter) Tick(now time.Time) {
 	a.paused(now)
 	a.ticked = now
 	a.relayer.Tick(now)
@@ -178,7 +178,7 @@
 // then finds in its sockets count as heard when it takes them, so a relay that
 // was frozen for a minute would make members that died meanwhile look alive.
 // It shows as a Tick that is overdue, to whoever of Tick and Serve runs first.
-func (a *Announcer) paused(now time.Time) bool {
+func (a *ReportRouter) paused(now time.Time) bool {
 	if !a.ticked.IsZero() && now.Sub(a.ticked) > pausedAfter {
 		a.pausedAt = now
 		a.ticked = now
@@ -196,4 +196,4 @@
 
 // Members returns the agents that report by this one. They are shared: don't
 // change them.
-func (a *Announcer) Members() []*Member { return a.relayer.Members() }
+func (a *ReportRouter) Members() []*Member { return a.relayer.Members() }
--- a/membership/announcer_test.go
+++ b/membership/announcer_test.go
@@ -17,16 +17,16 @@
 func TestGangStartsRightAfterTheRelayTookOver(t *testing.T) {
 	c := qt.New(t)
 	relay := wire.RelayInfo{ID: "r", Incarnation: 1, Address: "r"}
-	a := NewAnnouncer(AnnouncerConfig{GangEvery: time.Second, MaxEntries: 4}, full("a", 1, 0), func() float64 { return 0.5 })
+	a := NewReportRouter(ReportRouterConfig{GangReportPeriod: time.Second, MaxEntries: 4}, full("a", 1, 0), func() float64 { return 0.5 })
 	a.AddEntry("x")
 	a.Report(start, "x")
-	a.Acked(start, "x", &wire.ReportAck{Digest: 1, Relay: relay, Stamp: gang.NewPlannerTimestamp(1, start)})
+	a.HandleAck(start, "x", &wire.ReportAck{Digest: 1, Relay: relay, Stamp: gang.NewPlannerTimestamp(1, start)})
 	a.ReportToRelay(start)
-	a.RelayAcked(start, relay, &wire.ReportAck{Digest: 2, Relay: relay, Entries: []wire.EntryInfo{{Address: "x"}}})
+	a.HandleRelayAck(start, relay, &wire.ReportAck{Digest: 2, Relay: relay, Entries: []wire.EntryInfo{{Address: "x"}}})
 	c.Assert(a.Due(start, "x").After(start), qt.IsTrue, qt.Commentf("the relay reports to x"))
 
 	state := full("a", 1, 0)
 	state.Tasks = []gang.Task{{ID: gang.ID{Job: "j"}, Members: 2, State: gang.StateRunning}}
-	a.Set(start, state)
+	a.SetState(start, state)
 	c.Assert(a.Due(start, "x").After(start), qt.IsFalse, qt.Commentf("the planner hears of the gang at once"))
 }
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -10,7 +10,7 @@
 
 // filled returns a table of n agents that are in.
 func filled(n int) (*Table, []wire.AgentReport) {
-	table := NewTable(Config{FullBurst: 1e6, PublishEvery: 20 * time.Millisecond})
+	table := NewTable(Config{JoinBurst: 1e6, PublishInterval: 20 * time.Millisecond})
 	batch := make([]wire.AgentReport, n)
 	for i := range batch {
 		batch[i] = full(fmt.Sprintf("dispatch-%05d", i), 1, 1)
--- a/membership/choose.go
+++ b/membership/choose.go
@@ -17,7 +17,7 @@
 // (rendezvous hashing) among those that are alive, not draining and able to
 // relay. Whoever knows the same agents chooses the same, and one that comes or
 // goes changes the choice of its own rack at most.
-func ChooseRelays(view *Service, least int) map[Rack]wire.RelayInfo {
+func ChooseRelays(view *ServiceView, least int) map[Rack]wire.RelayInfo {
 	type best struct {
 		hash  uint64
 		from  *Member
@@ -48,7 +48,7 @@
 }
 
 func canRelay(m *Member) bool {
-	return m.Report.Relays && m.State == Alive && m.Offered()
+	return m.Report.Relays && m.State == Alive && m.Schedulable()
 }
 
 func relayHash(m *Member) uint64 {
--- a/membership/config.go
+++ b/membership/config.go
@@ -10,10 +10,10 @@
 	DefaultSuspectAfter     = 25 * time.Second
 	DefaultLostAfter        = 60 * time.Second
 	DefaultForgetAfter      = 10 * time.Minute
-	DefaultReportEvery      = 10 * time.Second
+	DefaultReportPeriod     = 10 * time.Second
 	DefaultMaxMembers       = 20000
-	DefaultFullPerSecond    = 200
-	DefaultFullBurst        = 50
+	DefaultJoinsPerSecond   = 200
+	DefaultJoinBurst        = 50
 	DefaultReportsPerSecond = 500
 )
 
@@ -26,30 +26,30 @@
 	// ForgetAfter is how long the incarnation and sequence of a member that
 	// is lost or has left are kept, so that late relays can't revive it.
 	ForgetAfter time.Duration
-	// ReportEvery is the period asked of agents; it grows when they are more
+	// ReportPeriod is the period asked of agents; it grows when they are more
 	// than ReportsPerSecond allows.
-	ReportEvery      time.Duration
+	ReportPeriod     time.Duration
 	ReportsPerSecond float64
 	// MaxMembers bounds all records, those of lost members included. The
 	// longest lost are dropped first; then new members are refused.
 	MaxMembers int
-	// FullPerSecond and FullBurst limit the admission of members that are
+	// JoinsPerSecond and FullBurst limit the admission of members that are
 	// not known yet.
-	FullPerSecond float64
-	FullBurst     float64
-	// PublishEvery is the least time between snapshots for changes that can
+	JoinsPerSecond float64
+	JoinBurst      float64
+	// PublishInterval is the least time between snapshots for changes that can
 	// wait, such as load. Joins, draining, loss and goodbye never wait.
-	PublishEvery time.Duration
+	PublishInterval time.Duration
 }
 
 func (c Config) withDefaults() Config {
 	c.SuspectAfter = cmp.Or(c.SuspectAfter, DefaultSuspectAfter)
 	c.LostAfter = cmp.Or(c.LostAfter, DefaultLostAfter)
 	c.ForgetAfter = cmp.Or(c.ForgetAfter, DefaultForgetAfter)
-	c.ReportEvery = cmp.Or(c.ReportEvery, DefaultReportEvery)
+	c.ReportPeriod = cmp.Or(c.ReportPeriod, DefaultReportPeriod)
 	c.ReportsPerSecond = cmp.Or(c.ReportsPerSecond, DefaultReportsPerSecond)
 	c.MaxMembers = cmp.Or(c.MaxMembers, DefaultMaxMembers)
-	c.FullPerSecond = cmp.Or(c.FullPerSecond, DefaultFullPerSecond)
-	c.FullBurst = cmp.Or(c.FullBurst, DefaultFullBurst)
+	c.JoinsPerSecond = cmp.Or(c.JoinsPerSecond, DefaultJoinsPerSecond)
+	c.JoinBurst = cmp.Or(c.JoinBurst, DefaultJoinBurst)
 	return c
 }
--- a/membership/member.go
+++ b/membership/member.go
@@ -18,8 +18,8 @@
 	State  State
 }
 
-// Offered says whether the member may be given new work.
-func (m *Member) Offered() bool { return !m.Report.Draining }
+// Schedulable says whether the member may be given new work.
+func (m *Member) Schedulable() bool { return !m.Report.Draining }
 
 func (m *Member) with(change func(*Member)) *Member {
 	next := *m
--- a/membership/path.go
+++ b/membership/path.go
@@ -7,7 +7,7 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// Path decides for one agent by which way its reports reach the entries:
+// RelayRoute decides for one agent by which way its reports reach the entries:
 // through the relay of its rack, or by itself. One goroutine owns it.
 //
 // A relay is believed for as long as its last answer is young, and only for the
@@ -15,7 +15,7 @@
 // frozen, cut off from an entry, or of a binary that does not relay: each shows
 // as an answer that does not come, or that lacks the entry, and the agent reports
 // to that entry itself again.
-type Path struct {
+type RelayRoute struct {
 	self    string
 	relay   wire.RelayInfo
 	digest  uint64
@@ -24,44 +24,44 @@
 	avoided map[wire.RelayInfo]time.Time
 }
 
-// NewPath returns the path of the agent with the ID, which begins without a
+// NewRelayRoute returns the path of the agent with the ID, which begins without a
 // relay.
-func NewPath(self string) *Path {
-	return &Path{self: self, avoided: make(map[wire.RelayInfo]time.Time)}
+func NewRelayRoute(self string) *RelayRoute {
+	return &RelayRoute{self: self, avoided: make(map[wire.RelayInfo]time.Time)}
 }
 
 // Relay returns the relay to report to; false: there is none.
-func (p *Path) Relay() (wire.RelayInfo, bool) { return p.relay, p.relay != wire.RelayInfo{} }
+func (p *RelayRoute) Relay() (wire.RelayInfo, bool) { return p.relay, p.relay != wire.RelayInfo{} }
 
 // Digest is the digest of the relay's last answer with content.
-func (p *Path) Digest() uint64 { return p.digest }
+func (p *RelayRoute) Digest() uint64 { return p.digest }
 
-// Named says that an entry named the relay of the agent's rack. An agent that
+// OfferRelay says that an entry named the relay of the agent's rack. An agent that
 // has one stays with it: entries that don't know the same agents name different
 // ones, and following each word would move it to and fro. The relay itself says
 // when another one is to be used.
-func (p *Path) Named(now time.Time, relay wire.RelayInfo) {
+func (p *RelayRoute) OfferRelay(now time.Time, relay wire.RelayInfo) {
 	if _, ok := p.Relay(); !ok {
 		p.move(now, relay)
 	}
 }
 
-// Leave ends the use of the relay.
-func (p *Path) Leave() {
+// Clear ends the use of the relay.
+func (p *RelayRoute) Clear() {
 	p.relay = wire.RelayInfo{}
 	p.digest, p.entries, p.until = 0, nil, time.Time{}
 }
 
-// Failed says that the relay left a report unanswered, or refused it.
-func (p *Path) Failed(now time.Time) {
+// HandleFailure says that the relay left a report unanswered, or refused it.
+func (p *RelayRoute) HandleFailure(now time.Time) {
 	p.avoided[p.relay] = now.Add(relayAvoid)
-	p.Leave()
+	p.Clear()
 }
 
-// Answered takes the relay's answer to the report that was sent at the time.
-func (p *Path) Answered(now, sent time.Time, ack *wire.ReportAck) {
+// HandleAck takes the relay's answer to the report that was sent at the time.
+func (p *RelayRoute) HandleAck(now, sent time.Time, ack *wire.ReportAck) {
 	if slices.Contains(ack.Refused, p.self) {
-		p.Failed(now)
+		p.HandleFailure(now)
 		return
 	}
 	if ack.Digest != p.digest {
@@ -83,8 +83,8 @@
 	return out
 }
 
-func (p *Path) move(now time.Time, to wire.RelayInfo) {
-	p.Leave()
+func (p *RelayRoute) move(now time.Time, to wire.RelayInfo) {
+	p.Clear()
 	for relay, until := range p.avoided {
 		if !now.Before(until) {
 			delete(p.avoided, relay)
@@ -96,10 +96,10 @@
 	p.relay = to
 }
 
-// Covered says whether the relay passes the agent's reports on to the entry.
-func (p *Path) Covered(now time.Time, entry string) bool {
+// ForwardsTo says whether the relay passes the agent's reports on to the entry.
+func (p *RelayRoute) ForwardsTo(now time.Time, entry string) bool {
 	return now.Before(p.until) && slices.Contains(p.entries, entry)
 }
 
-// Until returns when the relay's word ends if it does not answer again.
-func (p *Path) Until() time.Time { return p.until }
+// ValidUntil returns when the relay's word ends if it does not answer again.
+func (p *RelayRoute) ValidUntil() time.Time { return p.until }
--- a/membership/random_test.go
+++ b/membership/random_test.go
@@ -56,7 +56,7 @@
 	w := &world{c: c, rng: rand.New(rand.NewPCG(seed, 1)), now: start, truth: map[version]wire.AgentReport{}}
 	for i := range w.tables {
 		every := time.Duration(i) * 10 * time.Second
-		w.tables[i] = NewTable(Config{ForgetAfter: 1000 * time.Hour, PublishEvery: every})
+		w.tables[i] = NewTable(Config{ForgetAfter: 1000 * time.Hour, PublishInterval: every})
 		w.seen[i] = map[string]version{}
 		w.drained[i] = map[string]uint64{}
 		w.left[i] = map[string]uint64{}
@@ -121,7 +121,7 @@
 	default:
 		w.changeTasks(a)
 	}
-	a.reporter.Set(w.now, a.state)
+	a.reporter.SetState(w.now, a.state)
 	w.record(a)
 }
 
@@ -144,12 +144,12 @@
 	sent := reporter.Report(w.now, name)
 	w.network = append(w.network, packet{to, direct(sent), func(now time.Time, actions []Action) {
 		if w.rng.IntN(4) == 0 {
-			reporter.Failed(now, name)
+			reporter.HandleFailure(now, name)
 			return
 		}
 		var ack wire.ReportAck
 		FillAck(&ack, actions)
-		reporter.Acked(now, name, sent.Sequence, &ack)
+		reporter.HandleAck(now, name, sent.Sequence, &ack)
 	}})
 }
 
@@ -182,7 +182,7 @@
 
 func (w *world) stop(a *agent, to int) {
 	a.stopped = true
-	w.network = append(w.network, packet{to, direct(a.reporter.Goodbye()), func(time.Time, []Action) {}})
+	w.network = append(w.network, packet{to, direct(a.reporter.DepartureReport()), func(time.Time, []Action) {}})
 }
 
 func (w *world) apply(to int, ev Event) []Action {
@@ -212,7 +212,7 @@
 
 func (w *world) check(i int) {
 	view := w.tables[i].Snapshot().Service("dispatch")
-	for _, m := range view.Offered {
+	for _, m := range view.Schedulable {
 		r := m.Report
 		w.c.Assert(r.Draining, qt.IsFalse)
 		w.c.Assert(w.drained[i][r.ID] < r.Incarnation, qt.IsTrue, qt.Commentf("%s is offered after it drained", r.ID))
--- a/membership/receiver.go
+++ b/membership/receiver.go
@@ -52,9 +52,9 @@
 	return b
 }
 
-// Acked takes the receiver's answer to the report with the sequence. Changes
+// HandleAck takes the receiver's answer to the report with the sequence. Changes
 // made since that report are due as soon as Coalesce allows.
-func (r *Reporter) Acked(now time.Time, to string, sequence uint64, ack *wire.ReportAck) {
+func (r *Reporter) HandleAck(now time.Time, to string, sequence uint64, ack *wire.ReportAck) {
 	rc := r.receiver(now, to)
 	rc.failures = 0
 	rc.refused = slices.Contains(ack.Refused, r.state.ID)
@@ -71,19 +71,19 @@
 		return
 	}
 	rc.acked = max(rc.acked, sequence)
-	rc.due = now.Add(r.jittered(max(r.cfg.Every, ack.NextReport)))
+	rc.due = now.Add(r.jittered(max(r.cfg.Period, ack.NextReport)))
 	if news := r.newsSince(sequence); news != 0 {
 		rc.changed(now, news, r.cfg)
 	}
 	r.trimEnded()
 }
 
-// Failed notes that a report got no answer. The next one comes after a wait
+// HandleFailure notes that a report got no answer. The next one comes after a wait
 // that doubles up to Every, or drainingRetry for an agent that drains: behind a
 // longer wait a receiver that is back would offer it for as long.
-func (r *Reporter) Failed(now time.Time, to string) {
+func (r *Reporter) HandleFailure(now time.Time, to string) {
 	rc := r.receiver(now, to)
-	most := r.cfg.Every
+	most := r.cfg.Period
 	if r.state.Draining {
 		most = min(most, drainingRetry)
 	}
--- a/membership/relay_world_test.go
+++ b/membership/relay_world_test.go
@@ -32,7 +32,7 @@
 	node
 	id          string
 	state       wire.AgentReport
-	announcer   *Announcer
+	announcer   *ReportRouter
 	busy        map[string]bool
 	alive       time.Time // last moment in which it ran
 	incarnation uint64
@@ -121,8 +121,8 @@
 	a.state = full(a.id, a.incarnation, 0)
 	a.state.Rack, a.state.Address, a.state.Relays = "rack", a.id, true
 	a.busy = map[string]bool{}
-	cfg := AnnouncerConfig{GangEvery: time.Second, MaxEntries: 16}
-	a.announcer = NewAnnouncer(cfg, a.state, w.rng.Float64)
+	cfg := ReportRouterConfig{GangReportPeriod: time.Second, MaxEntries: 16}
+	a.announcer = NewReportRouter(cfg, a.state, w.rng.Float64)
 	for _, e := range w.entries {
 		a.announcer.AddEntry(e.addr)
 	}
@@ -217,13 +217,13 @@
 	w.call(a, &e.node, e.addr, func() *wire.ReportAck { return w.take(i, a, msg) }, func(ack *wire.ReportAck) {
 		a.busy[e.addr] = false
 		if ack == nil {
-			a.announcer.Failed(w.now, e.addr)
+			a.announcer.HandleFailure(w.now, e.addr)
 			return
 		}
 		if ack.Stamp.Epoch != 0 {
-			a.announcer.SetStamp(ack.Stamp)
+			a.announcer.SetTimestamp(ack.Stamp)
 		}
-		a.announcer.Acked(w.now, e.addr, ack)
+		a.announcer.HandleAck(w.now, e.addr, ack)
 	})
 }
 
@@ -233,16 +233,16 @@
 	a.busy["relay"] = true
 	msg := a.announcer.ReportToRelay(w.now)
 	serve := func() *wire.ReportAck {
-		ack, _ := to.announcer.Serve(w.now, msg)
+		ack, _ := to.announcer.HandleMemberReport(w.now, msg)
 		return ack
 	}
 	w.call(a, &to.node, to.id, serve, func(ack *wire.ReportAck) {
 		a.busy["relay"] = false
 		if ack == nil {
-			a.announcer.RelayFailed(w.now, relay)
+			a.announcer.HandleRelayFailure(w.now, relay)
 			return
 		}
-		a.announcer.RelayAcked(w.now, relay, ack)
+		a.announcer.HandleRelayAck(w.now, relay, ack)
 	})
 }
 
@@ -388,7 +388,7 @@
 }
 
 func (w *relayWorld) set(a *rackAgent) {
-	a.announcer.Set(w.now, a.state)
+	a.announcer.SetState(w.now, a.state)
 	w.note(a)
 }
 
--- a/membership/relayer.go
+++ b/membership/relayer.go
@@ -30,7 +30,7 @@
 			SuspectAfter: relayMemberLost,
 			LostAfter:    relayMemberLost,
 			ForgetAfter:  time.Minute,
-			ReportEvery:  RelayHeartbeat,
+			ReportPeriod: RelayHeartbeat,
 			MaxMembers:   relayMaxMembers,
 		}),
 		told:  make(map[string]*told),
@@ -38,11 +38,11 @@
 	}
 }
 
-// Take takes a member's report. It returns the answer, without the list of
+// HandleReport takes a member's report. It returns the answer, without the list of
 // entries, and whether the report has news that should not wait for the relay's
 // next report. A full report is such news even if nothing is new in it: the
 // member reported itself until now, and entries last heard it a period ago.
-func (r *Relayer) Take(now time.Time, report wire.AgentReport) (*wire.ReportAck, bool) {
+func (r *Relayer) HandleReport(now time.Time, report wire.AgentReport) (*wire.ReportAck, bool) {
 	actions := r.table.Step(now, Reports{Batch: []wire.AgentReport{report}})
 	ack := &wire.ReportAck{}
 	FillAck(ack, actions)
@@ -123,8 +123,8 @@
 	}
 }
 
-// Acked takes the entry's answer to the batch.
-func (r *Relayer) Acked(now time.Time, entry string, batch []wire.AgentReport, cursor Cursor, ack *wire.ReportAck) {
+// HandleAck takes the entry's answer to the batch.
+func (r *Relayer) HandleAck(now time.Time, entry string, batch []wire.AgentReport, cursor Cursor, ack *wire.ReportAck) {
 	t := r.entry(entry)
 	t.cursor = max(t.cursor, cursor)
 	for _, a := range batch {
@@ -153,8 +153,8 @@
 	}
 }
 
-// Owed returns when the next full report for the entry is due; false: none is.
-func (r *Relayer) Owed(entry string) (time.Time, bool) {
+// FullReportDue returns when the next full report for the entry is due; false: none is.
+func (r *Relayer) FullReportDue(entry string) (time.Time, bool) {
 	var first time.Time
 	for _, at := range r.entry(entry).owed {
 		if first.IsZero() || at.Before(first) {
--- a/membership/reporter.go
+++ b/membership/reporter.go
@@ -55,10 +55,10 @@
 	return r
 }
 
-// Set takes the agent's whole state. ID and Incarnation stay what they were;
+// SetState takes the agent's whole state. ID and Incarnation stay what they were;
 // Sequence and the fields of deltas are the Reporter's own. Draining can't be
 // taken back.
-func (r *Reporter) Set(now time.Time, state wire.AgentReport) {
+func (r *Reporter) SetState(now time.Time, state wire.AgentReport) {
 	state.ID = r.state.ID
 	state.Incarnation = r.state.Incarnation
 	state.Draining = state.Draining || r.state.Draining
@@ -125,15 +125,15 @@
 func (r *Reporter) Report(now time.Time, to string) wire.AgentReport {
 	rc := r.receiver(now, to)
 	rc.sentAt = now
-	rc.due = now.Add(r.jittered(r.cfg.Every))
+	rc.due = now.Add(r.jittered(r.cfg.Period))
 	if rc.acked == 0 || rc.acked < r.forgotten {
 		return r.state
 	}
 	return r.delta(rc.acked)
 }
 
-// Goodbye returns the report of the agent's end.
-func (r *Reporter) Goodbye() wire.AgentReport {
+// DepartureReport returns the report of the agent's end.
+func (r *Reporter) DepartureReport() wire.AgentReport {
 	return wire.AgentReport{ID: r.state.ID, Incarnation: r.state.Incarnation, Goodbye: true}
 }
 
--- a/membership/reporter_config.go
+++ b/membership/reporter_config.go
@@ -13,8 +13,8 @@
 
 // ReporterConfig holds a Reporter's settings; a zero field takes its default.
 type ReporterConfig struct {
-	// Every is the period of reports without news.
-	Every time.Duration
+	// Period is the period of reports without news.
+	Period time.Duration
 	// Coalesce is the least time between two reports to one receiver, so
 	// that changes that come together travel together.
 	Coalesce time.Duration
@@ -24,7 +24,7 @@
 }
 
 func (c ReporterConfig) withDefaults() ReporterConfig {
-	c.Every = cmp.Or(c.Every, DefaultReportEvery)
+	c.Period = cmp.Or(c.Period, DefaultReportPeriod)
 	c.Coalesce = cmp.Or(c.Coalesce, DefaultCoalesce)
 	c.Jitter = cmp.Or(c.Jitter, DefaultJitter)
 	return c
--- a/membership/reporter_test.go
+++ b/membership/reporter_test.go
@@ -21,21 +21,21 @@
 	c.Assert(r.Due(now, "x"), qt.Equals, now)
 	first := r.Report(now, "x")
 	c.Assert(first.Full, qt.IsTrue)
-	r.Acked(now, "x", first.Sequence, &wire.ReportAck{})
-	c.Assert(r.Due(now, "x"), qt.Equals, now.Add(DefaultReportEvery))
+	r.HandleAck(now, "x", first.Sequence, &wire.ReportAck{})
+	c.Assert(r.Due(now, "x"), qt.Equals, now.Add(DefaultReportPeriod))
 	c.Assert(r.Report(now, "x"), qt.DeepEquals, wire.AgentReport{ID: "a", Incarnation: 1, Sequence: 1, Base: 1})
 
 	state := full("a", 1, 0)
 	state.Load.Queued = 5
-	r.Set(now, state)
-	c.Assert(r.Due(now, "x"), qt.Equals, now.Add(DefaultReportEvery), qt.Commentf("load alone waits"))
+	r.SetState(now, state)
+	c.Assert(r.Due(now, "x"), qt.Equals, now.Add(DefaultReportPeriod), qt.Commentf("load alone waits"))
 	state.Tasks = []gang.Task{{ID: gang.ID{Job: "j"}}}
-	r.Set(now, state)
+	r.SetState(now, state)
 	c.Assert(r.Due(now, "x"), qt.Equals, now.Add(DefaultCoalesce))
 	delta := r.Report(now, "x")
 	c.Assert(delta.Changed, qt.Equals, wire.ChangedLoad|wire.ChangedTasks)
 	c.Assert(delta.Service, qt.Equals, "")
-	r.Acked(now, "x", delta.Sequence, &wire.ReportAck{NeedFull: []string{"a"}})
+	r.HandleAck(now, "x", delta.Sequence, &wire.ReportAck{NeedFull: []string{"a"}})
 	c.Assert(r.Due(now, "x"), qt.Equals, now.Add(DefaultCoalesce))
 	c.Assert(r.Report(now, "x").Full, qt.IsTrue)
 }
@@ -47,17 +47,17 @@
 	c := qt.New(t)
 	r := newReporter()
 	r.Report(start, "x")
-	r.Acked(start, "x", 1, &wire.ReportAck{Refused: []string{"a"}, NextReport: 4 * time.Second})
+	r.HandleAck(start, "x", 1, &wire.ReportAck{Refused: []string{"a"}, NextReport: 4 * time.Second})
 	c.Assert(r.Due(start, "x"), qt.Equals, start.Add(5*time.Second))
 	state := full("a", 1, 0)
 	state.Tasks = []gang.Task{{ID: gang.ID{Job: "j"}}}
-	r.Set(start, state)
+	r.SetState(start, state)
 	c.Assert(r.Due(start, "x"), qt.Equals, start.Add(5*time.Second))
 	state.Draining = true
-	r.Set(start, state)
+	r.SetState(start, state)
 	c.Assert(r.Due(start, "x"), qt.Equals, start)
 	state.Draining = false
-	r.Set(start, state)
+	r.SetState(start, state)
 	c.Assert(r.Report(start, "x").Draining, qt.IsTrue)
 }
 
@@ -70,12 +70,12 @@
 	r := newReporter()
 	state := full("a", 1, 0)
 	state.Tasks = []gang.Task{{ID: gang.ID{Job: "j"}}}
-	r.Set(start, state)
+	r.SetState(start, state)
 	r.Report(start, "x")
 	r.Report(start, "y")
-	r.Acked(start, "x", 2, &wire.ReportAck{NeedFull: []string{"a"}})
-	r.Set(start, full("a", 1, 0))
-	r.Acked(start, "y", r.Report(start, "y").Sequence, &wire.ReportAck{})
-	r.Acked(start, "x", 2, &wire.ReportAck{})
+	r.HandleAck(start, "x", 2, &wire.ReportAck{NeedFull: []string{"a"}})
+	r.SetState(start, full("a", 1, 0))
+	r.HandleAck(start, "y", r.Report(start, "y").Sequence, &wire.ReportAck{})
+	r.HandleAck(start, "x", 2, &wire.ReportAck{})
 	c.Assert(r.Report(start, "x").Full, qt.IsTrue)
 }
--- a/membership/snapshot.go
+++ b/membership/snapshot.go
@@ -9,26 +9,26 @@
 
 // Snapshot is an immutable view of the members.
 type Snapshot struct {
-	services map[string]*Service
+	services map[string]*ServiceView
 }
 
-// Service is the view of one service. Its slices are shared: don't change
+// ServiceView is the view of one service. Its slices are shared: don't change
 // them.
-type Service struct {
+type ServiceView struct {
 	Name string
 	// Members are all known ones by ID, draining ones included; the planner
 	// needs those for what they still run.
 	Members []*Member
-	// Offered are the members that may get new work, by ID.
-	Offered []*Member
+	// Schedulable are the members that may get new work, by ID.
+	Schedulable []*Member
 }
 
 // Service returns the view of a service, empty if it has no members.
-func (s *Snapshot) Service(name string) *Service {
+func (s *Snapshot) Service(name string) *ServiceView {
 	if v := s.services[name]; v != nil {
 		return v
 	}
-	return &Service{Name: name}
+	return &ServiceView{Name: name}
 }
 
 // Services returns the names of services with members, sorted.
@@ -37,7 +37,7 @@
 }
 
 // Find returns the member with the ID, or nil.
-func (v *Service) Find(id string) *Member {
+func (v *ServiceView) Find(id string) *Member {
 	i, ok := slices.BinarySearchFunc(v.Members, id, compareID)
 	if !ok {
 		return nil
@@ -52,12 +52,12 @@
 
 // publish replaces the snapshot's services that changed.
 func (t *Table) publish(now time.Time) {
-	if len(t.dirty) == 0 || (!t.urgent && now.Sub(t.lastPub) < t.cfg.PublishEvery) {
+	if len(t.dirty) == 0 || (!t.urgent && now.Sub(t.lastPub) < t.cfg.PublishInterval) {
 		return
 	}
 	services := maps.Clone(t.snapshot.Load().services)
 	if services == nil {
-		services = map[string]*Service{}
+		services = map[string]*ServiceView{}
 	}
 	for name, ids := range t.dirty {
 		view := t.rebuild(services[name], name, ids)
@@ -74,13 +74,13 @@
 }
 
 // rebuild merges the changed members, sorted, into the old sorted view.
-func (t *Table) rebuild(old *Service, name string, ids map[string]bool) *Service {
+func (t *Table) rebuild(old *ServiceView, name string, ids map[string]bool) *ServiceView {
 	var before []*Member
 	if old != nil {
 		before = old.Members
 	}
 	changed := slices.Sorted(maps.Keys(ids))
-	view := &Service{Name: name, Members: make([]*Member, 0, len(before)+len(changed))}
+	view := &ServiceView{Name: name, Members: make([]*Member, 0, len(before)+len(changed))}
 	for _, id := range changed {
 		i, found := slices.BinarySearchFunc(before, id, compareID)
 		view.Members = append(view.Members, before[:i]...)
@@ -93,7 +93,7 @@
 		}
 	}
 	view.Members = append(view.Members, before...)
-	view.Offered = offered(view.Members)
+	view.Schedulable = offered(view.Members)
 	return view
 }
 
@@ -109,12 +109,12 @@
 // offered shares the slice when nobody is draining, which is the usual case.
 func offered(members []*Member) []*Member {
 	for i, m := range members {
-		if m.Offered() {
+		if m.Schedulable() {
 			continue
 		}
 		out := slices.Clone(members[:i])
 		for _, m := range members[i:] {
-			if m.Offered() {
+			if m.Schedulable() {
 				out = append(out, m)
 			}
 		}
--- a/membership/table.go
+++ b/membership/table.go
@@ -29,7 +29,7 @@
 	t := &Table{
 		cfg:     cfg,
 		records: map[string]*record{},
-		pace:    pace{rate: cfg.FullPerSecond, burst: cfg.FullBurst, tokens: cfg.FullBurst},
+		pace:    pace{rate: cfg.JoinsPerSecond, burst: cfg.JoinBurst, tokens: cfg.JoinBurst},
 		dirty:   map[string]map[string]bool{},
 	}
 	t.snapshot.Store(&Snapshot{})
@@ -60,7 +60,7 @@
 		t.ingest(now, &ev.Batch[i], ev.Relayed)
 	}
 	if !ev.Relayed && t.refused == refused {
-		t.emit(Next{After: t.period()})
+		t.emit(NextReport{After: t.period()})
 	}
 }
 
@@ -74,7 +74,7 @@
 // ReportsPerSecond.
 func (t *Table) period() time.Duration {
 	needed := time.Duration(float64(t.direct) / t.cfg.ReportsPerSecond * float64(time.Second))
-	return max(t.cfg.ReportEvery, needed)
+	return max(t.cfg.ReportPeriod, needed)
 }
 
 func (t *Table) emit(a Action) { t.out = append(t.out, a) }
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -20,7 +20,7 @@
 
 func offeredIDs(t *Table) []string {
 	ids := []string{}
-	for _, m := range t.Snapshot().Service("dispatch").Offered {
+	for _, m := range t.Snapshot().Service("dispatch").Schedulable {
 		ids = append(ids, m.Report.ID)
 	}
 	return ids
@@ -30,7 +30,7 @@
 func names(actions []Action) []string {
 	out := []string{}
 	for _, a := range actions {
-		if _, ok := a.(Next); !ok {
+		if _, ok := a.(NextReport); !ok {
 			out = append(out, fmt.Sprintf("%T", a)[len("membership."):])
 		}
 	}
@@ -108,7 +108,7 @@
 // all must be in soon after the pace allows.
 func TestZoneReturnsAtOnce(t *testing.T) {
 	c := qt.New(t)
-	table := NewTable(Config{FullPerSecond: 200, FullBurst: 50})
+	table := NewTable(Config{JoinsPerSecond: 200, JoinBurst: 50})
 	due := map[string]time.Duration{}
 	tries := 0
 	for i := range 900 {
