--- a/gang/coordinator.go
+++ b/gang/coordinator.go
@@ -5,29 +5,29 @@
 // Coordinator takes one attempt from its plan to its end. It is not safe for
 // concurrent use.
 type Coordinator struct {
-	config     Config
-	plan       Plan
-	peers      []*peer
-	phase      phase
-	successor  bool
-	began      time.Time
-	entered    time.Time // the phase
-	recordSent time.Time
-	recording  bool // the record may name the attempt
-	committing bool // a Commit was sent, by this or an earlier planner
-	starting   bool // a Start was or may have been sent
-	checkpoint bool
-	cause      Cause
-	fault      string
-	now        time.Time
-	actions    []Action
+	config           Config
+	plan             Plan
+	members          []*memberStatus
+	phase            phase
+	successor        bool
+	beganAt          time.Time
+	phaseEnteredAt   time.Time // the phase
+	recordSentAt     time.Time
+	mayBeRecorded    bool // the record may name the attempt
+	commitSent       bool // a Commit was sent, by this or an earlier planner
+	startSent        bool // a Start was or may have been sent
+	checkpointOnStop bool
+	cause            Cause
+	causeAgent       string
+	now              time.Time
+	actions          []Action
 }
 
 // NewCoordinator returns the coordinator of a new attempt.
 func NewCoordinator(c Config, p Plan) *Coordinator {
 	co := &Coordinator{config: c, plan: p}
 	for _, m := range p.Members {
-		co.peers = append(co.peers, &peer{placed: m, incarnation: m.Incarnation})
+		co.members = append(co.members, &memberStatus{planned: m, incarnation: m.Incarnation})
 	}
 	return co
 }
@@ -38,9 +38,9 @@
 func ResumeCoordinator(c Config, p Plan) *Coordinator {
 	co := NewCoordinator(c, p)
 	co.successor = true
-	co.recording = true
-	co.committing = true
-	co.starting = true
+	co.mayBeRecorded = true
+	co.commitSent = true
+	co.startSent = true
 	return co
 }
 
@@ -50,11 +50,11 @@
 	if c.phase == phaseEnded {
 		return nil
 	}
-	c.take(ev)
+	c.handleEvent(ev)
 	for c.advance() {
 	}
-	c.resend()
-	c.wake()
+	c.sendDueMessages()
+	c.scheduleWake()
 	return c.actions
 }
 
@@ -74,30 +74,30 @@
 	if c.phase != phaseRunning {
 		return false
 	}
-	for _, p := range c.peers {
-		if p.task.State != StateEnded && now.Sub(p.heard) > c.config.LivenessWindow {
+	for _, p := range c.members {
+		if p.task.State != StateEnded && now.Sub(p.aliveAt) > c.config.LivenessWindow {
 			return false
 		}
 	}
 	return true
 }
 
-func (c *Coordinator) take(ev Event) {
+func (c *Coordinator) handleEvent(ev Event) {
 	switch ev := ev.(type) {
 	case Begin:
 		c.begin()
 	case ReplyReceived:
-		c.takeReply(ev.From, ev.Reply)
+		c.handleReply(ev.From, ev.Reply)
 	case Reported:
-		c.takeReport(ev)
+		c.handleReport(ev)
 	case Recorded:
-		c.takeRecorded(ev.Result)
+		c.handleRecorded(ev.Result)
 	case MemberLost:
-		if p := c.peer(ev.Agent); p != nil {
+		if p := c.member(ev.Agent); p != nil {
 			p.lost = true
 		}
 	case Abort:
-		c.checkpoint = ev.Checkpoint
+		c.checkpointOnStop = ev.Checkpoint
 		c.abort(CauseAborted, "")
 	}
 }
@@ -107,100 +107,100 @@
 		return
 	}
 	if c.successor {
-		c.ask()
+		c.startResolving()
 		return
 	}
-	c.began = c.now
-	c.enter(phaseReserving)
+	c.beganAt = c.now
+	c.enterPhase(phaseReserving)
 }
 
-// ask begins a round of a successor's questions to all members.
-func (c *Coordinator) ask() {
-	c.began = c.now
-	for _, p := range c.peers {
+// startResolving begins a round of a successor's questions to all members.
+func (c *Coordinator) startResolving() {
+	c.beganAt = c.now
+	for _, p := range c.members {
 		p.answered = false
 	}
-	c.enter(phaseResolving)
+	c.enterPhase(phaseResolving)
 }
 
-func (c *Coordinator) peer(agent string) *peer {
-	for _, p := range c.peers {
-		if p.placed.Agent == agent {
+func (c *Coordinator) member(agent string) *memberStatus {
+	for _, p := range c.members {
+		if p.planned.Agent == agent {
 			return p
 		}
 	}
 	return nil
 }
 
-func (c *Coordinator) takeReply(from string, r Reply) {
-	p := c.peer(from)
+func (c *Coordinator) handleReply(from string, r Reply) {
+	p := c.member(from)
 	if p == nil || r.Task.ID != c.plan.ID || r.Incarnation < p.incarnation {
 		return
 	}
-	if c.superseded(p, r.Fence) {
+	if c.endIfSuperseded(p, r.Fence) {
 		return
 	}
 	if r.Refusal == NotReady {
 		return
 	}
 	if r.Fence == c.config.Epoch {
-		p.fence(c.now)
+		p.markFenced(c.now)
 	}
 	switch r.Refusal {
 	case Busy, Draining, Invalid:
 		p.refusal = r.Refusal
 	case WrongIncarnation, Forgotten:
-		p.gone = p.task.State != StateEnded
+		p.taskGone = p.task.State != StateEnded
 	}
-	p.learn(r.Task, r.Incarnation)
+	p.updateTask(r.Task, r.Incarnation)
 	if c.successor {
 		p.answered = true
-		p.hear(c.began)
+		p.markAlive(c.beganAt)
 	}
 }
 
-func (c *Coordinator) takeReport(r Reported) {
-	p := c.peer(r.From)
-	if p == nil || r.Incarnation < p.incarnation || c.superseded(p, r.Fence) {
+func (c *Coordinator) handleReport(r Reported) {
+	p := c.member(r.From)
+	if p == nil || r.Incarnation < p.incarnation || c.endIfSuperseded(p, r.Fence) {
 		return
 	}
 	if r.Fence == c.config.Epoch {
-		p.fence(c.now)
+		p.markFenced(c.now)
 	}
 	for _, t := range r.Tasks {
 		if t.ID == c.plan.ID {
-			p.learn(t, r.Incarnation)
-			p.hear(r.Timestamp.evidence(c.config.Epoch, c.now))
+			p.updateTask(t, r.Incarnation)
+			p.markAlive(r.Timestamp.reportTime(c.config.Epoch, c.now))
 			return
 		}
 	}
 	// The same incarnation may have sent its report before it heard of the
 	// attempt; a new one would list the task if its target still had it.
 	if r.Incarnation > p.incarnation && p.task.State != StateEnded {
-		p.gone = true
-		p.fence(c.now)
+		p.taskGone = true
+		p.markFenced(c.now)
 	}
 }
 
-func (c *Coordinator) takeRecorded(r RecordResult) {
+func (c *Coordinator) handleRecorded(r RecordResult) {
 	if c.phase != phaseRecording {
 		return
 	}
 	switch r {
 	case RecordWritten:
-		c.committing = true
-		c.enter(phaseCommitting)
+		c.commitSent = true
+		c.enterPhase(phaseCommitting)
 	case RecordConflict:
-		c.recording = false
+		c.mayBeRecorded = false
 		c.abort(CauseConflict, "")
 	}
 }
 
-// enter changes the phase and makes all messages of the new one due at once.
-func (c *Coordinator) enter(p phase) {
+// enterPhase changes the phase and makes all messages of the new one due at once.
+func (c *Coordinator) enterPhase(p phase) {
 	c.phase = p
-	c.entered = c.now
-	for _, peer := range c.peers {
-		peer.sent = time.Time{}
+	c.phaseEnteredAt = c.now
+	for _, peer := range c.members {
+		peer.sentAt = time.Time{}
 	}
 }
--- a/gang/coordinator_advance.go
+++ b/gang/coordinator_advance.go
@@ -7,7 +7,7 @@
 	case phaseReserving:
 		return c.advanceReserving()
 	case phaseRecording:
-		return c.giveUpUnstarted()
+		return c.abortBeforeCommit()
 	case phaseResolving:
 		return c.advanceResolving()
 	case phaseCommitting:
@@ -23,29 +23,29 @@
 }
 
 func (c *Coordinator) advanceReserving() bool {
-	if c.giveUpUnstarted() {
+	if c.abortBeforeCommit() {
 		return true
 	}
-	if !c.all(StateReserved) {
+	if !c.allReached(StateReserved) {
 		return false
 	}
-	c.recording = true
-	c.enter(phaseRecording)
+	c.mayBeRecorded = true
+	c.enterPhase(phaseRecording)
 	return true
 }
 
-// giveUpUnstarted ends an attempt before its record if a member refuses or is
+// abortBeforeCommit ends an attempt before its record if a member refuses or is
 // lost, or if the holds are about to expire.
-func (c *Coordinator) giveUpUnstarted() bool {
-	for _, p := range c.peers {
+func (c *Coordinator) abortBeforeCommit() bool {
+	for _, p := range c.members {
 		if p.refusal != Accepted {
-			return c.abort(CauseRefused, p.placed.Agent)
+			return c.abort(CauseRefused, p.planned.Agent)
 		}
 	}
-	if c.giveUpBroken() {
+	if c.abortIfMemberFailed() {
 		return true
 	}
-	if c.now.Before(c.began.Add(c.holdMargin())) {
+	if c.now.Before(c.beganAt.Add(c.recordTimeout())) {
 		return false
 	}
 	return c.abort(CauseTimeout, "")
@@ -56,91 +56,91 @@
 // committed means that it was not sent. An account from a report doesn't do: the
 // member isn't fenced yet, and a predecessor could still end the attempt there.
 func (c *Coordinator) advanceResolving() bool {
-	if c.giveUpBroken() {
+	if c.abortIfMemberFailed() {
 		return true
 	}
-	if !c.all(StateCommitted) || c.any((*peer).unanswered) {
+	if !c.allReached(StateCommitted) || c.anyMember((*memberStatus).unanswered) {
 		return false
 	}
 	// One member ran alone to its end: its predecessor's Start reached it and no
 	// other. To start the others now would be a gang that never ran together.
-	if c.any((*peer).succeeded) && c.any((*peer).unstarted) {
+	if c.anyMember((*memberStatus).succeeded) && c.anyMember((*memberStatus).awaitsStart) {
 		return c.abort(CauseTimeout, "")
 	}
 	// The first answers may be so old that their tasks have stopped by isolation
 	// since, and a Start to the others would let them run alone.
-	if c.now.Sub(c.began) >= c.config.startWithin() {
-		c.ask()
+	if c.now.Sub(c.beganAt) >= c.config.startTimeout() {
+		c.startResolving()
 		return false
 	}
-	c.enter(phaseStarting)
+	c.enterPhase(phaseStarting)
 	return true
 }
 
 func (c *Coordinator) advanceCommitting() bool {
-	if c.giveUpBroken() {
+	if c.abortIfMemberFailed() {
 		return true
 	}
-	if !c.all(StateCommitted) {
+	if !c.allReached(StateCommitted) {
 		return false
 	}
-	c.starting = true
-	c.enter(phaseStarting)
+	c.startSent = true
+	c.enterPhase(phaseStarting)
 	return true
 }
 
 func (c *Coordinator) advanceStarting() bool {
-	if c.giveUpBroken() {
+	if c.abortIfMemberFailed() {
 		return true
 	}
-	if !c.all(StateRunning) {
-		return c.giveUpStarting()
+	if !c.allReached(StateRunning) {
+		return c.abortIfStartTimedOut()
 	}
 	// No member can have run before the owner's first Start.
 	if !c.successor {
-		for _, p := range c.peers {
-			p.hear(c.entered)
+		for _, p := range c.members {
+			p.markAlive(c.phaseEnteredAt)
 		}
 	}
-	c.enter(phaseRunning)
+	c.enterPhase(phaseRunning)
 	c.actions = append(c.actions, Started{})
 	return true
 }
 
-// giveUpStarting ends an attempt whose members don't start together. A member
+// abortIfStartTimedOut ends an attempt whose members don't start together. A member
 // that has started is not renewed before all have; when it stops by isolation,
 // a Start that reached another one only then would let that one run alone.
-func (c *Coordinator) giveUpStarting() bool {
-	if c.now.Sub(c.entered) < c.config.startWithin() {
+func (c *Coordinator) abortIfStartTimedOut() bool {
+	if c.now.Sub(c.phaseEnteredAt) < c.config.startTimeout() {
 		return false
 	}
 	return c.abort(CauseTimeout, "")
 }
 
 func (c *Coordinator) advanceRunning() bool {
-	if c.giveUpBroken() {
+	if c.abortIfMemberFailed() {
 		return true
 	}
-	if !c.all(StateEnded) {
+	if !c.allReached(StateEnded) {
 		return false
 	}
 	return c.finish()
 }
 
 func (c *Coordinator) advanceStopping() bool {
-	for _, p := range c.peers {
-		if !p.over() {
+	for _, p := range c.members {
+		if !p.released() {
 			return false
 		}
 	}
-	if c.now.Before(c.settled()) {
+	if c.now.Before(c.lostMembersStoppedAt()) {
 		return false
 	}
 	return c.finish()
 }
 
-func (c *Coordinator) all(s State) bool {
-	for _, p := range c.peers {
+func (c *Coordinator) allReached(s State) bool {
+	for _, p := range c.members {
 		if !p.reached(s) {
 			return false
 		}
@@ -148,17 +148,17 @@
 	return true
 }
 
-// giveUpBroken ends the attempt everywhere if it can't be completed on one
+// abortIfMemberFailed ends the attempt everywhere if it can't be completed on one
 // member.
-func (c *Coordinator) giveUpBroken() bool {
-	for _, p := range c.peers {
-		if !p.broken() {
+func (c *Coordinator) abortIfMemberFailed() bool {
+	for _, p := range c.members {
+		if !p.cannotComplete() {
 			continue
 		}
 		if p.task.Result == TaskFailed {
-			return c.abort(CauseTaskFailed, p.placed.Agent)
+			return c.abort(CauseTaskFailed, p.planned.Agent)
 		}
-		return c.abort(CauseMemberFailed, p.placed.Agent)
+		return c.abort(CauseMemberFailed, p.planned.Agent)
 	}
 	return false
 }
--- a/gang/coordinator_end.go
+++ b/gang/coordinator_end.go
@@ -8,26 +8,26 @@
 	if c.phase >= phaseStopping {
 		return false
 	}
-	c.cause, c.fault = cause, fault
-	c.enter(phaseStopping)
-	if c.committing {
+	c.cause, c.causeAgent = cause, fault
+	c.enterPhase(phaseStopping)
+	if c.commitSent {
 		return true
 	}
-	for _, p := range c.peers {
+	for _, p := range c.members {
 		c.sendStop(p)
 	}
 	return c.finish()
 }
 
-// superseded ends the coordinator without a word about the attempt if a member
+// endIfSuperseded ends the coordinator without a word about the attempt if a member
 // has heard of a planner with a higher epoch: that one may have carried on with
 // the attempt or given it up, and accounts from after that prove less.
-func (c *Coordinator) superseded(p *peer, fence uint64) bool {
+func (c *Coordinator) endIfSuperseded(p *memberStatus, fence uint64) bool {
 	if fence <= c.config.Epoch {
 		return false
 	}
 	c.phase = phaseEnded
-	c.cause, c.fault = CauseStaleEpoch, p.placed.Agent
+	c.cause, c.causeAgent = CauseStaleEpoch, p.planned.Agent
 	c.emitEnded(Superseded)
 	return true
 }
@@ -36,36 +36,36 @@
 	c.phase = phaseEnded
 	outcome := c.outcome()
 	if outcome != Done || !c.config.RetainSucceeded {
-		c.closeAccounts()
+		c.acknowledgeEndedTasks()
 	}
 	c.emitEnded(outcome)
 	return true
 }
 
-// closeAccounts takes notice of the end at the members, which then forget it first.
-func (c *Coordinator) closeAccounts() {
-	for _, p := range c.peers {
+// acknowledgeEndedTasks takes notice of the end at the members, which then forget it first.
+func (c *Coordinator) acknowledgeEndedTasks() {
+	for _, p := range c.members {
 		if p.task.State == StateEnded {
 			c.sendStop(p)
 		}
 	}
 }
 
-// settled returns when a lost member has certainly stopped by isolation.
+// lostMembersStoppedAt returns when a lost member has certainly stopped by isolation.
 //
 // The loss timeout alone doesn't tell a successor: a predecessor that still
 // reaches all members goes on renewing the lost one until it hears that another
 // has been fenced, which may have happened only just now. The gang would then be
 // started elsewhere while the lost member runs on alone. If no member was ever
 // reached there is nothing to wait for: what the predecessor renews is whole.
-func (c *Coordinator) settled() time.Time {
+func (c *Coordinator) lostMembersStoppedAt() time.Time {
 	var first time.Time
-	if !c.successor || !c.any(func(p *peer) bool { return p.lost && p.task.State != StateEnded }) {
+	if !c.successor || !c.anyMember(func(p *memberStatus) bool { return p.lost && p.task.State != StateEnded }) {
 		return first
 	}
-	for _, p := range c.peers {
-		if !p.fenced.IsZero() && (first.IsZero() || p.fenced.Before(first)) {
-			first = p.fenced
+	for _, p := range c.members {
+		if !p.fencedAt.IsZero() && (first.IsZero() || p.fencedAt.Before(first)) {
+			first = p.fencedAt
 		}
 	}
 	if first.IsZero() {
@@ -75,8 +75,8 @@
 }
 
 func (c *Coordinator) emitEnded(o Outcome) {
-	e := Ended{Outcome: o, Cause: c.cause, CauseAgent: c.fault, MayBeRecorded: c.recording}
-	for _, p := range c.peers {
+	e := Ended{Outcome: o, Cause: c.cause, CauseAgent: c.causeAgent, MayBeRecorded: c.mayBeRecorded}
+	for _, p := range c.members {
 		e.Members = append(e.Members, p.result())
 	}
 	c.actions = append(c.actions, e)
@@ -84,24 +84,24 @@
 
 func (c *Coordinator) outcome() Outcome {
 	switch {
-	case c.all(StateEnded):
+	case c.allReached(StateEnded):
 		return Done
-	case c.provedNotStarted():
+	case c.provenNotStarted():
 		return NotStarted
-	case c.any(func(p *peer) bool { return p.task.Result == TaskFailed }):
+	case c.anyMember(func(p *memberStatus) bool { return p.task.Result == TaskFailed }):
 		return Failed
-	case c.any(func(p *peer) bool { return p.task.State != StateEnded || p.cutShort() }):
+	case c.anyMember(func(p *memberStatus) bool { return p.task.State != StateEnded || p.lostOrIsolated() }):
 		return Lost
 	}
 	return Stopped
 }
 
-// cutShort says whether the task ended for want of its agent or target.
-func (p *peer) cutShort() bool {
+// lostOrIsolated says whether the task ended for want of its agent or target.
+func (p *memberStatus) lostOrIsolated() bool {
 	return p.task.Result == TaskLost || p.task.Result == Isolated
 }
 
-// provedNotStarted says whether no task of the attempt started and none will.
+// provenNotStarted says whether no task of the attempt started and none will.
 // A Start is sent only by a planner that has seen all members committed at their
 // planned incarnations, so each of these is a proof:
 //
@@ -111,21 +111,21 @@
 //   - the owner sent no Start, and a member ended unstarted without having heard
 //     of a higher epoch. A successor that sent a Start had raised the fence at
 //     every member before, and this coordinator would be superseded.
-func (c *Coordinator) provedNotStarted() bool {
-	if !c.committing {
+func (c *Coordinator) provenNotStarted() bool {
+	if !c.commitSent {
 		return true
 	}
-	if c.any((*peer).neverCommitted) {
+	if c.anyMember((*memberStatus).neverCommitted) {
 		return true
 	}
-	if !c.any(func(p *peer) bool { return !p.neverStarted() }) {
+	if !c.anyMember(func(p *memberStatus) bool { return !p.neverStarted() }) {
 		return true
 	}
-	return !c.starting && c.any((*peer).neverStarted)
+	return !c.startSent && c.anyMember((*memberStatus).neverStarted)
 }
 
-func (c *Coordinator) any(f func(*peer) bool) bool {
-	for _, p := range c.peers {
+func (c *Coordinator) anyMember(f func(*memberStatus) bool) bool {
+	for _, p := range c.members {
 		if f(p) {
 			return true
 		}
@@ -133,6 +133,6 @@
 	return false
 }
 
-// holdMargin is how long reserving and recording may take, so that the Commits
+// recordTimeout is how long reserving and recording may take, so that the Commits
 // still arrive within the hold.
-func (c *Coordinator) holdMargin() time.Duration { return c.config.HoldTimeout * 3 / 4 }
+func (c *Coordinator) recordTimeout() time.Duration { return c.config.HoldTimeout * 3 / 4 }
--- a/gang/coordinator_send.go
+++ b/gang/coordinator_send.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// resend sends what is due: at once in a new phase, then every Config.Resend
+// sendDueMessages sends what is due: at once in a new phase, then every Config.Resend
 // until answered.
-func (c *Coordinator) resend() {
-	if c.phase == phaseRecording && c.due(c.recordSent) {
-		c.recordSent = c.now
+func (c *Coordinator) sendDueMessages() {
+	if c.phase == phaseRecording && c.due(c.recordSentAt) {
+		c.recordSentAt = c.now
 		c.actions = append(c.actions, Record{Plan: c.plan})
 	}
-	for _, p := range c.peers {
-		if c.awaits(p) && c.due(p.sent) {
-			p.sent = c.now
-			c.actions = append(c.actions, Send{To: p.placed.Agent, Message: c.message(p)})
+	for _, p := range c.members {
+		if c.awaitsReply(p) && c.due(p.sentAt) {
+			p.sentAt = c.now
+			c.actions = append(c.actions, Send{To: p.planned.Agent, Message: c.nextMessage(p)})
 		}
 	}
 }
@@ -21,8 +21,8 @@
 	return sent.IsZero() || !c.now.Before(sent.Add(c.config.ResendInterval))
 }
 
-// awaits says whether the phase waits for an answer of the member.
-func (c *Coordinator) awaits(p *peer) bool {
+// awaitsReply says whether the phase waits for an answer of the member.
+func (c *Coordinator) awaitsReply(p *memberStatus) bool {
 	switch c.phase {
 	case phaseReserving:
 		return !p.reached(StateReserved)
@@ -33,21 +33,21 @@
 	case phaseStarting:
 		return !p.reached(StateRunning)
 	case phaseStopping:
-		return !p.over()
+		return !p.released()
 	}
 	return false
 }
 
-func (c *Coordinator) message(p *peer) Message {
+func (c *Coordinator) nextMessage(p *memberStatus) Message {
 	h := c.header(p)
 	switch c.phase {
 	case phaseReserving:
 		return Reserve{
 			Header:       h,
-			Accelerators: p.placed.Accelerators,
-			Members:      len(c.peers),
+			Accelerators: p.planned.Accelerators,
+			Members:      len(c.members),
 			Hold:         c.config.HoldTimeout,
-			Spec:         p.placed.Spec,
+			Spec:         p.planned.Spec,
 		}
 	case phaseResolving:
 		return Seal{Header: h}
@@ -56,20 +56,20 @@
 	case phaseStarting:
 		return Start{Header: h}
 	}
-	return Stop{Header: h, Checkpoint: c.checkpoint}
+	return Stop{Header: h, Checkpoint: c.checkpointOnStop}
 }
 
-func (c *Coordinator) header(p *peer) Header {
-	return Header{ID: c.plan.ID, Sender: c.config.Epoch, Incarnation: p.placed.Incarnation}
+func (c *Coordinator) header(p *memberStatus) Header {
+	return Header{ID: c.plan.ID, Sender: c.config.Epoch, Incarnation: p.planned.Incarnation}
 }
 
-func (c *Coordinator) sendStop(p *peer) {
-	m := Stop{Header: c.header(p), Checkpoint: c.checkpoint}
-	c.actions = append(c.actions, Send{To: p.placed.Agent, Message: m})
+func (c *Coordinator) sendStop(p *memberStatus) {
+	m := Stop{Header: c.header(p), Checkpoint: c.checkpointOnStop}
+	c.actions = append(c.actions, Send{To: p.planned.Agent, Message: m})
 }
 
-// wake asks for the earliest deadline.
-func (c *Coordinator) wake() {
+// scheduleWake asks for the earliest deadline.
+func (c *Coordinator) scheduleWake() {
 	next := time.Time{}
 	earlier := func(t time.Time) {
 		if next.IsZero() || t.Before(next) {
@@ -78,20 +78,20 @@
 	}
 	switch c.phase {
 	case phaseReserving:
-		earlier(c.began.Add(c.holdMargin()))
+		earlier(c.beganAt.Add(c.recordTimeout()))
 	case phaseRecording:
-		earlier(c.began.Add(c.holdMargin()))
-		earlier(c.recordSent.Add(c.config.ResendInterval))
+		earlier(c.beganAt.Add(c.recordTimeout()))
+		earlier(c.recordSentAt.Add(c.config.ResendInterval))
 	case phaseStarting:
-		earlier(c.entered.Add(c.config.startWithin()))
+		earlier(c.phaseEnteredAt.Add(c.config.startTimeout()))
 	case phaseStopping:
-		if at := c.settled(); at.After(c.now) {
+		if at := c.lostMembersStoppedAt(); at.After(c.now) {
 			earlier(at)
 		}
 	}
-	for _, p := range c.peers {
-		if c.awaits(p) {
-			earlier(p.sent.Add(c.config.ResendInterval))
+	for _, p := range c.members {
+		if c.awaitsReply(p) {
+			earlier(p.sentAt.Add(c.config.ResendInterval))
 		}
 	}
 	if !next.IsZero() {
--- a/gang/member.go
+++ b/gang/member.go
@@ -25,27 +25,27 @@
 // Member is the agent's side of all attempts on its worker. It is not safe for
 // concurrent use.
 type Member struct {
-	config   MemberConfig
-	attempts map[ID]*attempt
-	owners   []*attempt       // by accelerator; nil is free
-	fence    uint64           // highest epoch heard of
-	floor    ID               // highest attempt that was forgotten
-	stamp    PlannerTimestamp // of the last answer to a report
-	ended    int
-	ready    bool
-	draining bool
-	now      time.Time
-	actions  []MemberAction
+	config           MemberConfig
+	attempts         map[ID]*attempt
+	owners           []*attempt       // by accelerator; nil is free
+	fence            uint64           // highest epoch heard of
+	highestForgotten ID               // highest attempt that was forgotten
+	timestamp        PlannerTimestamp // of the last answer to a report
+	tombstones       int
+	ready            bool
+	draining         bool
+	now              time.Time
+	actions          []MemberAction
 }
 
 // attempt is the member's account of one attempt.
 type attempt struct {
-	task     Task
-	spec     []byte
-	planner  string
-	deadline time.Time // of the hold, or of a running task's isolation
-	isolated bool
-	closed   bool // a coordinator has taken notice of the end
+	task         Task
+	spec         []byte
+	replyTo      string
+	deadline     time.Time // of the hold, or of a running task's isolation
+	isolated     bool
+	acknowledged bool // a coordinator has taken notice of the end
 }
 
 // NewMember returns a member that refuses everything until Adopted.
@@ -66,20 +66,20 @@
 	// A renewal that waited behind a pause is taken before deadlines act, and
 	// a message after them: a hold that has expired must not be committed.
 	if c, ok := ev.(ReportAnswered); ok {
-		m.contact(c)
+		m.handleReportAnswered(c)
 	}
-	m.expire()
+	m.expireDeadlines()
 	switch ev := ev.(type) {
 	case Received:
-		m.receive(ev)
+		m.handleReceived(ev)
 	case TasksRecovered:
-		m.adopt(ev.Tasks)
+		m.recoverTasks(ev.Tasks)
 	case TaskEnded:
-		m.taskEnded(ev)
+		m.handleTaskEnded(ev)
 	case Drain:
 		m.draining = true
 	}
-	m.wake()
+	m.scheduleTick()
 	return m.actions
 }
 
@@ -88,7 +88,7 @@
 func (m *Member) Tasks() []Task {
 	var tasks []Task
 	for _, a := range m.attempts {
-		if !a.closed {
+		if !a.acknowledged {
 			tasks = append(tasks, a.task)
 		}
 	}
@@ -111,33 +111,33 @@
 func (m *Member) Ready() bool { return m.ready }
 
 // Timestamp returns that of the last Contact, for the next report.
-func (m *Member) Timestamp() PlannerTimestamp { return m.stamp }
+func (m *Member) Timestamp() PlannerTimestamp { return m.timestamp }
 
 // Fence returns the highest epoch that the member has heard of.
 func (m *Member) Fence() uint64 { return m.fence }
 
-func (m *Member) adopt(tasks []Task) {
+func (m *Member) recoverTasks(tasks []Task) {
 	if m.ready {
 		return
 	}
 	m.ready = true
 	for _, t := range tasks {
-		m.adoptTask(t)
+		m.recoverTask(t)
 		// The fence was lost with the restart. At least planners from before this
 		// attempt must not stop it.
 		m.fence = max(m.fence, t.ID.Epoch)
 	}
 }
 
-// adoptTask takes over a task of the agent's earlier life. One that ended while
+// recoverTask takes over a task of the agent's earlier life. One that ended while
 // there was no agent becomes an account that a report still delivers: without it
 // the planner would take a finished task for a lost one.
-func (m *Member) adoptTask(t Task) {
+func (m *Member) recoverTask(t Task) {
 	t.Committed, t.Started = true, true
 	a := &attempt{task: t}
 	m.attempts[t.ID] = a
 	if t.State == StateEnded {
-		m.end(a)
+		m.endAttempt(a)
 		return
 	}
 	a.task.State = StateRunning
@@ -145,11 +145,11 @@
 	if known := time.Unix(0, t.RunUntil); t.RunUntil != 0 && known.Before(until) {
 		until = known
 	}
-	a.runUntil(until)
-	m.grant(a)
+	a.setRunDeadline(until)
+	m.assignAccelerators(a)
 }
 
-func (m *Member) taskEnded(ev TaskEnded) {
+func (m *Member) handleTaskEnded(ev TaskEnded) {
 	a := m.attempts[ev.ID]
 	if a == nil || a.task.State != StateRunning && a.task.State != StateStopping {
 		return
@@ -160,26 +160,26 @@
 	if a.isolated && ev.Result == TaskStopped {
 		a.task.Result = Isolated
 	}
-	m.end(a)
-	if a.planner != "" {
-		m.reply(a.planner, a.task, Accepted)
+	m.endAttempt(a)
+	if a.replyTo != "" {
+		m.reply(a.replyTo, a.task, Accepted)
 	}
 }
 
-func (m *Member) contact(c ReportAnswered) {
-	m.stamp = c.Timestamp
+func (m *Member) handleReportAnswered(c ReportAnswered) {
+	m.timestamp = c.Timestamp
 	for _, id := range c.Renewed {
 		a := m.attempts[id]
 		if a == nil || a.task.State != StateRunning {
 			continue
 		}
 		if d := c.SentAt.Add(m.config.IsolationTimeout); d.After(a.deadline) {
-			a.runUntil(d)
+			a.setRunDeadline(d)
 		}
 	}
 }
 
-func (a *attempt) runUntil(t time.Time) {
+func (a *attempt) setRunDeadline(t time.Time) {
 	a.deadline = t
 	a.task.RunUntil = t.UnixNano()
 }
--- a/gang/member_deadline.go
+++ b/gang/member_deadline.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// expire ends holds whose time is over and stops isolated tasks.
-func (m *Member) expire() {
-	for _, a := range m.due() {
+// expireDeadlines ends holds whose time is over and stops isolated tasks.
+func (m *Member) expireDeadlines() {
+	for _, a := range m.expiredAttempts() {
 		if a.task.State == StateReserved {
-			m.end(a)
+			m.endAttempt(a)
 			continue
 		}
 		// Cut off: the planner may be about to start the gang elsewhere. It waits
@@ -19,11 +19,11 @@
 	}
 }
 
-// due lists the attempts whose deadline has passed, in the order of their IDs.
-func (m *Member) due() []*attempt {
+// expiredAttempts lists the attempts whose deadline has passed, in the order of their IDs.
+func (m *Member) expiredAttempts() []*attempt {
 	var due []*attempt
 	for _, a := range m.attempts {
-		if a.timed() && !m.now.Before(a.deadline) {
+		if a.hasDeadline() && !m.now.Before(a.deadline) {
 			due = append(due, a)
 		}
 	}
@@ -31,9 +31,9 @@
 	return due
 }
 
-// timed says whether the attempt's deadline counts: a job of one member can't
+// hasDeadline says whether the attempt's deadline counts: a job of one member can't
 // run partially and is not stopped by isolation.
-func (a *attempt) timed() bool {
+func (a *attempt) hasDeadline() bool {
 	switch a.task.State {
 	case StateReserved:
 		return true
@@ -43,10 +43,10 @@
 	return false
 }
 
-func (m *Member) wake() {
+func (m *Member) scheduleTick() {
 	var next time.Time
 	for _, a := range m.attempts {
-		if a.timed() && (next.IsZero() || a.deadline.Before(next)) {
+		if a.hasDeadline() && (next.IsZero() || a.deadline.Before(next)) {
 			next = a.deadline
 		}
 	}
--- a/gang/member_grant.go
+++ b/gang/member_grant.go
@@ -1,7 +1,7 @@
 package gang
 
-// grantable says why the accelerators can't be granted now, or Accepted.
-func (m *Member) grantable(accelerators []int) Refusal {
+// checkAvailable says why the accelerators can't be granted now, or Accepted.
+func (m *Member) checkAvailable(accelerators []int) Refusal {
 	if len(accelerators) == 0 {
 		return Invalid
 	}
@@ -20,9 +20,9 @@
 	return Accepted
 }
 
-// grant enters the attempt as owner. Two owners of one accelerator would mean
+// assignAccelerators enters the attempt as owner. Two owners of one accelerator would mean
 // that the table is broken; going on would damage both tasks.
-func (m *Member) grant(a *attempt) {
+func (m *Member) assignAccelerators(a *attempt) {
 	for _, i := range a.task.Accelerators {
 		if m.owners[i] != nil {
 			panic("gang: accelerator granted twice")
@@ -31,8 +31,8 @@
 	}
 }
 
-// end frees the accelerators and turns the attempt into a tombstone.
-func (m *Member) end(a *attempt) {
+// endAttempt frees the accelerators and turns the attempt into a tombstone.
+func (m *Member) endAttempt(a *attempt) {
 	for _, i := range a.task.Accelerators {
 		if m.owners[i] == a {
 			m.owners[i] = nil
@@ -41,41 +41,41 @@
 	a.task.State = StateEnded
 	a.spec = nil
 	// What never started is of no interest to a planner that didn't ask.
-	a.closed = !a.task.Started
-	m.ended++
-	m.forget()
+	a.acknowledged = !a.task.Started
+	m.tombstones++
+	m.evictTombstones()
 }
 
-// forget drops the oldest tombstones above the bound, closed ones first.
+// evictTombstones drops the oldest tombstones above the bound, closed ones first.
 //
 // A forgotten attempt must not look like one never seen: a late Reserve, Commit
 // and Start would run it a second time, and a Seal would be told that it never
 // committed. The floor prevents both: IDs at or below it that have no account
 // are answered Forgotten, which proves nothing and permits nothing.
-func (m *Member) forget() {
-	for m.ended > m.config.MaxTombstones {
+func (m *Member) evictTombstones() {
+	for m.tombstones > m.config.MaxTombstones {
 		oldest := m.oldestTombstone()
-		if oldest.task.ID.Compare(m.floor) > 0 {
-			m.floor = oldest.task.ID
+		if oldest.task.ID.Compare(m.highestForgotten) > 0 {
+			m.highestForgotten = oldest.task.ID
 		}
 		delete(m.attempts, oldest.task.ID)
-		m.ended--
+		m.tombstones--
 	}
 }
 
 func (m *Member) oldestTombstone() *attempt {
 	var oldest *attempt
 	for _, a := range m.attempts {
-		if a.task.State == StateEnded && (oldest == nil || a.dropsBefore(oldest)) {
+		if a.task.State == StateEnded && (oldest == nil || a.evictedBefore(oldest)) {
 			oldest = a
 		}
 	}
 	return oldest
 }
 
-func (a *attempt) dropsBefore(b *attempt) bool {
-	if a.closed != b.closed {
-		return a.closed
+func (a *attempt) evictedBefore(b *attempt) bool {
+	if a.acknowledged != b.acknowledged {
+		return a.acknowledged
 	}
 	return a.task.ID.Compare(b.task.ID) < 0
 }
--- a/gang/member_receive.go
+++ b/gang/member_receive.go
@@ -1,6 +1,6 @@
 package gang
 
-func (m *Member) receive(r Received) {
+func (m *Member) handleReceived(r Received) {
 	h := r.Message.Head()
 	if !m.ready {
 		m.reply(r.From, Task{ID: h.ID}, NotReady)
@@ -10,28 +10,28 @@
 	// A planner that was paused wakes after a successor has sealed attempts
 	// here: acting on its word could start what the successor proved not started.
 	if h.Sender < m.fence {
-		m.reply(r.From, account(a, h.ID), StaleEpoch)
+		m.reply(r.From, taskOf(a, h.ID), StaleEpoch)
 		return
 	}
 	m.fence = h.Sender
-	refusal := m.handle(a, r.Message)
+	refusal := m.handleMessage(a, r.Message)
 	a = m.attempts[h.ID]
 	if a != nil && a.task.State != StateEnded {
-		a.planner = r.From
+		a.replyTo = r.From
 	}
-	m.reply(r.From, account(a, h.ID), refusal)
+	m.reply(r.From, taskOf(a, h.ID), refusal)
 }
 
-func account(a *attempt, id ID) Task {
+func taskOf(a *attempt, id ID) Task {
 	if a == nil {
 		return Task{ID: id}
 	}
 	return a.task
 }
 
-func (m *Member) handle(a *attempt, msg Message) Refusal {
+func (m *Member) handleMessage(a *attempt, msg Message) Refusal {
 	if a == nil {
-		return m.handleUnknown(msg)
+		return m.handleUnknownAttempt(msg)
 	}
 	switch msg := msg.(type) {
 	case Reserve:
@@ -48,15 +48,15 @@
 	return Accepted
 }
 
-// handleUnknown handles a message for an attempt without an account. All but an
+// handleUnknownAttempt handles a message for an attempt without an account. All but an
 // acceptable Reserve leave a tombstone, so that a Reserve still under way can't
 // open the attempt after this answer.
-func (m *Member) handleUnknown(msg Message) Refusal {
+func (m *Member) handleUnknownAttempt(msg Message) Refusal {
 	h := msg.Head()
 	if h.Incarnation != m.config.Incarnation {
 		return WrongIncarnation
 	}
-	if h.ID.Compare(m.floor) <= 0 {
+	if h.ID.Compare(m.highestForgotten) <= 0 {
 		return Forgotten
 	}
 	if msg, ok := msg.(Reserve); ok {
@@ -64,7 +64,7 @@
 	}
 	a := &attempt{task: Task{ID: h.ID}}
 	m.attempts[h.ID] = a
-	m.end(a)
+	m.endAttempt(a)
 	switch msg.(type) {
 	case Stop, Seal:
 		return Accepted
@@ -80,7 +80,7 @@
 	if m.draining {
 		return Draining
 	}
-	if refusal := m.grantable(r.Accelerators); refusal != Accepted {
+	if refusal := m.checkAvailable(r.Accelerators); refusal != Accepted {
 		return refusal
 	}
 	a := &attempt{
@@ -94,7 +94,7 @@
 		deadline: m.now.Add(r.Hold),
 	}
 	m.attempts[h.ID] = a
-	m.grant(a)
+	m.assignAccelerators(a)
 	return Accepted
 }
 
@@ -118,7 +118,7 @@
 	case StateCommitted:
 		a.task.State = StateRunning
 		a.task.Started = true
-		a.runUntil(m.now.Add(m.config.IsolationTimeout))
+		a.setRunDeadline(m.now.Add(m.config.IsolationTimeout))
 		m.actions = append(m.actions, StartTask{Task: a.task, Spec: a.spec})
 		a.spec = nil
 	}
@@ -128,11 +128,11 @@
 func (m *Member) stop(a *attempt, checkpoint bool) {
 	switch a.task.State {
 	case StateReserved, StateCommitted:
-		m.end(a)
+		m.endAttempt(a)
 	case StateRunning, StateStopping:
 		m.stopTask(a, checkpoint)
 	case StateEnded:
-		a.closed = true
+		a.acknowledged = true
 	}
 }
 
@@ -143,7 +143,7 @@
 
 func (m *Member) seal(a *attempt) {
 	if a.task.State == StateReserved {
-		m.end(a)
+		m.endAttempt(a)
 	}
 }
 
--- a/gang/plan.go
+++ b/gang/plan.go
@@ -48,6 +48,6 @@
 	RetainSucceeded bool
 }
 
-func (c Config) startWithin() time.Duration {
+func (c Config) startTimeout() time.Duration {
 	return cmp.Or(c.StartTimeout, c.LivenessWindow)
 }
--- a/gang/search.go
+++ b/gang/search.go
@@ -34,21 +34,21 @@
 // where the job runs, so the successor would start it beside the first run, or
 // beside a part of it that runs on alone.
 type Search struct {
-	config SearchConfig
-	now    time.Time
-	fenced bool // all agents, for Settle
-	found  map[string][]remains
+	config        SearchConfig
+	now           time.Time
+	allFenced     bool // all agents, for Settle
+	attemptsByJob map[string][]foundAttempt
 }
 
-// remains is what the agents hold of one attempt.
-type remains struct {
-	plan   Plan
-	size   int  // of the gang
-	broken bool // at a member, or not fenced there
+// foundAttempt is what the agents hold of one attempt.
+type foundAttempt struct {
+	plan     Plan
+	gangSize int  // of the gang
+	mustWait bool // at a member, or not fenced there
 }
 
 // complete says whether all members of the gang hold an account of the attempt.
-func (r *remains) complete() bool { return len(r.plan.Members) == r.size }
+func (r *foundAttempt) complete() bool { return len(r.plan.Members) == r.gangSize }
 
 // SearchResult is what a Search says of a permit.
 type SearchResult uint8
@@ -71,39 +71,39 @@
 
 // NewSearch looks at all agents that are not lost.
 func NewSearch(c SearchConfig, now time.Time, agents []AgentView) *Search {
-	s := &Search{config: c, now: now, fenced: true, found: make(map[string][]remains)}
+	s := &Search{config: c, now: now, allFenced: true, attemptsByJob: make(map[string][]foundAttempt)}
 	for _, w := range agents {
-		s.fenced = s.fenced && s.refuses(w)
+		s.allFenced = s.allFenced && s.isFenced(w)
 		for _, t := range w.Tasks {
-			s.add(w, t)
+			s.addTask(w, t)
 		}
 	}
 	return s
 }
 
-// refuses says whether the agent refuses the predecessors, and has for long enough.
+// isFenced says whether the agent isFenced the predecessors, and has for long enough.
 // One that reports and can't be told, because its path is broken one way or its
 // target does not answer it, counts as lost in the end: it would keep every job
 // with a permit from starting.
-func (s *Search) refuses(w AgentView) bool {
+func (s *Search) isFenced(w AgentView) bool {
 	if w.FencedAt.IsZero() {
 		return !w.FenceSentAt.IsZero() && s.now.Sub(w.FenceSentAt) >= 2*s.config.LossTimeout
 	}
 	return s.now.Sub(w.FencedAt) >= s.config.SettleTime
 }
 
-// add enters a task. A reservation is none: it expires, and with the fence up it
+// addTask enters a task. A reservation is none: it expires, and with the fence up it
 // can't be committed. Accounts from before the fence may still change and count
 // only as something that is there.
-func (s *Search) add(w AgentView, t Task) {
+func (s *Search) addTask(w AgentView, t Task) {
 	if t.State == StateReserved && !w.FencedAt.IsZero() {
 		return
 	}
-	all := s.found[t.ID.Job]
-	i := slices.IndexFunc(all, func(r remains) bool { return r.plan.ID == t.ID })
+	all := s.attemptsByJob[t.ID.Job]
+	i := slices.IndexFunc(all, func(r foundAttempt) bool { return r.plan.ID == t.ID })
 	if i < 0 {
 		i = len(all)
-		all = append(all, remains{plan: Plan{ID: t.ID}, size: t.Members})
+		all = append(all, foundAttempt{plan: Plan{ID: t.ID}, gangSize: t.Members})
 	}
 	r := &all[i]
 	r.plan.Members = append(r.plan.Members, PlannedMember{
@@ -111,9 +111,9 @@
 		Incarnation:  w.Incarnation,
 		Accelerators: t.Accelerators,
 	})
-	held := peer{task: t}
-	r.broken = r.broken || w.FencedAt.IsZero() || !held.reached(StateCommitted)
-	s.found[t.ID.Job] = all
+	held := memberStatus{task: t}
+	r.mustWait = r.mustWait || w.FencedAt.IsZero() || !held.reached(StateCommitted)
+	s.attemptsByJob[t.ID.Job] = all
 }
 
 // Resolve says what is known of a job with a permit of the epoch that the
@@ -127,10 +127,10 @@
 // jobs allow. An attempt that is whole need not wait; one that has ended must, since
 // the job may have been started again elsewhere.
 func (s *Search) Resolve(job string, epoch uint64, began time.Time) (SearchResult, Plan) {
-	last, left := s.last(job, epoch)
-	waiting := s.now.Sub(began) < s.config.LossTimeout || !s.fenced
+	last, left := s.latestComplete(job, epoch)
+	waiting := s.now.Sub(began) < s.config.LossTimeout || !s.allFenced
 	switch {
-	case last != nil && (!waiting || !last.broken):
+	case last != nil && (!waiting || !last.mustWait):
 		return Adoptable, last.plan
 	case waiting:
 		return SearchPending, Plan{}
@@ -140,13 +140,13 @@
 	return NotFound, Plan{}
 }
 
-// last returns the last attempt under the epoch that is complete, and whether
+// latestComplete returns the latestComplete attempt under the epoch that is complete, and whether
 // anything is left of any.
-func (s *Search) last(job string, epoch uint64) (*remains, bool) {
-	var last *remains
+func (s *Search) latestComplete(job string, epoch uint64) (*foundAttempt, bool) {
+	var last *foundAttempt
 	left := false
-	for i := range s.found[job] {
-		r := &s.found[job][i]
+	for i := range s.attemptsByJob[job] {
+		r := &s.attemptsByJob[job][i]
 		if r.plan.ID.Epoch != epoch {
 			continue
 		}
--- a/gang/search_test.go
+++ b/gang/search_test.go
@@ -71,7 +71,7 @@
 
 // Two attempts on one permit: the first was given up, and an account of it is left.
 // The successor goes on with the last one.
-func TestSearchTakesTheLastAttempt(t *testing.T) {
+func TestSearchAdoptsLatestAttempt(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	task := func(number uint64) Task {
--- a/gang/sim_agent_test.go
+++ b/gang/sim_agent_test.go
@@ -7,42 +7,42 @@
 
 // simAgent is an agent and the target beside it, which outlives it.
 type simAgent struct {
-	w           *world
-	name        string
-	member      *Member // nil while the process is down
-	incarnation uint64
-	tasks       []Task // at the target
-	finished    []Task // while there was no agent
-	since       time.Time
-	reported    time.Time
+	sim            *simulation
+	name           string
+	member         *Member // nil while the process is down
+	incarnation    uint64
+	tasks          []Task // at the target
+	endedWhileDown []Task // while there was no agent
+	upOrDownSince  time.Time
+	reportedAt     time.Time
 }
 
 func (a *simAgent) restart() {
 	a.incarnation++
-	a.since = a.w.now
+	a.upOrDownSince = a.sim.now
 	a.member = NewMember(MemberConfig{
-		Accelerators:     simGPUs,
+		Accelerators:     simAccelerators,
 		Incarnation:      a.incarnation,
-		IsolationTimeout: simIsolation,
+		IsolationTimeout: simIsolationTimeout,
 		MaxTombstones:    8,
 	})
-	a.w.stats.adopted += len(a.tasks)
-	a.step(TasksRecovered{Tasks: slices.Concat(a.tasks, a.finished)})
-	a.finished = nil
+	a.sim.stats.recovered += len(a.tasks)
+	a.step(TasksRecovered{Tasks: slices.Concat(a.tasks, a.endedWhileDown)})
+	a.endedWhileDown = nil
 }
 
 func (a *simAgent) crash() {
 	// A process that restarts all the time would renew its adopted tasks.
-	if a.member == nil || a.w.now.Sub(a.since) < simSettle {
+	if a.member == nil || a.sim.now.Sub(a.upOrDownSince) < simSettleTime {
 		return
 	}
 	a.member = nil
-	a.since = a.w.now
-	if a.w.chance(0.5) {
-		a.w.after(a.w.delay(), a.restart)
+	a.upOrDownSince = a.sim.now
+	if a.sim.chance(0.5) {
+		a.sim.after(a.sim.delay(), a.restart)
 		return
 	}
-	a.w.after(time.Duration(a.w.rng.IntN(40))*time.Second, func() {
+	a.sim.after(time.Duration(a.sim.rng.IntN(40))*time.Second, func() {
 		if a.member == nil {
 			a.restart()
 		}
@@ -52,7 +52,7 @@
 // loseTasks lets the target die.
 func (a *simAgent) loseTasks() {
 	for _, t := range slices.Clone(a.tasks) {
-		a.taskEnds(t.ID, TaskLost)
+		a.endTask(t.ID, TaskLost)
 	}
 }
 
@@ -63,8 +63,8 @@
 	}
 	a.step(Tick{})
 	a.renewLeases()
-	if a.w.now.Sub(a.reported) >= simReport {
-		a.reported = a.w.now
+	if a.sim.now.Sub(a.reportedAt) >= simReportInterval {
+		a.reportedAt = a.sim.now
 		a.report()
 	}
 }
@@ -83,21 +83,21 @@
 // expireLeases lets the target stop tasks whose lease no agent renews.
 func (a *simAgent) expireLeases() {
 	for _, t := range slices.Clone(a.tasks) {
-		expiry := a.since.Add(simIsolation)
+		expiry := a.upOrDownSince.Add(simIsolationTimeout)
 		if until := time.Unix(0, t.RunUntil); t.Members > 1 && until.Before(expiry) {
 			expiry = until
 		}
-		if !a.w.now.Before(expiry) {
-			a.taskEnds(t.ID, TaskLost)
+		if !a.sim.now.Before(expiry) {
+			a.endTask(t.ID, TaskLost)
 		}
 	}
 }
 
 func (a *simAgent) report() {
-	sent := a.w.now
+	sent := a.sim.now
 	r := Reported{a.name, a.incarnation, a.member.Fence(), a.member.Timestamp(), a.member.Tasks()}
-	for _, p := range a.w.planners {
-		a.w.send(p, a, func() { p.report(a, sent, r) })
+	for _, p := range a.sim.planners {
+		a.sim.send(p, a, func() { p.handleReport(a, sent, r) })
 	}
 }
 
@@ -105,61 +105,61 @@
 	if a.member == nil {
 		return
 	}
-	for _, act := range a.member.Step(a.w.now, ev) {
+	for _, act := range a.member.Step(a.sim.now, ev) {
 		switch act := act.(type) {
 		case SendReply:
 			a.reply(act)
 		case StartTask:
 			incarnation := a.incarnation
-			a.w.after(a.w.delay(), func() { a.taskStarts(incarnation, act.Task) })
+			a.sim.after(a.sim.delay(), func() { a.startTask(incarnation, act.Task) })
 		case StopTask:
-			a.w.after(a.w.delay(), func() { a.taskEnds(act.ID, TaskStopped) })
+			a.sim.after(a.sim.delay(), func() { a.endTask(act.ID, TaskStopped) })
 		}
 	}
-	a.w.truth.observe(a)
+	a.sim.history.recordCommits(a)
 }
 
 func (a *simAgent) reply(s SendReply) {
-	for _, p := range a.w.planners {
+	for _, p := range a.sim.planners {
 		if p.name() == s.To {
-			a.w.send(p, a, func() { p.reply(a, s.Reply) })
+			a.sim.send(p, a, func() { p.handleReply(a, s.Reply) })
 		}
 	}
 }
 
-// taskStarts is the target's side of StartTask. It refuses a start from before
+// startTask is the target's side of StartTask. It refuses a start from before
 // the agent's restart, and one that was overtaken by its stop.
-func (a *simAgent) taskStarts(incarnation uint64, t Task) {
-	if incarnation != a.incarnation || a.member == nil || a.w.truth.stopped[a.key(t.ID)] {
+func (a *simAgent) startTask(incarnation uint64, t Task) {
+	if incarnation != a.incarnation || a.member == nil || a.sim.history.stopped[a.key(t.ID)] {
 		return
 	}
-	a.w.checkStart(a, t)
+	a.sim.checkStart(a, t)
 	a.tasks = append(a.tasks, t)
 	result := Succeeded
-	if a.w.chance(0.15) {
+	if a.sim.chance(0.15) {
 		result = TaskFailed
 	}
-	length := time.Duration(5+a.w.rng.IntN(60)) * time.Second
-	a.w.after(length, func() { a.taskEnds(t.ID, result) })
+	length := time.Duration(5+a.sim.rng.IntN(60)) * time.Second
+	a.sim.after(length, func() { a.endTask(t.ID, result) })
 }
 
-func (a *simAgent) taskEnds(id ID, r Result) {
+func (a *simAgent) endTask(id ID, r Result) {
 	if r == TaskStopped {
-		a.w.truth.stopped[a.key(id)] = true
+		a.sim.history.stopped[a.key(id)] = true
 	}
 	i := slices.IndexFunc(a.tasks, func(t Task) bool { return t.ID == id })
 	if i >= 0 {
 		t := a.tasks[i]
 		t.State, t.Result = StateEnded, r
 		if a.member == nil {
-			a.finished = append(a.finished, t)
+			a.endedWhileDown = append(a.endedWhileDown, t)
 		}
 		a.tasks = slices.Delete(a.tasks, i, i+1)
-		a.w.truth.ended(a, id, r)
+		a.sim.history.recordEnd(a, id, r)
 	}
 	if i >= 0 || r == TaskStopped {
 		a.step(TaskEnded{ID: id, Result: r, Checkpointed: r == TaskStopped})
 	}
 }
 
-func (a *simAgent) key(id ID) simKey { return simKey{a.name, id} }
+func (a *simAgent) key(id ID) simAgentAttempt { return simAgentAttempt{a.name, id} }
--- a/gang/sim_permit_test.go
+++ b/gang/sim_permit_test.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// simPlaceAfter is how long an attempt runs on a permit before its placement is
+// simPlacementDelay is how long an attempt runs on a permit before its placement is
 // recorded.
-const simPlaceAfter = 10 * time.Second
+const simPlacementDelay = 10 * time.Second
 
 // simPermit is what a planner knows of the permit that it holds for a job.
 type simPermit struct {
-	ran  bool // an attempt on it may have started
-	void bool // the placement may be on record, or the permit was given back
+	mayHaveStarted bool // an attempt on it may have started
+	void           bool // the placement may be on record, or the permit was given back
 }
 
-// simHeld is a job whose record is a permit of another planner.
-type simHeld struct {
+// simUnresolved is a job whose record is a permit of another planner.
+type simUnresolved struct {
 	epoch      uint64
 	since      time.Time
 	incomplete bool
-	cleared    bool
+	notFound   bool
 }
 
 func (p *simPlanner) permit(job int) *simPermit {
@@ -30,58 +30,58 @@
 	return p.permits[job]
 }
 
-// usable says whether the job may be started on this planner's own permit, as far
+// permitUsable says whether the job may be started on this planner's own permit, as far
 // as the planner can see.
-func (p *simPlanner) usable(job int) bool {
-	rec := p.view[job]
-	return rec.state == simPermitted && rec.permit == p.epoch && !rec.cancel && !p.permit(job).void
+func (p *simPlanner) permitUsable(job int) bool {
+	rec := p.records[job]
+	return rec.state == simPermitted && rec.permitEpoch == p.epoch && !rec.cancelRequested && !p.permit(job).void
 }
 
 // writePermit asks for a permit for a job that has never been started.
 func (p *simPlanner) writePermit(job int) {
-	expect := p.view[job].revision
-	p.call(func() {
-		rec := &p.w.store.records[job]
+	expect := p.records[job].revision
+	p.storeCall(func() {
+		rec := &p.sim.store.records[job]
 		if rec.state != simQueued || rec.revision != expect {
 			return
 		}
-		*rec = simRecord{revision: expect + 1, state: simPermitted, permit: p.epoch, attempts: 1}
-		p.w.truth.permits[simGrant{job, p.epoch}] = true
+		*rec = simRecord{revision: expect + 1, state: simPermitted, permitEpoch: p.epoch, attempts: 1}
+		p.sim.history.permits[simPermitKey{job, p.epoch}] = true
 	}, func(bool) {})
 }
 
 // returnPermits gives back what was never used, at the end of the planner's life.
 func (p *simPlanner) returnPermits() {
-	for job, rec := range p.view {
-		used := slices.ContainsFunc(p.runs, func(r *simRun) bool { return r.job == job && r.used })
-		if !p.usable(job) || p.permit(job).ran || used {
+	for job, rec := range p.records {
+		used := slices.ContainsFunc(p.runs, func(r *simRun) bool { return r.job == job && r.mayHaveStarted })
+		if !p.permitUsable(job) || p.permit(job).mayHaveStarted || used {
 			continue
 		}
 		p.permit(job).void = true
-		p.call(func() {
-			now := &p.w.store.records[job]
+		p.storeCall(func() {
+			now := &p.sim.store.records[job]
 			if now.state == simPermitted && now.revision == rec.revision {
 				*now = simRecord{revision: rec.revision + 1}
-				p.w.stats.returned++
+				p.sim.stats.permitsReturned++
 			}
 		}, func(bool) {})
 	}
 }
 
-// place records where an attempt runs that was started on a permit.
-func (p *simPlanner) place(r *simRun) {
-	if r.placing || !r.co.Running() || p.view[r.job].state != simPermitted {
+// recordPlacement records where an attempt runs that was started on a permit.
+func (p *simPlanner) recordPlacement(r *simRun) {
+	if r.placing || !r.coord.Running() || p.records[r.job].state != simPermitted {
 		return
 	}
-	plan := r.co.Plan()
-	if plan.ID.Epoch == p.epoch && p.w.now.Sub(r.began) < simPlaceAfter {
+	plan := r.coord.Plan()
+	if plan.ID.Epoch == p.epoch && p.sim.now.Sub(r.startedAt) < simPlacementDelay {
 		return
 	}
 	r.placing = true
 	p.permit(r.job).void = true
-	expect := p.view[r.job].revision
-	p.call(func() {
-		rec := &p.w.store.records[r.job]
+	expect := p.records[r.job].revision
+	p.storeCall(func() {
+		rec := &p.sim.store.records[r.job]
 		if rec.state == simPermitted && rec.revision == expect {
 			rec.revision++
 			rec.state, rec.plan = simStarting, plan
@@ -89,171 +89,171 @@
 	}, func(bool) { r.placing = false })
 }
 
-// resolve looks for what another planner started on its permit.
-func (p *simPlanner) resolve(job int) {
-	rec := p.view[job]
-	h := p.held[job]
-	if h == nil || h.epoch != rec.permit {
-		h = &simHeld{epoch: rec.permit, since: p.w.now}
-		p.held[job] = h
+// resolvePermit looks for what another planner started on its permit.
+func (p *simPlanner) resolvePermit(job int) {
+	rec := p.records[job]
+	h := p.unresolved[job]
+	if h == nil || h.epoch != rec.permitEpoch {
+		h = &simUnresolved{epoch: rec.permitEpoch, since: p.sim.now}
+		p.unresolved[job] = h
 	}
-	if h.cleared {
+	if h.notFound {
 		p.afterSearch(job)
 		return
 	}
 	p.raiseFences()
-	s := NewSearch(SearchConfig{LossTimeout: simLoss, SettleTime: simSettle}, p.w.now, p.witnesses())
-	verdict, plan := s.Resolve(p.w.jobs[job].name, rec.permit, h.since)
+	s := NewSearch(SearchConfig{LossTimeout: simLossTimeout, SettleTime: simSettleTime}, p.sim.now, p.agentViews())
+	verdict, plan := s.Resolve(p.sim.jobs[job].name, rec.permitEpoch, h.since)
 	switch verdict {
 	case Adoptable:
-		p.w.stats.found++
-		delete(p.held, job)
-		co := ResumeCoordinator(p.keepDone(), plan)
-		p.start(&simRun{job: job, co: co, onPermit: true})
+		p.sim.stats.adoptable++
+		delete(p.unresolved, job)
+		co := ResumeCoordinator(p.permitConfig(), plan)
+		p.start(&simRun{job: job, coord: co, onPermit: true})
 	case Incomplete:
 		h.incomplete = true
 	case NotFound:
-		h.cleared = true
+		h.notFound = true
 	}
 }
 
 // afterSearch goes on with a job of which the search found nothing.
 func (p *simPlanner) afterSearch(job int) {
-	p.w.stats.vanished++
-	if p.view[job].cancel {
+	p.sim.stats.notFound++
+	if p.records[job].cancelRequested {
 		p.endPermitted(job, false)
 		return
 	}
 	if plan, ok := p.plan(job); ok {
-		p.launch(job, NewCoordinator(p.config(), plan))
+		p.startRecorded(job, NewCoordinator(p.config(), plan))
 	}
 }
 
 // endPermitted ends a cancelled job that has a permit and no attempt.
 func (p *simPlanner) endPermitted(job int, claim bool) {
-	expect := p.view[job].revision
-	p.call(func() {
-		rec := &p.w.store.records[job]
+	expect := p.records[job].revision
+	p.storeCall(func() {
+		rec := &p.sim.store.records[job]
 		if rec.state != simPermitted || rec.revision != expect {
 			return
 		}
 		rec.revision++
-		rec.state = simFinal
+		rec.state = simEnded
 		if claim {
-			p.w.tellNotRun(job)
+			p.sim.tellNotRun(job)
 		}
 	}, func(bool) {})
 }
 
 func (p *simPlanner) raiseFences() {
-	for i, a := range p.w.agents {
-		if p.known[i] != 0 && p.fenced[i].IsZero() {
-			p.sendTo(a, FenceMessage(p.epoch, p.known[i]))
-			if p.asked[i].IsZero() {
-				p.asked[i] = p.w.now
+	for i, a := range p.sim.agents {
+		if p.incarnations[i] != 0 && p.fencedAt[i].IsZero() {
+			p.sendTo(a, FenceMessage(p.epoch, p.incarnations[i]))
+			if p.fenceSentAt[i].IsZero() {
+				p.fenceSentAt[i] = p.sim.now
 			}
 		}
 	}
 }
 
-func (p *simPlanner) witnesses() []AgentView {
+func (p *simPlanner) agentViews() []AgentView {
 	var all []AgentView
-	for i, a := range p.w.agents {
-		if p.known[i] != 0 && p.w.now.Sub(p.heard[i]) <= simLoss {
-			all = append(all, AgentView{a.name, p.known[i], p.fenced[i], p.asked[i], p.tasks[i]})
+	for i, a := range p.sim.agents {
+		if p.incarnations[i] != 0 && p.sim.now.Sub(p.heardAt[i]) <= simLossTimeout {
+			all = append(all, AgentView{a.name, p.incarnations[i], p.fencedAt[i], p.fenceSentAt[i], p.tasks[i]})
 		}
 	}
 	return all
 }
 
-// noteReport keeps what a search needs of a report; late ones of an earlier life
+// applyReport keeps what a search needs of a report; late ones of an earlier life
 // count for nothing.
-func (p *simPlanner) noteReport(i int, r Reported) {
-	if r.Incarnation < p.known[i] {
+func (p *simPlanner) applyReport(i int, r Reported) {
+	if r.Incarnation < p.incarnations[i] {
 		return
 	}
-	if r.Incarnation > p.known[i] {
-		p.fenced[i], p.asked[i] = time.Time{}, time.Time{}
+	if r.Incarnation > p.incarnations[i] {
+		p.fencedAt[i], p.fenceSentAt[i] = time.Time{}, time.Time{}
 	}
-	p.known[i] = r.Incarnation
+	p.incarnations[i] = r.Incarnation
 	p.tasks[i] = r.Tasks
 	switch {
 	case r.Fence < p.epoch:
-		p.fenced[i] = time.Time{}
-	case p.fenced[i].IsZero():
-		p.fenced[i] = p.w.now
+		p.fencedAt[i] = time.Time{}
+	case p.fencedAt[i].IsZero():
+		p.fencedAt[i] = p.sim.now
 	}
 	for _, t := range r.Tasks {
-		p.holdAgain(t)
+		p.resolveAgain(t)
 	}
 }
 
-// holdAgain meets a task that a search could not see.
-func (p *simPlanner) holdAgain(t Task) {
-	job := p.w.jobIndex(t.ID.Job)
-	if h := p.held[job]; h != nil && h.cleared && h.epoch == t.ID.Epoch && !p.runsJob(job) {
-		delete(p.held, job)
+// resolveAgain meets a task that a search could not see.
+func (p *simPlanner) resolveAgain(t Task) {
+	job := p.sim.jobIndex(t.ID.Job)
+	if h := p.unresolved[job]; h != nil && h.notFound && h.epoch == t.ID.Epoch && !p.hasRun(job) {
+		delete(p.unresolved, job)
 	}
 }
 
-// accountsOnPermit says whether a task must be left alone for the sake of a permit.
-func (p *simPlanner) accountsOnPermit(id ID) bool {
-	job := p.w.jobIndex(id.Job)
-	rec := p.view[job]
-	if rec.state != simPermitted || rec.permit != id.Epoch {
+// keepsTaskForPermit says whether a task must be left alone for the sake of a permit.
+func (p *simPlanner) keepsTaskForPermit(id ID) bool {
+	job := p.sim.jobIndex(id.Job)
+	rec := p.records[job]
+	if rec.state != simPermitted || rec.permitEpoch != id.Epoch {
 		return false
 	}
 	for _, r := range p.runs {
 		if r.job == job {
-			return r.co.Plan().ID == id && r.outcome != nil && r.outcome.Outcome == Done
+			return r.coord.Plan().ID == id && r.outcome != nil && r.outcome.Outcome == Done
 		}
 	}
-	if rec.permit == p.epoch {
+	if rec.permitEpoch == p.epoch {
 		return false
 	}
-	h := p.held[job]
-	return h == nil || !h.cleared && !h.incomplete
+	h := p.unresolved[job]
+	return h == nil || !h.notFound && !h.incomplete
 }
 
-func (p *simPlanner) keepDone() Config {
+func (p *simPlanner) permitConfig() Config {
 	c := p.config()
 	c.RetainSucceeded = true
 	return c
 }
 
-// simGrant names a permit: a job and the epoch of the planner that may start it.
-type simGrant struct {
+// simPermitKey names a permit: a job and the epoch of the planner that may start it.
+type simPermitKey struct {
 	job   int
 	epoch uint64
 }
 
 // cancel is a caller's cancellation through an entry that reaches the store.
-func (w *world) cancel(job int) {
+func (w *simulation) cancel(job int) {
 	rec := &w.store.records[job]
 	switch {
-	case w.store.down || rec.state == simFinal || rec.cancel:
+	case w.store.down || rec.state == simEnded || rec.cancelRequested:
 		return
 	case rec.state == simQueued && rec.attempts == 0:
 		w.tellNotRun(job)
-		rec.state = simFinal
+		rec.state = simEnded
 	case rec.state == simQueued:
-		rec.state = simFinal
+		rec.state = simEnded
 	default:
-		rec.cancel = true
+		rec.cancelRequested = true
 	}
 	rec.revision++
 }
 
 // tellNotRun tells a caller that the job did not run and will not.
-func (w *world) tellNotRun(job int) {
+func (w *simulation) tellNotRun(job int) {
 	name := w.jobs[job].name
-	if ran := w.truth.ran[name]; len(ran) > 0 {
+	if ran := w.history.attemptsByJob[name]; len(ran) > 0 {
 		w.fail("job %s told not run after it ran as %v", name, ran)
 	}
-	w.truth.told[name] = true
-	w.stats.told++
+	w.history.toldNotRun[name] = true
+	w.stats.toldNotRun++
 }
 
-func (w *world) jobIndex(name string) int {
+func (w *simulation) jobIndex(name string) int {
 	return slices.IndexFunc(w.jobs, func(j simJob) bool { return j.name == name })
 }
--- a/gang/sim_planner_test.go
+++ b/gang/sim_planner_test.go
@@ -12,17 +12,17 @@
 	simQueued simState = iota
 	simStarting
 	simPermitted
-	simFinal
+	simEnded
 )
 
 // simRecord is a job's record in the store.
 type simRecord struct {
-	revision int
-	state    simState
-	plan     Plan
-	permit   uint64 // epoch of the planner that may start it
-	cancel   bool   // a caller has asked for it
-	attempts int
+	revision        int
+	state           simState
+	plan            Plan
+	permitEpoch     uint64 // epoch of the planner that may start it
+	cancelRequested bool   // a caller has asked for it
+	attempts        int
 }
 
 type simStore struct {
@@ -34,60 +34,60 @@
 
 // simRun is one coordinator and, after its end, the write of its outcome.
 type simRun struct {
-	job     int
-	co      *Coordinator
-	outcome *Ended
-	decided int       // revision of the record
-	began   time.Time // the start
-	// onPermit: no record names the attempt. used: it may have started.
-	onPermit, used, placing bool
+	job             int
+	coord           *Coordinator
+	outcome         *Ended
+	decidedRevision int       // revision of the record
+	startedAt       time.Time // the start
+	// onPermit: no record names the attempt. mayHaveStarted: it may have started.
+	onPermit, mayHaveStarted, placing bool
 }
 
 type simPlanner struct {
-	w       *world
-	epoch   uint64
-	paused  bool
-	dead    bool
-	noStore bool
-	cut     map[string]bool
-	view    []simRecord
-	heard   []time.Time
-	known   []uint64 // incarnations by agent
-	fenced  []time.Time
-	asked   []time.Time
-	tasks   [][]Task
-	permits map[int]*simPermit
-	held    map[int]*simHeld
-	runs    []*simRun
-	number  uint64
-	read    time.Time
+	sim              *simulation
+	epoch            uint64
+	paused           bool
+	dead             bool
+	storeUnreachable bool
+	disconnected     map[string]bool
+	records          []simRecord
+	heardAt          []time.Time
+	incarnations     []uint64 // incarnations by agent
+	fencedAt         []time.Time
+	fenceSentAt      []time.Time
+	tasks            [][]Task
+	permits          map[int]*simPermit
+	unresolved       map[int]*simUnresolved
+	runs             []*simRun
+	number           uint64
+	refreshedAt      time.Time
 }
 
 func (p *simPlanner) name() string { return fmt.Sprint("planner ", p.epoch) }
 
-// awake runs f now, or after the pause.
-func (p *simPlanner) awake(f func()) {
+// whenAwake runs f now, or after the pause.
+func (p *simPlanner) whenAwake(f func()) {
 	switch {
 	case p.dead:
 	case p.paused:
-		p.w.after(time.Second, func() { p.awake(f) })
+		p.sim.after(time.Second, func() { p.whenAwake(f) })
 	default:
 		f()
 	}
 }
 
-// call runs an operation at the store. Its reply may be lost after it took
+// storeCall runs an operation at the store. Its reply may be lost after it took
 // effect, and it may take effect long after the planner gave it up.
-func (p *simPlanner) call(op func(), done func(ok bool)) {
-	w := p.w
-	reach := func() bool { return !w.store.down && !p.noStore }
-	if w.chaos && w.chance(0.1) {
+func (p *simPlanner) storeCall(op func(), done func(ok bool)) {
+	w := p.sim
+	reach := func() bool { return !w.store.down && !p.storeUnreachable }
+	if w.faultsEnabled && w.chance(0.1) {
 		w.after(4*w.delay(), func() {
 			if reach() {
 				op()
 			}
 		})
-		w.after(w.delay(), func() { p.awake(func() { done(false) }) })
+		w.after(w.delay(), func() { p.whenAwake(func() { done(false) }) })
 		return
 	}
 	w.after(w.delay()/4, func() {
@@ -95,8 +95,8 @@
 		if ok {
 			op()
 		}
-		ok = ok && !(w.chaos && w.chance(0.1))
-		w.after(w.delay()/4, func() { p.awake(func() { done(ok) }) })
+		ok = ok && !(w.faultsEnabled && w.chance(0.1))
+		w.after(w.delay()/4, func() { p.whenAwake(func() { done(ok) }) })
 	})
 }
 
@@ -104,13 +104,13 @@
 	if p.paused {
 		return
 	}
-	if p.w.now.Sub(p.read) >= 3*time.Second {
-		p.read = p.w.now
+	if p.sim.now.Sub(p.refreshedAt) >= 3*time.Second {
+		p.refreshedAt = p.sim.now
 		p.refresh()
 	}
 	for _, r := range slices.Clone(p.runs) {
-		for _, m := range r.co.Plan().Members {
-			if p.w.now.Sub(p.heard[p.w.agentIndex(m.Agent)]) > simLoss {
+		for _, m := range r.coord.Plan().Members {
+			if p.sim.now.Sub(p.heardAt[p.sim.agentIndex(m.Agent)]) > simLossTimeout {
 				p.step(r, MemberLost{m.Agent})
 			}
 		}
@@ -121,63 +121,63 @@
 // refresh reads the records, writes outcomes, resumes and plans.
 func (p *simPlanner) refresh() {
 	var read []simRecord
-	p.call(func() { read = p.w.store.snapshot() }, func(ok bool) {
+	p.storeCall(func() { read = p.sim.store.snapshot() }, func(ok bool) {
 		if !ok {
 			return
 		}
-		p.view = read
+		p.records = read
 		for _, r := range slices.Clone(p.runs) {
 			switch {
 			case r.outcome != nil:
 				p.writeOutcome(r)
-			case p.view[r.job].cancel:
+			case p.records[r.job].cancelRequested:
 				p.step(r, Abort{})
 			default:
-				p.place(r)
+				p.recordPlacement(r)
 			}
 		}
-		for job := range p.view {
-			p.take(job)
+		for job := range p.records {
+			p.handleRecord(job)
 		}
 	})
 }
 
-func (p *simPlanner) take(job int) {
-	if p.runsJob(job) {
+func (p *simPlanner) handleRecord(job int) {
+	if p.hasRun(job) {
 		return
 	}
-	rec := p.view[job]
+	rec := p.records[job]
 	switch {
-	case rec.state == simPermitted && rec.permit < p.epoch:
-		p.resolve(job)
-	case rec.state == simPermitted && rec.permit > p.epoch:
-	case rec.state == simPermitted && rec.cancel:
-		p.endPermitted(job, !p.permit(job).ran)
-	case p.usable(job):
+	case rec.state == simPermitted && rec.permitEpoch < p.epoch:
+		p.resolvePermit(job)
+	case rec.state == simPermitted && rec.permitEpoch > p.epoch:
+	case rec.state == simPermitted && rec.cancelRequested:
+		p.endPermitted(job, !p.permit(job).mayHaveStarted)
+	case p.permitUsable(job):
 		if plan, ok := p.plan(job); ok {
-			p.start(&simRun{job: job, co: NewCoordinator(p.keepDone(), plan), onPermit: true})
+			p.start(&simRun{job: job, coord: NewCoordinator(p.permitConfig(), plan), onPermit: true})
 		}
-	case rec.state == simQueued && rec.attempts == 0 && p.w.jobs[job].repeatable && p.w.chance(p.w.eager):
+	case rec.state == simQueued && rec.attempts == 0 && p.sim.jobs[job].repeatable && p.sim.chance(p.sim.permitChance):
 		p.writePermit(job)
 	case rec.state == simStarting && rec.plan.ID.Epoch <= p.epoch:
-		p.launch(job, ResumeCoordinator(p.config(), rec.plan))
+		p.startRecorded(job, ResumeCoordinator(p.config(), rec.plan))
 	case rec.state == simQueued, rec.state == simPermitted:
 		if plan, ok := p.plan(job); ok {
-			p.launch(job, NewCoordinator(p.config(), plan))
+			p.startRecorded(job, NewCoordinator(p.config(), plan))
 		}
 	}
 }
 
-func (p *simPlanner) launch(job int, co *Coordinator) {
-	p.start(&simRun{job: job, co: co})
+func (p *simPlanner) startRecorded(job int, co *Coordinator) {
+	p.start(&simRun{job: job, coord: co})
 }
 
-func (p *simPlanner) runsJob(job int) bool {
+func (p *simPlanner) hasRun(job int) bool {
 	return slices.ContainsFunc(p.runs, func(r *simRun) bool { return r.job == job })
 }
 
 func (p *simPlanner) start(r *simRun) {
-	r.decided = p.view[r.job].revision
+	r.decidedRevision = p.records[r.job].revision
 	p.runs = append(p.runs, r)
 	p.step(r, Begin{})
 }
@@ -187,67 +187,67 @@
 		Epoch:          p.epoch,
 		ResendInterval: 2 * time.Second,
 		HoldTimeout:    20 * time.Second,
-		LivenessWindow: simWindow,
-		SettleTime:     simSettle,
-		StartTimeout:   simStartWithin,
+		LivenessWindow: simLivenessWindow,
+		SettleTime:     simSettleTime,
+		StartTimeout:   simStartTimeout,
 	}
 }
 
 // plan places at random: agents arbitrate.
 func (p *simPlanner) plan(job int) (Plan, bool) {
 	p.number++
-	plan := Plan{ID: ID{p.w.jobs[job].name, p.epoch, p.number}}
-	for _, i := range p.w.rng.Perm(len(p.w.agents))[:p.w.jobs[job].members] {
-		if p.known[i] == 0 {
+	plan := Plan{ID: ID{p.sim.jobs[job].name, p.epoch, p.number}}
+	for _, i := range p.sim.rng.Perm(len(p.sim.agents))[:p.sim.jobs[job].members] {
+		if p.incarnations[i] == 0 {
 			return plan, false
 		}
-		gpus := p.w.rng.Perm(simGPUs)[:1+p.w.rng.IntN(simGPUs)]
-		plan.Members = append(plan.Members, PlannedMember{p.w.agents[i].name, p.known[i], gpus, nil})
+		gpus := p.sim.rng.Perm(simAccelerators)[:1+p.sim.rng.IntN(simAccelerators)]
+		plan.Members = append(plan.Members, PlannedMember{p.sim.agents[i].name, p.incarnations[i], gpus, nil})
 	}
 	return plan, true
 }
 
 func (p *simPlanner) step(r *simRun, ev Event) {
-	for _, act := range r.co.Step(p.w.now, ev) {
+	for _, act := range r.coord.Step(p.sim.now, ev) {
 		switch act := act.(type) {
 		case Send:
-			p.sendTo(p.w.agents[p.w.agentIndex(act.To)], act.Message)
+			p.sendTo(p.sim.agents[p.sim.agentIndex(act.To)], act.Message)
 		case Record:
-			p.record(r, act.Plan)
+			p.recordStart(r, act.Plan)
 		case Ended:
-			p.w.checkEnded(r.co.Plan().ID, act)
+			p.sim.checkEnded(r.coord.Plan().ID, act)
 			r.outcome = &act
 			if act.Outcome == Superseded {
-				p.permit(r.job).ran = p.permit(r.job).ran || r.used
-				p.drop(r)
+				p.permit(r.job).mayHaveStarted = p.permit(r.job).mayHaveStarted || r.mayHaveStarted
+				p.removeRun(r)
 			}
 		}
 	}
 }
 
 func (p *simPlanner) sendTo(a *simAgent, m Message) {
-	p.w.send(p, a, func() { a.step(Received{From: p.name(), Message: m}) })
+	p.sim.send(p, a, func() { a.step(Received{From: p.name(), Message: m}) })
 }
 
-func (p *simPlanner) record(r *simRun, plan Plan) {
+func (p *simPlanner) recordStart(r *simRun, plan Plan) {
 	if r.onPermit {
 		p.recordOnPermit(r)
 		return
 	}
 	result := RecordUnknown
-	expect := r.decided
+	expect := r.decidedRevision
 	write := func() {
-		rec := &p.w.store.records[r.job]
+		rec := &p.sim.store.records[r.job]
 		if (rec.state == simQueued || rec.state == simPermitted) && rec.revision == expect {
-			*rec = simRecord{revision: expect + 1, state: simStarting, plan: plan, cancel: rec.cancel, attempts: rec.attempts + 1}
-			p.w.truth.recorded[plan.ID] = true
+			*rec = simRecord{revision: expect + 1, state: simStarting, plan: plan, cancelRequested: rec.cancelRequested, attempts: rec.attempts + 1}
+			p.sim.history.recorded[plan.ID] = true
 		}
 		result = RecordConflict
 		if rec.state == simStarting && rec.plan.ID == plan.ID {
 			result = RecordWritten
 		}
 	}
-	p.call(write, func(ok bool) {
+	p.storeCall(write, func(ok bool) {
 		if !ok {
 			result = RecordUnknown
 		}
@@ -259,98 +259,98 @@
 // as far as the planner can see.
 func (p *simPlanner) recordOnPermit(r *simRun) {
 	result := RecordConflict
-	if p.usable(r.job) && p.view[r.job].revision == r.decided {
-		r.used, r.began = true, p.w.now
-		p.w.stats.onPermit++
+	if p.permitUsable(r.job) && p.records[r.job].revision == r.decidedRevision {
+		r.mayHaveStarted, r.startedAt = true, p.sim.now
+		p.sim.stats.onPermit++
 		result = RecordWritten
 	}
-	p.w.after(0, func() { p.awake(func() { p.step(r, Recorded{result}) }) })
+	p.sim.after(0, func() { p.whenAwake(func() { p.step(r, Recorded{result}) }) })
 }
 
 func (p *simPlanner) writeOutcome(r *simRun) {
-	job := p.w.jobs[r.job]
-	id, o := r.co.Plan().ID, r.outcome.Outcome
+	job := p.sim.jobs[r.job]
+	id, o := r.coord.Plan().ID, r.outcome.Outcome
 	again := o == NotStarted || job.repeatable && o != Done
-	if r.onPermit && again && p.view[r.job].state == simPermitted {
-		p.againOnPermit(r, o)
+	if r.onPermit && again && p.records[r.job].state == simPermitted {
+		p.retryOnPermit(r, o)
 		return
 	}
 	write := func() {
-		rec := &p.w.store.records[r.job]
+		rec := &p.sim.store.records[r.job]
 		switch {
 		case rec.state == simStarting && rec.plan.ID == id:
-		case r.onPermit && rec.state == simPermitted && rec.permit == id.Epoch:
+		case r.onPermit && rec.state == simPermitted && rec.permitEpoch == id.Epoch:
 		default:
 			return
 		}
 		rec.revision++
-		rec.state = simFinal
-		if again && !rec.cancel && rec.attempts < 20 {
+		rec.state = simEnded
+		if again && !rec.cancelRequested && rec.attempts < 20 {
 			rec.state = simQueued
 		}
 	}
-	p.call(write, func(ok bool) {
+	p.storeCall(write, func(ok bool) {
 		if ok {
-			p.drop(r)
+			p.removeRun(r)
 		}
 	})
 }
 
-// againOnPermit leaves the record alone after an attempt: the job is started again
+// retryOnPermit leaves the record alone after an attempt: the job is started again
 // on the permit, or over that of another planner.
-func (p *simPlanner) againOnPermit(r *simRun, o Outcome) {
-	p.drop(r)
-	if id := r.co.Plan().ID; id.Epoch != p.epoch {
-		p.held[r.job] = &simHeld{epoch: id.Epoch, cleared: true}
+func (p *simPlanner) retryOnPermit(r *simRun, o Outcome) {
+	p.removeRun(r)
+	if id := r.coord.Plan().ID; id.Epoch != p.epoch {
+		p.unresolved[r.job] = &simUnresolved{epoch: id.Epoch, notFound: true}
 		return
 	}
 	if o != NotStarted {
-		p.permit(r.job).ran = true
+		p.permit(r.job).mayHaveStarted = true
 	}
 }
 
-func (p *simPlanner) drop(r *simRun) {
+func (p *simPlanner) removeRun(r *simRun) {
 	p.runs = slices.DeleteFunc(p.runs, func(o *simRun) bool { return o == r })
 }
 
-func (p *simPlanner) reply(a *simAgent, r Reply) {
-	p.awake(func() {
+func (p *simPlanner) handleReply(a *simAgent, r Reply) {
+	p.whenAwake(func() {
 		for _, run := range slices.Clone(p.runs) {
 			p.step(run, ReplyReceived{a.name, r})
 		}
 	})
 }
 
-// report takes a report, answers it, and stops what no record and no coordinator
+// handleReport takes a handleReport, answers it, and stops what no record and no coordinator
 // knows of.
-func (p *simPlanner) report(a *simAgent, sent time.Time, r Reported) {
-	p.awake(func() {
-		i := p.w.agentIndex(a.name)
-		p.heard[i] = p.w.now
-		p.noteReport(i, r)
+func (p *simPlanner) handleReport(a *simAgent, sent time.Time, r Reported) {
+	p.whenAwake(func() {
+		i := p.sim.agentIndex(a.name)
+		p.heardAt[i] = p.sim.now
+		p.applyReport(i, r)
 		var whole []ID
 		for _, run := range slices.Clone(p.runs) {
 			p.step(run, r)
-			if run.co.AllMembersAlive(p.w.now) {
-				whole = append(whole, run.co.Plan().ID)
+			if run.coord.AllMembersAlive(p.sim.now) {
+				whole = append(whole, run.coord.Plan().ID)
 			}
 		}
-		p.w.send(p, a, func() { a.step(ReportAnswered{sent, whole, NewPlannerTimestamp(p.epoch, p.w.now)}) })
+		p.sim.send(p, a, func() { a.step(ReportAnswered{sent, whole, NewPlannerTimestamp(p.epoch, p.sim.now)}) })
 		for _, t := range r.Tasks {
-			if stop, ok := OrphanStop(t, r.Incarnation, p.epoch); ok && !p.knows(t.ID) {
+			if stop, ok := OrphanStop(t, r.Incarnation, p.epoch); ok && !p.knowsAttempt(t.ID) {
 				p.sendTo(a, stop)
 			}
 		}
 	})
 }
 
-func (p *simPlanner) knows(id ID) bool {
+func (p *simPlanner) knowsAttempt(id ID) bool {
 	for _, r := range p.runs {
-		if r.co.Plan().ID == id && !r.co.HasEnded() {
+		if r.coord.Plan().ID == id && !r.coord.HasEnded() {
 			return true
 		}
 	}
-	return p.accountsOnPermit(id) || slices.ContainsFunc(p.view, func(r simRecord) bool {
+	return p.keepsTaskForPermit(id) || slices.ContainsFunc(p.records, func(r simRecord) bool {
 		return r.state == simStarting && r.plan.ID == id
 	})
 }
--- a/gang/sim_test.go
+++ b/gang/sim_test.go
@@ -7,7 +7,7 @@
 )
 
 var (
-	simLong = flag.Int("gang.worlds", 40, "number of randomised worlds")
+	simRuns = flag.Int("gang.worlds", 40, "number of randomised worlds")
 	simSeed = flag.Uint64("gang.seed", 1, "seed of the first world")
 )
 
@@ -16,15 +16,15 @@
 // go test ./gang -run RandomWorlds -v -gang.worlds 5000 -gang.seed 1000
 func TestRandomWorlds(t *testing.T) {
 	var sum simStats
-	for i := range *simLong {
-		w := newWorld(t, *simSeed+uint64(i))
+	for i := range *simRuns {
+		w := newSimulation(t, *simSeed+uint64(i))
 		w.run(600*time.Second, 1500*time.Second)
 		sum.add(w.stats)
 	}
-	t.Logf("%d worlds from seed %d: %+v", *simLong, *simSeed, sum)
+	t.Logf("%d worlds from seed %d: %+v", *simRuns, *simSeed, sum)
 	if sum.starts == 0 || sum.done == 0 || sum.notStarted == 0 || sum.lost == 0 ||
-		sum.superseded == 0 || sum.adopted == 0 || sum.isolated == 0 ||
-		sum.onPermit == 0 || sum.found == 0 || sum.vanished == 0 || sum.returned == 0 || sum.told == 0 {
+		sum.superseded == 0 || sum.recovered == 0 || sum.isolated == 0 ||
+		sum.onPermit == 0 || sum.adoptable == 0 || sum.notFound == 0 || sum.permitsReturned == 0 || sum.toldNotRun == 0 {
 		t.Fatalf("the worlds did not reach all kinds of ends: %+v", sum)
 	}
 }
@@ -35,12 +35,12 @@
 	s.notStarted += o.notStarted
 	s.lost += o.lost
 	s.superseded += o.superseded
-	s.adopted += o.adopted
+	s.recovered += o.recovered
 	s.isolated += o.isolated
 	s.onPermit += o.onPermit
-	s.found += o.found
-	s.vanished += o.vanished
-	s.returned += o.returned
-	s.told += o.told
+	s.adoptable += o.adoptable
+	s.notFound += o.notFound
+	s.permitsReturned += o.permitsReturned
+	s.toldNotRun += o.toldNotRun
 	s.overlaps += o.overlaps
 }
--- a/gang/sim_world_test.go
+++ b/gang/sim_world_test.go
@@ -11,20 +11,20 @@
 // The world of the randomised runs: agents with targets, planners of several
 // epochs, a store and a network, all of which fail, in virtual time.
 const (
-	simStep        = 500 * time.Millisecond
-	simReport      = 2 * time.Second
-	simWindow      = 6 * time.Second
-	simIsolation   = 15 * time.Second
-	simStartWithin = 10 * time.Second
-	simDelay       = 1500 * time.Millisecond // longest of a message, a start or a stop
-	simSettle      = simWindow + simIsolation + 3*simDelay
-	simLoss        = simSettle + 10*time.Second
-	// simPartial is how long part of a gang may run without the rest.
-	simPartial  = simSettle + simDelay
-	simWorkers  = 4
-	simGPUs     = 2
-	simJobs     = 5
-	simPlanners = 3
+	simStep             = 500 * time.Millisecond
+	simReportInterval   = 2 * time.Second
+	simLivenessWindow   = 6 * time.Second
+	simIsolationTimeout = 15 * time.Second
+	simStartTimeout     = 10 * time.Second
+	simMaxDelay         = 1500 * time.Millisecond // longest of a message, a start or a stop
+	simSettleTime       = simLivenessWindow + simIsolationTimeout + 3*simMaxDelay
+	simLossTimeout      = simSettleTime + 10*time.Second
+	// simMaxPartial is how long part of a gang may run without the rest.
+	simMaxPartial   = simSettleTime + simMaxDelay
+	simWorkers      = 4
+	simAccelerators = 2
+	simJobs         = 5
+	simMaxPlanners  = 3
 )
 
 type simEvent struct {
@@ -57,42 +57,42 @@
 	repeatable bool
 }
 
-type world struct {
-	t        testing.TB
-	seed     uint64
-	rng      *rand.Rand
-	now      time.Time
-	queue    simQueue
-	seq      int
-	chaos    bool
-	eager    float64 // chance of a permit before a start
-	jobs     []simJob
-	agents   []*simAgent
-	planners []*simPlanner
-	epoch    uint64
-	store    simStore
-	truth    simTruth
-	stats    simStats
-}
-
-type simStats struct{ starts, done, notStarted, lost, superseded, adopted, isolated, onPermit, found, vanished, returned, told, overlaps int }
-
-func newWorld(t testing.TB, seed uint64) *world {
-	w := &world{
-		t:     t,
-		seed:  seed,
-		rng:   rand.New(rand.NewPCG(seed, 1)),
-		now:   time.Unix(1000, 0),
-		truth: newSimTruth(),
-	}
-	w.eager = 0.5 + w.rng.Float64()/2
+type simulation struct {
+	t             testing.TB
+	seed          uint64
+	rng           *rand.Rand
+	now           time.Time
+	queue         simQueue
+	seq           int
+	faultsEnabled bool
+	permitChance  float64 // chance of a permit before a start
+	jobs          []simJob
+	agents        []*simAgent
+	planners      []*simPlanner
+	epoch         uint64
+	store         simStore
+	history       simHistory
+	stats         simStats
+}
+
+type simStats struct{ starts, done, notStarted, lost, superseded, recovered, isolated, onPermit, adoptable, notFound, permitsReturned, toldNotRun, overlaps int }
+
+func newSimulation(t testing.TB, seed uint64) *simulation {
+	w := &simulation{
+		t:       t,
+		seed:    seed,
+		rng:     rand.New(rand.NewPCG(seed, 1)),
+		now:     time.Unix(1000, 0),
+		history: newSimHistory(),
+	}
+	w.permitChance = 0.5 + w.rng.Float64()/2
 	names := []string{"a", "b", "c", "d", "e"}
 	for i := range simJobs {
 		w.jobs = append(w.jobs, simJob{names[i], 1 + i%3, w.chance(0.5)})
 		w.store.records = append(w.store.records, simRecord{})
 	}
 	for i := range simWorkers {
-		a := &simAgent{w: w, name: names[i]}
+		a := &simAgent{sim: w, name: names[i]}
 		w.agents = append(w.agents, a)
 		a.restart()
 	}
@@ -100,22 +100,22 @@
 }
 
 // run takes the world through chaos and then lets it come to rest.
-func (w *world) run(chaos, rest time.Duration) {
-	w.chaos = true
+func (w *simulation) run(chaos, rest time.Duration) {
+	w.faultsEnabled = true
 	w.addPlanner()
 	for end := w.now.Add(chaos); w.now.Before(end); {
-		w.disturb()
+		w.injectFault()
 		w.tick()
 	}
-	w.chaos = false
-	w.heal()
+	w.faultsEnabled = false
+	w.endFaults()
 	for end := w.now.Add(rest); w.now.Before(end); {
 		w.tick()
 	}
-	w.checkRest()
+	w.checkNothingLeft()
 }
 
-func (w *world) tick() {
+func (w *simulation) tick() {
 	w.now = w.now.Add(simStep)
 	for len(w.queue) > 0 && !w.queue[0].at.After(w.now) {
 		heap.Pop(&w.queue).(simEvent).run()
@@ -129,35 +129,35 @@
 	w.checkPartial()
 }
 
-func (w *world) chance(p float64) bool { return w.rng.Float64() < p }
+func (w *simulation) chance(p float64) bool { return w.rng.Float64() < p }
 
-func (w *world) delay() time.Duration {
-	return time.Duration(w.rng.Int64N(int64(simDelay)))
+func (w *simulation) delay() time.Duration {
+	return time.Duration(w.rng.Int64N(int64(simMaxDelay)))
 }
 
-func (w *world) after(d time.Duration, run func()) {
+func (w *simulation) after(d time.Duration, run func()) {
 	w.seq++
 	heap.Push(&w.queue, simEvent{w.now.Add(d), w.seq, run})
 }
 
 // send delivers a message between a planner and an agent: late, out of order,
 // twice or not at all.
-func (w *world) send(p *simPlanner, a *simAgent, deliver func()) {
+func (w *simulation) send(p *simPlanner, a *simAgent, deliver func()) {
 	copies := 1
-	if w.chaos && w.chance(0.1) {
+	if w.faultsEnabled && w.chance(0.1) {
 		copies = w.rng.IntN(3)
 	}
 	for range copies {
 		w.after(w.delay(), func() {
-			if !p.cut[a.name] {
+			if !p.disconnected[a.name] {
 				deliver()
 			}
 		})
 	}
 }
 
-// disturb lets something fail or recover.
-func (w *world) disturb() {
+// injectFault lets something fail or recover.
+func (w *simulation) injectFault() {
 	switch w.rng.IntN(70) {
 	case 0:
 		w.anyAgent().crash()
@@ -170,10 +170,10 @@
 		p.paused = !p.paused
 	case 6, 7:
 		p := w.anyPlanner()
-		p.noStore = !p.noStore
+		p.storeUnreachable = !p.storeUnreachable
 	case 8, 9, 10:
 		a, p := w.anyAgent(), w.anyPlanner()
-		p.cut[a.name] = !p.cut[a.name]
+		p.disconnected[a.name] = !p.disconnected[a.name]
 	case 11:
 		w.addPlanner()
 	case 19:
@@ -195,11 +195,11 @@
 	}
 }
 
-func (w *world) anyAgent() *simAgent     { return w.agents[w.rng.IntN(len(w.agents))] }
-func (w *world) anyPlanner() *simPlanner { return w.planners[w.rng.IntN(len(w.planners))] }
+func (w *simulation) anyAgent() *simAgent     { return w.agents[w.rng.IntN(len(w.agents))] }
+func (w *simulation) anyPlanner() *simPlanner { return w.planners[w.rng.IntN(len(w.planners))] }
 
-// heal ends all failures and leaves one planner, a fresh one.
-func (w *world) heal() {
+// endFaults ends all failures and leaves one planner, a fresh one.
+func (w *simulation) endFaults() {
 	w.store.down = false
 	w.keepPlanners(0)
 	w.addPlanner()
@@ -210,31 +210,31 @@
 	}
 }
 
-func (w *world) addPlanner() {
+func (w *simulation) addPlanner() {
 	if w.store.down {
 		return
 	}
 	w.epoch++
-	p := &simPlanner{w: w, epoch: w.epoch, cut: map[string]bool{}, view: w.store.snapshot()}
-	p.permits, p.held = map[int]*simPermit{}, map[int]*simHeld{}
-	p.fenced, p.asked = make([]time.Time, len(w.agents)), make([]time.Time, len(w.agents))
+	p := &simPlanner{sim: w, epoch: w.epoch, disconnected: map[string]bool{}, records: w.store.snapshot()}
+	p.permits, p.unresolved = map[int]*simPermit{}, map[int]*simUnresolved{}
+	p.fencedAt, p.fenceSentAt = make([]time.Time, len(w.agents)), make([]time.Time, len(w.agents))
 	p.tasks = make([][]Task, len(w.agents))
 	for range w.agents {
-		p.heard = append(p.heard, w.now)
-		p.known = append(p.known, 0)
+		p.heardAt = append(p.heardAt, w.now)
+		p.incarnations = append(p.incarnations, 0)
 	}
 	w.planners = append(w.planners, p)
-	w.keepPlanners(simPlanners)
+	w.keepPlanners(simMaxPlanners)
 }
 
 // keepPlanners ends the processes of all planners but the n latest.
-func (w *world) keepPlanners(n int) {
+func (w *simulation) keepPlanners(n int) {
 	for len(w.planners) > n {
 		w.planners[0].dead = true
 		w.planners = w.planners[1:]
 	}
 }
 
-func (w *world) agentIndex(name string) int {
+func (w *simulation) agentIndex(name string) int {
 	return slices.IndexFunc(w.agents, func(a *simAgent) bool { return a.name == name })
 }
--- a/gang/stamp.go
+++ b/gang/stamp.go
@@ -19,10 +19,10 @@
 	return PlannerTimestamp{Epoch: epoch, At: now.UnixNano()}
 }
 
-// evidence returns the time up to which a report with the stamp is known to
+// reportTime returns the time up to which a report with the stamp is known to
 // speak, for the planner with the epoch; zero if nothing is known. A report with
 // no stamp counts as of its receipt, for agents that were never answered.
-func (s PlannerTimestamp) evidence(epoch uint64, received time.Time) time.Time {
+func (s PlannerTimestamp) reportTime(epoch uint64, received time.Time) time.Time {
 	switch s.Epoch {
 	case 0:
 		return received
--- a/gang/stories_test.go
+++ b/gang/stories_test.go
@@ -44,12 +44,12 @@
 // cluster joins one coordinator and its members by a network without faults;
 // the agents in cut get and send nothing.
 type cluster struct {
-	members map[string]*Member
-	cut     map[string]bool
+	members      map[string]*Member
+	disconnected map[string]bool
 }
 
 func newCluster(agents ...string) *cluster {
-	cl := &cluster{members: map[string]*Member{}, cut: map[string]bool{}}
+	cl := &cluster{members: map[string]*Member{}, disconnected: map[string]bool{}}
 	for _, a := range agents {
 		cl.members[a] = testMember(1)
 	}
@@ -63,7 +63,7 @@
 	for _, act := range co.Step(now, ev) {
 		switch act := act.(type) {
 		case Send:
-			if cl.cut[act.To] {
+			if cl.disconnected[act.To] {
 				continue
 			}
 			for _, r := range replies(cl.members[act.To].Step(now, Received{"p", act.Message})) {
@@ -95,20 +95,20 @@
 	return e
 }
 
-func head(sender, incarnation uint64) Header { return Header{attempt1, sender, incarnation} }
+func testHeader(sender, incarnation uint64) Header { return Header{attempt1, sender, incarnation} }
 
-func reserve(h Header) Reserve {
+func testReserve(h Header) Reserve {
 	return Reserve{Header: h, Accelerators: []int{0}, Members: 2, Hold: 20 * time.Second}
 }
 
-// ask sends one message and returns the reply.
-func ask(m *Member, now time.Time, msg Message) Reply {
+// exchange sends one message and returns the reply.
+func exchange(m *Member, now time.Time, msg Message) Reply {
 	return replies(m.Step(now, Received{"p", msg}))[0]
 }
 
 // A job of two members starts: nothing runs before both have committed and the
 // record is written, and the reports that follow show both running.
-func TestStartOnAll(t *testing.T) {
+func TestAllMembersStart(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
 	co := NewCoordinator(testConfig(1), testPlan("a", "b"))
@@ -122,11 +122,11 @@
 
 // The job waits although a third accelerator is free elsewhere, because one of
 // the chosen ones was granted a moment ago. The others must be free at once.
-func TestRefusalReleasesAll(t *testing.T) {
+func TestRefusalReleasesReservations(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
-	other := reserve(Header{ID{"other", 1, 0}, 1, 1})
-	ask(cl.members["b"], t0, other)
+	other := testReserve(Header{ID{"other", 1, 0}, 1, 1})
+	exchange(cl.members["b"], t0, other)
 	e := lastEnded(c, cl.step(NewCoordinator(testConfig(1), testPlan("a", "b")), t0, Begin{}))
 	c.Assert(e.Outcome, qt.Equals, NotStarted)
 	c.Assert(e.Cause, qt.Equals, CauseRefused)
@@ -151,15 +151,15 @@
 
 // The planner dies after its commits. The successor must carry on, because it
 // can't know whether the start was sent: the job starts once, and runs.
-func TestSuccessorCarriesOn(t *testing.T) {
+func TestSuccessorResumesCommittedAttempt(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
 	old := NewCoordinator(testConfig(1), testPlan("a", "b"))
 	cl.step(old, t0, Begin{})
 	for _, m := range cl.members {
-		ask(m, t0, Commit{head(1, 1)})
+		exchange(m, t0, Commit{testHeader(1, 1)})
 	}
-	ask(cl.members["a"], t0, Start{head(1, 1)})
+	exchange(cl.members["a"], t0, Start{testHeader(1, 1)})
 	next := ResumeCoordinator(testConfig(2), old.Plan())
 	c.Assert(cl.step(next, t0, Begin{}), qt.DeepEquals, []Action{Started{}})
 	c.Assert(next.AllMembersAlive(t0), qt.IsTrue)
@@ -169,15 +169,15 @@
 // planner gives up and dies; the message that stops the other member is lost. Its
 // successor finds one member done and one committed. To start that one would make
 // a gang whose parts ran one after the other, and report it as done.
-func TestSuccessorDoesNotCompleteAPartialRun(t *testing.T) {
+func TestSuccessorDoesNotCompletePartialRun(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
 	old := NewCoordinator(testConfig(1), testPlan("a", "b"))
 	cl.step(old, t0, Begin{})
 	for _, m := range cl.members {
-		ask(m, t0, Commit{head(1, 1)})
+		exchange(m, t0, Commit{testHeader(1, 1)})
 	}
-	ask(cl.members["a"], t0, Start{head(1, 1)})
+	exchange(cl.members["a"], t0, Start{testHeader(1, 1)})
 	cl.members["a"].Step(t0, TaskEnded{ID: attempt1, Result: Succeeded})
 	e := lastEnded(c, cl.step(ResumeCoordinator(testConfig(2), old.Plan()), t0.Add(time.Minute), Begin{}))
 	c.Assert(e.Outcome, qt.Equals, Stopped)
@@ -187,13 +187,13 @@
 
 // An agent restarts after it has committed and its memory of that is gone. The
 // job may have run there, so the caller must not hear "not run".
-func TestRestartedMemberIsNoProof(t *testing.T) {
+func TestRestartedMemberDoesNotProveNotStarted(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
 	old := NewCoordinator(testConfig(1), testPlan("a", "b"))
 	cl.step(old, t0, Begin{})
 	for _, m := range cl.members {
-		ask(m, t0, Commit{head(1, 1)})
+		exchange(m, t0, Commit{testHeader(1, 1)})
 	}
 	cl.members["b"] = testMember(2)
 	e := lastEnded(c, cl.step(ResumeCoordinator(testConfig(2), old.Plan()), t0, Begin{}))
@@ -211,9 +211,9 @@
 	cl.step(old, t0, Begin{})
 	cl.step(old, t0, Recorded{RecordWritten})
 	next := ResumeCoordinator(testConfig(2), old.Plan())
-	cl.cut["a"], cl.cut["b"] = true, true
+	cl.disconnected["a"], cl.disconnected["b"] = true, true
 	cl.step(next, t0, Begin{})
-	cl.cut["b"] = false
+	cl.disconnected["b"] = false
 	late := t0.Add(60 * time.Second)
 	cl.step(next, late, MemberLost{"a"})
 	cl.members["b"].Step(late, TaskEnded{ID: attempt1, Result: TaskStopped})
@@ -227,16 +227,16 @@
 // A successor stopped one member before its start and let the other run. The old
 // owner hears of the first from a report, which nothing fences. If it took that
 // for its own doing it would report "not started".
-func TestReportAfterFenceProvesNothing(t *testing.T) {
+func TestReportWithHigherFenceSupersedes(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
 	old := NewCoordinator(testConfig(1), testPlan("a", "b"))
 	cl.step(old, t0, Begin{})
-	cl.cut["b"] = true
+	cl.disconnected["b"] = true
 	cl.step(old, t0, Recorded{RecordWritten})
 	b := cl.members["b"]
-	ask(b, t0, Commit{head(1, 1)})
-	ask(b, t0, Stop{Header: head(2, 1)})
+	exchange(b, t0, Commit{testHeader(1, 1)})
+	exchange(b, t0, Stop{Header: testHeader(2, 1)})
 	r := Reported{From: "b", Incarnation: 1, Fence: b.Fence(), Tasks: []Task{
 		{ID: attempt1, State: StateEnded, Committed: true},
 	}}
@@ -245,12 +245,12 @@
 
 // After a restart the target still runs a job. Until the agent knows of it, its
 // accelerators look free, and a second job would be granted them.
-func TestNothingGrantedBeforeAdoption(t *testing.T) {
+func TestReservationsRefusedBeforeRecovery(t *testing.T) {
 	c := qt.New(t)
 	m := NewMember(MemberConfig{Accelerators: 2, Incarnation: 2, IsolationTimeout: time.Minute})
-	c.Assert(ask(m, t0, reserve(Header{ID{"x", 3, 1}, 3, 2})).Refusal, qt.Equals, NotReady)
+	c.Assert(exchange(m, t0, testReserve(Header{ID{"x", 3, 1}, 3, 2})).Refusal, qt.Equals, NotReady)
 	m.Step(t0, TasksRecovered{Tasks: []Task{{ID: attempt1, Accelerators: []int{0}, Members: 1}}})
-	c.Assert(ask(m, t0, reserve(Header{ID{"x", 3, 1}, 3, 2})).Refusal, qt.Equals, Busy)
+	c.Assert(exchange(m, t0, testReserve(Header{ID{"x", 3, 1}, 3, 2})).Refusal, qt.Equals, Busy)
 	c.Assert(m.FreeAccelerators(), qt.DeepEquals, []int{1})
 }
 
@@ -263,23 +263,23 @@
 	co := ResumeCoordinator(testConfig(2), testPlan("a"))
 	co.Step(t0, Begin{})
 	co.Step(t0, Reported{From: "a", Incarnation: 2, Tasks: m.Tasks()})
-	e := lastEnded(c, co.Step(t0, ReplyReceived{"a", ask(m, t0, Seal{head(2, 1)})}))
+	e := lastEnded(c, co.Step(t0, ReplyReceived{"a", exchange(m, t0, Seal{testHeader(2, 1)})}))
 	c.Assert(e.Outcome, qt.Equals, Done)
-	ask(m, t0, Stop{Header: head(2, 1)})
+	exchange(m, t0, Stop{Header: testHeader(2, 1)})
 	c.Assert(m.Tasks(), qt.HasLen, 0)
 }
 
 // A worker ran so many jobs that the oldest was forgotten. Copies of that job's
 // messages arrive late and in order; they must not run it a second time, nor may
 // a successor hear that it never committed.
-func TestForgottenAttemptStaysOver(t *testing.T) {
+func TestForgottenAttemptIsNotRestarted(t *testing.T) {
 	c := qt.New(t)
 	m := testMember(1)
 	for n := uint64(1); n <= 6; n++ {
-		ask(m, t0, Seal{Header{ID{"score", 1, n}, 1, 1}})
+		exchange(m, t0, Seal{Header{ID{"score", 1, n}, 1, 1}})
 	}
-	c.Assert(ask(m, t0, reserve(head(1, 1))).Refusal, qt.Equals, Forgotten)
-	r := ask(m, t0, Seal{head(1, 1)})
+	c.Assert(exchange(m, t0, testReserve(testHeader(1, 1))).Refusal, qt.Equals, Forgotten)
+	r := exchange(m, t0, Seal{testHeader(1, 1)})
 	c.Assert(r.Refusal, qt.Equals, Forgotten)
 	c.Assert(r.Task.State, qt.Equals, StateUnknown)
 	c.Assert(len(m.attempts) <= 4, qt.IsTrue)
@@ -308,13 +308,13 @@
 				wait = test.until
 			}
 			m := testMember(2, task)
-			c.Assert(stops(m.Step(t0.Add(wait-1), Tick{})), qt.IsFalse)
-			c.Assert(stops(m.Step(t0.Add(wait), Tick{})), qt.Equals, test.stops)
+			c.Assert(hasStopTask(m.Step(t0.Add(wait-1), Tick{})), qt.IsFalse)
+			c.Assert(hasStopTask(m.Step(t0.Add(wait), Tick{})), qt.Equals, test.stops)
 		})
 	}
 }
 
-func stops(actions []MemberAction) bool {
+func hasStopTask(actions []MemberAction) bool {
 	for _, a := range actions {
 		if _, ok := a.(StopTask); ok {
 			return true
@@ -326,17 +326,17 @@
 // One start is delivered at once and another only after the first member has
 // stopped for want of its gang: the late one would run alone (found by the
 // randomised worlds, seed 1363).
-func TestLateStartIsGivenUp(t *testing.T) {
+func TestStartTimeoutAborts(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
 	co := NewCoordinator(testConfig(1), testPlan("a", "b"))
 	cl.step(co, t0, Begin{})
-	cl.members["b"].Step(t0, Received{"p", Commit{head(1, 1)}})
+	cl.members["b"].Step(t0, Received{"p", Commit{testHeader(1, 1)}})
 	co.Step(t0, Recorded{RecordWritten})
 	for _, a := range []string{"a", "b"} {
-		co.Step(t0, ReplyReceived{a, ask(cl.members[a], t0, Commit{head(1, 1)})})
+		co.Step(t0, ReplyReceived{a, exchange(cl.members[a], t0, Commit{testHeader(1, 1)})})
 	}
-	ask(cl.members["a"], t0, Start{head(1, 1)})
+	exchange(cl.members["a"], t0, Start{testHeader(1, 1)})
 	cl.step(co, t0.Add(6*time.Second), Wake{})
 	c.Assert(cl.members["b"].FreeAccelerators(), qt.HasLen, 2)
 	c.Assert(cl.members["a"].Tasks()[0].State, qt.Equals, StateStopping)
@@ -344,7 +344,7 @@
 
 // A planner wakes from a pause and finds reports from before it in its queue. If
 // it took them for news it would renew a member whose gang has ended meanwhile.
-func TestQueuedReportIsNoNews(t *testing.T) {
+func TestQueuedReportDoesNotProveAlive(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a")
 	co := NewCoordinator(testConfig(1), testPlan("a"))
@@ -355,8 +355,8 @@
 		r := Reported{From: "a", Incarnation: 1, Fence: 1, Tasks: cl.members["a"].Tasks()}
 		r.Timestamp = NewPlannerTimestamp(1, sent)
 		again := *co
-		again.peers = []*peer{{}}
-		*again.peers[0] = *co.peers[0]
+		again.members = []*memberStatus{{}}
+		*again.members[0] = *co.members[0]
 		again.Step(woken, r)
 		c.Assert(again.AllMembersAlive(woken), qt.Equals, whole)
 	}
@@ -365,7 +365,7 @@
 // A successor reads in reports that all members have committed. They still obey
 // its predecessor, which could give up the attempt on one of them while the
 // successor starts the others.
-func TestReportsDoNotReplaceSeals(t *testing.T) {
+func TestReportsDoNotReplaceSealReplies(t *testing.T) {
 	c := qt.New(t)
 	co := ResumeCoordinator(testConfig(2), testPlan("a", "b"))
 	co.Step(t0, Begin{})
@@ -373,7 +373,7 @@
 		task := Task{ID: attempt1, State: StateCommitted, Committed: true, Members: 2}
 		for _, act := range co.Step(t0, Reported{From: a, Incarnation: 1, Fence: 1, Tasks: []Task{task}}) {
 			send, ok := act.(Send)
-			c.Assert(ok && send.Message == Message(Start{co.header(co.peer(send.To))}), qt.IsFalse)
+			c.Assert(ok && send.Message == Message(Start{co.header(co.member(send.To))}), qt.IsFalse)
 		}
 	}
 }
