--- a/jobs/store.go
+++ b/jobs/store.go
@@ -57,11 +57,11 @@
 }
 
 func sameSpec(a, b Spec) bool {
-	a.Payload, b.Payload = compact(a.Payload), compact(b.Payload)
+	a.Payload, b.Payload = normalizeJSON(a.Payload), normalizeJSON(b.Payload)
 	return reflect.DeepEqual(a, b)
 }
 
-func compact(m json.RawMessage) json.RawMessage {
+func normalizeJSON(m json.RawMessage) json.RawMessage {
 	var v any
 	if json.Unmarshal(m, &v) != nil {
 		return m
@@ -134,7 +134,7 @@
 		if cur.State.Ended() || cur.CancelRequested {
 			return cur, nil
 		}
-		got, err := s.write(ctx, cancelled(cur, now))
+		got, err := s.write(ctx, withCancellation(cur, now))
 		if !eris.Is(err, ErrConflict) {
 			return got, err
 		}
@@ -142,7 +142,7 @@
 	}
 }
 
-func cancelled(r Stored, now time.Time) Stored {
+func withCancellation(r Stored, now time.Time) Stored {
 	if r.State == Queued {
 		r.State = Cancelled
 		r.Reason = "cancelled by the caller before it started"
--- a/planner/checkpoint.go
+++ b/planner/checkpoint.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func restoreOf(r jobs.Record) *target.Checkpoint {
+func restoreCheckpoint(r jobs.Record) *target.Checkpoint {
 	var c target.Checkpoint
 	if len(r.Restore) == 0 || json.Unmarshal(r.Restore, &c) != nil {
 		return nil
--- a/planner/config.go
+++ b/planner/config.go
@@ -43,54 +43,54 @@
 }
 
 const (
-	// resend is how long the reply to a message of the gang protocol is awaited.
-	resend = 400 * time.Millisecond
-	// sendTimeout bounds one such exchange.
-	sendTimeout = 2 * time.Second
-	// stopAllowance is the longest that a target takes to stop a task.
-	stopAllowance = 3 * time.Second
-	// settleFor is how long after the begin of a term jobs are not rejected for
+	// resendInterval is how long the reply to a message of the gang protocol is awaited.
+	resendInterval = 400 * time.Millisecond
+	// requestTimeout bounds one such exchange.
+	requestTimeout = 2 * time.Second
+	// maxTaskStop is the longest that a target takes to stop a task.
+	maxTaskStop = 3 * time.Second
+	// topologySettleTime is how long after the begin of a term jobs are not rejected for
 	// being larger than the topology: agents may still be announcing themselves.
-	settleFor = 5 * time.Second
-	// storeRetry is the pause before a failed write or listing is tried again.
-	storeRetry = 500 * time.Millisecond
-	// recentJobs is how many ended jobs are remembered for status requests.
-	recentJobs = 4096
-	// workQueue bounds what waits for the planner's goroutine.
-	workQueue = 8192
-	// housekeeping is the period in which lost agents are looked for.
-	housekeeping = 250 * time.Millisecond
+	topologySettleTime = 5 * time.Second
+	// storeRetryInterval is the pause before a failed write or listing is tried again.
+	storeRetryInterval = 500 * time.Millisecond
+	// maxRecentlyEnded is how many ended jobs are remembered for status requests.
+	maxRecentlyEnded = 4096
+	// workQueueSize bounds what waits for the planner's goroutine.
+	workQueueSize = 8192
+	// housekeepingInterval is the period in which lost agents are looked for.
+	housekeepingInterval = 250 * time.Millisecond
 )
 
-// gangConfig derives the coordinator's timing from the document. What lies between
+// coordinatorConfig derives the coordinator's timing from the document. What lies between
 // isolation and loss, less the stop of a task, is shared by Window and the delay
 // of reports.
-func gangConfig(epoch uint64, g document.Gang) gang.Config {
-	window := window(g)
+func coordinatorConfig(epoch uint64, g document.Gang) gang.Config {
+	window := livenessWindow(g)
 	return gang.Config{
 		Epoch:          epoch,
-		ResendInterval: resend,
+		ResendInterval: resendInterval,
 		HoldTimeout:    g.HoldTimeout.Duration,
 		LivenessWindow: window,
-		SettleTime:     window + g.IsolationTimeout.Duration + stopAllowance,
+		SettleTime:     window + g.IsolationTimeout.Duration + maxTaskStop,
 
 		StartTimeout: g.IsolationTimeout.Duration / 2,
 	}
 }
 
-// gangConfig is that of an attempt of the job.
-func (p *Planner) gangConfig(j *job) gang.Config {
-	c := gangConfig(p.cfg.Epoch, p.doc.Document.Gang)
+// attemptConfig is that of an attempt of the job.
+func (p *Planner) attemptConfig(j *job) gang.Config {
+	c := coordinatorConfig(p.cfg.Epoch, p.doc.Document.Gang)
 	c.RetainSucceeded = j.stored.IsPermit()
 	return c
 }
 
-func window(g document.Gang) time.Duration {
-	return (g.LossTimeout.Duration - g.IsolationTimeout.Duration - stopAllowance) / 2
+func livenessWindow(g document.Gang) time.Duration {
+	return (g.LossTimeout.Duration - g.IsolationTimeout.Duration - maxTaskStop) / 2
 }
 
-// jsonOf returns text as JSON: as it is where it is valid, as a string where not.
-func jsonOf(text string) json.RawMessage {
+// toJSON returns text as JSON: as it is where it is valid, as a string where not.
+func toJSON(text string) json.RawMessage {
 	if json.Valid([]byte(text)) {
 		return json.RawMessage(text)
 	}
--- a/planner/decide.go
+++ b/planner/decide.go
@@ -12,30 +12,30 @@
 	"github.com/eelgrasshub/eelgrasshub/target"
 )
 
-// decide gives the scheduler an event and carries out what it decides. An
+// stepScheduler gives the scheduler an event and carries out what it decides. An
 // action may lead to further events; each is a Step of its own.
-func (p *Planner) decide(ev scheduler.Event) {
+func (p *Planner) stepScheduler(ev scheduler.Event) {
 	for _, a := range p.sched.Step(time.Now(), ev) {
-		p.carryOut(a)
+		p.execute(a)
 	}
 }
 
-func (p *Planner) carryOut(a scheduler.Action) {
+func (p *Planner) execute(a scheduler.Action) {
 	switch a := a.(type) {
 	case scheduler.StartGang:
 		p.startGang(a)
 	case scheduler.StopGang:
 		p.stopGang(a)
 	case scheduler.RejectJob:
-		p.giveUp(a)
+		p.endRejected(a)
 	case scheduler.JobRequeued:
-		p.requeued(a)
+		p.handleRequeued(a)
 	case scheduler.WakeAt:
-		p.wake.Reset(time.Until(a.At))
+		p.schedulerTimer.Reset(time.Until(a.At))
 	case scheduler.GuaranteeDegraded:
-		p.guarantee(a.Account, a.Shape).WithField("missing", a.Missing).Warn("guarantee degraded: blocks fit nowhere now")
+		p.guaranteeLog(a.Account, a.Shape).WithField("missing", a.Missing).Warn("guarantee degraded: blocks fit nowhere now")
 	case scheduler.GuaranteeRestored:
-		p.guarantee(a.Account, a.Shape).Info("guarantee restored")
+		p.guaranteeLog(a.Account, a.Shape).Info("guarantee restored")
 	case scheduler.QuarantineWorker:
 		p.cfg.Log.WithFields(logrus.Fields{"agent": a.Worker, "until": a.Until}).Warn("worker quarantined: what it starts fails")
 	case scheduler.WorkerHealthy:
@@ -43,7 +43,7 @@
 	}
 }
 
-func (p *Planner) guarantee(account scheduler.AccountID, s scheduler.Shape) *logrus.Entry {
+func (p *Planner) guaranteeLog(account scheduler.AccountID, s scheduler.Shape) *logrus.Entry {
 	return p.cfg.Log.WithFields(logrus.Fields{
 		"account":      account,
 		"accelerators": s.Accelerators,
@@ -54,30 +54,30 @@
 // startGang makes the coordinator of a new attempt and lets it begin.
 func (p *Planner) startGang(a scheduler.StartGang) {
 	j := p.jobs[string(a.Job)]
-	plan, ok := p.plan(j, a)
+	plan, ok := p.planAttempt(j, a)
 	if !ok {
-		p.decideLater(scheduler.GangRefused{Job: a.Job, Attempt: a.Attempt})
+		p.stepSchedulerLater(scheduler.GangRefused{Job: a.Job, Attempt: a.Attempt})
 		return
 	}
 	j.attempt = a.Attempt
-	j.decided = j.stored.Rev
+	j.decidedRevision = j.stored.Rev
 	j.phase = Starting
-	p.attach(j, gang.NewCoordinator(p.gangConfig(j), plan))
-	p.post0(func() { p.coordinate(j, gang.Begin{}) })
+	p.attachCoordinator(j, gang.NewCoordinator(p.attemptConfig(j), plan))
+	p.postFromLoop(func() { p.stepCoordinator(j, gang.Begin{}) })
 }
 
-// withdraw takes a job out of the scheduler; what runs of it is stopped.
-func (p *Planner) withdraw(id string) {
-	p.decide(scheduler.JobsCancelled{IDs: []scheduler.JobID{scheduler.JobID(id)}})
+// withdrawJob takes a job out of the scheduler; what runs of it is stopped.
+func (p *Planner) withdrawJob(id string) {
+	p.stepScheduler(scheduler.JobsCancelled{IDs: []scheduler.JobID{scheduler.JobID(id)}})
 }
 
-// decideLater gives an event to the scheduler after the actions in progress.
-func (p *Planner) decideLater(ev scheduler.Event) {
-	p.post0(func() { p.decide(ev) })
+// stepSchedulerLater gives an event to the scheduler after the actions in progress.
+func (p *Planner) stepSchedulerLater(ev scheduler.Event) {
+	p.postFromLoop(func() { p.stepScheduler(ev) })
 }
 
-// post0 is post for the loop's own goroutine, which must not wait for itself.
-func (p *Planner) post0(f func()) {
+// postFromLoop is post for the loop's own goroutine, which must not wait for itself.
+func (p *Planner) postFromLoop(f func()) {
 	select {
 	case p.work <- f:
 	default:
@@ -85,14 +85,14 @@
 	}
 }
 
-// plan turns a placement into a plan for the agents. False: a worker is not
+// planAttempt turns a placement into a planAttempt for the agents. False: a worker is not
 // known here, the job is already ending, or its start can't be recorded now.
-func (p *Planner) plan(j *job, a scheduler.StartGang) (gang.Plan, bool) {
-	if j == nil || j.coord != nil || j.ending != nil || p.storeOut && !p.usable(j) {
+func (p *Planner) planAttempt(j *job, a scheduler.StartGang) (gang.Plan, bool) {
+	if j == nil || j.coord != nil || j.finalRecord != nil || p.storeUnavailable && !p.permitUsable(j) {
 		return gang.Plan{}, false
 	}
-	p.number++
-	plan := gang.Plan{ID: gang.ID{Job: string(a.Job), Epoch: p.cfg.Epoch, Number: p.number}}
+	p.lastAttemptNumber++
+	plan := gang.Plan{ID: gang.ID{Job: string(a.Job), Epoch: p.cfg.Epoch, Number: p.lastAttemptNumber}}
 	for i, g := range a.Placement {
 		w := p.workers[string(g.Worker)]
 		if w == nil {
@@ -104,7 +104,7 @@
 		}
 		plan.Members = append(plan.Members, gang.PlannedMember{
 			Agent:        string(g.Worker),
-			Incarnation:  w.seen.Incarnation,
+			Incarnation:  w.lastReport.Incarnation,
 			Accelerators: g.Accelerators,
 			Spec:         spec,
 		})
@@ -121,7 +121,7 @@
 		Repeatable:     r.Spec.Repeatable,
 		Checkpointable: r.Spec.Checkpointable,
 		Payload:        r.Spec.Payload,
-		Restore:        restoreOf(r),
+		Restore:        restoreCheckpoint(r),
 	}
 }
 
@@ -139,26 +139,26 @@
 		return
 	}
 	j.phase = Stopping
-	p.post0(func() { p.coordinate(j, gang.Abort{Checkpoint: a.Checkpoint}) })
+	p.postFromLoop(func() { p.stepCoordinator(j, gang.Abort{Checkpoint: a.Checkpoint}) })
 }
 
-func (p *Planner) requeued(a scheduler.JobRequeued) {
+func (p *Planner) handleRequeued(a scheduler.JobRequeued) {
 	if j := p.jobs[string(a.Job)]; j != nil && j.coord == nil {
 		j.phase = Queued
 	}
 }
 
-// giveUp ends a job that the scheduler will not start again.
-func (p *Planner) giveUp(a scheduler.RejectJob) {
+// endRejected ends a job that the scheduler will not start again.
+func (p *Planner) endRejected(a scheduler.RejectJob) {
 	j := p.jobs[string(a.Job)]
 	if j == nil || j.withheld {
 		return
 	}
-	if j.limit != nil && a.Reason == scheduler.RejectCancelled {
-		p.end(j, j.limit.state, j.limit.reason)
+	if j.exceeded != nil && a.Reason == scheduler.RejectCancelled {
+		p.endJob(j, j.exceeded.state, j.exceeded.reason)
 		return
 	}
-	p.end(j, finalState(a.Reason, j), a.Reason.String()+": "+a.Detail)
+	p.endJob(j, finalState(a.Reason, j), a.Reason.String()+": "+a.Detail)
 }
 
 // finalState is what the caller is told. A job that was lost while it ran and
@@ -170,7 +170,7 @@
 	case scheduler.RejectFaulty:
 		return jobs.Failed
 	case scheduler.RejectNotRepeatable:
-		if j.last.Outcome == gang.Lost {
+		if j.lastEnded.Outcome == gang.Lost {
 			return jobs.Unknown
 		}
 		return jobs.Failed
--- a/planner/end.go
+++ b/planner/end.go
@@ -11,10 +11,10 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// end writes the final record of a job. Until the store has it the job counts
+// endJob writes the final record of a job. Until the store has it the job counts
 // as live, so that nothing is told twice and a takeover finds the truth.
-func (p *Planner) end(j *job, s jobs.State, reason string) {
-	if j.ending != nil {
+func (p *Planner) endJob(j *job, s jobs.State, reason string) {
+	if j.finalRecord != nil {
 		return
 	}
 	final := j.stored
@@ -25,22 +25,22 @@
 		final.Result = j.result()
 	}
 	if j.stored.IsPermit() {
-		p.closePermit(j, &final)
+		p.finalizePermit(j, &final)
 	}
-	j.ending = &final
-	p.writeEnd(j, final)
+	j.finalRecord = &final
+	p.writeFinalRecord(j, final)
 }
 
 // endCancelled ends a job that was cancelled while no attempt of it was made.
 func (p *Planner) endCancelled(j *job) {
-	p.end(j, jobs.Cancelled, "cancelled by the caller")
+	p.endJob(j, jobs.Cancelled, "cancelled by the caller")
 }
 
 // result is the list of what the members returned.
 func (j *job) result() json.RawMessage {
-	parts := make([]json.RawMessage, 0, len(j.last.Members))
-	for _, m := range j.last.Members {
-		parts = append(parts, jsonOf(m.Detail))
+	parts := make([]json.RawMessage, 0, len(j.lastEnded.Members))
+	for _, m := range j.lastEnded.Members {
+		parts = append(parts, toJSON(m.Detail))
 	}
 	data, err := json.Marshal(parts)
 	if err != nil {
@@ -49,10 +49,10 @@
 	return data
 }
 
-// writeEnd writes until the store has the record, through outages.
-func (p *Planner) writeEnd(j *job, final jobs.Stored) {
-	p.t.Go(func() error {
-		ctx, cancel := p.context(sendTimeout)
+// writeFinalRecord writes until the store has the record, through outages.
+func (p *Planner) writeFinalRecord(j *job, final jobs.Stored) {
+	p.tomb.Go(func() error {
+		ctx, cancel := p.context(requestTimeout)
 		defer cancel()
 		lease, err := p.cfg.Retention.Current(ctx)
 		var got jobs.Stored
@@ -62,67 +62,67 @@
 		if eris.Is(err, store.ErrLeaseNotFound) {
 			p.cfg.Retention.Invalidate(lease)
 		}
-		p.post(func() { p.endWritten(j, got, err) })
+		p.post(func() { p.handleFinalWritten(j, got, err) })
 		return nil
 	})
 }
 
-func (p *Planner) endWritten(j *job, got jobs.Stored, err error) {
-	p.noteStore(err)
+func (p *Planner) handleFinalWritten(j *job, got jobs.Stored, err error) {
+	p.noteStoreError(err)
 	switch {
 	case err == nil:
-		p.forget(j, got)
+		p.forgetJob(j, got)
 	case eris.Is(err, jobs.ErrConflict):
-		p.endConflict(j, got)
+		p.handleFinalConflict(j, got)
 	case eris.Is(err, jobs.ErrNotFound):
-		p.forget(j, *j.ending)
+		p.forgetJob(j, *j.finalRecord)
 	default:
-		p.later(storeRetry, func() { p.writeEnd(j, *j.ending) })
+		p.postAfter(storeRetryInterval, func() { p.writeFinalRecord(j, *j.finalRecord) })
 	}
 }
 
-// endConflict meets a record that changed meanwhile: by an earlier try of this
+// handleFinalConflict meets a record that changed meanwhile: by an earlier try of this
 // very write, by a cancellation, or by a successor.
-func (p *Planner) endConflict(j *job, got jobs.Stored) {
+func (p *Planner) handleFinalConflict(j *job, got jobs.Stored) {
 	switch {
 	case got.State.Ended():
-		p.forget(j, got)
-	case p.outranked(got):
+		p.forgetJob(j, got)
+	case p.endIfOutranked(got):
 	default:
-		if p.otherStarted(got) {
-			mayHaveRun(j.ending, got)
+		if p.recordStartedByOther(got) {
+			clearNotRunClaim(j.finalRecord, got)
 		}
-		j.ending.Rev = got.Rev
-		j.ending.CancelRequested = got.CancelRequested
-		p.writeEnd(j, *j.ending)
+		j.finalRecord.Rev = got.Rev
+		j.finalRecord.CancelRequested = got.CancelRequested
+		p.writeFinalRecord(j, *j.finalRecord)
 	}
 }
 
-// mayHaveRun takes the claim that the job did not run out of a final record: an
+// clearNotRunClaim takes the claim that the job did not run out of a final record: an
 // earlier planner has recorded a start or a permit meanwhile.
-func mayHaveRun(final *jobs.Stored, got jobs.Stored) {
+func clearNotRunClaim(final *jobs.Stored, got jobs.Stored) {
 	final.Attempt = max(final.Attempt, got.Attempt)
 	if final.State == jobs.Rejected {
 		final.State = jobs.Failed
 	}
 }
 
-// forget drops a job whose end is on record.
-func (p *Planner) forget(j *job, final jobs.Stored) {
+// forgetJob drops a job whose end is on record.
+func (p *Planner) forgetJob(j *job, final jobs.Stored) {
 	if p.jobs[final.ID] != j {
 		return
 	}
 	delete(p.jobs, final.ID)
-	p.recent.Add(final.ID, final)
+	p.recentlyEnded.Add(final.ID, final)
 	spec := final.Spec
-	p.cfg.Metrics.Observe(spec.Account, spec.Class, timingOf(final.State), final.Ended.Sub(final.Submitted))
+	p.cfg.Metrics.Observe(spec.Account, spec.Class, endTiming(final.State), final.Ended.Sub(final.Submitted))
 	if j.coord != nil {
-		p.detach(j)
+		p.detachCoordinator(j)
 	}
-	p.post0(func() { p.withdraw(final.ID) })
+	p.postFromLoop(func() { p.withdrawJob(final.ID) })
 }
 
-func timingOf(s jobs.State) metrics.Timing {
+func endTiming(s jobs.State) metrics.Timing {
 	switch s {
 	case jobs.Done:
 		return metrics.JobDone
@@ -137,7 +137,7 @@
 	}
 }
 
-// later runs f on the loop's goroutine after d.
-func (p *Planner) later(d time.Duration, f func()) {
+// postAfter runs f on the loop's goroutine after d.
+func (p *Planner) postAfter(d time.Duration, f func()) {
 	time.AfterFunc(d, func() { p.post(f) })
 }
--- a/planner/evict.go
+++ b/planner/evict.go
@@ -15,26 +15,26 @@
 // Its work is lost and its accelerators stand idle for as long as the outage
 // lasts. A read just before shows that the start can follow.
 func (p *Planner) evict(a scheduler.StopGang) {
-	p.t.Go(func() error {
-		ctx, cancel := p.context(sendTimeout)
+	p.tomb.Go(func() error {
+		ctx, cancel := p.context(requestTimeout)
 		defer cancel()
 		_, err := p.cfg.Jobs.Get(ctx, p.cfg.Service, string(a.Job))
-		p.post(func() { p.evictIf(a, err) })
+		p.post(func() { p.evictAfterRead(a, err) })
 		return nil
 	})
 }
 
-func (p *Planner) evictIf(a scheduler.StopGang, err error) {
+func (p *Planner) evictAfterRead(a scheduler.StopGang, err error) {
 	if err != nil && !eris.Is(err, jobs.ErrNotFound) {
-		p.later(storeRetry, func() { p.evictAgain(a) })
+		p.postAfter(storeRetryInterval, func() { p.retryEvict(a) })
 		return
 	}
 	p.cfg.Metrics.Add(metrics.JobsEvicted, 1)
 	p.stopNow(a)
 }
 
-// evictAgain asks the store again, unless the gang has ended meanwhile.
-func (p *Planner) evictAgain(a scheduler.StopGang) {
+// retryEvict asks the store again, unless the gang has ended meanwhile.
+func (p *Planner) retryEvict(a scheduler.StopGang) {
 	if j := p.jobs[string(a.Job)]; j != nil && j.coord != nil && j.attempt == a.Attempt {
 		p.evict(a)
 	}
--- a/planner/explain.go
+++ b/planner/explain.go
@@ -47,7 +47,7 @@
 		wait  WaitStatus
 		known bool
 	}
-	a, asked := ask(ctx, p, func() answer {
+	a, asked := callOnLoop(ctx, p, func() answer {
 		w, ok := p.explain(id)
 		return answer{w, ok}
 	})
@@ -57,7 +57,7 @@
 func (p *Planner) explain(id string) (WaitStatus, bool) {
 	s, ok := p.status(id)
 	if !ok {
-		return WaitStatus{Stage: StageLoadingRecords}, !p.rebuilt
+		return WaitStatus{Stage: StageLoadingRecords}, !p.recordsLoaded
 	}
 	w := WaitStatus{Status: s, Stage: p.stageOf(p.jobs[id])}
 	if w.Stage != StageQueued {
@@ -74,9 +74,9 @@
 	switch {
 	case j == nil:
 		return StagePastStart
-	case j.ending != nil:
+	case j.finalRecord != nil:
 		return StageEnding
-	case j.held:
+	case j.unresolved:
 		return StageUnresolvedPermit
 	case j.withheld:
 		return StageStoreUnavailable
@@ -84,15 +84,15 @@
 		return StageQueued
 	case j.phase != Starting || j.stored.Attempt == uint64(j.attempt):
 		return StagePastStart
-	case p.storeOut && !p.usable(j):
+	case p.storeUnavailable && !p.permitUsable(j):
 		return StageStoreUnavailable
 	}
 	return StageStarting
 }
 
 func (p *Planner) explainer() *scheduler.Explainer {
-	if p.reports.explainer == nil {
-		p.reports.explainer = scheduler.NewExplainer(p.sched)
+	if p.reportCache.explainer == nil {
+		p.reportCache.explainer = scheduler.NewExplainer(p.sched)
 	}
-	return p.reports.explainer
+	return p.reportCache.explainer
 }
--- a/planner/fake_test.go
+++ b/planner/fake_test.go
@@ -22,24 +22,24 @@
 	"github.com/eelgrasshub/eelgrasshub/store/standin"
 )
 
-var errCut = errors.New("no path to the agent")
+var errUnreachable = errors.New("no path to the agent")
 
 // fakeAgents is a set of gang members without targets: a task runs until the
 // test ends it. It counts the starts of each job.
 type fakeAgents struct {
-	mu      sync.Mutex
-	members map[string]*gang.Member
-	running map[string][]gang.ID // by agent
-	starts  map[string]int       // by job
-	cut     map[uint64]bool      // planners, by epoch, whose messages are lost
+	mu              sync.Mutex
+	members         map[string]*gang.Member
+	running         map[string][]gang.ID // by agent
+	starts          map[string]int       // by job
+	unreachableFrom map[uint64]bool      // planners, by epoch, whose messages are lost
 }
 
 func newFakeAgents(names ...string) *fakeAgents {
 	f := &fakeAgents{
-		members: make(map[string]*gang.Member),
-		running: make(map[string][]gang.ID),
-		starts:  make(map[string]int),
-		cut:     make(map[uint64]bool),
+		members:         make(map[string]*gang.Member),
+		running:         make(map[string][]gang.ID),
+		starts:          make(map[string]int),
+		unreachableFrom: make(map[uint64]bool),
 	}
 	for _, n := range names {
 		m := gang.NewMember(gang.MemberConfig{Accelerators: 8, Incarnation: 1, IsolationTimeout: time.Hour})
@@ -49,8 +49,8 @@
 	return f
 }
 
-// remove cuts an agent off: its reports and messages to it are lost.
-func (f *fakeAgents) remove(name string) *gang.Member {
+// disconnect cuts an agent off: its reports and messages to it are lost.
+func (f *fakeAgents) disconnect(name string) *gang.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.members[name]
@@ -58,8 +58,8 @@
 	return m
 }
 
-// add connects an agent.
-func (f *fakeAgents) add(name string, m *gang.Member) {
+// connect connects an agent.
+func (f *fakeAgents) connect(name string, m *gang.Member) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.members[name] = m
@@ -70,8 +70,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.members[agent]
-	if m == nil || f.cut[msg.Head().Sender] {
-		return gang.Reply{}, errCut
+	if m == nil || f.unreachableFrom[msg.Head().Sender] {
+		return gang.Reply{}, errUnreachable
 	}
 	return f.step(agent, gang.Received{From: "planner", Message: msg}), nil
 }
@@ -107,8 +107,8 @@
 	}
 }
 
-// fenced says whether all agents refuse planners with epochs below this one.
-func (f *fakeAgents) fenced(epoch uint64) bool {
+// allFenced says whether all agents refuse planners with epochs below this one.
+func (f *fakeAgents) allFenced(epoch uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range f.members {
@@ -146,11 +146,11 @@
 
 // bench is a store stand-in with the job records in it.
 type bench struct {
-	c      *qt.C
-	server *standin.Server
-	store  store.Store
-	jobs   *jobs.Store
-	held   *document.Held
+	c        *qt.C
+	server   *standin.Server
+	store    store.Store
+	jobs     *jobs.Store
+	document *document.Held
 }
 
 func newBench(t *testing.T) *bench {
@@ -170,11 +170,11 @@
 	doc, err := document.Parse("dispatch.toml", text)
 	c.Assert(err, qt.IsNil)
 	return &bench{
-		c:      c,
-		server: server,
-		store:  kv,
-		jobs:   jobs.NewStore("r", kv, swaps),
-		held:   &document.Held{Document: doc, Version: document.Version{Generation: 1}},
+		c:        c,
+		server:   server,
+		store:    kv,
+		jobs:     jobs.NewStore("r", kv, swaps),
+		document: &document.Held{Document: doc, Version: document.Version{Generation: 1}},
 	}
 }
 
@@ -189,7 +189,7 @@
 		Agents:    agents,
 		Metrics:   metrics.New(0),
 		Log:       logrus.NewEntry(log),
-		Document:  b.held,
+		Document:  b.document,
 		Retention: noRetention{},
 	})
 	b.c.Cleanup(p.Stop)
@@ -200,9 +200,9 @@
 	b.acceptAt(id, accelerators, repeatable, time.Now())
 }
 
-// acceptEarlier accepts a job that has waited for long enough to be given a permit.
-func (b *bench) acceptEarlier(id string, accelerators int, repeatable bool) {
-	b.acceptAt(id, accelerators, repeatable, time.Now().Add(-2*permitAfter))
+// acceptLongWaiting accepts a job that has waited for long enough to be given a permit.
+func (b *bench) acceptLongWaiting(id string, accelerators int, repeatable bool) {
+	b.acceptAt(id, accelerators, repeatable, time.Now().Add(-2*permitDelay))
 }
 
 func (b *bench) acceptAt(id string, accelerators int, repeatable bool, at time.Time) {
--- a/planner/follow.go
+++ b/planner/follow.go
@@ -10,26 +10,26 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// follow lists the job records and watches them from there, again after each
+// followRecords lists the job records and watches them from there, again after each
 // end of the watch.
-func (p *Planner) follow() error {
+func (p *Planner) followRecords() error {
 	prefix := p.cfg.Jobs.Prefix(p.cfg.Service)
-	ctx := p.t.Context(context.Background())
+	ctx := p.tomb.Context(context.Background())
 	for {
 		snap, err := p.cfg.Store.List(ctx, prefix)
 		if err == nil {
-			p.post(func() { p.listed(snap) })
-			_ = p.cfg.Store.Watch(ctx, prefix, snap.At+1, p.deliver)
+			p.post(func() { p.handleListing(snap) })
+			_ = p.cfg.Store.Watch(ctx, prefix, snap.At+1, p.handleWatchBatch)
 		}
 		select {
-		case <-time.After(storeRetry):
-		case <-p.t.Dying():
+		case <-time.After(storeRetryInterval):
+		case <-p.tomb.Dying():
 			return nil
 		}
 	}
 }
 
-func (p *Planner) deliver(b store.WatchBatch) {
+func (p *Planner) handleWatchBatch(b store.WatchBatch) {
 	if len(b.Events) == 0 {
 		return
 	}
@@ -39,141 +39,141 @@
 			if ev.Deleted {
 				continue // retention has passed; the job had ended
 			}
-			fresh = p.take(ev.KeyValue, fresh)
+			fresh = p.handleRecord(ev.KeyValue, fresh)
 		}
-		p.submit(fresh)
+		p.submitJobs(fresh)
 	})
 }
 
-// listed takes in all records at once: at the begin of the term, and after a
+// handleListing takes in all records at once: at the begin of the term, and after a
 // watch could not be resumed.
-func (p *Planner) listed(snap store.Snapshot) {
+func (p *Planner) handleListing(snap store.Snapshot) {
 	var fresh []scheduler.Job
 	for _, kv := range snap.Keys {
-		fresh = p.take(kv, fresh)
+		fresh = p.handleRecord(kv, fresh)
 	}
-	p.submit(fresh)
-	p.rebuilt = true
+	p.submitJobs(fresh)
+	p.recordsLoaded = true
 }
 
-func (p *Planner) submit(fresh []scheduler.Job) {
-	if p.rebuilt {
-		fresh = p.admit(fresh)
+func (p *Planner) submitJobs(fresh []scheduler.Job) {
+	if p.recordsLoaded {
+		fresh = p.rejectSurplus(fresh)
 	}
 	if len(fresh) > 0 {
-		p.decide(scheduler.JobsSubmitted{Jobs: fresh})
+		p.stepScheduler(scheduler.JobsSubmitted{Jobs: fresh})
 	}
 }
 
-// take brings one record in. New jobs that wait are appended to fresh, so that
+// handleRecord brings one record in. New jobs that wait are appended to fresh, so that
 // a burst is one decision.
-func (p *Planner) take(kv store.KeyValue, fresh []scheduler.Job) []scheduler.Job {
+func (p *Planner) handleRecord(kv store.KeyValue, fresh []scheduler.Job) []scheduler.Job {
 	r, err := jobs.Decode(kv)
 	if err != nil {
 		p.cfg.Log.WithError(err).Error("job record can't be read; it is left alone")
 		return fresh
 	}
 	if p.jobs[r.ID] != nil {
-		p.changed(r)
+		p.handleRecordChange(r)
 		return fresh
 	}
 	// A watch that has fallen behind brings earlier forms of a record whose end
 	// this planner has written itself. Taken for news, the start among them would
 	// revive the job.
-	if last, ok := p.recent.Peek(r.ID); ok && r.Rev <= last.Rev {
+	if last, ok := p.recentlyEnded.Peek(r.ID); ok && r.Rev <= last.Rev {
 		return fresh
 	}
 	switch {
 	case r.State.Ended():
-		p.recent.Add(r.ID, r)
+		p.recentlyEnded.Add(r.ID, r)
 	case r.State == jobs.Queued:
 		p.jobs[r.ID] = &job{stored: r, phase: Queued}
 		fresh = append(fresh, schedulerJob(r.Record, p.doc.Document))
 	default:
-		p.resume(r)
+		p.takeOverRecord(r)
 	}
 	return fresh
 }
 
-// resume takes over an attempt that an earlier planner recorded.
-func (p *Planner) resume(r jobs.Stored) {
-	if p.outranked(r) {
+// takeOverRecord takes over an attempt that an earlier planner recorded.
+func (p *Planner) takeOverRecord(r jobs.Stored) {
+	if p.endIfOutranked(r) {
 		return
 	}
-	j := &job{stored: r, begun: !r.IsPermit()}
+	j := &job{stored: r, started: !r.IsPermit()}
 	p.jobs[r.ID] = j
 	p.takeOver(j)
-	p.cancelIfAsked(j)
+	p.cancelIfRequested(j)
 }
 
-// resumeJob resolves an attempt with its agents: the one that the job's record
+// resumeAttempt resolves an attempt with its agents: the one that the job's record
 // names, or that a search has found.
-func (p *Planner) resumeJob(j *job, plan gang.Plan) {
+func (p *Planner) resumeAttempt(j *job, plan gang.Plan) {
 	r := j.stored
 	j.phase = Starting
-	j.held, j.withheld = false, false
+	j.unresolved, j.withheld = false, false
 	j.attempt = scheduler.Attempt(r.Attempt)
-	p.attach(j, gang.ResumeCoordinator(p.gangConfig(j), plan))
-	p.decide(scheduler.JobRestored{
+	p.attachCoordinator(j, gang.ResumeCoordinator(p.attemptConfig(j), plan))
+	p.stepScheduler(scheduler.JobRestored{
 		Job:       schedulerJob(r.Record, p.doc.Document),
 		Attempt:   j.attempt,
-		Placement: placementOf(plan),
+		Placement: schedulerPlacement(plan),
 		Started:   r.Started,
 	})
-	p.coordinate(j, gang.Begin{})
+	p.stepCoordinator(j, gang.Begin{})
 }
 
-// startedElsewhere says whether the record names an attempt of another planner.
+// startedByOther says whether the record names an attempt of another planner.
 // A predecessor that does not know yet that it was replaced can still record a
 // start, because a record's revision guards the job, not the duty. That attempt
 // may run; it has to be resolved before the job starts again.
-func (p *Planner) startedElsewhere(j *job) bool {
-	return p.otherStarted(j.stored)
+func (p *Planner) startedByOther(j *job) bool {
+	return p.recordStartedByOther(j.stored)
 }
 
-func (p *Planner) otherStarted(r jobs.Stored) bool {
+func (p *Planner) recordStartedByOther(r jobs.Stored) bool {
 	return r.State == jobs.Starting && r.Epoch != p.cfg.Epoch
 }
 
-// changed takes a later form of a record that is known: mostly our own writes
+// handleRecordChange takes a later form of a record that is known: mostly our own writes
 // coming back, otherwise a cancellation.
-func (p *Planner) changed(r jobs.Stored) {
+func (p *Planner) handleRecordChange(r jobs.Stored) {
 	j := p.jobs[r.ID]
 	if j == nil || r.Rev <= j.stored.Rev {
 		return
 	}
-	if p.outranked(r) {
+	if p.endIfOutranked(r) {
 		return
 	}
-	j.replace(r)
+	j.updateRecord(r)
 	if r.State.Ended() {
-		p.endedElsewhere(j, r)
+		p.handleEndedRecord(j, r)
 		return
 	}
-	if r.State == jobs.Queued && j.held {
-		p.unhold(j)
+	if r.State == jobs.Queued && j.unresolved {
+		p.handlePermitReturned(j)
 		return
 	}
-	if j.coord == nil && j.ending == nil && p.startedElsewhere(j) {
+	if j.coord == nil && j.finalRecord == nil && p.startedByOther(j) {
 		p.takeOver(j)
 	}
-	p.cancelIfAsked(j)
+	p.cancelIfRequested(j)
 }
 
-// endedElsewhere: an entry cancelled the job while it was queued. An attempt
+// handleEndedRecord: an entry cancelled the job while it was queued. An attempt
 // that was just being made finds the record changed and is given up; until then
 // the job stays known, so that its messages are not orphans.
-func (p *Planner) endedElsewhere(j *job, r jobs.Stored) {
+func (p *Planner) handleEndedRecord(j *job, r jobs.Stored) {
 	if j.coord != nil {
-		j.ending = &r
-		p.withdraw(r.ID)
+		j.finalRecord = &r
+		p.withdrawJob(r.ID)
 		return
 	}
-	p.forget(j, r)
+	p.forgetJob(j, r)
 }
 
-func (p *Planner) cancelIfAsked(j *job) {
+func (p *Planner) cancelIfRequested(j *job) {
 	if j.stored.CancelRequested {
-		p.withdraw(j.stored.ID)
+		p.withdrawJob(j.stored.ID)
 	}
 }
--- a/planner/job.go
+++ b/planner/job.go
@@ -25,53 +25,53 @@
 	stored  jobs.Stored
 	phase   Phase
 	attempt scheduler.Attempt
-	// decided is the revision of the record that the attempt was decided on.
-	decided store.Revision
-	coord   *gang.Coordinator // nil while queued
-	timer   *time.Timer       // of the coordinator
-	// last is how the last attempt ended; it decides between failed and unknown
+	// decidedRevision is the revision of the record that the attempt was decidedRevision on.
+	decidedRevision store.Revision
+	coord           *gang.Coordinator // nil while queued
+	wakeTimer       *time.Timer       // of the coordinator
+	// lastEnded is how the lastEnded attempt ended; it decides between failed and unknown
 	// when the scheduler gives the job up.
-	last gang.Ended
-	// over is the last attempt that the record may name and that has ended. Later
+	lastEnded gang.Ended
+	// endedAttempt is the last attempt that the record may name and that has ended. Later
 	// ones that were given up before their record don't change it.
-	over   gang.ID
-	permit permit
-	// placed is the plan of the last attempt on a permit, by this planner or found
+	endedAttempt gang.ID
+	permit       permitState
+	// permitPlan is the plan of the last attempt on a permit, by this planner or found
 	// by its search.
-	placed gang.Plan
+	permitPlan gang.Plan
 	// withheld: the scheduler does not know the job for now.
 	withheld bool
-	// held: the record is a permit of another planner, and it is not known yet what
+	// unresolved: the record is a permit of another planner, and it is not known yet what
 	// was started on it. Since heldAt, by clock.Now.
-	held   bool
-	heldAt time.Time
-	// incomplete: what is left of an attempt on that permit has to be stopped.
-	incomplete bool
-	// cleared: the search found nothing of it.
-	cleared bool
-	// ran is set once an attempt may have started, as far as anyone can prove.
-	ran bool
-	// begun is set with the first start, for the waiting time.
-	begun bool
+	unresolved      bool
+	unresolvedSince time.Time
+	// stopLeftovers: what is left of an attempt on that permit has to be stopped.
+	stopLeftovers bool
+	// notFound: the search found nothing of it.
+	notFound bool
+	// mayHaveStarted is set once an attempt may have started, as far as anyone can prove.
+	mayHaveStarted bool
+	// started is set with the first start, for the waiting time.
+	started bool
 	// failures counts attempts that the job itself failed.
 	failures int
-	// limit is set when the job is being stopped for a limit of its class.
-	limit *limit
-	// ending is the final record while it is being written.
-	ending *jobs.Stored
+	// exceeded is set when the job is being stopped for a exceeded of its class.
+	exceeded *exceededLimit
+	// finalRecord is the final record while it is being written.
+	finalRecord *jobs.Stored
 }
 
-// waits says whether the job is accepted and no attempt of it is being made.
-func (j *job) waits() bool {
-	return j.phase == Queued && j.coord == nil && j.ending == nil
+// isWaiting says whether the job is accepted and no attempt of it is being made.
+func (j *job) isWaiting() bool {
+	return j.phase == Queued && j.coord == nil && j.finalRecord == nil
 }
 
 // mayHaveRun says whether a task of the job may ever have started. Nobody may be
 // told then that it did not run.
-func (j *job) mayHaveRun() bool { return j.begun || j.ran || j.permit.used }
+func (j *job) mayHaveRun() bool { return j.started || j.mayHaveStarted || j.permit.mayBeUsed }
 
-// replace takes a later form of the record, but for what this planner knows better.
-func (j *job) replace(r jobs.Stored) {
+// updateRecord takes a later form of the record, but for what this planner knows better.
+func (j *job) updateRecord(r jobs.Stored) {
 	old := j.stored
 	j.stored = r
 	if len(old.Restore) > 0 {
@@ -87,10 +87,10 @@
 	if j.coord == nil {
 		return nil
 	}
-	return membersOf(j.coord.Plan())
+	return recordMembers(j.coord.Plan())
 }
 
-func membersOf(p gang.Plan) []jobs.Member {
+func recordMembers(p gang.Plan) []jobs.Member {
 	out := make([]jobs.Member, 0, len(p.Members))
 	for _, m := range p.Members {
 		out = append(out, jobs.Member{
@@ -102,8 +102,8 @@
 	return out
 }
 
-// planOf is the plan that a record names.
-func planOf(r jobs.Record) gang.Plan {
+// recordedPlan is the plan that a record names.
+func recordedPlan(r jobs.Record) gang.Plan {
 	p := gang.Plan{ID: gang.ID{Job: r.ID, Epoch: r.Epoch, Number: r.Number}}
 	for _, m := range r.Members {
 		p.Members = append(p.Members, gang.PlannedMember{
@@ -115,7 +115,7 @@
 	return p
 }
 
-func placementOf(plan gang.Plan) scheduler.Placement {
+func schedulerPlacement(plan gang.Plan) scheduler.Placement {
 	var p scheduler.Placement
 	for _, m := range plan.Members {
 		p = append(p, scheduler.Grant{Worker: scheduler.WorkerID(m.Agent), Accelerators: m.Accelerators})
--- a/planner/limits.go
+++ b/planner/limits.go
@@ -17,52 +17,52 @@
 	reasonQueue    = "the service has as many jobs waiting as admission.max_jobs allows"
 )
 
-// enforce ends jobs that have met a limit of their class: of the whole time from
+// enforceLimits ends jobs that have met a limit of their class: of the whole time from
 // acceptance, or of one run.
-func (p *Planner) enforce(now time.Time) {
+func (p *Planner) enforceLimits(now time.Time) {
 	for _, j := range p.jobs {
 		class, ok := p.doc.Document.Class(j.stored.Spec.Class)
-		if !ok || j.ending != nil || j.limit != nil {
+		if !ok || j.finalRecord != nil || j.exceeded != nil {
 			continue
 		}
-		if l := limitOf(j, class, now); l != nil {
+		if l := limitExceededBy(j, class, now); l != nil {
 			p.stopAtLimit(j, l)
 		}
 	}
 }
 
-// limit is why a job is being stopped, and how it ends.
-type limit struct {
+// exceededLimit is why a job is being stopped, and how it ends.
+type exceededLimit struct {
 	state  jobs.State
 	reason string
 }
 
-func limitOf(j *job, c *document.Class, now time.Time) *limit {
+func limitExceededBy(j *job, c *document.Class, now time.Time) *exceededLimit {
 	switch {
 	case now.Sub(j.stored.Submitted) > c.Deadline.Duration && j.phase == Queued && !j.mayHaveRun():
-		return &limit{jobs.Rejected, reasonDeadline}
+		return &exceededLimit{jobs.Rejected, reasonDeadline}
 	case now.Sub(j.stored.Submitted) > c.Deadline.Duration:
-		return &limit{jobs.Failed, reasonDeadline}
+		return &exceededLimit{jobs.Failed, reasonDeadline}
 	case j.phase == Running && now.Sub(j.stored.Started) > c.MaxRun.Duration:
-		return &limit{jobs.Failed, reasonMaxRun}
+		return &exceededLimit{jobs.Failed, reasonMaxRun}
 	}
 	return nil
 }
 
 // stopAtLimit withdraws the job from the scheduler, which stops what runs; the
 // job then ends as the limit says and not as cancelled.
-func (p *Planner) stopAtLimit(j *job, l *limit) {
-	j.limit = l
+func (p *Planner) stopAtLimit(j *job, l *exceededLimit) {
+	j.exceeded = l
 	if j.withheld {
-		p.end(j, l.state, l.reason)
+		p.endJob(j, l.state, l.reason)
 		return
 	}
-	p.withdraw(j.stored.ID)
+	p.withdrawJob(j.stored.ID)
 }
 
-// failedTooOften counts a failure of the job itself. A worker that went away is
+// retriesExhausted counts a failure of the job itself. A worker that went away is
 // not one.
-func (p *Planner) failedTooOften(j *job, e gang.Ended) bool {
+func (p *Planner) retriesExhausted(j *job, e gang.Ended) bool {
 	if e.Outcome != gang.Failed {
 		return false
 	}
@@ -71,24 +71,24 @@
 	return ok && j.failures > class.Retries
 }
 
-// admit splits what has arrived into what may wait and what finds the service's
+// rejectSurplus splits what has arrived into what may wait and what finds the service's
 // queue full.
-func (p *Planner) admit(fresh []scheduler.Job) []scheduler.Job {
-	room := p.doc.Document.Admission.MaxJobs - (p.queued() - len(fresh))
+func (p *Planner) rejectSurplus(fresh []scheduler.Job) []scheduler.Job {
+	room := p.doc.Document.Admission.MaxJobs - (p.queuedCount() - len(fresh))
 	if len(fresh) <= room {
 		return fresh
 	}
 	room = max(room, 0)
 	for _, f := range fresh[room:] {
-		p.end(p.jobs[string(f.ID)], jobs.Rejected, reasonQueue)
+		p.endJob(p.jobs[string(f.ID)], jobs.Rejected, reasonQueue)
 	}
 	return fresh[:room]
 }
 
-func (p *Planner) queued() int {
+func (p *Planner) queuedCount() int {
 	n := 0
 	for _, j := range p.jobs {
-		if j.phase == Queued && j.ending == nil {
+		if j.phase == Queued && j.finalRecord == nil {
 			n++
 		}
 	}
--- a/planner/outage.go
+++ b/planner/outage.go
@@ -10,46 +10,46 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// probeID is the id of no job; reading its record shows that the store answers.
-const probeID = "-"
+// probeJobID is the id of no job; reading its record shows that the store answers.
+const probeJobID = "-"
 
-// noteStore takes the outcome of a write: one that the store did not answer shows
+// noteStoreError takes the outcome of a write: one that the store did not answer shows
 // that it is out, or that this planner is cut off from it.
-func (p *Planner) noteStore(err error) {
-	if p.storeOut || !eris.Is(err, store.ErrUnavailable) && !eris.Is(err, jobs.ErrOutcomeUnknown) {
+func (p *Planner) noteStoreError(err error) {
+	if p.storeUnavailable || !eris.Is(err, store.ErrUnavailable) && !eris.Is(err, jobs.ErrOutcomeUnknown) {
 		return
 	}
 	p.cfg.Log.Warn("store out: only jobs with a permit are started")
-	p.storeOut = true
-	p.probe()
+	p.storeUnavailable = true
+	p.probeStore()
 }
 
-// probe asks the store until it answers.
-func (p *Planner) probe() {
-	p.t.Go(func() error {
-		ctx, cancel := p.context(sendTimeout)
+// probeStore asks the store until it answers.
+func (p *Planner) probeStore() {
+	p.tomb.Go(func() error {
+		ctx, cancel := p.context(requestTimeout)
 		defer cancel()
-		_, err := p.cfg.Jobs.Get(ctx, p.cfg.Service, probeID)
+		_, err := p.cfg.Jobs.Get(ctx, p.cfg.Service, probeJobID)
 		if err == nil || eris.Is(err, jobs.ErrNotFound) {
-			p.post(p.foundStore)
+			p.post(p.handleStoreRecovered)
 		} else {
-			p.later(storeRetry, p.probe)
+			p.postAfter(storeRetryInterval, p.probeStore)
 		}
 		return nil
 	})
 }
 
-// foundStore lets the jobs back into the queue that waited for the store.
-func (p *Planner) foundStore() {
+// handleStoreRecovered lets the jobs back into the queue that waited for the store.
+func (p *Planner) handleStoreRecovered() {
 	p.cfg.Log.Info("store back")
-	p.storeOut = false
+	p.storeUnavailable = false
 	var back []*job
 	for _, j := range p.jobs {
-		if j.withheld && !j.held {
+		if j.withheld && !j.unresolved {
 			back = append(back, j)
 		}
 	}
-	p.release(back)
+	p.resubmit(back)
 }
 
 // withholdUnpermitted takes jobs out of the scheduler that can't be started before
@@ -59,11 +59,11 @@
 // attempts reserve accelerators, wait for a record that can't be written, and give
 // up, over and over, while jobs with permits find nothing free.
 func (p *Planner) withholdUnpermitted() {
-	if !p.storeOut {
+	if !p.storeUnavailable {
 		return
 	}
 	for _, j := range p.jobs {
-		if j.waits() && !j.withheld && !p.usable(j) {
+		if j.isWaiting() && !j.withheld && !p.permitUsable(j) {
 			p.withhold(j)
 		}
 	}
@@ -72,16 +72,16 @@
 // withhold takes a job that waits out of the scheduler. It stays accepted.
 func (p *Planner) withhold(j *job) {
 	j.withheld = true
-	p.withdraw(j.stored.ID)
+	p.withdrawJob(j.stored.ID)
 }
 
-// release lets withheld jobs wait at their old places.
-func (p *Planner) release(back []*job) {
+// resubmit lets withheld jobs wait at their old places.
+func (p *Planner) resubmit(back []*job) {
 	slices.SortFunc(back, func(a, b *job) int { return a.stored.Submitted.Compare(b.stored.Submitted) })
 	var fresh []scheduler.Job
 	for _, j := range back {
-		j.withheld, j.held = false, false
-		if j.ending != nil {
+		j.withheld, j.unresolved = false, false
+		if j.finalRecord != nil {
 			continue
 		}
 		if j.stored.CancelRequested {
@@ -93,6 +93,6 @@
 		fresh = append(fresh, s)
 	}
 	if len(fresh) > 0 {
-		p.decide(scheduler.JobsSubmitted{Jobs: fresh})
+		p.stepScheduler(scheduler.JobsSubmitted{Jobs: fresh})
 	}
 }
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -18,50 +18,50 @@
 // goroutine owns all state; the exported methods are safe for concurrent use.
 type Planner struct {
 	cfg  Config
-	t    tomb.Tomb
+	tomb tomb.Tomb
 	work chan func()
 
-	sched   *scheduler.Scheduler
-	doc     *document.Held
-	jobs    map[string]*job
-	workers map[string]*worker
-	recent  *lru.Cache[string, jobs.Stored]
-	number  uint64 // of the last attempt under this epoch
-	rebuilt bool   // all records have been read
-	// storeOut: the store did not answer the last write or probe.
-	storeOut bool
-	over     bool // superseded: nothing is touched any more
-	wake     *time.Timer
+	sched             *scheduler.Scheduler
+	doc               *document.Held
+	jobs              map[string]*job
+	workers           map[string]*worker
+	recentlyEnded     *lru.Cache[string, jobs.Stored]
+	lastAttemptNumber uint64 // of the last attempt under this epoch
+	recordsLoaded     bool   // all records have been read
+	// storeUnavailable: the store did not answer the last write or probe.
+	storeUnavailable bool
+	superseded       bool // superseded: nothing is touched any more
+	schedulerTimer   *time.Timer
 
-	whole atomic.Pointer[wholeAttempts]
-	stats atomic.Pointer[scheduler.Stats]
+	aliveAttempts atomic.Pointer[aliveAttempts]
+	stats         atomic.Pointer[scheduler.Stats]
 
-	higher atomic.Uint64
+	supersedingEpoch atomic.Uint64
 
-	reports reports
+	reportCache reportCache
 }
 
 // Start begins a term. Stop ends it.
 func Start(cfg Config) *Planner {
-	recent, err := lru.New[string, jobs.Stored](recentJobs)
+	recent, err := lru.New[string, jobs.Stored](maxRecentlyEnded)
 	if err != nil {
 		panic(err) // only a size below 1 is refused
 	}
 	p := &Planner{
-		cfg:     cfg,
-		work:    make(chan func(), workQueue),
-		sched:   scheduler.New(scheduler.Options{Start: time.Now(), SettlingPeriod: settleFor}),
-		doc:     cfg.Document,
-		jobs:    make(map[string]*job),
-		workers: make(map[string]*worker),
-		recent:  recent,
-		wake:    time.NewTimer(time.Hour),
+		cfg:            cfg,
+		work:           make(chan func(), workQueueSize),
+		sched:          scheduler.New(scheduler.Options{Start: time.Now(), SettlingPeriod: topologySettleTime}),
+		doc:            cfg.Document,
+		jobs:           make(map[string]*job),
+		workers:        make(map[string]*worker),
+		recentlyEnded:  recent,
+		schedulerTimer: time.NewTimer(time.Hour),
 	}
-	p.whole.Store(&wholeAttempts{at: clock.Now()})
+	p.aliveAttempts.Store(&aliveAttempts{at: clock.Now()})
 	p.stats.Store(&scheduler.Stats{})
-	p.t.Go(func() error {
-		p.t.Go(p.loop)
-		p.t.Go(p.follow)
+	p.tomb.Go(func() error {
+		p.tomb.Go(p.loop)
+		p.tomb.Go(p.followRecords)
 		return nil
 	})
 	return p
@@ -69,20 +69,20 @@
 
 // Stop ends the term and waits. What runs at the agents runs on.
 func (p *Planner) Stop() {
-	p.t.Kill(nil)
-	_ = p.t.Wait()
+	p.tomb.Kill(nil)
+	_ = p.tomb.Wait()
 }
 
 // Done is closed when the term has ended, also by a higher epoch.
 func (p *Planner) Done() <-chan struct{} {
-	return p.t.Dead()
+	return p.tomb.Dead()
 }
 
 // SetDocument puts a new generation in force.
 func (p *Planner) SetDocument(h *document.Held) {
 	p.post(func() {
 		p.doc = h
-		p.decide(scheduler.PolicyChanged{Policy: policyOf(h)})
+		p.stepScheduler(scheduler.PolicyChanged{Policy: schedulerPolicy(h)})
 	})
 }
 
@@ -92,47 +92,47 @@
 }
 
 func (p *Planner) loop() error {
-	defer p.wake.Stop()
+	defer p.schedulerTimer.Stop()
 	defer p.returnPermits()
-	ticker := time.NewTicker(housekeeping)
+	ticker := time.NewTicker(housekeepingInterval)
 	defer ticker.Stop()
-	p.decide(scheduler.PolicyChanged{Policy: policyOf(p.doc)})
+	p.stepScheduler(scheduler.PolicyChanged{Policy: schedulerPolicy(p.doc)})
 	for {
 		select {
-		case <-p.t.Dying():
+		case <-p.tomb.Dying():
 			p.stopTimers()
 			return nil
 		case f := <-p.work:
 			f()
-		case <-p.wake.C:
-			p.decide(scheduler.Tick{})
+		case <-p.schedulerTimer.C:
+			p.stepScheduler(scheduler.Tick{})
 		case <-ticker.C:
 			p.housekeep(clock.Now())
 		}
-		if p.over {
+		if p.superseded {
 			p.stopTimers()
-			p.t.Kill(nil)
+			p.tomb.Kill(nil)
 			return nil
 		}
 	}
 }
 
 func (p *Planner) housekeep(now time.Time) {
-	p.loseSilent(now)
-	p.resolveHeld(now)
-	p.enforce(time.Now())
+	p.detectLostAgents(now)
+	p.resolvePermits(now)
+	p.enforceLimits(time.Now())
 	p.withholdUnpermitted()
 	p.writePermits(time.Now())
-	p.placeRunning(time.Now())
-	p.publishWhole(now)
+	p.recordPlacements(time.Now())
+	p.publishAliveAttempts(now)
 	stats := p.sched.Stats()
 	p.stats.Store(&stats)
 }
 
 func (p *Planner) stopTimers() {
 	for _, j := range p.jobs {
-		if j.timer != nil {
-			j.timer.Stop()
+		if j.wakeTimer != nil {
+			j.wakeTimer.Stop()
 		}
 	}
 }
@@ -142,35 +142,35 @@
 func (p *Planner) post(f func()) {
 	select {
 	case p.work <- f:
-	case <-p.t.Dying():
+	case <-p.tomb.Dying():
 	}
 }
 
-// superseded ends the term: a higher epoch is in charge, and nothing that this
+// endSuperseded ends the term: a higher epoch is in charge, and nothing that this
 // planner still believes may be written. The epoch is 0 where it is not known.
-func (p *Planner) superseded(why string, epoch uint64) {
-	if !p.over {
+func (p *Planner) endSuperseded(why string, epoch uint64) {
+	if !p.superseded {
 		p.cfg.Log.WithField("higher_epoch", epoch).Warn("planner superseded: " + why)
 	}
-	p.over = true
-	p.higher.Store(max(epoch, p.cfg.Epoch+1))
+	p.superseded = true
+	p.supersedingEpoch.Store(max(epoch, p.cfg.Epoch+1))
 }
 
-// outranked ends the term where a job's record names a higher epoch.
-func (p *Planner) outranked(r jobs.Stored) bool {
+// endIfOutranked ends the term where a job's record names a higher epoch.
+func (p *Planner) endIfOutranked(r jobs.Stored) bool {
 	if r.Epoch <= p.cfg.Epoch {
 		return false
 	}
-	p.superseded("a job's record names a higher epoch", r.Epoch)
+	p.endSuperseded("a job's record names a higher epoch", r.Epoch)
 	return true
 }
 
 // SupersedingEpoch returns an epoch above this planner's own by which it was superseded,
 // 0 if it was not. Where no other planner is behind it, as after the store was
 // restored from a backup, the duty has to go on above it.
-func (p *Planner) SupersedingEpoch() uint64 { return p.higher.Load() }
+func (p *Planner) SupersedingEpoch() uint64 { return p.supersedingEpoch.Load() }
 
 // context ends with the term.
 func (p *Planner) context(timeout time.Duration) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(p.t.Context(context.Background()), timeout)
+	return context.WithTimeout(p.tomb.Context(context.Background()), timeout)
 }
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -18,7 +18,7 @@
 var allWorkers = []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 
 // A job is accepted, starts on two workers at once, and its end is on record.
-func TestGangRunsWhole(t *testing.T) {
+func TestGangStartsAndEnds(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents(allWorkers...)
 	p := b.planner(1, agents)
@@ -35,12 +35,12 @@
 // "cancelled before it started". The planner had reserved the accelerators by
 // then, and its record of the start comes after the cancellation's. The job must
 // not run, and its accelerators must come free for the next one.
-func TestCancelWinsAgainstStart(t *testing.T) {
+func TestCancelDuringReservationPreventsStart(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents("a")
 	p := b.planner(1, agents)
 	report := func() { agents.report(p) }
-	agents.cut[1] = true // reservations wait
+	agents.unreachableFrom[1] = true // reservations wait
 	b.accept("j", 8, true)
 	b.eventually("the job is being started", report, func() bool {
 		s, ok := p.Status(context.Background(), "j")
@@ -50,7 +50,7 @@
 	b.c.Assert(err, qt.IsNil)
 	b.c.Assert(got.State, qt.Equals, jobs.Cancelled)
 	agents.mu.Lock()
-	delete(agents.cut, 1)
+	delete(agents.unreachableFrom, 1)
 	agents.mu.Unlock()
 
 	b.accept("next", 8, true)
@@ -112,22 +112,22 @@
 // start is on record, so the record still names the lost one. When the agent is back
 // the leftover has to be stopped. Taken for the job's own attempt it would hold its
 // accelerators to its end, the job would wait for them, and its result be dropped.
-func TestLeftoverIsStoppedAfterARefusal(t *testing.T) {
+func TestOrphanIsStoppedAfterRefusal(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents("a")
 	p := b.planner(1, agents)
 	report := func() { agents.report(p) }
 	b.accept("j", 8, true)
 	b.eventually("it runs", report, func() bool { return agents.startsOf("j") == 1 })
-	cut := agents.remove("a")
-	full := newFakeAgents("b").remove("b")
+	cut := agents.disconnect("a")
+	full := newFakeAgents("b").disconnect("b")
 	full.Step(clock.Now(), gang.Drain{})
-	agents.add("b", full)
+	agents.connect("b", full)
 	p.HandleAgentLeft("a")
 	b.eventually("no room elsewhere", report, func() bool {
 		return p.cfg.Metrics.Snapshot().Counters["reservations_refused"] > 0
 	})
-	agents.add("a", cut)
+	agents.connect("a", cut)
 	b.eventually("the leftover is stopped and the job starts again", report, func() bool {
 		return agents.startsOf("j") == 2
 	})
@@ -155,11 +155,11 @@
 
 // Callers fill the service's queue beyond what the document allows: the surplus
 // is rejected at once with the reason, and what was accepted before stays.
-func TestQueueBound(t *testing.T) {
+func TestQueueLimitRejectsSurplus(t *testing.T) {
 	b := newBench(t)
-	b.held.Document.Admission.MaxJobs = 2
+	b.document.Document.Admission.MaxJobs = 2
 	p := b.planner(1, newFakeAgents())
-	b.eventually("records read", func() {}, func() bool { return p.isRebuilt() })
+	b.eventually("records read", func() {}, func() bool { return p.areRecordsLoaded() })
 	for _, id := range []string{"1", "2", "3"} {
 		b.accept(id, 8, true)
 	}
@@ -167,16 +167,16 @@
 	b.c.Assert(b.state("1"), qt.Equals, jobs.Queued)
 }
 
-func (p *Planner) isRebuilt() bool {
+func (p *Planner) areRecordsLoaded() bool {
 	known := make(chan bool, 1)
-	p.post(func() { known <- p.rebuilt })
+	p.post(func() { known <- p.recordsLoaded })
 	return <-known
 }
 
 // The store was restored from a backup and gives the duty an epoch that agents
 // have already seen surpassed. The planner must say by which epoch, so that the
 // duty can go on above it; otherwise nothing is ever started again.
-func TestSupersededSaysByWhichEpoch(t *testing.T) {
+func TestSupersedingEpochIsReported(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents("a")
 	agents.step("a", gang.Received{Message: gang.Seal{Header: gang.Header{ID: gang.ID{Job: "x", Epoch: 9}, Sender: 9, Incarnation: 1}}})
@@ -191,12 +191,12 @@
 // end written and forgotten the job. An operator sees the job 'stopping' for ever
 // and its accelerators held, because the planner takes it for an attempt of
 // another planner.
-func TestLateWatchDoesNotReviveAJob(t *testing.T) {
+func TestDelayedWatchDoesNotReviveEndedJob(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents("a")
 	p := b.planner(1, agents)
 	report := func() { agents.report(p) }
-	agents.cut[1] = true
+	agents.unreachableFrom[1] = true
 	b.accept("j", 8, true)
 	b.eventually("the job is being started", report, func() bool {
 		s, ok := p.Status(context.Background(), "j")
@@ -204,7 +204,7 @@
 	})
 	b.server.SetFaults(standin.Faults{FreezeWatches: true})
 	agents.mu.Lock()
-	delete(agents.cut, 1)
+	delete(agents.unreachableFrom, 1)
 	agents.mu.Unlock()
 	b.eventually("it runs", report, func() bool { return agents.startsOf("j") == 1 })
 	agents.finish()
--- a/planner/policy.go
+++ b/planner/policy.go
@@ -6,8 +6,8 @@
 	"github.com/eelgrasshub/eelgrasshub/scheduler"
 )
 
-// policyOf is the part of a document that the scheduler obeys.
-func policyOf(h *document.Held) scheduler.Policy {
+// schedulerPolicy is the part of a document that the scheduler obeys.
+func schedulerPolicy(h *document.Held) scheduler.Policy {
 	d := h.Document
 	p := scheduler.Policy{
 		Generation:        h.Version.Generation,
@@ -35,14 +35,14 @@
 	for _, g := range a.Guaranteed {
 		p.Guaranteed = append(p.Guaranteed, scheduler.Shape{
 			Accelerators: g.Accelerators,
-			Adjacency:    adjacencyOf(string(g.Adjacent)),
+			Adjacency:    schedulerAdjacency(string(g.Adjacent)),
 			Count:        g.Count,
 		})
 	}
 	return p
 }
 
-func adjacencyOf(name string) scheduler.Adjacency {
+func schedulerAdjacency(name string) scheduler.Adjacency {
 	switch document.Adjacency(name) {
 	case document.SameWorker:
 		return scheduler.AdjacentWorker
@@ -64,7 +64,7 @@
 		Account:        scheduler.AccountID(r.Spec.Account),
 		Class:          r.Spec.Class,
 		Accelerators:   r.Spec.Accelerators,
-		Adjacency:      adjacencyOf(r.Spec.Adjacency),
+		Adjacency:      schedulerAdjacency(r.Spec.Adjacency),
 		Cores:          r.Spec.Cores,
 		MemoryMB:       r.Spec.MemoryMB,
 		Estimate:       r.Spec.Estimate,
--- a/planner/policy_test.go
+++ b/planner/policy_test.go
@@ -11,7 +11,7 @@
 
 // An operator sets may_borrow = false for a class, and its repeatable jobs still
 // run on what is guaranteed to other accounts: the key was never passed on.
-func TestClassDecidesWhetherItsJobsBorrow(t *testing.T) {
+func TestClassControlsBorrowing(t *testing.T) {
 	c := qt.New(t)
 	d := &document.Document{Classes: []document.Class{
 		{Name: "lends", Kind: document.Job, MayBorrow: true},
--- a/planner/record.go
+++ b/planner/record.go
@@ -9,22 +9,22 @@
 	"github.com/eelgrasshub/eelgrasshub/jobs"
 )
 
-// record writes the start of an attempt over the record that it was decided on.
+// recordStart writes the start of an attempt over the recordStart that it was decided on.
 //
 // The failure this guards against: between the decision and the write the watch
-// brings a later form of the record, a cancellation or another planner's start,
+// brings a later form of the recordStart, a cancellation or another planner's start,
 // and writing over that one succeeds. A caller told "cancelled before it started"
 // then sees the job run, or a job that may be running is started again.
-func (p *Planner) record(j *job, plan gang.Plan) {
-	if j.stored.Rev != j.decided {
+func (p *Planner) recordStart(j *job, plan gang.Plan) {
+	if j.stored.Rev != j.decidedRevision {
 		result := gang.RecordConflict
-		if names(j.stored.Record, plan.ID) {
+		if recordNamesAttempt(j.stored.Record, plan.ID) {
 			result = gang.RecordWritten // our own earlier try, seen by the watch first
 		}
-		p.post0(func() { p.recordedAs(j, plan.ID, result) })
+		p.postFromLoop(func() { p.notifyRecorded(j, plan.ID, result) })
 		return
 	}
-	if p.usable(j) {
+	if p.permitUsable(j) {
 		p.startOnPermit(j, plan)
 		return
 	}
@@ -33,19 +33,19 @@
 	next.Attempt = uint64(j.attempt)
 	next.Epoch = plan.ID.Epoch
 	next.Number = plan.ID.Number
-	next.Members = membersOf(plan)
+	next.Members = recordMembers(plan)
 	next.Started = time.Now()
-	p.t.Go(func() error {
-		ctx, cancel := p.context(sendTimeout)
+	p.tomb.Go(func() error {
+		ctx, cancel := p.context(requestTimeout)
 		defer cancel()
 		got, err := p.cfg.Jobs.Update(ctx, next)
-		p.post(func() { p.recorded(j, plan.ID, got, err) })
+		p.post(func() { p.handleStartWritten(j, plan.ID, got, err) })
 		return nil
 	})
 }
 
-func (p *Planner) recorded(j *job, id gang.ID, got jobs.Stored, err error) {
-	p.noteStore(err)
+func (p *Planner) handleStartWritten(j *job, id gang.ID, got jobs.Stored, err error) {
+	p.noteStoreError(err)
 	if j.coord == nil || j.coord.Plan().ID != id {
 		return
 	}
@@ -54,38 +54,38 @@
 	case err == nil:
 		result = gang.RecordWritten
 		j.stored = got
-	case eris.Is(err, jobs.ErrConflict) && names(got.Record, id):
+	case eris.Is(err, jobs.ErrConflict) && recordNamesAttempt(got.Record, id):
 		// An earlier try of this write took effect after its reply was lost.
 		result = gang.RecordWritten
 		j.stored = got
-	case eris.Is(err, jobs.ErrConflict) && p.ownPermit(got.Record) && !got.CancelRequested:
+	case eris.Is(err, jobs.ErrConflict) && p.isOwnPermit(got.Record) && !got.CancelRequested:
 		// A permit whose write had an unknown outcome. It counts if it still may.
-		p.keep(j, got, j.decided)
-		p.record(j, j.coord.Plan())
+		p.applyOwnWrite(j, got, j.decidedRevision)
+		p.recordStart(j, j.coord.Plan())
 		return
 	case eris.Is(err, jobs.ErrConflict), eris.Is(err, jobs.ErrNotFound):
 		result = gang.RecordConflict
-		p.adoptRecord(j, got, err)
+		p.handleRecordConflict(j, got, err)
 	}
-	p.coordinate(j, gang.Recorded{Result: result})
+	p.stepCoordinator(j, gang.Recorded{Result: result})
 }
 
-// recordedAs tells the attempt what is known of its record without a write.
-func (p *Planner) recordedAs(j *job, id gang.ID, r gang.RecordResult) {
+// notifyRecorded tells the attempt what is known of its record without a write.
+func (p *Planner) notifyRecorded(j *job, id gang.ID, r gang.RecordResult) {
 	if j.coord != nil && j.coord.Plan().ID == id {
-		p.coordinate(j, gang.Recorded{Result: r})
+		p.stepCoordinator(j, gang.Recorded{Result: r})
 	}
 }
 
-func names(r jobs.Record, id gang.ID) bool {
+func recordNamesAttempt(r jobs.Record, id gang.ID) bool {
 	return r.Epoch == id.Epoch && r.Number == id.Number && r.State == jobs.Starting
 }
 
-// adoptRecord takes over a record that someone else has changed: an entry that
+// handleRecordConflict takes over a record that someone else has changed: an entry that
 // cancelled the job, or a planner with a higher epoch.
-func (p *Planner) adoptRecord(j *job, got jobs.Stored, err error) {
+func (p *Planner) handleRecordConflict(j *job, got jobs.Stored, err error) {
 	if eris.Is(err, jobs.ErrNotFound) {
 		return
 	}
-	p.changed(got)
+	p.handleRecordChange(got)
 }
--- a/planner/record_test.go
+++ b/planner/record_test.go
@@ -16,12 +16,12 @@
 // reserved its accelerators and learns of the cancellation from the watch just
 // before it records the start. The record must stay as the caller was told; to
 // write the start over it would succeed, and the job would run.
-func TestStartIsNotRecordedOverACancellation(t *testing.T) {
+func TestStartIsNotRecordedOverCancellation(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents("a")
 	p := b.planner(1, agents)
 	report := func() { agents.report(p) }
-	agents.cut[1] = true // reservations wait
+	agents.unreachableFrom[1] = true // reservations wait
 	b.accept("j", 8, true)
 	b.eventually("the job is being started", report, func() bool {
 		s, ok := p.Status(context.Background(), "j")
@@ -31,13 +31,13 @@
 	p.post(func() {
 		got, err := b.jobs.Cancel(context.Background(), "dispatch", "j", time.Now())
 		j := p.jobs["j"]
-		p.changed(got)
-		p.record(j, j.coord.Plan())
+		p.handleRecordChange(got)
+		p.recordStart(j, j.coord.Plan())
 		done <- err
 	})
 	b.c.Assert(<-done, qt.IsNil)
 	agents.mu.Lock()
-	delete(agents.cut, 1)
+	delete(agents.unreachableFrom, 1)
 	agents.mu.Unlock()
 
 	b.accept("next", 8, true)
@@ -49,7 +49,7 @@
 // A wave of cancellations gives up many attempts at once. While the messages that
 // end their holds are under way, the worker refuses the next attempts as busy. It
 // is well, and must not be quarantined for it.
-func TestRefusalsAfterAbortsAreNoFailures(t *testing.T) {
+func TestRefusalsAfterAbortsAreNotFailures(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents("a")
 	p := b.planner(1, agents)
@@ -57,13 +57,13 @@
 	done := make(chan struct{})
 	p.post(func() {
 		defer close(done)
-		p.mayHold([]gang.PlannedMember{{Agent: "a"}})
+		p.markMayHold([]gang.PlannedMember{{Agent: "a"}})
 		for range 10 {
 			e := gang.Ended{Outcome: gang.NotStarted, Cause: gang.CauseRefused, CauseAgent: "a"}
-			b.c.Check(p.atFault(e), qt.Equals, scheduler.WorkerID(""))
+			b.c.Check(p.workerAtFault(e), qt.Equals, scheduler.WorkerID(""))
 		}
-		p.workers["a"].holds = time.Time{}
-		b.c.Check(p.atFault(gang.Ended{Cause: gang.CauseRefused, CauseAgent: "a"}), qt.Equals, scheduler.WorkerID("a"))
+		p.workers["a"].mayHoldUntil = time.Time{}
+		b.c.Check(p.workerAtFault(gang.Ended{Cause: gang.CauseRefused, CauseAgent: "a"}), qt.Equals, scheduler.WorkerID("a"))
 	})
 	<-done
 }
--- a/planner/report.go
+++ b/planner/report.go
@@ -10,9 +10,9 @@
 	"github.com/eelgrasshub/eelgrasshub/scheduler"
 )
 
-// reportEvery is for how long a report is given to all who ask. Putting one
+// maxReportAge is for how long a report is given to all who ask. Putting one
 // together takes the planner's goroutine milliseconds at the largest size.
-const reportEvery = time.Second
+const maxReportAge = time.Second
 
 // Report is what a planner knows of its domain.
 type Report struct {
@@ -36,11 +36,11 @@
 	TakenAt time.Time
 }
 
-// reports is what a planner keeps of the reports it was asked for.
-type reports struct {
-	mu   sync.Mutex // held while a report is made; the others then find it
-	last Report
-	at   time.Time // when last was taken, by clock.Now
+// reportCache is what a planner keeps of the reportCache it was asked for.
+type reportCache struct {
+	mu      sync.Mutex // held while a report is made; the others then find it
+	last    Report
+	takenAt time.Time // when last was taken, by clock.Now
 
 	explainer *scheduler.Explainer // the loop's goroutine owns it
 }
@@ -49,34 +49,34 @@
 // term ended first. It is safe for concurrent use; however many ask, the planner's
 // goroutine is interrupted once a second.
 func (p *Planner) Report(ctx context.Context) (Report, bool) {
-	r := &p.reports
+	r := &p.reportCache
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.at.IsZero() && clock.Now().Sub(r.at) < reportEvery {
+	if !r.takenAt.IsZero() && clock.Now().Sub(r.takenAt) < maxReportAge {
 		return r.last, true
 	}
-	got, ok := ask(ctx, p, p.takeReport)
+	got, ok := callOnLoop(ctx, p, p.buildReport)
 	if !ok {
 		return Report{}, false
 	}
 	got.Stats = p.Stats()
-	got.WaitTimes = waited(p.cfg.Metrics.Snapshot())
-	r.last, r.at = got, clock.Now()
+	got.WaitTimes = waitTimes(p.cfg.Metrics.Snapshot())
+	r.last, r.takenAt = got, clock.Now()
 	return got, true
 }
 
-func (p *Planner) takeReport() Report {
+func (p *Planner) buildReport() Report {
 	return Report{
 		Report:           p.sched.Report(),
 		Generation:       p.doc.Version.Generation,
-		RecordsLoaded:    p.rebuilt,
-		StoreUnavailable: p.storeOut,
-		Withheld:         p.withheld(),
+		RecordsLoaded:    p.recordsLoaded,
+		StoreUnavailable: p.storeUnavailable,
+		Withheld:         p.withheldCounts(),
 		TakenAt:          time.Now(),
 	}
 }
 
-func waited(s metrics.Snapshot) map[string]map[string]metrics.Summary {
+func waitTimes(s metrics.Snapshot) map[string]map[string]metrics.Summary {
 	name := metrics.JobWaited.Describe().Name
 	out := make(map[string]map[string]metrics.Summary, len(s.Timings))
 	for account, classes := range s.Timings {
@@ -88,10 +88,10 @@
 	return out
 }
 
-func (p *Planner) withheld() map[string]map[string]int {
+func (p *Planner) withheldCounts() map[string]map[string]int {
 	out := make(map[string]map[string]int)
 	for _, j := range p.jobs {
-		if !j.withheld || !j.waits() {
+		if !j.withheld || !j.isWaiting() {
 			continue
 		}
 		spec := &j.stored.Spec
--- a/planner/report_test.go
+++ b/planner/report_test.go
@@ -12,11 +12,11 @@
 
 // An operator asks why three jobs don't run. One is placed, but its worker doesn't
 // answer; one is larger than what is left; one nobody has heard of.
-func TestExplainFollowsAJobToItsStart(t *testing.T) {
+func TestExplainReportsStages(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents(allWorkers...)
 	p := b.planner(1, agents)
-	agents.cut[1] = true // reservations wait
+	agents.unreachableFrom[1] = true // reservations wait
 	report := func() { agents.report(p) }
 	b.accept("placed", 8, true)
 	b.eventually("it is placed", report, func() bool {
@@ -34,7 +34,7 @@
 }
 
 // However many ask, one report is made in a second, and none after the term.
-func TestReportIsSharedAndEndsWithTheTerm(t *testing.T) {
+func TestReportIsCachedUntilTermEnds(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents(allWorkers...)
 	p := b.planner(1, agents)
@@ -46,18 +46,18 @@
 	})
 	again, ok := p.Report(context.Background())
 	b.c.Assert(ok, qt.IsTrue)
-	if again.TakenAt.Sub(last.TakenAt) < reportEvery {
+	if again.TakenAt.Sub(last.TakenAt) < maxReportAge {
 		b.c.Assert(again.TakenAt, qt.Equals, last.TakenAt)
 	}
 	p.Stop()
-	p.reports.at = p.reports.at.Add(-2 * reportEvery)
+	p.reportCache.takenAt = p.reportCache.takenAt.Add(-2 * maxReportAge)
 	_, ok = p.Report(context.Background())
 	b.c.Assert(ok, qt.IsFalse)
 }
 
 // The planner is so busy that its queue is full. Whoever asks for a job's status hangs
 // beyond his deadline, and his entry with him, until there is room.
-func TestAskingABusyPlannerEndsWithTheCaller(t *testing.T) {
+func TestQueriesToBusyPlannerHonorContext(t *testing.T) {
 	b := newBench(t)
 	p := b.planner(1, newFakeAgents())
 	begun, hold := make(chan struct{}), make(chan struct{})
@@ -81,19 +81,19 @@
 
 // The store is out, and an operator asks why two jobs wait. The one without a permit
 // waits for the store, is not lost from the counts, and is back in the queue after it.
-func TestWithheldJobsAreToldToWaitForTheStore(t *testing.T) {
+func TestWithheldJobsWaitForStore(t *testing.T) {
 	b := newBench(t)
-	for i := range b.held.Document.Accounts {
-		b.held.Document.Accounts[i].Guaranteed = nil // one of them must not be impossible
+	for i := range b.document.Document.Accounts {
+		b.document.Document.Accounts[i].Guaranteed = nil // one of them must not be impossible
 	}
 	agents := newFakeAgents(allWorkers...)
 	p := b.planner(1, agents)
 	report := func() { agents.report(p) }
-	b.accept("runs", all, true)
-	b.eventually("the first runs", report, func() bool { return agents.whole("runs") })
-	b.acceptEarlier("once", 24, false)
-	b.acceptEarlier("waits", all, true)
-	b.eventually("one has a permit", report, func() bool { return b.permitted("waits") })
+	b.accept("runs", largeJob, true)
+	b.eventually("the first runs", report, func() bool { return agents.largeJobRuns("runs") })
+	b.acceptLongWaiting("once", 24, false)
+	b.acceptLongWaiting("waits", largeJob, true)
+	b.eventually("one has a permit", report, func() bool { return b.hasPermit("waits") })
 	stage := func(id string) Stage {
 		w, _, _ := p.Explain(context.Background(), id)
 		return w.Stage
--- a/planner/status.go
+++ b/planner/status.go
@@ -21,30 +21,30 @@
 		status Status
 		known  bool
 	}
-	a, _ := ask(ctx, p, func() answer {
+	a, _ := callOnLoop(ctx, p, func() answer {
 		s, ok := p.status(id)
 		return answer{s, ok}
 	})
 	return a.status, a.known
 }
 
-// ask runs f on the loop's goroutine and returns what it does. False: the context
+// callOnLoop runs f on the loop's goroutine and returns what it does. False: the context
 // or the term ended first.
-func ask[T any](ctx context.Context, p *Planner, f func() T) (T, bool) {
+func callOnLoop[T any](ctx context.Context, p *Planner, f func() T) (T, bool) {
 	var none T
 	answers := make(chan T, 1)
 	select {
 	case p.work <- func() { answers <- f() }:
 	case <-ctx.Done():
 		return none, false
-	case <-p.t.Dying():
+	case <-p.tomb.Dying():
 		return none, false
 	}
 	select {
 	case a := <-answers:
 		return a, true
 	case <-ctx.Done():
-	case <-p.t.Dying():
+	case <-p.tomb.Dying():
 	}
 	return none, false
 }
@@ -52,12 +52,12 @@
 func (p *Planner) status(id string) (Status, bool) {
 	if j := p.jobs[id]; j != nil {
 		phase := j.phase
-		if j.held {
+		if j.unresolved {
 			phase = Starting // it may run
 		}
 		return Status{Record: j.stored.Record, Phase: phase, Members: j.members()}, true
 	}
-	if r, ok := p.recent.Get(id); ok {
+	if r, ok := p.recentlyEnded.Get(id); ok {
 		return Status{Record: r.Record, Members: r.Members}, true
 	}
 	return Status{}, false
--- a/planner/worker.go
+++ b/planner/worker.go
@@ -23,34 +23,34 @@
 
 // worker is the planner's view of one agent. The planner's goroutine owns it.
 type worker struct {
-	seen AgentReport
-	up   bool
-	jobs map[string]*job // with a coordinator that has a member here
-	// holds is until when it may hold accelerators for an attempt given up.
-	holds time.Time
-	// fenced is when it first reported this planner's epoch as its fence, zero if it
-	// has not; fenceAsked and fenceSent are when it was first and last sent one.
-	fenced, fenceAsked, fenceSent time.Time
+	lastReport AgentReport
+	up         bool
+	jobs       map[string]*job // with a coordinator that has a member here
+	// mayHoldUntil is until when it may hold accelerators for an attempt given up.
+	mayHoldUntil time.Time
+	// fencedAt is when it first reported this planner's epoch as its fence, zero if it
+	// has not; fenceFirstSentAt and fenceLastSentAt are when it was first and last sent one.
+	fencedAt, fenceFirstSentAt, fenceLastSentAt time.Time
 }
 
 // HandleReport takes the report of an agent. It is safe for concurrent use.
 func (p *Planner) HandleReport(s AgentReport) {
-	p.post(func() { p.observe(s) })
+	p.post(func() { p.applyReport(s) })
 }
 
 // HandleAgentLeft says that an agent has stopped for good. It is safe for concurrent use.
 func (p *Planner) HandleAgentLeft(agent string) {
 	p.post(func() {
 		if w := p.workers[agent]; w != nil {
-			p.lose(agent, w)
+			p.handleAgentLost(agent, w)
 		}
 	})
 }
 
-func (p *Planner) observe(s AgentReport) {
+func (p *Planner) applyReport(s AgentReport) {
 	id := string(s.Worker.ID)
 	if s.Fence > p.cfg.Epoch {
-		p.superseded("an agent has heard of a higher epoch", s.Fence)
+		p.endSuperseded("an agent has heard of a higher epoch", s.Fence)
 		return
 	}
 	w := p.workers[id]
@@ -58,59 +58,59 @@
 		w = &worker{jobs: make(map[string]*job)}
 		p.workers[id] = w
 	}
-	if s.Incarnation < w.seen.Incarnation {
+	if s.Incarnation < w.lastReport.Incarnation {
 		return
 	}
-	before, wasUp := w.seen, w.up
-	w.seen, w.up = s, true
-	w.noteFence(before, p.cfg.Epoch)
-	p.tellScheduler(before, wasUp, s)
-	p.tellCoordinators(id, w)
+	before, wasUp := w.lastReport, w.up
+	w.lastReport, w.up = s, true
+	w.updateFence(before, p.cfg.Epoch)
+	p.updateScheduler(before, wasUp, s)
+	p.updateCoordinators(id, w)
 	p.stopOrphans(id, w)
 }
 
-func (p *Planner) tellScheduler(before AgentReport, wasUp bool, s AgentReport) {
+func (p *Planner) updateScheduler(before AgentReport, wasUp bool, s AgentReport) {
 	switch {
 	case s.Draining && (!wasUp || !before.Draining):
-		p.decide(scheduler.WorkerDraining{ID: s.Worker.ID})
+		p.stepScheduler(scheduler.WorkerDraining{ID: s.Worker.ID})
 	case s.Draining:
 	case !wasUp || before.Draining || before.Worker != s.Worker:
-		p.decide(scheduler.WorkerUp{Worker: s.Worker})
+		p.stepScheduler(scheduler.WorkerUp{Worker: s.Worker})
 	}
 }
 
-func (p *Planner) tellCoordinators(id string, w *worker) {
+func (p *Planner) updateCoordinators(id string, w *worker) {
 	ev := gang.Reported{
 		From:        id,
-		Incarnation: w.seen.Incarnation,
-		Fence:       w.seen.Fence,
-		Timestamp:   w.seen.Timestamp,
-		Tasks:       w.seen.Tasks,
+		Incarnation: w.lastReport.Incarnation,
+		Fence:       w.lastReport.Fence,
+		Timestamp:   w.lastReport.Timestamp,
+		Tasks:       w.lastReport.Tasks,
 	}
 	for _, j := range w.jobs {
-		p.coordinate(j, ev)
+		p.stepCoordinator(j, ev)
 	}
 }
 
 // stopOrphans ends tasks that no coordinator and no record accounts for: left
 // over when an attempt ended while this agent could not be reached.
 func (p *Planner) stopOrphans(id string, w *worker) {
-	if !p.rebuilt {
+	if !p.recordsLoaded {
 		return
 	}
-	for _, t := range w.seen.Tasks {
-		p.holdAgain(t)
-		p.occupied(w, t)
-		if p.accounted(id, t) {
+	for _, t := range w.lastReport.Tasks {
+		p.markUnresolvedAgain(t)
+		p.noteOccupied(w, t)
+		if p.isAccountedFor(id, t) {
 			continue
 		}
-		if msg, ok := gang.OrphanStop(t, w.seen.Incarnation, p.cfg.Epoch); ok {
+		if msg, ok := gang.OrphanStop(t, w.lastReport.Incarnation, p.cfg.Epoch); ok {
 			p.send(nil, id, msg)
 		}
 	}
 }
 
-func (p *Planner) accounted(agent string, t gang.Task) bool {
+func (p *Planner) isAccountedFor(agent string, t gang.Task) bool {
 	j := p.jobs[t.ID.Job]
 	if j == nil {
 		return false
@@ -119,74 +119,74 @@
 		return j.coord.Plan().ID == t.ID
 	}
 	if j.stored.IsPermit() {
-		return accountedOnPermit(j, t.ID)
+		return keepsTaskForPermit(j, t.ID)
 	}
 	r := j.stored.Record
-	return r.Epoch == t.ID.Epoch && r.Number == t.ID.Number && j.over != t.ID
+	return r.Epoch == t.ID.Epoch && r.Number == t.ID.Number && j.endedAttempt != t.ID
 }
 
-// lose is called when nothing was heard of an agent for the loss timeout, or
+// handleAgentLost is called when nothing was heard of an agent for the loss timeout, or
 // when it said goodbye.
-func (p *Planner) lose(id string, w *worker) {
+func (p *Planner) handleAgentLost(id string, w *worker) {
 	if !w.up {
 		return
 	}
 	w.up = false
 	p.cfg.Log.WithField("agent", id).Warn("agent lost")
 	for _, j := range w.jobs {
-		p.coordinate(j, gang.MemberLost{Agent: id})
+		p.stepCoordinator(j, gang.MemberLost{Agent: id})
 	}
-	p.decide(scheduler.WorkerDown{ID: scheduler.WorkerID(id)})
+	p.stepScheduler(scheduler.WorkerDown{ID: scheduler.WorkerID(id)})
 }
 
-func (p *Planner) loseSilent(now time.Time) {
+func (p *Planner) detectLostAgents(now time.Time) {
 	limit := p.doc.Document.Gang.LossTimeout.Duration
 	for id, w := range p.workers {
-		if w.up && now.Sub(w.seen.ReceivedAt) > limit {
-			p.lose(id, w)
+		if w.up && now.Sub(w.lastReport.ReceivedAt) > limit {
+			p.handleAgentLost(id, w)
 		}
-		if !w.up && len(w.jobs) == 0 && now.Sub(w.seen.ReceivedAt) > forgetWorkers {
+		if !w.up && len(w.jobs) == 0 && now.Sub(w.lastReport.ReceivedAt) > forgetWorkerAfter {
 			delete(p.workers, id)
 		}
 	}
 }
 
-// forgetWorkers is how long a lost worker is remembered.
-const forgetWorkers = 10 * time.Minute
+// forgetWorkerAfter is how long a lost worker is remembered.
+const forgetWorkerAfter = 10 * time.Minute
 
 // ReportAnswer returns what the answer to a report of the agent has to carry: the
 // attempts of several members with a member there that are whole, which is what
 // their tasks need to hear to run on, and the planner's stamp. It is safe for
 // concurrent use and reads what the last housekeeping published.
 func (p *Planner) ReportAnswer(agent string) ([]gang.ID, gang.PlannerTimestamp) {
-	w := p.whole.Load()
-	return w.of(agent, clock.Now()), gang.NewPlannerTimestamp(p.cfg.Epoch, w.at)
+	w := p.aliveAttempts.Load()
+	return w.forAgent(agent, clock.Now()), gang.NewPlannerTimestamp(p.cfg.Epoch, w.at)
 }
 
-// wholeAttempts is what was whole at one moment.
-type wholeAttempts struct {
+// aliveAttempts is what was whole at one moment.
+type aliveAttempts struct {
 	byAgent map[string][]gang.ID
 	at      time.Time
 }
 
-// staleWhole is how old what was whole may be for an answer to repeat it. It is many
+// maxAliveAge is how old what was whole may be for an answer to repeat it. It is many
 // periods of housekeeping, and below what a document leaves for the delay of reports.
-const staleWhole = 2 * time.Second
+const maxAliveAge = 2 * time.Second
 
-// of returns what was whole with a member at the agent.
+// forAgent returns what was whole with a member at the agent.
 //
 // The failure this guards against: the planner's process is frozen and goes on, and
 // answers the reports that have waited before it looks at anything again. It shows as
 // a member that is renewed by what was whole before the freeze, and so runs on alone
 // for longer than a successor waits before it starts the gang elsewhere.
-func (w *wholeAttempts) of(agent string, now time.Time) []gang.ID {
-	if now.Sub(w.at) > staleWhole {
+func (w *aliveAttempts) forAgent(agent string, now time.Time) []gang.ID {
+	if now.Sub(w.at) > maxAliveAge {
 		return nil
 	}
 	return w.byAgent[agent]
 }
 
-func (p *Planner) publishWhole(now time.Time) {
+func (p *Planner) publishAliveAttempts(now time.Time) {
 	whole := make(map[string][]gang.ID)
 	for _, j := range p.jobs {
 		if j.coord == nil || len(j.coord.Plan().Members) < 2 || !j.coord.AllMembersAlive(now) {
@@ -196,5 +196,5 @@
 			whole[m.Agent] = append(whole[m.Agent], j.coord.Plan().ID)
 		}
 	}
-	p.whole.Store(&wholeAttempts{byAgent: whole, at: now})
+	p.aliveAttempts.Store(&aliveAttempts{byAgent: whole, at: now})
 }
--- a/planner/worker_test.go
+++ b/planner/worker_test.go
@@ -14,12 +14,12 @@
 // can't reach another one waits for it to stop. The predecessor goes on, and the first
 // thing it does is to answer that member's report. What was whole before the freeze
 // must not renew it.
-func TestFrozenPlannerRenewsNothing(t *testing.T) {
+func TestFrozenPlannerDoesNotRenew(t *testing.T) {
 	c := qt.New(t)
 	ids := []gang.ID{{Job: "j", Epoch: 1, Number: 1}}
 	now := clock.Now()
-	whole := wholeAttempts{byAgent: map[string][]gang.ID{"a": ids}, at: now}
-	c.Assert(whole.of("a", now.Add(2*housekeeping)), qt.DeepEquals, ids)
-	c.Assert(whole.of("b", now), qt.HasLen, 0)
-	c.Assert(whole.of("a", now.Add(staleWhole+time.Millisecond)), qt.HasLen, 0)
+	whole := aliveAttempts{byAgent: map[string][]gang.ID{"a": ids}, at: now}
+	c.Assert(whole.forAgent("a", now.Add(2*housekeepingInterval)), qt.DeepEquals, ids)
+	c.Assert(whole.forAgent("b", now), qt.HasLen, 0)
+	c.Assert(whole.forAgent("a", now.Add(maxAliveAge+time.Millisecond)), qt.HasLen, 0)
 }
