--- a/gang/coordinator.go
+++ b/gang/coordinator.go
@@ -74,8 +74,8 @@
 	if c.phase != phaseRunning {
 		return false
 	}
-	for _, p := range c.members {
-		if p.task.State != StateEnded && now.Sub(p.aliveAt) > c.config.LivenessWindow {
+	for _, m := range c.members {
+		if m.task.State != StateEnded && now.Sub(m.aliveAt) > c.config.LivenessWindow {
 			return false
 		}
 	}
@@ -93,8 +93,8 @@
 	case Recorded:
 		c.handleRecorded(ev.Result)
 	case MemberLost:
-		if p := c.member(ev.Agent); p != nil {
-			p.lost = true
+		if m := c.member(ev.Agent); m != nil {
+			m.lost = true
 		}
 	case Abort:
 		c.checkpointOnStop = ev.Checkpoint
@@ -117,68 +117,68 @@
 // startResolving begins a round of a successor's questions to all members.
 func (c *Coordinator) startResolving() {
 	c.beganAt = c.now
-	for _, p := range c.members {
-		p.answered = false
+	for _, m := range c.members {
+		m.answered = false
 	}
 	c.enterPhase(phaseResolving)
 }
 
 func (c *Coordinator) member(agent string) *memberStatus {
-	for _, p := range c.members {
-		if p.planned.Agent == agent {
-			return p
+	for _, m := range c.members {
+		if m.planned.Agent == agent {
+			return m
 		}
 	}
 	return nil
 }
 
 func (c *Coordinator) handleReply(from string, r Reply) {
-	p := c.member(from)
-	if p == nil || r.Task.ID != c.plan.ID || r.Incarnation < p.incarnation {
+	m := c.member(from)
+	if m == nil || r.Task.ID != c.plan.ID || r.Incarnation < m.incarnation {
 		return
 	}
-	if c.endIfSuperseded(p, r.Fence) {
+	if c.endIfSuperseded(m, r.Fence) {
 		return
 	}
 	if r.Refusal == NotReady {
 		return
 	}
 	if r.Fence == c.config.Epoch {
-		p.markFenced(c.now)
+		m.markFenced(c.now)
 	}
 	switch r.Refusal {
 	case Busy, Draining, Invalid:
-		p.refusal = r.Refusal
+		m.refusal = r.Refusal
 	case WrongIncarnation, Forgotten:
-		p.taskGone = p.task.State != StateEnded
+		m.taskGone = m.task.State != StateEnded
 	}
-	p.updateTask(r.Task, r.Incarnation)
+	m.updateTask(r.Task, r.Incarnation)
 	if c.successor {
-		p.answered = true
-		p.markAlive(c.beganAt)
+		m.answered = true
+		m.markAlive(c.beganAt)
 	}
 }
 
 func (c *Coordinator) handleReport(r Reported) {
-	p := c.member(r.From)
-	if p == nil || r.Incarnation < p.incarnation || c.endIfSuperseded(p, r.Fence) {
+	m := c.member(r.From)
+	if m == nil || r.Incarnation < m.incarnation || c.endIfSuperseded(m, r.Fence) {
 		return
 	}
 	if r.Fence == c.config.Epoch {
-		p.markFenced(c.now)
+		m.markFenced(c.now)
 	}
 	for _, t := range r.Tasks {
 		if t.ID == c.plan.ID {
-			p.updateTask(t, r.Incarnation)
-			p.markAlive(r.Timestamp.reportTime(c.config.Epoch, c.now))
+			m.updateTask(t, r.Incarnation)
+			m.markAlive(r.Timestamp.reportTime(c.config.Epoch, c.now))
 			return
 		}
 	}
 	// The same incarnation may have sent its report before it heard of the
 	// attempt; a new one would list the task if its target still had it.
-	if r.Incarnation > p.incarnation && p.task.State != StateEnded {
-		p.taskGone = true
-		p.markFenced(c.now)
+	if r.Incarnation > m.incarnation && m.task.State != StateEnded {
+		m.taskGone = true
+		m.markFenced(c.now)
 	}
 }
 
@@ -197,10 +197,10 @@
 }
 
 // enterPhase changes the phase and makes all messages of the new one due at once.
-func (c *Coordinator) enterPhase(p phase) {
-	c.phase = p
+func (c *Coordinator) enterPhase(next phase) {
+	c.phase = next
 	c.phaseEnteredAt = c.now
-	for _, peer := range c.members {
-		peer.sentAt = time.Time{}
+	for _, m := range c.members {
+		m.sentAt = time.Time{}
 	}
 }
--- a/gang/coordinator_advance.go
+++ b/gang/coordinator_advance.go
@@ -37,9 +37,9 @@
 // abortBeforeCommit ends an attempt before its record if a member refuses or is
 // lost, or if the holds are about to expire.
 func (c *Coordinator) abortBeforeCommit() bool {
-	for _, p := range c.members {
-		if p.refusal != Accepted {
-			return c.abort(CauseRefused, p.planned.Agent)
+	for _, m := range c.members {
+		if m.refusal != Accepted {
+			return c.abort(CauseRefused, m.planned.Agent)
 		}
 	}
 	if c.abortIfMemberFailed() {
@@ -98,8 +98,8 @@
 	}
 	// No member can have run before the owner's first Start.
 	if !c.successor {
-		for _, p := range c.members {
-			p.markAlive(c.phaseEnteredAt)
+		for _, m := range c.members {
+			m.markAlive(c.phaseEnteredAt)
 		}
 	}
 	c.enterPhase(phaseRunning)
@@ -128,8 +128,8 @@
 }
 
 func (c *Coordinator) advanceStopping() bool {
-	for _, p := range c.members {
-		if !p.released() {
+	for _, m := range c.members {
+		if !m.released() {
 			return false
 		}
 	}
@@ -140,8 +140,8 @@
 }
 
 func (c *Coordinator) allReached(s State) bool {
-	for _, p := range c.members {
-		if !p.reached(s) {
+	for _, m := range c.members {
+		if !m.reached(s) {
 			return false
 		}
 	}
@@ -151,14 +151,14 @@
 // abortIfMemberFailed ends the attempt everywhere if it can't be completed on one
 // member.
 func (c *Coordinator) abortIfMemberFailed() bool {
-	for _, p := range c.members {
-		if !p.cannotComplete() {
+	for _, m := range c.members {
+		if !m.cannotComplete() {
 			continue
 		}
-		if p.task.Result == TaskFailed {
-			return c.abort(CauseTaskFailed, p.planned.Agent)
+		if m.task.Result == TaskFailed {
+			return c.abort(CauseTaskFailed, m.planned.Agent)
 		}
-		return c.abort(CauseMemberFailed, p.planned.Agent)
+		return c.abort(CauseMemberFailed, m.planned.Agent)
 	}
 	return false
 }
--- a/gang/coordinator_end.go
+++ b/gang/coordinator_end.go
@@ -13,8 +13,8 @@
 	if c.commitSent {
 		return true
 	}
-	for _, p := range c.members {
-		c.sendStop(p)
+	for _, m := range c.members {
+		c.sendStop(m)
 	}
 	return c.finish()
 }
@@ -22,12 +22,12 @@
 // endIfSuperseded ends the coordinator without a word about the attempt if a member
 // has heard of a planner with a higher epoch: that one may have carried on with
 // the attempt or given it up, and accounts from after that prove less.
-func (c *Coordinator) endIfSuperseded(p *memberStatus, fence uint64) bool {
+func (c *Coordinator) endIfSuperseded(m *memberStatus, fence uint64) bool {
 	if fence <= c.config.Epoch {
 		return false
 	}
 	c.phase = phaseEnded
-	c.cause, c.causeAgent = CauseStaleEpoch, p.planned.Agent
+	c.cause, c.causeAgent = CauseStaleEpoch, m.planned.Agent
 	c.emitEnded(Superseded)
 	return true
 }
@@ -44,9 +44,9 @@
 
 // acknowledgeEndedTasks takes notice of the end at the members, which then forget it first.
 func (c *Coordinator) acknowledgeEndedTasks() {
-	for _, p := range c.members {
-		if p.task.State == StateEnded {
-			c.sendStop(p)
+	for _, m := range c.members {
+		if m.task.State == StateEnded {
+			c.sendStop(m)
 		}
 	}
 }
@@ -59,25 +59,25 @@
 // started elsewhere while the lost member runs on alone. If no member was ever
 // reached there is nothing to wait for: what the predecessor renews is whole.
 func (c *Coordinator) lostMembersStoppedAt() time.Time {
-	var first time.Time
-	if !c.successor || !c.anyMember(func(p *memberStatus) bool { return p.lost && p.task.State != StateEnded }) {
-		return first
+	var firstFenced time.Time
+	if !c.successor || !c.anyMember(func(m *memberStatus) bool { return m.lost && m.task.State != StateEnded }) {
+		return firstFenced
 	}
-	for _, p := range c.members {
-		if !p.fencedAt.IsZero() && (first.IsZero() || p.fencedAt.Before(first)) {
-			first = p.fencedAt
+	for _, m := range c.members {
+		if !m.fencedAt.IsZero() && (firstFenced.IsZero() || m.fencedAt.Before(firstFenced)) {
+			firstFenced = m.fencedAt
 		}
 	}
-	if first.IsZero() {
-		return first
+	if firstFenced.IsZero() {
+		return firstFenced
 	}
-	return first.Add(c.config.SettleTime)
+	return firstFenced.Add(c.config.SettleTime)
 }
 
 func (c *Coordinator) emitEnded(o Outcome) {
 	e := Ended{Outcome: o, Cause: c.cause, CauseAgent: c.causeAgent, MayBeRecorded: c.mayBeRecorded}
-	for _, p := range c.members {
-		e.Members = append(e.Members, p.result())
+	for _, m := range c.members {
+		e.Members = append(e.Members, m.result())
 	}
 	c.actions = append(c.actions, e)
 }
@@ -88,17 +88,17 @@
 		return Done
 	case c.provenNotStarted():
 		return NotStarted
-	case c.anyMember(func(p *memberStatus) bool { return p.task.Result == TaskFailed }):
+	case c.anyMember(func(m *memberStatus) bool { return m.task.Result == TaskFailed }):
 		return Failed
-	case c.anyMember(func(p *memberStatus) bool { return p.task.State != StateEnded || p.lostOrIsolated() }):
+	case c.anyMember(func(m *memberStatus) bool { return m.task.State != StateEnded || m.lostOrIsolated() }):
 		return Lost
 	}
 	return Stopped
 }
 
 // lostOrIsolated says whether the task ended for want of its agent or target.
-func (p *memberStatus) lostOrIsolated() bool {
-	return p.task.Result == TaskLost || p.task.Result == Isolated
+func (m *memberStatus) lostOrIsolated() bool {
+	return m.task.Result == TaskLost || m.task.Result == Isolated
 }
 
 // provenNotStarted says whether no task of the attempt started and none will.
@@ -118,15 +118,15 @@
 	if c.anyMember((*memberStatus).neverCommitted) {
 		return true
 	}
-	if !c.anyMember(func(p *memberStatus) bool { return !p.neverStarted() }) {
+	if !c.anyMember(func(m *memberStatus) bool { return !m.neverStarted() }) {
 		return true
 	}
 	return !c.startSent && c.anyMember((*memberStatus).neverStarted)
 }
 
 func (c *Coordinator) anyMember(f func(*memberStatus) bool) bool {
-	for _, p := range c.members {
-		if f(p) {
+	for _, m := range c.members {
+		if f(m) {
 			return true
 		}
 	}
--- a/gang/coordinator_send.go
+++ b/gang/coordinator_send.go
@@ -9,10 +9,10 @@
 		c.recordSentAt = c.now
 		c.actions = append(c.actions, Record{Plan: c.plan})
 	}
-	for _, p := range c.members {
-		if c.awaitsReply(p) && c.due(p.sentAt) {
-			p.sentAt = c.now
-			c.actions = append(c.actions, Send{To: p.planned.Agent, Message: c.nextMessage(p)})
+	for _, m := range c.members {
+		if c.awaitsReply(m) && c.due(m.sentAt) {
+			m.sentAt = c.now
+			c.actions = append(c.actions, Send{To: m.planned.Agent, Message: c.nextMessage(m)})
 		}
 	}
 }
@@ -22,32 +22,32 @@
 }
 
 // awaitsReply says whether the phase waits for an answer of the member.
-func (c *Coordinator) awaitsReply(p *memberStatus) bool {
+func (c *Coordinator) awaitsReply(m *memberStatus) bool {
 	switch c.phase {
 	case phaseReserving:
-		return !p.reached(StateReserved)
+		return !m.reached(StateReserved)
 	case phaseResolving:
-		return p.unanswered()
+		return m.unanswered()
 	case phaseCommitting:
-		return !p.reached(StateCommitted)
+		return !m.reached(StateCommitted)
 	case phaseStarting:
-		return !p.reached(StateRunning)
+		return !m.reached(StateRunning)
 	case phaseStopping:
-		return !p.released()
+		return !m.released()
 	}
 	return false
 }
 
-func (c *Coordinator) nextMessage(p *memberStatus) Message {
-	h := c.header(p)
+func (c *Coordinator) nextMessage(m *memberStatus) Message {
+	h := c.header(m)
 	switch c.phase {
 	case phaseReserving:
 		return Reserve{
 			Header:       h,
-			Accelerators: p.planned.Accelerators,
+			Accelerators: m.planned.Accelerators,
 			Members:      len(c.members),
 			Hold:         c.config.HoldTimeout,
-			Spec:         p.planned.Spec,
+			Spec:         m.planned.Spec,
 		}
 	case phaseResolving:
 		return Seal{Header: h}
@@ -59,39 +59,39 @@
 	return Stop{Header: h, Checkpoint: c.checkpointOnStop}
 }
 
-func (c *Coordinator) header(p *memberStatus) Header {
-	return Header{ID: c.plan.ID, Sender: c.config.Epoch, Incarnation: p.planned.Incarnation}
+func (c *Coordinator) header(m *memberStatus) Header {
+	return Header{ID: c.plan.ID, Sender: c.config.Epoch, Incarnation: m.planned.Incarnation}
 }
 
-func (c *Coordinator) sendStop(p *memberStatus) {
-	m := Stop{Header: c.header(p), Checkpoint: c.checkpointOnStop}
-	c.actions = append(c.actions, Send{To: p.planned.Agent, Message: m})
+func (c *Coordinator) sendStop(m *memberStatus) {
+	stop := Stop{Header: c.header(m), Checkpoint: c.checkpointOnStop}
+	c.actions = append(c.actions, Send{To: m.planned.Agent, Message: stop})
 }
 
 // scheduleWake asks for the earliest deadline.
 func (c *Coordinator) scheduleWake() {
 	next := time.Time{}
-	earlier := func(t time.Time) {
+	addDeadline := func(t time.Time) {
 		if next.IsZero() || t.Before(next) {
 			next = t
 		}
 	}
 	switch c.phase {
 	case phaseReserving:
-		earlier(c.beganAt.Add(c.recordTimeout()))
+		addDeadline(c.beganAt.Add(c.recordTimeout()))
 	case phaseRecording:
-		earlier(c.beganAt.Add(c.recordTimeout()))
-		earlier(c.recordSentAt.Add(c.config.ResendInterval))
+		addDeadline(c.beganAt.Add(c.recordTimeout()))
+		addDeadline(c.recordSentAt.Add(c.config.ResendInterval))
 	case phaseStarting:
-		earlier(c.phaseEnteredAt.Add(c.config.startTimeout()))
+		addDeadline(c.phaseEnteredAt.Add(c.config.startTimeout()))
 	case phaseStopping:
 		if at := c.lostMembersStoppedAt(); at.After(c.now) {
-			earlier(at)
+			addDeadline(at)
 		}
 	}
-	for _, p := range c.members {
-		if c.awaitsReply(p) {
-			earlier(p.sentAt.Add(c.config.ResendInterval))
+	for _, m := range c.members {
+		if c.awaitsReply(m) {
+			addDeadline(m.sentAt.Add(c.config.ResendInterval))
 		}
 	}
 	if !next.IsZero() {
--- a/gang/member.go
+++ b/gang/member.go
@@ -65,8 +65,8 @@
 	m.now, m.actions = now, nil
 	// A renewal that waited behind a pause is taken before deadlines act, and
 	// a message after them: a hold that has expired must not be committed.
-	if c, ok := ev.(ReportAnswered); ok {
-		m.handleReportAnswered(c)
+	if answer, ok := ev.(ReportAnswered); ok {
+		m.handleReportAnswered(answer)
 	}
 	m.expireDeadlines()
 	switch ev := ev.(type) {
@@ -142,8 +142,8 @@
 	}
 	a.task.State = StateRunning
 	until := m.now.Add(m.config.IsolationTimeout)
-	if known := time.Unix(0, t.RunUntil); t.RunUntil != 0 && known.Before(until) {
-		until = known
+	if previous := time.Unix(0, t.RunUntil); t.RunUntil != 0 && previous.Before(until) {
+		until = previous
 	}
 	a.setRunDeadline(until)
 	m.assignAccelerators(a)
@@ -166,15 +166,15 @@
 	}
 }
 
-func (m *Member) handleReportAnswered(c ReportAnswered) {
-	m.timestamp = c.Timestamp
-	for _, id := range c.Renewed {
+func (m *Member) handleReportAnswered(ev ReportAnswered) {
+	m.timestamp = ev.Timestamp
+	for _, id := range ev.Renewed {
 		a := m.attempts[id]
 		if a == nil || a.task.State != StateRunning {
 			continue
 		}
-		if d := c.SentAt.Add(m.config.IsolationTimeout); d.After(a.deadline) {
-			a.setRunDeadline(d)
+		if deadline := ev.SentAt.Add(m.config.IsolationTimeout); deadline.After(a.deadline) {
+			a.setRunDeadline(deadline)
 		}
 	}
 }
--- a/gang/member_deadline.go
+++ b/gang/member_deadline.go
@@ -21,14 +21,14 @@
 
 // expiredAttempts lists the attempts whose deadline has passed, in the order of their IDs.
 func (m *Member) expiredAttempts() []*attempt {
-	var due []*attempt
+	var expired []*attempt
 	for _, a := range m.attempts {
 		if a.hasDeadline() && !m.now.Before(a.deadline) {
-			due = append(due, a)
+			expired = append(expired, a)
 		}
 	}
-	slices.SortFunc(due, func(a, b *attempt) int { return a.task.ID.Compare(b.task.ID) })
-	return due
+	slices.SortFunc(expired, func(a, b *attempt) int { return a.task.ID.Compare(b.task.ID) })
+	return expired
 }
 
 // hasDeadline says whether the attempt's deadline counts: a job of one member can't
--- a/gang/member_grant.go
+++ b/gang/member_grant.go
@@ -73,9 +73,9 @@
 	return oldest
 }
 
-func (a *attempt) evictedBefore(b *attempt) bool {
-	if a.acknowledged != b.acknowledged {
+func (a *attempt) evictedBefore(other *attempt) bool {
+	if a.acknowledged != other.acknowledged {
 		return a.acknowledged
 	}
-	return a.task.ID.Compare(b.task.ID) < 0
+	return a.task.ID.Compare(other.task.ID) < 0
 }
--- a/gang/peer.go
+++ b/gang/peer.go
@@ -17,80 +17,80 @@
 }
 
 // updateTask takes over an account unless it is older than what is known.
-func (p *memberStatus) updateTask(t Task, incarnation uint64) {
-	if incarnation < p.incarnation {
+func (m *memberStatus) updateTask(t Task, incarnation uint64) {
+	if incarnation < m.incarnation {
 		return
 	}
-	p.incarnation = incarnation
-	if t.State < p.task.State {
+	m.incarnation = incarnation
+	if t.State < m.task.State {
 		return
 	}
-	p.task = t
+	m.task = t
 }
 
 // markAlive notes up to when the task is known to have been there.
-func (p *memberStatus) markAlive(at time.Time) {
-	if at.After(p.aliveAt) {
-		p.aliveAt = at
+func (m *memberStatus) markAlive(at time.Time) {
+	if at.After(m.aliveAt) {
+		m.aliveAt = at
 	}
 }
 
 // markFenced notes that earlier planners can't act on the member any more, or see
 // that the gang is not whole.
-func (p *memberStatus) markFenced(now time.Time) {
-	if p.fencedAt.IsZero() {
-		p.fencedAt = now
+func (m *memberStatus) markFenced(now time.Time) {
+	if m.fencedAt.IsZero() {
+		m.fencedAt = now
 	}
 }
 
-func (p *memberStatus) unanswered() bool { return !p.answered }
+func (m *memberStatus) unanswered() bool { return !m.answered }
 
 // released says whether nothing of the attempt runs or is held there any more.
-func (p *memberStatus) released() bool { return p.task.State == StateEnded || p.taskGone || p.lost }
+func (m *memberStatus) released() bool { return m.task.State == StateEnded || m.taskGone || m.lost }
 
 // reached says whether the attempt got to the state and is still whole there: a
 // task that succeeded has passed all states.
-func (p *memberStatus) reached(s State) bool {
-	if p.task.State == StateEnded {
-		return p.task.Result == Succeeded
+func (m *memberStatus) reached(s State) bool {
+	if m.task.State == StateEnded {
+		return m.task.Result == Succeeded
 	}
-	return p.task.State >= s && p.task.State != StateStopping
+	return m.task.State >= s && m.task.State != StateStopping
 }
 
 // cannotComplete says whether the attempt can't be completed there.
-func (p *memberStatus) cannotComplete() bool {
-	if p.task.State == StateEnded {
-		return p.task.Result != Succeeded
+func (m *memberStatus) cannotComplete() bool {
+	if m.task.State == StateEnded {
+		return m.task.Result != Succeeded
 	}
-	return p.taskGone || p.lost || p.task.State == StateStopping
+	return m.taskGone || m.lost || m.task.State == StateStopping
 }
 
 // neverCommitted says whether the member proved that it never committed and
 // never will. An account of another incarnation is no proof: the one that was
 // asked to commit has lost its memory.
-func (p *memberStatus) neverCommitted() bool {
-	return p.task.State == StateEnded && !p.task.Committed
+func (m *memberStatus) neverCommitted() bool {
+	return m.task.State == StateEnded && !m.task.Committed
 }
 
 // neverStarted is the same for the start of the task.
-func (p *memberStatus) neverStarted() bool {
-	return p.task.State == StateEnded && !p.task.Started
+func (m *memberStatus) neverStarted() bool {
+	return m.task.State == StateEnded && !m.task.Started
 }
 
 // succeeded says whether the task did all of its work.
-func (p *memberStatus) succeeded() bool {
-	return p.task.State == StateEnded && p.task.Result == Succeeded
+func (m *memberStatus) succeeded() bool {
+	return m.task.State == StateEnded && m.task.Result == Succeeded
 }
 
 // awaitsStart says whether the member has committed and not been told to start yet.
-func (p *memberStatus) awaitsStart() bool { return p.task.State == StateCommitted }
+func (m *memberStatus) awaitsStart() bool { return m.task.State == StateCommitted }
 
-func (p *memberStatus) result() MemberResult {
+func (m *memberStatus) result() MemberResult {
 	return MemberResult{
-		Agent:        p.planned.Agent,
-		Started:      p.task.Started,
-		Result:       p.task.Result,
-		Checkpointed: p.task.Checkpointed,
-		Detail:       p.task.Detail,
+		Agent:        m.planned.Agent,
+		Started:      m.task.Started,
+		Result:       m.task.Result,
+		Checkpointed: m.task.Checkpointed,
+		Detail:       m.task.Detail,
 	}
 }
--- a/gang/search.go
+++ b/gang/search.go
@@ -72,10 +72,10 @@
 // NewSearch looks at all agents that are not lost.
 func NewSearch(c SearchConfig, now time.Time, agents []AgentView) *Search {
 	s := &Search{config: c, now: now, allFenced: true, attemptsByJob: make(map[string][]foundAttempt)}
-	for _, w := range agents {
-		s.allFenced = s.allFenced && s.isFenced(w)
-		for _, t := range w.Tasks {
-			s.addTask(w, t)
+	for _, v := range agents {
+		s.allFenced = s.allFenced && s.isFenced(v)
+		for _, t := range v.Tasks {
+			s.addTask(v, t)
 		}
 	}
 	return s
@@ -85,35 +85,35 @@
 // One that reports and can't be told, because its path is broken one way or its
 // target does not answer it, counts as lost in the end: it would keep every job
 // with a permit from starting.
-func (s *Search) isFenced(w AgentView) bool {
-	if w.FencedAt.IsZero() {
-		return !w.FenceSentAt.IsZero() && s.now.Sub(w.FenceSentAt) >= 2*s.config.LossTimeout
+func (s *Search) isFenced(v AgentView) bool {
+	if v.FencedAt.IsZero() {
+		return !v.FenceSentAt.IsZero() && s.now.Sub(v.FenceSentAt) >= 2*s.config.LossTimeout
 	}
-	return s.now.Sub(w.FencedAt) >= s.config.SettleTime
+	return s.now.Sub(v.FencedAt) >= s.config.SettleTime
 }
 
 // addTask enters a task. A reservation is none: it expires, and with the fence up it
 // can't be committed. Accounts from before the fence may still change and count
 // only as something that is there.
-func (s *Search) addTask(w AgentView, t Task) {
-	if t.State == StateReserved && !w.FencedAt.IsZero() {
+func (s *Search) addTask(v AgentView, t Task) {
+	if t.State == StateReserved && !v.FencedAt.IsZero() {
 		return
 	}
-	all := s.attemptsByJob[t.ID.Job]
-	i := slices.IndexFunc(all, func(r foundAttempt) bool { return r.plan.ID == t.ID })
+	attempts := s.attemptsByJob[t.ID.Job]
+	i := slices.IndexFunc(attempts, func(r foundAttempt) bool { return r.plan.ID == t.ID })
 	if i < 0 {
-		i = len(all)
-		all = append(all, foundAttempt{plan: Plan{ID: t.ID}, gangSize: t.Members})
+		i = len(attempts)
+		attempts = append(attempts, foundAttempt{plan: Plan{ID: t.ID}, gangSize: t.Members})
 	}
-	r := &all[i]
+	r := &attempts[i]
 	r.plan.Members = append(r.plan.Members, PlannedMember{
-		Agent:        w.Agent,
-		Incarnation:  w.Incarnation,
+		Agent:        v.Agent,
+		Incarnation:  v.Incarnation,
 		Accelerators: t.Accelerators,
 	})
-	held := memberStatus{task: t}
-	r.mustWait = r.mustWait || w.FencedAt.IsZero() || !held.reached(StateCommitted)
-	s.attemptsByJob[t.ID.Job] = all
+	status := memberStatus{task: t}
+	r.mustWait = r.mustWait || v.FencedAt.IsZero() || !status.reached(StateCommitted)
+	s.attemptsByJob[t.ID.Job] = attempts
 }
 
 // Resolve says what is known of a job with a permit of the epoch that the
@@ -127,14 +127,14 @@
 // jobs allow. An attempt that is whole need not wait; one that has ended must, since
 // the job may have been started again elsewhere.
 func (s *Search) Resolve(job string, epoch uint64, began time.Time) (SearchResult, Plan) {
-	last, left := s.latestComplete(job, epoch)
+	latest, anyFound := s.latestComplete(job, epoch)
 	waiting := s.now.Sub(began) < s.config.LossTimeout || !s.allFenced
 	switch {
-	case last != nil && (!waiting || !last.mustWait):
-		return Adoptable, last.plan
+	case latest != nil && (!waiting || !latest.mustWait):
+		return Adoptable, latest.plan
 	case waiting:
 		return SearchPending, Plan{}
-	case left:
+	case anyFound:
 		return Incomplete, Plan{}
 	}
 	return NotFound, Plan{}
@@ -143,19 +143,19 @@
 // latestComplete returns the latestComplete attempt under the epoch that is complete, and whether
 // anything is left of any.
 func (s *Search) latestComplete(job string, epoch uint64) (*foundAttempt, bool) {
-	var last *foundAttempt
-	left := false
+	var latest *foundAttempt
+	anyFound := false
 	for i := range s.attemptsByJob[job] {
 		r := &s.attemptsByJob[job][i]
 		if r.plan.ID.Epoch != epoch {
 			continue
 		}
-		left = true
-		if r.complete() && (last == nil || r.plan.ID.Compare(last.plan.ID) > 0) {
-			last = r
+		anyFound = true
+		if r.complete() && (latest == nil || r.plan.ID.Compare(latest.plan.ID) > 0) {
+			latest = r
 		}
 	}
-	return last, left
+	return latest, anyFound
 }
 
 // FenceMessage returns a message that raises the fence of an agent and concerns no job:
--- a/gang/search_test.go
+++ b/gang/search_test.go
@@ -15,48 +15,48 @@
 // member of a gang whose other members run on until isolation, and may have lost
 // its own account in a restart. Part of a gang must not be taken for all of it.
 func TestSearch(t *testing.T) {
-	const wait, settle = 20 * time.Second, 15 * time.Second
+	const lossTimeout, settleTime = 20 * time.Second, 15 * time.Second
 	began := time.Unix(1000, 0)
 	id := ID{Job: "j", Epoch: 1, Number: 7}
 	running := Task{ID: id, State: StateRunning, Members: 2, Committed: true, Started: true}
-	with := func(s State, r Result) Task {
+	withState := func(s State, r Result) Task {
 		task := running
 		task.State, task.Result = s, r
 		return task
 	}
-	agent := func(name string, fenced time.Duration, tasks ...Task) AgentView {
+	fenced := func(name string, fenced time.Duration, tasks ...Task) AgentView {
 		return AgentView{Agent: name, Incarnation: 1, FencedAt: began.Add(fenced), Tasks: tasks}
 	}
 	unfenced := func(name string, tasks ...Task) AgentView {
 		return AgentView{Agent: name, Incarnation: 1, Tasks: tasks}
 	}
 	for name, row := range map[string]struct {
-		after  time.Duration
-		agents []AgentView
-		want   SearchResult
+		elapsed time.Duration
+		agents  []AgentView
+		want    SearchResult
 	}{
-		"whole":                      {time.Second, []AgentView{agent("a", 0, running), agent("b", 0, running)}, Adoptable},
-		"whole, one done":            {time.Second, []AgentView{agent("a", 0, with(StateEnded, Succeeded)), agent("b", 0, running)}, Adoptable},
-		"whole, not yet started":     {time.Second, []AgentView{agent("a", 0, with(StateCommitted, NoResult)), agent("b", 0, with(StateCommitted, NoResult))}, Adoptable},
-		"whole, one not fenced":      {time.Second, []AgentView{agent("a", 0, running), unfenced("b", running)}, SearchPending},
-		"part of it, too early":      {wait - 1, []AgentView{agent("a", 0, running)}, SearchPending},
-		"part of it":                 {wait, []AgentView{agent("a", 0, running)}, Incomplete},
-		"one failed, too early":      {wait - 1, []AgentView{agent("a", 0, running), agent("b", 0, with(StateEnded, TaskFailed))}, SearchPending},
-		"one failed":                 {wait, []AgentView{agent("a", 0, running), agent("b", 0, with(StateEnded, TaskFailed))}, Adoptable},
-		"both isolated":              {wait, []AgentView{agent("a", 0, with(StateEnded, Isolated)), agent("b", 0, with(StateEnded, Isolated))}, Adoptable},
-		"one only reserved":          {wait, []AgentView{agent("a", 0, running), agent("b", 0, with(StateReserved, NoResult))}, Incomplete},
-		"nothing, too early":         {wait - 1, []AgentView{agent("a", 0), agent("b", 0)}, SearchPending},
-		"nothing, one not fenced":    {time.Hour, []AgentView{agent("a", 0), unfenced("b")}, SearchPending},
-		"nothing, one can't be told": {2 * wait, []AgentView{agent("a", 0), {Agent: "b", FenceSentAt: began}}, NotFound},
-		"nothing, one was just told": {2 * wait, []AgentView{agent("a", 0), {Agent: "b", FenceSentAt: began.Add(1)}}, SearchPending},
-		"nothing, one just fenced":   {wait, []AgentView{agent("a", 0), agent("b", wait-settle+1)}, SearchPending},
-		"nothing":                    {wait, []AgentView{agent("a", 0), agent("b", wait-settle)}, NotFound},
-		"only reserved":              {wait, []AgentView{agent("a", 0, with(StateReserved, NoResult))}, NotFound},
-		"nobody there":               {wait, nil, NotFound},
+		"whole":                      {time.Second, []AgentView{fenced("a", 0, running), fenced("b", 0, running)}, Adoptable},
+		"whole, one done":            {time.Second, []AgentView{fenced("a", 0, withState(StateEnded, Succeeded)), fenced("b", 0, running)}, Adoptable},
+		"whole, not yet started":     {time.Second, []AgentView{fenced("a", 0, withState(StateCommitted, NoResult)), fenced("b", 0, withState(StateCommitted, NoResult))}, Adoptable},
+		"whole, one not fenced":      {time.Second, []AgentView{fenced("a", 0, running), unfenced("b", running)}, SearchPending},
+		"part of it, too early":      {lossTimeout - 1, []AgentView{fenced("a", 0, running)}, SearchPending},
+		"part of it":                 {lossTimeout, []AgentView{fenced("a", 0, running)}, Incomplete},
+		"one failed, too early":      {lossTimeout - 1, []AgentView{fenced("a", 0, running), fenced("b", 0, withState(StateEnded, TaskFailed))}, SearchPending},
+		"one failed":                 {lossTimeout, []AgentView{fenced("a", 0, running), fenced("b", 0, withState(StateEnded, TaskFailed))}, Adoptable},
+		"both isolated":              {lossTimeout, []AgentView{fenced("a", 0, withState(StateEnded, Isolated)), fenced("b", 0, withState(StateEnded, Isolated))}, Adoptable},
+		"one only reserved":          {lossTimeout, []AgentView{fenced("a", 0, running), fenced("b", 0, withState(StateReserved, NoResult))}, Incomplete},
+		"nothing, too early":         {lossTimeout - 1, []AgentView{fenced("a", 0), fenced("b", 0)}, SearchPending},
+		"nothing, one not fenced":    {time.Hour, []AgentView{fenced("a", 0), unfenced("b")}, SearchPending},
+		"nothing, one can't be told": {2 * lossTimeout, []AgentView{fenced("a", 0), {Agent: "b", FenceSentAt: began}}, NotFound},
+		"nothing, one was just told": {2 * lossTimeout, []AgentView{fenced("a", 0), {Agent: "b", FenceSentAt: began.Add(1)}}, SearchPending},
+		"nothing, one just fenced":   {lossTimeout, []AgentView{fenced("a", 0), fenced("b", lossTimeout-settleTime+1)}, SearchPending},
+		"nothing":                    {lossTimeout, []AgentView{fenced("a", 0), fenced("b", lossTimeout-settleTime)}, NotFound},
+		"only reserved":              {lossTimeout, []AgentView{fenced("a", 0, withState(StateReserved, NoResult))}, NotFound},
+		"nobody there":               {lossTimeout, nil, NotFound},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			s := NewSearch(SearchConfig{LossTimeout: wait, SettleTime: settle}, began.Add(row.after), row.agents)
+			s := NewSearch(SearchConfig{LossTimeout: lossTimeout, SettleTime: settleTime}, began.Add(row.elapsed), row.agents)
 			verdict, plan := s.Resolve("j", 1, began)
 			c.Check(verdict, qt.Equals, row.want)
 			if verdict == Adoptable {
--- a/gang/sim_agent_test.go
+++ b/gang/sim_agent_test.go
@@ -71,10 +71,10 @@
 
 // renewLeases keeps the target's copy of each task's deadline current.
 func (a *simAgent) renewLeases() {
-	for _, known := range a.member.Tasks() {
+	for _, task := range a.member.Tasks() {
 		for i := range a.tasks {
-			if a.tasks[i].ID == known.ID {
-				a.tasks[i].RunUntil = known.RunUntil
+			if a.tasks[i].ID == task.ID {
+				a.tasks[i].RunUntil = task.RunUntil
 			}
 		}
 	}
@@ -139,8 +139,8 @@
 	if a.sim.chance(0.15) {
 		result = TaskFailed
 	}
-	length := time.Duration(5+a.sim.rng.IntN(60)) * time.Second
-	a.sim.after(length, func() { a.endTask(t.ID, result) })
+	runTime := time.Duration(5+a.sim.rng.IntN(60)) * time.Second
+	a.sim.after(runTime, func() { a.endTask(t.ID, result) })
 }
 
 func (a *simAgent) endTask(id ID, r Result) {
--- a/gang/sim_permit_test.go
+++ b/gang/sim_permit_test.go
@@ -59,9 +59,9 @@
 		}
 		p.permit(job).void = true
 		p.storeCall(func() {
-			now := &p.sim.store.records[job]
-			if now.state == simPermitted && now.revision == rec.revision {
-				*now = simRecord{revision: rec.revision + 1}
+			current := &p.sim.store.records[job]
+			if current.state == simPermitted && current.revision == rec.revision {
+				*current = simRecord{revision: rec.revision + 1}
 				p.sim.stats.permitsReturned++
 			}
 		}, func(bool) {})
@@ -130,7 +130,7 @@
 }
 
 // endPermitted ends a cancelled job that has a permit and no attempt.
-func (p *simPlanner) endPermitted(job int, claim bool) {
+func (p *simPlanner) endPermitted(job int, claimNotRun bool) {
 	expect := p.records[job].revision
 	p.storeCall(func() {
 		rec := &p.sim.store.records[job]
@@ -139,7 +139,7 @@
 		}
 		rec.revision++
 		rec.state = simEnded
-		if claim {
+		if claimNotRun {
 			p.sim.tellNotRun(job)
 		}
 	}, func(bool) {})
@@ -228,13 +228,13 @@
 }
 
 // cancel is a caller's cancellation through an entry that reaches the store.
-func (w *simulation) cancel(job int) {
-	rec := &w.store.records[job]
+func (s *simulation) cancel(job int) {
+	rec := &s.store.records[job]
 	switch {
-	case w.store.down || rec.state == simEnded || rec.cancelRequested:
+	case s.store.down || rec.state == simEnded || rec.cancelRequested:
 		return
 	case rec.state == simQueued && rec.attempts == 0:
-		w.tellNotRun(job)
+		s.tellNotRun(job)
 		rec.state = simEnded
 	case rec.state == simQueued:
 		rec.state = simEnded
@@ -245,15 +245,15 @@
 }
 
 // tellNotRun tells a caller that the job did not run and will not.
-func (w *simulation) tellNotRun(job int) {
-	name := w.jobs[job].name
-	if ran := w.history.attemptsByJob[name]; len(ran) > 0 {
-		w.fail("job %s told not run after it ran as %v", name, ran)
+func (s *simulation) tellNotRun(job int) {
+	name := s.jobs[job].name
+	if ran := s.history.attemptsByJob[name]; len(ran) > 0 {
+		s.fail("job %s told not run after it ran as %v", name, ran)
 	}
-	w.history.toldNotRun[name] = true
-	w.stats.toldNotRun++
+	s.history.toldNotRun[name] = true
+	s.stats.toldNotRun++
 }
 
-func (w *simulation) jobIndex(name string) int {
-	return slices.IndexFunc(w.jobs, func(j simJob) bool { return j.name == name })
+func (s *simulation) jobIndex(name string) int {
+	return slices.IndexFunc(s.jobs, func(j simJob) bool { return j.name == name })
 }
--- a/gang/sim_planner_test.go
+++ b/gang/sim_planner_test.go
@@ -79,24 +79,24 @@
 // storeCall runs an operation at the store. Its reply may be lost after it took
 // effect, and it may take effect long after the planner gave it up.
 func (p *simPlanner) storeCall(op func(), done func(ok bool)) {
-	w := p.sim
-	reach := func() bool { return !w.store.down && !p.storeUnreachable }
-	if w.faultsEnabled && w.chance(0.1) {
-		w.after(4*w.delay(), func() {
-			if reach() {
+	s := p.sim
+	reachable := func() bool { return !s.store.down && !p.storeUnreachable }
+	if s.faultsEnabled && s.chance(0.1) {
+		s.after(4*s.delay(), func() {
+			if reachable() {
 				op()
 			}
 		})
-		w.after(w.delay(), func() { p.whenAwake(func() { done(false) }) })
+		s.after(s.delay(), func() { p.whenAwake(func() { done(false) }) })
 		return
 	}
-	w.after(w.delay()/4, func() {
-		ok := reach()
+	s.after(s.delay()/4, func() {
+		ok := reachable()
 		if ok {
 			op()
 		}
-		ok = ok && !(w.faultsEnabled && w.chance(0.1))
-		w.after(w.delay()/4, func() { p.whenAwake(func() { done(ok) }) })
+		ok = ok && !(s.faultsEnabled && s.chance(0.1))
+		s.after(s.delay()/4, func() { p.whenAwake(func() { done(ok) }) })
 	})
 }
 
@@ -120,12 +120,12 @@
 
 // refresh reads the records, writes outcomes, resumes and plans.
 func (p *simPlanner) refresh() {
-	var read []simRecord
-	p.storeCall(func() { read = p.sim.store.snapshot() }, func(ok bool) {
+	var snapshot []simRecord
+	p.storeCall(func() { snapshot = p.sim.store.snapshot() }, func(ok bool) {
 		if !ok {
 			return
 		}
-		p.records = read
+		p.records = snapshot
 		for _, r := range slices.Clone(p.runs) {
 			switch {
 			case r.outcome != nil:
@@ -201,8 +201,8 @@
 		if p.incarnations[i] == 0 {
 			return plan, false
 		}
-		gpus := p.sim.rng.Perm(simAccelerators)[:1+p.sim.rng.IntN(simAccelerators)]
-		plan.Members = append(plan.Members, PlannedMember{p.sim.agents[i].name, p.incarnations[i], gpus, nil})
+		accelerators := p.sim.rng.Perm(simAccelerators)[:1+p.sim.rng.IntN(simAccelerators)]
+		plan.Members = append(plan.Members, PlannedMember{p.sim.agents[i].name, p.incarnations[i], accelerators, nil})
 	}
 	return plan, true
 }
@@ -269,10 +269,10 @@
 
 func (p *simPlanner) writeOutcome(r *simRun) {
 	job := p.sim.jobs[r.job]
-	id, o := r.coord.Plan().ID, r.outcome.Outcome
-	again := o == NotStarted || job.repeatable && o != Done
-	if r.onPermit && again && p.records[r.job].state == simPermitted {
-		p.retryOnPermit(r, o)
+	id, outcome := r.coord.Plan().ID, r.outcome.Outcome
+	retry := outcome == NotStarted || job.repeatable && outcome != Done
+	if r.onPermit && retry && p.records[r.job].state == simPermitted {
+		p.retryOnPermit(r, outcome)
 		return
 	}
 	write := func() {
@@ -285,7 +285,7 @@
 		}
 		rec.revision++
 		rec.state = simEnded
-		if again && !rec.cancelRequested && rec.attempts < 20 {
+		if retry && !rec.cancelRequested && rec.attempts < 20 {
 			rec.state = simQueued
 		}
 	}
@@ -298,13 +298,13 @@
 
 // retryOnPermit leaves the record alone after an attempt: the job is started again
 // on the permit, or over that of another planner.
-func (p *simPlanner) retryOnPermit(r *simRun, o Outcome) {
+func (p *simPlanner) retryOnPermit(r *simRun, outcome Outcome) {
 	p.removeRun(r)
 	if id := r.coord.Plan().ID; id.Epoch != p.epoch {
 		p.unresolved[r.job] = &simUnresolved{epoch: id.Epoch, notFound: true}
 		return
 	}
-	if o != NotStarted {
+	if outcome != NotStarted {
 		p.permit(r.job).mayHaveStarted = true
 	}
 }
@@ -328,14 +328,14 @@
 		i := p.sim.agentIndex(a.name)
 		p.heardAt[i] = p.sim.now
 		p.applyReport(i, r)
-		var whole []ID
+		var renewed []ID
 		for _, run := range slices.Clone(p.runs) {
 			p.step(run, r)
 			if run.coord.AllMembersAlive(p.sim.now) {
-				whole = append(whole, run.coord.Plan().ID)
+				renewed = append(renewed, run.coord.Plan().ID)
 			}
 		}
-		p.sim.send(p, a, func() { a.step(ReportAnswered{sent, whole, NewPlannerTimestamp(p.epoch, p.sim.now)}) })
+		p.sim.send(p, a, func() { a.step(ReportAnswered{sent, renewed, NewPlannerTimestamp(p.epoch, p.sim.now)}) })
 		for _, t := range r.Tasks {
 			if stop, ok := OrphanStop(t, r.Incarnation, p.epoch); ok && !p.knowsAttempt(t.ID) {
 				p.sendTo(a, stop)
--- a/gang/sim_test.go
+++ b/gang/sim_test.go
@@ -17,9 +17,9 @@
 func TestRandomWorlds(t *testing.T) {
 	var sum simStats
 	for i := range *simRuns {
-		w := newSimulation(t, *simSeed+uint64(i))
-		w.run(600*time.Second, 1500*time.Second)
-		sum.add(w.stats)
+		s := newSimulation(t, *simSeed+uint64(i))
+		s.run(600*time.Second, 1500*time.Second)
+		sum.add(s.stats)
 	}
 	t.Logf("%d worlds from seed %d: %+v", *simRuns, *simSeed, sum)
 	if sum.starts == 0 || sum.done == 0 || sum.notStarted == 0 || sum.lost == 0 ||
--- a/gang/sim_world_test.go
+++ b/gang/sim_world_test.go
@@ -78,77 +78,77 @@
 type simStats struct{ starts, done, notStarted, lost, superseded, recovered, isolated, onPermit, adoptable, notFound, permitsReturned, toldNotRun, overlaps int }
 
 func newSimulation(t testing.TB, seed uint64) *simulation {
-	w := &simulation{
+	s := &simulation{
 		t:       t,
 		seed:    seed,
 		rng:     rand.New(rand.NewPCG(seed, 1)),
 		now:     time.Unix(1000, 0),
 		history: newSimHistory(),
 	}
-	w.permitChance = 0.5 + w.rng.Float64()/2
+	s.permitChance = 0.5 + s.rng.Float64()/2
 	names := []string{"a", "b", "c", "d", "e"}
 	for i := range simJobs {
-		w.jobs = append(w.jobs, simJob{names[i], 1 + i%3, w.chance(0.5)})
-		w.store.records = append(w.store.records, simRecord{})
+		s.jobs = append(s.jobs, simJob{names[i], 1 + i%3, s.chance(0.5)})
+		s.store.records = append(s.store.records, simRecord{})
 	}
 	for i := range simWorkers {
-		a := &simAgent{sim: w, name: names[i]}
-		w.agents = append(w.agents, a)
+		a := &simAgent{sim: s, name: names[i]}
+		s.agents = append(s.agents, a)
 		a.restart()
 	}
-	return w
+	return s
 }
 
 // run takes the world through chaos and then lets it come to rest.
-func (w *simulation) run(chaos, rest time.Duration) {
-	w.faultsEnabled = true
-	w.addPlanner()
-	for end := w.now.Add(chaos); w.now.Before(end); {
-		w.injectFault()
-		w.tick()
+func (s *simulation) run(faultPeriod, quietPeriod time.Duration) {
+	s.faultsEnabled = true
+	s.addPlanner()
+	for end := s.now.Add(faultPeriod); s.now.Before(end); {
+		s.injectFault()
+		s.tick()
 	}
-	w.faultsEnabled = false
-	w.endFaults()
-	for end := w.now.Add(rest); w.now.Before(end); {
-		w.tick()
+	s.faultsEnabled = false
+	s.endFaults()
+	for end := s.now.Add(quietPeriod); s.now.Before(end); {
+		s.tick()
 	}
-	w.checkNothingLeft()
+	s.checkNothingLeft()
 }
 
-func (w *simulation) tick() {
-	w.now = w.now.Add(simStep)
-	for len(w.queue) > 0 && !w.queue[0].at.After(w.now) {
-		heap.Pop(&w.queue).(simEvent).run()
+func (s *simulation) tick() {
+	s.now = s.now.Add(simStep)
+	for len(s.queue) > 0 && !s.queue[0].at.After(s.now) {
+		heap.Pop(&s.queue).(simEvent).run()
 	}
-	for _, a := range w.agents {
+	for _, a := range s.agents {
 		a.tick()
 	}
-	for _, p := range w.planners {
+	for _, p := range s.planners {
 		p.tick()
 	}
-	w.checkPartial()
+	s.checkPartial()
 }
 
-func (w *simulation) chance(p float64) bool { return w.rng.Float64() < p }
+func (s *simulation) chance(p float64) bool { return s.rng.Float64() < p }
 
-func (w *simulation) delay() time.Duration {
-	return time.Duration(w.rng.Int64N(int64(simMaxDelay)))
+func (s *simulation) delay() time.Duration {
+	return time.Duration(s.rng.Int64N(int64(simMaxDelay)))
 }
 
-func (w *simulation) after(d time.Duration, run func()) {
-	w.seq++
-	heap.Push(&w.queue, simEvent{w.now.Add(d), w.seq, run})
+func (s *simulation) after(d time.Duration, run func()) {
+	s.seq++
+	heap.Push(&s.queue, simEvent{s.now.Add(d), s.seq, run})
 }
 
 // send delivers a message between a planner and an agent: late, out of order,
 // twice or not at all.
-func (w *simulation) send(p *simPlanner, a *simAgent, deliver func()) {
+func (s *simulation) send(p *simPlanner, a *simAgent, deliver func()) {
 	copies := 1
-	if w.faultsEnabled && w.chance(0.1) {
-		copies = w.rng.IntN(3)
+	if s.faultsEnabled && s.chance(0.1) {
+		copies = s.rng.IntN(3)
 	}
 	for range copies {
-		w.after(w.delay(), func() {
+		s.after(s.delay(), func() {
 			if !p.disconnected[a.name] {
 				deliver()
 			}
@@ -157,84 +157,84 @@
 }
 
 // injectFault lets something fail or recover.
-func (w *simulation) injectFault() {
-	switch w.rng.IntN(70) {
+func (s *simulation) injectFault() {
+	switch s.rng.IntN(70) {
 	case 0:
-		w.anyAgent().crash()
+		s.anyAgent().crash()
 	case 1:
-		w.anyAgent().loseTasks()
+		s.anyAgent().loseTasks()
 	case 2, 3:
-		w.store.down = !w.store.down
+		s.store.down = !s.store.down
 	case 4, 5:
-		p := w.anyPlanner()
+		p := s.anyPlanner()
 		p.paused = !p.paused
 	case 6, 7:
-		p := w.anyPlanner()
+		p := s.anyPlanner()
 		p.storeUnreachable = !p.storeUnreachable
 	case 8, 9, 10:
-		a, p := w.anyAgent(), w.anyPlanner()
+		a, p := s.anyAgent(), s.anyPlanner()
 		p.disconnected[a.name] = !p.disconnected[a.name]
 	case 11:
-		w.addPlanner()
+		s.addPlanner()
 	case 19:
-		if w.chance(0.15) {
-			w.cancel(w.rng.IntN(len(w.jobs)))
+		if s.chance(0.15) {
+			s.cancel(s.rng.IntN(len(s.jobs)))
 		}
 	case 20:
-		if p := w.planners[0]; len(w.planners) > 1 && !p.paused {
+		if p := s.planners[0]; len(s.planners) > 1 && !p.paused {
 			p.returnPermits()
-			w.keepPlanners(len(w.planners) - 1)
+			s.keepPlanners(len(s.planners) - 1)
 		}
 	case 12:
-		w.keepPlanners(max(1, len(w.planners)-1))
+		s.keepPlanners(max(1, len(s.planners)-1))
 	case 13, 14, 15, 16, 17, 18:
-		p := w.anyPlanner()
+		p := s.anyPlanner()
 		if len(p.runs) > 0 && !p.paused {
-			p.step(p.runs[w.rng.IntN(len(p.runs))], Abort{Checkpoint: w.chance(0.5)})
+			p.step(p.runs[s.rng.IntN(len(p.runs))], Abort{Checkpoint: s.chance(0.5)})
 		}
 	}
 }
 
-func (w *simulation) anyAgent() *simAgent     { return w.agents[w.rng.IntN(len(w.agents))] }
-func (w *simulation) anyPlanner() *simPlanner { return w.planners[w.rng.IntN(len(w.planners))] }
+func (s *simulation) anyAgent() *simAgent     { return s.agents[s.rng.IntN(len(s.agents))] }
+func (s *simulation) anyPlanner() *simPlanner { return s.planners[s.rng.IntN(len(s.planners))] }
 
 // endFaults ends all failures and leaves one planner, a fresh one.
-func (w *simulation) endFaults() {
-	w.store.down = false
-	w.keepPlanners(0)
-	w.addPlanner()
-	for _, a := range w.agents {
+func (s *simulation) endFaults() {
+	s.store.down = false
+	s.keepPlanners(0)
+	s.addPlanner()
+	for _, a := range s.agents {
 		if a.member == nil {
 			a.restart()
 		}
 	}
 }
 
-func (w *simulation) addPlanner() {
-	if w.store.down {
+func (s *simulation) addPlanner() {
+	if s.store.down {
 		return
 	}
-	w.epoch++
-	p := &simPlanner{sim: w, epoch: w.epoch, disconnected: map[string]bool{}, records: w.store.snapshot()}
+	s.epoch++
+	p := &simPlanner{sim: s, epoch: s.epoch, disconnected: map[string]bool{}, records: s.store.snapshot()}
 	p.permits, p.unresolved = map[int]*simPermit{}, map[int]*simUnresolved{}
-	p.fencedAt, p.fenceSentAt = make([]time.Time, len(w.agents)), make([]time.Time, len(w.agents))
-	p.tasks = make([][]Task, len(w.agents))
-	for range w.agents {
-		p.heardAt = append(p.heardAt, w.now)
+	p.fencedAt, p.fenceSentAt = make([]time.Time, len(s.agents)), make([]time.Time, len(s.agents))
+	p.tasks = make([][]Task, len(s.agents))
+	for range s.agents {
+		p.heardAt = append(p.heardAt, s.now)
 		p.incarnations = append(p.incarnations, 0)
 	}
-	w.planners = append(w.planners, p)
-	w.keepPlanners(simMaxPlanners)
+	s.planners = append(s.planners, p)
+	s.keepPlanners(simMaxPlanners)
 }
 
 // keepPlanners ends the processes of all planners but the n latest.
-func (w *simulation) keepPlanners(n int) {
-	for len(w.planners) > n {
-		w.planners[0].dead = true
-		w.planners = w.planners[1:]
+func (s *simulation) keepPlanners(n int) {
+	for len(s.planners) > n {
+		s.planners[0].dead = true
+		s.planners = s.planners[1:]
 	}
 }
 
-func (w *simulation) agentIndex(name string) int {
-	return slices.IndexFunc(w.agents, func(a *simAgent) bool { return a.name == name })
+func (s *simulation) agentIndex(name string) int {
+	return slices.IndexFunc(s.agents, func(a *simAgent) bool { return a.name == name })
 }
--- a/gang/stories_test.go
+++ b/gang/stories_test.go
@@ -59,7 +59,7 @@
 // step gives the coordinator an event and carries messages until all is quiet.
 // It returns the actions that are not messages.
 func (cl *cluster) step(co *Coordinator, now time.Time, ev Event) []Action {
-	var rest []Action
+	var others []Action
 	for _, act := range co.Step(now, ev) {
 		switch act := act.(type) {
 		case Send:
@@ -67,14 +67,14 @@
 				continue
 			}
 			for _, r := range replies(cl.members[act.To].Step(now, Received{"p", act.Message})) {
-				rest = append(rest, cl.step(co, now, ReplyReceived{act.To, r})...)
+				others = append(others, cl.step(co, now, ReplyReceived{act.To, r})...)
 			}
 		case WakeAt:
 		default:
-			rest = append(rest, act)
+			others = append(others, act)
 		}
 	}
-	return rest
+	return others
 }
 
 func replies(actions []MemberAction) []Reply {
@@ -290,26 +290,26 @@
 // partial. An agent that restarts on the way gives the task no more time.
 func TestIsolatedMemberStops(t *testing.T) {
 	for _, test := range []struct {
-		story   string
-		members int
-		until   time.Duration
-		stops   bool
+		name     string
+		members  int
+		runUntil time.Duration
+		stops    bool
 	}{
 		{"part of a gang", 2, 0, true},
 		{"whole job", 1, 0, false},
 		{"restart just before the end", 2, time.Second, true},
 	} {
-		t.Run(test.story, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			task := Task{ID: attempt1, Accelerators: []int{0}, Members: test.members}
-			wait := 15 * time.Second
-			if test.until > 0 {
-				task.RunUntil = t0.Add(test.until).UnixNano()
-				wait = test.until
+			timeout := 15 * time.Second
+			if test.runUntil > 0 {
+				task.RunUntil = t0.Add(test.runUntil).UnixNano()
+				timeout = test.runUntil
 			}
 			m := testMember(2, task)
-			c.Assert(hasStopTask(m.Step(t0.Add(wait-1), Tick{})), qt.IsFalse)
-			c.Assert(hasStopTask(m.Step(t0.Add(wait), Tick{})), qt.Equals, test.stops)
+			c.Assert(hasStopTask(m.Step(t0.Add(timeout-1), Tick{})), qt.IsFalse)
+			c.Assert(hasStopTask(m.Step(t0.Add(timeout), Tick{})), qt.Equals, test.stops)
 		})
 	}
 }
@@ -350,15 +350,15 @@
 	co := NewCoordinator(testConfig(1), testPlan("a"))
 	cl.step(co, t0, Begin{})
 	cl.step(co, t0, Recorded{RecordWritten})
-	woken := t0.Add(time.Minute)
-	for sent, whole := range map[time.Time]bool{t0: false, woken: true} {
+	resumedAt := t0.Add(time.Minute)
+	for sent, alive := range map[time.Time]bool{t0: false, resumedAt: true} {
 		r := Reported{From: "a", Incarnation: 1, Fence: 1, Tasks: cl.members["a"].Tasks()}
 		r.Timestamp = NewPlannerTimestamp(1, sent)
-		again := *co
-		again.members = []*memberStatus{{}}
-		*again.members[0] = *co.members[0]
-		again.Step(woken, r)
-		c.Assert(again.AllMembersAlive(woken), qt.Equals, whole)
+		copied := *co
+		copied.members = []*memberStatus{{}}
+		*copied.members[0] = *co.members[0]
+		copied.Step(resumedAt, r)
+		c.Assert(copied.AllMembersAlive(resumedAt), qt.Equals, alive)
 	}
 }
 
--- a/jobs/store.go
+++ b/jobs/store.go
@@ -61,14 +61,14 @@
 	return reflect.DeepEqual(a, b)
 }
 
-func normalizeJSON(m json.RawMessage) json.RawMessage {
+func normalizeJSON(raw json.RawMessage) json.RawMessage {
 	var v any
-	if json.Unmarshal(m, &v) != nil {
-		return m
+	if json.Unmarshal(raw, &v) != nil {
+		return raw
 	}
 	out, err := json.Marshal(v)
 	if err != nil {
-		return m
+		return raw
 	}
 	return out
 }
@@ -106,15 +106,15 @@
 	if err != nil {
 		return nil, err
 	}
-	all := make(map[string]Stored, len(snap.Keys))
+	records := make(map[string]Stored, len(snap.Keys))
 	for _, kv := range snap.Keys {
 		r, err := decode(kv)
 		if err != nil {
 			return nil, err
 		}
-		all[r.ID] = r
+		records[r.ID] = r
 	}
-	return all, nil
+	return records, nil
 }
 
 // Cancel ends a job that is still queued, or asks its planner to stop it. It
--- a/planner/follow.go
+++ b/planner/follow.go
@@ -34,65 +34,65 @@
 		return
 	}
 	p.post(func() {
-		var fresh []scheduler.Job
+		var newJobs []scheduler.Job
 		for _, ev := range b.Events {
 			if ev.Deleted {
 				continue // retention has passed; the job had ended
 			}
-			fresh = p.handleRecord(ev.KeyValue, fresh)
+			newJobs = p.handleRecord(ev.KeyValue, newJobs)
 		}
-		p.submitJobs(fresh)
+		p.submitJobs(newJobs)
 	})
 }
 
 // handleListing takes in all records at once: at the begin of the term, and after a
 // watch could not be resumed.
 func (p *Planner) handleListing(snap store.Snapshot) {
-	var fresh []scheduler.Job
+	var newJobs []scheduler.Job
 	for _, kv := range snap.Keys {
-		fresh = p.handleRecord(kv, fresh)
+		newJobs = p.handleRecord(kv, newJobs)
 	}
-	p.submitJobs(fresh)
+	p.submitJobs(newJobs)
 	p.recordsLoaded = true
 }
 
-func (p *Planner) submitJobs(fresh []scheduler.Job) {
+func (p *Planner) submitJobs(newJobs []scheduler.Job) {
 	if p.recordsLoaded {
-		fresh = p.rejectSurplus(fresh)
+		newJobs = p.rejectSurplus(newJobs)
 	}
-	if len(fresh) > 0 {
-		p.stepScheduler(scheduler.JobsSubmitted{Jobs: fresh})
+	if len(newJobs) > 0 {
+		p.stepScheduler(scheduler.JobsSubmitted{Jobs: newJobs})
 	}
 }
 
 // handleRecord brings one record in. New jobs that wait are appended to fresh, so that
 // a burst is one decision.
-func (p *Planner) handleRecord(kv store.KeyValue, fresh []scheduler.Job) []scheduler.Job {
+func (p *Planner) handleRecord(kv store.KeyValue, newJobs []scheduler.Job) []scheduler.Job {
 	r, err := jobs.Decode(kv)
 	if err != nil {
 		p.cfg.Log.WithError(err).Error("job record can't be read; it is left alone")
-		return fresh
+		return newJobs
 	}
 	if p.jobs[r.ID] != nil {
 		p.handleRecordChange(r)
-		return fresh
+		return newJobs
 	}
 	// A watch that has fallen behind brings earlier forms of a record whose end
 	// this planner has written itself. Taken for news, the start among them would
 	// revive the job.
 	if last, ok := p.recentlyEnded.Peek(r.ID); ok && r.Rev <= last.Rev {
-		return fresh
+		return newJobs
 	}
 	switch {
 	case r.State.Ended():
 		p.recentlyEnded.Add(r.ID, r)
 	case r.State == jobs.Queued:
 		p.jobs[r.ID] = &job{stored: r, phase: Queued}
-		fresh = append(fresh, schedulerJob(r.Record, p.doc.Document))
+		newJobs = append(newJobs, schedulerJob(r.Record, p.doc.Document))
 	default:
 		p.takeOverRecord(r)
 	}
-	return fresh
+	return newJobs
 }
 
 // takeOverRecord takes over an attempt that an earlier planner recorded.
--- a/planner/limits.go
+++ b/planner/limits.go
@@ -37,13 +37,13 @@
 	reason string
 }
 
-func limitExceededBy(j *job, c *document.Class, now time.Time) *exceededLimit {
+func limitExceededBy(j *job, class *document.Class, now time.Time) *exceededLimit {
 	switch {
-	case now.Sub(j.stored.Submitted) > c.Deadline.Duration && j.phase == Queued && !j.mayHaveRun():
+	case now.Sub(j.stored.Submitted) > class.Deadline.Duration && j.phase == Queued && !j.mayHaveRun():
 		return &exceededLimit{jobs.Rejected, reasonDeadline}
-	case now.Sub(j.stored.Submitted) > c.Deadline.Duration:
+	case now.Sub(j.stored.Submitted) > class.Deadline.Duration:
 		return &exceededLimit{jobs.Failed, reasonDeadline}
-	case j.phase == Running && now.Sub(j.stored.Started) > c.MaxRun.Duration:
+	case j.phase == Running && now.Sub(j.stored.Started) > class.MaxRun.Duration:
 		return &exceededLimit{jobs.Failed, reasonMaxRun}
 	}
 	return nil
@@ -73,16 +73,16 @@
 
 // rejectSurplus splits what has arrived into what may wait and what finds the service's
 // queue full.
-func (p *Planner) rejectSurplus(fresh []scheduler.Job) []scheduler.Job {
-	room := p.doc.Document.Admission.MaxJobs - (p.queuedCount() - len(fresh))
-	if len(fresh) <= room {
-		return fresh
+func (p *Planner) rejectSurplus(newJobs []scheduler.Job) []scheduler.Job {
+	free := p.doc.Document.Admission.MaxJobs - (p.queuedCount() - len(newJobs))
+	if len(newJobs) <= free {
+		return newJobs
 	}
-	room = max(room, 0)
-	for _, f := range fresh[room:] {
+	free = max(free, 0)
+	for _, f := range newJobs[free:] {
 		p.endJob(p.jobs[string(f.ID)], jobs.Rejected, reasonQueue)
 	}
-	return fresh[:room]
+	return newJobs[:free]
 }
 
 func (p *Planner) queuedCount() int {
--- a/planner/outage.go
+++ b/planner/outage.go
@@ -43,13 +43,13 @@
 func (p *Planner) handleStoreRecovered() {
 	p.cfg.Log.Info("store back")
 	p.storeUnavailable = false
-	var back []*job
+	var withheld []*job
 	for _, j := range p.jobs {
 		if j.withheld && !j.unresolved {
-			back = append(back, j)
+			withheld = append(withheld, j)
 		}
 	}
-	p.resubmit(back)
+	p.resubmit(withheld)
 }
 
 // withholdUnpermitted takes jobs out of the scheduler that can't be started before
@@ -76,10 +76,10 @@
 }
 
 // resubmit lets withheld jobs wait at their old places.
-func (p *Planner) resubmit(back []*job) {
-	slices.SortFunc(back, func(a, b *job) int { return a.stored.Submitted.Compare(b.stored.Submitted) })
-	var fresh []scheduler.Job
-	for _, j := range back {
+func (p *Planner) resubmit(withheld []*job) {
+	slices.SortFunc(withheld, func(a, b *job) int { return a.stored.Submitted.Compare(b.stored.Submitted) })
+	var newJobs []scheduler.Job
+	for _, j := range withheld {
 		j.withheld, j.unresolved = false, false
 		if j.finalRecord != nil {
 			continue
@@ -90,9 +90,9 @@
 		}
 		s := schedulerJob(j.stored.Record, p.doc.Document)
 		s.LastAttempt = max(s.LastAttempt, j.attempt)
-		fresh = append(fresh, s)
+		newJobs = append(newJobs, s)
 	}
-	if len(fresh) > 0 {
-		p.stepScheduler(scheduler.JobsSubmitted{Jobs: fresh})
+	if len(newJobs) > 0 {
+		p.stepScheduler(scheduler.JobsSubmitted{Jobs: newJobs})
 	}
 }
--- a/planner/permit.go
+++ b/planner/permit.go
@@ -63,21 +63,21 @@
 	if !p.recordsLoaded || p.storeUnavailable {
 		return
 	}
-	room := maxUnusedPermits
-	var waiting []permitCandidate
+	remaining := maxUnusedPermits
+	var candidates []permitCandidate
 	for _, j := range p.jobs {
 		switch {
 		case j.permit.writing, p.permitUnused(j):
-			room--
+			remaining--
 		case eligibleForPermit(j, now):
-			waiting = append(waiting, p.permitCandidate(j))
+			candidates = append(candidates, p.permitCandidate(j))
 		}
 	}
-	if room <= 0 {
+	if remaining <= 0 {
 		return
 	}
-	slices.SortFunc(waiting, permitCandidate.compare)
-	for _, c := range waiting[:min(room, len(waiting))] {
+	slices.SortFunc(candidates, permitCandidate.compare)
+	for _, c := range candidates[:min(remaining, len(candidates))] {
 		p.writePermit(c.job)
 	}
 }
@@ -117,26 +117,26 @@
 
 func (p *Planner) writePermit(j *job) {
 	j.permit.writing = true
-	from := j.stored.Rev
+	baseRev := j.stored.Rev
 	next := j.stored.WithPermit(p.cfg.Epoch)
 	p.tomb.Go(func() error {
 		ctx, cancel := p.context(requestTimeout)
 		defer cancel()
 		got, err := p.cfg.Jobs.Update(ctx, next)
-		p.post(func() { p.handlePermitWritten(j, from, got, err) })
+		p.post(func() { p.handlePermitWritten(j, baseRev, got, err) })
 		return nil
 	})
 }
 
 // handlePermitWritten takes the outcome of writePermit. Where it is not known, the watch
 // brings the permit if it was written.
-func (p *Planner) handlePermitWritten(j *job, from store.Revision, got jobs.Stored, err error) {
+func (p *Planner) handlePermitWritten(j *job, baseRev store.Revision, got jobs.Stored, err error) {
 	j.permit.writing = false
 	p.noteStoreError(err)
 	switch {
 	case err == nil:
 		p.cfg.Metrics.Add(metrics.PermitsWritten, 1)
-		p.applyOwnWrite(j, got, from)
+		p.applyOwnWrite(j, got, baseRev)
 	case eris.Is(err, jobs.ErrConflict):
 		p.handleRecordChange(got)
 	}
@@ -144,11 +144,11 @@
 
 // applyOwnWrite takes over a record that this planner wrote over the revision from. An
 // attempt that was decided meanwhile need not be given up for it.
-func (p *Planner) applyOwnWrite(j *job, got jobs.Stored, from store.Revision) {
+func (p *Planner) applyOwnWrite(j *job, got jobs.Stored, baseRev store.Revision) {
 	if got.Rev > j.stored.Rev {
 		j.updateRecord(got)
 	}
-	if j.decidedRevision == from {
+	if j.decidedRevision == baseRev {
 		j.decidedRevision = got.Rev
 	}
 }
@@ -185,7 +185,7 @@
 func (p *Planner) recordPlacement(j *job) {
 	j.permit.placing, j.permit.void = true, true
 	plan := j.coord.Plan()
-	from := j.stored.Rev
+	baseRev := j.stored.Rev
 	next := j.stored
 	next.Number = plan.ID.Number
 	next.Members = recordMembers(plan)
@@ -193,18 +193,18 @@
 		ctx, cancel := p.context(requestTimeout)
 		defer cancel()
 		got, err := p.cfg.Jobs.Update(ctx, next)
-		p.post(func() { p.handlePlacementWritten(j, from, got, err) })
+		p.post(func() { p.handlePlacementWritten(j, baseRev, got, err) })
 		return nil
 	})
 }
 
-func (p *Planner) handlePlacementWritten(j *job, from store.Revision, got jobs.Stored, err error) {
+func (p *Planner) handlePlacementWritten(j *job, baseRev store.Revision, got jobs.Stored, err error) {
 	j.permit.placing = false
 	p.noteStoreError(err)
 	switch {
 	case p.jobs[j.stored.ID] != j:
 	case err == nil:
-		p.applyOwnWrite(j, got, from)
+		p.applyOwnWrite(j, got, baseRev)
 	case eris.Is(err, jobs.ErrConflict):
 		p.handleRecordChange(got)
 	}
--- a/planner/permit_test.go
+++ b/planner/permit_test.go
@@ -98,17 +98,17 @@
 func TestCancelWhilePlannerIsDisconnected(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents(allWorkers...)
-	p, cut := b.disconnectablePlanner(1, agents)
+	p, disconnected := b.disconnectablePlanner(1, agents)
 	report := func() { agents.report(p) }
 	b.startWithPermitWaiting(p, agents)
-	cut.Store(true)
+	disconnected.Store(true)
 	got, err := b.jobs.Cancel(context.Background(), "dispatch", "waits", time.Now())
 	b.c.Assert(err, qt.IsNil)
 	b.c.Check(got.State, qt.Equals, jobs.Starting)
 	agents.finish()
 	b.eventually("the job runs", report, func() bool { return agents.largeJobRuns("waits") })
 
-	cut.Store(false)
+	disconnected.Store(false)
 	b.eventually("it is cancelled", report, func() bool { return b.state("waits") == jobs.Cancelled })
 	b.c.Assert(agents.runningMembers("waits"), qt.Equals, 0)
 	final, err := b.jobs.Get(context.Background(), "dispatch", "waits")
@@ -197,9 +197,9 @@
 	b := newBench(t)
 	b.document.Document.Gang.LossTimeout.Duration = time.Hour
 	agents := newFakeAgents(allWorkers...)
-	first, cut := b.disconnectablePlanner(1, agents)
+	first, disconnected := b.disconnectablePlanner(1, agents)
 	b.startWithPermitWaiting(first, agents)
-	cut.Store(true)
+	disconnected.Store(true)
 	first.Stop()
 	b.c.Assert(b.hasPermit("waits"), qt.IsTrue)
 	agents.finish()
@@ -214,10 +214,10 @@
 	}
 	b.c.Assert(agents.startsOf("waits"), qt.Equals, 0)
 
-	brief := *b.document.Document
-	brief.Gang.IsolationTimeout.Duration = 500 * time.Millisecond
-	brief.Gang.LossTimeout.Duration = 4 * time.Second
-	second.SetDocument(&document.Held{Document: &brief, Version: b.document.Version})
+	shortTimeouts := *b.document.Document
+	shortTimeouts.Gang.IsolationTimeout.Duration = 500 * time.Millisecond
+	shortTimeouts.Gang.LossTimeout.Duration = 4 * time.Second
+	second.SetDocument(&document.Held{Document: &shortTimeouts, Version: b.document.Version})
 	b.eventually("it runs", report, func() bool { return agents.largeJobRuns("waits") })
 	b.c.Assert(agents.startsOf("waits"), qt.Equals, largeJob/8)
 }
@@ -349,11 +349,11 @@
 	if s.disconnected.Load() {
 		return store.ErrUnavailable
 	}
-	ctx, lose := context.WithCancel(ctx)
-	defer lose()
+	ctx, cancelWatch := context.WithCancel(ctx)
+	defer cancelWatch()
 	return s.Store.Watch(ctx, prefix, from, func(b store.WatchBatch) {
 		if s.disconnected.Load() {
-			lose()
+			cancelWatch()
 			return
 		}
 		deliver(b)
@@ -362,14 +362,14 @@
 
 // disconnectablePlanner is a planner that can be cut off from the store.
 func (b *bench) disconnectablePlanner(epoch uint64, agents *fakeAgents) (*Planner, *atomic.Bool) {
-	own := *b
-	cut := new(atomic.Bool)
-	kv := disconnectableStore{b.store, cut}
+	env := *b
+	disconnected := new(atomic.Bool)
+	kv := disconnectableStore{b.store, disconnected}
 	swaps := store.NewBatcher(kv, 0)
 	b.c.Cleanup(swaps.Close)
-	own.store = kv
-	own.jobs = jobs.NewStore("r", kv, swaps)
-	return own.planner(epoch, agents), cut
+	env.store = kv
+	env.jobs = jobs.NewStore("r", kv, swaps)
+	return env.planner(epoch, agents), disconnected
 }
 
 // A successor places jobs on workers whose accelerators a job of its predecessor
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -148,9 +148,9 @@
 
 // endSuperseded ends the term: a higher epoch is in charge, and nothing that this
 // planner still believes may be written. The epoch is 0 where it is not known.
-func (p *Planner) endSuperseded(why string, epoch uint64) {
+func (p *Planner) endSuperseded(reason string, epoch uint64) {
 	if !p.superseded {
-		p.cfg.Log.WithField("higher_epoch", epoch).Warn("planner superseded: " + why)
+		p.cfg.Log.WithField("higher_epoch", epoch).Warn("planner superseded: " + reason)
 	}
 	p.superseded = true
 	p.supersedingEpoch.Store(max(epoch, p.cfg.Epoch+1))
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -119,15 +119,15 @@
 	report := func() { agents.report(p) }
 	b.accept("j", 8, true)
 	b.eventually("it runs", report, func() bool { return agents.startsOf("j") == 1 })
-	cut := agents.disconnect("a")
-	full := newFakeAgents("b").disconnect("b")
-	full.Step(clock.Now(), gang.Drain{})
-	agents.connect("b", full)
+	disconnected := agents.disconnect("a")
+	draining := newFakeAgents("b").disconnect("b")
+	draining.Step(clock.Now(), gang.Drain{})
+	agents.connect("b", draining)
 	p.HandleAgentLeft("a")
 	b.eventually("no room elsewhere", report, func() bool {
 		return p.cfg.Metrics.Snapshot().Counters["reservations_refused"] > 0
 	})
-	agents.connect("a", cut)
+	agents.connect("a", disconnected)
 	b.eventually("the leftover is stopped and the job starts again", report, func() bool {
 		return agents.startsOf("j") == 2
 	})
--- a/planner/report.go
+++ b/planner/report.go
@@ -77,12 +77,12 @@
 }
 
 func waitTimes(s metrics.Snapshot) map[string]map[string]metrics.Summary {
-	name := metrics.JobWaited.Describe().Name
+	metric := metrics.JobWaited.Describe().Name
 	out := make(map[string]map[string]metrics.Summary, len(s.Timings))
 	for account, classes := range s.Timings {
 		out[account] = make(map[string]metrics.Summary, len(classes))
 		for class, timings := range classes {
-			out[account][class] = timings[name]
+			out[account][class] = timings[metric]
 		}
 	}
 	return out
--- a/planner/report_test.go
+++ b/planner/report_test.go
@@ -60,9 +60,9 @@
 func TestQueriesToBusyPlannerHonorContext(t *testing.T) {
 	b := newBench(t)
 	p := b.planner(1, newFakeAgents())
-	begun, hold := make(chan struct{}), make(chan struct{})
-	p.post(func() { close(begun); <-hold })
-	<-begun
+	blocked, release := make(chan struct{}), make(chan struct{})
+	p.post(func() { close(blocked); <-release })
+	<-blocked
 	for full := false; !full; {
 		select {
 		case p.work <- func() {}:
@@ -76,7 +76,7 @@
 	b.c.Check(known, qt.IsFalse)
 	_, ok := p.Report(ctx)
 	b.c.Check(ok, qt.IsFalse)
-	close(hold)
+	close(release)
 }
 
 // The store is out, and an operator asks why two jobs wait. The one without a permit
--- a/planner/takeover.go
+++ b/planner/takeover.go
@@ -62,35 +62,35 @@
 
 // resolvePermits looks for what other planners started on their permits.
 func (p *Planner) resolvePermits(now time.Time) {
-	held := p.unresolvedJobs()
-	if len(held) == 0 {
+	unresolved := p.unresolvedJobs()
+	if len(unresolved) == 0 {
 		return
 	}
 	p.raiseFences(now)
-	s := gang.NewSearch(p.searchConfig(), now, p.agentViews())
-	var vanished []*job
-	for _, j := range held {
-		switch verdict, plan := s.Resolve(j.stored.ID, j.stored.Epoch, j.unresolvedSince); verdict {
+	search := gang.NewSearch(p.searchConfig(), now, p.agentViews())
+	var notFound []*job
+	for _, j := range unresolved {
+		switch result, plan := search.Resolve(j.stored.ID, j.stored.Epoch, j.unresolvedSince); result {
 		case gang.Adoptable:
 			p.adoptAttempt(j, plan)
 		case gang.Incomplete:
 			j.stopLeftovers = true // its tasks are orphans from now on
 		case gang.NotFound:
 			j.notFound = true
-			vanished = append(vanished, j)
+			notFound = append(notFound, j)
 		}
 	}
-	p.resubmit(vanished)
+	p.resubmit(notFound)
 }
 
 func (p *Planner) unresolvedJobs() []*job {
-	var held []*job
+	var unresolved []*job
 	for _, j := range p.jobs {
 		if j.unresolved && j.finalRecord == nil {
-			held = append(held, j)
+			unresolved = append(unresolved, j)
 		}
 	}
-	return held
+	return unresolved
 }
 
 func (p *Planner) searchConfig() gang.SearchConfig {
@@ -126,12 +126,12 @@
 }
 
 func (p *Planner) agentViews() []gang.AgentView {
-	var all []gang.AgentView
+	var views []gang.AgentView
 	for id, w := range p.workers {
 		if !w.up || w.lastReport.Incarnation == 0 {
 			continue
 		}
-		all = append(all, gang.AgentView{
+		views = append(views, gang.AgentView{
 			Agent:       id,
 			Incarnation: w.lastReport.Incarnation,
 			FencedAt:    w.fencedAt,
@@ -139,13 +139,13 @@
 			Tasks:       w.lastReport.Tasks,
 		})
 	}
-	return all
+	return views
 }
 
 // updateFence dates the first report that shows our fence. A restarted agent has
 // forgotten it.
-func (w *worker) updateFence(before AgentReport, epoch uint64) {
-	if before.Incarnation != w.lastReport.Incarnation {
+func (w *worker) updateFence(previous AgentReport, epoch uint64) {
+	if previous.Incarnation != w.lastReport.Incarnation {
 		w.fencedAt, w.fenceFirstSentAt = time.Time{}, time.Time{}
 	}
 	switch {
--- a/planner/worker.go
+++ b/planner/worker.go
@@ -34,8 +34,8 @@
 }
 
 // HandleReport takes the report of an agent. It is safe for concurrent use.
-func (p *Planner) HandleReport(s AgentReport) {
-	p.post(func() { p.applyReport(s) })
+func (p *Planner) HandleReport(r AgentReport) {
+	p.post(func() { p.applyReport(r) })
 }
 
 // HandleAgentLeft says that an agent has stopped for good. It is safe for concurrent use.
@@ -47,10 +47,10 @@
 	})
 }
 
-func (p *Planner) applyReport(s AgentReport) {
-	id := string(s.Worker.ID)
-	if s.Fence > p.cfg.Epoch {
-		p.endSuperseded("an agent has heard of a higher epoch", s.Fence)
+func (p *Planner) applyReport(r AgentReport) {
+	id := string(r.Worker.ID)
+	if r.Fence > p.cfg.Epoch {
+		p.endSuperseded("an agent has heard of a higher epoch", r.Fence)
 		return
 	}
 	w := p.workers[id]
@@ -58,24 +58,24 @@
 		w = &worker{jobs: make(map[string]*job)}
 		p.workers[id] = w
 	}
-	if s.Incarnation < w.lastReport.Incarnation {
+	if r.Incarnation < w.lastReport.Incarnation {
 		return
 	}
-	before, wasUp := w.lastReport, w.up
-	w.lastReport, w.up = s, true
-	w.updateFence(before, p.cfg.Epoch)
-	p.updateScheduler(before, wasUp, s)
+	previous, wasUp := w.lastReport, w.up
+	w.lastReport, w.up = r, true
+	w.updateFence(previous, p.cfg.Epoch)
+	p.updateScheduler(previous, wasUp, r)
 	p.updateCoordinators(id, w)
 	p.stopOrphans(id, w)
 }
 
-func (p *Planner) updateScheduler(before AgentReport, wasUp bool, s AgentReport) {
+func (p *Planner) updateScheduler(previous AgentReport, wasUp bool, r AgentReport) {
 	switch {
-	case s.Draining && (!wasUp || !before.Draining):
-		p.stepScheduler(scheduler.WorkerDraining{ID: s.Worker.ID})
-	case s.Draining:
-	case !wasUp || before.Draining || before.Worker != s.Worker:
-		p.stepScheduler(scheduler.WorkerUp{Worker: s.Worker})
+	case r.Draining && (!wasUp || !previous.Draining):
+		p.stepScheduler(scheduler.WorkerDraining{ID: r.Worker.ID})
+	case r.Draining:
+	case !wasUp || previous.Draining || previous.Worker != r.Worker:
+		p.stepScheduler(scheduler.WorkerUp{Worker: r.Worker})
 	}
 }
 
@@ -140,9 +140,9 @@
 }
 
 func (p *Planner) detectLostAgents(now time.Time) {
-	limit := p.doc.Document.Gang.LossTimeout.Duration
+	timeout := p.doc.Document.Gang.LossTimeout.Duration
 	for id, w := range p.workers {
-		if w.up && now.Sub(w.lastReport.ReceivedAt) > limit {
+		if w.up && now.Sub(w.lastReport.ReceivedAt) > timeout {
 			p.handleAgentLost(id, w)
 		}
 		if !w.up && len(w.jobs) == 0 && now.Sub(w.lastReport.ReceivedAt) > forgetWorkerAfter {
@@ -159,8 +159,8 @@
 // their tasks need to hear to run on, and the planner's stamp. It is safe for
 // concurrent use and reads what the last housekeeping published.
 func (p *Planner) ReportAnswer(agent string) ([]gang.ID, gang.PlannerTimestamp) {
-	w := p.aliveAttempts.Load()
-	return w.forAgent(agent, clock.Now()), gang.NewPlannerTimestamp(p.cfg.Epoch, w.at)
+	alive := p.aliveAttempts.Load()
+	return alive.forAgent(agent, clock.Now()), gang.NewPlannerTimestamp(p.cfg.Epoch, alive.at)
 }
 
 // aliveAttempts is what was whole at one moment.
@@ -179,22 +179,22 @@
 // answers the reports that have waited before it looks at anything again. It shows as
 // a member that is renewed by what was whole before the freeze, and so runs on alone
 // for longer than a successor waits before it starts the gang elsewhere.
-func (w *aliveAttempts) forAgent(agent string, now time.Time) []gang.ID {
-	if now.Sub(w.at) > maxAliveAge {
+func (a *aliveAttempts) forAgent(agent string, now time.Time) []gang.ID {
+	if now.Sub(a.at) > maxAliveAge {
 		return nil
 	}
-	return w.byAgent[agent]
+	return a.byAgent[agent]
 }
 
 func (p *Planner) publishAliveAttempts(now time.Time) {
-	whole := make(map[string][]gang.ID)
+	byAgent := make(map[string][]gang.ID)
 	for _, j := range p.jobs {
 		if j.coord == nil || len(j.coord.Plan().Members) < 2 || !j.coord.AllMembersAlive(now) {
 			continue
 		}
 		for _, m := range j.coord.Plan().Members {
-			whole[m.Agent] = append(whole[m.Agent], j.coord.Plan().ID)
+			byAgent[m.Agent] = append(byAgent[m.Agent], j.coord.Plan().ID)
 		}
 	}
-	p.aliveAttempts.Store(&aliveAttempts{byAgent: whole, at: now})
+	p.aliveAttempts.Store(&aliveAttempts{byAgent: byAgent, at: now})
 }
--- a/planner/worker_test.go
+++ b/planner/worker_test.go
@@ -18,8 +18,8 @@
 	c := qt.New(t)
 	ids := []gang.ID{{Job: "j", Epoch: 1, Number: 1}}
 	now := clock.Now()
-	whole := aliveAttempts{byAgent: map[string][]gang.ID{"a": ids}, at: now}
-	c.Assert(whole.forAgent("a", now.Add(2*housekeepingInterval)), qt.DeepEquals, ids)
-	c.Assert(whole.forAgent("b", now), qt.HasLen, 0)
-	c.Assert(whole.forAgent("a", now.Add(maxAliveAge+time.Millisecond)), qt.HasLen, 0)
+	alive := aliveAttempts{byAgent: map[string][]gang.ID{"a": ids}, at: now}
+	c.Assert(alive.forAgent("a", now.Add(2*housekeepingInterval)), qt.DeepEquals, ids)
+	c.Assert(alive.forAgent("b", now), qt.HasLen, 0)
+	c.Assert(alive.forAgent("a", now.Add(maxAliveAge+time.Millisecond)), qt.HasLen, 0)
 }
