--- a/gang/sim_test.go
+++ b/gang/sim_test.go
@@ -11,10 +11,10 @@
 	simSeed = flag.Uint64("gang.seed", 1, "seed of the first world")
 )
 
-// TestRandomWorlds lets everything fail at once, checks each start and each
+// TestRandomFailures lets everything fail at once, checks each start and each
 // outcome against the truth, and at rest looks for leaks. A longer run:
 // go test ./gang -run RandomWorlds -v -gang.worlds 5000 -gang.seed 1000
-func TestRandomWorlds(t *testing.T) {
+func TestRandomFailures(t *testing.T) {
 	var sum simStats
 	for i := range *simRuns {
 		s := newSimulation(t, *simSeed+uint64(i))
