--- a/gang/coordinator.go
+++ b/gang/coordinator.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Coordinator takes one attempt from its plan to its end. It is not safe for
+// Coordinator runs one attempt from its plan to its end. It is not safe for
 // concurrent use.
 type Coordinator struct {
 	config           Config
@@ -10,12 +10,12 @@
 	members          []*memberStatus
 	phase            phase
 	successor        bool
-	beganAt          time.Time
-	phaseEnteredAt   time.Time // the phase
+	beganAt          time.Time // of the attempt, or of the current round of Seals
+	phaseEnteredAt   time.Time
 	recordSentAt     time.Time
-	mayBeRecorded    bool // the record may name the attempt
-	commitSent       bool // a Commit was sent, by this or an earlier planner
-	startSent        bool // a Start was or may have been sent
+	mayBeRecorded    bool // the job's record may name the attempt
+	commitSent       bool // a Commit was sent, or may have been by an earlier planner
+	startSent        bool // a Start was sent, or may have been by an earlier planner
 	checkpointOnStop bool
 	cause            Cause
 	causeAgent       string
@@ -32,9 +32,9 @@
 	return co
 }
 
-// ResumeCoordinator returns a coordinator for an attempt that a job's record names and that
-// an earlier planner ran: it asks all members how far it got, forbids what was
-// not committed, and either carries on or ends it.
+// ResumeCoordinator returns a coordinator for an attempt of an earlier
+// planner. It asks all members how far the attempt got, prevents further
+// commits, and either completes or ends the attempt.
 func ResumeCoordinator(c Config, p Plan) *Coordinator {
 	co := NewCoordinator(c, p)
 	co.successor = true
@@ -58,18 +58,19 @@
 	return c.actions
 }
 
-// Plan returns the plan that the coordinator was made with.
+// Plan returns the plan of the attempt.
 func (c *Coordinator) Plan() Plan { return c.plan }
 
-// Running says whether all members have started and none is known to have ended
-// otherwise than well.
+// Running reports whether all members have started and none is known to have
+// ended without success.
 func (c *Coordinator) Running() bool { return c.phase == phaseRunning }
 
-// HasEnded says whether Ended was returned.
+// HasEnded reports whether Ended was returned.
 func (c *Coordinator) HasEnded() bool { return c.phase == phaseEnded }
 
-// AllMembersAlive says whether all members are known to have run within Config.Window.
-// Only then may a Contact name the attempt: members that are not renewed stop.
+// AllMembersAlive reports whether all members that have not ended are known to
+// have run within Config.LivenessWindow. Only then may a ReportAnswered renew
+// the attempt; members that are not renewed stop.
 func (c *Coordinator) AllMembersAlive(now time.Time) bool {
 	if c.phase != phaseRunning {
 		return false
@@ -114,7 +115,8 @@
 	c.enterPhase(phaseReserving)
 }
 
-// startResolving begins a round of a successor's questions to all members.
+// startResolving begins a round in which a successor sends Seal to all
+// members.
 func (c *Coordinator) startResolving() {
 	c.beganAt = c.now
 	for _, m := range c.members {
@@ -174,8 +176,9 @@
 			return
 		}
 	}
-	// The same incarnation may have sent its report before it heard of the
-	// attempt; a new one would list the task if its target still had it.
+	// A report of the same incarnation may have been sent before it knew of
+	// the attempt. A new incarnation would list the task if its target still
+	// had it.
 	if r.Incarnation > m.incarnation && m.task.State != StateEnded {
 		m.taskGone = true
 		m.markFenced(c.now)
@@ -196,7 +199,8 @@
 	}
 }
 
-// enterPhase changes the phase and makes all messages of the new one due at once.
+// enterPhase changes the phase and makes all messages of the new phase due at
+// once.
 func (c *Coordinator) enterPhase(next phase) {
 	c.phase = next
 	c.phaseEnteredAt = c.now
--- a/gang/coordinator_action.go
+++ b/gang/coordinator_action.go
@@ -2,36 +2,37 @@
 
 import "time"
 
-// Action is what a Coordinator wants done: Send, Record, WakeAt, Started or Ended.
+// Action is an action that a Coordinator requests: Send, Record, WakeAt,
+// Started or Ended.
 type Action interface{ action() }
 
-// Send sends a message to an agent. It may be lost.
+// Send sends a message to an agent. The message may be lost.
 type Send struct {
 	To      string
 	Message Message
 }
 
-// Record writes the start into the job's record by compare-and-swap, if the
-// record is still the one the plan was made from, and reads back when the reply
-// is lost. It may be asked for more than once; the write must carry the same
-// token each time. Recorded answers it.
+// Record writes the start into the job's record by compare-and-swap, provided
+// that the record is still the one the plan was made from. If the reply is
+// lost, the record is read back. Record may be requested more than once; each
+// write must carry the same token. Recorded answers it.
 type Record struct{ Plan Plan }
 
-// WakeAt asks for a Wake at At.
+// WakeAt requests a Wake at At.
 type WakeAt struct{ At time.Time }
 
-// Started says that all members run.
+// Started reports that all members run.
 type Started struct{}
 
-// Ended is the last action of a coordinator. The attempt runs on no member that
-// can be reached, and on the others it has stopped by isolation.
+// Ended is the last action of a coordinator. The attempt no longer runs on any
+// reachable member, and has stopped by isolation on the others.
 type Ended struct {
 	Outcome Outcome
 	Cause   Cause
-	// CauseAgent is the agent that the cause is about, if any.
+	// CauseAgent is the agent that Cause refers to, if any.
 	CauseAgent string
 	Members    []MemberResult
-	// MayBeRecorded says that the job's record may name this attempt.
+	// MayBeRecorded is set if the job's record may name this attempt.
 	MayBeRecorded bool
 }
 
@@ -44,8 +45,8 @@
 	Detail       string
 }
 
-// Checkpointed says whether every member wrote a checkpoint, so that the job can
-// go on from there.
+// Checkpointed reports whether every member wrote a checkpoint, so that the
+// job can resume from it.
 func (e Ended) Checkpointed() bool {
 	for _, m := range e.Members {
 		if !m.Checkpointed {
--- a/gang/coordinator_advance.go
+++ b/gang/coordinator_advance.go
@@ -1,7 +1,7 @@
 package gang
 
-// advance moves to the next phase if what is known allows it, and says whether
-// it did.
+// advance enters the next phase if the members' states allow it, and reports
+// whether it did.
 func (c *Coordinator) advance() bool {
 	switch c.phase {
 	case phaseReserving:
@@ -34,8 +34,8 @@
 	return true
 }
 
-// abortBeforeCommit ends an attempt before its record if a member refuses or is
-// lost, or if the holds are about to expire.
+// abortBeforeCommit aborts an attempt that is not recorded yet if a member
+// refused or was lost, or if the holds are about to expire.
 func (c *Coordinator) abortBeforeCommit() bool {
 	for _, m := range c.members {
 		if m.refusal != Accepted {
@@ -51,10 +51,11 @@
 	return c.abort(CauseTimeout, "")
 }
 
-// advanceResolving waits for every member's account. All committed means that
-// the start may have been sent, so carrying on is right; one that never
-// committed means that it was not sent. An account from a report doesn't do: the
-// member isn't fenced yet, and a predecessor could still end the attempt there.
+// advanceResolving waits until every member has replied to its Seal. If all
+// have committed, the Start may have been sent, so the attempt goes on; if a
+// member never committed, it was not sent. A report does not replace a reply:
+// the member isn't fenced yet, and a predecessor could still end the attempt
+// there.
 func (c *Coordinator) advanceResolving() bool {
 	if c.abortIfMemberFailed() {
 		return true
@@ -62,13 +63,14 @@
 	if !c.allReached(StateCommitted) || c.anyMember((*memberStatus).unanswered) {
 		return false
 	}
-	// One member ran alone to its end: its predecessor's Start reached it and no
-	// other. To start the others now would be a gang that never ran together.
+	// One member ran to its end alone, because the predecessor's Start reached
+	// only some members. Starting the others now would not run the gang
+	// together.
 	if c.anyMember((*memberStatus).succeeded) && c.anyMember((*memberStatus).awaitsStart) {
 		return c.abort(CauseTimeout, "")
 	}
-	// The first answers may be so old that their tasks have stopped by isolation
-	// since, and a Start to the others would let them run alone.
+	// The first replies may be so old that their tasks have stopped by
+	// isolation since. A Start would then let the other members run alone.
 	if c.now.Sub(c.beganAt) >= c.config.startTimeout() {
 		c.startResolving()
 		return false
@@ -96,7 +98,8 @@
 	if !c.allReached(StateRunning) {
 		return c.abortIfStartTimedOut()
 	}
-	// No member can have run before the owner's first Start.
+	// No member can have run before the first Start of the attempt's own
+	// planner.
 	if !c.successor {
 		for _, m := range c.members {
 			m.markAlive(c.phaseEnteredAt)
@@ -107,9 +110,9 @@
 	return true
 }
 
-// abortIfStartTimedOut ends an attempt whose members don't start together. A member
-// that has started is not renewed before all have; when it stops by isolation,
-// a Start that reached another one only then would let that one run alone.
+// abortIfStartTimedOut aborts an attempt whose members don't all start in
+// time. A member that has started is not renewed until all have. After it has
+// stopped by isolation, a delayed Start would let another member run alone.
 func (c *Coordinator) abortIfStartTimedOut() bool {
 	if c.now.Sub(c.phaseEnteredAt) < c.config.startTimeout() {
 		return false
@@ -148,8 +151,8 @@
 	return true
 }
 
-// abortIfMemberFailed ends the attempt everywhere if it can't be completed on one
-// member.
+// abortIfMemberFailed aborts the attempt if it can no longer succeed on one of
+// its members.
 func (c *Coordinator) abortIfMemberFailed() bool {
 	for _, m := range c.members {
 		if !m.cannotComplete() {
--- a/gang/coordinator_end.go
+++ b/gang/coordinator_end.go
@@ -3,7 +3,8 @@
 import "time"
 
 // abort ends the attempt on all members. Before a Commit was sent nothing can
-// have started and holds expire, so there is nothing to wait for.
+// have started and holds expire by themselves, so there is nothing to wait
+// for.
 func (c *Coordinator) abort(cause Cause, fault string) bool {
 	if c.phase >= phaseStopping {
 		return false
@@ -19,9 +20,10 @@
 	return c.finish()
 }
 
-// endIfSuperseded ends the coordinator without a word about the attempt if a member
-// has heard of a planner with a higher epoch: that one may have carried on with
-// the attempt or given it up, and accounts from after that prove less.
+// endIfSuperseded ends the coordinator if a member has heard from a planner
+// with a higher epoch, and reports whether it did. That planner may have
+// completed or ended the attempt, so nothing can be concluded from the
+// members' states any more.
 func (c *Coordinator) endIfSuperseded(m *memberStatus, fence uint64) bool {
 	if fence <= c.config.Epoch {
 		return false
@@ -42,7 +44,8 @@
 	return true
 }
 
-// acknowledgeEndedTasks takes notice of the end at the members, which then forget it first.
+// acknowledgeEndedTasks lets the members drop the ended tasks from their
+// reports and forget them before others.
 func (c *Coordinator) acknowledgeEndedTasks() {
 	for _, m := range c.members {
 		if m.task.State == StateEnded {
@@ -51,13 +54,14 @@
 	}
 }
 
-// lostMembersStoppedAt returns when a lost member has certainly stopped by isolation.
+// lostMembersStoppedAt returns when lost members have certainly stopped by
+// isolation, or zero if there is nothing to wait for.
 //
-// The loss timeout alone doesn't tell a successor: a predecessor that still
-// reaches all members goes on renewing the lost one until it hears that another
-// has been fenced, which may have happened only just now. The gang would then be
-// started elsewhere while the lost member runs on alone. If no member was ever
-// reached there is nothing to wait for: what the predecessor renews is whole.
+// The loss timeout alone is not enough for a successor: a predecessor that
+// still reaches all members renews the lost one until it learns that another
+// one is fenced. The gang could otherwise start elsewhere while the lost
+// member still runs alone. If no member was ever reached, whatever the
+// predecessor renews is complete.
 func (c *Coordinator) lostMembersStoppedAt() time.Time {
 	var firstFenced time.Time
 	if !c.successor || !c.anyMember(func(m *memberStatus) bool { return m.lost && m.task.State != StateEnded }) {
@@ -96,21 +100,22 @@
 	return Stopped
 }
 
-// lostOrIsolated says whether the task ended for want of its agent or target.
+// lostOrIsolated reports whether the task ended because its target lost it or
+// because its attempt was not renewed.
 func (m *memberStatus) lostOrIsolated() bool {
 	return m.task.Result == TaskLost || m.task.Result == Isolated
 }
 
-// provenNotStarted says whether no task of the attempt started and none will.
-// A Start is sent only by a planner that has seen all members committed at their
-// planned incarnations, so each of these is a proof:
+// provenNotStarted reports whether provably no task of the attempt started and
+// none will. A Start is sent only by a planner that has seen all members
+// committed at their planned incarnations, so each of these is a proof:
 //
 //   - no Commit was sent;
-//   - a member never committed and has ended;
+//   - a member ended without ever having committed;
 //   - all members have ended without a start;
-//   - the owner sent no Start, and a member ended unstarted without having heard
-//     of a higher epoch. A successor that sent a Start had raised the fence at
-//     every member before, and this coordinator would be superseded.
+//   - this planner made the attempt and sent no Start, and a member ended
+//     unstarted without having heard of a higher epoch. A successor fences every
+//     member before it sends a Start, and this coordinator would be superseded.
 func (c *Coordinator) provenNotStarted() bool {
 	if !c.commitSent {
 		return true
@@ -133,6 +138,6 @@
 	return false
 }
 
-// recordTimeout is how long reserving and recording may take, so that the Commits
-// still arrive within the hold.
+// recordTimeout returns how long reserving and recording may take for the
+// Commits to arrive within the hold.
 func (c *Coordinator) recordTimeout() time.Duration { return c.config.HoldTimeout * 3 / 4 }
--- a/gang/coordinator_event.go
+++ b/gang/coordinator_event.go
@@ -1,56 +1,63 @@
 package gang
 
-// Event is what a Coordinator is told: Begin, ReplyReceived, Reported, Recorded,
-// MemberLost, Abort or Wake.
+// Event is the input of a Coordinator: Begin, ReplyReceived, Reported,
+// Recorded, MemberLost, Abort or Wake.
 type Event interface{ event() }
 
-// Begin starts the attempt, or its resolution after Resume.
+// Begin starts the attempt, or its resolution after ResumeCoordinator.
 type Begin struct{}
 
-// ReplyReceived is a reply from an agent. Replies to other attempts are ignored.
+// ReplyReceived is a reply from an agent. Replies that concern other attempts
+// are ignored.
 type ReplyReceived struct {
 	From  string
 	Reply Reply
 }
 
-// Reported is an agent's periodic report: all of Member.Tasks. It replaces lost
-// replies, and one of a new incarnation without the task proves the task gone.
+// Reported is a periodic report of an agent with all of its Member.Tasks. It
+// makes up for lost replies; a report of a new incarnation without the task
+// proves that the task is gone.
 type Reported struct {
 	From        string
 	Incarnation uint64
-	// Fence is Member.Fence as of the report.
+	// Fence is Member.Fence at the time of the report.
 	Fence uint64
-	// Timestamp is Member.Timestamp as of the report.
+	// Timestamp is Member.Timestamp at the time of the report.
 	Timestamp PlannerTimestamp
 	Tasks     []Task
 }
 
-// RecordResult is the outcome of a Record action.
+// RecordResult is the result of a Record action.
 type RecordResult uint8
 
-// Outcomes of writing the start into the job's record.
+// Results of writing the start into the job's record.
 const (
-	// RecordUnknown: the store can't be reached, or the reply was lost and the
-	// read back failed. The coordinator asks again.
+	// RecordUnknown means that the store is unreachable, or that the reply was
+	// lost and the record could not be read back. The coordinator repeats the
+	// Record action.
 	RecordUnknown RecordResult = iota
-	// RecordWritten: the record names this attempt, by the write's token.
+	// RecordWritten means that the record names this attempt, or that a permit
+	// covers it.
 	RecordWritten
-	// RecordConflict: the record names something else; the attempt is over.
+	// RecordConflict means that the record has changed and does not name this
+	// attempt, which is aborted.
 	RecordConflict
 )
 
 // Recorded answers a Record action.
 type Recorded struct{ Result RecordResult }
 
-// MemberLost says that no sign of life came from the agent for the loss timeout,
-// which is longer than Config.Window, MemberConfig.Isolation and the time of a
-// stop together: a task of several members there has stopped by itself.
+// MemberLost reports that nothing was heard from the agent for the loss
+// timeout. The loss timeout is longer than Config.LivenessWindow,
+// MemberConfig.IsolationTimeout and the time in which a task stops together,
+// so a task of several members has stopped there by itself.
 type MemberLost struct{ Agent string }
 
-// Abort ends the attempt on purpose: cancelled, evicted or drained.
+// Abort ends the attempt on request, as for a cancellation, an eviction or a
+// drain.
 type Abort struct{ Checkpoint bool }
 
-// Wake lets deadlines act; it is due at the last WakeAt.
+// Wake lets the coordinator act on deadlines. It is due at the last WakeAt.
 type Wake struct{}
 
 func (Begin) event()         {}
--- a/gang/coordinator_send.go
+++ b/gang/coordinator_send.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// sendDueMessages sends what is due: at once in a new phase, then every Config.Resend
-// until answered.
+// sendDueMessages sends the messages that are due: at once in a new phase,
+// then every Config.ResendInterval until they are answered.
 func (c *Coordinator) sendDueMessages() {
 	if c.phase == phaseRecording && c.due(c.recordSentAt) {
 		c.recordSentAt = c.now
@@ -21,7 +21,7 @@
 	return sent.IsZero() || !c.now.Before(sent.Add(c.config.ResendInterval))
 }
 
-// awaitsReply says whether the phase waits for an answer of the member.
+// awaitsReply reports whether the current phase needs a reply of the member.
 func (c *Coordinator) awaitsReply(m *memberStatus) bool {
 	switch c.phase {
 	case phaseReserving:
@@ -68,7 +68,7 @@
 	c.actions = append(c.actions, Send{To: m.planned.Agent, Message: stop})
 }
 
-// scheduleWake asks for the earliest deadline.
+// scheduleWake requests a Wake at the earliest deadline.
 func (c *Coordinator) scheduleWake() {
 	next := time.Time{}
 	addDeadline := func(t time.Time) {
--- a/gang/envelope.go
+++ b/gang/envelope.go
@@ -1,7 +1,7 @@
 package gang
 
-// Envelope carries any Message through a codec without interface types; exactly
-// one field is set.
+// Envelope carries any Message through a codec without interface types.
+// Exactly one field is set.
 type Envelope struct {
 	Reserve *Reserve `cbor:"1,keyasint,omitempty"`
 	Commit  *Commit  `cbor:"2,keyasint,omitempty"`
@@ -27,8 +27,8 @@
 	return Envelope{}
 }
 
-// Message takes the message out; it is nil if the envelope is empty, as one of a
-// later version may be.
+// Message returns the message in the envelope, or nil if there is none of a
+// known type, as in an envelope from a later version.
 func (e Envelope) Message() Message {
 	switch {
 	case e.Reserve != nil:
--- a/gang/id.go
+++ b/gang/id.go
@@ -2,13 +2,13 @@
 
 import "cmp"
 
-// ID names one attempt to start one job.
+// ID identifies one attempt to start one job.
 type ID struct {
 	Job string `cbor:"1,keyasint"`
 	// Epoch is the fencing epoch of the planner that planned the attempt.
 	Epoch uint64 `cbor:"2,keyasint"`
-	// Number is drawn from a counter of that planner which never repeats within
-	// the epoch and grows over all jobs, so that (Epoch, Number) orders attempts.
+	// Number is unique within the epoch and increases over all jobs, so that
+	// (Epoch, Number) orders attempts.
 	Number uint64 `cbor:"3,keyasint"`
 }
 
--- a/gang/member.go
+++ b/gang/member.go
@@ -5,20 +5,23 @@
 	"time"
 )
 
-// DefaultMaxTombstones is how many ended attempts a Member remembers by default.
+// DefaultMaxTombstones is the default of MemberConfig.MaxTombstones.
 const DefaultMaxTombstones = 1024
 
-// MemberConfig is the fixed part of a Member.
+// MemberConfig configures a Member.
 type MemberConfig struct {
-	// Accelerators is how many the worker has; they are numbered from 0.
+	// Accelerators is the number of accelerators of the worker, numbered from
+	// 0.
 	Accelerators int
-	// Incarnation grows with each start of the agent's process.
+	// Incarnation increases with each start of the agent's process.
 	Incarnation uint64
-	// IsolationTimeout is how long a task of several members runs without hearing that
-	// its gang is whole. Coordinator.Whole's window, IsolationTimeout and the time that
-	// a stop takes must add up to less than the planner's loss timeout.
+	// IsolationTimeout is how long a task of several members runs without a
+	// renewal of its attempt. Config.LivenessWindow, IsolationTimeout and the
+	// time in which a task stops must add up to less than the planner's loss
+	// timeout.
 	IsolationTimeout time.Duration
-	// MaxTombstones bounds the memory of ended attempts; 0 means the default.
+	// MaxTombstones limits how many ended attempts are remembered; 0 means
+	// DefaultMaxTombstones.
 	MaxTombstones int
 }
 
@@ -27,9 +30,9 @@
 type Member struct {
 	config           MemberConfig
 	attempts         map[ID]*attempt
-	owners           []*attempt       // by accelerator; nil is free
-	fence            uint64           // highest epoch heard of
-	highestForgotten ID               // highest attempt that was forgotten
+	owners           []*attempt       // by accelerator; nil if free
+	fence            uint64           // highest epoch heard from
+	highestForgotten ID               // highest ID among the forgotten attempts
 	timestamp        PlannerTimestamp // of the last answer to a report
 	tombstones       int
 	ready            bool
@@ -38,17 +41,17 @@
 	actions          []MemberAction
 }
 
-// attempt is the member's account of one attempt.
+// attempt is a member's state of one attempt.
 type attempt struct {
 	task         Task
 	spec         []byte
 	replyTo      string
-	deadline     time.Time // of the hold, or of a running task's isolation
+	deadline     time.Time // of the hold, or of the running task's isolation
 	isolated     bool
-	acknowledged bool // a coordinator has taken notice of the end
+	acknowledged bool // a coordinator has acknowledged the end
 }
 
-// NewMember returns a member that refuses everything until Adopted.
+// NewMember returns a member that refuses all messages until TasksRecovered.
 func NewMember(c MemberConfig) *Member {
 	if c.MaxTombstones == 0 {
 		c.MaxTombstones = DefaultMaxTombstones
@@ -63,8 +66,9 @@
 // Step handles one event and returns what is to be done, in order.
 func (m *Member) Step(now time.Time, ev MemberEvent) []MemberAction {
 	m.now, m.actions = now, nil
-	// A renewal that waited behind a pause is taken before deadlines act, and
-	// a message after them: a hold that has expired must not be committed.
+	// A renewal that was queued during a pause is applied before deadlines
+	// act. Messages are handled after them: a hold that has expired must not
+	// be committed.
 	if answer, ok := ev.(ReportAnswered); ok {
 		m.handleReportAnswered(answer)
 	}
@@ -83,8 +87,8 @@
 	return m.actions
 }
 
-// Tasks lists all attempts that hold accelerators and those ended ones that no
-// coordinator has closed, in the order of their IDs. Reports carry it.
+// Tasks returns the tasks to report: all attempts that hold accelerators, and
+// ended ones that no coordinator has acknowledged, in the order of their IDs.
 func (m *Member) Tasks() []Task {
 	var tasks []Task
 	for _, a := range m.attempts {
@@ -96,7 +100,7 @@
 	return tasks
 }
 
-// FreeAccelerators lists the accelerators that are in no attempt.
+// FreeAccelerators returns the accelerators that no attempt holds.
 func (m *Member) FreeAccelerators() []int {
 	var free []int
 	for i, a := range m.owners {
@@ -107,13 +111,14 @@
 	return free
 }
 
-// Ready says whether Adopted has been handled.
+// Ready reports whether TasksRecovered has been handled.
 func (m *Member) Ready() bool { return m.ready }
 
-// Timestamp returns that of the last Contact, for the next report.
+// Timestamp returns the timestamp of the last ReportAnswered, for the next
+// report.
 func (m *Member) Timestamp() PlannerTimestamp { return m.timestamp }
 
-// Fence returns the highest epoch that the member has heard of.
+// Fence returns the highest epoch that the member has heard from.
 func (m *Member) Fence() uint64 { return m.fence }
 
 func (m *Member) recoverTasks(tasks []Task) {
@@ -123,15 +128,15 @@
 	m.ready = true
 	for _, t := range tasks {
 		m.recoverTask(t)
-		// The fence was lost with the restart. At least planners from before this
-		// attempt must not stop it.
+		// The fence was lost with the restart. Planners from before this
+		// attempt, at least, must not be able to stop it.
 		m.fence = max(m.fence, t.ID.Epoch)
 	}
 }
 
-// recoverTask takes over a task of the agent's earlier life. One that ended while
-// there was no agent becomes an account that a report still delivers: without it
-// the planner would take a finished task for a lost one.
+// recoverTask takes over a task of an earlier incarnation of the agent. A task
+// that ended while there was no agent is kept so that a report still delivers
+// its result; otherwise the planner would take a finished task as lost.
 func (m *Member) recoverTask(t Task) {
 	t.Committed, t.Started = true, true
 	a := &attempt{task: t}
--- a/gang/member_action.go
+++ b/gang/member_action.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// MemberAction is what a Member wants done: SendReply, StartTask, StopTask or
-// WakeMember.
+// MemberAction is an action that a Member requests: SendReply, StartTask,
+// StopTask or TickAt.
 type MemberAction interface{ memberAction() }
 
-// SendReply sends a reply to a coordinator. It may be lost.
+// SendReply sends a reply to a coordinator. The reply may be lost.
 type SendReply struct {
 	To    string
 	Reply Reply
 }
 
 // StartTask tells the target to start the task. It is returned once per
-// attempt; a start that fails is reported by TaskEnded.
+// attempt; a failed start is reported by TaskEnded.
 type StartTask struct {
 	Task Task
 	Spec []byte
 }
 
 // StopTask tells the target to stop the task; TaskEnded follows. It may be
-// returned more than once for one attempt.
+// returned more than once per attempt.
 type StopTask struct {
 	ID         ID
 	Checkpoint bool
 }
 
-// TickAt asks for a Tick at At.
+// TickAt requests a Tick at At.
 type TickAt struct{ At time.Time }
 
 func (SendReply) memberAction() {}
--- a/gang/member_deadline.go
+++ b/gang/member_deadline.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// expireDeadlines ends holds whose time is over and stops isolated tasks.
+// expireDeadlines ends expired holds and stops isolated tasks.
 func (m *Member) expireDeadlines() {
 	for _, a := range m.expiredAttempts() {
 		if a.task.State == StateReserved {
 			m.endAttempt(a)
 			continue
 		}
-		// Cut off: the planner may be about to start the gang elsewhere. It waits
-		// longer than Isolation, so stopping here keeps the two from overlapping.
+		// The planner may be about to start the gang elsewhere. It waits
+		// longer than IsolationTimeout, so that the two runs don't overlap.
 		a.isolated = true
 		m.stopTask(a, true)
 	}
 }
 
-// expiredAttempts lists the attempts whose deadline has passed, in the order of their IDs.
+// expiredAttempts returns the attempts whose deadline has passed, in the order
+// of their IDs.
 func (m *Member) expiredAttempts() []*attempt {
 	var expired []*attempt
 	for _, a := range m.attempts {
@@ -31,8 +32,8 @@
 	return expired
 }
 
-// hasDeadline says whether the attempt's deadline counts: a job of one member can't
-// run partially and is not stopped by isolation.
+// hasDeadline reports whether the attempt's deadline applies. A job with one
+// member can't run partially and is not stopped by isolation.
 func (a *attempt) hasDeadline() bool {
 	switch a.task.State {
 	case StateReserved:
--- a/gang/member_event.go
+++ b/gang/member_event.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// MemberEvent is what a Member is told: Received, Adopted, TaskEnded, Contact,
-// Drain or Tick.
+// MemberEvent is the input of a Member: Received, TasksRecovered, TaskEnded,
+// ReportAnswered, Drain or Tick.
 type MemberEvent interface{ memberEvent() }
 
 // Received is a message from a coordinator.
 type Received struct {
-	// From is where replies go; this package doesn't read it.
+	// From is where replies go; this package doesn't interpret it.
 	From    string
 	Message Message
 }
 
-// TasksRecovered opens a new Member: it lists the tasks that the target runs from
-// before the agent's restart, and as StateEnded with their results those that
-// have ended and that it still remembers. Until then all messages are refused, because an
-// accelerator that looks free may be in use. The target must refuse a start
-// that an earlier incarnation of the agent sent and that arrives after the
-// listing.
+// TasksRecovered makes a new Member ready. It lists the tasks that the target
+// still runs from before the agent's restart, and in StateEnded those that
+// have ended and that the target remembers. Until then all messages are
+// refused, because an accelerator that looks free may be in use. After the
+// listing the target must refuse a start that an earlier incarnation of the
+// agent sent.
 type TasksRecovered struct{ Tasks []Task }
 
-// TaskEnded is the end of a task at the target, for whatever reason.
+// TaskEnded reports the end of a task at the target, for whatever reason.
 type TaskEnded struct {
 	ID           ID
 	Result       Result
@@ -29,9 +29,10 @@
 	Detail       string
 }
 
-// ReportAnswered is an answer to a report. Whole lists the attempts of several members
-// that the planner holds whole (Coordinator.Whole); their tasks may run on for
-// Isolation after At, the time when the answered report was sent.
+// ReportAnswered is a planner's answer to a report. Renewed lists the attempts
+// of several members for which Coordinator.AllMembersAlive holds; their tasks
+// may run on for IsolationTimeout after SentAt, the time at which the answered
+// report was sent.
 type ReportAnswered struct {
 	SentAt  time.Time
 	Renewed []ID
@@ -39,10 +40,10 @@
 	Timestamp PlannerTimestamp
 }
 
-// Drain makes the member refuse new reservations for good.
+// Drain makes the member refuse new reservations permanently.
 type Drain struct{}
 
-// Tick lets deadlines act; it is due at the last WakeMember.
+// Tick lets the member act on deadlines. It is due at the last TickAt.
 type Tick struct{}
 
 func (Received) memberEvent()       {}
--- a/gang/member_grant.go
+++ b/gang/member_grant.go
@@ -1,6 +1,7 @@
 package gang
 
-// checkAvailable says why the accelerators can't be granted now, or Accepted.
+// checkAvailable returns why the accelerators can't be assigned now, or
+// Accepted.
 func (m *Member) checkAvailable(accelerators []int) Refusal {
 	if len(accelerators) == 0 {
 		return Invalid
@@ -20,8 +21,9 @@
 	return Accepted
 }
 
-// assignAccelerators enters the attempt as owner. Two owners of one accelerator would mean
-// that the table is broken; going on would damage both tasks.
+// assignAccelerators records the attempt as the owner of its accelerators. It
+// panics if one has an owner already, because going on would damage both
+// tasks.
 func (m *Member) assignAccelerators(a *attempt) {
 	for _, i := range a.task.Accelerators {
 		if m.owners[i] != nil {
@@ -31,7 +33,7 @@
 	}
 }
 
-// endAttempt frees the accelerators and turns the attempt into a tombstone.
+// endAttempt frees the accelerators and keeps the attempt as a tombstone.
 func (m *Member) endAttempt(a *attempt) {
 	for _, i := range a.task.Accelerators {
 		if m.owners[i] == a {
@@ -40,18 +42,19 @@
 	}
 	a.task.State = StateEnded
 	a.spec = nil
-	// What never started is of no interest to a planner that didn't ask.
+	// The end of an attempt that never started need not be reported.
 	a.acknowledged = !a.task.Started
 	m.tombstones++
 	m.evictTombstones()
 }
 
-// evictTombstones drops the oldest tombstones above the bound, closed ones first.
+// evictTombstones drops the oldest tombstones above the limit, acknowledged
+// ones first.
 //
-// A forgotten attempt must not look like one never seen: a late Reserve, Commit
-// and Start would run it a second time, and a Seal would be told that it never
-// committed. The floor prevents both: IDs at or below it that have no account
-// are answered Forgotten, which proves nothing and permits nothing.
+// A forgotten attempt must not look like an unknown one: late copies of its
+// messages would run it a second time, and a Seal would prove that it never
+// committed. Attempts up to highestForgotten that are not known are therefore
+// answered with Forgotten.
 func (m *Member) evictTombstones() {
 	for m.tombstones > m.config.MaxTombstones {
 		oldest := m.oldestTombstone()
--- a/gang/member_isolation.go
+++ b/gang/member_isolation.go
@@ -2,6 +2,6 @@
 
 import "time"
 
-// SetIsolationTimeout changes MemberConfig.Isolation. It holds for deadlines set from
-// then on.
+// SetIsolationTimeout changes MemberConfig.IsolationTimeout for deadlines that
+// are set from now on.
 func (m *Member) SetIsolationTimeout(d time.Duration) { m.config.IsolationTimeout = d }
--- a/gang/member_receive.go
+++ b/gang/member_receive.go
@@ -7,8 +7,8 @@
 		return
 	}
 	a := m.attempts[h.ID]
-	// A planner that was paused wakes after a successor has sealed attempts
-	// here: acting on its word could start what the successor proved not started.
+	// A planner that resumes after a pause must not start what a successor has
+	// meanwhile proved not started.
 	if h.Sender < m.fence {
 		m.reply(r.From, taskOf(a, h.ID), StaleEpoch)
 		return
@@ -48,9 +48,9 @@
 	return Accepted
 }
 
-// handleUnknownAttempt handles a message for an attempt without an account. All but an
-// acceptable Reserve leave a tombstone, so that a Reserve still under way can't
-// open the attempt after this answer.
+// handleUnknownAttempt handles a message for an attempt that the member does
+// not know. Every message but an accepted Reserve leaves a tombstone, so that
+// a delayed Reserve can't begin the attempt after this answer.
 func (m *Member) handleUnknownAttempt(msg Message) Refusal {
 	h := msg.Head()
 	if h.Incarnation != m.config.Incarnation {
--- a/gang/member_status.go
+++ b/gang/member_status.go
@@ -5,18 +5,19 @@
 // memberStatus is what a coordinator knows of one member.
 type memberStatus struct {
 	planned     PlannedMember
-	task        Task      // its furthest account
-	incarnation uint64    // highest heard of
-	aliveAt     time.Time // up to when the task is known to have run
-	fencedAt    time.Time // first sign that it refuses earlier planners
-	sentAt      time.Time // last message
+	task        Task      // in its most advanced state
+	incarnation uint64    // highest known
+	aliveAt     time.Time // when the task was last known to run
+	fencedAt    time.Time // when it was first known to refuse earlier planners; zero if not
+	sentAt      time.Time // when the last message was sent
 	refusal     Refusal   // of the reservation
-	answered    bool      // in this round of a successor's questions
-	taskGone    bool      // restarted without the task: its account is lost
-	lost        bool      // MemberLost
+	answered    bool      // to the Seal of the current round
+	taskGone    bool      // the agent restarted or has forgotten the task
+	lost        bool      // MemberLost was received
 }
 
-// updateTask takes over an account unless it is older than what is known.
+// updateTask records the task unless it comes from an earlier incarnation or
+// is in an earlier state than the known one.
 func (m *memberStatus) updateTask(t Task, incarnation uint64) {
 	if incarnation < m.incarnation {
 		return
@@ -28,15 +29,15 @@
 	m.task = t
 }
 
-// markAlive notes up to when the task is known to have been there.
+// markAlive records that the task was known to run at the given time.
 func (m *memberStatus) markAlive(at time.Time) {
 	if at.After(m.aliveAt) {
 		m.aliveAt = at
 	}
 }
 
-// markFenced notes that earlier planners can't act on the member any more, or see
-// that the gang is not whole.
+// markFenced records that earlier planners can no longer act on the member, or
+// no longer see all members of its gang alive.
 func (m *memberStatus) markFenced(now time.Time) {
 	if m.fencedAt.IsZero() {
 		m.fencedAt = now
@@ -45,11 +46,12 @@
 
 func (m *memberStatus) unanswered() bool { return !m.answered }
 
-// released says whether nothing of the attempt runs or is held there any more.
+// released reports whether nothing of the attempt runs or is held on the
+// member any more.
 func (m *memberStatus) released() bool { return m.task.State == StateEnded || m.taskGone || m.lost }
 
-// reached says whether the attempt got to the state and is still whole there: a
-// task that succeeded has passed all states.
+// reached reports whether the attempt got to state s on the member and is not
+// being stopped. A task that succeeded has passed all states.
 func (m *memberStatus) reached(s State) bool {
 	if m.task.State == StateEnded {
 		return m.task.Result == Succeeded
@@ -57,7 +59,8 @@
 	return m.task.State >= s && m.task.State != StateStopping
 }
 
-// cannotComplete says whether the attempt can't be completed there.
+// cannotComplete reports whether the attempt can no longer succeed on the
+// member.
 func (m *memberStatus) cannotComplete() bool {
 	if m.task.State == StateEnded {
 		return m.task.Result != Succeeded
@@ -65,24 +68,25 @@
 	return m.taskGone || m.lost || m.task.State == StateStopping
 }
 
-// neverCommitted says whether the member proved that it never committed and
-// never will. An account of another incarnation is no proof: the one that was
-// asked to commit has lost its memory.
+// neverCommitted reports whether the member has proved that it never committed
+// and never will. An incarnation that has restarted proves nothing, because
+// the one that was asked to commit has lost its memory.
 func (m *memberStatus) neverCommitted() bool {
 	return m.task.State == StateEnded && !m.task.Committed
 }
 
-// neverStarted is the same for the start of the task.
+// neverStarted reports whether the member has proved that it never started the
+// task and never will.
 func (m *memberStatus) neverStarted() bool {
 	return m.task.State == StateEnded && !m.task.Started
 }
 
-// succeeded says whether the task did all of its work.
+// succeeded reports whether the task ended with success.
 func (m *memberStatus) succeeded() bool {
 	return m.task.State == StateEnded && m.task.Result == Succeeded
 }
 
-// awaitsStart says whether the member has committed and not been told to start yet.
+// awaitsStart reports whether the member has committed and not started.
 func (m *memberStatus) awaitsStart() bool { return m.task.State == StateCommitted }
 
 func (m *memberStatus) result() MemberResult {
--- a/gang/orphan.go
+++ b/gang/orphan.go
@@ -1,11 +1,11 @@
 package gang
 
-// OrphanStop returns the message that ends a task which a report lists, for which the
-// planner with the given epoch runs no coordinator, and which the job's record,
-// read after the report arrived, does not name. Such a task is left over when a
-// coordinator ended while one of its members could not be reached; without this
-// its accelerators would be held for good. Reservations expire by themselves and
-// need none.
+// OrphanStop returns the message that stops an orphaned task: one that an
+// agent reports, for which the planner with the given epoch has no
+// coordinator, and which the job's record, read after the report arrived, does
+// not name. Such a task is left over when an attempt ends while a member is
+// unreachable, and would hold its accelerators indefinitely. It returns false
+// for a reservation, which expires by itself.
 func OrphanStop(t Task, incarnation, epoch uint64) (Stop, bool) {
 	if t.State == StateReserved {
 		return Stop{}, false
--- a/gang/outcome.go
+++ b/gang/outcome.go
@@ -1,23 +1,25 @@
 package gang
 
-// Outcome is what can be said of an attempt when it is over.
+// Outcome is how an attempt ended.
 type Outcome uint8
 
 // Outcomes of an attempt.
 const (
-	// Lost: it ran, or may have run, and did not end by itself. A job that is
-	// not repeatable has an unknown outcome.
+	// Lost means that the attempt ran, or may have run, and did not end by
+	// itself. The outcome of a job that is not repeatable is then unknown.
 	Lost Outcome = iota
-	// Done: the tasks of all members succeeded.
+	// Done means that the tasks of all members succeeded.
 	Done
-	// NotStarted: it is proved that no task started and that none will.
+	// NotStarted means that provably no task started and none will.
 	NotStarted
-	// Stopped: it ran and was stopped on request, on all members.
+	// Stopped means that the attempt ran and was stopped on request on all
+	// members.
 	Stopped
-	// Failed: a task ended by itself with an error.
+	// Failed means that a task ended by itself with an error.
 	Failed
-	// Superseded: a planner with a higher epoch is in charge. Nothing is known,
-	// and the caller must leave the job's record alone.
+	// Superseded means that a planner with a higher epoch is in charge.
+	// Nothing is known of the attempt, and the caller must not change the
+	// job's record.
 	Superseded
 )
 
@@ -31,27 +33,30 @@
 	return "invalid"
 }
 
-// Cause is the first reason for which a coordinator gave up an attempt.
+// Cause is the first reason for which a coordinator aborted an attempt.
 type Cause uint8
 
-// Causes of giving up.
+// Causes of an abort.
 const (
-	// NoCause: it was not given up.
+	// NoCause means that the attempt was not aborted.
 	NoCause Cause = iota
-	// CauseAborted: the caller asked for it.
+	// CauseAborted means that the caller requested it.
 	CauseAborted
-	// CauseRefused: a member refused the reservation.
+	// CauseRefused means that a member refused the reservation.
 	CauseRefused
-	// CauseTimeout: reserving and recording took longer than the hold allows, or
-	// starting longer than Config.StartWithin.
+	// CauseTimeout means that reserving and recording took longer than the
+	// hold allows, that starting took longer than Config.StartTimeout, or that
+	// only some members were found started.
 	CauseTimeout
-	// CauseConflict: the job's record names another attempt.
+	// CauseConflict means that the job's record names another attempt.
 	CauseConflict
-	// CauseMemberFailed: a member was lost, restarted, or gave up its hold.
+	// CauseMemberFailed means that a member was lost, restarted or gave up its
+	// hold.
 	CauseMemberFailed
-	// CauseTaskFailed: a task failed.
+	// CauseTaskFailed means that a task failed.
 	CauseTaskFailed
-	// CauseStaleEpoch: a member has heard of a planner with a higher epoch.
+	// CauseStaleEpoch means that a member has heard from a planner with a
+	// higher epoch.
 	CauseStaleEpoch
 )
 
--- a/gang/phase.go
+++ b/gang/phase.go
@@ -1,13 +1,13 @@
 package gang
 
-// phase is where a coordinator is.
+// phase is the current phase of a coordinator.
 type phase uint8
 
 const (
 	phaseNew phase = iota
 	phaseReserving
 	phaseRecording
-	phaseResolving // a successor asks how far its predecessor got
+	phaseResolving // a successor asks the members how far the attempt got
 	phaseCommitting
 	phaseStarting
 	phaseRunning
--- a/gang/planner_timestamp.go
+++ b/gang/planner_timestamp.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// PlannerTimestamp is the time at which a planner answered a report. Agents return the last
-// one in their next report, which shows the planner how old the report can be at
-// most, on its own clock and however long the report was under way. Without it a
-// planner that wakes from a pause takes the reports queued meanwhile for fresh,
-// and renews a member whose gang has ended.
+// PlannerTimestamp is when a planner answered a report. Agents return the last
+// one in their next report, so that the planner knows on its own clock how old
+// that report can be at most. Without it a planner that resumes after a pause
+// would take the reports queued meanwhile as current, and renew a member whose
+// gang has ended.
 type PlannerTimestamp struct {
-	// Epoch is that of the planner, whose clock alone can read At.
+	// Epoch identifies the planner whose clock At was read from.
 	Epoch uint64 `cbor:"1,keyasint"`
-	// At is the UnixNano of the time given to Step.
+	// At is the time passed to Step, in Unix nanoseconds.
 	At int64 `cbor:"2,keyasint"`
 }
 
-// NewPlannerTimestamp returns the stamp for an answer given now.
+// NewPlannerTimestamp returns the timestamp for an answer given now.
 func NewPlannerTimestamp(epoch uint64, now time.Time) PlannerTimestamp {
 	return PlannerTimestamp{Epoch: epoch, At: now.UnixNano()}
 }
 
-// reportTime returns the time up to which a report with the stamp is known to
-// speak, for the planner with the epoch; zero if nothing is known. A report with
-// no stamp counts as of its receipt, for agents that were never answered.
+// reportTime returns the time as of which a report with this timestamp is
+// valid for the planner with the given epoch, or zero if that is unknown. A
+// report without a timestamp, from an agent that was never answered, is valid
+// as of its receipt.
 func (s PlannerTimestamp) reportTime(epoch uint64, received time.Time) time.Time {
 	switch s.Epoch {
 	case 0:
--- a/gang/refusal.go
+++ b/gang/refusal.go
@@ -1,28 +1,31 @@
 package gang
 
-// Refusal says why a member did not do what a message asked.
+// Refusal is why a member did not do what a message asked for.
 type Refusal uint8
 
-// Reasons of a member to refuse.
+// Refusals sent in replies.
 const (
-	// Accepted: not refused.
+	// Accepted means that the message was not refused.
 	Accepted Refusal = iota
-	// Busy: an accelerator is in another attempt.
+	// Busy means that an accelerator is in use by another attempt.
 	Busy
-	// Draining: the agent is leaving and takes no new work.
+	// Draining means that the agent is leaving and takes no new work.
 	Draining
-	// StaleEpoch: a planner with a higher epoch has already spoken.
+	// StaleEpoch means that the member has heard from a planner with a higher
+	// epoch.
 	StaleEpoch
-	// WrongIncarnation: the message was for an earlier incarnation.
+	// WrongIncarnation means that the message was for another incarnation.
 	WrongIncarnation
-	// NotReady: the agent has not yet learnt what its target runs.
+	// NotReady means that the agent has not learned yet which tasks its target
+	// runs.
 	NotReady
-	// AlreadyEnded: the attempt has ended on this member.
+	// AlreadyEnded means that the attempt has ended on this member.
 	AlreadyEnded
-	// Forgotten: the attempt is older than what the member remembers, so that
-	// nothing can be said about it.
+	// Forgotten means that the member no longer remembers attempts as old as
+	// this one, so that nothing can be concluded about it.
 	Forgotten
-	// Invalid: the message makes no sense at this stage or for this worker.
+	// Invalid means that the message is not valid in this state or for this
+	// worker.
 	Invalid
 )
 
@@ -31,7 +34,7 @@
 	"not ready", "sealed", "forgotten", "invalid",
 }
 
-// String returns the reason in lower case.
+// String returns the refusal in lower case.
 func (r Refusal) String() string {
 	if int(r) < len(refusalNames) {
 		return refusalNames[r]
--- a/gang/result.go
+++ b/gang/result.go
@@ -5,23 +5,25 @@
 
 // Results of a task.
 const (
-	// NoResult: the task has not ended or never started.
+	// NoResult means that the task has not ended or never started.
 	NoResult Result = iota
-	// Succeeded: the task did all of its work.
+	// Succeeded means that the task ended with success.
 	Succeeded
-	// TaskFailed: the task ended by itself with an error.
+	// TaskFailed means that the task ended by itself with an error.
 	TaskFailed
-	// TaskStopped: the task was stopped on request.
+	// TaskStopped means that the task was stopped on request.
 	TaskStopped
-	// TaskLost: the target no longer has the task and can't say how it ended.
+	// TaskLost means that the target no longer has the task and can't tell how
+	// it ended.
 	TaskLost
-	// Isolated: the member stopped the task because it heard of no whole gang.
+	// Isolated means that the member stopped the task because its attempt was
+	// not renewed in time.
 	Isolated
 )
 
 var resultNames = [...]string{"none", "succeeded", "failed", "stopped", "lost", "isolated"}
 
-// String returns the result's name in lower case.
+// String returns the result in lower case.
 func (r Result) String() string {
 	if int(r) < len(resultNames) {
 		return resultNames[r]
--- a/gang/search.go
+++ b/gang/search.go
@@ -5,71 +5,75 @@
 	"time"
 )
 
-// AgentView is what a successor knows of an agent that it hears.
+// AgentView is what a successor knows of an agent that it receives reports
+// from.
 type AgentView struct {
 	Agent       string
 	Incarnation uint64
-	// FencedAt is when the incarnation first reported the successor's epoch as its
-	// fence, zero if it has not yet.
+	// FencedAt is when the incarnation first reported the successor's epoch as
+	// its fence, zero if it has not yet.
 	FencedAt time.Time
-	// FenceSentAt is when the incarnation was first sent a fence, zero if it was not.
+	// FenceSentAt is when the incarnation was first sent a fence, zero if it
+	// was not.
 	FenceSentAt time.Time
-	// Tasks are those of the last report.
+	// Tasks are the tasks in the last report.
 	Tasks []Task
 }
 
 // SearchConfig is the timing of a Search.
 type SearchConfig struct {
-	// LossTimeout is the loss timeout.
+	// LossTimeout is how long a silent agent is waited for before it counts as
+	// lost.
 	LossTimeout time.Duration
 	// SettleTime is Config.SettleTime.
 	SettleTime time.Duration
 }
 
-// Search is a successor's look at all agents for what its predecessors started on
-// permits, which name no members. It is made from the reports of one moment.
+// Search looks through the agents' reports for attempts that predecessors
+// started on permits, which name no members. It uses the reports known at one
+// moment.
 //
-// The failure it guards against: the planner that holds a permit starts the job in
-// an outage of the store and dies, or is cut off from its successor. No record says
-// where the job runs, so the successor would start it beside the first run, or
-// beside a part of it that runs on alone.
+// A planner that holds a permit may start the job without a record and then
+// die or be cut off. Without the search its successor would start the job a
+// second time.
 type Search struct {
 	config        SearchConfig
 	now           time.Time
-	allFenced     bool // all agents, for Settle
+	allFenced     bool // all agents are, see isFenced
 	attemptsByJob map[string][]foundAttempt
 }
 
 // foundAttempt is what the agents hold of one attempt.
 type foundAttempt struct {
 	plan     Plan
-	gangSize int  // of the gang
-	mustWait bool // at a member, or not fenced there
+	gangSize int
+	mustWait bool // a member has failed, stopped or is not fenced
 }
 
-// complete says whether all members of the gang hold an account of the attempt.
+// complete reports whether all members of the gang know the attempt.
 func (r *foundAttempt) complete() bool { return len(r.plan.Members) == r.gangSize }
 
-// SearchResult is what a Search says of a permit.
+// SearchResult is the conclusion of a Search about one job.
 type SearchResult uint8
 
-// Verdicts of a Search.
+// Results of a Search.
 const (
-	// SearchPending: the job may be running somewhere; its tasks must be left alone.
+	// SearchPending means that the job may be running somewhere; its tasks
+	// must not be stopped.
 	SearchPending SearchResult = iota
-	// Adoptable: the returned plan is an attempt of which all members hold an
-	// account. Resume tells how far it got, or how it ended.
+	// Adoptable means that all members know the attempt of the returned plan.
+	// ResumeCoordinator finds out how far it got or how it ended.
 	Adoptable
-	// Incomplete: part of an attempt is left and the rest is not coming. Its tasks
-	// have to be stopped.
+	// Incomplete means that only part of an attempt is left. Its tasks have to
+	// be stopped.
 	Incomplete
-	// NotFound: no agent that can be reached holds anything of the job or will
-	// start it, and what the others may hold does not run partially. The job may
-	// have run: this is no proof that it did not.
+	// NotFound means that no reachable agent has a task of the job or will
+	// start one, and that unreachable agents don't run part of it. The job may
+	// have run nevertheless.
 	NotFound
 )
 
-// NewSearch looks at all agents that are not lost.
+// NewSearch returns a search over all agents that are not lost.
 func NewSearch(c SearchConfig, now time.Time, agents []AgentView) *Search {
 	s := &Search{config: c, now: now, allFenced: true, attemptsByJob: make(map[string][]foundAttempt)}
 	for _, v := range agents {
@@ -81,10 +85,11 @@
 	return s
 }
 
-// isFenced says whether the agent isFenced the predecessors, and has for long enough.
-// One that reports and can't be told, because its path is broken one way or its
-// target does not answer it, counts as lost in the end: it would keep every job
-// with a permit from starting.
+// isFenced reports whether the agent has refused predecessors for SettleTime.
+// An agent that sends reports but can't be fenced, because messages don't
+// reach it or its target does not respond, is treated as lost after twice the
+// loss timeout since the first attempt: otherwise it would keep every job with
+// a permit from starting.
 func (s *Search) isFenced(v AgentView) bool {
 	if v.FencedAt.IsZero() {
 		return !v.FenceSentAt.IsZero() && s.now.Sub(v.FenceSentAt) >= 2*s.config.LossTimeout
@@ -92,9 +97,9 @@
 	return s.now.Sub(v.FencedAt) >= s.config.SettleTime
 }
 
-// addTask enters a task. A reservation is none: it expires, and with the fence up it
-// can't be committed. Accounts from before the fence may still change and count
-// only as something that is there.
+// addTask records a task. Reservations at fenced agents are ignored: they
+// expire and can't be committed. A task at an agent that is not fenced may
+// still change.
 func (s *Search) addTask(v AgentView, t Task) {
 	if t.State == StateReserved && !v.FencedAt.IsZero() {
 		return
@@ -116,16 +121,15 @@
 	s.attemptsByJob[t.ID.Job] = attempts
 }
 
-// Resolve says what is known of a job with a permit of the epoch that the
-// successor has looked for since began.
+// Resolve returns what is known of a job whose permit belongs to the given
+// epoch and which the successor has been looking for since began.
 //
-// It waits for the loss timeout, so that agents which it never heard are lost to
-// it, and until every agent it hears has refused its predecessors for Settle. A
-// gang with a member among these is then whole and listed, or has stopped by
-// isolation: its planner has heard of the fence, or no longer hears the member.
-// A gang with no member among them can still run, whole, which is what repeatable
-// jobs allow. An attempt that is whole need not wait; one that has ended must, since
-// the job may have been started again elsewhere.
+// It waits for the loss timeout, so that agents never heard from count as
+// lost, and until all others have been fenced for SettleTime. A gang with a
+// member on one of these has then been reported by all members or has stopped
+// by isolation. A gang without one may still run completely, which repeatable
+// jobs allow. An intact attempt is adopted at once; one that has ended is not,
+// since the job may have been started again elsewhere.
 func (s *Search) Resolve(job string, epoch uint64, began time.Time) (SearchResult, Plan) {
 	latest, anyFound := s.latestComplete(job, epoch)
 	waiting := s.now.Sub(began) < s.config.LossTimeout || !s.allFenced
@@ -140,8 +144,8 @@
 	return NotFound, Plan{}
 }
 
-// latestComplete returns the latestComplete attempt under the epoch that is complete, and whether
-// anything is left of any.
+// latestComplete returns the latest complete attempt of the epoch, or nil, and
+// whether any attempt of the epoch was found.
 func (s *Search) latestComplete(job string, epoch uint64) (*foundAttempt, bool) {
 	var latest *foundAttempt
 	anyFound := false
@@ -158,8 +162,9 @@
 	return latest, anyFound
 }
 
-// FenceMessage returns a message that raises the fence of an agent and concerns no job:
-// planners with lower epochs can't start anything there after it.
+// FenceMessage returns a message that raises the fence of an agent without
+// concerning any job. Planners with lower epochs can't start anything there
+// afterwards.
 func FenceMessage(epoch, incarnation uint64) Seal {
 	return Seal{Header: Header{ID: ID{Epoch: epoch}, Sender: epoch, Incarnation: incarnation}}
 }
--- a/gang/state.go
+++ b/gang/state.go
@@ -1,28 +1,30 @@
 package gang
 
-// State is how far an attempt has got on one member. Later states are larger,
-// and an attempt never goes back.
+// State is how far an attempt has got on one member. Later states have higher
+// values, and an attempt never goes back.
 type State uint8
 
 // States of an attempt on a member.
 const (
-	// StateUnknown: this incarnation of the agent has no account of the attempt.
+	// StateUnknown means that this incarnation of the agent does not know the
+	// attempt.
 	StateUnknown State = iota
-	// StateReserved: accelerators are held until the hold expires.
+	// StateReserved means that accelerators are held until the hold expires.
 	StateReserved
-	// StateCommitted: accelerators are held until Start or Stop.
+	// StateCommitted means that accelerators are held until Start or Stop.
 	StateCommitted
-	// StateRunning: the target was told to start the task.
+	// StateRunning means that the target was told to start the task.
 	StateRunning
-	// StateStopping: the target was told to stop the task and has not yet done so.
+	// StateStopping means that the target was told to stop the task and has
+	// not confirmed it yet.
 	StateStopping
-	// StateEnded: nothing is held, nothing runs and nothing will.
+	// StateEnded means that nothing is held or runs, and nothing will.
 	StateEnded
 )
 
 var stateNames = [...]string{"unknown", "reserved", "committed", "running", "stopping", "ended"}
 
-// String returns the state's name in lower case.
+// String returns the state in lower case.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
--- a/gang/task_equal.go
+++ b/gang/task_equal.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Equal says whether two accounts tell a planner the same. RunUntil moves with
-// each contact and is no news.
+// Equal reports whether two tasks are the same to a planner. RunUntil is
+// ignored, since it changes with each renewal.
 func (t Task) Equal(other Task) bool {
 	return t.ID == other.ID &&
 		t.State == other.State &&
