--- a/gang/protocol_test.go
+++ b/gang/protocol_test.go
@@ -41,8 +41,8 @@
 	return m
 }
 
-// cluster joins one coordinator and its members by a network without faults;
-// the agents in cut get and send nothing.
+// cluster connects a coordinator and its members by a network without faults.
+// Disconnected agents neither receive nor send anything.
 type cluster struct {
 	members      map[string]*Member
 	disconnected map[string]bool
@@ -56,8 +56,8 @@
 	return cl
 }
 
-// step gives the coordinator an event and carries messages until all is quiet.
-// It returns the actions that are not messages.
+// step passes an event to the coordinator and delivers messages until there
+// are no more. It returns the actions that are not messages.
 func (cl *cluster) step(co *Coordinator, now time.Time, ev Event) []Action {
 	var others []Action
 	for _, act := range co.Step(now, ev) {
@@ -101,13 +101,12 @@
 	return Reserve{Header: h, Accelerators: []int{0}, Members: 2, Hold: 20 * time.Second}
 }
 
-// exchange sends one message and returns the reply.
+// exchange sends one message to a member and returns the reply.
 func exchange(m *Member, now time.Time, msg Message) Reply {
 	return replies(m.Step(now, Received{"p", msg}))[0]
 }
 
-// A job of two members starts: nothing runs before both have committed and the
-// record is written, and the reports that follow show both running.
+// No member may run before all have committed and the start is recorded.
 func TestAllMembersStart(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
@@ -120,8 +119,8 @@
 	c.Assert(co.AllMembersAlive(t0.Add(7*time.Second)), qt.IsFalse)
 }
 
-// The job waits although a third accelerator is free elsewhere, because one of
-// the chosen ones was granted a moment ago. The others must be free at once.
+// One member refuses because its accelerator is in use. The other members must
+// release their reservations at once.
 func TestRefusalReleasesReservations(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
@@ -134,9 +133,9 @@
 	c.Assert(cl.members["a"].FreeAccelerators(), qt.HasLen, 2)
 }
 
-// A planner is paused between its record and its commits. A successor finds the
-// record, seals the members and tells the caller "not run". The planner wakes and
-// commits: no member may listen, or the job that was not run would run.
+// A successor resolves an attempt as not started while its planner is paused
+// before its commits. Members must refuse the commits when the planner
+// resumes.
 func TestPausedPlannerIsFenced(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
@@ -149,8 +148,8 @@
 	c.Assert(cl.members["a"].Tasks(), qt.HasLen, 0)
 }
 
-// The planner dies after its commits. The successor must carry on, because it
-// can't know whether the start was sent: the job starts once, and runs.
+// The planner dies after its commits. The successor can't know whether the
+// start was sent, so it must complete the attempt without starting it twice.
 func TestSuccessorResumesCommittedAttempt(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
@@ -165,10 +164,9 @@
 	c.Assert(next.AllMembersAlive(t0), qt.IsTrue)
 }
 
-// The planner's Start reaches one of two members, which does all of its work. The
-// planner gives up and dies; the message that stops the other member is lost. Its
-// successor finds one member done and one committed. To start that one would make
-// a gang whose parts ran one after the other, and report it as done.
+// Only one member was started and has ended with success when a successor
+// takes over. Starting the other one now would report a gang as done that
+// never ran together.
 func TestSuccessorDoesNotCompletePartialRun(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
@@ -185,8 +183,8 @@
 	c.Assert(e.Members[1].Started, qt.IsFalse)
 }
 
-// An agent restarts after it has committed and its memory of that is gone. The
-// job may have run there, so the caller must not hear "not run".
+// An agent restarts after it has committed and forgets that. The job may have
+// run, so the attempt must not be reported as not started.
 func TestRestartedMemberDoesNotProveNotStarted(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
@@ -201,9 +199,9 @@
 	c.Assert(cl.members["a"].FreeAccelerators(), qt.HasLen, 2)
 }
 
-// The owner, cut from the store, still reaches and renews both members. Its
-// successor reaches only b, and that late, when a's loss timeout is already over.
-// If the job started elsewhere at once, a would still run alone.
+// The predecessor still renews both members while its successor reaches only
+// b, after the loss timeout of a. Ending the attempt at once would let the job
+// start elsewhere while a still runs alone.
 func TestSuccessorWaitsForIsolation(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
@@ -224,9 +222,9 @@
 	c.Assert(e.CauseAgent, qt.Equals, "a")
 }
 
-// A successor stopped one member before its start and let the other run. The old
-// owner hears of the first from a report, which nothing fences. If it took that
-// for its own doing it would report "not started".
+// A successor ended the attempt on one member before its start. The
+// predecessor sees this in a report and must not conclude that the attempt was
+// not started, because the successor may have started the other member.
 func TestReportWithHigherFenceSupersedes(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
@@ -243,8 +241,8 @@
 	c.Assert(lastEnded(c, cl.step(old, t0, r)).Outcome, qt.Equals, Superseded)
 }
 
-// After a restart the target still runs a job. Until the agent knows of it, its
-// accelerators look free, and a second job would be granted them.
+// After an agent's restart its target may still run tasks. Until these are
+// known, their accelerators look free and must not be assigned.
 func TestReservationsRefusedBeforeRecovery(t *testing.T) {
 	c := qt.New(t)
 	m := NewMember(MemberConfig{Accelerators: 2, Incarnation: 2, IsolationTimeout: time.Minute})
@@ -254,8 +252,8 @@
 	c.Assert(m.FreeAccelerators(), qt.DeepEquals, []int{1})
 }
 
-// A task succeeds while its agent restarts. The planner must hear of the success
-// and not take the task for lost, or a job that is done would be run again.
+// A task that succeeds while its agent restarts must be reported as done, or
+// the job would run again.
 func TestEndDuringRestartIsReported(t *testing.T) {
 	c := qt.New(t)
 	m := testMember(2, Task{ID: attempt1, State: StateEnded, Accelerators: []int{0}, Members: 1, Result: Succeeded})
@@ -269,9 +267,8 @@
 	c.Assert(m.Tasks(), qt.HasLen, 0)
 }
 
-// A worker ran so many jobs that the oldest was forgotten. Copies of that job's
-// messages arrive late and in order; they must not run it a second time, nor may
-// a successor hear that it never committed.
+// Delayed messages for an attempt that the member has forgotten must neither
+// run it a second time nor let a successor conclude that it never committed.
 func TestForgottenAttemptIsNotRestarted(t *testing.T) {
 	c := qt.New(t)
 	m := testMember(1)
@@ -285,9 +282,9 @@
 	c.Assert(len(m.attempts) <= 4, qt.IsTrue)
 }
 
-// A worker is cut off while it runs its part of a gang. It must stop by itself
-// before the gang starts elsewhere; a job of one member runs on, for it can't be
-// partial. An agent that restarts on the way gives the task no more time.
+// A disconnected member of a gang must stop by itself before the gang starts
+// elsewhere, even if its agent restarts meanwhile. A job with one member runs
+// on.
 func TestIsolatedMemberStops(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -323,9 +320,9 @@
 	return false
 }
 
-// One start is delivered at once and another only after the first member has
-// stopped for want of its gang: the late one would run alone (found by the
-// randomised worlds, seed 1363).
+// A start that is delivered only after the first member has stopped by
+// isolation would let the second one run alone, so the attempt is aborted
+// before that.
 func TestStartTimeoutAborts(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
@@ -342,8 +339,8 @@
 	c.Assert(cl.members["a"].Tasks()[0].State, qt.Equals, StateStopping)
 }
 
-// A planner wakes from a pause and finds reports from before it in its queue. If
-// it took them for news it would renew a member whose gang has ended meanwhile.
+// A planner that resumes after a pause must not take reports queued before it
+// as current, or it would renew a member whose gang has ended.
 func TestQueuedReportDoesNotProveAlive(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a")
@@ -362,9 +359,9 @@
 	}
 }
 
-// A successor reads in reports that all members have committed. They still obey
-// its predecessor, which could give up the attempt on one of them while the
-// successor starts the others.
+// Members that a successor knows only from reports still obey its predecessor,
+// which could end the attempt on one of them while the successor starts the
+// others.
 func TestReportsDoNotReplaceSealReplies(t *testing.T) {
 	c := qt.New(t)
 	co := ResumeCoordinator(testConfig(2), testPlan("a", "b"))
--- a/gang/search_test.go
+++ b/gang/search_test.go
@@ -7,13 +7,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The planner that holds a permit of job "j" started it on agents "a" and "b" and
-// is gone. Each row is what its successor hears at some moment and may conclude.
-//
-// The failures behind the rows: an agent that has not refused the predecessor yet
-// may be told to start a moment later. One that refused only just now may be a
-// member of a gang whose other members run on until isolation, and may have lost
-// its own account in a restart. Part of a gang must not be taken for all of it.
+// A planner that is gone started job "j" on a permit, on agents "a" and "b".
+// Each row is what its successor knows at some moment and must conclude: an
+// agent that is not fenced, or only just was, may still start or run part of
+// the gang.
 func TestSearch(t *testing.T) {
 	const lossTimeout, settleTime = 20 * time.Second, 15 * time.Second
 	began := time.Unix(1000, 0)
@@ -69,8 +66,8 @@
 	}
 }
 
-// Two attempts on one permit: the first was given up, and an account of it is left.
-// The successor goes on with the last one.
+// Two attempts were made on one permit and a task of the aborted one is left.
+// The successor must resume the latest one.
 func TestSearchAdoptsLatestAttempt(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
--- a/gang/sim_agent_test.go
+++ b/gang/sim_agent_test.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// simAgent is an agent and the target beside it, which outlives it.
+// simAgent is an agent and its target, which keeps running when the agent is
+// down.
 type simAgent struct {
 	sim            *simulation
 	name           string
 	member         *Member // nil while the process is down
 	incarnation    uint64
 	tasks          []Task // at the target
-	endedWhileDown []Task // while there was no agent
+	endedWhileDown []Task // tasks that ended while the process was down
 	upOrDownSince  time.Time
 	reportedAt     time.Time
 }
@@ -32,7 +33,8 @@
 }
 
 func (a *simAgent) crash() {
-	// A process that restarts all the time would renew its adopted tasks.
+	// An agent that restarts all the time would keep renewing its recovered
+	// tasks.
 	if a.member == nil || a.sim.now.Sub(a.upOrDownSince) < simSettleTime {
 		return
 	}
@@ -49,7 +51,7 @@
 	})
 }
 
-// loseTasks lets the target die.
+// loseTasks crashes the target.
 func (a *simAgent) loseTasks() {
 	for _, t := range slices.Clone(a.tasks) {
 		a.endTask(t.ID, TaskLost)
@@ -69,7 +71,7 @@
 	}
 }
 
-// renewLeases keeps the target's copy of each task's deadline current.
+// renewLeases updates the target's copy of each task's deadline.
 func (a *simAgent) renewLeases() {
 	for _, task := range a.member.Tasks() {
 		for i := range a.tasks {
@@ -80,7 +82,8 @@
 	}
 }
 
-// expireLeases lets the target stop tasks whose lease no agent renews.
+// expireLeases lets the target stop the tasks whose lease has expired while
+// the agent is down.
 func (a *simAgent) expireLeases() {
 	for _, t := range slices.Clone(a.tasks) {
 		expiry := a.upOrDownSince.Add(simIsolationTimeout)
@@ -128,7 +131,7 @@
 }
 
 // startTask is the target's side of StartTask. It refuses a start from before
-// the agent's restart, and one that was overtaken by its stop.
+// the agent's restart, and one that arrives after the task's stop.
 func (a *simAgent) startTask(incarnation uint64, t Task) {
 	if incarnation != a.incarnation || a.member == nil || a.sim.history.stopped[a.key(t.ID)] {
 		return
--- a/gang/sim_check_test.go
+++ b/gang/sim_check_test.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
+// simAgentAttempt identifies an attempt on one agent.
 type simAgentAttempt struct {
 	agent string
 	id    ID
 }
 
-// simHistory is what happened, as nobody in the world knows it.
+// simHistory is what actually happened in a simulation, for the checks.
 type simHistory struct {
 	recorded           map[ID]bool
 	permits            map[simPermitKey]bool
-	toldNotRun         map[string]bool // jobs of which a caller was told that they did not run
+	toldNotRun         map[string]bool // jobs whose callers were told that they did not run
 	committed          map[simAgentAttempt]bool
 	commitCount        map[ID]int
 	stopped            map[simAgentAttempt]bool
 	started            map[simAgentAttempt]bool
 	succeeded          map[simAgentAttempt]bool
-	reportedNotStarted map[ID]bool // reported as NotStarted
+	reportedNotStarted map[ID]bool
 	partialSince       map[ID]time.Time
-	attemptsByJob      map[string][]ID // by job
-	startedOn          map[ID][]string // agents that started
+	attemptsByJob      map[string][]ID
+	startedOn          map[ID][]string // agents whose target started the task
 }
 
 func newSimHistory() simHistory {
@@ -43,7 +44,7 @@
 	}
 }
 
-// recordCommits notes commits.
+// recordCommits records new commits of the agent.
 func (h *simHistory) recordCommits(a *simAgent) {
 	for id, attempt := range a.member.attempts {
 		if key := a.key(id); attempt.task.Committed && !h.committed[key] {
@@ -63,7 +64,8 @@
 	s.t.Fatalf("seed %d step %d: "+format, append([]any{s.seed, int(step)}, args...)...)
 }
 
-// checkStart holds a start at a target against all that must never happen.
+// checkStart fails the test if a task starts at a target against one of the
+// protocol's guarantees.
 func (s *simulation) checkStart(a *simAgent, t Task) {
 	history := &s.history
 	switch {
@@ -122,8 +124,8 @@
 	})
 }
 
-// isPartial says whether the attempt runs somewhere, and somewhere else neither
-// runs nor has succeeded.
+// isPartial reports whether the attempt runs on some members while others
+// neither run nor have succeeded.
 func (s *simulation) isPartial(id ID, members int) bool {
 	running, succeeded := 0, 0
 	for _, a := range s.agents {
@@ -137,7 +139,8 @@
 	return running > 0 && running+succeeded < members
 }
 
-// checkPartial bounds the time for which part of a gang runs.
+// checkPartial fails the test if part of a gang runs for longer than
+// simMaxPartial.
 func (s *simulation) checkPartial() {
 	for _, a := range s.agents {
 		for _, t := range a.tasks {
@@ -185,7 +188,8 @@
 	}
 }
 
-// checkNothingLeft looks for what was left behind.
+// checkNothingLeft fails the test if a job has not ended or an accelerator is
+// still held.
 func (s *simulation) checkNothingLeft() {
 	for i, r := range s.store.records {
 		if r.state != simEnded {
--- a/gang/sim_permit_test.go
+++ b/gang/sim_permit_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// simPlacementDelay is how long an attempt runs on a permit before its placement is
-// recorded.
+// simPlacementDelay is how long an attempt runs on a permit before its
+// placement is recorded.
 const simPlacementDelay = 10 * time.Second
 
-// simPermit is what a planner knows of the permit that it holds for a job.
+// simPermit is the state of a permit at the planner that holds it.
 type simPermit struct {
 	mayHaveStarted bool // an attempt on it may have started
-	void           bool // the placement may be on record, or the permit was given back
+	void           bool // the placement may be recorded, or the permit was returned
 }
 
 // simUnresolved is a job whose record is a permit of another planner.
@@ -30,14 +30,14 @@
 	return p.permits[job]
 }
 
-// permitUsable says whether the job may be started on this planner's own permit, as far
-// as the planner can see.
+// permitUsable reports whether the job may be started on this planner's own
+// permit, according to the records that it has read.
 func (p *simPlanner) permitUsable(job int) bool {
 	rec := p.records[job]
 	return rec.state == simPermitted && rec.permitEpoch == p.epoch && !rec.cancelRequested && !p.permit(job).void
 }
 
-// writePermit asks for a permit for a job that has never been started.
+// writePermit writes a permit for a job that has never been started.
 func (p *simPlanner) writePermit(job int) {
 	expect := p.records[job].revision
 	p.storeCall(func() {
@@ -50,7 +50,7 @@
 	}, func(bool) {})
 }
 
-// returnPermits gives back what was never used, at the end of the planner's life.
+// returnPermits returns unused permits at the end of the planner's term.
 func (p *simPlanner) returnPermits() {
 	for job, rec := range p.records {
 		used := slices.ContainsFunc(p.runs, func(r *simRun) bool { return r.job == job && r.mayHaveStarted })
@@ -68,7 +68,8 @@
 	}
 }
 
-// recordPlacement records where an attempt runs that was started on a permit.
+// recordPlacement records the placement of an attempt that was started on a
+// permit.
 func (p *simPlanner) recordPlacement(r *simRun) {
 	if r.placing || !r.coord.Running() || p.records[r.job].state != simPermitted {
 		return
@@ -89,7 +90,8 @@
 	}, func(bool) { r.placing = false })
 }
 
-// resolvePermit looks for what another planner started on its permit.
+// resolvePermit searches for attempts that another planner started on its
+// permit.
 func (p *simPlanner) resolvePermit(job int) {
 	rec := p.records[job]
 	h := p.unresolved[job]
@@ -117,7 +119,7 @@
 	}
 }
 
-// afterSearch goes on with a job of which the search found nothing.
+// afterSearch ends or starts a job of which the search found no attempt.
 func (p *simPlanner) afterSearch(job int) {
 	p.sim.stats.notFound++
 	if p.records[job].cancelRequested {
@@ -129,7 +131,7 @@
 	}
 }
 
-// endPermitted ends a cancelled job that has a permit and no attempt.
+// endPermitted ends a cancelled job that has a permit and no running attempt.
 func (p *simPlanner) endPermitted(job int, claimNotRun bool) {
 	expect := p.records[job].revision
 	p.storeCall(func() {
@@ -166,8 +168,8 @@
 	return all
 }
 
-// applyReport keeps what a search needs of a report; late ones of an earlier life
-// count for nothing.
+// applyReport stores what a search needs of a report. Reports of earlier
+// incarnations are ignored.
 func (p *simPlanner) applyReport(i int, r Reported) {
 	if r.Incarnation < p.incarnations[i] {
 		return
@@ -188,7 +190,8 @@
 	}
 }
 
-// resolveAgain meets a task that a search could not see.
+// resolveAgain repeats the search for a job if a task of it is reported after
+// the search found none.
 func (p *simPlanner) resolveAgain(t Task) {
 	job := p.sim.jobIndex(t.ID.Job)
 	if h := p.unresolved[job]; h != nil && h.notFound && h.epoch == t.ID.Epoch && !p.hasRun(job) {
@@ -196,7 +199,8 @@
 	}
 }
 
-// keepsTaskForPermit says whether a task must be left alone for the sake of a permit.
+// keepsTaskForPermit reports whether a task must not be stopped because a
+// search or the recording of its outcome still needs it.
 func (p *simPlanner) keepsTaskForPermit(id ID) bool {
 	job := p.sim.jobIndex(id.Job)
 	rec := p.records[job]
@@ -221,13 +225,14 @@
 	return c
 }
 
-// simPermitKey names a permit: a job and the epoch of the planner that may start it.
+// simPermitKey identifies a permit by its job and the epoch of the planner
+// that holds it.
 type simPermitKey struct {
 	job   int
 	epoch uint64
 }
 
-// cancel is a caller's cancellation through an entry that reaches the store.
+// cancel cancels a job at the store on behalf of a caller.
 func (s *simulation) cancel(job int) {
 	rec := &s.store.records[job]
 	switch {
@@ -244,7 +249,7 @@
 	rec.revision++
 }
 
-// tellNotRun tells a caller that the job did not run and will not.
+// tellNotRun records that a caller was told that the job did not run.
 func (s *simulation) tellNotRun(job int) {
 	name := s.jobs[job].name
 	if ran := s.history.attemptsByJob[name]; len(ran) > 0 {
--- a/gang/sim_planner_test.go
+++ b/gang/sim_planner_test.go
@@ -20,8 +20,8 @@
 	revision        int
 	state           simState
 	plan            Plan
-	permitEpoch     uint64 // epoch of the planner that may start it
-	cancelRequested bool   // a caller has asked for it
+	permitEpoch     uint64 // epoch of the planner that holds the permit
+	cancelRequested bool
 	attempts        int
 }
 
@@ -37,9 +37,10 @@
 	job             int
 	coord           *Coordinator
 	outcome         *Ended
-	decidedRevision int       // revision of the record
-	startedAt       time.Time // the start
-	// onPermit: no record names the attempt. mayHaveStarted: it may have started.
+	decidedRevision int // revision of the record that the attempt is based on
+	startedAt       time.Time
+	// onPermit is set if no record names the attempt, placing while its
+	// placement is being recorded.
 	onPermit, mayHaveStarted, placing bool
 }
 
@@ -52,7 +53,7 @@
 	disconnected     map[string]bool
 	records          []simRecord
 	heardAt          []time.Time
-	incarnations     []uint64 // incarnations by agent
+	incarnations     []uint64 // by agent; zero if unknown
 	fencedAt         []time.Time
 	fenceSentAt      []time.Time
 	tasks            [][]Task
@@ -65,7 +66,7 @@
 
 func (p *simPlanner) name() string { return fmt.Sprint("planner ", p.epoch) }
 
-// whenAwake runs f now, or after the pause.
+// whenAwake runs f now, or after the planner's pause.
 func (p *simPlanner) whenAwake(f func()) {
 	switch {
 	case p.dead:
@@ -76,8 +77,8 @@
 	}
 }
 
-// storeCall runs an operation at the store. Its reply may be lost after it took
-// effect, and it may take effect long after the planner gave it up.
+// storeCall runs an operation at the store. Its reply may be lost after it
+// took effect, and it may take effect long after the planner has given it up.
 func (p *simPlanner) storeCall(op func(), done func(ok bool)) {
 	s := p.sim
 	reachable := func() bool { return !s.store.down && !p.storeUnreachable }
@@ -118,7 +119,8 @@
 	}
 }
 
-// refresh reads the records, writes outcomes, resumes and plans.
+// refresh reads the records, writes outcomes, and takes over or starts
+// attempts.
 func (p *simPlanner) refresh() {
 	var snapshot []simRecord
 	p.storeCall(func() { snapshot = p.sim.store.snapshot() }, func(ok bool) {
@@ -193,7 +195,7 @@
 	}
 }
 
-// plan places at random: agents arbitrate.
+// plan places a job at random; agents refuse accelerators that are in use.
 func (p *simPlanner) plan(job int) (Plan, bool) {
 	p.number++
 	plan := Plan{ID: ID{p.sim.jobs[job].name, p.epoch, p.number}}
@@ -255,8 +257,8 @@
 	})
 }
 
-// recordOnPermit lets an attempt start without a write if the permit still holds,
-// as far as the planner can see.
+// recordOnPermit lets an attempt start without a write if the permit still
+// holds according to the records that the planner has read.
 func (p *simPlanner) recordOnPermit(r *simRun) {
 	result := RecordConflict
 	if p.permitUsable(r.job) && p.records[r.job].revision == r.decidedRevision {
@@ -296,8 +298,8 @@
 	})
 }
 
-// retryOnPermit leaves the record alone after an attempt: the job is started again
-// on the permit, or over that of another planner.
+// retryOnPermit leaves the record unchanged after an attempt. The job is
+// started again on the permit, or over the permit of another planner.
 func (p *simPlanner) retryOnPermit(r *simRun, outcome Outcome) {
 	p.removeRun(r)
 	if id := r.coord.Plan().ID; id.Epoch != p.epoch {
@@ -321,8 +323,7 @@
 	})
 }
 
-// handleReport takes a handleReport, answers it, and stops what no record and no coordinator
-// knows of.
+// handleReport applies a report, answers it, and stops orphaned tasks.
 func (p *simPlanner) handleReport(a *simAgent, sent time.Time, r Reported) {
 	p.whenAwake(func() {
 		i := p.sim.agentIndex(a.name)
--- a/gang/sim_test.go
+++ b/gang/sim_test.go
@@ -11,9 +11,11 @@
 	simSeed = flag.Uint64("gang.seed", 1, "seed of the first world")
 )
 
-// TestRandomFailures lets everything fail at once, checks each start and each
-// outcome against the truth, and at rest looks for leaks. A longer run:
-// go test ./gang -run RandomWorlds -v -gang.worlds 5000 -gang.seed 1000
+// TestRandomFailures simulates agents, planners, a store and a network that
+// all fail, and checks each start, each outcome and the final state against
+// what actually happened. A longer run:
+//
+//	go test ./gang -run RandomFailures -v -gang.worlds 5000 -gang.seed 1000
 func TestRandomFailures(t *testing.T) {
 	var sum simStats
 	for i := range *simRuns {
--- a/gang/simulation_test.go
+++ b/gang/simulation_test.go
@@ -8,15 +8,14 @@
 	"time"
 )
 
-// The world of the randomised runs: agents with targets, planners of several
-// epochs, a store and a network, all of which fail, in virtual time.
+// Timing and size of a simulation.
 const (
 	simStep             = 500 * time.Millisecond
 	simReportInterval   = 2 * time.Second
 	simLivenessWindow   = 6 * time.Second
 	simIsolationTimeout = 15 * time.Second
 	simStartTimeout     = 10 * time.Second
-	simMaxDelay         = 1500 * time.Millisecond // longest of a message, a start or a stop
+	simMaxDelay         = 1500 * time.Millisecond // of a message, a start or a stop
 	simSettleTime       = simLivenessWindow + simIsolationTimeout + 3*simMaxDelay
 	simLossTimeout      = simSettleTime + 10*time.Second
 	// simMaxPartial is how long part of a gang may run without the rest.
@@ -57,6 +56,8 @@
 	repeatable bool
 }
 
+// simulation runs agents with targets, planners of several epochs, a store and
+// a network in virtual time.
 type simulation struct {
 	t             testing.TB
 	seed          uint64
@@ -65,7 +66,7 @@
 	queue         simQueue
 	seq           int
 	faultsEnabled bool
-	permitChance  float64 // chance of a permit before a start
+	permitChance  float64 // probability that a permit is written before a start
 	jobs          []simJob
 	agents        []*simAgent
 	planners      []*simPlanner
@@ -99,7 +100,8 @@
 	return s
 }
 
-// run takes the world through chaos and then lets it come to rest.
+// run simulates a period with faults and then one without, after which
+// everything must have ended.
 func (s *simulation) run(faultPeriod, quietPeriod time.Duration) {
 	s.faultsEnabled = true
 	s.addPlanner()
@@ -140,8 +142,8 @@
 	heap.Push(&s.queue, simEvent{s.now.Add(d), s.seq, run})
 }
 
-// send delivers a message between a planner and an agent: late, out of order,
-// twice or not at all.
+// send delivers a message between a planner and an agent: delayed, reordered,
+// duplicated or not at all.
 func (s *simulation) send(p *simPlanner, a *simAgent, deliver func()) {
 	copies := 1
 	if s.faultsEnabled && s.chance(0.1) {
@@ -156,7 +158,7 @@
 	}
 }
 
-// injectFault lets something fail or recover.
+// injectFault makes something fail or recover, or aborts or cancels a job.
 func (s *simulation) injectFault() {
 	switch s.rng.IntN(70) {
 	case 0:
@@ -198,7 +200,7 @@
 func (s *simulation) anyAgent() *simAgent     { return s.agents[s.rng.IntN(len(s.agents))] }
 func (s *simulation) anyPlanner() *simPlanner { return s.planners[s.rng.IntN(len(s.planners))] }
 
-// endFaults ends all failures and leaves one planner, a fresh one.
+// endFaults ends all faults and replaces all planners by a new one.
 func (s *simulation) endFaults() {
 	s.store.down = false
 	s.keepPlanners(0)
@@ -227,7 +229,7 @@
 	s.keepPlanners(simMaxPlanners)
 }
 
-// keepPlanners ends the processes of all planners but the n latest.
+// keepPlanners stops all planners but the n latest.
 func (s *simulation) keepPlanners(n int) {
 	for len(s.planners) > n {
 		s.planners[0].dead = true
