--- a/jobs/doc.go
+++ b/jobs/doc.go
@@ -1,10 +1,9 @@
-// Package jobs keeps gang jobs in the platform's store: one record a job, one
-// key a record, every change of state a compare-and-swap on that key.
+// Package jobs stores the records of gang jobs: one key for each job, and
+// every change a compare-and-swap on that key.
 //
-// Because each change names the revision it was decided on, two processes that
-// both believe to own a job cannot both move it: a start, a cancellation and an
-// end exclude one another in whatever order their writes reach the store. The
-// record is written three times in the life of a job (accepted, starting or
-// permitted to start, ended), and once more where a job ran long on a permit; what
-// happens in between is known to the agents that run it.
+// Because each change names the revision it is based on, two processes that
+// both believe to own a job can't both change it: a start, a cancellation and
+// an end exclude one another. A record is written when the job is accepted,
+// when it starts or gets a permit to start, and when it ends, and once more if
+// a job runs long on a permit. Only the agents know what happens in between.
 package jobs
--- a/jobs/permit.go
+++ b/jobs/permit.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// AnyAgent stands in Members for all agents of the domain: the record is a permit.
-// A planner of a version that knows no permits takes it for an agent that it never
-// hears of, and waits out the loss timeout before it starts the job again.
+// AnyAgent in Members stands for all agents of the domain and makes the record
+// a permit. A planner version without support for permits waits for the loss
+// timeout of this agent before it starts the job again.
 const AnyAgent = "*"
 
-// IsPermit tells whether the record is a permit: the planner of Epoch may have
-// started the job, under any Number and on any agents. Only the agents know.
+// IsPermit reports whether the record is a permit: the planner of Epoch may
+// have started the job, under any Number and on any agents.
 func (r Record) IsPermit() bool {
 	return r.State == Starting && len(r.Members) == 1 && r.Members[0].Agent == AnyAgent
 }
 
-// EligibleForPermit tells whether a permit may be written over the record. A job that
-// must not run twice gets none: a permit whose planner is gone leaves no proof of
-// whether the job ran. Neither does a job that has been started before, since
-// WithoutPermit could not tell it from one that never ran.
+// EligibleForPermit reports whether a permit may be written over the record. A
+// job that is not repeatable gets none, because a lost permit leaves no proof
+// of whether the job ran. Neither does a job that has been started before,
+// because WithoutPermit could not tell it from one that never ran.
 func (r Record) EligibleForPermit() bool {
 	return r.State == Queued && r.Attempt == 0 && r.Spec.Repeatable
 }
 
-// WithPermit returns the record as a permit for the planner of the epoch. Every
-// claim that the job did not run has to wait from then on: a cancellation only
-// asks (CancelFrom), and a successor has to look for the job at the agents.
+// WithPermit returns the record as a permit for the planner of the epoch. From
+// then on a cancellation only requests a stop (CancelRecord), and a successor
+// has to search the agents for the job.
 func (r Stored) WithPermit(epoch uint64) Stored {
 	r.State = Starting
 	r.Attempt = 1
@@ -33,8 +33,9 @@
 	return r
 }
 
-// WithoutPermit returns the record of a job whose permit was never used. Only the
-// planner that holds the permit can know that, and it must not use it any more.
+// WithoutPermit returns the record of a job whose permit was not used. Only
+// the planner that holds the permit can know that, and it must not use the
+// permit afterwards.
 func (r Stored) WithoutPermit() Stored {
 	r.State = Queued
 	r.Attempt = 0
@@ -44,8 +45,8 @@
 	return r
 }
 
-// Placement returns the members of the attempt that the record names, nil for a
-// permit.
+// Placement returns the members of the attempt that the record names, or nil
+// for a permit.
 func (r Record) Placement() []Member {
 	if r.IsPermit() {
 		return nil
--- a/jobs/record.go
+++ b/jobs/record.go
@@ -9,7 +9,7 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// Spec is what the caller asked for. It never changes after acceptance.
+// Spec is what the caller requested. It never changes after acceptance.
 type Spec struct {
 	Account        string          `json:"account"`
 	Class          string          `json:"class"`
@@ -31,7 +31,7 @@
 	Accelerators []int  `json:"accelerators"`
 }
 
-// Record is the durable form of one job.
+// Record is the stored form of one job.
 type Record struct {
 	// Token is unique to each write of the record; see store.Swap.
 	Token   string `json:"token"`
@@ -39,9 +39,9 @@
 	Service string `json:"service"`
 	Spec    Spec   `json:"spec"`
 	State   State  `json:"state"`
-	// Attempt counts the starts of the job, from 1. Epoch and Number name the
-	// attempt to the agents: the fencing epoch of the planner that started it,
-	// and that planner's counter.
+	// Attempt counts the starts of the job, from 1. Epoch and Number identify
+	// the attempt to the agents: the fencing epoch of the planner that started
+	// it, and that planner's counter.
 	Attempt uint64   `json:"attempt,omitempty"`
 	Epoch   uint64   `json:"epoch,omitempty"`
 	Number  uint64   `json:"number,omitempty"`
@@ -57,7 +57,7 @@
 	Ended           time.Time       `json:"ended,omitzero"`
 }
 
-// Stored is a record with the revision it was read or written at.
+// Stored is a record with the revision at which it was read or written.
 type Stored struct {
 	Record
 	Rev store.Revision
--- a/jobs/state.go
+++ b/jobs/state.go
@@ -1,28 +1,28 @@
 package jobs
 
-// State is the durable state of a job.
+// State is the stored state of a job.
 type State string
 
 const (
-	// Queued: accepted, waiting for its accelerators.
+	// Queued means that the job was accepted and waits for its accelerators.
 	Queued State = "queued"
-	// Starting: a planner owns Attempt and may have started it. Whether it runs
-	// is known to the agents named in Members.
+	// Starting means that a planner owns Attempt and may have started it. The
+	// agents named in Members know whether it runs.
 	Starting State = "starting"
-	// Done: every member of the gang ended with success.
+	// Done means that every member of the gang ended with success.
 	Done State = "done"
-	// Failed: the job itself failed and is not tried again.
+	// Failed means that the job failed and is not retried.
 	Failed State = "failed"
-	// Cancelled: ended at the caller's request.
+	// Cancelled means that the job ended at the caller's request.
 	Cancelled State = "cancelled"
-	// Rejected: never started, and never can.
+	// Rejected means that the job never started and never will.
 	Rejected State = "rejected"
-	// Unknown: a job that must not be repeated may have run, and the proof of
-	// it was lost.
+	// Unknown means that a job that is not repeatable may have run, and that
+	// there is no proof of how it ended.
 	Unknown State = "unknown"
 )
 
-// Ended tells whether no further change can follow.
+// Ended reports whether the state is final.
 func (s State) Ended() bool {
 	return s != Queued && s != Starting
 }
--- a/jobs/store.go
+++ b/jobs/store.go
@@ -14,13 +14,13 @@
 )
 
 // Swapper commits one compare-and-swap, usually grouped with those of other
-// callers into one call to the store (store.Batcher).
+// callers into one request to the store (store.Batcher).
 type Swapper interface {
 	Swap(ctx context.Context, s store.Swap) (store.SwapResult, error)
 }
 
 // Store reads and writes the job records of one region. It is safe for
-// concurrent use and keeps nothing in memory.
+// concurrent use and caches nothing.
 type Store struct {
 	region string
 	store  store.Store
@@ -32,7 +32,8 @@
 	return &Store{region: region, store: store, swaps: swaps}
 }
 
-// Prefix is the key prefix of a service's records, for listing and watching.
+// Prefix returns the key prefix of a service's records, for listing and
+// watching.
 func (s *Store) Prefix(service string) string {
 	return "jobs/" + s.region + "/" + service + "/"
 }
@@ -41,9 +42,9 @@
 	return s.Prefix(service) + id
 }
 
-// Accept makes a job durable. A repeated call with the same id and spec, by
-// whichever process, returns the record of the first. ErrOutcomeUnknown means
-// that the job may have been accepted.
+// Accept stores a new job. A repeated call with the same ID and spec, from any
+// process, returns the record of the first one. ErrOutcomeUnknown means that
+// the job may have been accepted.
 func (s *Store) Accept(ctx context.Context, r Record) (Stored, error) {
 	r.State = Queued
 	got, err := s.write(ctx, Stored{Record: r})
@@ -85,14 +86,14 @@
 	return decode(kv)
 }
 
-// Update writes a changed record over the one it was read as. On ErrConflict
-// the returned record is the one now in the store.
+// Update writes a changed record over the revision it was read at. With
+// ErrConflict it returns the current record.
 func (s *Store) Update(ctx context.Context, r Stored) (Stored, error) {
 	return s.write(ctx, r)
 }
 
-// End writes the final state under a lease, so that the store itself forgets
-// the record when its retention has passed.
+// End writes a final record under the retention lease, so that the store
+// deletes it when the retention has passed.
 func (s *Store) End(ctx context.Context, r Stored, retention store.LeaseID) (Stored, error) {
 	if !r.State.Ended() {
 		panic("jobs: End with state " + string(r.State))
@@ -100,7 +101,8 @@
 	return s.commit(ctx, r, retention)
 }
 
-// List reads the records of a service's jobs, by id, in one call.
+// List reads all records of a service's jobs in one request and returns them
+// by ID.
 func (s *Store) List(ctx context.Context, service string) (map[string]Stored, error) {
 	snap, err := s.store.List(ctx, s.Prefix(service))
 	if err != nil {
@@ -117,8 +119,8 @@
 	return records, nil
 }
 
-// Cancel ends a job that is still queued, or asks its planner to stop it. It
-// returns the record as it then is; a job that has ended stays as it is.
+// Cancel ends a job that is still queued, or requests its planner to stop it.
+// It returns the resulting record; a job that has ended is not changed.
 func (s *Store) Cancel(ctx context.Context, service, id string, now time.Time) (Stored, error) {
 	cur, err := s.Get(ctx, service, id)
 	if err != nil {
@@ -127,8 +129,8 @@
 	return s.CancelRecord(ctx, cur, now)
 }
 
-// CancelRecord is Cancel for a record that was read already. Where the record has
-// changed since, it decides again on what it is now.
+// CancelRecord is Cancel for a record that was read already. If the record has
+// changed since, it decides again on the current one.
 func (s *Store) CancelRecord(ctx context.Context, cur Stored, now time.Time) (Stored, error) {
 	for {
 		if cur.State.Ended() || cur.CancelRequested {
@@ -187,12 +189,13 @@
 	return cur, ErrConflict
 }
 
-// Decode turns a key of a listing or a watch below Prefix into its record.
+// Decode returns the record in a key-value pair from a listing or a watch
+// below Prefix.
 func Decode(kv store.KeyValue) (Stored, error) {
 	return decode(kv)
 }
 
-// IDFromKey returns the job id that a key below any Prefix names.
+// IDFromKey returns the job ID in a key below any Prefix.
 func IDFromKey(key string) string {
 	return key[strings.LastIndexByte(key, '/')+1:]
 }
--- a/planner/attempt_end.go
+++ b/planner/attempt_end.go
@@ -10,8 +10,8 @@
 	"github.com/eelgrasshub/eelgrasshub/scheduler"
 )
 
-// handleAttemptEnded tells the scheduler how an attempt ended, and ends the job where
-// that decides it.
+// handleAttemptEnded reports the end of an attempt to the scheduler, and ends
+// the job if the outcome is final.
 func (p *Planner) handleAttemptEnded(j *job, e gang.Ended) {
 	if e.Outcome == gang.Superseded {
 		p.endSuperseded("an agent refused our epoch", 0)
@@ -55,8 +55,8 @@
 	p.stepScheduler(ended)
 }
 
-// markMayHold notes that workers may hold accelerators for an attempt that was given
-// up: the message that ends the hold is on its way, or was lost.
+// markMayHold records that workers may still hold accelerators for an aborted
+// attempt: the message that ends the hold may be under way or lost.
 func (p *Planner) markMayHold(members []gang.PlannedMember) {
 	until := clock.Now().Add(p.doc.Document.Gang.HoldTimeout.Duration)
 	for _, m := range members {
@@ -66,10 +66,10 @@
 	}
 }
 
-// workerAtFault is the worker that an attempt was not started for. One that refused
-// while it may still hold for an attempt given up is not at fault: a wave of
-// cancellations makes many such refusals at once, and counted as failures they
-// would quarantine workers that are well.
+// workerAtFault returns the worker because of which an attempt was not
+// started. A worker that refuses while it may still hold accelerators for an
+// aborted attempt is not at fault. Many cancellations at once cause many such
+// refusals, and counting them would quarantine healthy workers.
 func (p *Planner) workerAtFault(e gang.Ended) scheduler.WorkerID {
 	w := p.workers[e.CauseAgent]
 	if w != nil && e.Cause == gang.CauseRefused && clock.Now().Before(w.mayHoldUntil) {
@@ -91,10 +91,9 @@
 	}
 }
 
-// handleNotStarted follows an attempt that was given up. The job may have ended
-// meanwhile, whatever the cause was: a cancellation that is on record aborts the
-// attempt before the attempt itself finds the record changed. Nobody else drops
-// the job then. Or the record names another planner's attempt.
+// handleNotStarted follows up on an attempt that did not start. The job may
+// have ended meanwhile, for instance by a cancellation, and is dropped then.
+// If the record names another planner's attempt, that one is taken over.
 func (p *Planner) handleNotStarted(j *job, e gang.Ended) {
 	switch {
 	case j.stored.State.Ended():
--- a/planner/checkpoint.go
+++ b/planner/checkpoint.go
@@ -8,9 +8,9 @@
 	"github.com/eelgrasshub/eelgrasshub/target"
 )
 
-// keepCheckpoint notes from where the next attempt resumes: the least progress
-// of all members, since the gang computes together. An attempt without a whole
-// set of checkpoints leaves the earlier one valid.
+// keepCheckpoint stores the checkpoint from which the next attempt resumes:
+// the one with the least progress of all members, since a gang computes
+// together. If a member has no checkpoint the earlier one stays valid.
 func (j *job) keepCheckpoint(e gang.Ended) {
 	if e.Outcome == gang.Done || !e.Checkpointed() {
 		return
--- a/planner/config.go
+++ b/planner/config.go
@@ -14,20 +14,20 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// AgentClient carries one message of the gang protocol to an agent and its reply
-// back. A lost message or reply is an error; the planner sends again.
+// AgentClient sends messages of the gang protocol to agents and returns their
+// replies. A lost message or reply is an error; the planner sends it again.
 type AgentClient interface {
 	SendGangMessage(ctx context.Context, agent string, m gang.Message) (gang.Reply, error)
 }
 
-// RetentionLease is the store lease under which ended records are kept. Drop says
-// that the store no longer has it.
+// RetentionLease is the store lease under which ended records are kept.
+// Invalidate reports that the store no longer has the lease.
 type RetentionLease interface {
 	Current(ctx context.Context) (store.LeaseID, error)
 	Invalidate(id store.LeaseID)
 }
 
-// Config is the fixed part of a Planner.
+// Config configures a Planner.
 type Config struct {
 	Service string
 	// Epoch is the fencing epoch of this term.
@@ -37,34 +37,40 @@
 	Agents  AgentClient
 	Metrics *metrics.Set
 	Log     *logrus.Entry
-	// Document is what is in force when the term begins.
+	// Document is the document in force at the start of the term.
 	Document  *document.Held
 	Retention RetentionLease
 }
 
 const (
-	// resendInterval is how long the reply to a message of the gang protocol is awaited.
+	// resendInterval is how long a reply of the gang protocol is awaited
+	// before the message is sent again.
 	resendInterval = 400 * time.Millisecond
-	// requestTimeout bounds one such exchange.
+	// requestTimeout bounds one request to an agent or to the store.
 	requestTimeout = 2 * time.Second
-	// maxTaskStop is the longest that a target takes to stop a task.
+	// maxTaskStop is the longest time in which a target stops a task.
 	maxTaskStop = 3 * time.Second
-	// topologySettleTime is how long after the begin of a term jobs are not rejected for
-	// being larger than the topology: agents may still be announcing themselves.
+	// topologySettleTime is how long after the start of a term no job is
+	// rejected as larger than the topology, since agents may still be
+	// announcing themselves.
 	topologySettleTime = 5 * time.Second
-	// storeRetryInterval is the pause before a failed write or listing is tried again.
+	// storeRetryInterval is the pause before a failed write or listing is
+	// retried.
 	storeRetryInterval = 500 * time.Millisecond
-	// maxRecentlyEnded is how many ended jobs are remembered for status requests.
+	// maxRecentlyEnded limits how many ended jobs are kept for status
+	// requests.
 	maxRecentlyEnded = 4096
-	// workQueueSize bounds what waits for the planner's goroutine.
+	// workQueueSize is the number of functions that can wait for the planner's
+	// goroutine.
 	workQueueSize = 8192
-	// housekeepingInterval is the period in which lost agents are looked for.
+	// housekeepingInterval is the interval of periodic work such as detecting
+	// lost agents.
 	housekeepingInterval = 250 * time.Millisecond
 )
 
-// coordinatorConfig derives the coordinator's timing from the document. What lies between
-// isolation and loss, less the stop of a task, is shared by Window and the delay
-// of reports.
+// coordinatorConfig derives the coordinators' timing from the document. The
+// loss timeout minus the isolation timeout and the time of a task stop is
+// split evenly between LivenessWindow and the delay of reports.
 func coordinatorConfig(epoch uint64, g document.Gang) gang.Config {
 	window := livenessWindow(g)
 	return gang.Config{
@@ -78,7 +84,8 @@
 	}
 }
 
-// attemptConfig is that of an attempt of the job.
+// attemptConfig returns the coordinator configuration for an attempt of the
+// job.
 func (p *Planner) attemptConfig(j *job) gang.Config {
 	c := coordinatorConfig(p.cfg.Epoch, p.doc.Document.Gang)
 	c.RetainSucceeded = j.stored.IsPermit()
@@ -89,7 +96,8 @@
 	return (g.LossTimeout.Duration - g.IsolationTimeout.Duration - maxTaskStop) / 2
 }
 
-// toJSON returns text as JSON: as it is where it is valid, as a string where not.
+// toJSON returns text unchanged if it is valid JSON, otherwise as a JSON
+// string.
 func toJSON(text string) json.RawMessage {
 	if json.Valid([]byte(text)) {
 		return json.RawMessage(text)
--- a/planner/coordinator.go
+++ b/planner/coordinator.go
@@ -9,7 +9,8 @@
 	"github.com/eelgrasshub/eelgrasshub/scheduler"
 )
 
-// attachCoordinator gives a job its coordinator and lists it with its workers.
+// attachCoordinator assigns a coordinator to a job and registers the job with
+// its workers.
 func (p *Planner) attachCoordinator(j *job, c *gang.Coordinator) {
 	j.coord = c
 	for _, m := range c.Plan().Members {
@@ -37,8 +38,8 @@
 	j.coord = nil
 }
 
-// stepCoordinator gives a job's coordinator an event and carries out its actions. A
-// job whose attempt has ended meanwhile ignores it.
+// stepCoordinator passes an event to a job's coordinator and carries out its
+// actions. It does nothing if the attempt has ended.
 func (p *Planner) stepCoordinator(j *job, ev gang.Event) {
 	if p.superseded || j.coord == nil {
 		return
@@ -73,8 +74,8 @@
 	})
 }
 
-// send sends a message to an agent and hands the reply to the job's coordinator,
-// if j is not nil. What is lost the coordinator sends again.
+// send sends a message to an agent and passes the reply to the job's
+// coordinator, unless j is nil. The coordinator sends lost messages again.
 func (p *Planner) send(j *job, to string, m gang.Message) {
 	p.tomb.Go(func() error {
 		ctx, cancel := p.context(requestTimeout)
@@ -88,8 +89,8 @@
 	})
 }
 
-// HandleReply takes a reply that an agent sent by itself, at the end of a task. It
-// is safe for concurrent use.
+// HandleReply handles a reply that an agent sent on its own at the end of a
+// task. It is safe for concurrent use.
 func (p *Planner) HandleReply(agent string, r gang.Reply) {
 	p.post(func() {
 		if j := p.jobs[r.Task.ID.Job]; j != nil {
--- a/planner/evict.go
+++ b/planner/evict.go
@@ -8,12 +8,10 @@
 	"github.com/eelgrasshub/eelgrasshub/scheduler"
 )
 
-// evict stops a gang so that another job may start, once the store answers.
-//
-// The failure this guards against: the store is out, a running gang is stopped for
-// a job that waits, and neither can start, because a start has to be on record.
-// Its work is lost and its accelerators stand idle for as long as the outage
-// lasts. A read just before shows that the start can follow.
+// evict stops a gang in favor of another job, after a read has shown that the
+// store is available. Without the store the other job could not be recorded
+// and started, and the accelerators of the evicted gang would stay idle for
+// the rest of the outage.
 func (p *Planner) evict(a scheduler.StopGang) {
 	p.tomb.Go(func() error {
 		ctx, cancel := p.context(requestTimeout)
@@ -33,7 +31,7 @@
 	p.stopNow(a)
 }
 
-// retryEvict asks the store again, unless the gang has ended meanwhile.
+// retryEvict tries again unless the attempt has ended meanwhile.
 func (p *Planner) retryEvict(a scheduler.StopGang) {
 	if j := p.jobs[string(a.Job)]; j != nil && j.coord != nil && j.attempt == a.Attempt {
 		p.evict(a)
--- a/planner/explain.go
+++ b/planner/explain.go
@@ -6,42 +6,49 @@
 	"github.com/eelgrasshub/eelgrasshub/scheduler"
 )
 
-// WaitStatus says where a job stands on its way to its start.
+// WaitStatus tells how far a job is from its start.
 type WaitStatus struct {
 	Status
-	// Stage decides which of the other fields count.
+	// Stage determines which of the other fields apply.
 	Stage Stage
-	// Explanation is the scheduler's word, for StageQueued.
+	// Explanation is the scheduler's reason for the wait, for StageQueued.
 	Explanation scheduler.Explanation
 }
 
-// Stage is how far a job has come.
+// Stage is how far a job has come on its way to its start.
 type Stage uint8
 
 const (
-	// StagePastStart: it has ended, or an attempt of it is on record.
+	// StagePastStart means that the job has ended or that its attempt is
+	// recorded.
 	StagePastStart Stage = iota
-	// StageQueued: the scheduler says why it waits.
+	// StageQueued means that the job waits in the scheduler's queue.
 	StageQueued
-	// StageStarting: it is placed, and its start is not on record yet.
+	// StageStarting means that the job is placed and its start not recorded
+	// yet.
 	StageStarting
-	// StageEnding: it will not start; its end is being put on record.
+	// StageEnding means that the job will not start and its end is being
+	// recorded.
 	StageEnding
-	// StageLoadingRecords: the records are still being read, and this one is not known.
+	// StageLoadingRecords means that the records are still being read and this
+	// one is not known yet.
 	StageLoadingRecords
-	// StageStoreUnavailable: the store does not answer, and the job has no permit to start
-	// without a record of it.
+	// StageStoreUnavailable means that the store is unavailable and the job
+	// has no permit to start without a record.
 	StageStoreUnavailable
-	// StageUnresolvedPermit: an earlier planner may have started it on a permit, and the agents
-	// have not yet shown whether it did.
+	// StageUnresolvedPermit means that an earlier planner may have started the
+	// job on a permit, and that the agents' reports have not shown yet whether
+	// it did.
 	StageUnresolvedPermit
 )
 
-// Explain says why a job waits. Known is false where no record of it was seen.
-// The context's or the term's end is an answer of neither: asked is false then. It
-// is safe for concurrent use. The workers are walked over once a second at most for
-// each queue of jobs that need more cores or memory than comes with an accelerator,
-// and never for others, however many ask.
+// Explain reports why a job waits. Known is false if there is no record of the
+// job. Asked is false if the context or the term ended before there was an
+// answer.
+//
+// It is safe for concurrent use. However often it is called, the workers are
+// traversed at most once a second for each queue of jobs that need more cores
+// or memory than come with an accelerator, and never for other jobs.
 func (p *Planner) Explain(ctx context.Context, id string) (wait WaitStatus, known, asked bool) {
 	type answer struct {
 		wait  WaitStatus
@@ -64,12 +71,12 @@
 		return w, true
 	}
 	if w.Explanation, ok = p.explainer().Explain(scheduler.JobID(id)); !ok {
-		w.Stage = StageEnding // withdrawn for good
+		w.Stage = StageEnding // withdrawn from the scheduler permanently
 	}
 	return w, true
 }
 
-// stageOf is the stage of a live job, or of one that has ended, which is nil.
+// stageOf returns the stage of a live job, or of an ended one if j is nil.
 func (p *Planner) stageOf(j *job) Stage {
 	switch {
 	case j == nil:
--- a/planner/job.go
+++ b/planner/job.go
@@ -9,7 +9,7 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// Phase is where a live job stands, in more detail than its record says.
+// Phase is the state of a live job in more detail than in its record.
 type Phase string
 
 // Phases of a live job.
@@ -25,52 +25,59 @@
 	stored  jobs.Stored
 	phase   Phase
 	attempt scheduler.Attempt
-	// decidedRevision is the revision of the record that the attempt was decidedRevision on.
+	// decidedRevision is the revision of the record that the attempt is based
+	// on.
 	decidedRevision store.Revision
-	coord           *gang.Coordinator // nil while queued
-	wakeTimer       *time.Timer       // of the coordinator
-	// lastEnded is how the lastEnded attempt ended; it decides between failed and unknown
-	// when the scheduler gives the job up.
+	coord           *gang.Coordinator // nil if no attempt is being made
+	wakeTimer       *time.Timer       // for the coordinator's next Wake
+	// lastEnded is how the last attempt ended. It distinguishes failed from
+	// unknown when the scheduler gives the job up.
 	lastEnded gang.Ended
-	// endedAttempt is the last attempt that the record may name and that has ended. Later
-	// ones that were given up before their record don't change it.
+	// endedAttempt is the last ended attempt that the record may name. Later
+	// attempts that were aborted before they were recorded don't change it.
 	endedAttempt gang.ID
 	permit       permitState
-	// permitPlan is the plan of the last attempt on a permit, by this planner or found
-	// by its search.
+	// permitPlan is the plan of the last attempt on a permit, started by this
+	// planner or found by its search.
 	permitPlan gang.Plan
-	// withheld: the scheduler does not know the job for now.
+	// withheld is set while the job is kept out of the scheduler.
 	withheld bool
-	// unresolved: the record is a permit of another planner, and it is not known yet what
-	// was started on it. Since heldAt, by clock.Now.
+	// unresolved is set while the record is a permit of another planner and it
+	// is not known what was started on it. unresolvedSince is when that began,
+	// by clock.Now.
 	unresolved      bool
 	unresolvedSince time.Time
-	// stopLeftovers: what is left of an attempt on that permit has to be stopped.
+	// stopLeftovers is set if the remaining tasks of an incomplete attempt on
+	// that permit have to be stopped.
 	stopLeftovers bool
-	// notFound: the search found nothing of it.
+	// notFound is set if the search found no attempt of the job.
 	notFound bool
-	// mayHaveStarted is set once an attempt may have started, as far as anyone can prove.
+	// mayHaveStarted is set once it can't be proved that no attempt started.
 	mayHaveStarted bool
-	// started is set with the first start, for the waiting time.
+	// started is set by the first start, at which the waiting time is
+	// measured.
 	started bool
-	// failures counts attempts that the job itself failed.
+	// failures counts the attempts in which the job itself failed.
 	failures int
-	// exceeded is set when the job is being stopped for a exceeded of its class.
+	// exceeded is set while the job is being stopped for a limit of its class.
 	exceeded *exceededLimit
-	// finalRecord is the final record while it is being written.
+	// finalRecord is the final record while it is being written, or while the
+	// attempt of a job that was ended elsewhere is being aborted.
 	finalRecord *jobs.Stored
 }
 
-// isWaiting says whether the job is accepted and no attempt of it is being made.
+// isWaiting reports whether the job is queued, has no attempt and is not
+// ending.
 func (j *job) isWaiting() bool {
 	return j.phase == Queued && j.coord == nil && j.finalRecord == nil
 }
 
-// mayHaveRun says whether a task of the job may ever have started. Nobody may be
-// told then that it did not run.
+// mayHaveRun reports whether a task of the job may ever have started. The
+// caller must then not be told that the job did not run.
 func (j *job) mayHaveRun() bool { return j.started || j.mayHaveStarted || j.permit.mayBeUsed }
 
-// updateRecord takes a later form of the record, but for what this planner knows better.
+// updateRecord replaces the record by a later version, but keeps the fields
+// that this planner knows better.
 func (j *job) updateRecord(r jobs.Stored) {
 	old := j.stored
 	j.stored = r
@@ -102,7 +109,7 @@
 	return out
 }
 
-// recordedPlan is the plan that a record names.
+// recordedPlan returns the plan that a record names.
 func recordedPlan(r jobs.Record) gang.Plan {
 	p := gang.Plan{ID: gang.ID{Job: r.ID, Epoch: r.Epoch, Number: r.Number}}
 	for _, m := range r.Members {
--- a/planner/job_end.go
+++ b/planner/job_end.go
@@ -11,8 +11,8 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// endJob writes the final record of a job. Until the store has it the job counts
-// as live, so that nothing is told twice and a takeover finds the truth.
+// endJob writes the final record of a job. The job stays live until the store
+// has the record, so that the end is reported once and a successor finds it.
 func (p *Planner) endJob(j *job, s jobs.State, reason string) {
 	if j.finalRecord != nil {
 		return
@@ -31,12 +31,12 @@
 	p.writeFinalRecord(j, final)
 }
 
-// endCancelled ends a job that was cancelled while no attempt of it was made.
+// endCancelled ends a job that was cancelled and has no attempt.
 func (p *Planner) endCancelled(j *job) {
 	p.endJob(j, jobs.Cancelled, "cancelled by the caller")
 }
 
-// result is the list of what the members returned.
+// result returns what the members returned, as a JSON list.
 func (j *job) result() json.RawMessage {
 	parts := make([]json.RawMessage, 0, len(j.lastEnded.Members))
 	for _, m := range j.lastEnded.Members {
@@ -49,7 +49,8 @@
 	return data
 }
 
-// writeFinalRecord writes until the store has the record, through outages.
+// writeFinalRecord tries to write the final record. handleFinalWritten retries
+// it until the store has the record.
 func (p *Planner) writeFinalRecord(j *job, final jobs.Stored) {
 	p.tomb.Go(func() error {
 		ctx, cancel := p.context(requestTimeout)
@@ -81,8 +82,8 @@
 	}
 }
 
-// handleFinalConflict meets a record that changed meanwhile: by an earlier try of this
-// very write, by a cancellation, or by a successor.
+// handleFinalConflict handles a record that changed meanwhile: by an earlier
+// try of the same write, by a cancellation or by another planner.
 func (p *Planner) handleFinalConflict(j *job, got jobs.Stored) {
 	switch {
 	case got.State.Ended():
@@ -98,8 +99,9 @@
 	}
 }
 
-// clearNotRunClaim takes the claim that the job did not run out of a final record: an
-// earlier planner has recorded a start or a permit meanwhile.
+// clearNotRunClaim removes the claim that the job did not run from a final
+// record, because an earlier planner has recorded a start or a permit
+// meanwhile.
 func clearNotRunClaim(final *jobs.Stored, got jobs.Stored) {
 	final.Attempt = max(final.Attempt, got.Attempt)
 	if final.State == jobs.Rejected {
@@ -107,7 +109,7 @@
 	}
 }
 
-// forgetJob drops a job whose end is on record.
+// forgetJob removes a job whose end is recorded.
 func (p *Planner) forgetJob(j *job, final jobs.Stored) {
 	if p.jobs[final.ID] != j {
 		return
--- a/planner/limits.go
+++ b/planner/limits.go
@@ -9,7 +9,7 @@
 	"github.com/eelgrasshub/eelgrasshub/scheduler"
 )
 
-// Reasons of a job that met a limit of its class.
+// Reasons in the records of jobs that exceeded a limit.
 const (
 	reasonDeadline = "the class's deadline passed"
 	reasonMaxRun   = "it ran longer than the class's max_run"
@@ -17,8 +17,8 @@
 	reasonQueue    = "the service has as many jobs waiting as admission.max_jobs allows"
 )
 
-// enforceLimits ends jobs that have met a limit of their class: of the whole time from
-// acceptance, or of one run.
+// enforceLimits ends jobs that have exceeded a limit of their class on the
+// time since their acceptance or on the time of one run.
 func (p *Planner) enforceLimits(now time.Time) {
 	for _, j := range p.jobs {
 		class, ok := p.doc.Document.Class(j.stored.Spec.Class)
@@ -31,7 +31,7 @@
 	}
 }
 
-// exceededLimit is why a job is being stopped, and how it ends.
+// exceededLimit is the final state and reason of a job that exceeded a limit.
 type exceededLimit struct {
 	state  jobs.State
 	reason string
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// stopAtLimit withdraws the job from the scheduler, which stops what runs; the
-// job then ends as the limit says and not as cancelled.
+// stopAtLimit withdraws the job from the scheduler, which stops its attempt.
+// The job then ends as the limit says and not as cancelled.
 func (p *Planner) stopAtLimit(j *job, l *exceededLimit) {
 	j.exceeded = l
 	if j.withheld {
@@ -60,8 +60,9 @@
 	p.withdrawJob(j.stored.ID)
 }
 
-// retriesExhausted counts a failure of the job itself. A worker that went away is
-// not one.
+// retriesExhausted counts the failure if the job itself failed, and reports
+// whether the job has failed more often than its class allows. The loss of a
+// worker does not count.
 func (p *Planner) retriesExhausted(j *job, e gang.Ended) bool {
 	if e.Outcome != gang.Failed {
 		return false
@@ -71,8 +72,8 @@
 	return ok && j.failures > class.Retries
 }
 
-// rejectSurplus splits what has arrived into what may wait and what finds the service's
-// queue full.
+// rejectSurplus rejects those of the new jobs that exceed the limit of the
+// service's queue, and returns the others.
 func (p *Planner) rejectSurplus(newJobs []scheduler.Job) []scheduler.Job {
 	free := p.doc.Document.Admission.MaxJobs - (p.queuedCount() - len(newJobs))
 	if len(newJobs) <= free {
--- a/planner/outage.go
+++ b/planner/outage.go
@@ -10,11 +10,12 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// probeJobID is the id of no job; reading its record shows that the store answers.
+// probeJobID is not the ID of any job; reading its record shows whether the
+// store answers.
 const probeJobID = "-"
 
-// noteStoreError takes the outcome of a write: one that the store did not answer shows
-// that it is out, or that this planner is cut off from it.
+// noteStoreError handles the outcome of a write. If the store did not answer
+// it is treated as unavailable until a probe succeeds.
 func (p *Planner) noteStoreError(err error) {
 	if p.storeUnavailable || !eris.Is(err, store.ErrUnavailable) && !eris.Is(err, jobs.ErrOutcomeUnknown) {
 		return
@@ -24,7 +25,7 @@
 	p.probeStore()
 }
 
-// probeStore asks the store until it answers.
+// probeStore reads from the store until it answers.
 func (p *Planner) probeStore() {
 	p.tomb.Go(func() error {
 		ctx, cancel := p.context(requestTimeout)
@@ -39,7 +40,8 @@
 	})
 }
 
-// handleStoreRecovered lets the jobs back into the queue that waited for the store.
+// handleStoreRecovered resubmits the jobs that were withheld because of the
+// store.
 func (p *Planner) handleStoreRecovered() {
 	p.cfg.Log.Info("store back")
 	p.storeUnavailable = false
@@ -52,12 +54,10 @@
 	p.resubmit(withheld)
 }
 
-// withholdUnpermitted takes jobs out of the scheduler that can't be started before
-// the store is back.
-//
-// The failure this guards against: the head of the queue has no permit, its
-// attempts reserve accelerators, wait for a record that can't be written, and give
-// up, over and over, while jobs with permits find nothing free.
+// withholdUnpermitted keeps jobs that can't start before the store is
+// available again out of the scheduler. Otherwise their attempts would
+// repeatedly reserve accelerators and time out, and take them from jobs that
+// have a permit.
 func (p *Planner) withholdUnpermitted() {
 	if !p.storeUnavailable {
 		return
@@ -69,13 +69,14 @@
 	}
 }
 
-// withhold takes a job that waits out of the scheduler. It stays accepted.
+// withhold removes a waiting job from the scheduler. The job stays accepted.
 func (p *Planner) withhold(j *job) {
 	j.withheld = true
 	p.withdrawJob(j.stored.ID)
 }
 
-// resubmit lets withheld jobs wait at their old places.
+// resubmit returns withheld jobs to the scheduler, in the order of their
+// submission.
 func (p *Planner) resubmit(withheld []*job) {
 	slices.SortFunc(withheld, func(a, b *job) int { return a.stored.Submitted.Compare(b.stored.Submitted) })
 	var newJobs []scheduler.Job
--- a/planner/permit.go
+++ b/planner/permit.go
@@ -16,49 +16,51 @@
 )
 
 const (
-	// maxUnusedPermits is how many jobs of a domain hold an unused permit.
+	// maxUnusedPermits limits how many jobs of a domain hold an unused permit.
 	maxUnusedPermits = 64
-	// permitDelay is how long a job waits before it is given one: what starts at
-	// once must not cost a further write.
+	// permitDelay is how long a job waits before it is given a permit, so that
+	// a job that starts at once needs no extra write.
 	permitDelay = 2 * time.Second
-	// placementDelay is how long an attempt runs on a permit before its placement is
-	// recorded, so that short jobs cost no further write.
+	// placementDelay is how long an attempt runs on a permit before its
+	// placement is recorded, so that short jobs need no extra write.
 	placementDelay = 10 * time.Second
 	// permitReturnTimeout bounds the writes at the end of a term.
 	permitReturnTimeout = time.Second
 )
 
-// permitState is what the planner that wrote a job's permitState knows of it.
+// permitState is the state of a job's permit at the planner that wrote it.
 type permitState struct {
-	// writing: the write of the permit is under way.
+	// writing is set while the permit is being written.
 	writing bool
-	// mayBeUsed: an attempt may have been started on it.
+	// mayBeUsed is set once an attempt may have been started on the permit.
 	mayBeUsed bool
-	// void: the placement may have taken its place in the record, and a successor
-	// would then look for that attempt alone. Nothing more is started on it.
+	// void is set once the placement may be in the record, since a successor
+	// would then look for that attempt only. Nothing more is started on the
+	// permit.
 	void bool
-	// placing: the write of the placement is under way.
+	// placing is set while the placement is being written.
 	placing bool
 }
 
-// isOwnPermit says whether the record is a permit of this planner.
+// isOwnPermit reports whether the record is a permit of this planner.
 func (p *Planner) isOwnPermit(r jobs.Record) bool {
 	return r.IsPermit() && r.Epoch == p.cfg.Epoch
 }
 
-// permitUsable says whether the job may be started without a write.
+// permitUsable reports whether the job may be started on its permit without a
+// write.
 func (p *Planner) permitUsable(j *job) bool {
 	return p.isOwnPermit(j.stored.Record) && !j.permit.void && !j.unresolved && !j.stored.CancelRequested && j.finalRecord == nil
 }
 
-// permitUnused says whether it is certain that nothing was started on the job's permit.
-// Only the planner that holds it can say so.
+// permitUnused reports whether certainly nothing was started on the job's
+// permit. Only the planner that holds the permit can know that.
 func (p *Planner) permitUnused(j *job) bool {
 	return p.isOwnPermit(j.stored.Record) && !j.unresolved && !j.mayHaveRun()
 }
 
-// writePermits gives permits to the first of the jobs that wait: urgent ones, then
-// by priority and age.
+// writePermits gives permits to the waiting jobs that come first: urgent ones,
+// then by priority and age.
 func (p *Planner) writePermits(now time.Time) {
 	if !p.recordsLoaded || p.storeUnavailable {
 		return
@@ -87,7 +89,7 @@
 		j.stored.EligibleForPermit() && now.Sub(j.stored.Submitted) >= permitDelay
 }
 
-// permitCandidate is a job that may be given a permit, with what decides its turn.
+// permitCandidate is a job that may be given a permit, with its sort keys.
 type permitCandidate struct {
 	job      *job
 	urgent   bool
@@ -128,8 +130,8 @@
 	})
 }
 
-// handlePermitWritten takes the outcome of writePermit. Where it is not known, the watch
-// brings the permit if it was written.
+// handlePermitWritten handles the outcome of writePermit. If it is unknown,
+// the watch delivers the permit in case it was written.
 func (p *Planner) handlePermitWritten(j *job, baseRev store.Revision, got jobs.Stored, err error) {
 	j.permit.writing = false
 	p.noteStoreError(err)
@@ -142,8 +144,8 @@
 	}
 }
 
-// applyOwnWrite takes over a record that this planner wrote over the revision from. An
-// attempt that was decided meanwhile need not be given up for it.
+// applyOwnWrite takes over a record that this planner wrote over baseRev. An
+// attempt based on that revision stays valid.
 func (p *Planner) applyOwnWrite(j *job, got jobs.Stored, baseRev store.Revision) {
 	if got.Rev > j.stored.Rev {
 		j.updateRecord(got)
@@ -153,7 +155,7 @@
 	}
 }
 
-// startOnPermit lets an attempt go on whose start the permit has recorded.
+// startOnPermit lets an attempt continue whose start is covered by the permit.
 func (p *Planner) startOnPermit(j *job, plan gang.Plan) {
 	if !j.permit.mayBeUsed {
 		p.cfg.Metrics.Add(metrics.PermitsUsed, 1)
@@ -165,9 +167,9 @@
 	p.postFromLoop(func() { p.notifyRecorded(j, plan.ID, gang.RecordWritten) })
 }
 
-// recordPlacements records where attempts run that were started on permits, once they
-// have run for a while. Those of an earlier planner were found by a search of all
-// agents, which nobody should have to repeat.
+// recordPlacements records where attempts run that were started on permits:
+// own ones after placementDelay, those of an earlier planner at once, so that
+// no other successor has to search for them.
 func (p *Planner) recordPlacements(now time.Time) {
 	if p.storeUnavailable {
 		return
@@ -210,8 +212,8 @@
 	}
 }
 
-// finalizePermit makes the final record of a job that is ended on its permit. Attempt
-// 0 claims that it did not run.
+// finalizePermit completes the final record of a job that ends on its permit.
+// Attempt 0 claims that the job did not run.
 func (p *Planner) finalizePermit(j *job, final *jobs.Stored) {
 	final.Number = j.permitPlan.ID.Number
 	final.Members = recordMembers(j.permitPlan)
@@ -221,9 +223,9 @@
 	}
 }
 
-// returnPermits gives unused permits back at the end of a term, so that the
-// successor may start these jobs at once. Nothing is sent on them any more. What
-// can't be written the successor finds out itself.
+// returnPermits returns unused permits at the end of a term, so that the
+// successor may start these jobs at once. They must not be used afterwards.
+// The successor resolves permits that can't be returned.
 func (p *Planner) returnPermits() {
 	ctx, cancel := context.WithTimeout(context.Background(), permitReturnTimeout)
 	defer cancel()
@@ -250,12 +252,10 @@
 	p.cfg.Metrics.Add(metrics.PermitsReturned, 1)
 }
 
-// returnUnconfirmedPermit gives a permit back whose write the term's end overtook.
-//
-// The failure this guards against: the store has the permit, the planner has not heard
-// so, and its successor, to which any permit may have been used, keeps the job waiting
-// for the loss timeout. The record tells; a permit that lands after it was read is
-// found by the successor's search.
+// returnUnconfirmedPermit returns a permit whose write was not confirmed when
+// the term ended. Otherwise the successor would delay the job for the loss
+// timeout, because the permit might have been used. A permit that is stored
+// only after this read is resolved by the successor.
 func (p *Planner) returnUnconfirmedPermit(ctx context.Context, id string) {
 	r, err := p.cfg.Jobs.Get(ctx, p.cfg.Service, id)
 	if err != nil {
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -26,11 +26,12 @@
 	jobs              map[string]*job
 	workers           map[string]*worker
 	recentlyEnded     *lru.Cache[string, jobs.Stored]
-	lastAttemptNumber uint64 // of the last attempt under this epoch
-	recordsLoaded     bool   // all records have been read
-	// storeUnavailable: the store did not answer the last write or probe.
+	lastAttemptNumber uint64 // under this epoch
+	recordsLoaded     bool   // all records have been read at least once
+	// storeUnavailable is set if the store did not answer the last write,
+	// until a probe succeeds.
 	storeUnavailable bool
-	superseded       bool // superseded: nothing is touched any more
+	superseded       bool // a higher epoch is known; nothing may be written or sent
 	schedulerTimer   *time.Timer
 
 	aliveAttempts atomic.Pointer[aliveAttempts]
@@ -41,11 +42,11 @@
 	reportCache reportCache
 }
 
-// Start begins a term. Stop ends it.
+// Start begins a term. It ends with Stop, or when the planner is superseded.
 func Start(cfg Config) *Planner {
 	recent, err := lru.New[string, jobs.Stored](maxRecentlyEnded)
 	if err != nil {
-		panic(err) // only a size below 1 is refused
+		panic(err) // only for a size below 1
 	}
 	p := &Planner{
 		cfg:            cfg,
@@ -67,18 +68,19 @@
 	return p
 }
 
-// Stop ends the term and waits. What runs at the agents runs on.
+// Stop ends the term and waits until it has ended. Running tasks are not
+// stopped.
 func (p *Planner) Stop() {
 	p.tomb.Kill(nil)
 	_ = p.tomb.Wait()
 }
 
-// Done is closed when the term has ended, also by a higher epoch.
+// Done returns a channel that is closed when the term has ended.
 func (p *Planner) Done() <-chan struct{} {
 	return p.tomb.Dead()
 }
 
-// SetDocument puts a new generation in force.
+// SetDocument puts a new generation of the document in force.
 func (p *Planner) SetDocument(h *document.Held) {
 	p.post(func() {
 		p.doc = h
@@ -137,8 +139,8 @@
 	}
 }
 
-// post runs f on the loop's goroutine. It waits while the queue is full and
-// returns without effect when the term has ended.
+// post runs f on the loop's goroutine. It blocks while the queue is full and
+// does nothing if the term has ended.
 func (p *Planner) post(f func()) {
 	select {
 	case p.work <- f:
@@ -146,8 +148,8 @@
 	}
 }
 
-// endSuperseded ends the term: a higher epoch is in charge, and nothing that this
-// planner still believes may be written. The epoch is 0 where it is not known.
+// endSuperseded ends the term because a higher epoch is in charge. Nothing may
+// be written any more. Epoch is 0 if the higher one is not known.
 func (p *Planner) endSuperseded(reason string, epoch uint64) {
 	if !p.superseded {
 		p.cfg.Log.WithField("higher_epoch", epoch).Warn("planner superseded: " + reason)
@@ -156,7 +158,8 @@
 	p.supersedingEpoch.Store(max(epoch, p.cfg.Epoch+1))
 }
 
-// endIfOutranked ends the term where a job's record names a higher epoch.
+// endIfOutranked ends the term if a job's record names a higher epoch, and
+// reports whether it did.
 func (p *Planner) endIfOutranked(r jobs.Stored) bool {
 	if r.Epoch <= p.cfg.Epoch {
 		return false
@@ -165,12 +168,12 @@
 	return true
 }
 
-// SupersedingEpoch returns an epoch above this planner's own by which it was superseded,
-// 0 if it was not. Where no other planner is behind it, as after the store was
-// restored from a backup, the duty has to go on above it.
+// SupersedingEpoch returns an epoch above this planner's own by which it was
+// superseded, or 0 if it was not. If no planner has that epoch, as after the
+// store was restored from a backup, the duty has to continue above it.
 func (p *Planner) SupersedingEpoch() uint64 { return p.supersedingEpoch.Load() }
 
-// context ends with the term.
+// context returns a context that ends with the term or after the timeout.
 func (p *Planner) context(timeout time.Duration) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(p.tomb.Context(context.Background()), timeout)
 }
--- a/planner/policy.go
+++ b/planner/policy.go
@@ -6,7 +6,7 @@
 	"github.com/eelgrasshub/eelgrasshub/scheduler"
 )
 
-// schedulerPolicy is the part of a document that the scheduler obeys.
+// schedulerPolicy returns the scheduler's policy for a document.
 func schedulerPolicy(h *document.Held) scheduler.Policy {
 	d := h.Document
 	p := scheduler.Policy{
@@ -25,7 +25,8 @@
 	return p
 }
 
-// AccountPolicy is a client account of a document as the scheduler sees it.
+// AccountPolicy returns the scheduler's policy for a client account of a
+// document.
 func AccountPolicy(a document.Account) scheduler.AccountPolicy {
 	p := scheduler.AccountPolicy{
 		ID:        scheduler.AccountID(a.Name),
@@ -55,9 +56,9 @@
 	}
 }
 
-// schedulerJob is a record as the scheduler sees it. Priority, urgency
-// and borrowing are those of the class in force now, so that operators can change them for jobs
-// that wait.
+// schedulerJob returns the scheduler's view of a record. Priority, urgency and
+// borrowing are taken from the class in force now, so that operators can
+// change them for waiting jobs.
 func schedulerJob(r jobs.Record, d *document.Document) scheduler.Job {
 	j := scheduler.Job{
 		ID:             scheduler.JobID(r.ID),
--- a/planner/record_watch.go
+++ b/planner/record_watch.go
@@ -10,8 +10,8 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// followRecords lists the job records and watches them from there, again after each
-// end of the watch.
+// followRecords lists the job records and watches them from there, and starts
+// over whenever the watch ends.
 func (p *Planner) followRecords() error {
 	prefix := p.cfg.Jobs.Prefix(p.cfg.Service)
 	ctx := p.tomb.Context(context.Background())
@@ -37,7 +37,7 @@
 		var newJobs []scheduler.Job
 		for _, ev := range b.Events {
 			if ev.Deleted {
-				continue // retention has passed; the job had ended
+				continue // the retention of an ended job has passed
 			}
 			newJobs = p.handleRecord(ev.KeyValue, newJobs)
 		}
@@ -45,8 +45,8 @@
 	})
 }
 
-// handleListing takes in all records at once: at the begin of the term, and after a
-// watch could not be resumed.
+// handleListing handles all records at once: at the start of the term, and
+// after a watch could not be resumed.
 func (p *Planner) handleListing(snap store.Snapshot) {
 	var newJobs []scheduler.Job
 	for _, kv := range snap.Keys {
@@ -65,8 +65,8 @@
 	}
 }
 
-// handleRecord brings one record in. New jobs that wait are appended to fresh, so that
-// a burst is one decision.
+// handleRecord handles one record. New queued jobs are appended to newJobs, so
+// that a burst is passed to the scheduler as one event.
 func (p *Planner) handleRecord(kv store.KeyValue, newJobs []scheduler.Job) []scheduler.Job {
 	r, err := jobs.Decode(kv)
 	if err != nil {
@@ -77,9 +77,8 @@
 		p.handleRecordChange(r)
 		return newJobs
 	}
-	// A watch that has fallen behind brings earlier forms of a record whose end
-	// this planner has written itself. Taken for news, the start among them would
-	// revive the job.
+	// A delayed watch delivers earlier versions of a record whose end this
+	// planner has written already. They must not revive the job.
 	if last, ok := p.recentlyEnded.Peek(r.ID); ok && r.Rev <= last.Rev {
 		return newJobs
 	}
@@ -95,7 +94,8 @@
 	return newJobs
 }
 
-// takeOverRecord takes over an attempt that an earlier planner recorded.
+// takeOverRecord takes over a job that another planner has recorded as
+// starting.
 func (p *Planner) takeOverRecord(r jobs.Stored) {
 	if p.endIfOutranked(r) {
 		return
@@ -106,8 +106,8 @@
 	p.cancelIfRequested(j)
 }
 
-// resumeAttempt resolves an attempt with its agents: the one that the job's record
-// names, or that a search has found.
+// resumeAttempt resolves an attempt with its agents: the one that the job's
+// record names, or one that a search has found.
 func (p *Planner) resumeAttempt(j *job, plan gang.Plan) {
 	r := j.stored
 	j.phase = Starting
@@ -123,10 +123,10 @@
 	p.stepCoordinator(j, gang.Begin{})
 }
 
-// startedByOther says whether the record names an attempt of another planner.
-// A predecessor that does not know yet that it was replaced can still record a
-// start, because a record's revision guards the job, not the duty. That attempt
-// may run; it has to be resolved before the job starts again.
+// startedByOther reports whether the record names an attempt of another
+// planner. A predecessor that does not know yet that it was replaced can still
+// record a start, because a record's revision protects the job and not the
+// duty. That attempt has to be resolved before the job is started again.
 func (p *Planner) startedByOther(j *job) bool {
 	return p.recordStartedByOther(j.stored)
 }
@@ -135,8 +135,8 @@
 	return r.State == jobs.Starting && r.Epoch != p.cfg.Epoch
 }
 
-// handleRecordChange takes a later form of a record that is known: mostly our own writes
-// coming back, otherwise a cancellation.
+// handleRecordChange handles a new version of a known record: usually this
+// planner's own write, otherwise a cancellation or a write of another planner.
 func (p *Planner) handleRecordChange(r jobs.Stored) {
 	j := p.jobs[r.ID]
 	if j == nil || r.Rev <= j.stored.Rev {
@@ -160,9 +160,10 @@
 	p.cancelIfRequested(j)
 }
 
-// handleEndedRecord: an entry cancelled the job while it was queued. An attempt
-// that was just being made finds the record changed and is given up; until then
-// the job stays known, so that its messages are not orphans.
+// handleEndedRecord handles a job that was ended elsewhere, such as one that
+// was cancelled while it was queued. An attempt in progress finds the record
+// changed and is aborted. Until then the job stays known, so that its tasks
+// are not taken as orphans.
 func (p *Planner) handleEndedRecord(j *job, r jobs.Stored) {
 	if j.coord != nil {
 		j.finalRecord = &r
--- a/planner/report.go
+++ b/planner/report.go
@@ -10,44 +10,47 @@
 	"github.com/eelgrasshub/eelgrasshub/scheduler"
 )
 
-// maxReportAge is for how long a report is given to all who ask. Putting one
-// together takes the planner's goroutine milliseconds at the largest size.
+// maxReportAge is how long a report is reused. Building one blocks the
+// planner's goroutine for milliseconds in the largest domains.
 const maxReportAge = time.Second
 
-// Report is what a planner knows of its domain.
+// Report is a planner's view of its domain.
 type Report struct {
 	scheduler.Report
-	// Stats is as of the last housekeeping, up to a quarter of a second older.
+	// Stats is as of the last housekeeping, which may be housekeepingInterval
+	// earlier.
 	Stats scheduler.Stats
-	// WaitTimes is the waits of jobs by client account and class, since the start of
-	// the process.
+	// WaitTimes summarizes how long jobs waited, by client account and class,
+	// since the start of the process.
 	WaitTimes map[string]map[string]metrics.Summary
-	// Withheld counts, by client account and class, the jobs that the scheduler does
-	// not know for now: see StageStoreOut and StageHeld.
+	// Withheld counts, by client account and class, the waiting jobs that are
+	// kept out of the scheduler; see StageStoreUnavailable and
+	// StageUnresolvedPermit.
 	Withheld map[string]map[string]int
-	// StoreUnavailable says that the store did not take a write of this planner and has not
-	// answered since.
+	// StoreUnavailable is set if the store did not answer a write of this
+	// planner and has not answered since.
 	StoreUnavailable bool
-	// Generation is of the document in force.
+	// Generation is the generation of the document in force.
 	Generation uint64
-	// RecordsLoaded says that all job records have been read.
+	// RecordsLoaded is set once all job records have been read.
 	RecordsLoaded bool
-	// TakenAt is when the report was put together.
+	// TakenAt is when the report was built.
 	TakenAt time.Time
 }
 
-// reportCache is what a planner keeps of the reportCache it was asked for.
+// reportCache holds the last report and what is needed to build explanations.
 type reportCache struct {
-	mu      sync.Mutex // held while a report is made; the others then find it
+	mu      sync.Mutex // held while a report is built, so that concurrent callers share it
 	last    Report
-	takenAt time.Time // when last was taken, by clock.Now
+	takenAt time.Time // when last was built, by clock.Now
 
 	explainer *scheduler.Explainer // the loop's goroutine owns it
 }
 
-// Report returns a report that is at most a second old. False: the context or the
-// term ended first. It is safe for concurrent use; however many ask, the planner's
-// goroutine is interrupted once a second.
+// Report returns a report that is at most maxReportAge old, or false if the
+// context or the term ended first. It is safe for concurrent use. However many
+// callers there are, the planner's goroutine builds at most one report per
+// maxReportAge.
 func (p *Planner) Report(ctx context.Context) (Report, bool) {
 	r := &p.reportCache
 	r.mu.Lock()
--- a/planner/scheduler_step.go
+++ b/planner/scheduler_step.go
@@ -12,8 +12,8 @@
 	"github.com/eelgrasshub/eelgrasshub/target"
 )
 
-// stepScheduler gives the scheduler an event and carries out what it decides. An
-// action may lead to further events; each is a Step of its own.
+// stepScheduler passes an event to the scheduler and carries out its
+// decisions. An action may lead to further events, each in a Step of its own.
 func (p *Planner) stepScheduler(ev scheduler.Event) {
 	for _, a := range p.sched.Step(time.Now(), ev) {
 		p.execute(a)
@@ -51,7 +51,7 @@
 	})
 }
 
-// startGang makes the coordinator of a new attempt and lets it begin.
+// startGang creates the coordinator of a new attempt and starts it.
 func (p *Planner) startGang(a scheduler.StartGang) {
 	j := p.jobs[string(a.Job)]
 	plan, ok := p.planAttempt(j, a)
@@ -66,17 +66,20 @@
 	p.postFromLoop(func() { p.stepCoordinator(j, gang.Begin{}) })
 }
 
-// withdrawJob takes a job out of the scheduler; what runs of it is stopped.
+// withdrawJob removes a job from the scheduler, which stops the job's attempt
+// if there is one.
 func (p *Planner) withdrawJob(id string) {
 	p.stepScheduler(scheduler.JobsCancelled{IDs: []scheduler.JobID{scheduler.JobID(id)}})
 }
 
-// stepSchedulerLater gives an event to the scheduler after the actions in progress.
+// stepSchedulerLater passes an event to the scheduler after the actions in
+// progress.
 func (p *Planner) stepSchedulerLater(ev scheduler.Event) {
 	p.postFromLoop(func() { p.stepScheduler(ev) })
 }
 
-// postFromLoop is post for the loop's own goroutine, which must not wait for itself.
+// postFromLoop is post for the loop's goroutine, which must not block on its
+// own queue.
 func (p *Planner) postFromLoop(f func()) {
 	select {
 	case p.work <- f:
@@ -85,8 +88,9 @@
 	}
 }
 
-// planAttempt turns a placement into a planAttempt for the agents. False: a worker is not
-// known here, the job is already ending, or its start can't be recorded now.
+// planAttempt converts a placement into a plan for the agents. It returns
+// false if a worker is unknown, the job is ending or has an attempt already,
+// or its start can't be recorded now.
 func (p *Planner) planAttempt(j *job, a scheduler.StartGang) (gang.Plan, bool) {
 	if j == nil || j.coord != nil || j.finalRecord != nil || p.storeUnavailable && !p.permitUsable(j) {
 		return gang.Plan{}, false
@@ -161,8 +165,9 @@
 	p.endJob(j, finalState(a.Reason, j), a.Reason.String()+": "+a.Detail)
 }
 
-// finalState is what the caller is told. A job that was lost while it ran and
-// must not run twice may have done its work: that is unknown, not failed.
+// finalState returns the final state of a job that the scheduler has given up.
+// A job that is not repeatable and was lost while it ran may have done its
+// work, so its state is unknown and not failed.
 func finalState(r scheduler.RejectReason, j *job) jobs.State {
 	switch r {
 	case scheduler.RejectCancelled:
@@ -175,7 +180,7 @@
 		}
 		return jobs.Failed
 	}
-	// Rejected says that the job did not run.
+	// Rejected tells the caller that the job did not run.
 	if j.mayHaveRun() {
 		return jobs.Failed
 	}
--- a/planner/status.go
+++ b/planner/status.go
@@ -14,8 +14,9 @@
 	Members []jobs.Member
 }
 
-// Status returns what the planner knows of a job. False: nothing; the record
-// may tell more. It is safe for concurrent use.
+// Status returns what the planner knows of a job, or false if it knows
+// nothing; there may still be a record of the job. It is safe for concurrent
+// use.
 func (p *Planner) Status(ctx context.Context, id string) (Status, bool) {
 	type answer struct {
 		status Status
@@ -28,8 +29,8 @@
 	return a.status, a.known
 }
 
-// callOnLoop runs f on the loop's goroutine and returns what it does. False: the context
-// or the term ended first.
+// callOnLoop runs f on the loop's goroutine and returns its result, or false
+// if the context or the term ended first.
 func callOnLoop[T any](ctx context.Context, p *Planner, f func() T) (T, bool) {
 	var none T
 	answers := make(chan T, 1)
@@ -53,7 +54,7 @@
 	if j := p.jobs[id]; j != nil {
 		phase := j.phase
 		if j.unresolved {
-			phase = Starting // it may run
+			phase = Starting // it may be running
 		}
 		return Status{Record: j.stored.Record, Phase: phase, Members: j.members()}, true
 	}
--- a/planner/takeover.go
+++ b/planner/takeover.go
@@ -8,10 +8,11 @@
 	"github.com/eelgrasshub/eelgrasshub/jobs"
 )
 
-// fenceResendInterval is how often an agent is sent a fence until it reports it.
+// fenceResendInterval is how often an agent is sent a fence until it reports
+// it.
 const fenceResendInterval = time.Second
 
-// takeOver deals with a record that names an attempt or a permit of another
+// takeOver handles a record that names an attempt or a permit of another
 // planner.
 func (p *Planner) takeOver(j *job) {
 	if !j.stored.IsPermit() {
@@ -23,21 +24,23 @@
 	}
 }
 
-// markUnresolved keeps a job with a permit of another planner from being started or ended
-// until it is known what was started on the permit. Jobs without permits go on.
+// markUnresolved keeps a job with a permit of another planner from being
+// started or ended until it is known what was started on the permit. Jobs
+// without such a permit are not affected.
 func (p *Planner) markUnresolved(j *job) {
 	if j.unresolved {
 		return
 	}
 	j.phase = Queued
-	j.mayHaveStarted = true // for all that can be proved
+	j.mayHaveStarted = true // the opposite can't be proved
 	j.unresolved = true
 	j.unresolvedSince = clock.Now()
 	p.withhold(j)
 }
 
-// markUnresolvedAgain meets a task that was started on another planner's permit and that no
-// search could see, since its agent was lost then. The rest of its gang may follow.
+// markUnresolvedAgain repeats the search for a job if a task of it is reported
+// after the search found none, because its agent was lost at the time. The
+// rest of its gang may follow.
 func (p *Planner) markUnresolvedAgain(t gang.Task) {
 	j := p.jobs[t.ID.Job]
 	if j != nil && j.notFound && j.isWaiting() && j.stored.IsPermit() && t.ID.Epoch == j.stored.Epoch {
@@ -46,21 +49,24 @@
 	}
 }
 
-// noteOccupied notes that a task of a held job has accelerators there which the
-// scheduler takes for free: the worker's refusals are not its fault.
+// noteOccupied records that a task of an unresolved job uses accelerators that
+// the scheduler considers free, so that refusals of the worker are not counted
+// as faults.
 func (p *Planner) noteOccupied(w *worker, t gang.Task) {
 	if j := p.jobs[t.ID.Job]; j != nil && j.unresolved && t.State != gang.StateEnded {
 		w.mayHoldUntil = clock.Now().Add(p.doc.Document.Gang.HoldTimeout.Duration)
 	}
 }
 
-// handlePermitReturned follows a predecessor that gave the permit back unused: the job has not run.
+// handlePermitReturned resubmits a job whose permit its predecessor returned
+// unused, so that it has certainly not run.
 func (p *Planner) handlePermitReturned(j *job) {
 	j.mayHaveStarted = false
 	p.resubmit([]*job{j})
 }
 
-// resolvePermits looks for what other planners started on their permits.
+// resolvePermits searches for attempts that other planners started on their
+// permits.
 func (p *Planner) resolvePermits(now time.Time) {
 	unresolved := p.unresolvedJobs()
 	if len(unresolved) == 0 {
@@ -74,7 +80,7 @@
 		case gang.Adoptable:
 			p.adoptAttempt(j, plan)
 		case gang.Incomplete:
-			j.stopLeftovers = true // its tasks are orphans from now on
+			j.stopLeftovers = true // its tasks are now stopped as orphans
 		case gang.NotFound:
 			j.notFound = true
 			notFound = append(notFound, j)
@@ -101,7 +107,7 @@
 	}
 }
 
-// adoptAttempt goes on with an attempt that all of its agents hold.
+// adoptAttempt takes over an attempt that all of its agents know.
 func (p *Planner) adoptAttempt(j *job, plan gang.Plan) {
 	j.permit = permitState{mayBeUsed: true, void: true}
 	j.started = true
@@ -111,7 +117,7 @@
 	p.cancelIfRequested(j)
 }
 
-// raiseFences makes agents refuse earlier planners, whatever they start.
+// raiseFences makes agents refuse messages of earlier planners.
 func (p *Planner) raiseFences(now time.Time) {
 	for id, w := range p.workers {
 		if !w.up || w.lastReport.Incarnation == 0 || !w.fencedAt.IsZero() || now.Sub(w.fenceLastSentAt) < fenceResendInterval {
@@ -142,8 +148,8 @@
 	return views
 }
 
-// updateFence dates the first report that shows our fence. A restarted agent has
-// forgotten it.
+// updateFence records when the agent first reported this planner's epoch as
+// its fence. A restarted agent has lost its fence.
 func (w *worker) updateFence(previous AgentReport, epoch uint64) {
 	if previous.Incarnation != w.lastReport.Incarnation {
 		w.fencedAt, w.fenceFirstSentAt = time.Time{}, time.Time{}
@@ -156,9 +162,9 @@
 	}
 }
 
-// keepsTaskForPermit says whether a task of a job with a permit must be left alone:
-// while a search may still find the rest of its gang, and while the end of the job
-// is not on record, which only the agents know then.
+// keepsTaskForPermit reports whether a task of a job with a permit must not be
+// stopped: while a search may still find the rest of its gang, and while the
+// end of the job is not recorded, since only the agents know it then.
 func keepsTaskForPermit(j *job, id gang.ID) bool {
 	if j.unresolved {
 		return id.Epoch == j.stored.Epoch && !j.stopLeftovers
--- a/planner/worker.go
+++ b/planner/worker.go
@@ -8,7 +8,7 @@
 	"github.com/eelgrasshub/eelgrasshub/scheduler"
 )
 
-// AgentReport is what an agent reported of its worker.
+// AgentReport is what an agent reported of itself and its worker.
 type AgentReport struct {
 	Worker      scheduler.Worker
 	Incarnation uint64
@@ -25,20 +25,23 @@
 type worker struct {
 	lastReport AgentReport
 	up         bool
-	jobs       map[string]*job // with a coordinator that has a member here
-	// mayHoldUntil is until when it may hold accelerators for an attempt given up.
+	jobs       map[string]*job // whose attempt has a member here
+	// mayHoldUntil is until when it may hold accelerators that the scheduler
+	// considers free, such as those of an aborted attempt.
 	mayHoldUntil time.Time
-	// fencedAt is when it first reported this planner's epoch as its fence, zero if it
-	// has not; fenceFirstSentAt and fenceLastSentAt are when it was first and last sent one.
+	// fencedAt is when it first reported this planner's epoch as its fence,
+	// zero if it has not; the other two are when it was first and last sent
+	// one.
 	fencedAt, fenceFirstSentAt, fenceLastSentAt time.Time
 }
 
-// HandleReport takes the report of an agent. It is safe for concurrent use.
+// HandleReport handles a report of an agent. It is safe for concurrent use.
 func (p *Planner) HandleReport(r AgentReport) {
 	p.post(func() { p.applyReport(r) })
 }
 
-// HandleAgentLeft says that an agent has stopped for good. It is safe for concurrent use.
+// HandleAgentLeft handles the orderly end of an agent. It is safe for
+// concurrent use.
 func (p *Planner) HandleAgentLeft(agent string) {
 	p.post(func() {
 		if w := p.workers[agent]; w != nil {
@@ -92,8 +95,8 @@
 	}
 }
 
-// stopOrphans ends tasks that no coordinator and no record accounts for: left
-// over when an attempt ended while this agent could not be reached.
+// stopOrphans stops tasks that belong to no coordinator and no record, left
+// over from attempts that ended while the agent was unreachable.
 func (p *Planner) stopOrphans(id string, w *worker) {
 	if !p.recordsLoaded {
 		return
@@ -125,8 +128,8 @@
 	return r.Epoch == t.ID.Epoch && r.Number == t.ID.Number && j.endedAttempt != t.ID
 }
 
-// handleAgentLost is called when nothing was heard of an agent for the loss timeout, or
-// when it said goodbye.
+// handleAgentLost handles an agent that was silent for the loss timeout or has
+// left.
 func (p *Planner) handleAgentLost(id string, w *worker) {
 	if !w.up {
 		return
@@ -154,31 +157,30 @@
 // forgetWorkerAfter is how long a lost worker is remembered.
 const forgetWorkerAfter = 10 * time.Minute
 
-// ReportAnswer returns what the answer to a report of the agent has to carry: the
-// attempts of several members with a member there that are whole, which is what
-// their tasks need to hear to run on, and the planner's stamp. It is safe for
-// concurrent use and reads what the last housekeeping published.
+// ReportAnswer returns the content of the answer to an agent's report: the
+// attempts of several members to renew on that agent, and the planner's
+// timestamp. It is safe for concurrent use and returns what the last
+// housekeeping published.
 func (p *Planner) ReportAnswer(agent string) ([]gang.ID, gang.PlannerTimestamp) {
 	alive := p.aliveAttempts.Load()
 	return alive.forAgent(agent, clock.Now()), gang.NewPlannerTimestamp(p.cfg.Epoch, alive.at)
 }
 
-// aliveAttempts is what was whole at one moment.
+// aliveAttempts lists the attempts whose members were all alive at one moment.
 type aliveAttempts struct {
 	byAgent map[string][]gang.ID
 	at      time.Time
 }
 
-// maxAliveAge is how old what was whole may be for an answer to repeat it. It is many
-// periods of housekeeping, and below what a document leaves for the delay of reports.
+// maxAliveAge is how long aliveAttempts may be used to renew attempts. It is
+// many housekeeping intervals, and less than what a document leaves for the
+// delay of reports.
 const maxAliveAge = 2 * time.Second
 
-// forAgent returns what was whole with a member at the agent.
-//
-// The failure this guards against: the planner's process is frozen and goes on, and
-// answers the reports that have waited before it looks at anything again. It shows as
-// a member that is renewed by what was whole before the freeze, and so runs on alone
-// for longer than a successor waits before it starts the gang elsewhere.
+// forAgent returns the attempts with a member on the agent, or none if they
+// are too old. Otherwise a planner process that was frozen would answer queued
+// reports from its old state, and renew a member for longer than a successor
+// waits before it starts the gang elsewhere.
 func (a *aliveAttempts) forAgent(agent string, now time.Time) []gang.ID {
 	if now.Sub(a.at) > maxAliveAge {
 		return nil
