--- a/planner/helpers_test.go
+++ b/planner/helpers_test.go
@@ -25,13 +25,13 @@
 var errUnreachable = errors.New("no path to the agent")
 
 // fakeAgents is a set of gang members without targets: a task runs until the
-// test ends it. It counts the starts of each job.
+// test ends it.
 type fakeAgents struct {
 	mu              sync.Mutex
 	members         map[string]*gang.Member
 	running         map[string][]gang.ID // by agent
 	starts          map[string]int       // by job
-	unreachableFrom map[uint64]bool      // planners, by epoch, whose messages are lost
+	unreachableFrom map[uint64]bool      // epochs of planners whose messages are lost
 }
 
 func newFakeAgents(names ...string) *fakeAgents {
@@ -49,7 +49,7 @@
 	return f
 }
 
-// disconnect cuts an agent off: its reports and messages to it are lost.
+// disconnect removes an agent: its reports and messages to it are lost.
 func (f *fakeAgents) disconnect(name string) *gang.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -58,14 +58,14 @@
 	return m
 }
 
-// connect connects an agent.
+// connect adds an agent.
 func (f *fakeAgents) connect(name string, m *gang.Member) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.members[name] = m
 }
 
-// SendGangMessage implements Agents.
+// SendGangMessage implements AgentClient.
 func (f *fakeAgents) SendGangMessage(_ context.Context, agent string, msg gang.Message) (gang.Reply, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -107,7 +107,8 @@
 	}
 }
 
-// allFenced says whether all agents refuse planners with epochs below this one.
+// allFenced reports whether all agents refuse planners with epochs below this
+// one.
 func (f *fakeAgents) allFenced(epoch uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -125,7 +126,7 @@
 	return f.starts[job]
 }
 
-// report gives a planner what all agents would report now.
+// report passes the current reports of all agents to a planner.
 func (f *fakeAgents) report(p *Planner) {
 	f.mu.Lock()
 	var all []AgentReport
@@ -144,7 +145,7 @@
 	}
 }
 
-// bench is a store stand-in with the job records in it.
+// bench is a store stand-in with the job records in it, and a document.
 type bench struct {
 	c        *qt.C
 	server   *standin.Server
@@ -200,7 +201,8 @@
 	b.acceptAt(id, accelerators, repeatable, time.Now())
 }
 
-// acceptLongWaiting accepts a job that has waited for long enough to be given a permit.
+// acceptLongWaiting accepts a job that has waited long enough to be given a
+// permit.
 func (b *bench) acceptLongWaiting(id string, accelerators int, repeatable bool) {
 	b.acceptAt(id, accelerators, repeatable, time.Now().Add(-2*permitDelay))
 }
@@ -229,7 +231,8 @@
 	return r.State
 }
 
-// eventually drives step until done holds; it fails after a generous bound.
+// eventually calls step until done returns true, and fails the test after a
+// generous timeout.
 func (b *bench) eventually(what string, step func(), done func() bool) {
 	b.c.Helper()
 	for range 6000 {
--- a/planner/permit_test.go
+++ b/planner/permit_test.go
@@ -17,18 +17,17 @@
 	"github.com/eelgrasshub/eelgrasshub/store/standin"
 )
 
-// largeJob is so many of the accelerators of allWorkers that no two such jobs run at
-// once, and none beside the job that must not run twice.
+// largeJob is so many of the accelerators of allWorkers that no two such jobs
+// run at once, and none beside the job that is not repeatable.
 const largeJob = 48
 
-// The store is out for longer than any timeout, and a running gang ends. A job
-// accepted before, which may run twice, starts at once on the accelerators that
-// came free, although some that must not run twice wait ahead of it; those
-// wait for the store. Each runs once and ends once.
+// While the store is unavailable, a job with a permit must start on the
+// accelerators of a gang that ends, although jobs without permits are ahead of
+// it in the queue. Each job must run and end once.
 func TestPermittedJobStartsDuringOutage(t *testing.T) {
 	b := newBench(t)
 	for i := range b.document.Document.Accounts {
-		b.document.Document.Accounts[i].Guaranteed = nil // nothing is evicted for one
+		b.document.Document.Accounts[i].Guaranteed = nil // no job is evicted for a guarantee
 	}
 	agents := newFakeAgents(allWorkers...)
 	p := b.planner(1, agents)
@@ -58,9 +57,9 @@
 	b.c.Assert(agents.startsOf("waits"), qt.Equals, largeJob/8)
 }
 
-// The store is out, a job starts on its permit, and the planner's entry dies. No
-// record says where the job runs, or that it is done. The successor must find it
-// with the agents: to start it again would run it beside itself.
+// A job starts on its permit while the store is unavailable, and its planner
+// stops. The successor must find it at the agents and not start it a second
+// time.
 func TestSuccessorFindsJobStartedOnPermit(t *testing.T) {
 	for _, done := range []bool{false, true} {
 		b := newBench(t)
@@ -91,10 +90,9 @@
 	}
 }
 
-// The planner is cut off from the store. A caller cancels a waiting job through
-// another entry; the planner, which can't know, starts it. The caller must not be
-// told that it did not run. When the cut is over the job is stopped and ends as
-// cancelled, once.
+// A job with a permit is cancelled while its planner is disconnected from the
+// store and starts it. The caller must not be told that it did not run, and
+// the job must be stopped and end as cancelled.
 func TestCancelWhilePlannerIsDisconnected(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents(allWorkers...)
@@ -113,11 +111,11 @@
 	b.c.Assert(agents.runningMembers("waits"), qt.Equals, 0)
 	final, err := b.jobs.Get(context.Background(), "dispatch", "waits")
 	b.c.Assert(err, qt.IsNil)
-	b.c.Assert(final.Attempt, qt.Not(qt.Equals), uint64(0)) // 0 claims that it did not run
+	b.c.Assert(final.Attempt, qt.Not(qt.Equals), uint64(0)) // 0 would claim that it did not run
 }
 
-// A caller cancels a waiting job that has a permit. Its planner knows that it has
-// not started it and says so: the caller may safely submit it elsewhere.
+// A planner that has not used a job's permit must report a cancelled job as
+// not run, so that the caller may submit it elsewhere.
 func TestCancelWithUnusedPermitReportsNotRun(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents(allWorkers...)
@@ -132,10 +130,8 @@
 	b.c.Assert(final.Members, qt.HasLen, 0)
 }
 
-// The planner's entry is stopped as planned, or loses its lease and hears of a
-// successor from the agents. The successor must not wait for the loss timeout
-// before it starts jobs whose permits were never used: an urgent one would be late
-// at each rolling update and after each outage.
+// When a planner is stopped or superseded, its successor must not wait for the
+// loss timeout before it starts jobs whose permits were never used.
 func TestUnusedPermitsAreReturned(t *testing.T) {
 	for _, planned := range []bool{true, false} {
 		b := newBench(t)
@@ -150,7 +146,7 @@
 
 		second := b.planner(2, agents)
 		if !planned {
-			// As long as an agent takes its orders, the first may start the job.
+			// Until the agents are fenced the first planner may start the job.
 			b.eventually("all agents refuse the first", func() { agents.report(second) }, func() bool { return agents.allFenced(2) })
 		}
 		agents.finish()
@@ -164,10 +160,9 @@
 	}
 }
 
-// A planner's term ends between the moment in which the store takes a permit and the
-// one in which the planner hears of it. Nothing was started on that permit, but the
-// planner does not know that it is out: unless it looks, its successor waits for the
-// loss timeout before it starts the job.
+// A term ends after the store has written a permit and before the planner
+// knows it. Unless that permit is returned too, the successor delays the job
+// for the loss timeout.
 func TestUnconfirmedPermitIsReturned(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents(allWorkers...)
@@ -190,9 +185,9 @@
 	b.c.Assert(b.state("waits"), qt.Equals, jobs.Queued)
 }
 
-// The planner's entry dies with a permit out that it has not used. The successor
-// can't know that, and starts the job once its agents refuse the predecessor and
-// what could run elsewhere is lost or isolated. Jobs without permits start at once.
+// A planner stops without returning an unused permit. Its successor must start
+// the job only once the agents are fenced and unreachable members have
+// stopped, and jobs without permits at once.
 func TestSuccessorDelaysJobWithUnusedPermit(t *testing.T) {
 	b := newBench(t)
 	b.document.Document.Gang.LossTimeout.Duration = time.Hour
@@ -222,10 +217,10 @@
 	b.c.Assert(agents.startsOf("waits"), qt.Equals, largeJob/8)
 }
 
-// The planner records where a job runs that it started on a permit. The store goes
-// out in that moment, and nobody knows whether the write took effect. Then the
-// attempt is lost. Another one on the permit would run unseen: a successor that
-// reads the placement resolves the first attempt and starts the job beside it.
+// The outcome of writing a placement is unknown, and the attempt is lost. The
+// job must not be started on its permit again: a successor that reads the
+// placement would resolve only the first attempt and start the job a second
+// time.
 func TestRecordedPlacementVoidsPermit(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents(allWorkers...)
@@ -259,7 +254,8 @@
 	return <-void
 }
 
-// startInOutage leaves the job "waits" running on its permit in an outage.
+// startInOutage leaves the job "waits" running on its permit while the store
+// is unavailable.
 func (b *bench) startInOutage(p *Planner, agents *fakeAgents) {
 	b.startWithPermitWaiting(p, agents)
 	b.server.SetFaults(standin.Faults{Down: standin.DownRefuse})
@@ -268,7 +264,8 @@
 	b.eventually("the job runs", report, func() bool { return agents.largeJobRuns("waits") })
 }
 
-// startWithPermitWaiting leaves the job "runs" running and "waits" behind it with a permit.
+// startWithPermitWaiting leaves the job "runs" running, and "waits" queued
+// behind it with a permit.
 func (b *bench) startWithPermitWaiting(p *Planner, agents *fakeAgents) {
 	report := func() { agents.report(p) }
 	b.accept("runs", largeJob, true)
@@ -288,7 +285,7 @@
 	return f.runningMembers(job) == members
 }
 
-// epochsOf is the epochs of the planners whose starts of the job the agents hold.
+// epochsOf returns the epochs of the job's attempts that the agents report.
 func (f *fakeAgents) epochsOf(job string) map[uint64]bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -303,7 +300,7 @@
 	return epochs
 }
 
-// runningMembers is how many members of the job run.
+// runningMembers returns how many members of the job run.
 func (f *fakeAgents) runningMembers(job string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -318,7 +315,7 @@
 	return n
 }
 
-// disconnectableStore loses all calls while it is cut.
+// disconnectableStore fails all calls while it is disconnected.
 type disconnectableStore struct {
 	store.Store
 	disconnected *atomic.Bool
@@ -360,7 +357,8 @@
 	})
 }
 
-// disconnectablePlanner is a planner that can be cut off from the store.
+// disconnectablePlanner starts a planner that can be disconnected from the
+// store.
 func (b *bench) disconnectablePlanner(epoch uint64, agents *fakeAgents) (*Planner, *atomic.Bool) {
 	env := *b
 	disconnected := new(atomic.Bool)
@@ -372,9 +370,8 @@
 	return env.planner(epoch, agents), disconnected
 }
 
-// A successor places jobs on workers whose accelerators a job of its predecessor
-// has, which it has not found yet. They refuse, as they should, and must not be
-// quarantined for it.
+// Workers that refuse a job because an unresolved job of a predecessor uses
+// their accelerators must not be quarantined.
 func TestWorkersOfUnresolvedJobAreNotAtFault(t *testing.T) {
 	b := newBench(t)
 	p := b.planner(2, newFakeAgents())
@@ -395,9 +392,9 @@
 	<-done
 }
 
-// A gang's start reached one of its two members, and the attempt was given up. The
-// job waits again until its class's deadline passes, or turns out to fit nowhere.
-// Its caller must not be told "rejected", which says that it did not run.
+// A job that may have run partially must not end as rejected when its deadline
+// passes or it turns out to be too large, since that claims that it did not
+// run.
 func TestJobThatMayHaveRunIsNotRejected(t *testing.T) {
 	b := newBench(t)
 	p := b.planner(1, newFakeAgents())
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -13,11 +13,11 @@
 	"github.com/eelgrasshub/eelgrasshub/store/standin"
 )
 
-// allWorkers hold the guarantees of the sample document: with fewer, a job that
-// must not run twice may rightly wait for ever.
+// allWorkers provide enough accelerators for the guarantees of the sample
+// document. With fewer, a job that is not repeatable may rightly wait forever.
 var allWorkers = []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 
-// A job is accepted, starts on two workers at once, and its end is on record.
+// A job starts on two workers at once, and its end is recorded.
 func TestGangStartsAndEnds(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents(allWorkers...)
@@ -31,16 +31,14 @@
 	b.c.Assert(agents.startsOf("j"), qt.Equals, 2)
 }
 
-// A caller cancels a job in the moment in which it is being started, and is told
-// "cancelled before it started". The planner had reserved the accelerators by
-// then, and its record of the start comes after the cancellation's. The job must
-// not run, and its accelerators must come free for the next one.
+// A job is cancelled while its accelerators are being reserved. It must not
+// run, and its accelerators must become free for the next job.
 func TestCancelDuringReservationPreventsStart(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents("a")
 	p := b.planner(1, agents)
 	report := func() { agents.report(p) }
-	agents.unreachableFrom[1] = true // reservations wait
+	agents.unreachableFrom[1] = true // delays the reservations
 	b.accept("j", 8, true)
 	b.eventually("the job is being started", report, func() bool {
 		s, ok := p.Status(context.Background(), "j")
@@ -59,10 +57,8 @@
 	b.c.Assert(b.state("j"), qt.Equals, jobs.Cancelled)
 }
 
-// An operator sees one job run twice: its planner is cut from the store's duty
-// but not from the job records, and goes on while a successor already plans. The
-// predecessor may start the job or the successor may, but not both; and the job
-// ends once.
+// A planner that has lost its duty still writes job records beside its
+// successor. Only one of them may start the job, and the job must end once.
 func TestPredecessorAndSuccessorStartOnce(t *testing.T) {
 	for _, repeatable := range []bool{true, false} {
 		b := newBench(t)
@@ -83,9 +79,8 @@
 	}
 }
 
-// The planner's entry dies while a gang runs and another job waits. The successor
-// finds the attempt in the job's record, sees with the agents that it runs, and
-// takes it over: it is not started again, and its end is not lost.
+// A successor must take over a running gang from the job's record and the
+// agents' reports, neither starting it again nor losing its end.
 func TestSuccessorAdoptsRunningGang(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents(allWorkers...)
@@ -107,11 +102,10 @@
 	b.c.Assert(agents.startsOf("j"), qt.Equals, 2)
 }
 
-// An agent is cut off for longer than the loss timeout while a job of one worker runs
-// there. The job's next attempt finds no room elsewhere and is given up before its
-// start is on record, so the record still names the lost one. When the agent is back
-// the leftover has to be stopped. Taken for the job's own attempt it would hold its
-// accelerators to its end, the job would wait for them, and its result be dropped.
+// An agent is lost with a task, and the job's next attempt is aborted before
+// its start is recorded, so that the record still names the lost attempt. When
+// the agent is back, the task must be stopped, or it keeps its accelerators
+// from the job.
 func TestOrphanIsStoppedAfterRefusal(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents("a")
@@ -133,8 +127,8 @@
 	})
 }
 
-// The platform's store is out when a gang ends. The caller must not be told that
-// the job still runs for ever: the end is written when the store is back, once.
+// A gang ends while the store is unavailable. Its end must be recorded once
+// the store is back.
 func TestEndIsWrittenAfterOutage(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents("a")
@@ -153,8 +147,8 @@
 	b.c.Assert(agents.startsOf("j"), qt.Equals, 1)
 }
 
-// Callers fill the service's queue beyond what the document allows: the surplus
-// is rejected at once with the reason, and what was accepted before stays.
+// Jobs that exceed the service's queue limit must be rejected at once, without
+// affecting those accepted before.
 func TestQueueLimitRejectsSurplus(t *testing.T) {
 	b := newBench(t)
 	b.document.Document.Admission.MaxJobs = 2
@@ -173,9 +167,9 @@
 	return <-known
 }
 
-// The store was restored from a backup and gives the duty an epoch that agents
-// have already seen surpassed. The planner must say by which epoch, so that the
-// duty can go on above it; otherwise nothing is ever started again.
+// After a restore of the store, the duty gets an epoch below one that agents
+// have heard of. Unless the planner reports that epoch, the duty never
+// continues above it.
 func TestSupersedingEpochIsReported(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents("a")
@@ -186,10 +180,8 @@
 	b.c.Assert(p.SupersedingEpoch(), qt.Equals, uint64(9))
 }
 
-// The watch of the job records falls behind while a job starts and ends. When it
-// catches up it brings the record of the start, after the planner has seen the
-// end written and forgotten the job. An operator sees the job 'stopping' for ever
-// and its accelerators held, because the planner takes it for an attempt of
+// A delayed watch delivers the record of a job's start after the planner has
+// forgotten the ended job. The planner must not take it for an attempt of
 // another planner.
 func TestDelayedWatchDoesNotReviveEndedJob(t *testing.T) {
 	b := newBench(t)
@@ -212,7 +204,7 @@
 		s, ok := p.Status(context.Background(), "j")
 		return ok && s.Phase == "" && s.Record.State == jobs.Done
 	})
-	b.accept("next", 8, true) // behind the late events, when the watch is replaced
+	b.accept("next", 8, true) // delivered after the delayed events, when the watch is replaced
 	b.eventually("the next job runs", report, func() bool { return agents.startsOf("next") == 1 })
 	s, _ := p.Status(context.Background(), "j")
 	b.c.Assert(s.Phase, qt.Equals, Phase(""))
--- a/planner/policy_test.go
+++ b/planner/policy_test.go
@@ -9,8 +9,8 @@
 	"github.com/eelgrasshub/eelgrasshub/jobs"
 )
 
-// An operator sets may_borrow = false for a class, and its repeatable jobs still
-// run on what is guaranteed to other accounts: the key was never passed on.
+// Jobs of a class with may_borrow = false must not run on accelerators
+// guaranteed to other accounts.
 func TestClassControlsBorrowing(t *testing.T) {
 	c := qt.New(t)
 	d := &document.Document{Classes: []document.Class{
--- a/planner/report_test.go
+++ b/planner/report_test.go
@@ -10,13 +10,13 @@
 	"github.com/eelgrasshub/eelgrasshub/store/standin"
 )
 
-// An operator asks why three jobs don't run. One is placed, but its worker doesn't
-// answer; one is larger than what is left; one nobody has heard of.
+// Explain must distinguish a job that is placed, one that does not fit, and
+// one that is not known.
 func TestExplainReportsStages(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents(allWorkers...)
 	p := b.planner(1, agents)
-	agents.unreachableFrom[1] = true // reservations wait
+	agents.unreachableFrom[1] = true // delays the reservations
 	report := func() { agents.report(p) }
 	b.accept("placed", 8, true)
 	b.eventually("it is placed", report, func() bool {
@@ -33,7 +33,8 @@
 	b.c.Assert(asked, qt.IsTrue)
 }
 
-// However many ask, one report is made in a second, and none after the term.
+// Callers must share one report per maxReportAge, and get none after the end
+// of the term.
 func TestReportIsCachedUntilTermEnds(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents(allWorkers...)
@@ -55,8 +56,7 @@
 	b.c.Assert(ok, qt.IsFalse)
 }
 
-// The planner is so busy that its queue is full. Whoever asks for a job's status hangs
-// beyond his deadline, and his entry with him, until there is room.
+// A query must end with its context even if the planner's queue is full.
 func TestQueriesToBusyPlannerHonorContext(t *testing.T) {
 	b := newBench(t)
 	p := b.planner(1, newFakeAgents())
@@ -79,12 +79,12 @@
 	close(release)
 }
 
-// The store is out, and an operator asks why two jobs wait. The one without a permit
-// waits for the store, is not lost from the counts, and is back in the queue after it.
+// While the store is unavailable, a job without a permit must be explained and
+// counted as waiting for it, and be queued again afterwards.
 func TestWithheldJobsWaitForStore(t *testing.T) {
 	b := newBench(t)
 	for i := range b.document.Document.Accounts {
-		b.document.Document.Accounts[i].Guaranteed = nil // one of them must not be impossible
+		b.document.Document.Accounts[i].Guaranteed = nil // a guarantee would make one of the jobs impossible
 	}
 	agents := newFakeAgents(allWorkers...)
 	p := b.planner(1, agents)
--- a/planner/start_record.go
+++ b/planner/start_record.go
@@ -9,17 +9,15 @@
 	"github.com/eelgrasshub/eelgrasshub/jobs"
 )
 
-// recordStart writes the start of an attempt over the recordStart that it was decided on.
-//
-// The failure this guards against: between the decision and the write the watch
-// brings a later form of the recordStart, a cancellation or another planner's start,
-// and writing over that one succeeds. A caller told "cancelled before it started"
-// then sees the job run, or a job that may be running is started again.
+// recordStart writes the start of an attempt over the version of the record
+// that the attempt is based on. It must not write over a later version that
+// the watch delivered meanwhile: that may be a cancellation, whose caller was
+// told that the job did not run, or the start of another planner.
 func (p *Planner) recordStart(j *job, plan gang.Plan) {
 	if j.stored.Rev != j.decidedRevision {
 		result := gang.RecordConflict
 		if recordNamesAttempt(j.stored.Record, plan.ID) {
-			result = gang.RecordWritten // our own earlier try, seen by the watch first
+			result = gang.RecordWritten // an earlier try of this write, delivered by the watch
 		}
 		p.postFromLoop(func() { p.notifyRecorded(j, plan.ID, result) })
 		return
@@ -55,11 +53,13 @@
 		result = gang.RecordWritten
 		j.stored = got
 	case eris.Is(err, jobs.ErrConflict) && recordNamesAttempt(got.Record, id):
-		// An earlier try of this write took effect after its reply was lost.
+		// An earlier try of this write took effect although its reply was
+		// lost.
 		result = gang.RecordWritten
 		j.stored = got
 	case eris.Is(err, jobs.ErrConflict) && p.isOwnPermit(got.Record) && !got.CancelRequested:
-		// A permit whose write had an unknown outcome. It counts if it still may.
+		// The write of this permit had an unknown outcome. Try again on the
+		// permit.
 		p.applyOwnWrite(j, got, j.decidedRevision)
 		p.recordStart(j, j.coord.Plan())
 		return
@@ -70,7 +70,8 @@
 	p.stepCoordinator(j, gang.Recorded{Result: result})
 }
 
-// notifyRecorded tells the attempt what is known of its record without a write.
+// notifyRecorded tells the attempt's coordinator the result of recording its
+// start without a write.
 func (p *Planner) notifyRecorded(j *job, id gang.ID, r gang.RecordResult) {
 	if j.coord != nil && j.coord.Plan().ID == id {
 		p.stepCoordinator(j, gang.Recorded{Result: r})
@@ -81,8 +82,8 @@
 	return r.Epoch == id.Epoch && r.Number == id.Number && r.State == jobs.Starting
 }
 
-// handleRecordConflict takes over a record that someone else has changed: an entry that
-// cancelled the job, or a planner with a higher epoch.
+// handleRecordConflict takes over a record that was changed by another
+// process: by the cancellation of the job or by another planner.
 func (p *Planner) handleRecordConflict(j *job, got jobs.Stored, err error) {
 	if eris.Is(err, jobs.ErrNotFound) {
 		return
--- a/planner/start_record_test.go
+++ b/planner/start_record_test.go
@@ -12,16 +12,15 @@
 	"github.com/eelgrasshub/eelgrasshub/scheduler"
 )
 
-// A caller cancels a queued job and is told that it did not run. The planner has
-// reserved its accelerators and learns of the cancellation from the watch just
-// before it records the start. The record must stay as the caller was told; to
-// write the start over it would succeed, and the job would run.
+// The watch delivers a cancellation just before the planner records the start.
+// Writing over that version of the record would run a job whose caller was
+// told that it did not run.
 func TestStartIsNotRecordedOverCancellation(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents("a")
 	p := b.planner(1, agents)
 	report := func() { agents.report(p) }
-	agents.unreachableFrom[1] = true // reservations wait
+	agents.unreachableFrom[1] = true // delays the reservations
 	b.accept("j", 8, true)
 	b.eventually("the job is being started", report, func() bool {
 		s, ok := p.Status(context.Background(), "j")
@@ -46,9 +45,8 @@
 	b.c.Assert(agents.startsOf("j"), qt.Equals, 0)
 }
 
-// A wave of cancellations gives up many attempts at once. While the messages that
-// end their holds are under way, the worker refuses the next attempts as busy. It
-// is well, and must not be quarantined for it.
+// A worker that refuses attempts while the messages that end earlier holds are
+// under way must not be quarantined.
 func TestRefusalsAfterAbortsAreNotFailures(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents("a")
--- a/planner/worker.go
+++ b/planner/worker.go
@@ -13,7 +13,8 @@
 	Worker      scheduler.Worker
 	Incarnation uint64
 	Draining    bool
-	// Fence and Tasks are the gang member's; see gang.Reported.
+	// Fence, Timestamp and Tasks come from the agent's gang.Member; see
+	// gang.Reported.
 	Fence     uint64
 	Timestamp gang.PlannerTimestamp
 	Tasks     []gang.Task
--- a/planner/worker_test.go
+++ b/planner/worker_test.go
@@ -10,10 +10,8 @@
 	"github.com/eelgrasshub/eelgrasshub/gang"
 )
 
-// A planner's process is frozen while a gang loses a member, and a successor that
-// can't reach another one waits for it to stop. The predecessor goes on, and the first
-// thing it does is to answer that member's report. What was whole before the freeze
-// must not renew it.
+// A planner process that was frozen must not renew members from what it knew
+// before, because a successor may already be waiting for them to stop.
 func TestFrozenPlannerDoesNotRenew(t *testing.T) {
 	c := qt.New(t)
 	ids := []gang.ID{{Job: "j", Epoch: 1, Number: 1}}
