--- a/planner/attempt_end.go
+++ b/planner/attempt_end.go
@@ -29,7 +29,7 @@
 		p.cfg.Metrics.Add(metrics.ReservationsRefused, 1)
 	}
 	if e.Outcome == gang.NotStarted {
-		j.permit.mayBeUsed = false
+		j.permit.mayHaveBeenUsed = false
 		p.cfg.Metrics.Add(metrics.GangsAborted, 1)
 		fault := p.workerAtFault(e)
 		p.markMayHold(members)
--- a/planner/job.go
+++ b/planner/job.go
@@ -74,7 +74,7 @@
 
 // mayHaveRun reports whether a task of the job may ever have started. The
 // caller must then not be told that the job did not run.
-func (j *job) mayHaveRun() bool { return j.started || j.mayHaveStarted || j.permit.mayBeUsed }
+func (j *job) mayHaveRun() bool { return j.started || j.mayHaveStarted || j.permit.mayHaveBeenUsed }
 
 // updateRecord replaces the record by a later version, but keeps the fields
 // that this planner knows better.
--- a/planner/limits.go
+++ b/planner/limits.go
@@ -80,8 +80,8 @@
 		return newJobs
 	}
 	free = max(free, 0)
-	for _, f := range newJobs[free:] {
-		p.endJob(p.jobs[string(f.ID)], jobs.Rejected, reasonQueue)
+	for _, j := range newJobs[free:] {
+		p.endJob(p.jobs[string(j.ID)], jobs.Rejected, reasonQueue)
 	}
 	return newJobs[:free]
 }
--- a/planner/permit.go
+++ b/planner/permit.go
@@ -32,8 +32,8 @@
 type permitState struct {
 	// writing is set while the permit is being written.
 	writing bool
-	// mayBeUsed is set once an attempt may have been started on the permit.
-	mayBeUsed bool
+	// mayHaveBeenUsed is set once an attempt may have been started on the permit.
+	mayHaveBeenUsed bool
 	// void is set once the placement may be in the record, since a successor
 	// would then look for that attempt only. Nothing more is started on the
 	// permit.
@@ -104,16 +104,16 @@
 	return c
 }
 
-func (c permitCandidate) compare(d permitCandidate) int {
-	if c.urgent != d.urgent {
+func (c permitCandidate) compare(other permitCandidate) int {
+	if c.urgent != other.urgent {
 		if c.urgent {
 			return -1
 		}
 		return 1
 	}
 	return cmp.Or(
-		cmp.Compare(d.priority, c.priority),
-		c.job.stored.Submitted.Compare(d.job.stored.Submitted),
+		cmp.Compare(other.priority, c.priority),
+		c.job.stored.Submitted.Compare(other.job.stored.Submitted),
 	)
 }
 
@@ -157,10 +157,10 @@
 
 // startOnPermit lets an attempt continue whose start is covered by the permit.
 func (p *Planner) startOnPermit(j *job, plan gang.Plan) {
-	if !j.permit.mayBeUsed {
+	if !j.permit.mayHaveBeenUsed {
 		p.cfg.Metrics.Add(metrics.PermitsUsed, 1)
 	}
-	j.permit.mayBeUsed = true
+	j.permit.mayHaveBeenUsed = true
 	j.permitPlan = plan
 	j.stored.Started = time.Now()
 	j.stored.Attempt = uint64(j.attempt)
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -109,7 +109,7 @@
 		case <-p.schedulerTimer.C:
 			p.stepScheduler(scheduler.Tick{})
 		case <-ticker.C:
-			p.housekeep(clock.Now())
+			p.runHousekeeping(clock.Now())
 		}
 		if p.superseded {
 			p.stopTimers()
@@ -119,7 +119,7 @@
 	}
 }
 
-func (p *Planner) housekeep(now time.Time) {
+func (p *Planner) runHousekeeping(now time.Time) {
 	p.detectLostAgents(now)
 	p.resolvePermits(now)
 	p.enforceLimits(time.Now())
--- a/planner/status.go
+++ b/planner/status.go
@@ -32,14 +32,14 @@
 // callOnLoop runs f on the loop's goroutine and returns its result, or false
 // if the context or the term ended first.
 func callOnLoop[T any](ctx context.Context, p *Planner, f func() T) (T, bool) {
-	var none T
+	var zero T
 	answers := make(chan T, 1)
 	select {
 	case p.work <- func() { answers <- f() }:
 	case <-ctx.Done():
-		return none, false
+		return zero, false
 	case <-p.tomb.Dying():
-		return none, false
+		return zero, false
 	}
 	select {
 	case a := <-answers:
@@ -47,7 +47,7 @@
 	case <-ctx.Done():
 	case <-p.tomb.Dying():
 	}
-	return none, false
+	return zero, false
 }
 
 func (p *Planner) status(id string) (Status, bool) {
--- a/planner/takeover.go
+++ b/planner/takeover.go
@@ -109,7 +109,7 @@
 
 // adoptAttempt takes over an attempt that all of its agents know.
 func (p *Planner) adoptAttempt(j *job, plan gang.Plan) {
-	j.permit = permitState{mayBeUsed: true, void: true}
+	j.permit = permitState{mayHaveBeenUsed: true, void: true}
 	j.started = true
 	j.permitPlan = plan
 	j.stored.Started = time.Now()
