--- a/gang/coordinator_end.go
+++ b/gang/coordinator_end.go
@@ -75,7 +75,7 @@
 	if firstFenced.IsZero() {
 		return firstFenced
 	}
-	return firstFenced.Add(c.config.SettleTime)
+	return firstFenced.Add(c.config.FenceWait)
 }
 
 func (c *Coordinator) emitEnded(o Outcome) {
--- a/gang/plan.go
+++ b/gang/plan.go
@@ -35,11 +35,11 @@
 	// LivenessWindow is how long ago a member may last have been known to run
 	// for it to count as alive. It must be longer than two report intervals.
 	LivenessWindow time.Duration
-	// SettleTime is the sum of LivenessWindow, MemberConfig.IsolationTimeout,
+	// FenceWait is the sum of LivenessWindow, MemberConfig.IsolationTimeout,
 	// the longest time in which a task stops and the longest delay of a
 	// report. A successor that has lost a member waits this long after it
 	// first fenced another one.
-	SettleTime time.Duration
+	FenceWait time.Duration
 	// StartTimeout is how long starting all members may take. Together with
 	// the longest delay of a message it must be shorter than
 	// MemberConfig.IsolationTimeout. Zero means LivenessWindow.
--- a/gang/protocol_test.go
+++ b/gang/protocol_test.go
@@ -18,7 +18,7 @@
 		ResendInterval: time.Second,
 		HoldTimeout:    20 * time.Second,
 		LivenessWindow: 6 * time.Second,
-		SettleTime:     25 * time.Second,
+		FenceWait:      25 * time.Second,
 	}
 }
 
--- a/gang/search.go
+++ b/gang/search.go
@@ -25,8 +25,8 @@
 	// LossTimeout is how long a silent agent is waited for before it counts as
 	// lost.
 	LossTimeout time.Duration
-	// SettleTime is Config.SettleTime.
-	SettleTime time.Duration
+	// FenceWait is Config.FenceWait.
+	FenceWait time.Duration
 }
 
 // Search looks through the agents' reports for attempts that predecessors
@@ -94,7 +94,7 @@
 	if v.FencedAt.IsZero() {
 		return !v.FenceSentAt.IsZero() && s.now.Sub(v.FenceSentAt) >= 2*s.config.LossTimeout
 	}
-	return s.now.Sub(v.FencedAt) >= s.config.SettleTime
+	return s.now.Sub(v.FencedAt) >= s.config.FenceWait
 }
 
 // addTask records a task. Reservations at fenced agents are ignored: they
--- a/gang/search_test.go
+++ b/gang/search_test.go
@@ -53,7 +53,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			s := NewSearch(SearchConfig{LossTimeout: lossTimeout, SettleTime: settleTime}, began.Add(row.elapsed), row.agents)
+			s := NewSearch(SearchConfig{LossTimeout: lossTimeout, FenceWait: settleTime}, began.Add(row.elapsed), row.agents)
 			verdict, plan := s.Resolve("j", 1, began)
 			c.Check(verdict, qt.Equals, row.want)
 			if verdict == Adoptable {
--- a/gang/sim_agent_test.go
+++ b/gang/sim_agent_test.go
@@ -35,7 +35,7 @@
 func (a *simAgent) crash() {
 	// An agent that restarts all the time would keep renewing its recovered
 	// tasks.
-	if a.member == nil || a.sim.now.Sub(a.upOrDownSince) < simSettleTime {
+	if a.member == nil || a.sim.now.Sub(a.upOrDownSince) < simFenceWait {
 		return
 	}
 	a.member = nil
--- a/gang/sim_permit_test.go
+++ b/gang/sim_permit_test.go
@@ -104,7 +104,7 @@
 		return
 	}
 	p.raiseFences()
-	s := NewSearch(SearchConfig{LossTimeout: simLossTimeout, SettleTime: simSettleTime}, p.sim.now, p.agentViews())
+	s := NewSearch(SearchConfig{LossTimeout: simLossTimeout, FenceWait: simFenceWait}, p.sim.now, p.agentViews())
 	verdict, plan := s.Resolve(p.sim.jobs[job].name, rec.permitEpoch, h.since)
 	switch verdict {
 	case Adoptable:
--- a/gang/sim_planner_test.go
+++ b/gang/sim_planner_test.go
@@ -190,7 +190,7 @@
 		ResendInterval: 2 * time.Second,
 		HoldTimeout:    20 * time.Second,
 		LivenessWindow: simLivenessWindow,
-		SettleTime:     simSettleTime,
+		FenceWait:      simFenceWait,
 		StartTimeout:   simStartTimeout,
 	}
 }
--- a/gang/simulation_test.go
+++ b/gang/simulation_test.go
@@ -16,10 +16,10 @@
 	simIsolationTimeout = 15 * time.Second
 	simStartTimeout     = 10 * time.Second
 	simMaxDelay         = 1500 * time.Millisecond // of a message, a start or a stop
-	simSettleTime       = simLivenessWindow + simIsolationTimeout + 3*simMaxDelay
-	simLossTimeout      = simSettleTime + 10*time.Second
+	simFenceWait        = simLivenessWindow + simIsolationTimeout + 3*simMaxDelay
+	simLossTimeout      = simFenceWait + 10*time.Second
 	// simMaxPartial is how long part of a gang may run without the rest.
-	simMaxPartial   = simSettleTime + simMaxDelay
+	simMaxPartial   = simFenceWait + simMaxDelay
 	simWorkers      = 4
 	simAccelerators = 2
 	simJobs         = 5
--- a/planner/config.go
+++ b/planner/config.go
@@ -50,10 +50,10 @@
 	requestTimeout = 2 * time.Second
 	// maxTaskStop is the longest time in which a target stops a task.
 	maxTaskStop = 3 * time.Second
-	// topologySettleTime is how long after the start of a term no job is
+	// settlingPeriod is how long after the start of a term no job is
 	// rejected as larger than the topology, since agents may still be
 	// announcing themselves.
-	topologySettleTime = 5 * time.Second
+	settlingPeriod = 5 * time.Second
 	// storeRetryInterval is the pause before a failed write or listing is
 	// retried.
 	storeRetryInterval = 500 * time.Millisecond
@@ -78,7 +78,7 @@
 		ResendInterval: resendInterval,
 		HoldTimeout:    g.HoldTimeout.Duration,
 		LivenessWindow: window,
-		SettleTime:     window + g.IsolationTimeout.Duration + maxTaskStop,
+		FenceWait:      window + g.IsolationTimeout.Duration + maxTaskStop,
 
 		StartTimeout: g.IsolationTimeout.Duration / 2,
 	}
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -51,7 +51,7 @@
 	p := &Planner{
 		cfg:            cfg,
 		work:           make(chan func(), workQueueSize),
-		sched:          scheduler.New(scheduler.Options{Start: time.Now(), SettlingPeriod: topologySettleTime}),
+		sched:          scheduler.New(scheduler.Options{Start: time.Now(), SettlingPeriod: settlingPeriod}),
 		doc:            cfg.Document,
 		jobs:           make(map[string]*job),
 		workers:        make(map[string]*worker),
--- a/planner/takeover.go
+++ b/planner/takeover.go
@@ -103,7 +103,7 @@
 	g := p.doc.Document.Gang
 	return gang.SearchConfig{
 		LossTimeout: g.LossTimeout.Duration,
-		SettleTime:  coordinatorConfig(p.cfg.Epoch, g).SettleTime,
+		FenceWait:   coordinatorConfig(p.cfg.Epoch, g).FenceWait,
 	}
 }
 
