--- a/gang/search_test.go
+++ b/gang/search_test.go
@@ -12,7 +12,7 @@
 // agent that is not fenced, or only just was, may still start or run part of
 // the gang.
 func TestSearch(t *testing.T) {
-	const lossTimeout, settleTime = 20 * time.Second, 15 * time.Second
+	const lossTimeout, fenceWait = 20 * time.Second, 15 * time.Second
 	began := time.Unix(1000, 0)
 	id := ID{Job: "j", Epoch: 1, Number: 7}
 	running := Task{ID: id, State: StateRunning, Members: 2, Committed: true, Started: true}
@@ -46,17 +46,17 @@
 		"nothing, one not fenced":    {time.Hour, []AgentView{fenced("a", 0), unfenced("b")}, SearchPending},
 		"nothing, one can't be told": {2 * lossTimeout, []AgentView{fenced("a", 0), {Agent: "b", FenceSentAt: began}}, NotFound},
 		"nothing, one was just told": {2 * lossTimeout, []AgentView{fenced("a", 0), {Agent: "b", FenceSentAt: began.Add(1)}}, SearchPending},
-		"nothing, one just fenced":   {lossTimeout, []AgentView{fenced("a", 0), fenced("b", lossTimeout-settleTime+1)}, SearchPending},
-		"nothing":                    {lossTimeout, []AgentView{fenced("a", 0), fenced("b", lossTimeout-settleTime)}, NotFound},
+		"nothing, one just fenced":   {lossTimeout, []AgentView{fenced("a", 0), fenced("b", lossTimeout-fenceWait+1)}, SearchPending},
+		"nothing":                    {lossTimeout, []AgentView{fenced("a", 0), fenced("b", lossTimeout-fenceWait)}, NotFound},
 		"only reserved":              {lossTimeout, []AgentView{fenced("a", 0, withState(StateReserved, NoResult))}, NotFound},
 		"nobody there":               {lossTimeout, nil, NotFound},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			s := NewSearch(SearchConfig{LossTimeout: lossTimeout, FenceWait: settleTime}, began.Add(row.elapsed), row.agents)
-			verdict, plan := s.Resolve("j", 1, began)
-			c.Check(verdict, qt.Equals, row.want)
-			if verdict == Adoptable {
+			s := NewSearch(SearchConfig{LossTimeout: lossTimeout, FenceWait: fenceWait}, began.Add(row.elapsed), row.agents)
+			result, plan := s.Resolve("j", 1, began)
+			c.Check(result, qt.Equals, row.want)
+			if result == Adoptable {
 				c.Check(plan.ID, qt.Equals, id)
 				c.Check(plan.Members, qt.HasLen, 2)
 			}
@@ -78,7 +78,7 @@
 		{Agent: "a", Incarnation: 1, FencedAt: now, Tasks: []Task{task(9)}},
 		{Agent: "b", Incarnation: 1, FencedAt: now, Tasks: []Task{task(8)}},
 	})
-	verdict, plan := s.Resolve("j", 1, now)
-	c.Assert(verdict, qt.Equals, Adoptable)
+	result, plan := s.Resolve("j", 1, now)
+	c.Assert(result, qt.Equals, Adoptable)
 	c.Assert(plan.ID.Number, qt.Equals, uint64(9))
 }
--- a/gang/sim_permit_test.go
+++ b/gang/sim_permit_test.go
@@ -104,9 +104,9 @@
 		return
 	}
 	p.raiseFences()
-	s := NewSearch(SearchConfig{LossTimeout: simLossTimeout, FenceWait: simFenceWait}, p.sim.now, p.agentViews())
-	verdict, plan := s.Resolve(p.sim.jobs[job].name, rec.permitEpoch, h.since)
-	switch verdict {
+	search := NewSearch(SearchConfig{LossTimeout: simLossTimeout, FenceWait: simFenceWait}, p.sim.now, p.agentViews())
+	result, plan := search.Resolve(p.sim.jobs[job].name, rec.permitEpoch, h.since)
+	switch result {
 	case Adoptable:
 		p.sim.stats.adoptable++
 		delete(p.unresolved, job)
@@ -159,13 +159,13 @@
 }
 
 func (p *simPlanner) agentViews() []AgentView {
-	var all []AgentView
+	var views []AgentView
 	for i, a := range p.sim.agents {
 		if p.incarnations[i] != 0 && p.sim.now.Sub(p.heardAt[i]) <= simLossTimeout {
-			all = append(all, AgentView{a.name, p.incarnations[i], p.fencedAt[i], p.fenceSentAt[i], p.tasks[i]})
+			views = append(views, AgentView{a.name, p.incarnations[i], p.fencedAt[i], p.fenceSentAt[i], p.tasks[i]})
 		}
 	}
-	return all
+	return views
 }
 
 // applyReport stores what a search needs of a report. Reports of earlier
