--- a/gang/search.go
+++ b/gang/search.go
@@ -85,7 +85,7 @@
 	return s
 }
 
-// isFenced reports whether the agent has refused predecessors for SettleTime.
+// isFenced reports whether the agent has refused predecessors for FenceWait.
 // An agent that sends reports but can't be fenced, because messages don't
 // reach it or its target does not respond, is treated as lost after twice the
 // loss timeout since the first attempt: otherwise it would keep every job with
@@ -125,7 +125,7 @@
 // epoch and which the successor has been looking for since began.
 //
 // It waits for the loss timeout, so that agents never heard from count as
-// lost, and until all others have been fenced for SettleTime. A gang with a
+// lost, and until all others have been fenced for FenceWait. A gang with a
 // member on one of these has then been reported by all members or has stopped
 // by isolation. A gang without one may still run completely, which repeatable
 // jobs allow. An intact attempt is adopted at once; one that has ended is not,
--- a/planner/doc.go
+++ b/planner/doc.go
@@ -1,8 +1,8 @@
-// Package planner implements the planner duty of one scheduling domain. It
-// feeds workers and jobs to the scheduler, and carries out the scheduler's
-// decisions with the gang protocol and the job records.
+// Package planner implements the leader of one scheduling domain. It feeds
+// workers and jobs to the scheduler, and carries out the scheduler's decisions
+// with the gang protocol and the job records.
 //
-// A Planner lives for one term of the duty, under one fencing epoch, and
+// A Planner lives for one term of leadership, under one fencing epoch, and
 // rebuilds its state from the job records and the agents' reports. Its
 // decisions are always validated: agents refuse a stale epoch or an
 // accelerator in use, and the store refuses a start or an end that is based on
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -14,7 +14,7 @@
 	"github.com/eelgrasshub/eelgrasshub/scheduler"
 )
 
-// Planner is one term of the planner duty of one scheduling domain. Its loop
+// Planner leads one scheduling domain for one term of leadership. Its loop
 // goroutine owns all state; the exported methods are safe for concurrent use.
 type Planner struct {
 	cfg  Config
@@ -170,7 +170,7 @@
 
 // SupersedingEpoch returns an epoch above this planner's own by which it was
 // superseded, or 0 if it was not. If no planner has that epoch, as after the
-// store was restored from a backup, the duty has to continue above it.
+// store was restored from a backup, the next term has to get a higher one.
 func (p *Planner) SupersedingEpoch() uint64 { return p.supersedingEpoch.Load() }
 
 // context returns a context that ends with the term or after the timeout.
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -57,7 +57,7 @@
 	b.c.Assert(b.state("j"), qt.Equals, jobs.Cancelled)
 }
 
-// A planner that has lost its duty still writes job records beside its
+// A planner that has lost its leadership still writes job records beside its
 // successor. Only one of them may start the job, and the job must end once.
 func TestPredecessorAndSuccessorStartOnce(t *testing.T) {
 	for _, repeatable := range []bool{true, false} {
@@ -167,9 +167,9 @@
 	return <-known
 }
 
-// After a restore of the store, the duty gets an epoch below one that agents
-// have heard of. Unless the planner reports that epoch, the duty never
-// continues above it.
+// After a restore of the store, a planner gets an epoch below one that agents
+// have heard of. Unless it reports that epoch, no later term gets a higher one
+// and nothing is started any more.
 func TestSupersedingEpochIsReported(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents("a")
--- a/planner/record_watch.go
+++ b/planner/record_watch.go
@@ -126,7 +126,7 @@
 // startedByOther reports whether the record names an attempt of another
 // planner. A predecessor that does not know yet that it was replaced can still
 // record a start, because a record's revision protects the job and not the
-// duty. That attempt has to be resolved before the job is started again.
+// leadership. That attempt has to be resolved before the job is started again.
 func (p *Planner) startedByOther(j *job) bool {
 	return p.recordStartedByOther(j.stored)
 }
