--- a/gang/member_event.go
+++ b/gang/member_event.go
@@ -14,11 +14,10 @@
 }
 
 // TasksRecovered makes a new Member ready. It lists the tasks that the target
-// still runs from before the agent's restart, and in StateEnded those that
-// have ended and that the target remembers. Until then all messages are
-// refused, because an accelerator that looks free may be in use. After the
-// listing the target must refuse a start that an earlier incarnation of the
-// agent sent.
+// still runs from before the agent's restart, and in StateEnded those that it
+// remembers. Before it all messages are refused, because an accelerator that
+// looks free may be in use. After it the target must refuse starts of earlier
+// incarnations.
 type TasksRecovered struct{ Tasks []Task }
 
 // TaskEnded reports the end of a task at the target, for whatever reason.
--- a/gang/search.go
+++ b/gang/search.go
@@ -125,11 +125,13 @@
 // epoch and which the successor has been looking for since began.
 //
 // It waits for the loss timeout, so that agents never heard from count as
-// lost, and until all others have been fenced for FenceWait. A gang with a
-// member on one of these has then been reported by all members or has stopped
-// by isolation. A gang without one may still run completely, which repeatable
-// jobs allow. An intact attempt is adopted at once; one that has ended is not,
-// since the job may have been started again elsewhere.
+// lost, and until all others have been fenced for FenceWait. By then a gang
+// with a member on one of these was reported by all members or has stopped by
+// isolation; a gang without one may still run completely, which repeatable
+// jobs allow.
+//
+// An intact attempt is adopted at once. One that has ended is not, since the
+// job may have been started again elsewhere.
 func (s *Search) Resolve(job string, epoch uint64, began time.Time) (SearchResult, Plan) {
 	latest, anyFound := s.latestComplete(job, epoch)
 	waiting := s.now.Sub(began) < s.config.LossTimeout || !s.allFenced
