--- a/gang/coordinator_end.go
+++ b/gang/coordinator_end.go
@@ -5,11 +5,11 @@
 // abort ends the attempt on all members. Before a Commit was sent nothing can
 // have started and holds expire by themselves, so there is nothing to wait
 // for.
-func (c *Coordinator) abort(cause Cause, fault string) bool {
+func (c *Coordinator) abort(cause Cause, agent string) bool {
 	if c.phase >= phaseStopping {
 		return false
 	}
-	c.cause, c.causeAgent = cause, fault
+	c.cause, c.causeAgent = cause, agent
 	c.enterPhase(phaseStopping)
 	if c.commitSent {
 		return true
--- a/planner/attempt_end.go
+++ b/planner/attempt_end.go
@@ -31,9 +31,9 @@
 	if e.Outcome == gang.NotStarted {
 		j.permit.mayHaveBeenUsed = false
 		p.cfg.Metrics.Add(metrics.GangsAborted, 1)
-		fault := p.workerAtFault(e)
+		atFault := p.workerAtFault(e)
 		p.markMayHold(members)
-		p.stepScheduler(scheduler.GangRefused{Job: id, Attempt: attempt, Worker: fault})
+		p.stepScheduler(scheduler.GangRefused{Job: id, Attempt: attempt, Worker: atFault})
 		p.handleNotStarted(j, e)
 		return
 	}
--- a/planner/explain.go
+++ b/planner/explain.go
@@ -49,16 +49,16 @@
 // It is safe for concurrent use. However often it is called, the workers are
 // traversed at most once a second for each queue of jobs that need more cores
 // or memory than come with an accelerator, and never for other jobs.
-func (p *Planner) Explain(ctx context.Context, id string) (wait WaitStatus, known, asked bool) {
+func (p *Planner) Explain(ctx context.Context, id string) (wait WaitStatus, known, answered bool) {
 	type answer struct {
 		wait  WaitStatus
 		known bool
 	}
-	a, asked := callOnLoop(ctx, p, func() answer {
+	a, answered := callOnLoop(ctx, p, func() answer {
 		w, ok := p.explain(id)
 		return answer{w, ok}
 	})
-	return a.wait, a.known, asked
+	return a.wait, a.known, answered
 }
 
 func (p *Planner) explain(id string) (WaitStatus, bool) {
--- a/planner/report_test.go
+++ b/planner/report_test.go
@@ -20,17 +20,17 @@
 	report := func() { agents.report(p) }
 	b.accept("placed", 8, true)
 	b.eventually("it is placed", report, func() bool {
-		w, known, asked := p.Explain(context.Background(), "placed")
-		return known && asked && w.Stage == StageStarting && w.Phase == Starting
+		w, known, answered := p.Explain(context.Background(), "placed")
+		return known && answered && w.Stage == StageStarting && w.Phase == Starting
 	})
 	b.accept("large", 64, true)
 	b.eventually("the scheduler's word", report, func() bool {
 		w, _, _ := p.Explain(context.Background(), "large")
 		return w.Stage == StageQueued && w.Explanation.Reason != scheduler.WaitNone && w.Explanation.Accelerators == 64
 	})
-	_, known, asked := p.Explain(context.Background(), "nobody")
+	_, known, answered := p.Explain(context.Background(), "nobody")
 	b.c.Assert(known, qt.IsFalse)
-	b.c.Assert(asked, qt.IsTrue)
+	b.c.Assert(answered, qt.IsTrue)
 }
 
 // Callers must share one report per maxReportAge, and get none after the end
