--- a/gang/outcome.go
+++ b/gang/outcome.go
@@ -48,7 +48,8 @@
 	// hold allows, that starting took longer than Config.StartTimeout, or that
 	// only some members were found started.
 	CauseTimeout
-	// CauseConflict means that the job's record names another attempt.
+	// CauseConflict means that the job's record has changed and does not name
+	// this attempt.
 	CauseConflict
 	// CauseMemberFailed means that a member was lost, restarted or gave up its
 	// hold.
--- a/planner/attempt_end.go
+++ b/planner/attempt_end.go
@@ -67,9 +67,10 @@
 }
 
 // workerAtFault returns the worker because of which an attempt was not
-// started. A worker that refuses while it may still hold accelerators for an
-// aborted attempt is not at fault. Many cancellations at once cause many such
-// refusals, and counting them would quarantine healthy workers.
+// started, or "" if none is at fault. A worker that refuses while it may still
+// hold accelerators for an aborted attempt is not at fault: many cancellations
+// at once cause many such refusals, and counting them would quarantine healthy
+// workers.
 func (p *Planner) workerAtFault(e gang.Ended) scheduler.WorkerID {
 	w := p.workers[e.CauseAgent]
 	if w != nil && e.Cause == gang.CauseRefused && clock.Now().Before(w.mayHoldUntil) {
--- a/planner/explain.go
+++ b/planner/explain.go
@@ -43,8 +43,7 @@
 )
 
 // Explain reports why a job waits. Known is false if there is no record of the
-// job. Asked is false if the context or the term ended before there was an
-// answer.
+// job. Answered is false if the context or the term ended first.
 //
 // It is safe for concurrent use. However often it is called, the workers are
 // traversed at most once a second for each queue of jobs that need more cores
--- a/planner/worker.go
+++ b/planner/worker.go
@@ -27,12 +27,12 @@
 	lastReport AgentReport
 	up         bool
 	jobs       map[string]*job // whose attempt has a member here
-	// mayHoldUntil is until when it may hold accelerators that the scheduler
-	// considers free, such as those of an aborted attempt.
+	// mayHoldUntil is the time until which the worker may hold accelerators
+	// that the scheduler considers free, such as those of an aborted attempt.
 	mayHoldUntil time.Time
-	// fencedAt is when it first reported this planner's epoch as its fence,
-	// zero if it has not; the other two are when it was first and last sent
-	// one.
+	// fencedAt is when the agent first reported this planner's epoch as its
+	// fence, zero if it has not. The others are when it was first and last
+	// sent a fence.
 	fencedAt, fenceFirstSentAt, fenceLastSentAt time.Time
 }
 
