--- a/engine/advice.go
+++ b/engine/advice.go
@@ -59,9 +59,9 @@
 }
 
 // ticketsFor returns the tickets of a step, creating an empty set if there is none.
-func (j *job) ticketsFor(at stepAt) *stepTickets {
+func (j *job) ticketsFor(at occurrenceStep) *stepTickets {
 	if j.ticketsByStep == nil {
-		j.ticketsByStep = map[stepAt]*stepTickets{}
+		j.ticketsByStep = map[occurrenceStep]*stepTickets{}
 	}
 	t := j.ticketsByStep[at]
 	if t == nil {
@@ -80,7 +80,7 @@
 	if !u.needsTicket() {
 		return "", true
 	}
-	t, found := u.job.ticketsFor(u.at()).granted[id]
+	t, found := u.job.ticketsFor(u.occurrenceStep()).granted[id]
 	return t.value, found && now < t.expiresAt
 }
 
@@ -110,7 +110,7 @@
 	if !u.needsTicket() {
 		return false
 	}
-	tickets := u.job.ticketsFor(u.at())
+	tickets := u.job.ticketsFor(u.occurrenceStep())
 	placeable := 0
 	var request []WorkerID
 	for _, w := range r.candidatesFor(u) {
@@ -135,7 +135,7 @@
 // enough free capacity first.
 func (r *round) candidatesFor(u *unit) []*worker {
 	var withRoom, withoutRoom []*worker
-	for _, w := range r.all.workers {
+	for _, w := range r.usable.workers {
 		if w.info.Service != u.job.spec.Service || !w.hasLabel(u.spec().Label) || !u.demand().FitsIn(w.info.Capacity) {
 			continue
 		}
@@ -161,7 +161,7 @@
 			if o.state != unitActive {
 				return false
 			}
-			for _, p := range o.places {
+			for _, p := range o.placements {
 				if e.remaining(now, p) > lead {
 					return false
 				}
@@ -183,7 +183,7 @@
 	if j == nil {
 		return
 	}
-	tickets := j.ticketsFor(stepAt{ev.Request.Occurrence, ev.Request.Step})
+	tickets := j.ticketsFor(occurrenceStep{ev.Request.Occurrence, ev.Request.Step})
 	for _, id := range ev.Request.Workers {
 		value, allowed := ev.Tickets[id]
 		if !allowed {
--- a/engine/archive.go
+++ b/engine/archive.go
@@ -59,7 +59,7 @@
 // hasNoPlacements reports whether none of the job's tasks holds capacity on a worker.
 func (j *job) hasNoPlacements() bool {
 	for _, u := range j.units {
-		if len(u.places) > 0 {
+		if len(u.placements) > 0 {
 			return false
 		}
 	}
--- a/engine/checkpoints.go
+++ b/engine/checkpoints.go
@@ -51,8 +51,8 @@
 	sum := 0.0
 	for _, u := range j.units {
 		if p := u.newestCheckpoint(); p != nil {
-			recordedTo := max(u.keptTo, p.began)
-			sum += u.total().CoreEquivalent() * (p.savedAt - recordedTo).Seconds()
+			recordedTo := max(u.checkpointAt, p.startedAt)
+			sum += u.totalDemand().CoreEquivalent() * (p.checkpointAt - recordedTo).Seconds()
 		}
 	}
 	return sum
@@ -65,15 +65,15 @@
 		return nil
 	}
 	var best *placement
-	for _, p := range u.places {
-		if p.saved == "" || p.saved == u.saved || p.state != placeRunning {
+	for _, p := range u.placements {
+		if p.checkpoint == "" || p.checkpoint == u.checkpoint || p.state != placementRunning {
 			continue
 		}
-		if best == nil || p.savedAt > best.savedAt {
+		if best == nil || p.checkpointAt > best.checkpointAt {
 			best = p
 		}
 	}
-	if best == nil || best.savedAt <= u.keptTo {
+	if best == nil || best.checkpointAt <= u.checkpointAt {
 		return nil
 	}
 	return best
@@ -82,7 +82,7 @@
 // recordCheckpoint makes the newest checkpoint the one that the next run resumes from.
 func (u *unit) recordCheckpoint() {
 	if p := u.newestCheckpoint(); p != nil {
-		u.saved = p.saved
-		u.keptTo = p.savedAt
+		u.checkpoint = p.checkpoint
+		u.checkpointAt = p.checkpointAt
 	}
 }
--- a/engine/checkpoints_test.go
+++ b/engine/checkpoints_test.go
@@ -61,6 +61,6 @@
 func (d *driver) reportCheckpoint(id WorkerID, saved string) {
 	d.now += 100 * time.Millisecond
 	d.reportRuns(id, func(p *placement) RunStatus {
-		return RunStatus{Checkpoint: saved, Percent: p.pulse.percent + 1}
+		return RunStatus{Checkpoint: saved, Percent: p.rate.lastPercent + 1}
 	})
 }
--- a/engine/crash.go
+++ b/engine/crash.go
@@ -53,7 +53,7 @@
 
 // pastStartup reports whether the run has been observed for at least StartupCrashWindow.
 func (p *placement) pastStartup() bool {
-	return p.began != 0 && p.shownAt-p.began >= StartupCrashWindow
+	return p.startedAt != 0 && p.lastSeenAt-p.startedAt >= StartupCrashWindow
 }
 
 // crashCountOf returns the crash count of the task with the given index.
@@ -75,7 +75,7 @@
 	c, counted := p.unit.crashes[p.index]
 	switch {
 	case !counted:
-	case p.shownAt-p.began >= crashResetAfter:
+	case p.lastSeenAt-p.startedAt >= crashResetAfter:
 		delete(p.unit.crashes, p.index)
 	case p.pastStartup():
 		c.startup = 0
@@ -85,10 +85,10 @@
 
 // countCrash counts a crash of w for the tasks that ran there, in the order of places, and
 // fails the jobs of tasks that exceed the limit.
-func (e *Engine) countCrash(now time.Duration, w *worker, places []*placement, t witness) {
-	blamed, onlySuspect := t.suspects(places)
+func (e *Engine) countCrash(now time.Duration, w *worker, places []*placement, t crashEvidence) {
+	blamed, onlySuspect := t.blamedRuns(places)
 	for _, p := range places {
-		if !t.under(p) {
+		if !t.mayHaveRun(p) {
 			continue
 		}
 		u := p.unit
@@ -97,15 +97,15 @@
 		if blamed[p] {
 			c.startup++
 		}
-		if t.certain(p) {
+		if t.certainlyRan(p) {
 			c.confirmed++
 		}
 		u.setCrashCount(p.index, c)
-		u.shun(now, w.info.Agent)
+		u.avoidAgent(now, w.info.Agent)
 		e.logDecision(p, "worker crashed under it", c.String())
 		e.markChanged(u.job)
 		if c.exceedsLimit(onlySuspect) && !u.job.state.Final() {
-			e.finish(now, u.job, workload.Failed, fmt.Sprintf("%d workers crashed under task %s", c.total, p.task()))
+			e.finish(now, u.job, workload.Failed, fmt.Sprintf("%d workers crashed under task %s", c.total, p.taskID()))
 		}
 	}
 }
--- a/engine/crash_test.go
+++ b/engine/crash_test.go
@@ -88,17 +88,17 @@
 // reportRunningWorker reports the runs of a worker that is up.
 func (d *crashScenario) reportRunningWorker(w *worker) {
 	r := Report{Epoch: d.e.epoch, Polled: true, Worker: w.info}
-	for _, p := range w.sortedPlaces() {
+	for _, p := range w.sortedPlacements() {
 		switch {
-		case p.state == placeRecording:
+		case p.state == placementUnrecorded:
 		case p.stopping:
 			r.Ended = append(r.Ended, d.endOf(w, p, EndStopped))
 		case d.memberDown(p.unit):
 			r.Ended = append(r.Ended, d.endOf(w, p, EndGangBroken))
-		case d.now-d.startedAt[p.id()] >= d.runTime:
+		case d.now-d.startedAt[p.runID()] >= d.runTime:
 			r.Ended = append(r.Ended, d.endOf(w, p, EndDone))
 		default:
-			r.Running = append(r.Running, RunStatus{Run: p.id(), Percent: int(100 * (d.now - d.startedAt[p.id()]) / d.runTime)})
+			r.Running = append(r.Running, RunStatus{Run: p.runID(), Percent: int(100 * (d.now - d.startedAt[p.runID()]) / d.runTime)})
 		}
 	}
 	d.report(r)
@@ -106,7 +106,7 @@
 
 // memberDown reports whether the worker of a gang member is down.
 func (d *crashScenario) memberDown(u *unit) bool {
-	for _, p := range u.places {
+	for _, p := range u.placements {
 		if _, down := d.down[p.worker.info.Agent]; down {
 			return true
 		}
@@ -116,7 +116,7 @@
 
 func (d *crashScenario) endOf(w *worker, p *placement, reason EndReason) RunEnd {
 	d.endCounts[w.info.ID]++
-	return RunEnd{Sequence: d.endCounts[w.info.ID], Run: p.id(), Reason: reason}
+	return RunEnd{Sequence: d.endCounts[w.info.ID], Run: p.runID(), Reason: reason}
 }
 
 func (d *crashScenario) handleStarts() {
@@ -144,9 +144,9 @@
 
 func (d *crashScenario) crash(w *worker) {
 	crash := outage{until: d.now + workerRestartTime, epoch: d.e.epoch}
-	for _, p := range w.sortedPlaces() {
-		if d.now-d.startedAt[p.id()] >= StartupCrashWindow {
-			crash.pastStartup = append(crash.pastStartup, RunStatus{Run: p.id()})
+	for _, p := range w.sortedPlacements() {
+		if d.now-d.startedAt[p.runID()] >= StartupCrashWindow {
+			crash.pastStartup = append(crash.pastStartup, RunStatus{Run: p.runID()})
 		}
 	}
 	d.down[w.info.Agent] = crash
@@ -270,7 +270,7 @@
 	}
 	d.reportRuns("w0", func(p *placement) RunStatus { return RunStatus{} })
 	w := d.e.workers["w0"]
-	d.report(Report{Epoch: 1, Polled: true, Worker: w.info, Ended: []RunEnd{d.endOf(w, w.sortedPlaces()[0], EndDone)}})
+	d.report(Report{Epoch: 1, Polled: true, Worker: w.info, Ended: []RunEnd{d.endOf(w, w.sortedPlacements()[0], EndDone)}})
 	d.report(Report{Worker: d.e.workers["w1"].info, Terminated: true, Crashed: true, Polled: true})
 	d.settle()
 	c.Assert(d.jobState(id), qt.Equals, workload.Running)
--- a/engine/departure.go
+++ b/engine/departure.go
@@ -44,10 +44,10 @@
 // observedRunTime describes for logs how long a run was known to be running.
 func (p *placement) observedRunTime() string {
 	switch {
-	case p.shownAt == 0:
+	case p.lastSeenAt == 0:
 		return "no look has shown this run"
 	case p.adopted:
-		return fmt.Sprintf("a predecessor's run, shown for %v", (p.shownAt - p.began).Round(time.Millisecond))
+		return fmt.Sprintf("a predecessor's run, shown for %v", (p.lastSeenAt - p.startedAt).Round(time.Millisecond))
 	}
-	return fmt.Sprintf("shown until %v after its start", (p.shownAt - p.began).Round(time.Millisecond))
+	return fmt.Sprintf("shown until %v after its start", (p.lastSeenAt - p.startedAt).Round(time.Millisecond))
 }
--- a/engine/discard.go
+++ b/engine/discard.go
@@ -54,14 +54,14 @@
 // recordDiscarded reports the work of a run that ended without completing it.
 func (e *Engine) recordDiscarded(now time.Duration, p *placement) {
 	u := p.unit
-	if u.verdict == verdictDone || u.cause == causeNone || p.began == 0 || p.state != placeRunning {
+	if u.outcome == outcomeDone || u.cause == causeNone || p.startedAt == 0 || p.state != placementRunning {
 		return
 	}
-	ran := now - p.began
-	saved := min(max(p.savedAt-p.began, 0), ran)
+	ran := now - p.startedAt
+	saved := min(max(p.checkpointAt-p.startedAt, 0), ran)
 	cores := p.demand.CoreEquivalent()
 	e.actions = append(e.actions, WorkDiscarded{
-		Run:     p.id(),
+		Run:     p.runID(),
 		Account: u.job.spec.Account,
 		Queue:   u.job.spec.Queue,
 		Worker:  p.worker.info.ID,
@@ -69,7 +69,7 @@
 		Lost:    cores * (ran - saved).Seconds(),
 		Saved:   cores * saved.Seconds(),
 	})
-	if len(u.places) == 1 {
-		u.spent.again += ran // gang members run in parallel, so their times don't add up
+	if len(u.placements) == 1 {
+		u.times.discardedRuns += ran // gang members run in parallel, so their times don't add up
 	}
 }
--- a/engine/ending.go
+++ b/engine/ending.go
@@ -11,9 +11,9 @@
 // handleRunEnd handles the reported end of one run. It returns the job that must be stored
 // before the worker may forget the end, or nil if the end changes nothing.
 func (e *Engine) handleRunEnd(now time.Duration, w *worker, row RunEnd) *job {
-	delete(w.strays, row.Run)
-	p := w.places[row.Run.Task]
-	if p == nil || p.run != row.Run.Number {
+	delete(w.orphans, row.Run)
+	p := w.placements[row.Run.Task]
+	if p == nil || p.runNumber != row.Run.Number {
 		return nil
 	}
 	reason := row.Reason
@@ -23,8 +23,8 @@
 	}
 	u := p.unit
 	if row.Checkpoint != "" {
-		u.saved = row.Checkpoint
-		p.savedAt = now // the checkpoint covers all work up to the end
+		u.checkpoint = row.Checkpoint
+		p.checkpointAt = now // the checkpoint covers all work up to the end
 	}
 	e.applyRunEnd(now, p, reason)
 	e.removePlacement(now, p)
@@ -42,7 +42,7 @@
 	switch reason {
 	case EndDone:
 		p.worker.health.reset()
-		e.learn(now, p)
+		e.learnRunTime(now, p)
 		if u.spec().LongRunning {
 			e.scheduleRestart(now, p)
 			return
@@ -53,7 +53,7 @@
 		e.handleUnitFailure(now, p)
 	case EndStopped:
 		if p.stopping {
-			e.tracker.stopped(now - p.stopSent)
+			e.tracker.observeStop(now - p.stopSentAt)
 		}
 		e.markRetry(u)
 	default:
@@ -73,8 +73,8 @@
 // markRetry makes the unit start again once its current run is over, unless its outcome is
 // already decided.
 func (e *Engine) markRetry(u *unit) {
-	if u.verdict == verdictNone {
-		u.verdict = verdictRetry
+	if u.outcome == outcomeNone {
+		u.outcome = outcomeRetry
 	}
 }
 
@@ -83,15 +83,15 @@
 	if u.state == unitDone {
 		return
 	}
-	u.verdict = verdictDone
+	u.outcome = outcomeDone
 	u.state = unitDone
-	if len(u.places) > 0 && u.places[0].began != 0 {
-		u.spent.run = now - u.places[0].began
+	if len(u.placements) > 0 && u.placements[0].startedAt != 0 {
+		u.times.finalRun = now - u.placements[0].startedAt
 	}
 	e.markChanged(u.job)
 	e.advanceJob(now, u.job)
 	if u.job.state == workload.Completed {
-		e.tellLate(now, u)
+		e.reportLate(now, u)
 	}
 }
 
@@ -102,13 +102,13 @@
 	if u.state == unitDone {
 		return
 	}
-	e.avoid(now, p)
+	e.avoidWorker(now, p)
 	if u.spec().LongRunning {
 		e.scheduleRestart(now, p)
 		return
 	}
-	if u.failedRun != p.run {
-		u.failedRun = p.run // the failures of all members of a gang count once
+	if u.failedRun != p.runNumber {
+		u.failedRun = p.runNumber // the failures of all members of a gang count once
 		u.failures++
 	}
 	e.markRetry(u)
@@ -122,27 +122,27 @@
 // removePlacement frees the capacity of a placement that is over. After the last one of a run,
 // an active unit becomes waiting again.
 func (e *Engine) removePlacement(now time.Duration, p *placement) {
-	p.worker.drop(p)
+	p.worker.removePlacement(p)
 	u := p.unit
 	e.recordDiscarded(now, p)
-	u.places = slices.DeleteFunc(u.places, func(o *placement) bool { return o == p })
+	u.placements = slices.DeleteFunc(u.placements, func(o *placement) bool { return o == p })
 	e.planNeeded = true
-	if len(u.places) > 0 {
+	if len(u.placements) > 0 {
 		e.stopRemainingMembers(now, u)
 		return
 	}
 	if u.state == unitActive {
 		u.state = unitWaiting
-		u.since = now
+		u.waitingSince = now
 	}
-	u.verdict = verdictNone
+	u.outcome = outcomeNone
 	u.cause = causeNone
 }
 
 // stopRemainingMembers stops the other members of a gang that has lost one. If the gang is done,
 // they end by themselves.
 func (e *Engine) stopRemainingMembers(now time.Duration, u *unit) {
-	if u.verdict == verdictRetry {
+	if u.outcome == outcomeRetry {
 		e.stopUnit(now, u, CauseMemberEnded)
 	}
 }
@@ -150,10 +150,10 @@
 // stopUnit ends the current run of a unit for the given cause.
 func (e *Engine) stopUnit(now time.Duration, u *unit, cause Cause) {
 	u.setCauseOnce(cause)
-	if u.state == unitActive && u.verdict == verdictNone {
-		u.verdict = verdictRetry
+	if u.state == unitActive && u.outcome == outcomeNone {
+		u.outcome = outcomeRetry
 	}
-	for _, p := range slices.Clone(u.places) {
+	for _, p := range slices.Clone(u.placements) {
 		e.stopRun(now, p)
 	}
 }
@@ -164,7 +164,7 @@
 		return
 	}
 	p.stopping = true
-	if p.state == placeRecording {
+	if p.state == placementUnrecorded {
 		e.removePlacement(now, p)
 		return
 	}
@@ -173,34 +173,34 @@
 
 // sendStop orders the stop of a run if the worker is attached.
 func (e *Engine) sendStop(now time.Duration, p *placement) {
-	p.stopSent = now
+	p.stopSentAt = now
 	if !p.worker.attached {
 		return
 	}
 	o := e.ordersFor(p.worker)
-	o.Stops = append(o.Stops, p.id())
+	o.Stops = append(o.Stops, p.runID())
 	e.logDecision(p, "stop", p.stopWaitReason(now))
-	p.stops++
+	p.stopsSent++
 }
 
 // stopWaitReason describes for logs why a stop is ordered again; it is empty for the first order.
 func (p *placement) stopWaitReason(now time.Duration) string {
-	if p.stops == 0 {
+	if p.stopsSent == 0 {
 		return ""
 	}
-	waited := fmt.Sprintf("ordered %d times before", p.stops)
-	if p.worker.silent {
-		return fmt.Sprintf("%s; the worker does not answer, its lease is over in %d ms", waited, (p.worker.lapseAt - now).Milliseconds())
+	waited := fmt.Sprintf("ordered %d times before", p.stopsSent)
+	if p.worker.unresponsive {
+		return fmt.Sprintf("%s; the worker does not answer, its lease is over in %d ms", waited, (p.worker.leaseExpiresAt - now).Milliseconds())
 	}
-	return fmt.Sprintf("%s; the worker last answered %d ms ago and lists no end", waited, (now - p.worker.lookedAt).Milliseconds())
+	return fmt.Sprintf("%s; the worker last answered %d ms ago and lists no end", waited, (now - p.worker.lastPolledAt).Milliseconds())
 }
 
 // handleLostRun ends a placement whose run is certainly over though no end was reported.
 func (e *Engine) handleLostRun(now time.Duration, p *placement, cause Cause, detail string) {
 	e.logDecision(p, "lost", detail)
 	p.unit.setCauseOnce(cause)
-	if p.saved != "" {
-		p.unit.saved = p.saved
+	if p.checkpoint != "" {
+		p.unit.checkpoint = p.checkpoint
 	}
 	e.markRetry(p.unit)
 	e.removePlacement(now, p)
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -29,7 +29,7 @@
 	// name. lastGeneration is the highest Fence.Generation assigned.
 	superseded     map[string][]*worker
 	lastGeneration uint64
-	tracker        tracker
+	tracker        durationTracker
 	// interference holds what is known about images that share workers.
 	interference  interferenceModel
 	cordons       catalog.Cordons
@@ -81,7 +81,7 @@
 		workers:             map[WorkerID]*worker{},
 		workerByAgent:       map[string]WorkerID{},
 		superseded:          map[string][]*worker{},
-		tracker:             newTracker(params.StopTime / 2),
+		tracker:             newDurationTracker(params.StopTime / 2),
 		interference:        newInterferenceModel(),
 		dirtyJobs:           map[workload.JobID]bool{},
 		unrecordedWorkers:   map[WorkerID]*worker{},
@@ -101,15 +101,15 @@
 	case CancelRequested:
 		e.cancel(now, ev)
 	case JobRestored:
-		e.restore(now, ev)
+		e.restoreJob(now, ev)
 	case WorkerRestored:
 		e.restoreWorker(now, ev.Info)
 	case EndedJobRestored:
 		e.restoreEndedJob(now, ev)
 	case OrdersCompleted:
-		e.ordersEnded(now, ev)
+		e.handleOrderResults(now, ev)
 	case WriteApplied:
-		e.stored(now, ev.Write)
+		e.handleWritten(now, ev.Write)
 	case CatalogChanged:
 		e.catalog = ev.Catalog
 		e.planNeeded = true
@@ -165,7 +165,7 @@
 		Job:    p.unit.job.spec.ID,
 		Kind:   kind,
 		Detail: detail,
-		Run:    p.id(),
+		Run:    p.runID(),
 		Worker: p.worker.info.ID,
 	})
 }
--- a/engine/evict.go
+++ b/engine/evict.go
@@ -27,16 +27,16 @@
 // free anyway, and the victims lose no more work than u consists of. An account's guarantee that
 // would be broken, or a job that would end far too late, justify higher losses.
 func (r *round) evict(u *unit) bool {
-	if u.job.spec.QueuePolicy.Priority != 0 || r.e.gathering(r.now) {
+	if u.job.spec.QueuePolicy.Priority != 0 || r.e.awaitingKnownWorkers(r.now) {
 		return false
 	}
 	if len(u.claims) > 0 {
 		return true // victims are being stopped already
 	}
-	if r.now < u.evictNext {
+	if r.now < u.nextEvictionSearch {
 		return false
 	}
-	u.evictNext = r.now + evictRetryInterval
+	u.nextEvictionSearch = r.now + evictRetryInterval
 	preferred := r.preferredDomains(u)
 	best := r.cheapestEviction(u, preferred)
 	if best == nil && !preferred.anywhere && r.protected[u.job] {
@@ -46,12 +46,12 @@
 		return false
 	}
 	for _, v := range best.victims {
-		r.e.logDecision(v.places[0], "evict", fmt.Sprintf("for %s, %.0f core-seconds lost of all its victims", u.job.spec.ID, best.cost))
+		r.e.logDecision(v.placements[0], "evict", fmt.Sprintf("for %s, %.0f core-seconds lost of all its victims", u.job.spec.ID, best.cost))
 		r.stopUnit(v, CauseEvicted)
 	}
 	u.claims = best.slots
 	u.claimedAt = r.now
-	r.countClaims(u, 1)
+	r.applyClaims(u, 1)
 	return true
 }
 
@@ -74,10 +74,10 @@
 		wait = min(wait, at)
 	}
 	slack := r.e.objective(u.job) - r.now - r.e.estimate(u)
-	if wait <= max(r.e.tracker.stop, time.Duration(policy.EvictionWait*float64(slack))) {
+	if wait <= max(r.e.tracker.stopTime, time.Duration(policy.EvictionWait*float64(slack))) {
 		return false
 	}
-	ownWork := u.total().CoreEquivalent() * r.e.estimate(u).Seconds()
+	ownWork := u.totalDemand().CoreEquivalent() * r.e.estimate(u).Seconds()
 	if r.now+wait+r.e.estimate(u) > r.e.uselessFrom(u.job) {
 		ownWork *= uselessAfterFactor
 	}
@@ -130,17 +130,17 @@
 // mustReclaim reports whether u is covered by its account's guarantee and its victims have to be
 // stopped now for it to start in time.
 func (r *round) mustReclaim(u *unit) bool {
-	return r.protected[u.job] && r.now+r.e.params.StopTime+reclaimMargin >= u.since+r.e.params.MaxReclaimWait
+	return r.protected[u.job] && r.now+r.e.params.StopTime+reclaimMargin >= u.waitingSince+r.e.params.MaxReclaimWait
 }
 
 // lostWork returns the work lost by stopping u now, in core-seconds.
 func (e *Engine) lostWork(now time.Duration, u *unit) float64 {
 	sum := 0.0
-	for _, p := range u.places {
-		if p.state != placeRunning {
+	for _, p := range u.placements {
+		if p.state != placementRunning {
 			continue
 		}
-		lost := now - p.began
+		lost := now - p.startedAt
 		if u.spec().Checkpoints {
 			lost = e.params.RestoreTime
 		}
@@ -151,7 +151,7 @@
 
 // stopUnit calls Engine.stopUnit and invalidates what the round has cached of the workers.
 func (r *round) stopUnit(u *unit, cause Cause) {
-	for _, p := range u.places {
+	for _, p := range u.placements {
 		r.invalidateDomains(p.worker)
 	}
 	r.e.stopUnit(r.now, u, cause)
@@ -181,8 +181,8 @@
 			continue
 		}
 		untilLeave := w.leavesAt - r.now
-		for _, p := range w.sortedPlaces() {
-			if p.stopping || p.unit.ending() || p.state != placeRunning {
+		for _, p := range w.sortedPlacements() {
+			if p.stopping || p.unit.ending() || p.state != placementRunning {
 				continue
 			}
 			if e.remaining(r.now, p) <= untilLeave {
@@ -199,6 +199,6 @@
 
 // fitsElsewhere reports whether u could start on other workers now.
 func (r *round) fitsElsewhere(u *unit) bool {
-	at, slots := r.forecastFit(u, r.all, 0)
+	at, slots := r.forecastFit(u, r.usable, 0)
 	return slots != nil && at == 0
 }
--- a/engine/evict_test.go
+++ b/engine/evict_test.go
@@ -20,7 +20,7 @@
 	due := d.e.params.MaxReclaimWait - d.e.params.StopTime - reclaimMargin
 	d.advance(due - 100*time.Millisecond)
 	c.Check(d.stops, qt.HasLen, 0)
-	d.advance(100*time.Millisecond + 2*replanEvery)
+	d.advance(100*time.Millisecond + 2*replanInterval)
 	c.Check(d.stops, qt.HasLen, 1)
 	c.Check(d.runs(guaranteed), qt.HasLen, 0, qt.Commentf("the room is not free yet"))
 }
--- a/engine/fit.go
+++ b/engine/fit.go
@@ -40,20 +40,20 @@
 // short, and capacity that becomes free may go to units ahead of u.
 func (r *round) waitedBesideIdleFleet(u *unit) bool {
 	if !r.serviceMostlyIdle(u) {
-		u.idleSince = 0
+		u.fleetIdleSince = 0
 		return false
 	}
-	if u.idleSince == 0 {
-		u.idleSince = r.now
+	if u.fleetIdleSince == 0 {
+		u.fleetIdleSince = r.now
 	}
-	return r.now-u.idleSince >= maxWaitBesideIdleFleet
+	return r.now-u.fleetIdleSince >= maxWaitBesideIdleFleet
 }
 
 // serviceMostlyIdle reports whether more than half of the capacity of u's service is free,
 // measured in accelerators if u needs them, else in processors.
 func (r *round) serviceMostlyIdle(u *unit) bool {
 	free, total := 0, 0
-	for _, w := range r.all.workers {
+	for _, w := range r.usable.workers {
 		if w.info.Service != u.job.spec.Service {
 			continue
 		}
@@ -77,16 +77,16 @@
 
 // allDomains returns the domain of all workers.
 func (r *round) allDomains() domainSet {
-	return domainSet{domains: []*domain{r.all}, anywhere: true}
+	return domainSet{domains: []*domain{r.usable}, anywhere: true}
 }
 
 // preferredDomains returns the domains in which u runs at full speed: its preferred rack, each
 // single rack for a gang with SameRack, else all workers.
 func (r *round) preferredDomains(u *unit) domainSet {
-	if r.nearOf != u {
-		r.nearOf, r.nearSets = u, r.findPreferredDomains(u)
+	if r.nearUnit != u {
+		r.nearUnit, r.nearDomains = u, r.findPreferredDomains(u)
 	}
-	return r.nearSets
+	return r.nearDomains
 }
 
 func (r *round) findPreferredDomains(u *unit) domainSet {
@@ -116,7 +116,7 @@
 	fitting := 0
 	for _, w := range set.workers {
 		if r.eligible(u, w) {
-			fitting += perWorker(u.spec(), u.demand().CountFitting(w.info.Capacity, u.size))
+			fitting += capPerWorker(u.spec(), u.demand().CountFitting(w.info.Capacity, u.size))
 		}
 	}
 	return fitting >= u.size
@@ -126,7 +126,7 @@
 // domains is better than waiting for them. A unit covered by a guarantee waits only for part of
 // the time in which its account may reclaim capacity.
 func (r *round) worthRunningRemotely(u *unit, preferred domainSet) bool {
-	if r.protected[u.job] && r.now-u.since > r.e.params.MaxReclaimWait/4 {
+	if r.protected[u.job] && r.now-u.waitingSince > r.e.params.MaxReclaimWait/4 {
 		return true
 	}
 	extraTime := time.Duration((r.e.params.RemoteSlowdown - 1) * float64(r.e.estimate(u)))
@@ -182,7 +182,7 @@
 	candidates := r.options[:0]
 	total := 0
 	for _, w := range set.workers {
-		free := r.room(u, w)
+		free := r.availableFor(u, w)
 		leftover += free.Accelerators
 		n := r.slots(u, w, free)
 		if n <= 0 {
@@ -194,7 +194,7 @@
 			o.sameStepOnWorker, o.sameStepOnRack = r.sameStepCounts(u, w)
 		}
 		o.interference = r.e.interferenceScore(u, w)
-		o.crashRisk = r.risk(u, w)
+		o.crashRisk = r.crashRisk(u, w)
 		candidates = append(candidates, o)
 	}
 	r.options = candidates
--- a/engine/forecast.go
+++ b/engine/forecast.go
@@ -60,7 +60,7 @@
 	}
 	d.upcoming = d.upcoming[:0]
 	for _, w := range d.workers {
-		for _, p := range w.sortedPlaces() {
+		for _, p := range w.sortedPlacements() {
 			d.upcoming = append(d.upcoming, capacityRelease{r.e.remaining(r.now, p), w, p.demand, len(d.upcoming)})
 		}
 	}
@@ -73,7 +73,7 @@
 
 // invalidateDomains clears cached values after placements or claims on a worker have changed.
 func (r *round) invalidateDomains(w *worker) {
-	r.all.upcomingValid, r.all.freeCountValid = false, false
+	r.usable.upcomingValid, r.usable.freeCountValid = false, false
 	if rack := r.racks[w.info.Rack]; rack != nil {
 		rack.upcomingValid, rack.freeCountValid = false, false
 	}
@@ -98,7 +98,7 @@
 		if rel.at > limit {
 			break
 		}
-		if rel.worker.round.at < 0 {
+		if rel.worker.round.index < 0 {
 			continue // u may not run on this worker
 		}
 		f.addRelease(rel)
@@ -128,11 +128,11 @@
 		if !r.eligible(u, w) {
 			continue
 		}
-		w.round.at = len(f.workers)
+		w.round.index = len(f.workers)
 		f.workers = append(f.workers, w)
 		f.freeCapacity = append(f.freeCapacity, workload.Resources{})
 		f.fitting = append(f.fitting, 0)
-		f.setFree(w.round.at, w.free().Sub(w.round.claimed))
+		f.setFree(w.round.index, w.free().Sub(w.round.claimed))
 	}
 	return f
 }
@@ -140,19 +140,19 @@
 // close clears the workers' indexes in the forecast.
 func (f *fitForecast) close() {
 	for _, w := range f.workers {
-		w.round.at = -1
+		w.round.index = -1
 	}
 }
 
 // setFree sets the free capacity of the worker at an index.
 func (f *fitForecast) setFree(index int, free workload.Resources) {
-	n := max(0, perWorker(f.unit.spec(), f.demand.CountFitting(free, f.unit.size)))
+	n := max(0, capPerWorker(f.unit.spec(), f.demand.CountFitting(free, f.unit.size)))
 	f.total += n - f.fitting[index]
 	f.freeCapacity[index], f.fitting[index] = free, n
 }
 
 func (f *fitForecast) addRelease(rel capacityRelease) {
-	index := rel.worker.round.at
+	index := rel.worker.round.index
 	f.setFree(index, f.freeCapacity[index].Add(rel.freed))
 }
 
--- a/engine/forecast_test.go
+++ b/engine/forecast_test.go
@@ -18,7 +18,7 @@
 	count := func() int {
 		n := 0
 		for i := range f.workers {
-			n += max(0, perWorker(u.spec(), u.demand().CountFitting(f.freeCapacity[i], u.size)))
+			n += max(0, capPerWorker(u.spec(), u.demand().CountFitting(f.freeCapacity[i], u.size)))
 		}
 		return n
 	}
@@ -51,14 +51,14 @@
 			d.now += time.Duration(rng.IntN(30)) * time.Millisecond
 		}
 		r := d.e.newRound(d.now)
-		r.all.workers[0].round.claimed = workload.Resources{Accelerators: rng.IntN(12)}
+		r.usable.workers[0].round.claimed = workload.Resources{Accelerators: rng.IntN(12)}
 		for _, size := range []int{1, 2, 5, 11} {
 			step := gangStep(size, 1+rng.IntN(8))
 			step.MaxPerWorker = rng.IntN(3)
 			id := d.submit(0, "", step)
 			u := d.e.jobs[id].units[0]
-			at, slots := r.forecastFit(u, r.all, never)
-			c.Assert(at, qt.Equals, naiveForecast(r, u, r.all), qt.Commentf("seed %d size %d", seed, size))
+			at, slots := r.forecastFit(u, r.usable, never)
+			c.Assert(at, qt.Equals, naiveForecast(r, u, r.usable), qt.Commentf("seed %d size %d", seed, size))
 			placed := 0
 			for _, n := range slots {
 				placed += n
--- a/engine/headroom.go
+++ b/engine/headroom.go
@@ -75,7 +75,7 @@
 // present headroom racks are preferred, so that they change only if others are clearly emptier.
 func (r *round) pickHeadroomRacks() {
 	if r.e.params.Policy.Headroom {
-		r.target = r.e.urgentHistory.target(r.e.params.Policy.HeadroomShare, r.e.params.StopTime)
+		r.headroomTarget = r.e.urgentHistory.target(r.e.params.Policy.HeadroomShare, r.e.params.StopTime)
 	}
 	type rackCandidate struct {
 		rack string
@@ -85,7 +85,7 @@
 	for _, rack := range r.rackNames {
 		free := r.racks[rack].freeAccelerators()
 		if r.e.headroomRacks[rack] {
-			free += min(r.target, r.racks[rack].totalAccelerators()) / 2
+			free += min(r.headroomTarget, r.racks[rack].totalAccelerators()) / 2
 		}
 		racks = append(racks, rackCandidate{rack, free})
 	}
@@ -93,14 +93,14 @@
 	maxRacks := max(1, int(maxHeadroomShare*float64(len(racks))))
 	picked, capacity := map[string]bool{}, 0
 	for _, c := range racks {
-		if len(picked) > 0 && (capacity >= r.target || len(picked) == maxRacks) {
+		if len(picked) > 0 && (capacity >= r.headroomTarget || len(picked) == maxRacks) {
 			break
 		}
 		picked[c.rack] = true
 		capacity += r.racks[c.rack].totalAccelerators()
 	}
 	r.e.headroomRacks = picked
-	r.target = min(r.target, capacity)
+	r.headroomTarget = min(r.headroomTarget, capacity)
 }
 
 // freeHeadroom returns the number of free and unclaimed accelerators of the headroom racks.
@@ -119,7 +119,7 @@
 	if n <= 0 || need == 0 || !r.e.headroomRacks[w.info.Rack] || !r.deferrable(u) {
 		return n
 	}
-	return max(0, min(n, (r.freeHeadroom()-r.target)/need))
+	return max(0, min(n, (r.freeHeadroom()-r.headroomTarget)/need))
 }
 
 // deferrable reports whether u can be kept out of the headroom.
@@ -127,7 +127,7 @@
 // The time limit guards against starvation: a job that has missed its objective has no deadline
 // left, so it would never run if only a headroom rack holds its data.
 func (r *round) deferrable(u *unit) bool {
-	if u.job.spec.QueuePolicy.Priority == 0 || r.now-u.since > maxDeferral {
+	if u.job.spec.QueuePolicy.Priority == 0 || r.now-u.waitingSince > maxDeferral {
 		return false
 	}
 	return r.e.latestStart(r.now, u)-r.now > deferrableSlack
--- a/engine/helpers_test.go
+++ b/engine/helpers_test.go
@@ -131,9 +131,9 @@
 func (d *driver) runs(id workload.JobID) map[WorkerID][]workload.RunID {
 	out := map[WorkerID][]workload.RunID{}
 	for _, w := range d.e.sortedWorkers() {
-		for _, p := range w.sortedPlaces() {
+		for _, p := range w.sortedPlacements() {
 			if p.unit.job.spec.ID == id {
-				out[w.info.ID] = append(out[w.info.ID], p.id())
+				out[w.info.ID] = append(out[w.info.ID], p.runID())
 			}
 		}
 	}
@@ -166,7 +166,7 @@
 // reportProgress reports all runs of a worker with some progress.
 func (d *driver) reportProgress(id WorkerID) {
 	d.reportRuns(id, func(p *placement) RunStatus {
-		return RunStatus{Percent: p.pulse.percent + 1, Checkpoint: p.saved}
+		return RunStatus{Percent: p.rate.lastPercent + 1, Checkpoint: p.checkpoint}
 	})
 }
 
@@ -174,9 +174,9 @@
 func (d *driver) reportRuns(id WorkerID, row func(p *placement) RunStatus) {
 	w := d.e.workers[id]
 	r := Report{Epoch: d.e.epoch, Polled: true, Worker: w.info}
-	for _, p := range w.sortedPlaces() {
+	for _, p := range w.sortedPlacements() {
 		status := row(p)
-		status.Run = p.id()
+		status.Run = p.runID()
 		r.Running = append(r.Running, status)
 	}
 	d.report(r)
--- a/engine/interference.go
+++ b/engine/interference.go
@@ -37,7 +37,7 @@
 // observeViolation records that a best-effort task at percent raised the tail latency to
 // latencyRatio, as a fraction of the target.
 func (m *interferenceModel) observeViolation(pair imagePair, percent int, latencyRatio float64) {
-	tolerable := float64(percent) * strainCeiling / latencyRatio
+	tolerable := float64(percent) * latencyRatioCeiling / latencyRatio
 	if t := m.tolerance(pair); tolerable < t {
 		m.toleratedPercent[pair] = t + decreaseWeight*(tolerable-t)
 	}
--- a/engine/interference_score.go
+++ b/engine/interference_score.go
@@ -8,7 +8,7 @@
 		return 0
 	}
 	worst := 0.0
-	for _, p := range w.places {
+	for _, p := range w.placements {
 		o := p.unit.spec()
 		switch {
 		case s.BestEffortCPU && o.TailLatencyTarget > 0 && !o.BestEffortCPU:
@@ -31,7 +31,7 @@
 		return 0
 	}
 	idle := w.free().MilliCPU
-	for _, p := range w.places {
+	for _, p := range w.placements {
 		if p.unit.spec().BestEffortCPU {
 			idle -= p.unit.spec().Need.MilliCPU
 		}
--- a/engine/job.go
+++ b/engine/job.go
@@ -32,7 +32,7 @@
 	// criticalPathsVersion is the version of the run time estimates that it is based on.
 	criticalPaths        []time.Duration
 	criticalPathsVersion int
-	ticketsByStep        map[stepAt]*stepTickets
+	ticketsByStep        map[occurrenceStep]*stepTickets
 	// unschedulableReason is the last logged reason why no worker can run the job.
 	// unschedulableCheckAt is when to check again.
 	unschedulableReason  string
@@ -73,7 +73,7 @@
 
 // objective returns the time by which the job should complete, given the expected duration of its
 // work.
-func (e *Engine) objective(j *job) time.Duration { return j.objectiveFor(e.chain(j)) }
+func (e *Engine) objective(j *job) time.Duration { return j.objectiveFor(e.criticalPath(j)) }
 
 // objectiveFor returns the objective for a given duration of the critical path.
 func (j *job) objectiveFor(criticalPath time.Duration) time.Duration {
@@ -120,11 +120,11 @@
 	for i := range j.spec.Steps {
 		s := &j.spec.Steps[i]
 		if s.Gang {
-			j.units = append(j.units, &unit{job: j, occurrence: k, step: i, size: s.Count, since: now})
+			j.units = append(j.units, &unit{job: j, occurrence: k, step: i, size: s.Count, waitingSince: now})
 			continue
 		}
 		for n := range s.Count {
-			j.units = append(j.units, &unit{job: j, occurrence: k, step: i, index: n, size: 1, since: now})
+			j.units = append(j.units, &unit{job: j, occurrence: k, step: i, index: n, size: 1, waitingSince: now})
 		}
 	}
 }
@@ -134,7 +134,7 @@
 	for _, u := range j.units {
 		if u.state == unitBlocked && j.dependenciesDone(u) {
 			u.state = unitWaiting
-			u.since = now
+			u.waitingSince = now
 		}
 	}
 }
--- a/engine/jobs.go
+++ b/engine/jobs.go
@@ -22,7 +22,7 @@
 	j.unblockUnits(now)
 	e.planNeeded = true
 	if j.spec.QueuePolicy.Priority == 0 {
-		e.urgentHistory.add(now, j.accelerators())
+		e.urgentHistory.add(now, j.peakAccelerators())
 	}
 }
 
--- a/engine/longrunning.go
+++ b/engine/longrunning.go
@@ -23,18 +23,18 @@
 func (e *Engine) scheduleRestart(now time.Duration, p *placement) {
 	u := p.unit
 	e.markRetry(u)
-	if now-p.began >= stableAfter {
-		u.restarts.reset()
+	if now-p.startedAt >= stableAfter {
+		u.restartBackoff.reset()
 		return
 	}
-	u.notBefore = now + u.restarts.next(initialRestartDelay, maxRestartDelay)
+	u.notBefore = now + u.restartBackoff.next(initialRestartDelay, maxRestartDelay)
 }
 
 // unavailableTasks returns how many units of u's step are not available, for whatever reason.
 func (u *unit) unavailableTasks() int {
 	n := 0
 	for _, o := range u.job.units {
-		if o.at() == u.at() && !o.available() {
+		if o.occurrenceStep() == u.occurrenceStep() && !o.available() {
 			n++
 		}
 	}
@@ -43,11 +43,11 @@
 
 // available reports whether all members of the unit run at full progress and none is being stopped.
 func (u *unit) available() bool {
-	if u.state != unitActive || u.ending() || len(u.places) < u.size {
+	if u.state != unitActive || u.ending() || len(u.placements) < u.size {
 		return false
 	}
-	return !slices.ContainsFunc(u.places, func(p *placement) bool {
-		return p.stopping || p.state != placeRunning || p.pulse.percent < 100
+	return !slices.ContainsFunc(u.placements, func(p *placement) bool {
+		return p.stopping || p.state != placementRunning || p.rate.lastPercent < 100
 	})
 }
 
@@ -69,17 +69,17 @@
 	}
 	total, held := 0, 0
 	for _, w := range r.e.sortedWorkers() {
-		if w.info.Service != u.job.spec.Service || !w.sound(r.now) {
+		if w.info.Service != u.job.spec.Service || !w.usableIfUncordoned(r.now) {
 			continue
 		}
-		total += w.most.Accelerators // the guarantees count on temporarily missing capacity too
-		for _, p := range w.places {
+		total += w.maxCapacity.Accelerators // the guarantees count on temporarily missing capacity too
+		for _, p := range w.placements {
 			if p.unit.spec().LongRunning && p.unit.job.spec.QueuePolicy.Priority > 0 {
 				held += p.demand.Accelerators
 			}
 		}
 	}
-	return held+u.total().Accelerators <= total-r.e.totalGuaranteed()
+	return held+u.totalDemand().Accelerators <= total-r.e.totalGuaranteed()
 }
 
 // totalGuaranteed returns the sum of the accelerators guaranteed to all accounts.
@@ -97,7 +97,7 @@
 // sameStepCounts returns how many tasks of u's step are on w, and on its rack.
 func (r *round) sameStepCounts(u *unit, w *worker) (onWorker, onRack int) {
 	for _, o := range r.racks[w.info.Rack].workers {
-		for _, p := range o.places {
+		for _, p := range o.placements {
 			if p.unit.job != u.job || p.unit.step != u.step {
 				continue
 			}
--- a/engine/longrunning_test.go
+++ b/engine/longrunning_test.go
@@ -24,7 +24,7 @@
 			if p.unit.job.spec.ID == id {
 				return RunStatus{Percent: 100}
 			}
-			return RunStatus{Percent: p.pulse.percent}
+			return RunStatus{Percent: p.rate.lastPercent}
 		})
 	}
 }
--- a/engine/orders.go
+++ b/engine/orders.go
@@ -6,30 +6,30 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// ordersEnded handles the answers to orders. Only a certain refusal frees the room;
+// handleOrderResults handles the answers to orders. Only a certain refusal frees the room;
 // an order without an answer may still be carried out, so its run is stopped and
 // keeps its room until that is confirmed.
-func (e *Engine) ordersEnded(now time.Duration, ev OrdersCompleted) {
+func (e *Engine) handleOrderResults(now time.Duration, ev OrdersCompleted) {
 	w := e.workers[ev.Worker]
 	if w == nil {
 		return
 	}
 	for _, r := range ev.Starts {
-		p := w.places[r.Run.Task]
-		if p == nil || p.run != r.Run.Number || p.state != placeOrdered {
+		p := w.placements[r.Run.Task]
+		if p == nil || p.runNumber != r.Run.Number || p.state != placementOrdered {
 			continue
 		}
-		e.started(now, p, r.Outcome)
+		e.handleStartOutcome(now, p, r.Outcome)
 	}
 	for _, r := range ev.Paces {
-		e.paced(now, w, r)
+		e.handlePaceResult(now, w, r)
 	}
 }
 
-func (e *Engine) started(now time.Duration, p *placement, outcome StartOutcome) {
+func (e *Engine) handleStartOutcome(now time.Duration, p *placement, outcome StartOutcome) {
 	switch outcome {
 	case StartOK:
-		e.running(now, p)
+		e.markRunning(now, p)
 		return
 	case StartUnknown:
 		e.logDecision(p, "start unanswered", "")
@@ -45,44 +45,44 @@
 		p.worker.health.pauseForCapacity(now)
 	case StartInvalid:
 		e.logDecision(p, "start invalid", "")
-		p.unit.notBefore = now + p.unit.invalid.next(invalidFirst, invalidMost)
+		p.unit.notBefore = now + p.unit.invalidBackoff.next(minInvalidOrderDelay, maxInvalidOrderDelay)
 	case StartNoTicket:
-		delete(p.unit.job.ticketsFor(p.unit.at()).granted, p.worker.info.ID)
+		delete(p.unit.job.ticketsFor(p.unit.occurrenceStep()).granted, p.worker.info.ID)
 	}
 	e.logDecision(p, "start refused", outcome.String())
 	if outcome == StartFenced || outcome == StartNotDelivered || outcome == StartCordoned {
-		p.unit.notBefore = now + refusedPause
+		p.unit.notBefore = now + refusedStartDelay
 	}
 	e.markRetry(p.unit)
 	e.removePlacement(now, p)
 	e.markChanged(p.unit.job)
 }
 
-// refusedPause keeps a unit from being placed again at once after an order that could
+// refusedStartDelay keeps a unit from being placed again at once after an order that could
 // not be delivered; the connection is replaced or given up within that time.
-const refusedPause = 100 * time.Millisecond
+const refusedStartDelay = 100 * time.Millisecond
 
-// invalidFirst and invalidMost bound the pause of a unit whose order a worker can't read: the
+// minInvalidOrderDelay and maxInvalidOrderDelay bound the pause of a unit whose order a worker can't read: the
 // next order is the same, but the worker may be replaced by one that can.
 const (
-	invalidFirst = 200 * time.Millisecond
-	invalidMost  = 2 * time.Second
+	minInvalidOrderDelay = 200 * time.Millisecond
+	maxInvalidOrderDelay = 2 * time.Second
 )
 
-// running notes that a run is there.
-func (e *Engine) running(now time.Duration, p *placement) {
-	if p.state == placeRunning {
+// markRunning notes that a run is there.
+func (e *Engine) markRunning(now time.Duration, p *placement) {
+	if p.state == placementRunning {
 		return
 	}
-	if p.state == placeAdopted {
-		p.movedAt = now
+	if p.state == placementAdopted {
+		p.progressedAt = now
 		// Its speed is a predecessor's, and not known.
 		p.pace = pace{percent: unknownPace, confirmed: true}
 	}
-	p.state = placeRunning
-	p.unit.invalid.reset()
-	if p.began == 0 {
-		p.began = now
+	p.state = placementRunning
+	p.unit.invalidBackoff.reset()
+	if p.startedAt == 0 {
+		p.startedAt = now
 	}
 	j := p.unit.job
 	if !j.started {
@@ -94,7 +94,7 @@
 	}
 }
 
-var outcomeNames = [...]string{
+var startOutcomeNames = [...]string{
 	StartUnknown:      "unknown",
 	StartOK:           "ok",
 	StartNotDelivered: "not sent",
@@ -111,8 +111,8 @@
 
 // String returns a name for logs.
 func (o StartOutcome) String() string {
-	if o < 0 || int(o) >= len(outcomeNames) {
+	if o < 0 || int(o) >= len(startOutcomeNames) {
 		return "unnamed"
 	}
-	return outcomeNames[o]
+	return startOutcomeNames[o]
 }
--- a/engine/pace.go
+++ b/engine/pace.go
@@ -10,14 +10,14 @@
 	fullPace = 100
 	// unknownPace is that of a run taken over from a predecessor.
 	unknownPace = -1
-	// paceRetry is the pause before a pace that the worker has not confirmed is ordered
+	// paceRetryInterval is the pause before a pace that the worker has not confirmed is ordered
 	// again; a worker answers within milliseconds.
-	paceRetry = 500 * time.Millisecond
-	// paceDoubt is how long an order without an answer may still be carried out, after
+	paceRetryInterval = 500 * time.Millisecond
+	// lateOrderWindow is how long an order without an answer may still be carried out, after
 	// newer ones. Workers were seen to take up to 12 s.
-	paceDoubt = 13 * time.Second
-	// paceRepeat is how often a pace is ordered again while one is in doubt.
-	paceRepeat = time.Second
+	lateOrderWindow = 13 * time.Second
+	// paceRepeatInterval is how often a pace is ordered again while one is in doubt.
+	paceRepeatInterval = time.Second
 )
 
 // PaceOrder sets the share of its full speed at which a run works.
@@ -39,8 +39,8 @@
 	// confirmed: the worker has carried out the order for percent.
 	confirmed bool
 	sentAt    time.Duration
-	// doubtUntil: until then an older order that got no answer may be carried out.
-	doubtUntil time.Duration
+	// uncertainUntil: until then an older order that got no answer may be carried out.
+	uncertainUntil time.Duration
 }
 
 // setPace orders another speed. Runs begin at full speed.
@@ -56,36 +56,36 @@
 // sendPace orders the present speed. Before a start has left there is nobody to tell.
 func (e *Engine) sendPace(now time.Duration, p *placement) {
 	p.pace.sentAt = now
-	if p.state == placeRecording || p.stopping || !p.worker.attached {
+	if p.state == placementUnrecorded || p.stopping || !p.worker.attached {
 		return
 	}
 	o := e.ordersFor(p.worker)
-	o.Paces = append(o.Paces, PaceOrder{Run: p.id(), Percent: p.pace.percent})
+	o.Paces = append(o.Paces, PaceOrder{Run: p.runID(), Percent: p.pace.percent})
 }
 
-// renewPace repeats an order that may not be in force.
+// resendPace repeats an order that may not be in force.
 //
 // The failure it guards against: an order for a higher speed gets no answer, a later one
 // for a lower speed is confirmed, and the worker then carries out the first. The task
 // would disturb its neighbours at full speed, and nothing it reports shows the speed.
-func (e *Engine) renewPace(now time.Duration, p *placement) {
-	if !p.unit.spec().BestEffortCPU || p.state != placeRunning {
+func (e *Engine) resendPace(now time.Duration, p *placement) {
+	if !p.unit.spec().BestEffortCPU || p.state != placementRunning {
 		return
 	}
 	since := now - p.pace.sentAt
-	if !p.pace.confirmed && since >= paceRetry || now < p.pace.doubtUntil && since >= paceRepeat {
+	if !p.pace.confirmed && since >= paceRetryInterval || now < p.pace.uncertainUntil && since >= paceRepeatInterval {
 		e.sendPace(now, p)
 	}
 }
 
-// paced takes what became of an order.
-func (e *Engine) paced(now time.Duration, w *worker, r PaceResult) {
-	p := w.places[r.Run.Task]
-	if p == nil || p.run != r.Run.Number {
+// handlePaceResult takes what became of an order.
+func (e *Engine) handlePaceResult(now time.Duration, w *worker, r PaceResult) {
+	p := w.placements[r.Run.Task]
+	if p == nil || p.runNumber != r.Run.Number {
 		return
 	}
 	if !r.Applied {
-		p.pace.doubtUntil = now + paceDoubt
+		p.pace.uncertainUntil = now + lateOrderWindow
 		return
 	}
 	if p.pace.percent == r.Percent {
--- a/engine/params.go
+++ b/engine/params.go
@@ -25,30 +25,30 @@
 
 // Limits of the engine's own making.
 const (
-	// clockRate is how much a worker's clock may run slow, with a margin.
-	clockRate = 1.03
-	// lapseSlack covers the time in which an agent handles the answer that grants.
-	lapseSlack = 150 * time.Millisecond
+	// clockDriftFactor is how much a worker's clock may run slow, with a margin.
+	clockDriftFactor = 1.03
+	// leaseExpirySlack covers the time in which an agent handles the answer that grants.
+	leaseExpirySlack = 150 * time.Millisecond
 	// reportTimeout: an agent that was silent for so long gets no new tasks. Agents
 	// report at least every half second.
 	reportTimeout = 1200 * time.Millisecond
-	// stopRetry is when an order to stop is sent again; a worker answers within
+	// stopRetryInterval is when an order to stop is sent again; a worker answers within
 	// milliseconds, and the end is listed within Params.StopTime.
-	stopRetry = 700 * time.Millisecond
+	stopRetryInterval = 700 * time.Millisecond
 	// retentionSlack is kept beyond Params.Retention.
 	retentionSlack = 30 * time.Second
 )
 
-// slowest returns how long a lease with that much left may last by a worker's clock that
+// withClockDrift returns how long a lease with that much left may last by a worker's clock that
 // runs slow; what is over is over.
-func slowest(left time.Duration) time.Duration {
+func withClockDrift(left time.Duration) time.Duration {
 	if left <= 0 {
 		return left
 	}
-	return time.Duration(float64(left) * clockRate)
+	return time.Duration(float64(left) * clockDriftFactor)
 }
 
-// lapse returns when a lease granted now has certainly lapsed.
-func (p Params) lapse(now time.Duration) time.Duration {
-	return now + slowest(p.MaxLease) + lapseSlack
+// leaseExpiry returns when a lease granted now has certainly lapsed.
+func (p Params) leaseExpiry(now time.Duration) time.Duration {
+	return now + withClockDrift(p.MaxLease) + leaseExpirySlack
 }
--- a/engine/probation.go
+++ b/engine/probation.go
@@ -8,16 +8,16 @@
 // work of a second. Without it, tasks that were started beside one that crashes its workers
 // look like it, and are given up with it after they have met it a second time.
 const (
-	// probationWait is how long such a task lets go of room beside others that have just
+	// maxProbationWait is how long such a task lets go of room beside others that have just
 	// started before it goes anywhere: on a fleet of short tasks something always has.
-	probationWait = 1500 * time.Millisecond
-	// sparingWait is the same for room beside tasks that the next crash would give up. They
+	maxProbationWait = 1500 * time.Millisecond
+	// maxLastChanceWait is the same for room beside tasks that the next crash would give up. They
 	// are few, and a fleet with room to spare has a worker without them.
-	sparingWait = 5 * time.Second
-	// shunFor is how long a task keeps away from a machine where a worker crashed under it,
+	maxLastChanceWait = 5 * time.Second
+	// agentAvoidanceTime is how long a task keeps away from a machine where a worker crashed under it,
 	// where there is room elsewhere: a machine that is about to fail for good is emptied by
 	// each of its crashes and looks the best to all that it has just lost.
-	shunFor = 30 * time.Second
+	agentAvoidanceTime = 30 * time.Second
 )
 
 // admits says whether new members of u may start on w beside what has just started there.
@@ -26,8 +26,8 @@
 		return true
 	}
 	wait := time.Duration(0) // how long a suspect lets go of the room there
-	for _, p := range w.places {
-		if p.unit == u || p.state == placeAdopted {
+	for _, p := range w.placements {
+		if p.unit == u || p.state == placementAdopted {
 			continue
 		}
 		c, fresh := p.unit.crashCountOf(p.index), !p.pastStartup()
@@ -35,40 +35,40 @@
 			return false // it is on probation
 		}
 		if fresh {
-			wait = max(wait, probationWait)
+			wait = max(wait, maxProbationWait)
 		}
 		if c.onLastAttempt() {
-			wait = max(wait, sparingWait)
+			wait = max(wait, maxLastChanceWait)
 		}
 	}
-	return wait == 0 || !u.hasStartupCrash() || !r.holdsBack(u, wait)
+	return wait == 0 || !u.hasStartupCrash() || !r.keepsWaiting(u, wait)
 }
 
-// holdsBack says whether u, which can't have a worker to itself now, goes on waiting for
+// keepsWaiting says whether u, which can't have a worker to itself now, goes on waiting for
 // one, and notes since when it does.
-func (r *round) holdsBack(u *unit, most time.Duration) bool {
-	if u.heldFrom == 0 {
-		u.heldFrom = r.now
+func (r *round) keepsWaiting(u *unit, most time.Duration) bool {
+	if u.probationSince == 0 {
+		u.probationSince = r.now
 	}
-	return r.now-u.heldFrom < most
+	return r.now-u.probationSince < most
 }
 
-// shun notes that a worker crashed under the unit beside that agent.
-func (u *unit) shun(now time.Duration, agent string) {
-	if u.shuns == nil {
-		u.shuns = map[string]time.Duration{}
+// avoidAgent notes that a worker crashed under the unit beside that agent.
+func (u *unit) avoidAgent(now time.Duration, agent string) {
+	if u.avoidedAgents == nil {
+		u.avoidedAgents = map[string]time.Duration{}
 	}
-	u.shuns[agent] = now + shunFor
+	u.avoidedAgents[agent] = now + agentAvoidanceTime
 }
 
-// risk orders workers for u: where one crashed under it last, then, while a task of u is
+// crashRisk orders workers for u: where one crashed under it last, then, while a task of u is
 // suspected to crash workers, by what a crash would throw away, in cores.
-func (r *round) risk(u *unit, w *worker) float64 {
+func (r *round) crashRisk(u *unit, w *worker) float64 {
 	if len(u.crashes) == 0 {
 		return 0
 	}
 	risk := 0.0
-	if r.now < u.shuns[w.info.Agent] {
+	if r.now < u.avoidedAgents[w.info.Agent] {
 		risk += w.info.Capacity.CoreEquivalent()
 	}
 	if u.hasStartupCrash() {
--- a/engine/progress.go
+++ b/engine/progress.go
@@ -55,15 +55,15 @@
 		Occurrence: u.occurrence,
 		Step:       u.step,
 		Index:      u.index,
-		Run:        u.run,
+		Run:        u.runNumber,
 		Failures:   u.failures,
 		Done:       u.state == unitDone,
-		Checkpoint: u.saved,
+		Checkpoint: u.checkpoint,
 	}
 	if p.Done {
 		p.Checkpoint = ""
 	}
-	for _, place := range u.places {
+	for _, place := range u.placements {
 		p.Places = append(p.Places, MemberPlacement{Index: place.index, Worker: place.worker.info.ID})
 	}
 	for _, index := range slices.Sorted(maps.Keys(u.crashes)) {
@@ -73,8 +73,8 @@
 	return p
 }
 
-func (u *unit) untouched() bool {
-	return u.run == 0 && u.state != unitDone
+func (u *unit) isInitial() bool {
+	return u.runNumber == 0 && u.state != unitDone
 }
 
 func (j *job) progress(epoch uint64, now time.Duration, wall time.Time) *JobProgress {
@@ -83,10 +83,10 @@
 		p.EndedAt = wall.Add(j.endedAt - now)
 	}
 	for _, u := range j.units {
-		if u.untouched() {
+		if u.isInitial() {
 			continue
 		}
-		if j.state.Final() && len(u.places) == 0 {
+		if j.state.Final() && len(u.placements) == 0 {
 			continue
 		}
 		p.Units = append(p.Units, u.progress())
--- a/engine/pulse_test.go
+++ b/engine/pulse_test.go
@@ -12,9 +12,9 @@
 // taken off.
 func TestRemainingTimeFollowsTheRunsOwnSpeed(t *testing.T) {
 	c := qt.New(t)
-	var p pulse
+	var p progressRate
 	for i := range 6 {
-		p.note(time.Duration(i)*100*time.Millisecond, 60+2*i)
+		p.observe(time.Duration(i)*100*time.Millisecond, 60+2*i)
 	}
 	left, ok := p.remaining(500 * time.Millisecond)
 	c.Assert(ok, qt.IsTrue)
@@ -27,12 +27,12 @@
 // as when the worker began the task anew.
 func TestSpeedNeedsProgress(t *testing.T) {
 	c := qt.New(t)
-	var p pulse
-	p.note(0, 10)
-	p.note(time.Second, 10+leastProgress-1)
+	var p progressRate
+	p.observe(0, 10)
+	p.observe(time.Second, 10+minRateProgress-1)
 	_, ok := p.remaining(time.Second)
 	c.Check(ok, qt.IsFalse)
-	p.note(2*time.Second, 3)
+	p.observe(2*time.Second, 3)
 	_, ok = p.remaining(2 * time.Second)
 	c.Check(ok, qt.IsFalse)
 }
--- a/engine/queue.go
+++ b/engine/queue.go
@@ -35,9 +35,9 @@
 
 // rankedUnit is a unit that waits, with what its place in the queue depends on.
 type rankedUnit struct {
-	unit      *unit
-	protected bool // its job is within its account's guarantee
-	latest    time.Duration
+	unit        *unit
+	protected   bool // its job is within its account's guarantee
+	latestStart time.Duration
 }
 
 func (a rankedUnit) compare(b rankedUnit) int {
@@ -49,7 +49,7 @@
 	}
 	return cmp.Or(
 		cmp.Compare(a.unit.job.spec.QueuePolicy.Priority, b.unit.job.spec.QueuePolicy.Priority),
-		cmp.Compare(a.latest, b.latest),
+		cmp.Compare(a.latestStart, b.latestStart),
 		cmp.Compare(a.unit.job.revision, b.unit.job.revision),
 		cmp.Compare(a.unit.job.spec.ID, b.unit.job.spec.ID),
 		cmp.Compare(a.unit.occurrence, b.unit.occurrence),
@@ -62,27 +62,27 @@
 // missed already.
 func (e *Engine) latestStart(now time.Duration, u *unit) time.Duration {
 	if u.spec().LongRunning {
-		return u.since // its users wait from the first moment
+		return u.waitingSince // its users wait from the first moment
 	}
 	if !e.params.Policy.DeadlineOrder {
 		return u.job.acceptedAt
 	}
-	left := e.chainFrom(u)
-	return e.deadline(now+left, u.job) - left
+	left := e.criticalPathFrom(u)
+	return e.deadlineIfReachable(now+left, u.job) - left
 }
 
-// deadline returns the objective of a job that would be completed at end, and never where
+// deadlineIfReachable returns the objective of a job that would be completed at end, and never where
 // that is missed: what can still be served in time goes first.
-func (e *Engine) deadline(end time.Duration, j *job) time.Duration {
+func (e *Engine) deadlineIfReachable(end time.Duration, j *job) time.Duration {
 	if objective := e.objective(j); end <= objective {
 		return objective
 	}
 	return never
 }
 
-// chainFrom returns how long the longest chain of work from u's step on is expected to
+// criticalPathFrom returns how long the longest chain of work from u's step on is expected to
 // take.
-func (e *Engine) chainFrom(u *unit) time.Duration { return e.chainsOf(u.job)[u.step] }
+func (e *Engine) criticalPathFrom(u *unit) time.Duration { return e.criticalPaths(u.job)[u.step] }
 
 // protected returns the jobs of priority 0 that their accounts' guarantees cover, in
 // order of acceptance.
@@ -98,7 +98,7 @@
 		left := e.catalog.GuaranteedAccelerators(account)
 		slices.SortStableFunc(jobs, func(a, b *job) int { return cmp.Compare(a.revision, b.revision) })
 		for _, j := range jobs {
-			need := j.accelerators()
+			need := j.peakAccelerators()
 			if need > left {
 				continue
 			}
@@ -109,8 +109,8 @@
 	return out
 }
 
-// accelerators returns the most that one step of the job takes at once.
-func (j *job) accelerators() int {
+// peakAccelerators returns the most that one step of the job takes at once.
+func (j *job) peakAccelerators() int {
 	most := 0
 	for i := range j.spec.Steps {
 		s := &j.spec.Steps[i]
--- a/engine/reserve.go
+++ b/engine/reserve.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// tellWaitEvery is the pause between two lines of the log about the same unit that waits.
+// waitLogInterval is the pause between two lines of the log about the same unit that waits.
 // With Policy.Reservations it bounds them to a line each second or so.
-const tellWaitEvery = 5 * time.Second
+const waitLogInterval = 5 * time.Second
 
-// tellWait logs what a unit at the head of the queue waits for.
-func (r *round) tellWait(u *unit, at time.Duration, slots map[*worker]int) {
-	if r.now-u.since < tellWaitEvery || r.now < u.tellNext {
+// logWait logs what a unit at the head of the queue waits for.
+func (r *round) logWait(u *unit, at time.Duration, slots map[*worker]int) {
+	if r.now-u.waitingSince < waitLogInterval || r.now < u.nextWaitLog {
 		return
 	}
-	u.tellNext = r.now + tellWaitEvery
+	u.nextWaitLog = r.now + waitLogInterval
 	needs := fmt.Sprintf("step %d needs %d times %+v", u.step, u.size, u.demand())
-	waited := (r.now - u.since).Milliseconds()
-	detail := fmt.Sprintf("for %d ms, %s, no room in sight on %d workers", waited, needs, len(r.all.workers))
+	waited := (r.now - u.waitingSince).Milliseconds()
+	detail := fmt.Sprintf("for %d ms, %s, no room in sight on %d workers", waited, needs, len(r.usable.workers))
 	if slots != nil {
 		detail = fmt.Sprintf("for %d ms, %s, room expected in %d ms on %d workers", waited, needs, at.Milliseconds(), len(slots))
 	}
@@ -34,12 +34,12 @@
 			at, slots = t, s
 		}
 	}
-	r.tellWait(u, at, slots)
+	r.logWait(u, at, slots)
 	if slots == nil {
 		return
 	}
-	r.kept++
+	r.reservations++
 	for w, n := range slots {
-		w.round.reserved = append(w.round.reserved, reservation{room: u.demand().Times(n), at: r.now + at})
+		w.round.reserved = append(w.round.reserved, reservation{resources: u.demand().Times(n), from: r.now + at})
 	}
 }
--- a/engine/reserve_test.go
+++ b/engine/reserve_test.go
@@ -16,7 +16,7 @@
 func (d *driver) progress(length time.Duration) {
 	for _, w := range d.e.sortedWorkers() {
 		d.reportRuns(w.info.ID, func(p *placement) RunStatus {
-			return RunStatus{Percent: int(100 * (d.now - p.began) / length)}
+			return RunStatus{Percent: int(100 * (d.now - p.startedAt) / length)}
 		})
 	}
 	d.now += 100 * time.Millisecond
--- a/engine/restore.go
+++ b/engine/restore.go
@@ -14,23 +14,23 @@
 	}
 	w := e.addWorker(now, info)
 	w.recorded = true
-	w.lapseAt += e.inheritedLeaseExtra
+	w.leaseExpiresAt += e.inheritedLeaseExtra
 	w.lastReport = now - reportTimeout
 	if before := e.workers[e.workerByAgent[info.Agent]]; before != nil && before.info.SharesName(info) {
 		// Which of them is the present one the agent will say.
-		e.supersede(before, DepartureCrashed, witness{})
+		e.supersede(before, DepartureCrashed, crashEvidence{})
 	}
 	e.workerByAgent[info.Agent] = info.ID
 }
 
-// gatherTime is how long a new planner waits for the workers on record before it stops
+// workerReturnWait is how long a new planner waits for the workers on record before it stops
 // work for want of room: most report within a tenth of a second of each other, and room
 // on those still to come is better than an eviction.
-const gatherTime = 400 * time.Millisecond
+const workerReturnWait = 400 * time.Millisecond
 
-// gathering says whether workers that a predecessor knew are still expected.
-func (e *Engine) gathering(now time.Duration) bool {
-	if now-e.startedAt > gatherTime {
+// awaitingKnownWorkers says whether workers that a predecessor knew are still expected.
+func (e *Engine) awaitingKnownWorkers(now time.Duration) bool {
+	if now-e.startedAt > workerReturnWait {
 		return false
 	}
 	for _, w := range e.workers {
@@ -41,8 +41,8 @@
 	return false
 }
 
-// restore takes a job from a predecessor's records. Workers are restored before.
-func (e *Engine) restore(now time.Duration, ev JobRestored) {
+// restoreJob takes a job from a predecessor's records. Workers are restored before.
+func (e *Engine) restoreJob(now time.Duration, ev JobRestored) {
 	if e.jobs[ev.Job.ID] != nil {
 		return
 	}
@@ -83,16 +83,16 @@
 		j.createOccurrence(now)
 	}
 	for _, up := range p.Units {
-		if u := j.unit(up.Occurrence, up.Step, up.Index); u != nil {
+		if u := j.findUnit(up.Occurrence, up.Step, up.Index); u != nil {
 			e.restoreUnit(now, u, up)
 		}
 	}
 }
 
 func (e *Engine) restoreUnit(now time.Duration, u *unit, up UnitProgress) {
-	u.run = up.Run
+	u.runNumber = up.Run
 	u.failures = up.Failures
-	u.saved = up.Checkpoint
+	u.checkpoint = up.Checkpoint
 	for _, c := range up.Crashes {
 		u.setCrashCount(c.Index, crashCount{total: c.Total, startup: c.Early, confirmed: c.Certain})
 	}
@@ -101,26 +101,26 @@
 		if w == nil {
 			continue // its record is removed only once nothing runs there
 		}
-		p := e.put(u, place.Index, w)
-		p.state = placeAdopted
+		p := e.addPlacement(u, place.Index, w)
+		p.state = placementAdopted
 		p.adopted = true
 	}
 	switch {
 	case up.Done:
 		u.state = unitDone
-		u.verdict = verdictDone
-	case len(u.places) == u.size:
+		u.outcome = outcomeDone
+	case len(u.placements) == u.size:
 		u.state = unitActive
-	case len(u.places) > 0:
+	case len(u.placements) > 0:
 		u.state = unitActive
 		e.stopUnit(now, u, CauseTakeover)
 	}
 }
 
-// put makes a placement, which takes its room from now on.
-func (e *Engine) put(u *unit, index int, w *worker) *placement {
-	p := &placement{unit: u, index: index, worker: w, run: u.run, demand: u.demand()}
-	w.hold(p)
-	u.places = append(u.places, p)
+// addPlacement makes a placement, which takes its room from now on.
+func (e *Engine) addPlacement(u *unit, index int, w *worker) *placement {
+	p := &placement{unit: u, index: index, worker: w, runNumber: u.runNumber, demand: u.demand()}
+	w.addPlacement(p)
+	u.placements = append(u.placements, p)
 	return p
 }
--- a/engine/room.go
+++ b/engine/room.go
@@ -14,7 +14,7 @@
 // is told to, and a planner that went by what it had said first would start more there than
 // it has.
 func (e *Engine) resize(now time.Duration, w *worker, room workload.Resources) {
-	w.most = w.most.Max(room)
+	w.maxCapacity = w.maxCapacity.Max(room)
 	if room == w.info.Capacity {
 		return
 	}
--- a/engine/sharing_sim_test.go
+++ b/engine/sharing_sim_test.go
@@ -94,9 +94,9 @@
 	for end := d.now + 2*time.Minute; d.now < end; d.now += step {
 		w := d.e.workers["w0"]
 		images := map[workload.RunID]string{}
-		for _, p := range w.sortedPlaces() {
+		for _, p := range w.sortedPlacements() {
 			if p.unit.spec().BestEffortCPU {
-				images[p.id()] = p.unit.spec().Image
+				images[p.runID()] = p.unit.spec().Image
 			}
 		}
 		if d.now%(100*time.Millisecond) == 0 {
--- a/engine/sharing_test.go
+++ b/engine/sharing_test.go
@@ -54,8 +54,8 @@
 
 func (d *driver) lookAt(w *worker, strain float64) Report {
 	r := Report{Epoch: d.e.epoch, Polled: true, Worker: w.info}
-	for _, p := range w.sortedPlaces() {
-		row := RunStatus{Run: p.id(), Percent: min(p.pulse.percent+1, 98)}
+	for _, p := range w.sortedPlacements() {
+		row := RunStatus{Run: p.runID(), Percent: min(p.rate.lastPercent+1, 98)}
 		if p.unit.spec().TailLatencyTarget > 0 {
 			row.Percent = 100
 			row.Load = int(strain * float64(tailTarget/time.Millisecond))
--- a/engine/shortcut_test.go
+++ b/engine/shortcut_test.go
@@ -57,22 +57,22 @@
 		d, u := crowded(t, rand.New(rand.NewPCG(seed, 3)))
 		r := d.e.newRound(d.now)
 		r.pickHeadroomRacks()
-		victims, cost, ok := surveyedAnew(r, u, r.all)
-		got := r.planEviction(u, r.all)
+		victims, cost, ok := surveyedAnew(r, u, r.usable)
+		got := r.planEviction(u, r.usable)
 		c.Assert(got != nil, qt.Equals, ok, qt.Commentf("seed %d", seed))
 		if ok {
 			evicting++
 			c.Assert(got.cost, qt.Equals, cost, qt.Commentf("seed %d", seed))
 			c.Assert(len(got.victims), qt.Equals, len(victims), qt.Commentf("seed %d", seed))
 		}
-		for _, set := range append([]*domain{r.all}, r.racks["r0"], r.racks["r1"], r.racks["r2"]) {
+		for _, set := range append([]*domain{r.usable}, r.racks["r0"], r.racks["r1"], r.racks["r2"]) {
 			if !u.cannotFit(set) {
 				continue
 			}
 			full++
 			slots := 0
 			for _, w := range set.workers {
-				slots += r.slots(u, w, r.room(u, w))
+				slots += r.slots(u, w, r.availableFor(u, w))
 			}
 			c.Assert(slots < u.size, qt.IsTrue, qt.Commentf("seed %d", seed))
 		}
--- a/engine/silent_test.go
+++ b/engine/silent_test.go
@@ -62,7 +62,7 @@
 	granted := d.now
 	d.silence(silent, 5*time.Second, 0, false)
 	c.Check(d.runs(id)[silent], qt.HasLen, 1, qt.Commentf("it may still run there"))
-	d.silence(silent, d.e.params.lapse(granted)-d.now+time.Second, 0, false)
+	d.silence(silent, d.e.params.leaseExpiry(granted)-d.now+time.Second, 0, false)
 	c.Check(d.runs(id)[silent], qt.HasLen, 0)
 }
 
@@ -86,6 +86,6 @@
 	c.Check(d.runs(id)[silent], qt.HasLen, 1, qt.Commentf("the lease may last for six seconds from the grant"))
 	v = d.report(Report{Epoch: 1, Worker: info, Unresponsive: true})
 	c.Check(v.Attached, qt.IsFalse, qt.Commentf("nothing is granted that is not counted"))
-	d.silence(silent, d.e.params.lapse(granted)-d.now+time.Second, 0, false)
+	d.silence(silent, d.e.params.leaseExpiry(granted)-d.now+time.Second, 0, false)
 	c.Check(d.runs(id)[silent], qt.HasLen, 0)
 }
--- a/engine/sim_names_test.go
+++ b/engine/sim_names_test.go
@@ -111,8 +111,8 @@
 	}
 	return slices.ContainsFunc(o.Starts, func(s StartOrder) bool {
 		return !slices.ContainsFunc(w.engine.sortedWorkers(), func(known *worker) bool {
-			p := known.places[s.Run.Task]
-			return p != nil && p.id() == s.Run
+			p := known.placements[s.Run.Task]
+			return p != nil && p.runID() == s.Run
 		})
 	})
 }
--- a/engine/sim_test.go
+++ b/engine/sim_test.go
@@ -210,7 +210,7 @@
 	}
 	for _, known := range w.engine.workers {
 		if known.used != (workload.Resources{}) {
-			w.violated("worker %s counts %+v as taken by %d", known.info.ID, known.used, len(known.places))
+			w.violated("worker %s counts %+v as taken by %d", known.info.ID, known.used, len(known.placements))
 		}
 	}
 }
--- a/engine/spent.go
+++ b/engine/spent.go
@@ -7,12 +7,12 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// spent is what a unit's time went into, from when its earlier steps were done.
-type spent struct {
-	room   time.Duration // waiting for room
-	record time.Duration // of its last placement, until that was on record
-	again  time.Duration // runs whose work did not count
-	run    time.Duration // the run that did; 0 where its start is not known
+// timeBreakdown is what a unit's time went into, from when its earlier steps were done.
+type timeBreakdown struct {
+	capacityWait  time.Duration // waiting for room
+	storeWait     time.Duration // of its last placement, until that was on record
+	discardedRuns time.Duration // runs whose work did not count
+	finalRun      time.Duration // the run that did; 0 where its start is not known
 }
 
 // LateReason is what most of a late job's time went into.
@@ -37,13 +37,13 @@
 
 func (JobLate) isAction() {}
 
-// reason names the part that weighs most.
-func (s spent) reason() LateReason {
+// mainReason names the part that weighs most.
+func (s timeBreakdown) mainReason() LateReason {
 	reason, most := LateByEarlierWork, time.Duration(0)
 	for _, part := range []struct {
 		reason LateReason
 		took   time.Duration
-	}{{LateByCapacity, s.room}, {LateByStore, s.record}, {LateByRerun, s.again}} {
+	}{{LateByCapacity, s.capacityWait}, {LateByStore, s.storeWait}, {LateByRerun, s.discardedRuns}} {
 		if part.took > most {
 			reason, most = part.reason, part.took
 		}
@@ -51,27 +51,27 @@
 	return reason
 }
 
-func (s spent) detail(over, declared time.Duration) string {
+func (s timeBreakdown) detail(over, declared time.Duration) string {
 	return fmt.Sprintf("%d ms late; room %d ms, store %d ms, runs in vain %d ms, run %d ms of %d declared",
-		over.Milliseconds(), s.room.Milliseconds(), s.record.Milliseconds(),
-		s.again.Milliseconds(), s.run.Milliseconds(), declared.Milliseconds())
+		over.Milliseconds(), s.capacityWait.Milliseconds(), s.storeWait.Milliseconds(),
+		s.discardedRuns.Milliseconds(), s.finalRun.Milliseconds(), declared.Milliseconds())
 }
 
-// chainAsItRan is the longest chain of work of a job whose last unit has just ended, with
+// actualCriticalPath is the longest chain of work of a job whose last unit has just ended, with
 // what that took in the place of what was expected.
-func (e *Engine) chainAsItRan(last *unit) time.Duration {
-	chain := e.chain(last.job)
-	if last.spent.run > 0 {
-		chain += last.spent.run - e.estimate(last)
+func (e *Engine) actualCriticalPath(last *unit) time.Duration {
+	chain := e.criticalPath(last.job)
+	if last.times.finalRun > 0 {
+		chain += last.times.finalRun - e.estimate(last)
 	}
 	return chain
 }
 
-// tellLate reports why a job that its unit last has just completed missed its objective. That
+// reportLate reports why a job that its unit last has just completed missed its objective. That
 // allows for the time that the work took, so a run that was longer than declared is no reason.
-func (e *Engine) tellLate(now time.Duration, last *unit) {
+func (e *Engine) reportLate(now time.Duration, last *unit) {
 	j := last.job
-	over := now - j.objectiveFor(e.chainAsItRan(last))
+	over := now - j.objectiveFor(e.actualCriticalPath(last))
 	if over <= 0 {
 		return
 	}
@@ -80,7 +80,7 @@
 		Job:     j.spec.ID,
 		Account: j.spec.Account,
 		Queue:   j.spec.Queue,
-		Reason:  last.spent.reason(),
-		Detail:  last.spent.detail(over, declared),
+		Reason:  last.times.mainReason(),
+		Detail:  last.times.detail(over, declared),
 	})
 }
--- a/engine/stuck_test.go
+++ b/engine/stuck_test.go
@@ -34,13 +34,13 @@
 	still := d.submit(1, "", taskStep(1, 8))
 	d.settle()
 	from := d.now
-	for len(d.stops) == 0 && d.now-from < stuckUnproven {
+	for len(d.stops) == 0 && d.now-from < minStuckTimeUnproven {
 		for _, w := range d.e.sortedWorkers() {
 			d.reportRuns(w.info.ID, func(p *placement) RunStatus {
 				if p.unit.job.spec.ID == still {
 					return RunStatus{}
 				}
-				return RunStatus{Percent: p.pulse.percent + 1}
+				return RunStatus{Percent: p.rate.lastPercent + 1}
 			})
 		}
 		d.now += 100 * time.Millisecond
--- a/engine/succession.go
+++ b/engine/succession.go
@@ -5,65 +5,65 @@
 	"time"
 )
 
-// succession is how a life ended in whose place another one answers under the same name.
+// supersession is how a life ended in whose place another one answers under the same name.
 //
 // Calls name the worker and not its life, so a start that was meant for the life that is over,
 // and had no answer, may still be carried out by the next one. What the earlier life held is
 // therefore not over with it: were it started elsewhere at once, it could run twice. It is
 // settled when the next life has answered under a fence that no earlier order carries: what it
 // does not show then, it refuses from then on.
-type succession struct {
-	how     Departure
-	witness witness
+type supersession struct {
+	how      Departure
+	evidence crashEvidence
 }
 
-// departed handles an agent's word that a life is over.
-func (e *Engine) departed(now time.Duration, r Report) {
+// handleTerminated handles an agent's word that a life is over.
+func (e *Engine) handleTerminated(now time.Duration, r Report) {
 	if w := e.workers[r.Worker.ID]; w != nil && r.Superseded {
-		e.supersede(w, r.departure(), r.witness())
+		e.supersede(w, r.departure(), r.crashEvidence())
 		return
 	}
-	e.gone(now, r.Worker.ID, r.departure(), r.witness())
+	e.endIncarnation(now, r.Worker.ID, r.departure(), r.crashEvidence())
 }
 
-// replace ends the life that an agent reported before, as it now reports another one.
-func (e *Engine) replace(now time.Duration, before WorkerID, info WorkerInfo) {
+// supersedeReplaced ends the life that an agent reported before, as it now reports another one.
+func (e *Engine) supersedeReplaced(now time.Duration, before WorkerID, info WorkerInfo) {
 	w := e.workers[before]
 	if w != nil && w.info.SharesName(info) {
-		e.supersede(w, e.departureOfReplaced(before), witness{})
+		e.supersede(w, e.departureOfReplaced(before), crashEvidence{})
 		return
 	}
-	e.gone(now, before, e.departureOfReplaced(before), witness{})
+	e.endIncarnation(now, before, e.departureOfReplaced(before), crashEvidence{})
 }
 
 // supersede notes that a life is over, as far as anybody has said, and that another one of
 // its name follows. The first word on how it ended stands, unless it was not the agent's.
-func (e *Engine) supersede(w *worker, how Departure, t witness) {
+func (e *Engine) supersede(w *worker, how Departure, t crashEvidence) {
 	w.attached = false
-	if w.succession == nil {
+	if w.supersession == nil {
 		e.superseded[w.info.Agent] = append(e.superseded[w.info.Agent], w)
 	}
-	if w.succession == nil || !w.succession.witness.known {
-		w.succession = &succession{how: how, witness: t}
+	if w.supersession == nil || !w.supersession.evidence.known {
+		w.supersession = &supersession{how: how, evidence: t}
 	}
 }
 
-// takeTurn makes w the present life beside its agent. Nothing that it says counts until it has
+// assignGeneration makes w the present life beside its agent. Nothing that it says counts until it has
 // answered under a fence that no order to another life of its name carries.
-func (e *Engine) takeTurn(w *worker) {
+func (e *Engine) assignGeneration(w *worker) {
 	if w.info.Name == "" {
 		return
 	}
 	e.lastGeneration += GenerationStep
-	w.turn = e.lastGeneration
+	w.generation = e.lastGeneration
 	w.attached = false
 	e.dropSuperseded(w)
 }
 
-// noteTurn notes a turn that the agent has raised by itself, for an agent that is started again
+// noteGeneration notes a turn that the agent has raised by itself, for an agent that is started again
 // beside the worker, and for the lives to come.
-func (e *Engine) noteTurn(w *worker, turn uint64) {
-	w.turn = max(w.turn, turn)
+func (e *Engine) noteGeneration(w *worker, turn uint64) {
+	w.generation = max(w.generation, turn)
 	e.lastGeneration = max(e.lastGeneration, turn)
 }
 
@@ -76,30 +76,30 @@
 	}
 	listed := ListedRuns(r.Running, r.Ended)
 	for _, old := range slices.Clone(earlier) {
-		for _, p := range slices.Clone(old.sortedPlaces()) {
-			if listed[p.id()] && w.places[p.task()] == nil {
+		for _, p := range slices.Clone(old.sortedPlacements()) {
+			if listed[p.runID()] && w.placements[p.taskID()] == nil {
 				e.carryOver(now, p, w)
 			}
 		}
-		e.gone(now, old.info.ID, old.succession.how, old.succession.witness)
+		e.endIncarnation(now, old.info.ID, old.supersession.how, old.supersession.evidence)
 	}
 }
 
 func (e *Engine) carryOver(now time.Duration, p *placement, w *worker) {
-	p.worker.drop(p)
+	p.worker.removePlacement(p)
 	p.worker = w
-	w.hold(p)
-	p.missing = 0
-	p.movedAt = now
+	w.addPlacement(p)
+	p.missedPolls = 0
+	p.progressedAt = now
 	e.logDecision(p, "carried over", "ordered of an earlier life of this worker")
 	e.markChanged(p.unit.job)
 }
 
 func (e *Engine) dropSuperseded(w *worker) {
-	if w.succession == nil {
+	if w.supersession == nil {
 		return
 	}
-	w.succession = nil
+	w.supersession = nil
 	agent := w.info.Agent
 	e.superseded[agent] = slices.DeleteFunc(e.superseded[agent], func(o *worker) bool { return o == w })
 	if len(e.superseded[agent]) == 0 {
--- a/engine/tick.go
+++ b/engine/tick.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// replanEvery bounds how long a decision may rest on estimates alone.
-	replanEvery = 250 * time.Millisecond
-	// forgetAfter is how long a worker that does not report is remembered.
-	forgetAfter = 60 * time.Second
-	// lookTimeout is how old the last look at a worker may be to judge what runs there;
+	// replanInterval bounds how long a decision may rest on estimates alone.
+	replanInterval = 250 * time.Millisecond
+	// workerRetention is how long a worker that does not report is remembered.
+	workerRetention = 60 * time.Second
+	// maxPollAge is how old the last look at a worker may be to judge what runs there;
 	// agents look at least once a second.
-	lookTimeout = 1500 * time.Millisecond
-	// stuckParts is how long a task may show no progress at all before it is tried elsewhere,
+	maxPollAge = 1500 * time.Millisecond
+	// stuckEstimateShare is how long a task may show no progress at all before it is tried elsewhere,
 	// in parts of its estimate and at least stuckLeast, or stuckUnproven while no run of its
 	// queue has shown any. Each further time takes twice as long: some work shows no progress,
 	// and must end all the same.
-	stuckParts    = 0.2
-	stuckLeast    = 1600 * time.Millisecond
-	stuckUnproven = 2500 * time.Millisecond
-	mostStalls    = 16 // bounds the doubling
+	stuckEstimateShare   = 0.2
+	minStuckTime         = 1600 * time.Millisecond
+	minStuckTimeUnproven = 2500 * time.Millisecond
+	maxStalls            = 16 // bounds the doubling
 )
 
 func (e *Engine) tick(now time.Duration, ev Tick) {
@@ -33,58 +33,58 @@
 		e.tickJob(now, j)
 	}
 	e.writeCheckpoints(now)
-	if now-e.lastPlanAt >= replanEvery {
+	if now-e.lastPlanAt >= replanInterval {
 		e.planNeeded = true
 	}
 }
 
 func (e *Engine) tickWorker(now time.Duration, w *worker) {
-	if !w.lapsed && now >= w.lapseAt {
-		w.lapsed = true
-		w.lapsedWith = w.sortedPlaces()
-		for _, p := range w.sortedPlaces() {
+	if !w.leaseExpired && now >= w.leaseExpiresAt {
+		w.leaseExpired = true
+		w.runsAtExpiry = w.sortedPlacements()
+		for _, p := range w.sortedPlacements() {
 			e.handleLostRun(now, p, CauseLeaseExpired, "the worker's lease lapsed")
 		}
 		// What it lists later was not placed by anyone any more.
 		w.attached = false
 	}
-	if w.lapsed && now-w.lastReport > forgetAfter {
-		e.forget(w)
+	if w.leaseExpired && now-w.lastReport > workerRetention {
+		e.removeWorker(w)
 		return
 	}
-	for _, p := range w.sortedPlaces() {
-		if p.stopping && now-p.stopSent >= stopRetry {
+	for _, p := range w.sortedPlacements() {
+		if p.stopping && now-p.stopSentAt >= stopRetryInterval {
 			e.sendStop(now, p)
 		}
-		e.renewPace(now, p)
-		if e.stuck(now, p) {
-			e.logDecision(p, "stuck", fmt.Sprintf("at %d%% for %v", p.pulse.percent, now-p.movedAt))
+		e.resendPace(now, p)
+		if e.isStuck(now, p) {
+			e.logDecision(p, "stuck", fmt.Sprintf("at %d%% for %v", p.rate.lastPercent, now-p.progressedAt))
 			e.countWorkerFailure(now, p)
-			e.avoid(now, p)
-			p.unit.stalls = min(p.unit.stalls+1, mostStalls)
+			e.avoidWorker(now, p)
+			p.unit.stallCount = min(p.unit.stallCount+1, maxStalls)
 			e.stopUnit(now, p.unit, CauseStalled)
 		}
 	}
 }
 
-// stuck says whether a task has stood still for so long that starting it elsewhere
+// isStuck says whether a task has stood still for so long that starting it elsewhere
 // pays. A worker that reports no progress of anything shows so by all its tasks.
-func (e *Engine) stuck(now time.Duration, p *placement) bool {
-	if !e.params.Policy.StandingStill || p.state != placeRunning || p.stopping || p.unit.ending() || p.pulse.percent >= 99 {
+func (e *Engine) isStuck(now time.Duration, p *placement) bool {
+	if !e.params.Policy.StandingStill || p.state != placementRunning || p.stopping || p.unit.ending() || p.rate.lastPercent >= 99 {
 		return false
 	}
 	if p.unit.spec().LongRunning || p.unit.spec().BestEffortCPU || !p.worker.attached {
 		return false
 	}
-	if p.worker.silent || now-p.worker.lookedAt > lookTimeout {
+	if p.worker.unresponsive || now-p.worker.lastPolledAt > maxPollAge {
 		return false // what was seen last says nothing of now
 	}
-	least := stuckUnproven
-	if e.tracker.moves[p.unit.job.spec.Queue] {
-		least = stuckLeast
+	least := minStuckTimeUnproven
+	if e.tracker.progressQueues[p.unit.job.spec.Queue] {
+		least = minStuckTime
 	}
-	patience := max(time.Duration(stuckParts*float64(e.estimate(p.unit))), least)
-	return now-p.movedAt > patience<<p.unit.stalls
+	patience := max(time.Duration(stuckEstimateShare*float64(e.estimate(p.unit))), least)
+	return now-p.progressedAt > patience<<p.unit.stallCount
 }
 
 func (e *Engine) tickJob(now time.Duration, j *job) {
@@ -99,5 +99,5 @@
 		j.unblockUnits(now)
 		e.planNeeded = true
 	}
-	e.tellUnfit(now, j)
+	e.logUnschedulable(now, j)
 }
--- a/engine/tracker.go
+++ b/engine/tracker.go
@@ -7,38 +7,38 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// tracker learns how long runs and stops take.
-type tracker struct {
-	runs *runtimes.Model
-	// stop is how long stopped tasks lately took to end.
-	stop time.Duration
-	// moves are the queues of which a run has shown progress.
-	moves map[string]bool
+// durationTracker learns how long runs and stops take.
+type durationTracker struct {
+	runTimes *runtimes.Model
+	// stopTime is how long stopped tasks lately took to end.
+	stopTime time.Duration
+	// progressQueues are the queues of which a run has shown progress.
+	progressQueues map[string]bool
 }
 
 const (
-	// learnShare is the weight of the newest stop.
-	learnShare = 0.15
-	// leastRemaining keeps a task that should have ended from counting as free.
-	leastRemaining = 150 * time.Millisecond
+	// stopTimeWeight is the weight of the newest stop.
+	stopTimeWeight = 0.15
+	// minRemaining keeps a task that should have ended from counting as free.
+	minRemaining = 150 * time.Millisecond
 )
 
-func newTracker(stop time.Duration) tracker {
-	return tracker{runs: runtimes.New(), stop: stop, moves: map[string]bool{}}
+func newDurationTracker(stop time.Duration) durationTracker {
+	return durationTracker{runTimes: runtimes.New(), stopTime: stop, progressQueues: map[string]bool{}}
 }
 
-// stopped takes how long a stopped task took to end.
-func (t *tracker) stopped(took time.Duration) {
-	t.stop = time.Duration((1-learnShare)*float64(t.stop) + learnShare*float64(took))
+// observeStop takes how long a observeStop task took to end.
+func (t *durationTracker) observeStop(took time.Duration) {
+	t.stopTime = time.Duration((1-stopTimeWeight)*float64(t.stopTime) + stopTimeWeight*float64(took))
 }
 
-// learn takes the length of a run that began at the start and ended well; of a gang's, that
+// learnRunTime takes the length of a run that began at the start and ended well; of a gang's, that
 // of the member which is first to say so.
 //
 // The failure it guards against: after a takeover the ends of runs that a predecessor
 // started would be learned with wrong lengths, of hours where the end came before the run
 // was seen, and all forecasts of their queue would be off for dozens of runs.
-func (e *Engine) learn(now time.Duration, p *placement) {
+func (e *Engine) learnRunTime(now time.Duration, p *placement) {
 	if p.adopted {
 		return // how long it ran before this planner is not known
 	}
@@ -46,36 +46,36 @@
 	if u.state == unitDone || u.spec().BestEffortCPU || u.spec().LongRunning || !e.params.Policy.LearnedRunTimes {
 		return // what fills takes what others leave
 	}
-	if u.saved != "" && u.spec().Checkpoints && u.run > 1 {
+	if u.checkpoint != "" && u.spec().Checkpoints && u.runNumber > 1 {
 		return
 	}
-	e.tracker.runs.Observe(u.job.spec.Queue, u.spec().Estimate, now-p.began)
+	e.tracker.runTimes.Observe(u.job.spec.Queue, u.spec().Estimate, now-p.startedAt)
 }
 
 // estimate returns how long a run of u is expected to take.
-func (e *Engine) estimate(u *unit) time.Duration { return e.expect(u.job, u.spec()) }
+func (e *Engine) estimate(u *unit) time.Duration { return e.expectedRunTime(u.job, u.spec()) }
 
-func (e *Engine) expect(j *job, s *workload.Step) time.Duration {
+func (e *Engine) expectedRunTime(j *job, s *workload.Step) time.Duration {
 	if s.BestEffortCPU {
 		return s.Estimate
 	}
-	return e.tracker.runs.Estimate(j.spec.Queue, s.Estimate)
+	return e.tracker.runTimes.Estimate(j.spec.Queue, s.Estimate)
 }
 
-// chain returns how long the longest chain of work of a job is expected to take.
-func (e *Engine) chain(j *job) time.Duration {
+// criticalPath returns how long the longest criticalPath of work of a job is expected to take.
+func (e *Engine) criticalPath(j *job) time.Duration {
 	longest := time.Duration(0)
-	for _, chain := range e.chainsOf(j) {
+	for _, chain := range e.criticalPaths(j) {
 		longest = max(longest, chain)
 	}
 	return longest
 }
 
-// chainsOf returns how long the longest chain of work from each step on is expected to take.
+// criticalPaths returns how long the longest chain of work from each step on is expected to take.
 // The caller does not change the slice.
-func (e *Engine) chainsOf(j *job) []time.Duration {
-	if version := e.tracker.runs.Version(); j.criticalPaths == nil || j.criticalPathsVersion != version {
-		j.criticalPaths = j.spec.CriticalPaths(func(s *workload.Step) time.Duration { return e.expect(j, s) })
+func (e *Engine) criticalPaths(j *job) []time.Duration {
+	if version := e.tracker.runTimes.Version(); j.criticalPaths == nil || j.criticalPathsVersion != version {
+		j.criticalPaths = j.spec.CriticalPaths(func(s *workload.Step) time.Duration { return e.expectedRunTime(j, s) })
 		j.criticalPathsVersion = version
 	}
 	return j.criticalPaths
@@ -84,15 +84,15 @@
 // remaining returns how long a run is expected to go on.
 func (e *Engine) remaining(now time.Duration, p *placement) time.Duration {
 	if p.stopping {
-		return max(e.params.StopTime-(now-p.stopSent), leastRemaining)
+		return max(e.params.StopTime-(now-p.stopSentAt), minRemaining)
 	}
-	if left, ok := p.pulse.remaining(now); ok {
-		return max(left, leastRemaining)
+	if left, ok := p.rate.remaining(now); ok {
+		return max(left, minRemaining)
 	}
 	whole := e.estimate(p.unit)
-	if p.state != placeRunning {
+	if p.state != placementRunning {
 		return whole
 	}
-	undone := float64(100-min(p.pulse.percent, 100)) / 100
-	return max(time.Duration(float64(whole)*undone)-(now-p.movedAt), leastRemaining)
+	undone := float64(100-min(p.rate.lastPercent, 100)) / 100
+	return max(time.Duration(float64(whole)*undone)-(now-p.progressedAt), minRemaining)
 }
--- a/engine/unfit.go
+++ b/engine/unfit.go
@@ -12,49 +12,49 @@
 // have another label or size, so that nobody knows that the job can never run; and a
 // caller who is told that it failed takes it that its tasks were tried.
 const (
-	// settleTime is how long workers may take to announce themselves.
-	settleTime = 4 * time.Second
-	// unfitEvery is the pause between two looks at the same job.
-	unfitEvery = time.Second
+	// workerSettleTime is how long workers may take to announce themselves.
+	workerSettleTime = 4 * time.Second
+	// unschedulableCheckInterval is the pause between two looks at the same job.
+	unschedulableCheckInterval = time.Second
 )
 
-// tellUnfit logs why a job fits no workers, each time that the reason changes.
-func (e *Engine) tellUnfit(now time.Duration, j *job) {
-	if now-e.workerAddedAt < settleTime || now-e.startedAt < settleTime || now < j.unschedulableCheckAt {
+// logUnschedulable logs why a job fits no workers, each time that the reason changes.
+func (e *Engine) logUnschedulable(now time.Duration, j *job) {
+	if now-e.workerAddedAt < workerSettleTime || now-e.startedAt < workerSettleTime || now < j.unschedulableCheckAt {
 		return
 	}
-	j.unschedulableCheckAt = now + unfitEvery
-	why := e.unfit(j)
+	j.unschedulableCheckAt = now + unschedulableCheckInterval
+	why := e.unschedulableReason(j)
 	if why != "" && why != j.unschedulableReason {
 		e.logJobDecision(j, "fits no worker", why)
 	}
 	j.unschedulableReason = why
 }
 
-// unfit returns why no set of workers known could hold a unit of the job that waits, and
+// unschedulableReason returns why no set of workers known could hold a unit of the job that waits, and
 // nothing where one could.
-func (e *Engine) unfit(j *job) string {
+func (e *Engine) unschedulableReason(j *job) string {
 	for _, u := range j.units {
 		if u.state != unitWaiting {
 			continue
 		}
-		if why := e.unfitUnit(u); why != "" {
+		if why := e.unschedulableUnit(u); why != "" {
 			return why
 		}
 	}
 	return ""
 }
 
-func (e *Engine) unfitUnit(u *unit) string {
+func (e *Engine) unschedulableUnit(u *unit) string {
 	s := u.spec()
 	room, known := 0, 0
 	for _, w := range e.workers {
-		if w.info.Service != u.job.spec.Service || w.lapsed {
+		if w.info.Service != u.job.spec.Service || w.leaseExpired {
 			continue
 		}
 		known++
 		if w.hasLabel(s.Label) {
-			room += perWorker(s, s.Demand().CountFitting(w.info.Capacity, u.size))
+			room += capPerWorker(s, s.Demand().CountFitting(w.info.Capacity, u.size))
 		}
 	}
 	switch {
@@ -68,8 +68,8 @@
 	return ""
 }
 
-// perWorker bounds a number of tasks by the step's own bound.
-func perWorker(s *workload.Step, n int) int {
+// capPerWorker bounds a number of tasks by the step's own bound.
+func capPerWorker(s *workload.Step, n int) int {
 	if s.MaxPerWorker > 0 {
 		return min(n, s.MaxPerWorker)
 	}
--- a/engine/victims.go
+++ b/engine/victims.go
@@ -43,7 +43,7 @@
 	search := &victimSearch{round: r, unit: u, costs: map[*unit]float64{}, chosen: map[*unit]bool{}}
 	for _, w := range set.workers {
 		if r.eligible(u, w) && !w.health.paused(r.now) && r.admits(u, w) {
-			w.round.at = len(search.workers)
+			w.round.index = len(search.workers)
 			search.workers = append(search.workers, search.listCandidates(w))
 		}
 	}
@@ -53,7 +53,7 @@
 // close clears the workers' indexes in the search.
 func (search *victimSearch) close() {
 	for _, wv := range search.workers {
-		wv.worker.round.at = -1
+		wv.worker.round.index = -1
 	}
 }
 
@@ -61,7 +61,7 @@
 // the units there that may be evicted.
 func (search *victimSearch) listCandidates(w *worker) *workerVictims {
 	wv := &workerVictims{worker: w, free: w.free().Sub(w.round.claimed)}
-	for _, p := range w.sortedPlaces() {
+	for _, p := range w.sortedPlacements() {
 		if p.stopping || p.unit.state != unitActive || p.unit.ending() {
 			wv.free = wv.free.Add(p.demand)
 			continue
@@ -110,7 +110,7 @@
 // units until there is room, then drops those that are not needed, the costliest first.
 func (search *victimSearch) chooseVictims(wv *workerVictims) victimChoice {
 	w := wv.worker
-	if search.round.e.bounded(search.unit, w, wv.placed+1) < wv.placed+1 {
+	if search.round.e.limitPerWorker(search.unit, w, wv.placed+1) < wv.placed+1 {
 		return victimChoice{}
 	}
 	need, free := search.unit.demand(), wv.free
@@ -160,8 +160,8 @@
 func (search *victimSearch) commit(wv *workerVictims, choice victimChoice) {
 	for _, v := range choice.victims {
 		search.chosen[v] = true
-		for _, p := range v.places {
-			if at := p.worker.round.at; at >= 0 {
+		for _, p := range v.placements {
+			if at := p.worker.round.index; at >= 0 {
 				search.workers[at].free = search.workers[at].free.Add(p.demand)
 				search.workers[at].choiceValid = false
 			}
@@ -185,7 +185,7 @@
 // heldOn returns the capacity that a unit holds on a worker.
 func heldOn(u *unit, w *worker) workload.Resources {
 	var sum workload.Resources
-	for _, p := range u.places {
+	for _, p := range u.placements {
 		if p.worker == w {
 			sum = sum.Add(p.demand)
 		}
--- a/engine/witness.go
+++ b/engine/witness.go
@@ -2,8 +2,8 @@
 
 import "github.com/eelgrasshub/eelgrasshub/workload"
 
-// witness is what an agent knows of the runs of a worker that has crashed.
-type witness struct {
+// crashEvidence is what an agent knows of the runs of a worker that has crashed.
+type crashEvidence struct {
 	// known: the agent had looked at the worker. proven are then the runs that it had seen
 	// at work for ProvenAfter, ended those that were over before.
 	known  bool
@@ -11,8 +11,8 @@
 	ended  map[workload.RunID]bool
 }
 
-func (r *Report) witness() witness {
-	out := witness{known: r.Terminated && r.Polled, proven: map[workload.RunID]bool{}, ended: map[workload.RunID]bool{}}
+func (r *Report) crashEvidence() crashEvidence {
+	out := crashEvidence{known: r.Terminated && r.Polled, proven: map[workload.RunID]bool{}, ended: map[workload.RunID]bool{}}
 	for _, row := range r.Running {
 		out.proven[row.Run] = true
 	}
@@ -22,42 +22,42 @@
 	return out
 }
 
-// under says whether the crash may have come under a run. One that was given up when the
+// mayHaveRun says whether the crash may have come mayHaveRun a run. One that was given up when the
 // lease lapsed may have been over for long; only the agent can tell.
-func (t witness) under(p *placement) bool {
-	if p.state == placeRecording || p.unit.state == unitDone || t.ended[p.id()] {
+func (t crashEvidence) mayHaveRun(p *placement) bool {
+	if p.state == placementUnrecorded || p.unit.state == unitDone || t.ended[p.runID()] {
 		return false // no order has left, or it was over
 	}
-	return t.known || !p.worker.lapsed
+	return t.known || !p.worker.leaseExpired
 }
 
-// certain says whether the run was there when its worker crashed. An agent that was cut off,
+// certainlyRan says whether the run was there when its worker crashed. An agent that was cut off,
 // or was lost with its worker, has not told of the ends of the last seconds.
-func (t witness) certain(p *placement) bool {
-	return p.state == placeRunning && (t.known || p.worker.silent)
+func (t crashEvidence) certainlyRan(p *placement) bool {
+	return p.state == placementRunning && (t.known || p.worker.unresponsive)
 }
 
-// fresh says whether a run is known to have been at work for less than ProvenAfter. Of what
+// justStarted says whether a run is known to have been at work for less than ProvenAfter. Of what
 // a predecessor ordered and this planner never saw, only the agent can tell.
-func (t witness) fresh(p *placement) bool {
+func (t crashEvidence) justStarted(p *placement) bool {
 	switch {
-	case !t.under(p) || p.pastStartup():
+	case !t.mayHaveRun(p) || p.pastStartup():
 		return false
 	case t.known:
-		return !t.proven[p.id()]
+		return !t.proven[p.runID()]
 	}
-	return p.began != 0 && p.worker.silent
+	return p.startedAt != 0 && p.worker.unresponsive
 }
 
-// suspects returns the runs that a crash of their worker is blamed on: the fresh ones, and
+// blamedRuns returns the runs that a crash of their worker is blamed on: the fresh ones, and
 // of these the ones suspected most before. alone says that all that were fresh are of one
 // job.
-func (t witness) suspects(places []*placement) (blamed map[*placement]bool, alone bool) {
+func (t crashEvidence) blamedRuns(places []*placement) (blamed map[*placement]bool, alone bool) {
 	var fresh []*placement
 	most := 0
 	alone = true
 	for _, p := range places {
-		if !t.fresh(p) {
+		if !t.justStarted(p) {
 			continue
 		}
 		fresh = append(fresh, p)
--- a/engine/worker.go
+++ b/engine/worker.go
@@ -42,49 +42,49 @@
 // worker is the engine's view of one life of a worker.
 type worker struct {
 	info WorkerInfo
-	// most is the most room that it told of.
-	most   workload.Resources
-	places map[workload.TaskID]*placement
-	// sorted are the places in their order; nil after one was added or removed.
-	sorted []*placement
-	used   workload.Resources
-	// strays are runs found there that the engine did not place; until they are gone
+	// maxCapacity is the maxCapacity room that it told of.
+	maxCapacity workload.Resources
+	placements  map[workload.TaskID]*placement
+	// sortedCache are the places in their order; nil after one was added or removed.
+	sortedCache []*placement
+	used        workload.Resources
+	// orphans are runs found there that the engine did not place; until they are gone
 	// nothing is started, since what they take is not known.
-	strays map[workload.RunID]time.Duration // when a stop was last sent
+	orphans map[workload.RunID]time.Duration // when a stop was last sent
 	// attached: it reports under this engine's epoch and its own turn, so older orders are
 	// refused.
-	attached bool
-	turn     uint64 // see Fence
-	// succession: another life of its name follows it; nil: none.
-	succession *succession
-	// silent: its agent reports, but the worker itself does not answer.
-	silent     bool
-	draining   bool
-	cordoned   bool // its availability zone is
-	leavesAt   time.Duration
-	lastReport time.Duration
-	lookedAt   time.Duration // when the worker itself last answered
-	lapseAt    time.Duration
-	lapsed     bool // lapseAt has passed without a report
-	// lapsedWith are the runs that were given up then. If the worker's next word is that it
+	attached   bool
+	generation uint64 // see Fence
+	// supersession: another life of its name follows it; nil: none.
+	supersession *supersession
+	// unresponsive: its agent reports, but the worker itself does not answer.
+	unresponsive   bool
+	draining       bool
+	cordoned       bool // its availability zone is
+	leavesAt       time.Duration
+	lastReport     time.Duration
+	lastPolledAt   time.Duration // when the worker itself last answered
+	leaseExpiresAt time.Duration
+	leaseExpired   bool // lapseAt has passed without a report
+	// runsAtExpiry are the runs that were given up then. If the worker's next word is that it
 	// had crashed, it crashed under them.
-	lapsedWith []*placement
+	runsAtExpiry []*placement
 	// recorded: the worker's record is in the store.
-	recorded bool
-	pending  []pendingEnd
-	seen     int64
-	listed   int64 // the highest end handled
-	health   workerHealth
-	sharing  sharing
+	recorded    bool
+	pendingEnds []pendingEnd
+	ackedEnds   int64
+	lastEnd     int64 // the highest end handled
+	health      workerHealth
+	sharing     sharing
 	// round is what the planning round in progress notes of the worker.
-	round roundNotes
+	round workerRoundState
 }
 
 // pendingEnd is an end that the worker may forget once the job's version is stored.
 type pendingEnd struct {
-	number  int64
-	job     *job
-	version int
+	sequence int64
+	job      *job
+	version  int
 }
 
 func (w *worker) hasLabel(label string) bool {
@@ -92,12 +92,12 @@
 }
 
 // usable says whether new tasks may be placed on w.
-func (w *worker) usable(now time.Duration) bool { return !w.cordoned && w.sound(now) }
+func (w *worker) usable(now time.Duration) bool { return !w.cordoned && w.usableIfUncordoned(now) }
 
-// sound says whether w is usable as soon as its availability zone is.
-func (w *worker) sound(now time.Duration) bool {
-	return w.attached && w.recorded && !w.silent && !w.draining && !w.lapsed &&
-		len(w.strays) == 0 && now-w.lastReport < reportTimeout
+// usableIfUncordoned says whether w is usable as soon as its availability zone is.
+func (w *worker) usableIfUncordoned(now time.Duration) bool {
+	return w.attached && w.recorded && !w.unresponsive && !w.draining && !w.leaseExpired &&
+		len(w.orphans) == 0 && now-w.lastReport < reportTimeout
 }
 
 // free returns the room that nothing holds. It is negative where the worker's room has
@@ -109,30 +109,30 @@
 	return p.demand.CountFitting(w.free().Add(p.demand), 1) == 1
 }
 
-// sortedPlaces returns the placements in a fixed order, as they are now. The caller does not
+// sortedPlacements returns the placements in a fixed order, as they are now. The caller does not
 // change the slice.
-func (w *worker) sortedPlaces() []*placement {
-	if w.sorted == nil && len(w.places) > 0 {
-		w.sorted = slices.Collect(maps.Values(w.places))
-		slices.SortFunc(w.sorted, func(a, b *placement) int { return compareTasks(a.task(), b.task()) })
+func (w *worker) sortedPlacements() []*placement {
+	if w.sortedCache == nil && len(w.placements) > 0 {
+		w.sortedCache = slices.Collect(maps.Values(w.placements))
+		slices.SortFunc(w.sortedCache, func(a, b *placement) int { return compareTasks(a.taskID(), b.taskID()) })
 	}
-	return w.sorted
+	return w.sortedCache
 }
 
-// hold takes the room of a placement.
-func (w *worker) hold(p *placement) {
-	w.places[p.task()] = p
-	w.sorted = nil
+// addPlacement takes the room of a placement.
+func (w *worker) addPlacement(p *placement) {
+	w.placements[p.taskID()] = p
+	w.sortedCache = nil
 	w.used = w.used.Add(p.demand)
 }
 
-// drop frees the room of a placement that is over.
-func (w *worker) drop(p *placement) {
-	if w.places[p.task()] != p {
+// removePlacement frees the room of a placement that is over.
+func (w *worker) removePlacement(p *placement) {
+	if w.placements[p.taskID()] != p {
 		return
 	}
-	delete(w.places, p.task())
-	w.sorted = nil
+	delete(w.placements, p.taskID())
+	w.sortedCache = nil
 	w.used = w.used.Sub(p.demand)
 }
 
@@ -145,15 +145,15 @@
 	)
 }
 
-// forgettable advances seen past the ends that are on record.
-func (w *worker) forgettable() int64 {
-	for len(w.pending) > 0 {
-		p := w.pending[0]
+// advanceAckedEnds advances seen past the ends that are on record.
+func (w *worker) advanceAckedEnds() int64 {
+	for len(w.pendingEnds) > 0 {
+		p := w.pendingEnds[0]
 		if p.job != nil && p.job.storedVersion < p.version {
 			break
 		}
-		w.seen = p.number
-		w.pending = w.pending[1:]
+		w.ackedEnds = p.sequence
+		w.pendingEnds = w.pendingEnds[1:]
 	}
-	return w.seen
+	return w.ackedEnds
 }
--- a/engine/write.go
+++ b/engine/write.go
@@ -52,7 +52,7 @@
 		w.Jobs = append(w.Jobs, JobWrite{ID: j.spec.ID, Version: j.version, Progress: j.progress(e.epoch, now, wall)})
 		limit--
 	}
-	return e.removals(w, limit, now, wall)
+	return e.addRemovals(w, limit, now, wall)
 }
 
 func (e *Engine) changedJobs() []*job {
@@ -68,8 +68,8 @@
 	return out
 }
 
-// removals adds what is taken off the records.
-func (e *Engine) removals(w Write, limit int, now time.Duration, wall time.Time) Write {
+// addRemovals adds what is taken off the records.
+func (e *Engine) addRemovals(w Write, limit int, now time.Duration, wall time.Time) Write {
 	for _, id := range slices.Sorted(maps.Keys(e.goneWorkers)) {
 		if limit <= 0 {
 			return w
@@ -94,8 +94,8 @@
 	return w
 }
 
-// stored handles a write that took effect: starts that waited for it may leave.
-func (e *Engine) stored(now time.Duration, w Write) {
+// handleWritten handles a write that took effect: starts that waited for it may leave.
+func (e *Engine) handleWritten(now time.Duration, w Write) {
 	for _, info := range w.Workers {
 		if known := e.workers[info.ID]; known != nil {
 			known.recorded = true
@@ -112,7 +112,7 @@
 		if j.storedVersion == j.version {
 			delete(e.dirtyJobs, written.ID)
 		}
-		e.release(now, j, written.Progress)
+		e.releaseStarts(now, j, written.Progress)
 	}
 	for _, id := range w.RemovedWorkers {
 		delete(e.goneWorkers, id)
@@ -123,69 +123,69 @@
 	}
 	for _, forgotten := range w.ForgottenJobs {
 		delete(e.expired, forgotten.ID)
-		e.remove(forgotten.ID)
+		e.removeJob(forgotten.ID)
 	}
 }
 
-func (e *Engine) remove(id workload.JobID) {
+func (e *Engine) removeJob(id workload.JobID) {
 	j := e.jobs[id]
 	delete(e.jobs, id)
 	e.orderedJobs = slices.DeleteFunc(e.orderedJobs, func(o *job) bool { return o == j })
 }
 
-// release orders the starts of a job whose placements are on record as written.
-func (e *Engine) release(now time.Duration, j *job, written *JobProgress) {
+// releaseStarts orders the starts of a job whose placements are on record as written.
+func (e *Engine) releaseStarts(now time.Duration, j *job, written *JobProgress) {
 	for i := range written.Units {
-		u := j.unit(written.Units[i].Occurrence, written.Units[i].Step, written.Units[i].Index)
-		if u == nil || u.run != written.Units[i].Run {
+		u := j.findUnit(written.Units[i].Occurrence, written.Units[i].Step, written.Units[i].Index)
+		if u == nil || u.runNumber != written.Units[i].Run {
 			continue
 		}
-		e.orderUnit(now, u)
+		e.orderUnitStarts(now, u)
 	}
 }
 
-// orderUnit sends the starts of a run, all or, where one of the workers is no longer
+// orderUnitStarts sends the starts of a run, all or, where one of the workers is no longer
 // fit, none.
-func (e *Engine) orderUnit(now time.Duration, u *unit) {
+func (e *Engine) orderUnitStarts(now time.Duration, u *unit) {
 	var ready []*placement
-	for _, p := range u.places {
-		if p.state != placeRecording {
+	for _, p := range u.placements {
+		if p.state != placementUnrecorded {
 			continue
 		}
 		_, allowed := u.ticketFor(now, p.worker.info.ID)
 		if u.ending() || !p.worker.usable(now) || !p.worker.stillFits(p) || !allowed {
-			e.refuse(now, u)
+			e.abandonRun(now, u)
 			return
 		}
 		ready = append(ready, p)
 	}
 	for _, p := range ready {
-		e.order(now, p)
+		e.orderStart(now, p)
 	}
 }
 
-func (e *Engine) order(now time.Duration, p *placement) {
-	p.state = placeOrdered
-	p.began = now
-	p.unit.spent.record = now - p.unit.placedAt
-	p.movedAt = now
+func (e *Engine) orderStart(now time.Duration, p *placement) {
+	p.state = placementOrdered
+	p.startedAt = now
+	p.unit.times.storeWait = now - p.unit.placedAt
+	p.progressedAt = now
 	o := e.ordersFor(p.worker)
 	ticket, _ := p.unit.ticketFor(now, p.worker.info.ID)
-	o.Starts = append(o.Starts, StartOrder{Run: p.id(), Spec: p.unit.job.spec.Spec, Checkpoint: p.unit.saved, Ticket: ticket})
+	o.Starts = append(o.Starts, StartOrder{Run: p.runID(), Spec: p.unit.job.spec.Spec, Checkpoint: p.unit.checkpoint, Ticket: ticket})
 	e.logDecision(p, "start", "")
-	e.join(now, p)
+	e.initPaces(now, p)
 }
 
-// refuse gives a run up whose members can't all start.
-func (e *Engine) refuse(now time.Duration, u *unit) {
-	if u.verdict == verdictNone {
-		u.verdict = verdictRetry
+// abandonRun gives a run up whose members can't all start.
+func (e *Engine) abandonRun(now time.Duration, u *unit) {
+	if u.outcome == outcomeNone {
+		u.outcome = outcomeRetry
 		e.markChanged(u.job)
 	}
 	e.stopUnit(now, u, CauseGangIncomplete)
 }
 
-func (j *job) unit(occurrence, step, index int) *unit {
+func (j *job) findUnit(occurrence, step, index int) *unit {
 	for _, u := range j.units {
 		if u.occurrence == occurrence && u.step == step && u.index == index {
 			return u
