--- a/engine/orders_test.go
+++ b/engine/orders_test.go
@@ -39,7 +39,7 @@
 // A gang of six fails on one worker of its preferred rack, then on another. Keeping away
 // from both left no room for it there, while the rack itself still looked empty, so it
 // waited for a rack that it was not allowed to use for as long as it was known.
-func TestUnitReturnsToAWorkerWhereItFailed(t *testing.T) {
+func TestUnitIsRetriedOnWorkerWhereItFailed(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 9)
 	s := gangStep(6, 4)
@@ -58,7 +58,7 @@
 // An order gets no answer. It may be carried out seconds later, so its room stays taken
 // and nothing of the task starts elsewhere until the worker confirms the stop and a
 // later look does not show the run.
-func TestUnansweredStartKeepsItsRoom(t *testing.T) {
+func TestUnansweredStartKeepsItsCapacity(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
 	id := d.submit(1, "", taskStep(1, 8))
--- a/engine/pace_test.go
+++ b/engine/pace_test.go
@@ -9,7 +9,7 @@
 
 // A planner on a weak processor gets reports faster than it can plan. Rounds that it puts
 // off are made up for at their time, and what is decided already is not held back.
-func TestPostponedRoundIsMadeAtItsTime(t *testing.T) {
+func TestPostponedRoundRunsWhenDue(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
 	first := d.submit(1, "", taskStep(1, 1))
--- a/engine/pulse_test.go
+++ b/engine/pulse_test.go
@@ -10,7 +10,7 @@
 // A run resumes from a checkpoint at 60% and does 2% in each tenth of a second. Its speed,
 // and not the time since its start, says when it ends; what passed since the last look is
 // taken off.
-func TestRemainingTimeFollowsTheRunsOwnSpeed(t *testing.T) {
+func TestRemainingTimeFollowsMeasuredRate(t *testing.T) {
 	c := qt.New(t)
 	var p progressRate
 	for i := range 6 {
@@ -25,7 +25,7 @@
 
 // Whole percents a moment apart say nothing of the speed, nor does progress that went back,
 // as when the worker began the task anew.
-func TestSpeedNeedsProgress(t *testing.T) {
+func TestRateNeedsMinimumProgress(t *testing.T) {
 	c := qt.New(t)
 	var p progressRate
 	p.observe(0, 10)
@@ -40,7 +40,7 @@
 // Patient work goes on from a checkpoint, far slower than declared. By its declared run time
 // the last percents counted as done in a moment, for ever: an urgent job waited for them and
 // evicted nothing, while its objective passed. Its progress says that it goes on.
-func TestUrgentJobDoesNotWaitForWorkThatOutlivedItsEstimate(t *testing.T) {
+func TestUrgentJobEvictsRunThatExceedsItsEstimate(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
 	long := taskStep(1, 8)
--- a/engine/refused_test.go
+++ b/engine/refused_test.go
@@ -12,7 +12,7 @@
 // A worker refuses a start: it says that it can't read the order, or that it has no room,
 // as it has lost some and its planner has not heard of it yet. The order was repeated as
 // fast as the store took the placements, tens of times a second, until something changed.
-func TestRefusedStartsAreRepeatedAtAPace(t *testing.T) {
+func TestRefusedStartsBackOff(t *testing.T) {
 	for _, refusal := range []StartOutcome{StartInvalid, StartNoCapacity} {
 		t.Run(refusal.String(), func(t *testing.T) {
 			c := qt.New(t)
--- a/engine/reserve_test.go
+++ b/engine/reserve_test.go
@@ -9,11 +9,11 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// smallTime is how long each small job works.
-const smallTime = 2 * time.Second
+// smallJobTime is how long each small job works.
+const smallJobTime = 2 * time.Second
 
-// progress lets a tenth of a second pass, in which each run does its part of that length.
-func (d *driver) progress(length time.Duration) {
+// advanceRuns lets a tenth of a second pass, in which each run does its part of that length.
+func (d *driver) advanceRuns(length time.Duration) {
 	for _, w := range d.e.sortedWorkers() {
 		d.reportRuns(w.info.ID, func(p *placement) RunStatus {
 			return RunStatus{Percent: int(100 * (d.now - p.startedAt) / length)}
@@ -23,15 +23,15 @@
 	d.tick()
 }
 
-// gangAmongSmallJobs hands in a gang that needs all three workers while small jobs, each a
+// gangWaitAmongSmallJobs hands in a gang that needs all three workers while small jobs, each a
 // worker for two seconds, come faster than they end, and returns how long the gang waits.
-func gangAmongSmallJobs(t *testing.T, reservations int) time.Duration {
+func gangWaitAmongSmallJobs(t *testing.T, reservations int) time.Duration {
 	d := newDriver(t, 3)
 	d.e.params.Policy.Reservations = reservations
 	began := map[workload.JobID]time.Duration{}
 	small := func() {
 		step := taskStep(1, 8)
-		step.Estimate = smallTime
+		step.Estimate = smallJobTime
 		began[d.submit(2, "", step)] = 0
 	}
 	for range 3 {
@@ -43,13 +43,13 @@
 	for d.now-from < time.Minute {
 		small()
 		for range 5 {
-			d.progress(smallTime)
+			d.advanceRuns(smallJobTime)
 		}
 		for id, at := range began {
 			if at == 0 && len(d.runs(id)) > 0 {
 				began[id] = d.now
 			}
-			if at != 0 && d.now-at >= smallTime && len(d.runs(id)) > 0 {
+			if at != 0 && d.now-at >= smallJobTime && len(d.runs(id)) > 0 {
 				d.endRuns(id, EndDone)
 				d.settle()
 			}
@@ -65,6 +65,6 @@
 // that becomes free. It would wait for as long as they come: room is kept for it.
 func TestLargeGangIsNotStarvedBySmallJobs(t *testing.T) {
 	c := qt.New(t)
-	c.Check(gangAmongSmallJobs(t, 0), qt.Equals, never, qt.Commentf("the failure itself"))
-	c.Check(gangAmongSmallJobs(t, DefaultPolicy().Reservations) < 10*time.Second, qt.IsTrue)
+	c.Check(gangWaitAmongSmallJobs(t, 0), qt.Equals, never, qt.Commentf("the failure itself"))
+	c.Check(gangWaitAmongSmallJobs(t, DefaultPolicy().Reservations) < 10*time.Second, qt.IsTrue)
 }
--- a/engine/restore_test.go
+++ b/engine/restore_test.go
@@ -11,7 +11,7 @@
 
 // A planner takes over while a job runs whose record was last written before its start. Callers
 // who ask before the agents have reported must not hear that it is queued.
-func TestSuccessorShowsAJobThatRunsAsRunning(t *testing.T) {
+func TestSuccessorReportsRunningJobAsRunning(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
 	id := d.submit(1, "", taskStep(1, 8))
--- a/engine/room_test.go
+++ b/engine/room_test.go
@@ -9,8 +9,8 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// resized returns what a worker of the desk says after its room has changed.
-func (d *driver) resized(i, accelerators int) Report {
+// resizedReport returns what a worker of the desk says after its room has changed.
+func (d *driver) resizedReport(i, accelerators int) Report {
 	r := d.workerReport(i)
 	part := r.Worker.Capacity
 	r.Worker.Capacity = workload.Resources{
@@ -22,14 +22,14 @@
 // A worker with eight accelerators loses four while it runs, and says so. The planner held
 // on to what the worker had said first, and a job was started beside what ran there: more
 // than the worker had.
-func TestShrunkWorkerTakesNoMoreThanItHas(t *testing.T) {
+func TestShrunkWorkerIsNotOverbooked(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
 	first := d.submit(1, "other", taskStep(1, 3))
 	d.settle()
 	c.Assert(d.runs(first), qt.HasLen, 1)
 
-	d.report(d.resized(0, 4))
+	d.report(d.resizedReport(0, 4))
 	second := d.submit(1, "other", taskStep(1, 3))
 	d.settle()
 	c.Check(d.runs(second), qt.HasLen, 0, qt.Commentf("three of four accelerators are taken"))
@@ -37,23 +37,23 @@
 	d.settle()
 	c.Check(d.runs(third), qt.HasLen, 1)
 
-	d.report(d.resized(0, 8))
+	d.report(d.resizedReport(0, 8))
 	d.settle()
 	c.Check(d.runs(second), qt.HasLen, 1, qt.Commentf("its room has grown again"))
 }
 
 // The room of a worker shrinks between a decision and its record. The order must not leave.
-func TestStartIsWithheldWhereRoomShrankMeanwhile(t *testing.T) {
+func TestStartIsWithheldAfterCapacityShrank(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
 	id := d.submit(1, "other", taskStep(1, 6))
 	d.e.Decide(d.now)
 	w := d.e.PendingChanges(d.now, time.Unix(1000, 0), 15)
-	d.report(d.resized(0, 4))
+	d.report(d.resizedReport(0, 4))
 	d.handle(WriteApplied{Write: w})
 	d.settle()
 	c.Check(d.starts, qt.HasLen, 0)
-	d.report(d.resized(0, 8))
+	d.report(d.resizedReport(0, 8))
 	d.settle()
 	c.Check(d.starts, qt.HasLen, 1)
 	c.Check(d.runs(id), qt.HasLen, 1)
--- a/engine/sharing_sim_test.go
+++ b/engine/sharing_sim_test.go
@@ -12,35 +12,35 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// sharedHost is a worker on which tasks disturb each other. Its serving task is at base
+// simHost is a worker on which tasks disturb each other. Its serving task is at base
 // of its target by itself, which changes within seconds; each image that fills adds its
 // own weight at full speed.
-type sharedHost struct {
-	rng     *rand.Rand
-	phase   float64
-	burst   time.Duration // end of a burst of the serving task's users
-	weights map[string]float64
-	speeds  map[workload.RunID]int
-	window  []float64 // strain of the last half second
-	over    time.Duration
+type simHost struct {
+	rng          *rand.Rand
+	phase        float64
+	burstEnd     time.Duration // end of a burst of the serving task's users
+	weights      map[string]float64
+	speeds       map[workload.RunID]int
+	recentRatios []float64 // strain of the last half second
+	violation    time.Duration
 	// What is measured.
-	worked, overall, overTime, longest time.Duration
+	workTime, totalTime, violationTime, longestViolation time.Duration
 }
 
-func (h *sharedHost) base(now time.Duration) float64 {
+func (h *simHost) baseRatio(now time.Duration) float64 {
 	if h.rng.IntN(1500) == 0 {
-		h.burst = now + time.Duration(1+h.rng.IntN(3))*time.Second
+		h.burstEnd = now + time.Duration(1+h.rng.IntN(3))*time.Second
 	}
 	load := 0.4 + 0.15*math.Sin(h.phase+now.Seconds()/5)
-	if now < h.burst {
+	if now < h.burstEnd {
 		load += 0.25
 	}
 	return load
 }
 
-// pass lets time pass with runs of the given images.
-func (h *sharedHost) pass(now, by time.Duration, images map[workload.RunID]string) {
-	base := h.base(now)
+// advance lets time advance with runs of the given images.
+func (h *simHost) advance(now, by time.Duration, images map[workload.RunID]string) {
+	base := h.baseRatio(now)
 	strain := base
 	working := 0.0
 	for run, image := range images {
@@ -48,42 +48,42 @@
 		strain += h.weights[image] * speed
 		working += speed
 	}
-	h.worked += time.Duration(working * float64(by))
-	h.overall += by
-	h.window = append(h.window, strain)
-	if len(h.window) > 10 {
-		h.window = h.window[1:]
+	h.workTime += time.Duration(working * float64(by))
+	h.totalTime += by
+	h.recentRatios = append(h.recentRatios, strain)
+	if len(h.recentRatios) > 10 {
+		h.recentRatios = h.recentRatios[1:]
 	}
 	if strain <= 1 {
-		h.over = 0
+		h.violation = 0
 		return
 	}
-	h.overTime += by
+	h.violationTime += by
 	if base <= 1 && working > 0 {
-		h.over += by
-		h.longest = max(h.longest, h.over)
+		h.violation += by
+		h.longestViolation = max(h.longestViolation, h.violation)
 	}
 }
 
-// figure is what the worker reports of the last half second: rough.
-func (h *sharedHost) figure() float64 {
+// reportedRatio is what the worker reports of the last half second: rough.
+func (h *simHost) reportedRatio() float64 {
 	sum := 0.0
-	for _, s := range h.window {
+	for _, s := range h.recentRatios {
 		sum += s
 	}
-	return sum / float64(len(h.window)) * (0.92 + 0.16*h.rng.Float64())
+	return sum / float64(len(h.recentRatios)) * (0.92 + 0.16*h.rng.Float64())
 }
 
-// sharedRun plays two minutes of a worker on which a task serves users and three others
+// simulateHost plays two minutes of a worker on which a task serves users and three others
 // fill. fixed sets the speed of these; below 0 the engine does.
-func sharedRun(t *testing.T, seed uint64, fixed int) *sharedHost {
-	h := &sharedHost{rng: rand.New(rand.NewPCG(seed, 11)), speeds: map[workload.RunID]int{}, weights: map[string]float64{}}
+func simulateHost(t *testing.T, seed uint64, fixed int) *simHost {
+	h := &simHost{rng: rand.New(rand.NewPCG(seed, 11)), speeds: map[workload.RunID]int{}, weights: map[string]float64{}}
 	h.phase = 6 * h.rng.Float64()
 	d := newDriver(t, 1)
-	d.submit(1, "", serving(1))
+	d.submit(1, "", latencySensitiveStep(1))
 	d.settle()
 	for i, weight := range []float64{0.1, 0.4, 1.0} {
-		s := fillers(1)
+		s := bestEffortStep(1)
 		s.Image = fmt.Sprint("fills", i)
 		s.Estimate = time.Hour
 		h.weights[s.Image] = weight * (0.7 + 0.6*h.rng.Float64())
@@ -100,18 +100,18 @@
 			}
 		}
 		if d.now%(100*time.Millisecond) == 0 {
-			h.take(d, images, fixed) // orders take a tenth of a second
+			h.applyPaces(d, images, fixed) // orders take a tenth of a second
 		}
-		h.pass(d.now, step, images)
+		h.advance(d.now, step, images)
 		if d.now%(450*time.Millisecond) == 0 {
-			d.report(d.lookAt(w, h.figure()))
+			d.report(d.pollReport(w, h.reportedRatio()))
 		}
 		d.tick()
 	}
 	return h
 }
 
-func (h *sharedHost) take(d *driver, images map[workload.RunID]string, fixed int) {
+func (h *simHost) applyPaces(d *driver, images map[workload.RunID]string, fixed int) {
 	for run := range images {
 		if _, known := h.speeds[run]; !known {
 			h.speeds[run] = fullPace
@@ -132,16 +132,16 @@
 // seconds. Beside two baselines, never to fill and to fill at full speed: most of the
 // work that could be done must be done, with the target kept nearly all of the time and
 // never missed for as long as counts as harm.
-func TestSharingBesideItsBaselines(t *testing.T) {
+func TestPaceControlAgainstBaselines(t *testing.T) {
 	const seeds = 20
 	type sum struct{ worked, overTime, longest float64 }
 	play := func(fixed int) sum {
 		var s sum
 		for seed := range uint64(seeds) {
-			h := sharedRun(t, seed, fixed)
-			s.worked += h.worked.Seconds() / h.overall.Seconds() / seeds
-			s.overTime += h.overTime.Seconds() / h.overall.Seconds() / seeds
-			s.longest = max(s.longest, h.longest.Seconds())
+			h := simulateHost(t, seed, fixed)
+			s.worked += h.workTime.Seconds() / h.totalTime.Seconds() / seeds
+			s.overTime += h.violationTime.Seconds() / h.totalTime.Seconds() / seeds
+			s.longest = max(s.longest, h.longestViolation.Seconds())
 		}
 		return s
 	}
--- a/engine/sharing_test.go
+++ b/engine/sharing_test.go
@@ -11,16 +11,16 @@
 
 const tailTarget = 100 * time.Millisecond
 
-// serving is tasks that serve users and last.
-func serving(n int) workload.Step {
+// latencySensitiveStep is tasks that serve users and last.
+func latencySensitiveStep(n int) workload.Step {
 	s := longRunningStep(n, 0, 0)
 	s.Image = "serves"
 	s.TailLatencyTarget = tailTarget
 	return s
 }
 
-// fillers is tasks that take the processor time that others leave.
-func fillers(n int) workload.Step {
+// bestEffortStep is tasks that take the processor time that others leave.
+func bestEffortStep(n int) workload.Step {
 	s := taskStep(n, 0)
 	s.Image = "fills"
 	s.BestEffortCPU = true
@@ -28,31 +28,31 @@
 	return s
 }
 
-// sharedDesk returns a desk with one worker, on which a task that serves users runs and
+// colocatedDriver returns a desk with one worker, on which a task that serves users runs and
 // another fills.
-func sharedDesk(t *testing.T) (d *driver, service, fills workload.JobID) {
+func colocatedDriver(t *testing.T) (d *driver, service, fills workload.JobID) {
 	d = newDriver(t, 1)
-	service = d.submit(1, "", serving(1))
+	service = d.submit(1, "", latencySensitiveStep(1))
 	d.settle()
-	fills = d.submit(2, "", fillers(1))
+	fills = d.submit(2, "", bestEffortStep(1))
 	d.settle()
 	return d, service, fills
 }
 
-// looks lets every worker report for a while, with the tail latency of what serves as
+// reportFor lets every worker report for a while, with the tail latency of what serves as
 // given in parts of its target.
-func (d *driver) looks(by time.Duration, strain func(now time.Duration) float64) {
+func (d *driver) reportFor(by time.Duration, strain func(now time.Duration) float64) {
 	for end := d.now + by; d.now < end; d.now += 100 * time.Millisecond {
 		if d.now%(500*time.Millisecond) == 0 {
 			for _, w := range d.e.sortedWorkers() {
-				d.report(d.lookAt(w, strain(d.now)))
+				d.report(d.pollReport(w, strain(d.now)))
 			}
 		}
 		d.tick()
 	}
 }
 
-func (d *driver) lookAt(w *worker, strain float64) Report {
+func (d *driver) pollReport(w *worker, strain float64) Report {
 	r := Report{Epoch: d.e.epoch, Polled: true, Worker: w.info}
 	for _, p := range w.sortedPlacements() {
 		row := RunStatus{Run: p.runID(), Percent: min(p.rate.lastPercent+1, 98)}
@@ -65,8 +65,8 @@
 	return r
 }
 
-// speeds returns the last speed ordered of each run; 100 where none was.
-func (d *driver) speeds(id workload.JobID) []int {
+// orderedPaces returns the last speed ordered of each run; 100 where none was.
+func (d *driver) orderedPaces(id workload.JobID) []int {
 	last := map[workload.RunID]int{}
 	for _, p := range d.paces {
 		last[p.Run] = p.Percent
@@ -91,88 +91,88 @@
 // A task that fills starts beside one that serves users and would double its response
 // times at full speed. Nobody knows the two images yet, so it has to begin slowly, in the
 // same orders as its start.
-func TestUnknownImageBeginsSlowly(t *testing.T) {
+func TestUnknownImageStartsSlowly(t *testing.T) {
 	c := qt.New(t)
-	d, _, id := sharedDesk(t)
-	c.Check(d.speeds(id), qt.DeepEquals, []int{initialTolerance})
+	d, _, id := colocatedDriver(t)
+	c.Check(d.orderedPaces(id), qt.DeepEquals, []int{initialTolerance})
 }
 
 // A task serves users where another fills at full speed already.
-func TestFillerIsSlowedBeforeItsNeighbourStarts(t *testing.T) {
+func TestBestEffortRunIsSlowedBeforeNeighbourStarts(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
-	id := d.submit(2, "", fillers(1))
+	id := d.submit(2, "", bestEffortStep(1))
 	d.settle()
-	d.looks(time.Second, constant(0))
-	c.Check(d.speeds(id), qt.DeepEquals, []int{100})
-	d.submit(1, "", serving(1))
+	d.reportFor(time.Second, constant(0))
+	c.Check(d.orderedPaces(id), qt.DeepEquals, []int{100})
+	d.submit(1, "", latencySensitiveStep(1))
 	d.settle()
-	c.Check(d.speeds(id), qt.DeepEquals, []int{initialTolerance})
+	c.Check(d.orderedPaces(id), qt.DeepEquals, []int{initialTolerance})
 }
 
 // Response times rise over the target through what fills beside. It has to stand still
 // well before that counts as harm, and to go on when they are good again.
-func TestFillerStandsStillBeforeItHarms(t *testing.T) {
+func TestBestEffortRunIsPausedWithinViolationLimit(t *testing.T) {
 	c := qt.New(t)
-	d, _, id := sharedDesk(t)
-	d.looks(8*time.Second, constant(0.4))
-	c.Assert(d.speeds(id)[0] >= 60, qt.IsTrue, qt.Commentf("%v", d.speeds(id)))
-	d.looks(2*time.Second, constant(1.4))
-	c.Check(d.speeds(id), qt.DeepEquals, []int{0})
-	d.looks(6*time.Second, constant(0.4))
-	c.Check(d.speeds(id)[0] > initialTolerance, qt.IsTrue, qt.Commentf("%v", d.speeds(id)))
+	d, _, id := colocatedDriver(t)
+	d.reportFor(8*time.Second, constant(0.4))
+	c.Assert(d.orderedPaces(id)[0] >= 60, qt.IsTrue, qt.Commentf("%v", d.orderedPaces(id)))
+	d.reportFor(2*time.Second, constant(1.4))
+	c.Check(d.orderedPaces(id), qt.DeepEquals, []int{0})
+	d.reportFor(6*time.Second, constant(0.4))
+	c.Check(d.orderedPaces(id)[0] > initialTolerance, qt.IsTrue, qt.Commentf("%v", d.orderedPaces(id)))
 }
 
 // What serves users ends. Nothing is left that the other would disturb.
-func TestFillerAloneRunsAtFullSpeed(t *testing.T) {
+func TestBestEffortRunAloneHasFullPace(t *testing.T) {
 	c := qt.New(t)
-	d, service, id := sharedDesk(t)
+	d, service, id := colocatedDriver(t)
 	d.handle(CancelRequested{Job: service})
 	d.settle()
 	d.endRuns(service, EndStopped)
-	d.looks(time.Second, constant(0))
-	c.Check(d.speeds(id), qt.DeepEquals, []int{100})
+	d.reportFor(time.Second, constant(0))
+	c.Check(d.orderedPaces(id), qt.DeepEquals, []int{100})
 }
 
 // An order for a lower speed gets no answer: it is repeated until the worker confirms it,
 // and for some time after, since the lost one of before may still be carried out.
-func TestUnconfirmedSpeedIsOrderedAgain(t *testing.T) {
+func TestUnconfirmedPaceIsResent(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
-	d.submit(1, "", serving(1))
+	d.submit(1, "", latencySensitiveStep(1))
 	d.settle()
 	d.dropPaceReplies = true
-	d.submit(2, "", fillers(1))
+	d.submit(2, "", bestEffortStep(1))
 	d.settle()
-	d.looks(2*time.Second, constant(0.7))
+	d.reportFor(2*time.Second, constant(0.7))
 	c.Check(len(d.paces) >= 4, qt.IsTrue, qt.Commentf("%d", len(d.paces)))
 	d.dropPaceReplies = false
 	before := len(d.paces)
-	d.looks(4*time.Second, constant(0.7))
+	d.reportFor(4*time.Second, constant(0.7))
 	c.Check(len(d.paces) >= before+3, qt.IsTrue, qt.Commentf("in doubt, ordered %d times", len(d.paces)-before))
-	d.looks(12*time.Second, constant(0.7))
+	d.reportFor(12*time.Second, constant(0.7))
 	before = len(d.paces)
-	d.looks(4*time.Second, constant(0.7))
+	d.reportFor(4*time.Second, constant(0.7))
 	c.Check(d.paces, qt.HasLen, before)
 }
 
 // A planner takes over from one that held a filling task back. What it does not know, the
 // speed, it sets again as for an unknown image.
-func TestSuccessorSetsSpeedsAgain(t *testing.T) {
+func TestSuccessorResetsPaces(t *testing.T) {
 	c := qt.New(t)
-	d, _, id := sharedDesk(t)
-	d.looks(8*time.Second, constant(0.4))
+	d, _, id := colocatedDriver(t)
+	d.reportFor(8*time.Second, constant(0.4))
 	d.takeOver()
 	d.paces = nil
-	d.looks(600*time.Millisecond, constant(0.7))
-	c.Check(d.speeds(id), qt.DeepEquals, []int{initialTolerance})
+	d.reportFor(600*time.Millisecond, constant(0.7))
+	c.Check(d.orderedPaces(id), qt.DeepEquals, []int{initialTolerance})
 }
 
 // Of two workers one has a task beside which this image did badly.
-func TestFillersGoWhereTheyDisturbLeast(t *testing.T) {
+func TestBestEffortTaskAvoidsLatencySensitiveNeighbour(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 2)
-	d.submit(1, "", serving(1))
+	d.submit(1, "", latencySensitiveStep(1))
 	d.settle()
 	var serves WorkerID
 	for run, w := range d.startedOn {
@@ -180,7 +180,7 @@
 			serves = w
 		}
 	}
-	id := d.submit(2, "", fillers(1))
+	id := d.submit(2, "", bestEffortStep(1))
 	d.settle()
 	for w := range d.runs(id) {
 		c.Check(w, qt.Not(qt.Equals), serves)
@@ -189,17 +189,17 @@
 
 // The worker takes no orders for speeds, and the task that serves users is over its target
 // through what fills. That has to leave before it counts as harm.
-func TestWhatCanNotBeHeldBackIsStopped(t *testing.T) {
+func TestRunWithUnconfirmedPaceIsStopped(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
-	d.submit(1, "", serving(1))
+	d.submit(1, "", latencySensitiveStep(1))
 	d.settle()
 	d.dropPaceReplies = true
-	id := d.submit(2, "", fillers(1))
+	id := d.submit(2, "", bestEffortStep(1))
 	d.settle()
-	d.looks(2*time.Second, constant(1.3))
+	d.reportFor(2*time.Second, constant(1.3))
 	c.Check(d.stops, qt.HasLen, 0)
-	d.looks(1500*time.Millisecond, constant(1.3))
+	d.reportFor(1500*time.Millisecond, constant(1.3))
 	c.Assert(d.stops, qt.Not(qt.HasLen), 0)
 	c.Check(d.stops[0].Task.Job, qt.Equals, id)
 }
--- a/engine/shortcut_test.go
+++ b/engine/shortcut_test.go
@@ -8,9 +8,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// crowded returns a desk whose workers are nearly full of all kinds of work, and a unit that
+// crowdedDriver returns a desk whose workers are nearly full of all kinds of work, and a unit that
 // waits.
-func crowded(t *testing.T, rng *rand.Rand) (*driver, *unit) {
+func crowdedDriver(t *testing.T, rng *rand.Rand) (*driver, *unit) {
 	d := newDriver(t, 9)
 	for range 25 {
 		step := taskStep(1+rng.IntN(4), 1+rng.IntN(4))
@@ -30,9 +30,9 @@
 	return d, d.e.jobs[id].units[0]
 }
 
-// surveyedAnew is evictions without what next keeps: after each member all workers are
+// evictionWithoutCache is evictions without what next keeps: after each member all workers are
 // looked at again.
-func surveyedAnew(r *round, u *unit, set *domain) (victims []*unit, cost float64, ok bool) {
+func evictionWithoutCache(r *round, u *unit, set *domain) (victims []*unit, cost float64, ok bool) {
 	c := r.newVictimSearch(u, set)
 	defer c.close()
 	for range u.size {
@@ -50,14 +50,14 @@
 
 // What a search for victims keeps between two members, and the quick look at a full set,
 // save time and change no decision.
-func TestShortcutsOfARoundChangeNoDecision(t *testing.T) {
+func TestEvictionSearchCacheKeepsDecisions(t *testing.T) {
 	c := qt.New(t)
 	evicting, full := 0, 0
 	for seed := range uint64(300) {
-		d, u := crowded(t, rand.New(rand.NewPCG(seed, 3)))
+		d, u := crowdedDriver(t, rand.New(rand.NewPCG(seed, 3)))
 		r := d.e.newRound(d.now)
 		r.pickHeadroomRacks()
-		victims, cost, ok := surveyedAnew(r, u, r.usable)
+		victims, cost, ok := evictionWithoutCache(r, u, r.usable)
 		got := r.planEviction(u, r.usable)
 		c.Assert(got != nil, qt.Equals, ok, qt.Commentf("seed %d", seed))
 		if ok {
--- a/engine/silent_test.go
+++ b/engine/silent_test.go
@@ -7,9 +7,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// silence lets the worker id stay silent for a while: its agent reports every few
+// reportUnresponsive lets the worker id stay silent for a while: its agent reports every few
 // milliseconds that the lease it knows ends at end. The other workers report as usual.
-func (d *driver) silence(id WorkerID, by, end time.Duration, known bool) {
+func (d *driver) reportUnresponsive(id WorkerID, by, end time.Duration, known bool) {
 	info := d.e.workers[id].info
 	const between = 20 * time.Millisecond
 	for until := d.now + by; d.now < until; d.now += between {
@@ -31,7 +31,7 @@
 // worker does not answer, many times a second. Each report put off the end of the lease,
 // the stop of the member there was ordered again and again, and the gang never started
 // anew, with its room free on other workers.
-func TestGangStartsAgainThoughAnAgentKeepsReportingItsDeadWorker(t *testing.T) {
+func TestGangRestartsWhileAgentReportsDeadWorker(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 4)
 	id := d.submit(1, "", gangStep(2, 8))
@@ -39,9 +39,9 @@
 	d.advance(500 * time.Millisecond)
 	dead := d.startedOn[d.starts[0].Run]
 	end := d.now + 6*time.Second
-	d.silence(dead, time.Second, end, true)
+	d.reportUnresponsive(dead, time.Second, end, true)
 	c.Check(d.runs(id)[dead], qt.HasLen, 1, qt.Commentf("it may still run there"))
-	d.silence(dead, 6*time.Second, end, true)
+	d.reportUnresponsive(dead, 6*time.Second, end, true)
 	d.endRuns(id, EndStopped) // the other member's, which was ordered
 	d.settle()
 	runs := d.runs(id)
@@ -52,7 +52,7 @@
 // The agent beside a silent worker was started again and does not know the lease. What the
 // planner granted before bounds it: neither sooner, since the worker may go on till then,
 // nor later.
-func TestSilentWorkerWithAnUnknownLeaseLapsesByTheLastGrant(t *testing.T) {
+func TestUnknownLeaseExpiresByLastGrant(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 4)
 	id := d.submit(1, "", taskStep(1, 8))
@@ -60,9 +60,9 @@
 	d.advance(500 * time.Millisecond)
 	silent := d.startedOn[d.starts[0].Run]
 	granted := d.now
-	d.silence(silent, 5*time.Second, 0, false)
+	d.reportUnresponsive(silent, 5*time.Second, 0, false)
 	c.Check(d.runs(id)[silent], qt.HasLen, 1, qt.Commentf("it may still run there"))
-	d.silence(silent, d.e.params.leaseExpiry(granted)-d.now+time.Second, 0, false)
+	d.reportUnresponsive(silent, d.e.params.leaseExpiry(granted)-d.now+time.Second, 0, false)
 	c.Check(d.runs(id)[silent], qt.HasLen, 0)
 }
 
@@ -70,7 +70,7 @@
 // report granted the lease its whole time, but the planner did not count that, since the
 // worker was silent: it took the lease for over while looks without answers had extended it,
 // and a task that was done there ran a second time elsewhere.
-func TestGrantToASilentWorkerIsCounted(t *testing.T) {
+func TestLeaseGrantedToUnresponsiveWorkerIsCounted(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 4)
 	id := d.submit(1, "", taskStep(1, 8))
@@ -82,10 +82,10 @@
 	v := d.report(Report{Epoch: 1, Worker: info, Unresponsive: true, ExtendingLease: true})
 	c.Check(v.Attached, qt.IsTrue)
 	granted := d.now
-	d.silence(silent, 5*time.Second, 0, false)
+	d.reportUnresponsive(silent, 5*time.Second, 0, false)
 	c.Check(d.runs(id)[silent], qt.HasLen, 1, qt.Commentf("the lease may last for six seconds from the grant"))
 	v = d.report(Report{Epoch: 1, Worker: info, Unresponsive: true})
 	c.Check(v.Attached, qt.IsFalse, qt.Commentf("nothing is granted that is not counted"))
-	d.silence(silent, d.e.params.leaseExpiry(granted)-d.now+time.Second, 0, false)
+	d.reportUnresponsive(silent, d.e.params.leaseExpiry(granted)-d.now+time.Second, 0, false)
 	c.Check(d.runs(id)[silent], qt.HasLen, 0)
 }
--- a/engine/sim_cordon_test.go
+++ b/engine/sim_cordon_test.go
@@ -19,58 +19,58 @@
 // second later, a new one may know less than the last, and orders are held up on their way. No
 // task may start in a zone that has been cordoned for longer than the news and an order take,
 // but by an order that its worker carries out late; when the faults end every job is settled.
-func TestRandomWorldsWithCordonedZones(t *testing.T) {
-	playWorlds(t, *simCordonSeeds, func(w *simWorld, seed uint64) {
-		w.faults(faultTime)
-		w.cordonZones(faultTime)
-		w.cordons.holdUp = true
+func TestRandomWorldsWithCordons(t *testing.T) {
+	runWorlds(t, *simCordonSeeds, func(w *simWorld, seed uint64) {
+		w.planFaults(faultTime)
+		w.planCordons(faultTime)
+		w.cordons.delayOrders = true
 		if seed%2 == 0 {
-			w.nameWorkers()
-			w.crashMany(faultTime)
+			w.reuseNames()
+			w.planCrashes(faultTime)
 		}
 	})
 }
 
 const (
-	// simNews is how long a planner may not hear of other cordons, simHoldUp how long an order
+	// simCordonDelay is how long a planner may not hear of other cordons, simHoldUp how long an order
 	// may be held up. Agents hear with the answer to their next report.
-	simNews   = time.Second
-	simHoldUp = 1500 * time.Millisecond
-	// simCordonWithin is the sum of what may pass until nothing starts any more: the news, once
+	simCordonDelay   = time.Second
+	simMaxOrderDelay = 1500 * time.Millisecond
+	// simCordonDeadline is the sum of what may pass until nothing starts any more: the news, once
 	// more where the planner changes at that moment, the record, and an order that was held up.
-	simCordonWithin = 2*simNews + simHoldUp + 500*time.Millisecond
+	simCordonDeadline = 2*simCordonDelay + simMaxOrderDelay + 500*time.Millisecond
 )
 
 // simCordons are the cordons in force, and what planners know of them.
 type simCordons struct {
-	since    map[string]time.Duration // by zone
-	revision int64
-	told     catalog.Cordons // to the present planner
-	before   catalog.Cordons // what it knew before that
-	holdUp   bool            // orders are held up now and then
+	since       map[string]time.Duration // by zone
+	revision    int64
+	known       catalog.Cordons // to the present planner
+	previous    catalog.Cordons // what it knew before that
+	delayOrders bool            // orders are held up now and then
 }
 
-// cordonsOfSuccessor returns what a planner knows that has just taken over: sometimes less
+// successorCordons returns what a planner knows that has just taken over: sometimes less
 // than the last one, for as long as news take.
-func (w *simWorld) cordonsOfSuccessor() catalog.Cordons {
+func (w *simWorld) successorCordons() catalog.Cordons {
 	c := &w.cordons
-	if newest := c.told; c.holdUp && w.rng.IntN(2) == 0 {
-		c.told = c.before
-		w.after(time.Duration(w.rng.Int64N(int64(simNews))), func() { w.hear(newest) })
+	if newest := c.known; c.delayOrders && w.rng.IntN(2) == 0 {
+		c.known = c.previous
+		w.after(time.Duration(w.rng.Int64N(int64(simCordonDelay))), func() { w.updateCordons(newest) })
 	}
-	return c.told
+	return c.known
 }
 
-// hear lets the planner hear of cordons.
-func (w *simWorld) hear(news catalog.Cordons) {
-	if news.Revision > w.cordons.told.Revision {
-		w.cordons.before, w.cordons.told = w.cordons.told, news
+// updateCordons lets the planner updateCordons of cordons.
+func (w *simWorld) updateCordons(news catalog.Cordons) {
+	if news.Revision > w.cordons.known.Revision {
+		w.cordons.previous, w.cordons.known = w.cordons.known, news
 		w.engine.HandleEvent(w.now, CordonsChanged{news})
 	}
 }
 
-// cordonZones plans when zones are cordoned and opened.
-func (w *simWorld) cordonZones(end time.Duration) {
+// planCordons plans when zones are cordoned and opened.
+func (w *simWorld) planCordons(end time.Duration) {
 	w.cordons.since = map[string]time.Duration{}
 	for range 4 + w.rng.IntN(8) {
 		at := time.Duration(w.rng.Int64N(int64(end)))
@@ -93,26 +93,26 @@
 		w.cordons.since[zone] = w.now
 	}
 	news := catalog.Cordons{Zones: slices.Sorted(maps.Keys(w.cordons.since)), Revision: w.cordons.revision}
-	w.after(time.Duration(w.rng.Int64N(int64(simNews))), func() { w.hear(news) })
+	w.after(time.Duration(w.rng.Int64N(int64(simCordonDelay))), func() { w.updateCordons(news) })
 }
 
-// transit is how long an order takes to its agent.
-func (w *simWorld) transit() time.Duration {
-	if w.cordons.holdUp && !w.calm && w.rng.IntN(10) == 0 {
-		return time.Duration(w.rng.Int64N(int64(simHoldUp)))
+// orderLatency is how long an order takes to its agent.
+func (w *simWorld) orderLatency() time.Duration {
+	if w.cordons.delayOrders && !w.calm && w.rng.IntN(10) == 0 {
+		return time.Duration(w.rng.Int64N(int64(simMaxOrderDelay)))
 	}
 	return w.latency()
 }
 
-// hearCordons takes what the planner knew when it answered a report.
-func (w *simWorker) hearCordons(told catalog.Cordons) {
+// updateCordons takes what the planner knew when it answered a report.
+func (w *simWorker) updateCordons(told catalog.Cordons) {
 	if told.Revision > w.cordons.Revision {
 		w.cordons = told
 	}
 }
 
-// refusesCordoned says whether the agent knows better than the orders.
-func (w *simWorld) refusesCordoned(sw *simWorker, o Orders) bool {
+// refusesForCordon says whether the agent knows better than the orders.
+func (w *simWorld) refusesForCordon(sw *simWorker, o Orders) bool {
 	refused := o.CordonsRevision <= sw.cordons.Revision && sw.cordons.Contains(sw.info.Zone)
 	if refused {
 		w.counts["refused for a cordon"]++
@@ -122,7 +122,7 @@
 
 // checkCordon: nothing starts where a cordon has been in force for longer than its news take.
 func (w *simWorld) checkCordon(sw *simWorker, task workload.TaskID) {
-	if since, cordoned := w.cordons.since[sw.info.Zone]; cordoned && !w.late && w.now-since > simCordonWithin {
+	if since, cordoned := w.cordons.since[sw.info.Zone]; cordoned && !w.lateOrder && w.now-since > simCordonDeadline {
 		w.violated("start of %s in zone %s, %v after that was cordoned", task, sw.info.Zone, w.now-since)
 	}
 }
--- a/engine/sim_crash_test.go
+++ b/engine/sim_crash_test.go
@@ -19,66 +19,66 @@
 // bring a worker over what it has, and no job may be shown as failed unless a task of it
 // has failed as often as it may, or two workers have crashed under it.
 func TestRandomWorldsWithCrashingTasks(t *testing.T) {
-	playWorlds(t, *simCrashSeeds, func(w *simWorld, _ uint64) {
-		w.faults(faultTime)
-		w.crashSome()
+	runWorlds(t, *simCrashSeeds, func(w *simWorld, _ uint64) {
+		w.planFaults(faultTime)
+		w.addCrashingTasks()
 	})
 }
 
-// crashSome lets some tasks crash their workers, and workers lose room.
-func (w *simWorld) crashSome() {
+// addCrashingTasks lets some tasks crash their workers, and workers lose room.
+func (w *simWorld) addCrashingTasks() {
 	w.crashes.share = 12
-	w.shrinkSome(faultTime)
+	w.planShrinks(faultTime)
 }
 
 // simCrashes are the workers that crash under tasks.
 type simCrashes struct {
-	share  int                     // one of so many tasks does that; 0: none
-	under  map[workload.TaskID]int // workers that crashed under each task, whoever was to blame
-	after  map[workload.TaskID]int // starts of crashing tasks after the third crash
-	failed map[workload.TaskID]int // ends failed, whether the planner has taken note of them or not
+	share            int                     // one of so many tasks does that; 0: none
+	under            map[workload.TaskID]int // workers that crashed under each task, whoever was to blame
+	startsAfterThird map[workload.TaskID]int // starts of crashing tasks after the third crash
+	failed           map[workload.TaskID]int // ends failed, whether the planner has taken note of them or not
 }
 
-// roomGrace is for how long room that has shrunk counts as there: what a planner in touch
+// capacityGrace is for how long room that has shrunk counts as there: what a planner in touch
 // may take to hear of it.
-const roomGrace = 4500 * time.Millisecond
+const capacityGrace = 4500 * time.Millisecond
 
 // simShrink is a loss of room.
 type simShrink struct {
-	before workload.Resources
-	at     time.Duration
+	original workload.Resources
+	at       time.Duration
 }
 
-// tellCrash lets the agent of a worker that has crashed say so, unless it was lost with it
+// reportCrash lets the agent of a worker that has crashed say so, unless it was lost with it
 // or is cut off.
-func (w *simWorld) tellCrash(sw *simWorker) {
-	if w.crashes.share == 0 && !w.keepNames || sw.cut || sw.drains != 0 || len(sw.info.ID)%3 == 0 && !w.calm {
+func (w *simWorld) reportCrash(sw *simWorker) {
+	if w.crashes.share == 0 && !w.reusesNames || sw.cut || sw.leavesAt != 0 || len(sw.info.ID)%3 == 0 && !w.calm {
 		return
 	}
-	r := Report{Worker: sw.info, Terminated: true, Crashed: true, Superseded: sw.info.Name != "", Polled: sw.lookedAt != 0, Ended: sw.lastEnded}
-	for run, from := range sw.shownFrom {
-		if sw.lookedAt-from >= StartupCrashWindow {
+	r := Report{Worker: sw.info, Terminated: true, Crashed: true, Superseded: sw.info.Name != "", Polled: sw.lastPolledAt != 0, Ended: sw.lastEnded}
+	for run, from := range sw.seenSince {
+		if sw.lastPolledAt-from >= StartupCrashWindow {
 			r.Running = append(r.Running, RunStatus{Run: run})
 		}
 	}
 	w.engine.Report(w.now, r)
 }
 
-// looks notes what the agent sees.
-func (w *simWorker) looks(now time.Duration, r Report) {
+// notePoll notes what the agent sees.
+func (w *simWorker) notePoll(now time.Duration, r Report) {
 	from := map[workload.RunID]time.Duration{}
 	for _, row := range r.Running {
 		from[row.Run] = now
-		if before, shown := w.shownFrom[row.Run]; shown {
+		if before, shown := w.seenSince[row.Run]; shown {
 			from[row.Run] = before
 		}
 	}
-	w.shownFrom, w.lookedAt, w.lastEnded = from, now, r.Ended
+	w.seenSince, w.lastPolledAt, w.lastEnded = from, now, r.Ended
 }
 
-// crashing says whether a task crashes its workers, and how long after its start. It hangs
+// crashDelay says whether a task crashes its workers, and how long after its start. It hangs
 // on the task alone, so that it is the same on each worker.
-func (w *simWorld) crashing(task workload.TaskID) (time.Duration, bool) {
+func (w *simWorld) crashDelay(task workload.TaskID) (time.Duration, bool) {
 	if w.crashes.share == 0 {
 		return 0, false
 	}
@@ -103,9 +103,9 @@
 	}
 }
 
-// crashUnder lets a worker crash that has just started a crashing task.
-func (w *simWorld) crashUnder(sw *simWorker, task workload.TaskID) {
-	after, ok := w.crashing(task)
+// scheduleCrash lets a worker crash that has just started a crashing task.
+func (w *simWorld) scheduleCrash(sw *simWorker, task workload.TaskID) {
+	after, ok := w.crashDelay(task)
 	if !ok {
 		return
 	}
@@ -118,24 +118,24 @@
 		broken := sw.sorted()
 		w.crash(slices.Index(w.workers, sw))
 		for _, r := range broken {
-			w.breakGang(r) // its members elsewhere see it end
+			w.endGang(r) // its members elsewhere see it end
 		}
 	})
 }
 
-// countCrashingStart checks a start of a task that crashes its workers.
-func (w *simWorld) countCrashingStart(task workload.TaskID) {
-	if _, ok := w.crashing(task); !ok || w.crashes.under[task] < 3 {
+// checkCrashingStart checks a start of a task that crashes its workers.
+func (w *simWorld) checkCrashingStart(task workload.TaskID) {
+	if _, ok := w.crashDelay(task); !ok || w.crashes.under[task] < 3 {
 		return
 	}
-	w.crashes.after[task]++
-	if w.crashes.after[task] >= 3 {
+	w.crashes.startsAfterThird[task]++
+	if w.crashes.startsAfterThird[task] >= 3 {
 		w.violated("%s is started three times more after %d workers have crashed under it", task, w.crashes.under[task])
 	}
 }
 
-// shrinkSome plans losses of room.
-func (w *simWorld) shrinkSome(end time.Duration) {
+// planShrinks plans losses of room.
+func (w *simWorld) planShrinks(end time.Duration) {
 	for range w.rng.IntN(12) {
 		i := w.rng.IntN(len(w.workers))
 		at := time.Duration(w.rng.Int64N(int64(end)))
@@ -151,7 +151,7 @@
 	}
 	whole := sw.info.Capacity
 	w.counts["shrinks"]++
-	w.shrinks[sw] = simShrink{before: whole, at: w.now}
+	w.shrinks[sw] = simShrink{original: whole, at: w.now}
 	sw.info.Capacity = workload.Resources{
 		MilliCPU: whole.MilliCPU * parts / 8, MemoryMB: whole.MemoryMB * parts / 8, Accelerators: parts,
 	}
@@ -161,23 +161,23 @@
 	})
 }
 
-// roomOf is the room that a start may count on at a worker. An order that is carried out
+// capacityOf is the room that a start may count on at a worker. An order that is carried out
 // late was given by what the worker had then.
-func (w *simWorld) roomOf(sw *simWorker) workload.Resources {
+func (w *simWorld) capacityOf(sw *simWorker) workload.Resources {
 	s, shrunk := w.shrinks[sw]
-	if shrunk && (w.late || w.now-s.at < roomGrace) {
-		return s.before
+	if shrunk && (w.lateOrder || w.now-s.at < capacityGrace) {
+		return s.original
 	}
 	return sw.info.Capacity
 }
 
-// failedForCause: no job is shown as failed but for ends or crashes that its tasks had.
-func (w *simWorld) failedForCause() {
+// checkFailedJobs: no job is shown as failed but for ends or crashes that its tasks had.
+func (w *simWorld) checkFailedJobs() {
 	for _, id := range w.order {
 		found, _ := w.engine.Lookup(id)
-		_, crashing := w.crashingJob(w.jobs[id])
+		_, crashing := w.crashingStep(w.jobs[id])
 		switch {
-		case found.State == workload.Failed && !w.cause(w.jobs[id]):
+		case found.State == workload.Failed && !w.mayFail(w.jobs[id]):
 			w.violated("job %s is failed without cause: %s", id, found.Reason)
 		case found.State == workload.Failed && !crashing && strings.Contains(found.Reason, "crashed"):
 			w.counts["given up, not crashing"]++
@@ -185,17 +185,17 @@
 	}
 }
 
-func (w *simWorld) crashingJob(j *workload.Job) (step int, ok bool) {
+func (w *simWorld) crashingStep(j *workload.Job) (step int, ok bool) {
 	for s := range j.Steps {
-		if _, crashes := w.crashing(workload.TaskID{Job: j.ID, Step: s}); crashes {
+		if _, crashes := w.crashDelay(workload.TaskID{Job: j.ID, Step: s}); crashes {
 			return s, true
 		}
 	}
 	return 0, false
 }
 
-// cause says whether a job may be shown as failed.
-func (w *simWorld) cause(j *workload.Job) bool {
+// mayFail says whether a job may be shown as failed.
+func (w *simWorld) mayFail(j *workload.Job) bool {
 	for s := range j.Steps {
 		ofGang := 0
 		for i := range j.Steps[s].Count {
@@ -212,8 +212,8 @@
 	return false
 }
 
-// look is a look of an agent that is cut off from the planner.
-func (w *simWorker) look(now time.Duration) {
+// pollWhileCutOff is a pollWhileCutOff of an agent that is cut off from the planner.
+func (w *simWorker) pollWhileCutOff(now time.Duration) {
 	if w.world.crashes.share == 0 {
 		return
 	}
--- a/engine/sim_names_test.go
+++ b/engine/sim_names_test.go
@@ -18,30 +18,30 @@
 // TestRandomWorlds: planners die, agents are cut off, the store is out. No task may run twice at
 // a time, nor start after its end was taken note of, and when the faults end every job is
 // settled; where tasks crash their workers, what TestRandomWorldsWithCrashingTasks asks.
-func TestRandomWorldsWithWorkersThatKeepTheirNames(t *testing.T) {
-	playWorlds(t, *simNameSeeds, func(w *simWorld, seed uint64) {
-		w.nameWorkers()
-		w.faults(faultTime)
-		w.crashMany(faultTime)
-		w.restartAgents(faultTime)
+func TestRandomWorldsWithReusedWorkerNames(t *testing.T) {
+	runWorlds(t, *simNameSeeds, func(w *simWorld, seed uint64) {
+		w.reuseNames()
+		w.planFaults(faultTime)
+		w.planCrashes(faultTime)
+		w.planAgentRestarts(faultTime)
 		if seed%2 == 0 {
-			w.crashSome()
+			w.addCrashingTasks()
 		}
 	})
 }
 
-// nameWorkers lets the workers keep their names in their further lives.
-func (w *simWorld) nameWorkers() {
-	w.keepNames = true
+// reuseNames lets the workers keep their names in their further lives.
+func (w *simWorld) reuseNames() {
+	w.reusesNames = true
 	for i, sw := range w.workers {
-		sw.info.Name = nameOf(i)
+		sw.info.Name = simWorkerName(i)
 	}
 }
 
-func nameOf(worker int) string { return fmt.Sprint("w", worker) }
+func simWorkerName(worker int) string { return fmt.Sprint("w", worker) }
 
-// crashMany plans crashes of workers, some of them several at once.
-func (w *simWorld) crashMany(end time.Duration) {
+// planCrashes plans crashes of workers, some of them several at once.
+func (w *simWorld) planCrashes(end time.Duration) {
 	for range 5 + w.rng.IntN(15) {
 		at := time.Duration(w.rng.Int64N(int64(end)))
 		for range 1 + w.rng.IntN(4) {
@@ -51,62 +51,62 @@
 	}
 }
 
-// restartAgents plans agents that have no answer of their worker for a moment, and some of
+// planAgentRestarts plans agents that have no answer of their worker for a moment, and some of
 // them are started again later.
-func (w *simWorld) restartAgents(end time.Duration) {
+func (w *simWorld) planAgentRestarts(end time.Duration) {
 	for range 5 + w.rng.IntN(15) {
 		at := time.Duration(w.rng.Int64N(int64(end)))
 		i, restart := w.rng.IntN(len(w.workers)), w.rng.IntN(2) == 0
-		w.events = append(w.events, simEvent{at, func() { w.workers[i].unanswered(restart) }})
+		w.events = append(w.events, simEvent{at, func() { w.workers[i].failPoll(restart) }})
 	}
 }
 
-// unanswered lets the agent fence its worker by itself, and start again where that is asked for.
-func (w *simWorker) unanswered(restart bool) {
-	if w.dead || w.orders.Epoch == 0 {
+// failPoll lets the agent fence its worker by itself, and start again where that is asked for.
+func (w *simWorker) failPoll(restart bool) {
+	if w.dead || w.orderFence.Epoch == 0 {
 		return
 	}
-	w.raise(Fence{Epoch: w.orders.Epoch, Generation: w.orders.Generation + 1})
+	w.raiseFence(Fence{Epoch: w.orderFence.Epoch, Generation: w.orderFence.Generation + 1})
 	if restart {
-		w.orders, w.granted, w.seen = Fence{}, 0, 0
+		w.orderFence, w.grantedUntil, w.ackedEnds = Fence{}, 0, 0
 	}
 }
 
-// overtake raises the fence of an agent whose worker has seen a higher one of the same epoch.
-func (w *simWorker) overtake() {
-	if w.info.Name != "" && w.orders.Epoch > 0 && w.orders.Compare(w.fence) < 0 {
-		w.orders.Generation += GenerationStep
-		w.raise(w.orders)
+// outbidFence raises the fence of an agent whose worker has seen a higher one of the same epoch.
+func (w *simWorker) outbidFence() {
+	if w.info.Name != "" && w.orderFence.Epoch > 0 && w.orderFence.Compare(w.fence) < 0 {
+		w.orderFence.Generation += GenerationStep
+		w.raiseFence(w.orderFence)
 	}
 }
 
-// away is how long a worker is away after a crash.
-func (w *simWorld) away() time.Duration {
-	if w.keepNames {
+// downtime is how long a worker is downtime after a crash.
+func (w *simWorld) downtime() time.Duration {
+	if w.reusesNames {
 		return time.Duration(20+w.rng.IntN(1200)) * time.Millisecond
 	}
 	return time.Second
 }
 
-// meant returns the worker that orders for a life reach now, nil for none: where its agent has
+// recipient returns the worker that orders for a life reach now, nil for none: where its agent has
 // not noticed yet that another life answers under its name, that one.
-func (w *simWorld) meant(id WorkerID) *simWorker {
+func (w *simWorld) recipient(id WorkerID) *simWorker {
 	for _, sw := range w.workers {
 		if sw.info.ID == id && !sw.dead {
 			return sw
 		}
-		if before := sw.before; before != nil && before.info.ID == id && !sw.noticed && !sw.dead {
+		if before := sw.previous; before != nil && before.info.ID == id && !sw.reported && !sw.dead {
 			return before
 		}
 	}
 	return nil
 }
 
-// unpreventable says whether orders of an earlier life come before anything could fence this
+// unfenceable says whether orders of an earlier life come before anything could fence this
 // one, and start what was settled long ago: nothing that they carry tells them from present
 // orders, and nothing was sent since. They are not carried out in these worlds.
-func (w *simWorld) unpreventable(sw *simWorker, o Orders) bool {
-	if !w.late || sw.fenced {
+func (w *simWorld) unfenceable(sw *simWorker, o Orders) bool {
+	if !w.lateOrder || sw.fenced {
 		return false
 	}
 	return slices.ContainsFunc(o.Starts, func(s StartOrder) bool {
@@ -117,35 +117,35 @@
 	})
 }
 
-// fencedWithin is how soon an agent that saw its worker's last life fences the next one.
-const fencedWithin = 30 * time.Millisecond
+// fenceDelay is how soon an agent that saw its worker's last life fences the next one.
+const fenceDelay = 30 * time.Millisecond
 
-// follow makes w the life after another one. Its agent may have been lost with that.
-func (w *simWorker) follow(before *simWorker) {
+// succeed makes w the life after another one. Its agent may have been lost with that.
+func (w *simWorker) succeed(before *simWorker) {
 	if w.info.Name == "" {
 		return
 	}
-	w.before, before.next = before, w
+	w.previous, before.next = before, w
 	w.cut = before.cut
 	if w.world.rng.IntN(3) == 0 {
 		return
 	}
-	w.orders = before.orders
-	w.orders.Generation += GenerationStep
-	w.world.after(time.Duration(w.world.rng.Int64N(int64(fencedWithin))), func() { w.raise(w.orders) })
+	w.orderFence = before.orderFence
+	w.orderFence.Generation += GenerationStep
+	w.world.after(time.Duration(w.world.rng.Int64N(int64(fenceDelay))), func() { w.raiseFence(w.orderFence) })
 }
 
-// last returns the present life of the worker.
-func (w *simWorker) last() *simWorker {
+// latest returns the present life of the worker.
+func (w *simWorker) latest() *simWorker {
 	for w.next != nil {
 		w = w.next
 	}
 	return w
 }
 
-// raise lets the agent's orders carry a fence from now on, and look under it at once.
-func (w *simWorker) raise(f Fence) {
-	w.orders = w.orders.Max(f)
-	w.fence = w.fence.Max(w.orders)
-	w.fenced = w.orders.Epoch > 0 // an agent that was started again knows no planner yet
+// raiseFence lets the agent's orders carry a fence from now on, and look under it at once.
+func (w *simWorker) raiseFence(f Fence) {
+	w.orderFence = w.orderFence.Max(f)
+	w.fence = w.fence.Max(w.orderFence)
+	w.fenced = w.orderFence.Epoch > 0 // an agent that was started again knows no planner yet
 }
--- a/engine/sim_rules_test.go
+++ b/engine/sim_rules_test.go
@@ -11,24 +11,24 @@
 	w.t.Errorf("at %v: %s", w.now, fmt.Sprintf(format, args...))
 }
 
-// check: no worker is ever over its capacity, work that is being stopped included.
-func (w *simWorld) check(sw *simWorker) {
-	if used := sw.used(); !used.FitsIn(w.roomOf(sw)) {
+// checkCapacity: no worker is ever over its capacity, work that is being stopped included.
+func (w *simWorld) checkCapacity(sw *simWorker) {
+	if used := sw.used(); !used.FitsIn(w.capacityOf(sw)) {
 		w.violated("worker %s holds %+v of %+v", sw.info.ID, used, sw.info.Capacity)
 	}
 }
 
-// starts checks a run that begins now.
-func (w *simWorld) starts(sw *simWorker, s StartOrder) {
+// checkStart checks a run that begins now.
+func (w *simWorld) checkStart(sw *simWorker, s StartOrder) {
 	w.counts["starts"]++
 	task := s.Run.Task
-	w.countCrashingStart(task)
+	w.checkCrashingStart(task)
 	j := w.jobs[task.Job]
 	if j == nil {
 		w.violated("start of %s, which nobody submitted", task)
 		return
 	}
-	if w.done[task] {
+	if w.ackedDone[task] {
 		w.violated("start of %s after its end was taken note of", task)
 	}
 	for _, other := range w.workers {
@@ -47,14 +47,14 @@
 	if !sw.hasLabel(step.Label) {
 		w.violated("start of %s on %s without label %s", task, sw.info.ID, step.Label)
 	}
-	if limit := j.QueuePolicy.MaxAttempts; limit > 0 && w.attempt[task] >= limit {
-		w.violated("start of %s after %d failed attempts", task, w.attempt[task])
+	if limit := j.QueuePolicy.MaxAttempts; limit > 0 && w.ackedFailures[task] >= limit {
+		w.violated("start of %s after %d failed attempts", task, w.ackedFailures[task])
 	}
-	w.perWorker(sw, task, step)
+	w.checkMaxPerWorker(sw, task, step)
 	w.checkCordon(sw, task)
 }
 
-func (w *simWorld) perWorker(sw *simWorker, task workload.TaskID, step *workload.Step) {
+func (w *simWorld) checkMaxPerWorker(sw *simWorker, task workload.TaskID, step *workload.Step) {
 	if step.MaxPerWorker == 0 {
 		return
 	}
@@ -73,8 +73,8 @@
 	return (&worker{info: sw.info}).hasLabel(label)
 }
 
-// endsRun counts ends as workers list them.
-func (w *simWorld) endsRun(_ *simWorker, r *simRun, why EndReason) {
+// noteEnd counts ends as workers list them.
+func (w *simWorld) noteEnd(_ *simWorker, r *simRun, why EndReason) {
 	w.counts[string(why)]++
 	if why == EndFailed {
 		w.crashes.failed[r.id.Task]++
@@ -87,8 +87,8 @@
 	}
 }
 
-// replaced: the records of a job give way to its outcome, so nothing of it may run.
-func (w *simWorld) replaced(j EndedJob) {
+// checkArchived: the records of a job give way to its outcome, so nothing of it may run.
+func (w *simWorld) checkArchived(j EndedJob) {
 	w.counts["records replaced"]++
 	if !j.Outcome.State.Final() {
 		w.violated("records of %s are replaced while it is %s", j.ID, j.Outcome.State)
@@ -102,17 +102,17 @@
 	}
 }
 
-// noted: the planner took note of an end. Where the lease lapsed before, it counts as
+// noteAckedEnd: the planner took note of an end. Where the lease lapsed before, it counts as
 // not having been.
-func (w *simWorld) noted(row RunEnd, void bool) {
+func (w *simWorld) noteAckedEnd(row RunEnd, void bool) {
 	if void {
 		return
 	}
 	switch row.Reason {
 	case EndDone:
-		w.done[row.Run.Task] = true
+		w.ackedDone[row.Run.Task] = true
 	case EndFailed:
-		w.attempt[row.Run.Task]++
+		w.ackedFailures[row.Run.Task]++
 	}
 }
 
@@ -132,14 +132,14 @@
 	return found, at
 }
 
-// whole says whether all members of a gang's run are there.
-func (w *simWorld) whole(r *simRun) bool {
+// gangComplete says whether all members of a gang's run are there.
+func (w *simWorld) gangComplete(r *simRun) bool {
 	found, _ := w.members(r)
 	return len(found) == r.step.Count
 }
 
-// breakGang ends the other members of a gang.
-func (w *simWorld) breakGang(r *simRun) {
+// endGang ends the other members of a gang.
+func (w *simWorld) endGang(r *simRun) {
 	if !r.step.Gang {
 		return
 	}
--- a/engine/sim_test.go
+++ b/engine/sim_test.go
@@ -10,9 +10,9 @@
 )
 
 var (
-	simSeeds = flag.Int("sim-seeds", 6, "how many randomised worlds are played")
-	simJob   = flag.String("sim-job", "", "the job whose decisions are shown")
-	simFirst = flag.Uint64("sim-first", 1, "the seed of the first")
+	simSeedCount = flag.Int("sim-seeds", 6, "how many randomised worlds are played")
+	simTracedJob = flag.String("sim-job", "", "the job whose decisions are shown")
+	simFirstSeed = flag.Uint64("sim-first", 1, "the seed of the first")
 )
 
 // Planners die one after the other, workers crash, drain and are cut off while their
@@ -20,40 +20,40 @@
 // gangs, steps and jobs that can't run, and cancel some. At no time may a worker hold
 // more than it has or a task run twice; when the faults end every job is settled.
 func TestRandomWorlds(t *testing.T) {
-	playWorlds(t, *simSeeds, func(w *simWorld, _ uint64) { w.faults(faultTime) })
+	runWorlds(t, *simSeedCount, func(w *simWorld, _ uint64) { w.planFaults(faultTime) })
 }
 
 // faultTime is for how long worlds have faults and callers that hand in jobs.
 const faultTime = 50 * time.Second
 
-// playWorlds plays as many worlds, each with what plan makes of it.
-func playWorlds(t *testing.T, seeds int, plan func(w *simWorld, seed uint64)) {
+// runWorlds plays as many worlds, each with what plan makes of it.
+func runWorlds(t *testing.T, seeds int, plan func(w *simWorld, seed uint64)) {
 	for i := range seeds {
-		seed := *simFirst + uint64(i)
+		seed := *simFirstSeed + uint64(i)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := newSimWorld(t, seed)
 			plan(w, seed)
-			w.traffic(faultTime)
-			w.playOut()
+			w.planSubmissions(faultTime)
+			w.runToEnd()
 			if w.crashes.share > 0 {
-				w.failedForCause()
+				w.checkFailedJobs()
 			}
 			t.Log(w.counts)
 		})
 	}
 }
 
-// playOut lets what is planned happen, ends the faults, and checks that all jobs end.
-func (w *simWorld) playOut() {
+// runToEnd lets what is planned happen, ends the faults, and checks that all jobs end.
+func (w *simWorld) runToEnd() {
 	w.run(faultTime)
-	w.heal()
+	w.endFaults()
 	w.run(150 * time.Second)
-	w.settled()
+	w.checkSettled()
 }
 
-// traffic hands in jobs and cancels some.
-func (w *simWorld) traffic(end time.Duration) {
+// planSubmissions hands in jobs and cancels some.
+func (w *simWorld) planSubmissions(end time.Duration) {
 	for at := 100 * time.Millisecond; at < end; at += time.Duration(100+w.rng.IntN(900)) * time.Millisecond {
 		j := w.randomJob(len(w.events))
 		cancelAt := time.Duration(0)
@@ -112,7 +112,7 @@
 			s.Count = min(s.Count, 3)
 		}
 		if w.rng.IntN(30) == 0 {
-			s.Label = nowhere
+			s.Label = missingLabel
 		}
 		if i > 0 {
 			s.DependsOn = []int{i - 1}
@@ -122,8 +122,8 @@
 	return j
 }
 
-// faults plans what goes wrong until end.
-func (w *simWorld) faults(end time.Duration) {
+// planFaults plans what goes wrong until end.
+func (w *simWorld) planFaults(end time.Duration) {
 	at := func() time.Duration { return time.Duration(w.rng.Int64N(int64(end))) }
 	span := func(most int) time.Duration { return time.Duration(200+w.rng.IntN(most)) * time.Millisecond }
 	for range w.rng.IntN(5) {
@@ -144,14 +144,14 @@
 	for range w.rng.IntN(3) {
 		d := span(6000)
 		w.events = append(w.events, simEvent{at(), func() {
-			w.down = true
-			w.after(d, func() { w.down = false })
+			w.storeDown = true
+			w.after(d, func() { w.storeDown = false })
 		}})
 	}
 }
 
-// nowhere is a label that no worker has.
-const nowhere = "nowhere"
+// missingLabel is a label that no worker has.
+const missingLabel = "nowhere"
 
 func (w *simWorld) cutOff(i int, d time.Duration) {
 	sw := w.workers[i]
@@ -161,13 +161,13 @@
 
 // crash ends a life; the next one reports after a while.
 func (w *simWorld) crash(i int) {
-	if sw := w.workers[i]; !sw.dead && sw.drains == 0 {
+	if sw := w.workers[i]; !sw.dead && sw.leavesAt == 0 {
 		w.crashes.note(sw)
 	}
 	w.workers[i].dead = true
-	w.after(w.away(), func() {
+	w.after(w.downtime(), func() {
 		if w.workers[i].dead {
-			w.tellCrash(w.workers[i])
+			w.reportCrash(w.workers[i])
 			w.addWorker(i)
 		}
 	})
@@ -175,27 +175,27 @@
 
 func (w *simWorld) drain(i int) {
 	sw := w.workers[i]
-	if sw.dead || sw.drains != 0 {
+	if sw.dead || sw.leavesAt != 0 {
 		return
 	}
-	sw.drains = w.now + 2*time.Second
+	sw.leavesAt = w.now + 2*time.Second
 	w.after(2500*time.Millisecond, func() { w.crash(i) })
 }
 
-func (w *simWorld) heal() {
+func (w *simWorld) endFaults() {
 	w.calm = true
 	w.calmSince = w.now
-	w.down = false
+	w.storeDown = false
 	for _, sw := range w.workers {
 		sw.cut = false
 	}
 }
 
-// settled: every job has come to its end, and the engine counts no room as taken.
-func (w *simWorld) settled() {
+// checkSettled: every job has come to its end, and the engine counts no room as taken.
+func (w *simWorld) checkSettled() {
 	for _, id := range w.order {
 		found, ok := w.engine.Lookup(id)
-		if ok && w.waitsForAWorker(w.jobs[id], found.State) {
+		if ok && w.waitsForMissingLabel(w.jobs[id], found.State) {
 			w.counts["fit no worker"]++
 			continue
 		}
@@ -205,7 +205,7 @@
 		}
 		w.counts[string(found.State)]++
 		if found.State == workload.Completed {
-			w.completed(w.jobs[id])
+			w.checkCompleted(w.jobs[id])
 		}
 	}
 	for _, known := range w.engine.workers {
@@ -215,14 +215,14 @@
 	}
 }
 
-// waitsForAWorker says whether the job has come as far as it can: to a step that needs a
+// waitsForMissingLabel says whether the job has come as far as it can: to a step that needs a
 // label which no worker has.
-func (w *simWorld) waitsForAWorker(j *workload.Job, state workload.State) bool {
+func (w *simWorld) waitsForMissingLabel(j *workload.Job, state workload.State) bool {
 	if state.Final() {
 		return false
 	}
 	for s := range j.Steps {
-		if j.Steps[s].Label == nowhere {
+		if j.Steps[s].Label == missingLabel {
 			return true
 		}
 		for i := range j.Steps[s].Count {
@@ -234,7 +234,7 @@
 	return false
 }
 
-func (w *simWorld) completed(j *workload.Job) {
+func (w *simWorld) checkCompleted(j *workload.Job) {
 	for s := range j.Steps {
 		for i := range j.Steps[s].Count {
 			task := workload.TaskID{Job: j.ID, Step: s, Index: i}
--- a/engine/sim_worker_test.go
+++ b/engine/sim_worker_test.go
@@ -11,43 +11,43 @@
 
 // simRun is one run at a simulated worker.
 type simRun struct {
-	id      workload.RunID
-	step    *workload.Step
-	began   time.Duration
-	endsAt  time.Duration
-	stopsAt time.Duration // 0: not being stopped
-	fails   bool
+	id        workload.RunID
+	step      *workload.Step
+	startedAt time.Duration
+	endsAt    time.Duration
+	stopsAt   time.Duration // 0: not being stopped
+	fails     bool
 }
 
 // simWorker is a worker with its agent: it keeps fence, lease, runs and ends as real
 // ones do, and starts whatever it is told to.
 type simWorker struct {
-	world    *simWorld
-	info     WorkerInfo
-	fence    Fence
-	leaseEnd time.Duration
-	running  map[workload.TaskID]*simRun
-	highest  map[workload.TaskID]int // of runs stopped or ended
-	ended    []RunEnd
-	ends     int64
-	lapses   int64 // ends up to it came before a lapse
+	world      *simWorld
+	info       WorkerInfo
+	fence      Fence
+	leaseEnd   time.Duration
+	running    map[workload.TaskID]*simRun
+	highestRun map[workload.TaskID]int // of runs stopped or ended
+	ended      []RunEnd
+	lastEnd    int64
+	voidEnds   int64 // ends up to it came before a lapse
 	// The agent's part.
-	orders  Fence // what they carry
-	noticed bool  // it has reported this life
-	fenced  bool  // something has fenced this life
-	granted time.Duration
-	seen    int64
-	absent  []workload.RunID
-	cut     bool
-	dead    bool
-	cordons catalog.Cordons // as the agent was last told
-	// before and next are the lives before and after it, where they have its name.
-	before, next *simWorker
-	drains       time.Duration // when it leaves; 0: not draining
+	orderFence   Fence // what they carry
+	reported     bool  // it has reported this life
+	fenced       bool  // something has fenced this life
+	grantedUntil time.Duration
+	ackedEnds    int64
+	absent       []workload.RunID
+	cut          bool
+	dead         bool
+	cordons      catalog.Cordons // as the agent was last told
+	// previous and next are the lives previous and after it, where they have its name.
+	previous, next *simWorker
+	leavesAt       time.Duration // when it leaves; 0: not draining
 	// What the agent saw last.
-	shownFrom map[workload.RunID]time.Duration
-	lookedAt  time.Duration
-	lastEnded []RunEnd
+	seenSince    map[workload.RunID]time.Duration
+	lastPolledAt time.Duration
+	lastEnded    []RunEnd
 }
 
 func (w *simWorker) used() workload.Resources {
@@ -65,28 +65,28 @@
 		return StartFenced
 	case until <= now:
 		return StartExpired
-	case w.drains != 0:
+	case w.leavesAt != 0:
 		return StartDraining
 	}
 	w.fence = fence
 	if r := w.running[s.Run.Task]; r != nil && r.id == s.Run {
 		return StartOK
 	}
-	if s.Run.Number <= w.highest[s.Run.Task] {
+	if s.Run.Number <= w.highestRun[s.Run.Task] {
 		return StartSuperseded
 	}
 	w.leaseEnd = max(w.leaseEnd, until)
-	w.world.starts(w, s)
+	w.world.checkStart(w, s)
 	j := w.world.jobs[s.Run.Task.Job]
 	step := &j.Steps[s.Run.Task.Step]
-	r := &simRun{id: s.Run, step: step, began: now}
+	r := &simRun{id: s.Run, step: step, startedAt: now}
 	r.endsAt = now + time.Duration(float64(step.Estimate)*(0.5+w.world.rng.Float64()))
 	if r.fails = w.world.rng.IntN(40) == 0; r.fails {
 		r.endsAt = now + step.Estimate/4
 	}
 	w.running[s.Run.Task] = r
-	w.world.check(w)
-	w.world.crashUnder(w, s.Run.Task)
+	w.world.checkCapacity(w)
+	w.world.scheduleCrash(w, s.Run.Task)
 	return StartOK
 }
 
@@ -95,7 +95,7 @@
 		return false
 	}
 	w.fence = fence
-	w.highest[run.Task] = max(w.highest[run.Task], run.Number)
+	w.highestRun[run.Task] = max(w.highestRun[run.Task], run.Number)
 	r := w.running[run.Task]
 	if r == nil || r.id != run {
 		w.absent = append(w.absent, run)
@@ -109,9 +109,9 @@
 
 func (w *simWorker) end(r *simRun, why EndReason) {
 	delete(w.running, r.id.Task)
-	w.highest[r.id.Task] = max(w.highest[r.id.Task], r.id.Number)
-	w.ends++
-	row := RunEnd{Sequence: w.ends, Run: r.id, Reason: why}
+	w.highestRun[r.id.Task] = max(w.highestRun[r.id.Task], r.id.Number)
+	w.lastEnd++
+	row := RunEnd{Sequence: w.lastEnd, Run: r.id, Reason: why}
 	if r.step.Checkpoints && why != EndDone {
 		row.Checkpoint = fmt.Sprintf("%s-%d", r.id.Task, r.id.Number)
 	}
@@ -119,18 +119,18 @@
 	if w.world.crashes.share > 0 {
 		w.lastEnded = slices.Clone(w.ended) // the agent's looks wait for ends
 	}
-	w.world.endsRun(w, r, why)
+	w.world.noteEnd(w, r, why)
 }
 
-// pass lets time pass at the worker.
-func (w *simWorker) pass(now time.Duration) {
+// advance lets time advance at the worker.
+func (w *simWorker) advance(now time.Duration) {
 	if now >= w.leaseEnd {
 		if len(w.running) > 0 || len(w.ended) > 0 {
-			w.lapses = w.ends
+			w.voidEnds = w.lastEnd
 		}
 		for _, r := range w.sorted() {
 			w.end(r, EndLeaseExpired)
-			w.lapses = w.ends
+			w.voidEnds = w.lastEnd
 		}
 		return
 	}
@@ -141,14 +141,14 @@
 		switch {
 		case r.stopsAt != 0 && now >= r.stopsAt:
 			w.end(r, EndStopped)
-			w.world.breakGang(r)
-		case r.step.Gang && !w.world.whole(r):
-			if now-r.began > 3*time.Second {
+			w.world.endGang(r)
+		case r.step.Gang && !w.world.gangComplete(r):
+			if now-r.startedAt > 3*time.Second {
 				w.end(r, EndGangIncomplete)
 			}
 		case now >= r.endsAt && r.fails:
 			w.end(r, EndFailed)
-			w.world.breakGang(r)
+			w.world.endGang(r)
 		case now >= r.endsAt:
 			w.world.finish(r)
 		}
@@ -166,57 +166,57 @@
 
 // report is what the agent says now.
 func (w *simWorker) report(now time.Duration) Report {
-	w.overtake()
-	r := Report{Worker: w.info, Polled: w.fence == w.orders && w.orders.Epoch > 0}
-	if w.fence == w.orders {
-		r.Epoch, r.Generation = w.orders.Epoch, w.orders.Generation
+	w.outbidFence()
+	r := Report{Worker: w.info, Polled: w.fence == w.orderFence && w.orderFence.Epoch > 0}
+	if w.fence == w.orderFence {
+		r.Epoch, r.Generation = w.orderFence.Epoch, w.orderFence.Generation
 	}
-	if w.drains != 0 {
+	if w.leavesAt != 0 {
 		r.Draining = true
-		r.DrainRemaining = w.drains - now
+		r.DrainRemaining = w.leavesAt - now
 	}
 	if !r.Polled {
 		return r
 	}
 	for _, run := range w.sorted() {
 		percent := 0
-		if run.endsAt > run.began {
-			percent = int(100 * (now - run.began) / (run.endsAt - run.began))
+		if run.endsAt > run.startedAt {
+			percent = int(100 * (now - run.startedAt) / (run.endsAt - run.startedAt))
 		}
 		r.Running = append(r.Running, RunStatus{Run: run.id, Percent: min(percent, 99)})
 	}
 	for _, row := range w.ended {
-		row.Void = row.Sequence <= w.lapses
+		row.Void = row.Sequence <= w.voidEnds
 		r.Ended = append(r.Ended, row)
 	}
-	w.looks(now, r)
+	w.notePoll(now, r)
 	r.ConfirmedAbsent = w.absent
 	w.absent = nil
 	return r
 }
 
-// answered takes the planner's answer to a report sent at time sent.
-func (w *simWorker) answered(now, sent time.Duration, epoch uint64, v ReportAnswer) {
-	if epoch < w.orders.Epoch || w.dead {
+// handleAnswer takes the planner's answer to a report sent at time sent.
+func (w *simWorker) handleAnswer(now, sent time.Duration, epoch uint64, v ReportAnswer) {
+	if epoch < w.orderFence.Epoch || w.dead {
 		return
 	}
-	w.raise(Fence{Epoch: epoch, Generation: v.Generation})
+	w.raiseFence(Fence{Epoch: epoch, Generation: v.Generation})
 	if !v.Attached {
 		return
 	}
-	if until := sent + simHold; until > w.granted {
-		w.granted = until
+	if until := sent + simMaxLease; until > w.grantedUntil {
+		w.grantedUntil = until
 		if now < until {
 			w.leaseEnd = max(w.leaseEnd, until)
 		}
 	}
-	w.forget(v.AckedEnds)
+	w.forgetEnds(v.AckedEnds)
 }
 
-func (w *simWorker) forget(seen int64) {
-	w.seen = max(w.seen, seen)
-	for len(w.ended) > 0 && w.ended[0].Sequence <= w.seen {
-		w.world.noted(w.ended[0], w.ended[0].Sequence <= w.lapses)
+func (w *simWorker) forgetEnds(seen int64) {
+	w.ackedEnds = max(w.ackedEnds, seen)
+	for len(w.ended) > 0 && w.ended[0].Sequence <= w.ackedEnds {
+		w.world.noteAckedEnd(w.ended[0], w.ended[0].Sequence <= w.voidEnds)
 		w.ended = w.ended[1:]
 	}
 }
--- a/engine/sim_world_test.go
+++ b/engine/sim_world_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	simHold = 6 * time.Second
-	simStep = 5 * time.Millisecond
+	simMaxLease = 6 * time.Second
+	simStep     = 5 * time.Millisecond
 )
 
 // simEvent is something that happens at a time.
@@ -27,55 +27,55 @@
 // simWorld is callers, workers with their agents, a store and one planner after the
 // other. It checks what must hold from what the workers see.
 type simWorld struct {
-	t         testing.TB
-	rng       *rand.Rand
-	now       time.Duration
-	events    []simEvent
-	calm      bool // no more faults
-	calmSince time.Duration
-	jobs      map[workload.JobID]*workload.Job
-	order     []workload.JobID
-	cancels   map[workload.JobID]bool
-	workers   []*simWorker
-	lives     int
-	keepNames bool // a worker's next life has its name
-	cordons   simCordons
+	t            testing.TB
+	rng          *rand.Rand
+	now          time.Duration
+	events       []simEvent
+	calm         bool // no more faults
+	calmSince    time.Duration
+	jobs         map[workload.JobID]*workload.Job
+	order        []workload.JobID
+	cancels      map[workload.JobID]bool
+	workers      []*simWorker
+	incarnations int
+	reusesNames  bool // a worker's next life has its name
+	cordons      simCordons
 
 	// The store.
-	records map[workload.JobID][]byte
-	ended   map[workload.JobID]JobOutcome // in the place of the job's other records
-	known   map[WorkerID]WorkerInfo
-	epoch   uint64
+	records       map[workload.JobID][]byte
+	outcomes      map[workload.JobID]JobOutcome // in the place of the job's other records
+	workerRecords map[WorkerID]WorkerInfo
+	epoch         uint64
 
-	engine  *Engine
-	writing bool
-	down    bool // the store takes no writes
+	engine    *Engine
+	writing   bool
+	storeDown bool // the store takes no writes
 
 	// What the workers have seen.
-	ranToEnd map[workload.TaskID]bool // a run has ended as done, noted or not
-	done     map[workload.TaskID]bool // such an end was taken note of
-	attempt  map[workload.TaskID]int  // ends failed that were taken note of
-	crashes  simCrashes
-	late     bool                     // an order is carried out late
-	shrinks  map[*simWorker]simShrink // workers that have less room than at first
-	counts   map[string]int
+	ranToEnd      map[workload.TaskID]bool // a run has ended as done, noted or not
+	ackedDone     map[workload.TaskID]bool // such an end was taken note of
+	ackedFailures map[workload.TaskID]int  // ends failed that were taken note of
+	crashes       simCrashes
+	lateOrder     bool                     // an order is carried out late
+	shrinks       map[*simWorker]simShrink // workers that have less room than at first
+	counts        map[string]int
 }
 
 func newSimWorld(t testing.TB, seed uint64) *simWorld {
 	w := &simWorld{
-		t:        t,
-		rng:      rand.New(rand.NewPCG(seed, 7)),
-		jobs:     map[workload.JobID]*workload.Job{},
-		cancels:  map[workload.JobID]bool{},
-		records:  map[workload.JobID][]byte{},
-		ended:    map[workload.JobID]JobOutcome{},
-		known:    map[WorkerID]WorkerInfo{},
-		ranToEnd: map[workload.TaskID]bool{},
-		done:     map[workload.TaskID]bool{},
-		attempt:  map[workload.TaskID]int{},
-		crashes:  simCrashes{under: map[workload.TaskID]int{}, after: map[workload.TaskID]int{}, failed: map[workload.TaskID]int{}},
-		shrinks:  map[*simWorker]simShrink{},
-		counts:   map[string]int{},
+		t:             t,
+		rng:           rand.New(rand.NewPCG(seed, 7)),
+		jobs:          map[workload.JobID]*workload.Job{},
+		cancels:       map[workload.JobID]bool{},
+		records:       map[workload.JobID][]byte{},
+		outcomes:      map[workload.JobID]JobOutcome{},
+		workerRecords: map[WorkerID]WorkerInfo{},
+		ranToEnd:      map[workload.TaskID]bool{},
+		ackedDone:     map[workload.TaskID]bool{},
+		ackedFailures: map[workload.TaskID]int{},
+		crashes:       simCrashes{under: map[workload.TaskID]int{}, startsAfterThird: map[workload.TaskID]int{}, failed: map[workload.TaskID]int{}},
+		shrinks:       map[*simWorker]simShrink{},
+		counts:        map[string]int{},
 	}
 	for i := range 9 {
 		w.addWorker(i)
@@ -85,9 +85,9 @@
 }
 
 func (w *simWorld) addWorker(i int) {
-	w.lives++
+	w.incarnations++
 	info := WorkerInfo{
-		ID:       WorkerID(fmt.Sprintf("w%d-%d", i, w.lives)),
+		ID:       WorkerID(fmt.Sprintf("w%d-%d", i, w.incarnations)),
 		Agent:    fmt.Sprintf("agent%d", i),
 		Service:  "s",
 		Zone:     fmt.Sprintf("z%d", i/3),
@@ -95,12 +95,12 @@
 		Labels:   []string{"a", fmt.Sprintf("r%d", i/3)},
 		Capacity: workload.Resources{MilliCPU: 32000, MemoryMB: 64000, Accelerators: 8},
 	}
-	if w.keepNames {
-		info.Name = nameOf(i)
+	if w.reusesNames {
+		info.Name = simWorkerName(i)
 	}
-	sw := &simWorker{world: w, info: info, running: map[workload.TaskID]*simRun{}, highest: map[workload.TaskID]int{}}
+	sw := &simWorker{world: w, info: info, running: map[workload.TaskID]*simRun{}, highestRun: map[workload.TaskID]int{}}
 	if i < len(w.workers) {
-		sw.follow(w.workers[i])
+		sw.succeed(w.workers[i])
 		w.workers[i] = sw
 	} else {
 		w.workers = append(w.workers, sw)
@@ -121,17 +121,17 @@
 	w.epoch++
 	w.writing = false
 	e := New(Params{
-		MaxLease: simHold, StopTime: 900 * time.Millisecond, RemoteSlowdown: 3, RestoreTime: 500 * time.Millisecond, MaxReclaimWait: 3 * time.Second, Retention: time.Hour,
+		MaxLease: simMaxLease, StopTime: 900 * time.Millisecond, RemoteSlowdown: 3, RestoreTime: 500 * time.Millisecond, MaxReclaimWait: 3 * time.Second, Retention: time.Hour,
 	}, w.epoch, w.now, 0)
 	w.engine = e
 	e.HandleEvent(w.now, CatalogChanged{Catalog: &catalog.Catalog{Accounts: map[string]catalog.Account{"big": {GuaranteedAccelerators: 32}}}})
-	e.HandleEvent(w.now, CordonsChanged{w.cordonsOfSuccessor()})
+	e.HandleEvent(w.now, CordonsChanged{w.successorCordons()})
 	e.HandleEvent(w.now, Tick{WallTime: w.wall()})
-	for _, id := range slices.Sorted(keysOf(w.known)) {
-		e.HandleEvent(w.now, WorkerRestored{Info: w.known[id]})
+	for _, id := range slices.Sorted(keysOf(w.workerRecords)) {
+		e.HandleEvent(w.now, WorkerRestored{Info: w.workerRecords[id]})
 	}
 	for i, id := range w.order {
-		if _, ended := w.ended[id]; ended {
+		if _, ended := w.outcomes[id]; ended {
 			continue
 		}
 		ev := JobRestored{JobSubmitted: JobSubmitted{Job: *w.jobs[id], Revision: int64(i + 1)}, Cancelled: w.cancels[id]}
@@ -153,7 +153,7 @@
 		return
 	}
 	for _, id := range w.order {
-		if outcome, ended := w.ended[id]; ended {
+		if outcome, ended := w.outcomes[id]; ended {
 			e.HandleEvent(w.now, EndedJobRestored{ID: id, Outcome: outcome, OutcomeRevision: 1})
 		}
 	}
@@ -174,20 +174,20 @@
 // run lets the world pass until end.
 func (w *simWorld) run(end time.Duration) {
 	for ; w.now < end && !w.t.Failed(); w.now += simStep {
-		w.due()
+		w.runDueEvents()
 		for _, worker := range w.workers {
 			if !worker.dead {
-				worker.pass(w.now)
+				worker.advance(w.now)
 			}
 		}
 		if w.now%(50*time.Millisecond) == 0 {
 			w.engine.HandleEvent(w.now, Tick{WallTime: w.wall()})
 		}
-		w.act()
+		w.carryOutDecisions()
 	}
 }
 
-func (w *simWorld) due() {
+func (w *simWorld) runDueEvents() {
 	for {
 		i := slices.IndexFunc(w.events, func(e simEvent) bool { return e.at <= w.now })
 		if i < 0 {
@@ -199,21 +199,21 @@
 	}
 }
 
-// act carries out the planner's decisions and writes its changes.
-func (w *simWorld) act() {
+// carryOutDecisions carries out the planner's decisions and writes its changes.
+func (w *simWorld) carryOutDecisions() {
 	e := w.engine
 	for _, action := range e.Decide(w.now) {
 		if d, ok := action.(Decision); ok && d.Kind == "carried over" {
 			w.counts[d.Kind]++
 		}
-		if d, ok := action.(Decision); ok && *simJob != "" && string(d.Job) == *simJob {
+		if d, ok := action.(Decision); ok && *simTracedJob != "" && string(d.Job) == *simTracedJob {
 			w.t.Logf("%v epoch %d: %s %s %v %s", w.now, e.epoch, d.Kind, d.Detail, d.Run, d.Worker)
 		}
 		if o, ok := action.(Orders); ok {
-			w.after(w.transit(), func() { w.deliver(e, e.epoch, o) })
+			w.after(w.orderLatency(), func() { w.deliver(e, e.epoch, o) })
 		}
 	}
-	if w.writing || w.down {
+	if w.writing || w.storeDown {
 		return
 	}
 	change := e.PendingChanges(w.now, w.wall(), 1+w.rng.IntN(15))
@@ -241,14 +241,14 @@
 		w.records[j.ID] = encoded[i]
 	}
 	for _, info := range change.Workers {
-		w.known[info.ID] = info
+		w.workerRecords[info.ID] = info
 	}
 	for _, id := range change.RemovedWorkers {
-		delete(w.known, id)
+		delete(w.workerRecords, id)
 	}
 	for _, ended := range change.EndedJobs {
-		w.replaced(ended)
-		w.ended[ended.ID] = ended.Outcome
+		w.checkArchived(ended)
+		w.outcomes[ended.ID] = ended.Outcome
 		delete(w.records, ended.ID)
 	}
 	w.after(w.latency(), func() {
@@ -261,29 +261,29 @@
 
 // deliver carries orders out at the worker. Some get no answer and are carried out late.
 func (w *simWorld) deliver(e *Engine, epoch uint64, o Orders) {
-	sw := w.meant(o.Worker)
-	if sw == nil || sw.cut || epoch < sw.orders.Epoch {
-		w.answer(e, o, StartNotDelivered)
+	sw := w.recipient(o.Worker)
+	if sw == nil || sw.cut || epoch < sw.orderFence.Epoch {
+		w.answerOrders(e, o, StartNotDelivered)
 		return
 	}
-	if len(o.Starts) > 0 && w.refusesCordoned(sw, o) {
-		w.answer(e, o, StartCordoned)
+	if len(o.Starts) > 0 && w.refusesForCordon(sw, o) {
+		w.answerOrders(e, o, StartCordoned)
 		o.Starts = nil
 	}
-	sw.raise(Fence{Epoch: epoch})
-	fence := sw.orders
+	sw.raiseFence(Fence{Epoch: epoch})
+	fence := sw.orderFence
 	if !w.calm && w.rng.IntN(25) == 0 {
 		w.counts["late orders"]++
-		until := sw.granted
+		until := sw.grantedUntil
 		w.after(time.Duration(2+w.rng.IntN(10))*time.Second, func() {
-			w.late = true
+			w.lateOrder = true
 			w.carryOut(sw, fence, o, until)
-			w.late = false
+			w.lateOrder = false
 		})
-		w.answer(e, o, StartUnknown)
+		w.answerOrders(e, o, StartUnknown)
 		return
 	}
-	results := w.carryOut(sw, fence, o, sw.granted)
+	results := w.carryOut(sw, fence, o, sw.grantedUntil)
 	w.after(w.latency(), func() {
 		if e == w.engine {
 			e.HandleEvent(w.now, OrdersCompleted{Worker: o.Worker, Starts: results})
@@ -293,8 +293,8 @@
 
 func (w *simWorld) carryOut(sw *simWorker, fence Fence, o Orders, until time.Duration) []StartResult {
 	if sw.dead && sw.next != nil {
-		sw, until = sw.last(), w.now+simHold // by the clock of the life that was meant
-		if w.unpreventable(sw, o) {
+		sw, until = sw.latest(), w.now+simMaxLease // by the clock of the life that was meant
+		if w.unfenceable(sw, o) {
 			w.counts["too early to be refused"]++
 			return nil
 		}
@@ -313,7 +313,7 @@
 	return results
 }
 
-func (w *simWorld) answer(e *Engine, o Orders, outcome StartOutcome) {
+func (w *simWorld) answerOrders(e *Engine, o Orders, outcome StartOutcome) {
 	var results []StartResult
 	for _, s := range o.Starts {
 		results = append(results, StartResult{Run: s.Run, Outcome: outcome})
@@ -331,22 +331,22 @@
 		}
 		w.reportLater(sw)
 		if sw.cut {
-			sw.look(w.now)
+			sw.pollWhileCutOff(w.now)
 			return
 		}
 		e, sent := w.engine, w.now
-		sw.noticed = true
+		sw.reported = true
 		r := sw.report(w.now)
 		w.after(w.latency(), func() {
 			if e != w.engine || sw.cut {
 				return
 			}
 			v := e.Report(w.now, r)
-			told := w.cordons.told
+			told := w.cordons.known
 			w.after(w.latency(), func() {
 				if !sw.cut {
-					sw.answered(w.now, sent, e.epoch, v)
-					sw.hearCordons(told)
+					sw.handleAnswer(w.now, sent, e.epoch, v)
+					sw.updateCordons(told)
 				}
 			})
 		})
--- a/engine/stuck_test.go
+++ b/engine/stuck_test.go
@@ -8,7 +8,7 @@
 )
 
 // A task stands still on a worker that answers well: it is tried elsewhere.
-func TestTaskThatStandsStillIsMoved(t *testing.T) {
+func TestStuckTaskIsMoved(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 2)
 	d.submit(1, "", taskStep(1, 8))
@@ -25,7 +25,7 @@
 
 // Tasks of a queue show progress at every look, and one stands still from its start: an urgent
 // gang has no time to wait until that is beyond all doubt.
-func TestTaskThatStandsStillWhereOthersMoveIsMovedSoon(t *testing.T) {
+func TestStuckTaskIsMovedSoonerWhereQueueShowsProgress(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 2)
 	d.submit(1, "", taskStep(1, 8))
@@ -53,7 +53,7 @@
 
 // The workers of a queue show no progress of what they run. A task that takes longer than one
 // that moves may stand still must end all the same, and not be moved again and again.
-func TestTaskThatShowsNoProgressIsLeftToItself(t *testing.T) {
+func TestTaskWithoutProgressReportsCanFinish(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 2)
 	id := d.submit(1, "", taskStep(1, 8))
@@ -81,7 +81,7 @@
 
 // A worker does not answer its agent for some seconds, and then shows that its task went
 // on all the while. Without a look nothing can be said of it, so it must not be stopped.
-func TestSilentWorkerIsNotTakenForStandingStill(t *testing.T) {
+func TestTaskOnUnresponsiveWorkerIsNotStuck(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 2)
 	d.submit(1, "", taskStep(1, 8))
--- a/engine/tracker_test.go
+++ b/engine/tracker_test.go
@@ -10,7 +10,7 @@
 // A planner takes over while tasks run, and their ends come before it has seen them. It
 // knows neither when they began nor how long they ran, and must not learn from them: it
 // took them for runs of hours, and every forecast of the queue was three times too long.
-func TestRunsOfAPredecessorTeachNothing(t *testing.T) {
+func TestAdoptedRunsAreNotLearned(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 2)
 	d.now = time.Hour
--- a/engine/unfit_test.go
+++ b/engine/unfit_test.go
@@ -12,7 +12,7 @@
 // Three of nine workers are gone for some seconds when a gang is handed in that needs
 // eight. It used to be failed, although no task of it was ever tried; it has to wait for
 // the workers to come back.
-func TestGangLargerThanWhatIsLeftWaits(t *testing.T) {
+func TestGangLargerThanRemainingFleetWaits(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 9)
 	for i := range 3 {
@@ -34,7 +34,7 @@
 }
 
 // The operators are told why a job fits no worker, once.
-func TestReasonWhyAJobFitsNoWorkerIsLoggedOnce(t *testing.T) {
+func TestUnschedulableReasonIsLoggedOnce(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
 	s := taskStep(1, 1)
@@ -46,7 +46,7 @@
 
 // A job waits for room for a long time. Whoever asks why finds it in the log, and the log
 // does not grow with each decision.
-func TestWhatAJobWaitsForIsLogged(t *testing.T) {
+func TestWaitingJobIsLoggedAtIntervals(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
 	d.submit(1, "", taskStep(1, 8))
--- a/engine/unreadable_test.go
+++ b/engine/unreadable_test.go
@@ -8,7 +8,7 @@
 
 // A predecessor's record of a worker can't be read, so only its id is known. Once the
 // worker reports, it is used like any other, and its record is written anew.
-func TestWorkerWithoutAReadableRecordIsUsedOnceItReports(t *testing.T) {
+func TestWorkerWithUnreadableRecordIsUsedOnceItReports(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 0)
 	d.handle(WorkerRestored{Info: WorkerInfo{ID: "w0"}})
