--- a/engine/orders_test.go
+++ b/engine/orders_test.go
@@ -11,22 +11,22 @@
 // silent. The orders of the members after it left all the same, with room that the
 // engine already counted as free: members ran twice, and a worker was over its memory.
 func TestGangIsOrderedOnAllWorkersOrNone(t *testing.T) {
-	for _, silent := range []WorkerID{"w0", "w1", "w2"} {
+	for _, unreachable := range []WorkerID{"w0", "w1", "w2"} {
 		c := qt.New(t)
 		d := newDriver(t, 3)
 		id := d.submit(1, "", gangStep(3, 8))
 		d.e.Decide(d.now)
-		w := d.e.PendingChanges(d.now, time.Unix(1000, 0), 15)
+		write := d.e.PendingChanges(d.now, time.Unix(1000, 0), 15)
 		d.now += 1500 * time.Millisecond
-		for _, other := range []WorkerID{"w0", "w1", "w2"} {
-			if other != silent {
-				d.reportProgress(other)
+		for _, reachable := range []WorkerID{"w0", "w1", "w2"} {
+			if reachable != unreachable {
+				d.reportProgress(reachable)
 			}
 		}
-		d.handle(WriteApplied{Write: w})
+		d.handle(WriteApplied{Write: write})
 		d.settle()
 		c.Check(d.starts, qt.HasLen, 0)
-		d.reportProgress(silent)
+		d.reportProgress(unreachable)
 		d.settle()
 		c.Check(d.starts, qt.HasLen, 3)
 		for _, s := range d.starts {
--- a/engine/pace.go
+++ b/engine/pace.go
@@ -72,8 +72,8 @@
 	if !p.unit.spec().BestEffortCPU || p.state != placementRunning {
 		return
 	}
-	since := now - p.pace.sentAt
-	if !p.pace.confirmed && since >= paceRetryInterval || now < p.pace.uncertainUntil && since >= paceRepeatInterval {
+	sinceSent := now - p.pace.sentAt
+	if !p.pace.confirmed && sinceSent >= paceRetryInterval || now < p.pace.uncertainUntil && sinceSent >= paceRepeatInterval {
 		e.sendPace(now, p)
 	}
 }
--- a/engine/params.go
+++ b/engine/params.go
@@ -41,11 +41,11 @@
 
 // withClockDrift returns how long a lease with that much left may last by a worker's clock that
 // runs slow; what is over is over.
-func withClockDrift(left time.Duration) time.Duration {
-	if left <= 0 {
-		return left
+func withClockDrift(remaining time.Duration) time.Duration {
+	if remaining <= 0 {
+		return remaining
 	}
-	return time.Duration(float64(left) * clockDriftFactor)
+	return time.Duration(float64(remaining) * clockDriftFactor)
 }
 
 // leaseExpiry returns when a lease granted now has certainly lapsed.
--- a/engine/plan.go
+++ b/engine/plan.go
@@ -152,11 +152,11 @@
 
 // placementDetail says, for the log, what a placement was decided on and how old it was.
 func (r *round) placementDetail(u *unit, workers []*worker) string {
-	oldest := time.Duration(0)
+	oldestReport := time.Duration(0)
 	for _, w := range workers {
-		oldest = max(oldest, r.now-w.lastReport)
+		oldestReport = max(oldestReport, r.now-w.lastReport)
 	}
-	return fmt.Sprintf("%d tasks, waited %d ms, workers reported up to %d ms ago", len(workers), (r.now - u.waitingSince).Milliseconds(), oldest.Milliseconds())
+	return fmt.Sprintf("%d tasks, waited %d ms, workers reported up to %d ms ago", len(workers), (r.now - u.waitingSince).Milliseconds(), oldestReport.Milliseconds())
 }
 
 func (r *round) releaseClaims(u *unit) {
@@ -175,17 +175,17 @@
 		return free
 	}
 	end := r.now + r.e.estimate(u)
-	for _, kept := range w.round.reserved {
-		if end > kept.from {
-			free = free.Sub(kept.resources)
+	for _, reservation := range w.round.reserved {
+		if end > reservation.from {
+			free = free.Sub(reservation.resources)
 		}
 	}
 	return free
 }
 
 // slots returns how many members of u fit on w now, where there is so much room.
-func (r *round) slots(u *unit, w *worker, room workload.Resources) int {
-	n := u.demand().CountFitting(room, u.size)
+func (r *round) slots(u *unit, w *worker, available workload.Resources) int {
+	n := u.demand().CountFitting(available, u.size)
 	if n <= 0 || !r.eligible(u, w) || w.health.paused(r.now) || !r.admits(u, w) {
 		return 0
 	}
@@ -205,15 +205,15 @@
 }
 
 // limitPerWorker applies the step's bound of tasks on one worker.
-func (e *Engine) limitPerWorker(u *unit, w *worker, n int) int {
-	bound := u.spec().MaxPerWorker
-	if bound == 0 || n <= 0 {
-		return n
+func (e *Engine) limitPerWorker(u *unit, w *worker, fitting int) int {
+	limit := u.spec().MaxPerWorker
+	if limit == 0 || fitting <= 0 {
+		return fitting
 	}
 	for _, p := range w.placements {
 		if p.unit.key() == u.key() {
-			bound--
+			limit--
 		}
 	}
-	return max(0, min(n, bound))
+	return max(0, min(fitting, limit))
 }
--- a/engine/probation.go
+++ b/engine/probation.go
@@ -25,32 +25,32 @@
 	if !r.e.params.Policy.Probation {
 		return true
 	}
-	wait := time.Duration(0) // how long a suspect lets go of the room there
+	maxWait := time.Duration(0) // how long a suspect lets go of the room there
 	for _, p := range w.placements {
 		if p.unit == u || p.state == placementAdopted {
 			continue
 		}
-		c, fresh := p.unit.crashCountOf(p.index), !p.pastStartup()
-		if fresh && c.startup > 0 {
+		crashes, unproven := p.unit.crashCountOf(p.index), !p.pastStartup()
+		if unproven && crashes.startup > 0 {
 			return false // it is on probation
 		}
-		if fresh {
-			wait = max(wait, maxProbationWait)
+		if unproven {
+			maxWait = max(maxWait, maxProbationWait)
 		}
-		if c.onLastAttempt() {
-			wait = max(wait, maxLastChanceWait)
+		if crashes.onLastAttempt() {
+			maxWait = max(maxWait, maxLastChanceWait)
 		}
 	}
-	return wait == 0 || !u.hasStartupCrash() || !r.keepsWaiting(u, wait)
+	return maxWait == 0 || !u.hasStartupCrash() || !r.keepsWaiting(u, maxWait)
 }
 
 // keepsWaiting says whether u, which can't have a worker to itself now, goes on waiting for
 // one, and notes since when it does.
-func (r *round) keepsWaiting(u *unit, most time.Duration) bool {
+func (r *round) keepsWaiting(u *unit, maxWait time.Duration) bool {
 	if u.probationSince == 0 {
 		u.probationSince = r.now
 	}
-	return r.now-u.probationSince < most
+	return r.now-u.probationSince < maxWait
 }
 
 // avoidAgent notes that a worker crashed under the unit beside that agent.
--- a/engine/pulse.go
+++ b/engine/pulse.go
@@ -27,10 +27,10 @@
 // remaining returns how long the run is expected to go on, and false while its speed is not
 // known.
 func (p *progressRate) remaining(now time.Duration) (time.Duration, bool) {
-	moved := p.lastPercent - p.firstPercent
-	if moved < minRateProgress || p.lastAt <= p.firstAt {
+	gained := p.lastPercent - p.firstPercent
+	if gained < minRateProgress || p.lastAt <= p.firstAt {
 		return 0, false
 	}
-	each := (p.lastAt - p.firstAt) / time.Duration(moved)
-	return time.Duration(100-p.lastPercent)*each - (now - p.lastAt), true
+	perPercent := (p.lastAt - p.firstAt) / time.Duration(gained)
+	return time.Duration(100-p.lastPercent)*perPercent - (now - p.lastAt), true
 }
--- a/engine/queue.go
+++ b/engine/queue.go
@@ -26,11 +26,11 @@
 		}
 	}
 	slices.SortFunc(ranked, rankedUnit.compare)
-	out := make([]*unit, len(ranked))
+	units := make([]*unit, len(ranked))
 	for i := range ranked {
-		out[i] = ranked[i].unit
+		units[i] = ranked[i].unit
 	}
-	return out
+	return units
 }
 
 // rankedUnit is a unit that waits, with what its place in the queue depends on.
@@ -67,8 +67,8 @@
 	if !e.params.Policy.DeadlineOrder {
 		return u.job.acceptedAt
 	}
-	left := e.criticalPathFrom(u)
-	return e.deadlineIfReachable(now+left, u.job) - left
+	work := e.criticalPathFrom(u)
+	return e.deadlineIfReachable(now+work, u.job) - work
 }
 
 // deadlineIfReachable returns the objective of a job that would be completed at end, and never where
@@ -93,28 +93,28 @@
 			byAccount[j.spec.Account] = append(byAccount[j.spec.Account], j)
 		}
 	}
-	out := map[*job]bool{}
+	covered := map[*job]bool{}
 	for account, jobs := range byAccount {
-		left := e.catalog.GuaranteedAccelerators(account)
+		unclaimed := e.catalog.GuaranteedAccelerators(account)
 		slices.SortStableFunc(jobs, func(a, b *job) int { return cmp.Compare(a.revision, b.revision) })
 		for _, j := range jobs {
 			need := j.peakAccelerators()
-			if need > left {
+			if need > unclaimed {
 				continue
 			}
-			left -= need
-			out[j] = true
+			unclaimed -= need
+			covered[j] = true
 		}
 	}
-	return out
+	return covered
 }
 
 // peakAccelerators returns the most that one step of the job takes at once.
 func (j *job) peakAccelerators() int {
-	most := 0
+	peak := 0
 	for i := range j.spec.Steps {
 		s := &j.spec.Steps[i]
-		most = max(most, s.Count*s.Need.Accelerators)
+		peak = max(peak, s.Count*s.Need.Accelerators)
 	}
-	return most
+	return peak
 }
--- a/engine/report.go
+++ b/engine/report.go
@@ -93,12 +93,12 @@
 
 // ListedRuns returns the runs that a worker shows, running or ended.
 func ListedRuns(running []RunStatus, ended []RunEnd) map[workload.RunID]bool {
-	out := make(map[workload.RunID]bool, len(running)+len(ended))
-	for _, row := range running {
-		out[row.Run] = true
+	runs := make(map[workload.RunID]bool, len(running)+len(ended))
+	for _, run := range running {
+		runs[run.Run] = true
 	}
-	for _, row := range ended {
-		out[row.Run] = true
+	for _, end := range ended {
+		runs[end.Run] = true
 	}
-	return out
+	return runs
 }
--- a/engine/reports.go
+++ b/engine/reports.go
@@ -48,7 +48,7 @@
 
 // AckedEnds returns up to which end a worker may forget, and whether more ends wait to be
 // recorded.
-func (e *Engine) AckedEnds(id WorkerID) (seen int64, waiting bool) {
+func (e *Engine) AckedEnds(id WorkerID) (acked int64, pending bool) {
 	w := e.workers[id]
 	if w == nil {
 		return 0, false
@@ -59,9 +59,9 @@
 // registerWorker returns the worker that reports, which may be new. A new life of the worker
 // beside the same agent proves that the one before is over.
 func (e *Engine) registerWorker(now time.Duration, info WorkerInfo) *worker {
-	before, known := e.workerByAgent[info.Agent]
-	if known && before != info.ID {
-		e.supersedeReplaced(now, before, info)
+	previous, known := e.workerByAgent[info.Agent]
+	if known && previous != info.ID {
+		e.supersedeReplaced(now, previous, info)
 	}
 	w := e.workers[info.ID]
 	if w == nil {
@@ -74,7 +74,7 @@
 		w.recorded = false
 		e.unrecordedWorkers[info.ID] = w
 	}
-	if before != info.ID {
+	if previous != info.ID {
 		e.assignGeneration(w)
 	}
 	e.resize(now, w, info.Capacity)
@@ -119,7 +119,7 @@
 // would never start elsewhere. A lease that is over ends at the same moment in each report,
 // and where the agent does not know it, the last grant to an answering worker bounds it.
 func (e *Engine) updateLease(now time.Duration, w *worker, r Report) bool {
-	wasSilent := w.unresponsive
+	wasUnresponsive := w.unresponsive
 	w.unresponsive = r.Unresponsive
 	granted := !r.Unresponsive || r.ExtendingLease
 	switch {
@@ -133,7 +133,7 @@
 	}
 	w.leaseExpired = false
 	w.runsAtExpiry = nil
-	if wasSilent {
+	if wasUnresponsive {
 		e.planNeeded = true
 	}
 	return granted
@@ -142,20 +142,20 @@
 // reconcile compares what the worker says with what is expected of it.
 func (e *Engine) reconcile(now time.Duration, w *worker, r Report) {
 	w.lastPolledAt = now
-	for _, row := range r.Running {
-		e.observeRun(now, w, row)
+	for _, run := range r.Running {
+		e.observeRun(now, w, run)
 	}
-	for _, row := range r.Ended {
-		if row.Sequence <= w.lastEnd {
+	for _, end := range r.Ended {
+		if end.Sequence <= w.lastEnd {
 			continue
 		}
-		w.lastEnd = row.Sequence
-		owner := e.handleRunEnd(now, w, row)
+		w.lastEnd = end.Sequence
+		j := e.handleRunEnd(now, w, end)
 		version := 0
-		if owner != nil {
-			version = owner.version
+		if j != nil {
+			version = j.version
 		}
-		w.pendingEnds = append(w.pendingEnds, pendingEnd{sequence: row.Sequence, job: owner, version: version})
+		w.pendingEnds = append(w.pendingEnds, pendingEnd{sequence: end.Sequence, job: j, version: version})
 	}
 	for _, run := range r.ConfirmedAbsent {
 		e.confirmAbsent(now, w, run)
@@ -164,10 +164,10 @@
 }
 
 // observeRun handles one run that is there.
-func (e *Engine) observeRun(now time.Duration, w *worker, row RunStatus) {
-	p := w.placements[row.Run.Task]
-	if p == nil || p.runNumber != row.Run.Number {
-		e.stopOrphan(now, w, row.Run)
+func (e *Engine) observeRun(now time.Duration, w *worker, status RunStatus) {
+	p := w.placements[status.Run.Task]
+	if p == nil || p.runNumber != status.Run.Number {
+		e.stopOrphan(now, w, status.Run)
 		return
 	}
 	if p.state == placementAdopted || p.state == placementOrdered {
@@ -176,24 +176,24 @@
 	p.missedPolls = 0
 	p.lastSeenAt = now
 	p.resetCrashes()
-	if row.Percent != p.rate.lastPercent {
+	if status.Percent != p.rate.lastPercent {
 		p.progressedAt = now
 		if p.rate.observed {
 			e.tracker.progressQueues[p.unit.job.spec.Queue] = true
 		}
 	}
-	p.rate.observe(now, row.Percent)
-	p.load = row.Load
-	if row.Checkpoint != p.checkpoint {
-		p.checkpoint = row.Checkpoint
+	p.rate.observe(now, status.Percent)
+	p.load = status.Load
+	if status.Checkpoint != p.checkpoint {
+		p.checkpoint = status.Checkpoint
 		p.checkpointAt = now
 	}
 }
 
 // stopOrphan stops a run that nobody here placed or that was given up for lost.
 func (e *Engine) stopOrphan(now time.Duration, w *worker, run workload.RunID) {
-	sent, known := w.orphans[run]
-	if known && now-sent < stopRetryInterval {
+	stopSentAt, known := w.orphans[run]
+	if known && now-stopSentAt < stopRetryInterval {
 		return
 	}
 	w.orphans[run] = now
@@ -214,9 +214,9 @@
 
 // countMissedPolls counts the looks that do not show a running task, and stops it after some: the
 // worker then says whether it is there.
-func (e *Engine) countMissedPolls(now time.Duration, w *worker, there map[workload.RunID]bool) {
+func (e *Engine) countMissedPolls(now time.Duration, w *worker, listed map[workload.RunID]bool) {
 	for _, p := range w.sortedPlacements() {
-		if p.state != placementRunning || p.stopping || there[p.runID()] {
+		if p.state != placementRunning || p.stopping || listed[p.runID()] {
 			continue
 		}
 		p.missedPolls++
@@ -226,7 +226,7 @@
 		}
 	}
 	for run := range w.orphans {
-		if !there[run] {
+		if !listed[run] {
 			delete(w.orphans, run)
 		}
 	}
@@ -248,17 +248,17 @@
 }
 
 // endIncarnation ends a worker for good, and with it all that it held.
-func (e *Engine) endIncarnation(now time.Duration, id WorkerID, how Departure, t crashEvidence) {
+func (e *Engine) endIncarnation(now time.Duration, id WorkerID, how Departure, evidence crashEvidence) {
 	w := e.workers[id]
 	if w == nil {
 		return
 	}
-	places := w.sortedPlacements()
-	e.actions = append(e.actions, WorkerGone{Worker: w.info, Departure: how, Runs: len(places)})
+	placements := w.sortedPlacements()
+	e.actions = append(e.actions, WorkerGone{Worker: w.info, Departure: how, Runs: len(placements)})
 	if how == DepartureCrashed {
-		defer e.countCrash(now, w, slices.Concat(w.runsAtExpiry, places), t)
+		defer e.countCrash(now, w, slices.Concat(w.runsAtExpiry, placements), evidence)
 	}
-	for _, p := range places {
+	for _, p := range placements {
 		e.handleLostRun(now, p, CauseWorkerLost, fmt.Sprintf("its worker %s; %s", how, p.observedRunTime()))
 	}
 	e.removeWorker(w)
--- a/engine/reserve_test.go
+++ b/engine/reserve_test.go
@@ -28,26 +28,26 @@
 func gangWaitAmongSmallJobs(t *testing.T, reservations int) time.Duration {
 	d := newDriver(t, 3)
 	d.e.params.Policy.Reservations = reservations
-	began := map[workload.JobID]time.Duration{}
-	small := func() {
+	startedAt := map[workload.JobID]time.Duration{}
+	submitSmall := func() {
 		step := taskStep(1, 8)
 		step.Estimate = smallJobTime
-		began[d.submit(2, "", step)] = 0
+		startedAt[d.submit(2, "", step)] = 0
 	}
 	for range 3 {
-		small()
+		submitSmall()
 	}
 	d.settle()
 	gangID := d.submit(1, "", gangStep(3, 8))
 	from := d.now
 	for d.now-from < time.Minute {
-		small()
+		submitSmall()
 		for range 5 {
 			d.advanceRuns(smallJobTime)
 		}
-		for id, at := range began {
+		for id, at := range startedAt {
 			if at == 0 && len(d.runs(id)) > 0 {
-				began[id] = d.now
+				startedAt[id] = d.now
 			}
 			if at != 0 && d.now-at >= smallJobTime && len(d.runs(id)) > 0 {
 				d.endRuns(id, EndDone)
--- a/engine/restore.go
+++ b/engine/restore.go
@@ -16,9 +16,9 @@
 	w.recorded = true
 	w.leaseExpiresAt += e.inheritedLeaseExtra
 	w.lastReport = now - reportTimeout
-	if before := e.workers[e.workerByAgent[info.Agent]]; before != nil && before.info.SharesName(info) {
+	if previous := e.workers[e.workerByAgent[info.Agent]]; previous != nil && previous.info.SharesName(info) {
 		// Which of them is the present one the agent will say.
-		e.supersede(before, DepartureCrashed, crashEvidence{})
+		e.supersede(previous, DepartureCrashed, crashEvidence{})
 	}
 	e.workerByAgent[info.Agent] = info.ID
 }
@@ -57,8 +57,8 @@
 		}
 		return
 	}
-	order, early := e.earlyCancels[ev.Job.ID]
-	if ev.Cancelled || early {
+	order, requested := e.earlyCancels[ev.Job.ID]
+	if ev.Cancelled || requested {
 		delete(e.earlyCancels, ev.Job.ID)
 		e.cancel(now, CancelRequested{Job: ev.Job.ID, Revision: max(order, ev.CancelRevision)})
 		return
--- a/engine/room.go
+++ b/engine/room.go
@@ -13,13 +13,13 @@
 // The failure it guards against: a worker that does not count for itself starts whatever it
 // is told to, and a planner that went by what it had said first would start more there than
 // it has.
-func (e *Engine) resize(now time.Duration, w *worker, room workload.Resources) {
-	w.maxCapacity = w.maxCapacity.Max(room)
-	if room == w.info.Capacity {
+func (e *Engine) resize(now time.Duration, w *worker, capacity workload.Resources) {
+	w.maxCapacity = w.maxCapacity.Max(capacity)
+	if capacity == w.info.Capacity {
 		return
 	}
-	e.actions = append(e.actions, WorkerResized{Worker: w.info.ID, Before: w.info.Capacity, After: room, Used: w.used})
-	w.info.Capacity = room
+	e.actions = append(e.actions, WorkerResized{Worker: w.info.ID, Before: w.info.Capacity, After: capacity, Used: w.used})
+	w.info.Capacity = capacity
 	e.workerAddedAt = now
 	e.planNeeded = true
 }
--- a/engine/room_test.go
+++ b/engine/room_test.go
@@ -12,9 +12,9 @@
 // resizedReport returns what a worker of the desk says after its room has changed.
 func (d *driver) resizedReport(i, accelerators int) Report {
 	r := d.workerReport(i)
-	part := r.Worker.Capacity
+	full := r.Worker.Capacity
 	r.Worker.Capacity = workload.Resources{
-		MilliCPU: part.MilliCPU * accelerators / 8, MemoryMB: part.MemoryMB * accelerators / 8, Accelerators: accelerators,
+		MilliCPU: full.MilliCPU * accelerators / 8, MemoryMB: full.MemoryMB * accelerators / 8, Accelerators: accelerators,
 	}
 	return r
 }
@@ -48,9 +48,9 @@
 	d := newDriver(t, 1)
 	id := d.submit(1, "other", taskStep(1, 6))
 	d.e.Decide(d.now)
-	w := d.e.PendingChanges(d.now, time.Unix(1000, 0), 15)
+	write := d.e.PendingChanges(d.now, time.Unix(1000, 0), 15)
 	d.report(d.resizedReport(0, 4))
-	d.handle(WriteApplied{Write: w})
+	d.handle(WriteApplied{Write: write})
 	d.settle()
 	c.Check(d.starts, qt.HasLen, 0)
 	d.report(d.resizedReport(0, 8))
--- a/engine/sharing.go
+++ b/engine/sharing.go
@@ -48,7 +48,7 @@
 
 // colocatedPlacements returns the runs on w that serve users within a target, and those that fill;
 // none where nothing fills, as on most workers.
-func (w *worker) colocatedPlacements() (serving, filling []*placement) {
+func (w *worker) colocatedPlacements() (sensitive, bestEffort []*placement) {
 	if !w.hasBestEffort() {
 		return nil, nil
 	}
@@ -56,12 +56,12 @@
 		switch {
 		case p.stopping:
 		case p.unit.spec().BestEffortCPU:
-			filling = append(filling, p)
+			bestEffort = append(bestEffort, p)
 		case p.unit.spec().TailLatencyTarget > 0:
-			serving = append(serving, p)
+			sensitive = append(sensitive, p)
 		}
 	}
-	return serving, filling
+	return sensitive, bestEffort
 }
 
 // hasBestEffort says whether anything on w hasBestEffort.
@@ -76,65 +76,65 @@
 
 // needsFrequentPolls says whether w has to be looked at often.
 func (w *worker) needsFrequentPolls() bool {
-	serving, filling := w.colocatedPlacements()
-	return len(serving) > 0 && len(filling) > 0
+	sensitive, bestEffort := w.colocatedPlacements()
+	return len(sensitive) > 0 && len(bestEffort) > 0
 }
 
 // adjustPaces sets the speeds of what fills on w after a look.
 func (e *Engine) adjustPaces(now time.Duration, w *worker) {
-	serving, filling := w.colocatedPlacements()
-	if len(filling) == 0 {
+	sensitive, bestEffort := w.colocatedPlacements()
+	if len(bestEffort) == 0 {
 		return
 	}
-	for _, p := range filling {
-		if len(serving) == 0 || p.pace.percent == unknownPace {
-			e.setPace(now, p, e.toleratedPace(p, serving))
+	for _, p := range bestEffort {
+		if len(sensitive) == 0 || p.pace.percent == unknownPace {
+			e.setPace(now, p, e.toleratedPace(p, sensitive))
 		}
 	}
-	if len(serving) == 0 {
+	if len(sensitive) == 0 {
 		w.sharing = sharing{}
 		return
 	}
-	e.controlPaces(now, w, serving, filling)
+	e.controlPaces(now, w, sensitive, bestEffort)
 }
 
-func (e *Engine) controlPaces(now time.Duration, w *worker, serving, filling []*placement) {
+func (e *Engine) controlPaces(now time.Duration, w *worker, sensitive, bestEffort []*placement) {
 	s := &w.sharing
-	strain := worstLatencyRatio(serving)
-	if strain < 1 {
+	ratio := worstLatencyRatio(sensitive)
+	if ratio < 1 {
 		s.violationSince = 0
 	} else if s.violationSince == 0 {
 		s.violationSince = now
 	}
-	harmed := s.inViolationFor(now, e.params.MaxLatencyViolation, pauseAfterShare)
-	if now-s.changedAt < paceSettleTime && !harmed {
+	mustPause := s.inViolationFor(now, e.params.MaxLatencyViolation, pauseAfterShare)
+	if now-s.changedAt < paceSettleTime && !mustPause {
 		return
 	}
 	switch {
-	case harmed:
-		e.throttle(now, w, serving, filling, strain, 0)
+	case mustPause:
+		e.throttle(now, w, sensitive, bestEffort, ratio, 0)
 		if s.inViolationFor(now, e.params.MaxLatencyViolation, stopAfterShare) {
-			e.stopUnconfirmed(now, filling)
+			e.stopUnconfirmed(now, bestEffort)
 		}
-	case strain >= 1:
-		e.throttle(now, w, serving, filling, strain, 0.5)
-	case strain > latencyRatioCeiling:
-		e.throttle(now, w, serving, s.pickToThrottle(e, now, serving, filling), strain, 0.5)
-	case strain > 0 && strain < latencyRatioFloor:
-		e.raisePace(now, w, serving, filling)
+	case ratio >= 1:
+		e.throttle(now, w, sensitive, bestEffort, ratio, 0.5)
+	case ratio > latencyRatioCeiling:
+		e.throttle(now, w, sensitive, s.pickToThrottle(e, now, sensitive, bestEffort), ratio, 0.5)
+	case ratio > 0 && ratio < latencyRatioFloor:
+		e.raisePace(now, w, sensitive, bestEffort)
 	}
 }
 
 // inViolationFor says whether a serving task has been over its target for a share of what counts
 // as harm.
-func (s *sharing) inViolationFor(now, harm time.Duration, share float64) bool {
-	return s.violationSince != 0 && now-s.violationSince >= time.Duration(share*float64(harm))
+func (s *sharing) inViolationFor(now, limit time.Duration, share float64) bool {
+	return s.violationSince != 0 && now-s.violationSince >= time.Duration(share*float64(limit))
 }
 
 // stopUnconfirmed stops what could not be held back: the worker has not confirmed the order, or
 // takes none.
-func (e *Engine) stopUnconfirmed(now time.Duration, filling []*placement) {
-	for _, p := range filling {
+func (e *Engine) stopUnconfirmed(now time.Duration, bestEffort []*placement) {
+	for _, p := range bestEffort {
 		if p.pace.confirmed || !p.unit.mayStop(0) {
 			continue
 		}
@@ -145,14 +145,14 @@
 
 // pickToThrottle returns the run that is held back first: the one raised a moment ago, else the
 // one whose image is tolerated least.
-func (s *sharing) pickToThrottle(e *Engine, now time.Duration, serving, filling []*placement) []*placement {
+func (s *sharing) pickToThrottle(e *Engine, now time.Duration, sensitive, bestEffort []*placement) []*placement {
 	var worst *placement
-	for _, p := range filling {
+	for _, p := range bestEffort {
 		switch {
 		case p.pace.percent <= 0:
 		case p == s.lastRaised && now-s.changedAt < raiseBlameWindow:
 			return []*placement{p}
-		case worst == nil || e.toleratedPace(p, serving) < e.toleratedPace(worst, serving):
+		case worst == nil || e.toleratedPace(p, sensitive) < e.toleratedPace(worst, sensitive):
 			worst = p
 		}
 	}
@@ -164,9 +164,9 @@
 
 // worstLatencyRatio returns the worst tail latency in parts of its target; 0 where nothing is
 // known of any.
-func worstLatencyRatio(serving []*placement) float64 {
+func worstLatencyRatio(sensitive []*placement) float64 {
 	worst := 0.0
-	for _, p := range serving {
+	for _, p := range sensitive {
 		if p.state == placementRunning {
 			worst = max(worst, float64(p.load)*float64(time.Millisecond)/float64(p.unit.spec().TailLatencyTarget))
 		}
@@ -175,39 +175,39 @@
 }
 
 // throttle lowers runs that fill to a part of their speed, and learns from it.
-func (e *Engine) throttle(now time.Duration, w *worker, serving, filling []*placement, strain, part float64) {
+func (e *Engine) throttle(now time.Duration, w *worker, sensitive, bestEffort []*placement, ratio, factor float64) {
 	w.sharing.lastRaised = nil
-	for _, p := range filling {
+	for _, p := range bestEffort {
 		if p.pace.percent <= 0 {
 			continue
 		}
-		for _, s := range serving {
-			e.interference.observeViolation(pairOf(p, s), p.pace.percent, strain)
+		for _, s := range sensitive {
+			e.interference.observeViolation(pairOf(p, s), p.pace.percent, ratio)
 		}
-		e.logDecision(p, "hold back", fmt.Sprintf("from %d%%, tail latency at %.2f of its target", p.pace.percent, strain))
-		e.setPace(now, p, int(part*float64(p.pace.percent)))
+		e.logDecision(p, "hold back", fmt.Sprintf("from %d%%, tail latency at %.2f of its target", p.pace.percent, ratio))
+		e.setPace(now, p, int(factor*float64(p.pace.percent)))
 		w.sharing.changedAt = now
 	}
 }
 
 // raisePace raises one run that fills, of the image that is tolerated best.
-func (e *Engine) raisePace(now time.Duration, w *worker, serving, filling []*placement) {
+func (e *Engine) raisePace(now time.Duration, w *worker, sensitive, bestEffort []*placement) {
 	var best *placement
-	for _, p := range filling {
-		for _, s := range serving {
+	for _, p := range bestEffort {
+		for _, s := range sensitive {
 			e.interference.observeTolerated(pairOf(p, s), p.pace.percent)
 		}
 		if p.state != placementRunning || p.pace.percent >= fullPace {
 			continue
 		}
-		if best == nil || e.toleratedPace(p, serving) > e.toleratedPace(best, serving) {
+		if best == nil || e.toleratedPace(p, sensitive) > e.toleratedPace(best, sensitive) {
 			best = p
 		}
 	}
 	if best == nil {
 		return
 	}
-	step := max(minRaiseStep, e.toleratedPace(best, serving)-best.pace.percent)
+	step := max(minRaiseStep, e.toleratedPace(best, sensitive)-best.pace.percent)
 	percent := min(fullPace, best.pace.percent+step)
 	e.logDecision(best, "let go", fmt.Sprintf("from %d%% to %d%%", best.pace.percent, percent))
 	e.setPace(now, best, percent)
@@ -217,16 +217,16 @@
 
 // toleratedPace returns the speed in percent at which p may fill beside all that serve; full
 // speed where nothing does.
-func (e *Engine) toleratedPace(p *placement, serving []*placement) int {
-	least := float64(fullPace)
-	for _, s := range serving {
-		least = min(least, e.interference.tolerance(pairOf(p, s)))
+func (e *Engine) toleratedPace(p *placement, sensitive []*placement) int {
+	lowest := float64(fullPace)
+	for _, s := range sensitive {
+		lowest = min(lowest, e.interference.tolerance(pairOf(p, s)))
 	}
-	return int(least)
+	return int(lowest)
 }
 
-func pairOf(fills, serves *placement) imagePair {
-	return imagePair{bestEffort: fills.unit.spec().Image, latencySensitive: serves.unit.spec().Image}
+func pairOf(bestEffort, sensitive *placement) imagePair {
+	return imagePair{bestEffort: bestEffort.unit.spec().Image, latencySensitive: sensitive.unit.spec().Image}
 }
 
 // initPaces sets speeds as p's start leaves: its own where it fills, that of what fills already
@@ -237,12 +237,12 @@
 	if !s.BestEffortCPU && s.TailLatencyTarget == 0 {
 		return
 	}
-	serving, filling := p.worker.colocatedPlacements()
-	for _, f := range filling {
+	sensitive, bestEffort := p.worker.colocatedPlacements()
+	for _, f := range bestEffort {
 		if s.BestEffortCPU && f != p || f.state == placementUnrecorded {
 			continue // its own start sets it
 		}
-		if tolerated := e.toleratedPace(f, serving); tolerated < f.pace.percent {
+		if tolerated := e.toleratedPace(f, sensitive); tolerated < f.pace.percent {
 			e.setPace(now, f, tolerated)
 			p.worker.sharing.changedAt = now
 		}
--- a/engine/sharing_sim_test.go
+++ b/engine/sharing_sim_test.go
@@ -41,25 +41,25 @@
 // advance lets time advance with runs of the given images.
 func (h *simHost) advance(now, by time.Duration, images map[workload.RunID]string) {
 	base := h.baseRatio(now)
-	strain := base
-	working := 0.0
+	ratio := base
+	totalPace := 0.0
 	for run, image := range images {
-		speed := float64(h.speeds[run]) / fullPace
-		strain += h.weights[image] * speed
-		working += speed
+		pace := float64(h.speeds[run]) / fullPace
+		ratio += h.weights[image] * pace
+		totalPace += pace
 	}
-	h.workTime += time.Duration(working * float64(by))
+	h.workTime += time.Duration(totalPace * float64(by))
 	h.totalTime += by
-	h.recentRatios = append(h.recentRatios, strain)
+	h.recentRatios = append(h.recentRatios, ratio)
 	if len(h.recentRatios) > 10 {
 		h.recentRatios = h.recentRatios[1:]
 	}
-	if strain <= 1 {
+	if ratio <= 1 {
 		h.violation = 0
 		return
 	}
 	h.violationTime += by
-	if base <= 1 && working > 0 {
+	if base <= 1 && totalPace > 0 {
 		h.violation += by
 		h.longestViolation = max(h.longestViolation, h.violation)
 	}
@@ -76,7 +76,7 @@
 
 // simulateHost plays two minutes of a worker on which a task serves users and three others
 // fill. fixed sets the speed of these; below 0 the engine does.
-func simulateHost(t *testing.T, seed uint64, fixed int) *simHost {
+func simulateHost(t *testing.T, seed uint64, fixedPace int) *simHost {
 	h := &simHost{rng: rand.New(rand.NewPCG(seed, 11)), speeds: map[workload.RunID]int{}, weights: map[string]float64{}}
 	h.phase = 6 * h.rng.Float64()
 	d := newDriver(t, 1)
@@ -100,7 +100,7 @@
 			}
 		}
 		if d.now%(100*time.Millisecond) == 0 {
-			h.applyPaces(d, images, fixed) // orders take a tenth of a second
+			h.applyPaces(d, images, fixedPace) // orders take a tenth of a second
 		}
 		h.advance(d.now, step, images)
 		if d.now%(450*time.Millisecond) == 0 {
@@ -111,16 +111,16 @@
 	return h
 }
 
-func (h *simHost) applyPaces(d *driver, images map[workload.RunID]string, fixed int) {
+func (h *simHost) applyPaces(d *driver, images map[workload.RunID]string, fixedPace int) {
 	for run := range images {
 		if _, known := h.speeds[run]; !known {
 			h.speeds[run] = fullPace
 		}
-		if fixed >= 0 {
-			h.speeds[run] = fixed
+		if fixedPace >= 0 {
+			h.speeds[run] = fixedPace
 		}
 	}
-	if fixed < 0 {
+	if fixedPace < 0 {
 		for _, p := range d.paces {
 			h.speeds[p.Run] = p.Percent
 		}
@@ -135,26 +135,26 @@
 func TestPaceControlAgainstBaselines(t *testing.T) {
 	const seeds = 20
 	type sum struct{ worked, overTime, longest float64 }
-	play := func(fixed int) sum {
+	simulate := func(fixedPace int) sum {
 		var s sum
 		for seed := range uint64(seeds) {
-			h := simulateHost(t, seed, fixed)
+			h := simulateHost(t, seed, fixedPace)
 			s.worked += h.workTime.Seconds() / h.totalTime.Seconds() / seeds
 			s.overTime += h.violationTime.Seconds() / h.totalTime.Seconds() / seeds
 			s.longest = max(s.longest, h.longestViolation.Seconds())
 		}
 		return s
 	}
-	never, full, candidate := play(0), play(100), play(-1)
+	paused, full, controlled := simulate(0), simulate(100), simulate(-1)
 	for _, row := range []struct {
 		name string
 		sum  sum
-	}{{"never", never}, {"full speed", full}, {"held back", candidate}} {
+	}{{"never", paused}, {"full speed", full}, {"held back", controlled}} {
 		t.Logf("%-10s work of %.2f tasks, %.3f of the time over the target, longest %.2f s", row.name, row.sum.worked, row.sum.overTime, row.sum.longest)
 	}
 	c := qt.New(t)
-	c.Check(candidate.longest < 4, qt.IsTrue)
-	c.Check(candidate.overTime < 0.05, qt.IsTrue)
-	c.Check(candidate.worked > 0.5, qt.IsTrue)
-	c.Check(full.overTime > 10*candidate.overTime, qt.IsTrue)
+	c.Check(controlled.longest < 4, qt.IsTrue)
+	c.Check(controlled.overTime < 0.05, qt.IsTrue)
+	c.Check(controlled.worked > 0.5, qt.IsTrue)
+	c.Check(full.overTime > 10*controlled.overTime, qt.IsTrue)
 }
--- a/engine/sharing_test.go
+++ b/engine/sharing_test.go
@@ -30,37 +30,37 @@
 
 // colocatedDriver returns a desk with one worker, on which a task that serves users runs and
 // another fills.
-func colocatedDriver(t *testing.T) (d *driver, service, fills workload.JobID) {
+func colocatedDriver(t *testing.T) (d *driver, service, bestEffort workload.JobID) {
 	d = newDriver(t, 1)
 	service = d.submit(1, "", latencySensitiveStep(1))
 	d.settle()
-	fills = d.submit(2, "", bestEffortStep(1))
+	bestEffort = d.submit(2, "", bestEffortStep(1))
 	d.settle()
-	return d, service, fills
+	return d, service, bestEffort
 }
 
 // reportFor lets every worker report for a while, with the tail latency of what serves as
 // given in parts of its target.
-func (d *driver) reportFor(by time.Duration, strain func(now time.Duration) float64) {
+func (d *driver) reportFor(by time.Duration, ratio func(now time.Duration) float64) {
 	for end := d.now + by; d.now < end; d.now += 100 * time.Millisecond {
 		if d.now%(500*time.Millisecond) == 0 {
 			for _, w := range d.e.sortedWorkers() {
-				d.report(d.pollReport(w, strain(d.now)))
+				d.report(d.pollReport(w, ratio(d.now)))
 			}
 		}
 		d.tick()
 	}
 }
 
-func (d *driver) pollReport(w *worker, strain float64) Report {
+func (d *driver) pollReport(w *worker, ratio float64) Report {
 	r := Report{Epoch: d.e.epoch, Polled: true, Worker: w.info}
 	for _, p := range w.sortedPlacements() {
-		row := RunStatus{Run: p.runID(), Percent: min(p.rate.lastPercent+1, 98)}
+		status := RunStatus{Run: p.runID(), Percent: min(p.rate.lastPercent+1, 98)}
 		if p.unit.spec().TailLatencyTarget > 0 {
-			row.Percent = 100
-			row.Load = int(strain * float64(tailTarget/time.Millisecond))
+			status.Percent = 100
+			status.Load = int(ratio * float64(tailTarget/time.Millisecond))
 		}
-		r.Running = append(r.Running, row)
+		r.Running = append(r.Running, status)
 	}
 	return r
 }
@@ -84,8 +84,8 @@
 	return out
 }
 
-func constant(strain float64) func(time.Duration) float64 {
-	return func(time.Duration) float64 { return strain }
+func constant(ratio float64) func(time.Duration) float64 {
+	return func(time.Duration) float64 { return ratio }
 }
 
 // A task that fills starts beside one that serves users and would double its response
@@ -174,16 +174,16 @@
 	d := newDriver(t, 2)
 	d.submit(1, "", latencySensitiveStep(1))
 	d.settle()
-	var serves WorkerID
+	var sensitiveWorker WorkerID
 	for run, w := range d.startedOn {
 		if run.Task.Step == 0 {
-			serves = w
+			sensitiveWorker = w
 		}
 	}
 	id := d.submit(2, "", bestEffortStep(1))
 	d.settle()
 	for w := range d.runs(id) {
-		c.Check(w, qt.Not(qt.Equals), serves)
+		c.Check(w, qt.Not(qt.Equals), sensitiveWorker)
 	}
 }
 
--- a/engine/shortcut_test.go
+++ b/engine/shortcut_test.go
@@ -52,7 +52,7 @@
 // save time and change no decision.
 func TestEvictionSearchCacheKeepsDecisions(t *testing.T) {
 	c := qt.New(t)
-	evicting, full := 0, 0
+	evictions, fullSets := 0, 0
 	for seed := range uint64(300) {
 		d, u := crowdedDriver(t, rand.New(rand.NewPCG(seed, 3)))
 		r := d.e.newRound(d.now)
@@ -61,7 +61,7 @@
 		got := r.planEviction(u, r.usable)
 		c.Assert(got != nil, qt.Equals, ok, qt.Commentf("seed %d", seed))
 		if ok {
-			evicting++
+			evictions++
 			c.Assert(got.cost, qt.Equals, cost, qt.Commentf("seed %d", seed))
 			c.Assert(len(got.victims), qt.Equals, len(victims), qt.Commentf("seed %d", seed))
 		}
@@ -69,7 +69,7 @@
 			if !u.cannotFit(set) {
 				continue
 			}
-			full++
+			fullSets++
 			slots := 0
 			for _, w := range set.workers {
 				slots += r.slots(u, w, r.availableFor(u, w))
@@ -77,5 +77,5 @@
 			c.Assert(slots < u.size, qt.IsTrue, qt.Commentf("seed %d", seed))
 		}
 	}
-	c.Check(evicting > 50 && full > 50, qt.IsTrue, qt.Commentf("%d evictions, %d full sets", evicting, full))
+	c.Check(evictions > 50 && fullSets > 50, qt.IsTrue, qt.Commentf("%d evictions, %d full sets", evictions, fullSets))
 }
--- a/engine/silent_test.go
+++ b/engine/silent_test.go
@@ -9,7 +9,7 @@
 
 // reportUnresponsive lets the worker id stay silent for a while: its agent reports every few
 // milliseconds that the lease it knows ends at end. The other workers report as usual.
-func (d *driver) reportUnresponsive(id WorkerID, by, end time.Duration, known bool) {
+func (d *driver) reportUnresponsive(id WorkerID, by, leaseEnd time.Duration, leaseKnown bool) {
 	info := d.e.workers[id].info
 	const between = 20 * time.Millisecond
 	for until := d.now + by; d.now < until; d.now += between {
@@ -18,9 +18,9 @@
 				d.reportProgress(w.info.ID)
 			}
 		}
-		r := Report{Epoch: 1, Worker: info, Unresponsive: true, LeaseKnown: known}
-		if known {
-			r.LeaseRemaining = end - d.now
+		r := Report{Epoch: 1, Worker: info, Unresponsive: true, LeaseKnown: leaseKnown}
+		if leaseKnown {
+			r.LeaseRemaining = leaseEnd - d.now
 		}
 		d.report(r)
 		d.tick()
@@ -58,12 +58,12 @@
 	id := d.submit(1, "", taskStep(1, 8))
 	d.settle()
 	d.advance(500 * time.Millisecond)
-	silent := d.startedOn[d.starts[0].Run]
+	unresponsive := d.startedOn[d.starts[0].Run]
 	granted := d.now
-	d.reportUnresponsive(silent, 5*time.Second, 0, false)
-	c.Check(d.runs(id)[silent], qt.HasLen, 1, qt.Commentf("it may still run there"))
-	d.reportUnresponsive(silent, d.e.params.leaseExpiry(granted)-d.now+time.Second, 0, false)
-	c.Check(d.runs(id)[silent], qt.HasLen, 0)
+	d.reportUnresponsive(unresponsive, 5*time.Second, 0, false)
+	c.Check(d.runs(id)[unresponsive], qt.HasLen, 1, qt.Commentf("it may still run there"))
+	d.reportUnresponsive(unresponsive, d.e.params.leaseExpiry(granted)-d.now+time.Second, 0, false)
+	c.Check(d.runs(id)[unresponsive], qt.HasLen, 0)
 }
 
 // The agent beside a worker that does not answer was started again. The answer to its first
@@ -76,16 +76,16 @@
 	id := d.submit(1, "", taskStep(1, 8))
 	d.settle()
 	d.advance(500 * time.Millisecond)
-	silent := d.startedOn[d.starts[0].Run]
-	info := d.e.workers[silent].info
+	unresponsive := d.startedOn[d.starts[0].Run]
+	info := d.e.workers[unresponsive].info
 	d.now += 5 * time.Second
-	v := d.report(Report{Epoch: 1, Worker: info, Unresponsive: true, ExtendingLease: true})
-	c.Check(v.Attached, qt.IsTrue)
+	answer := d.report(Report{Epoch: 1, Worker: info, Unresponsive: true, ExtendingLease: true})
+	c.Check(answer.Attached, qt.IsTrue)
 	granted := d.now
-	d.reportUnresponsive(silent, 5*time.Second, 0, false)
-	c.Check(d.runs(id)[silent], qt.HasLen, 1, qt.Commentf("the lease may last for six seconds from the grant"))
-	v = d.report(Report{Epoch: 1, Worker: info, Unresponsive: true})
-	c.Check(v.Attached, qt.IsFalse, qt.Commentf("nothing is granted that is not counted"))
-	d.reportUnresponsive(silent, d.e.params.leaseExpiry(granted)-d.now+time.Second, 0, false)
-	c.Check(d.runs(id)[silent], qt.HasLen, 0)
+	d.reportUnresponsive(unresponsive, 5*time.Second, 0, false)
+	c.Check(d.runs(id)[unresponsive], qt.HasLen, 1, qt.Commentf("the lease may last for six seconds from the grant"))
+	answer = d.report(Report{Epoch: 1, Worker: info, Unresponsive: true})
+	c.Check(answer.Attached, qt.IsFalse, qt.Commentf("nothing is granted that is not counted"))
+	d.reportUnresponsive(unresponsive, d.e.params.leaseExpiry(granted)-d.now+time.Second, 0, false)
+	c.Check(d.runs(id)[unresponsive], qt.HasLen, 0)
 }
--- a/engine/sim_cordon_test.go
+++ b/engine/sim_cordon_test.go
@@ -62,10 +62,10 @@
 }
 
 // updateCordons lets the planner updateCordons of cordons.
-func (w *simWorld) updateCordons(news catalog.Cordons) {
-	if news.Revision > w.cordons.known.Revision {
-		w.cordons.previous, w.cordons.known = w.cordons.known, news
-		w.engine.HandleEvent(w.now, CordonsChanged{news})
+func (w *simWorld) updateCordons(cordons catalog.Cordons) {
+	if cordons.Revision > w.cordons.known.Revision {
+		w.cordons.previous, w.cordons.known = w.cordons.known, cordons
+		w.engine.HandleEvent(w.now, CordonsChanged{cordons})
 	}
 }
 
@@ -74,11 +74,11 @@
 	w.cordons.since = map[string]time.Duration{}
 	for range 4 + w.rng.IntN(8) {
 		at := time.Duration(w.rng.Int64N(int64(end)))
-		d := time.Duration(500+w.rng.IntN(8000)) * time.Millisecond
+		duration := time.Duration(500+w.rng.IntN(8000)) * time.Millisecond
 		for _, z := range w.rng.Perm(3)[:1+w.rng.IntN(3)] {
 			zone := fmt.Sprint("z", z)
 			w.events = append(w.events, simEvent{at, func() { w.setCordon(zone, true) }})
-			w.events = append(w.events, simEvent{at + d, func() { w.setCordon(zone, false) }})
+			w.events = append(w.events, simEvent{at + duration, func() { w.setCordon(zone, false) }})
 		}
 	}
 }
@@ -92,8 +92,8 @@
 	} else if !before {
 		w.cordons.since[zone] = w.now
 	}
-	news := catalog.Cordons{Zones: slices.Sorted(maps.Keys(w.cordons.since)), Revision: w.cordons.revision}
-	w.after(time.Duration(w.rng.Int64N(int64(simCordonDelay))), func() { w.updateCordons(news) })
+	cordons := catalog.Cordons{Zones: slices.Sorted(maps.Keys(w.cordons.since)), Revision: w.cordons.revision}
+	w.after(time.Duration(w.rng.Int64N(int64(simCordonDelay))), func() { w.updateCordons(cordons) })
 }
 
 // orderLatency is how long an order takes to its agent.
@@ -105,9 +105,9 @@
 }
 
 // updateCordons takes what the planner knew when it answered a report.
-func (w *simWorker) updateCordons(told catalog.Cordons) {
-	if told.Revision > w.cordons.Revision {
-		w.cordons = told
+func (w *simWorker) updateCordons(known catalog.Cordons) {
+	if known.Revision > w.cordons.Revision {
+		w.cordons = known
 	}
 }
 
--- a/engine/sim_crash_test.go
+++ b/engine/sim_crash_test.go
@@ -66,14 +66,14 @@
 
 // notePoll notes what the agent sees.
 func (w *simWorker) notePoll(now time.Duration, r Report) {
-	from := map[workload.RunID]time.Duration{}
+	seenSince := map[workload.RunID]time.Duration{}
 	for _, row := range r.Running {
-		from[row.Run] = now
-		if before, shown := w.seenSince[row.Run]; shown {
-			from[row.Run] = before
+		seenSince[row.Run] = now
+		if since, shown := w.seenSince[row.Run]; shown {
+			seenSince[row.Run] = since
 		}
 	}
-	w.seenSince, w.lastPolledAt, w.lastEnded = from, now, r.Ended
+	w.seenSince, w.lastPolledAt, w.lastEnded = seenSince, now, r.Ended
 }
 
 // crashDelay says whether a task crashes its workers, and how long after its start. It hangs
@@ -82,15 +82,15 @@
 	if w.crashes.share == 0 {
 		return 0, false
 	}
-	sum := 0
+	hash := 0
 	for _, b := range []byte(task.Job) {
-		sum = 31*sum + int(b)
+		hash = 31*hash + int(b)
 	}
-	sum = (sum + 7*task.Step) % 7919
-	if sum%w.crashes.share != 0 || task.Index != 0 {
+	hash = (hash + 7*task.Step) % 7919
+	if hash%w.crashes.share != 0 || task.Index != 0 {
 		return 0, false
 	}
-	if sum%5 == 0 {
+	if hash%5 == 0 {
 		return 1300 * time.Millisecond, true
 	}
 	return 10 * time.Millisecond, true
@@ -115,9 +115,9 @@
 			return
 		}
 		w.counts["crashes"]++
-		broken := sw.sorted()
+		lost := sw.sorted()
 		w.crash(slices.Index(w.workers, sw))
-		for _, r := range broken {
+		for _, r := range lost {
 			w.endGang(r) // its members elsewhere see it end
 		}
 	})
--- a/engine/sim_names_test.go
+++ b/engine/sim_names_test.go
@@ -121,16 +121,16 @@
 const fenceDelay = 30 * time.Millisecond
 
 // succeed makes w the life after another one. Its agent may have been lost with that.
-func (w *simWorker) succeed(before *simWorker) {
+func (w *simWorker) succeed(previous *simWorker) {
 	if w.info.Name == "" {
 		return
 	}
-	w.previous, before.next = before, w
-	w.cut = before.cut
+	w.previous, previous.next = previous, w
+	w.cut = previous.cut
 	if w.world.rng.IntN(3) == 0 {
 		return
 	}
-	w.orderFence = before.orderFence
+	w.orderFence = previous.orderFence
 	w.orderFence.Generation += GenerationStep
 	w.world.after(time.Duration(w.world.rng.Int64N(int64(fenceDelay))), func() { w.raiseFence(w.orderFence) })
 }
--- a/engine/sim_rules_test.go
+++ b/engine/sim_rules_test.go
@@ -104,15 +104,15 @@
 
 // noteAckedEnd: the planner took note of an end. Where the lease lapsed before, it counts as
 // not having been.
-func (w *simWorld) noteAckedEnd(row RunEnd, void bool) {
+func (w *simWorld) noteAckedEnd(end RunEnd, void bool) {
 	if void {
 		return
 	}
-	switch row.Reason {
+	switch end.Reason {
 	case EndDone:
-		w.ackedDone[row.Run.Task] = true
+		w.ackedDone[end.Run.Task] = true
 	case EndFailed:
-		w.ackedFailures[row.Run.Task]++
+		w.ackedFailures[end.Run.Task]++
 	}
 }
 
--- a/engine/sim_test.go
+++ b/engine/sim_test.go
@@ -125,7 +125,7 @@
 // planFaults plans what goes wrong until end.
 func (w *simWorld) planFaults(end time.Duration) {
 	at := func() time.Duration { return time.Duration(w.rng.Int64N(int64(end))) }
-	span := func(most int) time.Duration { return time.Duration(200+w.rng.IntN(most)) * time.Millisecond }
+	span := func(maxMillis int) time.Duration { return time.Duration(200+w.rng.IntN(maxMillis)) * time.Millisecond }
 	for range w.rng.IntN(5) {
 		w.events = append(w.events, simEvent{at(), w.takeOver})
 	}
--- a/engine/sim_worker_test.go
+++ b/engine/sim_worker_test.go
@@ -111,11 +111,11 @@
 	delete(w.running, r.id.Task)
 	w.highestRun[r.id.Task] = max(w.highestRun[r.id.Task], r.id.Number)
 	w.lastEnd++
-	row := RunEnd{Sequence: w.lastEnd, Run: r.id, Reason: why}
+	end := RunEnd{Sequence: w.lastEnd, Run: r.id, Reason: why}
 	if r.step.Checkpoints && why != EndDone {
-		row.Checkpoint = fmt.Sprintf("%s-%d", r.id.Task, r.id.Number)
+		end.Checkpoint = fmt.Sprintf("%s-%d", r.id.Task, r.id.Number)
 	}
-	w.ended = append(w.ended, row)
+	w.ended = append(w.ended, end)
 	if w.world.crashes.share > 0 {
 		w.lastEnded = slices.Clone(w.ended) // the agent's looks wait for ends
 	}
@@ -185,9 +185,9 @@
 		}
 		r.Running = append(r.Running, RunStatus{Run: run.id, Percent: min(percent, 99)})
 	}
-	for _, row := range w.ended {
-		row.Void = row.Sequence <= w.voidEnds
-		r.Ended = append(r.Ended, row)
+	for _, end := range w.ended {
+		end.Void = end.Sequence <= w.voidEnds
+		r.Ended = append(r.Ended, end)
 	}
 	w.notePoll(now, r)
 	r.ConfirmedAbsent = w.absent
@@ -196,12 +196,12 @@
 }
 
 // handleAnswer takes the planner's answer to a report sent at time sent.
-func (w *simWorker) handleAnswer(now, sent time.Duration, epoch uint64, v ReportAnswer) {
+func (w *simWorker) handleAnswer(now, sent time.Duration, epoch uint64, answer ReportAnswer) {
 	if epoch < w.orderFence.Epoch || w.dead {
 		return
 	}
-	w.raiseFence(Fence{Epoch: epoch, Generation: v.Generation})
-	if !v.Attached {
+	w.raiseFence(Fence{Epoch: epoch, Generation: answer.Generation})
+	if !answer.Attached {
 		return
 	}
 	if until := sent + simMaxLease; until > w.grantedUntil {
@@ -210,11 +210,11 @@
 			w.leaseEnd = max(w.leaseEnd, until)
 		}
 	}
-	w.forgetEnds(v.AckedEnds)
+	w.forgetEnds(answer.AckedEnds)
 }
 
-func (w *simWorker) forgetEnds(seen int64) {
-	w.ackedEnds = max(w.ackedEnds, seen)
+func (w *simWorker) forgetEnds(acked int64) {
+	w.ackedEnds = max(w.ackedEnds, acked)
 	for len(w.ended) > 0 && w.ended[0].Sequence <= w.ackedEnds {
 		w.world.noteAckedEnd(w.ended[0], w.ended[0].Sequence <= w.voidEnds)
 		w.ended = w.ended[1:]
--- a/engine/sim_world_test.go
+++ b/engine/sim_world_test.go
@@ -341,12 +341,12 @@
 			if e != w.engine || sw.cut {
 				return
 			}
-			v := e.Report(w.now, r)
-			told := w.cordons.known
+			answer := e.Report(w.now, r)
+			cordons := w.cordons.known
 			w.after(w.latency(), func() {
 				if !sw.cut {
-					sw.handleAnswer(w.now, sent, e.epoch, v)
-					sw.updateCordons(told)
+					sw.handleAnswer(w.now, sent, e.epoch, answer)
+					sw.updateCordons(cordons)
 				}
 			})
 		})
--- a/engine/spent.go
+++ b/engine/spent.go
@@ -39,40 +39,40 @@
 
 // mainReason names the part that weighs most.
 func (s timeBreakdown) mainReason() LateReason {
-	reason, most := LateByEarlierWork, time.Duration(0)
+	reason, longest := LateByEarlierWork, time.Duration(0)
 	for _, part := range []struct {
 		reason LateReason
 		took   time.Duration
 	}{{LateByCapacity, s.capacityWait}, {LateByStore, s.storeWait}, {LateByRerun, s.discardedRuns}} {
-		if part.took > most {
-			reason, most = part.reason, part.took
+		if part.took > longest {
+			reason, longest = part.reason, part.took
 		}
 	}
 	return reason
 }
 
-func (s timeBreakdown) detail(over, declared time.Duration) string {
+func (s timeBreakdown) detail(lateBy, declared time.Duration) string {
 	return fmt.Sprintf("%d ms late; room %d ms, store %d ms, runs in vain %d ms, run %d ms of %d declared",
-		over.Milliseconds(), s.capacityWait.Milliseconds(), s.storeWait.Milliseconds(),
+		lateBy.Milliseconds(), s.capacityWait.Milliseconds(), s.storeWait.Milliseconds(),
 		s.discardedRuns.Milliseconds(), s.finalRun.Milliseconds(), declared.Milliseconds())
 }
 
 // actualCriticalPath is the longest chain of work of a job whose last unit has just ended, with
 // what that took in the place of what was expected.
 func (e *Engine) actualCriticalPath(last *unit) time.Duration {
-	chain := e.criticalPath(last.job)
+	path := e.criticalPath(last.job)
 	if last.times.finalRun > 0 {
-		chain += last.times.finalRun - e.estimate(last)
+		path += last.times.finalRun - e.estimate(last)
 	}
-	return chain
+	return path
 }
 
 // reportLate reports why a job that its unit last has just completed missed its objective. That
 // allows for the time that the work took, so a run that was longer than declared is no reason.
 func (e *Engine) reportLate(now time.Duration, last *unit) {
 	j := last.job
-	over := now - j.objectiveFor(e.actualCriticalPath(last))
-	if over <= 0 {
+	lateBy := now - j.objectiveFor(e.actualCriticalPath(last))
+	if lateBy <= 0 {
 		return
 	}
 	declared := last.spec().Estimate
@@ -81,6 +81,6 @@
 		Account: j.spec.Account,
 		Queue:   j.spec.Queue,
 		Reason:  last.times.mainReason(),
-		Detail:  last.times.detail(over, declared),
+		Detail:  last.times.detail(lateBy, declared),
 	})
 }
--- a/engine/stuck_test.go
+++ b/engine/stuck_test.go
@@ -31,13 +31,13 @@
 	d.submit(1, "", taskStep(1, 8))
 	d.settle()
 	d.advance(time.Second)
-	still := d.submit(1, "", taskStep(1, 8))
+	stuck := d.submit(1, "", taskStep(1, 8))
 	d.settle()
 	from := d.now
 	for len(d.stops) == 0 && d.now-from < minStuckTimeUnproven {
 		for _, w := range d.e.sortedWorkers() {
 			d.reportRuns(w.info.ID, func(p *placement) RunStatus {
-				if p.unit.job.spec.ID == still {
+				if p.unit.job.spec.ID == stuck {
 					return RunStatus{}
 				}
 				return RunStatus{Percent: p.rate.lastPercent + 1}
@@ -47,7 +47,7 @@
 		d.tick()
 	}
 	c.Assert(d.stops, qt.HasLen, 1)
-	c.Check(d.stops[0].Task.Job, qt.Equals, still)
+	c.Check(d.stops[0].Task.Job, qt.Equals, stuck)
 	c.Check(d.now-from < 2*time.Second, qt.IsTrue, qt.Commentf("%v", d.now-from))
 }
 
@@ -86,15 +86,15 @@
 	d := newDriver(t, 2)
 	d.submit(1, "", taskStep(1, 8))
 	d.settle()
-	on := d.startedOn[d.starts[0].Run]
-	d.reportProgress(on)
+	worker := d.startedOn[d.starts[0].Run]
+	d.reportProgress(worker)
 	for range 50 {
 		d.now += 100 * time.Millisecond
-		d.report(Report{Epoch: 1, Worker: d.e.workers[on].info, Unresponsive: true, LeaseKnown: true, LeaseRemaining: 5 * time.Second})
+		d.report(Report{Epoch: 1, Worker: d.e.workers[worker].info, Unresponsive: true, LeaseKnown: true, LeaseRemaining: 5 * time.Second})
 		d.tick()
 	}
 	c.Check(d.stops, qt.HasLen, 0)
-	d.reportProgress(on)
+	d.reportProgress(worker)
 	d.tick()
 	c.Check(d.stops, qt.HasLen, 0)
 }
--- a/engine/succession.go
+++ b/engine/succession.go
@@ -27,24 +27,24 @@
 }
 
 // supersedeReplaced ends the life that an agent reported before, as it now reports another one.
-func (e *Engine) supersedeReplaced(now time.Duration, before WorkerID, info WorkerInfo) {
-	w := e.workers[before]
+func (e *Engine) supersedeReplaced(now time.Duration, previous WorkerID, info WorkerInfo) {
+	w := e.workers[previous]
 	if w != nil && w.info.SharesName(info) {
-		e.supersede(w, e.departureOfReplaced(before), crashEvidence{})
+		e.supersede(w, e.departureOfReplaced(previous), crashEvidence{})
 		return
 	}
-	e.endIncarnation(now, before, e.departureOfReplaced(before), crashEvidence{})
+	e.endIncarnation(now, previous, e.departureOfReplaced(previous), crashEvidence{})
 }
 
 // supersede notes that a life is over, as far as anybody has said, and that another one of
 // its name follows. The first word on how it ended stands, unless it was not the agent's.
-func (e *Engine) supersede(w *worker, how Departure, t crashEvidence) {
+func (e *Engine) supersede(w *worker, how Departure, evidence crashEvidence) {
 	w.attached = false
 	if w.supersession == nil {
 		e.superseded[w.info.Agent] = append(e.superseded[w.info.Agent], w)
 	}
 	if w.supersession == nil || !w.supersession.evidence.known {
-		w.supersession = &supersession{how: how, evidence: t}
+		w.supersession = &supersession{how: how, evidence: evidence}
 	}
 }
 
@@ -62,9 +62,9 @@
 
 // noteGeneration notes a turn that the agent has raised by itself, for an agent that is started again
 // beside the worker, and for the lives to come.
-func (e *Engine) noteGeneration(w *worker, turn uint64) {
-	w.generation = max(w.generation, turn)
-	e.lastGeneration = max(e.lastGeneration, turn)
+func (e *Engine) noteGeneration(w *worker, generation uint64) {
+	w.generation = max(w.generation, generation)
+	e.lastGeneration = max(e.lastGeneration, generation)
 }
 
 // settleSuperseded settles the lives that w follows, with its first look under its own fence.
--- a/engine/tick.go
+++ b/engine/tick.go
@@ -79,12 +79,12 @@
 	if p.worker.unresponsive || now-p.worker.lastPolledAt > maxPollAge {
 		return false // what was seen last says nothing of now
 	}
-	least := minStuckTimeUnproven
+	minTime := minStuckTimeUnproven
 	if e.tracker.progressQueues[p.unit.job.spec.Queue] {
-		least = minStuckTime
+		minTime = minStuckTime
 	}
-	patience := max(time.Duration(stuckEstimateShare*float64(e.estimate(p.unit))), least)
-	return now-p.progressedAt > patience<<p.unit.stallCount
+	limit := max(time.Duration(stuckEstimateShare*float64(e.estimate(p.unit))), minTime)
+	return now-p.progressedAt > limit<<p.unit.stallCount
 }
 
 func (e *Engine) tickJob(now time.Duration, j *job) {
@@ -92,9 +92,9 @@
 		e.ageEndedJob(now, j)
 		return
 	}
-	before := j.createdOccurrences
+	created := j.createdOccurrences
 	e.createDueOccurrences(now, j)
-	if j.createdOccurrences != before {
+	if j.createdOccurrences != created {
 		e.markChanged(j)
 		j.unblockUnits(now)
 		e.planNeeded = true
--- a/engine/tracker.go
+++ b/engine/tracker.go
@@ -28,8 +28,8 @@
 }
 
 // observeStop takes how long a observeStop task took to end.
-func (t *durationTracker) observeStop(took time.Duration) {
-	t.stopTime = time.Duration((1-stopTimeWeight)*float64(t.stopTime) + stopTimeWeight*float64(took))
+func (t *durationTracker) observeStop(elapsed time.Duration) {
+	t.stopTime = time.Duration((1-stopTimeWeight)*float64(t.stopTime) + stopTimeWeight*float64(elapsed))
 }
 
 // learnRunTime takes the length of a run that began at the start and ended well; of a gang's, that
@@ -65,8 +65,8 @@
 // criticalPath returns how long the longest criticalPath of work of a job is expected to take.
 func (e *Engine) criticalPath(j *job) time.Duration {
 	longest := time.Duration(0)
-	for _, chain := range e.criticalPaths(j) {
-		longest = max(longest, chain)
+	for _, path := range e.criticalPaths(j) {
+		longest = max(longest, path)
 	}
 	return longest
 }
@@ -89,10 +89,10 @@
 	if left, ok := p.rate.remaining(now); ok {
 		return max(left, minRemaining)
 	}
-	whole := e.estimate(p.unit)
+	estimate := e.estimate(p.unit)
 	if p.state != placementRunning {
-		return whole
+		return estimate
 	}
 	undone := float64(100-min(p.rate.lastPercent, 100)) / 100
-	return max(time.Duration(float64(whole)*undone)-(now-p.progressedAt), minRemaining)
+	return max(time.Duration(float64(estimate)*undone)-(now-p.progressedAt), minRemaining)
 }
--- a/engine/tracker_test.go
+++ b/engine/tracker_test.go
@@ -19,8 +19,8 @@
 	d.advance(time.Second)
 	d.takeOver()
 	runs := map[WorkerID][]RunEnd{}
-	for worker, there := range d.runs(id) {
-		for i, run := range there {
+	for worker, listed := range d.runs(id) {
+		for i, run := range listed {
 			runs[worker] = append(runs[worker], RunEnd{Sequence: int64(i + 1), Run: run, Reason: EndDone})
 		}
 	}
--- a/engine/unfit.go
+++ b/engine/unfit.go
@@ -24,11 +24,11 @@
 		return
 	}
 	j.unschedulableCheckAt = now + unschedulableCheckInterval
-	why := e.unschedulableReason(j)
-	if why != "" && why != j.unschedulableReason {
-		e.logJobDecision(j, "fits no worker", why)
+	reason := e.unschedulableReason(j)
+	if reason != "" && reason != j.unschedulableReason {
+		e.logJobDecision(j, "fits no worker", reason)
 	}
-	j.unschedulableReason = why
+	j.unschedulableReason = reason
 }
 
 // unschedulableReason returns why no set of workers known could hold a unit of the job that waits, and
@@ -38,8 +38,8 @@
 		if u.state != unitWaiting {
 			continue
 		}
-		if why := e.unschedulableUnit(u); why != "" {
-			return why
+		if reason := e.unschedulableUnit(u); reason != "" {
+			return reason
 		}
 	}
 	return ""
@@ -47,23 +47,23 @@
 
 func (e *Engine) unschedulableUnit(u *unit) string {
 	s := u.spec()
-	room, known := 0, 0
+	fitting, workers := 0, 0
 	for _, w := range e.workers {
 		if w.info.Service != u.job.spec.Service || w.leaseExpired {
 			continue
 		}
-		known++
+		workers++
 		if w.hasLabel(s.Label) {
-			room += capPerWorker(s, s.Demand().CountFitting(w.info.Capacity, u.size))
+			fitting += capPerWorker(s, s.Demand().CountFitting(w.info.Capacity, u.size))
 		}
 	}
 	switch {
-	case known == 0:
+	case workers == 0:
 		return fmt.Sprintf("service %s has no worker", u.job.spec.Service)
-	case room == 0:
-		return fmt.Sprintf("a task of step %d (%+v, label %q) fits none of %d workers of service %s", u.step, s.Need, s.Label, known, u.job.spec.Service)
-	case room < u.size:
-		return fmt.Sprintf("step %d needs room for %d tasks at once, all workers together have it for %d", u.step, u.size, room)
+	case fitting == 0:
+		return fmt.Sprintf("a task of step %d (%+v, label %q) fits none of %d workers of service %s", u.step, s.Need, s.Label, workers, u.job.spec.Service)
+	case fitting < u.size:
+		return fmt.Sprintf("step %d needs room for %d tasks at once, all workers together have it for %d", u.step, u.size, fitting)
 	}
 	return ""
 }
--- a/engine/witness.go
+++ b/engine/witness.go
@@ -12,39 +12,39 @@
 }
 
 func (r *Report) crashEvidence() crashEvidence {
-	out := crashEvidence{known: r.Terminated && r.Polled, proven: map[workload.RunID]bool{}, ended: map[workload.RunID]bool{}}
-	for _, row := range r.Running {
-		out.proven[row.Run] = true
+	evidence := crashEvidence{known: r.Terminated && r.Polled, proven: map[workload.RunID]bool{}, ended: map[workload.RunID]bool{}}
+	for _, run := range r.Running {
+		evidence.proven[run.Run] = true
 	}
-	for _, row := range r.Ended {
-		out.ended[row.Run] = true
+	for _, end := range r.Ended {
+		evidence.ended[end.Run] = true
 	}
-	return out
+	return evidence
 }
 
 // mayHaveRun says whether the crash may have come mayHaveRun a run. One that was given up when the
 // lease lapsed may have been over for long; only the agent can tell.
-func (t crashEvidence) mayHaveRun(p *placement) bool {
-	if p.state == placementUnrecorded || p.unit.state == unitDone || t.ended[p.runID()] {
+func (ev crashEvidence) mayHaveRun(p *placement) bool {
+	if p.state == placementUnrecorded || p.unit.state == unitDone || ev.ended[p.runID()] {
 		return false // no order has left, or it was over
 	}
-	return t.known || !p.worker.leaseExpired
+	return ev.known || !p.worker.leaseExpired
 }
 
 // certainlyRan says whether the run was there when its worker crashed. An agent that was cut off,
 // or was lost with its worker, has not told of the ends of the last seconds.
-func (t crashEvidence) certainlyRan(p *placement) bool {
-	return p.state == placementRunning && (t.known || p.worker.unresponsive)
+func (ev crashEvidence) certainlyRan(p *placement) bool {
+	return p.state == placementRunning && (ev.known || p.worker.unresponsive)
 }
 
 // justStarted says whether a run is known to have been at work for less than ProvenAfter. Of what
 // a predecessor ordered and this planner never saw, only the agent can tell.
-func (t crashEvidence) justStarted(p *placement) bool {
+func (ev crashEvidence) justStarted(p *placement) bool {
 	switch {
-	case !t.mayHaveRun(p) || p.pastStartup():
+	case !ev.mayHaveRun(p) || p.pastStartup():
 		return false
-	case t.known:
-		return !t.proven[p.runID()]
+	case ev.known:
+		return !ev.proven[p.runID()]
 	}
 	return p.startedAt != 0 && p.worker.unresponsive
 }
@@ -52,21 +52,21 @@
 // blamedRuns returns the runs that a crash of their worker is blamed on: the fresh ones, and
 // of these the ones suspected most before. alone says that all that were fresh are of one
 // job.
-func (t crashEvidence) blamedRuns(places []*placement) (blamed map[*placement]bool, alone bool) {
-	var fresh []*placement
-	most := 0
-	alone = true
-	for _, p := range places {
-		if !t.justStarted(p) {
+func (ev crashEvidence) blamedRuns(placements []*placement) (blamed map[*placement]bool, sameJob bool) {
+	var started []*placement
+	maxEarly := 0
+	sameJob = true
+	for _, p := range placements {
+		if !ev.justStarted(p) {
 			continue
 		}
-		fresh = append(fresh, p)
-		most = max(most, p.unit.crashCountOf(p.index).startup)
-		alone = alone && p.unit.job == fresh[0].unit.job
+		started = append(started, p)
+		maxEarly = max(maxEarly, p.unit.crashCountOf(p.index).startup)
+		sameJob = sameJob && p.unit.job == started[0].unit.job
 	}
 	blamed = map[*placement]bool{}
-	for _, p := range fresh {
-		blamed[p] = p.unit.crashCountOf(p.index).startup == most
+	for _, p := range started {
+		blamed[p] = p.unit.crashCountOf(p.index).startup == maxEarly
 	}
-	return blamed, alone
+	return blamed, sameJob
 }
--- a/engine/worker.go
+++ b/engine/worker.go
@@ -35,8 +35,8 @@
 }
 
 // SharesName says whether both are lives of one worker that keeps its name.
-func (i *WorkerInfo) SharesName(o WorkerInfo) bool {
-	return i.Name != "" && i.Name == o.Name && i.Agent == o.Agent
+func (i *WorkerInfo) SharesName(other WorkerInfo) bool {
+	return i.Name != "" && i.Name == other.Name && i.Agent == other.Agent
 }
 
 // worker is the engine's view of one life of a worker.
@@ -148,11 +148,11 @@
 // advanceAckedEnds advances seen past the ends that are on record.
 func (w *worker) advanceAckedEnds() int64 {
 	for len(w.pendingEnds) > 0 {
-		p := w.pendingEnds[0]
-		if p.job != nil && p.job.storedVersion < p.version {
+		end := w.pendingEnds[0]
+		if end.job != nil && end.job.storedVersion < end.version {
 			break
 		}
-		w.ackedEnds = p.sequence
+		w.ackedEnds = end.sequence
 		w.pendingEnds = w.pendingEnds[1:]
 	}
 	return w.ackedEnds
--- a/engine/write.go
+++ b/engine/write.go
@@ -56,16 +56,16 @@
 }
 
 func (e *Engine) changedJobs() []*job {
-	var out []*job
+	var changed []*job
 	for id := range e.dirtyJobs {
 		if j := e.jobs[id]; j != nil && j.storedVersion < j.version {
-			out = append(out, j)
+			changed = append(changed, j)
 		}
 	}
-	slices.SortFunc(out, func(a, b *job) int {
+	slices.SortFunc(changed, func(a, b *job) int {
 		return cmp.Or(cmp.Compare(a.revision, b.revision), cmp.Compare(a.spec.ID, b.spec.ID))
 	})
-	return out
+	return changed
 }
 
 // addRemovals adds what is taken off the records.
