--- a/engine/crash_evidence.go
+++ b/engine/crash_evidence.go
@@ -2,10 +2,10 @@
 
 import "github.com/eelgrasshub/eelgrasshub/workload"
 
-// crashEvidence is what an agent knows of the runs of a worker that has crashed.
+// crashEvidence is what an agent knows about the runs of a crashed worker.
 type crashEvidence struct {
-	// known: the agent had looked at the worker. proven are then the runs that it had seen
-	// at work for ProvenAfter, ended those that were over before.
+	// known is set if the agent had polled the worker. proven then holds the runs that it had
+	// seen for StartupCrashWindow, and ended those that were over before the crash.
 	known  bool
 	proven map[workload.RunID]bool
 	ended  map[workload.RunID]bool
@@ -22,23 +22,23 @@
 	return evidence
 }
 
-// mayHaveRun says whether the crash may have come mayHaveRun a run. One that was given up when the
-// lease lapsed may have been over for long; only the agent can tell.
+// mayHaveRun reports whether a run may have been present when its worker crashed. If the
+// placement was ended by lease expiry, only the agent can tell.
 func (ev crashEvidence) mayHaveRun(p *placement) bool {
 	if p.state == placementUnrecorded || p.unit.state == unitDone || ev.ended[p.runID()] {
-		return false // no order has left, or it was over
+		return false // not ordered yet, or already over
 	}
 	return ev.known || !p.worker.leaseExpired
 }
 
-// certainlyRan says whether the run was there when its worker crashed. An agent that was cut off,
-// or was lost with its worker, has not told of the ends of the last seconds.
+// certainlyRan reports whether a run was present when its worker crashed. An agent that was cut
+// off or was lost with its worker did not report the ends of the last seconds.
 func (ev crashEvidence) certainlyRan(p *placement) bool {
 	return p.state == placementRunning && (ev.known || p.worker.unresponsive)
 }
 
-// justStarted says whether a run is known to have been at work for less than ProvenAfter. Of what
-// a predecessor ordered and this planner never saw, only the agent can tell.
+// justStarted reports whether a run is known to have been present for less than StartupCrashWindow.
+// For adopted runs that this planner never saw, only the agent can tell.
 func (ev crashEvidence) justStarted(p *placement) bool {
 	switch {
 	case !ev.mayHaveRun(p) || p.pastStartup():
@@ -49,9 +49,9 @@
 	return p.startedAt != 0 && p.worker.unresponsive
 }
 
-// blamedRuns returns the runs that a crash of their worker is blamed on: the fresh ones, and
-// of these the ones suspected most before. alone says that all that were fresh are of one
-// job.
+// blamedRuns returns the runs that a worker crash is blamed on: of those that had just started,
+// the ones with the most startup crashes so far. sameJob reports whether all that had just
+// started belong to one job.
 func (ev crashEvidence) blamedRuns(placements []*placement) (blamed map[*placement]bool, sameJob bool) {
 	var started []*placement
 	maxEarly := 0
--- a/engine/durations.go
+++ b/engine/durations.go
@@ -10,16 +10,17 @@
 // durationTracker learns how long runs and stops take.
 type durationTracker struct {
 	runTimes *runtimes.Model
-	// stopTime is how long stopped tasks lately took to end.
+	// stopTime is a moving average of the time that stopped tasks took to end.
 	stopTime time.Duration
-	// progressQueues are the queues of which a run has shown progress.
+	// progressQueues holds the queues of which a run has shown progress.
 	progressQueues map[string]bool
 }
 
 const (
-	// stopTimeWeight is the weight of the newest stop.
+	// stopTimeWeight is the weight of the newest stop in the average.
 	stopTimeWeight = 0.15
-	// minRemaining keeps a task that should have ended from counting as free.
+	// minRemaining is the shortest expected remaining time, so that an overdue run does not
+	// count as free.
 	minRemaining = 150 * time.Millisecond
 )
 
@@ -27,24 +28,23 @@
 	return durationTracker{runTimes: runtimes.New(), stopTime: stop, progressQueues: map[string]bool{}}
 }
 
-// observeStop takes how long a observeStop task took to end.
+// observeStop records how long a stopped task took to end.
 func (t *durationTracker) observeStop(elapsed time.Duration) {
 	t.stopTime = time.Duration((1-stopTimeWeight)*float64(t.stopTime) + stopTimeWeight*float64(elapsed))
 }
 
-// learnRunTime takes the length of a run that began at the start and ended well; of a gang's, that
-// of the member which is first to say so.
+// learnRunTime records the length of a completed run, for a gang that of the first member to
+// end.
 //
-// The failure it guards against: after a takeover the ends of runs that a predecessor
-// started would be learned with wrong lengths, of hours where the end came before the run
-// was seen, and all forecasts of their queue would be off for dozens of runs.
+// Adopted runs are skipped because their actual start times are unknown and would distort the
+// estimates of their queue.
 func (e *Engine) learnRunTime(now time.Duration, p *placement) {
 	if p.adopted {
-		return // how long it ran before this planner is not known
+		return // its actual start time is unknown
 	}
 	u := p.unit
 	if u.state == unitDone || u.spec().BestEffortCPU || u.spec().LongRunning || !e.params.Policy.LearnedRunTimes {
-		return // what fills takes what others leave
+		return // the run time of best-effort tasks depends on their neighbours
 	}
 	if u.checkpoint != "" && u.spec().Checkpoints && u.runNumber > 1 {
 		return
@@ -55,6 +55,7 @@
 // estimate returns how long a run of u is expected to take.
 func (e *Engine) estimate(u *unit) time.Duration { return e.expectedRunTime(u.job, u.spec()) }
 
+// expectedRunTime returns how long a run of a step is expected to take.
 func (e *Engine) expectedRunTime(j *job, s *workload.Step) time.Duration {
 	if s.BestEffortCPU {
 		return s.Estimate
@@ -62,7 +63,7 @@
 	return e.tracker.runTimes.Estimate(j.spec.Queue, s.Estimate)
 }
 
-// criticalPath returns how long the longest criticalPath of work of a job is expected to take.
+// criticalPath returns the expected length of a job's critical path.
 func (e *Engine) criticalPath(j *job) time.Duration {
 	longest := time.Duration(0)
 	for _, path := range e.criticalPaths(j) {
@@ -71,8 +72,8 @@
 	return longest
 }
 
-// criticalPaths returns how long the longest chain of work from each step on is expected to take.
-// The caller does not change the slice.
+// criticalPaths returns the expected length of the critical path from each step on. The caller
+// must not modify the slice.
 func (e *Engine) criticalPaths(j *job) []time.Duration {
 	if version := e.tracker.runTimes.Version(); j.criticalPaths == nil || j.criticalPathsVersion != version {
 		j.criticalPaths = j.spec.CriticalPaths(func(s *workload.Step) time.Duration { return e.expectedRunTime(j, s) })
@@ -81,7 +82,7 @@
 	return j.criticalPaths
 }
 
-// remaining returns how long a run is expected to go on.
+// remaining returns how long a run is expected to continue.
 func (e *Engine) remaining(now time.Duration, p *placement) time.Duration {
 	if p.stopping {
 		return max(e.params.StopTime-(now-p.stopSentAt), minRemaining)
--- a/engine/handle_report.go
+++ b/engine/handle_report.go
@@ -8,12 +8,12 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// maxMissedPolls is how many looks in a row may fail to show a running task before it is
-// stopped: a look may be overtaken by the start's own answer, but not three of them.
+// maxMissedPolls is the number of consecutive polls that may miss a running task before it is
+// stopped. A single poll may be overtaken by the answer to the start.
 const maxMissedPolls = 3
 
-// Report handles an agent's report and returns the answer to it, which extends the
-// worker's lease: the caller sends it at once.
+// Report processes an agent's report and returns the answer, which may extend the worker's
+// lease. The caller must send it without delay.
 func (e *Engine) Report(now time.Duration, r Report) ReportAnswer {
 	if r.Terminated {
 		e.handleTerminated(now, r)
@@ -27,7 +27,7 @@
 	w.lastReport = now
 	e.updateDrain(now, w, r)
 	if !attached {
-		// Nothing is granted: what the worker's lease allows is bounded already.
+		// No lease is granted; the expiry of the current one is already accounted for.
 		return ReportAnswer{Generation: w.generation, AckedEnds: w.ackedEnds}
 	}
 	first := !w.attached
@@ -46,8 +46,8 @@
 	return ReportAnswer{Attached: granted, Generation: w.generation, AckedEnds: w.advanceAckedEnds(), EndsPending: len(w.pendingEnds) > 0, PollOften: w.needsFrequentPolls()}
 }
 
-// AckedEnds returns up to which end a worker may forget, and whether more ends wait to be
-// recorded.
+// AckedEnds returns the highest sequence number of ends that the worker may forget, and whether
+// later ends still wait to be stored.
 func (e *Engine) AckedEnds(id WorkerID) (acked int64, pending bool) {
 	w := e.workers[id]
 	if w == nil {
@@ -56,8 +56,8 @@
 	return w.advanceAckedEnds(), len(w.pendingEnds) > 0
 }
 
-// registerWorker returns the worker that reports, which may be new. A new life of the worker
-// beside the same agent proves that the one before is over.
+// registerWorker returns the reporting worker and adds it if it is new. A new incarnation next
+// to the same agent proves that the previous one is over.
 func (e *Engine) registerWorker(now time.Duration, info WorkerInfo) *worker {
 	previous, known := e.workerByAgent[info.Agent]
 	if known && previous != info.ID {
@@ -69,7 +69,7 @@
 		e.unrecordedWorkers[info.ID] = w
 	}
 	if w.info.Agent == "" {
-		// Its record could not be read; what it says itself goes on record.
+		// Its stored record was unreadable; store what the worker reports.
 		w.info = info
 		w.recorded = false
 		e.unrecordedWorkers[info.ID] = w
@@ -109,15 +109,13 @@
 	w.leavesAt = now + r.DrainRemaining
 }
 
-// updateLease notes how long the worker's lease may last, and says whether the answer to the
-// report extends it. What is granted is always counted: an agent may use a grant, have no
-// answer of its worker, and be gone before its next report, and the planner would take the
-// lease for over while it is not.
+// updateLease updates the expiry of the worker's lease and reports whether the answer to the
+// report extends it. Every grant is counted, even if no worker answer follows: the agent may
+// use it to extend the lease and then be lost before its next report.
 //
-// The failure it guards against: a worker crashes, and the agent beside it goes on
-// reporting. Its reports must not put off the end of the lease, or what the worker held
-// would never start elsewhere. A lease that is over ends at the same moment in each report,
-// and where the agent does not know it, the last grant to an answering worker bounds it.
+// Reports about an unresponsive worker must not postpone the expiry, or its runs would never be
+// restarted elsewhere. The expiry follows the remaining time that the agent reports; if the
+// agent does not know it, the last grant bounds the lease.
 func (e *Engine) updateLease(now time.Duration, w *worker, r Report) bool {
 	wasUnresponsive := w.unresponsive
 	w.unresponsive = r.Unresponsive
@@ -139,7 +137,7 @@
 	return granted
 }
 
-// reconcile compares what the worker says with what is expected of it.
+// reconcile compares the polled state of the worker with its placements.
 func (e *Engine) reconcile(now time.Duration, w *worker, r Report) {
 	w.lastPolledAt = now
 	for _, run := range r.Running {
@@ -163,7 +161,7 @@
 	e.countMissedPolls(now, w, ListedRuns(r.Running, r.Ended))
 }
 
-// observeRun handles one run that is there.
+// observeRun processes a run that the worker lists as running.
 func (e *Engine) observeRun(now time.Duration, w *worker, status RunStatus) {
 	p := w.placements[status.Run.Task]
 	if p == nil || p.runNumber != status.Run.Number {
@@ -190,7 +188,7 @@
 	}
 }
 
-// stopOrphan stops a run that nobody here placed or that was given up for lost.
+// stopOrphan stops a run that this planner did not place or has given up as lost.
 func (e *Engine) stopOrphan(now time.Duration, w *worker, run workload.RunID) {
 	stopSentAt, known := w.orphans[run]
 	if known && now-stopSentAt < stopRetryInterval {
@@ -202,7 +200,8 @@
 	e.actions = append(e.actions, Decision{Job: run.Task.Job, Kind: "stop", Detail: "not placed by this planner", Run: run, Worker: w.info.ID})
 }
 
-// confirmAbsent: a stop was confirmed and a later look did not show the run.
+// confirmAbsent ends a placement whose stop was confirmed and whose run a later poll did not
+// list.
 func (e *Engine) confirmAbsent(now time.Duration, w *worker, run workload.RunID) {
 	delete(w.orphans, run)
 	p := w.placements[run.Task]
@@ -212,8 +211,8 @@
 	e.handleLostRun(now, p, CauseStartUnanswered, "stopped before it was there")
 }
 
-// countMissedPolls counts the looks that do not show a running task, and stops it after some: the
-// worker then says whether it is there.
+// countMissedPolls counts the polls that do not list a running task and stops the task after
+// maxMissedPolls. The answer to the stop tells whether the run exists.
 func (e *Engine) countMissedPolls(now time.Duration, w *worker, listed map[workload.RunID]bool) {
 	for _, p := range w.sortedPlacements() {
 		if p.state != placementRunning || p.stopping || listed[p.runID()] {
@@ -232,8 +231,8 @@
 	}
 }
 
-// dropUnconfirmedAdopted ends the placements of a predecessor that the worker, asked under the
-// new epoch, does not know: their orders are refused there from now on.
+// dropUnconfirmedAdopted ends adopted placements that the worker does not list when polled
+// under the new epoch, as it refuses their orders from then on. Pending stops are sent again.
 func (e *Engine) dropUnconfirmedAdopted(now time.Duration, w *worker) {
 	for _, p := range w.sortedPlacements() {
 		if p.state == placementAdopted {
@@ -247,7 +246,7 @@
 	}
 }
 
-// endIncarnation ends a worker for good, and with it all that it held.
+// endIncarnation removes a worker whose incarnation is over and ends all its placements.
 func (e *Engine) endIncarnation(now time.Duration, id WorkerID, how Departure, evidence crashEvidence) {
 	w := e.workers[id]
 	if w == nil {
--- a/engine/lateness.go
+++ b/engine/lateness.go
@@ -7,18 +7,18 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// timeBreakdown is what a unit's time went into, from when its earlier steps were done.
+// timeBreakdown splits the time of a unit since its earlier steps were done.
 type timeBreakdown struct {
-	capacityWait  time.Duration // waiting for room
-	storeWait     time.Duration // of its last placement, until that was on record
-	discardedRuns time.Duration // runs whose work did not count
-	finalRun      time.Duration // the run that did; 0 where its start is not known
+	capacityWait  time.Duration // waiting for capacity
+	storeWait     time.Duration // waiting for the last placement to be stored
+	discardedRuns time.Duration // runs whose work was discarded
+	finalRun      time.Duration // the run that completed; 0 if its start is not known
 }
 
-// LateReason is what most of a late job's time went into.
+// LateReason is the largest part of a late job's time.
 type LateReason string
 
-// Reasons.
+// Values of LateReason.
 const (
 	LateByCapacity    LateReason = "waited for room"
 	LateByStore       LateReason = "waited for the store"
@@ -26,7 +26,8 @@
 	LateByEarlierWork LateReason = "time in earlier steps or under earlier planners"
 )
 
-// JobLate: a job was completed after its objective. Detail has the parts of its last unit.
+// JobLate reports that a job completed after its objective. Detail splits the time of its last
+// unit.
 type JobLate struct {
 	Job     workload.JobID
 	Account string
@@ -37,7 +38,7 @@
 
 func (JobLate) isAction() {}
 
-// mainReason names the part that weighs most.
+// mainReason returns the reason that stands for the longest part.
 func (s timeBreakdown) mainReason() LateReason {
 	reason, longest := LateByEarlierWork, time.Duration(0)
 	for _, part := range []struct {
@@ -51,14 +52,15 @@
 	return reason
 }
 
+// detail describes the parts for the log.
 func (s timeBreakdown) detail(lateBy, declared time.Duration) string {
 	return fmt.Sprintf("%d ms late; room %d ms, store %d ms, runs in vain %d ms, run %d ms of %d declared",
 		lateBy.Milliseconds(), s.capacityWait.Milliseconds(), s.storeWait.Milliseconds(),
 		s.discardedRuns.Milliseconds(), s.finalRun.Milliseconds(), declared.Milliseconds())
 }
 
-// actualCriticalPath is the longest chain of work of a job whose last unit has just ended, with
-// what that took in the place of what was expected.
+// actualCriticalPath returns the length of the job's critical path with the actual run time of
+// its last unit instead of the estimated one.
 func (e *Engine) actualCriticalPath(last *unit) time.Duration {
 	path := e.criticalPath(last.job)
 	if last.times.finalRun > 0 {
@@ -67,8 +69,9 @@
 	return path
 }
 
-// reportLate reports why a job that its unit last has just completed missed its objective. That
-// allows for the time that the work took, so a run that was longer than declared is no reason.
+// reportLate reports a job that missed its objective when its unit last completed. The
+// objective allows for the actual run time, so a run that exceeds its estimate does not make a
+// job late.
 func (e *Engine) reportLate(now time.Duration, last *unit) {
 	j := last.job
 	lateBy := now - j.objectiveFor(e.actualCriticalPath(last))
--- a/engine/orders.go
+++ b/engine/orders.go
@@ -6,9 +6,9 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// handleOrderResults handles the answers to orders. Only a certain refusal frees the room;
-// an order without an answer may still be carried out, so its run is stopped and
-// keeps its room until that is confirmed.
+// handleOrderResults processes the results of one set of orders. Only a definite refusal
+// releases the capacity of a placement. An unanswered start may still take effect, so its run
+// is stopped and keeps its capacity until the stop is confirmed.
 func (e *Engine) handleOrderResults(now time.Duration, ev OrdersCompleted) {
 	w := e.workers[ev.Worker]
 	if w == nil {
@@ -26,6 +26,7 @@
 	}
 }
 
+// handleStartOutcome processes the result of one start order.
 func (e *Engine) handleStartOutcome(now time.Duration, p *placement, outcome StartOutcome) {
 	switch outcome {
 	case StartOK:
@@ -58,25 +59,25 @@
 	e.markChanged(p.unit.job)
 }
 
-// refusedStartDelay keeps a unit from being placed again at once after an order that could
-// not be delivered; the connection is replaced or given up within that time.
+// refusedStartDelay delays the next placement of a unit whose order was not delivered, or was
+// refused because of a newer planner or a cordon, so that it is not refused again at once.
 const refusedStartDelay = 100 * time.Millisecond
 
-// minInvalidOrderDelay and maxInvalidOrderDelay bound the pause of a unit whose order a worker can't read: the
-// next order is the same, but the worker may be replaced by one that can.
+// minInvalidOrderDelay and maxInvalidOrderDelay bound the backoff of a unit whose start order
+// the worker could not decode. The order does not change, but a newer worker may accept it.
 const (
 	minInvalidOrderDelay = 200 * time.Millisecond
 	maxInvalidOrderDelay = 2 * time.Second
 )
 
-// markRunning notes that a run is there.
+// markRunning records that the worker has confirmed a run.
 func (e *Engine) markRunning(now time.Duration, p *placement) {
 	if p.state == placementRunning {
 		return
 	}
 	if p.state == placementAdopted {
 		p.progressedAt = now
-		// Its speed is a predecessor's, and not known.
+		// The speed limit that the previous planner set is not known.
 		p.pace = pace{percent: unknownPace, confirmed: true}
 	}
 	p.state = placementRunning
@@ -109,7 +110,7 @@
 	StartCordoned:     "zone cordoned",
 }
 
-// String returns a name for logs.
+// String returns the outcome's name for logs.
 func (o StartOutcome) String() string {
 	if o < 0 || int(o) >= len(startOutcomeNames) {
 		return "unnamed"
--- a/engine/pace.go
+++ b/engine/pace.go
@@ -7,43 +7,46 @@
 )
 
 const (
+	// fullPace is the limit, in percent of full speed, of a run that is not slowed down.
 	fullPace = 100
-	// unknownPace is that of a run taken over from a predecessor.
+	// unknownPace is the limit of an adopted run until this planner sets one.
 	unknownPace = -1
-	// paceRetryInterval is the pause before a pace that the worker has not confirmed is ordered
-	// again; a worker answers within milliseconds.
+	// paceRetryInterval is the time after which an unconfirmed limit is ordered again.
 	paceRetryInterval = 500 * time.Millisecond
-	// lateOrderWindow is how long an order without an answer may still be carried out, after
-	// newer ones. Workers were seen to take up to 12 s.
+	// lateOrderWindow is how long an unanswered order may still take effect, possibly after
+	// newer ones.
 	lateOrderWindow = 13 * time.Second
-	// paceRepeatInterval is how often a pace is ordered again while one is in doubt.
+	// paceRepeatInterval is the interval at which a limit is ordered again within
+	// lateOrderWindow.
 	paceRepeatInterval = time.Second
 )
 
-// PaceOrder sets the share of its full speed at which a run works.
+// PaceOrder limits the speed of a run.
 type PaceOrder struct {
 	Run     workload.RunID `cbor:"1,keyasint"`
-	Percent int            `cbor:"2,keyasint"` // 0 to 100
+	Percent int            `cbor:"2,keyasint"` // percent of full speed, 0 to 100
 }
 
-// PaceResult is what became of a PaceOrder. One that is not done may still be carried
-// out.
+// PaceResult is the result of a PaceOrder.
 type PaceResult struct {
 	PaceOrder
+	// Applied is set once the worker has confirmed the limit. An order without it may still
+	// take effect.
 	Applied bool `cbor:"3,keyasint,omitempty"`
 }
 
-// pace is the speed that a run was told to work at.
+// pace is the speed limit of a run as last ordered.
 type pace struct {
+	// percent of full speed, or unknownPace.
 	percent int
-	// confirmed: the worker has carried out the order for percent.
+	// confirmed is set when the worker has confirmed percent.
 	confirmed bool
 	sentAt    time.Duration
-	// uncertainUntil: until then an older order that got no answer may be carried out.
+	// uncertainUntil is the time until which an older, unanswered order may take effect.
 	uncertainUntil time.Duration
 }
 
-// setPace orders another speed. Runs begin at full speed.
+// setPace orders a new speed limit. Runs start at full speed.
 func (e *Engine) setPace(now time.Duration, p *placement, percent int) {
 	if p.pace.percent == percent {
 		return
@@ -53,7 +56,8 @@
 	e.sendPace(now, p)
 }
 
-// sendPace orders the present speed. Before a start has left there is nobody to tell.
+// sendPace orders the current limit, unless the start has not been sent yet, the run is being
+// stopped, or the worker is not attached.
 func (e *Engine) sendPace(now time.Duration, p *placement) {
 	p.pace.sentAt = now
 	if p.state == placementUnrecorded || p.stopping || !p.worker.attached {
@@ -63,11 +67,10 @@
 	o.Paces = append(o.Paces, PaceOrder{Run: p.runID(), Percent: p.pace.percent})
 }
 
-// resendPace repeats an order that may not be in force.
+// resendPace repeats the current limit while it may not be in force.
 //
-// The failure it guards against: an order for a higher speed gets no answer, a later one
-// for a lower speed is confirmed, and the worker then carries out the first. The task
-// would disturb its neighbours at full speed, and nothing it reports shows the speed.
+// An unanswered order to speed up may take effect after a later, confirmed order to slow down.
+// The run would then disturb its neighbours, and its reports do not show its speed.
 func (e *Engine) resendPace(now time.Duration, p *placement) {
 	if !p.unit.spec().BestEffortCPU || p.state != placementRunning {
 		return
@@ -78,7 +81,7 @@
 	}
 }
 
-// handlePaceResult takes what became of an order.
+// handlePaceResult processes the result of a PaceOrder.
 func (e *Engine) handlePaceResult(now time.Duration, w *worker, r PaceResult) {
 	p := w.placements[r.Run.Task]
 	if p == nil || p.runNumber != r.Run.Number {
--- a/engine/placement.go
+++ b/engine/placement.go
@@ -6,22 +6,23 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// placementState is how far a placement has come.
+// placementState is the progress of a placement from decision to confirmed run.
 type placementState int
 
 const (
-	// placementUnrecorded: decided, not yet on record; no order has left.
+	// placementUnrecorded means that the placement is not stored yet and no order was sent.
 	placementUnrecorded placementState = iota
-	// placementOrdered: the order may have left; the answer is not known.
+	// placementOrdered means that the start order may have been sent, without a result so far.
 	placementOrdered
-	// placementAdopted: taken from the records of a predecessor; the worker has not
-	// reported yet.
+	// placementAdopted means that a previous planner made the placement and the worker has not
+	// reported under this planner's epoch yet.
 	placementAdopted
-	// placementRunning: the worker confirmed it.
+	// placementRunning means that the worker has confirmed the run.
 	placementRunning
 )
 
-// placement is one run of one task on one worker, until it is certainly over.
+// placement is one run of one task on one worker. It holds its capacity until the run is
+// certainly over.
 type placement struct {
 	unit      *unit
 	index     int
@@ -30,24 +31,25 @@
 	state     placementState
 	demand    workload.Resources
 	rate      progressRate
-	load      int  // see RunningRow.Load
-	pace      pace // of what fills
-	// checkpoint is the last checkpoint seen, savedAt when it was first seen.
+	load      int  // see RunStatus.Load
+	pace      pace // used for best-effort tasks
+	// checkpoint is the last checkpoint reported, checkpointAt when it was first reported.
 	checkpoint   string
 	checkpointAt time.Duration
-	// adopted: a predecessor ordered it, so began is not when it really did.
+	// adopted is set when a previous planner ordered the run, so that startedAt is not the
+	// actual start time.
 	adopted bool
-	// startedAt is when the start was ordered, or when an adopted run was first seen; 0 before.
-	// movedAt is when its progress last changed.
+	// startedAt is when the start was ordered, or when an adopted run was first reported; 0
+	// before that. progressedAt is when the reported progress last changed.
 	startedAt    time.Duration
 	progressedAt time.Duration
-	// lastSeenAt is when a look last showed it; 0 before.
+	// lastSeenAt is when a poll last listed the run; 0 before the first.
 	lastSeenAt time.Duration
-	// stopping: a stop was decided; stopSent is when it was last sent.
+	// stopping is set once a stop was decided; stopSentAt is when it was last sent.
 	stopping    bool
 	stopSentAt  time.Duration
-	stopsSent   int // how often it was sent
-	missedPolls int // looks in a row that did not show it
+	stopsSent   int // number of stop orders sent
+	missedPolls int // consecutive polls that did not list the run
 }
 
 func (p *placement) taskID() workload.TaskID {
--- a/engine/plan.go
+++ b/engine/plan.go
@@ -9,43 +9,44 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// round is one pass over the queue.
+// round is the state of one pass over the queue.
 type round struct {
 	e            *Engine
 	now          time.Duration
-	usable       *domain // the usable workers
+	usable       *domain // all usable workers
 	racks        map[string]*domain
 	rackNames    []string // sorted
 	protected    map[*job]bool
-	reservations int // reservations made
-	// nearSets are the domains of nearUnit, which is served now.
+	reservations int // number of reservations made
+	// nearDomains caches the preferred domains of nearUnit.
 	nearUnit    *unit
 	nearDomains domainSet
-	// outlook and options are kept for their memory.
+	// outlook and options are reused to avoid allocations.
 	outlook fitForecast
 	options []candidate
-	// headroomTarget is the accelerators to keep free on the spare racks.
+	// headroomTarget is the number of accelerators to keep free on the headroom racks.
 	headroomTarget int
-	// blockedSteps are steps one of whose units found no room in this round.
+	// blockedSteps holds the steps that had a unit which did not fit in this round.
 	blockedSteps map[stepKey]bool
 }
 
-// workerRoundState are what a round notes of one worker.
+// workerRoundState is what a planning round tracks per worker.
 type workerRoundState struct {
-	// claimed is room being emptied there.
+	// claimed is the capacity being freed there by evictions.
 	claimed workload.Resources
-	// reserved is room kept for a unit from a time on.
+	// reserved is the capacity kept free for waiting units.
 	reserved []reservation
-	// index is the place of the worker in the outlook or clearing in progress; -1: not there.
+	// index is the worker's position in the current outlook or clearing; -1 if it is in none.
 	index int
 }
 
+// reservation keeps resources of a worker free from a time on.
 type reservation struct {
 	resources workload.Resources
 	from      time.Duration
 }
 
-// plan places what waits.
+// plan runs one planning round over all waiting units.
 func (e *Engine) plan(now time.Duration) {
 	e.lastPlanAt = now
 	r := e.newRound(now)
@@ -89,7 +90,7 @@
 	return r
 }
 
-// refreshClaims drops claims whose room did not come in time and counts the others.
+// refreshClaims drops claims that were not fulfilled in time and counts the remaining ones.
 func (r *round) refreshClaims(u *unit) {
 	if len(u.claims) == 0 {
 		return
@@ -101,7 +102,8 @@
 	r.applyClaims(u, 1)
 }
 
-// applyClaims adds what u claims to the room being emptied, or takes it back.
+// applyClaims adds the claims of u to the claimed capacity (sign 1) or subtracts them (sign
+// -1).
 func (r *round) applyClaims(u *unit, sign int) {
 	for w, n := range u.claims {
 		w.round.claimed = w.round.claimed.Add(u.demand().Times(sign * n))
@@ -109,7 +111,7 @@
 	}
 }
 
-// schedule places one unit, keeps room for it, or empties room for it.
+// schedule places one unit, evicts lower-ranked work for it, or reserves capacity for it.
 func (r *round) schedule(u *unit) {
 	key := u.key()
 	if r.blockedSteps[key] {
@@ -131,8 +133,8 @@
 	}
 }
 
-// place decides a run: its room is taken from now on, its orders leave when the
-// placement is on record.
+// place commits a placement: its capacity is taken at once, and its orders are sent when the
+// placement is stored.
 func (r *round) place(u *unit, workers []*worker) {
 	r.releaseClaims(u)
 	u.runNumber++
@@ -150,7 +152,8 @@
 	r.e.logDecision(u.placements[0], "place", r.placementDetail(u, workers))
 }
 
-// placementDetail says, for the log, what a placement was decided on and how old it was.
+// placementDetail describes, for the log, the placement and the age of the reports it is based
+// on.
 func (r *round) placementDetail(u *unit, workers []*worker) string {
 	oldestReport := time.Duration(0)
 	for _, w := range workers {
@@ -164,8 +167,8 @@
 	r.e.dropClaims(u)
 }
 
-// availableFor returns what u may take of w now: what is free, less what is being emptied for
-// others, less what is kept for others from a time at which u would still run.
+// availableFor returns the capacity of w that u may use now: what is free, less claims of other
+// units, less reservations that begin before u is expected to end.
 func (r *round) availableFor(u *unit, w *worker) workload.Resources {
 	free := w.free().Sub(w.round.claimed)
 	if n := u.claims[w]; n > 0 {
@@ -183,7 +186,7 @@
 	return free
 }
 
-// slots returns how many members of u fit on w now, where there is so much room.
+// slots returns how many members of u may be placed on w now, given its available capacity.
 func (r *round) slots(u *unit, w *worker, available workload.Resources) int {
 	n := u.demand().CountFitting(available, u.size)
 	if n <= 0 || !r.eligible(u, w) || w.health.paused(r.now) || !r.admits(u, w) {
@@ -192,8 +195,8 @@
 	return r.limitToHeadroom(u, w, r.e.limitPerWorker(u, w, n))
 }
 
-// eligible says whether u may run on w. For a while it may not where it failed or stood
-// still, unless the worker has since done well with something else.
+// eligible reports whether u may run on w. A unit avoids a worker for a while after it failed
+// or stalled there, unless other work has succeeded there since.
 func (r *round) eligible(u *unit, w *worker) bool {
 	if w.info.Service != u.job.spec.Service || !w.hasLabel(u.spec().Label) {
 		return false
@@ -204,7 +207,7 @@
 	return w.health.failures == 0 || r.now >= u.avoidedWorkers[w.info.ID]
 }
 
-// limitPerWorker applies the step's bound of tasks on one worker.
+// limitPerWorker applies the step's limit of tasks per worker to the number that would fit.
 func (e *Engine) limitPerWorker(u *unit, w *worker, fitting int) int {
 	limit := u.spec().MaxPerWorker
 	if limit == 0 || fitting <= 0 {
--- a/engine/policy.go
+++ b/engine/policy.go
@@ -1,57 +1,57 @@
 package engine
 
-// Policy names each mechanism of the engine that rests on judgement and not on a promise,
-// with its switch or its weight. What must hold for callers (room, leases, guarantees, at
-// most one run) does not depend on it. The zero value stands for DefaultPolicy. The tags are
-// those of the settings that set it; their defaults are DefaultPolicy's.
+// Policy switches and tunes the engine's heuristics. Guarantees to callers (capacity, leases,
+// account guarantees, at most one run of a task) do not depend on it. The zero value stands for
+// DefaultPolicy. The tags are those of the settings; their defaults equal DefaultPolicy.
 //
-// docs/design/decisions.md tells what each is worth and how that was measured.
+// See docs/design/decisions.md.
 type Policy struct {
-	// DeadlineOrder serves the unit that has to start first for its job's objective before
-	// others of its priority; off: in order of acceptance.
+	// DeadlineOrder orders units of the same priority by the latest start that meets their
+	// job's objective; without it they are ordered by acceptance.
 	DeadlineOrder bool `toml:"deadline_order" default:"true"`
-	// Headroom keeps patient work away from one rack, so that urgent jobs need not wait for
-	// stops. HeadroomShare is the share of the latest urgent jobs whose size is kept free,
-	// 0 to 1: with 1 the largest of them.
+	// Headroom keeps capacity on some racks free of work that can wait, so that urgent jobs
+	// need not wait for evictions. HeadroomShare, from 0 to 1, is the quantile of recent urgent
+	// job sizes that is kept free; 1 stands for the largest.
 	Headroom      bool    `toml:"headroom" default:"true"`
 	HeadroomShare float64 `toml:"headroom_share" default:"1" validate:"min=0,max=1"`
-	// Evictions stops work of lower priority for urgent jobs; off: only where an account's
-	// guarantee asks for it.
+	// Evictions stops lower-priority work for urgent jobs; without it, work is evicted only to
+	// honour an account's guarantee.
 	Evictions bool `toml:"evictions" default:"true"`
-	// EvictionWait is the share of an urgent job's slack for which it waits for room that
-	// is expected to become free, 0 to 1. It waits as long as a stop takes in any case.
+	// EvictionWait, from 0 to 1, is the share of an urgent job's slack for which it waits for
+	// capacity that is expected to become free. It always waits at least as long as a stop
+	// takes.
 	EvictionWait float64 `toml:"eviction_wait" default:"0" validate:"min=0,max=1"`
-	// EvictionWorth is how many core-seconds of other work an urgent unit may throw away
-	// for each of its own. What is thrown away has to find room again.
+	// EvictionWorth is how many core-seconds of other work an urgent unit may discard for each
+	// of its own.
 	EvictionWorth float64 `toml:"eviction_worth" default:"3" validate:"min=0,max=1000"`
-	// Reservations is how many units that can't start now have room kept for them. Each
-	// costs a simulation of all releases; the first few keep large gangs from waiting for
-	// ever behind small ones.
+	// Reservations is the number of waiting units for which capacity is reserved in a round.
+	// This keeps large gangs from starving behind small tasks. Each costs a simulation of the
+	// expected releases.
 	Reservations int `toml:"reservations" default:"4" validate:"min=0,max=64"`
-	// RackPreference runs a unit on the rack of its data, and a gang on one rack, unless
-	// waiting for that takes longer; off: anywhere at once.
+	// RackPreference places a unit on the rack of its data, and a gang on one rack, unless
+	// waiting for that takes longer than running elsewhere; without it, any worker is as good.
 	RackPreference bool `toml:"rack_preference" default:"true"`
-	// LearnedRunTimes expects run times from what is declared and from what runs of the same
-	// queue took, see package runtimes; off: from what is declared.
+	// LearnedRunTimes estimates run times from the declared ones and from past runs of the same
+	// queue (see package runtimes); without it, the declared run times are used.
 	LearnedRunTimes bool `toml:"learned_run_times" default:"true"`
-	// WorkerHealth keeps new work away from workers that fail what they start.
+	// WorkerHealth keeps new work away from workers on which starts keep failing.
 	WorkerHealth bool `toml:"worker_health" default:"true"`
-	// Avoidance keeps a unit away for a while from a worker where it failed, so that one
-	// worker that fails everything does not use up all attempts of a job.
+	// Avoidance keeps a unit away for a while from a worker where it failed, so that one bad
+	// worker does not use up all attempts of a job.
 	Avoidance bool `toml:"avoidance" default:"true"`
-	// StandingStill moves tasks that show no progress.
+	// StandingStill moves tasks that report no progress.
 	StandingStill bool `toml:"standing_still" default:"true"`
-	// DrainMoves stops early what can't end before its worker leaves.
+	// DrainMoves stops runs early that can't end before their draining worker leaves.
 	DrainMoves bool `toml:"drain_moves" default:"true"`
-	// Probation tries a task that may have crashed its worker where nothing else has just
-	// started, and starts nothing beside it until it is proven; off: tasks that shared a
-	// worker with one that crashes them are given up with it once they meet it again.
+	// Probation retries a task that may have crashed its worker where nothing else has just
+	// started, and starts nothing next to it until it is proven; without it, tasks that share
+	// workers with a crashing task may be given up with it.
 	Probation bool `toml:"probation" default:"true"`
-	// KeptCheckpoints puts checkpoints of running work on record.
+	// KeptCheckpoints stores the checkpoints of running work.
 	KeptCheckpoints bool `toml:"kept_checkpoints" default:"true"`
 }
 
-// DefaultPolicy returns the policy that is used unless the settings say otherwise.
+// DefaultPolicy returns the policy that applies unless the settings override it.
 func DefaultPolicy() Policy {
 	return Policy{
 		DeadlineOrder:   true,
--- a/engine/probation.go
+++ b/engine/probation.go
@@ -2,37 +2,35 @@
 
 import "time"
 
-// A task with an early crash is tried again on probation: where nothing else has just
-// started, so that a second crash can't be another's, and where nothing else is started
-// until it is proven, so that others can't be blamed for it. It costs the worker the new
-// work of a second. Without it, tasks that were started beside one that crashes its workers
-// look like it, and are given up with it after they have met it a second time.
+// A task suspected of crashing its worker is retried on probation: on a worker where nothing
+// else has just started, and where nothing else is started until the run is proven. Otherwise
+// tasks that happened to start beside a crashing one would share its crash count and be given
+// up with it.
 const (
-	// maxProbationWait is how long such a task lets go of room beside others that have just
-	// started before it goes anywhere: on a fleet of short tasks something always has.
+	// maxProbationWait limits how long a suspected task passes over workers with recently
+	// started runs. On a fleet of short tasks every worker may have some.
 	maxProbationWait = 1500 * time.Millisecond
-	// maxLastChanceWait is the same for room beside tasks that the next crash would give up. They
-	// are few, and a fleet with room to spare has a worker without them.
+	// maxLastChanceWait is the same limit for workers that run a task which one more crash
+	// would give up.
 	maxLastChanceWait = 5 * time.Second
-	// agentAvoidanceTime is how long a task keeps away from a machine where a worker crashed under it,
-	// where there is room elsewhere: a machine that is about to fail for good is emptied by
-	// each of its crashes and looks the best to all that it has just lost.
+	// agentAvoidanceTime is how long a task prefers other machines after a worker crashed under
+	// it. A failing machine would otherwise look attractive, as each crash empties it.
 	agentAvoidanceTime = 30 * time.Second
 )
 
-// admits says whether new members of u may start on w beside what has just started there.
+// admits reports whether new members of u may start on w next to its recently started runs.
 func (r *round) admits(u *unit, w *worker) bool {
 	if !r.e.params.Policy.Probation {
 		return true
 	}
-	maxWait := time.Duration(0) // how long a suspect lets go of the room there
+	maxWait := time.Duration(0) // how long a suspected unit passes over w
 	for _, p := range w.placements {
 		if p.unit == u || p.state == placementAdopted {
 			continue
 		}
 		crashes, unproven := p.unit.crashCountOf(p.index), !p.pastStartup()
 		if unproven && crashes.startup > 0 {
-			return false // it is on probation
+			return false // on probation there
 		}
 		if unproven {
 			maxWait = max(maxWait, maxProbationWait)
@@ -44,8 +42,8 @@
 	return maxWait == 0 || !u.hasStartupCrash() || !r.keepsWaiting(u, maxWait)
 }
 
-// keepsWaiting says whether u, which can't have a worker to itself now, goes on waiting for
-// one, and notes since when it does.
+// keepsWaiting reports whether u, which has no worker to itself now, keeps waiting for one. It
+// records when the wait began.
 func (r *round) keepsWaiting(u *unit, maxWait time.Duration) bool {
 	if u.probationSince == 0 {
 		u.probationSince = r.now
@@ -53,7 +51,8 @@
 	return r.now-u.probationSince < maxWait
 }
 
-// avoidAgent notes that a worker crashed under the unit beside that agent.
+// avoidAgent makes the unit prefer other machines after a worker next to that agent crashed
+// under it.
 func (u *unit) avoidAgent(now time.Duration, agent string) {
 	if u.avoidedAgents == nil {
 		u.avoidedAgents = map[string]time.Duration{}
@@ -61,8 +60,9 @@
 	u.avoidedAgents[agent] = now + agentAvoidanceTime
 }
 
-// crashRisk orders workers for u: where one crashed under it last, then, while a task of u is
-// suspected to crash workers, by what a crash would throw away, in cores.
+// crashRisk ranks workers for u by the expected loss from a crash, in cores: workers that
+// crashed under u recently rank last, and while u is suspected, workers with much running work
+// rank lower.
 func (r *round) crashRisk(u *unit, w *worker) float64 {
 	if len(u.crashes) == 0 {
 		return 0
--- a/engine/progress.go
+++ b/engine/progress.go
@@ -8,21 +8,21 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// JobProgress is the durable form of what became of a job.
+// JobProgress is the stored state of a job.
 type JobProgress struct {
-	// Epoch and Version make each write of a record unlike every other.
+	// Epoch and Version make every write of a record unique.
 	Epoch              uint64         `json:"epoch"`
 	Version            int            `json:"v"`
 	State              workload.State `json:"state"`
 	Reason             string         `json:"reason,omitempty"`
 	Started            bool           `json:"begun,omitempty"`
 	CreatedOccurrences int            `json:"created,omitempty"`
-	Units              []UnitProgress `json:"units,omitempty"` // those that are not as at first
-	// EndedAt is wall time; records are removed some time after.
+	Units              []UnitProgress `json:"units,omitempty"` // units that differ from their initial state
+	// EndedAt is wall-clock time. Records are removed some time after it.
 	EndedAt time.Time `json:"ended,omitzero"`
 }
 
-// UnitProgress is the durable form of a unit.
+// UnitProgress is the stored state of a unit.
 type UnitProgress struct {
 	Occurrence int               `json:"k,omitempty"`
 	Step       int               `json:"s,omitempty"`
@@ -32,11 +32,11 @@
 	Done       bool              `json:"d,omitempty"`
 	Checkpoint string            `json:"c,omitempty"`
 	Places     []MemberPlacement `json:"p,omitempty"`
-	// Crashes are counts of the workers that crashed under tasks of the unit.
+	// Crashes counts the worker crashes under each task of the unit.
 	Crashes []TaskCrashes `json:"x,omitempty"`
 }
 
-// TaskCrashes is how many workers crashed under one task, see crash.go.
+// TaskCrashes counts the worker crashes under one task.
 type TaskCrashes struct {
 	Index   int `json:"i,omitempty"`
 	Total   int `json:"t"`
@@ -44,7 +44,7 @@
 	Certain int `json:"c,omitempty"`
 }
 
-// MemberPlacement says which worker may hold a member's run.
+// MemberPlacement names the worker that may hold the run of a unit's member.
 type MemberPlacement struct {
 	Index  int      `json:"i,omitempty"`
 	Worker WorkerID `json:"w"`
@@ -73,6 +73,7 @@
 	return p
 }
 
+// isInitial reports whether the unit has no state worth storing.
 func (u *unit) isInitial() bool {
 	return u.runNumber == 0 && u.state != unitDone
 }
--- a/engine/progress_rate.go
+++ b/engine/progress_rate.go
@@ -2,21 +2,20 @@
 
 import "time"
 
-// progressRate is the progress of one run as looks showed it. Its speed is that of this run on
-// this worker, so it also tells of slow workers, of data far away and of work that goes on
-// from a checkpoint, which a declared run time does not.
+// progressRate measures the speed of one run from polled progress. Unlike a declared run time
+// it reflects slow workers, remote data and resumption from a checkpoint.
 type progressRate struct {
-	lastPercent     int // as last seen
-	firstPercent    int // percent from which the speed counts
+	lastPercent     int
+	firstPercent    int // where the measurement began
 	firstAt, lastAt time.Duration
 	observed        bool
 }
 
-// minRateProgress is how many percent a run must have moved for its speed to be told: rows
-// hold whole percents, and looks are up to a second apart.
+// minRateProgress is the progress in percent from which the rate is used. Reported percentages
+// are whole numbers, and polls are up to a second apart.
 const minRateProgress = 5
 
-// observe takes what a look showed.
+// observe records a reported percentage. The measurement restarts when progress goes back.
 func (p *progressRate) observe(now time.Duration, percent int) {
 	if !p.observed || percent < p.lastPercent {
 		*p = progressRate{firstPercent: percent, firstAt: now, observed: true}
@@ -24,8 +23,7 @@
 	p.lastPercent, p.lastAt = percent, now
 }
 
-// remaining returns how long the run is expected to go on, and false while its speed is not
-// known.
+// remaining returns the expected remaining run time, or false while the rate is not known.
 func (p *progressRate) remaining(now time.Duration) (time.Duration, bool) {
 	gained := p.lastPercent - p.firstPercent
 	if gained < minRateProgress || p.lastAt <= p.firstAt {
--- a/engine/queue.go
+++ b/engine/queue.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// queue returns the units that wait, in the order in which they are served:
+// queue returns the waiting units in scheduling order:
 //
 //  1. units of jobs within their account's guarantee,
-//  2. by priority of the queue, 0 first,
-//  3. by the time at which the unit has to start at the latest for its job's objective;
-//     those that can't meet it any more come after,
+//  2. by queue priority, 0 first,
+//  3. by the latest start time that meets the job's objective; units
+//     that can't meet it come last,
 //  4. by acceptance.
 func (e *Engine) queue(now time.Duration, protected map[*job]bool) []*unit {
 	var ranked []rankedUnit
@@ -33,7 +33,7 @@
 	return units
 }
 
-// rankedUnit is a unit that waits, with what its place in the queue depends on.
+// rankedUnit is a waiting unit with its sort keys.
 type rankedUnit struct {
 	unit        *unit
 	protected   bool // its job is within its account's guarantee
@@ -58,11 +58,11 @@
 	)
 }
 
-// latestStart returns when u has to start for its job's objective; never where that is
-// missed already.
+// latestStart returns when u has to start for its job to meet its objective, or never if that
+// is no longer possible.
 func (e *Engine) latestStart(now time.Duration, u *unit) time.Duration {
 	if u.spec().LongRunning {
-		return u.waitingSince // its users wait from the first moment
+		return u.waitingSince // users wait for it from the start
 	}
 	if !e.params.Policy.DeadlineOrder {
 		return u.job.acceptedAt
@@ -71,8 +71,8 @@
 	return e.deadlineIfReachable(now+work, u.job) - work
 }
 
-// deadlineIfReachable returns the objective of a job that would be completed at end, and never where
-// that is missed: what can still be served in time goes first.
+// deadlineIfReachable returns the objective of a job that would complete at end, or never if it
+// would be missed, so that units that can still be on time go first.
 func (e *Engine) deadlineIfReachable(end time.Duration, j *job) time.Duration {
 	if objective := e.objective(j); end <= objective {
 		return objective
@@ -80,12 +80,11 @@
 	return never
 }
 
-// criticalPathFrom returns how long the longest chain of work from u's step on is expected to
-// take.
+// criticalPathFrom returns the expected length of the critical path from u's step on.
 func (e *Engine) criticalPathFrom(u *unit) time.Duration { return e.criticalPaths(u.job)[u.step] }
 
-// protected returns the jobs of priority 0 that their accounts' guarantees cover, in
-// order of acceptance.
+// protected returns the jobs of priority 0 that are covered by their accounts' guarantees,
+// counted in order of acceptance.
 func (e *Engine) protected() map[*job]bool {
 	byAccount := map[string][]*job{}
 	for _, j := range e.orderedJobs {
@@ -109,7 +108,8 @@
 	return covered
 }
 
-// peakAccelerators returns the most that one step of the job takes at once.
+// peakAccelerators returns the largest number of accelerators that one step of the job uses at
+// once.
 func (j *job) peakAccelerators() int {
 	peak := 0
 	for i := range j.spec.Steps {
--- a/engine/report.go
+++ b/engine/report.go
@@ -6,92 +6,91 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// EndReason is how a run ended at its worker.
+// EndReason is how a run ended, as its worker lists it.
 type EndReason string
 
-// Reasons.
+// Values of EndReason.
 const (
 	EndDone           EndReason = "done"
-	EndFailed         EndReason = "failed"  // by its own fault or the worker's
-	EndStopped        EndReason = "stopped" // on an order
-	EndLeaseExpired   EndReason = "lapsed"  // the worker's lease ran out
+	EndFailed         EndReason = "failed"  // through the task's own fault or the worker's
+	EndStopped        EndReason = "stopped" // on an order to stop
+	EndLeaseExpired   EndReason = "lapsed"  // the worker's lease expired
 	EndGangBroken     EndReason = "broken"  // another member of the gang ended
-	EndGangIncomplete EndReason = "alone"   // the other members did not come
+	EndGangIncomplete EndReason = "alone"   // other members of the gang did not start in time
 )
 
-// RunStatus is a run that is there now.
+// RunStatus is the state of a run that is present on a worker.
 type RunStatus struct {
 	Run        workload.RunID `cbor:"1,keyasint"`
 	Checkpoint string         `cbor:"2,keyasint,omitempty"`
 	Percent    int            `cbor:"3,keyasint,omitempty"`
-	// Load is a rough figure of the last half second: the tail latency in milliseconds
-	// of a task that serves users within a target, the processor time in use of others.
+	// Load is an approximate figure for the last half second: the tail latency in milliseconds
+	// of a task with a tail-latency target, the processor time in use of any other.
 	Load int `cbor:"4,keyasint,omitempty"`
 }
 
-// RunEnd is a run that has ended. Number counts the ends of one life of a worker.
+// RunEnd is the end of a run. Sequence numbers the ends of one incarnation of a worker.
 type RunEnd struct {
 	Sequence   int64          `cbor:"1,keyasint"`
 	Run        workload.RunID `cbor:"2,keyasint"`
 	Reason     EndReason      `cbor:"3,keyasint"`
 	Checkpoint string         `cbor:"4,keyasint,omitempty"`
-	// Void: the worker's lease ran out between the end and this report, so the end
-	// counts as not having been.
+	// Void means that the worker's lease expired between the end and this report, so that the
+	// end does not count.
 	Void bool `cbor:"5,keyasint,omitempty"`
 }
 
-// Report is one look of an agent at its worker.
+// Report is what an agent reports about its worker.
 type Report struct {
 	Worker WorkerInfo `cbor:"1,keyasint"`
-	// Epoch is the planner's epoch that the worker has seen; orders of older ones
-	// are refused there.
+	// Epoch is the planner epoch that the worker has seen; it refuses orders of earlier epochs.
 	Epoch          uint64        `cbor:"2,keyasint,omitempty"`
 	Draining       bool          `cbor:"3,keyasint,omitempty"`
-	DrainRemaining time.Duration `cbor:"4,keyasint,omitempty"` // while draining
-	// Unresponsive: the worker has not answered the agent's last look. LeaseLeft is then the
-	// time until the end of its lease, reckoned from every order that left, answered or
-	// not; negative once that is past. It says nothing unless LeaseKnown: an agent that
-	// was started again does not know what its predecessor ordered.
+	DrainRemaining time.Duration `cbor:"4,keyasint,omitempty"` // while Draining
+	// Unresponsive means that the worker has not answered the agent's last poll. LeaseRemaining
+	// is then the time until its lease ends, counting every order that was sent, answered or
+	// not; it is negative after the end. It is valid only with LeaseKnown: a restarted agent
+	// does not know what its predecessor ordered.
 	Unresponsive    bool             `cbor:"5,keyasint,omitempty"`
 	LeaseRemaining  time.Duration    `cbor:"6,keyasint,omitempty"`
 	Running         []RunStatus      `cbor:"7,keyasint,omitempty"`
 	Ended           []RunEnd         `cbor:"8,keyasint,omitempty"`
-	ConfirmedAbsent []workload.RunID `cbor:"9,keyasint,omitempty"`  // stopped before, and not there
-	Terminated      bool             `cbor:"10,keyasint,omitempty"` // this life is over
-	// Polled: Running is the worker's own answer, not older than this report's
-	// predecessor.
+	ConfirmedAbsent []workload.RunID `cbor:"9,keyasint,omitempty"`  // stopped, and not present in a later poll
+	Terminated      bool             `cbor:"10,keyasint,omitempty"` // this incarnation is over
+	// Polled means that Running is the worker's own answer and was not sent before the previous
+	// report.
 	Polled     bool `cbor:"11,keyasint,omitempty"`
 	LeaseKnown bool `cbor:"12,keyasint,omitempty"`
-	// ExtendingLease: the worker has been silent for so short a time that looks still extend its
-	// lease by what the answer to this report grants.
+	// ExtendingLease means that the worker has been unresponsive for so short a time that polls
+	// still extend its lease by what the answer to this report grants.
 	ExtendingLease bool `cbor:"13,keyasint,omitempty"`
-	// Crashed: this life is over, and ended without notice. With Looked, Running are then
-	// the runs that had been at work for ProvenAfter, and Ended those that were over, as far
-	// as the agent saw.
+	// Crashed means that this incarnation ended without notice. With Polled, Running then lists
+	// the runs that the agent had seen for StartupCrashWindow, and Ended those that it had seen
+	// end.
 	Crashed bool `cbor:"14,keyasint,omitempty"`
-	// Generation is what the worker has seen of the planner's turn; see Fence.
+	// Generation is the generation that the worker has seen; see Fence.
 	Generation uint64 `cbor:"15,keyasint,omitempty"`
-	// Superseded: this life is over, and another one answers under its name.
+	// Superseded means that this incarnation is over and another one answers under its name.
 	Superseded bool `cbor:"16,keyasint,omitempty"`
 }
 
-// ReportAnswer is the answer to a report.
+// ReportAnswer is the answer to a Report.
 type ReportAnswer struct {
-	// Attached: the report was made under this engine's epoch, and the answer grants the
-	// worker's lease its whole time.
+	// Attached means that the report was made under this engine's epoch and that the answer
+	// grants the worker a full lease.
 	Attached bool
-	// Generation is the least that orders to this life carry; see Fence.
+	// Generation is the lowest generation of orders to this incarnation; see Fence.
 	Generation uint64
-	// AckedEnds: ends up to it may be forgotten.
+	// AckedEnds is the highest sequence number of ends that the worker may forget.
 	AckedEnds int64
-	// EndsPending: ends of this report are not on record yet.
+	// EndsPending means that some reported ends are not stored yet.
 	EndsPending bool
-	// PollOften: the agent should look often, since tasks that serve users share the worker
-	// with others that fill.
+	// PollOften asks the agent to poll frequently, because the worker runs latency-sensitive
+	// tasks next to best-effort ones.
 	PollOften bool
 }
 
-// ListedRuns returns the runs that a worker shows, running or ended.
+// ListedRuns returns the set of runs that a worker lists as running or ended.
 func ListedRuns(running []RunStatus, ended []RunEnd) map[workload.RunID]bool {
 	runs := make(map[workload.RunID]bool, len(running)+len(ended))
 	for _, run := range running {
--- a/engine/reserve.go
+++ b/engine/reserve.go
@@ -5,11 +5,10 @@
 	"time"
 )
 
-// waitLogInterval is the pause between two lines of the log about the same unit that waits.
-// With Policy.Reservations it bounds them to a line each second or so.
+// waitLogInterval is the minimum interval between log lines about the same waiting unit.
 const waitLogInterval = 5 * time.Second
 
-// logWait logs what a unit at the head of the queue waits for.
+// logWait logs what a waiting unit needs and when it is expected to fit.
 func (r *round) logWait(u *unit, at time.Duration, slots map[*worker]int) {
 	if r.now-u.waitingSince < waitLogInterval || r.now < u.nextWaitLog {
 		return
@@ -24,8 +23,8 @@
 	r.e.logJobDecision(u.job, "waits", detail)
 }
 
-// reserve keeps the room that will be free first for a unit that waits, against units
-// behind it that would still run then.
+// reserve reserves the earliest capacity expected to become free for a waiting unit. Units
+// behind it that would still run at that time can't use that capacity.
 func (r *round) reserve(u *unit) {
 	at, slots := never, map[*worker]int(nil)
 	for _, set := range r.preferredDomains(u).domains {
--- a/engine/resize.go
+++ b/engine/resize.go
@@ -7,12 +7,11 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// resize notes how much room a worker says it has now. What runs there goes on, also where
-// it takes more; new work is placed by what is left.
+// resize updates the capacity of a worker to what it reports. Present runs continue even if
+// they exceed it.
 //
-// The failure it guards against: a worker that does not count for itself starts whatever it
-// is told to, and a planner that went by what it had said first would start more there than
-// it has.
+// A worker may start whatever it is ordered to without checking its capacity, so placing by an
+// outdated figure could overload it.
 func (e *Engine) resize(now time.Duration, w *worker, capacity workload.Resources) {
 	w.maxCapacity = w.maxCapacity.Max(capacity)
 	if capacity == w.info.Capacity {
@@ -24,8 +23,8 @@
 	e.planNeeded = true
 }
 
-// WorkerResized: a worker has more or less room than before. Used is what the planner counts as
-// taken there.
+// WorkerResized reports a change of a worker's capacity. Used is the capacity that the planner
+// counts as taken there.
 type WorkerResized struct {
 	Worker              WorkerID
 	Before, After, Used workload.Resources
--- a/engine/restore.go
+++ b/engine/restore.go
@@ -6,8 +6,8 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// restoreWorker takes a worker from a predecessor's records. It may hold what they
-// say until it reports, or until every lease that the predecessor granted has lapsed.
+// restoreWorker adds a worker from the records of a previous planner. Its recorded placements
+// count until it reports or until every lease that the previous planner granted has expired.
 func (e *Engine) restoreWorker(now time.Duration, info WorkerInfo) {
 	if e.workers[info.ID] != nil {
 		return
@@ -17,18 +17,18 @@
 	w.leaseExpiresAt += e.inheritedLeaseExtra
 	w.lastReport = now - reportTimeout
 	if previous := e.workers[e.workerByAgent[info.Agent]]; previous != nil && previous.info.SharesName(info) {
-		// Which of them is the present one the agent will say.
+		// The agent's next report tells which of the two is current.
 		e.supersede(previous, DepartureCrashed, crashEvidence{})
 	}
 	e.workerByAgent[info.Agent] = info.ID
 }
 
-// workerReturnWait is how long a new planner waits for the workers on record before it stops
-// work for want of room: most report within a tenth of a second of each other, and room
-// on those still to come is better than an eviction.
+// workerReturnWait is how long a new planner waits for the recorded workers to report before it
+// evicts work. Most report within a fraction of that time, and their capacity may make
+// evictions unnecessary.
 const workerReturnWait = 400 * time.Millisecond
 
-// awaitingKnownWorkers says whether workers that a predecessor knew are still expected.
+// awaitingKnownWorkers reports whether recorded workers are still expected to report.
 func (e *Engine) awaitingKnownWorkers(now time.Duration) bool {
 	if now-e.startedAt > workerReturnWait {
 		return false
@@ -41,7 +41,7 @@
 	return false
 }
 
-// restoreJob takes a job from a predecessor's records. Workers are restored before.
+// restoreJob adds a job from the records of a previous planner. Workers must be restored first.
 func (e *Engine) restoreJob(now time.Duration, ev JobRestored) {
 	if e.jobs[ev.Job.ID] != nil {
 		return
@@ -99,7 +99,7 @@
 	for _, place := range up.Places {
 		w := e.workers[place.Worker]
 		if w == nil {
-			continue // its record is removed only once nothing runs there
+			continue // its record is removed only when nothing runs there
 		}
 		p := e.addPlacement(u, place.Index, w)
 		p.state = placementAdopted
@@ -117,7 +117,7 @@
 	}
 }
 
-// addPlacement makes a placement, which takes its room from now on.
+// addPlacement creates a placement, which holds its capacity from now on.
 func (e *Engine) addPlacement(u *unit, index int, w *worker) *placement {
 	p := &placement{unit: u, index: index, worker: w, runNumber: u.runNumber, demand: u.demand()}
 	w.addPlacement(p)
--- a/engine/sharing.go
+++ b/engine/sharing.go
@@ -5,49 +5,47 @@
 	"time"
 )
 
-// Tasks that fill (Step.Fills) use the processor time that others leave, and disturb
-// those that serve users (Step.TailTarget) on the same worker. Each look brings the
-// serving tasks' tail latency; from it the speed of what fills is set:
+// Best-effort tasks (Step.BestEffortCPU) use the processor time that others leave and may disturb
+// latency-sensitive tasks (Step.TailLatencyTarget) on the same worker. Each poll brings the tail
+// latencies of the latter, from which the speed limits of the former are set:
 //
-//   - a filling task begins at the speed that was tolerated for its image beside theirs;
-//   - over strainCeiling the speed of the likeliest cause is halved, over the target all
-//     speeds are, and again after the figures have had time to show it; over the target for
-//     harmShare of the time that counts as harm, what fills stands still; what the worker
-//     does not hold back is stopped;
-//   - under latencyRatioFloor one filling task is raised a step, of the image that is tolerated
-//     best, so that what follows can be put down to its pair of images.
+//   - a best-effort task starts at the limit known to be tolerated for its pair of images;
+//   - above latencyRatioCeiling the limit of the most likely cause is halved, above the target
+//     all limits are, and again once that had time to take effect; after pauseAfterShare of
+//     Params.MaxLatencyViolation all best-effort tasks are paused, and after stopAfterShare
+//     those whose limit the worker has not confirmed are stopped;
+//   - below latencyRatioFloor the limit of one best-effort task is raised by a step, so that
+//     the effect can be attributed to its pair of images.
 //
-// It is additive increase and multiplicative decrease, as in congestion control, since the
-// load of the serving tasks is not known and changes within seconds.
+// This is additive increase and multiplicative decrease, as in congestion control: the load of
+// the latency-sensitive tasks is unknown and changes within seconds.
 const (
-	// latencyRatioCeiling and strainFloor are tail latencies in parts of the target.
+	// latencyRatioCeiling and latencyRatioFloor are ratios of tail latency to its target.
 	latencyRatioCeiling = 0.85
 	latencyRatioFloor   = 0.7
-	// paceSettleTime is how long figures may still rest on the speed before: they cover half
-	// a second, and an order takes a tenth.
+	// paceSettleTime is how long reported latencies may still reflect the previous limit.
 	paceSettleTime = 700 * time.Millisecond
-	// pauseAfterShare is the part of Params.Harm over the target after which nothing fills.
+	// pauseAfterShare is the share of Params.MaxLatencyViolation after which best-effort tasks
+	// are paused.
 	pauseAfterShare = 0.3
-	// stopAfterShare is the part after which a run whose speed the worker did not confirm is
-	// stopped.
+	// stopAfterShare is the share after which runs with an unconfirmed limit are stopped.
 	stopAfterShare = 0.6
-	// raiseBlameWindow is how long after a raise a high latency is put down to it: two looks and
-	// strainSettle.
+	// raiseBlameWindow is how long after a raise a high latency is attributed to it.
 	raiseBlameWindow = 2 * time.Second
-	// minRaiseStep is the step in percent beyond what is known to be tolerated, to which
-	// a run returns in one step.
+	// minRaiseStep is the smallest step of a raise in percent. A run returns to the limit known
+	// to be tolerated in one step.
 	minRaiseStep = 12
 )
 
-// sharing is how what fills on one worker is held back.
+// sharing is the state of the speed control of one worker.
 type sharing struct {
-	changedAt      time.Duration // when a speed was last changed
-	violationSince time.Duration // since when a serving task is over its target; 0: it is not
-	lastRaised     *placement    // what changedAt raised, if it raised anything
+	changedAt      time.Duration // when a limit was last changed
+	violationSince time.Duration // since when a latency-sensitive task exceeds its target; 0 if none does
+	lastRaised     *placement    // the run raised at changedAt, if any
 }
 
-// colocatedPlacements returns the runs on w that serve users within a target, and those that fill;
-// none where nothing fills, as on most workers.
+// colocatedPlacements returns the latency-sensitive and the best-effort runs on w, without
+// those being stopped. Both are nil if w has no best-effort run.
 func (w *worker) colocatedPlacements() (sensitive, bestEffort []*placement) {
 	if !w.hasBestEffort() {
 		return nil, nil
@@ -64,7 +62,7 @@
 	return sensitive, bestEffort
 }
 
-// hasBestEffort says whether anything on w hasBestEffort.
+// hasBestEffort reports whether w has a best-effort run.
 func (w *worker) hasBestEffort() bool {
 	for _, p := range w.placements {
 		if p.unit.spec().BestEffortCPU {
@@ -74,13 +72,13 @@
 	return false
 }
 
-// needsFrequentPolls says whether w has to be looked at often.
+// needsFrequentPolls reports whether w runs both latency-sensitive and best-effort tasks.
 func (w *worker) needsFrequentPolls() bool {
 	sensitive, bestEffort := w.colocatedPlacements()
 	return len(sensitive) > 0 && len(bestEffort) > 0
 }
 
-// adjustPaces sets the speeds of what fills on w after a look.
+// adjustPaces sets the speed limits of the best-effort runs on w after a poll.
 func (e *Engine) adjustPaces(now time.Duration, w *worker) {
 	sensitive, bestEffort := w.colocatedPlacements()
 	if len(bestEffort) == 0 {
@@ -98,6 +96,8 @@
 	e.controlPaces(now, w, sensitive, bestEffort)
 }
 
+// controlPaces lowers or raises the limits of best-effort runs according to the tail latencies
+// of their neighbours.
 func (e *Engine) controlPaces(now time.Duration, w *worker, sensitive, bestEffort []*placement) {
 	s := &w.sharing
 	ratio := worstLatencyRatio(sensitive)
@@ -125,14 +125,12 @@
 	}
 }
 
-// inViolationFor says whether a serving task has been over its target for a share of what counts
-// as harm.
+// inViolationFor reports whether a target has been exceeded for the given share of limit.
 func (s *sharing) inViolationFor(now, limit time.Duration, share float64) bool {
 	return s.violationSince != 0 && now-s.violationSince >= time.Duration(share*float64(limit))
 }
 
-// stopUnconfirmed stops what could not be held back: the worker has not confirmed the order, or
-// takes none.
+// stopUnconfirmed stops the best-effort runs whose limit the worker has not confirmed.
 func (e *Engine) stopUnconfirmed(now time.Duration, bestEffort []*placement) {
 	for _, p := range bestEffort {
 		if p.pace.confirmed || !p.unit.mayStop(0) {
@@ -143,8 +141,8 @@
 	}
 }
 
-// pickToThrottle returns the run that is held back first: the one raised a moment ago, else the
-// one whose image is tolerated least.
+// pickToThrottle returns the run to slow down first: one that was raised a moment ago, else the
+// one with the lowest tolerated limit.
 func (s *sharing) pickToThrottle(e *Engine, now time.Duration, sensitive, bestEffort []*placement) []*placement {
 	var worst *placement
 	for _, p := range bestEffort {
@@ -162,8 +160,8 @@
 	return []*placement{worst}
 }
 
-// worstLatencyRatio returns the worst tail latency in parts of its target; 0 where nothing is
-// known of any.
+// worstLatencyRatio returns the highest ratio of tail latency to target, or 0 if no latency is
+// known.
 func worstLatencyRatio(sensitive []*placement) float64 {
 	worst := 0.0
 	for _, p := range sensitive {
@@ -174,7 +172,8 @@
 	return worst
 }
 
-// throttle lowers runs that fill to a part of their speed, and learns from it.
+// throttle multiplies the limits of best-effort runs by factor and records that their present
+// limits were not tolerated.
 func (e *Engine) throttle(now time.Duration, w *worker, sensitive, bestEffort []*placement, ratio, factor float64) {
 	w.sharing.lastRaised = nil
 	for _, p := range bestEffort {
@@ -190,7 +189,8 @@
 	}
 }
 
-// raisePace raises one run that fills, of the image that is tolerated best.
+// raisePace records that the present limits are tolerated and raises that of the best-effort run
+// with the highest tolerated limit.
 func (e *Engine) raisePace(now time.Duration, w *worker, sensitive, bestEffort []*placement) {
 	var best *placement
 	for _, p := range bestEffort {
@@ -215,8 +215,8 @@
 	w.sharing.lastRaised = best
 }
 
-// toleratedPace returns the speed in percent at which p may fill beside all that serve; full
-// speed where nothing does.
+// toleratedPace returns the limit in percent at which p may run next to the latency-sensitive
+// runs; full speed if there are none.
 func (e *Engine) toleratedPace(p *placement, sensitive []*placement) int {
 	lowest := float64(fullPace)
 	for _, s := range sensitive {
@@ -229,8 +229,8 @@
 	return imagePair{bestEffort: bestEffort.unit.spec().Image, latencySensitive: sensitive.unit.spec().Image}
 }
 
-// initPaces sets speeds as p's start leaves: its own where it fills, that of what fills already
-// where it serves.
+// initPaces sets limits when the start of p is sent: its own if it is best-effort, those of its
+// best-effort neighbours if it is latency-sensitive.
 func (e *Engine) initPaces(now time.Duration, p *placement) {
 	p.pace = pace{percent: fullPace, confirmed: true}
 	s := p.unit.spec()
@@ -240,7 +240,7 @@
 	sensitive, bestEffort := p.worker.colocatedPlacements()
 	for _, f := range bestEffort {
 		if s.BestEffortCPU && f != p || f.state == placementUnrecorded {
-			continue // its own start sets it
+			continue // set when its own start is sent
 		}
 		if tolerated := e.toleratedPace(f, sensitive); tolerated < f.pace.percent {
 			e.setPace(now, f, tolerated)
--- a/engine/superseded.go
+++ b/engine/superseded.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// supersession is how a life ended in whose place another one answers under the same name.
+// supersession records how an incarnation ended that is followed by another one under the same
+// name.
 //
-// Calls name the worker and not its life, so a start that was meant for the life that is over,
-// and had no answer, may still be carried out by the next one. What the earlier life held is
-// therefore not over with it: were it started elsewhere at once, it could run twice. It is
-// settled when the next life has answered under a fence that no earlier order carries: what it
-// does not show then, it refuses from then on.
+// Calls carry the worker's name only, so an unanswered start meant for the previous incarnation
+// may still be carried out by the next one, and its task could run twice if it were restarted
+// elsewhere at once. The placements are therefore kept until the next incarnation has answered
+// under a fence that no earlier order carries, as it refuses those orders from then on.
 type supersession struct {
 	how      Departure
 	evidence crashEvidence
 }
 
-// handleTerminated handles an agent's word that a life is over.
+// handleTerminated processes an agent's report that an incarnation is over.
 func (e *Engine) handleTerminated(now time.Duration, r Report) {
 	if w := e.workers[r.Worker.ID]; w != nil && r.Superseded {
 		e.supersede(w, r.departure(), r.crashEvidence())
@@ -26,7 +26,7 @@
 	e.endIncarnation(now, r.Worker.ID, r.departure(), r.crashEvidence())
 }
 
-// supersedeReplaced ends the life that an agent reported before, as it now reports another one.
+// supersedeReplaced ends the previous incarnation when its agent reports another one.
 func (e *Engine) supersedeReplaced(now time.Duration, previous WorkerID, info WorkerInfo) {
 	w := e.workers[previous]
 	if w != nil && w.info.SharesName(info) {
@@ -36,8 +36,8 @@
 	e.endIncarnation(now, previous, e.departureOfReplaced(previous), crashEvidence{})
 }
 
-// supersede notes that a life is over, as far as anybody has said, and that another one of
-// its name follows. The first word on how it ended stands, unless it was not the agent's.
+// supersede records that another incarnation follows w under the same name. The first account
+// of how w ended is kept, unless it is not the agent's.
 func (e *Engine) supersede(w *worker, how Departure, evidence crashEvidence) {
 	w.attached = false
 	if w.supersession == nil {
@@ -48,8 +48,8 @@
 	}
 }
 
-// assignGeneration makes w the present life beside its agent. Nothing that it says counts until it has
-// answered under a fence that no order to another life of its name carries.
+// assignGeneration makes w the current incarnation of its name. Its reports count only once it
+// has answered under a fence that no order to another incarnation carries.
 func (e *Engine) assignGeneration(w *worker) {
 	if w.info.Name == "" {
 		return
@@ -60,15 +60,15 @@
 	e.dropSuperseded(w)
 }
 
-// noteGeneration notes a turn that the agent has raised by itself, for an agent that is started again
-// beside the worker, and for the lives to come.
+// noteGeneration records a generation that the agent has raised itself, so that a restarted
+// agent and later incarnations get no lower one.
 func (e *Engine) noteGeneration(w *worker, generation uint64) {
 	w.generation = max(w.generation, generation)
 	e.lastGeneration = max(e.lastGeneration, generation)
 }
 
-// settleSuperseded settles the lives that w follows, with its first look under its own fence.
-// Runs that this look lists were started by orders to one of them; they go on as runs on w.
+// settleSuperseded ends the incarnations that w follows, at the first poll under its own fence.
+// Runs that this poll lists were started by orders to one of them; their placements move to w.
 func (e *Engine) settleSuperseded(now time.Duration, w *worker, r Report) {
 	earlier := e.superseded[w.info.Agent]
 	if len(earlier) == 0 {
@@ -85,6 +85,7 @@
 	}
 }
 
+// carryOver moves a placement to w, the next incarnation of its worker.
 func (e *Engine) carryOver(now time.Duration, p *placement, w *worker) {
 	p.worker.removePlacement(p)
 	p.worker = w
--- a/engine/tick.go
+++ b/engine/tick.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// replanInterval bounds how long a decision may rest on estimates alone.
+	// replanInterval is the time since the last planning round after which a tick requests one.
 	replanInterval = 250 * time.Millisecond
-	// workerRetention is how long a worker that does not report is remembered.
+	// workerRetention is how long a worker with an expired lease is kept after its last report.
 	workerRetention = 60 * time.Second
-	// maxPollAge is how old the last look at a worker may be to judge what runs there;
-	// agents look at least once a second.
+	// maxPollAge is the oldest poll by which a run may be judged stuck. Agents poll at least
+	// once a second.
 	maxPollAge = 1500 * time.Millisecond
-	// stuckEstimateShare is how long a task may show no progress at all before it is tried elsewhere,
-	// in parts of its estimate and at least stuckLeast, or stuckUnproven while no run of its
-	// queue has shown any. Each further time takes twice as long: some work shows no progress,
-	// and must end all the same.
+	// A task is moved when it has shown no progress for stuckEstimateShare of its estimate, and
+	// at least for minStuckTime, or minStuckTimeUnproven while no run of its queue has shown
+	// any. The time doubles with each move, as some tasks never report progress and must still
+	// be able to finish.
 	stuckEstimateShare   = 0.2
 	minStuckTime         = 1600 * time.Millisecond
 	minStuckTimeUnproven = 2500 * time.Millisecond
-	maxStalls            = 16 // bounds the doubling
+	maxStalls            = 16 // limits the doubling
 )
 
 func (e *Engine) tick(now time.Duration, ev Tick) {
@@ -45,7 +45,7 @@
 		for _, p := range w.sortedPlacements() {
 			e.handleLostRun(now, p, CauseLeaseExpired, "the worker's lease lapsed")
 		}
-		// What it lists later was not placed by anyone any more.
+		// Runs that it lists later were not placed by this planner.
 		w.attached = false
 	}
 	if w.leaseExpired && now-w.lastReport > workerRetention {
@@ -67,8 +67,7 @@
 	}
 }
 
-// isStuck says whether a task has stood still for so long that starting it elsewhere
-// pays. A worker that reports no progress of anything shows so by all its tasks.
+// isStuck reports whether a run has shown no progress for so long that it should be moved.
 func (e *Engine) isStuck(now time.Duration, p *placement) bool {
 	if !e.params.Policy.StandingStill || p.state != placementRunning || p.stopping || p.unit.ending() || p.rate.lastPercent >= 99 {
 		return false
@@ -77,7 +76,7 @@
 		return false
 	}
 	if p.worker.unresponsive || now-p.worker.lastPolledAt > maxPollAge {
-		return false // what was seen last says nothing of now
+		return false // the last poll is too old to judge by
 	}
 	minTime := minStuckTimeUnproven
 	if e.tracker.progressQueues[p.unit.job.spec.Queue] {
--- a/engine/unit.go
+++ b/engine/unit.go
@@ -7,7 +7,7 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// unitState is how far a unit has come.
+// unitState is the scheduling state of a unit.
 type unitState int
 
 const (
@@ -18,71 +18,72 @@
 	unitFailed
 )
 
-// runOutcome is what the present run of a unit came to.
+// runOutcome is the outcome of a unit's current run.
 type runOutcome int
 
 const (
 	outcomeNone  runOutcome = iota
-	outcomeRetry            // it has to start again
+	outcomeRetry            // the unit has to start again
 	outcomeDone
 )
 
-// unit is what starts together: one gang, or one task.
+// unit is a set of tasks that start together: a gang or a single task.
 type unit struct {
 	job        *job
 	occurrence int
 	step       int
-	index      int // of the task; 0 for a gang
+	index      int // index of the task; 0 for a gang
 	size       int
 	state      unitState
 	outcome    runOutcome
-	runNumber  int // highest number used
+	runNumber  int // the highest number used
 	failures   int
-	failedRun  int // the last run that counted as a failure
+	failedRun  int // the last run that was counted in failures
 	checkpoint string
-	// checkpointAt is when the checkpoint in saved was first seen, while its run goes on.
+	// checkpointAt is when checkpoint was first reported, for a run that still continues.
 	checkpointAt time.Duration
 	placements   []*placement
-	// cause is why the present run ends undone; causeNone while it does not.
+	// cause is why the current run ends without being done; causeNone if it does not.
 	cause Cause
 	times timeBreakdown
 	// waitingSince is when the unit last began to wait.
 	waitingSince time.Duration
-	// placedAt is when its present run was decided.
+	// placedAt is when the current run was placed.
 	placedAt time.Duration
-	// invalidBackoff paces orders that workers could not read, restartBackoff those of a task that lasts
-	// and ends soon after each start.
+	// invalidBackoff delays a start after one that the worker could not decode, restartBackoff
+	// the restart of a long-running task that ended soon after its start.
 	invalidBackoff, restartBackoff backoff
 	notBefore                      time.Duration
-	// nextWaitLog is when the log may say again what the unit waits for.
+	// nextWaitLog is when the log may next say what the unit waits for.
 	nextWaitLog time.Duration
-	stallCount  int // how often it was stopped because it stood still
-	// avoidedWorkers are workers where a run of it failed, and until when.
+	stallCount  int // how often it was stopped as stuck
+	// avoidedWorkers are workers where a run failed or got stuck, with the end of the
+	// avoidance.
 	avoidedWorkers map[WorkerID]time.Duration
-	// crashes counts the workers that crashed under its tasks, by index; tasks under which
-	// none did are not there. shuns are the agents beside which they did, and until when.
+	// crashes counts worker crashes by task index; tasks without crashes have no entry.
+	// avoidedAgents are the agents of the crashed workers, with the end of the avoidance.
 	crashes       map[int]crashCount
 	avoidedAgents map[string]time.Duration
-	// probationSince is since when it lets go of room for the sake of its probation; 0 where it
-	// does not.
+	// probationSince is when the unit began to pass over available capacity because of its
+	// probation; 0 if it does not.
 	probationSince time.Duration
-	// claims is room that is being emptied for the unit: tasks by worker.
+	// claims is the capacity being freed for the unit, as the number of its tasks by worker.
 	claims    map[*worker]int
 	claimedAt time.Duration
-	// fleetIdleSince is since when it has waited for room nearby with most of the fleet idle; 0
-	// where it has not.
+	// fleetIdleSince is since when the unit has waited for nearby capacity while most of the
+	// fleet was idle; 0 if it has not.
 	fleetIdleSince time.Duration
-	// nextEvictionSearch is when victims may be looked for again.
+	// nextEvictionSearch is the earliest time of the next search for eviction victims.
 	nextEvictionSearch time.Duration
 }
 
-// occurrenceStep is a step of one occurrence of a job.
+// occurrenceStep identifies a step within one occurrence of a job.
 type occurrenceStep struct {
 	occurrence int
 	step       int
 }
 
-// stepKey is a step of one occurrence among all jobs.
+// stepKey identifies a step within one occurrence among all jobs.
 type stepKey struct {
 	job  *job
 	step occurrenceStep
@@ -96,9 +97,10 @@
 
 func (u *unit) demand() workload.Resources { return u.spec().Demand() }
 
-// totalDemand returns what all members of the unit take.
+// totalDemand returns the resources of all members together.
 func (u *unit) totalDemand() workload.Resources { return u.demand().Times(u.size) }
 
+// taskIndexes returns the indexes of the unit's tasks within their step.
 func (u *unit) taskIndexes() []int {
 	if !u.spec().Gang {
 		return []int{u.index}
@@ -110,11 +112,10 @@
 	return out
 }
 
-// workerAvoidanceTime is how long a unit keeps away from a worker where it failed. Workers that
-// fail everything do so for five seconds or so, and show it by then to others too.
+// workerAvoidanceTime is how long a unit avoids a worker where it failed.
 const workerAvoidanceTime = 6 * time.Second
 
-// avoidWorker keeps the unit of p away from its worker.
+// avoidWorker makes the unit of p avoid its worker for a while.
 func (e *Engine) avoidWorker(now time.Duration, p *placement) {
 	if !e.params.Policy.Avoidance {
 		return
@@ -126,10 +127,10 @@
 	u.avoidedWorkers[p.worker.info.ID] = now + workerAvoidanceTime
 }
 
-// adopted says whether a predecessor placed its present run and no worker has told of it yet.
+// adopted reports whether some placement is adopted and not yet confirmed by its worker.
 func (u *unit) adopted() bool {
 	return slices.ContainsFunc(u.placements, func(p *placement) bool { return p.state == placementAdopted })
 }
 
-// ending says whether the present run is on its way out.
+// ending reports whether the current run is done or has to start again.
 func (u *unit) ending() bool { return u.outcome != outcomeNone }
--- a/engine/unschedulable.go
+++ b/engine/unschedulable.go
@@ -7,18 +7,17 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// A job that fits no set of workers known now waits, and the log says why. It is not
-// failed: workers that are away come back, others are added, and a machine's next life may
-// have another label or size, so that nobody knows that the job can never run; and a
-// caller who is told that it failed takes it that its tasks were tried.
+// A job that fits no set of known workers keeps waiting, and the reason is logged. It is not
+// failed, since workers may come back or be added, with other labels or capacities, and a
+// failed job implies that its tasks were tried.
 const (
-	// workerSettleTime is how long workers may take to announce themselves.
+	// workerSettleTime is how long workers may take to register.
 	workerSettleTime = 4 * time.Second
-	// unschedulableCheckInterval is the pause between two looks at the same job.
+	// unschedulableCheckInterval is the minimum interval between checks of the same job.
 	unschedulableCheckInterval = time.Second
 )
 
-// logUnschedulable logs why a job fits no workers, each time that the reason changes.
+// logUnschedulable logs why a job fits no workers whenever the reason changes.
 func (e *Engine) logUnschedulable(now time.Duration, j *job) {
 	if now-e.workerAddedAt < workerSettleTime || now-e.startedAt < workerSettleTime || now < j.unschedulableCheckAt {
 		return
@@ -31,8 +30,8 @@
 	j.unschedulableReason = reason
 }
 
-// unschedulableReason returns why no set of workers known could hold a unit of the job that waits, and
-// nothing where one could.
+// unschedulableReason returns why no set of known workers could hold some waiting unit of the
+// job, or an empty string if there is none such.
 func (e *Engine) unschedulableReason(j *job) string {
 	for _, u := range j.units {
 		if u.state != unitWaiting {
@@ -68,7 +67,7 @@
 	return ""
 }
 
-// capPerWorker bounds a number of tasks by the step's own bound.
+// capPerWorker applies the step's limit of tasks per worker to n.
 func capPerWorker(s *workload.Step, n int) int {
 	if s.MaxPerWorker > 0 {
 		return min(n, s.MaxPerWorker)
--- a/engine/worker.go
+++ b/engine/worker.go
@@ -9,24 +9,24 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// WorkerID names one life of a worker.
+// WorkerID identifies one incarnation of a worker.
 type WorkerID string
 
-// WorkerInfo is what a worker says of itself once.
+// WorkerInfo is what a worker states about itself when it registers.
 type WorkerInfo struct {
 	ID       WorkerID           `json:"id" cbor:"1,keyasint"`
-	Agent    string             `json:"agent" cbor:"2,keyasint"` // the process beside it
+	Agent    string             `json:"agent" cbor:"2,keyasint"` // the agent process next to it
 	Service  string             `json:"service" cbor:"3,keyasint"`
 	Zone     string             `json:"zone" cbor:"4,keyasint"`
 	Labels   []string           `json:"labels,omitempty" cbor:"5,keyasint,omitempty"`
 	Rack     string             `json:"rack,omitempty" cbor:"6,keyasint,omitempty"`
 	Capacity workload.Resources `json:"capacity" cbor:"7,keyasint"`
-	// Name is what calls to it carry where further lives may have it too; empty where each
-	// life goes by an ID of its own.
+	// Name is the name under which the worker is called if later incarnations may reuse it;
+	// empty if every incarnation is called by its ID.
 	Name string `json:"name,omitempty" cbor:"8,keyasint,omitempty"`
 }
 
-// CallName is the name under which the worker answers.
+// CallName returns the name under which the worker is called.
 func (i *WorkerInfo) CallName() string {
 	if i.Name != "" {
 		return i.Name
@@ -34,49 +34,49 @@
 	return string(i.ID)
 }
 
-// SharesName says whether both are lives of one worker that keeps its name.
+// SharesName reports whether both are incarnations of one worker that keeps its name.
 func (i *WorkerInfo) SharesName(other WorkerInfo) bool {
 	return i.Name != "" && i.Name == other.Name && i.Agent == other.Agent
 }
 
-// worker is the engine's view of one life of a worker.
+// worker is the engine's view of one incarnation of a worker.
 type worker struct {
 	info WorkerInfo
-	// maxCapacity is the maxCapacity room that it told of.
+	// maxCapacity is the largest capacity that it has reported.
 	maxCapacity workload.Resources
 	placements  map[workload.TaskID]*placement
-	// sortedCache are the places in their order; nil after one was added or removed.
+	// sortedCache holds the placements in order; nil after one was added or removed.
 	sortedCache []*placement
 	used        workload.Resources
-	// orphans are runs found there that the engine did not place; until they are gone
-	// nothing is started, since what they take is not known.
-	orphans map[workload.RunID]time.Duration // when a stop was last sent
-	// attached: it reports under this engine's epoch and its own turn, so older orders are
-	// refused.
+	// orphans are runs found there that the engine did not place, with the time of the last
+	// stop order. Until they are gone nothing is started there, since their demand is unknown.
+	orphans map[workload.RunID]time.Duration
+	// attached means that it reports under this engine's epoch and its own generation, so that
+	// it refuses older orders.
 	attached   bool
 	generation uint64 // see Fence
-	// supersession: another life of its name follows it; nil: none.
+	// supersession is set if another incarnation follows under the same name.
 	supersession *supersession
-	// unresponsive: its agent reports, but the worker itself does not answer.
+	// unresponsive means that its agent reports but the worker itself does not answer.
 	unresponsive   bool
 	draining       bool
-	cordoned       bool // its availability zone is
+	cordoned       bool // its availability zone is cordoned
 	leavesAt       time.Duration
 	lastReport     time.Duration
 	lastPolledAt   time.Duration // when the worker itself last answered
 	leaseExpiresAt time.Duration
-	leaseExpired   bool // lapseAt has passed without a report
-	// runsAtExpiry are the runs that were given up then. If the worker's next word is that it
-	// had crashed, it crashed under them.
+	leaseExpired   bool // leaseExpiresAt has passed without a report
+	// runsAtExpiry are the placements that were ended when the lease expired. If the worker
+	// turns out to have crashed, it crashed under them.
 	runsAtExpiry []*placement
-	// recorded: the worker's record is in the store.
+	// recorded means that the worker's record is in the store.
 	recorded    bool
 	pendingEnds []pendingEnd
 	ackedEnds   int64
-	lastEnd     int64 // the highest end handled
+	lastEnd     int64 // the highest sequence number processed
 	health      workerHealth
 	sharing     sharing
-	// round is what the planning round in progress notes of the worker.
+	// round is the state of the current planning round for this worker.
 	round workerRoundState
 }
 
@@ -91,26 +91,26 @@
 	return label == "" || slices.Contains(w.info.Labels, label)
 }
 
-// usable says whether new tasks may be placed on w.
+// usable reports whether new tasks may be placed on w.
 func (w *worker) usable(now time.Duration) bool { return !w.cordoned && w.usableIfUncordoned(now) }
 
-// usableIfUncordoned says whether w is usable as soon as its availability zone is.
+// usableIfUncordoned reports whether w is usable apart from a cordon of its availability zone.
 func (w *worker) usableIfUncordoned(now time.Duration) bool {
 	return w.attached && w.recorded && !w.unresponsive && !w.draining && !w.leaseExpired &&
 		len(w.orphans) == 0 && now-w.lastReport < reportTimeout
 }
 
-// free returns the room that nothing holds. It is negative where the worker's room has
-// shrunk below what it holds.
+// free returns the unused capacity. It is negative if the capacity has shrunk below what is
+// used.
 func (w *worker) free() workload.Resources { return w.info.Capacity.Sub(w.used) }
 
-// stillFits says whether the room that p holds is still there.
+// stillFits reports whether the capacity that p holds is still there.
 func (w *worker) stillFits(p *placement) bool {
 	return p.demand.CountFitting(w.free().Add(p.demand), 1) == 1
 }
 
-// sortedPlacements returns the placements in a fixed order, as they are now. The caller does not
-// change the slice.
+// sortedPlacements returns the placements in a fixed order. The caller must not modify the
+// slice.
 func (w *worker) sortedPlacements() []*placement {
 	if w.sortedCache == nil && len(w.placements) > 0 {
 		w.sortedCache = slices.Collect(maps.Values(w.placements))
@@ -119,14 +119,14 @@
 	return w.sortedCache
 }
 
-// addPlacement takes the room of a placement.
+// addPlacement adds a placement and takes its capacity.
 func (w *worker) addPlacement(p *placement) {
 	w.placements[p.taskID()] = p
 	w.sortedCache = nil
 	w.used = w.used.Add(p.demand)
 }
 
-// removePlacement frees the room of a placement that is over.
+// removePlacement removes a placement that is over and frees its capacity.
 func (w *worker) removePlacement(p *placement) {
 	if w.placements[p.taskID()] != p {
 		return
@@ -145,7 +145,7 @@
 	)
 }
 
-// advanceAckedEnds advances seen past the ends that are on record.
+// advanceAckedEnds advances ackedEnds past the ends that are stored and returns it.
 func (w *worker) advanceAckedEnds() int64 {
 	for len(w.pendingEnds) > 0 {
 		end := w.pendingEnds[0]
--- a/engine/write.go
+++ b/engine/write.go
@@ -9,33 +9,33 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// Write is a set of changes that go on record together.
+// Write is a set of changes to store together.
 type Write struct {
 	Jobs    []JobWrite
 	Workers []WorkerInfo
 	// RemovedWorkers are workers whose records are removed.
 	RemovedWorkers []WorkerID
-	// EndedJobs are jobs whose records are replaced by their outcomes, Forgotten those of which
-	// nothing is kept any more.
+	// EndedJobs are jobs whose records are replaced by their outcomes, ForgottenJobs those
+	// whose outcomes are removed.
 	EndedJobs     []EndedJob
 	ForgottenJobs []ExpiredJob
 }
 
-// JobWrite is one job's record.
+// JobWrite is the new record of one job.
 type JobWrite struct {
 	ID       workload.JobID
 	Version  int
 	Progress *JobProgress
 }
 
-// Empty says whether there is nothing to write.
+// Empty reports whether there is nothing to write.
 func (w *Write) Empty() bool {
 	return len(w.Jobs)+len(w.Workers)+len(w.RemovedWorkers)+len(w.EndedJobs)+len(w.ForgottenJobs) == 0
 }
 
-// PendingChanges returns the changes that are not on record yet, at most limit records,
-// those that starts or ends wait for first. The caller writes them and gives Stored;
-// it asks for no further changes before that.
+// PendingChanges returns up to limit changed records that are not stored yet, first those that
+// starts or ends wait for. The caller writes them, passes WriteApplied to the engine, and does not
+// ask for more changes before that.
 func (e *Engine) PendingChanges(now time.Duration, wall time.Time, limit int) Write {
 	var w Write
 	for _, id := range slices.Sorted(maps.Keys(e.unrecordedWorkers)) {
@@ -55,6 +55,7 @@
 	return e.addRemovals(w, limit, now, wall)
 }
 
+// changedJobs returns the jobs with unstored changes in order of acceptance.
 func (e *Engine) changedJobs() []*job {
 	var changed []*job
 	for id := range e.dirtyJobs {
@@ -68,7 +69,7 @@
 	return changed
 }
 
-// addRemovals adds what is taken off the records.
+// addRemovals adds the records to remove or replace to w.
 func (e *Engine) addRemovals(w Write, limit int, now time.Duration, wall time.Time) Write {
 	for _, id := range slices.Sorted(maps.Keys(e.goneWorkers)) {
 		if limit <= 0 {
@@ -94,7 +95,7 @@
 	return w
 }
 
-// handleWritten handles a write that took effect: starts that waited for it may leave.
+// handleWritten processes a completed write and sends the starts that waited for it.
 func (e *Engine) handleWritten(now time.Duration, w Write) {
 	for _, info := range w.Workers {
 		if known := e.workers[info.ID]; known != nil {
@@ -133,7 +134,8 @@
 	e.orderedJobs = slices.DeleteFunc(e.orderedJobs, func(o *job) bool { return o == j })
 }
 
-// releaseStarts orders the starts of a job whose placements are on record as written.
+// releaseStarts sends the start orders of a job's units whose current run is in the written
+// record.
 func (e *Engine) releaseStarts(now time.Duration, j *job, written *JobProgress) {
 	for i := range written.Units {
 		u := j.findUnit(written.Units[i].Occurrence, written.Units[i].Step, written.Units[i].Index)
@@ -144,8 +146,8 @@
 	}
 }
 
-// orderUnitStarts sends the starts of a run, all or, where one of the workers is no longer
-// fit, none.
+// orderUnitStarts sends the starts of a run to all its workers, or to none if one of them can
+// no longer take it.
 func (e *Engine) orderUnitStarts(now time.Duration, u *unit) {
 	var ready []*placement
 	for _, p := range u.placements {
@@ -176,7 +178,7 @@
 	e.initPaces(now, p)
 }
 
-// abandonRun gives a run up whose members can't all start.
+// abandonRun gives up a run because not all members can start.
 func (e *Engine) abandonRun(now time.Duration, u *unit) {
 	if u.outcome == outcomeNone {
 		u.outcome = outcomeRetry
