--- a/engine/durations_test.go
+++ b/engine/durations_test.go
@@ -7,9 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A planner takes over while tasks run, and their ends come before it has seen them. It
-// knows neither when they began nor how long they ran, and must not learn from them: it
-// took them for runs of hours, and every forecast of the queue was three times too long.
+// Guards against learning run times from adopted runs, whose start times are unknown.
 func TestAdoptedRunsAreNotLearned(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 2)
--- a/engine/eviction_cache_test.go
+++ b/engine/eviction_cache_test.go
@@ -8,8 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// crowdedDriver returns a desk whose workers are nearly full of all kinds of work, and a unit that
-// waits.
+// crowdedDriver returns a driver whose workers are nearly full of mixed work, and a waiting
+// unit.
 func crowdedDriver(t *testing.T, rng *rand.Rand) (*driver, *unit) {
 	d := newDriver(t, 9)
 	for range 25 {
@@ -30,8 +30,7 @@
 	return d, d.e.jobs[id].units[0]
 }
 
-// evictionWithoutCache is evictions without what next keeps: after each member all workers are
-// looked at again.
+// evictionWithoutCache is like evictions but surveys all workers again after each member.
 func evictionWithoutCache(r *round, u *unit, set *domain) (victims []*unit, cost float64, ok bool) {
 	c := r.newVictimSearch(u, set)
 	defer c.close()
@@ -48,8 +47,8 @@
 	return victims, cost, true
 }
 
-// What a search for victims keeps between two members, and the quick look at a full set,
-// save time and change no decision.
+// Guards against decisions that change through the caching in the eviction search or the quick
+// check for full domains.
 func TestEvictionSearchCacheKeepsDecisions(t *testing.T) {
 	c := qt.New(t)
 	evictions, fullSets := 0, 0
--- a/engine/orders_test.go
+++ b/engine/orders_test.go
@@ -7,9 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// While a gang's placement goes on record, the agent of one of its workers falls
-// silent. The orders of the members after it left all the same, with room that the
-// engine already counted as free: members ran twice, and a worker was over its memory.
+// Guards against ordering only some members of a gang when the agent of one worker stops
+// reporting while the placement is being stored.
 func TestGangIsOrderedOnAllWorkersOrNone(t *testing.T) {
 	for _, unreachable := range []WorkerID{"w0", "w1", "w2"} {
 		c := qt.New(t)
@@ -36,9 +35,8 @@
 	}
 }
 
-// A gang of six fails on one worker of its preferred rack, then on another. Keeping away
-// from both left no room for it there, while the rack itself still looked empty, so it
-// waited for a rack that it was not allowed to use for as long as it was known.
+// Guards against a unit that waits forever for its preferred rack because it avoids the workers
+// there on which it failed.
 func TestUnitIsRetriedOnWorkerWhereItFailed(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 9)
@@ -55,9 +53,8 @@
 	}
 }
 
-// An order gets no answer. It may be carried out seconds later, so its room stays taken
-// and nothing of the task starts elsewhere until the worker confirms the stop and a
-// later look does not show the run.
+// Guards against a second run of a task whose start order was not answered: its capacity stays
+// taken until the worker confirms the stop and a later poll does not list the run.
 func TestUnansweredStartKeepsItsCapacity(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
--- a/engine/postpone_test.go
+++ b/engine/postpone_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A planner on a weak processor gets reports faster than it can plan. Rounds that it puts
-// off are made up for at their time, and what is decided already is not held back.
+// Guards against a postponed planning round that never runs, or that holds back stops already
+// decided.
 func TestPostponedRoundRunsWhenDue(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
--- a/engine/progress_rate_test.go
+++ b/engine/progress_rate_test.go
@@ -7,9 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A run resumes from a checkpoint at 60% and does 2% in each tenth of a second. Its speed,
-// and not the time since its start, says when it ends; what passed since the last look is
-// taken off.
+// Guards against estimating the remaining time of a resumed run by its start instead of its
+// measured rate. The time since the last poll is subtracted.
 func TestRemainingTimeFollowsMeasuredRate(t *testing.T) {
 	c := qt.New(t)
 	var p progressRate
@@ -23,8 +22,7 @@
 	c.Check(left, qt.Equals, 1100*time.Millisecond)
 }
 
-// Whole percents a moment apart say nothing of the speed, nor does progress that went back,
-// as when the worker began the task anew.
+// Guards against a rate computed from too little progress, or from progress that went back.
 func TestRateNeedsMinimumProgress(t *testing.T) {
 	c := qt.New(t)
 	var p progressRate
@@ -37,9 +35,8 @@
 	c.Check(ok, qt.IsFalse)
 }
 
-// Patient work goes on from a checkpoint, far slower than declared. By its declared run time
-// the last percents counted as done in a moment, for ever: an urgent job waited for them and
-// evicted nothing, while its objective passed. Its progress says that it goes on.
+// Guards against an urgent job that waits for a resumed run which is slower than its estimate,
+// instead of evicting it.
 func TestUrgentJobEvictsRunThatExceedsItsEstimate(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
--- a/engine/refused_test.go
+++ b/engine/refused_test.go
@@ -9,9 +9,7 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// A worker refuses a start: it says that it can't read the order, or that it has no room,
-// as it has lost some and its planner has not heard of it yet. The order was repeated as
-// fast as the store took the placements, tens of times a second, until something changed.
+// Guards against repeating a refused start without backoff.
 func TestRefusedStartsBackOff(t *testing.T) {
 	for _, refusal := range []StartOutcome{StartInvalid, StartNoCapacity} {
 		t.Run(refusal.String(), func(t *testing.T) {
--- a/engine/reserve_test.go
+++ b/engine/reserve_test.go
@@ -9,10 +9,10 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// smallJobTime is how long each small job works.
+// smallJobTime is the run time of a small job.
 const smallJobTime = 2 * time.Second
 
-// advanceRuns lets a tenth of a second pass, in which each run does its part of that length.
+// advanceRuns advances time by 100 ms and reports progress for runs of the given length.
 func (d *driver) advanceRuns(length time.Duration) {
 	for _, w := range d.e.sortedWorkers() {
 		d.reportRuns(w.info.ID, func(p *placement) RunStatus {
@@ -23,8 +23,8 @@
 	d.tick()
 }
 
-// gangWaitAmongSmallJobs hands in a gang that needs all three workers while small jobs, each a
-// worker for two seconds, come faster than they end, and returns how long the gang waits.
+// gangWaitAmongSmallJobs returns how long a gang that needs all three workers waits while small
+// jobs of one worker each arrive faster than they end; never if it waits for a minute.
 func gangWaitAmongSmallJobs(t *testing.T, reservations int) time.Duration {
 	d := newDriver(t, 3)
 	d.e.params.Policy.Reservations = reservations
@@ -61,8 +61,7 @@
 	return never
 }
 
-// A gang waits for a whole rack while small jobs behind it in the queue take each worker
-// that becomes free. It would wait for as long as they come: room is kept for it.
+// Guards against starvation of a large gang by small jobs that arrive after it.
 func TestLargeGangIsNotStarvedBySmallJobs(t *testing.T) {
 	c := qt.New(t)
 	c.Check(gangWaitAmongSmallJobs(t, 0), qt.Equals, never, qt.Commentf("the failure itself"))
--- a/engine/resize_test.go
+++ b/engine/resize_test.go
@@ -9,7 +9,8 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// resizedReport returns what a worker of the desk says after its room has changed.
+// resizedReport returns a report of worker i with the given number of accelerators, and
+// processors and memory in proportion.
 func (d *driver) resizedReport(i, accelerators int) Report {
 	r := d.workerReport(i)
 	full := r.Worker.Capacity
@@ -19,9 +20,8 @@
 	return r
 }
 
-// A worker with eight accelerators loses four while it runs, and says so. The planner held
-// on to what the worker had said first, and a job was started beside what ran there: more
-// than the worker had.
+// Guards against placing work by the capacity that a worker reported first, after it has
+// shrunk.
 func TestShrunkWorkerIsNotOverbooked(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
@@ -42,7 +42,8 @@
 	c.Check(d.runs(second), qt.HasLen, 1, qt.Commentf("its room has grown again"))
 }
 
-// The room of a worker shrinks between a decision and its record. The order must not leave.
+// Guards against sending a start when the worker's capacity shrank after the placement was
+// decided.
 func TestStartIsWithheldAfterCapacityShrank(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
--- a/engine/restore_test.go
+++ b/engine/restore_test.go
@@ -9,15 +9,15 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// A planner takes over while a job runs whose record was last written before its start. Callers
-// who ask before the agents have reported must not hear that it is queued.
+// Guards against reporting a running job as queued after a takeover, before the agents have
+// reported.
 func TestSuccessorReportsRunningJobAsRunning(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
 	id := d.submit(1, "", taskStep(1, 8))
 	d.settle()
 	d.advance(time.Second)
-	d.e.jobs[id].started, d.e.jobs[id].state = false, workload.Queued // as the record has it
+	d.e.jobs[id].started, d.e.jobs[id].state = false, workload.Queued // as in the stored record
 	d.takeOver()
 	found, ok := d.e.Lookup(id)
 	c.Assert(ok, qt.IsTrue)
--- a/engine/sharing_sim_test.go
+++ b/engine/sharing_sim_test.go
@@ -12,21 +12,22 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// simHost is a worker on which tasks disturb each other. Its serving task is at base
-// of its target by itself, which changes within seconds; each image that fills adds its
-// own weight at full speed.
+// simHost simulates a worker on which tasks disturb each other. The latency ratio of its
+// latency-sensitive task is baseRatio plus, for each best-effort image, its weight times its
+// speed.
 type simHost struct {
 	rng          *rand.Rand
 	phase        float64
-	burstEnd     time.Duration // end of a burst of the serving task's users
+	burstEnd     time.Duration // end of a burst of requests to the latency-sensitive task
 	weights      map[string]float64
 	speeds       map[workload.RunID]int
-	recentRatios []float64 // strain of the last half second
+	recentRatios []float64 // latency ratios of the last half second
 	violation    time.Duration
-	// What is measured.
+	// Totals of the simulation.
 	workTime, totalTime, violationTime, longestViolation time.Duration
 }
 
+// baseRatio returns the latency ratio without best-effort runs.
 func (h *simHost) baseRatio(now time.Duration) float64 {
 	if h.rng.IntN(1500) == 0 {
 		h.burstEnd = now + time.Duration(1+h.rng.IntN(3))*time.Second
@@ -38,7 +39,7 @@
 	return load
 }
 
-// advance lets time advance with runs of the given images.
+// advance simulates a time step with the given best-effort runs and their images.
 func (h *simHost) advance(now, by time.Duration, images map[workload.RunID]string) {
 	base := h.baseRatio(now)
 	ratio := base
@@ -65,7 +66,7 @@
 	}
 }
 
-// reportedRatio is what the worker reports of the last half second: rough.
+// reportedRatio returns the noisy average of the last half second, as the worker reports it.
 func (h *simHost) reportedRatio() float64 {
 	sum := 0.0
 	for _, s := range h.recentRatios {
@@ -74,8 +75,9 @@
 	return sum / float64(len(h.recentRatios)) * (0.92 + 0.16*h.rng.Float64())
 }
 
-// simulateHost plays two minutes of a worker on which a task serves users and three others
-// fill. fixed sets the speed of these; below 0 the engine does.
+// simulateHost simulates two minutes of a worker with one latency-sensitive and three
+// best-effort tasks. fixedPace sets the limit of the latter; if it is negative, the engine
+// does.
 func simulateHost(t *testing.T, seed uint64, fixedPace int) *simHost {
 	h := &simHost{rng: rand.New(rand.NewPCG(seed, 11)), speeds: map[workload.RunID]int{}, weights: map[string]float64{}}
 	h.phase = 6 * h.rng.Float64()
@@ -100,7 +102,7 @@
 			}
 		}
 		if d.now%(100*time.Millisecond) == 0 {
-			h.applyPaces(d, images, fixedPace) // orders take a tenth of a second
+			h.applyPaces(d, images, fixedPace) // orders take effect within 100 ms
 		}
 		h.advance(d.now, step, images)
 		if d.now%(450*time.Millisecond) == 0 {
@@ -111,6 +113,7 @@
 	return h
 }
 
+// applyPaces sets the speeds to fixedPace, or to the limits ordered by the engine.
 func (h *simHost) applyPaces(d *driver, images map[workload.RunID]string, fixedPace int) {
 	for run := range images {
 		if _, known := h.speeds[run]; !known {
@@ -128,10 +131,8 @@
 	d.paces = nil
 }
 
-// Tasks that fill share a worker with one that serves users, whose load changes within
-// seconds. Beside two baselines, never to fill and to fill at full speed: most of the
-// work that could be done must be done, with the target kept nearly all of the time and
-// never missed for as long as counts as harm.
+// Compares the engine's speed control with never running best-effort tasks and with running
+// them at full speed: it must do most of the work and hardly ever exceed the target.
 func TestPaceControlAgainstBaselines(t *testing.T) {
 	const seeds = 20
 	type sum struct{ worked, overTime, longest float64 }
--- a/engine/sharing_test.go
+++ b/engine/sharing_test.go
@@ -11,7 +11,7 @@
 
 const tailTarget = 100 * time.Millisecond
 
-// latencySensitiveStep is tasks that serve users and last.
+// latencySensitiveStep returns a step of n long-running tasks with a tail-latency target.
 func latencySensitiveStep(n int) workload.Step {
 	s := longRunningStep(n, 0, 0)
 	s.Image = "serves"
@@ -19,7 +19,7 @@
 	return s
 }
 
-// bestEffortStep is tasks that take the processor time that others leave.
+// bestEffortStep returns a step of n best-effort tasks.
 func bestEffortStep(n int) workload.Step {
 	s := taskStep(n, 0)
 	s.Image = "fills"
@@ -28,8 +28,8 @@
 	return s
 }
 
-// colocatedDriver returns a desk with one worker, on which a task that serves users runs and
-// another fills.
+// colocatedDriver returns a driver with one worker that runs a latency-sensitive and a
+// best-effort task.
 func colocatedDriver(t *testing.T) (d *driver, service, bestEffort workload.JobID) {
 	d = newDriver(t, 1)
 	service = d.submit(1, "", latencySensitiveStep(1))
@@ -39,8 +39,8 @@
 	return d, service, bestEffort
 }
 
-// reportFor lets every worker report for a while, with the tail latency of what serves as
-// given in parts of its target.
+// reportFor lets all workers report for a while, with the given ratio of tail latency to
+// target.
 func (d *driver) reportFor(by time.Duration, ratio func(now time.Duration) float64) {
 	for end := d.now + by; d.now < end; d.now += 100 * time.Millisecond {
 		if d.now%(500*time.Millisecond) == 0 {
@@ -52,6 +52,8 @@
 	}
 }
 
+// pollReport returns a report of all placements of w, with the given ratio of tail latency to
+// target.
 func (d *driver) pollReport(w *worker, ratio float64) Report {
 	r := Report{Epoch: d.e.epoch, Polled: true, Worker: w.info}
 	for _, p := range w.sortedPlacements() {
@@ -65,7 +67,7 @@
 	return r
 }
 
-// orderedPaces returns the last speed ordered of each run; 100 where none was.
+// orderedPaces returns the last limit ordered for each run of a job; 100 if there was none.
 func (d *driver) orderedPaces(id workload.JobID) []int {
 	last := map[workload.RunID]int{}
 	for _, p := range d.paces {
@@ -88,16 +90,16 @@
 	return func(time.Duration) float64 { return ratio }
 }
 
-// A task that fills starts beside one that serves users and would double its response
-// times at full speed. Nobody knows the two images yet, so it has to begin slowly, in the
-// same orders as its start.
+// Guards against starting a best-effort task at full speed next to an image it has not run
+// with.
 func TestUnknownImageStartsSlowly(t *testing.T) {
 	c := qt.New(t)
 	d, _, id := colocatedDriver(t)
 	c.Check(d.orderedPaces(id), qt.DeepEquals, []int{initialTolerance})
 }
 
-// A task serves users where another fills at full speed already.
+// Guards against starting a latency-sensitive task while its best-effort neighbour runs at full
+// speed.
 func TestBestEffortRunIsSlowedBeforeNeighbourStarts(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
@@ -110,8 +112,8 @@
 	c.Check(d.orderedPaces(id), qt.DeepEquals, []int{initialTolerance})
 }
 
-// Response times rise over the target through what fills beside. It has to stand still
-// well before that counts as harm, and to go on when they are good again.
+// Guards against a best-effort run that is not paused within MaxLatencyViolation, or not
+// resumed later.
 func TestBestEffortRunIsPausedWithinViolationLimit(t *testing.T) {
 	c := qt.New(t)
 	d, _, id := colocatedDriver(t)
@@ -123,7 +125,7 @@
 	c.Check(d.orderedPaces(id)[0] > initialTolerance, qt.IsTrue, qt.Commentf("%v", d.orderedPaces(id)))
 }
 
-// What serves users ends. Nothing is left that the other would disturb.
+// Guards against a limit that stays in force after the latency-sensitive task has ended.
 func TestBestEffortRunAloneHasFullPace(t *testing.T) {
 	c := qt.New(t)
 	d, service, id := colocatedDriver(t)
@@ -134,8 +136,8 @@
 	c.Check(d.orderedPaces(id), qt.DeepEquals, []int{100})
 }
 
-// An order for a lower speed gets no answer: it is repeated until the worker confirms it,
-// and for some time after, since the lost one of before may still be carried out.
+// Guards against giving up on an unanswered limit, and against an earlier unanswered order that
+// takes effect late.
 func TestUnconfirmedPaceIsResent(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
@@ -156,8 +158,8 @@
 	c.Check(d.paces, qt.HasLen, before)
 }
 
-// A planner takes over from one that held a filling task back. What it does not know, the
-// speed, it sets again as for an unknown image.
+// Guards against a successor that leaves a best-effort run at the unknown limit of its
+// predecessor.
 func TestSuccessorResetsPaces(t *testing.T) {
 	c := qt.New(t)
 	d, _, id := colocatedDriver(t)
@@ -168,7 +170,8 @@
 	c.Check(d.orderedPaces(id), qt.DeepEquals, []int{initialTolerance})
 }
 
-// Of two workers one has a task beside which this image did badly.
+// Guards against placing a best-effort task next to a latency-sensitive one while another
+// worker is free.
 func TestBestEffortTaskAvoidsLatencySensitiveNeighbour(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 2)
@@ -187,8 +190,8 @@
 	}
 }
 
-// The worker takes no orders for speeds, and the task that serves users is over its target
-// through what fills. That has to leave before it counts as harm.
+// Guards against a best-effort run that keeps violating the target because its worker does not
+// confirm limits.
 func TestRunWithUnconfirmedPaceIsStopped(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
--- a/engine/sim_checks_test.go
+++ b/engine/sim_checks_test.go
@@ -7,18 +7,19 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
+// violated fails the test with the simulated time.
 func (w *simWorld) violated(format string, args ...any) {
 	w.t.Errorf("at %v: %s", w.now, fmt.Sprintf(format, args...))
 }
 
-// checkCapacity: no worker is ever over its capacity, work that is being stopped included.
+// checkCapacity checks that a worker is not over its capacity, stopping runs included.
 func (w *simWorld) checkCapacity(sw *simWorker) {
 	if used := sw.used(); !used.FitsIn(w.capacityOf(sw)) {
 		w.violated("worker %s holds %+v of %+v", sw.info.ID, used, sw.info.Capacity)
 	}
 }
 
-// checkStart checks a run that begins now.
+// checkStart checks the rules for a run that starts now.
 func (w *simWorld) checkStart(sw *simWorker, s StartOrder) {
 	w.counts["starts"]++
 	task := s.Run.Task
@@ -54,6 +55,7 @@
 	w.checkCordon(sw, task)
 }
 
+// checkMaxPerWorker checks the step's limit of tasks per worker.
 func (w *simWorld) checkMaxPerWorker(sw *simWorker, task workload.TaskID, step *workload.Step) {
 	if step.MaxPerWorker == 0 {
 		return
@@ -73,7 +75,7 @@
 	return (&worker{info: sw.info}).hasLabel(label)
 }
 
-// noteEnd counts ends as workers list them.
+// noteEnd records an end as the worker lists it.
 func (w *simWorld) noteEnd(_ *simWorker, r *simRun, why EndReason) {
 	w.counts[string(why)]++
 	if why == EndFailed {
@@ -87,7 +89,8 @@
 	}
 }
 
-// checkArchived: the records of a job give way to its outcome, so nothing of it may run.
+// checkArchived checks that a job whose records are replaced by its outcome has ended and no
+// longer runs.
 func (w *simWorld) checkArchived(j EndedJob) {
 	w.counts["records replaced"]++
 	if !j.Outcome.State.Final() {
@@ -102,8 +105,8 @@
 	}
 }
 
-// noteAckedEnd: the planner took note of an end. Where the lease lapsed before, it counts as
-// not having been.
+// noteAckedEnd records an end that the planner has acknowledged, unless the lease expired
+// before that.
 func (w *simWorld) noteAckedEnd(end RunEnd, void bool) {
 	if void {
 		return
@@ -116,6 +119,7 @@
 	}
 }
 
+// members returns the present members of a run's gang, with their workers.
 func (w *simWorld) members(r *simRun) (found []*simRun, at []*simWorker) {
 	for _, sw := range w.workers {
 		if sw.dead {
@@ -132,13 +136,13 @@
 	return found, at
 }
 
-// gangComplete says whether all members of a gang's run are there.
+// gangComplete reports whether all members of a gang's run are present.
 func (w *simWorld) gangComplete(r *simRun) bool {
 	found, _ := w.members(r)
 	return len(found) == r.step.Count
 }
 
-// endGang ends the other members of a gang.
+// endGang ends the remaining members of a gang.
 func (w *simWorld) endGang(r *simRun) {
 	if !r.step.Gang {
 		return
--- a/engine/sim_cordon_test.go
+++ b/engine/sim_cordon_test.go
@@ -14,11 +14,8 @@
 
 var simCordonSeeds = flag.Int("sim-cordon-seeds", 6, "how many randomised worlds are played with cordoned zones")
 
-// Availability zones are cordoned and opened again, one, two or all of them, while planners die,
-// workers crash and drain, agents are cut off and orders come late. Planners hear of it up to a
-// second later, a new one may know less than the last, and orders are held up on their way. No
-// task may start in a zone that has been cordoned for longer than the news and an order take,
-// but by an order that its worker carries out late; when the faults end every job is settled.
+// Guards against starts in a zone that has been cordoned for longer than simCordonDeadline, while
+// planners change, orders are delayed and the faults of planFaults occur.
 func TestRandomWorldsWithCordons(t *testing.T) {
 	runWorlds(t, *simCordonSeeds, func(w *simWorld, seed uint64) {
 		w.planFaults(faultTime)
@@ -32,26 +29,26 @@
 }
 
 const (
-	// simCordonDelay is how long a planner may not hear of other cordons, simHoldUp how long an order
-	// may be held up. Agents hear with the answer to their next report.
+	// simCordonDelay is the longest time until a planner learns of a change of cordons,
+	// simMaxOrderDelay the longest delay of an order. Agents learn it from their next report.
 	simCordonDelay   = time.Second
 	simMaxOrderDelay = 1500 * time.Millisecond
-	// simCordonDeadline is the sum of what may pass until nothing starts any more: the news, once
-	// more where the planner changes at that moment, the record, and an order that was held up.
+	// simCordonDeadline is the longest time until starts cease: the delay of the change, again
+	// after a takeover, the write of the placement, and the delay of the order.
 	simCordonDeadline = 2*simCordonDelay + simMaxOrderDelay + 500*time.Millisecond
 )
 
-// simCordons are the cordons in force, and what planners know of them.
+// simCordons holds the cordons in force and what planners know of them.
 type simCordons struct {
 	since       map[string]time.Duration // by zone
 	revision    int64
-	known       catalog.Cordons // to the present planner
-	previous    catalog.Cordons // what it knew before that
-	delayOrders bool            // orders are held up now and then
+	known       catalog.Cordons // by the current planner
+	previous    catalog.Cordons // by the current planner before the last change
+	delayOrders bool            // delay some orders
 }
 
-// successorCordons returns what a planner knows that has just taken over: sometimes less
-// than the last one, for as long as news take.
+// successorCordons returns what a new planner knows at first, which may be less than its
+// predecessor knew.
 func (w *simWorld) successorCordons() catalog.Cordons {
 	c := &w.cordons
 	if newest := c.known; c.delayOrders && w.rng.IntN(2) == 0 {
@@ -61,7 +58,7 @@
 	return c.known
 }
 
-// updateCordons lets the planner updateCordons of cordons.
+// updateCordons tells the planner of newer cordons.
 func (w *simWorld) updateCordons(cordons catalog.Cordons) {
 	if cordons.Revision > w.cordons.known.Revision {
 		w.cordons.previous, w.cordons.known = w.cordons.known, cordons
@@ -69,7 +66,7 @@
 	}
 }
 
-// planCordons plans when zones are cordoned and opened.
+// planCordons schedules the changes of cordons.
 func (w *simWorld) planCordons(end time.Duration) {
 	w.cordons.since = map[string]time.Duration{}
 	for range 4 + w.rng.IntN(8) {
@@ -83,7 +80,7 @@
 	}
 }
 
-// setCordon changes a cordon, and lets the planner hear of it later.
+// setCordon changes a cordon and tells the planner after a delay.
 func (w *simWorld) setCordon(zone string, on bool) {
 	w.cordons.revision++
 	w.counts["cordons"]++
@@ -96,7 +93,7 @@
 	w.after(time.Duration(w.rng.Int64N(int64(simCordonDelay))), func() { w.updateCordons(cordons) })
 }
 
-// orderLatency is how long an order takes to its agent.
+// orderLatency returns the time that an order takes to reach its agent.
 func (w *simWorld) orderLatency() time.Duration {
 	if w.cordons.delayOrders && !w.calm && w.rng.IntN(10) == 0 {
 		return time.Duration(w.rng.Int64N(int64(simMaxOrderDelay)))
@@ -104,14 +101,15 @@
 	return w.latency()
 }
 
-// updateCordons takes what the planner knew when it answered a report.
+// updateCordons takes over the cordons that the planner knew when it answered a report.
 func (w *simWorker) updateCordons(known catalog.Cordons) {
 	if known.Revision > w.cordons.Revision {
 		w.cordons = known
 	}
 }
 
-// refusesForCordon says whether the agent knows better than the orders.
+// refusesForCordon reports whether the agent knows of a cordon that the orders do not account
+// for.
 func (w *simWorld) refusesForCordon(sw *simWorker, o Orders) bool {
 	refused := o.CordonsRevision <= sw.cordons.Revision && sw.cordons.Contains(sw.info.Zone)
 	if refused {
@@ -120,7 +118,8 @@
 	return refused
 }
 
-// checkCordon: nothing starts where a cordon has been in force for longer than its news take.
+// checkCordon checks that nothing starts in a zone that was cordoned longer ago than
+// simCordonDeadline.
 func (w *simWorld) checkCordon(sw *simWorker, task workload.TaskID) {
 	if since, cordoned := w.cordons.since[sw.info.Zone]; cordoned && !w.lateOrder && w.now-since > simCordonDeadline {
 		w.violated("start of %s in zone %s, %v after that was cordoned", task, sw.info.Zone, w.now-since)
--- a/engine/sim_crash_test.go
+++ b/engine/sim_crash_test.go
@@ -12,12 +12,8 @@
 
 var simCrashSeeds = flag.Int("sim-crash-seeds", 6, "how many randomised worlds with crashing tasks are played")
 
-// Some tasks crash each worker that starts them, 10 ms after or, fewer, in the middle of
-// their run; workers lose room and get it back. All that with the faults of
-// TestRandomWorlds: planners die, orders are lost or late, the store is out. No task that
-// crashes its workers may be started three times more after three of them, no start may
-// bring a worker over what it has, and no job may be shown as failed unless a task of it
-// has failed as often as it may, or two workers have crashed under it.
+// Guards against tasks that keep crashing workers, starts on workers whose capacity has shrunk,
+// and jobs that fail without cause, together with the faults of TestRandomWorlds.
 func TestRandomWorldsWithCrashingTasks(t *testing.T) {
 	runWorlds(t, *simCrashSeeds, func(w *simWorld, _ uint64) {
 		w.planFaults(faultTime)
@@ -25,32 +21,30 @@
 	})
 }
 
-// addCrashingTasks lets some tasks crash their workers, and workers lose room.
+// addCrashingTasks makes some tasks crash their workers and some workers lose capacity.
 func (w *simWorld) addCrashingTasks() {
 	w.crashes.share = 12
 	w.planShrinks(faultTime)
 }
 
-// simCrashes are the workers that crash under tasks.
+// simCrashes counts worker crashes and failures by task.
 type simCrashes struct {
-	share            int                     // one of so many tasks does that; 0: none
-	under            map[workload.TaskID]int // workers that crashed under each task, whoever was to blame
+	share            int                     // one in so many tasks crashes its workers; 0: none
+	under            map[workload.TaskID]int // workers that crashed under the task, whatever the cause
 	startsAfterThird map[workload.TaskID]int // starts of crashing tasks after the third crash
-	failed           map[workload.TaskID]int // ends failed, whether the planner has taken note of them or not
+	failed           map[workload.TaskID]int // listed ends as failed, acknowledged or not
 }
 
-// capacityGrace is for how long room that has shrunk counts as there: what a planner in touch
-// may take to hear of it.
+// capacityGrace is how long the planner may take to learn of lost capacity.
 const capacityGrace = 4500 * time.Millisecond
 
-// simShrink is a loss of room.
+// simShrink is a loss of capacity.
 type simShrink struct {
 	original workload.Resources
 	at       time.Duration
 }
 
-// reportCrash lets the agent of a worker that has crashed say so, unless it was lost with it
-// or is cut off.
+// reportCrash reports a crashed worker, unless its agent was lost with it or is cut off.
 func (w *simWorld) reportCrash(sw *simWorker) {
 	if w.crashes.share == 0 && !w.reusesNames || sw.cut || sw.leavesAt != 0 || len(sw.info.ID)%3 == 0 && !w.calm {
 		return
@@ -64,7 +58,7 @@
 	w.engine.Report(w.now, r)
 }
 
-// notePoll notes what the agent sees.
+// notePoll records what the agent saw in a poll.
 func (w *simWorker) notePoll(now time.Duration, r Report) {
 	seenSince := map[workload.RunID]time.Duration{}
 	for _, row := range r.Running {
@@ -76,8 +70,8 @@
 	w.seenSince, w.lastPolledAt, w.lastEnded = seenSince, now, r.Ended
 }
 
-// crashDelay says whether a task crashes its workers, and how long after its start. It hangs
-// on the task alone, so that it is the same on each worker.
+// crashDelay reports whether a task crashes its workers, and how long after the start. It
+// depends on the task alone, so it is the same on all workers.
 func (w *simWorld) crashDelay(task workload.TaskID) (time.Duration, bool) {
 	if w.crashes.share == 0 {
 		return 0, false
@@ -96,14 +90,14 @@
 	return 10 * time.Millisecond, true
 }
 
-// note counts a crash of a worker for all that ran there.
+// note counts a crash for all tasks that ran on the worker.
 func (c *simCrashes) note(sw *simWorker) {
 	for task := range sw.running {
 		c.under[task]++
 	}
 }
 
-// scheduleCrash lets a worker crash that has just started a crashing task.
+// scheduleCrash schedules the crash of a worker that has started a crashing task.
 func (w *simWorld) scheduleCrash(sw *simWorker, task workload.TaskID) {
 	after, ok := w.crashDelay(task)
 	if !ok {
@@ -118,12 +112,12 @@
 		lost := sw.sorted()
 		w.crash(slices.Index(w.workers, sw))
 		for _, r := range lost {
-			w.endGang(r) // its members elsewhere see it end
+			w.endGang(r) // end the other members of its gang
 		}
 	})
 }
 
-// checkCrashingStart checks a start of a task that crashes its workers.
+// checkCrashingStart checks that a crashing task is not started too often.
 func (w *simWorld) checkCrashingStart(task workload.TaskID) {
 	if _, ok := w.crashDelay(task); !ok || w.crashes.under[task] < 3 {
 		return
@@ -134,7 +128,7 @@
 	}
 }
 
-// planShrinks plans losses of room.
+// planShrinks schedules losses of capacity.
 func (w *simWorld) planShrinks(end time.Duration) {
 	for range w.rng.IntN(12) {
 		i := w.rng.IntN(len(w.workers))
@@ -161,8 +155,8 @@
 	})
 }
 
-// capacityOf is the room that a start may count on at a worker. An order that is carried out
-// late was given by what the worker had then.
+// capacityOf returns the capacity that a start may use. Orders that are carried out late were
+// based on the earlier capacity.
 func (w *simWorld) capacityOf(sw *simWorker) workload.Resources {
 	s, shrunk := w.shrinks[sw]
 	if shrunk && (w.lateOrder || w.now-s.at < capacityGrace) {
@@ -171,7 +165,7 @@
 	return sw.info.Capacity
 }
 
-// checkFailedJobs: no job is shown as failed but for ends or crashes that its tasks had.
+// checkFailedJobs checks that each failed job has tasks that failed or crashed workers.
 func (w *simWorld) checkFailedJobs() {
 	for _, id := range w.order {
 		found, _ := w.engine.Lookup(id)
@@ -194,7 +188,7 @@
 	return 0, false
 }
 
-// mayFail says whether a job may be shown as failed.
+// mayFail reports whether a job may be shown as failed.
 func (w *simWorld) mayFail(j *workload.Job) bool {
 	for s := range j.Steps {
 		ofGang := 0
@@ -206,13 +200,13 @@
 			ofGang += w.crashes.failed[task]
 		}
 		if j.Steps[s].Gang && ofGang >= j.QueuePolicy.MaxAttempts {
-			return true // each member may have failed once
+			return true // a different member may have failed each time
 		}
 	}
 	return false
 }
 
-// pollWhileCutOff is a pollWhileCutOff of an agent that is cut off from the planner.
+// pollWhileCutOff is a poll by an agent that is cut off from the planner.
 func (w *simWorker) pollWhileCutOff(now time.Duration) {
 	if w.world.crashes.share == 0 {
 		return
--- a/engine/sim_reused_names_test.go
+++ b/engine/sim_reused_names_test.go
@@ -10,14 +10,9 @@
 
 var simNameSeeds = flag.Int("sim-name-seeds", 6, "how many randomised worlds are played in which workers keep their names")
 
-// Workers crash again and again and are back within a moment under their names, so that
-// orders to a life that is over, which were on their way or got no answer, are carried out by
-// the next one. Some agents are lost with their worker and know nothing of its last life; others
-// are started again beside a worker that they had fenced by themselves. In every second world
-// some tasks crash their workers, and workers lose room. All that with the faults of
-// TestRandomWorlds: planners die, agents are cut off, the store is out. No task may run twice at
-// a time, nor start after its end was taken note of, and when the faults end every job is
-// settled; where tasks crash their workers, what TestRandomWorldsWithCrashingTasks asks.
+// Guards against double runs when crashed workers return under the same name and receive orders
+// meant for their previous incarnation, together with the faults of TestRandomWorlds and, with
+// even seeds, those of TestRandomWorldsWithCrashingTasks.
 func TestRandomWorldsWithReusedWorkerNames(t *testing.T) {
 	runWorlds(t, *simNameSeeds, func(w *simWorld, seed uint64) {
 		w.reuseNames()
@@ -30,7 +25,7 @@
 	})
 }
 
-// reuseNames lets the workers keep their names in their further lives.
+// reuseNames makes the workers keep their names in later incarnations.
 func (w *simWorld) reuseNames() {
 	w.reusesNames = true
 	for i, sw := range w.workers {
@@ -40,7 +35,7 @@
 
 func simWorkerName(worker int) string { return fmt.Sprint("w", worker) }
 
-// planCrashes plans crashes of workers, some of them several at once.
+// planCrashes schedules crashes of workers, some of them simultaneous.
 func (w *simWorld) planCrashes(end time.Duration) {
 	for range 5 + w.rng.IntN(15) {
 		at := time.Duration(w.rng.Int64N(int64(end)))
@@ -51,8 +46,7 @@
 	}
 }
 
-// planAgentRestarts plans agents that have no answer of their worker for a moment, and some of
-// them are started again later.
+// planAgentRestarts schedules failed polls, some of them followed by a restart of the agent.
 func (w *simWorld) planAgentRestarts(end time.Duration) {
 	for range 5 + w.rng.IntN(15) {
 		at := time.Duration(w.rng.Int64N(int64(end)))
@@ -61,7 +55,7 @@
 	}
 }
 
-// failPoll lets the agent fence its worker by itself, and start again where that is asked for.
+// failPoll makes the agent raise the fence by itself, and optionally restart.
 func (w *simWorker) failPoll(restart bool) {
 	if w.dead || w.orderFence.Epoch == 0 {
 		return
@@ -72,7 +66,7 @@
 	}
 }
 
-// outbidFence raises the fence of an agent whose worker has seen a higher one of the same epoch.
+// outbidFence raises the agent's fence if its worker has seen a higher one of the same epoch.
 func (w *simWorker) outbidFence() {
 	if w.info.Name != "" && w.orderFence.Epoch > 0 && w.orderFence.Compare(w.fence) < 0 {
 		w.orderFence.Generation += GenerationStep
@@ -80,7 +74,7 @@
 	}
 }
 
-// downtime is how long a worker is downtime after a crash.
+// downtime returns how long a worker is away after a crash.
 func (w *simWorld) downtime() time.Duration {
 	if w.reusesNames {
 		return time.Duration(20+w.rng.IntN(1200)) * time.Millisecond
@@ -88,8 +82,8 @@
 	return time.Second
 }
 
-// recipient returns the worker that orders for a life reach now, nil for none: where its agent has
-// not noticed yet that another life answers under its name, that one.
+// recipient returns the worker that orders for an incarnation reach now, or nil. Until the
+// agent has noticed a new incarnation under the same name, that one receives them.
 func (w *simWorld) recipient(id WorkerID) *simWorker {
 	for _, sw := range w.workers {
 		if sw.info.ID == id && !sw.dead {
@@ -102,9 +96,9 @@
 	return nil
 }
 
-// unfenceable says whether orders of an earlier life come before anything could fence this
-// one, and start what was settled long ago: nothing that they carry tells them from present
-// orders, and nothing was sent since. They are not carried out in these worlds.
+// unfenceable reports whether late orders for an earlier incarnation start runs that the
+// planner has given up, before anything has fenced the new one. The worker can't tell such
+// orders from current ones, so the simulation drops them.
 func (w *simWorld) unfenceable(sw *simWorker, o Orders) bool {
 	if !w.lateOrder || sw.fenced {
 		return false
@@ -117,10 +111,10 @@
 	})
 }
 
-// fenceDelay is how soon an agent that saw its worker's last life fences the next one.
+// fenceDelay is the longest time until an agent fences the next incarnation of its worker.
 const fenceDelay = 30 * time.Millisecond
 
-// succeed makes w the life after another one. Its agent may have been lost with that.
+// succeed makes w the incarnation after previous. Its agent may have been lost with previous.
 func (w *simWorker) succeed(previous *simWorker) {
 	if w.info.Name == "" {
 		return
@@ -135,7 +129,7 @@
 	w.world.after(time.Duration(w.world.rng.Int64N(int64(fenceDelay))), func() { w.raiseFence(w.orderFence) })
 }
 
-// latest returns the present life of the worker.
+// latest returns the current incarnation of the worker.
 func (w *simWorker) latest() *simWorker {
 	for w.next != nil {
 		w = w.next
@@ -143,9 +137,9 @@
 	return w
 }
 
-// raiseFence lets the agent's orders carry a fence from now on, and look under it at once.
+// raiseFence raises the fence of the agent's orders, which the worker sees at once.
 func (w *simWorker) raiseFence(f Fence) {
 	w.orderFence = w.orderFence.Max(f)
 	w.fence = w.fence.Max(w.orderFence)
-	w.fenced = w.orderFence.Epoch > 0 // an agent that was started again knows no planner yet
+	w.fenced = w.orderFence.Epoch > 0 // a restarted agent does not know the planner yet
 }
--- a/engine/sim_test.go
+++ b/engine/sim_test.go
@@ -15,18 +15,17 @@
 	simFirstSeed = flag.Uint64("sim-first", 1, "the seed of the first")
 )
 
-// Planners die one after the other, workers crash, drain and are cut off while their
-// tasks run on, orders are carried out seconds late, the store is out. Callers hand in
-// gangs, steps and jobs that can't run, and cancel some. At no time may a worker hold
-// more than it has or a task run twice; when the faults end every job is settled.
+// Guards against overcommitted workers, tasks that run twice and jobs that never settle, while
+// planners die, workers crash, drain or are cut off, orders are late and the store is
+// unavailable.
 func TestRandomWorlds(t *testing.T) {
 	runWorlds(t, *simSeedCount, func(w *simWorld, _ uint64) { w.planFaults(faultTime) })
 }
 
-// faultTime is for how long worlds have faults and callers that hand in jobs.
+// faultTime is how long faults occur and jobs are submitted.
 const faultTime = 50 * time.Second
 
-// runWorlds plays as many worlds, each with what plan makes of it.
+// runWorlds runs one world per seed with the events that plan adds.
 func runWorlds(t *testing.T, seeds int, plan func(w *simWorld, seed uint64)) {
 	for i := range seeds {
 		seed := *simFirstSeed + uint64(i)
@@ -44,7 +43,7 @@
 	}
 }
 
-// runToEnd lets what is planned happen, ends the faults, and checks that all jobs end.
+// runToEnd runs the planned events, ends the faults, and checks that all jobs settle.
 func (w *simWorld) runToEnd() {
 	w.run(faultTime)
 	w.endFaults()
@@ -52,7 +51,7 @@
 	w.checkSettled()
 }
 
-// planSubmissions hands in jobs and cancels some.
+// planSubmissions schedules submissions and some cancellations.
 func (w *simWorld) planSubmissions(end time.Duration) {
 	for at := 100 * time.Millisecond; at < end; at += time.Duration(100+w.rng.IntN(900)) * time.Millisecond {
 		j := w.randomJob(len(w.events))
@@ -84,6 +83,7 @@
 	w.after(cancelAt+time.Second, func() { w.engine.HandleEvent(w.now, CancelRequested{Job: j.ID, Revision: order}) })
 }
 
+// randomJob returns a job with one to three random steps.
 func (w *simWorld) randomJob(n int) *workload.Job {
 	pick := func(values ...int) int { return values[w.rng.IntN(len(values))] }
 	account := []string{"big", "small"}[w.rng.IntN(2)]
@@ -122,7 +122,7 @@
 	return j
 }
 
-// planFaults plans what goes wrong until end.
+// planFaults schedules faults until end.
 func (w *simWorld) planFaults(end time.Duration) {
 	at := func() time.Duration { return time.Duration(w.rng.Int64N(int64(end))) }
 	span := func(maxMillis int) time.Duration { return time.Duration(200+w.rng.IntN(maxMillis)) * time.Millisecond }
@@ -159,7 +159,7 @@
 	w.after(d, func() { sw.cut = false })
 }
 
-// crash ends a life; the next one reports after a while.
+// crash ends an incarnation; the next one starts after downtime.
 func (w *simWorld) crash(i int) {
 	if sw := w.workers[i]; !sw.dead && sw.leavesAt == 0 {
 		w.crashes.note(sw)
@@ -191,7 +191,7 @@
 	}
 }
 
-// checkSettled: every job has come to its end, and the engine counts no room as taken.
+// checkSettled checks that every job has ended and the engine counts no capacity as used.
 func (w *simWorld) checkSettled() {
 	for _, id := range w.order {
 		found, ok := w.engine.Lookup(id)
@@ -215,8 +215,7 @@
 	}
 }
 
-// waitsForMissingLabel says whether the job has come as far as it can: to a step that needs a
-// label which no worker has.
+// waitsForMissingLabel reports whether the job has reached a step whose label no worker has.
 func (w *simWorld) waitsForMissingLabel(j *workload.Job, state workload.State) bool {
 	if state.Final() {
 		return false
--- a/engine/sim_worker_test.go
+++ b/engine/sim_worker_test.go
@@ -9,7 +9,7 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// simRun is one run at a simulated worker.
+// simRun is one run on a simulated worker.
 type simRun struct {
 	id        workload.RunID
 	step      *workload.Step
@@ -19,32 +19,32 @@
 	fails     bool
 }
 
-// simWorker is a worker with its agent: it keeps fence, lease, runs and ends as real
-// ones do, and starts whatever it is told to.
+// simWorker simulates a worker and its agent: fence, lease, runs and ends. It starts whatever
+// it is ordered to.
 type simWorker struct {
 	world      *simWorld
 	info       WorkerInfo
 	fence      Fence
 	leaseEnd   time.Duration
 	running    map[workload.TaskID]*simRun
-	highestRun map[workload.TaskID]int // of runs stopped or ended
+	highestRun map[workload.TaskID]int // highest run number stopped or ended
 	ended      []RunEnd
 	lastEnd    int64
-	voidEnds   int64 // ends up to it came before a lapse
-	// The agent's part.
-	orderFence   Fence // what they carry
-	reported     bool  // it has reported this life
-	fenced       bool  // something has fenced this life
+	voidEnds   int64 // ends up to this number are void
+	// State of the agent.
+	orderFence   Fence // of the orders it sends
+	reported     bool  // the agent has reported this incarnation
+	fenced       bool  // something has fenced this incarnation
 	grantedUntil time.Duration
 	ackedEnds    int64
 	absent       []workload.RunID
 	cut          bool
 	dead         bool
-	cordons      catalog.Cordons // as the agent was last told
-	// previous and next are the lives previous and after it, where they have its name.
+	cordons      catalog.Cordons // as last learned from the planner
+	// previous and next are the neighbouring incarnations under the same name.
 	previous, next *simWorker
 	leavesAt       time.Duration // when it leaves; 0: not draining
-	// What the agent saw last.
+	// What the agent saw in its last poll.
 	seenSince    map[workload.RunID]time.Duration
 	lastPolledAt time.Duration
 	lastEnded    []RunEnd
@@ -58,7 +58,7 @@
 	return sum
 }
 
-// start carries out an order, now or late.
+// start carries out a start order, on time or late.
 func (w *simWorker) start(now time.Duration, fence Fence, s StartOrder, until time.Duration) StartOutcome {
 	switch {
 	case fence.Compare(w.fence) < 0:
@@ -117,12 +117,12 @@
 	}
 	w.ended = append(w.ended, end)
 	if w.world.crashes.share > 0 {
-		w.lastEnded = slices.Clone(w.ended) // the agent's looks wait for ends
+		w.lastEnded = slices.Clone(w.ended) // the agent's last poll includes all ends
 	}
 	w.world.noteEnd(w, r, why)
 }
 
-// advance lets time advance at the worker.
+// advance lets the worker's runs and lease proceed to now.
 func (w *simWorker) advance(now time.Duration) {
 	if now >= w.leaseEnd {
 		if len(w.running) > 0 || len(w.ended) > 0 {
@@ -164,7 +164,7 @@
 	return out
 }
 
-// report is what the agent says now.
+// report returns the agent's report.
 func (w *simWorker) report(now time.Duration) Report {
 	w.outbidFence()
 	r := Report{Worker: w.info, Polled: w.fence == w.orderFence && w.orderFence.Epoch > 0}
@@ -195,7 +195,7 @@
 	return r
 }
 
-// handleAnswer takes the planner's answer to a report sent at time sent.
+// handleAnswer processes the answer to a report sent at the given time.
 func (w *simWorker) handleAnswer(now, sent time.Duration, epoch uint64, answer ReportAnswer) {
 	if epoch < w.orderFence.Epoch || w.dead {
 		return
--- a/engine/sim_world_test.go
+++ b/engine/sim_world_test.go
@@ -18,14 +18,14 @@
 	simStep     = 5 * time.Millisecond
 )
 
-// simEvent is something that happens at a time.
+// simEvent is a scheduled event.
 type simEvent struct {
 	at time.Duration
 	do func()
 }
 
-// simWorld is callers, workers with their agents, a store and one planner after the
-// other. It checks what must hold from what the workers see.
+// simWorld simulates callers, workers with their agents, a store, and successive planners. It
+// checks the engine's guarantees by what the workers see.
 type simWorld struct {
 	t            testing.TB
 	rng          *rand.Rand
@@ -38,26 +38,26 @@
 	cancels      map[workload.JobID]bool
 	workers      []*simWorker
 	incarnations int
-	reusesNames  bool // a worker's next life has its name
+	reusesNames  bool // later incarnations of a worker keep its name
 	cordons      simCordons
 
-	// The store.
+	// State of the store.
 	records       map[workload.JobID][]byte
-	outcomes      map[workload.JobID]JobOutcome // in the place of the job's other records
+	outcomes      map[workload.JobID]JobOutcome // replace the other records of ended jobs
 	workerRecords map[WorkerID]WorkerInfo
 	epoch         uint64
 
 	engine    *Engine
 	writing   bool
-	storeDown bool // the store takes no writes
+	storeDown bool // the store rejects writes
 
-	// What the workers have seen.
-	ranToEnd      map[workload.TaskID]bool // a run has ended as done, noted or not
-	ackedDone     map[workload.TaskID]bool // such an end was taken note of
-	ackedFailures map[workload.TaskID]int  // ends failed that were taken note of
+	// Facts observed at the workers.
+	ranToEnd      map[workload.TaskID]bool // a run has ended as done, acknowledged or not
+	ackedDone     map[workload.TaskID]bool // such an end was acknowledged
+	ackedFailures map[workload.TaskID]int  // acknowledged ends as failed
 	crashes       simCrashes
-	lateOrder     bool                     // an order is carried out late
-	shrinks       map[*simWorker]simShrink // workers that have less room than at first
+	lateOrder     bool                     // set while an order is carried out late
+	shrinks       map[*simWorker]simShrink // workers with reduced capacity
 	counts        map[string]int
 }
 
@@ -116,7 +116,7 @@
 	return time.Duration(1+w.rng.IntN(5)) * time.Millisecond
 }
 
-// takeOver starts the next planner from the records.
+// takeOver starts the next planner from the stored records.
 func (w *simWorld) takeOver() {
 	w.epoch++
 	w.writing = false
@@ -147,7 +147,7 @@
 	w.counts["terms"]++
 }
 
-// restoreEnded gives a planner the outcomes of its predecessors, while it plans.
+// restoreEnded passes the stored outcomes to a planner that has started planning.
 func (w *simWorld) restoreEnded(e *Engine) {
 	if e != w.engine {
 		return
@@ -171,7 +171,7 @@
 
 func (w *simWorld) wall() time.Time { return time.Unix(1_000_000, 0).Add(w.now) }
 
-// run lets the world pass until end.
+// run simulates the world until end.
 func (w *simWorld) run(end time.Duration) {
 	for ; w.now < end && !w.t.Failed(); w.now += simStep {
 		w.runDueEvents()
@@ -199,7 +199,7 @@
 	}
 }
 
-// carryOutDecisions carries out the planner's decisions and writes its changes.
+// carryOutDecisions delivers the planner's orders and writes its changes.
 func (w *simWorld) carryOutDecisions() {
 	e := w.engine
 	for _, action := range e.Decide(w.now) {
@@ -232,7 +232,7 @@
 	w.after(w.latency(), func() { w.write(e, change, encoded) })
 }
 
-// write takes effect only while its planner is the newest.
+// write stores changes if their planner is still current.
 func (w *simWorld) write(e *Engine, change Write, encoded [][]byte) {
 	if e != w.engine {
 		return
@@ -259,7 +259,7 @@
 	})
 }
 
-// deliver carries orders out at the worker. Some get no answer and are carried out late.
+// deliver delivers orders to a worker. Some are not answered and are carried out late.
 func (w *simWorld) deliver(e *Engine, epoch uint64, o Orders) {
 	sw := w.recipient(o.Worker)
 	if sw == nil || sw.cut || epoch < sw.orderFence.Epoch {
@@ -293,7 +293,7 @@
 
 func (w *simWorld) carryOut(sw *simWorker, fence Fence, o Orders, until time.Duration) []StartResult {
 	if sw.dead && sw.next != nil {
-		sw, until = sw.latest(), w.now+simMaxLease // by the clock of the life that was meant
+		sw, until = sw.latest(), w.now+simMaxLease // by the clock of the incarnation that was meant
 		if w.unfenceable(sw, o) {
 			w.counts["too early to be refused"]++
 			return nil
@@ -323,7 +323,7 @@
 	}
 }
 
-// reportLater lets an agent report again and again.
+// reportLater schedules the agent's periodic reports.
 func (w *simWorld) reportLater(sw *simWorker) {
 	w.after(time.Duration(20+w.rng.IntN(80))*time.Millisecond, func() {
 		if sw.dead {
--- a/engine/stuck_test.go
+++ b/engine/stuck_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A task stands still on a worker that answers well: it is tried elsewhere.
+// Guards against a stuck task that is never moved off a worker that answers.
 func TestStuckTaskIsMoved(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 2)
@@ -23,8 +23,8 @@
 	c.Check(len(d.stops) > 0, qt.IsTrue)
 }
 
-// Tasks of a queue show progress at every look, and one stands still from its start: an urgent
-// gang has no time to wait until that is beyond all doubt.
+// Guards against waiting the long limit for a stuck task whose queue is known to report
+// progress.
 func TestStuckTaskIsMovedSoonerWhereQueueShowsProgress(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 2)
@@ -51,8 +51,7 @@
 	c.Check(d.now-from < 2*time.Second, qt.IsTrue, qt.Commentf("%v", d.now-from))
 }
 
-// The workers of a queue show no progress of what they run. A task that takes longer than one
-// that moves may stand still must end all the same, and not be moved again and again.
+// Guards against moving a task again and again when its queue reports no progress at all.
 func TestTaskWithoutProgressReportsCanFinish(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 2)
@@ -79,8 +78,7 @@
 	c.Check(longest > 20*time.Second, qt.IsTrue, qt.Commentf("%v, %d runs", longest, runs))
 }
 
-// A worker does not answer its agent for some seconds, and then shows that its task went
-// on all the while. Without a look nothing can be said of it, so it must not be stopped.
+// Guards against moving a task as stuck while its worker is not being polled successfully.
 func TestTaskOnUnresponsiveWorkerIsNotStuck(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 2)
--- a/engine/unreadable_test.go
+++ b/engine/unreadable_test.go
@@ -6,8 +6,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A predecessor's record of a worker can't be read, so only its id is known. Once the
-// worker reports, it is used like any other, and its record is written anew.
+// Guards against ignoring a worker whose stored record is unreadable. Its next report replaces
+// it.
 func TestWorkerWithUnreadableRecordIsUsedOnceItReports(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 0)
--- a/engine/unresponsive_test.go
+++ b/engine/unresponsive_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// reportUnresponsive lets the worker id stay silent for a while: its agent reports every few
-// milliseconds that the lease it knows ends at end. The other workers report as usual.
+// reportUnresponsive lets the agent of worker id report for a while that the worker does not
+// answer and that its lease, if known, ends at leaseEnd. The other workers report as usual.
 func (d *driver) reportUnresponsive(id WorkerID, by, leaseEnd time.Duration, leaseKnown bool) {
 	info := d.e.workers[id].info
 	const between = 20 * time.Millisecond
@@ -27,10 +27,8 @@
 	}
 }
 
-// A worker crashes for good in the middle of a gang. Its agent goes on reporting that the
-// worker does not answer, many times a second. Each report put off the end of the lease,
-// the stop of the member there was ordered again and again, and the gang never started
-// anew, with its room free on other workers.
+// Guards against reports about a dead worker that postpone the end of its lease, so that a gang
+// with a member there never restarts.
 func TestGangRestartsWhileAgentReportsDeadWorker(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 4)
@@ -42,16 +40,15 @@
 	d.reportUnresponsive(dead, time.Second, end, true)
 	c.Check(d.runs(id)[dead], qt.HasLen, 1, qt.Commentf("it may still run there"))
 	d.reportUnresponsive(dead, 6*time.Second, end, true)
-	d.endRuns(id, EndStopped) // the other member's, which was ordered
+	d.endRuns(id, EndStopped) // the other member was ordered to stop
 	d.settle()
 	runs := d.runs(id)
 	c.Check(runs[dead], qt.HasLen, 0)
 	c.Check(runs, qt.HasLen, 2, qt.Commentf("it runs on two of the others"))
 }
 
-// The agent beside a silent worker was started again and does not know the lease. What the
-// planner granted before bounds it: neither sooner, since the worker may go on till then,
-// nor later.
+// Guards against a wrong expiry when a restarted agent does not know the lease: the last grant
+// of the planner bounds it, so the lease may end neither earlier nor later.
 func TestUnknownLeaseExpiresByLastGrant(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 4)
@@ -66,10 +63,8 @@
 	c.Check(d.runs(id)[unresponsive], qt.HasLen, 0)
 }
 
-// The agent beside a worker that does not answer was started again. The answer to its first
-// report granted the lease its whole time, but the planner did not count that, since the
-// worker was silent: it took the lease for over while looks without answers had extended it,
-// and a task that was done there ran a second time elsewhere.
+// Guards against a lease that is granted to an unresponsive worker but not counted, which would
+// let a task run a second time while the first run may continue.
 func TestLeaseGrantedToUnresponsiveWorkerIsCounted(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 4)
--- a/engine/unschedulable_test.go
+++ b/engine/unschedulable_test.go
@@ -9,9 +9,7 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// Three of nine workers are gone for some seconds when a gang is handed in that needs
-// eight. It used to be failed, although no task of it was ever tried; it has to wait for
-// the workers to come back.
+// Guards against failing a gang that does not fit while some workers are temporarily gone.
 func TestGangLargerThanRemainingFleetWaits(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 9)
@@ -33,7 +31,7 @@
 	c.Check(d.runs(id), qt.HasLen, 8)
 }
 
-// The operators are told why a job fits no worker, once.
+// Guards against logging the same reason repeatedly.
 func TestUnschedulableReasonIsLoggedOnce(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
@@ -44,8 +42,7 @@
 	c.Check(d.decisionCounts[id]["fits no worker"], qt.Equals, 1)
 }
 
-// A job waits for room for a long time. Whoever asks why finds it in the log, and the log
-// does not grow with each decision.
+// Guards against a job whose wait is never logged, or logged with every round.
 func TestWaitingJobIsLoggedAtIntervals(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
