--- a/engine/checkpoints.go
+++ b/engine/checkpoints.go
@@ -20,7 +20,7 @@
 
 // writeCheckpoints marks the jobs whose newest checkpoints are to be stored now.
 func (e *Engine) writeCheckpoints(now time.Duration) {
-	if !e.params.Policy.KeptCheckpoints || now-e.checkpointsWrittenAt < checkpointWriteInterval {
+	if !e.params.Policy.StoreCheckpoints || now-e.checkpointsWrittenAt < checkpointWriteInterval {
 		return
 	}
 	e.checkpointsWrittenAt = now
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -109,7 +109,7 @@
 	case OrdersCompleted:
 		e.handleOrderResults(now, ev)
 	case WriteApplied:
-		e.handleWritten(now, ev.Write)
+		e.handleWriteApplied(now, ev.Write)
 	case CatalogChanged:
 		e.catalog = ev.Catalog
 		e.planNeeded = true
--- a/engine/evict.go
+++ b/engine/evict.go
@@ -74,14 +74,14 @@
 		wait = min(wait, at)
 	}
 	slack := r.e.objective(u.job) - r.now - r.e.estimate(u)
-	if wait <= max(r.e.tracker.stopTime, time.Duration(policy.EvictionWait*float64(slack))) {
+	if wait <= max(r.e.tracker.stopTime, time.Duration(policy.EvictionWaitShare*float64(slack))) {
 		return false
 	}
 	ownWork := u.totalDemand().CoreEquivalent() * r.e.estimate(u).Seconds()
 	if r.now+wait+r.e.estimate(u) > r.e.uselessFrom(u.job) {
 		ownWork *= uselessAfterFactor
 	}
-	return plan.cost <= policy.EvictionWorth*ownWork
+	return plan.cost <= policy.EvictionCostFactor*ownWork
 }
 
 // cheapestEviction returns the eviction that loses the least work, or nil if there is none.
--- a/engine/handle_report.go
+++ b/engine/handle_report.go
@@ -130,7 +130,7 @@
 		return granted
 	}
 	w.leaseExpired = false
-	w.runsAtExpiry = nil
+	w.placementsAtExpiry = nil
 	if wasUnresponsive {
 		e.planNeeded = true
 	}
@@ -255,7 +255,7 @@
 	placements := w.sortedPlacements()
 	e.actions = append(e.actions, WorkerGone{Worker: w.info, Departure: how, Runs: len(placements)})
 	if how == DepartureCrashed {
-		defer e.countCrash(now, w, slices.Concat(w.runsAtExpiry, placements), evidence)
+		defer e.countCrash(now, w, slices.Concat(w.placementsAtExpiry, placements), evidence)
 	}
 	for _, p := range placements {
 		e.handleLostRun(now, p, CauseWorkerLost, fmt.Sprintf("its worker %s; %s", how, p.observedRunTime()))
--- a/engine/policy.go
+++ b/engine/policy.go
@@ -17,13 +17,13 @@
 	// Evictions stops lower-priority work for urgent jobs; without it, work is evicted only to
 	// honour an account's guarantee.
 	Evictions bool `toml:"evictions" default:"true"`
-	// EvictionWait, from 0 to 1, is the share of an urgent job's slack for which it waits for
+	// EvictionWaitShare, from 0 to 1, is the share of an urgent job's slack for which it waits for
 	// capacity that is expected to become free. It always waits at least as long as a stop
 	// takes.
-	EvictionWait float64 `toml:"eviction_wait" default:"0" validate:"min=0,max=1"`
-	// EvictionWorth is how many core-seconds of other work an urgent unit may discard for each
+	EvictionWaitShare float64 `toml:"eviction_wait" default:"0" validate:"min=0,max=1"`
+	// EvictionCostFactor is how many core-seconds of other work an urgent unit may discard for each
 	// of its own.
-	EvictionWorth float64 `toml:"eviction_worth" default:"3" validate:"min=0,max=1000"`
+	EvictionCostFactor float64 `toml:"eviction_worth" default:"3" validate:"min=0,max=1000"`
 	// Reservations is the number of waiting units for which capacity is reserved in a round.
 	// This keeps large gangs from starving behind small tasks. Each costs a simulation of the
 	// expected releases.
@@ -36,38 +36,38 @@
 	LearnedRunTimes bool `toml:"learned_run_times" default:"true"`
 	// WorkerHealth keeps new work away from workers on which starts keep failing.
 	WorkerHealth bool `toml:"worker_health" default:"true"`
-	// Avoidance keeps a unit away for a while from a worker where it failed, so that one bad
+	// AvoidFailedWorkers keeps a unit away for a while from a worker where it failed, so that one bad
 	// worker does not use up all attempts of a job.
-	Avoidance bool `toml:"avoidance" default:"true"`
-	// StandingStill moves tasks that report no progress.
-	StandingStill bool `toml:"standing_still" default:"true"`
+	AvoidFailedWorkers bool `toml:"avoidance" default:"true"`
+	// MoveStuckTasks moves tasks that report no progress.
+	MoveStuckTasks bool `toml:"standing_still" default:"true"`
 	// DrainMoves stops runs early that can't end before their draining worker leaves.
 	DrainMoves bool `toml:"drain_moves" default:"true"`
 	// Probation retries a task that may have crashed its worker where nothing else has just
 	// started, and starts nothing next to it until it is proven; without it, tasks that share
 	// workers with a crashing task may be given up with it.
 	Probation bool `toml:"probation" default:"true"`
-	// KeptCheckpoints stores the checkpoints of running work.
-	KeptCheckpoints bool `toml:"kept_checkpoints" default:"true"`
+	// StoreCheckpoints stores the checkpoints of running work.
+	StoreCheckpoints bool `toml:"kept_checkpoints" default:"true"`
 }
 
 // DefaultPolicy returns the policy that applies unless the settings override it.
 func DefaultPolicy() Policy {
 	return Policy{
-		DeadlineOrder:   true,
-		Headroom:        true,
-		HeadroomShare:   1,
-		Evictions:       true,
-		EvictionWait:    0,
-		EvictionWorth:   3,
-		Reservations:    4,
-		RackPreference:  true,
-		LearnedRunTimes: true,
-		WorkerHealth:    true,
-		Avoidance:       true,
-		StandingStill:   true,
-		DrainMoves:      true,
-		Probation:       true,
-		KeptCheckpoints: true,
+		DeadlineOrder:      true,
+		Headroom:           true,
+		HeadroomShare:      1,
+		Evictions:          true,
+		EvictionWaitShare:  0,
+		EvictionCostFactor: 3,
+		Reservations:       4,
+		RackPreference:     true,
+		LearnedRunTimes:    true,
+		WorkerHealth:       true,
+		AvoidFailedWorkers: true,
+		MoveStuckTasks:     true,
+		DrainMoves:         true,
+		Probation:          true,
+		StoreCheckpoints:   true,
 	}
 }
--- a/engine/progress.go
+++ b/engine/progress.go
@@ -27,11 +27,11 @@
 	Occurrence int               `json:"k,omitempty"`
 	Step       int               `json:"s,omitempty"`
 	Index      int               `json:"i,omitempty"`
-	Run        int               `json:"r,omitempty"`
+	RunNumber  int               `json:"r,omitempty"`
 	Failures   int               `json:"f,omitempty"`
 	Done       bool              `json:"d,omitempty"`
 	Checkpoint string            `json:"c,omitempty"`
-	Places     []MemberPlacement `json:"p,omitempty"`
+	Placements []MemberPlacement `json:"p,omitempty"`
 	// Crashes counts the worker crashes under each task of the unit.
 	Crashes []TaskCrashes `json:"x,omitempty"`
 }
@@ -40,7 +40,7 @@
 type TaskCrashes struct {
 	Index   int `json:"i,omitempty"`
 	Total   int `json:"t"`
-	Early   int `json:"e,omitempty"`
+	Startup int `json:"e,omitempty"`
 	Certain int `json:"c,omitempty"`
 }
 
@@ -55,7 +55,7 @@
 		Occurrence: u.occurrence,
 		Step:       u.step,
 		Index:      u.index,
-		Run:        u.runNumber,
+		RunNumber:  u.runNumber,
 		Failures:   u.failures,
 		Done:       u.state == unitDone,
 		Checkpoint: u.checkpoint,
@@ -64,11 +64,11 @@
 		p.Checkpoint = ""
 	}
 	for _, place := range u.placements {
-		p.Places = append(p.Places, MemberPlacement{Index: place.index, Worker: place.worker.info.ID})
+		p.Placements = append(p.Placements, MemberPlacement{Index: place.index, Worker: place.worker.info.ID})
 	}
 	for _, index := range slices.Sorted(maps.Keys(u.crashes)) {
 		c := u.crashes[index]
-		p.Crashes = append(p.Crashes, TaskCrashes{Index: index, Total: c.total, Early: c.startup, Certain: c.confirmed})
+		p.Crashes = append(p.Crashes, TaskCrashes{Index: index, Total: c.total, Startup: c.startup, Certain: c.confirmed})
 	}
 	return p
 }
--- a/engine/restore.go
+++ b/engine/restore.go
@@ -90,13 +90,13 @@
 }
 
 func (e *Engine) restoreUnit(now time.Duration, u *unit, up UnitProgress) {
-	u.runNumber = up.Run
+	u.runNumber = up.RunNumber
 	u.failures = up.Failures
 	u.checkpoint = up.Checkpoint
 	for _, c := range up.Crashes {
-		u.setCrashCount(c.Index, crashCount{total: c.Total, startup: c.Early, confirmed: c.Certain})
+		u.setCrashCount(c.Index, crashCount{total: c.Total, startup: c.Startup, confirmed: c.Certain})
 	}
-	for _, place := range up.Places {
+	for _, place := range up.Placements {
 		w := e.workers[place.Worker]
 		if w == nil {
 			continue // its record is removed only when nothing runs there
--- a/engine/sharing.go
+++ b/engine/sharing.go
@@ -37,8 +37,8 @@
 	minRaiseStep = 12
 )
 
-// sharing is the state of the speed control of one worker.
-type sharing struct {
+// paceControl is the state of the speed control of one worker.
+type paceControl struct {
 	changedAt      time.Duration // when a limit was last changed
 	violationSince time.Duration // since when a latency-sensitive task exceeds its target; 0 if none does
 	lastRaised     *placement    // the run raised at changedAt, if any
@@ -90,7 +90,7 @@
 		}
 	}
 	if len(sensitive) == 0 {
-		w.sharing = sharing{}
+		w.paceControl = paceControl{}
 		return
 	}
 	e.controlPaces(now, w, sensitive, bestEffort)
@@ -99,7 +99,7 @@
 // controlPaces lowers or raises the limits of best-effort runs according to the tail latencies
 // of their neighbours.
 func (e *Engine) controlPaces(now time.Duration, w *worker, sensitive, bestEffort []*placement) {
-	s := &w.sharing
+	s := &w.paceControl
 	ratio := worstLatencyRatio(sensitive)
 	if ratio < 1 {
 		s.violationSince = 0
@@ -126,7 +126,7 @@
 }
 
 // inViolationFor reports whether a target has been exceeded for the given share of limit.
-func (s *sharing) inViolationFor(now, limit time.Duration, share float64) bool {
+func (s *paceControl) inViolationFor(now, limit time.Duration, share float64) bool {
 	return s.violationSince != 0 && now-s.violationSince >= time.Duration(share*float64(limit))
 }
 
@@ -143,7 +143,7 @@
 
 // pickToThrottle returns the run to slow down first: one that was raised a moment ago, else the
 // one with the lowest tolerated limit.
-func (s *sharing) pickToThrottle(e *Engine, now time.Duration, sensitive, bestEffort []*placement) []*placement {
+func (s *paceControl) pickToThrottle(e *Engine, now time.Duration, sensitive, bestEffort []*placement) []*placement {
 	var worst *placement
 	for _, p := range bestEffort {
 		switch {
@@ -175,7 +175,7 @@
 // throttle multiplies the limits of best-effort runs by factor and records that their present
 // limits were not tolerated.
 func (e *Engine) throttle(now time.Duration, w *worker, sensitive, bestEffort []*placement, ratio, factor float64) {
-	w.sharing.lastRaised = nil
+	w.paceControl.lastRaised = nil
 	for _, p := range bestEffort {
 		if p.pace.percent <= 0 {
 			continue
@@ -185,7 +185,7 @@
 		}
 		e.logDecision(p, "hold back", fmt.Sprintf("from %d%%, tail latency at %.2f of its target", p.pace.percent, ratio))
 		e.setPace(now, p, int(factor*float64(p.pace.percent)))
-		w.sharing.changedAt = now
+		w.paceControl.changedAt = now
 	}
 }
 
@@ -211,8 +211,8 @@
 	percent := min(fullPace, best.pace.percent+step)
 	e.logDecision(best, "let go", fmt.Sprintf("from %d%% to %d%%", best.pace.percent, percent))
 	e.setPace(now, best, percent)
-	w.sharing.changedAt = now
-	w.sharing.lastRaised = best
+	w.paceControl.changedAt = now
+	w.paceControl.lastRaised = best
 }
 
 // toleratedPace returns the limit in percent at which p may run next to the latency-sensitive
@@ -244,7 +244,7 @@
 		}
 		if tolerated := e.toleratedPace(f, sensitive); tolerated < f.pace.percent {
 			e.setPace(now, f, tolerated)
-			p.worker.sharing.changedAt = now
+			p.worker.paceControl.changedAt = now
 		}
 	}
 }
--- a/engine/superseded.go
+++ b/engine/superseded.go
@@ -13,8 +13,8 @@
 // elsewhere at once. The placements are therefore kept until the next incarnation has answered
 // under a fence that no earlier order carries, as it refuses those orders from then on.
 type supersession struct {
-	how      Departure
-	evidence crashEvidence
+	departure Departure
+	evidence  crashEvidence
 }
 
 // handleTerminated processes an agent's report that an incarnation is over.
@@ -44,7 +44,7 @@
 		e.superseded[w.info.Agent] = append(e.superseded[w.info.Agent], w)
 	}
 	if w.supersession == nil || !w.supersession.evidence.known {
-		w.supersession = &supersession{how: how, evidence: evidence}
+		w.supersession = &supersession{departure: how, evidence: evidence}
 	}
 }
 
@@ -81,7 +81,7 @@
 				e.carryOver(now, p, w)
 			}
 		}
-		e.endIncarnation(now, old.info.ID, old.supersession.how, old.supersession.evidence)
+		e.endIncarnation(now, old.info.ID, old.supersession.departure, old.supersession.evidence)
 	}
 }
 
--- a/engine/tick.go
+++ b/engine/tick.go
@@ -41,7 +41,7 @@
 func (e *Engine) tickWorker(now time.Duration, w *worker) {
 	if !w.leaseExpired && now >= w.leaseExpiresAt {
 		w.leaseExpired = true
-		w.runsAtExpiry = w.sortedPlacements()
+		w.placementsAtExpiry = w.sortedPlacements()
 		for _, p := range w.sortedPlacements() {
 			e.handleLostRun(now, p, CauseLeaseExpired, "the worker's lease lapsed")
 		}
@@ -69,7 +69,7 @@
 
 // isStuck reports whether a run has shown no progress for so long that it should be moved.
 func (e *Engine) isStuck(now time.Duration, p *placement) bool {
-	if !e.params.Policy.StandingStill || p.state != placementRunning || p.stopping || p.unit.ending() || p.rate.lastPercent >= 99 {
+	if !e.params.Policy.MoveStuckTasks || p.state != placementRunning || p.stopping || p.unit.ending() || p.rate.lastPercent >= 99 {
 		return false
 	}
 	if p.unit.spec().LongRunning || p.unit.spec().BestEffortCPU || !p.worker.attached {
--- a/engine/unit.go
+++ b/engine/unit.go
@@ -117,7 +117,7 @@
 
 // avoidWorker makes the unit of p avoid its worker for a while.
 func (e *Engine) avoidWorker(now time.Duration, p *placement) {
-	if !e.params.Policy.Avoidance {
+	if !e.params.Policy.AvoidFailedWorkers {
 		return
 	}
 	u := p.unit
--- a/engine/worker.go
+++ b/engine/worker.go
@@ -66,16 +66,16 @@
 	lastPolledAt   time.Duration // when the worker itself last answered
 	leaseExpiresAt time.Duration
 	leaseExpired   bool // leaseExpiresAt has passed without a report
-	// runsAtExpiry are the placements that were ended when the lease expired. If the worker
+	// placementsAtExpiry are the placements that were ended when the lease expired. If the worker
 	// turns out to have crashed, it crashed under them.
-	runsAtExpiry []*placement
+	placementsAtExpiry []*placement
 	// recorded means that the worker's record is in the store.
 	recorded    bool
 	pendingEnds []pendingEnd
 	ackedEnds   int64
 	lastEnd     int64 // the highest sequence number processed
 	health      workerHealth
-	sharing     sharing
+	paceControl paceControl
 	// round is the state of the current planning round for this worker.
 	round workerRoundState
 }
--- a/engine/write.go
+++ b/engine/write.go
@@ -17,8 +17,8 @@
 	RemovedWorkers []WorkerID
 	// EndedJobs are jobs whose records are replaced by their outcomes, ForgottenJobs those
 	// whose outcomes are removed.
-	EndedJobs     []EndedJob
-	ForgottenJobs []ExpiredJob
+	EndedJobs   []EndedJob
+	ExpiredJobs []ExpiredJob
 }
 
 // JobWrite is the new record of one job.
@@ -30,7 +30,7 @@
 
 // Empty reports whether there is nothing to write.
 func (w *Write) Empty() bool {
-	return len(w.Jobs)+len(w.Workers)+len(w.RemovedWorkers)+len(w.EndedJobs)+len(w.ForgottenJobs) == 0
+	return len(w.Jobs)+len(w.Workers)+len(w.RemovedWorkers)+len(w.EndedJobs)+len(w.ExpiredJobs) == 0
 }
 
 // PendingChanges returns up to limit changed records that are not stored yet, first those that
@@ -89,14 +89,14 @@
 		if limit < removalRecords {
 			return w
 		}
-		w.ForgottenJobs = append(w.ForgottenJobs, e.jobs[id].expiredJob())
+		w.ExpiredJobs = append(w.ExpiredJobs, e.jobs[id].expiredJob())
 		limit -= removalRecords
 	}
 	return w
 }
 
-// handleWritten processes a completed write and sends the starts that waited for it.
-func (e *Engine) handleWritten(now time.Duration, w Write) {
+// handleWriteApplied processes a completed write and sends the starts that waited for it.
+func (e *Engine) handleWriteApplied(now time.Duration, w Write) {
 	for _, info := range w.Workers {
 		if known := e.workers[info.ID]; known != nil {
 			known.recorded = true
@@ -122,7 +122,7 @@
 		delete(e.archiving, ended.ID)
 		e.jobs[ended.ID].archive(ended.CancelRevision)
 	}
-	for _, forgotten := range w.ForgottenJobs {
+	for _, forgotten := range w.ExpiredJobs {
 		delete(e.expired, forgotten.ID)
 		e.removeJob(forgotten.ID)
 	}
@@ -139,7 +139,7 @@
 func (e *Engine) releaseStarts(now time.Duration, j *job, written *JobProgress) {
 	for i := range written.Units {
 		u := j.findUnit(written.Units[i].Occurrence, written.Units[i].Step, written.Units[i].Index)
-		if u == nil || u.runNumber != written.Units[i].Run {
+		if u == nil || u.runNumber != written.Units[i].RunNumber {
 			continue
 		}
 		e.orderUnitStarts(now, u)
--- a/records/archive_test.go
+++ b/records/archive_test.go
@@ -38,7 +38,7 @@
 	c, srv, kv := openStore(t)
 	planner := archivedJob(c, kv, "j1")
 	c.Check(srv.Keys("workloads/"), qt.DeepEquals, []string{"workloads/ended/j1"})
-	expired := engine.Write{ForgottenJobs: []engine.ExpiredJob{{ID: "j1"}}}
+	expired := engine.Write{ExpiredJobs: []engine.ExpiredJob{{ID: "j1"}}}
 	c.Assert(planner.Write(context.Background(), expired), qt.IsNil)
 	c.Check(srv.Keys("workloads/"), qt.HasLen, 0)
 }
@@ -62,7 +62,7 @@
 	c.Check(unreadable, qt.HasLen, 1)
 	c.Check(ended[0].Outcome.State, qt.Equals, workload.Cancelled)
 	c.Check(ended[0].Age, qt.Equals, time.Minute)
-	expired := engine.Write{ForgottenJobs: []engine.ExpiredJob{{ID: "j1", OutcomeRevision: ended[0].OutcomeRevision}}}
+	expired := engine.Write{ExpiredJobs: []engine.ExpiredJob{{ID: "j1", OutcomeRevision: ended[0].OutcomeRevision}}}
 	c.Assert(planner.Write(ctx, expired), qt.IsNil)
 	c.Check(srv.Keys("workloads/ended/"), qt.DeepEquals, []string{"workloads/ended/bytes"})
 }
--- a/records/planner_store.go
+++ b/records/planner_store.go
@@ -200,7 +200,7 @@
 		}
 		out = append(out, swaps...)
 	}
-	for _, j := range w.ForgottenJobs {
+	for _, j := range w.ExpiredJobs {
 		out = append(out, ps.outcomeRemoval(j)...)
 	}
 	return out, nil
