--- a/engine/crash_evidence.go
+++ b/engine/crash_evidence.go
@@ -54,19 +54,19 @@
 // started belong to one job.
 func (ev crashEvidence) blamedRuns(placements []*placement) (blamed map[*placement]bool, sameJob bool) {
 	var started []*placement
-	maxEarly := 0
+	maxStartup := 0
 	sameJob = true
 	for _, p := range placements {
 		if !ev.justStarted(p) {
 			continue
 		}
 		started = append(started, p)
-		maxEarly = max(maxEarly, p.unit.crashCountOf(p.index).startup)
+		maxStartup = max(maxStartup, p.unit.crashCountOf(p.index).startup)
 		sameJob = sameJob && p.unit.job == started[0].unit.job
 	}
 	blamed = map[*placement]bool{}
 	for _, p := range started {
-		blamed[p] = p.unit.crashCountOf(p.index).startup == maxEarly
+		blamed[p] = p.unit.crashCountOf(p.index).startup == maxStartup
 	}
 	return blamed, sameJob
 }
--- a/engine/handle_report.go
+++ b/engine/handle_report.go
@@ -247,18 +247,18 @@
 }
 
 // endIncarnation removes a worker whose incarnation is over and ends all its placements.
-func (e *Engine) endIncarnation(now time.Duration, id WorkerID, how Departure, evidence crashEvidence) {
+func (e *Engine) endIncarnation(now time.Duration, id WorkerID, departure Departure, evidence crashEvidence) {
 	w := e.workers[id]
 	if w == nil {
 		return
 	}
 	placements := w.sortedPlacements()
-	e.actions = append(e.actions, WorkerGone{Worker: w.info, Departure: how, Runs: len(placements)})
-	if how == DepartureCrashed {
+	e.actions = append(e.actions, WorkerGone{Worker: w.info, Departure: departure, Runs: len(placements)})
+	if departure == DepartureCrashed {
 		defer e.countCrash(now, w, slices.Concat(w.placementsAtExpiry, placements), evidence)
 	}
 	for _, p := range placements {
-		e.handleLostRun(now, p, CauseWorkerLost, fmt.Sprintf("its worker %s; %s", how, p.observedRunTime()))
+		e.handleLostRun(now, p, CauseWorkerLost, fmt.Sprintf("its worker %s; %s", departure, p.observedRunTime()))
 	}
 	e.removeWorker(w)
 }
--- a/engine/sharing.go
+++ b/engine/pace_control.go
@@ -238,12 +238,12 @@
 		return
 	}
 	sensitive, bestEffort := p.worker.colocatedPlacements()
-	for _, f := range bestEffort {
-		if s.BestEffortCPU && f != p || f.state == placementUnrecorded {
+	for _, neighbour := range bestEffort {
+		if s.BestEffortCPU && neighbour != p || neighbour.state == placementUnrecorded {
 			continue // set when its own start is sent
 		}
-		if tolerated := e.toleratedPace(f, sensitive); tolerated < f.pace.percent {
-			e.setPace(now, f, tolerated)
+		if tolerated := e.toleratedPace(neighbour, sensitive); tolerated < neighbour.pace.percent {
+			e.setPace(now, neighbour, tolerated)
 			p.worker.paceControl.changedAt = now
 		}
 	}
--- a/engine/restore.go
+++ b/engine/restore.go
@@ -57,10 +57,10 @@
 		}
 		return
 	}
-	order, requested := e.earlyCancels[ev.Job.ID]
+	revision, requested := e.earlyCancels[ev.Job.ID]
 	if ev.Cancelled || requested {
 		delete(e.earlyCancels, ev.Job.ID)
-		e.cancel(now, CancelRequested{Job: ev.Job.ID, Revision: max(order, ev.CancelRevision)})
+		e.cancel(now, CancelRequested{Job: ev.Job.ID, Revision: max(revision, ev.CancelRevision)})
 		return
 	}
 	e.createDueOccurrences(now, j)
--- a/engine/sim_test.go
+++ b/engine/sim_test.go
@@ -66,11 +66,11 @@
 func (w *simWorld) submit(j *workload.Job, cancelAt time.Duration) {
 	w.jobs[j.ID] = j
 	w.order = append(w.order, j.ID)
-	order := int64(len(w.order))
+	revision := int64(len(w.order))
 	e := w.engine
 	w.after(w.latency(), func() {
 		if e == w.engine {
-			e.HandleEvent(w.now, JobSubmitted{Job: *j, Revision: order})
+			e.HandleEvent(w.now, JobSubmitted{Job: *j, Revision: revision})
 		}
 	})
 	if cancelAt == 0 {
@@ -80,7 +80,7 @@
 		w.cancels[j.ID] = true
 		w.engine.HandleEvent(w.now, CancelRequested{Job: j.ID})
 	})
-	w.after(cancelAt+time.Second, func() { w.engine.HandleEvent(w.now, CancelRequested{Job: j.ID, Revision: order}) })
+	w.after(cancelAt+time.Second, func() { w.engine.HandleEvent(w.now, CancelRequested{Job: j.ID, Revision: revision}) })
 }
 
 // randomJob returns a job with one to three random steps.
--- a/engine/superseded.go
+++ b/engine/superseded.go
@@ -38,13 +38,13 @@
 
 // supersede records that another incarnation follows w under the same name. The first account
 // of how w ended is kept, unless it is not the agent's.
-func (e *Engine) supersede(w *worker, how Departure, evidence crashEvidence) {
+func (e *Engine) supersede(w *worker, departure Departure, evidence crashEvidence) {
 	w.attached = false
 	if w.supersession == nil {
 		e.superseded[w.info.Agent] = append(e.superseded[w.info.Agent], w)
 	}
 	if w.supersession == nil || !w.supersession.evidence.known {
-		w.supersession = &supersession{departure: how, evidence: evidence}
+		w.supersession = &supersession{departure: departure, evidence: evidence}
 	}
 }
 
--- a/engine/write.go
+++ b/engine/write.go
@@ -122,9 +122,9 @@
 		delete(e.archiving, ended.ID)
 		e.jobs[ended.ID].archive(ended.CancelRevision)
 	}
-	for _, forgotten := range w.ExpiredJobs {
-		delete(e.expired, forgotten.ID)
-		e.removeJob(forgotten.ID)
+	for _, expired := range w.ExpiredJobs {
+		delete(e.expired, expired.ID)
+		e.removeJob(expired.ID)
 	}
 }
 
