--- a/engine/tracker_test.go
+++ b/engine/durations_test.go
@@ -7,10 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A planner takes over while tasks run, and their ends come before it has seen them. It
-// knows neither when they began nor how long they ran, and must not learn from them: it
-// took them for runs of hours, and every forecast of the queue was three times too long.
-func TestRunsOfAPredecessorTeachNothing(t *testing.T) {
+// Guards against learning run times from adopted runs, whose start times are unknown.
+func TestAdoptedRunsAreNotLearned(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 2)
 	d.now = time.Hour
@@ -19,8 +17,8 @@
 	d.advance(time.Second)
 	d.takeOver()
 	runs := map[WorkerID][]RunEnd{}
-	for worker, there := range d.runs(id) {
-		for i, run := range there {
+	for worker, listed := range d.runs(id) {
+		for i, run := range listed {
 			runs[worker] = append(runs[worker], RunEnd{Sequence: int64(i + 1), Run: run, Reason: EndDone})
 		}
 	}
@@ -29,7 +27,7 @@
 		d.report(Report{Epoch: d.e.epoch, Polled: true, Worker: d.e.workers[worker].info, Ended: ended})
 	}
 	d.settle()
-	c.Check(d.e.tracker.runs.Version(), qt.Equals, 0, qt.Commentf("nothing was learned"))
-	c.Check(d.e.tracker.runs.Estimate("q1", time.Second), qt.Equals, time.Second)
+	c.Check(d.e.tracker.runTimes.Version(), qt.Equals, 0, qt.Commentf("nothing was learned"))
+	c.Check(d.e.tracker.runTimes.Estimate("q1", time.Second), qt.Equals, time.Second)
 	c.Check(d.late, qt.HasLen, 0)
 }
--- a/engine/shortcut_test.go
+++ b/engine/eviction_cache_test.go
@@ -8,9 +8,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// crowded returns a desk whose workers are nearly full of all kinds of work, and a unit that
-// waits.
-func crowded(t *testing.T, rng *rand.Rand) (*driver, *unit) {
+// crowdedDriver returns a driver whose workers are nearly full of mixed work, and a waiting
+// unit.
+func crowdedDriver(t *testing.T, rng *rand.Rand) (*driver, *unit) {
 	d := newDriver(t, 9)
 	for range 25 {
 		step := taskStep(1+rng.IntN(4), 1+rng.IntN(4))
@@ -30,9 +30,8 @@
 	return d, d.e.jobs[id].units[0]
 }
 
-// surveyedAnew is evictions without what next keeps: after each member all workers are
-// looked at again.
-func surveyedAnew(r *round, u *unit, set *domain) (victims []*unit, cost float64, ok bool) {
+// evictionWithoutCache is like evictions but surveys all workers again after each member.
+func evictionWithoutCache(r *round, u *unit, set *domain) (victims []*unit, cost float64, ok bool) {
 	c := r.newVictimSearch(u, set)
 	defer c.close()
 	for range u.size {
@@ -48,34 +47,34 @@
 	return victims, cost, true
 }
 
-// What a search for victims keeps between two members, and the quick look at a full set,
-// save time and change no decision.
-func TestShortcutsOfARoundChangeNoDecision(t *testing.T) {
+// Guards against decisions that change through the caching in the eviction search or the quick
+// check for full domains.
+func TestEvictionSearchCacheKeepsDecisions(t *testing.T) {
 	c := qt.New(t)
-	evicting, full := 0, 0
+	evictions, fullSets := 0, 0
 	for seed := range uint64(300) {
-		d, u := crowded(t, rand.New(rand.NewPCG(seed, 3)))
+		d, u := crowdedDriver(t, rand.New(rand.NewPCG(seed, 3)))
 		r := d.e.newRound(d.now)
 		r.pickHeadroomRacks()
-		victims, cost, ok := surveyedAnew(r, u, r.all)
-		got := r.planEviction(u, r.all)
+		victims, cost, ok := evictionWithoutCache(r, u, r.usable)
+		got := r.planEviction(u, r.usable)
 		c.Assert(got != nil, qt.Equals, ok, qt.Commentf("seed %d", seed))
 		if ok {
-			evicting++
+			evictions++
 			c.Assert(got.cost, qt.Equals, cost, qt.Commentf("seed %d", seed))
 			c.Assert(len(got.victims), qt.Equals, len(victims), qt.Commentf("seed %d", seed))
 		}
-		for _, set := range append([]*domain{r.all}, r.racks["r0"], r.racks["r1"], r.racks["r2"]) {
+		for _, set := range append([]*domain{r.usable}, r.racks["r0"], r.racks["r1"], r.racks["r2"]) {
 			if !u.cannotFit(set) {
 				continue
 			}
-			full++
+			fullSets++
 			slots := 0
 			for _, w := range set.workers {
-				slots += r.slots(u, w, r.room(u, w))
+				slots += r.slots(u, w, r.availableFor(u, w))
 			}
 			c.Assert(slots < u.size, qt.IsTrue, qt.Commentf("seed %d", seed))
 		}
 	}
-	c.Check(evicting > 50 && full > 50, qt.IsTrue, qt.Commentf("%d evictions, %d full sets", evicting, full))
+	c.Check(evictions > 50 && fullSets > 50, qt.IsTrue, qt.Commentf("%d evictions, %d full sets", evictions, fullSets))
 }
--- /dev/null
+++ b/engine/handle_report.go
@@ -0,0 +1,279 @@
+package engine
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"github.com/eelgrasshub/eelgrasshub/workload"
+)
+
+// maxMissedPolls is the number of consecutive polls that may miss a running task before it is
+// stopped. A single poll may be overtaken by the answer to the start.
+const maxMissedPolls = 3
+
+// Report processes an agent's report and returns the answer, which may extend the worker's
+// lease. The caller must send it without delay.
+func (e *Engine) Report(now time.Duration, r Report) ReportAnswer {
+	if r.Terminated {
+		e.handleTerminated(now, r)
+		return ReportAnswer{}
+	}
+	w := e.registerWorker(now, r.Worker)
+	attached := r.Epoch == e.epoch && r.Generation >= w.generation
+	if now-w.lastReport >= reportTimeout {
+		e.planNeeded = true
+	}
+	w.lastReport = now
+	e.updateDrain(now, w, r)
+	if !attached {
+		// No lease is granted; the expiry of the current one is already accounted for.
+		return ReportAnswer{Generation: w.generation, AckedEnds: w.ackedEnds}
+	}
+	first := !w.attached
+	w.attached = true
+	e.noteGeneration(w, r.Generation)
+	granted := e.updateLease(now, w, r)
+	if r.Polled {
+		e.settleSuperseded(now, w, r)
+		e.reconcile(now, w, r)
+		e.adjustPaces(now, w)
+	}
+	if first {
+		e.dropUnconfirmedAdopted(now, w)
+		e.planNeeded = true
+	}
+	return ReportAnswer{Attached: granted, Generation: w.generation, AckedEnds: w.advanceAckedEnds(), EndsPending: len(w.pendingEnds) > 0, PollOften: w.needsFrequentPolls()}
+}
+
+// AckedEnds returns the highest sequence number of ends that the worker may forget, and whether
+// later ends still wait to be stored.
+func (e *Engine) AckedEnds(id WorkerID) (acked int64, pending bool) {
+	w := e.workers[id]
+	if w == nil {
+		return 0, false
+	}
+	return w.advanceAckedEnds(), len(w.pendingEnds) > 0
+}
+
+// registerWorker returns the reporting worker and adds it if it is new. A new incarnation next
+// to the same agent proves that the previous one is over.
+func (e *Engine) registerWorker(now time.Duration, info WorkerInfo) *worker {
+	previous, known := e.workerByAgent[info.Agent]
+	if known && previous != info.ID {
+		e.supersedeReplaced(now, previous, info)
+	}
+	w := e.workers[info.ID]
+	if w == nil {
+		w = e.addWorker(now, info)
+		e.unrecordedWorkers[info.ID] = w
+	}
+	if w.info.Agent == "" {
+		// Its stored record was unreadable; store what the worker reports.
+		w.info = info
+		w.recorded = false
+		e.unrecordedWorkers[info.ID] = w
+	}
+	if previous != info.ID {
+		e.assignGeneration(w)
+	}
+	e.resize(now, w, info.Capacity)
+	e.workerByAgent[info.Agent] = info.ID
+	return w
+}
+
+func (e *Engine) addWorker(now time.Duration, info WorkerInfo) *worker {
+	w := &worker{
+		info:           info,
+		placements:     map[workload.TaskID]*placement{},
+		orphans:        map[workload.RunID]time.Duration{},
+		lastReport:     now,
+		leaseExpiresAt: e.params.leaseExpiry(now),
+	}
+	e.markCordoned(w)
+	e.workers[info.ID] = w
+	e.workersByID = nil
+	e.workerAddedAt = now
+	e.planNeeded = true
+	return w
+}
+
+func (e *Engine) updateDrain(now time.Duration, w *worker, r Report) {
+	if !r.Draining {
+		return
+	}
+	if !w.draining {
+		w.draining = true
+		e.planNeeded = true
+	}
+	w.leavesAt = now + r.DrainRemaining
+}
+
+// updateLease updates the expiry of the worker's lease and reports whether the answer to the
+// report extends it. Every grant is counted, even if no worker answer follows: the agent may
+// use it to extend the lease and then be lost before its next report.
+//
+// Reports about an unresponsive worker must not postpone the expiry, or its runs would never be
+// restarted elsewhere. The expiry follows the remaining time that the agent reports; if the
+// agent does not know it, the last grant bounds the lease.
+func (e *Engine) updateLease(now time.Duration, w *worker, r Report) bool {
+	wasUnresponsive := w.unresponsive
+	w.unresponsive = r.Unresponsive
+	granted := !r.Unresponsive || r.ExtendingLease
+	switch {
+	case granted:
+		w.leaseExpiresAt = e.params.leaseExpiry(now)
+	case r.LeaseKnown:
+		w.leaseExpiresAt = now + withClockDrift(r.LeaseRemaining) + leaseExpirySlack
+	}
+	if r.Unresponsive {
+		return granted
+	}
+	w.leaseExpired = false
+	w.placementsAtExpiry = nil
+	if wasUnresponsive {
+		e.planNeeded = true
+	}
+	return granted
+}
+
+// reconcile compares the polled state of the worker with its placements.
+func (e *Engine) reconcile(now time.Duration, w *worker, r Report) {
+	w.lastPolledAt = now
+	for _, run := range r.Running {
+		e.observeRun(now, w, run)
+	}
+	for _, end := range r.Ended {
+		if end.Sequence <= w.lastEnd {
+			continue
+		}
+		w.lastEnd = end.Sequence
+		j := e.handleRunEnd(now, w, end)
+		version := 0
+		if j != nil {
+			version = j.version
+		}
+		w.pendingEnds = append(w.pendingEnds, pendingEnd{sequence: end.Sequence, job: j, version: version})
+	}
+	for _, run := range r.ConfirmedAbsent {
+		e.confirmAbsent(now, w, run)
+	}
+	e.countMissedPolls(now, w, ListedRuns(r.Running, r.Ended))
+}
+
+// observeRun processes a run that the worker lists as running.
+func (e *Engine) observeRun(now time.Duration, w *worker, status RunStatus) {
+	p := w.placements[status.Run.Task]
+	if p == nil || p.runNumber != status.Run.Number {
+		e.stopOrphan(now, w, status.Run)
+		return
+	}
+	if p.state == placementAdopted || p.state == placementOrdered {
+		e.markRunning(now, p)
+	}
+	p.missedPolls = 0
+	p.lastSeenAt = now
+	p.resetCrashes()
+	if status.Percent != p.rate.lastPercent {
+		p.progressedAt = now
+		if p.rate.observed {
+			e.tracker.progressQueues[p.unit.job.spec.Queue] = true
+		}
+	}
+	p.rate.observe(now, status.Percent)
+	p.load = status.Load
+	if status.Checkpoint != p.checkpoint {
+		p.checkpoint = status.Checkpoint
+		p.checkpointAt = now
+	}
+}
+
+// stopOrphan stops a run that this planner did not place or has given up as lost.
+func (e *Engine) stopOrphan(now time.Duration, w *worker, run workload.RunID) {
+	stopSentAt, known := w.orphans[run]
+	if known && now-stopSentAt < stopRetryInterval {
+		return
+	}
+	w.orphans[run] = now
+	o := e.ordersFor(w)
+	o.Stops = append(o.Stops, run)
+	e.actions = append(e.actions, Decision{Job: run.Task.Job, Kind: "stop", Detail: "not placed by this planner", Run: run, Worker: w.info.ID})
+}
+
+// confirmAbsent ends a placement whose stop was confirmed and whose run a later poll did not
+// list.
+func (e *Engine) confirmAbsent(now time.Duration, w *worker, run workload.RunID) {
+	delete(w.orphans, run)
+	p := w.placements[run.Task]
+	if p == nil || p.runNumber != run.Number || !p.stopping {
+		return
+	}
+	e.handleLostRun(now, p, CauseStartUnanswered, "stopped before it was there")
+}
+
+// countMissedPolls counts the polls that do not list a running task and stops the task after
+// maxMissedPolls. The answer to the stop tells whether the run exists.
+func (e *Engine) countMissedPolls(now time.Duration, w *worker, listed map[workload.RunID]bool) {
+	for _, p := range w.sortedPlacements() {
+		if p.state != placementRunning || p.stopping || listed[p.runID()] {
+			continue
+		}
+		p.missedPolls++
+		if p.missedPolls >= maxMissedPolls {
+			e.markRetry(p.unit)
+			e.stopUnit(now, p.unit, CauseNotListed)
+		}
+	}
+	for run := range w.orphans {
+		if !listed[run] {
+			delete(w.orphans, run)
+		}
+	}
+}
+
+// dropUnconfirmedAdopted ends adopted placements that the worker does not list when polled
+// under the new epoch, as it refuses their orders from then on. Pending stops are sent again.
+func (e *Engine) dropUnconfirmedAdopted(now time.Duration, w *worker) {
+	for _, p := range w.sortedPlacements() {
+		if p.state == placementAdopted {
+			e.handleLostRun(now, p, CauseTakeover, "not there under the new epoch")
+		}
+	}
+	for _, p := range w.sortedPlacements() {
+		if p.stopping {
+			e.sendStop(now, p)
+		}
+	}
+}
+
+// endIncarnation removes a worker whose incarnation is over and ends all its placements.
+func (e *Engine) endIncarnation(now time.Duration, id WorkerID, departure Departure, evidence crashEvidence) {
+	w := e.workers[id]
+	if w == nil {
+		return
+	}
+	placements := w.sortedPlacements()
+	e.actions = append(e.actions, WorkerGone{Worker: w.info, Departure: departure, Runs: len(placements)})
+	if departure == DepartureCrashed {
+		defer e.countCrash(now, w, slices.Concat(w.placementsAtExpiry, placements), evidence)
+	}
+	for _, p := range placements {
+		e.handleLostRun(now, p, CauseWorkerLost, fmt.Sprintf("its worker %s; %s", departure, p.observedRunTime()))
+	}
+	e.removeWorker(w)
+}
+
+func (e *Engine) removeWorker(w *worker) {
+	delete(e.workers, w.info.ID)
+	e.workersByID = nil
+	delete(e.unrecordedWorkers, w.info.ID)
+	e.dropSuperseded(w)
+	if e.workerByAgent[w.info.Agent] == w.info.ID {
+		delete(e.workerByAgent, w.info.Agent)
+	}
+	if w.recorded {
+		e.goneWorkers[w.info.ID] = true
+	}
+	e.dropWorkerClaims(w)
+	e.planNeeded = true
+}
--- a/engine/orders.go
+++ b/engine/orders.go
@@ -6,30 +6,31 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// ordersEnded handles the answers to orders. Only a certain refusal frees the room;
-// an order without an answer may still be carried out, so its run is stopped and
-// keeps its room until that is confirmed.
-func (e *Engine) ordersEnded(now time.Duration, ev OrdersCompleted) {
+// handleOrderResults processes the results of one set of orders. Only a definite refusal
+// releases the capacity of a placement. An unanswered start may still take effect, so its run
+// is stopped and keeps its capacity until the stop is confirmed.
+func (e *Engine) handleOrderResults(now time.Duration, ev OrdersCompleted) {
 	w := e.workers[ev.Worker]
 	if w == nil {
 		return
 	}
 	for _, r := range ev.Starts {
-		p := w.places[r.Run.Task]
-		if p == nil || p.run != r.Run.Number || p.state != placeOrdered {
+		p := w.placements[r.Run.Task]
+		if p == nil || p.runNumber != r.Run.Number || p.state != placementOrdered {
 			continue
 		}
-		e.started(now, p, r.Outcome)
+		e.handleStartOutcome(now, p, r.Outcome)
 	}
 	for _, r := range ev.Paces {
-		e.paced(now, w, r)
+		e.handlePaceResult(now, w, r)
 	}
 }
 
-func (e *Engine) started(now time.Duration, p *placement, outcome StartOutcome) {
+// handleStartOutcome processes the result of one start order.
+func (e *Engine) handleStartOutcome(now time.Duration, p *placement, outcome StartOutcome) {
 	switch outcome {
 	case StartOK:
-		e.running(now, p)
+		e.markRunning(now, p)
 		return
 	case StartUnknown:
 		e.logDecision(p, "start unanswered", "")
@@ -45,44 +46,44 @@
 		p.worker.health.pauseForCapacity(now)
 	case StartInvalid:
 		e.logDecision(p, "start invalid", "")
-		p.unit.notBefore = now + p.unit.invalid.next(invalidFirst, invalidMost)
+		p.unit.notBefore = now + p.unit.invalidBackoff.next(minInvalidOrderDelay, maxInvalidOrderDelay)
 	case StartNoTicket:
-		delete(p.unit.job.ticketsFor(p.unit.at()).granted, p.worker.info.ID)
+		delete(p.unit.job.ticketsFor(p.unit.occurrenceStep()).granted, p.worker.info.ID)
 	}
 	e.logDecision(p, "start refused", outcome.String())
 	if outcome == StartFenced || outcome == StartNotDelivered || outcome == StartCordoned {
-		p.unit.notBefore = now + refusedPause
+		p.unit.notBefore = now + refusedStartDelay
 	}
 	e.markRetry(p.unit)
 	e.removePlacement(now, p)
 	e.markChanged(p.unit.job)
 }
 
-// refusedPause keeps a unit from being placed again at once after an order that could
-// not be delivered; the connection is replaced or given up within that time.
-const refusedPause = 100 * time.Millisecond
+// refusedStartDelay delays the next placement of a unit whose order was not delivered, or was
+// refused because of a newer planner or a cordon, so that it is not refused again at once.
+const refusedStartDelay = 100 * time.Millisecond
 
-// invalidFirst and invalidMost bound the pause of a unit whose order a worker can't read: the
-// next order is the same, but the worker may be replaced by one that can.
+// minInvalidOrderDelay and maxInvalidOrderDelay bound the backoff of a unit whose start order
+// the worker could not decode. The order does not change, but a newer worker may accept it.
 const (
-	invalidFirst = 200 * time.Millisecond
-	invalidMost  = 2 * time.Second
+	minInvalidOrderDelay = 200 * time.Millisecond
+	maxInvalidOrderDelay = 2 * time.Second
 )
 
-// running notes that a run is there.
-func (e *Engine) running(now time.Duration, p *placement) {
-	if p.state == placeRunning {
+// markRunning records that the worker has confirmed a run.
+func (e *Engine) markRunning(now time.Duration, p *placement) {
+	if p.state == placementRunning {
 		return
 	}
-	if p.state == placeAdopted {
-		p.movedAt = now
-		// Its speed is a predecessor's, and not known.
+	if p.state == placementAdopted {
+		p.progressedAt = now
+		// The speed limit that the previous planner set is not known.
 		p.pace = pace{percent: unknownPace, confirmed: true}
 	}
-	p.state = placeRunning
-	p.unit.invalid.reset()
-	if p.began == 0 {
-		p.began = now
+	p.state = placementRunning
+	p.unit.invalidBackoff.reset()
+	if p.startedAt == 0 {
+		p.startedAt = now
 	}
 	j := p.unit.job
 	if !j.started {
@@ -94,7 +95,7 @@
 	}
 }
 
-var outcomeNames = [...]string{
+var startOutcomeNames = [...]string{
 	StartUnknown:      "unknown",
 	StartOK:           "ok",
 	StartNotDelivered: "not sent",
@@ -109,10 +110,10 @@
 	StartCordoned:     "zone cordoned",
 }
 
-// String returns a name for logs.
+// String returns the outcome's name for logs.
 func (o StartOutcome) String() string {
-	if o < 0 || int(o) >= len(outcomeNames) {
+	if o < 0 || int(o) >= len(startOutcomeNames) {
 		return "unnamed"
 	}
-	return outcomeNames[o]
+	return startOutcomeNames[o]
 }
--- a/engine/orders_test.go
+++ b/engine/orders_test.go
@@ -7,26 +7,25 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// While a gang's placement goes on record, the agent of one of its workers falls
-// silent. The orders of the members after it left all the same, with room that the
-// engine already counted as free: members ran twice, and a worker was over its memory.
+// Guards against ordering only some members of a gang when the agent of one worker stops
+// reporting while the placement is being stored.
 func TestGangIsOrderedOnAllWorkersOrNone(t *testing.T) {
-	for _, silent := range []WorkerID{"w0", "w1", "w2"} {
+	for _, unreachable := range []WorkerID{"w0", "w1", "w2"} {
 		c := qt.New(t)
 		d := newDriver(t, 3)
 		id := d.submit(1, "", gangStep(3, 8))
 		d.e.Decide(d.now)
-		w := d.e.PendingChanges(d.now, time.Unix(1000, 0), 15)
+		write := d.e.PendingChanges(d.now, time.Unix(1000, 0), 15)
 		d.now += 1500 * time.Millisecond
-		for _, other := range []WorkerID{"w0", "w1", "w2"} {
-			if other != silent {
-				d.reportProgress(other)
+		for _, reachable := range []WorkerID{"w0", "w1", "w2"} {
+			if reachable != unreachable {
+				d.reportProgress(reachable)
 			}
 		}
-		d.handle(WriteApplied{Write: w})
+		d.handle(WriteApplied{Write: write})
 		d.settle()
 		c.Check(d.starts, qt.HasLen, 0)
-		d.reportProgress(silent)
+		d.reportProgress(unreachable)
 		d.settle()
 		c.Check(d.starts, qt.HasLen, 3)
 		for _, s := range d.starts {
@@ -36,10 +35,9 @@
 	}
 }
 
-// A gang of six fails on one worker of its preferred rack, then on another. Keeping away
-// from both left no room for it there, while the rack itself still looked empty, so it
-// waited for a rack that it was not allowed to use for as long as it was known.
-func TestUnitReturnsToAWorkerWhereItFailed(t *testing.T) {
+// Guards against a unit that waits forever for its preferred rack because it avoids the workers
+// there on which it failed.
+func TestUnitIsRetriedOnWorkerWhereItFailed(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 9)
 	s := gangStep(6, 4)
@@ -55,10 +53,9 @@
 	}
 }
 
-// An order gets no answer. It may be carried out seconds later, so its room stays taken
-// and nothing of the task starts elsewhere until the worker confirms the stop and a
-// later look does not show the run.
-func TestUnansweredStartKeepsItsRoom(t *testing.T) {
+// Guards against a second run of a task whose start order was not answered: its capacity stays
+// taken until the worker confirms the stop and a later poll does not list the run.
+func TestUnansweredStartKeepsItsCapacity(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
 	id := d.submit(1, "", taskStep(1, 8))
--- /dev/null
+++ b/engine/pace_control_test.go
@@ -0,0 +1,208 @@
+package engine
+
+import (
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"github.com/eelgrasshub/eelgrasshub/workload"
+)
+
+const tailTarget = 100 * time.Millisecond
+
+// latencySensitiveStep returns a step of n long-running tasks with a tail-latency target.
+func latencySensitiveStep(n int) workload.Step {
+	s := longRunningStep(n, 0, 0)
+	s.Image = "serves"
+	s.TailLatencyTarget = tailTarget
+	return s
+}
+
+// bestEffortStep returns a step of n best-effort tasks.
+func bestEffortStep(n int) workload.Step {
+	s := taskStep(n, 0)
+	s.Image = "fills"
+	s.BestEffortCPU = true
+	s.Checkpoints = true
+	return s
+}
+
+// colocatedDriver returns a driver with one worker that runs a latency-sensitive and a
+// best-effort task.
+func colocatedDriver(t *testing.T) (d *driver, service, bestEffort workload.JobID) {
+	d = newDriver(t, 1)
+	service = d.submit(1, "", latencySensitiveStep(1))
+	d.settle()
+	bestEffort = d.submit(2, "", bestEffortStep(1))
+	d.settle()
+	return d, service, bestEffort
+}
+
+// reportFor lets all workers report for a while, with the given ratio of tail latency to
+// target.
+func (d *driver) reportFor(by time.Duration, ratio func(now time.Duration) float64) {
+	for end := d.now + by; d.now < end; d.now += 100 * time.Millisecond {
+		if d.now%(500*time.Millisecond) == 0 {
+			for _, w := range d.e.sortedWorkers() {
+				d.report(d.pollReport(w, ratio(d.now)))
+			}
+		}
+		d.tick()
+	}
+}
+
+// pollReport returns a report of all placements of w, with the given ratio of tail latency to
+// target.
+func (d *driver) pollReport(w *worker, ratio float64) Report {
+	r := Report{Epoch: d.e.epoch, Polled: true, Worker: w.info}
+	for _, p := range w.sortedPlacements() {
+		status := RunStatus{Run: p.runID(), Percent: min(p.rate.lastPercent+1, 98)}
+		if p.unit.spec().TailLatencyTarget > 0 {
+			status.Percent = 100
+			status.Load = int(ratio * float64(tailTarget/time.Millisecond))
+		}
+		r.Running = append(r.Running, status)
+	}
+	return r
+}
+
+// orderedPaces returns the last limit ordered for each run of a job; 100 if there was none.
+func (d *driver) orderedPaces(id workload.JobID) []int {
+	last := map[workload.RunID]int{}
+	for _, p := range d.paces {
+		last[p.Run] = p.Percent
+	}
+	var out []int
+	for _, runs := range d.runs(id) {
+		for _, run := range runs {
+			percent, ordered := last[run]
+			if !ordered {
+				percent = fullPace
+			}
+			out = append(out, percent)
+		}
+	}
+	return out
+}
+
+func constant(ratio float64) func(time.Duration) float64 {
+	return func(time.Duration) float64 { return ratio }
+}
+
+// Guards against starting a best-effort task at full speed next to an image it has not run
+// with.
+func TestUnknownImageStartsSlowly(t *testing.T) {
+	c := qt.New(t)
+	d, _, id := colocatedDriver(t)
+	c.Check(d.orderedPaces(id), qt.DeepEquals, []int{initialTolerance})
+}
+
+// Guards against starting a latency-sensitive task while its best-effort neighbour runs at full
+// speed.
+func TestBestEffortRunIsSlowedBeforeNeighbourStarts(t *testing.T) {
+	c := qt.New(t)
+	d := newDriver(t, 1)
+	id := d.submit(2, "", bestEffortStep(1))
+	d.settle()
+	d.reportFor(time.Second, constant(0))
+	c.Check(d.orderedPaces(id), qt.DeepEquals, []int{100})
+	d.submit(1, "", latencySensitiveStep(1))
+	d.settle()
+	c.Check(d.orderedPaces(id), qt.DeepEquals, []int{initialTolerance})
+}
+
+// Guards against a best-effort run that is not paused within MaxLatencyViolation, or not
+// resumed later.
+func TestBestEffortRunIsPausedWithinViolationLimit(t *testing.T) {
+	c := qt.New(t)
+	d, _, id := colocatedDriver(t)
+	d.reportFor(8*time.Second, constant(0.4))
+	c.Assert(d.orderedPaces(id)[0] >= 60, qt.IsTrue, qt.Commentf("%v", d.orderedPaces(id)))
+	d.reportFor(2*time.Second, constant(1.4))
+	c.Check(d.orderedPaces(id), qt.DeepEquals, []int{0})
+	d.reportFor(6*time.Second, constant(0.4))
+	c.Check(d.orderedPaces(id)[0] > initialTolerance, qt.IsTrue, qt.Commentf("%v", d.orderedPaces(id)))
+}
+
+// Guards against a limit that stays in force after the latency-sensitive task has ended.
+func TestBestEffortRunAloneHasFullPace(t *testing.T) {
+	c := qt.New(t)
+	d, service, id := colocatedDriver(t)
+	d.handle(CancelRequested{Job: service})
+	d.settle()
+	d.endRuns(service, EndStopped)
+	d.reportFor(time.Second, constant(0))
+	c.Check(d.orderedPaces(id), qt.DeepEquals, []int{100})
+}
+
+// Guards against giving up on an unanswered limit, and against an earlier unanswered order that
+// takes effect late.
+func TestUnconfirmedPaceIsResent(t *testing.T) {
+	c := qt.New(t)
+	d := newDriver(t, 1)
+	d.submit(1, "", latencySensitiveStep(1))
+	d.settle()
+	d.dropPaceReplies = true
+	d.submit(2, "", bestEffortStep(1))
+	d.settle()
+	d.reportFor(2*time.Second, constant(0.7))
+	c.Check(len(d.paces) >= 4, qt.IsTrue, qt.Commentf("%d", len(d.paces)))
+	d.dropPaceReplies = false
+	before := len(d.paces)
+	d.reportFor(4*time.Second, constant(0.7))
+	c.Check(len(d.paces) >= before+3, qt.IsTrue, qt.Commentf("in doubt, ordered %d times", len(d.paces)-before))
+	d.reportFor(12*time.Second, constant(0.7))
+	before = len(d.paces)
+	d.reportFor(4*time.Second, constant(0.7))
+	c.Check(d.paces, qt.HasLen, before)
+}
+
+// Guards against a successor that leaves a best-effort run at the unknown limit of its
+// predecessor.
+func TestSuccessorResetsPaces(t *testing.T) {
+	c := qt.New(t)
+	d, _, id := colocatedDriver(t)
+	d.reportFor(8*time.Second, constant(0.4))
+	d.takeOver()
+	d.paces = nil
+	d.reportFor(600*time.Millisecond, constant(0.7))
+	c.Check(d.orderedPaces(id), qt.DeepEquals, []int{initialTolerance})
+}
+
+// Guards against placing a best-effort task next to a latency-sensitive one while another
+// worker is free.
+func TestBestEffortTaskAvoidsLatencySensitiveNeighbour(t *testing.T) {
+	c := qt.New(t)
+	d := newDriver(t, 2)
+	d.submit(1, "", latencySensitiveStep(1))
+	d.settle()
+	var sensitiveWorker WorkerID
+	for run, w := range d.startedOn {
+		if run.Task.Step == 0 {
+			sensitiveWorker = w
+		}
+	}
+	id := d.submit(2, "", bestEffortStep(1))
+	d.settle()
+	for w := range d.runs(id) {
+		c.Check(w, qt.Not(qt.Equals), sensitiveWorker)
+	}
+}
+
+// Guards against a best-effort run that keeps violating the target because its worker does not
+// confirm limits.
+func TestRunWithUnconfirmedPaceIsStopped(t *testing.T) {
+	c := qt.New(t)
+	d := newDriver(t, 1)
+	d.submit(1, "", latencySensitiveStep(1))
+	d.settle()
+	d.dropPaceReplies = true
+	id := d.submit(2, "", bestEffortStep(1))
+	d.settle()
+	d.reportFor(2*time.Second, constant(1.3))
+	c.Check(d.stops, qt.HasLen, 0)
+	d.reportFor(1500*time.Millisecond, constant(1.3))
+	c.Assert(d.stops, qt.Not(qt.HasLen), 0)
+	c.Check(d.stops[0].Task.Job, qt.Equals, id)
+}
--- a/engine/placement.go
+++ b/engine/placement.go
@@ -6,54 +6,56 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// placeState is how far a placement has come.
-type placeState int
+// placementState is the progress of a placement from decision to confirmed run.
+type placementState int
 
 const (
-	// placeRecording: decided, not yet on record; no order has left.
-	placeRecording placeState = iota
-	// placeOrdered: the order may have left; the answer is not known.
-	placeOrdered
-	// placeAdopted: taken from the records of a predecessor; the worker has not
-	// reported yet.
-	placeAdopted
-	// placeRunning: the worker confirmed it.
-	placeRunning
+	// placementUnrecorded means that the placement is not stored yet and no order was sent.
+	placementUnrecorded placementState = iota
+	// placementOrdered means that the start order may have been sent, without a result so far.
+	placementOrdered
+	// placementAdopted means that a previous planner made the placement and the worker has not
+	// reported under this planner's epoch yet.
+	placementAdopted
+	// placementRunning means that the worker has confirmed the run.
+	placementRunning
 )
 
-// placement is one run of one task on one worker, until it is certainly over.
+// placement is one run of one task on one worker. It holds its capacity until the run is
+// certainly over.
 type placement struct {
-	unit   *unit
-	index  int
-	worker *worker
-	run    int
-	state  placeState
-	demand workload.Resources
-	pulse  pulse
-	load   int  // see RunningRow.Load
-	pace   pace // of what fills
-	// saved is the last checkpoint seen, savedAt when it was first seen.
-	saved   string
-	savedAt time.Duration
-	// adopted: a predecessor ordered it, so began is not when it really did.
+	unit      *unit
+	index     int
+	worker    *worker
+	runNumber int
+	state     placementState
+	demand    workload.Resources
+	rate      progressRate
+	load      int  // see RunStatus.Load
+	pace      pace // used for best-effort tasks
+	// checkpoint is the last checkpoint reported, checkpointAt when it was first reported.
+	checkpoint   string
+	checkpointAt time.Duration
+	// adopted is set when a previous planner ordered the run, so that startedAt is not the
+	// actual start time.
 	adopted bool
-	// began is when the start was ordered, or when an adopted run was first seen; 0 before.
-	// movedAt is when its progress last changed.
-	began   time.Duration
-	movedAt time.Duration
-	// shownAt is when a look last showed it; 0 before.
-	shownAt time.Duration
-	// stopping: a stop was decided; stopSent is when it was last sent.
-	stopping bool
-	stopSent time.Duration
-	stops    int // how often it was sent
-	missing  int // looks in a row that did not show it
+	// startedAt is when the start was ordered, or when an adopted run was first reported; 0
+	// before that. progressedAt is when the reported progress last changed.
+	startedAt    time.Duration
+	progressedAt time.Duration
+	// lastSeenAt is when a poll last listed the run; 0 before the first.
+	lastSeenAt time.Duration
+	// stopping is set once a stop was decided; stopSentAt is when it was last sent.
+	stopping    bool
+	stopSentAt  time.Duration
+	stopsSent   int // number of stop orders sent
+	missedPolls int // consecutive polls that did not list the run
 }
 
-func (p *placement) task() workload.TaskID {
+func (p *placement) taskID() workload.TaskID {
 	return workload.TaskID{Job: p.unit.job.spec.ID, Occurrence: p.unit.occurrence, Step: p.unit.step, Index: p.index}
 }
 
-func (p *placement) id() workload.RunID {
-	return workload.RunID{Task: p.task(), Number: p.run}
+func (p *placement) runID() workload.RunID {
+	return workload.RunID{Task: p.taskID(), Number: p.runNumber}
 }
--- a/engine/probation.go
+++ b/engine/probation.go
@@ -2,73 +2,73 @@
 
 import "time"
 
-// A task with an early crash is tried again on probation: where nothing else has just
-// started, so that a second crash can't be another's, and where nothing else is started
-// until it is proven, so that others can't be blamed for it. It costs the worker the new
-// work of a second. Without it, tasks that were started beside one that crashes its workers
-// look like it, and are given up with it after they have met it a second time.
+// A task suspected of crashing its worker is retried on probation: on a worker where nothing
+// else has just started, and where nothing else is started until the run is proven. Otherwise
+// tasks that happened to start beside a crashing one would share its crash count and be given
+// up with it.
 const (
-	// probationWait is how long such a task lets go of room beside others that have just
-	// started before it goes anywhere: on a fleet of short tasks something always has.
-	probationWait = 1500 * time.Millisecond
-	// sparingWait is the same for room beside tasks that the next crash would give up. They
-	// are few, and a fleet with room to spare has a worker without them.
-	sparingWait = 5 * time.Second
-	// shunFor is how long a task keeps away from a machine where a worker crashed under it,
-	// where there is room elsewhere: a machine that is about to fail for good is emptied by
-	// each of its crashes and looks the best to all that it has just lost.
-	shunFor = 30 * time.Second
+	// maxProbationWait limits how long a suspected task passes over workers with recently
+	// started runs. On a fleet of short tasks every worker may have some.
+	maxProbationWait = 1500 * time.Millisecond
+	// maxLastChanceWait is the same limit for workers that run a task which one more crash
+	// would give up.
+	maxLastChanceWait = 5 * time.Second
+	// agentAvoidanceTime is how long a task prefers other machines after a worker crashed under
+	// it. A failing machine would otherwise look attractive, as each crash empties it.
+	agentAvoidanceTime = 30 * time.Second
 )
 
-// admits says whether new members of u may start on w beside what has just started there.
+// admits reports whether new members of u may start on w next to its recently started runs.
 func (r *round) admits(u *unit, w *worker) bool {
 	if !r.e.params.Policy.Probation {
 		return true
 	}
-	wait := time.Duration(0) // how long a suspect lets go of the room there
-	for _, p := range w.places {
-		if p.unit == u || p.state == placeAdopted {
+	maxWait := time.Duration(0) // how long a suspected unit passes over w
+	for _, p := range w.placements {
+		if p.unit == u || p.state == placementAdopted {
 			continue
 		}
-		c, fresh := p.unit.crashCountOf(p.index), !p.pastStartup()
-		if fresh && c.startup > 0 {
-			return false // it is on probation
+		crashes, unproven := p.unit.crashCountOf(p.index), !p.pastStartup()
+		if unproven && crashes.startup > 0 {
+			return false // on probation there
 		}
-		if fresh {
-			wait = max(wait, probationWait)
+		if unproven {
+			maxWait = max(maxWait, maxProbationWait)
 		}
-		if c.onLastAttempt() {
-			wait = max(wait, sparingWait)
+		if crashes.onLastAttempt() {
+			maxWait = max(maxWait, maxLastChanceWait)
 		}
 	}
-	return wait == 0 || !u.hasStartupCrash() || !r.holdsBack(u, wait)
+	return maxWait == 0 || !u.hasStartupCrash() || !r.keepsWaiting(u, maxWait)
 }
 
-// holdsBack says whether u, which can't have a worker to itself now, goes on waiting for
-// one, and notes since when it does.
-func (r *round) holdsBack(u *unit, most time.Duration) bool {
-	if u.heldFrom == 0 {
-		u.heldFrom = r.now
+// keepsWaiting reports whether u, which has no worker to itself now, keeps waiting for one. It
+// records when the wait began.
+func (r *round) keepsWaiting(u *unit, maxWait time.Duration) bool {
+	if u.probationSince == 0 {
+		u.probationSince = r.now
 	}
-	return r.now-u.heldFrom < most
+	return r.now-u.probationSince < maxWait
 }
 
-// shun notes that a worker crashed under the unit beside that agent.
-func (u *unit) shun(now time.Duration, agent string) {
-	if u.shuns == nil {
-		u.shuns = map[string]time.Duration{}
+// avoidAgent makes the unit prefer other machines after a worker next to that agent crashed
+// under it.
+func (u *unit) avoidAgent(now time.Duration, agent string) {
+	if u.avoidedAgents == nil {
+		u.avoidedAgents = map[string]time.Duration{}
 	}
-	u.shuns[agent] = now + shunFor
+	u.avoidedAgents[agent] = now + agentAvoidanceTime
 }
 
-// risk orders workers for u: where one crashed under it last, then, while a task of u is
-// suspected to crash workers, by what a crash would throw away, in cores.
-func (r *round) risk(u *unit, w *worker) float64 {
+// crashRisk ranks workers for u by the expected loss from a crash, in cores: workers that
+// crashed under u recently rank last, and while u is suspected, workers with much running work
+// rank lower.
+func (r *round) crashRisk(u *unit, w *worker) float64 {
 	if len(u.crashes) == 0 {
 		return 0
 	}
 	risk := 0.0
-	if r.now < u.shuns[w.info.Agent] {
+	if r.now < u.avoidedAgents[w.info.Agent] {
 		risk += w.info.Capacity.CoreEquivalent()
 	}
 	if u.hasStartupCrash() {
--- a/engine/progress.go
+++ b/engine/progress.go
@@ -8,43 +8,43 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// JobProgress is the durable form of what became of a job.
+// JobProgress is the stored state of a job.
 type JobProgress struct {
-	// Epoch and Version make each write of a record unlike every other.
+	// Epoch and Version make every write of a record unique.
 	Epoch              uint64         `json:"epoch"`
 	Version            int            `json:"v"`
 	State              workload.State `json:"state"`
 	Reason             string         `json:"reason,omitempty"`
 	Started            bool           `json:"begun,omitempty"`
 	CreatedOccurrences int            `json:"created,omitempty"`
-	Units              []UnitProgress `json:"units,omitempty"` // those that are not as at first
-	// EndedAt is wall time; records are removed some time after.
+	Units              []UnitProgress `json:"units,omitempty"` // units that differ from their initial state
+	// EndedAt is wall-clock time. Records are removed some time after it.
 	EndedAt time.Time `json:"ended,omitzero"`
 }
 
-// UnitProgress is the durable form of a unit.
+// UnitProgress is the stored state of a unit.
 type UnitProgress struct {
 	Occurrence int               `json:"k,omitempty"`
 	Step       int               `json:"s,omitempty"`
 	Index      int               `json:"i,omitempty"`
-	Run        int               `json:"r,omitempty"`
+	RunNumber  int               `json:"r,omitempty"`
 	Failures   int               `json:"f,omitempty"`
 	Done       bool              `json:"d,omitempty"`
 	Checkpoint string            `json:"c,omitempty"`
-	Places     []MemberPlacement `json:"p,omitempty"`
-	// Crashes are counts of the workers that crashed under tasks of the unit.
+	Placements []MemberPlacement `json:"p,omitempty"`
+	// Crashes counts the worker crashes under each task of the unit.
 	Crashes []TaskCrashes `json:"x,omitempty"`
 }
 
-// TaskCrashes is how many workers crashed under one task, see crash.go.
+// TaskCrashes counts the worker crashes under one task.
 type TaskCrashes struct {
 	Index   int `json:"i,omitempty"`
 	Total   int `json:"t"`
-	Early   int `json:"e,omitempty"`
+	Startup int `json:"e,omitempty"`
 	Certain int `json:"c,omitempty"`
 }
 
-// MemberPlacement says which worker may hold a member's run.
+// MemberPlacement names the worker that may hold the run of a unit's member.
 type MemberPlacement struct {
 	Index  int      `json:"i,omitempty"`
 	Worker WorkerID `json:"w"`
@@ -55,26 +55,27 @@
 		Occurrence: u.occurrence,
 		Step:       u.step,
 		Index:      u.index,
-		Run:        u.run,
+		RunNumber:  u.runNumber,
 		Failures:   u.failures,
 		Done:       u.state == unitDone,
-		Checkpoint: u.saved,
+		Checkpoint: u.checkpoint,
 	}
 	if p.Done {
 		p.Checkpoint = ""
 	}
-	for _, place := range u.places {
-		p.Places = append(p.Places, MemberPlacement{Index: place.index, Worker: place.worker.info.ID})
+	for _, place := range u.placements {
+		p.Placements = append(p.Placements, MemberPlacement{Index: place.index, Worker: place.worker.info.ID})
 	}
 	for _, index := range slices.Sorted(maps.Keys(u.crashes)) {
 		c := u.crashes[index]
-		p.Crashes = append(p.Crashes, TaskCrashes{Index: index, Total: c.total, Early: c.startup, Certain: c.confirmed})
+		p.Crashes = append(p.Crashes, TaskCrashes{Index: index, Total: c.total, Startup: c.startup, Certain: c.confirmed})
 	}
 	return p
 }
 
-func (u *unit) untouched() bool {
-	return u.run == 0 && u.state != unitDone
+// isInitial reports whether the unit has no state worth storing.
+func (u *unit) isInitial() bool {
+	return u.runNumber == 0 && u.state != unitDone
 }
 
 func (j *job) progress(epoch uint64, now time.Duration, wall time.Time) *JobProgress {
@@ -83,10 +84,10 @@
 		p.EndedAt = wall.Add(j.endedAt - now)
 	}
 	for _, u := range j.units {
-		if u.untouched() {
+		if u.isInitial() {
 			continue
 		}
-		if j.state.Final() && len(u.places) == 0 {
+		if j.state.Final() && len(u.placements) == 0 {
 			continue
 		}
 		p.Units = append(p.Units, u.progress())
--- a/engine/queue.go
+++ b/engine/queue.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// queue returns the units that wait, in the order in which they are served:
+// queue returns the waiting units in scheduling order:
 //
 //  1. units of jobs within their account's guarantee,
-//  2. by priority of the queue, 0 first,
-//  3. by the time at which the unit has to start at the latest for its job's objective;
-//     those that can't meet it any more come after,
+//  2. by queue priority, 0 first,
+//  3. by the latest start time that meets the job's objective; units
+//     that can't meet it come last,
 //  4. by acceptance.
 func (e *Engine) queue(now time.Duration, protected map[*job]bool) []*unit {
 	var ranked []rankedUnit
@@ -26,18 +26,18 @@
 		}
 	}
 	slices.SortFunc(ranked, rankedUnit.compare)
-	out := make([]*unit, len(ranked))
+	units := make([]*unit, len(ranked))
 	for i := range ranked {
-		out[i] = ranked[i].unit
+		units[i] = ranked[i].unit
 	}
-	return out
+	return units
 }
 
-// rankedUnit is a unit that waits, with what its place in the queue depends on.
+// rankedUnit is a waiting unit with its sort keys.
 type rankedUnit struct {
-	unit      *unit
-	protected bool // its job is within its account's guarantee
-	latest    time.Duration
+	unit        *unit
+	protected   bool // its job is within its account's guarantee
+	latestStart time.Duration
 }
 
 func (a rankedUnit) compare(b rankedUnit) int {
@@ -49,7 +49,7 @@
 	}
 	return cmp.Or(
 		cmp.Compare(a.unit.job.spec.QueuePolicy.Priority, b.unit.job.spec.QueuePolicy.Priority),
-		cmp.Compare(a.latest, b.latest),
+		cmp.Compare(a.latestStart, b.latestStart),
 		cmp.Compare(a.unit.job.revision, b.unit.job.revision),
 		cmp.Compare(a.unit.job.spec.ID, b.unit.job.spec.ID),
 		cmp.Compare(a.unit.occurrence, b.unit.occurrence),
@@ -58,34 +58,33 @@
 	)
 }
 
-// latestStart returns when u has to start for its job's objective; never where that is
-// missed already.
+// latestStart returns when u has to start for its job to meet its objective, or never if that
+// is no longer possible.
 func (e *Engine) latestStart(now time.Duration, u *unit) time.Duration {
 	if u.spec().LongRunning {
-		return u.since // its users wait from the first moment
+		return u.waitingSince // users wait for it from the start
 	}
 	if !e.params.Policy.DeadlineOrder {
 		return u.job.acceptedAt
 	}
-	left := e.chainFrom(u)
-	return e.deadline(now+left, u.job) - left
+	work := e.criticalPathFrom(u)
+	return e.deadlineIfReachable(now+work, u.job) - work
 }
 
-// deadline returns the objective of a job that would be completed at end, and never where
-// that is missed: what can still be served in time goes first.
-func (e *Engine) deadline(end time.Duration, j *job) time.Duration {
+// deadlineIfReachable returns the objective of a job that would complete at end, or never if it
+// would be missed, so that units that can still be on time go first.
+func (e *Engine) deadlineIfReachable(end time.Duration, j *job) time.Duration {
 	if objective := e.objective(j); end <= objective {
 		return objective
 	}
 	return never
 }
 
-// chainFrom returns how long the longest chain of work from u's step on is expected to
-// take.
-func (e *Engine) chainFrom(u *unit) time.Duration { return e.chainsOf(u.job)[u.step] }
+// criticalPathFrom returns the expected length of the critical path from u's step on.
+func (e *Engine) criticalPathFrom(u *unit) time.Duration { return e.criticalPaths(u.job)[u.step] }
 
-// protected returns the jobs of priority 0 that their accounts' guarantees cover, in
-// order of acceptance.
+// protected returns the jobs of priority 0 that are covered by their accounts' guarantees,
+// counted in order of acceptance.
 func (e *Engine) protected() map[*job]bool {
 	byAccount := map[string][]*job{}
 	for _, j := range e.orderedJobs {
@@ -93,28 +92,29 @@
 			byAccount[j.spec.Account] = append(byAccount[j.spec.Account], j)
 		}
 	}
-	out := map[*job]bool{}
+	covered := map[*job]bool{}
 	for account, jobs := range byAccount {
-		left := e.catalog.GuaranteedAccelerators(account)
+		unclaimed := e.catalog.GuaranteedAccelerators(account)
 		slices.SortStableFunc(jobs, func(a, b *job) int { return cmp.Compare(a.revision, b.revision) })
 		for _, j := range jobs {
-			need := j.accelerators()
-			if need > left {
+			need := j.peakAccelerators()
+			if need > unclaimed {
 				continue
 			}
-			left -= need
-			out[j] = true
+			unclaimed -= need
+			covered[j] = true
 		}
 	}
-	return out
+	return covered
 }
 
-// accelerators returns the most that one step of the job takes at once.
-func (j *job) accelerators() int {
-	most := 0
+// peakAccelerators returns the largest number of accelerators that one step of the job uses at
+// once.
+func (j *job) peakAccelerators() int {
+	peak := 0
 	for i := range j.spec.Steps {
 		s := &j.spec.Steps[i]
-		most = max(most, s.Count*s.Need.Accelerators)
+		peak = max(peak, s.Count*s.Need.Accelerators)
 	}
-	return most
+	return peak
 }
--- a/engine/reserve.go
+++ b/engine/reserve.go
@@ -5,27 +5,26 @@
 	"time"
 )
 
-// tellWaitEvery is the pause between two lines of the log about the same unit that waits.
-// With Policy.Reservations it bounds them to a line each second or so.
-const tellWaitEvery = 5 * time.Second
+// waitLogInterval is the minimum interval between log lines about the same waiting unit.
+const waitLogInterval = 5 * time.Second
 
-// tellWait logs what a unit at the head of the queue waits for.
-func (r *round) tellWait(u *unit, at time.Duration, slots map[*worker]int) {
-	if r.now-u.since < tellWaitEvery || r.now < u.tellNext {
+// logWait logs what a waiting unit needs and when it is expected to fit.
+func (r *round) logWait(u *unit, at time.Duration, slots map[*worker]int) {
+	if r.now-u.waitingSince < waitLogInterval || r.now < u.nextWaitLog {
 		return
 	}
-	u.tellNext = r.now + tellWaitEvery
+	u.nextWaitLog = r.now + waitLogInterval
 	needs := fmt.Sprintf("step %d needs %d times %+v", u.step, u.size, u.demand())
-	waited := (r.now - u.since).Milliseconds()
-	detail := fmt.Sprintf("for %d ms, %s, no room in sight on %d workers", waited, needs, len(r.all.workers))
+	waited := (r.now - u.waitingSince).Milliseconds()
+	detail := fmt.Sprintf("for %d ms, %s, no room in sight on %d workers", waited, needs, len(r.usable.workers))
 	if slots != nil {
 		detail = fmt.Sprintf("for %d ms, %s, room expected in %d ms on %d workers", waited, needs, at.Milliseconds(), len(slots))
 	}
 	r.e.logJobDecision(u.job, "waits", detail)
 }
 
-// reserve keeps the room that will be free first for a unit that waits, against units
-// behind it that would still run then.
+// reserve reserves the earliest capacity expected to become free for a waiting unit. Units
+// behind it that would still run at that time can't use that capacity.
 func (r *round) reserve(u *unit) {
 	at, slots := never, map[*worker]int(nil)
 	for _, set := range r.preferredDomains(u).domains {
@@ -34,12 +33,12 @@
 			at, slots = t, s
 		}
 	}
-	r.tellWait(u, at, slots)
+	r.logWait(u, at, slots)
 	if slots == nil {
 		return
 	}
-	r.kept++
+	r.reservations++
 	for w, n := range slots {
-		w.round.reserved = append(w.round.reserved, reservation{room: u.demand().Times(n), at: r.now + at})
+		w.round.reserved = append(w.round.reserved, reservation{resources: u.demand().Times(n), from: r.now + at})
 	}
 }
--- a/engine/reserve_test.go
+++ b/engine/reserve_test.go
@@ -9,47 +9,47 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// smallTime is how long each small job works.
-const smallTime = 2 * time.Second
+// smallJobTime is the run time of a small job.
+const smallJobTime = 2 * time.Second
 
-// progress lets a tenth of a second pass, in which each run does its part of that length.
-func (d *driver) progress(length time.Duration) {
+// advanceRuns advances time by 100 ms and reports progress for runs of the given length.
+func (d *driver) advanceRuns(length time.Duration) {
 	for _, w := range d.e.sortedWorkers() {
 		d.reportRuns(w.info.ID, func(p *placement) RunStatus {
-			return RunStatus{Percent: int(100 * (d.now - p.began) / length)}
+			return RunStatus{Percent: int(100 * (d.now - p.startedAt) / length)}
 		})
 	}
 	d.now += 100 * time.Millisecond
 	d.tick()
 }
 
-// gangAmongSmallJobs hands in a gang that needs all three workers while small jobs, each a
-// worker for two seconds, come faster than they end, and returns how long the gang waits.
-func gangAmongSmallJobs(t *testing.T, reservations int) time.Duration {
+// gangWaitAmongSmallJobs returns how long a gang that needs all three workers waits while small
+// jobs of one worker each arrive faster than they end; never if it waits for a minute.
+func gangWaitAmongSmallJobs(t *testing.T, reservations int) time.Duration {
 	d := newDriver(t, 3)
 	d.e.params.Policy.Reservations = reservations
-	began := map[workload.JobID]time.Duration{}
-	small := func() {
+	startedAt := map[workload.JobID]time.Duration{}
+	submitSmall := func() {
 		step := taskStep(1, 8)
-		step.Estimate = smallTime
-		began[d.submit(2, "", step)] = 0
+		step.Estimate = smallJobTime
+		startedAt[d.submit(2, "", step)] = 0
 	}
 	for range 3 {
-		small()
+		submitSmall()
 	}
 	d.settle()
 	gangID := d.submit(1, "", gangStep(3, 8))
 	from := d.now
 	for d.now-from < time.Minute {
-		small()
+		submitSmall()
 		for range 5 {
-			d.progress(smallTime)
+			d.advanceRuns(smallJobTime)
 		}
-		for id, at := range began {
+		for id, at := range startedAt {
 			if at == 0 && len(d.runs(id)) > 0 {
-				began[id] = d.now
+				startedAt[id] = d.now
 			}
-			if at != 0 && d.now-at >= smallTime && len(d.runs(id)) > 0 {
+			if at != 0 && d.now-at >= smallJobTime && len(d.runs(id)) > 0 {
 				d.endRuns(id, EndDone)
 				d.settle()
 			}
@@ -61,10 +61,9 @@
 	return never
 }
 
-// A gang waits for a whole rack while small jobs behind it in the queue take each worker
-// that becomes free. It would wait for as long as they come: room is kept for it.
+// Guards against starvation of a large gang by small jobs that arrive after it.
 func TestLargeGangIsNotStarvedBySmallJobs(t *testing.T) {
 	c := qt.New(t)
-	c.Check(gangAmongSmallJobs(t, 0), qt.Equals, never, qt.Commentf("the failure itself"))
-	c.Check(gangAmongSmallJobs(t, DefaultPolicy().Reservations) < 10*time.Second, qt.IsTrue)
+	c.Check(gangWaitAmongSmallJobs(t, 0), qt.Equals, never, qt.Commentf("the failure itself"))
+	c.Check(gangWaitAmongSmallJobs(t, DefaultPolicy().Reservations) < 10*time.Second, qt.IsTrue)
 }
--- a/engine/room_test.go
+++ b/engine/resize_test.go
@@ -9,27 +9,27 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// resized returns what a worker of the desk says after its room has changed.
-func (d *driver) resized(i, accelerators int) Report {
+// resizedReport returns a report of worker i with the given number of accelerators, and
+// processors and memory in proportion.
+func (d *driver) resizedReport(i, accelerators int) Report {
 	r := d.workerReport(i)
-	part := r.Worker.Capacity
+	full := r.Worker.Capacity
 	r.Worker.Capacity = workload.Resources{
-		MilliCPU: part.MilliCPU * accelerators / 8, MemoryMB: part.MemoryMB * accelerators / 8, Accelerators: accelerators,
+		MilliCPU: full.MilliCPU * accelerators / 8, MemoryMB: full.MemoryMB * accelerators / 8, Accelerators: accelerators,
 	}
 	return r
 }
 
-// A worker with eight accelerators loses four while it runs, and says so. The planner held
-// on to what the worker had said first, and a job was started beside what ran there: more
-// than the worker had.
-func TestShrunkWorkerTakesNoMoreThanItHas(t *testing.T) {
+// Guards against placing work by the capacity that a worker reported first, after it has
+// shrunk.
+func TestShrunkWorkerIsNotOverbooked(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
 	first := d.submit(1, "other", taskStep(1, 3))
 	d.settle()
 	c.Assert(d.runs(first), qt.HasLen, 1)
 
-	d.report(d.resized(0, 4))
+	d.report(d.resizedReport(0, 4))
 	second := d.submit(1, "other", taskStep(1, 3))
 	d.settle()
 	c.Check(d.runs(second), qt.HasLen, 0, qt.Commentf("three of four accelerators are taken"))
@@ -37,23 +37,24 @@
 	d.settle()
 	c.Check(d.runs(third), qt.HasLen, 1)
 
-	d.report(d.resized(0, 8))
+	d.report(d.resizedReport(0, 8))
 	d.settle()
 	c.Check(d.runs(second), qt.HasLen, 1, qt.Commentf("its room has grown again"))
 }
 
-// The room of a worker shrinks between a decision and its record. The order must not leave.
-func TestStartIsWithheldWhereRoomShrankMeanwhile(t *testing.T) {
+// Guards against sending a start when the worker's capacity shrank after the placement was
+// decided.
+func TestStartIsWithheldAfterCapacityShrank(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
 	id := d.submit(1, "other", taskStep(1, 6))
 	d.e.Decide(d.now)
-	w := d.e.PendingChanges(d.now, time.Unix(1000, 0), 15)
-	d.report(d.resized(0, 4))
-	d.handle(WriteApplied{Write: w})
+	write := d.e.PendingChanges(d.now, time.Unix(1000, 0), 15)
+	d.report(d.resizedReport(0, 4))
+	d.handle(WriteApplied{Write: write})
 	d.settle()
 	c.Check(d.starts, qt.HasLen, 0)
-	d.report(d.resized(0, 8))
+	d.report(d.resizedReport(0, 8))
 	d.settle()
 	c.Check(d.starts, qt.HasLen, 1)
 	c.Check(d.runs(id), qt.HasLen, 1)
--- a/engine/restore.go
+++ b/engine/restore.go
@@ -6,31 +6,31 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// restoreWorker takes a worker from a predecessor's records. It may hold what they
-// say until it reports, or until every lease that the predecessor granted has lapsed.
+// restoreWorker adds a worker from the records of a previous planner. Its recorded placements
+// count until it reports or until every lease that the previous planner granted has expired.
 func (e *Engine) restoreWorker(now time.Duration, info WorkerInfo) {
 	if e.workers[info.ID] != nil {
 		return
 	}
 	w := e.addWorker(now, info)
 	w.recorded = true
-	w.lapseAt += e.inheritedLeaseExtra
+	w.leaseExpiresAt += e.inheritedLeaseExtra
 	w.lastReport = now - reportTimeout
-	if before := e.workers[e.workerByAgent[info.Agent]]; before != nil && before.info.SharesName(info) {
-		// Which of them is the present one the agent will say.
-		e.supersede(before, DepartureCrashed, witness{})
+	if previous := e.workers[e.workerByAgent[info.Agent]]; previous != nil && previous.info.SharesName(info) {
+		// The agent's next report tells which of the two is current.
+		e.supersede(previous, DepartureCrashed, crashEvidence{})
 	}
 	e.workerByAgent[info.Agent] = info.ID
 }
 
-// gatherTime is how long a new planner waits for the workers on record before it stops
-// work for want of room: most report within a tenth of a second of each other, and room
-// on those still to come is better than an eviction.
-const gatherTime = 400 * time.Millisecond
+// workerReturnWait is how long a new planner waits for the recorded workers to report before it
+// evicts work. Most report within a fraction of that time, and their capacity may make
+// evictions unnecessary.
+const workerReturnWait = 400 * time.Millisecond
 
-// gathering says whether workers that a predecessor knew are still expected.
-func (e *Engine) gathering(now time.Duration) bool {
-	if now-e.startedAt > gatherTime {
+// awaitingKnownWorkers reports whether recorded workers are still expected to report.
+func (e *Engine) awaitingKnownWorkers(now time.Duration) bool {
+	if now-e.startedAt > workerReturnWait {
 		return false
 	}
 	for _, w := range e.workers {
@@ -41,8 +41,8 @@
 	return false
 }
 
-// restore takes a job from a predecessor's records. Workers are restored before.
-func (e *Engine) restore(now time.Duration, ev JobRestored) {
+// restoreJob adds a job from the records of a previous planner. Workers must be restored first.
+func (e *Engine) restoreJob(now time.Duration, ev JobRestored) {
 	if e.jobs[ev.Job.ID] != nil {
 		return
 	}
@@ -57,10 +57,10 @@
 		}
 		return
 	}
-	order, early := e.earlyCancels[ev.Job.ID]
-	if ev.Cancelled || early {
+	revision, requested := e.earlyCancels[ev.Job.ID]
+	if ev.Cancelled || requested {
 		delete(e.earlyCancels, ev.Job.ID)
-		e.cancel(now, CancelRequested{Job: ev.Job.ID, Revision: max(order, ev.CancelRevision)})
+		e.cancel(now, CancelRequested{Job: ev.Job.ID, Revision: max(revision, ev.CancelRevision)})
 		return
 	}
 	e.createDueOccurrences(now, j)
@@ -83,44 +83,44 @@
 		j.createOccurrence(now)
 	}
 	for _, up := range p.Units {
-		if u := j.unit(up.Occurrence, up.Step, up.Index); u != nil {
+		if u := j.findUnit(up.Occurrence, up.Step, up.Index); u != nil {
 			e.restoreUnit(now, u, up)
 		}
 	}
 }
 
 func (e *Engine) restoreUnit(now time.Duration, u *unit, up UnitProgress) {
-	u.run = up.Run
+	u.runNumber = up.RunNumber
 	u.failures = up.Failures
-	u.saved = up.Checkpoint
+	u.checkpoint = up.Checkpoint
 	for _, c := range up.Crashes {
-		u.setCrashCount(c.Index, crashCount{total: c.Total, startup: c.Early, confirmed: c.Certain})
+		u.setCrashCount(c.Index, crashCount{total: c.Total, startup: c.Startup, confirmed: c.Certain})
 	}
-	for _, place := range up.Places {
+	for _, place := range up.Placements {
 		w := e.workers[place.Worker]
 		if w == nil {
-			continue // its record is removed only once nothing runs there
+			continue // its record is removed only when nothing runs there
 		}
-		p := e.put(u, place.Index, w)
-		p.state = placeAdopted
+		p := e.addPlacement(u, place.Index, w)
+		p.state = placementAdopted
 		p.adopted = true
 	}
 	switch {
 	case up.Done:
 		u.state = unitDone
-		u.verdict = verdictDone
-	case len(u.places) == u.size:
+		u.outcome = outcomeDone
+	case len(u.placements) == u.size:
 		u.state = unitActive
-	case len(u.places) > 0:
+	case len(u.placements) > 0:
 		u.state = unitActive
 		e.stopUnit(now, u, CauseTakeover)
 	}
 }
 
-// put makes a placement, which takes its room from now on.
-func (e *Engine) put(u *unit, index int, w *worker) *placement {
-	p := &placement{unit: u, index: index, worker: w, run: u.run, demand: u.demand()}
-	w.hold(p)
-	u.places = append(u.places, p)
+// addPlacement creates a placement, which holds its capacity from now on.
+func (e *Engine) addPlacement(u *unit, index int, w *worker) *placement {
+	p := &placement{unit: u, index: index, worker: w, runNumber: u.runNumber, demand: u.demand()}
+	w.addPlacement(p)
+	u.placements = append(u.placements, p)
 	return p
 }
--- a/engine/sim_rules_test.go
+++ b/engine/sim_checks_test.go
@@ -7,28 +7,29 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
+// violated fails the test with the simulated time.
 func (w *simWorld) violated(format string, args ...any) {
 	w.t.Errorf("at %v: %s", w.now, fmt.Sprintf(format, args...))
 }
 
-// check: no worker is ever over its capacity, work that is being stopped included.
-func (w *simWorld) check(sw *simWorker) {
-	if used := sw.used(); !used.FitsIn(w.roomOf(sw)) {
+// checkCapacity checks that a worker is not over its capacity, stopping runs included.
+func (w *simWorld) checkCapacity(sw *simWorker) {
+	if used := sw.used(); !used.FitsIn(w.capacityOf(sw)) {
 		w.violated("worker %s holds %+v of %+v", sw.info.ID, used, sw.info.Capacity)
 	}
 }
 
-// starts checks a run that begins now.
-func (w *simWorld) starts(sw *simWorker, s StartOrder) {
+// checkStart checks the rules for a run that starts now.
+func (w *simWorld) checkStart(sw *simWorker, s StartOrder) {
 	w.counts["starts"]++
 	task := s.Run.Task
-	w.countCrashingStart(task)
+	w.checkCrashingStart(task)
 	j := w.jobs[task.Job]
 	if j == nil {
 		w.violated("start of %s, which nobody submitted", task)
 		return
 	}
-	if w.done[task] {
+	if w.ackedDone[task] {
 		w.violated("start of %s after its end was taken note of", task)
 	}
 	for _, other := range w.workers {
@@ -47,14 +48,15 @@
 	if !sw.hasLabel(step.Label) {
 		w.violated("start of %s on %s without label %s", task, sw.info.ID, step.Label)
 	}
-	if limit := j.QueuePolicy.MaxAttempts; limit > 0 && w.attempt[task] >= limit {
-		w.violated("start of %s after %d failed attempts", task, w.attempt[task])
+	if limit := j.QueuePolicy.MaxAttempts; limit > 0 && w.ackedFailures[task] >= limit {
+		w.violated("start of %s after %d failed attempts", task, w.ackedFailures[task])
 	}
-	w.perWorker(sw, task, step)
+	w.checkMaxPerWorker(sw, task, step)
 	w.checkCordon(sw, task)
 }
 
-func (w *simWorld) perWorker(sw *simWorker, task workload.TaskID, step *workload.Step) {
+// checkMaxPerWorker checks the step's limit of tasks per worker.
+func (w *simWorld) checkMaxPerWorker(sw *simWorker, task workload.TaskID, step *workload.Step) {
 	if step.MaxPerWorker == 0 {
 		return
 	}
@@ -73,8 +75,8 @@
 	return (&worker{info: sw.info}).hasLabel(label)
 }
 
-// endsRun counts ends as workers list them.
-func (w *simWorld) endsRun(_ *simWorker, r *simRun, why EndReason) {
+// noteEnd records an end as the worker lists it.
+func (w *simWorld) noteEnd(_ *simWorker, r *simRun, why EndReason) {
 	w.counts[string(why)]++
 	if why == EndFailed {
 		w.crashes.failed[r.id.Task]++
@@ -87,8 +89,9 @@
 	}
 }
 
-// replaced: the records of a job give way to its outcome, so nothing of it may run.
-func (w *simWorld) replaced(j EndedJob) {
+// checkArchived checks that a job whose records are replaced by its outcome has ended and no
+// longer runs.
+func (w *simWorld) checkArchived(j EndedJob) {
 	w.counts["records replaced"]++
 	if !j.Outcome.State.Final() {
 		w.violated("records of %s are replaced while it is %s", j.ID, j.Outcome.State)
@@ -102,20 +105,21 @@
 	}
 }
 
-// noted: the planner took note of an end. Where the lease lapsed before, it counts as
-// not having been.
-func (w *simWorld) noted(row RunEnd, void bool) {
+// noteAckedEnd records an end that the planner has acknowledged, unless the lease expired
+// before that.
+func (w *simWorld) noteAckedEnd(end RunEnd, void bool) {
 	if void {
 		return
 	}
-	switch row.Reason {
+	switch end.Reason {
 	case EndDone:
-		w.done[row.Run.Task] = true
+		w.ackedDone[end.Run.Task] = true
 	case EndFailed:
-		w.attempt[row.Run.Task]++
+		w.ackedFailures[end.Run.Task]++
 	}
 }
 
+// members returns the present members of a run's gang, with their workers.
 func (w *simWorld) members(r *simRun) (found []*simRun, at []*simWorker) {
 	for _, sw := range w.workers {
 		if sw.dead {
@@ -132,14 +136,14 @@
 	return found, at
 }
 
-// whole says whether all members of a gang's run are there.
-func (w *simWorld) whole(r *simRun) bool {
+// gangComplete reports whether all members of a gang's run are present.
+func (w *simWorld) gangComplete(r *simRun) bool {
 	found, _ := w.members(r)
 	return len(found) == r.step.Count
 }
 
-// breakGang ends the other members of a gang.
-func (w *simWorld) breakGang(r *simRun) {
+// endGang ends the remaining members of a gang.
+func (w *simWorld) endGang(r *simRun) {
 	if !r.step.Gang {
 		return
 	}
--- /dev/null
+++ b/engine/sim_reused_names_test.go
@@ -0,0 +1,145 @@
+package engine
+
+import (
+	"flag"
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+)
+
+var simNameSeeds = flag.Int("sim-name-seeds", 6, "how many randomised worlds are played in which workers keep their names")
+
+// Guards against double runs when crashed workers return under the same name and receive orders
+// meant for their previous incarnation, together with the faults of TestRandomWorlds and, with
+// even seeds, those of TestRandomWorldsWithCrashingTasks.
+func TestRandomWorldsWithReusedWorkerNames(t *testing.T) {
+	runWorlds(t, *simNameSeeds, func(w *simWorld, seed uint64) {
+		w.reuseNames()
+		w.planFaults(faultTime)
+		w.planCrashes(faultTime)
+		w.planAgentRestarts(faultTime)
+		if seed%2 == 0 {
+			w.addCrashingTasks()
+		}
+	})
+}
+
+// reuseNames makes the workers keep their names in later incarnations.
+func (w *simWorld) reuseNames() {
+	w.reusesNames = true
+	for i, sw := range w.workers {
+		sw.info.Name = simWorkerName(i)
+	}
+}
+
+func simWorkerName(worker int) string { return fmt.Sprint("w", worker) }
+
+// planCrashes schedules crashes of workers, some of them simultaneous.
+func (w *simWorld) planCrashes(end time.Duration) {
+	for range 5 + w.rng.IntN(15) {
+		at := time.Duration(w.rng.Int64N(int64(end)))
+		for range 1 + w.rng.IntN(4) {
+			i := w.rng.IntN(len(w.workers))
+			w.events = append(w.events, simEvent{at, func() { w.crash(i) }})
+		}
+	}
+}
+
+// planAgentRestarts schedules failed polls, some of them followed by a restart of the agent.
+func (w *simWorld) planAgentRestarts(end time.Duration) {
+	for range 5 + w.rng.IntN(15) {
+		at := time.Duration(w.rng.Int64N(int64(end)))
+		i, restart := w.rng.IntN(len(w.workers)), w.rng.IntN(2) == 0
+		w.events = append(w.events, simEvent{at, func() { w.workers[i].failPoll(restart) }})
+	}
+}
+
+// failPoll makes the agent raise the fence by itself, and optionally restart.
+func (w *simWorker) failPoll(restart bool) {
+	if w.dead || w.orderFence.Epoch == 0 {
+		return
+	}
+	w.raiseFence(Fence{Epoch: w.orderFence.Epoch, Generation: w.orderFence.Generation + 1})
+	if restart {
+		w.orderFence, w.grantedUntil, w.ackedEnds = Fence{}, 0, 0
+	}
+}
+
+// outbidFence raises the agent's fence if its worker has seen a higher one of the same epoch.
+func (w *simWorker) outbidFence() {
+	if w.info.Name != "" && w.orderFence.Epoch > 0 && w.orderFence.Compare(w.fence) < 0 {
+		w.orderFence.Generation += GenerationStep
+		w.raiseFence(w.orderFence)
+	}
+}
+
+// downtime returns how long a worker is away after a crash.
+func (w *simWorld) downtime() time.Duration {
+	if w.reusesNames {
+		return time.Duration(20+w.rng.IntN(1200)) * time.Millisecond
+	}
+	return time.Second
+}
+
+// recipient returns the worker that orders for an incarnation reach now, or nil. Until the
+// agent has noticed a new incarnation under the same name, that one receives them.
+func (w *simWorld) recipient(id WorkerID) *simWorker {
+	for _, sw := range w.workers {
+		if sw.info.ID == id && !sw.dead {
+			return sw
+		}
+		if before := sw.previous; before != nil && before.info.ID == id && !sw.reported && !sw.dead {
+			return before
+		}
+	}
+	return nil
+}
+
+// unfenceable reports whether late orders for an earlier incarnation start runs that the
+// planner has given up, before anything has fenced the new one. The worker can't tell such
+// orders from current ones, so the simulation drops them.
+func (w *simWorld) unfenceable(sw *simWorker, o Orders) bool {
+	if !w.lateOrder || sw.fenced {
+		return false
+	}
+	return slices.ContainsFunc(o.Starts, func(s StartOrder) bool {
+		return !slices.ContainsFunc(w.engine.sortedWorkers(), func(known *worker) bool {
+			p := known.placements[s.Run.Task]
+			return p != nil && p.runID() == s.Run
+		})
+	})
+}
+
+// fenceDelay is the longest time until an agent fences the next incarnation of its worker.
+const fenceDelay = 30 * time.Millisecond
+
+// succeed makes w the incarnation after previous. Its agent may have been lost with previous.
+func (w *simWorker) succeed(previous *simWorker) {
+	if w.info.Name == "" {
+		return
+	}
+	w.previous, previous.next = previous, w
+	w.cut = previous.cut
+	if w.world.rng.IntN(3) == 0 {
+		return
+	}
+	w.orderFence = previous.orderFence
+	w.orderFence.Generation += GenerationStep
+	w.world.after(time.Duration(w.world.rng.Int64N(int64(fenceDelay))), func() { w.raiseFence(w.orderFence) })
+}
+
+// latest returns the current incarnation of the worker.
+func (w *simWorker) latest() *simWorker {
+	for w.next != nil {
+		w = w.next
+	}
+	return w
+}
+
+// raiseFence raises the fence of the agent's orders, which the worker sees at once.
+func (w *simWorker) raiseFence(f Fence) {
+	w.orderFence = w.orderFence.Max(f)
+	w.fence = w.fence.Max(w.orderFence)
+	w.fenced = w.orderFence.Epoch > 0 // a restarted agent does not know the planner yet
+}
--- a/engine/stuck_test.go
+++ b/engine/stuck_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A task stands still on a worker that answers well: it is tried elsewhere.
-func TestTaskThatStandsStillIsMoved(t *testing.T) {
+// Guards against a stuck task that is never moved off a worker that answers.
+func TestStuckTaskIsMoved(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 2)
 	d.submit(1, "", taskStep(1, 8))
@@ -23,37 +23,36 @@
 	c.Check(len(d.stops) > 0, qt.IsTrue)
 }
 
-// Tasks of a queue show progress at every look, and one stands still from its start: an urgent
-// gang has no time to wait until that is beyond all doubt.
-func TestTaskThatStandsStillWhereOthersMoveIsMovedSoon(t *testing.T) {
+// Guards against waiting the long limit for a stuck task whose queue is known to report
+// progress.
+func TestStuckTaskIsMovedSoonerWhereQueueShowsProgress(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 2)
 	d.submit(1, "", taskStep(1, 8))
 	d.settle()
 	d.advance(time.Second)
-	still := d.submit(1, "", taskStep(1, 8))
+	stuck := d.submit(1, "", taskStep(1, 8))
 	d.settle()
 	from := d.now
-	for len(d.stops) == 0 && d.now-from < stuckUnproven {
+	for len(d.stops) == 0 && d.now-from < minStuckTimeUnproven {
 		for _, w := range d.e.sortedWorkers() {
 			d.reportRuns(w.info.ID, func(p *placement) RunStatus {
-				if p.unit.job.spec.ID == still {
+				if p.unit.job.spec.ID == stuck {
 					return RunStatus{}
 				}
-				return RunStatus{Percent: p.pulse.percent + 1}
+				return RunStatus{Percent: p.rate.lastPercent + 1}
 			})
 		}
 		d.now += 100 * time.Millisecond
 		d.tick()
 	}
 	c.Assert(d.stops, qt.HasLen, 1)
-	c.Check(d.stops[0].Task.Job, qt.Equals, still)
+	c.Check(d.stops[0].Task.Job, qt.Equals, stuck)
 	c.Check(d.now-from < 2*time.Second, qt.IsTrue, qt.Commentf("%v", d.now-from))
 }
 
-// The workers of a queue show no progress of what they run. A task that takes longer than one
-// that moves may stand still must end all the same, and not be moved again and again.
-func TestTaskThatShowsNoProgressIsLeftToItself(t *testing.T) {
+// Guards against moving a task again and again when its queue reports no progress at all.
+func TestTaskWithoutProgressReportsCanFinish(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 2)
 	id := d.submit(1, "", taskStep(1, 8))
@@ -79,22 +78,21 @@
 	c.Check(longest > 20*time.Second, qt.IsTrue, qt.Commentf("%v, %d runs", longest, runs))
 }
 
-// A worker does not answer its agent for some seconds, and then shows that its task went
-// on all the while. Without a look nothing can be said of it, so it must not be stopped.
-func TestSilentWorkerIsNotTakenForStandingStill(t *testing.T) {
+// Guards against moving a task as stuck while its worker is not being polled successfully.
+func TestTaskOnUnresponsiveWorkerIsNotStuck(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 2)
 	d.submit(1, "", taskStep(1, 8))
 	d.settle()
-	on := d.startedOn[d.starts[0].Run]
-	d.reportProgress(on)
+	worker := d.startedOn[d.starts[0].Run]
+	d.reportProgress(worker)
 	for range 50 {
 		d.now += 100 * time.Millisecond
-		d.report(Report{Epoch: 1, Worker: d.e.workers[on].info, Unresponsive: true, LeaseKnown: true, LeaseRemaining: 5 * time.Second})
+		d.report(Report{Epoch: 1, Worker: d.e.workers[worker].info, Unresponsive: true, LeaseKnown: true, LeaseRemaining: 5 * time.Second})
 		d.tick()
 	}
 	c.Check(d.stops, qt.HasLen, 0)
-	d.reportProgress(on)
+	d.reportProgress(worker)
 	d.tick()
 	c.Check(d.stops, qt.HasLen, 0)
 }
--- /dev/null
+++ b/engine/superseded.go
@@ -0,0 +1,109 @@
+package engine
+
+import (
+	"slices"
+	"time"
+)
+
+// supersession records how an incarnation ended that is followed by another one under the same
+// name.
+//
+// Calls carry the worker's name only, so an unanswered start meant for the previous incarnation
+// may still be carried out by the next one, and its task could run twice if it were restarted
+// elsewhere at once. The placements are therefore kept until the next incarnation has answered
+// under a fence that no earlier order carries, as it refuses those orders from then on.
+type supersession struct {
+	departure Departure
+	evidence  crashEvidence
+}
+
+// handleTerminated processes an agent's report that an incarnation is over.
+func (e *Engine) handleTerminated(now time.Duration, r Report) {
+	if w := e.workers[r.Worker.ID]; w != nil && r.Superseded {
+		e.supersede(w, r.departure(), r.crashEvidence())
+		return
+	}
+	e.endIncarnation(now, r.Worker.ID, r.departure(), r.crashEvidence())
+}
+
+// supersedeReplaced ends the previous incarnation when its agent reports another one.
+func (e *Engine) supersedeReplaced(now time.Duration, previous WorkerID, info WorkerInfo) {
+	w := e.workers[previous]
+	if w != nil && w.info.SharesName(info) {
+		e.supersede(w, e.departureOfReplaced(previous), crashEvidence{})
+		return
+	}
+	e.endIncarnation(now, previous, e.departureOfReplaced(previous), crashEvidence{})
+}
+
+// supersede records that another incarnation follows w under the same name. The first account
+// of how w ended is kept, unless it is not the agent's.
+func (e *Engine) supersede(w *worker, departure Departure, evidence crashEvidence) {
+	w.attached = false
+	if w.supersession == nil {
+		e.superseded[w.info.Agent] = append(e.superseded[w.info.Agent], w)
+	}
+	if w.supersession == nil || !w.supersession.evidence.known {
+		w.supersession = &supersession{departure: departure, evidence: evidence}
+	}
+}
+
+// assignGeneration makes w the current incarnation of its name. Its reports count only once it
+// has answered under a fence that no order to another incarnation carries.
+func (e *Engine) assignGeneration(w *worker) {
+	if w.info.Name == "" {
+		return
+	}
+	e.lastGeneration += GenerationStep
+	w.generation = e.lastGeneration
+	w.attached = false
+	e.dropSuperseded(w)
+}
+
+// noteGeneration records a generation that the agent has raised itself, so that a restarted
+// agent and later incarnations get no lower one.
+func (e *Engine) noteGeneration(w *worker, generation uint64) {
+	w.generation = max(w.generation, generation)
+	e.lastGeneration = max(e.lastGeneration, generation)
+}
+
+// settleSuperseded ends the incarnations that w follows, at the first poll under its own fence.
+// Runs that this poll lists were started by orders to one of them; their placements move to w.
+func (e *Engine) settleSuperseded(now time.Duration, w *worker, r Report) {
+	earlier := e.superseded[w.info.Agent]
+	if len(earlier) == 0 {
+		return
+	}
+	listed := ListedRuns(r.Running, r.Ended)
+	for _, old := range slices.Clone(earlier) {
+		for _, p := range slices.Clone(old.sortedPlacements()) {
+			if listed[p.runID()] && w.placements[p.taskID()] == nil {
+				e.carryOver(now, p, w)
+			}
+		}
+		e.endIncarnation(now, old.info.ID, old.supersession.departure, old.supersession.evidence)
+	}
+}
+
+// carryOver moves a placement to w, the next incarnation of its worker.
+func (e *Engine) carryOver(now time.Duration, p *placement, w *worker) {
+	p.worker.removePlacement(p)
+	p.worker = w
+	w.addPlacement(p)
+	p.missedPolls = 0
+	p.progressedAt = now
+	e.logDecision(p, "carried over", "ordered of an earlier life of this worker")
+	e.markChanged(p.unit.job)
+}
+
+func (e *Engine) dropSuperseded(w *worker) {
+	if w.supersession == nil {
+		return
+	}
+	w.supersession = nil
+	agent := w.info.Agent
+	e.superseded[agent] = slices.DeleteFunc(e.superseded[agent], func(o *worker) bool { return o == w })
+	if len(e.superseded[agent]) == 0 {
+		delete(e.superseded, agent)
+	}
+}
--- a/engine/tick.go
+++ b/engine/tick.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// replanEvery bounds how long a decision may rest on estimates alone.
-	replanEvery = 250 * time.Millisecond
-	// forgetAfter is how long a worker that does not report is remembered.
-	forgetAfter = 60 * time.Second
-	// lookTimeout is how old the last look at a worker may be to judge what runs there;
-	// agents look at least once a second.
-	lookTimeout = 1500 * time.Millisecond
-	// stuckParts is how long a task may show no progress at all before it is tried elsewhere,
-	// in parts of its estimate and at least stuckLeast, or stuckUnproven while no run of its
-	// queue has shown any. Each further time takes twice as long: some work shows no progress,
-	// and must end all the same.
-	stuckParts    = 0.2
-	stuckLeast    = 1600 * time.Millisecond
-	stuckUnproven = 2500 * time.Millisecond
-	mostStalls    = 16 // bounds the doubling
+	// replanInterval is the time since the last planning round after which a tick requests one.
+	replanInterval = 250 * time.Millisecond
+	// workerRetention is how long a worker with an expired lease is kept after its last report.
+	workerRetention = 60 * time.Second
+	// maxPollAge is the oldest poll by which a run may be judged stuck. Agents poll at least
+	// once a second.
+	maxPollAge = 1500 * time.Millisecond
+	// A task is moved when it has shown no progress for stuckEstimateShare of its estimate, and
+	// at least for minStuckTime, or minStuckTimeUnproven while no run of its queue has shown
+	// any. The time doubles with each move, as some tasks never report progress and must still
+	// be able to finish.
+	stuckEstimateShare   = 0.2
+	minStuckTime         = 1600 * time.Millisecond
+	minStuckTimeUnproven = 2500 * time.Millisecond
+	maxStalls            = 16 // limits the doubling
 )
 
 func (e *Engine) tick(now time.Duration, ev Tick) {
@@ -33,58 +33,57 @@
 		e.tickJob(now, j)
 	}
 	e.writeCheckpoints(now)
-	if now-e.lastPlanAt >= replanEvery {
+	if now-e.lastPlanAt >= replanInterval {
 		e.planNeeded = true
 	}
 }
 
 func (e *Engine) tickWorker(now time.Duration, w *worker) {
-	if !w.lapsed && now >= w.lapseAt {
-		w.lapsed = true
-		w.lapsedWith = w.sortedPlaces()
-		for _, p := range w.sortedPlaces() {
+	if !w.leaseExpired && now >= w.leaseExpiresAt {
+		w.leaseExpired = true
+		w.placementsAtExpiry = w.sortedPlacements()
+		for _, p := range w.sortedPlacements() {
 			e.handleLostRun(now, p, CauseLeaseExpired, "the worker's lease lapsed")
 		}
-		// What it lists later was not placed by anyone any more.
+		// Runs that it lists later were not placed by this planner.
 		w.attached = false
 	}
-	if w.lapsed && now-w.lastReport > forgetAfter {
-		e.forget(w)
+	if w.leaseExpired && now-w.lastReport > workerRetention {
+		e.removeWorker(w)
 		return
 	}
-	for _, p := range w.sortedPlaces() {
-		if p.stopping && now-p.stopSent >= stopRetry {
+	for _, p := range w.sortedPlacements() {
+		if p.stopping && now-p.stopSentAt >= stopRetryInterval {
 			e.sendStop(now, p)
 		}
-		e.renewPace(now, p)
-		if e.stuck(now, p) {
-			e.logDecision(p, "stuck", fmt.Sprintf("at %d%% for %v", p.pulse.percent, now-p.movedAt))
+		e.resendPace(now, p)
+		if e.isStuck(now, p) {
+			e.logDecision(p, "stuck", fmt.Sprintf("at %d%% for %v", p.rate.lastPercent, now-p.progressedAt))
 			e.countWorkerFailure(now, p)
-			e.avoid(now, p)
-			p.unit.stalls = min(p.unit.stalls+1, mostStalls)
+			e.avoidWorker(now, p)
+			p.unit.stallCount = min(p.unit.stallCount+1, maxStalls)
 			e.stopUnit(now, p.unit, CauseStalled)
 		}
 	}
 }
 
-// stuck says whether a task has stood still for so long that starting it elsewhere
-// pays. A worker that reports no progress of anything shows so by all its tasks.
-func (e *Engine) stuck(now time.Duration, p *placement) bool {
-	if !e.params.Policy.StandingStill || p.state != placeRunning || p.stopping || p.unit.ending() || p.pulse.percent >= 99 {
+// isStuck reports whether a run has shown no progress for so long that it should be moved.
+func (e *Engine) isStuck(now time.Duration, p *placement) bool {
+	if !e.params.Policy.MoveStuckTasks || p.state != placementRunning || p.stopping || p.unit.ending() || p.rate.lastPercent >= 99 {
 		return false
 	}
 	if p.unit.spec().LongRunning || p.unit.spec().BestEffortCPU || !p.worker.attached {
 		return false
 	}
-	if p.worker.silent || now-p.worker.lookedAt > lookTimeout {
-		return false // what was seen last says nothing of now
+	if p.worker.unresponsive || now-p.worker.lastPolledAt > maxPollAge {
+		return false // the last poll is too old to judge by
 	}
-	least := stuckUnproven
-	if e.tracker.moves[p.unit.job.spec.Queue] {
-		least = stuckLeast
+	minTime := minStuckTimeUnproven
+	if e.tracker.progressQueues[p.unit.job.spec.Queue] {
+		minTime = minStuckTime
 	}
-	patience := max(time.Duration(stuckParts*float64(e.estimate(p.unit))), least)
-	return now-p.movedAt > patience<<p.unit.stalls
+	limit := max(time.Duration(stuckEstimateShare*float64(e.estimate(p.unit))), minTime)
+	return now-p.progressedAt > limit<<p.unit.stallCount
 }
 
 func (e *Engine) tickJob(now time.Duration, j *job) {
@@ -92,12 +91,12 @@
 		e.ageEndedJob(now, j)
 		return
 	}
-	before := j.createdOccurrences
+	created := j.createdOccurrences
 	e.createDueOccurrences(now, j)
-	if j.createdOccurrences != before {
+	if j.createdOccurrences != created {
 		e.markChanged(j)
 		j.unblockUnits(now)
 		e.planNeeded = true
 	}
-	e.tellUnfit(now, j)
+	e.logUnschedulable(now, j)
 }
--- /dev/null
+++ b/engine/unresponsive_test.go
@@ -0,0 +1,86 @@
+package engine
+
+import (
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+)
+
+// reportUnresponsive lets the agent of worker id report for a while that the worker does not
+// answer and that its lease, if known, ends at leaseEnd. The other workers report as usual.
+func (d *driver) reportUnresponsive(id WorkerID, by, leaseEnd time.Duration, leaseKnown bool) {
+	info := d.e.workers[id].info
+	const between = 20 * time.Millisecond
+	for until := d.now + by; d.now < until; d.now += between {
+		for _, w := range d.e.sortedWorkers() {
+			if w.info.ID != id {
+				d.reportProgress(w.info.ID)
+			}
+		}
+		r := Report{Epoch: 1, Worker: info, Unresponsive: true, LeaseKnown: leaseKnown}
+		if leaseKnown {
+			r.LeaseRemaining = leaseEnd - d.now
+		}
+		d.report(r)
+		d.tick()
+	}
+}
+
+// Guards against reports about a dead worker that postpone the end of its lease, so that a gang
+// with a member there never restarts.
+func TestGangRestartsWhileAgentReportsDeadWorker(t *testing.T) {
+	c := qt.New(t)
+	d := newDriver(t, 4)
+	id := d.submit(1, "", gangStep(2, 8))
+	d.settle()
+	d.advance(500 * time.Millisecond)
+	dead := d.startedOn[d.starts[0].Run]
+	end := d.now + 6*time.Second
+	d.reportUnresponsive(dead, time.Second, end, true)
+	c.Check(d.runs(id)[dead], qt.HasLen, 1, qt.Commentf("it may still run there"))
+	d.reportUnresponsive(dead, 6*time.Second, end, true)
+	d.endRuns(id, EndStopped) // the other member was ordered to stop
+	d.settle()
+	runs := d.runs(id)
+	c.Check(runs[dead], qt.HasLen, 0)
+	c.Check(runs, qt.HasLen, 2, qt.Commentf("it runs on two of the others"))
+}
+
+// Guards against a wrong expiry when a restarted agent does not know the lease: the last grant
+// of the planner bounds it, so the lease may end neither earlier nor later.
+func TestUnknownLeaseExpiresByLastGrant(t *testing.T) {
+	c := qt.New(t)
+	d := newDriver(t, 4)
+	id := d.submit(1, "", taskStep(1, 8))
+	d.settle()
+	d.advance(500 * time.Millisecond)
+	unresponsive := d.startedOn[d.starts[0].Run]
+	granted := d.now
+	d.reportUnresponsive(unresponsive, 5*time.Second, 0, false)
+	c.Check(d.runs(id)[unresponsive], qt.HasLen, 1, qt.Commentf("it may still run there"))
+	d.reportUnresponsive(unresponsive, d.e.params.leaseExpiry(granted)-d.now+time.Second, 0, false)
+	c.Check(d.runs(id)[unresponsive], qt.HasLen, 0)
+}
+
+// Guards against a lease that is granted to an unresponsive worker but not counted, which would
+// let a task run a second time while the first run may continue.
+func TestLeaseGrantedToUnresponsiveWorkerIsCounted(t *testing.T) {
+	c := qt.New(t)
+	d := newDriver(t, 4)
+	id := d.submit(1, "", taskStep(1, 8))
+	d.settle()
+	d.advance(500 * time.Millisecond)
+	unresponsive := d.startedOn[d.starts[0].Run]
+	info := d.e.workers[unresponsive].info
+	d.now += 5 * time.Second
+	answer := d.report(Report{Epoch: 1, Worker: info, Unresponsive: true, ExtendingLease: true})
+	c.Check(answer.Attached, qt.IsTrue)
+	granted := d.now
+	d.reportUnresponsive(unresponsive, 5*time.Second, 0, false)
+	c.Check(d.runs(id)[unresponsive], qt.HasLen, 1, qt.Commentf("the lease may last for six seconds from the grant"))
+	answer = d.report(Report{Epoch: 1, Worker: info, Unresponsive: true})
+	c.Check(answer.Attached, qt.IsFalse, qt.Commentf("nothing is granted that is not counted"))
+	d.reportUnresponsive(unresponsive, d.e.params.leaseExpiry(granted)-d.now+time.Second, 0, false)
+	c.Check(d.runs(id)[unresponsive], qt.HasLen, 0)
+}
--- a/engine/unfit_test.go
+++ b/engine/unschedulable_test.go
@@ -9,10 +9,8 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// Three of nine workers are gone for some seconds when a gang is handed in that needs
-// eight. It used to be failed, although no task of it was ever tried; it has to wait for
-// the workers to come back.
-func TestGangLargerThanWhatIsLeftWaits(t *testing.T) {
+// Guards against failing a gang that does not fit while some workers are temporarily gone.
+func TestGangLargerThanRemainingFleetWaits(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 9)
 	for i := range 3 {
@@ -33,8 +31,8 @@
 	c.Check(d.runs(id), qt.HasLen, 8)
 }
 
-// The operators are told why a job fits no worker, once.
-func TestReasonWhyAJobFitsNoWorkerIsLoggedOnce(t *testing.T) {
+// Guards against logging the same reason repeatedly.
+func TestUnschedulableReasonIsLoggedOnce(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
 	s := taskStep(1, 1)
@@ -44,9 +42,8 @@
 	c.Check(d.decisionCounts[id]["fits no worker"], qt.Equals, 1)
 }
 
-// A job waits for room for a long time. Whoever asks why finds it in the log, and the log
-// does not grow with each decision.
-func TestWhatAJobWaitsForIsLogged(t *testing.T) {
+// Guards against a job whose wait is never logged, or logged with every round.
+func TestWaitingJobIsLoggedAtIntervals(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
 	d.submit(1, "", taskStep(1, 8))
--- a/engine/write.go
+++ b/engine/write.go
@@ -9,33 +9,33 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// Write is a set of changes that go on record together.
+// Write is a set of changes to store together.
 type Write struct {
 	Jobs    []JobWrite
 	Workers []WorkerInfo
 	// RemovedWorkers are workers whose records are removed.
 	RemovedWorkers []WorkerID
-	// EndedJobs are jobs whose records are replaced by their outcomes, Forgotten those of which
-	// nothing is kept any more.
-	EndedJobs     []EndedJob
-	ForgottenJobs []ExpiredJob
+	// EndedJobs are jobs whose records are replaced by their outcomes, ForgottenJobs those
+	// whose outcomes are removed.
+	EndedJobs   []EndedJob
+	ExpiredJobs []ExpiredJob
 }
 
-// JobWrite is one job's record.
+// JobWrite is the new record of one job.
 type JobWrite struct {
 	ID       workload.JobID
 	Version  int
 	Progress *JobProgress
 }
 
-// Empty says whether there is nothing to write.
+// Empty reports whether there is nothing to write.
 func (w *Write) Empty() bool {
-	return len(w.Jobs)+len(w.Workers)+len(w.RemovedWorkers)+len(w.EndedJobs)+len(w.ForgottenJobs) == 0
+	return len(w.Jobs)+len(w.Workers)+len(w.RemovedWorkers)+len(w.EndedJobs)+len(w.ExpiredJobs) == 0
 }
 
-// PendingChanges returns the changes that are not on record yet, at most limit records,
-// those that starts or ends wait for first. The caller writes them and gives Stored;
-// it asks for no further changes before that.
+// PendingChanges returns up to limit changed records that are not stored yet, first those that
+// starts or ends wait for. The caller writes them, passes WriteApplied to the engine, and does not
+// ask for more changes before that.
 func (e *Engine) PendingChanges(now time.Duration, wall time.Time, limit int) Write {
 	var w Write
 	for _, id := range slices.Sorted(maps.Keys(e.unrecordedWorkers)) {
@@ -52,24 +52,25 @@
 		w.Jobs = append(w.Jobs, JobWrite{ID: j.spec.ID, Version: j.version, Progress: j.progress(e.epoch, now, wall)})
 		limit--
 	}
-	return e.removals(w, limit, now, wall)
+	return e.addRemovals(w, limit, now, wall)
 }
 
+// changedJobs returns the jobs with unstored changes in order of acceptance.
 func (e *Engine) changedJobs() []*job {
-	var out []*job
+	var changed []*job
 	for id := range e.dirtyJobs {
 		if j := e.jobs[id]; j != nil && j.storedVersion < j.version {
-			out = append(out, j)
+			changed = append(changed, j)
 		}
 	}
-	slices.SortFunc(out, func(a, b *job) int {
+	slices.SortFunc(changed, func(a, b *job) int {
 		return cmp.Or(cmp.Compare(a.revision, b.revision), cmp.Compare(a.spec.ID, b.spec.ID))
 	})
-	return out
+	return changed
 }
 
-// removals adds what is taken off the records.
-func (e *Engine) removals(w Write, limit int, now time.Duration, wall time.Time) Write {
+// addRemovals adds the records to remove or replace to w.
+func (e *Engine) addRemovals(w Write, limit int, now time.Duration, wall time.Time) Write {
 	for _, id := range slices.Sorted(maps.Keys(e.goneWorkers)) {
 		if limit <= 0 {
 			return w
@@ -88,14 +89,14 @@
 		if limit < removalRecords {
 			return w
 		}
-		w.ForgottenJobs = append(w.ForgottenJobs, e.jobs[id].expiredJob())
+		w.ExpiredJobs = append(w.ExpiredJobs, e.jobs[id].expiredJob())
 		limit -= removalRecords
 	}
 	return w
 }
 
-// stored handles a write that took effect: starts that waited for it may leave.
-func (e *Engine) stored(now time.Duration, w Write) {
+// handleWriteApplied processes a completed write and sends the starts that waited for it.
+func (e *Engine) handleWriteApplied(now time.Duration, w Write) {
 	for _, info := range w.Workers {
 		if known := e.workers[info.ID]; known != nil {
 			known.recorded = true
@@ -112,7 +113,7 @@
 		if j.storedVersion == j.version {
 			delete(e.dirtyJobs, written.ID)
 		}
-		e.release(now, j, written.Progress)
+		e.releaseStarts(now, j, written.Progress)
 	}
 	for _, id := range w.RemovedWorkers {
 		delete(e.goneWorkers, id)
@@ -121,71 +122,72 @@
 		delete(e.archiving, ended.ID)
 		e.jobs[ended.ID].archive(ended.CancelRevision)
 	}
-	for _, forgotten := range w.ForgottenJobs {
-		delete(e.expired, forgotten.ID)
-		e.remove(forgotten.ID)
+	for _, expired := range w.ExpiredJobs {
+		delete(e.expired, expired.ID)
+		e.removeJob(expired.ID)
 	}
 }
 
-func (e *Engine) remove(id workload.JobID) {
+func (e *Engine) removeJob(id workload.JobID) {
 	j := e.jobs[id]
 	delete(e.jobs, id)
 	e.orderedJobs = slices.DeleteFunc(e.orderedJobs, func(o *job) bool { return o == j })
 }
 
-// release orders the starts of a job whose placements are on record as written.
-func (e *Engine) release(now time.Duration, j *job, written *JobProgress) {
+// releaseStarts sends the start orders of a job's units whose current run is in the written
+// record.
+func (e *Engine) releaseStarts(now time.Duration, j *job, written *JobProgress) {
 	for i := range written.Units {
-		u := j.unit(written.Units[i].Occurrence, written.Units[i].Step, written.Units[i].Index)
-		if u == nil || u.run != written.Units[i].Run {
+		u := j.findUnit(written.Units[i].Occurrence, written.Units[i].Step, written.Units[i].Index)
+		if u == nil || u.runNumber != written.Units[i].RunNumber {
 			continue
 		}
-		e.orderUnit(now, u)
+		e.orderUnitStarts(now, u)
 	}
 }
 
-// orderUnit sends the starts of a run, all or, where one of the workers is no longer
-// fit, none.
-func (e *Engine) orderUnit(now time.Duration, u *unit) {
+// orderUnitStarts sends the starts of a run to all its workers, or to none if one of them can
+// no longer take it.
+func (e *Engine) orderUnitStarts(now time.Duration, u *unit) {
 	var ready []*placement
-	for _, p := range u.places {
-		if p.state != placeRecording {
+	for _, p := range u.placements {
+		if p.state != placementUnrecorded {
 			continue
 		}
 		_, allowed := u.ticketFor(now, p.worker.info.ID)
 		if u.ending() || !p.worker.usable(now) || !p.worker.stillFits(p) || !allowed {
-			e.refuse(now, u)
+			e.abandonRun(now, u)
 			return
 		}
 		ready = append(ready, p)
 	}
 	for _, p := range ready {
-		e.order(now, p)
+		e.orderStart(now, p)
 	}
 }
 
-func (e *Engine) order(now time.Duration, p *placement) {
-	p.state = placeOrdered
-	p.began = now
-	p.unit.spent.record = now - p.unit.placedAt
-	p.movedAt = now
+func (e *Engine) orderStart(now time.Duration, p *placement) {
+	p.state = placementOrdered
+	p.startedAt = now
+	p.unit.times.storeWait = now - p.unit.placedAt
+	p.progressedAt = now
 	o := e.ordersFor(p.worker)
 	ticket, _ := p.unit.ticketFor(now, p.worker.info.ID)
-	o.Starts = append(o.Starts, StartOrder{Run: p.id(), Spec: p.unit.job.spec.Spec, Checkpoint: p.unit.saved, Ticket: ticket})
+	o.Starts = append(o.Starts, StartOrder{Run: p.runID(), Spec: p.unit.job.spec.Spec, Checkpoint: p.unit.checkpoint, Ticket: ticket})
 	e.logDecision(p, "start", "")
-	e.join(now, p)
+	e.initPaces(now, p)
 }
 
-// refuse gives a run up whose members can't all start.
-func (e *Engine) refuse(now time.Duration, u *unit) {
-	if u.verdict == verdictNone {
-		u.verdict = verdictRetry
+// abandonRun gives up a run because not all members can start.
+func (e *Engine) abandonRun(now time.Duration, u *unit) {
+	if u.outcome == outcomeNone {
+		u.outcome = outcomeRetry
 		e.markChanged(u.job)
 	}
 	e.stopUnit(now, u, CauseGangIncomplete)
 }
 
-func (j *job) unit(occurrence, step, index int) *unit {
+func (j *job) findUnit(occurrence, step, index int) *unit {
 	for _, u := range j.units {
 		if u.occurrence == occurrence && u.step == step && u.index == index {
 			return u
