--- a/cmd/eelgrasshub/gateway.go
+++ b/cmd/eelgrasshub/gateway.go
@@ -64,18 +64,18 @@
 }
 
 func startGateway(cfg settings.Gateway, log *logrus.Entry) (*gatewayRole, error) {
-	kv := platform.OpenStore(cfg.Store)
+	kv := platform.NewKVStore(cfg.Store)
 	g, err := gateway.Start(platform.GatewayConfig(cfg, kv, log))
 	if err != nil {
 		return nil, err
 	}
 	r := &gatewayRole{gateway: g, store: kv, log: log}
-	r.callers, err = listenHTTP(cfg.CallerListen, platform.NewCallers(g, log), log)
+	r.callers, err = listenHTTP(cfg.CallerListen, platform.NewCallerHandler(g, log), log)
 	if err != nil {
 		return nil, err
 	}
 	if cfg.ReadyListen != "" {
-		r.ready, err = listenHTTP(cfg.ReadyListen, platform.ReadyHandler(g.Ready), log)
+		r.ready, err = listenHTTP(cfg.ReadyListen, platform.NewReadinessHandler(g.Ready), log)
 	}
 	return r, err
 }
--- a/cmd/eelgrasshub/node_agent.go
+++ b/cmd/eelgrasshub/node_agent.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	registry, err := listenHTTP(cfg.RegistryListen, platform.RegistryHandler(a, agentCfg.Worker, log), log)
+	registry, err := listenHTTP(cfg.RegistryListen, platform.NewHeartbeatHandler(a, agentCfg.Worker, log), log)
 	if err != nil {
 		return err
 	}
--- a/gateway/failure_detector.go
+++ b/gateway/failure_detector.go
@@ -172,12 +172,12 @@
 	ctx, cancel := context.WithTimeout(g.tomb.Context(context.Background()), livenessTimeout)
 	defer cancel()
 	sent := lease.BootTime()
-	raw, err := g.pool.Call(ctx, planner, &link.Alive{})
+	raw, err := g.pool.Call(ctx, planner, &link.LivenessQuery{})
 	if err != nil {
 		return // a missing answer is noticed by suspects
 	}
 	g.failureDetector.recordLatency(lease.BootTime() - sent)
-	if reply, ok := raw.(*link.AliveReply); ok && reply.Epoch == epoch {
+	if reply, ok := raw.(*link.LivenessReply); ok && reply.Epoch == epoch {
 		g.failureDetector.recordAnswer(planner, epoch)
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -181,10 +181,10 @@
 // Counters returns the gateway's counters.
 func (g *Gateway) Counters() *Counters { return &g.counters }
 
-// View returns the current configuration. fresh reports whether it was confirmed recently
+// CurrentConfig returns the current configuration. fresh reports whether it was confirmed recently
 // enough to authenticate keys. Its age includes time in suspension, so that a process that was
 // paused or cut off does not accept a key that was revoked meanwhile.
-func (g *Gateway) View() (view catalog.Snapshot, fresh, ok bool) {
+func (g *Gateway) CurrentConfig() (view catalog.Snapshot, fresh, ok bool) {
 	view, ok = g.currentConfig.Snapshot()
 	if !ok {
 		return view, false, false
--- a/gateway/handle.go
+++ b/gateway/handle.go
@@ -14,30 +14,30 @@
 	switch m := msg.(type) {
 	case *link.Report:
 		return g.handleReport(ctx, from, m), nil
-	case *link.Peer:
+	case *link.PeerQuery:
 		return g.handlePeer(m), nil
-	case *link.Lookup:
+	case *link.JobQuery:
 		return g.handleLookup(ctx, m), nil
-	case *link.Pending:
+	case *link.PendingQuery:
 		counts, ok := g.localPending()
-		return &link.PendingReply{Planning: ok, Counts: counts}, nil
-	case *link.Accept:
+		return &link.PendingQueryReply{Planning: ok, Counts: counts}, nil
+	case *link.WriteJob:
 		outcome, at := g.jobStore.Submit(ctx, &m.Job)
 		g.notifyJobSubmitted(outcome, &m.Job, at)
-		return &link.RecordReply{Outcome: outcome}, nil
-	case *link.Cancel:
+		return &link.WriteReply{Outcome: outcome}, nil
+	case *link.WriteCancellation:
 		outcome := g.jobStore.Cancel(ctx, m.Queue, m.Job)
 		if outcome == link.OutcomeStored {
-			g.notifyPlanner(&link.Notice{Cancel: m.Job})
+			g.notifyPlanner(&link.RecordNotice{Cancel: m.Job})
 		}
-		return &link.RecordReply{Outcome: outcome}, nil
-	case *link.Alive:
-		return &link.AliveReply{Epoch: g.planningEpoch()}, nil
+		return &link.WriteReply{Outcome: outcome}, nil
+	case *link.LivenessQuery:
+		return &link.LivenessReply{Epoch: g.planningEpoch()}, nil
 	case *link.StoreCall:
 		return g.handleStoreCall(ctx, m), nil
-	case *link.Notice:
+	case *link.RecordNotice:
 		g.handleNotice(m)
-		return &link.NoticeReply{}, nil
+		return &link.RecordNoticeReply{}, nil
 	default:
 		return nil, wire.NotRun(eris.Errorf("unexpected message %T", msg))
 	}
--- a/gateway/jobs.go
+++ b/gateway/jobs.go
@@ -14,26 +14,26 @@
 
 // Submit stores a job durably, through a peer if the store does not serve this gateway.
 // OutcomeUnknown means that the job may or may not have been stored.
-func (g *Gateway) Submit(ctx context.Context, job *workload.Job) link.Outcome {
+func (g *Gateway) Submit(ctx context.Context, job *workload.Job) link.WriteOutcome {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	start := time.Now()
-	outcome := link.OutcomeNotDone
+	outcome := link.OutcomeNotStored
 	if g.shouldTryStore() {
 		var revision store.Revision
 		outcome, revision = g.jobStore.Submit(ctx, job)
 		g.notifyJobSubmitted(outcome, job, revision)
 		g.recordStoreOutcome(outcome)
 	}
-	if outcome == link.OutcomeNotDone {
-		outcome = g.relay(ctx, &link.Accept{Job: *job})
+	if outcome == link.OutcomeNotStored {
+		outcome = g.relay(ctx, &link.WriteJob{Job: *job})
 	}
 	g.countSubmit(outcome)
 	g.callLatencies.Observe("submit/"+outcome.String(), time.Since(start))
 	return outcome
 }
 
-func (g *Gateway) countSubmit(outcome link.Outcome) {
+func (g *Gateway) countSubmit(outcome link.WriteOutcome) {
 	switch outcome {
 	case link.OutcomeStored:
 		g.counters.Accepted.Add(1)
@@ -46,20 +46,20 @@
 
 // Cancel stores a cancellation durably, through a peer if the store does not serve this
 // gateway.
-func (g *Gateway) Cancel(ctx context.Context, queue string, id workload.JobID) link.Outcome {
+func (g *Gateway) Cancel(ctx context.Context, queue string, id workload.JobID) link.WriteOutcome {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	start := time.Now()
-	outcome := link.OutcomeNotDone
+	outcome := link.OutcomeNotStored
 	if g.shouldTryStore() {
 		outcome = g.jobStore.Cancel(ctx, queue, id)
 		if outcome == link.OutcomeStored {
-			g.notifyPlanner(&link.Notice{Cancel: id})
+			g.notifyPlanner(&link.RecordNotice{Cancel: id})
 		}
 		g.recordStoreOutcome(outcome)
 	}
-	if outcome == link.OutcomeNotDone {
-		outcome = g.relay(ctx, &link.Cancel{Job: id, Queue: queue})
+	if outcome == link.OutcomeNotStored {
+		outcome = g.relay(ctx, &link.WriteCancellation{Job: id, Queue: queue})
 	}
 	if outcome == link.OutcomeStored {
 		g.counters.Cancelled.Add(1)
@@ -81,9 +81,9 @@
 // markStoreFailed records that the store does not serve this gateway now.
 func (g *Gateway) markStoreFailed() { g.storeFailedAt.Store(int64(lease.BootTime())) }
 
-func (g *Gateway) recordStoreOutcome(outcome link.Outcome) {
+func (g *Gateway) recordStoreOutcome(outcome link.WriteOutcome) {
 	switch outcome {
-	case link.OutcomeNotDone, link.OutcomeUnknown:
+	case link.OutcomeNotStored, link.OutcomeUnknown:
 		g.markStoreFailed()
 	default:
 		g.storeFailedAt.Store(0)
@@ -92,17 +92,17 @@
 
 // relay asks peers, one after the other, to write a record, and returns the first outcome other
 // than OutcomeNotDone. A peer whose reply is lost may have written the record.
-func (g *Gateway) relay(ctx context.Context, msg any) link.Outcome {
+func (g *Gateway) relay(ctx context.Context, msg any) link.WriteOutcome {
 	for _, address := range g.relayCandidates() {
 		if ctx.Err() != nil {
-			return link.OutcomeNotDone
+			return link.OutcomeNotStored
 		}
 		outcome := g.relayTo(ctx, address, msg)
-		if outcome != link.OutcomeNotDone {
+		if outcome != link.OutcomeNotStored {
 			return outcome
 		}
 	}
-	return link.OutcomeNotDone
+	return link.OutcomeNotStored
 }
 
 // relayCandidates returns the peers to relay calls through, the planner first. It omits peers
@@ -139,12 +139,12 @@
 	return conn.Call(ctx, msg)
 }
 
-func (g *Gateway) relayTo(ctx context.Context, address string, msg any) link.Outcome {
+func (g *Gateway) relayTo(ctx context.Context, address string, msg any) link.WriteOutcome {
 	raw, err := g.callPeer(ctx, address, msg)
 	if err != nil {
 		return outcomeOfCallError(err)
 	}
-	reply, ok := raw.(*link.RecordReply)
+	reply, ok := raw.(*link.WriteReply)
 	if !ok {
 		return link.OutcomeUnknown
 	}
--- a/gateway/lookup.go
+++ b/gateway/lookup.go
@@ -18,9 +18,9 @@
 	LookupNotFound
 )
 
-// State returns the state of a job: from the planner, which is most up to date, else from the
+// JobStatus returns the state of a job: from the planner, which is most up to date, else from the
 // records, else through a peer.
-func (g *Gateway) State(ctx context.Context, id workload.JobID) (engine.JobStatus, LookupStatus) {
+func (g *Gateway) JobStatus(ctx context.Context, id workload.JobID) (engine.JobStatus, LookupStatus) {
 	g.counters.Lookups.Add(1)
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -49,16 +49,16 @@
 	if planner == g.cfg.Listen || planner == "" {
 		return g.localLookup(id)
 	}
-	reply := g.lookupAt(ctx, planner, &link.Lookup{Job: id})
+	reply := g.lookupAt(ctx, planner, &link.JobQuery{Job: id})
 	if reply == nil || !reply.Known {
 		return engine.JobStatus{}, false
 	}
-	return reply.Lookup(), true
+	return reply.JobStatus(), true
 }
 
-func (g *Gateway) lookupAt(ctx context.Context, address string, msg *link.Lookup) *link.LookupReply {
+func (g *Gateway) lookupAt(ctx context.Context, address string, msg *link.JobQuery) *link.JobQueryReply {
 	timeout := lookupTimeout
-	if msg.Records {
+	if msg.ReadRecords {
 		timeout = relayTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -67,18 +67,18 @@
 	if err != nil {
 		return nil
 	}
-	reply, _ := raw.(*link.LookupReply)
+	reply, _ := raw.(*link.JobQueryReply)
 	return reply
 }
 
 func (g *Gateway) lookupThroughPeers(ctx context.Context, id workload.JobID) (engine.JobStatus, LookupStatus) {
 	for _, address := range g.relayCandidates() {
-		reply := g.lookupAt(ctx, address, &link.Lookup{Job: id, Records: true})
+		reply := g.lookupAt(ctx, address, &link.JobQuery{Job: id, ReadRecords: true})
 		switch {
 		case reply == nil:
 		case reply.Known:
-			return reply.Lookup(), LookupFound
-		case reply.Absent:
+			return reply.JobStatus(), LookupFound
+		case reply.NotFound:
 			return engine.JobStatus{}, LookupNotFound
 		}
 	}
@@ -86,19 +86,19 @@
 }
 
 // handleLookup answers a lookup of another gateway.
-func (g *Gateway) handleLookup(ctx context.Context, m *link.Lookup) *link.LookupReply {
+func (g *Gateway) handleLookup(ctx context.Context, m *link.JobQuery) *link.JobQueryReply {
 	found, ok := g.localLookup(m.Job)
-	if !ok && m.Records {
+	if !ok && m.ReadRecords {
 		var err error
 		found, ok, err = g.jobStore.Lookup(ctx, m.Job)
 		if err == nil && !ok {
-			return &link.LookupReply{Absent: true}
+			return &link.JobQueryReply{NotFound: true}
 		}
 	}
 	if !ok {
-		return &link.LookupReply{}
+		return &link.JobQueryReply{}
 	}
-	return &link.LookupReply{Known: true, State: found.State, Queue: found.Queue, Account: found.Account}
+	return &link.JobQueryReply{Known: true, State: found.State, Queue: found.Queue, Account: found.Account}
 }
 
 func (g *Gateway) localLookup(id workload.JobID) (engine.JobStatus, bool) {
@@ -117,9 +117,9 @@
 	return t.pending()
 }
 
-// Pending returns how many accepted jobs of a queue have not started. It returns false if the
+// PendingJobs returns how many accepted jobs of a queue have not started. It returns false if the
 // planner cannot be asked.
-func (g *Gateway) Pending(ctx context.Context, queue string) (int, bool) {
+func (g *Gateway) PendingJobs(ctx context.Context, queue string) (int, bool) {
 	if counts, ok := g.localPending(); ok {
 		return counts[queue], true
 	}
@@ -129,11 +129,11 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
-	raw, err := g.pool.Call(ctx, planner, &link.Pending{})
+	raw, err := g.pool.Call(ctx, planner, &link.PendingQuery{})
 	if err != nil {
 		return 0, false
 	}
-	reply, ok := raw.(*link.PendingReply)
+	reply, ok := raw.(*link.PendingQueryReply)
 	if !ok || !reply.Planning {
 		return 0, false
 	}
--- a/gateway/notifications.go
+++ b/gateway/notifications.go
@@ -13,15 +13,15 @@
 
 // notifyJobSubmitted notifies the planner of a stored job. A job that has already ended has
 // revision zero and is skipped.
-func (g *Gateway) notifyJobSubmitted(outcome link.Outcome, job *workload.Job, revision store.Revision) {
+func (g *Gateway) notifyJobSubmitted(outcome link.WriteOutcome, job *workload.Job, revision store.Revision) {
 	if outcome == link.OutcomeStored && revision != 0 {
-		g.notifyPlanner(&link.Notice{Job: job, Order: int64(revision)})
+		g.notifyPlanner(&link.RecordNotice{Job: job, Revision: int64(revision)})
 	}
 }
 
 // notifyPlanner sends a notice of a new record to the planner, which would otherwise learn of
 // it from its store watch up to a second later. Notices are best effort.
-func (g *Gateway) notifyPlanner(n *link.Notice) {
+func (g *Gateway) notifyPlanner(n *link.RecordNotice) {
 	_, planner := g.planner.get()
 	if planner == g.cfg.Listen {
 		g.handleNotice(n)
@@ -41,13 +41,13 @@
 // run and ended and another planner has taken over. Before the new planner has loaded the
 // outcomes of ended jobs, such a job would look newly submitted and run again, so submissions
 // are ignored until then. The watch delivers all jobs submitted since the term began.
-func (g *Gateway) handleNotice(n *link.Notice) {
+func (g *Gateway) handleNotice(n *link.RecordNotice) {
 	t := g.currentTerm()
 	if t == nil || !t.active() {
 		return
 	}
 	if n.Job != nil && t.outcomesLoaded.Load() {
-		t.postEvent(engine.JobSubmitted{Job: *n.Job, Revision: n.Order})
+		t.postEvent(engine.JobSubmitted{Job: *n.Job, Revision: n.Revision})
 	}
 	if n.Cancel != "" {
 		t.postEvent(engine.CancelRequested{Job: n.Cancel})
@@ -56,9 +56,9 @@
 
 // outcomeOfCallError returns the outcome of a relayed write that failed with err: it is
 // certainly not done only if the message was not sent.
-func outcomeOfCallError(err error) link.Outcome {
+func outcomeOfCallError(err error) link.WriteOutcome {
 	if errors.Is(err, wire.ErrNotSent) {
-		return link.OutcomeNotDone
+		return link.OutcomeNotStored
 	}
 	return link.OutcomeUnknown
 }
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -29,9 +29,9 @@
 	}
 }
 
-func (g *Gateway) peerQuery() *link.Peer {
+func (g *Gateway) peerQuery() *link.PeerQuery {
 	epoch, planner := g.planner.get()
-	msg := &link.Peer{Address: g.cfg.Listen, Epoch: epoch, Planner: planner, WantConfig: true, Strength: g.cfg.PlanningCapacity}
+	msg := &link.PeerQuery{Address: g.cfg.Listen, Epoch: epoch, Planner: planner, WantConfig: true, PlanningCapacity: g.cfg.PlanningCapacity}
 	if view, ok := g.currentConfig.Snapshot(); ok {
 		msg.ConfigVersion = view.Catalog.Version
 		msg.WantConfig = lease.BootTime()-view.ConfirmedAt > configStaleAfter
@@ -47,12 +47,12 @@
 	return []string{planner}
 }
 
-func (g *Gateway) queryPeer(address string, msg *link.Peer) {
+func (g *Gateway) queryPeer(address string, msg *link.PeerQuery) {
 	g.queryPeerWithin(address, msg, peerTimeout)
 }
 
 // queryPeerWithin queries another gateway and merges its reply.
-func (g *Gateway) queryPeerWithin(address string, msg *link.Peer, timeout time.Duration) {
+func (g *Gateway) queryPeerWithin(address string, msg *link.PeerQuery, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(g.tomb.Context(context.Background()), timeout)
 	defer cancel()
 	sent := lease.BootTime()
@@ -66,11 +66,11 @@
 		return
 	}
 	g.members.markHeard(address)
-	if reply.Heirs != nil {
-		g.failureDetector.setSuccessors(reply.Heirs)
+	if reply.Successors != nil {
+		g.failureDetector.setSuccessors(reply.Successors)
 	}
 	_, planner := g.planner.get()
-	g.storeStatus.observePeer(lease.BootTime(), address, reply.StoreServes, address == planner)
+	g.storeStatus.observePeer(lease.BootTime(), address, reply.StoreReachable, address == planner)
 	for _, m := range reply.Members {
 		if m != address {
 			g.members.addHint(m)
@@ -79,7 +79,7 @@
 	g.planner.update(reply.Epoch, reply.Planner)
 	g.mergePeerConfig(reply, sent)
 	g.mergePeerCordons(reply, sent)
-	if !msg.WantText && g.needsConfigOf(reply.ConfigVersion) {
+	if !msg.WantConfigText && g.needsConfigOf(reply.ConfigVersion) {
 		g.fetchConfig(address)
 	}
 }
@@ -99,7 +99,7 @@
 	}
 	defer g.fetchingConfig.Store(false)
 	msg := g.peerQuery()
-	msg.WantText = true
+	msg.WantConfigText = true
 	g.queryPeerWithin(address, msg, configTransferTimeout)
 }
 
@@ -142,28 +142,28 @@
 
 // handlePeer answers another gateway, or an agent that is looking for the planner, which sends
 // no address.
-func (g *Gateway) handlePeer(msg *link.Peer) *link.PeerReply {
+func (g *Gateway) handlePeer(msg *link.PeerQuery) *link.PeerReply {
 	g.members.markHeard(msg.Address)
-	g.members.setCapacity(msg.Address, msg.Strength)
+	g.members.setCapacity(msg.Address, msg.PlanningCapacity)
 	g.planner.update(msg.Epoch, msg.Planner)
 	epoch, planner := g.planner.get()
 	reply := &link.PeerReply{
-		Epoch:       epoch,
-		Planner:     planner,
-		Members:     g.members.sample(),
-		StoreServes: g.cfg.SinceStoreReply() < storeReplyTTL,
+		Epoch:          epoch,
+		Planner:        planner,
+		Members:        g.members.sample(),
+		StoreReachable: g.cfg.SinceStoreReply() < storeReplyTTL,
 	}
 	if msg.Address == "" {
 		return reply
 	}
 	if planner == g.cfg.Listen {
-		reply.Heirs = g.members.successors(g.peerServed)
+		reply.Successors = g.members.successors(g.peerServed)
 	}
 	reply.Cordons = g.cordonsForPeer()
 	if view, ok := g.currentConfig.Snapshot(); ok {
 		reply.ConfigVersion = view.Catalog.Version
 		reply.ConfigAge = lease.BootTime() - view.ConfirmedAt
-		if msg.WantText && msg.ConfigVersion < view.Catalog.Version {
+		if msg.WantConfigText && msg.ConfigVersion < view.Catalog.Version {
 			reply.Config = view.Raw
 		}
 	}
--- a/gateway/store_relay.go
+++ b/gateway/store_relay.go
@@ -142,7 +142,7 @@
 	switch {
 	case err == nil && ok:
 		return reply
-	case msg.Op == link.StoreCommit && (err == nil || outcomeOfCallError(err) != link.OutcomeNotDone):
+	case msg.Op == link.StoreCommit && (err == nil || outcomeOfCallError(err) != link.OutcomeNotStored):
 		return &link.StoreReply{Failure: link.StoreOutcomeUnknown}
 	}
 	return nil // reads and renewals may be retried through another peer
--- a/gateway/term_orders.go
+++ b/gateway/term_orders.go
@@ -117,7 +117,7 @@
 	ctx, cancel := context.WithTimeout(t.tomb.Context(context.Background()), ordersTimeout)
 	defer cancel()
 	raw, err := conn.Call(ctx, link.NewOrders(t.epoch, orders))
-	if err != nil && outcomeOfCallError(err) == link.OutcomeNotDone {
+	if err != nil && outcomeOfCallError(err) == link.OutcomeNotStored {
 		return uniformReply(orders, engine.StartNotDelivered)
 	}
 	reply, ok := raw.(*link.OrdersReply)
--- a/gateway/term_report.go
+++ b/gateway/term_report.go
@@ -32,9 +32,9 @@
 	}
 	reply.Epoch = t.epoch
 	reply.Attached = verdict.Attached
-	reply.Seen = verdict.AckedEnds
-	reply.Closely = verdict.PollOften
-	reply.Turn = verdict.Generation
+	reply.AckedEnds = verdict.AckedEnds
+	reply.PollOften = verdict.PollOften
+	reply.Generation = verdict.Generation
 	if cordons, ok := t.g.currentConfig.Cordons(); ok {
 		reply.Cordoned = cordons.Contains(m.Report.Worker.Zone)
 		reply.CordonsAt = cordons.Revision
--- a/link/alive.go
+++ b/link/alive.go
@@ -1,10 +1,10 @@
 package link
 
-// Alive asks a planner whether it is.
-type Alive struct{}
+// LivenessQuery asks a planner whether it is.
+type LivenessQuery struct{}
 
-// AliveReply answers Alive.
-type AliveReply struct {
+// LivenessReply answers Alive.
+type LivenessReply struct {
 	// Epoch under which the sender plans; zero where it does not.
 	Epoch uint64 `cbor:"1,keyasint,omitempty"`
 }
--- a/link/orders.go
+++ b/link/orders.go
@@ -26,7 +26,7 @@
 // Start is one start among Orders.
 type Start struct {
 	Run        workload.RunID `cbor:"1,keyasint"`
-	Spec       int            `cbor:"2,keyasint,omitempty"` // its place in Orders.Specs
+	SpecIndex  int            `cbor:"2,keyasint,omitempty"` // its place in Orders.Specs
 	Checkpoint string         `cbor:"3,keyasint,omitempty"`
 	Ticket     string         `cbor:"4,keyasint,omitempty"` // of the advice service
 }
@@ -42,20 +42,20 @@
 			at[s.Spec] = spec
 			m.Specs = append(m.Specs, s.Spec)
 		}
-		m.Starts = append(m.Starts, Start{Run: s.Run, Spec: spec, Checkpoint: s.Checkpoint, Ticket: s.Ticket})
+		m.Starts = append(m.Starts, Start{Run: s.Run, SpecIndex: spec, Checkpoint: s.Checkpoint, Ticket: s.Ticket})
 	}
 	return m
 }
 
-// StartOrders returns the starts with their specifications, or an error where one refers
+// DecodeStarts returns the starts with their specifications, or an error where one refers
 // to a specification that the message does not have.
-func (m *Orders) StartOrders() ([]engine.StartOrder, error) {
+func (m *Orders) DecodeStarts() ([]engine.StartOrder, error) {
 	out := make([]engine.StartOrder, 0, len(m.Starts))
 	for _, s := range m.Starts {
-		if s.Spec < 0 || s.Spec >= len(m.Specs) {
-			return nil, eris.Errorf("start of %s refers to specification %d of %d", s.Run.Task, s.Spec, len(m.Specs))
+		if s.SpecIndex < 0 || s.SpecIndex >= len(m.Specs) {
+			return nil, eris.Errorf("start of %s refers to specification %d of %d", s.Run.Task, s.SpecIndex, len(m.Specs))
 		}
-		out = append(out, engine.StartOrder{Run: s.Run, Spec: m.Specs[s.Spec], Checkpoint: s.Checkpoint, Ticket: s.Ticket})
+		out = append(out, engine.StartOrder{Run: s.Run, Spec: m.Specs[s.SpecIndex], Checkpoint: s.Checkpoint, Ticket: s.Ticket})
 	}
 	return out, nil
 }
--- a/link/orders_test.go
+++ b/link/orders_test.go
@@ -29,7 +29,7 @@
 	want := append(starts("a", 3, "spec of a"), starts("b", 2, "spec of b")...)
 	m := link.NewOrders(7, engine.Orders{Worker: "w", Starts: want})
 	c.Check(m.Specs, qt.HasLen, 2)
-	got, err := m.StartOrders()
+	got, err := m.DecodeStarts()
 	c.Assert(err, qt.IsNil)
 	c.Check(got, qt.DeepEquals, want)
 }
@@ -49,8 +49,8 @@
 
 func TestStartWithoutItsSpecificationIsAnError(t *testing.T) {
 	for _, at := range []int{-1, 1} {
-		m := &link.Orders{Starts: []link.Start{{Spec: at}}, Specs: []string{"one"}}
-		_, err := m.StartOrders()
+		m := &link.Orders{Starts: []link.Start{{SpecIndex: at}}, Specs: []string{"one"}}
+		_, err := m.DecodeStarts()
 		qt.Check(t, err, qt.IsNotNil)
 	}
 }
--- a/link/peer.go
+++ b/link/peer.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Peer goes from one gateway to another, and from a node agent that looks for the
+// PeerQuery goes from one gateway to another, and from a node agent that looks for the
 // planner.
-type Peer struct {
+type PeerQuery struct {
 	// Address is the sender's, where it is a gateway.
 	Address       string `cbor:"1,keyasint,omitempty"`
 	ConfigVersion int64  `cbor:"2,keyasint,omitempty"`
@@ -13,13 +13,13 @@
 	Planner string `cbor:"4,keyasint,omitempty"`
 	// WantConfig: the sender can't follow the configuration by itself.
 	WantConfig bool `cbor:"5,keyasint,omitempty"`
-	// Strength is how much planning the sender could carry, see gateway.Config.
-	Strength float64 `cbor:"6,keyasint,omitempty"`
-	// WantText: the reply is to carry the text of the configuration, where the sender's is
+	// PlanningCapacity is how much planning the sender could carry, see gateway.Config.
+	PlanningCapacity float64 `cbor:"6,keyasint,omitempty"`
+	// WantConfigText: the reply is to carry the text of the configuration, where the sender's is
 	// older. Gateways ask for it alone and of one other at a time: it may be of hundreds of
 	// kilobytes, and answers of them from all others at once keep a thin link from carrying
 	// any.
-	WantText bool `cbor:"7,keyasint,omitempty"`
+	WantConfigText bool `cbor:"7,keyasint,omitempty"`
 }
 
 // PeerReply answers Peer.
@@ -33,11 +33,11 @@
 	ConfigVersion int64         `cbor:"4,keyasint,omitempty"`
 	ConfigAge     time.Duration `cbor:"5,keyasint,omitempty"`
 	Config        []byte        `cbor:"6,keyasint,omitempty"`
-	// StoreServes: the store has answered the sender a moment ago.
-	StoreServes bool `cbor:"7,keyasint,omitempty"`
-	// Heirs are the gateways that are to take the duty if the sender, which plans, dies;
+	// StoreReachable: the store has answered the sender a moment ago.
+	StoreReachable bool `cbor:"7,keyasint,omitempty"`
+	// Successors are the gateways that are to take the duty if the sender, which plans, dies;
 	// the first of them at once, the others where it does not.
-	Heirs []string `cbor:"8,keyasint,omitempty"`
+	Successors []string `cbor:"8,keyasint,omitempty"`
 	// Cordons are those that the sender knows; nil where it knows none yet.
 	Cordons *Cordons `cbor:"9,keyasint,omitempty"`
 }
--- a/link/report.go
+++ b/link/report.go
@@ -13,15 +13,15 @@
 	Epoch uint64 `cbor:"1,keyasint,omitempty"`
 	// Attached: the worker's lease may be extended, reckoned from the sending of the
 	// report.
-	Attached bool  `cbor:"2,keyasint,omitempty"`
-	Seen     int64 `cbor:"3,keyasint,omitempty"`
+	Attached  bool  `cbor:"2,keyasint,omitempty"`
+	AckedEnds int64 `cbor:"3,keyasint,omitempty"`
 	// Planner is where the planner is believed to be, empty where nobody knows.
 	Planner string   `cbor:"4,keyasint,omitempty"`
 	Members []string `cbor:"5,keyasint,omitempty"` // addresses of gateways
-	// Closely: the worker should be looked at often.
-	Closely bool `cbor:"6,keyasint,omitempty"`
-	// Turn is the least that orders to the worker's present life carry; see engine.Fence.
-	Turn uint64 `cbor:"7,keyasint,omitempty"`
+	// PollOften: the worker should be looked at often.
+	PollOften bool `cbor:"6,keyasint,omitempty"`
+	// Generation is the least that orders to the worker's present life carry; see engine.Fence.
+	Generation uint64 `cbor:"7,keyasint,omitempty"`
 	// Cordoned: the worker's availability zone is cordoned, as of the store's revision
 	// CordonsAt; zero where the planner knows nothing of cordons.
 	Cordoned  bool  `cbor:"8,keyasint,omitempty"`
--- a/nodeagent/cordon_test.go
+++ b/nodeagent/cordon_test.go
@@ -51,7 +51,7 @@
 }
 
 func executeStart(c *qt.C, a *Agent, orders *link.Orders) engine.StartOutcome {
-	starts, err := orders.StartOrders()
+	starts, err := orders.DecodeStarts()
 	c.Assert(err, qt.IsNil)
 	return a.execute(orders, starts).Starts[0].Outcome
 }
--- a/nodeagent/departure_test.go
+++ b/nodeagent/departure_test.go
@@ -28,13 +28,13 @@
 		endIncarnation func(a *Agent)
 		crashed        bool
 	}{
-		{"goodbye", func(a *Agent) { a.Leave("w1") }, false},
+		{"goodbye", func(a *Agent) { a.HandleDeparture("w1") }, false},
 		{"another life in its place", func(*Agent) {}, true},
 		{"another life in its place after it drained", func(a *Agent) {
 			a.updateCurrent(Heartbeat{Info: engine.WorkerInfo{ID: "w1"}, Sequence: 2, Draining: true, Remaining: time.Second})
 		}, false},
 		{"goodbye, and a late heartbeat", func(a *Agent) {
-			a.Leave("w1")
+			a.HandleDeparture("w1")
 			a.updateCurrent(Heartbeat{Info: engine.WorkerInfo{ID: "w1"}, Sequence: 2})
 		}, false},
 	} {
@@ -47,10 +47,10 @@
 				cfg: Config{ID: "agent", Worker: w}, log: log,
 				changed: make(chan struct{}), reportPending: make(chan struct{}, 1), endedIDs: map[engine.WorkerID]bool{},
 			}
-			c.Assert(a.Announce(context.Background(), Heartbeat{Info: engine.WorkerInfo{ID: "w1"}, Sequence: 1}), qt.IsNil)
+			c.Assert(a.HandleHeartbeat(context.Background(), Heartbeat{Info: engine.WorkerInfo{ID: "w1"}, Sequence: 1}), qt.IsNil)
 			tc.endIncarnation(a)
 			w.name = "w2"
-			c.Assert(a.Announce(context.Background(), Heartbeat{Info: engine.WorkerInfo{ID: "w2"}, Sequence: 1}), qt.IsNil)
+			c.Assert(a.HandleHeartbeat(context.Background(), Heartbeat{Info: engine.WorkerInfo{ID: "w2"}, Sequence: 1}), qt.IsNil)
 			reports := a.pendingReports()
 			c.Assert(reports, qt.HasLen, 2)
 			c.Check(reports[0].Worker.ID, qt.Equals, engine.WorkerID("w1"))
--- a/nodeagent/heartbeat.go
+++ b/nodeagent/heartbeat.go
@@ -7,10 +7,10 @@
 	"github.com/eelgrasshub/eelgrasshub/engine"
 )
 
-// Announce handles a worker's heartbeat. A heartbeat of another incarnation than the current
+// HandleHeartbeat handles a worker's heartbeat. A heartbeat of another incarnation than the current
 // one is accepted only if the worker itself confirms its identity, so a delayed heartbeat of an
 // ended incarnation has no effect.
-func (a *Agent) Announce(ctx context.Context, hb Heartbeat) error {
+func (a *Agent) HandleHeartbeat(ctx context.Context, hb Heartbeat) error {
 	a.counters.Announcements.Add(1)
 	hb.Info.Agent = a.cfg.ID
 	if a.updateCurrent(hb) {
@@ -109,12 +109,12 @@
 	return nil
 }
 
-// Leave handles a departure notice of the worker with the given name.
+// HandleDeparture handles a departure notice of the worker with the given name.
 //
 // A delayed notice may arrive after another incarnation has taken the name. To keep its runs
 // from being treated as ended, a notice of a named worker is ignored unless the worker has
 // announced before that it is draining.
-func (a *Agent) Leave(name string) {
+func (a *Agent) HandleDeparture(name string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.incarnation == nil || a.incarnation.info.CallName() != name {
--- a/nodeagent/name_reuse_test.go
+++ b/nodeagent/name_reuse_test.go
@@ -99,8 +99,8 @@
 		cfg: Config{ID: "agent", Worker: w, MaxLease: 6 * time.Second}, log: discardLogger(),
 		changed: make(chan struct{}), reportPending: make(chan struct{}, 1), endedIDs: map[engine.WorkerID]bool{},
 	}
-	c.Assert(a.Announce(context.Background(), newHeartbeat("w-1", 5)), qt.IsNil)
-	a.handleReply(a.pendingReports()[0], &link.ReportReply{Epoch: 3, Attached: true, Turn: engine.GenerationStep, Seen: 57}, now())
+	c.Assert(a.HandleHeartbeat(context.Background(), newHeartbeat("w-1", 5)), qt.IsNil)
+	a.handleReply(a.pendingReports()[0], &link.ReportReply{Epoch: 3, Attached: true, Generation: engine.GenerationStep, AckedEnds: 57}, now())
 	awaitGeneration(c, a, engine.GenerationStep)
 	return a, w
 }
@@ -126,7 +126,7 @@
 	a.poll(inc, 0)
 	c.Check(w.lastPoll().Fence.Compare(order.Fence), qt.Equals, 1)
 	c.Check(w.lastPoll().AckedEnds, qt.Equals, int64(0))
-	c.Assert(a.Announce(context.Background(), newHeartbeat("w-2", 1)), qt.IsNil)
+	c.Assert(a.HandleHeartbeat(context.Background(), newHeartbeat("w-2", 1)), qt.IsNil)
 	inc, _ = a.current()
 	a.poll(inc, 0)
 	c.Check(w.lastPoll().Fence.Compare(order.Fence), qt.Equals, 1)
@@ -143,7 +143,7 @@
 func TestHeartbeatOfEarlierIncarnationIgnored(t *testing.T) {
 	c := qt.New(t)
 	a, _ := startNameReusingAgent(c)
-	c.Assert(a.Announce(context.Background(), newHeartbeat("w-0", 99)), qt.IsNil)
+	c.Assert(a.HandleHeartbeat(context.Background(), newHeartbeat("w-0", 99)), qt.IsNil)
 	reports := a.pendingReports()
 	c.Assert(reports, qt.HasLen, 1)
 	c.Check(reports[0].Worker.ID, qt.Equals, engine.WorkerID("w-1"))
@@ -155,10 +155,10 @@
 	c := qt.New(t)
 	a, w := startNameReusingAgent(c)
 	w.restartAs("")
-	c.Check(a.Announce(context.Background(), newHeartbeat("w-2", 1)), qt.IsNotNil)
+	c.Check(a.HandleHeartbeat(context.Background(), newHeartbeat("w-2", 1)), qt.IsNotNil)
 	c.Check(a.pendingReports()[0].Worker.ID, qt.Equals, engine.WorkerID("w-1"))
 	w.restartAs("w-2")
-	c.Assert(a.Announce(context.Background(), newHeartbeat("w-2", 2)), qt.IsNil)
+	c.Assert(a.HandleHeartbeat(context.Background(), newHeartbeat("w-2", 2)), qt.IsNil)
 	c.Check(a.pendingReports()[1].Worker.ID, qt.Equals, engine.WorkerID("w-2"))
 }
 
@@ -167,12 +167,12 @@
 func TestDepartureOfEarlierIncarnationIgnored(t *testing.T) {
 	c := qt.New(t)
 	a, _ := startNameReusingAgent(c)
-	a.Leave("w")
+	a.HandleDeparture("w")
 	c.Check(a.pendingReports()[0].Terminated, qt.IsFalse)
 	draining := newHeartbeat("w-1", 6)
 	draining.Draining, draining.Remaining = true, time.Second
-	c.Assert(a.Announce(context.Background(), draining), qt.IsNil)
-	a.Leave("w")
+	c.Assert(a.HandleHeartbeat(context.Background(), draining), qt.IsNil)
+	a.HandleDeparture("w")
 	c.Check(a.pendingReports()[0].Terminated, qt.IsTrue)
 }
 
@@ -182,7 +182,7 @@
 	c := qt.New(t)
 	a, w := startNameReusingAgent(c)
 	w.restartAs("w-2")
-	c.Assert(a.Announce(context.Background(), newHeartbeat("w-2", 1)), qt.IsNil)
+	c.Assert(a.HandleHeartbeat(context.Background(), newHeartbeat("w-2", 1)), qt.IsNil)
 	ended := []engine.RunEnd{{Sequence: 1, Run: workload.RunID{Number: 2}, Reason: engine.EndDone}}
 	w.setEnded(ended)
 	inc, _ := a.current()
@@ -190,7 +190,7 @@
 	report := a.pendingReports()[1]
 	c.Check(report.Ended, qt.DeepEquals, ended)
 	a.handleReply(a.pendingReports()[0], &link.ReportReply{Epoch: 3}, now())
-	a.handleReply(report, &link.ReportReply{Epoch: 3, Attached: true, Turn: 3 * engine.GenerationStep, Seen: 1}, now())
+	a.handleReply(report, &link.ReportReply{Epoch: 3, Attached: true, Generation: 3 * engine.GenerationStep, AckedEnds: 1}, now())
 	awaitGeneration(c, a, 3*engine.GenerationStep)
 	a.poll(inc, 0)
 	c.Check(w.ackingPolls(), qt.DeepEquals, []pollRecord{
@@ -209,7 +209,7 @@
 	a.mu.Lock()
 	a.incarnation.recordedEnds = 58 // recorded, and not acknowledged yet
 	a.mu.Unlock()
-	c.Assert(a.Announce(context.Background(), newHeartbeat("w-2", 1)), qt.IsNil)
+	c.Assert(a.HandleHeartbeat(context.Background(), newHeartbeat("w-2", 1)), qt.IsNil)
 	c.Check(w.lastPoll().Fence.Compare(engine.Fence{Epoch: 3, Generation: engine.GenerationStep}), qt.Equals, 1)
 	c.Check(w.ackingPolls(), qt.DeepEquals, acksBefore)
 }
--- a/nodeagent/orders.go
+++ b/nodeagent/orders.go
@@ -19,7 +19,7 @@
 	if !ok {
 		return nil, wire.NotRun(eris.Errorf("unexpected message %T", msg))
 	}
-	starts, err := orders.StartOrders()
+	starts, err := orders.DecodeStarts()
 	if err != nil {
 		return nil, wire.NotRun(err)
 	}
--- a/nodeagent/planner_finder.go
+++ b/nodeagent/planner_finder.go
@@ -126,7 +126,7 @@
 }
 
 func (f *plannerFinder) queryGateway(ctx context.Context, address string) *link.PeerReply {
-	raw, err := f.pool.Call(ctx, address, &link.Peer{})
+	raw, err := f.pool.Call(ctx, address, &link.PeerQuery{})
 	if err != nil {
 		return nil
 	}
--- a/nodeagent/report.go
+++ b/nodeagent/report.go
@@ -125,18 +125,18 @@
 		return
 	}
 	inc.clearReported(r)
-	if inc.raiseFence(engine.Fence{Epoch: reply.Epoch, Generation: reply.Turn}) {
+	if inc.raiseFence(engine.Fence{Epoch: reply.Epoch, Generation: reply.Generation}) {
 		a.pollNow() // only a poll under the new fence counts
 	}
-	inc.pollOften = reply.Closely
+	inc.pollOften = reply.PollOften
 	if reply.Attached {
 		a.grantedUntil = max(a.grantedUntil, sentAt+a.cfg.MaxLease)
 		if inc.claimExtraPoll(now()) {
 			a.pollNow() // after a gap, the poll in progress may end too late to renew the lease
 		}
 	}
-	if reply.Seen > inc.recordedEnds {
-		inc.recordedEnds = reply.Seen
+	if reply.AckedEnds > inc.recordedEnds {
+		inc.recordedEnds = reply.AckedEnds
 	}
 }
 
--- a/nodeagent/unresponsive_test.go
+++ b/nodeagent/unresponsive_test.go
@@ -64,7 +64,7 @@
 		defer cancel()
 		_ = a.Stop(ctx)
 	}()
-	c.Assert(a.Announce(context.Background(), Heartbeat{Info: engine.WorkerInfo{ID: "w"}, Sequence: 1}), qt.IsNil)
+	c.Assert(a.HandleHeartbeat(context.Background(), Heartbeat{Info: engine.WorkerInfo{ID: "w"}, Sequence: 1}), qt.IsNil)
 	for deadline := time.Now().Add(5 * time.Second); reports.Load() < 3 && time.Now().Before(deadline); {
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/records/archive_test.go
+++ b/records/archive_test.go
@@ -80,7 +80,7 @@
 	other := newJob("j1")
 	other.Account = "another"
 	outcome, _ = jobs.Submit(ctx, other)
-	c.Check(outcome, qt.Equals, link.OutcomeMismatch)
+	c.Check(outcome, qt.Equals, link.OutcomeIDConflict)
 	c.Check(srv.Keys("workloads/in/"), qt.HasLen, 0)
 }
 
@@ -89,7 +89,7 @@
 func TestDelayedSubmissionDoesNotRecreateArchivedJob(t *testing.T) {
 	c, srv, kv := openStore(t)
 	const late = 500 * time.Millisecond
-	srv.SetFaults(standin.StoreFaults{LateWrites: late})
+	srv.SetFaults(standin.StoreFaults{DelayWrites: late})
 	ctx, cancel := context.WithTimeout(context.Background(), late/2)
 	outcome, _ := records.NewJobStore(kv).Submit(ctx, newJob("j1"))
 	cancel()
@@ -113,6 +113,6 @@
 	c.Assert(err, qt.IsNil)
 	c.Check(ok, qt.IsFalse)
 	c.Check(jobs.Cancel(ctx, "q", "j1"), qt.Equals, link.OutcomeStored)
-	c.Check(jobs.Cancel(ctx, "other", "j1"), qt.Equals, link.OutcomeAbsent)
+	c.Check(jobs.Cancel(ctx, "other", "j1"), qt.Equals, link.OutcomeJobNotFound)
 	c.Check(srv.Keys("workloads/in/"), qt.HasLen, 0)
 }
--- a/records/job_store.go
+++ b/records/job_store.go
@@ -31,14 +31,14 @@
 // Submit stores a job durably and returns the revision of its record, or 0 if it has already
 // ended. A repeated call for the same ID finds the first submission. If the reply to a write is
 // lost, Submit retries until ctx ends to learn the outcome.
-func (js *JobStore) Submit(ctx context.Context, job *workload.Job) (link.Outcome, store.Revision) {
+func (js *JobStore) Submit(ctx context.Context, job *workload.Job) (link.WriteOutcome, store.Revision) {
 	value, err := json.Marshal(job)
 	if err != nil {
-		return link.OutcomeNotDone, 0
+		return link.OutcomeNotStored, 0
 	}
 	existing, known, err := js.readBeforeWrite(ctx, jobKey(job.ID))
 	if err != nil {
-		return link.OutcomeNotDone, 0
+		return link.OutcomeNotStored, 0
 	}
 	if known {
 		return checkResubmission(job, existing), existing.Created
@@ -76,23 +76,23 @@
 
 // checkResubmission returns the outcome of a submission whose ID is already recorded, as a job
 // or as an outcome. Both encode the queue and the account alike.
-func checkResubmission(job *workload.Job, kv store.KeyValue) link.Outcome {
+func checkResubmission(job *workload.Job, kv store.KeyValue) link.WriteOutcome {
 	var recorded struct {
 		Queue   string `json:"queue"`
 		Account string `json:"account"`
 	}
 	if err := json.Unmarshal(kv.Value, &recorded); err != nil {
-		return link.OutcomeMismatch
+		return link.OutcomeIDConflict
 	}
 	if recorded.Queue != job.Queue || recorded.Account != job.Account {
-		return link.OutcomeMismatch
+		return link.OutcomeIDConflict
 	}
 	return link.OutcomeStored
 }
 
 // create creates a key under a condition on another key. If the key exists or the condition
 // does not hold, it returns the current state of both.
-func (js *JobStore) create(ctx context.Context, condition store.Condition, swap store.Swap) (outcome link.Outcome, revision store.Revision, current []store.KeyValue) {
+func (js *JobStore) create(ctx context.Context, condition store.Condition, swap store.Swap) (outcome link.WriteOutcome, revision store.Revision, current []store.KeyValue) {
 	mayBeApplied := false
 	for {
 		out, err := js.store.CommitIf(ctx, []store.Condition{condition}, []store.Swap{swap})
@@ -100,13 +100,13 @@
 		case err == nil && out.Committed:
 			return link.OutcomeStored, out.Revision, nil
 		case err == nil && createPrecluded(out.Current, condition, swap):
-			return link.OutcomeNotDone, 0, out.Current
+			return link.OutcomeNotStored, 0, out.Current
 		case err == nil:
 			// Not committed although both keys are as expected: they changed in between. Retry.
 		case eris.Is(err, store.ErrOutcomeUnknown):
 			mayBeApplied = true
 		case !mayBeApplied:
-			return link.OutcomeNotDone, 0, nil
+			return link.OutcomeNotStored, 0, nil
 		}
 		select {
 		case <-time.After(resolveRetryDelay):
@@ -131,18 +131,18 @@
 
 // Cancel stores a cancellation durably if the job exists and belongs to the queue. Cancelling a
 // job that has ended has no effect.
-func (js *JobStore) Cancel(ctx context.Context, queue string, id workload.JobID) link.Outcome {
+func (js *JobStore) Cancel(ctx context.Context, queue string, id workload.JobID) link.WriteOutcome {
 	for {
 		kv, ok, err := js.store.Get(ctx, jobKey(id))
 		if err != nil {
-			return link.OutcomeNotDone
+			return link.OutcomeNotStored
 		}
 		if !ok {
 			return js.cancelArchived(ctx, queue, id)
 		}
 		var j workload.Job
 		if err := json.Unmarshal(kv.Value, &j); err != nil || j.Queue != queue {
-			return link.OutcomeAbsent
+			return link.OutcomeJobNotFound
 		}
 		jobUnchanged := store.Condition{Key: jobKey(id), Revision: kv.Mod}
 		outcome, _, current := js.create(ctx, jobUnchanged, store.Swap{Key: cancelKey(id), Value: []byte("1")})
@@ -157,13 +157,13 @@
 }
 
 // cancelArchived returns the outcome of cancelling a job that has no job record.
-func (js *JobStore) cancelArchived(ctx context.Context, queue string, id workload.JobID) link.Outcome {
+func (js *JobStore) cancelArchived(ctx context.Context, queue string, id workload.JobID) link.WriteOutcome {
 	outcome, ok, err := js.readOutcome(ctx, id)
 	switch {
 	case err != nil:
-		return link.OutcomeNotDone
+		return link.OutcomeNotStored
 	case !ok || outcome.Queue != queue:
-		return link.OutcomeAbsent
+		return link.OutcomeJobNotFound
 	}
 	return link.OutcomeStored
 }
--- a/records/planner_store_test.go
+++ b/records/planner_store_test.go
@@ -24,7 +24,7 @@
 	srv := standin.NewStore()
 	t.Cleanup(srv.Close)
 	srv.Put(epochKey, []byte("1"))
-	return qt.New(t), srv, platform.OpenStore(srv.Addr())
+	return qt.New(t), srv, platform.NewKVStore(srv.Addr())
 }
 
 func newPlannerStore(c *qt.C, kv *platform.KVStore) *records.PlannerStore {
@@ -58,7 +58,7 @@
 	jobs := records.NewJobStore(kv)
 	submit(c, jobs, "j1", "j2")
 	c.Assert(jobs.Cancel(ctx, "q", "j2"), qt.Equals, link.OutcomeStored)
-	c.Assert(jobs.Cancel(ctx, "q", "none"), qt.Equals, link.OutcomeAbsent)
+	c.Assert(jobs.Cancel(ctx, "q", "none"), qt.Equals, link.OutcomeJobNotFound)
 	planner := newPlannerStore(c, kv)
 	_, err := planner.Load(ctx, wall)
 	c.Assert(err, qt.IsNil)
@@ -100,7 +100,7 @@
 	ctx := context.Background()
 	planner := newPlannerStore(c, kv)
 	w := progressWrite("j1", 1, workload.Queued)
-	srv.SetFaults(standin.StoreFaults{LoseWrites: true})
+	srv.SetFaults(standin.StoreFaults{LoseWriteReplies: true})
 	c.Assert(planner.Write(ctx, w), qt.ErrorIs, store.ErrOutcomeUnknown)
 	srv.SetFaults(standin.StoreFaults{})
 	c.Assert(planner.Write(ctx, w), qt.IsNil)
@@ -122,10 +122,10 @@
 func TestSubmissionDuringOutageIsNotDone(t *testing.T) {
 	c, srv, kv := openStore(t)
 	jobs := records.NewJobStore(kv)
-	for _, faults := range []standin.StoreFaults{{Busy: true}, {Silent: true}} {
+	for _, faults := range []standin.StoreFaults{{Busy: true}, {Unresponsive: true}} {
 		srv.SetFaults(faults)
 		outcome, _ := jobs.Submit(context.Background(), newJob("j1"))
-		c.Check(outcome, qt.Equals, link.OutcomeNotDone)
+		c.Check(outcome, qt.Equals, link.OutcomeNotStored)
 	}
 	c.Check(srv.Writes(), qt.Equals, 0)
 }
@@ -135,7 +135,7 @@
 func TestSubmissionWithLostReply(t *testing.T) {
 	c, srv, kv := openStore(t)
 	jobs := records.NewJobStore(kv)
-	srv.SetFaults(standin.StoreFaults{LoseWrites: true})
+	srv.SetFaults(standin.StoreFaults{LoseWriteReplies: true})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	outcome, _ := jobs.Submit(ctx, newJob("j1"))
@@ -148,7 +148,7 @@
 	other := newJob("j1")
 	other.Account = "another"
 	outcome, _ = jobs.Submit(context.Background(), other)
-	c.Check(outcome, qt.Equals, link.OutcomeMismatch)
+	c.Check(outcome, qt.Equals, link.OutcomeIDConflict)
 }
 
 // Unreadable records must not keep a planner from loading the others. A job with unreadable
