--- a/entry/agents_sweep.go
+++ b/entry/agents_sweep.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// unusedAfter is how long a connection that this entry dialled to an agent stays
+// idleAgentConnTimeout is how long a connection that this entry dialled to an agent stays
 // open without a call. Agents that report by a relay are called now and then;
 // without this each of them would hold a connection here for good.
-const unusedAfter = time.Minute
+const idleAgentConnTimeout = time.Minute
 
-// sweep drops connections that have ended, and closes those dialled here that
+// closeIdle drops connections that have ended, and closes those dialled here that
 // had no call for long. Calls in progress end first.
-func (a *agents) sweep(now time.Time) {
+func (a *agentConns) closeIdle(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for id, c := range a.conns {
@@ -22,9 +22,9 @@
 		default:
 		}
 	}
-	for addr, used := range a.dialed {
-		if now.Sub(used) > unusedAfter {
-			delete(a.dialed, addr)
+	for addr, used := range a.lastDialedUse {
+		if now.Sub(used) > idleAgentConnTimeout {
+			delete(a.lastDialedUse, addr)
 			go func() { _ = a.pool.Release(context.Background(), addr) }() // ends with the connection at the latest
 		}
 	}
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -13,55 +13,55 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// keyLife is for how long an idempotency key is remembered.
-const keyLife = 24 * time.Hour
+// idempotencyKeyTTL is for how long an idempotency key is remembered.
+const idempotencyKeyTTL = 24 * time.Hour
 
-// claims keeps which attempt owns an idempotency key, in the platform's store.
+// claimStore keeps which attempt owns an idempotency key, in the platform's store.
 // It is safe for concurrent use.
-type claims struct {
-	prefix string // region
-	store  store.Store
-	swaps  jobs.Swapper
-	lease  *sharedLease
+type claimStore struct {
+	region  string // region
+	store   store.Store
+	swapper jobs.Swapper
+	lease   *sharedLease
 }
 
-// key returns the handle of the key of a call. One goroutine at a time uses it.
-func (c *claims) key(of *call) *claimKey {
-	return &claimKey{
+// handleFor returns the handle of the handleFor of a call. One goroutine at a time uses it.
+func (c *claimStore) handleFor(of *call) *claimHandle {
+	return &claimHandle{
 		claims: c,
-		key:    "claims/" + c.prefix + "/" + of.service + "/" + of.account + "/" + of.key,
+		key:    "claims/" + c.region + "/" + of.service + "/" + of.account + "/" + of.key,
 	}
 }
 
-// claimKey is one idempotency key with the revision at which its claim was last
+// claimHandle is one idempotency key with the revision at which its claim was last
 // seen.
-type claimKey struct {
-	claims *claims
-	key    string
-	rev    store.Revision
+type claimHandle struct {
+	claims   *claimStore
+	key      string
+	revision store.Revision
 }
 
-func (k *claimKey) write(ctx context.Context, c attempts.Claim) attempts.Claimed {
+func (k *claimHandle) write(ctx context.Context, c attempts.Claim) attempts.Claimed {
 	return k.swap(ctx, store.Swap{Key: k.key, Value: encodeClaim(c)})
 }
 
-func (k *claimKey) replace(ctx context.Context, old, next attempts.Claim) attempts.Claimed {
-	if r, ok := k.seen(ctx, old); !ok {
+func (k *claimHandle) replace(ctx context.Context, old, next attempts.Claim) attempts.Claimed {
+	if r, ok := k.verify(ctx, old); !ok {
 		return r
 	}
-	return k.swap(ctx, store.Swap{Key: k.key, Expect: k.rev, Value: encodeClaim(next)})
+	return k.swap(ctx, store.Swap{Key: k.key, Expect: k.revision, Value: encodeClaim(next)})
 }
 
-func (k *claimKey) release(ctx context.Context, c attempts.Claim) attempts.Claimed {
-	if r, ok := k.seen(ctx, c); !ok {
+func (k *claimHandle) release(ctx context.Context, c attempts.Claim) attempts.Claimed {
+	if r, ok := k.verify(ctx, c); !ok {
 		return r
 	}
-	return k.swap(ctx, store.Swap{Key: k.key, Expect: k.rev, Delete: true})
+	return k.swap(ctx, store.Swap{Key: k.key, Expect: k.revision, Delete: true})
 }
 
-// seen makes sure that rev is the revision at which the store held want. False:
+// verify makes sure that rev is the revision at which the store held want. False:
 // the store holds something else, and the result says what.
-func (k *claimKey) seen(ctx context.Context, want attempts.Claim) (attempts.Claimed, bool) {
+func (k *claimHandle) verify(ctx context.Context, want attempts.Claim) (attempts.Claimed, bool) {
 	kv, ok, err := k.claims.store.Get(ctx, k.key)
 	switch {
 	case err != nil:
@@ -69,13 +69,13 @@
 	case !ok:
 		return attempts.Claimed{Result: attempts.ClaimGone}, false
 	case !bytes.Equal(kv.Value, encodeClaim(want)):
-		return conflict(kv), false
+		return conflictResult(kv), false
 	}
-	k.rev = kv.Mod
+	k.revision = kv.Mod
 	return attempts.Claimed{}, true
 }
 
-func (k *claimKey) swap(ctx context.Context, s store.Swap) attempts.Claimed {
+func (k *claimHandle) swap(ctx context.Context, s store.Swap) attempts.Claimed {
 	if !s.Delete {
 		lease, err := k.claims.lease.Current(ctx)
 		if err != nil {
@@ -83,7 +83,7 @@
 		}
 		s.Lease = lease
 	}
-	res, err := k.claims.swaps.Swap(ctx, s)
+	res, err := k.claims.swapper.Swap(ctx, s)
 	switch {
 	case eris.Is(err, store.ErrLeaseNotFound):
 		k.claims.lease.Invalidate(s.Lease)
@@ -91,15 +91,15 @@
 	case err != nil || res.Unknown:
 		return attempts.Claimed{Result: attempts.ClaimUnavailable}
 	case res.Swapped:
-		k.rev = res.Current.Mod
+		k.revision = res.Current.Mod
 		return attempts.Claimed{Result: attempts.ClaimWritten}
 	case res.Current.Mod == 0:
 		return attempts.Claimed{Result: attempts.ClaimGone}
 	}
-	return conflict(res.Current)
+	return conflictResult(res.Current)
 }
 
-func conflict(kv store.KeyValue) attempts.Claimed {
+func conflictResult(kv store.KeyValue) attempts.Claimed {
 	var c attempts.Claim
 	if err := cbor.Unmarshal(kv.Value, &c); err != nil {
 		return attempts.Claimed{Result: attempts.ClaimUnavailable}
--- a/entry/delivery.go
+++ b/entry/delivery.go
@@ -14,20 +14,20 @@
 
 // delivery drives one attempts.Request. Its run method's goroutine owns it.
 type delivery struct {
-	d       *dispatcher
-	ctx     context.Context
-	call    *call
-	hop     int
-	req     *attempts.Request
-	claim   *claimKey
-	events  chan deliveryEvent
-	timer   *time.Timer
-	began   time.Time
-	sent    bool
-	reply   *wire.ExecuteReply // of the own attempt, if one came
-	lastErr error              // of sending it
-	mute    time.Time          // since when the agent answers no question
-	gaveUp  bool               // because it did so for resolvePatience
+	dispatcher        *dispatcher
+	ctx               context.Context
+	call              *call
+	attemptNumber     int
+	request           *attempts.Request
+	claimHandle       *claimHandle
+	events            chan deliveryEvent
+	timer             *time.Timer
+	startedAt         time.Time
+	sent              bool
+	reply             *wire.ExecuteReply // of the own attempt, if one came
+	lastErr           error              // of sending it
+	unresponsiveSince time.Time          // since when the agent answers no question
+	agentTimedOut     bool               // because it did so for resolvePatience
 }
 
 // deliveryEvent is an event for the Request, with what the router wants to know
@@ -36,35 +36,35 @@
 	attempts.Event
 	reply *wire.ExecuteReply
 	err   error
-	// unresolved is the attempt of which the agent could not be asked.
-	unresolved attempts.ID
+	// unresolvedAttempt is the attempt of which the agent could not be asked.
+	unresolvedAttempt attempts.ID
 }
 
 func (d *dispatcher) newDelivery(ctx context.Context, c *call, t routing.Ticket, hop int) *delivery {
 	now := d.now()
 	own := attempts.Claim{
-		ID:          d.once.newID(now, t.Incarnation),
+		ID:          d.attemptIssuer.newID(now, t.Incarnation),
 		Agent:       string(t.Target),
 		Fingerprint: fingerprint(c),
 	}
 	cfg := attempts.RequestConfig{
 		Keyed:      c.key != "",
-		First:      c.first,
+		First:      c.firstDelivery,
 		Deadline:   c.deadline,
-		Poll:       resolvePoll,
-		RetryAfter: comeBack,
+		Poll:       resolveInterval,
+		RetryAfter: defaultRetryAfter,
 		MaxAge:     attemptMaxAge,
 	}
 	return &delivery{
-		d:      d,
-		ctx:    ctx,
-		call:   c,
-		hop:    hop,
-		req:    attempts.NewRequest(cfg, own),
-		claim:  d.once.claims.key(c),
-		events: make(chan deliveryEvent, onceEvents),
-		timer:  time.NewTimer(time.Hour),
-		began:  now,
+		dispatcher:    d,
+		ctx:           ctx,
+		call:          c,
+		attemptNumber: hop,
+		request:       attempts.NewRequest(cfg, own),
+		claimHandle:   d.attemptIssuer.claims.handleFor(c),
+		events:        make(chan deliveryEvent, deliveryEventBuffer),
+		timer:         time.NewTimer(time.Hour),
+		startedAt:     now,
 	}
 }
 
@@ -84,45 +84,45 @@
 // being released must be released.
 func (v *delivery) run() attempts.Finished {
 	defer v.timer.Stop()
-	actions := v.req.Step(v.d.now(), attempts.Go{})
+	actions := v.request.Step(v.dispatcher.now(), attempts.Go{})
 	for {
 		for _, a := range actions {
 			if end, ok := a.(attempts.Finished); ok {
 				return end
 			}
-			v.do(a)
+			v.perform(a)
 		}
 		select {
 		case ev := <-v.events:
-			v.note(ev)
-			actions = v.req.Step(v.d.now(), v.patience(ev))
+			v.recordReply(ev)
+			actions = v.request.Step(v.dispatcher.now(), v.checkAgentTimeout(ev))
 		case <-v.timer.C:
-			actions = v.req.Step(v.d.now(), attempts.Wake{})
+			actions = v.request.Step(v.dispatcher.now(), attempts.Wake{})
 		}
 	}
 }
 
-func (v *delivery) do(a attempts.Action) {
+func (v *delivery) perform(a attempts.Action) {
 	switch a := a.(type) {
 	case attempts.WriteClaim:
-		go v.emitClaim(func(ctx context.Context) attempts.Claimed {
-			return v.claim.write(ctx, a.Claim)
+		go v.emitClaimResult(func(ctx context.Context) attempts.Claimed {
+			return v.claimHandle.write(ctx, a.Claim)
 		})
 	case attempts.ReplaceClaim:
-		go v.emitClaim(func(ctx context.Context) attempts.Claimed {
-			return v.claim.replace(ctx, a.Old, a.New)
+		go v.emitClaimResult(func(ctx context.Context) attempts.Claimed {
+			return v.claimHandle.replace(ctx, a.Old, a.New)
 		})
 	case attempts.ReleaseClaim:
-		go v.emitClaim(func(ctx context.Context) attempts.Claimed {
-			return v.claim.release(ctx, a.Claim)
+		go v.emitClaimResult(func(ctx context.Context) attempts.Claimed {
+			return v.claimHandle.release(ctx, a.Claim)
 		})
 	case attempts.SendBegin:
 		v.sent = true
-		go v.begin(a.Claim)
+		go v.sendAttempt(a.Claim)
 	case attempts.SendResolve:
-		go v.resolve(a.Claim)
+		go v.sendResolve(a.Claim)
 	case attempts.WakeAt:
-		v.timer.Reset(a.At.Sub(v.d.now()))
+		v.timer.Reset(a.At.Sub(v.dispatcher.now()))
 	}
 }
 
@@ -135,13 +135,13 @@
 	}
 }
 
-func (v *delivery) emitClaim(f func(context.Context) attempts.Claimed) {
+func (v *delivery) emitClaimResult(f func(context.Context) attempts.Claimed) {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(v.ctx), v.call.deadline)
 	defer cancel()
 	v.emit(deliveryEvent{Event: f(ctx)})
 }
 
-func (v *delivery) note(ev deliveryEvent) {
+func (v *delivery) recordReply(ev deliveryEvent) {
 	if ev.reply != nil {
 		v.reply = ev.reply
 	}
@@ -150,20 +150,20 @@
 	}
 }
 
-// patience turns a question that could not be asked into the end of the
+// checkAgentTimeout turns a question that could not be asked into the end of the
 // delivery, once that has lasted too long.
-func (v *delivery) patience(ev deliveryEvent) attempts.Event {
-	if ev.unresolved == (attempts.ID{}) {
-		v.mute = time.Time{}
+func (v *delivery) checkAgentTimeout(ev deliveryEvent) attempts.Event {
+	if ev.unresolvedAttempt == (attempts.ID{}) {
+		v.unresponsiveSince = time.Time{}
 		return ev.Event
 	}
-	now := v.d.now()
-	if v.mute.IsZero() {
-		v.mute = now
+	now := v.dispatcher.now()
+	if v.unresponsiveSince.IsZero() {
+		v.unresponsiveSince = now
 	}
-	if now.Sub(v.mute) < resolvePatience {
+	if now.Sub(v.unresponsiveSince) < unresponsiveAgentTimeout {
 		return attempts.Wake{}
 	}
-	v.gaveUp = true
-	return attempts.Resolved{ID: ev.unresolved, Status: attempts.StatusUnknown}
+	v.agentTimedOut = true
+	return attempts.Resolved{ID: ev.unresolvedAttempt, Status: attempts.StatusUnknown}
 }
--- a/entry/delivery_outcome.go
+++ b/entry/delivery_outcome.go
@@ -8,10 +8,10 @@
 	"github.com/eelgrasshub/eelgrasshub/routing"
 )
 
-// outcome tells the router how the own attempt went. Where another delivery's
+// routingOutcome tells the router how the own attempt went. Where another delivery's
 // answer was waited for, nothing was learnt about the target picked.
-func (v *delivery) outcome(ctx context.Context) routing.Outcome {
-	took := v.d.now().Sub(v.began)
+func (v *delivery) routingOutcome(ctx context.Context) routing.Outcome {
+	took := v.dispatcher.now().Sub(v.startedAt)
 	if !v.sent || (v.reply == nil && v.lastErr == nil) {
 		return routing.Outcome{Kind: routing.Abandoned, Latency: took}
 	}
@@ -21,27 +21,27 @@
 // problem is what the caller hears of a delivery that is not done.
 func (v *delivery) problem(end attempts.Finished) *api.Problem {
 	if end.Outcome == attempts.NotRun {
-		return v.notRun(end)
+		return v.notRunProblem(end)
 	}
 	p := unknownProblem(end)
 	p.RetryAfter = end.RetryAfter
-	if v.gaveUp && v.call.key != "" {
-		p.RetryAfter = comeBack // the agent may be reached again, and the claim names it
+	if v.agentTimedOut && v.call.key != "" {
+		p.RetryAfter = defaultRetryAfter // the agent may be reached again, and the claim names it
 	}
 	return p
 }
 
-func (v *delivery) notRun(end attempts.Finished) *api.Problem {
+func (v *delivery) notRunProblem(end attempts.Finished) *api.Problem {
 	switch end.Reason {
 	case attempts.ReasonStore:
-		return api.Busy(api.ReasonStoreDown, "the platform's store could not be asked whether the key was used before", after(end.RetryAfter))
+		return api.Busy(api.ReasonStoreDown, "the platform's store could not be asked whether the key was used before", retryAfterOrDefault(end.RetryAfter))
 	case attempts.ReasonDeadline:
 		return api.NewProblem(api.ReasonDeadline, "the deadline passed before the start")
 	case attempts.ReasonKeyReused:
 		return api.NewProblem(api.ReasonKeyReused, "the key belongs to a request with another content")
 	}
 	if v.reply == nil && v.lastErr == nil {
-		return api.Busy(api.ReasonRefused, "the attempt was proved not to have run", after(end.RetryAfter))
+		return api.Busy(api.ReasonRefused, "the attempt was proved not to have run", retryAfterOrDefault(end.RetryAfter))
 	}
 	return attemptProblem(v.reply, v.lastErr, false)
 }
--- a/entry/delivery_send.go
+++ b/entry/delivery_send.go
@@ -10,11 +10,11 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// begin sends the attempt. The end of the caller's connection withdraws it
+// sendAttempt sends the attempt. The end of the caller's connection withdraws it
 // where it is still queued; the agent runs on what it has started.
-func (v *delivery) begin(c attempts.Claim) {
-	msg := v.call.execute(c.ID.String(), v.hop, v.d.now())
-	got, err := v.d.agents.call(v.ctx, c.Agent, msg, pathOf(v.hop))
+func (v *delivery) sendAttempt(c attempts.Claim) {
+	msg := v.call.executeMessage(c.ID.String(), v.attemptNumber, v.dispatcher.now())
+	got, err := v.dispatcher.agents.call(v.ctx, c.Agent, msg, connCheckFor(v.attemptNumber))
 	reply, _ := got.(*wire.ExecuteReply)
 	ev := deliveryEvent{reply: reply, err: err}
 	switch {
@@ -23,12 +23,12 @@
 	case err != nil || reply == nil:
 		ev.Event = attempts.ConnectionLost{ID: c.ID}
 	default:
-		ev.Event = begunOf(c.ID, reply)
+		ev.Event = begunEvent(c.ID, reply)
 	}
 	v.emit(ev)
 }
 
-func begunOf(id attempts.ID, r *wire.ExecuteReply) attempts.Begun {
+func begunEvent(id attempts.ID, r *wire.ExecuteReply) attempts.Begun {
 	b := attempts.Begun{ID: id}
 	switch {
 	case r.Outcome == wire.OutcomeDone:
@@ -45,23 +45,23 @@
 	return b
 }
 
-func (v *delivery) resolve(c attempts.Claim) {
+func (v *delivery) sendResolve(c attempts.Claim) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(v.ctx), resolveTimeout)
 	defer cancel()
-	got, err := v.d.agents.call(ctx, c.Agent, &wire.Resolve{
+	got, err := v.dispatcher.agents.call(ctx, c.Agent, &wire.Resolve{
 		Attempt:     c.ID.String(),
 		Incarnation: c.ID.Incarnation,
-		Wait:        resolveHold,
-	}, provedPath)
+		Wait:        resolveWait,
+	}, verifiedConn)
 	reply, ok := got.(*wire.ResolveReply)
 	if err != nil || !ok {
-		v.emit(deliveryEvent{unresolved: c.ID}) // asked again at the next poll
+		v.emit(deliveryEvent{unresolvedAttempt: c.ID}) // asked again at the next poll
 		return
 	}
-	v.emit(deliveryEvent{Event: resolvedOf(c.ID, reply)})
+	v.emit(deliveryEvent{Event: resolvedEvent(c.ID, reply)})
 }
 
-func resolvedOf(id attempts.ID, r *wire.ResolveReply) attempts.Resolved {
+func resolvedEvent(id attempts.ID, r *wire.ResolveReply) attempts.Resolved {
 	ev := attempts.Resolved{ID: id}
 	switch {
 	case r.State == wire.AttemptNotRun:
--- a/entry/dispatcher.go
+++ b/entry/dispatcher.go
@@ -17,15 +17,15 @@
 
 // call is one quick request on its way through this entry.
 type call struct {
-	id       string
-	service  string
-	account  string
-	class    string
-	key      string // idempotency key, empty for none
-	first    bool   // the caller vouches for the first delivery under the key
-	repeat   bool
-	retries  int // attempts after one that may have run
-	deadline time.Time
+	id            string
+	service       string
+	account       string
+	class         string
+	key           string // idempotency key, empty for none
+	firstDelivery bool   // the caller vouches for the first delivery under the key
+	repeatable    bool
+	retries       int // attempts after one that may have run
+	deadline      time.Time
 
 	method string
 	path   string
@@ -34,8 +34,8 @@
 	body   []byte
 }
 
-// execute is the message for one attempt.
-func (c *call) execute(attempt string, hop int, now time.Time) *wire.Execute {
+// executeMessage is the message for one attempt.
+func (c *call) executeMessage(attempt string, hop int, now time.Time) *wire.Execute {
 	return &wire.Execute{
 		Attempt:    attempt,
 		Request:    c.id,
@@ -43,7 +43,7 @@
 		Account:    c.account,
 		Class:      c.class,
 		Remaining:  c.deadline.Sub(now),
-		Repeatable: c.repeat,
+		Repeatable: c.repeatable,
 		Method:     c.method,
 		Path:       c.path,
 		Query:      c.query,
@@ -53,25 +53,25 @@
 	}
 }
 
-// query describes the next attempt to the router.
-func (d *dispatcher) query(c *call, attempt int, tried []routing.TargetID) routing.Query {
+// routingQuery describes the next attempt to the router.
+func (d *dispatcher) routingQuery(c *call, attempt int, tried []routing.TargetID) routing.Query {
 	return routing.Query{
 		Account:  c.account,
 		Attempt:  attempt,
 		Exclude:  tried,
 		Deadline: c.deadline,
-		Once:     !c.repeat,
+		Once:     !c.repeatable,
 		Weight:   (*d.weights.Load())[c.account],
 	}
 }
 
 // dispatcher sends the quick requests of one service to targets.
 type dispatcher struct {
-	router *routing.Router
-	agents *agents
-	once   *onceRunner
-	now    func() time.Time
-	count  func(c metrics.Counter, n int64)
+	router        *routing.Router
+	agents        *agentConns
+	attemptIssuer *attemptIssuer
+	now           func() time.Time
+	count         func(c metrics.Counter, n int64)
 
 	// weights is each account's over the mean, by the document in force.
 	weights atomic.Pointer[map[string]float64]
@@ -89,15 +89,15 @@
 func (d *dispatcher) do(ctx context.Context, c *call) (*wire.ExecuteReply, *api.Problem) {
 	ctx, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
-	if c.repeat {
-		return d.repeatable(ctx, c)
+	if c.repeatable {
+		return d.doRepeatable(ctx, c)
 	}
-	return d.onlyOnce(ctx, c)
+	return d.doNonRepeatable(ctx, c)
 }
 
-// repeatable tries targets until one answers, the retry budget refuses or the
+// doRepeatable tries targets until one answers, the retry budget refuses or the
 // deadline passes.
-func (d *dispatcher) repeatable(ctx context.Context, c *call) (*wire.ExecuteReply, *api.Problem) {
+func (d *dispatcher) doRepeatable(ctx context.Context, c *call) (*wire.ExecuteReply, *api.Problem) {
 	var tried []routing.TargetID
 	maybeRan := 0
 	for attempt := 0; ; attempt++ {
@@ -109,20 +109,20 @@
 		if err == nil && reply.Outcome == wire.OutcomeDone {
 			return reply, nil
 		}
-		if ran(reply, err) {
+		if mayHaveRun(reply, err) {
 			maybeRan++
 		}
 		if maybeRan > c.retries || ctx.Err() != nil || !d.router.Retry(d.now(), c.account) {
-			return nil, d.refusal(c, attemptProblem(reply, err, maybeRan > 0))
+			return nil, d.raiseRetryAfter(c, attemptProblem(reply, err, maybeRan > 0))
 		}
 		d.count(metrics.RequestsRetried, 1)
 		tried = append(tried, ticket.Target)
 	}
 }
 
-// refusal spaces the return of what was refused for good, so that callers that
+// raiseRetryAfter spaces the return of what was refused for good, so that callers that
 // were refused together don't come back together.
-func (d *dispatcher) refusal(c *call, p *api.Problem) *api.Problem {
+func (d *dispatcher) raiseRetryAfter(c *call, p *api.Problem) *api.Problem {
 	if p.RetryAfter > 0 {
 		p.RetryAfter = max(p.RetryAfter, d.router.RetryAfter(c.account))
 	}
@@ -132,8 +132,8 @@
 // attempt makes one attempt and tells the router how it went.
 func (d *dispatcher) attempt(ctx context.Context, t routing.Ticket, c *call, n int) (*wire.ExecuteReply, error) {
 	began := d.now()
-	msg := c.execute(c.id, n, began)
-	got, err := d.agents.call(ctx, string(t.Target), msg, pathOf(n))
+	msg := c.executeMessage(c.id, n, began)
+	got, err := d.agents.call(ctx, string(t.Target), msg, connCheckFor(n))
 	reply, _ := got.(*wire.ExecuteReply)
 	if err == nil && reply == nil {
 		err = errBadReply
@@ -142,18 +142,18 @@
 	return reply, err
 }
 
-// pathOf is the path for the n-th attempt of a request, from 0.
-func pathOf(n int) path {
+// connCheckFor is the path for the n-th attempt of a request, from 0.
+func connCheckFor(n int) connCheck {
 	if n == 0 {
-		return anyPath
+		return anyConn
 	}
-	return provedPath
+	return verifiedConn
 }
 
 var errBadReply = &wire.CallError{Outcome: wire.ErrOutcomeUnknown, Cause: wire.ErrMalformed}
 
-// ran says whether the attempt may have run.
-func ran(reply *wire.ExecuteReply, err error) bool {
+// mayHaveRun says whether the attempt may have run.
+func mayHaveRun(reply *wire.ExecuteReply, err error) bool {
 	if err != nil {
 		return !errors.Is(err, wire.ErrNotSent)
 	}
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -9,29 +9,29 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// exchangeBytes bounds the documents in one answer to a peer.
-const exchangeBytes = 4 << 20
+// maxExchangeBytes bounds the documents in one answer to a peer.
+const maxExchangeBytes = 4 << 20
 
-// documentChanged puts a new generation to work: for the planner duty, and at
+// applyDocument puts a new generation to work: for the planner duty, and at
 // every agent of the service. It must not block.
-func (e *Entry) documentChanged(_, now *document.Held) {
+func (e *Entry) applyDocument(_, now *document.Held) {
 	e.log.WithField("service", now.Version.Service).WithField("generation", now.Version.Generation).Info("document in force")
 	e.metrics.Add(metrics.DocumentsApplied, 1)
-	e.dispatcher(now.Version.Service).obey(now.Document)
-	e.duties.setDocument(now)
-	e.members.route(now.Version.Service)
+	e.dispatcher(now.Version.Service).applyDocument(now.Document)
+	e.elections.setDocument(now)
+	e.members.updateRouter(now.Version.Service)
 	e.members.publish(now.Version)
 }
 
 // peersChanged tells the agents which entries there are, and the watcher whom to
 // ask when the store is out.
-func (e *Entry) peersChanged(others []peerEntry) {
-	e.setNews(others)
+func (e *Entry) peersChanged(others []entryRecord) {
+	e.updateSharedAck(others)
 	e.watcher.SetPeers(e.peerAddrs(others))
 }
 
 // peerAddrs are the addresses of the entries in the settings and the registry.
-func (e *Entry) peerAddrs(others []peerEntry) []string {
+func (e *Entry) peerAddrs(others []entryRecord) []string {
 	addrs := append([]string{}, e.cfg.Peers...)
 	for _, p := range others {
 		if !slices.Contains(addrs, p.Address) {
@@ -44,7 +44,7 @@
 // askPeer implements document.Ask: it sends another entry what this one has, and
 // takes what that one has more.
 func (e *Entry) askPeer(ctx context.Context, peer string, _ []document.Summary) (document.PeerAnswered, error) {
-	got, err := e.pool.Call(ctx, peer, &wire.Fetch{Have: e.docs.Generations()})
+	got, err := e.pool.Call(ctx, peer, &wire.Fetch{Have: e.documents.Generations()})
 	if err != nil {
 		return document.PeerAnswered{}, err
 	}
@@ -60,12 +60,12 @@
 	}, nil
 }
 
-// fetch serves askPeer of another entry.
-func (e *Entry) fetch(m *wire.Fetch) *wire.FetchReply {
-	ready := e.unconfirmed() == nil
+// answerFetch serves askPeer of another entry.
+func (e *Entry) answerFetch(m *wire.Fetch) *wire.FetchReply {
+	ready := e.checkConfirmed() == nil
 	return &wire.FetchReply{
 		Ready:       ready,
-		Generations: e.docs.Generations(),
-		Versions:    e.docs.Newer(m.Have, exchangeBytes),
+		Generations: e.documents.Generations(),
+		Versions:    e.documents.Newer(m.Have, maxExchangeBytes),
 	}
 }
--- a/entry/elections.go
+++ b/entry/elections.go
@@ -13,47 +13,47 @@
 	"github.com/eelgrasshub/eelgrasshub/planner"
 )
 
-// candidacyPause is the time between the candidacies of one entry for two services.
-const candidacyPause = 10 * time.Millisecond
+// candidacyStagger is the time between the candidacies of one entry for two services.
+const candidacyStagger = 10 * time.Millisecond
 
-// duties competes for the planner duty of every service that has a document,
+// elections competes for the planner duty of every service that has a document,
 // and runs a planner for each one it gains. It is safe for concurrent use.
 //
-// All duties are held under the one lease of the entry's session.
+// All elections are held under the one lease of the entry's session.
 //
 // A planner is not stopped when its lease lapses: in an outage of the store
 // every lease does, and without a planner the gangs of several members would
 // stop by isolation. Agents and job records refuse whatever it should no longer
 // do; it ends when it learns of a successor.
-type duties struct {
-	e *Entry
+type elections struct {
+	entry *Entry
 
 	mu       sync.Mutex
-	services map[string]*duty
+	services map[string]*election
 	stopped  bool
 }
 
-// duty is the candidacy for one service.
-type duty struct {
-	service string
-	holder  *lease.Candidate
-	planner *planner.Planner
-	epoch   uint64
-	since   time.Time
-	offered time.Time // when it was last handed over
+// election is the candidacy for one service.
+type election struct {
+	service      string
+	holder       *lease.Candidate
+	planner      *planner.Planner
+	epoch        uint64
+	electedAt    time.Time
+	handedOverAt time.Time // when it was last handed over
 }
 
-func newDuties(e *Entry) *duties {
-	return &duties{e: e, services: make(map[string]*duty)}
+func newElections(e *Entry) *elections {
+	return &elections{entry: e, services: make(map[string]*election)}
 }
 
 // setDocument begins the candidacy for a service, or hands its planner the new
 // generation.
-func (d *duties) setDocument(h *document.Held) {
+func (d *elections) setDocument(h *document.Held) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	service := h.Version.Service
-	if d.stopped || !d.e.serves(service) {
+	if d.stopped || !d.entry.servesService(service) {
 		return
 	}
 	if du := d.services[service]; du != nil {
@@ -62,68 +62,68 @@
 		}
 		return
 	}
-	du := &duty{service: service}
+	du := &election{service: service}
 	d.services[service] = du
 	// A store with many services would get the calls of all candidacies in the
 	// moment of an entry's start.
-	time.AfterFunc(candidacyPause*time.Duration(len(d.services)-1), func() { d.compete(du) })
+	time.AfterFunc(candidacyStagger*time.Duration(len(d.services)-1), func() { d.start(du) })
 }
 
-// compete begins the candidacy.
-func (d *duties) compete(du *duty) {
+// start begins the candidacy.
+func (d *elections) start(du *election) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.stopped {
 		return
 	}
 	du.holder = lease.StartCandidate(lease.CandidateOptions{
-		Session:    d.e.session,
-		Election:   d.e.cfg.Region + "/" + du.service,
-		Instance:   d.e.cfg.ID,
-		ClaimDelay: func() time.Duration { return d.hesitate(du.service) },
-		OnChange:   func(held lease.Leadership, ok bool) { d.changed(du, held, ok) },
-		Log:        d.e.log,
+		Session:    d.entry.session,
+		Election:   d.entry.cfg.Region + "/" + du.service,
+		Instance:   d.entry.cfg.ID,
+		ClaimDelay: func() time.Duration { return d.candidacyDelay(du.service) },
+		OnChange:   func(held lease.Leadership, ok bool) { d.leadershipChanged(du, held, ok) },
+		Log:        d.entry.log,
 	})
 }
 
-// changed is called from the holder's goroutine and must not block.
-func (d *duties) changed(du *duty, held lease.Leadership, ok bool) {
+// leadershipChanged is called from the holder's goroutine and must not block.
+func (d *elections) leadershipChanged(du *election, held lease.Leadership, ok bool) {
 	if ok {
-		go d.gained(du, held.Epoch)
+		go d.elected(du, held.Epoch)
 	}
 }
 
-func (d *duties) gained(du *duty, epoch uint64) {
+func (d *elections) elected(du *election, epoch uint64) {
 	d.mu.Lock()
 	if d.stopped || epoch <= du.epoch {
 		d.mu.Unlock()
 		return
 	}
 	old := du.planner
-	du.planner, du.epoch, du.since = nil, epoch, time.Now()
+	du.planner, du.epoch, du.electedAt = nil, epoch, time.Now()
 	d.mu.Unlock()
 	if old != nil {
 		old.Stop()
 	}
-	d.begin(du, epoch)
+	d.startPlanner(du, epoch)
 }
 
-// begin starts the planner of a term and tells it of all agents known.
-func (d *duties) begin(du *duty, epoch uint64) {
-	held, ok := d.e.docs.Current(du.service)
+// startPlanner starts the planner of a term and tells it of all agents known.
+func (d *elections) startPlanner(du *election, epoch uint64) {
+	held, ok := d.entry.documents.Current(du.service)
 	if !ok {
 		return
 	}
 	p := planner.Start(planner.Config{
 		Service:   du.service,
 		Epoch:     epoch,
-		Store:     d.e.store,
-		Jobs:      d.e.jobs,
-		Agents:    gangCaller{d.e.agents},
-		Metrics:   d.e.metrics,
-		Log:       d.e.log.WithFields(logrus.Fields{"service": du.service, "epoch": epoch}),
+		Store:     d.entry.store,
+		Jobs:      d.entry.jobs,
+		Agents:    gangClient{d.entry.agents},
+		Metrics:   d.entry.metrics,
+		Log:       d.entry.log.WithFields(logrus.Fields{"service": du.service, "epoch": epoch}),
 		Document:  held,
-		Retention: d.e.retention,
+		Retention: d.entry.retention,
 	})
 	d.mu.Lock()
 	if d.stopped || du.epoch != epoch {
@@ -133,13 +133,13 @@
 	}
 	du.planner = p
 	d.mu.Unlock()
-	d.e.members.replay(du.service, p)
-	d.register()
-	go d.awaitEnd(du, p)
+	d.entry.members.replayReports(du.service, p)
+	d.updateRegistration()
+	go d.awaitPlannerEnd(du, p)
 }
 
-// awaitEnd drops a planner that found itself superseded.
-func (d *duties) awaitEnd(du *duty, p *planner.Planner) {
+// awaitPlannerEnd drops a planner that found itself superseded.
+func (d *elections) awaitPlannerEnd(du *election, p *planner.Planner) {
 	<-p.Done()
 	d.mu.Lock()
 	current := du.planner == p
@@ -156,24 +156,24 @@
 	if higher := p.SupersedingEpoch(); higher > 0 {
 		du.holder.ObserveEpoch(higher)
 	}
-	d.register()
+	d.updateRegistration()
 }
 
-// register tells the other entries which duties this one holds.
-func (d *duties) register() {
+// updateRegistration tells the other entries which duties this one holds.
+func (d *elections) updateRegistration() {
 	d.mu.Lock()
-	var held []heldDuty
+	var held []leadership
 	for _, du := range d.services {
 		if du.planner != nil {
-			held = append(held, heldDuty{Service: du.service, Epoch: du.epoch})
+			held = append(held, leadership{Service: du.service, Epoch: du.epoch})
 		}
 	}
 	d.mu.Unlock()
-	d.e.registry.setDuties(held)
+	d.entry.registry.setLeaderships(held)
 }
 
 // planner returns this entry's planner of the service, or nil.
-func (d *duties) planner(service string) *planner.Planner {
+func (d *elections) planner(service string) *planner.Planner {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if du := d.services[service]; du != nil {
@@ -182,21 +182,21 @@
 	return nil
 }
 
-// held lists the duties for the status page.
-func (d *duties) held() []api.Duty {
+// leaderships lists the duties for the status page.
+func (d *elections) leaderships() []api.Duty {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := []api.Duty{}
 	for _, du := range d.services {
 		if du.planner != nil {
-			out = append(out, api.Duty{Service: du.service, Region: d.e.cfg.Region, Epoch: du.epoch, Since: du.since})
+			out = append(out, api.Duty{Service: du.service, Region: d.entry.cfg.Region, Epoch: du.epoch, Since: du.electedAt})
 		}
 	}
 	return out
 }
 
-// status asks this entry's planner for a job.
-func (d *duties) status(ctx context.Context, service, id string) (api.JobStatus, bool) {
+// jobStatus asks this entry's planner for a job.
+func (d *elections) jobStatus(ctx context.Context, service, id string) (api.JobStatus, bool) {
 	p := d.planner(service)
 	if p == nil {
 		return api.JobStatus{}, false
@@ -205,26 +205,26 @@
 	if !ok {
 		return api.JobStatus{}, false
 	}
-	return liveStatus(s), true
+	return plannerStatus(s), true
 }
 
 // plannerAddr returns where the entry with the duty is reached, if that is
 // another one.
-func (d *duties) plannerAddr(service string) (string, bool) {
+func (d *elections) plannerAddr(service string) (string, bool) {
 	if d.planner(service) != nil {
 		return "", false
 	}
-	p, _, ok := d.e.registry.planner(service)
+	p, _, ok := d.entry.registry.planner(service)
 	return p.Address, ok
 }
 
-// resign hands all duties over: first the planner stops deciding, then the
+// resignAll hands all duties over: first the planner stops deciding, then the
 // lease is given back, and the next candidate goes on at once.
-func (d *duties) resign(ctx context.Context) {
-	d.e.registry.setLeaving()
+func (d *elections) resignAll(ctx context.Context) {
+	d.entry.registry.setLeaving()
 	d.mu.Lock()
 	d.stopped = true
-	var all []*duty
+	var all []*election
 	for _, du := range d.services {
 		all = append(all, du)
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -28,35 +28,35 @@
 	cfg         settings.Entry
 	log         *logrus.Entry
 	incarnation uint64
-	since       time.Time
-
-	t        tomb.Tomb
-	client   *store.Client // for duties, membership of entries and documents
-	work     *store.Client // for claims and jobs
-	store    store.Store   // is client
-	swaps    *store.Batcher
-	ep       *wire.Endpoint
-	pool     *wire.Pool
-	listener net.Listener
-	server   *http.Server
-
-	docs      *document.InForce
-	watcher   *document.Watcher
-	jobs      *jobs.Store
-	claims    *claims
-	retention *sharedLease
-	agents    *agents
-	members   *members
-	session   *lease.Session
-	registry  *registry
-	duties    *duties
-	metrics   *metrics.Set
-	once      *onceRunner
-	latest    atomic.Pointer[news]
-	draining  atomic.Bool
-	catching  atomic.Bool // a catchUp is under way
-	probe     storeProbe
-	started   chan struct{} // closed once all parts are there
+	startedAt   time.Time
+
+	tomb               tomb.Tomb
+	coordinationClient *store.Client // for duties, membership of entries and documents
+	workClient         *store.Client // for claims and jobs
+	store              store.Store   // is client
+	batcher            *store.Batcher
+	endpoint           *wire.Endpoint
+	pool               *wire.Pool
+	listener           net.Listener
+	server             *http.Server
+
+	documents     *document.InForce
+	watcher       *document.Watcher
+	jobs          *jobs.Store
+	claims        *claimStore
+	retention     *sharedLease
+	agents        *agentConns
+	members       *members
+	session       *lease.Session
+	registry      *registry
+	elections     *elections
+	metrics       *metrics.Set
+	attemptIssuer *attemptIssuer
+	sharedAck     atomic.Pointer[sharedAck]
+	draining      atomic.Bool
+	catchingUp    atomic.Bool // a catchUp is under way
+	storeProbe    storeProbe
+	started       chan struct{} // closed once all parts are there
 
 	mu          sync.RWMutex
 	dispatchers map[string]*dispatcher
@@ -68,42 +68,42 @@
 		cfg:         cfg,
 		log:         log.WithField("entry", cfg.ID),
 		incarnation: uint64(time.Now().UnixNano()),
-		since:       time.Now(),
-		agents:      newAgents(),
+		startedAt:   time.Now(),
+		agents:      newAgentConns(),
 		metrics:     metrics.New(0),
 		dispatchers: make(map[string]*dispatcher),
 		started:     make(chan struct{}),
 	}
-	e.openStore()
+	e.openStoreClients()
 	if err := e.listen(); err != nil {
-		e.swaps.Close()
+		e.batcher.Close()
 		return nil, err
 	}
-	e.run()
+	e.startComponents()
 	e.log.WithFields(logrus.Fields{
 		"http":        e.HTTPAddr(),
-		"quic":        e.ep.Addr(),
+		"quic":        e.endpoint.Addr(),
 		"incarnation": e.incarnation,
 	}).Info("entry started")
 	return e, nil
 }
 
-func (e *Entry) openStore() {
-	own := max(1, e.cfg.PlatformBudget/coordinationPart)
-	e.client = e.storeClient(own)
-	e.work = e.storeClient(e.cfg.PlatformBudget - own)
-	e.store = e.client
-	e.swaps = store.NewBatcher(e.work, 0)
-	e.jobs = jobs.NewStore(e.cfg.Region, e.work, e.swaps)
-	e.retention = newSharedLease(e.work, jobRetention)
-	e.claims = &claims{prefix: e.cfg.Region, store: e.work, swaps: e.swaps, lease: newSharedLease(e.work, keyLife)}
-	e.once = &onceRunner{claims: e.claims, process: e.incarnation}
+func (e *Entry) openStoreClients() {
+	own := max(1, e.cfg.PlatformBudget/coordinationDivisor)
+	e.coordinationClient = e.storeClient(own)
+	e.workClient = e.storeClient(e.cfg.PlatformBudget - own)
+	e.store = e.coordinationClient
+	e.batcher = store.NewBatcher(e.workClient, 0)
+	e.jobs = jobs.NewStore(e.cfg.Region, e.workClient, e.batcher)
+	e.retention = newSharedLease(e.workClient, jobRetention)
+	e.claims = &claimStore{region: e.cfg.Region, store: e.workClient, swapper: e.batcher, lease: newSharedLease(e.workClient, idempotencyKeyTTL)}
+	e.attemptIssuer = &attemptIssuer{claims: e.claims, entryIncarnation: e.incarnation}
 }
 
-// coordinationPart: one part in so many of the call budget is kept for what holds
+// coordinationDivisor: one part in so many of the call budget is kept for what holds
 // the entry together. In one budget, a burst of keyed requests uses up the calls
 // that renew the duties, and the planner changes in the middle of it.
-const coordinationPart = 2
+const coordinationDivisor = 2
 
 func (e *Entry) storeClient(budget int) *store.Client {
 	return store.NewClient(store.Options{
@@ -129,38 +129,38 @@
 		return err
 	}
 	transport := wire.Config{
-		Accepted:    e.agents.accepted,
-		BusyProbe:   busyProbe,
+		Accepted:    e.agents.onAccepted,
+		BusyProbe:   busyProbeDelay,
 		PingTimeout: pingTimeout,
 	}
-	e.ep, err = transport.Listen(e.cfg.QUICListen, id, wire.HandlerFunc(e.handle))
+	e.endpoint, err = transport.Listen(e.cfg.QUICListen, id, wire.HandlerFunc(e.handle))
 	if err != nil {
 		return err
 	}
-	e.pool = wire.NewPool(e.ep)
+	e.pool = wire.NewPool(e.endpoint)
 	e.agents.pool = e.pool
 	e.listener, err = net.Listen("tcp", e.cfg.HTTPListen)
 	if err != nil {
 		e.pool.Close()
-		_ = e.ep.Close()
+		_ = e.endpoint.Close()
 	}
 	return err
 }
 
-// A connection with calls outstanding that was silent for busyProbe is probed, and
+// A connection with calls outstanding that was silent for busyProbeDelay is probed, and
 // suspected when that stays unanswered for pingTimeout: a repeatable request is
 // then tried elsewhere. Both are far above a round trip within a region, and their
 // sum well below the deadlines of quick requests.
 const (
-	busyProbe   = 150 * time.Millisecond
-	pingTimeout = 250 * time.Millisecond
+	busyProbeDelay = 150 * time.Millisecond
+	pingTimeout    = 250 * time.Millisecond
 )
 
-// run starts everything that goes on beside requests.
-func (e *Entry) run() {
-	own := peerEntry{
+// startComponents starts everything that goes on beside requests.
+func (e *Entry) startComponents() {
+	own := entryRecord{
 		ID:          e.cfg.ID,
-		Address:     e.advertised(),
+		Address:     e.advertisedAddr(),
 		HTTP:        e.HTTPAddr(),
 		Zone:        e.cfg.Zone,
 		Incarnation: e.incarnation,
@@ -168,11 +168,11 @@
 	}
 	e.openSession()
 	e.registry = newRegistry(e.store, e.session, e.cfg.Region, own, e.log)
-	e.registry.changed = e.peersChanged
-	e.duties = newDuties(e)
+	e.registry.onChange = e.peersChanged
+	e.elections = newElections(e)
 	e.members = newMembers(e)
-	e.docs = document.NewInForce(e.documentChanged)
-	e.watcher = document.NewWatcher(e.store, e.askPeer, e.docs, document.DefaultFeederConfig(true), e.log)
+	e.documents = document.NewInForce(e.applyDocument)
+	e.watcher = document.NewWatcher(e.store, e.askPeer, e.documents, document.DefaultFeederConfig(true), e.log)
 	e.watcher.SetPeers(e.cfg.Peers)
 	e.server = &http.Server{
 		Handler:           e.routes(),
@@ -180,16 +180,16 @@
 		ReadTimeout:       requestTimeout,
 		IdleTimeout:       idleTimeout,
 	}
-	e.gauges()
-	e.setNews(nil)
+	e.registerGauges()
+	e.updateSharedAck(nil)
 	close(e.started)
-	ctx := e.t.Context(context.Background())
-	e.t.Go(func() error {
-		e.t.Go(e.members.tick)
-		e.t.Go(e.duties.spread)
-		e.t.Go(newProber(e).run)
-		e.t.Go(func() error { e.registry.register(ctx); return nil })
-		e.t.Go(func() error { e.registry.follow(ctx); return nil })
+	ctx := e.tomb.Context(context.Background())
+	e.tomb.Go(func() error {
+		e.tomb.Go(e.members.run)
+		e.tomb.Go(e.elections.balance)
+		e.tomb.Go(newProber(e).run)
+		e.tomb.Go(func() error { e.registry.register(ctx); return nil })
+		e.tomb.Go(func() error { e.registry.watch(ctx); return nil })
 		return nil
 	})
 	go func() { _ = e.server.Serve(e.listener) }() // ends with Shutdown or Close
@@ -203,15 +203,15 @@
 	idleTimeout    = 2 * time.Minute
 )
 
-func (e *Entry) advertised() string {
+func (e *Entry) advertisedAddr() string {
 	if e.cfg.Advertise != "" {
 		return e.cfg.Advertise
 	}
-	return e.ep.Addr()
+	return e.endpoint.Addr()
 }
 
-// serves says whether this entry takes part in a service.
-func (e *Entry) serves(service string) bool {
+// servesService says whether this entry takes part in a service.
+func (e *Entry) servesService(service string) bool {
 	return len(e.cfg.Services) == 0 || slices.Contains(e.cfg.Services, service)
 }
 
@@ -235,11 +235,11 @@
 
 func (e *Entry) newDispatcher() *dispatcher {
 	d := &dispatcher{
-		router: routing.New(routing.Options{Seed: e.incarnation, Zone: e.cfg.Zone}),
-		agents: e.agents,
-		once:   e.once,
-		now:    time.Now,
-		count:  e.metrics.Add,
+		router:        routing.New(routing.Options{Seed: e.incarnation, Zone: e.cfg.Zone}),
+		agents:        e.agents,
+		attemptIssuer: e.attemptIssuer,
+		now:           time.Now,
+		count:         e.metrics.Add,
 	}
 	d.weights.Store(&map[string]float64{})
 	return d
@@ -249,4 +249,4 @@
 func (e *Entry) HTTPAddr() string { return e.listener.Addr().String() }
 
 // QUICAddr is where agents and other entries reach this entry.
-func (e *Entry) QUICAddr() string { return e.ep.Addr() }
+func (e *Entry) QUICAddr() string { return e.endpoint.Addr() }
--- a/entry/gang_client.go
+++ b/entry/gang_client.go
@@ -9,19 +9,19 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// gangCaller carries messages of the gang protocol over the agents'
+// gangClient carries messages of the gang protocol over the agents'
 // connections. It implements planner.Agents.
-type gangCaller struct {
-	agents *agents
+type gangClient struct {
+	agents *agentConns
 }
 
 // SendGangMessage implements planner.Agents.
-func (c gangCaller) SendGangMessage(ctx context.Context, agent string, m gang.Message) (gang.Reply, error) {
+func (c gangClient) SendGangMessage(ctx context.Context, agent string, m gang.Message) (gang.Reply, error) {
 	data, err := cbor.Marshal(gang.Pack(m))
 	if err != nil {
 		return gang.Reply{}, err
 	}
-	got, err := c.agents.call(ctx, agent, &wire.Gang{Payload: data, Epoch: m.Head().Sender}, anyPath)
+	got, err := c.agents.call(ctx, agent, &wire.Gang{Payload: data, Epoch: m.Head().Sender}, anyConn)
 	if err != nil {
 		return gang.Reply{}, err
 	}
--- a/entry/handle.go
+++ b/entry/handle.go
@@ -9,7 +9,7 @@
 )
 
 var (
-	errNotHandled = eris.New("not a message for an entry")
+	errUnsupportedMessage = eris.New("not a message for an entry")
 	// errStarting: the endpoint listens already, for its address is part of the
 	// rest, but the parts that serve messages are not there yet.
 	errStarting = wire.NotRun(eris.New("the entry is starting"))
@@ -24,31 +24,31 @@
 	}
 	switch m := msg.(type) {
 	case *wire.Report:
-		return e.members.report(from.Peer().ID, m), nil
+		return e.members.handleReport(from.Peer().ID, m), nil
 	case *wire.Gang:
-		return e.taskEnded(from, m)
+		return e.handleTaskEnd(from, m)
 	case *wire.Fetch:
-		return e.fetch(m), nil
+		return e.answerFetch(m), nil
 	case *wire.Inspect:
 		return e.answerInspect(ctx, m), nil
 	case *wire.JobStatus:
 		return e.answerStatus(ctx, m), nil
 	default:
-		return nil, errNotHandled
+		return nil, errUnsupportedMessage
 	}
 }
 
-// taskEnded takes the reply that an agent sends by itself at the end of a task.
-func (e *Entry) taskEnded(from *wire.Conn, m *wire.Gang) (any, error) {
+// handleTaskEnd takes the reply that an agent sends by itself at the end of a task.
+func (e *Entry) handleTaskEnd(from *wire.Conn, m *wire.Gang) (any, error) {
 	reply, err := decodeGangReply(m.Payload)
 	if err != nil {
 		return nil, err
 	}
 	member := e.members.find(from.Peer().ID)
 	if member == nil {
-		return nil, errNotHandled
+		return nil, errUnsupportedMessage
 	}
-	if p := e.duties.planner(member.Report.Service); p != nil {
+	if p := e.elections.planner(member.Report.Service); p != nil {
 		p.HandleReply(from.Peer().ID, reply)
 	}
 	return &wire.GangReply{}, nil
--- a/entry/handover.go
+++ b/entry/handover.go
@@ -8,40 +8,40 @@
 	"github.com/eelgrasshub/eelgrasshub/metrics"
 )
 
-// handOverEvery is the time between two hand-overs by one entry: the successors'
+// handOverInterval is the time between two hand-overs by one entry: the successors'
 // planners read their jobs one after the other.
-const handOverEvery = 500 * time.Millisecond
+const handOverInterval = 500 * time.Millisecond
 
-// hesitate is for how long this entry leaves a vacant duty to those before it.
-func (d *duties) hesitate(service string) time.Duration {
-	return time.Duration(rank(service, d.e.cfg.ID, d.e.registry.candidates())) * hesitation
+// candidacyDelay is for how long this entry leaves a vacant duty to those before it.
+func (d *elections) candidacyDelay(service string) time.Duration {
+	return time.Duration(rank(service, d.entry.cfg.ID, d.entry.registry.candidates())) * candidacyDelayStep
 }
 
-// spread hands duties over to the entries that are preferred for them, until the
+// balance hands duties over to the entries that are preferred for them, until the
 // entry stops.
 //
 // Without it the entry that starts first holds every duty of the region for as long
 // as it lives: 94 planners are more than one entry may spend on control.
-func (d *duties) spread() error {
-	ticker := time.NewTicker(handOverEvery)
+func (d *elections) balance() error {
+	ticker := time.NewTicker(handOverInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-d.e.t.Dying():
+		case <-d.entry.tomb.Dying():
 			return nil
 		case now := <-ticker.C:
-			d.handOver(now)
+			d.handOverOne(now)
 		}
 	}
 }
 
-// handOver hands one duty over, where that is worth it. While the store is out it
+// handOverOne hands one duty over, where that is worth it. While the store is out it
 // is not: nobody could take the duty.
-func (d *duties) handOver(now time.Time) {
-	if !d.e.session.Valid() {
+func (d *elections) handOverOne(now time.Time) {
+	if !d.entry.session.Valid() {
 		return
 	}
-	service, to, ok := choose(now, d.e.cfg.ID, d.own(), d.e.registry.candidates())
+	service, to, ok := chooseHandOver(now, d.entry.cfg.ID, d.ownLeaderships(), d.entry.registry.candidates())
 	if !ok {
 		return
 	}
@@ -52,25 +52,25 @@
 		d.mu.Unlock()
 		return
 	}
-	du.planner, du.offered = nil, now
+	du.planner, du.handedOverAt = nil, now
 	d.mu.Unlock()
-	d.e.log.WithField("service", service).WithField("to", to).Info("duty handed over")
-	d.e.metrics.Add(metrics.DutiesHandedOver, 1)
+	d.entry.log.WithField("service", service).WithField("to", to).Info("duty handed over")
+	d.entry.metrics.Add(metrics.DutiesHandedOver, 1)
 	p.Stop() // it decides nothing more before the successor begins
 	du.holder.Yield(epoch)
-	d.register()
+	d.updateRegistration()
 }
 
-// own lists the duties held here, by service.
-func (d *duties) own() []ownDuty {
+// ownLeaderships lists the duties held here, by service.
+func (d *elections) ownLeaderships() []ownLeadership {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var out []ownDuty
+	var out []ownLeadership
 	for _, du := range d.services {
 		if du.planner != nil {
-			out = append(out, ownDuty{service: du.service, offered: du.offered})
+			out = append(out, ownLeadership{service: du.service, handedOverAt: du.handedOverAt})
 		}
 	}
-	slices.SortFunc(out, func(a, b ownDuty) int { return strings.Compare(a.service, b.service) })
+	slices.SortFunc(out, func(a, b ownLeadership) int { return strings.Compare(a.service, b.service) })
 	return out
 }
--- a/entry/http.go
+++ b/entry/http.go
@@ -39,34 +39,34 @@
 
 // readyz tells the balancer whether to send new work here.
 func (e *Entry) readyz(w http.ResponseWriter, _ *http.Request) {
-	if p := e.notReady(); p != nil {
+	if p := e.checkReady(); p != nil {
 		p.WriteTo(w)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// notReady says why this entry should get no new work; nil when it should.
-func (e *Entry) notReady() *api.Problem {
+// checkReady says why this entry should get no new work; nil when it should.
+func (e *Entry) checkReady() *api.Problem {
 	if e.draining.Load() {
-		return api.Busy(api.ReasonDraining, "this entry is leaving", comeBack)
+		return api.Busy(api.ReasonDraining, "this entry is leaving", defaultRetryAfter)
 	}
-	if p := e.unconfirmed(); p != nil {
+	if p := e.checkConfirmed(); p != nil {
 		return p
 	}
-	if e.lonely(time.Now()) {
-		return api.Busy(api.ReasonNotReady, "no agent has announced itself here yet", comeBack)
+	if e.awaitsFirstAgent(time.Now()) {
+		return api.Busy(api.ReasonNotReady, "no agent has announced itself here yet", defaultRetryAfter)
 	}
 	return nil
 }
 
-// announceGrace is for how long a fresh entry waits for the first agent. After
+// firstAgentGrace is for how long a fresh entry waits for the first agent. After
 // it the entry is ready without one: there may be none, and jobs can be accepted.
-const announceGrace = 5 * time.Second
+const firstAgentGrace = 5 * time.Second
 
-// lonely says whether this entry has just started and knows no target. A balancer
+// awaitsFirstAgent says whether this entry has just started and knows no target. A balancer
 // that sent it requests would see them all refused, while the agents come back
 // from the pauses that they make between tries of an entry that was away.
-func (e *Entry) lonely(now time.Time) bool {
-	return now.Sub(e.since) < announceGrace && len(e.members.table.Snapshot().Services()) == 0
+func (e *Entry) awaitsFirstAgent(now time.Time) bool {
+	return now.Sub(e.startedAt) < firstAgentGrace && len(e.members.table.Snapshot().Services()) == 0
 }
--- a/entry/http_jobs.go
+++ b/entry/http_jobs.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	// maxWait bounds how long a status request is held.
-	maxWait = 30 * time.Second
-	// statusPoll is how often the planner is asked meanwhile.
-	statusPoll = 100 * time.Millisecond
-	// storeWait bounds a call to the platform's store on a caller's behalf.
-	storeWait = 3 * time.Second
+	// maxRequestWait bounds how long a status request is held.
+	maxRequestWait = 30 * time.Second
+	// statusPollInterval is how often the planner is asked meanwhile.
+	statusPollInterval = 100 * time.Millisecond
+	// storeTimeout bounds a call to the platform's store on a caller's behalf.
+	storeTimeout = 3 * time.Second
 )
 
-// jobIDs is the namespace of ids derived from idempotency keys: the same key of
+// jobIDNamespace is the namespace of ids derived from idempotency keys: the same key of
 // the same client account gives the same job through every entry.
-var jobIDs = uuid.MustParse("6a0d9a2e-5f6c-4b39-9d0e-0f5b1c7f4a11")
+var jobIDNamespace = uuid.MustParse("6a0d9a2e-5f6c-4b39-9d0e-0f5b1c7f4a11")
 
 // submitJob makes a job durable and answers with where to ask for it.
 func (e *Entry) submitJob(w http.ResponseWriter, r *http.Request) {
@@ -35,7 +35,7 @@
 		problem.WriteTo(w)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), storeWait)
+	ctx, cancel := context.WithTimeout(r.Context(), storeTimeout)
 	defer cancel()
 	got, err := e.jobs.Accept(ctx, rec)
 	w.Header().Set("Location", api.JobPath(rec.Service, rec.ID))
@@ -48,11 +48,11 @@
 }
 
 func (e *Entry) parseJob(r *http.Request) (jobs.Record, *api.Problem) {
-	if p := e.unconfirmed(); p != nil {
+	if p := e.checkConfirmed(); p != nil {
 		return jobs.Record{}, p
 	}
 	service := pat.Param(r, "service")
-	held, ok := e.docs.Current(service)
+	held, ok := e.documents.Current(service)
 	if !ok {
 		return jobs.Record{}, api.NewProblem(api.ReasonUnknownService, "no document in force names the service "+service)
 	}
@@ -83,7 +83,7 @@
 	if key == "" {
 		return uuid.NewString()
 	}
-	return uuid.NewSHA1(jobIDs, []byte(service+"\x00"+account+"\x00"+key)).String()
+	return uuid.NewSHA1(jobIDNamespace, []byte(service+"\x00"+account+"\x00"+key)).String()
 }
 
 func specOf(req *api.JobRequest, class *document.Class) jobs.Spec {
@@ -96,18 +96,18 @@
 		Class:          req.Class,
 		Accelerators:   req.Accelerators,
 		Adjacency:      string(adjacency),
-		Cores:          share(req.Cores, req.Accelerators),
-		MemoryMB:       share(req.MemoryMB, req.Accelerators),
+		Cores:          perAccelerator(req.Cores, req.Accelerators),
+		MemoryMB:       perAccelerator(req.MemoryMB, req.Accelerators),
 		Estimate:       time.Duration(req.Estimate),
-		Repeatable:     chosen(req.Repeatable, class.Repeatable),
-		Checkpointable: chosen(req.Checkpointable, class.Checkpointable),
+		Repeatable:     valueOr(req.Repeatable, class.Repeatable),
+		Checkpointable: valueOr(req.Checkpointable, class.Checkpointable),
 		Payload:        req.Payload,
 	}
 }
 
-// share is the part of one accelerator, rounded up; a job without accelerators
+// perAccelerator is the part of one accelerator, rounded up; a job without accelerators
 // takes all on one worker.
-func share(whole, accelerators int) int {
+func perAccelerator(whole, accelerators int) int {
 	if accelerators <= 1 {
 		return whole
 	}
@@ -119,9 +119,9 @@
 	case eris.Is(err, jobs.ErrIdempotencyKeyReused):
 		return api.NewProblem(api.ReasonKeyReused, "the key belongs to a job with another content")
 	case eris.Is(err, jobs.ErrOutcomeUnknown):
-		return api.Busy(api.ReasonAcceptanceLost, "the platform's store did not say whether it took the job; ask at Location, or submit it again with the same idempotency key", comeBack)
+		return api.Busy(api.ReasonAcceptanceLost, "the platform's store did not say whether it took the job; ask at Location, or submit it again with the same idempotency key", defaultRetryAfter)
 	default:
-		return api.Busy(api.ReasonStoreDown, "the platform's store can't make the job safe: "+err.Error(), comeBack)
+		return api.Busy(api.ReasonStoreDown, "the platform's store can't make the job safe: "+err.Error(), defaultRetryAfter)
 	}
 }
 
@@ -129,13 +129,13 @@
 // caller asks for it.
 func (e *Entry) jobStatus(w http.ResponseWriter, r *http.Request) {
 	service, id := pat.Param(r, "service"), pat.Param(r, "id")
-	until, problem := waitUntil(r, time.Now())
+	until, problem := statusWaitEnd(r, time.Now())
 	if problem != nil {
 		problem.WriteTo(w)
 		return
 	}
 	for {
-		status, problem := e.lookUp(r.Context(), service, id)
+		status, problem := e.lookUpStatus(r.Context(), service, id)
 		if problem != nil {
 			problem.WriteTo(w)
 			return
@@ -144,18 +144,18 @@
 			api.WriteJSON(w, http.StatusOK, status)
 			return
 		}
-		pause(r.Context(), statusPoll)
+		sleep(r.Context(), statusPollInterval)
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
 	}
 }
 
-func waitUntil(r *http.Request, now time.Time) (time.Time, *api.Problem) {
+func statusWaitEnd(r *http.Request, now time.Time) (time.Time, *api.Problem) {
 	text := r.URL.Query().Get(api.ParamWait)
 	if text == "" {
 		return now, nil
@@ -164,12 +164,12 @@
 	if err != nil || wait < 0 {
 		return now, api.Invalid(api.ParamWait, "not a duration such as 10s")
 	}
-	return now.Add(min(wait, maxWait)), nil
+	return now.Add(min(wait, maxRequestWait)), nil
 }
 
 // cancelJob cancels one job. It may be repeated.
 func (e *Entry) cancelJob(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), storeWait)
+	ctx, cancel := context.WithTimeout(r.Context(), storeTimeout)
 	defer cancel()
 	got, err := e.jobs.Cancel(ctx, pat.Param(r, "service"), pat.Param(r, "id"), time.Now())
 	if err != nil {
@@ -186,9 +186,9 @@
 	case eris.Is(err, jobs.ErrNotFound):
 		return api.NewProblem(api.ReasonUnknownJob, "no record of the job")
 	case eris.Is(err, jobs.ErrOutcomeUnknown):
-		return api.Busy(api.ReasonCancelLost, "the platform's store did not say whether it took the cancellation; it may be repeated", comeBack)
+		return api.Busy(api.ReasonCancelLost, "the platform's store did not say whether it took the cancellation; it may be repeated", defaultRetryAfter)
 	}
-	return api.Busy(api.ReasonStoreDown, "the platform's store did not take the cancellation; it may be repeated: "+err.Error(), comeBack)
+	return api.Busy(api.ReasonStoreDown, "the platform's store did not take the cancellation; it may be repeated: "+err.Error(), defaultRetryAfter)
 }
 
 // cancelJobs cancels a wave of jobs; their writes share calls to the store.
@@ -202,7 +202,7 @@
 		p.WriteTo(w)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), maxWait)
+	ctx, cancel := context.WithTimeout(r.Context(), maxRequestWait)
 	defer cancel()
 	resp, problem := e.cancelAll(ctx, pat.Param(r, "service"), req.IDs)
 	if problem != nil {
--- a/entry/http_jobs_test.go
+++ b/entry/http_jobs_test.go
@@ -17,12 +17,12 @@
 
 // The store is out and no planner is known when a caller asks for its accepted
 // job. It was answered 404, "job is not known", and took its job for lost.
-func TestJobThatCannotBeAskedForIsNotUnknown(t *testing.T) {
+func TestJobStatusWithoutStoreIsUnavailable(t *testing.T) {
 	c := qt.New(t)
-	kv := outStore{}
+	kv := unavailableStore{}
 	e := &Entry{jobs: jobs.NewStore("auckland", kv, nil)}
-	e.registry = newRegistry(kv, nil, "auckland", peerEntry{}, nil)
-	e.duties = newDuties(e)
+	e.registry = newRegistry(kv, nil, "auckland", entryRecord{}, nil)
+	e.elections = newElections(e)
 	w := httptest.NewRecorder()
 	e.routes().ServeHTTP(w, httptest.NewRequest(http.MethodGet, api.JobPath("dispatch", "a"), nil))
 	c.Check(w.Code, qt.Equals, http.StatusServiceUnavailable)
@@ -30,10 +30,10 @@
 	c.Check(w.Header().Get(api.HeaderRetryAfter), qt.Not(qt.Equals), "")
 }
 
-// outStore answers no read.
-type outStore struct{ store.Store }
+// unavailableStore answers no read.
+type unavailableStore struct{ store.Store }
 
-func (outStore) Get(context.Context, string) (store.KeyValue, bool, error) {
+func (unavailableStore) Get(context.Context, string) (store.KeyValue, bool, error) {
 	return store.KeyValue{}, false, store.ErrUnavailable
 }
 
@@ -41,10 +41,10 @@
 // result says, in turn; the last one for good.
 type queuedStore struct {
 	store.Store // nil: leases and watches are not used here
-	results     chan swapEnd
+	results     chan swapReply
 }
 
-type swapEnd struct {
+type swapReply struct {
 	store.SwapResult
 	err error
 }
@@ -59,8 +59,8 @@
 	return end.SwapResult, end.err
 }
 
-func cancelWith(c *qt.C, method, path, body string, ends ...swapEnd) *api.Problem {
-	kv := &queuedStore{results: make(chan swapEnd, len(ends))}
+func requestCancel(c *qt.C, method, path, body string, ends ...swapReply) *api.Problem {
+	kv := &queuedStore{results: make(chan swapReply, len(ends))}
 	for _, e := range ends {
 		kv.results <- e
 	}
@@ -77,27 +77,27 @@
 // A caller cancels a job, and the store's reply is lost after the write took
 // effect. It was told "not run", as if the job were still there, and the job was
 // gone.
-func TestCancellationWithALostReplyIsUnknown(t *testing.T) {
+func TestCancelWithLostReplyIsUnknown(t *testing.T) {
 	c := qt.New(t)
 	path := api.JobPath("dispatch", "a")
-	p := cancelWith(c, http.MethodDelete, path, "", swapEnd{SwapResult: store.SwapResult{Unknown: true}})
+	p := requestCancel(c, http.MethodDelete, path, "", swapReply{SwapResult: store.SwapResult{Unknown: true}})
 	c.Check(p.Reason, qt.Equals, api.ReasonCancelLost)
 	c.Check(p.Outcome(), qt.Equals, api.OutcomeUnknown)
-	p = cancelWith(c, http.MethodDelete, path, "", swapEnd{err: store.ErrUnavailable})
+	p = requestCancel(c, http.MethodDelete, path, "", swapReply{err: store.ErrUnavailable})
 	c.Check(p.Outcome(), qt.Equals, api.OutcomeNotRun)
 }
 
 // The store goes out in the middle of a wave of cancellations. "Not run" would be
 // wrong of those that it took before.
-func TestWaveCancelledInPartIsUnknown(t *testing.T) {
+func TestPartialBulkCancelIsUnknown(t *testing.T) {
 	c := qt.New(t)
 	path := api.CancelPath("dispatch")
-	p := cancelWith(c, http.MethodPost, path, `{"ids": ["a", "b"]}`,
-		swapEnd{SwapResult: store.SwapResult{Swapped: true}}, swapEnd{err: store.ErrUnavailable})
+	p := requestCancel(c, http.MethodPost, path, `{"ids": ["a", "b"]}`,
+		swapReply{SwapResult: store.SwapResult{Swapped: true}}, swapReply{err: store.ErrUnavailable})
 	c.Check(p.Reason, qt.Equals, api.ReasonCancelLost)
 	c.Check(p.Detail, qt.Contains, "1 of the jobs are cancelled, 0 may be")
-	p = cancelWith(c, http.MethodPost, path, `{"ids": ["a", "b"]}`,
-		swapEnd{err: store.ErrUnavailable}, swapEnd{SwapResult: store.SwapResult{Unknown: true}})
+	p = requestCancel(c, http.MethodPost, path, `{"ids": ["a", "b"]}`,
+		swapReply{err: store.ErrUnavailable}, swapReply{SwapResult: store.SwapResult{Unknown: true}})
 	c.Check(p.Reason, qt.Equals, api.ReasonCancelLost)
 	c.Check(p.Detail, qt.Contains, "0 of the jobs are cancelled, 1 may be")
 }
--- a/entry/http_quick.go
+++ b/entry/http_quick.go
@@ -28,21 +28,21 @@
 	reply, problem := e.dispatcher(c.service).do(r.Context(), c)
 	if problem != nil {
 		problem.Request = c.id
-		e.observeQuick(c, problem.Outcome(), time.Since(began))
+		e.observeQuickRequest(c, problem.Outcome(), time.Since(began))
 		problem.WriteTo(w)
 		return
 	}
-	e.observeQuick(c, api.OutcomeDone, time.Since(began))
+	e.observeQuickRequest(c, api.OutcomeDone, time.Since(began))
 	writeReply(w, reply)
 }
 
 // parseCall reads and checks a request against the document in force.
 func (e *Entry) parseCall(r *http.Request, now time.Time) (*call, *api.Problem) {
-	if p := e.unconfirmed(); p != nil {
+	if p := e.checkConfirmed(); p != nil {
 		return nil, p
 	}
 	service := pat.Param(r, "service")
-	held, ok := e.docs.Current(service)
+	held, ok := e.documents.Current(service)
 	if !ok {
 		return nil, api.NewProblem(api.ReasonUnknownService, "no document in force names the service "+service)
 	}
@@ -59,31 +59,31 @@
 		return nil, problem
 	}
 	return &call{
-		id:       uuid.NewString(),
-		service:  service,
-		account:  asked.Account,
-		class:    asked.Class,
-		key:      asked.IdempotencyKey,
-		first:    asked.First,
-		repeat:   chosen(asked.Repeatable, class.Repeatable),
-		retries:  class.Retries,
-		deadline: now.Add(shorter(asked.Deadline, class.Deadline.Duration)),
-		method:   r.Method,
-		path:     strings.TrimPrefix(pattern.Path(r.Context()), "/"),
-		query:    r.URL.RawQuery,
-		header:   forwarded(r.Header),
-		body:     body,
+		id:            uuid.NewString(),
+		service:       service,
+		account:       asked.Account,
+		class:         asked.Class,
+		key:           asked.IdempotencyKey,
+		firstDelivery: asked.First,
+		repeatable:    valueOr(asked.Repeatable, class.Repeatable),
+		retries:       class.Retries,
+		deadline:      now.Add(effectiveDeadline(asked.Deadline, class.Deadline.Duration)),
+		method:        r.Method,
+		path:          strings.TrimPrefix(pattern.Path(r.Context()), "/"),
+		query:         r.URL.RawQuery,
+		header:        forwardedHeaders(r.Header),
+		body:          body,
 	}, nil
 }
 
-// unconfirmed refuses work while the entry does not know the configuration. A
+// checkConfirmed refuses work while the entry does not know the configuration. A
 // draining entry still serves what the balancer sends it.
-func (e *Entry) unconfirmed() *api.Problem {
+func (e *Entry) checkConfirmed() *api.Problem {
 	select {
 	case <-e.watcher.Ready():
 		return nil
 	default:
-		return api.Busy(api.ReasonNotReady, "the configuration is not confirmed yet", comeBack)
+		return api.Busy(api.ReasonNotReady, "the configuration is not confirmed yet", defaultRetryAfter)
 	}
 }
 
@@ -115,27 +115,27 @@
 	return body, nil
 }
 
-func chosen(asked *bool, otherwise bool) bool {
+func valueOr(asked *bool, otherwise bool) bool {
 	if asked != nil {
 		return *asked
 	}
 	return otherwise
 }
 
-// shorter is the caller's deadline, at most the class's.
-func shorter(asked, class time.Duration) time.Duration {
+// effectiveDeadline is the caller's deadline, at most the class's.
+func effectiveDeadline(asked, class time.Duration) time.Duration {
 	if asked <= 0 || asked > class {
 		return class
 	}
 	return asked
 }
 
-// forwarded is what the target gets to see of the caller's headers: all but
+// forwardedHeaders is what the target gets to see of the caller's headers: all but
 // those that speak to the system or to the connection.
-func forwarded(h http.Header) []wire.Header {
+func forwardedHeaders(h http.Header) []wire.Header {
 	var out []wire.Header
 	for name, values := range h {
-		if !passes(name) {
+		if !isForwarded(name) {
 			continue
 		}
 		for _, v := range values {
@@ -145,7 +145,7 @@
 	return out
 }
 
-var heldBack = map[string]bool{
+var hopByHopHeaders = map[string]bool{
 	"Connection":        true,
 	"Keep-Alive":        true,
 	"Proxy-Connection":  true,
@@ -156,17 +156,17 @@
 	"Content-Length":    true,
 }
 
-const ownPrefix = "Eelgrasshub-"
+const systemHeaderPrefix = "Eelgrasshub-"
 
-func passes(name string) bool {
-	return !heldBack[name] && !strings.HasPrefix(name, ownPrefix)
+func isForwarded(name string) bool {
+	return !hopByHopHeaders[name] && !strings.HasPrefix(name, systemHeaderPrefix)
 }
 
 // writeReply hands the target's whole answer to the caller.
 func writeReply(w http.ResponseWriter, reply *wire.ExecuteReply) {
 	h := w.Header()
 	for _, line := range reply.Header {
-		if passes(line.Name) {
+		if isForwarded(line.Name) {
 			h.Add(line.Name, line.Value)
 		}
 	}
--- a/entry/http_test.go
+++ b/entry/http_test.go
@@ -13,7 +13,7 @@
 
 // A target's own interface uses more than GET and POST. Its other methods were
 // answered "no such path or method".
-func TestMethodsOfTargetsAreRouted(t *testing.T) {
+func TestAllRequestMethodsAreRouted(t *testing.T) {
 	c := qt.New(t)
 	e := &Entry{}
 	e.watcher = document.NewWatcher(nil, nil, document.NewInForce(nil), document.DefaultFeederConfig(false), nil)
--- a/entry/inspect.go
+++ b/entry/inspect.go
@@ -14,22 +14,22 @@
 // serviceReport answers what the planner of a service knows, from whichever entry
 // is asked.
 func (e *Entry) serviceReport(w http.ResponseWriter, r *http.Request) {
-	e.inspect(w, r, wire.Inspect{Service: pat.Param(r, "service")})
+	e.serveInspect(w, r, wire.Inspect{Service: pat.Param(r, "service")})
 }
 
 // jobReport answers why a job waits.
 func (e *Entry) jobReport(w http.ResponseWriter, r *http.Request) {
-	e.inspect(w, r, wire.Inspect{Service: pat.Param(r, "service"), Job: pat.Param(r, "id")})
+	e.serveInspect(w, r, wire.Inspect{Service: pat.Param(r, "service"), Job: pat.Param(r, "id")})
 }
 
-func (e *Entry) inspect(w http.ResponseWriter, r *http.Request, m wire.Inspect) {
-	if p := e.inspectable(m.Service); p != nil {
+func (e *Entry) serveInspect(w http.ResponseWriter, r *http.Request, m wire.Inspect) {
+	if p := e.checkServiceKnown(m.Service); p != nil {
 		p.WriteTo(w)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), storeWait)
+	ctx, cancel := context.WithTimeout(r.Context(), storeTimeout)
 	defer cancel()
-	body, problem := e.inspected(ctx, &m)
+	body, problem := e.queryPlanner(ctx, &m)
 	if problem != nil {
 		problem.WriteTo(w)
 		return
@@ -37,21 +37,21 @@
 	api.WriteJSON(w, http.StatusOK, body)
 }
 
-// inspectable says why no report of a service can be had here, or nil.
-func (e *Entry) inspectable(service string) *api.Problem {
-	if _, ok := e.docs.Current(service); ok {
+// checkServiceKnown says why no report of a service can be had here, or nil.
+func (e *Entry) checkServiceKnown(service string) *api.Problem {
+	if _, ok := e.documents.Current(service); ok {
 		return nil
 	}
-	if p := e.unconfirmed(); p != nil {
+	if p := e.checkConfirmed(); p != nil {
 		return p
 	}
 	return &api.Problem{Reason: api.ReasonUnknownService, Field: "service", Detail: "no document in force names the service " + service}
 }
 
-// inspected asks this entry's planner, or the entry that holds the duty.
-func (e *Entry) inspected(ctx context.Context, m *wire.Inspect) (json.RawMessage, *api.Problem) {
-	if e.duties.planner(m.Service) != nil {
-		return e.inspectHere(ctx, m)
+// queryPlanner asks this entry's planner, or the entry that holds the duty.
+func (e *Entry) queryPlanner(ctx context.Context, m *wire.Inspect) (json.RawMessage, *api.Problem) {
+	if e.elections.planner(m.Service) != nil {
+		return e.inspectLocal(ctx, m)
 	}
 	peer, _, ok := e.registry.planner(m.Service)
 	if !ok {
@@ -65,10 +65,10 @@
 	if !ok {
 		return nil, noPlanner(m.Service, "entry "+peer.ID+" gave another answer")
 	}
-	return reply.Report, problemOf(reply)
+	return reply.Report, decodeProblem(reply)
 }
 
-func problemOf(reply *wire.InspectReply) *api.Problem {
+func decodeProblem(reply *wire.InspectReply) *api.Problem {
 	if len(reply.Problem) == 0 {
 		return nil
 	}
@@ -88,9 +88,9 @@
 // answerInspect serves inspected of another entry. It does not forward: two
 // entries that each believe in the other's duty would send it in circles.
 func (e *Entry) answerInspect(ctx context.Context, m *wire.Inspect) *wire.InspectReply {
-	ctx, cancel := context.WithTimeout(ctx, storeWait)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	body, problem := e.inspectHere(ctx, m)
+	body, problem := e.inspectLocal(ctx, m)
 	if problem == nil {
 		return &wire.InspectReply{Report: body}
 	}
@@ -101,13 +101,13 @@
 	return &wire.InspectReply{Problem: text}
 }
 
-func (e *Entry) inspectHere(ctx context.Context, m *wire.Inspect) (json.RawMessage, *api.Problem) {
+func (e *Entry) inspectLocal(ctx context.Context, m *wire.Inspect) (json.RawMessage, *api.Problem) {
 	var v any
 	var problem *api.Problem
 	if m.Job == "" {
-		v, problem = e.reportHere(ctx, m.Service)
+		v, problem = e.reportLocal(ctx, m.Service)
 	} else {
-		v, problem = e.explainHere(ctx, m.Service, m.Job)
+		v, problem = e.explainLocal(ctx, m.Service, m.Job)
 	}
 	if problem != nil {
 		return nil, problem
@@ -119,15 +119,15 @@
 	return body, nil
 }
 
-// reportPlanner names this entry's term of the duty.
-func (e *Entry) reportPlanner(service string) api.ReportPlanner {
+// plannerInfo names this entry's term of the duty.
+func (e *Entry) plannerInfo(service string) api.ReportPlanner {
 	out := api.ReportPlanner{Entry: e.cfg.ID, Region: e.cfg.Region}
-	for _, d := range e.duties.held() {
+	for _, d := range e.elections.leaderships() {
 		if d.Service == service {
 			out.Epoch, out.Since = d.Epoch, d.Since
 		}
 	}
-	if h, ok := e.docs.Current(service); ok {
+	if h, ok := e.documents.Current(service); ok {
 		out.Generation = h.Version.Generation
 	}
 	return out
--- a/entry/inspect_job.go
+++ b/entry/inspect_job.go
@@ -21,9 +21,9 @@
 	sentenceEnding     = "it has ended or does not start any more; its end is being put on record"
 )
 
-// explainHere is the word of this entry's planner on one job.
-func (e *Entry) explainHere(ctx context.Context, service, id string) (*api.JobReport, *api.Problem) {
-	p := e.duties.planner(service)
+// explainLocal is the word of this entry's planner on one job.
+func (e *Entry) explainLocal(ctx context.Context, service, id string) (*api.JobReport, *api.Problem) {
+	p := e.elections.planner(service)
 	if p == nil {
 		return nil, noPlanner(service, "entry "+e.cfg.ID+" has lost the duty")
 	}
@@ -31,32 +31,32 @@
 	if !asked {
 		return nil, noPlanner(service, "the planner of entry "+e.cfg.ID+" has ended or is too busy")
 	}
-	out := &api.JobReport{ID: id, Service: service, Planner: e.reportPlanner(service), At: time.Now()}
+	out := &api.JobReport{ID: id, Service: service, Planner: e.plannerInfo(service), At: time.Now()}
 	if !known || w.Stage == planner.StageLoadingRecords {
 		return e.explainRecord(ctx, out)
 	}
-	out.State = liveStatus(w.Status).State
-	out.Waits = waitOf(&w)
+	out.State = plannerStatus(w.Status).State
+	out.Waits = jobWait(&w)
 	if w.Stage == planner.StageQueued {
 		out.Decided = w.Explanation.At
 	}
 	return out, nil
 }
 
-// waitOf is why a job that its planner knows waits; nil if it does not.
-func waitOf(w *planner.WaitStatus) *api.JobWait {
+// jobWait is why a job that its planner knows waits; nil if it does not.
+func jobWait(w *planner.WaitStatus) *api.JobWait {
 	spec := w.Record.Spec
 	switch w.Stage {
 	case planner.StageQueued:
 		return schedulerWait(&w.Explanation)
 	case planner.StageStarting:
-		return recordWait(spec, api.WaitStarting, sentenceStarting)
+		return jobWaitWithoutPlacement(spec, api.WaitStarting, sentenceStarting)
 	case planner.StageStoreUnavailable:
-		return recordWait(spec, api.WaitStoreOut, sentenceStoreOut)
+		return jobWaitWithoutPlacement(spec, api.WaitStoreOut, sentenceStoreOut)
 	case planner.StageUnresolvedPermit:
-		return recordWait(spec, api.WaitHeld, sentenceHeld)
+		return jobWaitWithoutPlacement(spec, api.WaitHeld, sentenceHeld)
 	case planner.StageEnding:
-		return recordWait(spec, api.WaitEnding, sentenceEnding)
+		return jobWaitWithoutPlacement(spec, api.WaitEnding, sentenceEnding)
 	}
 	return nil
 }
@@ -64,7 +64,7 @@
 // explainRecord answers by the record of a job that the planner does not know: it
 // has ended long ago, or the planner has not read it yet.
 func (e *Entry) explainRecord(ctx context.Context, out *api.JobReport) (*api.JobReport, *api.Problem) {
-	ctx, cancel := context.WithTimeout(ctx, probeWait)
+	ctx, cancel := context.WithTimeout(ctx, storeProbeTimeout)
 	defer cancel()
 	rec, err := e.jobs.Get(ctx, out.Service, out.ID)
 	switch {
@@ -72,19 +72,19 @@
 		return nil, &api.Problem{Reason: api.ReasonUnknownJob, Field: "job", Detail: "no record of a job " + out.ID + " in the service " + out.Service}
 	case err != nil:
 		return nil, &api.Problem{
-			Reason: api.ReasonJobUnavailable, Field: "job", RetryAfter: comeBack,
+			Reason: api.ReasonJobUnavailable, Field: "job", RetryAfter: defaultRetryAfter,
 			Detail: "the planner does not know the job, and the platform's store can't be asked: " + err.Error(),
 		}
 	}
 	out.State = api.JobState(rec.State)
 	if rec.State == jobs.Queued {
-		out.Waits = recordWait(rec.Spec, api.WaitRebuilding, sentenceRebuilding)
+		out.Waits = jobWaitWithoutPlacement(rec.Spec, api.WaitRebuilding, sentenceRebuilding)
 	}
 	return out, nil
 }
 
-// recordWait is a reason that says nothing about places.
-func recordWait(spec jobs.Spec, why api.WaitReason, sentence string) *api.JobWait {
+// jobWaitWithoutPlacement is a reason that says nothing about places.
+func jobWaitWithoutPlacement(spec jobs.Spec, why api.WaitReason, sentence string) *api.JobWait {
 	return &api.JobWait{
 		Reason:       why,
 		Sentence:     sentence,
--- a/entry/inspect_service.go
+++ b/entry/inspect_service.go
@@ -12,9 +12,9 @@
 	"github.com/eelgrasshub/eelgrasshub/scheduler"
 )
 
-// reportHere is the report of this entry's planner.
-func (e *Entry) reportHere(ctx context.Context, service string) (*api.Report, *api.Problem) {
-	p := e.duties.planner(service)
+// reportLocal is the report of this entry's planner.
+func (e *Entry) reportLocal(ctx context.Context, service string) (*api.Report, *api.Problem) {
+	p := e.elections.planner(service)
 	if p == nil {
 		return nil, noPlanner(service, "entry "+e.cfg.ID+" has lost the duty")
 	}
@@ -24,9 +24,9 @@
 	}
 	out := reportOf(&r, time.Now())
 	out.Service = service
-	out.Planner = e.reportPlanner(service)
+	out.Planner = e.plannerInfo(service)
 	out.Planner.Generation = r.Generation
-	out.StoreOut = r.StoreUnavailable || !e.probe.answers(ctx, e.work, service)
+	out.StoreOut = r.StoreUnavailable || !e.storeProbe.check(ctx, e.workClient, service)
 	return out, nil
 }
 
@@ -94,7 +94,7 @@
 			RunningAccelerators: c.RunningAccelerators,
 			Waiting:             c.Waiting,
 			WaitingAccelerators: c.WaitingAccelerators,
-			Waited:              waitsOf(waited[c.Class]),
+			Waited:              waitTimes(waited[c.Class]),
 		}
 		if !c.OldestSubmission.IsZero() {
 			one.Oldest = api.Duration(max(0, now.Sub(c.OldestSubmission)).Round(time.Millisecond))
@@ -104,7 +104,7 @@
 	return out
 }
 
-func waitsOf(s metrics.Summary) api.Waits {
+func waitTimes(s metrics.Summary) api.Waits {
 	us := func(n int64) api.Duration { return api.Duration(time.Duration(n) * time.Microsecond) }
 	return api.Waits{Count: s.Count, P50: us(s.P50), P90: us(s.P90), P99: us(s.P99), Max: us(s.Max)}
 }
--- a/entry/inspect_test.go
+++ b/entry/inspect_test.go
@@ -12,7 +12,7 @@
 )
 
 // Whoever is on call looks a reason up. One without its row fails here.
-func TestOperationsPageNamesEveryReason(t *testing.T) {
+func TestOperationsPageListsEveryWaitReason(t *testing.T) {
 	page, err := os.ReadFile("../docs/OPERATIONS.md")
 	qt.Assert(t, err, qt.IsNil)
 	reasons := []string{
--- a/entry/jobs.go
+++ b/entry/jobs.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// cancelWidth is how many cancellations of a wave are under way at once;
+	// cancelConcurrency is how many cancellations of a wave are under way at once;
 	// their writes share calls to the store.
-	cancelWidth = 256
-	// listAbove is from how many ids on a wave reads all records of the service
+	cancelConcurrency = 256
+	// listThreshold is from how many ids on a wave reads all records of the service
 	// in one call, instead of one call for each id.
-	listAbove = 16
+	listThreshold = 16
 )
 
 // cancelAll cancels jobs of one service. On a Problem some may have been
 // cancelled; the whole call may be repeated.
 func (e *Entry) cancelAll(ctx context.Context, service string, ids []string) (api.CancelResponse, *api.Problem) {
-	cancel, err := e.canceller(ctx, service, len(ids))
+	cancel, err := e.cancelFunc(ctx, service, len(ids))
 	if err != nil {
 		return api.CancelResponse{}, cancelProblem(err)
 	}
@@ -36,7 +36,7 @@
 	var resp api.CancelResponse
 	inDoubt := 0
 	var group errgroup.Group
-	group.SetLimit(cancelWidth)
+	group.SetLimit(cancelConcurrency)
 	for _, id := range ids {
 		group.Go(func() error {
 			err := cancel(id)
@@ -57,14 +57,14 @@
 		})
 	}
 	if err := group.Wait(); err != nil {
-		return resp, waveProblem(err, len(resp.Accepted), inDoubt)
+		return resp, bulkCancelProblem(err, len(resp.Accepted), inDoubt)
 	}
 	return resp, nil
 }
 
-// waveProblem is cancelProblem for a wave of which some were cancelled or may have
+// bulkCancelProblem is cancelProblem for a wave of which some were cancelled or may have
 // been: of the whole it can't be said that nothing happened.
-func waveProblem(err error, cancelled, inDoubt int) *api.Problem {
+func bulkCancelProblem(err error, cancelled, inDoubt int) *api.Problem {
 	p := cancelProblem(err)
 	if cancelled+inDoubt > 0 {
 		p.Reason = api.ReasonCancelLost
@@ -73,9 +73,9 @@
 	return p
 }
 
-// canceller returns how to cancel each of n jobs.
-func (e *Entry) canceller(ctx context.Context, service string, n int) (func(id string) error, error) {
-	if n < listAbove {
+// cancelFunc returns how to cancel each of n jobs.
+func (e *Entry) cancelFunc(ctx context.Context, service string, n int) (func(id string) error, error) {
+	if n < listThreshold {
 		return func(id string) error {
 			_, err := e.jobs.Cancel(ctx, service, id, time.Now())
 			return err
@@ -95,15 +95,15 @@
 	}, nil
 }
 
-// lookUp asks who knows a job best: this entry's planner, the planner's entry,
+// lookUpStatus asks who knows a job best: this entry's planner, the planner's entry,
 // or else the store.
-func (e *Entry) lookUp(ctx context.Context, service, id string) (api.JobStatus, *api.Problem) {
-	ctx, cancel := context.WithTimeout(ctx, storeWait)
+func (e *Entry) lookUpStatus(ctx context.Context, service, id string) (api.JobStatus, *api.Problem) {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	if s, ok := e.duties.status(ctx, service, id); ok {
+	if s, ok := e.elections.jobStatus(ctx, service, id); ok {
 		return s, nil
 	}
-	if s, ok := e.askPlanner(ctx, service, id); ok {
+	if s, ok := e.askPlannerEntry(ctx, service, id); ok {
 		return s, nil
 	}
 	rec, err := e.jobs.Get(ctx, service, id)
@@ -113,19 +113,19 @@
 	case eris.Is(err, jobs.ErrNotFound):
 		return api.JobStatus{}, api.NewProblem(api.ReasonUnknownJob, "no record of the job")
 	default:
-		return api.JobStatus{}, api.Busy(api.ReasonJobUnavailable, "neither the planner nor the platform's store can be asked: "+err.Error(), comeBack)
+		return api.JobStatus{}, api.Busy(api.ReasonJobUnavailable, "neither the planner nor the platform's store can be asked: "+err.Error(), defaultRetryAfter)
 	}
 }
 
-// askPlanner asks the entry that holds the planner duty.
+// askPlannerEntry asks the entry that holds the planner duty.
 //
 // The failure this guards against: that entry is frozen or its instance is dead, and
 // nothing on the way says so. It shows as callers that hear "neither can be asked"
 // although the store holds the record, because the question to the planner lasts for
 // as long as they wait. It ends once the connection is suspected, or no new one is
 // had within dialWait, and leaves time for the store.
-func (e *Entry) askPlanner(ctx context.Context, service, id string) (api.JobStatus, bool) {
-	addr, ok := e.duties.plannerAddr(service)
+func (e *Entry) askPlannerEntry(ctx context.Context, service, id string) (api.JobStatus, bool) {
+	addr, ok := e.elections.plannerAddr(service)
 	if !ok {
 		return api.JobStatus{}, false
 	}
@@ -145,7 +145,7 @@
 func (e *Entry) answerStatus(ctx context.Context, m *wire.JobStatus) *wire.JobStatusReply {
 	reply := &wire.JobStatusReply{Entry: e.cfg.ID}
 	for _, id := range m.IDs {
-		s, ok := e.duties.status(ctx, m.Service, id)
+		s, ok := e.elections.jobStatus(ctx, m.Service, id)
 		if !ok {
 			continue
 		}
@@ -196,8 +196,8 @@
 	return out
 }
 
-// liveStatus is a job as its planner sees it.
-func liveStatus(s planner.Status) api.JobStatus {
+// plannerStatus is a job as its planner sees it.
+func plannerStatus(s planner.Status) api.JobStatus {
 	out := statusOf(s.Record)
 	if s.Phase == "" {
 		return out
--- a/entry/members.go
+++ b/entry/members.go
@@ -13,80 +13,80 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// memberTick is the period in which silent agents are looked for.
-const memberTick = time.Second
+// memberTickInterval is the period in which silent agents are looked for.
+const memberTickInterval = time.Second
 
 // members takes the agents' reports: it keeps the membership table, and hands
 // what changed to the routers and planners. It is safe for concurrent use.
 type members struct {
-	e *Entry
+	entry *Entry
 
-	mu      sync.Mutex // owns the table's Step, and sending
-	table   *membership.Table
-	sending map[string]bool      // agents to which documents are on their way
-	homes   map[string]string    // service of each agent in the snapshot, by id
-	since   map[string]time.Time // when an agent's generation was first heard of
-	via     map[string]string    // relay by which an agent's last report came, by id
+	mu               sync.Mutex // owns the table's Step, and sending
+	table            *membership.Table
+	sending          map[string]bool      // agents to which documents are on their way
+	serviceOf        map[string]string    // service of each agent in the snapshot, by id
+	generationSeenAt map[string]time.Time // when an agent's generation was first heard of
+	relayFrom        map[string]string    // relay by which an agent's last report came, by id
 
 	relays *relays
 }
 
 func newMembers(e *Entry) *members {
 	return &members{
-		e:       e,
-		table:   membership.NewTable(membership.Config{ReportPeriod: e.cfg.ReportEvery.Duration}),
-		sending: make(map[string]bool),
-		homes:   make(map[string]string),
-		since:   make(map[string]time.Time),
-		via:     make(map[string]string),
-		relays:  newRelays(e.cfg.RelayAbove),
+		entry:            e,
+		table:            membership.NewTable(membership.Config{ReportPeriod: e.cfg.ReportEvery.Duration}),
+		sending:          make(map[string]bool),
+		serviceOf:        make(map[string]string),
+		generationSeenAt: make(map[string]time.Time),
+		relayFrom:        make(map[string]string),
+		relays:           newRelays(e.cfg.RelayAbove),
 	}
 }
 
-// report answers a batch of reports that the agent with the id sent: its own, and
+// handleReport answers a batch of reports that the agent with the id sent: its own, and
 // those that it relays.
-func (m *members) report(sender string, r *wire.Report) *wire.ReportAck {
+func (m *members) handleReport(sender string, r *wire.Report) *wire.ReportAck {
 	now := clock.Now()
 	actions := m.step(time.Now(), membership.Reports{Batch: r.Batch})
 	m.apply(actions)
-	m.noteWay(sender, r.Batch)
+	m.recordRelays(sender, r.Batch)
 
-	ack := m.e.answer(r.Known, m.relayFor(sender))
+	ack := m.entry.newReportAck(r.Known, m.relayFor(sender))
 	membership.FillAck(ack, actions)
 	for _, one := range r.Batch {
 		member := m.find(one.ID)
 		if member == nil {
 			continue
 		}
-		m.observe(member, one, now, ack, one.ID != sender)
-		m.offerDocuments(member)
+		m.informPlanner(member, one, now, ack, one.ID != sender)
+		m.sendMissingDocument(member)
 	}
 	return ack
 }
 
 func (m *members) relayFor(sender string) wire.RelayInfo {
 	if member := m.find(sender); member != nil {
-		return m.relays.of(member)
+		return m.relays.relayOf(member)
 	}
 	return wire.RelayInfo{}
 }
 
-// noteWay notes who sent the agents' reports.
-func (m *members) noteWay(sender string, batch []wire.AgentReport) {
+// recordRelays notes who sent the agents' reports.
+func (m *members) recordRelays(sender string, batch []wire.AgentReport) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, one := range batch {
 		if one.ID == sender {
-			delete(m.via, one.ID)
-		} else if m.homes[one.ID] != "" {
-			m.via[one.ID] = sender
+			delete(m.relayFrom, one.ID)
+		} else if m.serviceOf[one.ID] != "" {
+			m.relayFrom[one.ID] = sender
 		}
 	}
 }
 
-// relayed says whether the agent's last report came by another one that is
+// isRelayed says whether the agent's last report came by another one that is
 // there still.
-func (m *members) relayed(id string) bool {
+func (m *members) isRelayed(id string) bool {
 	via := m.relayOf(id)
 	if via == "" {
 		return false
@@ -100,7 +100,7 @@
 func (m *members) relayOf(id string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.via[id]
+	return m.relayFrom[id]
 }
 
 // step gives the table an event. The homes change under the same lock, in the
@@ -113,22 +113,22 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case membership.Joined:
-			m.homes[a.Member.Report.ID] = a.Member.Report.Service
+			m.serviceOf[a.Member.Report.ID] = a.Member.Report.Service
 		case membership.Changed:
-			m.homes[a.Member.Report.ID] = a.Member.Report.Service
+			m.serviceOf[a.Member.Report.ID] = a.Member.Report.Service
 		case membership.Lost:
-			m.drop(a.Member.Report.ID)
+			m.dropLocked(a.Member.Report.ID)
 		case membership.Left:
-			m.drop(a.Member.Report.ID)
+			m.dropLocked(a.Member.Report.ID)
 		}
 	}
 	return actions
 }
 
-// drop is called with the lock held.
-func (m *members) drop(id string) {
-	delete(m.homes, id)
-	delete(m.via, id)
+// dropLocked is called with the lock held.
+func (m *members) dropLocked(id string) {
+	delete(m.serviceOf, id)
+	delete(m.relayFrom, id)
 }
 
 // apply hands on what changed.
@@ -140,10 +140,10 @@
 			continue
 		}
 		services[member.Report.Service] = true
-		m.place(a, member)
+		m.applyAction(a, member)
 	}
 	for s := range services {
-		m.route(s)
+		m.updateRouter(s)
 	}
 }
 
@@ -168,36 +168,36 @@
 	return nil
 }
 
-func (m *members) place(a membership.Action, member *membership.Member) {
+func (m *members) applyAction(a membership.Action, member *membership.Member) {
 	id := member.Report.ID
-	m.noteGeneration(a, id)
+	m.recordGeneration(a, id)
 	switch a.(type) {
 	case membership.Left:
-		m.e.agents.forget(id)
-		if p := m.e.duties.planner(member.Report.Service); p != nil {
+		m.entry.agents.remove(id)
+		if p := m.entry.elections.planner(member.Report.Service); p != nil {
 			p.HandleAgentLeft(id)
 		}
 	case membership.Joined, membership.Changed:
-		m.e.agents.place(id, member.Report.Address)
+		m.entry.agents.setAddr(id, member.Report.Address)
 	case membership.Suspected:
-		m.e.dispatcher(member.Report.Service).router.Suspect(time.Now(), routing.TargetID(id))
+		m.entry.dispatcher(member.Report.Service).router.Suspect(time.Now(), routing.TargetID(id))
 	case membership.Recovered:
-		m.e.dispatcher(member.Report.Service).router.Heard(time.Now(), routing.TargetID(id))
+		m.entry.dispatcher(member.Report.Service).router.Heard(time.Now(), routing.TargetID(id))
 	}
 }
 
-func (m *members) noteGeneration(a membership.Action, id string) {
+func (m *members) recordGeneration(a membership.Action, id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch a := a.(type) {
 	case membership.Joined:
-		m.since[id] = time.Now()
+		m.generationSeenAt[id] = time.Now()
 	case membership.Changed:
 		if a.Groups&wire.ChangedGenerations != 0 {
-			m.since[id] = time.Now()
+			m.generationSeenAt[id] = time.Now()
 		}
 	case membership.Lost, membership.Left:
-		delete(m.since, id)
+		delete(m.generationSeenAt, id)
 	}
 }
 
@@ -211,15 +211,15 @@
 func (m *members) generationSince(id string) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.since[id]
+	return m.generationSeenAt[id]
 }
 
-// route hands the targets of a service to its router. The snapshot is published
+// updateRouter hands the targets of a service to its router. The snapshot is published
 // at once for whatever stops new work.
-func (m *members) route(service string) {
+func (m *members) updateRouter(service string) {
 	view := m.table.Snapshot().Service(service)
 	targets := make([]routing.Target, 0, len(view.Members))
-	most := m.e.maxInFlight(service)
+	most := m.entry.maxInFlight(service)
 	for _, member := range view.Members {
 		r := &member.Report
 		targets = append(targets, routing.Target{
@@ -231,12 +231,12 @@
 			Incarnation: r.Incarnation,
 		})
 	}
-	m.e.dispatcher(service).setTargets(targets)
+	m.entry.dispatcher(service).setTargets(targets)
 }
 
 func (m *members) find(id string) *membership.Member {
 	m.mu.Lock()
-	service, ok := m.homes[id]
+	service, ok := m.serviceOf[id]
 	m.mu.Unlock()
 	if !ok {
 		return nil
@@ -244,19 +244,19 @@
 	return m.table.Snapshot().Service(service).Find(id)
 }
 
-// tick lets time pass for the table, the choice of relays and the connections
+// run lets time pass for the table, the choice of relays and the connections
 // until the entry stops.
-func (m *members) tick() error {
-	ticker := time.NewTicker(memberTick)
+func (m *members) run() error {
+	ticker := time.NewTicker(memberTickInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-m.e.t.Dying():
+		case <-m.entry.tomb.Dying():
 			return nil
 		case now := <-ticker.C:
 			m.apply(m.step(now, membership.Tick{}))
-			m.relays.choose(m.table.Snapshot())
-			m.e.agents.sweep(now)
+			m.relays.update(m.table.Snapshot())
+			m.entry.agents.closeIdle(now)
 		}
 	}
 }
--- a/entry/members_documents.go
+++ b/entry/members_documents.go
@@ -12,17 +12,17 @@
 // publishTimeout bounds the sending of documents to one agent.
 const publishTimeout = 3 * time.Second
 
-// offerDocuments sends an agent what it lacks of its service's document.
-func (m *members) offerDocuments(member *membership.Member) {
+// sendMissingDocument sends an agent what it lacks of its service's document.
+func (m *members) sendMissingDocument(member *membership.Member) {
 	id := member.Report.ID
-	held, ok := m.e.docs.Current(member.Report.Service)
-	if ok && ahead(member.Report.Generations, held.Version.Summary()) {
-		m.e.catchUp()
+	held, ok := m.entry.documents.Current(member.Report.Service)
+	if ok && hasNewerGeneration(member.Report.Generations, held.Version.Summary()) {
+		m.entry.fetchNewerDocuments()
 	}
 	if !ok || document.Holds(member.Report.Generations, held.Version.Summary()) {
 		return
 	}
-	if m.relayed(id) && time.Since(held.Since) < relayGrace {
+	if m.isRelayed(id) && time.Since(held.Since) < relayDocumentGrace {
 		return
 	}
 	m.mu.Lock()
@@ -34,15 +34,15 @@
 	}
 }
 
-// relayGrace is how long a relay has to bring its members a new generation. One
+// relayDocumentGrace is how long a relay has to bring its members a new generation. One
 // of an older binary may refuse a document that its members can read; it shows as
 // members that lack the generation although they report.
-const relayGrace = 4 * time.Second
+const relayDocumentGrace = 4 * time.Second
 
 func (m *members) sendDocument(agent string, v wire.DocumentVersion) {
 	ctx, cancel := context.WithTimeout(context.Background(), publishTimeout)
 	defer cancel()
-	_, _ = m.e.agents.call(ctx, agent, &wire.Publish{Versions: []wire.DocumentVersion{v}}, anyPath) // its next report shows what it lacks
+	_, _ = m.entry.agents.call(ctx, agent, &wire.Publish{Versions: []wire.DocumentVersion{v}}, anyConn) // its next report shows what it lacks
 	m.mu.Lock()
 	delete(m.sending, agent)
 	m.mu.Unlock()
@@ -52,7 +52,7 @@
 // reports itself. Relays send it on to the others.
 func (m *members) publish(v wire.DocumentVersion) {
 	for _, member := range m.table.Snapshot().Service(v.Service).Members {
-		if !m.relayed(member.Report.ID) {
+		if !m.isRelayed(member.Report.ID) {
 			go m.sendDocument(member.Report.ID, v)
 		}
 	}
--- a/entry/members_planner.go
+++ b/entry/members_planner.go
@@ -11,18 +11,18 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// observe tells the planner, if it is here, of a report of the member, and adds
+// informPlanner tells the planner, if it is here, of a report of the member, and adds
 // its part to the answer. What a relay would hear of the gangs of its members is
 // left out: they ask themselves.
-func (m *members) observe(member *membership.Member, r wire.AgentReport, now time.Time, ack *wire.ReportAck, relayed bool) {
+func (m *members) informPlanner(member *membership.Member, r wire.AgentReport, now time.Time, ack *wire.ReportAck, relayed bool) {
 	if r.Goodbye || member.Report.Incarnation != r.Incarnation {
 		return
 	}
-	p := m.e.duties.planner(member.Report.Service)
+	p := m.entry.elections.planner(member.Report.Service)
 	if p == nil {
 		return
 	}
-	p.HandleReport(seen(member, r.Stamp, now.Add(-r.Age)))
+	p.HandleReport(plannerReport(member, r.Stamp, now.Add(-r.Age)))
 	if relayed {
 		return
 	}
@@ -31,7 +31,7 @@
 	ack.Stamp = stamp
 }
 
-func seen(member *membership.Member, stamp gang.PlannerTimestamp, at time.Time) planner.AgentReport {
+func plannerReport(member *membership.Member, stamp gang.PlannerTimestamp, at time.Time) planner.AgentReport {
 	r := &member.Report
 	return planner.AgentReport{
 		Worker: scheduler.Worker{
@@ -51,10 +51,10 @@
 	}
 }
 
-// replay tells a new planner of all agents known. What they last said is as old
+// replayReports tells a new planner of all agents known. What they last said is as old
 // as it is: only their own next reports prove that their gangs are whole.
-func (m *members) replay(service string, p *planner.Planner) {
+func (m *members) replayReports(service string, p *planner.Planner) {
 	for _, member := range m.table.Snapshot().Service(service).Members {
-		p.HandleReport(seen(member, wire.NoEvidence, clock.Now()))
+		p.HandleReport(plannerReport(member, wire.NoEvidence, clock.Now()))
 	}
 }
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -8,8 +8,8 @@
 	"github.com/eelgrasshub/eelgrasshub/metrics"
 )
 
-// observeQuick records how long a caller waited for which outcome.
-func (e *Entry) observeQuick(c *call, o api.Outcome, took time.Duration) {
+// observeQuickRequest records how long a caller waited for which outcome.
+func (e *Entry) observeQuickRequest(c *call, o api.Outcome, took time.Duration) {
 	e.metrics.Observe(c.account, c.class, quickTiming(o), took)
 }
 
@@ -24,16 +24,16 @@
 	}
 }
 
-// gauges shows what other parts count by themselves.
-func (e *Entry) gauges() {
-	e.metrics.Gauge("store_calls_coordination", func() int64 { return e.client.Calls().Total() })
-	e.metrics.Gauge("store_calls_work", func() int64 { return e.work.Calls().Total() })
-	e.metrics.Gauge("store_calls_refused", func() int64 { return e.client.Calls().Refused + e.work.Calls().Refused })
-	e.metrics.Gauge("store_replies_lost", func() int64 { return e.client.Calls().Lost + e.work.Calls().Lost })
+// registerGauges shows what other parts count by themselves.
+func (e *Entry) registerGauges() {
+	e.metrics.Gauge("store_calls_coordination", func() int64 { return e.coordinationClient.Calls().Total() })
+	e.metrics.Gauge("store_calls_work", func() int64 { return e.workClient.Calls().Total() })
+	e.metrics.Gauge("store_calls_refused", func() int64 { return e.coordinationClient.Calls().Refused + e.workClient.Calls().Refused })
+	e.metrics.Gauge("store_replies_lost", func() int64 { return e.coordinationClient.Calls().Lost + e.workClient.Calls().Lost })
 	e.metrics.Gauge("store_list_failures", func() int64 { return e.watcher.Counts().StoreFailures })
 	e.metrics.Gauge("documents_written_back", func() int64 { return e.watcher.Counts().WriteBacks })
-	e.metrics.Gauge("documents_refused", func() int64 { return e.docs.Counts().Refused })
-	e.metrics.Gauge("connections", func() int64 { return int64(len(e.ep.Conns())) })
+	e.metrics.Gauge("documents_refused", func() int64 { return e.documents.Counts().Refused })
+	e.metrics.Gauge("connections", func() int64 { return int64(len(e.endpoint.Conns())) })
 	e.metrics.Gauge("members", func() int64 { return int64(e.members.count()) })
 }
 
--- a/entry/pick.go
+++ b/entry/pick.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// repickPatience is for how long a request of which an attempt was lost waits
+	// repickTimeout is for how long a request of which an attempt was lost waits
 	// for a target to come back. A silent connection is replaced well within it.
-	repickPatience = time.Second
-	// repickPause is the least time between two tries meanwhile.
-	repickPause = 50 * time.Millisecond
+	repickTimeout = time.Second
+	// repickInterval is the least time between two tries meanwhile.
+	repickInterval = 50 * time.Millisecond
 )
 
 // pick chooses the target of the next attempt. Where an earlier one may have run, a
@@ -25,15 +25,15 @@
 // its next attempt is made as soon as the router lets it, also at a target that it
 // was lost at, whose path is a new one by then.
 func (d *dispatcher) pick(ctx context.Context, c *call, attempt int, tried []routing.TargetID, maybeRan bool) (routing.Ticket, routing.Refusal) {
-	until := d.now().Add(repickPatience)
+	until := d.now().Add(repickTimeout)
 	for {
-		ticket, refusal := d.router.Pick(d.now(), d.query(c, attempt, tried))
-		wait := max(refusal.RetryAfter, repickPause)
+		ticket, refusal := d.router.Pick(d.now(), d.routingQuery(c, attempt, tried))
+		wait := max(refusal.RetryAfter, repickInterval)
 		hopeless := refusal.Reason == routing.TooLate || d.now().Add(wait).After(until)
 		if refusal.OK() || !maybeRan || hopeless || ctx.Err() != nil {
 			return ticket, refusal
 		}
-		pause(ctx, wait)
+		sleep(ctx, wait)
 		tried = nil
 	}
 }
--- a/entry/policy.go
+++ b/entry/policy.go
@@ -7,30 +7,30 @@
 	"github.com/eelgrasshub/eelgrasshub/routing"
 )
 
-// accountShareFactor is how much more of its own first attempts one client
+// accountRetryShareFactor is how much more of its own first attempts one client
 // account may spend on retries than all together: the failures of one target can
 // meet a few accounts only.
-const accountShareFactor = 2
+const accountRetryShareFactor = 2
 
-// retriesOf is the retry budget that a document declares.
-func retriesOf(d *document.Document) routing.Retries {
+// retryBudget is the retry budget that a document declares.
+func retryBudget(d *document.Document) routing.Retries {
 	return routing.Retries{
 		Share:        d.Routing.RetryShare,
-		AccountShare: accountShareFactor * d.Routing.RetryShare,
+		AccountShare: accountRetryShareFactor * d.Routing.RetryShare,
 		Burst:        d.Routing.RetryBurst,
 	}
 }
 
-// obey puts a document in force for the requests of its service.
-func (d *dispatcher) obey(doc *document.Document) {
+// applyDocument puts a document in force for the requests of its service.
+func (d *dispatcher) applyDocument(doc *document.Document) {
 	weights := relativeWeights(doc)
 	d.weights.Store(&weights)
-	d.router.SetRetries(retriesOf(doc))
+	d.router.SetRetries(retryBudget(doc))
 }
 
 // maxInFlight is how many requests this entry may have at one target.
 func (e *Entry) maxInFlight(service string) int {
-	held, ok := e.docs.Current(service)
+	held, ok := e.documents.Current(service)
 	if !ok {
 		return math.MaxInt
 	}
--- a/entry/prober_peers_test.go
+++ b/entry/prober_peers_test.go
@@ -9,31 +9,31 @@
 // An entry is taken for dead although it lives, again and again, as behind a
 // firewall that refuses for it. Its lease is revoked once in its life, not each
 // time that it has registered itself again.
-func TestRevokedOnceInALife(t *testing.T) {
+func TestLeaseRevokedOncePerIncarnation(t *testing.T) {
 	c := qt.New(t)
 	p := newProber(&Entry{})
-	p.ended["b"] = 7
-	p.follow(t.Context(), []peerEntry{{ID: "b", Incarnation: 7, lease: 1}})
+	p.revoked["b"] = 7
+	p.setTargets(t.Context(), []entryRecord{{ID: "b", Incarnation: 7, lease: 1}})
 	c.Check(p.probes, qt.HasLen, 0)
-	p.follow(t.Context(), []peerEntry{{ID: "b", Incarnation: 8}})
+	p.setTargets(t.Context(), []entryRecord{{ID: "b", Incarnation: 8}})
 	c.Check(p.probes, qt.HasLen, 1)
 }
 
 // Every entry is probed by as many others as there are to be, whoever is there.
 func TestEveryEntryIsProbed(t *testing.T) {
 	c := qt.New(t)
-	all := []peerEntry{{ID: "d"}, {ID: "a"}, {ID: "c"}, {ID: "b"}, {ID: "e"}}
+	all := []entryRecord{{ID: "d"}, {ID: "a"}, {ID: "c"}, {ID: "b"}, {ID: "e"}}
 	for n := range len(all) + 1 {
 		by := make(map[string]int)
 		for i, own := range all[:n] {
-			others := append(append([]peerEntry{}, all[:i]...), all[i+1:n]...)
-			for _, peer := range next(own.ID, others, probedPeers) {
+			others := append(append([]entryRecord{}, all[:i]...), all[i+1:n]...)
+			for _, peer := range nextPeers(own.ID, others, probedPeerCount) {
 				c.Check(peer.ID, qt.Not(qt.Equals), own.ID)
 				by[peer.ID]++
 			}
 		}
 		for id, probers := range by {
-			c.Check(probers, qt.Equals, min(probedPeers, n-1), qt.Commentf("%s of %d", id, n))
+			c.Check(probers, qt.Equals, min(probedPeerCount, n-1), qt.Commentf("%s of %d", id, n))
 		}
 	}
 }
--- a/entry/prober_test.go
+++ b/entry/prober_test.go
@@ -24,20 +24,20 @@
 
 const service = "dispatch"
 
-// still is a region of two entries before a store in which no lease ever lapses:
+// twoEntries is a region of two entries before a store in which no lease ever lapses:
 // a duty changes hands only where its lease is given back or revoked.
-type still struct {
+type twoEntries struct {
 	*qt.C
-	client *store.Client
-	cut    *httptest.Server // the store, as the first entry reaches it
-	url    string
+	client         *store.Client
+	firstStore     *httptest.Server // the store, as the first entry reaches it
+	secondStoreURL string
 }
 
-func newStill(c *qt.C) *still {
+func newTwoEntries(c *qt.C) *twoEntries {
 	now := time.Now()
 	srv := standin.New(standin.Options{Now: func() time.Time { return now }})
 	first, other := httptest.NewServer(srv), httptest.NewServer(srv)
-	s := &still{C: c, cut: first, url: other.URL, client: store.NewClient(store.Options{Endpoints: []string{other.URL}})}
+	s := &twoEntries{C: c, firstStore: first, secondStoreURL: other.URL, client: store.NewClient(store.Options{Endpoints: []string{other.URL}})}
 	c.Cleanup(func() {
 		s.client.Close()
 		srv.Close()
@@ -55,7 +55,7 @@
 	return s
 }
 
-func (s *still) start(id, store, advertise string) *entry.Entry {
+func (s *twoEntries) start(id, store, advertise string) *entry.Entry {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	e, err := entry.Start(settings.Entry{
@@ -69,21 +69,21 @@
 	return e
 }
 
-// until waits for a state; the test's own time limit is the only one.
-func until(state func() bool) {
+// waitFor waits for a state; the test's own time limit is the only one.
+func waitFor(state func() bool) {
 	for !state() {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func (s *still) registered() int {
+func (s *twoEntries) registrationCount() int {
 	all, err := entry.ListRegistrations(context.Background(), s.client, "auckland")
 	s.Assert(err, qt.IsNil)
 	return len(all)
 }
 
-// revoked says whether the entry has ended the lease of one dead peer.
-func revoked(e *entry.Entry) bool {
+// leaseRevoked says whether the entry has ended the lease of one dead peer.
+func leaseRevoked(e *entry.Entry) bool {
 	w := httptest.NewRecorder()
 	e.MetricsHandler().ServeHTTP(w, httptest.NewRequest("GET", "/", nil))
 	return strings.Contains(w.Body.String(), `"dead_entries_revoked": 1`)
@@ -110,62 +110,62 @@
 // The planner's process dies, cut off from the store in the same moment, so that
 // its lease is not given back. Urgent work would wait for the lease to lapse; but
 // the process's port refuses, so the other entry ends the lease and plans.
-func TestDutyOfADeadProcessIsTakenAtOnce(t *testing.T) {
-	s := newStill(qt.New(t))
-	first := s.start("entry-1", s.cut.URL, "")
-	until(func() bool { return first.Epoch(service) == 1 })
-	other := s.start("entry-2", s.url, "")
-	until(func() bool { return s.registered() == 2 })
-	s.Assert(s.cut.Listener.Close(), qt.IsNil)
-	s.cut.CloseClientConnections()
+func TestLeadershipOfDeadProcessIsTakenOver(t *testing.T) {
+	s := newTwoEntries(qt.New(t))
+	first := s.start("entry-1", s.firstStore.URL, "")
+	waitFor(func() bool { return first.Epoch(service) == 1 })
+	other := s.start("entry-2", s.secondStoreURL, "")
+	waitFor(func() bool { return s.registrationCount() == 2 })
+	s.Assert(s.firstStore.Listener.Close(), qt.IsNil)
+	s.firstStore.CloseClientConnections()
 	first.Close()
-	until(func() bool { return other.Epoch(service) == 2 })
-	until(func() bool { return revoked(other) })
-	s.Check(s.registered(), qt.Equals, 1)
+	waitFor(func() bool { return other.Epoch(service) == 2 })
+	waitFor(func() bool { return leaseRevoked(other) })
+	s.Check(s.registrationCount(), qt.Equals, 1)
 }
 
 // The only entry dies, cut off from the store, and is started again at once under
 // its id. Nobody probes it; its new life would wait for the lease of the old one.
-func TestRestartedEntryPlansAtOnce(t *testing.T) {
-	s := newStill(qt.New(t))
-	first := s.start("entry-1", s.cut.URL, "")
-	until(func() bool { return first.Epoch(service) == 1 })
-	s.Assert(s.cut.Listener.Close(), qt.IsNil)
-	s.cut.CloseClientConnections()
+func TestRestartedEntryRegainsLeadership(t *testing.T) {
+	s := newTwoEntries(qt.New(t))
+	first := s.start("entry-1", s.firstStore.URL, "")
+	waitFor(func() bool { return first.Epoch(service) == 1 })
+	s.Assert(s.firstStore.Listener.Close(), qt.IsNil)
+	s.firstStore.CloseClientConnections()
 	first.Close()
-	again := s.start("entry-1", s.url, "")
-	until(func() bool { return again.Epoch(service) == 2 })
-	s.Check(s.registered(), qt.Equals, 1)
+	again := s.start("entry-1", s.secondStoreURL, "")
+	waitFor(func() bool { return again.Epoch(service) == 2 })
+	s.Check(s.registrationCount(), qt.Equals, 1)
 }
 
 // The planner's entry is silent, as when its instance hangs or is cut off. That is
 // no proof of its end: it may plan. However often it is probed, its lease stays.
-func TestDutyOfASilentEntryIsNotTaken(t *testing.T) {
-	s := newStill(qt.New(t))
+func TestLeadershipOfUnresponsiveEntryIsKept(t *testing.T) {
+	s := newTwoEntries(qt.New(t))
 	port, probes := silentPort(s.C)
-	first := s.start("entry-1", s.cut.URL, port.LocalAddr().String())
-	until(func() bool { return first.Epoch(service) == 1 })
-	other := s.start("entry-2", s.url, "")
+	first := s.start("entry-1", s.firstStore.URL, port.LocalAddr().String())
+	waitFor(func() bool { return first.Epoch(service) == 1 })
+	other := s.start("entry-2", s.secondStoreURL, "")
 	for range 8 {
 		<-probes
 	}
 	s.Check(other.Epoch(service), qt.Equals, uint64(0))
-	s.Check(revoked(other), qt.IsFalse)
-	s.Check(s.registered(), qt.Equals, 2)
+	s.Check(leaseRevoked(other), qt.IsFalse)
+	s.Check(s.registrationCount(), qt.Equals, 2)
 }
 
 // Something refuses in place of an entry that lives, as a firewall may. Its lease
 // is revoked once: the other plans under a higher epoch, and the entry registers
 // itself again and is not taken for dead a second time.
-func TestFalseSuspicionEndsWell(t *testing.T) {
-	s := newStill(qt.New(t))
+func TestFalseSuspicionRevokesLeaseOnce(t *testing.T) {
+	s := newTwoEntries(qt.New(t))
 	port, probes := silentPort(s.C)
-	first := s.start("entry-1", s.cut.URL, port.LocalAddr().String())
-	until(func() bool { return first.Epoch(service) == 1 })
-	other := s.start("entry-2", s.url, "")
+	first := s.start("entry-1", s.firstStore.URL, port.LocalAddr().String())
+	waitFor(func() bool { return first.Epoch(service) == 1 })
+	other := s.start("entry-2", s.secondStoreURL, "")
 	<-probes
 	s.Assert(port.Close(), qt.IsNil)
-	until(func() bool { return other.Epoch(service) == 2 })
-	until(func() bool { return s.registered() == 2 })
-	until(func() bool { return revoked(other) })
+	waitFor(func() bool { return other.Epoch(service) == 2 })
+	waitFor(func() bool { return s.registrationCount() == 2 })
+	waitFor(func() bool { return leaseRevoked(other) })
 }
--- a/entry/problem.go
+++ b/entry/problem.go
@@ -10,25 +10,25 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// comeBack is what a caller is told where nothing better is known.
-const comeBack = time.Second
+// defaultRetryAfter is what a caller is told where nothing better is known.
+const defaultRetryAfter = time.Second
 
 // pickProblem is the answer where no target was found. An earlier attempt that
 // may have run forbids the claim that the request did not.
 func pickProblem(r routing.Refusal, maybeRan bool) *api.Problem {
 	if maybeRan {
 		// Only a request that may run twice has had an attempt before.
-		return api.Busy(api.ReasonOutcomeLost, "an attempt may have run, and no other target took the request", after(r.RetryAfter))
+		return api.Busy(api.ReasonOutcomeLost, "an attempt may have run, and no other target took the request", retryAfterOrDefault(r.RetryAfter))
 	}
 	switch r.Reason {
 	case routing.NoTargets:
-		return api.Busy(api.ReasonNoTarget, "no target accepts work now", after(r.RetryAfter))
+		return api.Busy(api.ReasonNoTarget, "no target accepts work now", retryAfterOrDefault(r.RetryAfter))
 	case routing.TooLate:
 		return api.NewProblem(api.ReasonDeadline, "the deadline has passed")
 	case routing.OverShare:
-		return api.Busy(api.ReasonAccountLimit, "the client account uses its share of the targets already", after(r.RetryAfter))
+		return api.Busy(api.ReasonAccountLimit, "the client account uses its share of the targets already", retryAfterOrDefault(r.RetryAfter))
 	default:
-		return api.Busy(api.ReasonQueueFull, "all targets are saturated", after(r.RetryAfter))
+		return api.Busy(api.ReasonQueueFull, "all targets are saturated", retryAfterOrDefault(r.RetryAfter))
 	}
 }
 
@@ -37,11 +37,11 @@
 func attemptProblem(reply *wire.ExecuteReply, err error, maybeRan bool) *api.Problem {
 	switch {
 	case maybeRan:
-		return api.NewProblem(api.ReasonOutcomeLost, "the answer of the target was lost: "+cause(reply, err))
+		return api.NewProblem(api.ReasonOutcomeLost, "the answer of the target was lost: "+failureText(reply, err))
 	case err != nil && errors.Is(err, wire.ErrDraining):
-		return api.Busy(api.ReasonRefused, "the target is leaving", comeBack)
+		return api.Busy(api.ReasonRefused, "the target is leaving", defaultRetryAfter)
 	case err != nil:
-		return api.Busy(api.ReasonNoTarget, "the target could not be reached", comeBack)
+		return api.Busy(api.ReasonNoTarget, "the target could not be reached", defaultRetryAfter)
 	default:
 		return refusedProblem(reply)
 	}
@@ -52,22 +52,22 @@
 	case admission.Deadline.String():
 		return api.Busy(api.ReasonDeadline, "it could not have been answered in time", reply.RetryAfter)
 	case admission.TooMany.String():
-		return api.Busy(api.ReasonAccountLimit, "the client account has too many requests queued", after(reply.RetryAfter))
+		return api.Busy(api.ReasonAccountLimit, "the client account has too many requests queued", retryAfterOrDefault(reply.RetryAfter))
 	case admission.Overload.String():
-		return api.Busy(api.ReasonQueueFull, "the target is overloaded", after(reply.RetryAfter))
+		return api.Busy(api.ReasonQueueFull, "the target is overloaded", retryAfterOrDefault(reply.RetryAfter))
 	default:
-		return api.Busy(api.ReasonRefused, reply.Reason+" "+reply.Detail, after(reply.RetryAfter))
+		return api.Busy(api.ReasonRefused, reply.Reason+" "+reply.Detail, retryAfterOrDefault(reply.RetryAfter))
 	}
 }
 
-func after(d time.Duration) time.Duration {
+func retryAfterOrDefault(d time.Duration) time.Duration {
 	if d <= 0 {
-		return comeBack
+		return defaultRetryAfter
 	}
 	return d
 }
 
-func cause(reply *wire.ExecuteReply, err error) string {
+func failureText(reply *wire.ExecuteReply, err error) string {
 	if err != nil {
 		return err.Error()
 	}
--- a/entry/registration.go
+++ b/entry/registration.go
@@ -21,7 +21,7 @@
 	}
 	var out []Registration
 	for _, kv := range snap.Keys {
-		var p peerEntry
+		var p entryRecord
 		if json.Unmarshal(kv.Value, &p) == nil {
 			out = append(out, Registration{ID: p.ID, HTTP: p.HTTP})
 		}
--- a/entry/registry.go
+++ b/entry/registry.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	// registerEvery is the least time between two registrations: an entry that
+	// minRegisterInterval is the least time between two registrations: an entry that
 	// gains many duties at once tells of them together.
-	registerEvery = 100 * time.Millisecond
-	// registryPause is the pause before a failed registration or watch is tried
+	minRegisterInterval = 100 * time.Millisecond
+	// registryRetryInterval is the pause before a failed registration or watch is tried
 	// again.
-	registryPause = time.Second
-	// absentFor is how long an entry whose registration has gone is still
+	registryRetryInterval = time.Second
+	// absentPeerTTL is how long an entry whose registration has gone is still
 	// believed in: after an outage of the store all registrations have lapsed at
 	// once, while the entries live on.
-	absentFor = 30 * time.Second
+	absentPeerTTL = 30 * time.Second
 )
 
-// peerEntry is an entry as it registers itself in the platform's store.
-type peerEntry struct {
-	Token       string     `json:"token"`
-	ID          string     `json:"id"`
-	Address     string     `json:"address"` // of its QUIC endpoint
-	HTTP        string     `json:"http"`    // of its callers' interface
-	Zone        string     `json:"zone"`
-	Incarnation uint64     `json:"incarnation"`
-	Duties      []heldDuty `json:"duties,omitempty"`
+// entryRecord is an entry as it registers itself in the platform's store.
+type entryRecord struct {
+	Token       string       `json:"token"`
+	ID          string       `json:"id"`
+	Address     string       `json:"address"` // of its QUIC endpoint
+	HTTP        string       `json:"http"`    // of its callers' interface
+	Zone        string       `json:"zone"`
+	Incarnation uint64       `json:"incarnation"`
+	Leaderships []leadership `json:"duties,omitempty"`
 	// Services are those it takes part in; empty means all.
 	Services []string `json:"services,omitempty"`
 	// Leaving: it is stopping and takes no duties.
@@ -45,8 +45,8 @@
 	lease store.LeaseID
 }
 
-// heldDuty is a planner duty that the entry holds.
-type heldDuty struct {
+// leadership is a planner duty that the entry holds.
+type leadership struct {
 	Service string `json:"service"`
 	Epoch   uint64 `json:"epoch"`
 }
@@ -54,41 +54,41 @@
 // registry lets the few entries of a region find each other through the
 // platform's store. It is safe for concurrent use.
 type registry struct {
-	store   store.Store
-	session *lease.Session
-	prefix  string
-	log     *logrus.Entry
-	// changed is told of the other entries after each change.
-	changed func(others []peerEntry)
-
-	mu     sync.Mutex
-	own    peerEntry
-	peers  map[string]peerEntry
-	absent map[string]time.Time
-	since  map[string]time.Time // when a present peer's incarnation was first seen
-	dirty  chan struct{}
-}
-
-func newRegistry(store store.Store, session *lease.Session, region string, own peerEntry, log *logrus.Entry) *registry {
+	store     store.Store
+	session   *lease.Session
+	keyPrefix string
+	log       *logrus.Entry
+	// onChange is told of the other entries after each change.
+	onChange func(others []entryRecord)
+
+	mu             sync.Mutex
+	own            entryRecord
+	peers          map[string]entryRecord
+	absentSince    map[string]time.Time
+	presentSince   map[string]time.Time // when a present peer's incarnation was first seen
+	writeRequested chan struct{}
+}
+
+func newRegistry(store store.Store, session *lease.Session, region string, own entryRecord, log *logrus.Entry) *registry {
 	return &registry{
-		store:   store,
-		session: session,
-		prefix:  "entries/" + region + "/",
-		log:     log,
-		own:     own,
-		peers:   make(map[string]peerEntry),
-		absent:  make(map[string]time.Time),
-		since:   make(map[string]time.Time),
-		dirty:   make(chan struct{}, 1),
+		store:          store,
+		session:        session,
+		keyPrefix:      "entries/" + region + "/",
+		log:            log,
+		own:            own,
+		peers:          make(map[string]entryRecord),
+		absentSince:    make(map[string]time.Time),
+		presentSince:   make(map[string]time.Time),
+		writeRequested: make(chan struct{}, 1),
 	}
 }
 
-// setDuties registers which duties this entry holds.
-func (r *registry) setDuties(duties []heldDuty) {
+// setLeaderships registers which duties this entry holds.
+func (r *registry) setLeaderships(duties []leadership) {
 	r.mu.Lock()
-	r.own.Duties = duties
+	r.own.Leaderships = duties
 	r.mu.Unlock()
-	r.mark()
+	r.requestWrite()
 }
 
 // setLeaving registers that this entry takes no duties any more.
@@ -96,22 +96,22 @@
 	r.mu.Lock()
 	r.own.Leaving = true
 	r.mu.Unlock()
-	r.mark()
+	r.requestWrite()
 }
 
-// mark has the registration written again.
-func (r *registry) mark() {
+// requestWrite has the registration written again.
+func (r *registry) requestWrite() {
 	select {
-	case r.dirty <- struct{}{}:
+	case r.writeRequested <- struct{}{}:
 	default:
 	}
 }
 
 // others returns the other entries, by id.
-func (r *registry) others() []peerEntry {
+func (r *registry) others() []entryRecord {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.SortedFunc(maps.Values(r.peers), func(a, b peerEntry) int {
+	return slices.SortedFunc(maps.Values(r.peers), func(a, b entryRecord) int {
 		if a.ID < b.ID {
 			return -1
 		}
@@ -120,11 +120,11 @@
 }
 
 // planner returns the other entry with the highest epoch of the service's duty.
-func (r *registry) planner(service string) (peerEntry, uint64, bool) {
-	var best peerEntry
+func (r *registry) planner(service string) (entryRecord, uint64, bool) {
+	var best entryRecord
 	var epoch uint64
 	for _, p := range r.others() {
-		for _, d := range p.Duties {
+		for _, d := range p.Leaderships {
 			if d.Service == service && d.Epoch > epoch {
 				best, epoch = p, d.Epoch
 			}
@@ -139,58 +139,58 @@
 	defer r.mu.Unlock()
 	var out []candidate
 	for id, p := range r.peers {
-		if p.Leaving || !r.absent[id].IsZero() {
+		if p.Leaving || !r.absentSince[id].IsZero() {
 			continue
 		}
-		out = append(out, candidate{id: id, since: r.since[id], duties: len(p.Duties), services: p.Services})
+		out = append(out, candidate{id: id, presentSince: r.presentSince[id], leaderships: len(p.Leaderships), services: p.Services})
 	}
 	return out
 }
 
-// present returns the other entries that are registered now.
-func (r *registry) present() []peerEntry {
+// registeredPeers returns the other entries that are registered now.
+func (r *registry) registeredPeers() []entryRecord {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var out []peerEntry
+	var out []entryRecord
 	for id, p := range r.peers {
-		if r.absent[id].IsZero() {
+		if r.absentSince[id].IsZero() {
 			out = append(out, p)
 		}
 	}
 	return out
 }
 
-// follow keeps the list of the other entries until ctx ends.
-func (r *registry) follow(ctx context.Context) {
+// watch keeps the list of the other entries until ctx ends.
+func (r *registry) watch(ctx context.Context) {
 	for ctx.Err() == nil {
-		snap, err := r.store.List(ctx, r.prefix)
+		snap, err := r.store.List(ctx, r.keyPrefix)
 		if err == nil {
-			r.listed(snap)
-			_ = r.store.Watch(ctx, r.prefix, snap.At+1, r.deliver)
+			r.handleList(snap)
+			_ = r.store.Watch(ctx, r.keyPrefix, snap.At+1, r.handleWatchBatch)
 		}
-		pause(ctx, registryPause)
+		sleep(ctx, registryRetryInterval)
 	}
 }
 
-func (r *registry) listed(snap store.Snapshot) {
+func (r *registry) handleList(snap store.Snapshot) {
 	r.update(func() {
 		for id := range r.peers {
 			r.markAbsent(id)
 		}
 		for _, kv := range snap.Keys {
-			r.take(kv)
+			r.putPeer(kv)
 		}
 	})
 }
 
-func (r *registry) deliver(b store.WatchBatch) {
+func (r *registry) handleWatchBatch(b store.WatchBatch) {
 	r.update(func() {
 		for _, ev := range b.Events {
 			if ev.Deleted {
-				r.markAbsent(ev.Key[len(r.prefix):])
+				r.markAbsent(ev.Key[len(r.keyPrefix):])
 				continue
 			}
-			r.take(ev.KeyValue)
+			r.putPeer(ev.KeyValue)
 		}
 	})
 }
@@ -198,37 +198,37 @@
 func (r *registry) update(f func()) {
 	r.mu.Lock()
 	f()
-	for id := range r.absent {
-		delete(r.since, id)
+	for id := range r.absentSince {
+		delete(r.presentSince, id)
 	}
 	r.dropAbsent(time.Now())
 	r.mu.Unlock()
-	r.changed(r.others())
+	r.onChange(r.others())
 }
 
-func (r *registry) take(kv store.KeyValue) {
-	var p peerEntry
+func (r *registry) putPeer(kv store.KeyValue) {
+	var p entryRecord
 	if json.Unmarshal(kv.Value, &p) != nil || p.ID == r.own.ID {
 		return
 	}
 	p.lease = kv.Lease
-	if r.since[p.ID].IsZero() || r.peers[p.ID].Incarnation != p.Incarnation {
-		r.since[p.ID] = time.Now()
+	if r.presentSince[p.ID].IsZero() || r.peers[p.ID].Incarnation != p.Incarnation {
+		r.presentSince[p.ID] = time.Now()
 	}
 	r.peers[p.ID] = p
-	delete(r.absent, p.ID)
+	delete(r.absentSince, p.ID)
 }
 
 func (r *registry) markAbsent(id string) {
-	if _, ok := r.peers[id]; ok && r.absent[id].IsZero() {
-		r.absent[id] = time.Now()
+	if _, ok := r.peers[id]; ok && r.absentSince[id].IsZero() {
+		r.absentSince[id] = time.Now()
 	}
 }
 
 func (r *registry) dropAbsent(now time.Time) {
-	for id, since := range r.absent {
-		if now.Sub(since) > absentFor {
-			delete(r.absent, id)
+	for id, since := range r.absentSince {
+		if now.Sub(since) > absentPeerTTL {
+			delete(r.absentSince, id)
 			delete(r.peers, id)
 		}
 	}
--- a/entry/registry_write.go
+++ b/entry/registry_write.go
@@ -16,35 +16,35 @@
 	for ctx.Err() == nil {
 		id, lost, err := r.session.Lease(ctx)
 		if err == nil {
-			r.term(ctx, id, lost)
+			r.holdRegistration(ctx, id, lost)
 		}
 	}
 }
 
-// term is the life of one lease.
-func (r *registry) term(ctx context.Context, id store.LeaseID, lost <-chan struct{}) {
+// holdRegistration is the life of one lease.
+func (r *registry) holdRegistration(ctx context.Context, id store.LeaseID, lost <-chan struct{}) {
 	rev := store.Revision(0)
 	for {
 		next, err := r.write(ctx, id, rev)
 		if err == nil {
 			rev = next
-			pause(ctx, registerEvery)
+			sleep(ctx, minRegisterInterval)
 		} else {
-			pause(ctx, registryPause)
-			r.mark()
+			sleep(ctx, registryRetryInterval)
+			r.requestWrite()
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-lost:
 			return
-		case <-r.dirty:
+		case <-r.writeRequested:
 		}
 	}
 }
 
-// errLaterLife: another process with this entry's id began later.
-var errLaterLife = eris.New("registered by a later life of the entry")
+// errLaterIncarnation: another process with this entry's id began later.
+var errLaterIncarnation = eris.New("registered by a later life of the entry")
 
 // write registers the entry. An older registration under the same id is of an
 // earlier life and is replaced; one of a later life stays. The lease of an earlier
@@ -59,7 +59,7 @@
 		return 0, err
 	}
 	for {
-		res, err := r.store.Commit(ctx, []store.Swap{{Key: r.prefix + r.own.ID, Expect: rev, Value: value, Lease: id}})
+		res, err := r.store.Commit(ctx, []store.Swap{{Key: r.keyPrefix + r.own.ID, Expect: rev, Value: value, Lease: id}})
 		switch {
 		case err != nil:
 			return 0, err
@@ -72,18 +72,18 @@
 		if res[0].Current.Lease == id || res[0].Current.Lease == 0 {
 			continue
 		}
-		if err := r.replace(ctx, res[0].Current); err != nil {
+		if err := r.revokeEarlier(ctx, res[0].Current); err != nil {
 			return 0, err
 		}
 		rev = 0 // gone with its lease
 	}
 }
 
-// replace ends the lease of a registration that is not of this life.
-func (r *registry) replace(ctx context.Context, kv store.KeyValue) error {
-	var old peerEntry
+// revokeEarlier ends the lease of a registration that is not of this life.
+func (r *registry) revokeEarlier(ctx context.Context, kv store.KeyValue) error {
+	var old entryRecord
 	if json.Unmarshal(kv.Value, &old) == nil && old.Incarnation > r.own.Incarnation {
-		return errLaterLife
+		return errLaterIncarnation
 	}
 	err := r.store.Revoke(ctx, kv.Lease)
 	if eris.Is(err, store.ErrLeaseNotFound) {
--- a/entry/registry_write_test.go
+++ b/entry/registry_write_test.go
@@ -16,7 +16,7 @@
 // The new one registers and revokes the old one's lease. The old one must not
 // register itself again: agents and entries would turn to it, and each would revoke
 // the other's lease for as long as both live.
-func TestEarlierLifeDoesNotReplaceALaterOne(t *testing.T) {
+func TestEarlierIncarnationDoesNotReplaceLater(t *testing.T) {
 	c := qt.New(t)
 	srv := standin.New(standin.Options{})
 	web := httptest.NewServer(srv)
@@ -28,7 +28,7 @@
 	register := func(incarnation uint64) (store.LeaseID, error) {
 		id, err := kv.Grant(ctx, time.Hour)
 		c.Assert(err, qt.IsNil)
-		_, err = newRegistry(kv, nil, "auckland", peerEntry{ID: "a", Incarnation: incarnation}, nil).write(ctx, id, 0)
+		_, err = newRegistry(kv, nil, "auckland", entryRecord{ID: "a", Incarnation: incarnation}, nil).write(ctx, id, 0)
 		return id, err
 	}
 	old, err := register(1)
@@ -38,7 +38,7 @@
 	_, err = kv.Renew(ctx, old)
 	c.Check(err, qt.ErrorIs, store.ErrLeaseNotFound)
 	_, err = register(1)
-	c.Check(err, qt.ErrorIs, errLaterLife)
+	c.Check(err, qt.ErrorIs, errLaterIncarnation)
 	held, _, err := kv.Get(ctx, "entries/auckland/a")
 	c.Assert(err, qt.IsNil)
 	c.Check(held.Lease, qt.Equals, later)
--- a/entry/relays.go
+++ b/entry/relays.go
@@ -8,51 +8,51 @@
 )
 
 const (
-	// relayRack is the least number of agents in a rack that has a relay. With
+	// minRelayedRackSize is the least number of agents in a rack that has a relay. With
 	// two, a relay would save one connection and cost a way more.
-	relayRack = 3
+	minRelayedRackSize = 3
 	// relayBelow: relays named already are kept until the agents are fewer than
 	// this part of the limit, so that one agent that comes and goes does not move
 	// all others.
-	relayBelowNumerator, relayBelowDenominator = 4, 5
+	relayHysteresisNumerator, relayHysteresisDenominator = 4, 5
 )
 
 // relays is the choice of the relay of each rack, made again about every second.
 // Reads are safe for concurrent use; one goroutine calls choose.
 type relays struct {
-	above  int
-	chosen atomic.Pointer[relayChoice]
+	threshold int
+	current   atomic.Pointer[relaysByRack]
 }
 
-// relayChoice has the relay of each rack, by service.
-type relayChoice map[string]map[membership.Rack]wire.RelayInfo
+// relaysByRack has the relay of each rack, by service.
+type relaysByRack map[string]map[membership.Rack]wire.RelayInfo
 
 func newRelays(above int) *relays {
-	r := &relays{above: above}
-	r.chosen.Store(&relayChoice{})
+	r := &relays{threshold: above}
+	r.current.Store(&relaysByRack{})
 	return r
 }
 
-// choose makes the choice from the members that are known.
-func (r *relays) choose(snap *membership.Snapshot) {
-	choice := relayChoice{}
-	if r.wanted(snap) {
+// update makes the choice from the members that are known.
+func (r *relays) update(snap *membership.Snapshot) {
+	choice := relaysByRack{}
+	if r.needed(snap) {
 		for _, service := range snap.Services() {
-			choice[service] = membership.ChooseRelays(snap.Service(service), relayRack)
+			choice[service] = membership.ChooseRelays(snap.Service(service), minRelayedRackSize)
 		}
 	}
-	r.chosen.Store(&choice)
+	r.current.Store(&choice)
 }
 
-// wanted says whether the agents are so many that their own reports would cost
+// needed says whether the agents are so many that their own reports would cost
 // an entry more than its share.
-func (r *relays) wanted(snap *membership.Snapshot) bool {
-	if r.above == 0 {
+func (r *relays) needed(snap *membership.Snapshot) bool {
+	if r.threshold == 0 {
 		return false
 	}
-	limit := r.above
-	if len(*r.chosen.Load()) > 0 {
-		limit = limit * relayBelowNumerator / relayBelowDenominator
+	limit := r.threshold
+	if len(*r.current.Load()) > 0 {
+		limit = limit * relayHysteresisNumerator / relayHysteresisDenominator
 	}
 	agents := 0
 	for _, service := range snap.Services() {
@@ -61,7 +61,7 @@
 	return agents > limit
 }
 
-// of returns the relay of a member's rack; the zero value: there is none.
-func (r *relays) of(m *membership.Member) wire.RelayInfo {
-	return (*r.chosen.Load())[m.Report.Service][membership.RackOf(&m.Report)]
+// relayOf returns the relay relayOf a member's rack; the zero value: there is none.
+func (r *relays) relayOf(m *membership.Member) wire.RelayInfo {
+	return (*r.current.Load())[m.Report.Service][membership.RackOf(&m.Report)]
 }
--- a/entry/report_ack.go
+++ b/entry/report_ack.go
@@ -6,18 +6,18 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// news is the part of a report's answer that is the same for all agents: which
+// sharedAck is the part of a report's answer that is the same for all agents: which
 // entries there are. It is made once for each change of them, and left out where
 // the sender has it already.
-type news struct {
+type sharedAck struct {
 	ack wire.ReportAck
 }
 
-// setNews makes the news from the other entries that are known now.
-func (e *Entry) setNews(others []peerEntry) {
-	n := &news{ack: wire.ReportAck{Entries: []wire.EntryInfo{{
+// updateSharedAck makes the news from the other entries that are known now.
+func (e *Entry) updateSharedAck(others []entryRecord) {
+	n := &sharedAck{ack: wire.ReportAck{Entries: []wire.EntryInfo{{
 		ID:          e.cfg.ID,
-		Address:     e.advertised(),
+		Address:     e.advertisedAddr(),
 		Zone:        e.cfg.Zone,
 		Incarnation: e.incarnation,
 	}}}}
@@ -30,13 +30,13 @@
 		})
 	}
 	n.ack.Digest = digestOf(&n.ack)
-	e.latest.Store(n)
+	e.sharedAck.Store(n)
 }
 
-// answer begins the answer to a report whose sender knows the news and the relay
+// newReportAck begins the newReportAck to a report whose sender knows the news and the relay
 // of its rack with the digest.
-func (e *Entry) answer(known uint64, relay wire.RelayInfo) *wire.ReportAck {
-	ack := e.latest.Load().ack
+func (e *Entry) newReportAck(known uint64, relay wire.RelayInfo) *wire.ReportAck {
+	ack := e.sharedAck.Load().ack
 	ack.Relay = relay
 	if relay.ID != "" {
 		ack.Digest ^= xxhash.Sum64String(relay.ID+"/"+relay.Address) + relay.Incarnation
--- a/entry/session.go
+++ b/entry/session.go
@@ -11,9 +11,9 @@
 	// sessionTTL bounds for how long a scheduling domain has no planner after its
 	// entry died, and for how long a dead entry stays registered.
 	sessionTTL = 4 * time.Second
-	// sessionClose bounds the wait for the lease's end; it lapses by itself
+	// sessionCloseTimeout bounds the wait for the lease's end; it lapses by itself
 	// otherwise.
-	sessionClose = time.Second
+	sessionCloseTimeout = time.Second
 )
 
 // openSession begins the one lease for this entry's registration and duties.
@@ -28,7 +28,7 @@
 }
 
 func (e *Entry) closeSession() {
-	ctx, cancel := context.WithTimeout(context.Background(), sessionClose)
+	ctx, cancel := context.WithTimeout(context.Background(), sessionCloseTimeout)
 	defer cancel()
 	_ = e.session.Close(ctx)
 }
--- a/entry/sharedlease.go
+++ b/entry/sharedlease.go
@@ -13,9 +13,9 @@
 const (
 	// jobRetention is for how long the record of an ended job is kept.
 	jobRetention = 24 * time.Hour
-	// leaseRenewal is how long one store lease collects keys. A key so lives
-	// between the life asked for and that plus leaseRenewal.
-	leaseRenewal = time.Hour
+	// leaseSharePeriod is how long one store lease collects keys. A key so lives
+	// between the life asked for and that plus leaseSharePeriod.
+	leaseSharePeriod = time.Hour
 )
 
 // sharedLease is the store lease under which this process writes keys that are
@@ -24,25 +24,25 @@
 // is safe for concurrent use.
 type sharedLease struct {
 	store store.Store
-	life  time.Duration
+	ttl   time.Duration
 
-	grants  singleflight.Group
-	mu      sync.Mutex
-	id      store.LeaseID
-	granted time.Time
+	grantGroup singleflight.Group
+	mu         sync.Mutex
+	id         store.LeaseID
+	grantedAt  time.Time
 }
 
 func newSharedLease(store store.Store, life time.Duration) *sharedLease {
-	return &sharedLease{store: store, life: life}
+	return &sharedLease{store: store, ttl: life}
 }
 
 // Current returns the lease for keys written now. Callers that need a new one
 // share the call for it, and each waits no longer than its own ctx.
 func (l *sharedLease) Current(ctx context.Context) (store.LeaseID, error) {
-	if id, ok := l.valid(); ok {
+	if id, ok := l.cached(); ok {
 		return id, nil
 	}
-	granted := l.grants.DoChan("grant", func() (any, error) { return l.grant() })
+	granted := l.grantGroup.DoChan("grant", func() (any, error) { return l.grant() })
 	select {
 	case r := <-granted:
 		id, _ := r.Val.(store.LeaseID)
@@ -52,23 +52,23 @@
 	}
 }
 
-func (l *sharedLease) valid() (store.LeaseID, bool) {
+func (l *sharedLease) cached() (store.LeaseID, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.id, l.id != 0 && time.Since(l.granted) < leaseRenewal
+	return l.id, l.id != 0 && time.Since(l.grantedAt) < leaseSharePeriod
 }
 
 func (l *sharedLease) grant() (store.LeaseID, error) {
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), storeWait)
+	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
-	id, err := l.store.Grant(ctx, l.life+leaseRenewal)
+	id, err := l.store.Grant(ctx, l.ttl+leaseSharePeriod)
 	if err != nil {
 		return 0, err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.id, l.granted = id, began
+	l.id, l.grantedAt = id, began
 	return id, nil
 }
 
--- a/entry/stats.go
+++ b/entry/stats.go
@@ -5,7 +5,7 @@
 // Stats returns the scheduler's summary of a service as of the planner's last
 // housekeeping. False: this entry does not hold the planner duty.
 func (e *Entry) Stats(service string) (scheduler.Stats, bool) {
-	p := e.duties.planner(service)
+	p := e.elections.planner(service)
 	if p == nil {
 		return scheduler.Stats{}, false
 	}
@@ -15,7 +15,7 @@
 // Epoch returns the fencing epoch of the planner duty that this entry holds for
 // a service, or 0.
 func (e *Entry) Epoch(service string) uint64 {
-	for _, d := range e.duties.held() {
+	for _, d := range e.elections.leaderships() {
 		if d.Service == service {
 			return d.Epoch
 		}
--- a/entry/status.go
+++ b/entry/status.go
@@ -15,14 +15,14 @@
 		ID:          e.cfg.ID,
 		Incarnation: strconv.FormatUint(e.incarnation, 10),
 		Zone:        e.cfg.Zone,
-		Ready:       e.notReady() == nil,
+		Ready:       e.checkReady() == nil,
 		Draining:    e.draining.Load(),
-		Since:       e.since,
-		Duties:      e.duties.held(),
+		Since:       e.startedAt,
+		Duties:      e.elections.leaderships(),
 		Generations: []api.Generation{},
 		Members:     []api.Member{},
 	}
-	for _, h := range e.docs.All() {
+	for _, h := range e.documents.All() {
 		s.Generations = append(s.Generations, api.Generation{
 			Service:    h.Version.Service,
 			Generation: h.Version.Generation,
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -10,10 +10,10 @@
 func (e *Entry) Stop(ctx context.Context) error {
 	e.draining.Store(true)
 	e.log.Info("draining")
-	e.duties.resign(ctx)
-	pause(ctx, e.cfg.DrainDelay.Duration)
+	e.elections.resignAll(ctx)
+	sleep(ctx, e.cfg.DrainDelay.Duration)
 	err := e.server.Shutdown(ctx)
-	if drainErr := e.ep.Drain(ctx); err == nil {
+	if drainErr := e.endpoint.Drain(ctx); err == nil {
 		err = drainErr
 	}
 	e.Close()
@@ -22,24 +22,24 @@
 
 // Close ends the entry at once.
 func (e *Entry) Close() {
-	e.t.Kill(nil)
+	e.tomb.Kill(nil)
 	_ = e.server.Close()
 	_ = e.watcher.Stop()
-	e.abandonDuties()
+	e.abandonLeaderships()
 	e.pool.Close()
-	_ = e.ep.Close()
-	_ = e.t.Wait()
+	_ = e.endpoint.Close()
+	_ = e.tomb.Wait()
 	e.closeSession()
-	e.swaps.Close()
-	e.client.Close()
-	e.work.Close()
+	e.batcher.Close()
+	e.coordinationClient.Close()
+	e.workClient.Close()
 	e.log.Info("entry stopped")
 }
 
-// abandonDuties stops the planners and lets the leases lapse, as a death would;
+// abandonLeaderships stops the planners and lets the leases lapse, as a death would;
 // after Stop there are none left.
-func (e *Entry) abandonDuties() {
+func (e *Entry) abandonLeaderships() {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	e.duties.resign(ctx)
+	e.elections.resignAll(ctx)
 }
--- a/entry/storeprobe.go
+++ b/entry/storeprobe.go
@@ -13,34 +13,34 @@
 )
 
 const (
-	// probeEvery is for how long a probe's result is given to all who ask: the
+	// storeProbeInterval is for how long a probe's result is given to all who ask: the
 	// store counts each call.
-	probeEvery = time.Second
-	// probeWait bounds one probe, well below what another entry waits for the
+	storeProbeInterval = time.Second
+	// storeProbeTimeout bounds one probe, well below what another entry waits for the
 	// answer that it is part of.
-	probeWait = time.Second
+	storeProbeTimeout = time.Second
 )
 
 // storeProbe tells whether the platform's store answers this entry. The zero value
 // is ready. It is safe for concurrent use.
 type storeProbe struct {
-	mu sync.Mutex
-	at time.Time // of the last probe, by clock.Now
-	ok bool
+	mu        sync.Mutex
+	probedAt  time.Time // of the last probe, by clock.Now
+	available bool
 }
 
-// answers reads one small key, at most once a second. A call that this process's
+// check reads one small key, at most once a second. A call that this process's
 // own budget refuses says nothing against the store.
-func (p *storeProbe) answers(ctx context.Context, kv store.Store, service string) bool {
+func (p *storeProbe) check(ctx context.Context, kv store.Store, service string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.at.IsZero() && clock.Now().Sub(p.at) < probeEvery {
-		return p.ok
+	if !p.probedAt.IsZero() && clock.Now().Sub(p.probedAt) < storeProbeInterval {
+		return p.available
 	}
 	// A caller that goes away must not look like an outage to the next one.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeWait)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), storeProbeTimeout)
 	defer cancel()
 	_, _, err := kv.Get(ctx, document.StoreKey(service))
-	p.at, p.ok = clock.Now(), err == nil || eris.Is(err, store.ErrBudget)
-	return p.ok
+	p.probedAt, p.available = clock.Now(), err == nil || eris.Is(err, store.ErrBudget)
+	return p.available
 }
--- a/entry/udp_probe.go
+++ b/entry/udp_probe.go
@@ -9,48 +9,48 @@
 )
 
 const (
-	// refusalsNeeded in a row are taken for the end of a process: a restart
+	// requiredRefusals in a row are taken for the end of a process: a restart
 	// within the time between them is not.
-	refusalsNeeded = 2
-	// refusalPause is the time between two refused probes.
-	refusalPause = 50 * time.Millisecond
+	requiredRefusals = 2
+	// refusalInterval is the time between two refused probes.
+	refusalInterval = 50 * time.Millisecond
 )
 
 // probePacket is no QUIC packet: a live endpoint drops it without an answer.
 var probePacket = []byte{0}
 
-// awaitRefusal probes a UDP address until it refuses, and false where ctx ends
+// awaitPortRefusal probes a UDP address until it refuses, and false where ctx ends
 // first. Only a connected socket is told of the refusal.
-func awaitRefusal(ctx context.Context, addr string) bool {
+func awaitPortRefusal(ctx context.Context, addr string) bool {
 	refused := 0
 	for ctx.Err() == nil {
-		if !refuses(ctx, addr) {
+		if !portRefused(ctx, addr) {
 			refused = 0
 			continue
 		}
 		refused++
-		if refused == refusalsNeeded {
+		if refused == requiredRefusals {
 			return true
 		}
-		pause(ctx, refusalPause)
+		sleep(ctx, refusalInterval)
 	}
 	return false
 }
 
-// refuses sends one probe and says whether it was refused. A probe that is not
+// portRefused sends one probe and says whether it was refused. A probe that is not
 // takes peerProbeEvery.
-func refuses(ctx context.Context, addr string) bool {
+func portRefused(ctx context.Context, addr string) bool {
 	conn, err := net.Dial("udp", addr)
 	if err != nil {
-		pause(ctx, peerProbeEvery)
+		sleep(ctx, peerProbeInterval)
 		return false
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	_ = conn.SetReadDeadline(time.Now().Add(peerProbeEvery))
+	_ = conn.SetReadDeadline(time.Now().Add(peerProbeInterval))
 	if _, err := conn.Write(probePacket); err != nil {
-		pause(ctx, peerProbeEvery)
+		sleep(ctx, peerProbeInterval)
 		return false
 	}
 	for {
