--- a/entry/balance_test.go
+++ b/entry/balance_test.go
@@ -26,8 +26,8 @@
 	return out
 }
 
-// step lets every entry hand over one duty and reports whether one did.
-func (r *simRegion) step() bool {
+// handOverAll lets every entry hand over one duty and reports whether one did.
+func (r *simRegion) handOverAll() bool {
 	moved := false
 	for id := range r.presentSince {
 		service, to, ok := chooseHandOver(r.now, id, r.leaderships[id], r.others(id))
@@ -60,9 +60,9 @@
 	for i := range 94 {
 		r.leaderships["entry-0"] = append(r.leaderships["entry-0"], ownLeadership{service: fmt.Sprint("service-", i)})
 	}
-	c.Assert(r.step(), qt.IsFalse, qt.Commentf("the others are not settled"))
+	c.Assert(r.handOverAll(), qt.IsFalse, qt.Commentf("the others are not settled"))
 	r.now = start.Add(minCandidateAge)
-	for r.step() {
+	for r.handOverAll() {
 	}
 	c.Assert(r.handOvers < 94, qt.IsTrue)
 	for id := range r.presentSince {
@@ -74,7 +74,7 @@
 	r.leaderships["entry-3"] = nil
 	r.presentSince["entry-3"] = r.now.Add(time.Minute)
 	r.now = r.now.Add(time.Minute + minCandidateAge)
-	for r.step() {
+	for r.handOverAll() {
 	}
 	c.Check(r.handOvers <= share, qt.IsTrue, qt.Commentf("%d moves for a share of %d", r.handOvers, share))
 }
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -26,7 +26,7 @@
 }
 
 // handleFor returns the handle of the handleFor of a call. One goroutine at a time uses it.
-func (c *claimStore) handleFor(of *call) *claimHandle {
+func (c *claimStore) handleFor(of *quickRequest) *claimHandle {
 	return &claimHandle{
 		claims: c,
 		key:    "claims/" + c.region + "/" + of.service + "/" + of.account + "/" + of.key,
--- a/entry/delivery.go
+++ b/entry/delivery.go
@@ -16,14 +16,14 @@
 type delivery struct {
 	dispatcher        *dispatcher
 	ctx               context.Context
-	call              *call
+	request           *quickRequest
 	attemptNumber     int
-	request           *attempts.Request
+	stateMachine      *attempts.Request
 	claimHandle       *claimHandle
 	events            chan deliveryEvent
 	timer             *time.Timer
 	startedAt         time.Time
-	sent              bool
+	attemptSent       bool
 	reply             *wire.ExecuteReply // of the own attempt, if one came
 	lastErr           error              // of sending it
 	unresponsiveSince time.Time          // since when the agent answers no question
@@ -40,7 +40,7 @@
 	unresolvedAttempt attempts.ID
 }
 
-func (d *dispatcher) newDelivery(ctx context.Context, c *call, t routing.Ticket, hop int) *delivery {
+func (d *dispatcher) newDelivery(ctx context.Context, c *quickRequest, t routing.Ticket, hop int) *delivery {
 	now := d.now()
 	own := attempts.Claim{
 		ID:          d.attemptIssuer.newID(now, t.Incarnation),
@@ -58,9 +58,9 @@
 	return &delivery{
 		dispatcher:    d,
 		ctx:           ctx,
-		call:          c,
+		request:       c,
 		attemptNumber: hop,
-		request:       attempts.NewRequest(cfg, own),
+		stateMachine:  attempts.NewRequest(cfg, own),
 		claimHandle:   d.attemptIssuer.claims.handleFor(c),
 		events:        make(chan deliveryEvent, deliveryEventBuffer),
 		timer:         time.NewTimer(time.Hour),
@@ -69,7 +69,7 @@
 }
 
 // fingerprint tells a retry from another request under the same key.
-func fingerprint(c *call) uint64 {
+func fingerprint(c *quickRequest) uint64 {
 	h := xxhash.New()
 	for _, part := range []string{c.method, c.path, c.query, c.class} {
 		_, _ = h.WriteString(part)
@@ -84,7 +84,7 @@
 // being released must be released.
 func (v *delivery) run() attempts.Finished {
 	defer v.timer.Stop()
-	actions := v.request.Step(v.dispatcher.now(), attempts.Go{})
+	actions := v.stateMachine.Step(v.dispatcher.now(), attempts.Go{})
 	for {
 		for _, a := range actions {
 			if end, ok := a.(attempts.Finished); ok {
@@ -95,9 +95,9 @@
 		select {
 		case ev := <-v.events:
 			v.recordReply(ev)
-			actions = v.request.Step(v.dispatcher.now(), v.checkAgentTimeout(ev))
+			actions = v.stateMachine.Step(v.dispatcher.now(), v.checkAgentTimeout(ev))
 		case <-v.timer.C:
-			actions = v.request.Step(v.dispatcher.now(), attempts.Wake{})
+			actions = v.stateMachine.Step(v.dispatcher.now(), attempts.Wake{})
 		}
 	}
 }
@@ -117,7 +117,7 @@
 			return v.claimHandle.release(ctx, a.Claim)
 		})
 	case attempts.SendBegin:
-		v.sent = true
+		v.attemptSent = true
 		go v.sendAttempt(a.Claim)
 	case attempts.SendResolve:
 		go v.sendResolve(a.Claim)
@@ -136,7 +136,7 @@
 }
 
 func (v *delivery) emitClaimResult(f func(context.Context) attempts.Claimed) {
-	ctx, cancel := context.WithDeadline(context.WithoutCancel(v.ctx), v.call.deadline)
+	ctx, cancel := context.WithDeadline(context.WithoutCancel(v.ctx), v.request.deadline)
 	defer cancel()
 	v.emit(deliveryEvent{Event: f(ctx)})
 }
--- a/entry/delivery_outcome.go
+++ b/entry/delivery_outcome.go
@@ -12,10 +12,10 @@
 // answer was waited for, nothing was learnt about the target picked.
 func (v *delivery) routingOutcome(ctx context.Context) routing.Outcome {
 	took := v.dispatcher.now().Sub(v.startedAt)
-	if !v.sent || (v.reply == nil && v.lastErr == nil) {
+	if !v.attemptSent || (v.reply == nil && v.lastErr == nil) {
 		return routing.Outcome{Kind: routing.Abandoned, Latency: took}
 	}
-	return outcomeOf(ctx, v.reply, v.lastErr, took)
+	return attemptOutcome(ctx, v.reply, v.lastErr, took)
 }
 
 // problem is what the caller hears of a delivery that is not done.
@@ -25,7 +25,7 @@
 	}
 	p := unknownProblem(end)
 	p.RetryAfter = end.RetryAfter
-	if v.agentTimedOut && v.call.key != "" {
+	if v.agentTimedOut && v.request.key != "" {
 		p.RetryAfter = defaultRetryAfter // the agent may be reached again, and the claim names it
 	}
 	return p
--- a/entry/delivery_send.go
+++ b/entry/delivery_send.go
@@ -13,7 +13,7 @@
 // sendAttempt sends the attempt. The end of the caller's connection withdraws it
 // where it is still queued; the agent runs on what it has started.
 func (v *delivery) sendAttempt(c attempts.Claim) {
-	msg := v.call.executeMessage(c.ID.String(), v.attemptNumber, v.dispatcher.now())
+	msg := v.request.executeMessage(c.ID.String(), v.attemptNumber, v.dispatcher.now())
 	got, err := v.dispatcher.agents.call(v.ctx, c.Agent, msg, connCheckFor(v.attemptNumber))
 	reply, _ := got.(*wire.ExecuteReply)
 	ev := deliveryEvent{reply: reply, err: err}
--- a/entry/dispatcher.go
+++ b/entry/dispatcher.go
@@ -15,8 +15,8 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// call is one quick request on its way through this entry.
-type call struct {
+// quickRequest is one quick request on its way through this entry.
+type quickRequest struct {
 	id            string
 	service       string
 	account       string
@@ -35,7 +35,7 @@
 }
 
 // executeMessage is the message for one attempt.
-func (c *call) executeMessage(attempt string, hop int, now time.Time) *wire.Execute {
+func (c *quickRequest) executeMessage(attempt string, hop int, now time.Time) *wire.Execute {
 	return &wire.Execute{
 		Attempt:    attempt,
 		Request:    c.id,
@@ -54,7 +54,7 @@
 }
 
 // routingQuery describes the next attempt to the router.
-func (d *dispatcher) routingQuery(c *call, attempt int, tried []routing.TargetID) routing.Query {
+func (d *dispatcher) routingQuery(c *quickRequest, attempt int, tried []routing.TargetID) routing.Query {
 	return routing.Query{
 		Account:  c.account,
 		Attempt:  attempt,
@@ -86,7 +86,7 @@
 }
 
 // do runs a call to its end: the whole answer, or a Problem.
-func (d *dispatcher) do(ctx context.Context, c *call) (*wire.ExecuteReply, *api.Problem) {
+func (d *dispatcher) do(ctx context.Context, c *quickRequest) (*wire.ExecuteReply, *api.Problem) {
 	ctx, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
 	if c.repeatable {
@@ -97,7 +97,7 @@
 
 // doRepeatable tries targets until one answers, the retry budget refuses or the
 // deadline passes.
-func (d *dispatcher) doRepeatable(ctx context.Context, c *call) (*wire.ExecuteReply, *api.Problem) {
+func (d *dispatcher) doRepeatable(ctx context.Context, c *quickRequest) (*wire.ExecuteReply, *api.Problem) {
 	var tried []routing.TargetID
 	maybeRan := 0
 	for attempt := 0; ; attempt++ {
@@ -122,7 +122,7 @@
 
 // raiseRetryAfter spaces the return of what was refused for good, so that callers that
 // were refused together don't come back together.
-func (d *dispatcher) raiseRetryAfter(c *call, p *api.Problem) *api.Problem {
+func (d *dispatcher) raiseRetryAfter(c *quickRequest, p *api.Problem) *api.Problem {
 	if p.RetryAfter > 0 {
 		p.RetryAfter = max(p.RetryAfter, d.router.RetryAfter(c.account))
 	}
@@ -130,7 +130,7 @@
 }
 
 // attempt makes one attempt and tells the router how it went.
-func (d *dispatcher) attempt(ctx context.Context, t routing.Ticket, c *call, n int) (*wire.ExecuteReply, error) {
+func (d *dispatcher) attempt(ctx context.Context, t routing.Ticket, c *quickRequest, n int) (*wire.ExecuteReply, error) {
 	began := d.now()
 	msg := c.executeMessage(c.id, n, began)
 	got, err := d.agents.call(ctx, string(t.Target), msg, connCheckFor(n))
@@ -138,7 +138,7 @@
 	if err == nil && reply == nil {
 		err = errBadReply
 	}
-	d.router.Done(d.now(), t, outcomeOf(ctx, reply, err, d.now().Sub(began)))
+	d.router.Done(d.now(), t, attemptOutcome(ctx, reply, err, d.now().Sub(began)))
 	return reply, err
 }
 
@@ -160,8 +160,8 @@
 	return reply.Outcome != wire.OutcomeRefused
 }
 
-// outcomeOf tells the router how an attempt ended.
-func outcomeOf(ctx context.Context, reply *wire.ExecuteReply, err error, took time.Duration) routing.Outcome {
+// attemptOutcome tells the router how an attempt ended.
+func attemptOutcome(ctx context.Context, reply *wire.ExecuteReply, err error, took time.Duration) routing.Outcome {
 	o := routing.Outcome{Latency: took}
 	if err != nil {
 		o.Kind = failureKind(ctx, err)
--- a/entry/elections.go
+++ b/entry/elections.go
@@ -28,15 +28,15 @@
 type elections struct {
 	entry *Entry
 
-	mu       sync.Mutex
-	services map[string]*election
-	stopped  bool
+	mu        sync.Mutex
+	byService map[string]*election
+	stopped   bool
 }
 
 // election is the candidacy for one service.
 type election struct {
 	service      string
-	holder       *lease.Candidate
+	candidate    *lease.Candidate
 	planner      *planner.Planner
 	epoch        uint64
 	electedAt    time.Time
@@ -44,7 +44,7 @@
 }
 
 func newElections(e *Entry) *elections {
-	return &elections{entry: e, services: make(map[string]*election)}
+	return &elections{entry: e, byService: make(map[string]*election)}
 }
 
 // setDocument begins the candidacy for a service, or hands its planner the new
@@ -56,17 +56,17 @@
 	if d.stopped || !d.entry.servesService(service) {
 		return
 	}
-	if du := d.services[service]; du != nil {
+	if du := d.byService[service]; du != nil {
 		if du.planner != nil {
 			du.planner.SetDocument(h)
 		}
 		return
 	}
 	du := &election{service: service}
-	d.services[service] = du
+	d.byService[service] = du
 	// A store with many services would get the calls of all candidacies in the
 	// moment of an entry's start.
-	time.AfterFunc(candidacyStagger*time.Duration(len(d.services)-1), func() { d.start(du) })
+	time.AfterFunc(candidacyStagger*time.Duration(len(d.byService)-1), func() { d.start(du) })
 }
 
 // start begins the candidacy.
@@ -76,7 +76,7 @@
 	if d.stopped {
 		return
 	}
-	du.holder = lease.StartCandidate(lease.CandidateOptions{
+	du.candidate = lease.StartCandidate(lease.CandidateOptions{
 		Session:    d.entry.session,
 		Election:   d.entry.cfg.Region + "/" + du.service,
 		Instance:   d.entry.cfg.ID,
@@ -154,7 +154,7 @@
 	// epoch that was used before. It shows as agents that refuse it although no
 	// other entry plans; raising the epoch above theirs ends it.
 	if higher := p.SupersedingEpoch(); higher > 0 {
-		du.holder.ObserveEpoch(higher)
+		du.candidate.ObserveEpoch(higher)
 	}
 	d.updateRegistration()
 }
@@ -163,7 +163,7 @@
 func (d *elections) updateRegistration() {
 	d.mu.Lock()
 	var held []leadership
-	for _, du := range d.services {
+	for _, du := range d.byService {
 		if du.planner != nil {
 			held = append(held, leadership{Service: du.service, Epoch: du.epoch})
 		}
@@ -176,7 +176,7 @@
 func (d *elections) planner(service string) *planner.Planner {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if du := d.services[service]; du != nil {
+	if du := d.byService[service]; du != nil {
 		return du.planner
 	}
 	return nil
@@ -187,7 +187,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := []api.Duty{}
-	for _, du := range d.services {
+	for _, du := range d.byService {
 		if du.planner != nil {
 			out = append(out, api.Duty{Service: du.service, Region: d.entry.cfg.Region, Epoch: du.epoch, Since: du.electedAt})
 		}
@@ -225,7 +225,7 @@
 	d.mu.Lock()
 	d.stopped = true
 	var all []*election
-	for _, du := range d.services {
+	for _, du := range d.byService {
 		all = append(all, du)
 	}
 	d.mu.Unlock()
@@ -235,8 +235,8 @@
 			if du.planner != nil {
 				du.planner.Stop()
 			}
-			if du.holder != nil {
-				_ = du.holder.Resign(ctx) // the lease lapses by itself otherwise
+			if du.candidate != nil {
+				_ = du.candidate.Resign(ctx) // the lease lapses by itself otherwise
 			}
 		})
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -90,8 +90,8 @@
 
 func (e *Entry) openStoreClients() {
 	own := max(1, e.cfg.PlatformBudget/coordinationDivisor)
-	e.coordinationClient = e.storeClient(own)
-	e.workClient = e.storeClient(e.cfg.PlatformBudget - own)
+	e.coordinationClient = e.newStoreClient(own)
+	e.workClient = e.newStoreClient(e.cfg.PlatformBudget - own)
 	e.store = e.coordinationClient
 	e.batcher = store.NewBatcher(e.workClient, 0)
 	e.jobs = jobs.NewStore(e.cfg.Region, e.workClient, e.batcher)
@@ -105,7 +105,7 @@
 // that renew the duties, and the planner changes in the middle of it.
 const coordinationDivisor = 2
 
-func (e *Entry) storeClient(budget int) *store.Client {
+func (e *Entry) newStoreClient(budget int) *store.Client {
 	return store.NewClient(store.Options{
 		Endpoints:   e.cfg.Platform,
 		CallTimeout: e.cfg.PlatformTimeout.Duration,
--- a/entry/handover.go
+++ b/entry/handover.go
@@ -46,7 +46,7 @@
 		return
 	}
 	d.mu.Lock()
-	du := d.services[service]
+	du := d.byService[service]
 	p, epoch := du.planner, du.epoch
 	if d.stopped || p == nil {
 		d.mu.Unlock()
@@ -57,7 +57,7 @@
 	d.entry.log.WithField("service", service).WithField("to", to).Info("duty handed over")
 	d.entry.metrics.Add(metrics.DutiesHandedOver, 1)
 	p.Stop() // it decides nothing more before the successor begins
-	du.holder.Yield(epoch)
+	du.candidate.Yield(epoch)
 	d.updateRegistration()
 }
 
@@ -66,7 +66,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var out []ownLeadership
-	for _, du := range d.services {
+	for _, du := range d.byService {
 		if du.planner != nil {
 			out = append(out, ownLeadership{service: du.service, handedOverAt: du.handedOverAt})
 		}
--- a/entry/http.go
+++ b/entry/http.go
@@ -17,7 +17,7 @@
 	mux.HandleFunc(pat.Get(api.PathReadyz), e.readyz)
 	mux.HandleFunc(pat.Get(api.PathStatus), e.status)
 	for _, method := range []func(string) *pat.Pattern{pat.Get, pat.Post, pat.Put, pat.Patch, pat.Delete} {
-		mux.HandleFunc(method(api.RouteRequests), e.quickRequest)
+		mux.HandleFunc(method(api.RouteRequests), e.serveQuickRequest)
 	}
 	mux.HandleFunc(pat.Post(api.RouteCancelJobs), e.cancelJobs)
 	mux.HandleFunc(pat.Post(api.RouteJobs), e.submitJob)
--- a/entry/http_jobs.go
+++ b/entry/http_jobs.go
@@ -44,7 +44,7 @@
 		return
 	}
 	e.metrics.Add(metrics.JobsAccepted, 1)
-	api.WriteJSON(w, http.StatusAccepted, statusOf(got.Record))
+	api.WriteJSON(w, http.StatusAccepted, recordStatus(got.Record))
 }
 
 func (e *Entry) parseJob(r *http.Request) (jobs.Record, *api.Problem) {
@@ -74,7 +74,7 @@
 	return jobs.Record{
 		ID:        jobID(service, req.Account, key),
 		Service:   service,
-		Spec:      specOf(&req, class),
+		Spec:      jobSpec(&req, class),
 		Submitted: time.Now(),
 	}, nil
 }
@@ -86,7 +86,7 @@
 	return uuid.NewSHA1(jobIDNamespace, []byte(service+"\x00"+account+"\x00"+key)).String()
 }
 
-func specOf(req *api.JobRequest, class *document.Class) jobs.Spec {
+func jobSpec(req *api.JobRequest, class *document.Class) jobs.Spec {
 	adjacency := req.Adjacency
 	if adjacency == "" {
 		adjacency = api.AdjacentAny
@@ -176,7 +176,7 @@
 		cancelProblem(err).WriteTo(w)
 		return
 	}
-	api.WriteJSON(w, http.StatusAccepted, statusOf(got.Record))
+	api.WriteJSON(w, http.StatusAccepted, recordStatus(got.Record))
 }
 
 // cancelProblem guards against "not run" for a cancellation whose write may have
--- a/entry/http_quick.go
+++ b/entry/http_quick.go
@@ -16,10 +16,10 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// quickRequest serves one quick request to its end.
-func (e *Entry) quickRequest(w http.ResponseWriter, r *http.Request) {
+// serveQuickRequest serves one quick request to its end.
+func (e *Entry) serveQuickRequest(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
-	c, problem := e.parseCall(r, began)
+	c, problem := e.parseQuickRequest(r, began)
 	if problem != nil {
 		problem.WriteTo(w)
 		return
@@ -36,8 +36,8 @@
 	writeReply(w, reply)
 }
 
-// parseCall reads and checks a request against the document in force.
-func (e *Entry) parseCall(r *http.Request, now time.Time) (*call, *api.Problem) {
+// parseQuickRequest reads and checks a request against the document in force.
+func (e *Entry) parseQuickRequest(r *http.Request, now time.Time) (*quickRequest, *api.Problem) {
 	if p := e.checkConfirmed(); p != nil {
 		return nil, p
 	}
@@ -58,7 +58,7 @@
 	if problem != nil {
 		return nil, problem
 	}
-	return &call{
+	return &quickRequest{
 		id:            uuid.NewString(),
 		service:       service,
 		account:       asked.Account,
@@ -145,7 +145,7 @@
 	return out
 }
 
-var hopByHopHeaders = map[string]bool{
+var omittedHeaders = map[string]bool{
 	"Connection":        true,
 	"Keep-Alive":        true,
 	"Proxy-Connection":  true,
@@ -159,7 +159,7 @@
 const systemHeaderPrefix = "Eelgrasshub-"
 
 func isForwarded(name string) bool {
-	return !hopByHopHeaders[name] && !strings.HasPrefix(name, systemHeaderPrefix)
+	return !omittedHeaders[name] && !strings.HasPrefix(name, systemHeaderPrefix)
 }
 
 // writeReply hands the target's whole answer to the caller.
--- a/entry/inspect_job.go
+++ b/entry/inspect_job.go
@@ -48,7 +48,7 @@
 	spec := w.Record.Spec
 	switch w.Stage {
 	case planner.StageQueued:
-		return schedulerWait(&w.Explanation)
+		return schedulerJobWait(&w.Explanation)
 	case planner.StageStarting:
 		return jobWaitWithoutPlacement(spec, api.WaitStarting, sentenceStarting)
 	case planner.StageStoreUnavailable:
@@ -93,7 +93,7 @@
 	}
 }
 
-func schedulerWait(e *scheduler.Explanation) *api.JobWait {
+func schedulerJobWait(e *scheduler.Explanation) *api.JobWait {
 	if e.Reason == scheduler.WaitNone {
 		return nil
 	}
@@ -108,7 +108,7 @@
 		Adjacency:    api.Adjacency(e.Span.String()),
 		Free:         e.Free,
 		Largest:      e.Largest,
-		Units:        unitsOf(e.Units),
+		Units:        apiFreeUnits(e.Units),
 	}
 	if e.Reason == scheduler.WaitBehind {
 		out.FirstReason = api.WaitReason(e.FirstReason.String())
--- a/entry/inspect_service.go
+++ b/entry/inspect_service.go
@@ -22,7 +22,7 @@
 	if !ok {
 		return nil, noPlanner(service, "the planner of entry "+e.cfg.ID+" has ended or is too busy")
 	}
-	out := reportOf(&r, time.Now())
+	out := apiReport(&r, time.Now())
 	out.Service = service
 	out.Planner = e.plannerInfo(service)
 	out.Planner.Generation = r.Generation
@@ -30,7 +30,7 @@
 	return out, nil
 }
 
-func reportOf(r *planner.Report, now time.Time) *api.Report {
+func apiReport(r *planner.Report, now time.Time) *api.Report {
 	out := &api.Report{
 		At:       r.TakenAt,
 		Age:      api.Duration(max(0, now.Sub(r.TakenAt))),
@@ -46,17 +46,17 @@
 		},
 		Workers: api.ReportWorkers{
 			Usable:      r.Stats.Workers,
-			Quarantined: workersOf(r.Quarantined),
-			Draining:    workersOf(r.Draining),
-			Lost:        workersOf(r.Lost),
+			Quarantined: apiWorkerList(r.Quarantined),
+			Draining:    apiWorkerList(r.Draining),
+			Lost:        apiWorkerList(r.Lost),
 		},
 		Accounts: []api.ReportAccount{},
 	}
 	for span, units := range r.FreeUnits {
-		out.Capacity.FreeUnits[api.Adjacency(span.String())] = unitsOf(units)
+		out.Capacity.FreeUnits[api.Adjacency(span.String())] = apiFreeUnits(units)
 	}
 	for _, a := range r.Accounts {
-		out.Accounts = append(out.Accounts, accountOf(a, r.WaitTimes[string(a.ID)], now))
+		out.Accounts = append(out.Accounts, apiAccount(a, r.WaitTimes[string(a.ID)], now))
 	}
 	for i := range out.Accounts {
 		addWithheld(&out.Accounts[i], r.Withheld[out.Accounts[i].Account])
@@ -76,7 +76,7 @@
 	}
 }
 
-func accountOf(a scheduler.AccountReport, waited map[string]metrics.Summary, now time.Time) api.ReportAccount {
+func apiAccount(a scheduler.AccountReport, waited map[string]metrics.Summary, now time.Time) api.ReportAccount {
 	out := api.ReportAccount{
 		Account:                string(a.ID),
 		Guaranteed:             a.Guaranteed,
@@ -94,7 +94,7 @@
 			RunningAccelerators: c.RunningAccelerators,
 			Waiting:             c.Waiting,
 			WaitingAccelerators: c.WaitingAccelerators,
-			Waited:              waitTimes(waited[c.Class]),
+			Waited:              apiWaits(waited[c.Class]),
 		}
 		if !c.OldestSubmission.IsZero() {
 			one.Oldest = api.Duration(max(0, now.Sub(c.OldestSubmission)).Round(time.Millisecond))
@@ -104,12 +104,12 @@
 	return out
 }
 
-func waitTimes(s metrics.Summary) api.Waits {
+func apiWaits(s metrics.Summary) api.Waits {
 	us := func(n int64) api.Duration { return api.Duration(time.Duration(n) * time.Microsecond) }
 	return api.Waits{Count: s.Count, P50: us(s.P50), P90: us(s.P90), P99: us(s.P99), Max: us(s.Max)}
 }
 
-func unitsOf(units []scheduler.FreeUnits) []api.FreeUnits {
+func apiFreeUnits(units []scheduler.FreeUnits) []api.FreeUnits {
 	out := []api.FreeUnits{}
 	for _, u := range units {
 		out = append(out, api.FreeUnits{Free: u.Free, Units: u.Units})
@@ -117,7 +117,7 @@
 	return out
 }
 
-func workersOf(l scheduler.WorkerList) api.WorkerList {
+func apiWorkerList(l scheduler.WorkerList) api.WorkerList {
 	out := api.WorkerList{Count: l.Count}
 	for _, w := range l.Workers {
 		out.Workers = append(out.Workers, api.WorkerNote{ID: string(w.ID), Since: w.Since, Until: w.Until, Probing: w.Probing})
--- a/entry/jobs.go
+++ b/entry/jobs.go
@@ -109,7 +109,7 @@
 	rec, err := e.jobs.Get(ctx, service, id)
 	switch {
 	case err == nil:
-		return statusOf(rec.Record), nil
+		return recordStatus(rec.Record), nil
 	case eris.Is(err, jobs.ErrNotFound):
 		return api.JobStatus{}, api.NewProblem(api.ReasonUnknownJob, "no record of the job")
 	default:
@@ -158,23 +158,23 @@
 	return reply
 }
 
-// statusOf is a record as callers see it.
-func statusOf(r jobs.Record) api.JobStatus {
+// recordStatus is a record as callers see it.
+func recordStatus(r jobs.Record) api.JobStatus {
 	return api.JobStatus{
 		ID:        r.ID,
 		State:     api.JobState(r.State),
 		Attempt:   int(r.Attempt),
-		Reason:    reasonOf(r),
+		Reason:    recordReason(r),
 		Detail:    r.Reason,
 		Result:    r.Result,
-		Placement: placementOf(r.Placement()),
+		Placement: apiPlacement(r.Placement()),
 		Submitted: r.Submitted,
 		Started:   r.Started,
 		Ended:     r.Ended,
 	}
 }
 
-func reasonOf(r jobs.Record) api.Reason {
+func recordReason(r jobs.Record) api.Reason {
 	switch r.State {
 	case jobs.Rejected:
 		return api.ReasonImpossible
@@ -188,7 +188,7 @@
 	return ""
 }
 
-func placementOf(members []jobs.Member) []api.Placement {
+func apiPlacement(members []jobs.Member) []api.Placement {
 	var out []api.Placement
 	for _, m := range members {
 		out = append(out, api.Placement{Agent: m.Agent, Accelerators: m.Accelerators})
@@ -198,11 +198,11 @@
 
 // plannerStatus is a job as its planner sees it.
 func plannerStatus(s planner.Status) api.JobStatus {
-	out := statusOf(s.Record)
+	out := recordStatus(s.Record)
 	if s.Phase == "" {
 		return out
 	}
 	out.State = api.JobState(s.Phase)
-	out.Placement = placementOf(s.Members)
+	out.Placement = apiPlacement(s.Members)
 	return out
 }
--- a/entry/members.go
+++ b/entry/members.go
@@ -26,7 +26,7 @@
 	sending          map[string]bool      // agents to which documents are on their way
 	serviceOf        map[string]string    // service of each agent in the snapshot, by id
 	generationSeenAt map[string]time.Time // when an agent's generation was first heard of
-	relayFrom        map[string]string    // relay by which an agent's last report came, by id
+	lastRelay        map[string]string    // relay by which an agent's last report came, by id
 
 	relays *relays
 }
@@ -38,7 +38,7 @@
 		sending:          make(map[string]bool),
 		serviceOf:        make(map[string]string),
 		generationSeenAt: make(map[string]time.Time),
-		relayFrom:        make(map[string]string),
+		lastRelay:        make(map[string]string),
 		relays:           newRelays(e.cfg.RelayAbove),
 	}
 }
@@ -48,10 +48,10 @@
 func (m *members) handleReport(sender string, r *wire.Report) *wire.ReportAck {
 	now := clock.Now()
 	actions := m.step(time.Now(), membership.Reports{Batch: r.Batch})
-	m.apply(actions)
+	m.applyActions(actions)
 	m.recordRelays(sender, r.Batch)
 
-	ack := m.entry.newReportAck(r.Known, m.relayFor(sender))
+	ack := m.entry.newReportAck(r.Known, m.relayInfoFor(sender))
 	membership.FillAck(ack, actions)
 	for _, one := range r.Batch {
 		member := m.find(one.ID)
@@ -64,7 +64,7 @@
 	return ack
 }
 
-func (m *members) relayFor(sender string) wire.RelayInfo {
+func (m *members) relayInfoFor(sender string) wire.RelayInfo {
 	if member := m.find(sender); member != nil {
 		return m.relays.relayOf(member)
 	}
@@ -77,9 +77,9 @@
 	defer m.mu.Unlock()
 	for _, one := range batch {
 		if one.ID == sender {
-			delete(m.relayFrom, one.ID)
+			delete(m.lastRelay, one.ID)
 		} else if m.serviceOf[one.ID] != "" {
-			m.relayFrom[one.ID] = sender
+			m.lastRelay[one.ID] = sender
 		}
 	}
 }
@@ -87,7 +87,7 @@
 // isRelayed says whether the agent's last report came by another one that is
 // there still.
 func (m *members) isRelayed(id string) bool {
-	via := m.relayOf(id)
+	via := m.lastRelayOf(id)
 	if via == "" {
 		return false
 	}
@@ -95,12 +95,12 @@
 	return relay != nil && relay.State == membership.Alive
 }
 
-// relayOf returns the agent that sent the last report of another one; empty: it
+// lastRelayOf returns the agent that sent the last report of another one; empty: it
 // reported itself.
-func (m *members) relayOf(id string) string {
+func (m *members) lastRelayOf(id string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.relayFrom[id]
+	return m.lastRelay[id]
 }
 
 // step gives the table an event. The homes change under the same lock, in the
@@ -128,14 +128,14 @@
 // dropLocked is called with the lock held.
 func (m *members) dropLocked(id string) {
 	delete(m.serviceOf, id)
-	delete(m.relayFrom, id)
+	delete(m.lastRelay, id)
 }
 
-// apply hands on what changed.
-func (m *members) apply(actions []membership.Action) {
+// applyActions hands on what changed.
+func (m *members) applyActions(actions []membership.Action) {
 	services := make(map[string]bool)
 	for _, a := range actions {
-		member := memberOf(a)
+		member := changedMember(a)
 		if member == nil {
 			continue
 		}
@@ -147,7 +147,7 @@
 	}
 }
 
-func memberOf(a membership.Action) *membership.Member {
+func changedMember(a membership.Action) *membership.Member {
 	switch a := a.(type) {
 	case membership.Joined:
 		return a.Member
@@ -254,15 +254,15 @@
 		case <-m.entry.tomb.Dying():
 			return nil
 		case now := <-ticker.C:
-			m.apply(m.step(now, membership.Tick{}))
+			m.applyActions(m.step(now, membership.Tick{}))
 			m.relays.update(m.table.Snapshot())
 			m.entry.agents.closeIdle(now)
 		}
 	}
 }
 
-// digestOf marks the content of an answer, so that it is not repeated.
-func digestOf(ack *wire.ReportAck) uint64 {
+// ackDigest marks the content of an answer, so that it is not repeated.
+func ackDigest(ack *wire.ReportAck) uint64 {
 	data, err := cbor.Marshal(ack)
 	if err != nil {
 		panic("entry: a report answer can't be encoded: " + err.Error())
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -9,7 +9,7 @@
 )
 
 // observeQuickRequest records how long a caller waited for which outcome.
-func (e *Entry) observeQuickRequest(c *call, o api.Outcome, took time.Duration) {
+func (e *Entry) observeQuickRequest(c *quickRequest, o api.Outcome, took time.Duration) {
 	e.metrics.Observe(c.account, c.class, quickTiming(o), took)
 }
 
--- a/entry/nonrepeatable.go
+++ b/entry/nonrepeatable.go
@@ -49,7 +49,7 @@
 // doNonRepeatable runs a call that must not run twice. Each delivery is one
 // attempts.Request; another one follows only after the proof that the first did
 // not run.
-func (d *dispatcher) doNonRepeatable(ctx context.Context, c *call) (*wire.ExecuteReply, *api.Problem) {
+func (d *dispatcher) doNonRepeatable(ctx context.Context, c *quickRequest) (*wire.ExecuteReply, *api.Problem) {
 	var tried []routing.TargetID
 	for n := 0; ; n++ {
 		ticket, refusal := d.router.Pick(d.now(), d.routingQuery(c, n, tried))
@@ -59,7 +59,7 @@
 		v := d.newDelivery(ctx, c, ticket, n)
 		end := v.run()
 		d.router.Done(d.now(), ticket, v.routingOutcome(ctx))
-		if end.Outcome == attempts.Done && !v.sent {
+		if end.Outcome == attempts.Done && !v.attemptSent {
 			d.count(metrics.RequestsDeduplicated, 1)
 		}
 		if end.Outcome == attempts.Done {
@@ -73,7 +73,7 @@
 	}
 }
 
-func (d *dispatcher) mayRetry(ctx context.Context, c *call, end attempts.Finished) bool {
+func (d *dispatcher) mayRetry(ctx context.Context, c *quickRequest, end attempts.Finished) bool {
 	if end.Outcome != attempts.NotRun || end.Reason != attempts.ReasonRefused {
 		return false
 	}
--- a/entry/pick.go
+++ b/entry/pick.go
@@ -24,7 +24,7 @@
 // twice and have most of their deadline left. The request is not given up meanwhile:
 // its next attempt is made as soon as the router lets it, also at a target that it
 // was lost at, whose path is a new one by then.
-func (d *dispatcher) pick(ctx context.Context, c *call, attempt int, tried []routing.TargetID, maybeRan bool) (routing.Ticket, routing.Refusal) {
+func (d *dispatcher) pick(ctx context.Context, c *quickRequest, attempt int, tried []routing.TargetID, maybeRan bool) (routing.Ticket, routing.Refusal) {
 	until := d.now().Add(repickTimeout)
 	for {
 		ticket, refusal := d.router.Pick(d.now(), d.routingQuery(c, attempt, tried))
--- a/entry/pick_test.go
+++ b/entry/pick_test.go
@@ -19,7 +19,7 @@
 		c := qt.New(t)
 		d := &dispatcher{router: routing.New(routing.Options{Seed: 1}), now: time.Now}
 		d.weights.Store(&map[string]float64{})
-		request := &call{account: "big", repeatable: true, deadline: time.Now().Add(10 * time.Second)}
+		request := &quickRequest{account: "big", repeatable: true, deadline: time.Now().Add(10 * time.Second)}
 		began := time.Now()
 		_, refusal := d.pick(t.Context(), request, 0, nil, false)
 		c.Assert(refusal.OK(), qt.IsFalse)
@@ -41,7 +41,7 @@
 		c := qt.New(t)
 		d := &dispatcher{router: routing.New(routing.Options{Seed: 1}), now: time.Now}
 		d.weights.Store(&map[string]float64{})
-		request := &call{account: "big", repeatable: true, deadline: time.Now().Add(time.Hour)}
+		request := &quickRequest{account: "big", repeatable: true, deadline: time.Now().Add(time.Hour)}
 		began := time.Now()
 		_, refusal := d.pick(t.Context(), request, 1, nil, true)
 		c.Assert(refusal.OK(), qt.IsFalse)
--- a/entry/report_ack.go
+++ b/entry/report_ack.go
@@ -29,7 +29,7 @@
 			Incarnation: p.Incarnation,
 		})
 	}
-	n.ack.Digest = digestOf(&n.ack)
+	n.ack.Digest = ackDigest(&n.ack)
 	e.sharedAck.Store(n)
 }
 
--- a/entry/status.go
+++ b/entry/status.go
@@ -34,7 +34,7 @@
 		for _, m := range snap.Service(service).Members {
 			one := memberStatus(m)
 			one.Since = e.members.generationSince(one.ID)
-			one.Relay = e.members.relayOf(one.ID)
+			one.Relay = e.members.lastRelayOf(one.ID)
 			s.Members = append(s.Members, one)
 		}
 	}
