--- a/entry/agents.go
+++ b/entry/agents.go
@@ -83,12 +83,12 @@
 
 // conn returns a connection to the agent: its own, or one dialled now. Errors
 // match wire.ErrNotSent.
-func (a *agentConns) conn(ctx context.Context, id string, p connCheck) (*wire.Conn, error) {
+func (a *agentConns) conn(ctx context.Context, id string, check connCheck) (*wire.Conn, error) {
 	a.mu.RLock()
 	c := a.conns[id]
 	addr := a.addrs[id]
 	a.mu.RUnlock()
-	if c != nil && c.Usable() && (p == anyConn || answersPing(ctx, c)) {
+	if c != nil && c.Usable() && (check == anyConn || answersPing(ctx, c)) {
 		return c, nil
 	}
 	if addr == "" {
@@ -98,7 +98,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if p == verifiedConn && !answersPing(ctx, c) {
+	if check == verifiedConn && !answersPing(ctx, c) {
 		return nil, notSent(errUnresponsive)
 	}
 	return c, nil
@@ -136,8 +136,8 @@
 // A connection may be closed for want of use, by either end, in the moment in
 // which it is chosen. It shows as a call that was not sent on a connection that
 // is not usable any more; that is tried once more on a new one.
-func (a *agentConns) call(ctx context.Context, id string, msg any, p connCheck) (any, error) {
-	c, err := a.conn(ctx, id, p)
+func (a *agentConns) call(ctx context.Context, id string, msg any, check connCheck) (any, error) {
+	c, err := a.conn(ctx, id, check)
 	if err != nil {
 		return nil, err
 	}
@@ -145,7 +145,7 @@
 	if err == nil || !errors.Is(err, wire.ErrClosed) || !errors.Is(err, wire.ErrNotSent) || ctx.Err() != nil {
 		return reply, err
 	}
-	if c, err = a.conn(ctx, id, p); err != nil {
+	if c, err = a.conn(ctx, id, check); err != nil {
 		return nil, err
 	}
 	return callUnlessSuspected(ctx, c, msg)
--- a/entry/agents_sweep.go
+++ b/entry/agents_sweep.go
@@ -22,8 +22,8 @@
 		default:
 		}
 	}
-	for addr, used := range a.lastDialedUse {
-		if now.Sub(used) > idleAgentConnTimeout {
+	for addr, lastUse := range a.lastDialedUse {
+		if now.Sub(lastUse) > idleAgentConnTimeout {
 			delete(a.lastDialedUse, addr)
 			go func() { _ = a.pool.Release(context.Background(), addr) }() // ends with the connection at the latest
 		}
--- a/entry/agents_test.go
+++ b/entry/agents_test.go
@@ -32,20 +32,20 @@
 // sent. The handshake of this test has an hour, so that only the guard ends the wait.
 func TestCallToDeadAgentFailsEarly(t *testing.T) {
 	c := qt.New(t)
-	silent, err := net.ListenPacket("udp", "127.0.0.1:0")
+	deadAgent, err := net.ListenPacket("udp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	defer silent.Close()
+	defer deadAgent.Close()
 	a := newAgentConns()
 	a.pool = wire.NewPool(newEndpoint(c))
 	defer a.pool.Close()
-	a.setAddr("dead", silent.LocalAddr().String())
-	ended := make(chan error, 1)
+	a.setAddr("dead", deadAgent.LocalAddr().String())
+	result := make(chan error, 1)
 	go func() {
 		_, err := a.call(context.Background(), "dead", &wire.Ping{}, anyConn)
-		ended <- err
+		result <- err
 	}()
 	select {
-	case err := <-ended:
+	case err := <-result:
 		c.Assert(errors.Is(err, wire.ErrNotSent), qt.IsTrue, qt.Commentf("%v", err))
 	case <-time.After(testTimeout):
 		c.Fatal("still waits for the handshake")
--- a/entry/balance.go
+++ b/entry/balance.go
@@ -42,10 +42,10 @@
 }
 
 // rank is how many of the others come before own for a service.
-func rank(service, own string, others []candidate) int {
+func rank(service, ownID string, others []candidate) int {
 	n := 0
 	for i := range others {
-		if others[i].servesService(service) && rendezvousWeight(service, others[i].id) > rendezvousWeight(service, own) {
+		if others[i].servesService(service) && rendezvousWeight(service, others[i].id) > rendezvousWeight(service, ownID) {
 			n++
 		}
 	}
@@ -64,27 +64,27 @@
 // It is given what is worth moving only: to the entry that every other prefers for
 // the service, that has been there for a while, and that has fewer duties. With one
 // service, or after a short absence of an entry, nothing moves.
-func chooseHandOver(now time.Time, own string, held []ownLeadership, others []candidate) (service, to string, ok bool) {
-	for _, d := range held {
-		if !d.handedOverAt.IsZero() && now.Sub(d.handedOverAt) < handOverRetryInterval {
+func chooseHandOver(now time.Time, ownID string, held []ownLeadership, others []candidate) (service, to string, ok bool) {
+	for _, l := range held {
+		if !l.handedOverAt.IsZero() && now.Sub(l.handedOverAt) < handOverRetryInterval {
 			continue
 		}
-		best := preferredEntry(d.service, own, others)
+		best := preferredEntry(l.service, ownID, others)
 		if best == nil || now.Sub(best.presentSince) < minCandidateAge || len(held)-best.leaderships < minLeadershipSurplus {
 			continue
 		}
-		return d.service, best.id, true
+		return l.service, best.id, true
 	}
 	return "", "", false
 }
 
 // preferredEntry is the entry of the highest weight; nil where that is this one.
-func preferredEntry(service, own string, others []candidate) *candidate {
+func preferredEntry(service, ownID string, others []candidate) *candidate {
 	var best *candidate
-	most := rendezvousWeight(service, own)
+	highest := rendezvousWeight(service, ownID)
 	for i := range others {
-		if w := rendezvousWeight(service, others[i].id); others[i].servesService(service) && w > most {
-			best, most = &others[i], w
+		if w := rendezvousWeight(service, others[i].id); others[i].servesService(service) && w > highest {
+			best, highest = &others[i], w
 		}
 	}
 	return best
--- a/entry/balance_test.go
+++ b/entry/balance_test.go
@@ -36,8 +36,8 @@
 		}
 		moved = true
 		r.handOvers++
-		for i, d := range r.leaderships[id] {
-			if d.service == service {
+		for i, l := range r.leaderships[id] {
+			if l.service == service {
 				r.leaderships[id] = append(r.leaderships[id][:i:i], r.leaderships[id][i+1:]...)
 			}
 		}
@@ -84,25 +84,25 @@
 func TestLeadershipsNotHandedOver(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1e9, 0)
-	var mine []ownLeadership
+	var held []ownLeadership
 	others := []candidate{{id: "b", presentSince: now.Add(-time.Hour)}}
-	for i := 0; len(mine) < 3; i++ {
+	for i := 0; len(held) < 3; i++ {
 		service := fmt.Sprint("service-", i)
 		if rank(service, "a", others) == 1 {
-			mine = append(mine, ownLeadership{service: service})
+			held = append(held, ownLeadership{service: service})
 		}
 	}
-	_, _, ok := chooseHandOver(now, "a", mine, others)
+	_, _, ok := chooseHandOver(now, "a", held, others)
 	c.Assert(ok, qt.IsTrue)
-	_, _, ok = chooseHandOver(now, "a", mine[:1], others)
+	_, _, ok = chooseHandOver(now, "a", held[:1], others)
 	c.Check(ok, qt.IsFalse)
 	others[0].services = []string{"another"}
-	_, _, ok = chooseHandOver(now, "a", mine, others)
+	_, _, ok = chooseHandOver(now, "a", held, others)
 	c.Check(ok, qt.IsFalse)
 	others[0].services = nil
-	for i := range mine {
-		mine[i].handedOverAt = now.Add(-time.Minute)
+	for i := range held {
+		held[i].handedOverAt = now.Add(-time.Minute)
 	}
-	_, _, ok = chooseHandOver(now, "a", mine, others)
+	_, _, ok = chooseHandOver(now, "a", held, others)
 	c.Check(ok, qt.IsFalse)
 }
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -26,10 +26,10 @@
 }
 
 // handleFor returns the handle of the handleFor of a call. One goroutine at a time uses it.
-func (c *claimStore) handleFor(of *quickRequest) *claimHandle {
+func (c *claimStore) handleFor(q *quickRequest) *claimHandle {
 	return &claimHandle{
 		claims: c,
-		key:    "claims/" + c.region + "/" + of.service + "/" + of.account + "/" + of.key,
+		key:    "claims/" + c.region + "/" + q.service + "/" + q.account + "/" + q.key,
 	}
 }
 
--- a/entry/delivery.go
+++ b/entry/delivery.go
@@ -40,17 +40,17 @@
 	unresolvedAttempt attempts.ID
 }
 
-func (d *dispatcher) newDelivery(ctx context.Context, c *quickRequest, t routing.Ticket, hop int) *delivery {
+func (d *dispatcher) newDelivery(ctx context.Context, q *quickRequest, ticket routing.Ticket, attemptNumber int) *delivery {
 	now := d.now()
-	own := attempts.Claim{
-		ID:          d.attemptIssuer.newID(now, t.Incarnation),
-		Agent:       string(t.Target),
-		Fingerprint: fingerprint(c),
+	claim := attempts.Claim{
+		ID:          d.attemptIssuer.newID(now, ticket.Incarnation),
+		Agent:       string(ticket.Target),
+		Fingerprint: fingerprint(q),
 	}
 	cfg := attempts.RequestConfig{
-		Keyed:      c.key != "",
-		First:      c.firstDelivery,
-		Deadline:   c.deadline,
+		Keyed:      q.key != "",
+		First:      q.firstDelivery,
+		Deadline:   q.deadline,
 		Poll:       resolveInterval,
 		RetryAfter: defaultRetryAfter,
 		MaxAge:     attemptMaxAge,
@@ -58,10 +58,10 @@
 	return &delivery{
 		dispatcher:    d,
 		ctx:           ctx,
-		request:       c,
-		attemptNumber: hop,
-		stateMachine:  attempts.NewRequest(cfg, own),
-		claimHandle:   d.attemptIssuer.claims.handleFor(c),
+		request:       q,
+		attemptNumber: attemptNumber,
+		stateMachine:  attempts.NewRequest(cfg, claim),
+		claimHandle:   d.attemptIssuer.claims.handleFor(q),
 		events:        make(chan deliveryEvent, deliveryEventBuffer),
 		timer:         time.NewTimer(time.Hour),
 		startedAt:     now,
@@ -69,13 +69,13 @@
 }
 
 // fingerprint tells a retry from another request under the same key.
-func fingerprint(c *quickRequest) uint64 {
+func fingerprint(q *quickRequest) uint64 {
 	h := xxhash.New()
-	for _, part := range []string{c.method, c.path, c.query, c.class} {
+	for _, part := range []string{q.method, q.path, q.query, q.class} {
 		_, _ = h.WriteString(part)
 		_, _ = h.Write(binary.BigEndian.AppendUint32(nil, uint32(len(part))))
 	}
-	_, _ = h.Write(c.body)
+	_, _ = h.Write(q.body)
 	return h.Sum64()
 }
 
@@ -87,8 +87,8 @@
 	actions := v.stateMachine.Step(v.dispatcher.now(), attempts.Go{})
 	for {
 		for _, a := range actions {
-			if end, ok := a.(attempts.Finished); ok {
-				return end
+			if finished, ok := a.(attempts.Finished); ok {
+				return finished
 			}
 			v.perform(a)
 		}
--- a/entry/delivery_outcome.go
+++ b/entry/delivery_outcome.go
@@ -11,43 +11,43 @@
 // routingOutcome tells the router how the own attempt went. Where another delivery's
 // answer was waited for, nothing was learnt about the target picked.
 func (v *delivery) routingOutcome(ctx context.Context) routing.Outcome {
-	took := v.dispatcher.now().Sub(v.startedAt)
+	latency := v.dispatcher.now().Sub(v.startedAt)
 	if !v.attemptSent || (v.reply == nil && v.lastErr == nil) {
-		return routing.Outcome{Kind: routing.Abandoned, Latency: took}
+		return routing.Outcome{Kind: routing.Abandoned, Latency: latency}
 	}
-	return attemptOutcome(ctx, v.reply, v.lastErr, took)
+	return attemptOutcome(ctx, v.reply, v.lastErr, latency)
 }
 
 // problem is what the caller hears of a delivery that is not done.
-func (v *delivery) problem(end attempts.Finished) *api.Problem {
-	if end.Outcome == attempts.NotRun {
-		return v.notRunProblem(end)
+func (v *delivery) problem(finished attempts.Finished) *api.Problem {
+	if finished.Outcome == attempts.NotRun {
+		return v.notRunProblem(finished)
 	}
-	p := unknownProblem(end)
-	p.RetryAfter = end.RetryAfter
+	p := unknownProblem(finished)
+	p.RetryAfter = finished.RetryAfter
 	if v.agentTimedOut && v.request.key != "" {
 		p.RetryAfter = defaultRetryAfter // the agent may be reached again, and the claim names it
 	}
 	return p
 }
 
-func (v *delivery) notRunProblem(end attempts.Finished) *api.Problem {
-	switch end.Reason {
+func (v *delivery) notRunProblem(finished attempts.Finished) *api.Problem {
+	switch finished.Reason {
 	case attempts.ReasonStore:
-		return api.Busy(api.ReasonStoreDown, "the platform's store could not be asked whether the key was used before", retryAfterOrDefault(end.RetryAfter))
+		return api.Busy(api.ReasonStoreDown, "the platform's store could not be asked whether the key was used before", retryAfterOrDefault(finished.RetryAfter))
 	case attempts.ReasonDeadline:
 		return api.NewProblem(api.ReasonDeadline, "the deadline passed before the start")
 	case attempts.ReasonKeyReused:
 		return api.NewProblem(api.ReasonKeyReused, "the key belongs to a request with another content")
 	}
 	if v.reply == nil && v.lastErr == nil {
-		return api.Busy(api.ReasonRefused, "the attempt was proved not to have run", retryAfterOrDefault(end.RetryAfter))
+		return api.Busy(api.ReasonRefused, "the attempt was proved not to have run", retryAfterOrDefault(finished.RetryAfter))
 	}
 	return attemptProblem(v.reply, v.lastErr, false)
 }
 
-func unknownProblem(end attempts.Finished) *api.Problem {
-	switch end.Reason {
+func unknownProblem(finished attempts.Finished) *api.Problem {
+	switch finished.Reason {
 	case attempts.ReasonDeadline:
 		return api.NewProblem(api.ReasonDeadlineRunning, "the deadline passed after the start")
 	case attempts.ReasonStore:
--- a/entry/dispatcher.go
+++ b/entry/dispatcher.go
@@ -35,33 +35,33 @@
 }
 
 // executeMessage is the message for one attempt.
-func (c *quickRequest) executeMessage(attempt string, hop int, now time.Time) *wire.Execute {
+func (q *quickRequest) executeMessage(attemptID string, attemptNumber int, now time.Time) *wire.Execute {
 	return &wire.Execute{
-		Attempt:    attempt,
-		Request:    c.id,
-		Service:    c.service,
-		Account:    c.account,
-		Class:      c.class,
-		Remaining:  c.deadline.Sub(now),
-		Repeatable: c.repeatable,
-		Method:     c.method,
-		Path:       c.path,
-		Query:      c.query,
-		Header:     c.header,
-		Body:       c.body,
-		Hops:       hop,
+		Attempt:    attemptID,
+		Request:    q.id,
+		Service:    q.service,
+		Account:    q.account,
+		Class:      q.class,
+		Remaining:  q.deadline.Sub(now),
+		Repeatable: q.repeatable,
+		Method:     q.method,
+		Path:       q.path,
+		Query:      q.query,
+		Header:     q.header,
+		Body:       q.body,
+		Hops:       attemptNumber,
 	}
 }
 
 // routingQuery describes the next attempt to the router.
-func (d *dispatcher) routingQuery(c *quickRequest, attempt int, tried []routing.TargetID) routing.Query {
+func (d *dispatcher) routingQuery(q *quickRequest, attemptNumber int, tried []routing.TargetID) routing.Query {
 	return routing.Query{
-		Account:  c.account,
-		Attempt:  attempt,
+		Account:  q.account,
+		Attempt:  attemptNumber,
 		Exclude:  tried,
-		Deadline: c.deadline,
-		Once:     !c.repeatable,
-		Weight:   (*d.weights.Load())[c.account],
+		Deadline: q.deadline,
+		Once:     !q.repeatable,
+		Weight:   (*d.weights.Load())[q.account],
 	}
 }
 
@@ -86,34 +86,34 @@
 }
 
 // do runs a call to its end: the whole answer, or a Problem.
-func (d *dispatcher) do(ctx context.Context, c *quickRequest) (*wire.ExecuteReply, *api.Problem) {
-	ctx, cancel := context.WithDeadline(ctx, c.deadline)
+func (d *dispatcher) do(ctx context.Context, q *quickRequest) (*wire.ExecuteReply, *api.Problem) {
+	ctx, cancel := context.WithDeadline(ctx, q.deadline)
 	defer cancel()
-	if c.repeatable {
-		return d.doRepeatable(ctx, c)
+	if q.repeatable {
+		return d.doRepeatable(ctx, q)
 	}
-	return d.doNonRepeatable(ctx, c)
+	return d.doNonRepeatable(ctx, q)
 }
 
 // doRepeatable tries targets until one answers, the retry budget refuses or the
 // deadline passes.
-func (d *dispatcher) doRepeatable(ctx context.Context, c *quickRequest) (*wire.ExecuteReply, *api.Problem) {
+func (d *dispatcher) doRepeatable(ctx context.Context, q *quickRequest) (*wire.ExecuteReply, *api.Problem) {
 	var tried []routing.TargetID
 	maybeRan := 0
-	for attempt := 0; ; attempt++ {
-		ticket, refusal := d.pick(ctx, c, attempt, tried, maybeRan > 0)
+	for attemptNumber := 0; ; attemptNumber++ {
+		ticket, refusal := d.pick(ctx, q, attemptNumber, tried, maybeRan > 0)
 		if !refusal.OK() {
 			return nil, pickProblem(refusal, maybeRan > 0)
 		}
-		reply, err := d.attempt(ctx, ticket, c, attempt)
+		reply, err := d.attempt(ctx, ticket, q, attemptNumber)
 		if err == nil && reply.Outcome == wire.OutcomeDone {
 			return reply, nil
 		}
 		if mayHaveRun(reply, err) {
 			maybeRan++
 		}
-		if maybeRan > c.retries || ctx.Err() != nil || !d.router.Retry(d.now(), c.account) {
-			return nil, d.raiseRetryAfter(c, attemptProblem(reply, err, maybeRan > 0))
+		if maybeRan > q.retries || ctx.Err() != nil || !d.router.Retry(d.now(), q.account) {
+			return nil, d.raiseRetryAfter(q, attemptProblem(reply, err, maybeRan > 0))
 		}
 		d.count(metrics.RequestsRetried, 1)
 		tried = append(tried, ticket.Target)
@@ -122,29 +122,29 @@
 
 // raiseRetryAfter spaces the return of what was refused for good, so that callers that
 // were refused together don't come back together.
-func (d *dispatcher) raiseRetryAfter(c *quickRequest, p *api.Problem) *api.Problem {
+func (d *dispatcher) raiseRetryAfter(q *quickRequest, p *api.Problem) *api.Problem {
 	if p.RetryAfter > 0 {
-		p.RetryAfter = max(p.RetryAfter, d.router.RetryAfter(c.account))
+		p.RetryAfter = max(p.RetryAfter, d.router.RetryAfter(q.account))
 	}
 	return p
 }
 
 // attempt makes one attempt and tells the router how it went.
-func (d *dispatcher) attempt(ctx context.Context, t routing.Ticket, c *quickRequest, n int) (*wire.ExecuteReply, error) {
-	began := d.now()
-	msg := c.executeMessage(c.id, n, began)
-	got, err := d.agents.call(ctx, string(t.Target), msg, connCheckFor(n))
+func (d *dispatcher) attempt(ctx context.Context, ticket routing.Ticket, q *quickRequest, attemptNumber int) (*wire.ExecuteReply, error) {
+	startedAt := d.now()
+	msg := q.executeMessage(q.id, attemptNumber, startedAt)
+	got, err := d.agents.call(ctx, string(ticket.Target), msg, connCheckFor(attemptNumber))
 	reply, _ := got.(*wire.ExecuteReply)
 	if err == nil && reply == nil {
 		err = errBadReply
 	}
-	d.router.Done(d.now(), t, attemptOutcome(ctx, reply, err, d.now().Sub(began)))
+	d.router.Done(d.now(), ticket, attemptOutcome(ctx, reply, err, d.now().Sub(startedAt)))
 	return reply, err
 }
 
 // connCheckFor is the path for the n-th attempt of a request, from 0.
-func connCheckFor(n int) connCheck {
-	if n == 0 {
+func connCheckFor(attemptNumber int) connCheck {
+	if attemptNumber == 0 {
 		return anyConn
 	}
 	return verifiedConn
@@ -161,8 +161,8 @@
 }
 
 // attemptOutcome tells the router how an attempt ended.
-func attemptOutcome(ctx context.Context, reply *wire.ExecuteReply, err error, took time.Duration) routing.Outcome {
-	o := routing.Outcome{Latency: took}
+func attemptOutcome(ctx context.Context, reply *wire.ExecuteReply, err error, latency time.Duration) routing.Outcome {
+	o := routing.Outcome{Latency: latency}
 	if err != nil {
 		o.Kind = failureKind(ctx, err)
 		o.Load.Draining = errors.Is(err, wire.ErrDraining)
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -14,13 +14,13 @@
 
 // applyDocument puts a new generation to work: for the planner duty, and at
 // every agent of the service. It must not block.
-func (e *Entry) applyDocument(_, now *document.Held) {
-	e.log.WithField("service", now.Version.Service).WithField("generation", now.Version.Generation).Info("document in force")
+func (e *Entry) applyDocument(_, held *document.Held) {
+	e.log.WithField("service", held.Version.Service).WithField("generation", held.Version.Generation).Info("document in force")
 	e.metrics.Add(metrics.DocumentsApplied, 1)
-	e.dispatcher(now.Version.Service).applyDocument(now.Document)
-	e.elections.setDocument(now)
-	e.members.updateRouter(now.Version.Service)
-	e.members.publish(now.Version)
+	e.dispatcher(held.Version.Service).applyDocument(held.Document)
+	e.elections.setDocument(held)
+	e.members.updateRouter(held.Version.Service)
+	e.members.publish(held.Version)
 }
 
 // peersChanged tells the agents which entries there are, and the watcher whom to
--- a/entry/elections.go
+++ b/entry/elections.go
@@ -49,155 +49,155 @@
 
 // setDocument begins the candidacy for a service, or hands its planner the new
 // generation.
-func (d *elections) setDocument(h *document.Held) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	service := h.Version.Service
-	if d.stopped || !d.entry.servesService(service) {
+func (es *elections) setDocument(held *document.Held) {
+	es.mu.Lock()
+	defer es.mu.Unlock()
+	service := held.Version.Service
+	if es.stopped || !es.entry.servesService(service) {
 		return
 	}
-	if du := d.byService[service]; du != nil {
-		if du.planner != nil {
-			du.planner.SetDocument(h)
+	if el := es.byService[service]; el != nil {
+		if el.planner != nil {
+			el.planner.SetDocument(held)
 		}
 		return
 	}
-	du := &election{service: service}
-	d.byService[service] = du
+	el := &election{service: service}
+	es.byService[service] = el
 	// A store with many services would get the calls of all candidacies in the
 	// moment of an entry's start.
-	time.AfterFunc(candidacyStagger*time.Duration(len(d.byService)-1), func() { d.start(du) })
+	time.AfterFunc(candidacyStagger*time.Duration(len(es.byService)-1), func() { es.start(el) })
 }
 
 // start begins the candidacy.
-func (d *elections) start(du *election) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.stopped {
+func (es *elections) start(el *election) {
+	es.mu.Lock()
+	defer es.mu.Unlock()
+	if es.stopped {
 		return
 	}
-	du.candidate = lease.StartCandidate(lease.CandidateOptions{
-		Session:    d.entry.session,
-		Election:   d.entry.cfg.Region + "/" + du.service,
-		Instance:   d.entry.cfg.ID,
-		ClaimDelay: func() time.Duration { return d.candidacyDelay(du.service) },
-		OnChange:   func(held lease.Leadership, ok bool) { d.leadershipChanged(du, held, ok) },
-		Log:        d.entry.log,
+	el.candidate = lease.StartCandidate(lease.CandidateOptions{
+		Session:    es.entry.session,
+		Election:   es.entry.cfg.Region + "/" + el.service,
+		Instance:   es.entry.cfg.ID,
+		ClaimDelay: func() time.Duration { return es.candidacyDelay(el.service) },
+		OnChange:   func(held lease.Leadership, ok bool) { es.leadershipChanged(el, held, ok) },
+		Log:        es.entry.log,
 	})
 }
 
 // leadershipChanged is called from the holder's goroutine and must not block.
-func (d *elections) leadershipChanged(du *election, held lease.Leadership, ok bool) {
+func (es *elections) leadershipChanged(el *election, held lease.Leadership, ok bool) {
 	if ok {
-		go d.elected(du, held.Epoch)
+		go es.elected(el, held.Epoch)
 	}
 }
 
-func (d *elections) elected(du *election, epoch uint64) {
-	d.mu.Lock()
-	if d.stopped || epoch <= du.epoch {
-		d.mu.Unlock()
+func (es *elections) elected(el *election, epoch uint64) {
+	es.mu.Lock()
+	if es.stopped || epoch <= el.epoch {
+		es.mu.Unlock()
 		return
 	}
-	old := du.planner
-	du.planner, du.epoch, du.electedAt = nil, epoch, time.Now()
-	d.mu.Unlock()
+	old := el.planner
+	el.planner, el.epoch, el.electedAt = nil, epoch, time.Now()
+	es.mu.Unlock()
 	if old != nil {
 		old.Stop()
 	}
-	d.startPlanner(du, epoch)
+	es.startPlanner(el, epoch)
 }
 
 // startPlanner starts the planner of a term and tells it of all agents known.
-func (d *elections) startPlanner(du *election, epoch uint64) {
-	held, ok := d.entry.documents.Current(du.service)
+func (es *elections) startPlanner(el *election, epoch uint64) {
+	held, ok := es.entry.documents.Current(el.service)
 	if !ok {
 		return
 	}
 	p := planner.Start(planner.Config{
-		Service:   du.service,
+		Service:   el.service,
 		Epoch:     epoch,
-		Store:     d.entry.store,
-		Jobs:      d.entry.jobs,
-		Agents:    gangClient{d.entry.agents},
-		Metrics:   d.entry.metrics,
-		Log:       d.entry.log.WithFields(logrus.Fields{"service": du.service, "epoch": epoch}),
+		Store:     es.entry.store,
+		Jobs:      es.entry.jobs,
+		Agents:    gangClient{es.entry.agents},
+		Metrics:   es.entry.metrics,
+		Log:       es.entry.log.WithFields(logrus.Fields{"service": el.service, "epoch": epoch}),
 		Document:  held,
-		Retention: d.entry.retention,
+		Retention: es.entry.retention,
 	})
-	d.mu.Lock()
-	if d.stopped || du.epoch != epoch {
-		d.mu.Unlock()
+	es.mu.Lock()
+	if es.stopped || el.epoch != epoch {
+		es.mu.Unlock()
 		p.Stop()
 		return
 	}
-	du.planner = p
-	d.mu.Unlock()
-	d.entry.members.replayReports(du.service, p)
-	d.updateRegistration()
-	go d.awaitPlannerEnd(du, p)
+	el.planner = p
+	es.mu.Unlock()
+	es.entry.members.replayReports(el.service, p)
+	es.updateRegistration()
+	go es.awaitPlannerEnd(el, p)
 }
 
 // awaitPlannerEnd drops a planner that found itself superseded.
-func (d *elections) awaitPlannerEnd(du *election, p *planner.Planner) {
+func (es *elections) awaitPlannerEnd(el *election, p *planner.Planner) {
 	<-p.Done()
-	d.mu.Lock()
-	current := du.planner == p
-	if current {
-		du.planner = nil
+	es.mu.Lock()
+	isCurrent := el.planner == p
+	if isCurrent {
+		el.planner = nil
 	}
-	d.mu.Unlock()
-	if !current {
+	es.mu.Unlock()
+	if !isCurrent {
 		return
 	}
 	// The store may have been restored from a backup and have given this entry an
 	// epoch that was used before. It shows as agents that refuse it although no
 	// other entry plans; raising the epoch above theirs ends it.
 	if higher := p.SupersedingEpoch(); higher > 0 {
-		du.candidate.ObserveEpoch(higher)
+		el.candidate.ObserveEpoch(higher)
 	}
-	d.updateRegistration()
+	es.updateRegistration()
 }
 
 // updateRegistration tells the other entries which duties this one holds.
-func (d *elections) updateRegistration() {
-	d.mu.Lock()
+func (es *elections) updateRegistration() {
+	es.mu.Lock()
 	var held []leadership
-	for _, du := range d.byService {
-		if du.planner != nil {
-			held = append(held, leadership{Service: du.service, Epoch: du.epoch})
+	for _, el := range es.byService {
+		if el.planner != nil {
+			held = append(held, leadership{Service: el.service, Epoch: el.epoch})
 		}
 	}
-	d.mu.Unlock()
-	d.entry.registry.setLeaderships(held)
+	es.mu.Unlock()
+	es.entry.registry.setLeaderships(held)
 }
 
 // planner returns this entry's planner of the service, or nil.
-func (d *elections) planner(service string) *planner.Planner {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if du := d.byService[service]; du != nil {
-		return du.planner
+func (es *elections) planner(service string) *planner.Planner {
+	es.mu.Lock()
+	defer es.mu.Unlock()
+	if el := es.byService[service]; el != nil {
+		return el.planner
 	}
 	return nil
 }
 
 // leaderships lists the duties for the status page.
-func (d *elections) leaderships() []api.Duty {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (es *elections) leaderships() []api.Duty {
+	es.mu.Lock()
+	defer es.mu.Unlock()
 	out := []api.Duty{}
-	for _, du := range d.byService {
-		if du.planner != nil {
-			out = append(out, api.Duty{Service: du.service, Region: d.entry.cfg.Region, Epoch: du.epoch, Since: du.electedAt})
+	for _, el := range es.byService {
+		if el.planner != nil {
+			out = append(out, api.Duty{Service: el.service, Region: es.entry.cfg.Region, Epoch: el.epoch, Since: el.electedAt})
 		}
 	}
 	return out
 }
 
 // jobStatus asks this entry's planner for a job.
-func (d *elections) jobStatus(ctx context.Context, service, id string) (api.JobStatus, bool) {
-	p := d.planner(service)
+func (es *elections) jobStatus(ctx context.Context, service, id string) (api.JobStatus, bool) {
+	p := es.planner(service)
 	if p == nil {
 		return api.JobStatus{}, false
 	}
@@ -210,33 +210,33 @@
 
 // plannerAddr returns where the entry with the duty is reached, if that is
 // another one.
-func (d *elections) plannerAddr(service string) (string, bool) {
-	if d.planner(service) != nil {
+func (es *elections) plannerAddr(service string) (string, bool) {
+	if es.planner(service) != nil {
 		return "", false
 	}
-	p, _, ok := d.entry.registry.planner(service)
+	p, _, ok := es.entry.registry.planner(service)
 	return p.Address, ok
 }
 
 // resignAll hands all duties over: first the planner stops deciding, then the
 // lease is given back, and the next candidate goes on at once.
-func (d *elections) resignAll(ctx context.Context) {
-	d.entry.registry.setLeaving()
-	d.mu.Lock()
-	d.stopped = true
+func (es *elections) resignAll(ctx context.Context) {
+	es.entry.registry.setLeaving()
+	es.mu.Lock()
+	es.stopped = true
 	var all []*election
-	for _, du := range d.byService {
-		all = append(all, du)
+	for _, el := range es.byService {
+		all = append(all, el)
 	}
-	d.mu.Unlock()
+	es.mu.Unlock()
 	var wg sync.WaitGroup
-	for _, du := range all {
+	for _, el := range all {
 		wg.Go(func() {
-			if du.planner != nil {
-				du.planner.Stop()
+			if el.planner != nil {
+				el.planner.Stop()
 			}
-			if du.candidate != nil {
-				_ = du.candidate.Resign(ctx) // the lease lapses by itself otherwise
+			if el.candidate != nil {
+				_ = el.candidate.Resign(ctx) // the lease lapses by itself otherwise
 			}
 		})
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -89,9 +89,9 @@
 }
 
 func (e *Entry) openStoreClients() {
-	own := max(1, e.cfg.PlatformBudget/coordinationDivisor)
-	e.coordinationClient = e.newStoreClient(own)
-	e.workClient = e.newStoreClient(e.cfg.PlatformBudget - own)
+	coordinationBudget := max(1, e.cfg.PlatformBudget/coordinationDivisor)
+	e.coordinationClient = e.newStoreClient(coordinationBudget)
+	e.workClient = e.newStoreClient(e.cfg.PlatformBudget - coordinationBudget)
 	e.store = e.coordinationClient
 	e.batcher = store.NewBatcher(e.workClient, 0)
 	e.jobs = jobs.NewStore(e.cfg.Region, e.workClient, e.batcher)
@@ -158,7 +158,7 @@
 
 // startComponents starts everything that goes on beside requests.
 func (e *Entry) startComponents() {
-	own := entryRecord{
+	record := entryRecord{
 		ID:          e.cfg.ID,
 		Address:     e.advertisedAddr(),
 		HTTP:        e.HTTPAddr(),
@@ -167,7 +167,7 @@
 		Services:    e.cfg.Services,
 	}
 	e.openSession()
-	e.registry = newRegistry(e.store, e.session, e.cfg.Region, own, e.log)
+	e.registry = newRegistry(e.store, e.session, e.cfg.Region, record, e.log)
 	e.registry.onChange = e.peersChanged
 	e.elections = newElections(e)
 	e.members = newMembers(e)
--- a/entry/handover.go
+++ b/entry/handover.go
@@ -13,8 +13,8 @@
 const handOverInterval = 500 * time.Millisecond
 
 // candidacyDelay is for how long this entry leaves a vacant duty to those before it.
-func (d *elections) candidacyDelay(service string) time.Duration {
-	return time.Duration(rank(service, d.entry.cfg.ID, d.entry.registry.candidates())) * candidacyDelayStep
+func (es *elections) candidacyDelay(service string) time.Duration {
+	return time.Duration(rank(service, es.entry.cfg.ID, es.entry.registry.candidates())) * candidacyDelayStep
 }
 
 // balance hands duties over to the entries that are preferred for them, until the
@@ -22,53 +22,53 @@
 //
 // Without it the entry that starts first holds every duty of the region for as long
 // as it lives: 94 planners are more than one entry may spend on control.
-func (d *elections) balance() error {
+func (es *elections) balance() error {
 	ticker := time.NewTicker(handOverInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-d.entry.tomb.Dying():
+		case <-es.entry.tomb.Dying():
 			return nil
 		case now := <-ticker.C:
-			d.handOverOne(now)
+			es.handOverOne(now)
 		}
 	}
 }
 
 // handOverOne hands one duty over, where that is worth it. While the store is out it
 // is not: nobody could take the duty.
-func (d *elections) handOverOne(now time.Time) {
-	if !d.entry.session.Valid() {
+func (es *elections) handOverOne(now time.Time) {
+	if !es.entry.session.Valid() {
 		return
 	}
-	service, to, ok := chooseHandOver(now, d.entry.cfg.ID, d.ownLeaderships(), d.entry.registry.candidates())
+	service, to, ok := chooseHandOver(now, es.entry.cfg.ID, es.ownLeaderships(), es.entry.registry.candidates())
 	if !ok {
 		return
 	}
-	d.mu.Lock()
-	du := d.byService[service]
-	p, epoch := du.planner, du.epoch
-	if d.stopped || p == nil {
-		d.mu.Unlock()
+	es.mu.Lock()
+	el := es.byService[service]
+	p, epoch := el.planner, el.epoch
+	if es.stopped || p == nil {
+		es.mu.Unlock()
 		return
 	}
-	du.planner, du.handedOverAt = nil, now
-	d.mu.Unlock()
-	d.entry.log.WithField("service", service).WithField("to", to).Info("duty handed over")
-	d.entry.metrics.Add(metrics.DutiesHandedOver, 1)
+	el.planner, el.handedOverAt = nil, now
+	es.mu.Unlock()
+	es.entry.log.WithField("service", service).WithField("to", to).Info("duty handed over")
+	es.entry.metrics.Add(metrics.DutiesHandedOver, 1)
 	p.Stop() // it decides nothing more before the successor begins
-	du.candidate.Yield(epoch)
-	d.updateRegistration()
+	el.candidate.Yield(epoch)
+	es.updateRegistration()
 }
 
 // ownLeaderships lists the duties held here, by service.
-func (d *elections) ownLeaderships() []ownLeadership {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (es *elections) ownLeaderships() []ownLeadership {
+	es.mu.Lock()
+	defer es.mu.Unlock()
 	var out []ownLeadership
-	for _, du := range d.byService {
-		if du.planner != nil {
-			out = append(out, ownLeadership{service: du.service, handedOverAt: du.handedOverAt})
+	for _, el := range es.byService {
+		if el.planner != nil {
+			out = append(out, ownLeadership{service: el.service, handedOverAt: el.handedOverAt})
 		}
 	}
 	slices.SortFunc(out, func(a, b ownLeadership) int { return strings.Compare(a.service, b.service) })
--- a/entry/http_jobs.go
+++ b/entry/http_jobs.go
@@ -37,14 +37,14 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), storeTimeout)
 	defer cancel()
-	got, err := e.jobs.Accept(ctx, rec)
+	accepted, err := e.jobs.Accept(ctx, rec)
 	w.Header().Set("Location", api.JobPath(rec.Service, rec.ID))
 	if err != nil {
 		acceptProblem(err).WriteTo(w)
 		return
 	}
 	e.metrics.Add(metrics.JobsAccepted, 1)
-	api.WriteJSON(w, http.StatusAccepted, recordStatus(got.Record))
+	api.WriteJSON(w, http.StatusAccepted, recordStatus(accepted.Record))
 }
 
 func (e *Entry) parseJob(r *http.Request) (jobs.Record, *api.Problem) {
@@ -107,11 +107,11 @@
 
 // perAccelerator is the part of one accelerator, rounded up; a job without accelerators
 // takes all on one worker.
-func perAccelerator(whole, accelerators int) int {
+func perAccelerator(total, accelerators int) int {
 	if accelerators <= 1 {
-		return whole
+		return total
 	}
-	return (whole + accelerators - 1) / accelerators
+	return (total + accelerators - 1) / accelerators
 }
 
 func acceptProblem(err error) *api.Problem {
@@ -129,7 +129,7 @@
 // caller asks for it.
 func (e *Entry) jobStatus(w http.ResponseWriter, r *http.Request) {
 	service, id := pat.Param(r, "service"), pat.Param(r, "id")
-	until, problem := statusWaitEnd(r, time.Now())
+	waitEnd, problem := statusWaitEnd(r, time.Now())
 	if problem != nil {
 		problem.WriteTo(w)
 		return
@@ -140,7 +140,7 @@
 			problem.WriteTo(w)
 			return
 		}
-		if status.State.Final() || time.Now().After(until) || r.Context().Err() != nil {
+		if status.State.Final() || time.Now().After(waitEnd) || r.Context().Err() != nil {
 			api.WriteJSON(w, http.StatusOK, status)
 			return
 		}
@@ -171,12 +171,12 @@
 func (e *Entry) cancelJob(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), storeTimeout)
 	defer cancel()
-	got, err := e.jobs.Cancel(ctx, pat.Param(r, "service"), pat.Param(r, "id"), time.Now())
+	cancelled, err := e.jobs.Cancel(ctx, pat.Param(r, "service"), pat.Param(r, "id"), time.Now())
 	if err != nil {
 		cancelProblem(err).WriteTo(w)
 		return
 	}
-	api.WriteJSON(w, http.StatusAccepted, recordStatus(got.Record))
+	api.WriteJSON(w, http.StatusAccepted, recordStatus(cancelled.Record))
 }
 
 // cancelProblem guards against "not run" for a cancellation whose write may have
--- a/entry/http_jobs_test.go
+++ b/entry/http_jobs_test.go
@@ -55,14 +55,14 @@
 }
 
 func (s *queuedStore) Swap(context.Context, store.Swap) (store.SwapResult, error) {
-	end := <-s.results
-	return end.SwapResult, end.err
+	reply := <-s.results
+	return reply.SwapResult, reply.err
 }
 
-func requestCancel(c *qt.C, method, path, body string, ends ...swapReply) *api.Problem {
-	kv := &queuedStore{results: make(chan swapReply, len(ends))}
-	for _, e := range ends {
-		kv.results <- e
+func requestCancel(c *qt.C, method, path, body string, replies ...swapReply) *api.Problem {
+	kv := &queuedStore{results: make(chan swapReply, len(replies))}
+	for _, reply := range replies {
+		kv.results <- reply
 	}
 	e := &Entry{jobs: jobs.NewStore("auckland", kv, kv)}
 	w := httptest.NewRecorder()
--- a/entry/http_quick.go
+++ b/entry/http_quick.go
@@ -18,21 +18,21 @@
 
 // serveQuickRequest serves one quick request to its end.
 func (e *Entry) serveQuickRequest(w http.ResponseWriter, r *http.Request) {
-	began := time.Now()
-	c, problem := e.parseQuickRequest(r, began)
+	startedAt := time.Now()
+	q, problem := e.parseQuickRequest(r, startedAt)
 	if problem != nil {
 		problem.WriteTo(w)
 		return
 	}
-	w.Header().Set(api.HeaderRequest, c.id)
-	reply, problem := e.dispatcher(c.service).do(r.Context(), c)
+	w.Header().Set(api.HeaderRequest, q.id)
+	reply, problem := e.dispatcher(q.service).do(r.Context(), q)
 	if problem != nil {
-		problem.Request = c.id
-		e.observeQuickRequest(c, problem.Outcome(), time.Since(began))
+		problem.Request = q.id
+		e.observeQuickRequest(q, problem.Outcome(), time.Since(startedAt))
 		problem.WriteTo(w)
 		return
 	}
-	e.observeQuickRequest(c, api.OutcomeDone, time.Since(began))
+	e.observeQuickRequest(q, api.OutcomeDone, time.Since(startedAt))
 	writeReply(w, reply)
 }
 
@@ -46,11 +46,11 @@
 	if !ok {
 		return nil, api.NewProblem(api.ReasonUnknownService, "no document in force names the service "+service)
 	}
-	asked, problem := api.ParseCall(r.Header)
+	params, problem := api.ParseCall(r.Header)
 	if problem != nil {
 		return nil, problem
 	}
-	class, problem := checkClass(held.Document, asked.Account, asked.Class, document.Quick)
+	class, problem := checkClass(held.Document, params.Account, params.Class, document.Quick)
 	if problem != nil {
 		return nil, problem
 	}
@@ -61,13 +61,13 @@
 	return &quickRequest{
 		id:            uuid.NewString(),
 		service:       service,
-		account:       asked.Account,
-		class:         asked.Class,
-		key:           asked.IdempotencyKey,
-		firstDelivery: asked.First,
-		repeatable:    valueOr(asked.Repeatable, class.Repeatable),
+		account:       params.Account,
+		class:         params.Class,
+		key:           params.IdempotencyKey,
+		firstDelivery: params.First,
+		repeatable:    valueOr(params.Repeatable, class.Repeatable),
 		retries:       class.Retries,
-		deadline:      now.Add(effectiveDeadline(asked.Deadline, class.Deadline.Duration)),
+		deadline:      now.Add(effectiveDeadline(params.Deadline, class.Deadline.Duration)),
 		method:        r.Method,
 		path:          strings.TrimPrefix(pattern.Path(r.Context()), "/"),
 		query:         r.URL.RawQuery,
@@ -115,19 +115,19 @@
 	return body, nil
 }
 
-func valueOr(asked *bool, otherwise bool) bool {
-	if asked != nil {
-		return *asked
+func valueOr(requested *bool, fallback bool) bool {
+	if requested != nil {
+		return *requested
 	}
-	return otherwise
+	return fallback
 }
 
 // effectiveDeadline is the caller's deadline, at most the class's.
-func effectiveDeadline(asked, class time.Duration) time.Duration {
-	if asked <= 0 || asked > class {
+func effectiveDeadline(requested, class time.Duration) time.Duration {
+	if requested <= 0 || requested > class {
 		return class
 	}
-	return asked
+	return requested
 }
 
 // forwardedHeaders is what the target gets to see of the caller's headers: all but
@@ -165,9 +165,9 @@
 // writeReply hands the target's whole answer to the caller.
 func writeReply(w http.ResponseWriter, reply *wire.ExecuteReply) {
 	h := w.Header()
-	for _, line := range reply.Header {
-		if isForwarded(line.Name) {
-			h.Add(line.Name, line.Value)
+	for _, header := range reply.Header {
+		if isForwarded(header.Name) {
+			h.Add(header.Name, header.Value)
 		}
 	}
 	h.Set(api.HeaderOutcome, string(api.OutcomeDone))
--- a/entry/inspect.go
+++ b/entry/inspect.go
@@ -94,11 +94,11 @@
 	if problem == nil {
 		return &wire.InspectReply{Report: body}
 	}
-	text, err := json.Marshal(problem)
+	data, err := json.Marshal(problem)
 	if err != nil {
 		panic("entry: a problem can't be encoded: " + err.Error())
 	}
-	return &wire.InspectReply{Problem: text}
+	return &wire.InspectReply{Problem: data}
 }
 
 func (e *Entry) inspectLocal(ctx context.Context, m *wire.Inspect) (json.RawMessage, *api.Problem) {
@@ -122,9 +122,9 @@
 // plannerInfo names this entry's term of the duty.
 func (e *Entry) plannerInfo(service string) api.ReportPlanner {
 	out := api.ReportPlanner{Entry: e.cfg.ID, Region: e.cfg.Region}
-	for _, d := range e.elections.leaderships() {
-		if d.Service == service {
-			out.Epoch, out.Since = d.Epoch, d.Since
+	for _, l := range e.elections.leaderships() {
+		if l.Service == service {
+			out.Epoch, out.Since = l.Epoch, l.Since
 		}
 	}
 	if h, ok := e.documents.Current(service); ok {
--- a/entry/inspect_job.go
+++ b/entry/inspect_job.go
@@ -27,28 +27,28 @@
 	if p == nil {
 		return nil, noPlanner(service, "entry "+e.cfg.ID+" has lost the duty")
 	}
-	w, known, asked := p.Explain(ctx, id)
-	if !asked {
+	wait, known, answered := p.Explain(ctx, id)
+	if !answered {
 		return nil, noPlanner(service, "the planner of entry "+e.cfg.ID+" has ended or is too busy")
 	}
 	out := &api.JobReport{ID: id, Service: service, Planner: e.plannerInfo(service), At: time.Now()}
-	if !known || w.Stage == planner.StageLoadingRecords {
+	if !known || wait.Stage == planner.StageLoadingRecords {
 		return e.explainRecord(ctx, out)
 	}
-	out.State = plannerStatus(w.Status).State
-	out.Waits = jobWait(&w)
-	if w.Stage == planner.StageQueued {
-		out.Decided = w.Explanation.At
+	out.State = plannerStatus(wait.Status).State
+	out.Waits = jobWait(&wait)
+	if wait.Stage == planner.StageQueued {
+		out.Decided = wait.Explanation.At
 	}
 	return out, nil
 }
 
 // jobWait is why a job that its planner knows waits; nil if it does not.
-func jobWait(w *planner.WaitStatus) *api.JobWait {
-	spec := w.Record.Spec
-	switch w.Stage {
+func jobWait(wait *planner.WaitStatus) *api.JobWait {
+	spec := wait.Record.Spec
+	switch wait.Stage {
 	case planner.StageQueued:
-		return schedulerJobWait(&w.Explanation)
+		return schedulerJobWait(&wait.Explanation)
 	case planner.StageStarting:
 		return jobWaitWithoutPlacement(spec, api.WaitStarting, sentenceStarting)
 	case planner.StageStoreUnavailable:
@@ -84,9 +84,9 @@
 }
 
 // jobWaitWithoutPlacement is a reason that says nothing about places.
-func jobWaitWithoutPlacement(spec jobs.Spec, why api.WaitReason, sentence string) *api.JobWait {
+func jobWaitWithoutPlacement(spec jobs.Spec, reason api.WaitReason, sentence string) *api.JobWait {
 	return &api.JobWait{
-		Reason:       why,
+		Reason:       reason,
 		Sentence:     sentence,
 		Accelerators: spec.Accelerators,
 		Adjacency:    api.Adjacency(spec.Adjacency),
--- a/entry/inspect_service.go
+++ b/entry/inspect_service.go
@@ -76,7 +76,7 @@
 	}
 }
 
-func apiAccount(a scheduler.AccountReport, waited map[string]metrics.Summary, now time.Time) api.ReportAccount {
+func apiAccount(a scheduler.AccountReport, waitSummaries map[string]metrics.Summary, now time.Time) api.ReportAccount {
 	out := api.ReportAccount{
 		Account:                string(a.ID),
 		Guaranteed:             a.Guaranteed,
@@ -88,25 +88,25 @@
 		Classes:                []api.ReportClass{},
 	}
 	for _, c := range a.Classes {
-		one := api.ReportClass{
+		class := api.ReportClass{
 			Class:               c.Class,
 			Running:             c.Running,
 			RunningAccelerators: c.RunningAccelerators,
 			Waiting:             c.Waiting,
 			WaitingAccelerators: c.WaitingAccelerators,
-			Waited:              apiWaits(waited[c.Class]),
+			Waited:              apiWaits(waitSummaries[c.Class]),
 		}
 		if !c.OldestSubmission.IsZero() {
-			one.Oldest = api.Duration(max(0, now.Sub(c.OldestSubmission)).Round(time.Millisecond))
+			class.Oldest = api.Duration(max(0, now.Sub(c.OldestSubmission)).Round(time.Millisecond))
 		}
-		out.Classes = append(out.Classes, one)
+		out.Classes = append(out.Classes, class)
 	}
 	return out
 }
 
-func apiWaits(s metrics.Summary) api.Waits {
+func apiWaits(summary metrics.Summary) api.Waits {
 	us := func(n int64) api.Duration { return api.Duration(time.Duration(n) * time.Microsecond) }
-	return api.Waits{Count: s.Count, P50: us(s.P50), P90: us(s.P90), P99: us(s.P99), Max: us(s.Max)}
+	return api.Waits{Count: summary.Count, P50: us(summary.P50), P90: us(summary.P90), P99: us(summary.P99), Max: us(summary.Max)}
 }
 
 func apiFreeUnits(units []scheduler.FreeUnits) []api.FreeUnits {
--- a/entry/jobs.go
+++ b/entry/jobs.go
@@ -28,18 +28,18 @@
 // cancelAll cancels jobs of one service. On a Problem some may have been
 // cancelled; the whole call may be repeated.
 func (e *Entry) cancelAll(ctx context.Context, service string, ids []string) (api.CancelResponse, *api.Problem) {
-	cancel, err := e.cancelFunc(ctx, service, len(ids))
+	cancelOne, err := e.cancelFunc(ctx, service, len(ids))
 	if err != nil {
 		return api.CancelResponse{}, cancelProblem(err)
 	}
 	var mu sync.Mutex
 	var resp api.CancelResponse
-	inDoubt := 0
+	unknownOutcomes := 0
 	var group errgroup.Group
 	group.SetLimit(cancelConcurrency)
 	for _, id := range ids {
 		group.Go(func() error {
-			err := cancel(id)
+			err := cancelOne(id)
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
@@ -48,7 +48,7 @@
 			case eris.Is(err, jobs.ErrNotFound):
 				resp.Unknown = append(resp.Unknown, id)
 			case eris.Is(err, jobs.ErrOutcomeUnknown):
-				inDoubt++
+				unknownOutcomes++
 				return err
 			default:
 				return err
@@ -57,18 +57,18 @@
 		})
 	}
 	if err := group.Wait(); err != nil {
-		return resp, bulkCancelProblem(err, len(resp.Accepted), inDoubt)
+		return resp, bulkCancelProblem(err, len(resp.Accepted), unknownOutcomes)
 	}
 	return resp, nil
 }
 
 // bulkCancelProblem is cancelProblem for a wave of which some were cancelled or may have
 // been: of the whole it can't be said that nothing happened.
-func bulkCancelProblem(err error, cancelled, inDoubt int) *api.Problem {
+func bulkCancelProblem(err error, cancelled, unknownOutcomes int) *api.Problem {
 	p := cancelProblem(err)
-	if cancelled+inDoubt > 0 {
+	if cancelled+unknownOutcomes > 0 {
 		p.Reason = api.ReasonCancelLost
-		p.Detail = strconv.Itoa(cancelled) + " of the jobs are cancelled, " + strconv.Itoa(inDoubt) + " may be: " + p.Detail
+		p.Detail = strconv.Itoa(cancelled) + " of the jobs are cancelled, " + strconv.Itoa(unknownOutcomes) + " may be: " + p.Detail
 	}
 	return p
 }
@@ -81,16 +81,16 @@
 			return err
 		}, nil
 	}
-	all, err := e.jobs.List(ctx, service)
+	records, err := e.jobs.List(ctx, service)
 	if err != nil {
 		return nil, err
 	}
 	return func(id string) error {
-		cur, ok := all[id]
+		record, ok := records[id]
 		if !ok {
 			return jobs.ErrNotFound
 		}
-		_, err := e.jobs.CancelRecord(ctx, cur, time.Now())
+		_, err := e.jobs.CancelRecord(ctx, record, time.Now())
 		return err
 	}, nil
 }
--- a/entry/members.go
+++ b/entry/members.go
@@ -46,19 +46,19 @@
 // handleReport answers a batch of reports that the agent with the id sent: its own, and
 // those that it relays.
 func (m *members) handleReport(sender string, r *wire.Report) *wire.ReportAck {
-	now := clock.Now()
+	receivedAt := clock.Now()
 	actions := m.step(time.Now(), membership.Reports{Batch: r.Batch})
 	m.applyActions(actions)
 	m.recordRelays(sender, r.Batch)
 
 	ack := m.entry.newReportAck(r.Known, m.relayInfoFor(sender))
 	membership.FillAck(ack, actions)
-	for _, one := range r.Batch {
-		member := m.find(one.ID)
+	for _, report := range r.Batch {
+		member := m.find(report.ID)
 		if member == nil {
 			continue
 		}
-		m.informPlanner(member, one, now, ack, one.ID != sender)
+		m.informPlanner(member, report, receivedAt, ack, report.ID != sender)
 		m.sendMissingDocument(member)
 	}
 	return ack
@@ -75,11 +75,11 @@
 func (m *members) recordRelays(sender string, batch []wire.AgentReport) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, one := range batch {
-		if one.ID == sender {
-			delete(m.lastRelay, one.ID)
-		} else if m.serviceOf[one.ID] != "" {
-			m.lastRelay[one.ID] = sender
+	for _, report := range batch {
+		if report.ID == sender {
+			delete(m.lastRelay, report.ID)
+		} else if m.serviceOf[report.ID] != "" {
+			m.lastRelay[report.ID] = sender
 		}
 	}
 }
@@ -87,11 +87,11 @@
 // isRelayed says whether the agent's last report came by another one that is
 // there still.
 func (m *members) isRelayed(id string) bool {
-	via := m.lastRelayOf(id)
-	if via == "" {
+	relayID := m.lastRelayOf(id)
+	if relayID == "" {
 		return false
 	}
-	relay := m.find(via)
+	relay := m.find(relayID)
 	return relay != nil && relay.State == membership.Alive
 }
 
@@ -219,14 +219,14 @@
 func (m *members) updateRouter(service string) {
 	view := m.table.Snapshot().Service(service)
 	targets := make([]routing.Target, 0, len(view.Members))
-	most := m.entry.maxInFlight(service)
+	maxInFlight := m.entry.maxInFlight(service)
 	for _, member := range view.Members {
 		r := &member.Report
 		targets = append(targets, routing.Target{
 			ID:          routing.TargetID(r.ID),
 			Zone:        r.Zone,
 			Slots:       r.Slots,
-			Connections: min(r.Connections, most),
+			Connections: min(r.Connections, maxInFlight),
 			Draining:    !member.Schedulable(),
 			Incarnation: r.Incarnation,
 		})
--- a/entry/members_documents.go
+++ b/entry/members_documents.go
@@ -26,10 +26,10 @@
 		return
 	}
 	m.mu.Lock()
-	busy := m.sending[id]
+	alreadySending := m.sending[id]
 	m.sending[id] = true
 	m.mu.Unlock()
-	if !busy {
+	if !alreadySending {
 		go m.sendDocument(id, wire.DocumentVersion(held.Version))
 	}
 }
--- a/entry/members_planner.go
+++ b/entry/members_planner.go
@@ -14,7 +14,7 @@
 // informPlanner tells the planner, if it is here, of a report of the member, and adds
 // its part to the answer. What a relay would hear of the gangs of its members is
 // left out: they ask themselves.
-func (m *members) informPlanner(member *membership.Member, r wire.AgentReport, now time.Time, ack *wire.ReportAck, relayed bool) {
+func (m *members) informPlanner(member *membership.Member, r wire.AgentReport, receivedAt time.Time, ack *wire.ReportAck, relayed bool) {
 	if r.Goodbye || member.Report.Incarnation != r.Incarnation {
 		return
 	}
@@ -22,16 +22,16 @@
 	if p == nil {
 		return
 	}
-	p.HandleReport(plannerReport(member, r.Stamp, now.Add(-r.Age)))
+	p.HandleReport(plannerReport(member, r.Stamp, receivedAt.Add(-r.Age)))
 	if relayed {
 		return
 	}
-	whole, stamp := p.ReportAnswer(r.ID)
-	ack.Whole = append(ack.Whole, whole...)
-	ack.Stamp = stamp
+	renewed, timestamp := p.ReportAnswer(r.ID)
+	ack.Whole = append(ack.Whole, renewed...)
+	ack.Stamp = timestamp
 }
 
-func plannerReport(member *membership.Member, stamp gang.PlannerTimestamp, at time.Time) planner.AgentReport {
+func plannerReport(member *membership.Member, timestamp gang.PlannerTimestamp, receivedAt time.Time) planner.AgentReport {
 	r := &member.Report
 	return planner.AgentReport{
 		Worker: scheduler.Worker{
@@ -45,9 +45,9 @@
 		Incarnation: r.Incarnation,
 		Draining:    r.Draining,
 		Fence:       r.Fence,
-		Timestamp:   stamp,
+		Timestamp:   timestamp,
 		Tasks:       r.Tasks,
-		ReceivedAt:  at,
+		ReceivedAt:  receivedAt,
 	}
 }
 
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -9,8 +9,8 @@
 )
 
 // observeQuickRequest records how long a caller waited for which outcome.
-func (e *Entry) observeQuickRequest(c *quickRequest, o api.Outcome, took time.Duration) {
-	e.metrics.Observe(c.account, c.class, quickTiming(o), took)
+func (e *Entry) observeQuickRequest(q *quickRequest, o api.Outcome, latency time.Duration) {
+	e.metrics.Observe(q.account, q.class, quickTiming(o), latency)
 }
 
 func quickTiming(o api.Outcome) metrics.Timing {
--- a/entry/nonrepeatable.go
+++ b/entry/nonrepeatable.go
@@ -37,45 +37,45 @@
 	sequence         atomic.Uint64
 }
 
-func (o *attemptIssuer) newID(now time.Time, incarnation uint64) attempts.ID {
+func (i *attemptIssuer) newID(now time.Time, agentIncarnation uint64) attempts.ID {
 	return attempts.ID{
 		Issued:      now.UnixNano(),
-		Entry:       o.entryIncarnation,
-		Sequence:    o.sequence.Add(1),
-		Incarnation: incarnation,
+		Entry:       i.entryIncarnation,
+		Sequence:    i.sequence.Add(1),
+		Incarnation: agentIncarnation,
 	}
 }
 
 // doNonRepeatable runs a call that must not run twice. Each delivery is one
 // attempts.Request; another one follows only after the proof that the first did
 // not run.
-func (d *dispatcher) doNonRepeatable(ctx context.Context, c *quickRequest) (*wire.ExecuteReply, *api.Problem) {
+func (d *dispatcher) doNonRepeatable(ctx context.Context, q *quickRequest) (*wire.ExecuteReply, *api.Problem) {
 	var tried []routing.TargetID
-	for n := 0; ; n++ {
-		ticket, refusal := d.router.Pick(d.now(), d.routingQuery(c, n, tried))
+	for attemptNumber := 0; ; attemptNumber++ {
+		ticket, refusal := d.router.Pick(d.now(), d.routingQuery(q, attemptNumber, tried))
 		if !refusal.OK() {
 			return nil, pickProblem(refusal, false)
 		}
-		v := d.newDelivery(ctx, c, ticket, n)
-		end := v.run()
+		v := d.newDelivery(ctx, q, ticket, attemptNumber)
+		finished := v.run()
 		d.router.Done(d.now(), ticket, v.routingOutcome(ctx))
-		if end.Outcome == attempts.Done && !v.attemptSent {
+		if finished.Outcome == attempts.Done && !v.attemptSent {
 			d.count(metrics.RequestsDeduplicated, 1)
 		}
-		if end.Outcome == attempts.Done {
-			return decodeReply(end.Answer), nil
+		if finished.Outcome == attempts.Done {
+			return decodeReply(finished.Answer), nil
 		}
-		if !d.mayRetry(ctx, c, end) {
-			return nil, d.raiseRetryAfter(c, v.problem(end))
+		if !d.mayRetry(ctx, q, finished) {
+			return nil, d.raiseRetryAfter(q, v.problem(finished))
 		}
 		d.count(metrics.RequestsRetried, 1)
 		tried = append(tried, ticket.Target)
 	}
 }
 
-func (d *dispatcher) mayRetry(ctx context.Context, c *quickRequest, end attempts.Finished) bool {
-	if end.Outcome != attempts.NotRun || end.Reason != attempts.ReasonRefused {
+func (d *dispatcher) mayRetry(ctx context.Context, q *quickRequest, finished attempts.Finished) bool {
+	if finished.Outcome != attempts.NotRun || finished.Reason != attempts.ReasonRefused {
 		return false
 	}
-	return ctx.Err() == nil && d.router.Retry(d.now(), c.account)
+	return ctx.Err() == nil && d.router.Retry(d.now(), q.account)
 }
--- a/entry/pick.go
+++ b/entry/pick.go
@@ -24,13 +24,13 @@
 // twice and have most of their deadline left. The request is not given up meanwhile:
 // its next attempt is made as soon as the router lets it, also at a target that it
 // was lost at, whose path is a new one by then.
-func (d *dispatcher) pick(ctx context.Context, c *quickRequest, attempt int, tried []routing.TargetID, maybeRan bool) (routing.Ticket, routing.Refusal) {
-	until := d.now().Add(repickTimeout)
+func (d *dispatcher) pick(ctx context.Context, q *quickRequest, attemptNumber int, tried []routing.TargetID, maybeRan bool) (routing.Ticket, routing.Refusal) {
+	giveUpAt := d.now().Add(repickTimeout)
 	for {
-		ticket, refusal := d.router.Pick(d.now(), d.routingQuery(c, attempt, tried))
+		ticket, refusal := d.router.Pick(d.now(), d.routingQuery(q, attemptNumber, tried))
 		wait := max(refusal.RetryAfter, repickInterval)
-		hopeless := refusal.Reason == routing.TooLate || d.now().Add(wait).After(until)
-		if refusal.OK() || !maybeRan || hopeless || ctx.Err() != nil {
+		noTimeLeft := refusal.Reason == routing.TooLate || d.now().Add(wait).After(giveUpAt)
+		if refusal.OK() || !maybeRan || noTimeLeft || ctx.Err() != nil {
 			return ticket, refusal
 		}
 		sleep(ctx, wait)
--- a/entry/pick_test.go
+++ b/entry/pick_test.go
@@ -19,17 +19,17 @@
 		c := qt.New(t)
 		d := &dispatcher{router: routing.New(routing.Options{Seed: 1}), now: time.Now}
 		d.weights.Store(&map[string]float64{})
-		request := &quickRequest{account: "big", repeatable: true, deadline: time.Now().Add(10 * time.Second)}
-		began := time.Now()
-		_, refusal := d.pick(t.Context(), request, 0, nil, false)
+		q := &quickRequest{account: "big", repeatable: true, deadline: time.Now().Add(10 * time.Second)}
+		start := time.Now()
+		_, refusal := d.pick(t.Context(), q, 0, nil, false)
 		c.Assert(refusal.OK(), qt.IsFalse)
-		c.Assert(time.Now(), qt.Equals, began)
+		c.Assert(time.Now(), qt.Equals, start)
 
 		go func() {
 			time.Sleep(repickTimeout / 2)
 			d.setTargets([]routing.Target{{ID: "a", Slots: 8, Connections: 64}})
 		}()
-		ticket, refusal := d.pick(t.Context(), request, 1, []routing.TargetID{"a"}, true)
+		ticket, refusal := d.pick(t.Context(), q, 1, []routing.TargetID{"a"}, true)
 		c.Assert(refusal.OK(), qt.IsTrue, qt.Commentf("%v", refusal.Reason))
 		c.Assert(ticket.Target, qt.Equals, routing.TargetID("a"))
 	})
@@ -41,10 +41,10 @@
 		c := qt.New(t)
 		d := &dispatcher{router: routing.New(routing.Options{Seed: 1}), now: time.Now}
 		d.weights.Store(&map[string]float64{})
-		request := &quickRequest{account: "big", repeatable: true, deadline: time.Now().Add(time.Hour)}
-		began := time.Now()
-		_, refusal := d.pick(t.Context(), request, 1, nil, true)
+		q := &quickRequest{account: "big", repeatable: true, deadline: time.Now().Add(time.Hour)}
+		start := time.Now()
+		_, refusal := d.pick(t.Context(), q, 1, nil, true)
 		c.Assert(refusal.OK(), qt.IsFalse)
-		c.Assert(time.Since(began) <= repickTimeout, qt.IsTrue)
+		c.Assert(time.Since(start) <= repickTimeout, qt.IsTrue)
 	})
 }
--- a/entry/prober.go
+++ b/entry/prober.go
@@ -70,10 +70,10 @@
 }
 
 // nextPeers returns the n peers that come after own in the order of ids, as in a ring.
-func nextPeers(own string, peers []entryRecord, n int) []entryRecord {
+func nextPeers(ownID string, peers []entryRecord, n int) []entryRecord {
 	slices.SortFunc(peers, func(a, b entryRecord) int { return strings.Compare(a.ID, b.ID) })
-	first, _ := slices.BinarySearchFunc(peers, own, func(p entryRecord, id string) int { return strings.Compare(p.ID, id) })
-	return append(peers[first:len(peers):len(peers)], peers[:first]...)[:min(n, len(peers))]
+	start, _ := slices.BinarySearchFunc(peers, ownID, func(p entryRecord, id string) int { return strings.Compare(p.ID, id) })
+	return append(peers[start:len(peers):len(peers)], peers[:start]...)[:min(n, len(peers))]
 }
 
 // setTargets begins and ends probes so that just the targets are probed.
@@ -81,13 +81,13 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	wanted := make(map[probeTarget]bool)
-	for _, t := range targets {
-		key := probeTarget{id: t.ID, address: t.Address, lease: t.lease}
+	for _, peer := range targets {
+		key := probeTarget{id: peer.ID, address: peer.Address, lease: peer.lease}
 		wanted[key] = true
-		if p.probes[key] == nil && p.revoked[t.ID] != t.Incarnation {
-			probing, cancel := context.WithCancel(ctx)
+		if p.probes[key] == nil && p.revoked[peer.ID] != peer.Incarnation {
+			probeCtx, cancel := context.WithCancel(ctx)
 			p.probes[key] = cancel
-			p.entry.tomb.Go(func() error { p.probe(probing, t); return nil })
+			p.entry.tomb.Go(func() error { p.probe(probeCtx, peer); return nil })
 		}
 	}
 	for key, cancel := range p.probes {
@@ -105,27 +105,27 @@
 }
 
 // probe probes one peer until its process has ended, or ctx.
-func (p *prober) probe(ctx context.Context, t entryRecord) {
-	if t.lease == 0 || !awaitPortRefusal(ctx, t.Address) {
+func (p *prober) probe(ctx context.Context, peer entryRecord) {
+	if peer.lease == 0 || !awaitPortRefusal(ctx, peer.Address) {
 		return
 	}
 	p.mu.Lock()
-	p.revoked[t.ID] = t.Incarnation
+	p.revoked[peer.ID] = peer.Incarnation
 	p.mu.Unlock()
-	for ctx.Err() == nil && p.revoke(ctx, t) != nil {
+	for ctx.Err() == nil && p.revoke(ctx, peer) != nil {
 		sleep(ctx, peerProbeInterval)
 	}
 }
 
 // revoke ends the lease of a peer.
-func (p *prober) revoke(ctx context.Context, t entryRecord) error {
+func (p *prober) revoke(ctx context.Context, peer entryRecord) error {
 	ctx, cancel := context.WithTimeout(ctx, revokeTimeout)
 	defer cancel()
-	err := p.entry.store.Revoke(ctx, t.lease)
+	err := p.entry.store.Revoke(ctx, peer.lease)
 	switch {
 	case err == nil:
 		p.entry.metrics.Add(metrics.DeadEntriesRevoked, 1)
-		p.entry.log.WithFields(logrus.Fields{"peer": t.ID, "address": t.Address}).Info("entry's process is gone, lease revoked")
+		p.entry.log.WithFields(logrus.Fields{"peer": peer.ID, "address": peer.Address}).Info("entry's process is gone, lease revoked")
 	case eris.Is(err, store.ErrLeaseNotFound):
 		return nil // another was first, or it has lapsed
 	}
--- a/entry/prober_peers_test.go
+++ b/entry/prober_peers_test.go
@@ -24,15 +24,15 @@
 	c := qt.New(t)
 	all := []entryRecord{{ID: "d"}, {ID: "a"}, {ID: "c"}, {ID: "b"}, {ID: "e"}}
 	for n := range len(all) + 1 {
-		by := make(map[string]int)
+		probersOf := make(map[string]int)
 		for i, own := range all[:n] {
 			others := append(append([]entryRecord{}, all[:i]...), all[i+1:n]...)
 			for _, peer := range nextPeers(own.ID, others, probedPeerCount) {
 				c.Check(peer.ID, qt.Not(qt.Equals), own.ID)
-				by[peer.ID]++
+				probersOf[peer.ID]++
 			}
 		}
-		for id, probers := range by {
+		for id, probers := range probersOf {
 			c.Check(probers, qt.Equals, min(probedPeerCount, n-1), qt.Commentf("%s of %d", id, n))
 		}
 	}
--- a/entry/prober_test.go
+++ b/entry/prober_test.go
@@ -36,12 +36,12 @@
 func newTwoEntries(c *qt.C) *twoEntries {
 	now := time.Now()
 	srv := standin.New(standin.Options{Now: func() time.Time { return now }})
-	first, other := httptest.NewServer(srv), httptest.NewServer(srv)
-	s := &twoEntries{C: c, firstStore: first, secondStoreURL: other.URL, client: store.NewClient(store.Options{Endpoints: []string{other.URL}})}
+	firstServer, secondServer := httptest.NewServer(srv), httptest.NewServer(srv)
+	s := &twoEntries{C: c, firstStore: firstServer, secondStoreURL: secondServer.URL, client: store.NewClient(store.Options{Endpoints: []string{secondServer.URL}})}
 	c.Cleanup(func() {
 		s.client.Close()
 		srv.Close()
-		for _, web := range []*httptest.Server{first, other} {
+		for _, web := range []*httptest.Server{firstServer, secondServer} {
 			web.CloseClientConnections()
 			web.Close()
 		}
@@ -55,12 +55,12 @@
 	return s
 }
 
-func (s *twoEntries) start(id, store, advertise string) *entry.Entry {
+func (s *twoEntries) start(id, storeURL, advertise string) *entry.Entry {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	e, err := entry.Start(settings.Entry{
 		ID: id, Region: "auckland", Zone: "z1", HTTPListen: "127.0.0.1:0", QUICListen: "127.0.0.1:0",
-		Advertise: advertise, ClusterKey: "key of a test on loopback, long enough", Platform: []string{store},
+		Advertise: advertise, ClusterKey: "key of a test on loopback, long enough", Platform: []string{storeURL},
 		PlatformTimeout: schema.Duration{Duration: time.Second}, PlatformBudget: 500,
 		ReportEvery: schema.Duration{Duration: time.Second}, StopGrace: schema.Duration{Duration: time.Minute},
 	}, logrus.NewEntry(log))
@@ -70,16 +70,16 @@
 }
 
 // waitFor waits for a state; the test's own time limit is the only one.
-func waitFor(state func() bool) {
-	for !state() {
+func waitFor(condition func() bool) {
+	for !condition() {
 		time.Sleep(time.Millisecond)
 	}
 }
 
 func (s *twoEntries) registrationCount() int {
-	all, err := entry.ListRegistrations(context.Background(), s.client, "auckland")
+	registrations, err := entry.ListRegistrations(context.Background(), s.client, "auckland")
 	s.Assert(err, qt.IsNil)
-	return len(all)
+	return len(registrations)
 }
 
 // leaseRevoked says whether the entry has ended the lease of one dead peer.
@@ -114,13 +114,13 @@
 	s := newTwoEntries(qt.New(t))
 	first := s.start("entry-1", s.firstStore.URL, "")
 	waitFor(func() bool { return first.Epoch(service) == 1 })
-	other := s.start("entry-2", s.secondStoreURL, "")
+	second := s.start("entry-2", s.secondStoreURL, "")
 	waitFor(func() bool { return s.registrationCount() == 2 })
 	s.Assert(s.firstStore.Listener.Close(), qt.IsNil)
 	s.firstStore.CloseClientConnections()
 	first.Close()
-	waitFor(func() bool { return other.Epoch(service) == 2 })
-	waitFor(func() bool { return leaseRevoked(other) })
+	waitFor(func() bool { return second.Epoch(service) == 2 })
+	waitFor(func() bool { return leaseRevoked(second) })
 	s.Check(s.registrationCount(), qt.Equals, 1)
 }
 
@@ -133,8 +133,8 @@
 	s.Assert(s.firstStore.Listener.Close(), qt.IsNil)
 	s.firstStore.CloseClientConnections()
 	first.Close()
-	again := s.start("entry-1", s.secondStoreURL, "")
-	waitFor(func() bool { return again.Epoch(service) == 2 })
+	restarted := s.start("entry-1", s.secondStoreURL, "")
+	waitFor(func() bool { return restarted.Epoch(service) == 2 })
 	s.Check(s.registrationCount(), qt.Equals, 1)
 }
 
@@ -145,12 +145,12 @@
 	port, probes := silentPort(s.C)
 	first := s.start("entry-1", s.firstStore.URL, port.LocalAddr().String())
 	waitFor(func() bool { return first.Epoch(service) == 1 })
-	other := s.start("entry-2", s.secondStoreURL, "")
+	second := s.start("entry-2", s.secondStoreURL, "")
 	for range 8 {
 		<-probes
 	}
-	s.Check(other.Epoch(service), qt.Equals, uint64(0))
-	s.Check(leaseRevoked(other), qt.IsFalse)
+	s.Check(second.Epoch(service), qt.Equals, uint64(0))
+	s.Check(leaseRevoked(second), qt.IsFalse)
 	s.Check(s.registrationCount(), qt.Equals, 2)
 }
 
@@ -162,10 +162,10 @@
 	port, probes := silentPort(s.C)
 	first := s.start("entry-1", s.firstStore.URL, port.LocalAddr().String())
 	waitFor(func() bool { return first.Epoch(service) == 1 })
-	other := s.start("entry-2", s.secondStoreURL, "")
+	second := s.start("entry-2", s.secondStoreURL, "")
 	<-probes
 	s.Assert(port.Close(), qt.IsNil)
-	waitFor(func() bool { return other.Epoch(service) == 2 })
+	waitFor(func() bool { return second.Epoch(service) == 2 })
 	waitFor(func() bool { return s.registrationCount() == 2 })
-	waitFor(func() bool { return leaseRevoked(other) })
+	waitFor(func() bool { return leaseRevoked(second) })
 }
--- a/entry/registration.go
+++ b/entry/registration.go
@@ -14,15 +14,15 @@
 }
 
 // ListRegistrations lists the entries of a region that are registered in the store.
-func ListRegistrations(ctx context.Context, store store.Store, region string) ([]Registration, error) {
-	snap, err := store.List(ctx, "entries/"+region+"/")
+func ListRegistrations(ctx context.Context, kv store.Store, region string) ([]Registration, error) {
+	snap, err := kv.List(ctx, "entries/"+region+"/")
 	if err != nil {
 		return nil, err
 	}
 	var out []Registration
-	for _, kv := range snap.Keys {
+	for _, item := range snap.Keys {
 		var p entryRecord
-		if json.Unmarshal(kv.Value, &p) == nil {
+		if json.Unmarshal(item.Value, &p) == nil {
 			out = append(out, Registration{ID: p.ID, HTTP: p.HTTP})
 		}
 	}
--- a/entry/registry.go
+++ b/entry/registry.go
@@ -69,9 +69,9 @@
 	writeRequested chan struct{}
 }
 
-func newRegistry(store store.Store, session *lease.Session, region string, own entryRecord, log *logrus.Entry) *registry {
+func newRegistry(kv store.Store, session *lease.Session, region string, own entryRecord, log *logrus.Entry) *registry {
 	return &registry{
-		store:          store,
+		store:          kv,
 		session:        session,
 		keyPrefix:      "entries/" + region + "/",
 		log:            log,
@@ -84,9 +84,9 @@
 }
 
 // setLeaderships registers which duties this entry holds.
-func (r *registry) setLeaderships(duties []leadership) {
+func (r *registry) setLeaderships(leaderships []leadership) {
 	r.mu.Lock()
-	r.own.Leaderships = duties
+	r.own.Leaderships = leaderships
 	r.mu.Unlock()
 	r.requestWrite()
 }
@@ -124,9 +124,9 @@
 	var best entryRecord
 	var epoch uint64
 	for _, p := range r.others() {
-		for _, d := range p.Leaderships {
-			if d.Service == service && d.Epoch > epoch {
-				best, epoch = p, d.Epoch
+		for _, l := range p.Leaderships {
+			if l.Service == service && l.Epoch > epoch {
+				best, epoch = p, l.Epoch
 			}
 		}
 	}
--- a/entry/registry_write.go
+++ b/entry/registry_write.go
@@ -14,20 +14,20 @@
 // The registration goes with the lease.
 func (r *registry) register(ctx context.Context) {
 	for ctx.Err() == nil {
-		id, lost, err := r.session.Lease(ctx)
+		leaseID, lost, err := r.session.Lease(ctx)
 		if err == nil {
-			r.holdRegistration(ctx, id, lost)
+			r.holdRegistration(ctx, leaseID, lost)
 		}
 	}
 }
 
 // holdRegistration is the life of one lease.
-func (r *registry) holdRegistration(ctx context.Context, id store.LeaseID, lost <-chan struct{}) {
-	rev := store.Revision(0)
+func (r *registry) holdRegistration(ctx context.Context, leaseID store.LeaseID, lost <-chan struct{}) {
+	revision := store.Revision(0)
 	for {
-		next, err := r.write(ctx, id, rev)
+		next, err := r.write(ctx, leaseID, revision)
 		if err == nil {
-			rev = next
+			revision = next
 			sleep(ctx, minRegisterInterval)
 		} else {
 			sleep(ctx, registryRetryInterval)
@@ -50,7 +50,7 @@
 // earlier life and is replaced; one of a later life stays. The lease of an earlier
 // life is revoked: its process has ended, or is ending with its duties handed over,
 // and candidates wait for what is still bound to it.
-func (r *registry) write(ctx context.Context, id store.LeaseID, rev store.Revision) (store.Revision, error) {
+func (r *registry) write(ctx context.Context, leaseID store.LeaseID, revision store.Revision) (store.Revision, error) {
 	r.mu.Lock()
 	r.own.Token = uuid.NewString()
 	value, err := json.Marshal(r.own)
@@ -59,7 +59,7 @@
 		return 0, err
 	}
 	for {
-		res, err := r.store.Commit(ctx, []store.Swap{{Key: r.keyPrefix + r.own.ID, Expect: rev, Value: value, Lease: id}})
+		res, err := r.store.Commit(ctx, []store.Swap{{Key: r.keyPrefix + r.own.ID, Expect: revision, Value: value, Lease: leaseID}})
 		switch {
 		case err != nil:
 			return 0, err
@@ -68,14 +68,14 @@
 		case res[0].Unknown:
 			return 0, store.ErrUnavailable
 		}
-		rev = res[0].Current.Mod
-		if res[0].Current.Lease == id || res[0].Current.Lease == 0 {
+		revision = res[0].Current.Mod
+		if res[0].Current.Lease == leaseID || res[0].Current.Lease == 0 {
 			continue
 		}
 		if err := r.revokeEarlier(ctx, res[0].Current); err != nil {
 			return 0, err
 		}
-		rev = 0 // gone with its lease
+		revision = 0 // gone with its lease
 	}
 }
 
--- a/entry/registry_write_test.go
+++ b/entry/registry_write_test.go
@@ -39,7 +39,7 @@
 	c.Check(err, qt.ErrorIs, store.ErrLeaseNotFound)
 	_, err = register(1)
 	c.Check(err, qt.ErrorIs, errLaterIncarnation)
-	held, _, err := kv.Get(ctx, "entries/auckland/a")
+	current, _, err := kv.Get(ctx, "entries/auckland/a")
 	c.Assert(err, qt.IsNil)
-	c.Check(held.Lease, qt.Equals, later)
+	c.Check(current.Lease, qt.Equals, later)
 }
--- a/entry/relays.go
+++ b/entry/relays.go
@@ -27,21 +27,21 @@
 // relaysByRack has the relay of each rack, by service.
 type relaysByRack map[string]map[membership.Rack]wire.RelayInfo
 
-func newRelays(above int) *relays {
-	r := &relays{threshold: above}
+func newRelays(threshold int) *relays {
+	r := &relays{threshold: threshold}
 	r.current.Store(&relaysByRack{})
 	return r
 }
 
 // update makes the choice from the members that are known.
 func (r *relays) update(snap *membership.Snapshot) {
-	choice := relaysByRack{}
+	byRack := relaysByRack{}
 	if r.needed(snap) {
 		for _, service := range snap.Services() {
-			choice[service] = membership.ChooseRelays(snap.Service(service), minRelayedRackSize)
+			byRack[service] = membership.ChooseRelays(snap.Service(service), minRelayedRackSize)
 		}
 	}
-	r.current.Store(&choice)
+	r.current.Store(&byRack)
 }
 
 // needed says whether the agents are so many that their own reports would cost
--- a/entry/report_ack.go
+++ b/entry/report_ack.go
@@ -15,34 +15,34 @@
 
 // updateSharedAck makes the news from the other entries that are known now.
 func (e *Entry) updateSharedAck(others []entryRecord) {
-	n := &sharedAck{ack: wire.ReportAck{Entries: []wire.EntryInfo{{
+	updated := &sharedAck{ack: wire.ReportAck{Entries: []wire.EntryInfo{{
 		ID:          e.cfg.ID,
 		Address:     e.advertisedAddr(),
 		Zone:        e.cfg.Zone,
 		Incarnation: e.incarnation,
 	}}}}
 	for _, p := range others {
-		n.ack.Entries = append(n.ack.Entries, wire.EntryInfo{
+		updated.ack.Entries = append(updated.ack.Entries, wire.EntryInfo{
 			ID:          p.ID,
 			Address:     p.Address,
 			Zone:        p.Zone,
 			Incarnation: p.Incarnation,
 		})
 	}
-	n.ack.Digest = ackDigest(&n.ack)
-	e.sharedAck.Store(n)
+	updated.ack.Digest = ackDigest(&updated.ack)
+	e.sharedAck.Store(updated)
 }
 
 // newReportAck begins the newReportAck to a report whose sender knows the news and the relay
 // of its rack with the digest.
-func (e *Entry) newReportAck(known uint64, relay wire.RelayInfo) *wire.ReportAck {
+func (e *Entry) newReportAck(knownDigest uint64, relay wire.RelayInfo) *wire.ReportAck {
 	ack := e.sharedAck.Load().ack
 	ack.Relay = relay
 	if relay.ID != "" {
 		ack.Digest ^= xxhash.Sum64String(relay.ID+"/"+relay.Address) + relay.Incarnation
 	}
-	if ack.Digest == known {
-		return &wire.ReportAck{Digest: known}
+	if ack.Digest == knownDigest {
+		return &wire.ReportAck{Digest: knownDigest}
 	}
 	return &ack
 }
--- a/entry/sharedlease.go
+++ b/entry/sharedlease.go
@@ -32,8 +32,8 @@
 	grantedAt  time.Time
 }
 
-func newSharedLease(store store.Store, life time.Duration) *sharedLease {
-	return &sharedLease{store: store, ttl: life}
+func newSharedLease(kv store.Store, ttl time.Duration) *sharedLease {
+	return &sharedLease{store: kv, ttl: ttl}
 }
 
 // Current returns the lease for keys written now. Callers that need a new one
@@ -42,9 +42,9 @@
 	if id, ok := l.cached(); ok {
 		return id, nil
 	}
-	granted := l.grantGroup.DoChan("grant", func() (any, error) { return l.grant() })
+	result := l.grantGroup.DoChan("grant", func() (any, error) { return l.grant() })
 	select {
-	case r := <-granted:
+	case r := <-result:
 		id, _ := r.Val.(store.LeaseID)
 		return id, r.Err
 	case <-ctx.Done():
@@ -59,7 +59,7 @@
 }
 
 func (l *sharedLease) grant() (store.LeaseID, error) {
-	began := time.Now()
+	startedAt := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
 	id, err := l.store.Grant(ctx, l.ttl+leaseSharePeriod)
@@ -68,7 +68,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.id, l.grantedAt = id, began
+	l.id, l.grantedAt = id, startedAt
 	return id, nil
 }
 
--- a/entry/stats.go
+++ b/entry/stats.go
@@ -15,9 +15,9 @@
 // Epoch returns the fencing epoch of the planner duty that this entry holds for
 // a service, or 0.
 func (e *Entry) Epoch(service string) uint64 {
-	for _, d := range e.elections.leaderships() {
-		if d.Service == service {
-			return d.Epoch
+	for _, l := range e.elections.leaderships() {
+		if l.Service == service {
+			return l.Epoch
 		}
 	}
 	return 0
--- a/entry/status.go
+++ b/entry/status.go
@@ -32,10 +32,10 @@
 	snap := e.members.table.Snapshot()
 	for _, service := range snap.Services() {
 		for _, m := range snap.Service(service).Members {
-			one := memberStatus(m)
-			one.Since = e.members.generationSince(one.ID)
-			one.Relay = e.members.lastRelayOf(one.ID)
-			s.Members = append(s.Members, one)
+			member := memberStatus(m)
+			member.Since = e.members.generationSince(member.ID)
+			member.Relay = e.members.lastRelayOf(member.ID)
+			s.Members = append(s.Members, member)
 		}
 	}
 	for _, p := range e.registry.others() {
--- a/entry/storeprobe_test.go
+++ b/entry/storeprobe_test.go
@@ -18,10 +18,10 @@
 	server := standin.New(standin.Options{})
 	web := httptest.NewServer(server)
 	kv := store.NewClient(store.Options{Endpoints: []string{web.URL}, Budget: 1e-9, Burst: 1})
-	gone, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	for range 2 { // the second call finds the budget used up
-		c.Check((&storeProbe{}).check(gone, kv, "s"), qt.IsTrue)
+		c.Check((&storeProbe{}).check(cancelled, kv, "s"), qt.IsTrue)
 	}
 	c.Check(kv.Calls().Refused, qt.Equals, int64(1))
 	server.Close()
@@ -29,7 +29,7 @@
 	kv = store.NewClient(store.Options{Endpoints: []string{web.URL}})
 	probe := &storeProbe{}
 	c.Check(probe.check(context.Background(), kv, "s"), qt.IsFalse)
-	before := kv.Calls().Get
+	getsBefore := kv.Calls().Get
 	c.Check(probe.check(context.Background(), kv, "s"), qt.IsFalse)
-	c.Check(kv.Calls().Get, qt.Equals, before)
+	c.Check(kv.Calls().Get, qt.Equals, getsBefore)
 }
--- a/entry/udp_probe.go
+++ b/entry/udp_probe.go
@@ -22,14 +22,14 @@
 // awaitPortRefusal probes a UDP address until it refuses, and false where ctx ends
 // first. Only a connected socket is told of the refusal.
 func awaitPortRefusal(ctx context.Context, addr string) bool {
-	refused := 0
+	refusals := 0
 	for ctx.Err() == nil {
 		if !portRefused(ctx, addr) {
-			refused = 0
+			refusals = 0
 			continue
 		}
-		refused++
-		if refused == requiredRefusals {
+		refusals++
+		if refusals == requiredRefusals {
 			return true
 		}
 		sleep(ctx, refusalInterval)
