--- a/entry/agents_test.go
+++ b/entry/agents_test.go
@@ -12,10 +12,10 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// testTimeout is a generous bound of every wait.
+// testTimeout fails a test whose call does not return.
 const testTimeout = 20 * time.Second
 
-// newEndpoint returns an endpoint that dials for as long as a test may last.
+// newEndpoint returns an endpoint whose handshakes do not time out during a test.
 func newEndpoint(c *qt.C) *wire.Endpoint {
 	id, err := wire.NewIdentity(wire.Peer{ID: "entry", Role: wire.RoleEntry}, []byte("a key for tests only"))
 	c.Assert(err, qt.IsNil)
@@ -26,10 +26,8 @@
 	return ep
 }
 
-// An agent's instance dies: nothing comes back from its address, and a handshake
-// there lasts longer than callers wait. A request that waited for it would miss its
-// deadline although other targets are free; it has to hear at once that it was not
-// sent. The handshake of this test has an hour, so that only the guard ends the wait.
+// Guards against a request waiting for the handshake with a dead agent until its
+// deadline. The handshake timeout of an hour leaves dialTimeout as the only limit.
 func TestCallToDeadAgentFailsEarly(t *testing.T) {
 	c := qt.New(t)
 	deadAgent, err := net.ListenPacket("udp", "127.0.0.1:0")
--- a/entry/balance_test.go
+++ b/entry/balance_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// simRegion is some entries that hand duties over by choose alone.
+// simRegion simulates the hand-overs of a region's entries by chooseHandOver.
 type simRegion struct {
 	now          time.Time
 	leaderships  map[string][]ownLeadership
@@ -26,7 +26,7 @@
 	return out
 }
 
-// handOverAll lets every entry hand over one duty and reports whether one did.
+// handOverAll lets every entry hand over one leadership and reports whether one did.
 func (r *simRegion) handOverAll() bool {
 	moved := false
 	for id := range r.presentSince {
@@ -47,9 +47,8 @@
 	return moved
 }
 
-// The entry that starts first has all 94 duties. They move to the entries that
-// came later, none twice, and then stay; a restart of one entry moves no more
-// than its share.
+// Guards against one entry keeping all leaderships, against leaderships that move more
+// than once, and against a restart that moves more than the restarted entry's share.
 func TestLeadershipsBalanceAndStay(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1e9, 0)
@@ -79,8 +78,8 @@
 	c.Check(r.handOvers <= share, qt.IsTrue, qt.Commentf("%d moves for a share of %d", r.handOvers, share))
 }
 
-// What is not worth its hand-over stays: the only duty of a region, one whose
-// preferred entry does not take part in its service, and one that came back.
+// Guards against hand-overs without benefit: of a region's only leadership, to an entry
+// that does not take part in the service, and of a leadership that came back.
 func TestLeadershipsNotHandedOver(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1e9, 0)
--- a/entry/http_jobs_test.go
+++ b/entry/http_jobs_test.go
@@ -15,8 +15,8 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// The store is out and no planner is known when a caller asks for its accepted
-// job. It was answered 404, "job is not known", and took its job for lost.
+// Guards against answering 404 for an accepted job while neither the store nor a planner
+// can be asked.
 func TestJobStatusWithoutStoreIsUnavailable(t *testing.T) {
 	c := qt.New(t)
 	kv := unavailableStore{}
@@ -30,15 +30,15 @@
 	c.Check(w.Header().Get(api.HeaderRetryAfter), qt.Not(qt.Equals), "")
 }
 
-// unavailableStore answers no read.
+// unavailableStore fails every read.
 type unavailableStore struct{ store.Store }
 
 func (unavailableStore) Get(context.Context, string) (store.KeyValue, bool, error) {
 	return store.KeyValue{}, false, store.ErrUnavailable
 }
 
-// queuedStore holds a queued job under each id that is asked for. Its swaps end as
-// result says, in turn; the last one for good.
+// queuedStore returns a queued job for every id. Its swaps end with the given results, in
+// order.
 type queuedStore struct {
 	store.Store // nil: leases and watches are not used here
 	results     chan swapReply
@@ -74,9 +74,7 @@
 	return &p
 }
 
-// A caller cancels a job, and the store's reply is lost after the write took
-// effect. It was told "not run", as if the job were still there, and the job was
-// gone.
+// Guards against answering "not run" for a cancellation that the store may have taken.
 func TestCancelWithLostReplyIsUnknown(t *testing.T) {
 	c := qt.New(t)
 	path := api.JobPath("dispatch", "a")
@@ -87,8 +85,8 @@
 	c.Check(p.Outcome(), qt.Equals, api.OutcomeNotRun)
 }
 
-// The store goes out in the middle of a wave of cancellations. "Not run" would be
-// wrong of those that it took before.
+// Guards against answering "not run" for a bulk request of which some jobs are or may be
+// cancelled.
 func TestPartialBulkCancelIsUnknown(t *testing.T) {
 	c := qt.New(t)
 	path := api.CancelPath("dispatch")
--- a/entry/http_test.go
+++ b/entry/http_test.go
@@ -11,8 +11,7 @@
 	"github.com/eelgrasshub/eelgrasshub/document"
 )
 
-// A target's own interface uses more than GET and POST. Its other methods were
-// answered "no such path or method".
+// Guards against request methods other than GET and POST not being routed to targets.
 func TestAllRequestMethodsAreRouted(t *testing.T) {
 	c := qt.New(t)
 	e := &Entry{}
--- a/entry/inspect_test.go
+++ b/entry/inspect_test.go
@@ -11,7 +11,7 @@
 	"github.com/eelgrasshub/eelgrasshub/scheduler"
 )
 
-// Whoever is on call looks a reason up. One without its row fails here.
+// Guards against a wait reason that the operations page does not explain.
 func TestOperationsPageListsEveryWaitReason(t *testing.T) {
 	page, err := os.ReadFile("../docs/OPERATIONS.md")
 	qt.Assert(t, err, qt.IsNil)
--- a/entry/pick_test.go
+++ b/entry/pick_test.go
@@ -10,10 +10,9 @@
 	"github.com/eelgrasshub/eelgrasshub/routing"
 )
 
-// All connections go silent at once. A request that may run twice has lost its first
-// attempt, and no other target is open until connections are new. Its caller, with
-// seconds left, heard "unknown"; a request of which nothing was sent is still
-// refused at once, with when to come back.
+// Guards against answering "unknown" while new connections are being opened, when all
+// connections failed at once. A request of which nothing was sent is still refused at
+// once.
 func TestLostAttemptWaitsForTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -35,7 +34,7 @@
 	})
 }
 
-// No target comes back: the caller hears so after a while, not at his deadline.
+// Guards against waiting until the deadline when no target comes back.
 func TestLostAttemptTimesOutWithoutTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/entry/prober_peers_test.go
+++ b/entry/prober_peers_test.go
@@ -6,9 +6,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// An entry is taken for dead although it lives, again and again, as behind a
-// firewall that refuses for it. Its lease is revoked once in its life, not each
-// time that it has registered itself again.
+// Guards against revoking the lease of one incarnation again and again, such as behind a
+// firewall that refuses in the entry's place.
 func TestLeaseRevokedOncePerIncarnation(t *testing.T) {
 	c := qt.New(t)
 	p := newProber(&Entry{})
@@ -19,7 +18,7 @@
 	c.Check(p.probes, qt.HasLen, 1)
 }
 
-// Every entry is probed by as many others as there are to be, whoever is there.
+// Guards against an entry that is probed by too few others, for any set of entries.
 func TestEveryEntryIsProbed(t *testing.T) {
 	c := qt.New(t)
 	all := []entryRecord{{ID: "d"}, {ID: "a"}, {ID: "c"}, {ID: "b"}, {ID: "e"}}
--- a/entry/prober_test.go
+++ b/entry/prober_test.go
@@ -24,12 +24,12 @@
 
 const service = "dispatch"
 
-// twoEntries is a region of two entries before a store in which no lease ever lapses:
-// a duty changes hands only where its lease is given back or revoked.
+// twoEntries is a region of two entries and a store in which no lease expires: a
+// leadership changes only when its lease is revoked.
 type twoEntries struct {
 	*qt.C
 	client         *store.Client
-	firstStore     *httptest.Server // the store, as the first entry reaches it
+	firstStore     *httptest.Server // the store as the first entry reaches it
 	secondStoreURL string
 }
 
@@ -69,7 +69,7 @@
 	return e
 }
 
-// waitFor waits for a state; the test's own time limit is the only one.
+// waitFor polls a condition; only the test's own timeout ends it.
 func waitFor(condition func() bool) {
 	for !condition() {
 		time.Sleep(time.Millisecond)
@@ -82,15 +82,15 @@
 	return len(registrations)
 }
 
-// leaseRevoked says whether the entry has ended the lease of one dead peer.
+// leaseRevoked reports whether the entry has revoked the lease of one dead peer.
 func leaseRevoked(e *entry.Entry) bool {
 	w := httptest.NewRecorder()
 	e.MetricsHandler().ServeHTTP(w, httptest.NewRequest("GET", "/", nil))
 	return strings.Contains(w.Body.String(), `"dead_entries_revoked": 1`)
 }
 
-// silentPort is a UDP port on which something listens and never answers, and its
-// count of probes.
+// silentPort returns a UDP port that never answers, and a channel with one item per
+// packet received.
 func silentPort(c *qt.C) (net.PacketConn, <-chan struct{}) {
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -107,9 +107,8 @@
 	return conn, probes
 }
 
-// The planner's process dies, cut off from the store in the same moment, so that
-// its lease is not given back. Urgent work would wait for the lease to lapse; but
-// the process's port refuses, so the other entry ends the lease and plans.
+// The planner's process dies while cut off from the store, so its lease is not released.
+// Guards against waiting for the lease to expire although the process's port refuses.
 func TestLeadershipOfDeadProcessIsTakenOver(t *testing.T) {
 	s := newTwoEntries(qt.New(t))
 	first := s.start("entry-1", s.firstStore.URL, "")
@@ -124,8 +123,8 @@
 	s.Check(s.registrationCount(), qt.Equals, 1)
 }
 
-// The only entry dies, cut off from the store, and is started again at once under
-// its id. Nobody probes it; its new life would wait for the lease of the old one.
+// The only entry dies while cut off from the store and restarts under its id. Guards
+// against the new incarnation waiting for the lease of the old one.
 func TestRestartedEntryRegainsLeadership(t *testing.T) {
 	s := newTwoEntries(qt.New(t))
 	first := s.start("entry-1", s.firstStore.URL, "")
@@ -138,8 +137,8 @@
 	s.Check(s.registrationCount(), qt.Equals, 1)
 }
 
-// The planner's entry is silent, as when its instance hangs or is cut off. That is
-// no proof of its end: it may plan. However often it is probed, its lease stays.
+// Guards against revoking the lease of an entry that is unresponsive but may still be
+// planning.
 func TestLeadershipOfUnresponsiveEntryIsKept(t *testing.T) {
 	s := newTwoEntries(qt.New(t))
 	port, probes := silentPort(s.C)
@@ -154,9 +153,8 @@
 	s.Check(s.registrationCount(), qt.Equals, 2)
 }
 
-// Something refuses in place of an entry that lives, as a firewall may. Its lease
-// is revoked once: the other plans under a higher epoch, and the entry registers
-// itself again and is not taken for dead a second time.
+// Guards against repeated revocation when something refuses in place of a live entry: the
+// other entry leads under a higher epoch, and the first one registers again.
 func TestFalseSuspicionRevokesLeaseOnce(t *testing.T) {
 	s := newTwoEntries(qt.New(t))
 	port, probes := silentPort(s.C)
--- a/entry/registry_write_test.go
+++ b/entry/registry_write_test.go
@@ -12,10 +12,9 @@
 	"github.com/eelgrasshub/eelgrasshub/store/standin"
 )
 
-// An entry is replaced under its id while the old process still ends its requests.
-// The new one registers and revokes the old one's lease. The old one must not
-// register itself again: agents and entries would turn to it, and each would revoke
-// the other's lease for as long as both live.
+// Guards against an old process that registers again after it was replaced under its id:
+// agents and entries would turn to it, and both processes would revoke each other's
+// leases.
 func TestEarlierIncarnationDoesNotReplaceLater(t *testing.T) {
 	c := qt.New(t)
 	srv := standin.New(standin.Options{})
--- a/entry/storeprobe_test.go
+++ b/entry/storeprobe_test.go
@@ -11,8 +11,8 @@
 	"github.com/eelgrasshub/eelgrasshub/store/standin"
 )
 
-// An operator is told "store out" only if the store did not answer: not because
-// whoever asked before has gone away, nor because this entry has used up its calls.
+// Guards against reporting the store as unavailable because an earlier caller went away
+// or this entry's call budget is used up.
 func TestStoreProbeReportsOnlyStoreFailures(t *testing.T) {
 	c := qt.New(t)
 	server := standin.New(standin.Options{})
