--- a/entry/agents.go
+++ b/entry/agents.go
@@ -12,21 +12,21 @@
 )
 
 var (
-	// errUnreachable: no connection to the agent and no address to dial.
+	// errUnreachable: there is neither a connection to the agent nor an address to dial.
 	errUnreachable = eris.New("no path to the agent")
-	// errUnresponsive: a connection is open and the agent does not answer on it.
+	// errUnresponsive: a connection is open, but the agent does not answer a ping on it.
 	errUnresponsive = eris.New("the agent does not answer a ping")
 )
 
-// agentConns keeps the connections that agentConns have dialled, and dials those whose
-// connection has gone. It is safe for concurrent use.
+// agentConns holds the connections that agents have opened, and dials agents whose
+// connection is gone. It is safe for concurrent use.
 type agentConns struct {
 	pool *wire.Pool
 
 	mu            sync.RWMutex
 	conns         map[string]*wire.Conn
 	addrs         map[string]string
-	lastDialedUse map[string]time.Time // last use of a connection dialled here, by address
+	lastDialedUse map[string]time.Time // last use of a connection opened here, by address
 }
 
 func newAgentConns() *agentConns {
@@ -37,9 +37,9 @@
 	}
 }
 
-// onAccepted takes a connection that an agent dialled. The newest wins: an agent
-// dials again when its old connection has gone silent, which this end may not
-// have noticed yet.
+// onAccepted records a connection opened by an agent. It replaces an older one: an agent
+// dials again when its connection has stopped responding, which this side may not have
+// detected yet.
 func (a *agentConns) onAccepted(c *wire.Conn) {
 	if c.Peer().Role != wire.RoleAgent {
 		return
@@ -49,7 +49,7 @@
 	a.conns[c.Peer().ID] = c
 }
 
-// setAddr notes where an agent listens.
+// setAddr records where an agent listens.
 func (a *agentConns) setAddr(id, addr string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -69,20 +69,21 @@
 	}
 }
 
-// connCheck says which connections a call may use.
+// connCheck selects how a connection is checked before a call uses it.
 type connCheck int
 
 const (
-	// anyConn: one that is not suspected. It may have gone silent meanwhile.
+	// anyConn accepts a connection that is not suspected, though the agent may no longer
+	// answer on it.
 	anyConn connCheck = iota
-	// verifiedConn: one on which the agent answered a ping just now. When many
-	// connections go silent at once, those without calls are not suspected yet,
-	// and a retry would be lost on the next one as the first attempt was.
+	// verifiedConn requires an answered ping first. When many connections fail at once,
+	// idle ones are not suspected yet, and a retry on one of them would be lost like the
+	// first attempt.
 	verifiedConn
 )
 
-// conn returns a connection to the agent: its own, or one dialled now. Errors
-// match wire.ErrNotSent.
+// conn returns a connection to the agent: the one that the agent opened, or one dialed
+// now. Its errors match wire.ErrNotSent.
 func (a *agentConns) conn(ctx context.Context, id string, check connCheck) (*wire.Conn, error) {
 	a.mu.RLock()
 	c := a.conns[id]
@@ -104,10 +105,10 @@
 	return c, nil
 }
 
-// dialTimeout is how long a call waits for a connection that is being dialled. A
-// dead agent leaves the handshake unanswered for seconds; a request that waited
-// for it would miss its deadline although other targets are free. The dial goes
-// on in the pool for later calls.
+// dialTimeout is how long a call waits for a connection that is being dialed. The
+// handshake with a dead agent takes seconds to fail; waiting for it would use up the
+// deadline of a request that another target could serve. The dial continues in the pool
+// for later calls.
 const dialTimeout = 400 * time.Millisecond
 
 func (a *agentConns) dial(ctx context.Context, addr string) (*wire.Conn, error) {
@@ -129,13 +130,11 @@
 	return c.Ping(ctx) == nil
 }
 
-// call makes one exchange with the agent. It returns early, with
-// wire.ErrOutcomeUnknown, when the connection is suspected of having gone silent;
-// the exchange is then cancelled.
+// call makes one exchange with the agent. When the connection becomes suspected, the
+// exchange is cancelled and call returns early with wire.ErrOutcomeUnknown.
 //
-// A connection may be closed for want of use, by either end, in the moment in
-// which it is chosen. It shows as a call that was not sent on a connection that
-// is not usable any more; that is tried once more on a new one.
+// Either end may close an idle connection just as it is chosen. Such a call fails with
+// both wire.ErrClosed and wire.ErrNotSent, and is retried once on a new connection.
 func (a *agentConns) call(ctx context.Context, id string, msg any, check connCheck) (any, error) {
 	c, err := a.conn(ctx, id, check)
 	if err != nil {
@@ -151,7 +150,8 @@
 	return callUnlessSuspected(ctx, c, msg)
 }
 
-// callEntry makes one exchange with another entry, and ends as early as call.
+// callEntry makes one exchange with another entry. Like call, it returns early when the
+// connection becomes suspected.
 func (a *agentConns) callEntry(ctx context.Context, addr string, msg any) (any, error) {
 	c, err := a.dial(ctx, addr)
 	if err != nil {
@@ -160,7 +160,8 @@
 	return callUnlessSuspected(ctx, c, msg)
 }
 
-// callUnlessSuspected makes one exchange, which ends when the connection is suspected.
+// callUnlessSuspected makes one exchange and cancels it when the connection becomes
+// suspected.
 func callUnlessSuspected(ctx context.Context, c *wire.Conn, msg any) (any, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/entry/agents_sweep.go
+++ b/entry/agents_sweep.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// idleAgentConnTimeout is how long a connection that this entry dialled to an agent stays
-// open without a call. Agents that report by a relay are called now and then;
-// without this each of them would hold a connection here for good.
+// idleAgentConnTimeout is how long a connection that this entry dialed to an agent stays
+// open without a call. Agents that report through a relay are called rarely; without the
+// timeout, a connection to each of them would stay open.
 const idleAgentConnTimeout = time.Minute
 
-// closeIdle drops connections that have ended, and closes those dialled here that
-// had no call for long. Calls in progress end first.
+// closeIdle drops connections that have ended and closes dialed ones that have been idle
+// for longer than idleAgentConnTimeout. Calls in progress finish first.
 func (a *agentConns) closeIdle(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -25,7 +25,7 @@
 	for addr, lastUse := range a.lastDialedUse {
 		if now.Sub(lastUse) > idleAgentConnTimeout {
 			delete(a.lastDialedUse, addr)
-			go func() { _ = a.pool.Release(context.Background(), addr) }() // ends with the connection at the latest
+			go func() { _ = a.pool.Release(context.Background(), addr) }() // returns when the connection ends, at the latest
 		}
 	}
 }
--- a/entry/balance.go
+++ b/entry/balance.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// minCandidateAge is how long an entry has to be there before duties are handed
-	// over to it: one that restarts again and again never gets any.
+	// minCandidateAge is how long an entry must have been registered before leaderships
+	// are handed over to it, so that one that restarts repeatedly gets none.
 	minCandidateAge = 30 * time.Second
-	// minLeadershipSurplus is by how many duties a holder has to be ahead of the entry that
-	// a duty is handed over to. Each hand-over costs that duty a planner's start.
+	// minLeadershipSurplus is how many leaderships more than the receiver an entry must
+	// hold to hand one over. Each hand-over costs a planner start.
 	minLeadershipSurplus = 2
-	// handOverRetryInterval is how long a duty that came back is kept: its preferred entry
-	// can't take it for a reason that does not show in its registration.
+	// handOverRetryInterval is how long a leadership that came back is kept: the
+	// preferred entry can't take it for a reason that its registration does not show.
 	handOverRetryInterval = 10 * time.Minute
-	// candidacyDelayStep is what each less preferred candidate leaves to those before it.
+	// candidacyDelayStep is how long a candidate waits for each more preferred one.
 	candidacyDelayStep = 150 * time.Millisecond
 )
 
-// candidate is an entry that may hold duties.
+// candidate is another entry that may hold leaderships.
 type candidate struct {
 	id           string
 	presentSince time.Time // when this incarnation was first seen
-	leaderships  int       // that it holds
-	// services are those it takes part in; empty means all.
+	leaderships  int       // number held
+	// services are those that the entry takes part in; empty means all.
 	services []string
 }
 
@@ -34,14 +34,14 @@
 	return len(c.services) == 0 || slices.Contains(c.services, service)
 }
 
-// rendezvousWeight orders the entries for a service (rendezvous hashing): the same at every
-// entry without a word between them, and changed by the coming or going of an
-// entry only for the services that it is first for.
+// rendezvousWeight orders the entries for a service by rendezvous hashing. Every entry
+// computes the same order without communication, and an entry that joins or leaves
+// changes the preferred entry only for the services that it is preferred for.
 func rendezvousWeight(service, entry string) uint64 {
 	return xxhash.Sum64String(service + "\x00" + entry)
 }
 
-// rank is how many of the others come before own for a service.
+// rank returns how many of the other entries are preferred over this one for a service.
 func rank(service, ownID string, others []candidate) int {
 	n := 0
 	for i := range others {
@@ -52,18 +52,16 @@
 	return n
 }
 
-// ownLeadership is a duty held here.
+// ownLeadership is a leadership held by this entry.
 type ownLeadership struct {
 	service      string
-	handedOverAt time.Time // when it was last handed over; zero: never
+	handedOverAt time.Time // when it was last handed over, or zero
 }
 
-// chooseHandOver returns which of the duties held here to hand over now, and to whom. It
-// is a decision only: no clock, no state.
-//
-// It is given what is worth moving only: to the entry that every other prefers for
-// the service, that has been there for a while, and that has fewer duties. With one
-// service, or after a short absence of an entry, nothing moves.
+// chooseHandOver returns which of the leaderships held here to hand over now, and to
+// whom. It is a pure function. A leadership moves only to the entry that is preferred for
+// the service, has been registered for minCandidateAge and holds fewer leaderships by at
+// least minLeadershipSurplus.
 func chooseHandOver(now time.Time, ownID string, held []ownLeadership, others []candidate) (service, to string, ok bool) {
 	for _, l := range held {
 		if !l.handedOverAt.IsZero() && now.Sub(l.handedOverAt) < handOverRetryInterval {
@@ -78,7 +76,7 @@
 	return "", "", false
 }
 
-// preferredEntry is the entry of the highest weight; nil where that is this one.
+// preferredEntry returns the entry with the highest weight, or nil if that is this one.
 func preferredEntry(service, ownID string, others []candidate) *candidate {
 	var best *candidate
 	highest := rendezvousWeight(service, ownID)
--- a/entry/catchup.go
+++ b/entry/catchup.go
@@ -7,13 +7,10 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// fetchNewerDocuments fetches from the other entries what they hold that this one lacks. It
-// returns at once; while one fetch is under way another has no effect.
-//
-// The failure this guards against: an entry has lost its way to the store, the
-// others have not, and a change of a document is in force everywhere but here,
-// for as long as that lasts. It shows in the reports of agents, which have the
-// change already.
+// fetchNewerDocuments fetches from the other entries the document versions that this one
+// lacks. It returns at once, and does nothing while an earlier fetch is running. Without
+// it, an entry that can't reach the store would miss a new generation that is in force
+// everywhere else; the entry learns of it from agents' reports.
 func (e *Entry) fetchNewerDocuments() {
 	if e.catchingUp.Swap(true) {
 		return
@@ -25,7 +22,7 @@
 		for _, peer := range e.peerAddrs(e.registry.others()) {
 			answer, err := e.askPeer(ctx, peer, nil)
 			if err != nil {
-				continue // the next report asks again
+				continue // the next report starts another fetch
 			}
 			for _, v := range answer.Versions {
 				e.documents.Offer(time.Now(), v)
@@ -34,7 +31,8 @@
 	}()
 }
 
-// hasNewerGeneration says whether an agent has a later generation than the one held here.
+// hasNewerGeneration reports whether an agent has a later generation of the service than
+// the one held here.
 func hasNewerGeneration(reported []wire.Generation, held wire.Generation) bool {
 	for _, g := range reported {
 		if g.Service == held.Service && g.Generation > held.Generation {
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -13,19 +13,20 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// idempotencyKeyTTL is for how long an idempotency key is remembered.
+// idempotencyKeyTTL is how long an idempotency key is remembered, at least.
 const idempotencyKeyTTL = 24 * time.Hour
 
-// claimStore keeps which attempt owns an idempotency key, in the platform's store.
-// It is safe for concurrent use.
+// claimStore keeps in the platform's store which attempt owns an idempotency key. It is
+// safe for concurrent use.
 type claimStore struct {
-	region  string // region
+	region  string
 	store   store.Store
 	swapper jobs.Swapper
 	lease   *sharedLease
 }
 
-// handleFor returns the handle of the handleFor of a call. One goroutine at a time uses it.
+// handleFor returns the handle for a request's idempotency key. The handle is not safe
+// for concurrent use.
 func (c *claimStore) handleFor(q *quickRequest) *claimHandle {
 	return &claimHandle{
 		claims: c,
@@ -33,8 +34,8 @@
 	}
 }
 
-// claimHandle is one idempotency key with the revision at which its claim was last
-// seen.
+// claimHandle is an idempotency key with the revision at which its claim was last read or
+// written.
 type claimHandle struct {
 	claims   *claimStore
 	key      string
@@ -59,8 +60,8 @@
 	return k.swap(ctx, store.Swap{Key: k.key, Expect: k.revision, Delete: true})
 }
 
-// verify makes sure that rev is the revision at which the store held want. False:
-// the store holds something else, and the result says what.
+// verify reads the key and, if the store holds want, records the revision and returns
+// true. Otherwise it returns false and the result to report.
 func (k *claimHandle) verify(ctx context.Context, want attempts.Claim) (attempts.Claimed, bool) {
 	kv, ok, err := k.claims.store.Get(ctx, k.key)
 	switch {
@@ -75,6 +76,7 @@
 	return attempts.Claimed{}, true
 }
 
+// swap writes or deletes the claim if its revision is the expected one.
 func (k *claimHandle) swap(ctx context.Context, s store.Swap) attempts.Claimed {
 	if !s.Delete {
 		lease, err := k.claims.lease.Current(ctx)
@@ -99,6 +101,7 @@
 	return conflictResult(res.Current)
 }
 
+// conflictResult returns the result for a key that holds another claim.
 func conflictResult(kv store.KeyValue) attempts.Claimed {
 	var c attempts.Claim
 	if err := cbor.Unmarshal(kv.Value, &c); err != nil {
--- a/entry/delivery.go
+++ b/entry/delivery.go
@@ -12,7 +12,7 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// delivery drives one attempts.Request. Its run method's goroutine owns it.
+// delivery performs the actions of one attempts.Request. The goroutine of run owns it.
 type delivery struct {
 	dispatcher        *dispatcher
 	ctx               context.Context
@@ -24,19 +24,19 @@
 	timer             *time.Timer
 	startedAt         time.Time
 	attemptSent       bool
-	reply             *wire.ExecuteReply // of the own attempt, if one came
-	lastErr           error              // of sending it
-	unresponsiveSince time.Time          // since when the agent answers no question
-	agentTimedOut     bool               // because it did so for resolvePatience
+	reply             *wire.ExecuteReply // to this delivery's own attempt, if one came
+	lastErr           error              // of sending the own attempt
+	unresponsiveSince time.Time          // since when the agent has answered no resolve message
+	agentTimedOut     bool               // it was unresponsive for unresponsiveAgentTimeout
 }
 
-// deliveryEvent is an event for the Request, with what the router wants to know
-// of the attempt.
+// deliveryEvent is an event for the state machine, with the reply or error that the
+// router needs for its statistics.
 type deliveryEvent struct {
 	attempts.Event
 	reply *wire.ExecuteReply
 	err   error
-	// unresolvedAttempt is the attempt of which the agent could not be asked.
+	// unresolvedAttempt is the attempt whose agent did not answer a resolve message.
 	unresolvedAttempt attempts.ID
 }
 
@@ -68,7 +68,8 @@
 	}
 }
 
-// fingerprint tells a retry from another request under the same key.
+// fingerprint hashes a request's content, to distinguish a retry from another request
+// under the same key.
 func fingerprint(q *quickRequest) uint64 {
 	h := xxhash.New()
 	for _, part := range []string{q.method, q.path, q.query, q.class} {
@@ -79,9 +80,9 @@
 	return h.Sum64()
 }
 
-// run takes the delivery to its end. It does not end with the caller's
-// connection: the machine itself gives up at the deadline, and a claim that is
-// being released must be released.
+// run drives the delivery until it is finished. It does not stop when the caller's
+// connection ends: the state machine itself gives up at the deadline, and a claim release
+// in progress must complete.
 func (v *delivery) run() attempts.Finished {
 	defer v.timer.Stop()
 	actions := v.stateMachine.Step(v.dispatcher.now(), attempts.Go{})
@@ -102,6 +103,7 @@
 	}
 }
 
+// perform starts one action of the state machine; its result comes as an event.
 func (v *delivery) perform(a attempts.Action) {
 	switch a := a.(type) {
 	case attempts.WriteClaim:
@@ -126,8 +128,8 @@
 	}
 }
 
-// emit hands an event to the loop; when the loop has ended and the channel is
-// full, nobody wants it.
+// emit passes an event to run. When the channel is full, run has returned and the event
+// is dropped.
 func (v *delivery) emit(ev deliveryEvent) {
 	select {
 	case v.events <- ev:
@@ -150,8 +152,9 @@
 	}
 }
 
-// checkAgentTimeout turns a question that could not be asked into the end of the
-// delivery, once that has lasted too long.
+// checkAgentTimeout returns the event for the state machine. When the agent has been
+// unresponsive for unresponsiveAgentTimeout, it returns StatusUnknown, which ends the
+// delivery.
 func (v *delivery) checkAgentTimeout(ev deliveryEvent) attempts.Event {
 	if ev.unresolvedAttempt == (attempts.ID{}) {
 		v.unresponsiveSince = time.Time{}
--- a/entry/delivery_outcome.go
+++ b/entry/delivery_outcome.go
@@ -8,8 +8,8 @@
 	"github.com/eelgrasshub/eelgrasshub/routing"
 )
 
-// routingOutcome tells the router how the own attempt went. Where another delivery's
-// answer was waited for, nothing was learnt about the target picked.
+// routingOutcome tells the router how the own attempt went. If the own attempt was not
+// sent or has no result, the router learns nothing about its target.
 func (v *delivery) routingOutcome(ctx context.Context) routing.Outcome {
 	latency := v.dispatcher.now().Sub(v.startedAt)
 	if !v.attemptSent || (v.reply == nil && v.lastErr == nil) {
@@ -18,7 +18,7 @@
 	return attemptOutcome(ctx, v.reply, v.lastErr, latency)
 }
 
-// problem is what the caller hears of a delivery that is not done.
+// problem returns the answer for a delivery that was not completed.
 func (v *delivery) problem(finished attempts.Finished) *api.Problem {
 	if finished.Outcome == attempts.NotRun {
 		return v.notRunProblem(finished)
@@ -26,7 +26,7 @@
 	p := unknownProblem(finished)
 	p.RetryAfter = finished.RetryAfter
 	if v.agentTimedOut && v.request.key != "" {
-		p.RetryAfter = defaultRetryAfter // the agent may be reached again, and the claim names it
+		p.RetryAfter = defaultRetryAfter // the claim names the agent, which may become reachable again
 	}
 	return p
 }
--- a/entry/delivery_send.go
+++ b/entry/delivery_send.go
@@ -10,8 +10,8 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// sendAttempt sends the attempt. The end of the caller's connection withdraws it
-// where it is still queued; the agent runs on what it has started.
+// sendAttempt sends the attempt to the agent. When the caller's connection ends, a queued
+// attempt is withdrawn; the agent finishes one that it has started.
 func (v *delivery) sendAttempt(c attempts.Claim) {
 	msg := v.request.executeMessage(c.ID.String(), v.attemptNumber, v.dispatcher.now())
 	got, err := v.dispatcher.agents.call(v.ctx, c.Agent, msg, connCheckFor(v.attemptNumber))
@@ -45,6 +45,7 @@
 	return b
 }
 
+// sendResolve asks the claim's agent about the state of the attempt.
 func (v *delivery) sendResolve(c attempts.Claim) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(v.ctx), resolveTimeout)
 	defer cancel()
@@ -55,7 +56,7 @@
 	}, verifiedConn)
 	reply, ok := got.(*wire.ResolveReply)
 	if err != nil || !ok {
-		v.emit(deliveryEvent{unresolvedAttempt: c.ID}) // asked again at the next poll
+		v.emit(deliveryEvent{unresolvedAttempt: c.ID}) // sent again after resolveInterval
 		return
 	}
 	v.emit(deliveryEvent{Event: resolvedEvent(c.ID, reply)})
--- a/entry/dispatcher.go
+++ b/entry/dispatcher.go
@@ -15,16 +15,16 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// quickRequest is one quick request on its way through this entry.
+// quickRequest is a caller's quick request, with the settings of its class applied.
 type quickRequest struct {
 	id            string
 	service       string
 	account       string
 	class         string
-	key           string // idempotency key, empty for none
-	firstDelivery bool   // the caller vouches for the first delivery under the key
+	key           string // idempotency key, or empty
+	firstDelivery bool   // the caller guarantees that this is the first delivery under the key
 	repeatable    bool
-	retries       int // attempts after one that may have run
+	retries       int // further attempts allowed after one that may have run
 	deadline      time.Time
 
 	method string
@@ -34,7 +34,7 @@
 	body   []byte
 }
 
-// executeMessage is the message for one attempt.
+// executeMessage returns the message for one attempt.
 func (q *quickRequest) executeMessage(attemptID string, attemptNumber int, now time.Time) *wire.Execute {
 	return &wire.Execute{
 		Attempt:    attemptID,
@@ -73,10 +73,10 @@
 	now           func() time.Time
 	count         func(c metrics.Counter, n int64)
 
-	// weights is each account's over the mean, by the document in force.
+	// weights holds the relative weight of each account by the document in force.
 	weights atomic.Pointer[map[string]float64]
 
-	mu sync.Mutex // serialises setTargets, as the router requires
+	mu sync.Mutex // serializes SetTargets, as the router requires
 }
 
 func (d *dispatcher) setTargets(targets []routing.Target) {
@@ -85,7 +85,7 @@
 	d.router.SetTargets(d.now(), targets)
 }
 
-// do runs a call to its end: the whole answer, or a Problem.
+// do serves a request and returns the target's whole answer or a problem.
 func (d *dispatcher) do(ctx context.Context, q *quickRequest) (*wire.ExecuteReply, *api.Problem) {
 	ctx, cancel := context.WithDeadline(ctx, q.deadline)
 	defer cancel()
@@ -95,8 +95,8 @@
 	return d.doNonRepeatable(ctx, q)
 }
 
-// doRepeatable tries targets until one answers, the retry budget refuses or the
-// deadline passes.
+// doRepeatable tries targets until one answers, too many attempts may have run, the retry
+// budget is used up or the deadline passes.
 func (d *dispatcher) doRepeatable(ctx context.Context, q *quickRequest) (*wire.ExecuteReply, *api.Problem) {
 	var tried []routing.TargetID
 	maybeRan := 0
@@ -120,8 +120,9 @@
 	}
 }
 
-// raiseRetryAfter spaces the return of what was refused for good, so that callers that
-// were refused together don't come back together.
+// raiseRetryAfter raises the retry delay of a request that is finally refused to the
+// router's delay for the account, so that callers refused together do not all retry at
+// the same time.
 func (d *dispatcher) raiseRetryAfter(q *quickRequest, p *api.Problem) *api.Problem {
 	if p.RetryAfter > 0 {
 		p.RetryAfter = max(p.RetryAfter, d.router.RetryAfter(q.account))
@@ -129,7 +130,7 @@
 	return p
 }
 
-// attempt makes one attempt and tells the router how it went.
+// attempt makes one attempt and reports its outcome to the router.
 func (d *dispatcher) attempt(ctx context.Context, ticket routing.Ticket, q *quickRequest, attemptNumber int) (*wire.ExecuteReply, error) {
 	startedAt := d.now()
 	msg := q.executeMessage(q.id, attemptNumber, startedAt)
@@ -142,7 +143,7 @@
 	return reply, err
 }
 
-// connCheckFor is the path for the n-th attempt of a request, from 0.
+// connCheckFor returns the connection check for an attempt, counted from 0.
 func connCheckFor(attemptNumber int) connCheck {
 	if attemptNumber == 0 {
 		return anyConn
@@ -152,7 +153,7 @@
 
 var errBadReply = &wire.CallError{Outcome: wire.ErrOutcomeUnknown, Cause: wire.ErrMalformed}
 
-// mayHaveRun says whether the attempt may have run.
+// mayHaveRun reports whether the attempt may have run.
 func mayHaveRun(reply *wire.ExecuteReply, err error) bool {
 	if err != nil {
 		return !errors.Is(err, wire.ErrNotSent)
@@ -160,7 +161,7 @@
 	return reply.Outcome != wire.OutcomeRefused
 }
 
-// attemptOutcome tells the router how an attempt ended.
+// attemptOutcome returns an attempt's outcome for the router.
 func attemptOutcome(ctx context.Context, reply *wire.ExecuteReply, err error, latency time.Duration) routing.Outcome {
 	o := routing.Outcome{Latency: latency}
 	if err != nil {
--- a/entry/doc.go
+++ b/entry/doc.go
@@ -1,18 +1,22 @@
-// Package entry is the process that callers reach through the platform's
-// balancer. Every entry can do every entry's work: it keeps soft state only, and
-// whatever has to outlast it is in the platform's store or at the agents.
+// Package entry implements the server process that callers reach through the platform's
+// load balancer. All entries are equal: each can serve every request. An entry holds only
+// soft state; durable state is in the platform's store or at the agents.
 //
-// A quick request is routed to an agent by what the entry has measured of the
-// targets. A job is made durable in the store and answered; the entry that holds
-// the planner duty of the scheduling domain starts it.
+// A quick request is routed to an agent by the load and latency that this entry has
+// measured. A job is first written to the store and then acknowledged; the entry that
+// holds the planner leadership of the job's service starts it.
 //
-// Where to look:
+// Files:
 //
-//	http*, problem, quick, delivery*, once*, repick   a caller's request, to its end
-//	jobs, claims, sharedlease                         what is made durable for callers
-//	agents*, members*, relays, news, gangcaller       agents: calls, reports, documents
-//	session, registry*, registration                  this entry among the entries
-//	duties, spread, handover, prober, refusal         who plans which service
-//	documents, catchup, policy                        what is in force
-//	status, inspect*, storeprobe, stats, meters       what operators see
+//	http*, problem, dispatcher, pick     HTTP interface; routing and retries of quick requests
+//	delivery*, nonrepeatable             requests that must not run twice
+//	jobs, claims, sharedlease            records written to the store for callers
+//	agents*, gang_client                 connections and calls to agents
+//	members*, relays, report_ack         agents' reports and the documents sent to them
+//	session, registry*, registration     registration of this entry and discovery of others
+//	elections, balance, handover         planner leaderships and their distribution
+//	prober, udp_probe                    detection of entries whose process has ended
+//	documents, catchup, policy           the documents in force
+//	status, inspect*, storeprobe,
+//	stats, metrics                       what operators see
 package entry
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -9,11 +9,11 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// maxExchangeBytes bounds the documents in one answer to a peer.
+// maxExchangeBytes limits the size of the documents in one answer to a peer.
 const maxExchangeBytes = 4 << 20
 
-// applyDocument puts a new generation to work: for the planner duty, and at
-// every agent of the service. It must not block.
+// applyDocument applies a new generation to routing, elections and planner, and sends it
+// to the agents of the service. It must not block.
 func (e *Entry) applyDocument(_, held *document.Held) {
 	e.log.WithField("service", held.Version.Service).WithField("generation", held.Version.Generation).Info("document in force")
 	e.metrics.Add(metrics.DocumentsApplied, 1)
@@ -23,14 +23,14 @@
 	e.members.publish(held.Version)
 }
 
-// peersChanged tells the agents which entries there are, and the watcher whom to
-// ask when the store is out.
+// peersChanged updates the list of entries that agents are told of, and the peers that
+// the watcher asks while the store is unavailable.
 func (e *Entry) peersChanged(others []entryRecord) {
 	e.updateSharedAck(others)
 	e.watcher.SetPeers(e.peerAddrs(others))
 }
 
-// peerAddrs are the addresses of the entries in the settings and the registry.
+// peerAddrs returns the addresses of the entries in the settings and in the registry.
 func (e *Entry) peerAddrs(others []entryRecord) []string {
 	addrs := append([]string{}, e.cfg.Peers...)
 	for _, p := range others {
@@ -41,8 +41,8 @@
 	return addrs
 }
 
-// askPeer implements document.Ask: it sends another entry what this one has, and
-// takes what that one has more.
+// askPeer implements document.Ask: it sends another entry the generations held here and
+// returns the versions that are newer there.
 func (e *Entry) askPeer(ctx context.Context, peer string, _ []document.Summary) (document.PeerAnswered, error) {
 	got, err := e.pool.Call(ctx, peer, &wire.Fetch{Have: e.documents.Generations()})
 	if err != nil {
@@ -60,7 +60,7 @@
 	}, nil
 }
 
-// answerFetch serves askPeer of another entry.
+// answerFetch answers askPeer of another entry.
 func (e *Entry) answerFetch(m *wire.Fetch) *wire.FetchReply {
 	ready := e.checkConfirmed() == nil
 	return &wire.FetchReply{
--- a/entry/elections.go
+++ b/entry/elections.go
@@ -13,18 +13,18 @@
 	"github.com/eelgrasshub/eelgrasshub/planner"
 )
 
-// candidacyStagger is the time between the candidacies of one entry for two services.
+// candidacyStagger is the delay between the starts of this entry's candidacies for two
+// services.
 const candidacyStagger = 10 * time.Millisecond
 
-// elections competes for the planner duty of every service that has a document,
-// and runs a planner for each one it gains. It is safe for concurrent use.
+// elections takes part in the planner election of every service that has a document, and
+// runs a planner for each service that this entry leads. All its leaderships are held
+// under the lease of the entry's session. It is safe for concurrent use.
 //
-// All elections are held under the one lease of the entry's session.
-//
-// A planner is not stopped when its lease lapses: in an outage of the store
-// every lease does, and without a planner the gangs of several members would
-// stop by isolation. Agents and job records refuse whatever it should no longer
-// do; it ends when it learns of a successor.
+// A planner is not stopped when its lease expires: during an outage of the store every
+// lease expires, and without a planner, gangs of several members would stop by isolation.
+// Agents and job records reject what a superseded planner sends, and it ends when it
+// learns of its successor.
 type elections struct {
 	entry *Entry
 
@@ -33,22 +33,22 @@
 	stopped   bool
 }
 
-// election is the candidacy for one service.
+// election is the candidacy for one service, and the planner while this entry leads.
 type election struct {
 	service      string
 	candidate    *lease.Candidate
 	planner      *planner.Planner
 	epoch        uint64
 	electedAt    time.Time
-	handedOverAt time.Time // when it was last handed over
+	handedOverAt time.Time // when the leadership was last handed over
 }
 
 func newElections(e *Entry) *elections {
 	return &elections{entry: e, byService: make(map[string]*election)}
 }
 
-// setDocument begins the candidacy for a service, or hands its planner the new
-// generation.
+// setDocument starts the candidacy for a service, or passes the new generation to its
+// planner.
 func (es *elections) setDocument(held *document.Held) {
 	es.mu.Lock()
 	defer es.mu.Unlock()
@@ -64,12 +64,12 @@
 	}
 	el := &election{service: service}
 	es.byService[service] = el
-	// A store with many services would get the calls of all candidacies in the
-	// moment of an entry's start.
+	// Staggered, because otherwise the store would get the calls of all candidacies at
+	// once when an entry starts.
 	time.AfterFunc(candidacyStagger*time.Duration(len(es.byService)-1), func() { es.start(el) })
 }
 
-// start begins the candidacy.
+// start starts the candidacy for a service, unless this entry is stopping.
 func (es *elections) start(el *election) {
 	es.mu.Lock()
 	defer es.mu.Unlock()
@@ -93,6 +93,7 @@
 	}
 }
 
+// elected stops the planner of an earlier term, if any, and starts one for the new epoch.
 func (es *elections) elected(el *election, epoch uint64) {
 	es.mu.Lock()
 	if es.stopped || epoch <= el.epoch {
@@ -108,7 +109,8 @@
 	es.startPlanner(el, epoch)
 }
 
-// startPlanner starts the planner of a term and tells it of all agents known.
+// startPlanner starts the planner of a term and passes the reports of all known agents to
+// it.
 func (es *elections) startPlanner(el *election, epoch uint64) {
 	held, ok := es.entry.documents.Current(el.service)
 	if !ok {
@@ -138,7 +140,7 @@
 	go es.awaitPlannerEnd(el, p)
 }
 
-// awaitPlannerEnd drops a planner that found itself superseded.
+// awaitPlannerEnd drops a planner that ended because it was superseded.
 func (es *elections) awaitPlannerEnd(el *election, p *planner.Planner) {
 	<-p.Done()
 	es.mu.Lock()
@@ -150,16 +152,16 @@
 	if !isCurrent {
 		return
 	}
-	// The store may have been restored from a backup and have given this entry an
-	// epoch that was used before. It shows as agents that refuse it although no
-	// other entry plans; raising the epoch above theirs ends it.
+	// After the store was restored from a backup, this entry may have been given an epoch
+	// that was used before. Agents then refuse it although no other entry leads.
+	// Observing the higher epoch lets the entry raise its own above it.
 	if higher := p.SupersedingEpoch(); higher > 0 {
 		el.candidate.ObserveEpoch(higher)
 	}
 	es.updateRegistration()
 }
 
-// updateRegistration tells the other entries which duties this one holds.
+// updateRegistration publishes the services that this entry leads.
 func (es *elections) updateRegistration() {
 	es.mu.Lock()
 	var held []leadership
@@ -182,7 +184,7 @@
 	return nil
 }
 
-// leaderships lists the duties for the status page.
+// leaderships lists the planner leaderships of this entry for the status page.
 func (es *elections) leaderships() []api.Duty {
 	es.mu.Lock()
 	defer es.mu.Unlock()
@@ -195,7 +197,7 @@
 	return out
 }
 
-// jobStatus asks this entry's planner for a job.
+// jobStatus asks this entry's planner for the status of a job.
 func (es *elections) jobStatus(ctx context.Context, service, id string) (api.JobStatus, bool) {
 	p := es.planner(service)
 	if p == nil {
@@ -208,8 +210,8 @@
 	return plannerStatus(s), true
 }
 
-// plannerAddr returns where the entry with the duty is reached, if that is
-// another one.
+// plannerAddr returns the address of the entry that leads the service, unless that is
+// this one.
 func (es *elections) plannerAddr(service string) (string, bool) {
 	if es.planner(service) != nil {
 		return "", false
@@ -218,8 +220,8 @@
 	return p.Address, ok
 }
 
-// resignAll hands all duties over: first the planner stops deciding, then the
-// lease is given back, and the next candidate goes on at once.
+// resignAll gives up all leaderships. Each planner stops before the lease is released,
+// and the next candidate then takes over at once.
 func (es *elections) resignAll(ctx context.Context) {
 	es.entry.registry.setLeaving()
 	es.mu.Lock()
@@ -236,7 +238,7 @@
 				el.planner.Stop()
 			}
 			if el.candidate != nil {
-				_ = el.candidate.Resign(ctx) // the lease lapses by itself otherwise
+				_ = el.candidate.Resign(ctx) // the lease expires by itself otherwise
 			}
 		})
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -23,7 +23,7 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// Entry is one running entry. Its methods are safe for concurrent use.
+// Entry is a running entry process. Its methods are safe for concurrent use.
 type Entry struct {
 	cfg         settings.Entry
 	log         *logrus.Entry
@@ -31,9 +31,9 @@
 	startedAt   time.Time
 
 	tomb               tomb.Tomb
-	coordinationClient *store.Client // for duties, membership of entries and documents
+	coordinationClient *store.Client // for leases, registrations and documents
 	workClient         *store.Client // for claims and jobs
-	store              store.Store   // is client
+	store              store.Store   // same as coordinationClient
 	batcher            *store.Batcher
 	endpoint           *wire.Endpoint
 	pool               *wire.Pool
@@ -54,15 +54,15 @@
 	attemptIssuer *attemptIssuer
 	sharedAck     atomic.Pointer[sharedAck]
 	draining      atomic.Bool
-	catchingUp    atomic.Bool // a catchUp is under way
+	catchingUp    atomic.Bool // set while fetchNewerDocuments runs
 	storeProbe    storeProbe
-	started       chan struct{} // closed once all parts are there
+	started       chan struct{} // closed when all components have been created
 
 	mu          sync.RWMutex
 	dispatchers map[string]*dispatcher
 }
 
-// Start starts an entry. Stop or Close ends it.
+// Start starts an entry. It serves until Stop or Close is called.
 func Start(cfg settings.Entry, log *logrus.Entry) (*Entry, error) {
 	e := &Entry{
 		cfg:         cfg,
@@ -100,9 +100,10 @@
 	e.attemptIssuer = &attemptIssuer{claims: e.claims, entryIncarnation: e.incarnation}
 }
 
-// coordinationDivisor: one part in so many of the call budget is kept for what holds
-// the entry together. In one budget, a burst of keyed requests uses up the calls
-// that renew the duties, and the planner changes in the middle of it.
+// coordinationDivisor sets the part of the store's call budget that is reserved for
+// leases, registrations and documents: the budget divided by this number. With a shared
+// budget, a burst of keyed requests could delay lease renewals and cost the entry its
+// planner leaderships.
 const coordinationDivisor = 2
 
 func (e *Entry) newStoreClient(budget int) *store.Client {
@@ -147,16 +148,16 @@
 	return err
 }
 
-// A connection with calls outstanding that was silent for busyProbeDelay is probed, and
-// suspected when that stays unanswered for pingTimeout: a repeatable request is
-// then tried elsewhere. Both are far above a round trip within a region, and their
-// sum well below the deadlines of quick requests.
+// A connection with calls outstanding that has been silent for busyProbeDelay is pinged,
+// and is suspected when the ping is not answered within pingTimeout; a repeatable request
+// is then retried elsewhere. Both are far above a round trip within a region, and their
+// sum is well below the deadlines of quick requests.
 const (
 	busyProbeDelay = 150 * time.Millisecond
 	pingTimeout    = 250 * time.Millisecond
 )
 
-// startComponents starts everything that goes on beside requests.
+// startComponents creates the remaining components and starts their goroutines.
 func (e *Entry) startComponents() {
 	record := entryRecord{
 		ID:          e.cfg.ID,
@@ -195,8 +196,8 @@
 	go func() { _ = e.server.Serve(e.listener) }() // ends with Shutdown or Close
 }
 
-// Bounds of a caller's connection: its headers, its whole request, and the
-// silence between two requests.
+// Limits on a caller's connection: reading the headers, reading the whole request, and
+// the idle time between two requests.
 const (
 	headerTimeout  = 10 * time.Second
 	requestTimeout = time.Minute
@@ -210,12 +211,12 @@
 	return e.endpoint.Addr()
 }
 
-// servesService says whether this entry takes part in a service.
+// servesService reports whether this entry takes part in a service.
 func (e *Entry) servesService(service string) bool {
 	return len(e.cfg.Services) == 0 || slices.Contains(e.cfg.Services, service)
 }
 
-// dispatcher returns the dispatcher of a service, made when first asked for.
+// dispatcher returns the dispatcher of a service and creates it on first use.
 func (e *Entry) dispatcher(service string) *dispatcher {
 	e.mu.RLock()
 	d := e.dispatchers[service]
@@ -245,8 +246,8 @@
 	return d
 }
 
-// HTTPAddr is where callers reach this entry.
+// HTTPAddr returns the host:port of the callers' HTTP interface.
 func (e *Entry) HTTPAddr() string { return e.listener.Addr().String() }
 
-// QUICAddr is where agents and other entries reach this entry.
+// QUICAddr returns the host:port of the QUIC endpoint for agents and other entries.
 func (e *Entry) QUICAddr() string { return e.endpoint.Addr() }
--- a/entry/gang_client.go
+++ b/entry/gang_client.go
@@ -9,13 +9,13 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// gangClient carries messages of the gang protocol over the agents'
-// connections. It implements planner.Agents.
+// gangClient sends messages of the gang protocol over the agents' connections. It
+// implements planner.AgentClient.
 type gangClient struct {
 	agents *agentConns
 }
 
-// SendGangMessage implements planner.Agents.
+// SendGangMessage implements planner.AgentClient.
 func (c gangClient) SendGangMessage(ctx context.Context, agent string, m gang.Message) (gang.Reply, error) {
 	data, err := cbor.Marshal(gang.Pack(m))
 	if err != nil {
--- a/entry/handle.go
+++ b/entry/handle.go
@@ -10,12 +10,12 @@
 
 var (
 	errUnsupportedMessage = eris.New("not a message for an entry")
-	// errStarting: the endpoint listens already, for its address is part of the
-	// rest, but the parts that serve messages are not there yet.
+	// errStarting is returned while the endpoint accepts connections but the components
+	// that handle messages have not been created; they need the endpoint's address.
 	errStarting = wire.NotRun(eris.New("the entry is starting"))
 )
 
-// handle serves what agents and other entries send.
+// handle serves the messages of agents and other entries.
 func (e *Entry) handle(ctx context.Context, from *wire.Conn, msg any) (any, error) {
 	select {
 	case <-e.started:
@@ -38,7 +38,8 @@
 	}
 }
 
-// handleTaskEnd takes the reply that an agent sends by itself at the end of a task.
+// handleTaskEnd passes to the planner the reply that an agent sends unasked when a task
+// ends.
 func (e *Entry) handleTaskEnd(from *wire.Conn, m *wire.Gang) (any, error) {
 	reply, err := decodeGangReply(m.Payload)
 	if err != nil {
--- a/entry/handover.go
+++ b/entry/handover.go
@@ -8,20 +8,19 @@
 	"github.com/eelgrasshub/eelgrasshub/metrics"
 )
 
-// handOverInterval is the time between two hand-overs by one entry: the successors'
-// planners read their jobs one after the other.
+// handOverInterval is the time between two hand-overs by one entry. Each successor's
+// planner has to load its jobs, so they are spread out.
 const handOverInterval = 500 * time.Millisecond
 
-// candidacyDelay is for how long this entry leaves a vacant duty to those before it.
+// candidacyDelay returns how long this entry waits for more preferred candidates before
+// it claims a vacant leadership.
 func (es *elections) candidacyDelay(service string) time.Duration {
 	return time.Duration(rank(service, es.entry.cfg.ID, es.entry.registry.candidates())) * candidacyDelayStep
 }
 
-// balance hands duties over to the entries that are preferred for them, until the
-// entry stops.
-//
-// Without it the entry that starts first holds every duty of the region for as long
-// as it lives: 94 planners are more than one entry may spend on control.
+// balance hands leaderships over to the entries preferred for them until the entry stops.
+// Without it, the entry that starts first would keep all leaderships of the region, and
+// run more planners than one entry has capacity for.
 func (es *elections) balance() error {
 	ticker := time.NewTicker(handOverInterval)
 	defer ticker.Stop()
@@ -35,8 +34,9 @@
 	}
 }
 
-// handOverOne hands one duty over, where that is worth it. While the store is out it
-// is not: nobody could take the duty.
+// handOverOne hands over at most one leadership. It does nothing while the session's
+// lease is not valid: the store is then probably unavailable, and no entry could take
+// over.
 func (es *elections) handOverOne(now time.Time) {
 	if !es.entry.session.Valid() {
 		return
@@ -56,12 +56,12 @@
 	es.mu.Unlock()
 	es.entry.log.WithField("service", service).WithField("to", to).Info("duty handed over")
 	es.entry.metrics.Add(metrics.DutiesHandedOver, 1)
-	p.Stop() // it decides nothing more before the successor begins
+	p.Stop() // before the successor's planner starts
 	el.candidate.Yield(epoch)
 	es.updateRegistration()
 }
 
-// ownLeaderships lists the duties held here, by service.
+// ownLeaderships lists the leaderships held here, ordered by service.
 func (es *elections) ownLeaderships() []ownLeadership {
 	es.mu.Lock()
 	defer es.mu.Unlock()
--- a/entry/http.go
+++ b/entry/http.go
@@ -10,7 +10,7 @@
 	"github.com/eelgrasshub/eelgrasshub/api"
 )
 
-// routes returns the callers' HTTP interface.
+// routes returns the handler of the callers' HTTP interface.
 func (e *Entry) routes() http.Handler {
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Get(api.PathHealthz), e.healthz)
@@ -37,7 +37,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// readyz tells the balancer whether to send new work here.
+// readyz tells the load balancer whether to send new work to this entry.
 func (e *Entry) readyz(w http.ResponseWriter, _ *http.Request) {
 	if p := e.checkReady(); p != nil {
 		p.WriteTo(w)
@@ -46,7 +46,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// checkReady says why this entry should get no new work; nil when it should.
+// checkReady returns the problem that keeps this entry from taking new work, or nil.
 func (e *Entry) checkReady() *api.Problem {
 	if e.draining.Load() {
 		return api.Busy(api.ReasonDraining, "this entry is leaving", defaultRetryAfter)
@@ -60,13 +60,13 @@
 	return nil
 }
 
-// firstAgentGrace is for how long a fresh entry waits for the first agent. After
-// it the entry is ready without one: there may be none, and jobs can be accepted.
+// firstAgentGrace is how long a new entry waits for its first agent. After that it is
+// ready without one: there may be none, and jobs can still be accepted.
 const firstAgentGrace = 5 * time.Second
 
-// awaitsFirstAgent says whether this entry has just started and knows no target. A balancer
-// that sent it requests would see them all refused, while the agents come back
-// from the pauses that they make between tries of an entry that was away.
+// awaitsFirstAgent reports whether this entry has just started and knows no target. It
+// would refuse all requests while the agents are still in the backoff before they connect
+// again.
 func (e *Entry) awaitsFirstAgent(now time.Time) bool {
 	return now.Sub(e.startedAt) < firstAgentGrace && len(e.members.table.Snapshot().Services()) == 0
 }
--- a/entry/http_jobs.go
+++ b/entry/http_jobs.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	// maxRequestWait bounds how long a status request is held.
+	// maxRequestWait limits how long a status or bulk cancellation request may take.
 	maxRequestWait = 30 * time.Second
-	// statusPollInterval is how often the planner is asked meanwhile.
+	// statusPollInterval is how often a waiting status request looks up the status.
 	statusPollInterval = 100 * time.Millisecond
-	// storeTimeout bounds a call to the platform's store on a caller's behalf.
+	// storeTimeout limits a call to the platform's store on behalf of a caller.
 	storeTimeout = 3 * time.Second
 )
 
-// jobIDNamespace is the namespace of ids derived from idempotency keys: the same key of
-// the same client account gives the same job through every entry.
+// jobIDNamespace is the UUID namespace of job ids derived from idempotency keys. The same
+// key of the same client account gives the same job id at every entry.
 var jobIDNamespace = uuid.MustParse("6a0d9a2e-5f6c-4b39-9d0e-0f5b1c7f4a11")
 
-// submitJob makes a job durable and answers with where to ask for it.
+// submitJob writes a job to the store and answers with its location.
 func (e *Entry) submitJob(w http.ResponseWriter, r *http.Request) {
 	rec, problem := e.parseJob(r)
 	if problem != nil {
@@ -105,8 +105,8 @@
 	}
 }
 
-// perAccelerator is the part of one accelerator, rounded up; a job without accelerators
-// takes all on one worker.
+// perAccelerator returns the part of a resource total for one accelerator, rounded up. A
+// job with at most one accelerator gets the total on one worker.
 func perAccelerator(total, accelerators int) int {
 	if accelerators <= 1 {
 		return total
@@ -125,8 +125,8 @@
 	}
 }
 
-// jobStatus answers what is known of a job, held until the job ends where the
-// caller asks for it.
+// jobStatus answers with the status of a job. If the caller asks to wait, the answer is
+// delayed until the job has ended or the wait is over.
 func (e *Entry) jobStatus(w http.ResponseWriter, r *http.Request) {
 	service, id := pat.Param(r, "service"), pat.Param(r, "id")
 	waitEnd, problem := statusWaitEnd(r, time.Now())
@@ -148,6 +148,7 @@
 	}
 }
 
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
@@ -167,7 +168,7 @@
 	return now.Add(min(wait, maxRequestWait)), nil
 }
 
-// cancelJob cancels one job. It may be repeated.
+// cancelJob cancels one job. It is idempotent.
 func (e *Entry) cancelJob(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), storeTimeout)
 	defer cancel()
@@ -179,8 +180,9 @@
 	api.WriteJSON(w, http.StatusAccepted, recordStatus(cancelled.Record))
 }
 
-// cancelProblem guards against "not run" for a cancellation whose write may have
-// taken effect: its caller would go on counting on a job that is gone.
+// cancelProblem maps an error of a cancellation. A cancellation whose write may have
+// taken effect must not be answered "not run": the caller would count on a job that is
+// cancelled.
 func cancelProblem(err error) *api.Problem {
 	switch {
 	case eris.Is(err, jobs.ErrNotFound):
@@ -191,7 +193,7 @@
 	return api.Busy(api.ReasonStoreDown, "the platform's store did not take the cancellation; it may be repeated: "+err.Error(), defaultRetryAfter)
 }
 
-// cancelJobs cancels a wave of jobs; their writes share calls to the store.
+// cancelJobs cancels several jobs; their writes share calls to the store.
 func (e *Entry) cancelJobs(w http.ResponseWriter, r *http.Request) {
 	var req api.CancelRequest
 	if p := api.Decode(r.Body, api.MaxBodyLen, &req); p != nil {
--- a/entry/http_quick.go
+++ b/entry/http_quick.go
@@ -16,7 +16,7 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// serveQuickRequest serves one quick request to its end.
+// serveQuickRequest serves one quick request.
 func (e *Entry) serveQuickRequest(w http.ResponseWriter, r *http.Request) {
 	startedAt := time.Now()
 	q, problem := e.parseQuickRequest(r, startedAt)
@@ -36,7 +36,7 @@
 	writeReply(w, reply)
 }
 
-// parseQuickRequest reads and checks a request against the document in force.
+// parseQuickRequest reads a request and checks it against the document in force.
 func (e *Entry) parseQuickRequest(r *http.Request, now time.Time) (*quickRequest, *api.Problem) {
 	if p := e.checkConfirmed(); p != nil {
 		return nil, p
@@ -76,8 +76,8 @@
 	}, nil
 }
 
-// checkConfirmed refuses work while the entry does not know the configuration. A
-// draining entry still serves what the balancer sends it.
+// checkConfirmed returns a problem while the configuration is not confirmed, else nil. A
+// draining entry passes: it still serves what the load balancer sends it.
 func (e *Entry) checkConfirmed() *api.Problem {
 	select {
 	case <-e.watcher.Ready():
@@ -101,8 +101,8 @@
 	return c, nil
 }
 
-// readBody takes the whole body before anything is sent: a request that is cut
-// short must not run.
+// readBody reads the whole body before anything is sent, so that a truncated request
+// never runs.
 func readBody(r *http.Request) ([]byte, *api.Problem) {
 	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, api.MaxBodyLen))
 	var tooLarge *http.MaxBytesError
@@ -122,7 +122,7 @@
 	return fallback
 }
 
-// effectiveDeadline is the caller's deadline, at most the class's.
+// effectiveDeadline returns the requested deadline, limited by the class's deadline.
 func effectiveDeadline(requested, class time.Duration) time.Duration {
 	if requested <= 0 || requested > class {
 		return class
@@ -130,8 +130,8 @@
 	return requested
 }
 
-// forwardedHeaders is what the target gets to see of the caller's headers: all but
-// those that speak to the system or to the connection.
+// forwardedHeaders returns the caller's headers that are passed to the target: all but
+// connection headers and those addressed to this system.
 func forwardedHeaders(h http.Header) []wire.Header {
 	var out []wire.Header
 	for name, values := range h {
@@ -145,6 +145,7 @@
 	return out
 }
 
+// omittedHeaders lists the headers that belong to one connection and are not forwarded.
 var omittedHeaders = map[string]bool{
 	"Connection":        true,
 	"Keep-Alive":        true,
@@ -156,6 +157,7 @@
 	"Content-Length":    true,
 }
 
+// systemHeaderPrefix starts the names of headers addressed to this system.
 const systemHeaderPrefix = "Eelgrasshub-"
 
 func isForwarded(name string) bool {
@@ -172,5 +174,5 @@
 	}
 	h.Set(api.HeaderOutcome, string(api.OutcomeDone))
 	w.WriteHeader(reply.Status)
-	_, _ = w.Write(reply.Body) // the caller may be gone; there is no one else to tell
+	_, _ = w.Write(reply.Body) // an error means that the caller is gone
 }
--- a/entry/inspect.go
+++ b/entry/inspect.go
@@ -11,13 +11,12 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// serviceReport answers what the planner of a service knows, from whichever entry
-// is asked.
+// serviceReport answers with the planner's report on a service; any entry can be asked.
 func (e *Entry) serviceReport(w http.ResponseWriter, r *http.Request) {
 	e.serveInspect(w, r, wire.Inspect{Service: pat.Param(r, "service")})
 }
 
-// jobReport answers why a job waits.
+// jobReport answers with the reason why a job waits.
 func (e *Entry) jobReport(w http.ResponseWriter, r *http.Request) {
 	e.serveInspect(w, r, wire.Inspect{Service: pat.Param(r, "service"), Job: pat.Param(r, "id")})
 }
@@ -37,7 +36,7 @@
 	api.WriteJSON(w, http.StatusOK, body)
 }
 
-// checkServiceKnown says why no report of a service can be had here, or nil.
+// checkServiceKnown returns the problem that prevents a report on the service, or nil.
 func (e *Entry) checkServiceKnown(service string) *api.Problem {
 	if _, ok := e.documents.Current(service); ok {
 		return nil
@@ -48,7 +47,7 @@
 	return &api.Problem{Reason: api.ReasonUnknownService, Field: "service", Detail: "no document in force names the service " + service}
 }
 
-// queryPlanner asks this entry's planner, or the entry that holds the duty.
+// queryPlanner asks this entry's planner or the entry that leads the service.
 func (e *Entry) queryPlanner(ctx context.Context, m *wire.Inspect) (json.RawMessage, *api.Problem) {
 	if e.elections.planner(m.Service) != nil {
 		return e.inspectLocal(ctx, m)
@@ -79,14 +78,14 @@
 	return p
 }
 
-// noPlanner says whom was asked and when to try again: within sessionTTL another
-// entry takes over from one that is gone.
+// noPlanner returns the problem for a service whose planner can't be asked. Another entry
+// takes over from a failed one within sessionTTL, so the caller is to retry after that.
 func noPlanner(service, detail string) *api.Problem {
 	return api.Busy(api.ReasonNoPlanner, "no planner of "+service+" answers: "+detail, sessionTTL)
 }
 
-// answerInspect serves inspected of another entry. It does not forward: two
-// entries that each believe in the other's duty would send it in circles.
+// answerInspect answers queryPlanner of another entry. It does not forward: two entries
+// that each take the other for the leader would forward the request in a loop.
 func (e *Entry) answerInspect(ctx context.Context, m *wire.Inspect) *wire.InspectReply {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -119,7 +118,7 @@
 	return body, nil
 }
 
-// plannerInfo names this entry's term of the duty.
+// plannerInfo describes this entry's term as leader of the service.
 func (e *Entry) plannerInfo(service string) api.ReportPlanner {
 	out := api.ReportPlanner{Entry: e.cfg.ID, Region: e.cfg.Region}
 	for _, l := range e.elections.leaderships() {
--- a/entry/inspect_job.go
+++ b/entry/inspect_job.go
@@ -12,7 +12,7 @@
 	"github.com/eelgrasshub/eelgrasshub/scheduler"
 )
 
-// Sentences of the reasons that are not the scheduler's.
+// Sentences of the wait reasons that the scheduler does not produce.
 const (
 	sentenceStarting   = "it is placed, and waits for its workers' reservations or for its start to be on record"
 	sentenceStoreOut   = "the platform's store does not answer, and it has no permit to start without a record of its start"
@@ -21,7 +21,7 @@
 	sentenceEnding     = "it has ended or does not start any more; its end is being put on record"
 )
 
-// explainLocal is the word of this entry's planner on one job.
+// explainLocal returns what this entry's planner knows about one job.
 func (e *Entry) explainLocal(ctx context.Context, service, id string) (*api.JobReport, *api.Problem) {
 	p := e.elections.planner(service)
 	if p == nil {
@@ -43,7 +43,7 @@
 	return out, nil
 }
 
-// jobWait is why a job that its planner knows waits; nil if it does not.
+// jobWait returns why a job that the planner knows waits, or nil if it does not wait.
 func jobWait(wait *planner.WaitStatus) *api.JobWait {
 	spec := wait.Record.Spec
 	switch wait.Stage {
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// explainRecord answers by the record of a job that the planner does not know: it
-// has ended long ago, or the planner has not read it yet.
+// explainRecord answers from the stored record of a job that the planner does not know:
+// the job ended long ago, or the planner has not loaded its record yet.
 func (e *Entry) explainRecord(ctx context.Context, out *api.JobReport) (*api.JobReport, *api.Problem) {
 	ctx, cancel := context.WithTimeout(ctx, storeProbeTimeout)
 	defer cancel()
@@ -83,7 +83,7 @@
 	return out, nil
 }
 
-// jobWaitWithoutPlacement is a reason that says nothing about places.
+// jobWaitWithoutPlacement returns a wait reason without details on placement.
 func jobWaitWithoutPlacement(spec jobs.Spec, reason api.WaitReason, sentence string) *api.JobWait {
 	return &api.JobWait{
 		Reason:       reason,
--- a/entry/inspect_service.go
+++ b/entry/inspect_service.go
@@ -12,7 +12,7 @@
 	"github.com/eelgrasshub/eelgrasshub/scheduler"
 )
 
-// reportLocal is the report of this entry's planner.
+// reportLocal returns the report of this entry's planner.
 func (e *Entry) reportLocal(ctx context.Context, service string) (*api.Report, *api.Problem) {
 	p := e.elections.planner(service)
 	if p == nil {
@@ -64,7 +64,7 @@
 	return out
 }
 
-// addWithheld adds the jobs that the scheduler does not know for now, by class.
+// addWithheld adds the number of jobs withheld from the scheduler, by class.
 func addWithheld(a *api.ReportAccount, withheld map[string]int) {
 	for _, class := range slices.Sorted(maps.Keys(withheld)) {
 		i := slices.IndexFunc(a.Classes, func(c api.ReportClass) bool { return c.Class == class })
--- a/entry/jobs.go
+++ b/entry/jobs.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// cancelConcurrency is how many cancellations of a wave are under way at once;
-	// their writes share calls to the store.
+	// cancelConcurrency is how many cancellations of a bulk request run at once; their
+	// writes share calls to the store.
 	cancelConcurrency = 256
-	// listThreshold is from how many ids on a wave reads all records of the service
-	// in one call, instead of one call for each id.
+	// listThreshold is the number of ids from which a bulk request reads all records of
+	// the service in one call instead of one record per id.
 	listThreshold = 16
 )
 
-// cancelAll cancels jobs of one service. On a Problem some may have been
-// cancelled; the whole call may be repeated.
+// cancelAll cancels jobs of one service. When it returns a Problem, some jobs may have
+// been cancelled; the whole call may be repeated.
 func (e *Entry) cancelAll(ctx context.Context, service string, ids []string) (api.CancelResponse, *api.Problem) {
 	cancelOne, err := e.cancelFunc(ctx, service, len(ids))
 	if err != nil {
@@ -62,8 +62,8 @@
 	return resp, nil
 }
 
-// bulkCancelProblem is cancelProblem for a wave of which some were cancelled or may have
-// been: of the whole it can't be said that nothing happened.
+// bulkCancelProblem is cancelProblem for a bulk request. When some jobs are or may be
+// cancelled, it must not claim that nothing was changed.
 func bulkCancelProblem(err error, cancelled, unknownOutcomes int) *api.Problem {
 	p := cancelProblem(err)
 	if cancelled+unknownOutcomes > 0 {
@@ -73,7 +73,7 @@
 	return p
 }
 
-// cancelFunc returns how to cancel each of n jobs.
+// cancelFunc returns the function that cancels one of n jobs.
 func (e *Entry) cancelFunc(ctx context.Context, service string, n int) (func(id string) error, error) {
 	if n < listThreshold {
 		return func(id string) error {
@@ -95,8 +95,8 @@
 	}, nil
 }
 
-// lookUpStatus asks who knows a job best: this entry's planner, the planner's entry,
-// or else the store.
+// lookUpStatus asks this entry's planner for a job's status, then the entry that leads
+// the service, and finally the store.
 func (e *Entry) lookUpStatus(ctx context.Context, service, id string) (api.JobStatus, *api.Problem) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -117,13 +117,9 @@
 	}
 }
 
-// askPlannerEntry asks the entry that holds the planner duty.
-//
-// The failure this guards against: that entry is frozen or its instance is dead, and
-// nothing on the way says so. It shows as callers that hear "neither can be asked"
-// although the store holds the record, because the question to the planner lasts for
-// as long as they wait. It ends once the connection is suspected, or no new one is
-// had within dialWait, and leaves time for the store.
+// askPlannerEntry asks the entry that leads the service. If that entry is frozen or its
+// instance is dead, the call ends once its connection is suspected or after dialTimeout,
+// which leaves time to read the record from the store.
 func (e *Entry) askPlannerEntry(ctx context.Context, service, id string) (api.JobStatus, bool) {
 	addr, ok := e.elections.plannerAddr(service)
 	if !ok {
@@ -141,7 +137,7 @@
 	return s, true
 }
 
-// answerStatus serves askPlanner of another entry.
+// answerStatus answers askPlannerEntry of another entry.
 func (e *Entry) answerStatus(ctx context.Context, m *wire.JobStatus) *wire.JobStatusReply {
 	reply := &wire.JobStatusReply{Entry: e.cfg.ID}
 	for _, id := range m.IDs {
@@ -158,7 +154,7 @@
 	return reply
 }
 
-// recordStatus is a record as callers see it.
+// recordStatus returns a record as callers see it.
 func recordStatus(r jobs.Record) api.JobStatus {
 	return api.JobStatus{
 		ID:        r.ID,
@@ -196,7 +192,7 @@
 	return out
 }
 
-// plannerStatus is a job as its planner sees it.
+// plannerStatus returns a job as its planner sees it.
 func plannerStatus(s planner.Status) api.JobStatus {
 	out := recordStatus(s.Record)
 	if s.Phase == "" {
--- a/entry/members.go
+++ b/entry/members.go
@@ -13,20 +13,20 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// memberTickInterval is the period in which silent agents are looked for.
+// memberTickInterval is how often agents that have stopped reporting are looked for.
 const memberTickInterval = time.Second
 
-// members takes the agents' reports: it keeps the membership table, and hands
-// what changed to the routers and planners. It is safe for concurrent use.
+// members handles the agents' reports: it maintains the membership table and passes
+// changes to routers and planners. It is safe for concurrent use.
 type members struct {
 	entry *Entry
 
-	mu               sync.Mutex // owns the table's Step, and sending
+	mu               sync.Mutex // serializes table.Step and guards the maps below
 	table            *membership.Table
-	sending          map[string]bool      // agents to which documents are on their way
-	serviceOf        map[string]string    // service of each agent in the snapshot, by id
-	generationSeenAt map[string]time.Time // when an agent's generation was first heard of
-	lastRelay        map[string]string    // relay by which an agent's last report came, by id
+	sending          map[string]bool      // agents to which documents are being sent
+	serviceOf        map[string]string    // service of each agent in the snapshot, by agent id
+	generationSeenAt map[string]time.Time // when an agent's current generation was first reported
+	lastRelay        map[string]string    // relay that sent an agent's last report, by agent id
 
 	relays *relays
 }
@@ -43,8 +43,8 @@
 	}
 }
 
-// handleReport answers a batch of reports that the agent with the id sent: its own, and
-// those that it relays.
+// handleReport handles a batch of reports sent by one agent: its own, and those that it
+// relays.
 func (m *members) handleReport(sender string, r *wire.Report) *wire.ReportAck {
 	receivedAt := clock.Now()
 	actions := m.step(time.Now(), membership.Reports{Batch: r.Batch})
@@ -71,7 +71,7 @@
 	return wire.RelayInfo{}
 }
 
-// recordRelays notes who sent the agents' reports.
+// recordRelays records which agent sent each report.
 func (m *members) recordRelays(sender string, batch []wire.AgentReport) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -84,8 +84,8 @@
 	}
 }
 
-// isRelayed says whether the agent's last report came by another one that is
-// there still.
+// isRelayed reports whether the agent's last report came through a relay that is still
+// alive.
 func (m *members) isRelayed(id string) bool {
 	relayID := m.lastRelayOf(id)
 	if relayID == "" {
@@ -95,17 +95,17 @@
 	return relay != nil && relay.State == membership.Alive
 }
 
-// lastRelayOf returns the agent that sent the last report of another one; empty: it
-// reported itself.
+// lastRelayOf returns the relay that sent an agent's last report, or "" if the agent sent
+// it itself.
 func (m *members) lastRelayOf(id string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.lastRelay[id]
 }
 
-// step gives the table an event. The homes change under the same lock, in the
-// order of the table's own changes: noted later, a Lost that is overtaken by the
-// Joined after it would leave a member that can't be found.
+// step passes an event to the table. serviceOf is updated under the same lock, in the
+// order of the table's changes: otherwise a delayed Lost could remove an agent that has
+// joined again, and find would miss it.
 func (m *members) step(now time.Time, ev membership.Event) []membership.Action {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -125,13 +125,13 @@
 	return actions
 }
 
-// dropLocked is called with the lock held.
+// dropLocked requires m.mu.
 func (m *members) dropLocked(id string) {
 	delete(m.serviceOf, id)
 	delete(m.lastRelay, id)
 }
 
-// applyActions hands on what changed.
+// applyActions passes changes to agent connections, routers and planners.
 func (m *members) applyActions(actions []membership.Action) {
 	services := make(map[string]bool)
 	for _, a := range actions {
@@ -153,7 +153,7 @@
 		return a.Member
 	case membership.Changed:
 		if a.Groups&^wire.ChangedLoad == 0 {
-			return nil // load reaches the routers with each answer
+			return nil // load reaches the routers with each reply
 		}
 		return a.Member
 	case membership.Suspected:
@@ -201,7 +201,7 @@
 	}
 }
 
-// count returns how many agents are remembered, those that have left included.
+// count returns how many agents are remembered, including those that have left.
 func (m *members) count() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -214,8 +214,8 @@
 	return m.generationSeenAt[id]
 }
 
-// updateRouter hands the targets of a service to its router. The snapshot is published
-// at once for whatever stops new work.
+// updateRouter passes the targets of a service to its router. The table publishes its
+// snapshot at once for any change that stops new work.
 func (m *members) updateRouter(service string) {
 	view := m.table.Snapshot().Service(service)
 	targets := make([]routing.Target, 0, len(view.Members))
@@ -244,8 +244,8 @@
 	return m.table.Snapshot().Service(service).Find(id)
 }
 
-// run lets time pass for the table, the choice of relays and the connections
-// until the entry stops.
+// run periodically advances the table, the choice of relays and the closing of idle
+// connections until the entry stops.
 func (m *members) run() error {
 	ticker := time.NewTicker(memberTickInterval)
 	defer ticker.Stop()
@@ -261,7 +261,8 @@
 	}
 }
 
-// ackDigest marks the content of an answer, so that it is not repeated.
+// ackDigest returns a digest of an ack's content, by which the entry omits what the agent
+// already has.
 func ackDigest(ack *wire.ReportAck) uint64 {
 	data, err := cbor.Marshal(ack)
 	if err != nil {
--- a/entry/members_documents.go
+++ b/entry/members_documents.go
@@ -9,10 +9,11 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// publishTimeout bounds the sending of documents to one agent.
+// publishTimeout limits the sending of documents to one agent.
 const publishTimeout = 3 * time.Second
 
-// sendMissingDocument sends an agent what it lacks of its service's document.
+// sendMissingDocument sends an agent its service's document if it lacks the generation in
+// force.
 func (m *members) sendMissingDocument(member *membership.Member) {
 	id := member.Report.ID
 	held, ok := m.entry.documents.Current(member.Report.Service)
@@ -34,22 +35,22 @@
 	}
 }
 
-// relayDocumentGrace is how long a relay has to bring its members a new generation. One
-// of an older binary may refuse a document that its members can read; it shows as
-// members that lack the generation although they report.
+// relayDocumentGrace is how long a relay has to pass a new generation to its members
+// before the entry sends it directly. A relay with an older binary may refuse a document
+// that its members can read.
 const relayDocumentGrace = 4 * time.Second
 
 func (m *members) sendDocument(agent string, v wire.DocumentVersion) {
 	ctx, cancel := context.WithTimeout(context.Background(), publishTimeout)
 	defer cancel()
-	_, _ = m.entry.agents.call(ctx, agent, &wire.Publish{Versions: []wire.DocumentVersion{v}}, anyConn) // its next report shows what it lacks
+	_, _ = m.entry.agents.call(ctx, agent, &wire.Publish{Versions: []wire.DocumentVersion{v}}, anyConn) // the agent's next report shows whether it got the document
 	m.mu.Lock()
 	delete(m.sending, agent)
 	m.mu.Unlock()
 }
 
-// publish sends a new generation at once to every agent of its service that
-// reports itself. Relays send it on to the others.
+// publish sends a new generation at once to every agent of its service that reports
+// directly. Relays pass it on to the others.
 func (m *members) publish(v wire.DocumentVersion) {
 	for _, member := range m.table.Snapshot().Service(v.Service).Members {
 		if !m.isRelayed(member.Report.ID) {
--- a/entry/members_planner.go
+++ b/entry/members_planner.go
@@ -11,9 +11,9 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// informPlanner tells the planner, if it is here, of a report of the member, and adds
-// its part to the answer. What a relay would hear of the gangs of its members is
-// left out: they ask themselves.
+// informPlanner passes a member's report to the planner, if it runs here, and adds the
+// planner's part to the ack. A relay gets no answer for its members' gangs: the members
+// ask for it themselves.
 func (m *members) informPlanner(member *membership.Member, r wire.AgentReport, receivedAt time.Time, ack *wire.ReportAck, relayed bool) {
 	if r.Goodbye || member.Report.Incarnation != r.Incarnation {
 		return
@@ -51,8 +51,8 @@
 	}
 }
 
-// replayReports tells a new planner of all agents known. What they last said is as old
-// as it is: only their own next reports prove that their gangs are whole.
+// replayReports passes the last reports of all known agents to a new planner. They carry
+// no evidence that a gang's members are alive; only new reports do.
 func (m *members) replayReports(service string, p *planner.Planner) {
 	for _, member := range m.table.Snapshot().Service(service).Members {
 		p.HandleReport(plannerReport(member, wire.NoEvidence, clock.Now()))
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/eelgrasshub/eelgrasshub/metrics"
 )
 
-// observeQuickRequest records how long a caller waited for which outcome.
+// observeQuickRequest records the latency of a quick request by its outcome.
 func (e *Entry) observeQuickRequest(q *quickRequest, o api.Outcome, latency time.Duration) {
 	e.metrics.Observe(q.account, q.class, quickTiming(o), latency)
 }
@@ -24,7 +24,7 @@
 	}
 }
 
-// registerGauges shows what other parts count by themselves.
+// registerGauges registers the metrics that other components count.
 func (e *Entry) registerGauges() {
 	e.metrics.Gauge("store_calls_coordination", func() int64 { return e.coordinationClient.Calls().Total() })
 	e.metrics.Gauge("store_calls_work", func() int64 { return e.workClient.Calls().Total() })
@@ -37,7 +37,7 @@
 	e.metrics.Gauge("members", func() int64 { return int64(e.members.count()) })
 }
 
-// MetricsHandler serves the metrics in the form of /debug/vars.
+// MetricsHandler serves the metrics in the format of /debug/vars.
 func (e *Entry) MetricsHandler() http.Handler {
 	return e.metrics.Handler("eelgrasshub")
 }
--- a/entry/nonrepeatable.go
+++ b/entry/nonrepeatable.go
@@ -13,24 +13,23 @@
 )
 
 const (
-	// resolveInterval is how often an agent is asked what became of an attempt. It
-	// holds its answer for resolveHold while the attempt runs.
+	// resolveInterval is how often an agent is asked about the state of an attempt. The
+	// agent delays its answer by up to resolveWait while the attempt runs.
 	resolveInterval = 500 * time.Millisecond
 	resolveWait     = 400 * time.Millisecond
-	// resolveTimeout bounds one such question.
+	// resolveTimeout limits one such call.
 	resolveTimeout = time.Second
-	// unresponsiveAgentTimeout is for how long the agent may leave such questions
-	// unanswered. When it is dead its answer is lost for good; its caller then
-	// hears so at once and not at the deadline.
+	// unresponsiveAgentTimeout is how long the agent may fail to answer such calls. If it
+	// is dead, its result is lost, and the caller learns so before the deadline.
 	unresponsiveAgentTimeout = 3 * time.Second
-	// attemptMaxAge is that of the agents' tables; see attempts.RequestConfig.
+	// attemptMaxAge is the maximum age in the agents' tables; see attempts.RequestConfig.
 	attemptMaxAge = 5 * time.Minute
-	// deliveryEventBuffer bounds what waits for a delivery's loop: one reply each of the
-	// store, the attempt and the questions about it.
+	// deliveryEventBuffer is the capacity of a delivery's event channel: replies of the
+	// store, of the attempt and of resolve calls.
 	deliveryEventBuffer = 16
 )
 
-// attemptIssuer numbers the attempts of this process.
+// attemptIssuer creates the attempt ids of this process.
 type attemptIssuer struct {
 	claims           *claimStore
 	entryIncarnation uint64
@@ -46,9 +45,9 @@
 	}
 }
 
-// doNonRepeatable runs a call that must not run twice. Each delivery is one
-// attempts.Request; another one follows only after the proof that the first did
-// not run.
+// doNonRepeatable runs a request that must not run twice. Each delivery is one
+// attempts.Request; the next one starts only when the previous one is proved not to have
+// run.
 func (d *dispatcher) doNonRepeatable(ctx context.Context, q *quickRequest) (*wire.ExecuteReply, *api.Problem) {
 	var tried []routing.TargetID
 	for attemptNumber := 0; ; attemptNumber++ {
@@ -73,6 +72,8 @@
 	}
 }
 
+// mayRetry reports whether another target may be tried: the agent refused the attempt and
+// the retry budget allows it.
 func (d *dispatcher) mayRetry(ctx context.Context, q *quickRequest, finished attempts.Finished) bool {
 	if finished.Outcome != attempts.NotRun || finished.Reason != attempts.ReasonRefused {
 		return false
--- a/entry/pick.go
+++ b/entry/pick.go
@@ -8,22 +8,18 @@
 )
 
 const (
-	// repickTimeout is for how long a request of which an attempt was lost waits
-	// for a target to come back. A silent connection is replaced well within it.
+	// repickTimeout is how long a request that lost an attempt waits for a target. It
+	// leaves time to replace an unresponsive connection.
 	repickTimeout = time.Second
-	// repickInterval is the least time between two tries meanwhile.
+	// repickInterval is the minimum time between two tries.
 	repickInterval = 50 * time.Millisecond
 )
 
-// pick chooses the target of the next attempt. Where an earlier one may have run, a
-// refusal by the router does not end the request at once.
-//
-// The failure this guards against: all connections go silent in the same moment. The
-// attempt under way is lost, and while new connections are made the router refuses
-// the next one. It shows as callers that hear "unknown" of requests that may run
-// twice and have most of their deadline left. The request is not given up meanwhile:
-// its next attempt is made as soon as the router lets it, also at a target that it
-// was lost at, whose path is a new one by then.
+// pick chooses the target of the next attempt. If an earlier attempt may have run, a
+// refusal by the router is retried for up to repickTimeout: when all connections fail at
+// once, the router refuses until new ones are open, and the caller would be told
+// "unknown" with most of its deadline left. Targets that were already tried are then
+// allowed again, since their connections have been replaced by then.
 func (d *dispatcher) pick(ctx context.Context, q *quickRequest, attemptNumber int, tried []routing.TargetID, maybeRan bool) (routing.Ticket, routing.Refusal) {
 	giveUpAt := d.now().Add(repickTimeout)
 	for {
--- a/entry/policy.go
+++ b/entry/policy.go
@@ -7,12 +7,12 @@
 	"github.com/eelgrasshub/eelgrasshub/routing"
 )
 
-// accountRetryShareFactor is how much more of its own first attempts one client
-// account may spend on retries than all together: the failures of one target can
-// meet a few accounts only.
+// accountRetryShareFactor relates the share of its first attempts that one client account
+// may spend on retries to the share allowed for all accounts together. It is above 1
+// because the failures of one target may affect only a few accounts.
 const accountRetryShareFactor = 2
 
-// retryBudget is the retry budget that a document declares.
+// retryBudget returns the retry budget that a document declares.
 func retryBudget(d *document.Document) routing.Retries {
 	return routing.Retries{
 		Share:        d.Routing.RetryShare,
@@ -21,14 +21,14 @@
 	}
 }
 
-// applyDocument puts a document in force for the requests of its service.
+// applyDocument applies a document in force to the requests of its service.
 func (d *dispatcher) applyDocument(doc *document.Document) {
 	weights := relativeWeights(doc)
 	d.weights.Store(&weights)
 	d.router.SetRetries(retryBudget(doc))
 }
 
-// maxInFlight is how many requests this entry may have at one target.
+// maxInFlight returns how many requests this entry may have at one target.
 func (e *Entry) maxInFlight(service string) int {
 	held, ok := e.documents.Current(service)
 	if !ok {
@@ -37,7 +37,8 @@
 	return held.Document.Routing.MaxInFlight
 }
 
-// relativeWeights is each account's weight over the mean of all accounts.
+// relativeWeights returns each account's weight divided by the mean weight of all
+// accounts.
 func relativeWeights(d *document.Document) map[string]float64 {
 	sum := 0
 	for i := range d.Accounts {
--- a/entry/prober.go
+++ b/entry/prober.go
@@ -15,35 +15,33 @@
 )
 
 const (
-	// peerProbeInterval is the time between two probes of a peer: 29 bytes each with
-	// headers, unanswered while the peer lives.
+	// peerProbeInterval is the time between two probes of a peer.
 	peerProbeInterval = 250 * time.Millisecond
-	// probedPeerCount is how many peers each entry probes: the next ones in the order
-	// of ids, so that the cost does not grow with the entries, and each is probed
-	// although one of its probers may have died too.
+	// probedPeerCount is how many peers each entry probes: those that follow it in the
+	// order of ids. The cost per entry is thus constant, and a peer is still probed when
+	// one of its probers has died too.
 	probedPeerCount = 2
-	// revokeTimeout bounds the call that revokes a dead peer's lease.
+	// revokeTimeout limits the call that revokes a dead peer's lease.
 	revokeTimeout = time.Second
 )
 
-// prober ends the leases of entries whose process is gone, so that the next
-// candidates need not wait for them to lapse.
+// prober revokes the leases of entries whose process has ended, so that candidates need
+// not wait for the leases to expire.
 //
-// Proof is that nobody listens on the peer's port any more: its machine says so
-// (ICMP port unreachable, seen as a refused connection), and it does so only where
-// the process has ended. A peer that is silent, cut off, paused or overloaded is
-// never refused; its lease has to lapse.
+// The proof is that no process listens on the peer's port: its machine answers with ICMP
+// port unreachable, seen as a refused connection. A peer that is unresponsive,
+// partitioned, paused or overloaded does not refuse; its lease has to expire.
 //
-// A false suspicion, as by a firewall that refuses in place of the peer, is
-// harmless: the peer loses its duties as it would by a lapse, agents refuse its
-// lower epoch, and job records are compared and swapped. It costs a start of a
-// planner for each of its duties, and that once in the peer's life only.
+// A false positive, such as a firewall that refuses in the peer's place, is safe: the
+// peer loses its leaderships as it would by expiry, agents reject its lower epoch, and
+// job records are written by compare-and-swap. It costs one planner start for each of its
+// leaderships, and happens at most once per incarnation.
 type prober struct {
 	entry *Entry
 
 	mu      sync.Mutex
 	probes  map[probeTarget]context.CancelFunc
-	revoked map[string]uint64 // incarnations whose lease was revoked, by id
+	revoked map[string]uint64 // incarnations whose process was found to have ended, by entry id
 }
 
 func newProber(e *Entry) *prober {
@@ -54,7 +52,7 @@
 	}
 }
 
-// run keeps the probes until the entry stops.
+// run keeps the set of probes up to date until the entry stops.
 func (p *prober) run() error {
 	ctx := p.entry.tomb.Context(context.Background())
 	ticker := time.NewTicker(peerProbeInterval)
@@ -69,14 +67,15 @@
 	}
 }
 
-// nextPeers returns the n peers that come after own in the order of ids, as in a ring.
+// nextPeers returns the n peers that follow ownID in the order of ids, wrapping around.
+// It sorts peers in place.
 func nextPeers(ownID string, peers []entryRecord, n int) []entryRecord {
 	slices.SortFunc(peers, func(a, b entryRecord) int { return strings.Compare(a.ID, b.ID) })
 	start, _ := slices.BinarySearchFunc(peers, ownID, func(p entryRecord, id string) int { return strings.Compare(p.ID, id) })
 	return append(peers[start:len(peers):len(peers)], peers[:start]...)[:min(n, len(peers))]
 }
 
-// setTargets begins and ends probes so that just the targets are probed.
+// setTargets starts and cancels probes so that exactly the targets are probed.
 func (p *prober) setTargets(ctx context.Context, targets []entryRecord) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,13 +97,14 @@
 	}
 }
 
-// probeTarget is what one probe is of: a peer under one lease.
+// probeTarget identifies a probe: a peer under one lease.
 type probeTarget struct {
 	id, address string
 	lease       store.LeaseID
 }
 
-// probe probes one peer until its process has ended, or ctx.
+// probe probes one peer until its process has ended or ctx is done. It then revokes the
+// peer's lease.
 func (p *prober) probe(ctx context.Context, peer entryRecord) {
 	if peer.lease == 0 || !awaitPortRefusal(ctx, peer.Address) {
 		return
@@ -117,7 +117,7 @@
 	}
 }
 
-// revoke ends the lease of a peer.
+// revoke revokes the lease of a peer. A lease that no longer exists is no error.
 func (p *prober) revoke(ctx context.Context, peer entryRecord) error {
 	ctx, cancel := context.WithTimeout(ctx, revokeTimeout)
 	defer cancel()
@@ -127,7 +127,7 @@
 		p.entry.metrics.Add(metrics.DeadEntriesRevoked, 1)
 		p.entry.log.WithFields(logrus.Fields{"peer": peer.ID, "address": peer.Address}).Info("entry's process is gone, lease revoked")
 	case eris.Is(err, store.ErrLeaseNotFound):
-		return nil // another was first, or it has lapsed
+		return nil // revoked by another entry, or expired
 	}
 	return err
 }
--- a/entry/problem.go
+++ b/entry/problem.go
@@ -10,14 +10,14 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// defaultRetryAfter is what a caller is told where nothing better is known.
+// defaultRetryAfter is the retry delay given to callers when no better one is known.
 const defaultRetryAfter = time.Second
 
-// pickProblem is the answer where no target was found. An earlier attempt that
-// may have run forbids the claim that the request did not.
+// pickProblem returns the problem for a request that got no target. If an earlier attempt
+// may have run, it must not claim that the request did not run.
 func pickProblem(r routing.Refusal, maybeRan bool) *api.Problem {
 	if maybeRan {
-		// Only a request that may run twice has had an attempt before.
+		// Only a repeatable request can have had an attempt before.
 		return api.Busy(api.ReasonOutcomeLost, "an attempt may have run, and no other target took the request", retryAfterOrDefault(r.RetryAfter))
 	}
 	switch r.Reason {
@@ -32,8 +32,8 @@
 	}
 }
 
-// attemptProblem is the answer after the last attempt. maybeRan covers all
-// attempts.
+// attemptProblem returns the problem after the last attempt. maybeRan covers all attempts
+// of the request.
 func attemptProblem(reply *wire.ExecuteReply, err error, maybeRan bool) *api.Problem {
 	switch {
 	case maybeRan:
--- a/entry/registration.go
+++ b/entry/registration.go
@@ -7,10 +7,10 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// Registration is where a registered entry is reached.
+// Registration holds the id and address of a registered entry.
 type Registration struct {
 	ID   string
-	HTTP string // host:port of its callers' interface
+	HTTP string // host:port of its callers' HTTP interface
 }
 
 // ListRegistrations lists the entries of a region that are registered in the store.
--- a/entry/registry.go
+++ b/entry/registry.go
@@ -15,57 +15,56 @@
 )
 
 const (
-	// minRegisterInterval is the least time between two registrations: an entry that
-	// gains many duties at once tells of them together.
+	// minRegisterInterval is the minimum time between two writes of the registration. It
+	// batches the changes when an entry gains many leaderships at once.
 	minRegisterInterval = 100 * time.Millisecond
-	// registryRetryInterval is the pause before a failed registration or watch is tried
-	// again.
+	// registryRetryInterval is the pause before a failed write or watch is retried.
 	registryRetryInterval = time.Second
-	// absentPeerTTL is how long an entry whose registration has gone is still
-	// believed in: after an outage of the store all registrations have lapsed at
-	// once, while the entries live on.
+	// absentPeerTTL is how long an entry whose registration is gone is still kept. During
+	// an outage of the store all registrations expire at once, while the entries keep
+	// running.
 	absentPeerTTL = 30 * time.Second
 )
 
-// entryRecord is an entry as it registers itself in the platform's store.
+// entryRecord is the registration of an entry in the platform's store.
 type entryRecord struct {
 	Token       string       `json:"token"`
 	ID          string       `json:"id"`
 	Address     string       `json:"address"` // of its QUIC endpoint
-	HTTP        string       `json:"http"`    // of its callers' interface
+	HTTP        string       `json:"http"`    // of its callers' HTTP interface
 	Zone        string       `json:"zone"`
 	Incarnation uint64       `json:"incarnation"`
 	Leaderships []leadership `json:"duties,omitempty"`
-	// Services are those it takes part in; empty means all.
+	// Services are those that the entry takes part in; empty means all.
 	Services []string `json:"services,omitempty"`
-	// Leaving: it is stopping and takes no duties.
+	// Leaving is set while the entry stops; it is then no candidate for leaderships.
 	Leaving bool `json:"leaving,omitempty"`
 
-	// lease is the store lease of the registration and of all its duties.
+	// lease is the store lease of the registration and of all the entry's leaderships.
 	lease store.LeaseID
 }
 
-// leadership is a planner duty that the entry holds.
+// leadership is a planner leadership that an entry holds.
 type leadership struct {
 	Service string `json:"service"`
 	Epoch   uint64 `json:"epoch"`
 }
 
-// registry lets the few entries of a region find each other through the
-// platform's store. It is safe for concurrent use.
+// registry registers this entry in the platform's store and tracks the other entries of
+// the region. It is safe for concurrent use.
 type registry struct {
 	store     store.Store
 	session   *lease.Session
 	keyPrefix string
 	log       *logrus.Entry
-	// onChange is told of the other entries after each change.
+	// onChange is called with the other entries after each change.
 	onChange func(others []entryRecord)
 
 	mu             sync.Mutex
 	own            entryRecord
 	peers          map[string]entryRecord
 	absentSince    map[string]time.Time
-	presentSince   map[string]time.Time // when a present peer's incarnation was first seen
+	presentSince   map[string]time.Time // when the incarnation of a registered peer was first seen
 	writeRequested chan struct{}
 }
 
@@ -83,7 +82,7 @@
 	}
 }
 
-// setLeaderships registers which duties this entry holds.
+// setLeaderships registers the leaderships that this entry holds.
 func (r *registry) setLeaderships(leaderships []leadership) {
 	r.mu.Lock()
 	r.own.Leaderships = leaderships
@@ -91,7 +90,7 @@
 	r.requestWrite()
 }
 
-// setLeaving registers that this entry takes no duties any more.
+// setLeaving registers that this entry is stopping.
 func (r *registry) setLeaving() {
 	r.mu.Lock()
 	r.own.Leaving = true
@@ -99,7 +98,7 @@
 	r.requestWrite()
 }
 
-// requestWrite has the registration written again.
+// requestWrite causes the registration to be written again.
 func (r *registry) requestWrite() {
 	select {
 	case r.writeRequested <- struct{}{}:
@@ -107,7 +106,7 @@
 	}
 }
 
-// others returns the other entries, by id.
+// others returns the other entries, ordered by id, including those recently unregistered.
 func (r *registry) others() []entryRecord {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,7 +118,7 @@
 	})
 }
 
-// planner returns the other entry with the highest epoch of the service's duty.
+// planner returns the other entry with the highest epoch for the service, and that epoch.
 func (r *registry) planner(service string) (entryRecord, uint64, bool) {
 	var best entryRecord
 	var epoch uint64
@@ -133,7 +132,7 @@
 	return best, epoch, epoch > 0
 }
 
-// candidates returns the other entries that are registered now and take duties.
+// candidates returns the other entries that are registered now and not stopping.
 func (r *registry) candidates() []candidate {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -160,7 +159,7 @@
 	return out
 }
 
-// watch keeps the list of the other entries until ctx ends.
+// watch keeps the list of the other entries up to date until ctx ends.
 func (r *registry) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		snap, err := r.store.List(ctx, r.keyPrefix)
--- a/entry/registry_write.go
+++ b/entry/registry_write.go
@@ -10,8 +10,8 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// register keeps this entry registered under the session's lease until ctx ends.
-// The registration goes with the lease.
+// register keeps this entry registered under the session's lease until ctx ends. The
+// store removes the registration with the lease.
 func (r *registry) register(ctx context.Context) {
 	for ctx.Err() == nil {
 		leaseID, lost, err := r.session.Lease(ctx)
@@ -21,7 +21,8 @@
 	}
 }
 
-// holdRegistration is the life of one lease.
+// holdRegistration writes the registration when requested until the lease is lost or ctx
+// ends.
 func (r *registry) holdRegistration(ctx context.Context, leaseID store.LeaseID, lost <-chan struct{}) {
 	revision := store.Revision(0)
 	for {
@@ -43,13 +44,13 @@
 	}
 }
 
-// errLaterIncarnation: another process with this entry's id began later.
+// errLaterIncarnation: another process with this entry's id started later.
 var errLaterIncarnation = eris.New("registered by a later life of the entry")
 
-// write registers the entry. An older registration under the same id is of an
-// earlier life and is replaced; one of a later life stays. The lease of an earlier
-// life is revoked: its process has ended, or is ending with its duties handed over,
-// and candidates wait for what is still bound to it.
+// write registers the entry. It replaces a registration of an earlier incarnation under
+// the same id, and fails with errLaterIncarnation if there is one of a later incarnation.
+// It revokes the lease of the earlier incarnation, whose process has ended or is ending:
+// candidates would otherwise wait for the keys under that lease to expire.
 func (r *registry) write(ctx context.Context, leaseID store.LeaseID, revision store.Revision) (store.Revision, error) {
 	r.mu.Lock()
 	r.own.Token = uuid.NewString()
@@ -75,11 +76,12 @@
 		if err := r.revokeEarlier(ctx, res[0].Current); err != nil {
 			return 0, err
 		}
-		revision = 0 // gone with its lease
+		revision = 0 // the key was deleted with its lease
 	}
 }
 
-// revokeEarlier ends the lease of a registration that is not of this life.
+// revokeEarlier revokes the lease of a registration, or fails with errLaterIncarnation if
+// that is of a later incarnation.
 func (r *registry) revokeEarlier(ctx context.Context, kv store.KeyValue) error {
 	var old entryRecord
 	if json.Unmarshal(kv.Value, &old) == nil && old.Incarnation > r.own.Incarnation {
--- a/entry/relays.go
+++ b/entry/relays.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// minRelayedRackSize is the least number of agents in a rack that has a relay. With
-	// two, a relay would save one connection and cost a way more.
+	// minRelayedRackSize is the minimum number of agents in a rack for it to get a relay.
+	// With two, a relay would save one connection and add a hop.
 	minRelayedRackSize = 3
-	// relayBelow: relays named already are kept until the agents are fewer than
-	// this part of the limit, so that one agent that comes and goes does not move
+	// Once relays are in use, they are kept until the number of agents falls to this
+	// fraction of the threshold, so that one agent that comes and goes does not reconnect
 	// all others.
 	relayHysteresisNumerator, relayHysteresisDenominator = 4, 5
 )
 
-// relays is the choice of the relay of each rack, made again about every second.
-// Reads are safe for concurrent use; one goroutine calls choose.
+// relays holds the relay of each rack. relayOf is safe for concurrent use; update must be
+// called from one goroutine.
 type relays struct {
 	threshold int
 	current   atomic.Pointer[relaysByRack]
 }
 
-// relaysByRack has the relay of each rack, by service.
+// relaysByRack holds the relay of each rack, by service.
 type relaysByRack map[string]map[membership.Rack]wire.RelayInfo
 
 func newRelays(threshold int) *relays {
@@ -33,7 +33,7 @@
 	return r
 }
 
-// update makes the choice from the members that are known.
+// update chooses the relays from the known members.
 func (r *relays) update(snap *membership.Snapshot) {
 	byRack := relaysByRack{}
 	if r.needed(snap) {
@@ -44,8 +44,8 @@
 	r.current.Store(&byRack)
 }
 
-// needed says whether the agents are so many that their own reports would cost
-// an entry more than its share.
+// needed reports whether there are too many agents for all of them to report directly. A
+// threshold of 0 disables relays.
 func (r *relays) needed(snap *membership.Snapshot) bool {
 	if r.threshold == 0 {
 		return false
@@ -61,7 +61,7 @@
 	return agents > limit
 }
 
-// relayOf returns the relay relayOf a member's rack; the zero value: there is none.
+// relayOf returns the relay of a member's rack, or the zero value if there is none.
 func (r *relays) relayOf(m *membership.Member) wire.RelayInfo {
 	return (*r.current.Load())[m.Report.Service][membership.RackOf(&m.Report)]
 }
--- a/entry/report_ack.go
+++ b/entry/report_ack.go
@@ -6,14 +6,14 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// sharedAck is the part of a report's answer that is the same for all agents: which
-// entries there are. It is made once for each change of them, and left out where
-// the sender has it already.
+// sharedAck is the part of a report's answer that is the same for all agents: the list of
+// entries. It is built once for each change of the list, and omitted where the sender
+// already has it.
 type sharedAck struct {
 	ack wire.ReportAck
 }
 
-// updateSharedAck makes the news from the other entries that are known now.
+// updateSharedAck rebuilds the shared ack from the other entries that are known now.
 func (e *Entry) updateSharedAck(others []entryRecord) {
 	updated := &sharedAck{ack: wire.ReportAck{Entries: []wire.EntryInfo{{
 		ID:          e.cfg.ID,
@@ -33,8 +33,8 @@
 	e.sharedAck.Store(updated)
 }
 
-// newReportAck begins the newReportAck to a report whose sender knows the news and the relay
-// of its rack with the digest.
+// newReportAck starts the answer to a report. It leaves out the list of entries and the
+// relay of the sender's rack when the sender's digest shows that it has both.
 func (e *Entry) newReportAck(knownDigest uint64, relay wire.RelayInfo) *wire.ReportAck {
 	ack := e.sharedAck.Load().ack
 	ack.Relay = relay
--- a/entry/session.go
+++ b/entry/session.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	// sessionTTL bounds for how long a scheduling domain has no planner after its
-	// entry died, and for how long a dead entry stays registered.
+	// sessionTTL limits how long a service has no planner, and how long a dead entry
+	// stays registered, after the entry died.
 	sessionTTL = 4 * time.Second
-	// sessionCloseTimeout bounds the wait for the lease's end; it lapses by itself
+	// sessionCloseTimeout limits the revocation of the lease; the lease expires by itself
 	// otherwise.
 	sessionCloseTimeout = time.Second
 )
 
-// openSession begins the one lease for this entry's registration and duties.
+// openSession opens the session whose lease covers this entry's registration and
+// leaderships.
 func (e *Entry) openSession() {
 	e.session = lease.OpenSession(lease.SessionOptions{
 		Store:    e.store,
--- a/entry/sharedlease.go
+++ b/entry/sharedlease.go
@@ -11,17 +11,16 @@
 )
 
 const (
-	// jobRetention is for how long the record of an ended job is kept.
+	// jobRetention is how long the record of an ended job is kept, at least.
 	jobRetention = 24 * time.Hour
-	// leaseSharePeriod is how long one store lease collects keys. A key so lives
-	// between the life asked for and that plus leaseSharePeriod.
+	// leaseSharePeriod is how long one store lease is used for new keys. A key therefore
+	// lives for between ttl and ttl + leaseSharePeriod.
 	leaseSharePeriod = time.Hour
 )
 
-// sharedLease is the store lease under which this process writes keys that are
-// to be forgotten after some time. It is never renewed: all keys of an hour
-// share one, and the store deletes them when it lapses, which costs no call. It
-// is safe for concurrent use.
+// sharedLease provides the store lease for keys that expire after a fixed time. A lease
+// is shared by all keys written within leaseSharePeriod and never renewed, so the store
+// deletes the keys without further calls. It is safe for concurrent use.
 type sharedLease struct {
 	store store.Store
 	ttl   time.Duration
@@ -36,8 +35,8 @@
 	return &sharedLease{store: kv, ttl: ttl}
 }
 
-// Current returns the lease for keys written now. Callers that need a new one
-// share the call for it, and each waits no longer than its own ctx.
+// Current returns the lease for keys written now. Concurrent callers that need a new
+// lease share one call to the store; each waits no longer than its own ctx.
 func (l *sharedLease) Current(ctx context.Context) (store.LeaseID, error) {
 	if id, ok := l.cached(); ok {
 		return id, nil
@@ -72,7 +71,7 @@
 	return id, nil
 }
 
-// Invalidate forgets a lease that the store no longer has, as after a restore.
+// Invalidate drops a lease that the store does not know, such as after a restore.
 func (l *sharedLease) Invalidate(id store.LeaseID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/entry/status.go
+++ b/entry/status.go
@@ -9,7 +9,7 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// status answers with what this entry is and sees.
+// status answers with the state of this entry and the members that it knows.
 func (e *Entry) status(w http.ResponseWriter, _ *http.Request) {
 	s := api.Status{
 		ID:          e.cfg.ID,
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -4,9 +4,9 @@
 	"context"
 )
 
-// Stop ends the entry gracefully: readiness drops, duties are handed over,
-// requests in progress end, and only then the connections close. What is left
-// when ctx ends is cut, and ctx's error returned.
+// Stop stops the entry gracefully: it reports not ready, hands its leaderships over,
+// finishes requests in progress and then closes all connections. When ctx ends first, it
+// cuts off what is left and returns ctx's error.
 func (e *Entry) Stop(ctx context.Context) error {
 	e.draining.Store(true)
 	e.log.Info("draining")
@@ -20,7 +20,7 @@
 	return err
 }
 
-// Close ends the entry at once.
+// Close stops the entry at once, without handing its leaderships over.
 func (e *Entry) Close() {
 	e.tomb.Kill(nil)
 	_ = e.server.Close()
@@ -36,8 +36,8 @@
 	e.log.Info("entry stopped")
 }
 
-// abandonLeaderships stops the planners and lets the leases lapse, as a death would;
-// after Stop there are none left.
+// abandonLeaderships stops the planners and leaves the lease to expire, as if the process
+// had died. After Stop it has no effect.
 func (e *Entry) abandonLeaderships() {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/entry/storeprobe.go
+++ b/entry/storeprobe.go
@@ -13,31 +13,32 @@
 )
 
 const (
-	// storeProbeInterval is for how long a probe's result is given to all who ask: the
-	// store counts each call.
+	// storeProbeInterval is how long a result is shared by all callers, since calls to
+	// the store are limited.
 	storeProbeInterval = time.Second
-	// storeProbeTimeout bounds one probe, well below what another entry waits for the
-	// answer that it is part of.
+	// storeProbeTimeout limits one probe. It is well below the time that another entry
+	// waits for an answer that includes the probe.
 	storeProbeTimeout = time.Second
 )
 
-// storeProbe tells whether the platform's store answers this entry. The zero value
-// is ready. It is safe for concurrent use.
+// storeProbe checks whether the platform's store answers this entry. Its zero value is
+// ready to use. It is safe for concurrent use.
 type storeProbe struct {
 	mu        sync.Mutex
 	probedAt  time.Time // of the last probe, by clock.Now
 	available bool
 }
 
-// check reads one small key, at most once a second. A call that this process's
-// own budget refuses says nothing against the store.
+// check reads one small key, unless the last result is still valid. A call refused by
+// this entry's own call budget counts as available.
 func (p *storeProbe) check(ctx context.Context, kv store.Store, service string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.probedAt.IsZero() && clock.Now().Sub(p.probedAt) < storeProbeInterval {
 		return p.available
 	}
-	// A caller that goes away must not look like an outage to the next one.
+	// Detached from the caller's cancellation, which would look like an outage to the
+	// next caller.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), storeProbeTimeout)
 	defer cancel()
 	_, _, err := kv.Get(ctx, document.StoreKey(service))
--- a/entry/udp_probe.go
+++ b/entry/udp_probe.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// requiredRefusals in a row are taken for the end of a process: a restart
-	// within the time between them is not.
+	// requiredRefusals is how many consecutive refusals prove that a process has ended.
+	// One is not enough: the process may just be restarting.
 	requiredRefusals = 2
-	// refusalInterval is the time between two refused probes.
+	// refusalInterval is the pause after a refused probe.
 	refusalInterval = 50 * time.Millisecond
 )
 
-// probePacket is no QUIC packet: a live endpoint drops it without an answer.
+// probePacket is not a valid QUIC packet: a live endpoint drops it without an answer.
 var probePacket = []byte{0}
 
-// awaitPortRefusal probes a UDP address until it refuses, and false where ctx ends
-// first. Only a connected socket is told of the refusal.
+// awaitPortRefusal probes a UDP address until it refuses requiredRefusals times in a row.
+// It returns false if ctx ends first.
 func awaitPortRefusal(ctx context.Context, addr string) bool {
 	refusals := 0
 	for ctx.Err() == nil {
@@ -37,8 +37,9 @@
 	return false
 }
 
-// portRefused sends one probe and says whether it was refused. A probe that is not
-// takes peerProbeEvery.
+// portRefused sends one probe and reports whether it was refused. Without a refusal it
+// takes peerProbeInterval. It uses a connected socket, since only that is told of a
+// refusal.
 func portRefused(ctx context.Context, addr string) bool {
 	conn, err := net.Dial("udp", addr)
 	if err != nil {
