--- a/entry/elections.go
+++ b/entry/elections.go
@@ -86,7 +86,7 @@
 	})
 }
 
-// leadershipChanged is called from the holder's goroutine and must not block.
+// leadershipChanged is called from the candidate's goroutine and must not block.
 func (es *elections) leadershipChanged(el *election, held lease.Leadership, ok bool) {
 	if ok {
 		go es.elected(el, held.Epoch)
--- a/entry/prober.go
+++ b/entry/prober.go
@@ -28,7 +28,7 @@
 // prober revokes the leases of entries whose process has ended, so that candidates need
 // not wait for the leases to expire.
 //
-// The proof is that no process listens on the peer's port: its machine answers with ICMP
+// The proof is that no process listens on the peer's port: its instance answers with ICMP
 // port unreachable, seen as a refused connection. A peer that is unresponsive,
 // partitioned, paused or overloaded does not refuse; its lease has to expire.
 //
