--- a/lease/candidate.go
+++ b/lease/candidate.go
@@ -44,7 +44,7 @@
 	if opts.Clock == nil {
 		opts.Clock = BootTime
 	}
-	h := &Candidate{
+	c := &Candidate{
 		opts:    opts,
 		observe: make(chan struct{}, 1),
 		yield:   make(chan struct{}, 1),
@@ -52,46 +52,46 @@
 		elector: NewElector(opts.TTL),
 		pause:   backoff.NewExponentialBackOff(),
 	}
-	h.pause.InitialInterval = pauseFirst
-	h.pause.MaxInterval = pauseMax
+	c.pause.InitialInterval = pauseFirst
+	c.pause.MaxInterval = pauseMax
 	if opts.MaxRetryDelay > 0 {
-		h.pause.MaxInterval = opts.MaxRetryDelay
+		c.pause.MaxInterval = opts.MaxRetryDelay
 	}
-	h.pause.Reset()
-	h.tenure = h.newTenure()
-	h.tomb.Go(h.run)
-	return h
+	c.pause.Reset()
+	c.tenure = c.newTenure()
+	c.tomb.Go(c.run)
+	return c
 }
 
-func (h *Candidate) newTenure() tenure {
-	key := holderKey(h.opts.Election)
-	if s := h.opts.Session; s != nil {
-		return &sharedTenure{s: s, key: key, taken: h.foundTaken}
+func (c *Candidate) newTenure() tenure {
+	key := holderKey(c.opts.Election)
+	if s := c.opts.Session; s != nil {
+		return &sharedTenure{s: s, key: key, taken: c.foundTaken}
 	}
-	return &ownTenure{store: h.opts.Store, key: key, ttl: h.opts.TTL, clock: h.opts.Clock, taken: h.foundTaken, left: h.leftBehind, depose: h.depose}
+	return &ownTenure{store: c.opts.Store, key: key, ttl: c.opts.TTL, clock: c.opts.Clock, taken: c.foundTaken, left: c.leftBehind, depose: c.depose}
 }
 
 // leftBehind says whether the value of the holder key was written by an earlier process
 // of this instance.
-func (h *Candidate) leftBehind(value []byte) bool {
-	if !h.opts.RemoveStaleClaim {
+func (c *Candidate) leftBehind(value []byte) bool {
+	if !c.opts.RemoveStaleClaim {
 		return false
 	}
 	var r record
-	return json.Unmarshal(value, &r) == nil && r.Instance == h.opts.Instance
+	return json.Unmarshal(value, &r) == nil && r.Instance == c.opts.Instance
 }
 
-func (h *Candidate) foundTaken() {
-	h.taken = true
-	h.pause.Reset()
+func (c *Candidate) foundTaken() {
+	c.taken = true
+	c.pause.Reset()
 }
 
 // Current returns the present holding, and false where the duty is not held.
 // It takes no lock and reads the clock, so that a process that was paused past
 // the end of its lease gets false at once, before any renewal has failed.
-func (h *Candidate) Current() (Leadership, bool) {
-	held := h.current.Load()
-	if held == nil || h.over.Load() || h.opts.Clock() >= held.ValidUntil {
+func (c *Candidate) Current() (Leadership, bool) {
+	held := c.current.Load()
+	if held == nil || c.over.Load() || c.opts.Clock() >= held.ValidUntil {
 		return Leadership{}, false
 	}
 	return *held, true
@@ -99,18 +99,18 @@
 
 // ObserveEpoch tells the Holder that a receiver refused it with a higher epoch. It
 // goes on with one above it, if it still holds the duty.
-func (h *Candidate) ObserveEpoch(epoch uint64) {
+func (c *Candidate) ObserveEpoch(epoch uint64) {
 	for {
-		seen := h.seen.Load()
-		if epoch <= seen {
+		known := c.seen.Load()
+		if epoch <= known {
 			return
 		}
-		if h.seen.CompareAndSwap(seen, epoch) {
+		if c.seen.CompareAndSwap(known, epoch) {
 			break
 		}
 	}
 	select {
-	case h.observe <- struct{}{}:
+	case c.observe <- struct{}{}:
 	default:
 	}
 }
@@ -118,10 +118,10 @@
 // Yield gives the duty up if it is still held under epoch, and goes on as a
 // candidate. It returns at once; Changed tells when it is done. With Hesitate
 // others can come first.
-func (h *Candidate) Yield(epoch uint64) {
-	h.unwant.Store(epoch)
+func (c *Candidate) Yield(epoch uint64) {
+	c.unwant.Store(epoch)
 	select {
-	case h.yield <- struct{}{}:
+	case c.yield <- struct{}{}:
 	default:
 	}
 }
@@ -134,9 +134,9 @@
 // lease until that would have lapsed. So this is only for duties whose every effect is
 // guarded by the epoch, and whoever takes over reckons with what a living predecessor
 // may still promise for a TTL.
-func (h *Candidate) ForceTakeover() bool {
+func (c *Candidate) ForceTakeover() bool {
 	select {
-	case h.depose <- struct{}{}:
+	case c.depose <- struct{}{}:
 		return true
 	default:
 		return false
@@ -147,73 +147,73 @@
 // next candidate takes over at once, without waiting for the lease to lapse.
 // It returns when that is done, or with the context's error; the lease then
 // lapses by itself at worst.
-func (h *Candidate) Resign(ctx context.Context) error {
-	h.over.Store(true)
-	h.tomb.Kill(nil)
+func (c *Candidate) Resign(ctx context.Context) error {
+	c.over.Store(true)
+	c.tomb.Kill(nil)
 	select {
-	case <-h.tomb.Dead():
+	case <-c.tomb.Dead():
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-func (h *Candidate) run() error {
-	act := h.step(Start{})
-	told := false
+func (c *Candidate) run() error {
+	act := c.step(Start{})
+	resignSent := false
 	for {
-		if !told && !h.tomb.Alive() {
-			told = true
-			act = h.step(Resign{})
+		if !resignSent && !c.tomb.Alive() {
+			resignSent = true
+			act = c.step(Resign{})
 		}
 		if _, done := act.(Done); done {
 			return nil
 		}
-		act = h.step(h.perform(act))
+		act = c.step(c.perform(act))
 	}
 }
 
 // step lets the Elector decide and publishes what it holds.
-func (h *Candidate) step(ev Event) Action {
-	act := h.elector.Step(h.opts.Clock(), ev)
-	held, ok := h.elector.Leadership()
-	before := h.current.Load()
+func (c *Candidate) step(ev Event) Action {
+	act := c.elector.Step(c.opts.Clock(), ev)
+	held, ok := c.elector.Leadership()
+	previous := c.current.Load()
 	switch {
-	case ok && (before == nil || *before != held):
-		h.current.Store(&held)
-	case !ok && before != nil:
-		h.current.Store(nil)
+	case ok && (previous == nil || *previous != held):
+		c.current.Store(&held)
+	case !ok && previous != nil:
+		c.current.Store(nil)
 	}
-	if ok != (before != nil) || ok && held.Epoch != before.Epoch {
-		h.changed(held, ok)
+	if ok != (previous != nil) || ok && held.Epoch != previous.Epoch {
+		c.changed(held, ok)
 	}
 	return act
 }
 
-func (h *Candidate) changed(held Leadership, ok bool) {
+func (c *Candidate) changed(held Leadership, ok bool) {
 	if ok {
-		h.pause.Reset()
+		c.pause.Reset()
 	}
-	if h.opts.Log != nil {
-		log := h.opts.Log.WithField("duty", h.opts.Election).WithField("epoch", held.Epoch)
+	if c.opts.Log != nil {
+		log := c.opts.Log.WithField("duty", c.opts.Election).WithField("epoch", held.Epoch)
 		if ok {
 			log.Info("duty gained")
 		} else {
 			log.Info("duty lost")
 		}
 	}
-	if h.opts.OnChange != nil {
-		h.opts.OnChange(held, ok)
+	if c.opts.OnChange != nil {
+		c.opts.OnChange(held, ok)
 	}
 }
 
 // context returns the context of an action: it ends with the Holder, and when
 // the lease could have lapsed, so that a call that hangs cannot keep the
 // Holder from dropping the duty.
-func (h *Candidate) context() (context.Context, context.CancelFunc) {
-	ctx := h.tomb.Context(context.Background())
-	if until, ok := h.elector.Deadline(); ok {
-		return context.WithTimeout(ctx, until-h.opts.Clock())
+func (c *Candidate) context() (context.Context, context.CancelFunc) {
+	ctx := c.tomb.Context(context.Background())
+	if until, ok := c.elector.Deadline(); ok {
+		return context.WithTimeout(ctx, until-c.opts.Clock())
 	}
 	return context.WithCancel(ctx)
 }
@@ -221,21 +221,21 @@
 // sleep waits for d and returns early where the Holder resigns or, with
 // listen, where a higher epoch was observed, the duty is to be yielded, or the
 // lease was lost.
-func (h *Candidate) sleep(d time.Duration, listen bool) Event {
+func (c *Candidate) sleep(d time.Duration, interruptible bool) Event {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
-	observe, yield, lost := h.observe, h.yield, h.tenure.lost()
-	if !listen {
+	observe, yield, lost := c.observe, c.yield, c.tenure.lost()
+	if !interruptible {
 		observe, yield, lost = nil, nil, nil
 	}
 	select {
 	case <-timer.C:
-	case <-h.tomb.Dying():
+	case <-c.tomb.Dying():
 	case <-lost:
 	case <-observe:
-		return HigherEpoch{Epoch: h.seen.Load()}
+		return HigherEpoch{Epoch: c.seen.Load()}
 	case <-yield:
-		return Yield{Epoch: h.unwant.Load()}
+		return Yield{Epoch: c.unwant.Load()}
 	}
 	return WaitEnded{}
 }
--- a/lease/candidate_actions.go
+++ b/lease/candidate_actions.go
@@ -10,60 +10,60 @@
 )
 
 // perform carries out one action and returns its event.
-func (h *Candidate) perform(act Action) Event {
-	ctx, cancel := h.context()
+func (c *Candidate) perform(act Action) Event {
+	ctx, cancel := c.context()
 	defer cancel()
 	switch act := act.(type) {
 	case AwaitVacant:
-		return h.awaitVacant(ctx)
+		return c.awaitVacant(ctx)
 	case Grant:
-		return h.tenure.grant(ctx)
+		return c.tenure.grant(ctx)
 	case Claim:
-		return h.claimKey(ctx, act)
+		return c.claimKey(ctx, act)
 	case ReadEpoch:
-		return h.readEpoch(ctx)
+		return c.readEpoch(ctx)
 	case RaiseEpoch:
-		return h.raiseEpoch(ctx, act)
+		return c.raiseEpoch(ctx, act)
 	case Verify:
-		_, held := h.elector.Leadership()
-		return h.tenure.verify(ctx, h.claim, held)
+		_, held := c.elector.Leadership()
+		return c.tenure.verify(ctx, c.claim, held)
 	case Renew:
-		return h.tenure.renew(ctx, act.Lease)
+		return c.tenure.renew(ctx, act.Lease)
 	case Revoke:
-		h.tenure.release(act.Lease, h.claim, h.over.Load())
+		c.tenure.release(act.Lease, c.claim, c.over.Load())
 		return Revoked{}
 	case Sleep:
-		return h.sleep(act.Until-h.opts.Clock(), true)
+		return c.sleep(act.Until-c.opts.Clock(), true)
 	case BackOff:
-		return h.sleep(h.pause.NextBackOff(), false)
+		return c.sleep(c.pause.NextBackOff(), false)
 	}
 	panic("lease: unknown action")
 }
 
 // awaitVacant finds the duty vacant twice where others are to come first.
-func (h *Candidate) awaitVacant(ctx context.Context) Event {
-	for hesitated := false; ; hesitated = true {
-		h.taken = false
-		ev := h.tenure.awaitVacant(ctx)
+func (c *Candidate) awaitVacant(ctx context.Context) Event {
+	for delayed := false; ; delayed = true {
+		c.taken = false
+		ev := c.tenure.awaitVacant(ctx)
 		_, vacant := ev.(Vacant)
-		if !vacant || h.opts.ClaimDelay == nil || hesitated && !h.taken {
+		if !vacant || c.opts.ClaimDelay == nil || delayed && !c.taken {
 			return ev
 		}
-		rest(ctx, h.opts.ClaimDelay())
+		rest(ctx, c.opts.ClaimDelay())
 	}
 }
 
-func (h *Candidate) claimKey(ctx context.Context, act Claim) Event {
-	h.claim = record{Instance: h.opts.Instance, Token: uuid.NewString()}.encode()
-	won, err := h.tenure.swap(ctx, store.Swap{Key: holderKey(h.opts.Election), Value: h.claim, Lease: act.Lease})
+func (c *Candidate) claimKey(ctx context.Context, act Claim) Event {
+	c.claim = record{Instance: c.opts.Instance, Token: uuid.NewString()}.encode()
+	succeeded, err := c.tenure.swap(ctx, store.Swap{Key: holderKey(c.opts.Election), Value: c.claim, Lease: act.Lease})
 	if err != nil {
 		return failed(err)
 	}
-	return Claimed{Succeeded: won}
+	return Claimed{Succeeded: succeeded}
 }
 
-func (h *Candidate) readEpoch(ctx context.Context) Event {
-	kv, ok, err := h.tenure.read(ctx, epochKey(h.opts.Election))
+func (c *Candidate) readEpoch(ctx context.Context) Event {
+	kv, ok, err := c.tenure.read(ctx, epochKey(c.opts.Election))
 	if err != nil {
 		return failed(err)
 	}
@@ -77,11 +77,11 @@
 	return EpochRead{Epoch: r.Epoch, Revision: kv.Mod}
 }
 
-func (h *Candidate) raiseEpoch(ctx context.Context, act RaiseEpoch) Event {
-	r := record{Instance: h.opts.Instance, Token: uuid.NewString(), Epoch: act.Epoch}
-	won, err := h.tenure.swap(ctx, store.Swap{Key: epochKey(h.opts.Election), Expect: act.ExpectRevision, Value: r.encode()})
+func (c *Candidate) raiseEpoch(ctx context.Context, act RaiseEpoch) Event {
+	r := record{Instance: c.opts.Instance, Token: uuid.NewString(), Epoch: act.Epoch}
+	succeeded, err := c.tenure.swap(ctx, store.Swap{Key: epochKey(c.opts.Election), Expect: act.ExpectRevision, Value: r.encode()})
 	if err != nil {
 		return failed(err)
 	}
-	return Raised{Succeeded: won}
+	return Raised{Succeeded: succeeded}
 }
--- a/lease/candidate_test.go
+++ b/lease/candidate_test.go
@@ -39,9 +39,9 @@
 }
 
 // run starts a candidate and returns it with the channel of its changes.
-func (b *bench) run(t *testing.T, ttl time.Duration, change ...func(*lease.CandidateOptions)) (*lease.Candidate, <-chan lease.Leadership) {
+func (env *bench) run(t *testing.T, ttl time.Duration, changes ...func(*lease.CandidateOptions)) (*lease.Candidate, <-chan lease.Leadership) {
 	store := store.NewClient(store.Options{
-		Endpoints:   []string{b.url},
+		Endpoints:   []string{env.url},
 		CallTimeout: 200 * time.Millisecond,
 		WatchIdle:   200 * time.Millisecond,
 	})
@@ -52,11 +52,11 @@
 			gained <- held
 		}
 	}
-	for _, f := range change {
+	for _, f := range changes {
 		f(&opts)
 	}
 	if inSessions {
-		opts.Session = b.session(opts)
+		opts.Session = env.session(opts)
 	}
 	h := lease.StartCandidate(opts)
 	t.Cleanup(func() {
@@ -73,23 +73,23 @@
 // lease, of ten minutes here, to lapse, nor ask the store again and again.
 func TestHolderResigns(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, standin.Options{})
-	first, gained := b.run(t, 10*time.Minute)
+	env := newBench(t, standin.Options{})
+	first, gained := env.run(t, 10*time.Minute)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(1))
 	_, ok := first.Current()
 	c.Assert(ok, qt.IsTrue)
-	second, gained := b.run(t, 10*time.Minute)
-	for b.srv.Counters().Watch == 0 {
+	second, gained := env.run(t, 10*time.Minute)
+	for env.srv.Counters().Watch == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	waiting := b.srv.Counters()
+	waiting := env.srv.Counters()
 	c.Assert(first.Resign(context.Background()), qt.IsNil)
 	_, ok = first.Current()
 	c.Assert(ok, qt.IsFalse)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(2))
 	_, ok = second.Current()
 	c.Assert(ok, qt.IsTrue)
-	used := b.srv.Counters().Total() - waiting.Total()
+	used := env.srv.Counters().Total() - waiting.Total()
 	c.Assert(used <= 7, qt.IsTrue, qt.Commentf("%d calls for a change of holder", used))
 }
 
@@ -97,10 +97,10 @@
 // recognise its own writes instead of waiting for a holder that is itself.
 func TestHolderLostReplies(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, standin.Options{})
+	env := newBench(t, standin.Options{})
 	for n := range 4 {
-		b.srv.SetFaults(standin.Faults{LoseReplies: n + 1})
-		h, gained := b.run(t, 10*time.Minute)
+		env.srv.SetFaults(standin.Faults{LoseReplies: n + 1})
+		h, gained := env.run(t, 10*time.Minute)
 		c.Assert((<-gained).Epoch > uint64(n), qt.IsTrue)
 		c.Assert(h.Resign(context.Background()), qt.IsNil)
 	}
@@ -110,9 +110,9 @@
 // process must see that its lease has lapsed.
 func TestHolderSuspended(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, standin.Options{})
+	env := newBench(t, standin.Options{})
 	var clock atomic.Int64
-	h, gained := b.run(t, 10*time.Minute, func(o *lease.CandidateOptions) {
+	h, gained := env.run(t, 10*time.Minute, func(o *lease.CandidateOptions) {
 		o.Clock = func() time.Duration { return time.Duration(clock.Load()) }
 	})
 	<-gained
@@ -127,8 +127,8 @@
 // the planner's orders as those of an older one.
 func TestHolderObserves(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, standin.Options{})
-	h, gained := b.run(t, 10*time.Minute)
+	env := newBench(t, standin.Options{})
+	h, gained := env.run(t, 10*time.Minute)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(1))
 	h.ObserveEpoch(41)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(42))
@@ -142,11 +142,11 @@
 	const seed, rounds = 1, 60
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	c := qt.New(t)
-	b := newBench(t, standin.Options{})
+	env := newBench(t, standin.Options{})
 	var mu sync.Mutex
 	var epochs []uint64
 	run := func() *lease.Candidate {
-		h, _ := b.run(t, time.Second, func(o *lease.CandidateOptions) {
+		h, _ := env.run(t, time.Second, func(o *lease.CandidateOptions) {
 			o.OnChange = func(held lease.Leadership, ok bool) {
 				mu.Lock()
 				defer mu.Unlock()
@@ -161,10 +161,10 @@
 	rng := rand.New(rand.NewPCG(seed, 0))
 	for round := range rounds {
 		checks := 20
-		b.srv.SetFaults(randomFaults(rng))
+		env.srv.SetFaults(randomFaults(rng))
 		switch round % 30 {
 		case 10, 20:
-			b.srv.SetFaults(standin.Faults{})
+			env.srv.SetFaults(standin.Faults{})
 			i, held := waitForHolder(c, holders)
 			c.Assert(holders[i].Resign(context.Background()), qt.IsNil)
 			next, successor := waitForHolder(c, holders)
@@ -172,7 +172,7 @@
 			c.Assert(successor.Epoch > held.Epoch, qt.IsTrue, qt.Commentf("%d after %d", successor.Epoch, held.Epoch))
 			holders[i] = run()
 		case 15:
-			b.srv.SetFaults(standin.Faults{Down: standin.DownHang})
+			env.srv.SetFaults(standin.Faults{Down: standin.DownHang})
 			checks = 700
 		}
 		for range checks {
@@ -180,7 +180,7 @@
 			time.Sleep(2 * time.Millisecond)
 		}
 	}
-	b.srv.SetFaults(standin.Faults{})
+	env.srv.SetFaults(standin.Faults{})
 	for _, h := range holders {
 		c.Assert(h.Resign(context.Background()), qt.IsNil)
 	}
@@ -210,11 +210,11 @@
 // holder between two questions is not taken for two holders. The same epoch in
 // both answers says that the first held the duty all the while.
 func checkHolders(c *qt.C, a, b *lease.Candidate) {
-	one, ok1 := a.Current()
-	two, ok2 := b.Current()
-	later, again := a.Current()
-	throughout := ok1 && again && one.Epoch == later.Epoch
-	c.Assert(throughout && ok2, qt.IsFalse, qt.Commentf("epochs %d and %d", one.Epoch, two.Epoch))
+	first, ok1 := a.Current()
+	second, ok2 := b.Current()
+	firstAgain, ok3 := a.Current()
+	throughout := ok1 && ok3 && first.Epoch == firstAgain.Epoch
+	c.Assert(throughout && ok2, qt.IsFalse, qt.Commentf("epochs %d and %d", first.Epoch, second.Epoch))
 }
 
 func randomFaults(rng *rand.Rand) standin.Faults {
--- a/lease/elector_test.go
+++ b/lease/elector_test.go
@@ -22,7 +22,7 @@
 // The choices come from a plain generator: they are weighted, which needs even
 // numbers, and rapid's lean to small ones.
 func TestElectorRandom(t *testing.T) {
-	holdings := 0
+	leaderships := 0
 	for seed := range *runs {
 		w := newWorld(uint64(seed))
 		for range steps {
@@ -34,10 +34,10 @@
 		if err := w.settle(); err != "" {
 			t.Fatalf("seed %d: %s", seed, err)
 		}
-		holdings += w.holdings
+		leaderships += w.holdings
 	}
-	t.Logf("%d runs, %d holdings", *runs, holdings)
-	qt.Assert(t, holdings > 5**runs, qt.IsTrue)
+	t.Logf("%d runs, %d holdings", *runs, leaderships)
+	qt.Assert(t, leaderships > 5**runs, qt.IsTrue)
 }
 
 // renewing returns a candidate that holds the duty and is about to renew.
@@ -77,13 +77,13 @@
 	m := &model{leases: make(map[store.LeaseID]time.Duration)}
 	a := renewing(c, m)
 	reply := m.apply(a.act, a.sent)
-	lapses := m.now + ttl
+	expiresAt := m.now + ttl
 	m.now += 5 * time.Second
 	a.step(m.now, reply)
 	a.step(m.now, m.apply(a.act, a.sent))
 	held, ok := a.Leadership()
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(held.ValidUntil < lapses, qt.IsTrue, qt.Commentf("until %v, lapses %v", held.ValidUntil, lapses))
+	c.Assert(held.ValidUntil < expiresAt, qt.IsTrue, qt.Commentf("until %v, lapses %v", held.ValidUntil, expiresAt))
 }
 
 func TestFence(t *testing.T) {
--- a/lease/handover_test.go
+++ b/lease/handover_test.go
@@ -14,16 +14,16 @@
 // pause it would be first to find it vacant and take it again.
 func TestHolderYields(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, standin.Options{})
+	env := newBench(t, standin.Options{})
 	hesitate := func(o *lease.CandidateOptions) { o.ClaimDelay = func() time.Duration { return time.Hour } }
-	first, gained := b.run(t, 10*time.Minute)
+	first, gained := env.run(t, 10*time.Minute)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(1))
-	_, other := b.run(t, 10*time.Minute, hesitate)
+	_, other := env.run(t, 10*time.Minute, hesitate)
 	// Meant for an earlier holding: ignored.
 	first.Yield(0)
 	first.ObserveEpoch(4)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(5))
-	third, won := b.run(t, 10*time.Minute)
+	third, won := env.run(t, 10*time.Minute)
 	first.Yield(5)
 	var held lease.Leadership
 	select {
@@ -42,10 +42,10 @@
 // lives after all, finds its claim gone with its next renewal and is a candidate again.
 func TestDeposedHolderIsReplacedAtOnce(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, standin.Options{})
-	first, gained := b.run(t, 3*time.Second)
+	env := newBench(t, standin.Options{})
+	first, gained := env.run(t, 3*time.Second)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(1))
-	second, won := b.run(t, 10*time.Minute)
+	second, won := env.run(t, 10*time.Minute)
 	c.Assert(first.ForceTakeover(), qt.IsFalse, qt.Commentf("a holder has nobody to depose"))
 	for !second.ForceTakeover() {
 		time.Sleep(time.Millisecond) // it does not wait for the duty yet
--- a/lease/own_lease_store.go
+++ b/lease/own_lease_store.go
@@ -37,10 +37,10 @@
 		return o.remove(ctx, snap.Keys[0])
 	}
 	o.taken()
-	switch gone, err := o.watchHolder(ctx, snap.At+1); {
-	case gone == holderLeft:
+	switch result, err := o.watchHolder(ctx, snap.At+1); {
+	case result == holderLeft:
 		return Vacant{}
-	case gone == holderDeposed:
+	case result == holderDeposed:
 		return o.remove(ctx, snap.Keys[0])
 	default:
 		return failed(err)
@@ -60,28 +60,28 @@
 func (o *ownTenure) watchHolder(ctx context.Context, from store.Revision) (departure, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var deposed atomic.Bool
+	var takeover atomic.Bool
 	go func() {
 		select {
 		case <-o.depose:
-			deposed.Store(true)
+			takeover.Store(true)
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
-	vacant := false
+	deleted := false
 	err := o.store.Watch(ctx, o.key, from, func(b store.WatchBatch) {
 		for _, e := range b.Events {
-			vacant = e.Deleted
+			deleted = e.Deleted
 		}
-		if vacant {
+		if deleted {
 			cancel()
 		}
 	})
 	switch {
-	case vacant:
+	case deleted:
 		return holderLeft, nil
-	case deposed.Load():
+	case takeover.Load():
 		return holderDeposed, nil
 	}
 	return holderStays, err
@@ -90,11 +90,11 @@
 // remove deletes a claim whose holder is gone or believed so, so that its lease need not
 // be waited for. A claim made since is left alone.
 func (o *ownTenure) remove(ctx context.Context, kv store.KeyValue) Event {
-	gone, err := o.swap(ctx, store.Swap{Key: kv.Key, Expect: kv.Mod, Delete: true})
+	deleted, err := o.swap(ctx, store.Swap{Key: kv.Key, Expect: kv.Mod, Delete: true})
 	if err != nil {
 		return failed(err)
 	}
-	if !gone {
+	if !deleted {
 		return Failed{}
 	}
 	return Vacant{}
--- a/lease/session.go
+++ b/lease/session.go
@@ -60,30 +60,30 @@
 // Lease waits until there is a lease and returns it, with a channel that is closed
 // when it is lost. Keys of the embedder that are bound to it end with it.
 func (s *Session) Lease(ctx context.Context) (store.LeaseID, <-chan struct{}, error) {
-	t, err := s.current(ctx)
+	l, err := s.current(ctx)
 	if err != nil {
 		return 0, nil, err
 	}
-	return t.lease, t.lost, nil
+	return l.lease, l.lost, nil
 }
 
 // Valid says whether the Session's lease certainly lives now, by its last
 // renewal.
 func (s *Session) Valid() bool {
 	s.mu.Lock()
-	t := s.term
+	l := s.term
 	s.mu.Unlock()
-	return t != nil && s.opts.Clock() < t.until()
+	return l != nil && s.opts.Clock() < l.until()
 }
 
 // current waits for a term.
 func (s *Session) current(ctx context.Context) (*term, error) {
 	for {
 		s.mu.Lock()
-		t, changed := s.term, s.changed
+		l, changed := s.term, s.changed
 		s.mu.Unlock()
-		if t != nil {
-			return t, nil
+		if l != nil {
+			return l, nil
 		}
 		select {
 		case <-changed:
@@ -95,10 +95,10 @@
 	}
 }
 
-func (s *Session) set(t *term) {
+func (s *Session) set(l *term) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.term = t
+	s.term = l
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -107,31 +107,31 @@
 func (s *Session) run() error {
 	defer s.swaps.Close()
 	ctx := s.tomb.Context(context.Background())
-	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval = pauseFirst
-	wait.MaxInterval = pauseMax
+	retryDelay := backoff.NewExponentialBackOff()
+	retryDelay.InitialInterval = pauseFirst
+	retryDelay.MaxInterval = pauseMax
 	for s.tomb.Alive() {
 		if s.serve(ctx) {
-			wait.Reset()
+			retryDelay.Reset()
 		}
-		rest(ctx, wait.NextBackOff())
+		rest(ctx, retryDelay.NextBackOff())
 	}
 	return nil
 }
 
 // serve is the life of one lease; false where none was had.
 func (s *Session) serve(ctx context.Context) bool {
-	t, err := s.begin(ctx)
+	l, err := s.begin(ctx)
 	if err != nil {
 		return false
 	}
-	s.set(t)
+	s.set(l)
 	s.log("lease granted", nil)
-	err = t.run(ctx)
+	err = l.run(ctx)
 	s.set(nil)
-	close(t.lost)
+	close(l.lost)
 	s.log("lease lost", err)
-	s.revoke(t.lease)
+	s.revoke(l.lease)
 	return true
 }
 
@@ -141,12 +141,12 @@
 	if err != nil {
 		return nil, err
 	}
-	t := newTerm(s, id, sent)
-	if err := t.write(ctx); err != nil {
+	l := newTerm(s, id, sent)
+	if err := l.write(ctx); err != nil {
 		s.revoke(id)
 		return nil, err
 	}
-	return t, nil
+	return l, nil
 }
 
 // revoke is not cut short by the Session's own end: other candidates wait for it.
--- a/lease/session_lease.go
+++ b/lease/session_lease.go
@@ -65,14 +65,14 @@
 }
 
 // run keeps the term until its lease is lost or ctx ends, and says why.
-func (t *term) run(ctx context.Context) error {
+func (l *term) run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return t.keep(ctx) })
-	group.Go(func() error { return t.seals(ctx) })
-	group.Go(func() error { return t.follow(ctx) })
+	group.Go(func() error { return l.keep(ctx) })
+	group.Go(func() error { return l.seals(ctx) })
+	group.Go(func() error { return l.follow(ctx) })
 	group.Go(func() error {
 		select {
-		case err := <-t.fail:
+		case err := <-l.fail:
 			return err
 		case <-ctx.Done():
 			return ctx.Err()
@@ -82,58 +82,58 @@
 }
 
 // giveUp ends the term.
-func (t *term) giveUp(err error) {
+func (l *term) giveUp(err error) {
 	select {
-	case t.fail <- err:
+	case l.fail <- err:
 	default:
 	}
 }
 
 // keep renews the lease.
-func (t *term) keep(ctx context.Context) error {
-	ttl := t.s.opts.TTL
-	pause := ttl / renewShare
+func (l *term) keep(ctx context.Context) error {
+	ttl := l.s.opts.TTL
+	delay := ttl / renewShare
 	for {
-		rest(ctx, min(pause, max(0, t.until()-t.s.opts.Clock())))
+		rest(ctx, min(delay, max(0, l.until()-l.s.opts.Clock())))
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		err := t.renew(ctx)
+		err := l.renew(ctx)
 		switch {
 		case eris.Is(err, store.ErrLeaseNotFound), eris.Is(err, errReplaced):
 			return err
-		case t.s.opts.Clock() >= t.until():
+		case l.s.opts.Clock() >= l.until():
 			return errLapsed
 		case err != nil:
-			pause = ttl / retryShare
+			delay = ttl / retryShare
 		default:
-			pause = ttl / renewShare
+			delay = ttl / renewShare
 		}
 	}
 }
 
-func (t *term) renew(ctx context.Context) error {
-	sent := t.s.opts.Clock()
-	ctx, cancel := context.WithTimeout(ctx, t.until()-sent)
+func (l *term) renew(ctx context.Context) error {
+	sent := l.s.opts.Clock()
+	ctx, cancel := context.WithTimeout(ctx, l.until()-sent)
 	defer cancel()
-	if _, err := t.s.opts.Store.Renew(ctx, t.lease); err != nil {
+	if _, err := l.s.opts.Store.Renew(ctx, l.lease); err != nil {
 		return err
 	}
-	kv, ok, err := t.s.opts.Store.Get(ctx, t.key)
+	kv, ok, err := l.s.opts.Store.Get(ctx, l.key)
 	if err != nil {
 		return err
 	}
-	if !ok || !t.wrote(kv.Value) {
+	if !ok || !l.wrote(kv.Value) {
 		return errReplaced
 	}
-	t.update(func() { t.sent = max(t.sent, sent) })
+	l.update(func() { l.sent = max(l.sent, sent) })
 	return nil
 }
 
-func (t *term) wrote(value []byte) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for _, v := range t.values {
+func (l *term) wrote(value []byte) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, v := range l.values {
 		if bytes.Equal(v, value) {
 			return true
 		}
@@ -142,66 +142,66 @@
 }
 
 // until is when the lease could lapse at the earliest.
-func (t *term) until() time.Duration { return usable(t.renewed(), t.s.opts.TTL) }
+func (l *term) until() time.Duration { return usable(l.renewed(), l.s.opts.TTL) }
 
 // renewed is when the last verified renewal was sent.
-func (t *term) renewed() time.Duration {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.sent
+func (l *term) renewed() time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.sent
 }
 
-func (t *term) update(change func()) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (l *term) update(change func()) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	change()
-	close(t.changed)
-	t.changed = make(chan struct{})
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
 // renewal waits for a verified renewal that was sent later than before.
-func (t *term) renewal(ctx context.Context, before time.Duration) (time.Duration, error) {
+func (l *term) renewal(ctx context.Context, previous time.Duration) (time.Duration, error) {
 	for {
-		t.mu.Lock()
-		sent, changed := t.sent, t.changed
-		t.mu.Unlock()
-		if sent > before {
+		l.mu.Lock()
+		sent, changed := l.sent, l.changed
+		l.mu.Unlock()
+		if sent > previous {
 			return sent, nil
 		}
-		if err := t.wait(ctx, changed); err != nil {
+		if err := l.wait(ctx, changed); err != nil {
 			return 0, err
 		}
 	}
 }
 
 // seal returns when the Session's key has been written after the call began.
-func (t *term) seal(ctx context.Context) error {
-	t.mu.Lock()
-	t.want++
-	mine := t.want
-	t.mu.Unlock()
+func (l *term) seal(ctx context.Context) error {
+	l.mu.Lock()
+	l.want++
+	request := l.want
+	l.mu.Unlock()
 	select {
-	case t.poke <- struct{}{}:
+	case l.poke <- struct{}{}:
 	default:
 	}
 	for {
-		t.mu.Lock()
-		done, changed := t.sealed >= mine, t.changed
-		t.mu.Unlock()
+		l.mu.Lock()
+		done, changed := l.sealed >= request, l.changed
+		l.mu.Unlock()
 		if done {
 			return nil
 		}
-		if err := t.wait(ctx, changed); err != nil {
+		if err := l.wait(ctx, changed); err != nil {
 			return err
 		}
 	}
 }
 
-func (t *term) wait(ctx context.Context, changed <-chan struct{}) error {
+func (l *term) wait(ctx context.Context, changed <-chan struct{}) error {
 	select {
 	case <-changed:
 		return nil
-	case <-t.lost:
+	case <-l.lost:
 		return store.ErrLeaseNotFound
 	case <-ctx.Done():
 		return ctx.Err()
@@ -209,22 +209,22 @@
 }
 
 // seals makes the seals; those asked for while one is made share the next.
-func (t *term) seals(ctx context.Context) error {
+func (l *term) seals(ctx context.Context) error {
 	for {
 		select {
-		case <-t.poke:
+		case <-l.poke:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 		for {
-			err := t.write(ctx)
+			err := l.write(ctx)
 			if err == nil {
 				break
 			}
 			if eris.Is(err, store.ErrLeaseNotFound) || eris.Is(err, errReplaced) {
 				return err
 			}
-			rest(ctx, t.s.opts.TTL/retryShare)
+			rest(ctx, l.s.opts.TTL/retryShare)
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
@@ -234,37 +234,37 @@
 
 // write writes the Session's key. Only its own earlier writes may be found there:
 // anything else is another store's history.
-func (t *term) write(ctx context.Context) error {
-	value := record{Instance: t.s.opts.Instance, Token: uuid.NewString()}.encode()
-	t.mu.Lock()
-	want, expect := t.want, t.mod
-	t.values = append(t.values, value)
-	t.mu.Unlock()
+func (l *term) write(ctx context.Context) error {
+	value := record{Instance: l.s.opts.Instance, Token: uuid.NewString()}.encode()
+	l.mu.Lock()
+	requested, expectRevision := l.want, l.mod
+	l.values = append(l.values, value)
+	l.mu.Unlock()
 	for {
-		res, err := t.s.swaps.Swap(ctx, store.Swap{Key: t.key, Expect: expect, Value: value, Lease: t.lease})
+		res, err := l.s.swaps.Swap(ctx, store.Swap{Key: l.key, Expect: expectRevision, Value: value, Lease: l.lease})
 		switch {
 		case err != nil:
 			return err
 		case res.Swapped:
-			t.update(func() { t.sealed, t.mod, t.values = want, res.Current.Mod, [][]byte{value} })
+			l.update(func() { l.sealed, l.mod, l.values = requested, res.Current.Mod, [][]byte{value} })
 			return nil
 		case res.Unknown:
 			return store.ErrUnavailable
-		case res.Current.Mod == expect || !t.wrote(res.Current.Value):
+		case res.Current.Mod == expectRevision || !l.wrote(res.Current.Value):
 			return errReplaced
 		}
-		expect = res.Current.Mod // an earlier write whose reply was lost
+		expectRevision = res.Current.Mod // an earlier write whose reply was lost
 	}
 }
 
 // follow keeps the view.
-func (t *term) follow(ctx context.Context) error {
-	store, prefix := t.s.opts.Store, dutyPrefix(t.s.opts.Domain)
+func (l *term) follow(ctx context.Context) error {
+	store, prefix := l.s.opts.Store, dutyPrefix(l.s.opts.Domain)
 	for ctx.Err() == nil {
 		snap, err := store.List(ctx, prefix)
 		if err == nil {
-			t.view.list(snap)
-			_ = store.Watch(ctx, prefix, snap.At+1, t.view.deliver)
+			l.view.list(snap)
+			_ = store.Watch(ctx, prefix, snap.At+1, l.view.deliver)
 		}
 		rest(ctx, pauseFirst)
 	}
--- a/lease/session_simulation_test.go
+++ b/lease/session_simulation_test.go
@@ -26,13 +26,13 @@
 	if w.sessions == nil {
 		return
 	}
-	s, now := w.sessions[i], w.candidates[i].clock(w.store.now)
+	s, clock := w.sessions[i], w.candidates[i].clock(w.store.now)
 	if s.asked == nil {
-		s.asked = &now
+		s.asked = &clock
 		return
 	}
 	w.store.lapse()
-	if _, lives := w.store.leases[s.id]; !lives {
+	if _, alive := w.store.leases[s.id]; !alive {
 		w.store.rev++
 		s.id, s.claims = store.LeaseID(w.store.rev), map[store.LeaseID]bool{}
 	}
@@ -61,8 +61,8 @@
 			m.holder = 0 // a claim that came late
 		}
 	case lease.Grant:
-		end, lives := m.leases[s.id]
-		if !lives {
+		end, alive := m.leases[s.id]
+		if !alive {
 			return nil
 		}
 		m.rev++
@@ -70,7 +70,7 @@
 		s.claims[claim], m.leases[claim], s.taken = true, end, s.sent
 		return lease.Granted{Lease: claim, Sent: s.sent}
 	case lease.Renew:
-		if _, lives := m.leases[act.Lease]; !lives {
+		if _, alive := m.leases[act.Lease]; !alive {
 			return lease.Failed{LeaseNotFound: true}
 		}
 		if s.sent <= s.taken {
@@ -94,7 +94,7 @@
 // besides, as of dead ones: two may be valid then until the first one's next
 // renewal, but the one whose key is in the store has the highest epoch.
 func TestElectorInSessionRandom(t *testing.T) {
-	holdings := 0
+	leaderships := 0
 	for seed := range *runs {
 		w := newWorld(uint64(seed))
 		for range w.candidates {
@@ -112,8 +112,8 @@
 		if err := w.settle(); err != "" {
 			t.Fatalf("seed %d: %s", seed, err)
 		}
-		holdings += w.holdings
+		leaderships += w.holdings
 	}
-	t.Logf("%d runs, %d holdings", *runs, holdings)
-	qt.Assert(t, holdings > 5**runs, qt.IsTrue)
+	t.Logf("%d runs, %d holdings", *runs, leaderships)
+	qt.Assert(t, leaderships > 5**runs, qt.IsTrue)
 }
--- a/lease/session_test.go
+++ b/lease/session_test.go
@@ -22,10 +22,10 @@
 var inSessions = false
 
 // session opens a Session for a candidate and waits until it watches.
-func (b *bench) session(o lease.CandidateOptions) *lease.Session {
-	before := b.srv.Counters().Watch
+func (env *bench) session(o lease.CandidateOptions) *lease.Session {
+	watchesBefore := env.srv.Counters().Watch
 	s := lease.OpenSession(lease.SessionOptions{Store: o.Store, Domain: domain, Instance: o.Instance, TTL: o.TTL, Clock: o.Clock})
-	for b.srv.Faults() == (standin.Faults{}) && b.srv.Counters().Watch == before {
+	for env.srv.Faults() == (standin.Faults{}) && env.srv.Counters().Watch == watchesBefore {
 		time.Sleep(time.Millisecond)
 	}
 	return s
@@ -52,56 +52,56 @@
 	took func(duty int, epoch uint64)
 }
 
-func (b *bench) member(t *testing.T, ttl time.Duration, duties int, took ...func(duty int, epoch uint64)) *member {
-	store := store.NewClient(store.Options{Endpoints: []string{b.url}, CallTimeout: 200 * time.Millisecond, WatchIdle: b.watchIdle})
-	m := &member{session: b.session(lease.CandidateOptions{Store: store, TTL: ttl, Instance: t.Name()})}
-	if len(took) > 0 {
-		m.took = took[0]
+func (env *bench) member(t *testing.T, ttl time.Duration, duties int, onGain ...func(duty int, epoch uint64)) *member {
+	store := store.NewClient(store.Options{Endpoints: []string{env.url}, CallTimeout: 200 * time.Millisecond, WatchIdle: env.watchIdle})
+	p := &member{session: env.session(lease.CandidateOptions{Store: store, TTL: ttl, Instance: t.Name()})}
+	if len(onGain) > 0 {
+		p.took = onGain[0]
 	}
 	for i := range duties {
 		gained := make(chan lease.Leadership, 100)
-		m.gained = append(m.gained, gained)
-		m.holders = append(m.holders, lease.StartCandidate(lease.CandidateOptions{
-			Session: m.session, Election: fmt.Sprintf("%s/service-%02d", domain, i), Instance: t.Name(),
+		p.gained = append(p.gained, gained)
+		p.holders = append(p.holders, lease.StartCandidate(lease.CandidateOptions{
+			Session: p.session, Election: fmt.Sprintf("%s/service-%02d", domain, i), Instance: t.Name(),
 			OnChange: func(held lease.Leadership, ok bool) {
 				if !ok {
 					return
 				}
-				if m.took != nil && lease.BootTime() < held.ValidUntil {
-					m.took(i, held.Epoch)
+				if p.took != nil && lease.BootTime() < held.ValidUntil {
+					p.took(i, held.Epoch)
 				}
 				gained <- held
 			},
 		}))
 	}
 	t.Cleanup(func() {
-		for _, h := range m.holders {
+		for _, h := range p.holders {
 			_ = h.Resign(context.Background())
 		}
-		_ = m.session.Close(context.Background())
+		_ = p.session.Close(context.Background())
 		store.Close()
 	})
-	return m
+	return p
 }
 
 // A region has many duties and the store counts each call: what a process pays to
 // hold them must not grow with their number.
 func TestSessionCallsDoNotGrowWithDuties(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, standin.Options{})
-	b.watchIdle = time.Hour // a watch that is replaced on a busy machine is a call
-	m := b.member(t, time.Second, 50)
-	for _, g := range m.gained {
+	env := newBench(t, standin.Options{})
+	env.watchIdle = time.Hour // a watch that is replaced on a busy machine is a call
+	p := env.member(t, time.Second, 50)
+	for _, g := range p.gained {
 		<-g
 	}
-	c.Logf("to gain 50 duties: %+v", b.srv.Counters())
-	before := b.srv.Counters()
-	for b.srv.Counters().KeepAlive < before.KeepAlive+6 {
+	c.Logf("to gain 50 duties: %+v", env.srv.Counters())
+	before := env.srv.Counters()
+	for env.srv.Counters().KeepAlive < before.KeepAlive+6 {
 		time.Sleep(time.Millisecond)
 	}
-	used := b.srv.Counters().Total() - before.Total()
+	used := env.srv.Counters().Total() - before.Total()
 	c.Check(used <= 6+6+2, qt.IsTrue, qt.Commentf("%d calls for 6 renewals", used))
-	for _, h := range m.holders {
+	for _, h := range p.holders {
 		_, ok := h.Current()
 		c.Check(ok, qt.IsTrue)
 	}
@@ -113,29 +113,29 @@
 // process must see by itself that its claims are not all there any more.
 func TestSessionInRestoredStore(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, standin.Options{})
-	b.watchIdle = time.Hour
-	m := b.member(t, time.Second, 2)
-	first := []lease.Leadership{<-m.gained[0], <-m.gained[1]}
-	b.srv.SetFaults(standin.Faults{FreezeWatches: true})
-	b.srv.Snapshot()
-	late := m.late(t, c)
-	b.srv.Restore()
+	env := newBench(t, standin.Options{})
+	env.watchIdle = time.Hour
+	p := env.member(t, time.Second, 2)
+	first := []lease.Leadership{<-p.gained[0], <-p.gained[1]}
+	env.srv.SetFaults(standin.Faults{FreezeWatches: true})
+	env.srv.Snapshot()
+	late := p.late(t, c)
+	env.srv.Restore()
 	c.Assert((<-late).Epoch, qt.Equals, uint64(1)) // the backup knows no epoch of it
 	for i, held := range first {
-		c.Assert((<-m.gained[i]).Epoch > held.Epoch, qt.IsTrue)
+		c.Assert((<-p.gained[i]).Epoch > held.Epoch, qt.IsTrue)
 	}
 }
 
 // late adds a Holder that gains its duty now, and returns what it gains after.
-func (m *member) late(t *testing.T, c *qt.C) <-chan lease.Leadership {
+func (p *member) late(t *testing.T, c *qt.C) <-chan lease.Leadership {
 	gained := make(chan lease.Leadership, 100)
-	h := lease.StartCandidate(lease.CandidateOptions{Session: m.session, Election: domain + "/late", Instance: t.Name(), OnChange: func(held lease.Leadership, ok bool) {
+	h := lease.StartCandidate(lease.CandidateOptions{Session: p.session, Election: domain + "/late", Instance: t.Name(), OnChange: func(held lease.Leadership, ok bool) {
 		if ok {
 			gained <- held
 		}
 	}})
-	m.holders = append(m.holders, h)
+	p.holders = append(p.holders, h)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(1))
 	return gained
 }
@@ -144,18 +144,18 @@
 // although its lease lives, and must not lose the other duty.
 func TestSessionKeyDeleted(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, standin.Options{})
-	m := b.member(t, time.Second, 2)
-	<-m.gained[0]
-	<-m.gained[1]
-	operator := store.NewClient(store.Options{Endpoints: []string{b.url}})
+	env := newBench(t, standin.Options{})
+	p := env.member(t, time.Second, 2)
+	<-p.gained[0]
+	<-p.gained[1]
+	operator := store.NewClient(store.Options{Endpoints: []string{env.url}})
 	key := fmt.Sprintf("duty/%s/service-00/holder", domain)
 	kv, _, err := operator.Get(context.Background(), key)
 	c.Assert(err, qt.IsNil)
 	_, err = operator.Commit(context.Background(), []store.Swap{{Key: key, Expect: kv.Mod, Delete: true}})
 	c.Assert(err, qt.IsNil)
-	c.Assert((<-m.gained[0]).Epoch, qt.Equals, uint64(2))
-	held, ok := m.holders[1].Current()
+	c.Assert((<-p.gained[0]).Epoch, qt.Equals, uint64(2))
+	held, ok := p.holders[1].Current()
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(held.Epoch, qt.Equals, uint64(1))
 }
@@ -164,17 +164,17 @@
 // all duties at the next renewal, the other has them at once, and nothing is stuck.
 func TestSessionRevokedByAnother(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, standin.Options{})
-	m := b.member(t, time.Second, 3)
-	for _, g := range m.gained {
+	env := newBench(t, standin.Options{})
+	p := env.member(t, time.Second, 3)
+	for _, g := range p.gained {
 		c.Assert((<-g).Epoch, qt.Equals, uint64(1))
 	}
-	id, lost, err := m.session.Lease(context.Background())
+	id, lost, err := p.session.Lease(context.Background())
 	c.Assert(err, qt.IsNil)
-	operator := store.NewClient(store.Options{Endpoints: []string{b.url}})
+	operator := store.NewClient(store.Options{Endpoints: []string{env.url}})
 	c.Assert(operator.Revoke(context.Background(), id), qt.IsNil)
 	<-lost
-	for _, g := range m.gained {
+	for _, g := range p.gained {
 		c.Assert((<-g).Epoch, qt.Equals, uint64(2))
 	}
 }
@@ -184,15 +184,15 @@
 // Session's lease: without a clean-up no process could ever take the duty.
 func TestSessionLateCreation(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, standin.Options{})
-	m := b.member(t, time.Second, 1)
-	<-m.gained[0]
-	other := b.member(t, time.Second, 1)
+	env := newBench(t, standin.Options{})
+	p := env.member(t, time.Second, 1)
+	<-p.gained[0]
+	other := env.member(t, time.Second, 1)
 	id, _, err := other.session.Lease(context.Background())
 	c.Assert(err, qt.IsNil)
-	operator := store.NewClient(store.Options{Endpoints: []string{b.url}})
+	operator := store.NewClient(store.Options{Endpoints: []string{env.url}})
 	key := fmt.Sprintf("duty/%s/service-00/holder", domain)
-	c.Assert(m.holders[0].Resign(context.Background()), qt.IsNil)
+	c.Assert(p.holders[0].Resign(context.Background()), qt.IsNil)
 	<-other.gained[0]
 	kv, _, err := operator.Get(context.Background(), key)
 	c.Assert(err, qt.IsNil)
@@ -207,33 +207,33 @@
 func TestSessionsUnderFaults(t *testing.T) {
 	const seed, rounds, duties = 7, 60, 5
 	c := qt.New(t)
-	b := newBench(t, standin.Options{})
+	env := newBench(t, standin.Options{})
 	var mu sync.Mutex
 	epochs := make([][]uint64, duties)
-	took := func(duty int, epoch uint64) {
+	onGain := func(duty int, epoch uint64) {
 		mu.Lock()
 		defer mu.Unlock()
 		epochs[duty] = append(epochs[duty], epoch)
 	}
-	ms := []*member{b.member(t, time.Second, duties, took), b.member(t, time.Second, duties, took)}
+	processes := []*member{env.member(t, time.Second, duties, onGain), env.member(t, time.Second, duties, onGain)}
 	rng := rand.New(rand.NewPCG(seed, 0))
 	for round := range rounds {
-		b.srv.SetFaults(randomFaults(rng))
+		env.srv.SetFaults(randomFaults(rng))
 		if round%20 == 10 {
-			b.srv.SetFaults(standin.Faults{Down: standin.DownHang})
+			env.srv.SetFaults(standin.Faults{Down: standin.DownHang})
 		}
 		for range 20 {
 			for i := range duties {
-				checkHolders(c, ms[0].holders[i], ms[1].holders[i])
+				checkHolders(c, processes[0].holders[i], processes[1].holders[i])
 			}
 			time.Sleep(2 * time.Millisecond)
 		}
 	}
-	b.srv.SetFaults(standin.Faults{})
+	env.srv.SetFaults(standin.Faults{})
 	for i := range duties {
 		for held := false; !held; time.Sleep(time.Millisecond) {
-			_, first := ms[0].holders[i].Current()
-			_, second := ms[1].holders[i].Current()
+			_, first := processes[0].holders[i].Current()
+			_, second := processes[1].holders[i].Current()
 			held = first || second
 		}
 	}
--- a/lease/shared_lease_store.go
+++ b/lease/shared_lease_store.go
@@ -35,28 +35,28 @@
 const viewWait = 200 * time.Millisecond
 
 func (o *sharedTenure) awaitVacant(ctx context.Context) Event {
-	t, err := o.s.current(ctx)
+	l, err := o.s.current(ctx)
 	if err != nil {
 		return Failed{}
 	}
-	if t != o.term {
-		o.term, o.after, o.removed = t, 0, 0
+	if l != o.term {
+		o.term, o.after, o.removed = l, 0, 0
 	}
 	o.claimed, o.pending = 0, false
 	for {
-		kv, ok, ready, changed := t.view.get(o.key, o.after)
+		kv, ok, ready, changed := l.view.get(o.key, o.after)
 		switch {
 		case ready && !ok:
 			return Vacant{}
-		case ready && kv.Lease == t.lease && kv.Mod != o.removed:
+		case ready && kv.Lease == l.lease && kv.Mod != o.removed:
 			if _, err := o.remove(ctx, kv.Mod); err != nil {
 				return failed(err)
 			}
-		case ready && kv.Lease == t.lease: // the watch is about to show it gone
+		case ready && kv.Lease == l.lease: // the watch is about to show it gone
 		case ready:
 			o.taken()
 		}
-		if err := t.wait(ctx, changed); err != nil {
+		if err := l.wait(ctx, changed); err != nil {
 			return failed(err)
 		}
 	}
@@ -82,18 +82,18 @@
 }
 
 func (o *sharedTenure) swap(ctx context.Context, s store.Swap) (bool, error) {
-	claim := s.Key == o.key
-	o.pending = o.pending || claim
+	isClaim := s.Key == o.key
+	o.pending = o.pending || isClaim
 	res, err := o.s.swaps.Swap(ctx, s)
 	if err != nil {
-		o.pending = o.pending && !claim
+		o.pending = o.pending && !isClaim
 		return false, err
 	}
 	o.after = max(o.after, res.Current.Mod)
-	if claim && res.Swapped {
+	if isClaim && res.Swapped {
 		o.claimed = res.Current.Mod
 	}
-	if claim && !res.Unknown {
+	if isClaim && !res.Unknown {
 		o.pending = false
 	}
 	return res.Swapped, nil
@@ -102,9 +102,9 @@
 // read takes the key from the view, as of the last own write; that is what a read
 // of the store would have to show at least.
 func (o *sharedTenure) read(ctx context.Context, key string) (store.KeyValue, bool, error) {
-	short, cancel := context.WithTimeout(ctx, viewWait)
+	shortCtx, cancel := context.WithTimeout(ctx, viewWait)
 	defer cancel()
-	kv, ok, err := o.term.view.await(short, key, o.after)
+	kv, ok, err := o.term.view.await(shortCtx, key, o.after)
 	if err == nil {
 		return kv, ok, nil
 	}
@@ -145,12 +145,12 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), o.s.opts.TTL)
 	defer cancel()
-	doubt := o.pending
+	unresolved := o.pending
 	if o.claimed != 0 {
-		gone, _ := o.remove(ctx, o.claimed)
-		doubt = doubt || !gone
+		deleted, _ := o.remove(ctx, o.claimed)
+		unresolved = unresolved || !deleted
 	}
-	if doubt && final {
+	if unresolved && final {
 		o.term.giveUp(errDoubt)
 	}
 }
--- a/lease/simulation_test.go
+++ b/lease/simulation_test.go
@@ -73,11 +73,11 @@
 
 // reach lets a request reach the store, or leaves it on its way for later while
 // the caller gives up.
-func (w *world) reach(i int, delay bool) {
+func (w *world) reach(i int, late bool) {
 	c := w.candidates[i]
 	switch {
 	case c.event != nil:
-	case delay:
+	case late:
 		w.late = append(w.late, c.act)
 		c.event = lease.Failed{}
 		if _, ok := c.act.(lease.Revoke); ok {
@@ -92,13 +92,13 @@
 
 // answer gives a candidate its event, or Failed in its place. However long it
 // was on its way, the candidate may have been paused meanwhile.
-func (w *world) answer(i int, lose bool) {
+func (w *world) answer(i int, loseReply bool) {
 	c := w.candidates[i]
 	if c.event == nil {
 		return
 	}
 	_, revoked := c.event.(lease.Revoked)
-	if lose && !revoked {
+	if loseReply && !revoked {
 		c.event = lease.Failed{}
 	}
 	c.step(w.store.now, c.event)
@@ -132,15 +132,15 @@
 		w.holdings++
 	}
 	for _, other := range w.candidates {
-		theirs, valid := other.valid(w.store.now)
+		otherHeld, valid := other.valid(w.store.now)
 		if !valid || other == c {
 			continue
 		}
 		if !w.wild {
-			return fmt.Sprintf("two valid holders, epochs %d and %d", held.Epoch, theirs.Epoch)
+			return fmt.Sprintf("two valid holders, epochs %d and %d", held.Epoch, otherHeld.Epoch)
 		}
-		if w.owns(c) && theirs.Epoch >= held.Epoch {
-			return fmt.Sprintf("owner of the key has epoch %d, another %d", held.Epoch, theirs.Epoch)
+		if w.owns(c) && otherHeld.Epoch >= held.Epoch {
+			return fmt.Sprintf("owner of the key has epoch %d, another %d", held.Epoch, otherHeld.Epoch)
 		}
 	}
 	if !w.wild && held.Epoch < w.last.Epoch || held.Epoch == w.last.Epoch && c != w.lastBy {
--- a/lease/stale_claim_test.go
+++ b/lease/stale_claim_test.go
@@ -16,8 +16,8 @@
 // of its earlier life removed, nobody would hold the duty until that life's lease lapses.
 func TestRestartedHolderReclaimsItsDuty(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, standin.Options{})
-	kv := store.NewClient(store.Options{Endpoints: []string{b.url}})
+	env := newBench(t, standin.Options{})
+	kv := store.NewClient(store.Options{Endpoints: []string{env.url}})
 	defer kv.Close()
 	ctx := context.Background()
 	id, err := kv.Grant(ctx, time.Hour)
--- a/lease/store_model_test.go
+++ b/lease/store_model_test.go
@@ -52,19 +52,19 @@
 		if _, ok := m.leases[act.Lease]; !ok {
 			return lease.Failed{LeaseNotFound: true}
 		}
-		won := m.holder == 0
-		if won {
+		succeeded := m.holder == 0
+		if succeeded {
 			m.holder = act.Lease
 		}
-		return lease.Claimed{Succeeded: won}
+		return lease.Claimed{Succeeded: succeeded}
 	case lease.ReadEpoch:
 		return lease.EpochRead{Epoch: m.epoch, Revision: m.mod}
 	case lease.RaiseEpoch:
-		won := m.mod == act.ExpectRevision
-		if won {
+		succeeded := m.mod == act.ExpectRevision
+		if succeeded {
 			m.epoch, m.mod = act.Epoch, m.rev
 		}
-		return lease.Raised{Succeeded: won}
+		return lease.Raised{Succeeded: succeeded}
 	case lease.Verify:
 		return lease.Verified{Owned: m.holder == act.Lease}
 	case lease.Renew:
--- a/lease/watch_cache.go
+++ b/lease/watch_cache.go
@@ -53,17 +53,17 @@
 
 // get returns a key as of a revision not before after; ready is false where
 // that is not known yet. changed is closed at the next change.
-func (v *view) get(key string, after store.Revision) (kv store.KeyValue, ok, ready bool, changed <-chan struct{}) {
+func (v *view) get(key string, minRevision store.Revision) (kv store.KeyValue, ok, ready bool, changed <-chan struct{}) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	kv, ok = v.keys[key]
-	return kv, ok, v.listed && v.seen >= after, v.changed
+	return kv, ok, v.listed && v.seen >= minRevision, v.changed
 }
 
 // await is get that waits until it is ready.
-func (v *view) await(ctx context.Context, key string, after store.Revision) (store.KeyValue, bool, error) {
+func (v *view) await(ctx context.Context, key string, minRevision store.Revision) (store.KeyValue, bool, error) {
 	for {
-		kv, ok, ready, changed := v.get(key, after)
+		kv, ok, ready, changed := v.get(key, minRevision)
 		if ready {
 			return kv, ok, nil
 		}
--- a/membership/admit.go
+++ b/membership/admit.go
@@ -12,24 +12,24 @@
 // An availability zone that returns at once sends hundreds of full reports in
 // a moment. Beyond the pace they are shed before anything is kept of them, and
 // the sender is told when to come back, later for each that was shed.
-func (t *Table) admit(now time.Time, in *wire.AgentReport, relayed bool) *record {
-	final := in.Goodbye || in.Draining
-	if !in.Full && !final {
-		t.emit(NeedFull{ID: in.ID})
+func (t *Table) admit(now time.Time, report *wire.AgentReport, relayed bool) *record {
+	terminal := report.Goodbye || report.Draining
+	if !report.Full && !terminal {
+		t.emit(NeedFull{ID: report.ID})
 		return nil
 	}
-	if !relayed && !final {
+	if !relayed && !terminal {
 		if ok, after := t.pace.take(now); !ok {
-			t.refuse(in.ID, after)
+			t.refuse(report.ID, after)
 			return nil
 		}
 	}
 	if len(t.records) >= t.cfg.MaxMembers && !t.dropGone() {
-		t.refuse(in.ID, t.cfg.ReportPeriod)
+		t.refuse(report.ID, t.cfg.ReportPeriod)
 		return nil
 	}
-	r := &record{id: in.ID, incarnation: in.Incarnation, gone: now}
-	t.records[in.ID] = r
+	r := &record{id: report.ID, incarnation: report.Incarnation, gone: now}
+	t.records[report.ID] = r
 	return r
 }
 
--- a/membership/choose_relays.go
+++ b/membership/choose_relays.go
@@ -17,7 +17,7 @@
 // (rendezvous hashing) among those that are alive, not draining and able to
 // relay. Whoever knows the same agents chooses the same, and one that comes or
 // goes changes the choice of its own rack at most.
-func ChooseRelays(view *ServiceView, least int) map[Rack]wire.RelayInfo {
+func ChooseRelays(view *ServiceView, minAgents int) map[Rack]wire.RelayInfo {
 	type best struct {
 		hash  uint64
 		from  *Member
@@ -35,7 +35,7 @@
 	}
 	relays := make(map[Rack]wire.RelayInfo, len(racks))
 	for rack, b := range racks {
-		if b.from != nil && b.count >= least {
+		if b.from != nil && b.count >= minAgents {
 			relays[rack] = RelayOf(&b.from.Report)
 		}
 	}
--- a/membership/diff.go
+++ b/membership/diff.go
@@ -10,17 +10,17 @@
 // diff returns the groups in which two full reports differ.
 func diff(a, b wire.AgentReport) wire.Changed {
 	var groups wire.Changed
-	add := func(same bool, group wire.Changed) {
-		if !same {
+	addUnlessEqual := func(equal bool, group wire.Changed) {
+		if !equal {
 			groups |= group
 		}
 	}
-	add(place(a) == place(b), wire.ChangedPlace)
-	add(size(a) == size(b), wire.ChangedSize)
-	add(a.Draining == b.Draining, wire.ChangedDraining)
-	add(a.Load == b.Load, wire.ChangedLoad)
-	add(a.Fence == b.Fence && sameTasks(a.Tasks, b.Tasks), wire.ChangedTasks)
-	add(slices.Equal(a.Generations, b.Generations), wire.ChangedGenerations)
+	addUnlessEqual(place(a) == place(b), wire.ChangedPlace)
+	addUnlessEqual(size(a) == size(b), wire.ChangedSize)
+	addUnlessEqual(a.Draining == b.Draining, wire.ChangedDraining)
+	addUnlessEqual(a.Load == b.Load, wire.ChangedLoad)
+	addUnlessEqual(a.Fence == b.Fence && sameTasks(a.Tasks, b.Tasks), wire.ChangedTasks)
+	addUnlessEqual(slices.Equal(a.Generations, b.Generations), wire.ChangedGenerations)
 	return groups
 }
 
--- a/membership/ingest.go
+++ b/membership/ingest.go
@@ -7,28 +7,28 @@
 )
 
 // ingest takes one report, in whatever order reports come.
-func (t *Table) ingest(now time.Time, in *wire.AgentReport, relayed bool) {
-	age := max(in.Age, 0)
-	if age > t.cfg.LostAfter && !in.Goodbye {
+func (t *Table) ingest(now time.Time, report *wire.AgentReport, relayed bool) {
+	age := max(report.Age, 0)
+	if age > t.cfg.LostAfter && !report.Goodbye {
 		return
 	}
-	r := t.records[in.ID]
+	r := t.records[report.ID]
 	if r == nil {
-		r = t.admit(now, in, relayed)
+		r = t.admit(now, report, relayed)
 	}
 	if r == nil {
 		return
 	}
-	if in.Incarnation < r.incarnation {
+	if report.Incarnation < r.incarnation {
 		if !relayed {
 			t.emit(Newer{ID: r.id, Incarnation: r.incarnation})
 		}
 		return
 	}
-	if in.Incarnation > r.incarnation {
-		t.supersede(now, r, in.Incarnation)
+	if report.Incarnation > r.incarnation {
+		t.supersede(now, r, report.Incarnation)
 	}
-	t.update(now, r, in, relayed, now.Add(-age))
+	t.update(now, r, report, relayed, now.Add(-age))
 }
 
 // supersede ends the older incarnation: its process is gone for certain.
@@ -40,58 +40,58 @@
 }
 
 // update takes a report of the record's own incarnation.
-func (t *Table) update(now time.Time, r *record, in *wire.AgentReport, relayed bool, heard time.Time) {
+func (t *Table) update(now time.Time, r *record, report *wire.AgentReport, relayed bool, contact time.Time) {
 	if r.left {
 		return
 	}
-	if in.Goodbye {
+	if report.Goodbye {
 		t.leave(now, r)
 		return
 	}
 	// Draining counts even when the report is late or can't be applied: it
 	// is final within an incarnation, and waiting for a full report would
 	// offer the member meanwhile.
-	if in.Draining {
+	if report.Draining {
 		t.drain(r)
 	}
 	// Who heard the agent last relays it. An agent that moved to another
 	// entry is heard there directly and here by relay, with a later time.
-	if heard.After(r.heard) {
-		r.heard = heard
+	if contact.After(r.heard) {
+		r.heard = contact
 		r.lifeVersion = t.version
 		t.setDirect(r, !relayed)
 	}
-	t.merge(r, in, relayed)
+	t.merge(r, report, relayed)
 	t.recover(now, r)
 }
 
 // merge applies the report's content when it is newer and complete. Sequences
 // begin at 1; a report without one has no content.
-func (t *Table) merge(r *record, in *wire.AgentReport, relayed bool) {
-	back := r.member == nil
-	if in.Sequence == 0 || in.Sequence < r.sequence || (in.Sequence == r.sequence && !back) {
+func (t *Table) merge(r *record, report *wire.AgentReport, relayed bool) {
+	joining := r.member == nil
+	if report.Sequence == 0 || report.Sequence < r.sequence || (report.Sequence == r.sequence && !joining) {
 		return
 	}
-	if !in.Full && (back || in.Base > r.sequence) {
+	if !report.Full && (joining || report.Base > r.sequence) {
 		t.emit(NeedFull{ID: r.id})
 		return
 	}
 	base := wire.AgentReport{}
 	state := Alive
-	if !back {
+	if !joining {
 		base = r.member.Report
 		state = r.member.State
 	}
-	next, groups := apply(base, *in)
+	next, groups := apply(base, *report)
 	next.Draining = r.draining
-	r.sequence = in.Sequence
+	r.sequence = report.Sequence
 	r.touch(groups, t.version)
 	m := &Member{Report: next, State: state}
-	t.announce(r, m, groups, back)
+	t.announce(r, m, groups, joining)
 }
 
-func (t *Table) announce(r *record, m *Member, groups wire.Changed, back bool) {
-	if back {
+func (t *Table) announce(r *record, m *Member, groups wire.Changed, joining bool) {
+	if joining {
 		t.set(r, m)
 		t.urgent = true
 		t.emit(Joined{Member: m})
--- a/membership/random_relays_test.go
+++ b/membership/random_relays_test.go
@@ -174,23 +174,23 @@
 
 // call makes one exchange; done gets nil if no answer comes in time.
 func (w *relayWorld) call(from *rackAgent, to *node, name string, serve func() *wire.ReportAck, done func(*wire.ReportAck)) {
-	ended := false
-	end := func(ack *wire.ReportAck) func() {
+	finished := false
+	finish := func(ack *wire.ReportAck) func() {
 		return func() {
-			if !ended {
-				ended = true
+			if !finished {
+				finished = true
 				done(ack)
 			}
 		}
 	}
-	w.at(callTimeout, &from.node, end(nil))
+	w.at(callTimeout, &from.node, finish(nil))
 	if w.lost(from.id, name) {
 		return
 	}
 	w.at(w.delay(), to, func() {
 		ack := serve()
 		if !w.lost(from.id, name) {
-			w.at(w.delay(), &from.node, end(ack))
+			w.at(w.delay(), &from.node, finish(ack))
 		}
 	})
 }
@@ -298,23 +298,23 @@
 	e := w.entries[i]
 	r := e.table.records[a.id]
 	if r != nil && r.incarnation == a.incarnation {
-		late := r.heard.Sub(a.alive) - 2*oneWay - pausedAfter
-		w.c.Assert(late <= 0, qt.IsTrue, qt.Commentf("%s counts as heard by %s %v after it last ran", a.id, e.addr, late))
+		excess := r.heard.Sub(a.alive) - 2*oneWay - pausedAfter
+		w.c.Assert(excess <= 0, qt.IsTrue, qt.Commentf("%s counts as heard by %s %v after it last ran", a.id, e.addr, excess))
 	}
 	if !a.up || a.frozen.After(w.now) {
 		return
 	}
-	free := laterOf(laterOf(a.since, e.since), laterOf(w.bad, w.cuts[min(a.id, e.addr)+max(a.id, e.addr)]))
-	if w.now.Sub(free) > mostSilence {
+	unhindered := laterOf(laterOf(a.since, e.since), laterOf(w.bad, w.cuts[min(a.id, e.addr)+max(a.id, e.addr)]))
+	if w.now.Sub(unhindered) > mostSilence {
 		w.c.Assert(r != nil && w.now.Sub(r.heard) <= mostSilence, qt.IsTrue, qt.Commentf("%s was not heard by %s", a.id, e.addr))
 	}
-	if !a.drained.IsZero() && w.now.Sub(laterOf(free, a.drained)) > mostDraining {
+	if !a.drained.IsZero() && w.now.Sub(laterOf(unhindered, a.drained)) > mostDraining {
 		offered := slices.Contains(offeredIDs(e.table), a.id)
 		w.c.Assert(offered, qt.IsFalse, qt.Commentf("%s drains since %v and is offered by %s", a.id, w.now.Sub(a.drained), e.addr))
 	}
-	if i == w.planner && !a.inGang.IsZero() && w.now.Sub(laterOf(laterOf(free, a.inGang), w.plans)) > mostGangQuiet {
-		quiet := w.now.Sub(e.direct[a.id])
-		w.c.Assert(quiet <= mostGangQuiet, qt.IsTrue, qt.Commentf("%s has a gang, and its planner did not hear it itself for %v", a.id, quiet))
+	if i == w.planner && !a.inGang.IsZero() && w.now.Sub(laterOf(laterOf(unhindered, a.inGang), w.plans)) > mostGangQuiet {
+		sinceDirect := w.now.Sub(e.direct[a.id])
+		w.c.Assert(sinceDirect <= mostGangQuiet, qt.IsTrue, qt.Commentf("%s has a gang, and its planner did not hear it itself for %v", a.id, sinceDirect))
 	}
 }
 
@@ -322,27 +322,27 @@
 	a := w.agents[w.rng.IntN(relayAgents)]
 	i := w.rng.IntN(relayEntries)
 	e := w.entries[i]
-	span := time.Duration(w.rng.IntN(60)) * time.Second
+	duration := time.Duration(w.rng.IntN(60)) * time.Second
 	switch w.rng.IntN(12) {
 	case 0, 1:
-		w.killAgent(a, span)
+		w.killAgent(a, duration)
 	case 2:
-		a.frozen = laterOf(a.frozen, w.now.Add(span))
+		a.frozen = laterOf(a.frozen, w.now.Add(duration))
 		a.since = a.frozen
 	case 3:
 		e.up = false
 		w.at(0, &node{up: true}, func() { w.startEntry(i) })
 	case 4:
-		w.bad = w.now.Add(span / 4)
+		w.bad = w.now.Add(duration / 4)
 	case 5:
 		other := w.agents[w.rng.IntN(relayAgents)]
-		w.cuts[min(a.id, other.id)+max(a.id, other.id)] = w.now.Add(span)
+		w.cuts[min(a.id, other.id)+max(a.id, other.id)] = w.now.Add(duration)
 	case 6:
-		w.cuts[min(a.id, e.addr)+max(a.id, e.addr)] = w.now.Add(span)
+		w.cuts[min(a.id, e.addr)+max(a.id, e.addr)] = w.now.Add(duration)
 	case 7:
 		w.drain(a)
 		if relay, ok := a.announcer.Relay(); ok && w.rng.IntN(2) == 0 {
-			w.killAgent(w.agents[slices.IndexFunc(w.agents, func(b *rackAgent) bool { return b.id == relay.ID })], span)
+			w.killAgent(w.agents[slices.IndexFunc(w.agents, func(b *rackAgent) bool { return b.id == relay.ID })], duration)
 		}
 	case 8:
 		w.planner, w.plans = i, w.now
@@ -351,9 +351,9 @@
 	}
 }
 
-func (w *relayWorld) killAgent(a *rackAgent, span time.Duration) {
+func (w *relayWorld) killAgent(a *rackAgent, downtime time.Duration) {
 	a.up = false
-	w.at(span, &node{up: true}, func() {
+	w.at(downtime, &node{up: true}, func() {
 		if !a.up {
 			w.startAgent(a)
 		}
--- a/membership/random_reports_test.go
+++ b/membership/random_reports_test.go
@@ -160,11 +160,11 @@
 	}
 	i := w.rng.IntN(len(w.network))
 	p := w.network[i]
-	fate := w.rng.IntN(10)
-	if fate > 0 {
+	outcome := w.rng.IntN(10)
+	if outcome > 0 {
 		p.reply(w.now, w.apply(p.to, p.ev))
 	}
-	if fate < 8 || len(w.network) > 20 {
+	if outcome < 8 || len(w.network) > 20 {
 		w.network = append(w.network[:i], w.network[i+1:]...)
 	}
 }
@@ -220,13 +220,13 @@
 	for _, m := range view.Members {
 		r := m.Report
 		last := w.seen[i][r.ID]
-		back := r.Incarnation < last.incarnation || (r.Incarnation == last.incarnation && r.Sequence < last.sequence)
-		w.c.Assert(back, qt.IsFalse, qt.Commentf("%s went back from %v to %d/%d", r.ID, last, r.Incarnation, r.Sequence))
+		wentBack := r.Incarnation < last.incarnation || (r.Incarnation == last.incarnation && r.Sequence < last.sequence)
+		w.c.Assert(wentBack, qt.IsFalse, qt.Commentf("%s went back from %v to %d/%d", r.ID, last, r.Incarnation, r.Sequence))
 		w.c.Assert(w.left[i][r.ID] < r.Incarnation, qt.IsTrue, qt.Commentf("%s is back after its goodbye", r.ID))
-		now := version{r.ID, r.Incarnation, r.Sequence}
-		w.seen[i][r.ID] = now
-		w.c.Assert(diff(w.truth[now], r)&^wire.ChangedDraining, qt.Equals, wire.Changed(0),
-			qt.Commentf("%v is\n%+v, should be\n%+v", now, r, w.truth[now]))
+		current := version{r.ID, r.Incarnation, r.Sequence}
+		w.seen[i][r.ID] = current
+		w.c.Assert(diff(w.truth[current], r)&^wire.ChangedDraining, qt.Equals, wire.Changed(0),
+			qt.Commentf("%v is\n%+v, should be\n%+v", current, r, w.truth[current]))
 	}
 }
 
--- a/membership/relay_route.go
+++ b/membership/relay_route.go
@@ -31,48 +31,48 @@
 }
 
 // Relay returns the relay to report to; false: there is none.
-func (p *RelayRoute) Relay() (wire.RelayInfo, bool) { return p.relay, p.relay != wire.RelayInfo{} }
+func (r *RelayRoute) Relay() (wire.RelayInfo, bool) { return r.relay, r.relay != wire.RelayInfo{} }
 
 // Digest is the digest of the relay's last answer with content.
-func (p *RelayRoute) Digest() uint64 { return p.digest }
+func (r *RelayRoute) Digest() uint64 { return r.digest }
 
 // OfferRelay says that an entry named the relay of the agent's rack. An agent that
 // has one stays with it: entries that don't know the same agents name different
 // ones, and following each word would move it to and fro. The relay itself says
 // when another one is to be used.
-func (p *RelayRoute) OfferRelay(now time.Time, relay wire.RelayInfo) {
-	if _, ok := p.Relay(); !ok {
-		p.move(now, relay)
+func (r *RelayRoute) OfferRelay(now time.Time, relay wire.RelayInfo) {
+	if _, ok := r.Relay(); !ok {
+		r.move(now, relay)
 	}
 }
 
 // Clear ends the use of the relay.
-func (p *RelayRoute) Clear() {
-	p.relay = wire.RelayInfo{}
-	p.digest, p.entries, p.until = 0, nil, time.Time{}
+func (r *RelayRoute) Clear() {
+	r.relay = wire.RelayInfo{}
+	r.digest, r.entries, r.until = 0, nil, time.Time{}
 }
 
 // HandleFailure says that the relay left a report unanswered, or refused it.
-func (p *RelayRoute) HandleFailure(now time.Time) {
-	p.avoided[p.relay] = now.Add(relayAvoid)
-	p.Clear()
+func (r *RelayRoute) HandleFailure(now time.Time) {
+	r.avoided[r.relay] = now.Add(relayAvoid)
+	r.Clear()
 }
 
 // HandleAck takes the relay's answer to the report that was sent at the time.
-func (p *RelayRoute) HandleAck(now, sent time.Time, ack *wire.ReportAck) {
-	if slices.Contains(ack.Refused, p.self) {
-		p.HandleFailure(now)
+func (r *RelayRoute) HandleAck(now, sent time.Time, ack *wire.ReportAck) {
+	if slices.Contains(ack.Refused, r.self) {
+		r.HandleFailure(now)
 		return
 	}
-	if ack.Digest != p.digest {
-		p.digest = ack.Digest
-		p.entries = addresses(ack.Entries)
-		if ack.Relay != p.relay {
-			p.move(now, ack.Relay)
+	if ack.Digest != r.digest {
+		r.digest = ack.Digest
+		r.entries = addresses(ack.Entries)
+		if ack.Relay != r.relay {
+			r.move(now, ack.Relay)
 			return
 		}
 	}
-	p.until = sent.Add(relayCover)
+	r.until = sent.Add(relayCover)
 }
 
 func addresses(entries []wire.EntryInfo) []string {
@@ -83,23 +83,23 @@
 	return out
 }
 
-func (p *RelayRoute) move(now time.Time, to wire.RelayInfo) {
-	p.Clear()
-	for relay, until := range p.avoided {
+func (r *RelayRoute) move(now time.Time, to wire.RelayInfo) {
+	r.Clear()
+	for relay, until := range r.avoided {
 		if !now.Before(until) {
-			delete(p.avoided, relay)
+			delete(r.avoided, relay)
 		}
 	}
-	if _, bad := p.avoided[to]; bad || to.ID == p.self {
+	if _, avoided := r.avoided[to]; avoided || to.ID == r.self {
 		return
 	}
-	p.relay = to
+	r.relay = to
 }
 
 // ForwardsTo says whether the relay passes the agent's reports on to the entry.
-func (p *RelayRoute) ForwardsTo(now time.Time, entry string) bool {
-	return now.Before(p.until) && slices.Contains(p.entries, entry)
+func (r *RelayRoute) ForwardsTo(now time.Time, entry string) bool {
+	return now.Before(r.until) && slices.Contains(r.entries, entry)
 }
 
 // ValidUntil returns when the relay's word ends if it does not answer again.
-func (p *RelayRoute) ValidUntil() time.Time { return p.until }
+func (r *RelayRoute) ValidUntil() time.Time { return r.until }
--- a/membership/relayer.go
+++ b/membership/relayer.go
@@ -74,8 +74,8 @@
 
 func (r *Relayer) drop(id string) {
 	delete(r.newer, id)
-	for _, t := range r.told {
-		delete(t.owed, id)
+	for _, state := range r.told {
+		delete(state.owed, id)
 	}
 }
 
@@ -92,10 +92,10 @@
 // Batch returns what to tell the entry now of the members, each with its age,
 // and the mark to give to Acked with the entry's answer.
 func (r *Relayer) Batch(now time.Time, entry string) ([]wire.AgentReport, Cursor) {
-	t := r.entry(entry)
-	batch, cursor := r.table.Relay(now, t.cursor)
+	state := r.entry(entry)
+	batch, cursor := r.table.Relay(now, state.cursor)
 	var due []string
-	for id, at := range t.owed {
+	for id, at := range state.owed {
 		if !now.Before(at) {
 			due = append(due, id)
 		}
@@ -125,18 +125,18 @@
 
 // HandleAck takes the entry's answer to the batch.
 func (r *Relayer) HandleAck(now time.Time, entry string, batch []wire.AgentReport, cursor Cursor, ack *wire.ReportAck) {
-	t := r.entry(entry)
-	t.cursor = max(t.cursor, cursor)
+	state := r.entry(entry)
+	state.cursor = max(state.cursor, cursor)
 	for _, a := range batch {
 		if a.Full {
-			delete(t.owed, a.ID)
+			delete(state.owed, a.ID)
 		}
 	}
 	for _, id := range ack.NeedFull {
-		r.owe(t, id, now)
+		r.owe(state, id, now)
 	}
 	for _, id := range ack.Refused {
-		r.owe(t, id, now.Add(ack.NextReport))
+		r.owe(state, id, now.Add(ack.NextReport))
 	}
 	for _, seen := range ack.Newer {
 		if r.table.records[seen.ID] != nil {
@@ -147,31 +147,31 @@
 
 // owe notes that the entry needs a full report; the agent's own word is not
 // needed for it.
-func (r *Relayer) owe(t *told, id string, at time.Time) {
+func (r *Relayer) owe(state *told, id string, at time.Time) {
 	if record := r.table.records[id]; record != nil && record.member != nil {
-		t.owed[id] = at
+		state.owed[id] = at
 	}
 }
 
 // FullReportDue returns when the next full report for the entry is due; false: none is.
 func (r *Relayer) FullReportDue(entry string) (time.Time, bool) {
-	var first time.Time
+	var earliest time.Time
 	for _, at := range r.entry(entry).owed {
-		if first.IsZero() || at.Before(first) {
-			first = at
+		if earliest.IsZero() || at.Before(earliest) {
+			earliest = at
 		}
 	}
-	return first, !first.IsZero()
+	return earliest, !earliest.IsZero()
 }
 
 // Forget drops an entry that the relay no longer reports to.
 func (r *Relayer) Forget(entry string) { delete(r.told, entry) }
 
 func (r *Relayer) entry(addr string) *told {
-	t := r.told[addr]
-	if t == nil {
-		t = &told{owed: make(map[string]time.Time)}
-		r.told[addr] = t
+	state := r.told[addr]
+	if state == nil {
+		state = &told{owed: make(map[string]time.Time)}
+		r.told[addr] = state
 	}
-	return t
+	return state
 }
--- a/membership/report_router.go
+++ b/membership/report_router.go
@@ -59,55 +59,55 @@
 }
 
 // AddEntry begins reports to an entry. False: it is known, or there are too many.
-func (a *ReportRouter) AddEntry(addr string) bool {
-	if a.entries[addr] != nil || len(a.entries) >= a.cfg.MaxEntries {
+func (r *ReportRouter) AddEntry(addr string) bool {
+	if r.entries[addr] != nil || len(r.entries) >= r.cfg.MaxEntries {
 		return false
 	}
-	a.entries[addr] = &entryLink{}
+	r.entries[addr] = &entryLink{}
 	return true
 }
 
 // RemoveEntry ends reports to an entry.
-func (a *ReportRouter) RemoveEntry(addr string) {
-	if l := a.entries[addr]; l != nil && l.planner {
-		a.planned = time.Time{}
+func (r *ReportRouter) RemoveEntry(addr string) {
+	if l := r.entries[addr]; l != nil && l.planner {
+		r.planned = time.Time{}
 	}
-	delete(a.entries, addr)
-	a.reporter.Forget(addr)
-	a.relayer.Forget(addr)
+	delete(r.entries, addr)
+	r.reporter.Forget(addr)
+	r.relayer.Forget(addr)
 }
 
 // SetState takes the agent's whole state.
-func (a *ReportRouter) SetState(now time.Time, state wire.AgentReport) {
-	a.draining = a.draining || state.Draining
-	a.inGang = slices.ContainsFunc(state.Tasks, func(t gang.Task) bool {
+func (r *ReportRouter) SetState(now time.Time, state wire.AgentReport) {
+	r.draining = r.draining || state.Draining
+	r.inGang = slices.ContainsFunc(state.Tasks, func(t gang.Task) bool {
 		return t.Members > 1 && t.State == gang.StateRunning
 	})
-	a.reporter.SetState(now, state)
+	r.reporter.SetState(now, state)
 }
 
 // SetTimestamp takes the stamp that the next reports return.
-func (a *ReportRouter) SetTimestamp(s gang.PlannerTimestamp) { a.stamp = s }
+func (r *ReportRouter) SetTimestamp(s gang.PlannerTimestamp) { r.stamp = s }
 
 // Due returns when to report to the entry, or to ask again because the relay's
 // word ends then.
-func (a *ReportRouter) Due(now time.Time, addr string) time.Time {
-	l := a.entries[addr]
-	if a.byRelay(now, addr) {
-		a.cover(now, addr)
-		if a.inGang {
-			return earlier(a.path.ValidUntil(), now.Add(a.cfg.GangReportPeriod)) // for gangSilence
+func (r *ReportRouter) Due(now time.Time, addr string) time.Time {
+	l := r.entries[addr]
+	if r.byRelay(now, addr) {
+		r.cover(now, addr)
+		if r.inGang {
+			return earlier(r.path.ValidUntil(), now.Add(r.cfg.GangReportPeriod)) // for gangSilence
 		}
-		return a.path.ValidUntil()
+		return r.path.ValidUntil()
 	}
 	l.covered = false
-	due := a.reporter.Due(now, addr)
-	if a.inGang {
-		due = earlier(due, l.sent.Add(a.cfg.GangReportPeriod))
+	due := r.reporter.Due(now, addr)
+	if r.inGang {
+		due = earlier(due, l.sent.Add(r.cfg.GangReportPeriod))
 	}
-	if a.relays() {
+	if r.relays() {
 		due = earlier(due, l.sent.Add(RelayPeriod))
-		due = earlier(due, a.batchDue(addr, l, due))
+		due = earlier(due, r.batchDue(addr, l, due))
 	}
 	return due
 }
@@ -118,40 +118,40 @@
 // dies in that moment. So does a member of a gang to the entry that plans:
 // its gang runs on by the evidence of its reports, whose age a relay would add
 // to, and stops when a relay dies for as long as that goes unnoticed.
-func (a *ReportRouter) byRelay(now time.Time, addr string) bool {
-	if a.draining || !a.path.ForwardsTo(now, addr) {
+func (r *ReportRouter) byRelay(now time.Time, addr string) bool {
+	if r.draining || !r.path.ForwardsTo(now, addr) {
 		return false
 	}
-	return !a.inGang || (!a.entries[addr].planner && now.Sub(a.planned) <= gangSilence)
+	return !r.inGang || (!r.entries[addr].planner && now.Sub(r.planned) <= gangSilence)
 }
 
 // cover notes that reports to the entry go by the relay from now on. What the
 // entry has is not followed any more, so the next own report is a full one, due
 // at once.
-func (a *ReportRouter) cover(now time.Time, addr string) {
-	l := a.entries[addr]
+func (r *ReportRouter) cover(now time.Time, addr string) {
+	l := r.entries[addr]
 	if l.covered {
 		return
 	}
-	a.notePlanner(now, l, false) // or a gang that starts now would wait for gangSilence
+	r.notePlanner(now, l, false) // or a gang that starts now would wait for gangSilence
 	*l = entryLink{covered: true, since: now}
-	a.reporter.Forget(addr)
-	a.relayer.Forget(addr)
+	r.reporter.Forget(addr)
+	r.relayer.Forget(addr)
 }
 
 // batchDue is when the entry has to hear news of members, or a full report of
 // one that it asked for. An entry that does not answer is not asked more often
 // for that.
-func (a *ReportRouter) batchDue(addr string, l *entryLink, due time.Time) time.Time {
-	if a.reporter.Failures(addr) > 0 {
+func (r *ReportRouter) batchDue(addr string, l *entryLink, due time.Time) time.Time {
+	if r.reporter.Failures(addr) > 0 {
 		return due
 	}
-	soon := l.sent.Add(a.cfg.Coalesce)
+	earliest := l.sent.Add(r.cfg.Coalesce)
 	if l.news {
-		return soon
+		return earliest
 	}
-	if at, ok := a.relayer.FullReportDue(addr); ok {
-		return laterOf(at, soon)
+	if at, ok := r.relayer.FullReportDue(addr); ok {
+		return laterOf(at, earliest)
 	}
 	return due
 }
@@ -164,57 +164,57 @@
 }
 
 // Report returns what to send to the entry now. Follow it with Acked or Failed.
-func (a *ReportRouter) Report(now time.Time, addr string) *wire.Report {
-	l := a.entries[addr]
-	own := a.reporter.Report(now, addr)
-	own.Stamp = a.stamp
-	l.sent, l.sequence, l.news = now, own.Sequence, false
+func (r *ReportRouter) Report(now time.Time, addr string) *wire.Report {
+	l := r.entries[addr]
+	report := r.reporter.Report(now, addr)
+	report.Stamp = r.stamp
+	l.sent, l.sequence, l.news = now, report.Sequence, false
 	l.batch = nil
-	if a.relays() {
-		l.batch, l.cursor = a.relayer.Batch(now, addr)
+	if r.relays() {
+		l.batch, l.cursor = r.relayer.Batch(now, addr)
 	}
-	return &wire.Report{Batch: append([]wire.AgentReport{own}, l.batch...), Known: l.known}
+	return &wire.Report{Batch: append([]wire.AgentReport{report}, l.batch...), Known: l.known}
 }
 
 // HandleAck takes the entry's answer to the last report. It returns the addresses of
 // entries that the answer names and that are new.
-func (a *ReportRouter) HandleAck(now time.Time, addr string, ack *wire.ReportAck) []string {
-	l := a.entries[addr]
+func (r *ReportRouter) HandleAck(now time.Time, addr string, ack *wire.ReportAck) []string {
+	l := r.entries[addr]
 	l.answered = true
-	a.reporter.HandleAck(now, addr, l.sequence, ack)
-	if a.relays() {
-		a.relayer.HandleAck(now, addr, l.batch, l.cursor, ack)
+	r.reporter.HandleAck(now, addr, l.sequence, ack)
+	if r.relays() {
+		r.relayer.HandleAck(now, addr, l.batch, l.cursor, ack)
 	}
-	a.notePlanner(now, l, ack.Stamp.Epoch != 0)
-	fresh := ack.Digest != l.known
-	if fresh {
+	r.notePlanner(now, l, ack.Stamp.Epoch != 0)
+	changed := ack.Digest != l.known
+	if changed {
 		l.known, l.named = ack.Digest, ack.Relay
 	}
-	if l.named == a.self {
-		a.served = now
+	if l.named == r.self {
+		r.served = now
 	}
-	a.follow(now, l.named)
-	if !fresh {
+	r.follow(now, l.named)
+	if !changed {
 		return nil
 	}
-	return a.learn(ack.Entries)
+	return r.learn(ack.Entries)
 }
 
 // notePlanner: when the entry that planned does not any more, the member of a
 // gang has to find the next one at once.
-func (a *ReportRouter) notePlanner(now time.Time, l *entryLink, plans bool) {
-	if plans {
-		a.planned = now
+func (r *ReportRouter) notePlanner(now time.Time, l *entryLink, isPlanner bool) {
+	if isPlanner {
+		r.planned = now
 	} else if l.planner {
-		a.planned = time.Time{}
+		r.planned = time.Time{}
 	}
-	l.planner = plans
+	l.planner = isPlanner
 }
 
-func (a *ReportRouter) learn(entries []wire.EntryInfo) []string {
+func (r *ReportRouter) learn(entries []wire.EntryInfo) []string {
 	var added []string
 	for _, e := range entries {
-		if a.AddEntry(e.Address) {
+		if r.AddEntry(e.Address) {
 			added = append(added, e.Address)
 		}
 	}
@@ -223,16 +223,16 @@
 
 // HandleFailure notes that the entry did not answer the last report. It returns how
 // many it left unanswered in a row.
-func (a *ReportRouter) HandleFailure(now time.Time, addr string) int {
-	a.notePlanner(now, a.entries[addr], false)
-	a.reporter.HandleFailure(now, addr)
-	return a.reporter.Failures(addr)
+func (r *ReportRouter) HandleFailure(now time.Time, addr string) int {
+	r.notePlanner(now, r.entries[addr], false)
+	r.reporter.HandleFailure(now, addr)
+	return r.reporter.Failures(addr)
 }
 
 // ConnectionIdle says, once, that the connection to the entry has had no use for some
 // time: reports go by the relay.
-func (a *ReportRouter) ConnectionIdle(now time.Time, addr string) bool {
-	l := a.entries[addr]
+func (r *ReportRouter) ConnectionIdle(now time.Time, addr string) bool {
+	l := r.entries[addr]
 	if !l.covered || l.closed || now.Sub(l.since) < linkUnused {
 		return false
 	}
@@ -245,6 +245,6 @@
 const linkUnused = 10 * time.Second
 
 // DepartureReport returns the report of the agent's end.
-func (a *ReportRouter) DepartureReport() *wire.Report {
-	return &wire.Report{Batch: []wire.AgentReport{a.reporter.DepartureReport()}}
+func (r *ReportRouter) DepartureReport() *wire.Report {
+	return &wire.Report{Batch: []wire.AgentReport{r.reporter.DepartureReport()}}
 }
--- a/membership/report_router_relay.go
+++ b/membership/report_router_relay.go
@@ -16,20 +16,20 @@
 const coverFailures = 2
 
 // follow takes an entry's word on the relay of the rack.
-func (a *ReportRouter) follow(now time.Time, named wire.RelayInfo) {
-	if a.serving(now) {
-		a.leave()
+func (r *ReportRouter) follow(now time.Time, relay wire.RelayInfo) {
+	if r.serving(now) {
+		r.leave()
 		return
 	}
-	if !a.draining {
-		a.path.OfferRelay(now, named)
+	if !r.draining {
+		r.path.OfferRelay(now, relay)
 	}
 }
 
-func (a *ReportRouter) leave() {
-	if relay, ok := a.path.Relay(); ok {
-		a.reporter.Forget(relay.ID)
-		a.path.Clear()
+func (r *ReportRouter) leave() {
+	if relay, ok := r.path.Relay(); ok {
+		r.reporter.Forget(relay.ID)
+		r.path.Clear()
 	}
 }
 
@@ -38,101 +38,101 @@
 // each of those may serve. Entries that name none are those that have just
 // started: a relay goes on for servingAfter, or a restart of the entries would
 // bring them the reports of every single agent in their first moments.
-func (a *ReportRouter) serving(now time.Time) bool {
-	if a.draining {
+func (r *ReportRouter) serving(now time.Time) bool {
+	if r.draining {
 		return false
 	}
-	other := false
-	for _, l := range a.entries {
-		if !l.covered && l.named == a.self {
+	otherNamed := false
+	for _, l := range r.entries {
+		if !l.covered && l.named == r.self {
 			return true
 		}
-		other = other || l.named.ID != ""
+		otherNamed = otherNamed || l.named.ID != ""
 	}
-	return !other && !a.served.IsZero() && now.Sub(a.served) < servingAfter
+	return !otherNamed && !r.served.IsZero() && now.Sub(r.served) < servingAfter
 }
 
 // servingAfter is how long an agent stays relay after the last entry's word.
 const servingAfter = 30 * time.Second
 
 // relays says whether there is something to relay.
-func (a *ReportRouter) relays() bool { return a.relayer.table.Len() > 0 }
+func (r *ReportRouter) relays() bool { return r.relayer.table.Len() > 0 }
 
 // Relay returns the relay that the agent reports to now; false: there is none.
-func (a *ReportRouter) Relay() (wire.RelayInfo, bool) { return a.path.Relay() }
+func (r *ReportRouter) Relay() (wire.RelayInfo, bool) { return r.path.Relay() }
 
 // RelayDue returns when to report to the relay next; false: there is none.
-func (a *ReportRouter) RelayDue(now time.Time) (time.Time, bool) {
-	relay, ok := a.path.Relay()
+func (r *ReportRouter) RelayDue(now time.Time) (time.Time, bool) {
+	relay, ok := r.path.Relay()
 	if !ok {
 		return time.Time{}, false
 	}
-	return earlier(a.reporter.Due(now, relay.ID), a.toRelay.sent.Add(RelayHeartbeat)), true
+	return earlier(r.reporter.Due(now, relay.ID), r.toRelay.sent.Add(RelayHeartbeat)), true
 }
 
 // ReportToRelay returns what to send to the relay now. Follow it with RelayAcked
 // or RelayFailed.
-func (a *ReportRouter) ReportToRelay(now time.Time) *wire.Report {
-	relay, _ := a.path.Relay()
-	own := a.reporter.Report(now, relay.ID)
-	a.toRelay = relayLink{sent: now, sequence: own.Sequence}
-	return &wire.Report{Batch: []wire.AgentReport{own}, Known: a.path.Digest()}
+func (r *ReportRouter) ReportToRelay(now time.Time) *wire.Report {
+	relay, _ := r.path.Relay()
+	report := r.reporter.Report(now, relay.ID)
+	r.toRelay = relayLink{sent: now, sequence: report.Sequence}
+	return &wire.Report{Batch: []wire.AgentReport{report}, Known: r.path.Digest()}
 }
 
 // HandleRelayAck takes the answer of the relay to the last report. It returns the
 // addresses of entries that the answer names and that are new.
-func (a *ReportRouter) HandleRelayAck(now time.Time, from wire.RelayInfo, ack *wire.ReportAck) []string {
-	if relay, ok := a.path.Relay(); !ok || relay != from {
+func (r *ReportRouter) HandleRelayAck(now time.Time, from wire.RelayInfo, ack *wire.ReportAck) []string {
+	if relay, ok := r.path.Relay(); !ok || relay != from {
 		return nil // left meanwhile
 	}
-	a.reporter.HandleAck(now, from.ID, a.toRelay.sequence, ack)
-	a.path.HandleAck(now, a.toRelay.sent, ack)
-	if relay, _ := a.path.Relay(); relay != from {
-		a.reporter.Forget(from.ID)
+	r.reporter.HandleAck(now, from.ID, r.toRelay.sequence, ack)
+	r.path.HandleAck(now, r.toRelay.sent, ack)
+	if relay, _ := r.path.Relay(); relay != from {
+		r.reporter.Forget(from.ID)
 		return nil
 	}
-	return a.learn(ack.Entries)
+	return r.learn(ack.Entries)
 }
 
 // HandleRelayFailure notes that the relay did not answer, or refused the report: the
 // agent reports by itself again.
-func (a *ReportRouter) HandleRelayFailure(now time.Time, from wire.RelayInfo) {
-	if relay, ok := a.path.Relay(); !ok || relay != from {
+func (r *ReportRouter) HandleRelayFailure(now time.Time, from wire.RelayInfo) {
+	if relay, ok := r.path.Relay(); !ok || relay != from {
 		return
 	}
-	a.reporter.Forget(from.ID)
-	a.path.HandleFailure(now)
+	r.reporter.Forget(from.ID)
+	r.path.HandleFailure(now)
 }
 
 // HandleMemberReport answers a report that another agent sent to this one as its relay. news
 // says that entries should hear of it at once. An agent that is not the relay
 // (any more) does not take the report and names the one that is, as far as it
 // knows. A nil answer: the report was not taken, and the age of it is not known.
-func (a *ReportRouter) HandleMemberReport(now time.Time, r *wire.Report) (ack *wire.ReportAck, news bool) {
-	if a.paused(now) {
+func (r *ReportRouter) HandleMemberReport(now time.Time, report *wire.Report) (ack *wire.ReportAck, news bool) {
+	if r.paused(now) {
 		return nil, false
 	}
-	if len(r.Batch) != 1 || !a.serving(now) {
-		return a.finish(&wire.ReportAck{Relay: a.other()}, r.Known), false
+	if len(report.Batch) != 1 || !r.serving(now) {
+		return r.finish(&wire.ReportAck{Relay: r.other()}, report.Known), false
 	}
-	ack, news = a.relayer.HandleReport(now, r.Batch[0])
+	ack, news = r.relayer.HandleReport(now, report.Batch[0])
 	if news {
-		for _, l := range a.entries {
+		for _, l := range r.entries {
 			l.news = true
 		}
 	}
-	ack.Relay = a.self
-	ack.Entries = a.reached()
-	return a.finish(ack, r.Known), news
+	ack.Relay = r.self
+	ack.Entries = r.reached()
+	return r.finish(ack, report.Known), news
 }
 
 // other is the relay that entries name in place of this agent.
-func (a *ReportRouter) other() wire.RelayInfo {
-	if relay, ok := a.path.Relay(); ok {
+func (r *ReportRouter) other() wire.RelayInfo {
+	if relay, ok := r.path.Relay(); ok {
 		return relay
 	}
-	for _, addr := range slices.Sorted(maps.Keys(a.entries)) {
-		if named := a.entries[addr].named; named.ID != a.self.ID && named.ID != "" {
+	for _, addr := range slices.Sorted(maps.Keys(r.entries)) {
+		if named := r.entries[addr].named; named.ID != r.self.ID && named.ID != "" {
 			return named
 		}
 	}
@@ -140,19 +140,19 @@
 }
 
 // reached lists the entries that take this relay's reports now.
-func (a *ReportRouter) reached() []wire.EntryInfo {
-	var out []wire.EntryInfo
-	for _, addr := range slices.Sorted(maps.Keys(a.entries)) {
-		if a.entries[addr].answered && a.reporter.Failures(addr) < coverFailures {
-			out = append(out, wire.EntryInfo{Address: addr})
+func (r *ReportRouter) reached() []wire.EntryInfo {
+	var entries []wire.EntryInfo
+	for _, addr := range slices.Sorted(maps.Keys(r.entries)) {
+		if r.entries[addr].answered && r.reporter.Failures(addr) < coverFailures {
+			entries = append(entries, wire.EntryInfo{Address: addr})
 		}
 	}
-	return out
+	return entries
 }
 
 // finish sets the digest of what the member has to know, and leaves that out
 // where it does.
-func (a *ReportRouter) finish(ack *wire.ReportAck, known uint64) *wire.ReportAck {
+func (r *ReportRouter) finish(ack *wire.ReportAck, knownDigest uint64) *wire.ReportAck {
 	h := xxhash.New()
 	_, _ = h.WriteString(ack.Relay.ID + "/" + ack.Relay.Address)
 	_, _ = h.Write(binary.BigEndian.AppendUint64(nil, ack.Relay.Incarnation))
@@ -160,7 +160,7 @@
 		_, _ = h.WriteString("/" + e.Address)
 	}
 	ack.Digest = h.Sum64()
-	if ack.Digest == known {
+	if ack.Digest == knownDigest {
 		ack.Entries, ack.Relay = nil, wire.RelayInfo{}
 	}
 	return ack
@@ -168,22 +168,22 @@
 
 // Tick drops members that have not reported for long. Send one about every
 // second.
-func (a *ReportRouter) Tick(now time.Time) {
-	a.paused(now)
-	a.ticked = now
-	a.relayer.Tick(now)
+func (r *ReportRouter) Tick(now time.Time) {
+	r.paused(now)
+	r.ticked = now
+	r.relayer.Tick(now)
 }
 
 // paused says whether this process stood still a moment ago. The reports that it
 // then finds in its sockets count as heard when it takes them, so a relay that
 // was frozen for a minute would make members that died meanwhile look alive.
 // It shows as a Tick that is overdue, to whoever of Tick and Serve runs first.
-func (a *ReportRouter) paused(now time.Time) bool {
-	if !a.ticked.IsZero() && now.Sub(a.ticked) > pausedAfter {
-		a.pausedAt = now
-		a.ticked = now
+func (r *ReportRouter) paused(now time.Time) bool {
+	if !r.ticked.IsZero() && now.Sub(r.ticked) > pausedAfter {
+		r.pausedAt = now
+		r.ticked = now
 	}
-	return !a.pausedAt.IsZero() && now.Sub(a.pausedAt) < pausedFor
+	return !r.pausedAt.IsZero() && now.Sub(r.pausedAt) < pausedFor
 }
 
 const (
@@ -196,4 +196,4 @@
 
 // Members returns the agents that report by this one. They are shared: don't
 // change them.
-func (a *ReportRouter) Members() []*Member { return a.relayer.Members() }
+func (r *ReportRouter) Members() []*Member { return r.relayer.Members() }
--- a/membership/reporter_receiver.go
+++ b/membership/reporter_receiver.go
@@ -72,8 +72,8 @@
 	}
 	rc.acked = max(rc.acked, sequence)
 	rc.due = now.Add(r.jittered(max(r.cfg.Period, ack.NextReport)))
-	if news := r.newsSince(sequence); news != 0 {
-		rc.changed(now, news, r.cfg)
+	if groups := r.newsSince(sequence); groups != 0 {
+		rc.changed(now, groups, r.cfg)
 	}
 	r.trimEnded()
 }
@@ -83,11 +83,11 @@
 // longer wait a receiver that is back would offer it for as long.
 func (r *Reporter) HandleFailure(now time.Time, to string) {
 	rc := r.receiver(now, to)
-	most := r.cfg.Period
+	maxWait := r.cfg.Period
 	if r.state.Draining {
-		most = min(most, drainingRetry)
+		maxWait = min(maxWait, drainingRetry)
 	}
-	wait := min(r.cfg.Coalesce<<min(rc.failures, 16), most)
+	wait := min(r.cfg.Coalesce<<min(rc.failures, 16), maxWait)
 	rc.failures++
 	rc.due = now.Add(r.jittered(wait))
 }
@@ -110,17 +110,17 @@
 // because a receiver without an acknowledged sequence does not count here and a
 // late acknowledgement may yet give it an early one.
 func (r *Reporter) trimEnded() {
-	least := r.state.Sequence
+	minAcked := r.state.Sequence
 	for _, rc := range r.receivers {
 		if rc.acked > 0 {
-			least = min(least, rc.acked)
+			minAcked = min(minAcked, rc.acked)
 		}
 	}
-	kept := slices.IndexFunc(r.ended, func(e endedTask) bool { return e.seq > least })
-	if kept < 0 {
-		kept = len(r.ended)
+	firstKept := slices.IndexFunc(r.ended, func(e endedTask) bool { return e.seq > minAcked })
+	if firstKept < 0 {
+		firstKept = len(r.ended)
 	}
-	r.forgetEnded(kept)
+	r.forgetEnded(firstKept)
 }
 
 // Failures returns how many reports in a row the receiver left unanswered.
--- a/membership/snapshot.go
+++ b/membership/snapshot.go
@@ -75,24 +75,24 @@
 
 // rebuild merges the changed members, sorted, into the old sorted view.
 func (t *Table) rebuild(old *ServiceView, name string, ids map[string]bool) *ServiceView {
-	var before []*Member
+	var oldMembers []*Member
 	if old != nil {
-		before = old.Members
+		oldMembers = old.Members
 	}
 	changed := slices.Sorted(maps.Keys(ids))
-	view := &ServiceView{Name: name, Members: make([]*Member, 0, len(before)+len(changed))}
+	view := &ServiceView{Name: name, Members: make([]*Member, 0, len(oldMembers)+len(changed))}
 	for _, id := range changed {
-		i, found := slices.BinarySearchFunc(before, id, compareID)
-		view.Members = append(view.Members, before[:i]...)
+		i, found := slices.BinarySearchFunc(oldMembers, id, compareID)
+		view.Members = append(view.Members, oldMembers[:i]...)
 		if found {
 			i++
 		}
-		before = before[i:]
+		oldMembers = oldMembers[i:]
 		if m := t.records[id].memberOf(name); m != nil {
 			view.Members = append(view.Members, m)
 		}
 	}
-	view.Members = append(view.Members, before...)
+	view.Members = append(view.Members, oldMembers...)
 	view.Schedulable = offered(view.Members)
 	return view
 }
@@ -112,13 +112,13 @@
 		if m.Schedulable() {
 			continue
 		}
-		out := slices.Clone(members[:i])
+		filtered := slices.Clone(members[:i])
 		for _, m := range members[i:] {
 			if m.Schedulable() {
-				out = append(out, m)
+				filtered = append(filtered, m)
 			}
 		}
-		return out
+		return filtered
 	}
 	return members
 }
--- a/membership/sweep.go
+++ b/membership/sweep.go
@@ -9,7 +9,7 @@
 // sweep lets silence show: alive to suspect to lost, and forgets what has been
 // gone for long.
 func (t *Table) sweep(now time.Time) {
-	var silent []*record
+	var unresponsive []*record
 	for id, r := range t.records {
 		if r.member == nil {
 			if now.Sub(r.gone) > t.cfg.ForgetAfter {
@@ -18,12 +18,12 @@
 			continue
 		}
 		if now.Sub(r.heard) > t.cfg.SuspectAfter {
-			silent = append(silent, r)
+			unresponsive = append(unresponsive, r)
 		}
 	}
 	// Map order is random; the same run must give the same actions.
-	slices.SortFunc(silent, func(a, b *record) int { return cmp.Compare(a.id, b.id) })
-	for _, r := range silent {
+	slices.SortFunc(unresponsive, func(a, b *record) int { return cmp.Compare(a.id, b.id) })
+	for _, r := range unresponsive {
 		t.silence(now, r)
 	}
 }
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -44,10 +44,10 @@
 	late := full("a", 2, 3)
 	late.Age = 61 * time.Second
 	for _, test := range []struct {
-		story string
-		after time.Duration
-		ev    Event
-		want  []string
+		name    string
+		elapsed time.Duration
+		ev      Event
+		want    []string
 	}{
 		{"a delta of an agent that is not known", 0, direct(wire.AgentReport{ID: "b", Incarnation: 1, Sequence: 4, Base: 3}), []string{"NeedFull"}},
 		{"a delta that continues what is known", 0, direct(delta(3, 2, wire.ChangedLoad)), []string{"Changed"}},
@@ -63,11 +63,11 @@
 		{"silence for long", 61 * time.Second, Tick{}, []string{"Lost"}},
 		{"a relay that was under way for too long", 0, Reports{Batch: []wire.AgentReport{late}, Relayed: true}, []string{}},
 	} {
-		t.Run(test.story, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			table := NewTable(Config{})
 			c.Assert(names(table.Step(start, direct(full("a", 2, 2)))), qt.DeepEquals, []string{"Joined"})
-			c.Assert(names(table.Step(start.Add(test.after), test.ev)), qt.DeepEquals, test.want)
+			c.Assert(names(table.Step(start.Add(test.elapsed), test.ev)), qt.DeepEquals, test.want)
 		})
 	}
 }
@@ -130,8 +130,8 @@
 			}
 			due[id] = ms + ack.NextReport
 		}
-		in := float64(len(table.Snapshot().Service("dispatch").Members))
-		c.Assert(in <= 50+200*ms.Seconds()+1, qt.IsTrue, qt.Commentf("%v in after %v", in, ms))
+		admitted := float64(len(table.Snapshot().Service("dispatch").Members))
+		c.Assert(admitted <= 50+200*ms.Seconds()+1, qt.IsTrue, qt.Commentf("%v in after %v", admitted, ms))
 	}
 	c.Assert(tries <= 2*900, qt.IsTrue, qt.Commentf("%d tries", tries))
 }
