--- a/lease/candidate.go
+++ b/lease/candidate.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	// pauseFirst and pauseMax are the first and the longest Pause.
-	pauseFirst = 100 * time.Millisecond
-	pauseMax   = 5 * time.Second
+	// minBackOff and pauseMax are the first and the longest Pause.
+	minBackOff = 100 * time.Millisecond
+	maxBackOff = 5 * time.Second
 )
 
 // Candidate competes for one duty until it resigns. It is safe for concurrent use.
 type Candidate struct {
-	opts    CandidateOptions
-	tomb    tomb.Tomb
-	current atomic.Pointer[Leadership] // nil: not held
-	over    atomic.Bool                // Resign was called
-	seen    atomic.Uint64              // highest epoch told to Observe
-	observe chan struct{}
-	unwant  atomic.Uint64 // epoch last told to Yield
-	yield   chan struct{}
-	depose  chan struct{} // has no buffer: only a wait in progress is told
+	opts              CandidateOptions
+	tomb              tomb.Tomb
+	current           atomic.Pointer[Leadership] // nil: not held
+	resigned          atomic.Bool                // Resign was called
+	observedEpoch     atomic.Uint64              // highest epoch told to Observe
+	epochObserved     chan struct{}
+	yieldEpoch        atomic.Uint64 // epoch last told to Yield
+	yieldRequested    chan struct{}
+	takeoverRequested chan struct{} // has no buffer: only a wait in progress is told
 
 	// Owned by the tomb's goroutine.
-	elector *Elector
-	tenure  tenure
-	taken   bool   // another was found to hold the duty
-	claim   []byte // value of the holder key that is ours
-	pause   *backoff.ExponentialBackOff
+	elector    *Elector
+	store      candidateStore
+	occupied   bool   // another was found to hold the duty
+	claimValue []byte // value of the holder key that is ours
+	backOff    *backoff.ExponentialBackOff
 }
 
 // StartCandidate starts a Holder.
@@ -45,35 +45,35 @@
 		opts.Clock = BootTime
 	}
 	c := &Candidate{
-		opts:    opts,
-		observe: make(chan struct{}, 1),
-		yield:   make(chan struct{}, 1),
-		depose:  make(chan struct{}),
-		elector: NewElector(opts.TTL),
-		pause:   backoff.NewExponentialBackOff(),
-	}
-	c.pause.InitialInterval = pauseFirst
-	c.pause.MaxInterval = pauseMax
+		opts:              opts,
+		epochObserved:     make(chan struct{}, 1),
+		yieldRequested:    make(chan struct{}, 1),
+		takeoverRequested: make(chan struct{}),
+		elector:           NewElector(opts.TTL),
+		backOff:           backoff.NewExponentialBackOff(),
+	}
+	c.backOff.InitialInterval = minBackOff
+	c.backOff.MaxInterval = maxBackOff
 	if opts.MaxRetryDelay > 0 {
-		c.pause.MaxInterval = opts.MaxRetryDelay
+		c.backOff.MaxInterval = opts.MaxRetryDelay
 	}
-	c.pause.Reset()
-	c.tenure = c.newTenure()
+	c.backOff.Reset()
+	c.store = c.newStore()
 	c.tomb.Go(c.run)
 	return c
 }
 
-func (c *Candidate) newTenure() tenure {
+func (c *Candidate) newStore() candidateStore {
 	key := holderKey(c.opts.Election)
 	if s := c.opts.Session; s != nil {
-		return &sharedTenure{s: s, key: key, taken: c.foundTaken}
+		return &sharedLeaseStore{session: s, holderKey: key, onOccupied: c.noteOccupied}
 	}
-	return &ownTenure{store: c.opts.Store, key: key, ttl: c.opts.TTL, clock: c.opts.Clock, taken: c.foundTaken, left: c.leftBehind, depose: c.depose}
+	return &ownLeaseStore{store: c.opts.Store, holderKey: key, ttl: c.opts.TTL, clock: c.opts.Clock, onOccupied: c.noteOccupied, isStaleClaim: c.isStaleClaim, takeoverRequested: c.takeoverRequested}
 }
 
-// leftBehind says whether the value of the holder key was written by an earlier process
+// isStaleClaim says whether the value of the holder key was written by an earlier process
 // of this instance.
-func (c *Candidate) leftBehind(value []byte) bool {
+func (c *Candidate) isStaleClaim(value []byte) bool {
 	if !c.opts.RemoveStaleClaim {
 		return false
 	}
@@ -81,9 +81,9 @@
 	return json.Unmarshal(value, &r) == nil && r.Instance == c.opts.Instance
 }
 
-func (c *Candidate) foundTaken() {
-	c.taken = true
-	c.pause.Reset()
+func (c *Candidate) noteOccupied() {
+	c.occupied = true
+	c.backOff.Reset()
 }
 
 // Current returns the present holding, and false where the duty is not held.
@@ -91,7 +91,7 @@
 // the end of its lease gets false at once, before any renewal has failed.
 func (c *Candidate) Current() (Leadership, bool) {
 	held := c.current.Load()
-	if held == nil || c.over.Load() || c.opts.Clock() >= held.ValidUntil {
+	if held == nil || c.resigned.Load() || c.opts.Clock() >= held.ValidUntil {
 		return Leadership{}, false
 	}
 	return *held, true
@@ -101,16 +101,16 @@
 // goes on with one above it, if it still holds the duty.
 func (c *Candidate) ObserveEpoch(epoch uint64) {
 	for {
-		known := c.seen.Load()
+		known := c.observedEpoch.Load()
 		if epoch <= known {
 			return
 		}
-		if c.seen.CompareAndSwap(known, epoch) {
+		if c.observedEpoch.CompareAndSwap(known, epoch) {
 			break
 		}
 	}
 	select {
-	case c.observe <- struct{}{}:
+	case c.epochObserved <- struct{}{}:
 	default:
 	}
 }
@@ -119,9 +119,9 @@
 // candidate. It returns at once; Changed tells when it is done. With Hesitate
 // others can come first.
 func (c *Candidate) Yield(epoch uint64) {
-	c.unwant.Store(epoch)
+	c.yieldEpoch.Store(epoch)
 	select {
-	case c.yield <- struct{}{}:
+	case c.yieldRequested <- struct{}{}:
 	default:
 	}
 }
@@ -136,7 +136,7 @@
 // may still promise for a TTL.
 func (c *Candidate) ForceTakeover() bool {
 	select {
-	case c.depose <- struct{}{}:
+	case c.takeoverRequested <- struct{}{}:
 		return true
 	default:
 		return false
@@ -148,7 +148,7 @@
 // It returns when that is done, or with the context's error; the lease then
 // lapses by itself at worst.
 func (c *Candidate) Resign(ctx context.Context) error {
-	c.over.Store(true)
+	c.resigned.Store(true)
 	c.tomb.Kill(nil)
 	select {
 	case <-c.tomb.Dead():
@@ -185,14 +185,14 @@
 		c.current.Store(nil)
 	}
 	if ok != (previous != nil) || ok && held.Epoch != previous.Epoch {
-		c.changed(held, ok)
+		c.notifyChange(held, ok)
 	}
 	return act
 }
 
-func (c *Candidate) changed(held Leadership, ok bool) {
+func (c *Candidate) notifyChange(held Leadership, ok bool) {
 	if ok {
-		c.pause.Reset()
+		c.backOff.Reset()
 	}
 	if c.opts.Log != nil {
 		log := c.opts.Log.WithField("duty", c.opts.Election).WithField("epoch", held.Epoch)
@@ -207,10 +207,10 @@
 	}
 }
 
-// context returns the context of an action: it ends with the Holder, and when
+// actionContext returns the actionContext of an action: it ends with the Holder, and when
 // the lease could have lapsed, so that a call that hangs cannot keep the
 // Holder from dropping the duty.
-func (c *Candidate) context() (context.Context, context.CancelFunc) {
+func (c *Candidate) actionContext() (context.Context, context.CancelFunc) {
 	ctx := c.tomb.Context(context.Background())
 	if until, ok := c.elector.Deadline(); ok {
 		return context.WithTimeout(ctx, until-c.opts.Clock())
@@ -218,13 +218,13 @@
 	return context.WithCancel(ctx)
 }
 
-// sleep waits for d and returns early where the Holder resigns or, with
+// wait waits for d and returns early where the Holder resigns or, with
 // listen, where a higher epoch was observed, the duty is to be yielded, or the
 // lease was lost.
-func (c *Candidate) sleep(d time.Duration, interruptible bool) Event {
+func (c *Candidate) wait(d time.Duration, interruptible bool) Event {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
-	observe, yield, lost := c.observe, c.yield, c.tenure.lost()
+	observe, yield, lost := c.epochObserved, c.yieldRequested, c.store.lost()
 	if !interruptible {
 		observe, yield, lost = nil, nil, nil
 	}
@@ -233,9 +233,9 @@
 	case <-c.tomb.Dying():
 	case <-lost:
 	case <-observe:
-		return HigherEpoch{Epoch: c.seen.Load()}
+		return HigherEpoch{Epoch: c.observedEpoch.Load()}
 	case <-yield:
-		return Yield{Epoch: c.unwant.Load()}
+		return Yield{Epoch: c.yieldEpoch.Load()}
 	}
 	return WaitEnded{}
 }
--- a/lease/candidate_store.go
+++ b/lease/candidate_store.go
@@ -8,9 +8,9 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// tenure is the store as one Holder uses it: under a lease of its own, or under
+// candidateStore is the store as one Holder uses it: under a lease of its own, or under
 // that of a Session. Only the Holder's goroutine calls it.
-type tenure interface {
+type candidateStore interface {
 	// awaitVacant waits until nobody holds the duty, then Vacant, or Failed.
 	awaitVacant(ctx context.Context) Event
 	// grant returns Granted or Failed.
@@ -34,6 +34,6 @@
 	lost() <-chan struct{}
 }
 
-func failed(err error) Event {
+func failedEvent(err error) Event {
 	return Failed{LeaseNotFound: eris.Is(err, store.ErrLeaseNotFound)}
 }
--- a/lease/elector.go
+++ b/lease/elector.go
@@ -7,30 +7,30 @@
 )
 
 const (
-	// driftShare: one part in so many of a lease's time is not used, for
+	// clockDriftDivisor: one part in so many of a lease's time is not used, for
 	// clocks of store and process that run at different rates.
-	driftShare = 50
-	// slowShare: a claim that has taken this share of the TTL is followed by a renewal.
-	slowShare = 4
-	// renewShare and retryShare are the parts of the TTL between a renewal and
+	clockDriftDivisor = 50
+	// slowClaimDivisor: a claim that has taken this share of the TTL is followed by a renewal.
+	slowClaimDivisor = 4
+	// renewDivisor and retryShare are the parts of the TTL between a renewal and
 	// the next, and between a failed renewal and the next attempt.
-	renewShare = 3
-	retryShare = 10
+	renewDivisor = 3
+	retryDivisor = 10
 )
 
 // Elector decides what one candidate for one duty does next. It has one action
 // in progress at a time: Step takes the action's event and returns the next.
 // One goroutine owns it.
 type Elector struct {
-	ttl       time.Duration
-	lease     store.LeaseID // zero: none
-	revoking  store.LeaseID // given up, and Revoked not yet seen
-	until     time.Duration // the lease lives until then at least
-	pending   time.Duration // until, once the holder key is verified
-	epoch     uint64        // raised by us; valid while held
-	floor     uint64        // highest epoch known from receivers
-	held      bool
-	resigning bool
+	ttl               time.Duration
+	lease             store.LeaseID // zero: none
+	revoking          store.LeaseID // given up, and Revoked not yet seen
+	validUntil        time.Duration // the lease lives until then at least
+	pendingValidUntil time.Duration // until, once the holder key is verified
+	epoch             uint64        // raised by us; valid while held
+	observedEpoch     uint64        // highest epoch known from receivers
+	leading           bool
+	resigning         bool
 }
 
 // NewElector returns an Elector for leases of the given TTL. The first event
@@ -39,13 +39,13 @@
 
 // Leadership returns the present holding. The caller compares Until with its clock.
 func (e *Elector) Leadership() (Leadership, bool) {
-	return Leadership{Epoch: e.epoch, ValidUntil: e.until}, e.held
+	return Leadership{Epoch: e.epoch, ValidUntil: e.validUntil}, e.leading
 }
 
 // Deadline returns when the action in progress is no longer of use, and false
 // where it may take any time.
 func (e *Elector) Deadline() (time.Duration, bool) {
-	return e.until, e.lease != 0
+	return e.validUntil, e.lease != 0
 }
 
 // Step takes an event at time now and returns the next action. Outdated, Yield
@@ -57,36 +57,36 @@
 		e.resigning = true
 		return e.release()
 	case HigherEpoch:
-		return e.outdated(now, ev)
+		return e.handleHigherEpoch(now, ev)
 	case Yield:
-		return e.yield(now, ev)
+		return e.handleYield(now, ev)
 	case Revoked:
 		e.revoking = 0
-		return e.idle()
+		return e.afterRelease()
 	}
 	// A holder that was paused finds here, before anything else, that its
 	// lease may have lapsed meanwhile.
-	if e.lease != 0 && now >= e.until {
+	if e.lease != 0 && now >= e.validUntil {
 		return e.release()
 	}
 	if e.lease == 0 {
-		return e.candidate(ev)
+		return e.stepWithoutLease(ev)
 	}
-	if e.held {
-		return e.holder(now, ev)
+	if e.leading {
+		return e.stepLeading(now, ev)
 	}
-	return e.claimant(now, ev)
+	return e.stepClaiming(now, ev)
 }
 
-// candidate has no lease.
-func (e *Elector) candidate(ev Event) Action {
+// stepWithoutLease has no lease.
+func (e *Elector) stepWithoutLease(ev Event) Action {
 	switch ev := ev.(type) {
 	case Vacant:
 		return Grant{}
 	case Granted:
 		e.lease = ev.Lease
-		e.until = usable(ev.Sent, e.ttl)
-		e.pending = e.until
+		e.validUntil = leaseValidUntil(ev.Sent, e.ttl)
+		e.pendingValidUntil = e.validUntil
 		return Claim{Lease: e.lease}
 	case Failed:
 		return BackOff{}
@@ -94,20 +94,20 @@
 	return AwaitVacant{}
 }
 
-// claimant has a lease and does not hold the duty yet. Any doubt ends the
+// stepClaiming has a lease and does not hold the duty yet. Any doubt ends the
 // claim: revoking the lease also undoes a creation of the holder key that is
 // still on its way.
-func (e *Elector) claimant(now time.Duration, ev Event) Action {
+func (e *Elector) stepClaiming(now time.Duration, ev Event) Action {
 	switch ev := ev.(type) {
 	case Claimed:
 		if ev.Succeeded {
 			return ReadEpoch{}
 		}
 	case EpochRead:
-		e.epoch = max(ev.Epoch, e.floor) + 1
+		e.epoch = max(ev.Epoch, e.observedEpoch) + 1
 		return RaiseEpoch{ExpectRevision: ev.Revision, Epoch: e.epoch}
 	case Raised:
-		if ev.Succeeded && now > e.until-e.ttl+e.ttl/slowShare {
+		if ev.Succeeded && now > e.validUntil-e.ttl+e.ttl/slowClaimDivisor {
 			// The store is slow: the lease would be all but over when the claim is
 			// verified, and lapse before its first renewal.
 			return Renew{Lease: e.lease}
@@ -118,67 +118,67 @@
 		// Another's raise, or a late one of our own; read and raise again.
 		return ReadEpoch{}
 	case Renewed:
-		e.pending = usable(ev.Sent, e.ttl)
+		e.pendingValidUntil = leaseValidUntil(ev.Sent, e.ttl)
 		return Verify{Lease: e.lease}
 	case Verified:
 		if ev.Owned {
-			e.held = true
-			e.until = max(e.until, e.pending)
-			return e.rest(now)
+			e.leading = true
+			e.validUntil = max(e.validUntil, e.pendingValidUntil)
+			return e.sleepUntilRenewal(now)
 		}
 	}
 	return e.release()
 }
 
-// holder holds the duty.
-func (e *Elector) holder(now time.Duration, ev Event) Action {
+// stepLeading holds the duty.
+func (e *Elector) stepLeading(now time.Duration, ev Event) Action {
 	switch ev := ev.(type) {
 	case WaitEnded:
 		return Renew{Lease: e.lease}
 	case Renewed:
 		// The lease may live on without the holder key: deleted by an
 		// operator, or lost in a restore. Only both together count.
-		e.pending = usable(ev.Sent, e.ttl)
+		e.pendingValidUntil = leaseValidUntil(ev.Sent, e.ttl)
 		return Verify{Lease: e.lease}
 	case Verified:
 		if !ev.Owned {
 			return e.release()
 		}
-		e.until = max(e.until, e.pending)
-		return e.rest(now)
+		e.validUntil = max(e.validUntil, e.pendingValidUntil)
+		return e.sleepUntilRenewal(now)
 	case Failed:
 		if ev.LeaseNotFound {
 			return e.release()
 		}
-		return Sleep{Until: min(now+e.ttl/retryShare, e.until)}
+		return Sleep{Until: min(now+e.ttl/retryDivisor, e.validUntil)}
 	}
 	return e.release()
 }
 
-// rest sleeps until the next renewal, which comes sooner where the last one took long.
-func (e *Elector) rest(now time.Duration) Action {
-	due := min(now+e.ttl/renewShare, e.until-e.ttl/2)
+// sleepUntilRenewal sleeps until the next renewal, which comes sooner where the last one took long.
+func (e *Elector) sleepUntilRenewal(now time.Duration) Action {
+	due := min(now+e.ttl/renewDivisor, e.validUntil-e.ttl/2)
 	return Sleep{Until: max(now, due)}
 }
 
-// outdated takes up a higher epoch. A holder that learns of one cannot be
+// handleHigherEpoch takes up a higher epoch. A holder that learns of one cannot be
 // obeyed until it has raised its own above it.
-func (e *Elector) outdated(now time.Duration, ev HigherEpoch) Action {
-	e.floor = max(e.floor, ev.Epoch)
-	if !e.held || now >= e.until {
+func (e *Elector) handleHigherEpoch(now time.Duration, ev HigherEpoch) Action {
+	e.observedEpoch = max(e.observedEpoch, ev.Epoch)
+	if !e.leading || now >= e.validUntil {
 		return e.release()
 	}
 	if ev.Epoch <= e.epoch {
 		return Renew{Lease: e.lease}
 	}
-	e.held = false
+	e.leading = false
 	return ReadEpoch{}
 }
 
-// yield ignores a wish that was meant for an earlier holding.
-func (e *Elector) yield(now time.Duration, ev Yield) Action {
-	if e.held && now < e.until && ev.Epoch != e.epoch {
-		return e.rest(now)
+// handleYield ignores a wish that was meant for an earlier holding.
+func (e *Elector) handleYield(now time.Duration, ev Yield) Action {
+	if e.leading && now < e.validUntil && ev.Epoch != e.epoch {
+		return e.sleepUntilRenewal(now)
 	}
 	return e.release()
 }
@@ -186,26 +186,26 @@
 // release drops the duty first and then gives the lease back, so that the next
 // candidate need not wait for it to lapse.
 func (e *Elector) release() Action {
-	e.held = false
+	e.leading = false
 	if e.lease != 0 {
 		e.revoking, e.lease = e.lease, 0
 	}
 	if e.revoking != 0 {
 		return Revoke{Lease: e.revoking}
 	}
-	return e.idle()
+	return e.afterRelease()
 }
 
-func (e *Elector) idle() Action {
+func (e *Elector) afterRelease() Action {
 	if e.resigning {
 		return Done{}
 	}
 	return BackOff{}
 }
 
-// usable returns until when a lease granted or renewed by a call sent at sent
+// leaseValidUntil returns until when a lease granted or renewed by a call sent at sent
 // lives at least. The store counts from when it received the call, which is
 // later; counting from the reply would outlive the lease by the reply's delay.
-func usable(sent, ttl time.Duration) time.Duration {
-	return sent + ttl - ttl/driftShare
+func leaseValidUntil(sent, ttl time.Duration) time.Duration {
+	return sent + ttl - ttl/clockDriftDivisor
 }
--- a/lease/own_lease_store.go
+++ b/lease/own_lease_store.go
@@ -9,68 +9,68 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// ownTenure has a lease for its one duty.
-type ownTenure struct {
-	store store.Store
-	key   string // of the holder
-	ttl   time.Duration
-	clock func() time.Duration
-	// taken is told when another is found to hold the duty.
-	taken func()
-	// left says whether a claim is one that this instance left behind.
-	left func(value []byte) bool
-	// depose has a token when the present holder's claim is to be removed.
-	depose <-chan struct{}
+// ownLeaseStore has a lease for its one duty.
+type ownLeaseStore struct {
+	store     store.Store
+	holderKey string // of the holder
+	ttl       time.Duration
+	clock     func() time.Duration
+	// onOccupied is told when another is found to hold the duty.
+	onOccupied func()
+	// isStaleClaim says whether a claim is one that this instance isStaleClaim behind.
+	isStaleClaim func(value []byte) bool
+	// takeoverRequested has a token when the present holder's claim is to be removed.
+	takeoverRequested <-chan struct{}
 }
 
 // awaitVacant lists the holder key and, while it exists, watches it. Waiting
 // candidates cost the store one waiting watch each and no polling.
-func (o *ownTenure) awaitVacant(ctx context.Context) Event {
-	snap, err := o.store.List(ctx, o.key)
+func (o *ownLeaseStore) awaitVacant(ctx context.Context) Event {
+	snap, err := o.store.List(ctx, o.holderKey)
 	if err != nil {
-		return failed(err)
+		return failedEvent(err)
 	}
 	if len(snap.Keys) == 0 {
 		return Vacant{}
 	}
-	if o.left(snap.Keys[0].Value) {
-		return o.remove(ctx, snap.Keys[0])
+	if o.isStaleClaim(snap.Keys[0].Value) {
+		return o.removeClaim(ctx, snap.Keys[0])
 	}
-	o.taken()
-	switch result, err := o.watchHolder(ctx, snap.At+1); {
-	case result == holderLeft:
+	o.onOccupied()
+	switch result, err := o.watchHolderKey(ctx, snap.At+1); {
+	case result == holderKeyDeleted:
 		return Vacant{}
-	case result == holderDeposed:
-		return o.remove(ctx, snap.Keys[0])
+	case result == takeoverForced:
+		return o.removeClaim(ctx, snap.Keys[0])
 	default:
-		return failed(err)
+		return failedEvent(err)
 	}
 }
 
-// departure is how a watch of the holder key ended.
-type departure int
+// watchResult is how a watch of the holder key ended.
+type watchResult int
 
 const (
-	holderStays   departure = iota
-	holderLeft              // the key was deleted
-	holderDeposed           // the holder is believed to be dead
+	watchFailed      watchResult = iota
+	holderKeyDeleted             // the key was deleted
+	takeoverForced               // the holder is believed to be dead
 )
 
-// watchHolder waits until the holder key is deleted or the holder is to be deposed.
-func (o *ownTenure) watchHolder(ctx context.Context, from store.Revision) (departure, error) {
+// watchHolderKey waits until the holder key is deleted or the holder is to be deposed.
+func (o *ownLeaseStore) watchHolderKey(ctx context.Context, from store.Revision) (watchResult, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var takeover atomic.Bool
 	go func() {
 		select {
-		case <-o.depose:
+		case <-o.takeoverRequested:
 			takeover.Store(true)
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
 	deleted := false
-	err := o.store.Watch(ctx, o.key, from, func(b store.WatchBatch) {
+	err := o.store.Watch(ctx, o.holderKey, from, func(b store.WatchBatch) {
 		for _, e := range b.Events {
 			deleted = e.Deleted
 		}
@@ -80,19 +80,19 @@
 	})
 	switch {
 	case deleted:
-		return holderLeft, nil
+		return holderKeyDeleted, nil
 	case takeover.Load():
-		return holderDeposed, nil
+		return takeoverForced, nil
 	}
-	return holderStays, err
+	return watchFailed, err
 }
 
-// remove deletes a claim whose holder is gone or believed so, so that its lease need not
+// removeClaim deletes a claim whose holder is gone or believed so, so that its lease need not
 // be waited for. A claim made since is left alone.
-func (o *ownTenure) remove(ctx context.Context, kv store.KeyValue) Event {
+func (o *ownLeaseStore) removeClaim(ctx context.Context, kv store.KeyValue) Event {
 	deleted, err := o.swap(ctx, store.Swap{Key: kv.Key, Expect: kv.Mod, Delete: true})
 	if err != nil {
-		return failed(err)
+		return failedEvent(err)
 	}
 	if !deleted {
 		return Failed{}
@@ -100,16 +100,16 @@
 	return Vacant{}
 }
 
-func (o *ownTenure) grant(ctx context.Context) Event {
+func (o *ownLeaseStore) grant(ctx context.Context) Event {
 	sent := o.clock()
 	id, err := o.store.Grant(ctx, o.ttl)
 	if err != nil {
-		return failed(err)
+		return failedEvent(err)
 	}
 	return Granted{Lease: id, Sent: sent}
 }
 
-func (o *ownTenure) swap(ctx context.Context, s store.Swap) (bool, error) {
+func (o *ownLeaseStore) swap(ctx context.Context, s store.Swap) (bool, error) {
 	results, err := o.store.Commit(ctx, []store.Swap{s})
 	if err != nil {
 		return false, err
@@ -117,22 +117,22 @@
 	return results[0].Swapped, nil
 }
 
-func (o *ownTenure) read(ctx context.Context, key string) (store.KeyValue, bool, error) {
+func (o *ownLeaseStore) read(ctx context.Context, key string) (store.KeyValue, bool, error) {
 	return o.store.Get(ctx, key)
 }
 
-func (o *ownTenure) verify(ctx context.Context, claim []byte, _ bool) Event {
-	kv, ok, err := o.store.Get(ctx, o.key)
+func (o *ownLeaseStore) verify(ctx context.Context, claim []byte, _ bool) Event {
+	kv, ok, err := o.store.Get(ctx, o.holderKey)
 	if err != nil {
-		return failed(err)
+		return failedEvent(err)
 	}
 	return Verified{Owned: ok && bytes.Equal(kv.Value, claim)}
 }
 
-func (o *ownTenure) renew(ctx context.Context, lease store.LeaseID) Event {
+func (o *ownLeaseStore) renew(ctx context.Context, lease store.LeaseID) Event {
 	sent := o.clock()
 	if _, err := o.store.Renew(ctx, lease); err != nil {
-		return failed(err)
+		return failedEvent(err)
 	}
 	return Renewed{Sent: sent}
 }
@@ -140,10 +140,10 @@
 // release is not cut short by the Holder's own end: the next candidate waits
 // for it. The lease lapses by itself within the TTL where it fails. It also
 // undoes a creation of the holder key that is still on its way.
-func (o *ownTenure) release(lease store.LeaseID, _ []byte, _ bool) {
+func (o *ownLeaseStore) release(lease store.LeaseID, _ []byte, _ bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), o.ttl)
 	defer cancel()
 	_ = o.store.Revoke(ctx, lease)
 }
 
-func (o *ownTenure) lost() <-chan struct{} { return nil }
+func (o *ownLeaseStore) lost() <-chan struct{} { return nil }
--- a/lease/record.go
+++ b/lease/record.go
@@ -3,8 +3,8 @@
 import "encoding/json"
 
 const (
-	keyPrefix     = "duty/"
-	sessionPrefix = "session/"
+	electionKeyPrefix = "duty/"
+	sessionKeyPrefix  = "session/"
 )
 
 // EpochKey returns the key that holds a duty's last epoch. Its revision is the same
@@ -19,10 +19,10 @@
 	return r.Epoch, err
 }
 
-func holderKey(duty string) string           { return keyPrefix + duty + "/holder" }
-func epochKey(duty string) string            { return keyPrefix + duty + "/epoch" }
-func dutyPrefix(domain string) string        { return keyPrefix + domain + "/" }
-func sessionKey(domain, lease string) string { return sessionPrefix + domain + "/" + lease }
+func holderKey(duty string) string           { return electionKeyPrefix + duty + "/holder" }
+func epochKey(duty string) string            { return electionKeyPrefix + duty + "/epoch" }
+func electionPrefix(domain string) string    { return electionKeyPrefix + domain + "/" }
+func sessionKey(domain, lease string) string { return sessionKeyPrefix + domain + "/" + lease }
 
 // record is the value of all keys. Token makes each value unique, so that a
 // write whose reply was lost can be recognised.
--- a/lease/session.go
+++ b/lease/session.go
@@ -20,12 +20,12 @@
 // store), all Holders drop their duties and compete again under the next lease,
 // which the Session asks for by itself.
 type Session struct {
-	opts  SessionOptions
-	swaps *store.Batcher
-	tomb  tomb.Tomb
+	opts    SessionOptions
+	batcher *store.Batcher
+	tomb    tomb.Tomb
 
 	mu      sync.Mutex
-	term    *term         // nil: no lease now
+	lease   *sessionLease // nil: no lease now
 	changed chan struct{} // closed and replaced when term changes
 }
 
@@ -36,7 +36,7 @@
 	}
 	s := &Session{
 		opts:    opts,
-		swaps:   store.NewBatcher(opts.Store, 0),
+		batcher: store.NewBatcher(opts.Store, 0),
 		changed: make(chan struct{}),
 	}
 	s.tomb.Go(s.run)
@@ -60,27 +60,27 @@
 // Lease waits until there is a lease and returns it, with a channel that is closed
 // when it is lost. Keys of the embedder that are bound to it end with it.
 func (s *Session) Lease(ctx context.Context) (store.LeaseID, <-chan struct{}, error) {
-	l, err := s.current(ctx)
+	l, err := s.awaitLease(ctx)
 	if err != nil {
 		return 0, nil, err
 	}
-	return l.lease, l.lost, nil
+	return l.id, l.lost, nil
 }
 
 // Valid says whether the Session's lease certainly lives now, by its last
 // renewal.
 func (s *Session) Valid() bool {
 	s.mu.Lock()
-	l := s.term
+	l := s.lease
 	s.mu.Unlock()
-	return l != nil && s.opts.Clock() < l.until()
+	return l != nil && s.opts.Clock() < l.validUntil()
 }
 
-// current waits for a term.
-func (s *Session) current(ctx context.Context) (*term, error) {
+// awaitLease waits for a term.
+func (s *Session) awaitLease(ctx context.Context) (*sessionLease, error) {
 	for {
 		s.mu.Lock()
-		l, changed := s.term, s.changed
+		l, changed := s.lease, s.changed
 		s.mu.Unlock()
 		if l != nil {
 			return l, nil
@@ -95,54 +95,54 @@
 	}
 }
 
-func (s *Session) set(l *term) {
+func (s *Session) setLease(l *sessionLease) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.term = l
+	s.lease = l
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // run has one term after the other.
 func (s *Session) run() error {
-	defer s.swaps.Close()
+	defer s.batcher.Close()
 	ctx := s.tomb.Context(context.Background())
 	retryDelay := backoff.NewExponentialBackOff()
-	retryDelay.InitialInterval = pauseFirst
-	retryDelay.MaxInterval = pauseMax
+	retryDelay.InitialInterval = minBackOff
+	retryDelay.MaxInterval = maxBackOff
 	for s.tomb.Alive() {
-		if s.serve(ctx) {
+		if s.runLease(ctx) {
 			retryDelay.Reset()
 		}
-		rest(ctx, retryDelay.NextBackOff())
+		sleepContext(ctx, retryDelay.NextBackOff())
 	}
 	return nil
 }
 
-// serve is the life of one lease; false where none was had.
-func (s *Session) serve(ctx context.Context) bool {
-	l, err := s.begin(ctx)
+// runLease is the life of one lease; false where none was had.
+func (s *Session) runLease(ctx context.Context) bool {
+	l, err := s.grantLease(ctx)
 	if err != nil {
 		return false
 	}
-	s.set(l)
+	s.setLease(l)
 	s.log("lease granted", nil)
 	err = l.run(ctx)
-	s.set(nil)
+	s.setLease(nil)
 	close(l.lost)
 	s.log("lease lost", err)
-	s.revoke(l.lease)
+	s.revoke(l.id)
 	return true
 }
 
-func (s *Session) begin(ctx context.Context) (*term, error) {
+func (s *Session) grantLease(ctx context.Context) (*sessionLease, error) {
 	sent := s.opts.Clock()
 	id, err := s.opts.Store.Grant(ctx, s.opts.TTL)
 	if err != nil {
 		return nil, err
 	}
-	l := newTerm(s, id, sent)
-	if err := l.write(ctx); err != nil {
+	l := newSessionLease(s, id, sent)
+	if err := l.writeKey(ctx); err != nil {
 		s.revoke(id)
 		return nil, err
 	}
@@ -167,8 +167,8 @@
 	log.Info(change)
 }
 
-// rest waits for d or until ctx ends.
-func rest(ctx context.Context, d time.Duration) {
+// sleepContext waits for d or until ctx ends.
+func sleepContext(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
