--- a/lease/candidate_test.go
+++ b/lease/candidate_test.go
@@ -17,17 +17,17 @@
 	"github.com/eelgrasshub/eelgrasshub/store/standin"
 )
 
-const duty = domain + "/planner"
+const electionName = domain + "/planner"
 
-// bench is a stand-in with candidates for one duty.
-type bench struct {
+// testEnv is a stand-in with candidates for one duty.
+type testEnv struct {
 	srv *standin.Server
 	url string
 	// watchIdle is the clients' of Sessions.
 	watchIdle time.Duration
 }
 
-func newBench(t *testing.T, opts standin.Options) *bench {
+func newTestEnv(t *testing.T, opts standin.Options) *testEnv {
 	opts.Progress = 20 * time.Millisecond
 	srv := standin.New(opts)
 	web := httptest.NewServer(srv)
@@ -35,18 +35,18 @@
 		srv.Close()
 		web.Close()
 	})
-	return &bench{srv: srv, url: web.URL, watchIdle: 200 * time.Millisecond}
+	return &testEnv{srv: srv, url: web.URL, watchIdle: 200 * time.Millisecond}
 }
 
-// run starts a candidate and returns it with the channel of its changes.
-func (env *bench) run(t *testing.T, ttl time.Duration, changes ...func(*lease.CandidateOptions)) (*lease.Candidate, <-chan lease.Leadership) {
+// startCandidate starts a candidate and returns it with the channel of its changes.
+func (env *testEnv) startCandidate(t *testing.T, ttl time.Duration, changes ...func(*lease.CandidateOptions)) (*lease.Candidate, <-chan lease.Leadership) {
 	store := store.NewClient(store.Options{
 		Endpoints:   []string{env.url},
 		CallTimeout: 200 * time.Millisecond,
 		WatchIdle:   200 * time.Millisecond,
 	})
 	gained := make(chan lease.Leadership, 100)
-	opts := lease.CandidateOptions{Store: store, Election: duty, Instance: t.Name(), TTL: ttl}
+	opts := lease.CandidateOptions{Store: store, Election: electionName, Instance: t.Name(), TTL: ttl}
 	opts.OnChange = func(held lease.Leadership, ok bool) {
 		if ok {
 			gained <- held
@@ -55,8 +55,8 @@
 	for _, f := range changes {
 		f(&opts)
 	}
-	if inSessions {
-		opts.Session = env.session(opts)
+	if useSessions {
+		opts.Session = env.openSession(opts)
 	}
 	h := lease.StartCandidate(opts)
 	t.Cleanup(func() {
@@ -71,14 +71,14 @@
 
 // The planner's process stops as planned. Its successor must not wait for the
 // lease, of ten minutes here, to lapse, nor ask the store again and again.
-func TestHolderResigns(t *testing.T) {
+func TestCandidateResigns(t *testing.T) {
 	c := qt.New(t)
-	env := newBench(t, standin.Options{})
-	first, gained := env.run(t, 10*time.Minute)
+	env := newTestEnv(t, standin.Options{})
+	first, gained := env.startCandidate(t, 10*time.Minute)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(1))
 	_, ok := first.Current()
 	c.Assert(ok, qt.IsTrue)
-	second, gained := env.run(t, 10*time.Minute)
+	second, gained := env.startCandidate(t, 10*time.Minute)
 	for env.srv.Counters().Watch == 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -95,12 +95,12 @@
 
 // Every write's reply is lost once while the duty is taken. The candidate must
 // recognise its own writes instead of waiting for a holder that is itself.
-func TestHolderLostReplies(t *testing.T) {
+func TestCandidateRecognizesWritesAfterLostReplies(t *testing.T) {
 	c := qt.New(t)
-	env := newBench(t, standin.Options{})
+	env := newTestEnv(t, standin.Options{})
 	for n := range 4 {
 		env.srv.SetFaults(standin.Faults{LoseReplies: n + 1})
-		h, gained := env.run(t, 10*time.Minute)
+		h, gained := env.startCandidate(t, 10*time.Minute)
 		c.Assert((<-gained).Epoch > uint64(n), qt.IsTrue)
 		c.Assert(h.Resign(context.Background()), qt.IsNil)
 	}
@@ -108,11 +108,11 @@
 
 // The machine is suspended. On waking, and before any renewal could fail, the
 // process must see that its lease has lapsed.
-func TestHolderSuspended(t *testing.T) {
+func TestLeadershipExpiresDuringSuspension(t *testing.T) {
 	c := qt.New(t)
-	env := newBench(t, standin.Options{})
+	env := newTestEnv(t, standin.Options{})
 	var clock atomic.Int64
-	h, gained := env.run(t, 10*time.Minute, func(o *lease.CandidateOptions) {
+	h, gained := env.startCandidate(t, 10*time.Minute, func(o *lease.CandidateOptions) {
 		o.Clock = func() time.Duration { return time.Duration(clock.Load()) }
 	})
 	<-gained
@@ -125,10 +125,10 @@
 
 // The store is restored from a backup, its epochs go back, and agents refuse
 // the planner's orders as those of an older one.
-func TestHolderObserves(t *testing.T) {
+func TestCandidateRaisesEpochAboveObserved(t *testing.T) {
 	c := qt.New(t)
-	env := newBench(t, standin.Options{})
-	h, gained := env.run(t, 10*time.Minute)
+	env := newTestEnv(t, standin.Options{})
+	h, gained := env.startCandidate(t, 10*time.Minute)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(1))
 	h.ObserveEpoch(41)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(42))
@@ -138,15 +138,15 @@
 // two valid at the same time, and every holding has a higher epoch. Two of the
 // outages outlast the leases. Four times the one that holds the duty resigns
 // while the store is well, and the other one must take over.
-func TestHoldersUnderFaults(t *testing.T) {
+func TestCandidatesUnderFaults(t *testing.T) {
 	const seed, rounds = 1, 60
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	c := qt.New(t)
-	env := newBench(t, standin.Options{})
+	env := newTestEnv(t, standin.Options{})
 	var mu sync.Mutex
 	var epochs []uint64
 	run := func() *lease.Candidate {
-		h, _ := env.run(t, time.Second, func(o *lease.CandidateOptions) {
+		h, _ := env.startCandidate(t, time.Second, func(o *lease.CandidateOptions) {
 			o.OnChange = func(held lease.Leadership, ok bool) {
 				mu.Lock()
 				defer mu.Unlock()
@@ -165,9 +165,9 @@
 		switch round % 30 {
 		case 10, 20:
 			env.srv.SetFaults(standin.Faults{})
-			i, held := waitForHolder(c, holders)
+			i, held := waitForLeader(c, holders)
 			c.Assert(holders[i].Resign(context.Background()), qt.IsNil)
-			next, successor := waitForHolder(c, holders)
+			next, successor := waitForLeader(c, holders)
 			c.Assert(next, qt.Equals, 1-i)
 			c.Assert(successor.Epoch > held.Epoch, qt.IsTrue, qt.Commentf("%d after %d", successor.Epoch, held.Epoch))
 			holders[i] = run()
@@ -176,7 +176,7 @@
 			checks = 700
 		}
 		for range checks {
-			checkHolders(c, holders[0], holders[1])
+			checkSingleLeader(c, holders[0], holders[1])
 			time.Sleep(2 * time.Millisecond)
 		}
 	}
@@ -192,11 +192,11 @@
 	}
 }
 
-// waitForHolder returns which of the two holds the duty, once one of them does.
+// waitForLeader returns which of the two holds the duty, once one of them does.
 // A lease that has lapsed meanwhile is waited for again.
-func waitForHolder(c *qt.C, holders []*lease.Candidate) (int, lease.Leadership) {
+func waitForLeader(c *qt.C, holders []*lease.Candidate) (int, lease.Leadership) {
 	for {
-		checkHolders(c, holders[0], holders[1])
+		checkSingleLeader(c, holders[0], holders[1])
 		for i, h := range holders {
 			if held, ok := h.Current(); ok {
 				return i, held
@@ -206,10 +206,10 @@
 	}
 }
 
-// checkHolders asks the first again after the second, so that a change of
+// checkSingleLeader asks the first again after the second, so that a change of
 // holder between two questions is not taken for two holders. The same epoch in
 // both answers says that the first held the duty all the while.
-func checkHolders(c *qt.C, a, b *lease.Candidate) {
+func checkSingleLeader(c *qt.C, a, b *lease.Candidate) {
 	first, ok1 := a.Current()
 	second, ok2 := b.Current()
 	firstAgain, ok3 := a.Current()
--- a/lease/elector_test.go
+++ b/lease/elector_test.go
@@ -11,9 +11,9 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-var runs = flag.Int("lease.runs", 300, "randomised runs; run n has seed n")
+var runCount = flag.Int("lease.runs", 300, "randomised runs; run n has seed n")
 
-const steps = 5000
+const stepsPerRun = 5000
 
 // Two entries plan for the same region at once, or orders of the newer one are
 // refused because the older one drew a higher epoch: calls are slow, replies
@@ -23,31 +23,31 @@
 // numbers, and rapid's lean to small ones.
 func TestElectorRandom(t *testing.T) {
 	leaderships := 0
-	for seed := range *runs {
-		w := newWorld(uint64(seed))
-		for range steps {
-			w.disturb()
-			if err := w.check(); err != "" {
+	for seed := range *runCount {
+		w := newSimulation(uint64(seed))
+		for range stepsPerRun {
+			w.randomStep()
+			if err := w.checkInvariants(); err != "" {
 				t.Fatalf("seed %d: %s", seed, err)
 			}
 		}
-		if err := w.settle(); err != "" {
+		if err := w.runUntilLed(); err != "" {
 			t.Fatalf("seed %d: %s", seed, err)
 		}
-		leaderships += w.holdings
+		leaderships += w.leaderships
 	}
-	t.Logf("%d runs, %d holdings", *runs, leaderships)
-	qt.Assert(t, leaderships > 5**runs, qt.IsTrue)
+	t.Logf("%d runs, %d holdings", *runCount, leaderships)
+	qt.Assert(t, leaderships > 5**runCount, qt.IsTrue)
 }
 
-// renewing returns a candidate that holds the duty and is about to renew.
-func renewing(c *qt.C, m *model) *candidate {
-	a := &candidate{Elector: lease.NewElector(ttl), rate: 100}
+// candidateAboutToRenew returns a candidate that holds the duty and is about to renew.
+func candidateAboutToRenew(c *qt.C, m *storeModel) *simCandidate {
+	a := &simCandidate{Elector: lease.NewElector(ttl), ratePercent: 100}
 	a.step(0, lease.Start{})
-	for _, isRenew := a.act.(lease.Renew); !isRenew; _, isRenew = a.act.(lease.Renew) {
-		a.step(m.now, m.apply(a.act, a.sent))
+	for _, isRenew := a.action.(lease.Renew); !isRenew; _, isRenew = a.action.(lease.Renew) {
+		a.step(m.now, m.apply(a.action, a.sent))
 	}
-	held, ok := a.valid(m.now)
+	held, ok := a.validLeadership(m.now)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(held.Epoch, qt.Equals, uint64(1))
 	return a
@@ -58,35 +58,35 @@
 // long taken over.
 func TestElectorPausedInRenewal(t *testing.T) {
 	c := qt.New(t)
-	m := &model{leases: make(map[store.LeaseID]time.Duration)}
-	a := renewing(c, m)
-	reply := m.apply(a.act, a.sent)
+	m := &storeModel{leases: make(map[store.LeaseID]time.Duration)}
+	a := candidateAboutToRenew(c, m)
+	reply := m.apply(a.action, a.sent)
 	m.now += ttl + time.Second
-	_, ok := a.valid(m.now)
+	_, ok := a.validLeadership(m.now)
 	c.Assert(ok, qt.IsFalse)
 	a.step(m.now, reply)
 	_, ok = a.Leadership()
 	c.Assert(ok, qt.IsFalse)
-	c.Assert(a.act, qt.Equals, lease.Action(lease.Revoke{Lease: a.claimed}))
+	c.Assert(a.action, qt.Equals, lease.Action(lease.Revoke{Lease: a.claimLease}))
 }
 
 // The reply to a renewal takes 5 s, the next renewals fail, and the holder goes
 // on for 5 s after the store has given the duty to another.
 func TestElectorSlowRenewal(t *testing.T) {
 	c := qt.New(t)
-	m := &model{leases: make(map[store.LeaseID]time.Duration)}
-	a := renewing(c, m)
-	reply := m.apply(a.act, a.sent)
+	m := &storeModel{leases: make(map[store.LeaseID]time.Duration)}
+	a := candidateAboutToRenew(c, m)
+	reply := m.apply(a.action, a.sent)
 	expiresAt := m.now + ttl
 	m.now += 5 * time.Second
 	a.step(m.now, reply)
-	a.step(m.now, m.apply(a.act, a.sent))
+	a.step(m.now, m.apply(a.action, a.sent))
 	held, ok := a.Leadership()
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(held.ValidUntil < expiresAt, qt.IsTrue, qt.Commentf("until %v, lapses %v", held.ValidUntil, expiresAt))
 }
 
-func TestFence(t *testing.T) {
+func TestFenceRefusesLowerEpoch(t *testing.T) {
 	c := qt.New(t)
 	var f lease.Fence
 	c.Assert(f.Admit(2), qt.IsNil)
--- a/lease/handover_test.go
+++ b/lease/handover_test.go
@@ -12,18 +12,18 @@
 
 // A duty is to move to another process, and the holder gives it up. Without a
 // pause it would be first to find it vacant and take it again.
-func TestHolderYields(t *testing.T) {
+func TestCandidateYields(t *testing.T) {
 	c := qt.New(t)
-	env := newBench(t, standin.Options{})
+	env := newTestEnv(t, standin.Options{})
 	hesitate := func(o *lease.CandidateOptions) { o.ClaimDelay = func() time.Duration { return time.Hour } }
-	first, gained := env.run(t, 10*time.Minute)
+	first, gained := env.startCandidate(t, 10*time.Minute)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(1))
-	_, other := env.run(t, 10*time.Minute, hesitate)
+	_, other := env.startCandidate(t, 10*time.Minute, hesitate)
 	// Meant for an earlier holding: ignored.
 	first.Yield(0)
 	first.ObserveEpoch(4)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(5))
-	third, won := env.run(t, 10*time.Minute)
+	third, won := env.startCandidate(t, 10*time.Minute)
 	first.Yield(5)
 	var held lease.Leadership
 	select {
@@ -40,12 +40,12 @@
 // The holder's machine loses power. A candidate that believes so takes the duty at once,
 // under a higher epoch, instead of waiting ten minutes for the lease. The holder, which
 // lives after all, finds its claim gone with its next renewal and is a candidate again.
-func TestDeposedHolderIsReplacedAtOnce(t *testing.T) {
+func TestForceTakeoverReplacesLeaderAtOnce(t *testing.T) {
 	c := qt.New(t)
-	env := newBench(t, standin.Options{})
-	first, gained := env.run(t, 3*time.Second)
+	env := newTestEnv(t, standin.Options{})
+	first, gained := env.startCandidate(t, 3*time.Second)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(1))
-	second, won := env.run(t, 10*time.Minute)
+	second, won := env.startCandidate(t, 10*time.Minute)
 	c.Assert(first.ForceTakeover(), qt.IsFalse, qt.Commentf("a holder has nobody to depose"))
 	for !second.ForceTakeover() {
 		time.Sleep(time.Millisecond) // it does not wait for the duty yet
--- a/lease/session_simulation_test.go
+++ b/lease/session_simulation_test.go
@@ -10,28 +10,28 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// session is the lease that a candidate's process shares between its duties, on
+// simSession is the lease that a candidate's process shares between its duties, on
 // virtual time. To the model each grant from it is a lease that lapses with it;
 // the name of that lease stands for the token of the claim.
-type session struct {
-	id     store.LeaseID // zero: none yet
-	claims map[store.LeaseID]bool
-	sent   time.Duration // of the last renewal, on the candidate's clock
-	taken  time.Duration // of the last renewal that the Elector was told of
-	asked  *time.Duration
+type simSession struct {
+	id              store.LeaseID // zero: none yet
+	claims          map[store.LeaseID]bool
+	renewedAt       time.Duration // of the last renewal, on the candidate's clock
+	reportedRenewal time.Duration // of the last renewal that the Elector was told of
+	renewalSentAt   *time.Duration
 }
 
-// renew sends a renewal, or has the one that was sent take effect and answered.
-func (w *world) renew(i int) {
+// renewSession sends a renewal, or has the one that was sent take effect and answered.
+func (w *simulation) renewSession(i int) {
 	if w.sessions == nil {
 		return
 	}
 	s, clock := w.sessions[i], w.candidates[i].clock(w.store.now)
-	if s.asked == nil {
-		s.asked = &clock
+	if s.renewalSentAt == nil {
+		s.renewalSentAt = &clock
 		return
 	}
-	w.store.lapse()
+	w.store.expireLeases()
 	if _, alive := w.store.leases[s.id]; !alive {
 		w.store.rev++
 		s.id, s.claims = store.LeaseID(w.store.rev), map[store.LeaseID]bool{}
@@ -40,25 +40,25 @@
 	for claim := range s.claims {
 		w.store.leases[claim] = w.store.now + ttl
 	}
-	s.sent, s.asked = *s.asked, nil
+	s.renewedAt, s.renewalSentAt = *s.renewalSentAt, nil
 }
 
-// revoke ends the session's lease, as another process does that takes this one
+// revokeSession ends the session's lease, as another process does that takes this one
 // for dead.
-func (w *world) revoke(i int) {
+func (w *simulation) revokeSession(i int) {
 	s := w.sessions[i]
-	w.store.drop(s.id)
+	w.store.dropLease(s.id)
 	for claim := range s.claims {
-		w.store.drop(claim)
+		w.store.dropLease(claim)
 	}
 }
 
-func (s *session) apply(m *model, c *candidate) lease.Event {
-	m.lapse()
-	switch act := c.act.(type) {
+func (s *simSession) apply(m *storeModel, c *simCandidate) lease.Event {
+	m.expireLeases()
+	switch act := c.action.(type) {
 	case lease.AwaitVacant:
-		if s.claims[m.holder] {
-			m.holder = 0 // a claim that came late
+		if s.claims[m.holderLease] {
+			m.holderLease = 0 // a claim that came late
 		}
 	case lease.Grant:
 		end, alive := m.leases[s.id]
@@ -67,24 +67,24 @@
 		}
 		m.rev++
 		claim := store.LeaseID(m.rev)
-		s.claims[claim], m.leases[claim], s.taken = true, end, s.sent
-		return lease.Granted{Lease: claim, Sent: s.sent}
+		s.claims[claim], m.leases[claim], s.reportedRenewal = true, end, s.renewedAt
+		return lease.Granted{Lease: claim, Sent: s.renewedAt}
 	case lease.Renew:
 		if _, alive := m.leases[act.Lease]; !alive {
 			return lease.Failed{LeaseNotFound: true}
 		}
-		if s.sent <= s.taken {
+		if s.renewedAt <= s.reportedRenewal {
 			return nil
 		}
-		s.taken = s.sent
-		return lease.Renewed{Sent: s.sent}
+		s.reportedRenewal = s.renewedAt
+		return lease.Renewed{Sent: s.renewedAt}
 	case lease.Revoke:
-		if m.holder == act.Lease {
-			m.holder = 0
+		if m.holderLease == act.Lease {
+			m.holderLease = 0
 		}
 		return lease.Revoked{}
 	}
-	return m.apply(c.act, c.sent)
+	return m.apply(c.action, c.sent)
 }
 
 // Three entries share one lease each between their duties, and give a duty up by
@@ -95,25 +95,25 @@
 // renewal, but the one whose key is in the store has the highest epoch.
 func TestElectorInSessionRandom(t *testing.T) {
 	leaderships := 0
-	for seed := range *runs {
-		w := newWorld(uint64(seed))
+	for seed := range *runCount {
+		w := newSimulation(uint64(seed))
 		for range w.candidates {
-			w.sessions = append(w.sessions, &session{})
+			w.sessions = append(w.sessions, &simSession{})
 		}
-		for range steps {
-			w.disturb()
-			if w.wild && w.rng.IntN(500) == 0 {
-				w.revoke(w.rng.IntN(len(w.sessions)))
+		for range stepsPerRun {
+			w.randomStep()
+			if w.adversarial && w.rng.IntN(500) == 0 {
+				w.revokeSession(w.rng.IntN(len(w.sessions)))
 			}
-			if err := w.check(); err != "" {
+			if err := w.checkInvariants(); err != "" {
 				t.Fatalf("seed %d: %s", seed, err)
 			}
 		}
-		if err := w.settle(); err != "" {
+		if err := w.runUntilLed(); err != "" {
 			t.Fatalf("seed %d: %s", seed, err)
 		}
-		leaderships += w.holdings
+		leaderships += w.leaderships
 	}
-	t.Logf("%d runs, %d holdings", *runs, leaderships)
-	qt.Assert(t, leaderships > 5**runs, qt.IsTrue)
+	t.Logf("%d runs, %d holdings", *runCount, leaderships)
+	qt.Assert(t, leaderships > 5**runCount, qt.IsTrue)
 }
--- a/lease/session_test.go
+++ b/lease/session_test.go
@@ -17,12 +17,12 @@
 
 const domain = "auckland"
 
-// inSessions gives each candidate of a bench a Session. Tests don't run beside
+// useSessions gives each candidate of a bench a Session. Tests don't run beside
 // each other.
-var inSessions = false
+var useSessions = false
 
-// session opens a Session for a candidate and waits until it watches.
-func (env *bench) session(o lease.CandidateOptions) *lease.Session {
+// openSession opens a Session for a candidate and waits until it watches.
+func (env *testEnv) openSession(o lease.CandidateOptions) *lease.Session {
 	watchesBefore := env.srv.Counters().Watch
 	s := lease.OpenSession(lease.SessionOptions{Store: o.Store, Domain: domain, Instance: o.Instance, TTL: o.TTL, Clock: o.Clock})
 	for env.srv.Faults() == (standin.Faults{}) && env.srv.Counters().Watch == watchesBefore {
@@ -32,50 +32,50 @@
 }
 
 // Whatever a Holder with a lease of its own promises, one in a Session does too.
-func TestHolderInSession(t *testing.T) {
-	inSessions = true
-	defer func() { inSessions = false }()
-	t.Run("resigns", TestHolderResigns)
-	t.Run("lost replies", TestHolderLostReplies)
-	t.Run("suspended", TestHolderSuspended)
-	t.Run("observes", TestHolderObserves)
-	t.Run("under faults", TestHoldersUnderFaults)
-	t.Run("yields", TestHolderYields)
+func TestCandidateInSession(t *testing.T) {
+	useSessions = true
+	defer func() { useSessions = false }()
+	t.Run("resigns", TestCandidateResigns)
+	t.Run("lost replies", TestCandidateRecognizesWritesAfterLostReplies)
+	t.Run("suspended", TestLeadershipExpiresDuringSuspension)
+	t.Run("observes", TestCandidateRaisesEpochAboveObserved)
+	t.Run("under faults", TestCandidatesUnderFaults)
+	t.Run("yields", TestCandidateYields)
 }
 
-// member is a Session with a Holder for each of some duties.
-type member struct {
-	session *lease.Session
-	holders []*lease.Candidate
-	gained  []chan lease.Leadership
-	// took is told of each holding that is valid when it is told.
-	took func(duty int, epoch uint64)
+// sessionProcess is a Session with a Holder for each of some duties.
+type sessionProcess struct {
+	session    *lease.Session
+	candidates []*lease.Candidate
+	gained     []chan lease.Leadership
+	// onGain is told of each holding that is valid when it is told.
+	onGain func(duty int, epoch uint64)
 }
 
-func (env *bench) member(t *testing.T, ttl time.Duration, duties int, onGain ...func(duty int, epoch uint64)) *member {
+func (env *testEnv) startProcess(t *testing.T, ttl time.Duration, duties int, onGain ...func(duty int, epoch uint64)) *sessionProcess {
 	store := store.NewClient(store.Options{Endpoints: []string{env.url}, CallTimeout: 200 * time.Millisecond, WatchIdle: env.watchIdle})
-	p := &member{session: env.session(lease.CandidateOptions{Store: store, TTL: ttl, Instance: t.Name()})}
+	p := &sessionProcess{session: env.openSession(lease.CandidateOptions{Store: store, TTL: ttl, Instance: t.Name()})}
 	if len(onGain) > 0 {
-		p.took = onGain[0]
+		p.onGain = onGain[0]
 	}
 	for i := range duties {
 		gained := make(chan lease.Leadership, 100)
 		p.gained = append(p.gained, gained)
-		p.holders = append(p.holders, lease.StartCandidate(lease.CandidateOptions{
+		p.candidates = append(p.candidates, lease.StartCandidate(lease.CandidateOptions{
 			Session: p.session, Election: fmt.Sprintf("%s/service-%02d", domain, i), Instance: t.Name(),
 			OnChange: func(held lease.Leadership, ok bool) {
 				if !ok {
 					return
 				}
-				if p.took != nil && lease.BootTime() < held.ValidUntil {
-					p.took(i, held.Epoch)
+				if p.onGain != nil && lease.BootTime() < held.ValidUntil {
+					p.onGain(i, held.Epoch)
 				}
 				gained <- held
 			},
 		}))
 	}
 	t.Cleanup(func() {
-		for _, h := range p.holders {
+		for _, h := range p.candidates {
 			_ = h.Resign(context.Background())
 		}
 		_ = p.session.Close(context.Background())
@@ -86,11 +86,11 @@
 
 // A region has many duties and the store counts each call: what a process pays to
 // hold them must not grow with their number.
-func TestSessionCallsDoNotGrowWithDuties(t *testing.T) {
+func TestSessionCallsDoNotGrowWithElections(t *testing.T) {
 	c := qt.New(t)
-	env := newBench(t, standin.Options{})
+	env := newTestEnv(t, standin.Options{})
 	env.watchIdle = time.Hour // a watch that is replaced on a busy machine is a call
-	p := env.member(t, time.Second, 50)
+	p := env.startProcess(t, time.Second, 50)
 	for _, g := range p.gained {
 		<-g
 	}
@@ -101,7 +101,7 @@
 	}
 	used := env.srv.Counters().Total() - before.Total()
 	c.Check(used <= 6+6+2, qt.IsTrue, qt.Commentf("%d calls for 6 renewals", used))
-	for _, h := range p.holders {
+	for _, h := range p.candidates {
 		_, ok := h.Current()
 		c.Check(ok, qt.IsTrue)
 	}
@@ -113,13 +113,13 @@
 // process must see by itself that its claims are not all there any more.
 func TestSessionInRestoredStore(t *testing.T) {
 	c := qt.New(t)
-	env := newBench(t, standin.Options{})
+	env := newTestEnv(t, standin.Options{})
 	env.watchIdle = time.Hour
-	p := env.member(t, time.Second, 2)
+	p := env.startProcess(t, time.Second, 2)
 	first := []lease.Leadership{<-p.gained[0], <-p.gained[1]}
 	env.srv.SetFaults(standin.Faults{FreezeWatches: true})
 	env.srv.Snapshot()
-	late := p.late(t, c)
+	late := p.addCandidate(t, c)
 	env.srv.Restore()
 	c.Assert((<-late).Epoch, qt.Equals, uint64(1)) // the backup knows no epoch of it
 	for i, held := range first {
@@ -127,25 +127,25 @@
 	}
 }
 
-// late adds a Holder that gains its duty now, and returns what it gains after.
-func (p *member) late(t *testing.T, c *qt.C) <-chan lease.Leadership {
+// addCandidate adds a Holder that gains its duty now, and returns what it gains after.
+func (p *sessionProcess) addCandidate(t *testing.T, c *qt.C) <-chan lease.Leadership {
 	gained := make(chan lease.Leadership, 100)
 	h := lease.StartCandidate(lease.CandidateOptions{Session: p.session, Election: domain + "/late", Instance: t.Name(), OnChange: func(held lease.Leadership, ok bool) {
 		if ok {
 			gained <- held
 		}
 	}})
-	p.holders = append(p.holders, h)
+	p.candidates = append(p.candidates, h)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(1))
 	return gained
 }
 
 // An operator deletes the holder key of one of two duties. The holder must see it
 // although its lease lives, and must not lose the other duty.
-func TestSessionKeyDeleted(t *testing.T) {
+func TestSessionDetectsDeletedHolderKey(t *testing.T) {
 	c := qt.New(t)
-	env := newBench(t, standin.Options{})
-	p := env.member(t, time.Second, 2)
+	env := newTestEnv(t, standin.Options{})
+	p := env.startProcess(t, time.Second, 2)
 	<-p.gained[0]
 	<-p.gained[1]
 	operator := store.NewClient(store.Options{Endpoints: []string{env.url}})
@@ -155,7 +155,7 @@
 	_, err = operator.Commit(context.Background(), []store.Swap{{Key: key, Expect: kv.Mod, Delete: true}})
 	c.Assert(err, qt.IsNil)
 	c.Assert((<-p.gained[0]).Epoch, qt.Equals, uint64(2))
-	held, ok := p.holders[1].Current()
+	held, ok := p.candidates[1].Current()
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(held.Epoch, qt.Equals, uint64(1))
 }
@@ -164,8 +164,8 @@
 // all duties at the next renewal, the other has them at once, and nothing is stuck.
 func TestSessionRevokedByAnother(t *testing.T) {
 	c := qt.New(t)
-	env := newBench(t, standin.Options{})
-	p := env.member(t, time.Second, 3)
+	env := newTestEnv(t, standin.Options{})
+	p := env.startProcess(t, time.Second, 3)
 	for _, g := range p.gained {
 		c.Assert((<-g).Epoch, qt.Equals, uint64(1))
 	}
@@ -182,17 +182,17 @@
 // The creation of a holder key is held up on its way and takes effect long after
 // its Holder has given it up. Nobody holds the duty, but its key lives on with the
 // Session's lease: without a clean-up no process could ever take the duty.
-func TestSessionLateCreation(t *testing.T) {
+func TestSessionRemovesLateClaim(t *testing.T) {
 	c := qt.New(t)
-	env := newBench(t, standin.Options{})
-	p := env.member(t, time.Second, 1)
+	env := newTestEnv(t, standin.Options{})
+	p := env.startProcess(t, time.Second, 1)
 	<-p.gained[0]
-	other := env.member(t, time.Second, 1)
+	other := env.startProcess(t, time.Second, 1)
 	id, _, err := other.session.Lease(context.Background())
 	c.Assert(err, qt.IsNil)
 	operator := store.NewClient(store.Options{Endpoints: []string{env.url}})
 	key := fmt.Sprintf("duty/%s/service-00/holder", domain)
-	c.Assert(p.holders[0].Resign(context.Background()), qt.IsNil)
+	c.Assert(p.candidates[0].Resign(context.Background()), qt.IsNil)
 	<-other.gained[0]
 	kv, _, err := operator.Get(context.Background(), key)
 	c.Assert(err, qt.IsNil)
@@ -207,7 +207,7 @@
 func TestSessionsUnderFaults(t *testing.T) {
 	const seed, rounds, duties = 7, 60, 5
 	c := qt.New(t)
-	env := newBench(t, standin.Options{})
+	env := newTestEnv(t, standin.Options{})
 	var mu sync.Mutex
 	epochs := make([][]uint64, duties)
 	onGain := func(duty int, epoch uint64) {
@@ -215,7 +215,7 @@
 		defer mu.Unlock()
 		epochs[duty] = append(epochs[duty], epoch)
 	}
-	processes := []*member{env.member(t, time.Second, duties, onGain), env.member(t, time.Second, duties, onGain)}
+	processes := []*sessionProcess{env.startProcess(t, time.Second, duties, onGain), env.startProcess(t, time.Second, duties, onGain)}
 	rng := rand.New(rand.NewPCG(seed, 0))
 	for round := range rounds {
 		env.srv.SetFaults(randomFaults(rng))
@@ -224,7 +224,7 @@
 		}
 		for range 20 {
 			for i := range duties {
-				checkHolders(c, processes[0].holders[i], processes[1].holders[i])
+				checkSingleLeader(c, processes[0].candidates[i], processes[1].candidates[i])
 			}
 			time.Sleep(2 * time.Millisecond)
 		}
@@ -232,8 +232,8 @@
 	env.srv.SetFaults(standin.Faults{})
 	for i := range duties {
 		for held := false; !held; time.Sleep(time.Millisecond) {
-			_, first := processes[0].holders[i].Current()
-			_, second := processes[1].holders[i].Current()
+			_, first := processes[0].candidates[i].Current()
+			_, second := processes[1].candidates[i].Current()
 			held = first || second
 		}
 	}
--- a/lease/slow_store_test.go
+++ b/lease/slow_store_test.go
@@ -13,7 +13,7 @@
 // five calls used up the next candidate's lease of 2 s, which lapsed before its first
 // renewal was verified; then another tried, and nobody held the duty until the store was
 // quick again.
-func TestClaimAtASlowStoreLasts(t *testing.T) {
+func TestClaimOnSlowStoreIsRenewedInTime(t *testing.T) {
 	const (
 		ttl    = 2 * time.Second
 		answer = 320 * time.Millisecond
@@ -38,13 +38,13 @@
 			continue
 		}
 		now += answer
-		act = e.Step(now, answerOf(act, sent))
+		act = e.Step(now, successfulReply(act, sent))
 	}
 	c.Check(heldFrom > 0 && heldFrom < 4*time.Second, qt.IsTrue, qt.Commentf("held from %v", heldFrom))
 }
 
-// answerOf is the good end of an action that was begun at sent.
-func answerOf(act lease.Action, sent time.Duration) lease.Event {
+// successfulReply is the good end of an action that was begun at sent.
+func successfulReply(act lease.Action, sent time.Duration) lease.Event {
 	switch act.(type) {
 	case lease.AwaitVacant:
 		return lease.Vacant{}
--- a/lease/stale_claim_test.go
+++ b/lease/stale_claim_test.go
@@ -14,9 +14,9 @@
 
 // The process that holds a duty is killed and started again at once. Without the claim
 // of its earlier life removed, nobody would hold the duty until that life's lease lapses.
-func TestRestartedHolderReclaimsItsDuty(t *testing.T) {
+func TestRestartedProcessRemovesStaleClaim(t *testing.T) {
 	c := qt.New(t)
-	env := newBench(t, standin.Options{})
+	env := newTestEnv(t, standin.Options{})
 	kv := store.NewClient(store.Options{Endpoints: []string{env.url}})
 	defer kv.Close()
 	ctx := context.Background()
--- a/lease/store_model_test.go
+++ b/lease/store_model_test.go
@@ -9,38 +9,38 @@
 
 const ttl = 10 * time.Second
 
-// model is a store with the two keys of one duty, on virtual time.
-type model struct {
-	now    time.Duration
-	rev    store.Revision
-	leases map[store.LeaseID]time.Duration // when each lapses
-	holder store.LeaseID                   // whose key exists; zero: none
-	epoch  uint64
-	mod    store.Revision // of the epoch key
+// storeModel is a store with the two keys of one duty, on virtual time.
+type storeModel struct {
+	now           time.Duration
+	rev           store.Revision
+	leases        map[store.LeaseID]time.Duration // when each lapses
+	holderLease   store.LeaseID                   // whose key exists; zero: none
+	epoch         uint64
+	epochRevision store.Revision // of the epoch key
 }
 
-func (m *model) lapse() {
+func (m *storeModel) expireLeases() {
 	for id, end := range m.leases {
 		if m.now >= end {
-			m.drop(id)
+			m.dropLease(id)
 		}
 	}
 }
 
-func (m *model) drop(id store.LeaseID) {
+func (m *storeModel) dropLease(id store.LeaseID) {
 	delete(m.leases, id)
-	if m.holder == id {
-		m.holder = 0
+	if m.holderLease == id {
+		m.holderLease = 0
 	}
 }
 
 // apply carries out the action of a candidate whose clock shows sent.
-func (m *model) apply(act lease.Action, sent time.Duration) lease.Event {
-	m.lapse()
+func (m *storeModel) apply(act lease.Action, sent time.Duration) lease.Event {
+	m.expireLeases()
 	m.rev++
 	switch act := act.(type) {
 	case lease.AwaitVacant:
-		if m.holder == 0 {
+		if m.holderLease == 0 {
 			return lease.Vacant{}
 		}
 		return nil
@@ -52,21 +52,21 @@
 		if _, ok := m.leases[act.Lease]; !ok {
 			return lease.Failed{LeaseNotFound: true}
 		}
-		succeeded := m.holder == 0
+		succeeded := m.holderLease == 0
 		if succeeded {
-			m.holder = act.Lease
+			m.holderLease = act.Lease
 		}
 		return lease.Claimed{Succeeded: succeeded}
 	case lease.ReadEpoch:
-		return lease.EpochRead{Epoch: m.epoch, Revision: m.mod}
+		return lease.EpochRead{Epoch: m.epoch, Revision: m.epochRevision}
 	case lease.RaiseEpoch:
-		succeeded := m.mod == act.ExpectRevision
+		succeeded := m.epochRevision == act.ExpectRevision
 		if succeeded {
-			m.epoch, m.mod = act.Epoch, m.rev
+			m.epoch, m.epochRevision = act.Epoch, m.rev
 		}
 		return lease.Raised{Succeeded: succeeded}
 	case lease.Verify:
-		return lease.Verified{Owned: m.holder == act.Lease}
+		return lease.Verified{Owned: m.holderLease == act.Lease}
 	case lease.Renew:
 		if _, ok := m.leases[act.Lease]; !ok {
 			return lease.Failed{LeaseNotFound: true}
@@ -74,39 +74,39 @@
 		m.leases[act.Lease] = m.now + ttl
 		return lease.Renewed{Sent: sent}
 	case lease.Revoke:
-		m.drop(act.Lease)
+		m.dropLease(act.Lease)
 		return lease.Revoked{}
 	}
 	return lease.WaitEnded{}
 }
 
-// candidate is one Elector with its clock, its action and that action's event
+// simCandidate is one Elector with its clock, its action and that action's event
 // where it is still on its way back.
-type candidate struct {
+type simCandidate struct {
 	*lease.Elector
-	offset time.Duration
-	rate   time.Duration // percent of true time
-	act    lease.Action
-	sent   time.Duration
-	event  lease.Event
-	paused time.Duration // true time
-	// claimed is the lease of the last Claim.
-	claimed store.LeaseID
+	offset      time.Duration
+	ratePercent time.Duration // percent of true time
+	action      lease.Action
+	sent        time.Duration
+	reply       lease.Event
+	pausedUntil time.Duration // true time
+	// claimLease is the lease of the last Claim.
+	claimLease store.LeaseID
 }
 
-func (c *candidate) clock(now time.Duration) time.Duration {
-	return c.offset + now*c.rate/100
+func (c *simCandidate) clock(now time.Duration) time.Duration {
+	return c.offset + now*c.ratePercent/100
 }
 
-func (c *candidate) step(now time.Duration, ev lease.Event) {
-	c.act = c.Step(c.clock(now), ev)
-	c.sent, c.event = c.clock(now), nil
-	if claim, ok := c.act.(lease.Claim); ok {
-		c.claimed = claim.Lease
+func (c *simCandidate) step(now time.Duration, ev lease.Event) {
+	c.action = c.Step(c.clock(now), ev)
+	c.sent, c.reply = c.clock(now), nil
+	if claim, ok := c.action.(lease.Claim); ok {
+		c.claimLease = claim.Lease
 	}
 }
 
-func (c *candidate) valid(now time.Duration) (lease.Leadership, bool) {
+func (c *simCandidate) validLeadership(now time.Duration) (lease.Leadership, bool) {
 	held, ok := c.Leadership()
 	return held, ok && c.clock(now) < held.ValidUntil
 }
