--- a/membership/admission_limiter.go
+++ b/membership/admission_limiter.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// pace is a token bucket that also counts whom it turned away, so that each is
+// admissionLimiter is a token bucket that also counts whom it turned away, so that each is
 // told to return after those before it.
-type pace struct {
+type admissionLimiter struct {
 	rate   float64 // a second
 	burst  float64
 	tokens float64
@@ -13,8 +13,8 @@
 	last    time.Time
 }
 
-// take admits one, or says after what time to try again.
-func (p *pace) take(now time.Time) (bool, time.Duration) {
+// admit admits one, or says after what time to try again.
+func (p *admissionLimiter) admit(now time.Time) (bool, time.Duration) {
 	if !p.last.IsZero() {
 		passed := now.Sub(p.last).Seconds() * p.rate
 		p.tokens = min(p.burst, p.tokens+passed)
--- a/membership/admit.go
+++ b/membership/admit.go
@@ -19,16 +19,16 @@
 		return nil
 	}
 	if !relayed && !terminal {
-		if ok, after := t.pace.take(now); !ok {
+		if ok, after := t.admission.admit(now); !ok {
 			t.refuse(report.ID, after)
 			return nil
 		}
 	}
-	if len(t.records) >= t.cfg.MaxMembers && !t.dropGone() {
+	if len(t.records) >= t.cfg.MaxMembers && !t.dropLongestGone() {
 		t.refuse(report.ID, t.cfg.ReportPeriod)
 		return nil
 	}
-	r := &record{id: report.ID, incarnation: report.Incarnation, gone: now}
+	r := &record{id: report.ID, incarnation: report.Incarnation, goneSince: now}
 	t.records[report.ID] = r
 	return r
 }
@@ -39,11 +39,11 @@
 	t.emit(NextReport{After: after})
 }
 
-// dropGone forgets the record whose member has been gone for longest.
-func (t *Table) dropGone() bool {
+// dropLongestGone forgets the record whose member has been gone for longest.
+func (t *Table) dropLongestGone() bool {
 	var oldest *record
 	for _, r := range t.records {
-		if r.member == nil && (oldest == nil || older(r, oldest)) {
+		if r.member == nil && (oldest == nil || goneEarlier(r, oldest)) {
 			oldest = r
 		}
 	}
@@ -54,9 +54,9 @@
 	return true
 }
 
-func older(a, b *record) bool {
-	if !a.gone.Equal(b.gone) {
-		return a.gone.Before(b.gone)
+func goneEarlier(a, b *record) bool {
+	if !a.goneSince.Equal(b.goneSince) {
+		return a.goneSince.Before(b.goneSince)
 	}
 	return a.id < b.id
 }
--- a/membership/apply.go
+++ b/membership/apply.go
@@ -17,10 +17,10 @@
 		next.Tasks = nil
 	}
 	if groups&wire.ChangedPlace != 0 {
-		setPlace(&next, r)
+		copyPlace(&next, r)
 	}
 	if groups&wire.ChangedSize != 0 {
-		setSize(&next, r)
+		copySize(&next, r)
 	}
 	if groups&wire.ChangedDraining != 0 {
 		next.Draining = base.Draining || r.Draining
@@ -42,7 +42,7 @@
 	return next, groups
 }
 
-func setPlace(to *wire.AgentReport, r wire.AgentReport) {
+func copyPlace(to *wire.AgentReport, r wire.AgentReport) {
 	to.Service = r.Service
 	to.Region = r.Region
 	to.Zone = r.Zone
@@ -51,7 +51,7 @@
 	to.Relays = r.Relays
 }
 
-func setSize(to *wire.AgentReport, r wire.AgentReport) {
+func copySize(to *wire.AgentReport, r wire.AgentReport) {
 	to.Accelerators = r.Accelerators
 	to.Slots = r.Slots
 	to.Connections = r.Connections
--- a/membership/diff.go
+++ b/membership/diff.go
@@ -15,8 +15,8 @@
 			groups |= group
 		}
 	}
-	addUnlessEqual(place(a) == place(b), wire.ChangedPlace)
-	addUnlessEqual(size(a) == size(b), wire.ChangedSize)
+	addUnlessEqual(placeOf(a) == placeOf(b), wire.ChangedPlace)
+	addUnlessEqual(sizeOf(a) == sizeOf(b), wire.ChangedSize)
 	addUnlessEqual(a.Draining == b.Draining, wire.ChangedDraining)
 	addUnlessEqual(a.Load == b.Load, wire.ChangedLoad)
 	addUnlessEqual(a.Fence == b.Fence && sameTasks(a.Tasks, b.Tasks), wire.ChangedTasks)
@@ -24,11 +24,11 @@
 	return groups
 }
 
-func place(r wire.AgentReport) [5]string {
+func placeOf(r wire.AgentReport) [5]string {
 	return [5]string{r.Service, r.Region, r.Zone, r.Rack, r.Address}
 }
 
-func size(r wire.AgentReport) [5]int {
+func sizeOf(r wire.AgentReport) [5]int {
 	return [5]int{r.Accelerators, r.Slots, r.Connections, r.Cores, r.MemoryMB}
 }
 
--- a/membership/ingest.go
+++ b/membership/ingest.go
@@ -34,9 +34,9 @@
 // supersede ends the older incarnation: its process is gone for certain.
 func (t *Table) supersede(now time.Time, r *record, incarnation uint64) {
 	if r.member != nil {
-		t.emit(Lost{Member: t.remove(r, now)})
+		t.emit(Lost{Member: t.removeMember(r, now)})
 	}
-	r.restart(incarnation, now)
+	r.reset(incarnation, now)
 }
 
 // update takes a report of the record's own incarnation.
@@ -45,24 +45,24 @@
 		return
 	}
 	if report.Goodbye {
-		t.leave(now, r)
+		t.markLeft(now, r)
 		return
 	}
 	// Draining counts even when the report is late or can't be applied: it
 	// is final within an incarnation, and waiting for a full report would
 	// offer the member meanwhile.
 	if report.Draining {
-		t.drain(r)
+		t.markDraining(r)
 	}
 	// Who heard the agent last relays it. An agent that moved to another
 	// entry is heard there directly and here by relay, with a later time.
-	if contact.After(r.heard) {
-		r.heard = contact
-		r.lifeVersion = t.version
+	if contact.After(r.lastContact) {
+		r.lastContact = contact
+		r.livenessVersion = t.version
 		t.setDirect(r, !relayed)
 	}
 	t.merge(r, report, relayed)
-	t.recover(now, r)
+	t.clearSuspicion(now, r)
 }
 
 // merge applies the report's content when it is newer and complete. Sequences
@@ -85,15 +85,15 @@
 	next, groups := apply(base, *report)
 	next.Draining = r.draining
 	r.sequence = report.Sequence
-	r.touch(groups, t.version)
+	r.markChanged(groups, t.version)
 	m := &Member{Report: next, State: state}
-	t.announce(r, m, groups, joining)
+	t.updateMember(r, m, groups, joining)
 }
 
-func (t *Table) announce(r *record, m *Member, groups wire.Changed, joining bool) {
+func (t *Table) updateMember(r *record, m *Member, groups wire.Changed, joining bool) {
 	if joining {
-		t.set(r, m)
-		t.urgent = true
+		t.setMember(r, m)
+		t.publishNow = true
 		t.emit(Joined{Member: m})
 		return
 	}
@@ -103,28 +103,28 @@
 		return
 	}
 	if m.Report.Service != r.member.Report.Service {
-		t.urgent = true
+		t.publishNow = true
 	}
-	t.set(r, m)
+	t.setMember(r, m)
 	t.emit(Changed{Member: m, Groups: groups})
 }
 
-// recover ends suspicion when the member was heard recently enough.
-func (t *Table) recover(now time.Time, r *record) {
-	if r.member == nil || r.member.State == Alive || now.Sub(r.heard) > t.cfg.SuspectAfter {
+// clearSuspicion ends suspicion when the member was heard recently enough.
+func (t *Table) clearSuspicion(now time.Time, r *record) {
+	if r.member == nil || r.member.State == Alive || now.Sub(r.lastContact) > t.cfg.SuspectAfter {
 		return
 	}
 	m := r.member.with(func(m *Member) { m.State = Alive })
-	t.set(r, m)
+	t.setMember(r, m)
 	t.emit(Recovered{Member: m})
 }
 
-func (t *Table) leave(now time.Time, r *record) {
+func (t *Table) markLeft(now time.Time, r *record) {
 	r.left = true
-	r.lifeVersion = t.version
+	r.livenessVersion = t.version
 	if r.member == nil {
-		r.gone = now
+		r.goneSince = now
 		return
 	}
-	t.emit(Left{Member: t.remove(r, now)})
+	t.emit(Left{Member: t.removeMember(r, now)})
 }
--- a/membership/random_relays_test.go
+++ b/membership/random_relays_test.go
@@ -298,7 +298,7 @@
 	e := w.entries[i]
 	r := e.table.records[a.id]
 	if r != nil && r.incarnation == a.incarnation {
-		excess := r.heard.Sub(a.alive) - 2*oneWay - pausedAfter
+		excess := r.lastContact.Sub(a.alive) - 2*oneWay - pauseThreshold
 		w.c.Assert(excess <= 0, qt.IsTrue, qt.Commentf("%s counts as heard by %s %v after it last ran", a.id, e.addr, excess))
 	}
 	if !a.up || a.frozen.After(w.now) {
@@ -306,7 +306,7 @@
 	}
 	unhindered := laterOf(laterOf(a.since, e.since), laterOf(w.bad, w.cuts[min(a.id, e.addr)+max(a.id, e.addr)]))
 	if w.now.Sub(unhindered) > mostSilence {
-		w.c.Assert(r != nil && w.now.Sub(r.heard) <= mostSilence, qt.IsTrue, qt.Commentf("%s was not heard by %s", a.id, e.addr))
+		w.c.Assert(r != nil && w.now.Sub(r.lastContact) <= mostSilence, qt.IsTrue, qt.Commentf("%s was not heard by %s", a.id, e.addr))
 	}
 	if !a.drained.IsZero() && w.now.Sub(laterOf(unhindered, a.drained)) > mostDraining {
 		offered := slices.Contains(offeredIDs(e.table), a.id)
--- a/membership/record.go
+++ b/membership/record.go
@@ -17,20 +17,20 @@
 	draining    bool
 	left        bool
 	direct      bool
-	heard       time.Time
-	gone        time.Time // since when member is nil
+	lastContact time.Time
+	goneSince   time.Time // since when member is nil
 	member      *Member
 
 	// For relays: the table's version of the last news of the agent's life
 	// and of each group, and the agent's sequence of each group.
-	lifeVersion  uint64
-	groupVersion [groupCount]uint64
-	groupSeq     [groupCount]uint64
+	livenessVersion uint64
+	groupVersion    [groupCount]uint64
+	groupSeq        [groupCount]uint64
 }
 
-// touch notes that groups changed at the record's sequence.
-func (r *record) touch(groups wire.Changed, version uint64) {
-	r.lifeVersion = version
+// markChanged notes that groups changed at the record's sequence.
+func (r *record) markChanged(groups wire.Changed, version uint64) {
+	r.livenessVersion = version
 	for g := range groupCount {
 		if groups&(1<<g) != 0 {
 			r.groupVersion[g] = version
@@ -39,8 +39,8 @@
 	}
 }
 
-// restart makes the record that of a later incarnation of which nothing but
+// reset makes the record that of a later incarnation of which nothing but
 // its existence is known.
-func (r *record) restart(incarnation uint64, now time.Time) {
-	*r = record{id: r.id, incarnation: incarnation, gone: now}
+func (r *record) reset(incarnation uint64, now time.Time) {
+	*r = record{id: r.id, incarnation: incarnation, goneSince: now}
 }
--- a/membership/relay_route.go
+++ b/membership/relay_route.go
@@ -16,18 +16,18 @@
 // as an answer that does not come, or that lacks the entry, and the agent reports
 // to that entry itself again.
 type RelayRoute struct {
-	self    string
-	relay   wire.RelayInfo
-	digest  uint64
-	entries []string
-	until   time.Time
-	avoided map[wire.RelayInfo]time.Time
+	self         string
+	relay        wire.RelayInfo
+	digest       uint64
+	entries      []string
+	validUntil   time.Time
+	avoidedUntil map[wire.RelayInfo]time.Time
 }
 
 // NewRelayRoute returns the path of the agent with the ID, which begins without a
 // relay.
 func NewRelayRoute(self string) *RelayRoute {
-	return &RelayRoute{self: self, avoided: make(map[wire.RelayInfo]time.Time)}
+	return &RelayRoute{self: self, avoidedUntil: make(map[wire.RelayInfo]time.Time)}
 }
 
 // Relay returns the relay to report to; false: there is none.
@@ -42,19 +42,19 @@
 // when another one is to be used.
 func (r *RelayRoute) OfferRelay(now time.Time, relay wire.RelayInfo) {
 	if _, ok := r.Relay(); !ok {
-		r.move(now, relay)
+		r.switchTo(now, relay)
 	}
 }
 
 // Clear ends the use of the relay.
 func (r *RelayRoute) Clear() {
 	r.relay = wire.RelayInfo{}
-	r.digest, r.entries, r.until = 0, nil, time.Time{}
+	r.digest, r.entries, r.validUntil = 0, nil, time.Time{}
 }
 
 // HandleFailure says that the relay left a report unanswered, or refused it.
 func (r *RelayRoute) HandleFailure(now time.Time) {
-	r.avoided[r.relay] = now.Add(relayAvoid)
+	r.avoidedUntil[r.relay] = now.Add(relayAvoidPeriod)
 	r.Clear()
 }
 
@@ -68,11 +68,11 @@
 		r.digest = ack.Digest
 		r.entries = addresses(ack.Entries)
 		if ack.Relay != r.relay {
-			r.move(now, ack.Relay)
+			r.switchTo(now, ack.Relay)
 			return
 		}
 	}
-	r.until = sent.Add(relayCover)
+	r.validUntil = sent.Add(relayAckValidity)
 }
 
 func addresses(entries []wire.EntryInfo) []string {
@@ -83,14 +83,14 @@
 	return out
 }
 
-func (r *RelayRoute) move(now time.Time, to wire.RelayInfo) {
+func (r *RelayRoute) switchTo(now time.Time, to wire.RelayInfo) {
 	r.Clear()
-	for relay, until := range r.avoided {
+	for relay, until := range r.avoidedUntil {
 		if !now.Before(until) {
-			delete(r.avoided, relay)
+			delete(r.avoidedUntil, relay)
 		}
 	}
-	if _, avoided := r.avoided[to]; avoided || to.ID == r.self {
+	if _, avoided := r.avoidedUntil[to]; avoided || to.ID == r.self {
 		return
 	}
 	r.relay = to
@@ -98,8 +98,8 @@
 
 // ForwardsTo says whether the relay passes the agent's reports on to the entry.
 func (r *RelayRoute) ForwardsTo(now time.Time, entry string) bool {
-	return now.Before(r.until) && slices.Contains(r.entries, entry)
+	return now.Before(r.validUntil) && slices.Contains(r.entries, entry)
 }
 
 // ValidUntil returns when the relay's word ends if it does not answer again.
-func (r *RelayRoute) ValidUntil() time.Time { return r.until }
+func (r *RelayRoute) ValidUntil() time.Time { return r.validUntil }
--- a/membership/relay_timing.go
+++ b/membership/relay_timing.go
@@ -16,14 +16,14 @@
 	RelayHeartbeat = 3 * time.Second
 	// RelayPeriod is the longest period of a relay's reports to an entry.
 	RelayPeriod = 8 * time.Second
-	// relayCover is for how long the relay's last answer lets a member leave out
+	// relayAckValidity is for how long the relay's last answer lets a member leave out
 	// its own reports. It exceeds a heartbeat and the timeout of its call.
-	relayCover = 5 * time.Second
-	// relayAvoid is for how long a member avoids a relay that failed it. Entries
+	relayAckValidity = 5 * time.Second
+	// relayAvoidPeriod is for how long a member avoids a relay that failed it. Entries
 	// name another one once they suspect the failed one.
-	relayAvoid = 30 * time.Second
-	// relayMemberLost is after how long a relay drops a member that does not
+	relayAvoidPeriod = 30 * time.Second
+	// relayMemberTimeout is after how long a relay drops a member that does not
 	// report to it any more. The member reports by itself then, or is dead.
-	relayMemberLost = 10 * time.Second
-	relayMaxMembers = 256
+	relayMemberTimeout = 10 * time.Second
+	relayMaxMembers    = 256
 )
--- a/membership/relayer.go
+++ b/membership/relayer.go
@@ -12,29 +12,29 @@
 // entry has been told of them. One goroutine owns it; now must not go back, and
 // should run on during suspension: it tells entries how old a report is.
 type Relayer struct {
-	table *Table
-	told  map[string]*told
-	newer map[string]wire.AgentSeen
+	table             *Table
+	entryStates       map[string]*entryState
+	newerIncarnations map[string]wire.AgentSeen
 }
 
-// told is what one entry knows by this relay.
-type told struct {
-	cursor Cursor
-	owed   map[string]time.Time // full reports that are due then, by agent
+// entryState is what one entry knows by this relay.
+type entryState struct {
+	cursor         Cursor
+	fullReportsDue map[string]time.Time // full reports that are due then, by agent
 }
 
 // NewRelayer returns one without members.
 func NewRelayer() *Relayer {
 	return &Relayer{
 		table: NewTable(Config{
-			SuspectAfter: relayMemberLost,
-			LostAfter:    relayMemberLost,
+			SuspectAfter: relayMemberTimeout,
+			LostAfter:    relayMemberTimeout,
 			ForgetAfter:  time.Minute,
 			ReportPeriod: RelayHeartbeat,
 			MaxMembers:   relayMaxMembers,
 		}),
-		told:  make(map[string]*told),
-		newer: make(map[string]wire.AgentSeen),
+		entryStates:       make(map[string]*entryState),
+		newerIncarnations: make(map[string]wire.AgentSeen),
 	}
 }
 
@@ -46,7 +46,7 @@
 	actions := r.table.Step(now, Reports{Batch: []wire.AgentReport{report}})
 	ack := &wire.ReportAck{}
 	FillAck(ack, actions)
-	if seen, ok := r.newer[report.ID]; ok && seen.Incarnation > report.Incarnation {
+	if seen, ok := r.newerIncarnations[report.ID]; ok && seen.Incarnation > report.Incarnation {
 		ack.Newer = append(ack.Newer, seen)
 	}
 	return ack, report.Full || slices.ContainsFunc(actions, isNews)
@@ -67,15 +67,15 @@
 func (r *Relayer) Tick(now time.Time) {
 	for _, a := range r.table.Step(now, Tick{}) {
 		if lost, ok := a.(Lost); ok {
-			r.drop(lost.Member.Report.ID)
+			r.forgetMember(lost.Member.Report.ID)
 		}
 	}
 }
 
-func (r *Relayer) drop(id string) {
-	delete(r.newer, id)
-	for _, state := range r.told {
-		delete(state.owed, id)
+func (r *Relayer) forgetMember(id string) {
+	delete(r.newerIncarnations, id)
+	for _, state := range r.entryStates {
+		delete(state.fullReportsDue, id)
 	}
 }
 
@@ -92,10 +92,10 @@
 // Batch returns what to tell the entry now of the members, each with its age,
 // and the mark to give to Acked with the entry's answer.
 func (r *Relayer) Batch(now time.Time, entry string) ([]wire.AgentReport, Cursor) {
-	state := r.entry(entry)
+	state := r.stateOf(entry)
 	batch, cursor := r.table.Relay(now, state.cursor)
 	var due []string
-	for id, at := range state.owed {
+	for id, at := range state.fullReportsDue {
 		if !now.Before(at) {
 			due = append(due, id)
 		}
@@ -104,15 +104,15 @@
 	batch = slices.DeleteFunc(batch, func(a wire.AgentReport) bool { return slices.Contains(due, a.ID) })
 	batch = append(batch, r.table.RelayFull(now, due)...)
 	for i := range batch {
-		r.mark(&batch[i])
+		r.clearEvidence(&batch[i])
 	}
 	return batch, cursor
 }
 
-// mark keeps a relayed report from being taken for evidence that a gang is
+// clearEvidence keeps a relayed report from being taken for evidence that a gang is
 // whole. Without a stamp it would count as of its receipt, and the planner would
 // renew the other members of a gang whose part here has stopped since.
-func (r *Relayer) mark(a *wire.AgentReport) {
+func (r *Relayer) clearEvidence(a *wire.AgentReport) {
 	record := r.table.records[a.ID]
 	if record == nil || record.member == nil {
 		return
@@ -125,38 +125,38 @@
 
 // HandleAck takes the entry's answer to the batch.
 func (r *Relayer) HandleAck(now time.Time, entry string, batch []wire.AgentReport, cursor Cursor, ack *wire.ReportAck) {
-	state := r.entry(entry)
+	state := r.stateOf(entry)
 	state.cursor = max(state.cursor, cursor)
 	for _, a := range batch {
 		if a.Full {
-			delete(state.owed, a.ID)
+			delete(state.fullReportsDue, a.ID)
 		}
 	}
 	for _, id := range ack.NeedFull {
-		r.owe(state, id, now)
+		r.scheduleFullReport(state, id, now)
 	}
 	for _, id := range ack.Refused {
-		r.owe(state, id, now.Add(ack.NextReport))
+		r.scheduleFullReport(state, id, now.Add(ack.NextReport))
 	}
 	for _, seen := range ack.Newer {
 		if r.table.records[seen.ID] != nil {
-			r.newer[seen.ID] = seen
+			r.newerIncarnations[seen.ID] = seen
 		}
 	}
 }
 
-// owe notes that the entry needs a full report; the agent's own word is not
+// scheduleFullReport notes that the entry needs a full report; the agent's own word is not
 // needed for it.
-func (r *Relayer) owe(state *told, id string, at time.Time) {
+func (r *Relayer) scheduleFullReport(state *entryState, id string, at time.Time) {
 	if record := r.table.records[id]; record != nil && record.member != nil {
-		state.owed[id] = at
+		state.fullReportsDue[id] = at
 	}
 }
 
 // FullReportDue returns when the next full report for the entry is due; false: none is.
 func (r *Relayer) FullReportDue(entry string) (time.Time, bool) {
 	var earliest time.Time
-	for _, at := range r.entry(entry).owed {
+	for _, at := range r.stateOf(entry).fullReportsDue {
 		if earliest.IsZero() || at.Before(earliest) {
 			earliest = at
 		}
@@ -165,13 +165,13 @@
 }
 
 // Forget drops an entry that the relay no longer reports to.
-func (r *Relayer) Forget(entry string) { delete(r.told, entry) }
+func (r *Relayer) Forget(entry string) { delete(r.entryStates, entry) }
 
-func (r *Relayer) entry(addr string) *told {
-	state := r.told[addr]
+func (r *Relayer) stateOf(addr string) *entryState {
+	state := r.entryStates[addr]
 	if state == nil {
-		state = &told{owed: make(map[string]time.Time)}
-		r.told[addr] = state
+		state = &entryState{fullReportsDue: make(map[string]time.Time)}
+		r.entryStates[addr] = state
 	}
 	return state
 }
--- a/membership/report_router.go
+++ b/membership/report_router.go
@@ -8,10 +8,10 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// gangSilence: a gang's member that no entry with the planner duty has answered
+// plannerAnswerTimeout: a gang's member that no entry with the planner duty has answered
 // for so long reports to all entries itself, so that a new planner hears of it as
 // soon as it plans.
-const gangSilence = 2500 * time.Millisecond
+const plannerAnswerTimeout = 2500 * time.Millisecond
 
 // ReportRouter decides when an agent reports to whom and what: to each entry by
 // itself, or to the relay of its rack, and as a relay for others. One goroutine
@@ -19,20 +19,20 @@
 // suspension. There is at most one report under way to each entry and to the
 // relay.
 type ReportRouter struct {
-	cfg      ReportRouterConfig
-	self     wire.RelayInfo
-	draining bool
-	inGang   bool
-	stamp    gang.PlannerTimestamp
-	planned  time.Time // when an entry with the planner duty last answered
-	reporter *Reporter
-	path     *RelayRoute
-	relayer  *Relayer
-	entries  map[string]*entryLink
-	toRelay  relayLink
-	served   time.Time // when an entry last named this agent as relay
-	ticked   time.Time
-	pausedAt time.Time
+	cfg               ReportRouterConfig
+	self              wire.RelayInfo
+	draining          bool
+	inGang            bool
+	timestamp         gang.PlannerTimestamp
+	plannerAnsweredAt time.Time // when an entry with the planner duty last answered
+	reporter          *Reporter
+	route             *RelayRoute
+	relayer           *Relayer
+	entries           map[string]*entryLink
+	toRelay           relayLink
+	namedRelayAt      time.Time // when an entry last named this agent as relay
+	lastTick          time.Time
+	pauseDetectedAt   time.Time
 }
 
 // ReportRouterConfig holds an Announcer's settings.
@@ -52,7 +52,7 @@
 		cfg:      cfg,
 		self:     RelayOf(&state),
 		reporter: NewReporter(cfg.ReporterConfig, state, random),
-		path:     NewRelayRoute(state.ID),
+		route:    NewRelayRoute(state.ID),
 		relayer:  NewRelayer(),
 		entries:  make(map[string]*entryLink),
 	}
@@ -69,8 +69,8 @@
 
 // RemoveEntry ends reports to an entry.
 func (r *ReportRouter) RemoveEntry(addr string) {
-	if l := r.entries[addr]; l != nil && l.planner {
-		r.planned = time.Time{}
+	if l := r.entries[addr]; l != nil && l.isPlanner {
+		r.plannerAnsweredAt = time.Time{}
 	}
 	delete(r.entries, addr)
 	r.reporter.Forget(addr)
@@ -87,67 +87,67 @@
 }
 
 // SetTimestamp takes the stamp that the next reports return.
-func (r *ReportRouter) SetTimestamp(s gang.PlannerTimestamp) { r.stamp = s }
+func (r *ReportRouter) SetTimestamp(s gang.PlannerTimestamp) { r.timestamp = s }
 
 // Due returns when to report to the entry, or to ask again because the relay's
 // word ends then.
 func (r *ReportRouter) Due(now time.Time, addr string) time.Time {
 	l := r.entries[addr]
-	if r.byRelay(now, addr) {
-		r.cover(now, addr)
+	if r.reportsViaRelay(now, addr) {
+		r.switchToRelay(now, addr)
 		if r.inGang {
-			return earlier(r.path.ValidUntil(), now.Add(r.cfg.GangReportPeriod)) // for gangSilence
+			return earlierOf(r.route.ValidUntil(), now.Add(r.cfg.GangReportPeriod)) // for gangSilence
 		}
-		return r.path.ValidUntil()
+		return r.route.ValidUntil()
 	}
-	l.covered = false
+	l.viaRelay = false
 	due := r.reporter.Due(now, addr)
 	if r.inGang {
-		due = earlier(due, l.sent.Add(r.cfg.GangReportPeriod))
+		due = earlierOf(due, l.sentAt.Add(r.cfg.GangReportPeriod))
 	}
-	if r.relays() {
-		due = earlier(due, l.sent.Add(RelayPeriod))
-		due = earlier(due, r.batchDue(addr, l, due))
+	if r.hasMembers() {
+		due = earlierOf(due, l.sentAt.Add(RelayPeriod))
+		due = earlierOf(due, r.batchReportDue(addr, l, due))
 	}
 	return due
 }
 
-// byRelay says whether the agent leaves its reports to an entry to its relay.
+// reportsViaRelay says whether the agent leaves its reports to an entry to its relay.
 //
 // One that drains reports itself: the news must not be lost with a relay that
 // dies in that moment. So does a member of a gang to the entry that plans:
 // its gang runs on by the evidence of its reports, whose age a relay would add
 // to, and stops when a relay dies for as long as that goes unnoticed.
-func (r *ReportRouter) byRelay(now time.Time, addr string) bool {
-	if r.draining || !r.path.ForwardsTo(now, addr) {
+func (r *ReportRouter) reportsViaRelay(now time.Time, addr string) bool {
+	if r.draining || !r.route.ForwardsTo(now, addr) {
 		return false
 	}
-	return !r.inGang || (!r.entries[addr].planner && now.Sub(r.planned) <= gangSilence)
+	return !r.inGang || (!r.entries[addr].isPlanner && now.Sub(r.plannerAnsweredAt) <= plannerAnswerTimeout)
 }
 
-// cover notes that reports to the entry go by the relay from now on. What the
+// switchToRelay notes that reports to the entry go by the relay from now on. What the
 // entry has is not followed any more, so the next own report is a full one, due
 // at once.
-func (r *ReportRouter) cover(now time.Time, addr string) {
+func (r *ReportRouter) switchToRelay(now time.Time, addr string) {
 	l := r.entries[addr]
-	if l.covered {
+	if l.viaRelay {
 		return
 	}
 	r.notePlanner(now, l, false) // or a gang that starts now would wait for gangSilence
-	*l = entryLink{covered: true, since: now}
+	*l = entryLink{viaRelay: true, viaRelaySince: now}
 	r.reporter.Forget(addr)
 	r.relayer.Forget(addr)
 }
 
-// batchDue is when the entry has to hear news of members, or a full report of
+// batchReportDue is when the entry has to hear news of members, or a full report of
 // one that it asked for. An entry that does not answer is not asked more often
 // for that.
-func (r *ReportRouter) batchDue(addr string, l *entryLink, due time.Time) time.Time {
+func (r *ReportRouter) batchReportDue(addr string, l *entryLink, due time.Time) time.Time {
 	if r.reporter.Failures(addr) > 0 {
 		return due
 	}
-	earliest := l.sent.Add(r.cfg.Coalesce)
-	if l.news {
+	earliest := l.sentAt.Add(r.cfg.Coalesce)
+	if l.memberNews {
 		return earliest
 	}
 	if at, ok := r.relayer.FullReportDue(addr); ok {
@@ -156,7 +156,7 @@
 	return due
 }
 
-func earlier(a, b time.Time) time.Time {
+func earlierOf(a, b time.Time) time.Time {
 	if b.Before(a) {
 		return b
 	}
@@ -167,13 +167,13 @@
 func (r *ReportRouter) Report(now time.Time, addr string) *wire.Report {
 	l := r.entries[addr]
 	report := r.reporter.Report(now, addr)
-	report.Stamp = r.stamp
-	l.sent, l.sequence, l.news = now, report.Sequence, false
+	report.Stamp = r.timestamp
+	l.sentAt, l.sequence, l.memberNews = now, report.Sequence, false
 	l.batch = nil
-	if r.relays() {
+	if r.hasMembers() {
 		l.batch, l.cursor = r.relayer.Batch(now, addr)
 	}
-	return &wire.Report{Batch: append([]wire.AgentReport{report}, l.batch...), Known: l.known}
+	return &wire.Report{Batch: append([]wire.AgentReport{report}, l.batch...), Known: l.digest}
 }
 
 // HandleAck takes the entry's answer to the last report. It returns the addresses of
@@ -182,36 +182,36 @@
 	l := r.entries[addr]
 	l.answered = true
 	r.reporter.HandleAck(now, addr, l.sequence, ack)
-	if r.relays() {
+	if r.hasMembers() {
 		r.relayer.HandleAck(now, addr, l.batch, l.cursor, ack)
 	}
 	r.notePlanner(now, l, ack.Stamp.Epoch != 0)
-	changed := ack.Digest != l.known
+	changed := ack.Digest != l.digest
 	if changed {
-		l.known, l.named = ack.Digest, ack.Relay
+		l.digest, l.relay = ack.Digest, ack.Relay
 	}
-	if l.named == r.self {
-		r.served = now
+	if l.relay == r.self {
+		r.namedRelayAt = now
 	}
-	r.follow(now, l.named)
+	r.updateRelay(now, l.relay)
 	if !changed {
 		return nil
 	}
-	return r.learn(ack.Entries)
+	return r.addEntries(ack.Entries)
 }
 
 // notePlanner: when the entry that planned does not any more, the member of a
 // gang has to find the next one at once.
 func (r *ReportRouter) notePlanner(now time.Time, l *entryLink, isPlanner bool) {
 	if isPlanner {
-		r.planned = now
-	} else if l.planner {
-		r.planned = time.Time{}
+		r.plannerAnsweredAt = now
+	} else if l.isPlanner {
+		r.plannerAnsweredAt = time.Time{}
 	}
-	l.planner = isPlanner
+	l.isPlanner = isPlanner
 }
 
-func (r *ReportRouter) learn(entries []wire.EntryInfo) []string {
+func (r *ReportRouter) addEntries(entries []wire.EntryInfo) []string {
 	var added []string
 	for _, e := range entries {
 		if r.AddEntry(e.Address) {
@@ -233,16 +233,16 @@
 // time: reports go by the relay.
 func (r *ReportRouter) ConnectionIdle(now time.Time, addr string) bool {
 	l := r.entries[addr]
-	if !l.covered || l.closed || now.Sub(l.since) < linkUnused {
+	if !l.viaRelay || l.idleReported || now.Sub(l.viaRelaySince) < idleConnectionTimeout {
 		return false
 	}
-	l.closed = true
+	l.idleReported = true
 	return true
 }
 
-// linkUnused is how long the connection to an entry stays open after the last
+// idleConnectionTimeout is how long the connection to an entry stays open after the last
 // own report: a relay that is taken on and fails at once costs no new handshake.
-const linkUnused = 10 * time.Second
+const idleConnectionTimeout = 10 * time.Second
 
 // DepartureReport returns the report of the agent's end.
 func (r *ReportRouter) DepartureReport() *wire.Report {
--- a/membership/reporter.go
+++ b/membership/reporter.go
@@ -8,8 +8,8 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// maxEnded bounds the ended tasks that are kept for deltas.
-const maxEnded = 1024
+// maxEndedTasks bounds the ended tasks that are kept for deltas.
+const maxEndedTasks = 1024
 
 // Reporter decides when an agent reports to each receiver and what. One
 // goroutine owns it.
@@ -18,18 +18,18 @@
 // for all receivers and relays. A delta says what changed since the last report
 // that its receiver acknowledged.
 type Reporter struct {
-	cfg       ReporterConfig
-	random    func() float64
-	state     wire.AgentReport
-	groupSeq  [groupCount]uint64
-	taskSeq   map[gang.ID]uint64
-	ended     []endedTask
-	forgotten uint64 // latest sequence of an ended task that was dropped
-	receivers map[string]*receiver
+	cfg          ReporterConfig
+	random       func() float64
+	state        wire.AgentReport
+	groupSeq     [groupCount]uint64
+	taskSeq      map[gang.ID]uint64
+	ended        []endedTask
+	forgottenSeq uint64 // latest sequence of an ended task that was dropped
+	receivers    map[string]*receiver
 }
 
 type endedTask struct {
-	key gang.ID
+	id  gang.ID
 	seq uint64
 }
 
@@ -75,15 +75,15 @@
 			r.groupSeq[g] = state.Sequence
 		}
 	}
-	r.noteTasks(state)
+	r.trackTasks(state)
 	r.state = state
 	for _, to := range r.receivers {
-		to.changed(now, groups, r.cfg)
+		to.advanceDue(now, groups, r.cfg)
 	}
 }
 
-// noteTasks keeps at which sequence each task changed or ended.
-func (r *Reporter) noteTasks(next wire.AgentReport) {
+// trackTasks keeps at which sequence each task changed or ended.
+func (r *Reporter) trackTasks(next wire.AgentReport) {
 	before := make(map[gang.ID]gang.Task, len(r.state.Tasks))
 	for _, t := range r.state.Tasks {
 		before[t.ID] = t
@@ -101,16 +101,16 @@
 			r.ended = append(r.ended, endedTask{t.ID, next.Sequence})
 		}
 	}
-	r.forgetEnded(len(r.ended) - maxEnded)
+	r.dropEnded(len(r.ended) - maxEndedTasks)
 }
 
-// forgetEnded drops the n oldest ended tasks. Who has not acknowledged them
+// dropEnded drops the n oldest ended tasks. Who has not acknowledged them
 // needs a full report.
-func (r *Reporter) forgetEnded(n int) {
+func (r *Reporter) dropEnded(n int) {
 	if n <= 0 {
 		return
 	}
-	r.forgotten = r.ended[n-1].seq
+	r.forgottenSeq = r.ended[n-1].seq
 	r.ended = slices.Clone(r.ended[n:])
 }
 
@@ -125,8 +125,8 @@
 func (r *Reporter) Report(now time.Time, to string) wire.AgentReport {
 	rc := r.receiver(now, to)
 	rc.sentAt = now
-	rc.due = now.Add(r.jittered(r.cfg.Period))
-	if rc.acked == 0 || rc.acked < r.forgotten {
+	rc.due = now.Add(r.withJitter(r.cfg.Period))
+	if rc.acked == 0 || rc.acked < r.forgottenSeq {
 		return r.state
 	}
 	return r.delta(rc.acked)
@@ -171,13 +171,13 @@
 		}
 	}
 	for _, e := range r.ended {
-		if e.seq > base && r.taskSeq[e.key] == 0 {
-			out.Ended = append(out.Ended, e.key)
+		if e.seq > base && r.taskSeq[e.id] == 0 {
+			out.Ended = append(out.Ended, e.id)
 		}
 	}
 }
 
-// jittered spreads a period by the configured share to both sides.
-func (r *Reporter) jittered(d time.Duration) time.Duration {
+// withJitter spreads a period by the configured share to both sides.
+func (r *Reporter) withJitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + r.cfg.Jitter*(2*r.random()-1)))
 }
--- a/membership/reporter_receiver.go
+++ b/membership/reporter_receiver.go
@@ -25,10 +25,10 @@
 	return rc
 }
 
-// changed brings the next report forward. Load alone waits for the period: it
+// advanceDue brings the next report forward. Load alone waits for the period: it
 // changes with each request. Draining waits for nothing, not even for a
 // receiver that shed the last report: a late one costs callers.
-func (rc *receiver) changed(now time.Time, groups wire.Changed, cfg ReporterConfig) {
+func (rc *receiver) advanceDue(now time.Time, groups wire.Changed, cfg ReporterConfig) {
 	if groups&wire.ChangedDraining != 0 {
 		rc.due = now
 		return
@@ -36,10 +36,10 @@
 	if groups == wire.ChangedLoad || rc.refused || rc.failures > 0 {
 		return
 	}
-	rc.bring(laterOf(now, rc.sentAt.Add(cfg.Coalesce)))
+	rc.dueBy(laterOf(now, rc.sentAt.Add(cfg.Coalesce)))
 }
 
-func (rc *receiver) bring(at time.Time) {
+func (rc *receiver) dueBy(at time.Time) {
 	if at.Before(rc.due) {
 		rc.due = at
 	}
@@ -67,13 +67,13 @@
 	}
 	if slices.Contains(ack.NeedFull, r.state.ID) {
 		rc.acked = 0
-		rc.due = now.Add(r.jittered(r.cfg.Coalesce))
+		rc.due = now.Add(r.withJitter(r.cfg.Coalesce))
 		return
 	}
 	rc.acked = max(rc.acked, sequence)
-	rc.due = now.Add(r.jittered(max(r.cfg.Period, ack.NextReport)))
-	if groups := r.newsSince(sequence); groups != 0 {
-		rc.changed(now, groups, r.cfg)
+	rc.due = now.Add(r.withJitter(max(r.cfg.Period, ack.NextReport)))
+	if groups := r.changedSince(sequence); groups != 0 {
+		rc.advanceDue(now, groups, r.cfg)
 	}
 	r.trimEnded()
 }
@@ -85,18 +85,18 @@
 	rc := r.receiver(now, to)
 	maxWait := r.cfg.Period
 	if r.state.Draining {
-		maxWait = min(maxWait, drainingRetry)
+		maxWait = min(maxWait, maxDrainingRetryDelay)
 	}
 	wait := min(r.cfg.Coalesce<<min(rc.failures, 16), maxWait)
 	rc.failures++
-	rc.due = now.Add(r.jittered(wait))
+	rc.due = now.Add(r.withJitter(wait))
 }
 
-// drainingRetry is the longest wait of a draining agent after a failed report.
-const drainingRetry = time.Second
+// maxDrainingRetryDelay is the longest wait of a draining agent after a failed report.
+const maxDrainingRetryDelay = time.Second
 
-// newsSince returns the groups that changed after the sequence.
-func (r *Reporter) newsSince(sequence uint64) wire.Changed {
+// changedSince returns the groups that changed after the sequence.
+func (r *Reporter) changedSince(sequence uint64) wire.Changed {
 	var groups wire.Changed
 	for g := range groupCount {
 		if r.groupSeq[g] > sequence {
@@ -120,7 +120,7 @@
 	if firstKept < 0 {
 		firstKept = len(r.ended)
 	}
-	r.forgetEnded(firstKept)
+	r.dropEnded(firstKept)
 }
 
 // Failures returns how many reports in a row the receiver left unanswered.
--- a/membership/snapshot.go
+++ b/membership/snapshot.go
@@ -52,7 +52,7 @@
 
 // publish replaces the snapshot's services that changed.
 func (t *Table) publish(now time.Time) {
-	if len(t.dirty) == 0 || (!t.urgent && now.Sub(t.lastPub) < t.cfg.PublishInterval) {
+	if len(t.dirty) == 0 || (!t.publishNow && now.Sub(t.lastPublish) < t.cfg.PublishInterval) {
 		return
 	}
 	services := maps.Clone(t.snapshot.Load().services)
@@ -68,8 +68,8 @@
 		services[name] = view
 	}
 	clear(t.dirty)
-	t.urgent = false
-	t.lastPub = now
+	t.publishNow = false
+	t.lastPublish = now
 	t.snapshot.Store(&Snapshot{services: services})
 }
 
@@ -88,26 +88,26 @@
 			i++
 		}
 		oldMembers = oldMembers[i:]
-		if m := t.records[id].memberOf(name); m != nil {
+		if m := t.records[id].memberIn(name); m != nil {
 			view.Members = append(view.Members, m)
 		}
 	}
 	view.Members = append(view.Members, oldMembers...)
-	view.Schedulable = offered(view.Members)
+	view.Schedulable = schedulable(view.Members)
 	return view
 }
 
-// memberOf returns the member if it belongs to the service. r may be nil: the
+// memberIn returns the member if it belongs to the service. r may be nil: the
 // record was dropped meanwhile.
-func (r *record) memberOf(service string) *Member {
+func (r *record) memberIn(service string) *Member {
 	if r == nil || r.member == nil || r.member.Report.Service != service {
 		return nil
 	}
 	return r.member
 }
 
-// offered shares the slice when nobody is draining, which is the usual case.
-func offered(members []*Member) []*Member {
+// schedulable shares the slice when nobody is draining, which is the usual case.
+func schedulable(members []*Member) []*Member {
 	for i, m := range members {
 		if m.Schedulable() {
 			continue
--- a/membership/sweep.go
+++ b/membership/sweep.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// sweep lets silence show: alive to suspect to lost, and forgets what has been
+// checkTimeouts lets silence show: alive to suspect to lost, and forgets what has been
 // gone for long.
-func (t *Table) sweep(now time.Time) {
+func (t *Table) checkTimeouts(now time.Time) {
 	var unresponsive []*record
 	for id, r := range t.records {
 		if r.member == nil {
-			if now.Sub(r.gone) > t.cfg.ForgetAfter {
+			if now.Sub(r.goneSince) > t.cfg.ForgetAfter {
 				delete(t.records, id)
 			}
 			continue
 		}
-		if now.Sub(r.heard) > t.cfg.SuspectAfter {
+		if now.Sub(r.lastContact) > t.cfg.SuspectAfter {
 			unresponsive = append(unresponsive, r)
 		}
 	}
 	// Map order is random; the same run must give the same actions.
 	slices.SortFunc(unresponsive, func(a, b *record) int { return cmp.Compare(a.id, b.id) })
 	for _, r := range unresponsive {
-		t.silence(now, r)
+		t.markUnresponsive(now, r)
 	}
 }
 
-func (t *Table) silence(now time.Time, r *record) {
-	if now.Sub(r.heard) > t.cfg.LostAfter {
-		t.emit(Lost{Member: t.remove(r, now)})
+func (t *Table) markUnresponsive(now time.Time, r *record) {
+	if now.Sub(r.lastContact) > t.cfg.LostAfter {
+		t.emit(Lost{Member: t.removeMember(r, now)})
 		return
 	}
 	if r.member.State == Suspect {
 		return
 	}
 	m := r.member.with(func(m *Member) { m.State = Suspect })
-	t.set(r, m)
-	t.urgent = true
+	t.setMember(r, m)
+	t.publishNow = true
 	t.emit(Suspected{Member: m})
 }
--- a/membership/table_relay.go
+++ b/membership/table_relay.go
@@ -19,11 +19,11 @@
 func (t *Table) Relay(now time.Time, since Cursor) ([]wire.AgentReport, Cursor) {
 	var batch []wire.AgentReport
 	for _, r := range t.records {
-		if !r.direct || r.lifeVersion <= uint64(since) {
+		if !r.direct || r.livenessVersion <= uint64(since) {
 			continue
 		}
 		if r.member != nil {
-			batch = append(batch, r.relay(now, uint64(since)))
+			batch = append(batch, r.relayReport(now, uint64(since)))
 		} else if r.left {
 			batch = append(batch, wire.AgentReport{ID: r.id, Incarnation: r.incarnation, Goodbye: true})
 		}
@@ -38,24 +38,24 @@
 	var batch []wire.AgentReport
 	for _, id := range ids {
 		if r := t.records[id]; r != nil && r.member != nil {
-			batch = append(batch, r.full(now))
+			batch = append(batch, r.fullReport(now))
 		}
 	}
 	return batch
 }
 
-func (r *record) full(now time.Time) wire.AgentReport {
+func (r *record) fullReport(now time.Time) wire.AgentReport {
 	out := r.member.Report
 	out.Sequence = r.sequence
-	out.Age = now.Sub(r.heard)
+	out.Age = now.Sub(r.lastContact)
 	return out
 }
 
-// relay makes a delta of the groups that changed since the version. Its Base
+// relayReport makes a delta of the groups that changed since the version. Its Base
 // is the latest sequence at which one of the groups left out has changed:
 // whoever knows the agent from there on lacks nothing. Task lists go in full
 // reports, because a delta of them would need to know what the receiver has.
-func (r *record) relay(now time.Time, since uint64) wire.AgentReport {
+func (r *record) relayReport(now time.Time, since uint64) wire.AgentReport {
 	var groups wire.Changed
 	base := uint64(0)
 	for g := range groupCount {
@@ -66,7 +66,7 @@
 		base = max(base, r.groupSeq[g])
 	}
 	if groups&wire.ChangedTasks != 0 {
-		return r.full(now)
+		return r.fullReport(now)
 	}
 	out := wire.AgentReport{
 		ID:          r.id,
@@ -74,7 +74,7 @@
 		Sequence:    r.sequence,
 		Base:        base,
 		Changed:     groups,
-		Age:         now.Sub(r.heard),
+		Age:         now.Sub(r.lastContact),
 		Draining:    r.draining,
 	}
 	copyGroups(&out, r.member.Report, groups)
@@ -84,10 +84,10 @@
 // copyGroups copies the groups but for tasks and draining.
 func copyGroups(to *wire.AgentReport, from wire.AgentReport, groups wire.Changed) {
 	if groups&wire.ChangedPlace != 0 {
-		setPlace(to, from)
+		copyPlace(to, from)
 	}
 	if groups&wire.ChangedSize != 0 {
-		setSize(to, from)
+		copySize(to, from)
 	}
 	if groups&wire.ChangedLoad != 0 {
 		to.Load = from.Load
