--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -8,14 +8,14 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// filled returns a table of n agents that are in.
-func filled(n int) (*Table, []wire.AgentReport) {
+// filledTable returns a table of n agents that are in.
+func filledTable(n int) (*Table, []wire.AgentReport) {
 	table := NewTable(Config{JoinBurst: 1e6, PublishInterval: 20 * time.Millisecond})
 	batch := make([]wire.AgentReport, n)
 	for i := range batch {
-		batch[i] = full(fmt.Sprintf("dispatch-%05d", i), 1, 1)
+		batch[i] = fullReport(fmt.Sprintf("dispatch-%05d", i), 1, 1)
 	}
-	table.Step(start, direct(batch...))
+	table.Step(startTime, directReports(batch...))
 	return table, batch
 }
 
@@ -32,9 +32,9 @@
 }
 
 func benchmarkIngest(b *testing.B, n int, news wire.Changed) {
-	table, agents := filled(n)
+	table, agents := filledTable(n)
 	gap := 10 * time.Second / time.Duration(n)
-	now, i := start, 0
+	now, i := startTime, 0
 	b.ReportAllocs()
 	for b.Loop() {
 		for range 1000 {
@@ -46,7 +46,7 @@
 				r.Sequence++
 				sequence = r.Sequence - 1
 			}
-			table.Step(now, direct(wire.AgentReport{ID: r.ID, Incarnation: 1, Sequence: r.Sequence, Base: sequence, Changed: news, Load: wire.Load{Queued: i}}))
+			table.Step(now, directReports(wire.AgentReport{ID: r.ID, Incarnation: 1, Sequence: r.Sequence, Base: sequence, Changed: news, Load: wire.Load{Queued: i}}))
 		}
 	}
 }
@@ -54,13 +54,13 @@
 func BenchmarkJoin(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
-		filled(900)
+		filledTable(900)
 	}
 }
 
 func BenchmarkTick(b *testing.B) {
-	table, _ := filled(17000)
+	table, _ := filledTable(17000)
 	for b.Loop() {
-		table.Step(start.Add(time.Second), Tick{})
+		table.Step(startTime.Add(time.Second), Tick{})
 	}
 }
--- a/membership/random_reports_test.go
+++ b/membership/random_reports_test.go
@@ -18,7 +18,7 @@
 	runsFlag = flag.Int("runs", 20, "number of randomised runs")
 )
 
-type version struct {
+type reportVersion struct {
 	id                    string
 	incarnation, sequence uint64
 }
@@ -29,21 +29,21 @@
 	reply func(now time.Time, actions []Action)
 }
 
-// world has agents that change, restart, drain and leave, and two tables that
+// reportSimulation has agents that change, restart, drain and leave, and two tables that
 // hear them over a network that delays, reorders, repeats and loses, and that
 // relay to each other.
-type world struct {
-	c       *qt.C
-	rng     *rand.Rand
-	now     time.Time
-	agents  []*agent
-	tables  [2]*Table
-	cursors [2]Cursor
-	network []packet
-	truth   map[version]wire.AgentReport
-	seen    [2]map[string]version // latest shown by each table
-	drained [2]map[string]uint64  // incarnation that each table knows to drain
-	left    [2]map[string]uint64  // incarnation that each table knows to be over
+type reportSimulation struct {
+	c          *qt.C
+	rng        *rand.Rand
+	now        time.Time
+	agents     []*agent
+	tables     [2]*Table
+	cursors    [2]Cursor
+	network    []packet
+	sentStates map[reportVersion]wire.AgentReport
+	lastShown  [2]map[string]reportVersion // latest shown by each table
+	drained    [2]map[string]uint64        // incarnation that each table knows to drain
+	left       [2]map[string]uint64        // incarnation that each table knows to be over
 }
 
 type agent struct {
@@ -52,39 +52,39 @@
 	stopped  bool
 }
 
-func newWorld(c *qt.C, seed uint64) *world {
-	w := &world{c: c, rng: rand.New(rand.NewPCG(seed, 1)), now: start, truth: map[version]wire.AgentReport{}}
+func newReportSimulation(c *qt.C, seed uint64) *reportSimulation {
+	w := &reportSimulation{c: c, rng: rand.New(rand.NewPCG(seed, 1)), now: startTime, sentStates: map[reportVersion]wire.AgentReport{}}
 	for i := range w.tables {
 		every := time.Duration(i) * 10 * time.Second
 		w.tables[i] = NewTable(Config{ForgetAfter: 1000 * time.Hour, PublishInterval: every})
-		w.seen[i] = map[string]version{}
+		w.lastShown[i] = map[string]reportVersion{}
 		w.drained[i] = map[string]uint64{}
 		w.left[i] = map[string]uint64{}
 	}
 	for i := range 4 {
 		a := &agent{}
-		a.state = full(fmt.Sprint("agent-", i), 0, 0)
+		a.state = fullReport(fmt.Sprint("agent-", i), 0, 0)
 		w.agents = append(w.agents, a)
 		w.restart(a)
 	}
 	return w
 }
 
-func (w *world) restart(a *agent) {
+func (w *reportSimulation) restart(a *agent) {
 	a.state.Incarnation++
 	a.state.Draining = false
 	a.state.Tasks = nil
 	a.stopped = false
 	a.reporter = NewReporter(ReporterConfig{}, a.state, w.rng.Float64)
-	w.record(a)
+	w.recordState(a)
 }
 
-func (w *world) record(a *agent) {
+func (w *reportSimulation) recordState(a *agent) {
 	s := a.reporter.state
-	w.truth[version{s.ID, s.Incarnation, s.Sequence}] = s
+	w.sentStates[reportVersion{s.ID, s.Incarnation, s.Sequence}] = s
 }
 
-func (w *world) step() {
+func (w *reportSimulation) randomStep() {
 	w.now = w.now.Add(time.Duration(w.rng.IntN(2000)) * time.Millisecond)
 	a := w.agents[w.rng.IntN(len(w.agents))]
 	table := w.rng.IntN(2)
@@ -92,9 +92,9 @@
 	case k < 30:
 		w.change(a)
 	case k < 55:
-		w.report(a, table)
+		w.sendReport(a, table)
 	case k < 85:
-		w.deliver()
+		w.deliverPacket()
 	case k < 93:
 		w.relay(table)
 	case k < 96:
@@ -108,7 +108,7 @@
 	}
 }
 
-func (w *world) change(a *agent) {
+func (w *reportSimulation) change(a *agent) {
 	switch w.rng.IntN(6) {
 	case 0:
 		a.state.Load.Queued = w.rng.IntN(5)
@@ -122,10 +122,10 @@
 		w.changeTasks(a)
 	}
 	a.reporter.SetState(w.now, a.state)
-	w.record(a)
+	w.recordState(a)
 }
 
-func (w *world) changeTasks(a *agent) {
+func (w *reportSimulation) changeTasks(a *agent) {
 	var next []gang.Task
 	for i := range 4 {
 		if w.rng.IntN(2) == 0 {
@@ -136,13 +136,13 @@
 	a.state.Fence += w.rng.Uint64N(2)
 }
 
-func (w *world) report(a *agent, to int) {
+func (w *reportSimulation) sendReport(a *agent, to int) {
 	if a.stopped {
 		return
 	}
 	name, reporter := fmt.Sprint(to), a.reporter
 	sent := reporter.Report(w.now, name)
-	w.network = append(w.network, packet{to, direct(sent), func(now time.Time, actions []Action) {
+	w.network = append(w.network, packet{to, directReports(sent), func(now time.Time, actions []Action) {
 		if w.rng.IntN(4) == 0 {
 			reporter.HandleFailure(now, name)
 			return
@@ -153,8 +153,8 @@
 	}})
 }
 
-// deliver picks any packet; it may lose it, or keep it for another time.
-func (w *world) deliver() {
+// deliverPacket picks any packet; it may lose it, or keep it for another time.
+func (w *reportSimulation) deliverPacket() {
 	if len(w.network) == 0 {
 		return
 	}
@@ -169,7 +169,7 @@
 	}
 }
 
-func (w *world) relay(from int) {
+func (w *reportSimulation) relay(from int) {
 	to := 1 - from
 	batch, cursor := w.tables[from].Relay(w.now, w.cursors[from])
 	w.network = append(w.network, packet{to, Reports{Batch: batch, Relayed: true}, func(now time.Time, actions []Action) {
@@ -180,28 +180,28 @@
 	}})
 }
 
-func (w *world) stop(a *agent, to int) {
+func (w *reportSimulation) stop(a *agent, to int) {
 	a.stopped = true
-	w.network = append(w.network, packet{to, direct(a.reporter.DepartureReport()), func(time.Time, []Action) {}})
+	w.network = append(w.network, packet{to, directReports(a.reporter.DepartureReport()), func(time.Time, []Action) {}})
 }
 
-func (w *world) apply(to int, ev Event) []Action {
+func (w *reportSimulation) apply(to int, ev Event) []Action {
 	actions := w.tables[to].Step(w.now, ev)
 	switch ev := ev.(type) {
 	case Draining:
 		w.drained[to][ev.ID] = max(w.drained[to][ev.ID], ev.Incarnation)
 	case Reports:
 		for _, r := range ev.Batch {
-			w.learn(to, r)
+			w.noteReport(to, r)
 		}
 	}
-	w.check(to)
+	w.checkTable(to)
 	return actions
 }
 
-// learn notes what the table has been told for good. Reports older than
+// noteReport notes what the table has been told for good. Reports older than
 // LostAfter are not believed, but goodbyes are.
-func (w *world) learn(to int, r wire.AgentReport) {
+func (w *reportSimulation) noteReport(to int, r wire.AgentReport) {
 	if r.Goodbye {
 		w.left[to][r.ID] = max(w.left[to][r.ID], r.Incarnation)
 	}
@@ -210,7 +210,7 @@
 	}
 }
 
-func (w *world) check(i int) {
+func (w *reportSimulation) checkTable(i int) {
 	view := w.tables[i].Snapshot().Service("dispatch")
 	for _, m := range view.Schedulable {
 		r := m.Report
@@ -219,14 +219,14 @@
 	}
 	for _, m := range view.Members {
 		r := m.Report
-		last := w.seen[i][r.ID]
+		last := w.lastShown[i][r.ID]
 		wentBack := r.Incarnation < last.incarnation || (r.Incarnation == last.incarnation && r.Sequence < last.sequence)
 		w.c.Assert(wentBack, qt.IsFalse, qt.Commentf("%s went back from %v to %d/%d", r.ID, last, r.Incarnation, r.Sequence))
 		w.c.Assert(w.left[i][r.ID] < r.Incarnation, qt.IsTrue, qt.Commentf("%s is back after its goodbye", r.ID))
-		current := version{r.ID, r.Incarnation, r.Sequence}
-		w.seen[i][r.ID] = current
-		w.c.Assert(diff(w.truth[current], r)&^wire.ChangedDraining, qt.Equals, wire.Changed(0),
-			qt.Commentf("%v is\n%+v, should be\n%+v", current, r, w.truth[current]))
+		current := reportVersion{r.ID, r.Incarnation, r.Sequence}
+		w.lastShown[i][r.ID] = current
+		w.c.Assert(diff(w.sentStates[current], r)&^wire.ChangedDraining, qt.Equals, wire.Changed(0),
+			qt.Commentf("%v is\n%+v, should be\n%+v", current, r, w.sentStates[current]))
 	}
 }
 
@@ -238,9 +238,9 @@
 	for run := range uint64(*runsFlag) {
 		seed := *seedFlag + run
 		c.Run(fmt.Sprint("seed ", seed), func(c *qt.C) {
-			w := newWorld(c, seed)
+			w := newReportSimulation(c, seed)
 			for range 3000 {
-				w.step()
+				w.randomStep()
 			}
 		})
 	}
--- a/membership/report_router_test.go
+++ b/membership/report_router_test.go
@@ -17,16 +17,16 @@
 func TestGangStartsRightAfterTheRelayTookOver(t *testing.T) {
 	c := qt.New(t)
 	relay := wire.RelayInfo{ID: "r", Incarnation: 1, Address: "r"}
-	a := NewReportRouter(ReportRouterConfig{GangReportPeriod: time.Second, MaxEntries: 4}, full("a", 1, 0), func() float64 { return 0.5 })
+	a := NewReportRouter(ReportRouterConfig{GangReportPeriod: time.Second, MaxEntries: 4}, fullReport("a", 1, 0), func() float64 { return 0.5 })
 	a.AddEntry("x")
-	a.Report(start, "x")
-	a.HandleAck(start, "x", &wire.ReportAck{Digest: 1, Relay: relay, Stamp: gang.NewPlannerTimestamp(1, start)})
-	a.ReportToRelay(start)
-	a.HandleRelayAck(start, relay, &wire.ReportAck{Digest: 2, Relay: relay, Entries: []wire.EntryInfo{{Address: "x"}}})
-	c.Assert(a.Due(start, "x").After(start), qt.IsTrue, qt.Commentf("the relay reports to x"))
+	a.Report(startTime, "x")
+	a.HandleAck(startTime, "x", &wire.ReportAck{Digest: 1, Relay: relay, Stamp: gang.NewPlannerTimestamp(1, startTime)})
+	a.ReportToRelay(startTime)
+	a.HandleRelayAck(startTime, relay, &wire.ReportAck{Digest: 2, Relay: relay, Entries: []wire.EntryInfo{{Address: "x"}}})
+	c.Assert(a.Due(startTime, "x").After(startTime), qt.IsTrue, qt.Commentf("the relay reports to x"))
 
-	state := full("a", 1, 0)
+	state := fullReport("a", 1, 0)
 	state.Tasks = []gang.Task{{ID: gang.ID{Job: "j"}, Members: 2, State: gang.StateRunning}}
-	a.SetState(start, state)
-	c.Assert(a.Due(start, "x").After(start), qt.IsFalse, qt.Commentf("the planner hears of the gang at once"))
+	a.SetState(startTime, state)
+	c.Assert(a.Due(startTime, "x").After(startTime), qt.IsFalse, qt.Commentf("the planner hears of the gang at once"))
 }
--- a/membership/reporter_test.go
+++ b/membership/reporter_test.go
@@ -11,13 +11,13 @@
 )
 
 func newReporter() *Reporter {
-	return NewReporter(ReporterConfig{}, full("a", 1, 0), func() float64 { return 0.5 })
+	return NewReporter(ReporterConfig{}, fullReport("a", 1, 0), func() float64 { return 0.5 })
 }
 
-func TestReporterChoosesWhenAndWhat(t *testing.T) {
+func TestReporterSchedulesFullAndDeltaReports(t *testing.T) {
 	c := qt.New(t)
 	r := newReporter()
-	now := start
+	now := startTime
 	c.Assert(r.Due(now, "x"), qt.Equals, now)
 	first := r.Report(now, "x")
 	c.Assert(first.Full, qt.IsTrue)
@@ -25,7 +25,7 @@
 	c.Assert(r.Due(now, "x"), qt.Equals, now.Add(DefaultReportPeriod))
 	c.Assert(r.Report(now, "x"), qt.DeepEquals, wire.AgentReport{ID: "a", Incarnation: 1, Sequence: 1, Base: 1})
 
-	state := full("a", 1, 0)
+	state := fullReport("a", 1, 0)
 	state.Load.Queued = 5
 	r.SetState(now, state)
 	c.Assert(r.Due(now, "x"), qt.Equals, now.Add(DefaultReportPeriod), qt.Commentf("load alone waits"))
@@ -46,19 +46,19 @@
 func TestDrainingDoesNotWait(t *testing.T) {
 	c := qt.New(t)
 	r := newReporter()
-	r.Report(start, "x")
-	r.HandleAck(start, "x", 1, &wire.ReportAck{Refused: []string{"a"}, NextReport: 4 * time.Second})
-	c.Assert(r.Due(start, "x"), qt.Equals, start.Add(5*time.Second))
-	state := full("a", 1, 0)
+	r.Report(startTime, "x")
+	r.HandleAck(startTime, "x", 1, &wire.ReportAck{Refused: []string{"a"}, NextReport: 4 * time.Second})
+	c.Assert(r.Due(startTime, "x"), qt.Equals, startTime.Add(5*time.Second))
+	state := fullReport("a", 1, 0)
 	state.Tasks = []gang.Task{{ID: gang.ID{Job: "j"}}}
-	r.SetState(start, state)
-	c.Assert(r.Due(start, "x"), qt.Equals, start.Add(5*time.Second))
+	r.SetState(startTime, state)
+	c.Assert(r.Due(startTime, "x"), qt.Equals, startTime.Add(5*time.Second))
 	state.Draining = true
-	r.SetState(start, state)
-	c.Assert(r.Due(start, "x"), qt.Equals, start)
+	r.SetState(startTime, state)
+	c.Assert(r.Due(startTime, "x"), qt.Equals, startTime)
 	state.Draining = false
-	r.SetState(start, state)
-	c.Assert(r.Report(start, "x").Draining, qt.IsTrue)
+	r.SetState(startTime, state)
+	c.Assert(r.Report(startTime, "x").Draining, qt.IsTrue)
 }
 
 // Story: the planner still sees a task that ended long ago, and keeps its
@@ -68,14 +68,14 @@
 func TestLateAcknowledgementNeedsFullReport(t *testing.T) {
 	c := qt.New(t)
 	r := newReporter()
-	state := full("a", 1, 0)
+	state := fullReport("a", 1, 0)
 	state.Tasks = []gang.Task{{ID: gang.ID{Job: "j"}}}
-	r.SetState(start, state)
-	r.Report(start, "x")
-	r.Report(start, "y")
-	r.HandleAck(start, "x", 2, &wire.ReportAck{NeedFull: []string{"a"}})
-	r.SetState(start, full("a", 1, 0))
-	r.HandleAck(start, "y", r.Report(start, "y").Sequence, &wire.ReportAck{})
-	r.HandleAck(start, "x", 2, &wire.ReportAck{})
-	c.Assert(r.Report(start, "x").Full, qt.IsTrue)
+	r.SetState(startTime, state)
+	r.Report(startTime, "x")
+	r.Report(startTime, "y")
+	r.HandleAck(startTime, "x", 2, &wire.ReportAck{NeedFull: []string{"a"}})
+	r.SetState(startTime, fullReport("a", 1, 0))
+	r.HandleAck(startTime, "y", r.Report(startTime, "y").Sequence, &wire.ReportAck{})
+	r.HandleAck(startTime, "x", 2, &wire.ReportAck{})
+	c.Assert(r.Report(startTime, "x").Full, qt.IsTrue)
 }
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -10,15 +10,15 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func full(id string, incarnation, sequence uint64) wire.AgentReport {
+func fullReport(id string, incarnation, sequence uint64) wire.AgentReport {
 	return wire.AgentReport{ID: id, Incarnation: incarnation, Sequence: sequence, Full: true, Service: "dispatch", Zone: "wharf", Slots: 8}
 }
 
-func direct(batch ...wire.AgentReport) Reports { return Reports{Batch: batch} }
+func directReports(batch ...wire.AgentReport) Reports { return Reports{Batch: batch} }
 
-func offeredIDs(t *Table) []string {
+func schedulableIDs(t *Table) []string {
 	ids := []string{}
 	for _, m := range t.Snapshot().Service("dispatch").Schedulable {
 		ids = append(ids, m.Report.ID)
@@ -26,8 +26,8 @@
 	return ids
 }
 
-// names lists the types of actions, but for Next.
-func names(actions []Action) []string {
+// actionNames lists the types of actions, but for Next.
+func actionNames(actions []Action) []string {
 	out := []string{}
 	for _, a := range actions {
 		if _, ok := a.(NextReport); !ok {
@@ -37,11 +37,11 @@
 	return out
 }
 
-func TestStates(t *testing.T) {
+func TestTableActions(t *testing.T) {
 	delta := func(sequence, base uint64, groups wire.Changed) wire.AgentReport {
 		return wire.AgentReport{ID: "a", Incarnation: 2, Sequence: sequence, Base: base, Changed: groups, Load: wire.Load{Queued: 3}}
 	}
-	late := full("a", 2, 3)
+	late := fullReport("a", 2, 3)
 	late.Age = 61 * time.Second
 	for _, test := range []struct {
 		name    string
@@ -49,14 +49,14 @@
 		ev      Event
 		want    []string
 	}{
-		{"a delta of an agent that is not known", 0, direct(wire.AgentReport{ID: "b", Incarnation: 1, Sequence: 4, Base: 3}), []string{"NeedFull"}},
-		{"a delta that continues what is known", 0, direct(delta(3, 2, wire.ChangedLoad)), []string{"Changed"}},
-		{"a delta with a gap before it", 0, direct(delta(5, 4, wire.ChangedLoad)), []string{"NeedFull"}},
-		{"a report of an older incarnation", 0, direct(full("a", 1, 9)), []string{"Newer"}},
-		{"a report of an older sequence", 0, direct(full("a", 2, 1)), []string{}},
-		{"a restart", 0, direct(full("a", 3, 1)), []string{"Lost", "Joined"}},
-		{"the delta of a restarted agent", 0, direct(wire.AgentReport{ID: "a", Incarnation: 3, Sequence: 2, Base: 1}), []string{"Lost", "NeedFull"}},
-		{"a goodbye", 0, direct(wire.AgentReport{ID: "a", Incarnation: 2, Goodbye: true}), []string{"Left"}},
+		{"a delta of an agent that is not known", 0, directReports(wire.AgentReport{ID: "b", Incarnation: 1, Sequence: 4, Base: 3}), []string{"NeedFull"}},
+		{"a delta that continues what is known", 0, directReports(delta(3, 2, wire.ChangedLoad)), []string{"Changed"}},
+		{"a delta with a gap before it", 0, directReports(delta(5, 4, wire.ChangedLoad)), []string{"NeedFull"}},
+		{"a report of an older incarnation", 0, directReports(fullReport("a", 1, 9)), []string{"Newer"}},
+		{"a report of an older sequence", 0, directReports(fullReport("a", 2, 1)), []string{}},
+		{"a restart", 0, directReports(fullReport("a", 3, 1)), []string{"Lost", "Joined"}},
+		{"the delta of a restarted agent", 0, directReports(wire.AgentReport{ID: "a", Incarnation: 3, Sequence: 2, Base: 1}), []string{"Lost", "NeedFull"}},
+		{"a goodbye", 0, directReports(wire.AgentReport{ID: "a", Incarnation: 2, Goodbye: true}), []string{"Left"}},
 		{"draining learned from an answer", 0, Draining{ID: "a", Incarnation: 2}, []string{"Changed"}},
 		{"draining of an incarnation that is gone", 0, Draining{ID: "a", Incarnation: 1}, []string{}},
 		{"silence for a while", 26 * time.Second, Tick{}, []string{"Suspected"}},
@@ -66,8 +66,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			table := NewTable(Config{})
-			c.Assert(names(table.Step(start, direct(full("a", 2, 2)))), qt.DeepEquals, []string{"Joined"})
-			c.Assert(names(table.Step(start.Add(test.elapsed), test.ev)), qt.DeepEquals, test.want)
+			c.Assert(actionNames(table.Step(startTime, directReports(fullReport("a", 2, 2)))), qt.DeepEquals, []string{"Joined"})
+			c.Assert(actionNames(table.Step(startTime.Add(test.elapsed), test.ev)), qt.DeepEquals, test.want)
 		})
 	}
 }
@@ -78,12 +78,12 @@
 func TestDrainingOvertakesTheFirstReport(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(Config{})
-	table.Step(start, Draining{ID: "a", Incarnation: 2})
-	table.Step(start, Reports{Batch: []wire.AgentReport{full("a", 2, 1)}, Relayed: true})
-	c.Assert(offeredIDs(table), qt.DeepEquals, []string{})
+	table.Step(startTime, Draining{ID: "a", Incarnation: 2})
+	table.Step(startTime, Reports{Batch: []wire.AgentReport{fullReport("a", 2, 1)}, Relayed: true})
+	c.Assert(schedulableIDs(table), qt.DeepEquals, []string{})
 	c.Assert(table.Snapshot().Service("dispatch").Find("a"), qt.IsNotNil)
-	table.Step(start, direct(full("a", 3, 1)))
-	c.Assert(offeredIDs(table), qt.DeepEquals, []string{"a"})
+	table.Step(startTime, directReports(fullReport("a", 3, 1)))
+	c.Assert(schedulableIDs(table), qt.DeepEquals, []string{"a"})
 }
 
 // Story: more agents show up than memory was planned for. Records of agents
@@ -92,14 +92,14 @@
 func TestMembersAreBounded(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(Config{MaxMembers: 2})
-	table.Step(start, direct(full("a", 1, 1), full("b", 1, 1)))
-	c.Assert(names(table.Step(start, direct(full("c", 1, 1)))), qt.DeepEquals, []string{"Refused"})
-	table.Step(start, direct(wire.AgentReport{ID: "a", Incarnation: 1, Goodbye: true}))
-	c.Assert(names(table.Step(start, direct(full("c", 1, 1)))), qt.DeepEquals, []string{"Joined"})
-	c.Assert(offeredIDs(table), qt.DeepEquals, []string{"b", "c"})
+	table.Step(startTime, directReports(fullReport("a", 1, 1), fullReport("b", 1, 1)))
+	c.Assert(actionNames(table.Step(startTime, directReports(fullReport("c", 1, 1)))), qt.DeepEquals, []string{"Refused"})
+	table.Step(startTime, directReports(wire.AgentReport{ID: "a", Incarnation: 1, Goodbye: true}))
+	c.Assert(actionNames(table.Step(startTime, directReports(fullReport("c", 1, 1)))), qt.DeepEquals, []string{"Joined"})
+	c.Assert(schedulableIDs(table), qt.DeepEquals, []string{"b", "c"})
 	c.Assert(table.Len(), qt.Equals, 2)
-	table.Step(start.Add(time.Hour), Tick{})
-	table.Step(start.Add(2*time.Hour), Tick{})
+	table.Step(startTime.Add(time.Hour), Tick{})
+	table.Step(startTime.Add(2*time.Hour), Tick{})
 	c.Assert(table.Len(), qt.Equals, 0)
 }
 
@@ -123,7 +123,7 @@
 			}
 			tries++
 			var ack wire.ReportAck
-			FillAck(&ack, table.Step(start.Add(ms), direct(full(id, 1, 1))))
+			FillAck(&ack, table.Step(startTime.Add(ms), directReports(fullReport(id, 1, 1))))
 			if len(ack.Refused) == 0 {
 				delete(due, id)
 				continue
@@ -138,24 +138,24 @@
 
 // Story: two entries tell each other what they heard. What one learned by
 // relay must not be sent back, and what is quiet costs entries without content.
-func TestRelaySendsWhatIsNews(t *testing.T) {
+func TestRelaySendsOnlyChanges(t *testing.T) {
 	c := qt.New(t)
 	a, b := NewTable(Config{}), NewTable(Config{})
-	a.Step(start, direct(full("x", 1, 1)))
-	batch, cursor := a.Relay(start, 0)
-	b.Step(start, Reports{Batch: batch, Relayed: true})
-	c.Assert(offeredIDs(b), qt.DeepEquals, []string{"x"})
-	back, _ := b.Relay(start, 0)
+	a.Step(startTime, directReports(fullReport("x", 1, 1)))
+	batch, cursor := a.Relay(startTime, 0)
+	b.Step(startTime, Reports{Batch: batch, Relayed: true})
+	c.Assert(schedulableIDs(b), qt.DeepEquals, []string{"x"})
+	back, _ := b.Relay(startTime, 0)
 	c.Assert(back, qt.HasLen, 0)
 
-	now := start.Add(20 * time.Second)
-	a.Step(now, direct(wire.AgentReport{ID: "x", Incarnation: 1, Sequence: 1, Base: 1}))
+	now := startTime.Add(20 * time.Second)
+	a.Step(now, directReports(wire.AgentReport{ID: "x", Incarnation: 1, Sequence: 1, Base: 1}))
 	batch, cursor = a.Relay(now.Add(time.Second), cursor)
 	c.Assert(batch, qt.DeepEquals, []wire.AgentReport{{ID: "x", Incarnation: 1, Sequence: 1, Base: 1, Age: time.Second}})
 	b.Step(now.Add(time.Second), Reports{Batch: batch, Relayed: true})
-	c.Assert(names(b.Step(start.Add(44*time.Second), Tick{})), qt.HasLen, 0)
+	c.Assert(actionNames(b.Step(startTime.Add(44*time.Second), Tick{})), qt.HasLen, 0)
 
-	a.Step(now, direct(wire.AgentReport{ID: "x", Incarnation: 1, Goodbye: true}))
+	a.Step(now, directReports(wire.AgentReport{ID: "x", Incarnation: 1, Goodbye: true}))
 	batch, _ = a.Relay(now, cursor)
-	c.Assert(names(b.Step(start.Add(45*time.Second), Reports{Batch: batch, Relayed: true})), qt.DeepEquals, []string{"Left"})
+	c.Assert(actionNames(b.Step(startTime.Add(45*time.Second), Reports{Batch: batch, Relayed: true})), qt.DeepEquals, []string{"Left"})
 }
