--- a/lease/action.go
+++ b/lease/action.go
@@ -6,34 +6,34 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// Action is what an Elector asks for next. It is one of the types below; each
-// is followed by the events named there, or by Failed.
+// Action is what an Elector wants done next. Each of the types below is answered by the
+// event named there, or by Failed.
 type Action interface{ isAction() }
 
 type (
-	// AwaitVacant waits until the holder key does not exist, then Vacant.
+	// AwaitVacant waits until the holder key does not exist. Answered by Vacant.
 	AwaitVacant struct{}
-	// Grant asks for a lease, then Granted.
+	// Grant asks the store for a lease. Answered by Granted.
 	Grant struct{}
-	// Claim creates the holder key under the lease, then Claimed.
+	// Claim creates the holder key under the lease. Answered by Claimed.
 	Claim struct{ Lease store.LeaseID }
-	// ReadEpoch reads the epoch key, then EpochRead.
+	// ReadEpoch reads the epoch key. Answered by EpochRead.
 	ReadEpoch struct{}
-	// RaiseEpoch swaps the epoch key, then Raised.
+	// RaiseEpoch writes Epoch to the epoch key if the key is still at ExpectRevision.
+	// Answered by Raised.
 	RaiseEpoch struct {
 		ExpectRevision store.Revision
 		Epoch          uint64
 	}
-	// Verify reads the holder key, then Verified.
+	// Verify reads the holder key. Answered by Verified.
 	Verify struct{ Lease store.LeaseID }
-	// Renew renews the lease, then Renewed.
+	// Renew renews the lease. Answered by Renewed.
 	Renew struct{ Lease store.LeaseID }
-	// Revoke ends the lease, then Revoked, also where that failed.
+	// Revoke ends the lease. Answered by Revoked even if the call failed.
 	Revoke struct{ Lease store.LeaseID }
-	// Sleep waits until an instant, then Woke.
+	// Sleep waits until an instant of the candidate's clock. Answered by WaitEnded.
 	Sleep struct{ Until time.Duration }
-	// BackOff waits for a time that grows with each BackOff in a row, with jitter,
-	// then Woke.
+	// BackOff waits with exponential backoff and jitter. Answered by WaitEnded.
 	BackOff struct{}
 	// Done ends the Elector.
 	Done struct{}
--- a/lease/candidate.go
+++ b/lease/candidate.go
@@ -11,32 +11,33 @@
 )
 
 const (
-	// minBackOff and pauseMax are the first and the longest Pause.
+	// minBackOff and maxBackOff are the first and the longest delay between failed
+	// attempts.
 	minBackOff = 100 * time.Millisecond
 	maxBackOff = 5 * time.Second
 )
 
-// Candidate competes for one duty until it resigns. It is safe for concurrent use.
+// Candidate competes in one election until it resigns. It is safe for concurrent use.
 type Candidate struct {
 	opts              CandidateOptions
 	tomb              tomb.Tomb
-	current           atomic.Pointer[Leadership] // nil: not held
+	current           atomic.Pointer[Leadership] // nil: not the leader
 	resigned          atomic.Bool                // Resign was called
-	observedEpoch     atomic.Uint64              // highest epoch told to Observe
+	observedEpoch     atomic.Uint64              // highest epoch passed to ObserveEpoch
 	epochObserved     chan struct{}
-	yieldEpoch        atomic.Uint64 // epoch last told to Yield
+	yieldEpoch        atomic.Uint64 // epoch last passed to Yield
 	yieldRequested    chan struct{}
-	takeoverRequested chan struct{} // has no buffer: only a wait in progress is told
+	takeoverRequested chan struct{} // unbuffered: only a wait in progress receives it
 
-	// Owned by the tomb's goroutine.
+	// The fields below are owned by the goroutine of run.
 	elector    *Elector
 	store      candidateStore
-	occupied   bool   // another was found to hold the duty
-	claimValue []byte // value of the holder key that is ours
+	occupied   bool   // another process was found to be the leader
+	claimValue []byte // value that this candidate wrote to the holder key
 	backOff    *backoff.ExponentialBackOff
 }
 
-// StartCandidate starts a Holder.
+// StartCandidate starts a goroutine that competes in the election.
 func StartCandidate(opts CandidateOptions) *Candidate {
 	if s := opts.Session; s != nil {
 		opts.Store, opts.TTL, opts.Clock = s.opts.Store, s.opts.TTL, s.opts.Clock
@@ -71,8 +72,8 @@
 	return &ownLeaseStore{store: c.opts.Store, holderKey: key, ttl: c.opts.TTL, clock: c.opts.Clock, onOccupied: c.noteOccupied, isStaleClaim: c.isStaleClaim, takeoverRequested: c.takeoverRequested}
 }
 
-// isStaleClaim says whether the value of the holder key was written by an earlier process
-// of this instance.
+// isStaleClaim reports whether the value of the holder key was written by an earlier
+// process of this instance.
 func (c *Candidate) isStaleClaim(value []byte) bool {
 	if !c.opts.RemoveStaleClaim {
 		return false
@@ -86,9 +87,9 @@
 	c.backOff.Reset()
 }
 
-// Current returns the present holding, and false where the duty is not held.
-// It takes no lock and reads the clock, so that a process that was paused past
-// the end of its lease gets false at once, before any renewal has failed.
+// Current returns the current leadership, and false if this candidate is not the
+// leader. It takes no lock and compares the lease with the clock, so a process that was
+// paused past the end of its lease gets false at once, before a renewal fails.
 func (c *Candidate) Current() (Leadership, bool) {
 	held := c.current.Load()
 	if held == nil || c.resigned.Load() || c.opts.Clock() >= held.ValidUntil {
@@ -97,8 +98,8 @@
 	return *held, true
 }
 
-// ObserveEpoch tells the Holder that a receiver refused it with a higher epoch. It
-// goes on with one above it, if it still holds the duty.
+// ObserveEpoch tells the Candidate that a receiver refused it because of a higher
+// epoch. If it is still the leader, it continues with an epoch above that one.
 func (c *Candidate) ObserveEpoch(epoch uint64) {
 	for {
 		known := c.observedEpoch.Load()
@@ -115,9 +116,9 @@
 	}
 }
 
-// Yield gives the duty up if it is still held under epoch, and goes on as a
-// candidate. It returns at once; Changed tells when it is done. With Hesitate
-// others can come first.
+// Yield ends the leadership if its epoch is still the given one, and competes again. It
+// returns at once; OnChange is called when the leadership has ended. ClaimDelay lets
+// other candidates claim first.
 func (c *Candidate) Yield(epoch uint64) {
 	c.yieldEpoch.Store(epoch)
 	select {
@@ -126,14 +127,15 @@
 	}
 }
 
-// ForceTakeover tells a waiting candidate that the present holder is believed to be dead: its
-// claim is removed, instead of waiting for its lease to lapse. It returns whether the
-// candidate was waiting. With a Session it has no effect.
+// ForceTakeover tells a waiting candidate that the current leader is believed to be
+// dead: the candidate deletes the leader's holder key instead of waiting for its lease
+// to expire. It reports whether the candidate was waiting. With a Session it has no
+// effect.
 //
-// A holder that lives after all notices with its next renewal, and may believe in its
-// lease until that would have lapsed. So this is only for duties whose every effect is
-// guarded by the epoch, and whoever takes over reckons with what a living predecessor
-// may still promise for a TTL.
+// A leader that is alive notices at its next renewal, and may consider itself the
+// leader until its lease would have expired. Use this only for elections whose every
+// effect is guarded by the epoch. The new leader must allow for what a live predecessor
+// may still promise for one TTL.
 func (c *Candidate) ForceTakeover() bool {
 	select {
 	case c.takeoverRequested <- struct{}{}:
@@ -143,10 +145,9 @@
 	}
 }
 
-// Resign gives the duty up for good: Current is false from then on, and the
-// next candidate takes over at once, without waiting for the lease to lapse.
-// It returns when that is done, or with the context's error; the lease then
-// lapses by itself at worst.
+// Resign ends the leadership and the candidacy. Current is false from then on, and the
+// next candidate takes over without waiting for the lease to expire. It returns when
+// that is done, or the context's error; the lease then expires by itself at the latest.
 func (c *Candidate) Resign(ctx context.Context) error {
 	c.resigned.Store(true)
 	c.tomb.Kill(nil)
@@ -173,7 +174,7 @@
 	}
 }
 
-// step lets the Elector decide and publishes what it holds.
+// step passes an event to the Elector and publishes the resulting leadership.
 func (c *Candidate) step(ev Event) Action {
 	act := c.elector.Step(c.opts.Clock(), ev)
 	held, ok := c.elector.Leadership()
@@ -207,9 +208,9 @@
 	}
 }
 
-// actionContext returns the actionContext of an action: it ends with the Holder, and when
-// the lease could have lapsed, so that a call that hangs cannot keep the
-// Holder from dropping the duty.
+// actionContext returns the context of an action. It ends with the Candidate, and when
+// the lease could have expired, so that a call that hangs can't delay the end of the
+// leadership.
 func (c *Candidate) actionContext() (context.Context, context.CancelFunc) {
 	ctx := c.tomb.Context(context.Background())
 	if until, ok := c.elector.Deadline(); ok {
@@ -218,9 +219,8 @@
 	return context.WithCancel(ctx)
 }
 
-// wait waits for d and returns early where the Holder resigns or, with
-// listen, where a higher epoch was observed, the duty is to be yielded, or the
-// lease was lost.
+// wait waits for d. It returns early if the Candidate resigns or, if interruptible, if
+// a higher epoch was observed, a yield was requested or the lease was lost.
 func (c *Candidate) wait(d time.Duration, interruptible bool) Event {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/lease/candidate_actions.go
+++ b/lease/candidate_actions.go
@@ -9,7 +9,7 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// perform carries out one action and returns its event.
+// perform executes an action and returns the resulting event.
 func (c *Candidate) perform(act Action) Event {
 	ctx, cancel := c.actionContext()
 	defer cancel()
@@ -40,7 +40,9 @@
 	panic("lease: unknown action")
 }
 
-// awaitVacant finds the duty vacant twice where others are to come first.
+// awaitVacant waits until the election is vacant. With ClaimDelay it lets other
+// candidates claim first, and returns only if the election is still vacant after the
+// delay.
 func (c *Candidate) awaitVacant(ctx context.Context) Event {
 	for delayed := false; ; delayed = true {
 		c.occupied = false
--- a/lease/clock.go
+++ b/lease/clock.go
@@ -6,15 +6,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// BootTime returns the time since the machine started, suspension included.
-//
-// Go's own monotonic clock stands still while the machine is suspended. A
-// holder that wakes from suspension would believe by it that its lease, lapsed
-// long ago, is still young.
+// BootTime returns the time since the machine started, including the time it was
+// suspended. Go's monotonic clock stops during suspension, so a leader that resumes
+// would take a lease that expired long ago for valid.
 func BootTime() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// Only an unknown clock or a bad address can fail.
+		// clock_gettime fails only for an unknown clock or a bad address.
 		panic("lease: clock of time since boot: " + err.Error())
 	}
 	return time.Duration(ts.Nano())
--- a/lease/elector.go
+++ b/lease/elector.go
@@ -7,50 +7,52 @@
 )
 
 const (
-	// clockDriftDivisor: one part in so many of a lease's time is not used, for
-	// clocks of store and process that run at different rates.
+	// clockDriftDivisor sets the part of a lease's time that is left unused, because
+	// the clocks of store and process may run at different rates.
 	clockDriftDivisor = 50
-	// slowClaimDivisor: a claim that has taken this share of the TTL is followed by a renewal.
+	// slowClaimDivisor sets the part of the TTL that a claim may take without being
+	// followed by a renewal.
 	slowClaimDivisor = 4
-	// renewDivisor and retryShare are the parts of the TTL between a renewal and
-	// the next, and between a failed renewal and the next attempt.
+	// renewDivisor and retryDivisor set the parts of the TTL between two renewals, and
+	// between a failed renewal and the next attempt.
 	renewDivisor = 3
 	retryDivisor = 10
 )
 
-// Elector decides what one candidate for one duty does next. It has one action
-// in progress at a time: Step takes the action's event and returns the next.
-// One goroutine owns it.
+// Elector is the state machine of one candidate in one election. It has one action in
+// progress at a time: Step takes the event that answers the action and returns the next
+// action. It is not safe for concurrent use.
 type Elector struct {
 	ttl               time.Duration
-	lease             store.LeaseID // zero: none
-	revoking          store.LeaseID // given up, and Revoked not yet seen
-	validUntil        time.Duration // the lease lives until then at least
-	pendingValidUntil time.Duration // until, once the holder key is verified
-	epoch             uint64        // raised by us; valid while held
-	observedEpoch     uint64        // highest epoch known from receivers
+	lease             store.LeaseID // zero: no lease
+	revoking          store.LeaseID // lease whose Revoked event is outstanding
+	validUntil        time.Duration // the lease is valid at least until then
+	pendingValidUntil time.Duration // validUntil once the holder key is verified
+	epoch             uint64        // raised by this candidate; in effect while leading
+	observedEpoch     uint64        // highest epoch reported by receivers
 	leading           bool
 	resigning         bool
 }
 
-// NewElector returns an Elector for leases of the given TTL. The first event
-// is Start.
+// NewElector returns an Elector for leases of the given TTL. Its first event must be
+// Start.
 func NewElector(ttl time.Duration) *Elector { return &Elector{ttl: ttl} }
 
-// Leadership returns the present holding. The caller compares Until with its clock.
+// Leadership returns the current leadership and whether there is one. The caller must
+// compare ValidUntil with its clock.
 func (e *Elector) Leadership() (Leadership, bool) {
 	return Leadership{Epoch: e.epoch, ValidUntil: e.validUntil}, e.leading
 }
 
-// Deadline returns when the action in progress is no longer of use, and false
-// where it may take any time.
+// Deadline returns when the result of the action in progress becomes useless, and false
+// if the action may take any time.
 func (e *Elector) Deadline() (time.Duration, bool) {
 	return e.validUntil, e.lease != 0
 }
 
-// Step takes an event at time now and returns the next action. Outdated, Yield
-// and Resign may come at any time; the action in progress is then abandoned, and
-// its event must not be given any more.
+// Step takes an event at time now and returns the next action. HigherEpoch, Yield and
+// Resign may come at any time; the action in progress is then abandoned, and its event
+// must not be passed to Step any more.
 func (e *Elector) Step(now time.Duration, ev Event) Action {
 	switch ev := ev.(type) {
 	case Resign:
@@ -64,8 +66,8 @@
 		e.revoking = 0
 		return e.afterRelease()
 	}
-	// A holder that was paused finds here, before anything else, that its
-	// lease may have lapsed meanwhile.
+	// The lease may have expired while the process was paused, so check it before the
+	// event is handled.
 	if e.lease != 0 && now >= e.validUntil {
 		return e.release()
 	}
@@ -78,7 +80,7 @@
 	return e.stepClaiming(now, ev)
 }
 
-// stepWithoutLease has no lease.
+// stepWithoutLease handles an event while there is no lease.
 func (e *Elector) stepWithoutLease(ev Event) Action {
 	switch ev := ev.(type) {
 	case Vacant:
@@ -94,9 +96,9 @@
 	return AwaitVacant{}
 }
 
-// stepClaiming has a lease and does not hold the duty yet. Any doubt ends the
-// claim: revoking the lease also undoes a creation of the holder key that is
-// still on its way.
+// stepClaiming handles an event while there is a lease but no leadership yet. Anything
+// unexpected ends the claim: revoking the lease also undoes a creation of the holder
+// key that is still in flight.
 func (e *Elector) stepClaiming(now time.Duration, ev Event) Action {
 	switch ev := ev.(type) {
 	case Claimed:
@@ -108,14 +110,14 @@
 		return RaiseEpoch{ExpectRevision: ev.Revision, Epoch: e.epoch}
 	case Raised:
 		if ev.Succeeded && now > e.validUntil-e.ttl+e.ttl/slowClaimDivisor {
-			// The store is slow: the lease would be all but over when the claim is
-			// verified, and lapse before its first renewal.
+			// The store is slow: without a renewal the lease could expire soon after
+			// the claim is verified, before the first renewal completes.
 			return Renew{Lease: e.lease}
 		}
 		if ev.Succeeded {
 			return Verify{Lease: e.lease}
 		}
-		// Another's raise, or a late one of our own; read and raise again.
+		// Another candidate, or a delayed write of this one, has changed the epoch key.
 		return ReadEpoch{}
 	case Renewed:
 		e.pendingValidUntil = leaseValidUntil(ev.Sent, e.ttl)
@@ -130,14 +132,14 @@
 	return e.release()
 }
 
-// stepLeading holds the duty.
+// stepLeading handles an event while leading.
 func (e *Elector) stepLeading(now time.Duration, ev Event) Action {
 	switch ev := ev.(type) {
 	case WaitEnded:
 		return Renew{Lease: e.lease}
 	case Renewed:
-		// The lease may live on without the holder key: deleted by an
-		// operator, or lost in a restore. Only both together count.
+		// The lease may be valid without the holder key, which an operator may have
+		// deleted or a restore may have lost. Both are required.
 		e.pendingValidUntil = leaseValidUntil(ev.Sent, e.ttl)
 		return Verify{Lease: e.lease}
 	case Verified:
@@ -155,14 +157,15 @@
 	return e.release()
 }
 
-// sleepUntilRenewal sleeps until the next renewal, which comes sooner where the last one took long.
+// sleepUntilRenewal sleeps until the next renewal, which comes sooner if the last one
+// took long.
 func (e *Elector) sleepUntilRenewal(now time.Duration) Action {
 	due := min(now+e.ttl/renewDivisor, e.validUntil-e.ttl/2)
 	return Sleep{Until: max(now, due)}
 }
 
-// handleHigherEpoch takes up a higher epoch. A holder that learns of one cannot be
-// obeyed until it has raised its own above it.
+// handleHigherEpoch records the epoch. A leader whose epoch is not higher must raise it
+// before receivers accept its orders again.
 func (e *Elector) handleHigherEpoch(now time.Duration, ev HigherEpoch) Action {
 	e.observedEpoch = max(e.observedEpoch, ev.Epoch)
 	if !e.leading || now >= e.validUntil {
@@ -175,7 +178,7 @@
 	return ReadEpoch{}
 }
 
-// handleYield ignores a wish that was meant for an earlier holding.
+// handleYield ignores a request that names the epoch of an earlier leadership.
 func (e *Elector) handleYield(now time.Duration, ev Yield) Action {
 	if e.leading && now < e.validUntil && ev.Epoch != e.epoch {
 		return e.sleepUntilRenewal(now)
@@ -183,8 +186,8 @@
 	return e.release()
 }
 
-// release drops the duty first and then gives the lease back, so that the next
-// candidate need not wait for it to lapse.
+// release ends the leadership and then revokes the lease, so that the next candidate
+// need not wait until it expires.
 func (e *Elector) release() Action {
 	e.leading = false
 	if e.lease != 0 {
@@ -203,9 +206,10 @@
 	return BackOff{}
 }
 
-// leaseValidUntil returns until when a lease granted or renewed by a call sent at sent
-// lives at least. The store counts from when it received the call, which is
-// later; counting from the reply would outlive the lease by the reply's delay.
+// leaseValidUntil returns until when a lease is certainly valid, if it was granted or
+// renewed by a call sent at sent. The store counts from when it receives the call,
+// which is later. Counting from the reply would exceed the lease by the delay of the
+// reply.
 func leaseValidUntil(sent, ttl time.Duration) time.Duration {
 	return sent + ttl - ttl/clockDriftDivisor
 }
--- a/lease/errors.go
+++ b/lease/errors.go
@@ -2,5 +2,5 @@
 
 import "github.com/rotisserie/eris"
 
-// ErrStaleEpoch: the order comes from a holder that has been replaced.
+// ErrStaleEpoch is returned for an order of a leader that has been replaced.
 var ErrStaleEpoch = eris.New("stale epoch")
--- a/lease/event.go
+++ b/lease/event.go
@@ -6,46 +6,50 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// Event is the end of an Action, or a wish from outside.
+// Event is the result of an Action, or a request from outside of the Elector.
 type Event interface{ isEvent() }
 
 type (
-	// Vacant: the holder key did not exist.
+	// Vacant: the holder key does not exist.
 	Vacant struct{}
-	// Granted: the lease is ours. Sent is the time before the call.
+	// Granted: the store granted a lease. Sent is the time before the call.
 	Granted struct {
 		Lease store.LeaseID
 		Sent  time.Duration
 	}
-	// Claimed: the creation of the holder key ended. Won is true only where it
-	// is known to have taken effect.
+	// Claimed: the creation of the holder key ended. Succeeded is true only if it is
+	// known to have taken effect.
 	Claimed struct{ Succeeded bool }
-	// EpochRead: the epoch key as it is; both are zero where it does not exist.
+	// EpochRead: the content and revision of the epoch key; both are zero if the key
+	// does not exist.
 	EpochRead struct {
 		Epoch    uint64
 		Revision store.Revision
 	}
-	// Raised: the swap of the epoch key ended. Won is true only where it is
-	// known to have taken effect.
+	// Raised: the write of the epoch key ended. Succeeded is true only if it is known
+	// to have taken effect.
 	Raised struct{ Succeeded bool }
-	// Verified: whether the holder key is ours, by the token in it.
+	// Verified: the holder key was read. Owned is true if it has the value that this
+	// candidate wrote.
 	Verified struct{ Owned bool }
 	// Renewed: the lease was renewed. Sent is the time before the call.
 	Renewed struct{ Sent time.Duration }
-	// Failed: the action had no known effect. Gone is true where the lease no
+	// Failed: the action had no known effect. LeaseNotFound is true if the lease no
 	// longer exists.
 	Failed struct{ LeaseNotFound bool }
-	// Revoked: the lease was given back, or the attempt failed.
+	// Revoked: the lease was revoked, or the attempt failed.
 	Revoked struct{}
-	// WaitEnded: the wait is over.
+	// WaitEnded: the wait ended.
 	WaitEnded struct{}
-	// Start begins.
+	// Start is the first event of an Elector.
 	Start struct{}
-	// HigherEpoch: a receiver has seen Epoch, higher than ours.
+	// HigherEpoch: a receiver knows Epoch, which is higher than the epoch of this
+	// candidate.
 	HigherEpoch struct{ Epoch uint64 }
-	// Yield: give the duty up if it is still held under Epoch, and compete again.
+	// Yield ends the leadership if its epoch is still Epoch; the candidate then
+	// competes again.
 	Yield struct{ Epoch uint64 }
-	// Resign: give the duty up for good.
+	// Resign ends the leadership and the candidacy.
 	Resign struct{}
 )
 
--- a/lease/fence.go
+++ b/lease/fence.go
@@ -2,21 +2,21 @@
 
 import "sync/atomic"
 
-// Fence is the receiver's side of a duty: it keeps the highest epoch seen and
-// refuses orders of lower ones. One Fence serves one duty. The zero value has
-// seen nothing. It is safe for concurrent use.
+// Fence is used by a receiver of a leader's orders: it keeps the highest epoch seen and
+// refuses orders with a lower one. One Fence serves one election. The zero value
+// accepts any epoch. It is safe for concurrent use.
 //
-// It guards against a holder that was paused, or cut off, while another took
-// over, and whose orders arrive after the successor's. A receiver that restarts
-// starts with an empty Fence, and must not take orders before it knows that
-// nothing of what it forgot can still arrive.
+// It guards against a leader that was paused or disconnected while another took over,
+// and whose orders arrive after those of its successor. A receiver that restarts begins
+// with an empty Fence, and must not accept orders until no order can arrive that the
+// lost Fence would have refused.
 type Fence struct {
 	highest atomic.Uint64
 }
 
-// Admit returns ErrStaleEpoch for an epoch lower than the highest admitted.
-// The check and what it protects must be one step at the receiver: an order
-// admitted and then held back may be overtaken by one of a higher epoch.
+// Admit returns ErrStaleEpoch for an epoch lower than the highest admitted. The
+// receiver must execute the check and the order atomically: an order that is admitted
+// and then delayed may be overtaken by one with a higher epoch.
 func (f *Fence) Admit(epoch uint64) error {
 	for {
 		highest := f.highest.Load()
@@ -29,5 +29,5 @@
 	}
 }
 
-// Highest returns the highest epoch admitted, to be told to a refused holder.
+// Highest returns the highest epoch admitted, which is reported to a refused leader.
 func (f *Fence) Highest() uint64 { return f.highest.Load() }
--- a/lease/leadership.go
+++ b/lease/leadership.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// Leadership is one holding of a duty. All orders given under it carry Epoch.
+// Leadership is one period in which a candidate is the leader. All orders given in it
+// carry Epoch.
 type Leadership struct {
 	Epoch uint64
-	// ValidUntil is when the lease could lapse at the earliest, on the holder's
-	// clock: reckoned from before the last renewal was sent.
+	// ValidUntil is the earliest time, on the candidate's clock, at which the lease
+	// could expire. It is counted from before the last renewal was sent.
 	ValidUntil time.Duration
 }
--- a/lease/own_lease_store.go
+++ b/lease/own_lease_store.go
@@ -9,22 +9,24 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// ownLeaseStore has a lease for its one duty.
+// ownLeaseStore gives a Candidate a lease of its own.
 type ownLeaseStore struct {
 	store     store.Store
-	holderKey string // of the holder
+	holderKey string
 	ttl       time.Duration
 	clock     func() time.Duration
-	// onOccupied is told when another is found to hold the duty.
+	// onOccupied is called when another process is found to be the leader.
 	onOccupied func()
-	// isStaleClaim says whether a claim is one that this instance isStaleClaim behind.
+	// isStaleClaim reports whether the value of the holder key was left behind by an
+	// earlier process of this instance.
 	isStaleClaim func(value []byte) bool
-	// takeoverRequested has a token when the present holder's claim is to be removed.
+	// takeoverRequested receives a value when the current leader's holder key is to be
+	// deleted.
 	takeoverRequested <-chan struct{}
 }
 
-// awaitVacant lists the holder key and, while it exists, watches it. Waiting
-// candidates cost the store one waiting watch each and no polling.
+// awaitVacant lists the holder key and watches it while it exists. A waiting candidate
+// costs the store one watch and no polling.
 func (o *ownLeaseStore) awaitVacant(ctx context.Context) Event {
 	snap, err := o.store.List(ctx, o.holderKey)
 	if err != nil {
@@ -51,12 +53,12 @@
 type watchResult int
 
 const (
-	watchFailed      watchResult = iota
-	holderKeyDeleted             // the key was deleted
-	takeoverForced               // the holder is believed to be dead
+	watchFailed watchResult = iota
+	holderKeyDeleted
+	takeoverForced // the leader is believed to be dead
 )
 
-// watchHolderKey waits until the holder key is deleted or the holder is to be deposed.
+// watchHolderKey waits until the holder key is deleted or a takeover is requested.
 func (o *ownLeaseStore) watchHolderKey(ctx context.Context, from store.Revision) (watchResult, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -87,8 +89,8 @@
 	return watchFailed, err
 }
 
-// removeClaim deletes a claim whose holder is gone or believed so, so that its lease need not
-// be waited for. A claim made since is left alone.
+// removeClaim deletes the holder key of a leader that is dead or believed to be, so
+// that its lease need not expire first. A key that was written since is left alone.
 func (o *ownLeaseStore) removeClaim(ctx context.Context, kv store.KeyValue) Event {
 	deleted, err := o.swap(ctx, store.Swap{Key: kv.Key, Expect: kv.Mod, Delete: true})
 	if err != nil {
@@ -137,9 +139,9 @@
 	return Renewed{Sent: sent}
 }
 
-// release is not cut short by the Holder's own end: the next candidate waits
-// for it. The lease lapses by itself within the TTL where it fails. It also
-// undoes a creation of the holder key that is still on its way.
+// release revokes the lease, which also undoes a creation of the holder key that is
+// still in flight. It continues after the Candidate has resigned, because the next
+// candidate waits for it. If it fails, the lease expires within the TTL.
 func (o *ownLeaseStore) release(lease store.LeaseID, _ []byte, _ bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), o.ttl)
 	defer cancel()
--- a/lease/record.go
+++ b/lease/record.go
@@ -7,12 +7,12 @@
 	sessionKeyPrefix  = "session/"
 )
 
-// EpochKey returns the key that holds a duty's last epoch. Its revision is the same
-// for as long as nobody else has taken the duty, so a write on the condition of that
-// revision can't come from a holder that was replaced.
+// EpochKey returns the key that holds an election's last epoch. Its revision changes
+// whenever another candidate takes over, so a write conditional on the revision can't
+// come from a leader that was replaced.
 func EpochKey(duty string) string { return epochKey(duty) }
 
-// ParseEpoch returns the epoch that the value of EpochKey holds.
+// ParseEpoch returns the epoch in a value of EpochKey.
 func ParseEpoch(value []byte) (uint64, error) {
 	var r record
 	err := json.Unmarshal(value, &r)
@@ -24,8 +24,8 @@
 func electionPrefix(domain string) string    { return electionKeyPrefix + domain + "/" }
 func sessionKey(domain, lease string) string { return sessionKeyPrefix + domain + "/" + lease }
 
-// record is the value of all keys. Token makes each value unique, so that a
-// write whose reply was lost can be recognised.
+// record is the value of all keys. Token makes each value unique, so that a write whose
+// reply was lost can be recognized.
 type record struct {
 	Instance string `json:"instance"`
 	Token    string `json:"token"`
--- a/lease/session.go
+++ b/lease/session.go
@@ -11,14 +11,14 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// Session keeps one lease of the store for a whole process: for the Holders of
-// any number of duties, and for keys of the embedder's own. A Holder for itself
-// costs two calls for each third of its TTL; a Session costs as much however many
-// Holders it has. It is safe for concurrent use.
+// Session keeps one lease of the store for a whole process: for the Candidates of any
+// number of elections, and for keys of the caller's own. A Candidate with a lease of
+// its own makes two calls in each third of its TTL; a Session makes as many in total,
+// however many Candidates it has. It is safe for concurrent use.
 //
-// When the lease is lost (lapsed, revoked by another, or no longer in a restored
-// store), all Holders drop their duties and compete again under the next lease,
-// which the Session asks for by itself.
+// When the lease is lost (expired, revoked by another process, or missing in a restored
+// store), all Candidates end their leaderships and compete again under the next lease,
+// which the Session requests by itself.
 type Session struct {
 	opts    SessionOptions
 	batcher *store.Batcher
@@ -26,7 +26,7 @@
 
 	mu      sync.Mutex
 	lease   *sessionLease // nil: no lease now
-	changed chan struct{} // closed and replaced when term changes
+	changed chan struct{} // closed and replaced when lease changes
 }
 
 // OpenSession starts a Session. Close ends it.
@@ -43,10 +43,10 @@
 	return s
 }
 
-// Close gives the lease back, which deletes every key that is bound to it. The
-// Holders' duties are free at once; resign them first where work has to end
-// before. It returns when that is done, or with the context's error; the lease
-// then lapses by itself at worst.
+// Close revokes the lease, which deletes every key bound to it, so that other processes
+// can take over at once. If work has to end before that, resign the Candidates first.
+// It returns when the lease is revoked, or the context's error; the lease then expires
+// by itself at the latest.
 func (s *Session) Close(ctx context.Context) error {
 	s.tomb.Kill(nil)
 	select {
@@ -57,8 +57,8 @@
 	}
 }
 
-// Lease waits until there is a lease and returns it, with a channel that is closed
-// when it is lost. Keys of the embedder that are bound to it end with it.
+// Lease waits until there is a lease and returns it with a channel that is closed when
+// it is lost. The caller's keys that are bound to the lease are deleted with it.
 func (s *Session) Lease(ctx context.Context) (store.LeaseID, <-chan struct{}, error) {
 	l, err := s.awaitLease(ctx)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return l.id, l.lost, nil
 }
 
-// Valid says whether the Session's lease certainly lives now, by its last
+// Valid reports whether the Session's lease is certainly valid now, judging by its last
 // renewal.
 func (s *Session) Valid() bool {
 	s.mu.Lock()
@@ -76,7 +76,7 @@
 	return l != nil && s.opts.Clock() < l.validUntil()
 }
 
-// awaitLease waits for a term.
+// awaitLease waits until there is a lease.
 func (s *Session) awaitLease(ctx context.Context) (*sessionLease, error) {
 	for {
 		s.mu.Lock()
@@ -103,7 +103,7 @@
 	s.changed = make(chan struct{})
 }
 
-// run has one term after the other.
+// run obtains a new lease whenever one is lost, until the Session is closed.
 func (s *Session) run() error {
 	defer s.batcher.Close()
 	ctx := s.tomb.Context(context.Background())
@@ -119,7 +119,8 @@
 	return nil
 }
 
-// runLease is the life of one lease; false where none was had.
+// runLease obtains a lease and keeps it until it is lost. It reports whether a lease
+// was obtained.
 func (s *Session) runLease(ctx context.Context) bool {
 	l, err := s.grantLease(ctx)
 	if err != nil {
@@ -149,11 +150,11 @@
 	return l, nil
 }
 
-// revoke is not cut short by the Session's own end: other candidates wait for it.
+// revoke continues after the Session is closed, because other candidates wait for it.
 func (s *Session) revoke(id store.LeaseID) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.opts.TTL)
 	defer cancel()
-	_ = s.opts.Store.Revoke(ctx, id) // it lapses by itself otherwise
+	_ = s.opts.Store.Revoke(ctx, id) // on failure the lease expires by itself
 }
 
 func (s *Session) log(change string, err error) {
--- a/lease/session_lease.go
+++ b/lease/session_lease.go
@@ -17,37 +17,37 @@
 var (
 	// errExpired: no renewal was verified in time.
 	errExpired = eris.New("lease may have lapsed")
-	// errKeyReplaced: the Session's key is not as the Session wrote it.
+	// errKeyReplaced: the Session's key does not have a value that the Session wrote.
 	errKeyReplaced = eris.New("session's key lost or replaced")
-	// errClaimUnresolved: a claim's end could not be made sure of in another way.
+	// errClaimUnresolved: a resigned Candidate's claim may still take effect, which
+	// only the end of the lease can prevent.
 	errClaimUnresolved = eris.New("claim of unknown outcome given up for good")
 )
 
-// sessionLease is the life of one lease of a Session.
+// sessionLease keeps one lease of a Session until it is lost.
 //
-// A renewal proves that the lease lives, and not that the keys under it do: a
-// store restored from a backup may have the lease and not the holder keys. So a
-// sessionLease has a key of its own, which is written anew after each claim and read after
-// each renewal. Found as written last, it proves that the store's history holds
-// that write and all before it, the claims included. One read so stands for those
-// of all holder keys. What happens to a single holder key after its claim, as when
-// an operator deletes it, is told by the view.
+// A renewal proves that the lease is valid but not that its keys exist: a store
+// restored from a backup may have the lease without the holder keys. The sessionLease
+// therefore rewrites a key of its own after each claim and reads it after each renewal.
+// Finding the last value proves that the store still has that write and all before it,
+// including the claims. Later changes of a single holder key, such as a deletion by an
+// operator, are detected by the watch.
 type sessionLease struct {
 	session        *Session
 	id             store.LeaseID
 	key            string
 	claims         *watchCache
 	lost           chan struct{} // closed when the lease is lost
-	writeRequested chan struct{} // a seal is wanted
+	writeRequested chan struct{}
 	aborted        chan error
 
 	mu              sync.Mutex
 	renewedAt       time.Duration // when the last verified renewal was sent
-	requestedWrites uint64        // seals asked for
-	completedWrites uint64        // of them, made
+	requestedWrites uint64        // number of the last requested write of key
+	completedWrites uint64        // highest request covered by a completed write
 	keyRevision     store.Revision
-	possibleValues  [][]byte      // of the key: as known, and as it may have been written since
-	changed         chan struct{} // closed and replaced when sent or sealed change
+	possibleValues  [][]byte      // of key: the last known one and those written since with unknown outcome
+	changed         chan struct{} // closed and replaced when renewedAt or completedWrites changes
 }
 
 func newSessionLease(s *Session, id store.LeaseID, sent time.Duration) *sessionLease {
@@ -64,7 +64,7 @@
 	}
 }
 
-// run keeps the term until its lease is lost or ctx ends, and says why.
+// run maintains the lease until it is lost or ctx ends, and returns the reason.
 func (l *sessionLease) run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return l.renewLoop(ctx) })
@@ -81,7 +81,7 @@
 	return group.Wait()
 }
 
-// abort ends the term.
+// abort makes run return with err.
 func (l *sessionLease) abort(err error) {
 	select {
 	case l.aborted <- err:
@@ -89,7 +89,7 @@
 	}
 }
 
-// renewLoop renews the lease.
+// renewLoop renews the lease until it is lost.
 func (l *sessionLease) renewLoop(ctx context.Context) error {
 	ttl := l.session.opts.TTL
 	delay := ttl / renewDivisor
@@ -141,12 +141,12 @@
 	return false
 }
 
-// validUntil is when the lease could lapse at the earliest.
+// validUntil returns the earliest time at which the lease could expire.
 func (l *sessionLease) validUntil() time.Duration {
 	return leaseValidUntil(l.lastRenewal(), l.session.opts.TTL)
 }
 
-// lastRenewal is when the last verified renewal was sent.
+// lastRenewal returns when the last verified renewal was sent.
 func (l *sessionLease) lastRenewal() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -161,7 +161,8 @@
 	l.changed = make(chan struct{})
 }
 
-// awaitRenewal waits for a verified awaitRenewal that was sent later than before.
+// awaitRenewal waits for a verified renewal that was sent after previous, and returns
+// when it was sent.
 func (l *sessionLease) awaitRenewal(ctx context.Context, previous time.Duration) (time.Duration, error) {
 	for {
 		l.mu.Lock()
@@ -176,7 +177,8 @@
 	}
 }
 
-// awaitKeyWrite returns when the Session's key has been written after the call began.
+// awaitKeyWrite requests a write of the Session's key and returns when one that began
+// after the call has completed.
 func (l *sessionLease) awaitKeyWrite(ctx context.Context) error {
 	l.mu.Lock()
 	l.requestedWrites++
@@ -210,7 +212,8 @@
 	}
 }
 
-// writeLoop makes the writeLoop; those asked for while one is made share the next.
+// writeLoop writes the Session's key on request. Requests that arrive during a write
+// share the next one.
 func (l *sessionLease) writeLoop(ctx context.Context) error {
 	for {
 		select {
@@ -234,8 +237,8 @@
 	}
 }
 
-// writeKey writes the Session's key. Only its own earlier writes may be found there:
-// anything else is another store's history.
+// writeKey writes the Session's key. If the key has a value that this process never
+// wrote, the store has lost history, and the lease is given up.
 func (l *sessionLease) writeKey(ctx context.Context) error {
 	value := record{Instance: l.session.opts.Instance, Token: uuid.NewString()}.encode()
 	l.mu.Lock()
@@ -261,7 +264,7 @@
 	}
 }
 
-// watchLoop keeps the view.
+// watchLoop keeps the cache of holder and epoch keys current.
 func (l *sessionLease) watchLoop(ctx context.Context) error {
 	store, prefix := l.session.opts.Store, electionPrefix(l.session.opts.Domain)
 	for ctx.Err() == nil {
--- a/lease/shared_lease_store.go
+++ b/lease/shared_lease_store.go
@@ -8,30 +8,29 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// sharedLeaseStore holds its duty under the lease of a Session.
+// sharedLeaseStore lets a Candidate use the lease of a Session.
 //
-// Giving the duty up can't revoke that lease, and so does not undo a creation of
-// the holder key that is still on its way. When that arrives late, the key is
-// bound to the Session's lease and nobody holds the duty: it would stay so for as
-// long as the Session lives. It shows as a key under our own lease while we hold
-// nothing; awaitVacant deletes it. A Holder that will not compete again has the
-// Session give up its lease instead.
+// Ending a leadership can't revoke that lease, and so does not undo a creation of the
+// holder key that is still in flight. If the creation takes effect late, nobody leads
+// but the key exists for as long as the Session. Such a key is bound to the Session's
+// own lease while this Candidate claims nothing; awaitVacant deletes it. A Candidate
+// that will not compete again makes the Session abandon its lease instead.
 type sharedLeaseStore struct {
 	session   *Session
-	holderKey string // of the holder
-	// onOccupied is told when another is found to hold the duty.
+	holderKey string
+	// onOccupied is called when another process is found to be the leader.
 	onOccupied func()
 
 	lease           *sessionLease
-	renewedAt       time.Duration  // of the renewal taken last
-	minRevision     store.Revision // of the last own swap, or what it met
-	claimRevision   store.Revision // of the holder key that is ours; zero: unknown
-	removedRevision store.Revision // of the holder key that we deleted last
-	claimPending    bool           // a claim was sent and may take effect
+	renewedAt       time.Duration  // when the renewal reported last was sent
+	minRevision     store.Revision // of the last own write, or of the key that it met
+	claimRevision   store.Revision // of the own holder key; zero: unknown
+	removedRevision store.Revision // of the holder key that was deleted last
+	claimPending    bool           // a claim was sent and may still take effect
 }
 
-// cacheTimeout bounds the wait for the watch to show an own write, before the store
-// is asked.
+// cacheTimeout bounds the wait until the watch shows an own write; after that the store
+// is read.
 const cacheTimeout = 200 * time.Millisecond
 
 func (o *sharedLeaseStore) awaitVacant(ctx context.Context) Event {
@@ -52,7 +51,7 @@
 			if _, err := o.removeClaim(ctx, kv.Mod); err != nil {
 				return failedEvent(err)
 			}
-		case ready && kv.Lease == l.id: // the watch is about to show it gone
+		case ready && kv.Lease == l.id: // the watch will report its deletion
 		case ready:
 			o.onOccupied()
 		}
@@ -62,8 +61,8 @@
 	}
 }
 
-// removeClaim deletes the holder key if it is still at mod, and says whether it is
-// certain that it is not any more.
+// removeClaim deletes the holder key if it is still at mod. It reports whether the key
+// is certainly no longer at mod.
 func (o *sharedLeaseStore) removeClaim(ctx context.Context, mod store.Revision) (bool, error) {
 	res, err := o.session.batcher.Swap(ctx, store.Swap{Key: o.holderKey, Expect: mod, Delete: true})
 	if err != nil {
@@ -99,8 +98,8 @@
 	return res.Swapped, nil
 }
 
-// read takes the key from the view, as of the last own write; that is what a read
-// of the store would have to show at least.
+// read returns the key from the watch cache, as of the last own write or later, and
+// falls back to the store.
 func (o *sharedLeaseStore) read(ctx context.Context, key string) (store.KeyValue, bool, error) {
 	shortCtx, cancel := context.WithTimeout(ctx, cacheTimeout)
 	defer cancel()
@@ -111,8 +110,9 @@
 	return o.session.opts.Store.Get(ctx, key)
 }
 
-// verify seals a new claim. Of a duty held, a renewal was just verified, which
-// vouches for the claim; only what the view shows since can speak against it.
+// verify rewrites the Session's key to prove a new claim. For a claim verified before,
+// the Session's last renewal has proved it, and only a change shown by the watch can
+// refute it.
 func (o *sharedLeaseStore) verify(ctx context.Context, claim []byte, held bool) Event {
 	if held {
 		kv, ok, ready, _ := o.lease.claims.get(o.holderKey, o.claimRevision)
@@ -140,7 +140,7 @@
 func (o *sharedLeaseStore) release(_ store.LeaseID, _ []byte, final bool) {
 	select {
 	case <-o.lease.lost:
-		return // its keys end with it
+		return // the holder key was deleted with the lease
 	default:
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), o.session.opts.TTL)
--- a/lease/watch_cache.go
+++ b/lease/watch_cache.go
@@ -7,8 +7,8 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// watchCache is what a Session's watch has shown of the duties. It is safe for
-// concurrent use.
+// watchCache holds the keys of a domain's elections as listed and watched by a Session.
+// It is safe for concurrent use.
 type watchCache struct {
 	mu       sync.Mutex
 	listed   bool
@@ -19,7 +19,7 @@
 
 func newWatchCache() *watchCache { return &watchCache{changed: make(chan struct{})} }
 
-// reset takes a whole listing.
+// reset replaces the content by a listing.
 func (v *watchCache) reset(snap store.Snapshot) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -31,7 +31,7 @@
 	v.notify()
 }
 
-// apply takes what the watch brings.
+// apply applies a batch of the watch.
 func (v *watchCache) apply(b store.WatchBatch) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -51,8 +51,8 @@
 	v.changed = make(chan struct{})
 }
 
-// get returns a key as of a revision not before after; ready is false where
-// that is not known yet. changed is closed at the next change.
+// get returns a key. ready reports whether the cache has reached minRevision; changed
+// is closed at the next change.
 func (v *watchCache) get(key string, minRevision store.Revision) (kv store.KeyValue, ok, ready bool, changed <-chan struct{}) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -60,7 +60,7 @@
 	return kv, ok, v.listed && v.revision >= minRevision, v.changed
 }
 
-// awaitKey is get that waits until it is ready.
+// awaitKey returns a key once the cache has reached minRevision.
 func (v *watchCache) awaitKey(ctx context.Context, key string, minRevision store.Revision) (store.KeyValue, bool, error) {
 	for {
 		kv, ok, ready, changed := v.get(key, minRevision)
