--- a/lease/candidate_test.go
+++ b/lease/candidate_test.go
@@ -19,11 +19,11 @@
 
 const electionName = domain + "/planner"
 
-// testEnv is a stand-in with candidates for one duty.
+// testEnv is a stand-in store with candidates of one election.
 type testEnv struct {
 	srv *standin.Server
 	url string
-	// watchIdle is the clients' of Sessions.
+	// watchIdle applies to the store clients of Sessions.
 	watchIdle time.Duration
 }
 
@@ -38,7 +38,7 @@
 	return &testEnv{srv: srv, url: web.URL, watchIdle: 200 * time.Millisecond}
 }
 
-// startCandidate starts a candidate and returns it with the channel of its changes.
+// startCandidate starts a candidate and returns it with a channel of its leaderships.
 func (env *testEnv) startCandidate(t *testing.T, ttl time.Duration, changes ...func(*lease.CandidateOptions)) (*lease.Candidate, <-chan lease.Leadership) {
 	store := store.NewClient(store.Options{
 		Endpoints:   []string{env.url},
@@ -69,8 +69,8 @@
 	return h, gained
 }
 
-// The planner's process stops as planned. Its successor must not wait for the
-// lease, of ten minutes here, to lapse, nor ask the store again and again.
+// After an orderly stop the successor must take over without waiting for the lease of
+// ten minutes to expire, and without polling the store.
 func TestCandidateResigns(t *testing.T) {
 	c := qt.New(t)
 	env := newTestEnv(t, standin.Options{})
@@ -93,8 +93,8 @@
 	c.Assert(used <= 7, qt.IsTrue, qt.Commentf("%d calls for a change of holder", used))
 }
 
-// Every write's reply is lost once while the duty is taken. The candidate must
-// recognise its own writes instead of waiting for a holder that is itself.
+// A candidate whose replies are lost must recognize its own writes instead of waiting
+// for a leader that is itself.
 func TestCandidateRecognizesWritesAfterLostReplies(t *testing.T) {
 	c := qt.New(t)
 	env := newTestEnv(t, standin.Options{})
@@ -106,8 +106,8 @@
 	}
 }
 
-// The machine is suspended. On waking, and before any renewal could fail, the
-// process must see that its lease has lapsed.
+// After the machine was suspended, the process must see that its lease has expired
+// before any renewal can fail.
 func TestLeadershipExpiresDuringSuspension(t *testing.T) {
 	c := qt.New(t)
 	env := newTestEnv(t, standin.Options{})
@@ -123,8 +123,8 @@
 	c.Assert(ok, qt.IsFalse)
 }
 
-// The store is restored from a backup, its epochs go back, and agents refuse
-// the planner's orders as those of an older one.
+// After a restore the store's epochs are too low and receivers refuse the leader's
+// orders; it must raise its epoch above theirs.
 func TestCandidateRaisesEpochAboveObserved(t *testing.T) {
 	c := qt.New(t)
 	env := newTestEnv(t, standin.Options{})
@@ -134,10 +134,10 @@
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(42))
 }
 
-// Two candidates, restarted now and then, and a store with every fault: never
-// two valid at the same time, and every holding has a higher epoch. Two of the
-// outages outlast the leases. Four times the one that holds the duty resigns
-// while the store is well, and the other one must take over.
+// Two candidates, restarted now and then, compete while the store has every kind of
+// fault: never may both lead at once, and each leadership must have a higher epoch. Two
+// of the outages outlast the leases. Four times the leader resigns while the store
+// works, and the other candidate must take over.
 func TestCandidatesUnderFaults(t *testing.T) {
 	const seed, rounds = 1, 60
 	t.Cleanup(func() { goleak.VerifyNone(t) })
@@ -192,8 +192,8 @@
 	}
 }
 
-// waitForLeader returns which of the two holds the duty, once one of them does.
-// A lease that has lapsed meanwhile is waited for again.
+// waitForLeader returns which of the two is the leader, once there is one. It continues
+// to wait if the lease has expired in the meantime.
 func waitForLeader(c *qt.C, holders []*lease.Candidate) (int, lease.Leadership) {
 	for {
 		checkSingleLeader(c, holders[0], holders[1])
@@ -206,9 +206,9 @@
 	}
 }
 
-// checkSingleLeader asks the first again after the second, so that a change of
-// holder between two questions is not taken for two holders. The same epoch in
-// both answers says that the first held the duty all the while.
+// checkSingleLeader asks the first candidate again after the second, so that a change
+// of leader between two questions is not taken for two leaders. Equal epochs in both
+// answers mean that the first led all the time.
 func checkSingleLeader(c *qt.C, a, b *lease.Candidate) {
 	first, ok1 := a.Current()
 	second, ok2 := b.Current()
--- a/lease/elector_test.go
+++ b/lease/elector_test.go
@@ -15,12 +15,12 @@
 
 const stepsPerRun = 5000
 
-// Two entries plan for the same region at once, or orders of the newer one are
-// refused because the older one drew a higher epoch: calls are slow, replies
-// and requests are lost or arrive late, and processes are paused anywhere.
+// Two processes lead at once, or the newer leader's orders are refused because the
+// older one has the higher epoch, when calls are slow, messages are lost or late, and
+// processes pause at any point.
 //
-// The choices come from a plain generator: they are weighted, which needs even
-// numbers, and rapid's lean to small ones.
+// The choices are weighted and need uniform numbers, so a plain generator is used:
+// rapid prefers small ones.
 func TestElectorRandom(t *testing.T) {
 	leaderships := 0
 	for seed := range *runCount {
@@ -40,7 +40,8 @@
 	qt.Assert(t, leaderships > 5**runCount, qt.IsTrue)
 }
 
-// candidateAboutToRenew returns a candidate that holds the duty and is about to renew.
+// candidateAboutToRenew returns a candidate that is the leader and is about to renew
+// its lease.
 func candidateAboutToRenew(c *qt.C, m *storeModel) *simCandidate {
 	a := &simCandidate{Elector: lease.NewElector(ttl), ratePercent: 100}
 	a.step(0, lease.Start{})
@@ -53,9 +54,8 @@
 	return a
 }
 
-// A holder sends its renewal, is paused longer than the TTL, and wakes with the
-// reply. Reckoned from the reply, its lease would look new, while another has
-// long taken over.
+// A leader that is paused for longer than the TTL during a renewal must not count its
+// lease from when it sees the reply: another candidate leads by then.
 func TestElectorPausedInRenewal(t *testing.T) {
 	c := qt.New(t)
 	m := &storeModel{leases: make(map[store.LeaseID]time.Duration)}
@@ -70,8 +70,8 @@
 	c.Assert(a.action, qt.Equals, lease.Action(lease.Revoke{Lease: a.claimLease}))
 }
 
-// The reply to a renewal takes 5 s, the next renewals fail, and the holder goes
-// on for 5 s after the store has given the duty to another.
+// A renewal whose reply takes 5 s must not extend the lease past the time at which the
+// store expires it.
 func TestElectorSlowRenewal(t *testing.T) {
 	c := qt.New(t)
 	m := &storeModel{leases: make(map[store.LeaseID]time.Duration)}
--- a/lease/handover_test.go
+++ b/lease/handover_test.go
@@ -10,8 +10,8 @@
 	"github.com/eelgrasshub/eelgrasshub/store/standin"
 )
 
-// A duty is to move to another process, and the holder gives it up. Without a
-// pause it would be first to find it vacant and take it again.
+// A leader that yields must leave the election to other candidates instead of claiming
+// it again first.
 func TestCandidateYields(t *testing.T) {
 	c := qt.New(t)
 	env := newTestEnv(t, standin.Options{})
@@ -19,7 +19,7 @@
 	first, gained := env.startCandidate(t, 10*time.Minute)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(1))
 	_, other := env.startCandidate(t, 10*time.Minute, hesitate)
-	// Meant for an earlier holding: ignored.
+	// This names an earlier leadership and is ignored.
 	first.Yield(0)
 	first.ObserveEpoch(4)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(5))
@@ -37,9 +37,9 @@
 	c.Assert(held.Epoch, qt.Equals, uint64(6))
 }
 
-// The holder's machine loses power. A candidate that believes so takes the duty at once,
-// under a higher epoch, instead of waiting ten minutes for the lease. The holder, which
-// lives after all, finds its claim gone with its next renewal and is a candidate again.
+// A candidate that believes the leader to be dead must take over under a higher epoch
+// without waiting for its lease to expire. The leader, which is alive, must find its
+// holder key gone at its next renewal.
 func TestForceTakeoverReplacesLeaderAtOnce(t *testing.T) {
 	c := qt.New(t)
 	env := newTestEnv(t, standin.Options{})
@@ -48,7 +48,7 @@
 	second, won := env.startCandidate(t, 10*time.Minute)
 	c.Assert(first.ForceTakeover(), qt.IsFalse, qt.Commentf("a holder has nobody to depose"))
 	for !second.ForceTakeover() {
-		time.Sleep(time.Millisecond) // it does not wait for the duty yet
+		time.Sleep(time.Millisecond) // it does not wait for a vacancy yet
 	}
 	c.Assert((<-won).Epoch, qt.Equals, uint64(2))
 	for {
--- a/lease/session_simulation_test.go
+++ b/lease/session_simulation_test.go
@@ -10,18 +10,19 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// simSession is the lease that a candidate's process shares between its duties, on
-// virtual time. To the model each grant from it is a lease that lapses with it;
-// the name of that lease stands for the token of the claim.
+// simSession is the lease that a candidate's process shares between its elections, in
+// virtual time. The model treats each grant from it as a lease of its own that expires
+// with it; the ID of that lease stands for the token of the claim.
 type simSession struct {
 	id              store.LeaseID // zero: none yet
 	claims          map[store.LeaseID]bool
-	renewedAt       time.Duration // of the last renewal, on the candidate's clock
-	reportedRenewal time.Duration // of the last renewal that the Elector was told of
+	renewedAt       time.Duration // on the candidate's clock
+	reportedRenewal time.Duration // the last renewal that the Elector was told of
 	renewalSentAt   *time.Duration
 }
 
-// renewSession sends a renewal, or has the one that was sent take effect and answered.
+// renewSession sends a renewal, or lets the one that was sent take effect and be
+// answered.
 func (w *simulation) renewSession(i int) {
 	if w.sessions == nil {
 		return
@@ -43,8 +44,8 @@
 	s.renewedAt, s.renewalSentAt = *s.renewalSentAt, nil
 }
 
-// revokeSession ends the session's lease, as another process does that takes this one
-// for dead.
+// revokeSession ends the session's lease, as another process does that believes this
+// one to be dead.
 func (w *simulation) revokeSession(i int) {
 	s := w.sessions[i]
 	w.store.dropLease(s.id)
@@ -58,7 +59,7 @@
 	switch act := c.action.(type) {
 	case lease.AwaitVacant:
 		if s.claims[m.holderLease] {
-			m.holderLease = 0 // a claim that came late
+			m.holderLease = 0 // a claim that took effect late
 		}
 	case lease.Grant:
 		end, alive := m.leases[s.id]
@@ -87,12 +88,11 @@
 	return m.apply(c.action, c.sent)
 }
 
-// Three entries share one lease each between their duties, and give a duty up by
-// deleting its key: a claim on its way is not undone by that and may take effect
-// at any time later. Never may two plan at once, nor a successor have the lower
-// epoch. In the wild half of the runs the leases of live entries are revoked
-// besides, as of dead ones: two may be valid then until the first one's next
-// renewal, but the one whose key is in the store has the highest epoch.
+// Three processes share one lease each between their elections and end a leadership by
+// deleting the holder key, which does not undo a claim in flight. Two may never lead at
+// once, nor may a successor have the lower epoch. In adversarial runs the leases of
+// live leaders are revoked as well: two may then be valid until the first one's next
+// renewal, but the owner of the holder key must have the highest epoch.
 func TestElectorInSessionRandom(t *testing.T) {
 	leaderships := 0
 	for seed := range *runCount {
--- a/lease/session_test.go
+++ b/lease/session_test.go
@@ -17,8 +17,8 @@
 
 const domain = "auckland"
 
-// useSessions gives each candidate of a bench a Session. Tests don't run beside
-// each other.
+// useSessions gives each candidate of a testEnv a Session. Tests do not run in
+// parallel.
 var useSessions = false
 
 // openSession opens a Session for a candidate and waits until it watches.
@@ -31,7 +31,7 @@
 	return s
 }
 
-// Whatever a Holder with a lease of its own promises, one in a Session does too.
+// A Candidate in a Session must give the guarantees of one with a lease of its own.
 func TestCandidateInSession(t *testing.T) {
 	useSessions = true
 	defer func() { useSessions = false }()
@@ -43,12 +43,12 @@
 	t.Run("yields", TestCandidateYields)
 }
 
-// sessionProcess is a Session with a Holder for each of some duties.
+// sessionProcess is a Session with a Candidate for each of several elections.
 type sessionProcess struct {
 	session    *lease.Session
 	candidates []*lease.Candidate
 	gained     []chan lease.Leadership
-	// onGain is told of each holding that is valid when it is told.
+	// onGain is called for each leadership that is still valid at the call.
 	onGain func(duty int, epoch uint64)
 }
 
@@ -84,12 +84,12 @@
 	return p
 }
 
-// A region has many duties and the store counts each call: what a process pays to
-// hold them must not grow with their number.
+// The number of store calls that a process makes to remain leader must not grow with
+// the number of its elections.
 func TestSessionCallsDoNotGrowWithElections(t *testing.T) {
 	c := qt.New(t)
 	env := newTestEnv(t, standin.Options{})
-	env.watchIdle = time.Hour // a watch that is replaced on a busy machine is a call
+	env.watchIdle = time.Hour // replacing an idle watch would count as a call
 	p := env.startProcess(t, time.Second, 50)
 	for _, g := range p.gained {
 		<-g
@@ -107,10 +107,9 @@
 	}
 }
 
-// The store is restored from a backup that has a process's lease and two of its
-// duties, but not the one claimed after it, and the process's watch has gone
-// silent. Renewals go on to succeed, while another may take the third duty: the
-// process must see by itself that its claims are not all there any more.
+// The store is restored from a backup that has the process's lease and two of its
+// holder keys but not the third, while the process's watch is frozen. Renewals still
+// succeed, so the process must detect by itself that a claim is missing.
 func TestSessionInRestoredStore(t *testing.T) {
 	c := qt.New(t)
 	env := newTestEnv(t, standin.Options{})
@@ -121,13 +120,14 @@
 	env.srv.Snapshot()
 	late := p.addCandidate(t, c)
 	env.srv.Restore()
-	c.Assert((<-late).Epoch, qt.Equals, uint64(1)) // the backup knows no epoch of it
+	c.Assert((<-late).Epoch, qt.Equals, uint64(1)) // the backup has no epoch of this election
 	for i, held := range first {
 		c.Assert((<-p.gained[i]).Epoch > held.Epoch, qt.IsTrue)
 	}
 }
 
-// addCandidate adds a Holder that gains its duty now, and returns what it gains after.
+// addCandidate adds a Candidate that becomes leader at once, and returns a channel of
+// its later leaderships.
 func (p *sessionProcess) addCandidate(t *testing.T, c *qt.C) <-chan lease.Leadership {
 	gained := make(chan lease.Leadership, 100)
 	h := lease.StartCandidate(lease.CandidateOptions{Session: p.session, Election: domain + "/late", Instance: t.Name(), OnChange: func(held lease.Leadership, ok bool) {
@@ -140,8 +140,8 @@
 	return gained
 }
 
-// An operator deletes the holder key of one of two duties. The holder must see it
-// although its lease lives, and must not lose the other duty.
+// An operator deletes the holder key of one of two elections. The process must notice
+// although its lease is valid, and must keep the other leadership.
 func TestSessionDetectsDeletedHolderKey(t *testing.T) {
 	c := qt.New(t)
 	env := newTestEnv(t, standin.Options{})
@@ -160,8 +160,8 @@
 	c.Assert(held.Epoch, qt.Equals, uint64(1))
 }
 
-// Another process takes a holder for dead and revokes its lease. The holder loses
-// all duties at the next renewal, the other has them at once, and nothing is stuck.
+// Another process revokes the lease of a live leader. All its leaderships must end at
+// once, and all elections must get a leader again.
 func TestSessionRevokedByAnother(t *testing.T) {
 	c := qt.New(t)
 	env := newTestEnv(t, standin.Options{})
@@ -179,9 +179,9 @@
 	}
 }
 
-// The creation of a holder key is held up on its way and takes effect long after
-// its Holder has given it up. Nobody holds the duty, but its key lives on with the
-// Session's lease: without a clean-up no process could ever take the duty.
+// The creation of a holder key takes effect long after its Candidate gave the claim up.
+// Nobody leads, but the key lives as long as the Session's lease and would block the
+// election forever if it were not removed.
 func TestSessionRemovesLateClaim(t *testing.T) {
 	c := qt.New(t)
 	env := newTestEnv(t, standin.Options{})
@@ -201,9 +201,9 @@
 	c.Assert((<-other.gained[0]).Epoch, qt.Equals, uint64(3))
 }
 
-// Two processes compete for five duties, and the store has every fault: never two
-// valid holders of one duty, each holding with a higher epoch than those before,
-// and in the end each duty is held.
+// Two processes compete in five elections while the store has every kind of fault:
+// never may both lead one election, each leadership must have a higher epoch than those
+// before, and in the end each election must have a leader.
 func TestSessionsUnderFaults(t *testing.T) {
 	const seed, rounds, duties = 7, 60, 5
 	c := qt.New(t)
--- a/lease/simulation_test.go
+++ b/lease/simulation_test.go
@@ -9,7 +9,7 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// randomStep does one thing: mostly progress, sometimes a fault or a pause.
+// randomStep makes one step: usually progress, sometimes a fault or a pause.
 func (w *simulation) randomStep() {
 	i := w.rng.IntN(len(w.candidates))
 	switch n := w.rng.IntN(100); {
@@ -45,7 +45,7 @@
 	}
 }
 
-// simulation is three candidates, one store, and requests that will arrive late.
+// simulation has three candidates, one store, and requests that arrive late.
 type simulation struct {
 	rng            *rand.Rand
 	store          *storeModel
@@ -53,7 +53,7 @@
 	candidates     []*simCandidate
 	sessions       []*simSession // one for each candidate; nil: leases of their own
 	lateRequests   []lease.Action
-	lastLeadership lease.Leadership // the newest valid holding seen
+	lastLeadership lease.Leadership // the newest valid leadership seen
 	lastLeader     *simCandidate
 	leaderships    int
 }
@@ -71,8 +71,8 @@
 	return w
 }
 
-// deliverRequest lets a request deliverRequest the store, or leaves it on its way for later while
-// the caller gives up.
+// deliverRequest lets a request reach the store, or keeps it in flight for later while
+// its sender fails.
 func (w *simulation) deliverRequest(i int, late bool) {
 	c := w.candidates[i]
 	switch {
@@ -90,8 +90,8 @@
 	}
 }
 
-// deliverReply gives a candidate its event, or Failed in its place. However long it
-// was on its way, the candidate may have been paused meanwhile.
+// deliverReply passes the event to a candidate, or Failed in its place. The candidate
+// may have been paused since the request.
 func (w *simulation) deliverReply(i int, loseReply bool) {
 	c := w.candidates[i]
 	if c.reply == nil {
@@ -111,9 +111,9 @@
 	}
 }
 
-// checkInvariants asserts that one candidate at most is valid, with growing epochs,
-// while clocks are right; and whatever the clocks do, that the one whose key is
-// in the store has the highest epoch, so that no Fence shuts it out.
+// checkInvariants checks that at most one candidate is valid, with growing epochs,
+// while clocks are accurate. Whatever the clocks do, the owner of the holder key must
+// have the highest epoch, so that no Fence refuses it.
 func (w *simulation) checkInvariants() string {
 	for _, c := range w.candidates {
 		if err := w.checkCandidate(c); err != "" {
@@ -150,13 +150,13 @@
 	return ""
 }
 
-// ownsHolderKey tells whether the holder key in the store is the candidate's.
+// ownsHolderKey reports whether the holder key in the store is the candidate's.
 func (w *simulation) ownsHolderKey(c *simCandidate) bool {
 	w.store.expireLeases()
 	return w.store.holderLease != 0 && w.store.holderLease == c.claimLease
 }
 
-// runUntilLed runs without faults until somebody holds the duty.
+// runUntilLed runs without faults until there is a leader.
 func (w *simulation) runUntilLed() string {
 	for _, c := range w.candidates {
 		c.pausedUntil = 0
--- a/lease/slow_store_test.go
+++ b/lease/slow_store_test.go
@@ -9,10 +9,9 @@
 	"github.com/eelgrasshub/eelgrasshub/lease"
 )
 
-// The holder's instance dies while the store takes 320 ms for each answer. The claim's
-// five calls used up the next candidate's lease of 2 s, which lapsed before its first
-// renewal was verified; then another tried, and nobody held the duty until the store was
-// quick again.
+// The store takes 320 ms for each answer, so the five calls of a claim use up most of a
+// lease of 2 s. Without a renewal during the claim the lease expires before the first
+// regular renewal is verified, and nobody keeps the leadership.
 func TestClaimOnSlowStoreIsRenewedInTime(t *testing.T) {
 	const (
 		ttl    = 2 * time.Second
@@ -43,7 +42,7 @@
 	c.Check(heldFrom > 0 && heldFrom < 4*time.Second, qt.IsTrue, qt.Commentf("held from %v", heldFrom))
 }
 
-// successfulReply is the good end of an action that was begun at sent.
+// successfulReply returns the event of an action that was sent at sent and succeeded.
 func successfulReply(act lease.Action, sent time.Duration) lease.Event {
 	switch act.(type) {
 	case lease.AwaitVacant:
--- a/lease/stale_claim_test.go
+++ b/lease/stale_claim_test.go
@@ -12,8 +12,8 @@
 	"github.com/eelgrasshub/eelgrasshub/store/standin"
 )
 
-// The process that holds a duty is killed and started again at once. Without the claim
-// of its earlier life removed, nobody would hold the duty until that life's lease lapses.
+// A process that is killed and restarted at once must remove the holder key of its
+// predecessor; otherwise nobody leads until that one's lease expires.
 func TestRestartedProcessRemovesStaleClaim(t *testing.T) {
 	c := qt.New(t)
 	env := newTestEnv(t, standin.Options{})
--- a/lease/store_model_test.go
+++ b/lease/store_model_test.go
@@ -9,14 +9,14 @@
 
 const ttl = 10 * time.Second
 
-// storeModel is a store with the two keys of one duty, on virtual time.
+// storeModel is a store with the two keys of one election, in virtual time.
 type storeModel struct {
 	now           time.Duration
 	rev           store.Revision
-	leases        map[store.LeaseID]time.Duration // when each lapses
+	leases        map[store.LeaseID]time.Duration // when each expires
 	holderLease   store.LeaseID                   // whose key exists; zero: none
 	epoch         uint64
-	epochRevision store.Revision // of the epoch key
+	epochRevision store.Revision
 }
 
 func (m *storeModel) expireLeases() {
@@ -34,7 +34,7 @@
 	}
 }
 
-// apply carries out the action of a candidate whose clock shows sent.
+// apply executes an action of a candidate whose clock shows sent.
 func (m *storeModel) apply(act lease.Action, sent time.Duration) lease.Event {
 	m.expireLeases()
 	m.rev++
@@ -80,12 +80,12 @@
 	return lease.WaitEnded{}
 }
 
-// simCandidate is one Elector with its clock, its action and that action's event
-// where it is still on its way back.
+// simCandidate is an Elector with its clock, its action in progress, and the action's
+// event while that is in flight.
 type simCandidate struct {
 	*lease.Elector
 	offset      time.Duration
-	ratePercent time.Duration // percent of true time
+	ratePercent time.Duration // clock rate relative to true time
 	action      lease.Action
 	sent        time.Duration
 	reply       lease.Event
