--- a/lease/candidate_test.go
+++ b/lease/candidate_test.go
@@ -58,15 +58,15 @@
 	if useSessions {
 		opts.Session = env.openSession(opts)
 	}
-	h := lease.StartCandidate(opts)
+	candidate := lease.StartCandidate(opts)
 	t.Cleanup(func() {
-		_ = h.Resign(context.Background())
+		_ = candidate.Resign(context.Background())
 		if opts.Session != nil {
 			_ = opts.Session.Close(context.Background())
 		}
 		store.Close()
 	})
-	return h, gained
+	return candidate, gained
 }
 
 // After an orderly stop the successor must take over without waiting for the lease of
@@ -100,9 +100,9 @@
 	env := newTestEnv(t, standin.Options{})
 	for n := range 4 {
 		env.srv.SetFaults(standin.Faults{LoseReplies: n + 1})
-		h, gained := env.startCandidate(t, 10*time.Minute)
+		candidate, gained := env.startCandidate(t, 10*time.Minute)
 		c.Assert((<-gained).Epoch > uint64(n), qt.IsTrue)
-		c.Assert(h.Resign(context.Background()), qt.IsNil)
+		c.Assert(candidate.Resign(context.Background()), qt.IsNil)
 	}
 }
 
@@ -112,14 +112,14 @@
 	c := qt.New(t)
 	env := newTestEnv(t, standin.Options{})
 	var clock atomic.Int64
-	h, gained := env.startCandidate(t, 10*time.Minute, func(o *lease.CandidateOptions) {
+	candidate, gained := env.startCandidate(t, 10*time.Minute, func(o *lease.CandidateOptions) {
 		o.Clock = func() time.Duration { return time.Duration(clock.Load()) }
 	})
 	<-gained
-	_, ok := h.Current()
+	_, ok := candidate.Current()
 	c.Assert(ok, qt.IsTrue)
 	clock.Add(int64(10 * time.Minute))
-	_, ok = h.Current()
+	_, ok = candidate.Current()
 	c.Assert(ok, qt.IsFalse)
 }
 
@@ -128,9 +128,9 @@
 func TestCandidateRaisesEpochAboveObserved(t *testing.T) {
 	c := qt.New(t)
 	env := newTestEnv(t, standin.Options{})
-	h, gained := env.startCandidate(t, 10*time.Minute)
+	candidate, gained := env.startCandidate(t, 10*time.Minute)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(1))
-	h.ObserveEpoch(41)
+	candidate.ObserveEpoch(41)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(42))
 }
 
@@ -145,8 +145,8 @@
 	env := newTestEnv(t, standin.Options{})
 	var mu sync.Mutex
 	var epochs []uint64
-	run := func() *lease.Candidate {
-		h, _ := env.startCandidate(t, time.Second, func(o *lease.CandidateOptions) {
+	start := func() *lease.Candidate {
+		candidate, _ := env.startCandidate(t, time.Second, func(o *lease.CandidateOptions) {
 			o.OnChange = func(held lease.Leadership, ok bool) {
 				mu.Lock()
 				defer mu.Unlock()
@@ -155,9 +155,9 @@
 				}
 			}
 		})
-		return h
+		return candidate
 	}
-	holders := []*lease.Candidate{run(), run()}
+	candidates := []*lease.Candidate{start(), start()}
 	rng := rand.New(rand.NewPCG(seed, 0))
 	for round := range rounds {
 		checks := 20
@@ -165,24 +165,24 @@
 		switch round % 30 {
 		case 10, 20:
 			env.srv.SetFaults(standin.Faults{})
-			i, held := waitForLeader(c, holders)
-			c.Assert(holders[i].Resign(context.Background()), qt.IsNil)
-			next, successor := waitForLeader(c, holders)
+			i, held := waitForLeader(c, candidates)
+			c.Assert(candidates[i].Resign(context.Background()), qt.IsNil)
+			next, successor := waitForLeader(c, candidates)
 			c.Assert(next, qt.Equals, 1-i)
 			c.Assert(successor.Epoch > held.Epoch, qt.IsTrue, qt.Commentf("%d after %d", successor.Epoch, held.Epoch))
-			holders[i] = run()
+			candidates[i] = start()
 		case 15:
 			env.srv.SetFaults(standin.Faults{Down: standin.DownHang})
 			checks = 700
 		}
 		for range checks {
-			checkSingleLeader(c, holders[0], holders[1])
+			checkSingleLeader(c, candidates[0], candidates[1])
 			time.Sleep(2 * time.Millisecond)
 		}
 	}
 	env.srv.SetFaults(standin.Faults{})
-	for _, h := range holders {
-		c.Assert(h.Resign(context.Background()), qt.IsNil)
+	for _, candidate := range candidates {
+		c.Assert(candidate.Resign(context.Background()), qt.IsNil)
 	}
 	mu.Lock()
 	defer mu.Unlock()
@@ -194,11 +194,11 @@
 
 // waitForLeader returns which of the two is the leader, once there is one. It continues
 // to wait if the lease has expired in the meantime.
-func waitForLeader(c *qt.C, holders []*lease.Candidate) (int, lease.Leadership) {
+func waitForLeader(c *qt.C, candidates []*lease.Candidate) (int, lease.Leadership) {
 	for {
-		checkSingleLeader(c, holders[0], holders[1])
-		for i, h := range holders {
-			if held, ok := h.Current(); ok {
+		checkSingleLeader(c, candidates[0], candidates[1])
+		for i, candidate := range candidates {
+			if held, ok := candidate.Current(); ok {
 				return i, held
 			}
 		}
@@ -209,10 +209,10 @@
 // checkSingleLeader asks the first candidate again after the second, so that a change
 // of leader between two questions is not taken for two leaders. Equal epochs in both
 // answers mean that the first led all the time.
-func checkSingleLeader(c *qt.C, a, b *lease.Candidate) {
-	first, ok1 := a.Current()
-	second, ok2 := b.Current()
-	firstAgain, ok3 := a.Current()
+func checkSingleLeader(c *qt.C, one, other *lease.Candidate) {
+	first, ok1 := one.Current()
+	second, ok2 := other.Current()
+	firstAgain, ok3 := one.Current()
 	throughout := ok1 && ok3 && first.Epoch == firstAgain.Epoch
 	c.Assert(throughout && ok2, qt.IsFalse, qt.Commentf("epochs %d and %d", first.Epoch, second.Epoch))
 }
--- a/lease/elector_test.go
+++ b/lease/elector_test.go
@@ -24,17 +24,17 @@
 func TestElectorRandom(t *testing.T) {
 	leaderships := 0
 	for seed := range *runCount {
-		w := newSimulation(uint64(seed))
+		s := newSimulation(uint64(seed))
 		for range stepsPerRun {
-			w.randomStep()
-			if err := w.checkInvariants(); err != "" {
+			s.randomStep()
+			if err := s.checkInvariants(); err != "" {
 				t.Fatalf("seed %d: %s", seed, err)
 			}
 		}
-		if err := w.runUntilLed(); err != "" {
+		if err := s.runUntilLed(); err != "" {
 			t.Fatalf("seed %d: %s", seed, err)
 		}
-		leaderships += w.leaderships
+		leaderships += s.leaderships
 	}
 	t.Logf("%d runs, %d holdings", *runCount, leaderships)
 	qt.Assert(t, leaderships > 5**runCount, qt.IsTrue)
@@ -43,15 +43,15 @@
 // candidateAboutToRenew returns a candidate that is the leader and is about to renew
 // its lease.
 func candidateAboutToRenew(c *qt.C, m *storeModel) *simCandidate {
-	a := &simCandidate{Elector: lease.NewElector(ttl), ratePercent: 100}
-	a.step(0, lease.Start{})
-	for _, isRenew := a.action.(lease.Renew); !isRenew; _, isRenew = a.action.(lease.Renew) {
-		a.step(m.now, m.apply(a.action, a.sent))
+	candidate := &simCandidate{Elector: lease.NewElector(ttl), ratePercent: 100}
+	candidate.step(0, lease.Start{})
+	for _, isRenew := candidate.action.(lease.Renew); !isRenew; _, isRenew = candidate.action.(lease.Renew) {
+		candidate.step(m.now, m.apply(candidate.action, candidate.sent))
 	}
-	held, ok := a.validLeadership(m.now)
+	held, ok := candidate.validLeadership(m.now)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(held.Epoch, qt.Equals, uint64(1))
-	return a
+	return candidate
 }
 
 // A leader that is paused for longer than the TTL during a renewal must not count its
@@ -59,15 +59,15 @@
 func TestElectorPausedInRenewal(t *testing.T) {
 	c := qt.New(t)
 	m := &storeModel{leases: make(map[store.LeaseID]time.Duration)}
-	a := candidateAboutToRenew(c, m)
-	reply := m.apply(a.action, a.sent)
+	candidate := candidateAboutToRenew(c, m)
+	reply := m.apply(candidate.action, candidate.sent)
 	m.now += ttl + time.Second
-	_, ok := a.validLeadership(m.now)
+	_, ok := candidate.validLeadership(m.now)
 	c.Assert(ok, qt.IsFalse)
-	a.step(m.now, reply)
-	_, ok = a.Leadership()
+	candidate.step(m.now, reply)
+	_, ok = candidate.Leadership()
 	c.Assert(ok, qt.IsFalse)
-	c.Assert(a.action, qt.Equals, lease.Action(lease.Revoke{Lease: a.claimLease}))
+	c.Assert(candidate.action, qt.Equals, lease.Action(lease.Revoke{Lease: candidate.claimLease}))
 }
 
 // A renewal whose reply takes 5 s must not extend the lease past the time at which the
@@ -75,13 +75,13 @@
 func TestElectorSlowRenewal(t *testing.T) {
 	c := qt.New(t)
 	m := &storeModel{leases: make(map[store.LeaseID]time.Duration)}
-	a := candidateAboutToRenew(c, m)
-	reply := m.apply(a.action, a.sent)
+	candidate := candidateAboutToRenew(c, m)
+	reply := m.apply(candidate.action, candidate.sent)
 	expiresAt := m.now + ttl
 	m.now += 5 * time.Second
-	a.step(m.now, reply)
-	a.step(m.now, m.apply(a.action, a.sent))
-	held, ok := a.Leadership()
+	candidate.step(m.now, reply)
+	candidate.step(m.now, m.apply(candidate.action, candidate.sent))
+	held, ok := candidate.Leadership()
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(held.ValidUntil < expiresAt, qt.IsTrue, qt.Commentf("until %v, lapses %v", held.ValidUntil, expiresAt))
 }
--- a/lease/record.go
+++ b/lease/record.go
@@ -10,7 +10,7 @@
 // EpochKey returns the key that holds an election's last epoch. Its revision changes
 // whenever another candidate takes over, so a write conditional on the revision can't
 // come from a leader that was replaced.
-func EpochKey(duty string) string { return epochKey(duty) }
+func EpochKey(election string) string { return epochKey(election) }
 
 // ParseEpoch returns the epoch in a value of EpochKey.
 func ParseEpoch(value []byte) (uint64, error) {
@@ -19,8 +19,8 @@
 	return r.Epoch, err
 }
 
-func holderKey(duty string) string           { return electionKeyPrefix + duty + "/holder" }
-func epochKey(duty string) string            { return electionKeyPrefix + duty + "/epoch" }
+func holderKey(election string) string       { return electionKeyPrefix + election + "/holder" }
+func epochKey(election string) string        { return electionKeyPrefix + election + "/epoch" }
 func electionPrefix(domain string) string    { return electionKeyPrefix + domain + "/" }
 func sessionKey(domain, lease string) string { return sessionKeyPrefix + domain + "/" + lease }
 
--- a/lease/session.go
+++ b/lease/session.go
@@ -157,7 +157,7 @@
 	_ = s.opts.Store.Revoke(ctx, id) // on failure the lease expires by itself
 }
 
-func (s *Session) log(change string, err error) {
+func (s *Session) log(message string, err error) {
 	if s.opts.Log == nil {
 		return
 	}
@@ -165,7 +165,7 @@
 	if err != nil && s.tomb.Alive() {
 		log = log.WithError(err)
 	}
-	log.Info(change)
+	log.Info(message)
 }
 
 // sleepContext waits for d or until ctx ends.
--- a/lease/session_simulation_test.go
+++ b/lease/session_simulation_test.go
@@ -23,34 +23,34 @@
 
 // renewSession sends a renewal, or lets the one that was sent take effect and be
 // answered.
-func (w *simulation) renewSession(i int) {
-	if w.sessions == nil {
+func (s *simulation) renewSession(i int) {
+	if s.sessions == nil {
 		return
 	}
-	s, clock := w.sessions[i], w.candidates[i].clock(w.store.now)
-	if s.renewalSentAt == nil {
-		s.renewalSentAt = &clock
+	session, clock := s.sessions[i], s.candidates[i].clock(s.store.now)
+	if session.renewalSentAt == nil {
+		session.renewalSentAt = &clock
 		return
 	}
-	w.store.expireLeases()
-	if _, alive := w.store.leases[s.id]; !alive {
-		w.store.rev++
-		s.id, s.claims = store.LeaseID(w.store.rev), map[store.LeaseID]bool{}
+	s.store.expireLeases()
+	if _, alive := s.store.leases[session.id]; !alive {
+		s.store.rev++
+		session.id, session.claims = store.LeaseID(s.store.rev), map[store.LeaseID]bool{}
 	}
-	w.store.leases[s.id] = w.store.now + ttl
-	for claim := range s.claims {
-		w.store.leases[claim] = w.store.now + ttl
+	s.store.leases[session.id] = s.store.now + ttl
+	for claim := range session.claims {
+		s.store.leases[claim] = s.store.now + ttl
 	}
-	s.renewedAt, s.renewalSentAt = *s.renewalSentAt, nil
+	session.renewedAt, session.renewalSentAt = *session.renewalSentAt, nil
 }
 
 // revokeSession ends the session's lease, as another process does that believes this
 // one to be dead.
-func (w *simulation) revokeSession(i int) {
-	s := w.sessions[i]
-	w.store.dropLease(s.id)
-	for claim := range s.claims {
-		w.store.dropLease(claim)
+func (s *simulation) revokeSession(i int) {
+	session := s.sessions[i]
+	s.store.dropLease(session.id)
+	for claim := range session.claims {
+		s.store.dropLease(claim)
 	}
 }
 
@@ -96,23 +96,23 @@
 func TestElectorInSessionRandom(t *testing.T) {
 	leaderships := 0
 	for seed := range *runCount {
-		w := newSimulation(uint64(seed))
-		for range w.candidates {
-			w.sessions = append(w.sessions, &simSession{})
+		s := newSimulation(uint64(seed))
+		for range s.candidates {
+			s.sessions = append(s.sessions, &simSession{})
 		}
 		for range stepsPerRun {
-			w.randomStep()
-			if w.adversarial && w.rng.IntN(500) == 0 {
-				w.revokeSession(w.rng.IntN(len(w.sessions)))
+			s.randomStep()
+			if s.adversarial && s.rng.IntN(500) == 0 {
+				s.revokeSession(s.rng.IntN(len(s.sessions)))
 			}
-			if err := w.checkInvariants(); err != "" {
+			if err := s.checkInvariants(); err != "" {
 				t.Fatalf("seed %d: %s", seed, err)
 			}
 		}
-		if err := w.runUntilLed(); err != "" {
+		if err := s.runUntilLed(); err != "" {
 			t.Fatalf("seed %d: %s", seed, err)
 		}
-		leaderships += w.leaderships
+		leaderships += s.leaderships
 	}
 	t.Logf("%d runs, %d holdings", *runCount, leaderships)
 	qt.Assert(t, leaderships > 5**runCount, qt.IsTrue)
--- a/lease/session_test.go
+++ b/lease/session_test.go
@@ -49,16 +49,16 @@
 	candidates []*lease.Candidate
 	gained     []chan lease.Leadership
 	// onGain is called for each leadership that is still valid at the call.
-	onGain func(duty int, epoch uint64)
+	onGain func(election int, epoch uint64)
 }
 
-func (env *testEnv) startProcess(t *testing.T, ttl time.Duration, duties int, onGain ...func(duty int, epoch uint64)) *sessionProcess {
+func (env *testEnv) startProcess(t *testing.T, ttl time.Duration, elections int, onGain ...func(election int, epoch uint64)) *sessionProcess {
 	store := store.NewClient(store.Options{Endpoints: []string{env.url}, CallTimeout: 200 * time.Millisecond, WatchIdle: env.watchIdle})
 	p := &sessionProcess{session: env.openSession(lease.CandidateOptions{Store: store, TTL: ttl, Instance: t.Name()})}
 	if len(onGain) > 0 {
 		p.onGain = onGain[0]
 	}
-	for i := range duties {
+	for i := range elections {
 		gained := make(chan lease.Leadership, 100)
 		p.gained = append(p.gained, gained)
 		p.candidates = append(p.candidates, lease.StartCandidate(lease.CandidateOptions{
@@ -75,8 +75,8 @@
 		}))
 	}
 	t.Cleanup(func() {
-		for _, h := range p.candidates {
-			_ = h.Resign(context.Background())
+		for _, candidate := range p.candidates {
+			_ = candidate.Resign(context.Background())
 		}
 		_ = p.session.Close(context.Background())
 		store.Close()
@@ -101,8 +101,8 @@
 	}
 	used := env.srv.Counters().Total() - before.Total()
 	c.Check(used <= 6+6+2, qt.IsTrue, qt.Commentf("%d calls for 6 renewals", used))
-	for _, h := range p.candidates {
-		_, ok := h.Current()
+	for _, candidate := range p.candidates {
+		_, ok := candidate.Current()
 		c.Check(ok, qt.IsTrue)
 	}
 }
@@ -130,12 +130,12 @@
 // its later leaderships.
 func (p *sessionProcess) addCandidate(t *testing.T, c *qt.C) <-chan lease.Leadership {
 	gained := make(chan lease.Leadership, 100)
-	h := lease.StartCandidate(lease.CandidateOptions{Session: p.session, Election: domain + "/late", Instance: t.Name(), OnChange: func(held lease.Leadership, ok bool) {
+	candidate := lease.StartCandidate(lease.CandidateOptions{Session: p.session, Election: domain + "/late", Instance: t.Name(), OnChange: func(held lease.Leadership, ok bool) {
 		if ok {
 			gained <- held
 		}
 	}})
-	p.candidates = append(p.candidates, h)
+	p.candidates = append(p.candidates, candidate)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(1))
 	return gained
 }
@@ -205,17 +205,17 @@
 // never may both lead one election, each leadership must have a higher epoch than those
 // before, and in the end each election must have a leader.
 func TestSessionsUnderFaults(t *testing.T) {
-	const seed, rounds, duties = 7, 60, 5
+	const seed, rounds, elections = 7, 60, 5
 	c := qt.New(t)
 	env := newTestEnv(t, standin.Options{})
 	var mu sync.Mutex
-	epochs := make([][]uint64, duties)
-	onGain := func(duty int, epoch uint64) {
+	epochs := make([][]uint64, elections)
+	onGain := func(election int, epoch uint64) {
 		mu.Lock()
 		defer mu.Unlock()
-		epochs[duty] = append(epochs[duty], epoch)
+		epochs[election] = append(epochs[election], epoch)
 	}
-	processes := []*sessionProcess{env.startProcess(t, time.Second, duties, onGain), env.startProcess(t, time.Second, duties, onGain)}
+	processes := []*sessionProcess{env.startProcess(t, time.Second, elections, onGain), env.startProcess(t, time.Second, elections, onGain)}
 	rng := rand.New(rand.NewPCG(seed, 0))
 	for round := range rounds {
 		env.srv.SetFaults(randomFaults(rng))
@@ -223,14 +223,14 @@
 			env.srv.SetFaults(standin.Faults{Down: standin.DownHang})
 		}
 		for range 20 {
-			for i := range duties {
+			for i := range elections {
 				checkSingleLeader(c, processes[0].candidates[i], processes[1].candidates[i])
 			}
 			time.Sleep(2 * time.Millisecond)
 		}
 	}
 	env.srv.SetFaults(standin.Faults{})
-	for i := range duties {
+	for i := range elections {
 		for held := false; !held; time.Sleep(time.Millisecond) {
 			_, first := processes[0].candidates[i].Current()
 			_, second := processes[1].candidates[i].Current()
--- a/lease/slow_store_test.go
+++ b/lease/slow_store_test.go
@@ -14,8 +14,8 @@
 // regular renewal is verified, and nobody keeps the leadership.
 func TestClaimOnSlowStoreIsRenewedInTime(t *testing.T) {
 	const (
-		ttl    = 2 * time.Second
-		answer = 320 * time.Millisecond
+		ttl     = 2 * time.Second
+		latency = 320 * time.Millisecond
 	)
 	c := qt.New(t)
 	e := lease.NewElector(ttl)
@@ -36,7 +36,7 @@
 			act = e.Step(now, lease.WaitEnded{})
 			continue
 		}
-		now += answer
+		now += latency
 		act = e.Step(now, successfulReply(act, sent))
 	}
 	c.Check(heldFrom > 0 && heldFrom < 4*time.Second, qt.IsTrue, qt.Commentf("held from %v", heldFrom))
--- a/lease/stale_claim_test.go
+++ b/lease/stale_claim_test.go
@@ -28,7 +28,7 @@
 	c.Assert(res[0].Swapped, qt.IsTrue)
 
 	gained := make(chan lease.Leadership, 1)
-	h := lease.StartCandidate(lease.CandidateOptions{
+	candidate := lease.StartCandidate(lease.CandidateOptions{
 		Store: kv, Election: "plan", Instance: "a", TTL: 2 * time.Second, RemoveStaleClaim: true,
 		OnChange: func(held lease.Leadership, ok bool) {
 			if ok {
@@ -38,5 +38,5 @@
 	})
 	held := <-gained
 	c.Check(held.Epoch, qt.Equals, uint64(1))
-	c.Check(h.Resign(ctx), qt.IsNil)
+	c.Check(candidate.Resign(ctx), qt.IsNil)
 }
--- a/membership/random_relays_test.go
+++ b/membership/random_relays_test.go
@@ -84,98 +84,98 @@
 }
 
 func newRelaySimulation(c *qt.C, seed uint64) *relaySimulation {
-	w := &relaySimulation{c: c, rng: rand.New(rand.NewPCG(seed, 2)), now: startTime, cutUntil: map[string]time.Time{}, planningSince: startTime, lossyUntil: startTime}
-	w.reports = &reportSimulation{c: c, sentStates: map[reportVersion]wire.AgentReport{}}
+	s := &relaySimulation{c: c, rng: rand.New(rand.NewPCG(seed, 2)), now: startTime, cutUntil: map[string]time.Time{}, planningSince: startTime, lossyUntil: startTime}
+	s.reports = &reportSimulation{c: c, sentStates: map[reportVersion]wire.AgentReport{}}
 	for i := range relayEntries {
 		e := &rackEntry{addr: fmt.Sprint("entry-", i)}
-		w.entries = append(w.entries, e)
-		w.startEntry(i)
+		s.entries = append(s.entries, e)
+		s.startEntry(i)
 	}
 	for i := range relayAgents {
 		a := &rackAgent{id: fmt.Sprint("agent-", i)}
-		w.agents = append(w.agents, a)
-		w.startAgent(a)
+		s.agents = append(s.agents, a)
+		s.startAgent(a)
 	}
-	return w
+	return s
 }
 
 func (n *node) start(now time.Time) {
 	n.up, n.generation, n.runningSince, n.frozenUntil = true, n.generation+1, now, time.Time{}
 }
 
-func (w *relaySimulation) startEntry(i int) {
-	e := w.entries[i]
-	e.start(w.now)
+func (s *relaySimulation) startEntry(i int) {
+	e := s.entries[i]
+	e.start(s.now)
 	e.table = NewTable(Config{ForgetAfter: 1000 * time.Hour})
 	e.relays, e.lastDirectReport = nil, map[string]time.Time{}
-	w.reports.tables[i] = e.table
-	w.reports.lastShown[i] = map[string]reportVersion{}
-	w.reports.drained[i] = map[string]uint64{}
-	w.reports.left[i] = map[string]uint64{}
+	s.reports.tables[i] = e.table
+	s.reports.lastShown[i] = map[string]reportVersion{}
+	s.reports.drained[i] = map[string]uint64{}
+	s.reports.left[i] = map[string]uint64{}
 }
 
-func (w *relaySimulation) startAgent(a *rackAgent) {
-	a.start(w.now)
+func (s *relaySimulation) startAgent(a *rackAgent) {
+	a.start(s.now)
 	a.incarnation++
-	a.lastRan, a.drainingSince, a.inGangSince = w.now, time.Time{}, time.Time{}
+	a.lastRan, a.drainingSince, a.inGangSince = s.now, time.Time{}, time.Time{}
 	a.state = fullReport(a.id, a.incarnation, 0)
 	a.state.Rack, a.state.Address, a.state.Relays = "rack", a.id, true
 	a.callPending = map[string]bool{}
 	cfg := ReportRouterConfig{GangReportPeriod: time.Second, MaxEntries: 16}
-	a.router = NewReportRouter(cfg, a.state, w.rng.Float64)
-	for _, e := range w.entries {
+	a.router = NewReportRouter(cfg, a.state, s.rng.Float64)
+	for _, e := range s.entries {
 		a.router.AddEntry(e.addr)
 	}
-	w.recordState(a)
+	s.recordState(a)
 }
 
-func (w *relaySimulation) recordState(a *rackAgent) {
-	s := a.router.reporter.state
-	w.reports.sentStates[reportVersion{s.ID, s.Incarnation, s.Sequence}] = s
+func (s *relaySimulation) recordState(a *rackAgent) {
+	state := a.router.reporter.state
+	s.reports.sentStates[reportVersion{state.ID, state.Incarnation, state.Sequence}] = state
 }
 
 // schedule runs f on the node later: after it thaws, and not in a later life of it.
-func (w *relaySimulation) schedule(after time.Duration, n *node, f func()) {
-	w.seq++
-	w.queue = append(w.queue, scheduledCall{w.now.Add(after), w.seq, n, n.generation, f})
+func (s *relaySimulation) schedule(after time.Duration, n *node, f func()) {
+	s.seq++
+	s.queue = append(s.queue, scheduledCall{s.now.Add(after), s.seq, n, n.generation, f})
 }
 
-func (w *relaySimulation) runUntil(until time.Time) {
-	for len(w.queue) > 0 {
+func (s *relaySimulation) runUntil(until time.Time) {
+	for len(s.queue) > 0 {
 		i := 0
-		for k, p := range w.queue {
-			if p.at.Before(w.queue[i].at) || (p.at.Equal(w.queue[i].at) && p.seq < w.queue[i].seq) {
+		for k, p := range s.queue {
+			if p.at.Before(s.queue[i].at) || (p.at.Equal(s.queue[i].at) && p.seq < s.queue[i].seq) {
 				i = k
 			}
 		}
-		p := w.queue[i]
+		p := s.queue[i]
 		if p.at.After(until) {
 			break
 		}
-		w.queue = slices.Delete(w.queue, i, i+1)
-		w.now = p.at
+		s.queue = slices.Delete(s.queue, i, i+1)
+		s.now = p.at
 		switch {
 		case !p.node.up || p.node.generation != p.generation:
-		case p.node.frozenUntil.After(w.now):
+		case p.node.frozenUntil.After(s.now):
 			p.at = p.node.frozenUntil
-			w.queue = append(w.queue, p)
+			s.queue = append(s.queue, p)
 		default:
 			p.run()
 		}
 	}
-	w.now = until
+	s.now = until
 }
 
-func (w *relaySimulation) isLost(a, b string) bool {
-	return w.cutUntil[min(a, b)+max(a, b)].After(w.now) || (w.lossyUntil.After(w.now) && w.rng.IntN(3) == 0)
+func (s *relaySimulation) isLost(a, b string) bool {
+	return s.cutUntil[min(a, b)+max(a, b)].After(s.now) || (s.lossyUntil.After(s.now) && s.rng.IntN(3) == 0)
 }
 
-func (w *relaySimulation) delay() time.Duration {
-	return time.Duration(w.rng.Int64N(int64(maxOneWayDelay)))
+func (s *relaySimulation) delay() time.Duration {
+	return time.Duration(s.rng.Int64N(int64(maxOneWayDelay)))
 }
 
 // call makes one exchange; done gets nil if no answer comes in time.
-func (w *relaySimulation) call(from *rackAgent, to *node, name string, serve func() *wire.ReportAck, done func(*wire.ReportAck)) {
+func (s *relaySimulation) call(from *rackAgent, to *node, name string, serve func() *wire.ReportAck, done func(*wire.ReportAck)) {
 	finished := false
 	finish := func(ack *wire.ReportAck) func() {
 		return func() {
@@ -185,213 +185,213 @@
 			}
 		}
 	}
-	w.schedule(callTimeout, &from.node, finish(nil))
-	if w.isLost(from.id, name) {
+	s.schedule(callTimeout, &from.node, finish(nil))
+	if s.isLost(from.id, name) {
 		return
 	}
-	w.schedule(w.delay(), to, func() {
+	s.schedule(s.delay(), to, func() {
 		ack := serve()
-		if !w.isLost(from.id, name) {
-			w.schedule(w.delay(), &from.node, finish(ack))
+		if !s.isLost(from.id, name) {
+			s.schedule(s.delay(), &from.node, finish(ack))
 		}
 	})
 }
 
-func (w *relaySimulation) pollAgent(a *rackAgent) {
-	if !a.up || a.frozenUntil.After(w.now) {
+func (s *relaySimulation) pollAgent(a *rackAgent) {
+	if !a.up || a.frozenUntil.After(s.now) {
 		return
 	}
-	a.lastRan = w.now
-	for i, e := range w.entries {
-		if !a.callPending[e.addr] && !a.router.Due(w.now, e.addr).After(w.now) {
-			w.report(a, i)
+	a.lastRan = s.now
+	for i, e := range s.entries {
+		if !a.callPending[e.addr] && !a.router.Due(s.now, e.addr).After(s.now) {
+			s.report(a, i)
 		}
 	}
-	if due, ok := a.router.RelayDue(w.now); ok && !due.After(w.now) && !a.callPending["relay"] {
-		w.reportToRelay(a)
+	if due, ok := a.router.RelayDue(s.now); ok && !due.After(s.now) && !a.callPending["relay"] {
+		s.reportToRelay(a)
 	}
 }
 
-func (w *relaySimulation) report(a *rackAgent, i int) {
-	e := w.entries[i]
+func (s *relaySimulation) report(a *rackAgent, i int) {
+	e := s.entries[i]
 	a.callPending[e.addr] = true
-	msg := a.router.Report(w.now, e.addr)
-	w.call(a, &e.node, e.addr, func() *wire.ReportAck { return w.handleReport(i, a, msg) }, func(ack *wire.ReportAck) {
+	msg := a.router.Report(s.now, e.addr)
+	s.call(a, &e.node, e.addr, func() *wire.ReportAck { return s.handleReport(i, a, msg) }, func(ack *wire.ReportAck) {
 		a.callPending[e.addr] = false
 		if ack == nil {
-			a.router.HandleFailure(w.now, e.addr)
+			a.router.HandleFailure(s.now, e.addr)
 			return
 		}
 		if ack.Stamp.Epoch != 0 {
 			a.router.SetTimestamp(ack.Stamp)
 		}
-		a.router.HandleAck(w.now, e.addr, ack)
+		a.router.HandleAck(s.now, e.addr, ack)
 	})
 }
 
-func (w *relaySimulation) reportToRelay(a *rackAgent) {
+func (s *relaySimulation) reportToRelay(a *rackAgent) {
 	relay, _ := a.router.Relay()
-	to := w.agents[slices.IndexFunc(w.agents, func(b *rackAgent) bool { return b.id == relay.ID })]
+	to := s.agents[slices.IndexFunc(s.agents, func(b *rackAgent) bool { return b.id == relay.ID })]
 	a.callPending["relay"] = true
-	msg := a.router.ReportToRelay(w.now)
+	msg := a.router.ReportToRelay(s.now)
 	serve := func() *wire.ReportAck {
-		ack, _ := to.router.HandleMemberReport(w.now, msg)
+		ack, _ := to.router.HandleMemberReport(s.now, msg)
 		return ack
 	}
-	w.call(a, &to.node, to.id, serve, func(ack *wire.ReportAck) {
+	s.call(a, &to.node, to.id, serve, func(ack *wire.ReportAck) {
 		a.callPending["relay"] = false
 		if ack == nil {
-			a.router.HandleRelayFailure(w.now, relay)
+			a.router.HandleRelayFailure(s.now, relay)
 			return
 		}
-		a.router.HandleRelayAck(w.now, relay, ack)
+		a.router.HandleRelayAck(s.now, relay, ack)
 	})
 }
 
 // handleReport is what an entry does with a report.
-func (w *relaySimulation) handleReport(i int, from *rackAgent, msg *wire.Report) *wire.ReportAck {
-	e := w.entries[i]
-	w.reports.now = w.now
-	actions := w.reports.apply(i, Reports{Batch: msg.Batch})
+func (s *relaySimulation) handleReport(i int, from *rackAgent, msg *wire.Report) *wire.ReportAck {
+	e := s.entries[i]
+	s.reports.now = s.now
+	actions := s.reports.apply(i, Reports{Batch: msg.Batch})
 	ack := &wire.ReportAck{}
 	FillAck(ack, actions)
 	for _, r := range msg.Batch {
-		w.checkNoEvidence(from, r)
+		s.checkNoEvidence(from, r)
 	}
-	e.lastDirectReport[from.id] = w.now
-	w.relayedReports += len(msg.Batch) - 1
+	e.lastDirectReport[from.id] = s.now
+	s.relayedReports += len(msg.Batch) - 1
 	ack.Relay = e.relays[Rack{Zone: "wharf", Name: "rack"}]
 	ack.Digest = xxhash.Sum64String(fmt.Sprint(ack.Relay))
-	if i == w.planner {
-		ack.Stamp = gang.NewPlannerTimestamp(1, w.now)
+	if i == s.planner {
+		ack.Stamp = gang.NewPlannerTimestamp(1, s.now)
 	}
 	return ack
 }
 
 // checkNoEvidence: a report that a relay passes on must not renew a gang.
-func (w *relaySimulation) checkNoEvidence(from *rackAgent, r wire.AgentReport) {
-	truth := w.reports.sentStates[reportVersion{r.ID, r.Incarnation, r.Sequence}]
+func (s *relaySimulation) checkNoEvidence(from *rackAgent, r wire.AgentReport) {
+	truth := s.reports.sentStates[reportVersion{r.ID, r.Incarnation, r.Sequence}]
 	if r.ID == from.id || len(truth.Tasks) == 0 {
 		return
 	}
-	w.c.Assert(r.Stamp, qt.Equals, wire.NoEvidence, qt.Commentf("%s by %s", r.ID, from.id))
+	s.c.Assert(r.Stamp, qt.Equals, wire.NoEvidence, qt.Commentf("%s by %s", r.ID, from.id))
 }
 
-func (w *relaySimulation) tick() {
-	for _, a := range w.agents {
-		if a.up && !a.frozenUntil.After(w.now) {
-			a.router.Tick(w.now)
+func (s *relaySimulation) tick() {
+	for _, a := range s.agents {
+		if a.up && !a.frozenUntil.After(s.now) {
+			a.router.Tick(s.now)
 		}
 	}
-	for i, e := range w.entries {
+	for i, e := range s.entries {
 		if !e.up {
 			continue
 		}
-		w.reports.now = w.now
-		w.reports.apply(i, Tick{})
+		s.reports.now = s.now
+		s.reports.apply(i, Tick{})
 		e.relays = ChooseRelays(e.table.Snapshot().Service("dispatch"), 2)
-		for _, a := range w.agents {
-			w.checkPair(a, i)
+		for _, a := range s.agents {
+			s.checkPair(a, i)
 		}
 	}
 }
 
-func (w *relaySimulation) checkPair(a *rackAgent, i int) {
-	e := w.entries[i]
+func (s *relaySimulation) checkPair(a *rackAgent, i int) {
+	e := s.entries[i]
 	r := e.table.records[a.id]
 	if r != nil && r.incarnation == a.incarnation {
 		excess := r.lastContact.Sub(a.lastRan) - 2*maxOneWayDelay - pauseThreshold
-		w.c.Assert(excess <= 0, qt.IsTrue, qt.Commentf("%s counts as heard by %s %v after it last ran", a.id, e.addr, excess))
+		s.c.Assert(excess <= 0, qt.IsTrue, qt.Commentf("%s counts as heard by %s %v after it last ran", a.id, e.addr, excess))
 	}
-	if !a.up || a.frozenUntil.After(w.now) {
+	if !a.up || a.frozenUntil.After(s.now) {
 		return
 	}
-	unhindered := laterOf(laterOf(a.runningSince, e.runningSince), laterOf(w.lossyUntil, w.cutUntil[min(a.id, e.addr)+max(a.id, e.addr)]))
-	if w.now.Sub(unhindered) > maxSilence {
-		w.c.Assert(r != nil && w.now.Sub(r.lastContact) <= maxSilence, qt.IsTrue, qt.Commentf("%s was not heard by %s", a.id, e.addr))
+	unhindered := laterOf(laterOf(a.runningSince, e.runningSince), laterOf(s.lossyUntil, s.cutUntil[min(a.id, e.addr)+max(a.id, e.addr)]))
+	if s.now.Sub(unhindered) > maxSilence {
+		s.c.Assert(r != nil && s.now.Sub(r.lastContact) <= maxSilence, qt.IsTrue, qt.Commentf("%s was not heard by %s", a.id, e.addr))
 	}
-	if !a.drainingSince.IsZero() && w.now.Sub(laterOf(unhindered, a.drainingSince)) > maxDrainingShown {
+	if !a.drainingSince.IsZero() && s.now.Sub(laterOf(unhindered, a.drainingSince)) > maxDrainingShown {
 		offered := slices.Contains(schedulableIDs(e.table), a.id)
-		w.c.Assert(offered, qt.IsFalse, qt.Commentf("%s drains since %v and is offered by %s", a.id, w.now.Sub(a.drainingSince), e.addr))
+		s.c.Assert(offered, qt.IsFalse, qt.Commentf("%s drains since %v and is offered by %s", a.id, s.now.Sub(a.drainingSince), e.addr))
 	}
-	if i == w.planner && !a.inGangSince.IsZero() && w.now.Sub(laterOf(laterOf(unhindered, a.inGangSince), w.planningSince)) > maxGangSilence {
-		sinceDirect := w.now.Sub(e.lastDirectReport[a.id])
-		w.c.Assert(sinceDirect <= maxGangSilence, qt.IsTrue, qt.Commentf("%s has a gang, and its planner did not hear it itself for %v", a.id, sinceDirect))
+	if i == s.planner && !a.inGangSince.IsZero() && s.now.Sub(laterOf(laterOf(unhindered, a.inGangSince), s.planningSince)) > maxGangSilence {
+		sinceDirect := s.now.Sub(e.lastDirectReport[a.id])
+		s.c.Assert(sinceDirect <= maxGangSilence, qt.IsTrue, qt.Commentf("%s has a gang, and its planner did not hear it itself for %v", a.id, sinceDirect))
 	}
 }
 
-func (w *relaySimulation) injectFault() {
-	a := w.agents[w.rng.IntN(relayAgents)]
-	i := w.rng.IntN(relayEntries)
-	e := w.entries[i]
-	duration := time.Duration(w.rng.IntN(60)) * time.Second
-	switch w.rng.IntN(12) {
+func (s *relaySimulation) injectFault() {
+	a := s.agents[s.rng.IntN(relayAgents)]
+	i := s.rng.IntN(relayEntries)
+	e := s.entries[i]
+	duration := time.Duration(s.rng.IntN(60)) * time.Second
+	switch s.rng.IntN(12) {
 	case 0, 1:
-		w.killAgent(a, duration)
+		s.killAgent(a, duration)
 	case 2:
-		a.frozenUntil = laterOf(a.frozenUntil, w.now.Add(duration))
+		a.frozenUntil = laterOf(a.frozenUntil, s.now.Add(duration))
 		a.runningSince = a.frozenUntil
 	case 3:
 		e.up = false
-		w.schedule(0, &node{up: true}, func() { w.startEntry(i) })
+		s.schedule(0, &node{up: true}, func() { s.startEntry(i) })
 	case 4:
-		w.lossyUntil = w.now.Add(duration / 4)
+		s.lossyUntil = s.now.Add(duration / 4)
 	case 5:
-		other := w.agents[w.rng.IntN(relayAgents)]
-		w.cutUntil[min(a.id, other.id)+max(a.id, other.id)] = w.now.Add(duration)
+		other := s.agents[s.rng.IntN(relayAgents)]
+		s.cutUntil[min(a.id, other.id)+max(a.id, other.id)] = s.now.Add(duration)
 	case 6:
-		w.cutUntil[min(a.id, e.addr)+max(a.id, e.addr)] = w.now.Add(duration)
+		s.cutUntil[min(a.id, e.addr)+max(a.id, e.addr)] = s.now.Add(duration)
 	case 7:
-		w.drain(a)
-		if relay, ok := a.router.Relay(); ok && w.rng.IntN(2) == 0 {
-			w.killAgent(w.agents[slices.IndexFunc(w.agents, func(b *rackAgent) bool { return b.id == relay.ID })], duration)
+		s.drain(a)
+		if relay, ok := a.router.Relay(); ok && s.rng.IntN(2) == 0 {
+			s.killAgent(s.agents[slices.IndexFunc(s.agents, func(b *rackAgent) bool { return b.id == relay.ID })], duration)
 		}
 	case 8:
-		w.planner, w.planningSince = i, w.now
+		s.planner, s.planningSince = i, s.now
 	default:
-		w.change(a)
+		s.change(a)
 	}
 }
 
-func (w *relaySimulation) killAgent(a *rackAgent, downtime time.Duration) {
+func (s *relaySimulation) killAgent(a *rackAgent, downtime time.Duration) {
 	a.up = false
-	w.schedule(downtime, &node{up: true}, func() {
+	s.schedule(downtime, &node{up: true}, func() {
 		if !a.up {
-			w.startAgent(a)
+			s.startAgent(a)
 		}
 	})
 }
 
-func (w *relaySimulation) drain(a *rackAgent) {
+func (s *relaySimulation) drain(a *rackAgent) {
 	if a.up && a.drainingSince.IsZero() {
 		a.state.Draining = true
-		a.drainingSince = w.now
-		w.setState(a)
+		a.drainingSince = s.now
+		s.setState(a)
 	}
 }
 
 // change begins or ends a task of a gang, or changes the load.
-func (w *relaySimulation) change(a *rackAgent) {
-	if !a.up || a.frozenUntil.After(w.now) {
+func (s *relaySimulation) change(a *rackAgent) {
+	if !a.up || a.frozenUntil.After(s.now) {
 		return
 	}
 	a.state.Load.Queued++
-	switch w.rng.IntN(3) {
+	switch s.rng.IntN(3) {
 	case 0:
 		a.state.Tasks = []gang.Task{{ID: gang.ID{Job: "j"}, Members: 2, State: gang.StateRunning}}
 		if a.inGangSince.IsZero() {
-			a.inGangSince = w.now
+			a.inGangSince = s.now
 		}
 	case 1:
 		a.state.Tasks = nil
 		a.inGangSince = time.Time{}
 	}
-	w.setState(a)
+	s.setState(a)
 }
 
-func (w *relaySimulation) setState(a *rackAgent) {
-	a.router.SetState(w.now, a.state)
-	w.recordState(a)
+func (s *relaySimulation) setState(a *rackAgent) {
+	a.router.SetState(s.now, a.state)
+	s.recordState(a)
 }
 
 // Agents of one rack report by one of them that their entries name, while each
@@ -405,20 +405,20 @@
 	for run := range uint64(*runsFlag) {
 		seed := *seedFlag + run
 		c.Run(fmt.Sprint("seed ", seed), func(c *qt.C) {
-			w := newRelaySimulation(c, seed)
-			for end := startTime.Add(20 * time.Minute); w.now.Before(end); {
+			sim := newRelaySimulation(c, seed)
+			for end := startTime.Add(20 * time.Minute); sim.now.Before(end); {
 				for range int(time.Second / pollInterval) {
-					for _, a := range w.agents {
-						w.pollAgent(a)
+					for _, a := range sim.agents {
+						sim.pollAgent(a)
 					}
-					w.runUntil(w.now.Add(pollInterval))
+					sim.runUntil(sim.now.Add(pollInterval))
 				}
-				w.tick()
-				if w.rng.IntN(12) == 0 {
-					w.injectFault()
+				sim.tick()
+				if sim.rng.IntN(12) == 0 {
+					sim.injectFault()
 				}
 			}
-			c.Assert(w.relayedReports > 100, qt.IsTrue, qt.Commentf("only %d reports by a relay", w.relayedReports))
+			c.Assert(sim.relayedReports > 100, qt.IsTrue, qt.Commentf("only %d reports by a relay", sim.relayedReports))
 		})
 	}
 }
--- a/membership/random_reports_test.go
+++ b/membership/random_reports_test.go
@@ -53,97 +53,97 @@
 }
 
 func newReportSimulation(c *qt.C, seed uint64) *reportSimulation {
-	w := &reportSimulation{c: c, rng: rand.New(rand.NewPCG(seed, 1)), now: startTime, sentStates: map[reportVersion]wire.AgentReport{}}
-	for i := range w.tables {
+	s := &reportSimulation{c: c, rng: rand.New(rand.NewPCG(seed, 1)), now: startTime, sentStates: map[reportVersion]wire.AgentReport{}}
+	for i := range s.tables {
 		every := time.Duration(i) * 10 * time.Second
-		w.tables[i] = NewTable(Config{ForgetAfter: 1000 * time.Hour, PublishInterval: every})
-		w.lastShown[i] = map[string]reportVersion{}
-		w.drained[i] = map[string]uint64{}
-		w.left[i] = map[string]uint64{}
+		s.tables[i] = NewTable(Config{ForgetAfter: 1000 * time.Hour, PublishInterval: every})
+		s.lastShown[i] = map[string]reportVersion{}
+		s.drained[i] = map[string]uint64{}
+		s.left[i] = map[string]uint64{}
 	}
 	for i := range 4 {
 		a := &agent{}
 		a.state = fullReport(fmt.Sprint("agent-", i), 0, 0)
-		w.agents = append(w.agents, a)
-		w.restart(a)
+		s.agents = append(s.agents, a)
+		s.restart(a)
 	}
-	return w
+	return s
 }
 
-func (w *reportSimulation) restart(a *agent) {
+func (s *reportSimulation) restart(a *agent) {
 	a.state.Incarnation++
 	a.state.Draining = false
 	a.state.Tasks = nil
 	a.stopped = false
-	a.reporter = NewReporter(ReporterConfig{}, a.state, w.rng.Float64)
-	w.recordState(a)
+	a.reporter = NewReporter(ReporterConfig{}, a.state, s.rng.Float64)
+	s.recordState(a)
 }
 
-func (w *reportSimulation) recordState(a *agent) {
-	s := a.reporter.state
-	w.sentStates[reportVersion{s.ID, s.Incarnation, s.Sequence}] = s
+func (s *reportSimulation) recordState(a *agent) {
+	state := a.reporter.state
+	s.sentStates[reportVersion{state.ID, state.Incarnation, state.Sequence}] = state
 }
 
-func (w *reportSimulation) randomStep() {
-	w.now = w.now.Add(time.Duration(w.rng.IntN(2000)) * time.Millisecond)
-	a := w.agents[w.rng.IntN(len(w.agents))]
-	table := w.rng.IntN(2)
-	switch k := w.rng.IntN(100); {
+func (s *reportSimulation) randomStep() {
+	s.now = s.now.Add(time.Duration(s.rng.IntN(2000)) * time.Millisecond)
+	a := s.agents[s.rng.IntN(len(s.agents))]
+	table := s.rng.IntN(2)
+	switch k := s.rng.IntN(100); {
 	case k < 30:
-		w.change(a)
+		s.change(a)
 	case k < 55:
-		w.sendReport(a, table)
+		s.sendReport(a, table)
 	case k < 85:
-		w.deliverPacket()
+		s.deliverPacket()
 	case k < 93:
-		w.relay(table)
+		s.relay(table)
 	case k < 96:
-		w.apply(table, Tick{})
+		s.apply(table, Tick{})
 	case k < 97:
-		w.apply(table, Draining{ID: a.state.ID, Incarnation: a.state.Incarnation - uint64(w.rng.IntN(2))})
+		s.apply(table, Draining{ID: a.state.ID, Incarnation: a.state.Incarnation - uint64(s.rng.IntN(2))})
 	case k < 98:
-		w.stop(a, table)
+		s.stop(a, table)
 	default:
-		w.restart(a)
+		s.restart(a)
 	}
 }
 
-func (w *reportSimulation) change(a *agent) {
-	switch w.rng.IntN(6) {
+func (s *reportSimulation) change(a *agent) {
+	switch s.rng.IntN(6) {
 	case 0:
-		a.state.Load.Queued = w.rng.IntN(5)
+		a.state.Load.Queued = s.rng.IntN(5)
 	case 1:
-		a.state.Slots = w.rng.IntN(9)
+		a.state.Slots = s.rng.IntN(9)
 	case 2:
-		a.state.Draining = a.state.Draining || w.rng.IntN(10) == 0
+		a.state.Draining = a.state.Draining || s.rng.IntN(10) == 0
 	case 3:
-		a.state.Generations = []wire.Generation{{Service: "dispatch", Generation: w.rng.Uint64N(5)}}
+		a.state.Generations = []wire.Generation{{Service: "dispatch", Generation: s.rng.Uint64N(5)}}
 	default:
-		w.changeTasks(a)
+		s.changeTasks(a)
 	}
-	a.reporter.SetState(w.now, a.state)
-	w.recordState(a)
+	a.reporter.SetState(s.now, a.state)
+	s.recordState(a)
 }
 
-func (w *reportSimulation) changeTasks(a *agent) {
+func (s *reportSimulation) changeTasks(a *agent) {
 	var next []gang.Task
 	for i := range 4 {
-		if w.rng.IntN(2) == 0 {
-			next = append(next, gang.Task{ID: gang.ID{Job: fmt.Sprint("job-", i)}, State: gang.State(w.rng.IntN(3))})
+		if s.rng.IntN(2) == 0 {
+			next = append(next, gang.Task{ID: gang.ID{Job: fmt.Sprint("job-", i)}, State: gang.State(s.rng.IntN(3))})
 		}
 	}
 	a.state.Tasks = next
-	a.state.Fence += w.rng.Uint64N(2)
+	a.state.Fence += s.rng.Uint64N(2)
 }
 
-func (w *reportSimulation) sendReport(a *agent, to int) {
+func (s *reportSimulation) sendReport(a *agent, to int) {
 	if a.stopped {
 		return
 	}
 	name, reporter := fmt.Sprint(to), a.reporter
-	sent := reporter.Report(w.now, name)
-	w.network = append(w.network, packet{to, directReports(sent), func(now time.Time, actions []Action) {
-		if w.rng.IntN(4) == 0 {
+	sent := reporter.Report(s.now, name)
+	s.network = append(s.network, packet{to, directReports(sent), func(now time.Time, actions []Action) {
+		if s.rng.IntN(4) == 0 {
 			reporter.HandleFailure(now, name)
 			return
 		}
@@ -154,79 +154,79 @@
 }
 
 // deliverPacket picks any packet; it may lose it, or keep it for another time.
-func (w *reportSimulation) deliverPacket() {
-	if len(w.network) == 0 {
+func (s *reportSimulation) deliverPacket() {
+	if len(s.network) == 0 {
 		return
 	}
-	i := w.rng.IntN(len(w.network))
-	p := w.network[i]
-	outcome := w.rng.IntN(10)
+	i := s.rng.IntN(len(s.network))
+	p := s.network[i]
+	outcome := s.rng.IntN(10)
 	if outcome > 0 {
-		p.reply(w.now, w.apply(p.to, p.ev))
+		p.reply(s.now, s.apply(p.to, p.ev))
 	}
-	if outcome < 8 || len(w.network) > 20 {
-		w.network = append(w.network[:i], w.network[i+1:]...)
+	if outcome < 8 || len(s.network) > 20 {
+		s.network = append(s.network[:i], s.network[i+1:]...)
 	}
 }
 
-func (w *reportSimulation) relay(from int) {
+func (s *reportSimulation) relay(from int) {
 	to := 1 - from
-	batch, cursor := w.tables[from].Relay(w.now, w.cursors[from])
-	w.network = append(w.network, packet{to, Reports{Batch: batch, Relayed: true}, func(now time.Time, actions []Action) {
+	batch, cursor := s.tables[from].Relay(s.now, s.cursors[from])
+	s.network = append(s.network, packet{to, Reports{Batch: batch, Relayed: true}, func(now time.Time, actions []Action) {
 		var ack wire.ReportAck
 		FillAck(&ack, actions)
-		w.cursors[from] = max(w.cursors[from], cursor)
-		w.apply(to, Reports{Batch: w.tables[from].RelayFull(now, ack.NeedFull), Relayed: true})
+		s.cursors[from] = max(s.cursors[from], cursor)
+		s.apply(to, Reports{Batch: s.tables[from].RelayFull(now, ack.NeedFull), Relayed: true})
 	}})
 }
 
-func (w *reportSimulation) stop(a *agent, to int) {
+func (s *reportSimulation) stop(a *agent, to int) {
 	a.stopped = true
-	w.network = append(w.network, packet{to, directReports(a.reporter.DepartureReport()), func(time.Time, []Action) {}})
+	s.network = append(s.network, packet{to, directReports(a.reporter.DepartureReport()), func(time.Time, []Action) {}})
 }
 
-func (w *reportSimulation) apply(to int, ev Event) []Action {
-	actions := w.tables[to].Step(w.now, ev)
+func (s *reportSimulation) apply(to int, ev Event) []Action {
+	actions := s.tables[to].Step(s.now, ev)
 	switch ev := ev.(type) {
 	case Draining:
-		w.drained[to][ev.ID] = max(w.drained[to][ev.ID], ev.Incarnation)
+		s.drained[to][ev.ID] = max(s.drained[to][ev.ID], ev.Incarnation)
 	case Reports:
 		for _, r := range ev.Batch {
-			w.noteReport(to, r)
+			s.noteReport(to, r)
 		}
 	}
-	w.checkTable(to)
+	s.checkTable(to)
 	return actions
 }
 
 // noteReport notes what the table has been told for good. Reports older than
 // LostAfter are not believed, but goodbyes are.
-func (w *reportSimulation) noteReport(to int, r wire.AgentReport) {
+func (s *reportSimulation) noteReport(to int, r wire.AgentReport) {
 	if r.Goodbye {
-		w.left[to][r.ID] = max(w.left[to][r.ID], r.Incarnation)
+		s.left[to][r.ID] = max(s.left[to][r.ID], r.Incarnation)
 	}
 	if r.Draining && r.Age <= DefaultLostAfter {
-		w.drained[to][r.ID] = max(w.drained[to][r.ID], r.Incarnation)
+		s.drained[to][r.ID] = max(s.drained[to][r.ID], r.Incarnation)
 	}
 }
 
-func (w *reportSimulation) checkTable(i int) {
-	view := w.tables[i].Snapshot().Service("dispatch")
+func (s *reportSimulation) checkTable(i int) {
+	view := s.tables[i].Snapshot().Service("dispatch")
 	for _, m := range view.Schedulable {
 		r := m.Report
-		w.c.Assert(r.Draining, qt.IsFalse)
-		w.c.Assert(w.drained[i][r.ID] < r.Incarnation, qt.IsTrue, qt.Commentf("%s is offered after it drained", r.ID))
+		s.c.Assert(r.Draining, qt.IsFalse)
+		s.c.Assert(s.drained[i][r.ID] < r.Incarnation, qt.IsTrue, qt.Commentf("%s is offered after it drained", r.ID))
 	}
 	for _, m := range view.Members {
 		r := m.Report
-		last := w.lastShown[i][r.ID]
+		last := s.lastShown[i][r.ID]
 		wentBack := r.Incarnation < last.incarnation || (r.Incarnation == last.incarnation && r.Sequence < last.sequence)
-		w.c.Assert(wentBack, qt.IsFalse, qt.Commentf("%s went back from %v to %d/%d", r.ID, last, r.Incarnation, r.Sequence))
-		w.c.Assert(w.left[i][r.ID] < r.Incarnation, qt.IsTrue, qt.Commentf("%s is back after its goodbye", r.ID))
+		s.c.Assert(wentBack, qt.IsFalse, qt.Commentf("%s went back from %v to %d/%d", r.ID, last, r.Incarnation, r.Sequence))
+		s.c.Assert(s.left[i][r.ID] < r.Incarnation, qt.IsTrue, qt.Commentf("%s is back after its goodbye", r.ID))
 		current := reportVersion{r.ID, r.Incarnation, r.Sequence}
-		w.lastShown[i][r.ID] = current
-		w.c.Assert(diff(w.sentStates[current], r)&^wire.ChangedDraining, qt.Equals, wire.Changed(0),
-			qt.Commentf("%v is\n%+v, should be\n%+v", current, r, w.sentStates[current]))
+		s.lastShown[i][r.ID] = current
+		s.c.Assert(diff(s.sentStates[current], r)&^wire.ChangedDraining, qt.Equals, wire.Changed(0),
+			qt.Commentf("%v is\n%+v, should be\n%+v", current, r, s.sentStates[current]))
 	}
 }
 
@@ -238,9 +238,9 @@
 	for run := range uint64(*runsFlag) {
 		seed := *seedFlag + run
 		c.Run(fmt.Sprint("seed ", seed), func(c *qt.C) {
-			w := newReportSimulation(c, seed)
+			sim := newReportSimulation(c, seed)
 			for range 3000 {
-				w.randomStep()
+				sim.randomStep()
 			}
 		})
 	}
