--- a/membership/action.go
+++ b/membership/action.go
@@ -6,46 +6,46 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// Action is what Table.Step returns: a change of a member, or something that
-// the sender of the reports has to be told.
+// Action is returned by Table.Step: a change of a member, or something that the sender
+// of the reports has to be told.
 type Action interface{ action() }
 
-// Joined: the member is new, or back after it was lost, or restarted (then
-// Lost of the older incarnation comes just before).
+// Joined: the member is new, returned after it was lost, or restarted. After a restart,
+// Lost of the older incarnation comes just before.
 type Joined struct{ Member *Member }
 
-// Changed: the groups of the member's report changed.
+// Changed: the given groups of the member's report changed.
 type Changed struct {
 	Member *Member
 	Groups wire.Changed
 }
 
-// Suspected: the member was not heard for SuspectAfter.
+// Suspected: there was no contact with the member for SuspectAfter.
 type Suspected struct{ Member *Member }
 
-// Recovered: a suspected member was heard again.
+// Recovered: there was contact with a suspected member again.
 type Recovered struct{ Member *Member }
 
-// Lost: the member was not heard for LostAfter, or a later incarnation of it
-// showed up. Member is its last known state.
+// Lost: there was no contact with the member for LostAfter, or a later incarnation of
+// it was reported. Member is its last known state.
 type Lost struct{ Member *Member }
 
-// Left: the member said goodbye.
+// Left: the member sent a departure notice.
 type Left struct{ Member *Member }
 
-// NeedFull: the agent's delta can't be applied; ask it for a full report.
+// NeedFull: the agent's delta can't be applied; the agent must send a full report.
 type NeedFull struct{ ID string }
 
-// Newer: the reporting agent is known at a later incarnation.
+// Newer: a later incarnation of the reporting agent is known.
 type Newer struct {
 	ID          string
 	Incarnation uint64
 }
 
-// Refused: the agent's report was shed.
+// Refused: the agent's report was dropped because of a limit on new members.
 type Refused struct{ ID string }
 
-// NextReport: when the sender should report again at the earliest.
+// NextReport: the sender must not report again before After has passed.
 type NextReport struct{ After time.Duration }
 
 func (Joined) action()     {}
@@ -59,7 +59,7 @@
 func (Refused) action()    {}
 func (NextReport) action() {}
 
-// FillAck puts into ack what actions have to tell the sender of the reports.
+// FillAck copies into ack the actions that concern the sender of the reports.
 func FillAck(ack *wire.ReportAck, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
--- a/membership/admission_limiter.go
+++ b/membership/admission_limiter.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// admissionLimiter is a token bucket that also counts whom it turned away, so that each is
-// told to return after those before it.
+// admissionLimiter is a token bucket that also counts the senders it turned away, so
+// that each is told to return after those before it.
 type admissionLimiter struct {
-	rate   float64 // a second
+	rate   float64 // tokens per second
 	burst  float64
 	tokens float64
-	// waiting is the number turned away and not yet due to be back.
+	// waiting is the number of senders that were turned away and are not due to return
+	// yet.
 	waiting float64
 	last    time.Time
 }
 
-// admit admits one, or says after what time to try again.
+// admit takes a token, or returns after what time to try again.
 func (p *admissionLimiter) admit(now time.Time) (bool, time.Duration) {
 	if !p.last.IsZero() {
 		passed := now.Sub(p.last).Seconds() * p.rate
--- a/membership/admit.go
+++ b/membership/admit.go
@@ -6,12 +6,12 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// admit makes a record for an agent that is not known. A goodbye or draining
-// makes one too, so that a report that it overtook can't undo it.
+// admit creates a record for an unknown agent, or returns nil. A departure notice or
+// draining creates one too, so that a report that it overtook can't undo it.
 //
-// An availability zone that returns at once sends hundreds of full reports in
-// a moment. Beyond the pace they are shed before anything is kept of them, and
-// the sender is told when to come back, later for each that was shed.
+// An availability zone that returns at once sends hundreds of full reports in a moment.
+// Reports beyond the admission rate are refused before anything is stored, and each
+// refused sender is told a later time to try again than the one before.
 func (t *Table) admit(now time.Time, report *wire.AgentReport, relayed bool) *record {
 	terminal := report.Goodbye || report.Draining
 	if !report.Full && !terminal {
@@ -39,7 +39,8 @@
 	t.emit(NextReport{After: after})
 }
 
-// dropLongestGone forgets the record whose member has been gone for longest.
+// dropLongestGone deletes the record whose member has been gone for longest. It reports
+// whether there was one.
 func (t *Table) dropLongestGone() bool {
 	var oldest *record
 	for _, r := range t.records {
--- a/membership/apply.go
+++ b/membership/apply.go
@@ -7,8 +7,8 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// apply returns the full report that results from a report, and which groups
-// really changed. A full report replaces base; a delta replaces its groups.
+// apply returns the full report that results from a report, and the groups that it
+// sets. A full report replaces base; a delta replaces its groups.
 func apply(base, r wire.AgentReport) (wire.AgentReport, wire.Changed) {
 	next := base
 	groups := r.Changed
@@ -59,8 +59,8 @@
 	to.MemoryMB = r.MemoryMB
 }
 
-// mergeTasks returns old without the ended tasks, with r's tasks put in. old
-// stays as it is, for it is part of a snapshot.
+// mergeTasks returns old without r's ended tasks and with r's tasks put in. It does not
+// modify old, which is part of a snapshot.
 func mergeTasks(old []gang.Task, r wire.AgentReport) []gang.Task {
 	replaced := make(map[gang.ID]bool, len(r.Tasks)+len(r.Ended))
 	for _, t := range r.Tasks {
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// filledTable returns a table of n agents that are in.
+// filledTable returns a table with n members, and their reports.
 func filledTable(n int) (*Table, []wire.AgentReport) {
 	table := NewTable(Config{JoinBurst: 1e6, PublishInterval: 20 * time.Millisecond})
 	batch := make([]wire.AgentReport, n)
@@ -19,8 +19,8 @@
 	return table, batch
 }
 
-// BenchmarkIngest is the cost of 1,000 reports, each in a batch of its own,
-// at the pace of one report an agent every 10 s.
+// BenchmarkIngest processes 1,000 reports, each in a batch of its own, at the rate of
+// one report per agent every 10 s.
 func BenchmarkIngest(b *testing.B) {
 	for _, n := range []int{1000, 17000} {
 		for _, news := range []wire.Changed{0, wire.ChangedLoad} {
--- a/membership/choose_relays.go
+++ b/membership/choose_relays.go
@@ -6,17 +6,17 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// Rack names a rack within a service.
+// Rack identifies a rack of a service by availability zone and name.
 type Rack struct{ Zone, Name string }
 
-// RackOf returns the rack that a report names.
+// RackOf returns the rack of the agent that sent the report.
 func RackOf(r *wire.AgentReport) Rack { return Rack{Zone: r.Zone, Name: r.Rack} }
 
 // ChooseRelays returns the relay of each rack of the service that has at least
-// so many agents. It is the one with the highest hash of rack and agent
-// (rendezvous hashing) among those that are alive, not draining and able to
-// relay. Whoever knows the same agents chooses the same, and one that comes or
-// goes changes the choice of its own rack at most.
+// minAgents agents: among those that are alive, not draining and able to relay, the one
+// with the highest hash of rack and agent (rendezvous hashing). Processes that know the
+// same agents choose the same relays, and an agent that joins or leaves affects only
+// its own rack.
 func ChooseRelays(view *ServiceView, minAgents int) map[Rack]wire.RelayInfo {
 	type best struct {
 		hash  uint64
@@ -42,7 +42,7 @@
 	return relays
 }
 
-// RelayOf names the agent of a report as a relay.
+// RelayOf returns the agent that sent the report in the form in which relays are named.
 func RelayOf(r *wire.AgentReport) wire.RelayInfo {
 	return wire.RelayInfo{ID: r.ID, Incarnation: r.Incarnation, Address: r.Address}
 }
--- a/membership/config.go
+++ b/membership/config.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Defaults of Config.
+// Defaults of the zero fields of Config.
 const (
 	DefaultSuspectAfter     = 25 * time.Second
 	DefaultLostAfter        = 60 * time.Second
@@ -17,28 +17,29 @@
 	DefaultReportsPerSecond = 500
 )
 
-// Config holds a Table's settings; a zero field takes its default.
+// Config configures a Table; a zero field takes its default, if there is one.
 type Config struct {
-	// SuspectAfter and LostAfter count from when an agent was last heard.
+	// SuspectAfter and LostAfter count from the last contact with an agent.
 	// SuspectAfter should exceed two reporting periods.
 	SuspectAfter time.Duration
 	LostAfter    time.Duration
-	// ForgetAfter is how long the incarnation and sequence of a member that
-	// is lost or has left are kept, so that late relays can't revive it.
+	// ForgetAfter is how long the incarnation and sequence of a member that is lost or
+	// has left are kept, so that late reports can't revive it.
 	ForgetAfter time.Duration
-	// ReportPeriod is the period asked of agents; it grows when they are more
-	// than ReportsPerSecond allows.
+	// ReportPeriod is the period requested of agents. It grows when their number would
+	// exceed ReportsPerSecond.
 	ReportPeriod     time.Duration
 	ReportsPerSecond float64
-	// MaxMembers bounds all records, those of lost members included. The
-	// longest lost are dropped first; then new members are refused.
+	// MaxMembers bounds the number of records, including those of lost members. At the
+	// limit the record that has been without a member for longest is dropped; if there
+	// is none, new members are refused.
 	MaxMembers int
-	// JoinsPerSecond and FullBurst limit the admission of members that are
-	// not known yet.
+	// JoinsPerSecond and JoinBurst limit the admission of members that are not known
+	// yet.
 	JoinsPerSecond float64
 	JoinBurst      float64
-	// PublishInterval is the least time between snapshots for changes that can
-	// wait, such as load. Joins, draining, loss and goodbye never wait.
+	// PublishInterval is the shortest time between snapshots for changes that can wait,
+	// such as load. Joins, draining, losses and departures are published at once.
 	PublishInterval time.Duration
 }
 
--- a/membership/diff.go
+++ b/membership/diff.go
@@ -32,7 +32,7 @@
 	return [5]int{r.Accelerators, r.Slots, r.Connections, r.Cores, r.MemoryMB}
 }
 
-// sameTasks compares without regard to order.
+// sameTasks compares task lists without regard to order.
 func sameTasks(a, b []gang.Task) bool {
 	if len(a) != len(b) {
 		return false
--- a/membership/entry_link.go
+++ b/membership/entry_link.go
@@ -6,26 +6,26 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// entryLink is what an Announcer keeps of one entry.
+// entryLink is the state that a ReportRouter keeps of one entry.
 type entryLink struct {
-	digest    uint64         // digest of the last answer with content
-	relay     wire.RelayInfo // relay that it named
-	isPlanner bool           // its last answer was a planner's
+	digest    uint64         // of the last answer with content
+	relay     wire.RelayInfo // that the entry named
+	isPlanner bool           // whether the last answer came with planner leadership
 	answered  bool
 	sentAt    time.Time
 
-	viaRelay      bool      // its reports go by the relay
-	viaRelaySince time.Time // covered since
-	idleReported  bool      // its connection was given up
+	viaRelay      bool // reports go through the relay
+	viaRelaySince time.Time
+	idleReported  bool // ConnectionIdle has returned true
 
 	// The last report, until it is answered.
 	sequence   uint64
 	batch      []wire.AgentReport
 	cursor     Cursor
-	memberNews bool // of members, not sent yet
+	memberNews bool // changes of members wait to be sent
 }
 
-// relayLink is what an Announcer keeps of its own relay.
+// relayLink is the state that a ReportRouter keeps of its own relay.
 type relayLink struct {
 	sentAt   time.Time
 	sequence uint64
--- a/membership/ingest.go
+++ b/membership/ingest.go
@@ -6,7 +6,7 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// ingest takes one report, in whatever order reports come.
+// ingest processes one report. Reports may arrive in any order.
 func (t *Table) ingest(now time.Time, report *wire.AgentReport, relayed bool) {
 	age := max(report.Age, 0)
 	if age > t.cfg.LostAfter && !report.Goodbye {
@@ -31,7 +31,7 @@
 	t.update(now, r, report, relayed, now.Add(-age))
 }
 
-// supersede ends the older incarnation: its process is gone for certain.
+// supersede ends the older incarnation, whose process has certainly ended.
 func (t *Table) supersede(now time.Time, r *record, incarnation uint64) {
 	if r.member != nil {
 		t.emit(Lost{Member: t.removeMember(r, now)})
@@ -39,7 +39,7 @@
 	r.reset(incarnation, now)
 }
 
-// update takes a report of the record's own incarnation.
+// update processes a report of the record's current incarnation.
 func (t *Table) update(now time.Time, r *record, report *wire.AgentReport, relayed bool, contact time.Time) {
 	if r.left {
 		return
@@ -48,14 +48,14 @@
 		t.markLeft(now, r)
 		return
 	}
-	// Draining counts even when the report is late or can't be applied: it
-	// is final within an incarnation, and waiting for a full report would
-	// offer the member meanwhile.
+	// Draining counts even if the report is late or can't be applied: it is final
+	// within an incarnation, and waiting for a full report would leave the member
+	// schedulable until then.
 	if report.Draining {
 		t.markDraining(r)
 	}
-	// Who heard the agent last relays it. An agent that moved to another
-	// entry is heard there directly and here by relay, with a later time.
+	// The entry with the latest contact relays the agent. An agent that moved to
+	// another entry is reported directly there and relayed here, with a later time.
 	if contact.After(r.lastContact) {
 		r.lastContact = contact
 		r.livenessVersion = t.version
@@ -65,8 +65,8 @@
 	t.clearSuspicion(now, r)
 }
 
-// merge applies the report's content when it is newer and complete. Sequences
-// begin at 1; a report without one has no content.
+// merge applies the report's content if it is newer and complete. Sequences begin at 1;
+// a report with sequence 0 has no content.
 func (t *Table) merge(r *record, report *wire.AgentReport, relayed bool) {
 	joining := r.member == nil
 	if report.Sequence == 0 || report.Sequence < r.sequence || (report.Sequence == r.sequence && !joining) {
@@ -98,8 +98,8 @@
 		return
 	}
 	if groups == 0 {
-		// Only the sequence moved: nothing that a reader could act on. The
-		// record's sequence rules the order, so the member may lag.
+		// Only the sequence changed, which readers don't act on. The member's may lag,
+		// because reports are ordered by the record's sequence.
 		return
 	}
 	if m.Report.Service != r.member.Report.Service {
@@ -109,7 +109,7 @@
 	t.emit(Changed{Member: m, Groups: groups})
 }
 
-// clearSuspicion ends suspicion when the member was heard recently enough.
+// clearSuspicion ends the suspicion if the last contact was recent enough.
 func (t *Table) clearSuspicion(now time.Time, r *record) {
 	if r.member == nil || r.member.State == Alive || now.Sub(r.lastContact) > t.cfg.SuspectAfter {
 		return
--- a/membership/random_relays_test.go
+++ b/membership/random_relays_test.go
@@ -17,17 +17,16 @@
 const (
 	relayAgents    = 5
 	relayEntries   = 2
-	maxOneWayDelay = 200 * time.Millisecond // most
+	maxOneWayDelay = 200 * time.Millisecond
 	pollInterval   = 50 * time.Millisecond
 	callTimeout    = time.Second
-	// What the world holds the program to, where nothing hinders the agent and
-	// the entry themselves.
+	// Bounds that hold where nothing hinders the agent and the entry themselves.
 	maxSilence       = 17 * time.Second
 	maxDrainingShown = 3 * time.Second
 	maxGangSilence   = 2500 * time.Millisecond
 )
 
-// rackAgent is an agent of the rack: an Announcer and the network around it.
+// rackAgent is an agent of the rack: a ReportRouter and its network calls.
 type rackAgent struct {
 	node
 	id            string
@@ -46,15 +45,15 @@
 	addr             string
 	table            *Table
 	relays           map[Rack]wire.RelayInfo
-	lastDirectReport map[string]time.Time // when an agent's own report came last
+	lastDirectReport map[string]time.Time // by agent
 }
 
 // node is a process that can be down or frozen.
 type node struct {
 	up           bool
 	generation   int
-	runningSince time.Time // it runs without a break since
-	frozenUntil  time.Time // until
+	runningSince time.Time // without interruption
+	frozenUntil  time.Time
 }
 
 type scheduledCall struct {
@@ -65,8 +64,8 @@
 	run        func()
 }
 
-// relaySimulation has the agents of a rack, one of which relays for the others, and
-// the entries, with a network that delays, loses and cuts.
+// relaySimulation has the agents of a rack, one of which relays for the others, and the
+// entries, on a network that delays and loses packets and cuts connections.
 type relaySimulation struct {
 	c              *qt.C
 	rng            *rand.Rand
@@ -75,11 +74,11 @@
 	entries        []*rackEntry
 	queue          []scheduledCall
 	seq            int
-	lossyUntil     time.Time // packets are lost until
+	lossyUntil     time.Time
 	cutUntil       map[string]time.Time
 	planner        int
-	planningSince  time.Time         // since
-	reports        *reportSimulation // truth and order, as in TestRandomReports
+	planningSince  time.Time
+	reports        *reportSimulation // sent states and order, as in TestRandomReports
 	relayedReports int
 }
 
@@ -134,7 +133,8 @@
 	s.reports.sentStates[reportVersion{state.ID, state.Incarnation, state.Sequence}] = state
 }
 
-// schedule runs f on the node later: after it thaws, and not in a later life of it.
+// schedule runs f on the node later: after it thaws, and only in its current
+// generation.
 func (s *relaySimulation) schedule(after time.Duration, n *node, f func()) {
 	s.seq++
 	s.queue = append(s.queue, scheduledCall{s.now.Add(after), s.seq, n, n.generation, f})
@@ -174,7 +174,7 @@
 	return time.Duration(s.rng.Int64N(int64(maxOneWayDelay)))
 }
 
-// call makes one exchange; done gets nil if no answer comes in time.
+// call makes one exchange; done gets nil if no answer arrives in time.
 func (s *relaySimulation) call(from *rackAgent, to *node, name string, serve func() *wire.ReportAck, done func(*wire.ReportAck)) {
 	finished := false
 	finish := func(ack *wire.ReportAck) func() {
@@ -248,7 +248,7 @@
 	})
 }
 
-// handleReport is what an entry does with a report.
+// handleReport processes a report at an entry.
 func (s *relaySimulation) handleReport(i int, from *rackAgent, msg *wire.Report) *wire.ReportAck {
 	e := s.entries[i]
 	s.reports.now = s.now
@@ -268,7 +268,7 @@
 	return ack
 }
 
-// checkNoEvidence: a report that a relay passes on must not renew a gang.
+// checkNoEvidence checks that a relayed report can't renew a gang.
 func (s *relaySimulation) checkNoEvidence(from *rackAgent, r wire.AgentReport) {
 	truth := s.reports.sentStates[reportVersion{r.ID, r.Incarnation, r.Sequence}]
 	if r.ID == from.id || len(truth.Tasks) == 0 {
@@ -370,7 +370,7 @@
 	}
 }
 
-// change begins or ends a task of a gang, or changes the load.
+// change starts or ends a task of a gang, or changes the load.
 func (s *relaySimulation) change(a *rackAgent) {
 	if !a.up || a.frozenUntil.After(s.now) {
 		return
@@ -394,12 +394,12 @@
 	s.recordState(a)
 }
 
-// Agents of one rack report by one of them that their entries name, while each
-// of them, the relay included, is killed, frozen, drained or cut off, and the
-// entries restart and hand the planning on. What an entry shows is what the agent
-// said and never goes back; no dead agent looks alive; a live one is heard; one
-// that drains is not offered, also when its relay dies in that moment; and a
-// gang's planner hears its members themselves.
+// The agents of a rack report through one of them while each, including the relay, is
+// killed, frozen, drained or disconnected, entries restart, and planner leadership
+// moves. Entries must show what the agent said and never go back, must not take a dead
+// agent for alive or miss a live one, must not list a draining one as schedulable, even
+// if its relay dies at that moment, and a gang's planner must receive its members'
+// reports directly.
 func TestRandomRelays(t *testing.T) {
 	c := qt.New(t)
 	for run := range uint64(*runsFlag) {
--- a/membership/random_reports_test.go
+++ b/membership/random_reports_test.go
@@ -29,9 +29,9 @@
 	reply func(now time.Time, actions []Action)
 }
 
-// reportSimulation has agents that change, restart, drain and leave, and two tables that
-// hear them over a network that delays, reorders, repeats and loses, and that
-// relay to each other.
+// reportSimulation has agents that change, restart, drain and leave, and two tables
+// that receive their reports, and relay to each other, over a network that delays,
+// reorders, repeats and loses packets.
 type reportSimulation struct {
 	c          *qt.C
 	rng        *rand.Rand
@@ -41,9 +41,9 @@
 	cursors    [2]Cursor
 	network    []packet
 	sentStates map[reportVersion]wire.AgentReport
-	lastShown  [2]map[string]reportVersion // latest shown by each table
+	lastShown  [2]map[string]reportVersion // latest version shown by each table
 	drained    [2]map[string]uint64        // incarnation that each table knows to drain
-	left       [2]map[string]uint64        // incarnation that each table knows to be over
+	left       [2]map[string]uint64        // incarnation that each table knows to have ended
 }
 
 type agent struct {
@@ -153,7 +153,7 @@
 	}})
 }
 
-// deliverPacket picks any packet; it may lose it, or keep it for another time.
+// deliverPacket takes any packet; it may lose it or deliver it again later.
 func (s *reportSimulation) deliverPacket() {
 	if len(s.network) == 0 {
 		return
@@ -199,8 +199,8 @@
 	return actions
 }
 
-// noteReport notes what the table has been told for good. Reports older than
-// LostAfter are not believed, but goodbyes are.
+// noteReport records what a report establishes permanently at the table. Reports older
+// than LostAfter are ignored, except departure notices.
 func (s *reportSimulation) noteReport(to int, r wire.AgentReport) {
 	if r.Goodbye {
 		s.left[to][r.ID] = max(s.left[to][r.ID], r.Incarnation)
@@ -230,9 +230,9 @@
 	}
 }
 
-// Agents restart, drain and leave while their reports are delayed, reordered,
-// repeated, lost and relayed. What a table shows must be what the agent said at
-// that sequence, must never go back, and must never offer who drains.
+// Agents restart, drain and leave while their reports are delayed, reordered, repeated,
+// lost and relayed. A table must show what the agent said at that sequence, never go
+// back, and never list a draining agent as schedulable.
 func TestRandomReports(t *testing.T) {
 	c := qt.New(t)
 	for run := range uint64(*runsFlag) {
--- a/membership/record.go
+++ b/membership/record.go
@@ -8,8 +8,8 @@
 
 const groupCount = 6
 
-// record is what the table keeps of one agent. member is nil once the agent is
-// lost or has left; the rest stays, so that late reports can't revive it.
+// record is the table's state of one agent. member is nil once the agent is lost or has
+// left; the record remains, so that late reports can't revive the agent.
 type record struct {
 	id          string
 	incarnation uint64
@@ -21,14 +21,14 @@
 	goneSince   time.Time // since when member is nil
 	member      *Member
 
-	// For relays: the table's version of the last news of the agent's life
-	// and of each group, and the agent's sequence of each group.
+	// For relays: the table's version of the last contact or change, the version of the
+	// last change of each group, and the agent's sequence at that change.
 	livenessVersion uint64
 	groupVersion    [groupCount]uint64
 	groupSeq        [groupCount]uint64
 }
 
-// markChanged notes that groups changed at the record's sequence.
+// markChanged records that groups changed at the record's sequence.
 func (r *record) markChanged(groups wire.Changed, version uint64) {
 	r.livenessVersion = version
 	for g := range groupCount {
@@ -39,8 +39,8 @@
 	}
 }
 
-// reset makes the record that of a later incarnation of which nothing but
-// its existence is known.
+// reset makes the record that of a later incarnation of which only its existence is
+// known.
 func (r *record) reset(incarnation uint64, now time.Time) {
 	*r = record{id: r.id, incarnation: incarnation, goneSince: now}
 }
--- a/membership/relay_route.go
+++ b/membership/relay_route.go
@@ -7,14 +7,13 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// RelayRoute decides for one agent by which way its reports reach the entries:
-// through the relay of its rack, or by itself. One goroutine owns it.
+// RelayRoute tracks through which relay, if any, an agent's reports reach the entries.
+// It is not safe for concurrent use.
 //
-// A relay is believed for as long as its last answer is young, and only for the
-// entries that it says take its reports. It guards against a relay that is dead,
-// frozen, cut off from an entry, or of a binary that does not relay: each shows
-// as an answer that does not come, or that lacks the entry, and the agent reports
-// to that entry itself again.
+// A relay is relied on only while its last answer is recent, and only for the entries
+// that the answer lists. If a relay is dead, frozen, disconnected from an entry, or
+// unable to relay, its answer is missing or lacks the entry, and the agent reports to
+// that entry directly again.
 type RelayRoute struct {
 	self         string
 	relay        wire.RelayInfo
@@ -24,21 +23,20 @@
 	avoidedUntil map[wire.RelayInfo]time.Time
 }
 
-// NewRelayRoute returns the path of the agent with the ID, which begins without a
-// relay.
+// NewRelayRoute returns a RelayRoute without a relay for the agent with the ID self.
 func NewRelayRoute(self string) *RelayRoute {
 	return &RelayRoute{self: self, avoidedUntil: make(map[wire.RelayInfo]time.Time)}
 }
 
-// Relay returns the relay to report to; false: there is none.
+// Relay returns the relay to report to, and false if there is none.
 func (r *RelayRoute) Relay() (wire.RelayInfo, bool) { return r.relay, r.relay != wire.RelayInfo{} }
 
-// Digest is the digest of the relay's last answer with content.
+// Digest returns the digest of the relay's last answer with content.
 func (r *RelayRoute) Digest() uint64 { return r.digest }
 
-// OfferRelay says that an entry named the relay of the agent's rack. An agent that
-// has one stays with it: entries that don't know the same agents name different
-// ones, and following each word would move it to and fro. The relay itself says
+// OfferRelay handles the relay that an entry named for the agent's rack. An agent that
+// has a relay keeps it: entries that know different agents name different relays, and
+// following each would make the agent switch back and forth. The relay itself tells
 // when another one is to be used.
 func (r *RelayRoute) OfferRelay(now time.Time, relay wire.RelayInfo) {
 	if _, ok := r.Relay(); !ok {
@@ -52,13 +50,14 @@
 	r.digest, r.entries, r.validUntil = 0, nil, time.Time{}
 }
 
-// HandleFailure says that the relay left a report unanswered, or refused it.
+// HandleFailure records that the relay did not answer a report, or refused it. The
+// relay is avoided for a while.
 func (r *RelayRoute) HandleFailure(now time.Time) {
 	r.avoidedUntil[r.relay] = now.Add(relayAvoidPeriod)
 	r.Clear()
 }
 
-// HandleAck takes the relay's answer to the report that was sent at the time.
+// HandleAck processes the relay's answer to the report that was sent at the time sent.
 func (r *RelayRoute) HandleAck(now, sent time.Time, ack *wire.ReportAck) {
 	if slices.Contains(ack.Refused, r.self) {
 		r.HandleFailure(now)
@@ -96,10 +95,10 @@
 	r.relay = to
 }
 
-// ForwardsTo says whether the relay passes the agent's reports on to the entry.
+// ForwardsTo reports whether the relay forwards the agent's reports to the entry.
 func (r *RelayRoute) ForwardsTo(now time.Time, entry string) bool {
 	return now.Before(r.validUntil) && slices.Contains(r.entries, entry)
 }
 
-// ValidUntil returns when the relay's word ends if it does not answer again.
+// ValidUntil returns until when the relay's last answer is relied on.
 func (r *RelayRoute) ValidUntil() time.Time { return r.validUntil }
--- a/membership/relayer.go
+++ b/membership/relayer.go
@@ -8,22 +8,23 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// Relayer is what a relay keeps: the members that report to it, and what each
-// entry has been told of them. One goroutine owns it; now must not go back, and
-// should run on during suspension: it tells entries how old a report is.
+// Relayer is the state of a relay: the members that report to it, and what each entry
+// has been told of them. It is not safe for concurrent use. Times passed to it must not
+// go back and should come from a clock that advances during suspension, because they
+// determine the age of reports.
 type Relayer struct {
 	table             *Table
 	entryStates       map[string]*entryState
 	newerIncarnations map[string]wire.AgentSeen
 }
 
-// entryState is what one entry knows by this relay.
+// entryState is what one entry has received from this relay.
 type entryState struct {
 	cursor         Cursor
-	fullReportsDue map[string]time.Time // full reports that are due then, by agent
+	fullReportsDue map[string]time.Time // when the entry needs a full report, by agent
 }
 
-// NewRelayer returns one without members.
+// NewRelayer returns a Relayer without members.
 func NewRelayer() *Relayer {
 	return &Relayer{
 		table: NewTable(Config{
@@ -38,10 +39,10 @@
 	}
 }
 
-// HandleReport takes a member's report. It returns the answer, without the list of
-// entries, and whether the report has news that should not wait for the relay's
-// next report. A full report is such news even if nothing is new in it: the
-// member reported itself until now, and entries last heard it a period ago.
+// HandleReport processes a member's report. It returns the answer, without the list of
+// entries, and whether the report has news that should not wait for the relay's next
+// report. A full report always counts as news: the member reported directly until now,
+// and the entries' last report of it may be a period old.
 func (r *Relayer) HandleReport(now time.Time, report wire.AgentReport) (*wire.ReportAck, bool) {
 	actions := r.table.Step(now, Reports{Batch: []wire.AgentReport{report}})
 	ack := &wire.ReportAck{}
@@ -62,8 +63,7 @@
 	return false
 }
 
-// Tick drops members that have not reported for long. Send one about every
-// second.
+// Tick drops members that have not reported for long. Call it about every second.
 func (r *Relayer) Tick(now time.Time) {
 	for _, a := range r.table.Step(now, Tick{}) {
 		if lost, ok := a.(Lost); ok {
@@ -79,7 +79,8 @@
 	}
 }
 
-// Members returns the members by ID. They are shared: don't change them.
+// Members returns the members sorted by service and ID. They are shared and must not be
+// modified.
 func (r *Relayer) Members() []*Member {
 	var all []*Member
 	snap := r.table.Snapshot()
@@ -89,8 +90,8 @@
 	return all
 }
 
-// Batch returns what to tell the entry now of the members, each with its age,
-// and the mark to give to Acked with the entry's answer.
+// Batch returns the members' reports to send to the entry now, each with its age, and
+// the cursor to pass to HandleAck with the entry's answer.
 func (r *Relayer) Batch(now time.Time, entry string) ([]wire.AgentReport, Cursor) {
 	state := r.stateOf(entry)
 	batch, cursor := r.table.Relay(now, state.cursor)
@@ -109,9 +110,9 @@
 	return batch, cursor
 }
 
-// clearEvidence keeps a relayed report from being taken for evidence that a gang is
-// whole. Without a stamp it would count as of its receipt, and the planner would
-// renew the other members of a gang whose part here has stopped since.
+// clearEvidence marks the relayed report of a gang's member as no evidence that the
+// gang runs. Without a timestamp it would count from its receipt, and the planner would
+// renew the other members of a gang whose member here has stopped since.
 func (r *Relayer) clearEvidence(a *wire.AgentReport) {
 	record := r.table.records[a.ID]
 	if record == nil || record.member == nil {
@@ -123,7 +124,7 @@
 	}
 }
 
-// HandleAck takes the entry's answer to the batch.
+// HandleAck processes the entry's answer to the batch.
 func (r *Relayer) HandleAck(now time.Time, entry string, batch []wire.AgentReport, cursor Cursor, ack *wire.ReportAck) {
 	state := r.stateOf(entry)
 	state.cursor = max(state.cursor, cursor)
@@ -145,15 +146,16 @@
 	}
 }
 
-// scheduleFullReport notes that the entry needs a full report; the agent's own word is not
-// needed for it.
+// scheduleFullReport records that the entry needs a full report of the agent, which the
+// relay can send without asking the agent.
 func (r *Relayer) scheduleFullReport(state *entryState, id string, at time.Time) {
 	if record := r.table.records[id]; record != nil && record.member != nil {
 		state.fullReportsDue[id] = at
 	}
 }
 
-// FullReportDue returns when the next full report for the entry is due; false: none is.
+// FullReportDue returns when the next full report for the entry is due, and false if
+// none is.
 func (r *Relayer) FullReportDue(entry string) (time.Time, bool) {
 	var earliest time.Time
 	for _, at := range r.stateOf(entry).fullReportsDue {
@@ -164,7 +166,7 @@
 	return earliest, !earliest.IsZero()
 }
 
-// Forget drops an entry that the relay no longer reports to.
+// Forget drops the state of an entry that the relay no longer reports to.
 func (r *Relayer) Forget(entry string) { delete(r.entryStates, entry) }
 
 func (r *Relayer) stateOf(addr string) *entryState {
--- a/membership/report_router.go
+++ b/membership/report_router.go
@@ -8,23 +8,23 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// plannerAnswerTimeout: a gang's member that no entry with the planner duty has answered
-// for so long reports to all entries itself, so that a new planner hears of it as
-// soon as it plans.
+// plannerAnswerTimeout is how long the member of a gang waits for an answer of an entry
+// with planner leadership. After that it reports to all entries itself, so that a new
+// planner receives its reports as soon as it plans.
 const plannerAnswerTimeout = 2500 * time.Millisecond
 
-// ReportRouter decides when an agent reports to whom and what: to each entry by
-// itself, or to the relay of its rack, and as a relay for others. One goroutine
-// owns it, or its owner locks it; now must not go back, and should run on during
-// suspension. There is at most one report under way to each entry and to the
-// relay.
+// ReportRouter decides when an agent reports, what, and by which way: to each entry
+// directly or to the relay of its rack. As a relay it also forwards the reports of
+// other agents. It is not safe for concurrent use. Times passed to it must not go back
+// and should come from a clock that advances during suspension. At most one report is
+// in flight to each entry and to the relay.
 type ReportRouter struct {
 	cfg               ReportRouterConfig
 	self              wire.RelayInfo
 	draining          bool
 	inGang            bool
 	timestamp         gang.PlannerTimestamp
-	plannerAnsweredAt time.Time // when an entry with the planner duty last answered
+	plannerAnsweredAt time.Time // when an entry with planner leadership last answered
 	reporter          *Reporter
 	route             *RelayRoute
 	relayer           *Relayer
@@ -35,17 +35,18 @@
 	pauseDetectedAt   time.Time
 }
 
-// ReportRouterConfig holds an Announcer's settings.
+// ReportRouterConfig configures a ReportRouter.
 type ReportRouterConfig struct {
 	ReporterConfig
-	// GangReportPeriod is the longest period of an agent's own reports while a task of
-	// several members runs there.
+	// GangReportPeriod is the longest period of an agent's own reports while a task
+	// with several members runs there.
 	GangReportPeriod time.Duration
-	// MaxEntries bounds the entries that are reported to.
+	// MaxEntries bounds the number of entries to report to.
 	MaxEntries int
 }
 
-// NewReportRouter returns one for the agent that state describes, without entries.
+// NewReportRouter returns a ReportRouter without entries for the agent that state
+// describes. random returns numbers in [0, 1).
 func NewReportRouter(cfg ReportRouterConfig, state wire.AgentReport, random func() float64) *ReportRouter {
 	cfg.ReporterConfig = cfg.withDefaults()
 	return &ReportRouter{
@@ -58,7 +59,8 @@
 	}
 }
 
-// AddEntry begins reports to an entry. False: it is known, or there are too many.
+// AddEntry starts reports to an entry. It returns false if the entry is known already
+// or there are too many.
 func (r *ReportRouter) AddEntry(addr string) bool {
 	if r.entries[addr] != nil || len(r.entries) >= r.cfg.MaxEntries {
 		return false
@@ -77,7 +79,7 @@
 	r.relayer.Forget(addr)
 }
 
-// SetState takes the agent's whole state.
+// SetState sets the agent's whole state.
 func (r *ReportRouter) SetState(now time.Time, state wire.AgentReport) {
 	r.draining = r.draining || state.Draining
 	r.inGang = slices.ContainsFunc(state.Tasks, func(t gang.Task) bool {
@@ -86,17 +88,17 @@
 	r.reporter.SetState(now, state)
 }
 
-// SetTimestamp takes the stamp that the next reports return.
+// SetTimestamp sets the planner's timestamp that the next reports return.
 func (r *ReportRouter) SetTimestamp(s gang.PlannerTimestamp) { r.timestamp = s }
 
-// Due returns when to report to the entry, or to ask again because the relay's
-// word ends then.
+// Due returns when to report to the entry. While the relay covers the entry, it returns
+// when to call Due again, at the latest when the relay's answer expires.
 func (r *ReportRouter) Due(now time.Time, addr string) time.Time {
 	l := r.entries[addr]
 	if r.reportsViaRelay(now, addr) {
 		r.switchToRelay(now, addr)
 		if r.inGang {
-			return earlierOf(r.route.ValidUntil(), now.Add(r.cfg.GangReportPeriod)) // for gangSilence
+			return earlierOf(r.route.ValidUntil(), now.Add(r.cfg.GangReportPeriod)) // so that plannerAnswerTimeout is noticed
 		}
 		return r.route.ValidUntil()
 	}
@@ -112,12 +114,14 @@
 	return due
 }
 
-// reportsViaRelay says whether the agent leaves its reports to an entry to its relay.
+// reportsViaRelay reports whether the agent leaves its reports to an entry to its
+// relay.
 //
-// One that drains reports itself: the news must not be lost with a relay that
-// dies in that moment. So does a member of a gang to the entry that plans:
-// its gang runs on by the evidence of its reports, whose age a relay would add
-// to, and stops when a relay dies for as long as that goes unnoticed.
+// A draining agent reports directly, so that the change is not lost with a relay that
+// dies at that moment. So does a member of a gang to the entry with planner leadership:
+// the planner keeps the gang running on the evidence of its members' reports. A relay
+// would make that evidence older, and its death would stop the gang until it is
+// noticed.
 func (r *ReportRouter) reportsViaRelay(now time.Time, addr string) bool {
 	if r.draining || !r.route.ForwardsTo(now, addr) {
 		return false
@@ -125,23 +129,23 @@
 	return !r.inGang || (!r.entries[addr].isPlanner && now.Sub(r.plannerAnsweredAt) <= plannerAnswerTimeout)
 }
 
-// switchToRelay notes that reports to the entry go by the relay from now on. What the
-// entry has is not followed any more, so the next own report is a full one, due
-// at once.
+// switchToRelay records that reports to the entry go through the relay from now on.
+// What the entry knows is no longer tracked, so the next direct report is a full one,
+// due at once.
 func (r *ReportRouter) switchToRelay(now time.Time, addr string) {
 	l := r.entries[addr]
 	if l.viaRelay {
 		return
 	}
-	r.notePlanner(now, l, false) // or a gang that starts now would wait for gangSilence
+	r.notePlanner(now, l, false) // otherwise a gang that starts now would wait for plannerAnswerTimeout
 	*l = entryLink{viaRelay: true, viaRelaySince: now}
 	r.reporter.Forget(addr)
 	r.relayer.Forget(addr)
 }
 
-// batchReportDue is when the entry has to hear news of members, or a full report of
-// one that it asked for. An entry that does not answer is not asked more often
-// for that.
+// batchReportDue returns when the entry must receive changes of members, or a full
+// report that it requested. An entry that does not answer is not sent more reports for
+// that.
 func (r *ReportRouter) batchReportDue(addr string, l *entryLink, due time.Time) time.Time {
 	if r.reporter.Failures(addr) > 0 {
 		return due
@@ -163,7 +167,8 @@
 	return a
 }
 
-// Report returns what to send to the entry now. Follow it with Acked or Failed.
+// Report returns the report to send to the entry now. The caller must pass the outcome
+// to HandleAck or HandleFailure.
 func (r *ReportRouter) Report(now time.Time, addr string) *wire.Report {
 	l := r.entries[addr]
 	report := r.reporter.Report(now, addr)
@@ -176,8 +181,8 @@
 	return &wire.Report{Batch: append([]wire.AgentReport{report}, l.batch...), Known: l.digest}
 }
 
-// HandleAck takes the entry's answer to the last report. It returns the addresses of
-// entries that the answer names and that are new.
+// HandleAck processes the entry's answer to the last report. It returns the addresses
+// of the new entries that the answer names.
 func (r *ReportRouter) HandleAck(now time.Time, addr string, ack *wire.ReportAck) []string {
 	l := r.entries[addr]
 	l.answered = true
@@ -200,8 +205,9 @@
 	return r.addEntries(ack.Entries)
 }
 
-// notePlanner: when the entry that planned does not any more, the member of a
-// gang has to find the next one at once.
+// notePlanner records whether the entry has planner leadership. When the entry that
+// planned does not any more, the member of a gang must look for the next planner at
+// once.
 func (r *ReportRouter) notePlanner(now time.Time, l *entryLink, isPlanner bool) {
 	if isPlanner {
 		r.plannerAnsweredAt = now
@@ -221,16 +227,16 @@
 	return added
 }
 
-// HandleFailure notes that the entry did not answer the last report. It returns how
-// many it left unanswered in a row.
+// HandleFailure records that the entry did not answer the last report. It returns the
+// number of consecutive reports left unanswered.
 func (r *ReportRouter) HandleFailure(now time.Time, addr string) int {
 	r.notePlanner(now, r.entries[addr], false)
 	r.reporter.HandleFailure(now, addr)
 	return r.reporter.Failures(addr)
 }
 
-// ConnectionIdle says, once, that the connection to the entry has had no use for some
-// time: reports go by the relay.
+// ConnectionIdle reports, once, that the connection to the entry has not been used for
+// idleConnectionTimeout because reports go through the relay.
 func (r *ReportRouter) ConnectionIdle(now time.Time, addr string) bool {
 	l := r.entries[addr]
 	if !l.viaRelay || l.idleReported || now.Sub(l.viaRelaySince) < idleConnectionTimeout {
@@ -240,11 +246,12 @@
 	return true
 }
 
-// idleConnectionTimeout is how long the connection to an entry stays open after the last
-// own report: a relay that is taken on and fails at once costs no new handshake.
+// idleConnectionTimeout is how long the connection to an entry stays open after the
+// last direct report, so that a new relay that fails at once does not cost a new
+// handshake.
 const idleConnectionTimeout = 10 * time.Second
 
-// DepartureReport returns the report of the agent's end.
+// DepartureReport returns the departure notice that the agent sends when it stops.
 func (r *ReportRouter) DepartureReport() *wire.Report {
 	return &wire.Report{Batch: []wire.AgentReport{r.reporter.DepartureReport()}}
 }
--- a/membership/report_router_relay.go
+++ b/membership/report_router_relay.go
@@ -11,11 +11,11 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// maxUnansweredReports is how many reports in a row an entry may leave unanswered
-// before the relay stops saying that its members' reports get there.
+// maxUnansweredReports is the number of consecutive unanswered reports at which the
+// relay no longer claims to reach an entry.
 const maxUnansweredReports = 2
 
-// updateRelay takes an entry's word on the relay of the rack.
+// updateRelay handles the relay of the rack that an entry named.
 func (r *ReportRouter) updateRelay(now time.Time, relay wire.RelayInfo) {
 	if r.isRelay(now) {
 		r.leaveRelay()
@@ -33,11 +33,11 @@
 	}
 }
 
-// isRelay says whether this agent is the relay. One entry's word is enough:
-// entries that don't know the same agents name different ones for a while, and
-// each of those may serve. Entries that name none are those that have just
-// started: a relay goes on for servingAfter, or a restart of the entries would
-// bring them the reports of every single agent in their first moments.
+// isRelay reports whether this agent is the relay. It is enough that one entry names
+// it: entries that know different agents name different relays for a while, and each of
+// those may be one. Entries that name none have just started. A relay continues without
+// being named for relayRoleTimeout, so that restarted entries do not receive the
+// reports of every single agent at first.
 func (r *ReportRouter) isRelay(now time.Time) bool {
 	if r.draining {
 		return false
@@ -52,16 +52,16 @@
 	return !otherNamed && !r.namedRelayAt.IsZero() && now.Sub(r.namedRelayAt) < relayRoleTimeout
 }
 
-// relayRoleTimeout is how long an agent stays relay after the last entry's word.
+// relayRoleTimeout is how long an agent remains the relay after an entry last named it.
 const relayRoleTimeout = 30 * time.Second
 
-// hasMembers says whether there is something to relay.
+// hasMembers reports whether there are members to relay for.
 func (r *ReportRouter) hasMembers() bool { return r.relayer.table.Len() > 0 }
 
-// Relay returns the relay that the agent reports to now; false: there is none.
+// Relay returns the relay that the agent reports to now, and false if there is none.
 func (r *ReportRouter) Relay() (wire.RelayInfo, bool) { return r.route.Relay() }
 
-// RelayDue returns when to report to the relay next; false: there is none.
+// RelayDue returns when to report to the relay next, and false if there is none.
 func (r *ReportRouter) RelayDue(now time.Time) (time.Time, bool) {
 	relay, ok := r.route.Relay()
 	if !ok {
@@ -70,8 +70,8 @@
 	return earlierOf(r.reporter.Due(now, relay.ID), r.toRelay.sentAt.Add(RelayHeartbeat)), true
 }
 
-// ReportToRelay returns what to send to the relay now. Follow it with RelayAcked
-// or RelayFailed.
+// ReportToRelay returns the report to send to the relay now. The caller must pass the
+// outcome to HandleRelayAck or HandleRelayFailure.
 func (r *ReportRouter) ReportToRelay(now time.Time) *wire.Report {
 	relay, _ := r.route.Relay()
 	report := r.reporter.Report(now, relay.ID)
@@ -79,11 +79,11 @@
 	return &wire.Report{Batch: []wire.AgentReport{report}, Known: r.route.Digest()}
 }
 
-// HandleRelayAck takes the answer of the relay to the last report. It returns the
-// addresses of entries that the answer names and that are new.
+// HandleRelayAck processes the relay's answer to the last report. It returns the
+// addresses of the new entries that the answer names.
 func (r *ReportRouter) HandleRelayAck(now time.Time, from wire.RelayInfo, ack *wire.ReportAck) []string {
 	if relay, ok := r.route.Relay(); !ok || relay != from {
-		return nil // left meanwhile
+		return nil // the relay has changed since
 	}
 	r.reporter.HandleAck(now, from.ID, r.toRelay.sequence, ack)
 	r.route.HandleAck(now, r.toRelay.sentAt, ack)
@@ -94,8 +94,8 @@
 	return r.addEntries(ack.Entries)
 }
 
-// HandleRelayFailure notes that the relay did not answer, or refused the report: the
-// agent reports by itself again.
+// HandleRelayFailure records that the relay did not answer, or refused the report. The
+// agent reports directly again.
 func (r *ReportRouter) HandleRelayFailure(now time.Time, from wire.RelayInfo) {
 	if relay, ok := r.route.Relay(); !ok || relay != from {
 		return
@@ -104,10 +104,10 @@
 	r.route.HandleFailure(now)
 }
 
-// HandleMemberReport answers a report that another agent sent to this one as its relay. news
-// says that entries should hear of it at once. An agent that is not the relay
-// (any more) does not take the report and names the one that is, as far as it
-// knows. A nil answer: the report was not taken, and the age of it is not known.
+// HandleMemberReport answers a report that another agent sent to this one as its relay.
+// news reports whether the entries must be told at once. An agent that is not the relay
+// does not accept the report and names the relay if it knows one. A nil answer means
+// that the report was not accepted because its age is unknown.
 func (r *ReportRouter) HandleMemberReport(now time.Time, report *wire.Report) (ack *wire.ReportAck, news bool) {
 	if r.recentlyPaused(now) {
 		return nil, false
@@ -126,7 +126,7 @@
 	return r.setDigest(ack, report.Known), news
 }
 
-// otherRelay is the relay that entries name in place of this agent.
+// otherRelay returns the relay that entries name in place of this agent.
 func (r *ReportRouter) otherRelay() wire.RelayInfo {
 	if relay, ok := r.route.Relay(); ok {
 		return relay
@@ -139,7 +139,7 @@
 	return wire.RelayInfo{}
 }
 
-// reachableEntries lists the entries that take this relay's reports now.
+// reachableEntries lists the entries that accept this relay's reports now.
 func (r *ReportRouter) reachableEntries() []wire.EntryInfo {
 	var entries []wire.EntryInfo
 	for _, addr := range slices.Sorted(maps.Keys(r.entries)) {
@@ -150,8 +150,8 @@
 	return entries
 }
 
-// setDigest sets the digest of what the member has to know, and leaves that out
-// where it does.
+// setDigest sets the digest of the entries and the relay in ack, and omits both if the
+// member knows them already.
 func (r *ReportRouter) setDigest(ack *wire.ReportAck, knownDigest uint64) *wire.ReportAck {
 	h := xxhash.New()
 	_, _ = h.WriteString(ack.Relay.ID + "/" + ack.Relay.Address)
@@ -166,18 +166,17 @@
 	return ack
 }
 
-// Tick drops members that have not reported for long. Send one about every
-// second.
+// Tick drops members that have not reported for long. Call it about every second.
 func (r *ReportRouter) Tick(now time.Time) {
 	r.recentlyPaused(now)
 	r.lastTick = now
 	r.relayer.Tick(now)
 }
 
-// recentlyPaused says whether this process stood still a moment ago. The reports that it
-// then finds in its sockets count as heard when it takes them, so a relay that
-// was frozen for a minute would make members that died meanwhile look alive.
-// It shows as a Tick that is overdue, to whoever of Tick and Serve runs first.
+// recentlyPaused reports whether this process was paused a moment ago. Reports that
+// waited in its sockets would count as new when they are read, so a relay that was
+// frozen for a minute would make members that died since look alive. A pause shows as
+// an overdue Tick, to the first call of Tick or HandleMemberReport after it.
 func (r *ReportRouter) recentlyPaused(now time.Time) bool {
 	if !r.lastTick.IsZero() && now.Sub(r.lastTick) > pauseThreshold {
 		r.pauseDetectedAt = now
@@ -187,13 +186,13 @@
 }
 
 const (
-	// pauseThreshold: a Tick that is so late was kept by a pause of the process.
+	// pauseThreshold is the delay of a Tick from which the process counts as paused.
 	pauseThreshold = 3 * time.Second
-	// pauseRefusalPeriod is how long reports are refused then. What was queued is read by
-	// that time.
+	// pauseRefusalPeriod is how long reports are refused after a pause; queued ones are
+	// read by then.
 	pauseRefusalPeriod = time.Second
 )
 
-// Members returns the agents that report by this one. They are shared: don't
-// change them.
+// Members returns the agents that report to this one. They are shared and must not be
+// modified.
 func (r *ReportRouter) Members() []*Member { return r.relayer.Members() }
--- a/membership/report_router_test.go
+++ b/membership/report_router_test.go
@@ -10,10 +10,8 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// Story: a gang starts and stops for isolation 2 s later, on all its members.
-// Their reports went by the relay since a moment ago, so that the entry that
-// plans had answered them just before, and they waited for gangSilence until they
-// looked for it.
+// A gang that starts just after its members' reports moved to the relay must reach the
+// planner at once. Waiting for plannerAnswerTimeout would isolate the gang.
 func TestGangStartsRightAfterTheRelayTookOver(t *testing.T) {
 	c := qt.New(t)
 	relay := wire.RelayInfo{ID: "r", Incarnation: 1, Address: "r"}
--- a/membership/reporter.go
+++ b/membership/reporter.go
@@ -11,12 +11,12 @@
 // maxEndedTasks bounds the ended tasks that are kept for deltas.
 const maxEndedTasks = 1024
 
-// Reporter decides when an agent reports to each receiver and what. One
-// goroutine owns it.
+// Reporter decides when an agent reports to each receiver, and what. It is not safe for
+// concurrent use.
 //
-// Sequence counts changes of the agent's state, not reports, so it is the same
-// for all receivers and relays. A delta says what changed since the last report
-// that its receiver acknowledged.
+// Sequence counts changes of the agent's state, not reports, so it is the same for all
+// receivers and relays. A delta holds what changed since the last report that its
+// receiver acknowledged.
 type Reporter struct {
 	cfg          ReporterConfig
 	random       func() float64
@@ -33,8 +33,8 @@
 	seq uint64
 }
 
-// NewReporter returns a reporter for the agent that state describes. random
-// returns numbers in [0, 1).
+// NewReporter returns a Reporter for the agent that state describes. random returns
+// numbers in [0, 1).
 func NewReporter(cfg ReporterConfig, state wire.AgentReport, random func() float64) *Reporter {
 	r := &Reporter{
 		cfg:       cfg.withDefaults(),
@@ -55,9 +55,8 @@
 	return r
 }
 
-// SetState takes the agent's whole state. ID and Incarnation stay what they were;
-// Sequence and the fields of deltas are the Reporter's own. Draining can't be
-// taken back.
+// SetState sets the agent's whole state. ID and Incarnation are kept; Sequence and the
+// fields of deltas are set by the Reporter. Draining can't be revoked.
 func (r *Reporter) SetState(now time.Time, state wire.AgentReport) {
 	state.ID = r.state.ID
 	state.Incarnation = r.state.Incarnation
@@ -82,7 +81,7 @@
 	}
 }
 
-// trackTasks keeps at which sequence each task changed or ended.
+// trackTasks records the sequence at which each task changed or ended.
 func (r *Reporter) trackTasks(next wire.AgentReport) {
 	before := make(map[gang.ID]gang.Task, len(r.state.Tasks))
 	for _, t := range r.state.Tasks {
@@ -104,7 +103,7 @@
 	r.dropEnded(len(r.ended) - maxEndedTasks)
 }
 
-// dropEnded drops the n oldest ended tasks. Who has not acknowledged them
+// dropEnded drops the n oldest ended tasks. A receiver that has not acknowledged them
 // needs a full report.
 func (r *Reporter) dropEnded(n int) {
 	if n <= 0 {
@@ -114,14 +113,13 @@
 	r.ended = slices.Clone(r.ended[n:])
 }
 
-// Due returns when to report to the receiver next; a receiver not known yet is
-// due at once.
+// Due returns when to report to the receiver next. A new receiver is due at once.
 func (r *Reporter) Due(now time.Time, to string) time.Time {
 	return r.receiver(now, to).due
 }
 
-// Report returns what to send to the receiver now. Follow it with Acked or
-// Failed.
+// Report returns the report to send to the receiver now. The caller must pass the
+// outcome to HandleAck or HandleFailure.
 func (r *Reporter) Report(now time.Time, to string) wire.AgentReport {
 	rc := r.receiver(now, to)
 	rc.sentAt = now
@@ -132,15 +130,15 @@
 	return r.delta(rc.acked)
 }
 
-// DepartureReport returns the report of the agent's end.
+// DepartureReport returns the departure notice that the agent sends when it stops.
 func (r *Reporter) DepartureReport() wire.AgentReport {
 	return wire.AgentReport{ID: r.state.ID, Incarnation: r.state.Incarnation, Goodbye: true}
 }
 
-// Forget drops a receiver that the agent no longer reports to.
+// Forget drops the state of a receiver that the agent no longer reports to.
 func (r *Reporter) Forget(to string) { delete(r.receivers, to) }
 
-// delta returns what changed after sequence base.
+// delta returns what changed after the sequence base.
 func (r *Reporter) delta(base uint64) wire.AgentReport {
 	out := wire.AgentReport{
 		ID:          r.state.ID,
@@ -177,7 +175,7 @@
 	}
 }
 
-// withJitter spreads a period by the configured share to both sides.
+// withJitter shortens or lengthens a period at random, by up to the configured share.
 func (r *Reporter) withJitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + r.cfg.Jitter*(2*r.random()-1)))
 }
--- a/membership/reporter_config.go
+++ b/membership/reporter_config.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Defaults of ReporterConfig.
+// Defaults of the zero fields of ReporterConfig.
 const (
 	DefaultCoalesce = 50 * time.Millisecond
 	DefaultJitter   = 0.2
 )
 
-// ReporterConfig holds a Reporter's settings; a zero field takes its default.
+// ReporterConfig configures a Reporter; a zero field takes its default.
 type ReporterConfig struct {
-	// Period is the period of reports without news.
+	// Period is the time between reports without changes.
 	Period time.Duration
-	// Coalesce is the least time between two reports to one receiver, so
-	// that changes that come together travel together.
+	// Coalesce is the shortest time between two reports to one receiver, so that
+	// changes that occur together are sent together.
 	Coalesce time.Duration
-	// Jitter is the share by which periods are shortened or lengthened at
-	// random, so that agents that started together don't report together.
+	// Jitter is the share by which periods are shortened or lengthened at random, so
+	// that agents that started together do not report together.
 	Jitter float64
 }
 
--- a/membership/reporter_receiver.go
+++ b/membership/reporter_receiver.go
@@ -7,9 +7,9 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// receiver is what a Reporter keeps of one receiver.
+// receiver is the state that a Reporter keeps of one receiver.
 type receiver struct {
-	acked    uint64 // sequence that the receiver has, 0 for none
+	acked    uint64 // sequence that the receiver has; 0: none
 	due      time.Time
 	sentAt   time.Time
 	failures int
@@ -25,9 +25,10 @@
 	return rc
 }
 
-// advanceDue brings the next report forward. Load alone waits for the period: it
-// changes with each request. Draining waits for nothing, not even for a
-// receiver that shed the last report: a late one costs callers.
+// advanceDue makes the next report due earlier because of a change. Load alone waits
+// for the period, since it changes with each request. Draining never waits, not even
+// for a receiver that refused the last report, because callers would be sent to the
+// agent until then.
 func (rc *receiver) advanceDue(now time.Time, groups wire.Changed, cfg ReporterConfig) {
 	if groups&wire.ChangedDraining != 0 {
 		rc.due = now
@@ -52,15 +53,15 @@
 	return b
 }
 
-// HandleAck takes the receiver's answer to the report with the sequence. Changes
+// HandleAck processes the receiver's answer to the report with the sequence. Changes
 // made since that report are due as soon as Coalesce allows.
 func (r *Reporter) HandleAck(now time.Time, to string, sequence uint64, ack *wire.ReportAck) {
 	rc := r.receiver(now, to)
 	rc.failures = 0
 	rc.refused = slices.Contains(ack.Refused, r.state.ID)
 	if rc.refused {
-		// Spread over half of the wait again: those that were shed in one
-		// moment may have got the same answer through an aggregator.
+		// Spread the retries over another half of the delay: agents that were refused
+		// at the same time may have received the same answer through a relay.
 		rc.acked = 0
 		rc.due = now.Add(ack.NextReport + time.Duration(r.random()*float64(ack.NextReport)/2))
 		return
@@ -78,9 +79,8 @@
 	r.trimEnded()
 }
 
-// HandleFailure notes that a report got no answer. The next one comes after a wait
-// that doubles up to Every, or drainingRetry for an agent that drains: behind a
-// longer wait a receiver that is back would offer it for as long.
+// HandleFailure records that a report was not answered. The next one follows after a
+// delay that doubles up to Period, or up to maxDrainingRetryDelay for a draining agent.
 func (r *Reporter) HandleFailure(now time.Time, to string) {
 	rc := r.receiver(now, to)
 	maxWait := r.cfg.Period
@@ -92,7 +92,8 @@
 	rc.due = now.Add(r.withJitter(wait))
 }
 
-// maxDrainingRetryDelay is the longest wait of a draining agent after a failed report.
+// maxDrainingRetryDelay is the longest delay of a draining agent after a failed report.
+// A receiver that is back would take the agent for schedulable until then.
 const maxDrainingRetryDelay = time.Second
 
 // changedSince returns the groups that changed after the sequence.
@@ -106,9 +107,9 @@
 	return groups
 }
 
-// trimEnded drops ended tasks that every receiver knows of. It notes up to where,
-// because a receiver without an acknowledged sequence does not count here and a
-// late acknowledgement may yet give it an early one.
+// trimEnded drops ended tasks that every receiver knows of. It keeps the sequence of
+// the last dropped one: receivers without an acknowledged sequence are not considered
+// here, and a late acknowledgement may still give one an earlier sequence.
 func (r *Reporter) trimEnded() {
 	minAcked := r.state.Sequence
 	for _, rc := range r.receivers {
@@ -123,7 +124,7 @@
 	r.dropEnded(firstKept)
 }
 
-// Failures returns how many reports in a row the receiver left unanswered.
+// Failures returns the number of consecutive reports that the receiver left unanswered.
 func (r *Reporter) Failures(to string) int {
 	if rc := r.receivers[to]; rc != nil {
 		return rc.failures
--- a/membership/reporter_test.go
+++ b/membership/reporter_test.go
@@ -40,9 +40,8 @@
 	c.Assert(r.Report(now, "x").Full, qt.IsTrue)
 }
 
-// Story: an entry sheds reports, and meanwhile the agent begins to drain. Load
-// and tasks wait as asked, but the news of draining does not: callers would
-// be sent to an agent that is leaving.
+// An agent that begins to drain must report at once, even to an entry that refuses
+// reports; otherwise callers are sent to an agent that is leaving.
 func TestDrainingDoesNotWait(t *testing.T) {
 	c := qt.New(t)
 	r := newReporter()
@@ -61,10 +60,9 @@
 	c.Assert(r.Report(startTime, "x").Draining, qt.IsTrue)
 }
 
-// Story: the planner still sees a task that ended long ago, and keeps its
-// accelerators booked. An entry had asked for a full report, then a late
-// acknowledgement of an early report came in, and the delta after it left out
-// tasks whose end the agent had already dropped. Found by the randomised run.
+// After a late acknowledgement of an early report, a delta would omit ended tasks that
+// the agent has already dropped, and the planner would keep their accelerators
+// reserved.
 func TestLateAcknowledgementNeedsFullReport(t *testing.T) {
 	c := qt.New(t)
 	r := newReporter()
--- a/membership/snapshot.go
+++ b/membership/snapshot.go
@@ -12,18 +12,18 @@
 	services map[string]*ServiceView
 }
 
-// ServiceView is the view of one service. Its slices are shared: don't change
-// them.
+// ServiceView is the view of one service. Its slices are shared and must not be
+// modified.
 type ServiceView struct {
 	Name string
-	// Members are all known ones by ID, draining ones included; the planner
-	// needs those for what they still run.
+	// Members are all known members sorted by ID. They include draining ones, whose
+	// running tasks the planner needs to know.
 	Members []*Member
-	// Schedulable are the members that may get new work, by ID.
+	// Schedulable are the members that may get new work, sorted by ID.
 	Schedulable []*Member
 }
 
-// Service returns the view of a service, empty if it has no members.
+// Service returns the view of a service, which is empty if it has no members.
 func (s *Snapshot) Service(name string) *ServiceView {
 	if v := s.services[name]; v != nil {
 		return v
@@ -31,7 +31,7 @@
 	return &ServiceView{Name: name}
 }
 
-// Services returns the names of services with members, sorted.
+// Services returns the names of the services with members, sorted.
 func (s *Snapshot) Services() []string {
 	return slices.Sorted(maps.Keys(s.services))
 }
@@ -47,7 +47,7 @@
 
 func compareID(m *Member, id string) int { return cmp.Compare(m.Report.ID, id) }
 
-// Snapshot returns the current view. Safe for concurrent use.
+// Snapshot returns the current view. It is safe for concurrent use.
 func (t *Table) Snapshot() *Snapshot { return t.snapshot.Load() }
 
 // publish replaces the snapshot's services that changed.
@@ -97,8 +97,8 @@
 	return view
 }
 
-// memberIn returns the member if it belongs to the service. r may be nil: the
-// record was dropped meanwhile.
+// memberIn returns the member if it belongs to the service. r may be nil if the record
+// was dropped.
 func (r *record) memberIn(service string) *Member {
 	if r == nil || r.member == nil || r.member.Report.Service != service {
 		return nil
@@ -106,7 +106,8 @@
 	return r.member
 }
 
-// schedulable shares the slice when nobody is draining, which is the usual case.
+// schedulable returns the schedulable members. It shares the slice if none is draining,
+// which is the usual case.
 func schedulable(members []*Member) []*Member {
 	for i, m := range members {
 		if m.Schedulable() {
--- a/membership/sweep.go
+++ b/membership/sweep.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// checkTimeouts lets silence show: alive to suspect to lost, and forgets what has been
-// gone for long.
+// checkTimeouts marks members without recent contact as suspected or lost, and deletes
+// records that have been gone for ForgetAfter.
 func (t *Table) checkTimeouts(now time.Time) {
 	var unresponsive []*record
 	for id, r := range t.records {
@@ -21,7 +21,7 @@
 			unresponsive = append(unresponsive, r)
 		}
 	}
-	// Map order is random; the same run must give the same actions.
+	// Map order is random, but equal inputs must give equal actions.
 	slices.SortFunc(unresponsive, func(a, b *record) int { return cmp.Compare(a.id, b.id) })
 	for _, r := range unresponsive {
 		t.markUnresponsive(now, r)
--- a/membership/table.go
+++ b/membership/table.go
@@ -7,17 +7,17 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// Table holds the members. One goroutine owns it and calls Step, Relay and
-// RelayFull; Snapshot is safe for concurrent use.
+// Table holds the members. Step, Relay, RelayFull and the other methods must be called
+// by one goroutine; only Snapshot is safe for concurrent use.
 type Table struct {
 	cfg           Config
 	records       map[string]*record
-	directMembers int // records with direct set and a member
+	directMembers int // members whose record has direct set
 	version       uint64
 	refused       uint64
 	admission     admissionLimiter
 	actions       []Action
-	dirty         map[string]map[string]bool // service to IDs whose member changed
+	dirty         map[string]map[string]bool // by service, the IDs whose member changed
 	publishNow    bool
 	lastPublish   time.Time
 	snapshot      atomic.Pointer[Snapshot]
@@ -36,7 +36,7 @@
 	return t
 }
 
-// Step takes one event and returns what changed. now must not go back.
+// Step processes one event and returns the resulting actions. now must not go back.
 func (t *Table) Step(now time.Time, ev Event) []Action {
 	t.actions = nil
 	t.version++
@@ -52,8 +52,8 @@
 	return t.actions
 }
 
-// handleReports asks the sender to keep the reporting period, unless a report was
-// shed: then the time to return is already among the actions.
+// handleReports tells the sender the reporting period, unless a report was refused:
+// then the actions already contain the time to return.
 func (t *Table) handleReports(now time.Time, ev Reports) {
 	refused := t.refused
 	for i := range ev.Batch {
@@ -64,14 +64,14 @@
 	}
 }
 
-// Refusals returns how many reports were shed so far.
+// Refusals returns the number of reports refused so far.
 func (t *Table) Refusals() uint64 { return t.refused }
 
-// Len returns the number of records, those of lost members included.
+// Len returns the number of records, including those of lost members.
 func (t *Table) Len() int { return len(t.records) }
 
-// reportPeriod is the reporting reportPeriod that keeps all direct members together below
-// ReportsPerSecond.
+// reportPeriod returns the reporting period that keeps all direct members together
+// below ReportsPerSecond.
 func (t *Table) reportPeriod() time.Duration {
 	needed := time.Duration(float64(t.directMembers) / t.cfg.ReportsPerSecond * float64(time.Second))
 	return max(t.cfg.ReportPeriod, needed)
@@ -79,8 +79,8 @@
 
 func (t *Table) emit(a Action) { t.actions = append(t.actions, a) }
 
-// setMember replaces a record's member and marks its service for the next snapshot.
-// It is the only place that changes member.
+// setMember replaces a record's member and marks its services for the next snapshot.
+// Nothing else changes the member.
 func (t *Table) setMember(r *record, m *Member) {
 	if r.member != nil {
 		t.markDirty(r.member.Report.Service, r.id)
@@ -118,7 +118,7 @@
 	ids[id] = true
 }
 
-// removeMember takes the member out; the record stays until ForgetAfter.
+// removeMember removes the member; the record remains until ForgetAfter.
 func (t *Table) removeMember(r *record, now time.Time) *Member {
 	m := r.member
 	t.setMember(r, nil)
@@ -127,10 +127,9 @@
 	return m
 }
 
-// handleDraining takes a member out of Offered, whatever else is known. It goes
-// the way of a report without content, so that it also counts for an agent that
-// becomes known only later, by a report that it overtook. Its age keeps it from
-// counting as a sign of life.
+// handleDraining makes a member unschedulable. It is processed like a report without
+// content, so that it also counts for an agent that becomes known only later, by a
+// report that it overtook. Its age keeps it from counting as contact.
 func (t *Table) handleDraining(now time.Time, d Draining) {
 	news := wire.AgentReport{
 		ID:          d.ID,
--- a/membership/table_relay.go
+++ b/membership/table_relay.go
@@ -8,14 +8,14 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// Cursor marks up to where a receiver of relays has been told. Use the zero
-// Cursor for a new receiver, and the one returned by Relay only once the
-// receiver has acknowledged.
+// Cursor is the table version up to which a receiver has been sent relayed reports. Use
+// the zero Cursor for a new receiver, and the one returned by Relay only after the
+// receiver has acknowledged the batch.
 type Cursor uint64
 
-// Relay returns what this table heard directly from agents since the cursor:
-// deltas for changes, entries without content for agents that were only heard
-// again, goodbyes. The receiver gives it to Step as Reports with Relayed set.
+// Relay returns the reports received directly from agents since the cursor: deltas for
+// changes, reports without content for agents that merely reported again, and departure
+// notices. The receiver passes them to Step as Reports with Relayed set.
 func (t *Table) Relay(now time.Time, since Cursor) ([]wire.AgentReport, Cursor) {
 	var batch []wire.AgentReport
 	for _, r := range t.records {
@@ -32,8 +32,7 @@
 	return batch, Cursor(t.version)
 }
 
-// RelayFull returns full reports of the members that a receiver of relays
-// named in NeedFull.
+// RelayFull returns full reports of the members that a receiver named in NeedFull.
 func (t *Table) RelayFull(now time.Time, ids []string) []wire.AgentReport {
 	var batch []wire.AgentReport
 	for _, id := range ids {
@@ -51,10 +50,10 @@
 	return out
 }
 
-// relayReport makes a delta of the groups that changed since the version. Its Base
-// is the latest sequence at which one of the groups left out has changed:
-// whoever knows the agent from there on lacks nothing. Task lists go in full
-// reports, because a delta of them would need to know what the receiver has.
+// relayReport returns a delta of the groups that changed since the version. Its Base is
+// the latest sequence at which one of the omitted groups changed: a receiver with that
+// sequence or a later one lacks nothing. Changed task lists are sent as full reports,
+// because a delta of them would depend on what the receiver has.
 func (r *record) relayReport(now time.Time, since uint64) wire.AgentReport {
 	var groups wire.Changed
 	base := uint64(0)
@@ -81,7 +80,7 @@
 	return out
 }
 
-// copyGroups copies the groups but for tasks and draining.
+// copyGroups copies the groups except tasks and draining.
 func copyGroups(to *wire.AgentReport, from wire.AgentReport, groups wire.Changed) {
 	if groups&wire.ChangedPlace != 0 {
 		copyPlace(to, from)
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -26,7 +26,7 @@
 	return ids
 }
 
-// actionNames lists the types of actions, but for Next.
+// actionNames lists the types of the actions except NextReport.
 func actionNames(actions []Action) []string {
 	out := []string{}
 	for _, a := range actions {
@@ -72,9 +72,8 @@
 	}
 }
 
-// Story: an agent drains and its news reaches the entry by an answer before
-// its first report, which was made earlier and is relayed late. The report must
-// not make the entry offer the agent. Only its next incarnation is offered.
+// Draining reaches the entry before the agent's first report, which was made earlier.
+// The report must not make the agent schedulable; only its next incarnation is.
 func TestDrainingOvertakesTheFirstReport(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(Config{})
@@ -86,9 +85,8 @@
 	c.Assert(schedulableIDs(table), qt.DeepEquals, []string{"a"})
 }
 
-// Story: more agents show up than memory was planned for. Records of agents
-// that are gone make room, longest gone first; then newcomers are refused, and
-// those that are known stay.
+// At MaxMembers, records of agents that are gone are dropped first, longest gone first;
+// then new agents are refused, and known ones stay.
 func TestMembersAreBounded(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(Config{MaxMembers: 2})
@@ -103,9 +101,8 @@
 	c.Assert(table.Len(), qt.Equals, 0)
 }
 
-// Story: an availability zone's 900 agents return in one moment. Admission
-// must stay within its pace, each agent must get in without asking often, and
-// all must be in soon after the pace allows.
+// 900 agents of an availability zone return at once. Admission must stay within its
+// rate, each agent must get in with few attempts, and all must be in soon.
 func TestZoneReturnsAtOnce(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(Config{JoinsPerSecond: 200, JoinBurst: 50})
@@ -136,8 +133,8 @@
 	c.Assert(tries <= 2*900, qt.IsTrue, qt.Commentf("%d tries", tries))
 }
 
-// Story: two entries tell each other what they heard. What one learned by
-// relay must not be sent back, and what is quiet costs entries without content.
+// Two entries relay to each other. What one learned by relay must not be sent back, and
+// an unchanged agent must be sent without content.
 func TestRelaySendsOnlyChanges(t *testing.T) {
 	c := qt.New(t)
 	a, b := NewTable(Config{}), NewTable(Config{})
