--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -23,30 +23,30 @@
 // one report per agent every 10 s.
 func BenchmarkIngest(b *testing.B) {
 	for _, n := range []int{1000, 17000} {
-		for _, news := range []wire.Changed{0, wire.ChangedLoad} {
-			b.Run(fmt.Sprintf("agents=%d/changed=%d", n, news), func(b *testing.B) {
-				benchmarkIngest(b, n, news)
+		for _, changed := range []wire.Changed{0, wire.ChangedLoad} {
+			b.Run(fmt.Sprintf("agents=%d/changed=%d", n, changed), func(b *testing.B) {
+				benchmarkIngest(b, n, changed)
 			})
 		}
 	}
 }
 
-func benchmarkIngest(b *testing.B, n int, news wire.Changed) {
+func benchmarkIngest(b *testing.B, n int, changed wire.Changed) {
 	table, agents := filledTable(n)
-	gap := 10 * time.Second / time.Duration(n)
+	interval := 10 * time.Second / time.Duration(n)
 	now, i := startTime, 0
 	b.ReportAllocs()
 	for b.Loop() {
 		for range 1000 {
 			r := &agents[i%n]
 			i++
-			now = now.Add(gap)
+			now = now.Add(interval)
 			sequence := r.Sequence
-			if news != 0 {
+			if changed != 0 {
 				r.Sequence++
 				sequence = r.Sequence - 1
 			}
-			table.Step(now, directReports(wire.AgentReport{ID: r.ID, Incarnation: 1, Sequence: r.Sequence, Base: sequence, Changed: news, Load: wire.Load{Queued: i}}))
+			table.Step(now, directReports(wire.AgentReport{ID: r.ID, Incarnation: 1, Sequence: r.Sequence, Base: sequence, Changed: changed, Load: wire.Load{Queued: i}}))
 		}
 	}
 }
--- a/membership/choose_relays.go
+++ b/membership/choose_relays.go
@@ -19,24 +19,24 @@
 // its own rack.
 func ChooseRelays(view *ServiceView, minAgents int) map[Rack]wire.RelayInfo {
 	type best struct {
-		hash  uint64
-		from  *Member
-		count int
+		hash   uint64
+		member *Member
+		count  int
 	}
 	racks := make(map[Rack]best)
 	for _, m := range view.Members {
 		rack := RackOf(&m.Report)
 		b := racks[rack]
 		b.count++
-		if h := relayHash(m); canRelay(m) && (b.from == nil || h > b.hash) {
-			b.hash, b.from = h, m
+		if h := relayHash(m); canRelay(m) && (b.member == nil || h > b.hash) {
+			b.hash, b.member = h, m
 		}
 		racks[rack] = b
 	}
 	relays := make(map[Rack]wire.RelayInfo, len(racks))
 	for rack, b := range racks {
-		if b.from != nil && b.count >= minAgents {
-			relays[rack] = RelayOf(&b.from.Report)
+		if b.member != nil && b.count >= minAgents {
+			relays[rack] = RelayOf(&b.member.Report)
 		}
 	}
 	return relays
--- a/membership/random_relays_test.go
+++ b/membership/random_relays_test.go
@@ -311,8 +311,8 @@
 		s.c.Assert(r != nil && s.now.Sub(r.lastContact) <= maxSilence, qt.IsTrue, qt.Commentf("%s was not heard by %s", a.id, e.addr))
 	}
 	if !a.drainingSince.IsZero() && s.now.Sub(laterOf(unhindered, a.drainingSince)) > maxDrainingShown {
-		offered := slices.Contains(schedulableIDs(e.table), a.id)
-		s.c.Assert(offered, qt.IsFalse, qt.Commentf("%s drains since %v and is offered by %s", a.id, s.now.Sub(a.drainingSince), e.addr))
+		schedulable := slices.Contains(schedulableIDs(e.table), a.id)
+		s.c.Assert(schedulable, qt.IsFalse, qt.Commentf("%s drains since %v and is offered by %s", a.id, s.now.Sub(a.drainingSince), e.addr))
 	}
 	if i == s.planner && !a.inGangSince.IsZero() && s.now.Sub(laterOf(laterOf(unhindered, a.inGangSince), s.planningSince)) > maxGangSilence {
 		sinceDirect := s.now.Sub(e.lastDirectReport[a.id])
--- a/membership/report_router_relay.go
+++ b/membership/report_router_relay.go
@@ -108,22 +108,22 @@
 // news reports whether the entries must be told at once. An agent that is not the relay
 // does not accept the report and names the relay if it knows one. A nil answer means
 // that the report was not accepted because its age is unknown.
-func (r *ReportRouter) HandleMemberReport(now time.Time, report *wire.Report) (ack *wire.ReportAck, news bool) {
+func (r *ReportRouter) HandleMemberReport(now time.Time, report *wire.Report) (ack *wire.ReportAck, urgent bool) {
 	if r.recentlyPaused(now) {
 		return nil, false
 	}
 	if len(report.Batch) != 1 || !r.isRelay(now) {
 		return r.setDigest(&wire.ReportAck{Relay: r.otherRelay()}, report.Known), false
 	}
-	ack, news = r.relayer.HandleReport(now, report.Batch[0])
-	if news {
+	ack, urgent = r.relayer.HandleReport(now, report.Batch[0])
+	if urgent {
 		for _, l := range r.entries {
 			l.memberNews = true
 		}
 	}
 	ack.Relay = r.self
 	ack.Entries = r.reachableEntries()
-	return r.setDigest(ack, report.Known), news
+	return r.setDigest(ack, report.Known), urgent
 }
 
 // otherRelay returns the relay that entries name in place of this agent.
--- a/membership/table.go
+++ b/membership/table.go
@@ -131,13 +131,13 @@
 // content, so that it also counts for an agent that becomes known only later, by a
 // report that it overtook. Its age keeps it from counting as contact.
 func (t *Table) handleDraining(now time.Time, d Draining) {
-	news := wire.AgentReport{
+	report := wire.AgentReport{
 		ID:          d.ID,
 		Incarnation: d.Incarnation,
 		Age:         t.cfg.LostAfter,
 		Draining:    true,
 	}
-	t.ingest(now, &news, true)
+	t.ingest(now, &report, true)
 }
 
 func (t *Table) markDraining(r *record) {
