--- a/membership/entry_link.go
+++ b/membership/entry_link.go
@@ -19,10 +19,10 @@
 	idleReported  bool // ConnectionIdle has returned true
 
 	// The last report, until it is answered.
-	sequence   uint64
-	batch      []wire.AgentReport
-	cursor     Cursor
-	memberNews bool // changes of members wait to be sent
+	sequence      uint64
+	batch         []wire.AgentReport
+	cursor        Cursor
+	urgentChanges bool // changes of members wait to be sent
 }
 
 // relayLink is the state that a ReportRouter keeps of its own relay.
--- a/membership/random_reports_test.go
+++ b/membership/random_reports_test.go
@@ -96,7 +96,7 @@
 	case k < 85:
 		s.deliverPacket()
 	case k < 93:
-		s.relay(table)
+		s.relayReports(table)
 	case k < 96:
 		s.apply(table, Tick{})
 	case k < 97:
@@ -169,7 +169,7 @@
 	}
 }
 
-func (s *reportSimulation) relay(from int) {
+func (s *reportSimulation) relayReports(from int) {
 	to := 1 - from
 	batch, cursor := s.tables[from].Relay(s.now, s.cursors[from])
 	s.network = append(s.network, packet{to, Reports{Batch: batch, Relayed: true}, func(now time.Time, actions []Action) {
--- a/membership/relayer.go
+++ b/membership/relayer.go
@@ -50,10 +50,10 @@
 	if seen, ok := r.newerIncarnations[report.ID]; ok && seen.Incarnation > report.Incarnation {
 		ack.Newer = append(ack.Newer, seen)
 	}
-	return ack, report.Full || slices.ContainsFunc(actions, isNews)
+	return ack, report.Full || slices.ContainsFunc(actions, isUrgent)
 }
 
-func isNews(a Action) bool {
+func isUrgent(a Action) bool {
 	switch a := a.(type) {
 	case Joined, Left:
 		return true
--- a/membership/report_router.go
+++ b/membership/report_router.go
@@ -151,7 +151,7 @@
 		return due
 	}
 	earliest := l.sentAt.Add(r.cfg.Coalesce)
-	if l.memberNews {
+	if l.urgentChanges {
 		return earliest
 	}
 	if at, ok := r.relayer.FullReportDue(addr); ok {
@@ -173,7 +173,7 @@
 	l := r.entries[addr]
 	report := r.reporter.Report(now, addr)
 	report.Stamp = r.timestamp
-	l.sentAt, l.sequence, l.memberNews = now, report.Sequence, false
+	l.sentAt, l.sequence, l.urgentChanges = now, report.Sequence, false
 	l.batch = nil
 	if r.hasMembers() {
 		l.batch, l.cursor = r.relayer.Batch(now, addr)
--- a/membership/report_router_relay.go
+++ b/membership/report_router_relay.go
@@ -118,7 +118,7 @@
 	ack, urgent = r.relayer.HandleReport(now, report.Batch[0])
 	if urgent {
 		for _, l := range r.entries {
-			l.memberNews = true
+			l.urgentChanges = true
 		}
 	}
 	ack.Relay = r.self
