--- a/membership/relayer.go
+++ b/membership/relayer.go
@@ -40,8 +40,8 @@
 }
 
 // HandleReport processes a member's report. It returns the answer, without the list of
-// entries, and whether the report has news that should not wait for the relay's next
-// report. A full report always counts as news: the member reported directly until now,
+// entries, and whether the entries must be told without waiting for the relay's next
+// report. That is always so for a full report: the member reported directly until now,
 // and the entries' last report of it may be a period old.
 func (r *Relayer) HandleReport(now time.Time, report wire.AgentReport) (*wire.ReportAck, bool) {
 	actions := r.table.Step(now, Reports{Batch: []wire.AgentReport{report}})
--- a/membership/report_router_relay.go
+++ b/membership/report_router_relay.go
@@ -105,9 +105,9 @@
 }
 
 // HandleMemberReport answers a report that another agent sent to this one as its relay.
-// news reports whether the entries must be told at once. An agent that is not the relay
-// does not accept the report and names the relay if it knows one. A nil answer means
-// that the report was not accepted because its age is unknown.
+// urgent reports whether the entries must be told at once. An agent that is not the
+// relay does not accept the report and names the relay if it knows one. A nil answer
+// means that the report was not accepted because its age is unknown.
 func (r *ReportRouter) HandleMemberReport(now time.Time, report *wire.Report) (ack *wire.ReportAck, urgent bool) {
 	if r.recentlyPaused(now) {
 		return nil, false
