--- a/lease/handover_test.go
+++ b/lease/handover_test.go
@@ -15,23 +15,23 @@
 func TestCandidateYields(t *testing.T) {
 	c := qt.New(t)
 	env := newTestEnv(t, standin.Options{})
-	hesitate := func(o *lease.CandidateOptions) { o.ClaimDelay = func() time.Duration { return time.Hour } }
+	withClaimDelay := func(o *lease.CandidateOptions) { o.ClaimDelay = func() time.Duration { return time.Hour } }
 	first, gained := env.startCandidate(t, 10*time.Minute)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(1))
-	_, other := env.startCandidate(t, 10*time.Minute, hesitate)
+	_, delayed := env.startCandidate(t, 10*time.Minute, withClaimDelay)
 	// This names an earlier leadership and is ignored.
 	first.Yield(0)
 	first.ObserveEpoch(4)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(5))
-	third, won := env.startCandidate(t, 10*time.Minute)
+	third, gainedByThird := env.startCandidate(t, 10*time.Minute)
 	first.Yield(5)
 	var held lease.Leadership
 	select {
-	case held = <-won:
+	case held = <-gainedByThird:
 		_, ok := third.Current()
 		c.Assert(ok, qt.IsTrue)
 	case held = <-gained:
-	case <-other:
+	case <-delayed:
 		c.Fatal("the hesitating candidate came first")
 	}
 	c.Assert(held.Epoch, qt.Equals, uint64(6))
@@ -45,12 +45,12 @@
 	env := newTestEnv(t, standin.Options{})
 	first, gained := env.startCandidate(t, 3*time.Second)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(1))
-	second, won := env.startCandidate(t, 10*time.Minute)
+	second, gainedBySecond := env.startCandidate(t, 10*time.Minute)
 	c.Assert(first.ForceTakeover(), qt.IsFalse, qt.Commentf("a holder has nobody to depose"))
 	for !second.ForceTakeover() {
 		time.Sleep(time.Millisecond) // it does not wait for a vacancy yet
 	}
-	c.Assert((<-won).Epoch, qt.Equals, uint64(2))
+	c.Assert((<-gainedBySecond).Epoch, qt.Equals, uint64(2))
 	for {
 		if _, held := first.Current(); !held {
 			break
