--- a/lease/session_lease.go
+++ b/lease/session_lease.go
@@ -36,7 +36,7 @@
 	session        *Session
 	id             store.LeaseID
 	key            string
-	claims         *watchCache
+	cache          *watchCache
 	lost           chan struct{} // closed when the lease is lost
 	writeRequested chan struct{}
 	aborted        chan error
@@ -55,7 +55,7 @@
 		session:        s,
 		id:             id,
 		key:            sessionKey(s.opts.Domain, strconv.FormatInt(int64(id), 16)),
-		claims:         newWatchCache(),
+		cache:          newWatchCache(),
 		lost:           make(chan struct{}),
 		writeRequested: make(chan struct{}, 1),
 		aborted:        make(chan error, 1),
@@ -270,8 +270,8 @@
 	for ctx.Err() == nil {
 		snap, err := store.List(ctx, prefix)
 		if err == nil {
-			l.claims.reset(snap)
-			_ = store.Watch(ctx, prefix, snap.At+1, l.claims.apply)
+			l.cache.reset(snap)
+			_ = store.Watch(ctx, prefix, snap.At+1, l.cache.apply)
 		}
 		sleepContext(ctx, minBackOff)
 	}
--- a/lease/shared_lease_store.go
+++ b/lease/shared_lease_store.go
@@ -43,7 +43,7 @@
 	}
 	o.claimRevision, o.claimPending = 0, false
 	for {
-		kv, ok, ready, changed := l.claims.get(o.holderKey, o.minRevision)
+		kv, ok, ready, changed := l.cache.get(o.holderKey, o.minRevision)
 		switch {
 		case ready && !ok:
 			return Vacant{}
@@ -103,7 +103,7 @@
 func (o *sharedLeaseStore) read(ctx context.Context, key string) (store.KeyValue, bool, error) {
 	shortCtx, cancel := context.WithTimeout(ctx, cacheTimeout)
 	defer cancel()
-	kv, ok, err := o.lease.claims.awaitKey(shortCtx, key, o.minRevision)
+	kv, ok, err := o.lease.cache.awaitKey(shortCtx, key, o.minRevision)
 	if err == nil {
 		return kv, ok, nil
 	}
@@ -115,7 +115,7 @@
 // refute it.
 func (o *sharedLeaseStore) verify(ctx context.Context, claim []byte, held bool) Event {
 	if held {
-		kv, ok, ready, _ := o.lease.claims.get(o.holderKey, o.claimRevision)
+		kv, ok, ready, _ := o.lease.cache.get(o.holderKey, o.claimRevision)
 		return Verified{Owned: !ready || ok && bytes.Equal(kv.Value, claim)}
 	}
 	if err := o.lease.awaitKeyWrite(ctx); err != nil {
--- a/membership/random_reports_test.go
+++ b/membership/random_reports_test.go
@@ -55,8 +55,8 @@
 func newReportSimulation(c *qt.C, seed uint64) *reportSimulation {
 	s := &reportSimulation{c: c, rng: rand.New(rand.NewPCG(seed, 1)), now: startTime, sentStates: map[reportVersion]wire.AgentReport{}}
 	for i := range s.tables {
-		every := time.Duration(i) * 10 * time.Second
-		s.tables[i] = NewTable(Config{ForgetAfter: 1000 * time.Hour, PublishInterval: every})
+		interval := time.Duration(i) * 10 * time.Second
+		s.tables[i] = NewTable(Config{ForgetAfter: 1000 * time.Hour, PublishInterval: interval})
 		s.lastShown[i] = map[string]reportVersion{}
 		s.drained[i] = map[string]uint64{}
 		s.left[i] = map[string]uint64{}
