--- a/lease/elector_test.go
+++ b/lease/elector_test.go
@@ -11,82 +11,82 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-var runs = flag.Int("lease.runs", 300, "randomised runs; run n has seed n")
+var runCount = flag.Int("lease.runs", 300, "randomised runs; run n has seed n")
 
-const steps = 5000
+const stepsPerRun = 5000
 
-// Two entries plan for the same region at once, or orders of the newer one are
-// refused because the older one drew a higher epoch: calls are slow, replies
-// and requests are lost or arrive late, and processes are paused anywhere.
+// Two processes lead at once, or the newer leader's orders are refused because the
+// older one has the higher epoch, when calls are slow, messages are lost or late, and
+// processes pause at any point.
 //
-// The choices come from a plain generator: they are weighted, which needs even
-// numbers, and rapid's lean to small ones.
+// The choices are weighted and need uniform numbers, so a plain generator is used:
+// rapid prefers small ones.
 func TestElectorRandom(t *testing.T) {
-	holdings := 0
-	for seed := range *runs {
-		w := newWorld(uint64(seed))
-		for range steps {
-			w.disturb()
-			if err := w.check(); err != "" {
+	leaderships := 0
+	for seed := range *runCount {
+		s := newSimulation(uint64(seed))
+		for range stepsPerRun {
+			s.randomStep()
+			if err := s.checkInvariants(); err != "" {
 				t.Fatalf("seed %d: %s", seed, err)
 			}
 		}
-		if err := w.settle(); err != "" {
+		if err := s.runUntilLed(); err != "" {
 			t.Fatalf("seed %d: %s", seed, err)
 		}
-		holdings += w.holdings
+		leaderships += s.leaderships
 	}
-	t.Logf("%d runs, %d holdings", *runs, holdings)
-	qt.Assert(t, holdings > 5**runs, qt.IsTrue)
+	t.Logf("%d runs, %d holdings", *runCount, leaderships)
+	qt.Assert(t, leaderships > 5**runCount, qt.IsTrue)
 }
 
-// renewing returns a candidate that holds the duty and is about to renew.
-func renewing(c *qt.C, m *model) *candidate {
-	a := &candidate{Elector: lease.NewElector(ttl), rate: 100}
-	a.step(0, lease.Start{})
-	for _, isRenew := a.act.(lease.Renew); !isRenew; _, isRenew = a.act.(lease.Renew) {
-		a.step(m.now, m.apply(a.act, a.sent))
+// candidateAboutToRenew returns a candidate that is the leader and is about to renew
+// its lease.
+func candidateAboutToRenew(c *qt.C, m *storeModel) *simCandidate {
+	candidate := &simCandidate{Elector: lease.NewElector(ttl), ratePercent: 100}
+	candidate.step(0, lease.Start{})
+	for _, isRenew := candidate.action.(lease.Renew); !isRenew; _, isRenew = candidate.action.(lease.Renew) {
+		candidate.step(m.now, m.apply(candidate.action, candidate.sent))
 	}
-	held, ok := a.valid(m.now)
+	held, ok := candidate.validLeadership(m.now)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(held.Epoch, qt.Equals, uint64(1))
-	return a
+	return candidate
 }
 
-// A holder sends its renewal, is paused longer than the TTL, and wakes with the
-// reply. Reckoned from the reply, its lease would look new, while another has
-// long taken over.
+// A leader that is paused for longer than the TTL during a renewal must not count its
+// lease from when it sees the reply: another candidate leads by then.
 func TestElectorPausedInRenewal(t *testing.T) {
 	c := qt.New(t)
-	m := &model{leases: make(map[store.LeaseID]time.Duration)}
-	a := renewing(c, m)
-	reply := m.apply(a.act, a.sent)
+	m := &storeModel{leases: make(map[store.LeaseID]time.Duration)}
+	candidate := candidateAboutToRenew(c, m)
+	reply := m.apply(candidate.action, candidate.sent)
 	m.now += ttl + time.Second
-	_, ok := a.valid(m.now)
+	_, ok := candidate.validLeadership(m.now)
 	c.Assert(ok, qt.IsFalse)
-	a.step(m.now, reply)
-	_, ok = a.Leadership()
+	candidate.step(m.now, reply)
+	_, ok = candidate.Leadership()
 	c.Assert(ok, qt.IsFalse)
-	c.Assert(a.act, qt.Equals, lease.Action(lease.Revoke{Lease: a.claimed}))
+	c.Assert(candidate.action, qt.Equals, lease.Action(lease.Revoke{Lease: candidate.claimLease}))
 }
 
-// The reply to a renewal takes 5 s, the next renewals fail, and the holder goes
-// on for 5 s after the store has given the duty to another.
+// A renewal whose reply takes 5 s must not extend the lease past the time at which the
+// store expires it.
 func TestElectorSlowRenewal(t *testing.T) {
 	c := qt.New(t)
-	m := &model{leases: make(map[store.LeaseID]time.Duration)}
-	a := renewing(c, m)
-	reply := m.apply(a.act, a.sent)
-	lapses := m.now + ttl
+	m := &storeModel{leases: make(map[store.LeaseID]time.Duration)}
+	candidate := candidateAboutToRenew(c, m)
+	reply := m.apply(candidate.action, candidate.sent)
+	expiresAt := m.now + ttl
 	m.now += 5 * time.Second
-	a.step(m.now, reply)
-	a.step(m.now, m.apply(a.act, a.sent))
-	held, ok := a.Leadership()
+	candidate.step(m.now, reply)
+	candidate.step(m.now, m.apply(candidate.action, candidate.sent))
+	held, ok := candidate.Leadership()
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(held.ValidUntil < lapses, qt.IsTrue, qt.Commentf("until %v, lapses %v", held.ValidUntil, lapses))
+	c.Assert(held.ValidUntil < expiresAt, qt.IsTrue, qt.Commentf("until %v, lapses %v", held.ValidUntil, expiresAt))
 }
 
-func TestFence(t *testing.T) {
+func TestFenceRefusesLowerEpoch(t *testing.T) {
 	c := qt.New(t)
 	var f lease.Fence
 	c.Assert(f.Admit(2), qt.IsNil)
--- /dev/null
+++ b/lease/handover_test.go
@@ -0,0 +1,62 @@
+package lease_test
+
+import (
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"github.com/eelgrasshub/eelgrasshub/lease"
+	"github.com/eelgrasshub/eelgrasshub/store/standin"
+)
+
+// A leader that yields must leave the election to other candidates instead of claiming
+// it again first.
+func TestCandidateYields(t *testing.T) {
+	c := qt.New(t)
+	env := newTestEnv(t, standin.Options{})
+	withClaimDelay := func(o *lease.CandidateOptions) { o.ClaimDelay = func() time.Duration { return time.Hour } }
+	first, gained := env.startCandidate(t, 10*time.Minute)
+	c.Assert((<-gained).Epoch, qt.Equals, uint64(1))
+	_, delayed := env.startCandidate(t, 10*time.Minute, withClaimDelay)
+	// This names an earlier leadership and is ignored.
+	first.Yield(0)
+	first.ObserveEpoch(4)
+	c.Assert((<-gained).Epoch, qt.Equals, uint64(5))
+	third, gainedByThird := env.startCandidate(t, 10*time.Minute)
+	first.Yield(5)
+	var held lease.Leadership
+	select {
+	case held = <-gainedByThird:
+		_, ok := third.Current()
+		c.Assert(ok, qt.IsTrue)
+	case held = <-gained:
+	case <-delayed:
+		c.Fatal("the hesitating candidate came first")
+	}
+	c.Assert(held.Epoch, qt.Equals, uint64(6))
+}
+
+// A candidate that believes the leader to be dead must take over under a higher epoch
+// without waiting for its lease to expire. The leader, which is alive, must find its
+// holder key gone at its next renewal.
+func TestForceTakeoverReplacesLeaderAtOnce(t *testing.T) {
+	c := qt.New(t)
+	env := newTestEnv(t, standin.Options{})
+	first, gained := env.startCandidate(t, 3*time.Second)
+	c.Assert((<-gained).Epoch, qt.Equals, uint64(1))
+	second, gainedBySecond := env.startCandidate(t, 10*time.Minute)
+	c.Assert(first.ForceTakeover(), qt.IsFalse, qt.Commentf("a holder has nobody to depose"))
+	for !second.ForceTakeover() {
+		time.Sleep(time.Millisecond) // it does not wait for a vacancy yet
+	}
+	c.Assert((<-gainedBySecond).Epoch, qt.Equals, uint64(2))
+	for {
+		if _, held := first.Current(); !held {
+			break
+		}
+		time.Sleep(time.Millisecond)
+	}
+	_, held := second.Current()
+	c.Check(held, qt.IsTrue)
+}
--- a/lease/record.go
+++ b/lease/record.go
@@ -3,29 +3,29 @@
 import "encoding/json"
 
 const (
-	keyPrefix     = "duty/"
-	sessionPrefix = "session/"
+	electionKeyPrefix = "duty/"
+	sessionKeyPrefix  = "session/"
 )
 
-// EpochKey returns the key that holds a duty's last epoch. Its revision is the same
-// for as long as nobody else has taken the duty, so a write on the condition of that
-// revision can't come from a holder that was replaced.
-func EpochKey(duty string) string { return epochKey(duty) }
+// EpochKey returns the key that holds an election's last epoch. Its revision changes
+// whenever another candidate takes over, so a write conditional on the revision can't
+// come from a leader that was replaced.
+func EpochKey(election string) string { return epochKey(election) }
 
-// ParseEpoch returns the epoch that the value of EpochKey holds.
+// ParseEpoch returns the epoch in a value of EpochKey.
 func ParseEpoch(value []byte) (uint64, error) {
 	var r record
 	err := json.Unmarshal(value, &r)
 	return r.Epoch, err
 }
 
-func holderKey(duty string) string           { return keyPrefix + duty + "/holder" }
-func epochKey(duty string) string            { return keyPrefix + duty + "/epoch" }
-func dutyPrefix(domain string) string        { return keyPrefix + domain + "/" }
-func sessionKey(domain, lease string) string { return sessionPrefix + domain + "/" + lease }
+func holderKey(election string) string       { return electionKeyPrefix + election + "/holder" }
+func epochKey(election string) string        { return electionKeyPrefix + election + "/epoch" }
+func electionPrefix(domain string) string    { return electionKeyPrefix + domain + "/" }
+func sessionKey(domain, lease string) string { return sessionKeyPrefix + domain + "/" + lease }
 
-// record is the value of all keys. Token makes each value unique, so that a
-// write whose reply was lost can be recognised.
+// record is the value of all keys. Token makes each value unique, so that a write whose
+// reply was lost can be recognized.
 type record struct {
 	Instance string `json:"instance"`
 	Token    string `json:"token"`
--- a/lease/session.go
+++ b/lease/session.go
@@ -11,22 +11,22 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// Session keeps one lease of the store for a whole process: for the Holders of
-// any number of duties, and for keys of the embedder's own. A Holder for itself
-// costs two calls for each third of its TTL; a Session costs as much however many
-// Holders it has. It is safe for concurrent use.
+// Session keeps one lease of the store for a whole process: for the Candidates of any
+// number of elections, and for keys of the caller's own. A Candidate with a lease of
+// its own makes two calls in each third of its TTL; a Session makes as many in total,
+// however many Candidates it has. It is safe for concurrent use.
 //
-// When the lease is lost (lapsed, revoked by another, or no longer in a restored
-// store), all Holders drop their duties and compete again under the next lease,
-// which the Session asks for by itself.
+// When the lease is lost (expired, revoked by another process, or missing in a restored
+// store), all Candidates end their leaderships and compete again under the next lease,
+// which the Session requests by itself.
 type Session struct {
-	opts  SessionOptions
-	swaps *store.Batcher
-	tomb  tomb.Tomb
+	opts    SessionOptions
+	batcher *store.Batcher
+	tomb    tomb.Tomb
 
 	mu      sync.Mutex
-	term    *term         // nil: no lease now
-	changed chan struct{} // closed and replaced when term changes
+	lease   *sessionLease // nil: no lease now
+	changed chan struct{} // closed and replaced when lease changes
 }
 
 // OpenSession starts a Session. Close ends it.
@@ -36,17 +36,17 @@
 	}
 	s := &Session{
 		opts:    opts,
-		swaps:   store.NewBatcher(opts.Store, 0),
+		batcher: store.NewBatcher(opts.Store, 0),
 		changed: make(chan struct{}),
 	}
 	s.tomb.Go(s.run)
 	return s
 }
 
-// Close gives the lease back, which deletes every key that is bound to it. The
-// Holders' duties are free at once; resign them first where work has to end
-// before. It returns when that is done, or with the context's error; the lease
-// then lapses by itself at worst.
+// Close revokes the lease, which deletes every key bound to it, so that other processes
+// can take over at once. If work has to end before that, resign the Candidates first.
+// It returns when the lease is revoked, or the context's error; the lease then expires
+// by itself at the latest.
 func (s *Session) Close(ctx context.Context) error {
 	s.tomb.Kill(nil)
 	select {
@@ -57,33 +57,33 @@
 	}
 }
 
-// Lease waits until there is a lease and returns it, with a channel that is closed
-// when it is lost. Keys of the embedder that are bound to it end with it.
+// Lease waits until there is a lease and returns it with a channel that is closed when
+// it is lost. The caller's keys that are bound to the lease are deleted with it.
 func (s *Session) Lease(ctx context.Context) (store.LeaseID, <-chan struct{}, error) {
-	t, err := s.current(ctx)
+	l, err := s.awaitLease(ctx)
 	if err != nil {
 		return 0, nil, err
 	}
-	return t.lease, t.lost, nil
+	return l.id, l.lost, nil
 }
 
-// Valid says whether the Session's lease certainly lives now, by its last
+// Valid reports whether the Session's lease is certainly valid now, judging by its last
 // renewal.
 func (s *Session) Valid() bool {
 	s.mu.Lock()
-	t := s.term
+	l := s.lease
 	s.mu.Unlock()
-	return t != nil && s.opts.Clock() < t.until()
+	return l != nil && s.opts.Clock() < l.validUntil()
 }
 
-// current waits for a term.
-func (s *Session) current(ctx context.Context) (*term, error) {
+// awaitLease waits until there is a lease.
+func (s *Session) awaitLease(ctx context.Context) (*sessionLease, error) {
 	for {
 		s.mu.Lock()
-		t, changed := s.term, s.changed
+		l, changed := s.lease, s.changed
 		s.mu.Unlock()
-		if t != nil {
-			return t, nil
+		if l != nil {
+			return l, nil
 		}
 		select {
 		case <-changed:
@@ -95,68 +95,69 @@
 	}
 }
 
-func (s *Session) set(t *term) {
+func (s *Session) setLease(l *sessionLease) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.term = t
+	s.lease = l
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// run has one term after the other.
+// run obtains a new lease whenever one is lost, until the Session is closed.
 func (s *Session) run() error {
-	defer s.swaps.Close()
+	defer s.batcher.Close()
 	ctx := s.tomb.Context(context.Background())
-	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval = pauseFirst
-	wait.MaxInterval = pauseMax
+	retryDelay := backoff.NewExponentialBackOff()
+	retryDelay.InitialInterval = minBackOff
+	retryDelay.MaxInterval = maxBackOff
 	for s.tomb.Alive() {
-		if s.serve(ctx) {
-			wait.Reset()
+		if s.runLease(ctx) {
+			retryDelay.Reset()
 		}
-		rest(ctx, wait.NextBackOff())
+		sleepContext(ctx, retryDelay.NextBackOff())
 	}
 	return nil
 }
 
-// serve is the life of one lease; false where none was had.
-func (s *Session) serve(ctx context.Context) bool {
-	t, err := s.begin(ctx)
+// runLease obtains a lease and keeps it until it is lost. It reports whether a lease
+// was obtained.
+func (s *Session) runLease(ctx context.Context) bool {
+	l, err := s.grantLease(ctx)
 	if err != nil {
 		return false
 	}
-	s.set(t)
+	s.setLease(l)
 	s.log("lease granted", nil)
-	err = t.run(ctx)
-	s.set(nil)
-	close(t.lost)
+	err = l.run(ctx)
+	s.setLease(nil)
+	close(l.lost)
 	s.log("lease lost", err)
-	s.revoke(t.lease)
+	s.revoke(l.id)
 	return true
 }
 
-func (s *Session) begin(ctx context.Context) (*term, error) {
+func (s *Session) grantLease(ctx context.Context) (*sessionLease, error) {
 	sent := s.opts.Clock()
 	id, err := s.opts.Store.Grant(ctx, s.opts.TTL)
 	if err != nil {
 		return nil, err
 	}
-	t := newTerm(s, id, sent)
-	if err := t.write(ctx); err != nil {
+	l := newSessionLease(s, id, sent)
+	if err := l.writeKey(ctx); err != nil {
 		s.revoke(id)
 		return nil, err
 	}
-	return t, nil
+	return l, nil
 }
 
-// revoke is not cut short by the Session's own end: other candidates wait for it.
+// revoke continues after the Session is closed, because other candidates wait for it.
 func (s *Session) revoke(id store.LeaseID) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.opts.TTL)
 	defer cancel()
-	_ = s.opts.Store.Revoke(ctx, id) // it lapses by itself otherwise
+	_ = s.opts.Store.Revoke(ctx, id) // on failure the lease expires by itself
 }
 
-func (s *Session) log(change string, err error) {
+func (s *Session) log(message string, err error) {
 	if s.opts.Log == nil {
 		return
 	}
@@ -164,11 +165,11 @@
 	if err != nil && s.tomb.Alive() {
 		log = log.WithError(err)
 	}
-	log.Info(change)
+	log.Info(message)
 }
 
-// rest waits for d or until ctx ends.
-func rest(ctx context.Context, d time.Duration) {
+// sleepContext waits for d or until ctx ends.
+func sleepContext(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/lease/session_test.go
+++ b/lease/session_test.go
@@ -17,182 +17,182 @@
 
 const domain = "auckland"
 
-// inSessions gives each candidate of a bench a Session. Tests don't run beside
-// each other.
-var inSessions = false
+// useSessions gives each candidate of a testEnv a Session. Tests do not run in
+// parallel.
+var useSessions = false
 
-// session opens a Session for a candidate and waits until it watches.
-func (b *bench) session(o lease.CandidateOptions) *lease.Session {
-	before := b.srv.Counters().Watch
+// openSession opens a Session for a candidate and waits until it watches.
+func (env *testEnv) openSession(o lease.CandidateOptions) *lease.Session {
+	watchesBefore := env.srv.Counters().Watch
 	s := lease.OpenSession(lease.SessionOptions{Store: o.Store, Domain: domain, Instance: o.Instance, TTL: o.TTL, Clock: o.Clock})
-	for b.srv.Faults() == (standin.Faults{}) && b.srv.Counters().Watch == before {
+	for env.srv.Faults() == (standin.Faults{}) && env.srv.Counters().Watch == watchesBefore {
 		time.Sleep(time.Millisecond)
 	}
 	return s
 }
 
-// Whatever a Holder with a lease of its own promises, one in a Session does too.
-func TestHolderInSession(t *testing.T) {
-	inSessions = true
-	defer func() { inSessions = false }()
-	t.Run("resigns", TestHolderResigns)
-	t.Run("lost replies", TestHolderLostReplies)
-	t.Run("suspended", TestHolderSuspended)
-	t.Run("observes", TestHolderObserves)
-	t.Run("under faults", TestHoldersUnderFaults)
-	t.Run("yields", TestHolderYields)
+// A Candidate in a Session must give the guarantees of one with a lease of its own.
+func TestCandidateInSession(t *testing.T) {
+	useSessions = true
+	defer func() { useSessions = false }()
+	t.Run("resigns", TestCandidateResigns)
+	t.Run("lost replies", TestCandidateRecognizesWritesAfterLostReplies)
+	t.Run("suspended", TestLeadershipExpiresDuringSuspension)
+	t.Run("observes", TestCandidateRaisesEpochAboveObserved)
+	t.Run("under faults", TestCandidatesUnderFaults)
+	t.Run("yields", TestCandidateYields)
 }
 
-// member is a Session with a Holder for each of some duties.
-type member struct {
-	session *lease.Session
-	holders []*lease.Candidate
-	gained  []chan lease.Leadership
-	// took is told of each holding that is valid when it is told.
-	took func(duty int, epoch uint64)
+// sessionProcess is a Session with a Candidate for each of several elections.
+type sessionProcess struct {
+	session    *lease.Session
+	candidates []*lease.Candidate
+	gained     []chan lease.Leadership
+	// onGain is called for each leadership that is still valid at the call.
+	onGain func(election int, epoch uint64)
 }
 
-func (b *bench) member(t *testing.T, ttl time.Duration, duties int, took ...func(duty int, epoch uint64)) *member {
-	store := store.NewClient(store.Options{Endpoints: []string{b.url}, CallTimeout: 200 * time.Millisecond, WatchIdle: b.watchIdle})
-	m := &member{session: b.session(lease.CandidateOptions{Store: store, TTL: ttl, Instance: t.Name()})}
-	if len(took) > 0 {
-		m.took = took[0]
+func (env *testEnv) startProcess(t *testing.T, ttl time.Duration, elections int, onGain ...func(election int, epoch uint64)) *sessionProcess {
+	store := store.NewClient(store.Options{Endpoints: []string{env.url}, CallTimeout: 200 * time.Millisecond, WatchIdle: env.watchIdle})
+	p := &sessionProcess{session: env.openSession(lease.CandidateOptions{Store: store, TTL: ttl, Instance: t.Name()})}
+	if len(onGain) > 0 {
+		p.onGain = onGain[0]
 	}
-	for i := range duties {
+	for i := range elections {
 		gained := make(chan lease.Leadership, 100)
-		m.gained = append(m.gained, gained)
-		m.holders = append(m.holders, lease.StartCandidate(lease.CandidateOptions{
-			Session: m.session, Election: fmt.Sprintf("%s/service-%02d", domain, i), Instance: t.Name(),
+		p.gained = append(p.gained, gained)
+		p.candidates = append(p.candidates, lease.StartCandidate(lease.CandidateOptions{
+			Session: p.session, Election: fmt.Sprintf("%s/service-%02d", domain, i), Instance: t.Name(),
 			OnChange: func(held lease.Leadership, ok bool) {
 				if !ok {
 					return
 				}
-				if m.took != nil && lease.BootTime() < held.ValidUntil {
-					m.took(i, held.Epoch)
+				if p.onGain != nil && lease.BootTime() < held.ValidUntil {
+					p.onGain(i, held.Epoch)
 				}
 				gained <- held
 			},
 		}))
 	}
 	t.Cleanup(func() {
-		for _, h := range m.holders {
-			_ = h.Resign(context.Background())
+		for _, candidate := range p.candidates {
+			_ = candidate.Resign(context.Background())
 		}
-		_ = m.session.Close(context.Background())
+		_ = p.session.Close(context.Background())
 		store.Close()
 	})
-	return m
+	return p
 }
 
-// A region has many duties and the store counts each call: what a process pays to
-// hold them must not grow with their number.
-func TestSessionCallsDoNotGrowWithDuties(t *testing.T) {
+// The number of store calls that a process makes to remain leader must not grow with
+// the number of its elections.
+func TestSessionCallsDoNotGrowWithElections(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, standin.Options{})
-	b.watchIdle = time.Hour // a watch that is replaced on a busy machine is a call
-	m := b.member(t, time.Second, 50)
-	for _, g := range m.gained {
+	env := newTestEnv(t, standin.Options{})
+	env.watchIdle = time.Hour // replacing an idle watch would count as a call
+	p := env.startProcess(t, time.Second, 50)
+	for _, g := range p.gained {
 		<-g
 	}
-	c.Logf("to gain 50 duties: %+v", b.srv.Counters())
-	before := b.srv.Counters()
-	for b.srv.Counters().KeepAlive < before.KeepAlive+6 {
+	c.Logf("to gain 50 duties: %+v", env.srv.Counters())
+	before := env.srv.Counters()
+	for env.srv.Counters().KeepAlive < before.KeepAlive+6 {
 		time.Sleep(time.Millisecond)
 	}
-	used := b.srv.Counters().Total() - before.Total()
+	used := env.srv.Counters().Total() - before.Total()
 	c.Check(used <= 6+6+2, qt.IsTrue, qt.Commentf("%d calls for 6 renewals", used))
-	for _, h := range m.holders {
-		_, ok := h.Current()
+	for _, candidate := range p.candidates {
+		_, ok := candidate.Current()
 		c.Check(ok, qt.IsTrue)
 	}
 }
 
-// The store is restored from a backup that has a process's lease and two of its
-// duties, but not the one claimed after it, and the process's watch has gone
-// silent. Renewals go on to succeed, while another may take the third duty: the
-// process must see by itself that its claims are not all there any more.
+// The store is restored from a backup that has the process's lease and two of its
+// holder keys but not the third, while the process's watch is frozen. Renewals still
+// succeed, so the process must detect by itself that a claim is missing.
 func TestSessionInRestoredStore(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, standin.Options{})
-	b.watchIdle = time.Hour
-	m := b.member(t, time.Second, 2)
-	first := []lease.Leadership{<-m.gained[0], <-m.gained[1]}
-	b.srv.SetFaults(standin.Faults{FreezeWatches: true})
-	b.srv.Snapshot()
-	late := m.late(t, c)
-	b.srv.Restore()
-	c.Assert((<-late).Epoch, qt.Equals, uint64(1)) // the backup knows no epoch of it
+	env := newTestEnv(t, standin.Options{})
+	env.watchIdle = time.Hour
+	p := env.startProcess(t, time.Second, 2)
+	first := []lease.Leadership{<-p.gained[0], <-p.gained[1]}
+	env.srv.SetFaults(standin.Faults{FreezeWatches: true})
+	env.srv.Snapshot()
+	late := p.addCandidate(t, c)
+	env.srv.Restore()
+	c.Assert((<-late).Epoch, qt.Equals, uint64(1)) // the backup has no epoch of this election
 	for i, held := range first {
-		c.Assert((<-m.gained[i]).Epoch > held.Epoch, qt.IsTrue)
+		c.Assert((<-p.gained[i]).Epoch > held.Epoch, qt.IsTrue)
 	}
 }
 
-// late adds a Holder that gains its duty now, and returns what it gains after.
-func (m *member) late(t *testing.T, c *qt.C) <-chan lease.Leadership {
+// addCandidate adds a Candidate that becomes leader at once, and returns a channel of
+// its later leaderships.
+func (p *sessionProcess) addCandidate(t *testing.T, c *qt.C) <-chan lease.Leadership {
 	gained := make(chan lease.Leadership, 100)
-	h := lease.StartCandidate(lease.CandidateOptions{Session: m.session, Election: domain + "/late", Instance: t.Name(), OnChange: func(held lease.Leadership, ok bool) {
+	candidate := lease.StartCandidate(lease.CandidateOptions{Session: p.session, Election: domain + "/late", Instance: t.Name(), OnChange: func(held lease.Leadership, ok bool) {
 		if ok {
 			gained <- held
 		}
 	}})
-	m.holders = append(m.holders, h)
+	p.candidates = append(p.candidates, candidate)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(1))
 	return gained
 }
 
-// An operator deletes the holder key of one of two duties. The holder must see it
-// although its lease lives, and must not lose the other duty.
-func TestSessionKeyDeleted(t *testing.T) {
+// An operator deletes the holder key of one of two elections. The process must notice
+// although its lease is valid, and must keep the other leadership.
+func TestSessionDetectsDeletedHolderKey(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, standin.Options{})
-	m := b.member(t, time.Second, 2)
-	<-m.gained[0]
-	<-m.gained[1]
-	operator := store.NewClient(store.Options{Endpoints: []string{b.url}})
+	env := newTestEnv(t, standin.Options{})
+	p := env.startProcess(t, time.Second, 2)
+	<-p.gained[0]
+	<-p.gained[1]
+	operator := store.NewClient(store.Options{Endpoints: []string{env.url}})
 	key := fmt.Sprintf("duty/%s/service-00/holder", domain)
 	kv, _, err := operator.Get(context.Background(), key)
 	c.Assert(err, qt.IsNil)
 	_, err = operator.Commit(context.Background(), []store.Swap{{Key: key, Expect: kv.Mod, Delete: true}})
 	c.Assert(err, qt.IsNil)
-	c.Assert((<-m.gained[0]).Epoch, qt.Equals, uint64(2))
-	held, ok := m.holders[1].Current()
+	c.Assert((<-p.gained[0]).Epoch, qt.Equals, uint64(2))
+	held, ok := p.candidates[1].Current()
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(held.Epoch, qt.Equals, uint64(1))
 }
 
-// Another process takes a holder for dead and revokes its lease. The holder loses
-// all duties at the next renewal, the other has them at once, and nothing is stuck.
+// Another process revokes the lease of a live leader. All its leaderships must end at
+// once, and all elections must get a leader again.
 func TestSessionRevokedByAnother(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, standin.Options{})
-	m := b.member(t, time.Second, 3)
-	for _, g := range m.gained {
+	env := newTestEnv(t, standin.Options{})
+	p := env.startProcess(t, time.Second, 3)
+	for _, g := range p.gained {
 		c.Assert((<-g).Epoch, qt.Equals, uint64(1))
 	}
-	id, lost, err := m.session.Lease(context.Background())
+	id, lost, err := p.session.Lease(context.Background())
 	c.Assert(err, qt.IsNil)
-	operator := store.NewClient(store.Options{Endpoints: []string{b.url}})
+	operator := store.NewClient(store.Options{Endpoints: []string{env.url}})
 	c.Assert(operator.Revoke(context.Background(), id), qt.IsNil)
 	<-lost
-	for _, g := range m.gained {
+	for _, g := range p.gained {
 		c.Assert((<-g).Epoch, qt.Equals, uint64(2))
 	}
 }
 
-// The creation of a holder key is held up on its way and takes effect long after
-// its Holder has given it up. Nobody holds the duty, but its key lives on with the
-// Session's lease: without a clean-up no process could ever take the duty.
-func TestSessionLateCreation(t *testing.T) {
+// The creation of a holder key takes effect long after its Candidate gave the claim up.
+// Nobody leads, but the key lives as long as the Session's lease and would block the
+// election forever if it were not removed.
+func TestSessionRemovesLateClaim(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, standin.Options{})
-	m := b.member(t, time.Second, 1)
-	<-m.gained[0]
-	other := b.member(t, time.Second, 1)
+	env := newTestEnv(t, standin.Options{})
+	p := env.startProcess(t, time.Second, 1)
+	<-p.gained[0]
+	other := env.startProcess(t, time.Second, 1)
 	id, _, err := other.session.Lease(context.Background())
 	c.Assert(err, qt.IsNil)
-	operator := store.NewClient(store.Options{Endpoints: []string{b.url}})
+	operator := store.NewClient(store.Options{Endpoints: []string{env.url}})
 	key := fmt.Sprintf("duty/%s/service-00/holder", domain)
-	c.Assert(m.holders[0].Resign(context.Background()), qt.IsNil)
+	c.Assert(p.candidates[0].Resign(context.Background()), qt.IsNil)
 	<-other.gained[0]
 	kv, _, err := operator.Get(context.Background(), key)
 	c.Assert(err, qt.IsNil)
@@ -201,39 +201,39 @@
 	c.Assert((<-other.gained[0]).Epoch, qt.Equals, uint64(3))
 }
 
-// Two processes compete for five duties, and the store has every fault: never two
-// valid holders of one duty, each holding with a higher epoch than those before,
-// and in the end each duty is held.
+// Two processes compete in five elections while the store has every kind of fault:
+// never may both lead one election, each leadership must have a higher epoch than those
+// before, and in the end each election must have a leader.
 func TestSessionsUnderFaults(t *testing.T) {
-	const seed, rounds, duties = 7, 60, 5
+	const seed, rounds, elections = 7, 60, 5
 	c := qt.New(t)
-	b := newBench(t, standin.Options{})
+	env := newTestEnv(t, standin.Options{})
 	var mu sync.Mutex
-	epochs := make([][]uint64, duties)
-	took := func(duty int, epoch uint64) {
+	epochs := make([][]uint64, elections)
+	onGain := func(election int, epoch uint64) {
 		mu.Lock()
 		defer mu.Unlock()
-		epochs[duty] = append(epochs[duty], epoch)
+		epochs[election] = append(epochs[election], epoch)
 	}
-	ms := []*member{b.member(t, time.Second, duties, took), b.member(t, time.Second, duties, took)}
+	processes := []*sessionProcess{env.startProcess(t, time.Second, elections, onGain), env.startProcess(t, time.Second, elections, onGain)}
 	rng := rand.New(rand.NewPCG(seed, 0))
 	for round := range rounds {
-		b.srv.SetFaults(randomFaults(rng))
+		env.srv.SetFaults(randomFaults(rng))
 		if round%20 == 10 {
-			b.srv.SetFaults(standin.Faults{Down: standin.DownHang})
+			env.srv.SetFaults(standin.Faults{Down: standin.DownHang})
 		}
 		for range 20 {
-			for i := range duties {
-				checkHolders(c, ms[0].holders[i], ms[1].holders[i])
+			for i := range elections {
+				checkSingleLeader(c, processes[0].candidates[i], processes[1].candidates[i])
 			}
 			time.Sleep(2 * time.Millisecond)
 		}
 	}
-	b.srv.SetFaults(standin.Faults{})
-	for i := range duties {
+	env.srv.SetFaults(standin.Faults{})
+	for i := range elections {
 		for held := false; !held; time.Sleep(time.Millisecond) {
-			_, first := ms[0].holders[i].Current()
-			_, second := ms[1].holders[i].Current()
+			_, first := processes[0].candidates[i].Current()
+			_, second := processes[1].candidates[i].Current()
 			held = first || second
 		}
 	}
--- a/lease/reclaim_test.go
+++ b/lease/stale_claim_test.go
@@ -12,12 +12,12 @@
 	"github.com/eelgrasshub/eelgrasshub/store/standin"
 )
 
-// The process that holds a duty is killed and started again at once. Without the claim
-// of its earlier life removed, nobody would hold the duty until that life's lease lapses.
-func TestRestartedHolderReclaimsItsDuty(t *testing.T) {
+// A process that is killed and restarted at once must remove the holder key of its
+// predecessor; otherwise nobody leads until that one's lease expires.
+func TestRestartedProcessRemovesStaleClaim(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(t, standin.Options{})
-	kv := store.NewClient(store.Options{Endpoints: []string{b.url}})
+	env := newTestEnv(t, standin.Options{})
+	kv := store.NewClient(store.Options{Endpoints: []string{env.url}})
 	defer kv.Close()
 	ctx := context.Background()
 	id, err := kv.Grant(ctx, time.Hour)
@@ -28,7 +28,7 @@
 	c.Assert(res[0].Swapped, qt.IsTrue)
 
 	gained := make(chan lease.Leadership, 1)
-	h := lease.StartCandidate(lease.CandidateOptions{
+	candidate := lease.StartCandidate(lease.CandidateOptions{
 		Store: kv, Election: "plan", Instance: "a", TTL: 2 * time.Second, RemoveStaleClaim: true,
 		OnChange: func(held lease.Leadership, ok bool) {
 			if ok {
@@ -38,5 +38,5 @@
 	})
 	held := <-gained
 	c.Check(held.Epoch, qt.Equals, uint64(1))
-	c.Check(h.Resign(ctx), qt.IsNil)
+	c.Check(candidate.Resign(ctx), qt.IsNil)
 }
--- a/membership/admit.go
+++ b/membership/admit.go
@@ -6,30 +6,30 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// admit makes a record for an agent that is not known. A goodbye or draining
-// makes one too, so that a report that it overtook can't undo it.
+// admit creates a record for an unknown agent, or returns nil. A departure notice or
+// draining creates one too, so that a report that it overtook can't undo it.
 //
-// An availability zone that returns at once sends hundreds of full reports in
-// a moment. Beyond the pace they are shed before anything is kept of them, and
-// the sender is told when to come back, later for each that was shed.
-func (t *Table) admit(now time.Time, in *wire.AgentReport, relayed bool) *record {
-	final := in.Goodbye || in.Draining
-	if !in.Full && !final {
-		t.emit(NeedFull{ID: in.ID})
+// An availability zone that returns at once sends hundreds of full reports in a moment.
+// Reports beyond the admission rate are refused before anything is stored, and each
+// refused sender is told a later time to try again than the one before.
+func (t *Table) admit(now time.Time, report *wire.AgentReport, relayed bool) *record {
+	terminal := report.Goodbye || report.Draining
+	if !report.Full && !terminal {
+		t.emit(NeedFull{ID: report.ID})
 		return nil
 	}
-	if !relayed && !final {
-		if ok, after := t.pace.take(now); !ok {
-			t.refuse(in.ID, after)
+	if !relayed && !terminal {
+		if ok, after := t.admission.admit(now); !ok {
+			t.refuse(report.ID, after)
 			return nil
 		}
 	}
-	if len(t.records) >= t.cfg.MaxMembers && !t.dropGone() {
-		t.refuse(in.ID, t.cfg.ReportPeriod)
+	if len(t.records) >= t.cfg.MaxMembers && !t.dropLongestGone() {
+		t.refuse(report.ID, t.cfg.ReportPeriod)
 		return nil
 	}
-	r := &record{id: in.ID, incarnation: in.Incarnation, gone: now}
-	t.records[in.ID] = r
+	r := &record{id: report.ID, incarnation: report.Incarnation, goneSince: now}
+	t.records[report.ID] = r
 	return r
 }
 
@@ -39,11 +39,12 @@
 	t.emit(NextReport{After: after})
 }
 
-// dropGone forgets the record whose member has been gone for longest.
-func (t *Table) dropGone() bool {
+// dropLongestGone deletes the record whose member has been gone for longest. It reports
+// whether there was one.
+func (t *Table) dropLongestGone() bool {
 	var oldest *record
 	for _, r := range t.records {
-		if r.member == nil && (oldest == nil || older(r, oldest)) {
+		if r.member == nil && (oldest == nil || goneEarlier(r, oldest)) {
 			oldest = r
 		}
 	}
@@ -54,9 +55,9 @@
 	return true
 }
 
-func older(a, b *record) bool {
-	if !a.gone.Equal(b.gone) {
-		return a.gone.Before(b.gone)
+func goneEarlier(a, b *record) bool {
+	if !a.goneSince.Equal(b.goneSince) {
+		return a.goneSince.Before(b.goneSince)
 	}
 	return a.id < b.id
 }
--- a/membership/apply.go
+++ b/membership/apply.go
@@ -7,8 +7,8 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// apply returns the full report that results from a report, and which groups
-// really changed. A full report replaces base; a delta replaces its groups.
+// apply returns the full report that results from a report, and the groups that it
+// sets. A full report replaces base; a delta replaces its groups.
 func apply(base, r wire.AgentReport) (wire.AgentReport, wire.Changed) {
 	next := base
 	groups := r.Changed
@@ -17,10 +17,10 @@
 		next.Tasks = nil
 	}
 	if groups&wire.ChangedPlace != 0 {
-		setPlace(&next, r)
+		copyPlace(&next, r)
 	}
 	if groups&wire.ChangedSize != 0 {
-		setSize(&next, r)
+		copySize(&next, r)
 	}
 	if groups&wire.ChangedDraining != 0 {
 		next.Draining = base.Draining || r.Draining
@@ -42,7 +42,7 @@
 	return next, groups
 }
 
-func setPlace(to *wire.AgentReport, r wire.AgentReport) {
+func copyPlace(to *wire.AgentReport, r wire.AgentReport) {
 	to.Service = r.Service
 	to.Region = r.Region
 	to.Zone = r.Zone
@@ -51,7 +51,7 @@
 	to.Relays = r.Relays
 }
 
-func setSize(to *wire.AgentReport, r wire.AgentReport) {
+func copySize(to *wire.AgentReport, r wire.AgentReport) {
 	to.Accelerators = r.Accelerators
 	to.Slots = r.Slots
 	to.Connections = r.Connections
@@ -59,8 +59,8 @@
 	to.MemoryMB = r.MemoryMB
 }
 
-// mergeTasks returns old without the ended tasks, with r's tasks put in. old
-// stays as it is, for it is part of a snapshot.
+// mergeTasks returns old without r's ended tasks and with r's tasks put in. It does not
+// modify old, which is part of a snapshot.
 func mergeTasks(old []gang.Task, r wire.AgentReport) []gang.Task {
 	replaced := make(map[gang.ID]bool, len(r.Tasks)+len(r.Ended))
 	for _, t := range r.Tasks {
--- a/membership/diff.go
+++ b/membership/diff.go
@@ -10,29 +10,29 @@
 // diff returns the groups in which two full reports differ.
 func diff(a, b wire.AgentReport) wire.Changed {
 	var groups wire.Changed
-	add := func(same bool, group wire.Changed) {
-		if !same {
+	addUnlessEqual := func(equal bool, group wire.Changed) {
+		if !equal {
 			groups |= group
 		}
 	}
-	add(place(a) == place(b), wire.ChangedPlace)
-	add(size(a) == size(b), wire.ChangedSize)
-	add(a.Draining == b.Draining, wire.ChangedDraining)
-	add(a.Load == b.Load, wire.ChangedLoad)
-	add(a.Fence == b.Fence && sameTasks(a.Tasks, b.Tasks), wire.ChangedTasks)
-	add(slices.Equal(a.Generations, b.Generations), wire.ChangedGenerations)
+	addUnlessEqual(placeOf(a) == placeOf(b), wire.ChangedPlace)
+	addUnlessEqual(sizeOf(a) == sizeOf(b), wire.ChangedSize)
+	addUnlessEqual(a.Draining == b.Draining, wire.ChangedDraining)
+	addUnlessEqual(a.Load == b.Load, wire.ChangedLoad)
+	addUnlessEqual(a.Fence == b.Fence && sameTasks(a.Tasks, b.Tasks), wire.ChangedTasks)
+	addUnlessEqual(slices.Equal(a.Generations, b.Generations), wire.ChangedGenerations)
 	return groups
 }
 
-func place(r wire.AgentReport) [5]string {
+func placeOf(r wire.AgentReport) [5]string {
 	return [5]string{r.Service, r.Region, r.Zone, r.Rack, r.Address}
 }
 
-func size(r wire.AgentReport) [5]int {
+func sizeOf(r wire.AgentReport) [5]int {
 	return [5]int{r.Accelerators, r.Slots, r.Connections, r.Cores, r.MemoryMB}
 }
 
-// sameTasks compares without regard to order.
+// sameTasks compares task lists without regard to order.
 func sameTasks(a, b []gang.Task) bool {
 	if len(a) != len(b) {
 		return false
--- a/membership/ingest.go
+++ b/membership/ingest.go
@@ -6,125 +6,125 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// ingest takes one report, in whatever order reports come.
-func (t *Table) ingest(now time.Time, in *wire.AgentReport, relayed bool) {
-	age := max(in.Age, 0)
-	if age > t.cfg.LostAfter && !in.Goodbye {
+// ingest processes one report. Reports may arrive in any order.
+func (t *Table) ingest(now time.Time, report *wire.AgentReport, relayed bool) {
+	age := max(report.Age, 0)
+	if age > t.cfg.LostAfter && !report.Goodbye {
 		return
 	}
-	r := t.records[in.ID]
+	r := t.records[report.ID]
 	if r == nil {
-		r = t.admit(now, in, relayed)
+		r = t.admit(now, report, relayed)
 	}
 	if r == nil {
 		return
 	}
-	if in.Incarnation < r.incarnation {
+	if report.Incarnation < r.incarnation {
 		if !relayed {
 			t.emit(Newer{ID: r.id, Incarnation: r.incarnation})
 		}
 		return
 	}
-	if in.Incarnation > r.incarnation {
-		t.supersede(now, r, in.Incarnation)
+	if report.Incarnation > r.incarnation {
+		t.supersede(now, r, report.Incarnation)
 	}
-	t.update(now, r, in, relayed, now.Add(-age))
+	t.update(now, r, report, relayed, now.Add(-age))
 }
 
-// supersede ends the older incarnation: its process is gone for certain.
+// supersede ends the older incarnation, whose process has certainly ended.
 func (t *Table) supersede(now time.Time, r *record, incarnation uint64) {
 	if r.member != nil {
-		t.emit(Lost{Member: t.remove(r, now)})
+		t.emit(Lost{Member: t.removeMember(r, now)})
 	}
-	r.restart(incarnation, now)
+	r.reset(incarnation, now)
 }
 
-// update takes a report of the record's own incarnation.
-func (t *Table) update(now time.Time, r *record, in *wire.AgentReport, relayed bool, heard time.Time) {
+// update processes a report of the record's current incarnation.
+func (t *Table) update(now time.Time, r *record, report *wire.AgentReport, relayed bool, contact time.Time) {
 	if r.left {
 		return
 	}
-	if in.Goodbye {
-		t.leave(now, r)
+	if report.Goodbye {
+		t.markLeft(now, r)
 		return
 	}
-	// Draining counts even when the report is late or can't be applied: it
-	// is final within an incarnation, and waiting for a full report would
-	// offer the member meanwhile.
-	if in.Draining {
-		t.drain(r)
-	}
-	// Who heard the agent last relays it. An agent that moved to another
-	// entry is heard there directly and here by relay, with a later time.
-	if heard.After(r.heard) {
-		r.heard = heard
-		r.lifeVersion = t.version
+	// Draining counts even if the report is late or can't be applied: it is final
+	// within an incarnation, and waiting for a full report would leave the member
+	// schedulable until then.
+	if report.Draining {
+		t.markDraining(r)
+	}
+	// The entry with the latest contact relays the agent. An agent that moved to
+	// another entry is reported directly there and relayed here, with a later time.
+	if contact.After(r.lastContact) {
+		r.lastContact = contact
+		r.livenessVersion = t.version
 		t.setDirect(r, !relayed)
 	}
-	t.merge(r, in, relayed)
-	t.recover(now, r)
+	t.merge(r, report, relayed)
+	t.clearSuspicion(now, r)
 }
 
-// merge applies the report's content when it is newer and complete. Sequences
-// begin at 1; a report without one has no content.
-func (t *Table) merge(r *record, in *wire.AgentReport, relayed bool) {
-	back := r.member == nil
-	if in.Sequence == 0 || in.Sequence < r.sequence || (in.Sequence == r.sequence && !back) {
+// merge applies the report's content if it is newer and complete. Sequences begin at 1;
+// a report with sequence 0 has no content.
+func (t *Table) merge(r *record, report *wire.AgentReport, relayed bool) {
+	joining := r.member == nil
+	if report.Sequence == 0 || report.Sequence < r.sequence || (report.Sequence == r.sequence && !joining) {
 		return
 	}
-	if !in.Full && (back || in.Base > r.sequence) {
+	if !report.Full && (joining || report.Base > r.sequence) {
 		t.emit(NeedFull{ID: r.id})
 		return
 	}
 	base := wire.AgentReport{}
 	state := Alive
-	if !back {
+	if !joining {
 		base = r.member.Report
 		state = r.member.State
 	}
-	next, groups := apply(base, *in)
+	next, groups := apply(base, *report)
 	next.Draining = r.draining
-	r.sequence = in.Sequence
-	r.touch(groups, t.version)
+	r.sequence = report.Sequence
+	r.markChanged(groups, t.version)
 	m := &Member{Report: next, State: state}
-	t.announce(r, m, groups, back)
+	t.updateMember(r, m, groups, joining)
 }
 
-func (t *Table) announce(r *record, m *Member, groups wire.Changed, back bool) {
-	if back {
-		t.set(r, m)
-		t.urgent = true
+func (t *Table) updateMember(r *record, m *Member, groups wire.Changed, joining bool) {
+	if joining {
+		t.setMember(r, m)
+		t.publishNow = true
 		t.emit(Joined{Member: m})
 		return
 	}
 	if groups == 0 {
-		// Only the sequence moved: nothing that a reader could act on. The
-		// record's sequence rules the order, so the member may lag.
+		// Only the sequence changed, which readers don't act on. The member's may lag,
+		// because reports are ordered by the record's sequence.
 		return
 	}
 	if m.Report.Service != r.member.Report.Service {
-		t.urgent = true
+		t.publishNow = true
 	}
-	t.set(r, m)
+	t.setMember(r, m)
 	t.emit(Changed{Member: m, Groups: groups})
 }
 
-// recover ends suspicion when the member was heard recently enough.
-func (t *Table) recover(now time.Time, r *record) {
-	if r.member == nil || r.member.State == Alive || now.Sub(r.heard) > t.cfg.SuspectAfter {
+// clearSuspicion ends the suspicion if the last contact was recent enough.
+func (t *Table) clearSuspicion(now time.Time, r *record) {
+	if r.member == nil || r.member.State == Alive || now.Sub(r.lastContact) > t.cfg.SuspectAfter {
 		return
 	}
 	m := r.member.with(func(m *Member) { m.State = Alive })
-	t.set(r, m)
+	t.setMember(r, m)
 	t.emit(Recovered{Member: m})
 }
 
-func (t *Table) leave(now time.Time, r *record) {
+func (t *Table) markLeft(now time.Time, r *record) {
 	r.left = true
-	r.lifeVersion = t.version
+	r.livenessVersion = t.version
 	if r.member == nil {
-		r.gone = now
+		r.goneSince = now
 		return
 	}
-	t.emit(Left{Member: t.remove(r, now)})
+	t.emit(Left{Member: t.removeMember(r, now)})
 }
--- /dev/null
+++ b/membership/random_relays_test.go
@@ -0,0 +1,424 @@
+package membership
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	qt "github.com/frankban/quicktest"
+
+	"github.com/eelgrasshub/eelgrasshub/gang"
+	"github.com/eelgrasshub/eelgrasshub/wire"
+)
+
+const (
+	relayAgents    = 5
+	relayEntries   = 2
+	maxOneWayDelay = 200 * time.Millisecond
+	pollInterval   = 50 * time.Millisecond
+	callTimeout    = time.Second
+	// Bounds that hold where nothing hinders the agent and the entry themselves.
+	maxSilence       = 17 * time.Second
+	maxDrainingShown = 3 * time.Second
+	maxGangSilence   = 2500 * time.Millisecond
+)
+
+// rackAgent is an agent of the rack: a ReportRouter and its network calls.
+type rackAgent struct {
+	node
+	id            string
+	state         wire.AgentReport
+	router        *ReportRouter
+	callPending   map[string]bool
+	lastRan       time.Time // last moment in which it ran
+	incarnation   uint64
+	drainingSince time.Time
+	inGangSince   time.Time
+}
+
+// rackEntry is an entry: a table and its choice of relays.
+type rackEntry struct {
+	node
+	addr             string
+	table            *Table
+	relays           map[Rack]wire.RelayInfo
+	lastDirectReport map[string]time.Time // by agent
+}
+
+// node is a process that can be down or frozen.
+type node struct {
+	up           bool
+	generation   int
+	runningSince time.Time // without interruption
+	frozenUntil  time.Time
+}
+
+type scheduledCall struct {
+	at         time.Time
+	seq        int
+	node       *node
+	generation int
+	run        func()
+}
+
+// relaySimulation has the agents of a rack, one of which relays for the others, and the
+// entries, on a network that delays and loses packets and cuts connections.
+type relaySimulation struct {
+	c              *qt.C
+	rng            *rand.Rand
+	now            time.Time
+	agents         []*rackAgent
+	entries        []*rackEntry
+	queue          []scheduledCall
+	seq            int
+	lossyUntil     time.Time
+	cutUntil       map[string]time.Time
+	planner        int
+	planningSince  time.Time
+	reports        *reportSimulation // sent states and order, as in TestRandomReports
+	relayedReports int
+}
+
+func newRelaySimulation(c *qt.C, seed uint64) *relaySimulation {
+	s := &relaySimulation{c: c, rng: rand.New(rand.NewPCG(seed, 2)), now: startTime, cutUntil: map[string]time.Time{}, planningSince: startTime, lossyUntil: startTime}
+	s.reports = &reportSimulation{c: c, sentStates: map[reportVersion]wire.AgentReport{}}
+	for i := range relayEntries {
+		e := &rackEntry{addr: fmt.Sprint("entry-", i)}
+		s.entries = append(s.entries, e)
+		s.startEntry(i)
+	}
+	for i := range relayAgents {
+		a := &rackAgent{id: fmt.Sprint("agent-", i)}
+		s.agents = append(s.agents, a)
+		s.startAgent(a)
+	}
+	return s
+}
+
+func (n *node) start(now time.Time) {
+	n.up, n.generation, n.runningSince, n.frozenUntil = true, n.generation+1, now, time.Time{}
+}
+
+func (s *relaySimulation) startEntry(i int) {
+	e := s.entries[i]
+	e.start(s.now)
+	e.table = NewTable(Config{ForgetAfter: 1000 * time.Hour})
+	e.relays, e.lastDirectReport = nil, map[string]time.Time{}
+	s.reports.tables[i] = e.table
+	s.reports.lastShown[i] = map[string]reportVersion{}
+	s.reports.drained[i] = map[string]uint64{}
+	s.reports.left[i] = map[string]uint64{}
+}
+
+func (s *relaySimulation) startAgent(a *rackAgent) {
+	a.start(s.now)
+	a.incarnation++
+	a.lastRan, a.drainingSince, a.inGangSince = s.now, time.Time{}, time.Time{}
+	a.state = fullReport(a.id, a.incarnation, 0)
+	a.state.Rack, a.state.Address, a.state.Relays = "rack", a.id, true
+	a.callPending = map[string]bool{}
+	cfg := ReportRouterConfig{GangReportPeriod: time.Second, MaxEntries: 16}
+	a.router = NewReportRouter(cfg, a.state, s.rng.Float64)
+	for _, e := range s.entries {
+		a.router.AddEntry(e.addr)
+	}
+	s.recordState(a)
+}
+
+func (s *relaySimulation) recordState(a *rackAgent) {
+	state := a.router.reporter.state
+	s.reports.sentStates[reportVersion{state.ID, state.Incarnation, state.Sequence}] = state
+}
+
+// schedule runs f on the node later: after it thaws, and only in its current
+// generation.
+func (s *relaySimulation) schedule(after time.Duration, n *node, f func()) {
+	s.seq++
+	s.queue = append(s.queue, scheduledCall{s.now.Add(after), s.seq, n, n.generation, f})
+}
+
+func (s *relaySimulation) runUntil(until time.Time) {
+	for len(s.queue) > 0 {
+		i := 0
+		for k, p := range s.queue {
+			if p.at.Before(s.queue[i].at) || (p.at.Equal(s.queue[i].at) && p.seq < s.queue[i].seq) {
+				i = k
+			}
+		}
+		p := s.queue[i]
+		if p.at.After(until) {
+			break
+		}
+		s.queue = slices.Delete(s.queue, i, i+1)
+		s.now = p.at
+		switch {
+		case !p.node.up || p.node.generation != p.generation:
+		case p.node.frozenUntil.After(s.now):
+			p.at = p.node.frozenUntil
+			s.queue = append(s.queue, p)
+		default:
+			p.run()
+		}
+	}
+	s.now = until
+}
+
+func (s *relaySimulation) isLost(a, b string) bool {
+	return s.cutUntil[min(a, b)+max(a, b)].After(s.now) || (s.lossyUntil.After(s.now) && s.rng.IntN(3) == 0)
+}
+
+func (s *relaySimulation) delay() time.Duration {
+	return time.Duration(s.rng.Int64N(int64(maxOneWayDelay)))
+}
+
+// call makes one exchange; done gets nil if no answer arrives in time.
+func (s *relaySimulation) call(from *rackAgent, to *node, name string, serve func() *wire.ReportAck, done func(*wire.ReportAck)) {
+	finished := false
+	finish := func(ack *wire.ReportAck) func() {
+		return func() {
+			if !finished {
+				finished = true
+				done(ack)
+			}
+		}
+	}
+	s.schedule(callTimeout, &from.node, finish(nil))
+	if s.isLost(from.id, name) {
+		return
+	}
+	s.schedule(s.delay(), to, func() {
+		ack := serve()
+		if !s.isLost(from.id, name) {
+			s.schedule(s.delay(), &from.node, finish(ack))
+		}
+	})
+}
+
+func (s *relaySimulation) pollAgent(a *rackAgent) {
+	if !a.up || a.frozenUntil.After(s.now) {
+		return
+	}
+	a.lastRan = s.now
+	for i, e := range s.entries {
+		if !a.callPending[e.addr] && !a.router.Due(s.now, e.addr).After(s.now) {
+			s.report(a, i)
+		}
+	}
+	if due, ok := a.router.RelayDue(s.now); ok && !due.After(s.now) && !a.callPending["relay"] {
+		s.reportToRelay(a)
+	}
+}
+
+func (s *relaySimulation) report(a *rackAgent, i int) {
+	e := s.entries[i]
+	a.callPending[e.addr] = true
+	msg := a.router.Report(s.now, e.addr)
+	s.call(a, &e.node, e.addr, func() *wire.ReportAck { return s.handleReport(i, a, msg) }, func(ack *wire.ReportAck) {
+		a.callPending[e.addr] = false
+		if ack == nil {
+			a.router.HandleFailure(s.now, e.addr)
+			return
+		}
+		if ack.Stamp.Epoch != 0 {
+			a.router.SetTimestamp(ack.Stamp)
+		}
+		a.router.HandleAck(s.now, e.addr, ack)
+	})
+}
+
+func (s *relaySimulation) reportToRelay(a *rackAgent) {
+	relay, _ := a.router.Relay()
+	to := s.agents[slices.IndexFunc(s.agents, func(b *rackAgent) bool { return b.id == relay.ID })]
+	a.callPending["relay"] = true
+	msg := a.router.ReportToRelay(s.now)
+	serve := func() *wire.ReportAck {
+		ack, _ := to.router.HandleMemberReport(s.now, msg)
+		return ack
+	}
+	s.call(a, &to.node, to.id, serve, func(ack *wire.ReportAck) {
+		a.callPending["relay"] = false
+		if ack == nil {
+			a.router.HandleRelayFailure(s.now, relay)
+			return
+		}
+		a.router.HandleRelayAck(s.now, relay, ack)
+	})
+}
+
+// handleReport processes a report at an entry.
+func (s *relaySimulation) handleReport(i int, from *rackAgent, msg *wire.Report) *wire.ReportAck {
+	e := s.entries[i]
+	s.reports.now = s.now
+	actions := s.reports.apply(i, Reports{Batch: msg.Batch})
+	ack := &wire.ReportAck{}
+	FillAck(ack, actions)
+	for _, r := range msg.Batch {
+		s.checkNoEvidence(from, r)
+	}
+	e.lastDirectReport[from.id] = s.now
+	s.relayedReports += len(msg.Batch) - 1
+	ack.Relay = e.relays[Rack{Zone: "wharf", Name: "rack"}]
+	ack.Digest = xxhash.Sum64String(fmt.Sprint(ack.Relay))
+	if i == s.planner {
+		ack.Stamp = gang.NewPlannerTimestamp(1, s.now)
+	}
+	return ack
+}
+
+// checkNoEvidence checks that a relayed report can't renew a gang.
+func (s *relaySimulation) checkNoEvidence(from *rackAgent, r wire.AgentReport) {
+	truth := s.reports.sentStates[reportVersion{r.ID, r.Incarnation, r.Sequence}]
+	if r.ID == from.id || len(truth.Tasks) == 0 {
+		return
+	}
+	s.c.Assert(r.Stamp, qt.Equals, wire.NoEvidence, qt.Commentf("%s by %s", r.ID, from.id))
+}
+
+func (s *relaySimulation) tick() {
+	for _, a := range s.agents {
+		if a.up && !a.frozenUntil.After(s.now) {
+			a.router.Tick(s.now)
+		}
+	}
+	for i, e := range s.entries {
+		if !e.up {
+			continue
+		}
+		s.reports.now = s.now
+		s.reports.apply(i, Tick{})
+		e.relays = ChooseRelays(e.table.Snapshot().Service("dispatch"), 2)
+		for _, a := range s.agents {
+			s.checkPair(a, i)
+		}
+	}
+}
+
+func (s *relaySimulation) checkPair(a *rackAgent, i int) {
+	e := s.entries[i]
+	r := e.table.records[a.id]
+	if r != nil && r.incarnation == a.incarnation {
+		excess := r.lastContact.Sub(a.lastRan) - 2*maxOneWayDelay - pauseThreshold
+		s.c.Assert(excess <= 0, qt.IsTrue, qt.Commentf("%s counts as heard by %s %v after it last ran", a.id, e.addr, excess))
+	}
+	if !a.up || a.frozenUntil.After(s.now) {
+		return
+	}
+	unhindered := laterOf(laterOf(a.runningSince, e.runningSince), laterOf(s.lossyUntil, s.cutUntil[min(a.id, e.addr)+max(a.id, e.addr)]))
+	if s.now.Sub(unhindered) > maxSilence {
+		s.c.Assert(r != nil && s.now.Sub(r.lastContact) <= maxSilence, qt.IsTrue, qt.Commentf("%s was not heard by %s", a.id, e.addr))
+	}
+	if !a.drainingSince.IsZero() && s.now.Sub(laterOf(unhindered, a.drainingSince)) > maxDrainingShown {
+		schedulable := slices.Contains(schedulableIDs(e.table), a.id)
+		s.c.Assert(schedulable, qt.IsFalse, qt.Commentf("%s drains since %v and is offered by %s", a.id, s.now.Sub(a.drainingSince), e.addr))
+	}
+	if i == s.planner && !a.inGangSince.IsZero() && s.now.Sub(laterOf(laterOf(unhindered, a.inGangSince), s.planningSince)) > maxGangSilence {
+		sinceDirect := s.now.Sub(e.lastDirectReport[a.id])
+		s.c.Assert(sinceDirect <= maxGangSilence, qt.IsTrue, qt.Commentf("%s has a gang, and its planner did not hear it itself for %v", a.id, sinceDirect))
+	}
+}
+
+func (s *relaySimulation) injectFault() {
+	a := s.agents[s.rng.IntN(relayAgents)]
+	i := s.rng.IntN(relayEntries)
+	e := s.entries[i]
+	duration := time.Duration(s.rng.IntN(60)) * time.Second
+	switch s.rng.IntN(12) {
+	case 0, 1:
+		s.killAgent(a, duration)
+	case 2:
+		a.frozenUntil = laterOf(a.frozenUntil, s.now.Add(duration))
+		a.runningSince = a.frozenUntil
+	case 3:
+		e.up = false
+		s.schedule(0, &node{up: true}, func() { s.startEntry(i) })
+	case 4:
+		s.lossyUntil = s.now.Add(duration / 4)
+	case 5:
+		other := s.agents[s.rng.IntN(relayAgents)]
+		s.cutUntil[min(a.id, other.id)+max(a.id, other.id)] = s.now.Add(duration)
+	case 6:
+		s.cutUntil[min(a.id, e.addr)+max(a.id, e.addr)] = s.now.Add(duration)
+	case 7:
+		s.drain(a)
+		if relay, ok := a.router.Relay(); ok && s.rng.IntN(2) == 0 {
+			s.killAgent(s.agents[slices.IndexFunc(s.agents, func(b *rackAgent) bool { return b.id == relay.ID })], duration)
+		}
+	case 8:
+		s.planner, s.planningSince = i, s.now
+	default:
+		s.change(a)
+	}
+}
+
+func (s *relaySimulation) killAgent(a *rackAgent, downtime time.Duration) {
+	a.up = false
+	s.schedule(downtime, &node{up: true}, func() {
+		if !a.up {
+			s.startAgent(a)
+		}
+	})
+}
+
+func (s *relaySimulation) drain(a *rackAgent) {
+	if a.up && a.drainingSince.IsZero() {
+		a.state.Draining = true
+		a.drainingSince = s.now
+		s.setState(a)
+	}
+}
+
+// change starts or ends a task of a gang, or changes the load.
+func (s *relaySimulation) change(a *rackAgent) {
+	if !a.up || a.frozenUntil.After(s.now) {
+		return
+	}
+	a.state.Load.Queued++
+	switch s.rng.IntN(3) {
+	case 0:
+		a.state.Tasks = []gang.Task{{ID: gang.ID{Job: "j"}, Members: 2, State: gang.StateRunning}}
+		if a.inGangSince.IsZero() {
+			a.inGangSince = s.now
+		}
+	case 1:
+		a.state.Tasks = nil
+		a.inGangSince = time.Time{}
+	}
+	s.setState(a)
+}
+
+func (s *relaySimulation) setState(a *rackAgent) {
+	a.router.SetState(s.now, a.state)
+	s.recordState(a)
+}
+
+// The agents of a rack report through one of them while each, including the relay, is
+// killed, frozen, drained or disconnected, entries restart, and planner leadership
+// moves. Entries must show what the agent said and never go back, must not take a dead
+// agent for alive or miss a live one, must not list a draining one as schedulable, even
+// if its relay dies at that moment, and a gang's planner must receive its members'
+// reports directly.
+func TestRandomRelays(t *testing.T) {
+	c := qt.New(t)
+	for run := range uint64(*runsFlag) {
+		seed := *seedFlag + run
+		c.Run(fmt.Sprint("seed ", seed), func(c *qt.C) {
+			sim := newRelaySimulation(c, seed)
+			for end := startTime.Add(20 * time.Minute); sim.now.Before(end); {
+				for range int(time.Second / pollInterval) {
+					for _, a := range sim.agents {
+						sim.pollAgent(a)
+					}
+					sim.runUntil(sim.now.Add(pollInterval))
+				}
+				sim.tick()
+				if sim.rng.IntN(12) == 0 {
+					sim.injectFault()
+				}
+			}
+			c.Assert(sim.relayedReports > 100, qt.IsTrue, qt.Commentf("only %d reports by a relay", sim.relayedReports))
+		})
+	}
+}
--- a/membership/relayer.go
+++ b/membership/relayer.go
@@ -8,51 +8,52 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// Relayer is what a relay keeps: the members that report to it, and what each
-// entry has been told of them. One goroutine owns it; now must not go back, and
-// should run on during suspension: it tells entries how old a report is.
+// Relayer is the state of a relay: the members that report to it, and what each entry
+// has been told of them. It is not safe for concurrent use. Times passed to it must not
+// go back and should come from a clock that advances during suspension, because they
+// determine the age of reports.
 type Relayer struct {
-	table *Table
-	told  map[string]*told
-	newer map[string]wire.AgentSeen
+	table             *Table
+	entryStates       map[string]*entryState
+	newerIncarnations map[string]wire.AgentSeen
 }
 
-// told is what one entry knows by this relay.
-type told struct {
-	cursor Cursor
-	owed   map[string]time.Time // full reports that are due then, by agent
+// entryState is what one entry has received from this relay.
+type entryState struct {
+	cursor         Cursor
+	fullReportsDue map[string]time.Time // when the entry needs a full report, by agent
 }
 
-// NewRelayer returns one without members.
+// NewRelayer returns a Relayer without members.
 func NewRelayer() *Relayer {
 	return &Relayer{
 		table: NewTable(Config{
-			SuspectAfter: relayMemberLost,
-			LostAfter:    relayMemberLost,
+			SuspectAfter: relayMemberTimeout,
+			LostAfter:    relayMemberTimeout,
 			ForgetAfter:  time.Minute,
 			ReportPeriod: RelayHeartbeat,
 			MaxMembers:   relayMaxMembers,
 		}),
-		told:  make(map[string]*told),
-		newer: make(map[string]wire.AgentSeen),
+		entryStates:       make(map[string]*entryState),
+		newerIncarnations: make(map[string]wire.AgentSeen),
 	}
 }
 
-// HandleReport takes a member's report. It returns the answer, without the list of
-// entries, and whether the report has news that should not wait for the relay's
-// next report. A full report is such news even if nothing is new in it: the
-// member reported itself until now, and entries last heard it a period ago.
+// HandleReport processes a member's report. It returns the answer, without the list of
+// entries, and whether the entries must be told without waiting for the relay's next
+// report. That is always so for a full report: the member reported directly until now,
+// and the entries' last report of it may be a period old.
 func (r *Relayer) HandleReport(now time.Time, report wire.AgentReport) (*wire.ReportAck, bool) {
 	actions := r.table.Step(now, Reports{Batch: []wire.AgentReport{report}})
 	ack := &wire.ReportAck{}
 	FillAck(ack, actions)
-	if seen, ok := r.newer[report.ID]; ok && seen.Incarnation > report.Incarnation {
+	if seen, ok := r.newerIncarnations[report.ID]; ok && seen.Incarnation > report.Incarnation {
 		ack.Newer = append(ack.Newer, seen)
 	}
-	return ack, report.Full || slices.ContainsFunc(actions, isNews)
+	return ack, report.Full || slices.ContainsFunc(actions, isUrgent)
 }
 
-func isNews(a Action) bool {
+func isUrgent(a Action) bool {
 	switch a := a.(type) {
 	case Joined, Left:
 		return true
@@ -62,24 +63,24 @@
 	return false
 }
 
-// Tick drops members that have not reported for long. Send one about every
-// second.
+// Tick drops members that have not reported for long. Call it about every second.
 func (r *Relayer) Tick(now time.Time) {
 	for _, a := range r.table.Step(now, Tick{}) {
 		if lost, ok := a.(Lost); ok {
-			r.drop(lost.Member.Report.ID)
+			r.forgetMember(lost.Member.Report.ID)
 		}
 	}
 }
 
-func (r *Relayer) drop(id string) {
-	delete(r.newer, id)
-	for _, t := range r.told {
-		delete(t.owed, id)
+func (r *Relayer) forgetMember(id string) {
+	delete(r.newerIncarnations, id)
+	for _, state := range r.entryStates {
+		delete(state.fullReportsDue, id)
 	}
 }
 
-// Members returns the members by ID. They are shared: don't change them.
+// Members returns the members sorted by service and ID. They are shared and must not be
+// modified.
 func (r *Relayer) Members() []*Member {
 	var all []*Member
 	snap := r.table.Snapshot()
@@ -89,13 +90,13 @@
 	return all
 }
 
-// Batch returns what to tell the entry now of the members, each with its age,
-// and the mark to give to Acked with the entry's answer.
+// Batch returns the members' reports to send to the entry now, each with its age, and
+// the cursor to pass to HandleAck with the entry's answer.
 func (r *Relayer) Batch(now time.Time, entry string) ([]wire.AgentReport, Cursor) {
-	t := r.entry(entry)
-	batch, cursor := r.table.Relay(now, t.cursor)
+	state := r.stateOf(entry)
+	batch, cursor := r.table.Relay(now, state.cursor)
 	var due []string
-	for id, at := range t.owed {
+	for id, at := range state.fullReportsDue {
 		if !now.Before(at) {
 			due = append(due, id)
 		}
@@ -104,15 +105,15 @@
 	batch = slices.DeleteFunc(batch, func(a wire.AgentReport) bool { return slices.Contains(due, a.ID) })
 	batch = append(batch, r.table.RelayFull(now, due)...)
 	for i := range batch {
-		r.mark(&batch[i])
+		r.clearEvidence(&batch[i])
 	}
 	return batch, cursor
 }
 
-// mark keeps a relayed report from being taken for evidence that a gang is
-// whole. Without a stamp it would count as of its receipt, and the planner would
-// renew the other members of a gang whose part here has stopped since.
-func (r *Relayer) mark(a *wire.AgentReport) {
+// clearEvidence marks the relayed report of a gang's member as no evidence that the
+// gang runs. Without a timestamp it would count from its receipt, and the planner would
+// renew the other members of a gang whose member here has stopped since.
+func (r *Relayer) clearEvidence(a *wire.AgentReport) {
 	record := r.table.records[a.ID]
 	if record == nil || record.member == nil {
 		return
@@ -123,55 +124,56 @@
 	}
 }
 
-// HandleAck takes the entry's answer to the batch.
+// HandleAck processes the entry's answer to the batch.
 func (r *Relayer) HandleAck(now time.Time, entry string, batch []wire.AgentReport, cursor Cursor, ack *wire.ReportAck) {
-	t := r.entry(entry)
-	t.cursor = max(t.cursor, cursor)
+	state := r.stateOf(entry)
+	state.cursor = max(state.cursor, cursor)
 	for _, a := range batch {
 		if a.Full {
-			delete(t.owed, a.ID)
+			delete(state.fullReportsDue, a.ID)
 		}
 	}
 	for _, id := range ack.NeedFull {
-		r.owe(t, id, now)
+		r.scheduleFullReport(state, id, now)
 	}
 	for _, id := range ack.Refused {
-		r.owe(t, id, now.Add(ack.NextReport))
+		r.scheduleFullReport(state, id, now.Add(ack.NextReport))
 	}
 	for _, seen := range ack.Newer {
 		if r.table.records[seen.ID] != nil {
-			r.newer[seen.ID] = seen
+			r.newerIncarnations[seen.ID] = seen
 		}
 	}
 }
 
-// owe notes that the entry needs a full report; the agent's own word is not
-// needed for it.
-func (r *Relayer) owe(t *told, id string, at time.Time) {
+// scheduleFullReport records that the entry needs a full report of the agent, which the
+// relay can send without asking the agent.
+func (r *Relayer) scheduleFullReport(state *entryState, id string, at time.Time) {
 	if record := r.table.records[id]; record != nil && record.member != nil {
-		t.owed[id] = at
+		state.fullReportsDue[id] = at
 	}
 }
 
-// FullReportDue returns when the next full report for the entry is due; false: none is.
+// FullReportDue returns when the next full report for the entry is due, and false if
+// none is.
 func (r *Relayer) FullReportDue(entry string) (time.Time, bool) {
-	var first time.Time
-	for _, at := range r.entry(entry).owed {
-		if first.IsZero() || at.Before(first) {
-			first = at
+	var earliest time.Time
+	for _, at := range r.stateOf(entry).fullReportsDue {
+		if earliest.IsZero() || at.Before(earliest) {
+			earliest = at
 		}
 	}
-	return first, !first.IsZero()
+	return earliest, !earliest.IsZero()
 }
 
-// Forget drops an entry that the relay no longer reports to.
-func (r *Relayer) Forget(entry string) { delete(r.told, entry) }
+// Forget drops the state of an entry that the relay no longer reports to.
+func (r *Relayer) Forget(entry string) { delete(r.entryStates, entry) }
 
-func (r *Relayer) entry(addr string) *told {
-	t := r.told[addr]
-	if t == nil {
-		t = &told{owed: make(map[string]time.Time)}
-		r.told[addr] = t
+func (r *Relayer) stateOf(addr string) *entryState {
+	state := r.entryStates[addr]
+	if state == nil {
+		state = &entryState{fullReportsDue: make(map[string]time.Time)}
+		r.entryStates[addr] = state
 	}
-	return t
+	return state
 }
--- a/membership/snapshot.go
+++ b/membership/snapshot.go
@@ -12,18 +12,18 @@
 	services map[string]*ServiceView
 }
 
-// ServiceView is the view of one service. Its slices are shared: don't change
-// them.
+// ServiceView is the view of one service. Its slices are shared and must not be
+// modified.
 type ServiceView struct {
 	Name string
-	// Members are all known ones by ID, draining ones included; the planner
-	// needs those for what they still run.
+	// Members are all known members sorted by ID. They include draining ones, whose
+	// running tasks the planner needs to know.
 	Members []*Member
-	// Schedulable are the members that may get new work, by ID.
+	// Schedulable are the members that may get new work, sorted by ID.
 	Schedulable []*Member
 }
 
-// Service returns the view of a service, empty if it has no members.
+// Service returns the view of a service, which is empty if it has no members.
 func (s *Snapshot) Service(name string) *ServiceView {
 	if v := s.services[name]; v != nil {
 		return v
@@ -31,7 +31,7 @@
 	return &ServiceView{Name: name}
 }
 
-// Services returns the names of services with members, sorted.
+// Services returns the names of the services with members, sorted.
 func (s *Snapshot) Services() []string {
 	return slices.Sorted(maps.Keys(s.services))
 }
@@ -47,12 +47,12 @@
 
 func compareID(m *Member, id string) int { return cmp.Compare(m.Report.ID, id) }
 
-// Snapshot returns the current view. Safe for concurrent use.
+// Snapshot returns the current view. It is safe for concurrent use.
 func (t *Table) Snapshot() *Snapshot { return t.snapshot.Load() }
 
 // publish replaces the snapshot's services that changed.
 func (t *Table) publish(now time.Time) {
-	if len(t.dirty) == 0 || (!t.urgent && now.Sub(t.lastPub) < t.cfg.PublishInterval) {
+	if len(t.dirty) == 0 || (!t.publishNow && now.Sub(t.lastPublish) < t.cfg.PublishInterval) {
 		return
 	}
 	services := maps.Clone(t.snapshot.Load().services)
@@ -68,57 +68,58 @@
 		services[name] = view
 	}
 	clear(t.dirty)
-	t.urgent = false
-	t.lastPub = now
+	t.publishNow = false
+	t.lastPublish = now
 	t.snapshot.Store(&Snapshot{services: services})
 }
 
 // rebuild merges the changed members, sorted, into the old sorted view.
 func (t *Table) rebuild(old *ServiceView, name string, ids map[string]bool) *ServiceView {
-	var before []*Member
+	var oldMembers []*Member
 	if old != nil {
-		before = old.Members
+		oldMembers = old.Members
 	}
 	changed := slices.Sorted(maps.Keys(ids))
-	view := &ServiceView{Name: name, Members: make([]*Member, 0, len(before)+len(changed))}
+	view := &ServiceView{Name: name, Members: make([]*Member, 0, len(oldMembers)+len(changed))}
 	for _, id := range changed {
-		i, found := slices.BinarySearchFunc(before, id, compareID)
-		view.Members = append(view.Members, before[:i]...)
+		i, found := slices.BinarySearchFunc(oldMembers, id, compareID)
+		view.Members = append(view.Members, oldMembers[:i]...)
 		if found {
 			i++
 		}
-		before = before[i:]
-		if m := t.records[id].memberOf(name); m != nil {
+		oldMembers = oldMembers[i:]
+		if m := t.records[id].memberIn(name); m != nil {
 			view.Members = append(view.Members, m)
 		}
 	}
-	view.Members = append(view.Members, before...)
-	view.Schedulable = offered(view.Members)
+	view.Members = append(view.Members, oldMembers...)
+	view.Schedulable = schedulable(view.Members)
 	return view
 }
 
-// memberOf returns the member if it belongs to the service. r may be nil: the
-// record was dropped meanwhile.
-func (r *record) memberOf(service string) *Member {
+// memberIn returns the member if it belongs to the service. r may be nil if the record
+// was dropped.
+func (r *record) memberIn(service string) *Member {
 	if r == nil || r.member == nil || r.member.Report.Service != service {
 		return nil
 	}
 	return r.member
 }
 
-// offered shares the slice when nobody is draining, which is the usual case.
-func offered(members []*Member) []*Member {
+// schedulable returns the schedulable members. It shares the slice if none is draining,
+// which is the usual case.
+func schedulable(members []*Member) []*Member {
 	for i, m := range members {
 		if m.Schedulable() {
 			continue
 		}
-		out := slices.Clone(members[:i])
+		filtered := slices.Clone(members[:i])
 		for _, m := range members[i:] {
 			if m.Schedulable() {
-				out = append(out, m)
+				filtered = append(filtered, m)
 			}
 		}
-		return out
+		return filtered
 	}
 	return members
 }
