--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -37,7 +37,7 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	o := admission.Options{Slots: 8}
 	if fifo {
-		o = admission.Options{Slots: 8, Control: admission.NoControl, MaxAccount: 1 << 30, MaxQueued: 1 << 30}
+		o = admission.Options{Slots: 8, CongestionControl: admission.NoControl, MaxQueuedPerAccount: 1 << 30, MaxQueued: 1 << 30}
 	}
 	q := admission.New(o)
 	waits := hdrhistogram.New(1, 100_000_000, 3)
@@ -60,7 +60,7 @@
 		if len(running) > 0 && running[0].at <= next {
 			done := heap.Pop(&running).(end)
 			now = done.at
-			act(q.Step(at(now), admission.Finished{ID: done.id, Took: 10 * time.Millisecond}))
+			act(q.HandleEvent(at(now), admission.Finished{ID: done.id, SlotTime: 10 * time.Millisecond}))
 			continue
 		}
 		now = next
@@ -73,7 +73,7 @@
 				ev.Account = "light"
 			}
 		}
-		act(q.Step(at(now), ev))
+		act(q.HandleEvent(at(now), ev))
 	}
 	return waits
 }
@@ -97,7 +97,7 @@
 			var running admission.ID
 			arrive := func() {
 				id++
-				q.Step(at(0), admission.Arrived{ID: id, Account: fmt.Sprint(int(id) % accounts), Deadline: at(time.Hour)})
+				q.HandleEvent(at(0), admission.Arrived{ID: id, Account: fmt.Sprint(int(id) % accounts), Deadline: at(time.Hour)})
 			}
 			for range accounts + 1 {
 				arrive()
@@ -105,7 +105,7 @@
 			running = oldest
 			b.ReportAllocs()
 			for b.Loop() {
-				for _, action := range q.Step(at(0), admission.Finished{ID: running, Took: time.Millisecond}) {
+				for _, action := range q.HandleEvent(at(0), admission.Finished{ID: running, SlotTime: time.Millisecond}) {
 					if run, ok := action.(admission.Run); ok {
 						running = run.ID
 					}
--- a/admission/congestion.go
+++ b/admission/congestion.go
@@ -13,11 +13,11 @@
 // target is the sojourn time aimed at. It follows the service time: a fixed time
 // would call a service of slow requests congested whenever one waits.
 func (q *Queue) target() time.Duration {
-	return max(minTarget, time.Duration(q.options.Target*float64(q.costs.mean())))
+	return max(minTarget, time.Duration(q.options.TargetSojourn*float64(q.costs.mean())))
 }
 
 func (q *Queue) interval() time.Duration {
-	return time.Duration(q.options.Interval * float64(q.target()))
+	return time.Duration(q.options.CongestionInterval * float64(q.target()))
 }
 
 // observe takes the wait of a request that starts.
@@ -28,7 +28,7 @@
 
 // sheds reports whether the account's queue is in lasting congestion.
 func (q *Queue) sheds(now time.Time, a *account) bool {
-	return q.options.Control != NoControl && a.sojourn.phase(now, q.interval()) == lasting
+	return q.options.CongestionControl != NoControl && a.sojourn.phase(now, q.interval()) == lasting
 }
 
 // Load returns what to report with a reply. The mark is that of the last request
@@ -46,7 +46,7 @@
 // with the sojourn time; the fractions add up to whole marks, so that no random
 // number is needed.
 func (q *Queue) mark() bool {
-	if q.options.Control != TwoPhase {
+	if q.options.CongestionControl != MarkAndShed {
 		return false
 	}
 	target := float64(q.target())
--- a/admission/event.go
+++ b/admission/event.go
@@ -20,8 +20,8 @@
 
 // Finished says that a running request has left its slot.
 type Finished struct {
-	ID   ID
-	Took time.Duration // slot time
+	ID       ID
+	SlotTime time.Duration // slot time
 }
 
 // Cancelled says that nobody waits for the request any longer. A queued request
@@ -35,12 +35,12 @@
 // queue. What is queued stays, also where a bound is now exceeded.
 type PolicyChanged struct {
 	Weights map[string]int
-	// Bounds is how many requests of each client account may be queued. Accounts
+	// AccountMaxQueued is how many requests of each client account may be queued. Accounts
 	// not named have Options.MaxAccount.
-	Bounds map[string]int
+	AccountMaxQueued map[string]int
 	// MaxQueued, Target and Interval replace those of Options; zero keeps them.
-	MaxQueued        int
-	Target, Interval float64
+	MaxQueued                         int
+	TargetSojourn, CongestionInterval float64
 }
 
 // Drain refuses every later arrival. Queued requests still run.
--- a/admission/judge.go
+++ b/admission/judge.go
@@ -8,21 +8,21 @@
 // judge decides whether an arrival may queue, and if not, when to come back.
 func (q *Queue) judge(now time.Time, a *account, r *request) (Reason, time.Duration) {
 	if q.draining {
-		return Draining, 0
+		return ReasonDraining, 0
 	}
 	if len(a.waiting) >= q.bound(r.key.account) {
-		return TooMany, q.retryAfter()
+		return ReasonAccountQueueFull, q.retryAfter()
 	}
 	if q.queued >= q.options.MaxQueued {
-		return Overload, q.retryAfter()
+		return ReasonOverload, q.retryAfter()
 	}
 	wait := q.expectWait(a)
 	if r.late(now.Add(wait)) {
 		q.costs.doubt(r.key)
-		return Deadline, q.retryAfter()
+		return ReasonDeadline, q.retryAfter()
 	}
 	if q.sheds(now, a) && wait > q.target() {
-		return Overload, q.retryAfter()
+		return ReasonOverload, q.retryAfter()
 	}
 	return 0, 0
 }
--- a/admission/members_test.go
+++ b/admission/members_test.go
@@ -14,13 +14,13 @@
 func TestManyAccountsLeaveLittleBehind(t *testing.T) {
 	q := New(Options{})
 	for i := range ID(10_000) {
-		q.Step(time.Time{}, Arrived{ID: i, Account: fmt.Sprint(i)})
-		q.Step(time.Time{}, Finished{ID: i, Took: time.Hour})
+		q.HandleEvent(time.Time{}, Arrived{ID: i, Account: fmt.Sprint(i)})
+		q.HandleEvent(time.Time{}, Finished{ID: i, SlotTime: time.Hour})
 	}
 	qt.Assert(t, q.members.idle.Len(), qt.Equals, maxIdle)
 	qt.Assert(t, q.members.busy, qt.HasLen, 0)
 	qt.Assert(t, q.members.waiting, qt.HasLen, 0)
-	qt.Assert(t, q.costs.learned.Len(), qt.Equals, DefaultMaxCosts)
+	qt.Assert(t, q.costs.learned.Len(), qt.Equals, DefaultMaxServiceTimes)
 	qt.Assert(t, q.requests, qt.HasLen, 0)
 }
 
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -30,15 +30,15 @@
 	o = o.withDefaults()
 	return &Queue{
 		options:  o,
-		costs:    newCosts(o.MaxCosts),
+		costs:    newCosts(o.MaxServiceTimes),
 		requests: make(map[ID]*request),
 		members:  newMembers(),
 	}
 }
 
-// Step takes one event and returns what to do, in order. The slice is valid
-// until the next Step.
-func (q *Queue) Step(now time.Time, ev Event) []Action {
+// HandleEvent takes one event and returns what to do, in order. The slice is valid
+// until the next HandleEvent.
+func (q *Queue) HandleEvent(now time.Time, ev Event) []Action {
 	q.actions = q.actions[:0]
 	switch ev := ev.(type) {
 	case Arrived:
@@ -110,10 +110,10 @@
 	delete(q.requests, ev.ID)
 	q.running--
 	q.marked = q.mark()
-	q.costs.learn(r.key, ev.Took)
+	q.costs.learn(r.key, ev.SlotTime)
 	a := q.members.busy[r.key.account]
 	a.running--
-	a.charge(ev.Took-r.cost, r.weight)
+	a.charge(ev.SlotTime-r.cost, r.weight)
 	q.members.release(a, q.virtual)
 }
 
@@ -147,7 +147,7 @@
 	for len(q.order) > 0 && q.order[0].late(now) {
 		r := q.order[0]
 		q.drop(r)
-		q.actions = append(q.actions, Refuse{ID: r.id, Reason: Deadline, RetryAfter: q.retryAfter()})
+		q.actions = append(q.actions, Refuse{ID: r.id, Reason: ReasonDeadline, RetryAfter: q.retryAfter()})
 	}
 }
 
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -21,8 +21,8 @@
 	o.Slots = 1
 	q := admission.New(o)
 	for id := range admission.ID(100) {
-		q.Step(at(0), admission.Arrived{ID: 1000 + id})
-		q.Step(at(time.Second), admission.Finished{ID: 1000 + id, Took: 10 * time.Millisecond})
+		q.HandleEvent(at(0), admission.Arrived{ID: 1000 + id})
+		q.HandleEvent(at(time.Second), admission.Finished{ID: 1000 + id, SlotTime: 10 * time.Millisecond})
 	}
 	return q
 }
@@ -32,12 +32,12 @@
 func TestDrainServesTheQueueAndRefusesArrivals(t *testing.T) {
 	c := qt.New(t)
 	q := admission.New(admission.Options{Slots: 1})
-	c.Assert(q.Step(at(0), admission.Arrived{ID: 1}), qt.DeepEquals, actions{admission.Run{ID: 1}})
-	c.Assert(q.Step(at(0), admission.Arrived{ID: 2}), qt.HasLen, 0)
-	q.Step(at(1), admission.Drain{})
-	refuse := admission.Refuse{ID: 3, Reason: admission.Draining}
-	c.Assert(q.Step(at(2), admission.Arrived{ID: 3}), qt.DeepEquals, actions{refuse})
-	c.Assert(q.Step(at(3), admission.Finished{ID: 1, Took: 3}), qt.DeepEquals, actions{admission.Run{ID: 2}})
+	c.Assert(q.HandleEvent(at(0), admission.Arrived{ID: 1}), qt.DeepEquals, actions{admission.Run{ID: 1}})
+	c.Assert(q.HandleEvent(at(0), admission.Arrived{ID: 2}), qt.HasLen, 0)
+	q.HandleEvent(at(1), admission.Drain{})
+	refuse := admission.Refuse{ID: 3, Reason: admission.ReasonDraining}
+	c.Assert(q.HandleEvent(at(2), admission.Arrived{ID: 3}), qt.DeepEquals, actions{refuse})
+	c.Assert(q.HandleEvent(at(3), admission.Finished{ID: 1, SlotTime: 3}), qt.DeepEquals, actions{admission.Run{ID: 2}})
 }
 
 // A truck waits for an answer within 35 ms, and four requests of 10 ms stand
@@ -47,10 +47,10 @@
 	c := qt.New(t)
 	q := taught(admission.Options{})
 	for id := range admission.ID(5) {
-		q.Step(at(time.Second), admission.Arrived{ID: id})
+		q.HandleEvent(at(time.Second), admission.Arrived{ID: id})
 	}
-	got := q.Step(at(time.Second), admission.Arrived{ID: 9, Deadline: at(time.Second + 35*time.Millisecond)})
-	c.Assert(got, qt.DeepEquals, actions{admission.Refuse{ID: 9, Reason: admission.Deadline, RetryAfter: 40 * time.Millisecond}})
+	got := q.HandleEvent(at(time.Second), admission.Arrived{ID: 9, Deadline: at(time.Second + 35*time.Millisecond)})
+	c.Assert(got, qt.DeepEquals, actions{admission.Refuse{ID: 9, Reason: admission.ReasonDeadline, RetryAfter: 40 * time.Millisecond}})
 }
 
 // A request ahead runs ten times as long as it ever did. The one behind it is
@@ -58,12 +58,12 @@
 func TestQueuedRequestIsRefusedWhenItBecomesHopeless(t *testing.T) {
 	c := qt.New(t)
 	q := taught(admission.Options{})
-	q.Step(at(time.Second), admission.Arrived{ID: 1})
+	q.HandleEvent(at(time.Second), admission.Arrived{ID: 1})
 	wake := at(time.Second + 40*time.Millisecond)
-	got := q.Step(at(time.Second), admission.Arrived{ID: 2, Deadline: at(time.Second + 50*time.Millisecond)})
+	got := q.HandleEvent(at(time.Second), admission.Arrived{ID: 2, Deadline: at(time.Second + 50*time.Millisecond)})
 	c.Assert(got, qt.DeepEquals, actions{admission.WakeAt{Time: wake}})
-	got = q.Step(wake, admission.Tick{})
-	c.Assert(got, qt.DeepEquals, actions{admission.Refuse{ID: 2, Reason: admission.Deadline, RetryAfter: 10 * time.Millisecond}})
+	got = q.HandleEvent(wake, admission.Tick{})
+	c.Assert(got, qt.DeepEquals, actions{admission.Refuse{ID: 2, Reason: admission.ReasonDeadline, RetryAfter: 10 * time.Millisecond}})
 }
 
 // One client account floods a target with slow requests. Another asks now and
@@ -72,11 +72,11 @@
 	c := qt.New(t)
 	q := taught(admission.Options{})
 	for id := range admission.ID(200) {
-		q.Step(at(time.Second), admission.Arrived{ID: id, Account: "flood"})
+		q.HandleEvent(at(time.Second), admission.Arrived{ID: id, Account: "flood"})
 	}
-	q.Step(at(time.Second), admission.Finished{ID: 0, Took: 50 * time.Millisecond})
-	q.Step(at(time.Second), admission.Arrived{ID: 500, Account: "light"})
-	got := q.Step(at(time.Second), admission.Finished{ID: 1, Took: 50 * time.Millisecond})
+	q.HandleEvent(at(time.Second), admission.Finished{ID: 0, SlotTime: 50 * time.Millisecond})
+	q.HandleEvent(at(time.Second), admission.Arrived{ID: 500, Account: "light"})
+	got := q.HandleEvent(at(time.Second), admission.Finished{ID: 1, SlotTime: 50 * time.Millisecond})
 	c.Assert(got, qt.DeepEquals, actions{admission.Run{ID: 500}})
 }
 
@@ -85,7 +85,7 @@
 func TestSharesOfSlotTimeFollowWeights(t *testing.T) {
 	c := qt.New(t)
 	q := taught(admission.Options{})
-	q.Step(at(0), admission.PolicyChanged{Weights: map[string]int{"a": 3, "b": 1}})
+	q.HandleEvent(at(0), admission.PolicyChanged{Weights: map[string]int{"a": 3, "b": 1}})
 	cost := map[string]time.Duration{"a": 10 * time.Millisecond, "b": 40 * time.Millisecond}
 	used := map[string]time.Duration{}
 	owner := map[admission.ID]string{}
@@ -93,7 +93,7 @@
 	arrive := func(account string) []admission.Action {
 		next++
 		owner[next] = account
-		return q.Step(at(time.Second), admission.Arrived{ID: next, Account: account})
+		return q.HandleEvent(at(time.Second), admission.Arrived{ID: next, Account: account})
 	}
 	run := arrive("a")
 	for range 20 {
@@ -104,7 +104,7 @@
 		id := run[0].(admission.Run).ID
 		account := owner[id]
 		used[account] += cost[account]
-		run = append(actions{}, q.Step(at(time.Second), admission.Finished{ID: id, Took: cost[account]})...)
+		run = append(actions{}, q.HandleEvent(at(time.Second), admission.Finished{ID: id, SlotTime: cost[account]})...)
 		arrive(account)
 	}
 	ratio := used["a"].Seconds() / used["b"].Seconds()
@@ -115,7 +115,7 @@
 // free. To refuse it would leave the slot idle, and nothing new would be learned.
 func TestFreeSlotIsGivenWhateverIsExpected(t *testing.T) {
 	q := taught(admission.Options{})
-	got := q.Step(at(0), admission.Arrived{ID: 1, Deadline: at(time.Millisecond)})
+	got := q.HandleEvent(at(0), admission.Arrived{ID: 1, Deadline: at(time.Millisecond)})
 	qt.Assert(t, got, qt.DeepEquals, actions{admission.Run{ID: 1}})
 }
 
@@ -125,18 +125,18 @@
 func TestClassOnceTooSlowIsTriedAgain(t *testing.T) {
 	c := qt.New(t)
 	q := taught(admission.Options{})
-	q.Step(at(0), admission.Arrived{ID: 1, Class: "check"})
-	q.Step(at(0), admission.Finished{ID: 1, Took: time.Second})
+	q.HandleEvent(at(0), admission.Arrived{ID: 1, Class: "check"})
+	q.HandleEvent(at(0), admission.Finished{ID: 1, SlotTime: time.Second})
 	busy := admission.ID(10)
-	q.Step(at(0), admission.Arrived{ID: busy})
+	q.HandleEvent(at(0), admission.Arrived{ID: busy})
 	for n := 1; ; n++ {
 		c.Assert(n < 2000, qt.IsTrue)
 		busy++
-		q.Step(at(0), admission.Arrived{ID: busy})
-		got := q.Step(at(0), admission.Arrived{ID: 1, Class: "check", Deadline: at(100 * time.Millisecond)})
+		q.HandleEvent(at(0), admission.Arrived{ID: busy})
+		got := q.HandleEvent(at(0), admission.Arrived{ID: 1, Class: "check", Deadline: at(100 * time.Millisecond)})
 		if _, refused := got[0].(admission.Refuse); !refused {
 			return
 		}
-		q.Step(at(0), admission.Finished{ID: busy - 1, Took: 10 * time.Millisecond})
+		q.HandleEvent(at(0), admission.Finished{ID: busy - 1, SlotTime: 10 * time.Millisecond})
 	}
 }
--- a/admission/random_test.go
+++ b/admission/random_test.go
@@ -49,7 +49,7 @@
 		w := &world{c: qt.New(t), rng: rng, slots: 4, waiting: map[string]int{}, served: map[string]time.Duration{}}
 		w.weights = map[string]int{"a": 1 + rng.IntN(4), "b": 1 + rng.IntN(4), "c": 1}
 		w.queued, w.running = map[admission.ID]entered{}, map[admission.ID]entered{}
-		w.queue = admission.New(admission.Options{Slots: w.slots, MaxAccount: 20, MaxQueued: 50})
+		w.queue = admission.New(admission.Options{Slots: w.slots, MaxQueuedPerAccount: 20, MaxQueued: 50})
 		w.act(admission.PolicyChanged{Weights: w.weights})
 		for range min(left, 10_000) {
 			w.now += time.Duration(w.rng.IntN(4000)) * time.Microsecond
@@ -100,7 +100,7 @@
 	delete(w.running, id)
 	took := min(w.now-r.began, longest)
 	w.served[r.account] += took
-	w.act(admission.Finished{ID: id, Took: took})
+	w.act(admission.Finished{ID: id, SlotTime: took})
 }
 
 // cancel withdraws a request that may be queued, running, answered or unknown.
@@ -122,7 +122,7 @@
 
 func (w *world) act(ev admission.Event) {
 	before := len(w.running)
-	for _, action := range w.queue.Step(at(w.now), ev) {
+	for _, action := range w.queue.HandleEvent(at(w.now), ev) {
 		switch action := action.(type) {
 		case admission.Run:
 			r, ok := w.leave(action.ID)
@@ -134,7 +134,7 @@
 		case admission.Refuse:
 			_, ok := w.leave(action.ID)
 			w.c.Assert(ok, qt.IsTrue)
-			w.c.Assert(action.Reason == admission.Draining || action.RetryAfter > 0, qt.IsTrue)
+			w.c.Assert(action.Reason == admission.ReasonDraining || action.RetryAfter > 0, qt.IsTrue)
 		}
 	}
 	w.c.Assert(len(w.running) <= max(before, w.slots), qt.IsTrue)
--- a/admission/reason.go
+++ b/admission/reason.go
@@ -5,15 +5,15 @@
 
 // Reasons of a refusal.
 const (
-	// Deadline: it could not be answered in time.
-	Deadline Reason = iota + 1
-	// Overload: congestion lasts, and it would wait longer than the target
+	// ReasonDeadline: it could not be answered in time.
+	ReasonDeadline Reason = iota + 1
+	// ReasonOverload: congestion lasts, and it would wait longer than the target
 	// sojourn time, or the queue is full.
-	Overload
-	// Draining: the target leaves.
-	Draining
-	// TooMany: the client account has too many requests queued.
-	TooMany
+	ReasonOverload
+	// ReasonDraining: the target leaves.
+	ReasonDraining
+	// ReasonAccountQueueFull: the client account has too many requests queued.
+	ReasonAccountQueueFull
 )
 
 var reasonNames = [...]string{"none", "deadline", "overload", "draining", "too many"}
--- a/admission/weight.go
+++ b/admission/weight.go
@@ -29,10 +29,10 @@
 
 func (q *Queue) changePolicy(p PolicyChanged) {
 	q.reweigh(p.Weights)
-	q.bounds = p.Bounds
+	q.bounds = p.AccountMaxQueued
 	replace(&q.options.MaxQueued, p.MaxQueued)
-	replace(&q.options.Target, p.Target)
-	replace(&q.options.Interval, p.Interval)
+	replace(&q.options.TargetSojourn, p.TargetSojourn)
+	replace(&q.options.CongestionInterval, p.CongestionInterval)
 }
 
 func replace[T int | float64](field *T, value T) {
@@ -46,5 +46,5 @@
 	if n, ok := q.bounds[account]; ok {
 		return n
 	}
-	return q.options.MaxAccount
+	return q.options.MaxQueuedPerAccount
 }
--- a/agent/gate.go
+++ b/agent/gate.go
@@ -73,7 +73,7 @@
 
 // leave frees the slot of a request that ran for took.
 func (g *gate) leave(id admission.ID, took time.Duration) {
-	g.event(admission.Finished{ID: id, Took: took})
+	g.event(admission.Finished{ID: id, SlotTime: took})
 }
 
 func (g *gate) event(ev admission.Event) {
@@ -97,7 +97,7 @@
 
 // step is called with the lock held.
 func (g *gate) step(ev admission.Event) {
-	for _, a := range g.queue.Step(time.Now(), ev) {
+	for _, a := range g.queue.HandleEvent(time.Now(), ev) {
 		switch a := a.(type) {
 		case admission.Run:
 			g.decide(a.ID, a)
--- a/agent/once.go
+++ b/agent/once.go
@@ -15,20 +15,20 @@
 func (q *quick) once(ctx context.Context, id attempts.ID, m *wire.Execute) *wire.ExecuteReply {
 	q.mu.Lock()
 	verdict, answer := q.table.Begin(q.now(), id)
-	if verdict == attempts.Fresh {
+	if verdict == attempts.BeginRun {
 		q.running[id] = make(chan struct{})
 	}
 	done := q.running[id]
 	q.mu.Unlock()
 
 	switch verdict {
-	case attempts.Fresh:
+	case attempts.BeginRun:
 		return q.first(ctx, id, m)
-	case attempts.Joined:
+	case attempts.BeginJoin:
 		return q.join(ctx, id, done)
-	case attempts.Repeated:
+	case attempts.BeginReplay:
 		return decodeAnswer(answer)
-	case attempts.Refused:
+	case attempts.BeginRefuse:
 		return refused(wire.ReasonAttempt, "the attempt was given up before it arrived", 0)
 	default:
 		return unknown(wire.ReasonAttempt, "the attempt is older than what this agent remembers")
@@ -55,18 +55,18 @@
 func (q *quick) note(id attempts.ID, sent bool, reply *wire.ExecuteReply) {
 	switch {
 	case reply.Outcome == wire.OutcomeRefused:
-		q.table.Refuse(id)
+		q.table.RecordNotRun(id)
 	case reply.Outcome == wire.OutcomeDone:
 		answer, err := cbor.Marshal(reply)
 		if err != nil {
-			q.table.Interrupt(id)
+			q.table.RecordLostAnswer(id)
 			return
 		}
-		q.table.Finish(id, answer)
+		q.table.RecordAnswer(id, answer)
 	case sent:
-		q.table.Interrupt(id)
+		q.table.RecordLostAnswer(id)
 	default:
-		q.table.Refuse(id)
+		q.table.RecordNotRun(id)
 	}
 }
 
--- a/agent/policy.go
+++ b/agent/policy.go
@@ -8,15 +8,15 @@
 // admissionPolicy is the part of a document that the agent's queue obeys.
 func admissionPolicy(d *document.Document) admission.PolicyChanged {
 	p := admission.PolicyChanged{
-		Weights:   make(map[string]int, len(d.Accounts)),
-		Bounds:    make(map[string]int, len(d.Accounts)),
-		MaxQueued: d.Admission.MaxQueued,
-		Target:    d.Admission.TargetSojourn,
-		Interval:  d.Admission.Interval,
+		Weights:            make(map[string]int, len(d.Accounts)),
+		AccountMaxQueued:   make(map[string]int, len(d.Accounts)),
+		MaxQueued:          d.Admission.MaxQueued,
+		TargetSojourn:      d.Admission.TargetSojourn,
+		CongestionInterval: d.Admission.Interval,
 	}
 	for _, a := range d.Accounts {
 		p.Weights[a.Name] = a.Weight
-		p.Bounds[a.Name] = a.MaxQueued
+		p.AccountMaxQueued[a.Name] = a.MaxQueued
 	}
 	return p
 }
--- a/attempts/outcome.go
+++ b/attempts/outcome.go
@@ -32,14 +32,14 @@
 	NoReason Reason = iota
 	// ReasonRefused: the agent refused it, or the message never reached it.
 	ReasonRefused
-	// ReasonStore: the store could not be asked for the key's claim.
-	ReasonStore
+	// ReasonStoreUnavailable: the store could not be asked for the key's claim.
+	ReasonStoreUnavailable
 	// ReasonDeadline: the deadline passed.
 	ReasonDeadline
 	// ReasonKeyReused: the key belongs to a request with another content.
 	ReasonKeyReused
-	// ReasonForgotten: the agent restarted, or dropped its account.
-	ReasonForgotten
+	// ReasonOutcomeLost: the agent restarted, or dropped its account.
+	ReasonOutcomeLost
 )
 
 var reasonNames = [...]string{
--- a/attempts/request.go
+++ b/attempts/request.go
@@ -4,16 +4,16 @@
 
 // RequestConfig is the fixed part of a Request.
 type RequestConfig struct {
-	// Keyed says that the caller gave a key, under which it may deliver the
+	// HasKey says that the caller gave a key, under which it may deliver the
 	// request again. Without one no claim is needed: there is one delivery.
-	Keyed bool
-	// First says that the caller vouches for this being the first delivery under
+	HasKey bool
+	// FirstDelivery says that the caller vouches for this being the first delivery under
 	// the key. Without the store, NotRun can be said only then.
-	First    bool
-	Deadline time.Time
-	// Poll is how long after a SendResolve it is sent again.
-	Poll       time.Duration
-	RetryAfter time.Duration
+	FirstDelivery bool
+	Deadline      time.Time
+	// PollInterval is how long after a SendResolve it is sent again.
+	PollInterval time.Duration
+	RetryAfter   time.Duration
 	// MaxAge is TableConfig.MaxAge. A delivery older than that, which happens when
 	// its entry was paused, may find an earlier claim of its key expired, and
 	// proves nothing any more.
@@ -51,20 +51,20 @@
 	return &Request{config: c, own: own}
 }
 
-// Step handles one event and returns what is to be done, in order.
-func (r *Request) Step(now time.Time, ev Event) []Action {
+// HandleEvent handles one event and returns what is to be done, in order.
+func (r *Request) HandleEvent(now time.Time, ev Event) []Action {
 	r.now, r.actions = now, nil
 	if r.step == stepFinished {
 		return nil
 	}
 	switch ev := ev.(type) {
-	case Go:
+	case Start:
 		r.start()
-	case Claimed:
+	case ClaimReply:
 		r.claimed(ev)
-	case Begun:
+	case BeginReply:
 		r.begun(ev)
-	case Resolved:
+	case ResolveReply:
 		r.resolved(ev)
 	case ConnectionLost:
 		if r.step == stepSent && ev.ID == r.own.ID {
@@ -76,8 +76,8 @@
 	return r.actions
 }
 
-// Over says whether Finished was returned.
-func (r *Request) Over() bool { return r.step == stepFinished }
+// IsFinished says whether Finished was returned.
+func (r *Request) IsFinished() bool { return r.step == stepFinished }
 
 func (r *Request) do(s step, a Action) {
 	r.step = s
@@ -88,7 +88,7 @@
 
 func (r *Request) unknown(why Reason) {
 	f := Finished{Outcome: Unknown, Reason: why}
-	if why == ReasonStore {
+	if why == ReasonStoreUnavailable {
 		f.RetryAfter = r.config.RetryAfter
 	}
 	r.finish(f)
@@ -102,7 +102,7 @@
 	if r.step != stepNew {
 		return
 	}
-	if r.config.Keyed {
+	if r.config.HasKey {
 		r.do(stepClaiming, WriteClaim{Claim: r.own})
 		return
 	}
@@ -129,10 +129,10 @@
 	}
 	next := r.config.Deadline
 	if r.step == stepResolving {
-		if !r.now.Before(r.asked.Add(r.config.Poll)) {
+		if !r.now.Before(r.asked.Add(r.config.PollInterval)) {
 			r.resolve(r.watched)
 		}
-		if at := r.asked.Add(r.config.Poll); at.Before(next) {
+		if at := r.asked.Add(r.config.PollInterval); at.Before(next) {
 			next = at
 		}
 	}
--- a/attempts/request_claim.go
+++ b/attempts/request_claim.go
@@ -1,6 +1,6 @@
 package attempts
 
-func (r *Request) claimed(ev Claimed) {
+func (r *Request) claimed(ev ClaimReply) {
 	switch r.step {
 	case stepClaiming:
 		r.claimTaken(ev)
@@ -12,7 +12,7 @@
 }
 
 // claimTaken follows an attempt to make the own claim the key's one.
-func (r *Request) claimTaken(ev Claimed) {
+func (r *Request) claimTaken(ev ClaimReply) {
 	switch ev.Result {
 	case ClaimWritten:
 		r.begin()
@@ -58,15 +58,15 @@
 // An earlier delivery under the key may have run, and only the store knows of
 // it: to call this one "not run" would make the caller book a second time.
 func (r *Request) withoutStore() {
-	if r.config.First && r.step == stepClaiming {
-		r.notRun(ReasonStore)
+	if r.config.FirstDelivery && r.step == stepClaiming {
+		r.notRun(ReasonStoreUnavailable)
 		return
 	}
-	r.unknown(ReasonStore)
+	r.unknown(ReasonStoreUnavailable)
 }
 
 // claimReleased follows the removal of a claim whose attempt was proved not run.
-func (r *Request) claimReleased(ev Claimed) {
+func (r *Request) claimReleased(ev ClaimReply) {
 	switch ev.Result {
 	case ClaimWritten, ClaimGone:
 		// A claim goes only after the proof that its attempt did not run, or by
@@ -80,6 +80,6 @@
 	case ClaimConflict:
 		r.follow(ev.Claim)
 	case ClaimUnavailable:
-		r.unknown(ReasonStore)
+		r.unknown(ReasonStoreUnavailable)
 	}
 }
--- a/attempts/request_event.go
+++ b/attempts/request_event.go
@@ -4,8 +4,8 @@
 // or Wake.
 type Event interface{ event() }
 
-// Go starts the request.
-type Go struct{}
+// Start starts the request.
+type Start struct{}
 
 // ClaimResult is the outcome of a WriteClaim, ReplaceClaim or ReleaseClaim.
 type ClaimResult uint8
@@ -23,25 +23,25 @@
 	ClaimGone
 )
 
-// Claimed answers a WriteClaim, ReplaceClaim or ReleaseClaim, exactly once each.
+// ClaimReply answers a WriteClaim, ReplaceClaim or ReleaseClaim, exactly once each.
 // Claim is the one that the store holds after ClaimConflict.
-type Claimed struct {
+type ClaimReply struct {
 	Result ClaimResult
 	Claim  Claim
 }
 
-// Begun is the agent's reply to a SendBegin, after the attempt has ended.
+// BeginReply is the agent's reply to a SendBegin, after the attempt has ended.
 // Verdict is Fresh, Joined or Repeated with the whole answer, else Refused or
 // Unprovable; Interrupted says that it ran without an answer.
-type Begun struct {
+type BeginReply struct {
 	ID          ID
-	Verdict     Verdict
+	Result      BeginResult
 	Interrupted bool
 	Answer      []byte
 }
 
-// Resolved is the agent's reply to a SendResolve.
-type Resolved struct {
+// ResolveReply is the agent's reply to a SendResolve.
+type ResolveReply struct {
 	ID     ID
 	Status Status
 	Answer []byte
@@ -54,9 +54,9 @@
 // Wake lets deadlines act; it is due at the last WakeAt.
 type Wake struct{}
 
-func (Go) event()             {}
-func (Claimed) event()        {}
-func (Begun) event()          {}
-func (Resolved) event()       {}
+func (Start) event()          {}
+func (ClaimReply) event()     {}
+func (BeginReply) event()     {}
+func (ResolveReply) event()   {}
 func (ConnectionLost) event() {}
 func (Wake) event()           {}
--- a/attempts/request_reply.go
+++ b/attempts/request_reply.go
@@ -1,13 +1,13 @@
 package attempts
 
-func (r *Request) begun(ev Begun) {
+func (r *Request) begun(ev BeginReply) {
 	if ev.ID != r.own.ID || r.step != stepSent && r.step != stepResolving {
 		return
 	}
 	switch {
 	case ev.Interrupted:
-		r.unknown(ReasonForgotten)
-	case ev.Verdict == Refused, ev.Verdict == Unprovable:
+		r.unknown(ReasonOutcomeLost)
+	case ev.Result == BeginRefuse, ev.Result == BeginUnknown:
 		// The attempt was sent once, so the refused message was the only one, and
 		// neither a floor nor an incarnation ever goes back.
 		r.provedNotRun(r.own)
@@ -16,7 +16,7 @@
 	}
 }
 
-func (r *Request) resolved(ev Resolved) {
+func (r *Request) resolved(ev ResolveReply) {
 	if r.step != stepResolving || ev.ID != r.watched.ID {
 		return
 	}
@@ -26,7 +26,7 @@
 	case StatusNotRun:
 		r.provedNotRun(r.watched)
 	case StatusUnknown, StatusRan:
-		r.unknown(ReasonForgotten)
+		r.unknown(ReasonOutcomeLost)
 	}
 }
 
@@ -37,7 +37,7 @@
 // wrong.
 func (r *Request) provedNotRun(c Claim) {
 	switch {
-	case !r.config.Keyed:
+	case !r.config.HasKey:
 		r.notRun(ReasonRefused)
 	case r.spent:
 		r.release(c, ReasonRefused)
--- a/attempts/sim_test.go
+++ b/attempts/sim_test.go
@@ -159,21 +159,21 @@
 		Agent: a.name,
 	}
 	d.req = NewRequest(RequestConfig{
-		Keyed:      keyed,
-		First:      number == 0,
-		Deadline:   w.now.Add(5*time.Second + w.within(20*time.Second)),
-		Poll:       2 * time.Second,
-		RetryAfter: time.Second,
-		MaxAge:     simMaxAge,
+		HasKey:        keyed,
+		FirstDelivery: number == 0,
+		Deadline:      w.now.Add(5*time.Second + w.within(20*time.Second)),
+		PollInterval:  2 * time.Second,
+		RetryAfter:    time.Second,
+		MaxAge:        simMaxAge,
 	}, d.own)
-	d.step(Go{})
+	d.step(Start{})
 }
 
 // step runs the delivery's entry, which may be paused before it acts. What the
 // caller is told is checked as of the decision.
 func (d *simDelivery) step(ev Event) {
 	w := d.w
-	actions := d.req.Step(w.now, ev)
+	actions := d.req.HandleEvent(w.now, ev)
 	for _, act := range actions {
 		if f, ok := act.(Finished); ok {
 			d.finished(f)
@@ -233,13 +233,13 @@
 // long after it was given up.
 func (d *simDelivery) store(op func(*simClaimed) ClaimResult) {
 	w := d.w
-	apply := func() Claimed {
+	apply := func() ClaimReply {
 		c := w.claims[d.key]
 		if c != nil && w.now.Sub(c.at) >= simClaim {
 			delete(w.claims, d.key)
 			c = nil
 		}
-		ev := Claimed{Result: op(c)}
+		ev := ClaimReply{Result: op(c)}
 		if ev.Result == ClaimConflict {
 			ev.Claim = c.claim
 		}
@@ -247,10 +247,10 @@
 	}
 	switch {
 	case w.down, w.chance(0.05):
-		w.after(w.within(simDelay), func() { d.step(Claimed{Result: ClaimUnavailable}) })
+		w.after(w.within(simDelay), func() { d.step(ClaimReply{Result: ClaimUnavailable}) })
 	case w.chance(0.1):
 		w.after(w.within(5*simDelay), func() { apply() })
-		w.after(w.within(simDelay), func() { d.step(Claimed{Result: ClaimUnavailable}) })
+		w.after(w.within(simDelay), func() { d.step(ClaimReply{Result: ClaimUnavailable}) })
 	default:
 		w.after(w.within(simDelay), func() {
 			ev := apply()
@@ -274,8 +274,8 @@
 	}
 	w.after(w.within(4*simDelay), func() {
 		verdict, answer := a.table.Begin(w.now, c.ID)
-		if verdict != Fresh {
-			d.begun(Begun{ID: c.ID, Verdict: verdict, Answer: answer})
+		if verdict != BeginRun {
+			d.begun(BeginReply{ID: c.ID, Result: verdict, Answer: answer})
 			return
 		}
 		table := a.table
@@ -290,24 +290,24 @@
 		return
 	}
 	if w.chance(0.2) {
-		table.Refuse(c.ID)
-		d.begun(Begun{ID: c.ID, Verdict: Refused})
+		table.RecordNotRun(c.ID)
+		d.begun(BeginReply{ID: c.ID, Result: BeginRefuse})
 		return
 	}
 	d.ranNow()
 	w.after(w.within(4*simDelay), func() {
 		if w.chance(0.1) {
-			table.Interrupt(c.ID)
-			d.begun(Begun{ID: c.ID, Interrupted: true})
+			table.RecordLostAnswer(c.ID)
+			d.begun(BeginReply{ID: c.ID, Interrupted: true})
 			return
 		}
 		answer := []byte("answer to " + d.key)
-		table.Finish(c.ID, answer)
-		d.begun(Begun{ID: c.ID, Answer: answer})
+		table.RecordAnswer(c.ID, answer)
+		d.begun(BeginReply{ID: c.ID, Answer: answer})
 	})
 }
 
-func (d *simDelivery) begun(ev Begun) {
+func (d *simDelivery) begun(ev BeginReply) {
 	if d.w.chance(0.8) {
 		d.w.after(d.w.within(simDelay), func() { d.step(ev) })
 	}
@@ -318,7 +318,7 @@
 	for range w.rng.IntN(3) {
 		w.after(w.within(simDelay), func() {
 			status, answer := a.table.Resolve(c.ID)
-			w.after(w.within(simDelay), func() { d.step(Resolved{c.ID, status, answer}) })
+			w.after(w.within(simDelay), func() { d.step(ResolveReply{c.ID, status, answer}) })
 		})
 	}
 }
--- a/attempts/stories_test.go
+++ b/attempts/stories_test.go
@@ -11,11 +11,11 @@
 
 func testTable() *Table {
 	return NewTable(TableConfig{
-		Incarnation: 1,
-		Entries:     3,
-		Bytes:       10,
-		MaxAge:      time.Minute,
-		Skew:        time.Second,
+		Incarnation:    1,
+		MaxEntries:     3,
+		MaxAnswerBytes: 10,
+		MaxAge:         time.Minute,
+		MaxClockSkew:   time.Second,
 	})
 }
 
@@ -25,12 +25,12 @@
 
 func testRequest(first bool) *Request {
 	return NewRequest(RequestConfig{
-		Keyed:      true,
-		First:      first,
-		Deadline:   t0.Add(10 * time.Second),
-		Poll:       time.Second,
-		RetryAfter: 5 * time.Second,
-		MaxAge:     time.Minute,
+		HasKey:        true,
+		FirstDelivery: first,
+		Deadline:      t0.Add(10 * time.Second),
+		PollInterval:  time.Second,
+		RetryAfter:    5 * time.Second,
+		MaxAge:        time.Minute,
 	}, claim(1))
 }
 
@@ -39,7 +39,7 @@
 func play(r *Request, events ...Event) Action {
 	var last []Action
 	for i, ev := range events {
-		last = r.Step(t0.Add(time.Duration(i)*time.Second), ev)
+		last = r.HandleEvent(t0.Add(time.Duration(i)*time.Second), ev)
 	}
 	if len(last) == 0 {
 		return nil
@@ -50,20 +50,20 @@
 // A packhouse retries with its key through another entry. What it hears depends
 // on what the first delivery's agent can prove.
 func TestRetryThroughAnotherEntry(t *testing.T) {
-	conflict := Claimed{ClaimConflict, claim(2)}
-	unknown := Finished{Outcome: Unknown, Reason: ReasonForgotten}
+	conflict := ClaimReply{ClaimConflict, claim(2)}
+	unknown := Finished{Outcome: Unknown, Reason: ReasonOutcomeLost}
 	for _, test := range []struct {
 		story  string
 		events []Event
 		want   Action
 	}{
-		{"first one has the answer", []Event{Go{}, conflict, Resolved{id(2), StatusAnswered, []byte("yes")}}, Finished{Outcome: Done, Answer: []byte("yes")}},
-		{"first one still runs", []Event{Go{}, conflict, Resolved{id(2), StatusRunning, nil}, Wake{}}, SendResolve{claim(2)}},
-		{"first one never arrived", []Event{Go{}, conflict, Resolved{id(2), StatusNotRun, nil}}, ReplaceClaim{claim(2), claim(1)}},
-		{"a third one was faster", []Event{Go{}, conflict, Resolved{id(2), StatusNotRun, nil}, Claimed{ClaimConflict, claim(3)}}, SendResolve{claim(3)}},
-		{"agent restarted", []Event{Go{}, conflict, Resolved{id(2), StatusUnknown, nil}}, unknown},
-		{"answer was dropped", []Event{Go{}, conflict, Resolved{id(2), StatusRan, nil}}, unknown},
-		{"key of another request", []Event{Go{}, Claimed{ClaimConflict, Claim{ID: id(2)}}}, Finished{Outcome: NotRun, Reason: ReasonKeyReused}},
+		{"first one has the answer", []Event{Start{}, conflict, ResolveReply{id(2), StatusAnswered, []byte("yes")}}, Finished{Outcome: Done, Answer: []byte("yes")}},
+		{"first one still runs", []Event{Start{}, conflict, ResolveReply{id(2), StatusRunning, nil}, Wake{}}, SendResolve{claim(2)}},
+		{"first one never arrived", []Event{Start{}, conflict, ResolveReply{id(2), StatusNotRun, nil}}, ReplaceClaim{claim(2), claim(1)}},
+		{"a third one was faster", []Event{Start{}, conflict, ResolveReply{id(2), StatusNotRun, nil}, ClaimReply{ClaimConflict, claim(3)}}, SendResolve{claim(3)}},
+		{"agent restarted", []Event{Start{}, conflict, ResolveReply{id(2), StatusUnknown, nil}}, unknown},
+		{"answer was dropped", []Event{Start{}, conflict, ResolveReply{id(2), StatusRan, nil}}, unknown},
+		{"key of another request", []Event{Start{}, ClaimReply{ClaimConflict, Claim{ID: id(2)}}}, Finished{Outcome: NotRun, Reason: ReasonKeyReused}},
 	} {
 		t.Run(test.story, func(t *testing.T) {
 			qt.Assert(t, play(testRequest(false), test.events...), qt.DeepEquals, test.want)
@@ -76,10 +76,10 @@
 // as the first may be told so.
 func TestStoreOut(t *testing.T) {
 	for first, want := range map[bool]Outcome{true: NotRun, false: Unknown} {
-		got := play(testRequest(first), Go{}, Claimed{Result: ClaimUnavailable})
+		got := play(testRequest(first), Start{}, ClaimReply{Result: ClaimUnavailable})
 		qt.Assert(t, got, qt.DeepEquals, Action(Finished{
 			Outcome:    want,
-			Reason:     ReasonStore,
+			Reason:     ReasonStoreUnavailable,
 			RetryAfter: 5 * time.Second,
 		}))
 	}
@@ -91,9 +91,9 @@
 func TestRefusedWhileAnotherRuns(t *testing.T) {
 	c := qt.New(t)
 	r := testRequest(true)
-	got := play(r, Go{}, Claimed{Result: ClaimWritten}, Begun{ID: id(1), Verdict: Refused})
+	got := play(r, Start{}, ClaimReply{Result: ClaimWritten}, BeginReply{ID: id(1), Result: BeginRefuse})
 	c.Assert(got, qt.Equals, Action(ReleaseClaim{claim(1)}))
-	got = play(r, Claimed{ClaimConflict, claim(2)}, Resolved{id(2), StatusAnswered, []byte("yes")})
+	got = play(r, ClaimReply{ClaimConflict, claim(2)}, ResolveReply{id(2), StatusAnswered, []byte("yes")})
 	c.Assert(got, qt.DeepEquals, Action(Finished{Outcome: Done, Answer: []byte("yes")}))
 }
 
@@ -102,9 +102,9 @@
 func TestSilenceIsResolved(t *testing.T) {
 	c := qt.New(t)
 	r := testRequest(true)
-	got := play(r, Go{}, Claimed{Result: ClaimWritten}, ConnectionLost{id(1)})
+	got := play(r, Start{}, ClaimReply{Result: ClaimWritten}, ConnectionLost{id(1)})
 	c.Assert(got, qt.Equals, Action(SendResolve{claim(1)}))
-	got = r.Step(t0.Add(10*time.Second), Wake{})[0]
+	got = r.HandleEvent(t0.Add(10*time.Second), Wake{})[0]
 	c.Assert(got, qt.DeepEquals, Action(Finished{Outcome: Unknown, Reason: ReasonDeadline}))
 }
 
@@ -116,16 +116,16 @@
 	c := qt.New(t)
 	late := t0.Add(2 * time.Minute)
 	r := testRequest(false)
-	r.Step(t0, Go{})
-	got := r.Step(late, Claimed{Result: ClaimWritten})[0]
+	r.HandleEvent(t0, Start{})
+	got := r.HandleEvent(late, ClaimReply{Result: ClaimWritten})[0]
 	c.Assert(got, qt.DeepEquals, Action(Finished{Outcome: Unknown, Reason: ReasonDeadline}))
 
 	verdict, _ := testTable().Begin(late, id(1))
-	c.Assert(verdict, qt.Equals, Refused)
+	c.Assert(verdict, qt.Equals, BeginRefuse)
 	r = testRequest(false)
-	play(r, Go{}, Claimed{Result: ClaimWritten})
-	r.Step(t0.Add(2*time.Second), Begun{ID: id(1), Verdict: Refused})
-	got = r.Step(late, Claimed{Result: ClaimWritten})[0]
+	play(r, Start{}, ClaimReply{Result: ClaimWritten})
+	r.HandleEvent(t0.Add(2*time.Second), BeginReply{ID: id(1), Result: BeginRefuse})
+	got = r.HandleEvent(late, ClaimReply{Result: ClaimWritten})[0]
 	c.Assert(got.(Finished).Outcome, qt.Equals, Unknown)
 }
 
@@ -136,15 +136,15 @@
 	table := testTable()
 	for n := uint64(1); n <= 4; n++ {
 		verdict, _ := table.Begin(t0, id(n))
-		c.Assert(verdict, qt.Equals, Fresh)
-		table.Finish(id(n), []byte("four"))
+		c.Assert(verdict, qt.Equals, BeginRun)
+		table.RecordAnswer(id(n), []byte("four"))
 	}
 	c.Assert(table.Len(), qt.Equals, 3)
-	c.Assert(table.Bytes(), qt.Equals, 8)
+	c.Assert(table.AnswerBytes(), qt.Equals, 8)
 	status, _ := table.Resolve(id(1)) // dropped
 	c.Assert(status, qt.Equals, StatusUnknown)
 	verdict, _ := table.Begin(t0, id(1))
-	c.Assert(verdict, qt.Equals, Unprovable)
+	c.Assert(verdict, qt.Equals, BeginUnknown)
 	status, _ = table.Resolve(id(2)) // its answer was dropped
 	c.Assert(status, qt.Equals, StatusRan)
 	status, answer := table.Resolve(id(4))
@@ -161,15 +161,15 @@
 		table.Begin(t0, id(n))
 	}
 	verdict, _ := table.Begin(t0, id(4))
-	c.Assert(verdict, qt.Equals, Refused)
-	table.Refuse(id(1))
+	c.Assert(verdict, qt.Equals, BeginRefuse)
+	table.RecordNotRun(id(1))
 	verdict, _ = table.Begin(t0, id(4))
-	c.Assert(verdict, qt.Not(qt.Equals), Fresh)
+	c.Assert(verdict, qt.Not(qt.Equals), BeginRun)
 	verdict, _ = table.Begin(t0, id(2))
-	c.Assert(verdict, qt.Equals, Joined)
-	table.Finish(id(2), []byte("a"))
+	c.Assert(verdict, qt.Equals, BeginJoin)
+	table.RecordAnswer(id(2), []byte("a"))
 	verdict, _ = table.Begin(t0, id(2))
-	c.Assert(verdict, qt.Equals, Repeated)
+	c.Assert(verdict, qt.Equals, BeginReplay)
 }
 
 // An entry whose clock is an hour ahead sends one attempt. Accepted, it would be
@@ -179,13 +179,13 @@
 	table := testTable()
 	ahead := ID{t0.Add(time.Hour).UnixNano(), 1, 1, 1}
 	verdict, _ := table.Begin(t0, ahead)
-	c.Assert(verdict, qt.Equals, Unprovable)
+	c.Assert(verdict, qt.Equals, BeginUnknown)
 	status, _ := table.Resolve(ahead)
 	c.Assert(status, qt.Equals, StatusNotRun)
 	for n := uint64(1); n <= 5; n++ {
 		verdict, _ = table.Begin(t0, id(n))
-		c.Assert(verdict, qt.Equals, Fresh)
-		table.Finish(id(n), nil)
+		c.Assert(verdict, qt.Equals, BeginRun)
+		table.RecordAnswer(id(n), nil)
 	}
 }
 
@@ -197,10 +197,10 @@
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	own := Claim{ID: ID{Issued: now.UnixNano(), Entry: 1, Sequence: 1, Incarnation: 7}, Agent: "a"}
-	r := NewRequest(RequestConfig{Keyed: true, Deadline: now.Add(time.Second), Poll: time.Second, MaxAge: time.Minute}, own)
-	r.Step(now, Go{})
-	r.Step(now, Claimed{Result: ClaimWritten})
-	r.Step(now, Begun{ID: own.ID, Verdict: Refused})
-	actions := r.Step(now, Claimed{Result: ClaimGone})
+	r := NewRequest(RequestConfig{HasKey: true, Deadline: now.Add(time.Second), PollInterval: time.Second, MaxAge: time.Minute}, own)
+	r.HandleEvent(now, Start{})
+	r.HandleEvent(now, ClaimReply{Result: ClaimWritten})
+	r.HandleEvent(now, BeginReply{ID: own.ID, Result: BeginRefuse})
+	actions := r.HandleEvent(now, ClaimReply{Result: ClaimGone})
 	c.Assert(actions[0].(Finished).Outcome, qt.Equals, NotRun)
 }
--- a/attempts/table.go
+++ b/attempts/table.go
@@ -10,14 +10,14 @@
 type TableConfig struct {
 	// Incarnation of the agent, which grows with each start of its process.
 	Incarnation uint64
-	// Entries and Bytes bound the attempts and the answers that are kept.
-	Entries int
-	Bytes   int
+	// MaxEntries and Bytes bound the attempts and the answers that are kept.
+	MaxEntries     int
+	MaxAnswerBytes int
 	// MaxAge is how old an attempt may be when it begins. With Skew added it
 	// must be below the time for which claims are kept in the store.
 	MaxAge time.Duration
-	// Skew is how far the wall clocks of instances may differ.
-	Skew time.Duration
+	// MaxClockSkew is how far the wall clocks of instances may differ.
+	MaxClockSkew time.Duration
 }
 
 // Table is an agent's memory of attempts. It is not safe for concurrent use.
@@ -55,24 +55,24 @@
 
 // Begin decides whether the attempt may run now. The answer is the kept one if
 // the verdict is Repeated, and is not to be changed.
-func (t *Table) Begin(now time.Time, id ID) (Verdict, []byte) {
+func (t *Table) Begin(now time.Time, id ID) (BeginResult, []byte) {
 	if e := t.entries[id]; e != nil {
 		return e.verdict(), e.answer
 	}
 	t.now = now
 	if t.unprovable(id) || t.ahead(id) {
-		return Unprovable, nil
+		return BeginUnknown, nil
 	}
 	if t.tooOld(id) || !t.room() {
 		t.refuse(id)
-		return Refused, nil
+		return BeginRefuse, nil
 	}
 	t.entries[id] = &entry{id: id, status: StatusRunning}
-	return Fresh, nil
+	return BeginRun, nil
 }
 
-// Finish keeps the whole answer of an attempt that was Fresh.
-func (t *Table) Finish(id ID, answer []byte) {
+// RecordAnswer keeps the whole answer of an attempt that was Fresh.
+func (t *Table) RecordAnswer(id ID, answer []byte) {
 	e := t.running(id)
 	e.status = StatusAnswered
 	e.answer = answer
@@ -81,17 +81,17 @@
 	t.trim()
 }
 
-// Interrupt notes that a Fresh attempt was handed to the target and that its
+// RecordLostAnswer notes that a Fresh attempt was handed to the target and that its
 // answer will never come.
-func (t *Table) Interrupt(id ID) {
+func (t *Table) RecordLostAnswer(id ID) {
 	e := t.running(id)
 	e.status = StatusRan
 	t.ran.ReplaceOrInsert(e)
 	t.trim()
 }
 
-// Refuse notes that a Fresh attempt was never handed to the target.
-func (t *Table) Refuse(id ID) {
+// RecordNotRun notes that a Fresh attempt was never handed to the target.
+func (t *Table) RecordNotRun(id ID) {
 	e := t.running(id)
 	e.status = StatusNotRun
 	t.refused.ReplaceOrInsert(e)
@@ -114,19 +114,19 @@
 // Len returns the number of attempts remembered.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Bytes returns the size of the answers kept.
-func (t *Table) Bytes() int { return t.bytes }
+// AnswerBytes returns the size of the answers kept.
+func (t *Table) AnswerBytes() int { return t.bytes }
 
-func (e *entry) verdict() Verdict {
+func (e *entry) verdict() BeginResult {
 	switch e.status {
 	case StatusRunning:
-		return Joined
+		return BeginJoin
 	case StatusAnswered:
-		return Repeated
+		return BeginReplay
 	case StatusNotRun:
-		return Refused
+		return BeginRefuse
 	}
-	return Unprovable
+	return BeginUnknown
 }
 
 // running returns the entry of a Fresh attempt. Any other call would change an
--- a/attempts/trim.go
+++ b/attempts/trim.go
@@ -24,13 +24,13 @@
 // They neither begin nor leave a tombstone; those that Resolve leaves are dropped
 // last.
 func (t *Table) ahead(id ID) bool {
-	return id.issuedAt().After(t.now.Add(t.config.Skew))
+	return id.issuedAt().After(t.now.Add(t.config.MaxClockSkew))
 }
 
 // room says whether another attempt may run within the bound.
 func (t *Table) room() bool {
 	ended := t.refused.Len() + t.answered.Len() + t.ran.Len()
-	return len(t.entries)-ended < t.config.Entries
+	return len(t.entries)-ended < t.config.MaxEntries
 }
 
 func (t *Table) refuse(id ID) {
@@ -49,14 +49,14 @@
 // never arrived, and none below may begin, so that no dropped refusal can be
 // undone. Entries below the floor that are still there keep their account.
 func (t *Table) trim() {
-	for t.bytes > t.config.Bytes {
+	for t.bytes > t.config.MaxAnswerBytes {
 		e, _ := t.answered.DeleteMin()
 		t.bytes -= len(e.answer)
 		e.answer = nil
 		e.status = StatusRan
 		t.ran.ReplaceOrInsert(e)
 	}
-	for len(t.entries) > t.config.Entries && t.drop() {
+	for len(t.entries) > t.config.MaxEntries && t.drop() {
 	}
 }
 
--- a/attempts/verdict.go
+++ b/attempts/verdict.go
@@ -1,27 +1,27 @@
 package attempts
 
-// Verdict is what a Table decides about an attempt that asks to begin.
-type Verdict uint8
+// BeginResult is what a Table decides about an attempt that asks to begin.
+type BeginResult uint8
 
 // Verdicts on an attempt.
 const (
-	// Fresh: run it, then call Finish, Interrupt or Refuse.
-	Fresh Verdict = iota
-	// Joined: it already runs; wait for the same answer.
-	Joined
-	// Repeated: it has run; the answer is given again.
-	Repeated
-	// Refused: it did not run and will not; the reason says why.
-	Refused
-	// Unprovable: it is not run now, but whether an earlier copy of the message
+	// BeginRun: run it, then call Finish, Interrupt or Refuse.
+	BeginRun BeginResult = iota
+	// BeginJoin: it already runs; wait for the same answer.
+	BeginJoin
+	// BeginReplay: it has run; the answer is given again.
+	BeginReplay
+	// BeginRefuse: it did not run and will not; the reason says why.
+	BeginRefuse
+	// BeginUnknown: it is not run now, but whether an earlier copy of the message
 	// ran is not known.
-	Unprovable
+	BeginUnknown
 )
 
 var verdictNames = [...]string{"fresh", "joined", "repeated", "refused", "unprovable"}
 
 // String returns the verdict in lower case.
-func (v Verdict) String() string {
+func (v BeginResult) String() string {
 	if int(v) < len(verdictNames) {
 		return verdictNames[v]
 	}
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -41,18 +41,18 @@
 	rev    store.Revision
 }
 
-func (k *claimKey) write(ctx context.Context, c attempts.Claim) attempts.Claimed {
+func (k *claimKey) write(ctx context.Context, c attempts.Claim) attempts.ClaimReply {
 	return k.swap(ctx, store.Swap{Key: k.key, Value: encodeClaim(c)})
 }
 
-func (k *claimKey) replace(ctx context.Context, old, next attempts.Claim) attempts.Claimed {
+func (k *claimKey) replace(ctx context.Context, old, next attempts.Claim) attempts.ClaimReply {
 	if r, ok := k.seen(ctx, old); !ok {
 		return r
 	}
 	return k.swap(ctx, store.Swap{Key: k.key, Expect: k.rev, Value: encodeClaim(next)})
 }
 
-func (k *claimKey) release(ctx context.Context, c attempts.Claim) attempts.Claimed {
+func (k *claimKey) release(ctx context.Context, c attempts.Claim) attempts.ClaimReply {
 	if r, ok := k.seen(ctx, c); !ok {
 		return r
 	}
@@ -61,25 +61,25 @@
 
 // seen makes sure that rev is the revision at which the store held want. False:
 // the store holds something else, and the result says what.
-func (k *claimKey) seen(ctx context.Context, want attempts.Claim) (attempts.Claimed, bool) {
+func (k *claimKey) seen(ctx context.Context, want attempts.Claim) (attempts.ClaimReply, bool) {
 	kv, ok, err := k.claims.store.Get(ctx, k.key)
 	switch {
 	case err != nil:
-		return attempts.Claimed{Result: attempts.ClaimUnavailable}, false
+		return attempts.ClaimReply{Result: attempts.ClaimUnavailable}, false
 	case !ok:
-		return attempts.Claimed{Result: attempts.ClaimGone}, false
+		return attempts.ClaimReply{Result: attempts.ClaimGone}, false
 	case !bytes.Equal(kv.Value, encodeClaim(want)):
 		return conflict(kv), false
 	}
 	k.rev = kv.Mod
-	return attempts.Claimed{}, true
+	return attempts.ClaimReply{}, true
 }
 
-func (k *claimKey) swap(ctx context.Context, s store.Swap) attempts.Claimed {
+func (k *claimKey) swap(ctx context.Context, s store.Swap) attempts.ClaimReply {
 	if !s.Delete {
 		lease, err := k.claims.lease.Current(ctx)
 		if err != nil {
-			return attempts.Claimed{Result: attempts.ClaimUnavailable}
+			return attempts.ClaimReply{Result: attempts.ClaimUnavailable}
 		}
 		s.Lease = lease
 	}
@@ -87,24 +87,24 @@
 	switch {
 	case eris.Is(err, store.ErrLeaseNotFound):
 		k.claims.lease.Invalidate(s.Lease)
-		return attempts.Claimed{Result: attempts.ClaimUnavailable}
+		return attempts.ClaimReply{Result: attempts.ClaimUnavailable}
 	case err != nil || res.Unknown:
-		return attempts.Claimed{Result: attempts.ClaimUnavailable}
+		return attempts.ClaimReply{Result: attempts.ClaimUnavailable}
 	case res.Swapped:
 		k.rev = res.Current.Mod
-		return attempts.Claimed{Result: attempts.ClaimWritten}
+		return attempts.ClaimReply{Result: attempts.ClaimWritten}
 	case res.Current.Mod == 0:
-		return attempts.Claimed{Result: attempts.ClaimGone}
+		return attempts.ClaimReply{Result: attempts.ClaimGone}
 	}
 	return conflict(res.Current)
 }
 
-func conflict(kv store.KeyValue) attempts.Claimed {
+func conflict(kv store.KeyValue) attempts.ClaimReply {
 	var c attempts.Claim
 	if err := cbor.Unmarshal(kv.Value, &c); err != nil {
-		return attempts.Claimed{Result: attempts.ClaimUnavailable}
+		return attempts.ClaimReply{Result: attempts.ClaimUnavailable}
 	}
-	return attempts.Claimed{Result: attempts.ClaimConflict, Claim: c}
+	return attempts.ClaimReply{Result: attempts.ClaimConflict, Claim: c}
 }
 
 func encodeClaim(c attempts.Claim) []byte {
--- a/entry/delivery.go
+++ b/entry/delivery.go
@@ -48,12 +48,12 @@
 		Fingerprint: fingerprint(c),
 	}
 	cfg := attempts.RequestConfig{
-		Keyed:      c.key != "",
-		First:      c.first,
-		Deadline:   c.deadline,
-		Poll:       resolvePoll,
-		RetryAfter: comeBack,
-		MaxAge:     attemptMaxAge,
+		HasKey:        c.key != "",
+		FirstDelivery: c.first,
+		Deadline:      c.deadline,
+		PollInterval:  resolvePoll,
+		RetryAfter:    comeBack,
+		MaxAge:        attemptMaxAge,
 	}
 	return &delivery{
 		d:      d,
@@ -84,7 +84,7 @@
 // being released must be released.
 func (v *delivery) run() attempts.Finished {
 	defer v.timer.Stop()
-	actions := v.req.Step(v.d.now(), attempts.Go{})
+	actions := v.req.HandleEvent(v.d.now(), attempts.Start{})
 	for {
 		for _, a := range actions {
 			if end, ok := a.(attempts.Finished); ok {
@@ -95,9 +95,9 @@
 		select {
 		case ev := <-v.events:
 			v.note(ev)
-			actions = v.req.Step(v.d.now(), v.patience(ev))
+			actions = v.req.HandleEvent(v.d.now(), v.patience(ev))
 		case <-v.timer.C:
-			actions = v.req.Step(v.d.now(), attempts.Wake{})
+			actions = v.req.HandleEvent(v.d.now(), attempts.Wake{})
 		}
 	}
 }
@@ -105,15 +105,15 @@
 func (v *delivery) do(a attempts.Action) {
 	switch a := a.(type) {
 	case attempts.WriteClaim:
-		go v.emitClaim(func(ctx context.Context) attempts.Claimed {
+		go v.emitClaim(func(ctx context.Context) attempts.ClaimReply {
 			return v.claim.write(ctx, a.Claim)
 		})
 	case attempts.ReplaceClaim:
-		go v.emitClaim(func(ctx context.Context) attempts.Claimed {
+		go v.emitClaim(func(ctx context.Context) attempts.ClaimReply {
 			return v.claim.replace(ctx, a.Old, a.New)
 		})
 	case attempts.ReleaseClaim:
-		go v.emitClaim(func(ctx context.Context) attempts.Claimed {
+		go v.emitClaim(func(ctx context.Context) attempts.ClaimReply {
 			return v.claim.release(ctx, a.Claim)
 		})
 	case attempts.SendBegin:
@@ -135,7 +135,7 @@
 	}
 }
 
-func (v *delivery) emitClaim(f func(context.Context) attempts.Claimed) {
+func (v *delivery) emitClaim(f func(context.Context) attempts.ClaimReply) {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(v.ctx), v.call.deadline)
 	defer cancel()
 	v.emit(deliveryEvent{Event: f(ctx)})
@@ -165,5 +165,5 @@
 		return attempts.Wake{}
 	}
 	v.gaveUp = true
-	return attempts.Resolved{ID: ev.unresolved, Status: attempts.StatusUnknown}
+	return attempts.ResolveReply{ID: ev.unresolved, Status: attempts.StatusUnknown}
 }
--- a/entry/delivery_send.go
+++ b/entry/delivery_send.go
@@ -19,7 +19,7 @@
 	ev := deliveryEvent{reply: reply, err: err}
 	switch {
 	case err != nil && errors.Is(err, wire.ErrNotSent):
-		ev.Event = attempts.Begun{ID: c.ID, Verdict: attempts.Refused}
+		ev.Event = attempts.BeginReply{ID: c.ID, Result: attempts.BeginRefuse}
 	case err != nil || reply == nil:
 		ev.Event = attempts.ConnectionLost{ID: c.ID}
 	default:
@@ -28,18 +28,18 @@
 	v.emit(ev)
 }
 
-func begunOf(id attempts.ID, r *wire.ExecuteReply) attempts.Begun {
-	b := attempts.Begun{ID: id}
+func begunOf(id attempts.ID, r *wire.ExecuteReply) attempts.BeginReply {
+	b := attempts.BeginReply{ID: id}
 	switch {
 	case r.Outcome == wire.OutcomeDone:
-		b.Verdict = attempts.Fresh
+		b.Result = attempts.BeginRun
 		b.Answer = encodeReply(r)
 	case r.Outcome == wire.OutcomeRefused:
-		b.Verdict = attempts.Refused
+		b.Result = attempts.BeginRefuse
 	case r.Reason == wire.ReasonAttempt:
-		b.Verdict = attempts.Unprovable
+		b.Result = attempts.BeginUnknown
 	default:
-		b.Verdict = attempts.Fresh
+		b.Result = attempts.BeginRun
 		b.Interrupted = true
 	}
 	return b
@@ -61,8 +61,8 @@
 	v.emit(deliveryEvent{Event: resolvedOf(c.ID, reply)})
 }
 
-func resolvedOf(id attempts.ID, r *wire.ResolveReply) attempts.Resolved {
-	ev := attempts.Resolved{ID: id}
+func resolvedOf(id attempts.ID, r *wire.ResolveReply) attempts.ResolveReply {
+	ev := attempts.ResolveReply{ID: id}
 	switch {
 	case r.State == wire.AttemptNotRun:
 		ev.Status = attempts.StatusNotRun
--- a/entry/members.go
+++ b/entry/members.go
@@ -180,9 +180,9 @@
 	case membership.Joined, membership.Changed:
 		m.e.agents.place(id, member.Report.Address)
 	case membership.Suspected:
-		m.e.dispatcher(member.Report.Service).router.Suspect(time.Now(), routing.TargetID(id))
+		m.e.dispatcher(member.Report.Service).router.ProbeFailed(time.Now(), routing.TargetID(id))
 	case membership.Recovered:
-		m.e.dispatcher(member.Report.Service).router.Heard(time.Now(), routing.TargetID(id))
+		m.e.dispatcher(member.Report.Service).router.ProbeSucceeded(time.Now(), routing.TargetID(id))
 	}
 }
 
@@ -226,7 +226,7 @@
 			ID:          routing.TargetID(r.ID),
 			Zone:        r.Zone,
 			Slots:       r.Slots,
-			Connections: min(r.Connections, most),
+			MaxInflight: min(r.Connections, most),
 			Draining:    !member.Schedulable(),
 			Incarnation: r.Incarnation,
 		})
--- a/entry/once.go
+++ b/entry/once.go
@@ -77,5 +77,5 @@
 	if end.Outcome != attempts.NotRun || end.Reason != attempts.ReasonRefused {
 		return false
 	}
-	return ctx.Err() == nil && d.router.Retry(d.now(), c.account)
+	return ctx.Err() == nil && d.router.AllowRetry(d.now(), c.account)
 }
--- a/entry/once_end.go
+++ b/entry/once_end.go
@@ -33,7 +33,7 @@
 
 func (v *delivery) notRun(end attempts.Finished) *api.Problem {
 	switch end.Reason {
-	case attempts.ReasonStore:
+	case attempts.ReasonStoreUnavailable:
 		return api.Busy(api.ReasonStoreDown, "the platform's store could not be asked whether the key was used before", after(end.RetryAfter))
 	case attempts.ReasonDeadline:
 		return api.NewProblem(api.ReasonDeadline, "the deadline passed before the start")
@@ -50,7 +50,7 @@
 	switch end.Reason {
 	case attempts.ReasonDeadline:
 		return api.NewProblem(api.ReasonDeadlineRunning, "the deadline passed after the start")
-	case attempts.ReasonStore:
+	case attempts.ReasonStoreUnavailable:
 		return api.NewProblem(api.ReasonKeyInDoubt, "the platform's store can't say whether the key was used before")
 	case attempts.ReasonKeyReused:
 		return api.NewProblem(api.ReasonKeyReused, "the key belongs to a request with another content")
--- a/entry/policy.go
+++ b/entry/policy.go
@@ -13,8 +13,8 @@
 const accountShareFactor = 2
 
 // retriesOf is the retry budget that a document declares.
-func retriesOf(d *document.Document) routing.Retries {
-	return routing.Retries{
+func retriesOf(d *document.Document) routing.RetryPolicy {
+	return routing.RetryPolicy{
 		Share:        d.Routing.RetryShare,
 		AccountShare: accountShareFactor * d.Routing.RetryShare,
 		Burst:        d.Routing.RetryBurst,
@@ -25,7 +25,7 @@
 func (d *dispatcher) obey(doc *document.Document) {
 	weights := relativeWeights(doc)
 	d.weights.Store(&weights)
-	d.router.SetRetries(retriesOf(doc))
+	d.router.SetRetryPolicy(retriesOf(doc))
 }
 
 // maxInFlight is how many requests this entry may have at one target.
--- a/entry/problem.go
+++ b/entry/problem.go
@@ -23,9 +23,9 @@
 	switch r.Reason {
 	case routing.NoTargets:
 		return api.Busy(api.ReasonNoTarget, "no target accepts work now", after(r.RetryAfter))
-	case routing.TooLate:
+	case routing.DeadlineExceeded:
 		return api.NewProblem(api.ReasonDeadline, "the deadline has passed")
-	case routing.OverShare:
+	case routing.AccountOverShare:
 		return api.Busy(api.ReasonAccountLimit, "the client account uses its share of the targets already", after(r.RetryAfter))
 	default:
 		return api.Busy(api.ReasonQueueFull, "all targets are saturated", after(r.RetryAfter))
@@ -49,11 +49,11 @@
 
 func refusedProblem(reply *wire.ExecuteReply) *api.Problem {
 	switch reply.Reason {
-	case admission.Deadline.String():
+	case admission.ReasonDeadline.String():
 		return api.Busy(api.ReasonDeadline, "it could not have been answered in time", reply.RetryAfter)
-	case admission.TooMany.String():
+	case admission.ReasonAccountQueueFull.String():
 		return api.Busy(api.ReasonAccountLimit, "the client account has too many requests queued", after(reply.RetryAfter))
-	case admission.Overload.String():
+	case admission.ReasonOverload.String():
 		return api.Busy(api.ReasonQueueFull, "the target is overloaded", after(reply.RetryAfter))
 	default:
 		return api.Busy(api.ReasonRefused, reply.Reason+" "+reply.Detail, after(reply.RetryAfter))
--- a/entry/quick.go
+++ b/entry/quick.go
@@ -54,14 +54,14 @@
 }
 
 // query describes the next attempt to the router.
-func (d *dispatcher) query(c *call, attempt int, tried []routing.TargetID) routing.Query {
-	return routing.Query{
-		Account:  c.account,
-		Attempt:  attempt,
-		Exclude:  tried,
-		Deadline: c.deadline,
-		Once:     !c.repeat,
-		Weight:   (*d.weights.Load())[c.account],
+func (d *dispatcher) query(c *call, attempt int, tried []routing.TargetID) routing.PickInfo {
+	return routing.PickInfo{
+		Account:    c.account,
+		Attempt:    attempt,
+		Exclude:    tried,
+		Deadline:   c.deadline,
+		AtMostOnce: !c.repeat,
+		Weight:     (*d.weights.Load())[c.account],
 	}
 }
 
@@ -112,7 +112,7 @@
 		if ran(reply, err) {
 			maybeRan++
 		}
-		if maybeRan > c.retries || ctx.Err() != nil || !d.router.Retry(d.now(), c.account) {
+		if maybeRan > c.retries || ctx.Err() != nil || !d.router.AllowRetry(d.now(), c.account) {
 			return nil, d.refusal(c, attemptProblem(reply, err, maybeRan > 0))
 		}
 		d.count(metrics.RequestsRetried, 1)
@@ -172,7 +172,7 @@
 		Running:    reply.Load.Running,
 		Queued:     reply.Load.Queued,
 		Marked:     reply.Marked,
-		Shedding:   reply.Reason == admission.Overload.String(),
+		Shedding:   reply.Reason == admission.ReasonOverload.String(),
 		Draining:   reply.Draining,
 		RetryAfter: reply.RetryAfter,
 	}
--- a/entry/repick.go
+++ b/entry/repick.go
@@ -29,7 +29,7 @@
 	for {
 		ticket, refusal := d.router.Pick(d.now(), d.query(c, attempt, tried))
 		wait := max(refusal.RetryAfter, repickPause)
-		hopeless := refusal.Reason == routing.TooLate || d.now().Add(wait).After(until)
+		hopeless := refusal.Reason == routing.DeadlineExceeded || d.now().Add(wait).After(until)
 		if refusal.OK() || !maybeRan || hopeless || ctx.Err() != nil {
 			return ticket, refusal
 		}
--- a/entry/repick_test.go
+++ b/entry/repick_test.go
@@ -27,7 +27,7 @@
 
 		go func() {
 			time.Sleep(repickPatience / 2)
-			d.setTargets([]routing.Target{{ID: "a", Slots: 8, Connections: 64}})
+			d.setTargets([]routing.Target{{ID: "a", Slots: 8, MaxInflight: 64}})
 		}()
 		ticket, refusal := d.pick(t.Context(), request, 1, []routing.TargetID{"a"}, true)
 		c.Assert(refusal.OK(), qt.IsTrue, qt.Commentf("%v", refusal.Reason))
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -102,7 +102,7 @@
 			b.Run(fmt.Sprint(name, "/entries=", entries), func(b *testing.B) {
 				for b.Loop() {
 					p := overloadPlan()
-					p.entries, p.admission.Control = entries, admission.Control(control)
+					p.entries, p.admission.CongestionControl = entries, admission.CongestionControl(control)
 					r := run(p)
 					b.ReportMetric(r.goodput(), "useful/capacity")
 					b.ReportMetric(float64(r.served[0].ValueAtQuantile(50))/1000, "heavy-p50-ms")
@@ -134,7 +134,7 @@
 				r := routing.New(routing.Options{Choices: choices})
 				var ts []routing.Target
 				for i := range n {
-					ts = append(ts, routing.Target{ID: name(i), Slots: slots, Connections: connections})
+					ts = append(ts, routing.Target{ID: name(i), Slots: slots, MaxInflight: connections})
 				}
 				r.SetTargets(at(0), ts)
 				b.ReportAllocs()
--- a/routing/done.go
+++ b/routing/done.go
@@ -93,6 +93,6 @@
 	if e.ejectedUntil.Load() > now {
 		return
 	}
-	backoff := e.breaker.eject(now, r.options.EjectBase, r.options.EjectMax)
+	backoff := e.breaker.eject(now, r.options.BaseEjectionTime, r.options.MaxEjectionTime)
 	e.ejectedUntil.Store(now + int64(backoff))
 }
--- a/routing/driver_entry_test.go
+++ b/routing/driver_entry_test.go
@@ -8,7 +8,7 @@
 )
 
 func (d *driver) try(e *entrySim, r *request) {
-	ticket, refusal := e.router.Pick(at(d.now), routing.Query{
+	ticket, refusal := e.router.Pick(at(d.now), routing.PickInfo{
 		Account: account(r.account), Weight: d.relativeWeight(r.account), Attempt: r.attempt, Exclude: r.tried, Deadline: at(r.deadline),
 	})
 	if !refusal.OK() {
@@ -45,7 +45,7 @@
 		if a.ended {
 			return
 		}
-		a.entry.router.Suspect(at(d.now), a.ticket.Target)
+		a.entry.router.ProbeFailed(at(d.now), a.ticket.Target)
 		d.ping(a.entry, a.target)
 		for _, other := range sorted(a.entry.out[a.target]) {
 			d.end(other, routing.Outcome{Kind: routing.Unreachable})
@@ -63,7 +63,7 @@
 			d.ping(e, target)
 			return
 		}
-		e.router.Heard(at(d.now), name(target))
+		e.router.ProbeSucceeded(at(d.now), name(target))
 	})
 }
 
@@ -82,7 +82,7 @@
 	switch {
 	case o.Kind == routing.Answered:
 		d.finish(r, true)
-	case d.now < r.deadline && a.entry.router.Retry(at(d.now), account(r.account)):
+	case d.now < r.deadline && a.entry.router.AllowRetry(at(d.now), account(r.account)):
 		d.try(a.entry, r)
 	case o.Kind == routing.Refused:
 		d.refuse(r, a.entry.router.RetryAfter(account(r.account)))
@@ -109,7 +109,7 @@
 }
 
 func (d *driver) step(g *agentSim, ev admission.Event) {
-	for _, action := range append([]admission.Action(nil), g.queue.Step(at(d.now), ev)...) {
+	for _, action := range append([]admission.Action(nil), g.queue.HandleEvent(at(d.now), ev)...) {
 		switch action := action.(type) {
 		case admission.Run:
 			d.serve(g, action.ID)
@@ -137,7 +137,7 @@
 	took := d.serviceAt(a)
 	d.after(took, func() {
 		delete(g.pending, id)
-		d.step(g, admission.Finished{ID: id, Took: took})
+		d.step(g, admission.Finished{ID: id, SlotTime: took})
 		d.reply(a, routing.Outcome{Kind: routing.Answered, Load: toRouting(g.queue.Load(at(d.now)))})
 	})
 }
--- a/routing/driver_test.go
+++ b/routing/driver_test.go
@@ -185,7 +185,7 @@
 func (d *driver) build() {
 	var ts []routing.Target
 	for i := range targets {
-		ts = append(ts, routing.Target{ID: name(i), Slots: slots, Connections: connections, Zone: zone(i)})
+		ts = append(ts, routing.Target{ID: name(i), Slots: slots, MaxInflight: connections, Zone: zone(i)})
 		o := d.admission
 		o.Slots = slots
 		d.agents = append(d.agents, &agentSim{target: i, queue: admission.New(o), pending: map[admission.ID]*attempt{}})
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -51,7 +51,7 @@
 		initial = t.Slots
 	}
 	e := &endpoint{id: t.ID, zone: t.Zone, incarnation: t.Incarnation}
-	e.win = newWindow(initial, t.Connections)
+	e.win = newWindow(initial, t.MaxInflight)
 	e.window.Store(int64(e.win.size))
 	e.slots.Store(int64(max(1, t.Slots)))
 	e.draining.Store(t.Draining)
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -19,16 +19,16 @@
 // Pick chooses a target for one attempt and takes a place in its window. When
 // the Refusal is OK, the Ticket goes back to Done exactly once. Otherwise
 // nothing was taken and the request has not run.
-func (r *Router) Pick(now time.Time, q Query) (Ticket, Refusal) {
+func (r *Router) Pick(now time.Time, q PickInfo) (Ticket, Refusal) {
 	if !q.Deadline.IsZero() && !now.Before(q.Deadline) {
-		return Ticket{}, Refusal{Reason: TooLate}
+		return Ticket{}, Refusal{Reason: DeadlineExceeded}
 	}
 	a := r.accounts.of(q.Account)
 	if q.Attempt == 0 {
 		r.earn(a)
 	}
 	if !r.withinShare(a, q.Weight) {
-		return Ticket{}, Refusal{Reason: OverShare, RetryAfter: a.returns.add()}
+		return Ticket{}, Refusal{Reason: AccountOverShare, RetryAfter: a.returns.add()}
 	}
 	at := now.UnixNano()
 	t := r.table.Load()
@@ -56,7 +56,7 @@
 // choose takes a place at the cheapest of a few random endpoints: of the own
 // availability zone while one of them has a free slot, else of all. When none
 // of the sample has a place, the first endpoint with one is taken.
-func (r *Router) choose(t *table, now int64, q Query) (*endpoint, bool) {
+func (r *Router) choose(t *table, now int64, q PickInfo) (*endpoint, bool) {
 	stale := int64(r.options.StaleAfter)
 	if e, trial := r.sample(t, t.local, now, q); e != nil && (trial || e.idle(now, stale)) {
 		if trial || e.acquire() {
@@ -71,7 +71,7 @@
 
 // sample returns the cheapest open endpoint of a few random ones, or one that
 // is due for its trial, with the trial already taken.
-func (r *Router) sample(t *table, from []*endpoint, now int64, q Query) (*endpoint, bool) {
+func (r *Router) sample(t *table, from []*endpoint, now int64, q PickInfo) (*endpoint, bool) {
 	if len(from) == 0 {
 		return nil, false
 	}
@@ -84,7 +84,7 @@
 		}
 		switch e.condition(now) {
 		case halfOpen:
-			if !q.Once && q.Attempt == 0 && r.tryOut(t, e) {
+			if !q.AtMostOnce && q.Attempt == 0 && r.tryOut(t, e) {
 				return e, true
 			}
 		case open:
@@ -101,7 +101,7 @@
 
 // scan looks at every endpoint from a random one on. Trials come second here
 // and are open to every request: nothing else is left.
-func (r *Router) scan(t *table, now int64, q Query) (*endpoint, bool) {
+func (r *Router) scan(t *table, now int64, q PickInfo) (*endpoint, bool) {
 	if len(t.all) == 0 {
 		return nil, false
 	}
--- a/routing/random_test.go
+++ b/routing/random_test.go
@@ -50,10 +50,10 @@
 	case n < 80:
 		w.done()
 	case n < 82:
-		w.router.Suspect(at(w.now), id)
+		w.router.ProbeFailed(at(w.now), id)
 	case n < 83:
-		w.router.Heard(at(w.now), id)
-	case n < 97 && w.router.Retry(at(w.now), fmt.Sprint(w.rng.IntN(3))):
+		w.router.ProbeSucceeded(at(w.now), id)
+	case n < 97 && w.router.AllowRetry(at(w.now), fmt.Sprint(w.rng.IntN(3))):
 		w.retries++
 	case n >= 97:
 		w.change(id)
@@ -64,11 +64,11 @@
 	t := w.targets[id]
 	switch {
 	case t == nil:
-		w.targets[id] = &routing.Target{ID: id, Zone: "east", Slots: 4, Connections: 1 + w.rng.IntN(16)}
+		w.targets[id] = &routing.Target{ID: id, Zone: "east", Slots: 4, MaxInflight: 1 + w.rng.IntN(16)}
 	case w.rng.IntN(3) == 0:
 		delete(w.targets, id)
 	case t.Draining:
-		*t = routing.Target{ID: id, Slots: 4, Connections: 16, Incarnation: t.Incarnation + 1}
+		*t = routing.Target{ID: id, Slots: 4, MaxInflight: 16, Incarnation: t.Incarnation + 1}
 	default:
 		t.Draining = true
 	}
@@ -83,7 +83,7 @@
 
 func (w *world) pick() {
 	exclude := name(w.rng.IntN(6))
-	q := routing.Query{Account: fmt.Sprint(w.rng.IntN(3)), Exclude: []routing.TargetID{exclude}, Once: w.rng.IntN(2) == 0}
+	q := routing.PickInfo{Account: fmt.Sprint(w.rng.IntN(3)), Exclude: []routing.TargetID{exclude}, AtMostOnce: w.rng.IntN(2) == 0}
 	w.first++
 	ticket, refusal := w.router.Pick(at(w.now), q)
 	if !refusal.OK() {
@@ -124,7 +124,7 @@
 	window := 0
 	for _, t := range s.Targets {
 		w.c.Assert(t.Inflight >= 0, qt.IsTrue)
-		w.c.Assert(t.Window >= 1 && t.Window <= w.targets[t.ID].Connections, qt.IsTrue)
+		w.c.Assert(t.Window >= 1 && t.Window <= w.targets[t.ID].MaxInflight, qt.IsTrue)
 		if !t.Ejected && !t.Draining {
 			window += t.Window
 		}
@@ -145,7 +145,7 @@
 		})
 	}
 	for n := range uint64(200) {
-		r.SetTargets(at(0), []routing.Target{{ID: "a", Slots: 8, Connections: 64, Incarnation: n / 2}, {ID: "b", Slots: 8, Connections: 64, Draining: n%2 == 0}})
+		r.SetTargets(at(0), []routing.Target{{ID: "a", Slots: 8, MaxInflight: 64, Incarnation: n / 2}, {ID: "b", Slots: 8, MaxInflight: 64, Draining: n%2 == 0}})
 	}
 	wg.Wait()
 	qt.Assert(t, r.Stats().Inflight, qt.Equals, 0)
--- a/routing/refusal.go
+++ b/routing/refusal.go
@@ -7,11 +7,11 @@
 
 // Reasons of a Refusal.
 const (
-	Accepted     RefusalReason = iota
-	NoTargets                  // no target is known, open and not excluded
-	AllSaturated               // every usable target's window is full
-	OverShare                  // the client account holds its share of the windows already
-	TooLate                    // the deadline has passed
+	NotRefused       RefusalReason = iota
+	NoTargets                      // no target is known, open and not excluded
+	AllSaturated                   // every usable target's window is full
+	AccountOverShare               // the client account holds its share of the windows already
+	DeadlineExceeded               // the deadline has passed
 )
 
 var refusalNames = [...]string{"accepted", "no targets", "all saturated", "over share", "too late"}
@@ -26,4 +26,4 @@
 }
 
 // OK reports whether the pick succeeded.
-func (r Refusal) OK() bool { return r.Reason == Accepted }
+func (r Refusal) OK() bool { return r.Reason == NotRefused }
--- a/routing/refuse.go
+++ b/routing/refuse.go
@@ -13,7 +13,7 @@
 )
 
 // refusal says why choose found nothing.
-func (r *Router) refusal(t *table, now int64, q Query, a *account) Refusal {
+func (r *Router) refusal(t *table, now int64, q PickInfo, a *account) Refusal {
 	next := int64(0)
 	for _, e := range t.all {
 		if slices.Contains(q.Exclude, e.id) {
@@ -27,7 +27,7 @@
 		}
 	}
 	if next == 0 {
-		return Refusal{Reason: NoTargets, RetryAfter: r.options.EjectBase}
+		return Refusal{Reason: NoTargets, RetryAfter: r.options.BaseEjectionTime}
 	}
 	return Refusal{Reason: NoTargets, RetryAfter: max(minRetryAfter, time.Duration(next-now))}
 }
--- a/routing/retries.go
+++ b/routing/retries.go
@@ -1,15 +1,15 @@
 package routing
 
-// Retries is the policy of the retry budget.
-type Retries struct {
+// RetryPolicy is the policy of the retry budget.
+type RetryPolicy struct {
 	Share        float64 // retries per first attempt, all client accounts together
 	AccountShare float64 // retries per first attempt of one client account
 	Burst        int     // retries that the budget holds at most
 }
 
-// SetRetries puts a policy in force. Zeros mean no retries. Budgets that hold
+// SetRetryPolicy puts a policy in force. Zeros mean no retries. Budgets that hold
 // more than the new burst are cut to it. It is safe for concurrent use.
-func (r *Router) SetRetries(p Retries) {
+func (r *Router) SetRetryPolicy(p RetryPolicy) {
 	r.policy.Store(&p)
 	r.retries.limit(p.Burst)
 	for i := range r.accounts.buckets {
--- a/routing/router.go
+++ b/routing/router.go
@@ -12,7 +12,7 @@
 	table    atomic.Pointer[table]
 	accounts accounts
 	retries  budget
-	policy   atomic.Pointer[Retries]
+	policy   atomic.Pointer[RetryPolicy]
 
 	sequence atomic.Uint64 // state of the random numbers
 	inflight atomic.Int64  // attempts in flight
@@ -25,7 +25,7 @@
 	r := &Router{options: o.withDefaults()}
 	r.accounts.salt = mix(o.Seed + 1)
 	r.sequence.Store(mix(o.Seed))
-	r.policy.Store(&Retries{
+	r.policy.Store(&RetryPolicy{
 		Share:        r.options.RetryShare,
 		AccountShare: r.options.AccountRetryShare,
 		Burst:        r.options.RetryBurst,
@@ -67,7 +67,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.slots.Store(int64(max(1, t.Slots)))
-	e.win.limit = max(minWindow, float64(t.Connections))
+	e.win.limit = max(minWindow, float64(t.MaxInflight))
 	e.win.size = min(e.win.size, e.win.limit)
 	// The agent's own word that it drains stands until its next incarnation:
 	// membership may be older than the reply that carried it.
@@ -93,10 +93,10 @@
 	e.counted = part
 }
 
-// Retry asks the retry budget for one more attempt after an attempt of the
+// AllowRetry asks the retry budget for one more attempt after an attempt of the
 // client account ended without an answer. It is the only place that permits
 // one. A refusal is final: the caller gets its answer now.
-func (r *Router) Retry(_ time.Time, name string) bool {
+func (r *Router) AllowRetry(_ time.Time, name string) bool {
 	a := r.accounts.of(name)
 	if !a.retries.spend() {
 		return false
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -17,7 +17,7 @@
 	r := routing.New(routing.Options{})
 	var ts []routing.Target
 	for _, id := range ids {
-		ts = append(ts, routing.Target{ID: id, Slots: slots, Connections: connections})
+		ts = append(ts, routing.Target{ID: id, Slots: slots, MaxInflight: connections})
 	}
 	r.SetTargets(at(0), ts)
 	return r
@@ -25,7 +25,7 @@
 
 // exchange makes one attempt that takes a millisecond.
 func exchange(r *routing.Router, now time.Duration, kind func(routing.TargetID) routing.OutcomeKind) routing.TargetID {
-	ticket, refusal := r.Pick(at(now), routing.Query{})
+	ticket, refusal := r.Pick(at(now), routing.PickInfo{})
 	if !refusal.OK() {
 		return ""
 	}
@@ -44,9 +44,9 @@
 	r := newRouter("a", "b")
 	for exchange(r, 0, answer) != "a" {
 	}
-	ticket, _ := r.Pick(at(0), routing.Query{Exclude: []routing.TargetID{"b"}})
+	ticket, _ := r.Pick(at(0), routing.PickInfo{Exclude: []routing.TargetID{"b"}})
 	r.Done(at(1), ticket, routing.Outcome{Kind: routing.Answered, Load: routing.Load{Draining: true}})
-	both := []routing.Target{{ID: "a", Slots: slots, Connections: 64}, {ID: "b", Slots: slots, Connections: 64}}
+	both := []routing.Target{{ID: "a", Slots: slots, MaxInflight: 64}, {ID: "b", Slots: slots, MaxInflight: 64}}
 	r.SetTargets(at(2), both)
 	for range 100 {
 		c.Assert(exchange(r, 3, answer), qt.Equals, routing.TargetID("b"))
@@ -63,7 +63,7 @@
 func TestSilentTargetGetsOnlyRareTrials(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter("a", "b")
-	r.Suspect(at(0), "a")
+	r.ProbeFailed(at(0), "a")
 	lost := func(id routing.TargetID) routing.OutcomeKind {
 		if id == "a" {
 			return routing.Unreachable
@@ -77,7 +77,7 @@
 		}
 	}
 	c.Assert(trials, qt.Equals, 5) // after 0.25, 0.5, 1, 2 and 4 more seconds
-	r.Heard(at(10*time.Second), "a")
+	r.ProbeSucceeded(at(10*time.Second), "a")
 	seen := false
 	for range 20 {
 		seen = seen || exchange(r, 10*time.Second, answer) == "a"
@@ -93,11 +93,11 @@
 	r := newRouter("a")
 	var out []routing.Ticket
 	for range slots / 2 {
-		ticket, _ := r.Pick(at(0), routing.Query{})
+		ticket, _ := r.Pick(at(0), routing.PickInfo{})
 		out = append(out, ticket)
 	}
-	r.Suspect(at(time.Millisecond), "a")
-	late := routing.DefaultEjectBase + time.Second
+	r.ProbeFailed(at(time.Millisecond), "a")
+	late := routing.DefaultBaseEjectionTime + time.Second
 	for _, ticket := range out {
 		r.Done(at(late), ticket, routing.Outcome{Kind: routing.Unreachable, Latency: late})
 	}
@@ -114,11 +114,11 @@
 	}
 	r := newRouter(ids...)
 	for _, id := range ids[1:] {
-		r.Suspect(at(0), id)
+		r.ProbeFailed(at(0), id)
 	}
 	trials := 0
 	for range 200 {
-		if ticket, _ := r.Pick(at(time.Second), routing.Query{}); ticket.Trial {
+		if ticket, _ := r.Pick(at(time.Second), routing.PickInfo{}); ticket.Trial {
 			trials++
 		}
 	}
@@ -136,7 +136,7 @@
 	retries := 0
 	for range 1000 {
 		exchange(r, 0, func(routing.TargetID) routing.OutcomeKind { return routing.Abandoned })
-		for r.Retry(at(0), "") {
+		for r.AllowRetry(at(0), "") {
 			retries++
 		}
 	}
@@ -149,14 +149,14 @@
 func TestPlannedStopNeedsNoRetryBudget(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter("a", "b")
-	for r.Retry(at(0), "") {
+	for r.AllowRetry(at(0), "") {
 	}
 	for range 5 {
-		ticket, _ := r.Pick(at(0), routing.Query{Attempt: 1, Exclude: []routing.TargetID{"b"}})
+		ticket, _ := r.Pick(at(0), routing.PickInfo{Attempt: 1, Exclude: []routing.TargetID{"b"}})
 		defer func() {
 			r.Done(at(1), ticket, routing.Outcome{Kind: routing.Refused, Load: routing.Load{Draining: true}})
-			c.Assert(r.Retry(at(1), ""), qt.IsTrue)
-			c.Assert(r.Retry(at(1), ""), qt.IsFalse)
+			c.Assert(r.AllowRetry(at(1), ""), qt.IsTrue)
+			c.Assert(r.AllowRetry(at(1), ""), qt.IsFalse)
 		}()
 	}
 }
@@ -189,7 +189,7 @@
 		exchange(r, time.Duration(i)*time.Millisecond, func(routing.TargetID) routing.OutcomeKind {
 			return [...]routing.OutcomeKind{routing.Answered, routing.Failed}[i*7919%13%2]
 		})
-		ticket, refusal := r.Pick(at(time.Duration(i)*time.Millisecond), routing.Query{Account: "impatient"})
+		ticket, refusal := r.Pick(at(time.Duration(i)*time.Millisecond), routing.PickInfo{Account: "impatient"})
 		c.Assert(refusal.OK(), qt.IsTrue)
 		r.Done(at(time.Duration(i)*time.Millisecond), ticket, routing.Outcome{Kind: routing.TimedOut, Latency: time.Microsecond})
 		for _, s := range r.Stats().Targets {
@@ -209,11 +209,11 @@
 		exchange(r, now, answer)
 	}
 	for refusal := (routing.Refusal{}); refusal.OK(); {
-		_, refusal = r.Pick(at(10*time.Second), routing.Query{})
+		_, refusal = r.Pick(at(10*time.Second), routing.PickInfo{})
 	}
 	previous := 20 * time.Millisecond
 	for range 50 {
-		_, refusal := r.Pick(at(10*time.Second), routing.Query{})
+		_, refusal := r.Pick(at(10*time.Second), routing.PickInfo{})
 		c.Assert(refusal.RetryAfter > previous+15*time.Millisecond, qt.IsTrue)
 		previous = refusal.RetryAfter
 	}
--- a/routing/suspect.go
+++ b/routing/suspect.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Suspect reports that a connection to the target went silent, as found by
+// ProbeFailed reports that a connection to the target went silent, as found by
 // probing. The target is ejected at once. The entry ends the attempts in flight
 // there as Unreachable.
 //
 // It guards against a path that lost track of an open connection: requests sent
 // on it vanish without an error until an idle timeout of minutes. Only an
 // answer proves the path, so the entry probes where it waits in vain.
-func (r *Router) Suspect(now time.Time, id TargetID) {
+func (r *Router) ProbeFailed(now time.Time, id TargetID) {
 	e := r.table.Load().byID[id]
 	if e == nil {
 		return
@@ -21,9 +21,9 @@
 	r.publish(e)
 }
 
-// Heard reports that a target ejected for silence has answered a probe. It is
+// ProbeSucceeded reports that a target ejected for silence has answered a probe. It is
 // due for its trial now instead of after its backoff.
-func (r *Router) Heard(now time.Time, id TargetID) {
+func (r *Router) ProbeSucceeded(now time.Time, id TargetID) {
 	e := r.table.Load().byID[id]
 	if e == nil {
 		return
--- a/routing/target.go
+++ b/routing/target.go
@@ -8,7 +8,7 @@
 	ID          TargetID
 	Zone        string // availability zone
 	Slots       int    // requests that the target runs at the same time
-	Connections int    // most requests that one entry may have in flight there
+	MaxInflight int    // most requests that one entry may have in flight there
 	Draining    bool   // leaving: gets nothing new
 	Incarnation uint64 // grows with each restart; a new one starts afresh
 }
