--- a/entry/claims.go
+++ b/entry/claims.go
@@ -42,18 +42,18 @@
 	revision store.Revision
 }
 
-func (k *claimHandle) write(ctx context.Context, c attempts.Claim) attempts.Claimed {
+func (k *claimHandle) write(ctx context.Context, c attempts.Claim) attempts.ClaimReply {
 	return k.swap(ctx, store.Swap{Key: k.key, Value: encodeClaim(c)})
 }
 
-func (k *claimHandle) replace(ctx context.Context, old, next attempts.Claim) attempts.Claimed {
+func (k *claimHandle) replace(ctx context.Context, old, next attempts.Claim) attempts.ClaimReply {
 	if r, ok := k.verify(ctx, old); !ok {
 		return r
 	}
 	return k.swap(ctx, store.Swap{Key: k.key, Expect: k.revision, Value: encodeClaim(next)})
 }
 
-func (k *claimHandle) release(ctx context.Context, c attempts.Claim) attempts.Claimed {
+func (k *claimHandle) release(ctx context.Context, c attempts.Claim) attempts.ClaimReply {
 	if r, ok := k.verify(ctx, c); !ok {
 		return r
 	}
@@ -62,26 +62,26 @@
 
 // verify reads the key and, if the store holds want, records the revision and returns
 // true. Otherwise it returns false and the result to report.
-func (k *claimHandle) verify(ctx context.Context, want attempts.Claim) (attempts.Claimed, bool) {
+func (k *claimHandle) verify(ctx context.Context, want attempts.Claim) (attempts.ClaimReply, bool) {
 	kv, ok, err := k.claims.store.Get(ctx, k.key)
 	switch {
 	case err != nil:
-		return attempts.Claimed{Result: attempts.ClaimUnavailable}, false
+		return attempts.ClaimReply{Result: attempts.ClaimUnavailable}, false
 	case !ok:
-		return attempts.Claimed{Result: attempts.ClaimGone}, false
+		return attempts.ClaimReply{Result: attempts.ClaimGone}, false
 	case !bytes.Equal(kv.Value, encodeClaim(want)):
 		return conflictResult(kv), false
 	}
 	k.revision = kv.Mod
-	return attempts.Claimed{}, true
+	return attempts.ClaimReply{}, true
 }
 
 // swap writes or deletes the claim if its revision is the expected one.
-func (k *claimHandle) swap(ctx context.Context, s store.Swap) attempts.Claimed {
+func (k *claimHandle) swap(ctx context.Context, s store.Swap) attempts.ClaimReply {
 	if !s.Delete {
 		lease, err := k.claims.lease.Current(ctx)
 		if err != nil {
-			return attempts.Claimed{Result: attempts.ClaimUnavailable}
+			return attempts.ClaimReply{Result: attempts.ClaimUnavailable}
 		}
 		s.Lease = lease
 	}
@@ -89,25 +89,25 @@
 	switch {
 	case eris.Is(err, store.ErrLeaseNotFound):
 		k.claims.lease.Invalidate(s.Lease)
-		return attempts.Claimed{Result: attempts.ClaimUnavailable}
+		return attempts.ClaimReply{Result: attempts.ClaimUnavailable}
 	case err != nil || res.Unknown:
-		return attempts.Claimed{Result: attempts.ClaimUnavailable}
+		return attempts.ClaimReply{Result: attempts.ClaimUnavailable}
 	case res.Swapped:
 		k.revision = res.Current.Mod
-		return attempts.Claimed{Result: attempts.ClaimWritten}
+		return attempts.ClaimReply{Result: attempts.ClaimWritten}
 	case res.Current.Mod == 0:
-		return attempts.Claimed{Result: attempts.ClaimGone}
+		return attempts.ClaimReply{Result: attempts.ClaimGone}
 	}
 	return conflictResult(res.Current)
 }
 
 // conflictResult returns the result for a key that holds another claim.
-func conflictResult(kv store.KeyValue) attempts.Claimed {
+func conflictResult(kv store.KeyValue) attempts.ClaimReply {
 	var c attempts.Claim
 	if err := cbor.Unmarshal(kv.Value, &c); err != nil {
-		return attempts.Claimed{Result: attempts.ClaimUnavailable}
+		return attempts.ClaimReply{Result: attempts.ClaimUnavailable}
 	}
-	return attempts.Claimed{Result: attempts.ClaimConflict, Claim: c}
+	return attempts.ClaimReply{Result: attempts.ClaimConflict, Claim: c}
 }
 
 func encodeClaim(c attempts.Claim) []byte {
--- a/entry/delivery.go
+++ b/entry/delivery.go
@@ -48,12 +48,12 @@
 		Fingerprint: fingerprint(q),
 	}
 	cfg := attempts.RequestConfig{
-		Keyed:      q.key != "",
-		First:      q.firstDelivery,
-		Deadline:   q.deadline,
-		Poll:       resolveInterval,
-		RetryAfter: defaultRetryAfter,
-		MaxAge:     attemptMaxAge,
+		HasKey:        q.key != "",
+		FirstDelivery: q.firstDelivery,
+		Deadline:      q.deadline,
+		PollInterval:  resolveInterval,
+		RetryAfter:    defaultRetryAfter,
+		MaxAge:        attemptMaxAge,
 	}
 	return &delivery{
 		dispatcher:    d,
@@ -85,7 +85,7 @@
 // in progress must complete.
 func (v *delivery) run() attempts.Finished {
 	defer v.timer.Stop()
-	actions := v.stateMachine.Step(v.dispatcher.now(), attempts.Go{})
+	actions := v.stateMachine.HandleEvent(v.dispatcher.now(), attempts.Start{})
 	for {
 		for _, a := range actions {
 			if finished, ok := a.(attempts.Finished); ok {
@@ -96,9 +96,9 @@
 		select {
 		case ev := <-v.events:
 			v.recordReply(ev)
-			actions = v.stateMachine.Step(v.dispatcher.now(), v.checkAgentTimeout(ev))
+			actions = v.stateMachine.HandleEvent(v.dispatcher.now(), v.checkAgentTimeout(ev))
 		case <-v.timer.C:
-			actions = v.stateMachine.Step(v.dispatcher.now(), attempts.Wake{})
+			actions = v.stateMachine.HandleEvent(v.dispatcher.now(), attempts.Wake{})
 		}
 	}
 }
@@ -107,15 +107,15 @@
 func (v *delivery) perform(a attempts.Action) {
 	switch a := a.(type) {
 	case attempts.WriteClaim:
-		go v.emitClaimResult(func(ctx context.Context) attempts.Claimed {
+		go v.emitClaimResult(func(ctx context.Context) attempts.ClaimReply {
 			return v.claimHandle.write(ctx, a.Claim)
 		})
 	case attempts.ReplaceClaim:
-		go v.emitClaimResult(func(ctx context.Context) attempts.Claimed {
+		go v.emitClaimResult(func(ctx context.Context) attempts.ClaimReply {
 			return v.claimHandle.replace(ctx, a.Old, a.New)
 		})
 	case attempts.ReleaseClaim:
-		go v.emitClaimResult(func(ctx context.Context) attempts.Claimed {
+		go v.emitClaimResult(func(ctx context.Context) attempts.ClaimReply {
 			return v.claimHandle.release(ctx, a.Claim)
 		})
 	case attempts.SendBegin:
@@ -137,7 +137,7 @@
 	}
 }
 
-func (v *delivery) emitClaimResult(f func(context.Context) attempts.Claimed) {
+func (v *delivery) emitClaimResult(f func(context.Context) attempts.ClaimReply) {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(v.ctx), v.request.deadline)
 	defer cancel()
 	v.emit(deliveryEvent{Event: f(ctx)})
@@ -168,5 +168,5 @@
 		return attempts.Wake{}
 	}
 	v.agentTimedOut = true
-	return attempts.Resolved{ID: ev.unresolvedAttempt, Status: attempts.StatusUnknown}
+	return attempts.ResolveReply{ID: ev.unresolvedAttempt, Status: attempts.StatusUnknown}
 }
--- a/entry/dispatcher.go
+++ b/entry/dispatcher.go
@@ -54,14 +54,14 @@
 }
 
 // routingQuery describes the next attempt to the router.
-func (d *dispatcher) routingQuery(q *quickRequest, attemptNumber int, tried []routing.TargetID) routing.Query {
-	return routing.Query{
-		Account:  q.account,
-		Attempt:  attemptNumber,
-		Exclude:  tried,
-		Deadline: q.deadline,
-		Once:     !q.repeatable,
-		Weight:   (*d.weights.Load())[q.account],
+func (d *dispatcher) routingQuery(q *quickRequest, attemptNumber int, tried []routing.TargetID) routing.PickInfo {
+	return routing.PickInfo{
+		Account:    q.account,
+		Attempt:    attemptNumber,
+		Exclude:    tried,
+		Deadline:   q.deadline,
+		AtMostOnce: !q.repeatable,
+		Weight:     (*d.weights.Load())[q.account],
 	}
 }
 
@@ -112,7 +112,7 @@
 		if mayHaveRun(reply, err) {
 			maybeRan++
 		}
-		if maybeRan > q.retries || ctx.Err() != nil || !d.router.Retry(d.now(), q.account) {
+		if maybeRan > q.retries || ctx.Err() != nil || !d.router.AllowRetry(d.now(), q.account) {
 			return nil, d.raiseRetryAfter(q, attemptProblem(reply, err, maybeRan > 0))
 		}
 		d.count(metrics.RequestsRetried, 1)
@@ -173,7 +173,7 @@
 		Running:    reply.Load.Running,
 		Queued:     reply.Load.Queued,
 		Marked:     reply.Marked,
-		Shedding:   reply.Reason == admission.Overload.String(),
+		Shedding:   reply.Reason == admission.ReasonOverload.String(),
 		Draining:   reply.Draining,
 		RetryAfter: reply.RetryAfter,
 	}
--- a/entry/members.go
+++ b/entry/members.go
@@ -180,9 +180,9 @@
 	case membership.Joined, membership.Changed:
 		m.entry.agents.setAddr(id, member.Report.Address)
 	case membership.Suspected:
-		m.entry.dispatcher(member.Report.Service).router.Suspect(time.Now(), routing.TargetID(id))
+		m.entry.dispatcher(member.Report.Service).router.ProbeFailed(time.Now(), routing.TargetID(id))
 	case membership.Recovered:
-		m.entry.dispatcher(member.Report.Service).router.Heard(time.Now(), routing.TargetID(id))
+		m.entry.dispatcher(member.Report.Service).router.ProbeSucceeded(time.Now(), routing.TargetID(id))
 	}
 }
 
@@ -226,7 +226,7 @@
 			ID:          routing.TargetID(r.ID),
 			Zone:        r.Zone,
 			Slots:       r.Slots,
-			Connections: min(r.Connections, maxInFlight),
+			MaxInflight: min(r.Connections, maxInFlight),
 			Draining:    !member.Schedulable(),
 			Incarnation: r.Incarnation,
 		})
--- a/entry/nonrepeatable.go
+++ b/entry/nonrepeatable.go
@@ -78,5 +78,5 @@
 	if finished.Outcome != attempts.NotRun || finished.Reason != attempts.ReasonRefused {
 		return false
 	}
-	return ctx.Err() == nil && d.router.Retry(d.now(), q.account)
+	return ctx.Err() == nil && d.router.AllowRetry(d.now(), q.account)
 }
--- a/entry/pick.go
+++ b/entry/pick.go
@@ -25,7 +25,7 @@
 	for {
 		ticket, refusal := d.router.Pick(d.now(), d.routingQuery(q, attemptNumber, tried))
 		wait := max(refusal.RetryAfter, repickInterval)
-		noTimeLeft := refusal.Reason == routing.TooLate || d.now().Add(wait).After(giveUpAt)
+		noTimeLeft := refusal.Reason == routing.DeadlineExceeded || d.now().Add(wait).After(giveUpAt)
 		if refusal.OK() || !maybeRan || noTimeLeft || ctx.Err() != nil {
 			return ticket, refusal
 		}
--- a/entry/policy.go
+++ b/entry/policy.go
@@ -13,8 +13,8 @@
 const accountRetryShareFactor = 2
 
 // retryBudget returns the retry budget that a document declares.
-func retryBudget(d *document.Document) routing.Retries {
-	return routing.Retries{
+func retryBudget(d *document.Document) routing.RetryPolicy {
+	return routing.RetryPolicy{
 		Share:        d.Routing.RetryShare,
 		AccountShare: accountRetryShareFactor * d.Routing.RetryShare,
 		Burst:        d.Routing.RetryBurst,
@@ -25,7 +25,7 @@
 func (d *dispatcher) applyDocument(doc *document.Document) {
 	weights := relativeWeights(doc)
 	d.weights.Store(&weights)
-	d.router.SetRetries(retryBudget(doc))
+	d.router.SetRetryPolicy(retryBudget(doc))
 }
 
 // maxInFlight returns how many requests this entry may have at one target.
--- a/entry/problem.go
+++ b/entry/problem.go
@@ -23,9 +23,9 @@
 	switch r.Reason {
 	case routing.NoTargets:
 		return api.Busy(api.ReasonNoTarget, "no target accepts work now", retryAfterOrDefault(r.RetryAfter))
-	case routing.TooLate:
+	case routing.DeadlineExceeded:
 		return api.NewProblem(api.ReasonDeadline, "the deadline has passed")
-	case routing.OverShare:
+	case routing.AccountOverShare:
 		return api.Busy(api.ReasonAccountLimit, "the client account uses its share of the targets already", retryAfterOrDefault(r.RetryAfter))
 	default:
 		return api.Busy(api.ReasonQueueFull, "all targets are saturated", retryAfterOrDefault(r.RetryAfter))
@@ -49,11 +49,11 @@
 
 func refusedProblem(reply *wire.ExecuteReply) *api.Problem {
 	switch reply.Reason {
-	case admission.Deadline.String():
+	case admission.ReasonDeadline.String():
 		return api.Busy(api.ReasonDeadline, "it could not have been answered in time", reply.RetryAfter)
-	case admission.TooMany.String():
+	case admission.ReasonAccountQueueFull.String():
 		return api.Busy(api.ReasonAccountLimit, "the client account has too many requests queued", retryAfterOrDefault(reply.RetryAfter))
-	case admission.Overload.String():
+	case admission.ReasonOverload.String():
 		return api.Busy(api.ReasonQueueFull, "the target is overloaded", retryAfterOrDefault(reply.RetryAfter))
 	default:
 		return api.Busy(api.ReasonRefused, reply.Reason+" "+reply.Detail, retryAfterOrDefault(reply.RetryAfter))
