--- a/routing/account.go
+++ b/routing/account.go
@@ -11,19 +11,19 @@
 // that two accounts do not collide at every entry.
 const accountBuckets = 1024
 
-// account is what the router keeps for the client accounts of one bucket.
-type account struct {
-	inflight atomic.Int64
-	retries  budget
-	returns  returns
+// accountName is what the router keeps for the client accounts of one bucket.
+type accountName struct {
+	inflight      atomic.Int64
+	retryBudget   retryBudget
+	retrySchedule retrySchedule
 }
 
 type accounts struct {
 	salt    uint64
-	buckets [accountBuckets]account
+	buckets [accountBuckets]accountName
 }
 
-func (a *accounts) of(name string) *account {
+func (a *accounts) get(name string) *accountName {
 	h := mix(xxhash.Sum64String(name) ^ a.salt)
 	return &a.buckets[h%accountBuckets]
 }
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -11,28 +11,28 @@
 	"github.com/eelgrasshub/eelgrasshub/routing"
 )
 
-func faultPlan() plan {
-	return plan{
+func faultScenario() scenario {
+	return scenario{
 		seed: 1, entries: 3, load: 0.8, length: 20 * time.Second, deadline: 2 * time.Second,
-		attemptTimeout: 500 * time.Millisecond, shares: []float64{0.4, 0.3, 0.2, 0.1}, slow: 1, silent: 1,
+		attemptTimeout: 500 * time.Millisecond, accountShares: []float64{0.4, 0.3, 0.2, 0.1}, slow: 1, unresponsive: 1,
 	}
 }
 
-func overloadPlan() plan {
-	return plan{
+func overloadScenario() scenario {
+	return scenario{
 		seed: 2, entries: 3, load: 3, length: 10 * time.Second, deadline: 500 * time.Millisecond,
-		attemptTimeout: 500 * time.Millisecond, shares: []float64{0.9, 0.04, 0.03, 0.03},
+		attemptTimeout: 500 * time.Millisecond, accountShares: []float64{0.9, 0.04, 0.03, 0.03},
 	}
 }
 
-func failingPlan(failing int) plan {
-	p := faultPlan()
-	p.load, p.slow, p.silent, p.failing = 0.2, 0, 0, failing
+func failingScenario(failing int) scenario {
+	p := faultScenario()
+	p.load, p.slow, p.unresponsive, p.failing = 0.2, 0, 0, failing
 	return p
 }
 
-// against runs the plan with the baseline and with the candidate.
-func against(p plan) (baseline, candidate *result) {
+// runBoth runs the plan with the baseline and with the candidate.
+func runBoth(p scenario) (baseline, candidate *result) {
 	candidate = run(p)
 	p.baseline = true
 	return run(p), candidate
@@ -40,25 +40,25 @@
 
 // The figures that the users were promised, on shorter runs than the
 // benchmarks'.
-func TestAims(t *testing.T) {
+func TestLatencyAndGoodputTargets(t *testing.T) {
 	c := qt.New(t)
-	p := faultPlan()
+	p := faultScenario()
 	p.length = 4 * time.Second
-	baseline, candidate := against(p)
+	baseline, candidate := runBoth(p)
 	c.Assert(baseline.quantile(99) > 5*candidate.quantile(99), qt.IsTrue)
-	p = overloadPlan()
+	p = overloadScenario()
 	p.length, p.entries = 2*time.Second, 12
 	candidate = run(p)
 	c.Assert(candidate.goodput() > 0.95, qt.IsTrue)
-	c.Assert(candidate.success(3) > 0.99, qt.IsTrue)
+	c.Assert(candidate.accountSuccessRate(3) > 0.99, qt.IsTrue)
 	c.Assert(float64(candidate.attempts) < 1.2*float64(candidate.useful), qt.IsTrue)
-	c.Assert(candidate.refusalWait.Max() < 20*time.Millisecond.Microseconds(), qt.IsTrue)
+	c.Assert(candidate.refusalLatency.Max() < 20*time.Millisecond.Microseconds(), qt.IsTrue)
 }
 
 // One target at a tenth of its speed, one cut off, at 80% of the load of all.
-func BenchmarkSlowAndSilent(b *testing.B) {
+func BenchmarkSlowAndUnresponsive(b *testing.B) {
 	for b.Loop() {
-		baseline, candidate := against(faultPlan())
+		baseline, candidate := runBoth(faultScenario())
 		b.ReportMetric(baseline.quantile(99), "baseline-p99-ms")
 		b.ReportMetric(candidate.quantile(99), "p99-ms")
 		b.ReportMetric(baseline.quantile(99)/candidate.quantile(99), "p99-ratio")
@@ -69,26 +69,26 @@
 // Three times the capacity is offered, nine tenths of it by one client account.
 func BenchmarkOverload(b *testing.B) {
 	for b.Loop() {
-		baseline, candidate := against(overloadPlan())
+		baseline, candidate := runBoth(overloadScenario())
 		b.ReportMetric(baseline.goodput(), "baseline-useful/capacity")
 		b.ReportMetric(candidate.goodput(), "useful/capacity")
-		b.ReportMetric(baseline.success(3), "baseline-light-success")
-		b.ReportMetric(candidate.success(3), "light-success")
-		b.ReportMetric(baseline.p99(3)/candidate.p99(3), "light-p99-ratio")
-		b.ReportMetric(float64(candidate.refusalWait.Max())/1000, "slowest-refusal-ms")
+		b.ReportMetric(baseline.accountSuccessRate(3), "baseline-light-success")
+		b.ReportMetric(candidate.accountSuccessRate(3), "light-success")
+		b.ReportMetric(baseline.accountP99(3)/candidate.accountP99(3), "light-p99-ratio")
+		b.ReportMetric(float64(candidate.refusalLatency.Max())/1000, "slowest-refusal-ms")
 	}
 }
 
 // Targets that answer errors at once, at a load that the others can bear.
-func BenchmarkFailing(b *testing.B) {
+func BenchmarkFailingTargets(b *testing.B) {
 	for _, failing := range []int{1, 8} {
 		b.Run(fmt.Sprint(failing), func(b *testing.B) {
 			for b.Loop() {
-				baseline, candidate := against(failingPlan(failing))
+				baseline, candidate := runBoth(failingScenario(failing))
 				b.ReportMetric(baseline.amplification(), "baseline-attempts/request")
 				b.ReportMetric(candidate.amplification(), "attempts/request")
-				b.ReportMetric(baseline.share(), "baseline-success")
-				b.ReportMetric(candidate.share(), "success")
+				b.ReportMetric(baseline.successRate(), "baseline-success")
+				b.ReportMetric(candidate.successRate(), "success")
 			}
 		})
 	}
@@ -101,14 +101,14 @@
 		for control, name := range []string{"two-phase", "shed-only", "neither"} {
 			b.Run(fmt.Sprint(name, "/entries=", entries), func(b *testing.B) {
 				for b.Loop() {
-					p := overloadPlan()
+					p := overloadScenario()
 					p.entries, p.admission.CongestionControl = entries, admission.CongestionControl(control)
 					r := run(p)
 					b.ReportMetric(r.goodput(), "useful/capacity")
-					b.ReportMetric(float64(r.served[0].ValueAtQuantile(50))/1000, "heavy-p50-ms")
-					b.ReportMetric(float64(r.served[0].ValueAtQuantile(99))/1000, "heavy-p99-ms")
+					b.ReportMetric(float64(r.accountUsefulLatency[0].ValueAtQuantile(50))/1000, "heavy-p50-ms")
+					b.ReportMetric(float64(r.accountUsefulLatency[0].ValueAtQuantile(99))/1000, "heavy-p99-ms")
 					b.ReportMetric(r.amplification()*float64(r.offered)/float64(r.useful), "attempts/answer")
-					b.ReportMetric(r.success(3), "light-success")
+					b.ReportMetric(r.accountSuccessRate(3), "light-success")
 				}
 			})
 		}
@@ -116,13 +116,13 @@
 }
 
 // Clients that were refused in a burst of two seconds ask again when told to.
-func BenchmarkComeBack(b *testing.B) {
+func BenchmarkResubmission(b *testing.B) {
 	for b.Loop() {
-		p := overloadPlan()
-		p.length, p.comeBack = 2*time.Second, true
+		p := overloadScenario()
+		p.length, p.resubmit = 2*time.Second, true
 		r := run(p)
-		b.ReportMetric(r.share(), "success")
-		b.ReportMetric(float64(r.asksTotal)/float64(r.offered), "asks/request")
+		b.ReportMetric(r.successRate(), "success")
+		b.ReportMetric(float64(r.submissions)/float64(r.offered), "asks/request")
 	}
 }
 
@@ -134,13 +134,13 @@
 				r := routing.New(routing.Options{Choices: choices})
 				var ts []routing.Target
 				for i := range n {
-					ts = append(ts, routing.Target{ID: name(i), Slots: slots, MaxInflight: connections})
+					ts = append(ts, routing.Target{ID: targetID(i), Slots: slots, MaxInflight: connections})
 				}
 				r.SetTargets(at(0), ts)
 				b.ReportAllocs()
 				b.RunParallel(func(pb *testing.PB) {
 					for pb.Next() {
-						exchange(r, 0, answer)
+						runAttempt(r, 0, alwaysAnswered)
 					}
 				})
 			})
--- a/routing/budget.go
+++ b/routing/budget.go
@@ -2,27 +2,27 @@
 
 import "sync/atomic"
 
-// tokenUnit is one retry in the units of a budget.
-const tokenUnit = 1000
+// tokensPerRetry is one retry in the units of a budget.
+const tokensPerRetry = 1000
 
-// budget is a token bucket that first attempts fill and retries empty. Retries
+// retryBudget is a token bucket that first attempts fill and retries empty. Retries
 // never exceed burst + share x first attempts.
 //
 // It guards against retry amplification: when targets fail, each failed attempt
 // would be tried again, the extra load makes more attempts fail, and the
 // overload outlasts its cause. The share bounds the extra load to a fixed part
 // of the offered load.
-type budget struct {
+type retryBudget struct {
 	tokens atomic.Int64
 }
 
-func (b *budget) fill(burst int) { b.tokens.Store(int64(burst) * tokenUnit) }
+func (b *retryBudget) reset(burst int) { b.tokens.Store(int64(burst) * tokensPerRetry) }
 
-// earn adds the share of one first attempt. A full bucket stays as it is, so
+// deposit adds the share of one first attempt. A full bucket stays as it is, so
 // that attempts of long ago do not pay for a later burst of retries.
-func (b *budget) earn(share float64, burst int) {
-	add := int64(share * tokenUnit)
-	limit := int64(burst) * tokenUnit
+func (b *retryBudget) deposit(share float64, burst int) {
+	add := int64(share * tokensPerRetry)
+	limit := int64(burst) * tokensPerRetry
 	for {
 		have := b.tokens.Load()
 		if have >= limit {
@@ -34,16 +34,16 @@
 	}
 }
 
-func (b *budget) spend() bool {
+func (b *retryBudget) tryWithdraw() bool {
 	for {
 		have := b.tokens.Load()
-		if have < tokenUnit {
+		if have < tokensPerRetry {
 			return false
 		}
-		if b.tokens.CompareAndSwap(have, have-tokenUnit) {
+		if b.tokens.CompareAndSwap(have, have-tokensPerRetry) {
 			return true
 		}
 	}
 }
 
-func (b *budget) refund() { b.tokens.Add(tokenUnit) }
+func (b *retryBudget) refund() { b.tokens.Add(tokensPerRetry) }
--- a/routing/driver_baseline_test.go
+++ b/routing/driver_baseline_test.go
@@ -7,63 +7,63 @@
 
 // roundRobin is the baseline: targets in turn, three retries, and at the target
 // a first-come-first-served queue without bounds.
-func (d *driver) roundRobin(e *entrySim, r *request) {
-	a := &attempt{req: r, entry: e, target: e.next % targets, sent: d.now}
-	e.next++
+func (d *simulation) roundRobin(e *entrySim, r *request) {
+	a := &attempt{request: r, entry: e, target: e.nextTarget % targets, sentAt: d.now}
+	e.nextTarget++
 	d.attempts++
-	d.after(a.hop(), func() { d.join(a) })
-	d.after(d.attemptTimeout, func() { d.again(a) })
+	d.schedule(a.networkDelay(), func() { d.arriveAtFIFO(a) })
+	d.schedule(d.attemptTimeout, func() { d.retryRoundRobin(a) })
 }
 
-func (d *driver) again(a *attempt) {
-	if a.ended || a.req.ended {
+func (d *simulation) retryRoundRobin(a *attempt) {
+	if a.ended || a.request.ended {
 		return
 	}
 	a.ended = true
-	a.req.attempt++
-	if a.req.attempt > 3 || d.now >= a.req.deadline {
+	a.request.attempt++
+	if a.request.attempt > 3 || d.now >= a.request.deadline {
 		d.failed++
-		d.finish(a.req, false)
+		d.finish(a.request, false)
 		return
 	}
-	d.roundRobin(a.entry, a.req)
+	d.roundRobin(a.entry, a.request)
 }
 
-func (d *driver) join(a *attempt) {
-	if d.isSilent(a.target) {
+func (d *simulation) arriveAtFIFO(a *attempt) {
+	if d.isUnresponsive(a.target) {
 		return
 	}
 	if d.isFailing(a.target) {
-		d.after(a.hop(), func() { d.again(a) })
+		d.schedule(a.networkDelay(), func() { d.retryRoundRobin(a) })
 		return
 	}
 	g := d.agents[a.target]
 	g.fifo = append(g.fifo, a)
-	d.serveNext(g)
+	d.runNextFIFO(g)
 }
 
-func (d *driver) serveNext(g *agentSim) {
+func (d *simulation) runNextFIFO(g *agentSim) {
 	if g.running == slots || len(g.fifo) == 0 {
 		return
 	}
 	a := g.fifo[0]
 	g.fifo = g.fifo[1:]
 	g.running++
-	d.after(d.serviceAt(a), func() {
+	d.schedule(d.serviceTimeAt(a), func() {
 		g.running--
-		d.serveNext(g)
-		if !d.isSilent(a.target) {
-			d.after(a.hop(), func() { a.ended = true; d.finish(a.req, true) })
+		d.runNextFIFO(g)
+		if !d.isUnresponsive(a.target) {
+			d.schedule(a.networkDelay(), func() { a.ended = true; d.finish(a.request, true) })
 		}
 	})
 }
 
-// sorted gives the attempts in a fixed order, so that a run repeats exactly.
-func sorted(set map[*attempt]bool) []*attempt {
+// sortedAttempts gives the attempts in a fixed order, so that a run repeats exactly.
+func sortedAttempts(set map[*attempt]bool) []*attempt {
 	return slices.SortedFunc(maps.Keys(set), func(a, b *attempt) int {
-		if a.sent != b.sent {
-			return int(a.sent - b.sent)
+		if a.sentAt != b.sentAt {
+			return int(a.sentAt - b.sentAt)
 		}
-		return int(a.req.begun - b.req.begun)
+		return int(a.request.submittedAt - b.request.submittedAt)
 	})
 }
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -9,17 +9,17 @@
 const (
 	// latencyWeight is the weight of the newest answer in the latency average.
 	latencyWeight = 1.0 / 16
-	// unknownLatency is taken for the latency before the first answer.
-	unknownLatency = 100 * time.Millisecond
+	// assumedLatency is taken for the latency before the first answer.
+	assumedLatency = 100 * time.Millisecond
 )
 
-// condition says whether an endpoint may be chosen.
-type condition int
+// availability says whether an endpoint may be chosen.
+type availability int
 
 const (
-	open condition = iota
-	halfOpen
-	closed
+	available availability = iota
+	trialDue
+	unavailable
 )
 
 // endpoint is what one entry knows about one target. The atomics are what a
@@ -29,21 +29,21 @@
 	zone        string
 	incarnation uint64
 
-	inflight     atomic.Int64
-	window       atomic.Int64 // whole attempts
-	latency      atomic.Int64 // moving average, nanoseconds; 0 while unknown
-	slots        atomic.Int64
-	others       atomic.Int64 // reported requests that are not this entry's
-	reported     atomic.Int64 // when
-	draining     atomic.Bool
-	removed      atomic.Bool
-	ejectedUntil atomic.Int64 // 0 while open
-	trial        atomic.Bool  // the half-open attempt is in flight
-
-	mu      sync.Mutex
-	win     window
-	breaker breaker
-	counted part // in the router's sums
+	inflight       atomic.Int64
+	windowSize     atomic.Int64 // whole attempts
+	latency        atomic.Int64 // moving average, nanoseconds; 0 while unknown
+	slots          atomic.Int64
+	othersLoad     atomic.Int64 // reported requests that are not this entry's
+	loadReportedAt atomic.Int64 // when
+	draining       atomic.Bool
+	removed        atomic.Bool
+	ejectedUntil   atomic.Int64 // 0 while open
+	trialInFlight  atomic.Bool  // the half-open attempt is in flight
+
+	mu          sync.Mutex
+	window      concurrencyWindow
+	breaker     breaker
+	contributed contribution // in the router's sums
 }
 
 func newEndpoint(t Target, initial int) *endpoint {
@@ -51,56 +51,56 @@
 		initial = t.Slots
 	}
 	e := &endpoint{id: t.ID, zone: t.Zone, incarnation: t.Incarnation}
-	e.win = newWindow(initial, t.MaxInflight)
-	e.window.Store(int64(e.win.size))
+	e.window = newConcurrencyWindow(initial, t.MaxInflight)
+	e.windowSize.Store(int64(e.window.size))
 	e.slots.Store(int64(max(1, t.Slots)))
 	e.draining.Store(t.Draining)
 	return e
 }
 
-func (e *endpoint) condition(now int64) condition {
+func (e *endpoint) availability(now int64) availability {
 	if e.draining.Load() || e.removed.Load() {
-		return closed
+		return unavailable
 	}
 	until := e.ejectedUntil.Load()
 	if until == 0 {
-		return open
+		return available
 	}
-	if now >= until && !e.trial.Load() {
-		return halfOpen
+	if now >= until && !e.trialInFlight.Load() {
+		return trialDue
 	}
-	return closed
+	return unavailable
 }
 
-// load estimates the requests at the target: this entry's own, which are
+// estimatedLoad estimates the requests at the target: this entry's own, which are
 // known, and those of others as last reported. A report fades with age;
 // otherwise a target that was once busy would never be asked again.
-func (e *endpoint) load(now, stale int64) int64 {
+func (e *endpoint) estimatedLoad(now, stale int64) int64 {
 	own := e.inflight.Load()
-	age := now - e.reported.Load()
+	age := now - e.loadReportedAt.Load()
 	if age >= stale || age < 0 {
 		return own
 	}
-	return own + e.others.Load()*(stale-age)/stale
+	return own + e.othersLoad.Load()*(stale-age)/stale
 }
 
 // cost is the expected completion time of one more attempt, up to a common
 // factor: latency times the requests it would share the slots with.
 func (e *endpoint) cost(now, stale int64) float64 {
-	load := float64(e.load(now, stale) + 1)
+	load := float64(e.estimatedLoad(now, stale) + 1)
 	return float64(e.latency.Load()+1) * load / float64(e.slots.Load())
 }
 
-// idle reports whether a slot is expected to be free.
-func (e *endpoint) idle(now, stale int64) bool {
-	return e.load(now, stale) < e.slots.Load()
+// hasFreeSlot reports whether a slot is expected to be free.
+func (e *endpoint) hasFreeSlot(now, stale int64) bool {
+	return e.estimatedLoad(now, stale) < e.slots.Load()
 }
 
 // acquire takes one place in the window.
 func (e *endpoint) acquire() bool {
 	for {
 		have := e.inflight.Load()
-		if have >= e.window.Load() {
+		if have >= e.windowSize.Load() {
 			return false
 		}
 		if e.inflight.CompareAndSwap(have, have+1) {
@@ -115,19 +115,19 @@
 	}
 }
 
-func (e *endpoint) observe(now int64, l Load) {
+func (e *endpoint) recordLoad(now int64, l Load) {
 	if l.Slots > 0 {
 		e.slots.Store(int64(l.Slots))
 	}
 	own := e.inflight.Load()
-	e.others.Store(max(0, int64(l.Running+l.Queued)-own))
-	e.reported.Store(now)
+	e.othersLoad.Store(max(0, int64(l.Running+l.Queued)-own))
+	e.loadReportedAt.Store(now)
 	if l.Draining {
 		e.draining.Store(true)
 	}
 }
 
-func (e *endpoint) measure(latency time.Duration) {
+func (e *endpoint) recordLatency(latency time.Duration) {
 	old := e.latency.Load()
 	if old == 0 {
 		e.latency.Store(int64(latency))
@@ -136,18 +136,18 @@
 	e.latency.Store(old + int64(latencyWeight*float64(int64(latency)-old)))
 }
 
-// usualLatency is the measured latency, or a guess while nothing is known.
-func (e *endpoint) usualLatency() time.Duration {
+// expectedLatency is the measured latency, or a guess while nothing is known.
+func (e *endpoint) expectedLatency() time.Duration {
 	if known := e.latency.Load(); known > 0 {
 		return time.Duration(known)
 	}
-	return unknownLatency
+	return assumedLatency
 }
 
-// part returns what the endpoint adds to the router's sums.
-func (e *endpoint) part() part {
+// contribution returns what the endpoint adds to the router's sums.
+func (e *endpoint) contribution() contribution {
 	if e.draining.Load() || e.removed.Load() || e.ejectedUntil.Load() != 0 {
-		return part{}
+		return contribution{}
 	}
-	return part{window: e.window.Load(), failures: int64(e.breaker.failures * ppm), open: 1}
+	return contribution{window: e.windowSize.Load(), failureRate: int64(e.breaker.failureRate * ppm), available: 1}
 }
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -21,9 +21,9 @@
 	Abandoned
 )
 
-var outcomeNames = [...]string{"answered", "refused", "timed out", "unreachable", "failed", "abandoned"}
+var outcomeKindNames = [...]string{"answered", "refused", "timed out", "unreachable", "failed", "abandoned"}
 
-func (k OutcomeKind) String() string { return outcomeNames[k] }
+func (k OutcomeKind) String() string { return outcomeKindNames[k] }
 
 // Outcome is the end of one attempt as the entry saw it.
 type Outcome struct {
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// shareFactor bounds a client account of mean weight to this multiple of
+	// accountShareFactor bounds a client account of mean weight to this multiple of
 	// the free places in all windows. Alone it can fill 2/3 of them; the rest
 	// stays free for others, whatever it offers.
-	shareFactor = 2
-	// trialShare bounds the trials in flight to one, and one more for each so
+	accountShareFactor = 2
+	// targetsPerTrial bounds the trials in flight to one, and one more for each so
 	// many targets: when many targets come due at once, only few requests are
 	// risked.
-	trialShare = 32
+	targetsPerTrial = 32
 )
 
 // Pick chooses a target for one attempt and takes a place in its window. When
@@ -23,42 +23,42 @@
 	if !q.Deadline.IsZero() && !now.Before(q.Deadline) {
 		return Ticket{}, Refusal{Reason: DeadlineExceeded}
 	}
-	a := r.accounts.of(q.Account)
+	a := r.accounts.get(q.Account)
 	if q.Attempt == 0 {
-		r.earn(a)
+		r.depositRetry(a)
 	}
-	if !r.withinShare(a, q.Weight) {
-		return Ticket{}, Refusal{Reason: AccountOverShare, RetryAfter: a.returns.add()}
+	if !r.withinAccountShare(a, q.Weight) {
+		return Ticket{}, Refusal{Reason: AccountOverShare, RetryAfter: a.retrySchedule.next()}
 	}
 	at := now.UnixNano()
-	t := r.table.Load()
-	e, trial := r.choose(t, at, q)
+	t := r.endpoints.Load()
+	e, trial := r.chooseEndpoint(t, at, q)
 	if e == nil {
-		return Ticket{}, r.refusal(t, at, q, a)
+		return Ticket{}, r.refusalFor(t, at, q, a)
 	}
 	a.inflight.Add(1)
 	r.inflight.Add(1)
-	a.returns.repay()
-	return Ticket{Target: e.id, Incarnation: e.incarnation, Trial: trial, endpoint: e, account: a, sent: at}, Refusal{}
+	a.retrySchedule.recordAccepted()
+	return Ticket{Target: e.id, Incarnation: e.incarnation, Trial: trial, endpoint: e, account: a, sentAt: at}, Refusal{}
 }
 
-// withinShare keeps one client account's overload from filling the windows, so
+// withinAccountShare keeps one client account's overload from filling the windows, so
 // that requests of the others still reach the agents, where the fair queue
 // serves them by weight.
-func (r *Router) withinShare(a *account, weight float64) bool {
+func (r *Router) withinAccountShare(a *accountName, weight float64) bool {
 	if weight == 0 {
 		weight = 1
 	}
-	free := float64(r.sums.window.Load() - r.inflight.Load())
-	return float64(a.inflight.Load()) < max(1, shareFactor*weight*free)
+	free := float64(r.totals.window.Load() - r.inflight.Load())
+	return float64(a.inflight.Load()) < max(1, accountShareFactor*weight*free)
 }
 
-// choose takes a place at the cheapest of a few random endpoints: of the own
+// chooseEndpoint takes a place at the cheapest of a few random endpoints: of the own
 // availability zone while one of them has a free slot, else of all. When none
 // of the sample has a place, the first endpoint with one is taken.
-func (r *Router) choose(t *table, now int64, q PickInfo) (*endpoint, bool) {
+func (r *Router) chooseEndpoint(t *endpointSet, now int64, q PickInfo) (*endpoint, bool) {
 	stale := int64(r.options.StaleAfter)
-	if e, trial := r.sample(t, t.local, now, q); e != nil && (trial || e.idle(now, stale)) {
+	if e, trial := r.sample(t, t.sameZone, now, q); e != nil && (trial || e.hasFreeSlot(now, stale)) {
 		if trial || e.acquire() {
 			return e, trial
 		}
@@ -71,24 +71,24 @@
 
 // sample returns the cheapest open endpoint of a few random ones, or one that
 // is due for its trial, with the trial already taken.
-func (r *Router) sample(t *table, from []*endpoint, now int64, q PickInfo) (*endpoint, bool) {
+func (r *Router) sample(t *endpointSet, from []*endpoint, now int64, q PickInfo) (*endpoint, bool) {
 	if len(from) == 0 {
 		return nil, false
 	}
 	var best *endpoint
 	var least float64
 	for range r.options.Choices {
-		e := from[r.random(len(from))]
+		e := from[r.randomIntN(len(from))]
 		if e == best || slices.Contains(q.Exclude, e.id) {
 			continue
 		}
-		switch e.condition(now) {
-		case halfOpen:
-			if !q.AtMostOnce && q.Attempt == 0 && r.tryOut(t, e) {
+		switch e.availability(now) {
+		case trialDue:
+			if !q.AtMostOnce && q.Attempt == 0 && r.acquireTrial(t, e) {
 				return e, true
 			}
-		case open:
-			if e.inflight.Load() >= e.window.Load() {
+		case available:
+			if e.inflight.Load() >= e.windowSize.Load() {
 				continue
 			}
 			if cost := e.cost(now, int64(r.options.StaleAfter)); best == nil || cost < least {
@@ -101,42 +101,42 @@
 
 // scan looks at every endpoint from a random one on. Trials come second here
 // and are open to every request: nothing else is left.
-func (r *Router) scan(t *table, now int64, q PickInfo) (*endpoint, bool) {
+func (r *Router) scan(t *endpointSet, now int64, q PickInfo) (*endpoint, bool) {
 	if len(t.all) == 0 {
 		return nil, false
 	}
-	start := r.random(len(t.all))
+	start := r.randomIntN(len(t.all))
 	var resting *endpoint
 	for i := range t.all {
 		e := t.all[(start+i)%len(t.all)]
 		if slices.Contains(q.Exclude, e.id) {
 			continue
 		}
-		switch e.condition(now) {
-		case halfOpen:
+		switch e.availability(now) {
+		case trialDue:
 			resting = e
-		case open:
+		case available:
 			if e.acquire() {
 				return e, false
 			}
 		}
 	}
-	if resting != nil && r.tryOut(t, resting) {
+	if resting != nil && r.acquireTrial(t, resting) {
 		return resting, true
 	}
 	return nil, false
 }
 
-// tryOut takes the single trial of a half-open endpoint.
-func (r *Router) tryOut(t *table, e *endpoint) bool {
-	if r.trials.Add(1) > int64(1+len(t.all)/trialShare) || !e.trial.CompareAndSwap(false, true) {
-		r.trials.Add(-1)
+// acquireTrial takes the single trial of a half-open endpoint.
+func (r *Router) acquireTrial(t *endpointSet, e *endpoint) bool {
+	if r.trialsInFlight.Add(1) > int64(1+len(t.all)/targetsPerTrial) || !e.trialInFlight.CompareAndSwap(false, true) {
+		r.trialsInFlight.Add(-1)
 		return false
 	}
 	e.inflight.Add(1)
 	return true
 }
 
-func (r *Router) random(n int) int {
-	return int(mix(r.sequence.Add(0x9e3779b97f4a7c15)) % uint64(n))
+func (r *Router) randomIntN(n int) int {
+	return int(mix(r.rngState.Add(0x9e3779b97f4a7c15)) % uint64(n))
 }
--- a/routing/random_test.go
+++ b/routing/random_test.go
@@ -18,22 +18,22 @@
 	seed  = flag.Uint64("seed", 1, "seed of the randomised run")
 )
 
-// world drives a router with random events and keeps its own account of what
+// randomRun drives a router with random events and keeps its own account of what
 // must hold.
-type world struct {
-	c       *qt.C
-	rng     *rand.Rand
-	router  *routing.Router
-	now     time.Duration
-	targets map[routing.TargetID]*routing.Target
-	out     []routing.Ticket
-	first   int
-	retries int
+type randomRun struct {
+	c             *qt.C
+	rng           *rand.Rand
+	router        *routing.Router
+	now           time.Duration
+	targets       map[routing.TargetID]*routing.Target
+	tickets       []routing.Ticket
+	firstAttempts int
+	retries       int
 }
 
-func TestRandomRun(t *testing.T) {
+func TestRandomEvents(t *testing.T) {
 	t.Logf("seed %d, %d steps", *seed, *steps)
-	w := &world{c: qt.New(t), rng: rand.New(rand.NewPCG(*seed, 0)), targets: map[routing.TargetID]*routing.Target{}}
+	w := &randomRun{c: qt.New(t), rng: rand.New(rand.NewPCG(*seed, 0)), targets: map[routing.TargetID]*routing.Target{}}
 	w.router = routing.New(routing.Options{Seed: *seed, Zone: "east"})
 	for range *steps {
 		w.now += time.Duration(w.rng.IntN(2000)) * time.Microsecond
@@ -42,8 +42,8 @@
 	}
 }
 
-func (w *world) step() {
-	id := name(w.rng.IntN(6))
+func (w *randomRun) step() {
+	id := targetID(w.rng.IntN(6))
 	switch n := w.rng.IntN(100); {
 	case n < 40:
 		w.pick()
@@ -56,11 +56,11 @@
 	case n < 97 && w.router.AllowRetry(at(w.now), fmt.Sprint(w.rng.IntN(3))):
 		w.retries++
 	case n >= 97:
-		w.change(id)
+		w.changeTarget(id)
 	}
 }
 
-func (w *world) change(id routing.TargetID) {
+func (w *randomRun) changeTarget(id routing.TargetID) {
 	t := w.targets[id]
 	switch {
 	case t == nil:
@@ -74,17 +74,17 @@
 	}
 	var ts []routing.Target
 	for i := range 6 {
-		if t := w.targets[name(i)]; t != nil {
+		if t := w.targets[targetID(i)]; t != nil {
 			ts = append(ts, *t)
 		}
 	}
 	w.router.SetTargets(at(w.now), ts)
 }
 
-func (w *world) pick() {
-	exclude := name(w.rng.IntN(6))
+func (w *randomRun) pick() {
+	exclude := targetID(w.rng.IntN(6))
 	q := routing.PickInfo{Account: fmt.Sprint(w.rng.IntN(3)), Exclude: []routing.TargetID{exclude}, AtMostOnce: w.rng.IntN(2) == 0}
-	w.first++
+	w.firstAttempts++
 	ticket, refusal := w.router.Pick(at(w.now), q)
 	if !refusal.OK() {
 		w.c.Assert(refusal.RetryAfter > 0, qt.IsTrue)
@@ -95,17 +95,17 @@
 	w.c.Assert(t.Draining, qt.IsFalse)
 	w.c.Assert(t.Incarnation, qt.Equals, ticket.Incarnation)
 	w.c.Assert(ticket.Target, qt.Not(qt.Equals), exclude)
-	w.out = append(w.out, ticket)
+	w.tickets = append(w.tickets, ticket)
 }
 
-func (w *world) done() {
-	if len(w.out) == 0 {
+func (w *randomRun) done() {
+	if len(w.tickets) == 0 {
 		return
 	}
-	i := w.rng.IntN(len(w.out))
-	ticket := w.out[i]
-	w.out[i] = w.out[len(w.out)-1]
-	w.out = w.out[:len(w.out)-1]
+	i := w.rng.IntN(len(w.tickets))
+	ticket := w.tickets[i]
+	w.tickets[i] = w.tickets[len(w.tickets)-1]
+	w.tickets = w.tickets[:len(w.tickets)-1]
 	kind := routing.Answered
 	if w.rng.IntN(4) == 0 {
 		kind = routing.OutcomeKind(w.rng.IntN(int(routing.Abandoned) + 1))
@@ -117,10 +117,10 @@
 	})
 }
 
-func (w *world) check() {
+func (w *randomRun) check() {
 	s := w.router.Stats()
-	w.c.Assert(s.Inflight, qt.Equals, len(w.out))
-	w.c.Assert(float64(w.retries) <= routing.DefaultRetryBurst+routing.DefaultRetryShare*float64(w.first), qt.IsTrue)
+	w.c.Assert(s.Inflight, qt.Equals, len(w.tickets))
+	w.c.Assert(float64(w.retries) <= routing.DefaultRetryBurst+routing.DefaultRetryShare*float64(w.firstAttempts), qt.IsTrue)
 	window := 0
 	for _, t := range s.Targets {
 		w.c.Assert(t.Inflight >= 0, qt.IsTrue)
@@ -139,7 +139,7 @@
 	for i := range 4 {
 		wg.Go(func() {
 			for n := range 2000 {
-				exchange(r, time.Duration(n), func(routing.TargetID) routing.OutcomeKind { return routing.OutcomeKind((n + i) % 6) })
+				runAttempt(r, time.Duration(n), func(routing.TargetID) routing.OutcomeKind { return routing.OutcomeKind((n + i) % 6) })
 				r.Stats()
 			}
 		})
--- a/routing/refusal.go
+++ b/routing/refusal.go
@@ -14,9 +14,9 @@
 	DeadlineExceeded               // the deadline has passed
 )
 
-var refusalNames = [...]string{"accepted", "no targets", "all saturated", "over share", "too late"}
+var refusalReasonNames = [...]string{"accepted", "no targets", "all saturated", "over share", "too late"}
 
-func (r RefusalReason) String() string { return refusalNames[r] }
+func (r RefusalReason) String() string { return refusalReasonNames[r] }
 
 // Refusal is the answer of a Pick that found no target: the request has not
 // run, and may be offered again after RetryAfter.
--- a/routing/refuse.go
+++ b/routing/refuse.go
@@ -12,15 +12,15 @@
 	maxRetryAfter = 10 * time.Second
 )
 
-// refusal says why choose found nothing.
-func (r *Router) refusal(t *table, now int64, q PickInfo, a *account) Refusal {
+// refusalFor says why choose found nothing.
+func (r *Router) refusalFor(t *endpointSet, now int64, q PickInfo, a *accountName) Refusal {
 	next := int64(0)
 	for _, e := range t.all {
 		if slices.Contains(q.Exclude, e.id) {
 			continue
 		}
-		if e.condition(now) == open {
-			return Refusal{Reason: AllSaturated, RetryAfter: a.returns.add()}
+		if e.availability(now) == available {
+			return Refusal{Reason: AllSaturated, RetryAfter: a.retrySchedule.next()}
 		}
 		if until := e.ejectedUntil.Load(); until > now && (next == 0 || until < next) {
 			next = until
@@ -35,5 +35,5 @@
 // RetryAfter says when a request of the client account that an agent refused
 // for good is to come back. It counts the request among those expected.
 func (r *Router) RetryAfter(account string) time.Duration {
-	return r.accounts.of(account).returns.add()
+	return r.accounts.get(account).retrySchedule.next()
 }
--- a/routing/retries.go
+++ b/routing/retries.go
@@ -10,16 +10,16 @@
 // SetRetryPolicy puts a policy in force. Zeros mean no retries. Budgets that hold
 // more than the new burst are cut to it. It is safe for concurrent use.
 func (r *Router) SetRetryPolicy(p RetryPolicy) {
-	r.policy.Store(&p)
-	r.retries.limit(p.Burst)
+	r.retryPolicy.Store(&p)
+	r.retryBudget.truncate(p.Burst)
 	for i := range r.accounts.buckets {
-		r.accounts.buckets[i].retries.limit(p.Burst)
+		r.accounts.buckets[i].retryBudget.truncate(p.Burst)
 	}
 }
 
-// limit cuts a budget to the burst.
-func (b *budget) limit(burst int) {
-	most := int64(burst) * tokenUnit
+// truncate cuts a budget to the burst.
+func (b *retryBudget) truncate(burst int) {
+	most := int64(burst) * tokensPerRetry
 	for {
 		have := b.tokens.Load()
 		if have <= most || b.tokens.CompareAndSwap(have, most) {
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -23,8 +23,8 @@
 	return r
 }
 
-// exchange makes one attempt that takes a millisecond.
-func exchange(r *routing.Router, now time.Duration, kind func(routing.TargetID) routing.OutcomeKind) routing.TargetID {
+// runAttempt makes one attempt that takes a millisecond.
+func runAttempt(r *routing.Router, now time.Duration, kind func(routing.TargetID) routing.OutcomeKind) routing.TargetID {
 	ticket, refusal := r.Pick(at(now), routing.PickInfo{})
 	if !refusal.OK() {
 		return ""
@@ -34,7 +34,7 @@
 	return ticket.Target
 }
 
-func answer(routing.TargetID) routing.OutcomeKind { return routing.Answered }
+func alwaysAnswered(routing.TargetID) routing.OutcomeKind { return routing.Answered }
 
 // A worker is told to leave. Requests routed to it afterwards would be cut off
 // by its stop. Its agent's reply says so before membership does, and membership
@@ -42,25 +42,25 @@
 func TestDrainingTargetGetsNothingNew(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter("a", "b")
-	for exchange(r, 0, answer) != "a" {
+	for runAttempt(r, 0, alwaysAnswered) != "a" {
 	}
 	ticket, _ := r.Pick(at(0), routing.PickInfo{Exclude: []routing.TargetID{"b"}})
 	r.Done(at(1), ticket, routing.Outcome{Kind: routing.Answered, Load: routing.Load{Draining: true}})
 	both := []routing.Target{{ID: "a", Slots: slots, MaxInflight: 64}, {ID: "b", Slots: slots, MaxInflight: 64}}
 	r.SetTargets(at(2), both)
 	for range 100 {
-		c.Assert(exchange(r, 3, answer), qt.Equals, routing.TargetID("b"))
+		c.Assert(runAttempt(r, 3, alwaysAnswered), qt.Equals, routing.TargetID("b"))
 	}
 	both[0].Incarnation++
 	r.SetTargets(at(4), both)
-	for exchange(r, 5, answer) != "a" {
+	for runAttempt(r, 5, alwaysAnswered) != "a" {
 	}
 }
 
 // A connection goes silent: something between the ends forgot it. Every request
 // sent on it would wait for its deadline. Once probing found that, the target
 // gets nothing, and then single trials, ever more rarely, until it answers.
-func TestSilentTargetGetsOnlyRareTrials(t *testing.T) {
+func TestUnresponsiveTargetGetsOnlyRareTrials(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter("a", "b")
 	r.ProbeFailed(at(0), "a")
@@ -72,7 +72,7 @@
 	}
 	trials := 0
 	for now := time.Duration(0); now < 10*time.Second; now += time.Millisecond {
-		if exchange(r, now, lost) == "a" {
+		if runAttempt(r, now, lost) == "a" {
 			trials++
 		}
 	}
@@ -80,7 +80,7 @@
 	r.ProbeSucceeded(at(10*time.Second), "a")
 	seen := false
 	for range 20 {
-		seen = seen || exchange(r, 10*time.Second, answer) == "a"
+		seen = seen || runAttempt(r, 10*time.Second, alwaysAnswered) == "a"
 	}
 	c.Assert(seen, qt.IsTrue)
 }
@@ -88,7 +88,7 @@
 // A connection goes silent with eight requests on it, and their ends come in
 // long after the target was ejected. They tell nothing new: were each counted,
 // the target would stay away for minutes after it has recovered.
-func TestOneSilenceIsOneEjection(t *testing.T) {
+func TestLateOutcomesDoNotExtendEjection(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter("a")
 	var out []routing.Ticket
@@ -101,16 +101,16 @@
 	for _, ticket := range out {
 		r.Done(at(late), ticket, routing.Outcome{Kind: routing.Unreachable, Latency: late})
 	}
-	c.Assert(exchange(r, late, answer), qt.Equals, routing.TargetID("a"))
+	c.Assert(runAttempt(r, late, alwaysAnswered), qt.Equals, routing.TargetID("a"))
 }
 
 // An availability zone returns: its targets all come due for a trial at once. If
 // most are still gone, each trial holds a client's request up, so only few may
 // be risked at a time.
-func TestFewTrialsAtOnce(t *testing.T) {
+func TestConcurrentTrialsAreBounded(t *testing.T) {
 	var ids []routing.TargetID
 	for i := range 96 {
-		ids = append(ids, name(i))
+		ids = append(ids, targetID(i))
 	}
 	r := newRouter(ids...)
 	for _, id := range ids[1:] {
@@ -128,14 +128,14 @@
 // A target fails everything, after a quiet hour in which all went well. Clients
 // and entry together would repeat each request several times; the budget holds
 // the extra load to its burst and a tenth, and the hour earns nothing.
-func TestRetriesStayWithinTheirBudget(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	r := newRouter("a")
 	for range 100_000 {
-		exchange(r, 0, answer)
+		runAttempt(r, 0, alwaysAnswered)
 	}
 	retries := 0
 	for range 1000 {
-		exchange(r, 0, func(routing.TargetID) routing.OutcomeKind { return routing.Abandoned })
+		runAttempt(r, 0, func(routing.TargetID) routing.OutcomeKind { return routing.Abandoned })
 		for r.AllowRetry(at(0), "") {
 			retries++
 		}
@@ -146,7 +146,7 @@
 // A worker is stopped as planned while another fails and has used the retry
 // budget up. Requests that reach the stopping one too late have not run; each
 // must still be allowed its attempt elsewhere.
-func TestPlannedStopNeedsNoRetryBudget(t *testing.T) {
+func TestRefusalByDrainingTargetRefundsRetryBudget(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter("a", "b")
 	for r.AllowRetry(at(0), "") {
@@ -168,7 +168,7 @@
 	r := newRouter("a", "b", "c")
 	failures := 0
 	for now := time.Duration(0); now < 20*time.Second; now += time.Millisecond {
-		exchange(r, now, func(id routing.TargetID) routing.OutcomeKind {
+		runAttempt(r, now, func(id routing.TargetID) routing.OutcomeKind {
 			if id != "a" {
 				return routing.Answered
 			}
@@ -182,11 +182,11 @@
 // A client sends requests that fail wherever they run, and another sends
 // requests whose deadlines nobody could meet. Neither says anything about the
 // targets; were these ejected, all other clients would be refused.
-func TestHopelessRequestsEjectNobody(t *testing.T) {
+func TestRequestErrorsAndShortDeadlinesDoNotEject(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter("a", "b", "c")
 	for i := range 20000 {
-		exchange(r, time.Duration(i)*time.Millisecond, func(routing.TargetID) routing.OutcomeKind {
+		runAttempt(r, time.Duration(i)*time.Millisecond, func(routing.TargetID) routing.OutcomeKind {
 			return [...]routing.OutcomeKind{routing.Answered, routing.Failed}[i*7919%13%2]
 		})
 		ticket, refusal := r.Pick(at(time.Duration(i)*time.Millisecond), routing.PickInfo{Account: "impatient"})
@@ -202,11 +202,11 @@
 // A burst is refused. Were all told the same time, they would come back
 // together and be refused together; each is told a later time, at the pace at
 // which the account is served.
-func TestRefusedRequestsComeBackOneAfterAnother(t *testing.T) {
+func TestRetryAfterIsStaggered(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter("a")
 	for now := time.Duration(0); now < 10*time.Second; now += 20 * time.Millisecond {
-		exchange(r, now, answer)
+		runAttempt(r, now, alwaysAnswered)
 	}
 	for refusal := (routing.Refusal{}); refusal.OK(); {
 		_, refusal = r.Pick(at(10*time.Second), routing.PickInfo{})
--- a/routing/sums.go
+++ b/routing/sums.go
@@ -5,22 +5,22 @@
 // ppm is the unit in which failure rates are summed.
 const ppm = 1e6
 
-// part is what one open endpoint adds to the sums.
-type part struct {
-	window   int64
-	failures int64 // ppm
-	open     int64
+// contribution is what one open endpoint adds to the sums.
+type contribution struct {
+	window      int64
+	failureRate int64 // ppm
+	available   int64
 }
 
-// sums are kept up to date so that a pick need not visit every endpoint.
-type sums struct {
-	window, failures, open atomic.Int64
+// totals are kept up to date so that a pick need not visit every endpoint.
+type totals struct {
+	window, failureRates, available atomic.Int64
 }
 
-func (s *sums) replace(old, now part) {
+func (s *totals) replace(old, now contribution) {
 	add(&s.window, now.window-old.window)
-	add(&s.failures, now.failures-old.failures)
-	add(&s.open, now.open-old.open)
+	add(&s.failureRates, now.failureRate-old.failureRate)
+	add(&s.available, now.available-old.available)
 }
 
 // add leaves the counter alone where nothing changed: it is shared by all cores.
--- a/routing/suspect.go
+++ b/routing/suspect.go
@@ -10,13 +10,13 @@
 // on it vanish without an error until an idle timeout of minutes. Only an
 // answer proves the path, so the entry probes where it waits in vain.
 func (r *Router) ProbeFailed(now time.Time, id TargetID) {
-	e := r.table.Load().byID[id]
+	e := r.endpoints.Load().byID[id]
 	if e == nil {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.breaker.silent = true
+	e.breaker.unresponsive = true
 	r.eject(e, now.UnixNano())
 	r.publish(e)
 }
@@ -24,13 +24,13 @@
 // ProbeSucceeded reports that a target ejected for silence has answered a probe. It is
 // due for its trial now instead of after its backoff.
 func (r *Router) ProbeSucceeded(now time.Time, id TargetID) {
-	e := r.table.Load().byID[id]
+	e := r.endpoints.Load().byID[id]
 	if e == nil {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if at := now.UnixNano(); e.breaker.silent && e.ejectedUntil.Load() > at {
+	if at := now.UnixNano(); e.breaker.unresponsive && e.ejectedUntil.Load() > at {
 		e.ejectedUntil.Store(at)
 	}
 }
--- a/routing/table.go
+++ b/routing/table.go
@@ -1,19 +1,19 @@
 package routing
 
-// table is the set of endpoints at one time. It is never changed once
+// endpointSet is the set of endpoints at one time. It is never changed once
 // published.
-type table struct {
-	all   []*endpoint
-	local []*endpoint // in the entry's own availability zone
-	byID  map[TargetID]*endpoint
+type endpointSet struct {
+	all      []*endpoint
+	sameZone []*endpoint // in the entry's own availability zone
+	byID     map[TargetID]*endpoint
 }
 
-func newTable(zone string, all []*endpoint) *table {
-	t := &table{all: all, byID: make(map[TargetID]*endpoint, len(all))}
+func newEndpointSet(zone string, all []*endpoint) *endpointSet {
+	t := &endpointSet{all: all, byID: make(map[TargetID]*endpoint, len(all))}
 	for _, e := range all {
 		t.byID[e.id] = e
 		if zone != "" && e.zone == zone {
-			t.local = append(t.local, e)
+			t.sameZone = append(t.sameZone, e)
 		}
 	}
 	return t
