--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -12,28 +12,28 @@
 	"github.com/eelgrasshub/eelgrasshub/admission"
 )
 
-// ends is a heap of running requests by their end.
-type ends []end
-type end struct {
+// completionHeap is a heap of running requests by their end.
+type completionHeap []completion
+type completion struct {
 	at time.Duration
 	id admission.ID
 }
 
-func (e ends) Len() int           { return len(e) }
-func (e ends) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e ends) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *ends) Push(x any)        { *e = append(*e, x.(end)) }
-func (e *ends) Pop() any {
+func (e completionHeap) Len() int           { return len(e) }
+func (e completionHeap) Less(i, j int) bool { return e[i].at < e[j].at }
+func (e completionHeap) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *completionHeap) Push(x any)        { *e = append(*e, x.(completion)) }
+func (e *completionHeap) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
 }
 
-// flood offers one target of 8 slots three times its capacity for ten seconds,
+// simulateFlood offers one target of 8 slots three times its capacity for ten seconds,
 // nine tenths of it from one account, and returns the light account's waits in
 // microseconds. fifo names every request's account alike and takes the bounds
 // away, which makes the queue the baseline.
-func flood(fifo bool) *hdrhistogram.Histogram {
+func simulateFlood(fifo bool) *hdrhistogram.Histogram {
 	rng := rand.New(rand.NewPCG(1, 1))
 	o := admission.Options{Slots: 8}
 	if fifo {
@@ -42,7 +42,7 @@
 	q := admission.New(o)
 	waits := hdrhistogram.New(1, 100_000_000, 3)
 	arrived := map[admission.ID]time.Duration{} // of the light account
-	var running ends
+	var running completionHeap
 	now, id := time.Duration(0), admission.ID(0)
 	act := func(actions []admission.Action) {
 		for _, action := range actions {
@@ -50,7 +50,7 @@
 			if !ok {
 				continue
 			}
-			heap.Push(&running, end{at: now + time.Duration(rng.ExpFloat64()*float64(10*time.Millisecond)), id: run.ID})
+			heap.Push(&running, completion{at: now + time.Duration(rng.ExpFloat64()*float64(10*time.Millisecond)), id: run.ID})
 			if began, light := arrived[run.ID]; light {
 				_ = waits.RecordValue((now - began).Microseconds())
 			}
@@ -58,7 +58,7 @@
 	}
 	for next := time.Duration(0); next < 10*time.Second; {
 		if len(running) > 0 && running[0].at <= next {
-			done := heap.Pop(&running).(end)
+			done := heap.Pop(&running).(completion)
 			now = done.at
 			act(q.HandleEvent(at(now), admission.Finished{ID: done.id, SlotTime: 10 * time.Millisecond}))
 			continue
@@ -81,7 +81,7 @@
 // The wait of a light account beside one that floods the target.
 func BenchmarkFlood(b *testing.B) {
 	for b.Loop() {
-		baseline, candidate := flood(true), flood(false)
+		baseline, candidate := simulateFlood(true), simulateFlood(false)
 		b.ReportMetric(float64(baseline.ValueAtQuantile(99))/1000, "baseline-wait-p99-ms")
 		b.ReportMetric(float64(candidate.ValueAtQuantile(99))/1000, "wait-p99-ms")
 		b.ReportMetric(float64(baseline.ValueAtQuantile(99))/float64(candidate.ValueAtQuantile(99)), "ratio")
@@ -89,7 +89,7 @@
 }
 
 // One arrival and one end, with a request of each account queued.
-func BenchmarkStep(b *testing.B) {
+func BenchmarkHandleEvent(b *testing.B) {
 	for _, accounts := range []int{1, 4, 100, 1000} {
 		b.Run(fmt.Sprint("accounts=", accounts), func(b *testing.B) {
 			q := admission.New(admission.Options{Slots: 1})
--- a/admission/costs.go
+++ b/admission/costs.go
@@ -7,70 +7,70 @@
 )
 
 const (
-	// costWeight is the weight of the newest service time in an average.
-	costWeight = 1.0 / 16
-	// doubtWeight is the part by which one refusal lowers an average. By that, a
+	// sampleWeight is the weight of the newest service time in an average.
+	sampleWeight = 1.0 / 16
+	// refusalDecay is the part by which one refusal lowers an average. By that, a
 	// kind that takes twice the time it may is tried once in thirty refusals.
-	doubtWeight = 1.0 / 512
-	// initialCost is assumed until the first request has finished.
-	initialCost = 5 * time.Millisecond
+	refusalDecay = 1.0 / 512
+	// initialServiceTime is assumed until the first request has finished.
+	initialServiceTime = 5 * time.Millisecond
 )
 
-// costKey is what service times are learned by.
-type costKey struct{ account, class string }
+// serviceTimeKey is what service times are learned by.
+type serviceTimeKey struct{ account, class string }
 
-// costs learns the slot time of requests from what they took. Declared costs are
+// serviceTimes learns the slot time of requests from what they took. Declared serviceTimes are
 // not asked for: they are often far from the truth.
-type costs struct {
+type serviceTimes struct {
 	overall time.Duration
-	learned *simplelru.LRU[costKey, time.Duration]
+	byKey   *simplelru.LRU[serviceTimeKey, time.Duration]
 }
 
-func newCosts(size int) *costs {
-	learned, err := simplelru.NewLRU[costKey, time.Duration](size, nil)
+func newServiceTimes(size int) *serviceTimes {
+	learned, err := simplelru.NewLRU[serviceTimeKey, time.Duration](size, nil)
 	if err != nil {
 		panic(err) // the size is positive
 	}
-	return &costs{learned: learned}
+	return &serviceTimes{byKey: learned}
 }
 
-// expect returns the slot time to expect of a request.
-func (c *costs) expect(k costKey) time.Duration {
-	if d, ok := c.learned.Get(k); ok {
+// estimate returns the slot time to estimate of a request.
+func (c *serviceTimes) estimate(k serviceTimeKey) time.Duration {
+	if d, ok := c.byKey.Get(k); ok {
 		return d
 	}
 	return c.mean()
 }
 
-// doubt lowers what is expected of a kind of request after one was refused for
+// decay lowers what is expected of a kind of request after one was refused for
 // it. Otherwise a kind that took too long for a while would be refused for ever:
 // nothing of it runs, so nothing shows that it has become faster.
-func (c *costs) doubt(k costKey) {
-	if d, ok := c.learned.Get(k); ok {
-		c.learned.Add(k, d-time.Duration(doubtWeight*float64(d)))
+func (c *serviceTimes) decay(k serviceTimeKey) {
+	if d, ok := c.byKey.Get(k); ok {
+		c.byKey.Add(k, d-time.Duration(refusalDecay*float64(d)))
 	}
 }
 
 // mean returns the slot time to expect of any request.
-func (c *costs) mean() time.Duration {
+func (c *serviceTimes) mean() time.Duration {
 	if c.overall == 0 {
-		return initialCost
+		return initialServiceTime
 	}
 	return c.overall
 }
 
-func (c *costs) learn(k costKey, took time.Duration) {
-	old, ok := c.learned.Get(k)
+func (c *serviceTimes) record(k serviceTimeKey, took time.Duration) {
+	old, ok := c.byKey.Get(k)
 	if !ok {
 		old = took
 	}
-	c.learned.Add(k, average(old, took))
+	c.byKey.Add(k, movingAverage(old, took))
 	if c.overall == 0 {
 		c.overall = took
 	}
-	c.overall = average(c.overall, took)
+	c.overall = movingAverage(c.overall, took)
 }
 
-func average(old, sample time.Duration) time.Duration {
-	return old + time.Duration(costWeight*float64(sample-old))
+func movingAverage(old, sample time.Duration) time.Duration {
+	return old + time.Duration(sampleWeight*float64(sample-old))
 }
--- a/admission/latest.go
+++ b/admission/latest.go
@@ -1,25 +1,25 @@
 package admission
 
-// byLatest is a heap of queued requests, the first to be late on top.
-type byLatest []*request
+// startDeadlineHeap is a heap of queued requests, the first to be late on top.
+type startDeadlineHeap []*request
 
-func (h byLatest) Len() int           { return len(h) }
-func (h byLatest) Less(i, j int) bool { return h[i].latest.Before(h[j].latest) }
+func (h startDeadlineHeap) Len() int           { return len(h) }
+func (h startDeadlineHeap) Less(i, j int) bool { return h[i].startDeadline.Before(h[j].startDeadline) }
 
-func (h byLatest) Swap(i, j int) {
+func (h startDeadlineHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index, h[j].index = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 // Push is for container/heap.
-func (h *byLatest) Push(x any) {
+func (h *startDeadlineHeap) Push(x any) {
 	r := x.(*request)
-	r.index = len(*h)
+	r.heapIndex = len(*h)
 	*h = append(*h, r)
 }
 
 // Pop is for container/heap.
-func (h *byLatest) Pop() any {
+func (h *startDeadlineHeap) Pop() any {
 	last := len(*h) - 1
 	r := (*h)[last]
 	(*h)[last] = nil
--- a/admission/members_test.go
+++ b/admission/members_test.go
@@ -11,29 +11,29 @@
 // Client accounts come and go by the thousand, each with one request that takes
 // far longer than expected. What is kept of them must not grow with their
 // number, nor slow each decision down.
-func TestManyAccountsLeaveLittleBehind(t *testing.T) {
+func TestStateOfPastAccountsIsBounded(t *testing.T) {
 	q := New(Options{})
 	for i := range ID(10_000) {
 		q.HandleEvent(time.Time{}, Arrived{ID: i, Account: fmt.Sprint(i)})
 		q.HandleEvent(time.Time{}, Finished{ID: i, SlotTime: time.Hour})
 	}
-	qt.Assert(t, q.members.idle.Len(), qt.Equals, maxIdle)
-	qt.Assert(t, q.members.busy, qt.HasLen, 0)
-	qt.Assert(t, q.members.waiting, qt.HasLen, 0)
-	qt.Assert(t, q.costs.learned.Len(), qt.Equals, DefaultMaxServiceTimes)
+	qt.Assert(t, q.accounts.idle.Len(), qt.Equals, maxIdleAccounts)
+	qt.Assert(t, q.accounts.active, qt.HasLen, 0)
+	qt.Assert(t, q.accounts.waiting, qt.HasLen, 0)
+	qt.Assert(t, q.serviceTimes.byKey.Len(), qt.Equals, DefaultMaxServiceTimes)
 	qt.Assert(t, q.requests, qt.HasLen, 0)
 }
 
 // An account was in lasting congestion when it fell silent. An hour later its
 // next request finds other accounts' work in every slot, and must not be shed
 // for what was.
-func TestCongestionIsForgotten(t *testing.T) {
+func TestCongestionEndsWithoutStarts(t *testing.T) {
 	c := qt.New(t)
-	var s sojourn
+	var s congestionDetector
 	start := time.Time{}.Add(time.Hour)
-	s.started(start, 2*time.Second, time.Second)
-	c.Assert(s.phase(start, time.Minute), qt.Equals, early)
-	s.started(start.Add(time.Minute), 2*time.Second, time.Second)
-	c.Assert(s.phase(start.Add(time.Minute), time.Minute), qt.Equals, lasting)
-	c.Assert(s.phase(start.Add(time.Hour), time.Minute), qt.Equals, clear)
+	s.recordStart(start, 2*time.Second, time.Second)
+	c.Assert(s.phase(start, time.Minute), qt.Equals, earlyCongestion)
+	s.recordStart(start.Add(time.Minute), 2*time.Second, time.Second)
+	c.Assert(s.phase(start.Add(time.Minute), time.Minute), qt.Equals, lastingCongestion)
+	c.Assert(s.phase(start.Add(time.Hour), time.Minute), qt.Equals, noCongestion)
 }
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -15,9 +15,9 @@
 
 type actions = []admission.Action
 
-// taught returns a queue of one slot that has learned a service time of 10 ms,
+// newTrainedQueue returns a queue of one slot that has learned a service time of 10 ms,
 // at 1 s.
-func taught(o admission.Options) *admission.Queue {
+func newTrainedQueue(o admission.Options) *admission.Queue {
 	o.Slots = 1
 	q := admission.New(o)
 	for id := range admission.ID(100) {
@@ -43,9 +43,9 @@
 // A truck waits for an answer within 35 ms, and four requests of 10 ms stand
 // before it. Queued, it would be refused after its time; refused now, with the
 // time the backlog needs, the client can still act.
-func TestHopelessArrivalIsRefusedAtOnce(t *testing.T) {
+func TestArrivalThatCannotMeetItsDeadlineIsRefused(t *testing.T) {
 	c := qt.New(t)
-	q := taught(admission.Options{})
+	q := newTrainedQueue(admission.Options{})
 	for id := range admission.ID(5) {
 		q.HandleEvent(at(time.Second), admission.Arrived{ID: id})
 	}
@@ -55,9 +55,9 @@
 
 // A request ahead runs ten times as long as it ever did. The one behind it is
 // given up as soon as it can't be answered any more, not at its deadline.
-func TestQueuedRequestIsRefusedWhenItBecomesHopeless(t *testing.T) {
+func TestQueuedRequestIsRefusedOnceItCannotMeetItsDeadline(t *testing.T) {
 	c := qt.New(t)
-	q := taught(admission.Options{})
+	q := newTrainedQueue(admission.Options{})
 	q.HandleEvent(at(time.Second), admission.Arrived{ID: 1})
 	wake := at(time.Second + 40*time.Millisecond)
 	got := q.HandleEvent(at(time.Second), admission.Arrived{ID: 2, Deadline: at(time.Second + 50*time.Millisecond)})
@@ -68,9 +68,9 @@
 
 // One client account floods a target with slow requests. Another asks now and
 // then; in a shared queue it would wait behind hundreds.
-func TestLightAccountIsServedNextUnderFlood(t *testing.T) {
+func TestLightAccountIsServedNextDuringFlood(t *testing.T) {
 	c := qt.New(t)
-	q := taught(admission.Options{})
+	q := newTrainedQueue(admission.Options{})
 	for id := range admission.ID(200) {
 		q.HandleEvent(at(time.Second), admission.Arrived{ID: id, Account: "flood"})
 	}
@@ -84,7 +84,7 @@
 // requests that take four times as long. Shares are of slot time, not of requests.
 func TestSharesOfSlotTimeFollowWeights(t *testing.T) {
 	c := qt.New(t)
-	q := taught(admission.Options{})
+	q := newTrainedQueue(admission.Options{})
 	q.HandleEvent(at(0), admission.PolicyChanged{Weights: map[string]int{"a": 3, "b": 1}})
 	cost := map[string]time.Duration{"a": 10 * time.Millisecond, "b": 40 * time.Millisecond}
 	used := map[string]time.Duration{}
@@ -113,8 +113,8 @@
 
 // What is known of a class says that its deadline can't be met, but a slot is
 // free. To refuse it would leave the slot idle, and nothing new would be learned.
-func TestFreeSlotIsGivenWhateverIsExpected(t *testing.T) {
-	q := taught(admission.Options{})
+func TestFreeSlotIsUsedDespiteExpectedServiceTime(t *testing.T) {
+	q := newTrainedQueue(admission.Options{})
 	got := q.HandleEvent(at(0), admission.Arrived{ID: 1, Deadline: at(time.Millisecond)})
 	qt.Assert(t, got, qt.DeepEquals, actions{admission.Run{ID: 1}})
 }
@@ -122,9 +122,9 @@
 // A class of requests took a second each while the target was slow, more than
 // its deadline of 100 ms. The target has recovered, and others keep it busy. The
 // class must get in again, though nothing of it ran meanwhile.
-func TestClassOnceTooSlowIsTriedAgain(t *testing.T) {
+func TestClassThatWasTooSlowIsAdmittedAgain(t *testing.T) {
 	c := qt.New(t)
-	q := taught(admission.Options{})
+	q := newTrainedQueue(admission.Options{})
 	q.HandleEvent(at(0), admission.Arrived{ID: 1, Class: "check"})
 	q.HandleEvent(at(0), admission.Finished{ID: 1, SlotTime: time.Second})
 	busy := admission.ID(10)
--- a/admission/sojourn.go
+++ b/admission/sojourn.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// phase is the state of congestion of one account's queue.
-type phase int
+// congestionPhase is the state of congestion of one account's queue.
+type congestionPhase int
 
 const (
-	clear phase = iota
-	early
-	lasting
+	noCongestion congestionPhase = iota
+	earlyCongestion
+	lastingCongestion
 )
 
-// sojourn watches how long requests of one account wait. It is in early
+// congestionDetector watches how long requests of one account wait. It is in early
 // congestion while waits exceed the target, and in lasting congestion once they
 // have done so for an interval. Without a start for an interval it knows
 // nothing, and says clear.
-type sojourn struct {
-	since time.Time // first wait above the target; zero while below
-	last  time.Time // last start
+type congestionDetector struct {
+	aboveTargetSince time.Time // first wait above the target; zero while below
+	lastStart        time.Time // last start
 }
 
-func (s *sojourn) started(now time.Time, wait, target time.Duration) {
-	s.last = now
+func (s *congestionDetector) recordStart(now time.Time, wait, target time.Duration) {
+	s.lastStart = now
 	if wait < target {
-		s.since = time.Time{}
+		s.aboveTargetSince = time.Time{}
 		return
 	}
-	if s.since.IsZero() {
-		s.since = now
+	if s.aboveTargetSince.IsZero() {
+		s.aboveTargetSince = now
 	}
 }
 
-func (s *sojourn) phase(now time.Time, interval time.Duration) phase {
+func (s *congestionDetector) phase(now time.Time, interval time.Duration) congestionPhase {
 	switch {
-	case s.since.IsZero() || now.Sub(s.last) > interval:
-		return clear
-	case now.Sub(s.since) < interval:
-		return early
+	case s.aboveTargetSince.IsZero() || now.Sub(s.lastStart) > interval:
+		return noCongestion
+	case now.Sub(s.aboveTargetSince) < interval:
+		return earlyCongestion
 	}
-	return lasting
+	return lastingCongestion
 }
--- a/admission/weight.go
+++ b/admission/weight.go
@@ -1,11 +1,11 @@
 package admission
 
-// account returns the client account of an arrival. A returning account starts
+// accountFor returns the client accountFor of an arrival. A returning accountFor starts
 // at the present virtual time at the earliest: time without work earns nothing.
-func (q *Queue) account(ev Arrived) *account {
-	a := q.members.take(ev.Account)
+func (q *Queue) accountFor(ev Arrived) *account {
+	a := q.accounts.activate(ev.Account)
 	if len(a.waiting) == 0 {
-		a.start = max(a.start, q.virtual)
+		a.virtualStart = max(a.virtualStart, q.virtualTime)
 	}
 	a.weight = q.weight(ev)
 	return a
@@ -18,9 +18,9 @@
 	return float64(max(1, ev.Weight))
 }
 
-func (q *Queue) reweigh(weights map[string]int) {
+func (q *Queue) setWeights(weights map[string]int) {
 	q.weights = weights
-	for name, a := range q.members.busy {
+	for name, a := range q.accounts.active {
 		if w, ok := weights[name]; ok {
 			a.weight = float64(max(1, w))
 		}
@@ -28,22 +28,22 @@
 }
 
 func (q *Queue) changePolicy(p PolicyChanged) {
-	q.reweigh(p.Weights)
-	q.bounds = p.AccountMaxQueued
-	replace(&q.options.MaxQueued, p.MaxQueued)
-	replace(&q.options.TargetSojourn, p.TargetSojourn)
-	replace(&q.options.CongestionInterval, p.CongestionInterval)
+	q.setWeights(p.Weights)
+	q.accountMaxQueued = p.AccountMaxQueued
+	setIfPositive(&q.options.MaxQueued, p.MaxQueued)
+	setIfPositive(&q.options.TargetSojourn, p.TargetSojourn)
+	setIfPositive(&q.options.CongestionInterval, p.CongestionInterval)
 }
 
-func replace[T int | float64](field *T, value T) {
+func setIfPositive[T int | float64](field *T, value T) {
 	if value > 0 {
 		*field = value
 	}
 }
 
-// bound is how many requests of the account may be queued.
-func (q *Queue) bound(account string) int {
-	if n, ok := q.bounds[account]; ok {
+// maxQueuedFor is how many requests of the account may be queued.
+func (q *Queue) maxQueuedFor(account string) int {
+	if n, ok := q.accountMaxQueued[account]; ok {
 		return n
 	}
 	return q.options.MaxQueuedPerAccount
