--- a/attempts/request.go
+++ b/attempts/request.go
@@ -23,27 +23,27 @@
 // Request is one delivery of a request that is not repeatable. Times given to it
 // are of the wall clock, as ID.Issued is. It is not safe for concurrent use.
 type Request struct {
-	config  RequestConfig
-	own     Claim // what this delivery may run
-	watched Claim // what is being resolved
-	step    step
-	spent   bool      // the own attempt was sent
-	asked   time.Time // last SendResolve
-	reason  Reason    // of the NotRun that a release is to make certain
-	now     time.Time
-	actions []Action
+	config        RequestConfig
+	own           Claim // what this delivery may run
+	resolving     Claim // what is being resolved
+	state         requestState
+	sent          bool      // the own attempt was sent
+	resolveSentAt time.Time // last SendResolve
+	releaseReason Reason    // of the NotRun that a release is to make certain
+	now           time.Time
+	actions       []Action
 }
 
-type step uint8
+type requestState uint8
 
 const (
-	stepNew step = iota
-	stepClaiming
-	stepReplacing
-	stepReleasing
-	stepSent
-	stepResolving
-	stepFinished
+	stateNew requestState = iota
+	stateClaiming
+	stateReplacing
+	stateReleasing
+	stateSent
+	stateResolving
+	stateFinished
 )
 
 // NewRequest returns a delivery that runs the attempt of the claim, if any.
@@ -54,39 +54,39 @@
 // HandleEvent handles one event and returns what is to be done, in order.
 func (r *Request) HandleEvent(now time.Time, ev Event) []Action {
 	r.now, r.actions = now, nil
-	if r.step == stepFinished {
+	if r.state == stateFinished {
 		return nil
 	}
 	switch ev := ev.(type) {
 	case Start:
 		r.start()
 	case ClaimReply:
-		r.claimed(ev)
+		r.handleClaimReply(ev)
 	case BeginReply:
-		r.begun(ev)
+		r.handleBeginReply(ev)
 	case ResolveReply:
-		r.resolved(ev)
+		r.handleResolveReply(ev)
 	case ConnectionLost:
-		if r.step == stepSent && ev.ID == r.own.ID {
+		if r.state == stateSent && ev.ID == r.own.ID {
 			r.resolve(r.own)
 		}
 	}
 	r.checkDeadline()
-	r.poll()
+	r.scheduleWake()
 	return r.actions
 }
 
 // IsFinished says whether Finished was returned.
-func (r *Request) IsFinished() bool { return r.step == stepFinished }
+func (r *Request) IsFinished() bool { return r.state == stateFinished }
 
-func (r *Request) do(s step, a Action) {
-	r.step = s
+func (r *Request) transition(s requestState, a Action) {
+	r.state = s
 	r.actions = append(r.actions, a)
 }
 
-func (r *Request) finish(f Finished) { r.do(stepFinished, f) }
+func (r *Request) finish(f Finished) { r.transition(stateFinished, f) }
 
-func (r *Request) unknown(why Reason) {
+func (r *Request) finishUnknown(why Reason) {
 	f := Finished{Outcome: Unknown, Reason: why}
 	if why == ReasonStoreUnavailable {
 		f.RetryAfter = r.config.RetryAfter
@@ -94,45 +94,45 @@
 	r.finish(f)
 }
 
-func (r *Request) notRun(why Reason) {
+func (r *Request) finishNotRun(why Reason) {
 	r.finish(Finished{Outcome: NotRun, Reason: why, RetryAfter: r.config.RetryAfter})
 }
 
 func (r *Request) start() {
-	if r.step != stepNew {
+	if r.state != stateNew {
 		return
 	}
 	if r.config.HasKey {
-		r.do(stepClaiming, WriteClaim{Claim: r.own})
+		r.transition(stateClaiming, WriteClaim{Claim: r.own})
 		return
 	}
 	r.send()
 }
 
 func (r *Request) send() {
-	r.spent = true
-	r.do(stepSent, SendBegin{Claim: r.own})
+	r.sent = true
+	r.transition(stateSent, SendBegin{Claim: r.own})
 }
 
 // resolve asks what became of a claim's attempt. Sending the attempt again
 // instead would need the same agent, and prove nothing if it refused.
 func (r *Request) resolve(c Claim) {
-	r.watched = c
-	r.asked = r.now
-	r.do(stepResolving, SendResolve{Claim: c})
+	r.resolving = c
+	r.resolveSentAt = r.now
+	r.transition(stateResolving, SendResolve{Claim: c})
 }
 
-// poll repeats a SendResolve whose attempt still runs or whose reply was lost.
-func (r *Request) poll() {
-	if r.step == stepFinished {
+// scheduleWake repeats a SendResolve whose attempt still runs or whose reply was lost.
+func (r *Request) scheduleWake() {
+	if r.state == stateFinished {
 		return
 	}
 	next := r.config.Deadline
-	if r.step == stepResolving {
-		if !r.now.Before(r.asked.Add(r.config.PollInterval)) {
-			r.resolve(r.watched)
+	if r.state == stateResolving {
+		if !r.now.Before(r.resolveSentAt.Add(r.config.PollInterval)) {
+			r.resolve(r.resolving)
 		}
-		if at := r.asked.Add(r.config.PollInterval); at.Before(next) {
+		if at := r.resolveSentAt.Add(r.config.PollInterval); at.Before(next) {
 			next = at
 		}
 	}
--- a/attempts/sim_test.go
+++ b/attempts/sim_test.go
@@ -9,34 +9,34 @@
 )
 
 var (
-	simWorlds = flag.Int("attempts.worlds", 200, "number of randomised worlds")
-	simSeed   = flag.Uint64("attempts.seed", 1, "seed of the first world")
+	simRuns = flag.Int("attempts.worlds", 200, "number of randomised worlds")
+	simSeed = flag.Uint64("attempts.seed", 1, "seed of the first world")
 )
 
 const (
-	simDelay    = 2 * time.Second
-	simMaxAge   = 60 * time.Second
-	simClaim    = 200 * time.Second // a claim's life in the store
-	simArrivals = 100 * time.Second // keys are delivered again for so long
+	simMaxDelay      = 2 * time.Second
+	simMaxAge        = 60 * time.Second
+	simClaimTTL      = 200 * time.Second // a claim's life in the store
+	simArrivalPeriod = 100 * time.Second // keys are delivered again for so long
 )
 
-// TestRandomWorlds delivers requests, most of their keys several times, through
+// TestRandomFailures delivers requests, most of their keys several times, through
 // entries that pause, agents that restart and a store that fails, and holds what
 // callers are told against what ran. A longer run:
 // go test ./attempts -run RandomWorlds -v -attempts.worlds 50000
-func TestRandomWorlds(t *testing.T) {
+func TestRandomFailures(t *testing.T) {
 	sum := map[Outcome]int{}
 	runs := 0
-	for i := range *simWorlds {
-		w := newWorld(t, *simSeed+uint64(i))
+	for i := range *simRuns {
+		w := newSimulation(t, *simSeed+uint64(i))
 		w.run()
-		runs += len(w.ran)
-		for o, n := range w.told {
+		runs += len(w.executed)
+		for o, n := range w.outcomes {
 			sum[o] += n
 		}
 	}
 	t.Logf("%d worlds from seed %d: %d runs; told done %d, not run %d, unknown %d",
-		*simWorlds, *simSeed, runs, sum[Done], sum[NotRun], sum[Unknown])
+		*simRuns, *simSeed, runs, sum[Done], sum[NotRun], sum[Unknown])
 	if sum[Done] == 0 || sum[NotRun] == 0 || sum[Unknown] == 0 {
 		t.Fatal("the worlds did not reach all outcomes")
 	}
@@ -47,22 +47,22 @@
 	run func()
 }
 
-type world struct {
-	t      *testing.T
-	seed   uint64
-	rng    *rand.Rand
-	now    time.Time
-	events []simEvent
-	agents []*simAgent
-	claims map[string]*simClaimed
-	down   bool
-	ran    map[string]*simDelivery // what ran, by key
-	told   map[Outcome]int
-	next   uint64
+type simulation struct {
+	t            *testing.T
+	seed         uint64
+	rng          *rand.Rand
+	now          time.Time
+	events       []simEvent
+	agents       []*simAgent
+	claims       map[string]*simClaim
+	storeDown    bool
+	executed     map[string]*simDelivery // what ran, by key
+	outcomes     map[Outcome]int
+	lastSequence uint64
 }
 
-// simClaimed is a key's claim in the store.
-type simClaimed struct {
+// simClaim is a key's claim in the store.
+type simClaim struct {
 	claim Claim
 	at    time.Time
 }
@@ -74,24 +74,24 @@
 }
 
 type simDelivery struct {
-	w      *world
-	key    string
-	number int // of the key's deliveries
-	keyed  bool
-	req    *Request
-	own    Claim
-	denied bool // told not run
+	sim        *simulation
+	key        string
+	number     int // of the key's deliveries
+	keyed      bool
+	req        *Request
+	own        Claim
+	toldNotRun bool // told not run
 }
 
-func newWorld(t *testing.T, seed uint64) *world {
-	w := &world{
-		t:      t,
-		seed:   seed,
-		rng:    rand.New(rand.NewPCG(seed, 2)),
-		now:    time.Unix(10000, 0),
-		claims: map[string]*simClaimed{},
-		ran:    map[string]*simDelivery{},
-		told:   map[Outcome]int{},
+func newSimulation(t *testing.T, seed uint64) *simulation {
+	w := &simulation{
+		t:        t,
+		seed:     seed,
+		rng:      rand.New(rand.NewPCG(seed, 2)),
+		now:      time.Unix(10000, 0),
+		claims:   map[string]*simClaim{},
+		executed: map[string]*simDelivery{},
+		outcomes: map[Outcome]int{},
 	}
 	for _, name := range []string{"a", "b"} {
 		a := &simAgent{name: name}
@@ -101,12 +101,12 @@
 	return w
 }
 
-func (w *world) restart(a *simAgent) {
+func (w *simulation) restart(a *simAgent) {
 	a.incarnation++
 	a.table = NewTable(TableConfig{a.incarnation, 4, 40, simMaxAge, time.Second})
 }
 
-func (w *world) run() {
+func (w *simulation) run() {
 	for k := range 8 {
 		key := string(rune('p' + k))
 		keyed := k < 6
@@ -114,13 +114,13 @@
 			if n > 0 && !keyed {
 				break
 			}
-			at := time.Duration(n) * simArrivals / 4
-			w.after(at+w.within(simArrivals/4), func() { w.deliver(key, n, keyed) })
+			at := time.Duration(n) * simArrivalPeriod / 4
+			w.schedule(at+w.randomDuration(simArrivalPeriod/4), func() { w.deliver(key, n, keyed) })
 		}
 	}
 	for range 5 {
-		w.after(w.within(2*simArrivals), func() { w.restart(w.agents[w.rng.IntN(2)]) })
-		w.after(w.within(2*simArrivals), func() { w.down = !w.down })
+		w.schedule(w.randomDuration(2*simArrivalPeriod), func() { w.restart(w.agents[w.rng.IntN(2)]) })
+		w.schedule(w.randomDuration(2*simArrivalPeriod), func() { w.storeDown = !w.storeDown })
 	}
 	for len(w.events) > 0 {
 		next := 0
@@ -136,32 +136,32 @@
 	}
 }
 
-func (w *world) chance(p float64) bool { return w.rng.Float64() < p }
+func (w *simulation) randomBool(p float64) bool { return w.rng.Float64() < p }
 
-func (w *world) within(d time.Duration) time.Duration {
+func (w *simulation) randomDuration(d time.Duration) time.Duration {
 	return time.Duration(w.rng.Int64N(int64(d)))
 }
 
-func (w *world) after(d time.Duration, run func()) {
+func (w *simulation) schedule(d time.Duration, run func()) {
 	w.events = append(w.events, simEvent{w.now.Add(d), run})
 }
 
-func (w *world) fail(d *simDelivery, what string) {
+func (w *simulation) fail(d *simDelivery, what string) {
 	w.t.Fatalf("seed %d at %v: key %s delivery %d: %s", w.seed, w.now.Sub(time.Unix(10000, 0)), d.key, d.number, what)
 }
 
-func (w *world) deliver(key string, number int, keyed bool) {
-	w.next++
+func (w *simulation) deliver(key string, number int, keyed bool) {
+	w.lastSequence++
 	a := w.agents[w.rng.IntN(2)]
-	d := &simDelivery{w: w, key: key, number: number, keyed: keyed}
+	d := &simDelivery{sim: w, key: key, number: number, keyed: keyed}
 	d.own = Claim{
-		ID:    ID{w.now.UnixNano(), w.next % 3, w.next, a.incarnation},
+		ID:    ID{w.now.UnixNano(), w.lastSequence % 3, w.lastSequence, a.incarnation},
 		Agent: a.name,
 	}
 	d.req = NewRequest(RequestConfig{
 		HasKey:        keyed,
 		FirstDelivery: number == 0,
-		Deadline:      w.now.Add(5*time.Second + w.within(20*time.Second)),
+		Deadline:      w.now.Add(5*time.Second + w.randomDuration(20*time.Second)),
 		PollInterval:  2 * time.Second,
 		RetryAfter:    time.Second,
 		MaxAge:        simMaxAge,
@@ -172,43 +172,43 @@
 // step runs the delivery's entry, which may be paused before it acts. What the
 // caller is told is checked as of the decision.
 func (d *simDelivery) step(ev Event) {
-	w := d.w
+	w := d.sim
 	actions := d.req.HandleEvent(w.now, ev)
 	for _, act := range actions {
 		if f, ok := act.(Finished); ok {
-			d.finished(f)
+			d.checkFinished(f)
 		}
 	}
 	pause := time.Duration(0)
-	if w.chance(0.03) {
-		pause = w.within(2 * simClaim)
+	if w.randomBool(0.03) {
+		pause = w.randomDuration(2 * simClaimTTL)
 	}
-	w.after(pause, func() {
+	w.schedule(pause, func() {
 		for _, act := range actions {
-			d.act(act)
+			d.perform(act)
 		}
 	})
 }
 
-func (d *simDelivery) act(act Action) {
+func (d *simDelivery) perform(act Action) {
 	switch act := act.(type) {
 	case WriteClaim:
-		d.store(func(c *simClaimed) ClaimResult { return d.put(c, nil, &act.Claim) })
+		d.callStore(func(c *simClaim) ClaimResult { return d.compareAndSwap(c, nil, &act.Claim) })
 	case ReplaceClaim:
-		d.store(func(c *simClaimed) ClaimResult { return d.put(c, &act.Old, &act.New) })
+		d.callStore(func(c *simClaim) ClaimResult { return d.compareAndSwap(c, &act.Old, &act.New) })
 	case ReleaseClaim:
-		d.store(func(c *simClaimed) ClaimResult { return d.put(c, &act.Claim, nil) })
+		d.callStore(func(c *simClaim) ClaimResult { return d.compareAndSwap(c, &act.Claim, nil) })
 	case SendBegin:
-		d.begin(act.Claim)
+		d.sendBegin(act.Claim)
 	case SendResolve:
-		d.resolve(act.Claim)
+		d.sendResolve(act.Claim)
 	case WakeAt:
-		d.w.after(act.At.Sub(d.w.now), func() { d.step(Wake{}) })
+		d.sim.schedule(act.At.Sub(d.sim.now), func() { d.step(Wake{}) })
 	}
 }
 
-// put is the store's compare-and-swap; current is nil if the key has no claim.
-func (d *simDelivery) put(current *simClaimed, old, next *Claim) ClaimResult {
+// compareAndSwap is the store's compare-and-swap; current is nil if the key has no claim.
+func (d *simDelivery) compareAndSwap(current *simClaim, old, next *Claim) ClaimResult {
 	switch {
 	case old == nil && current != nil, old != nil && current != nil && current.claim != *old:
 		if next != nil && current.claim == *next {
@@ -219,23 +219,23 @@
 		return ClaimGone
 	case next == nil:
 		// From here a later delivery may run, before this one is told.
-		if d.w.ran[d.key] != nil {
-			d.w.fail(d, "released a claim that ran")
+		if d.sim.executed[d.key] != nil {
+			d.sim.fail(d, "released a claim that ran")
 		}
-		delete(d.w.claims, d.key)
+		delete(d.sim.claims, d.key)
 	default:
-		d.w.claims[d.key] = &simClaimed{*next, d.w.now}
+		d.sim.claims[d.key] = &simClaim{*next, d.sim.now}
 	}
 	return ClaimWritten
 }
 
-// store calls the store: the reply may be lost, and the write may take effect
+// callStore calls the callStore: the reply may be lost, and the write may take effect
 // long after it was given up.
-func (d *simDelivery) store(op func(*simClaimed) ClaimResult) {
-	w := d.w
+func (d *simDelivery) callStore(op func(*simClaim) ClaimResult) {
+	w := d.sim
 	apply := func() ClaimReply {
 		c := w.claims[d.key]
-		if c != nil && w.now.Sub(c.at) >= simClaim {
+		if c != nil && w.now.Sub(c.at) >= simClaimTTL {
 			delete(w.claims, d.key)
 			c = nil
 		}
@@ -246,105 +246,105 @@
 		return ev
 	}
 	switch {
-	case w.down, w.chance(0.05):
-		w.after(w.within(simDelay), func() { d.step(ClaimReply{Result: ClaimUnavailable}) })
-	case w.chance(0.1):
-		w.after(w.within(5*simDelay), func() { apply() })
-		w.after(w.within(simDelay), func() { d.step(ClaimReply{Result: ClaimUnavailable}) })
+	case w.storeDown, w.randomBool(0.05):
+		w.schedule(w.randomDuration(simMaxDelay), func() { d.step(ClaimReply{Result: ClaimUnavailable}) })
+	case w.randomBool(0.1):
+		w.schedule(w.randomDuration(5*simMaxDelay), func() { apply() })
+		w.schedule(w.randomDuration(simMaxDelay), func() { d.step(ClaimReply{Result: ClaimUnavailable}) })
 	default:
-		w.after(w.within(simDelay), func() {
+		w.schedule(w.randomDuration(simMaxDelay), func() {
 			ev := apply()
-			w.after(w.within(simDelay), func() { d.step(ev) })
+			w.schedule(w.randomDuration(simMaxDelay), func() { d.step(ev) })
 		})
 	}
 }
 
-func (w *world) agent(name string) *simAgent {
+func (w *simulation) agent(name string) *simAgent {
 	return w.agents[slices.IndexFunc(w.agents, func(a *simAgent) bool { return a.name == name })]
 }
 
-// begin delivers the attempt late or not at all; the entry may give up before.
-func (d *simDelivery) begin(c Claim) {
-	w, a := d.w, d.w.agent(c.Agent)
-	if w.chance(0.2) {
-		w.after(w.within(simDelay), func() { d.step(ConnectionLost{c.ID}) })
+// sendBegin delivers the attempt late or not at all; the entry may give up before.
+func (d *simDelivery) sendBegin(c Claim) {
+	w, a := d.sim, d.sim.agent(c.Agent)
+	if w.randomBool(0.2) {
+		w.schedule(w.randomDuration(simMaxDelay), func() { d.step(ConnectionLost{c.ID}) })
 	}
-	if w.chance(0.1) {
+	if w.randomBool(0.1) {
 		return
 	}
-	w.after(w.within(4*simDelay), func() {
+	w.schedule(w.randomDuration(4*simMaxDelay), func() {
 		verdict, answer := a.table.Begin(w.now, c.ID)
 		if verdict != BeginRun {
-			d.begun(BeginReply{ID: c.ID, Result: verdict, Answer: answer})
+			d.sendBeginReply(BeginReply{ID: c.ID, Result: verdict, Answer: answer})
 			return
 		}
 		table := a.table
-		w.after(w.within(3*simDelay), func() { d.execute(a, table, c) })
+		w.schedule(w.randomDuration(3*simMaxDelay), func() { d.execute(a, table, c) })
 	})
 }
 
 // execute hands the attempt to the target, unless the agent restarted meanwhile.
 func (d *simDelivery) execute(a *simAgent, table *Table, c Claim) {
-	w := d.w
+	w := d.sim
 	if a.table != table {
 		return
 	}
-	if w.chance(0.2) {
+	if w.randomBool(0.2) {
 		table.RecordNotRun(c.ID)
-		d.begun(BeginReply{ID: c.ID, Result: BeginRefuse})
+		d.sendBeginReply(BeginReply{ID: c.ID, Result: BeginRefuse})
 		return
 	}
-	d.ranNow()
-	w.after(w.within(4*simDelay), func() {
-		if w.chance(0.1) {
+	d.recordExecution()
+	w.schedule(w.randomDuration(4*simMaxDelay), func() {
+		if w.randomBool(0.1) {
 			table.RecordLostAnswer(c.ID)
-			d.begun(BeginReply{ID: c.ID, Interrupted: true})
+			d.sendBeginReply(BeginReply{ID: c.ID, Interrupted: true})
 			return
 		}
 		answer := []byte("answer to " + d.key)
 		table.RecordAnswer(c.ID, answer)
-		d.begun(BeginReply{ID: c.ID, Answer: answer})
+		d.sendBeginReply(BeginReply{ID: c.ID, Answer: answer})
 	})
 }
 
-func (d *simDelivery) begun(ev BeginReply) {
-	if d.w.chance(0.8) {
-		d.w.after(d.w.within(simDelay), func() { d.step(ev) })
+func (d *simDelivery) sendBeginReply(ev BeginReply) {
+	if d.sim.randomBool(0.8) {
+		d.sim.schedule(d.sim.randomDuration(simMaxDelay), func() { d.step(ev) })
 	}
 }
 
-func (d *simDelivery) resolve(c Claim) {
-	w, a := d.w, d.w.agent(c.Agent)
+func (d *simDelivery) sendResolve(c Claim) {
+	w, a := d.sim, d.sim.agent(c.Agent)
 	for range w.rng.IntN(3) {
-		w.after(w.within(simDelay), func() {
+		w.schedule(w.randomDuration(simMaxDelay), func() {
 			status, answer := a.table.Resolve(c.ID)
-			w.after(w.within(simDelay), func() { d.step(ResolveReply{c.ID, status, answer}) })
+			w.schedule(w.randomDuration(simMaxDelay), func() { d.step(ResolveReply{c.ID, status, answer}) })
 		})
 	}
 }
 
-func (d *simDelivery) ranNow() {
-	if other := d.w.ran[d.key]; other != nil {
-		d.w.fail(d, "ran a second time")
+func (d *simDelivery) recordExecution() {
+	if other := d.sim.executed[d.key]; other != nil {
+		d.sim.fail(d, "ran a second time")
 	}
-	if d.denied {
-		d.w.fail(d, "ran after not run was told")
+	if d.toldNotRun {
+		d.sim.fail(d, "ran after not run was told")
 	}
-	d.w.ran[d.key] = d
+	d.sim.executed[d.key] = d
 }
 
-func (d *simDelivery) finished(f Finished) {
-	d.w.told[f.Outcome]++
-	ran := d.w.ran[d.key]
+func (d *simDelivery) checkFinished(f Finished) {
+	d.sim.outcomes[f.Outcome]++
+	ran := d.sim.executed[d.key]
 	switch f.Outcome {
 	case Done:
 		if ran == nil || string(f.Answer) != "answer to "+d.key {
-			d.w.fail(d, "told done")
+			d.sim.fail(d, "told done")
 		}
 	case NotRun:
-		d.denied = true
+		d.toldNotRun = true
 		if ran != nil && ran.number <= d.number {
-			d.w.fail(d, "told not run although it ran")
+			d.sim.fail(d, "told not run although it ran")
 		}
 	}
 }
--- a/attempts/stories_test.go
+++ b/attempts/stories_test.go
@@ -7,9 +7,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-var t0 = time.Unix(20000, 0)
+var testStart = time.Unix(20000, 0)
 
-func testTable() *Table {
+func newTestTable() *Table {
 	return NewTable(TableConfig{
 		Incarnation:    1,
 		MaxEntries:     3,
@@ -19,27 +19,27 @@
 	})
 }
 
-func id(n uint64) ID { return ID{t0.UnixNano() + int64(n), 1, n, 1} }
+func testID(n uint64) ID { return ID{testStart.UnixNano() + int64(n), 1, n, 1} }
 
-func claim(n uint64) Claim { return Claim{ID: id(n), Agent: "a", Fingerprint: 7} }
+func testClaim(n uint64) Claim { return Claim{ID: testID(n), Agent: "a", Fingerprint: 7} }
 
-func testRequest(first bool) *Request {
+func newTestRequest(first bool) *Request {
 	return NewRequest(RequestConfig{
 		HasKey:        true,
 		FirstDelivery: first,
-		Deadline:      t0.Add(10 * time.Second),
+		Deadline:      testStart.Add(10 * time.Second),
 		PollInterval:  time.Second,
 		RetryAfter:    5 * time.Second,
 		MaxAge:        time.Minute,
-	}, claim(1))
+	}, testClaim(1))
 }
 
-// play gives the events to the request one second apart and returns the first
+// handleEvents gives the events to the request one second apart and returns the first
 // action of the last one.
-func play(r *Request, events ...Event) Action {
+func handleEvents(r *Request, events ...Event) Action {
 	var last []Action
 	for i, ev := range events {
-		last = r.HandleEvent(t0.Add(time.Duration(i)*time.Second), ev)
+		last = r.HandleEvent(testStart.Add(time.Duration(i)*time.Second), ev)
 	}
 	if len(last) == 0 {
 		return nil
@@ -50,23 +50,23 @@
 // A packhouse retries with its key through another entry. What it hears depends
 // on what the first delivery's agent can prove.
 func TestRetryThroughAnotherEntry(t *testing.T) {
-	conflict := ClaimReply{ClaimConflict, claim(2)}
+	conflict := ClaimReply{ClaimConflict, testClaim(2)}
 	unknown := Finished{Outcome: Unknown, Reason: ReasonOutcomeLost}
 	for _, test := range []struct {
 		story  string
 		events []Event
 		want   Action
 	}{
-		{"first one has the answer", []Event{Start{}, conflict, ResolveReply{id(2), StatusAnswered, []byte("yes")}}, Finished{Outcome: Done, Answer: []byte("yes")}},
-		{"first one still runs", []Event{Start{}, conflict, ResolveReply{id(2), StatusRunning, nil}, Wake{}}, SendResolve{claim(2)}},
-		{"first one never arrived", []Event{Start{}, conflict, ResolveReply{id(2), StatusNotRun, nil}}, ReplaceClaim{claim(2), claim(1)}},
-		{"a third one was faster", []Event{Start{}, conflict, ResolveReply{id(2), StatusNotRun, nil}, ClaimReply{ClaimConflict, claim(3)}}, SendResolve{claim(3)}},
-		{"agent restarted", []Event{Start{}, conflict, ResolveReply{id(2), StatusUnknown, nil}}, unknown},
-		{"answer was dropped", []Event{Start{}, conflict, ResolveReply{id(2), StatusRan, nil}}, unknown},
-		{"key of another request", []Event{Start{}, ClaimReply{ClaimConflict, Claim{ID: id(2)}}}, Finished{Outcome: NotRun, Reason: ReasonKeyReused}},
+		{"first one has the answer", []Event{Start{}, conflict, ResolveReply{testID(2), StatusAnswered, []byte("yes")}}, Finished{Outcome: Done, Answer: []byte("yes")}},
+		{"first one still runs", []Event{Start{}, conflict, ResolveReply{testID(2), StatusRunning, nil}, Wake{}}, SendResolve{testClaim(2)}},
+		{"first one never arrived", []Event{Start{}, conflict, ResolveReply{testID(2), StatusNotRun, nil}}, ReplaceClaim{testClaim(2), testClaim(1)}},
+		{"a third one was faster", []Event{Start{}, conflict, ResolveReply{testID(2), StatusNotRun, nil}, ClaimReply{ClaimConflict, testClaim(3)}}, SendResolve{testClaim(3)}},
+		{"agent restarted", []Event{Start{}, conflict, ResolveReply{testID(2), StatusUnknown, nil}}, unknown},
+		{"answer was dropped", []Event{Start{}, conflict, ResolveReply{testID(2), StatusRan, nil}}, unknown},
+		{"key of another request", []Event{Start{}, ClaimReply{ClaimConflict, Claim{ID: testID(2)}}}, Finished{Outcome: NotRun, Reason: ReasonKeyReused}},
 	} {
 		t.Run(test.story, func(t *testing.T) {
-			qt.Assert(t, play(testRequest(false), test.events...), qt.DeepEquals, test.want)
+			qt.Assert(t, handleEvents(newTestRequest(false), test.events...), qt.DeepEquals, test.want)
 		})
 	}
 }
@@ -74,9 +74,9 @@
 // The store is out. An earlier delivery under the key may have run, and a caller
 // that hears "not run" books again under a new key: only a delivery vouched for
 // as the first may be told so.
-func TestStoreOut(t *testing.T) {
+func TestStoreUnavailable(t *testing.T) {
 	for first, want := range map[bool]Outcome{true: NotRun, false: Unknown} {
-		got := play(testRequest(first), Start{}, ClaimReply{Result: ClaimUnavailable})
+		got := handleEvents(newTestRequest(first), Start{}, ClaimReply{Result: ClaimUnavailable})
 		qt.Assert(t, got, qt.DeepEquals, Action(Finished{
 			Outcome:    want,
 			Reason:     ReasonStoreUnavailable,
@@ -88,23 +88,23 @@
 // The agent refuses a delivery, but meanwhile another delivery of the key took
 // over its claim and runs. The first must not be told "not run"; it gets the
 // other's answer.
-func TestRefusedWhileAnotherRuns(t *testing.T) {
+func TestRefusedWhileAnotherDeliveryRuns(t *testing.T) {
 	c := qt.New(t)
-	r := testRequest(true)
-	got := play(r, Start{}, ClaimReply{Result: ClaimWritten}, BeginReply{ID: id(1), Result: BeginRefuse})
-	c.Assert(got, qt.Equals, Action(ReleaseClaim{claim(1)}))
-	got = play(r, ClaimReply{ClaimConflict, claim(2)}, ResolveReply{id(2), StatusAnswered, []byte("yes")})
+	r := newTestRequest(true)
+	got := handleEvents(r, Start{}, ClaimReply{Result: ClaimWritten}, BeginReply{ID: testID(1), Result: BeginRefuse})
+	c.Assert(got, qt.Equals, Action(ReleaseClaim{testClaim(1)}))
+	got = handleEvents(r, ClaimReply{ClaimConflict, testClaim(2)}, ResolveReply{testID(2), StatusAnswered, []byte("yes")})
 	c.Assert(got, qt.DeepEquals, Action(Finished{Outcome: Done, Answer: []byte("yes")}))
 }
 
 // The connection goes silent after the attempt was sent. It is never sent again:
 // the agent is asked, and what it can't say is unknown at the deadline.
-func TestSilenceIsResolved(t *testing.T) {
+func TestLostConnectionIsResolved(t *testing.T) {
 	c := qt.New(t)
-	r := testRequest(true)
-	got := play(r, Start{}, ClaimReply{Result: ClaimWritten}, ConnectionLost{id(1)})
-	c.Assert(got, qt.Equals, Action(SendResolve{claim(1)}))
-	got = r.HandleEvent(t0.Add(10*time.Second), Wake{})[0]
+	r := newTestRequest(true)
+	got := handleEvents(r, Start{}, ClaimReply{Result: ClaimWritten}, ConnectionLost{testID(1)})
+	c.Assert(got, qt.Equals, Action(SendResolve{testClaim(1)}))
+	got = r.HandleEvent(testStart.Add(10*time.Second), Wake{})[0]
 	c.Assert(got, qt.DeepEquals, Action(Finished{Outcome: Unknown, Reason: ReasonDeadline}))
 }
 
@@ -114,78 +114,78 @@
 // agent refuses.
 func TestClaimAfterLongPause(t *testing.T) {
 	c := qt.New(t)
-	late := t0.Add(2 * time.Minute)
-	r := testRequest(false)
-	r.HandleEvent(t0, Start{})
+	late := testStart.Add(2 * time.Minute)
+	r := newTestRequest(false)
+	r.HandleEvent(testStart, Start{})
 	got := r.HandleEvent(late, ClaimReply{Result: ClaimWritten})[0]
 	c.Assert(got, qt.DeepEquals, Action(Finished{Outcome: Unknown, Reason: ReasonDeadline}))
 
-	verdict, _ := testTable().Begin(late, id(1))
+	verdict, _ := newTestTable().Begin(late, testID(1))
 	c.Assert(verdict, qt.Equals, BeginRefuse)
-	r = testRequest(false)
-	play(r, Start{}, ClaimReply{Result: ClaimWritten})
-	r.HandleEvent(t0.Add(2*time.Second), BeginReply{ID: id(1), Result: BeginRefuse})
+	r = newTestRequest(false)
+	handleEvents(r, Start{}, ClaimReply{Result: ClaimWritten})
+	r.HandleEvent(testStart.Add(2*time.Second), BeginReply{ID: testID(1), Result: BeginRefuse})
 	got = r.HandleEvent(late, ClaimReply{Result: ClaimWritten})[0]
 	c.Assert(got.(Finished).Outcome, qt.Equals, Unknown)
 }
 
 // A worker is so busy that its memory of attempts is full. Whatever is dropped,
 // a copy that comes late must not run, and nobody may hear that a run was none.
-func TestDroppedEntriesProveNothing(t *testing.T) {
+func TestEvictedRecordsAreNeverNotRun(t *testing.T) {
 	c := qt.New(t)
-	table := testTable()
+	table := newTestTable()
 	for n := uint64(1); n <= 4; n++ {
-		verdict, _ := table.Begin(t0, id(n))
+		verdict, _ := table.Begin(testStart, testID(n))
 		c.Assert(verdict, qt.Equals, BeginRun)
-		table.RecordAnswer(id(n), []byte("four"))
+		table.RecordAnswer(testID(n), []byte("four"))
 	}
 	c.Assert(table.Len(), qt.Equals, 3)
 	c.Assert(table.AnswerBytes(), qt.Equals, 8)
-	status, _ := table.Resolve(id(1)) // dropped
+	status, _ := table.Resolve(testID(1)) // dropped
 	c.Assert(status, qt.Equals, StatusUnknown)
-	verdict, _ := table.Begin(t0, id(1))
+	verdict, _ := table.Begin(testStart, testID(1))
 	c.Assert(verdict, qt.Equals, BeginUnknown)
-	status, _ = table.Resolve(id(2)) // its answer was dropped
+	status, _ = table.Resolve(testID(2)) // its answer was dropped
 	c.Assert(status, qt.Equals, StatusRan)
-	status, answer := table.Resolve(id(4))
+	status, answer := table.Resolve(testID(4))
 	c.Assert(status, qt.Equals, StatusAnswered)
 	c.Assert(string(answer), qt.Equals, "four")
 }
 
 // A worker takes no more attempts than it can remember. What it refused stays
 // refused after there is room again, because its caller was told.
-func TestRefusalStays(t *testing.T) {
+func TestRefusalIsPermanent(t *testing.T) {
 	c := qt.New(t)
-	table := testTable()
+	table := newTestTable()
 	for n := uint64(1); n <= 3; n++ {
-		table.Begin(t0, id(n))
+		table.Begin(testStart, testID(n))
 	}
-	verdict, _ := table.Begin(t0, id(4))
+	verdict, _ := table.Begin(testStart, testID(4))
 	c.Assert(verdict, qt.Equals, BeginRefuse)
-	table.RecordNotRun(id(1))
-	verdict, _ = table.Begin(t0, id(4))
+	table.RecordNotRun(testID(1))
+	verdict, _ = table.Begin(testStart, testID(4))
 	c.Assert(verdict, qt.Not(qt.Equals), BeginRun)
-	verdict, _ = table.Begin(t0, id(2))
+	verdict, _ = table.Begin(testStart, testID(2))
 	c.Assert(verdict, qt.Equals, BeginJoin)
-	table.RecordAnswer(id(2), []byte("a"))
-	verdict, _ = table.Begin(t0, id(2))
+	table.RecordAnswer(testID(2), []byte("a"))
+	verdict, _ = table.Begin(testStart, testID(2))
 	c.Assert(verdict, qt.Equals, BeginReplay)
 }
 
 // An entry whose clock is an hour ahead sends one attempt. Accepted, it would be
 // dropped last and then lift the floor above everybody else's attempts.
-func TestClockAheadIsRefused(t *testing.T) {
+func TestAttemptIssuedInFutureIsRefused(t *testing.T) {
 	c := qt.New(t)
-	table := testTable()
-	ahead := ID{t0.Add(time.Hour).UnixNano(), 1, 1, 1}
-	verdict, _ := table.Begin(t0, ahead)
+	table := newTestTable()
+	ahead := ID{testStart.Add(time.Hour).UnixNano(), 1, 1, 1}
+	verdict, _ := table.Begin(testStart, ahead)
 	c.Assert(verdict, qt.Equals, BeginUnknown)
 	status, _ := table.Resolve(ahead)
 	c.Assert(status, qt.Equals, StatusNotRun)
 	for n := uint64(1); n <= 5; n++ {
-		verdict, _ = table.Begin(t0, id(n))
+		verdict, _ = table.Begin(testStart, testID(n))
 		c.Assert(verdict, qt.Equals, BeginRun)
-		table.RecordAnswer(id(n), nil)
+		table.RecordAnswer(testID(n), nil)
 	}
 }
 
--- a/attempts/table.go
+++ b/attempts/table.go
@@ -23,101 +23,101 @@
 // Table is an agent's memory of attempts. It is not safe for concurrent use.
 type Table struct {
 	config  TableConfig
-	entries map[ID]*entry
+	records map[ID]*record
 	// By ID, so that the oldest is found without a scan.
-	refused  *btree.BTreeG[*entry]
-	answered *btree.BTreeG[*entry]
-	ran      *btree.BTreeG[*entry]
-	bytes    int
-	floor    ID
-	now      time.Time // of the last Begin
+	notRun         *btree.BTreeG[*record]
+	answered       *btree.BTreeG[*record]
+	answerLost     *btree.BTreeG[*record]
+	bytes          int
+	highestEvicted ID
+	now            time.Time // of the last Begin
 }
 
-type entry struct {
+type record struct {
 	id     ID
 	status Status
 	answer []byte
 }
 
-const treeDegree = 16
+const btreeDegree = 16
 
 // NewTable returns an empty table.
 func NewTable(c TableConfig) *Table {
-	older := func(a, b *entry) bool { return a.id.Compare(b.id) < 0 }
+	older := func(a, b *record) bool { return a.id.Compare(b.id) < 0 }
 	return &Table{
-		config:   c,
-		entries:  make(map[ID]*entry),
-		refused:  btree.NewG(treeDegree, older),
-		answered: btree.NewG(treeDegree, older),
-		ran:      btree.NewG(treeDegree, older),
+		config:     c,
+		records:    make(map[ID]*record),
+		notRun:     btree.NewG(btreeDegree, older),
+		answered:   btree.NewG(btreeDegree, older),
+		answerLost: btree.NewG(btreeDegree, older),
 	}
 }
 
 // Begin decides whether the attempt may run now. The answer is the kept one if
 // the verdict is Repeated, and is not to be changed.
 func (t *Table) Begin(now time.Time, id ID) (BeginResult, []byte) {
-	if e := t.entries[id]; e != nil {
-		return e.verdict(), e.answer
+	if e := t.records[id]; e != nil {
+		return e.beginResult(), e.answer
 	}
 	t.now = now
-	if t.unprovable(id) || t.ahead(id) {
+	if t.mayHaveRun(id) || t.issuedInFuture(id) {
 		return BeginUnknown, nil
 	}
-	if t.tooOld(id) || !t.room() {
-		t.refuse(id)
+	if t.tooOld(id) || !t.hasCapacity() {
+		t.addNotRun(id)
 		return BeginRefuse, nil
 	}
-	t.entries[id] = &entry{id: id, status: StatusRunning}
+	t.records[id] = &record{id: id, status: StatusRunning}
 	return BeginRun, nil
 }
 
 // RecordAnswer keeps the whole answer of an attempt that was Fresh.
 func (t *Table) RecordAnswer(id ID, answer []byte) {
-	e := t.running(id)
+	e := t.runningRecord(id)
 	e.status = StatusAnswered
 	e.answer = answer
 	t.bytes += len(answer)
 	t.answered.ReplaceOrInsert(e)
-	t.trim()
+	t.evict()
 }
 
 // RecordLostAnswer notes that a Fresh attempt was handed to the target and that its
 // answer will never come.
 func (t *Table) RecordLostAnswer(id ID) {
-	e := t.running(id)
+	e := t.runningRecord(id)
 	e.status = StatusRan
-	t.ran.ReplaceOrInsert(e)
-	t.trim()
+	t.answerLost.ReplaceOrInsert(e)
+	t.evict()
 }
 
 // RecordNotRun notes that a Fresh attempt was never handed to the target.
 func (t *Table) RecordNotRun(id ID) {
-	e := t.running(id)
+	e := t.runningRecord(id)
 	e.status = StatusNotRun
-	t.refused.ReplaceOrInsert(e)
-	t.trim()
+	t.notRun.ReplaceOrInsert(e)
+	t.evict()
 }
 
 // Resolve says what became of the attempt. One that never arrived is refused
 // from now on, so that StatusNotRun stays true.
 func (t *Table) Resolve(id ID) (Status, []byte) {
-	if e := t.entries[id]; e != nil {
+	if e := t.records[id]; e != nil {
 		return e.status, e.answer
 	}
-	if t.unprovable(id) {
+	if t.mayHaveRun(id) {
 		return StatusUnknown, nil
 	}
-	t.refuse(id)
+	t.addNotRun(id)
 	return StatusNotRun, nil
 }
 
 // Len returns the number of attempts remembered.
-func (t *Table) Len() int { return len(t.entries) }
+func (t *Table) Len() int { return len(t.records) }
 
 // AnswerBytes returns the size of the answers kept.
 func (t *Table) AnswerBytes() int { return t.bytes }
 
-func (e *entry) verdict() BeginResult {
+func (e *record) beginResult() BeginResult {
 	switch e.status {
 	case StatusRunning:
 		return BeginJoin
@@ -129,10 +129,10 @@
 	return BeginUnknown
 }
 
-// running returns the entry of a Fresh attempt. Any other call would change an
+// runningRecord returns the entry of a Fresh attempt. Any other call would change an
 // account that was already given to somebody.
-func (t *Table) running(id ID) *entry {
-	e := t.entries[id]
+func (t *Table) runningRecord(id ID) *record {
+	e := t.records[id]
 	if e == nil || e.status != StatusRunning {
 		panic("attempts: attempt is not running")
 	}
--- a/attempts/trim.go
+++ b/attempts/trim.go
@@ -2,10 +2,10 @@
 
 import "github.com/google/btree"
 
-// unprovable says whether an attempt without an entry may have run: on an
+// mayHaveRun says whether an attempt without an entry may have run: on an
 // earlier incarnation, or so long ago that its entry was dropped.
-func (t *Table) unprovable(id ID) bool {
-	return id.Incarnation != t.config.Incarnation || id.Compare(t.floor) <= 0
+func (t *Table) mayHaveRun(id ID) bool {
+	return id.Incarnation != t.config.Incarnation || id.Compare(t.highestEvicted) <= 0
 }
 
 // tooOld says whether the attempt was issued too long ago to begin.
@@ -17,30 +17,30 @@
 	return !id.issuedAt().After(t.now.Add(-t.config.MaxAge))
 }
 
-// ahead says whether the attempt was issued in the future.
+// issuedInFuture says whether the attempt was issued in the future.
 //
-// An entry whose clock is far ahead issues IDs that lift the floor above all
+// An entry whose clock is far issuedInFuture issues IDs that lift the floor above all
 // other attempts when they are dropped, and a worker would refuse everybody.
 // They neither begin nor leave a tombstone; those that Resolve leaves are dropped
 // last.
-func (t *Table) ahead(id ID) bool {
+func (t *Table) issuedInFuture(id ID) bool {
 	return id.issuedAt().After(t.now.Add(t.config.MaxClockSkew))
 }
 
-// room says whether another attempt may run within the bound.
-func (t *Table) room() bool {
-	ended := t.refused.Len() + t.answered.Len() + t.ran.Len()
-	return len(t.entries)-ended < t.config.MaxEntries
+// hasCapacity says whether another attempt may run within the bound.
+func (t *Table) hasCapacity() bool {
+	ended := t.notRun.Len() + t.answered.Len() + t.answerLost.Len()
+	return len(t.records)-ended < t.config.MaxEntries
 }
 
-func (t *Table) refuse(id ID) {
-	e := &entry{id: id, status: StatusNotRun}
-	t.entries[id] = e
-	t.refused.ReplaceOrInsert(e)
-	t.trim()
+func (t *Table) addNotRun(id ID) {
+	e := &record{id: id, status: StatusNotRun}
+	t.records[id] = e
+	t.notRun.ReplaceOrInsert(e)
+	t.evict()
 }
 
-// trim drops what is above the bounds, the oldest first: for bytes, answers, of
+// evict drops what is above the bounds, the oldest first: for bytes, answers, of
 // which the fact that they ran stays; for entries, first refusals, then attempts
 // without an answer, then answers. A request in progress is never dropped.
 //
@@ -48,38 +48,38 @@
 // and has no entry is Unknown, so that no dropped run can pass for one that
 // never arrived, and none below may begin, so that no dropped refusal can be
 // undone. Entries below the floor that are still there keep their account.
-func (t *Table) trim() {
+func (t *Table) evict() {
 	for t.bytes > t.config.MaxAnswerBytes {
 		e, _ := t.answered.DeleteMin()
 		t.bytes -= len(e.answer)
 		e.answer = nil
 		e.status = StatusRan
-		t.ran.ReplaceOrInsert(e)
+		t.answerLost.ReplaceOrInsert(e)
 	}
-	for len(t.entries) > t.config.MaxEntries && t.drop() {
+	for len(t.records) > t.config.MaxEntries && t.evictOldest() {
 	}
 }
 
-func (t *Table) drop() bool {
-	for _, tree := range t.dropOrder() {
+func (t *Table) evictOldest() bool {
+	for _, tree := range t.evictionOrder() {
 		e, ok := tree.DeleteMin()
 		if !ok {
 			continue
 		}
-		delete(t.entries, e.id)
+		delete(t.records, e.id)
 		t.bytes -= len(e.answer)
-		if e.id.Compare(t.floor) > 0 {
-			t.floor = e.id
+		if e.id.Compare(t.highestEvicted) > 0 {
+			t.highestEvicted = e.id
 		}
 		return true
 	}
 	return false
 }
 
-func (t *Table) dropOrder() []*btree.BTreeG[*entry] {
-	oldest, ok := t.refused.Min()
-	if ok && t.ahead(oldest.id) {
-		return []*btree.BTreeG[*entry]{t.ran, t.answered, t.refused}
+func (t *Table) evictionOrder() []*btree.BTreeG[*record] {
+	oldest, ok := t.notRun.Min()
+	if ok && t.issuedInFuture(oldest.id) {
+		return []*btree.BTreeG[*record]{t.answerLost, t.answered, t.notRun}
 	}
-	return []*btree.BTreeG[*entry]{t.refused, t.ran, t.answered}
+	return []*btree.BTreeG[*record]{t.notRun, t.answerLost, t.answered}
 }
--- a/attempts/verdict.go
+++ b/attempts/verdict.go
@@ -18,12 +18,12 @@
 	BeginUnknown
 )
 
-var verdictNames = [...]string{"fresh", "joined", "repeated", "refused", "unprovable"}
+var beginResultNames = [...]string{"fresh", "joined", "repeated", "refused", "unprovable"}
 
 // String returns the verdict in lower case.
 func (v BeginResult) String() string {
-	if int(v) < len(verdictNames) {
-		return verdictNames[v]
+	if int(v) < len(beginResultNames) {
+		return beginResultNames[v]
 	}
 	return "invalid"
 }
