--- a/routing/account.go
+++ b/routing/account.go
@@ -11,8 +11,8 @@
 // that two accounts do not collide at every entry.
 const accountBuckets = 1024
 
-// accountName is what the router keeps for the client accounts of one bucket.
-type accountName struct {
+// accountState is what the router keeps for the client accounts of one bucket.
+type accountState struct {
 	inflight      atomic.Int64
 	retryBudget   retryBudget
 	retrySchedule retrySchedule
@@ -20,10 +20,10 @@
 
 type accounts struct {
 	salt    uint64
-	buckets [accountBuckets]accountName
+	buckets [accountBuckets]accountState
 }
 
-func (a *accounts) get(name string) *accountName {
+func (a *accounts) get(name string) *accountState {
 	h := mix(xxhash.Sum64String(name) ^ a.salt)
 	return &a.buckets[h%accountBuckets]
 }
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -45,7 +45,7 @@
 // withinAccountShare keeps one client account's overload from filling the windows, so
 // that requests of the others still reach the agents, where the fair queue
 // serves them by weight.
-func (r *Router) withinAccountShare(a *accountName, weight float64) bool {
+func (r *Router) withinAccountShare(a *accountState, weight float64) bool {
 	if weight == 0 {
 		weight = 1
 	}
--- a/routing/retry_after.go
+++ b/routing/retry_after.go
@@ -13,7 +13,7 @@
 )
 
 // refusalFor says why choose found nothing.
-func (r *Router) refusalFor(t *endpointSet, now int64, q PickInfo, a *accountName) Refusal {
+func (r *Router) refusalFor(t *endpointSet, now int64, q PickInfo, a *accountState) Refusal {
 	next := int64(0)
 	for _, e := range t.all {
 		if slices.Contains(q.Exclude, e.id) {
--- a/routing/router.go
+++ b/routing/router.go
@@ -111,12 +111,12 @@
 // refundRetry pays for the attempt that follows a refusal by a draining target. A
 // planned stop would otherwise use up the budget, and then fail requests that
 // others could serve. It can't multiply load: the target gets nothing more.
-func (r *Router) refundRetry(a *accountName) {
+func (r *Router) refundRetry(a *accountState) {
 	a.retryBudget.refund()
 	r.retryBudget.refund()
 }
 
-func (r *Router) depositRetry(a *accountName) {
+func (r *Router) depositRetry(a *accountState) {
 	p := r.retryPolicy.Load()
 	a.retryBudget.deposit(p.AccountShare, p.Burst)
 	r.retryBudget.deposit(p.Share, p.Burst)
--- a/routing/simulation_routing_test.go
+++ b/routing/simulation_routing_test.go
@@ -9,7 +9,7 @@
 
 func (d *simulation) sendAttempt(e *entrySim, r *request) {
 	ticket, refusal := e.router.Pick(at(d.now), routing.PickInfo{
-		Account: account(r.account), Weight: d.relativeWeight(r.account), Attempt: r.attempt, Exclude: r.tried, Deadline: at(r.deadline),
+		Account: accountName(r.account), Weight: d.relativeWeight(r.account), Attempt: r.attempt, Exclude: r.tried, Deadline: at(r.deadline),
 	})
 	if !refusal.OK() {
 		d.refuse(r, refusal.RetryAfter)
@@ -33,7 +33,7 @@
 	panic("unknown target")
 }
 
-func account(n int) string { return string(rune('a' + n)) }
+func accountName(n int) string { return string(rune('a' + n)) }
 
 // probe asks for a sign of life when nothing came back since the attempt went
 // out. A live agent answers, however busy its target.
@@ -82,10 +82,10 @@
 	switch {
 	case o.Kind == routing.Answered:
 		d.finish(r, true)
-	case d.now < r.deadline && a.entry.router.AllowRetry(at(d.now), account(r.account)):
+	case d.now < r.deadline && a.entry.router.AllowRetry(at(d.now), accountName(r.account)):
 		d.sendAttempt(a.entry, r)
 	case o.Kind == routing.Refused:
-		d.refuse(r, a.entry.router.RetryAfter(account(r.account)))
+		d.refuse(r, a.entry.router.RetryAfter(accountName(r.account)))
 	default:
 		d.failed++
 		d.finish(r, false)
@@ -104,7 +104,7 @@
 	g.nextID++
 	g.requests[g.nextID] = a
 	d.stepAgent(g, admission.Arrived{
-		ID: g.nextID, Account: account(a.request.account), Weight: d.weight(a.request.account), Deadline: at(a.request.deadline - a.networkDelay()),
+		ID: g.nextID, Account: accountName(a.request.account), Weight: d.weight(a.request.account), Deadline: at(a.request.deadline - a.networkDelay()),
 	})
 }
 
--- a/routing/ticket.go
+++ b/routing/ticket.go
@@ -8,6 +8,6 @@
 	Trial       bool // a single attempt that decides whether an ejected target is open again
 
 	endpoint *endpoint
-	account  *accountName
+	account  *accountState
 	sentAt   int64 // nanoseconds
 }
