--- a/admission/account.go
+++ b/admission/account.go
@@ -29,6 +29,6 @@
 }
 
 // charge advances the account's virtual time by slot time used.
-func (a *account) charge(d time.Duration, weight float64) {
-	a.virtualStart += d.Seconds() / weight
+func (a *account) charge(slotTime time.Duration, weight float64) {
+	a.virtualStart += slotTime.Seconds() / weight
 }
--- a/admission/account_set.go
+++ b/admission/account_set.go
@@ -28,50 +28,50 @@
 }
 
 // activate returns the account and counts it as busy until release.
-func (m *accountSet) activate(name string) *account {
-	if a := m.active[name]; a != nil {
+func (s *accountSet) activate(name string) *account {
+	if a := s.active[name]; a != nil {
 		return a
 	}
-	a, ok := m.idle.Peek(name)
+	a, ok := s.idle.Peek(name)
 	if ok {
-		m.idle.Remove(name)
+		s.idle.Remove(name)
 	} else {
 		a = &account{name: name}
 	}
-	m.active[name] = a
+	s.active[name] = a
 	return a
 }
 
 // releaseIfIdle ends an account's being busy if it has no work here.
-func (m *accountSet) releaseIfIdle(a *account, virtual float64) {
+func (s *accountSet) releaseIfIdle(a *account, virtualTime float64) {
 	if len(a.waiting) > 0 || a.running > 0 {
 		return
 	}
-	delete(m.active, a.name)
-	if a.virtualStart > virtual {
-		m.idle.Add(a.name, a)
+	delete(s.active, a.name)
+	if a.virtualStart > virtualTime {
+		s.idle.Add(a.name, a)
 	}
 }
 
-func (m *accountSet) push(a *account, r *request) {
+func (s *accountSet) push(a *account, r *request) {
 	if len(a.waiting) == 0 {
-		m.waiting = append(m.waiting, a)
+		s.waiting = append(s.waiting, a)
 	}
 	a.push(r)
 }
 
-func (m *accountSet) remove(a *account, r *request) {
+func (s *accountSet) remove(a *account, r *request) {
 	a.remove(r)
 	if len(a.waiting) == 0 {
-		i := slices.Index(m.waiting, a)
-		m.waiting = slices.Delete(m.waiting, i, i+1)
+		i := slices.Index(s.waiting, a)
+		s.waiting = slices.Delete(s.waiting, i, i+1)
 	}
 }
 
 // nextToServe returns the account whose queued request starts first in virtual time.
-func (m *accountSet) nextToServe() *account {
-	first := m.waiting[0]
-	for _, a := range m.waiting[1:] {
+func (s *accountSet) nextToServe() *account {
+	first := s.waiting[0]
+	for _, a := range s.waiting[1:] {
 		if a.virtualStart < first.virtualStart {
 			first = a
 		}
--- a/admission/account_set_test.go
+++ b/admission/account_set_test.go
@@ -29,11 +29,11 @@
 // for what was.
 func TestCongestionEndsWithoutStarts(t *testing.T) {
 	c := qt.New(t)
-	var s congestionDetector
+	var d congestionDetector
 	start := time.Time{}.Add(time.Hour)
-	s.recordStart(start, 2*time.Second, time.Second)
-	c.Assert(s.phase(start, time.Minute), qt.Equals, earlyCongestion)
-	s.recordStart(start.Add(time.Minute), 2*time.Second, time.Second)
-	c.Assert(s.phase(start.Add(time.Minute), time.Minute), qt.Equals, lastingCongestion)
-	c.Assert(s.phase(start.Add(time.Hour), time.Minute), qt.Equals, noCongestion)
+	d.recordStart(start, 2*time.Second, time.Second)
+	c.Assert(d.phase(start, time.Minute), qt.Equals, earlyCongestion)
+	d.recordStart(start.Add(time.Minute), 2*time.Second, time.Second)
+	c.Assert(d.phase(start.Add(time.Minute), time.Minute), qt.Equals, lastingCongestion)
+	c.Assert(d.phase(start.Add(time.Hour), time.Minute), qt.Equals, noCongestion)
 }
--- a/admission/admit.go
+++ b/admission/admit.go
@@ -34,15 +34,15 @@
 	if q.running < q.options.Slots {
 		return 0
 	}
-	start := a.virtualStart + a.backlog.Seconds()/a.weight
-	ahead := a.backlog + q.serviceTimes.mean()
+	virtualStart := a.virtualStart + a.backlog.Seconds()/a.weight
+	workAhead := a.backlog + q.serviceTimes.mean()
 	for _, b := range q.accounts.waiting {
-		if b != a && b.virtualStart < start {
-			share := time.Duration((start - b.virtualStart) * b.weight * float64(time.Second))
-			ahead += min(b.backlog, share)
+		if b != a && b.virtualStart < virtualStart {
+			share := time.Duration((virtualStart - b.virtualStart) * b.weight * float64(time.Second))
+			workAhead += min(b.backlog, share)
 		}
 	}
-	return ahead / time.Duration(max(1, q.options.Slots))
+	return workAhead / time.Duration(max(1, q.options.Slots))
 }
 
 // retryAfter is the time until the present backlog is served.
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -19,13 +19,13 @@
 	id admission.ID
 }
 
-func (e completionHeap) Len() int           { return len(e) }
-func (e completionHeap) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e completionHeap) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *completionHeap) Push(x any)        { *e = append(*e, x.(completion)) }
-func (e *completionHeap) Pop() any {
-	last := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
+func (h completionHeap) Len() int           { return len(h) }
+func (h completionHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h completionHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *completionHeap) Push(x any)        { *h = append(*h, x.(completion)) }
+func (h *completionHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
 
@@ -41,18 +41,18 @@
 	}
 	q := admission.New(o)
 	waits := hdrhistogram.New(1, 100_000_000, 3)
-	arrived := map[admission.ID]time.Duration{} // of the light account
+	lightArrivals := map[admission.ID]time.Duration{} // of the light account
 	var running completionHeap
 	now, id := time.Duration(0), admission.ID(0)
-	act := func(actions []admission.Action) {
+	apply := func(actions []admission.Action) {
 		for _, action := range actions {
 			run, ok := action.(admission.Run)
 			if !ok {
 				continue
 			}
 			heap.Push(&running, completion{at: now + time.Duration(rng.ExpFloat64()*float64(10*time.Millisecond)), id: run.ID})
-			if began, light := arrived[run.ID]; light {
-				_ = waits.RecordValue((now - began).Microseconds())
+			if arrivedAt, light := lightArrivals[run.ID]; light {
+				_ = waits.RecordValue((now - arrivedAt).Microseconds())
 			}
 		}
 	}
@@ -60,7 +60,7 @@
 		if len(running) > 0 && running[0].at <= next {
 			done := heap.Pop(&running).(completion)
 			now = done.at
-			act(q.HandleEvent(at(now), admission.Finished{ID: done.id, SlotTime: 10 * time.Millisecond}))
+			apply(q.HandleEvent(at(now), admission.Finished{ID: done.id, SlotTime: 10 * time.Millisecond}))
 			continue
 		}
 		now = next
@@ -68,12 +68,12 @@
 		id++
 		ev := admission.Arrived{ID: id, Account: "heavy"}
 		if rng.IntN(10) == 0 {
-			arrived[id] = now
+			lightArrivals[id] = now
 			if !fifo {
 				ev.Account = "light"
 			}
 		}
-		act(q.HandleEvent(at(now), ev))
+		apply(q.HandleEvent(at(now), ev))
 	}
 	return waits
 }
--- a/admission/congestion.go
+++ b/admission/congestion.go
@@ -49,8 +49,8 @@
 	if q.options.CongestionControl != MarkAndShed {
 		return false
 	}
-	target := float64(q.targetSojourn())
-	share := (float64(q.lastWait) - target) / ((fullMarkFactor - 1) * target)
+	targetSojourn := float64(q.targetSojourn())
+	share := (float64(q.lastWait) - targetSojourn) / ((fullMarkFactor - 1) * targetSojourn)
 	q.markCredit += min(1, max(0, share))
 	if q.markCredit < 1 {
 		return false
--- a/admission/congestion_detector.go
+++ b/admission/congestion_detector.go
@@ -20,22 +20,22 @@
 	lastStart        time.Time // last start
 }
 
-func (s *congestionDetector) recordStart(now time.Time, wait, target time.Duration) {
-	s.lastStart = now
+func (d *congestionDetector) recordStart(now time.Time, wait, target time.Duration) {
+	d.lastStart = now
 	if wait < target {
-		s.aboveTargetSince = time.Time{}
+		d.aboveTargetSince = time.Time{}
 		return
 	}
-	if s.aboveTargetSince.IsZero() {
-		s.aboveTargetSince = now
+	if d.aboveTargetSince.IsZero() {
+		d.aboveTargetSince = now
 	}
 }
 
-func (s *congestionDetector) phase(now time.Time, interval time.Duration) congestionPhase {
+func (d *congestionDetector) phase(now time.Time, interval time.Duration) congestionPhase {
 	switch {
-	case s.aboveTargetSince.IsZero() || now.Sub(s.lastStart) > interval:
+	case d.aboveTargetSince.IsZero() || now.Sub(d.lastStart) > interval:
 		return noCongestion
-	case now.Sub(s.aboveTargetSince) < interval:
+	case now.Sub(d.aboveTargetSince) < interval:
 		return earlyCongestion
 	}
 	return lastingCongestion
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -68,8 +68,8 @@
 	}
 	r := q.newRequest(now, ev)
 	a := q.accountFor(ev)
-	if reason, after := q.admit(now, a, r); reason != 0 {
-		q.actions = append(q.actions, Refuse{ID: r.id, Reason: reason, RetryAfter: after})
+	if reason, retryAfter := q.admit(now, a, r); reason != 0 {
+		q.actions = append(q.actions, Refuse{ID: r.id, Reason: reason, RetryAfter: retryAfter})
 		q.accounts.releaseIfIdle(a, q.virtualTime)
 		return
 	}
@@ -95,11 +95,11 @@
 
 // startDeadline is when a request would have to start at the startDeadline. A free slot costs
 // nothing, so what would run at once may try until its deadline.
-func (q *Queue) startDeadline(deadline time.Time, cost time.Duration) time.Time {
+func (q *Queue) startDeadline(deadline time.Time, expectedTime time.Duration) time.Time {
 	if q.running < q.options.Slots {
 		return deadline
 	}
-	return deadline.Add(-cost)
+	return deadline.Add(-expectedTime)
 }
 
 func (q *Queue) handleFinished(ev Finished) {
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -86,14 +86,14 @@
 	c := qt.New(t)
 	q := newTrainedQueue(admission.Options{})
 	q.HandleEvent(at(0), admission.PolicyChanged{Weights: map[string]int{"a": 3, "b": 1}})
-	cost := map[string]time.Duration{"a": 10 * time.Millisecond, "b": 40 * time.Millisecond}
+	slotTime := map[string]time.Duration{"a": 10 * time.Millisecond, "b": 40 * time.Millisecond}
 	used := map[string]time.Duration{}
 	owner := map[admission.ID]string{}
-	next := admission.ID(0)
+	lastID := admission.ID(0)
 	arrive := func(account string) []admission.Action {
-		next++
-		owner[next] = account
-		return q.HandleEvent(at(time.Second), admission.Arrived{ID: next, Account: account})
+		lastID++
+		owner[lastID] = account
+		return q.HandleEvent(at(time.Second), admission.Arrived{ID: lastID, Account: account})
 	}
 	run := arrive("a")
 	for range 20 {
@@ -103,8 +103,8 @@
 	for range 4000 {
 		id := run[0].(admission.Run).ID
 		account := owner[id]
-		used[account] += cost[account]
-		run = append(actions{}, q.HandleEvent(at(time.Second), admission.Finished{ID: id, SlotTime: cost[account]})...)
+		used[account] += slotTime[account]
+		run = append(actions{}, q.HandleEvent(at(time.Second), admission.Finished{ID: id, SlotTime: slotTime[account]})...)
 		arrive(account)
 	}
 	ratio := used["a"].Seconds() / used["b"].Seconds()
@@ -127,16 +127,16 @@
 	q := newTrainedQueue(admission.Options{})
 	q.HandleEvent(at(0), admission.Arrived{ID: 1, Class: "check"})
 	q.HandleEvent(at(0), admission.Finished{ID: 1, SlotTime: time.Second})
-	busy := admission.ID(10)
-	q.HandleEvent(at(0), admission.Arrived{ID: busy})
+	lastID := admission.ID(10)
+	q.HandleEvent(at(0), admission.Arrived{ID: lastID})
 	for n := 1; ; n++ {
 		c.Assert(n < 2000, qt.IsTrue)
-		busy++
-		q.HandleEvent(at(0), admission.Arrived{ID: busy})
+		lastID++
+		q.HandleEvent(at(0), admission.Arrived{ID: lastID})
 		got := q.HandleEvent(at(0), admission.Arrived{ID: 1, Class: "check", Deadline: at(100 * time.Millisecond)})
 		if _, refused := got[0].(admission.Refuse); !refused {
 			return
 		}
-		q.HandleEvent(at(0), admission.Finished{ID: busy - 1, SlotTime: 10 * time.Millisecond})
+		q.HandleEvent(at(0), admission.Finished{ID: lastID - 1, SlotTime: 10 * time.Millisecond})
 	}
 }
--- a/admission/random_events_test.go
+++ b/admission/random_events_test.go
@@ -45,113 +45,113 @@
 func TestRandomEvents(t *testing.T) {
 	t.Logf("seed %d, %d steps", *seed, *steps)
 	rng := rand.New(rand.NewPCG(*seed, 0))
-	for left := *steps; left > 0; left -= 10_000 {
-		w := &randomRun{c: qt.New(t), rng: rng, slots: 4, queuedByAccount: map[string]int{}, slotTimeByAccount: map[string]time.Duration{}}
-		w.weights = map[string]int{"a": 1 + rng.IntN(4), "b": 1 + rng.IntN(4), "c": 1}
-		w.queued, w.running = map[admission.ID]trackedRequest{}, map[admission.ID]trackedRequest{}
-		w.queue = admission.New(admission.Options{Slots: w.slots, MaxQueuedPerAccount: 20, MaxQueued: 50})
-		w.apply(admission.PolicyChanged{Weights: w.weights})
-		for range min(left, 10_000) {
-			w.now += time.Duration(w.rng.IntN(4000)) * time.Microsecond
-			w.step()
-			w.check()
+	for remaining := *steps; remaining > 0; remaining -= 10_000 {
+		rr := &randomRun{c: qt.New(t), rng: rng, slots: 4, queuedByAccount: map[string]int{}, slotTimeByAccount: map[string]time.Duration{}}
+		rr.weights = map[string]int{"a": 1 + rng.IntN(4), "b": 1 + rng.IntN(4), "c": 1}
+		rr.queued, rr.running = map[admission.ID]trackedRequest{}, map[admission.ID]trackedRequest{}
+		rr.queue = admission.New(admission.Options{Slots: rr.slots, MaxQueuedPerAccount: 20, MaxQueued: 50})
+		rr.apply(admission.PolicyChanged{Weights: rr.weights})
+		for range min(remaining, 10_000) {
+			rr.now += time.Duration(rr.rng.IntN(4000)) * time.Microsecond
+			rr.step()
+			rr.check()
 		}
 	}
 }
 
-func (w *randomRun) step() {
-	switch n := w.rng.IntN(1000); {
+func (rr *randomRun) step() {
+	switch n := rr.rng.IntN(1000); {
 	case n < 600:
-		w.arrive()
+		rr.arrive()
 	case n < 950:
-		w.finish()
+		rr.finish()
 	case n < 970:
-		w.cancel()
+		rr.cancel()
 	case n < 975:
-		w.slots = 1 + w.rng.IntN(4)
-		w.apply(admission.SlotsChanged{Slots: w.slots})
-	case n == 999 && w.rng.IntN(20) == 0:
-		w.draining = true
-		w.apply(admission.Drain{})
+		rr.slots = 1 + rr.rng.IntN(4)
+		rr.apply(admission.SlotsChanged{Slots: rr.slots})
+	case n == 999 && rr.rng.IntN(20) == 0:
+		rr.draining = true
+		rr.apply(admission.Drain{})
 	default:
-		w.apply(admission.Tick{})
+		rr.apply(admission.Tick{})
 	}
 }
 
-func (w *randomRun) arrive() {
-	w.lastID++
-	r := trackedRequest{account: string(rune('a' + w.rng.IntN(3)))}
-	if w.rng.IntN(2) == 0 {
-		r.deadline = at(w.now + time.Duration(w.rng.IntN(300))*time.Millisecond)
+func (rr *randomRun) arrive() {
+	rr.lastID++
+	r := trackedRequest{account: string(rune('a' + rr.rng.IntN(3)))}
+	if rr.rng.IntN(2) == 0 {
+		r.deadline = at(rr.now + time.Duration(rr.rng.IntN(300))*time.Millisecond)
 	}
-	w.queued[w.lastID] = r
-	w.queuedByAccount[r.account]++
-	w.apply(admission.Arrived{ID: w.lastID, Account: r.account, Class: r.account, Deadline: r.deadline})
+	rr.queued[rr.lastID] = r
+	rr.queuedByAccount[r.account]++
+	rr.apply(admission.Arrived{ID: rr.lastID, Account: r.account, Class: r.account, Deadline: r.deadline})
 }
 
-func (w *randomRun) finish() {
-	if len(w.runningOrder) == 0 {
+func (rr *randomRun) finish() {
+	if len(rr.runningOrder) == 0 {
 		return
 	}
-	i := w.rng.IntN(len(w.runningOrder))
-	id := w.runningOrder[i]
-	w.runningOrder = append(w.runningOrder[:i], w.runningOrder[i+1:]...)
-	r := w.running[id]
-	delete(w.running, id)
-	took := min(w.now-r.startedAt, maxServiceTime)
-	w.slotTimeByAccount[r.account] += took
-	w.apply(admission.Finished{ID: id, SlotTime: took})
+	i := rr.rng.IntN(len(rr.runningOrder))
+	id := rr.runningOrder[i]
+	rr.runningOrder = append(rr.runningOrder[:i], rr.runningOrder[i+1:]...)
+	r := rr.running[id]
+	delete(rr.running, id)
+	slotTime := min(rr.now-r.startedAt, maxServiceTime)
+	rr.slotTimeByAccount[r.account] += slotTime
+	rr.apply(admission.Finished{ID: id, SlotTime: slotTime})
 }
 
 // cancel withdraws a request that may be queued, running, answered or unknown.
-func (w *randomRun) cancel() {
-	id := w.lastID - admission.ID(w.rng.IntN(20))
-	w.removeQueued(id)
-	w.apply(admission.Cancelled{ID: id})
+func (rr *randomRun) cancel() {
+	id := rr.lastID - admission.ID(rr.rng.IntN(20))
+	rr.removeQueued(id)
+	rr.apply(admission.Cancelled{ID: id})
 }
 
 // removeQueued takes a request out of the queue; it must not be answered again.
-func (w *randomRun) removeQueued(id admission.ID) (trackedRequest, bool) {
-	r, ok := w.queued[id]
+func (rr *randomRun) removeQueued(id admission.ID) (trackedRequest, bool) {
+	r, ok := rr.queued[id]
 	if ok {
-		delete(w.queued, id)
-		w.queuedByAccount[r.account]--
+		delete(rr.queued, id)
+		rr.queuedByAccount[r.account]--
 	}
 	return r, ok
 }
 
-func (w *randomRun) apply(ev admission.Event) {
-	before := len(w.running)
-	for _, action := range w.queue.HandleEvent(at(w.now), ev) {
+func (rr *randomRun) apply(ev admission.Event) {
+	before := len(rr.running)
+	for _, action := range rr.queue.HandleEvent(at(rr.now), ev) {
 		switch action := action.(type) {
 		case admission.Run:
-			r, ok := w.removeQueued(action.ID)
-			w.c.Assert(ok, qt.IsTrue)
-			w.c.Assert(r.deadline.IsZero() || at(w.now).Before(r.deadline), qt.IsTrue)
-			r.startedAt = w.now
-			w.running[action.ID] = r
-			w.runningOrder = append(w.runningOrder, action.ID)
+			r, ok := rr.removeQueued(action.ID)
+			rr.c.Assert(ok, qt.IsTrue)
+			rr.c.Assert(r.deadline.IsZero() || at(rr.now).Before(r.deadline), qt.IsTrue)
+			r.startedAt = rr.now
+			rr.running[action.ID] = r
+			rr.runningOrder = append(rr.runningOrder, action.ID)
 		case admission.Refuse:
-			_, ok := w.removeQueued(action.ID)
-			w.c.Assert(ok, qt.IsTrue)
-			w.c.Assert(action.Reason == admission.ReasonDraining || action.RetryAfter > 0, qt.IsTrue)
+			_, ok := rr.removeQueued(action.ID)
+			rr.c.Assert(ok, qt.IsTrue)
+			rr.c.Assert(action.Reason == admission.ReasonDraining || action.RetryAfter > 0, qt.IsTrue)
 		}
 	}
-	w.c.Assert(len(w.running) <= max(before, w.slots), qt.IsTrue)
+	rr.c.Assert(len(rr.running) <= max(before, rr.slots), qt.IsTrue)
 }
 
-func (w *randomRun) check() {
-	l := w.queue.Load(at(w.now))
-	w.c.Assert(l.Running, qt.Equals, len(w.running))
-	w.c.Assert(l.Queued, qt.Equals, len(w.queued))
-	w.c.Assert(l.Queued == 0 || l.Running >= w.slots, qt.IsTrue)
-	w.c.Assert(l.Draining, qt.Equals, w.draining)
+func (rr *randomRun) check() {
+	l := rr.queue.Load(at(rr.now))
+	rr.c.Assert(l.Running, qt.Equals, len(rr.running))
+	rr.c.Assert(l.Queued, qt.Equals, len(rr.queued))
+	rr.c.Assert(l.Queued == 0 || l.Running >= rr.slots, qt.IsTrue)
+	rr.c.Assert(l.Draining, qt.Equals, rr.draining)
 	// While two accounts both have work queued, their slot time by weight stays
 	// within what all slots may hold of either at once.
-	if w.queuedByAccount["a"] == 0 || w.queuedByAccount["b"] == 0 {
-		clear(w.slotTimeByAccount)
+	if rr.queuedByAccount["a"] == 0 || rr.queuedByAccount["b"] == 0 {
+		clear(rr.slotTimeByAccount)
 		return
 	}
-	a, b := w.slotTimeByAccount["a"]/time.Duration(w.weights["a"]), w.slotTimeByAccount["b"]/time.Duration(w.weights["b"])
-	w.c.Assert((a-b).Abs() <= 2*4*maxServiceTime, qt.IsTrue, qt.Commentf("%v and %v", a, b))
+	a, b := rr.slotTimeByAccount["a"]/time.Duration(rr.weights["a"]), rr.slotTimeByAccount["b"]/time.Duration(rr.weights["b"])
+	rr.c.Assert((a-b).Abs() <= 2*4*maxServiceTime, qt.IsTrue, qt.Commentf("%v and %v", a, b))
 }
--- a/admission/service_times.go
+++ b/admission/service_times.go
@@ -27,50 +27,50 @@
 }
 
 func newServiceTimes(size int) *serviceTimes {
-	learned, err := simplelru.NewLRU[serviceTimeKey, time.Duration](size, nil)
+	byKey, err := simplelru.NewLRU[serviceTimeKey, time.Duration](size, nil)
 	if err != nil {
 		panic(err) // the size is positive
 	}
-	return &serviceTimes{byKey: learned}
+	return &serviceTimes{byKey: byKey}
 }
 
 // estimate returns the slot time to estimate of a request.
-func (c *serviceTimes) estimate(k serviceTimeKey) time.Duration {
-	if d, ok := c.byKey.Get(k); ok {
+func (s *serviceTimes) estimate(k serviceTimeKey) time.Duration {
+	if d, ok := s.byKey.Get(k); ok {
 		return d
 	}
-	return c.mean()
+	return s.mean()
 }
 
 // decay lowers what is expected of a kind of request after one was refused for
 // it. Otherwise a kind that took too long for a while would be refused for ever:
 // nothing of it runs, so nothing shows that it has become faster.
-func (c *serviceTimes) decay(k serviceTimeKey) {
-	if d, ok := c.byKey.Get(k); ok {
-		c.byKey.Add(k, d-time.Duration(refusalDecay*float64(d)))
+func (s *serviceTimes) decay(k serviceTimeKey) {
+	if d, ok := s.byKey.Get(k); ok {
+		s.byKey.Add(k, d-time.Duration(refusalDecay*float64(d)))
 	}
 }
 
 // mean returns the slot time to expect of any request.
-func (c *serviceTimes) mean() time.Duration {
-	if c.overall == 0 {
+func (s *serviceTimes) mean() time.Duration {
+	if s.overall == 0 {
 		return initialServiceTime
 	}
-	return c.overall
+	return s.overall
 }
 
-func (c *serviceTimes) record(k serviceTimeKey, took time.Duration) {
-	old, ok := c.byKey.Get(k)
+func (s *serviceTimes) record(k serviceTimeKey, slotTime time.Duration) {
+	average, ok := s.byKey.Get(k)
 	if !ok {
-		old = took
+		average = slotTime
 	}
-	c.byKey.Add(k, movingAverage(old, took))
-	if c.overall == 0 {
-		c.overall = took
+	s.byKey.Add(k, movingAverage(average, slotTime))
+	if s.overall == 0 {
+		s.overall = slotTime
 	}
-	c.overall = movingAverage(c.overall, took)
+	s.overall = movingAverage(s.overall, slotTime)
 }
 
-func movingAverage(old, sample time.Duration) time.Duration {
-	return old + time.Duration(sampleWeight*float64(sample-old))
+func movingAverage(average, sample time.Duration) time.Duration {
+	return average + time.Duration(sampleWeight*float64(sample-average))
 }
--- a/attempts/attempts_test.go
+++ b/attempts/attempts_test.go
@@ -53,7 +53,7 @@
 	conflict := ClaimReply{ClaimConflict, testClaim(2)}
 	unknown := Finished{Outcome: Unknown, Reason: ReasonOutcomeLost}
 	for _, test := range []struct {
-		story  string
+		name   string
 		events []Event
 		want   Action
 	}{
@@ -65,7 +65,7 @@
 		{"answer was dropped", []Event{Start{}, conflict, ResolveReply{testID(2), StatusRan, nil}}, unknown},
 		{"key of another request", []Event{Start{}, ClaimReply{ClaimConflict, Claim{ID: testID(2)}}}, Finished{Outcome: NotRun, Reason: ReasonKeyReused}},
 	} {
-		t.Run(test.story, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			qt.Assert(t, handleEvents(newTestRequest(false), test.events...), qt.DeepEquals, test.want)
 		})
 	}
@@ -120,8 +120,8 @@
 	got := r.HandleEvent(late, ClaimReply{Result: ClaimWritten})[0]
 	c.Assert(got, qt.DeepEquals, Action(Finished{Outcome: Unknown, Reason: ReasonDeadline}))
 
-	verdict, _ := newTestTable().Begin(late, testID(1))
-	c.Assert(verdict, qt.Equals, BeginRefuse)
+	result, _ := newTestTable().Begin(late, testID(1))
+	c.Assert(result, qt.Equals, BeginRefuse)
 	r = newTestRequest(false)
 	handleEvents(r, Start{}, ClaimReply{Result: ClaimWritten})
 	r.HandleEvent(testStart.Add(2*time.Second), BeginReply{ID: testID(1), Result: BeginRefuse})
@@ -135,16 +135,16 @@
 	c := qt.New(t)
 	table := newTestTable()
 	for n := uint64(1); n <= 4; n++ {
-		verdict, _ := table.Begin(testStart, testID(n))
-		c.Assert(verdict, qt.Equals, BeginRun)
+		result, _ := table.Begin(testStart, testID(n))
+		c.Assert(result, qt.Equals, BeginRun)
 		table.RecordAnswer(testID(n), []byte("four"))
 	}
 	c.Assert(table.Len(), qt.Equals, 3)
 	c.Assert(table.AnswerBytes(), qt.Equals, 8)
 	status, _ := table.Resolve(testID(1)) // dropped
 	c.Assert(status, qt.Equals, StatusUnknown)
-	verdict, _ := table.Begin(testStart, testID(1))
-	c.Assert(verdict, qt.Equals, BeginUnknown)
+	result, _ := table.Begin(testStart, testID(1))
+	c.Assert(result, qt.Equals, BeginUnknown)
 	status, _ = table.Resolve(testID(2)) // its answer was dropped
 	c.Assert(status, qt.Equals, StatusRan)
 	status, answer := table.Resolve(testID(4))
@@ -160,16 +160,16 @@
 	for n := uint64(1); n <= 3; n++ {
 		table.Begin(testStart, testID(n))
 	}
-	verdict, _ := table.Begin(testStart, testID(4))
-	c.Assert(verdict, qt.Equals, BeginRefuse)
+	result, _ := table.Begin(testStart, testID(4))
+	c.Assert(result, qt.Equals, BeginRefuse)
 	table.RecordNotRun(testID(1))
-	verdict, _ = table.Begin(testStart, testID(4))
-	c.Assert(verdict, qt.Not(qt.Equals), BeginRun)
-	verdict, _ = table.Begin(testStart, testID(2))
-	c.Assert(verdict, qt.Equals, BeginJoin)
+	result, _ = table.Begin(testStart, testID(4))
+	c.Assert(result, qt.Not(qt.Equals), BeginRun)
+	result, _ = table.Begin(testStart, testID(2))
+	c.Assert(result, qt.Equals, BeginJoin)
 	table.RecordAnswer(testID(2), []byte("a"))
-	verdict, _ = table.Begin(testStart, testID(2))
-	c.Assert(verdict, qt.Equals, BeginReplay)
+	result, _ = table.Begin(testStart, testID(2))
+	c.Assert(result, qt.Equals, BeginReplay)
 }
 
 // An entry whose clock is an hour ahead sends one attempt. Accepted, it would be
@@ -177,14 +177,14 @@
 func TestAttemptIssuedInFutureIsRefused(t *testing.T) {
 	c := qt.New(t)
 	table := newTestTable()
-	ahead := ID{testStart.Add(time.Hour).UnixNano(), 1, 1, 1}
-	verdict, _ := table.Begin(testStart, ahead)
-	c.Assert(verdict, qt.Equals, BeginUnknown)
-	status, _ := table.Resolve(ahead)
+	inFuture := ID{testStart.Add(time.Hour).UnixNano(), 1, 1, 1}
+	result, _ := table.Begin(testStart, inFuture)
+	c.Assert(result, qt.Equals, BeginUnknown)
+	status, _ := table.Resolve(inFuture)
 	c.Assert(status, qt.Equals, StatusNotRun)
 	for n := uint64(1); n <= 5; n++ {
-		verdict, _ = table.Begin(testStart, testID(n))
-		c.Assert(verdict, qt.Equals, BeginRun)
+		result, _ = table.Begin(testStart, testID(n))
+		c.Assert(result, qt.Equals, BeginRun)
 		table.RecordAnswer(testID(n), nil)
 	}
 }
--- a/attempts/evict.go
+++ b/attempts/evict.go
@@ -29,14 +29,14 @@
 
 // hasCapacity says whether another attempt may run within the bound.
 func (t *Table) hasCapacity() bool {
-	ended := t.notRun.Len() + t.answered.Len() + t.answerLost.Len()
-	return len(t.records)-ended < t.config.MaxEntries
+	finished := t.notRun.Len() + t.answered.Len() + t.answerLost.Len()
+	return len(t.records)-finished < t.config.MaxEntries
 }
 
 func (t *Table) addNotRun(id ID) {
-	e := &record{id: id, status: StatusNotRun}
-	t.records[id] = e
-	t.notRun.ReplaceOrInsert(e)
+	r := &record{id: id, status: StatusNotRun}
+	t.records[id] = r
+	t.notRun.ReplaceOrInsert(r)
 	t.evict()
 }
 
@@ -50,11 +50,11 @@
 // undone. Entries below the floor that are still there keep their account.
 func (t *Table) evict() {
 	for t.bytes > t.config.MaxAnswerBytes {
-		e, _ := t.answered.DeleteMin()
-		t.bytes -= len(e.answer)
-		e.answer = nil
-		e.status = StatusRan
-		t.answerLost.ReplaceOrInsert(e)
+		r, _ := t.answered.DeleteMin()
+		t.bytes -= len(r.answer)
+		r.answer = nil
+		r.status = StatusRan
+		t.answerLost.ReplaceOrInsert(r)
 	}
 	for len(t.records) > t.config.MaxEntries && t.evictOldest() {
 	}
@@ -62,14 +62,14 @@
 
 func (t *Table) evictOldest() bool {
 	for _, tree := range t.evictionOrder() {
-		e, ok := tree.DeleteMin()
+		r, ok := tree.DeleteMin()
 		if !ok {
 			continue
 		}
-		delete(t.records, e.id)
-		t.bytes -= len(e.answer)
-		if e.id.Compare(t.highestEvicted) > 0 {
-			t.highestEvicted = e.id
+		delete(t.records, r.id)
+		t.bytes -= len(r.answer)
+		if r.id.Compare(t.highestEvicted) > 0 {
+			t.highestEvicted = r.id
 		}
 		return true
 	}
--- a/attempts/request.go
+++ b/attempts/request.go
@@ -86,16 +86,16 @@
 
 func (r *Request) finish(f Finished) { r.transition(stateFinished, f) }
 
-func (r *Request) finishUnknown(why Reason) {
-	f := Finished{Outcome: Unknown, Reason: why}
-	if why == ReasonStoreUnavailable {
+func (r *Request) finishUnknown(reason Reason) {
+	f := Finished{Outcome: Unknown, Reason: reason}
+	if reason == ReasonStoreUnavailable {
 		f.RetryAfter = r.config.RetryAfter
 	}
 	r.finish(f)
 }
 
-func (r *Request) finishNotRun(why Reason) {
-	r.finish(Finished{Outcome: NotRun, Reason: why, RetryAfter: r.config.RetryAfter})
+func (r *Request) finishNotRun(reason Reason) {
+	r.finish(Finished{Outcome: NotRun, Reason: reason, RetryAfter: r.config.RetryAfter})
 }
 
 func (r *Request) start() {
@@ -127,16 +127,16 @@
 	if r.state == stateFinished {
 		return
 	}
-	next := r.config.Deadline
+	wakeAt := r.config.Deadline
 	if r.state == stateResolving {
 		if !r.now.Before(r.resolveSentAt.Add(r.config.PollInterval)) {
 			r.resolve(r.resolving)
 		}
-		if at := r.resolveSentAt.Add(r.config.PollInterval); at.Before(next) {
-			next = at
+		if pollAt := r.resolveSentAt.Add(r.config.PollInterval); pollAt.Before(wakeAt) {
+			wakeAt = pollAt
 		}
 	}
-	if next.After(r.now) {
-		r.actions = append(r.actions, WakeAt{At: next})
+	if wakeAt.After(r.now) {
+		r.actions = append(r.actions, WakeAt{At: wakeAt})
 	}
 }
--- a/attempts/request_reply.go
+++ b/attempts/request_reply.go
@@ -48,8 +48,8 @@
 	}
 }
 
-func (r *Request) release(c Claim, why Reason) {
-	r.releaseReason = why
+func (r *Request) release(c Claim, reason Reason) {
+	r.releaseReason = reason
 	r.transition(stateReleasing, ReleaseClaim{Claim: c})
 }
 
--- a/attempts/simulation_test.go
+++ b/attempts/simulation_test.go
@@ -25,19 +25,19 @@
 // callers are told against what ran. A longer run:
 // go test ./attempts -run RandomWorlds -v -attempts.worlds 50000
 func TestRandomFailures(t *testing.T) {
-	sum := map[Outcome]int{}
-	runs := 0
+	outcomes := map[Outcome]int{}
+	executions := 0
 	for i := range *simRuns {
-		w := newSimulation(t, *simSeed+uint64(i))
-		w.run()
-		runs += len(w.executed)
-		for o, n := range w.outcomes {
-			sum[o] += n
+		s := newSimulation(t, *simSeed+uint64(i))
+		s.run()
+		executions += len(s.executed)
+		for o, n := range s.outcomes {
+			outcomes[o] += n
 		}
 	}
 	t.Logf("%d worlds from seed %d: %d runs; told done %d, not run %d, unknown %d",
-		*simRuns, *simSeed, runs, sum[Done], sum[NotRun], sum[Unknown])
-	if sum[Done] == 0 || sum[NotRun] == 0 || sum[Unknown] == 0 {
+		*simRuns, *simSeed, executions, outcomes[Done], outcomes[NotRun], outcomes[Unknown])
+	if outcomes[Done] == 0 || outcomes[NotRun] == 0 || outcomes[Unknown] == 0 {
 		t.Fatal("the worlds did not reach all outcomes")
 	}
 }
@@ -77,14 +77,14 @@
 	sim        *simulation
 	key        string
 	number     int // of the key's deliveries
-	keyed      bool
+	hasKey     bool
 	req        *Request
 	own        Claim
 	toldNotRun bool // told not run
 }
 
 func newSimulation(t *testing.T, seed uint64) *simulation {
-	w := &simulation{
+	s := &simulation{
 		t:        t,
 		seed:     seed,
 		rng:      rand.New(rand.NewPCG(seed, 2)),
@@ -95,73 +95,73 @@
 	}
 	for _, name := range []string{"a", "b"} {
 		a := &simAgent{name: name}
-		w.restart(a)
-		w.agents = append(w.agents, a)
+		s.restart(a)
+		s.agents = append(s.agents, a)
 	}
-	return w
+	return s
 }
 
-func (w *simulation) restart(a *simAgent) {
+func (s *simulation) restart(a *simAgent) {
 	a.incarnation++
 	a.table = NewTable(TableConfig{a.incarnation, 4, 40, simMaxAge, time.Second})
 }
 
-func (w *simulation) run() {
+func (s *simulation) run() {
 	for k := range 8 {
 		key := string(rune('p' + k))
-		keyed := k < 6
-		for n := range 1 + w.rng.IntN(4) {
-			if n > 0 && !keyed {
+		hasKey := k < 6
+		for n := range 1 + s.rng.IntN(4) {
+			if n > 0 && !hasKey {
 				break
 			}
 			at := time.Duration(n) * simArrivalPeriod / 4
-			w.schedule(at+w.randomDuration(simArrivalPeriod/4), func() { w.deliver(key, n, keyed) })
+			s.schedule(at+s.randomDuration(simArrivalPeriod/4), func() { s.deliver(key, n, hasKey) })
 		}
 	}
 	for range 5 {
-		w.schedule(w.randomDuration(2*simArrivalPeriod), func() { w.restart(w.agents[w.rng.IntN(2)]) })
-		w.schedule(w.randomDuration(2*simArrivalPeriod), func() { w.storeDown = !w.storeDown })
+		s.schedule(s.randomDuration(2*simArrivalPeriod), func() { s.restart(s.agents[s.rng.IntN(2)]) })
+		s.schedule(s.randomDuration(2*simArrivalPeriod), func() { s.storeDown = !s.storeDown })
 	}
-	for len(w.events) > 0 {
+	for len(s.events) > 0 {
 		next := 0
-		for i, e := range w.events {
-			if e.at.Before(w.events[next].at) {
+		for i, e := range s.events {
+			if e.at.Before(s.events[next].at) {
 				next = i
 			}
 		}
-		e := w.events[next]
-		w.events = slices.Delete(w.events, next, next+1)
-		w.now = e.at
+		e := s.events[next]
+		s.events = slices.Delete(s.events, next, next+1)
+		s.now = e.at
 		e.run()
 	}
 }
 
-func (w *simulation) randomBool(p float64) bool { return w.rng.Float64() < p }
+func (s *simulation) randomBool(p float64) bool { return s.rng.Float64() < p }
 
-func (w *simulation) randomDuration(d time.Duration) time.Duration {
-	return time.Duration(w.rng.Int64N(int64(d)))
+func (s *simulation) randomDuration(d time.Duration) time.Duration {
+	return time.Duration(s.rng.Int64N(int64(d)))
 }
 
-func (w *simulation) schedule(d time.Duration, run func()) {
-	w.events = append(w.events, simEvent{w.now.Add(d), run})
+func (s *simulation) schedule(d time.Duration, run func()) {
+	s.events = append(s.events, simEvent{s.now.Add(d), run})
 }
 
-func (w *simulation) fail(d *simDelivery, what string) {
-	w.t.Fatalf("seed %d at %v: key %s delivery %d: %s", w.seed, w.now.Sub(time.Unix(10000, 0)), d.key, d.number, what)
+func (s *simulation) fail(d *simDelivery, message string) {
+	s.t.Fatalf("seed %d at %v: key %s delivery %d: %s", s.seed, s.now.Sub(time.Unix(10000, 0)), d.key, d.number, message)
 }
 
-func (w *simulation) deliver(key string, number int, keyed bool) {
-	w.lastSequence++
-	a := w.agents[w.rng.IntN(2)]
-	d := &simDelivery{sim: w, key: key, number: number, keyed: keyed}
+func (s *simulation) deliver(key string, number int, hasKey bool) {
+	s.lastSequence++
+	a := s.agents[s.rng.IntN(2)]
+	d := &simDelivery{sim: s, key: key, number: number, hasKey: hasKey}
 	d.own = Claim{
-		ID:    ID{w.now.UnixNano(), w.lastSequence % 3, w.lastSequence, a.incarnation},
+		ID:    ID{s.now.UnixNano(), s.lastSequence % 3, s.lastSequence, a.incarnation},
 		Agent: a.name,
 	}
 	d.req = NewRequest(RequestConfig{
-		HasKey:        keyed,
+		HasKey:        hasKey,
 		FirstDelivery: number == 0,
-		Deadline:      w.now.Add(5*time.Second + w.randomDuration(20*time.Second)),
+		Deadline:      s.now.Add(5*time.Second + s.randomDuration(20*time.Second)),
 		PollInterval:  2 * time.Second,
 		RetryAfter:    time.Second,
 		MaxAge:        simMaxAge,
@@ -172,18 +172,18 @@
 // step runs the delivery's entry, which may be paused before it acts. What the
 // caller is told is checked as of the decision.
 func (d *simDelivery) step(ev Event) {
-	w := d.sim
-	actions := d.req.HandleEvent(w.now, ev)
+	s := d.sim
+	actions := d.req.HandleEvent(s.now, ev)
 	for _, act := range actions {
 		if f, ok := act.(Finished); ok {
 			d.checkFinished(f)
 		}
 	}
 	pause := time.Duration(0)
-	if w.randomBool(0.03) {
-		pause = w.randomDuration(2 * simClaimTTL)
+	if s.randomBool(0.03) {
+		pause = s.randomDuration(2 * simClaimTTL)
 	}
-	w.schedule(pause, func() {
+	s.schedule(pause, func() {
 		for _, act := range actions {
 			d.perform(act)
 		}
@@ -232,11 +232,11 @@
 // callStore calls the callStore: the reply may be lost, and the write may take effect
 // long after it was given up.
 func (d *simDelivery) callStore(op func(*simClaim) ClaimResult) {
-	w := d.sim
+	s := d.sim
 	apply := func() ClaimReply {
-		c := w.claims[d.key]
-		if c != nil && w.now.Sub(c.at) >= simClaimTTL {
-			delete(w.claims, d.key)
+		c := s.claims[d.key]
+		if c != nil && s.now.Sub(c.at) >= simClaimTTL {
+			delete(s.claims, d.key)
 			c = nil
 		}
 		ev := ClaimReply{Result: op(c)}
@@ -246,57 +246,57 @@
 		return ev
 	}
 	switch {
-	case w.storeDown, w.randomBool(0.05):
-		w.schedule(w.randomDuration(simMaxDelay), func() { d.step(ClaimReply{Result: ClaimUnavailable}) })
-	case w.randomBool(0.1):
-		w.schedule(w.randomDuration(5*simMaxDelay), func() { apply() })
-		w.schedule(w.randomDuration(simMaxDelay), func() { d.step(ClaimReply{Result: ClaimUnavailable}) })
+	case s.storeDown, s.randomBool(0.05):
+		s.schedule(s.randomDuration(simMaxDelay), func() { d.step(ClaimReply{Result: ClaimUnavailable}) })
+	case s.randomBool(0.1):
+		s.schedule(s.randomDuration(5*simMaxDelay), func() { apply() })
+		s.schedule(s.randomDuration(simMaxDelay), func() { d.step(ClaimReply{Result: ClaimUnavailable}) })
 	default:
-		w.schedule(w.randomDuration(simMaxDelay), func() {
+		s.schedule(s.randomDuration(simMaxDelay), func() {
 			ev := apply()
-			w.schedule(w.randomDuration(simMaxDelay), func() { d.step(ev) })
+			s.schedule(s.randomDuration(simMaxDelay), func() { d.step(ev) })
 		})
 	}
 }
 
-func (w *simulation) agent(name string) *simAgent {
-	return w.agents[slices.IndexFunc(w.agents, func(a *simAgent) bool { return a.name == name })]
+func (s *simulation) agent(name string) *simAgent {
+	return s.agents[slices.IndexFunc(s.agents, func(a *simAgent) bool { return a.name == name })]
 }
 
 // sendBegin delivers the attempt late or not at all; the entry may give up before.
 func (d *simDelivery) sendBegin(c Claim) {
-	w, a := d.sim, d.sim.agent(c.Agent)
-	if w.randomBool(0.2) {
-		w.schedule(w.randomDuration(simMaxDelay), func() { d.step(ConnectionLost{c.ID}) })
+	s, a := d.sim, d.sim.agent(c.Agent)
+	if s.randomBool(0.2) {
+		s.schedule(s.randomDuration(simMaxDelay), func() { d.step(ConnectionLost{c.ID}) })
 	}
-	if w.randomBool(0.1) {
+	if s.randomBool(0.1) {
 		return
 	}
-	w.schedule(w.randomDuration(4*simMaxDelay), func() {
-		verdict, answer := a.table.Begin(w.now, c.ID)
-		if verdict != BeginRun {
-			d.sendBeginReply(BeginReply{ID: c.ID, Result: verdict, Answer: answer})
+	s.schedule(s.randomDuration(4*simMaxDelay), func() {
+		result, answer := a.table.Begin(s.now, c.ID)
+		if result != BeginRun {
+			d.sendBeginReply(BeginReply{ID: c.ID, Result: result, Answer: answer})
 			return
 		}
 		table := a.table
-		w.schedule(w.randomDuration(3*simMaxDelay), func() { d.execute(a, table, c) })
+		s.schedule(s.randomDuration(3*simMaxDelay), func() { d.execute(a, table, c) })
 	})
 }
 
 // execute hands the attempt to the target, unless the agent restarted meanwhile.
 func (d *simDelivery) execute(a *simAgent, table *Table, c Claim) {
-	w := d.sim
+	s := d.sim
 	if a.table != table {
 		return
 	}
-	if w.randomBool(0.2) {
+	if s.randomBool(0.2) {
 		table.RecordNotRun(c.ID)
 		d.sendBeginReply(BeginReply{ID: c.ID, Result: BeginRefuse})
 		return
 	}
 	d.recordExecution()
-	w.schedule(w.randomDuration(4*simMaxDelay), func() {
-		if w.randomBool(0.1) {
+	s.schedule(s.randomDuration(4*simMaxDelay), func() {
+		if s.randomBool(0.1) {
 			table.RecordLostAnswer(c.ID)
 			d.sendBeginReply(BeginReply{ID: c.ID, Interrupted: true})
 			return
@@ -314,11 +314,11 @@
 }
 
 func (d *simDelivery) sendResolve(c Claim) {
-	w, a := d.sim, d.sim.agent(c.Agent)
-	for range w.rng.IntN(3) {
-		w.schedule(w.randomDuration(simMaxDelay), func() {
+	s, a := d.sim, d.sim.agent(c.Agent)
+	for range s.rng.IntN(3) {
+		s.schedule(s.randomDuration(simMaxDelay), func() {
 			status, answer := a.table.Resolve(c.ID)
-			w.schedule(w.randomDuration(simMaxDelay), func() { d.step(ResolveReply{c.ID, status, answer}) })
+			s.schedule(s.randomDuration(simMaxDelay), func() { d.step(ResolveReply{c.ID, status, answer}) })
 		})
 	}
 }
@@ -335,15 +335,15 @@
 
 func (d *simDelivery) checkFinished(f Finished) {
 	d.sim.outcomes[f.Outcome]++
-	ran := d.sim.executed[d.key]
+	executed := d.sim.executed[d.key]
 	switch f.Outcome {
 	case Done:
-		if ran == nil || string(f.Answer) != "answer to "+d.key {
+		if executed == nil || string(f.Answer) != "answer to "+d.key {
 			d.sim.fail(d, "told done")
 		}
 	case NotRun:
 		d.toldNotRun = true
-		if ran != nil && ran.number <= d.number {
+		if executed != nil && executed.number <= d.number {
 			d.sim.fail(d, "told not run although it ran")
 		}
 	}
--- a/attempts/table.go
+++ b/attempts/table.go
@@ -56,8 +56,8 @@
 // Begin decides whether the attempt may run now. The answer is the kept one if
 // the verdict is Repeated, and is not to be changed.
 func (t *Table) Begin(now time.Time, id ID) (BeginResult, []byte) {
-	if e := t.records[id]; e != nil {
-		return e.beginResult(), e.answer
+	if r := t.records[id]; r != nil {
+		return r.beginResult(), r.answer
 	}
 	t.now = now
 	if t.mayHaveRun(id) || t.issuedInFuture(id) {
@@ -73,36 +73,36 @@
 
 // RecordAnswer keeps the whole answer of an attempt that was Fresh.
 func (t *Table) RecordAnswer(id ID, answer []byte) {
-	e := t.runningRecord(id)
-	e.status = StatusAnswered
-	e.answer = answer
+	r := t.runningRecord(id)
+	r.status = StatusAnswered
+	r.answer = answer
 	t.bytes += len(answer)
-	t.answered.ReplaceOrInsert(e)
+	t.answered.ReplaceOrInsert(r)
 	t.evict()
 }
 
 // RecordLostAnswer notes that a Fresh attempt was handed to the target and that its
 // answer will never come.
 func (t *Table) RecordLostAnswer(id ID) {
-	e := t.runningRecord(id)
-	e.status = StatusRan
-	t.answerLost.ReplaceOrInsert(e)
+	r := t.runningRecord(id)
+	r.status = StatusRan
+	t.answerLost.ReplaceOrInsert(r)
 	t.evict()
 }
 
 // RecordNotRun notes that a Fresh attempt was never handed to the target.
 func (t *Table) RecordNotRun(id ID) {
-	e := t.runningRecord(id)
-	e.status = StatusNotRun
-	t.notRun.ReplaceOrInsert(e)
+	r := t.runningRecord(id)
+	r.status = StatusNotRun
+	t.notRun.ReplaceOrInsert(r)
 	t.evict()
 }
 
 // Resolve says what became of the attempt. One that never arrived is refused
 // from now on, so that StatusNotRun stays true.
 func (t *Table) Resolve(id ID) (Status, []byte) {
-	if e := t.records[id]; e != nil {
-		return e.status, e.answer
+	if r := t.records[id]; r != nil {
+		return r.status, r.answer
 	}
 	if t.mayHaveRun(id) {
 		return StatusUnknown, nil
@@ -117,8 +117,8 @@
 // AnswerBytes returns the size of the answers kept.
 func (t *Table) AnswerBytes() int { return t.bytes }
 
-func (e *record) beginResult() BeginResult {
-	switch e.status {
+func (r *record) beginResult() BeginResult {
+	switch r.status {
 	case StatusRunning:
 		return BeginJoin
 	case StatusAnswered:
@@ -132,9 +132,9 @@
 // runningRecord returns the entry of a Fresh attempt. Any other call would change an
 // account that was already given to somebody.
 func (t *Table) runningRecord(id ID) *record {
-	e := t.records[id]
-	if e == nil || e.status != StatusRunning {
+	r := t.records[id]
+	if r == nil || r.status != StatusRunning {
 		panic("attempts: attempt is not running")
 	}
-	return e
+	return r
 }
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -26,29 +26,29 @@
 }
 
 func failingScenario(failing int) scenario {
-	p := faultScenario()
-	p.load, p.slow, p.unresponsive, p.failing = 0.2, 0, 0, failing
-	return p
+	sc := faultScenario()
+	sc.load, sc.slow, sc.unresponsive, sc.failing = 0.2, 0, 0, failing
+	return sc
 }
 
 // runBoth runs the plan with the baseline and with the candidate.
-func runBoth(p scenario) (baseline, candidate *result) {
-	candidate = run(p)
-	p.baseline = true
-	return run(p), candidate
+func runBoth(sc scenario) (baseline, candidate *result) {
+	candidate = run(sc)
+	sc.baseline = true
+	return run(sc), candidate
 }
 
 // The figures that the users were promised, on shorter runs than the
 // benchmarks'.
 func TestLatencyAndGoodputTargets(t *testing.T) {
 	c := qt.New(t)
-	p := faultScenario()
-	p.length = 4 * time.Second
-	baseline, candidate := runBoth(p)
+	sc := faultScenario()
+	sc.length = 4 * time.Second
+	baseline, candidate := runBoth(sc)
 	c.Assert(baseline.quantile(99) > 5*candidate.quantile(99), qt.IsTrue)
-	p = overloadScenario()
-	p.length, p.entries = 2*time.Second, 12
-	candidate = run(p)
+	sc = overloadScenario()
+	sc.length, sc.entries = 2*time.Second, 12
+	candidate = run(sc)
 	c.Assert(candidate.goodput() > 0.95, qt.IsTrue)
 	c.Assert(candidate.accountSuccessRate(3) > 0.99, qt.IsTrue)
 	c.Assert(float64(candidate.attempts) < 1.2*float64(candidate.useful), qt.IsTrue)
@@ -101,9 +101,9 @@
 		for control, name := range []string{"two-phase", "shed-only", "neither"} {
 			b.Run(fmt.Sprint(name, "/entries=", entries), func(b *testing.B) {
 				for b.Loop() {
-					p := overloadScenario()
-					p.entries, p.admission.CongestionControl = entries, admission.CongestionControl(control)
-					r := run(p)
+					sc := overloadScenario()
+					sc.entries, sc.admission.CongestionControl = entries, admission.CongestionControl(control)
+					r := run(sc)
 					b.ReportMetric(r.goodput(), "useful/capacity")
 					b.ReportMetric(float64(r.accountUsefulLatency[0].ValueAtQuantile(50))/1000, "heavy-p50-ms")
 					b.ReportMetric(float64(r.accountUsefulLatency[0].ValueAtQuantile(99))/1000, "heavy-p99-ms")
@@ -118,9 +118,9 @@
 // Clients that were refused in a burst of two seconds ask again when told to.
 func BenchmarkResubmission(b *testing.B) {
 	for b.Loop() {
-		p := overloadScenario()
-		p.length, p.resubmit = 2*time.Second, true
-		r := run(p)
+		sc := overloadScenario()
+		sc.length, sc.resubmit = 2*time.Second, true
+		r := run(sc)
 		b.ReportMetric(r.successRate(), "success")
 		b.ReportMetric(float64(r.submissions)/float64(r.offered), "asks/request")
 	}
@@ -134,7 +134,7 @@
 				r := routing.New(routing.Options{Choices: choices})
 				var ts []routing.Target
 				for i := range n {
-					ts = append(ts, routing.Target{ID: targetID(i), Slots: slots, MaxInflight: connections})
+					ts = append(ts, routing.Target{ID: targetID(i), Slots: slots, MaxInflight: maxInflight})
 				}
 				r.SetTargets(at(0), ts)
 				b.ReportAllocs()
--- a/routing/breaker.go
+++ b/routing/breaker.go
@@ -54,13 +54,13 @@
 	return b.consecutiveLosses >= lossesToEject
 }
 
-func (b *breaker) isOutlier(mean float64) bool {
-	return b.failureRate-mean > maxFailureExcess
+func (b *breaker) isOutlier(meanFailureRate float64) bool {
+	return b.failureRate-meanFailureRate > maxFailureExcess
 }
 
 // eject starts an ejection and returns its length, doubled each time.
-func (b *breaker) eject(now int64, base, limit time.Duration) time.Duration {
-	d := min(base<<min(b.ejections, 20), limit)
+func (b *breaker) eject(now int64, baseDuration, maxDuration time.Duration) time.Duration {
+	d := min(baseDuration<<min(b.ejections, 20), maxDuration)
 	b.ejections++
 	b.ejectedAt = now
 	b.consecutiveLosses, b.consecutiveSuccesses, b.failureRate = 0, 0, 0
--- a/routing/concurrency_window.go
+++ b/routing/concurrency_window.go
@@ -25,19 +25,19 @@
 	nextCutAt     int64 // no second drastic cut before
 }
 
-func newConcurrencyWindow(initial, limit int) concurrencyWindow {
-	w := concurrencyWindow{maxSize: max(minWindow, float64(limit))}
-	w.size = min(max(minWindow, float64(initial)), w.maxSize)
+func newConcurrencyWindow(initialSize, maxSize int) concurrencyWindow {
+	w := concurrencyWindow{maxSize: max(minWindow, float64(maxSize))}
+	w.size = min(max(minWindow, float64(initialSize)), w.maxSize)
 	return w
 }
 
 // recordReply counts one recordReply. busy says that the window was in use: an idle window
 // does not grow, since nothing shows that the target would bear more.
-func (w *concurrencyWindow) recordReply(marked, busy bool) {
+func (w *concurrencyWindow) recordReply(marked, inUse bool) {
 	w.replies++
 	if marked {
 		w.markedReplies++
-	} else if busy {
+	} else if inUse {
 		w.size = min(w.size+1/w.size, w.maxSize)
 	}
 	if float64(w.replies) < w.size {
@@ -53,10 +53,10 @@
 
 // recordLoss halves the window, at most once per round trip: the attempts of one
 // round all fail for the same cause.
-func (w *concurrencyWindow) recordLoss(now int64, round time.Duration) {
+func (w *concurrencyWindow) recordLoss(now int64, roundTrip time.Duration) {
 	if now < w.nextCutAt {
 		return
 	}
 	w.size = max(minWindow, w.size*lossFactor)
-	w.nextCutAt = now + int64(round)
+	w.nextCutAt = now + int64(roundTrip)
 }
--- a/routing/done.go
+++ b/routing/done.go
@@ -5,42 +5,42 @@
 // Done hands a ticket back with the outcome of its attempt.
 func (r *Router) Done(now time.Time, t Ticket, o Outcome) {
 	e := t.endpoint
-	at := now.UnixNano()
+	nowNanos := now.UnixNano()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	busy := 2*e.inflight.Load() >= e.windowSize.Load()
+	windowInUse := 2*e.inflight.Load() >= e.windowSize.Load()
 	e.release()
 	t.account.inflight.Add(-1)
 	r.inflight.Add(-1)
 	if o.hasLoad() {
-		e.recordLoad(at, o.Load)
+		e.recordLoad(nowNanos, o.Load)
 	}
 	switch {
 	case o.Kind == Answered:
-		t.account.retrySchedule.recordAnswer(at)
+		t.account.retrySchedule.recordAnswer(nowNanos)
 	case o.Kind == Refused && o.Load.Draining:
 		r.refundRetry(t.account)
 	}
-	r.applyOutcome(e, at, t, o, busy)
+	r.applyOutcome(e, nowNanos, t, o, windowInUse)
 	if t.Trial {
-		r.finishTrial(e, at, o)
+		r.finishTrial(e, nowNanos, o)
 	}
 	r.publish(e)
 }
 
 // applyOutcome adapts the window and the breaker to one outcome. The caller holds
 // e.mu.
-func (r *Router) applyOutcome(e *endpoint, now int64, t Ticket, o Outcome, busy bool) {
+func (r *Router) applyOutcome(e *endpoint, now int64, t Ticket, o Outcome, windowInUse bool) {
 	// What was sent before an ejection tells no more than the ejection did.
 	if t.sentAt < e.breaker.ejectedAt {
 		return
 	}
-	round := time.Duration(e.latency.Load())
+	roundTrip := time.Duration(e.latency.Load())
 	switch o.Kind {
 	case Answered:
 		e.recordLatency(o.Latency)
 		e.breaker.recordAnswer(false)
-		e.window.recordReply(o.Load.Marked, busy)
+		e.window.recordReply(o.Load.Marked, windowInUse)
 	case Failed:
 		e.breaker.recordAnswer(true)
 		if e.breaker.isOutlier(r.meanFailureRate()) {
@@ -49,24 +49,24 @@
 	case Refused:
 		e.breaker.consecutiveLosses = 0
 		if o.Load.Shedding {
-			e.window.recordLoss(now, round)
+			e.window.recordLoss(now, roundTrip)
 		}
 	case TimedOut:
 		// A deadline shorter than the target's usual latency says nothing about
 		// the target. Without this an account with hopeless deadlines would
 		// eject every target for all.
 		if o.Latency >= minTimeoutFactor*e.expectedLatency() {
-			r.recordLoss(e, now, round)
+			r.recordLoss(e, now, roundTrip)
 		}
 	case Unreachable:
-		e.window.recordLoss(now, round)
+		e.window.recordLoss(now, roundTrip)
 		e.breaker.unresponsive = true
 		r.eject(e, now)
 	}
 }
 
-func (r *Router) recordLoss(e *endpoint, now int64, round time.Duration) {
-	e.window.recordLoss(now, round)
+func (r *Router) recordLoss(e *endpoint, now int64, roundTrip time.Duration) {
+	e.window.recordLoss(now, roundTrip)
 	if e.breaker.recordLoss() {
 		r.eject(e, now)
 	}
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -46,12 +46,12 @@
 	contributed contribution // in the router's sums
 }
 
-func newEndpoint(t Target, initial int) *endpoint {
-	if initial == 0 {
-		initial = t.Slots
+func newEndpoint(t Target, initialWindow int) *endpoint {
+	if initialWindow == 0 {
+		initialWindow = t.Slots
 	}
 	e := &endpoint{id: t.ID, zone: t.Zone, incarnation: t.Incarnation}
-	e.window = newConcurrencyWindow(initial, t.MaxInflight)
+	e.window = newConcurrencyWindow(initialWindow, t.MaxInflight)
 	e.windowSize.Store(int64(e.window.size))
 	e.slots.Store(int64(max(1, t.Slots)))
 	e.draining.Store(t.Draining)
@@ -75,35 +75,35 @@
 // estimatedLoad estimates the requests at the target: this entry's own, which are
 // known, and those of others as last reported. A report fades with age;
 // otherwise a target that was once busy would never be asked again.
-func (e *endpoint) estimatedLoad(now, stale int64) int64 {
+func (e *endpoint) estimatedLoad(now, staleAfter int64) int64 {
 	own := e.inflight.Load()
 	age := now - e.loadReportedAt.Load()
-	if age >= stale || age < 0 {
+	if age >= staleAfter || age < 0 {
 		return own
 	}
-	return own + e.othersLoad.Load()*(stale-age)/stale
+	return own + e.othersLoad.Load()*(staleAfter-age)/staleAfter
 }
 
 // cost is the expected completion time of one more attempt, up to a common
 // factor: latency times the requests it would share the slots with.
-func (e *endpoint) cost(now, stale int64) float64 {
-	load := float64(e.estimatedLoad(now, stale) + 1)
+func (e *endpoint) cost(now, staleAfter int64) float64 {
+	load := float64(e.estimatedLoad(now, staleAfter) + 1)
 	return float64(e.latency.Load()+1) * load / float64(e.slots.Load())
 }
 
 // hasFreeSlot reports whether a slot is expected to be free.
-func (e *endpoint) hasFreeSlot(now, stale int64) bool {
-	return e.estimatedLoad(now, stale) < e.slots.Load()
+func (e *endpoint) hasFreeSlot(now, staleAfter int64) bool {
+	return e.estimatedLoad(now, staleAfter) < e.slots.Load()
 }
 
 // acquire takes one place in the window.
 func (e *endpoint) acquire() bool {
 	for {
-		have := e.inflight.Load()
-		if have >= e.windowSize.Load() {
+		inflight := e.inflight.Load()
+		if inflight >= e.windowSize.Load() {
 			return false
 		}
-		if e.inflight.CompareAndSwap(have, have+1) {
+		if e.inflight.CompareAndSwap(inflight, inflight+1) {
 			return true
 		}
 	}
@@ -128,18 +128,18 @@
 }
 
 func (e *endpoint) recordLatency(latency time.Duration) {
-	old := e.latency.Load()
-	if old == 0 {
+	average := e.latency.Load()
+	if average == 0 {
 		e.latency.Store(int64(latency))
 		return
 	}
-	e.latency.Store(old + int64(latencyWeight*float64(int64(latency)-old)))
+	e.latency.Store(average + int64(latencyWeight*float64(int64(latency)-average)))
 }
 
 // expectedLatency is the measured latency, or a guess while nothing is known.
 func (e *endpoint) expectedLatency() time.Duration {
-	if known := e.latency.Load(); known > 0 {
-		return time.Duration(known)
+	if latency := e.latency.Load(); latency > 0 {
+		return time.Duration(latency)
 	}
 	return assumedLatency
 }
--- a/routing/endpoint_set.go
+++ b/routing/endpoint_set.go
@@ -9,12 +9,12 @@
 }
 
 func newEndpointSet(zone string, all []*endpoint) *endpointSet {
-	t := &endpointSet{all: all, byID: make(map[TargetID]*endpoint, len(all))}
+	set := &endpointSet{all: all, byID: make(map[TargetID]*endpoint, len(all))}
 	for _, e := range all {
-		t.byID[e.id] = e
+		set.byID[e.id] = e
 		if zone != "" && e.zone == zone {
-			t.sameZone = append(t.sameZone, e)
+			set.sameZone = append(set.sameZone, e)
 		}
 	}
-	return t
+	return set
 }
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -19,27 +19,27 @@
 // Pick chooses a target for one attempt and takes a place in its window. When
 // the Refusal is OK, the Ticket goes back to Done exactly once. Otherwise
 // nothing was taken and the request has not run.
-func (r *Router) Pick(now time.Time, q PickInfo) (Ticket, Refusal) {
-	if !q.Deadline.IsZero() && !now.Before(q.Deadline) {
+func (r *Router) Pick(now time.Time, info PickInfo) (Ticket, Refusal) {
+	if !info.Deadline.IsZero() && !now.Before(info.Deadline) {
 		return Ticket{}, Refusal{Reason: DeadlineExceeded}
 	}
-	a := r.accounts.get(q.Account)
-	if q.Attempt == 0 {
+	a := r.accounts.get(info.Account)
+	if info.Attempt == 0 {
 		r.depositRetry(a)
 	}
-	if !r.withinAccountShare(a, q.Weight) {
+	if !r.withinAccountShare(a, info.Weight) {
 		return Ticket{}, Refusal{Reason: AccountOverShare, RetryAfter: a.retrySchedule.next()}
 	}
-	at := now.UnixNano()
-	t := r.endpoints.Load()
-	e, trial := r.chooseEndpoint(t, at, q)
+	nowNanos := now.UnixNano()
+	set := r.endpoints.Load()
+	e, trial := r.chooseEndpoint(set, nowNanos, info)
 	if e == nil {
-		return Ticket{}, r.refusalFor(t, at, q, a)
+		return Ticket{}, r.refusalFor(set, nowNanos, info, a)
 	}
 	a.inflight.Add(1)
 	r.inflight.Add(1)
 	a.retrySchedule.recordAccepted()
-	return Ticket{Target: e.id, Incarnation: e.incarnation, Trial: trial, endpoint: e, account: a, sentAt: at}, Refusal{}
+	return Ticket{Target: e.id, Incarnation: e.incarnation, Trial: trial, endpoint: e, account: a, sentAt: nowNanos}, Refusal{}
 }
 
 // withinAccountShare keeps one client account's overload from filling the windows, so
@@ -56,43 +56,43 @@
 // chooseEndpoint takes a place at the cheapest of a few random endpoints: of the own
 // availability zone while one of them has a free slot, else of all. When none
 // of the sample has a place, the first endpoint with one is taken.
-func (r *Router) chooseEndpoint(t *endpointSet, now int64, q PickInfo) (*endpoint, bool) {
-	stale := int64(r.options.StaleAfter)
-	if e, trial := r.sample(t, t.sameZone, now, q); e != nil && (trial || e.hasFreeSlot(now, stale)) {
+func (r *Router) chooseEndpoint(set *endpointSet, now int64, info PickInfo) (*endpoint, bool) {
+	staleAfter := int64(r.options.StaleAfter)
+	if e, trial := r.sample(set, set.sameZone, now, info); e != nil && (trial || e.hasFreeSlot(now, staleAfter)) {
 		if trial || e.acquire() {
 			return e, trial
 		}
 	}
-	if e, trial := r.sample(t, t.all, now, q); e != nil && (trial || e.acquire()) {
+	if e, trial := r.sample(set, set.all, now, info); e != nil && (trial || e.acquire()) {
 		return e, trial
 	}
-	return r.scan(t, now, q)
+	return r.scan(set, now, info)
 }
 
 // sample returns the cheapest open endpoint of a few random ones, or one that
 // is due for its trial, with the trial already taken.
-func (r *Router) sample(t *endpointSet, from []*endpoint, now int64, q PickInfo) (*endpoint, bool) {
-	if len(from) == 0 {
+func (r *Router) sample(set *endpointSet, candidates []*endpoint, now int64, info PickInfo) (*endpoint, bool) {
+	if len(candidates) == 0 {
 		return nil, false
 	}
 	var best *endpoint
-	var least float64
+	var lowestCost float64
 	for range r.options.Choices {
-		e := from[r.randomIntN(len(from))]
-		if e == best || slices.Contains(q.Exclude, e.id) {
+		e := candidates[r.randomIntN(len(candidates))]
+		if e == best || slices.Contains(info.Exclude, e.id) {
 			continue
 		}
 		switch e.availability(now) {
 		case trialDue:
-			if !q.AtMostOnce && q.Attempt == 0 && r.acquireTrial(t, e) {
+			if !info.AtMostOnce && info.Attempt == 0 && r.acquireTrial(set, e) {
 				return e, true
 			}
 		case available:
 			if e.inflight.Load() >= e.windowSize.Load() {
 				continue
 			}
-			if cost := e.cost(now, int64(r.options.StaleAfter)); best == nil || cost < least {
-				best, least = e, cost
+			if cost := e.cost(now, int64(r.options.StaleAfter)); best == nil || cost < lowestCost {
+				best, lowestCost = e, cost
 			}
 		}
 	}
@@ -101,35 +101,35 @@
 
 // scan looks at every endpoint from a random one on. Trials come second here
 // and are open to every request: nothing else is left.
-func (r *Router) scan(t *endpointSet, now int64, q PickInfo) (*endpoint, bool) {
-	if len(t.all) == 0 {
+func (r *Router) scan(set *endpointSet, now int64, info PickInfo) (*endpoint, bool) {
+	if len(set.all) == 0 {
 		return nil, false
 	}
-	start := r.randomIntN(len(t.all))
-	var resting *endpoint
-	for i := range t.all {
-		e := t.all[(start+i)%len(t.all)]
-		if slices.Contains(q.Exclude, e.id) {
+	start := r.randomIntN(len(set.all))
+	var due *endpoint
+	for i := range set.all {
+		e := set.all[(start+i)%len(set.all)]
+		if slices.Contains(info.Exclude, e.id) {
 			continue
 		}
 		switch e.availability(now) {
 		case trialDue:
-			resting = e
+			due = e
 		case available:
 			if e.acquire() {
 				return e, false
 			}
 		}
 	}
-	if resting != nil && r.acquireTrial(t, resting) {
-		return resting, true
+	if due != nil && r.acquireTrial(set, due) {
+		return due, true
 	}
 	return nil, false
 }
 
 // acquireTrial takes the single trial of a half-open endpoint.
-func (r *Router) acquireTrial(t *endpointSet, e *endpoint) bool {
-	if r.trialsInFlight.Add(1) > int64(1+len(t.all)/targetsPerTrial) || !e.trialInFlight.CompareAndSwap(false, true) {
+func (r *Router) acquireTrial(set *endpointSet, e *endpoint) bool {
+	if r.trialsInFlight.Add(1) > int64(1+len(set.all)/targetsPerTrial) || !e.trialInFlight.CompareAndSwap(false, true) {
 		r.trialsInFlight.Add(-1)
 		return false
 	}
--- a/routing/probe.go
+++ b/routing/probe.go
@@ -30,7 +30,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if at := now.UnixNano(); e.breaker.unresponsive && e.ejectedUntil.Load() > at {
-		e.ejectedUntil.Store(at)
+	if nowNanos := now.UnixNano(); e.breaker.unresponsive && e.ejectedUntil.Load() > nowNanos {
+		e.ejectedUntil.Store(nowNanos)
 	}
 }
--- a/routing/random_events_test.go
+++ b/routing/random_events_test.go
@@ -33,40 +33,40 @@
 
 func TestRandomEvents(t *testing.T) {
 	t.Logf("seed %d, %d steps", *seed, *steps)
-	w := &randomRun{c: qt.New(t), rng: rand.New(rand.NewPCG(*seed, 0)), targets: map[routing.TargetID]*routing.Target{}}
-	w.router = routing.New(routing.Options{Seed: *seed, Zone: "east"})
+	rr := &randomRun{c: qt.New(t), rng: rand.New(rand.NewPCG(*seed, 0)), targets: map[routing.TargetID]*routing.Target{}}
+	rr.router = routing.New(routing.Options{Seed: *seed, Zone: "east"})
 	for range *steps {
-		w.now += time.Duration(w.rng.IntN(2000)) * time.Microsecond
-		w.step()
-		w.check()
+		rr.now += time.Duration(rr.rng.IntN(2000)) * time.Microsecond
+		rr.step()
+		rr.check()
 	}
 }
 
-func (w *randomRun) step() {
-	id := targetID(w.rng.IntN(6))
-	switch n := w.rng.IntN(100); {
+func (rr *randomRun) step() {
+	id := targetID(rr.rng.IntN(6))
+	switch n := rr.rng.IntN(100); {
 	case n < 40:
-		w.pick()
+		rr.pick()
 	case n < 80:
-		w.done()
+		rr.done()
 	case n < 82:
-		w.router.ProbeFailed(at(w.now), id)
+		rr.router.ProbeFailed(at(rr.now), id)
 	case n < 83:
-		w.router.ProbeSucceeded(at(w.now), id)
-	case n < 97 && w.router.AllowRetry(at(w.now), fmt.Sprint(w.rng.IntN(3))):
-		w.retries++
+		rr.router.ProbeSucceeded(at(rr.now), id)
+	case n < 97 && rr.router.AllowRetry(at(rr.now), fmt.Sprint(rr.rng.IntN(3))):
+		rr.retries++
 	case n >= 97:
-		w.changeTarget(id)
+		rr.changeTarget(id)
 	}
 }
 
-func (w *randomRun) changeTarget(id routing.TargetID) {
-	t := w.targets[id]
+func (rr *randomRun) changeTarget(id routing.TargetID) {
+	t := rr.targets[id]
 	switch {
 	case t == nil:
-		w.targets[id] = &routing.Target{ID: id, Zone: "east", Slots: 4, MaxInflight: 1 + w.rng.IntN(16)}
-	case w.rng.IntN(3) == 0:
-		delete(w.targets, id)
+		rr.targets[id] = &routing.Target{ID: id, Zone: "east", Slots: 4, MaxInflight: 1 + rr.rng.IntN(16)}
+	case rr.rng.IntN(3) == 0:
+		delete(rr.targets, id)
 	case t.Draining:
 		*t = routing.Target{ID: id, Slots: 4, MaxInflight: 16, Incarnation: t.Incarnation + 1}
 	default:
@@ -74,62 +74,62 @@
 	}
 	var ts []routing.Target
 	for i := range 6 {
-		if t := w.targets[targetID(i)]; t != nil {
+		if t := rr.targets[targetID(i)]; t != nil {
 			ts = append(ts, *t)
 		}
 	}
-	w.router.SetTargets(at(w.now), ts)
+	rr.router.SetTargets(at(rr.now), ts)
 }
 
-func (w *randomRun) pick() {
-	exclude := targetID(w.rng.IntN(6))
-	q := routing.PickInfo{Account: fmt.Sprint(w.rng.IntN(3)), Exclude: []routing.TargetID{exclude}, AtMostOnce: w.rng.IntN(2) == 0}
-	w.firstAttempts++
-	ticket, refusal := w.router.Pick(at(w.now), q)
+func (rr *randomRun) pick() {
+	exclude := targetID(rr.rng.IntN(6))
+	q := routing.PickInfo{Account: fmt.Sprint(rr.rng.IntN(3)), Exclude: []routing.TargetID{exclude}, AtMostOnce: rr.rng.IntN(2) == 0}
+	rr.firstAttempts++
+	ticket, refusal := rr.router.Pick(at(rr.now), q)
 	if !refusal.OK() {
-		w.c.Assert(refusal.RetryAfter > 0, qt.IsTrue)
+		rr.c.Assert(refusal.RetryAfter > 0, qt.IsTrue)
 		return
 	}
-	t := w.targets[ticket.Target]
-	w.c.Assert(t, qt.IsNotNil)
-	w.c.Assert(t.Draining, qt.IsFalse)
-	w.c.Assert(t.Incarnation, qt.Equals, ticket.Incarnation)
-	w.c.Assert(ticket.Target, qt.Not(qt.Equals), exclude)
-	w.tickets = append(w.tickets, ticket)
+	t := rr.targets[ticket.Target]
+	rr.c.Assert(t, qt.IsNotNil)
+	rr.c.Assert(t.Draining, qt.IsFalse)
+	rr.c.Assert(t.Incarnation, qt.Equals, ticket.Incarnation)
+	rr.c.Assert(ticket.Target, qt.Not(qt.Equals), exclude)
+	rr.tickets = append(rr.tickets, ticket)
 }
 
-func (w *randomRun) done() {
-	if len(w.tickets) == 0 {
+func (rr *randomRun) done() {
+	if len(rr.tickets) == 0 {
 		return
 	}
-	i := w.rng.IntN(len(w.tickets))
-	ticket := w.tickets[i]
-	w.tickets[i] = w.tickets[len(w.tickets)-1]
-	w.tickets = w.tickets[:len(w.tickets)-1]
+	i := rr.rng.IntN(len(rr.tickets))
+	ticket := rr.tickets[i]
+	rr.tickets[i] = rr.tickets[len(rr.tickets)-1]
+	rr.tickets = rr.tickets[:len(rr.tickets)-1]
 	kind := routing.Answered
-	if w.rng.IntN(4) == 0 {
-		kind = routing.OutcomeKind(w.rng.IntN(int(routing.Abandoned) + 1))
+	if rr.rng.IntN(4) == 0 {
+		kind = routing.OutcomeKind(rr.rng.IntN(int(routing.Abandoned) + 1))
 	}
-	w.router.Done(at(w.now), ticket, routing.Outcome{
+	rr.router.Done(at(rr.now), ticket, routing.Outcome{
 		Kind:    kind,
-		Latency: time.Duration(w.rng.IntN(int(20 * time.Millisecond))),
-		Load:    routing.Load{Running: w.rng.IntN(4), Marked: w.rng.IntN(8) == 0, Shedding: w.rng.IntN(8) == 0},
+		Latency: time.Duration(rr.rng.IntN(int(20 * time.Millisecond))),
+		Load:    routing.Load{Running: rr.rng.IntN(4), Marked: rr.rng.IntN(8) == 0, Shedding: rr.rng.IntN(8) == 0},
 	})
 }
 
-func (w *randomRun) check() {
-	s := w.router.Stats()
-	w.c.Assert(s.Inflight, qt.Equals, len(w.tickets))
-	w.c.Assert(float64(w.retries) <= routing.DefaultRetryBurst+routing.DefaultRetryShare*float64(w.firstAttempts), qt.IsTrue)
+func (rr *randomRun) check() {
+	s := rr.router.Stats()
+	rr.c.Assert(s.Inflight, qt.Equals, len(rr.tickets))
+	rr.c.Assert(float64(rr.retries) <= routing.DefaultRetryBurst+routing.DefaultRetryShare*float64(rr.firstAttempts), qt.IsTrue)
 	window := 0
 	for _, t := range s.Targets {
-		w.c.Assert(t.Inflight >= 0, qt.IsTrue)
-		w.c.Assert(t.Window >= 1 && t.Window <= w.targets[t.ID].MaxInflight, qt.IsTrue)
+		rr.c.Assert(t.Inflight >= 0, qt.IsTrue)
+		rr.c.Assert(t.Window >= 1 && t.Window <= rr.targets[t.ID].MaxInflight, qt.IsTrue)
 		if !t.Ejected && !t.Draining {
 			window += t.Window
 		}
 	}
-	w.c.Assert(s.Window, qt.Equals, window)
+	rr.c.Assert(s.Window, qt.Equals, window)
 }
 
 // Picks and outcomes of many requests race with changes of the set of targets.
--- a/routing/retry_after.go
+++ b/routing/retry_after.go
@@ -13,23 +13,23 @@
 )
 
 // refusalFor says why choose found nothing.
-func (r *Router) refusalFor(t *endpointSet, now int64, q PickInfo, a *accountState) Refusal {
-	next := int64(0)
-	for _, e := range t.all {
-		if slices.Contains(q.Exclude, e.id) {
+func (r *Router) refusalFor(set *endpointSet, now int64, info PickInfo, a *accountState) Refusal {
+	nextTrialAt := int64(0)
+	for _, e := range set.all {
+		if slices.Contains(info.Exclude, e.id) {
 			continue
 		}
 		if e.availability(now) == available {
 			return Refusal{Reason: AllSaturated, RetryAfter: a.retrySchedule.next()}
 		}
-		if until := e.ejectedUntil.Load(); until > now && (next == 0 || until < next) {
-			next = until
+		if until := e.ejectedUntil.Load(); until > now && (nextTrialAt == 0 || until < nextTrialAt) {
+			nextTrialAt = until
 		}
 	}
-	if next == 0 {
+	if nextTrialAt == 0 {
 		return Refusal{Reason: NoTargets, RetryAfter: r.options.BaseEjectionTime}
 	}
-	return Refusal{Reason: NoTargets, RetryAfter: max(minRetryAfter, time.Duration(next-now))}
+	return Refusal{Reason: NoTargets, RetryAfter: max(minRetryAfter, time.Duration(nextTrialAt-now))}
 }
 
 // RetryAfter says when a request of the client account that an agent refused
--- a/routing/retry_budget.go
+++ b/routing/retry_budget.go
@@ -21,14 +21,14 @@
 // deposit adds the share of one first attempt. A full bucket stays as it is, so
 // that attempts of long ago do not pay for a later burst of retries.
 func (b *retryBudget) deposit(share float64, burst int) {
-	add := int64(share * tokensPerRetry)
+	earned := int64(share * tokensPerRetry)
 	limit := int64(burst) * tokensPerRetry
 	for {
-		have := b.tokens.Load()
-		if have >= limit {
+		tokens := b.tokens.Load()
+		if tokens >= limit {
 			return
 		}
-		if b.tokens.CompareAndSwap(have, min(have+add, limit)) {
+		if b.tokens.CompareAndSwap(tokens, min(tokens+earned, limit)) {
 			return
 		}
 	}
@@ -36,11 +36,11 @@
 
 func (b *retryBudget) tryWithdraw() bool {
 	for {
-		have := b.tokens.Load()
-		if have < tokensPerRetry {
+		tokens := b.tokens.Load()
+		if tokens < tokensPerRetry {
 			return false
 		}
-		if b.tokens.CompareAndSwap(have, have-tokensPerRetry) {
+		if b.tokens.CompareAndSwap(tokens, tokens-tokensPerRetry) {
 			return true
 		}
 	}
--- a/routing/retry_policy.go
+++ b/routing/retry_policy.go
@@ -19,10 +19,10 @@
 
 // truncate cuts a budget to the burst.
 func (b *retryBudget) truncate(burst int) {
-	most := int64(burst) * tokensPerRetry
+	limit := int64(burst) * tokensPerRetry
 	for {
-		have := b.tokens.Load()
-		if have <= most || b.tokens.CompareAndSwap(have, most) {
+		tokens := b.tokens.Load()
+		if tokens <= limit || b.tokens.CompareAndSwap(tokens, limit) {
 			return
 		}
 	}
--- a/routing/retry_schedule.go
+++ b/routing/retry_schedule.go
@@ -28,27 +28,27 @@
 	if last == 0 || now < last {
 		return
 	}
-	gap := min(now-last, maxAnswerInterval)
-	old := r.answerInterval.Load()
-	r.answerInterval.Store(old + int64(answerIntervalWeight*float64(gap-old)))
+	interval := min(now-last, maxAnswerInterval)
+	average := r.answerInterval.Load()
+	r.answerInterval.Store(average + int64(answerIntervalWeight*float64(interval-average)))
 }
 
 // next gives a refused request its place among those to come back, and returns
 // when that place is due at the rate at which the account is served now.
 func (r *retrySchedule) next() time.Duration {
-	gap := max(1, r.answerInterval.Load())
-	most := int64(maxRetryAfter) / gap
-	owed := r.expected.Load()
-	if owed < most {
-		owed = r.expected.Add(1)
+	interval := max(1, r.answerInterval.Load())
+	maxExpected := int64(maxRetryAfter) / interval
+	expected := r.expected.Load()
+	if expected < maxExpected {
+		expected = r.expected.Add(1)
 	}
-	wait := time.Duration(min(owed, most) * gap)
+	wait := time.Duration(min(expected, maxExpected) * interval)
 	return max(minRetryAfter, wait)
 }
 
 // recordAccepted counts an accepted first attempt against those expected back.
 func (r *retrySchedule) recordAccepted() {
-	if owed := r.expected.Load(); owed > 0 {
-		r.expected.CompareAndSwap(owed, owed-1)
+	if expected := r.expected.Load(); expected > 0 {
+		r.expected.CompareAndSwap(expected, expected-1)
 	}
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -45,19 +45,19 @@
 func (r *Router) SetTargets(_ time.Time, ts []Target) {
 	old := r.endpoints.Load()
 	all := make([]*endpoint, 0, len(ts))
-	kept := make(map[*endpoint]bool, len(ts))
+	retained := make(map[*endpoint]bool, len(ts))
 	for _, t := range ts {
 		e := old.byID[t.ID]
 		if e == nil || e.incarnation != t.Incarnation {
 			e = newEndpoint(t, r.options.InitialWindow)
 		}
 		r.updateEndpoint(e, t)
-		kept[e] = true
+		retained[e] = true
 		all = append(all, e)
 	}
 	r.endpoints.Store(newEndpointSet(r.options.Zone, all))
 	for _, e := range old.all {
-		if !kept[e] {
+		if !retained[e] {
 			r.removeEndpoint(e)
 		}
 	}
@@ -88,16 +88,16 @@
 // sums. The caller holds e.mu.
 func (r *Router) publish(e *endpoint) {
 	e.windowSize.Store(int64(e.window.size))
-	part := e.contribution()
-	r.totals.replace(e.contributed, part)
-	e.contributed = part
+	current := e.contribution()
+	r.totals.replace(e.contributed, current)
+	e.contributed = current
 }
 
 // AllowRetry asks the retry budget for one more attempt after an attempt of the
 // client account ended without an answer. It is the only place that permits
 // one. A refusal is final: the caller gets its answer now.
-func (r *Router) AllowRetry(_ time.Time, name string) bool {
-	a := r.accounts.get(name)
+func (r *Router) AllowRetry(_ time.Time, account string) bool {
+	a := r.accounts.get(account)
 	if !a.retryBudget.tryWithdraw() {
 		return false
 	}
@@ -129,9 +129,9 @@
 
 // Stats returns a snapshot; its parts may be of slightly different times.
 func (r *Router) Stats() Stats {
-	t := r.endpoints.Load()
+	set := r.endpoints.Load()
 	s := Stats{Inflight: int(r.inflight.Load()), Window: int(r.totals.window.Load())}
-	for _, e := range t.all {
+	for _, e := range set.all {
 		s.Targets = append(s.Targets, TargetStats{
 			ID:       e.id,
 			Inflight: int(e.inflight.Load()),
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -17,7 +17,7 @@
 	r := routing.New(routing.Options{})
 	var ts []routing.Target
 	for _, id := range ids {
-		ts = append(ts, routing.Target{ID: id, Slots: slots, MaxInflight: connections})
+		ts = append(ts, routing.Target{ID: id, Slots: slots, MaxInflight: maxInflight})
 	}
 	r.SetTargets(at(0), ts)
 	return r
@@ -78,11 +78,11 @@
 	}
 	c.Assert(trials, qt.Equals, 5) // after 0.25, 0.5, 1, 2 and 4 more seconds
 	r.ProbeSucceeded(at(10*time.Second), "a")
-	seen := false
+	chosen := false
 	for range 20 {
-		seen = seen || runAttempt(r, 10*time.Second, alwaysAnswered) == "a"
+		chosen = chosen || runAttempt(r, 10*time.Second, alwaysAnswered) == "a"
 	}
-	c.Assert(seen, qt.IsTrue)
+	c.Assert(chosen, qt.IsTrue)
 }
 
 // A connection goes silent with eight requests on it, and their ends come in
@@ -91,14 +91,14 @@
 func TestLateOutcomesDoNotExtendEjection(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter("a")
-	var out []routing.Ticket
+	var tickets []routing.Ticket
 	for range slots / 2 {
 		ticket, _ := r.Pick(at(0), routing.PickInfo{})
-		out = append(out, ticket)
+		tickets = append(tickets, ticket)
 	}
 	r.ProbeFailed(at(time.Millisecond), "a")
 	late := routing.DefaultBaseEjectionTime + time.Second
-	for _, ticket := range out {
+	for _, ticket := range tickets {
 		r.Done(at(late), ticket, routing.Outcome{Kind: routing.Unreachable, Latency: late})
 	}
 	c.Assert(runAttempt(r, late, alwaysAnswered), qt.Equals, routing.TargetID("a"))
--- a/routing/simulation_baseline_test.go
+++ b/routing/simulation_baseline_test.go
@@ -7,53 +7,53 @@
 
 // roundRobin is the baseline: targets in turn, three retries, and at the target
 // a first-come-first-served queue without bounds.
-func (d *simulation) roundRobin(e *entrySim, r *request) {
-	a := &attempt{request: r, entry: e, target: e.nextTarget % targets, sentAt: d.now}
+func (s *simulation) roundRobin(e *entrySim, r *request) {
+	a := &attempt{request: r, entry: e, target: e.nextTarget % targets, sentAt: s.now}
 	e.nextTarget++
-	d.attempts++
-	d.schedule(a.networkDelay(), func() { d.arriveAtFIFO(a) })
-	d.schedule(d.attemptTimeout, func() { d.retryRoundRobin(a) })
+	s.attempts++
+	s.schedule(a.networkDelay(), func() { s.arriveAtFIFO(a) })
+	s.schedule(s.attemptTimeout, func() { s.retryRoundRobin(a) })
 }
 
-func (d *simulation) retryRoundRobin(a *attempt) {
+func (s *simulation) retryRoundRobin(a *attempt) {
 	if a.ended || a.request.ended {
 		return
 	}
 	a.ended = true
 	a.request.attempt++
-	if a.request.attempt > 3 || d.now >= a.request.deadline {
-		d.failed++
-		d.finish(a.request, false)
+	if a.request.attempt > 3 || s.now >= a.request.deadline {
+		s.failed++
+		s.finish(a.request, false)
 		return
 	}
-	d.roundRobin(a.entry, a.request)
+	s.roundRobin(a.entry, a.request)
 }
 
-func (d *simulation) arriveAtFIFO(a *attempt) {
-	if d.isUnresponsive(a.target) {
+func (s *simulation) arriveAtFIFO(a *attempt) {
+	if s.isUnresponsive(a.target) {
 		return
 	}
-	if d.isFailing(a.target) {
-		d.schedule(a.networkDelay(), func() { d.retryRoundRobin(a) })
+	if s.isFailing(a.target) {
+		s.schedule(a.networkDelay(), func() { s.retryRoundRobin(a) })
 		return
 	}
-	g := d.agents[a.target]
-	g.fifo = append(g.fifo, a)
-	d.runNextFIFO(g)
+	agent := s.agents[a.target]
+	agent.fifo = append(agent.fifo, a)
+	s.runNextFIFO(agent)
 }
 
-func (d *simulation) runNextFIFO(g *agentSim) {
-	if g.running == slots || len(g.fifo) == 0 {
+func (s *simulation) runNextFIFO(agent *agentSim) {
+	if agent.running == slots || len(agent.fifo) == 0 {
 		return
 	}
-	a := g.fifo[0]
-	g.fifo = g.fifo[1:]
-	g.running++
-	d.schedule(d.serviceTimeAt(a), func() {
-		g.running--
-		d.runNextFIFO(g)
-		if !d.isUnresponsive(a.target) {
-			d.schedule(a.networkDelay(), func() { a.ended = true; d.finish(a.request, true) })
+	a := agent.fifo[0]
+	agent.fifo = agent.fifo[1:]
+	agent.running++
+	s.schedule(s.serviceTimeAt(a), func() {
+		agent.running--
+		s.runNextFIFO(agent)
+		if !s.isUnresponsive(a.target) {
+			s.schedule(a.networkDelay(), func() { a.ended = true; s.finish(a.request, true) })
 		}
 	})
 }
--- a/routing/simulation_test.go
+++ b/routing/simulation_test.go
@@ -48,7 +48,7 @@
 const (
 	targets     = 11
 	slots       = 8
-	connections = 64
+	maxInflight = 64
 )
 
 // result is what one run gave.
@@ -85,15 +85,15 @@
 }
 type eventHeap []timedEvent
 
-func (s eventHeap) Len() int { return len(s) }
-func (s eventHeap) Less(i, j int) bool {
-	return s[i].at < s[j].at || s[i].at == s[j].at && s[i].seq < s[j].seq
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
-func (s eventHeap) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
-func (s *eventHeap) Push(x any)   { *s = append(*s, x.(timedEvent)) }
-func (s *eventHeap) Pop() any {
-	last := (*s)[len(*s)-1]
-	*s = (*s)[:len(*s)-1]
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(x any)   { *h = append(*h, x.(timedEvent)) }
+func (h *eventHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
 
@@ -152,48 +152,48 @@
 	running  int
 }
 
-func (d *simulation) schedule(wait time.Duration, run func()) {
-	d.seq++
-	heap.Push(&d.events, timedEvent{at: d.now + wait, seq: d.seq, run: run})
+func (s *simulation) schedule(wait time.Duration, run func()) {
+	s.seq++
+	heap.Push(&s.events, timedEvent{at: s.now + wait, seq: s.seq, run: run})
 }
 
-func run(p scenario) *result {
-	d := &simulation{scenario: p, rng: rand.New(rand.NewPCG(p.seed, 1))}
-	d.latency = newHistogram()
-	d.refusalLatency = newHistogram()
-	for range p.accountShares {
-		d.accountLatency = append(d.accountLatency, newHistogram())
-		d.accountUsefulLatency = append(d.accountUsefulLatency, newHistogram())
+func run(sc scenario) *result {
+	s := &simulation{scenario: sc, rng: rand.New(rand.NewPCG(sc.seed, 1))}
+	s.latency = newHistogram()
+	s.refusalLatency = newHistogram()
+	for range sc.accountShares {
+		s.accountLatency = append(s.accountLatency, newHistogram())
+		s.accountUsefulLatency = append(s.accountUsefulLatency, newHistogram())
 	}
-	d.accountUseful, d.accountOffered = make([]int, len(p.accountShares)), make([]int, len(p.accountShares))
-	d.createEntriesAndAgents()
-	rate := p.load * targets * slots / meanServiceTime().Seconds()
-	for i, share := range p.accountShares {
-		d.scheduleArrivals(i, rate*share)
+	s.accountUseful, s.accountOffered = make([]int, len(sc.accountShares)), make([]int, len(sc.accountShares))
+	s.createEntriesAndAgents()
+	rate := sc.load * targets * slots / meanServiceTime().Seconds()
+	for i, share := range sc.accountShares {
+		s.scheduleArrivals(i, rate*share)
 	}
-	for len(d.events) > 0 {
-		e := heap.Pop(&d.events).(timedEvent)
-		d.now = e.at
+	for len(s.events) > 0 {
+		e := heap.Pop(&s.events).(timedEvent)
+		s.now = e.at
 		e.run()
 	}
-	d.result.length = p.length
-	return &d.result
+	s.result.length = sc.length
+	return &s.result
 }
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 100_000_000, 3) }
 
-func (d *simulation) createEntriesAndAgents() {
+func (s *simulation) createEntriesAndAgents() {
 	var ts []routing.Target
 	for i := range targets {
-		ts = append(ts, routing.Target{ID: targetID(i), Slots: slots, MaxInflight: connections, Zone: zone(i)})
-		o := d.admission
+		ts = append(ts, routing.Target{ID: targetID(i), Slots: slots, MaxInflight: maxInflight, Zone: zone(i)})
+		o := s.admission
 		o.Slots = slots
-		d.agents = append(d.agents, &agentSim{target: i, queue: admission.New(o), requests: map[admission.ID]*attempt{}})
+		s.agents = append(s.agents, &agentSim{target: i, queue: admission.New(o), requests: map[admission.ID]*attempt{}})
 	}
-	for i := range d.scenario.entries {
-		o := d.routing
-		o.Seed = d.seed + uint64(i)
-		if !d.noZonePreference {
+	for i := range s.scenario.entries {
+		o := s.routing
+		o.Seed = s.seed + uint64(i)
+		if !s.noZonePreference {
 			o.Zone = zone(i)
 		}
 		e := &entrySim{router: routing.New(o), zone: zone(i), lastReplyAt: make([]time.Duration, targets)}
@@ -201,7 +201,7 @@
 		for range targets {
 			e.inFlight = append(e.inFlight, map[*attempt]bool{})
 		}
-		d.entries = append(d.entries, e)
+		s.entries = append(s.entries, e)
 	}
 }
 
@@ -215,9 +215,9 @@
 	paretoShape      = 1.5
 )
 
-func (d *simulation) randomServiceTime() time.Duration {
+func (s *simulation) randomServiceTime() time.Duration {
 	tail := 1 - math.Pow(minServiceMillis/maxServiceMillis, paretoShape)
-	ms := minServiceMillis / math.Pow(1-d.rng.Float64()*tail, 1/paretoShape)
+	ms := minServiceMillis / math.Pow(1-s.rng.Float64()*tail, 1/paretoShape)
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
@@ -227,95 +227,95 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-func (d *simulation) scheduleArrivals(account int, rate float64) {
-	wait := time.Duration(d.rng.ExpFloat64() / rate * float64(time.Second))
-	if d.now+wait > d.scenario.length {
+func (s *simulation) scheduleArrivals(account int, rate float64) {
+	wait := time.Duration(s.rng.ExpFloat64() / rate * float64(time.Second))
+	if s.now+wait > s.scenario.length {
 		return
 	}
-	d.schedule(wait, func() {
-		d.submit(&request{account: account, serviceTime: d.randomServiceTime()})
-		d.scheduleArrivals(account, rate)
+	s.schedule(wait, func() {
+		s.submit(&request{account: account, serviceTime: s.randomServiceTime()})
+		s.scheduleArrivals(account, rate)
 	})
 }
 
-func (d *simulation) submit(r *request) {
-	d.submissions++
+func (s *simulation) submit(r *request) {
+	s.submissions++
 	if r.resubmissions == 0 {
-		d.offered++
+		s.offered++
 	}
 	if r.resubmissions == 0 {
-		d.accountOffered[r.account]++
+		s.accountOffered[r.account]++
 	}
-	r.submittedAt = d.now
-	r.deadline = d.now + d.deadline
-	e := d.entries[d.rng.IntN(len(d.entries))]
-	if d.baseline {
-		d.roundRobin(e, r)
+	r.submittedAt = s.now
+	r.deadline = s.now + s.deadline
+	e := s.entries[s.rng.IntN(len(s.entries))]
+	if s.baseline {
+		s.roundRobin(e, r)
 		return
 	}
-	d.sendAttempt(e, r)
+	s.sendAttempt(e, r)
 }
 
 // isFaulty reports whether the target is one of the n broken ones from index
 // first on, at this time.
-func (d *simulation) isFaulty(target, first, n int) bool {
-	from, to := d.scenario.length/4, 2*d.scenario.length
-	if d.faultsEnd {
-		to = d.scenario.length / 2
+func (s *simulation) isFaulty(target, first, n int) bool {
+	start, end := s.scenario.length/4, 2*s.scenario.length
+	if s.faultsEnd {
+		end = s.scenario.length / 2
 	}
-	return target >= first && target < first+n && d.now >= from && d.now < to
+	return target >= first && target < first+n && s.now >= start && s.now < end
 }
 
-func (d *simulation) isSlow(t int) bool         { return d.isFaulty(t, 0, d.slow) }
-func (d *simulation) isUnresponsive(t int) bool { return d.isFaulty(t, d.slow, d.unresponsive) }
-func (d *simulation) isFailing(t int) bool      { return d.isFaulty(t, d.slow+d.unresponsive, d.failing) }
+func (s *simulation) isSlow(t int) bool         { return s.isFaulty(t, 0, s.slow) }
+func (s *simulation) isUnresponsive(t int) bool { return s.isFaulty(t, s.slow, s.unresponsive) }
+func (s *simulation) isFailing(t int) bool      { return s.isFaulty(t, s.slow+s.unresponsive, s.failing) }
 
-func (d *simulation) finish(r *request, useful bool) {
+func (s *simulation) finish(r *request, useful bool) {
 	if r.ended {
 		return
 	}
 	r.ended = true
-	took := d.now - r.submittedAt
-	if useful && took <= d.deadline {
-		d.useful++
-		d.accountUseful[r.account]++
-		_ = d.accountUsefulLatency[r.account].RecordValue(took.Microseconds())
-		if d.now <= d.scenario.length {
-			d.usefulSlotTime += r.serviceTime
+	latency := s.now - r.submittedAt
+	if useful && latency <= s.deadline {
+		s.useful++
+		s.accountUseful[r.account]++
+		_ = s.accountUsefulLatency[r.account].RecordValue(latency.Microseconds())
+		if s.now <= s.scenario.length {
+			s.usefulSlotTime += r.serviceTime
 		}
 	} else {
-		took = d.deadline
+		latency = s.deadline
 	}
-	_ = d.latency.RecordValue(took.Microseconds())
-	_ = d.accountLatency[r.account].RecordValue(took.Microseconds())
+	_ = s.latency.RecordValue(latency.Microseconds())
+	_ = s.accountLatency[r.account].RecordValue(latency.Microseconds())
 }
 
-func (d *simulation) refuse(r *request, after time.Duration) {
+func (s *simulation) refuse(r *request, retryAfter time.Duration) {
 	if r.ended {
 		return
 	}
-	d.refused++
-	_ = d.refusalLatency.RecordValue((d.now - r.submittedAt).Microseconds())
-	if d.resubmit && r.resubmissions < 10 {
-		again := &request{account: r.account, serviceTime: r.serviceTime, resubmissions: r.resubmissions + 1}
+	s.refused++
+	_ = s.refusalLatency.RecordValue((s.now - r.submittedAt).Microseconds())
+	if s.resubmit && r.resubmissions < 10 {
+		next := &request{account: r.account, serviceTime: r.serviceTime, resubmissions: r.resubmissions + 1}
 		r.ended = true
-		d.schedule(after, func() { d.submit(again) })
+		s.schedule(retryAfter, func() { s.submit(next) })
 		return
 	}
-	d.finish(r, false)
+	s.finish(r, false)
 }
 
-func (d *simulation) weight(account int) int {
-	if account < len(d.accountWeights) {
-		return d.accountWeights[account]
+func (s *simulation) weight(account int) int {
+	if account < len(s.accountWeights) {
+		return s.accountWeights[account]
 	}
 	return 1
 }
 
-func (d *simulation) relativeWeight(account int) float64 {
+func (s *simulation) relativeWeight(account int) float64 {
 	sum := 0
-	for i := range d.accountShares {
-		sum += d.weight(i)
+	for i := range s.accountShares {
+		sum += s.weight(i)
 	}
-	return float64(d.weight(account)*len(d.accountShares)) / float64(sum)
+	return float64(s.weight(account)*len(s.accountShares)) / float64(sum)
 }
--- a/routing/totals.go
+++ b/routing/totals.go
@@ -17,10 +17,10 @@
 	window, failureRates, available atomic.Int64
 }
 
-func (s *totals) replace(old, now contribution) {
-	add(&s.window, now.window-old.window)
-	add(&s.failureRates, now.failureRate-old.failureRate)
-	add(&s.available, now.available-old.available)
+func (t *totals) replace(old, current contribution) {
+	add(&t.window, current.window-old.window)
+	add(&t.failureRates, current.failureRate-old.failureRate)
+	add(&t.available, current.available-old.available)
 }
 
 // add leaves the counter alone where nothing changed: it is shared by all cores.
