--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -31,15 +31,15 @@
 	return sc
 }
 
-// runBoth runs the plan with the baseline and with the candidate.
+// runBoth runs the scenario with the baseline and with the candidate.
 func runBoth(sc scenario) (baseline, candidate *result) {
 	candidate = run(sc)
 	sc.baseline = true
 	return run(sc), candidate
 }
 
-// The figures that the users were promised, on shorter runs than the
-// benchmarks'.
+// Guards the latency under faults and the goodput and fairness under overload, on
+// shorter runs than the benchmarks.
 func TestLatencyAndGoodputTargets(t *testing.T) {
 	c := qt.New(t)
 	sc := faultScenario()
@@ -55,7 +55,7 @@
 	c.Assert(candidate.refusalLatency.Max() < 20*time.Millisecond.Microseconds(), qt.IsTrue)
 }
 
-// One target at a tenth of its speed, one cut off, at 80% of the load of all.
+// One target runs at a tenth of its speed and one is unresponsive, at 80% load.
 func BenchmarkSlowAndUnresponsive(b *testing.B) {
 	for b.Loop() {
 		baseline, candidate := runBoth(faultScenario())
@@ -66,7 +66,7 @@
 	}
 }
 
-// Three times the capacity is offered, nine tenths of it by one client account.
+// The load is three times the capacity, 90% of it from one client account.
 func BenchmarkOverload(b *testing.B) {
 	for b.Loop() {
 		baseline, candidate := runBoth(overloadScenario())
@@ -79,7 +79,7 @@
 	}
 }
 
-// Targets that answer errors at once, at a load that the others can bear.
+// Some targets answer errors at once, and the load is low enough for the others.
 func BenchmarkFailingTargets(b *testing.B) {
 	for _, failing := range []int{1, 8} {
 		b.Run(fmt.Sprint(failing), func(b *testing.B) {
@@ -94,8 +94,7 @@
 	}
 }
 
-// What the agents' congestion control is worth: the heavy account's answers in
-// three times overload, and the attempts spent on them.
+// Compares the kinds of congestion control of the agents at three times the capacity.
 func BenchmarkCongestionControl(b *testing.B) {
 	for _, entries := range []int{3, 12} {
 		for control, name := range []string{"two-phase", "shed-only", "neither"} {
@@ -115,7 +114,7 @@
 	}
 }
 
-// Clients that were refused in a burst of two seconds ask again when told to.
+// Clients that are refused in an overload of two seconds try again after RetryAfter.
 func BenchmarkResubmission(b *testing.B) {
 	for b.Loop() {
 		sc := overloadScenario()
@@ -126,7 +125,8 @@
 	}
 }
 
-// One Pick and its Done on all cores; the baseline compares every target.
+// Measures one Pick and its Done on all cores, with the default number of choices and
+// with a comparison of all targets.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{11, 300, 3400} {
 		for _, choices := range []int{routing.DefaultChoices, n} {
--- a/routing/concurrency_window.go
+++ b/routing/concurrency_window.go
@@ -4,25 +4,26 @@
 
 const (
 	minWindow = 1.0
-	// markedShareWeight is the weight of the newest round in the moving share of
-	// marked replies.
+	// markedShareWeight is the weight of the newest round in the moving average of
+	// the share of marked replies.
 	markedShareWeight = 1.0 / 16
-	// lossFactor is what a loss, or a refusal in lasting congestion, leaves.
+	// lossFactor is applied to the window after a loss, or after a refusal in
+	// lasting congestion.
 	lossFactor = 0.5
 )
 
-// concurrencyWindow bounds the attempts that one entry has in flight at one target. It
-// grows by one per round of clear replies, is cut in proportion to the moving
-// share of marked replies once per round, and is halved by a loss at most once
-// per round. A round is as many replies as the concurrencyWindow holds, or one latency,
-// whichever comes first. The owner holds the endpoint's mutex.
+// concurrencyWindow bounds the attempts that one entry has in flight at one
+// target. Like the congestion window of DCTCP, it grows by one per round without
+// marks, shrinks once per round in proportion to the average share of marked
+// replies, and is halved by a loss at most once per round trip. A round is as many
+// replies as the window holds. It is guarded by the endpoint's mutex.
 type concurrencyWindow struct {
 	size          float64
 	maxSize       float64
-	markedShare   float64 // moving share of marked replies
+	markedShare   float64 // moving average of the share of marked replies
 	replies       int     // in the current round
-	markedReplies int
-	nextCutAt     int64 // no second drastic cut before
+	markedReplies int     // in the current round
+	nextCutAt     int64   // Unix nanoseconds; losses before it do not shrink the window again
 }
 
 func newConcurrencyWindow(initialSize, maxSize int) concurrencyWindow {
@@ -31,8 +32,8 @@
 	return w
 }
 
-// recordReply counts one recordReply. busy says that the window was in use: an idle window
-// does not grow, since nothing shows that the target would bear more.
+// recordReply counts one reply. The window grows only while it is in use:
+// otherwise nothing shows that the target can take more.
 func (w *concurrencyWindow) recordReply(marked, inUse bool) {
 	w.replies++
 	if marked {
@@ -51,8 +52,8 @@
 	w.replies, w.markedReplies = 0, 0
 }
 
-// recordLoss halves the window, at most once per round trip: the attempts of one
-// round all fail for the same cause.
+// recordLoss halves the window, at most once per round trip, since the losses of
+// one round trip have one cause.
 func (w *concurrencyWindow) recordLoss(now int64, roundTrip time.Duration) {
 	if now < w.nextCutAt {
 		return
--- a/routing/concurrency_window_test.go
+++ b/routing/concurrency_window_test.go
@@ -6,9 +6,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A target's queue grows. Marks come with the answers and must slow the entry a
-// little at once and more while they last; halving at each would leave slots
-// idle. Refusals of one moment have one cause and halve the window once.
+// Guards against idle slots after too strong a reaction to marked replies, and against
+// halving the window for each of several losses of one round trip.
 func TestMarksShrinkWindowGraduallyAndLossesHalveItOnce(t *testing.T) {
 	c := qt.New(t)
 	w := newConcurrencyWindow(64, 64)
--- a/routing/done.go
+++ b/routing/done.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Done hands a ticket back with the outcome of its attempt.
+// Done returns a ticket with the outcome of its attempt. It panics if the
+// endpoint has no attempt in flight, as when a ticket is returned twice.
 func (r *Router) Done(now time.Time, t Ticket, o Outcome) {
 	e := t.endpoint
 	nowNanos := now.UnixNano()
@@ -28,10 +29,10 @@
 	r.publish(e)
 }
 
-// applyOutcome adapts the window and the breaker to one outcome. The caller holds
-// e.mu.
+// applyOutcome updates the endpoint's window and breaker. The caller holds e.mu.
 func (r *Router) applyOutcome(e *endpoint, now int64, t Ticket, o Outcome, windowInUse bool) {
-	// What was sent before an ejection tells no more than the ejection did.
+	// The outcome of an attempt sent before the last ejection adds nothing to
+	// what caused the ejection.
 	if t.sentAt < e.breaker.ejectedAt {
 		return
 	}
@@ -52,9 +53,9 @@
 			e.window.recordLoss(now, roundTrip)
 		}
 	case TimedOut:
-		// A deadline shorter than the target's usual latency says nothing about
-		// the target. Without this an account with hopeless deadlines would
-		// eject every target for all.
+		// A deadline shorter than the target's usual latency says nothing about the
+		// target. If it counted, one account with too short deadlines would get
+		// every target ejected for all accounts.
 		if o.Latency >= minTimeoutFactor*e.expectedLatency() {
 			r.recordLoss(e, now, roundTrip)
 		}
@@ -65,6 +66,8 @@
 	}
 }
 
+// recordLoss counts an attempt without an answer and ejects the endpoint after
+// several in a row.
 func (r *Router) recordLoss(e *endpoint, now int64, roundTrip time.Duration) {
 	e.window.recordLoss(now, roundTrip)
 	if e.breaker.recordLoss() {
@@ -72,8 +75,9 @@
 	}
 }
 
-// finishTrial ends a trial: an answer opens the endpoint, anything else ejects it
-// for longer.
+// finishTrial ends a trial. An answer or a refusal makes the endpoint available
+// again, an abandoned trial leaves it due for another one, and any other outcome
+// ejects it for longer.
 func (r *Router) finishTrial(e *endpoint, now int64, o Outcome) {
 	e.trialInFlight.Store(false)
 	r.trialsInFlight.Add(-1)
@@ -87,8 +91,8 @@
 	}
 }
 
-// eject closes the endpoint until its backoff has passed. An ejection under way
-// is not extended: several attempts that fail for one cause count once.
+// eject makes the endpoint unavailable until its backoff has passed. A current
+// ejection is not extended: attempts that fail for one cause count once.
 func (r *Router) eject(e *endpoint, now int64) {
 	if e.ejectedUntil.Load() > now {
 		return
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// latencyWeight is the weight of the newest answer in the latency average.
+	// latencyWeight is the weight of the newest answer in the average latency.
 	latencyWeight = 1.0 / 16
-	// assumedLatency is taken for the latency before the first answer.
+	// assumedLatency is the expected latency before the first answer.
 	assumedLatency = 100 * time.Millisecond
 )
 
-// availability says whether an endpoint may be chosen.
+// availability is whether an endpoint may be chosen.
 type availability int
 
 const (
@@ -22,30 +22,32 @@
 	unavailable
 )
 
-// endpoint is what one entry knows about one target. The atomics are what a
-// pick reads; the rest is changed by outcomes, under mu.
+// endpoint is what one entry knows about one target. Pick reads only the
+// atomics. The fields after mu are guarded by it.
 type endpoint struct {
 	id          TargetID
 	zone        string
 	incarnation uint64
 
 	inflight       atomic.Int64
-	windowSize     atomic.Int64 // whole attempts
-	latency        atomic.Int64 // moving average, nanoseconds; 0 while unknown
-	slots          atomic.Int64
-	othersLoad     atomic.Int64 // reported requests that are not this entry's
-	loadReportedAt atomic.Int64 // when
+	windowSize     atomic.Int64 // window.size, rounded down
+	latency        atomic.Int64 // moving average in nanoseconds; 0 while unknown
+	slots          atomic.Int64 // requests that the target runs at the same time
+	othersLoad     atomic.Int64 // requests of other entries at the target, as last reported
+	loadReportedAt atomic.Int64 // Unix nanoseconds
 	draining       atomic.Bool
 	removed        atomic.Bool
-	ejectedUntil   atomic.Int64 // 0 while open
-	trialInFlight  atomic.Bool  // the half-open attempt is in flight
+	ejectedUntil   atomic.Int64 // Unix nanoseconds; 0 while not ejected
+	trialInFlight  atomic.Bool
 
 	mu          sync.Mutex
 	window      concurrencyWindow
 	breaker     breaker
-	contributed contribution // in the router's sums
+	contributed contribution // what Router.totals includes of this endpoint
 }
 
+// newEndpoint returns an endpoint without measurements. Its initial window is the
+// target's number of slots if initialWindow is 0.
 func newEndpoint(t Target, initialWindow int) *endpoint {
 	if initialWindow == 0 {
 		initialWindow = t.Slots
@@ -58,6 +60,8 @@
 	return e
 }
 
+// availability returns whether the endpoint may be chosen now, or only for a trial
+// after its ejection.
 func (e *endpoint) availability(now int64) availability {
 	if e.draining.Load() || e.removed.Load() {
 		return unavailable
@@ -72,9 +76,10 @@
 	return unavailable
 }
 
-// estimatedLoad estimates the requests at the target: this entry's own, which are
-// known, and those of others as last reported. A report fades with age;
-// otherwise a target that was once busy would never be asked again.
+// estimatedLoad estimates the number of requests at the target: this entry's
+// own, and those of other entries as last reported. The weight of a report
+// decreases to zero with its age, since a target that is not chosen sends no new
+// one.
 func (e *endpoint) estimatedLoad(now, staleAfter int64) int64 {
 	own := e.inflight.Load()
 	age := now - e.loadReportedAt.Load()
@@ -84,19 +89,20 @@
 	return own + e.othersLoad.Load()*(staleAfter-age)/staleAfter
 }
 
-// cost is the expected completion time of one more attempt, up to a common
-// factor: latency times the requests it would share the slots with.
+// cost is proportional to the expected completion time of one more attempt: the
+// latency times the requests per slot.
 func (e *endpoint) cost(now, staleAfter int64) float64 {
 	load := float64(e.estimatedLoad(now, staleAfter) + 1)
 	return float64(e.latency.Load()+1) * load / float64(e.slots.Load())
 }
 
-// hasFreeSlot reports whether a slot is expected to be free.
+// hasFreeSlot reports whether the target is expected to have a free slot.
 func (e *endpoint) hasFreeSlot(now, staleAfter int64) bool {
 	return e.estimatedLoad(now, staleAfter) < e.slots.Load()
 }
 
-// acquire takes one place in the window.
+// acquire counts one more attempt in flight. It returns false if the window is
+// full.
 func (e *endpoint) acquire() bool {
 	for {
 		inflight := e.inflight.Load()
@@ -115,6 +121,7 @@
 	}
 }
 
+// recordLoad stores the load that the agent reported with a reply.
 func (e *endpoint) recordLoad(now int64, l Load) {
 	if l.Slots > 0 {
 		e.slots.Store(int64(l.Slots))
@@ -136,7 +143,8 @@
 	e.latency.Store(average + int64(latencyWeight*float64(int64(latency)-average)))
 }
 
-// expectedLatency is the measured latency, or a guess while nothing is known.
+// expectedLatency returns the average latency, or assumedLatency before the first
+// answer.
 func (e *endpoint) expectedLatency() time.Duration {
 	if latency := e.latency.Load(); latency > 0 {
 		return time.Duration(latency)
@@ -144,7 +152,7 @@
 	return assumedLatency
 }
 
-// contribution returns what the endpoint adds to the router's sums.
+// contribution returns what the endpoint adds to the router's totals.
 func (e *endpoint) contribution() contribution {
 	if e.draining.Load() || e.removed.Load() || e.ejectedUntil.Load() != 0 {
 		return contribution{}
--- a/routing/endpoint_set.go
+++ b/routing/endpoint_set.go
@@ -1,7 +1,6 @@
 package routing
 
-// endpointSet is the set of endpoints at one time. It is never changed once
-// published.
+// endpointSet is an immutable set of endpoints.
 type endpointSet struct {
 	all      []*endpoint
 	sameZone []*endpoint // in the entry's own availability zone
--- a/routing/options.go
+++ b/routing/options.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Options are the settings of a Router. Zero fields take the defaults named
-// beside them.
+// Options are the settings of a Router. A zero field takes the default named in
+// parentheses.
 type Options struct {
-	Seed uint64 // of the router's own random numbers
+	Seed uint64 // seeds random choices and the hash of client accounts
 	Zone string // the entry's availability zone; empty means no preference
 
 	Choices          int           // endpoints compared for one pick (DefaultChoices)
-	InitialWindow    int           // window of a new endpoint (its slots)
-	BaseEjectionTime time.Duration // first ejection (DefaultEjectBase)
-	MaxEjectionTime  time.Duration // longest ejection (DefaultEjectMax)
-	StaleAfter       time.Duration // age at which a load report counts for nothing (DefaultStaleAfter)
+	InitialWindow    int           // window of a new endpoint (the target's slots)
+	BaseEjectionTime time.Duration // duration of the first ejection (DefaultBaseEjectionTime)
+	MaxEjectionTime  time.Duration // longest ejection (DefaultMaxEjectionTime)
+	StaleAfter       time.Duration // age from which a load report is ignored (DefaultStaleAfter)
 
-	RetryShare        float64 // retries per first attempt, all client accounts together (DefaultRetryShare)
+	RetryShare        float64 // retries per first attempt, of all client accounts together (DefaultRetryShare)
 	AccountRetryShare float64 // retries per first attempt of one client account (DefaultAccountRetryShare)
-	RetryBurst        int     // retries allowed before any first attempt is counted (DefaultRetryBurst)
+	RetryBurst        int     // most retries that a budget holds, and what it starts with (DefaultRetryBurst)
 }
 
 // Defaults of Options.
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// accountShareFactor bounds a client account of mean weight to this multiple of
-	// the free places in all windows. Alone it can fill 2/3 of them; the rest
-	// stays free for others, whatever it offers.
+	// accountShareFactor bounds the attempts in flight of a client account of mean
+	// weight to this multiple of the free capacity of all windows. A single account
+	// can thus use at most 2/3 of the capacity, and the rest stays free for others.
 	accountShareFactor = 2
-	// targetsPerTrial bounds the trials in flight to one, and one more for each so
-	// many targets: when many targets come due at once, only few requests are
-	// risked.
+	// targetsPerTrial bounds the concurrent trials to one, plus one for each that
+	// many targets. When many targets become due at once, as after the failure of
+	// an availability zone, only few requests are put at risk.
 	targetsPerTrial = 32
 )
 
-// Pick chooses a target for one attempt and takes a place in its window. When
-// the Refusal is OK, the Ticket goes back to Done exactly once. Otherwise
-// nothing was taken and the request has not run.
+// Pick chooses a target for one attempt and reserves capacity in its window. If
+// the Refusal is OK, the caller must pass the Ticket to Done exactly once.
+// Otherwise nothing is reserved and the request has not run.
 func (r *Router) Pick(now time.Time, info PickInfo) (Ticket, Refusal) {
 	if !info.Deadline.IsZero() && !now.Before(info.Deadline) {
 		return Ticket{}, Refusal{Reason: DeadlineExceeded}
@@ -42,9 +42,9 @@
 	return Ticket{Target: e.id, Incarnation: e.incarnation, Trial: trial, endpoint: e, account: a, sentAt: nowNanos}, Refusal{}
 }
 
-// withinAccountShare keeps one client account's overload from filling the windows, so
-// that requests of the others still reach the agents, where the fair queue
-// serves them by weight.
+// withinAccountShare reports whether a client account may have one more attempt in
+// flight. The limit keeps an account that overloads the service from filling the
+// windows, so that requests of other accounts still reach the agents' fair queues.
 func (r *Router) withinAccountShare(a *accountState, weight float64) bool {
 	if weight == 0 {
 		weight = 1
@@ -53,9 +53,10 @@
 	return float64(a.inflight.Load()) < max(1, accountShareFactor*weight*free)
 }
 
-// chooseEndpoint takes a place at the cheapest of a few random endpoints: of the own
-// availability zone while one of them has a free slot, else of all. When none
-// of the sample has a place, the first endpoint with one is taken.
+// chooseEndpoint reserves capacity at the cheapest of a few random endpoints and
+// reports whether the attempt is a trial. It prefers the entry's own availability
+// zone while the endpoint sampled there has a free slot. If the sample has no
+// capacity, it takes any endpoint that has.
 func (r *Router) chooseEndpoint(set *endpointSet, now int64, info PickInfo) (*endpoint, bool) {
 	staleAfter := int64(r.options.StaleAfter)
 	if e, trial := r.sample(set, set.sameZone, now, info); e != nil && (trial || e.hasFreeSlot(now, staleAfter)) {
@@ -69,8 +70,9 @@
 	return r.scan(set, now, info)
 }
 
-// sample returns the cheapest open endpoint of a few random ones, or one that
-// is due for its trial, with the trial already taken.
+// sample returns the cheapest available endpoint of a few random candidates,
+// without reserving capacity, or one that is due for a trial, with the trial
+// already acquired.
 func (r *Router) sample(set *endpointSet, candidates []*endpoint, now int64, info PickInfo) (*endpoint, bool) {
 	if len(candidates) == 0 {
 		return nil, false
@@ -99,8 +101,9 @@
 	return best, false
 }
 
-// scan looks at every endpoint from a random one on. Trials come second here
-// and are open to every request: nothing else is left.
+// scan checks every endpoint, starting at a random one, and takes the first that
+// is available and has capacity. Only if there is none it takes a trial, whatever
+// the request.
 func (r *Router) scan(set *endpointSet, now int64, info PickInfo) (*endpoint, bool) {
 	if len(set.all) == 0 {
 		return nil, false
@@ -127,7 +130,8 @@
 	return nil, false
 }
 
-// acquireTrial takes the single trial of a half-open endpoint.
+// acquireTrial starts the trial of an endpoint that is due for one. It returns
+// false if the endpoint's trial or too many others are in flight.
 func (r *Router) acquireTrial(set *endpointSet, e *endpoint) bool {
 	if r.trialsInFlight.Add(1) > int64(1+len(set.all)/targetsPerTrial) || !e.trialInFlight.CompareAndSwap(false, true) {
 		r.trialsInFlight.Add(-1)
@@ -137,6 +141,8 @@
 	return true
 }
 
+// randomIntN returns a number in [0, n) from a SplitMix64 generator, which needs
+// no lock.
 func (r *Router) randomIntN(n int) int {
 	return int(mix(r.rngState.Add(0x9e3779b97f4a7c15)) % uint64(n))
 }
--- a/routing/probe.go
+++ b/routing/probe.go
@@ -2,13 +2,12 @@
 
 import "time"
 
-// ProbeFailed reports that a connection to the target went silent, as found by
-// probing. The target is ejected at once. The entry ends the attempts in flight
-// there as Unreachable.
+// ProbeFailed reports that a connection to the target does not respond to a probe.
+// It ejects the target. The entry ends the attempts in flight there as
+// Unreachable.
 //
-// It guards against a path that lost track of an open connection: requests sent
-// on it vanish without an error until an idle timeout of minutes. Only an
-// answer proves the path, so the entry probes where it waits in vain.
+// It detects connections whose path has dropped their state, where requests
+// vanish without an error until an idle timeout of minutes.
 func (r *Router) ProbeFailed(now time.Time, id TargetID) {
 	e := r.endpoints.Load().byID[id]
 	if e == nil {
@@ -21,8 +20,8 @@
 	r.publish(e)
 }
 
-// ProbeSucceeded reports that a target ejected for silence has answered a probe. It is
-// due for its trial now instead of after its backoff.
+// ProbeSucceeded reports that the target answered a probe. If the target was
+// ejected as unresponsive, its trial is due now instead of after the backoff.
 func (r *Router) ProbeSucceeded(now time.Time, id TargetID) {
 	e := r.endpoints.Load().byID[id]
 	if e == nil {
--- a/routing/random_events_test.go
+++ b/routing/random_events_test.go
@@ -18,8 +18,7 @@
 	seed  = flag.Uint64("seed", 1, "seed of the randomised run")
 )
 
-// randomRun drives a router with random events and keeps its own account of what
-// must hold.
+// randomRun drives a router with random events and checks its invariants after each.
 type randomRun struct {
 	c             *qt.C
 	rng           *rand.Rand
@@ -132,7 +131,7 @@
 	rr.c.Assert(s.Window, qt.Equals, window)
 }
 
-// Picks and outcomes of many requests race with changes of the set of targets.
+// Guards against data races between Pick, Done, Stats and SetTargets.
 func TestConcurrentUse(t *testing.T) {
 	r := newRouter("a", "b", "c")
 	var wg sync.WaitGroup
--- a/routing/retry_after.go
+++ b/routing/retry_after.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// minRetryAfter and maxRetryAfter bound the time that a refused request is
-	// told to wait.
+	// minRetryAfter and maxRetryAfter bound the delays of retrySchedule.
 	minRetryAfter = 10 * time.Millisecond
 	maxRetryAfter = 10 * time.Second
 )
 
-// refusalFor says why choose found nothing.
+// refusalFor returns the reason why chooseEndpoint found no endpoint, and when to
+// try again: when a window is expected to be free, or at the next trial.
 func (r *Router) refusalFor(set *endpointSet, now int64, info PickInfo, a *accountState) Refusal {
 	nextTrialAt := int64(0)
 	for _, e := range set.all {
@@ -32,8 +32,9 @@
 	return Refusal{Reason: NoTargets, RetryAfter: max(minRetryAfter, time.Duration(nextTrialAt-now))}
 }
 
-// RetryAfter says when a request of the client account that an agent refused
-// for good is to come back. It counts the request among those expected.
+// RetryAfter returns when a client should send a request again that an agent
+// refused and that is not retried by the entry. Each call counts one more request
+// that is expected back.
 func (r *Router) RetryAfter(account string) time.Duration {
 	return r.accounts.get(account).retrySchedule.next()
 }
--- a/routing/retry_budget.go
+++ b/routing/retry_budget.go
@@ -2,24 +2,24 @@
 
 import "sync/atomic"
 
-// tokensPerRetry is one retry in the units of a budget.
+// tokensPerRetry is the number of tokens that one retry costs. It allows first
+// attempts to deposit fractions of a retry.
 const tokensPerRetry = 1000
 
-// retryBudget is a token bucket that first attempts fill and retries empty. Retries
-// never exceed burst + share x first attempts.
+// retryBudget is a token bucket that first attempts fill and retries empty.
+// Except for refunds, retries never exceed burst + share * first attempts.
 //
-// It guards against retry amplification: when targets fail, each failed attempt
-// would be tried again, the extra load makes more attempts fail, and the
-// overload outlasts its cause. The share bounds the extra load to a fixed part
-// of the offered load.
+// It prevents retry amplification: without it, retries of failed attempts add
+// load, the load makes more attempts fail, and the overload outlasts its cause.
 type retryBudget struct {
 	tokens atomic.Int64
 }
 
+// reset fills the bucket to burst retries.
 func (b *retryBudget) reset(burst int) { b.tokens.Store(int64(burst) * tokensPerRetry) }
 
 // deposit adds the share of one first attempt. A full bucket stays as it is, so
-// that attempts of long ago do not pay for a later burst of retries.
+// that past attempts do not allow an unlimited burst of retries.
 func (b *retryBudget) deposit(share float64, burst int) {
 	earned := int64(share * tokensPerRetry)
 	limit := int64(burst) * tokensPerRetry
@@ -34,6 +34,7 @@
 	}
 }
 
+// tryWithdraw takes the tokens of one retry and reports whether there were enough.
 func (b *retryBudget) tryWithdraw() bool {
 	for {
 		tokens := b.tokens.Load()
--- a/routing/retry_policy.go
+++ b/routing/retry_policy.go
@@ -1,14 +1,14 @@
 package routing
 
-// RetryPolicy is the policy of the retry budget.
+// RetryPolicy limits the retries of a Router.
 type RetryPolicy struct {
-	Share        float64 // retries per first attempt, all client accounts together
+	Share        float64 // retries per first attempt, of all client accounts together
 	AccountShare float64 // retries per first attempt of one client account
-	Burst        int     // retries that the budget holds at most
+	Burst        int     // most retries that a budget holds
 }
 
-// SetRetryPolicy puts a policy in force. Zeros mean no retries. Budgets that hold
-// more than the new burst are cut to it. It is safe for concurrent use.
+// SetRetryPolicy replaces the retry policy. The zero policy allows no retries.
+// Budgets that hold more than the new burst are reduced to it.
 func (r *Router) SetRetryPolicy(p RetryPolicy) {
 	r.retryPolicy.Store(&p)
 	r.retryBudget.truncate(p.Burst)
@@ -17,7 +17,7 @@
 	}
 }
 
-// truncate cuts a budget to the burst.
+// truncate reduces the budget to at most burst retries.
 func (b *retryBudget) truncate(burst int) {
 	limit := int64(burst) * tokensPerRetry
 	for {
--- a/routing/retry_schedule.go
+++ b/routing/retry_schedule.go
@@ -5,24 +5,26 @@
 	"time"
 )
 
-// retrySchedule spaces the refused requests of a client account. Each is told to come
-// back when its place in the line would be served. With one fixed time for all,
-// they would ask again together, be refused together, and give up.
+// retrySchedule spreads out the refused requests of a client account: each is told
+// to come back when the service, at its current rate, will have served those
+// refused before it. With the same delay for all, they would return at once and
+// be refused again.
 type retrySchedule struct {
-	expected       atomic.Int64 // refused requests expected back
-	answerInterval atomic.Int64 // moving average between answers, nanoseconds
-	lastAnswerAt   atomic.Int64 // of the last answer
+	expected       atomic.Int64 // refused requests that have not come back
+	answerInterval atomic.Int64 // moving average of the time between answers, nanoseconds
+	lastAnswerAt   atomic.Int64 // Unix nanoseconds; 0 before the first answer
 }
 
 const (
-	// answerIntervalWeight is the weight of the newest gap between answers.
+	// answerIntervalWeight is the weight of the newest interval in the average.
 	answerIntervalWeight = 1.0 / 16
-	// maxAnswerInterval bounds one gap: an idle hour is not a slow service.
+	// maxAnswerInterval bounds one interval, since a long pause between requests
+	// does not mean that the service is slow.
 	maxAnswerInterval = int64(time.Second)
 )
 
-// recordAnswer counts one answer. Concurrent calls may lose an update; the average
-// stays near.
+// recordAnswer updates the average interval between answers. Concurrent calls may
+// lose an update, which the average tolerates.
 func (r *retrySchedule) recordAnswer(now int64) {
 	last := r.lastAnswerAt.Swap(now)
 	if last == 0 || now < last {
@@ -33,8 +35,8 @@
 	r.answerInterval.Store(average + int64(answerIntervalWeight*float64(interval-average)))
 }
 
-// next gives a refused request its place among those to come back, and returns
-// when that place is due at the rate at which the account is served now.
+// next counts one more refused request and returns the delay after which it should
+// come back.
 func (r *retrySchedule) next() time.Duration {
 	interval := max(1, r.answerInterval.Load())
 	maxExpected := int64(maxRetryAfter) / interval
@@ -46,7 +48,8 @@
 	return max(minRetryAfter, wait)
 }
 
-// recordAccepted counts an accepted first attempt against those expected back.
+// recordAccepted takes one request off those expected back, because an attempt of
+// the account was accepted.
 func (r *retrySchedule) recordAccepted() {
 	if expected := r.expected.Load(); expected > 0 {
 		r.expected.CompareAndSwap(expected, expected-1)
--- a/routing/router.go
+++ b/routing/router.go
@@ -6,7 +6,7 @@
 )
 
 // Router chooses targets for one service at one entry. See the package comment
-// for which methods may be called concurrently.
+// for concurrent use.
 type Router struct {
 	options     Options
 	endpoints   atomic.Pointer[endpointSet]
@@ -14,9 +14,9 @@
 	retryBudget retryBudget
 	retryPolicy atomic.Pointer[RetryPolicy]
 
-	rngState       atomic.Uint64 // state of the random numbers
-	inflight       atomic.Int64  // attempts in flight
-	trialsInFlight atomic.Int64  // of them, trials
+	rngState       atomic.Uint64 // state of the random number generator
+	inflight       atomic.Int64  // attempts at all targets, including trials
+	trialsInFlight atomic.Int64
 	totals         totals
 }
 
@@ -38,10 +38,10 @@
 	return r
 }
 
-// SetTargets replaces the set of targets. A target known before with the same
-// incarnation keeps its measurements. One goroutine calls it. A target that is
-// draining or absent gets nothing new from the next Pick on; tickets out for it
-// stay valid for Done.
+// SetTargets replaces the set of targets. A target that was known with the same
+// incarnation keeps its measurements. Draining and removed targets get no new
+// attempts from the next Pick on; tickets for them stay valid for Done. SetTargets
+// must not be called concurrently with itself.
 func (r *Router) SetTargets(_ time.Time, ts []Target) {
 	old := r.endpoints.Load()
 	all := make([]*endpoint, 0, len(ts))
@@ -69,8 +69,9 @@
 	e.slots.Store(int64(max(1, t.Slots)))
 	e.window.maxSize = max(minWindow, float64(t.MaxInflight))
 	e.window.size = min(e.window.size, e.window.maxSize)
-	// The agent's own word that it drains stands until its next incarnation:
-	// membership may be older than the reply that carried it.
+	// Draining is never cleared here. The agent may have reported it in a reply
+	// that is newer than the membership data, and a target that drains stays so
+	// until its next incarnation.
 	if t.Draining {
 		e.draining.Store(true)
 	}
@@ -84,8 +85,8 @@
 	r.publish(e)
 }
 
-// publish makes the window visible to picks, and the endpoint's part to the
-// sums. The caller holds e.mu.
+// publish makes the window size visible to Pick and updates the router's totals.
+// The caller holds e.mu.
 func (r *Router) publish(e *endpoint) {
 	e.windowSize.Store(int64(e.window.size))
 	current := e.contribution()
@@ -93,9 +94,10 @@
 	e.contributed = current
 }
 
-// AllowRetry asks the retry budget for one more attempt after an attempt of the
-// client account ended without an answer. It is the only place that permits
-// one. A refusal is final: the caller gets its answer now.
+// AllowRetry takes one retry from the budgets of the client account and the
+// router, and reports whether both allowed it. An entry calls it before every
+// attempt after the first; when it returns false, the request is answered without
+// another attempt.
 func (r *Router) AllowRetry(_ time.Time, account string) bool {
 	a := r.accounts.get(account)
 	if !a.retryBudget.tryWithdraw() {
@@ -108,26 +110,28 @@
 	return false
 }
 
-// refundRetry pays for the attempt that follows a refusal by a draining target. A
-// planned stop would otherwise use up the budget, and then fail requests that
-// others could serve. It can't multiply load: the target gets nothing more.
+// refundRetry pays for the attempt that follows a refusal by a draining target.
+// Otherwise a planned stop would use up the budget and fail requests that other
+// targets could serve. It can't amplify load, as the draining target gets no new
+// attempts.
 func (r *Router) refundRetry(a *accountState) {
 	a.retryBudget.refund()
 	r.retryBudget.refund()
 }
 
+// depositRetry adds the share of one first attempt to both budgets.
 func (r *Router) depositRetry(a *accountState) {
 	p := r.retryPolicy.Load()
 	a.retryBudget.deposit(p.AccountShare, p.Burst)
 	r.retryBudget.deposit(p.Share, p.Burst)
 }
 
-// meanFailureRate is the mean failure rate of the open endpoints.
+// meanFailureRate returns the mean failure rate of the available endpoints.
 func (r *Router) meanFailureRate() float64 {
 	return float64(r.totals.failureRates.Load()) / ppm / float64(max(1, r.totals.available.Load()))
 }
 
-// Stats returns a snapshot; its parts may be of slightly different times.
+// Stats returns a snapshot. Its values are not read atomically as a whole.
 func (r *Router) Stats() Stats {
 	set := r.endpoints.Load()
 	s := Stats{Inflight: int(r.inflight.Load()), Window: int(r.totals.window.Load())}
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -23,7 +23,8 @@
 	return r
 }
 
-// runAttempt makes one attempt that takes a millisecond.
+// runAttempt makes one attempt that takes a millisecond. It returns the target, or ""
+// if there was none.
 func runAttempt(r *routing.Router, now time.Duration, kind func(routing.TargetID) routing.OutcomeKind) routing.TargetID {
 	ticket, refusal := r.Pick(at(now), routing.PickInfo{})
 	if !refusal.OK() {
@@ -36,9 +37,8 @@
 
 func alwaysAnswered(routing.TargetID) routing.OutcomeKind { return routing.Answered }
 
-// A worker is told to leave. Requests routed to it afterwards would be cut off
-// by its stop. Its agent's reply says so before membership does, and membership
-// that is behind must not undo it.
+// Guards against new attempts at a target whose agent reported in a reply that it
+// drains, even while the membership data does not say so yet.
 func TestDrainingTargetGetsNothingNew(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter("a", "b")
@@ -57,9 +57,8 @@
 	}
 }
 
-// A connection goes silent: something between the ends forgot it. Every request
-// sent on it would wait for its deadline. Once probing found that, the target
-// gets nothing, and then single trials, ever more rarely, until it answers.
+// Guards against requests that time out on a connection that vanished: after a failed
+// probe the target gets only single trials, with exponential backoff.
 func TestUnresponsiveTargetGetsOnlyRareTrials(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter("a", "b")
@@ -85,9 +84,8 @@
 	c.Assert(chosen, qt.IsTrue)
 }
 
-// A connection goes silent with eight requests on it, and their ends come in
-// long after the target was ejected. They tell nothing new: were each counted,
-// the target would stay away for minutes after it has recovered.
+// Guards against an ejection of minutes caused by several attempts that were in
+// flight when the target became unresponsive.
 func TestLateOutcomesDoNotExtendEjection(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter("a")
@@ -104,9 +102,8 @@
 	c.Assert(runAttempt(r, late, alwaysAnswered), qt.Equals, routing.TargetID("a"))
 }
 
-// An availability zone returns: its targets all come due for a trial at once. If
-// most are still gone, each trial holds a client's request up, so only few may
-// be risked at a time.
+// Guards against many requests delayed by trials at once, when all targets of an
+// availability zone become due for a trial together.
 func TestConcurrentTrialsAreBounded(t *testing.T) {
 	var ids []routing.TargetID
 	for i := range 96 {
@@ -125,9 +122,8 @@
 	qt.Assert(t, trials, qt.Equals, 4)
 }
 
-// A target fails everything, after a quiet hour in which all went well. Clients
-// and entry together would repeat each request several times; the budget holds
-// the extra load to its burst and a tenth, and the hour earns nothing.
+// Guards against retry amplification by a failing target. A long time without
+// retries must not raise the budget above its burst.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	r := newRouter("a")
 	for range 100_000 {
@@ -143,9 +139,8 @@
 	qt.Assert(t, retries <= routing.DefaultRetryBurst+100, qt.IsTrue, qt.Commentf("%d", retries))
 }
 
-// A worker is stopped as planned while another fails and has used the retry
-// budget up. Requests that reach the stopping one too late have not run; each
-// must still be allowed its attempt elsewhere.
+// Guards against failed requests in a planned stop when the retry budget is used up:
+// a request refused by a draining target must be allowed one more attempt.
 func TestRefusalByDrainingTargetRefundsRetryBudget(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter("a", "b")
@@ -161,8 +156,7 @@
 	}
 }
 
-// One worker fails all that it starts, within a millisecond. It looks idle, so
-// every client would get its errors.
+// Guards against a target that fails quickly, looks idle and attracts all requests.
 func TestFastFailingTargetIsEjected(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter("a", "b", "c")
@@ -179,9 +173,8 @@
 	c.Assert(failures < 40, qt.IsTrue, qt.Commentf("%d of 20000", failures))
 }
 
-// A client sends requests that fail wherever they run, and another sends
-// requests whose deadlines nobody could meet. Neither says anything about the
-// targets; were these ejected, all other clients would be refused.
+// Guards against ejections caused by requests that fail at every target or have
+// deadlines that no target can meet.
 func TestRequestErrorsAndShortDeadlinesDoNotEject(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter("a", "b", "c")
@@ -199,9 +192,8 @@
 	}
 }
 
-// A burst is refused. Were all told the same time, they would come back
-// together and be refused together; each is told a later time, at the pace at
-// which the account is served.
+// Guards against refused requests that all return at the same time: each must be told
+// a later time, at the rate at which the account is served.
 func TestRetryAfterIsStaggered(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter("a")
--- a/routing/simulation_baseline_test.go
+++ b/routing/simulation_baseline_test.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// roundRobin is the baseline: targets in turn, three retries, and at the target
-// a first-come-first-served queue without bounds.
+// roundRobin is the baseline: targets in turn, three retries, and an unbounded FIFO
+// queue at the target.
 func (s *simulation) roundRobin(e *entrySim, r *request) {
 	a := &attempt{request: r, entry: e, target: e.nextTarget % targets, sentAt: s.now}
 	e.nextTarget++
@@ -58,7 +58,7 @@
 	})
 }
 
-// sortedAttempts gives the attempts in a fixed order, so that a run repeats exactly.
+// sortedAttempts returns the attempts in a fixed order, for reproducible runs.
 func sortedAttempts(set map[*attempt]bool) []*attempt {
 	return slices.SortedFunc(maps.Keys(set), func(a, b *attempt) int {
 		if a.sentAt != b.sentAt {
--- a/routing/simulation_routing_test.go
+++ b/routing/simulation_routing_test.go
@@ -35,8 +35,8 @@
 
 func accountName(n int) string { return string(rune('a' + n)) }
 
-// probe asks for a sign of life when nothing came back since the attempt went
-// out. A live agent answers, however busy its target.
+// probe ejects the target if it neither replied since the attempt was sent nor
+// answers a probe. A live agent answers probes however busy its target is.
 func (s *simulation) probe(a *attempt) {
 	if a.ended || a.entry.lastReplyAt[a.target] > a.sentAt || !s.isUnresponsive(a.target) {
 		return
@@ -53,7 +53,7 @@
 	})
 }
 
-// ping repeats until the silent target answers.
+// ping probes an unresponsive target until it answers.
 func (s *simulation) ping(e *entrySim, target int) {
 	if s.now > s.scenario.length {
 		return
@@ -67,7 +67,7 @@
 	})
 }
 
-// endAttempt hands the attempt back to the router and decides about another one.
+// endAttempt passes the outcome to the router and finishes or retries the request.
 func (s *simulation) endAttempt(a *attempt, o routing.Outcome) {
 	if a.ended {
 		return
--- a/routing/simulation_test.go
+++ b/routing/simulation_test.go
@@ -13,36 +13,34 @@
 	"github.com/eelgrasshub/eelgrasshub/routing"
 )
 
-// The driver puts timed events through the routers of several entries and the
-// queues of the agents, in virtual time. It models no more than delays, slots
-// and the faults named in plan.
-
+// The simulation runs the routers of several entries and the queues of the agents in
+// virtual time. It models delays, slots and the faults of a scenario, nothing else.
 const (
 	crossZoneDelay = time.Millisecond       // one way between availability zones
-	sameZoneDelay  = 100 * time.Microsecond // one way within one
-	probeDelay     = 50 * time.Millisecond  // nothing heard for so long: probe the connection
-	probeTimeout   = 25 * time.Millisecond  // no answer to the probe: suspect it
-	pingInterval   = 250 * time.Millisecond // a silent target is asked again
+	sameZoneDelay  = 100 * time.Microsecond // one way within an availability zone
+	probeDelay     = 50 * time.Millisecond  // time without a reply after which the connection is probed
+	probeTimeout   = 25 * time.Millisecond  // time without an answer to the probe after which the target is ejected
+	pingInterval   = 250 * time.Millisecond // between probes of an unresponsive target
 )
 
-// scenario is one run: its load, its faults, and the policies under test.
+// scenario describes one run: its load, its faults, and the policies under test.
 type scenario struct {
 	seed               uint64
 	entries            int
-	load               float64 // of the capacity of all targets when healthy
+	load               float64 // as a multiple of the capacity of all targets without faults
 	length             time.Duration
 	deadline           time.Duration
-	attemptTimeout     time.Duration // of the baseline
-	accountShares      []float64     // of the client accounts in the load
-	accountWeights     []int         // of the client accounts; 1 where none
-	slow, unresponsive int           // targets at a tenth of the speed, and cut off, from a quarter of the run to its end
-	failing            int           // targets that answer errors at once, likewise
+	attemptTimeout     time.Duration // of the baseline only
+	accountShares      []float64     // each client account's share of the load
+	accountWeights     []int         // each client account's weight; 1 where missing
+	slow, unresponsive int           // numbers of targets at a tenth of the speed, and cut off, from a quarter of the run on
+	failing            int           // number of targets that answer errors at once, from a quarter of the run on
 	faultsEnd          bool          // faults end at half the run
-	baseline           bool          // round robin, three retries, first come first served without bounds
+	baseline           bool          // use round robin with three retries, and unbounded FIFO queues
 	routing            routing.Options
 	admission          admission.Options
-	noZonePreference   bool // entries have no preference
-	resubmit           bool // refused clients ask again when told to, up to ten times
+	noZonePreference   bool // entries do not prefer their own availability zone
+	resubmit           bool // refused clients try again after RetryAfter, up to ten times
 }
 
 const (
@@ -51,18 +49,18 @@
 	maxInflight = 64
 )
 
-// result is what one run gave.
+// result holds the measurements of one run.
 type result struct {
 	offered, useful, refused, failed int
 	attempts                         int
-	accountLatency                   []*hdrhistogram.Histogram // microseconds; the deadline where no answer came in time
+	accountLatency                   []*hdrhistogram.Histogram // by account, microseconds; the deadline if no answer came in time
 	latency                          *hdrhistogram.Histogram
-	accountUsefulLatency             []*hdrhistogram.Histogram // of useful answers only
+	accountUsefulLatency             []*hdrhistogram.Histogram // by account, microseconds; of answers in time only
 	accountUseful, accountOffered    []int
 	refusalLatency                   *hdrhistogram.Histogram
-	usefulSlotTime                   time.Duration // slot time spent on useful answers
+	usefulSlotTime                   time.Duration // slot time spent on answers in time
 	length                           time.Duration
-	submissions                      int // by clients that come back
+	submissions                      int // including those of clients that try again
 }
 
 func (r *result) accountP99(account int) float64 {
@@ -78,6 +76,8 @@
 	return float64(r.accountUseful[account]) / float64(r.accountOffered[account])
 }
 
+// timedEvent is an event of the simulation. Events at the same time run in order of
+// seq.
 type timedEvent struct {
 	at  time.Duration
 	seq int
@@ -208,7 +208,7 @@
 func targetID(i int) routing.TargetID { return routing.TargetID(fmt.Sprint("target-", i)) }
 func zone(i int) string               { return [...]string{"wharf", "airside", "east"}[i%3] }
 
-// Service times are Pareto between 4 and 400 ms with a paretoShape of 1.5.
+// Service times follow a bounded Pareto distribution.
 const (
 	minServiceMillis = 4.0
 	maxServiceMillis = 400.0
@@ -256,8 +256,8 @@
 	s.sendAttempt(e, r)
 }
 
-// isFaulty reports whether the target is one of the n broken ones from index
-// first on, at this time.
+// isFaulty reports whether the target is one of the n targets from index first on,
+// and the faults are active now.
 func (s *simulation) isFaulty(target, first, n int) bool {
 	start, end := s.scenario.length/4, 2*s.scenario.length
 	if s.faultsEnd {
--- a/routing/stats.go
+++ b/routing/stats.go
@@ -5,17 +5,17 @@
 // Stats is a snapshot of a Router.
 type Stats struct {
 	Inflight int // attempts in flight at all targets
-	Window   int // sum of the windows of open targets
+	Window   int // sum of the windows of available targets
 	Targets  []TargetStats
 }
 
-// TargetStats is a snapshot of one endpoint.
+// TargetStats is a snapshot of what the Router knows about one target.
 type TargetStats struct {
 	ID       TargetID
 	Inflight int
 	Window   int
 	Latency  time.Duration
-	Load     int // requests estimated at the target, other entries' included
+	Load     int // estimated requests at the target, including those of other entries
 	Draining bool
 	Ejected  bool
 }
--- a/routing/target.go
+++ b/routing/target.go
@@ -1,6 +1,6 @@
 package routing
 
-// TargetID names a target within its service.
+// TargetID identifies a target within its service.
 type TargetID string
 
 // Target is what membership knows about one target.
@@ -8,7 +8,7 @@
 	ID          TargetID
 	Zone        string // availability zone
 	Slots       int    // requests that the target runs at the same time
-	MaxInflight int    // most requests that one entry may have in flight there
-	Draining    bool   // leaving: gets nothing new
-	Incarnation uint64 // grows with each restart; a new one starts afresh
+	MaxInflight int    // most attempts that one entry may have in flight there
+	Draining    bool   // leaving; gets no new attempts
+	Incarnation uint64 // increases with each restart, which discards the measurements
 }
--- a/routing/ticket.go
+++ b/routing/ticket.go
@@ -1,13 +1,13 @@
 package routing
 
-// Ticket is the permission for one attempt at one target. It is handed back to
-// Done exactly once; until then it counts against the target's window.
+// Ticket permits one attempt at one target. Until it is passed to Done, the attempt
+// counts against the target's window.
 type Ticket struct {
 	Target      TargetID
 	Incarnation uint64
-	Trial       bool // a single attempt that decides whether an ejected target is open again
+	Trial       bool // a single attempt that decides whether an ejected target becomes available
 
 	endpoint *endpoint
 	account  *accountState
-	sentAt   int64 // nanoseconds
+	sentAt   int64 // Unix nanoseconds
 }
--- a/routing/totals.go
+++ b/routing/totals.go
@@ -2,17 +2,19 @@
 
 import "sync/atomic"
 
-// ppm is the unit in which failure rates are summed.
+// ppm (parts per million) is the unit in which failure rates are summed.
 const ppm = 1e6
 
-// contribution is what one open endpoint adds to the sums.
+// contribution is what one endpoint adds to the totals. It is zero for an endpoint
+// that is ejected, draining or removed.
 type contribution struct {
 	window      int64
 	failureRate int64 // ppm
-	available   int64
+	available   int64 // 0 or 1
 }
 
-// totals are kept up to date so that a pick need not visit every endpoint.
+// totals are sums over the available endpoints. They are updated with each outcome,
+// so that Pick does not have to visit every endpoint.
 type totals struct {
 	window, failureRates, available atomic.Int64
 }
@@ -23,7 +25,8 @@
 	add(&t.available, current.available-old.available)
 }
 
-// add leaves the counter alone where nothing changed: it is shared by all cores.
+// add skips the write if nothing changed, to avoid contention on a cache line that
+// all cores share.
 func add(counter *atomic.Int64, delta int64) {
 	if delta != 0 {
 		counter.Add(delta)
