--- a/admission/account.go
+++ b/admission/account.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// account is what the queue keeps for a client account while it has work here
-// or owes for work done.
+// account is the state of a client account that has requests here, or whose
+// virtual start time is ahead because it used more than its share.
 type account struct {
 	name         string
 	weight       float64
-	virtualStart float64 // virtual time at which its next request starts
-	backlog      time.Duration
-	waiting      []*request
+	virtualStart float64       // virtual start time of its next request
+	backlog      time.Duration // expected slot time of the queued requests
+	waiting      []*request    // queued, in order of arrival
 	running      int
 	congestion   congestionDetector
 }
@@ -28,7 +28,7 @@
 	a.backlog -= r.expectedTime
 }
 
-// charge advances the account's virtual time by slot time used.
+// charge advances the account's virtual start time for slot time used.
 func (a *account) charge(slotTime time.Duration, weight float64) {
 	a.virtualStart += slotTime.Seconds() / weight
 }
--- a/admission/account_set.go
+++ b/admission/account_set.go
@@ -6,17 +6,17 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// maxIdleAccounts bounds the accounts that are kept although they have no work here,
-// because they used more slot time than their share. The one idle for longest
-// is dropped first; it starts afresh, at the present virtual time.
+// maxIdleAccounts bounds the accounts without requests here that are kept because
+// they used more slot time than their share. The one idle for longest is evicted
+// first; when it returns it starts at the current virtual time.
 const maxIdleAccounts = 1024
 
-// accountSet holds the client accounts. Its size is bounded by the requests at the
-// agent and maxIdle.
+// accountSet holds the client accounts. Its size is bounded by the number of
+// requests at the agent plus maxIdleAccounts.
 type accountSet struct {
 	active  map[string]*account              // with requests queued or running
-	idle    *simplelru.LRU[string, *account] // without, but with a later start than others
-	waiting []*account                       // with requests queued, in order of arrival, so that every run settles ties alike
+	idle    *simplelru.LRU[string, *account] // without requests, but with a virtual start time that is still ahead
+	waiting []*account                       // with requests queued; in order of arrival, which makes ties deterministic
 }
 
 func newAccountSet() accountSet {
@@ -27,7 +27,7 @@
 	return accountSet{active: make(map[string]*account), idle: idle}
 }
 
-// activate returns the account and counts it as busy until release.
+// activate returns the account and keeps it in active until releaseIfIdle.
 func (s *accountSet) activate(name string) *account {
 	if a := s.active[name]; a != nil {
 		return a
@@ -42,7 +42,8 @@
 	return a
 }
 
-// releaseIfIdle ends an account's being busy if it has no work here.
+// releaseIfIdle removes an account without requests from active, and keeps it in
+// idle if its virtual start time is still ahead.
 func (s *accountSet) releaseIfIdle(a *account, virtualTime float64) {
 	if len(a.waiting) > 0 || a.running > 0 {
 		return
@@ -68,7 +69,8 @@
 	}
 }
 
-// nextToServe returns the account whose queued request starts first in virtual time.
+// nextToServe returns the account with the smallest virtual start time among those
+// with queued requests. There must be one.
 func (s *accountSet) nextToServe() *account {
 	first := s.waiting[0]
 	for _, a := range s.waiting[1:] {
--- a/admission/account_set_test.go
+++ b/admission/account_set_test.go
@@ -8,9 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Client accounts come and go by the thousand, each with one request that takes
-// far longer than expected. What is kept of them must not grow with their
-// number, nor slow each decision down.
+// Guards against memory that grows with the number of client accounts seen, even if
+// their requests take far longer than expected.
 func TestStateOfPastAccountsIsBounded(t *testing.T) {
 	q := New(Options{})
 	for i := range ID(10_000) {
@@ -24,9 +23,7 @@
 	qt.Assert(t, q.requests, qt.HasLen, 0)
 }
 
-// An account was in lasting congestion when it fell silent. An hour later its
-// next request finds other accounts' work in every slot, and must not be shed
-// for what was.
+// Guards against shedding an account's requests for congestion that ended long ago.
 func TestCongestionEndsWithoutStarts(t *testing.T) {
 	c := qt.New(t)
 	var d congestionDetector
--- a/admission/action.go
+++ b/admission/action.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Action is something for the agent to do.
+// Action is something for the agent to do: Run, Refuse or WakeAt.
 type Action interface{ action() }
 
 // Run starts a request now.
 type Run struct{ ID ID }
 
-// Refuse answers a request that has not run and will not.
+// Refuse rejects a request. The request has not run and will not.
 type Refuse struct {
 	ID         ID
 	Reason     Reason
 	RetryAfter time.Duration
 }
 
-// WakeAt asks for a Tick at the time. It replaces the WakeAt before it.
+// WakeAt asks for a Tick at the given time. It replaces an earlier WakeAt.
 type WakeAt struct{ Time time.Time }
 
 func (Run) action()    {}
--- a/admission/admit.go
+++ b/admission/admit.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// minRetryAfter is the shortest time a refused request is told to wait.
+// minRetryAfter is the shortest delay that a refused request is told to wait.
 const minRetryAfter = 10 * time.Millisecond
 
-// admit decides whether an arrival may queue, and if not, when to come back.
+// admit decides whether an arrival may be queued. If not, it returns the reason and
+// the time after which to try again.
 func (q *Queue) admit(now time.Time, a *account, r *request) (Reason, time.Duration) {
 	if q.draining {
 		return ReasonDraining, 0
@@ -27,9 +28,9 @@
 	return 0, 0
 }
 
-// expectedWait estimates how long a request of the account that arrived now would
-// queue: the slot time of everything that the fair order serves before it,
-// spread over the slots.
+// expectedWait estimates how long a request of the account that arrives now would
+// wait: the slot time of all requests that are served before it, divided by the
+// number of slots.
 func (q *Queue) expectedWait(a *account) time.Duration {
 	if q.running < q.options.Slots {
 		return 0
@@ -45,7 +46,7 @@
 	return workAhead / time.Duration(max(1, q.options.Slots))
 }
 
-// retryAfter is the time until the present backlog is served.
+// retryAfter returns the time in which the current backlog is expected to be served.
 func (q *Queue) retryAfter() time.Duration {
 	var backlog time.Duration
 	for _, a := range q.accounts.waiting {
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -12,7 +12,7 @@
 	"github.com/eelgrasshub/eelgrasshub/admission"
 )
 
-// completionHeap is a heap of running requests by their end.
+// completionHeap is a heap of running requests by the time of their completion.
 type completionHeap []completion
 type completion struct {
 	at time.Duration
@@ -30,9 +30,8 @@
 }
 
 // simulateFlood offers one target of 8 slots three times its capacity for ten seconds,
-// nine tenths of it from one account, and returns the light account's waits in
-// microseconds. fifo names every request's account alike and takes the bounds
-// away, which makes the queue the baseline.
+// 90% of it from one account, and returns the light account's waits in microseconds.
+// fifo puts all requests in one account without bounds, as the baseline.
 func simulateFlood(fifo bool) *hdrhistogram.Histogram {
 	rng := rand.New(rand.NewPCG(1, 1))
 	o := admission.Options{Slots: 8}
@@ -41,7 +40,7 @@
 	}
 	q := admission.New(o)
 	waits := hdrhistogram.New(1, 100_000_000, 3)
-	lightArrivals := map[admission.ID]time.Duration{} // of the light account
+	lightArrivals := map[admission.ID]time.Duration{}
 	var running completionHeap
 	now, id := time.Duration(0), admission.ID(0)
 	apply := func(actions []admission.Action) {
@@ -78,7 +77,7 @@
 	return waits
 }
 
-// The wait of a light account beside one that floods the target.
+// Measures the wait of a light account while another account floods the target.
 func BenchmarkFlood(b *testing.B) {
 	for b.Loop() {
 		baseline, candidate := simulateFlood(true), simulateFlood(false)
@@ -88,7 +87,7 @@
 	}
 }
 
-// One arrival and one end, with a request of each account queued.
+// Measures one arrival and one completion, with a request of each account queued.
 func BenchmarkHandleEvent(b *testing.B) {
 	for _, accounts := range []int{1, 4, 100, 1000} {
 		b.Run(fmt.Sprint("accounts=", accounts), func(b *testing.B) {
--- a/admission/congestion_detector.go
+++ b/admission/congestion_detector.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// congestionPhase is the state of congestion of one account's queue.
+// congestionPhase is the congestion state of one account's queue.
 type congestionPhase int
 
 const (
@@ -11,13 +11,13 @@
 	lastingCongestion
 )
 
-// congestionDetector watches how long requests of one account wait. It is in early
-// congestion while waits exceed the target, and in lasting congestion once they
-// have done so for an interval. Without a start for an interval it knows
-// nothing, and says clear.
+// congestionDetector tracks the waiting times of one account's requests. The queue
+// is in early congestion while they reach the target, and in lasting congestion
+// once they have done so for an interval. If no request has started for an
+// interval, it is not considered congested.
 type congestionDetector struct {
-	aboveTargetSince time.Time // first wait above the target; zero while below
-	lastStart        time.Time // last start
+	aboveTargetSince time.Time // first start in an unbroken series of waits at or above the target; zero if the last was below
+	lastStart        time.Time
 }
 
 func (d *congestionDetector) recordStart(now time.Time, wait, target time.Duration) {
--- a/admission/load.go
+++ b/admission/load.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Load is what the agent reports with each reply.
+// Load is the report that the agent sends with each reply.
 type Load struct {
 	Running, Queued, Slots int
 	Marked                 bool // early congestion
 	Shedding               bool // lasting congestion
 	Draining               bool
-	RetryAfter             time.Duration // until the present backlog is served
+	RetryAfter             time.Duration // expected time until the current backlog is served
 }
--- a/admission/options.go
+++ b/admission/options.go
@@ -2,29 +2,30 @@
 
 import "cmp"
 
-// Options are the settings of a Queue. Zero fields take the defaults named
-// beside them.
+// Options are the settings of a Queue. A zero field takes the default named in
+// parentheses.
 type Options struct {
 	Slots               int // requests that run at the same time (1)
-	MaxQueued           int // requests queued in all (DefaultMaxQueued)
-	MaxQueuedPerAccount int // requests queued for one client account (DefaultMaxAccount)
-	MaxServiceTimes     int // learned costs kept, least recently used dropped first (DefaultMaxCosts)
+	MaxQueued           int // requests queued in total (DefaultMaxQueued)
+	MaxQueuedPerAccount int // requests queued for one client account (DefaultMaxQueuedPerAccount)
+	MaxServiceTimes     int // service-time averages kept, by account and class; the least recently used is evicted (DefaultMaxServiceTimes)
 
-	// TargetSojourn is the sojourn time aimed at, as a multiple of the learned service
-	// time (DefaultTarget); CongestionInterval is how many target times of congestion are
-	// lasting (DefaultInterval).
+	// TargetSojourn is the longest desired waiting time, as a multiple of the mean
+	// service time (DefaultTargetSojourn). CongestionInterval is the time after
+	// which congestion counts as lasting, as a multiple of the target sojourn time
+	// (DefaultCongestionInterval).
 	TargetSojourn, CongestionInterval float64
-	CongestionControl                 CongestionControl // what congestion leads to (TwoPhase)
+	CongestionControl                 CongestionControl // reaction to congestion (MarkAndShed)
 }
 
-// CongestionControl selects what congestion leads to.
+// CongestionControl is how the queue reacts to congestion.
 type CongestionControl int
 
-// Ways of congestion control.
+// Kinds of congestion control. The first is the default.
 const (
-	MarkAndShed CongestionControl = iota // mark in early congestion, shed in lasting
-	ShedOnly
-	NoControl
+	MarkAndShed CongestionControl = iota // mark replies in early congestion, shed requests in lasting congestion
+	ShedOnly                             // only shed requests in lasting congestion
+	NoControl                            // neither
 )
 
 // Defaults of Options.
--- a/admission/policy.go
+++ b/admission/policy.go
@@ -1,7 +1,8 @@
 package admission
 
-// accountFor returns the client accountFor of an arrival. A returning accountFor starts
-// at the present virtual time at the earliest: time without work earns nothing.
+// accountFor returns the client account of an arrival. An account that returns
+// starts at the current virtual time at the earliest, so that idle time earns no
+// credit.
 func (q *Queue) accountFor(ev Arrived) *account {
 	a := q.accounts.activate(ev.Account)
 	if len(a.waiting) == 0 {
@@ -11,6 +12,7 @@
 	return a
 }
 
+// weight returns the account's weight according to the policy, or else the arrival's.
 func (q *Queue) weight(ev Arrived) float64 {
 	if w, ok := q.weights[ev.Account]; ok {
 		return float64(max(1, w))
@@ -41,7 +43,7 @@
 	}
 }
 
-// maxQueuedFor is how many requests of the account may be queued.
+// maxQueuedFor returns how many requests of the account may be queued.
 func (q *Queue) maxQueuedFor(account string) int {
 	if n, ok := q.accountMaxQueued[account]; ok {
 		return n
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Queue decides for one target. It belongs to one goroutine.
+// Queue decides which requests one target runs and which are refused. It belongs
+// to one goroutine.
 type Queue struct {
 	options          Options
 	serviceTimes     *serviceTimes
@@ -14,14 +15,14 @@
 	weights          map[string]int
 	accountMaxQueued map[string]int
 	byStartDeadline  startDeadlineHeap // queued requests with a deadline
-	virtualTime      float64           // start of the last request that was started
+	virtualTime      float64           // largest virtual start time of the requests started
 	queued           int
 	running          int
 	draining         bool
 	lastWait         time.Duration // of the last request that started
-	markCredit       float64       // marks owed to replies
-	lastMarked       bool          // the last reply
-	nextTick         time.Time     // as asked for last
+	markCredit       float64       // fractions of marks not yet given to replies
+	lastMarked       bool          // whether the last finished request was marked
+	nextTick         time.Time     // time of the last WakeAt; zero after its Tick
 	actions          []Action
 }
 
@@ -36,8 +37,8 @@
 	}
 }
 
-// HandleEvent takes one event and returns what to do, in order. The slice is valid
-// until the next HandleEvent.
+// HandleEvent handles one event and returns the actions to carry out, in order. The
+// slice is valid until the next call.
 func (q *Queue) HandleEvent(now time.Time, ev Event) []Action {
 	q.actions = q.actions[:0]
 	switch ev := ev.(type) {
@@ -93,8 +94,9 @@
 	return r
 }
 
-// startDeadline is when a request would have to start at the startDeadline. A free slot costs
-// nothing, so what would run at once may try until its deadline.
+// startDeadline returns the time at which a request has to start at the latest to
+// meet its deadline. While a slot is free it is the deadline itself: the request
+// starts at once and delays no other, so that it is worth trying.
 func (q *Queue) startDeadline(deadline time.Time, expectedTime time.Duration) time.Time {
 	if q.running < q.options.Slots {
 		return deadline
@@ -124,7 +126,7 @@
 	}
 }
 
-// removeQueued takes a queued request out.
+// removeQueued removes a queued request and forgets it.
 func (q *Queue) removeQueued(r *request) {
 	a := q.accounts.active[r.serviceTimeKey.account]
 	q.dequeue(a, r)
@@ -132,7 +134,7 @@
 	q.accounts.releaseIfIdle(a, q.virtualTime)
 }
 
-// dequeue takes a request out of the account's queue.
+// dequeue removes a request from its account's queue.
 func (q *Queue) dequeue(a *account, r *request) {
 	q.accounts.remove(a, r)
 	q.queued--
@@ -141,8 +143,8 @@
 	}
 }
 
-// refuseExpired refuses queued requests as soon as they can no longer be answered in
-// time. Few get here: arrivals that would are refused at once.
+// refuseExpired refuses queued requests that can no longer meet their deadline. They
+// are few, since arrivals that are not expected to meet it are refused at once.
 func (q *Queue) refuseExpired(now time.Time) {
 	for len(q.byStartDeadline) > 0 && q.byStartDeadline[0].tooLate(now) {
 		r := q.byStartDeadline[0]
@@ -151,6 +153,7 @@
 	}
 }
 
+// dispatch starts queued requests while slots are free.
 func (q *Queue) dispatch(now time.Time) {
 	for q.running < q.options.Slots && q.queued > 0 {
 		a := q.accounts.nextToServe()
@@ -171,7 +174,7 @@
 	q.actions = append(q.actions, Run{ID: r.id})
 }
 
-// scheduleTick asks for a Tick when the first queued request will be late.
+// scheduleTick asks for a Tick at the earliest start deadline.
 func (q *Queue) scheduleTick() {
 	if len(q.byStartDeadline) == 0 {
 		return
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -15,8 +15,8 @@
 
 type actions = []admission.Action
 
-// newTrainedQueue returns a queue of one slot that has learned a service time of 10 ms,
-// at 1 s.
+// newTrainedQueue returns a queue of one slot that has observed a service time of
+// 10 ms. Its time is 1 s.
 func newTrainedQueue(o admission.Options) *admission.Queue {
 	o.Slots = 1
 	q := admission.New(o)
@@ -27,8 +27,8 @@
 	return q
 }
 
-// A target is told to leave while a request waits in its queue. The caller was
-// let in and must be served; a request that comes later is sent elsewhere.
+// Guards against dropping queued requests, or accepting new ones, while the target
+// drains.
 func TestDrainServesTheQueueAndRefusesArrivals(t *testing.T) {
 	c := qt.New(t)
 	q := admission.New(admission.Options{Slots: 1})
@@ -40,9 +40,8 @@
 	c.Assert(q.HandleEvent(at(3), admission.Finished{ID: 1, SlotTime: 3}), qt.DeepEquals, actions{admission.Run{ID: 2}})
 }
 
-// A truck waits for an answer within 35 ms, and four requests of 10 ms stand
-// before it. Queued, it would be refused after its time; refused now, with the
-// time the backlog needs, the client can still act.
+// Guards against queueing a request that would miss its deadline because of the
+// backlog. It must be refused at once, with the time that the backlog takes.
 func TestArrivalThatCannotMeetItsDeadlineIsRefused(t *testing.T) {
 	c := qt.New(t)
 	q := newTrainedQueue(admission.Options{})
@@ -53,8 +52,8 @@
 	c.Assert(got, qt.DeepEquals, actions{admission.Refuse{ID: 9, Reason: admission.ReasonDeadline, RetryAfter: 40 * time.Millisecond}})
 }
 
-// A request ahead runs ten times as long as it ever did. The one behind it is
-// given up as soon as it can't be answered any more, not at its deadline.
+// Guards against keeping a request until its deadline when the one before it runs so
+// long that it can no longer be answered in time.
 func TestQueuedRequestIsRefusedOnceItCannotMeetItsDeadline(t *testing.T) {
 	c := qt.New(t)
 	q := newTrainedQueue(admission.Options{})
@@ -66,8 +65,7 @@
 	c.Assert(got, qt.DeepEquals, actions{admission.Refuse{ID: 2, Reason: admission.ReasonDeadline, RetryAfter: 10 * time.Millisecond}})
 }
 
-// One client account floods a target with slow requests. Another asks now and
-// then; in a shared queue it would wait behind hundreds.
+// Guards against a light account that waits behind the backlog of another account.
 func TestLightAccountIsServedNextDuringFlood(t *testing.T) {
 	c := qt.New(t)
 	q := newTrainedQueue(admission.Options{})
@@ -80,8 +78,8 @@
 	c.Assert(got, qt.DeepEquals, actions{admission.Run{ID: 500}})
 }
 
-// Two accounts with weights 3 and 1 keep the target busy; the second sends
-// requests that take four times as long. Shares are of slot time, not of requests.
+// Guards against shares by number of requests: accounts must share slot time by weight,
+// whatever time their requests take.
 func TestSharesOfSlotTimeFollowWeights(t *testing.T) {
 	c := qt.New(t)
 	q := newTrainedQueue(admission.Options{})
@@ -111,17 +109,16 @@
 	c.Assert(ratio > 2.9 && ratio < 3.1, qt.IsTrue, qt.Commentf("%f", ratio))
 }
 
-// What is known of a class says that its deadline can't be met, but a slot is
-// free. To refuse it would leave the slot idle, and nothing new would be learned.
+// Guards against refusing a request because of its expected service time while a slot
+// is idle, which would also prevent observing a shorter time.
 func TestFreeSlotIsUsedDespiteExpectedServiceTime(t *testing.T) {
 	q := newTrainedQueue(admission.Options{})
 	got := q.HandleEvent(at(0), admission.Arrived{ID: 1, Deadline: at(time.Millisecond)})
 	qt.Assert(t, got, qt.DeepEquals, actions{admission.Run{ID: 1}})
 }
 
-// A class of requests took a second each while the target was slow, more than
-// its deadline of 100 ms. The target has recovered, and others keep it busy. The
-// class must get in again, though nothing of it ran meanwhile.
+// Guards against refusing a class for ever because it was once slower than its
+// deadline.
 func TestClassThatWasTooSlowIsAdmittedAgain(t *testing.T) {
 	c := qt.New(t)
 	q := newTrainedQueue(admission.Options{})
--- a/admission/random_events_test.go
+++ b/admission/random_events_test.go
@@ -16,7 +16,7 @@
 	seed  = flag.Uint64("seed", 1, "seed of the randomised run")
 )
 
-const maxServiceTime = 50 * time.Millisecond // service time in the randomised run
+const maxServiceTime = 50 * time.Millisecond // in the randomised run
 
 type trackedRequest struct {
 	account   string
@@ -24,8 +24,7 @@
 	startedAt time.Duration
 }
 
-// randomRun drives a queue with random events and keeps its own account of what
-// must hold.
+// randomRun drives a queue with random events and checks its invariants after each.
 type randomRun struct {
 	c                 *qt.C
 	rng               *rand.Rand
@@ -36,8 +35,8 @@
 	weights           map[string]int
 	queued            map[admission.ID]trackedRequest
 	running           map[admission.ID]trackedRequest
-	runningOrder      []admission.ID // of running, so that a run repeats
-	queuedByAccount   map[string]int // queued by account
+	runningOrder      []admission.ID // the keys of running in a reproducible order
+	queuedByAccount   map[string]int
 	slotTimeByAccount map[string]time.Duration
 	draining          bool
 }
@@ -110,7 +109,8 @@
 	rr.apply(admission.Cancelled{ID: id})
 }
 
-// removeQueued takes a request out of the queue; it must not be answered again.
+// removeQueued removes a request that the queue started, refused or cancelled, and
+// reports whether it was queued.
 func (rr *randomRun) removeQueued(id admission.ID) (trackedRequest, bool) {
 	r, ok := rr.queued[id]
 	if ok {
@@ -146,8 +146,8 @@
 	rr.c.Assert(l.Queued, qt.Equals, len(rr.queued))
 	rr.c.Assert(l.Queued == 0 || l.Running >= rr.slots, qt.IsTrue)
 	rr.c.Assert(l.Draining, qt.Equals, rr.draining)
-	// While two accounts both have work queued, their slot time by weight stays
-	// within what all slots may hold of either at once.
+	// While two accounts both have requests queued, their slot times by weight
+	// differ at most by what all slots may spend on either at once.
 	if rr.queuedByAccount["a"] == 0 || rr.queuedByAccount["b"] == 0 {
 		clear(rr.slotTimeByAccount)
 		return
--- a/admission/reason.go
+++ b/admission/reason.go
@@ -1,16 +1,16 @@
 package admission
 
-// Reason says why a request was refused.
+// Reason is why a request was refused.
 type Reason int
 
-// Reasons of a refusal.
+// Reasons of a Refuse.
 const (
-	// ReasonDeadline: it could not be answered in time.
+	// ReasonDeadline: the request can't be answered before its deadline.
 	ReasonDeadline Reason = iota + 1
-	// ReasonOverload: congestion lasts, and it would wait longer than the target
-	// sojourn time, or the queue is full.
+	// ReasonOverload: the queue is full, or in lasting congestion and the request
+	// would wait longer than the target sojourn time.
 	ReasonOverload
-	// ReasonDraining: the target leaves.
+	// ReasonDraining: the target is leaving and accepts no new requests.
 	ReasonDraining
 	// ReasonAccountQueueFull: the client account has too many requests queued.
 	ReasonAccountQueueFull
@@ -18,4 +18,5 @@
 
 var reasonNames = [...]string{"none", "deadline", "overload", "draining", "too many"}
 
+// String returns the reason in lower case.
 func (r Reason) String() string { return reasonNames[r] }
--- a/admission/service_times.go
+++ b/admission/service_times.go
@@ -9,18 +9,19 @@
 const (
 	// sampleWeight is the weight of the newest service time in an average.
 	sampleWeight = 1.0 / 16
-	// refusalDecay is the part by which one refusal lowers an average. By that, a
-	// kind that takes twice the time it may is tried once in thirty refusals.
+	// refusalDecay is the fraction by which one refusal lowers an average. With it,
+	// requests that take twice the time they are allowed are tried about once in
+	// thirty refusals.
 	refusalDecay = 1.0 / 512
-	// initialServiceTime is assumed until the first request has finished.
+	// initialServiceTime is the estimate until the first request has finished.
 	initialServiceTime = 5 * time.Millisecond
 )
 
-// serviceTimeKey is what service times are learned by.
+// serviceTimeKey identifies the requests that share an average service time.
 type serviceTimeKey struct{ account, class string }
 
-// serviceTimes learns the slot time of requests from what they took. Declared serviceTimes are
-// not asked for: they are often far from the truth.
+// serviceTimes estimates the slot time of requests from the slot times observed.
+// Clients do not declare costs, as such declarations are often wrong.
 type serviceTimes struct {
 	overall time.Duration
 	byKey   *simplelru.LRU[serviceTimeKey, time.Duration]
@@ -34,7 +35,7 @@
 	return &serviceTimes{byKey: byKey}
 }
 
-// estimate returns the slot time to estimate of a request.
+// estimate returns the expected slot time of a request.
 func (s *serviceTimes) estimate(k serviceTimeKey) time.Duration {
 	if d, ok := s.byKey.Get(k); ok {
 		return d
@@ -42,16 +43,16 @@
 	return s.mean()
 }
 
-// decay lowers what is expected of a kind of request after one was refused for
-// it. Otherwise a kind that took too long for a while would be refused for ever:
-// nothing of it runs, so nothing shows that it has become faster.
+// decay lowers the estimate for requests like one that was refused because of it.
+// Otherwise requests that were too slow for a while would be refused for ever:
+// none of them runs, so that no faster time is ever observed.
 func (s *serviceTimes) decay(k serviceTimeKey) {
 	if d, ok := s.byKey.Get(k); ok {
 		s.byKey.Add(k, d-time.Duration(refusalDecay*float64(d)))
 	}
 }
 
-// mean returns the slot time to expect of any request.
+// mean returns the average slot time of all requests.
 func (s *serviceTimes) mean() time.Duration {
 	if s.overall == 0 {
 		return initialServiceTime
@@ -59,6 +60,7 @@
 	return s.overall
 }
 
+// record adds an observed slot time to the averages.
 func (s *serviceTimes) record(k serviceTimeKey, slotTime time.Duration) {
 	average, ok := s.byKey.Get(k)
 	if !ok {
--- a/admission/start_deadline.go
+++ b/admission/start_deadline.go
@@ -1,6 +1,7 @@
 package admission
 
-// startDeadlineHeap is a heap of queued requests, the first to be late on top.
+// startDeadlineHeap is a heap of queued requests with the earliest start deadline
+// on top. It implements heap.Interface.
 type startDeadlineHeap []*request
 
 func (h startDeadlineHeap) Len() int           { return len(h) }
@@ -11,14 +12,14 @@
 	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (h *startDeadlineHeap) Push(x any) {
 	r := x.(*request)
 	r.heapIndex = len(*h)
 	*h = append(*h, r)
 }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (h *startDeadlineHeap) Pop() any {
 	last := len(*h) - 1
 	r := (*h)[last]
