--- a/attempts/attempts_test.go
+++ b/attempts/attempts_test.go
@@ -34,7 +34,7 @@
 	}, testClaim(1))
 }
 
-// handleEvents gives the events to the request one second apart and returns the first
+// handleEvents passes the events to the request one second apart and returns the first
 // action of the last one.
 func handleEvents(r *Request, events ...Event) Action {
 	var last []Action
@@ -47,8 +47,8 @@
 	return last[0]
 }
 
-// A packhouse retries with its key through another entry. What it hears depends
-// on what the first delivery's agent can prove.
+// Guards against a second run, or a wrong answer, when a caller delivers a key again
+// through another entry.
 func TestRetryThroughAnotherEntry(t *testing.T) {
 	conflict := ClaimReply{ClaimConflict, testClaim(2)}
 	unknown := Finished{Outcome: Unknown, Reason: ReasonOutcomeLost}
@@ -71,9 +71,8 @@
 	}
 }
 
-// The store is out. An earlier delivery under the key may have run, and a caller
-// that hears "not run" books again under a new key: only a delivery vouched for
-// as the first may be told so.
+// Guards against NotRun while the store is unavailable, unless the delivery is known
+// to be the first: an earlier one may have run.
 func TestStoreUnavailable(t *testing.T) {
 	for first, want := range map[bool]Outcome{true: NotRun, false: Unknown} {
 		got := handleEvents(newTestRequest(first), Start{}, ClaimReply{Result: ClaimUnavailable})
@@ -85,9 +84,8 @@
 	}
 }
 
-// The agent refuses a delivery, but meanwhile another delivery of the key took
-// over its claim and runs. The first must not be told "not run"; it gets the
-// other's answer.
+// Guards against NotRun after a refusal if another delivery has replaced the claim and
+// runs. The caller must get that delivery's answer.
 func TestRefusedWhileAnotherDeliveryRuns(t *testing.T) {
 	c := qt.New(t)
 	r := newTestRequest(true)
@@ -97,8 +95,8 @@
 	c.Assert(got, qt.DeepEquals, Action(Finished{Outcome: Done, Answer: []byte("yes")}))
 }
 
-// The connection goes silent after the attempt was sent. It is never sent again:
-// the agent is asked, and what it can't say is unknown at the deadline.
+// Guards against sending an attempt again after its connection is lost. The agent is
+// asked instead, and without a reply the outcome is Unknown at the deadline.
 func TestLostConnectionIsResolved(t *testing.T) {
 	c := qt.New(t)
 	r := newTestRequest(true)
@@ -108,10 +106,8 @@
 	c.Assert(got, qt.DeepEquals, Action(Finished{Outcome: Unknown, Reason: ReasonDeadline}))
 }
 
-// An entry is paused while it claims a key. Before it wakes, an earlier claim of
-// the key has run and expired, so that its own is written. It must neither run
-// the request nor call it not run; if it pauses once more before it sends, the
-// agent refuses.
+// Guards against a run, or NotRun, by a delivery whose entry was paused so long that an
+// earlier claim of the key may have run and expired.
 func TestClaimAfterLongPause(t *testing.T) {
 	c := qt.New(t)
 	late := testStart.Add(2 * time.Minute)
@@ -129,8 +125,8 @@
 	c.Assert(got.(Finished).Outcome, qt.Equals, Unknown)
 }
 
-// A worker is so busy that its memory of attempts is full. Whatever is dropped,
-// a copy that comes late must not run, and nobody may hear that a run was none.
+// Guards against a second run, or NotRun, of an attempt whose record or answer was
+// evicted.
 func TestEvictedRecordsAreNeverNotRun(t *testing.T) {
 	c := qt.New(t)
 	table := newTestTable()
@@ -141,19 +137,19 @@
 	}
 	c.Assert(table.Len(), qt.Equals, 3)
 	c.Assert(table.AnswerBytes(), qt.Equals, 8)
-	status, _ := table.Resolve(testID(1)) // dropped
+	status, _ := table.Resolve(testID(1)) // evicted
 	c.Assert(status, qt.Equals, StatusUnknown)
 	result, _ := table.Begin(testStart, testID(1))
 	c.Assert(result, qt.Equals, BeginUnknown)
-	status, _ = table.Resolve(testID(2)) // its answer was dropped
+	status, _ = table.Resolve(testID(2)) // its answer was evicted
 	c.Assert(status, qt.Equals, StatusRan)
 	status, answer := table.Resolve(testID(4))
 	c.Assert(status, qt.Equals, StatusAnswered)
 	c.Assert(string(answer), qt.Equals, "four")
 }
 
-// A worker takes no more attempts than it can remember. What it refused stays
-// refused after there is room again, because its caller was told.
+// Guards against running an attempt that was refused for lack of capacity after the
+// capacity is free again.
 func TestRefusalIsPermanent(t *testing.T) {
 	c := qt.New(t)
 	table := newTestTable()
@@ -172,8 +168,8 @@
 	c.Assert(result, qt.Equals, BeginReplay)
 }
 
-// An entry whose clock is an hour ahead sends one attempt. Accepted, it would be
-// dropped last and then lift the floor above everybody else's attempts.
+// Guards against an entry whose clock is ahead: evicting a record of its attempt would
+// make the agent refuse the attempts of all others.
 func TestAttemptIssuedInFutureIsRefused(t *testing.T) {
 	c := qt.New(t)
 	table := newTestTable()
@@ -189,10 +185,8 @@
 	}
 }
 
-// Two entries deliver one request at the same moment. Each one's question about
-// the other's attempt overtakes it, so both attempts are forbidden, and both
-// deliveries remove the claim. The caller heard "may have run" from the slower
-// one, although both attempts were proved not to have run.
+// Guards against Unknown when two deliveries forbid each other's attempt and both
+// remove the claim: both attempts are proved not to have run.
 func TestClaimGoneAfterProofIsNotRun(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
--- a/attempts/begin_result.go
+++ b/attempts/begin_result.go
@@ -1,26 +1,27 @@
 package attempts
 
-// BeginResult is what a Table decides about an attempt that asks to begin.
+// BeginResult is a Table's decision about an attempt that asks to begin.
 type BeginResult uint8
 
-// Verdicts on an attempt.
+// Results of Table.Begin.
 const (
-	// BeginRun: run it, then call Finish, Interrupt or Refuse.
+	// BeginRun: run the attempt, then call RecordAnswer, RecordLostAnswer or
+	// RecordNotRun.
 	BeginRun BeginResult = iota
-	// BeginJoin: it already runs; wait for the same answer.
+	// BeginJoin: the attempt is already running; wait for its answer.
 	BeginJoin
-	// BeginReplay: it has run; the answer is given again.
+	// BeginReplay: the attempt has run; return its recorded answer.
 	BeginReplay
-	// BeginRefuse: it did not run and will not; the reason says why.
+	// BeginRefuse: the attempt did not run and never will.
 	BeginRefuse
-	// BeginUnknown: it is not run now, but whether an earlier copy of the message
-	// ran is not known.
+	// BeginUnknown: do not run the attempt. An earlier copy of the message may have
+	// run.
 	BeginUnknown
 )
 
 var beginResultNames = [...]string{"fresh", "joined", "repeated", "refused", "unprovable"}
 
-// String returns the verdict in lower case.
+// String returns the result in lower case.
 func (v BeginResult) String() string {
 	if int(v) < len(beginResultNames) {
 		return beginResultNames[v]
@@ -28,21 +29,21 @@
 	return "invalid"
 }
 
-// Status is what a Table knows of an attempt.
+// Status is what a Table knows about an attempt.
 type Status uint8
 
 // Statuses of an attempt.
 const (
-	// StatusUnknown: it may have run; the account of it is gone.
+	// StatusUnknown: the attempt may have run; there is no record of it.
 	StatusUnknown Status = iota
-	// StatusNotRun: it has not run and will not.
+	// StatusNotRun: the attempt did not run and never will.
 	StatusNotRun
-	// StatusRunning: it runs, or waits at the agent for its turn.
+	// StatusRunning: the attempt runs or is queued at the agent.
 	StatusRunning
-	// StatusAnswered: it ran and the whole answer is at hand.
+	// StatusAnswered: the attempt ran and its whole answer is kept.
 	StatusAnswered
-	// StatusRan: it ran, or was interrupted while it did, and the answer is not
-	// at hand.
+	// StatusRan: the attempt ran or was interrupted while running, and its answer is
+	// not kept.
 	StatusRan
 )
 
--- a/attempts/evict.go
+++ b/attempts/evict.go
@@ -2,37 +2,34 @@
 
 import "github.com/google/btree"
 
-// mayHaveRun says whether an attempt without an entry may have run: on an
-// earlier incarnation, or so long ago that its entry was dropped.
+// mayHaveRun reports whether an attempt without a record may have run: on another
+// incarnation, or so long ago that its record may have been evicted.
 func (t *Table) mayHaveRun(id ID) bool {
 	return id.Incarnation != t.config.Incarnation || id.Compare(t.highestEvicted) <= 0
 }
 
-// tooOld says whether the attempt was issued too long ago to begin.
-//
-// An entry that was paused between its claim and its message may wake after the
-// claim has expired and another entry has run the request: its attempt is too
-// old then.
+// tooOld reports whether the attempt was issued too long ago to begin. If its entry
+// was paused after writing the claim, the claim may have expired and another entry
+// may have run the request.
 func (t *Table) tooOld(id ID) bool {
 	return !id.issuedAt().After(t.now.Add(-t.config.MaxAge))
 }
 
-// issuedInFuture says whether the attempt was issued in the future.
-//
-// An entry whose clock is far issuedInFuture issues IDs that lift the floor above all
-// other attempts when they are dropped, and a worker would refuse everybody.
-// They neither begin nor leave a tombstone; those that Resolve leaves are dropped
-// last.
+// issuedInFuture reports whether the attempt was issued later than clock skew
+// explains. Evicting such a record would raise highestEvicted above all valid
+// attempts, and the agent would refuse everything. Such attempts therefore don't
+// begin and leave no record; records of them made by Resolve are evicted last.
 func (t *Table) issuedInFuture(id ID) bool {
 	return id.issuedAt().After(t.now.Add(t.config.MaxClockSkew))
 }
 
-// hasCapacity says whether another attempt may run within the bound.
+// hasCapacity reports whether one more attempt may run within MaxEntries.
 func (t *Table) hasCapacity() bool {
 	finished := t.notRun.Len() + t.answered.Len() + t.answerLost.Len()
 	return len(t.records)-finished < t.config.MaxEntries
 }
 
+// addNotRun records that an attempt without a record must not run.
 func (t *Table) addNotRun(id ID) {
 	r := &record{id: id, status: StatusNotRun}
 	t.records[id] = r
@@ -40,14 +37,15 @@
 	t.evict()
 }
 
-// evict drops what is above the bounds, the oldest first: for bytes, answers, of
-// which the fact that they ran stays; for entries, first refusals, then attempts
-// without an answer, then answers. A request in progress is never dropped.
+// evict enforces the bounds, oldest first. Above MaxAnswerBytes it drops answers and
+// keeps their records as StatusRan. Above MaxEntries it drops the records of
+// attempts that did not run, then those without an answer, then those with one.
+// Running attempts are never evicted.
 //
-// A dropped entry lifts the floor to its ID. All that is at or below the floor
-// and has no entry is Unknown, so that no dropped run can pass for one that
-// never arrived, and none below may begin, so that no dropped refusal can be
-// undone. Entries below the floor that are still there keep their account.
+// highestEvicted is the highest ID ever evicted. Attempts up to it that have no
+// record are Unknown, so that an evicted run is not taken for one that never
+// arrived, and they may not begin, so that an evicted refusal stays in force.
+// Records that are still there keep their status.
 func (t *Table) evict() {
 	for t.bytes > t.config.MaxAnswerBytes {
 		r, _ := t.answered.DeleteMin()
@@ -60,6 +58,7 @@
 	}
 }
 
+// evictOldest evicts the next record and reports whether there was one.
 func (t *Table) evictOldest() bool {
 	for _, tree := range t.evictionOrder() {
 		r, ok := tree.DeleteMin()
@@ -76,6 +75,7 @@
 	return false
 }
 
+// evictionOrder returns the kinds of finished attempts in the order of eviction.
 func (t *Table) evictionOrder() []*btree.BTreeG[*record] {
 	oldest, ok := t.notRun.Min()
 	if ok && t.issuedInFuture(oldest.id) {
--- a/attempts/id.go
+++ b/attempts/id.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// ID names one attempt to run one request on one incarnation of an agent.
+// ID identifies one attempt to run a request on one incarnation of an agent.
 type ID struct {
-	// Issued is the entry's wall clock in nanoseconds since the Unix epoch, from
-	// before the claim was written.
+	// Issued is the entry's wall clock in nanoseconds since the Unix epoch, read
+	// before the claim is written.
 	Issued int64 `cbor:"1,keyasint"`
-	// Entry is unique to the entry's process, Sequence within it.
+	// Entry is unique to the entry's process, and Sequence is unique within it.
 	Entry    uint64 `cbor:"2,keyasint"`
 	Sequence uint64 `cbor:"3,keyasint"`
-	// Incarnation is that of the agent, which forgets all attempts at a restart.
+	// Incarnation is the agent's. An agent forgets all attempts when it restarts.
 	Incarnation uint64 `cbor:"4,keyasint"`
 }
 
-// Compare orders attempts by the time they were issued.
+// Compare orders IDs by the time of issue.
 func (a ID) Compare(b ID) int {
 	return cmp.Or(
 		cmp.Compare(a.Issued, b.Issued),
--- a/attempts/id_text.go
+++ b/attempts/id_text.go
@@ -6,17 +6,17 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrBadID: a text that is not the form of an ID.
+// ErrBadID is returned by ParseID for text that is not an ID.
 var ErrBadID = eris.New("not an attempt id")
 
 const idFormat = "%x-%x-%x-%x"
 
-// String returns the form of the ID that messages carry and ParseID reads.
+// String returns the text form of the ID, which messages carry.
 func (a ID) String() string {
 	return fmt.Sprintf(idFormat, a.Issued, a.Entry, a.Sequence, a.Incarnation)
 }
 
-// ParseID reads what String returned.
+// ParseID parses the text form of an ID.
 func ParseID(text string) (ID, error) {
 	var a ID
 	n, err := fmt.Sscanf(text, idFormat, &a.Issued, &a.Entry, &a.Sequence, &a.Incarnation)
--- a/attempts/known.go
+++ b/attempts/known.go
@@ -1,7 +1,7 @@
 package attempts
 
-// Known says whether the table has an account of the attempt. Unlike Resolve it
-// leaves one that has not arrived as it is.
+// Known reports whether Resolve can answer without refusing an attempt that may
+// still arrive. It changes nothing.
 func (t *Table) Known(id ID) bool {
 	return t.records[id] != nil || t.mayHaveRun(id)
 }
--- a/attempts/outcome.go
+++ b/attempts/outcome.go
@@ -1,15 +1,15 @@
 package attempts
 
-// Outcome is what the caller is told of its request.
+// Outcome is what the caller learns about its request.
 type Outcome uint8
 
 // Outcomes of a request.
 const (
-	// Unknown: it may have run. Nobody will run it again under the same key.
+	// Unknown: the request may have run. It won't be run again under the same key.
 	Unknown Outcome = iota
-	// Done: it ran and this is its whole answer.
+	// Done: the request ran and its whole answer is known.
 	Done
-	// NotRun: it did not run, and no attempt made so far will.
+	// NotRun: the request did not run, and no attempt made so far will run it.
 	NotRun
 )
 
@@ -23,22 +23,22 @@
 	return "invalid"
 }
 
-// Reason says why a request was not done.
+// Reason is why a request is not Done.
 type Reason uint8
 
 // Reasons for NotRun and Unknown.
 const (
-	// NoReason: it was done.
+	// NoReason: the request is Done.
 	NoReason Reason = iota
-	// ReasonRefused: the agent refused it, or the message never reached it.
+	// ReasonRefused: the agent refused the request, or the message did not reach it.
 	ReasonRefused
-	// ReasonStoreUnavailable: the store could not be asked for the key's claim.
+	// ReasonStoreUnavailable: the key's claim could not be read or written.
 	ReasonStoreUnavailable
 	// ReasonDeadline: the deadline passed.
 	ReasonDeadline
-	// ReasonKeyReused: the key belongs to a request with another content.
+	// ReasonKeyReused: the key belongs to a request with other content.
 	ReasonKeyReused
-	// ReasonOutcomeLost: the agent restarted, or dropped its account.
+	// ReasonOutcomeLost: the agent restarted, evicted its record, or lost the answer.
 	ReasonOutcomeLost
 )
 
--- a/attempts/request.go
+++ b/attempts/request.go
@@ -2,34 +2,35 @@
 
 import "time"
 
-// RequestConfig is the fixed part of a Request.
+// RequestConfig holds the settings of a Request.
 type RequestConfig struct {
-	// HasKey says that the caller gave a key, under which it may deliver the
-	// request again. Without one no claim is needed: there is one delivery.
+	// HasKey is set if the caller gave a key, under which it may deliver the request
+	// again. A request without a key has one delivery and needs no claim.
 	HasKey bool
-	// FirstDelivery says that the caller vouches for this being the first delivery under
-	// the key. Without the store, NotRun can be said only then.
+	// FirstDelivery is set if the caller guarantees that this is the first delivery
+	// under the key. While the store is unavailable, NotRun can be answered only then.
 	FirstDelivery bool
 	Deadline      time.Time
-	// PollInterval is how long after a SendResolve it is sent again.
+	// PollInterval is the time after which a SendResolve is repeated.
 	PollInterval time.Duration
-	RetryAfter   time.Duration
-	// MaxAge is TableConfig.MaxAge. A delivery older than that, which happens when
-	// its entry was paused, may find an earlier claim of its key expired, and
-	// proves nothing any more.
+	// RetryAfter is returned in Finished where the caller may try again.
+	RetryAfter time.Duration
+	// MaxAge is TableConfig.MaxAge. After a pause of its entry, a delivery older than
+	// that can't prove that the request did not run, since an earlier claim of its key
+	// may have expired.
 	MaxAge time.Duration
 }
 
-// Request is one delivery of a request that is not repeatable. Times given to it
-// are of the wall clock, as ID.Issued is. It is not safe for concurrent use.
+// Request is one delivery of a request that must not run twice. The times passed
+// to it are wall-clock times, like ID.Issued. It is not safe for concurrent use.
 type Request struct {
 	config        RequestConfig
-	own           Claim // what this delivery may run
-	resolving     Claim // what is being resolved
+	own           Claim // the attempt that this delivery may run
+	resolving     Claim // the attempt whose outcome is asked for
 	state         requestState
-	sent          bool      // the own attempt was sent
-	resolveSentAt time.Time // last SendResolve
-	releaseReason Reason    // of the NotRun that a release is to make certain
+	sent          bool      // whether SendBegin was returned for own
+	resolveSentAt time.Time // time of the last SendResolve
+	releaseReason Reason    // the reason to finish with after the claim is released
 	now           time.Time
 	actions       []Action
 }
@@ -46,12 +47,12 @@
 	stateFinished
 )
 
-// NewRequest returns a delivery that runs the attempt of the claim, if any.
+// NewRequest returns a delivery that may run the attempt of the given claim.
 func NewRequest(c RequestConfig, own Claim) *Request {
 	return &Request{config: c, own: own}
 }
 
-// HandleEvent handles one event and returns what is to be done, in order.
+// HandleEvent handles one event and returns the actions to carry out, in order.
 func (r *Request) HandleEvent(now time.Time, ev Event) []Action {
 	r.now, r.actions = now, nil
 	if r.state == stateFinished {
@@ -76,7 +77,7 @@
 	return r.actions
 }
 
-// IsFinished says whether Finished was returned.
+// IsFinished reports whether Finished was returned.
 func (r *Request) IsFinished() bool { return r.state == stateFinished }
 
 func (r *Request) transition(s requestState, a Action) {
@@ -114,15 +115,16 @@
 	r.transition(stateSent, SendBegin{Claim: r.own})
 }
 
-// resolve asks what became of a claim's attempt. Sending the attempt again
-// instead would need the same agent, and prove nothing if it refused.
+// resolve asks the agent what became of a claim's attempt. The attempt is not sent
+// again: a refusal of the second message would not prove that the first did not run.
 func (r *Request) resolve(c Claim) {
 	r.resolving = c
 	r.resolveSentAt = r.now
 	r.transition(stateResolving, SendResolve{Claim: c})
 }
 
-// scheduleWake repeats a SendResolve whose attempt still runs or whose reply was lost.
+// scheduleWake asks for a Wake at the deadline or the next poll. It repeats a
+// SendResolve whose reply is overdue or said that the attempt still runs.
 func (r *Request) scheduleWake() {
 	if r.state == stateFinished {
 		return
--- a/attempts/request_action.go
+++ b/attempts/request_action.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Action is what a Request wants done: WriteClaim, ReplaceClaim, ReleaseClaim,
-// SendBegin, SendResolve, WakeAt or Finished.
+// Action is something for the caller of HandleEvent to do: WriteClaim,
+// ReplaceClaim, ReleaseClaim, SendBegin, SendResolve, WakeAt or Finished.
 type Action interface{ action() }
 
 // WriteClaim creates the key's claim if the key has none.
@@ -12,7 +12,7 @@
 // ReplaceClaim replaces the key's claim if it is still Old.
 type ReplaceClaim struct{ Old, New Claim }
 
-// ReleaseClaim removes the key's claim if it is still this one.
+// ReleaseClaim removes the key's claim if it is still the given one.
 type ReleaseClaim struct{ Claim Claim }
 
 // SendBegin sends the attempt to its agent. It is returned at most once.
@@ -21,16 +21,16 @@
 // SendResolve asks an agent, on a new connection, what became of an attempt.
 type SendResolve struct{ Claim Claim }
 
-// WakeAt asks for a Wake at At.
+// WakeAt asks for a Wake at the given time.
 type WakeAt struct{ At time.Time }
 
-// Finished is what the caller is told. It is the last action.
+// Finished is the answer to the caller. It ends the Request.
 type Finished struct {
 	Outcome Outcome
 	Reason  Reason
 	Answer  []byte
-	// RetryAfter is when to come back, after NotRun or Unknown for want of the
-	// store; 0 says that there is no use in coming back.
+	// RetryAfter is the time after which the caller may try again. Zero means that
+	// trying again is of no use.
 	RetryAfter time.Duration
 }
 
--- a/attempts/request_claim.go
+++ b/attempts/request_claim.go
@@ -11,7 +11,7 @@
 	}
 }
 
-// handleOwnClaimReply follows an attempt to make the own claim the key's one.
+// handleOwnClaimReply handles the reply to an attempt to make own the key's claim.
 func (r *Request) handleOwnClaimReply(ev ClaimReply) {
 	switch ev.Result {
 	case ClaimWritten:
@@ -25,8 +25,8 @@
 	}
 }
 
-// begin sends the attempt, unless the deadline has passed meanwhile: then it was
-// not sent and the claim is worth nothing.
+// begin sends the attempt after its claim was written. If the deadline has passed
+// meanwhile, it releases the claim instead.
 func (r *Request) begin() {
 	if r.pastMaxAge() {
 		r.finishUnknown(ReasonDeadline)
@@ -39,13 +39,14 @@
 	r.send()
 }
 
-// pastMaxAge says whether the delivery is so old that the key may have had another
-// claim, now expired, after the delivery arrived.
+// pastMaxAge reports whether the delivery is so old that the key may have had
+// another claim, now expired, after the delivery arrived.
 func (r *Request) pastMaxAge() bool {
 	return r.now.Sub(r.own.ID.issuedAt()) >= r.config.MaxAge
 }
 
-// resolveOther resolves another delivery's claim to give the caller the same answer.
+// resolveOther resolves the claim of another delivery, to give the caller the same
+// answer.
 func (r *Request) resolveOther(c Claim) {
 	if c.Fingerprint != r.own.Fingerprint {
 		r.finish(Finished{Outcome: NotRun, Reason: ReasonKeyReused})
@@ -54,9 +55,10 @@
 	r.resolve(c)
 }
 
-// finishWithoutStore answers when the store could not be asked and nothing was sent.
-// An earlier delivery under the key may have run, and only the store knows of
-// it: to call this one "not run" would make the caller book a second time.
+// finishWithoutStore answers a request that was not sent because the store is
+// unavailable. An earlier delivery of the key may have run, which only the store
+// knows. If the caller were told NotRun, it could make the request again under
+// another key and have it run twice.
 func (r *Request) finishWithoutStore() {
 	if r.config.FirstDelivery && r.state == stateClaiming {
 		r.finishNotRun(ReasonStoreUnavailable)
@@ -65,13 +67,14 @@
 	r.finishUnknown(ReasonStoreUnavailable)
 }
 
-// handleReleaseReply follows the removal of a claim whose attempt was proved not run.
+// handleReleaseReply handles the reply to the release of a claim whose attempt was
+// proved not to have run.
 func (r *Request) handleReleaseReply(ev ClaimReply) {
 	switch ev.Result {
 	case ClaimWritten, ClaimGone:
-		// A claim goes only after the proof that its attempt did not run, or by
-		// its age, which stale excludes. So where there is none left, because
-		// another delivery had the same proof and was faster, nothing has run.
+		// A claim disappears only after the proof that its attempt did not run, or
+		// when it expires, which pastMaxAge excludes. So if another delivery with
+		// the same proof has already removed it, the request has not run.
 		if r.pastMaxAge() {
 			r.finishUnknown(r.releaseReason)
 			return
--- a/attempts/request_event.go
+++ b/attempts/request_event.go
@@ -1,38 +1,39 @@
 package attempts
 
-// Event is what a Request is told: Go, Claimed, Begun, Resolved, ConnectionLost
-// or Wake.
+// Event is an input of Request.HandleEvent: Start, ClaimReply, BeginReply,
+// ResolveReply, ConnectionLost or Wake.
 type Event interface{ event() }
 
 // Start starts the request.
 type Start struct{}
 
-// ClaimResult is the outcome of a WriteClaim, ReplaceClaim or ReleaseClaim.
+// ClaimResult is the result of a WriteClaim, ReplaceClaim or ReleaseClaim.
 type ClaimResult uint8
 
-// Outcomes of a call to the store for a claim.
+// Results of a store operation on a claim.
 const (
-	// ClaimUnavailable: the store can't be reached, or the reply was lost and the
-	// read back failed. The write may have taken effect.
+	// ClaimUnavailable: the store can't be reached, or the reply was lost and reading
+	// the claim back failed. The write may have taken effect.
 	ClaimUnavailable ClaimResult = iota
-	// ClaimWritten: the store holds what was asked for.
+	// ClaimWritten: the operation succeeded.
 	ClaimWritten
 	// ClaimConflict: the store holds another claim.
 	ClaimConflict
-	// ClaimGone: the store holds no claim any more.
+	// ClaimGone: the store holds no claim for the key any more.
 	ClaimGone
 )
 
-// ClaimReply answers a WriteClaim, ReplaceClaim or ReleaseClaim, exactly once each.
-// Claim is the one that the store holds after ClaimConflict.
+// ClaimReply is the reply to a WriteClaim, ReplaceClaim or ReleaseClaim. There is
+// exactly one for each. Claim is set for ClaimConflict: it is the one in the store.
 type ClaimReply struct {
 	Result ClaimResult
 	Claim  Claim
 }
 
 // BeginReply is the agent's reply to a SendBegin, after the attempt has ended.
-// Verdict is Fresh, Joined or Repeated with the whole answer, else Refused or
-// Unprovable; Interrupted says that it ran without an answer.
+// Result is BeginRun, BeginJoin or BeginReplay with the whole answer, or else
+// BeginRefuse or BeginUnknown. Interrupted means that the attempt ran without
+// giving an answer.
 type BeginReply struct {
 	ID          ID
 	Result      BeginResult
@@ -47,11 +48,11 @@
 	Answer []byte
 }
 
-// ConnectionLost says that no reply to the SendBegin will come: the connection
-// broke or went silent.
+// ConnectionLost reports that no reply to the SendBegin will come, because the
+// connection broke or became unresponsive.
 type ConnectionLost struct{ ID ID }
 
-// Wake lets deadlines act; it is due at the last WakeAt.
+// Wake reports that time has passed. It is due at the time of the last WakeAt.
 type Wake struct{}
 
 func (Start) event()          {}
--- a/attempts/request_reply.go
+++ b/attempts/request_reply.go
@@ -8,8 +8,9 @@
 	case ev.Interrupted:
 		r.finishUnknown(ReasonOutcomeLost)
 	case ev.Result == BeginRefuse, ev.Result == BeginUnknown:
-		// The attempt was sent once, so the refused message was the only one, and
-		// neither a floor nor an incarnation ever goes back.
+		// The attempt was sent only once, so the refused message was the only one.
+		// It can't be accepted later, since neither Table.highestEvicted nor an
+		// incarnation ever decreases.
 		r.handleProvedNotRun(r.own)
 	default:
 		r.finish(Finished{Outcome: Done, Answer: ev.Answer})
@@ -30,11 +31,10 @@
 	}
 }
 
-// handleProvedNotRun follows the proof that the claim's attempt did not run and never
-// will. If the own attempt was not sent yet it takes the claim's place. Otherwise
-// the claim is released first: if that fails because another delivery has
-// replaced it, the request may be running there, and saying "not run" would be
-// wrong.
+// handleProvedNotRun continues after the proof that the claim's attempt did not run
+// and never will. If the own attempt was not sent yet, its claim replaces the other.
+// Otherwise the claim is released before NotRun is answered: if another delivery
+// has replaced it, the request may be running there.
 func (r *Request) handleProvedNotRun(c Claim) {
 	switch {
 	case !r.config.HasKey:
@@ -55,8 +55,8 @@
 
 func (r *Request) pastDeadline() bool { return !r.now.Before(r.config.Deadline) }
 
-// checkDeadline ends what can't end in time. While the store is asked the
-// request waits for its answer, which the shell bounds.
+// checkDeadline finishes a request that waits for the agent past its deadline. Store
+// operations are not interrupted; their caller bounds them.
 func (r *Request) checkDeadline() {
 	if !r.pastDeadline() {
 		return
--- a/attempts/simulation_test.go
+++ b/attempts/simulation_test.go
@@ -16,14 +16,14 @@
 const (
 	simMaxDelay      = 2 * time.Second
 	simMaxAge        = 60 * time.Second
-	simClaimTTL      = 200 * time.Second // a claim's life in the store
-	simArrivalPeriod = 100 * time.Second // keys are delivered again for so long
+	simClaimTTL      = 200 * time.Second // lifetime of a claim in the store
+	simArrivalPeriod = 100 * time.Second // period in which keys are delivered
 )
 
 // TestRandomFailures delivers requests, most of their keys several times, through
-// entries that pause, agents that restart and a store that fails, and holds what
+// entries that pause, agents that restart and a store that fails. It checks what
 // callers are told against what ran. A longer run:
-// go test ./attempts -run RandomWorlds -v -attempts.worlds 50000
+// go test ./attempts -run RandomFailures -v -attempts.worlds 50000
 func TestRandomFailures(t *testing.T) {
 	outcomes := map[Outcome]int{}
 	executions := 0
@@ -56,7 +56,7 @@
 	agents       []*simAgent
 	claims       map[string]*simClaim
 	storeDown    bool
-	executed     map[string]*simDelivery // what ran, by key
+	executed     map[string]*simDelivery // the delivery that ran, by key
 	outcomes     map[Outcome]int
 	lastSequence uint64
 }
@@ -76,11 +76,11 @@
 type simDelivery struct {
 	sim        *simulation
 	key        string
-	number     int // of the key's deliveries
+	number     int // of the deliveries of the key, from 0
 	hasKey     bool
 	req        *Request
 	own        Claim
-	toldNotRun bool // told not run
+	toldNotRun bool
 }
 
 func newSimulation(t *testing.T, seed uint64) *simulation {
@@ -169,8 +169,8 @@
 	d.step(Start{})
 }
 
-// step runs the delivery's entry, which may be paused before it acts. What the
-// caller is told is checked as of the decision.
+// step passes an event to the delivery, whose entry may pause before it carries out the
+// actions. The caller's answer is checked at the time of the decision.
 func (d *simDelivery) step(ev Event) {
 	s := d.sim
 	actions := d.req.HandleEvent(s.now, ev)
@@ -207,7 +207,8 @@
 	}
 }
 
-// compareAndSwap is the store's compare-and-swap; current is nil if the key has no claim.
+// compareAndSwap is the store's compare-and-swap. current is nil if the key has no
+// claim.
 func (d *simDelivery) compareAndSwap(current *simClaim, old, next *Claim) ClaimResult {
 	switch {
 	case old == nil && current != nil, old != nil && current != nil && current.claim != *old:
@@ -218,7 +219,7 @@
 	case old != nil && current == nil:
 		return ClaimGone
 	case next == nil:
-		// From here a later delivery may run, before this one is told.
+		// From now on a later delivery may run, before this one is answered.
 		if d.sim.executed[d.key] != nil {
 			d.sim.fail(d, "released a claim that ran")
 		}
@@ -229,8 +230,8 @@
 	return ClaimWritten
 }
 
-// callStore calls the callStore: the reply may be lost, and the write may take effect
-// long after it was given up.
+// callStore calls the store. The reply may be lost, and the write may take effect long
+// after the call was given up.
 func (d *simDelivery) callStore(op func(*simClaim) ClaimResult) {
 	s := d.sim
 	apply := func() ClaimReply {
@@ -263,7 +264,8 @@
 	return s.agents[slices.IndexFunc(s.agents, func(a *simAgent) bool { return a.name == name })]
 }
 
-// sendBegin delivers the attempt late or not at all; the entry may give up before.
+// sendBegin delivers the attempt late or not at all. The entry may lose the connection
+// before.
 func (d *simDelivery) sendBegin(c Claim) {
 	s, a := d.sim, d.sim.agent(c.Agent)
 	if s.randomBool(0.2) {
--- a/attempts/table.go
+++ b/attempts/table.go
@@ -6,31 +6,32 @@
 	"github.com/google/btree"
 )
 
-// TableConfig is the fixed part of a Table.
+// TableConfig holds the settings of a Table.
 type TableConfig struct {
-	// Incarnation of the agent, which grows with each start of its process.
+	// Incarnation is the agent's. It increases with each start of its process.
 	Incarnation uint64
-	// MaxEntries and Bytes bound the attempts and the answers that are kept.
+	// MaxEntries and MaxAnswerBytes bound the attempts recorded and the total size of
+	// the answers kept.
 	MaxEntries     int
 	MaxAnswerBytes int
-	// MaxAge is how old an attempt may be when it begins. With Skew added it
-	// must be below the time for which claims are kept in the store.
+	// MaxAge is the age up to which an attempt may begin. MaxAge plus MaxClockSkew
+	// must be less than the lifetime of claims in the store.
 	MaxAge time.Duration
-	// MaxClockSkew is how far the wall clocks of instances may differ.
+	// MaxClockSkew bounds the difference between the wall clocks of instances.
 	MaxClockSkew time.Duration
 }
 
-// Table is an agent's memory of attempts. It is not safe for concurrent use.
+// Table is an agent's record of attempts. It is not safe for concurrent use.
 type Table struct {
 	config  TableConfig
 	records map[ID]*record
-	// By ID, so that the oldest is found without a scan.
+	// Finished attempts by status, ordered by ID to find the oldest.
 	notRun         *btree.BTreeG[*record]
 	answered       *btree.BTreeG[*record]
 	answerLost     *btree.BTreeG[*record]
-	bytes          int
-	highestEvicted ID
-	now            time.Time // of the last Begin
+	bytes          int       // total size of the answers
+	highestEvicted ID        // attempts up to it without a record may neither begin nor be proved not run
+	now            time.Time // time of the last Begin of an attempt without a record
 }
 
 type record struct {
@@ -53,8 +54,8 @@
 	}
 }
 
-// Begin decides whether the attempt may run now. The answer is the kept one if
-// the verdict is Repeated, and is not to be changed.
+// Begin decides whether the attempt may run now. For BeginReplay it also returns
+// the answer, which must not be modified.
 func (t *Table) Begin(now time.Time, id ID) (BeginResult, []byte) {
 	if r := t.records[id]; r != nil {
 		return r.beginResult(), r.answer
@@ -71,7 +72,8 @@
 	return BeginRun, nil
 }
 
-// RecordAnswer keeps the whole answer of an attempt that was Fresh.
+// RecordAnswer stores the whole answer of a running attempt. It panics if the
+// attempt is not running.
 func (t *Table) RecordAnswer(id ID, answer []byte) {
 	r := t.runningRecord(id)
 	r.status = StatusAnswered
@@ -81,8 +83,8 @@
 	t.evict()
 }
 
-// RecordLostAnswer notes that a Fresh attempt was handed to the target and that its
-// answer will never come.
+// RecordLostAnswer records that a running attempt was handed to the target and that
+// there won't be an answer. It panics if the attempt is not running.
 func (t *Table) RecordLostAnswer(id ID) {
 	r := t.runningRecord(id)
 	r.status = StatusRan
@@ -90,7 +92,8 @@
 	t.evict()
 }
 
-// RecordNotRun notes that a Fresh attempt was never handed to the target.
+// RecordNotRun records that a running attempt was never handed to the target. It
+// panics if the attempt is not running.
 func (t *Table) RecordNotRun(id ID) {
 	r := t.runningRecord(id)
 	r.status = StatusNotRun
@@ -98,8 +101,9 @@
 	t.evict()
 }
 
-// Resolve says what became of the attempt. One that never arrived is refused
-// from now on, so that StatusNotRun stays true.
+// Resolve returns what became of the attempt, and its answer if the status is
+// StatusAnswered. An attempt that has not arrived is refused from then on, so that
+// StatusNotRun stays true.
 func (t *Table) Resolve(id ID) (Status, []byte) {
 	if r := t.records[id]; r != nil {
 		return r.status, r.answer
@@ -111,12 +115,13 @@
 	return StatusNotRun, nil
 }
 
-// Len returns the number of attempts remembered.
+// Len returns the number of attempts recorded.
 func (t *Table) Len() int { return len(t.records) }
 
-// AnswerBytes returns the size of the answers kept.
+// AnswerBytes returns the total size of the answers kept.
 func (t *Table) AnswerBytes() int { return t.bytes }
 
+// beginResult returns the result of another Begin of a recorded attempt.
 func (r *record) beginResult() BeginResult {
 	switch r.status {
 	case StatusRunning:
@@ -129,8 +134,8 @@
 	return BeginUnknown
 }
 
-// runningRecord returns the entry of a Fresh attempt. Any other call would change an
-// account that was already given to somebody.
+// runningRecord returns the record of a running attempt. It panics if there is none:
+// a finished record must not change, since its status may have been reported.
 func (t *Table) runningRecord(id ID) *record {
 	r := t.records[id]
 	if r == nil || r.status != StatusRunning {
