--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -40,7 +40,7 @@
 	}
 	q := admission.New(o)
 	waits := hdrhistogram.New(1, 100_000_000, 3)
-	lightArrivals := map[admission.ID]time.Duration{}
+	lightArrivals := map[admission.ID]time.Duration{} // arrival times of the light account's requests
 	var running completionHeap
 	now, id := time.Duration(0), admission.ID(0)
 	apply := func(actions []admission.Action) {
--- a/admission/random_events_test.go
+++ b/admission/random_events_test.go
@@ -18,6 +18,7 @@
 
 const maxServiceTime = 50 * time.Millisecond // in the randomised run
 
+// trackedRequest is a request as the test expects the queue to know it.
 type trackedRequest struct {
 	account   string
 	deadline  time.Time
@@ -41,6 +42,7 @@
 	draining          bool
 }
 
+// Guards the bounds, fairness and reported load of a queue under random events.
 func TestRandomEvents(t *testing.T) {
 	t.Logf("seed %d, %d steps", *seed, *steps)
 	rng := rand.New(rand.NewPCG(*seed, 0))
--- a/attempts/request.go
+++ b/attempts/request.go
@@ -35,15 +35,16 @@
 	actions       []Action
 }
 
+// requestState is what a Request waits for.
 type requestState uint8
 
 const (
-	stateNew requestState = iota
-	stateClaiming
-	stateReplacing
-	stateReleasing
-	stateSent
-	stateResolving
+	stateNew       requestState = iota
+	stateClaiming               // reply to WriteClaim
+	stateReplacing              // reply to ReplaceClaim
+	stateReleasing              // reply to ReleaseClaim
+	stateSent                   // reply to SendBegin
+	stateResolving              // reply to SendResolve
 	stateFinished
 )
 
--- a/attempts/request_claim.go
+++ b/attempts/request_claim.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// begin sends the attempt after its claim was written. If the deadline has passed
-// meanwhile, it releases the claim instead.
+// begin sends the attempt after its claim was written. It finishes a delivery that
+// is past its maximum age instead, and releases the claim if the deadline has passed.
 func (r *Request) begin() {
 	if r.pastMaxAge() {
 		r.finishUnknown(ReasonDeadline)
--- a/attempts/simulation_test.go
+++ b/attempts/simulation_test.go
@@ -47,6 +47,7 @@
 	run func()
 }
 
+// simulation runs the requests of one seed in virtual time.
 type simulation struct {
 	t            *testing.T
 	seed         uint64
@@ -73,6 +74,7 @@
 	name        string
 }
 
+// simDelivery is one delivery of a key and the entry that handles it.
 type simDelivery struct {
 	sim        *simulation
 	key        string
@@ -146,6 +148,7 @@
 	s.events = append(s.events, simEvent{s.now.Add(d), run})
 }
 
+// fail ends the test with what is needed to reproduce the failure.
 func (s *simulation) fail(d *simDelivery, message string) {
 	s.t.Fatalf("seed %d at %v: key %s delivery %d: %s", s.seed, s.now.Sub(time.Unix(10000, 0)), d.key, d.number, message)
 }
@@ -325,6 +328,7 @@
 	}
 }
 
+// recordExecution checks that the key may run and records that it did.
 func (d *simDelivery) recordExecution() {
 	if other := d.sim.executed[d.key]; other != nil {
 		d.sim.fail(d, "ran a second time")
@@ -335,6 +339,7 @@
 	d.sim.executed[d.key] = d
 }
 
+// checkFinished checks the answer to the caller against what ran.
 func (d *simDelivery) checkFinished(f Finished) {
 	d.sim.outcomes[f.Outcome]++
 	executed := d.sim.executed[d.key]
--- a/attempts/table.go
+++ b/attempts/table.go
@@ -34,10 +34,11 @@
 	now            time.Time // time of the last Begin of an attempt without a record
 }
 
+// record is what a Table keeps about one attempt.
 type record struct {
 	id     ID
 	status Status
-	answer []byte
+	answer []byte // nil unless the status is StatusAnswered
 }
 
 const btreeDegree = 16
--- a/routing/random_events_test.go
+++ b/routing/random_events_test.go
@@ -30,6 +30,7 @@
 	retries       int
 }
 
+// Guards the retry budget, windows and choice of targets under random events.
 func TestRandomEvents(t *testing.T) {
 	t.Logf("seed %d, %d steps", *seed, *steps)
 	rr := &randomRun{c: qt.New(t), rng: rand.New(rand.NewPCG(*seed, 0)), targets: map[routing.TargetID]*routing.Target{}}
--- a/routing/simulation_test.go
+++ b/routing/simulation_test.go
@@ -97,6 +97,7 @@
 	return last
 }
 
+// simulation is the state of one run.
 type simulation struct {
 	scenario
 	rng     *rand.Rand
@@ -135,6 +136,7 @@
 	ended   bool
 }
 
+// entrySim is an entry. inFlight and lastReplyAt are indexed by target.
 type entrySim struct {
 	router      *routing.Router
 	zone        string
@@ -143,6 +145,8 @@
 	lastReplyAt []time.Duration
 }
 
+// agentSim is an agent with its target. The baseline uses fifo and running, the
+// candidate queue and requests.
 type agentSim struct {
 	target   int
 	queue    *admission.Queue
@@ -290,6 +294,7 @@
 	_ = s.accountLatency[r.account].RecordValue(latency.Microseconds())
 }
 
+// refuse finishes a refused request, or submits it again after retryAfter.
 func (s *simulation) refuse(r *request, retryAfter time.Duration) {
 	if r.ended {
 		return
