--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -12,28 +12,27 @@
 	"github.com/eelgrasshub/eelgrasshub/admission"
 )
 
-// ends is a heap of running requests by their end.
-type ends []end
-type end struct {
+// completionHeap is a heap of running requests by the time of their completion.
+type completionHeap []completion
+type completion struct {
 	at time.Duration
 	id admission.ID
 }
 
-func (e ends) Len() int           { return len(e) }
-func (e ends) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e ends) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *ends) Push(x any)        { *e = append(*e, x.(end)) }
-func (e *ends) Pop() any {
-	last := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
+func (h completionHeap) Len() int           { return len(h) }
+func (h completionHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h completionHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *completionHeap) Push(x any)        { *h = append(*h, x.(completion)) }
+func (h *completionHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// flood offers one target of 8 slots three times its capacity for ten seconds,
-// nine tenths of it from one account, and returns the light account's waits in
-// microseconds. fifo names every request's account alike and takes the bounds
-// away, which makes the queue the baseline.
-func flood(fifo bool) *hdrhistogram.Histogram {
+// simulateFlood offers one target of 8 slots three times its capacity for ten seconds,
+// 90% of it from one account, and returns the light account's waits in microseconds.
+// fifo puts all requests in one account without bounds, as the baseline.
+func simulateFlood(fifo bool) *hdrhistogram.Histogram {
 	rng := rand.New(rand.NewPCG(1, 1))
 	o := admission.Options{Slots: 8}
 	if fifo {
@@ -41,26 +40,26 @@
 	}
 	q := admission.New(o)
 	waits := hdrhistogram.New(1, 100_000_000, 3)
-	arrived := map[admission.ID]time.Duration{} // of the light account
-	var running ends
+	lightArrivals := map[admission.ID]time.Duration{} // arrival times of the light account's requests
+	var running completionHeap
 	now, id := time.Duration(0), admission.ID(0)
-	act := func(actions []admission.Action) {
+	apply := func(actions []admission.Action) {
 		for _, action := range actions {
 			run, ok := action.(admission.Run)
 			if !ok {
 				continue
 			}
-			heap.Push(&running, end{at: now + time.Duration(rng.ExpFloat64()*float64(10*time.Millisecond)), id: run.ID})
-			if began, light := arrived[run.ID]; light {
-				_ = waits.RecordValue((now - began).Microseconds())
+			heap.Push(&running, completion{at: now + time.Duration(rng.ExpFloat64()*float64(10*time.Millisecond)), id: run.ID})
+			if arrivedAt, light := lightArrivals[run.ID]; light {
+				_ = waits.RecordValue((now - arrivedAt).Microseconds())
 			}
 		}
 	}
 	for next := time.Duration(0); next < 10*time.Second; {
 		if len(running) > 0 && running[0].at <= next {
-			done := heap.Pop(&running).(end)
+			done := heap.Pop(&running).(completion)
 			now = done.at
-			act(q.HandleEvent(at(now), admission.Finished{ID: done.id, SlotTime: 10 * time.Millisecond}))
+			apply(q.HandleEvent(at(now), admission.Finished{ID: done.id, SlotTime: 10 * time.Millisecond}))
 			continue
 		}
 		now = next
@@ -68,28 +67,28 @@
 		id++
 		ev := admission.Arrived{ID: id, Account: "heavy"}
 		if rng.IntN(10) == 0 {
-			arrived[id] = now
+			lightArrivals[id] = now
 			if !fifo {
 				ev.Account = "light"
 			}
 		}
-		act(q.HandleEvent(at(now), ev))
+		apply(q.HandleEvent(at(now), ev))
 	}
 	return waits
 }
 
-// The wait of a light account beside one that floods the target.
+// Measures the wait of a light account while another account floods the target.
 func BenchmarkFlood(b *testing.B) {
 	for b.Loop() {
-		baseline, candidate := flood(true), flood(false)
+		baseline, candidate := simulateFlood(true), simulateFlood(false)
 		b.ReportMetric(float64(baseline.ValueAtQuantile(99))/1000, "baseline-wait-p99-ms")
 		b.ReportMetric(float64(candidate.ValueAtQuantile(99))/1000, "wait-p99-ms")
 		b.ReportMetric(float64(baseline.ValueAtQuantile(99))/float64(candidate.ValueAtQuantile(99)), "ratio")
 	}
 }
 
-// One arrival and one end, with a request of each account queued.
-func BenchmarkStep(b *testing.B) {
+// Measures one arrival and one completion, with a request of each account queued.
+func BenchmarkHandleEvent(b *testing.B) {
 	for _, accounts := range []int{1, 4, 100, 1000} {
 		b.Run(fmt.Sprint("accounts=", accounts), func(b *testing.B) {
 			q := admission.New(admission.Options{Slots: 1})
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -15,9 +15,9 @@
 
 type actions = []admission.Action
 
-// taught returns a queue of one slot that has learned a service time of 10 ms,
-// at 1 s.
-func taught(o admission.Options) *admission.Queue {
+// newTrainedQueue returns a queue of one slot that has observed a service time of
+// 10 ms. Its time is 1 s.
+func newTrainedQueue(o admission.Options) *admission.Queue {
 	o.Slots = 1
 	q := admission.New(o)
 	for id := range admission.ID(100) {
@@ -27,8 +27,8 @@
 	return q
 }
 
-// A target is told to leave while a request waits in its queue. The caller was
-// let in and must be served; a request that comes later is sent elsewhere.
+// Guards against dropping queued requests, or accepting new ones, while the target
+// drains.
 func TestDrainServesTheQueueAndRefusesArrivals(t *testing.T) {
 	c := qt.New(t)
 	q := admission.New(admission.Options{Slots: 1})
@@ -40,12 +40,11 @@
 	c.Assert(q.HandleEvent(at(3), admission.Finished{ID: 1, SlotTime: 3}), qt.DeepEquals, actions{admission.Run{ID: 2}})
 }
 
-// A truck waits for an answer within 35 ms, and four requests of 10 ms stand
-// before it. Queued, it would be refused after its time; refused now, with the
-// time the backlog needs, the client can still act.
-func TestHopelessArrivalIsRefusedAtOnce(t *testing.T) {
+// Guards against queueing a request that would miss its deadline because of the
+// backlog. It must be refused at once, with the time that the backlog takes.
+func TestArrivalThatCannotMeetItsDeadlineIsRefused(t *testing.T) {
 	c := qt.New(t)
-	q := taught(admission.Options{})
+	q := newTrainedQueue(admission.Options{})
 	for id := range admission.ID(5) {
 		q.HandleEvent(at(time.Second), admission.Arrived{ID: id})
 	}
@@ -53,11 +52,11 @@
 	c.Assert(got, qt.DeepEquals, actions{admission.Refuse{ID: 9, Reason: admission.ReasonDeadline, RetryAfter: 40 * time.Millisecond}})
 }
 
-// A request ahead runs ten times as long as it ever did. The one behind it is
-// given up as soon as it can't be answered any more, not at its deadline.
-func TestQueuedRequestIsRefusedWhenItBecomesHopeless(t *testing.T) {
+// Guards against keeping a request until its deadline when the one before it runs so
+// long that it can no longer be answered in time.
+func TestQueuedRequestIsRefusedOnceItCannotMeetItsDeadline(t *testing.T) {
 	c := qt.New(t)
-	q := taught(admission.Options{})
+	q := newTrainedQueue(admission.Options{})
 	q.HandleEvent(at(time.Second), admission.Arrived{ID: 1})
 	wake := at(time.Second + 40*time.Millisecond)
 	got := q.HandleEvent(at(time.Second), admission.Arrived{ID: 2, Deadline: at(time.Second + 50*time.Millisecond)})
@@ -66,11 +65,10 @@
 	c.Assert(got, qt.DeepEquals, actions{admission.Refuse{ID: 2, Reason: admission.ReasonDeadline, RetryAfter: 10 * time.Millisecond}})
 }
 
-// One client account floods a target with slow requests. Another asks now and
-// then; in a shared queue it would wait behind hundreds.
-func TestLightAccountIsServedNextUnderFlood(t *testing.T) {
+// Guards against a light account that waits behind the backlog of another account.
+func TestLightAccountIsServedNextDuringFlood(t *testing.T) {
 	c := qt.New(t)
-	q := taught(admission.Options{})
+	q := newTrainedQueue(admission.Options{})
 	for id := range admission.ID(200) {
 		q.HandleEvent(at(time.Second), admission.Arrived{ID: id, Account: "flood"})
 	}
@@ -80,20 +78,20 @@
 	c.Assert(got, qt.DeepEquals, actions{admission.Run{ID: 500}})
 }
 
-// Two accounts with weights 3 and 1 keep the target busy; the second sends
-// requests that take four times as long. Shares are of slot time, not of requests.
+// Guards against shares by number of requests: accounts must share slot time by weight,
+// whatever time their requests take.
 func TestSharesOfSlotTimeFollowWeights(t *testing.T) {
 	c := qt.New(t)
-	q := taught(admission.Options{})
+	q := newTrainedQueue(admission.Options{})
 	q.HandleEvent(at(0), admission.PolicyChanged{Weights: map[string]int{"a": 3, "b": 1}})
-	cost := map[string]time.Duration{"a": 10 * time.Millisecond, "b": 40 * time.Millisecond}
+	slotTime := map[string]time.Duration{"a": 10 * time.Millisecond, "b": 40 * time.Millisecond}
 	used := map[string]time.Duration{}
 	owner := map[admission.ID]string{}
-	next := admission.ID(0)
+	lastID := admission.ID(0)
 	arrive := func(account string) []admission.Action {
-		next++
-		owner[next] = account
-		return q.HandleEvent(at(time.Second), admission.Arrived{ID: next, Account: account})
+		lastID++
+		owner[lastID] = account
+		return q.HandleEvent(at(time.Second), admission.Arrived{ID: lastID, Account: account})
 	}
 	run := arrive("a")
 	for range 20 {
@@ -103,40 +101,39 @@
 	for range 4000 {
 		id := run[0].(admission.Run).ID
 		account := owner[id]
-		used[account] += cost[account]
-		run = append(actions{}, q.HandleEvent(at(time.Second), admission.Finished{ID: id, SlotTime: cost[account]})...)
+		used[account] += slotTime[account]
+		run = append(actions{}, q.HandleEvent(at(time.Second), admission.Finished{ID: id, SlotTime: slotTime[account]})...)
 		arrive(account)
 	}
 	ratio := used["a"].Seconds() / used["b"].Seconds()
 	c.Assert(ratio > 2.9 && ratio < 3.1, qt.IsTrue, qt.Commentf("%f", ratio))
 }
 
-// What is known of a class says that its deadline can't be met, but a slot is
-// free. To refuse it would leave the slot idle, and nothing new would be learned.
-func TestFreeSlotIsGivenWhateverIsExpected(t *testing.T) {
-	q := taught(admission.Options{})
+// Guards against refusing a request because of its expected service time while a slot
+// is idle, which would also prevent observing a shorter time.
+func TestFreeSlotIsUsedDespiteExpectedServiceTime(t *testing.T) {
+	q := newTrainedQueue(admission.Options{})
 	got := q.HandleEvent(at(0), admission.Arrived{ID: 1, Deadline: at(time.Millisecond)})
 	qt.Assert(t, got, qt.DeepEquals, actions{admission.Run{ID: 1}})
 }
 
-// A class of requests took a second each while the target was slow, more than
-// its deadline of 100 ms. The target has recovered, and others keep it busy. The
-// class must get in again, though nothing of it ran meanwhile.
-func TestClassOnceTooSlowIsTriedAgain(t *testing.T) {
+// Guards against refusing a class for ever because it was once slower than its
+// deadline.
+func TestClassThatWasTooSlowIsAdmittedAgain(t *testing.T) {
 	c := qt.New(t)
-	q := taught(admission.Options{})
+	q := newTrainedQueue(admission.Options{})
 	q.HandleEvent(at(0), admission.Arrived{ID: 1, Class: "check"})
 	q.HandleEvent(at(0), admission.Finished{ID: 1, SlotTime: time.Second})
-	busy := admission.ID(10)
-	q.HandleEvent(at(0), admission.Arrived{ID: busy})
+	lastID := admission.ID(10)
+	q.HandleEvent(at(0), admission.Arrived{ID: lastID})
 	for n := 1; ; n++ {
 		c.Assert(n < 2000, qt.IsTrue)
-		busy++
-		q.HandleEvent(at(0), admission.Arrived{ID: busy})
+		lastID++
+		q.HandleEvent(at(0), admission.Arrived{ID: lastID})
 		got := q.HandleEvent(at(0), admission.Arrived{ID: 1, Class: "check", Deadline: at(100 * time.Millisecond)})
 		if _, refused := got[0].(admission.Refuse); !refused {
 			return
 		}
-		q.HandleEvent(at(0), admission.Finished{ID: busy - 1, SlotTime: 10 * time.Millisecond})
+		q.HandleEvent(at(0), admission.Finished{ID: lastID - 1, SlotTime: 10 * time.Millisecond})
 	}
 }
--- a/attempts/request.go
+++ b/attempts/request.go
@@ -2,141 +2,144 @@
 
 import "time"
 
-// RequestConfig is the fixed part of a Request.
+// RequestConfig holds the settings of a Request.
 type RequestConfig struct {
-	// HasKey says that the caller gave a key, under which it may deliver the
-	// request again. Without one no claim is needed: there is one delivery.
+	// HasKey is set if the caller gave a key, under which it may deliver the request
+	// again. A request without a key has one delivery and needs no claim.
 	HasKey bool
-	// FirstDelivery says that the caller vouches for this being the first delivery under
-	// the key. Without the store, NotRun can be said only then.
+	// FirstDelivery is set if the caller guarantees that this is the first delivery
+	// under the key. While the store is unavailable, NotRun can be answered only then.
 	FirstDelivery bool
 	Deadline      time.Time
-	// PollInterval is how long after a SendResolve it is sent again.
+	// PollInterval is the time after which a SendResolve is repeated.
 	PollInterval time.Duration
-	RetryAfter   time.Duration
-	// MaxAge is TableConfig.MaxAge. A delivery older than that, which happens when
-	// its entry was paused, may find an earlier claim of its key expired, and
-	// proves nothing any more.
+	// RetryAfter is returned in Finished where the caller may try again.
+	RetryAfter time.Duration
+	// MaxAge is TableConfig.MaxAge. After a pause of its entry, a delivery older than
+	// that can't prove that the request did not run, since an earlier claim of its key
+	// may have expired.
 	MaxAge time.Duration
 }
 
-// Request is one delivery of a request that is not repeatable. Times given to it
-// are of the wall clock, as ID.Issued is. It is not safe for concurrent use.
+// Request is one delivery of a request that must not run twice. The times passed
+// to it are wall-clock times, like ID.Issued. It is not safe for concurrent use.
 type Request struct {
-	config  RequestConfig
-	own     Claim // what this delivery may run
-	watched Claim // what is being resolved
-	step    step
-	spent   bool      // the own attempt was sent
-	asked   time.Time // last SendResolve
-	reason  Reason    // of the NotRun that a release is to make certain
-	now     time.Time
-	actions []Action
+	config        RequestConfig
+	own           Claim // the attempt that this delivery may run
+	resolving     Claim // the attempt whose outcome is asked for
+	state         requestState
+	sent          bool      // whether SendBegin was returned for own
+	resolveSentAt time.Time // time of the last SendResolve
+	releaseReason Reason    // the reason to finish with after the claim is released
+	now           time.Time
+	actions       []Action
 }
 
-type step uint8
+// requestState is what a Request waits for.
+type requestState uint8
 
 const (
-	stepNew step = iota
-	stepClaiming
-	stepReplacing
-	stepReleasing
-	stepSent
-	stepResolving
-	stepFinished
+	stateNew       requestState = iota
+	stateClaiming               // reply to WriteClaim
+	stateReplacing              // reply to ReplaceClaim
+	stateReleasing              // reply to ReleaseClaim
+	stateSent                   // reply to SendBegin
+	stateResolving              // reply to SendResolve
+	stateFinished
 )
 
-// NewRequest returns a delivery that runs the attempt of the claim, if any.
+// NewRequest returns a delivery that may run the attempt of the given claim.
 func NewRequest(c RequestConfig, own Claim) *Request {
 	return &Request{config: c, own: own}
 }
 
-// HandleEvent handles one event and returns what is to be done, in order.
+// HandleEvent handles one event and returns the actions to carry out, in order.
 func (r *Request) HandleEvent(now time.Time, ev Event) []Action {
 	r.now, r.actions = now, nil
-	if r.step == stepFinished {
+	if r.state == stateFinished {
 		return nil
 	}
 	switch ev := ev.(type) {
 	case Start:
 		r.start()
 	case ClaimReply:
-		r.claimed(ev)
+		r.handleClaimReply(ev)
 	case BeginReply:
-		r.begun(ev)
+		r.handleBeginReply(ev)
 	case ResolveReply:
-		r.resolved(ev)
+		r.handleResolveReply(ev)
 	case ConnectionLost:
-		if r.step == stepSent && ev.ID == r.own.ID {
+		if r.state == stateSent && ev.ID == r.own.ID {
 			r.resolve(r.own)
 		}
 	}
 	r.checkDeadline()
-	r.poll()
+	r.scheduleWake()
 	return r.actions
 }
 
-// IsFinished says whether Finished was returned.
-func (r *Request) IsFinished() bool { return r.step == stepFinished }
+// IsFinished reports whether Finished was returned.
+func (r *Request) IsFinished() bool { return r.state == stateFinished }
 
-func (r *Request) do(s step, a Action) {
-	r.step = s
+func (r *Request) transition(s requestState, a Action) {
+	r.state = s
 	r.actions = append(r.actions, a)
 }
 
-func (r *Request) finish(f Finished) { r.do(stepFinished, f) }
+func (r *Request) finish(f Finished) { r.transition(stateFinished, f) }
 
-func (r *Request) unknown(why Reason) {
-	f := Finished{Outcome: Unknown, Reason: why}
-	if why == ReasonStoreUnavailable {
+func (r *Request) finishUnknown(reason Reason) {
+	f := Finished{Outcome: Unknown, Reason: reason}
+	if reason == ReasonStoreUnavailable {
 		f.RetryAfter = r.config.RetryAfter
 	}
 	r.finish(f)
 }
 
-func (r *Request) notRun(why Reason) {
-	r.finish(Finished{Outcome: NotRun, Reason: why, RetryAfter: r.config.RetryAfter})
+func (r *Request) finishNotRun(reason Reason) {
+	r.finish(Finished{Outcome: NotRun, Reason: reason, RetryAfter: r.config.RetryAfter})
 }
 
 func (r *Request) start() {
-	if r.step != stepNew {
+	if r.state != stateNew {
 		return
 	}
 	if r.config.HasKey {
-		r.do(stepClaiming, WriteClaim{Claim: r.own})
+		r.transition(stateClaiming, WriteClaim{Claim: r.own})
 		return
 	}
 	r.send()
 }
 
 func (r *Request) send() {
-	r.spent = true
-	r.do(stepSent, SendBegin{Claim: r.own})
+	r.sent = true
+	r.transition(stateSent, SendBegin{Claim: r.own})
 }
 
-// resolve asks what became of a claim's attempt. Sending the attempt again
-// instead would need the same agent, and prove nothing if it refused.
+// resolve asks the agent what became of a claim's attempt. The attempt is not sent
+// again: a refusal of the second message would not prove that the first did not run.
 func (r *Request) resolve(c Claim) {
-	r.watched = c
-	r.asked = r.now
-	r.do(stepResolving, SendResolve{Claim: c})
+	r.resolving = c
+	r.resolveSentAt = r.now
+	r.transition(stateResolving, SendResolve{Claim: c})
 }
 
-// poll repeats a SendResolve whose attempt still runs or whose reply was lost.
-func (r *Request) poll() {
-	if r.step == stepFinished {
+// scheduleWake asks for a Wake at the deadline or the next poll. It repeats a
+// SendResolve whose reply is overdue or said that the attempt still runs.
+func (r *Request) scheduleWake() {
+	if r.state == stateFinished {
 		return
 	}
-	next := r.config.Deadline
-	if r.step == stepResolving {
-		if !r.now.Before(r.asked.Add(r.config.PollInterval)) {
-			r.resolve(r.watched)
+	wakeAt := r.config.Deadline
+	if r.state == stateResolving {
+		if !r.now.Before(r.resolveSentAt.Add(r.config.PollInterval)) {
+			r.resolve(r.resolving)
 		}
-		if at := r.asked.Add(r.config.PollInterval); at.Before(next) {
-			next = at
+		if pollAt := r.resolveSentAt.Add(r.config.PollInterval); pollAt.Before(wakeAt) {
+			wakeAt = pollAt
 		}
 	}
-	if next.After(r.now) {
-		r.actions = append(r.actions, WakeAt{At: next})
+	if wakeAt.After(r.now) {
+		r.actions = append(r.actions, WakeAt{At: wakeAt})
 	}
 }
--- a/attempts/table.go
+++ b/attempts/table.go
@@ -6,119 +6,125 @@
 	"github.com/google/btree"
 )
 
-// TableConfig is the fixed part of a Table.
+// TableConfig holds the settings of a Table.
 type TableConfig struct {
-	// Incarnation of the agent, which grows with each start of its process.
+	// Incarnation is the agent's. It increases with each start of its process.
 	Incarnation uint64
-	// MaxEntries and Bytes bound the attempts and the answers that are kept.
+	// MaxEntries and MaxAnswerBytes bound the attempts recorded and the total size of
+	// the answers kept.
 	MaxEntries     int
 	MaxAnswerBytes int
-	// MaxAge is how old an attempt may be when it begins. With Skew added it
-	// must be below the time for which claims are kept in the store.
+	// MaxAge is the age up to which an attempt may begin. MaxAge plus MaxClockSkew
+	// must be less than the lifetime of claims in the store.
 	MaxAge time.Duration
-	// MaxClockSkew is how far the wall clocks of instances may differ.
+	// MaxClockSkew bounds the difference between the wall clocks of instances.
 	MaxClockSkew time.Duration
 }
 
-// Table is an agent's memory of attempts. It is not safe for concurrent use.
+// Table is an agent's record of attempts. It is not safe for concurrent use.
 type Table struct {
 	config  TableConfig
-	entries map[ID]*entry
-	// By ID, so that the oldest is found without a scan.
-	refused  *btree.BTreeG[*entry]
-	answered *btree.BTreeG[*entry]
-	ran      *btree.BTreeG[*entry]
-	bytes    int
-	floor    ID
-	now      time.Time // of the last Begin
+	records map[ID]*record
+	// Finished attempts by status, ordered by ID to find the oldest.
+	notRun         *btree.BTreeG[*record]
+	answered       *btree.BTreeG[*record]
+	answerLost     *btree.BTreeG[*record]
+	bytes          int       // total size of the answers
+	highestEvicted ID        // attempts up to it without a record may neither begin nor be proved not run
+	now            time.Time // time of the last Begin of an attempt without a record
 }
 
-type entry struct {
+// record is what a Table keeps about one attempt.
+type record struct {
 	id     ID
 	status Status
-	answer []byte
+	answer []byte // nil unless the status is StatusAnswered
 }
 
-const treeDegree = 16
+const btreeDegree = 16
 
 // NewTable returns an empty table.
 func NewTable(c TableConfig) *Table {
-	older := func(a, b *entry) bool { return a.id.Compare(b.id) < 0 }
+	older := func(a, b *record) bool { return a.id.Compare(b.id) < 0 }
 	return &Table{
-		config:   c,
-		entries:  make(map[ID]*entry),
-		refused:  btree.NewG(treeDegree, older),
-		answered: btree.NewG(treeDegree, older),
-		ran:      btree.NewG(treeDegree, older),
+		config:     c,
+		records:    make(map[ID]*record),
+		notRun:     btree.NewG(btreeDegree, older),
+		answered:   btree.NewG(btreeDegree, older),
+		answerLost: btree.NewG(btreeDegree, older),
 	}
 }
 
-// Begin decides whether the attempt may run now. The answer is the kept one if
-// the verdict is Repeated, and is not to be changed.
+// Begin decides whether the attempt may run now. For BeginReplay it also returns
+// the answer, which must not be modified.
 func (t *Table) Begin(now time.Time, id ID) (BeginResult, []byte) {
-	if e := t.entries[id]; e != nil {
-		return e.verdict(), e.answer
+	if r := t.records[id]; r != nil {
+		return r.beginResult(), r.answer
 	}
 	t.now = now
-	if t.unprovable(id) || t.ahead(id) {
+	if t.mayHaveRun(id) || t.issuedInFuture(id) {
 		return BeginUnknown, nil
 	}
-	if t.tooOld(id) || !t.room() {
-		t.refuse(id)
+	if t.tooOld(id) || !t.hasCapacity() {
+		t.addNotRun(id)
 		return BeginRefuse, nil
 	}
-	t.entries[id] = &entry{id: id, status: StatusRunning}
+	t.records[id] = &record{id: id, status: StatusRunning}
 	return BeginRun, nil
 }
 
-// RecordAnswer keeps the whole answer of an attempt that was Fresh.
+// RecordAnswer stores the whole answer of a running attempt. It panics if the
+// attempt is not running.
 func (t *Table) RecordAnswer(id ID, answer []byte) {
-	e := t.running(id)
-	e.status = StatusAnswered
-	e.answer = answer
+	r := t.runningRecord(id)
+	r.status = StatusAnswered
+	r.answer = answer
 	t.bytes += len(answer)
-	t.answered.ReplaceOrInsert(e)
-	t.trim()
+	t.answered.ReplaceOrInsert(r)
+	t.evict()
 }
 
-// RecordLostAnswer notes that a Fresh attempt was handed to the target and that its
-// answer will never come.
+// RecordLostAnswer records that a running attempt was handed to the target and that
+// there won't be an answer. It panics if the attempt is not running.
 func (t *Table) RecordLostAnswer(id ID) {
-	e := t.running(id)
-	e.status = StatusRan
-	t.ran.ReplaceOrInsert(e)
-	t.trim()
+	r := t.runningRecord(id)
+	r.status = StatusRan
+	t.answerLost.ReplaceOrInsert(r)
+	t.evict()
 }
 
-// RecordNotRun notes that a Fresh attempt was never handed to the target.
+// RecordNotRun records that a running attempt was never handed to the target. It
+// panics if the attempt is not running.
 func (t *Table) RecordNotRun(id ID) {
-	e := t.running(id)
-	e.status = StatusNotRun
-	t.refused.ReplaceOrInsert(e)
-	t.trim()
+	r := t.runningRecord(id)
+	r.status = StatusNotRun
+	t.notRun.ReplaceOrInsert(r)
+	t.evict()
 }
 
-// Resolve says what became of the attempt. One that never arrived is refused
-// from now on, so that StatusNotRun stays true.
+// Resolve returns what became of the attempt, and its answer if the status is
+// StatusAnswered. An attempt that has not arrived is refused from then on, so that
+// StatusNotRun stays true.
 func (t *Table) Resolve(id ID) (Status, []byte) {
-	if e := t.entries[id]; e != nil {
-		return e.status, e.answer
+	if r := t.records[id]; r != nil {
+		return r.status, r.answer
 	}
-	if t.unprovable(id) {
+	if t.mayHaveRun(id) {
 		return StatusUnknown, nil
 	}
-	t.refuse(id)
+	t.addNotRun(id)
 	return StatusNotRun, nil
 }
 
-// Len returns the number of attempts remembered.
-func (t *Table) Len() int { return len(t.entries) }
+// Len returns the number of attempts recorded.
+func (t *Table) Len() int { return len(t.records) }
 
-// AnswerBytes returns the size of the answers kept.
+// AnswerBytes returns the total size of the answers kept.
 func (t *Table) AnswerBytes() int { return t.bytes }
 
-func (e *entry) verdict() BeginResult {
-	switch e.status {
+// beginResult returns the result of another Begin of a recorded attempt.
+func (r *record) beginResult() BeginResult {
+	switch r.status {
 	case StatusRunning:
 		return BeginJoin
 	case StatusAnswered:
@@ -129,12 +135,12 @@
 	return BeginUnknown
 }
 
-// running returns the entry of a Fresh attempt. Any other call would change an
-// account that was already given to somebody.
-func (t *Table) running(id ID) *entry {
-	e := t.entries[id]
-	if e == nil || e.status != StatusRunning {
+// runningRecord returns the record of a running attempt. It panics if there is none:
+// a finished record must not change, since its status may have been reported.
+func (t *Table) runningRecord(id ID) *record {
+	r := t.records[id]
+	if r == nil || r.status != StatusRunning {
 		panic("attempts: attempt is not running")
 	}
-	return e
+	return r
 }
--- a/routing/breaker.go
+++ b/routing/breaker.go
@@ -3,66 +3,71 @@
 import "time"
 
 const (
-	// failureWeight is the weight of the newest answer in a failure rate.
-	failureWeight = 1.0 / 32
-	// failureExcess is how far a target's failure rate must lie above the mean
-	// of the open targets before the target is ejected: four standard
-	// deviations of the rate, when half of all requests fail everywhere.
-	failureExcess = 0.25
-	// lossesToEject is the number of attempts in a row without an answer.
+	// failureRateWeight is the weight of the newest answer in the failure rate.
+	failureRateWeight = 1.0 / 32
+	// maxFailureExcess is how far a target's failure rate may exceed the mean rate
+	// of the available targets before the target is ejected. It is four standard
+	// deviations of the rate if half of all requests fail at every target.
+	maxFailureExcess = 0.25
+	// lossesToEject is the number of consecutive attempts without an answer after
+	// which a target is ejected.
 	lossesToEject = 3
-	// answersToForget is the number of good answers in a row after which
-	// earlier ejections no longer lengthen the next.
-	answersToForget = 64
-	// patience is how many usual latencies an attempt must have waited before
-	// its timeout counts as a loss.
-	patience = 2
+	// successesToResetBackoff is the number of consecutive successful answers
+	// after which the next ejection is as short as the first.
+	successesToResetBackoff = 64
+	// minTimeoutFactor is how many times the expected latency an attempt must have
+	// waited for its timeout to count as a loss.
+	minTimeoutFactor = 2
 )
 
-// breaker decides when an endpoint is ejected and for how long. The owner holds
+// breaker decides when an endpoint is ejected and for how long. It is guarded by
 // the endpoint's mutex.
 //
-// A target that answers errors fast looks idle and would attract every request.
-// Its failure rate is compared with the mean of the open targets: a request that
-// fails everywhere raises both and ejects nobody.
+// A target that quickly answers with errors looks idle and would attract every
+// request. Its failure rate is compared with the mean of the available targets,
+// since requests that fail everywhere say nothing about one target.
 type breaker struct {
-	failures  float64 // moving share of failed answers
-	losses    int     // attempts in a row without an answer
-	good      int     // good answers in a row
-	ejections int     // for the growth of the backoff
-	ejectedAt int64   // start of the last ejection
-	silent    bool    // ejected for silence, not for failed answers
+	failureRate          float64 // moving average of the share of failed answers
+	consecutiveLosses    int     // attempts without an answer
+	consecutiveSuccesses int
+	ejections            int   // since the last reset; determines the backoff
+	ejectedAt            int64 // start of the last ejection, Unix nanoseconds
+	unresponsive         bool  // ejected because it did not answer
 }
 
-func (b *breaker) answered(failed bool) {
-	b.losses = 0
+func (b *breaker) recordAnswer(failed bool) {
+	b.consecutiveLosses = 0
 	if failed {
-		b.good = 0
-		b.failures += failureWeight * (1 - b.failures)
+		b.consecutiveSuccesses = 0
+		b.failureRate += failureRateWeight * (1 - b.failureRate)
 		return
 	}
-	b.failures -= failureWeight * b.failures
-	b.good++
-	if b.good >= answersToForget {
+	b.failureRate -= failureRateWeight * b.failureRate
+	b.consecutiveSuccesses++
+	if b.consecutiveSuccesses >= successesToResetBackoff {
 		b.ejections = 0
 	}
 }
 
-func (b *breaker) lost() bool {
-	b.losses++
-	b.good = 0
-	return b.losses >= lossesToEject
+// recordLoss counts an attempt without an answer and reports whether the endpoint
+// is to be ejected.
+func (b *breaker) recordLoss() bool {
+	b.consecutiveLosses++
+	b.consecutiveSuccesses = 0
+	return b.consecutiveLosses >= lossesToEject
 }
 
-func (b *breaker) failing(mean float64) bool {
-	return b.failures-mean > failureExcess
+// isOutlier reports whether the failure rate is too far above the mean.
+func (b *breaker) isOutlier(meanFailureRate float64) bool {
+	return b.failureRate-meanFailureRate > maxFailureExcess
 }
 
-// eject starts an ejection and returns its length, doubled each time.
-func (b *breaker) eject(now int64, base, limit time.Duration) time.Duration {
-	d := min(base<<min(b.ejections, 20), limit)
+// eject starts an ejection and returns its duration, which doubles with each
+// ejection up to maxDuration.
+func (b *breaker) eject(now int64, baseDuration, maxDuration time.Duration) time.Duration {
+	d := min(baseDuration<<min(b.ejections, 20), maxDuration)
 	b.ejections++
 	b.ejectedAt = now
-	b.losses, b.good, b.failures = 0, 0, 0
+	b.consecutiveLosses, b.consecutiveSuccesses, b.failureRate = 0, 0, 0
 	return d
 }
--- a/routing/done.go
+++ b/routing/done.go
@@ -2,93 +2,97 @@
 
 import "time"
 
-// Done hands a ticket back with the outcome of its attempt.
+// Done returns a ticket with the outcome of its attempt. It panics if the
+// endpoint has no attempt in flight, as when a ticket is returned twice.
 func (r *Router) Done(now time.Time, t Ticket, o Outcome) {
 	e := t.endpoint
-	at := now.UnixNano()
+	nowNanos := now.UnixNano()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	busy := 2*e.inflight.Load() >= e.window.Load()
+	windowInUse := 2*e.inflight.Load() >= e.windowSize.Load()
 	e.release()
 	t.account.inflight.Add(-1)
 	r.inflight.Add(-1)
 	if o.hasLoad() {
-		e.observe(at, o.Load)
+		e.recordLoad(nowNanos, o.Load)
 	}
 	switch {
 	case o.Kind == Answered:
-		t.account.returns.served(at)
+		t.account.retrySchedule.recordAnswer(nowNanos)
 	case o.Kind == Refused && o.Load.Draining:
-		r.refund(t.account)
+		r.refundRetry(t.account)
 	}
-	r.judge(e, at, t, o, busy)
+	r.applyOutcome(e, nowNanos, t, o, windowInUse)
 	if t.Trial {
-		r.conclude(e, at, o)
+		r.finishTrial(e, nowNanos, o)
 	}
 	r.publish(e)
 }
 
-// judge adapts the window and the breaker to one outcome. The caller holds
-// e.mu.
-func (r *Router) judge(e *endpoint, now int64, t Ticket, o Outcome, busy bool) {
-	// What was sent before an ejection tells no more than the ejection did.
-	if t.sent < e.breaker.ejectedAt {
+// applyOutcome updates the endpoint's window and breaker. The caller holds e.mu.
+func (r *Router) applyOutcome(e *endpoint, now int64, t Ticket, o Outcome, windowInUse bool) {
+	// The outcome of an attempt sent before the last ejection adds nothing to
+	// what caused the ejection.
+	if t.sentAt < e.breaker.ejectedAt {
 		return
 	}
-	round := time.Duration(e.latency.Load())
+	roundTrip := time.Duration(e.latency.Load())
 	switch o.Kind {
 	case Answered:
-		e.measure(o.Latency)
-		e.breaker.answered(false)
-		e.win.reply(o.Load.Marked, busy)
+		e.recordLatency(o.Latency)
+		e.breaker.recordAnswer(false)
+		e.window.recordReply(o.Load.Marked, windowInUse)
 	case Failed:
-		e.breaker.answered(true)
-		if e.breaker.failing(r.meanFailures()) {
+		e.breaker.recordAnswer(true)
+		if e.breaker.isOutlier(r.meanFailureRate()) {
 			r.eject(e, now)
 		}
 	case Refused:
-		e.breaker.losses = 0
+		e.breaker.consecutiveLosses = 0
 		if o.Load.Shedding {
-			e.win.loss(now, round)
+			e.window.recordLoss(now, roundTrip)
 		}
 	case TimedOut:
-		// A deadline shorter than the target's usual latency says nothing about
-		// the target. Without this an account with hopeless deadlines would
-		// eject every target for all.
-		if o.Latency >= patience*e.usualLatency() {
-			r.lose(e, now, round)
+		// A deadline shorter than the target's usual latency says nothing about the
+		// target. If it counted, one account with too short deadlines would get
+		// every target ejected for all accounts.
+		if o.Latency >= minTimeoutFactor*e.expectedLatency() {
+			r.recordLoss(e, now, roundTrip)
 		}
 	case Unreachable:
-		e.win.loss(now, round)
-		e.breaker.silent = true
+		e.window.recordLoss(now, roundTrip)
+		e.breaker.unresponsive = true
 		r.eject(e, now)
 	}
 }
 
-func (r *Router) lose(e *endpoint, now int64, round time.Duration) {
-	e.win.loss(now, round)
-	if e.breaker.lost() {
+// recordLoss counts an attempt without an answer and ejects the endpoint after
+// several in a row.
+func (r *Router) recordLoss(e *endpoint, now int64, roundTrip time.Duration) {
+	e.window.recordLoss(now, roundTrip)
+	if e.breaker.recordLoss() {
 		r.eject(e, now)
 	}
 }
 
-// conclude ends a trial: an answer opens the endpoint, anything else ejects it
-// for longer.
-func (r *Router) conclude(e *endpoint, now int64, o Outcome) {
-	e.trial.Store(false)
-	r.trials.Add(-1)
+// finishTrial ends a trial. An answer or a refusal makes the endpoint available
+// again, an abandoned trial leaves it due for another one, and any other outcome
+// ejects it for longer.
+func (r *Router) finishTrial(e *endpoint, now int64, o Outcome) {
+	e.trialInFlight.Store(false)
+	r.trialsInFlight.Add(-1)
 	switch o.Kind {
 	case Answered, Refused:
 		e.ejectedUntil.Store(0)
-		e.breaker.silent = false
+		e.breaker.unresponsive = false
 	case Abandoned:
 	default:
 		r.eject(e, now)
 	}
 }
 
-// eject closes the endpoint until its backoff has passed. An ejection under way
-// is not extended: several attempts that fail for one cause count once.
+// eject makes the endpoint unavailable until its backoff has passed. A current
+// ejection is not extended: attempts that fail for one cause count once.
 func (r *Router) eject(e *endpoint, now int64) {
 	if e.ejectedUntil.Load() > now {
 		return
--- a/routing/router.go
+++ b/routing/router.go
@@ -6,138 +6,142 @@
 )
 
 // Router chooses targets for one service at one entry. See the package comment
-// for which methods may be called concurrently.
+// for concurrent use.
 type Router struct {
-	options  Options
-	table    atomic.Pointer[table]
-	accounts accounts
-	retries  budget
-	policy   atomic.Pointer[RetryPolicy]
+	options     Options
+	endpoints   atomic.Pointer[endpointSet]
+	accounts    accounts
+	retryBudget retryBudget
+	retryPolicy atomic.Pointer[RetryPolicy]
 
-	sequence atomic.Uint64 // state of the random numbers
-	inflight atomic.Int64  // attempts in flight
-	trials   atomic.Int64  // of them, trials
-	sums     sums
+	rngState       atomic.Uint64 // state of the random number generator
+	inflight       atomic.Int64  // attempts at all targets, including trials
+	trialsInFlight atomic.Int64
+	totals         totals
 }
 
 // New returns a Router without targets.
 func New(o Options) *Router {
 	r := &Router{options: o.withDefaults()}
 	r.accounts.salt = mix(o.Seed + 1)
-	r.sequence.Store(mix(o.Seed))
-	r.policy.Store(&RetryPolicy{
+	r.rngState.Store(mix(o.Seed))
+	r.retryPolicy.Store(&RetryPolicy{
 		Share:        r.options.RetryShare,
 		AccountShare: r.options.AccountRetryShare,
 		Burst:        r.options.RetryBurst,
 	})
-	r.retries.fill(r.options.RetryBurst)
+	r.retryBudget.reset(r.options.RetryBurst)
 	for i := range r.accounts.buckets {
-		r.accounts.buckets[i].retries.fill(r.options.RetryBurst)
+		r.accounts.buckets[i].retryBudget.reset(r.options.RetryBurst)
 	}
-	r.table.Store(newTable(o.Zone, nil))
+	r.endpoints.Store(newEndpointSet(o.Zone, nil))
 	return r
 }
 
-// SetTargets replaces the set of targets. A target known before with the same
-// incarnation keeps its measurements. One goroutine calls it. A target that is
-// draining or absent gets nothing new from the next Pick on; tickets out for it
-// stay valid for Done.
+// SetTargets replaces the set of targets. A target that was known with the same
+// incarnation keeps its measurements. Draining and removed targets get no new
+// attempts from the next Pick on; tickets for them stay valid for Done. SetTargets
+// must not be called concurrently with itself.
 func (r *Router) SetTargets(_ time.Time, ts []Target) {
-	old := r.table.Load()
+	old := r.endpoints.Load()
 	all := make([]*endpoint, 0, len(ts))
-	kept := make(map[*endpoint]bool, len(ts))
+	retained := make(map[*endpoint]bool, len(ts))
 	for _, t := range ts {
 		e := old.byID[t.ID]
 		if e == nil || e.incarnation != t.Incarnation {
 			e = newEndpoint(t, r.options.InitialWindow)
 		}
-		r.update(e, t)
-		kept[e] = true
+		r.updateEndpoint(e, t)
+		retained[e] = true
 		all = append(all, e)
 	}
-	r.table.Store(newTable(r.options.Zone, all))
+	r.endpoints.Store(newEndpointSet(r.options.Zone, all))
 	for _, e := range old.all {
-		if !kept[e] {
-			r.remove(e)
+		if !retained[e] {
+			r.removeEndpoint(e)
 		}
 	}
 }
 
-func (r *Router) update(e *endpoint, t Target) {
+func (r *Router) updateEndpoint(e *endpoint, t Target) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.slots.Store(int64(max(1, t.Slots)))
-	e.win.limit = max(minWindow, float64(t.MaxInflight))
-	e.win.size = min(e.win.size, e.win.limit)
-	// The agent's own word that it drains stands until its next incarnation:
-	// membership may be older than the reply that carried it.
+	e.window.maxSize = max(minWindow, float64(t.MaxInflight))
+	e.window.size = min(e.window.size, e.window.maxSize)
+	// Draining is never cleared here. The agent may have reported it in a reply
+	// that is newer than the membership data, and a target that drains stays so
+	// until its next incarnation.
 	if t.Draining {
 		e.draining.Store(true)
 	}
 	r.publish(e)
 }
 
-func (r *Router) remove(e *endpoint) {
+func (r *Router) removeEndpoint(e *endpoint) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.removed.Store(true)
 	r.publish(e)
 }
 
-// publish makes the window visible to picks, and the endpoint's part to the
-// sums. The caller holds e.mu.
+// publish makes the window size visible to Pick and updates the router's totals.
+// The caller holds e.mu.
 func (r *Router) publish(e *endpoint) {
-	e.window.Store(int64(e.win.size))
-	part := e.part()
-	r.sums.replace(e.counted, part)
-	e.counted = part
+	e.windowSize.Store(int64(e.window.size))
+	current := e.contribution()
+	r.totals.replace(e.contributed, current)
+	e.contributed = current
 }
 
-// AllowRetry asks the retry budget for one more attempt after an attempt of the
-// client account ended without an answer. It is the only place that permits
-// one. A refusal is final: the caller gets its answer now.
-func (r *Router) AllowRetry(_ time.Time, name string) bool {
-	a := r.accounts.of(name)
-	if !a.retries.spend() {
+// AllowRetry takes one retry from the budgets of the client account and the
+// router, and reports whether both allowed it. An entry calls it before every
+// attempt after the first; when it returns false, the request is answered without
+// another attempt.
+func (r *Router) AllowRetry(_ time.Time, account string) bool {
+	a := r.accounts.get(account)
+	if !a.retryBudget.tryWithdraw() {
 		return false
 	}
-	if r.retries.spend() {
+	if r.retryBudget.tryWithdraw() {
 		return true
 	}
-	a.retries.refund()
+	a.retryBudget.refund()
 	return false
 }
 
-// refund pays for the attempt that follows a refusal by a draining target. A
-// planned stop would otherwise use up the budget, and then fail requests that
-// others could serve. It can't multiply load: the target gets nothing more.
-func (r *Router) refund(a *account) {
-	a.retries.refund()
-	r.retries.refund()
+// refundRetry pays for the attempt that follows a refusal by a draining target.
+// Otherwise a planned stop would use up the budget and fail requests that other
+// targets could serve. It can't amplify load, as the draining target gets no new
+// attempts.
+func (r *Router) refundRetry(a *accountState) {
+	a.retryBudget.refund()
+	r.retryBudget.refund()
 }
 
-func (r *Router) earn(a *account) {
-	p := r.policy.Load()
-	a.retries.earn(p.AccountShare, p.Burst)
-	r.retries.earn(p.Share, p.Burst)
+// depositRetry adds the share of one first attempt to both budgets.
+func (r *Router) depositRetry(a *accountState) {
+	p := r.retryPolicy.Load()
+	a.retryBudget.deposit(p.AccountShare, p.Burst)
+	r.retryBudget.deposit(p.Share, p.Burst)
 }
 
-// meanFailures is the mean failure rate of the open endpoints.
-func (r *Router) meanFailures() float64 {
-	return float64(r.sums.failures.Load()) / ppm / float64(max(1, r.sums.open.Load()))
+// meanFailureRate returns the mean failure rate of the available endpoints.
+func (r *Router) meanFailureRate() float64 {
+	return float64(r.totals.failureRates.Load()) / ppm / float64(max(1, r.totals.available.Load()))
 }
 
-// Stats returns a snapshot; its parts may be of slightly different times.
+// Stats returns a snapshot. Its values are not read atomically as a whole.
 func (r *Router) Stats() Stats {
-	t := r.table.Load()
-	s := Stats{Inflight: int(r.inflight.Load()), Window: int(r.sums.window.Load())}
-	for _, e := range t.all {
+	set := r.endpoints.Load()
+	s := Stats{Inflight: int(r.inflight.Load()), Window: int(r.totals.window.Load())}
+	for _, e := range set.all {
 		s.Targets = append(s.Targets, TargetStats{
 			ID:       e.id,
 			Inflight: int(e.inflight.Load()),
-			Window:   int(e.window.Load()),
+			Window:   int(e.windowSize.Load()),
 			Latency:  time.Duration(e.latency.Load()),
-			Load:     int(e.inflight.Load() + e.others.Load()),
+			Load:     int(e.inflight.Load() + e.othersLoad.Load()),
 			Draining: e.draining.Load(),
 			Ejected:  e.ejectedUntil.Load() != 0,
 		})
