--- a/agent/announce_test.go
+++ b/agent/announce_test.go
@@ -25,7 +25,7 @@
 	id, err := wire.NewIdentity(wire.Peer{ID: "entry", Role: wire.RoleEntry}, []byte(testKey))
 	c.Assert(err, qt.IsNil)
 	ep, err := wire.Listen("127.0.0.1:0", id, wire.HandlerFunc(func(_ context.Context, _ *wire.Conn, msg any) (any, error) {
-		for _, r := range msg.(*wire.Report).Batch {
+		for _, r := range msg.(*wire.Report).Reports {
 			reports <- r
 		}
 		return &wire.ReportAck{}, nil
--- a/agent/gangs.go
+++ b/agent/gangs.go
@@ -106,7 +106,7 @@
 
 // handle answers one message of a coordinator. A nil reply means that the
 // message could not be read or that the agent stops.
-func (g *gangs) handle(ctx context.Context, from string, m *wire.Gang) *gang.Reply {
+func (g *gangs) handle(ctx context.Context, from string, m *wire.GangMessage) *gang.Reply {
 	var env gang.Envelope
 	if err := cbor.Unmarshal(m.Payload, &env); err != nil {
 		return nil
--- a/agent/handle.go
+++ b/agent/handle.go
@@ -18,11 +18,11 @@
 	switch m := msg.(type) {
 	case *wire.Execute:
 		return a.execute(ctx, m), nil
-	case *wire.Resolve:
+	case *wire.ResolveAttempt:
 		return a.resolve(ctx, m), nil
-	case *wire.Gang:
+	case *wire.GangMessage:
 		return a.gang(ctx, from, m)
-	case *wire.Publish:
+	case *wire.PublishDocuments:
 		return a.publish(m), nil
 	case *wire.Report:
 		return a.reports.serve(from, m)
@@ -38,14 +38,14 @@
 }
 
 // resolve answers for this incarnation only: an earlier one's memory is gone.
-func (a *Agent) resolve(ctx context.Context, m *wire.Resolve) *wire.ResolveReply {
+func (a *Agent) resolve(ctx context.Context, m *wire.ResolveAttempt) *wire.ResolveAttemptReply {
 	if m.Incarnation != a.incarnation {
-		return &wire.ResolveReply{State: wire.AttemptUnknown}
+		return &wire.ResolveAttemptReply{State: wire.AttemptUnknown}
 	}
-	return a.quick.resolveName(ctx, m.Attempt, m.Wait)
+	return a.quick.resolveName(ctx, m.AttemptID, m.MaxWait)
 }
 
-func (a *Agent) gang(ctx context.Context, from *wire.Conn, m *wire.Gang) (any, error) {
+func (a *Agent) gang(ctx context.Context, from *wire.Conn, m *wire.GangMessage) (any, error) {
 	reply := a.gangs.handle(ctx, from.Peer().ID, m)
 	if reply == nil {
 		return nil, errNotHandled
@@ -63,9 +63,9 @@
 
 // publish takes documents that an entry sends and answers with what is in force
 // then.
-func (a *Agent) publish(m *wire.Publish) *wire.PublishAck {
+func (a *Agent) publish(m *wire.PublishDocuments) *wire.PublishDocumentsAck {
 	for _, v := range m.Versions {
 		a.docs.Offer(time.Now(), v)
 	}
-	return &wire.PublishAck{Generations: a.docs.Generations()}
+	return &wire.PublishDocumentsAck{Generations: a.docs.Generations()}
 }
--- a/agent/once.go
+++ b/agent/once.go
@@ -83,7 +83,7 @@
 	r := q.resolve(id)
 	switch r.State {
 	case wire.AttemptAnswered:
-		return r.Answer
+		return r.Reply
 	case wire.AttemptNotRun:
 		return refused(wire.ReasonAttempt, "the attempt was refused", 0)
 	default:
@@ -93,32 +93,32 @@
 
 // resolve says what became of an attempt. An attempt that never arrived is
 // refused from then on.
-func (q *quick) resolve(id attempts.ID) *wire.ResolveReply {
+func (q *quick) resolve(id attempts.ID) *wire.ResolveAttemptReply {
 	q.mu.Lock()
 	status, answer := q.table.Resolve(id)
 	q.mu.Unlock()
 	switch status {
 	case attempts.StatusNotRun:
-		return &wire.ResolveReply{State: wire.AttemptNotRun}
+		return &wire.ResolveAttemptReply{State: wire.AttemptNotRun}
 	case attempts.StatusRunning:
-		return &wire.ResolveReply{State: wire.AttemptRunning}
+		return &wire.ResolveAttemptReply{State: wire.AttemptRunning}
 	case attempts.StatusAnswered:
-		return &wire.ResolveReply{State: wire.AttemptAnswered, Answer: decodeAnswer(answer)}
+		return &wire.ResolveAttemptReply{State: wire.AttemptAnswered, Reply: decodeAnswer(answer)}
 	case attempts.StatusRan:
 		lost := unknown(reasonLost, "it ran and its answer is not at hand")
-		return &wire.ResolveReply{State: wire.AttemptAnswered, Answer: lost}
+		return &wire.ResolveAttemptReply{State: wire.AttemptAnswered, Reply: lost}
 	default:
-		return &wire.ResolveReply{State: wire.AttemptUnknown}
+		return &wire.ResolveAttemptReply{State: wire.AttemptUnknown}
 	}
 }
 
 // resolveName is resolve for the text form of an attempt's id. Where the attempt
 // runs, the answer is held until it ends, at most for wait: whoever asks wants
 // the end, and would ask again.
-func (q *quick) resolveName(ctx context.Context, name string, wait time.Duration) *wire.ResolveReply {
+func (q *quick) resolveName(ctx context.Context, name string, wait time.Duration) *wire.ResolveAttemptReply {
 	id, err := attempts.ParseID(name)
 	if err != nil {
-		return &wire.ResolveReply{State: wire.AttemptUnknown}
+		return &wire.ResolveAttemptReply{State: wire.AttemptUnknown}
 	}
 	q.awaitArrival(ctx, id, min(wait, arrivalWait))
 	q.mu.Lock()
--- a/agent/quick.go
+++ b/agent/quick.go
@@ -54,7 +54,7 @@
 func (q *quick) execute(ctx context.Context, m *wire.Execute) *wire.ExecuteReply {
 	began := q.now()
 	reply := q.attempt(ctx, m)
-	reply.Load, reply.Marked, reply.Draining = q.loadOf()
+	reply.Load, reply.Congested, reply.Draining = q.loadOf()
 	q.observe(m.Account, m.Class, quickTiming(reply.Outcome), q.now().Sub(began))
 	return reply
 }
@@ -70,7 +70,7 @@
 		defer cancel()
 		return q.run(ctx, ctx, m, func() {})
 	}
-	id, err := attempts.ParseID(m.Attempt)
+	id, err := attempts.ParseID(m.AttemptID)
 	if err != nil {
 		return refused(wire.ReasonAttempt, err.Error(), 0)
 	}
@@ -108,7 +108,7 @@
 
 func (q *quick) forward(ctx context.Context, m *wire.Execute, deadline time.Time) *wire.ExecuteReply {
 	answer, err := q.target.Do(ctx, target.Request{
-		ID:       m.Request,
+		ID:       m.RequestID,
 		Attempt:  m.Hops + 1,
 		Account:  m.Account,
 		Class:    m.Class,
--- a/agent/quick_test.go
+++ b/agent/quick_test.go
@@ -69,8 +69,8 @@
 
 func message(id attempts.ID) *wire.Execute {
 	return &wire.Execute{
-		Attempt:   id.String(),
-		Request:   "r",
+		AttemptID: id.String(),
+		RequestID: "r",
 		Account:   "a",
 		Class:     "c",
 		Remaining: time.Minute,
@@ -92,12 +92,12 @@
 	<-s.running
 	die()
 
-	resolved := make(chan *wire.ResolveReply, 1)
+	resolved := make(chan *wire.ResolveAttemptReply, 1)
 	go func() { resolved <- q.resolveName(context.Background(), id.String(), time.Minute) }()
 	s.answer <- struct{}{}
 	r := <-resolved
 	c.Assert(r.State, qt.Equals, wire.AttemptAnswered)
-	c.Assert(string(r.Answer.Body), qt.Equals, "answer to pallet")
+	c.Assert(string(r.Reply.Body), qt.Equals, "answer to pallet")
 	c.Assert(s.runs.Load(), qt.Equals, int64(1))
 }
 
@@ -143,7 +143,7 @@
 	frozen := time.Now()
 	q.now = func() time.Time { return frozen } // the wait has no end but the arrival
 	id := attemptID(1)
-	resolved := make(chan *wire.ResolveReply, 1)
+	resolved := make(chan *wire.ResolveAttemptReply, 1)
 	go func() { resolved <- q.resolveName(context.Background(), id.String(), time.Minute) }()
 	go q.execute(context.Background(), message(id))
 	<-s.running
--- a/agent/rack_test.go
+++ b/agent/rack_test.go
@@ -57,7 +57,7 @@
 	server := kvstandin.New(kvstandin.Options{})
 	front := httptest.NewServer(server)
 	r := &rack{C: c, store: front.URL, agents: make(map[string]*agent.Agent)}
-	r.client = store.NewClient(store.Options{Endpoints: []string{r.store}, CallTimeout: 10 * time.Second, Budget: 1e6, Burst: 1e6})
+	r.client = store.NewClient(store.Options{Endpoints: []string{r.store}, CallTimeout: 10 * time.Second, RateLimit: 1e6, Burst: 1e6})
 	c.Cleanup(func() {
 		r.client.Close()
 		server.Close()
@@ -148,7 +148,7 @@
 	var ids []string
 	for i := range n {
 		ids = append(ids, fmt.Sprint("worker-", i))
-		report := wire.AgentReport{ID: ids[i], Service: service, Zone: zone, Rack: rackName, Relays: true}
+		report := wire.AgentReport{ID: ids[i], Service: service, Zone: zone, Rack: rackName, CanRelay: true}
 		view.Members = append(view.Members, &membership.Member{Report: report})
 	}
 	first := membership.ChooseRelays(view, n)[membership.Rack{Zone: zone, Name: rackName}].ID
--- a/agent/relay.go
+++ b/agent/relay.go
@@ -8,11 +8,11 @@
 )
 
 // errPaused: this process stood still, so a report may have waited here for long.
-var errPaused = wire.NotRun(eris.New("the age of the report is not known"))
+var errPaused = wire.NotHandled(eris.New("the age of the report is not known"))
 
 // serve answers the report of another agent of the rack, whose relay this one is.
 func (r *reports) serve(from *wire.Conn, m *wire.Report) (any, error) {
-	if len(m.Batch) != 1 || m.Batch[0].ID != from.Peer().ID {
+	if len(m.Reports) != 1 || m.Reports[0].ID != from.Peer().ID {
 		return nil, errNotHandled // nobody relays relayed reports
 	}
 	r.mu.Lock()
@@ -27,7 +27,7 @@
 	if news {
 		r.wake()
 	}
-	r.offerDocuments(from, m.Batch[0].ID)
+	r.offerDocuments(from, m.Reports[0].ID)
 	return ack, nil
 }
 
--- a/agent/relay_documents.go
+++ b/agent/relay_documents.go
@@ -32,7 +32,7 @@
 func (r *reports) sendDocument(to *wire.Conn, id string, v wire.DocumentVersion) {
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	_, _ = to.Call(ctx, &wire.Publish{Versions: []wire.DocumentVersion{v}}) // its next report shows what it lacks
+	_, _ = to.Call(ctx, &wire.PublishDocuments{Versions: []wire.DocumentVersion{v}}) // its next report shows what it lacks
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.sending, id)
--- a/agent/relaystandin_test.go
+++ b/agent/relaystandin_test.go
@@ -45,7 +45,7 @@
 	s.pool = wire.NewPool(s.ep)
 	s.report = wire.AgentReport{
 		ID: id, Incarnation: 1, Sequence: 1, Full: true, Service: service, Region: "auckland", Zone: zone, Rack: rackName,
-		Address: s.ep.Addr(), Slots: 8, Relays: true,
+		Address: s.ep.Addr(), Slots: 8, CanRelay: true,
 	}
 	var wg sync.WaitGroup
 	for _, e := range r.configs {
@@ -64,7 +64,7 @@
 func (s *relayStandin) loop(entry string) {
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		_, _ = s.pool.Call(ctx, entry, &wire.Report{Batch: []wire.AgentReport{s.report}}) // an entry that starts answers the next one
+		_, _ = s.pool.Call(ctx, entry, &wire.Report{Reports: []wire.AgentReport{s.report}}) // an entry that starts answers the next one
 		cancel()
 		select {
 		case <-s.done:
@@ -76,7 +76,7 @@
 
 func (s *relayStandin) handle(_ context.Context, from *wire.Conn, msg any) (any, error) {
 	if _, ok := msg.(*wire.Report); !ok {
-		return &wire.PublishAck{}, nil
+		return &wire.PublishDocumentsAck{}, nil
 	}
 	s.mu.Lock()
 	s.count[from.Peer().ID]++
--- a/agent/report_once.go
+++ b/agent/report_once.go
@@ -60,8 +60,8 @@
 const dropAfter = 20
 
 func (r *reports) acked(link *entryLink, sent time.Time, ack *wire.ReportAck) {
-	if ack.Stamp.Epoch != 0 {
-		r.a.gangs.event(gang.ReportAnswered{SentAt: sent, Renewed: ack.Whole, Timestamp: ack.Stamp})
+	if ack.PlannerTimestamp.Epoch != 0 {
+		r.a.gangs.event(gang.ReportAnswered{SentAt: sent, Renewed: ack.RenewedAttempts, Timestamp: ack.PlannerTimestamp})
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/agent/reports.go
+++ b/agent/reports.go
@@ -64,7 +64,7 @@
 			Connections:  cfg.Connections,
 			Cores:        cfg.Cores,
 			MemoryMB:     cfg.MemoryMB,
-			Relays:       true,
+			CanRelay:     true,
 		},
 	}
 }
@@ -130,7 +130,7 @@
 	r.mu.Unlock()
 	r.set(func(s *wire.AgentReport) {
 		s.Tasks = tasks
-		s.Fence = fence
+		s.FencingEpoch = fence
 	})
 }
 
@@ -192,7 +192,7 @@
 // waits for on it ends first.
 func (r *reports) release(addr string) {
 	r.a.t.Go(func() error {
-		_ = r.a.pool.Release(r.a.t.Context(context.Background()), addr) // the agent ends
+		_ = r.a.pool.Drain(r.a.t.Context(context.Background()), addr) // the agent ends
 		return nil
 	})
 }
@@ -225,7 +225,7 @@
 			}
 			ctx, cancel := context.WithTimeout(a.t.Context(context.Background()), reportTimeout)
 			defer cancel()
-			_, _ = c.Call(ctx, &wire.Gang{Payload: encodeGangReply(reply).Payload})
+			_, _ = c.Call(ctx, &wire.GangMessage{Payload: encodeGangReply(reply).Payload})
 			return nil
 		}
 		return nil
--- a/entry/agents.go
+++ b/entry/agents.go
@@ -65,7 +65,7 @@
 	delete(a.dialed, addr)
 	a.mu.Unlock()
 	if addr != "" {
-		a.pool.Forget(addr)
+		a.pool.Remove(addr)
 	}
 }
 
@@ -120,7 +120,7 @@
 }
 
 func noPath(cause error) error {
-	return &wire.CallError{Outcome: wire.ErrNotSent, Cause: cause}
+	return &wire.CallError{Outcome: wire.ErrNotHandled, Cause: cause}
 }
 
 func proved(ctx context.Context, c *wire.Conn) bool {
@@ -142,7 +142,7 @@
 		return nil, err
 	}
 	reply, err := callUnlessSilent(ctx, c, msg)
-	if err == nil || !errors.Is(err, wire.ErrClosed) || !errors.Is(err, wire.ErrNotSent) || ctx.Err() != nil {
+	if err == nil || !errors.Is(err, wire.ErrClosed) || !errors.Is(err, wire.ErrNotHandled) || ctx.Err() != nil {
 		return reply, err
 	}
 	if c, err = a.conn(ctx, id, p); err != nil {
--- a/entry/agents_sweep.go
+++ b/entry/agents_sweep.go
@@ -25,7 +25,7 @@
 	for addr, used := range a.dialed {
 		if now.Sub(used) > unusedAfter {
 			delete(a.dialed, addr)
-			go func() { _ = a.pool.Release(context.Background(), addr) }() // ends with the connection at the latest
+			go func() { _ = a.pool.Drain(context.Background(), addr) }() // ends with the connection at the latest
 		}
 	}
 }
--- a/entry/agents_test.go
+++ b/entry/agents_test.go
@@ -46,7 +46,7 @@
 	}()
 	select {
 	case err := <-ended:
-		c.Assert(errors.Is(err, wire.ErrNotSent), qt.IsTrue, qt.Commentf("%v", err))
+		c.Assert(errors.Is(err, wire.ErrNotHandled), qt.IsTrue, qt.Commentf("%v", err))
 	case <-time.After(limit):
 		c.Fatal("still waits for the handshake")
 	}
--- a/entry/catchup.go
+++ b/entry/catchup.go
@@ -35,7 +35,7 @@
 }
 
 // ahead says whether an agent has a later generation than the one held here.
-func ahead(reported []wire.Generation, held wire.Generation) bool {
+func ahead(reported []wire.DocumentSummary, held wire.DocumentSummary) bool {
 	for _, g := range reported {
 		if g.Service == held.Service && g.Generation > held.Generation {
 			return true
--- a/entry/delivery_send.go
+++ b/entry/delivery_send.go
@@ -18,7 +18,7 @@
 	reply, _ := got.(*wire.ExecuteReply)
 	ev := deliveryEvent{reply: reply, err: err}
 	switch {
-	case err != nil && errors.Is(err, wire.ErrNotSent):
+	case err != nil && errors.Is(err, wire.ErrNotHandled):
 		ev.Event = attempts.Begun{ID: c.ID, Verdict: attempts.Refused}
 	case err != nil || reply == nil:
 		ev.Event = attempts.ConnectionLost{ID: c.ID}
@@ -48,12 +48,12 @@
 func (v *delivery) resolve(c attempts.Claim) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(v.ctx), resolveTimeout)
 	defer cancel()
-	got, err := v.d.agents.call(ctx, c.Agent, &wire.Resolve{
-		Attempt:     c.ID.String(),
+	got, err := v.d.agents.call(ctx, c.Agent, &wire.ResolveAttempt{
+		AttemptID:   c.ID.String(),
 		Incarnation: c.ID.Incarnation,
-		Wait:        resolveHold,
+		MaxWait:     resolveHold,
 	}, provedPath)
-	reply, ok := got.(*wire.ResolveReply)
+	reply, ok := got.(*wire.ResolveAttemptReply)
 	if err != nil || !ok {
 		v.emit(deliveryEvent{unresolved: c.ID}) // asked again at the next poll
 		return
@@ -61,16 +61,16 @@
 	v.emit(deliveryEvent{Event: resolvedOf(c.ID, reply)})
 }
 
-func resolvedOf(id attempts.ID, r *wire.ResolveReply) attempts.Resolved {
+func resolvedOf(id attempts.ID, r *wire.ResolveAttemptReply) attempts.Resolved {
 	ev := attempts.Resolved{ID: id}
 	switch {
 	case r.State == wire.AttemptNotRun:
 		ev.Status = attempts.StatusNotRun
 	case r.State == wire.AttemptRunning:
 		ev.Status = attempts.StatusRunning
-	case r.State == wire.AttemptAnswered && r.Answer != nil && r.Answer.Outcome == wire.OutcomeDone:
+	case r.State == wire.AttemptAnswered && r.Reply != nil && r.Reply.Outcome == wire.OutcomeDone:
 		ev.Status = attempts.StatusAnswered
-		ev.Answer = encodeReply(r.Answer)
+		ev.Answer = encodeReply(r.Reply)
 	case r.State == wire.AttemptAnswered:
 		ev.Status = attempts.StatusRan
 	default:
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -44,27 +44,27 @@
 // askPeer implements document.Ask: it sends another entry what this one has, and
 // takes what that one has more.
 func (e *Entry) askPeer(ctx context.Context, peer string, _ []document.Summary) (document.PeerAnswered, error) {
-	got, err := e.pool.Call(ctx, peer, &wire.Fetch{Have: e.docs.Generations()})
+	got, err := e.pool.Call(ctx, peer, &wire.FetchDocuments{Have: e.docs.Generations()})
 	if err != nil {
 		return document.PeerAnswered{}, err
 	}
-	reply, ok := got.(*wire.FetchReply)
+	reply, ok := got.(*wire.FetchDocumentsReply)
 	if !ok {
 		return document.PeerAnswered{}, errBadReply
 	}
 	return document.PeerAnswered{
 		Peer:        peer,
-		Ready:       reply.Ready,
+		Ready:       reply.Confirmed,
 		Generations: reply.Generations,
 		Versions:    reply.Versions,
 	}, nil
 }
 
 // fetch serves askPeer of another entry.
-func (e *Entry) fetch(m *wire.Fetch) *wire.FetchReply {
+func (e *Entry) fetch(m *wire.FetchDocuments) *wire.FetchDocumentsReply {
 	ready := e.unconfirmed() == nil
-	return &wire.FetchReply{
-		Ready:       ready,
+	return &wire.FetchDocumentsReply{
+		Confirmed:   ready,
 		Generations: e.docs.Generations(),
 		Versions:    e.docs.Newer(m.Have, exchangeBytes),
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -109,7 +109,7 @@
 	return store.NewClient(store.Options{
 		Endpoints:   e.cfg.Platform,
 		CallTimeout: e.cfg.PlatformTimeout.Duration,
-		Budget:      rate.Limit(budget),
+		RateLimit:   rate.Limit(budget),
 		Burst:       budget,
 	})
 }
@@ -129,9 +129,9 @@
 		return err
 	}
 	transport := wire.Config{
-		Accepted:    e.agents.accepted,
-		BusyProbe:   busyProbe,
-		PingTimeout: pingTimeout,
+		OnAccept:       e.agents.accepted,
+		BusyProbeAfter: busyProbe,
+		PingTimeout:    pingTimeout,
 	}
 	e.ep, err = transport.Listen(e.cfg.QUICListen, id, wire.HandlerFunc(e.handle))
 	if err != nil {
--- a/entry/gangcaller.go
+++ b/entry/gangcaller.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return gang.Reply{}, err
 	}
-	got, err := c.agents.call(ctx, agent, &wire.Gang{Payload: data, Epoch: m.Head().Sender}, anyPath)
+	got, err := c.agents.call(ctx, agent, &wire.GangMessage{Payload: data, Epoch: m.Head().Sender}, anyPath)
 	if err != nil {
 		return gang.Reply{}, err
 	}
--- a/entry/handle.go
+++ b/entry/handle.go
@@ -12,7 +12,7 @@
 	errNotHandled = eris.New("not a message for an entry")
 	// errStarting: the endpoint listens already, for its address is part of the
 	// rest, but the parts that serve messages are not there yet.
-	errStarting = wire.NotRun(eris.New("the entry is starting"))
+	errStarting = wire.NotHandled(eris.New("the entry is starting"))
 )
 
 // handle serves what agents and other entries send.
@@ -25,13 +25,13 @@
 	switch m := msg.(type) {
 	case *wire.Report:
 		return e.members.report(from.Peer().ID, m), nil
-	case *wire.Gang:
+	case *wire.GangMessage:
 		return e.taskEnded(from, m)
-	case *wire.Fetch:
+	case *wire.FetchDocuments:
 		return e.fetch(m), nil
-	case *wire.Inspect:
+	case *wire.InspectRequest:
 		return e.answerInspect(ctx, m), nil
-	case *wire.JobStatus:
+	case *wire.JobStatusRequest:
 		return e.answerStatus(ctx, m), nil
 	default:
 		return nil, errNotHandled
@@ -39,7 +39,7 @@
 }
 
 // taskEnded takes the reply that an agent sends by itself at the end of a task.
-func (e *Entry) taskEnded(from *wire.Conn, m *wire.Gang) (any, error) {
+func (e *Entry) taskEnded(from *wire.Conn, m *wire.GangMessage) (any, error) {
 	reply, err := decodeGangReply(m.Payload)
 	if err != nil {
 		return nil, err
--- a/entry/inspect.go
+++ b/entry/inspect.go
@@ -14,15 +14,15 @@
 // serviceReport answers what the planner of a service knows, from whichever entry
 // is asked.
 func (e *Entry) serviceReport(w http.ResponseWriter, r *http.Request) {
-	e.inspect(w, r, wire.Inspect{Service: pat.Param(r, "service")})
+	e.inspect(w, r, wire.InspectRequest{Service: pat.Param(r, "service")})
 }
 
 // jobReport answers why a job waits.
 func (e *Entry) jobReport(w http.ResponseWriter, r *http.Request) {
-	e.inspect(w, r, wire.Inspect{Service: pat.Param(r, "service"), Job: pat.Param(r, "id")})
+	e.inspect(w, r, wire.InspectRequest{Service: pat.Param(r, "service"), Job: pat.Param(r, "id")})
 }
 
-func (e *Entry) inspect(w http.ResponseWriter, r *http.Request, m wire.Inspect) {
+func (e *Entry) inspect(w http.ResponseWriter, r *http.Request, m wire.InspectRequest) {
 	if p := e.inspectable(m.Service); p != nil {
 		p.WriteTo(w)
 		return
@@ -49,7 +49,7 @@
 }
 
 // inspected asks this entry's planner, or the entry that holds the duty.
-func (e *Entry) inspected(ctx context.Context, m *wire.Inspect) (json.RawMessage, *api.Problem) {
+func (e *Entry) inspected(ctx context.Context, m *wire.InspectRequest) (json.RawMessage, *api.Problem) {
 	if e.duties.planner(m.Service) != nil {
 		return e.inspectHere(ctx, m)
 	}
@@ -87,7 +87,7 @@
 
 // answerInspect serves inspected of another entry. It does not forward: two
 // entries that each believe in the other's duty would send it in circles.
-func (e *Entry) answerInspect(ctx context.Context, m *wire.Inspect) *wire.InspectReply {
+func (e *Entry) answerInspect(ctx context.Context, m *wire.InspectRequest) *wire.InspectReply {
 	ctx, cancel := context.WithTimeout(ctx, storeWait)
 	defer cancel()
 	body, problem := e.inspectHere(ctx, m)
@@ -101,7 +101,7 @@
 	return &wire.InspectReply{Problem: text}
 }
 
-func (e *Entry) inspectHere(ctx context.Context, m *wire.Inspect) (json.RawMessage, *api.Problem) {
+func (e *Entry) inspectHere(ctx context.Context, m *wire.InspectRequest) (json.RawMessage, *api.Problem) {
 	var v any
 	var problem *api.Problem
 	if m.Job == "" {
--- a/entry/jobs.go
+++ b/entry/jobs.go
@@ -129,7 +129,7 @@
 	if !ok {
 		return api.JobStatus{}, false
 	}
-	got, err := e.agents.callEntry(ctx, addr, &wire.JobStatus{Service: service, IDs: []string{id}})
+	got, err := e.agents.callEntry(ctx, addr, &wire.JobStatusRequest{Service: service, IDs: []string{id}})
 	reply, isReply := got.(*wire.JobStatusReply)
 	if err != nil || !isReply || len(reply.States) != 1 {
 		return api.JobStatus{}, false
@@ -142,7 +142,7 @@
 }
 
 // answerStatus serves askPlanner of another entry.
-func (e *Entry) answerStatus(ctx context.Context, m *wire.JobStatus) *wire.JobStatusReply {
+func (e *Entry) answerStatus(ctx context.Context, m *wire.JobStatusRequest) *wire.JobStatusReply {
 	reply := &wire.JobStatusReply{Entry: e.cfg.ID}
 	for _, id := range m.IDs {
 		s, ok := e.duties.status(ctx, m.Service, id)
--- a/entry/members.go
+++ b/entry/members.go
@@ -47,13 +47,13 @@
 // those that it relays.
 func (m *members) report(sender string, r *wire.Report) *wire.ReportAck {
 	now := clock.Now()
-	actions := m.step(time.Now(), membership.Reports{Batch: r.Batch})
+	actions := m.step(time.Now(), membership.Reports{Batch: r.Reports})
 	m.apply(actions)
-	m.noteWay(sender, r.Batch)
+	m.noteWay(sender, r.Reports)
 
-	ack := m.e.answer(r.Known, m.relayFor(sender))
+	ack := m.e.answer(r.KnownDigest, m.relayFor(sender))
 	membership.FillAck(ack, actions)
-	for _, one := range r.Batch {
+	for _, one := range r.Reports {
 		member := m.find(one.ID)
 		if member == nil {
 			continue
--- a/entry/members_documents.go
+++ b/entry/members_documents.go
@@ -42,7 +42,7 @@
 func (m *members) sendDocument(agent string, v wire.DocumentVersion) {
 	ctx, cancel := context.WithTimeout(context.Background(), publishTimeout)
 	defer cancel()
-	_, _ = m.e.agents.call(ctx, agent, &wire.Publish{Versions: []wire.DocumentVersion{v}}, anyPath) // its next report shows what it lacks
+	_, _ = m.e.agents.call(ctx, agent, &wire.PublishDocuments{Versions: []wire.DocumentVersion{v}}, anyPath) // its next report shows what it lacks
 	m.mu.Lock()
 	delete(m.sending, agent)
 	m.mu.Unlock()
--- a/entry/members_planner.go
+++ b/entry/members_planner.go
@@ -15,20 +15,20 @@
 // its part to the answer. What a relay would hear of the gangs of its members is
 // left out: they ask themselves.
 func (m *members) observe(member *membership.Member, r wire.AgentReport, now time.Time, ack *wire.ReportAck, relayed bool) {
-	if r.Goodbye || member.Report.Incarnation != r.Incarnation {
+	if r.Departed || member.Report.Incarnation != r.Incarnation {
 		return
 	}
 	p := m.e.duties.planner(member.Report.Service)
 	if p == nil {
 		return
 	}
-	p.HandleReport(seen(member, r.Stamp, now.Add(-r.Age)))
+	p.HandleReport(seen(member, r.PlannerTimestamp, now.Add(-r.Age)))
 	if relayed {
 		return
 	}
 	whole, stamp := p.ReportAnswer(r.ID)
-	ack.Whole = append(ack.Whole, whole...)
-	ack.Stamp = stamp
+	ack.RenewedAttempts = append(ack.RenewedAttempts, whole...)
+	ack.PlannerTimestamp = stamp
 }
 
 func seen(member *membership.Member, stamp gang.PlannerTimestamp, at time.Time) planner.AgentReport {
@@ -44,7 +44,7 @@
 		},
 		Incarnation: r.Incarnation,
 		Draining:    r.Draining,
-		Fence:       r.Fence,
+		Fence:       r.FencingEpoch,
 		Timestamp:   stamp,
 		Tasks:       r.Tasks,
 		ReceivedAt:  at,
@@ -55,6 +55,6 @@
 // as it is: only their own next reports prove that their gangs are whole.
 func (m *members) replay(service string, p *planner.Planner) {
 	for _, member := range m.table.Snapshot().Service(service).Members {
-		p.HandleReport(seen(member, wire.NoEvidence, clock.Now()))
+		p.HandleReport(seen(member, wire.InvalidPlannerTimestamp, clock.Now()))
 	}
 }
--- a/entry/quick.go
+++ b/entry/quick.go
@@ -37,8 +37,8 @@
 // execute is the message for one attempt.
 func (c *call) execute(attempt string, hop int, now time.Time) *wire.Execute {
 	return &wire.Execute{
-		Attempt:    attempt,
-		Request:    c.id,
+		AttemptID:  attempt,
+		RequestID:  c.id,
 		Service:    c.service,
 		Account:    c.account,
 		Class:      c.class,
@@ -155,7 +155,7 @@
 // ran says whether the attempt may have run.
 func ran(reply *wire.ExecuteReply, err error) bool {
 	if err != nil {
-		return !errors.Is(err, wire.ErrNotSent)
+		return !errors.Is(err, wire.ErrNotHandled)
 	}
 	return reply.Outcome != wire.OutcomeRefused
 }
@@ -171,7 +171,7 @@
 	o.Load = routing.Load{
 		Running:    reply.Load.Running,
 		Queued:     reply.Load.Queued,
-		Marked:     reply.Marked,
+		Marked:     reply.Congested,
 		Shedding:   reply.Reason == admission.Overload.String(),
 		Draining:   reply.Draining,
 		RetryAfter: reply.RetryAfter,
--- a/entry/storeprobe.go
+++ b/entry/storeprobe.go
@@ -41,6 +41,6 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeWait)
 	defer cancel()
 	_, _, err := kv.Get(ctx, document.StoreKey(service))
-	p.at, p.ok = clock.Now(), err == nil || eris.Is(err, store.ErrBudget)
+	p.at, p.ok = clock.Now(), err == nil || eris.Is(err, store.ErrRateLimited)
 	return p.ok
 }
--- a/entry/storeprobe_test.go
+++ b/entry/storeprobe_test.go
@@ -17,7 +17,7 @@
 	c := qt.New(t)
 	server := standin.New(standin.Options{})
 	web := httptest.NewServer(server)
-	kv := store.NewClient(store.Options{Endpoints: []string{web.URL}, Budget: 1e-9, Burst: 1})
+	kv := store.NewClient(store.Options{Endpoints: []string{web.URL}, RateLimit: 1e-9, Burst: 1})
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
 	for range 2 { // the second call finds the budget used up
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -36,7 +36,7 @@
 	// Seeds are addresses of gateways that may or may not still exist.
 	Seeds      []string
 	ClusterKey []byte
-	Store      store.Atomic
+	Store      store.TransactionalStore
 	Source     ConfigSource
 	// SinceStoreReply returns the time since the store last answered a call of this process.
 	SinceStoreReply func() time.Duration
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -73,7 +73,7 @@
 		return nil, err
 	}
 	g.pool = wire.NewPool(g.endpoint)
-	g.relayedStore = &storeRelay{Atomic: cfg.Store, g: g}
+	g.relayedStore = &storeRelay{TransactionalStore: cfg.Store, g: g}
 	g.plannerLease = lease.StartCandidate(lease.CandidateOptions{
 		Store:            g.relayedStore,
 		Election:         plannerLeaseName,
--- a/gateway/handle.go
+++ b/gateway/handle.go
@@ -39,7 +39,7 @@
 		g.handleNotice(m)
 		return &link.RecordNoticeReply{}, nil
 	default:
-		return nil, wire.NotRun(eris.Errorf("unexpected message %T", msg))
+		return nil, wire.NotHandled(eris.Errorf("unexpected message %T", msg))
 	}
 }
 
--- a/gateway/jobs.go
+++ b/gateway/jobs.go
@@ -133,7 +133,7 @@
 	defer cancelDial()
 	conn, err := g.pool.Conn(dialCtx, address)
 	if err != nil {
-		return nil, wire.ErrNotSent
+		return nil, wire.ErrNotHandled
 	}
 	g.counters.Relayed.Add(1)
 	return conn.Call(ctx, msg)
--- a/gateway/notifications.go
+++ b/gateway/notifications.go
@@ -57,7 +57,7 @@
 // outcomeOfCallError returns the outcome of a relayed write that failed with err: it is
 // certainly not done only if the message was not sent.
 func outcomeOfCallError(err error) link.WriteOutcome {
-	if errors.Is(err, wire.ErrNotSent) {
+	if errors.Is(err, wire.ErrNotHandled) {
 		return link.OutcomeNotStored
 	}
 	return link.OutcomeUnknown
--- a/gateway/store_relay.go
+++ b/gateway/store_relay.go
@@ -22,14 +22,14 @@
 // its lease would expire and nothing could start until another gateway takes over. Writes
 // through a peer carry the same conditions, so a deposed planner cannot write this way either.
 type storeRelay struct {
-	store.Atomic
+	store.TransactionalStore
 	g *Gateway
 }
 
 // Get implements store.Store.
 func (s *storeRelay) Get(ctx context.Context, key string) (kv store.KeyValue, found bool, err error) {
 	reply, err := s.call(ctx, &link.StoreCall{Op: link.StoreGet, Key: key}, func(ctx context.Context) (err error) {
-		kv, found, err = s.Atomic.Get(ctx, key)
+		kv, found, err = s.TransactionalStore.Get(ctx, key)
 		return err
 	})
 	if reply != nil {
@@ -41,7 +41,7 @@
 // Renew implements store.Store.
 func (s *storeRelay) Renew(ctx context.Context, id store.LeaseID) (ttl time.Duration, err error) {
 	reply, err := s.call(ctx, &link.StoreCall{Op: link.StoreRenew, Lease: id}, func(ctx context.Context) (err error) {
-		ttl, err = s.Atomic.Renew(ctx, id)
+		ttl, err = s.TransactionalStore.Renew(ctx, id)
 		return err
 	})
 	if reply != nil {
@@ -53,7 +53,7 @@
 // Revoke implements store.Store.
 func (s *storeRelay) Revoke(ctx context.Context, id store.LeaseID) error {
 	_, err := s.call(ctx, &link.StoreCall{Op: link.StoreRevoke, Lease: id}, func(ctx context.Context) error {
-		return s.Atomic.Revoke(ctx, id)
+		return s.TransactionalStore.Revoke(ctx, id)
 	})
 	return err
 }
@@ -63,7 +63,7 @@
 func (s *storeRelay) CommitIf(ctx context.Context, conditions []store.Condition, swaps []store.Swap) (out store.CommitOutcome, err error) {
 	msg := &link.StoreCall{Op: link.StoreCommit, Conditions: conditions, Swaps: swaps}
 	reply, err := s.call(ctx, msg, func(ctx context.Context) (err error) {
-		out, err = s.Atomic.CommitIf(ctx, conditions, swaps)
+		out, err = s.TransactionalStore.CommitIf(ctx, conditions, swaps)
 		return err
 	})
 	if reply != nil {
@@ -79,7 +79,7 @@
 // List implements store.Store.
 func (s listRelay) List(ctx context.Context, prefix string) (snap store.Snapshot, err error) {
 	reply, err := s.call(ctx, &link.StoreCall{Op: link.StoreList, Key: prefix}, func(ctx context.Context) (err error) {
-		snap, err = s.Atomic.List(ctx, prefix)
+		snap, err = s.TransactionalStore.List(ctx, prefix)
 		return err
 	})
 	if reply != nil {
--- a/internal/capacity/site_test.go
+++ b/internal/capacity/site_test.go
@@ -31,7 +31,7 @@
 	s.calls = NewCallCount(s.server)
 	http := httptest.NewServer(s.calls)
 	s.url = http.URL
-	s.client = store.NewClient(store.Options{Endpoints: []string{s.url}, CallTimeout: 10 * time.Second, Budget: 1e6, Burst: 1e6})
+	s.client = store.NewClient(store.Options{Endpoints: []string{s.url}, CallTimeout: 10 * time.Second, RateLimit: 1e6, Burst: 1e6})
 	c.Cleanup(func() {
 		s.client.Close()
 		s.server.Close()
--- a/internal/capacity/standin.go
+++ b/internal/capacity/standin.go
@@ -71,20 +71,20 @@
 }
 
 func (a *standinAgent) handle(_ context.Context, _ *wire.Conn, msg any) (any, error) {
-	m, ok := msg.(*wire.Publish)
+	m, ok := msg.(*wire.PublishDocuments)
 	if !ok {
 		return nil, errNotHandled
 	}
 	for _, v := range m.Versions {
 		a.docs.Offer(time.Now(), v)
 	}
-	return &wire.PublishAck{Generations: a.docs.Generations()}, nil
+	return &wire.PublishDocumentsAck{Generations: a.docs.Generations()}, nil
 }
 
 func (a *standinAgent) documentChanged(_, now *document.Held) {
 	a.fleet.inForce(now.Version.Generation)
 	a.set(func(s *wire.AgentReport) {
-		s.Generations = []wire.Generation{now.Version.Summary()}
+		s.Generations = []wire.DocumentSummary{now.Version.Summary()}
 	})
 	a.wake()
 }
@@ -131,7 +131,7 @@
 	due := a.announcer.Due(now, a.fleet.entry)
 	if a.announcer.ConnectionIdle(now, a.fleet.entry) {
 		a.tomb.Go(func() error {
-			_ = a.pool.Release(a.tomb.Context(context.Background()), a.fleet.entry) // the stand-in ends
+			_ = a.pool.Drain(a.tomb.Context(context.Background()), a.fleet.entry) // the stand-in ends
 			return nil
 		})
 	}
--- a/internal/capacity/table_test.go
+++ b/internal/capacity/table_test.go
@@ -35,7 +35,7 @@
 					r := &reports[i%n]
 					r.Sequence++
 					now = now.Add(10 * time.Second / time.Duration(n))
-					table.Step(now, membership.Reports{Batch: []wire.AgentReport{{ID: r.ID, Incarnation: 1, Sequence: r.Sequence, Base: r.Sequence - 1, Changed: wire.ChangedLoad, Load: wire.Load{Queued: i}}}})
+					table.Step(now, membership.Reports{Batch: []wire.AgentReport{{ID: r.ID, Incarnation: 1, Sequence: r.Sequence, BaseSequence: r.Sequence - 1, Changed: wire.ChangedLoad, Load: wire.Load{Queued: i}}}})
 				}
 				c.Logf("%d members, snapshot pause %v: %.1f us a report, heap %.2f KB a member | load %s", n, pause,
 					float64((ProcessorTime()-began).Microseconds())/rounds, (float64(full.Heap)-float64(empty.Heap))/1024/float64(n), loadAverage())
--- a/lease/holder_test.go
+++ b/lease/holder_test.go
@@ -28,7 +28,7 @@
 }
 
 func newBench(t *testing.T, opts standin.Options) *bench {
-	opts.Progress = 20 * time.Millisecond
+	opts.ProgressInterval = 20 * time.Millisecond
 	srv := standin.New(opts)
 	web := httptest.NewServer(srv)
 	t.Cleanup(func() {
@@ -41,9 +41,9 @@
 // run starts a candidate and returns it with the channel of its changes.
 func (b *bench) run(t *testing.T, ttl time.Duration, change ...func(*lease.CandidateOptions)) (*lease.Candidate, <-chan lease.Leadership) {
 	store := store.NewClient(store.Options{
-		Endpoints:   []string{b.url},
-		CallTimeout: 200 * time.Millisecond,
-		WatchIdle:   200 * time.Millisecond,
+		Endpoints:        []string{b.url},
+		CallTimeout:      200 * time.Millisecond,
+		WatchIdleTimeout: 200 * time.Millisecond,
 	})
 	gained := make(chan lease.Leadership, 100)
 	opts := lease.CandidateOptions{Store: store, Election: duty, Instance: t.Name(), TTL: ttl}
--- a/lease/session_test.go
+++ b/lease/session_test.go
@@ -53,7 +53,7 @@
 }
 
 func (b *bench) member(t *testing.T, ttl time.Duration, duties int, took ...func(duty int, epoch uint64)) *member {
-	store := store.NewClient(store.Options{Endpoints: []string{b.url}, CallTimeout: 200 * time.Millisecond, WatchIdle: b.watchIdle})
+	store := store.NewClient(store.Options{Endpoints: []string{b.url}, CallTimeout: 200 * time.Millisecond, WatchIdleTimeout: b.watchIdle})
 	m := &member{session: b.session(lease.CandidateOptions{Store: store, TTL: ttl, Instance: t.Name()})}
 	if len(took) > 0 {
 		m.took = took[0]
--- a/membership/action.go
+++ b/membership/action.go
@@ -17,7 +17,7 @@
 // Changed: the groups of the member's report changed.
 type Changed struct {
 	Member *Member
-	Groups wire.Changed
+	Groups wire.FieldGroups
 }
 
 // Suspected: the member was not heard for SuspectAfter.
@@ -66,11 +66,11 @@
 		case NeedFull:
 			ack.NeedFull = append(ack.NeedFull, a.ID)
 		case Newer:
-			ack.Newer = append(ack.Newer, wire.AgentSeen{ID: a.ID, Incarnation: a.Incarnation})
+			ack.NewerIncarnations = append(ack.NewerIncarnations, wire.AgentIncarnation{ID: a.ID, Incarnation: a.Incarnation})
 		case Refused:
 			ack.Refused = append(ack.Refused, a.ID)
 		case NextReport:
-			ack.NextReport = max(ack.NextReport, a.After)
+			ack.NextReportIn = max(ack.NextReportIn, a.After)
 		}
 	}
 }
--- a/membership/admit.go
+++ b/membership/admit.go
@@ -13,7 +13,7 @@
 // a moment. Beyond the pace they are shed before anything is kept of them, and
 // the sender is told when to come back, later for each that was shed.
 func (t *Table) admit(now time.Time, in *wire.AgentReport, relayed bool) *record {
-	final := in.Goodbye || in.Draining
+	final := in.Departed || in.Draining
 	if !in.Full && !final {
 		t.emit(NeedFull{ID: in.ID})
 		return nil
--- a/membership/announcer.go
+++ b/membership/announcer.go
@@ -167,13 +167,13 @@
 func (a *ReportRouter) Report(now time.Time, addr string) *wire.Report {
 	l := a.entries[addr]
 	own := a.reporter.Report(now, addr)
-	own.Stamp = a.stamp
+	own.PlannerTimestamp = a.stamp
 	l.sent, l.sequence, l.news = now, own.Sequence, false
 	l.batch = nil
 	if a.relays() {
 		l.batch, l.cursor = a.relayer.Batch(now, addr)
 	}
-	return &wire.Report{Batch: append([]wire.AgentReport{own}, l.batch...), Known: l.known}
+	return &wire.Report{Reports: append([]wire.AgentReport{own}, l.batch...), KnownDigest: l.known}
 }
 
 // HandleAck takes the entry's answer to the last report. It returns the addresses of
@@ -185,7 +185,7 @@
 	if a.relays() {
 		a.relayer.HandleAck(now, addr, l.batch, l.cursor, ack)
 	}
-	a.notePlanner(now, l, ack.Stamp.Epoch != 0)
+	a.notePlanner(now, l, ack.PlannerTimestamp.Epoch != 0)
 	fresh := ack.Digest != l.known
 	if fresh {
 		l.known, l.named = ack.Digest, ack.Relay
@@ -246,5 +246,5 @@
 
 // DepartureReport returns the report of the agent's end.
 func (a *ReportRouter) DepartureReport() *wire.Report {
-	return &wire.Report{Batch: []wire.AgentReport{a.reporter.DepartureReport()}}
+	return &wire.Report{Reports: []wire.AgentReport{a.reporter.DepartureReport()}}
 }
--- a/membership/announcer_relay.go
+++ b/membership/announcer_relay.go
@@ -76,7 +76,7 @@
 	relay, _ := a.path.Relay()
 	own := a.reporter.Report(now, relay.ID)
 	a.toRelay = relayLink{sent: now, sequence: own.Sequence}
-	return &wire.Report{Batch: []wire.AgentReport{own}, Known: a.path.Digest()}
+	return &wire.Report{Reports: []wire.AgentReport{own}, KnownDigest: a.path.Digest()}
 }
 
 // HandleRelayAck takes the answer of the relay to the last report. It returns the
@@ -112,10 +112,10 @@
 	if a.paused(now) {
 		return nil, false
 	}
-	if len(r.Batch) != 1 || !a.serving(now) {
-		return a.finish(&wire.ReportAck{Relay: a.other()}, r.Known), false
+	if len(r.Reports) != 1 || !a.serving(now) {
+		return a.finish(&wire.ReportAck{Relay: a.other()}, r.KnownDigest), false
 	}
-	ack, news = a.relayer.HandleReport(now, r.Batch[0])
+	ack, news = a.relayer.HandleReport(now, r.Reports[0])
 	if news {
 		for _, l := range a.entries {
 			l.news = true
@@ -123,7 +123,7 @@
 	}
 	ack.Relay = a.self
 	ack.Entries = a.reached()
-	return a.finish(ack, r.Known), news
+	return a.finish(ack, r.KnownDigest), news
 }
 
 // other is the relay that entries name in place of this agent.
--- a/membership/announcer_test.go
+++ b/membership/announcer_test.go
@@ -20,7 +20,7 @@
 	a := NewReportRouter(ReportRouterConfig{GangReportPeriod: time.Second, MaxEntries: 4}, full("a", 1, 0), func() float64 { return 0.5 })
 	a.AddEntry("x")
 	a.Report(start, "x")
-	a.HandleAck(start, "x", &wire.ReportAck{Digest: 1, Relay: relay, Stamp: gang.NewPlannerTimestamp(1, start)})
+	a.HandleAck(start, "x", &wire.ReportAck{Digest: 1, Relay: relay, PlannerTimestamp: gang.NewPlannerTimestamp(1, start)})
 	a.ReportToRelay(start)
 	a.HandleRelayAck(start, relay, &wire.ReportAck{Digest: 2, Relay: relay, Entries: []wire.EntryInfo{{Address: "x"}}})
 	c.Assert(a.Due(start, "x").After(start), qt.IsTrue, qt.Commentf("the relay reports to x"))
--- a/membership/apply.go
+++ b/membership/apply.go
@@ -9,17 +9,17 @@
 
 // apply returns the full report that results from a report, and which groups
 // really changed. A full report replaces base; a delta replaces its groups.
-func apply(base, r wire.AgentReport) (wire.AgentReport, wire.Changed) {
+func apply(base, r wire.AgentReport) (wire.AgentReport, wire.FieldGroups) {
 	next := base
 	groups := r.Changed
 	if r.Full {
 		groups = wire.ChangedAll
 		next.Tasks = nil
 	}
-	if groups&wire.ChangedPlace != 0 {
+	if groups&wire.ChangedLocation != 0 {
 		setPlace(&next, r)
 	}
-	if groups&wire.ChangedSize != 0 {
+	if groups&wire.ChangedCapacity != 0 {
 		setSize(&next, r)
 	}
 	if groups&wire.ChangedDraining != 0 {
@@ -30,7 +30,7 @@
 	}
 	if groups&wire.ChangedTasks != 0 {
 		next.Tasks = mergeTasks(next.Tasks, r)
-		next.Fence = r.Fence
+		next.FencingEpoch = r.FencingEpoch
 	}
 	if groups&wire.ChangedGenerations != 0 {
 		next.Generations = r.Generations
@@ -48,7 +48,7 @@
 	to.Zone = r.Zone
 	to.Rack = r.Rack
 	to.Address = r.Address
-	to.Relays = r.Relays
+	to.CanRelay = r.CanRelay
 }
 
 func setSize(to *wire.AgentReport, r wire.AgentReport) {
@@ -62,11 +62,11 @@
 // mergeTasks returns old without the ended tasks, with r's tasks put in. old
 // stays as it is, for it is part of a snapshot.
 func mergeTasks(old []gang.Task, r wire.AgentReport) []gang.Task {
-	replaced := make(map[gang.ID]bool, len(r.Tasks)+len(r.Ended))
+	replaced := make(map[gang.ID]bool, len(r.Tasks)+len(r.RemovedTasks))
 	for _, t := range r.Tasks {
 		replaced[t.ID] = true
 	}
-	for _, key := range r.Ended {
+	for _, key := range r.RemovedTasks {
 		replaced[key] = true
 	}
 	next := make([]gang.Task, 0, len(old)+len(r.Tasks))
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -23,7 +23,7 @@
 // at the pace of one report an agent every 10 s.
 func BenchmarkIngest(b *testing.B) {
 	for _, n := range []int{1000, 17000} {
-		for _, news := range []wire.Changed{0, wire.ChangedLoad} {
+		for _, news := range []wire.FieldGroups{0, wire.ChangedLoad} {
 			b.Run(fmt.Sprintf("agents=%d/changed=%d", n, news), func(b *testing.B) {
 				benchmarkIngest(b, n, news)
 			})
@@ -31,7 +31,7 @@
 	}
 }
 
-func benchmarkIngest(b *testing.B, n int, news wire.Changed) {
+func benchmarkIngest(b *testing.B, n int, news wire.FieldGroups) {
 	table, agents := filled(n)
 	gap := 10 * time.Second / time.Duration(n)
 	now, i := start, 0
@@ -46,7 +46,7 @@
 				r.Sequence++
 				sequence = r.Sequence - 1
 			}
-			table.Step(now, direct(wire.AgentReport{ID: r.ID, Incarnation: 1, Sequence: r.Sequence, Base: sequence, Changed: news, Load: wire.Load{Queued: i}}))
+			table.Step(now, direct(wire.AgentReport{ID: r.ID, Incarnation: 1, Sequence: r.Sequence, BaseSequence: sequence, Changed: news, Load: wire.Load{Queued: i}}))
 		}
 	}
 }
--- a/membership/choose.go
+++ b/membership/choose.go
@@ -48,7 +48,7 @@
 }
 
 func canRelay(m *Member) bool {
-	return m.Report.Relays && m.State == Alive && m.Schedulable()
+	return m.Report.CanRelay && m.State == Alive && m.Schedulable()
 }
 
 func relayHash(m *Member) uint64 {
--- a/membership/diff.go
+++ b/membership/diff.go
@@ -8,18 +8,18 @@
 )
 
 // diff returns the groups in which two full reports differ.
-func diff(a, b wire.AgentReport) wire.Changed {
-	var groups wire.Changed
-	add := func(same bool, group wire.Changed) {
+func diff(a, b wire.AgentReport) wire.FieldGroups {
+	var groups wire.FieldGroups
+	add := func(same bool, group wire.FieldGroups) {
 		if !same {
 			groups |= group
 		}
 	}
-	add(place(a) == place(b), wire.ChangedPlace)
-	add(size(a) == size(b), wire.ChangedSize)
+	add(place(a) == place(b), wire.ChangedLocation)
+	add(size(a) == size(b), wire.ChangedCapacity)
 	add(a.Draining == b.Draining, wire.ChangedDraining)
 	add(a.Load == b.Load, wire.ChangedLoad)
-	add(a.Fence == b.Fence && sameTasks(a.Tasks, b.Tasks), wire.ChangedTasks)
+	add(a.FencingEpoch == b.FencingEpoch && sameTasks(a.Tasks, b.Tasks), wire.ChangedTasks)
 	add(slices.Equal(a.Generations, b.Generations), wire.ChangedGenerations)
 	return groups
 }
--- a/membership/ingest.go
+++ b/membership/ingest.go
@@ -9,7 +9,7 @@
 // ingest takes one report, in whatever order reports come.
 func (t *Table) ingest(now time.Time, in *wire.AgentReport, relayed bool) {
 	age := max(in.Age, 0)
-	if age > t.cfg.LostAfter && !in.Goodbye {
+	if age > t.cfg.LostAfter && !in.Departed {
 		return
 	}
 	r := t.records[in.ID]
@@ -44,7 +44,7 @@
 	if r.left {
 		return
 	}
-	if in.Goodbye {
+	if in.Departed {
 		t.leave(now, r)
 		return
 	}
@@ -72,7 +72,7 @@
 	if in.Sequence == 0 || in.Sequence < r.sequence || (in.Sequence == r.sequence && !back) {
 		return
 	}
-	if !in.Full && (back || in.Base > r.sequence) {
+	if !in.Full && (back || in.BaseSequence > r.sequence) {
 		t.emit(NeedFull{ID: r.id})
 		return
 	}
@@ -90,7 +90,7 @@
 	t.announce(r, m, groups, back)
 }
 
-func (t *Table) announce(r *record, m *Member, groups wire.Changed, back bool) {
+func (t *Table) announce(r *record, m *Member, groups wire.FieldGroups, back bool) {
 	if back {
 		t.set(r, m)
 		t.urgent = true
--- a/membership/random_test.go
+++ b/membership/random_test.go
@@ -117,7 +117,7 @@
 	case 2:
 		a.state.Draining = a.state.Draining || w.rng.IntN(10) == 0
 	case 3:
-		a.state.Generations = []wire.Generation{{Service: "dispatch", Generation: w.rng.Uint64N(5)}}
+		a.state.Generations = []wire.DocumentSummary{{Service: "dispatch", Generation: w.rng.Uint64N(5)}}
 	default:
 		w.changeTasks(a)
 	}
@@ -133,7 +133,7 @@
 		}
 	}
 	a.state.Tasks = next
-	a.state.Fence += w.rng.Uint64N(2)
+	a.state.FencingEpoch += w.rng.Uint64N(2)
 }
 
 func (w *world) report(a *agent, to int) {
@@ -202,7 +202,7 @@
 // learn notes what the table has been told for good. Reports older than
 // LostAfter are not believed, but goodbyes are.
 func (w *world) learn(to int, r wire.AgentReport) {
-	if r.Goodbye {
+	if r.Departed {
 		w.left[to][r.ID] = max(w.left[to][r.ID], r.Incarnation)
 	}
 	if r.Draining && r.Age <= DefaultLostAfter {
@@ -225,7 +225,7 @@
 		w.c.Assert(w.left[i][r.ID] < r.Incarnation, qt.IsTrue, qt.Commentf("%s is back after its goodbye", r.ID))
 		now := version{r.ID, r.Incarnation, r.Sequence}
 		w.seen[i][r.ID] = now
-		w.c.Assert(diff(w.truth[now], r)&^wire.ChangedDraining, qt.Equals, wire.Changed(0),
+		w.c.Assert(diff(w.truth[now], r)&^wire.ChangedDraining, qt.Equals, wire.FieldGroups(0),
 			qt.Commentf("%v is\n%+v, should be\n%+v", now, r, w.truth[now]))
 	}
 }
--- a/membership/receiver.go
+++ b/membership/receiver.go
@@ -28,7 +28,7 @@
 // changed brings the next report forward. Load alone waits for the period: it
 // changes with each request. Draining waits for nothing, not even for a
 // receiver that shed the last report: a late one costs callers.
-func (rc *receiver) changed(now time.Time, groups wire.Changed, cfg ReporterConfig) {
+func (rc *receiver) changed(now time.Time, groups wire.FieldGroups, cfg ReporterConfig) {
 	if groups&wire.ChangedDraining != 0 {
 		rc.due = now
 		return
@@ -62,7 +62,7 @@
 		// Spread over half of the wait again: those that were shed in one
 		// moment may have got the same answer through an aggregator.
 		rc.acked = 0
-		rc.due = now.Add(ack.NextReport + time.Duration(r.random()*float64(ack.NextReport)/2))
+		rc.due = now.Add(ack.NextReportIn + time.Duration(r.random()*float64(ack.NextReportIn)/2))
 		return
 	}
 	if slices.Contains(ack.NeedFull, r.state.ID) {
@@ -71,7 +71,7 @@
 		return
 	}
 	rc.acked = max(rc.acked, sequence)
-	rc.due = now.Add(r.jittered(max(r.cfg.Period, ack.NextReport)))
+	rc.due = now.Add(r.jittered(max(r.cfg.Period, ack.NextReportIn)))
 	if news := r.newsSince(sequence); news != 0 {
 		rc.changed(now, news, r.cfg)
 	}
@@ -96,8 +96,8 @@
 const drainingRetry = time.Second
 
 // newsSince returns the groups that changed after the sequence.
-func (r *Reporter) newsSince(sequence uint64) wire.Changed {
-	var groups wire.Changed
+func (r *Reporter) newsSince(sequence uint64) wire.FieldGroups {
+	var groups wire.FieldGroups
 	for g := range groupCount {
 		if r.groupSeq[g] > sequence {
 			groups |= 1 << g
--- a/membership/record.go
+++ b/membership/record.go
@@ -29,7 +29,7 @@
 }
 
 // touch notes that groups changed at the record's sequence.
-func (r *record) touch(groups wire.Changed, version uint64) {
+func (r *record) touch(groups wire.FieldGroups, version uint64) {
 	r.lifeVersion = version
 	for g := range groupCount {
 		if groups&(1<<g) != 0 {
--- a/membership/relay.go
+++ b/membership/relay.go
@@ -25,7 +25,7 @@
 		if r.member != nil {
 			batch = append(batch, r.relay(now, uint64(since)))
 		} else if r.left {
-			batch = append(batch, wire.AgentReport{ID: r.id, Incarnation: r.incarnation, Goodbye: true})
+			batch = append(batch, wire.AgentReport{ID: r.id, Incarnation: r.incarnation, Departed: true})
 		}
 	}
 	slices.SortFunc(batch, func(a, b wire.AgentReport) int { return cmp.Compare(a.ID, b.ID) })
@@ -56,7 +56,7 @@
 // whoever knows the agent from there on lacks nothing. Task lists go in full
 // reports, because a delta of them would need to know what the receiver has.
 func (r *record) relay(now time.Time, since uint64) wire.AgentReport {
-	var groups wire.Changed
+	var groups wire.FieldGroups
 	base := uint64(0)
 	for g := range groupCount {
 		if r.groupVersion[g] > since {
@@ -69,24 +69,24 @@
 		return r.full(now)
 	}
 	out := wire.AgentReport{
-		ID:          r.id,
-		Incarnation: r.incarnation,
-		Sequence:    r.sequence,
-		Base:        base,
-		Changed:     groups,
-		Age:         now.Sub(r.heard),
-		Draining:    r.draining,
+		ID:           r.id,
+		Incarnation:  r.incarnation,
+		Sequence:     r.sequence,
+		BaseSequence: base,
+		Changed:      groups,
+		Age:          now.Sub(r.heard),
+		Draining:     r.draining,
 	}
 	copyGroups(&out, r.member.Report, groups)
 	return out
 }
 
 // copyGroups copies the groups but for tasks and draining.
-func copyGroups(to *wire.AgentReport, from wire.AgentReport, groups wire.Changed) {
-	if groups&wire.ChangedPlace != 0 {
+func copyGroups(to *wire.AgentReport, from wire.AgentReport, groups wire.FieldGroups) {
+	if groups&wire.ChangedLocation != 0 {
 		setPlace(to, from)
 	}
-	if groups&wire.ChangedSize != 0 {
+	if groups&wire.ChangedCapacity != 0 {
 		setSize(to, from)
 	}
 	if groups&wire.ChangedLoad != 0 {
--- a/membership/relay_world_test.go
+++ b/membership/relay_world_test.go
@@ -119,7 +119,7 @@
 	a.incarnation++
 	a.alive, a.drained, a.inGang = w.now, time.Time{}, time.Time{}
 	a.state = full(a.id, a.incarnation, 0)
-	a.state.Rack, a.state.Address, a.state.Relays = "rack", a.id, true
+	a.state.Rack, a.state.Address, a.state.CanRelay = "rack", a.id, true
 	a.busy = map[string]bool{}
 	cfg := ReportRouterConfig{GangReportPeriod: time.Second, MaxEntries: 16}
 	a.announcer = NewReportRouter(cfg, a.state, w.rng.Float64)
@@ -220,8 +220,8 @@
 			a.announcer.HandleFailure(w.now, e.addr)
 			return
 		}
-		if ack.Stamp.Epoch != 0 {
-			a.announcer.SetTimestamp(ack.Stamp)
+		if ack.PlannerTimestamp.Epoch != 0 {
+			a.announcer.SetTimestamp(ack.PlannerTimestamp)
 		}
 		a.announcer.HandleAck(w.now, e.addr, ack)
 	})
@@ -250,18 +250,18 @@
 func (w *relayWorld) take(i int, from *rackAgent, msg *wire.Report) *wire.ReportAck {
 	e := w.entries[i]
 	w.check.now = w.now
-	actions := w.check.apply(i, Reports{Batch: msg.Batch})
+	actions := w.check.apply(i, Reports{Batch: msg.Reports})
 	ack := &wire.ReportAck{}
 	FillAck(ack, actions)
-	for _, r := range msg.Batch {
+	for _, r := range msg.Reports {
 		w.evidence(from, r)
 	}
 	e.direct[from.id] = w.now
-	w.relayed += len(msg.Batch) - 1
+	w.relayed += len(msg.Reports) - 1
 	ack.Relay = e.relays[Rack{Zone: "wharf", Name: "rack"}]
 	ack.Digest = xxhash.Sum64String(fmt.Sprint(ack.Relay))
 	if i == w.planner {
-		ack.Stamp = gang.NewPlannerTimestamp(1, w.now)
+		ack.PlannerTimestamp = gang.NewPlannerTimestamp(1, w.now)
 	}
 	return ack
 }
@@ -272,7 +272,7 @@
 	if r.ID == from.id || len(truth.Tasks) == 0 {
 		return
 	}
-	w.c.Assert(r.Stamp, qt.Equals, wire.NoEvidence, qt.Commentf("%s by %s", r.ID, from.id))
+	w.c.Assert(r.PlannerTimestamp, qt.Equals, wire.InvalidPlannerTimestamp, qt.Commentf("%s by %s", r.ID, from.id))
 }
 
 func (w *relayWorld) second() {
--- a/membership/relayer.go
+++ b/membership/relayer.go
@@ -14,7 +14,7 @@
 type Relayer struct {
 	table *Table
 	told  map[string]*told
-	newer map[string]wire.AgentSeen
+	newer map[string]wire.AgentIncarnation
 }
 
 // told is what one entry knows by this relay.
@@ -34,7 +34,7 @@
 			MaxMembers:   relayMaxMembers,
 		}),
 		told:  make(map[string]*told),
-		newer: make(map[string]wire.AgentSeen),
+		newer: make(map[string]wire.AgentIncarnation),
 	}
 }
 
@@ -47,7 +47,7 @@
 	ack := &wire.ReportAck{}
 	FillAck(ack, actions)
 	if seen, ok := r.newer[report.ID]; ok && seen.Incarnation > report.Incarnation {
-		ack.Newer = append(ack.Newer, seen)
+		ack.NewerIncarnations = append(ack.NewerIncarnations, seen)
 	}
 	return ack, report.Full || slices.ContainsFunc(actions, isNews)
 }
@@ -119,7 +119,7 @@
 	}
 	tasks := record.member.Report.Tasks
 	if slices.ContainsFunc(tasks, func(t gang.Task) bool { return t.Members > 1 }) {
-		a.Stamp = wire.NoEvidence
+		a.PlannerTimestamp = wire.InvalidPlannerTimestamp
 	}
 }
 
@@ -136,9 +136,9 @@
 		r.owe(t, id, now)
 	}
 	for _, id := range ack.Refused {
-		r.owe(t, id, now.Add(ack.NextReport))
+		r.owe(t, id, now.Add(ack.NextReportIn))
 	}
-	for _, seen := range ack.Newer {
+	for _, seen := range ack.NewerIncarnations {
 		if r.table.records[seen.ID] != nil {
 			r.newer[seen.ID] = seen
 		}
--- a/membership/reporter.go
+++ b/membership/reporter.go
@@ -134,7 +134,7 @@
 
 // DepartureReport returns the report of the agent's end.
 func (r *Reporter) DepartureReport() wire.AgentReport {
-	return wire.AgentReport{ID: r.state.ID, Incarnation: r.state.Incarnation, Goodbye: true}
+	return wire.AgentReport{ID: r.state.ID, Incarnation: r.state.Incarnation, Departed: true}
 }
 
 // Forget drops a receiver that the agent no longer reports to.
@@ -143,10 +143,10 @@
 // delta returns what changed after sequence base.
 func (r *Reporter) delta(base uint64) wire.AgentReport {
 	out := wire.AgentReport{
-		ID:          r.state.ID,
-		Incarnation: r.state.Incarnation,
-		Sequence:    r.state.Sequence,
-		Base:        base,
+		ID:           r.state.ID,
+		Incarnation:  r.state.Incarnation,
+		Sequence:     r.state.Sequence,
+		BaseSequence: base,
 	}
 	for g := range groupCount {
 		if r.groupSeq[g] > base {
@@ -164,7 +164,7 @@
 }
 
 func (r *Reporter) addTasks(out *wire.AgentReport, base uint64) {
-	out.Fence = r.state.Fence
+	out.FencingEpoch = r.state.FencingEpoch
 	for _, t := range r.state.Tasks {
 		if r.taskSeq[t.ID] > base {
 			out.Tasks = append(out.Tasks, t)
@@ -172,7 +172,7 @@
 	}
 	for _, e := range r.ended {
 		if e.seq > base && r.taskSeq[e.key] == 0 {
-			out.Ended = append(out.Ended, e.key)
+			out.RemovedTasks = append(out.RemovedTasks, e.key)
 		}
 	}
 }
--- a/membership/reporter_test.go
+++ b/membership/reporter_test.go
@@ -23,7 +23,7 @@
 	c.Assert(first.Full, qt.IsTrue)
 	r.HandleAck(now, "x", first.Sequence, &wire.ReportAck{})
 	c.Assert(r.Due(now, "x"), qt.Equals, now.Add(DefaultReportPeriod))
-	c.Assert(r.Report(now, "x"), qt.DeepEquals, wire.AgentReport{ID: "a", Incarnation: 1, Sequence: 1, Base: 1})
+	c.Assert(r.Report(now, "x"), qt.DeepEquals, wire.AgentReport{ID: "a", Incarnation: 1, Sequence: 1, BaseSequence: 1})
 
 	state := full("a", 1, 0)
 	state.Load.Queued = 5
@@ -47,7 +47,7 @@
 	c := qt.New(t)
 	r := newReporter()
 	r.Report(start, "x")
-	r.HandleAck(start, "x", 1, &wire.ReportAck{Refused: []string{"a"}, NextReport: 4 * time.Second})
+	r.HandleAck(start, "x", 1, &wire.ReportAck{Refused: []string{"a"}, NextReportIn: 4 * time.Second})
 	c.Assert(r.Due(start, "x"), qt.Equals, start.Add(5*time.Second))
 	state := full("a", 1, 0)
 	state.Tasks = []gang.Task{{ID: gang.ID{Job: "j"}}}
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -38,8 +38,8 @@
 }
 
 func TestStates(t *testing.T) {
-	delta := func(sequence, base uint64, groups wire.Changed) wire.AgentReport {
-		return wire.AgentReport{ID: "a", Incarnation: 2, Sequence: sequence, Base: base, Changed: groups, Load: wire.Load{Queued: 3}}
+	delta := func(sequence, base uint64, groups wire.FieldGroups) wire.AgentReport {
+		return wire.AgentReport{ID: "a", Incarnation: 2, Sequence: sequence, BaseSequence: base, Changed: groups, Load: wire.Load{Queued: 3}}
 	}
 	late := full("a", 2, 3)
 	late.Age = 61 * time.Second
@@ -49,14 +49,14 @@
 		ev    Event
 		want  []string
 	}{
-		{"a delta of an agent that is not known", 0, direct(wire.AgentReport{ID: "b", Incarnation: 1, Sequence: 4, Base: 3}), []string{"NeedFull"}},
+		{"a delta of an agent that is not known", 0, direct(wire.AgentReport{ID: "b", Incarnation: 1, Sequence: 4, BaseSequence: 3}), []string{"NeedFull"}},
 		{"a delta that continues what is known", 0, direct(delta(3, 2, wire.ChangedLoad)), []string{"Changed"}},
 		{"a delta with a gap before it", 0, direct(delta(5, 4, wire.ChangedLoad)), []string{"NeedFull"}},
 		{"a report of an older incarnation", 0, direct(full("a", 1, 9)), []string{"Newer"}},
 		{"a report of an older sequence", 0, direct(full("a", 2, 1)), []string{}},
 		{"a restart", 0, direct(full("a", 3, 1)), []string{"Lost", "Joined"}},
-		{"the delta of a restarted agent", 0, direct(wire.AgentReport{ID: "a", Incarnation: 3, Sequence: 2, Base: 1}), []string{"Lost", "NeedFull"}},
-		{"a goodbye", 0, direct(wire.AgentReport{ID: "a", Incarnation: 2, Goodbye: true}), []string{"Left"}},
+		{"the delta of a restarted agent", 0, direct(wire.AgentReport{ID: "a", Incarnation: 3, Sequence: 2, BaseSequence: 1}), []string{"Lost", "NeedFull"}},
+		{"a goodbye", 0, direct(wire.AgentReport{ID: "a", Incarnation: 2, Departed: true}), []string{"Left"}},
 		{"draining learned from an answer", 0, Draining{ID: "a", Incarnation: 2}, []string{"Changed"}},
 		{"draining of an incarnation that is gone", 0, Draining{ID: "a", Incarnation: 1}, []string{}},
 		{"silence for a while", 26 * time.Second, Tick{}, []string{"Suspected"}},
@@ -94,7 +94,7 @@
 	table := NewTable(Config{MaxMembers: 2})
 	table.Step(start, direct(full("a", 1, 1), full("b", 1, 1)))
 	c.Assert(names(table.Step(start, direct(full("c", 1, 1)))), qt.DeepEquals, []string{"Refused"})
-	table.Step(start, direct(wire.AgentReport{ID: "a", Incarnation: 1, Goodbye: true}))
+	table.Step(start, direct(wire.AgentReport{ID: "a", Incarnation: 1, Departed: true}))
 	c.Assert(names(table.Step(start, direct(full("c", 1, 1)))), qt.DeepEquals, []string{"Joined"})
 	c.Assert(offeredIDs(table), qt.DeepEquals, []string{"b", "c"})
 	c.Assert(table.Len(), qt.Equals, 2)
@@ -128,7 +128,7 @@
 				delete(due, id)
 				continue
 			}
-			due[id] = ms + ack.NextReport
+			due[id] = ms + ack.NextReportIn
 		}
 		in := float64(len(table.Snapshot().Service("dispatch").Members))
 		c.Assert(in <= 50+200*ms.Seconds()+1, qt.IsTrue, qt.Commentf("%v in after %v", in, ms))
@@ -149,13 +149,13 @@
 	c.Assert(back, qt.HasLen, 0)
 
 	now := start.Add(20 * time.Second)
-	a.Step(now, direct(wire.AgentReport{ID: "x", Incarnation: 1, Sequence: 1, Base: 1}))
+	a.Step(now, direct(wire.AgentReport{ID: "x", Incarnation: 1, Sequence: 1, BaseSequence: 1}))
 	batch, cursor = a.Relay(now.Add(time.Second), cursor)
-	c.Assert(batch, qt.DeepEquals, []wire.AgentReport{{ID: "x", Incarnation: 1, Sequence: 1, Base: 1, Age: time.Second}})
+	c.Assert(batch, qt.DeepEquals, []wire.AgentReport{{ID: "x", Incarnation: 1, Sequence: 1, BaseSequence: 1, Age: time.Second}})
 	b.Step(now.Add(time.Second), Reports{Batch: batch, Relayed: true})
 	c.Assert(names(b.Step(start.Add(44*time.Second), Tick{})), qt.HasLen, 0)
 
-	a.Step(now, direct(wire.AgentReport{ID: "x", Incarnation: 1, Goodbye: true}))
+	a.Step(now, direct(wire.AgentReport{ID: "x", Incarnation: 1, Departed: true}))
 	batch, _ = a.Relay(now, cursor)
 	c.Assert(names(b.Step(start.Add(45*time.Second), Reports{Batch: batch, Relayed: true})), qt.DeepEquals, []string{"Left"})
 }
--- a/nodeagent/orders.go
+++ b/nodeagent/orders.go
@@ -17,11 +17,11 @@
 func (a *Agent) handle(ctx context.Context, _ *wire.Conn, msg any) (any, error) {
 	orders, ok := msg.(*link.Orders)
 	if !ok {
-		return nil, wire.NotRun(eris.Errorf("unexpected message %T", msg))
+		return nil, wire.NotHandled(eris.Errorf("unexpected message %T", msg))
 	}
 	starts, err := orders.DecodeStarts()
 	if err != nil {
-		return nil, wire.NotRun(err)
+		return nil, wire.NotHandled(err)
 	}
 	return a.execute(orders, starts), nil
 }
--- a/planner/helpers_test.go
+++ b/planner/helpers_test.go
@@ -156,9 +156,9 @@
 
 func newBench(t *testing.T) *bench {
 	c := qt.New(t)
-	server := standin.New(standin.Options{Progress: 50 * time.Millisecond})
+	server := standin.New(standin.Options{ProgressInterval: 50 * time.Millisecond})
 	http := httptest.NewServer(server)
-	kv := store.NewClient(store.Options{Endpoints: []string{http.URL}, CallTimeout: time.Minute, WatchIdle: time.Second})
+	kv := store.NewClient(store.Options{Endpoints: []string{http.URL}, CallTimeout: time.Minute, WatchIdleTimeout: time.Second})
 	swaps := store.NewBatcher(kv, 0)
 	c.Cleanup(func() {
 		swaps.Close()
--- a/records/job_store.go
+++ b/records/job_store.go
@@ -19,11 +19,11 @@
 // JobStore stores submissions and cancellations on behalf of clients, and reads the state of
 // jobs. It is safe for concurrent use.
 type JobStore struct {
-	store store.Atomic
+	store store.TransactionalStore
 }
 
 // NewJobStore returns a JobStore that uses kv.
-func NewJobStore(kv store.Atomic) *JobStore { return &JobStore{store: kv} }
+func NewJobStore(kv store.TransactionalStore) *JobStore { return &JobStore{store: kv} }
 
 // probeTimeout bounds the read that precedes a write.
 const probeTimeout = 600 * time.Millisecond
--- a/records/planner_store.go
+++ b/records/planner_store.go
@@ -24,7 +24,7 @@
 // PlannerStore reads and writes the planner's records during one term. One goroutine owns it,
 // except that LoadOutcomes and WatchSubmissions may run concurrently with Write.
 type PlannerStore struct {
-	store store.Atomic
+	store store.TransactionalStore
 	guard store.Condition
 	// revisions of the keys that the planner writes.
 	revisions map[string]store.Revision
@@ -37,7 +37,7 @@
 }
 
 // NewPlannerStore returns a PlannerStore whose writes are conditional on guard.
-func NewPlannerStore(kv store.Atomic, guard store.Condition) *PlannerStore {
+func NewPlannerStore(kv store.TransactionalStore, guard store.Condition) *PlannerStore {
 	return &PlannerStore{store: kv, guard: guard, revisions: map[string]store.Revision{}}
 }
 
--- a/store/atomic.go
+++ b/store/atomic.go
@@ -19,9 +19,9 @@
 	Current []KeyValue
 }
 
-// Atomic is a Store that also makes several swaps all or none, under conditions on
+// TransactionalStore is a Store that also makes several swaps all or none, under conditions on
 // other keys.
-type Atomic interface {
+type TransactionalStore interface {
 	Store
 	// CommitIf makes the swaps if every condition holds and every swap's key is as it
 	// expects. ErrUnavailable means that nothing was done; ErrOutcomeUnknown that the
--- a/store/batcher.go
+++ b/store/batcher.go
@@ -9,8 +9,8 @@
 	"gopkg.in/tomb.v2"
 )
 
-// DefaultQueue is the queue of a Batcher made with none given.
-const DefaultQueue = 4096
+// DefaultBatcherQueue is the queue of a Batcher made with none given.
+const DefaultBatcherQueue = 4096
 
 // batchEvery is the least time between the begins of two calls of a Batcher. A
 // store that answers faster than callers arrive would otherwise get one call for
@@ -33,7 +33,7 @@
 // call; zero means DefaultQueue.
 func NewBatcher(store Store, queue int) *Batcher {
 	if queue <= 0 {
-		queue = DefaultQueue
+		queue = DefaultBatcherQueue
 	}
 	b := &Batcher{store: store, queue: make(chan *waiter, queue)}
 	b.tomb.Go(b.run)
@@ -62,7 +62,7 @@
 	select {
 	case b.queue <- w:
 	default:
-		return SwapResult{}, ErrBusy
+		return SwapResult{}, ErrQueueFull
 	}
 	select {
 	case <-w.done:
--- a/store/batcher_test.go
+++ b/store/batcher_test.go
@@ -88,7 +88,7 @@
 	}
 	go swap()
 	go swap()
-	c.Assert(eris.Is((<-ends).Err, store.ErrBusy), qt.IsTrue)
+	c.Assert(eris.Is((<-ends).Err, store.ErrQueueFull), qt.IsTrue)
 	cancel()
 	one, two := <-ends, <-ends
 	if one.Err == nil {
--- a/store/client.go
+++ b/store/client.go
@@ -22,7 +22,7 @@
 // NewClient returns a Client. Nothing is sent before the first call.
 func NewClient(opts Options) *Client {
 	opts = opts.withDefaults()
-	return &Client{opts: opts, limiter: rate.NewLimiter(opts.Budget, opts.Burst)}
+	return &Client{opts: opts, limiter: rate.NewLimiter(opts.RateLimit, opts.Burst)}
 }
 
 // Calls returns what the Client has asked of the service so far.
@@ -38,7 +38,7 @@
 		return nil
 	}
 	c.counts.refused.Add(1)
-	return ErrBudget
+	return ErrRateLimited
 }
 
 // charge takes one call from the budget without ever refusing it. Renewing and
--- a/store/errors.go
+++ b/store/errors.go
@@ -13,17 +13,17 @@
 	// ErrCompacted: the store no longer holds the revision a watch asked for;
 	// the caller lists again.
 	ErrCompacted = eris.New("platform store revision compacted")
-	// ErrBudget: the process's own call budget is used up; the call was not
+	// ErrRateLimited: the process's own call budget is used up; the call was not
 	// made.
-	ErrBudget = eris.New("platform store call budget used up")
+	ErrRateLimited = eris.New("platform store call budget used up")
 )
 
 var (
 	// ErrTooLarge: one swap alone is larger than a call may be; nothing was
 	// sent.
 	ErrTooLarge = eris.New("swap larger than a store call may be")
-	// ErrBusy: the Batcher's queue is full; the swap was not made.
-	ErrBusy = eris.New("too many swaps waiting for the store")
+	// ErrQueueFull: the Batcher's queue is full; the swap was not made.
+	ErrQueueFull = eris.New("too many swaps waiting for the store")
 	// ErrCanceled: the caller gave up before its swap was sent; it was not
 	// made.
 	ErrCanceled = eris.New("swap given up before it was sent")
--- a/store/internal/v3json/error.go
+++ b/store/internal/v3json/error.go
@@ -2,25 +2,25 @@
 
 // Codes of errors, as gRPC numbers them.
 const (
-	CodeInvalid      = 3
-	CodeNotFound     = 5
-	CodeExhausted    = 8
-	CodePrecondition = 9
-	CodeOutOfRange   = 11
-	CodeUnavailable  = 14
+	CodeInvalidArgument    = 3
+	CodeNotFound           = 5
+	CodeResourceExhausted  = 8
+	CodeFailedPrecondition = 9
+	CodeOutOfRange         = 11
+	CodeUnavailable        = 14
 )
 
 // Messages that callers must tell apart.
 const (
-	MsgLeaseNotFound  = "etcdserver: requested lease not found"
-	MsgLeaseExists    = "etcdserver: lease already exists"
-	MsgCompacted      = "etcdserver: mvcc: required revision has been compacted"
-	MsgFutureRevision = "etcdserver: mvcc: required revision is a future revision"
-	MsgTooManyCalls   = "etcdserver: too many requests"
-	MsgTooManyOps     = "etcdserver: too many operations in txn request"
-	MsgDuplicateKey   = "etcdserver: duplicate key given in txn request"
-	MsgTooLarge       = "etcdserver: request is too large"
-	MsgNoLeader       = "etcdserver: no leader"
+	MsgLeaseNotFound   = "etcdserver: requested lease not found"
+	MsgLeaseExists     = "etcdserver: lease already exists"
+	MsgCompacted       = "etcdserver: mvcc: required revision has been compacted"
+	MsgFutureRevision  = "etcdserver: mvcc: required revision is a future revision"
+	MsgTooManyRequests = "etcdserver: too many requests"
+	MsgTooManyOps      = "etcdserver: too many operations in txn request"
+	MsgDuplicateKey    = "etcdserver: duplicate key given in txn request"
+	MsgTooLarge        = "etcdserver: request is too large"
+	MsgNoLeader        = "etcdserver: no leader"
 )
 
 // Error is the body of a refused call.
--- a/store/lease.go
+++ b/store/lease.go
@@ -29,7 +29,7 @@
 	if o.ok() && !plausibleLease(id, res) {
 		return 0, eris.Wrap(ErrUnavailable, errImplausible.Error())
 	}
-	if o.ok() || repeated && o.code == v3json.CodePrecondition {
+	if o.ok() || repeated && o.code == v3json.CodeFailedPrecondition {
 		return LeaseID(id), nil
 	}
 	return 0, o.err()
--- a/store/options.go
+++ b/store/options.go
@@ -10,9 +10,9 @@
 
 // Defaults of Options.
 const (
-	DefaultCallTimeout = 2 * time.Second
-	DefaultWatchIdle   = 30 * time.Second
-	DefaultBurst       = 32
+	DefaultCallTimeout      = 2 * time.Second
+	DefaultWatchIdleTimeout = 30 * time.Second
+	DefaultBurst            = 32
 
 	idleConnections = 16
 )
@@ -24,14 +24,14 @@
 	Endpoints []string
 	// CallTimeout bounds each attempt of a call.
 	CallTimeout time.Duration
-	// Budget is the calls a second that this process may make; zero means no
+	// RateLimit is the calls a second that this process may make; zero means no
 	// limit. Burst is how many it may make at once.
-	Budget rate.Limit
-	Burst  int
-	// WatchIdle is how long a watch may stay silent before its connection is
+	RateLimit rate.Limit
+	Burst     int
+	// WatchIdleTimeout is how long a watch may stay silent before its connection is
 	// replaced. It must be longer than the service's progress notices are
 	// apart; otherwise quiet watches reconnect needlessly, one call each time.
-	WatchIdle time.Duration
+	WatchIdleTimeout time.Duration
 	// HTTP makes the calls; nil means a client of its own. It must have no
 	// Timeout, which would cut watches.
 	HTTP *http.Client
@@ -41,11 +41,11 @@
 	if o.CallTimeout <= 0 {
 		o.CallTimeout = DefaultCallTimeout
 	}
-	if o.WatchIdle <= 0 {
-		o.WatchIdle = DefaultWatchIdle
+	if o.WatchIdleTimeout <= 0 {
+		o.WatchIdleTimeout = DefaultWatchIdleTimeout
 	}
-	if o.Budget <= 0 {
-		o.Budget = rate.Inf
+	if o.RateLimit <= 0 {
+		o.RateLimit = rate.Inf
 	}
 	if o.Burst <= 0 {
 		o.Burst = DefaultBurst
--- a/store/standin/call.go
+++ b/store/standin/call.go
@@ -31,7 +31,7 @@
 	// silence, and a test would pass without what it asked for.
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(req); err != nil {
-		reply(w, http.StatusBadRequest, v3json.Error{Error: err.Error(), Code: v3json.CodeInvalid})
+		reply(w, http.StatusBadRequest, v3json.Error{Error: err.Error(), Code: v3json.CodeInvalidArgument})
 		return
 	}
 	write := c.writes(req)
@@ -88,7 +88,7 @@
 		return false
 	}
 	if !allow(limit) {
-		s.refuse(w, refusal(v3json.CodeExhausted, v3json.MsgTooManyCalls))
+		s.refuse(w, refusal(v3json.CodeResourceExhausted, v3json.MsgTooManyRequests))
 		return false
 	}
 	if f.DelayMillis > 0 {
--- a/store/standin/failure.go
+++ b/store/standin/failure.go
@@ -17,7 +17,7 @@
 	switch code {
 	case v3json.CodeNotFound:
 		status = http.StatusNotFound
-	case v3json.CodeExhausted:
+	case v3json.CodeResourceExhausted:
 		status = http.StatusTooManyRequests
 	case v3json.CodeUnavailable:
 		status = http.StatusServiceUnavailable
--- a/store/standin/lease.go
+++ b/store/standin/lease.go
@@ -22,7 +22,7 @@
 
 func (s *state) grant(now time.Time, req v3json.GrantRequest) (v3json.LeaseResponse, *failure) {
 	if s.leases[req.ID] != nil {
-		return v3json.LeaseResponse{}, refusal(v3json.CodePrecondition, v3json.MsgLeaseExists)
+		return v3json.LeaseResponse{}, refusal(v3json.CodeFailedPrecondition, v3json.MsgLeaseExists)
 	}
 	ttl := time.Duration(req.TTL) * time.Second
 	s.leases[req.ID] = &lease{ttl: ttl, expires: now.Add(ttl), keys: make(map[string]struct{})}
--- a/store/standin/options.go
+++ b/store/standin/options.go
@@ -4,9 +4,9 @@
 
 // Defaults of Options.
 const (
-	DefaultProgress = time.Second
-	DefaultHistory  = 100_000
-	DefaultTick     = 50 * time.Millisecond
+	DefaultProgressInterval   = time.Second
+	DefaultMaxHistory         = 100_000
+	DefaultLeaseCheckInterval = 50 * time.Millisecond
 )
 
 // Options of a Server. The zero value is usable.
@@ -14,19 +14,19 @@
 	// Now drives leases. With nil, the system's clock does, and leases lapse by
 	// themselves; otherwise they lapse at the next call or Expire.
 	Now func() time.Time
-	// Progress is the time between progress notices of a quiet watch.
-	Progress time.Duration
-	// History is how many changes are kept for watches and reads of older
+	// ProgressInterval is the time between progress notices of a quiet watch.
+	ProgressInterval time.Duration
+	// MaxHistory is how many changes are kept for watches and reads of older
 	// revisions; beyond it the oldest are compacted.
-	History int
+	MaxHistory int
 }
 
 func (o Options) withDefaults() Options {
-	if o.Progress <= 0 {
-		o.Progress = DefaultProgress
+	if o.ProgressInterval <= 0 {
+		o.ProgressInterval = DefaultProgressInterval
 	}
-	if o.History <= 0 {
-		o.History = DefaultHistory
+	if o.MaxHistory <= 0 {
+		o.MaxHistory = DefaultMaxHistory
 	}
 	return o
 }
--- a/store/standin/server.go
+++ b/store/standin/server.go
@@ -61,7 +61,7 @@
 		<-s.tomb.Dying()
 		return nil
 	}
-	ticker := time.NewTicker(DefaultTick)
+	ticker := time.NewTicker(DefaultLeaseCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -98,7 +98,7 @@
 	if s.state.rev == before {
 		return
 	}
-	s.state.trim(s.opts.History)
+	s.state.trim(s.opts.MaxHistory)
 	s.wake()
 }
 
--- a/store/standin/txn.go
+++ b/store/standin/txn.go
@@ -32,7 +32,7 @@
 func checkOps(req *v3json.TxnRequest, room int, put map[string]bool) *failure {
 	ops := max(len(req.Compare), len(req.Success), len(req.Failure))
 	if ops > room {
-		return refusal(v3json.CodeInvalid, v3json.MsgTooManyOps)
+		return refusal(v3json.CodeInvalidArgument, v3json.MsgTooManyOps)
 	}
 	for _, branch := range [][]v3json.RequestOp{req.Success, req.Failure} {
 		for _, op := range branch {
@@ -58,7 +58,7 @@
 
 func checkOnce(key string, put map[string]bool) *failure {
 	if put[key] {
-		return refusal(v3json.CodeInvalid, v3json.MsgDuplicateKey)
+		return refusal(v3json.CodeInvalidArgument, v3json.MsgDuplicateKey)
 	}
 	put[key] = true
 	return nil
--- a/store/standin/watch.go
+++ b/store/standin/watch.go
@@ -19,7 +19,7 @@
 func (s *Server) serveWatch(w http.ResponseWriter, r *http.Request) {
 	var req v3json.WatchRequest
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
-		reply(w, http.StatusBadRequest, v3json.Error{Error: err.Error(), Code: v3json.CodeInvalid})
+		reply(w, http.StatusBadRequest, v3json.Error{Error: err.Error(), Code: v3json.CodeInvalidArgument})
 		return
 	}
 	if !s.admit(w, r, func(c *Counters) *int64 { return &c.Watch }, false) {
@@ -32,7 +32,7 @@
 	if first.Canceled {
 		return
 	}
-	progress := time.NewTicker(s.opts.Progress)
+	progress := time.NewTicker(s.opts.ProgressInterval)
 	defer progress.Stop()
 	for {
 		res, changed := s.next(watch)
--- a/store/watch_test.go
+++ b/store/watch_test.go
@@ -25,9 +25,9 @@
 	return web.URL
 }
 
-func quickIdle(o *store.Options) { o.WatchIdle = 100 * time.Millisecond }
+func quickIdle(o *store.Options) { o.WatchIdleTimeout = 100 * time.Millisecond }
 
-var quickProgress = standin.Options{Progress: 20 * time.Millisecond}
+var quickProgress = standin.Options{ProgressInterval: 20 * time.Millisecond}
 
 // collect watches from the first revision on until it has seen a key named
 // end, and returns the events.
--- a/store/watcher.go
+++ b/store/watcher.go
@@ -27,7 +27,7 @@
 	// The connection may go silent for good, because something between the
 	// two ends has lost track of it. Nothing is reported then; only the
 	// absence of the progress notices shows it.
-	idle := w.client.opts.WatchIdle
+	idle := w.client.opts.WatchIdleTimeout
 	silent := time.AfterFunc(idle, cancel)
 	defer silent.Stop()
 	resp, err := w.open(ctx, base)
--- a/wire/call.go
+++ b/wire/call.go
@@ -20,7 +20,7 @@
 
 // exchange is Call without the count of outstanding calls.
 func (c *Conn) exchange(ctx context.Context, msg any) (any, error) {
-	frame, err := encodeFrame(msg, c.ep.cfg.MaxFrame)
+	frame, err := encodeFrame(msg, c.ep.cfg.MaxPayload)
 	if err != nil {
 		return nil, notSent(err)
 	}
@@ -54,7 +54,7 @@
 }
 
 func (c *Conn) receive(ctx context.Context, stream *quic.Stream) (any, error) {
-	raw, err := readFrame(heardReader{c, stream}, c.ep.cfg.MaxFrame)
+	raw, err := readFrame(heardReader{c, stream}, c.ep.cfg.MaxPayload)
 	if err != nil {
 		stream.CancelRead(streamCancel)
 		return nil, outcomeUnknown(cause(ctx, err))
--- a/wire/call_test.go
+++ b/wire/call_test.go
@@ -13,14 +13,14 @@
 func TestBothEndsCallOverOneConnection(t *testing.T) {
 	c := qt.New(t)
 	accepted := make(chan *Conn, 1)
-	server := open(c, "entry", Config{Accepted: func(conn *Conn) { accepted <- conn }}, echo)
+	server := open(c, "entry", Config{OnAccept: func(conn *Conn) { accepted <- conn }}, echo)
 	client := open(c, "agent", Config{}, echo)
 	conn := dial(c, client, server.Addr())
 	c.Assert(conn.Peer().ID, qt.Equals, "entry")
 	back := await(c, accepted)
 	c.Assert(back.Peer(), qt.Equals, client.Identity().Peer())
 	for _, conn := range []*Conn{conn, back} {
-		reply, err := conn.Call(within(c, 10*time.Second), Gang{Payload: []byte("x")})
+		reply, err := conn.Call(within(c, 10*time.Second), GangMessage{Payload: []byte("x")})
 		c.Assert(err, qt.IsNil)
 		c.Assert(reply, qt.DeepEquals, &GangReply{Payload: []byte("x")})
 	}
@@ -43,13 +43,13 @@
 	})
 	client := open(c, "entry", Config{}, echo)
 	conn := dial(c, client, server.Addr())
-	_, err := conn.Call(within(c, 10*time.Second), Gang{})
+	_, err := conn.Call(within(c, 10*time.Second), GangMessage{})
 	await(c, running)
 	c.Assert(errors.Is(err, ErrOutcomeUnknown), qt.IsTrue, qt.Commentf("%v", err))
-	c.Assert(errors.Is(err, ErrNotSent), qt.IsFalse)
+	c.Assert(errors.Is(err, ErrNotHandled), qt.IsFalse)
 	await(c, cancelled)
-	_, err = conn.Call(within(c, 10*time.Second), Gang{})
-	c.Assert(errors.Is(err, ErrNotSent), qt.IsTrue, qt.Commentf("%v", err))
+	_, err = conn.Call(within(c, 10*time.Second), GangMessage{})
+	c.Assert(errors.Is(err, ErrNotHandled), qt.IsTrue, qt.Commentf("%v", err))
 }
 
 // Story: a caller cancels; its worker should stop computing an answer that
@@ -71,7 +71,7 @@
 		<-running
 		cancel()
 	}()
-	_, err := conn.Call(ctx, Gang{})
+	_, err := conn.Call(ctx, GangMessage{})
 	c.Assert(errors.Is(err, ErrOutcomeUnknown), qt.IsTrue)
 	c.Assert(errors.Is(err, context.Canceled), qt.IsTrue)
 	await(c, cancelled)
@@ -83,15 +83,15 @@
 func TestRefusalsProveThatNothingRan(t *testing.T) {
 	c := qt.New(t)
 	var ran atomic.Int32
-	server := open(c, "agent", Config{MaxFrame: 100}, func(_ context.Context, _ *Conn, msg any) (any, error) {
+	server := open(c, "agent", Config{MaxPayload: 100}, func(_ context.Context, _ *Conn, msg any) (any, error) {
 		ran.Add(1)
-		switch string(msg.(*Gang).Payload) {
+		switch string(msg.(*GangMessage).Payload) {
 		case "no":
-			return nil, NotRun(errors.New("full"))
+			return nil, NotHandled(errors.New("full"))
 		case "big":
 			return GangReply{Payload: make([]byte, 200)}, nil
 		default:
-			return nil, &CallError{Outcome: ErrNotSent, Cause: errors.New("of another call")}
+			return nil, &CallError{Outcome: ErrNotHandled, Cause: errors.New("of another call")}
 		}
 	})
 	client := open(c, "entry", Config{}, echo)
@@ -102,15 +102,15 @@
 		want  []error
 		ran   int32
 	}{
-		{"a Go type that nobody registered", unregistered{}, []error{ErrNotSent, ErrUnknownKind}, 0},
-		{"a frame beyond the receiver's limit", Gang{Payload: make([]byte, 200)}, []error{ErrNotSent, ErrFrameTooLarge}, 0},
-		{"a frame beyond the sender's limit", Gang{Payload: make([]byte, DefaultMaxFrame)}, []error{ErrNotSent, ErrFrameTooLarge}, 0},
-		{"a handler that proves it did nothing", Gang{Payload: []byte("no")}, []error{ErrNotSent, ErrHandler}, 1},
-		{"a handler that failed in a call of its own", Gang{}, []error{ErrOutcomeUnknown, ErrHandler}, 2},
-		{"a reply beyond the limit", Gang{Payload: []byte("big")}, []error{ErrOutcomeUnknown, ErrHandler}, 3},
+		{"a Go type that nobody registered", unregistered{}, []error{ErrNotHandled, ErrUnknownKind}, 0},
+		{"a frame beyond the receiver's limit", GangMessage{Payload: make([]byte, 200)}, []error{ErrNotHandled, ErrFrameTooLarge}, 0},
+		{"a frame beyond the sender's limit", GangMessage{Payload: make([]byte, DefaultMaxPayload)}, []error{ErrNotHandled, ErrFrameTooLarge}, 0},
+		{"a handler that proves it did nothing", GangMessage{Payload: []byte("no")}, []error{ErrNotHandled, ErrHandler}, 1},
+		{"a handler that failed in a call of its own", GangMessage{}, []error{ErrOutcomeUnknown, ErrHandler}, 2},
+		{"a reply beyond the limit", GangMessage{Payload: []byte("big")}, []error{ErrOutcomeUnknown, ErrHandler}, 3},
 	} {
 		_, err := conn.Call(within(c, 10*time.Second), test.msg)
-		c.Check(errors.Is(err, ErrNotSent) != errors.Is(err, ErrOutcomeUnknown), qt.IsTrue)
+		c.Check(errors.Is(err, ErrNotHandled) != errors.Is(err, ErrOutcomeUnknown), qt.IsTrue)
 		for _, want := range test.want {
 			c.Check(errors.Is(err, want), qt.IsTrue, qt.Commentf("%s: %v", test.story, err))
 		}
@@ -135,9 +135,9 @@
 		<-running
 		cancel(notSent(ErrClosed))
 	}()
-	_, err := conn.Call(ctx, Gang{})
+	_, err := conn.Call(ctx, GangMessage{})
 	c.Assert(errors.Is(err, ErrOutcomeUnknown), qt.IsTrue)
-	c.Assert(errors.Is(err, ErrNotSent), qt.IsFalse)
+	c.Assert(errors.Is(err, ErrNotHandled), qt.IsFalse)
 }
 
 func TestWrongClusterKeyIsRefused(t *testing.T) {
@@ -156,7 +156,7 @@
 		c.Assert(err, qt.IsNil)
 		_, err = client.Dial(within(c, 10*time.Second), server.Addr())
 		c.Check(err == nil, qt.Equals, test.want, qt.Commentf("%s: %v", test.story, err))
-		c.Check(err == nil || errors.Is(err, ErrNotSent), qt.IsTrue)
+		c.Check(err == nil || errors.Is(err, ErrNotHandled), qt.IsTrue)
 		c.Assert(client.Close(), qt.IsNil)
 	}
 	_, err := NewIdentity(Peer{}, []byte("short"))
--- a/wire/config.go
+++ b/wire/config.go
@@ -10,9 +10,9 @@
 const (
 	DefaultHandshakeTimeout = 3 * time.Second
 	DefaultPingTimeout      = 500 * time.Millisecond
-	DefaultBusyProbe        = 300 * time.Millisecond
-	DefaultIdleProbe        = 30 * time.Second
-	DefaultSuspectGrace     = 5 * time.Second
+	DefaultBusyProbeAfter   = 300 * time.Millisecond
+	DefaultIdleProbeAfter   = 30 * time.Second
+	DefaultSuspectTimeout   = 5 * time.Second
 	DefaultMaxConns         = 4096
 	DefaultAcceptRate       = 200
 	DefaultAcceptBurst      = 200
@@ -28,21 +28,21 @@
 
 // Config holds an endpoint's settings; a zero field takes its default.
 type Config struct {
-	// MaxFrame limits a frame's payload in bytes, in both directions.
-	MaxFrame int
+	// MaxPayload limits a frame's payload in bytes, in both directions.
+	MaxPayload int
 	// HandshakeTimeout limits dial, TLS handshake and Hello together.
 	HandshakeTimeout time.Duration
 	// PingTimeout is how long a Ping may stay unanswered.
 	PingTimeout time.Duration
-	// BusyProbe: a connection with calls outstanding that was silent for so
+	// BusyProbeAfter: a connection with calls outstanding that was silent for so
 	// long is probed with a Ping.
-	BusyProbe time.Duration
-	// IdleProbe is the same for a connection without calls. Keep it above
+	BusyProbeAfter time.Duration
+	// IdleProbeAfter is the same for a connection without calls. Keep it above
 	// the reporting period, so that reports alone prove idle paths.
-	IdleProbe time.Duration
-	// SuspectGrace: a suspected connection that stays silent for so long is
+	IdleProbeAfter time.Duration
+	// SuspectTimeout: a suspected connection that stays silent for so long is
 	// closed; its outstanding calls end with ErrOutcomeUnknown.
-	SuspectGrace time.Duration
+	SuspectTimeout time.Duration
 	// MaxConns limits accepted connections.
 	MaxConns int
 	// AcceptRate (a second) and AcceptBurst limit accepted handshakes, so
@@ -50,20 +50,20 @@
 	// processors. Refused dialers come back after their backoff.
 	AcceptRate  float64
 	AcceptBurst int
-	// Accepted is called for each accepted connection after its Hello and
+	// OnAccept is called for each accepted connection after its Hello and
 	// before the dialer learns of it. It must not block.
-	Accepted func(*Conn)
+	OnAccept func(*Conn)
 	// ListenPacket opens the UDP sockets; net.ListenPacket by default.
 	ListenPacket func(network, addr string) (net.PacketConn, error)
 }
 
 func (c Config) withDefaults() Config {
-	c.MaxFrame = cmp.Or(c.MaxFrame, DefaultMaxFrame)
+	c.MaxPayload = cmp.Or(c.MaxPayload, DefaultMaxPayload)
 	c.HandshakeTimeout = cmp.Or(c.HandshakeTimeout, DefaultHandshakeTimeout)
 	c.PingTimeout = cmp.Or(c.PingTimeout, DefaultPingTimeout)
-	c.BusyProbe = cmp.Or(c.BusyProbe, DefaultBusyProbe)
-	c.IdleProbe = cmp.Or(c.IdleProbe, DefaultIdleProbe)
-	c.SuspectGrace = cmp.Or(c.SuspectGrace, DefaultSuspectGrace)
+	c.BusyProbeAfter = cmp.Or(c.BusyProbeAfter, DefaultBusyProbeAfter)
+	c.IdleProbeAfter = cmp.Or(c.IdleProbeAfter, DefaultIdleProbeAfter)
+	c.SuspectTimeout = cmp.Or(c.SuspectTimeout, DefaultSuspectTimeout)
 	c.MaxConns = cmp.Or(c.MaxConns, DefaultMaxConns)
 	c.AcceptRate = cmp.Or(c.AcceptRate, DefaultAcceptRate)
 	c.AcceptBurst = cmp.Or(c.AcceptBurst, DefaultAcceptBurst)
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -58,13 +58,13 @@
 // gone silent. Calls that can be tried elsewhere need not wait longer.
 func (c *Conn) Suspected() <-chan struct{} { return c.suspected }
 
-// LeavingSoon is closed when either end is about to close the connection; it
+// Draining is closed when either end is about to close the connection; it
 // takes no new calls.
-func (c *Conn) LeavingSoon() <-chan struct{} { return c.away }
+func (c *Conn) Draining() <-chan struct{} { return c.away }
 
-// LastHeard returns when the peer's process was last heard: when bytes of one
+// LastReceived returns when the peer's process was last heard: when bytes of one
 // of its messages arrived. QUIC's own acknowledgements don't count.
-func (c *Conn) LastHeard() time.Time {
+func (c *Conn) LastReceived() time.Time {
 	return c.opened.Add(time.Duration(c.heard.Load()))
 }
 
@@ -74,8 +74,8 @@
 	return c.q.Context().Err() == nil && !c.calls.isStopped() && !c.suspect.Load()
 }
 
-// Outstanding returns the number of calls that wait for their reply.
-func (c *Conn) Outstanding() int { return c.calls.count() }
+// OutstandingCalls returns the number of calls that wait for their reply.
+func (c *Conn) OutstandingCalls() int { return c.calls.count() }
 
 // Close closes the connection at once: outstanding calls of both ends fail.
 func (c *Conn) Close() {
--- a/wire/drain.go
+++ b/wire/drain.go
@@ -19,14 +19,14 @@
 	}
 	var group errgroup.Group
 	for _, c := range ep.Conns() {
-		group.Go(func() error { return c.Leave(ctx) })
+		group.Go(func() error { return c.Drain(ctx) })
 	}
 	return group.Wait()
 }
 
-// Leave closes the connection without losing a reply in either direction. A
+// Drain closes the connection without losing a reply in either direction. A
 // connection that ends meanwhile is no error.
-func (c *Conn) Leave(ctx context.Context) error {
+func (c *Conn) Drain(ctx context.Context) error {
 	select {
 	case <-c.leaving():
 	case <-c.Done():
--- a/wire/endpoint.go
+++ b/wire/endpoint.go
@@ -96,7 +96,7 @@
 func (ep *Endpoint) newQUICConfig() *quic.Config {
 	return &quic.Config{
 		HandshakeIdleTimeout:       ep.cfg.HandshakeTimeout,
-		MaxIdleTimeout:             max(idleTimeoutFloor, 4*ep.cfg.IdleProbe),
+		MaxIdleTimeout:             max(idleTimeoutFloor, 4*ep.cfg.IdleProbeAfter),
 		MaxIncomingStreams:         maxStreams,
 		MaxIncomingUniStreams:      -1,
 		RequireStreamCreditRelease: true,
--- a/wire/errors.go
+++ b/wire/errors.go
@@ -8,9 +8,9 @@
 )
 
 var (
-	// ErrNotSent: the message was certainly not handled by the peer and never
+	// ErrNotHandled: the message was certainly not handled by the peer and never
 	// will be. Trying again, also elsewhere, can't run it twice.
-	ErrNotSent = eris.New("message not handled by the peer")
+	ErrNotHandled = eris.New("message not handled by the peer")
 	// ErrOutcomeUnknown: the message may have been handled, or may still be;
 	// no valid reply arrived.
 	ErrOutcomeUnknown = eris.New("outcome of the message unknown")
@@ -50,7 +50,7 @@
 }
 
 func notSent(cause error) error {
-	return &CallError{Outcome: ErrNotSent, Cause: opaque(cause)}
+	return &CallError{Outcome: ErrNotHandled, Cause: opaque(cause)}
 }
 
 func outcomeUnknown(cause error) error {
@@ -62,7 +62,7 @@
 // could match both outcomes, and a caller that asks for ErrNotSent first would
 // send a message twice.
 func opaque(cause error) error {
-	if errors.Is(cause, ErrNotSent) || errors.Is(cause, ErrOutcomeUnknown) {
+	if errors.Is(cause, ErrNotHandled) || errors.Is(cause, ErrOutcomeUnknown) {
 		return errors.New(cause.Error())
 	}
 	return cause
@@ -74,8 +74,8 @@
 // Unwrap returns the cause.
 func (e notRunError) Unwrap() error { return e.error }
 
-// NotRun is for a Handler that can prove that a message had no effect and never
+// NotHandled is for a Handler that can prove that a message had no effect and never
 // will: the caller sees ErrNotSent. It has to be said in this way. An
 // ErrNotSent that a handler merely passes on from a call of its own says
 // nothing of what the handler did before.
-func NotRun(cause error) error { return notRunError{cause} }
+func NotHandled(cause error) error { return notRunError{cause} }
--- a/wire/frame.go
+++ b/wire/frame.go
@@ -8,8 +8,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// DefaultMaxFrame is the default limit of a frame's payload in bytes.
-const DefaultMaxFrame = 16 << 20
+// DefaultMaxPayload is the default limit of a frame's payload in bytes.
+const DefaultMaxPayload = 16 << 20
 
 // A frame is a header and a payload. The header is the payload's length
 // (4 bytes, big-endian) and the kind (2 bytes, big-endian).
--- a/wire/frame_test.go
+++ b/wire/frame_test.go
@@ -14,9 +14,9 @@
 
 func TestFrameRefusesWhatIsNotWhole(t *testing.T) {
 	c := qt.New(t)
-	good, err := encodeFrame(&Gang{Payload: []byte("abc")}, 100)
+	good, err := encodeFrame(&GangMessage{Payload: []byte("abc")}, 100)
 	c.Assert(err, qt.IsNil)
-	huge := []byte{0xff, 0xff, 0xff, 0xff, 0, byte(KindGang)}
+	huge := []byte{0xff, 0xff, 0xff, 0xff, 0, byte(KindGangMessage)}
 	for _, test := range []struct {
 		story string
 		raw   []byte
@@ -36,11 +36,11 @@
 // An announced size alone must not cost memory.
 func TestFrameAllocatesForWhatArrives(t *testing.T) {
 	c := qt.New(t)
-	announced := []byte{0, 0xff, 0xff, 0xff, 0, byte(KindGang), 1, 2, 3}
+	announced := []byte{0, 0xff, 0xff, 0xff, 0, byte(KindGangMessage), 1, 2, 3}
 	got := testing.Benchmark(func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			readFrame(bytes.NewReader(announced), DefaultMaxFrame)
+			readFrame(bytes.NewReader(announced), DefaultMaxPayload)
 		}
 	})
 	c.Assert(got.AllocedBytesPerOp() < 3*firstRead, qt.IsTrue, qt.Commentf("%d bytes", got.AllocedBytesPerOp()))
@@ -52,9 +52,9 @@
 	c := qt.New(t)
 	payload, err := cbor.Marshal(map[int]any{1: []byte("x"), 2: 5, 99: "new"})
 	c.Assert(err, qt.IsNil)
-	msg, err := rawFrame{kind: KindGang, payload: payload}.message()
+	msg, err := rawFrame{kind: KindGangMessage, payload: payload}.message()
 	c.Assert(err, qt.IsNil)
-	c.Assert(msg, qt.DeepEquals, &Gang{Payload: []byte("x"), Epoch: 5})
+	c.Assert(msg, qt.DeepEquals, &GangMessage{Payload: []byte("x"), Epoch: 5})
 	_, err = rawFrame{kind: KindFirstFree}.message()
 	c.Assert(errors.Is(err, ErrUnknownKind), qt.IsTrue)
 }
@@ -62,9 +62,9 @@
 // FuzzFrame: whatever arrives, the decoder returns an error or a message that
 // survives another round.
 func FuzzFrame(f *testing.F) {
-	for _, msg := range []any{&Ping{}, &Execute{Attempt: "a", Header: []Header{{Name: "A", Value: "b"}}},
-		&Report{Batch: []AgentReport{{ID: "x", Full: true, Tasks: []gang.Task{{ID: gang.ID{Job: "j"}}}}}}} {
-		frame, err := encodeFrame(msg, DefaultMaxFrame)
+	for _, msg := range []any{&Ping{}, &Execute{AttemptID: "a", Header: []Header{{Name: "A", Value: "b"}}},
+		&Report{Reports: []AgentReport{{ID: "x", Full: true, Tasks: []gang.Task{{ID: gang.ID{Job: "j"}}}}}}} {
+		frame, err := encodeFrame(msg, DefaultMaxPayload)
 		if err != nil {
 			f.Fatal(err)
 		}
--- a/wire/helpers_test.go
+++ b/wire/helpers_test.go
@@ -60,7 +60,7 @@
 
 // echo answers Gang with its payload.
 func echo(_ context.Context, _ *Conn, msg any) (any, error) {
-	return &GangReply{Payload: msg.(*Gang).Payload}, nil
+	return &GangReply{Payload: msg.(*GangMessage).Payload}, nil
 }
 
 func within(c *qt.C, limit time.Duration) context.Context {
--- a/wire/identity.go
+++ b/wire/identity.go
@@ -14,8 +14,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// MinClusterKey is the least length of a cluster key in bytes.
-const MinClusterKey = 16
+// MinClusterKeySize is the least length of a cluster key in bytes.
+const MinClusterKeySize = 16
 
 const (
 	alpn       = "eelgrasshub/1"
@@ -73,8 +73,8 @@
 
 // clusterCA derives the authority: every holder of the key makes the same one.
 func clusterCA(key []byte) (*x509.Certificate, ed25519.PrivateKey, error) {
-	if len(key) < MinClusterKey {
-		return nil, nil, eris.Errorf("cluster key has %d bytes, needs %d", len(key), MinClusterKey)
+	if len(key) < MinClusterKeySize {
+		return nil, nil, eris.Errorf("cluster key has %d bytes, needs %d", len(key), MinClusterKeySize)
 	}
 	seed, err := hkdf.Key(sha256.New, key, nil, caInfo, ed25519.SeedSize)
 	if err != nil {
--- a/wire/kind.go
+++ b/wire/kind.go
@@ -16,19 +16,19 @@
 	KindGoAwayReply
 	KindReport
 	KindReportAck
-	KindPublish
-	KindPublishAck
-	KindFetch
-	KindFetchReply
+	KindPublishDocuments
+	KindPublishDocumentsAck
+	KindFetchDocuments
+	KindFetchDocumentsReply
 	KindExecute
 	KindExecuteReply
-	KindResolve
-	KindResolveReply
-	KindGang
+	KindResolveAttempt
+	KindResolveAttemptReply
+	KindGangMessage
 	KindGangReply
-	KindJobStatus
+	KindJobStatusRequest
 	KindJobStatusReply
-	KindInspect
+	KindInspectRequest
 	KindInspectReply
 	KindFirstFree Kind = 1000
 )
--- a/wire/link.go
+++ b/wire/link.go
@@ -82,7 +82,7 @@
 		old = c
 		select {
 		case <-c.Suspected():
-		case <-c.LeavingSoon():
+		case <-c.Draining():
 		case <-c.Done():
 		case <-l.tomb.Dying():
 			return nil
@@ -118,7 +118,7 @@
 		return
 	}
 	l.tomb.Go(func() error {
-		c.Leave(l.tomb.Context(context.Background()))
+		c.Drain(l.tomb.Context(context.Background()))
 		return nil
 	})
 }
@@ -137,9 +137,9 @@
 	if c == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), l.ep.cfg.SuspectGrace)
+	ctx, cancel := context.WithTimeout(context.Background(), l.ep.cfg.SuspectTimeout)
 	defer cancel()
-	if c.Leave(ctx) != nil {
+	if c.Drain(ctx) != nil {
 		c.Close()
 	}
 }
@@ -153,5 +153,5 @@
 	if c == nil {
 		return nil
 	}
-	return c.Leave(ctx)
+	return c.Drain(ctx)
 }
--- a/wire/liveness.go
+++ b/wire/liveness.go
@@ -8,7 +8,7 @@
 // monitorLoop probes silent connections. One goroutine serves all connections
 // of the endpoint; a timer for each would cost more memory than it is worth.
 func (ep *Endpoint) monitorLoop() error {
-	tick := time.NewTicker(max(time.Millisecond, min(ep.cfg.BusyProbe, ep.cfg.PingTimeout)/2))
+	tick := time.NewTicker(max(time.Millisecond, min(ep.cfg.BusyProbeAfter, ep.cfg.PingTimeout)/2))
 	defer tick.Stop()
 	for {
 		select {
@@ -29,20 +29,20 @@
 // count as life, so neither a middle box nor the peer's kernel can fake it.
 func (ep *Endpoint) check(c *Conn) {
 	now := ep.now()
-	quiet := now.Sub(c.LastHeard())
+	quiet := now.Sub(c.LastReceived())
 	if c.peer.Load() == nil {
 		if quiet > 2*ep.cfg.HandshakeTimeout {
 			c.close(closeNoHello, "no hello")
 		}
 		return
 	}
-	if c.suspect.Load() && now.Sub(c.opened)-time.Duration(c.suspectAt.Load()) > ep.cfg.SuspectGrace {
+	if c.suspect.Load() && now.Sub(c.opened)-time.Duration(c.suspectAt.Load()) > ep.cfg.SuspectTimeout {
 		c.close(closeSilent, "silent")
 		return
 	}
-	limit := ep.cfg.IdleProbe
-	if c.Outstanding() > 0 {
-		limit = ep.cfg.BusyProbe
+	limit := ep.cfg.IdleProbeAfter
+	if c.OutstandingCalls() > 0 {
+		limit = ep.cfg.BusyProbeAfter
 	}
 	if quiet < limit || !c.probing.CompareAndSwap(false, true) {
 		return
--- a/wire/measure_bytes_test.go
+++ b/wire/measure_bytes_test.go
@@ -41,11 +41,11 @@
 }
 
 func reports() map[string]*Report {
-	load := AgentReport{ID: "dispatch-wharf-07", Incarnation: 1767225600123456789, Sequence: 12345, Base: 12344}
+	load := AgentReport{ID: "dispatch-wharf-07", Incarnation: 1767225600123456789, Sequence: 12345, BaseSequence: 12344}
 	quiet := load
-	quiet.Base = quiet.Sequence
+	quiet.BaseSequence = quiet.Sequence
 	load.Changed = ChangedLoad
-	load.Load = Load{Running: 6, Queued: 3, Marked: 120}
+	load.Load = Load{Running: 6, Queued: 3, CongestionMarks: 120}
 	whole := AgentReport{ID: load.ID, Incarnation: load.Incarnation, Sequence: load.Sequence, Full: true,
 		Service: "dispatch", Region: "auckland", Zone: "wharf", Rack: "rack-03", Address: "10.20.30.40:7400",
 		Accelerators: 8, Slots: 8, Connections: 64, Cores: 32, MemoryMB: 65536, Load: load.Load}
@@ -61,17 +61,17 @@
 		})
 	}
 	return map[string]*Report{
-		"no news":           {Batch: []AgentReport{quiet}},
-		"delta of the load": {Batch: []AgentReport{load}},
-		"full, no tasks":    {Batch: []AgentReport{whole}},
-		"full, 8 tasks":     {Batch: []AgentReport{tasks}},
+		"no news":           {Reports: []AgentReport{quiet}},
+		"delta of the load": {Reports: []AgentReport{load}},
+		"full, no tasks":    {Reports: []AgentReport{whole}},
+		"full, 8 tasks":     {Reports: []AgentReport{tasks}},
 	}
 }
 
 func TestMeasureReportBytes(t *testing.T) {
 	c := needMeasure(t)
 	for name, report := range reports() {
-		frame, err := encodeFrame(report, DefaultMaxFrame)
+		frame, err := encodeFrame(report, DefaultMaxPayload)
 		c.Assert(err, qt.IsNil)
 		t.Logf("%s: frame of %d bytes", name, len(frame))
 	}
@@ -94,7 +94,7 @@
 func measureReports(t *testing.T, report *Report, every time.Duration) {
 	c := qt.New(t)
 	var sent, sentBytes, back, backBytes atomic.Int64
-	ack := &ReportAck{Digest: 1, NextReport: 10 * time.Second}
+	ack := &ReportAck{Digest: 1, NextReportIn: 10 * time.Second}
 	server := open(c, "entry", counting(&back, &backBytes), func(context.Context, *Conn, any) (any, error) { return ack, nil })
 	client := open(c, "agent", counting(&sent, &sentBytes), echo)
 	conn := dial(c, client, server.Addr())
--- a/wire/measure_memory_test.go
+++ b/wire/measure_memory_test.go
@@ -37,7 +37,7 @@
 func dialAndCall(c *qt.C, client *Endpoint, addr string) {
 	conn := dial(c, client, addr)
 	for range creditBatch - 1 {
-		_, err := conn.Call(context.Background(), &Gang{Payload: make([]byte, 512)})
+		_, err := conn.Call(context.Background(), &GangMessage{Payload: make([]byte, 512)})
 		c.Assert(err, qt.IsNil)
 	}
 }
--- a/wire/measure_test.go
+++ b/wire/measure_test.go
@@ -47,7 +47,7 @@
 	server := open(c, "agent", Config{}, echo)
 	client := open(c, "entry", Config{}, echo)
 	conn := dial(c, client, server.Addr())
-	msg := &Gang{Payload: make([]byte, 512)}
+	msg := &GangMessage{Payload: make([]byte, 512)}
 	for _, n := range []int{2000, 20000} {
 		took := make([]time.Duration, n)
 		before := processorTime()
@@ -75,7 +75,7 @@
 	for range cap(done) {
 		go func() {
 			for range each {
-				if _, err := conn.Call(context.Background(), &Gang{Payload: make([]byte, 512)}); err != nil {
+				if _, err := conn.Call(context.Background(), &GangMessage{Payload: make([]byte, 512)}); err != nil {
 					done <- err
 					return
 				}
--- a/wire/messages_execute.go
+++ b/wire/messages_execute.go
@@ -26,8 +26,8 @@
 // Remaining is the time left until the deadline, because clocks differ; 0
 // means none.
 type Execute struct {
-	Attempt    string        `cbor:"1,keyasint,omitempty"`
-	Request    string        `cbor:"2,keyasint,omitempty"`
+	AttemptID  string        `cbor:"1,keyasint,omitempty"`
+	RequestID  string        `cbor:"2,keyasint,omitempty"`
 	Service    string        `cbor:"3,keyasint,omitempty"`
 	Account    string        `cbor:"4,keyasint,omitempty"`
 	Class      string        `cbor:"5,keyasint,omitempty"`
@@ -58,9 +58,9 @@
 	Detail      string        `cbor:"7,keyasint,omitempty"`
 	RetryAfter  time.Duration `cbor:"8,keyasint,omitempty"`
 	Load        Load          `cbor:"9,keyasint,omitzero"`
-	// Marked: the agent's queue is growing; send less.
-	Marked   bool `cbor:"10,keyasint,omitempty"`
-	Draining bool `cbor:"11,keyasint,omitempty"`
+	// Congested: the agent's queue is growing; send less.
+	Congested bool `cbor:"10,keyasint,omitempty"`
+	Draining  bool `cbor:"11,keyasint,omitempty"`
 }
 
 // AttemptState is what an agent knows of an attempt.
@@ -76,24 +76,24 @@
 	AttemptAnswered
 )
 
-// Resolve asks what became of an attempt whose reply was lost. Incarnation is
+// ResolveAttempt asks what became of an attempt whose reply was lost. Incarnation is
 // the one of the agent that the attempt was sent to.
-type Resolve struct {
-	Attempt     string `cbor:"1,keyasint,omitempty"`
+type ResolveAttempt struct {
+	AttemptID   string `cbor:"1,keyasint,omitempty"`
 	Incarnation uint64 `cbor:"2,keyasint,omitempty"`
-	// Wait is how long the answer may be held until a running attempt ends.
-	Wait time.Duration `cbor:"3,keyasint,omitempty"`
+	// MaxWait is how long the answer may be held until a running attempt ends.
+	MaxWait time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
-// ResolveReply answers Resolve; Answer is set for AttemptAnswered.
-type ResolveReply struct {
-	State  AttemptState  `cbor:"1,keyasint,omitempty"`
-	Answer *ExecuteReply `cbor:"2,keyasint,omitempty"`
+// ResolveAttemptReply answers Resolve; Answer is set for AttemptAnswered.
+type ResolveAttemptReply struct {
+	State AttemptState  `cbor:"1,keyasint,omitempty"`
+	Reply *ExecuteReply `cbor:"2,keyasint,omitempty"`
 }
 
 func init() {
 	Register(KindExecute, Execute{})
 	Register(KindExecuteReply, ExecuteReply{})
-	Register(KindResolve, Resolve{})
-	Register(KindResolveReply, ResolveReply{})
+	Register(KindResolveAttempt, ResolveAttempt{})
+	Register(KindResolveAttemptReply, ResolveAttemptReply{})
 }
--- a/wire/messages_gang.go
+++ b/wire/messages_gang.go
@@ -1,8 +1,8 @@
 package wire
 
-// Gang carries one message of the gang protocol, encoded by that package.
+// GangMessage carries one message of the gang protocol, encoded by that package.
 // Epoch is the sender's fencing epoch.
-type Gang struct {
+type GangMessage struct {
 	Payload []byte `cbor:"1,keyasint,omitempty"`
 	Epoch   uint64 `cbor:"2,keyasint,omitempty"`
 }
@@ -13,6 +13,6 @@
 }
 
 func init() {
-	Register(KindGang, Gang{})
+	Register(KindGangMessage, GangMessage{})
 	Register(KindGangReply, GangReply{})
 }
--- a/wire/messages_inspect.go
+++ b/wire/messages_inspect.go
@@ -1,8 +1,8 @@
 package wire
 
-// Inspect asks the entry that plans a service for a report: of the whole service,
+// InspectRequest asks the entry that plans a service for a report: of the whole service,
 // or of one job.
-type Inspect struct {
+type InspectRequest struct {
 	Service string `cbor:"1,keyasint,omitempty"`
 	Job     string `cbor:"2,keyasint,omitempty"`
 }
@@ -15,6 +15,6 @@
 }
 
 func init() {
-	Register(KindInspect, Inspect{})
+	Register(KindInspectRequest, InspectRequest{})
 	Register(KindInspectReply, InspectReply{})
 }
--- a/wire/messages_job.go
+++ b/wire/messages_job.go
@@ -1,7 +1,7 @@
 package wire
 
-// JobStatus asks for the states of jobs.
-type JobStatus struct {
+// JobStatusRequest asks for the states of jobs.
+type JobStatusRequest struct {
 	Service string   `cbor:"1,keyasint,omitempty"`
 	IDs     []string `cbor:"2,keyasint,omitempty"`
 }
@@ -20,6 +20,6 @@
 }
 
 func init() {
-	Register(KindJobStatus, JobStatus{})
+	Register(KindJobStatusRequest, JobStatusRequest{})
 	Register(KindJobStatusReply, JobStatusReply{})
 }
--- a/wire/messages_report.go
+++ b/wire/messages_report.go
@@ -7,15 +7,15 @@
 	"github.com/eelgrasshub/eelgrasshub/gang"
 )
 
-// Changed says which groups of fields a delta report carries.
-type Changed uint8
+// FieldGroups says which groups of fields a delta report carries.
+type FieldGroups uint8
 
 // Groups of an AgentReport's fields.
 const (
-	// ChangedPlace: Service, Region, Zone, Rack, Address.
-	ChangedPlace Changed = 1 << iota
-	// ChangedSize: Accelerators, Slots, Connections, Cores, MemoryMB.
-	ChangedSize
+	// ChangedLocation: Service, Region, Zone, Rack, Address.
+	ChangedLocation FieldGroups = 1 << iota
+	// ChangedCapacity: Accelerators, Slots, Connections, Cores, MemoryMB.
+	ChangedCapacity
 	// ChangedDraining: Draining.
 	ChangedDraining
 	// ChangedLoad: Load.
@@ -39,12 +39,12 @@
 	Incarnation uint64 `cbor:"2,keyasint,omitempty"`
 	Sequence    uint64 `cbor:"3,keyasint,omitempty"`
 	// Age is how long ago the agent made the report, as far as relays know.
-	Age     time.Duration `cbor:"4,keyasint,omitempty"`
-	Full    bool          `cbor:"5,keyasint,omitempty"`
-	Base    uint64        `cbor:"6,keyasint,omitempty"`
-	Changed Changed       `cbor:"7,keyasint,omitempty"`
-	// Goodbye: the agent has stopped; this incarnation does not come back.
-	Goodbye bool `cbor:"8,keyasint,omitempty"`
+	Age          time.Duration `cbor:"4,keyasint,omitempty"`
+	Full         bool          `cbor:"5,keyasint,omitempty"`
+	BaseSequence uint64        `cbor:"6,keyasint,omitempty"`
+	Changed      FieldGroups   `cbor:"7,keyasint,omitempty"`
+	// Departed: the agent has stopped; this incarnation does not come back.
+	Departed bool `cbor:"8,keyasint,omitempty"`
 
 	Service string `cbor:"10,keyasint,omitempty"`
 	Region  string `cbor:"11,keyasint,omitempty"`
@@ -59,40 +59,40 @@
 	MemoryMB     int `cbor:"19,keyasint,omitempty"`
 
 	// Draining is final within an incarnation.
-	Draining    bool         `cbor:"20,keyasint,omitempty"`
-	Load        Load         `cbor:"21,keyasint,omitzero"`
-	Tasks       []gang.Task  `cbor:"22,keyasint,omitempty"`
-	Ended       []gang.ID    `cbor:"23,keyasint,omitempty"`
-	Generations []Generation `cbor:"24,keyasint,omitempty"`
-	// Fence is the highest planner epoch that the agent has heard of. It goes
+	Draining     bool              `cbor:"20,keyasint,omitempty"`
+	Load         Load              `cbor:"21,keyasint,omitzero"`
+	Tasks        []gang.Task       `cbor:"22,keyasint,omitempty"`
+	RemovedTasks []gang.ID         `cbor:"23,keyasint,omitempty"`
+	Generations  []DocumentSummary `cbor:"24,keyasint,omitempty"`
+	// FencingEpoch is the highest planner epoch that the agent has heard of. It goes
 	// with the group ChangedTasks.
-	Fence uint64 `cbor:"25,keyasint,omitempty"`
-	// Stamp is that of the planner's last answer. It is of this report alone and
+	FencingEpoch uint64 `cbor:"25,keyasint,omitempty"`
+	// PlannerTimestamp is that of the planner's last answer. It is of this report alone and
 	// in no group.
-	Stamp gang.PlannerTimestamp `cbor:"26,keyasint,omitzero"`
-	// Relays: the agent can relay the reports of its rack. It goes with the group
+	PlannerTimestamp gang.PlannerTimestamp `cbor:"26,keyasint,omitzero"`
+	// CanRelay: the agent can relay the reports of its rack. It goes with the group
 	// ChangedPlace and does not change within an incarnation.
-	Relays bool `cbor:"27,keyasint,omitempty"`
+	CanRelay bool `cbor:"27,keyasint,omitempty"`
 }
 
-// NoEvidence is the stamp of a report that must not count as evidence of a gang,
+// InvalidPlannerTimestamp is the stamp of a report that must not count as evidence of a gang,
 // however late it comes: it is in no planner's epoch.
-var NoEvidence = gang.PlannerTimestamp{Epoch: ^uint64(0)}
+var InvalidPlannerTimestamp = gang.PlannerTimestamp{Epoch: ^uint64(0)}
 
 // Load is the state of a target's queue. Marked counts answers that carried a
 // congestion mark.
 type Load struct {
-	Running int    `cbor:"1,keyasint,omitempty"`
-	Queued  int    `cbor:"2,keyasint,omitempty"`
-	Marked  uint64 `cbor:"3,keyasint,omitempty"`
+	Running         int    `cbor:"1,keyasint,omitempty"`
+	Queued          int    `cbor:"2,keyasint,omitempty"`
+	CongestionMarks uint64 `cbor:"3,keyasint,omitempty"`
 }
 
 // Report carries one or many agents' reports: an aggregator or another entry
 // may relay them. Known is the Digest of the last ReportAck with content, so
 // that unchanged content is not repeated.
 type Report struct {
-	Batch []AgentReport `cbor:"1,keyasint,omitempty"`
-	Known uint64        `cbor:"2,keyasint,omitempty"`
+	Reports     []AgentReport `cbor:"1,keyasint,omitempty"`
+	KnownDigest uint64        `cbor:"2,keyasint,omitempty"`
 }
 
 // ReportAck answers Report. When Digest equals the report's Known, Entries and
@@ -105,18 +105,18 @@
 	Digest  uint64      `cbor:"4,keyasint,omitempty"`
 	// NeedFull names agents whose delta could not be applied.
 	NeedFull []string `cbor:"5,keyasint,omitempty"`
-	// Newer names agents that the receiver knows at a later incarnation.
-	Newer []AgentSeen `cbor:"6,keyasint,omitempty"`
+	// NewerIncarnations names agents that the receiver knows at a later incarnation.
+	NewerIncarnations []AgentIncarnation `cbor:"6,keyasint,omitempty"`
 	// Refused names agents whose report was shed; they report again after
 	// NextReport.
 	Refused []string `cbor:"7,keyasint,omitempty"`
-	// NextReport, if set, is when the sender should report next at the
+	// NextReportIn, if set, is when the sender should report next at the
 	// earliest; changes that stop new work (draining, goodbye) don't wait.
-	NextReport time.Duration `cbor:"8,keyasint,omitempty"`
-	// Whole lists the attempts of the reporting agents that their planner holds
+	NextReportIn time.Duration `cbor:"8,keyasint,omitempty"`
+	// RenewedAttempts lists the attempts of the reporting agents that their planner holds
 	// whole. It and Stamp come from the entry that plans alone.
-	Whole []gang.ID             `cbor:"9,keyasint,omitempty"`
-	Stamp gang.PlannerTimestamp `cbor:"10,keyasint,omitzero"`
+	RenewedAttempts  []gang.ID             `cbor:"9,keyasint,omitempty"`
+	PlannerTimestamp gang.PlannerTimestamp `cbor:"10,keyasint,omitzero"`
 	// Relay is the agent by which those of the sender's rack report, the sender
 	// itself included. The zero value: each reports by itself.
 	Relay RelayInfo `cbor:"11,keyasint,omitzero"`
@@ -129,8 +129,8 @@
 	Address     string `cbor:"3,keyasint,omitempty"`
 }
 
-// AgentSeen is an agent's incarnation as the receiver knows it.
-type AgentSeen struct {
+// AgentIncarnation is an agent's incarnation as the receiver knows it.
+type AgentIncarnation struct {
 	ID          string `cbor:"1,keyasint,omitempty"`
 	Incarnation uint64 `cbor:"2,keyasint,omitempty"`
 }
@@ -143,8 +143,8 @@
 	Incarnation uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Generation names the version of a service's document.
-type Generation = document.Summary
+// DocumentSummary names the version of a service's document.
+type DocumentSummary = document.Summary
 
 func init() {
 	Register(KindReport, Report{})
--- a/wire/pool.go
+++ b/wire/pool.go
@@ -50,7 +50,7 @@
 		return nil, err
 	}
 	reply, err := c.Call(ctx, msg)
-	if err == nil || !errors.Is(err, ErrNotSent) || c.Usable() || ctx.Err() != nil {
+	if err == nil || !errors.Is(err, ErrNotHandled) || c.Usable() || ctx.Err() != nil {
 		return reply, err
 	}
 	c, err = p.Conn(ctx, addr)
@@ -60,8 +60,8 @@
 	return c.Call(ctx, msg)
 }
 
-// Forget closes the connection to addr gracefully and stops redialling it.
-func (p *Pool) Forget(addr string) {
+// Remove closes the connection to addr gracefully and stops redialling it.
+func (p *Pool) Remove(addr string) {
 	p.mu.Lock()
 	l := p.links[addr]
 	delete(p.links, addr)
@@ -71,10 +71,10 @@
 	}
 }
 
-// Release stops redialling addr and closes the connection once the calls of both
+// Drain stops redialling addr and closes the connection once the calls of both
 // ends have ended, however long they take. It returns when that is done, or with
 // ctx's error: the connection stays open then.
-func (p *Pool) Release(ctx context.Context, addr string) error {
+func (p *Pool) Drain(ctx context.Context, addr string) error {
 	p.mu.Lock()
 	l := p.links[addr]
 	delete(p.links, addr)
--- a/wire/pool_test.go
+++ b/wire/pool_test.go
@@ -17,10 +17,10 @@
 // is suspected where an answer takes longer than PingTimeout, and closed after
 // SuspectGrace: both are far above what a busy machine needs.
 var impatient = Config{
-	PingTimeout:  300 * time.Millisecond,
-	BusyProbe:    50 * time.Millisecond,
-	IdleProbe:    200 * time.Millisecond,
-	SuspectGrace: time.Second,
+	PingTimeout:    300 * time.Millisecond,
+	BusyProbeAfter: 50 * time.Millisecond,
+	IdleProbeAfter: 200 * time.Millisecond,
+	SuspectTimeout: time.Second,
 }
 
 // Story: a device between entry and agent forgets the entry's flow. The entry's
@@ -31,7 +31,7 @@
 	c := qt.New(t)
 	arrived := make(chan struct{})
 	server := open(c, "agent", impatient, func(ctx context.Context, from *Conn, msg any) (any, error) {
-		if string(msg.(*Gang).Payload) == "wait" {
+		if string(msg.(*GangMessage).Payload) == "wait" {
 			close(arrived)
 			<-ctx.Done()
 		}
@@ -46,13 +46,13 @@
 
 	lost := make(chan error, 1)
 	go func() {
-		_, err := first.Call(context.Background(), Gang{Payload: []byte("wait")})
+		_, err := first.Call(context.Background(), GangMessage{Payload: []byte("wait")})
 		lost <- err
 	}()
 	await(c, arrived)
 	path.Lose(relay.Both...)
 	await(c, first.Suspected())
-	reply, err := pool.Call(within(c, 20*time.Second), path.Addr(), Gang{Payload: []byte("x")})
+	reply, err := pool.Call(within(c, 20*time.Second), path.Addr(), GangMessage{Payload: []byte("x")})
 	c.Assert(err, qt.IsNil)
 	c.Assert(reply, qt.DeepEquals, &GangReply{Payload: []byte("x")})
 	err = await(c, lost)
@@ -74,7 +74,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
 		go func() {
-			_, err := conn.Call(ctx, Gang{Payload: make([]byte, size)})
+			_, err := conn.Call(ctx, GangMessage{Payload: make([]byte, size)})
 			ended <- err
 		}()
 		awaitDropped(c, path, relay.Up, repeated)
@@ -84,7 +84,7 @@
 	err := giveUp(100)
 	c.Assert(errors.Is(err, ErrOutcomeUnknown), qt.IsTrue, qt.Commentf("%v", err))
 	err = giveUp(8 << 20)
-	c.Assert(errors.Is(err, ErrNotSent), qt.IsTrue, qt.Commentf("%v", err))
+	c.Assert(errors.Is(err, ErrNotHandled), qt.IsTrue, qt.Commentf("%v", err))
 }
 
 // Story: a quick request stays outstanding while its worker computes for long,
@@ -97,20 +97,20 @@
 		<-release
 		return echo(ctx, from, msg)
 	})
-	patient := Config{BusyProbe: 10 * time.Millisecond, PingTimeout: 10 * time.Second}
+	patient := Config{BusyProbeAfter: 10 * time.Millisecond, PingTimeout: 10 * time.Second}
 	client := open(c, "entry", patient, echo)
 	conn := dial(c, client, server.Addr())
 	done := make(chan error, 1)
 	go func() {
-		_, err := conn.Call(context.Background(), Gang{})
+		_, err := conn.Call(context.Background(), GangMessage{})
 		done <- err
 	}()
-	heard := conn.LastHeard()
+	heard := conn.LastReceived()
 	for range 3 {
-		for !conn.LastHeard().After(heard) {
+		for !conn.LastReceived().After(heard) {
 			time.Sleep(time.Millisecond)
 		}
-		heard = conn.LastHeard()
+		heard = conn.LastReceived()
 	}
 	c.Assert(conn.Usable(), qt.IsTrue)
 	close(release)
@@ -129,13 +129,13 @@
 		return socket, err
 	}}
 	server := open(c, "agent", dying, echo)
-	slow := Config{BusyProbe: time.Hour, PingTimeout: time.Hour, IdleProbe: time.Hour}
+	slow := Config{BusyProbeAfter: time.Hour, PingTimeout: time.Hour, IdleProbeAfter: time.Hour}
 	conn := dial(c, open(c, "entry", slow, echo), server.Addr())
 	c.Assert(socket.Close(), qt.IsNil)
 	again, err := Listen(server.Addr(), identity(c, "agent", testKey), HandlerFunc(echo))
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { again.Close() })
-	_, err = conn.Call(within(c, 20*time.Second), Gang{})
+	_, err = conn.Call(within(c, 20*time.Second), GangMessage{})
 	c.Assert(errors.Is(err, ErrOutcomeUnknown), qt.IsTrue)
 	var reset *quic.StatelessResetError
 	c.Assert(errors.As(err, &reset), qt.IsTrue, qt.Commentf("%v", err))
@@ -158,19 +158,19 @@
 	// Until the news of the end is here, a call may still go out on the old
 	// connection, and its outcome is unknown.
 	await(c, first.Done())
-	_, err = pool.Call(within(c, 20*time.Second), addr, Gang{})
-	c.Assert(errors.Is(err, ErrNotSent), qt.IsTrue, qt.Commentf("%v", err))
+	_, err = pool.Call(within(c, 20*time.Second), addr, GangMessage{})
+	c.Assert(errors.Is(err, ErrNotHandled), qt.IsTrue, qt.Commentf("%v", err))
 
 	again, err := Listen(addr, identity(c, "agent", testKey), HandlerFunc(echo))
 	c.Assert(err, qt.IsNil)
 	defer again.Close()
 	for {
-		_, err = pool.Call(within(c, 20*time.Second), addr, Gang{})
+		_, err = pool.Call(within(c, 20*time.Second), addr, GangMessage{})
 		if err == nil {
 			break
 		}
-		c.Assert(errors.Is(err, ErrNotSent), qt.IsTrue, qt.Commentf("%v", err))
+		c.Assert(errors.Is(err, ErrNotHandled), qt.IsTrue, qt.Commentf("%v", err))
 		time.Sleep(5 * time.Millisecond)
 	}
-	pool.Forget(addr)
+	pool.Remove(addr)
 }
--- a/wire/remote_error.go
+++ b/wire/remote_error.go
@@ -25,13 +25,13 @@
 
 // RemoteError is the cause of a CallError that the peer reported.
 type RemoteError struct {
-	// Text is the peer's own description.
-	Text string
-	kind error
+	// Message is the peer's own description.
+	Message string
+	kind    error
 }
 
 // Error implements error.
-func (e *RemoteError) Error() string { return e.kind.Error() + ": " + e.Text }
+func (e *RemoteError) Error() string { return e.kind.Error() + ": " + e.Message }
 
 // Unwrap returns the sentinel of the peer's error code.
 func (e *RemoteError) Unwrap() error { return e.kind }
@@ -42,19 +42,19 @@
 func (r *remoteError) asCallError() error {
 	switch r.Code {
 	case codeUnknownKind:
-		return notSent(&RemoteError{Text: r.Text, kind: ErrUnknownKind})
+		return notSent(&RemoteError{Message: r.Text, kind: ErrUnknownKind})
 	case codeMalformed:
-		return notSent(&RemoteError{Text: r.Text, kind: ErrMalformed})
+		return notSent(&RemoteError{Message: r.Text, kind: ErrMalformed})
 	case codeTooLarge:
-		return notSent(&RemoteError{Text: r.Text, kind: ErrFrameTooLarge})
+		return notSent(&RemoteError{Message: r.Text, kind: ErrFrameTooLarge})
 	case codeDraining:
-		return notSent(&RemoteError{Text: r.Text, kind: ErrDraining})
+		return notSent(&RemoteError{Message: r.Text, kind: ErrDraining})
 	case codeNoHello:
-		return notSent(&RemoteError{Text: r.Text, kind: ErrNoHello})
+		return notSent(&RemoteError{Message: r.Text, kind: ErrNoHello})
 	case codeNotRun:
-		return notSent(&RemoteError{Text: r.Text, kind: ErrHandler})
+		return notSent(&RemoteError{Message: r.Text, kind: ErrHandler})
 	default:
-		return outcomeUnknown(&RemoteError{Text: r.Text, kind: ErrHandler})
+		return outcomeUnknown(&RemoteError{Message: r.Text, kind: ErrHandler})
 	}
 }
 
--- a/wire/serve.go
+++ b/wire/serve.go
@@ -10,7 +10,7 @@
 // serve answers one exchange of the peer. A frame that did not arrive whole is
 // dropped: its sender gave up and may say that it was not handled.
 func (c *Conn) serve(stream *quic.Stream) {
-	raw, err := readFrame(heardReader{c, stream}, c.ep.cfg.MaxFrame)
+	raw, err := readFrame(heardReader{c, stream}, c.ep.cfg.MaxPayload)
 	if err != nil && !errors.Is(err, ErrFrameTooLarge) && !errors.Is(err, ErrMalformed) {
 		cancelStream(stream)
 		return
@@ -61,8 +61,8 @@
 		return refusal(ErrDraining)
 	}
 	first := c.peer.CompareAndSwap(nil, &m.Peer)
-	if first && c.ep.cfg.Accepted != nil {
-		c.ep.cfg.Accepted(c)
+	if first && c.ep.cfg.OnAccept != nil {
+		c.ep.cfg.OnAccept(c)
 	}
 	return &HelloReply{Peer: c.ep.id.peer}
 }
@@ -78,10 +78,10 @@
 }
 
 func (c *Conn) reply(stream *quic.Stream, msg any) {
-	frame, err := encodeFrame(msg, c.ep.cfg.MaxFrame)
+	frame, err := encodeFrame(msg, c.ep.cfg.MaxPayload)
 	if err != nil {
 		// The handler has run: this is no proof of the opposite.
-		frame, err = encodeFrame(handlerFailure(err), c.ep.cfg.MaxFrame)
+		frame, err = encodeFrame(handlerFailure(err), c.ep.cfg.MaxPayload)
 	}
 	if err != nil {
 		cancelStream(stream)
