--- a/entry/agents.go
+++ b/entry/agents.go
@@ -65,7 +65,7 @@
 	delete(a.lastDialedUse, addr)
 	a.mu.Unlock()
 	if addr != "" {
-		a.pool.Forget(addr)
+		a.pool.Remove(addr)
 	}
 }
 
@@ -121,7 +121,7 @@
 }
 
 func notSent(cause error) error {
-	return &wire.CallError{Outcome: wire.ErrNotSent, Cause: cause}
+	return &wire.CallError{Outcome: wire.ErrNotHandled, Cause: cause}
 }
 
 func answersPing(ctx context.Context, c *wire.Conn) bool {
@@ -141,7 +141,7 @@
 		return nil, err
 	}
 	reply, err := callUnlessSuspected(ctx, c, msg)
-	if err == nil || !errors.Is(err, wire.ErrClosed) || !errors.Is(err, wire.ErrNotSent) || ctx.Err() != nil {
+	if err == nil || !errors.Is(err, wire.ErrClosed) || !errors.Is(err, wire.ErrNotHandled) || ctx.Err() != nil {
 		return reply, err
 	}
 	if c, err = a.conn(ctx, id, check); err != nil {
--- a/entry/agents_sweep.go
+++ b/entry/agents_sweep.go
@@ -25,7 +25,7 @@
 	for addr, lastUse := range a.lastDialedUse {
 		if now.Sub(lastUse) > idleAgentConnTimeout {
 			delete(a.lastDialedUse, addr)
-			go func() { _ = a.pool.Release(context.Background(), addr) }() // returns when the connection ends, at the latest
+			go func() { _ = a.pool.Drain(context.Background(), addr) }() // returns when the connection ends, at the latest
 		}
 	}
 }
--- a/entry/agents_test.go
+++ b/entry/agents_test.go
@@ -44,7 +44,7 @@
 	}()
 	select {
 	case err := <-result:
-		c.Assert(errors.Is(err, wire.ErrNotSent), qt.IsTrue, qt.Commentf("%v", err))
+		c.Assert(errors.Is(err, wire.ErrNotHandled), qt.IsTrue, qt.Commentf("%v", err))
 	case <-time.After(testTimeout):
 		c.Fatal("still waits for the handshake")
 	}
--- a/entry/catchup.go
+++ b/entry/catchup.go
@@ -33,7 +33,7 @@
 
 // hasNewerGeneration reports whether an agent has a later generation of the service than
 // the one held here.
-func hasNewerGeneration(reported []wire.Generation, held wire.Generation) bool {
+func hasNewerGeneration(reported []wire.DocumentSummary, held wire.DocumentSummary) bool {
 	for _, g := range reported {
 		if g.Service == held.Service && g.Generation > held.Generation {
 			return true
--- a/entry/delivery_send.go
+++ b/entry/delivery_send.go
@@ -18,7 +18,7 @@
 	reply, _ := got.(*wire.ExecuteReply)
 	ev := deliveryEvent{reply: reply, err: err}
 	switch {
-	case err != nil && errors.Is(err, wire.ErrNotSent):
+	case err != nil && errors.Is(err, wire.ErrNotHandled):
 		ev.Event = attempts.BeginReply{ID: c.ID, Result: attempts.BeginRefuse}
 	case err != nil || reply == nil:
 		ev.Event = attempts.ConnectionLost{ID: c.ID}
@@ -49,12 +49,12 @@
 func (v *delivery) sendResolve(c attempts.Claim) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(v.ctx), resolveTimeout)
 	defer cancel()
-	got, err := v.dispatcher.agents.call(ctx, c.Agent, &wire.Resolve{
-		Attempt:     c.ID.String(),
+	got, err := v.dispatcher.agents.call(ctx, c.Agent, &wire.ResolveAttempt{
+		AttemptID:   c.ID.String(),
 		Incarnation: c.ID.Incarnation,
-		Wait:        resolveWait,
+		MaxWait:     resolveWait,
 	}, verifiedConn)
-	reply, ok := got.(*wire.ResolveReply)
+	reply, ok := got.(*wire.ResolveAttemptReply)
 	if err != nil || !ok {
 		v.emit(deliveryEvent{unresolvedAttempt: c.ID}) // sent again after resolveInterval
 		return
@@ -62,16 +62,16 @@
 	v.emit(deliveryEvent{Event: resolvedEvent(c.ID, reply)})
 }
 
-func resolvedEvent(id attempts.ID, r *wire.ResolveReply) attempts.ResolveReply {
+func resolvedEvent(id attempts.ID, r *wire.ResolveAttemptReply) attempts.ResolveReply {
 	ev := attempts.ResolveReply{ID: id}
 	switch {
 	case r.State == wire.AttemptNotRun:
 		ev.Status = attempts.StatusNotRun
 	case r.State == wire.AttemptRunning:
 		ev.Status = attempts.StatusRunning
-	case r.State == wire.AttemptAnswered && r.Answer != nil && r.Answer.Outcome == wire.OutcomeDone:
+	case r.State == wire.AttemptAnswered && r.Reply != nil && r.Reply.Outcome == wire.OutcomeDone:
 		ev.Status = attempts.StatusAnswered
-		ev.Answer = encodeReply(r.Answer)
+		ev.Answer = encodeReply(r.Reply)
 	case r.State == wire.AttemptAnswered:
 		ev.Status = attempts.StatusRan
 	default:
--- a/entry/dispatcher.go
+++ b/entry/dispatcher.go
@@ -37,8 +37,8 @@
 // executeMessage returns the message for one attempt.
 func (q *quickRequest) executeMessage(attemptID string, attemptNumber int, now time.Time) *wire.Execute {
 	return &wire.Execute{
-		Attempt:    attemptID,
-		Request:    q.id,
+		AttemptID:  attemptID,
+		RequestID:  q.id,
 		Service:    q.service,
 		Account:    q.account,
 		Class:      q.class,
@@ -156,7 +156,7 @@
 // mayHaveRun reports whether the attempt may have run.
 func mayHaveRun(reply *wire.ExecuteReply, err error) bool {
 	if err != nil {
-		return !errors.Is(err, wire.ErrNotSent)
+		return !errors.Is(err, wire.ErrNotHandled)
 	}
 	return reply.Outcome != wire.OutcomeRefused
 }
@@ -172,7 +172,7 @@
 	o.Load = routing.Load{
 		Running:    reply.Load.Running,
 		Queued:     reply.Load.Queued,
-		Marked:     reply.Marked,
+		Marked:     reply.Congested,
 		Shedding:   reply.Reason == admission.ReasonOverload.String(),
 		Draining:   reply.Draining,
 		RetryAfter: reply.RetryAfter,
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -44,27 +44,27 @@
 // askPeer implements document.Ask: it sends another entry the generations held here and
 // returns the versions that are newer there.
 func (e *Entry) askPeer(ctx context.Context, peer string, _ []document.Summary) (document.PeerAnswered, error) {
-	got, err := e.pool.Call(ctx, peer, &wire.Fetch{Have: e.documents.Generations()})
+	got, err := e.pool.Call(ctx, peer, &wire.FetchDocuments{Have: e.documents.Generations()})
 	if err != nil {
 		return document.PeerAnswered{}, err
 	}
-	reply, ok := got.(*wire.FetchReply)
+	reply, ok := got.(*wire.FetchDocumentsReply)
 	if !ok {
 		return document.PeerAnswered{}, errBadReply
 	}
 	return document.PeerAnswered{
 		Peer:        peer,
-		Ready:       reply.Ready,
+		Ready:       reply.Confirmed,
 		Generations: reply.Generations,
 		Versions:    reply.Versions,
 	}, nil
 }
 
 // answerFetch answers askPeer of another entry.
-func (e *Entry) answerFetch(m *wire.Fetch) *wire.FetchReply {
+func (e *Entry) answerFetch(m *wire.FetchDocuments) *wire.FetchDocumentsReply {
 	ready := e.checkConfirmed() == nil
-	return &wire.FetchReply{
-		Ready:       ready,
+	return &wire.FetchDocumentsReply{
+		Confirmed:   ready,
 		Generations: e.documents.Generations(),
 		Versions:    e.documents.Newer(m.Have, maxExchangeBytes),
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -110,7 +110,7 @@
 	return store.NewClient(store.Options{
 		Endpoints:   e.cfg.Platform,
 		CallTimeout: e.cfg.PlatformTimeout.Duration,
-		Budget:      rate.Limit(budget),
+		RateLimit:   rate.Limit(budget),
 		Burst:       budget,
 	})
 }
@@ -130,9 +130,9 @@
 		return err
 	}
 	transport := wire.Config{
-		Accepted:    e.agents.onAccepted,
-		BusyProbe:   busyProbeDelay,
-		PingTimeout: pingTimeout,
+		OnAccept:       e.agents.onAccepted,
+		BusyProbeAfter: busyProbeDelay,
+		PingTimeout:    pingTimeout,
 	}
 	e.endpoint, err = transport.Listen(e.cfg.QUICListen, id, wire.HandlerFunc(e.handle))
 	if err != nil {
--- a/entry/handle.go
+++ b/entry/handle.go
@@ -12,7 +12,7 @@
 	errUnsupportedMessage = eris.New("not a message for an entry")
 	// errStarting is returned while the endpoint accepts connections but the components
 	// that handle messages have not been created; they need the endpoint's address.
-	errStarting = wire.NotRun(eris.New("the entry is starting"))
+	errStarting = wire.NotHandled(eris.New("the entry is starting"))
 )
 
 // handle serves the messages of agents and other entries.
@@ -25,13 +25,13 @@
 	switch m := msg.(type) {
 	case *wire.Report:
 		return e.members.handleReport(from.Peer().ID, m), nil
-	case *wire.Gang:
+	case *wire.GangMessage:
 		return e.handleTaskEnd(from, m)
-	case *wire.Fetch:
+	case *wire.FetchDocuments:
 		return e.answerFetch(m), nil
-	case *wire.Inspect:
+	case *wire.InspectRequest:
 		return e.answerInspect(ctx, m), nil
-	case *wire.JobStatus:
+	case *wire.JobStatusRequest:
 		return e.answerStatus(ctx, m), nil
 	default:
 		return nil, errUnsupportedMessage
@@ -40,7 +40,7 @@
 
 // handleTaskEnd passes to the planner the reply that an agent sends unasked when a task
 // ends.
-func (e *Entry) handleTaskEnd(from *wire.Conn, m *wire.Gang) (any, error) {
+func (e *Entry) handleTaskEnd(from *wire.Conn, m *wire.GangMessage) (any, error) {
 	reply, err := decodeGangReply(m.Payload)
 	if err != nil {
 		return nil, err
--- a/entry/inspect.go
+++ b/entry/inspect.go
@@ -13,15 +13,15 @@
 
 // serviceReport answers with the planner's report on a service; any entry can be asked.
 func (e *Entry) serviceReport(w http.ResponseWriter, r *http.Request) {
-	e.serveInspect(w, r, wire.Inspect{Service: pat.Param(r, "service")})
+	e.serveInspect(w, r, wire.InspectRequest{Service: pat.Param(r, "service")})
 }
 
 // jobReport answers with the reason why a job waits.
 func (e *Entry) jobReport(w http.ResponseWriter, r *http.Request) {
-	e.serveInspect(w, r, wire.Inspect{Service: pat.Param(r, "service"), Job: pat.Param(r, "id")})
+	e.serveInspect(w, r, wire.InspectRequest{Service: pat.Param(r, "service"), Job: pat.Param(r, "id")})
 }
 
-func (e *Entry) serveInspect(w http.ResponseWriter, r *http.Request, m wire.Inspect) {
+func (e *Entry) serveInspect(w http.ResponseWriter, r *http.Request, m wire.InspectRequest) {
 	if p := e.checkServiceKnown(m.Service); p != nil {
 		p.WriteTo(w)
 		return
@@ -48,7 +48,7 @@
 }
 
 // queryPlanner asks this entry's planner or the entry that leads the service.
-func (e *Entry) queryPlanner(ctx context.Context, m *wire.Inspect) (json.RawMessage, *api.Problem) {
+func (e *Entry) queryPlanner(ctx context.Context, m *wire.InspectRequest) (json.RawMessage, *api.Problem) {
 	if e.elections.planner(m.Service) != nil {
 		return e.inspectLocal(ctx, m)
 	}
@@ -86,7 +86,7 @@
 
 // answerInspect answers queryPlanner of another entry. It does not forward: two entries
 // that each take the other for the leader would forward the request in a loop.
-func (e *Entry) answerInspect(ctx context.Context, m *wire.Inspect) *wire.InspectReply {
+func (e *Entry) answerInspect(ctx context.Context, m *wire.InspectRequest) *wire.InspectReply {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	body, problem := e.inspectLocal(ctx, m)
@@ -100,7 +100,7 @@
 	return &wire.InspectReply{Problem: data}
 }
 
-func (e *Entry) inspectLocal(ctx context.Context, m *wire.Inspect) (json.RawMessage, *api.Problem) {
+func (e *Entry) inspectLocal(ctx context.Context, m *wire.InspectRequest) (json.RawMessage, *api.Problem) {
 	var v any
 	var problem *api.Problem
 	if m.Job == "" {
--- a/entry/jobs.go
+++ b/entry/jobs.go
@@ -125,7 +125,7 @@
 	if !ok {
 		return api.JobStatus{}, false
 	}
-	got, err := e.agents.callEntry(ctx, addr, &wire.JobStatus{Service: service, IDs: []string{id}})
+	got, err := e.agents.callEntry(ctx, addr, &wire.JobStatusRequest{Service: service, IDs: []string{id}})
 	reply, isReply := got.(*wire.JobStatusReply)
 	if err != nil || !isReply || len(reply.States) != 1 {
 		return api.JobStatus{}, false
@@ -138,7 +138,7 @@
 }
 
 // answerStatus answers askPlannerEntry of another entry.
-func (e *Entry) answerStatus(ctx context.Context, m *wire.JobStatus) *wire.JobStatusReply {
+func (e *Entry) answerStatus(ctx context.Context, m *wire.JobStatusRequest) *wire.JobStatusReply {
 	reply := &wire.JobStatusReply{Entry: e.cfg.ID}
 	for _, id := range m.IDs {
 		s, ok := e.elections.jobStatus(ctx, m.Service, id)
--- a/entry/members.go
+++ b/entry/members.go
@@ -47,13 +47,13 @@
 // relays.
 func (m *members) handleReport(sender string, r *wire.Report) *wire.ReportAck {
 	receivedAt := clock.Now()
-	actions := m.step(time.Now(), membership.Reports{Batch: r.Batch})
+	actions := m.step(time.Now(), membership.Reports{Batch: r.Reports})
 	m.applyActions(actions)
-	m.recordRelays(sender, r.Batch)
+	m.recordRelays(sender, r.Reports)
 
-	ack := m.entry.newReportAck(r.Known, m.relayInfoFor(sender))
+	ack := m.entry.newReportAck(r.KnownDigest, m.relayInfoFor(sender))
 	membership.FillAck(ack, actions)
-	for _, report := range r.Batch {
+	for _, report := range r.Reports {
 		member := m.find(report.ID)
 		if member == nil {
 			continue
--- a/entry/members_documents.go
+++ b/entry/members_documents.go
@@ -43,7 +43,7 @@
 func (m *members) sendDocument(agent string, v wire.DocumentVersion) {
 	ctx, cancel := context.WithTimeout(context.Background(), publishTimeout)
 	defer cancel()
-	_, _ = m.entry.agents.call(ctx, agent, &wire.Publish{Versions: []wire.DocumentVersion{v}}, anyConn) // the agent's next report shows whether it got the document
+	_, _ = m.entry.agents.call(ctx, agent, &wire.PublishDocuments{Versions: []wire.DocumentVersion{v}}, anyConn) // the agent's next report shows whether it got the document
 	m.mu.Lock()
 	delete(m.sending, agent)
 	m.mu.Unlock()
--- a/entry/members_planner.go
+++ b/entry/members_planner.go
@@ -15,20 +15,20 @@
 // planner's part to the ack. A relay gets no answer for its members' gangs: the members
 // ask for it themselves.
 func (m *members) informPlanner(member *membership.Member, r wire.AgentReport, receivedAt time.Time, ack *wire.ReportAck, relayed bool) {
-	if r.Goodbye || member.Report.Incarnation != r.Incarnation {
+	if r.Departed || member.Report.Incarnation != r.Incarnation {
 		return
 	}
 	p := m.entry.elections.planner(member.Report.Service)
 	if p == nil {
 		return
 	}
-	p.HandleReport(plannerReport(member, r.Stamp, receivedAt.Add(-r.Age)))
+	p.HandleReport(plannerReport(member, r.PlannerTimestamp, receivedAt.Add(-r.Age)))
 	if relayed {
 		return
 	}
 	renewed, timestamp := p.ReportAnswer(r.ID)
-	ack.Whole = append(ack.Whole, renewed...)
-	ack.Stamp = timestamp
+	ack.RenewedAttempts = append(ack.RenewedAttempts, renewed...)
+	ack.PlannerTimestamp = timestamp
 }
 
 func plannerReport(member *membership.Member, timestamp gang.PlannerTimestamp, receivedAt time.Time) planner.AgentReport {
@@ -44,7 +44,7 @@
 		},
 		Incarnation: r.Incarnation,
 		Draining:    r.Draining,
-		Fence:       r.Fence,
+		Fence:       r.FencingEpoch,
 		Timestamp:   timestamp,
 		Tasks:       r.Tasks,
 		ReceivedAt:  receivedAt,
@@ -55,6 +55,6 @@
 // no evidence that a gang's members are alive; only new reports do.
 func (m *members) replayReports(service string, p *planner.Planner) {
 	for _, member := range m.table.Snapshot().Service(service).Members {
-		p.HandleReport(plannerReport(member, wire.NoEvidence, clock.Now()))
+		p.HandleReport(plannerReport(member, wire.InvalidPlannerTimestamp, clock.Now()))
 	}
 }
--- a/entry/storeprobe.go
+++ b/entry/storeprobe.go
@@ -42,6 +42,6 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), storeProbeTimeout)
 	defer cancel()
 	_, _, err := kv.Get(ctx, document.StoreKey(service))
-	p.probedAt, p.available = clock.Now(), err == nil || eris.Is(err, store.ErrBudget)
+	p.probedAt, p.available = clock.Now(), err == nil || eris.Is(err, store.ErrRateLimited)
 	return p.available
 }
--- a/lease/candidate_test.go
+++ b/lease/candidate_test.go
@@ -28,7 +28,7 @@
 }
 
 func newTestEnv(t *testing.T, opts standin.Options) *testEnv {
-	opts.Progress = 20 * time.Millisecond
+	opts.ProgressInterval = 20 * time.Millisecond
 	srv := standin.New(opts)
 	web := httptest.NewServer(srv)
 	t.Cleanup(func() {
@@ -41,9 +41,9 @@
 // startCandidate starts a candidate and returns it with a channel of its leaderships.
 func (env *testEnv) startCandidate(t *testing.T, ttl time.Duration, changes ...func(*lease.CandidateOptions)) (*lease.Candidate, <-chan lease.Leadership) {
 	store := store.NewClient(store.Options{
-		Endpoints:   []string{env.url},
-		CallTimeout: 200 * time.Millisecond,
-		WatchIdle:   200 * time.Millisecond,
+		Endpoints:        []string{env.url},
+		CallTimeout:      200 * time.Millisecond,
+		WatchIdleTimeout: 200 * time.Millisecond,
 	})
 	gained := make(chan lease.Leadership, 100)
 	opts := lease.CandidateOptions{Store: store, Election: electionName, Instance: t.Name(), TTL: ttl}
--- a/lease/session_test.go
+++ b/lease/session_test.go
@@ -53,7 +53,7 @@
 }
 
 func (env *testEnv) startProcess(t *testing.T, ttl time.Duration, elections int, onGain ...func(election int, epoch uint64)) *sessionProcess {
-	store := store.NewClient(store.Options{Endpoints: []string{env.url}, CallTimeout: 200 * time.Millisecond, WatchIdle: env.watchIdle})
+	store := store.NewClient(store.Options{Endpoints: []string{env.url}, CallTimeout: 200 * time.Millisecond, WatchIdleTimeout: env.watchIdle})
 	p := &sessionProcess{session: env.openSession(lease.CandidateOptions{Store: store, TTL: ttl, Instance: t.Name()})}
 	if len(onGain) > 0 {
 		p.onGain = onGain[0]
--- a/membership/admit.go
+++ b/membership/admit.go
@@ -13,7 +13,7 @@
 // Reports beyond the admission rate are refused before anything is stored, and each
 // refused sender is told a later time to try again than the one before.
 func (t *Table) admit(now time.Time, report *wire.AgentReport, relayed bool) *record {
-	terminal := report.Goodbye || report.Draining
+	terminal := report.Departed || report.Draining
 	if !report.Full && !terminal {
 		t.emit(NeedFull{ID: report.ID})
 		return nil
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -23,7 +23,7 @@
 // one report per agent every 10 s.
 func BenchmarkIngest(b *testing.B) {
 	for _, n := range []int{1000, 17000} {
-		for _, changed := range []wire.Changed{0, wire.ChangedLoad} {
+		for _, changed := range []wire.FieldGroups{0, wire.ChangedLoad} {
 			b.Run(fmt.Sprintf("agents=%d/changed=%d", n, changed), func(b *testing.B) {
 				benchmarkIngest(b, n, changed)
 			})
@@ -31,7 +31,7 @@
 	}
 }
 
-func benchmarkIngest(b *testing.B, n int, changed wire.Changed) {
+func benchmarkIngest(b *testing.B, n int, changed wire.FieldGroups) {
 	table, agents := filledTable(n)
 	interval := 10 * time.Second / time.Duration(n)
 	now, i := startTime, 0
@@ -46,7 +46,7 @@
 				r.Sequence++
 				sequence = r.Sequence - 1
 			}
-			table.Step(now, directReports(wire.AgentReport{ID: r.ID, Incarnation: 1, Sequence: r.Sequence, Base: sequence, Changed: changed, Load: wire.Load{Queued: i}}))
+			table.Step(now, directReports(wire.AgentReport{ID: r.ID, Incarnation: 1, Sequence: r.Sequence, BaseSequence: sequence, Changed: changed, Load: wire.Load{Queued: i}}))
 		}
 	}
 }
--- a/membership/diff.go
+++ b/membership/diff.go
@@ -8,18 +8,18 @@
 )
 
 // diff returns the groups in which two full reports differ.
-func diff(a, b wire.AgentReport) wire.Changed {
-	var groups wire.Changed
-	addUnlessEqual := func(equal bool, group wire.Changed) {
+func diff(a, b wire.AgentReport) wire.FieldGroups {
+	var groups wire.FieldGroups
+	addUnlessEqual := func(equal bool, group wire.FieldGroups) {
 		if !equal {
 			groups |= group
 		}
 	}
-	addUnlessEqual(placeOf(a) == placeOf(b), wire.ChangedPlace)
-	addUnlessEqual(sizeOf(a) == sizeOf(b), wire.ChangedSize)
+	addUnlessEqual(placeOf(a) == placeOf(b), wire.ChangedLocation)
+	addUnlessEqual(sizeOf(a) == sizeOf(b), wire.ChangedCapacity)
 	addUnlessEqual(a.Draining == b.Draining, wire.ChangedDraining)
 	addUnlessEqual(a.Load == b.Load, wire.ChangedLoad)
-	addUnlessEqual(a.Fence == b.Fence && sameTasks(a.Tasks, b.Tasks), wire.ChangedTasks)
+	addUnlessEqual(a.FencingEpoch == b.FencingEpoch && sameTasks(a.Tasks, b.Tasks), wire.ChangedTasks)
 	addUnlessEqual(slices.Equal(a.Generations, b.Generations), wire.ChangedGenerations)
 	return groups
 }
--- a/membership/ingest.go
+++ b/membership/ingest.go
@@ -9,7 +9,7 @@
 // ingest processes one report. Reports may arrive in any order.
 func (t *Table) ingest(now time.Time, report *wire.AgentReport, relayed bool) {
 	age := max(report.Age, 0)
-	if age > t.cfg.LostAfter && !report.Goodbye {
+	if age > t.cfg.LostAfter && !report.Departed {
 		return
 	}
 	r := t.records[report.ID]
@@ -44,7 +44,7 @@
 	if r.left {
 		return
 	}
-	if report.Goodbye {
+	if report.Departed {
 		t.markLeft(now, r)
 		return
 	}
@@ -72,7 +72,7 @@
 	if report.Sequence == 0 || report.Sequence < r.sequence || (report.Sequence == r.sequence && !joining) {
 		return
 	}
-	if !report.Full && (joining || report.Base > r.sequence) {
+	if !report.Full && (joining || report.BaseSequence > r.sequence) {
 		t.emit(NeedFull{ID: r.id})
 		return
 	}
@@ -90,7 +90,7 @@
 	t.updateMember(r, m, groups, joining)
 }
 
-func (t *Table) updateMember(r *record, m *Member, groups wire.Changed, joining bool) {
+func (t *Table) updateMember(r *record, m *Member, groups wire.FieldGroups, joining bool) {
 	if joining {
 		t.setMember(r, m)
 		t.publishNow = true
--- a/membership/random_relays_test.go
+++ b/membership/random_relays_test.go
@@ -118,7 +118,7 @@
 	a.incarnation++
 	a.lastRan, a.drainingSince, a.inGangSince = s.now, time.Time{}, time.Time{}
 	a.state = fullReport(a.id, a.incarnation, 0)
-	a.state.Rack, a.state.Address, a.state.Relays = "rack", a.id, true
+	a.state.Rack, a.state.Address, a.state.CanRelay = "rack", a.id, true
 	a.callPending = map[string]bool{}
 	cfg := ReportRouterConfig{GangReportPeriod: time.Second, MaxEntries: 16}
 	a.router = NewReportRouter(cfg, a.state, s.rng.Float64)
@@ -222,8 +222,8 @@
 			a.router.HandleFailure(s.now, e.addr)
 			return
 		}
-		if ack.Stamp.Epoch != 0 {
-			a.router.SetTimestamp(ack.Stamp)
+		if ack.PlannerTimestamp.Epoch != 0 {
+			a.router.SetTimestamp(ack.PlannerTimestamp)
 		}
 		a.router.HandleAck(s.now, e.addr, ack)
 	})
@@ -252,18 +252,18 @@
 func (s *relaySimulation) handleReport(i int, from *rackAgent, msg *wire.Report) *wire.ReportAck {
 	e := s.entries[i]
 	s.reports.now = s.now
-	actions := s.reports.apply(i, Reports{Batch: msg.Batch})
+	actions := s.reports.apply(i, Reports{Batch: msg.Reports})
 	ack := &wire.ReportAck{}
 	FillAck(ack, actions)
-	for _, r := range msg.Batch {
+	for _, r := range msg.Reports {
 		s.checkNoEvidence(from, r)
 	}
 	e.lastDirectReport[from.id] = s.now
-	s.relayedReports += len(msg.Batch) - 1
+	s.relayedReports += len(msg.Reports) - 1
 	ack.Relay = e.relays[Rack{Zone: "wharf", Name: "rack"}]
 	ack.Digest = xxhash.Sum64String(fmt.Sprint(ack.Relay))
 	if i == s.planner {
-		ack.Stamp = gang.NewPlannerTimestamp(1, s.now)
+		ack.PlannerTimestamp = gang.NewPlannerTimestamp(1, s.now)
 	}
 	return ack
 }
@@ -274,7 +274,7 @@
 	if r.ID == from.id || len(truth.Tasks) == 0 {
 		return
 	}
-	s.c.Assert(r.Stamp, qt.Equals, wire.NoEvidence, qt.Commentf("%s by %s", r.ID, from.id))
+	s.c.Assert(r.PlannerTimestamp, qt.Equals, wire.InvalidPlannerTimestamp, qt.Commentf("%s by %s", r.ID, from.id))
 }
 
 func (s *relaySimulation) tick() {
--- a/membership/random_reports_test.go
+++ b/membership/random_reports_test.go
@@ -117,7 +117,7 @@
 	case 2:
 		a.state.Draining = a.state.Draining || s.rng.IntN(10) == 0
 	case 3:
-		a.state.Generations = []wire.Generation{{Service: "dispatch", Generation: s.rng.Uint64N(5)}}
+		a.state.Generations = []wire.DocumentSummary{{Service: "dispatch", Generation: s.rng.Uint64N(5)}}
 	default:
 		s.changeTasks(a)
 	}
@@ -133,7 +133,7 @@
 		}
 	}
 	a.state.Tasks = next
-	a.state.Fence += s.rng.Uint64N(2)
+	a.state.FencingEpoch += s.rng.Uint64N(2)
 }
 
 func (s *reportSimulation) sendReport(a *agent, to int) {
@@ -202,7 +202,7 @@
 // noteReport records what a report establishes permanently at the table. Reports older
 // than LostAfter are ignored, except departure notices.
 func (s *reportSimulation) noteReport(to int, r wire.AgentReport) {
-	if r.Goodbye {
+	if r.Departed {
 		s.left[to][r.ID] = max(s.left[to][r.ID], r.Incarnation)
 	}
 	if r.Draining && r.Age <= DefaultLostAfter {
@@ -225,7 +225,7 @@
 		s.c.Assert(s.left[i][r.ID] < r.Incarnation, qt.IsTrue, qt.Commentf("%s is back after its goodbye", r.ID))
 		current := reportVersion{r.ID, r.Incarnation, r.Sequence}
 		s.lastShown[i][r.ID] = current
-		s.c.Assert(diff(s.sentStates[current], r)&^wire.ChangedDraining, qt.Equals, wire.Changed(0),
+		s.c.Assert(diff(s.sentStates[current], r)&^wire.ChangedDraining, qt.Equals, wire.FieldGroups(0),
 			qt.Commentf("%v is\n%+v, should be\n%+v", current, r, s.sentStates[current]))
 	}
 }
--- a/membership/record.go
+++ b/membership/record.go
@@ -29,7 +29,7 @@
 }
 
 // markChanged records that groups changed at the record's sequence.
-func (r *record) markChanged(groups wire.Changed, version uint64) {
+func (r *record) markChanged(groups wire.FieldGroups, version uint64) {
 	r.livenessVersion = version
 	for g := range groupCount {
 		if groups&(1<<g) != 0 {
--- a/membership/relayer.go
+++ b/membership/relayer.go
@@ -15,7 +15,7 @@
 type Relayer struct {
 	table             *Table
 	entryStates       map[string]*entryState
-	newerIncarnations map[string]wire.AgentSeen
+	newerIncarnations map[string]wire.AgentIncarnation
 }
 
 // entryState is what one entry has received from this relay.
@@ -35,7 +35,7 @@
 			MaxMembers:   relayMaxMembers,
 		}),
 		entryStates:       make(map[string]*entryState),
-		newerIncarnations: make(map[string]wire.AgentSeen),
+		newerIncarnations: make(map[string]wire.AgentIncarnation),
 	}
 }
 
@@ -48,7 +48,7 @@
 	ack := &wire.ReportAck{}
 	FillAck(ack, actions)
 	if seen, ok := r.newerIncarnations[report.ID]; ok && seen.Incarnation > report.Incarnation {
-		ack.Newer = append(ack.Newer, seen)
+		ack.NewerIncarnations = append(ack.NewerIncarnations, seen)
 	}
 	return ack, report.Full || slices.ContainsFunc(actions, isUrgent)
 }
@@ -120,7 +120,7 @@
 	}
 	tasks := record.member.Report.Tasks
 	if slices.ContainsFunc(tasks, func(t gang.Task) bool { return t.Members > 1 }) {
-		a.Stamp = wire.NoEvidence
+		a.PlannerTimestamp = wire.InvalidPlannerTimestamp
 	}
 }
 
@@ -137,9 +137,9 @@
 		r.scheduleFullReport(state, id, now)
 	}
 	for _, id := range ack.Refused {
-		r.scheduleFullReport(state, id, now.Add(ack.NextReport))
+		r.scheduleFullReport(state, id, now.Add(ack.NextReportIn))
 	}
-	for _, seen := range ack.Newer {
+	for _, seen := range ack.NewerIncarnations {
 		if r.table.records[seen.ID] != nil {
 			r.newerIncarnations[seen.ID] = seen
 		}
--- a/membership/report_router.go
+++ b/membership/report_router.go
@@ -172,13 +172,13 @@
 func (r *ReportRouter) Report(now time.Time, addr string) *wire.Report {
 	l := r.entries[addr]
 	report := r.reporter.Report(now, addr)
-	report.Stamp = r.timestamp
+	report.PlannerTimestamp = r.timestamp
 	l.sentAt, l.sequence, l.urgentChanges = now, report.Sequence, false
 	l.batch = nil
 	if r.hasMembers() {
 		l.batch, l.cursor = r.relayer.Batch(now, addr)
 	}
-	return &wire.Report{Batch: append([]wire.AgentReport{report}, l.batch...), Known: l.digest}
+	return &wire.Report{Reports: append([]wire.AgentReport{report}, l.batch...), KnownDigest: l.digest}
 }
 
 // HandleAck processes the entry's answer to the last report. It returns the addresses
@@ -190,7 +190,7 @@
 	if r.hasMembers() {
 		r.relayer.HandleAck(now, addr, l.batch, l.cursor, ack)
 	}
-	r.notePlanner(now, l, ack.Stamp.Epoch != 0)
+	r.notePlanner(now, l, ack.PlannerTimestamp.Epoch != 0)
 	changed := ack.Digest != l.digest
 	if changed {
 		l.digest, l.relay = ack.Digest, ack.Relay
@@ -253,5 +253,5 @@
 
 // DepartureReport returns the departure notice that the agent sends when it stops.
 func (r *ReportRouter) DepartureReport() *wire.Report {
-	return &wire.Report{Batch: []wire.AgentReport{r.reporter.DepartureReport()}}
+	return &wire.Report{Reports: []wire.AgentReport{r.reporter.DepartureReport()}}
 }
--- a/membership/report_router_relay.go
+++ b/membership/report_router_relay.go
@@ -76,7 +76,7 @@
 	relay, _ := r.route.Relay()
 	report := r.reporter.Report(now, relay.ID)
 	r.toRelay = relayLink{sentAt: now, sequence: report.Sequence}
-	return &wire.Report{Batch: []wire.AgentReport{report}, Known: r.route.Digest()}
+	return &wire.Report{Reports: []wire.AgentReport{report}, KnownDigest: r.route.Digest()}
 }
 
 // HandleRelayAck processes the relay's answer to the last report. It returns the
@@ -112,10 +112,10 @@
 	if r.recentlyPaused(now) {
 		return nil, false
 	}
-	if len(report.Batch) != 1 || !r.isRelay(now) {
-		return r.setDigest(&wire.ReportAck{Relay: r.otherRelay()}, report.Known), false
+	if len(report.Reports) != 1 || !r.isRelay(now) {
+		return r.setDigest(&wire.ReportAck{Relay: r.otherRelay()}, report.KnownDigest), false
 	}
-	ack, urgent = r.relayer.HandleReport(now, report.Batch[0])
+	ack, urgent = r.relayer.HandleReport(now, report.Reports[0])
 	if urgent {
 		for _, l := range r.entries {
 			l.urgentChanges = true
@@ -123,7 +123,7 @@
 	}
 	ack.Relay = r.self
 	ack.Entries = r.reachableEntries()
-	return r.setDigest(ack, report.Known), urgent
+	return r.setDigest(ack, report.KnownDigest), urgent
 }
 
 // otherRelay returns the relay that entries name in place of this agent.
--- a/membership/report_router_test.go
+++ b/membership/report_router_test.go
@@ -18,7 +18,7 @@
 	a := NewReportRouter(ReportRouterConfig{GangReportPeriod: time.Second, MaxEntries: 4}, fullReport("a", 1, 0), func() float64 { return 0.5 })
 	a.AddEntry("x")
 	a.Report(startTime, "x")
-	a.HandleAck(startTime, "x", &wire.ReportAck{Digest: 1, Relay: relay, Stamp: gang.NewPlannerTimestamp(1, startTime)})
+	a.HandleAck(startTime, "x", &wire.ReportAck{Digest: 1, Relay: relay, PlannerTimestamp: gang.NewPlannerTimestamp(1, startTime)})
 	a.ReportToRelay(startTime)
 	a.HandleRelayAck(startTime, relay, &wire.ReportAck{Digest: 2, Relay: relay, Entries: []wire.EntryInfo{{Address: "x"}}})
 	c.Assert(a.Due(startTime, "x").After(startTime), qt.IsTrue, qt.Commentf("the relay reports to x"))
--- a/membership/reporter_receiver.go
+++ b/membership/reporter_receiver.go
@@ -29,7 +29,7 @@
 // for the period, since it changes with each request. Draining never waits, not even
 // for a receiver that refused the last report, because callers would be sent to the
 // agent until then.
-func (rc *receiver) advanceDue(now time.Time, groups wire.Changed, cfg ReporterConfig) {
+func (rc *receiver) advanceDue(now time.Time, groups wire.FieldGroups, cfg ReporterConfig) {
 	if groups&wire.ChangedDraining != 0 {
 		rc.due = now
 		return
@@ -63,7 +63,7 @@
 		// Spread the retries over another half of the delay: agents that were refused
 		// at the same time may have received the same answer through a relay.
 		rc.acked = 0
-		rc.due = now.Add(ack.NextReport + time.Duration(r.random()*float64(ack.NextReport)/2))
+		rc.due = now.Add(ack.NextReportIn + time.Duration(r.random()*float64(ack.NextReportIn)/2))
 		return
 	}
 	if slices.Contains(ack.NeedFull, r.state.ID) {
@@ -72,7 +72,7 @@
 		return
 	}
 	rc.acked = max(rc.acked, sequence)
-	rc.due = now.Add(r.withJitter(max(r.cfg.Period, ack.NextReport)))
+	rc.due = now.Add(r.withJitter(max(r.cfg.Period, ack.NextReportIn)))
 	if groups := r.changedSince(sequence); groups != 0 {
 		rc.advanceDue(now, groups, r.cfg)
 	}
@@ -97,8 +97,8 @@
 const maxDrainingRetryDelay = time.Second
 
 // changedSince returns the groups that changed after the sequence.
-func (r *Reporter) changedSince(sequence uint64) wire.Changed {
-	var groups wire.Changed
+func (r *Reporter) changedSince(sequence uint64) wire.FieldGroups {
+	var groups wire.FieldGroups
 	for g := range groupCount {
 		if r.groupSeq[g] > sequence {
 			groups |= 1 << g
--- a/membership/table_relay.go
+++ b/membership/table_relay.go
@@ -25,7 +25,7 @@
 		if r.member != nil {
 			batch = append(batch, r.relayReport(now, uint64(since)))
 		} else if r.left {
-			batch = append(batch, wire.AgentReport{ID: r.id, Incarnation: r.incarnation, Goodbye: true})
+			batch = append(batch, wire.AgentReport{ID: r.id, Incarnation: r.incarnation, Departed: true})
 		}
 	}
 	slices.SortFunc(batch, func(a, b wire.AgentReport) int { return cmp.Compare(a.ID, b.ID) })
@@ -55,7 +55,7 @@
 // sequence or a later one lacks nothing. Changed task lists are sent as full reports,
 // because a delta of them would depend on what the receiver has.
 func (r *record) relayReport(now time.Time, since uint64) wire.AgentReport {
-	var groups wire.Changed
+	var groups wire.FieldGroups
 	base := uint64(0)
 	for g := range groupCount {
 		if r.groupVersion[g] > since {
@@ -68,24 +68,24 @@
 		return r.fullReport(now)
 	}
 	out := wire.AgentReport{
-		ID:          r.id,
-		Incarnation: r.incarnation,
-		Sequence:    r.sequence,
-		Base:        base,
-		Changed:     groups,
-		Age:         now.Sub(r.lastContact),
-		Draining:    r.draining,
+		ID:           r.id,
+		Incarnation:  r.incarnation,
+		Sequence:     r.sequence,
+		BaseSequence: base,
+		Changed:      groups,
+		Age:          now.Sub(r.lastContact),
+		Draining:     r.draining,
 	}
 	copyGroups(&out, r.member.Report, groups)
 	return out
 }
 
 // copyGroups copies the groups except tasks and draining.
-func copyGroups(to *wire.AgentReport, from wire.AgentReport, groups wire.Changed) {
-	if groups&wire.ChangedPlace != 0 {
+func copyGroups(to *wire.AgentReport, from wire.AgentReport, groups wire.FieldGroups) {
+	if groups&wire.ChangedLocation != 0 {
 		copyPlace(to, from)
 	}
-	if groups&wire.ChangedSize != 0 {
+	if groups&wire.ChangedCapacity != 0 {
 		copySize(to, from)
 	}
 	if groups&wire.ChangedLoad != 0 {
