--- a/link/kinds.go
+++ b/link/kinds.go
@@ -8,21 +8,21 @@
 	kindReportReply
 	kindOrders
 	kindOrdersReply
-	kindPeer
+	kindPeerQuery
 	kindPeerReply
-	kindLookup
-	kindLookupReply
-	kindPending
-	kindPendingReply
-	kindAccept
-	kindCancel
-	kindRecordReply
-	kindNotice
-	kindNoticeReply
+	kindJobQuery
+	kindJobQueryReply
+	kindPendingQuery
+	kindPendingQueryReply
+	kindWriteJob
+	kindWriteCancellation
+	kindWriteReply
+	kindRecordNotice
+	kindRecordNoticeReply
 	kindStoreCall
 	kindStoreReply
-	kindAlive
-	kindAliveReply
+	kindLivenessQuery
+	kindLivenessReply
 )
 
 func init() {
@@ -30,19 +30,19 @@
 	wire.Register(kindReportReply, ReportReply{})
 	wire.Register(kindOrders, Orders{})
 	wire.Register(kindOrdersReply, OrdersReply{})
-	wire.Register(kindPeer, PeerQuery{})
+	wire.Register(kindPeerQuery, PeerQuery{})
 	wire.Register(kindPeerReply, PeerReply{})
-	wire.Register(kindLookup, JobQuery{})
-	wire.Register(kindLookupReply, JobQueryReply{})
-	wire.Register(kindPending, PendingQuery{})
-	wire.Register(kindPendingReply, PendingQueryReply{})
-	wire.Register(kindAccept, WriteJob{})
-	wire.Register(kindCancel, WriteCancellation{})
-	wire.Register(kindRecordReply, WriteReply{})
-	wire.Register(kindNotice, RecordNotice{})
-	wire.Register(kindNoticeReply, RecordNoticeReply{})
+	wire.Register(kindJobQuery, JobQuery{})
+	wire.Register(kindJobQueryReply, JobQueryReply{})
+	wire.Register(kindPendingQuery, PendingQuery{})
+	wire.Register(kindPendingQueryReply, PendingQueryReply{})
+	wire.Register(kindWriteJob, WriteJob{})
+	wire.Register(kindWriteCancellation, WriteCancellation{})
+	wire.Register(kindWriteReply, WriteReply{})
+	wire.Register(kindRecordNotice, RecordNotice{})
+	wire.Register(kindRecordNoticeReply, RecordNoticeReply{})
 	wire.Register(kindStoreCall, StoreCall{})
 	wire.Register(kindStoreReply, StoreReply{})
-	wire.Register(kindAlive, LivenessQuery{})
-	wire.Register(kindAliveReply, LivenessReply{})
+	wire.Register(kindLivenessQuery, LivenessQuery{})
+	wire.Register(kindLivenessReply, LivenessReply{})
 }
--- a/link/orders_test.go
+++ b/link/orders_test.go
@@ -15,7 +15,7 @@
 
 const specBytes = 4000
 
-func starts(job workload.JobID, n int, spec string) []engine.StartOrder {
+func startOrders(job workload.JobID, n int, spec string) []engine.StartOrder {
 	var out []engine.StartOrder
 	for i := range n {
 		task := workload.TaskID{Job: job, Index: i}
@@ -24,9 +24,9 @@
 	return out
 }
 
-func TestOrdersKeepTheSpecificationOfEachStart(t *testing.T) {
+func TestOrdersKeepSpecs(t *testing.T) {
 	c := qt.New(t)
-	want := append(starts("a", 3, "spec of a"), starts("b", 2, "spec of b")...)
+	want := append(startOrders("a", 3, "spec of a"), startOrders("b", 2, "spec of b")...)
 	m := link.NewOrders(7, engine.Orders{Worker: "w", Starts: want})
 	c.Check(m.Specs, qt.HasLen, 2)
 	got, err := m.DecodeStarts()
@@ -37,17 +37,17 @@
 // An overnight job of 78 tasks starts at once on a quiet fleet behind a link of 2 Mbit/s.
 // Its orders carried its specification 78 times, 1.2 s of the planner's link, in which
 // nobody heard from the planner and it was deposed.
-func TestOrdersOfAWideJobAreSmall(t *testing.T) {
+func TestOrdersShareSpecs(t *testing.T) {
 	c := qt.New(t)
 	const onOneWorker = 8
 	spec := strings.Repeat("x", specBytes)
-	raw, err := cbor.Marshal(link.NewOrders(1, engine.Orders{Worker: "w", Starts: starts("0123456789abcdef", onOneWorker, spec)}))
+	raw, err := cbor.Marshal(link.NewOrders(1, engine.Orders{Worker: "w", Starts: startOrders("0123456789abcdef", onOneWorker, spec)}))
 	c.Assert(err, qt.IsNil)
 	const rowBytes = 64
 	c.Check(len(raw) < specBytes+onOneWorker*rowBytes, qt.IsTrue, qt.Commentf("%d bytes", len(raw)))
 }
 
-func TestStartWithoutItsSpecificationIsAnError(t *testing.T) {
+func TestStartWithInvalidSpecIndex(t *testing.T) {
 	for _, at := range []int{-1, 1} {
 		m := &link.Orders{Starts: []link.Start{{SpecIndex: at}}, Specs: []string{"one"}}
 		_, err := m.DecodeStarts()
