--- a/link/orders.go
+++ b/link/orders.go
@@ -34,15 +34,15 @@
 // NewOrders returns the message of orders given under an epoch.
 func NewOrders(epoch uint64, o engine.Orders) *Orders {
 	m := &Orders{Epoch: epoch, Worker: o.Worker, Stops: o.Stops, Paces: o.Paces, CordonsAt: o.CordonsRevision}
-	at := map[string]int{}
+	specIndexes := map[string]int{}
 	for _, s := range o.Starts {
-		spec, sent := at[s.Spec]
+		index, sent := specIndexes[s.Spec]
 		if !sent {
-			spec = len(m.Specs)
-			at[s.Spec] = spec
+			index = len(m.Specs)
+			specIndexes[s.Spec] = index
 			m.Specs = append(m.Specs, s.Spec)
 		}
-		m.Starts = append(m.Starts, Start{Run: s.Run, SpecIndex: spec, Checkpoint: s.Checkpoint, Ticket: s.Ticket})
+		m.Starts = append(m.Starts, Start{Run: s.Run, SpecIndex: index, Checkpoint: s.Checkpoint, Ticket: s.Ticket})
 	}
 	return m
 }
--- a/link/orders_test.go
+++ b/link/orders_test.go
@@ -39,17 +39,17 @@
 // nobody heard from the planner and it was deposed.
 func TestOrdersShareSpecs(t *testing.T) {
 	c := qt.New(t)
-	const onOneWorker = 8
+	const taskCount = 8
 	spec := strings.Repeat("x", specBytes)
-	raw, err := cbor.Marshal(link.NewOrders(1, engine.Orders{Worker: "w", Starts: startOrders("0123456789abcdef", onOneWorker, spec)}))
+	raw, err := cbor.Marshal(link.NewOrders(1, engine.Orders{Worker: "w", Starts: startOrders("0123456789abcdef", taskCount, spec)}))
 	c.Assert(err, qt.IsNil)
-	const rowBytes = 64
-	c.Check(len(raw) < specBytes+onOneWorker*rowBytes, qt.IsTrue, qt.Commentf("%d bytes", len(raw)))
+	const maxStartBytes = 64
+	c.Check(len(raw) < specBytes+taskCount*maxStartBytes, qt.IsTrue, qt.Commentf("%d bytes", len(raw)))
 }
 
 func TestStartWithInvalidSpecIndex(t *testing.T) {
-	for _, at := range []int{-1, 1} {
-		m := &link.Orders{Starts: []link.Start{{SpecIndex: at}}, Specs: []string{"one"}}
+	for _, index := range []int{-1, 1} {
+		m := &link.Orders{Starts: []link.Start{{SpecIndex: index}}, Specs: []string{"one"}}
 		_, err := m.DecodeStarts()
 		qt.Check(t, err, qt.IsNotNil)
 	}
