--- a/link/doc.go
+++ b/link/doc.go
@@ -1,2 +1,2 @@
-// Package link is the messages that gateways and node agents exchange over wire.
+// Package link defines the messages that gateways and node agents exchange over package wire.
 package link
--- a/link/kinds.go
+++ b/link/kinds.go
@@ -2,7 +2,7 @@
 
 import "github.com/eelgrasshub/eelgrasshub/wire"
 
-// Kinds of this package's messages on the wire; never reuse or renumber one.
+// Message kinds on the wire. Never reuse or renumber one.
 const (
 	kindReport wire.Kind = wire.KindFirstFree + 100 + iota
 	kindReportReply
--- a/link/liveness.go
+++ b/link/liveness.go
@@ -1,10 +1,10 @@
 package link
 
-// LivenessQuery asks a planner whether it is.
+// LivenessQuery asks a gateway whether it is the active planner.
 type LivenessQuery struct{}
 
-// LivenessReply answers Alive.
+// LivenessReply answers LivenessQuery.
 type LivenessReply struct {
-	// Epoch under which the sender plans; zero where it does not.
+	// Epoch is the epoch under which the sender plans, zero if it is not the active planner.
 	Epoch uint64 `cbor:"1,keyasint,omitempty"`
 }
--- a/link/orders.go
+++ b/link/orders.go
@@ -7,7 +7,8 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// Orders goes from the planner to a node agent. All are carried out at once.
+// Orders is sent by the planner to a node agent. All orders in it are carried out concurrently,
+// except that Paces follow the starts.
 type Orders struct {
 	Epoch  uint64           `cbor:"1,keyasint"`
 	Worker engine.WorkerID  `cbor:"2,keyasint"`
@@ -15,23 +16,23 @@
 	// Paces are carried out after the starts.
 	Paces  []engine.PaceOrder `cbor:"5,keyasint,omitempty"`
 	Starts []Start            `cbor:"6,keyasint,omitempty"`
-	// Specs are the specifications of the starts, each once: the tasks of a job share one
-	// of up to four kilobytes, and a worker takes eight of them or more at a time.
+	// Specs holds each distinct specification of the starts once. The tasks of a job share one of
+	// up to four kilobytes, and a worker may start many of them at a time.
 	Specs []string `cbor:"7,keyasint,omitempty"`
-	// CordonsAt is the store's revision up to which the planner knew the cordons when it
-	// decided on the starts. An agent that knows of a later cordon refuses them.
+	// CordonsAt is the store's revision up to which the planner knew the cordons when it decided
+	// on the starts. An agent that knows of a later cordon refuses the starts.
 	CordonsAt int64 `cbor:"8,keyasint,omitempty"`
 }
 
-// Start is one start among Orders.
+// Start is the order to start a run.
 type Start struct {
 	Run        workload.RunID `cbor:"1,keyasint"`
-	SpecIndex  int            `cbor:"2,keyasint,omitempty"` // its place in Orders.Specs
+	SpecIndex  int            `cbor:"2,keyasint,omitempty"` // index in Orders.Specs
 	Checkpoint string         `cbor:"3,keyasint,omitempty"`
-	Ticket     string         `cbor:"4,keyasint,omitempty"` // of the advice service
+	Ticket     string         `cbor:"4,keyasint,omitempty"` // issued by the advice service
 }
 
-// NewOrders returns the message of orders given under an epoch.
+// NewOrders returns the message for orders given under an epoch.
 func NewOrders(epoch uint64, o engine.Orders) *Orders {
 	m := &Orders{Epoch: epoch, Worker: o.Worker, Stops: o.Stops, Paces: o.Paces, CordonsAt: o.CordonsRevision}
 	specIndexes := map[string]int{}
@@ -47,8 +48,8 @@
 	return m
 }
 
-// DecodeStarts returns the starts with their specifications, or an error where one refers
-// to a specification that the message does not have.
+// DecodeStarts returns the starts with their specifications. It fails if one has an invalid
+// SpecIndex.
 func (m *Orders) DecodeStarts() ([]engine.StartOrder, error) {
 	out := make([]engine.StartOrder, 0, len(m.Starts))
 	for _, s := range m.Starts {
--- a/link/peer.go
+++ b/link/peer.go
@@ -2,48 +2,47 @@
 
 import "time"
 
-// PeerQuery goes from one gateway to another, and from a node agent that looks for the
-// planner.
+// PeerQuery is sent by a gateway to another to exchange state, and by a node agent that is
+// looking for the planner.
 type PeerQuery struct {
-	// Address is the sender's, where it is a gateway.
+	// Address is the sender's if it is a gateway, else empty.
 	Address       string `cbor:"1,keyasint,omitempty"`
 	ConfigVersion int64  `cbor:"2,keyasint,omitempty"`
-	// Epoch and Planner are what the sender knows of the planner.
+	// Epoch and Planner are those of the newest planner that the sender knows of.
 	Epoch   uint64 `cbor:"3,keyasint,omitempty"`
 	Planner string `cbor:"4,keyasint,omitempty"`
-	// WantConfig: the sender can't follow the configuration by itself.
+	// WantConfig: the sender cannot watch the configuration itself.
 	WantConfig bool `cbor:"5,keyasint,omitempty"`
-	// PlanningCapacity is how much planning the sender could carry, see gateway.Config.
+	// PlanningCapacity is the sender's gateway.Config.PlanningCapacity.
 	PlanningCapacity float64 `cbor:"6,keyasint,omitempty"`
-	// WantConfigText: the reply is to carry the text of the configuration, where the sender's is
-	// older. Gateways ask for it alone and of one other at a time: it may be of hundreds of
-	// kilobytes, and answers of them from all others at once keep a thin link from carrying
-	// any.
+	// WantConfigText: the reply should contain the configuration document if it is newer than the
+	// sender's. Gateways request it separately and from one peer at a time, since several
+	// documents of hundreds of kilobytes at once could overload a slow link.
 	WantConfigText bool `cbor:"7,keyasint,omitempty"`
 }
 
-// PeerReply answers Peer.
+// PeerReply answers PeerQuery.
 type PeerReply struct {
 	Epoch   uint64 `cbor:"1,keyasint,omitempty"`
 	Planner string `cbor:"2,keyasint,omitempty"`
-	// Members are some of the gateways that are live, others each time.
+	// Members are some of the live gateways, different ones in each reply.
 	Members []string `cbor:"3,keyasint,omitempty"`
-	// ConfigVersion was the newest ConfigAge before the reply. Config is its text, where
-	// that was wanted and is newer.
+	// ConfigVersion was confirmed as the newest ConfigAge before the reply. Config is its
+	// document if that was requested and is newer than the sender's.
 	ConfigVersion int64         `cbor:"4,keyasint,omitempty"`
 	ConfigAge     time.Duration `cbor:"5,keyasint,omitempty"`
 	Config        []byte        `cbor:"6,keyasint,omitempty"`
-	// StoreReachable: the store has answered the sender a moment ago.
+	// StoreReachable: the store has recently replied to the sender.
 	StoreReachable bool `cbor:"7,keyasint,omitempty"`
-	// Successors are the gateways that are to take the duty if the sender, which plans, dies;
-	// the first of them at once, the others where it does not.
+	// Successors are the gateways that should replace the sender if it is the active planner and
+	// dies, in order of preference.
 	Successors []string `cbor:"8,keyasint,omitempty"`
-	// Cordons are those that the sender knows; nil where it knows none yet.
+	// Cordons are the cordons that the sender knows of, nil if it has not read them.
 	Cordons *Cordons `cbor:"9,keyasint,omitempty"`
 }
 
-// Cordons are the cordoned availability zones as of a revision of the store. They were the
-// newest Age before the message.
+// Cordons are the cordoned availability zones as of a revision of the store. They were confirmed
+// as the newest Age before the message.
 type Cordons struct {
 	Zones    []string      `cbor:"1,keyasint,omitempty"`
 	Revision int64         `cbor:"2,keyasint"`
--- a/link/store.go
+++ b/link/store.go
@@ -6,10 +6,10 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// StoreOp is a call to the store that a gateway may make for another.
+// StoreOp is an operation on the store that a gateway may make on behalf of another.
 type StoreOp int
 
-// Operations.
+// Operations, and the fields of StoreCall that they use.
 const (
 	StoreGet    StoreOp = iota + 1 // of StoreCall.Key
 	StoreList                      // of the keys below StoreCall.Key
@@ -18,7 +18,7 @@
 	StoreCommit                    // store.Atomic.CommitIf
 )
 
-// String returns a name for logs.
+// String returns the operation's name in logs.
 func (o StoreOp) String() string {
 	names := map[StoreOp]string{StoreGet: "get", StoreList: "list", StoreRenew: "renew", StoreRevoke: "revoke", StoreCommit: "commit"}
 	if name, ok := names[o]; ok {
@@ -27,8 +27,8 @@
 	return "unnamed"
 }
 
-// StoreCall asks a gateway that the store serves to make one call for the sender, which
-// it does not serve.
+// StoreCall asks a gateway to make a call to the store for the sender, which the store does not
+// serve.
 type StoreCall struct {
 	Op         StoreOp           `cbor:"1,keyasint"`
 	Key        string            `cbor:"2,keyasint,omitempty"`
@@ -37,10 +37,10 @@
 	Swaps      []store.Swap      `cbor:"5,keyasint,omitempty"`
 }
 
-// StoreFailure is why a StoreCall has no result.
+// StoreFailure is the reason why a StoreCall has no result.
 type StoreFailure int
 
-// Failures, as the errors of package store.
+// Failures. They correspond to the errors of package store.
 const (
 	StoreOK StoreFailure = iota
 	StoreUnavailable
@@ -48,7 +48,7 @@
 	StoreLeaseNotFound
 )
 
-// StoreReply answers StoreCall, with what the operation returns.
+// StoreReply answers StoreCall with the result of the operation.
 type StoreReply struct {
 	Failure  StoreFailure        `cbor:"1,keyasint,omitempty"`
 	Found    bool                `cbor:"2,keyasint,omitempty"`
