--- a/link/orders_test.go
+++ b/link/orders_test.go
@@ -34,9 +34,8 @@
 	c.Check(got, qt.DeepEquals, want)
 }
 
-// An overnight job of 78 tasks starts at once on a quiet fleet behind a link of 2 Mbit/s.
-// Its orders carried its specification 78 times, 1.2 s of the planner's link, in which
-// nobody heard from the planner and it was deposed.
+// The specification shared by a job's starts must be sent once. Repeated, it can occupy the
+// planner's slow link for longer than its lease.
 func TestOrdersShareSpecs(t *testing.T) {
 	c := qt.New(t)
 	const taskCount = 8
