--- a/gateway/term_report.go
+++ b/gateway/term_report.go
@@ -37,7 +37,7 @@
 	reply.Generation = verdict.Generation
 	if cordons, ok := t.g.currentConfig.Cordons(); ok {
 		reply.Cordoned = cordons.Contains(m.Report.Worker.Zone)
-		reply.CordonsAt = cordons.Revision
+		reply.CordonsRevision = cordons.Revision
 	}
 	return reply
 }
--- a/link/orders.go
+++ b/link/orders.go
@@ -19,9 +19,9 @@
 	// Specs holds each distinct specification of the starts once. The tasks of a job share one of
 	// up to four kilobytes, and a worker may start many of them at a time.
 	Specs []string `cbor:"7,keyasint,omitempty"`
-	// CordonsAt is the store's revision up to which the planner knew the cordons when it decided
+	// CordonsRevision is the store's revision up to which the planner knew the cordons when it decided
 	// on the starts. An agent that knows of a later cordon refuses the starts.
-	CordonsAt int64 `cbor:"8,keyasint,omitempty"`
+	CordonsRevision int64 `cbor:"8,keyasint,omitempty"`
 }
 
 // Start is the order to start a run.
@@ -34,7 +34,7 @@
 
 // NewOrders returns the message for orders given under an epoch.
 func NewOrders(epoch uint64, o engine.Orders) *Orders {
-	m := &Orders{Epoch: epoch, Worker: o.Worker, Stops: o.Stops, Paces: o.Paces, CordonsAt: o.CordonsRevision}
+	m := &Orders{Epoch: epoch, Worker: o.Worker, Stops: o.Stops, Paces: o.Paces, CordonsRevision: o.CordonsRevision}
 	specIndexes := map[string]int{}
 	for _, s := range o.Starts {
 		index, sent := specIndexes[s.Spec]
--- a/link/report.go
+++ b/link/report.go
@@ -26,6 +26,6 @@
 	Generation uint64 `cbor:"7,keyasint,omitempty"`
 	// Cordoned: the worker's availability zone is cordoned, as of the store's revision CordonsAt.
 	// CordonsAt is zero if the planner has not read the cordons.
-	Cordoned  bool  `cbor:"8,keyasint,omitempty"`
-	CordonsAt int64 `cbor:"9,keyasint,omitempty"`
+	Cordoned        bool  `cbor:"8,keyasint,omitempty"`
+	CordonsRevision int64 `cbor:"9,keyasint,omitempty"`
 }
--- a/nodeagent/cordon_test.go
+++ b/nodeagent/cordon_test.go
@@ -61,7 +61,7 @@
 	c := qt.New(t)
 	w := &startCountingWorker{}
 	a := newTestAgent(w)
-	a.handleReply(engine.Report{}, &link.ReportReply{Epoch: 1, Cordoned: true, CordonsAt: 20}, now())
+	a.handleReply(engine.Report{}, &link.ReportReply{Epoch: 1, Cordoned: true, CordonsRevision: 20}, now())
 	c.Check(executeStart(c, a, startAndStopOrders(10)), qt.Equals, engine.StartCordoned)
 	c.Check(executeStart(c, a, startAndStopOrders(20)), qt.Equals, engine.StartCordoned)
 	c.Check(w.starts.Load(), qt.Equals, int64(0))
@@ -74,12 +74,12 @@
 func TestStaleCordonStateIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	a := newTestAgent(&startCountingWorker{})
-	a.handleReply(engine.Report{}, &link.ReportReply{Epoch: 2, Cordoned: true, CordonsAt: 20}, now())
-	a.handleReply(engine.Report{}, &link.ReportReply{Epoch: 1, CordonsAt: 15}, now())
+	a.handleReply(engine.Report{}, &link.ReportReply{Epoch: 2, Cordoned: true, CordonsRevision: 20}, now())
+	a.handleReply(engine.Report{}, &link.ReportReply{Epoch: 1, CordonsRevision: 15}, now())
 	a.handleReply(engine.Report{}, &link.ReportReply{Epoch: 3}, now())
 	c.Check(a.startsRefused(20), qt.IsTrue)
-	a.handleReply(engine.Report{}, &link.ReportReply{Epoch: 3, CordonsAt: 25}, now())
-	a.handleReply(engine.Report{}, &link.ReportReply{Epoch: 3, Cordoned: true, CordonsAt: 22}, now())
+	a.handleReply(engine.Report{}, &link.ReportReply{Epoch: 3, CordonsRevision: 25}, now())
+	a.handleReply(engine.Report{}, &link.ReportReply{Epoch: 3, Cordoned: true, CordonsRevision: 22}, now())
 	c.Check(a.startsRefused(20), qt.IsFalse)
 }
 
--- a/nodeagent/orders.go
+++ b/nodeagent/orders.go
@@ -35,7 +35,7 @@
 	for i, s := range starts {
 		reply.Starts[i] = engine.StartResult{Run: s.Run, Outcome: outcome}
 		if outcome == engine.StartOK {
-			wg.Go(func() { reply.Starts[i].Outcome = a.start(header, orders.CordonsAt, s) })
+			wg.Go(func() { reply.Starts[i].Outcome = a.start(header, orders.CordonsRevision, s) })
 		}
 	}
 	if inc != nil && len(orders.Stops) > 0 {
@@ -93,7 +93,7 @@
 	switch {
 	case inc.draining:
 		return header, inc, engine.StartDraining
-	case a.cordon.refuses(orders.CordonsAt):
+	case a.cordon.refuses(orders.CordonsRevision):
 		a.counters.StartsCordoned.Add(int64(len(orders.Starts)))
 		return header, inc, engine.StartCordoned
 	case header.LeaseEnd == 0 || inc.unresponsive || inc.leaseMayHaveExpired(now()) || a.grantedUntil-now() < minGrantForStart:
--- a/nodeagent/report.go
+++ b/nodeagent/report.go
@@ -106,7 +106,7 @@
 func (a *Agent) handleReply(r engine.Report, reply *link.ReportReply, sentAt time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.cordon.update(reply.Cordoned, reply.CordonsAt)
+	a.cordon.update(reply.Cordoned, reply.CordonsRevision)
 	if reply.Epoch < a.epoch {
 		a.finder.rejectEpoch(reply.Epoch)
 		return
