--- a/link/report.go
+++ b/link/report.go
@@ -24,8 +24,8 @@
 	// Generation is the lowest generation of orders to the worker's current incarnation; see
 	// engine.Fence.
 	Generation uint64 `cbor:"7,keyasint,omitempty"`
-	// Cordoned: the worker's availability zone is cordoned, as of the store's revision CordonsAt.
-	// CordonsAt is zero if the planner has not read the cordons.
+	// Cordoned: the worker's availability zone is cordoned, as of the store's revision
+	// CordonsRevision, which is zero if the planner has not read the cordons.
 	Cordoned        bool  `cbor:"8,keyasint,omitempty"`
 	CordonsRevision int64 `cbor:"9,keyasint,omitempty"`
 }
