--- a/link/peer.go
+++ b/link/peer.go
@@ -11,7 +11,7 @@
 	// Epoch and Planner are those of the newest planner that the sender knows of.
 	Epoch   uint64 `cbor:"3,keyasint,omitempty"`
 	Planner string `cbor:"4,keyasint,omitempty"`
-	// WantConfig: the sender cannot watch the configuration itself.
+	// WantConfig: the sender has not been able to confirm its configuration recently.
 	WantConfig bool `cbor:"5,keyasint,omitempty"`
 	// PlanningCapacity is the sender's gateway.Config.PlanningCapacity.
 	PlanningCapacity float64 `cbor:"6,keyasint,omitempty"`
--- a/link/report.go
+++ b/link/report.go
@@ -2,7 +2,7 @@
 
 import "github.com/eelgrasshub/eelgrasshub/engine"
 
-// Report is sent periodically by a node agent to the planner.
+// Report is sent by a node agent to the planner, periodically and after changes.
 type Report struct {
 	Report engine.Report `cbor:"1,keyasint"`
 }
