--- a/store/batcher.go
+++ b/store/batcher.go
@@ -12,21 +12,21 @@
 // DefaultBatcherQueue is the queue of a Batcher made with none given.
 const DefaultBatcherQueue = 4096
 
-// batchEvery is the least time between the begins of two calls of a Batcher. A
+// minBatchInterval is the least time between the begins of two calls of a Batcher. A
 // store that answers faster than callers arrive would otherwise get one call for
 // each of them. A lone caller does not wait.
-const batchEvery = 5 * time.Millisecond
+const minBatchInterval = 5 * time.Millisecond
 
 // Batcher makes one call to the store out of the swaps of many callers. One
 // call is in flight at a time, and calls begin batchEvery apart; the next carries
 // all that came meanwhile, so calls grow with time, not with callers. It is safe
 // for concurrent use.
 type Batcher struct {
-	store   Store
-	queue   chan *waiter
-	tomb    tomb.Tomb
-	commits atomic.Int64
-	began   time.Time // of the last call; the run goroutine's own
+	store         Store
+	queue         chan *pendingSwap
+	tomb          tomb.Tomb
+	commits       atomic.Int64
+	lastCallStart time.Time // of the last call; the run goroutine's own
 }
 
 // NewBatcher returns a running Batcher. At most queue swaps wait for the next
@@ -35,7 +35,7 @@
 	if queue <= 0 {
 		queue = DefaultBatcherQueue
 	}
-	b := &Batcher{store: store, queue: make(chan *waiter, queue)}
+	b := &Batcher{store: store, queue: make(chan *pendingSwap, queue)}
 	b.tomb.Go(b.run)
 	return b
 }
@@ -58,7 +58,7 @@
 	if !b.tomb.Alive() {
 		return SwapResult{}, ErrClosed
 	}
-	w := &waiter{swap: s, done: make(chan struct{})}
+	w := &pendingSwap{swap: s, done: make(chan struct{})}
 	select {
 	case b.queue <- w:
 	default:
@@ -68,10 +68,10 @@
 	case <-w.done:
 		return w.result, w.err
 	case <-ctx.Done():
-		return w.giveUp(ErrCanceled)
+		return w.abandon(ErrCanceled)
 	case <-b.tomb.Dead():
 		// Queued after the last batch was taken, or answered by it.
-		if w.take() {
+		if w.claim() {
 			return SwapResult{}, ErrClosed
 		}
 		<-w.done
@@ -83,46 +83,46 @@
 	for {
 		select {
 		case w := <-b.queue:
-			b.pace()
-			b.commit(b.gather(w))
+			b.waitForInterval()
+			b.commitBatch(b.collectBatch(w))
 		case <-b.tomb.Dying():
-			return b.drain()
+			return b.drainQueue()
 		}
 	}
 }
 
-// pace waits until the next call may begin.
-func (b *Batcher) pace() {
-	timer := time.NewTimer(batchEvery - time.Since(b.began))
+// waitForInterval waits until the next call may begin.
+func (b *Batcher) waitForInterval() {
+	timer := time.NewTimer(minBatchInterval - time.Since(b.lastCallStart))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 	case <-b.tomb.Dying():
 	}
-	b.began = time.Now()
+	b.lastCallStart = time.Now()
 }
 
-// drain makes the swaps that wait when the Batcher is closed.
-func (b *Batcher) drain() error {
+// drainQueue makes the swaps that wait when the Batcher is closed.
+func (b *Batcher) drainQueue() error {
 	for {
 		select {
 		case w := <-b.queue:
-			b.commit(b.gather(w))
+			b.commitBatch(b.collectBatch(w))
 		default:
 			return nil
 		}
 	}
 }
 
-// gather takes what waits, up to one call's worth of swaps.
-func (b *Batcher) gather(first *waiter) []*waiter {
-	var batch []*waiter
+// collectBatch takes what waits, up to one call's worth of swaps.
+func (b *Batcher) collectBatch(first *pendingSwap) []*pendingSwap {
+	var batch []*pendingSwap
 	next := first
 	for {
-		if next.take() {
+		if next.claim() {
 			batch = append(batch, next)
 		}
-		if len(batch) == maxSwaps {
+		if len(batch) == maxSwapsPerCall {
 			return batch
 		}
 		select {
@@ -133,24 +133,24 @@
 	}
 }
 
-// commit makes one batch. A lease that is gone fails the whole call; its swap
+// commitBatch makes one batch. A lease that is gone fails the whole call; its swap
 // must not take those of other callers with it, so they are then made apart.
-func (b *Batcher) commit(batch []*waiter) {
+func (b *Batcher) commitBatch(batch []*pendingSwap) {
 	if len(batch) == 0 {
 		return
 	}
-	results, err := b.call(batch)
+	results, err := b.callStore(batch)
 	if eris.Is(err, ErrLeaseNotFound) && len(batch) > 1 {
-		for _, part := range byLease(batch) {
-			results, err := b.call(part)
-			finish(part, results, err)
+		for _, part := range groupByLease(batch) {
+			results, err := b.callStore(part)
+			completeAll(part, results, err)
 		}
 		return
 	}
-	finish(batch, results, err)
+	completeAll(batch, results, err)
 }
 
-func (b *Batcher) call(batch []*waiter) ([]SwapResult, error) {
+func (b *Batcher) callStore(batch []*pendingSwap) ([]SwapResult, error) {
 	swaps := make([]Swap, len(batch))
 	for i, w := range batch {
 		swaps[i] = w.swap
@@ -159,10 +159,10 @@
 	return b.store.Commit(context.Background(), swaps)
 }
 
-// byLease groups a batch by lease, in order of first occurrence.
-func byLease(batch []*waiter) [][]*waiter {
+// groupByLease groups a batch by lease, in order of first occurrence.
+func groupByLease(batch []*pendingSwap) [][]*pendingSwap {
 	index := make(map[LeaseID]int)
-	var parts [][]*waiter
+	var parts [][]*pendingSwap
 	for _, w := range batch {
 		i, ok := index[w.swap.Lease]
 		if !ok {
@@ -175,12 +175,12 @@
 	return parts
 }
 
-func finish(batch []*waiter, results []SwapResult, err error) {
+func completeAll(batch []*pendingSwap, results []SwapResult, err error) {
 	for i, w := range batch {
 		if err != nil {
-			w.finish(SwapResult{}, err)
+			w.complete(SwapResult{}, err)
 			continue
 		}
-		w.finish(results[i], nil)
+		w.complete(results[i], nil)
 	}
 }
--- a/store/batcher_test.go
+++ b/store/batcher_test.go
@@ -17,7 +17,7 @@
 
 func TestBatcherResults(t *testing.T) {
 	c := qt.New(t)
-	_, kv := start(t, standin.Options{})
+	_, kv := startStore(t, standin.Options{})
 	b := store.NewBatcher(kv, 0)
 	var wg sync.WaitGroup
 	var won atomic.Int64
@@ -43,9 +43,9 @@
 
 // A job cannot be recorded because another caller's lease has lapsed: both
 // swaps travel in one call, and the service refuses the whole call.
-func TestBatcherLeaseGone(t *testing.T) {
+func TestBatcherIsolatesMissingLease(t *testing.T) {
 	c := qt.New(t)
-	srv, kv := start(t, standin.Options{})
+	srv, kv := startStore(t, standin.Options{})
 	srv.SetFaults(standin.Faults{DelayMillis: 50})
 	b := store.NewBatcher(kv, 0)
 	defer b.Close()
@@ -67,9 +67,9 @@
 // The store hangs. Callers past the queue hear so at once instead of piling
 // up; one that gives up in the queue knows that its swap was not made, one
 // whose swap is in flight does not.
-func TestBatcherStoreHangs(t *testing.T) {
+func TestBatcherWithHangingStore(t *testing.T) {
 	c := qt.New(t)
-	srv, kv := start(t, standin.Options{})
+	srv, kv := startStore(t, standin.Options{})
 	srv.SetFaults(standin.Faults{Down: standin.DownHang})
 	b := store.NewBatcher(kv, 1)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -102,7 +102,7 @@
 }
 
 func BenchmarkGet(b *testing.B) {
-	_, kv := start(b, standin.Options{})
+	_, kv := startStore(b, standin.Options{})
 	for b.Loop() {
 		if _, _, err := kv.Get(context.Background(), "k"); err != nil {
 			b.Fatal(err)
@@ -111,7 +111,7 @@
 }
 
 func BenchmarkCommit(b *testing.B) {
-	_, kv := start(b, standin.Options{})
+	_, kv := startStore(b, standin.Options{})
 	value := make([]byte, 512)
 	for i := 0; b.Loop(); i++ {
 		swaps := []store.Swap{{Key: fmt.Sprint(i), Value: value}}
@@ -124,7 +124,7 @@
 func BenchmarkBatcher(b *testing.B) {
 	for _, callers := range []int{1, 16, 256} {
 		b.Run(fmt.Sprintf("callers=%d", callers), func(b *testing.B) {
-			srv, kv := start(b, standin.Options{})
+			srv, kv := startStore(b, standin.Options{})
 			batcher := store.NewBatcher(kv, 0)
 			defer batcher.Close()
 			var next atomic.Int64
--- a/store/chunk.go
+++ b/store/chunk.go
@@ -1,25 +1,25 @@
 package store
 
 const (
-	// maxSwaps is how many swaps one call carries. The service allows 128
+	// maxSwapsPerCall is how many swaps one call carries. The service allows 128
 	// operations and counts the one inside a nested transaction against what
 	// the outer transaction leaves, so one is kept back for it.
-	maxSwaps = 127
+	maxSwapsPerCall = 127
 	// maxCallBytes bounds keys and values of one call.
 	maxCallBytes = 1 << 20
-	// swapOverhead is a generous count of a swap's other bytes.
-	swapOverhead = 64
+	// swapOverheadBytes is a generous count of a swap's other bytes.
+	swapOverheadBytes = 64
 )
 
 // size is what the swap adds to a call. The key is sent three times.
-func (s Swap) size() int { return 3*len(s.Key) + len(s.Value) + swapOverhead }
+func (s Swap) size() int { return 3*len(s.Key) + len(s.Value) + swapOverheadBytes }
 
 // chunk is a run of consecutive swaps that fit into one call.
 type chunk struct{ from, to int }
 
-// split cuts swaps into calls, in order. A key occurs once in a call: the
+// splitIntoCalls cuts swaps into calls, in order. A key occurs once in a call: the
 // service refuses to write a key twice in one transaction.
-func split(swaps []Swap) ([]chunk, error) {
+func splitIntoCalls(swaps []Swap) ([]chunk, error) {
 	var chunks []chunk
 	from, bytes := 0, 0
 	keys := make(map[string]struct{}, len(swaps))
@@ -28,7 +28,7 @@
 			return nil, ErrTooLarge
 		}
 		_, twice := keys[s.Key]
-		if twice || i-from == maxSwaps || bytes+s.size() > maxCallBytes {
+		if twice || i-from == maxSwapsPerCall || bytes+s.size() > maxCallBytes {
 			chunks = append(chunks, chunk{from, i})
 			from, bytes = i, 0
 			clear(keys)
--- a/store/client.go
+++ b/store/client.go
@@ -11,10 +11,10 @@
 // Client is the Store over HTTP. It is safe for concurrent use and owns no
 // goroutine.
 type Client struct {
-	opts    Options
-	limiter *rate.Limiter
-	counts  counters
-	current atomic.Int64 // index of the endpoint to try first
+	opts      Options
+	limiter   *rate.Limiter
+	counts    counters
+	preferred atomic.Int64 // index of the endpoint to try first
 }
 
 var _ Store = (*Client)(nil)
@@ -26,14 +26,14 @@
 }
 
 // Calls returns what the Client has asked of the service so far.
-func (c *Client) Calls() CallCounts { return c.counts.read() }
+func (c *Client) Calls() CallCounts { return c.counts.snapshot() }
 
 // Close closes the Client's unused connections. Calls and watches in progress
 // end with their contexts.
 func (c *Client) Close() { c.opts.HTTP.CloseIdleConnections() }
 
-// spend takes n calls from the budget, all or none.
-func (c *Client) spend(n int) error {
+// allowCalls takes n calls from the budget, all or none.
+func (c *Client) allowCalls(n int) error {
 	if c.limiter.AllowN(time.Now(), n) {
 		return nil
 	}
@@ -41,34 +41,34 @@
 	return ErrRateLimited
 }
 
-// charge takes one call from the budget without ever refusing it. Renewing and
+// chargeCall takes one call from the budget without ever refusing it. Renewing and
 // revoking leases, and learning what became of a lost reply, must not fail
 // because other calls were many; the later ones pay for it.
-func (c *Client) charge() { c.limiter.ReserveN(time.Now(), 1) }
+func (c *Client) chargeCall() { c.limiter.ReserveN(time.Now(), 1) }
 
 // endpoint returns the base URL to try on the given attempt.
 func (c *Client) endpoint(attempt int) string {
-	i := int(c.current.Load()) + attempt
+	i := int(c.preferred.Load()) + attempt
 	return c.opts.Endpoints[i%len(c.opts.Endpoints)]
 }
 
-// prefer makes the endpoint of the given attempt the first to be tried.
-func (c *Client) prefer(attempt int) {
+// setPreferred makes the endpoint of the given attempt the first to be tried.
+func (c *Client) setPreferred(attempt int) {
 	if attempt > 0 {
-		i := int(c.current.Load()) + attempt
-		c.current.Store(int64(i % len(c.opts.Endpoints)))
+		i := int(c.preferred.Load()) + attempt
+		c.preferred.Store(int64(i % len(c.opts.Endpoints)))
 	}
 }
 
-// attempts is how often a call that may be repeated is tried: each endpoint
+// maxAttempts is how often a call that may be repeated is tried: each endpoint
 // once, and a single one twice, since its open connection may have gone silent
 // while a new one works.
-func (c *Client) attempts() int { return max(2, len(c.opts.Endpoints)) }
+func (c *Client) maxAttempts() int { return max(2, len(c.opts.Endpoints)) }
 
-// drop closes the idle connections after a timeout. Open connections can go
+// closeIdleConnections closes the idle connections after a timeout. Open connections can go
 // silent for good; the others of the pool, as old as the one that timed out,
 // are not trusted either.
-func (c *Client) drop() {
+func (c *Client) closeIdleConnections() {
 	if t, ok := c.opts.HTTP.Transport.(*http.Transport); ok {
 		t.CloseIdleConnections()
 	}
--- a/store/client_test.go
+++ b/store/client_test.go
@@ -13,17 +13,17 @@
 	"github.com/eelgrasshub/eelgrasshub/store/standin"
 )
 
-// patience is above any pause of a busy machine. A call that timed out because of
+// generousTimeout is above any pause of a busy machine. A call that timed out because of
 // one would be taken for a lost reply, and a test would see a fault that it did not
 // inject.
-const patience = time.Minute
+const generousTimeout = time.Minute
 
-// start returns a stand-in and a client of it. Its calls wait long: whatever a test
+// startStore returns a stand-in and a client of it. Its calls wait long: whatever a test
 // injects breaks the connection, and a silent store needs a timeout of its own.
-func start(t testing.TB, opts standin.Options, change ...func(*store.Options)) (*standin.Server, *store.Client) {
+func startStore(t testing.TB, opts standin.Options, change ...func(*store.Options)) (*standin.Server, *store.Client) {
 	srv := standin.New(opts)
 	web := httptest.NewServer(srv)
-	o := store.Options{Endpoints: []string{web.URL}, CallTimeout: patience}
+	o := store.Options{Endpoints: []string{web.URL}, CallTimeout: generousTimeout}
 	for _, f := range change {
 		f(&o)
 	}
@@ -47,7 +47,7 @@
 func TestCommit(t *testing.T) {
 	c := qt.New(t)
 	ctx := context.Background()
-	_, kv := start(t, standin.Options{})
+	_, kv := startStore(t, standin.Options{})
 
 	first := swapOne(c, kv, store.Swap{Key: "a/1", Value: []byte("x")})
 	c.Assert(first.Swapped, qt.IsTrue)
@@ -74,15 +74,15 @@
 // key by the revision of its deletion instead of zero.
 func TestCreateAfterDelete(t *testing.T) {
 	c := qt.New(t)
-	_, kv := start(t, standin.Options{})
+	_, kv := startStore(t, standin.Options{})
 	first := swapOne(c, kv, store.Swap{Key: "k", Value: []byte("1")})
 	swapOne(c, kv, store.Swap{Key: "k", Expect: first.Current.Mod, Delete: true})
 	c.Assert(swapOne(c, kv, store.Swap{Key: "k", Value: []byte("2")}).Swapped, qt.IsTrue)
 }
 
-func TestCommitSplits(t *testing.T) {
+func TestCommitSplitsIntoCalls(t *testing.T) {
 	c := qt.New(t)
-	srv, kv := start(t, standin.Options{})
+	srv, kv := startStore(t, standin.Options{})
 	var swaps []store.Swap
 	for i := range 300 {
 		swaps = append(swaps, store.Swap{Key: "k" + string(rune('a'+i)), Value: []byte("v")})
@@ -104,7 +104,7 @@
 	c := qt.New(t)
 	ctx := context.Background()
 	now := time.Unix(0, 0)
-	srv, kv := start(t, standin.Options{Now: func() time.Time { return now }})
+	srv, kv := startStore(t, standin.Options{Now: func() time.Time { return now }})
 	id, err := kv.Grant(ctx, 10*time.Second)
 	c.Assert(err, qt.IsNil)
 	c.Assert(swapOne(c, kv, store.Swap{Key: "l", Value: []byte("x"), Lease: id}).Swapped, qt.IsTrue)
--- a/store/commit.go
+++ b/store/commit.go
@@ -19,81 +19,81 @@
 //
 // A swap whose lease is gone makes its whole call fail with ErrLeaseNotFound.
 func (c *Client) Commit(ctx context.Context, swaps []Swap) ([]SwapResult, error) {
-	chunks, err := split(swaps)
+	chunks, err := splitIntoCalls(swaps)
 	if err != nil {
 		return nil, err
 	}
-	if err := c.spend(len(chunks)); err != nil {
+	if err := c.allowCalls(len(chunks)); err != nil {
 		return nil, err
 	}
 	results := make([]SwapResult, 0, len(swaps))
 	for i, ch := range chunks {
-		part, err := c.commit(ctx, swaps[ch.from:ch.to])
+		part, err := c.commitChunk(ctx, swaps[ch.from:ch.to])
 		if err != nil && i == 0 {
 			return nil, err
 		}
 		if err != nil {
-			return append(results, unknown(swaps[ch.from:])...), nil
+			return append(results, unknownResults(swaps[ch.from:])...), nil
 		}
 		results = append(results, part...)
 	}
 	return results, nil
 }
 
-// commit sends swaps as one call. It goes on to the next endpoint only while
+// commitChunk sends swaps as one call. It goes on to the next endpoint only while
 // certain that nothing was sent.
-func (c *Client) commit(ctx context.Context, swaps []Swap) ([]SwapResult, error) {
+func (c *Client) commitChunk(ctx context.Context, swaps []Swap) ([]SwapResult, error) {
 	req := &v3json.TxnRequest{}
 	for _, s := range swaps {
 		req.Success = append(req.Success, swapOp(s))
 	}
-	var last outcome
+	var last callResult
 	for i := range c.opts.Endpoints {
 		if i > 0 {
-			c.charge()
+			c.chargeCall()
 		}
 		c.counts.commit.Add(1)
 		c.counts.swaps.Add(int64(len(swaps)))
 		var res v3json.TxnResponse
 		last = c.post(ctx, c.endpoint(i), v3json.PathTxn, req, &res)
-		if last.ok() && !plausibleTxn(swaps, &res) {
-			last = outcome{fate: fateLost, cause: errImplausible}
+		if last.ok() && !validTxn(swaps, &res) {
+			last = callResult{status: statusLost, cause: errInvalidResponse}
 		}
-		switch last.fate {
-		case fateReplied:
-			c.prefer(i)
-			return answers(swaps, &res), nil
-		case fateLost:
+		switch last.status {
+		case statusReplied:
+			c.setPreferred(i)
+			return swapResults(swaps, &res), nil
+		case statusLost:
 			c.counts.lost.Add(1)
-			return c.settle(ctx, swaps), nil
-		case fateRefused:
+			return c.resolveLostCommit(ctx, swaps), nil
+		case statusRejected:
 			return nil, last.err()
 		}
 	}
 	return nil, last.err()
 }
 
-// answers reads the results of a call that was answered.
-func answers(swaps []Swap, res *v3json.TxnResponse) []SwapResult {
+// swapResults reads the results of a call that was answered.
+func swapResults(swaps []Swap, res *v3json.TxnResponse) []SwapResult {
 	results := make([]SwapResult, len(swaps))
 	for i, op := range res.Responses {
 		if op.Txn == nil {
 			results[i] = SwapResult{Unknown: true}
 			continue
 		}
-		results[i] = answer(swaps[i], op.Txn, Revision(res.Header.Revision))
+		results[i] = swapResult(swaps[i], op.Txn, Revision(res.Header.Revision))
 	}
 	return results
 }
 
-func answer(s Swap, res *v3json.TxnResponse, at Revision) SwapResult {
+func swapResult(s Swap, res *v3json.TxnResponse, at Revision) SwapResult {
 	if res.Succeeded {
-		return SwapResult{Swapped: true, Current: written(s, at)}
+		return SwapResult{Swapped: true, Current: keyAfterSwap(s, at)}
 	}
-	return SwapResult{Current: found(s.Key, res)}
+	return SwapResult{Current: keyFromFailure(s.Key, res)}
 }
 
-func unknown(swaps []Swap) []SwapResult {
+func unknownResults(swaps []Swap) []SwapResult {
 	results := make([]SwapResult, len(swaps))
 	for i := range results {
 		results[i].Unknown = true
--- a/store/counts.go
+++ b/store/counts.go
@@ -28,7 +28,7 @@
 	swaps, readBack, lost, refused                 atomic.Int64
 }
 
-func (c *counters) read() CallCounts {
+func (c *counters) snapshot() CallCounts {
 	return CallCounts{
 		Get:      c.get.Load(),
 		List:     c.list.Load(),
--- a/store/fuzz_test.go
+++ b/store/fuzz_test.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// scripted answers each call with the next status and body, the last one for good.
-type scripted struct {
+// scriptedTransport answers each call with the next status and body, the last one for good.
+type scriptedTransport struct {
 	status []int
 	body   []string
 	calls  int
 }
 
 // RoundTrip implements http.RoundTripper.
-func (s *scripted) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s *scriptedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	i := min(s.calls, len(s.body)-1)
 	s.calls++
 	return &http.Response{
@@ -29,7 +29,7 @@
 	}, nil
 }
 
-func (s *scripted) client() *Client {
+func (s *scriptedTransport) client() *Client {
 	return NewClient(Options{Endpoints: []string{"http://store"}, HTTP: &http.Client{Transport: s}})
 }
 
@@ -51,8 +51,8 @@
 		f.Add(uint16(303), body, uint16(0), body)
 	}
 	f.Fuzz(func(t *testing.T, s1 uint16, b1 string, s2 uint16, b2 string) {
-		answers := func() *scripted {
-			return &scripted{status: []int{fuzzStatus(s1), fuzzStatus(s2)}, body: []string{b1, b2}}
+		answers := func() *scriptedTransport {
+			return &scriptedTransport{status: []int{fuzzStatus(s1), fuzzStatus(s2)}, body: []string{b1, b2}}
 		}
 		ctx := context.Background()
 		kv, ok, err := answers().client().Get(ctx, "a/1")
@@ -91,7 +91,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Millisecond)
 		defer cancel()
 		swaps := []Swap{{Key: "a", Value: []byte("ours")}, {Key: "b", Expect: 3, Value: []byte("ours too")}}
-		answers := &scripted{status: []int{fuzzStatus(s1), fuzzStatus(s2)}, body: []string{b1, b2}}
+		answers := &scriptedTransport{status: []int{fuzzStatus(s1), fuzzStatus(s2)}, body: []string{b1, b2}}
 		results, err := answers.client().Commit(ctx, swaps)
 		if err != nil {
 			return
@@ -133,7 +133,7 @@
 			return
 		}
 		last := Revision(from) - 1
-		w := &watcher{prefix: "a/", last: last}
+		w := &watcher{prefix: "a/", lastRevision: last}
 		w.deliver = func(b WatchBatch) {
 			if b.At <= last {
 				t.Fatalf("%+v after %d", b, last)
@@ -147,9 +147,9 @@
 			}
 			last = b.At
 		}
-		delivered, err := w.follow(strings.NewReader(stream), func() {})
+		delivered, err := w.readStream(strings.NewReader(stream), func() {})
 		if err == nil || from > 0 && delivered != (last >= Revision(from)) {
-			t.Fatalf("ended at %d, delivered to %d: %v", w.last, last, err)
+			t.Fatalf("ended at %d, delivered to %d: %v", w.lastRevision, last, err)
 		}
 	})
 }
--- a/store/lease.go
+++ b/store/lease.go
@@ -18,16 +18,16 @@
 // as the answer it missed. ErrUnavailable may leave a lease behind that has no
 // keys and lapses by itself.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
-	if err := c.spend(1); err != nil {
+	if err := c.allowCalls(1); err != nil {
 		return 0, err
 	}
 	id := rand.Int64N(1<<62) + 1
 	seconds := int64((ttl + time.Second - 1) / time.Second)
 	req := &v3json.GrantRequest{ID: id, TTL: max(1, seconds)}
 	var res v3json.LeaseResponse
-	o, repeated := c.write(ctx, &c.counts.grant, v3json.PathGrant, req, &res)
-	if o.ok() && !plausibleLease(id, res) {
-		return 0, eris.Wrap(ErrUnavailable, errImplausible.Error())
+	o, repeated := c.postRepeatable(ctx, &c.counts.grant, v3json.PathGrant, req, &res)
+	if o.ok() && !validLease(id, res) {
+		return 0, eris.Wrap(ErrUnavailable, errInvalidResponse.Error())
 	}
 	if o.ok() || repeated && o.code == v3json.CodeFailedPrecondition {
 		return LeaseID(id), nil
@@ -37,15 +37,15 @@
 
 // Renew implements Store. It is charged to the budget but never refused.
 func (c *Client) Renew(ctx context.Context, id LeaseID) (time.Duration, error) {
-	c.charge()
+	c.chargeCall()
 	var res v3json.KeepAliveResponse
 	req := &v3json.LeaseRequest{ID: int64(id)}
-	o, _ := c.write(ctx, &c.counts.renew, v3json.PathKeepAlive, req, &res)
+	o, _ := c.postRepeatable(ctx, &c.counts.renew, v3json.PathKeepAlive, req, &res)
 	if !o.ok() {
 		return 0, o.err()
 	}
-	if !plausibleLease(int64(id), res.Result) {
-		return 0, eris.Wrap(ErrUnavailable, errImplausible.Error())
+	if !validLease(int64(id), res.Result) {
+		return 0, eris.Wrap(ErrUnavailable, errInvalidResponse.Error())
 	}
 	if res.Result.TTL <= 0 {
 		return 0, ErrLeaseNotFound
@@ -57,33 +57,33 @@
 // lease that is gone when a call with a lost reply is repeated counts as
 // revoked.
 func (c *Client) Revoke(ctx context.Context, id LeaseID) error {
-	c.charge()
+	c.chargeCall()
 	var res v3json.LeaseResponse
 	req := &v3json.LeaseRequest{ID: int64(id)}
-	o, repeated := c.write(ctx, &c.counts.revoke, v3json.PathRevoke, req, &res)
+	o, repeated := c.postRepeatable(ctx, &c.counts.revoke, v3json.PathRevoke, req, &res)
 	if o.ok() || repeated && o.code == v3json.CodeNotFound {
 		return nil
 	}
 	return o.err()
 }
 
-// write makes a call that may be repeated, and reports whether an attempt
+// postRepeatable makes a call that may be repeated, and reports whether an attempt
 // before the last one had been sent without a reply.
-func (c *Client) write(ctx context.Context, count *atomic.Int64, path string, req, res any) (last outcome, repeated bool) {
-	for i := range c.attempts() {
+func (c *Client) postRepeatable(ctx context.Context, count *atomic.Int64, path string, req, res any) (last callResult, repeated bool) {
+	for i := range c.maxAttempts() {
 		if i > 0 {
-			c.charge()
+			c.chargeCall()
 		}
 		count.Add(1)
 		last = c.post(ctx, c.endpoint(i), path, req, res)
 		if last.ok() {
-			c.prefer(i)
+			c.setPreferred(i)
 			return last, repeated
 		}
-		if last.fate == fateRefused || ctx.Err() != nil {
+		if last.status == statusRejected || ctx.Err() != nil {
 			return last, repeated
 		}
-		if last.fate == fateLost {
+		if last.status == statusLost {
 			c.counts.lost.Add(1)
 			repeated = true
 		}
--- a/store/list.go
+++ b/store/list.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// pageKeys bounds the keys of one call. A listing in one answer would have
+	// pageSize bounds the keys of one call. A listing in one answer would have
 	// to arrive within one call's timeout however long it is, and a slow store
 	// then never answers it.
-	pageKeys = 1000
-	// listTries is how often a listing is begun again because the store
+	pageSize = 1000
+	// maxListAttempts is how often a listing is begun again because the store
 	// compacted or replaced the revision that it reads.
-	listTries = 3
+	maxListAttempts = 3
 )
 
-// errReplaced: the store was restored from a backup between two pages.
-var errReplaced = eris.New("platform store was replaced during a listing")
+// errStoreReplaced: the store was restored from a backup between two pages.
+var errStoreReplaced = eris.New("platform store was replaced during a listing")
 
 // List implements Store.
 func (c *Client) List(ctx context.Context, prefix string) (Snapshot, error) {
@@ -36,13 +36,13 @@
 // its watch would never hear of it.
 func (c *Client) list(ctx context.Context, prefix string, keysOnly bool) (Snapshot, error) {
 	var err error
-	for range listTries {
+	for range maxListAttempts {
 		l := listing{client: c, keysOnly: keysOnly}
-		err = l.run(ctx, prefix)
+		err = l.fetchAll(ctx, prefix)
 		if err == nil {
-			return l.snap, nil
+			return l.snapshot, nil
 		}
-		if !eris.Is(err, ErrCompacted) && !eris.Is(err, errReplaced) {
+		if !eris.Is(err, ErrCompacted) && !eris.Is(err, errStoreReplaced) {
 			return Snapshot{}, err
 		}
 	}
@@ -53,17 +53,17 @@
 type listing struct {
 	client   *Client
 	keysOnly bool
-	snap     Snapshot
+	snapshot Snapshot
 }
 
-func (l *listing) run(ctx context.Context, prefix string) error {
+func (l *listing) fetchAll(ctx context.Context, prefix string) error {
 	key, end := prefixRange(prefix)
 	for {
-		res, err := l.page(ctx, key, end)
+		res, err := l.fetchPage(ctx, key, end)
 		if err != nil {
 			return err
 		}
-		if err := l.add(res); err != nil {
+		if err := l.addPage(res); err != nil {
 			return err
 		}
 		if !res.More || len(res.Kvs) == 0 {
@@ -74,33 +74,33 @@
 	}
 }
 
-func (l *listing) page(ctx context.Context, key, end []byte) (*v3json.RangeResponse, error) {
-	if err := l.client.spend(1); err != nil {
+func (l *listing) fetchPage(ctx context.Context, key, end []byte) (*v3json.RangeResponse, error) {
+	if err := l.client.allowCalls(1); err != nil {
 		return nil, err
 	}
 	req := &v3json.RangeRequest{
 		Key:      key,
 		RangeEnd: end,
-		Limit:    pageKeys,
-		Revision: int64(l.snap.At),
+		Limit:    pageSize,
+		Revision: int64(l.snapshot.At),
 		KeysOnly: l.keysOnly,
 	}
 	res := new(v3json.RangeResponse)
-	return res, l.client.read(ctx, &l.client.counts.list, req, res)
+	return res, l.client.readRange(ctx, &l.client.counts.list, req, res)
 }
 
-// add takes a page in. A store that was restored from a backup between two pages
+// addPage takes a page in. A store that was restored from a backup between two pages
 // can have the revision of the first one again, with other contents.
-func (l *listing) add(res *v3json.RangeResponse) error {
-	if l.snap.At == 0 {
-		l.snap.At = Revision(res.Header.Revision)
-		l.snap.Source = res.Header.ClusterID
+func (l *listing) addPage(res *v3json.RangeResponse) error {
+	if l.snapshot.At == 0 {
+		l.snapshot.At = Revision(res.Header.Revision)
+		l.snapshot.Source = res.Header.ClusterID
 	}
-	if res.Header.ClusterID != l.snap.Source {
-		return errReplaced
+	if res.Header.ClusterID != l.snapshot.Source {
+		return errStoreReplaced
 	}
 	for _, kv := range res.Kvs {
-		l.snap.Keys = append(l.snap.Keys, fromJSON(kv))
+		l.snapshot.Keys = append(l.snapshot.Keys, keyValueFromJSON(kv))
 	}
 	return nil
 }
--- a/store/list_test.go
+++ b/store/list_test.go
@@ -23,13 +23,13 @@
 // each answer to a listing.
 type pagedStore struct {
 	*standin.Server
-	client  *store.Client
-	between func(page int)
-	pages   int
+	client    *store.Client
+	afterPage func(page int)
+	pages     int
 }
 
 func newPagedStore(c *qt.C) *pagedStore {
-	p := &pagedStore{Server: standin.New(standin.Options{}), between: func(int) {}}
+	p := &pagedStore{Server: standin.New(standin.Options{}), afterPage: func(int) {}}
 	web := httptest.NewServer(p)
 	p.client = store.NewClient(store.Options{Endpoints: []string{web.URL}, CallTimeout: 5 * time.Second})
 	c.Cleanup(func() {
@@ -58,22 +58,22 @@
 	answer := httptest.NewRecorder()
 	p.Server.ServeHTTP(answer, r)
 	p.pages++
-	p.between(p.pages)
+	p.afterPage(p.pages)
 	w.WriteHeader(answer.Code)
 	_, _ = w.Write(answer.Body.Bytes()) // a client that is gone needs no answer
 }
 
-// write changes a key besides the client, as another process would.
-func (p *pagedStore) write(c *qt.C, i int, value string) {
-	other := p.direct(c)
+// writeKey changes a key besides the client, as another process would.
+func (p *pagedStore) writeKey(c *qt.C, i int, value string) {
+	other := p.newUncountedClient(c)
 	defer other.Close()
 	kv, _, err := other.Get(context.Background(), pagedKey(i))
 	c.Check(err, qt.IsNil)
 	c.Check(swapOne(c, other, store.Swap{Key: pagedKey(i), Expect: kv.Mod, Value: []byte(value)}).Swapped, qt.IsTrue)
 }
 
-// direct is a client whose calls are not counted as pages.
-func (p *pagedStore) direct(c *qt.C) *store.Client {
+// newUncountedClient is a client whose calls are not counted as pages.
+func (p *pagedStore) newUncountedClient(c *qt.C) *store.Client {
 	web := httptest.NewServer(p.Server)
 	c.Cleanup(web.Close)
 	return store.NewClient(store.Options{Endpoints: []string{web.URL}})
@@ -83,13 +83,13 @@
 // Had a later page shown a newer state than the first, a job that was changed in
 // between would be missing or listed twice, and the watch from the listing's
 // revision would not bring it.
-func TestListIsOneRevision(t *testing.T) {
+func TestListReadsOneRevision(t *testing.T) {
 	c := qt.New(t)
 	p := newPagedStore(c)
-	p.between = func(page int) {
+	p.afterPage = func(page int) {
 		if page == 1 {
-			p.write(c, 0, "second")
-			p.write(c, listedKeys-1, "second")
+			p.writeKey(c, 0, "second")
+			p.writeKey(c, listedKeys-1, "second")
 		}
 	}
 	snap, err := p.client.List(context.Background(), "jobs/")
@@ -105,22 +105,22 @@
 
 // The store compacts, or is restored from a backup, between two pages. The
 // listing begins again, and shows one state of one store.
-func TestListBeginsAgain(t *testing.T) {
+func TestListRestarts(t *testing.T) {
 	c := qt.New(t)
 	for name, breaks := range map[string]func(p *pagedStore){
 		"compacted": func(p *pagedStore) {
-			p.write(c, 7, "second")
+			p.writeKey(c, 7, "second")
 			p.Compact()
 		},
 		"restored": func(p *pagedStore) {
 			p.Restore()
-			p.write(c, 7, "second")
+			p.writeKey(c, 7, "second")
 		},
 	} {
 		c.Run(name, func(c *qt.C) {
 			p := newPagedStore(c)
 			p.Snapshot()
-			p.between = func(page int) {
+			p.afterPage = func(page int) {
 				if page == 1 {
 					breaks(p)
 				}
@@ -135,18 +135,18 @@
 }
 
 // A store that compacts without end must not keep a caller for ever.
-func TestListGivesUp(t *testing.T) {
+func TestListStopsRestarting(t *testing.T) {
 	c := qt.New(t)
 	p := newPagedStore(c)
-	p.between = func(int) {
-		p.write(c, 7, fmt.Sprint(p.pages))
+	p.afterPage = func(int) {
+		p.writeKey(c, 7, fmt.Sprint(p.pages))
 		p.Compact()
 	}
 	_, err := p.client.List(context.Background(), "jobs/")
 	c.Assert(eris.Is(err, store.ErrUnavailable), qt.IsTrue, qt.Commentf("%v", err))
 }
 
-func TestListKeysLeavesValuesOut(t *testing.T) {
+func TestListKeysOmitsValues(t *testing.T) {
 	c := qt.New(t)
 	p := newPagedStore(c)
 	ctx := context.Background()
--- a/store/lost_test.go
+++ b/store/lost_test.go
@@ -20,19 +20,19 @@
 
 var errCut = errors.New("connection cut")
 
-// meddler is a transport that does something once a reply has been lost, or
+// interferingTransport is a transport that does something once a reply has been lost, or
 // withholds the first request until release.
-type meddler struct {
+type interferingTransport struct {
 	afterLoss func()
 	withhold  bool
 	once      sync.Once
-	late      *http.Request
+	withheld  *http.Request
 }
 
-func (m *meddler) RoundTrip(r *http.Request) (*http.Response, error) {
-	if m.withhold && m.late == nil {
+func (m *interferingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	if m.withhold && m.withheld == nil {
 		body, _ := io.ReadAll(r.Body)
-		m.late, _ = http.NewRequest(r.Method, r.URL.String(), bytes.NewReader(body))
+		m.withheld, _ = http.NewRequest(r.Method, r.URL.String(), bytes.NewReader(body))
 		httptrace.ContextClientTrace(r.Context()).GotConn(httptrace.GotConnInfo{})
 		return nil, errCut
 	}
@@ -43,20 +43,20 @@
 	return resp, err
 }
 
-func (m *meddler) release(c *qt.C) {
-	resp, err := http.DefaultTransport.RoundTrip(m.late)
+func (m *interferingTransport) release(c *qt.C) {
+	resp, err := http.DefaultTransport.RoundTrip(m.withheld)
 	c.Assert(err, qt.IsNil)
 	resp.Body.Close()
 }
 
-func through(m *meddler) func(*store.Options) {
+func withTransport(m *interferingTransport) func(*store.Options) {
 	return func(o *store.Options) { o.HTTP = &http.Client{Transport: m} }
 }
 
 // An operator's change is reported as a conflict although nobody else changed
 // anything: the write took effect, the reply was lost, and the retry failed
 // against its own write. Or a change is reported as made that never arrived.
-func TestLostSwap(t *testing.T) {
+func TestCommitWithLostCall(t *testing.T) {
 	reply, request := standin.Faults{LoseReplies: 1}, standin.Faults{LoseRequests: 1}
 	const ours, theirs = "ours", "theirs"
 	for _, test := range []struct {
@@ -83,8 +83,8 @@
 		t.Run(test.story, func(t *testing.T) {
 			c := qt.New(t)
 			var srv *standin.Server
-			m := &meddler{}
-			srv, kv := start(t, standin.Options{}, through(m))
+			m := &interferingTransport{}
+			srv, kv := startStore(t, standin.Options{}, withTransport(m))
 			s := store.Swap{Key: "k", Value: []byte(ours), Delete: test.delete}
 			if test.exists {
 				s.Expect = swapOne(c, kv, store.Swap{Key: "k", Value: []byte("old")}).Current.Mod
@@ -111,10 +111,10 @@
 // A caller is told that its change was not made, and it appears a minute
 // later: the request was held up between the two ends, the key was read back
 // unchanged, and then the request arrived.
-func TestLostSwapArrivesLate(t *testing.T) {
+func TestCommitWithDelayedRequest(t *testing.T) {
 	c := qt.New(t)
-	m := &meddler{}
-	_, kv := start(t, standin.Options{}, through(m))
+	m := &interferingTransport{}
+	_, kv := startStore(t, standin.Options{}, withTransport(m))
 	first := swapOne(c, kv, store.Swap{Key: "k", Value: []byte("old")})
 	m.withhold = true
 	res := swapOne(c, kv, store.Swap{Key: "k", Expect: first.Current.Mod, Value: []byte("new")})
@@ -131,7 +131,7 @@
 func TestLostLeaseReply(t *testing.T) {
 	c := qt.New(t)
 	ctx := context.Background()
-	srv, kv := start(t, standin.Options{})
+	srv, kv := startStore(t, standin.Options{})
 	srv.SetFaults(standin.Faults{LoseReplies: 1})
 	id, err := kv.Grant(ctx, time.Minute)
 	c.Assert(err, qt.IsNil)
@@ -143,10 +143,10 @@
 	c.Assert(eris.Is(kv.Revoke(ctx, id), store.ErrLeaseNotFound), qt.IsTrue)
 }
 
-func TestUnavailable(t *testing.T) {
+func TestUnavailableStore(t *testing.T) {
 	c := qt.New(t)
 	ctx := context.Background()
-	srv, kv := start(t, standin.Options{})
+	srv, kv := startStore(t, standin.Options{})
 	swaps := []store.Swap{{Key: "k", Value: []byte("v")}}
 
 	// Refused before it could take effect.
@@ -168,10 +168,10 @@
 	c.Assert(eris.Is(err, store.ErrUnavailable), qt.IsTrue)
 }
 
-func TestBudget(t *testing.T) {
+func TestRateLimit(t *testing.T) {
 	c := qt.New(t)
 	ctx := context.Background()
-	srv, kv := start(t, standin.Options{}, func(o *store.Options) { o.RateLimit, o.Burst = 0.001, 2 })
+	srv, kv := startStore(t, standin.Options{}, func(o *store.Options) { o.RateLimit, o.Burst = 0.001, 2 })
 	id, err := kv.Grant(ctx, time.Minute)
 	c.Assert(err, qt.IsNil)
 	_, _, err = kv.Get(ctx, "k")
@@ -188,14 +188,14 @@
 
 // One endpoint is dead, one is silent, one works. The timeout bounds the wait for
 // the silent one and is far above what the one that works needs.
-func TestEndpoints(t *testing.T) {
+func TestEndpointFailover(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	silent := standin.New(standin.Options{})
 	silent.SetFaults(standin.Faults{Down: standin.DownHang})
-	_, kv := start(t, standin.Options{}, func(o *store.Options) {
+	_, kv := startStore(t, standin.Options{}, func(o *store.Options) {
 		o.CallTimeout = 2 * time.Second
-		o.Endpoints = append([]string{"http://127.0.0.1:1", serve(t, silent)}, o.Endpoints...)
+		o.Endpoints = append([]string{"http://127.0.0.1:1", serveStandin(t, silent)}, o.Endpoints...)
 	})
 	_, _, err := kv.Get(context.Background(), "k")
 	c.Assert(err, qt.IsNil)
--- a/store/options.go
+++ b/store/options.go
@@ -14,7 +14,7 @@
 	DefaultWatchIdleTimeout = 30 * time.Second
 	DefaultBurst            = 32
 
-	idleConnections = 16
+	maxIdleConnsPerHost = 16
 )
 
 // Options of a Client.
@@ -51,15 +51,15 @@
 		o.Burst = DefaultBurst
 	}
 	if o.HTTP == nil {
-		o.HTTP = newHTTP(o.CallTimeout)
+		o.HTTP = newHTTPClient(o.CallTimeout)
 	}
 	return o
 }
 
-func newHTTP(timeout time.Duration) *http.Client {
+func newHTTPClient(timeout time.Duration) *http.Client {
 	dialer := &net.Dialer{Timeout: timeout}
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         dialer.DialContext,
-		MaxIdleConnsPerHost: idleConnections,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 	}}
 }
--- a/store/plausible.go
+++ b/store/plausible.go
@@ -8,7 +8,7 @@
 	"github.com/eelgrasshub/eelgrasshub/store/internal/v3json"
 )
 
-// errImplausible: the answer is JSON with status 200, and the store can't have
+// errInvalidResponse: the answer is JSON with status 200, and the store can't have
 // given it to this call.
 //
 // The failure this guards against: something between the two ends answers "{}" of
@@ -16,23 +16,23 @@
 // fields are left out, "{}" is a store without any keys, or a lease that is gone:
 // every job would be forgotten and every duty given up. The store's revision begins
 // at 1 and comes with each answer, as the name of each key and lease does.
-var errImplausible = eris.New("not an answer of the store to this call")
+var errInvalidResponse = eris.New("not an answer of the store to this call")
 
-func plausibleHeader(h v3json.Header) bool { return h.Revision > 0 }
+func validHeader(h v3json.Header) bool { return h.Revision > 0 }
 
-// plausibleKey checks one key that a read returned.
-func plausibleKey(kv v3json.KeyValue) bool {
+// validKey checks one key that a read returned.
+func validKey(kv v3json.KeyValue) bool {
 	return kv.CreateRevision > 0 && kv.CreateRevision <= kv.ModRevision
 }
 
-// plausibleRange checks the answer to a read of one key, or of all below a prefix
+// validRange checks the answer to a read of one key, or of all below a prefix
 // where end is not empty.
-func plausibleRange(req *v3json.RangeRequest, res *v3json.RangeResponse) bool {
-	if !plausibleHeader(res.Header) || len(req.RangeEnd) == 0 && len(res.Kvs) > 1 {
+func validRange(req *v3json.RangeRequest, res *v3json.RangeResponse) bool {
+	if !validHeader(res.Header) || len(req.RangeEnd) == 0 && len(res.Kvs) > 1 {
 		return false
 	}
 	for _, kv := range res.Kvs {
-		if !plausibleKey(kv) || !inRange(req, string(kv.Key)) {
+		if !validKey(kv) || !inRange(req, string(kv.Key)) {
 			return false
 		}
 	}
@@ -47,22 +47,22 @@
 	return key >= string(req.Key) && (toTheLast || key < string(req.RangeEnd))
 }
 
-// plausibleTxn checks the answer to a call that swaps, or reads, one key after the
+// validTxn checks the answer to a call that swaps, or reads, one key after the
 // other.
-func plausibleTxn(swaps []Swap, res *v3json.TxnResponse) bool {
-	if !plausibleHeader(res.Header) || len(res.Responses) != len(swaps) {
+func validTxn(swaps []Swap, res *v3json.TxnResponse) bool {
+	if !validHeader(res.Header) || len(res.Responses) != len(swaps) {
 		return false
 	}
 	for i, op := range res.Responses {
-		if !plausibleOp(swaps[i].Key, op) {
+		if !validOp(swaps[i].Key, op) {
 			return false
 		}
 	}
 	return true
 }
 
-// plausibleOp checks one of them: a swap that took effect, or the key as it is.
-func plausibleOp(key string, op v3json.ResponseOp) bool {
+// validOp checks one of them: a swap that took effect, or the key as it is.
+func validOp(key string, op v3json.ResponseOp) bool {
 	if op.Txn != nil {
 		if op.Txn.Succeeded {
 			return true
@@ -76,7 +76,7 @@
 		return false
 	}
 	for _, kv := range op.Range.Kvs {
-		if string(kv.Key) != key || !plausibleKey(kv) {
+		if string(kv.Key) != key || !validKey(kv) {
 			return false
 		}
 	}
@@ -86,14 +86,14 @@
 // maxLeaseTTL is the longest life of a lease in seconds that the API allows.
 const maxLeaseTTL = 9_000_000_000
 
-// plausibleLease checks the answer to a grant or a renewal of a lease.
-func plausibleLease(id int64, res v3json.LeaseResponse) bool {
+// validLease checks the answer to a grant or a renewal of a lease.
+func validLease(id int64, res v3json.LeaseResponse) bool {
 	return res.ID == id && res.TTL <= maxLeaseTTL
 }
 
-// plausibleEvents checks what a watch of a prefix brings at once: changes in the
+// validEvents checks what a watch of a prefix brings at once: changes in the
 // order of their revisions.
-func plausibleEvents(prefix string, events []v3json.Event) bool {
+func validEvents(prefix string, events []v3json.Event) bool {
 	last := int64(1)
 	for _, e := range events {
 		if e.Kv.ModRevision < last || !strings.HasPrefix(string(e.Kv.Key), prefix) {
--- a/store/post.go
+++ b/store/post.go
@@ -15,33 +15,33 @@
 )
 
 const (
-	contentType  = "application/json"
-	maxReply     = 64 << 20
-	maxErrorBody = 4 << 10
+	contentType       = "application/json"
+	maxReplyBytes     = 64 << 20
+	maxErrorBodyBytes = 4 << 10
 )
 
-// fate tells what can be known of a call that returned an error.
-type fate int
+// callStatus tells what can be known of a call that returned an error.
+type callStatus int
 
 const (
-	fateReplied fate = iota // answered
-	fateUnsent              // no byte reached the service
-	fateRefused             // answered with a refusal: no effect
-	fateLost                // sent, and the outcome is unknown
+	statusReplied  callStatus = iota // answered
+	statusNotSent                    // no byte reached the service
+	statusRejected                   // answered with a refusal: no effect
+	statusLost                       // sent, and the outcome is unknown
 )
 
-// outcome is the end of one attempt of one call.
-type outcome struct {
-	fate  fate
-	code  int    // of a refusal, as the API numbers them
-	msg   string // of a refusal
-	cause error
+// callResult is the end of one attempt of one call.
+type callResult struct {
+	status callStatus
+	code   int    // of a refusal, as the API numbers them
+	msg    string // of a refusal
+	cause  error
 }
 
-func (o outcome) ok() bool { return o.fate == fateReplied }
+func (o callResult) ok() bool { return o.status == statusReplied }
 
 // err returns the typed error of a call that certainly had no effect.
-func (o outcome) err() error {
+func (o callResult) err() error {
 	if o.code == v3json.CodeNotFound {
 		return ErrLeaseNotFound
 	}
@@ -55,25 +55,25 @@
 }
 
 // post makes one attempt of one call.
-func (c *Client) post(ctx context.Context, base, path string, req, res any) outcome {
+func (c *Client) post(ctx context.Context, base, path string, req, res any) callResult {
 	body, err := json.Marshal(req)
 	if err != nil {
-		return outcome{fate: fateUnsent, cause: err}
+		return callResult{status: statusNotSent, cause: err}
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
 	defer cancel()
 	resp, sent, err := c.send(ctx, base+path, body)
 	if err != nil {
-		return c.broken(ctx, sent, err)
+		return c.transportError(ctx, sent, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return refused(resp)
+		return errorResult(resp)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxReply)).Decode(res); err != nil {
-		return c.broken(ctx, true, err)
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxReplyBytes)).Decode(res); err != nil {
+		return c.transportError(ctx, true, err)
 	}
-	return outcome{}
+	return callResult{}
 }
 
 // send sends a request and reports whether a connection had been had for it.
@@ -93,29 +93,29 @@
 	return resp, connected.Load(), err
 }
 
-func (c *Client) broken(ctx context.Context, sent bool, err error) outcome {
+func (c *Client) transportError(ctx context.Context, sent bool, err error) callResult {
 	if ctx.Err() != nil {
-		c.drop()
+		c.closeIdleConnections()
 	}
 	if !sent {
-		return outcome{fate: fateUnsent, cause: err}
+		return callResult{status: statusNotSent, cause: err}
 	}
-	return outcome{fate: fateLost, cause: err}
+	return callResult{status: statusLost, cause: err}
 }
 
-// refused reads a reply other than 200. A 5xx may hide a write that took
+// errorResult reads a reply other than 200. A 5xx may hide a write that took
 // effect: the service reports its own timeouts so, and so does anything
 // between that lost the reply.
-func refused(resp *http.Response) outcome {
+func errorResult(resp *http.Response) callResult {
 	var body v3json.Error
-	_ = json.NewDecoder(io.LimitReader(resp.Body, maxErrorBody)).Decode(&body)
+	_ = json.NewDecoder(io.LimitReader(resp.Body, maxErrorBodyBytes)).Decode(&body)
 	msg := body.Message
 	if msg == "" {
 		msg = resp.Status
 	}
-	o := outcome{fate: fateRefused, code: body.Code, msg: msg}
+	o := callResult{status: statusRejected, code: body.Code, msg: msg}
 	if resp.StatusCode >= http.StatusInternalServerError {
-		o.fate = fateLost
+		o.status = statusLost
 	}
 	return o
 }
--- a/store/read.go
+++ b/store/read.go
@@ -9,7 +9,7 @@
 
 // Get implements Store.
 func (c *Client) Get(ctx context.Context, key string) (KeyValue, bool, error) {
-	if err := c.spend(1); err != nil {
+	if err := c.allowCalls(1); err != nil {
 		return KeyValue{}, false, err
 	}
 	return c.get(ctx, key, 0)
@@ -19,41 +19,41 @@
 func (c *Client) get(ctx context.Context, key string, at Revision) (KeyValue, bool, error) {
 	req := &v3json.RangeRequest{Key: []byte(key), Revision: int64(at)}
 	var res v3json.RangeResponse
-	if err := c.read(ctx, &c.counts.get, req, &res); err != nil {
+	if err := c.readRange(ctx, &c.counts.get, req, &res); err != nil {
 		return KeyValue{}, false, err
 	}
 	if len(res.Kvs) == 0 {
 		return KeyValue{}, false, nil
 	}
-	return fromJSON(res.Kvs[0]), true, nil
+	return keyValueFromJSON(res.Kvs[0]), true, nil
 }
 
-// read tries the endpoints in turn. The budget is charged for the first
+// readRange tries the endpoints in turn. The budget is charged for the first
 // attempt by the caller, for the others here.
-func (c *Client) read(ctx context.Context, count *atomic.Int64, req *v3json.RangeRequest, res *v3json.RangeResponse) error {
-	var last outcome
-	for i := range c.attempts() {
+func (c *Client) readRange(ctx context.Context, count *atomic.Int64, req *v3json.RangeRequest, res *v3json.RangeResponse) error {
+	var last callResult
+	for i := range c.maxAttempts() {
 		if i > 0 {
-			c.charge()
+			c.chargeCall()
 		}
 		count.Add(1)
 		*res = v3json.RangeResponse{}
 		last = c.post(ctx, c.endpoint(i), v3json.PathRange, req, res)
-		if last.ok() && !plausibleRange(req, res) {
-			last = outcome{fate: fateLost, cause: errImplausible}
+		if last.ok() && !validRange(req, res) {
+			last = callResult{status: statusLost, cause: errInvalidResponse}
 		}
 		if last.ok() {
-			c.prefer(i)
+			c.setPreferred(i)
 			return nil
 		}
-		if last.fate == fateRefused || ctx.Err() != nil {
+		if last.status == statusRejected || ctx.Err() != nil {
 			break
 		}
 	}
 	return last.err()
 }
 
-func fromJSON(kv v3json.KeyValue) KeyValue {
+func keyValueFromJSON(kv v3json.KeyValue) KeyValue {
 	return KeyValue{
 		Key:     string(kv.Key),
 		Value:   kv.Value,
--- a/store/settle.go
+++ b/store/settle.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	settleTries = 4
-	settlePause = 10 * time.Millisecond
-	// historySteps bounds the earlier versions of a key that are read to see
+	resolveAttempts = 4
+	resolveBackoff  = 10 * time.Millisecond
+	// maxVersionReads bounds the earlier versions of a key that are read to see
 	// who wrote after Expect.
-	historySteps = 8
+	maxVersionReads = 8
 )
 
-// settle finds out what became of swaps whose reply was lost.
+// resolveLostCommit finds out what became of swaps whose reply was lost.
 //
 // The failure: the call took effect, its reply did not arrive, and a plain
 // retry fails against its own write. It shows as a conflict with oneself.
@@ -30,19 +30,19 @@
 // key may have been created and deleted meanwhile, and sending it again would
 // create it a second time. In both cases the key's bytes tell whose write is
 // found, because every proposed value is unique.
-func (c *Client) settle(ctx context.Context, swaps []Swap) []SwapResult {
+func (c *Client) resolveLostCommit(ctx context.Context, swaps []Swap) []SwapResult {
 	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = settlePause
+	pause.InitialInterval = resolveBackoff
 	resend := true
-	for i := range settleTries {
+	for i := range resolveAttempts {
 		if i > 0 && !sleep(ctx, pause.NextBackOff()) {
 			break
 		}
 		var res v3json.TxnResponse
-		o := c.ask(ctx, swaps, resend, i, &res)
-		if o.ok() && plausibleTxn(swaps, &res) {
-			c.prefer(i)
-			return c.judgeAll(ctx, swaps, &res)
+		o := c.resendOrRead(ctx, swaps, resend, i, &res)
+		if o.ok() && validTxn(swaps, &res) {
+			c.setPreferred(i)
+			return c.resolveSwaps(ctx, swaps, &res)
 		}
 		// The lease is gone, maybe after the first copy took effect under it.
 		resend = resend && o.code != v3json.CodeNotFound
@@ -50,11 +50,11 @@
 			break
 		}
 	}
-	return unknown(swaps)
+	return unknownResults(swaps)
 }
 
-// ask sends one call that repeats or reads back each swap.
-func (c *Client) ask(ctx context.Context, swaps []Swap, resend bool, attempt int, res *v3json.TxnResponse) outcome {
+// resendOrRead sends one call that repeats or reads back each swap.
+func (c *Client) resendOrRead(ctx context.Context, swaps []Swap, resend bool, attempt int, res *v3json.TxnResponse) callResult {
 	req := &v3json.TxnRequest{}
 	for _, s := range swaps {
 		op := readOp(s.Key)
@@ -63,46 +63,46 @@
 		}
 		req.Success = append(req.Success, op)
 	}
-	c.charge()
+	c.chargeCall()
 	c.counts.commit.Add(1)
 	c.counts.readBack.Add(1)
 	return c.post(ctx, c.endpoint(attempt), v3json.PathTxn, req, res)
 }
 
-func (c *Client) judgeAll(ctx context.Context, swaps []Swap, res *v3json.TxnResponse) []SwapResult {
+func (c *Client) resolveSwaps(ctx context.Context, swaps []Swap, res *v3json.TxnResponse) []SwapResult {
 	results := make([]SwapResult, len(swaps))
 	for i, op := range res.Responses {
 		s := swaps[i]
 		switch {
 		case op.Txn != nil && op.Txn.Succeeded:
-			results[i] = answer(s, op.Txn, Revision(res.Header.Revision))
+			results[i] = swapResult(s, op.Txn, Revision(res.Header.Revision))
 		case op.Txn != nil:
-			results[i] = c.judge(ctx, s, found(s.Key, op.Txn))
+			results[i] = c.resolveSwap(ctx, s, keyFromFailure(s.Key, op.Txn))
 		default:
-			results[i] = c.judge(ctx, s, current(s.Key, op.Range))
+			results[i] = c.resolveSwap(ctx, s, keyFromRange(s.Key, op.Range))
 		}
 	}
 	return results
 }
 
-// judge decides the outcome of a swap from the key as it is now. Walking back
+// resolveSwap decides the outcome of a swap from the key as it is now. Walking back
 // through the versions of the key ends at our own bytes (it took effect), at
 // the expected revision (the next write was another's, so it did not and never
 // will), or nowhere (unknown).
-func (c *Client) judge(ctx context.Context, s Swap, now KeyValue) SwapResult {
+func (c *Client) resolveSwap(ctx context.Context, s Swap, now KeyValue) SwapResult {
 	unknown := SwapResult{Unknown: true, Current: now}
 	if now.Mod == 0 || now.Mod == s.Expect {
 		return unknown
 	}
 	version := now
-	for range historySteps {
+	for range maxVersionReads {
 		if !s.Delete && bytes.Equal(version.Value, s.Value) {
 			return SwapResult{Swapped: true, Current: now}
 		}
 		if version.Mod == version.Created {
 			return unknown
 		}
-		c.charge()
+		c.chargeCall()
 		c.counts.readBack.Add(1)
 		before, ok, err := c.get(ctx, s.Key, version.Mod-1)
 		if err != nil || !ok {
--- a/store/standin/call.go
+++ b/store/standin/call.go
@@ -10,59 +10,59 @@
 	"github.com/eelgrasshub/eelgrasshub/store/internal/v3json"
 )
 
-const maxBody = 4 << 20
+const maxBodyBytes = 4 << 20
 
-// call is one kind of call: where it is counted, whether it writes, and what
+// callHandler is one kind of callHandler: where it is counted, whether it writes, and what
 // it does under the Server's lock.
-type call[Req, Res any] struct {
-	server *Server
-	count  func(*Counters) *int64
-	writes func(*Req) bool
-	do     func(*Req) (Res, *failure)
+type callHandler[Req, Res any] struct {
+	server  *Server
+	counter func(*Counters) *int64
+	isWrite func(*Req) bool
+	run     func(*Req) (Res, *apiError)
 }
 
-func always[Req any](*Req) bool { return true }
-func never[Req any](*Req) bool  { return false }
+func alwaysWrites[Req any](*Req) bool { return true }
+func neverWrites[Req any](*Req) bool  { return false }
 
-func (c call[Req, Res]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c callHandler[Req, Res]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	req := new(Req)
-	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
+	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	// A field that the stand-in does not know would otherwise be ignored in
 	// silence, and a test would pass without what it asked for.
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(req); err != nil {
-		reply(w, http.StatusBadRequest, v3json.Error{Error: err.Error(), Code: v3json.CodeInvalidArgument})
+		writeJSON(w, http.StatusBadRequest, v3json.Error{Error: err.Error(), Code: v3json.CodeInvalidArgument})
 		return
 	}
-	write := c.writes(req)
-	if !c.server.admit(w, r, c.count, write) {
+	write := c.isWrite(req)
+	if !c.server.admit(w, r, c.counter, write) {
 		return
 	}
 	s := c.server
 	s.mu.Lock()
 	if write && s.faults.LoseRequests > 0 {
 		s.faults.LoseRequests--
-		s.lose()
+		s.dropConnection()
 	}
 	s.expire()
-	before := s.state.rev
-	res, f := c.do(req)
-	s.wakeIf(before)
+	before := s.state.revision
+	res, f := c.run(req)
+	s.notifyIfChanged(before)
 	if write && s.faults.LoseReplies > 0 {
 		s.faults.LoseReplies--
-		s.lose()
+		s.dropConnection()
 	}
 	s.mu.Unlock()
 	if f != nil {
-		reply(w, f.status, f.body)
+		writeJSON(w, f.status, f.body)
 		return
 	}
-	reply(w, http.StatusOK, res)
+	writeJSON(w, http.StatusOK, res)
 }
 
-// lose breaks the caller's connection. It releases the lock, which the caller
+// dropConnection breaks the caller's connection. It releases the lock, which the caller
 // holds, and does not return.
-func (s *Server) lose() {
+func (s *Server) dropConnection() {
 	s.counters.Lost++
 	s.mu.Unlock()
 	panic(http.ErrAbortHandler)
@@ -74,33 +74,33 @@
 	s.mu.Lock()
 	*count(&s.counters)++
 	f := s.faults
-	limit := s.reads
+	limit := s.readLimiter
 	if write {
-		limit = s.writes
+		limit = s.writeLimiter
 	}
 	s.mu.Unlock()
 	if f.Down == DownHang {
-		s.pause(r, nil)
+		s.waitFor(r, nil)
 		panic(http.ErrAbortHandler)
 	}
 	if f.Down != "" {
-		s.refuse(w, refusal(v3json.CodeUnavailable, v3json.MsgNoLeader))
+		s.reject(w, newAPIError(v3json.CodeUnavailable, v3json.MsgNoLeader))
 		return false
 	}
 	if !allow(limit) {
-		s.refuse(w, refusal(v3json.CodeResourceExhausted, v3json.MsgTooManyRequests))
+		s.reject(w, newAPIError(v3json.CodeResourceExhausted, v3json.MsgTooManyRequests))
 		return false
 	}
 	if f.DelayMillis > 0 {
-		s.pause(r, time.After(time.Duration(f.DelayMillis)*time.Millisecond))
+		s.waitFor(r, time.After(time.Duration(f.DelayMillis)*time.Millisecond))
 	}
 	return true
 }
 
 func allow(l *rate.Limiter) bool { return l == nil || l.Allow() }
 
-// pause waits for until, the end of the call or the end of the Server.
-func (s *Server) pause(r *http.Request, until <-chan time.Time) {
+// waitFor waits for until, the end of the call or the end of the Server.
+func (s *Server) waitFor(r *http.Request, until <-chan time.Time) {
 	select {
 	case <-until:
 	case <-r.Context().Done():
@@ -108,14 +108,14 @@
 	}
 }
 
-func (s *Server) refuse(w http.ResponseWriter, f *failure) {
+func (s *Server) reject(w http.ResponseWriter, f *apiError) {
 	s.mu.Lock()
 	s.counters.Refused++
 	s.mu.Unlock()
-	reply(w, f.status, f.body)
+	writeJSON(w, f.status, f.body)
 }
 
-func reply(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
--- a/store/standin/entry.go
+++ b/store/standin/entry.go
@@ -20,8 +20,8 @@
 
 func entryLess(a, b entry) bool { return a.key < b.key }
 
-// at returns the key as of rev.
-func (e entry) at(rev int64) (v3json.KeyValue, bool) {
+// valueAt returns the key as of rev.
+func (e entry) valueAt(rev int64) (v3json.KeyValue, bool) {
 	for _, v := range slices.Backward(e.versions) {
 		if v.kv.ModRevision > rev {
 			continue
@@ -34,7 +34,7 @@
 	return v3json.KeyValue{}, false
 }
 
-func (e entry) with(v version) entry {
+func (e entry) withVersion(v version) entry {
 	e.versions = append(slices.Clip(e.versions), v)
 	return e
 }
--- a/store/standin/failure.go
+++ b/store/standin/failure.go
@@ -6,13 +6,13 @@
 	"github.com/eelgrasshub/eelgrasshub/store/internal/v3json"
 )
 
-// failure is a refused call.
-type failure struct {
+// apiError is a refused call.
+type apiError struct {
 	status int
 	body   v3json.Error
 }
 
-func refusal(code int, msg string) *failure {
+func newAPIError(code int, msg string) *apiError {
 	status := http.StatusBadRequest
 	switch code {
 	case v3json.CodeNotFound:
@@ -22,5 +22,5 @@
 	case v3json.CodeUnavailable:
 		status = http.StatusServiceUnavailable
 	}
-	return &failure{status: status, body: v3json.Error{Error: msg, Message: msg, Code: code}}
+	return &apiError{status: status, body: v3json.Error{Error: msg, Message: msg, Code: code}}
 }
--- a/store/standin/lease.go
+++ b/store/standin/lease.go
@@ -20,9 +20,9 @@
 	return &c
 }
 
-func (s *state) grant(now time.Time, req v3json.GrantRequest) (v3json.LeaseResponse, *failure) {
+func (s *state) grant(now time.Time, req v3json.GrantRequest) (v3json.LeaseResponse, *apiError) {
 	if s.leases[req.ID] != nil {
-		return v3json.LeaseResponse{}, refusal(v3json.CodeFailedPrecondition, v3json.MsgLeaseExists)
+		return v3json.LeaseResponse{}, newAPIError(v3json.CodeFailedPrecondition, v3json.MsgLeaseExists)
 	}
 	ttl := time.Duration(req.TTL) * time.Second
 	s.leases[req.ID] = &lease{ttl: ttl, expires: now.Add(ttl), keys: make(map[string]struct{})}
@@ -38,32 +38,32 @@
 	return res
 }
 
-func (s *state) revoke(id int64) (v3json.LeaseResponse, *failure) {
+func (s *state) revoke(id int64) (v3json.LeaseResponse, *apiError) {
 	l := s.leases[id]
 	if l == nil {
-		return v3json.LeaseResponse{}, refusal(v3json.CodeNotFound, v3json.MsgLeaseNotFound)
+		return v3json.LeaseResponse{}, newAPIError(v3json.CodeNotFound, v3json.MsgLeaseNotFound)
 	}
-	s.drop(id, l)
+	s.removeLease(id, l)
 	return v3json.LeaseResponse{Header: s.header()}, nil
 }
 
-func (s *state) drop(id int64, l *lease) {
+func (s *state) removeLease(id int64, l *lease) {
 	delete(s.leases, id)
 	if len(l.keys) == 0 {
 		return
 	}
-	rev := s.rev + 1
+	rev := s.revision + 1
 	for key := range l.keys {
-		s.remove(rev, key)
+		s.deleteKey(rev, key)
 	}
-	s.rev = rev
+	s.revision = rev
 }
 
-// expire ends the leases whose time is over.
-func (s *state) expire(now time.Time) {
+// expireLeases ends the leases whose time is over.
+func (s *state) expireLeases(now time.Time) {
 	for id, l := range s.leases {
 		if !now.Before(l.expires) {
-			s.drop(id, l)
+			s.removeLease(id, l)
 		}
 	}
 }
--- a/store/standin/routes.go
+++ b/store/standin/routes.go
@@ -9,64 +9,64 @@
 )
 
 func (s *Server) routes() {
-	s.mux.Handle("POST "+v3json.PathRange, call[v3json.RangeRequest, *v3json.RangeResponse]{
-		server: s,
-		count:  func(c *Counters) *int64 { return &c.Range },
-		writes: never[v3json.RangeRequest],
-		do:     s.rangeKeys,
+	s.mux.Handle("POST "+v3json.PathRange, callHandler[v3json.RangeRequest, *v3json.RangeResponse]{
+		server:  s,
+		counter: func(c *Counters) *int64 { return &c.Range },
+		isWrite: neverWrites[v3json.RangeRequest],
+		run:     s.handleRange,
 	})
-	s.mux.Handle("POST "+v3json.PathTxn, call[v3json.TxnRequest, *v3json.TxnResponse]{
-		server: s,
-		count:  func(c *Counters) *int64 { return &c.Txn },
-		writes: writesKeys,
-		do:     func(r *v3json.TxnRequest) (*v3json.TxnResponse, *failure) { return s.state.txn(r) },
+	s.mux.Handle("POST "+v3json.PathTxn, callHandler[v3json.TxnRequest, *v3json.TxnResponse]{
+		server:  s,
+		counter: func(c *Counters) *int64 { return &c.Txn },
+		isWrite: mayWrite,
+		run:     func(r *v3json.TxnRequest) (*v3json.TxnResponse, *apiError) { return s.state.txn(r) },
 	})
-	s.mux.Handle("POST "+v3json.PathGrant, call[v3json.GrantRequest, v3json.LeaseResponse]{
-		server: s,
-		count:  func(c *Counters) *int64 { return &c.Grant },
-		writes: always[v3json.GrantRequest],
-		do: func(r *v3json.GrantRequest) (v3json.LeaseResponse, *failure) {
+	s.mux.Handle("POST "+v3json.PathGrant, callHandler[v3json.GrantRequest, v3json.LeaseResponse]{
+		server:  s,
+		counter: func(c *Counters) *int64 { return &c.Grant },
+		isWrite: alwaysWrites[v3json.GrantRequest],
+		run: func(r *v3json.GrantRequest) (v3json.LeaseResponse, *apiError) {
 			return s.state.grant(s.now(), *r)
 		},
 	})
-	s.mux.Handle("POST "+v3json.PathKeepAlive, call[v3json.LeaseRequest, v3json.KeepAliveResponse]{
-		server: s,
-		count:  func(c *Counters) *int64 { return &c.KeepAlive },
-		writes: always[v3json.LeaseRequest],
-		do: func(r *v3json.LeaseRequest) (v3json.KeepAliveResponse, *failure) {
+	s.mux.Handle("POST "+v3json.PathKeepAlive, callHandler[v3json.LeaseRequest, v3json.KeepAliveResponse]{
+		server:  s,
+		counter: func(c *Counters) *int64 { return &c.KeepAlive },
+		isWrite: alwaysWrites[v3json.LeaseRequest],
+		run: func(r *v3json.LeaseRequest) (v3json.KeepAliveResponse, *apiError) {
 			return v3json.KeepAliveResponse{Result: s.state.keepAlive(s.now(), r.ID)}, nil
 		},
 	})
-	s.mux.Handle("POST "+v3json.PathRevoke, call[v3json.LeaseRequest, v3json.LeaseResponse]{
-		server: s,
-		count:  func(c *Counters) *int64 { return &c.Revoke },
-		writes: always[v3json.LeaseRequest],
-		do: func(r *v3json.LeaseRequest) (v3json.LeaseResponse, *failure) {
+	s.mux.Handle("POST "+v3json.PathRevoke, callHandler[v3json.LeaseRequest, v3json.LeaseResponse]{
+		server:  s,
+		counter: func(c *Counters) *int64 { return &c.Revoke },
+		isWrite: alwaysWrites[v3json.LeaseRequest],
+		run: func(r *v3json.LeaseRequest) (v3json.LeaseResponse, *apiError) {
 			return s.state.revoke(r.ID)
 		},
 	})
-	s.mux.HandleFunc("POST "+v3json.PathWatch, s.serveWatch)
-	s.controls()
+	s.mux.HandleFunc("POST "+v3json.PathWatch, s.handleWatch)
+	s.controlRoutes()
 }
 
-// writesKeys tells whether a transaction may write; one that only reads counts
+// mayWrite tells whether a transaction may write; one that only reads counts
 // as a read, also for faults that hit writes.
-func writesKeys(req *v3json.TxnRequest) bool {
+func mayWrite(req *v3json.TxnRequest) bool {
 	for _, op := range slices.Concat(req.Success, req.Failure) {
-		if op.Put != nil || op.Delete != nil || op.Txn != nil && writesKeys(op.Txn) {
+		if op.Put != nil || op.Delete != nil || op.Txn != nil && mayWrite(op.Txn) {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *Server) controls() {
+func (s *Server) controlRoutes() {
 	s.mux.HandleFunc("GET /standin/faults", func(w http.ResponseWriter, _ *http.Request) {
-		reply(w, http.StatusOK, s.Faults())
+		writeJSON(w, http.StatusOK, s.Faults())
 	})
-	s.mux.HandleFunc("POST /standin/faults", s.postFaults)
+	s.mux.HandleFunc("POST /standin/faults", s.handleSetFaults)
 	s.mux.HandleFunc("GET /standin/counters", func(w http.ResponseWriter, _ *http.Request) {
-		reply(w, http.StatusOK, s.Counters())
+		writeJSON(w, http.StatusOK, s.Counters())
 	})
 	for path, do := range map[string]func(){
 		"POST /standin/snapshot": s.Snapshot,
@@ -80,7 +80,7 @@
 	}
 }
 
-func (s *Server) postFaults(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleSetFaults(w http.ResponseWriter, r *http.Request) {
 	dec := json.NewDecoder(r.Body)
 	dec.DisallowUnknownFields()
 	var f Faults
@@ -89,5 +89,5 @@
 		return
 	}
 	s.SetFaults(f)
-	reply(w, http.StatusOK, s.Faults())
+	writeJSON(w, http.StatusOK, s.Faults())
 }
--- a/store/standin/server.go
+++ b/store/standin/server.go
@@ -18,15 +18,15 @@
 	mux  *http.ServeMux
 	tomb tomb.Tomb
 
-	mu       sync.Mutex
-	state    *state
-	saved    *state
-	faults   Faults
-	reads    *rate.Limiter
-	writes   *rate.Limiter
-	counters Counters
-	watches  map[*watch]struct{}
-	changed  chan struct{} // closed and replaced when watches may have work
+	mu           sync.Mutex
+	state        *state
+	snapshot     *state
+	faults       Faults
+	readLimiter  *rate.Limiter
+	writeLimiter *rate.Limiter
+	counters     Counters
+	watches      map[*watch]struct{}
+	changed      chan struct{} // closed and replaced when watches may have work
 }
 
 // New returns a running Server.
@@ -81,9 +81,9 @@
 }
 
 func (s *Server) expire() {
-	before := s.state.rev
-	s.state.expire(s.now())
-	s.wakeIf(before)
+	before := s.state.revision
+	s.state.expireLeases(s.now())
+	s.notifyIfChanged(before)
 }
 
 func (s *Server) now() time.Time {
@@ -93,16 +93,16 @@
 	return time.Now()
 }
 
-// wakeIf wakes the watches where the revision is no longer before.
-func (s *Server) wakeIf(before int64) {
-	if s.state.rev == before {
+// notifyIfChanged wakes the watches where the revision is no longer before.
+func (s *Server) notifyIfChanged(before int64) {
+	if s.state.revision == before {
 		return
 	}
-	s.state.trim(s.opts.MaxHistory)
-	s.wake()
+	s.state.trimHistory(s.opts.MaxHistory)
+	s.notifyWatches()
 }
 
-func (s *Server) wake() {
+func (s *Server) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -117,11 +117,11 @@
 	}
 	f.CutWatches, f.FreezeWatches = false, false
 	s.faults = f
-	s.reads, s.writes = limiter(f.MaxReads), limiter(f.MaxWrites)
-	s.wake()
+	s.readLimiter, s.writeLimiter = newLimiter(f.MaxReads), newLimiter(f.MaxWrites)
+	s.notifyWatches()
 }
 
-func limiter(perSecond float64) *rate.Limiter {
+func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return nil
 	}
@@ -147,7 +147,7 @@
 func (s *Server) Snapshot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.saved = s.state.clone()
+	s.snapshot = s.state.clone()
 }
 
 // Restore goes back to the last Snapshot, or to an empty store: revisions go
@@ -156,45 +156,45 @@
 func (s *Server) Restore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	cluster := s.state.cluster
+	cluster := s.state.clusterID
 	s.state = newState()
-	if s.saved != nil {
-		s.state = s.saved.clone()
+	if s.snapshot != nil {
+		s.state = s.snapshot.clone()
 	}
-	s.state.cluster = cluster + 1
+	s.state.clusterID = cluster + 1
 	for _, l := range s.state.leases {
 		l.expires = s.now().Add(l.ttl)
 	}
 	for w := range s.watches {
 		w.cut = true
 	}
-	s.wake()
+	s.notifyWatches()
 }
 
 // Compact forgets all history before the newest revision.
 func (s *Server) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.state.compact(s.state.rev)
+	s.state.compact(s.state.revision)
 }
 
 // Revision returns the newest revision.
 func (s *Server) Revision() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.state.rev
+	return s.state.revision
 }
 
-func (s *Server) rangeKeys(req *v3json.RangeRequest) (*v3json.RangeResponse, *failure) {
+func (s *Server) handleRange(req *v3json.RangeRequest) (*v3json.RangeResponse, *apiError) {
 	rev := req.Revision
 	if rev == 0 {
-		rev = s.state.rev
+		rev = s.state.revision
 	}
-	if rev < s.state.compacted {
-		return nil, refusal(v3json.CodeOutOfRange, v3json.MsgCompacted)
+	if rev < s.state.compactRevision {
+		return nil, newAPIError(v3json.CodeOutOfRange, v3json.MsgCompacted)
 	}
-	if rev > s.state.rev {
-		return nil, refusal(v3json.CodeOutOfRange, v3json.MsgFutureRevision)
+	if rev > s.state.revision {
+		return nil, newAPIError(v3json.CodeOutOfRange, v3json.MsgFutureRevision)
 	}
 	res := &v3json.RangeResponse{Header: s.state.header()}
 	res.Kvs = s.state.list(req.Key, req.RangeEnd, rev)
--- a/store/standin/state.go
+++ b/store/standin/state.go
@@ -12,25 +12,25 @@
 
 // state is the store's content. It is not safe for concurrent use.
 type state struct {
-	cluster   uint64
-	rev       int64
-	compacted int64
-	keys      *btree.BTreeG[entry]
-	log       []v3json.Event // changes after compacted, in order
-	leases    map[int64]*lease
+	clusterID       uint64
+	revision        int64
+	compactRevision int64
+	keys            *btree.BTreeG[entry]
+	log             []v3json.Event // changes after compacted, in order
+	leases          map[int64]*lease
 }
 
 func newState() *state {
 	return &state{
-		cluster: 1,
-		rev:     1,
-		keys:    btree.NewG(btreeDegree, entryLess),
-		leases:  make(map[int64]*lease),
+		clusterID: 1,
+		revision:  1,
+		keys:      btree.NewG(btreeDegree, entryLess),
+		leases:    make(map[int64]*lease),
 	}
 }
 
 func (s *state) header() v3json.Header {
-	return v3json.Header{ClusterID: s.cluster, Revision: s.rev}
+	return v3json.Header{ClusterID: s.clusterID, Revision: s.revision}
 }
 
 func (s *state) get(key string) (v3json.KeyValue, bool) {
@@ -38,7 +38,7 @@
 	if !ok {
 		return v3json.KeyValue{}, false
 	}
-	return e.at(s.rev)
+	return e.valueAt(s.revision)
 }
 
 // inRange tells whether key is in [from, end), as the API writes ranges.
@@ -59,7 +59,7 @@
 		if !inRange(e.key, from, end) {
 			return false
 		}
-		if kv, ok := e.at(rev); ok {
+		if kv, ok := e.valueAt(rev); ok {
 			kvs = append(kvs, kv)
 		}
 		return true
@@ -74,31 +74,31 @@
 	kv.CreateRevision, kv.ModRevision, kv.Version = rev, rev, 1
 	if ok {
 		kv.CreateRevision, kv.Version = old.CreateRevision, old.Version+1
-		s.detach(old)
+		s.detachFromLease(old)
 	}
 	if l := s.leases[leaseID]; l != nil {
 		l.keys[key] = struct{}{}
 	}
-	s.record(key, version{kv: kv})
+	s.appendVersion(key, version{kv: kv})
 }
 
-func (s *state) remove(rev int64, key string) bool {
+func (s *state) deleteKey(rev int64, key string) bool {
 	old, ok := s.get(key)
 	if !ok {
 		return false
 	}
-	s.detach(old)
+	s.detachFromLease(old)
 	kv := v3json.KeyValue{Key: []byte(key), ModRevision: rev}
-	s.record(key, version{kv: kv, deleted: true})
+	s.appendVersion(key, version{kv: kv, deleted: true})
 	return true
 }
 
-func (s *state) record(key string, v version) {
+func (s *state) appendVersion(key string, v version) {
 	e, ok := s.keys.Get(entry{key: key})
 	if !ok {
 		e = entry{key: key}
 	}
-	s.keys.ReplaceOrInsert(e.with(v))
+	s.keys.ReplaceOrInsert(e.withVersion(v))
 	ev := v3json.Event{Kv: v.kv}
 	if v.deleted {
 		ev.Type = v3json.EventDelete
@@ -106,14 +106,14 @@
 	s.log = append(s.log, ev)
 }
 
-func (s *state) detach(kv v3json.KeyValue) {
+func (s *state) detachFromLease(kv v3json.KeyValue) {
 	if l := s.leases[kv.Lease]; l != nil {
 		delete(l.keys, string(kv.Key))
 	}
 }
 
-// since returns the changes in [from, end) after revision rev.
-func (s *state) since(rev int64, from, end []byte) []v3json.Event {
+// eventsSince returns the changes in [from, end) after revision rev.
+func (s *state) eventsSince(rev int64, from, end []byte) []v3json.Event {
 	i, _ := slices.BinarySearchFunc(s.log, rev+1, func(e v3json.Event, r int64) int {
 		return int(e.Kv.ModRevision - r)
 	})
@@ -128,7 +128,7 @@
 
 // compact forgets all history before revision rev.
 func (s *state) compact(rev int64) {
-	s.compacted = rev
+	s.compactRevision = rev
 	i, _ := slices.BinarySearchFunc(s.log, rev, func(e v3json.Event, r int64) int {
 		return int(e.Kv.ModRevision - r)
 	})
@@ -143,8 +143,8 @@
 	s.keys = keys
 }
 
-// trim compacts the older half of a history longer than most.
-func (s *state) trim(most int) {
+// trimHistory compacts the older half of a history longer than most.
+func (s *state) trimHistory(most int) {
 	if len(s.log) > most {
 		s.compact(s.log[len(s.log)/2].Kv.ModRevision)
 	}
--- a/store/swapop.go
+++ b/store/swapop.go
@@ -26,8 +26,8 @@
 	return v3json.RequestOp{Range: &v3json.RangeRequest{Key: []byte(key)}}
 }
 
-// written returns the key after a swap that took effect at revision at.
-func written(s Swap, at Revision) KeyValue {
+// keyAfterSwap returns the key after a swap that took effect at revision at.
+func keyAfterSwap(s Swap, at Revision) KeyValue {
 	if s.Delete {
 		return KeyValue{Key: s.Key}
 	}
@@ -38,19 +38,19 @@
 	return kv
 }
 
-// current returns the key that a range of one key found; Mod is zero where it
+// keyFromRange returns the key that a range of one key found; Mod is zero where it
 // does not exist.
-func current(key string, res *v3json.RangeResponse) KeyValue {
+func keyFromRange(key string, res *v3json.RangeResponse) KeyValue {
 	if res == nil || len(res.Kvs) == 0 {
 		return KeyValue{Key: key}
 	}
-	return fromJSON(res.Kvs[0])
+	return keyValueFromJSON(res.Kvs[0])
 }
 
-// found returns the key as the failure branch of a swap read it.
-func found(key string, res *v3json.TxnResponse) KeyValue {
+// keyFromFailure returns the key as the failure branch of a swap read it.
+func keyFromFailure(key string, res *v3json.TxnResponse) KeyValue {
 	if len(res.Responses) == 0 {
 		return KeyValue{Key: key}
 	}
-	return current(key, res.Responses[0].Range)
+	return keyFromRange(key, res.Responses[0].Range)
 }
--- a/store/watch.go
+++ b/store/watch.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	watchBackoff    = 20 * time.Millisecond
+	watchBackoffMin = 20 * time.Millisecond
 	watchBackoffMax = 5 * time.Second
 )
 
@@ -28,16 +28,16 @@
 //
 // Where the process's budget is used up, reconnecting waits.
 func (c *Client) Watch(ctx context.Context, prefix string, from Revision, deliver func(WatchBatch)) error {
-	w := &watcher{client: c, prefix: prefix, last: from - 1, deliver: deliver}
+	w := &watcher{client: c, prefix: prefix, lastRevision: from - 1, deliver: deliver}
 	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = watchBackoff
+	pause.InitialInterval = watchBackoffMin
 	pause.MaxInterval = watchBackoffMax
 	for i := 0; ; i++ {
 		if err := c.limiter.Wait(ctx); err != nil {
-			return ended(ctx, err)
+			return watchError(ctx, err)
 		}
 		c.counts.watch.Add(1)
-		delivered, err := w.connect(ctx, c.endpoint(i))
+		delivered, err := w.watchOnce(ctx, c.endpoint(i))
 		if eris.Is(err, ErrCompacted) {
 			return err
 		}
@@ -50,8 +50,8 @@
 	}
 }
 
-// ended prefers the context's own error.
-func ended(ctx context.Context, err error) error {
+// watchError prefers the context's own error.
+func watchError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
--- a/store/watch_test.go
+++ b/store/watch_test.go
@@ -16,7 +16,7 @@
 	"github.com/eelgrasshub/eelgrasshub/store/standin"
 )
 
-func serve(t testing.TB, srv *standin.Server) string {
+func serveStandin(t testing.TB, srv *standin.Server) string {
 	web := httptest.NewServer(srv)
 	t.Cleanup(func() {
 		srv.Close()
@@ -25,14 +25,14 @@
 	return web.URL
 }
 
-func quickIdle(o *store.Options) { o.WatchIdleTimeout = 100 * time.Millisecond }
+func shortWatchIdle(o *store.Options) { o.WatchIdleTimeout = 100 * time.Millisecond }
 
-var quickProgress = standin.Options{ProgressInterval: 20 * time.Millisecond}
+var frequentProgress = standin.Options{ProgressInterval: 20 * time.Millisecond}
 
-// collect watches from the first revision on until it has seen a key named
+// collectEvents watches from the first revision on until it has seen a key named
 // end, and returns the events.
-func collect(c *qt.C, kv store.Store, prefix string) []store.Event {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func collectEvents(c *qt.C, kv store.Store, prefix string) []store.Event {
+	ctx, cancel := context.WithTimeout(context.Background(), generousTimeout)
 	defer cancel()
 	var events []store.Event
 	err := kv.Watch(ctx, prefix, 1, func(b store.WatchBatch) {
@@ -55,17 +55,17 @@
 func TestWatchAndSwapsUnderFaults(t *testing.T) {
 	const seed, writers, writes = 1, 4, 150
 	c := qt.New(t)
-	srv, kv := start(t, quickProgress, quickIdle)
+	srv, kv := startStore(t, frequentProgress, shortWatchIdle)
 	var watching, writing sync.WaitGroup
 	var seen []store.Event
-	watching.Go(func() { seen = collect(c, kv, "k/") })
+	watching.Go(func() { seen = collectEvents(c, kv, "k/") })
 	results := make(map[string]store.SwapResult)
 	var mu sync.Mutex
 	for n := range writers {
 		rng := rand.New(rand.NewPCG(seed, uint64(n)))
 		writing.Go(func() {
 			for i := range writes {
-				disturb(srv, rng)
+				injectRandomFault(srv, rng)
 				value := fmt.Sprintf("%d/%d", n, i)
 				res := randomSwap(c, kv, rng, value)
 				mu.Lock()
@@ -79,7 +79,7 @@
 	swapOne(c, kv, store.Swap{Key: "k/end", Value: []byte("end")})
 	watching.Wait()
 
-	truth := collect(c, kv, "k/")
+	truth := collectEvents(c, kv, "k/")
 	c.Assert(seen, qt.DeepEquals, truth)
 	made := make(map[string]int)
 	for _, e := range truth {
@@ -103,7 +103,7 @@
 	c.Assert(swapped > 0 && conflicts > 0 && kv.Calls().Lost > 0, qt.IsTrue)
 }
 
-func disturb(srv *standin.Server, rng *rand.Rand) {
+func injectRandomFault(srv *standin.Server, rng *rand.Rand) {
 	switch n := rng.IntN(80); {
 	case n < 10:
 		srv.SetFaults(standin.Faults{LoseReplies: 1 + rng.IntN(3)})
@@ -138,11 +138,11 @@
 
 // A change is in the store and never arrives: something between the two ends
 // has lost track of the connection, which stays open and silent.
-func TestWatchSilent(t *testing.T) {
+func TestWatchReplacesUnresponsiveConnection(t *testing.T) {
 	c := qt.New(t)
-	srv, kv := start(t, quickProgress, quickIdle)
+	srv, kv := startStore(t, frequentProgress, shortWatchIdle)
 	swapOne(c, kv, store.Swap{Key: "1", Value: []byte("v")})
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), generousTimeout)
 	defer cancel()
 	var keys []string
 	err := kv.Watch(ctx, "", 1, func(b store.WatchBatch) {
@@ -170,7 +170,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			srv, kv := start(t, quickProgress, quickIdle)
+			srv, kv := startStore(t, frequentProgress, shortWatchIdle)
 			for i := range 5 {
 				swapOne(c, kv, store.Swap{Key: fmt.Sprint(i), Value: []byte("v")})
 			}
@@ -183,9 +183,9 @@
 
 // The store is rebuilt while a watch is open; its revisions have already
 // passed the old ones when the watch is back.
-func TestWatchRestoredAndPassed(t *testing.T) {
+func TestWatchRestoredBeyondOldRevision(t *testing.T) {
 	c := qt.New(t)
-	srv, kv := start(t, quickProgress, quickIdle)
+	srv, kv := startStore(t, frequentProgress, shortWatchIdle)
 	first := true
 	err := kv.Watch(context.Background(), "", 1, func(store.WatchBatch) {
 		if first {
--- a/store/watcher.go
+++ b/store/watcher.go
@@ -12,16 +12,16 @@
 
 // watcher is one Watch across its connections. One goroutine owns it.
 type watcher struct {
-	client  *Client
-	prefix  string
-	last    Revision // delivered, or known to hold nothing to deliver
-	cluster uint64
-	deliver func(WatchBatch)
+	client       *Client
+	prefix       string
+	lastRevision Revision // delivered, or known to hold nothing to deliver
+	clusterID    uint64
+	deliver      func(WatchBatch)
 }
 
-// connect follows one connection to its end and reports whether it delivered
+// watchOnce follows one connection to its end and reports whether it delivered
 // anything.
-func (w *watcher) connect(ctx context.Context, base string) (bool, error) {
+func (w *watcher) watchOnce(ctx context.Context, base string) (bool, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	// The connection may go silent for good, because something between the
@@ -30,21 +30,21 @@
 	idle := w.client.opts.WatchIdleTimeout
 	silent := time.AfterFunc(idle, cancel)
 	defer silent.Stop()
-	resp, err := w.open(ctx, base)
+	resp, err := w.openStream(ctx, base)
 	if err != nil {
 		return false, err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return false, refused(resp).err()
+		return false, errorResult(resp).err()
 	}
-	return w.follow(resp.Body, func() { silent.Reset(idle) })
+	return w.readStream(resp.Body, func() { silent.Reset(idle) })
 }
 
-func (w *watcher) open(ctx context.Context, base string) (*http.Response, error) {
+func (w *watcher) openStream(ctx context.Context, base string) (*http.Response, error) {
 	req := v3json.WatchRequest{}
 	req.Create.Key, req.Create.RangeEnd = prefixRange(w.prefix)
-	req.Create.StartRevision = int64(w.last + 1)
+	req.Create.StartRevision = int64(w.lastRevision + 1)
 	req.Create.ProgressNotify = true
 	body, err := json.Marshal(req)
 	if err != nil {
@@ -54,74 +54,74 @@
 	return resp, err
 }
 
-func (w *watcher) follow(body io.Reader, alive func()) (bool, error) {
+func (w *watcher) readStream(body io.Reader, alive func()) (bool, error) {
 	dec := json.NewDecoder(body)
-	start := w.last
+	start := w.lastRevision
 	for {
 		var msg v3json.WatchMessage
 		if err := dec.Decode(&msg); err != nil {
-			return w.last > start, err
+			return w.lastRevision > start, err
 		}
 		alive()
 		if msg.Result == nil {
-			return w.last > start, ErrUnavailable
+			return w.lastRevision > start, ErrUnavailable
 		}
-		if err := w.handle(msg.Result); err != nil {
-			return w.last > start, err
+		if err := w.handleResponse(msg.Result); err != nil {
+			return w.lastRevision > start, err
 		}
 	}
 }
 
-// handle takes one message. Progress notices and events advance last; the
+// handleResponse takes one message. Progress notices and events advance last; the
 // header of a creation or of events does not, since changes up to its revision
 // may still be on their way.
-func (w *watcher) handle(res *v3json.WatchResponse) error {
+func (w *watcher) handleResponse(res *v3json.WatchResponse) error {
 	if res.CompactRevision > 0 {
 		return ErrCompacted
 	}
-	if !plausibleHeader(res.Header) || !plausibleEvents(w.prefix, res.Events) {
+	if !validHeader(res.Header) || !validEvents(w.prefix, res.Events) {
 		return ErrUnavailable
 	}
-	if w.restored(res.Header) {
+	if w.storeReplaced(res.Header) {
 		return ErrCompacted
 	}
 	if res.Canceled {
 		return ErrUnavailable
 	}
-	if w.last < 0 {
-		w.last = Revision(res.Header.Revision)
+	if w.lastRevision < 0 {
+		w.lastRevision = Revision(res.Header.Revision)
 	}
-	batch := WatchBatch{At: w.last}
+	batch := WatchBatch{At: w.lastRevision}
 	for _, e := range res.Events {
-		if Revision(e.Kv.ModRevision) <= w.last {
+		if Revision(e.Kv.ModRevision) <= w.lastRevision {
 			continue
 		}
-		batch.Events = append(batch.Events, event(e))
+		batch.Events = append(batch.Events, eventFromJSON(e))
 		batch.At = Revision(e.Kv.ModRevision)
 	}
 	if len(res.Events) == 0 && !res.Created {
 		batch.At = Revision(res.Header.Revision)
 	}
-	if batch.At == w.last {
+	if batch.At == w.lastRevision {
 		return nil
 	}
-	w.last = batch.At
+	w.lastRevision = batch.At
 	w.deliver(batch)
 	return nil
 }
 
-// restored tells whether the store was rebuilt from a backup. Its revisions go
+// storeReplaced tells whether the store was rebuilt from a backup. Its revisions go
 // back then, and a watch from a later one would wait, silently missing all
 // changes until they pass it.
-func (w *watcher) restored(h v3json.Header) bool {
-	if w.cluster == 0 {
-		w.cluster = h.ClusterID
+func (w *watcher) storeReplaced(h v3json.Header) bool {
+	if w.clusterID == 0 {
+		w.clusterID = h.ClusterID
 	}
-	return h.ClusterID != w.cluster || Revision(h.Revision) < w.last
+	return h.ClusterID != w.clusterID || Revision(h.Revision) < w.lastRevision
 }
 
-func event(e v3json.Event) Event {
-	kv := fromJSON(e.Kv)
+func eventFromJSON(e v3json.Event) Event {
+	kv := keyValueFromJSON(e.Kv)
 	if e.Type == v3json.EventDelete {
 		return Event{KeyValue: KeyValue{Key: kv.Key, Mod: kv.Mod}, Deleted: true}
 	}
--- a/wire/call.go
+++ b/wire/call.go
@@ -12,7 +12,7 @@
 // ErrOutcomeUnknown.
 func (c *Conn) Call(ctx context.Context, msg any) (any, error) {
 	if !c.calls.begin() {
-		return nil, notSent(ErrClosed)
+		return nil, callNotHandled(ErrClosed)
 	}
 	defer c.calls.end()
 	return c.exchange(ctx, msg)
@@ -22,30 +22,30 @@
 func (c *Conn) exchange(ctx context.Context, msg any) (any, error) {
 	frame, err := encodeFrame(msg, c.ep.cfg.MaxPayload)
 	if err != nil {
-		return nil, notSent(err)
+		return nil, callNotHandled(err)
 	}
-	stream, err := c.q.OpenStreamSync(ctx)
+	stream, err := c.quicConn.OpenStreamSync(ctx)
 	if err != nil {
-		return nil, notSent(cause(ctx, err))
+		return nil, callNotHandled(contextCause(ctx, err))
 	}
 	stop := context.AfterFunc(ctx, func() { cancelStream(stream) })
 	defer stop()
-	if err := c.send(ctx, stream, frame); err != nil {
+	if err := c.sendFrame(ctx, stream, frame); err != nil {
 		return nil, err
 	}
-	return c.receive(ctx, stream)
+	return c.receiveReply(ctx, stream)
 }
 
-// send draws the line between ErrNotSent and ErrOutcomeUnknown. The peer
+// sendFrame draws the line between ErrNotSent and ErrOutcomeUnknown. The peer
 // handles a frame only after the end of our direction, and that end leaves
 // this process only if Close is called. Until then a failed write, a lost
 // connection or a cancelled context proves that the message is not handled,
 // even if all its bytes arrived. From the call of Close on nothing is proved,
 // whatever Close returns: a cancellation may race with it.
-func (c *Conn) send(ctx context.Context, stream *quic.Stream, frame []byte) error {
+func (c *Conn) sendFrame(ctx context.Context, stream *quic.Stream, frame []byte) error {
 	if _, err := stream.Write(frame); err != nil {
 		cancelStream(stream)
-		return notSent(cause(ctx, err))
+		return callNotHandled(contextCause(ctx, err))
 	}
 	// A failed Close is not the end either: the peer may have stopped reading
 	// because it refused the frame, and then its reply says so.
@@ -53,30 +53,30 @@
 	return nil
 }
 
-func (c *Conn) receive(ctx context.Context, stream *quic.Stream) (any, error) {
-	raw, err := readFrame(heardReader{c, stream}, c.ep.cfg.MaxPayload)
+func (c *Conn) receiveReply(ctx context.Context, stream *quic.Stream) (any, error) {
+	raw, err := readFrame(activityReader{c, stream}, c.ep.cfg.MaxPayload)
 	if err != nil {
-		stream.CancelRead(streamCancel)
-		return nil, outcomeUnknown(cause(ctx, err))
+		stream.CancelRead(streamCancelled)
+		return nil, callOutcomeUnknown(contextCause(ctx, err))
 	}
-	msg, err := raw.message()
+	msg, err := raw.decode()
 	if err != nil {
-		return nil, outcomeUnknown(err)
+		return nil, callOutcomeUnknown(err)
 	}
 	if remote, ok := msg.(*remoteError); ok {
-		return nil, remote.asCallError()
+		return nil, remote.callError()
 	}
 	return msg, nil
 }
 
 // cancelStream gives up both directions; the peer's handler is cancelled.
 func cancelStream(stream *quic.Stream) {
-	stream.CancelWrite(streamCancel)
-	stream.CancelRead(streamCancel)
+	stream.CancelWrite(streamCancelled)
+	stream.CancelRead(streamCancelled)
 }
 
-// cause prefers the context's error to the stream error that it led to.
-func cause(ctx context.Context, err error) error {
+// contextCause prefers the context's error to the stream error that it led to.
+func contextCause(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
 	}
--- a/wire/call_test.go
+++ b/wire/call_test.go
@@ -13,14 +13,14 @@
 func TestBothEndsCallOverOneConnection(t *testing.T) {
 	c := qt.New(t)
 	accepted := make(chan *Conn, 1)
-	server := open(c, "entry", Config{OnAccept: func(conn *Conn) { accepted <- conn }}, echo)
-	client := open(c, "agent", Config{}, echo)
+	server := openEndpoint(c, "entry", Config{OnAccept: func(conn *Conn) { accepted <- conn }}, echo)
+	client := openEndpoint(c, "agent", Config{}, echo)
 	conn := dial(c, client, server.Addr())
 	c.Assert(conn.Peer().ID, qt.Equals, "entry")
 	back := await(c, accepted)
 	c.Assert(back.Peer(), qt.Equals, client.Identity().Peer())
 	for _, conn := range []*Conn{conn, back} {
-		reply, err := conn.Call(within(c, 10*time.Second), GangMessage{Payload: []byte("x")})
+		reply, err := conn.Call(contextWithTimeout(c, 10*time.Second), GangMessage{Payload: []byte("x")})
 		c.Assert(err, qt.IsNil)
 		c.Assert(reply, qt.DeepEquals, &GangReply{Payload: []byte("x")})
 	}
@@ -30,25 +30,25 @@
 // If it believed the booking had not run, it would send it elsewhere and the
 // space would be booked twice. The handler has the message, so the outcome must
 // be unknown. A call on the dead connection afterwards never left.
-func TestConnectionLostMidCallIsUnknown(t *testing.T) {
+func TestLostConnectionLeavesOutcomeUnknown(t *testing.T) {
 	c := qt.New(t)
 	running := make(chan struct{})
 	cancelled := make(chan struct{})
-	server := open(c, "agent", Config{}, func(ctx context.Context, from *Conn, _ any) (any, error) {
+	server := openEndpoint(c, "agent", Config{}, func(ctx context.Context, from *Conn, _ any) (any, error) {
 		close(running)
 		from.Close()
 		<-ctx.Done()
 		close(cancelled)
 		return nil, ctx.Err()
 	})
-	client := open(c, "entry", Config{}, echo)
+	client := openEndpoint(c, "entry", Config{}, echo)
 	conn := dial(c, client, server.Addr())
-	_, err := conn.Call(within(c, 10*time.Second), GangMessage{})
+	_, err := conn.Call(contextWithTimeout(c, 10*time.Second), GangMessage{})
 	await(c, running)
 	c.Assert(errors.Is(err, ErrOutcomeUnknown), qt.IsTrue, qt.Commentf("%v", err))
 	c.Assert(errors.Is(err, ErrNotHandled), qt.IsFalse)
 	await(c, cancelled)
-	_, err = conn.Call(within(c, 10*time.Second), GangMessage{})
+	_, err = conn.Call(contextWithTimeout(c, 10*time.Second), GangMessage{})
 	c.Assert(errors.Is(err, ErrNotHandled), qt.IsTrue, qt.Commentf("%v", err))
 }
 
@@ -58,13 +58,13 @@
 	c := qt.New(t)
 	running := make(chan struct{})
 	cancelled := make(chan struct{})
-	server := open(c, "agent", Config{}, func(ctx context.Context, _ *Conn, _ any) (any, error) {
+	server := openEndpoint(c, "agent", Config{}, func(ctx context.Context, _ *Conn, _ any) (any, error) {
 		close(running)
 		<-ctx.Done()
 		close(cancelled)
 		return nil, ctx.Err()
 	})
-	client := open(c, "entry", Config{}, echo)
+	client := openEndpoint(c, "entry", Config{}, echo)
 	conn := dial(c, client, server.Addr())
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
@@ -75,15 +75,15 @@
 	c.Assert(errors.Is(err, ErrOutcomeUnknown), qt.IsTrue)
 	c.Assert(errors.Is(err, context.Canceled), qt.IsTrue)
 	await(c, cancelled)
-	c.Assert(conn.Ping(within(c, 10*time.Second)), qt.IsNil)
+	c.Assert(conn.Ping(contextWithTimeout(c, 10*time.Second)), qt.IsNil)
 }
 
 type unregistered struct{}
 
-func TestRefusalsProveThatNothingRan(t *testing.T) {
+func TestCallErrorsMatchHandlerExecution(t *testing.T) {
 	c := qt.New(t)
 	var ran atomic.Int32
-	server := open(c, "agent", Config{MaxPayload: 100}, func(_ context.Context, _ *Conn, msg any) (any, error) {
+	server := openEndpoint(c, "agent", Config{MaxPayload: 100}, func(_ context.Context, _ *Conn, msg any) (any, error) {
 		ran.Add(1)
 		switch string(msg.(*GangMessage).Payload) {
 		case "no":
@@ -94,7 +94,7 @@
 			return nil, &CallError{Outcome: ErrNotHandled, Cause: errors.New("of another call")}
 		}
 	})
-	client := open(c, "entry", Config{}, echo)
+	client := openEndpoint(c, "entry", Config{}, echo)
 	conn := dial(c, client, server.Addr())
 	for _, test := range []struct {
 		story string
@@ -109,7 +109,7 @@
 		{"a handler that failed in a call of its own", GangMessage{}, []error{ErrOutcomeUnknown, ErrHandler}, 2},
 		{"a reply beyond the limit", GangMessage{Payload: []byte("big")}, []error{ErrOutcomeUnknown, ErrHandler}, 3},
 	} {
-		_, err := conn.Call(within(c, 10*time.Second), test.msg)
+		_, err := conn.Call(contextWithTimeout(c, 10*time.Second), test.msg)
 		c.Check(errors.Is(err, ErrNotHandled) != errors.Is(err, ErrOutcomeUnknown), qt.IsTrue)
 		for _, want := range test.want {
 			c.Check(errors.Is(err, want), qt.IsTrue, qt.Commentf("%s: %v", test.story, err))
@@ -121,40 +121,40 @@
 // Story: an entry cancels a booking because another call of its own was not
 // sent. The booking is running; the cause of the cancellation must not make it
 // look as if it had not been sent either.
-func TestCauseDoesNotChangeTheOutcome(t *testing.T) {
+func TestCancelCauseDoesNotChangeOutcome(t *testing.T) {
 	c := qt.New(t)
 	running := make(chan struct{})
-	server := open(c, "agent", Config{}, func(ctx context.Context, _ *Conn, _ any) (any, error) {
+	server := openEndpoint(c, "agent", Config{}, func(ctx context.Context, _ *Conn, _ any) (any, error) {
 		close(running)
 		<-ctx.Done()
 		return nil, ctx.Err()
 	})
-	conn := dial(c, open(c, "entry", Config{}, echo), server.Addr())
+	conn := dial(c, openEndpoint(c, "entry", Config{}, echo), server.Addr())
 	ctx, cancel := context.WithCancelCause(context.Background())
 	go func() {
 		<-running
-		cancel(notSent(ErrClosed))
+		cancel(callNotHandled(ErrClosed))
 	}()
 	_, err := conn.Call(ctx, GangMessage{})
 	c.Assert(errors.Is(err, ErrOutcomeUnknown), qt.IsTrue)
 	c.Assert(errors.Is(err, ErrNotHandled), qt.IsFalse)
 }
 
-func TestWrongClusterKeyIsRefused(t *testing.T) {
+func TestWrongClusterKeyIsRejected(t *testing.T) {
 	c := qt.New(t)
-	server := open(c, "entry", Config{}, echo)
+	server := openEndpoint(c, "entry", Config{}, echo)
 	for _, test := range []struct {
 		story string
 		id    Identity
 		want  bool
 	}{
-		{"a process of another cluster", identity(c, "x", otherKey), false},
-		{"it trusts us but we don't trust it", identity(c, "x", otherKey, testKey), false},
-		{"the key is being replaced: ours, other accepted", identity(c, "x", testKey, otherKey), true},
+		{"a process of another cluster", newTestIdentity(c, "x", otherKey), false},
+		{"it trusts us but we don't trust it", newTestIdentity(c, "x", otherKey, testKey), false},
+		{"the key is being replaced: ours, other accepted", newTestIdentity(c, "x", testKey, otherKey), true},
 	} {
 		client, err := Listen("127.0.0.1:0", test.id, HandlerFunc(echo))
 		c.Assert(err, qt.IsNil)
-		_, err = client.Dial(within(c, 10*time.Second), server.Addr())
+		_, err = client.Dial(contextWithTimeout(c, 10*time.Second), server.Addr())
 		c.Check(err == nil, qt.Equals, test.want, qt.Commentf("%s: %v", test.story, err))
 		c.Check(err == nil || errors.Is(err, ErrNotHandled), qt.IsTrue)
 		c.Assert(client.Close(), qt.IsNil)
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -5,7 +5,7 @@
 // Limits on decoded payloads. A peer has proved that it holds the cluster key,
 // so they guard against faults, not against attackers.
 const (
-	maxNesting       = 16
+	maxNestedLevels  = 16
 	maxArrayElements = 32768
 	maxMapPairs      = 1024
 )
@@ -25,7 +25,7 @@
 
 func mustDecMode() cbor.DecMode {
 	mode, err := cbor.DecOptions{
-		MaxNestedLevels:  maxNesting,
+		MaxNestedLevels:  maxNestedLevels,
 		MaxArrayElements: maxArrayElements,
 		MaxMapPairs:      maxMapPairs,
 	}.DecMode()
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -11,31 +11,31 @@
 // Conn is one connection. Both ends may Call over it. It is safe for
 // concurrent use.
 type Conn struct {
-	ep    *Endpoint
-	q     *quic.Conn
-	onEnd func()
-	peer  atomic.Pointer[Peer]
-	calls inflight
-	used  credits
-
-	opened    time.Time
-	heard     atomic.Int64 // since opened
-	probing   atomic.Bool
-	suspect   atomic.Bool
-	suspected chan struct{}
-	suspectAt atomic.Int64 // since opened
-	once      sync.Once
-	away      chan struct{}
-	awayOnce  sync.Once
+	ep            *Endpoint
+	quicConn      *quic.Conn
+	onClose       func()
+	peer          atomic.Pointer[Peer]
+	calls         inflight
+	streamCredits creditBatcher
+
+	opened        time.Time
+	lastReceived  atomic.Int64 // since opened
+	probing       atomic.Bool
+	suspect       atomic.Bool
+	suspected     chan struct{}
+	suspectedAt   atomic.Int64 // since opened
+	suspectedOnce sync.Once
+	draining      chan struct{}
+	drainingOnce  sync.Once
 }
 
 func newConn(ep *Endpoint, q *quic.Conn) *Conn {
 	return &Conn{
 		ep:        ep,
-		q:         q,
+		quicConn:  q,
 		opened:    ep.now(),
 		suspected: make(chan struct{}),
-		away:      make(chan struct{}),
+		draining:  make(chan struct{}),
 	}
 }
 
@@ -49,10 +49,10 @@
 }
 
 // RemoteAddr returns the other end's UDP address.
-func (c *Conn) RemoteAddr() string { return c.q.RemoteAddr().String() }
+func (c *Conn) RemoteAddr() string { return c.quicConn.RemoteAddr().String() }
 
 // Done is closed when the connection has ended.
-func (c *Conn) Done() <-chan struct{} { return c.q.Context().Done() }
+func (c *Conn) Done() <-chan struct{} { return c.quicConn.Context().Done() }
 
 // Suspected is closed when a Ping first stays unanswered: the path may have
 // gone silent. Calls that can be tried elsewhere need not wait longer.
@@ -60,18 +60,18 @@
 
 // Draining is closed when either end is about to close the connection; it
 // takes no new calls.
-func (c *Conn) Draining() <-chan struct{} { return c.away }
+func (c *Conn) Draining() <-chan struct{} { return c.draining }
 
 // LastReceived returns when the peer's process was last heard: when bytes of one
 // of its messages arrived. QUIC's own acknowledgements don't count.
 func (c *Conn) LastReceived() time.Time {
-	return c.opened.Add(time.Duration(c.heard.Load()))
+	return c.opened.Add(time.Duration(c.lastReceived.Load()))
 }
 
 // Usable says whether a new call is worth sending: the connection is open,
 // takes calls and is not suspected now.
 func (c *Conn) Usable() bool {
-	return c.q.Context().Err() == nil && !c.calls.isStopped() && !c.suspect.Load()
+	return c.quicConn.Context().Err() == nil && !c.calls.isStopped() && !c.suspect.Load()
 }
 
 // OutstandingCalls returns the number of calls that wait for their reply.
@@ -84,52 +84,52 @@
 
 func (c *Conn) close(code quic.ApplicationErrorCode, text string) {
 	c.calls.stop()
-	c.q.CloseWithError(code, text)
+	c.quicConn.CloseWithError(code, text)
 }
 
-// loop accepts the peer's exchanges until the connection ends. It runs in the
+// acceptStreams accepts the peer's exchanges until the connection ends. It runs in the
 // endpoint's tomb, and so may add to it.
-func (c *Conn) loop() error {
-	defer c.onEnd()
-	defer c.ep.forget(c)
+func (c *Conn) acceptStreams() error {
+	defer c.onClose()
+	defer c.ep.unregister(c)
 	for {
-		stream, err := c.q.AcceptStream(c.q.Context())
+		stream, err := c.quicConn.AcceptStream(c.quicConn.Context())
 		if err != nil {
 			c.calls.stop()
 			return nil
 		}
 		c.ep.tomb.Go(func() error {
-			defer c.used.add(stream)
-			c.serve(stream)
+			defer c.streamCredits.add(stream)
+			c.serveStream(stream)
 			return nil
 		})
 	}
 }
 
-func (c *Conn) hear() {
-	c.heard.Store(int64(c.ep.now().Sub(c.opened)))
+func (c *Conn) markReceived() {
+	c.lastReceived.Store(int64(c.ep.now().Sub(c.opened)))
 	if c.suspect.Load() {
 		c.suspect.Store(false)
 	}
 }
 
-// leaving refuses new calls and returns a channel that is closed when none is
+// beginDrain refuses new calls and returns a channel that is closed when none is
 // outstanding.
-func (c *Conn) leaving() <-chan struct{} {
-	c.awayOnce.Do(func() { close(c.away) })
+func (c *Conn) beginDrain() <-chan struct{} {
+	c.drainingOnce.Do(func() { close(c.draining) })
 	return c.calls.stop()
 }
 
-// heardReader notes every arrival of application bytes.
-type heardReader struct {
+// activityReader notes every arrival of application bytes.
+type activityReader struct {
 	c      *Conn
 	stream *quic.Stream
 }
 
-func (r heardReader) Read(p []byte) (int, error) {
+func (r activityReader) Read(p []byte) (int, error) {
 	n, err := r.stream.Read(p)
 	if n > 0 {
-		r.c.hear()
+		r.c.markReceived()
 	}
 	return n, err
 }
--- a/wire/dial.go
+++ b/wire/dial.go
@@ -17,28 +17,28 @@
 func (ep *Endpoint) Dial(ctx context.Context, addr string) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, ep.cfg.HandshakeTimeout)
 	defer cancel()
-	c, err := ep.handshake(ctx, addr)
+	c, err := ep.dialQUIC(ctx, addr)
 	if err != nil {
-		return nil, notSent(eris.Wrapf(err, "dial %s", addr))
+		return nil, callNotHandled(eris.Wrapf(err, "dial %s", addr))
 	}
-	if !ep.start(c) {
+	if !ep.register(c) {
 		c.Close()
-		c.onEnd()
-		return nil, notSent(ErrClosed)
+		c.onClose()
+		return nil, callNotHandled(ErrClosed)
 	}
-	if err := c.hello(ctx); err != nil {
+	if err := c.sendHello(ctx); err != nil {
 		c.Close()
-		return nil, notSent(eris.Wrapf(err, "hello to %s", addr))
+		return nil, callNotHandled(eris.Wrapf(err, "hello to %s", addr))
 	}
 	return c, nil
 }
 
-func (ep *Endpoint) handshake(ctx context.Context, addr string) (*Conn, error) {
+func (ep *Endpoint) dialQUIC(ctx context.Context, addr string) (*Conn, error) {
 	remote, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
 		return nil, err
 	}
-	socket, err := ep.cfg.ListenPacket("udp", wildcard(remote))
+	socket, err := ep.cfg.ListenPacket("udp", localAddrFor(remote))
 	if err != nil {
 		return nil, err
 	}
@@ -47,26 +47,26 @@
 		transport.Close()
 		socket.Close()
 	}
-	q, err := transport.Dial(ctx, remote, ep.id.tlsConfig(), ep.quicCfg)
+	q, err := transport.Dial(ctx, remote, ep.id.tlsConfig(), ep.quicConfig)
 	if err != nil {
 		release()
 		return nil, err
 	}
 	c := newConn(ep, q)
-	c.onEnd = release
+	c.onClose = release
 	return c, nil
 }
 
-// wildcard is the local address that reaches remote.
-func wildcard(remote *net.UDPAddr) string {
+// localAddrFor is the local address that reaches remote.
+func localAddrFor(remote *net.UDPAddr) string {
 	if remote.IP.IsLoopback() {
 		return net.JoinHostPort(remote.IP.String(), "0")
 	}
 	return ":0"
 }
 
-// hello introduces the dialer and learns the peer.
-func (c *Conn) hello(ctx context.Context) error {
+// sendHello introduces the dialer and learns the peer.
+func (c *Conn) sendHello(ctx context.Context) error {
 	reply, err := c.exchange(ctx, &Hello{Peer: c.ep.id.peer})
 	if err != nil {
 		return err
--- a/wire/drain.go
+++ b/wire/drain.go
@@ -13,7 +13,7 @@
 // Close the endpoint afterwards in either case.
 func (ep *Endpoint) Drain(ctx context.Context) error {
 	select {
-	case <-ep.serving.stop():
+	case <-ep.handling.stop():
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -28,7 +28,7 @@
 // connection that ends meanwhile is no error.
 func (c *Conn) Drain(ctx context.Context) error {
 	select {
-	case <-c.leaving():
+	case <-c.beginDrain():
 	case <-c.Done():
 		return nil
 	case <-ctx.Done():
--- a/wire/drain_test.go
+++ b/wire/drain_test.go
@@ -11,9 +11,9 @@
 	"github.com/eelgrasshub/eelgrasshub/internal/relay"
 )
 
-// repeated is how many lost datagrams show that an end has sent a message and sent
+// retransmissions is how many lost datagrams show that an end has sent a message and sent
 // it again. QUIC doubles the time between, so they are well apart.
-const repeated = 3
+const retransmissions = 3
 
 func awaitDraining(ep *Endpoint) {
 	for !ep.isDraining() {
@@ -24,16 +24,16 @@
 // Story: an agent is asked to stop while it answers a request. The answer must
 // reach the caller, new requests must be told that they did not run, and then
 // the agent's connections close.
-func TestDrainInterruptsNothing(t *testing.T) {
+func TestDrainCompletesRunningCalls(t *testing.T) {
 	c := qt.New(t)
 	running := make(chan struct{})
 	release := make(chan struct{})
-	server := open(c, "agent", Config{}, func(ctx context.Context, from *Conn, msg any) (any, error) {
+	server := openEndpoint(c, "agent", Config{}, func(ctx context.Context, from *Conn, msg any) (any, error) {
 		close(running)
 		<-release
 		return echo(ctx, from, msg)
 	})
-	client := open(c, "entry", Config{}, echo)
+	client := openEndpoint(c, "entry", Config{}, echo)
 	conn := dial(c, client, server.Addr())
 	answered := make(chan error, 1)
 	go func() {
@@ -44,10 +44,10 @@
 	drained := make(chan error, 1)
 	go func() { drained <- server.Drain(context.Background()) }()
 	awaitDraining(server)
-	_, err := conn.Call(within(c, 20*time.Second), GangMessage{})
+	_, err := conn.Call(contextWithTimeout(c, 20*time.Second), GangMessage{})
 	c.Assert(errors.Is(err, ErrNotHandled), qt.IsTrue, qt.Commentf("%v", err))
 	c.Assert(errors.Is(err, ErrDraining), qt.IsTrue)
-	_, err = client.Dial(within(c, 20*time.Second), server.Addr())
+	_, err = client.Dial(contextWithTimeout(c, 20*time.Second), server.Addr())
 	c.Assert(errors.Is(err, ErrNotHandled), qt.IsTrue)
 	close(release)
 	c.Assert(await(c, answered), qt.IsNil)
@@ -58,17 +58,17 @@
 // Story: an agent stops right after its last answer, and the network loses the
 // packet with the answer. QUIC would send it again, but not once the agent has
 // closed the connection. The caller must still get the answer.
-func TestDrainWaitsForALostReply(t *testing.T) {
+func TestDrainWaitsForLostReply(t *testing.T) {
 	c := qt.New(t)
 	running := make(chan struct{})
 	release := make(chan struct{})
-	server := open(c, "agent", Config{}, func(ctx context.Context, from *Conn, msg any) (any, error) {
+	server := openEndpoint(c, "agent", Config{}, func(ctx context.Context, from *Conn, msg any) (any, error) {
 		close(running)
 		<-release
 		return echo(ctx, from, msg)
 	})
 	path := startRelay(c, server.Addr())
-	conn := dial(c, open(c, "entry", Config{}, echo), path.Addr())
+	conn := dial(c, openEndpoint(c, "entry", Config{}, echo), path.Addr())
 	answered := make(chan error, 1)
 	go func() {
 		_, err := conn.Call(context.Background(), GangMessage{})
@@ -83,7 +83,7 @@
 	sent := make(chan struct{})
 	go func() {
 		defer close(sent)
-		awaitDropped(c, path, relay.Down, repeated)
+		awaitDroppedDatagrams(c, path, relay.Down, retransmissions)
 	}()
 	select {
 	case <-drained:
@@ -95,15 +95,15 @@
 	c.Assert(await(c, drained), qt.IsNil)
 }
 
-func TestDrainGivesUpWithItsContext(t *testing.T) {
+func TestDrainStopsWithContext(t *testing.T) {
 	c := qt.New(t)
 	running := make(chan struct{})
-	server := open(c, "agent", Config{}, func(ctx context.Context, _ *Conn, _ any) (any, error) {
+	server := openEndpoint(c, "agent", Config{}, func(ctx context.Context, _ *Conn, _ any) (any, error) {
 		close(running)
 		<-ctx.Done()
 		return nil, ctx.Err()
 	})
-	client := open(c, "entry", Config{}, echo)
+	client := openEndpoint(c, "entry", Config{}, echo)
 	conn := dial(c, client, server.Addr())
 	go conn.Call(context.Background(), GangMessage{})
 	await(c, running)
--- a/wire/endpoint.go
+++ b/wire/endpoint.go
@@ -15,10 +15,10 @@
 
 // Application error codes of closed connections and cancelled streams.
 const (
-	closeNormal  quic.ApplicationErrorCode = 0
-	closeSilent  quic.ApplicationErrorCode = 1
-	closeNoHello quic.ApplicationErrorCode = 2
-	streamCancel quic.StreamErrorCode      = 1
+	closeNormal       quic.ApplicationErrorCode = 0
+	closeUnresponsive quic.ApplicationErrorCode = 1
+	closeNoHello      quic.ApplicationErrorCode = 2
+	streamCancelled   quic.StreamErrorCode      = 1
 )
 
 // Endpoint accepts connections on one UDP socket and dials others, each from a
@@ -27,16 +27,16 @@
 // Its goroutines live in one tomb: the accept loop, the monitor that probes
 // silent connections, and for each connection a loop and its exchanges.
 type Endpoint struct {
-	cfg       Config
-	id        Identity
-	handler   Handler
-	socket    net.PacketConn
-	transport *quic.Transport
-	listener  *quic.Listener
-	quicCfg   *quic.Config
-	serving   inflight
-	accepted  atomic.Int64
-	limiter   *rate.Limiter
+	cfg           Config
+	id            Identity
+	handler       Handler
+	socket        net.PacketConn
+	transport     *quic.Transport
+	listener      *quic.Listener
+	quicConfig    *quic.Config
+	handling      inflight
+	acceptedConns atomic.Int64
+	acceptLimiter *rate.Limiter
 
 	tomb   tomb.Tomb
 	mu     sync.Mutex
@@ -58,14 +58,14 @@
 		return nil, eris.Wrap(err, "open endpoint")
 	}
 	ep := &Endpoint{
-		cfg:     c,
-		id:      id,
-		handler: h,
-		socket:  socket,
-		limiter: rate.NewLimiter(rate.Limit(c.AcceptRate), c.AcceptBurst),
-		conns:   map[*Conn]struct{}{},
+		cfg:           c,
+		id:            id,
+		handler:       h,
+		socket:        socket,
+		acceptLimiter: rate.NewLimiter(rate.Limit(c.AcceptRate), c.AcceptBurst),
+		conns:         map[*Conn]struct{}{},
 	}
-	ep.quicCfg = ep.newQUICConfig()
+	ep.quicConfig = ep.newQUICConfig()
 	if err := ep.listen(); err != nil {
 		socket.Close()
 		return nil, err
@@ -76,7 +76,7 @@
 }
 
 func (ep *Endpoint) listen() error {
-	key, err := ep.id.resetKey(ep.socket.LocalAddr().String())
+	key, err := ep.id.statelessResetKey(ep.socket.LocalAddr().String())
 	if err != nil {
 		return eris.Wrap(err, "derive reset key")
 	}
@@ -84,9 +84,9 @@
 	ep.transport = &quic.Transport{
 		Conn:              ep.socket,
 		StatelessResetKey: &resetKey,
-		ConnContext:       ep.admit,
+		ConnContext:       ep.admitHandshake,
 	}
-	ep.listener, err = ep.transport.Listen(ep.id.tlsConfig(), ep.quicCfg)
+	ep.listener, err = ep.transport.Listen(ep.id.tlsConfig(), ep.quicConfig)
 	return eris.Wrap(err, "listen")
 }
 
@@ -105,11 +105,11 @@
 	}
 }
 
-// admit refuses handshakes beyond the limits, before their signatures are
+// admitHandshake refuses handshakes beyond the limits, before their signatures are
 // computed. Without it an availability zone whose agents return together takes
 // all processors for seconds, and running requests wait.
-func (ep *Endpoint) admit(ctx context.Context, _ *quic.ClientInfo) (context.Context, error) {
-	if ep.isDraining() || int(ep.accepted.Load()) >= ep.cfg.MaxConns || !ep.limiter.Allow() {
+func (ep *Endpoint) admitHandshake(ctx context.Context, _ *quic.ClientInfo) (context.Context, error) {
+	if ep.isDraining() || int(ep.acceptedConns.Load()) >= ep.cfg.MaxConns || !ep.acceptLimiter.Allow() {
 		return nil, ErrDraining
 	}
 	return ctx, nil
@@ -136,7 +136,7 @@
 // contexts of running handlers are cancelled; Close waits for them to return,
 // so don't call it from a Handler. For a graceful stop call Drain first.
 func (ep *Endpoint) Close() error {
-	ep.shut()
+	ep.beginClose()
 	for _, c := range ep.Conns() {
 		c.Close()
 	}
@@ -147,49 +147,49 @@
 	return err
 }
 
-// shut refuses new goroutines and lets the loops end. closed is set before the
+// beginClose refuses new goroutines and lets the loops end. closed is set before the
 // tomb dies, and spawn checks it under the same lock: so nobody adds a
 // goroutine to a dead tomb, which would panic.
-func (ep *Endpoint) shut() {
+func (ep *Endpoint) beginClose() {
 	ep.mu.Lock()
 	ep.closed = true
 	ep.mu.Unlock()
 	ep.tomb.Kill(nil)
 }
 
-// start registers a connection and runs its loop; false when closed.
-func (ep *Endpoint) start(c *Conn) bool {
+// register registers a connection and runs its loop; false when closed.
+func (ep *Endpoint) register(c *Conn) bool {
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
 	if ep.closed {
 		return false
 	}
 	ep.conns[c] = struct{}{}
-	ep.tomb.Go(c.loop)
+	ep.tomb.Go(c.acceptStreams)
 	return true
 }
 
-func (ep *Endpoint) forget(c *Conn) {
+func (ep *Endpoint) unregister(c *Conn) {
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
 	delete(ep.conns, c)
 }
 
-func (ep *Endpoint) isDraining() bool { return ep.serving.isStopped() }
+func (ep *Endpoint) isDraining() bool { return ep.handling.isStopped() }
 
 func (ep *Endpoint) acceptLoop() error {
 	for {
 		q, err := ep.listener.Accept(context.Background())
 		if err != nil {
-			ep.shut()
+			ep.beginClose()
 			return nil
 		}
-		ep.accepted.Add(1)
+		ep.acceptedConns.Add(1)
 		c := newConn(ep, q)
-		c.onEnd = func() { ep.accepted.Add(-1) }
-		if !ep.start(c) {
+		c.onClose = func() { ep.acceptedConns.Add(-1) }
+		if !ep.register(c) {
 			c.Close()
-			c.onEnd()
+			c.onClose()
 		}
 	}
 }
--- a/wire/errors.go
+++ b/wire/errors.go
@@ -49,33 +49,33 @@
 	return []error{e.Outcome, e.Cause}
 }
 
-func notSent(cause error) error {
-	return &CallError{Outcome: ErrNotHandled, Cause: opaque(cause)}
+func callNotHandled(cause error) error {
+	return &CallError{Outcome: ErrNotHandled, Cause: stripOutcome(cause)}
 }
 
-func outcomeUnknown(cause error) error {
-	return &CallError{Outcome: ErrOutcomeUnknown, Cause: opaque(cause)}
+func callOutcomeUnknown(cause error) error {
+	return &CallError{Outcome: ErrOutcomeUnknown, Cause: stripOutcome(cause)}
 }
 
-// opaque keeps only the text of a cause that has an outcome of its own, such as
+// stripOutcome keeps only the text of a cause that has an outcome of its own, such as
 // the failed call because of which a context was cancelled. Otherwise an error
 // could match both outcomes, and a caller that asks for ErrNotSent first would
 // send a message twice.
-func opaque(cause error) error {
+func stripOutcome(cause error) error {
 	if errors.Is(cause, ErrNotHandled) || errors.Is(cause, ErrOutcomeUnknown) {
 		return errors.New(cause.Error())
 	}
 	return cause
 }
 
-// notRunError is made by NotRun.
-type notRunError struct{ error }
+// notHandledError is made by NotRun.
+type notHandledError struct{ error }
 
 // Unwrap returns the cause.
-func (e notRunError) Unwrap() error { return e.error }
+func (e notHandledError) Unwrap() error { return e.error }
 
 // NotHandled is for a Handler that can prove that a message had no effect and never
 // will: the caller sees ErrNotSent. It has to be said in this way. An
 // ErrNotSent that a handler merely passes on from a call of its own says
 // nothing of what the handler did before.
-func NotHandled(cause error) error { return notRunError{cause} }
+func NotHandled(cause error) error { return notHandledError{cause} }
--- a/wire/frame.go
+++ b/wire/frame.go
@@ -15,8 +15,8 @@
 // (4 bytes, big-endian) and the kind (2 bytes, big-endian).
 const headerSize = 6
 
-// firstRead is how much is allocated for a payload before any of it arrived.
-const firstRead = 4096
+// initialReadBytes is how much is allocated for a payload before any of it arrived.
+const initialReadBytes = 4096
 
 // encodeFrame returns the frame of msg, a registered struct or pointer to one.
 func encodeFrame(msg any, limit int) ([]byte, error) {
@@ -57,7 +57,7 @@
 	if size > int64(limit) {
 		return rawFrame{}, eris.Wrapf(ErrFrameTooLarge, "%d of %d bytes", size, limit)
 	}
-	buf := bytes.NewBuffer(make([]byte, 0, min(size+bytes.MinRead, firstRead)))
+	buf := bytes.NewBuffer(make([]byte, 0, min(size+bytes.MinRead, initialReadBytes)))
 	n, err := buf.ReadFrom(io.LimitReader(r, size+1))
 	if err != nil {
 		return rawFrame{}, err
@@ -69,8 +69,8 @@
 	return rawFrame{kind: kind, payload: buf.Bytes()}, nil
 }
 
-// message decodes the payload into a new message, returned as pointer.
-func (f rawFrame) message() (any, error) {
+// decode decodes the payload into a new decode, returned as pointer.
+func (f rawFrame) decode() (any, error) {
 	msg, err := newMessage(f.kind)
 	if err != nil {
 		return nil, err
--- a/wire/frame_test.go
+++ b/wire/frame_test.go
@@ -12,7 +12,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-func TestFrameRefusesWhatIsNotWhole(t *testing.T) {
+func TestReadFrameRejectsInvalidFrames(t *testing.T) {
 	c := qt.New(t)
 	good, err := encodeFrame(&GangMessage{Payload: []byte("abc")}, 100)
 	c.Assert(err, qt.IsNil)
@@ -34,7 +34,7 @@
 }
 
 // An announced size alone must not cost memory.
-func TestFrameAllocatesForWhatArrives(t *testing.T) {
+func TestReadFrameAllocatesForReceivedBytes(t *testing.T) {
 	c := qt.New(t)
 	announced := []byte{0, 0xff, 0xff, 0xff, 0, byte(KindGangMessage), 1, 2, 3}
 	got := testing.Benchmark(func(b *testing.B) {
@@ -43,7 +43,7 @@
 			readFrame(bytes.NewReader(announced), DefaultMaxPayload)
 		}
 	})
-	c.Assert(got.AllocedBytesPerOp() < 3*firstRead, qt.IsTrue, qt.Commentf("%d bytes", got.AllocedBytesPerOp()))
+	c.Assert(got.AllocedBytesPerOp() < 3*initialReadBytes, qt.IsTrue, qt.Commentf("%d bytes", got.AllocedBytesPerOp()))
 }
 
 // Story: half of the fleet runs the next version, which added a field. The
@@ -52,10 +52,10 @@
 	c := qt.New(t)
 	payload, err := cbor.Marshal(map[int]any{1: []byte("x"), 2: 5, 99: "new"})
 	c.Assert(err, qt.IsNil)
-	msg, err := rawFrame{kind: KindGangMessage, payload: payload}.message()
+	msg, err := rawFrame{kind: KindGangMessage, payload: payload}.decode()
 	c.Assert(err, qt.IsNil)
 	c.Assert(msg, qt.DeepEquals, &GangMessage{Payload: []byte("x"), Epoch: 5})
-	_, err = rawFrame{kind: KindFirstFree}.message()
+	_, err = rawFrame{kind: KindFirstFree}.decode()
 	c.Assert(errors.Is(err, ErrUnknownKind), qt.IsTrue)
 }
 
@@ -75,7 +75,7 @@
 		if err != nil {
 			return
 		}
-		msg, err := frame.message()
+		msg, err := frame.decode()
 		if err != nil {
 			return
 		}
--- a/wire/helpers_test.go
+++ b/wire/helpers_test.go
@@ -18,15 +18,15 @@
 	otherKey = []byte("fedcba9876543210")
 )
 
-func identity(c *qt.C, name string, key []byte, accepted ...[]byte) Identity {
+func newTestIdentity(c *qt.C, name string, key []byte, accepted ...[]byte) Identity {
 	id, err := NewIdentity(Peer{ID: name, Role: RoleAgent, Incarnation: 7}, key, accepted...)
 	c.Assert(err, qt.IsNil)
 	return id
 }
 
-// open starts an endpoint that is closed with the test.
-func open(c *qt.C, name string, cfg Config, h HandlerFunc) *Endpoint {
-	ep, err := cfg.Listen("127.0.0.1:0", identity(c, name, testKey), h)
+// openEndpoint starts an endpoint that is closed with the test.
+func openEndpoint(c *qt.C, name string, cfg Config, h HandlerFunc) *Endpoint {
+	ep, err := cfg.Listen("127.0.0.1:0", newTestIdentity(c, name, testKey), h)
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { c.Check(ep.Close(), qt.IsNil) })
 	return ep
@@ -47,11 +47,11 @@
 	return r
 }
 
-// awaitDropped waits until so many more datagrams than now were lost on this way,
+// awaitDroppedDatagrams waits until so many more datagrams than now were lost on this way,
 // or for a generous time.
-func awaitDropped(c *qt.C, r *relay.Relay, way relay.Direction, more int64) {
+func awaitDroppedDatagrams(c *qt.C, r *relay.Relay, way relay.Direction, more int64) {
 	want := r.Dropped(way) + more
-	ctx := within(c, 20*time.Second)
+	ctx := contextWithTimeout(c, 20*time.Second)
 	for r.Dropped(way) < want && ctx.Err() == nil {
 		time.Sleep(time.Millisecond)
 	}
@@ -63,7 +63,7 @@
 	return &GangReply{Payload: msg.(*GangMessage).Payload}, nil
 }
 
-func within(c *qt.C, limit time.Duration) context.Context {
+func contextWithTimeout(c *qt.C, limit time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	c.Cleanup(cancel)
 	return ctx
--- a/wire/identity.go
+++ b/wire/identity.go
@@ -18,28 +18,28 @@
 const MinClusterKeySize = 16
 
 const (
-	alpn       = "eelgrasshub/1"
-	serverName = "eelgrasshub"
-	caInfo     = "eelgrasshub wire ca 1"
-	resetInfo  = "eelgrasshub wire stateless reset 1 "
+	alpnProtocol        = "eelgrasshub/1"
+	serverName          = "eelgrasshub"
+	caDerivationInfo    = "eelgrasshub wire ca 1"
+	resetDerivationInfo = "eelgrasshub wire stateless reset 1 "
 )
 
 // Certificates carry a fixed validity and are checked at a fixed time, so that
 // an instance with a wrong clock is not locked out. What expires is the
 // cluster key: operators replace it (NewIdentity's accepted).
 var (
-	validFrom  = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
-	validUntil = time.Date(9999, 12, 31, 23, 59, 59, 0, time.UTC)
-	checkedAt  = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	validFrom        = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
+	validUntil       = time.Date(9999, 12, 31, 23, 59, 59, 0, time.UTC)
+	verificationTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 )
 
 // Identity proves that a process belongs to the cluster and says who it is.
 // It is immutable.
 type Identity struct {
-	peer  Peer
-	key   []byte
-	leaf  tls.Certificate
-	roots *x509.CertPool
+	peer        Peer
+	key         []byte
+	certificate tls.Certificate
+	roots       *x509.CertPool
 }
 
 // NewIdentity derives the cluster's certificate authority from key and signs a
@@ -47,36 +47,36 @@
 // are admitted too, so that a key can be replaced without an interruption:
 // first every process accepts the new key, then uses it, then drops the old.
 func NewIdentity(peer Peer, key []byte, accepted ...[]byte) (Identity, error) {
-	ca, signer, err := clusterCA(key)
+	ca, signer, err := deriveClusterCA(key)
 	if err != nil {
 		return Identity{}, err
 	}
-	leaf, err := newLeaf(ca, signer)
+	leaf, err := newCertificate(ca, signer)
 	if err != nil {
 		return Identity{}, err
 	}
 	roots := x509.NewCertPool()
 	roots.AddCert(ca)
 	for _, other := range accepted {
-		otherCA, _, err := clusterCA(other)
+		otherCA, _, err := deriveClusterCA(other)
 		if err != nil {
 			return Identity{}, err
 		}
 		roots.AddCert(otherCA)
 	}
 	peer.Version = Version
-	return Identity{peer: peer, key: key, leaf: leaf, roots: roots}, nil
+	return Identity{peer: peer, key: key, certificate: leaf, roots: roots}, nil
 }
 
 // Peer returns what this process says of itself in Hello.
 func (id Identity) Peer() Peer { return id.peer }
 
-// clusterCA derives the authority: every holder of the key makes the same one.
-func clusterCA(key []byte) (*x509.Certificate, ed25519.PrivateKey, error) {
+// deriveClusterCA derives the authority: every holder of the key makes the same one.
+func deriveClusterCA(key []byte) (*x509.Certificate, ed25519.PrivateKey, error) {
 	if len(key) < MinClusterKeySize {
 		return nil, nil, eris.Errorf("cluster key has %d bytes, needs %d", len(key), MinClusterKeySize)
 	}
-	seed, err := hkdf.Key(sha256.New, key, nil, caInfo, ed25519.SeedSize)
+	seed, err := hkdf.Key(sha256.New, key, nil, caDerivationInfo, ed25519.SeedSize)
 	if err != nil {
 		return nil, nil, eris.Wrap(err, "derive cluster authority")
 	}
@@ -100,7 +100,7 @@
 	return ca, signer, err
 }
 
-func newLeaf(ca *x509.Certificate, signer ed25519.PrivateKey) (tls.Certificate, error) {
+func newCertificate(ca *x509.Certificate, signer ed25519.PrivateKey) (tls.Certificate, error) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
 		return tls.Certificate{}, eris.Wrap(err, "generate key")
@@ -128,24 +128,24 @@
 // tlsConfig serves both directions: each end checks the other.
 func (id Identity) tlsConfig() *tls.Config {
 	return &tls.Config{
-		Certificates:           []tls.Certificate{id.leaf},
+		Certificates:           []tls.Certificate{id.certificate},
 		RootCAs:                id.roots,
 		ClientCAs:              id.roots,
 		ClientAuth:             tls.RequireAndVerifyClientCert,
 		ServerName:             serverName,
-		NextProtos:             []string{alpn},
+		NextProtos:             []string{alpnProtocol},
 		MinVersion:             tls.VersionTLS13,
 		SessionTicketsDisabled: true,
-		Time:                   func() time.Time { return checkedAt },
+		Time:                   func() time.Time { return verificationTime },
 	}
 }
 
-// resetKey lets a process that restarted on the same address tell peers at
+// statelessResetKey lets a process that restarted on the same address tell peers at
 // once that it lost their connections. The address is part of the derivation:
 // with one key for all, a peer could be made to end another's connections.
-func (id Identity) resetKey(addr string) ([32]byte, error) {
+func (id Identity) statelessResetKey(addr string) ([32]byte, error) {
 	var key [32]byte
-	raw, err := hkdf.Key(sha256.New, id.key, nil, resetInfo+addr, len(key))
+	raw, err := hkdf.Key(sha256.New, id.key, nil, resetDerivationInfo+addr, len(key))
 	copy(key[:], raw)
 	return key, err
 }
--- a/wire/inflight.go
+++ b/wire/inflight.go
@@ -26,7 +26,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.n--
-	f.signal()
+	f.closeIfIdle()
 }
 
 // stop refuses further exchanges and returns a channel that is closed when
@@ -37,13 +37,13 @@
 	f.stopped = true
 	if f.idle == nil {
 		f.idle = make(chan struct{})
-		f.signal()
+		f.closeIfIdle()
 	}
 	return f.idle
 }
 
-// signal closes idle once stopped and empty; n can't grow again.
-func (f *inflight) signal() {
+// closeIfIdle closes idle once stopped and empty; n can't grow again.
+func (f *inflight) closeIfIdle() {
 	if f.stopped && f.n == 0 {
 		close(f.idle)
 	}
--- a/wire/link.go
+++ b/wire/link.go
@@ -9,60 +9,60 @@
 	"gopkg.in/tomb.v2"
 )
 
-// link keeps the connection to one address. Its goroutine dials; callers read
+// pooledConn keeps the connection to one address. Its goroutine dials; callers read
 // the current state under mu.
-type link struct {
+type pooledConn struct {
 	ep   *Endpoint
 	addr string
 	tomb tomb.Tomb
 
 	mu      sync.Mutex
 	current *Conn
-	lastErr error
+	dialErr error
 	changed chan struct{} // closed and replaced on every change
 }
 
-func newLink(ep *Endpoint, addr string) *link {
-	l := &link{ep: ep, addr: addr, changed: make(chan struct{})}
-	l.tomb.Go(l.loop)
+func newLink(ep *Endpoint, addr string) *pooledConn {
+	l := &pooledConn{ep: ep, addr: addr, changed: make(chan struct{})}
+	l.tomb.Go(l.run)
 	return l
 }
 
-// conn waits for a usable connection as long as no dial has failed since the
+// waitUsable waits for a usable connection as long as no dial has failed since the
 // last one that succeeded.
-func (l *link) conn(ctx context.Context) (*Conn, error) {
+func (l *pooledConn) waitUsable(ctx context.Context) (*Conn, error) {
 	for {
-		c, changed, err := l.state()
+		c, changed, err := l.usable()
 		if c != nil || err != nil {
 			return c, err
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return nil, notSent(context.Cause(ctx))
+			return nil, callNotHandled(context.Cause(ctx))
 		case <-l.tomb.Dying():
-			return nil, notSent(ErrClosed)
+			return nil, callNotHandled(ErrClosed)
 		}
 	}
 }
 
-// state returns a usable connection, or an error, or what to wait for. A
+// usable returns a usable connection, or an error, or what to wait for. A
 // connection that ended a moment ago is not usable although the loop has not
 // begun to dial yet; changed tells when that dial has an end.
-func (l *link) state() (*Conn, <-chan struct{}, error) {
+func (l *pooledConn) usable() (*Conn, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.current != nil && l.current.Usable() {
 		return l.current, nil, nil
 	}
-	if l.lastErr != nil {
-		return nil, nil, l.lastErr
+	if l.dialErr != nil {
+		return nil, nil, l.dialErr
 	}
 	return nil, l.changed, nil
 }
 
-// update changes the state and wakes the waiting callers.
-func (l *link) update(change func()) {
+// setState changes the state and wakes the waiting callers.
+func (l *pooledConn) setState(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change()
@@ -70,15 +70,15 @@
 	l.changed = make(chan struct{})
 }
 
-func (l *link) loop() error {
+func (l *pooledConn) run() error {
 	var old *Conn
 	for {
-		c := l.dial()
+		c := l.dialUntilConnected()
 		if c == nil {
 			return nil
 		}
-		l.update(func() { l.current, l.lastErr = c, nil })
-		l.retire(old)
+		l.setState(func() { l.current, l.dialErr = c, nil })
+		l.drainReplaced(old)
 		old = c
 		select {
 		case <-c.Suspected():
@@ -90,10 +90,10 @@
 	}
 }
 
-// dial tries until it has a connection; nil when the link is stopped.
-func (l *link) dial() *Conn {
+// dialUntilConnected tries until it has a connection; nil when the link is stopped.
+func (l *pooledConn) dialUntilConnected() *Conn {
 	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval = redialFirst
+	wait.InitialInterval = redialMin
 	wait.MaxInterval = redialMax
 	ctx := l.tomb.Context(context.Background())
 	for {
@@ -101,7 +101,7 @@
 		if err == nil {
 			return c
 		}
-		l.update(func() { l.lastErr = err })
+		l.setState(func() { l.dialErr = err })
 		select {
 		case <-time.After(wait.NextBackOff()):
 		case <-l.tomb.Dying():
@@ -110,10 +110,10 @@
 	}
 }
 
-// retire closes a replaced connection when its calls have ended. One that is
+// drainReplaced closes a replaced connection when its calls have ended. One that is
 // silent for good is closed by the endpoint's monitor, which also ends this
 // goroutine's wait.
-func (l *link) retire(c *Conn) {
+func (l *pooledConn) drainReplaced(c *Conn) {
 	if c == nil {
 		return
 	}
@@ -123,14 +123,14 @@
 	})
 }
 
-func (l *link) kill() {
+func (l *pooledConn) stopDialing() {
 	l.tomb.Kill(nil)
 	l.tomb.Wait()
 }
 
-// stop ends dialling and leaves the connection within the suspicion grace.
-func (l *link) stop() {
-	l.kill()
+// close ends dialling and leaves the connection within the suspicion grace.
+func (l *pooledConn) close() {
+	l.stopDialing()
 	l.mu.Lock()
 	c := l.current
 	l.mu.Unlock()
@@ -144,9 +144,9 @@
 	}
 }
 
-// release ends dialling and leaves the connection without cutting a call.
-func (l *link) release(ctx context.Context) error {
-	l.kill()
+// drain ends dialling and leaves the connection without cutting a call.
+func (l *pooledConn) drain(ctx context.Context) error {
+	l.stopDialing()
 	l.mu.Lock()
 	c := l.current
 	l.mu.Unlock()
--- a/wire/liveness.go
+++ b/wire/liveness.go
@@ -17,17 +17,17 @@
 		case <-tick.C:
 		}
 		for _, c := range ep.Conns() {
-			ep.check(c)
+			ep.checkLiveness(c)
 		}
 	}
 }
 
-// check guards against a path that went silent for good while new connections
+// checkLiveness guards against a path that went silent for good while new connections
 // work: calls on it would hang until QUIC's idle timeout. It shows as silence
 // of the peer's process; a Ping that stays unanswered within PingTimeout makes
 // the connection suspected, and Pool replaces it. Only the peer's own messages
 // count as life, so neither a middle box nor the peer's kernel can fake it.
-func (ep *Endpoint) check(c *Conn) {
+func (ep *Endpoint) checkLiveness(c *Conn) {
 	now := ep.now()
 	quiet := now.Sub(c.LastReceived())
 	if c.peer.Load() == nil {
@@ -36,8 +36,8 @@
 		}
 		return
 	}
-	if c.suspect.Load() && now.Sub(c.opened)-time.Duration(c.suspectAt.Load()) > ep.cfg.SuspectTimeout {
-		c.close(closeSilent, "silent")
+	if c.suspect.Load() && now.Sub(c.opened)-time.Duration(c.suspectedAt.Load()) > ep.cfg.SuspectTimeout {
+		c.close(closeUnresponsive, "silent")
 		return
 	}
 	limit := ep.cfg.IdleProbeAfter
@@ -56,16 +56,16 @@
 
 // probe pings once and suspects the connection when nothing at all was heard.
 func (c *Conn) probe() {
-	before := c.heard.Load()
-	ctx, cancel := context.WithTimeout(c.q.Context(), c.ep.cfg.PingTimeout)
+	before := c.lastReceived.Load()
+	ctx, cancel := context.WithTimeout(c.quicConn.Context(), c.ep.cfg.PingTimeout)
 	defer cancel()
-	if err := c.Ping(ctx); err == nil || c.heard.Load() != before {
+	if err := c.Ping(ctx); err == nil || c.lastReceived.Load() != before {
 		return
 	}
 	if c.suspect.CompareAndSwap(false, true) {
-		c.suspectAt.Store(int64(c.ep.now().Sub(c.opened)))
+		c.suspectedAt.Store(int64(c.ep.now().Sub(c.opened)))
 	}
-	c.once.Do(func() { close(c.suspected) })
+	c.suspectedOnce.Do(func() { close(c.suspected) })
 }
 
 // Ping exchanges Ping and Pong with the peer's process.
--- a/wire/measure_bytes_test.go
+++ b/wire/measure_bytes_test.go
@@ -20,16 +20,16 @@
 	packets, bytes *atomic.Int64
 }
 
-// ipAndUDP is the size of the IPv4 and UDP headers of a packet.
-const ipAndUDP = 20 + 8
+// packetHeaderBytes is the size of the IPv4 and UDP headers of a packet.
+const packetHeaderBytes = 20 + 8
 
 func (c countingConn) WriteMsgUDP(b, oob []byte, addr *net.UDPAddr) (int, int, error) {
 	c.packets.Add(1)
-	c.bytes.Add(int64(len(b) + ipAndUDP))
+	c.bytes.Add(int64(len(b) + packetHeaderBytes))
 	return c.UDPConn.WriteMsgUDP(b, oob, addr)
 }
 
-func counting(packets, bytes *atomic.Int64) Config {
+func countingConfig(packets, bytes *atomic.Int64) Config {
 	return Config{ListenPacket: func(_, addr string) (net.PacketConn, error) {
 		local, err := net.ResolveUDPAddr("udp", addr)
 		if err != nil {
@@ -40,7 +40,7 @@
 	}}
 }
 
-func reports() map[string]*Report {
+func sampleReports() map[string]*Report {
 	load := AgentReport{ID: "dispatch-wharf-07", Incarnation: 1767225600123456789, Sequence: 12345, BaseSequence: 12344}
 	quiet := load
 	quiet.BaseSequence = quiet.Sequence
@@ -69,34 +69,34 @@
 }
 
 func TestMeasureReportBytes(t *testing.T) {
-	c := needMeasure(t)
-	for name, report := range reports() {
+	c := requireMeasureFlag(t)
+	for name, report := range sampleReports() {
 		frame, err := encodeFrame(report, DefaultMaxPayload)
 		c.Assert(err, qt.IsNil)
 		t.Logf("%s: frame of %d bytes", name, len(frame))
 	}
-	for name, report := range reports() {
+	for name, report := range sampleReports() {
 		for _, every := range []time.Duration{time.Second, 5 * time.Second, 10 * time.Second} {
 			t.Run(fmt.Sprint(name, " every ", every), func(t *testing.T) {
 				t.Parallel()
-				measureReports(t, report, every)
+				measureReportTraffic(t, report, every)
 			})
 		}
 	}
 	t.Run("idle", func(t *testing.T) {
 		t.Parallel()
-		measureReports(t, nil, time.Second)
+		measureReportTraffic(t, nil, time.Second)
 	})
 }
 
-// measureReports counts the bytes that both ends send for a minute, after the
+// measureReportTraffic counts the bytes that both ends send for a minute, after the
 // handshake and path MTU discovery have settled.
-func measureReports(t *testing.T, report *Report, every time.Duration) {
+func measureReportTraffic(t *testing.T, report *Report, every time.Duration) {
 	c := qt.New(t)
 	var sent, sentBytes, back, backBytes atomic.Int64
 	ack := &ReportAck{Digest: 1, NextReportIn: 10 * time.Second}
-	server := open(c, "entry", counting(&back, &backBytes), func(context.Context, *Conn, any) (any, error) { return ack, nil })
-	client := open(c, "agent", counting(&sent, &sentBytes), echo)
+	server := openEndpoint(c, "entry", countingConfig(&back, &backBytes), func(context.Context, *Conn, any) (any, error) { return ack, nil })
+	client := openEndpoint(c, "agent", countingConfig(&sent, &sentBytes), echo)
 	conn := dial(c, client, server.Addr())
 	settle := func() {
 		for range 40 {
--- a/wire/measure_memory_test.go
+++ b/wire/measure_memory_test.go
@@ -17,20 +17,20 @@
 )
 
 func TestMeasureConnectionPairs(t *testing.T) {
-	c := needMeasure(t)
-	server := open(c, "entry", openWide, echo)
-	client := open(c, "agents", openWide, echo)
-	base, baseRSS := memory(), resident(c)
+	c := requireMeasureFlag(t)
+	server := openEndpoint(c, "entry", unlimitedAccepts, echo)
+	client := openEndpoint(c, "agents", unlimitedAccepts, echo)
+	base, baseRSS := memStats(), residentBytes(c)
 	total := 0
 	for _, n := range []int{100, 300, 1000} {
-		before := processorTime()
+		before := cpuTime()
 		for ; total < n; total++ {
 			dialAndCall(c, client, server.Addr())
 		}
-		now := memory()
+		now := memStats()
 		t.Logf("%d pairs: heap %d KB, stacks %d KB, resident %d KB a pair; processor since the last line %v",
-			n, grown(now.HeapAlloc, base.HeapAlloc, n), grown(now.StackInuse, base.StackInuse, n),
-			(resident(c)-baseRSS)/n/1024, processorTime()-before)
+			n, growthPerConnKB(now.HeapAlloc, base.HeapAlloc, n), growthPerConnKB(now.StackInuse, base.StackInuse, n),
+			(residentBytes(c)-baseRSS)/n/1024, cpuTime()-before)
 	}
 }
 
@@ -42,7 +42,7 @@
 	}
 }
 
-func memory() runtime.MemStats {
+func memStats() runtime.MemStats {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -50,8 +50,8 @@
 	return m
 }
 
-// grown returns the growth in KB for each of n connections.
-func grown(now, before uint64, n int) int64 {
+// growthPerConnKB returns the growth in KB for each of n connections.
+func growthPerConnKB(now, before uint64, n int) int64 {
 	return (int64(now) - int64(before)) / int64(n) / 1024
 }
 
@@ -59,12 +59,12 @@
 
 // The accepting end alone: the dialers are another process.
 func TestMeasureAcceptedConnections(t *testing.T) {
-	c := needMeasure(t)
+	c := requireMeasureFlag(t)
 	if os.Getenv(dialersEnv) != "" {
 		t.Skip("is the dialers' process")
 	}
-	server := open(c, "entry", openWide, echo)
-	base, baseRSS, began := memory(), resident(c), processorTime()
+	server := openEndpoint(c, "entry", unlimitedAccepts, echo)
+	base, baseRSS, began := memStats(), residentBytes(c), cpuTime()
 	dialers := exec.Command(os.Args[0], "-test.run=TestMeasureDialers", "-measure")
 	dialers.Env = append(os.Environ(), dialersEnv+"="+server.Addr())
 	out, err := dialers.StdoutPipe()
@@ -78,23 +78,23 @@
 		if err != nil {
 			continue
 		}
-		processor := processorTime() - began
-		now := memory()
+		processor := cpuTime() - began
+		now := memStats()
 		t.Logf("%d accepted: heap %d KB, stacks %d KB, resident %d KB each; processor of this end %v each",
-			n, grown(now.HeapAlloc, base.HeapAlloc, n), grown(now.StackInuse, base.StackInuse, n),
-			(resident(c)-baseRSS)/n/1024, processor/time.Duration(n))
+			n, growthPerConnKB(now.HeapAlloc, base.HeapAlloc, n), growthPerConnKB(now.StackInuse, base.StackInuse, n),
+			(residentBytes(c)-baseRSS)/n/1024, processor/time.Duration(n))
 		fmt.Fprintln(in, "next")
 	}
 	c.Assert(dialers.Wait(), qt.IsNil)
 }
 
 func TestMeasureDialers(t *testing.T) {
-	c := needMeasure(t)
+	c := requireMeasureFlag(t)
 	addr := os.Getenv(dialersEnv)
 	if addr == "" {
 		t.Skip("is started by TestMeasureAcceptedConnections")
 	}
-	client := open(c, "agents", openWide, echo)
+	client := openEndpoint(c, "agents", unlimitedAccepts, echo)
 	input := bufio.NewScanner(os.Stdin)
 	total := 0
 	for _, n := range []int{100, 300, 1000} {
@@ -107,12 +107,12 @@
 }
 
 // An availability zone's 900 agents dial one entry at once.
-func TestMeasureZoneReturns(t *testing.T) {
-	c := needMeasure(t)
-	server := open(c, "entry", Config{}, echo)
-	client := open(c, "agents", Config{}, echo)
+func TestMeasureZoneReconnect(t *testing.T) {
+	c := requireMeasureFlag(t)
+	server := openEndpoint(c, "entry", Config{}, echo)
+	client := openEndpoint(c, "agents", Config{}, echo)
 	const n = 900
-	began, processor := time.Now(), processorTime()
+	began, processor := time.Now(), cpuTime()
 	took := make(chan time.Duration, n)
 	for range n {
 		pool := NewPool(client)
@@ -134,5 +134,5 @@
 	}
 	slices.Sort(all)
 	t.Logf("%d agents in: half after %v, 99%% after %v, all after %v; processor of both ends %v",
-		n, all[n/2], all[n*99/100], all[n-1], processorTime()-processor)
+		n, all[n/2], all[n*99/100], all[n-1], cpuTime()-processor)
 }
--- a/wire/measure_test.go
+++ b/wire/measure_test.go
@@ -17,24 +17,24 @@
 // Figures for the notes under docs: go test ./wire -run Measure -measure -v
 var measure = flag.Bool("measure", false, "run the measurements; takes minutes")
 
-func needMeasure(t *testing.T) *qt.C {
+func requireMeasureFlag(t *testing.T) *qt.C {
 	if !*measure {
 		t.Skip("needs -measure")
 	}
 	return qt.New(t)
 }
 
-// openWide admits handshakes as fast as they come.
-var openWide = Config{AcceptRate: 1e6, AcceptBurst: 1e6}
+// unlimitedAccepts admits handshakes as fast as they come.
+var unlimitedAccepts = Config{AcceptRate: 1e6, AcceptBurst: 1e6}
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// resident returns the process's resident set in bytes.
-func resident(c *qt.C) int {
+// residentBytes returns the process's residentBytes set in bytes.
+func residentBytes(c *qt.C) int {
 	raw, err := os.ReadFile("/proc/self/statm")
 	c.Assert(err, qt.IsNil)
 	pages, err := strconv.Atoi(strings.Fields(string(raw))[1])
@@ -43,21 +43,21 @@
 }
 
 func TestMeasureExchange(t *testing.T) {
-	c := needMeasure(t)
-	server := open(c, "agent", Config{}, echo)
-	client := open(c, "entry", Config{}, echo)
+	c := requireMeasureFlag(t)
+	server := openEndpoint(c, "agent", Config{}, echo)
+	client := openEndpoint(c, "entry", Config{}, echo)
 	conn := dial(c, client, server.Addr())
 	msg := &GangMessage{Payload: make([]byte, 512)}
 	for _, n := range []int{2000, 20000} {
 		took := make([]time.Duration, n)
-		before := processorTime()
+		before := cpuTime()
 		for i := range took {
 			began := time.Now()
 			_, err := conn.Call(context.Background(), msg)
 			c.Assert(err, qt.IsNil)
 			took[i] = time.Since(began)
 		}
-		processor := processorTime() - before
+		processor := cpuTime() - before
 		slices.Sort(took)
 		t.Logf("%d exchanges of 512 bytes each way, one after another: p50 %v p99 %v, processor %v an exchange, both ends",
 			n, took[n/2], took[n*99/100], processor/time.Duration(n))
@@ -65,12 +65,12 @@
 }
 
 func TestMeasureParallelExchange(t *testing.T) {
-	c := needMeasure(t)
-	server := open(c, "agent", Config{}, echo)
-	client := open(c, "entry", Config{}, echo)
+	c := requireMeasureFlag(t)
+	server := openEndpoint(c, "agent", Config{}, echo)
+	client := openEndpoint(c, "entry", Config{}, echo)
 	conn := dial(c, client, server.Addr())
 	const each = 2000
-	before, began := processorTime(), time.Now()
+	before, began := cpuTime(), time.Now()
 	done := make(chan error, 64)
 	for range cap(done) {
 		go func() {
@@ -88,17 +88,17 @@
 	}
 	n := time.Duration(each * cap(done))
 	t.Logf("64 callers on one connection: %.0f exchanges a second, processor %v an exchange, both ends",
-		float64(n)/time.Since(began).Seconds(), (processorTime()-before)/n)
+		float64(n)/time.Since(began).Seconds(), (cpuTime()-before)/n)
 }
 
 func TestMeasureHandshake(t *testing.T) {
-	c := needMeasure(t)
-	server := open(c, "entry", openWide, echo)
-	client := open(c, "agent", openWide, echo)
+	c := requireMeasureFlag(t)
+	server := openEndpoint(c, "entry", unlimitedAccepts, echo)
+	client := openEndpoint(c, "agent", unlimitedAccepts, echo)
 	const n = 500
-	before, began := processorTime(), time.Now()
+	before, began := cpuTime(), time.Now()
 	for range n {
 		dial(c, client, server.Addr()).Close()
 	}
-	t.Logf("dial, hello and close: %v each, processor %v of both ends", time.Since(began)/n, (processorTime()-before)/n)
+	t.Logf("dial, hello and close: %v each, processor %v of both ends", time.Since(began)/n, (cpuTime()-before)/n)
 }
--- a/wire/messages_report.go
+++ b/wire/messages_report.go
@@ -24,11 +24,11 @@
 	ChangedTasks
 	// ChangedGenerations: Generations.
 	ChangedGenerations
-	changedEnd
+	changedGroupsEnd
 )
 
 // ChangedAll is every group.
-const ChangedAll = changedEnd - 1
+const ChangedAll = changedGroupsEnd - 1
 
 // AgentReport is what an agent says of its worker and target. A full report
 // replaces all that was known of the agent. A delta (Full false) carries the
--- a/wire/pool.go
+++ b/wire/pool.go
@@ -9,8 +9,8 @@
 
 // Backoff of redials; both are jittered by half.
 const (
-	redialFirst = 50 * time.Millisecond
-	redialMax   = 5 * time.Second
+	redialMin = 50 * time.Millisecond
+	redialMax = 5 * time.Second
 )
 
 // Pool keeps one live connection to each peer address that it was asked for.
@@ -21,12 +21,12 @@
 	ep     *Endpoint
 	mu     sync.Mutex
 	closed bool
-	links  map[string]*link
+	conns  map[string]*pooledConn
 }
 
 // NewPool returns a pool of connections dialled by ep. Close it before ep.
 func NewPool(ep *Endpoint) *Pool {
-	return &Pool{ep: ep, links: map[string]*link{}}
+	return &Pool{ep: ep, conns: map[string]*pooledConn{}}
 }
 
 // Conn returns a usable connection to addr. It waits for the first attempt to
@@ -35,11 +35,11 @@
 // is gone is noticed only after HandshakeTimeout: give ctx a shorter deadline
 // where that matters. Errors match ErrNotSent.
 func (p *Pool) Conn(ctx context.Context, addr string) (*Conn, error) {
-	l, err := p.link(addr)
+	l, err := p.get(addr)
 	if err != nil {
 		return nil, err
 	}
-	return l.conn(ctx)
+	return l.waitUsable(ctx)
 }
 
 // Call sends msg to addr as Conn.Call does. A connection that ended before msg
@@ -63,11 +63,11 @@
 // Remove closes the connection to addr gracefully and stops redialling it.
 func (p *Pool) Remove(addr string) {
 	p.mu.Lock()
-	l := p.links[addr]
-	delete(p.links, addr)
+	l := p.conns[addr]
+	delete(p.conns, addr)
 	p.mu.Unlock()
 	if l != nil {
-		l.stop()
+		l.close()
 	}
 }
 
@@ -76,38 +76,38 @@
 // ctx's error: the connection stays open then.
 func (p *Pool) Drain(ctx context.Context, addr string) error {
 	p.mu.Lock()
-	l := p.links[addr]
-	delete(p.links, addr)
+	l := p.conns[addr]
+	delete(p.conns, addr)
 	p.mu.Unlock()
 	if l == nil {
 		return nil
 	}
-	return l.release(ctx)
+	return l.drain(ctx)
 }
 
 // Close stops all dialling. Connections stay open until their endpoint drains
 // or closes.
 func (p *Pool) Close() {
 	p.mu.Lock()
-	links := p.links
-	p.links = map[string]*link{}
+	links := p.conns
+	p.conns = map[string]*pooledConn{}
 	p.closed = true
 	p.mu.Unlock()
 	for _, l := range links {
-		l.kill()
+		l.stopDialing()
 	}
 }
 
-func (p *Pool) link(addr string) (*link, error) {
+func (p *Pool) get(addr string) (*pooledConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
-		return nil, notSent(ErrClosed)
+		return nil, callNotHandled(ErrClosed)
 	}
-	l := p.links[addr]
+	l := p.conns[addr]
 	if l == nil {
 		l = newLink(p.ep, addr)
-		p.links[addr] = l
+		p.conns[addr] = l
 	}
 	return l, nil
 }
--- a/wire/pool_test.go
+++ b/wire/pool_test.go
@@ -13,10 +13,10 @@
 	"github.com/eelgrasshub/eelgrasshub/internal/relay"
 )
 
-// impatient makes faults show soon; nothing asserts these times. A path that works
+// shortTimeouts makes faults show soon; nothing asserts these times. A path that works
 // is suspected where an answer takes longer than PingTimeout, and closed after
 // SuspectGrace: both are far above what a busy machine needs.
-var impatient = Config{
+var shortTimeouts = Config{
 	PingTimeout:    300 * time.Millisecond,
 	BusyProbeAfter: 50 * time.Millisecond,
 	IdleProbeAfter: 200 * time.Millisecond,
@@ -27,10 +27,10 @@
 // calls vanish without an error while new connections work. A call that was
 // outstanding ends as unknown, and the next one gets through on a new
 // connection, without waiting for QUIC's idle timeout of a minute.
-func TestSilentConnectionIsReplaced(t *testing.T) {
+func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	c := qt.New(t)
 	arrived := make(chan struct{})
-	server := open(c, "agent", impatient, func(ctx context.Context, from *Conn, msg any) (any, error) {
+	server := openEndpoint(c, "agent", shortTimeouts, func(ctx context.Context, from *Conn, msg any) (any, error) {
 		if string(msg.(*GangMessage).Payload) == "wait" {
 			close(arrived)
 			<-ctx.Done()
@@ -38,10 +38,10 @@
 		return echo(ctx, from, msg)
 	})
 	path := startRelay(c, server.Addr())
-	client := open(c, "entry", impatient, echo)
+	client := openEndpoint(c, "entry", shortTimeouts, echo)
 	pool := NewPool(client)
 	c.Cleanup(pool.Close)
-	first, err := pool.Conn(within(c, 20*time.Second), path.Addr())
+	first, err := pool.Conn(contextWithTimeout(c, 20*time.Second), path.Addr())
 	c.Assert(err, qt.IsNil)
 
 	lost := make(chan error, 1)
@@ -52,7 +52,7 @@
 	await(c, arrived)
 	path.Lose(relay.Both...)
 	await(c, first.Suspected())
-	reply, err := pool.Call(within(c, 20*time.Second), path.Addr(), GangMessage{Payload: []byte("x")})
+	reply, err := pool.Call(contextWithTimeout(c, 20*time.Second), path.Addr(), GangMessage{Payload: []byte("x")})
 	c.Assert(err, qt.IsNil)
 	c.Assert(reply, qt.DeepEquals, &GangReply{Payload: []byte("x")})
 	err = await(c, lost)
@@ -63,11 +63,11 @@
 // Story: the path is silent and callers give up. A small message was handed to
 // the network whole and may have run, although it was lost here. Of a large one
 // the end never left: it can't run, and the caller may use it elsewhere.
-func TestOutcomeOnASilentPath(t *testing.T) {
+func TestCallOutcomeOnUnresponsivePath(t *testing.T) {
 	c := qt.New(t)
-	server := open(c, "agent", Config{}, echo)
+	server := openEndpoint(c, "agent", Config{}, echo)
 	path := startRelay(c, server.Addr())
-	conn := dial(c, open(c, "entry", Config{}, echo), path.Addr())
+	conn := dial(c, openEndpoint(c, "entry", Config{}, echo), path.Addr())
 	path.Lose(relay.Both...)
 	// Callers give up once the connection has sent what it may and sent it again.
 	giveUp := func(size int) error {
@@ -77,7 +77,7 @@
 			_, err := conn.Call(ctx, GangMessage{Payload: make([]byte, size)})
 			ended <- err
 		}()
-		awaitDropped(c, path, relay.Up, repeated)
+		awaitDroppedDatagrams(c, path, relay.Up, retransmissions)
 		cancel()
 		return await(c, ended)
 	}
@@ -93,12 +93,12 @@
 func TestSlowHandlerIsNotSuspected(t *testing.T) {
 	c := qt.New(t)
 	release := make(chan struct{})
-	server := open(c, "agent", Config{}, func(ctx context.Context, from *Conn, msg any) (any, error) {
+	server := openEndpoint(c, "agent", Config{}, func(ctx context.Context, from *Conn, msg any) (any, error) {
 		<-release
 		return echo(ctx, from, msg)
 	})
 	patient := Config{BusyProbeAfter: 10 * time.Millisecond, PingTimeout: 10 * time.Second}
-	client := open(c, "entry", patient, echo)
+	client := openEndpoint(c, "entry", patient, echo)
 	conn := dial(c, client, server.Addr())
 	done := make(chan error, 1)
 	go func() {
@@ -120,7 +120,7 @@
 // Story: an agent's process dies without a word and another starts on its
 // address. A call of the entry must not hang until pings give up: the new
 // process answers with a stateless reset, for it can't know the connection.
-func TestCrashedPeerIsNoticedAtOnce(t *testing.T) {
+func TestRestartedPeerResetsConnection(t *testing.T) {
 	c := qt.New(t)
 	var socket net.PacketConn
 	dying := Config{ListenPacket: func(network, addr string) (net.PacketConn, error) {
@@ -128,14 +128,14 @@
 		socket, err = net.ListenPacket(network, addr)
 		return socket, err
 	}}
-	server := open(c, "agent", dying, echo)
+	server := openEndpoint(c, "agent", dying, echo)
 	slow := Config{BusyProbeAfter: time.Hour, PingTimeout: time.Hour, IdleProbeAfter: time.Hour}
-	conn := dial(c, open(c, "entry", slow, echo), server.Addr())
+	conn := dial(c, openEndpoint(c, "entry", slow, echo), server.Addr())
 	c.Assert(socket.Close(), qt.IsNil)
-	again, err := Listen(server.Addr(), identity(c, "agent", testKey), HandlerFunc(echo))
+	again, err := Listen(server.Addr(), newTestIdentity(c, "agent", testKey), HandlerFunc(echo))
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { again.Close() })
-	_, err = conn.Call(within(c, 20*time.Second), GangMessage{})
+	_, err = conn.Call(contextWithTimeout(c, 20*time.Second), GangMessage{})
 	c.Assert(errors.Is(err, ErrOutcomeUnknown), qt.IsTrue)
 	var reset *quic.StatelessResetError
 	c.Assert(errors.As(err, &reset), qt.IsTrue, qt.Commentf("%v", err))
@@ -144,28 +144,28 @@
 // Story: an agent's process restarts on its address. The entry's connection
 // points to a process that is gone; the pool reaches the new one, and while
 // nobody listens callers are told at once so that they can go elsewhere.
-func TestPoolFollowsRestartOfPeer(t *testing.T) {
+func TestPoolReconnectsAfterPeerRestart(t *testing.T) {
 	c := qt.New(t)
-	server, err := Listen("127.0.0.1:0", identity(c, "agent", testKey), HandlerFunc(echo))
+	server, err := Listen("127.0.0.1:0", newTestIdentity(c, "agent", testKey), HandlerFunc(echo))
 	c.Assert(err, qt.IsNil)
-	client := open(c, "entry", impatient, echo)
+	client := openEndpoint(c, "entry", shortTimeouts, echo)
 	pool := NewPool(client)
 	c.Cleanup(pool.Close)
 	addr := server.Addr()
-	first, err := pool.Conn(within(c, 20*time.Second), addr)
+	first, err := pool.Conn(contextWithTimeout(c, 20*time.Second), addr)
 	c.Assert(err, qt.IsNil)
 	c.Assert(server.Close(), qt.IsNil)
 	// Until the news of the end is here, a call may still go out on the old
 	// connection, and its outcome is unknown.
 	await(c, first.Done())
-	_, err = pool.Call(within(c, 20*time.Second), addr, GangMessage{})
+	_, err = pool.Call(contextWithTimeout(c, 20*time.Second), addr, GangMessage{})
 	c.Assert(errors.Is(err, ErrNotHandled), qt.IsTrue, qt.Commentf("%v", err))
 
-	again, err := Listen(addr, identity(c, "agent", testKey), HandlerFunc(echo))
+	again, err := Listen(addr, newTestIdentity(c, "agent", testKey), HandlerFunc(echo))
 	c.Assert(err, qt.IsNil)
 	defer again.Close()
 	for {
-		_, err = pool.Call(within(c, 20*time.Second), addr, GangMessage{})
+		_, err = pool.Call(contextWithTimeout(c, 20*time.Second), addr, GangMessage{})
 		if err == nil {
 			break
 		}
--- a/wire/registry.go
+++ b/wire/registry.go
@@ -10,17 +10,17 @@
 	"github.com/rotisserie/eris"
 )
 
-// kinds is an immutable pair of maps between kinds and message types.
-type kinds struct {
-	types map[Kind]reflect.Type
-	kinds map[reflect.Type]Kind
+// messageTypes is an immutable pair of maps between messageTypes and message types.
+type messageTypes struct {
+	typeByKind map[Kind]reflect.Type
+	kindByType map[reflect.Type]Kind
 }
 
 // registry is read on every exchange and written at start-up: readers load the
 // current copy, Register replaces it.
 var (
 	registryMu sync.Mutex
-	registry   atomic.Pointer[kinds]
+	registry   atomic.Pointer[messageTypes]
 )
 
 // Register binds a kind to the struct type of prototype. It is meant for
@@ -30,19 +30,19 @@
 	registryMu.Lock()
 	defer registryMu.Unlock()
 	t := reflect.TypeOf(prototype)
-	next := &kinds{types: map[Kind]reflect.Type{}, kinds: map[reflect.Type]Kind{}}
+	next := &messageTypes{typeByKind: map[Kind]reflect.Type{}, kindByType: map[reflect.Type]Kind{}}
 	if old := registry.Load(); old != nil {
-		maps.Copy(next.types, old.types)
-		maps.Copy(next.kinds, old.kinds)
+		maps.Copy(next.typeByKind, old.typeByKind)
+		maps.Copy(next.kindByType, old.kindByType)
 	}
-	if _, ok := next.types[kind]; ok || t.Kind() != reflect.Struct {
+	if _, ok := next.typeByKind[kind]; ok || t.Kind() != reflect.Struct {
 		panic(fmt.Sprintf("wire: kind %d can't be bound to %v", kind, t))
 	}
-	if _, ok := next.kinds[t]; ok {
+	if _, ok := next.kindByType[t]; ok {
 		panic(fmt.Sprintf("wire: %v is bound already", t))
 	}
-	next.types[kind] = t
-	next.kinds[t] = kind
+	next.typeByKind[kind] = t
+	next.kindByType[t] = kind
 	registry.Store(next)
 }
 
@@ -52,7 +52,7 @@
 	if t != nil && t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
-	kind, ok := registry.Load().kinds[t]
+	kind, ok := registry.Load().kindByType[t]
 	if !ok {
 		return 0, eris.Wrapf(ErrUnknownKind, "type %v", t)
 	}
@@ -61,7 +61,7 @@
 
 // newMessage returns a pointer to a zero message of the kind.
 func newMessage(kind Kind) (any, error) {
-	t, ok := registry.Load().types[kind]
+	t, ok := registry.Load().typeByKind[kind]
 	if !ok {
 		return nil, eris.Wrapf(ErrUnknownKind, "kind %d", kind)
 	}
--- a/wire/remote_error.go
+++ b/wire/remote_error.go
@@ -7,14 +7,14 @@
 type errorCode int
 
 const (
-	codeFailed errorCode = iota
+	codeHandlerFailed errorCode = iota
 	codeUnknownKind
 	codeMalformed
 	codeTooLarge
 	codeDraining
 	codeNoHello
-	// codeNotRun: the handler proved that it did not act (NotRun).
-	codeNotRun
+	// codeNotHandled: the handler proved that it did not act (NotRun).
+	codeNotHandled
 )
 
 // remoteError is the reply frame of an exchange that has no reply message.
@@ -26,40 +26,40 @@
 // RemoteError is the cause of a CallError that the peer reported.
 type RemoteError struct {
 	// Message is the peer's own description.
-	Message string
-	kind    error
+	Message  string
+	sentinel error
 }
 
 // Error implements error.
-func (e *RemoteError) Error() string { return e.kind.Error() + ": " + e.Message }
+func (e *RemoteError) Error() string { return e.sentinel.Error() + ": " + e.Message }
 
 // Unwrap returns the sentinel of the peer's error code.
-func (e *RemoteError) Unwrap() error { return e.kind }
+func (e *RemoteError) Unwrap() error { return e.sentinel }
 
-// asCallError turns the peer's code into an outcome. Codes sent before the
+// callError turns the peer's code into an outcome. Codes sent before the
 // handler runs prove that the message was not handled. A failed handler, and
 // any code this version does not know, proves nothing.
-func (r *remoteError) asCallError() error {
+func (r *remoteError) callError() error {
 	switch r.Code {
 	case codeUnknownKind:
-		return notSent(&RemoteError{Message: r.Text, kind: ErrUnknownKind})
+		return callNotHandled(&RemoteError{Message: r.Text, sentinel: ErrUnknownKind})
 	case codeMalformed:
-		return notSent(&RemoteError{Message: r.Text, kind: ErrMalformed})
+		return callNotHandled(&RemoteError{Message: r.Text, sentinel: ErrMalformed})
 	case codeTooLarge:
-		return notSent(&RemoteError{Message: r.Text, kind: ErrFrameTooLarge})
+		return callNotHandled(&RemoteError{Message: r.Text, sentinel: ErrFrameTooLarge})
 	case codeDraining:
-		return notSent(&RemoteError{Message: r.Text, kind: ErrDraining})
+		return callNotHandled(&RemoteError{Message: r.Text, sentinel: ErrDraining})
 	case codeNoHello:
-		return notSent(&RemoteError{Message: r.Text, kind: ErrNoHello})
-	case codeNotRun:
-		return notSent(&RemoteError{Message: r.Text, kind: ErrHandler})
+		return callNotHandled(&RemoteError{Message: r.Text, sentinel: ErrNoHello})
+	case codeNotHandled:
+		return callNotHandled(&RemoteError{Message: r.Text, sentinel: ErrHandler})
 	default:
-		return outcomeUnknown(&RemoteError{Message: r.Text, kind: ErrHandler})
+		return callOutcomeUnknown(&RemoteError{Message: r.Text, sentinel: ErrHandler})
 	}
 }
 
-// refusal builds the reply for an exchange that was not handled.
-func refusal(err error) *remoteError {
+// rejectionReply builds the reply for an exchange that was not handled.
+func rejectionReply(err error) *remoteError {
 	code := codeMalformed
 	switch {
 	case errors.Is(err, ErrUnknownKind):
@@ -74,11 +74,11 @@
 	return &remoteError{Code: code, Text: err.Error()}
 }
 
-// handlerFailure builds the reply for an exchange whose handler failed.
-func handlerFailure(err error) *remoteError {
-	var proof notRunError
+// handlerErrorReply builds the reply for an exchange whose handler failed.
+func handlerErrorReply(err error) *remoteError {
+	var proof notHandledError
 	if errors.As(err, &proof) {
-		return &remoteError{Code: codeNotRun, Text: err.Error()}
+		return &remoteError{Code: codeNotHandled, Text: err.Error()}
 	}
-	return &remoteError{Code: codeFailed, Text: err.Error()}
+	return &remoteError{Code: codeHandlerFailed, Text: err.Error()}
 }
--- a/wire/serve.go
+++ b/wire/serve.go
@@ -7,27 +7,27 @@
 	"github.com/quic-go/quic-go"
 )
 
-// serve answers one exchange of the peer. A frame that did not arrive whole is
+// serveStream answers one exchange of the peer. A frame that did not arrive whole is
 // dropped: its sender gave up and may say that it was not handled.
-func (c *Conn) serve(stream *quic.Stream) {
-	raw, err := readFrame(heardReader{c, stream}, c.ep.cfg.MaxPayload)
+func (c *Conn) serveStream(stream *quic.Stream) {
+	raw, err := readFrame(activityReader{c, stream}, c.ep.cfg.MaxPayload)
 	if err != nil && !errors.Is(err, ErrFrameTooLarge) && !errors.Is(err, ErrMalformed) {
 		cancelStream(stream)
 		return
 	}
 	if err != nil {
-		stream.CancelRead(streamCancel)
-		c.reply(stream, refusal(err))
+		stream.CancelRead(streamCancelled)
+		c.writeReply(stream, rejectionReply(err))
 		return
 	}
-	msg, err := raw.message()
+	msg, err := raw.decode()
 	if err != nil {
-		c.reply(stream, refusal(err))
+		c.writeReply(stream, rejectionReply(err))
 		return
 	}
 	// The stream's context ends when the caller stops reading, when the
 	// reply is sent, and with the connection.
-	c.reply(stream, c.dispatch(stream.Context(), msg))
+	c.writeReply(stream, c.dispatch(stream.Context(), msg))
 }
 
 // dispatch serves the messages of the protocol itself and gives all others to
@@ -35,30 +35,30 @@
 func (c *Conn) dispatch(ctx context.Context, msg any) any {
 	switch m := msg.(type) {
 	case *Hello:
-		return c.welcome(m)
+		return c.handleHello(m)
 	case *Ping:
 		return &Pong{}
 	case *GoAway:
-		return c.goAway(ctx)
+		return c.handleGoAway(ctx)
 	}
 	if c.peer.Load() == nil {
-		return refusal(ErrNoHello)
+		return rejectionReply(ErrNoHello)
 	}
-	if !c.ep.serving.begin() {
-		return refusal(ErrDraining)
+	if !c.ep.handling.begin() {
+		return rejectionReply(ErrDraining)
 	}
-	defer c.ep.serving.end()
+	defer c.ep.handling.end()
 	reply, err := c.ep.handler.Handle(ctx, c, msg)
 	if err != nil {
-		return handlerFailure(err)
+		return handlerErrorReply(err)
 	}
 	return reply
 }
 
-// welcome takes the dialer's Hello.
-func (c *Conn) welcome(m *Hello) any {
+// handleHello takes the dialer's Hello.
+func (c *Conn) handleHello(m *Hello) any {
 	if c.ep.isDraining() {
-		return refusal(ErrDraining)
+		return rejectionReply(ErrDraining)
 	}
 	first := c.peer.CompareAndSwap(nil, &m.Peer)
 	if first && c.ep.cfg.OnAccept != nil {
@@ -67,21 +67,21 @@
 	return &HelloReply{Peer: c.ep.id.peer}
 }
 
-// goAway answers when the last reply to this side has arrived, so that the
+// handleGoAway answers when the last reply to this side has arrived, so that the
 // peer can close without losing it.
-func (c *Conn) goAway(ctx context.Context) any {
+func (c *Conn) handleGoAway(ctx context.Context) any {
 	select {
-	case <-c.leaving():
+	case <-c.beginDrain():
 	case <-ctx.Done():
 	}
 	return &GoAwayReply{}
 }
 
-func (c *Conn) reply(stream *quic.Stream, msg any) {
+func (c *Conn) writeReply(stream *quic.Stream, msg any) {
 	frame, err := encodeFrame(msg, c.ep.cfg.MaxPayload)
 	if err != nil {
 		// The handler has run: this is no proof of the opposite.
-		frame, err = encodeFrame(handlerFailure(err), c.ep.cfg.MaxPayload)
+		frame, err = encodeFrame(handlerErrorReply(err), c.ep.cfg.MaxPayload)
 	}
 	if err != nil {
 		cancelStream(stream)
