--- a/store/batcher.go
+++ b/store/batcher.go
@@ -31,11 +31,11 @@
 
 // NewBatcher returns a running Batcher. At most queue swaps wait for the next
 // call; zero means DefaultQueue.
-func NewBatcher(store Store, queue int) *Batcher {
-	if queue <= 0 {
-		queue = DefaultBatcherQueue
+func NewBatcher(store Store, queueSize int) *Batcher {
+	if queueSize <= 0 {
+		queueSize = DefaultBatcherQueue
 	}
-	b := &Batcher{store: store, queue: make(chan *pendingSwap, queue)}
+	b := &Batcher{store: store, queue: make(chan *pendingSwap, queueSize)}
 	b.tomb.Go(b.run)
 	return b
 }
@@ -58,33 +58,33 @@
 	if !b.tomb.Alive() {
 		return SwapResult{}, ErrClosed
 	}
-	w := &pendingSwap{swap: s, done: make(chan struct{})}
+	pending := &pendingSwap{swap: s, done: make(chan struct{})}
 	select {
-	case b.queue <- w:
+	case b.queue <- pending:
 	default:
 		return SwapResult{}, ErrQueueFull
 	}
 	select {
-	case <-w.done:
-		return w.result, w.err
+	case <-pending.done:
+		return pending.result, pending.err
 	case <-ctx.Done():
-		return w.abandon(ErrCanceled)
+		return pending.abandon(ErrCanceled)
 	case <-b.tomb.Dead():
 		// Queued after the last batch was taken, or answered by it.
-		if w.claim() {
+		if pending.claim() {
 			return SwapResult{}, ErrClosed
 		}
-		<-w.done
-		return w.result, w.err
+		<-pending.done
+		return pending.result, pending.err
 	}
 }
 
 func (b *Batcher) run() error {
 	for {
 		select {
-		case w := <-b.queue:
+		case first := <-b.queue:
 			b.waitForInterval()
-			b.commitBatch(b.collectBatch(w))
+			b.commitBatch(b.collectBatch(first))
 		case <-b.tomb.Dying():
 			return b.drainQueue()
 		}
@@ -106,8 +106,8 @@
 func (b *Batcher) drainQueue() error {
 	for {
 		select {
-		case w := <-b.queue:
-			b.commitBatch(b.collectBatch(w))
+		case first := <-b.queue:
+			b.commitBatch(b.collectBatch(first))
 		default:
 			return nil
 		}
@@ -141,9 +141,9 @@
 	}
 	results, err := b.callStore(batch)
 	if eris.Is(err, ErrLeaseNotFound) && len(batch) > 1 {
-		for _, part := range groupByLease(batch) {
-			results, err := b.callStore(part)
-			completeAll(part, results, err)
+		for _, group := range groupByLease(batch) {
+			results, err := b.callStore(group)
+			completeAll(group, results, err)
 		}
 		return
 	}
@@ -152,8 +152,8 @@
 
 func (b *Batcher) callStore(batch []*pendingSwap) ([]SwapResult, error) {
 	swaps := make([]Swap, len(batch))
-	for i, w := range batch {
-		swaps[i] = w.swap
+	for i, pending := range batch {
+		swaps[i] = pending.swap
 	}
 	b.commits.Add(1)
 	return b.store.Commit(context.Background(), swaps)
@@ -161,26 +161,26 @@
 
 // groupByLease groups a batch by lease, in order of first occurrence.
 func groupByLease(batch []*pendingSwap) [][]*pendingSwap {
-	index := make(map[LeaseID]int)
-	var parts [][]*pendingSwap
-	for _, w := range batch {
-		i, ok := index[w.swap.Lease]
+	groupOfLease := make(map[LeaseID]int)
+	var groups [][]*pendingSwap
+	for _, pending := range batch {
+		n, ok := groupOfLease[pending.swap.Lease]
 		if !ok {
-			i = len(parts)
-			index[w.swap.Lease] = i
-			parts = append(parts, nil)
+			n = len(groups)
+			groupOfLease[pending.swap.Lease] = n
+			groups = append(groups, nil)
 		}
-		parts[i] = append(parts[i], w)
+		groups[n] = append(groups[n], pending)
 	}
-	return parts
+	return groups
 }
 
 func completeAll(batch []*pendingSwap, results []SwapResult, err error) {
-	for i, w := range batch {
+	for i, pending := range batch {
 		if err != nil {
-			w.complete(SwapResult{}, err)
+			pending.complete(SwapResult{}, err)
 			continue
 		}
-		w.complete(results[i], nil)
+		pending.complete(results[i], nil)
 	}
 }
--- a/store/batcher_test.go
+++ b/store/batcher_test.go
@@ -20,7 +20,7 @@
 	_, kv := startStore(t, standin.Options{})
 	b := store.NewBatcher(kv, 0)
 	var wg sync.WaitGroup
-	var won atomic.Int64
+	var swapped atomic.Int64
 	for i := range 400 {
 		wg.Go(func() {
 			// Two callers race for each key.
@@ -30,12 +30,12 @@
 			c.Check(res.Unknown, qt.IsFalse)
 			c.Check(string(res.Current.Value) == string(value), qt.Equals, res.Swapped)
 			if res.Swapped {
-				won.Add(1)
+				swapped.Add(1)
 			}
 		})
 	}
 	wg.Wait()
-	c.Assert(won.Load(), qt.Equals, int64(200))
+	c.Assert(swapped.Load(), qt.Equals, int64(200))
 	b.Close()
 	_, err := b.Swap(context.Background(), store.Swap{Key: "k"})
 	c.Assert(eris.Is(err, store.ErrClosed), qt.IsTrue)
@@ -73,14 +73,14 @@
 	srv.SetFaults(standin.Faults{Down: standin.DownHang})
 	b := store.NewBatcher(kv, 1)
 	ctx, cancel := context.WithCancel(context.Background())
-	type end struct {
+	type swapEnd struct {
 		Res store.SwapResult
 		Err error
 	}
-	ends := make(chan end, 3)
+	outcomes := make(chan swapEnd, 3)
 	swap := func() {
 		res, err := b.Swap(ctx, store.Swap{Key: "k", Value: []byte("v")})
-		ends <- end{res, err}
+		outcomes <- swapEnd{res, err}
 	}
 	go swap()
 	for srv.Counters().Txn == 0 {
@@ -88,14 +88,14 @@
 	}
 	go swap()
 	go swap()
-	c.Assert(eris.Is((<-ends).Err, store.ErrQueueFull), qt.IsTrue)
+	c.Assert(eris.Is((<-outcomes).Err, store.ErrQueueFull), qt.IsTrue)
 	cancel()
-	one, two := <-ends, <-ends
-	if one.Err == nil {
-		one, two = two, one
+	canceled, inFlight := <-outcomes, <-outcomes
+	if canceled.Err == nil {
+		canceled, inFlight = inFlight, canceled
 	}
-	c.Assert(eris.Is(one.Err, store.ErrCanceled), qt.IsTrue)
-	c.Assert(two, qt.DeepEquals, end{Res: store.SwapResult{Unknown: true}})
+	c.Assert(eris.Is(canceled.Err, store.ErrCanceled), qt.IsTrue)
+	c.Assert(inFlight, qt.DeepEquals, swapEnd{Res: store.SwapResult{Unknown: true}})
 	srv.SetFaults(standin.Faults{})
 	srv.Close() // releases the hanging call
 	b.Close()
--- a/store/chunk.go
+++ b/store/chunk.go
@@ -27,8 +27,8 @@
 		if s.size() > maxCallBytes {
 			return nil, ErrTooLarge
 		}
-		_, twice := keys[s.Key]
-		if twice || i-from == maxSwapsPerCall || bytes+s.size() > maxCallBytes {
+		_, duplicate := keys[s.Key]
+		if duplicate || i-from == maxSwapsPerCall || bytes+s.size() > maxCallBytes {
 			chunks = append(chunks, chunk{from, i})
 			from, bytes = i, 0
 			clear(keys)
--- a/store/client_test.go
+++ b/store/client_test.go
@@ -20,18 +20,18 @@
 
 // startStore returns a stand-in and a client of it. Its calls wait long: whatever a test
 // injects breaks the connection, and a silent store needs a timeout of its own.
-func startStore(t testing.TB, opts standin.Options, change ...func(*store.Options)) (*standin.Server, *store.Client) {
+func startStore(t testing.TB, opts standin.Options, configure ...func(*store.Options)) (*standin.Server, *store.Client) {
 	srv := standin.New(opts)
-	web := httptest.NewServer(srv)
-	o := store.Options{Endpoints: []string{web.URL}, CallTimeout: generousTimeout}
-	for _, f := range change {
+	httpServer := httptest.NewServer(srv)
+	o := store.Options{Endpoints: []string{httpServer.URL}, CallTimeout: generousTimeout}
+	for _, f := range configure {
 		f(&o)
 	}
 	client := store.NewClient(o)
 	t.Cleanup(func() {
 		client.Close()
 		srv.Close()
-		web.Close()
+		httpServer.Close()
 	})
 	return srv, client
 }
@@ -51,9 +51,9 @@
 
 	first := swapOne(c, kv, store.Swap{Key: "a/1", Value: []byte("x")})
 	c.Assert(first.Swapped, qt.IsTrue)
-	again := swapOne(c, kv, store.Swap{Key: "a/1", Value: []byte("y")})
-	c.Assert(again.Swapped || again.Unknown, qt.IsFalse)
-	c.Assert(again.Current, qt.DeepEquals, first.Current)
+	conflict := swapOne(c, kv, store.Swap{Key: "a/1", Value: []byte("y")})
+	c.Assert(conflict.Swapped || conflict.Unknown, qt.IsFalse)
+	c.Assert(conflict.Current, qt.DeepEquals, first.Current)
 
 	res, err := kv.Commit(ctx, []store.Swap{
 		{Key: "a/1", Expect: first.Current.Mod, Delete: true},
--- a/store/commit.go
+++ b/store/commit.go
@@ -27,15 +27,15 @@
 		return nil, err
 	}
 	results := make([]SwapResult, 0, len(swaps))
-	for i, ch := range chunks {
-		part, err := c.commitChunk(ctx, swaps[ch.from:ch.to])
+	for i, call := range chunks {
+		chunkResults, err := c.commitChunk(ctx, swaps[call.from:call.to])
 		if err != nil && i == 0 {
 			return nil, err
 		}
 		if err != nil {
-			return append(results, unknownResults(swaps[ch.from:])...), nil
+			return append(results, unknownResults(swaps[call.from:])...), nil
 		}
-		results = append(results, part...)
+		results = append(results, chunkResults...)
 	}
 	return results, nil
 }
@@ -86,9 +86,9 @@
 	return results
 }
 
-func swapResult(s Swap, res *v3json.TxnResponse, at Revision) SwapResult {
+func swapResult(s Swap, res *v3json.TxnResponse, revision Revision) SwapResult {
 	if res.Succeeded {
-		return SwapResult{Swapped: true, Current: keyAfterSwap(s, at)}
+		return SwapResult{Swapped: true, Current: keyAfterSwap(s, revision)}
 	}
 	return SwapResult{Current: keyFromFailure(s.Key, res)}
 }
--- a/store/fuzz_test.go
+++ b/store/fuzz_test.go
@@ -103,8 +103,8 @@
 			if r.Swapped && r.Unknown || r.Current.Key != "" && r.Current.Key != swaps[i].Key {
 				t.Fatalf("swap of %s: %+v", swaps[i].Key, r)
 			}
-			said := strings.Contains(strings.ToLower(b1+b2), "succeeded")
-			if r.Swapped && !said && !bytes.Equal(r.Current.Value, swaps[i].Value) && !strings.Contains(strings.ToLower(b1+b2), "value") {
+			reported := strings.Contains(strings.ToLower(b1+b2), "succeeded")
+			if r.Swapped && !reported && !bytes.Equal(r.Current.Value, swaps[i].Value) && !strings.Contains(strings.ToLower(b1+b2), "value") {
 				t.Fatalf("swap of %s counts as done without proof: %+v", swaps[i].Key, r)
 			}
 		}
@@ -138,12 +138,12 @@
 			if b.At <= last {
 				t.Fatalf("%+v after %d", b, last)
 			}
-			at := last
+			previous := last
 			for _, e := range b.Events {
-				if e.Mod < at || e.Mod <= last || e.Mod > b.At || !strings.HasPrefix(e.Key, "a/") {
+				if e.Mod < previous || e.Mod <= last || e.Mod > b.At || !strings.HasPrefix(e.Key, "a/") {
 					t.Fatalf("%+v after %d", b, last)
 				}
-				at = e.Mod
+				previous = e.Mod
 			}
 			last = b.At
 		}
--- a/store/lease.go
+++ b/store/lease.go
@@ -25,14 +25,14 @@
 	seconds := int64((ttl + time.Second - 1) / time.Second)
 	req := &v3json.GrantRequest{ID: id, TTL: max(1, seconds)}
 	var res v3json.LeaseResponse
-	o, repeated := c.postRepeatable(ctx, &c.counts.grant, v3json.PathGrant, req, &res)
-	if o.ok() && !validLease(id, res) {
+	result, repeated := c.postRepeatable(ctx, &c.counts.grant, v3json.PathGrant, req, &res)
+	if result.ok() && !validLease(id, res) {
 		return 0, eris.Wrap(ErrUnavailable, errInvalidResponse.Error())
 	}
-	if o.ok() || repeated && o.code == v3json.CodeFailedPrecondition {
+	if result.ok() || repeated && result.code == v3json.CodeFailedPrecondition {
 		return LeaseID(id), nil
 	}
-	return 0, o.err()
+	return 0, result.err()
 }
 
 // Renew implements Store. It is charged to the budget but never refused.
@@ -40,9 +40,9 @@
 	c.chargeCall()
 	var res v3json.KeepAliveResponse
 	req := &v3json.LeaseRequest{ID: int64(id)}
-	o, _ := c.postRepeatable(ctx, &c.counts.renew, v3json.PathKeepAlive, req, &res)
-	if !o.ok() {
-		return 0, o.err()
+	result, _ := c.postRepeatable(ctx, &c.counts.renew, v3json.PathKeepAlive, req, &res)
+	if !result.ok() {
+		return 0, result.err()
 	}
 	if !validLease(int64(id), res.Result) {
 		return 0, eris.Wrap(ErrUnavailable, errInvalidResponse.Error())
@@ -60,11 +60,11 @@
 	c.chargeCall()
 	var res v3json.LeaseResponse
 	req := &v3json.LeaseRequest{ID: int64(id)}
-	o, repeated := c.postRepeatable(ctx, &c.counts.revoke, v3json.PathRevoke, req, &res)
-	if o.ok() || repeated && o.code == v3json.CodeNotFound {
+	result, repeated := c.postRepeatable(ctx, &c.counts.revoke, v3json.PathRevoke, req, &res)
+	if result.ok() || repeated && result.code == v3json.CodeNotFound {
 		return nil
 	}
-	return o.err()
+	return result.err()
 }
 
 // postRepeatable makes a call that may be repeated, and reports whether an attempt
--- a/store/list_test.go
+++ b/store/list_test.go
@@ -30,12 +30,12 @@
 
 func newPagedStore(c *qt.C) *pagedStore {
 	p := &pagedStore{Server: standin.New(standin.Options{}), afterPage: func(int) {}}
-	web := httptest.NewServer(p)
-	p.client = store.NewClient(store.Options{Endpoints: []string{web.URL}, CallTimeout: 5 * time.Second})
+	httpServer := httptest.NewServer(p)
+	p.client = store.NewClient(store.Options{Endpoints: []string{httpServer.URL}, CallTimeout: 5 * time.Second})
 	c.Cleanup(func() {
 		p.client.Close()
 		p.Server.Close()
-		web.Close()
+		httpServer.Close()
 	})
 	var swaps []store.Swap
 	for i := range listedKeys {
@@ -55,28 +55,28 @@
 		p.Server.ServeHTTP(w, r)
 		return
 	}
-	answer := httptest.NewRecorder()
-	p.Server.ServeHTTP(answer, r)
+	recorder := httptest.NewRecorder()
+	p.Server.ServeHTTP(recorder, r)
 	p.pages++
 	p.afterPage(p.pages)
-	w.WriteHeader(answer.Code)
-	_, _ = w.Write(answer.Body.Bytes()) // a client that is gone needs no answer
+	w.WriteHeader(recorder.Code)
+	_, _ = w.Write(recorder.Body.Bytes()) // a client that is gone needs no answer
 }
 
 // writeKey changes a key besides the client, as another process would.
 func (p *pagedStore) writeKey(c *qt.C, i int, value string) {
-	other := p.newUncountedClient(c)
-	defer other.Close()
-	kv, _, err := other.Get(context.Background(), pagedKey(i))
+	client := p.newUncountedClient(c)
+	defer client.Close()
+	kv, _, err := client.Get(context.Background(), pagedKey(i))
 	c.Check(err, qt.IsNil)
-	c.Check(swapOne(c, other, store.Swap{Key: pagedKey(i), Expect: kv.Mod, Value: []byte(value)}).Swapped, qt.IsTrue)
+	c.Check(swapOne(c, client, store.Swap{Key: pagedKey(i), Expect: kv.Mod, Value: []byte(value)}).Swapped, qt.IsTrue)
 }
 
 // newUncountedClient is a client whose calls are not counted as pages.
 func (p *pagedStore) newUncountedClient(c *qt.C) *store.Client {
-	web := httptest.NewServer(p.Server)
-	c.Cleanup(web.Close)
-	return store.NewClient(store.Options{Endpoints: []string{web.URL}})
+	httpServer := httptest.NewServer(p.Server)
+	c.Cleanup(httpServer.Close)
+	return store.NewClient(store.Options{Endpoints: []string{httpServer.URL}})
 }
 
 // A planner takes over and lists thousands of job records while others change.
@@ -107,7 +107,7 @@
 // listing begins again, and shows one state of one store.
 func TestListRestarts(t *testing.T) {
 	c := qt.New(t)
-	for name, breaks := range map[string]func(p *pagedStore){
+	for name, disrupt := range map[string]func(p *pagedStore){
 		"compacted": func(p *pagedStore) {
 			p.writeKey(c, 7, "second")
 			p.Compact()
@@ -122,7 +122,7 @@
 			p.Snapshot()
 			p.afterPage = func(page int) {
 				if page == 1 {
-					breaks(p)
+					disrupt(p)
 				}
 			}
 			snap, err := p.client.List(context.Background(), "jobs/")
@@ -152,10 +152,10 @@
 	ctx := context.Background()
 	keys, err := p.client.ListKeys(ctx, "jobs/")
 	c.Assert(err, qt.IsNil)
-	whole, err := p.client.List(ctx, "jobs/")
+	withValues, err := p.client.List(ctx, "jobs/")
 	c.Assert(err, qt.IsNil)
-	for i := range whole.Keys {
-		whole.Keys[i].Value = nil
+	for i := range withValues.Keys {
+		withValues.Keys[i].Value = nil
 	}
-	c.Assert(keys, qt.DeepEquals, whole)
+	c.Assert(keys, qt.DeepEquals, withValues)
 }
--- a/store/lost_test.go
+++ b/store/lost_test.go
@@ -49,60 +49,60 @@
 	resp.Body.Close()
 }
 
-func withTransport(m *interferingTransport) func(*store.Options) {
-	return func(o *store.Options) { o.HTTP = &http.Client{Transport: m} }
+func withTransport(transport *interferingTransport) func(*store.Options) {
+	return func(o *store.Options) { o.HTTP = &http.Client{Transport: transport} }
 }
 
 // An operator's change is reported as a conflict although nobody else changed
 // anything: the write took effect, the reply was lost, and the retry failed
 // against its own write. Or a change is reported as made that never arrived.
 func TestCommitWithLostCall(t *testing.T) {
-	reply, request := standin.Faults{LoseReplies: 1}, standin.Faults{LoseRequests: 1}
-	const ours, theirs = "ours", "theirs"
+	lostReply, lostRequest := standin.Faults{LoseReplies: 1}, standin.Faults{LoseRequests: 1}
+	const ownValue, otherValue = "ours", "theirs"
 	for _, test := range []struct {
-		story    string
-		faults   standin.Faults
-		exists   bool
-		delete   bool
-		meddle   bool // another process writes before the outcome is looked up
-		swapped  bool
-		unknown  bool
-		leftover string
+		name       string
+		faults     standin.Faults
+		exists     bool
+		delete     bool
+		concurrent bool // another process writes before the outcome is looked up
+		swapped    bool
+		unknown    bool
+		finalValue string
 	}{
-		{"create, reply lost", reply, false, false, false, true, false, ours},
-		{"create, request lost", request, false, false, false, false, true, ""},
-		{"create, request lost, another creates", request, false, false, true, false, true, theirs},
-		{"update, reply lost", reply, true, false, false, true, false, ours},
-		{"update, reply lost, another overwrites it", reply, true, false, true, true, false, theirs},
-		{"update, request lost", request, true, false, false, true, false, ours},
-		{"update, request lost, another is first", request, true, false, true, false, false, theirs},
-		{"delete, reply lost: gone, by whom is unknown", reply, true, true, false, false, true, ""},
-		{"delete, request lost", request, true, true, false, true, false, ""},
-		{"delete, request lost, another writes first", request, true, true, true, false, false, theirs},
+		{"create, reply lost", lostReply, false, false, false, true, false, ownValue},
+		{"create, request lost", lostRequest, false, false, false, false, true, ""},
+		{"create, request lost, another creates", lostRequest, false, false, true, false, true, otherValue},
+		{"update, reply lost", lostReply, true, false, false, true, false, ownValue},
+		{"update, reply lost, another overwrites it", lostReply, true, false, true, true, false, otherValue},
+		{"update, request lost", lostRequest, true, false, false, true, false, ownValue},
+		{"update, request lost, another is first", lostRequest, true, false, true, false, false, otherValue},
+		{"delete, reply lost: gone, by whom is unknown", lostReply, true, true, false, false, true, ""},
+		{"delete, request lost", lostRequest, true, true, false, true, false, ""},
+		{"delete, request lost, another writes first", lostRequest, true, true, true, false, false, otherValue},
 	} {
-		t.Run(test.story, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			var srv *standin.Server
-			m := &interferingTransport{}
-			srv, kv := startStore(t, standin.Options{}, withTransport(m))
-			s := store.Swap{Key: "k", Value: []byte(ours), Delete: test.delete}
+			transport := &interferingTransport{}
+			srv, kv := startStore(t, standin.Options{}, withTransport(transport))
+			s := store.Swap{Key: "k", Value: []byte(ownValue), Delete: test.delete}
 			if test.exists {
 				s.Expect = swapOne(c, kv, store.Swap{Key: "k", Value: []byte("old")}).Current.Mod
 			}
-			if test.meddle {
-				m.afterLoss = func() {
-					held, _, _ := kv.Get(context.Background(), "k")
-					swapOne(c, kv, store.Swap{Key: "k", Expect: held.Mod, Value: []byte(theirs)})
+			if test.concurrent {
+				transport.afterLoss = func() {
+					current, _, _ := kv.Get(context.Background(), "k")
+					swapOne(c, kv, store.Swap{Key: "k", Expect: current.Mod, Value: []byte(otherValue)})
 				}
 			}
 			srv.SetFaults(test.faults)
 			res := swapOne(c, kv, s)
 			c.Assert(res.Swapped, qt.Equals, test.swapped)
 			c.Assert(res.Unknown, qt.Equals, test.unknown)
-			held, _, err := kv.Get(context.Background(), "k")
+			current, _, err := kv.Get(context.Background(), "k")
 			c.Assert(err, qt.IsNil)
-			c.Assert(string(held.Value), qt.Equals, test.leftover)
-			c.Assert(res.Current.Mod, qt.Equals, held.Mod)
+			c.Assert(string(current.Value), qt.Equals, test.finalValue)
+			c.Assert(res.Current.Mod, qt.Equals, current.Mod)
 			c.Assert(kv.Calls().Lost, qt.Equals, int64(1))
 		})
 	}
@@ -113,17 +113,17 @@
 // unchanged, and then the request arrived.
 func TestCommitWithDelayedRequest(t *testing.T) {
 	c := qt.New(t)
-	m := &interferingTransport{}
-	_, kv := startStore(t, standin.Options{}, withTransport(m))
+	transport := &interferingTransport{}
+	_, kv := startStore(t, standin.Options{}, withTransport(transport))
 	first := swapOne(c, kv, store.Swap{Key: "k", Value: []byte("old")})
-	m.withhold = true
+	transport.withhold = true
 	res := swapOne(c, kv, store.Swap{Key: "k", Expect: first.Current.Mod, Value: []byte("new")})
 	c.Assert(res.Swapped, qt.IsTrue)
 	next := swapOne(c, kv, store.Swap{Key: "k", Expect: res.Current.Mod, Value: []byte("newer")})
-	m.release(c)
-	held, _, err := kv.Get(context.Background(), "k")
+	transport.release(c)
+	current, _, err := kv.Get(context.Background(), "k")
 	c.Assert(err, qt.IsNil)
-	c.Assert(held.Mod, qt.Equals, next.Current.Mod)
+	c.Assert(current.Mod, qt.Equals, next.Current.Mod)
 }
 
 // A lease is granted or revoked and the reply is lost. The caller must neither
@@ -156,10 +156,10 @@
 	c.Assert(eris.Is(err, store.ErrUnavailable), qt.IsTrue)
 
 	// Nothing listens: no byte was sent.
-	closed := store.NewClient(store.Options{Endpoints: []string{"http://127.0.0.1:1"}})
-	_, err = closed.Commit(ctx, swaps)
+	unreachable := store.NewClient(store.Options{Endpoints: []string{"http://127.0.0.1:1"}})
+	_, err = unreachable.Commit(ctx, swaps)
 	c.Assert(eris.Is(err, store.ErrUnavailable), qt.IsTrue)
-	c.Assert(closed.Calls().Lost, qt.Equals, int64(0))
+	c.Assert(unreachable.Calls().Lost, qt.Equals, int64(0))
 
 	// A 503 may come from anything between, after the write took effect.
 	srv.SetFaults(standin.Faults{Down: standin.DownRefuse})
@@ -191,11 +191,11 @@
 func TestEndpointFailover(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	silent := standin.New(standin.Options{})
-	silent.SetFaults(standin.Faults{Down: standin.DownHang})
+	hanging := standin.New(standin.Options{})
+	hanging.SetFaults(standin.Faults{Down: standin.DownHang})
 	_, kv := startStore(t, standin.Options{}, func(o *store.Options) {
 		o.CallTimeout = 2 * time.Second
-		o.Endpoints = append([]string{"http://127.0.0.1:1", serveStandin(t, silent)}, o.Endpoints...)
+		o.Endpoints = append([]string{"http://127.0.0.1:1", serveStandin(t, hanging)}, o.Endpoints...)
 	})
 	_, _, err := kv.Get(context.Background(), "k")
 	c.Assert(err, qt.IsNil)
--- a/store/plausible.go
+++ b/store/plausible.go
@@ -43,8 +43,8 @@
 	if len(req.RangeEnd) == 0 {
 		return key == string(req.Key)
 	}
-	toTheLast := string(req.RangeEnd) == "\x00"
-	return key >= string(req.Key) && (toTheLast || key < string(req.RangeEnd))
+	unbounded := string(req.RangeEnd) == "\x00"
+	return key >= string(req.Key) && (unbounded || key < string(req.RangeEnd))
 }
 
 // validTxn checks the answer to a call that swaps, or reads, one key after the
--- a/store/post.go
+++ b/store/post.go
@@ -38,20 +38,20 @@
 	cause  error
 }
 
-func (o callResult) ok() bool { return o.status == statusReplied }
+func (r callResult) ok() bool { return r.status == statusReplied }
 
 // err returns the typed error of a call that certainly had no effect.
-func (o callResult) err() error {
-	if o.code == v3json.CodeNotFound {
+func (r callResult) err() error {
+	if r.code == v3json.CodeNotFound {
 		return ErrLeaseNotFound
 	}
-	if o.code == v3json.CodeOutOfRange {
+	if r.code == v3json.CodeOutOfRange {
 		return ErrCompacted
 	}
-	if o.cause != nil {
-		return eris.Wrap(ErrUnavailable, o.cause.Error())
+	if r.cause != nil {
+		return eris.Wrap(ErrUnavailable, r.cause.Error())
 	}
-	return eris.Wrap(ErrUnavailable, o.msg)
+	return eris.Wrap(ErrUnavailable, r.msg)
 }
 
 // post makes one attempt of one call.
@@ -113,9 +113,9 @@
 	if msg == "" {
 		msg = resp.Status
 	}
-	o := callResult{status: statusRejected, code: body.Code, msg: msg}
+	result := callResult{status: statusRejected, code: body.Code, msg: msg}
 	if resp.StatusCode >= http.StatusInternalServerError {
-		o.status = statusLost
+		result.status = statusLost
 	}
-	return o
+	return result
 }
--- a/store/read.go
+++ b/store/read.go
@@ -16,8 +16,8 @@
 }
 
 // get reads one key as of a revision, zero being the newest.
-func (c *Client) get(ctx context.Context, key string, at Revision) (KeyValue, bool, error) {
-	req := &v3json.RangeRequest{Key: []byte(key), Revision: int64(at)}
+func (c *Client) get(ctx context.Context, key string, revision Revision) (KeyValue, bool, error) {
+	req := &v3json.RangeRequest{Key: []byte(key), Revision: int64(revision)}
 	var res v3json.RangeResponse
 	if err := c.readRange(ctx, &c.counts.get, req, &res); err != nil {
 		return KeyValue{}, false, err
--- a/store/settle.go
+++ b/store/settle.go
@@ -31,21 +31,21 @@
 // create it a second time. In both cases the key's bytes tell whose write is
 // found, because every proposed value is unique.
 func (c *Client) resolveLostCommit(ctx context.Context, swaps []Swap) []SwapResult {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = resolveBackoff
+	retryDelay := backoff.NewExponentialBackOff()
+	retryDelay.InitialInterval = resolveBackoff
 	resend := true
 	for i := range resolveAttempts {
-		if i > 0 && !sleep(ctx, pause.NextBackOff()) {
+		if i > 0 && !sleep(ctx, retryDelay.NextBackOff()) {
 			break
 		}
 		var res v3json.TxnResponse
-		o := c.resendOrRead(ctx, swaps, resend, i, &res)
-		if o.ok() && validTxn(swaps, &res) {
+		result := c.resendOrRead(ctx, swaps, resend, i, &res)
+		if result.ok() && validTxn(swaps, &res) {
 			c.setPreferred(i)
 			return c.resolveSwaps(ctx, swaps, &res)
 		}
 		// The lease is gone, maybe after the first copy took effect under it.
-		resend = resend && o.code != v3json.CodeNotFound
+		resend = resend && result.code != v3json.CodeNotFound
 		if ctx.Err() != nil {
 			break
 		}
@@ -89,29 +89,29 @@
 // through the versions of the key ends at our own bytes (it took effect), at
 // the expected revision (the next write was another's, so it did not and never
 // will), or nowhere (unknown).
-func (c *Client) resolveSwap(ctx context.Context, s Swap, now KeyValue) SwapResult {
-	unknown := SwapResult{Unknown: true, Current: now}
-	if now.Mod == 0 || now.Mod == s.Expect {
+func (c *Client) resolveSwap(ctx context.Context, s Swap, current KeyValue) SwapResult {
+	unknown := SwapResult{Unknown: true, Current: current}
+	if current.Mod == 0 || current.Mod == s.Expect {
 		return unknown
 	}
-	version := now
+	version := current
 	for range maxVersionReads {
 		if !s.Delete && bytes.Equal(version.Value, s.Value) {
-			return SwapResult{Swapped: true, Current: now}
+			return SwapResult{Swapped: true, Current: current}
 		}
 		if version.Mod == version.Created {
 			return unknown
 		}
 		c.chargeCall()
 		c.counts.readBack.Add(1)
-		before, ok, err := c.get(ctx, s.Key, version.Mod-1)
+		previous, ok, err := c.get(ctx, s.Key, version.Mod-1)
 		if err != nil || !ok {
 			return unknown
 		}
-		if before.Mod == s.Expect {
-			return SwapResult{Current: now}
+		if previous.Mod == s.Expect {
+			return SwapResult{Current: current}
 		}
-		version = before
+		version = previous
 	}
 	return unknown
 }
--- a/store/standin/call.go
+++ b/store/standin/call.go
@@ -45,16 +45,16 @@
 		s.dropConnection()
 	}
 	s.expire()
-	before := s.state.revision
-	res, f := c.run(req)
-	s.notifyIfChanged(before)
+	oldRevision := s.state.revision
+	res, apiErr := c.run(req)
+	s.notifyIfChanged(oldRevision)
 	if write && s.faults.LoseReplies > 0 {
 		s.faults.LoseReplies--
 		s.dropConnection()
 	}
 	s.mu.Unlock()
-	if f != nil {
-		writeJSON(w, f.status, f.body)
+	if apiErr != nil {
+		writeJSON(w, apiErr.status, apiErr.body)
 		return
 	}
 	writeJSON(w, http.StatusOK, res)
@@ -70,29 +70,29 @@
 
 // admit counts a call and applies the faults that hit it before it takes
 // effect. It has answered the call where it returns false.
-func (s *Server) admit(w http.ResponseWriter, r *http.Request, count func(*Counters) *int64, write bool) bool {
+func (s *Server) admit(w http.ResponseWriter, r *http.Request, counter func(*Counters) *int64, write bool) bool {
 	s.mu.Lock()
-	*count(&s.counters)++
-	f := s.faults
-	limit := s.readLimiter
+	*counter(&s.counters)++
+	faults := s.faults
+	limiter := s.readLimiter
 	if write {
-		limit = s.writeLimiter
+		limiter = s.writeLimiter
 	}
 	s.mu.Unlock()
-	if f.Down == DownHang {
+	if faults.Down == DownHang {
 		s.waitFor(r, nil)
 		panic(http.ErrAbortHandler)
 	}
-	if f.Down != "" {
+	if faults.Down != "" {
 		s.reject(w, newAPIError(v3json.CodeUnavailable, v3json.MsgNoLeader))
 		return false
 	}
-	if !allow(limit) {
+	if !allow(limiter) {
 		s.reject(w, newAPIError(v3json.CodeResourceExhausted, v3json.MsgTooManyRequests))
 		return false
 	}
-	if f.DelayMillis > 0 {
-		s.waitFor(r, time.After(time.Duration(f.DelayMillis)*time.Millisecond))
+	if faults.DelayMillis > 0 {
+		s.waitFor(r, time.After(time.Duration(faults.DelayMillis)*time.Millisecond))
 	}
 	return true
 }
@@ -108,11 +108,11 @@
 	}
 }
 
-func (s *Server) reject(w http.ResponseWriter, f *apiError) {
+func (s *Server) reject(w http.ResponseWriter, apiErr *apiError) {
 	s.mu.Lock()
 	s.counters.Refused++
 	s.mu.Unlock()
-	writeJSON(w, f.status, f.body)
+	writeJSON(w, apiErr.status, apiErr.body)
 }
 
 func writeJSON(w http.ResponseWriter, status int, body any) {
--- a/store/standin/control_test.go
+++ b/store/standin/control_test.go
@@ -16,10 +16,10 @@
 	c := qt.New(t)
 	srv := standin.New(standin.Options{})
 	defer srv.Close()
-	web := httptest.NewServer(srv)
-	defer web.Close()
+	httpServer := httptest.NewServer(srv)
+	defer httpServer.Close()
 	post := func(path, body string) (int, string) {
-		resp, err := http.Post(web.URL+path, "application/json", strings.NewReader(body))
+		resp, err := http.Post(httpServer.URL+path, "application/json", strings.NewReader(body))
 		c.Assert(err, qt.IsNil)
 		defer resp.Body.Close()
 		got, err := io.ReadAll(resp.Body)
--- a/store/standin/entry.go
+++ b/store/standin/entry.go
@@ -41,13 +41,13 @@
 
 // compact drops the versions that no revision from rev on can see.
 func (e entry) compact(rev int64) entry {
-	from := 0
+	firstKept := 0
 	for i, v := range e.versions {
 		if v.kv.ModRevision <= rev {
-			from = i
+			firstKept = i
 		}
 	}
-	kept := e.versions[from:]
+	kept := e.versions[firstKept:]
 	if len(kept) == 1 && kept[0].deleted && kept[0].kv.ModRevision <= rev {
 		kept = nil
 	}
--- a/store/standin/routes.go
+++ b/store/standin/routes.go
@@ -68,13 +68,13 @@
 	s.mux.HandleFunc("GET /standin/counters", func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, s.Counters())
 	})
-	for path, do := range map[string]func(){
+	for pattern, action := range map[string]func(){
 		"POST /standin/snapshot": s.Snapshot,
 		"POST /standin/restore":  s.Restore,
 		"POST /standin/compact":  s.Compact,
 	} {
-		s.mux.HandleFunc(path, func(w http.ResponseWriter, _ *http.Request) {
-			do()
+		s.mux.HandleFunc(pattern, func(w http.ResponseWriter, _ *http.Request) {
+			action()
 			w.WriteHeader(http.StatusNoContent)
 		})
 	}
--- a/store/standin/server.go
+++ b/store/standin/server.go
@@ -81,9 +81,9 @@
 }
 
 func (s *Server) expire() {
-	before := s.state.revision
+	oldRevision := s.state.revision
 	s.state.expireLeases(s.now())
-	s.notifyIfChanged(before)
+	s.notifyIfChanged(oldRevision)
 }
 
 func (s *Server) now() time.Time {
@@ -94,8 +94,8 @@
 }
 
 // notifyIfChanged wakes the watches where the revision is no longer before.
-func (s *Server) notifyIfChanged(before int64) {
-	if s.state.revision == before {
+func (s *Server) notifyIfChanged(oldRevision int64) {
+	if s.state.revision == oldRevision {
 		return
 	}
 	s.state.trimHistory(s.opts.MaxHistory)
@@ -156,12 +156,12 @@
 func (s *Server) Restore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	cluster := s.state.clusterID
+	oldClusterID := s.state.clusterID
 	s.state = newState()
 	if s.snapshot != nil {
 		s.state = s.snapshot.clone()
 	}
-	s.state.clusterID = cluster + 1
+	s.state.clusterID = oldClusterID + 1
 	for _, l := range s.state.leases {
 		l.expires = s.now().Add(l.ttl)
 	}
--- a/store/standin/state.go
+++ b/store/standin/state.go
@@ -144,8 +144,8 @@
 }
 
 // trimHistory compacts the older half of a history longer than most.
-func (s *state) trimHistory(most int) {
-	if len(s.log) > most {
+func (s *state) trimHistory(maxEvents int) {
+	if len(s.log) > maxEvents {
 		s.compact(s.log[len(s.log)/2].Kv.ModRevision)
 	}
 }
--- a/store/standin/txn.go
+++ b/store/standin/txn.go
@@ -11,16 +11,16 @@
 // state before it, all writes share one revision, and a refused one leaves no
 // trace.
 func (s *state) txn(req *v3json.TxnRequest) (*v3json.TxnResponse, *apiError) {
-	if f := checkOps(req, maxOps, make(map[string]bool)); f != nil {
-		return nil, f
+	if apiErr := checkOps(req, maxOps, make(map[string]bool)); apiErr != nil {
+		return nil, apiErr
 	}
-	run := &txnExecution{state: s, revision: s.revision + 1, succeeded: make(map[*v3json.TxnRequest]bool)}
-	if f := run.evaluate(req); f != nil {
-		return nil, f
+	execution := &txnExecution{state: s, revision: s.revision + 1, succeeded: make(map[*v3json.TxnRequest]bool)}
+	if apiErr := execution.evaluate(req); apiErr != nil {
+		return nil, apiErr
 	}
-	res := run.apply(req)
-	if run.wrote {
-		s.revision = run.revision
+	res := execution.apply(req)
+	if execution.wrote {
+		s.revision = execution.revision
 	}
 	setHeader(res, s.header())
 	return res, nil
@@ -29,38 +29,38 @@
 // checkOps applies the limits of the API: the operations of nested
 // transactions count against what the outer ones leave, and a key is written
 // once at most.
-func checkOps(req *v3json.TxnRequest, room int, put map[string]bool) *apiError {
+func checkOps(req *v3json.TxnRequest, opsLeft int, written map[string]bool) *apiError {
 	ops := max(len(req.Compare), len(req.Success), len(req.Failure))
-	if ops > room {
+	if ops > opsLeft {
 		return newAPIError(v3json.CodeInvalidArgument, v3json.MsgTooManyOps)
 	}
 	for _, branch := range [][]v3json.RequestOp{req.Success, req.Failure} {
 		for _, op := range branch {
-			if f := checkOp(op, room-ops, put); f != nil {
-				return f
+			if apiErr := checkOp(op, opsLeft-ops, written); apiErr != nil {
+				return apiErr
 			}
 		}
 	}
 	return nil
 }
 
-func checkOp(op v3json.RequestOp, room int, put map[string]bool) *apiError {
+func checkOp(op v3json.RequestOp, opsLeft int, written map[string]bool) *apiError {
 	switch {
 	case op.Txn != nil:
-		return checkOps(op.Txn, room, put)
+		return checkOps(op.Txn, opsLeft, written)
 	case op.Put != nil:
-		return checkUniqueWrite(string(op.Put.Key), put)
+		return checkUniqueWrite(string(op.Put.Key), written)
 	case op.Delete != nil:
-		return checkUniqueWrite(string(op.Delete.Key), put)
+		return checkUniqueWrite(string(op.Delete.Key), written)
 	}
 	return nil
 }
 
-func checkUniqueWrite(key string, put map[string]bool) *apiError {
-	if put[key] {
+func checkUniqueWrite(key string, written map[string]bool) *apiError {
+	if written[key] {
 		return newAPIError(v3json.CodeInvalidArgument, v3json.MsgDuplicateKey)
 	}
-	put[key] = true
+	written[key] = true
 	return nil
 }
 
@@ -95,8 +95,8 @@
 		if op.Txn == nil {
 			continue
 		}
-		if f := r.evaluate(op.Txn); f != nil {
-			return f
+		if apiErr := r.evaluate(op.Txn); apiErr != nil {
+			return apiErr
 		}
 	}
 	return nil
--- a/store/standin/watch.go
+++ b/store/standin/watch.go
@@ -98,12 +98,12 @@
 }
 
 // sendProgress sends a progress notice, unless changes wait to be sent.
-func (s *Server) sendProgress(w http.ResponseWriter, watch *watch) {
+func (s *Server) sendProgress(w http.ResponseWriter, openWatch *watch) {
 	s.mu.Lock()
 	h := s.state.header()
-	quiet := watch.create.ProgressNotify && !watch.frozen && watch.sentRevision >= h.Revision
+	upToDate := openWatch.create.ProgressNotify && !openWatch.frozen && openWatch.sentRevision >= h.Revision
 	s.mu.Unlock()
-	if quiet {
+	if upToDate {
 		sendWatchResponse(w, v3json.WatchResponse{Header: h})
 	}
 }
--- a/store/swapop.go
+++ b/store/swapop.go
@@ -27,13 +27,13 @@
 }
 
 // keyAfterSwap returns the key after a swap that took effect at revision at.
-func keyAfterSwap(s Swap, at Revision) KeyValue {
+func keyAfterSwap(s Swap, revision Revision) KeyValue {
 	if s.Delete {
 		return KeyValue{Key: s.Key}
 	}
-	kv := KeyValue{Key: s.Key, Value: s.Value, Mod: at, Lease: s.Lease}
+	kv := KeyValue{Key: s.Key, Value: s.Value, Mod: revision, Lease: s.Lease}
 	if s.Expect == 0 {
-		kv.Created = at
+		kv.Created = revision
 	}
 	return kv
 }
--- a/store/watch.go
+++ b/store/watch.go
@@ -29,9 +29,9 @@
 // Where the process's budget is used up, reconnecting waits.
 func (c *Client) Watch(ctx context.Context, prefix string, from Revision, deliver func(WatchBatch)) error {
 	w := &watcher{client: c, prefix: prefix, lastRevision: from - 1, deliver: deliver}
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = watchBackoffMin
-	pause.MaxInterval = watchBackoffMax
+	retryDelay := backoff.NewExponentialBackOff()
+	retryDelay.InitialInterval = watchBackoffMin
+	retryDelay.MaxInterval = watchBackoffMax
 	for i := 0; ; i++ {
 		if err := c.limiter.Wait(ctx); err != nil {
 			return watchError(ctx, err)
@@ -42,9 +42,9 @@
 			return err
 		}
 		if delivered {
-			pause.Reset()
+			retryDelay.Reset()
 		}
-		if !sleep(ctx, pause.NextBackOff()) {
+		if !sleep(ctx, retryDelay.NextBackOff()) {
 			return ctx.Err()
 		}
 	}
--- a/store/watch_test.go
+++ b/store/watch_test.go
@@ -17,12 +17,12 @@
 )
 
 func serveStandin(t testing.TB, srv *standin.Server) string {
-	web := httptest.NewServer(srv)
+	httpServer := httptest.NewServer(srv)
 	t.Cleanup(func() {
 		srv.Close()
-		web.Close()
+		httpServer.Close()
 	})
-	return web.URL
+	return httpServer.URL
 }
 
 func shortWatchIdle(o *store.Options) { o.WatchIdleTimeout = 100 * time.Millisecond }
@@ -57,8 +57,8 @@
 	c := qt.New(t)
 	srv, kv := startStore(t, frequentProgress, shortWatchIdle)
 	var watching, writing sync.WaitGroup
-	var seen []store.Event
-	watching.Go(func() { seen = collectEvents(c, kv, "k/") })
+	var live []store.Event
+	watching.Go(func() { live = collectEvents(c, kv, "k/") })
 	results := make(map[string]store.SwapResult)
 	var mu sync.Mutex
 	for n := range writers {
@@ -79,24 +79,24 @@
 	swapOne(c, kv, store.Swap{Key: "k/end", Value: []byte("end")})
 	watching.Wait()
 
-	truth := collectEvents(c, kv, "k/")
-	c.Assert(seen, qt.DeepEquals, truth)
-	made := make(map[string]int)
-	for _, e := range truth {
-		made[string(e.Value)]++
+	replayed := collectEvents(c, kv, "k/")
+	c.Assert(live, qt.DeepEquals, replayed)
+	writesByValue := make(map[string]int)
+	for _, e := range replayed {
+		writesByValue[string(e.Value)]++
 	}
 	var swapped, conflicts, unknown int
 	for value, res := range results {
 		switch {
 		case res.Swapped:
 			swapped++
-			c.Check(made[value], qt.Equals, 1, qt.Commentf("%s reported as made", value))
+			c.Check(writesByValue[value], qt.Equals, 1, qt.Commentf("%s reported as made", value))
 		case res.Unknown:
 			unknown++
-			c.Check(made[value] <= 1, qt.IsTrue)
+			c.Check(writesByValue[value] <= 1, qt.IsTrue)
 		default:
 			conflicts++
-			c.Check(made[value], qt.Equals, 0, qt.Commentf("%s reported as not made", value))
+			c.Check(writesByValue[value], qt.Equals, 0, qt.Commentf("%s reported as not made", value))
 		}
 	}
 	t.Logf("seed %d: %d swapped, %d conflicts, %d unknown, calls %+v", seed, swapped, conflicts, unknown, kv.Calls())
@@ -121,14 +121,14 @@
 func randomSwap(c *qt.C, kv store.Store, rng *rand.Rand, value string) store.SwapResult {
 	ctx := context.Background()
 	key := fmt.Sprintf("k/%d", rng.IntN(3))
-	held, _, err := kv.Get(ctx, key)
+	current, _, err := kv.Get(ctx, key)
 	c.Check(err, qt.IsNil)
-	if rng.IntN(6) == 0 && held.Mod != 0 {
-		_, err = kv.Commit(ctx, []store.Swap{{Key: key, Expect: held.Mod, Delete: true}})
+	if rng.IntN(6) == 0 && current.Mod != 0 {
+		_, err = kv.Commit(ctx, []store.Swap{{Key: key, Expect: current.Mod, Delete: true}})
 		c.Check(err, qt.IsNil)
-		held.Mod = 0
+		current.Mod = 0
 	}
-	res, err := kv.Commit(ctx, []store.Swap{{Key: key, Expect: held.Mod, Value: []byte(value)}})
+	res, err := kv.Commit(ctx, []store.Swap{{Key: key, Expect: current.Mod, Value: []byte(value)}})
 	c.Check(err, qt.IsNil)
 	if err != nil {
 		return store.SwapResult{Unknown: true}
--- a/store/watcher.go
+++ b/store/watcher.go
@@ -27,9 +27,9 @@
 	// The connection may go silent for good, because something between the
 	// two ends has lost track of it. Nothing is reported then; only the
 	// absence of the progress notices shows it.
-	idle := w.client.opts.WatchIdleTimeout
-	silent := time.AfterFunc(idle, cancel)
-	defer silent.Stop()
+	idleTimeout := w.client.opts.WatchIdleTimeout
+	idleTimer := time.AfterFunc(idleTimeout, cancel)
+	defer idleTimer.Stop()
 	resp, err := w.openStream(ctx, base)
 	if err != nil {
 		return false, err
@@ -38,7 +38,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return false, errorResult(resp).err()
 	}
-	return w.readStream(resp.Body, func() { silent.Reset(idle) })
+	return w.readStream(resp.Body, func() { idleTimer.Reset(idleTimeout) })
 }
 
 func (w *watcher) openStream(ctx context.Context, base string) (*http.Response, error) {
@@ -54,20 +54,20 @@
 	return resp, err
 }
 
-func (w *watcher) readStream(body io.Reader, alive func()) (bool, error) {
+func (w *watcher) readStream(body io.Reader, onMessage func()) (bool, error) {
 	dec := json.NewDecoder(body)
-	start := w.lastRevision
+	startRevision := w.lastRevision
 	for {
 		var msg v3json.WatchMessage
 		if err := dec.Decode(&msg); err != nil {
-			return w.lastRevision > start, err
+			return w.lastRevision > startRevision, err
 		}
-		alive()
+		onMessage()
 		if msg.Result == nil {
-			return w.lastRevision > start, ErrUnavailable
+			return w.lastRevision > startRevision, ErrUnavailable
 		}
 		if err := w.handleResponse(msg.Result); err != nil {
-			return w.lastRevision > start, err
+			return w.lastRevision > startRevision, err
 		}
 	}
 }
--- a/wire/call.go
+++ b/wire/call.go
@@ -28,8 +28,8 @@
 	if err != nil {
 		return nil, callNotHandled(contextCause(ctx, err))
 	}
-	stop := context.AfterFunc(ctx, func() { cancelStream(stream) })
-	defer stop()
+	stopCancel := context.AfterFunc(ctx, func() { cancelStream(stream) })
+	defer stopCancel()
 	if err := c.sendFrame(ctx, stream, frame); err != nil {
 		return nil, err
 	}
@@ -54,17 +54,17 @@
 }
 
 func (c *Conn) receiveReply(ctx context.Context, stream *quic.Stream) (any, error) {
-	raw, err := readFrame(activityReader{c, stream}, c.ep.cfg.MaxPayload)
+	frame, err := readFrame(activityReader{c, stream}, c.ep.cfg.MaxPayload)
 	if err != nil {
 		stream.CancelRead(streamCancelled)
 		return nil, callOutcomeUnknown(contextCause(ctx, err))
 	}
-	msg, err := raw.decode()
+	msg, err := frame.decode()
 	if err != nil {
 		return nil, callOutcomeUnknown(err)
 	}
-	if remote, ok := msg.(*remoteError); ok {
-		return nil, remote.callError()
+	if peerErr, ok := msg.(*remoteError); ok {
+		return nil, peerErr.callError()
 	}
 	return msg, nil
 }
--- a/wire/call_test.go
+++ b/wire/call_test.go
@@ -17,9 +17,9 @@
 	client := openEndpoint(c, "agent", Config{}, echo)
 	conn := dial(c, client, server.Addr())
 	c.Assert(conn.Peer().ID, qt.Equals, "entry")
-	back := await(c, accepted)
-	c.Assert(back.Peer(), qt.Equals, client.Identity().Peer())
-	for _, conn := range []*Conn{conn, back} {
+	serverConn := await(c, accepted)
+	c.Assert(serverConn.Peer(), qt.Equals, client.Identity().Peer())
+	for _, conn := range []*Conn{conn, serverConn} {
 		reply, err := conn.Call(contextWithTimeout(c, 10*time.Second), GangMessage{Payload: []byte("x")})
 		c.Assert(err, qt.IsNil)
 		c.Assert(reply, qt.DeepEquals, &GangReply{Payload: []byte("x")})
@@ -82,9 +82,9 @@
 
 func TestCallErrorsMatchHandlerExecution(t *testing.T) {
 	c := qt.New(t)
-	var ran atomic.Int32
+	var handled atomic.Int32
 	server := openEndpoint(c, "agent", Config{MaxPayload: 100}, func(_ context.Context, _ *Conn, msg any) (any, error) {
-		ran.Add(1)
+		handled.Add(1)
 		switch string(msg.(*GangMessage).Payload) {
 		case "no":
 			return nil, NotHandled(errors.New("full"))
@@ -97,10 +97,10 @@
 	client := openEndpoint(c, "entry", Config{}, echo)
 	conn := dial(c, client, server.Addr())
 	for _, test := range []struct {
-		story string
-		msg   any
-		want  []error
-		ran   int32
+		name string
+		msg  any
+		want []error
+		ran  int32
 	}{
 		{"a Go type that nobody registered", unregistered{}, []error{ErrNotHandled, ErrUnknownKind}, 0},
 		{"a frame beyond the receiver's limit", GangMessage{Payload: make([]byte, 200)}, []error{ErrNotHandled, ErrFrameTooLarge}, 0},
@@ -112,9 +112,9 @@
 		_, err := conn.Call(contextWithTimeout(c, 10*time.Second), test.msg)
 		c.Check(errors.Is(err, ErrNotHandled) != errors.Is(err, ErrOutcomeUnknown), qt.IsTrue)
 		for _, want := range test.want {
-			c.Check(errors.Is(err, want), qt.IsTrue, qt.Commentf("%s: %v", test.story, err))
+			c.Check(errors.Is(err, want), qt.IsTrue, qt.Commentf("%s: %v", test.name, err))
 		}
-		c.Check(ran.Load(), qt.Equals, test.ran, qt.Commentf(test.story))
+		c.Check(handled.Load(), qt.Equals, test.ran, qt.Commentf(test.name))
 	}
 }
 
@@ -144,9 +144,9 @@
 	c := qt.New(t)
 	server := openEndpoint(c, "entry", Config{}, echo)
 	for _, test := range []struct {
-		story string
-		id    Identity
-		want  bool
+		name string
+		id   Identity
+		want bool
 	}{
 		{"a process of another cluster", newTestIdentity(c, "x", otherKey), false},
 		{"it trusts us but we don't trust it", newTestIdentity(c, "x", otherKey, testKey), false},
@@ -155,7 +155,7 @@
 		client, err := Listen("127.0.0.1:0", test.id, HandlerFunc(echo))
 		c.Assert(err, qt.IsNil)
 		_, err = client.Dial(contextWithTimeout(c, 10*time.Second), server.Addr())
-		c.Check(err == nil, qt.Equals, test.want, qt.Commentf("%s: %v", test.story, err))
+		c.Check(err == nil, qt.Equals, test.want, qt.Commentf("%s: %v", test.name, err))
 		c.Check(err == nil || errors.Is(err, ErrNotHandled), qt.IsTrue)
 		c.Assert(client.Close(), qt.IsNil)
 	}
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -29,10 +29,10 @@
 	drainingOnce  sync.Once
 }
 
-func newConn(ep *Endpoint, q *quic.Conn) *Conn {
+func newConn(ep *Endpoint, quicConn *quic.Conn) *Conn {
 	return &Conn{
 		ep:        ep,
-		quicConn:  q,
+		quicConn:  quicConn,
 		opened:    ep.now(),
 		suspected: make(chan struct{}),
 		draining:  make(chan struct{}),
--- a/wire/credits.go
+++ b/wire/credits.go
@@ -19,16 +19,16 @@
 }
 
 // add takes a served stream.
-func (cr *creditBatcher) add(stream *quic.Stream) {
-	cr.mu.Lock()
-	defer cr.mu.Unlock()
-	cr.served = append(cr.served, stream)
-	if len(cr.served) < creditBatch {
+func (b *creditBatcher) add(stream *quic.Stream) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.served = append(b.served, stream)
+	if len(b.served) < creditBatch {
 		return
 	}
-	for _, s := range cr.served {
+	for _, s := range b.served {
 		s.ReleaseStreamCredit()
 	}
-	clear(cr.served)
-	cr.served = cr.served[:0]
+	clear(b.served)
+	b.served = b.served[:0]
 }
--- a/wire/dial.go
+++ b/wire/dial.go
@@ -43,17 +43,17 @@
 		return nil, err
 	}
 	transport := &quic.Transport{Conn: socket}
-	release := func() {
+	closeTransport := func() {
 		transport.Close()
 		socket.Close()
 	}
-	q, err := transport.Dial(ctx, remote, ep.id.tlsConfig(), ep.quicConfig)
+	quicConn, err := transport.Dial(ctx, remote, ep.id.tlsConfig(), ep.quicConfig)
 	if err != nil {
-		release()
+		closeTransport()
 		return nil, err
 	}
-	c := newConn(ep, q)
-	c.onClose = release
+	c := newConn(ep, quicConn)
+	c.onClose = closeTransport
 	return c, nil
 }
 
@@ -71,10 +71,10 @@
 	if err != nil {
 		return err
 	}
-	answer, ok := reply.(*HelloReply)
+	helloReply, ok := reply.(*HelloReply)
 	if !ok {
 		return eris.Wrapf(ErrMalformed, "reply %T to hello", reply)
 	}
-	c.peer.Store(&answer.Peer)
+	c.peer.Store(&helloReply.Peer)
 	return nil
 }
--- a/wire/drain_test.go
+++ b/wire/drain_test.go
@@ -67,30 +67,30 @@
 		<-release
 		return echo(ctx, from, msg)
 	})
-	path := startRelay(c, server.Addr())
-	conn := dial(c, openEndpoint(c, "entry", Config{}, echo), path.Addr())
+	proxy := startRelay(c, server.Addr())
+	conn := dial(c, openEndpoint(c, "entry", Config{}, echo), proxy.Addr())
 	answered := make(chan error, 1)
 	go func() {
 		_, err := conn.Call(context.Background(), GangMessage{})
 		answered <- err
 	}()
 	await(c, running)
-	path.Mute(relay.Down, true)
+	proxy.Mute(relay.Down, true)
 	close(release)
 	drained := make(chan error, 1)
 	go func() { drained <- server.Drain(context.Background()) }()
 	awaitDraining(server)
-	sent := make(chan struct{})
+	retransmitted := make(chan struct{})
 	go func() {
-		defer close(sent)
-		awaitDroppedDatagrams(c, path, relay.Down, retransmissions)
+		defer close(retransmitted)
+		awaitDroppedDatagrams(c, proxy, relay.Down, retransmissions)
 	}()
 	select {
 	case <-drained:
 		c.Error("drained before the reply had arrived")
-	case <-sent:
+	case <-retransmitted:
 	}
-	path.Mute(relay.Down, false)
+	proxy.Mute(relay.Down, false)
 	c.Assert(await(c, answered), qt.IsNil)
 	c.Assert(await(c, drained), qt.IsNil)
 }
--- a/wire/endpoint.go
+++ b/wire/endpoint.go
@@ -179,13 +179,13 @@
 
 func (ep *Endpoint) acceptLoop() error {
 	for {
-		q, err := ep.listener.Accept(context.Background())
+		quicConn, err := ep.listener.Accept(context.Background())
 		if err != nil {
 			ep.beginClose()
 			return nil
 		}
 		ep.acceptedConns.Add(1)
-		c := newConn(ep, q)
+		c := newConn(ep, quicConn)
 		c.onClose = func() { ep.acceptedConns.Add(-1) }
 		if !ep.register(c) {
 			c.Close()
--- a/wire/frame_test.go
+++ b/wire/frame_test.go
@@ -14,36 +14,36 @@
 
 func TestReadFrameRejectsInvalidFrames(t *testing.T) {
 	c := qt.New(t)
-	good, err := encodeFrame(&GangMessage{Payload: []byte("abc")}, 100)
+	valid, err := encodeFrame(&GangMessage{Payload: []byte("abc")}, 100)
 	c.Assert(err, qt.IsNil)
-	huge := []byte{0xff, 0xff, 0xff, 0xff, 0, byte(KindGangMessage)}
+	oversized := []byte{0xff, 0xff, 0xff, 0xff, 0, byte(KindGangMessage)}
 	for _, test := range []struct {
-		story string
-		raw   []byte
-		want  error
+		name string
+		raw  []byte
+		want error
 	}{
-		{"whole", good, nil},
-		{"cut in the header", good[:3], io.ErrUnexpectedEOF},
-		{"cut in the payload", good[:len(good)-1], ErrMalformed},
-		{"bytes after the payload", append(bytes.Clone(good), 0), ErrMalformed},
-		{"a size beyond the limit", huge, ErrFrameTooLarge},
+		{"whole", valid, nil},
+		{"cut in the header", valid[:3], io.ErrUnexpectedEOF},
+		{"cut in the payload", valid[:len(valid)-1], ErrMalformed},
+		{"bytes after the payload", append(bytes.Clone(valid), 0), ErrMalformed},
+		{"a size beyond the limit", oversized, ErrFrameTooLarge},
 	} {
 		_, err := readFrame(bytes.NewReader(test.raw), 100)
-		c.Check(errors.Is(err, test.want), qt.IsTrue, qt.Commentf("%s: %v", test.story, err))
+		c.Check(errors.Is(err, test.want), qt.IsTrue, qt.Commentf("%s: %v", test.name, err))
 	}
 }
 
 // An announced size alone must not cost memory.
 func TestReadFrameAllocatesForReceivedBytes(t *testing.T) {
 	c := qt.New(t)
-	announced := []byte{0, 0xff, 0xff, 0xff, 0, byte(KindGangMessage), 1, 2, 3}
-	got := testing.Benchmark(func(b *testing.B) {
+	truncated := []byte{0, 0xff, 0xff, 0xff, 0, byte(KindGangMessage), 1, 2, 3}
+	result := testing.Benchmark(func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			readFrame(bytes.NewReader(announced), DefaultMaxPayload)
+			readFrame(bytes.NewReader(truncated), DefaultMaxPayload)
 		}
 	})
-	c.Assert(got.AllocedBytesPerOp() < 3*initialReadBytes, qt.IsTrue, qt.Commentf("%d bytes", got.AllocedBytesPerOp()))
+	c.Assert(result.AllocedBytesPerOp() < 3*initialReadBytes, qt.IsTrue, qt.Commentf("%d bytes", result.AllocedBytesPerOp()))
 }
 
 // Story: half of the fleet runs the next version, which added a field. The
--- a/wire/helpers_test.go
+++ b/wire/helpers_test.go
@@ -49,13 +49,13 @@
 
 // awaitDroppedDatagrams waits until so many more datagrams than now were lost on this way,
 // or for a generous time.
-func awaitDroppedDatagrams(c *qt.C, r *relay.Relay, way relay.Direction, more int64) {
-	want := r.Dropped(way) + more
+func awaitDroppedDatagrams(c *qt.C, r *relay.Relay, direction relay.Direction, count int64) {
+	want := r.Dropped(direction) + count
 	ctx := contextWithTimeout(c, 20*time.Second)
-	for r.Dropped(way) < want && ctx.Err() == nil {
+	for r.Dropped(direction) < want && ctx.Err() == nil {
 		time.Sleep(time.Millisecond)
 	}
-	c.Check(ctx.Err(), qt.IsNil, qt.Commentf("%d datagrams lost", r.Dropped(way)))
+	c.Check(ctx.Err(), qt.IsNil, qt.Commentf("%d datagrams lost", r.Dropped(direction)))
 }
 
 // echo answers Gang with its payload.
@@ -63,8 +63,8 @@
 	return &GangReply{Payload: msg.(*GangMessage).Payload}, nil
 }
 
-func contextWithTimeout(c *qt.C, limit time.Duration) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+func contextWithTimeout(c *qt.C, timeout time.Duration) context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	c.Cleanup(cancel)
 	return ctx
 }
--- a/wire/identity.go
+++ b/wire/identity.go
@@ -51,21 +51,21 @@
 	if err != nil {
 		return Identity{}, err
 	}
-	leaf, err := newCertificate(ca, signer)
+	certificate, err := newCertificate(ca, signer)
 	if err != nil {
 		return Identity{}, err
 	}
 	roots := x509.NewCertPool()
 	roots.AddCert(ca)
-	for _, other := range accepted {
-		otherCA, _, err := deriveClusterCA(other)
+	for _, acceptedKey := range accepted {
+		acceptedCA, _, err := deriveClusterCA(acceptedKey)
 		if err != nil {
 			return Identity{}, err
 		}
-		roots.AddCert(otherCA)
+		roots.AddCert(acceptedCA)
 	}
 	peer.Version = Version
-	return Identity{peer: peer, key: key, certificate: leaf, roots: roots}, nil
+	return Identity{peer: peer, key: key, certificate: certificate, roots: roots}, nil
 }
 
 // Peer returns what this process says of itself in Hello.
--- a/wire/link.go
+++ b/wire/link.go
@@ -23,16 +23,16 @@
 }
 
 func newLink(ep *Endpoint, addr string) *pooledConn {
-	l := &pooledConn{ep: ep, addr: addr, changed: make(chan struct{})}
-	l.tomb.Go(l.run)
-	return l
+	p := &pooledConn{ep: ep, addr: addr, changed: make(chan struct{})}
+	p.tomb.Go(p.run)
+	return p
 }
 
 // waitUsable waits for a usable connection as long as no dial has failed since the
 // last one that succeeded.
-func (l *pooledConn) waitUsable(ctx context.Context) (*Conn, error) {
+func (p *pooledConn) waitUsable(ctx context.Context) (*Conn, error) {
 	for {
-		c, changed, err := l.usable()
+		c, changed, err := p.usable()
 		if c != nil || err != nil {
 			return c, err
 		}
@@ -40,7 +40,7 @@
 		case <-changed:
 		case <-ctx.Done():
 			return nil, callNotHandled(context.Cause(ctx))
-		case <-l.tomb.Dying():
+		case <-p.tomb.Dying():
 			return nil, callNotHandled(ErrClosed)
 		}
 	}
@@ -49,62 +49,62 @@
 // usable returns a usable connection, or an error, or what to wait for. A
 // connection that ended a moment ago is not usable although the loop has not
 // begun to dial yet; changed tells when that dial has an end.
-func (l *pooledConn) usable() (*Conn, <-chan struct{}, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.current != nil && l.current.Usable() {
-		return l.current, nil, nil
+func (p *pooledConn) usable() (*Conn, <-chan struct{}, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.current != nil && p.current.Usable() {
+		return p.current, nil, nil
 	}
-	if l.dialErr != nil {
-		return nil, nil, l.dialErr
+	if p.dialErr != nil {
+		return nil, nil, p.dialErr
 	}
-	return nil, l.changed, nil
+	return nil, p.changed, nil
 }
 
 // setState changes the state and wakes the waiting callers.
-func (l *pooledConn) setState(change func()) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (p *pooledConn) setState(change func()) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	change()
-	close(l.changed)
-	l.changed = make(chan struct{})
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
-func (l *pooledConn) run() error {
-	var old *Conn
+func (p *pooledConn) run() error {
+	var previous *Conn
 	for {
-		c := l.dialUntilConnected()
+		c := p.dialUntilConnected()
 		if c == nil {
 			return nil
 		}
-		l.setState(func() { l.current, l.dialErr = c, nil })
-		l.drainReplaced(old)
-		old = c
+		p.setState(func() { p.current, p.dialErr = c, nil })
+		p.drainReplaced(previous)
+		previous = c
 		select {
 		case <-c.Suspected():
 		case <-c.Draining():
 		case <-c.Done():
-		case <-l.tomb.Dying():
+		case <-p.tomb.Dying():
 			return nil
 		}
 	}
 }
 
 // dialUntilConnected tries until it has a connection; nil when the link is stopped.
-func (l *pooledConn) dialUntilConnected() *Conn {
-	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval = redialMin
-	wait.MaxInterval = redialMax
-	ctx := l.tomb.Context(context.Background())
+func (p *pooledConn) dialUntilConnected() *Conn {
+	redialBackoff := backoff.NewExponentialBackOff()
+	redialBackoff.InitialInterval = redialMin
+	redialBackoff.MaxInterval = redialMax
+	ctx := p.tomb.Context(context.Background())
 	for {
-		c, err := l.ep.Dial(ctx, l.addr)
+		c, err := p.ep.Dial(ctx, p.addr)
 		if err == nil {
 			return c
 		}
-		l.setState(func() { l.dialErr = err })
+		p.setState(func() { p.dialErr = err })
 		select {
-		case <-time.After(wait.NextBackOff()):
-		case <-l.tomb.Dying():
+		case <-time.After(redialBackoff.NextBackOff()):
+		case <-p.tomb.Dying():
 			return nil
 		}
 	}
@@ -113,31 +113,31 @@
 // drainReplaced closes a replaced connection when its calls have ended. One that is
 // silent for good is closed by the endpoint's monitor, which also ends this
 // goroutine's wait.
-func (l *pooledConn) drainReplaced(c *Conn) {
+func (p *pooledConn) drainReplaced(c *Conn) {
 	if c == nil {
 		return
 	}
-	l.tomb.Go(func() error {
-		c.Drain(l.tomb.Context(context.Background()))
+	p.tomb.Go(func() error {
+		c.Drain(p.tomb.Context(context.Background()))
 		return nil
 	})
 }
 
-func (l *pooledConn) stopDialing() {
-	l.tomb.Kill(nil)
-	l.tomb.Wait()
+func (p *pooledConn) stopDialing() {
+	p.tomb.Kill(nil)
+	p.tomb.Wait()
 }
 
 // close ends dialling and leaves the connection within the suspicion grace.
-func (l *pooledConn) close() {
-	l.stopDialing()
-	l.mu.Lock()
-	c := l.current
-	l.mu.Unlock()
+func (p *pooledConn) close() {
+	p.stopDialing()
+	p.mu.Lock()
+	c := p.current
+	p.mu.Unlock()
 	if c == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), l.ep.cfg.SuspectTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), p.ep.cfg.SuspectTimeout)
 	defer cancel()
 	if c.Drain(ctx) != nil {
 		c.Close()
@@ -145,11 +145,11 @@
 }
 
 // drain ends dialling and leaves the connection without cutting a call.
-func (l *pooledConn) drain(ctx context.Context) error {
-	l.stopDialing()
-	l.mu.Lock()
-	c := l.current
-	l.mu.Unlock()
+func (p *pooledConn) drain(ctx context.Context) error {
+	p.stopDialing()
+	p.mu.Lock()
+	c := p.current
+	p.mu.Unlock()
 	if c == nil {
 		return nil
 	}
--- a/wire/liveness.go
+++ b/wire/liveness.go
@@ -8,13 +8,13 @@
 // monitorLoop probes silent connections. One goroutine serves all connections
 // of the endpoint; a timer for each would cost more memory than it is worth.
 func (ep *Endpoint) monitorLoop() error {
-	tick := time.NewTicker(max(time.Millisecond, min(ep.cfg.BusyProbeAfter, ep.cfg.PingTimeout)/2))
-	defer tick.Stop()
+	ticker := time.NewTicker(max(time.Millisecond, min(ep.cfg.BusyProbeAfter, ep.cfg.PingTimeout)/2))
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ep.tomb.Dying():
 			return nil
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		for _, c := range ep.Conns() {
 			ep.checkLiveness(c)
@@ -29,9 +29,9 @@
 // count as life, so neither a middle box nor the peer's kernel can fake it.
 func (ep *Endpoint) checkLiveness(c *Conn) {
 	now := ep.now()
-	quiet := now.Sub(c.LastReceived())
+	silence := now.Sub(c.LastReceived())
 	if c.peer.Load() == nil {
-		if quiet > 2*ep.cfg.HandshakeTimeout {
+		if silence > 2*ep.cfg.HandshakeTimeout {
 			c.close(closeNoHello, "no hello")
 		}
 		return
@@ -40,11 +40,11 @@
 		c.close(closeUnresponsive, "silent")
 		return
 	}
-	limit := ep.cfg.IdleProbeAfter
+	probeAfter := ep.cfg.IdleProbeAfter
 	if c.OutstandingCalls() > 0 {
-		limit = ep.cfg.BusyProbeAfter
+		probeAfter = ep.cfg.BusyProbeAfter
 	}
-	if quiet < limit || !c.probing.CompareAndSwap(false, true) {
+	if silence < probeAfter || !c.probing.CompareAndSwap(false, true) {
 		return
 	}
 	ep.tomb.Go(func() error {
@@ -56,10 +56,10 @@
 
 // probe pings once and suspects the connection when nothing at all was heard.
 func (c *Conn) probe() {
-	before := c.lastReceived.Load()
+	lastReceived := c.lastReceived.Load()
 	ctx, cancel := context.WithTimeout(c.quicConn.Context(), c.ep.cfg.PingTimeout)
 	defer cancel()
-	if err := c.Ping(ctx); err == nil || c.lastReceived.Load() != before {
+	if err := c.Ping(ctx); err == nil || c.lastReceived.Load() != lastReceived {
 		return
 	}
 	if c.suspect.CompareAndSwap(false, true) {
--- a/wire/measure_bytes_test.go
+++ b/wire/measure_bytes_test.go
@@ -41,17 +41,17 @@
 }
 
 func sampleReports() map[string]*Report {
-	load := AgentReport{ID: "dispatch-wharf-07", Incarnation: 1767225600123456789, Sequence: 12345, BaseSequence: 12344}
-	quiet := load
-	quiet.BaseSequence = quiet.Sequence
-	load.Changed = ChangedLoad
-	load.Load = Load{Running: 6, Queued: 3, CongestionMarks: 120}
-	whole := AgentReport{ID: load.ID, Incarnation: load.Incarnation, Sequence: load.Sequence, Full: true,
+	loadDelta := AgentReport{ID: "dispatch-wharf-07", Incarnation: 1767225600123456789, Sequence: 12345, BaseSequence: 12344}
+	unchanged := loadDelta
+	unchanged.BaseSequence = unchanged.Sequence
+	loadDelta.Changed = ChangedLoad
+	loadDelta.Load = Load{Running: 6, Queued: 3, CongestionMarks: 120}
+	full := AgentReport{ID: loadDelta.ID, Incarnation: loadDelta.Incarnation, Sequence: loadDelta.Sequence, Full: true,
 		Service: "dispatch", Region: "auckland", Zone: "wharf", Rack: "rack-03", Address: "10.20.30.40:7400",
-		Accelerators: 8, Slots: 8, Connections: 64, Cores: 32, MemoryMB: 65536, Load: load.Load}
-	tasks := whole
+		Accelerators: 8, Slots: 8, Connections: 64, Cores: 32, MemoryMB: 65536, Load: loadDelta.Load}
+	withTasks := full
 	for i := range 8 {
-		tasks.Tasks = append(tasks.Tasks, gang.Task{
+		withTasks.Tasks = append(withTasks.Tasks, gang.Task{
 			ID:           gang.ID{Job: fmt.Sprint("0198f0c0-1111-7000-8000-00000000000", i), Epoch: 12, Number: 4711},
 			State:        gang.StateRunning,
 			Accelerators: []int{i},
@@ -61,10 +61,10 @@
 		})
 	}
 	return map[string]*Report{
-		"no news":           {Reports: []AgentReport{quiet}},
-		"delta of the load": {Reports: []AgentReport{load}},
-		"full, no tasks":    {Reports: []AgentReport{whole}},
-		"full, 8 tasks":     {Reports: []AgentReport{tasks}},
+		"no news":           {Reports: []AgentReport{unchanged}},
+		"delta of the load": {Reports: []AgentReport{loadDelta}},
+		"full, no tasks":    {Reports: []AgentReport{full}},
+		"full, 8 tasks":     {Reports: []AgentReport{withTasks}},
 	}
 }
 
@@ -76,10 +76,10 @@
 		t.Logf("%s: frame of %d bytes", name, len(frame))
 	}
 	for name, report := range sampleReports() {
-		for _, every := range []time.Duration{time.Second, 5 * time.Second, 10 * time.Second} {
-			t.Run(fmt.Sprint(name, " every ", every), func(t *testing.T) {
+		for _, interval := range []time.Duration{time.Second, 5 * time.Second, 10 * time.Second} {
+			t.Run(fmt.Sprint(name, " every ", interval), func(t *testing.T) {
 				t.Parallel()
-				measureReportTraffic(t, report, every)
+				measureReportTraffic(t, report, interval)
 			})
 		}
 	}
@@ -91,32 +91,32 @@
 
 // measureReportTraffic counts the bytes that both ends send for a minute, after the
 // handshake and path MTU discovery have settled.
-func measureReportTraffic(t *testing.T, report *Report, every time.Duration) {
+func measureReportTraffic(t *testing.T, report *Report, interval time.Duration) {
 	c := qt.New(t)
-	var sent, sentBytes, back, backBytes atomic.Int64
+	var sent, sentBytes, received, receivedBytes atomic.Int64
 	ack := &ReportAck{Digest: 1, NextReportIn: 10 * time.Second}
-	server := openEndpoint(c, "entry", countingConfig(&back, &backBytes), func(context.Context, *Conn, any) (any, error) { return ack, nil })
+	server := openEndpoint(c, "entry", countingConfig(&received, &receivedBytes), func(context.Context, *Conn, any) (any, error) { return ack, nil })
 	client := openEndpoint(c, "agent", countingConfig(&sent, &sentBytes), echo)
 	conn := dial(c, client, server.Addr())
-	settle := func() {
+	awaitIdleTransport := func() {
 		for range 40 {
 			conn.Ping(context.Background())
 			time.Sleep(100 * time.Millisecond)
 		}
 		time.Sleep(time.Second)
 	}
-	settle()
-	handshake := sentBytes.Load() + backBytes.Load()
-	s, sb, b, bb := sent.Load(), sentBytes.Load(), back.Load(), backBytes.Load()
-	const span = time.Minute
-	for range span / every {
+	awaitIdleTransport()
+	handshake := sentBytes.Load() + receivedBytes.Load()
+	sentBefore, sentBytesBefore, receivedBefore, receivedBytesBefore := sent.Load(), sentBytes.Load(), received.Load(), receivedBytes.Load()
+	const duration = time.Minute
+	for range duration / interval {
 		if report != nil {
 			_, err := conn.Call(context.Background(), report)
 			c.Assert(err, qt.IsNil)
 		}
-		time.Sleep(every)
+		time.Sleep(interval)
 	}
-	seconds := span.Seconds()
+	seconds := duration.Seconds()
 	t.Logf("%.0f B/s to the entry in %d packets, %.0f B/s back in %d; before that %d bytes",
-		float64(sentBytes.Load()-sb)/seconds, sent.Load()-s, float64(backBytes.Load()-bb)/seconds, back.Load()-b, handshake)
+		float64(sentBytes.Load()-sentBytesBefore)/seconds, sent.Load()-sentBefore, float64(receivedBytes.Load()-receivedBytesBefore)/seconds, received.Load()-receivedBefore, handshake)
 }
--- a/wire/measure_memory_test.go
+++ b/wire/measure_memory_test.go
@@ -21,10 +21,10 @@
 	server := openEndpoint(c, "entry", unlimitedAccepts, echo)
 	client := openEndpoint(c, "agents", unlimitedAccepts, echo)
 	base, baseRSS := memStats(), residentBytes(c)
-	total := 0
+	opened := 0
 	for _, n := range []int{100, 300, 1000} {
 		before := cpuTime()
-		for ; total < n; total++ {
+		for ; opened < n; opened++ {
 			dialAndCall(c, client, server.Addr())
 		}
 		now := memStats()
@@ -64,7 +64,7 @@
 		t.Skip("is the dialers' process")
 	}
 	server := openEndpoint(c, "entry", unlimitedAccepts, echo)
-	base, baseRSS, began := memStats(), residentBytes(c), cpuTime()
+	base, baseRSS, cpuStart := memStats(), residentBytes(c), cpuTime()
 	dialers := exec.Command(os.Args[0], "-test.run=TestMeasureDialers", "-measure")
 	dialers.Env = append(os.Environ(), dialersEnv+"="+server.Addr())
 	out, err := dialers.StdoutPipe()
@@ -78,11 +78,11 @@
 		if err != nil {
 			continue
 		}
-		processor := cpuTime() - began
+		cpu := cpuTime() - cpuStart
 		now := memStats()
 		t.Logf("%d accepted: heap %d KB, stacks %d KB, resident %d KB each; processor of this end %v each",
 			n, growthPerConnKB(now.HeapAlloc, base.HeapAlloc, n), growthPerConnKB(now.StackInuse, base.StackInuse, n),
-			(residentBytes(c)-baseRSS)/n/1024, processor/time.Duration(n))
+			(residentBytes(c)-baseRSS)/n/1024, cpu/time.Duration(n))
 		fmt.Fprintln(in, "next")
 	}
 	c.Assert(dialers.Wait(), qt.IsNil)
@@ -96,9 +96,9 @@
 	}
 	client := openEndpoint(c, "agents", unlimitedAccepts, echo)
 	input := bufio.NewScanner(os.Stdin)
-	total := 0
+	opened := 0
 	for _, n := range []int{100, 300, 1000} {
-		for ; total < n; total++ {
+		for ; opened < n; opened++ {
 			dialAndCall(c, client, addr)
 		}
 		fmt.Printf("\nconnections %d\n", n)
@@ -112,8 +112,8 @@
 	server := openEndpoint(c, "entry", Config{}, echo)
 	client := openEndpoint(c, "agents", Config{}, echo)
 	const n = 900
-	began, processor := time.Now(), cpuTime()
-	took := make(chan time.Duration, n)
+	start, cpu := time.Now(), cpuTime()
+	connectTimes := make(chan time.Duration, n)
 	for range n {
 		pool := NewPool(client)
 		c.Cleanup(pool.Close)
@@ -125,14 +125,14 @@
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
-			took <- time.Since(began)
+			connectTimes <- time.Since(start)
 		}()
 	}
-	all := make([]time.Duration, n)
-	for i := range all {
-		all[i] = <-took
+	sorted := make([]time.Duration, n)
+	for i := range sorted {
+		sorted[i] = <-connectTimes
 	}
-	slices.Sort(all)
+	slices.Sort(sorted)
 	t.Logf("%d agents in: half after %v, 99%% after %v, all after %v; processor of both ends %v",
-		n, all[n/2], all[n*99/100], all[n-1], cpuTime()-processor)
+		n, sorted[n/2], sorted[n*99/100], sorted[n-1], cpuTime()-cpu)
 }
--- a/wire/measure_test.go
+++ b/wire/measure_test.go
@@ -49,18 +49,18 @@
 	conn := dial(c, client, server.Addr())
 	msg := &GangMessage{Payload: make([]byte, 512)}
 	for _, n := range []int{2000, 20000} {
-		took := make([]time.Duration, n)
-		before := cpuTime()
-		for i := range took {
-			began := time.Now()
+		latencies := make([]time.Duration, n)
+		cpuStart := cpuTime()
+		for i := range latencies {
+			start := time.Now()
 			_, err := conn.Call(context.Background(), msg)
 			c.Assert(err, qt.IsNil)
-			took[i] = time.Since(began)
+			latencies[i] = time.Since(start)
 		}
-		processor := cpuTime() - before
-		slices.Sort(took)
+		cpu := cpuTime() - cpuStart
+		slices.Sort(latencies)
 		t.Logf("%d exchanges of 512 bytes each way, one after another: p50 %v p99 %v, processor %v an exchange, both ends",
-			n, took[n/2], took[n*99/100], processor/time.Duration(n))
+			n, latencies[n/2], latencies[n*99/100], cpu/time.Duration(n))
 	}
 }
 
@@ -69,12 +69,12 @@
 	server := openEndpoint(c, "agent", Config{}, echo)
 	client := openEndpoint(c, "entry", Config{}, echo)
 	conn := dial(c, client, server.Addr())
-	const each = 2000
-	before, began := cpuTime(), time.Now()
+	const callsPerCaller = 2000
+	cpuStart, start := cpuTime(), time.Now()
 	done := make(chan error, 64)
 	for range cap(done) {
 		go func() {
-			for range each {
+			for range callsPerCaller {
 				if _, err := conn.Call(context.Background(), &GangMessage{Payload: make([]byte, 512)}); err != nil {
 					done <- err
 					return
@@ -86,9 +86,9 @@
 	for range cap(done) {
 		c.Assert(<-done, qt.IsNil)
 	}
-	n := time.Duration(each * cap(done))
+	n := time.Duration(callsPerCaller * cap(done))
 	t.Logf("64 callers on one connection: %.0f exchanges a second, processor %v an exchange, both ends",
-		float64(n)/time.Since(began).Seconds(), (cpuTime()-before)/n)
+		float64(n)/time.Since(start).Seconds(), (cpuTime()-cpuStart)/n)
 }
 
 func TestMeasureHandshake(t *testing.T) {
@@ -96,9 +96,9 @@
 	server := openEndpoint(c, "entry", unlimitedAccepts, echo)
 	client := openEndpoint(c, "agent", unlimitedAccepts, echo)
 	const n = 500
-	before, began := cpuTime(), time.Now()
+	cpuStart, start := cpuTime(), time.Now()
 	for range n {
 		dial(c, client, server.Addr()).Close()
 	}
-	t.Logf("dial, hello and close: %v each, processor %v of both ends", time.Since(began)/n, (cpuTime()-before)/n)
+	t.Logf("dial, hello and close: %v each, processor %v of both ends", time.Since(start)/n, (cpuTime()-cpuStart)/n)
 }
--- a/wire/pool.go
+++ b/wire/pool.go
@@ -35,11 +35,11 @@
 // is gone is noticed only after HandshakeTimeout: give ctx a shorter deadline
 // where that matters. Errors match ErrNotSent.
 func (p *Pool) Conn(ctx context.Context, addr string) (*Conn, error) {
-	l, err := p.get(addr)
+	conn, err := p.get(addr)
 	if err != nil {
 		return nil, err
 	}
-	return l.waitUsable(ctx)
+	return conn.waitUsable(ctx)
 }
 
 // Call sends msg to addr as Conn.Call does. A connection that ended before msg
@@ -63,11 +63,11 @@
 // Remove closes the connection to addr gracefully and stops redialling it.
 func (p *Pool) Remove(addr string) {
 	p.mu.Lock()
-	l := p.conns[addr]
+	conn := p.conns[addr]
 	delete(p.conns, addr)
 	p.mu.Unlock()
-	if l != nil {
-		l.close()
+	if conn != nil {
+		conn.close()
 	}
 }
 
@@ -76,25 +76,25 @@
 // ctx's error: the connection stays open then.
 func (p *Pool) Drain(ctx context.Context, addr string) error {
 	p.mu.Lock()
-	l := p.conns[addr]
+	conn := p.conns[addr]
 	delete(p.conns, addr)
 	p.mu.Unlock()
-	if l == nil {
+	if conn == nil {
 		return nil
 	}
-	return l.drain(ctx)
+	return conn.drain(ctx)
 }
 
 // Close stops all dialling. Connections stay open until their endpoint drains
 // or closes.
 func (p *Pool) Close() {
 	p.mu.Lock()
-	links := p.conns
+	conns := p.conns
 	p.conns = map[string]*pooledConn{}
 	p.closed = true
 	p.mu.Unlock()
-	for _, l := range links {
-		l.stopDialing()
+	for _, conn := range conns {
+		conn.stopDialing()
 	}
 }
 
@@ -104,10 +104,10 @@
 	if p.closed {
 		return nil, callNotHandled(ErrClosed)
 	}
-	l := p.conns[addr]
-	if l == nil {
-		l = newLink(p.ep, addr)
-		p.conns[addr] = l
+	conn := p.conns[addr]
+	if conn == nil {
+		conn = newLink(p.ep, addr)
+		p.conns[addr] = conn
 	}
-	return l, nil
+	return conn, nil
 }
--- a/wire/pool_test.go
+++ b/wire/pool_test.go
@@ -37,25 +37,25 @@
 		}
 		return echo(ctx, from, msg)
 	})
-	path := startRelay(c, server.Addr())
+	proxy := startRelay(c, server.Addr())
 	client := openEndpoint(c, "entry", shortTimeouts, echo)
 	pool := NewPool(client)
 	c.Cleanup(pool.Close)
-	first, err := pool.Conn(contextWithTimeout(c, 20*time.Second), path.Addr())
+	first, err := pool.Conn(contextWithTimeout(c, 20*time.Second), proxy.Addr())
 	c.Assert(err, qt.IsNil)
 
-	lost := make(chan error, 1)
+	callErr := make(chan error, 1)
 	go func() {
 		_, err := first.Call(context.Background(), GangMessage{Payload: []byte("wait")})
-		lost <- err
+		callErr <- err
 	}()
 	await(c, arrived)
-	path.Lose(relay.Both...)
+	proxy.Lose(relay.Both...)
 	await(c, first.Suspected())
-	reply, err := pool.Call(contextWithTimeout(c, 20*time.Second), path.Addr(), GangMessage{Payload: []byte("x")})
+	reply, err := pool.Call(contextWithTimeout(c, 20*time.Second), proxy.Addr(), GangMessage{Payload: []byte("x")})
 	c.Assert(err, qt.IsNil)
 	c.Assert(reply, qt.DeepEquals, &GangReply{Payload: []byte("x")})
-	err = await(c, lost)
+	err = await(c, callErr)
 	c.Assert(errors.Is(err, ErrOutcomeUnknown), qt.IsTrue, qt.Commentf("%v", err))
 	await(c, first.Done())
 }
@@ -66,24 +66,24 @@
 func TestCallOutcomeOnUnresponsivePath(t *testing.T) {
 	c := qt.New(t)
 	server := openEndpoint(c, "agent", Config{}, echo)
-	path := startRelay(c, server.Addr())
-	conn := dial(c, openEndpoint(c, "entry", Config{}, echo), path.Addr())
-	path.Lose(relay.Both...)
+	proxy := startRelay(c, server.Addr())
+	conn := dial(c, openEndpoint(c, "entry", Config{}, echo), proxy.Addr())
+	proxy.Lose(relay.Both...)
 	// Callers give up once the connection has sent what it may and sent it again.
-	giveUp := func(size int) error {
+	callAndCancel := func(size int) error {
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
 		go func() {
 			_, err := conn.Call(ctx, GangMessage{Payload: make([]byte, size)})
 			ended <- err
 		}()
-		awaitDroppedDatagrams(c, path, relay.Up, retransmissions)
+		awaitDroppedDatagrams(c, proxy, relay.Up, retransmissions)
 		cancel()
 		return await(c, ended)
 	}
-	err := giveUp(100)
+	err := callAndCancel(100)
 	c.Assert(errors.Is(err, ErrOutcomeUnknown), qt.IsTrue, qt.Commentf("%v", err))
-	err = giveUp(8 << 20)
+	err = callAndCancel(8 << 20)
 	c.Assert(errors.Is(err, ErrNotHandled), qt.IsTrue, qt.Commentf("%v", err))
 }
 
@@ -97,20 +97,20 @@
 		<-release
 		return echo(ctx, from, msg)
 	})
-	patient := Config{BusyProbeAfter: 10 * time.Millisecond, PingTimeout: 10 * time.Second}
-	client := openEndpoint(c, "entry", patient, echo)
+	clientConfig := Config{BusyProbeAfter: 10 * time.Millisecond, PingTimeout: 10 * time.Second}
+	client := openEndpoint(c, "entry", clientConfig, echo)
 	conn := dial(c, client, server.Addr())
 	done := make(chan error, 1)
 	go func() {
 		_, err := conn.Call(context.Background(), GangMessage{})
 		done <- err
 	}()
-	heard := conn.LastReceived()
+	lastReceived := conn.LastReceived()
 	for range 3 {
-		for !conn.LastReceived().After(heard) {
+		for !conn.LastReceived().After(lastReceived) {
 			time.Sleep(time.Millisecond)
 		}
-		heard = conn.LastReceived()
+		lastReceived = conn.LastReceived()
 	}
 	c.Assert(conn.Usable(), qt.IsTrue)
 	close(release)
@@ -123,18 +123,18 @@
 func TestRestartedPeerResetsConnection(t *testing.T) {
 	c := qt.New(t)
 	var socket net.PacketConn
-	dying := Config{ListenPacket: func(network, addr string) (net.PacketConn, error) {
+	serverConfig := Config{ListenPacket: func(network, addr string) (net.PacketConn, error) {
 		var err error
 		socket, err = net.ListenPacket(network, addr)
 		return socket, err
 	}}
-	server := openEndpoint(c, "agent", dying, echo)
-	slow := Config{BusyProbeAfter: time.Hour, PingTimeout: time.Hour, IdleProbeAfter: time.Hour}
-	conn := dial(c, openEndpoint(c, "entry", slow, echo), server.Addr())
+	server := openEndpoint(c, "agent", serverConfig, echo)
+	clientConfig := Config{BusyProbeAfter: time.Hour, PingTimeout: time.Hour, IdleProbeAfter: time.Hour}
+	conn := dial(c, openEndpoint(c, "entry", clientConfig, echo), server.Addr())
 	c.Assert(socket.Close(), qt.IsNil)
-	again, err := Listen(server.Addr(), newTestIdentity(c, "agent", testKey), HandlerFunc(echo))
+	restarted, err := Listen(server.Addr(), newTestIdentity(c, "agent", testKey), HandlerFunc(echo))
 	c.Assert(err, qt.IsNil)
-	c.Cleanup(func() { again.Close() })
+	c.Cleanup(func() { restarted.Close() })
 	_, err = conn.Call(contextWithTimeout(c, 20*time.Second), GangMessage{})
 	c.Assert(errors.Is(err, ErrOutcomeUnknown), qt.IsTrue)
 	var reset *quic.StatelessResetError
@@ -161,9 +161,9 @@
 	_, err = pool.Call(contextWithTimeout(c, 20*time.Second), addr, GangMessage{})
 	c.Assert(errors.Is(err, ErrNotHandled), qt.IsTrue, qt.Commentf("%v", err))
 
-	again, err := Listen(addr, newTestIdentity(c, "agent", testKey), HandlerFunc(echo))
+	restarted, err := Listen(addr, newTestIdentity(c, "agent", testKey), HandlerFunc(echo))
 	c.Assert(err, qt.IsNil)
-	defer again.Close()
+	defer restarted.Close()
 	for {
 		_, err = pool.Call(contextWithTimeout(c, 20*time.Second), addr, GangMessage{})
 		if err == nil {
--- a/wire/remote_error.go
+++ b/wire/remote_error.go
@@ -76,8 +76,8 @@
 
 // handlerErrorReply builds the reply for an exchange whose handler failed.
 func handlerErrorReply(err error) *remoteError {
-	var proof notHandledError
-	if errors.As(err, &proof) {
+	var notHandled notHandledError
+	if errors.As(err, &notHandled) {
 		return &remoteError{Code: codeNotHandled, Text: err.Error()}
 	}
 	return &remoteError{Code: codeHandlerFailed, Text: err.Error()}
--- a/wire/serve.go
+++ b/wire/serve.go
@@ -10,7 +10,7 @@
 // serveStream answers one exchange of the peer. A frame that did not arrive whole is
 // dropped: its sender gave up and may say that it was not handled.
 func (c *Conn) serveStream(stream *quic.Stream) {
-	raw, err := readFrame(activityReader{c, stream}, c.ep.cfg.MaxPayload)
+	frame, err := readFrame(activityReader{c, stream}, c.ep.cfg.MaxPayload)
 	if err != nil && !errors.Is(err, ErrFrameTooLarge) && !errors.Is(err, ErrMalformed) {
 		cancelStream(stream)
 		return
@@ -20,7 +20,7 @@
 		c.writeReply(stream, rejectionReply(err))
 		return
 	}
-	msg, err := raw.decode()
+	msg, err := frame.decode()
 	if err != nil {
 		c.writeReply(stream, rejectionReply(err))
 		return
