--- a/store/batcher.go
+++ b/store/batcher.go
@@ -9,28 +9,27 @@
 	"gopkg.in/tomb.v2"
 )
 
-// DefaultBatcherQueue is the queue of a Batcher made with none given.
+// DefaultBatcherQueue is the queue length of a Batcher that is created with none.
 const DefaultBatcherQueue = 4096
 
-// minBatchInterval is the least time between the begins of two calls of a Batcher. A
-// store that answers faster than callers arrive would otherwise get one call for
-// each of them. A lone caller does not wait.
+// minBatchInterval is the minimum time between the starts of two calls of a Batcher.
+// Without it, a store that answers faster than swaps arrive gets one call for each
+// swap. A swap that arrives after an idle interval is sent at once.
 const minBatchInterval = 5 * time.Millisecond
 
-// Batcher makes one call to the store out of the swaps of many callers. One
-// call is in flight at a time, and calls begin batchEvery apart; the next carries
-// all that came meanwhile, so calls grow with time, not with callers. It is safe
-// for concurrent use.
+// Batcher combines the swaps of concurrent callers into calls to a Store. One call is
+// in flight at a time, and calls start at least minBatchInterval apart; each carries
+// the swaps queued since the previous one. It is safe for concurrent use.
 type Batcher struct {
 	store         Store
 	queue         chan *pendingSwap
 	tomb          tomb.Tomb
 	commits       atomic.Int64
-	lastCallStart time.Time // of the last call; the run goroutine's own
+	lastCallStart time.Time // owned by the run goroutine
 }
 
-// NewBatcher returns a running Batcher. At most queue swaps wait for the next
-// call; zero means DefaultQueue.
+// NewBatcher starts a Batcher on store. At most queueSize swaps wait for the next call;
+// zero means DefaultBatcherQueue.
 func NewBatcher(store Store, queueSize int) *Batcher {
 	if queueSize <= 0 {
 		queueSize = DefaultBatcherQueue
@@ -40,20 +39,20 @@
 	return b
 }
 
-// Close makes the swaps that wait, refuses new ones with ErrClosed, and
-// returns when the last call has ended.
+// Close sends the queued swaps, rejects new ones with ErrClosed, and returns when the
+// last call has ended.
 func (b *Batcher) Close() {
 	b.tomb.Kill(nil)
 	_ = b.tomb.Wait()
 }
 
-// Commits returns how many times the store's Commit has been called.
+// Commits returns the number of calls to the store's Commit so far.
 func (b *Batcher) Commits() int64 { return b.commits.Load() }
 
-// Swap makes one compare-and-swap within the next call. An error means that it
-// did not take effect: ErrBusy at once where the queue is full, ErrCanceled
-// where ctx ends before it was sent, ErrClosed, or the store's own. Where ctx
-// ends later, the outcome is Unknown.
+// Swap makes one compare-and-swap as part of the next call. An error means that the
+// swap did not take effect: ErrQueueFull if the queue is full, ErrCanceled if ctx ends
+// before the swap is sent, ErrClosed, or an error of the store. If ctx ends after the
+// swap was sent, the result is Unknown.
 func (b *Batcher) Swap(ctx context.Context, s Swap) (SwapResult, error) {
 	if !b.tomb.Alive() {
 		return SwapResult{}, ErrClosed
@@ -70,7 +69,8 @@
 	case <-ctx.Done():
 		return pending.abandon(ErrCanceled)
 	case <-b.tomb.Dead():
-		// Queued after the last batch was taken, or answered by it.
+		// The swap was queued after the last batch was collected, or that batch
+		// completed it.
 		if pending.claim() {
 			return SwapResult{}, ErrClosed
 		}
@@ -91,7 +91,8 @@
 	}
 }
 
-// waitForInterval waits until the next call may begin.
+// waitForInterval waits until minBatchInterval has passed since the start of the last
+// call, or until the Batcher is closed.
 func (b *Batcher) waitForInterval() {
 	timer := time.NewTimer(minBatchInterval - time.Since(b.lastCallStart))
 	defer timer.Stop()
@@ -102,7 +103,7 @@
 	b.lastCallStart = time.Now()
 }
 
-// drainQueue makes the swaps that wait when the Batcher is closed.
+// drainQueue sends the swaps that are still queued when the Batcher is closed.
 func (b *Batcher) drainQueue() error {
 	for {
 		select {
@@ -114,7 +115,8 @@
 	}
 }
 
-// collectBatch takes what waits, up to one call's worth of swaps.
+// collectBatch returns first and the queued swaps, up to maxSwapsPerCall, without those
+// whose callers have given up.
 func (b *Batcher) collectBatch(first *pendingSwap) []*pendingSwap {
 	var batch []*pendingSwap
 	next := first
@@ -133,8 +135,9 @@
 	}
 }
 
-// commitBatch makes one batch. A lease that is gone fails the whole call; its swap
-// must not take those of other callers with it, so they are then made apart.
+// commitBatch sends one batch. The service rejects the whole call if one swap's lease
+// does not exist, so the batch is then sent again in one call per lease, and only the
+// callers with the missing lease see the error.
 func (b *Batcher) commitBatch(batch []*pendingSwap) {
 	if len(batch) == 0 {
 		return
@@ -159,7 +162,7 @@
 	return b.store.Commit(context.Background(), swaps)
 }
 
-// groupByLease groups a batch by lease, in order of first occurrence.
+// groupByLease groups a batch by lease, in the order of first occurrence.
 func groupByLease(batch []*pendingSwap) [][]*pendingSwap {
 	groupOfLease := make(map[LeaseID]int)
 	var groups [][]*pendingSwap
--- a/store/batcher_test.go
+++ b/store/batcher_test.go
@@ -23,7 +23,7 @@
 	var swapped atomic.Int64
 	for i := range 400 {
 		wg.Go(func() {
-			// Two callers race for each key.
+			// Two callers compete for each key.
 			key, value := fmt.Sprint(i/2), fmt.Appendf(nil, "caller %d", i)
 			res, err := b.Swap(context.Background(), store.Swap{Key: key, Value: value})
 			c.Check(err, qt.IsNil)
@@ -41,8 +41,7 @@
 	c.Assert(eris.Is(err, store.ErrClosed), qt.IsTrue)
 }
 
-// A job cannot be recorded because another caller's lease has lapsed: both
-// swaps travel in one call, and the service refuses the whole call.
+// Swaps in one call with a swap whose lease has expired must not fail with it.
 func TestBatcherIsolatesMissingLease(t *testing.T) {
 	c := qt.New(t)
 	srv, kv := startStore(t, standin.Options{})
@@ -64,9 +63,8 @@
 	wg.Wait()
 }
 
-// The store hangs. Callers past the queue hear so at once instead of piling
-// up; one that gives up in the queue knows that its swap was not made, one
-// whose swap is in flight does not.
+// While the store hangs, swaps beyond the queue fail at once, a canceled swap in the
+// queue is reported as not made, and one in flight as unknown.
 func TestBatcherWithHangingStore(t *testing.T) {
 	c := qt.New(t)
 	srv, kv := startStore(t, standin.Options{})
@@ -97,7 +95,7 @@
 	c.Assert(eris.Is(canceled.Err, store.ErrCanceled), qt.IsTrue)
 	c.Assert(inFlight, qt.DeepEquals, swapEnd{Res: store.SwapResult{Unknown: true}})
 	srv.SetFaults(standin.Faults{})
-	srv.Close() // releases the hanging call
+	srv.Close() // ends the hanging call
 	b.Close()
 }
 
--- a/store/call_counts.go
+++ b/store/call_counts.go
@@ -2,10 +2,10 @@
 
 import "sync/atomic"
 
-// CallCounts are the HTTP calls a Client has made, by kind. Each attempt
-// counts, as it does at the service; a watch counts once per connection.
+// CallCounts holds the number of HTTP calls made by a Client, by kind. Each attempt
+// counts; a watch counts once per connection.
 type CallCounts struct {
-	Get      int64 // reads of one key, including reads back
+	Get      int64 // reads of one key, including those made to resolve a lost reply
 	List     int64
 	Commit   int64
 	Grant    int64
@@ -13,12 +13,12 @@
 	Revoke   int64
 	Watch    int64
 	Swaps    int64 // swaps carried by the Commit calls
-	ReadBack int64 // of Get and Commit: made to learn the outcome of a lost reply
+	ReadBack int64 // Get and Commit calls made to resolve a lost reply
 	Lost     int64 // writes whose reply was lost
-	Refused  int64 // calls not made for want of budget; in no other count
+	Refused  int64 // calls not made because of the rate limit; not included in other counts
 }
 
-// Total returns the calls made.
+// Total returns the number of calls made.
 func (c CallCounts) Total() int64 {
 	return c.Get + c.List + c.Commit + c.Grant + c.Renew + c.Revoke + c.Watch
 }
--- a/store/chunk.go
+++ b/store/chunk.go
@@ -1,24 +1,26 @@
 package store
 
 const (
-	// maxSwapsPerCall is how many swaps one call carries. The service allows 128
-	// operations and counts the one inside a nested transaction against what
-	// the outer transaction leaves, so one is kept back for it.
+	// maxSwapsPerCall is the number of swaps in one call. The service allows 128
+	// operations and counts the one in a nested transaction against what the outer
+	// transaction leaves, so one operation is reserved for it.
 	maxSwapsPerCall = 127
-	// maxCallBytes bounds keys and values of one call.
+	// maxCallBytes limits the total size of the swaps in one call.
 	maxCallBytes = 1 << 20
-	// swapOverheadBytes is a generous count of a swap's other bytes.
+	// swapOverheadBytes is an upper bound for the encoding of a swap besides key and
+	// value.
 	swapOverheadBytes = 64
 )
 
-// size is what the swap adds to a call. The key is sent three times.
+// size returns the number of bytes that the swap adds to a call. The key is sent three
+// times.
 func (s Swap) size() int { return 3*len(s.Key) + len(s.Value) + swapOverheadBytes }
 
-// chunk is a run of consecutive swaps that fit into one call.
+// chunk is the half-open index range of the swaps sent in one call.
 type chunk struct{ from, to int }
 
-// splitIntoCalls cuts swaps into calls, in order. A key occurs once in a call: the
-// service refuses to write a key twice in one transaction.
+// splitIntoCalls splits swaps into calls, in order. A key occurs at most once in a
+// call: the service rejects a transaction that writes a key twice.
 func splitIntoCalls(swaps []Swap) ([]chunk, error) {
 	var chunks []chunk
 	from, bytes := 0, 0
--- a/store/client.go
+++ b/store/client.go
@@ -8,7 +8,7 @@
 	"golang.org/x/time/rate"
 )
 
-// Client is the Store over HTTP. It is safe for concurrent use and owns no
+// Client implements Store over HTTP. It is safe for concurrent use and owns no
 // goroutine.
 type Client struct {
 	opts      Options
@@ -19,20 +19,20 @@
 
 var _ Store = (*Client)(nil)
 
-// NewClient returns a Client. Nothing is sent before the first call.
+// NewClient returns a Client. It sends nothing.
 func NewClient(opts Options) *Client {
 	opts = opts.withDefaults()
 	return &Client{opts: opts, limiter: rate.NewLimiter(opts.RateLimit, opts.Burst)}
 }
 
-// Calls returns what the Client has asked of the service so far.
+// Calls returns the calls made so far.
 func (c *Client) Calls() CallCounts { return c.counts.snapshot() }
 
-// Close closes the Client's unused connections. Calls and watches in progress
-// end with their contexts.
+// Close closes idle connections. Calls and watches in progress end with their contexts.
 func (c *Client) Close() { c.opts.HTTP.CloseIdleConnections() }
 
-// allowCalls takes n calls from the budget, all or none.
+// allowCalls takes n calls from the rate limit, all or none. It returns ErrRateLimited
+// if they are not available.
 func (c *Client) allowCalls(n int) error {
 	if c.limiter.AllowN(time.Now(), n) {
 		return nil
@@ -41,18 +41,18 @@
 	return ErrRateLimited
 }
 
-// chargeCall takes one call from the budget without ever refusing it. Renewing and
-// revoking leases, and learning what became of a lost reply, must not fail
-// because other calls were many; the later ones pay for it.
+// chargeCall takes one call from the rate limit and never rejects it; fewer calls remain
+// for others instead. Lease renewals, revocations and retries must not fail because of the
+// number of other calls.
 func (c *Client) chargeCall() { c.limiter.ReserveN(time.Now(), 1) }
 
-// endpoint returns the base URL to try on the given attempt.
+// endpoint returns the base URL for the given attempt.
 func (c *Client) endpoint(attempt int) string {
 	i := int(c.preferred.Load()) + attempt
 	return c.opts.Endpoints[i%len(c.opts.Endpoints)]
 }
 
-// setPreferred makes the endpoint of the given attempt the first to be tried.
+// setPreferred makes the endpoint of the given attempt the first one to be tried.
 func (c *Client) setPreferred(attempt int) {
 	if attempt > 0 {
 		i := int(c.preferred.Load()) + attempt
@@ -60,14 +60,13 @@
 	}
 }
 
-// maxAttempts is how often a call that may be repeated is tried: each endpoint
-// once, and a single one twice, since its open connection may have gone silent
-// while a new one works.
+// maxAttempts is the number of attempts of a call that may be repeated: one per
+// endpoint, and two with a single endpoint, since its open connection may have become
+// unresponsive while a new one works.
 func (c *Client) maxAttempts() int { return max(2, len(c.opts.Endpoints)) }
 
-// closeIdleConnections closes the idle connections after a timeout. Open connections can go
-// silent for good; the others of the pool, as old as the one that timed out,
-// are not trusted either.
+// closeIdleConnections closes the idle connections after a timeout. A network device
+// may have dropped the state of the other pooled connections too.
 func (c *Client) closeIdleConnections() {
 	if t, ok := c.opts.HTTP.Transport.(*http.Transport); ok {
 		t.CloseIdleConnections()
--- a/store/client_test.go
+++ b/store/client_test.go
@@ -13,13 +13,12 @@
 	"github.com/eelgrasshub/eelgrasshub/store/standin"
 )
 
-// generousTimeout is above any pause of a busy machine. A call that timed out because of
-// one would be taken for a lost reply, and a test would see a fault that it did not
-// inject.
+// generousTimeout exceeds any pause of a busy machine, so that no call is taken for
+// lost unless the test injects the fault.
 const generousTimeout = time.Minute
 
-// startStore returns a stand-in and a client of it. Its calls wait long: whatever a test
-// injects breaks the connection, and a silent store needs a timeout of its own.
+// startStore returns a stand-in and a client for it with generousTimeout as call
+// timeout.
 func startStore(t testing.TB, opts standin.Options, configure ...func(*store.Options)) (*standin.Server, *store.Client) {
 	srv := standin.New(opts)
 	httpServer := httptest.NewServer(srv)
@@ -70,8 +69,7 @@
 	c.Assert(ok, qt.IsFalse)
 }
 
-// A name once used can never be used again: the stand-in compared a deleted
-// key by the revision of its deletion instead of zero.
+// A deleted key must compare as revision zero, so that it can be created again.
 func TestCreateAfterDelete(t *testing.T) {
 	c := qt.New(t)
 	_, kv := startStore(t, standin.Options{})
--- a/store/commit.go
+++ b/store/commit.go
@@ -6,18 +6,17 @@
 	"github.com/eelgrasshub/eelgrasshub/store/internal/v3json"
 )
 
-// Commit implements Store. Swaps that fit into one call (127 swaps, 1 MB, no
-// key twice) are one transaction and see the same state; more are sent as
-// several calls, one after the other. Where a later of several calls certainly
-// had no effect, its swaps are reported as Unknown, since an error would
-// disown the earlier ones.
+// Commit implements Store. Swaps that fit into one call (127 swaps, 1 MiB, no key
+// twice) form one transaction and see the same state; more are sent as several calls in
+// sequence. If a call after the first fails without effect, its swaps are reported as
+// Unknown, because an error would also apply to the earlier calls.
 //
-// Where a reply was lost, a deletion whose key is found gone, and a creation
-// whose key is not found or another's, stay Unknown, with Current as found: who
-// deleted the key, or whether it existed in between, cannot be read back.
-// Current.Created is not known after an update.
+// After a lost reply, the result stays Unknown for a deletion whose key is gone, and
+// for a creation whose key does not exist or holds another value: it cannot be
+// determined who deleted the key, or whether it existed in between. Current is then the
+// key as read. Current.Created is not set after an update.
 //
-// A swap whose lease is gone makes its whole call fail with ErrLeaseNotFound.
+// A swap whose lease does not exist fails its whole call with ErrLeaseNotFound.
 func (c *Client) Commit(ctx context.Context, swaps []Swap) ([]SwapResult, error) {
 	chunks, err := splitIntoCalls(swaps)
 	if err != nil {
@@ -40,8 +39,8 @@
 	return results, nil
 }
 
-// commitChunk sends swaps as one call. It goes on to the next endpoint only while
-// certain that nothing was sent.
+// commitChunk sends swaps as one call. It tries the next endpoint only if nothing was
+// sent to the previous one.
 func (c *Client) commitChunk(ctx context.Context, swaps []Swap) ([]SwapResult, error) {
 	req := &v3json.TxnRequest{}
 	for _, s := range swaps {
@@ -73,7 +72,7 @@
 	return nil, last.err()
 }
 
-// swapResults reads the results of a call that was answered.
+// swapResults returns the results of a call that was answered.
 func swapResults(swaps []Swap, res *v3json.TxnResponse) []SwapResult {
 	results := make([]SwapResult, len(swaps))
 	for i, op := range res.Responses {
--- a/store/doc.go
+++ b/store/doc.go
@@ -1,7 +1,6 @@
-// Package store is the edge to the platform's key-value service: the Store
-// interface that the rest of the system uses, and a client that speaks the
-// published JSON form of the etcd v3 API over HTTP.
+// Package store defines Store, the interface to the platform's key-value service, and a
+// client that speaks the JSON form of the etcd v3 API over HTTP.
 //
-// What must outlive every process of the system is kept behind Store. Nothing
-// else is durable: instances have no disks.
+// All state that must survive a restart of every process is kept in Store. Instances
+// have no durable disks.
 package store
--- a/store/fuzz_test.go
+++ b/store/fuzz_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// scriptedTransport answers each call with the next status and body, the last one for good.
+// scriptedTransport answers each call with the next status and body, and repeats the
+// last one.
 type scriptedTransport struct {
 	status []int
 	body   []string
@@ -33,11 +34,11 @@
 	return NewClient(Options{Endpoints: []string{"http://store"}, HTTP: &http.Client{Transport: s}})
 }
 
-// fuzzStatus keeps the status within what net/http passes on.
+// fuzzStatus maps n to a status that net/http accepts.
 func fuzzStatus(n uint16) int { return 200 + int(n)%400 }
 
-// FuzzReads: whatever the store or something before it answers, a read returns keys
-// that were asked for, or an error, and a renewed lease has a life.
+// FuzzReads checks that for arbitrary answers a read returns an error or only requested
+// keys, and a renewal an error or a positive TTL.
 func FuzzReads(f *testing.F) {
 	for _, body := range []string{
 		`{"header":{"cluster_id":"7","revision":"12"},"kvs":[{"key":"YS8x","create_revision":"3","mod_revision":"9","value":"eA=="}]}`,
@@ -74,8 +75,8 @@
 	})
 }
 
-// FuzzCommit: a swap counts as done only where the store said so or shows our bytes,
-// and each result is of its own key.
+// FuzzCommit checks that for arbitrary answers a swap is reported as made only if an
+// answer shows it, and that each result is for its own key.
 func FuzzCommit(f *testing.F) {
 	for _, body := range []string{
 		`{"header":{"revision":"12"},"succeeded":true,"responses":[{"response_txn":{"succeeded":true}},{"response_txn":{"succeeded":true}}]}`,
@@ -111,8 +112,8 @@
 	})
 }
 
-// FuzzWatch: what a watch delivers grows in revision, each change once, each of its
-// prefix.
+// FuzzWatch checks that for an arbitrary stream a watch delivers only keys with its
+// prefix, in revision order and without repetition.
 func FuzzWatch(f *testing.F) {
 	created := `{"result":{"header":{"cluster_id":"7","revision":"5"},"created":true}}`
 	for _, rest := range []string{
--- a/store/internal/v3json/doc.go
+++ b/store/internal/v3json/doc.go
@@ -1,4 +1,4 @@
-// Package v3json holds the messages of the published JSON form of the etcd v3
-// API, as far as the client and its stand-in need them. Keys and values travel
-// as base64, 64-bit integers as decimal strings, and zero fields are left out.
+// Package v3json holds the messages of the JSON form of the etcd v3 API that the client
+// and its stand-in use. Keys and values are base64, 64-bit integers are decimal
+// strings, and zero fields are omitted.
 package v3json
--- a/store/internal/v3json/error.go
+++ b/store/internal/v3json/error.go
@@ -1,6 +1,6 @@
 package v3json
 
-// Codes of errors, as gRPC numbers them.
+// gRPC status codes of error replies.
 const (
 	CodeInvalidArgument    = 3
 	CodeNotFound           = 5
@@ -10,7 +10,7 @@
 	CodeUnavailable        = 14
 )
 
-// Messages that callers must tell apart.
+// Messages of error replies, as etcd words them.
 const (
 	MsgLeaseNotFound   = "etcdserver: requested lease not found"
 	MsgLeaseExists     = "etcdserver: lease already exists"
@@ -23,7 +23,7 @@
 	MsgNoLeader        = "etcdserver: no leader"
 )
 
-// Error is the body of a refused call.
+// Error is the body of an error reply.
 type Error struct {
 	Error   string `json:"error,omitempty"`
 	Code    int    `json:"code,omitempty"`
--- a/store/internal/v3json/kv.go
+++ b/store/internal/v3json/kv.go
@@ -1,13 +1,13 @@
 package v3json
 
-// Header comes with every reply. Revision is the store's at the time.
-// ClusterID changes when a store is rebuilt from a backup.
+// Header is part of every reply. Revision is the store's current revision. ClusterID
+// changes when the store is restored from a backup.
 type Header struct {
 	ClusterID uint64 `json:"cluster_id,omitempty,string"`
 	Revision  int64  `json:"revision,omitempty,string"`
 }
 
-// KeyValue is one key.
+// KeyValue is the state of one key.
 type KeyValue struct {
 	Key            []byte `json:"key,omitempty"`
 	CreateRevision int64  `json:"create_revision,omitempty,string"`
@@ -17,9 +17,9 @@
 	Lease          int64  `json:"lease,omitempty,string"`
 }
 
-// RangeRequest reads the keys in [Key, RangeEnd), or Key alone where RangeEnd
-// is empty. Revision zero reads the newest state. Limit zero reads all of them;
-// KeysOnly leaves their values out.
+// RangeRequest reads the keys in [Key, RangeEnd), or only Key if RangeEnd is empty.
+// Revision zero reads the latest state, and Limit zero all keys. KeysOnly omits the
+// values.
 type RangeRequest struct {
 	Key      []byte `json:"key,omitempty"`
 	RangeEnd []byte `json:"range_end,omitempty"`
@@ -28,7 +28,8 @@
 	KeysOnly bool   `json:"keys_only,omitempty"`
 }
 
-// RangeResponse is the reply to RangeRequest. More says that Limit cut it short.
+// RangeResponse is the reply to RangeRequest. More is set if Limit truncated the
+// result.
 type RangeResponse struct {
 	Header Header     `json:"header"`
 	Kvs    []KeyValue `json:"kvs,omitempty"`
--- a/store/internal/v3json/path.go
+++ b/store/internal/v3json/path.go
@@ -1,6 +1,6 @@
 package v3json
 
-// Paths of the API.
+// URL paths of the API.
 const (
 	PathRange     = "/v3/kv/range"
 	PathTxn       = "/v3/kv/txn"
--- a/store/internal/v3json/prefix.go
+++ b/store/internal/v3json/prefix.go
@@ -9,6 +9,7 @@
 			return end[:i+1]
 		}
 	}
-	// A prefix without end: the API writes "from the key on" as one zero byte.
+	// The prefix consists of 0xff bytes only. One zero byte means "all keys from Key
+	// on".
 	return []byte{0}
 }
--- a/store/internal/v3json/txn.go
+++ b/store/internal/v3json/txn.go
@@ -1,13 +1,13 @@
 package v3json
 
-// The one comparison in use.
+// Target and result of the only supported comparison.
 const (
 	TargetMod   = "MOD"
 	ResultEqual = "EQUAL"
 )
 
-// Compare holds where the key's last modification is at ModRevision; a key
-// that does not exist counts as modified at zero.
+// Compare is true if the key's last modification has revision ModRevision, which is
+// zero for a key that does not exist.
 type Compare struct {
 	Key         []byte `json:"key,omitempty"`
 	Target      string `json:"target,omitempty"`
@@ -15,7 +15,7 @@
 	ModRevision int64  `json:"mod_revision,string"`
 }
 
-// RequestOp has exactly one field set.
+// RequestOp is one operation of a transaction. Exactly one field is set.
 type RequestOp struct {
 	Range  *RangeRequest       `json:"request_range,omitempty"`
 	Put    *PutRequest         `json:"request_put,omitempty"`
@@ -23,7 +23,7 @@
 	Txn    *TxnRequest         `json:"request_txn,omitempty"`
 }
 
-// ResponseOp has exactly one field set, matching its RequestOp.
+// ResponseOp is the reply to one RequestOp. The field of the same kind is set.
 type ResponseOp struct {
 	Range  *RangeResponse `json:"response_range,omitempty"`
 	Put    *WriteResponse `json:"response_put,omitempty"`
@@ -31,7 +31,7 @@
 	Txn    *TxnResponse   `json:"response_txn,omitempty"`
 }
 
-// TxnRequest runs Success where every comparison holds, else Failure.
+// TxnRequest runs Success if every comparison is true, and Failure otherwise.
 type TxnRequest struct {
 	Compare []Compare   `json:"compare,omitempty"`
 	Success []RequestOp `json:"success,omitempty"`
--- a/store/internal/v3json/watch.go
+++ b/store/internal/v3json/watch.go
@@ -1,9 +1,9 @@
 package v3json
 
-// EventDelete is the type of a deletion; a put leaves the type out.
+// EventDelete is the type of a deletion; it is empty for a put.
 const EventDelete = "DELETE"
 
-// WatchCreate opens a watch on [Key, RangeEnd) from StartRevision on.
+// WatchCreate opens a watch on [Key, RangeEnd), starting with StartRevision.
 type WatchCreate struct {
 	Key            []byte `json:"key,omitempty"`
 	RangeEnd       []byte `json:"range_end,omitempty"`
@@ -11,7 +11,7 @@
 	ProgressNotify bool   `json:"progress_notify,omitempty"`
 }
 
-// WatchRequest is the one message sent on a watch.
+// WatchRequest is the only message sent on a watch.
 type WatchRequest struct {
 	Create WatchCreate `json:"create_request"`
 }
@@ -22,8 +22,8 @@
 	Kv   KeyValue `json:"kv"`
 }
 
-// WatchResponse is one message of a watch: its creation, its cancellation,
-// changes, or (without events) a progress notice.
+// WatchResponse is one message of a watch: its creation, its cancellation, events, or a
+// progress notice, which has no events.
 type WatchResponse struct {
 	Header          Header  `json:"header"`
 	Created         bool    `json:"created,omitempty"`
@@ -33,7 +33,7 @@
 	Events          []Event `json:"events,omitempty"`
 }
 
-// WatchMessage wraps what a watch streams.
+// WatchMessage wraps a message of the watch's stream.
 type WatchMessage struct {
 	Result *WatchResponse `json:"result,omitempty"`
 	Error  *Error         `json:"error,omitempty"`
--- a/store/lease.go
+++ b/store/lease.go
@@ -13,10 +13,9 @@
 
 // Grant implements Store. The ttl is rounded up to whole seconds.
 //
-// A lost reply would leave a lease that nobody knows the name of; so the
-// Client chooses the name and, on repeating the call, takes "exists already"
-// as the answer it missed. ErrUnavailable may leave a lease behind that has no
-// keys and lapses by itself.
+// The Client chooses the lease ID, so that a lost reply does not leave a lease with an
+// unknown ID; when the call is repeated, "lease already exists" counts as success.
+// After ErrUnavailable a lease without keys may exist until it expires.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	if err := c.allowCalls(1); err != nil {
 		return 0, err
@@ -35,7 +34,7 @@
 	return 0, result.err()
 }
 
-// Renew implements Store. It is charged to the budget but never refused.
+// Renew implements Store. It counts against the rate limit but is never rejected by it.
 func (c *Client) Renew(ctx context.Context, id LeaseID) (time.Duration, error) {
 	c.chargeCall()
 	var res v3json.KeepAliveResponse
@@ -53,9 +52,8 @@
 	return time.Duration(res.Result.TTL) * time.Second, nil
 }
 
-// Revoke implements Store. It is charged to the budget but never refused. A
-// lease that is gone when a call with a lost reply is repeated counts as
-// revoked.
+// Revoke implements Store. It counts against the rate limit but is never rejected by
+// it. If the call is repeated after a lost reply, a missing lease counts as revoked.
 func (c *Client) Revoke(ctx context.Context, id LeaseID) error {
 	c.chargeCall()
 	var res v3json.LeaseResponse
@@ -67,8 +65,8 @@
 	return result.err()
 }
 
-// postRepeatable makes a call that may be repeated, and reports whether an attempt
-// before the last one had been sent without a reply.
+// postRepeatable makes a call that may be repeated. It reports in repeated whether the
+// reply to an earlier attempt was lost.
 func (c *Client) postRepeatable(ctx context.Context, count *atomic.Int64, path string, req, res any) (last callResult, repeated bool) {
 	for i := range c.maxAttempts() {
 		if i > 0 {
--- a/store/list.go
+++ b/store/list.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// pageSize bounds the keys of one call. A listing in one answer would have
-	// to arrive within one call's timeout however long it is, and a slow store
-	// then never answers it.
+	// pageSize is the maximum number of keys in one call. It keeps the duration of a
+	// call independent of the length of the listing, so that a slow store answers
+	// within the call timeout.
 	pageSize = 1000
-	// maxListAttempts is how often a listing is begun again because the store
-	// compacted or replaced the revision that it reads.
+	// maxListAttempts is the number of times a listing is started, because its revision
+	// may be compacted or the store restored in between.
 	maxListAttempts = 3
 )
 
-// errStoreReplaced: the store was restored from a backup between two pages.
+// errStoreReplaced means that the store was restored from a backup between two pages.
 var errStoreReplaced = eris.New("platform store was replaced during a listing")
 
 // List implements Store.
@@ -31,9 +31,9 @@
 	return c.list(ctx, prefix, true)
 }
 
-// list begins again when the revision of its first page is gone. A listing that
-// went on at another revision would miss a key that moved between the pages, and
-// its watch would never hear of it.
+// list starts again if the revision of the first page is gone. Continuing at another
+// revision could miss a key that was written between two pages, and a watch from the
+// listing's revision would not deliver it either.
 func (c *Client) list(ctx context.Context, prefix string, keysOnly bool) (Snapshot, error) {
 	var err error
 	for range maxListAttempts {
@@ -49,7 +49,7 @@
 	return Snapshot{}, eris.Wrap(ErrUnavailable, err.Error())
 }
 
-// listing is one try at a listing.
+// listing is one attempt of a listing.
 type listing struct {
 	client   *Client
 	keysOnly bool
@@ -70,7 +70,7 @@
 			return nil
 		}
 		last := res.Kvs[len(res.Kvs)-1].Key
-		key = append(last[:len(last):len(last)], 0) // the first key after it
+		key = append(last[:len(last):len(last)], 0) // the smallest key greater than last
 	}
 }
 
@@ -89,8 +89,9 @@
 	return res, l.client.readRange(ctx, &l.client.counts.list, req, res)
 }
 
-// addPage takes a page in. A store that was restored from a backup between two pages
-// can have the revision of the first one again, with other contents.
+// addPage appends a page. It compares the cluster ID, because a store that is restored
+// from a backup between two pages can reach the revision of the first page with other
+// contents.
 func (l *listing) addPage(res *v3json.RangeResponse) error {
 	if l.snapshot.At == 0 {
 		l.snapshot.At = Revision(res.Header.Revision)
@@ -105,8 +106,8 @@
 	return nil
 }
 
-// prefixRange returns the range of all keys that begin with prefix. The API
-// has no empty key; the first possible one is a zero byte.
+// prefixRange returns the range of all keys that begin with prefix. The API has no
+// empty key; the smallest key is a zero byte.
 func prefixRange(prefix string) (key, end []byte) {
 	if prefix == "" {
 		return []byte{0}, []byte{0}
--- a/store/list_test.go
+++ b/store/list_test.go
@@ -16,11 +16,11 @@
 	"github.com/eelgrasshub/eelgrasshub/store/standin"
 )
 
-// listedKeys needs three pages.
+// listedKeys fill three pages.
 const listedKeys = 2500
 
-// pagedStore is a stand-in with listedKeys keys, whose between is called after
-// each answer to a listing.
+// pagedStore is a stand-in with listedKeys keys. It calls afterPage after each answer
+// to a listing.
 type pagedStore struct {
 	*standin.Server
 	client    *store.Client
@@ -48,8 +48,8 @@
 
 func pagedKey(i int) string { return fmt.Sprintf("jobs/%05d", i) }
 
-// ServeHTTP passes an answer on only after it was counted and between was called: a client
-// that has the last page may else be done before its handler has returned.
+// ServeHTTP counts a page and calls afterPage before it sends the answer; otherwise the
+// client could finish before they are done.
 func (p *pagedStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !strings.HasSuffix(r.URL.Path, "/range") {
 		p.Server.ServeHTTP(w, r)
@@ -60,10 +60,10 @@
 	p.pages++
 	p.afterPage(p.pages)
 	w.WriteHeader(recorder.Code)
-	_, _ = w.Write(recorder.Body.Bytes()) // a client that is gone needs no answer
+	_, _ = w.Write(recorder.Body.Bytes()) // the client may have closed the connection
 }
 
-// writeKey changes a key besides the client, as another process would.
+// writeKey changes a key as another process would.
 func (p *pagedStore) writeKey(c *qt.C, i int, value string) {
 	client := p.newUncountedClient(c)
 	defer client.Close()
@@ -72,17 +72,15 @@
 	c.Check(swapOne(c, client, store.Swap{Key: pagedKey(i), Expect: kv.Mod, Value: []byte(value)}).Swapped, qt.IsTrue)
 }
 
-// newUncountedClient is a client whose calls are not counted as pages.
+// newUncountedClient returns a client whose calls are not counted as pages.
 func (p *pagedStore) newUncountedClient(c *qt.C) *store.Client {
 	httpServer := httptest.NewServer(p.Server)
 	c.Cleanup(httpServer.Close)
 	return store.NewClient(store.Options{Endpoints: []string{httpServer.URL}})
 }
 
-// A planner takes over and lists thousands of job records while others change.
-// Had a later page shown a newer state than the first, a job that was changed in
-// between would be missing or listed twice, and the watch from the listing's
-// revision would not bring it.
+// Writes between two pages must not change a listing: a key would be missing or listed
+// twice, and a watch from the listing's revision would not deliver it.
 func TestListReadsOneRevision(t *testing.T) {
 	c := qt.New(t)
 	p := newPagedStore(c)
@@ -103,8 +101,8 @@
 	}
 }
 
-// The store compacts, or is restored from a backup, between two pages. The
-// listing begins again, and shows one state of one store.
+// A listing starts again if the store compacts its revision or is restored between two
+// pages.
 func TestListRestarts(t *testing.T) {
 	c := qt.New(t)
 	for name, disrupt := range map[string]func(p *pagedStore){
@@ -134,7 +132,7 @@
 	}
 }
 
-// A store that compacts without end must not keep a caller for ever.
+// A listing must end even if the store compacts after every page.
 func TestListStopsRestarting(t *testing.T) {
 	c := qt.New(t)
 	p := newPagedStore(c)
--- a/store/lost_call_test.go
+++ b/store/lost_call_test.go
@@ -20,8 +20,8 @@
 
 var errCut = errors.New("connection cut")
 
-// interferingTransport is a transport that does something once a reply has been lost, or
-// withholds the first request until release.
+// interferingTransport calls afterLoss after the first failed call, or withholds the
+// first request until release is called.
 type interferingTransport struct {
 	afterLoss func()
 	withhold  bool
@@ -53,9 +53,8 @@
 	return func(o *store.Options) { o.HTTP = &http.Client{Transport: transport} }
 }
 
-// An operator's change is reported as a conflict although nobody else changed
-// anything: the write took effect, the reply was lost, and the retry failed
-// against its own write. Or a change is reported as made that never arrived.
+// After a lost request or reply, a swap must not be reported as a conflict with itself,
+// nor as made if it was not.
 func TestCommitWithLostCall(t *testing.T) {
 	lostReply, lostRequest := standin.Faults{LoseReplies: 1}, standin.Faults{LoseRequests: 1}
 	const ownValue, otherValue = "ours", "theirs"
@@ -64,7 +63,7 @@
 		faults     standin.Faults
 		exists     bool
 		delete     bool
-		concurrent bool // another process writes before the outcome is looked up
+		concurrent bool // another process writes before the outcome is resolved
 		swapped    bool
 		unknown    bool
 		finalValue string
@@ -108,9 +107,8 @@
 	}
 }
 
-// A caller is told that its change was not made, and it appears a minute
-// later: the request was held up between the two ends, the key was read back
-// unchanged, and then the request arrived.
+// A swap whose request is delayed must not be reported as not made and then take
+// effect, nor take effect twice.
 func TestCommitWithDelayedRequest(t *testing.T) {
 	c := qt.New(t)
 	transport := &interferingTransport{}
@@ -126,8 +124,8 @@
 	c.Assert(current.Mod, qt.Equals, next.Current.Mod)
 }
 
-// A lease is granted or revoked and the reply is lost. The caller must neither
-// lose the lease's name nor take its own revocation for a lapse.
+// After a lost reply to a grant the lease ID must be known, and a repeated revocation
+// must not be reported as an expired lease.
 func TestLostLeaseReply(t *testing.T) {
 	c := qt.New(t)
 	ctx := context.Background()
@@ -149,19 +147,19 @@
 	srv, kv := startStore(t, standin.Options{})
 	swaps := []store.Swap{{Key: "k", Value: []byte("v")}}
 
-	// Refused before it could take effect.
+	// The call is rejected before it takes effect.
 	srv.SetFaults(standin.Faults{MaxWrites: 0.001})
 	swapOne(c, kv, store.Swap{Key: "uses the one call", Value: []byte("v")})
 	_, err := kv.Commit(ctx, swaps)
 	c.Assert(eris.Is(err, store.ErrUnavailable), qt.IsTrue)
 
-	// Nothing listens: no byte was sent.
+	// Nothing listens at the endpoint, so no byte is sent.
 	unreachable := store.NewClient(store.Options{Endpoints: []string{"http://127.0.0.1:1"}})
 	_, err = unreachable.Commit(ctx, swaps)
 	c.Assert(eris.Is(err, store.ErrUnavailable), qt.IsTrue)
 	c.Assert(unreachable.Calls().Lost, qt.Equals, int64(0))
 
-	// A 503 may come from anything between, after the write took effect.
+	// A 503 may come from a proxy after the write took effect.
 	srv.SetFaults(standin.Faults{Down: standin.DownRefuse})
 	c.Assert(swapOne(c, kv, swaps[0]).Unknown, qt.IsTrue)
 	_, _, err = kv.Get(ctx, "k")
@@ -186,8 +184,8 @@
 	c.Assert(srv.Counters().Total(), qt.Equals, kv.Calls().Total())
 }
 
-// One endpoint is dead, one is silent, one works. The timeout bounds the wait for
-// the silent one and is far above what the one that works needs.
+// Of three endpoints one refuses connections, one hangs and one works. Calls must reach
+// the third.
 func TestEndpointFailover(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/store/options.go
+++ b/store/options.go
@@ -8,7 +8,7 @@
 	"golang.org/x/time/rate"
 )
 
-// Defaults of Options.
+// Defaults for Options.
 const (
 	DefaultCallTimeout      = 2 * time.Second
 	DefaultWatchIdleTimeout = 30 * time.Second
@@ -17,23 +17,23 @@
 	maxIdleConnsPerHost = 16
 )
 
-// Options of a Client.
+// Options configures a Client. A zero field takes its default.
 type Options struct {
-	// Endpoints are base URLs, such as http://10.0.0.1:2379, tried in order
-	// from the last one that worked.
+	// Endpoints are base URLs such as http://10.0.0.1:2379. They are tried in order,
+	// starting with the last one that worked.
 	Endpoints []string
-	// CallTimeout bounds each attempt of a call.
+	// CallTimeout limits each attempt of a call.
 	CallTimeout time.Duration
-	// RateLimit is the calls a second that this process may make; zero means no
-	// limit. Burst is how many it may make at once.
+	// RateLimit is the maximum number of calls per second; zero means no limit. Burst
+	// is the number of calls that may be made at once.
 	RateLimit rate.Limit
 	Burst     int
-	// WatchIdleTimeout is how long a watch may stay silent before its connection is
-	// replaced. It must be longer than the service's progress notices are
-	// apart; otherwise quiet watches reconnect needlessly, one call each time.
+	// WatchIdleTimeout is the time without a message after which the connection of a
+	// watch is replaced. It must be longer than the service's interval between progress
+	// notices; otherwise idle watches reconnect needlessly.
 	WatchIdleTimeout time.Duration
-	// HTTP makes the calls; nil means a client of its own. It must have no
-	// Timeout, which would cut watches.
+	// HTTP makes the calls; nil means a client with its own connections. It must have
+	// no Timeout, which would end watches.
 	HTTP *http.Client
 }
 
--- a/store/pending_swap.go
+++ b/store/pending_swap.go
@@ -2,13 +2,14 @@
 
 import "sync/atomic"
 
-// pendingSwap is one caller's swap on its way through a Batcher. Whoever takes it,
-// the batch or the caller that gives up, decides its fate.
+// pendingSwap is a swap passed from its caller to the Batcher's goroutine. The side
+// that claims it first decides its result: the Batcher sends it, or the caller
+// withdraws it.
 type pendingSwap struct {
 	swap    Swap
 	claimed atomic.Bool
 	done    chan struct{}
-	result  SwapResult // valid once done is closed
+	result  SwapResult // set before done is closed
 	err     error
 }
 
@@ -19,8 +20,8 @@
 	close(w.done)
 }
 
-// abandon ends the caller's wait: the swap is withdrawn where no call has taken
-// it, and of unknown outcome otherwise.
+// abandon withdraws the swap with err if it has not been sent; otherwise its result is
+// Unknown.
 func (w *pendingSwap) abandon(err error) (SwapResult, error) {
 	if w.claim() {
 		return SwapResult{}, err
--- a/store/post.go
+++ b/store/post.go
@@ -20,27 +20,27 @@
 	maxErrorBodyBytes = 4 << 10
 )
 
-// callStatus tells what can be known of a call that returned an error.
+// callStatus is what is known about one attempt of a call.
 type callStatus int
 
 const (
 	statusReplied  callStatus = iota // answered
 	statusNotSent                    // no byte reached the service
-	statusRejected                   // answered with a refusal: no effect
-	statusLost                       // sent, and the outcome is unknown
+	statusRejected                   // answered with an error: no effect
+	statusLost                       // may have been sent; the outcome is unknown
 )
 
-// callResult is the end of one attempt of one call.
+// callResult is the result of one attempt of a call.
 type callResult struct {
 	status callStatus
-	code   int    // of a refusal, as the API numbers them
-	msg    string // of a refusal
+	code   int    // gRPC code of an error reply
+	msg    string // message of an error reply
 	cause  error
 }
 
 func (r callResult) ok() bool { return r.status == statusReplied }
 
-// err returns the typed error of a call that certainly had no effect.
+// err returns the package's sentinel error for the result of a failed call.
 func (r callResult) err() error {
 	if r.code == v3json.CodeNotFound {
 		return ErrLeaseNotFound
@@ -54,7 +54,7 @@
 	return eris.Wrap(ErrUnavailable, r.msg)
 }
 
-// post makes one attempt of one call.
+// post makes one attempt of a call.
 func (c *Client) post(ctx context.Context, base, path string, req, res any) callResult {
 	body, err := json.Marshal(req)
 	if err != nil {
@@ -76,9 +76,9 @@
 	return callResult{}
 }
 
-// send sends a request and reports whether a connection had been had for it.
-// Without one, no byte of the request can have reached the service; from then
-// on it may have, whatever the error says.
+// send sends a request and reports whether a connection was obtained for it. Without
+// one, no byte of the request can have reached the service; with one it may have,
+// whatever the error is.
 func (c *Client) send(ctx context.Context, url string, body []byte) (*http.Response, bool, error) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -103,9 +103,9 @@
 	return callResult{status: statusLost, cause: err}
 }
 
-// errorResult reads a reply other than 200. A 5xx may hide a write that took
-// effect: the service reports its own timeouts so, and so does anything
-// between that lost the reply.
+// errorResult returns the result for a reply other than 200. The outcome of a 5xx reply
+// is unknown: the service reports its own timeouts this way, and a proxy may have lost
+// the reply to a write that took effect.
 func errorResult(resp *http.Response) callResult {
 	var body v3json.Error
 	_ = json.NewDecoder(io.LimitReader(resp.Body, maxErrorBodyBytes)).Decode(&body)
--- a/store/read.go
+++ b/store/read.go
@@ -15,7 +15,7 @@
 	return c.get(ctx, key, 0)
 }
 
-// get reads one key as of a revision, zero being the newest.
+// get reads one key at a revision; zero means the latest.
 func (c *Client) get(ctx context.Context, key string, revision Revision) (KeyValue, bool, error) {
 	req := &v3json.RangeRequest{Key: []byte(key), Revision: int64(revision)}
 	var res v3json.RangeResponse
@@ -28,8 +28,8 @@
 	return keyValueFromJSON(res.Kvs[0]), true, nil
 }
 
-// readRange tries the endpoints in turn. The budget is charged for the first
-// attempt by the caller, for the others here.
+// readRange tries the endpoints in turn. The caller takes the first attempt from the
+// rate limit; further attempts are charged here.
 func (c *Client) readRange(ctx context.Context, count *atomic.Int64, req *v3json.RangeRequest, res *v3json.RangeResponse) error {
 	var last callResult
 	for i := range c.maxAttempts() {
--- a/store/resolve.go
+++ b/store/resolve.go
@@ -13,23 +13,21 @@
 const (
 	resolveAttempts = 4
 	resolveBackoff  = 10 * time.Millisecond
-	// maxVersionReads bounds the earlier versions of a key that are read to see
-	// who wrote after Expect.
+	// maxVersionReads limits the number of earlier versions of a key that are read to
+	// find the write that followed Expect.
 	maxVersionReads = 8
 )
 
-// resolveLostCommit finds out what became of swaps whose reply was lost.
+// resolveLostCommit determines the results of swaps whose reply was lost. A plain retry
+// would conflict with the client's own write if the first attempt took effect.
 //
-// The failure: the call took effect, its reply did not arrive, and a plain
-// retry fails against its own write. It shows as a conflict with oneself.
-//
-// A swap that expects an existing revision is sent again: revisions don't come
-// back unless the store is restored from a backup, so it takes effect once at most however many copies arrive, late ones
-// included; merely finding the key unchanged would not exclude that the first
-// copy is still on its way. A swap that creates a key is only read back: the
-// key may have been created and deleted meanwhile, and sending it again would
-// create it a second time. In both cases the key's bytes tell whose write is
-// found, because every proposed value is unique.
+// A swap that expects an existing revision is sent again: revisions do not recur unless
+// the store is restored from a backup, so it takes effect at most once, however many
+// copies arrive and however late. Reading the key back would not be enough, since the
+// first copy may still be in transit. A swap that creates a key is only read back: if
+// the key was created and deleted meanwhile, sending the swap again would create it a
+// second time. In both cases the value identifies the write, because every proposed
+// value is unique.
 func (c *Client) resolveLostCommit(ctx context.Context, swaps []Swap) []SwapResult {
 	retryDelay := backoff.NewExponentialBackOff()
 	retryDelay.InitialInterval = resolveBackoff
@@ -44,7 +42,8 @@
 			c.setPreferred(i)
 			return c.resolveSwaps(ctx, swaps, &res)
 		}
-		// The lease is gone, maybe after the first copy took effect under it.
+		// The lease does not exist; the first copy may have taken effect before it
+		// ended.
 		resend = resend && result.code != v3json.CodeNotFound
 		if ctx.Err() != nil {
 			break
@@ -53,7 +52,8 @@
 	return unknownResults(swaps)
 }
 
-// resendOrRead sends one call that repeats or reads back each swap.
+// resendOrRead sends one call that repeats each swap that expects an existing revision,
+// if resend is set, and reads the keys of the others.
 func (c *Client) resendOrRead(ctx context.Context, swaps []Swap, resend bool, attempt int, res *v3json.TxnResponse) callResult {
 	req := &v3json.TxnRequest{}
 	for _, s := range swaps {
@@ -85,10 +85,10 @@
 	return results
 }
 
-// resolveSwap decides the outcome of a swap from the key as it is now. Walking back
-// through the versions of the key ends at our own bytes (it took effect), at
-// the expected revision (the next write was another's, so it did not and never
-// will), or nowhere (unknown).
+// resolveSwap determines the result of a swap from the current state of its key. It
+// reads earlier versions of the key until it finds the swap's own value (the swap took
+// effect) or the expected revision (the next write was another one, so the swap cannot
+// take effect any more). Otherwise the result is unknown.
 func (c *Client) resolveSwap(ctx context.Context, s Swap, current KeyValue) SwapResult {
 	unknown := SwapResult{Unknown: true, Current: current}
 	if current.Mod == 0 || current.Mod == s.Expect {
@@ -116,7 +116,7 @@
 	return unknown
 }
 
-// sleep waits for d and reports false where ctx ended first.
+// sleep waits for d. It returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/store/standin/api_error.go
+++ b/store/standin/api_error.go
@@ -6,7 +6,7 @@
 	"github.com/eelgrasshub/eelgrasshub/store/internal/v3json"
 )
 
-// apiError is a refused call.
+// apiError is the reply to a rejected call.
 type apiError struct {
 	status int
 	body   v3json.Error
--- a/store/standin/call_handler.go
+++ b/store/standin/call_handler.go
@@ -12,8 +12,8 @@
 
 const maxBodyBytes = 4 << 20
 
-// callHandler is one kind of callHandler: where it is counted, whether it writes, and what
-// it does under the Server's lock.
+// callHandler serves one kind of call. counter selects the counter, isWrite reports
+// whether a request may write, and run executes it while the Server is locked.
 type callHandler[Req, Res any] struct {
 	server  *Server
 	counter func(*Counters) *int64
@@ -27,8 +27,8 @@
 func (c callHandler[Req, Res]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	req := new(Req)
 	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
-	// A field that the stand-in does not know would otherwise be ignored in
-	// silence, and a test would pass without what it asked for.
+	// Unknown fields are errors, since a test must not pass without a feature that the
+	// client asked for.
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(req); err != nil {
 		writeJSON(w, http.StatusBadRequest, v3json.Error{Error: err.Error(), Code: v3json.CodeInvalidArgument})
@@ -60,16 +60,16 @@
 	writeJSON(w, http.StatusOK, res)
 }
 
-// dropConnection breaks the caller's connection. It releases the lock, which the caller
-// holds, and does not return.
+// dropConnection closes the caller's connection without a reply. It unlocks the Server,
+// which the caller has locked, and panics.
 func (s *Server) dropConnection() {
 	s.counters.Lost++
 	s.mu.Unlock()
 	panic(http.ErrAbortHandler)
 }
 
-// admit counts a call and applies the faults that hit it before it takes
-// effect. It has answered the call where it returns false.
+// admit counts a call and applies the faults that act before it takes effect. If it
+// returns false, it has replied to the call.
 func (s *Server) admit(w http.ResponseWriter, r *http.Request, counter func(*Counters) *int64, write bool) bool {
 	s.mu.Lock()
 	*counter(&s.counters)++
--- a/store/standin/control_test.go
+++ b/store/standin/control_test.go
@@ -26,7 +26,7 @@
 		c.Assert(err, qt.IsNil)
 		return resp.StatusCode, strings.TrimSpace(string(got))
 	}
-	// The published form of a write: keys and values in base64.
+	// Keys and values are base64 in the JSON form of the API.
 	const put = `{"success":[{"request_put":{"key":"Zm9v","value":"YmFy"}}]}`
 
 	post("/standin/snapshot", "")
--- a/store/standin/entry.go
+++ b/store/standin/entry.go
@@ -6,8 +6,8 @@
 	"github.com/eelgrasshub/eelgrasshub/store/internal/v3json"
 )
 
-// entry is one key with its versions, oldest first. Entries are never changed
-// in place, so that a snapshot may share them.
+// entry is one key with its versions, oldest first. Entries are immutable, so that
+// snapshots can share them.
 type entry struct {
 	key      string
 	versions []version
@@ -20,7 +20,7 @@
 
 func entryLess(a, b entry) bool { return a.key < b.key }
 
-// valueAt returns the key as of rev.
+// valueAt returns the key at revision rev.
 func (e entry) valueAt(rev int64) (v3json.KeyValue, bool) {
 	for _, v := range slices.Backward(e.versions) {
 		if v.kv.ModRevision > rev {
@@ -39,7 +39,7 @@
 	return e
 }
 
-// compact drops the versions that no revision from rev on can see.
+// compact drops the versions that are not visible at rev or later.
 func (e entry) compact(rev int64) entry {
 	firstKept := 0
 	for i, v := range e.versions {
--- a/store/standin/lease.go
+++ b/store/standin/lease.go
@@ -7,7 +7,7 @@
 	"github.com/eelgrasshub/eelgrasshub/store/internal/v3json"
 )
 
-// lease is one lease and the keys that end with it.
+// lease is a lease with the keys that are deleted when it ends.
 type lease struct {
 	ttl     time.Duration
 	expires time.Time
@@ -59,7 +59,7 @@
 	s.revision = rev
 }
 
-// expireLeases ends the leases whose time is over.
+// expireLeases removes the leases that have expired, with their keys.
 func (s *state) expireLeases(now time.Time) {
 	for id, l := range s.leases {
 		if !now.Before(l.expires) {
--- a/store/standin/options.go
+++ b/store/standin/options.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Defaults of Options.
+// Defaults for Options, and the interval at which expired leases are removed.
 const (
 	DefaultProgressInterval   = time.Second
 	DefaultMaxHistory         = 100_000
 	DefaultLeaseCheckInterval = 50 * time.Millisecond
 )
 
-// Options of a Server. The zero value is usable.
+// Options configures a Server. A zero field takes its default.
 type Options struct {
-	// Now drives leases. With nil, the system's clock does, and leases lapse by
-	// themselves; otherwise they lapse at the next call or Expire.
+	// Now is the clock for leases. If it is nil, the system clock is used and leases
+	// expire by themselves; otherwise they expire at the next call or Expire.
 	Now func() time.Time
-	// ProgressInterval is the time between progress notices of a quiet watch.
+	// ProgressInterval is the time between the progress notices of an idle watch.
 	ProgressInterval time.Duration
-	// MaxHistory is how many changes are kept for watches and reads of older
-	// revisions; beyond it the oldest are compacted.
+	// MaxHistory is the number of changes kept for watches and for reads of older
+	// revisions. Beyond it the older half is compacted.
 	MaxHistory int
 }
 
--- a/store/standin/routes.go
+++ b/store/standin/routes.go
@@ -49,8 +49,8 @@
 	s.controlRoutes()
 }
 
-// mayWrite tells whether a transaction may write; one that only reads counts
-// as a read, also for faults that hit writes.
+// mayWrite reports whether a transaction may write. One that only reads counts as a
+// read, also for the faults of writes.
 func mayWrite(req *v3json.TxnRequest) bool {
 	for _, op := range slices.Concat(req.Success, req.Failure) {
 		if op.Put != nil || op.Delete != nil || op.Txn != nil && mayWrite(op.Txn) {
--- a/store/standin/server.go
+++ b/store/standin/server.go
@@ -11,8 +11,8 @@
 	"github.com/eelgrasshub/eelgrasshub/store/internal/v3json"
 )
 
-// Server is the stand-in: an http.Handler over one in-memory store. It is safe
-// for concurrent use. Close ends its watches.
+// Server is an http.Handler that serves one in-memory store. It is safe for concurrent
+// use.
 type Server struct {
 	opts Options
 	mux  *http.ServeMux
@@ -26,10 +26,10 @@
 	writeLimiter *rate.Limiter
 	counters     Counters
 	watches      map[*watch]struct{}
-	changed      chan struct{} // closed and replaced when watches may have work
+	changed      chan struct{} // closed and replaced when watches have to check for changes
 }
 
-// New returns a running Server.
+// New starts a Server.
 func New(opts Options) *Server {
 	s := &Server{
 		opts:    opts.withDefaults(),
@@ -43,8 +43,7 @@
 	return s
 }
 
-// Close ends every watch and hanging call and waits for the Server's own
-// goroutine.
+// Close ends all watches and hanging calls and waits for the Server's own goroutine.
 func (s *Server) Close() {
 	s.tomb.Kill(nil)
 	_ = s.tomb.Wait()
@@ -55,7 +54,7 @@
 	s.mux.ServeHTTP(w, r)
 }
 
-// run lets leases lapse while nobody calls.
+// run removes expired leases periodically, unless Options.Now is set.
 func (s *Server) run() error {
 	if s.opts.Now != nil {
 		<-s.tomb.Dying()
@@ -73,7 +72,7 @@
 	}
 }
 
-// Expire ends the leases whose time is over by the Server's clock.
+// Expire removes the leases that have expired by the Server's clock.
 func (s *Server) Expire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,7 +92,8 @@
 	return time.Now()
 }
 
-// notifyIfChanged wakes the watches where the revision is no longer before.
+// notifyIfChanged trims the history and wakes the watches if the revision differs from
+// oldRevision.
 func (s *Server) notifyIfChanged(oldRevision int64) {
 	if s.state.revision == oldRevision {
 		return
@@ -107,7 +107,7 @@
 	s.changed = make(chan struct{})
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the active faults.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,31 +128,31 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-// Faults returns the faults in force; the counts of writes still to be lost
-// fall as they are used.
+// Faults returns the active faults. LoseReplies and LoseRequests count down as they are
+// used.
 func (s *Server) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// Counters returns the calls received so far.
+// Counters returns the number of calls received so far.
 func (s *Server) Counters() Counters {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counters
 }
 
-// Snapshot keeps a copy of the state for Restore.
+// Snapshot saves a copy of the state for Restore.
 func (s *Server) Snapshot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.snapshot = s.state.clone()
 }
 
-// Restore goes back to the last Snapshot, or to an empty store: revisions go
-// back, leases start their time anew, watches are cut, and the identity of the
-// cluster changes, as after a restore from a backup.
+// Restore restores the last Snapshot, or an empty store, as a restore from a backup
+// does: revisions decrease, leases start again with their full TTL, watches are closed,
+// and the cluster ID changes.
 func (s *Server) Restore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,14 +171,14 @@
 	s.notifyWatches()
 }
 
-// Compact forgets all history before the newest revision.
+// Compact drops all history before the latest revision.
 func (s *Server) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.state.compact(s.state.revision)
 }
 
-// Revision returns the newest revision.
+// Revision returns the latest revision.
 func (s *Server) Revision() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/store/standin/state.go
+++ b/store/standin/state.go
@@ -10,13 +10,13 @@
 
 const btreeDegree = 16
 
-// state is the store's content. It is not safe for concurrent use.
+// state is the content of the store. It is not safe for concurrent use.
 type state struct {
 	clusterID       uint64
 	revision        int64
 	compactRevision int64
 	keys            *btree.BTreeG[entry]
-	log             []v3json.Event // changes after compacted, in order
+	log             []v3json.Event // changes from compactRevision on, in order
 	leases          map[int64]*lease
 }
 
@@ -41,7 +41,7 @@
 	return e.valueAt(s.revision)
 }
 
-// inRange tells whether key is in [from, end), as the API writes ranges.
+// inRange reports whether key is in the range [from, end) of a request.
 func inRange(key string, from, end []byte) bool {
 	if len(end) == 0 {
 		return key == string(from)
@@ -52,7 +52,7 @@
 	return string(end) == "\x00" || key < string(end)
 }
 
-// list returns the keys in [from, end) as of rev.
+// list returns the keys in [from, end) at revision rev.
 func (s *state) list(from, end []byte, rev int64) []v3json.KeyValue {
 	var kvs []v3json.KeyValue
 	s.keys.AscendGreaterOrEqual(entry{key: string(from)}, func(e entry) bool {
@@ -67,7 +67,7 @@
 	return kvs
 }
 
-// put writes a key at revision rev, which the caller then makes current.
+// put writes a key at revision rev, which the caller then makes the current one.
 func (s *state) put(rev int64, key string, value []byte, leaseID int64) {
 	old, ok := s.get(key)
 	kv := v3json.KeyValue{Key: []byte(key), Value: value, Lease: leaseID}
@@ -112,7 +112,7 @@
 	}
 }
 
-// eventsSince returns the changes in [from, end) after revision rev.
+// eventsSince returns the changes to keys in [from, end) after revision rev.
 func (s *state) eventsSince(rev int64, from, end []byte) []v3json.Event {
 	i, _ := slices.BinarySearchFunc(s.log, rev+1, func(e v3json.Event, r int64) int {
 		return int(e.Kv.ModRevision - r)
@@ -126,7 +126,7 @@
 	return events
 }
 
-// compact forgets all history before revision rev.
+// compact drops all history before revision rev.
 func (s *state) compact(rev int64) {
 	s.compactRevision = rev
 	i, _ := slices.BinarySearchFunc(s.log, rev, func(e v3json.Event, r int64) int {
@@ -143,14 +143,15 @@
 	s.keys = keys
 }
 
-// trimHistory compacts the older half of a history longer than most.
+// trimHistory compacts the older half of the history if it has more than maxEvents
+// changes.
 func (s *state) trimHistory(maxEvents int) {
 	if len(s.log) > maxEvents {
 		s.compact(s.log[len(s.log)/2].Kv.ModRevision)
 	}
 }
 
-// clone returns a copy that later changes to s do not touch.
+// clone returns a copy that is independent of later changes to s.
 func (s *state) clone() *state {
 	c := *s
 	c.keys = s.keys.Clone()
--- a/store/standin/txn.go
+++ b/store/standin/txn.go
@@ -7,9 +7,8 @@
 	maxRequestBytes = 1536 << 10
 )
 
-// txn runs one transaction: all comparisons, nested ones included, see the
-// state before it, all writes share one revision, and a refused one leaves no
-// trace.
+// txn runs one transaction. All comparisons, including nested ones, see the state
+// before it; all writes share one revision; and a rejected transaction changes nothing.
 func (s *state) txn(req *v3json.TxnRequest) (*v3json.TxnResponse, *apiError) {
 	if apiErr := checkOps(req, maxOps, make(map[string]bool)); apiErr != nil {
 		return nil, apiErr
@@ -26,9 +25,8 @@
 	return res, nil
 }
 
-// checkOps applies the limits of the API: the operations of nested
-// transactions count against what the outer ones leave, and a key is written
-// once at most.
+// checkOps enforces the limits of the API: the operations of nested transactions count
+// against what the outer ones leave, and a key is written at most once.
 func checkOps(req *v3json.TxnRequest, opsLeft int, written map[string]bool) *apiError {
 	ops := max(len(req.Compare), len(req.Success), len(req.Failure))
 	if ops > opsLeft {
@@ -78,8 +76,8 @@
 	return req.Failure
 }
 
-// evaluate evaluates the comparisons and checks the leases on the branches that
-// will run.
+// evaluate records the results of the comparisons and checks that the leases of the
+// branches to be run exist.
 func (r *txnExecution) evaluate(req *v3json.TxnRequest) *apiError {
 	r.succeeded[req] = true
 	for _, c := range req.Compare {
@@ -130,7 +128,7 @@
 	return v3json.ResponseOp{}
 }
 
-// setHeader fills in the header, whose revision is known only at the end.
+// setHeader sets the header of all responses once the final revision is known.
 func setHeader(res *v3json.TxnResponse, h v3json.Header) {
 	res.Header = h
 	for _, op := range res.Responses {
--- a/store/standin/watch.go
+++ b/store/standin/watch.go
@@ -8,10 +8,10 @@
 	"github.com/eelgrasshub/eelgrasshub/store/internal/v3json"
 )
 
-// watch is one open watch. The Server's lock guards it.
+// watch is one open watch, guarded by Server.mu.
 type watch struct {
 	create       v3json.WatchCreate
-	sentRevision int64 // changes up to this revision have been sent
+	sentRevision int64 // all changes up to it have been sent
 	frozen       bool
 	cut          bool
 }
@@ -74,9 +74,9 @@
 	delete(s.watches, w)
 }
 
-// nextResponse returns the changes that the watch has not been sent, if any, and the
-// channel that is closed when there may be more. It ends the call where the
-// watch is cut; one that was frozen before hears of nothing any more.
+// nextResponse returns the changes that have not been sent, if any, and the channel
+// that is closed when there may be more. It aborts the call if the watch was cut. Both
+// results are nil for a frozen watch.
 func (s *Server) nextResponse(w *watch) (*v3json.WatchResponse, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,7 +97,7 @@
 	return &v3json.WatchResponse{Header: s.state.header(), Events: events}, s.changed
 }
 
-// sendProgress sends a progress notice, unless changes wait to be sent.
+// sendProgress sends a progress notice unless there are changes to be sent.
 func (s *Server) sendProgress(w http.ResponseWriter, openWatch *watch) {
 	s.mu.Lock()
 	h := s.state.header()
--- a/store/swapop.go
+++ b/store/swapop.go
@@ -2,8 +2,8 @@
 
 import "github.com/eelgrasshub/eelgrasshub/store/internal/v3json"
 
-// swapOp returns the swap as a nested transaction that reads the key where the
-// comparison fails.
+// swapOp returns the swap as a nested transaction that reads the key if the comparison
+// fails.
 func swapOp(s Swap) v3json.RequestOp {
 	key := []byte(s.Key)
 	write := v3json.RequestOp{Put: &v3json.PutRequest{Key: key, Value: s.Value, Lease: int64(s.Lease)}}
@@ -26,7 +26,7 @@
 	return v3json.RequestOp{Range: &v3json.RangeRequest{Key: []byte(key)}}
 }
 
-// keyAfterSwap returns the key after a swap that took effect at revision at.
+// keyAfterSwap returns the key after a swap that took effect at the given revision.
 func keyAfterSwap(s Swap, revision Revision) KeyValue {
 	if s.Delete {
 		return KeyValue{Key: s.Key}
@@ -38,8 +38,8 @@
 	return kv
 }
 
-// keyFromRange returns the key that a range of one key found; Mod is zero where it
-// does not exist.
+// keyFromRange returns the key from the response to a read of one key. Mod is zero if
+// it does not exist.
 func keyFromRange(key string, res *v3json.RangeResponse) KeyValue {
 	if res == nil || len(res.Kvs) == 0 {
 		return KeyValue{Key: key}
@@ -47,7 +47,7 @@
 	return keyValueFromJSON(res.Kvs[0])
 }
 
-// keyFromFailure returns the key as the failure branch of a swap read it.
+// keyFromFailure returns the key that the failure branch of a swap has read.
 func keyFromFailure(key string, res *v3json.TxnResponse) KeyValue {
 	if len(res.Responses) == 0 {
 		return KeyValue{Key: key}
--- a/store/validate.go
+++ b/store/validate.go
@@ -8,25 +8,22 @@
 	"github.com/eelgrasshub/eelgrasshub/store/internal/v3json"
 )
 
-// errInvalidResponse: the answer is JSON with status 200, and the store can't have
-// given it to this call.
-//
-// The failure this guards against: something between the two ends answers "{}" of
-// its own, or hands over the answer to another call. Read as the API's, where zero
-// fields are left out, "{}" is a store without any keys, or a lease that is gone:
-// every job would be forgotten and every duty given up. The store's revision begins
-// at 1 and comes with each answer, as the name of each key and lease does.
+// errInvalidResponse means that a reply with status 200 cannot be the store's answer to
+// this call: a proxy may answer "{}" by itself, or deliver the answer to another call.
+// Since the API omits zero fields, "{}" would be read as an empty store or an expired
+// lease. A real answer always carries a revision of at least 1 and the requested keys
+// or lease.
 var errInvalidResponse = eris.New("not an answer of the store to this call")
 
 func validHeader(h v3json.Header) bool { return h.Revision > 0 }
 
-// validKey checks one key that a read returned.
+// validKey checks one key returned by a read.
 func validKey(kv v3json.KeyValue) bool {
 	return kv.CreateRevision > 0 && kv.CreateRevision <= kv.ModRevision
 }
 
-// validRange checks the answer to a read of one key, or of all below a prefix
-// where end is not empty.
+// validRange checks the answer to a read of one key, or of a range of keys if RangeEnd
+// is set.
 func validRange(req *v3json.RangeRequest, res *v3json.RangeResponse) bool {
 	if !validHeader(res.Header) || len(req.RangeEnd) == 0 && len(res.Kvs) > 1 {
 		return false
@@ -47,8 +44,7 @@
 	return key >= string(req.Key) && (unbounded || key < string(req.RangeEnd))
 }
 
-// validTxn checks the answer to a call that swaps, or reads, one key after the
-// other.
+// validTxn checks the answer to a call that swaps or reads one key per operation.
 func validTxn(swaps []Swap, res *v3json.TxnResponse) bool {
 	if !validHeader(res.Header) || len(res.Responses) != len(swaps) {
 		return false
@@ -61,7 +57,8 @@
 	return true
 }
 
-// validOp checks one of them: a swap that took effect, or the key as it is.
+// validOp checks the answer to one operation: a swap that took effect, or the current
+// state of the key.
 func validOp(key string, op v3json.ResponseOp) bool {
 	if op.Txn != nil {
 		if op.Txn.Succeeded {
@@ -83,16 +80,16 @@
 	return true
 }
 
-// maxLeaseTTL is the longest life of a lease in seconds that the API allows.
+// maxLeaseTTL is the longest TTL of a lease, in seconds, that the API allows.
 const maxLeaseTTL = 9_000_000_000
 
-// validLease checks the answer to a grant or a renewal of a lease.
+// validLease checks the answer to the grant or renewal of a lease.
 func validLease(id int64, res v3json.LeaseResponse) bool {
 	return res.ID == id && res.TTL <= maxLeaseTTL
 }
 
-// validEvents checks what a watch of a prefix brings at once: changes in the
-// order of their revisions.
+// validEvents checks one message of a watch: all keys must have the prefix, and
+// revisions must not decrease.
 func validEvents(prefix string, events []v3json.Event) bool {
 	last := int64(1)
 	for _, e := range events {
--- a/store/watch.go
+++ b/store/watch.go
@@ -13,20 +13,17 @@
 	watchBackoffMax = 5 * time.Second
 )
 
-// Watch implements Store. It reconnects, with growing random pauses, from the
-// revision after the last one delivered, so that cuts cause neither a gap nor
-// a repetition. A connection that stays silent for Options.WatchIdle, although
-// progress notices were asked for, is replaced.
+// Watch implements Store. It reconnects with exponential backoff from the revision
+// after the last one delivered, so that a lost connection causes neither a gap nor a
+// repetition. A connection without a message for Options.WatchIdleTimeout, although
+// progress notices were requested, is replaced. Reconnecting waits for the rate limit.
 //
-// ErrCompacted is also returned where the store's revisions have gone back or
-// its identity has changed, as after a restore from a backup: what was
-// delivered no longer describes it, and the caller lists again. An endpoint
-// that lags behind the one that was listed looks the same and has the same
-// consequence.
+// ErrCompacted is also returned if the store's revision has decreased or its cluster ID
+// has changed, as after a restore from a backup: the caller's state is then invalid,
+// and it has to list again. An endpoint that lags behind the one that was listed has
+// the same effect.
 //
-// A from of zero starts at the store's revision when the watch is first opened.
-//
-// Where the process's budget is used up, reconnecting waits.
+// If from is zero, the watch starts at the store's revision when it is first opened.
 func (c *Client) Watch(ctx context.Context, prefix string, from Revision, deliver func(WatchBatch)) error {
 	w := &watcher{client: c, prefix: prefix, lastRevision: from - 1, deliver: deliver}
 	retryDelay := backoff.NewExponentialBackOff()
@@ -50,7 +47,8 @@
 	}
 }
 
-// watchError prefers the context's own error.
+// watchError returns the context's error if ctx has ended, and ErrUnavailable
+// otherwise.
 func watchError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
--- a/store/watch_test.go
+++ b/store/watch_test.go
@@ -29,8 +29,8 @@
 
 var frequentProgress = standin.Options{ProgressInterval: 20 * time.Millisecond}
 
-// collectEvents watches from the first revision on until it has seen a key named
-// end, and returns the events.
+// collectEvents watches from the first revision until the key prefix+"end" is written,
+// and returns the events.
 func collectEvents(c *qt.C, kv store.Store, prefix string) []store.Event {
 	ctx, cancel := context.WithTimeout(context.Background(), generousTimeout)
 	defer cancel()
@@ -47,11 +47,9 @@
 	return events
 }
 
-// Entries disagree for good about what is in force: a watch was cut or went
-// silent, and the change made meanwhile was missed, or delivered twice.
-//
-// At the same time writers race for few keys while replies and requests are
-// lost: each must be told the truth about its own write.
+// A watch must deliver every change exactly once although connections are cut or become
+// unresponsive, and concurrent swaps must be reported correctly although replies and
+// requests are lost.
 func TestWatchAndSwapsUnderFaults(t *testing.T) {
 	const seed, writers, writes = 1, 4, 150
 	c := qt.New(t)
@@ -116,8 +114,8 @@
 	}
 }
 
-// randomSwap proposes value for one of three keys at the revision last read,
-// sometimes after deleting the key.
+// randomSwap writes value to one of three keys at the revision last read, sometimes
+// after deleting the key.
 func randomSwap(c *qt.C, kv store.Store, rng *rand.Rand, value string) store.SwapResult {
 	ctx := context.Background()
 	key := fmt.Sprintf("k/%d", rng.IntN(3))
@@ -136,8 +134,7 @@
 	return res[0]
 }
 
-// A change is in the store and never arrives: something between the two ends
-// has lost track of the connection, which stays open and silent.
+// A watch whose connection stays open without messages must be replaced.
 func TestWatchReplacesUnresponsiveConnection(t *testing.T) {
 	c := qt.New(t)
 	srv, kv := startStore(t, frequentProgress, shortWatchIdle)
@@ -161,8 +158,8 @@
 	c.Assert(keys, qt.DeepEquals, []string{"1", "2"})
 }
 
-// A watch resumes on a store that no longer has the changes between, or was
-// rebuilt from a backup: it must say so instead of going on with a gap.
+// A watch must return ErrCompacted instead of skipping changes that the store no longer
+// has or that a restore removed.
 func TestWatchCompactedOrRestored(t *testing.T) {
 	for name, change := range map[string]func(*standin.Server){
 		"compacted": (*standin.Server).Compact,
@@ -181,8 +178,8 @@
 	}
 }
 
-// The store is rebuilt while a watch is open; its revisions have already
-// passed the old ones when the watch is back.
+// A restore during a watch must be detected even if the store's revision has passed the
+// old one when the watch reconnects.
 func TestWatchRestoredBeyondOldRevision(t *testing.T) {
 	c := qt.New(t)
 	srv, kv := startStore(t, frequentProgress, shortWatchIdle)
--- a/store/watcher.go
+++ b/store/watcher.go
@@ -10,23 +10,22 @@
 	"github.com/eelgrasshub/eelgrasshub/store/internal/v3json"
 )
 
-// watcher is one Watch across its connections. One goroutine owns it.
+// watcher is the state of one Watch across its connections. One goroutine owns it.
 type watcher struct {
 	client       *Client
 	prefix       string
-	lastRevision Revision // delivered, or known to hold nothing to deliver
+	lastRevision Revision // all changes up to it have been delivered
 	clusterID    uint64
 	deliver      func(WatchBatch)
 }
 
-// watchOnce follows one connection to its end and reports whether it delivered
+// watchOnce follows one connection until it ends and reports whether it delivered
 // anything.
 func (w *watcher) watchOnce(ctx context.Context, base string) (bool, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// The connection may go silent for good, because something between the
-	// two ends has lost track of it. Nothing is reported then; only the
-	// absence of the progress notices shows it.
+	// A network device may drop the state of the connection without an error to either
+	// end. Only the missing progress notices show that.
 	idleTimeout := w.client.opts.WatchIdleTimeout
 	idleTimer := time.AfterFunc(idleTimeout, cancel)
 	defer idleTimer.Stop()
@@ -72,9 +71,9 @@
 	}
 }
 
-// handleResponse takes one message. Progress notices and events advance last; the
-// header of a creation or of events does not, since changes up to its revision
-// may still be on their way.
+// handleResponse handles one message. Events and progress notices advance lastRevision.
+// The header revision of a creation or of events does not, since changes up to it may
+// still follow.
 func (w *watcher) handleResponse(res *v3json.WatchResponse) error {
 	if res.CompactRevision > 0 {
 		return ErrCompacted
@@ -110,9 +109,8 @@
 	return nil
 }
 
-// storeReplaced tells whether the store was rebuilt from a backup. Its revisions go
-// back then, and a watch from a later one would wait, silently missing all
-// changes until they pass it.
+// storeReplaced reports whether the store was restored from a backup. Its revisions
+// have decreased then, and a watch from a later one would miss all changes up to it.
 func (w *watcher) storeReplaced(h v3json.Header) bool {
 	if w.clusterID == 0 {
 		w.clusterID = h.ClusterID
