--- a/wire/call.go
+++ b/wire/call.go
@@ -6,9 +6,9 @@
 	"github.com/quic-go/quic-go"
 )
 
-// Call sends msg, a registered struct or pointer to one, and waits for the
-// reply, a pointer to a registered struct. Cancelling ctx cancels the peer's
-// handler context. Every error is a *CallError: it matches ErrNotSent or
+// Call sends msg, a registered struct or a pointer to one, and returns the reply, a
+// pointer to a registered struct. Cancelling ctx cancels the context of the peer's
+// handler. Every error is a *CallError that matches either ErrNotHandled or
 // ErrOutcomeUnknown.
 func (c *Conn) Call(ctx context.Context, msg any) (any, error) {
 	if !c.calls.begin() {
@@ -18,7 +18,7 @@
 	return c.exchange(ctx, msg)
 }
 
-// exchange is Call without the count of outstanding calls.
+// exchange is Call without counting the call as outstanding.
 func (c *Conn) exchange(ctx context.Context, msg any) (any, error) {
 	frame, err := encodeFrame(msg, c.ep.cfg.MaxPayload)
 	if err != nil {
@@ -36,19 +36,18 @@
 	return c.receiveReply(ctx, stream)
 }
 
-// sendFrame draws the line between ErrNotSent and ErrOutcomeUnknown. The peer
-// handles a frame only after the end of our direction, and that end leaves
-// this process only if Close is called. Until then a failed write, a lost
-// connection or a cancelled context proves that the message is not handled,
-// even if all its bytes arrived. From the call of Close on nothing is proved,
-// whatever Close returns: a cancellation may race with it.
+// sendFrame sends the frame and ends this side of the stream. The peer handles a frame
+// only after it has read the end of the stream, which is sent only by stream.Close.
+// Before that, a failed write, a lost connection or a cancelled context proves that the
+// message is not handled, even if all its bytes arrived. Once Close is called the
+// outcome is unknown, whatever it returns, since a cancellation may race with it.
 func (c *Conn) sendFrame(ctx context.Context, stream *quic.Stream, frame []byte) error {
 	if _, err := stream.Write(frame); err != nil {
 		cancelStream(stream)
 		return callNotHandled(contextCause(ctx, err))
 	}
-	// A failed Close is not the end either: the peer may have stopped reading
-	// because it refused the frame, and then its reply says so.
+	// A failed Close is not final: the peer may have stopped reading because it
+	// rejected the frame, and its reply tells so.
 	_ = stream.Close()
 	return nil
 }
@@ -69,13 +68,14 @@
 	return msg, nil
 }
 
-// cancelStream gives up both directions; the peer's handler is cancelled.
+// cancelStream aborts both directions, which cancels the peer's handler.
 func cancelStream(stream *quic.Stream) {
 	stream.CancelWrite(streamCancelled)
 	stream.CancelRead(streamCancelled)
 }
 
-// contextCause prefers the context's error to the stream error that it led to.
+// contextCause returns the cause of ctx if it has ended, since err then follows from
+// it, and err otherwise.
 func contextCause(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
--- a/wire/call_test.go
+++ b/wire/call_test.go
@@ -26,10 +26,9 @@
 	}
 }
 
-// Story: an entry sends a booking and the connection dies before the answer.
-// If it believed the booking had not run, it would send it elsewhere and the
-// space would be booked twice. The handler has the message, so the outcome must
-// be unknown. A call on the dead connection afterwards never left.
+// If the connection ends while the handler runs, the outcome must be unknown; otherwise
+// the caller would book the same capacity twice. A later call on the connection is not
+// handled.
 func TestLostConnectionLeavesOutcomeUnknown(t *testing.T) {
 	c := qt.New(t)
 	running := make(chan struct{})
@@ -52,8 +51,7 @@
 	c.Assert(errors.Is(err, ErrNotHandled), qt.IsTrue, qt.Commentf("%v", err))
 }
 
-// Story: a caller cancels; its worker should stop computing an answer that
-// nobody reads. The handler's context must end although the connection lives.
+// Cancelling a call must end the handler's context while the connection stays open.
 func TestCancelledCallCancelsHandler(t *testing.T) {
 	c := qt.New(t)
 	running := make(chan struct{})
@@ -118,9 +116,8 @@
 	}
 }
 
-// Story: an entry cancels a booking because another call of its own was not
-// sent. The booking is running; the cause of the cancellation must not make it
-// look as if it had not been sent either.
+// A cancelled call must not match ErrNotHandled because the cause of the cancellation
+// is another call that was not handled.
 func TestCancelCauseDoesNotChangeOutcome(t *testing.T) {
 	c := qt.New(t)
 	running := make(chan struct{})
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -2,8 +2,8 @@
 
 import "github.com/fxamacker/cbor/v2"
 
-// Limits on decoded payloads. A peer has proved that it holds the cluster key,
-// so they guard against faults, not against attackers.
+// Limits for decoded payloads. They guard against faulty peers, not against attackers:
+// a peer has proved that it holds the cluster key.
 const (
 	maxNestedLevels  = 16
 	maxArrayElements = 32768
--- a/wire/config.go
+++ b/wire/config.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Defaults of Config.
+// Defaults for Config.
 const (
 	DefaultHandshakeTimeout = 3 * time.Second
 	DefaultPingTimeout      = 500 * time.Millisecond
@@ -18,7 +18,7 @@
 	DefaultAcceptBurst      = 200
 )
 
-// Limits of one QUIC connection.
+// Limits for one QUIC connection.
 const (
 	maxStreams       = 4096
 	maxStreamWindow  = 2 << 20
@@ -26,34 +26,34 @@
 	idleTimeoutFloor = time.Minute
 )
 
-// Config holds an endpoint's settings; a zero field takes its default.
+// Config configures an endpoint. A zero field takes its default.
 type Config struct {
-	// MaxPayload limits a frame's payload in bytes, in both directions.
+	// MaxPayload is the maximum size of a frame's payload in bytes, in both directions.
 	MaxPayload int
-	// HandshakeTimeout limits dial, TLS handshake and Hello together.
+	// HandshakeTimeout limits dialling, the TLS handshake and Hello together.
 	HandshakeTimeout time.Duration
-	// PingTimeout is how long a Ping may stay unanswered.
+	// PingTimeout is the time within which a Ping must be answered.
 	PingTimeout time.Duration
-	// BusyProbeAfter: a connection with calls outstanding that was silent for so
-	// long is probed with a Ping.
+	// BusyProbeAfter is the time without received messages after which a connection
+	// with outstanding calls is probed with a Ping.
 	BusyProbeAfter time.Duration
-	// IdleProbeAfter is the same for a connection without calls. Keep it above
-	// the reporting period, so that reports alone prove idle paths.
+	// IdleProbeAfter is the same for a connection without outstanding calls. It should
+	// exceed the reporting period, so that reports alone keep the connection proved.
 	IdleProbeAfter time.Duration
-	// SuspectTimeout: a suspected connection that stays silent for so long is
-	// closed; its outstanding calls end with ErrOutcomeUnknown.
+	// SuspectTimeout is the time after which a suspected connection is closed if it
+	// stays unresponsive. Its outstanding calls end with ErrOutcomeUnknown.
 	SuspectTimeout time.Duration
-	// MaxConns limits accepted connections.
+	// MaxConns is the maximum number of accepted connections.
 	MaxConns int
-	// AcceptRate (a second) and AcceptBurst limit accepted handshakes, so
-	// that an availability zone that returns at once does not take all
-	// processors. Refused dialers come back after their backoff.
+	// AcceptRate (per second) and AcceptBurst limit accepted handshakes, so that an
+	// availability zone whose agents reconnect at the same time does not use all
+	// processors. Rejected dialers retry with backoff.
 	AcceptRate  float64
 	AcceptBurst int
-	// OnAccept is called for each accepted connection after its Hello and
-	// before the dialer learns of it. It must not block.
+	// OnAccept is called for each accepted connection after its Hello and before the
+	// reply to it is sent. It must not block.
 	OnAccept func(*Conn)
-	// ListenPacket opens the UDP sockets; net.ListenPacket by default.
+	// ListenPacket opens the UDP sockets; the default is net.ListenPacket.
 	ListenPacket func(network, addr string) (net.PacketConn, error)
 }
 
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -8,8 +8,7 @@
 	"github.com/quic-go/quic-go"
 )
 
-// Conn is one connection. Both ends may Call over it. It is safe for
-// concurrent use.
+// Conn is a connection over which both ends can call. It is safe for concurrent use.
 type Conn struct {
 	ep            *Endpoint
 	quicConn      *quic.Conn
@@ -19,11 +18,11 @@
 	streamCredits creditBatcher
 
 	opened        time.Time
-	lastReceived  atomic.Int64 // since opened
+	lastReceived  atomic.Int64 // nanoseconds since opened
 	probing       atomic.Bool
 	suspect       atomic.Bool
 	suspected     chan struct{}
-	suspectedAt   atomic.Int64 // since opened
+	suspectedAt   atomic.Int64 // nanoseconds since opened
 	suspectedOnce sync.Once
 	draining      chan struct{}
 	drainingOnce  sync.Once
@@ -39,8 +38,8 @@
 	}
 }
 
-// Peer returns what the other end said of itself in Hello; the zero value
-// before Hello.
+// Peer returns the identity that the other end sent in Hello, or the zero value before
+// Hello.
 func (c *Conn) Peer() Peer {
 	if p := c.peer.Load(); p != nil {
 		return *p
@@ -48,36 +47,37 @@
 	return Peer{}
 }
 
-// RemoteAddr returns the other end's UDP address.
+// RemoteAddr returns the UDP address of the other end.
 func (c *Conn) RemoteAddr() string { return c.quicConn.RemoteAddr().String() }
 
-// Done is closed when the connection has ended.
+// Done returns a channel that is closed when the connection has ended.
 func (c *Conn) Done() <-chan struct{} { return c.quicConn.Context().Done() }
 
-// Suspected is closed when a Ping first stays unanswered: the path may have
-// gone silent. Calls that can be tried elsewhere need not wait longer.
+// Suspected returns a channel that is closed when a Ping is not answered for the first
+// time: the path may have become unresponsive. Calls that can be made elsewhere need
+// not wait any longer.
 func (c *Conn) Suspected() <-chan struct{} { return c.suspected }
 
-// Draining is closed when either end is about to close the connection; it
-// takes no new calls.
+// Draining returns a channel that is closed when either end starts to drain the
+// connection, which then accepts no new calls.
 func (c *Conn) Draining() <-chan struct{} { return c.draining }
 
-// LastReceived returns when the peer's process was last heard: when bytes of one
-// of its messages arrived. QUIC's own acknowledgements don't count.
+// LastReceived returns the time at which bytes of a message from the peer last arrived.
+// QUIC acknowledgements don't count.
 func (c *Conn) LastReceived() time.Time {
 	return c.opened.Add(time.Duration(c.lastReceived.Load()))
 }
 
-// Usable says whether a new call is worth sending: the connection is open,
-// takes calls and is not suspected now.
+// Usable reports whether new calls can be made: the connection is open, not draining
+// and not suspected.
 func (c *Conn) Usable() bool {
 	return c.quicConn.Context().Err() == nil && !c.calls.isStopped() && !c.suspect.Load()
 }
 
-// OutstandingCalls returns the number of calls that wait for their reply.
+// OutstandingCalls returns the number of calls that wait for their replies.
 func (c *Conn) OutstandingCalls() int { return c.calls.count() }
 
-// Close closes the connection at once: outstanding calls of both ends fail.
+// Close closes the connection at once. Outstanding calls of both ends fail.
 func (c *Conn) Close() {
 	c.close(closeNormal, "closed")
 }
@@ -87,8 +87,8 @@
 	c.quicConn.CloseWithError(code, text)
 }
 
-// acceptStreams accepts the peer's exchanges until the connection ends. It runs in the
-// endpoint's tomb, and so may add to it.
+// acceptStreams serves the peer's exchanges until the connection ends. It runs in the
+// endpoint's tomb, which therefore is alive and accepts further goroutines.
 func (c *Conn) acceptStreams() error {
 	defer c.onClose()
 	defer c.ep.unregister(c)
@@ -113,14 +113,14 @@
 	}
 }
 
-// beginDrain refuses new calls and returns a channel that is closed when none is
+// beginDrain rejects new calls and returns a channel that is closed when no call is
 // outstanding.
 func (c *Conn) beginDrain() <-chan struct{} {
 	c.drainingOnce.Do(func() { close(c.draining) })
 	return c.calls.stop()
 }
 
-// activityReader notes every arrival of application bytes.
+// activityReader calls markReceived whenever bytes of a message arrive.
 type activityReader struct {
 	c      *Conn
 	stream *quic.Stream
--- a/wire/dial.go
+++ b/wire/dial.go
@@ -8,12 +8,12 @@
 	"github.com/rotisserie/eris"
 )
 
-// Dial opens a connection to addr, "host:port" with an IP number, and
-// exchanges Hello. Its errors match ErrNotSent.
+// Dial opens a connection to addr, an IP address and port, and exchanges Hello. Its
+// errors match ErrNotHandled.
 //
-// Each connection has a UDP socket, and so a source port, of its own: when a
-// device between the ends has lost track of a flow, a new connection from the
-// same port would be the same flow to it and go silent too.
+// Each connection has its own UDP socket and thus its own source port. If a network
+// device has lost the state of a flow, a new connection from the same port would belong
+// to that flow and be unresponsive too.
 func (ep *Endpoint) Dial(ctx context.Context, addr string) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, ep.cfg.HandshakeTimeout)
 	defer cancel()
@@ -57,7 +57,7 @@
 	return c, nil
 }
 
-// localAddrFor is the local address that reaches remote.
+// localAddrFor returns the local address to bind for connections to remote.
 func localAddrFor(remote *net.UDPAddr) string {
 	if remote.IP.IsLoopback() {
 		return net.JoinHostPort(remote.IP.String(), "0")
@@ -65,7 +65,7 @@
 	return ":0"
 }
 
-// sendHello introduces the dialer and learns the peer.
+// sendHello sends this process's identity and stores the peer's.
 func (c *Conn) sendHello(ctx context.Context) error {
 	reply, err := c.exchange(ctx, &Hello{Peer: c.ep.id.peer})
 	if err != nil {
--- a/wire/drain.go
+++ b/wire/drain.go
@@ -6,11 +6,10 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Drain stops gracefully: it refuses new connections and exchanges (callers
-// see ErrDraining, which is ErrNotSent), waits for running handlers, and closes
-// each connection once both ends have received the replies to their calls.
-// When ctx ends first, what is left keeps running and ctx's error is returned.
-// Close the endpoint afterwards in either case.
+// Drain stops the endpoint gracefully: it rejects new connections and exchanges
+// (callers get ErrDraining, which matches ErrNotHandled), waits for running handlers,
+// and drains each connection. If ctx ends first, the remaining work continues and ctx's
+// error is returned. In either case, close the endpoint afterwards.
 func (ep *Endpoint) Drain(ctx context.Context) error {
 	select {
 	case <-ep.handling.stop():
@@ -24,8 +23,8 @@
 	return group.Wait()
 }
 
-// Drain closes the connection without losing a reply in either direction. A
-// connection that ends meanwhile is no error.
+// Drain closes the connection once both ends have received the replies to their calls.
+// It returns nil if the connection ends meanwhile.
 func (c *Conn) Drain(ctx context.Context) error {
 	select {
 	case <-c.beginDrain():
@@ -34,8 +33,8 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	// The peer answers GoAway when all replies have reached it. Closing
-	// without asking would drop a reply that QUIC still has to retransmit.
+	// The peer answers GoAway when it has received all replies. Closing without it
+	// would lose a reply that QUIC still has to retransmit.
 	if _, err := c.exchange(ctx, &GoAway{}); err != nil && ctx.Err() != nil {
 		return ctx.Err()
 	}
--- a/wire/drain_test.go
+++ b/wire/drain_test.go
@@ -11,8 +11,8 @@
 	"github.com/eelgrasshub/eelgrasshub/internal/relay"
 )
 
-// retransmissions is how many lost datagrams show that an end has sent a message and sent
-// it again. QUIC doubles the time between, so they are well apart.
+// retransmissions is the number of dropped datagrams that shows that an end has sent a
+// message and retransmitted it. QUIC doubles the time between retransmissions.
 const retransmissions = 3
 
 func awaitDraining(ep *Endpoint) {
@@ -21,9 +21,8 @@
 	}
 }
 
-// Story: an agent is asked to stop while it answers a request. The answer must
-// reach the caller, new requests must be told that they did not run, and then
-// the agent's connections close.
+// A drain must deliver the replies of running calls and reject new calls before it
+// closes the connections.
 func TestDrainCompletesRunningCalls(t *testing.T) {
 	c := qt.New(t)
 	running := make(chan struct{})
@@ -55,9 +54,8 @@
 	await(c, conn.Done())
 }
 
-// Story: an agent stops right after its last answer, and the network loses the
-// packet with the answer. QUIC would send it again, but not once the agent has
-// closed the connection. The caller must still get the answer.
+// A drain must not close a connection before a reply lost by the network is
+// retransmitted.
 func TestDrainWaitsForLostReply(t *testing.T) {
 	c := qt.New(t)
 	running := make(chan struct{})
--- a/wire/endpoint.go
+++ b/wire/endpoint.go
@@ -13,7 +13,7 @@
 	"gopkg.in/tomb.v2"
 )
 
-// Application error codes of closed connections and cancelled streams.
+// Application error codes for closed connections and cancelled streams.
 const (
 	closeNormal       quic.ApplicationErrorCode = 0
 	closeUnresponsive quic.ApplicationErrorCode = 1
@@ -21,11 +21,11 @@
 	streamCancelled   quic.StreamErrorCode      = 1
 )
 
-// Endpoint accepts connections on one UDP socket and dials others, each from a
-// socket of its own. It is safe for concurrent use.
+// Endpoint accepts connections on one UDP socket and dials others, each from its own
+// socket. It is safe for concurrent use.
 //
-// Its goroutines live in one tomb: the accept loop, the monitor that probes
-// silent connections, and for each connection a loop and its exchanges.
+// One tomb owns its goroutines: the accept loop, the liveness monitor, and for each
+// connection a loop and its exchanges.
 type Endpoint struct {
 	cfg           Config
 	id            Identity
@@ -44,13 +44,12 @@
 	conns  map[*Conn]struct{}
 }
 
-// Listen opens an endpoint with default settings.
+// Listen opens an endpoint with the default Config.
 func Listen(addr string, id Identity, h Handler) (*Endpoint, error) {
 	return Config{}.Listen(addr, id, h)
 }
 
-// Listen opens an endpoint on addr, "host:port" with an IP number; port 0
-// takes a free one.
+// Listen opens an endpoint on addr, an IP address and port; port 0 selects a free one.
 func (c Config) Listen(addr string, id Identity, h Handler) (*Endpoint, error) {
 	c = c.withDefaults()
 	socket, err := c.ListenPacket("udp", addr)
@@ -90,9 +89,9 @@
 	return eris.Wrap(err, "listen")
 }
 
-// newQUICConfig turns QUIC's keepalive off: an acknowledgement by the peer's
-// QUIC stack does not prove that its process works, and it would cost bytes on
-// every idle connection. The idle timeout only bounds what a bug could leak.
+// newQUICConfig disables QUIC's keep-alive: an acknowledgement from the peer's QUIC
+// stack does not prove that its process works, and would cost traffic on every idle
+// connection. The idle timeout is only a fallback against leaked connections.
 func (ep *Endpoint) newQUICConfig() *quic.Config {
 	return &quic.Config{
 		HandshakeIdleTimeout:       ep.cfg.HandshakeTimeout,
@@ -105,9 +104,9 @@
 	}
 }
 
-// admitHandshake refuses handshakes beyond the limits, before their signatures are
-// computed. Without it an availability zone whose agents return together takes
-// all processors for seconds, and running requests wait.
+// admitHandshake rejects handshakes beyond the limits before their signatures are
+// computed. Otherwise an availability zone whose agents reconnect at the same time
+// would use all processors and delay running requests.
 func (ep *Endpoint) admitHandshake(ctx context.Context, _ *quic.ClientInfo) (context.Context, error) {
 	if ep.isDraining() || int(ep.acceptedConns.Load()) >= ep.cfg.MaxConns || !ep.acceptLimiter.Allow() {
 		return nil, ErrDraining
@@ -115,13 +114,13 @@
 	return ctx, nil
 }
 
-// Addr returns the address the endpoint listens on.
+// Addr returns the address that the endpoint listens on.
 func (ep *Endpoint) Addr() string { return ep.socket.LocalAddr().String() }
 
 // Identity returns the endpoint's identity.
 func (ep *Endpoint) Identity() Identity { return ep.id }
 
-// Conns returns the open connections, accepted and dialled, in no order.
+// Conns returns the open connections, accepted and dialled, in no particular order.
 func (ep *Endpoint) Conns() []*Conn {
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
@@ -132,9 +131,9 @@
 	return conns
 }
 
-// Close closes all connections and waits for the endpoint's goroutines. The
-// contexts of running handlers are cancelled; Close waits for them to return,
-// so don't call it from a Handler. For a graceful stop call Drain first.
+// Close closes all connections and waits for the endpoint's goroutines. It cancels the
+// contexts of running handlers and waits for them to return, so it must not be called
+// from a Handler. Call Drain first for a graceful stop.
 func (ep *Endpoint) Close() error {
 	ep.beginClose()
 	for _, c := range ep.Conns() {
@@ -147,9 +146,9 @@
 	return err
 }
 
-// beginClose refuses new goroutines and lets the loops end. closed is set before the
-// tomb dies, and spawn checks it under the same lock: so nobody adds a
-// goroutine to a dead tomb, which would panic.
+// beginClose rejects new connections and ends the loops. closed is set before the tomb
+// is killed, and register checks it under the same lock, so that no goroutine is added
+// to a dead tomb, which would panic.
 func (ep *Endpoint) beginClose() {
 	ep.mu.Lock()
 	ep.closed = true
@@ -157,7 +156,8 @@
 	ep.tomb.Kill(nil)
 }
 
-// register registers a connection and runs its loop; false when closed.
+// register adds a connection and starts its loop. It returns false if the endpoint is
+// closed.
 func (ep *Endpoint) register(c *Conn) bool {
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
@@ -194,5 +194,5 @@
 	}
 }
 
-// now is the endpoint's monotonic clock.
+// now returns the current time with its monotonic reading.
 func (ep *Endpoint) now() time.Time { return time.Now() }
--- a/wire/errors.go
+++ b/wire/errors.go
@@ -8,32 +8,32 @@
 )
 
 var (
-	// ErrNotHandled: the message was certainly not handled by the peer and never
-	// will be. Trying again, also elsewhere, can't run it twice.
+	// ErrNotHandled means that the peer has not handled the message and never will.
+	// Sending it again, even to another peer, cannot run it twice.
 	ErrNotHandled = eris.New("message not handled by the peer")
-	// ErrOutcomeUnknown: the message may have been handled, or may still be;
+	// ErrOutcomeUnknown means that the message may have been handled or may still be;
 	// no valid reply arrived.
 	ErrOutcomeUnknown = eris.New("outcome of the message unknown")
 
-	// ErrClosed: the connection or endpoint was closed by this side, or was
-	// being closed.
+	// ErrClosed means that the connection or endpoint is closed or draining on this
+	// side.
 	ErrClosed = eris.New("wire connection closed")
-	// ErrFrameTooLarge: a frame exceeds the configured limit.
+	// ErrFrameTooLarge means that a frame exceeds the configured limit.
 	ErrFrameTooLarge = eris.New("frame exceeds the size limit")
-	// ErrMalformed: a frame or payload could not be decoded.
+	// ErrMalformed means that a frame or payload could not be decoded.
 	ErrMalformed = eris.New("malformed frame")
-	// ErrUnknownKind: the message's kind or Go type is not registered.
+	// ErrUnknownKind means that the message's kind or Go type is not registered.
 	ErrUnknownKind = eris.New("unknown message kind")
-	// ErrDraining: the peer takes no new exchanges.
+	// ErrDraining means that the peer accepts no new exchanges.
 	ErrDraining = eris.New("peer is draining")
-	// ErrNoHello: an exchange arrived before Hello.
+	// ErrNoHello means that an exchange arrived before Hello.
 	ErrNoHello = eris.New("exchange before hello")
-	// ErrHandler: the peer's Handler returned an error.
+	// ErrHandler means that the peer's Handler returned an error.
 	ErrHandler = eris.New("handler failed")
 )
 
-// CallError is the error of every failed Call. errors.Is matches both its
-// Outcome (ErrNotSent or ErrOutcomeUnknown) and its Cause.
+// CallError is the error of every failed Call. errors.Is matches both its Outcome
+// (ErrNotHandled or ErrOutcomeUnknown) and its Cause.
 type CallError struct {
 	Outcome error
 	Cause   error
@@ -44,7 +44,7 @@
 	return fmt.Sprintf("%v: %v", e.Outcome, e.Cause)
 }
 
-// Unwrap lets errors.Is and errors.As see both parts.
+// Unwrap returns the outcome and the cause.
 func (e *CallError) Unwrap() []error {
 	return []error{e.Outcome, e.Cause}
 }
@@ -57,10 +57,9 @@
 	return &CallError{Outcome: ErrOutcomeUnknown, Cause: stripOutcome(cause)}
 }
 
-// stripOutcome keeps only the text of a cause that has an outcome of its own, such as
-// the failed call because of which a context was cancelled. Otherwise an error
-// could match both outcomes, and a caller that asks for ErrNotSent first would
-// send a message twice.
+// stripOutcome reduces a cause that has an outcome of its own to its text, such as the
+// failed call that cancelled a context. Otherwise an error could match both outcomes,
+// and a caller that checks for ErrNotHandled could send a message twice.
 func stripOutcome(cause error) error {
 	if errors.Is(cause, ErrNotHandled) || errors.Is(cause, ErrOutcomeUnknown) {
 		return errors.New(cause.Error())
@@ -68,14 +67,14 @@
 	return cause
 }
 
-// notHandledError is made by NotRun.
+// notHandledError is the error returned by NotHandled.
 type notHandledError struct{ error }
 
 // Unwrap returns the cause.
 func (e notHandledError) Unwrap() error { return e.error }
 
-// NotHandled is for a Handler that can prove that a message had no effect and never
-// will: the caller sees ErrNotSent. It has to be said in this way. An
-// ErrNotSent that a handler merely passes on from a call of its own says
-// nothing of what the handler did before.
+// NotHandled wraps the error of a Handler that can prove that a message had no effect
+// and never will; the caller gets ErrNotHandled. An ErrNotHandled that a handler
+// returns from a call of its own is not enough, since it proves nothing about what the
+// handler did before.
 func NotHandled(cause error) error { return notHandledError{cause} }
--- a/wire/frame.go
+++ b/wire/frame.go
@@ -11,14 +11,15 @@
 // DefaultMaxPayload is the default limit of a frame's payload in bytes.
 const DefaultMaxPayload = 16 << 20
 
-// A frame is a header and a payload. The header is the payload's length
-// (4 bytes, big-endian) and the kind (2 bytes, big-endian).
+// headerSize is the size of a frame's header: the payload's length (4 bytes) and the
+// kind (2 bytes), both big-endian. The payload follows.
 const headerSize = 6
 
-// initialReadBytes is how much is allocated for a payload before any of it arrived.
+// initialReadBytes is the maximum size allocated for a payload before any of it has
+// arrived.
 const initialReadBytes = 4096
 
-// encodeFrame returns the frame of msg, a registered struct or pointer to one.
+// encodeFrame returns the frame of msg, a registered struct or a pointer to one.
 func encodeFrame(msg any, limit int) ([]byte, error) {
 	kind, err := kindOf(msg)
 	if err != nil {
@@ -38,16 +39,16 @@
 	return frame, nil
 }
 
-// rawFrame is a frame whose payload is not decoded yet.
+// rawFrame is a frame with its payload still encoded.
 type rawFrame struct {
 	kind    Kind
 	payload []byte
 }
 
-// readFrame reads one frame and the end of r after it. The announced size is
-// checked before anything is allocated for it, and memory grows only with the
-// bytes that really arrive. A frame without its end, or with bytes after it,
-// is an error: the caller may rely on having seen everything the peer wrote.
+// readFrame reads one frame and the end of r. It checks the announced size before it
+// allocates, and memory grows only with the bytes received. A frame without the end of
+// r, or followed by more bytes, is an error, so that the caller has seen all that the
+// peer has written.
 func readFrame(r io.Reader, limit int) (rawFrame, error) {
 	var header [headerSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -69,7 +70,7 @@
 	return rawFrame{kind: kind, payload: buf.Bytes()}, nil
 }
 
-// decode decodes the payload into a new decode, returned as pointer.
+// decode returns a pointer to a new message decoded from the payload.
 func (f rawFrame) decode() (any, error) {
 	msg, err := newMessage(f.kind)
 	if err != nil {
--- a/wire/frame_test.go
+++ b/wire/frame_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// An announced size alone must not cost memory.
+// Memory must be allocated for received bytes, not for the announced size.
 func TestReadFrameAllocatesForReceivedBytes(t *testing.T) {
 	c := qt.New(t)
 	truncated := []byte{0, 0xff, 0xff, 0xff, 0, byte(KindGangMessage), 1, 2, 3}
@@ -46,8 +46,7 @@
 	c.Assert(result.AllocedBytesPerOp() < 3*initialReadBytes, qt.IsTrue, qt.Commentf("%d bytes", result.AllocedBytesPerOp()))
 }
 
-// Story: half of the fleet runs the next version, which added a field. The
-// older half must read its messages and ignore the field.
+// A receiver must ignore fields added by a newer version.
 func TestUnknownFieldsAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	payload, err := cbor.Marshal(map[int]any{1: []byte("x"), 2: 5, 99: "new"})
@@ -59,8 +58,8 @@
 	c.Assert(errors.Is(err, ErrUnknownKind), qt.IsTrue)
 }
 
-// FuzzFrame: whatever arrives, the decoder returns an error or a message that
-// survives another round.
+// FuzzFrame checks that arbitrary input is an error or a message that can be encoded
+// again.
 func FuzzFrame(f *testing.F) {
 	for _, msg := range []any{&Ping{}, &Execute{AttemptID: "a", Header: []Header{{Name: "A", Value: "b"}}},
 		&Report{Reports: []AgentReport{{ID: "x", Full: true, Tasks: []gang.Task{{ID: gang.ID{Job: "j"}}}}}}} {
--- a/wire/handler.go
+++ b/wire/handler.go
@@ -2,19 +2,18 @@
 
 import "context"
 
-// Handler serves the exchanges that peers open.
+// Handler serves the exchanges opened by peers.
 type Handler interface {
-	// Handle returns the reply to msg, a pointer to a registered struct. It
-	// is called concurrently, once for each exchange.
+	// Handle returns the reply to msg, a pointer to a registered struct. It is called
+	// concurrently, once for each exchange.
 	//
-	// ctx is cancelled when the caller gives up or the connection ends;
-	// Handle should return soon after. An error made by NotRun tells the
-	// caller that msg had no effect; after any other error the caller sees
-	// ErrOutcomeUnknown.
+	// ctx is cancelled when the caller gives up or the connection ends; Handle should
+	// return soon after. An error from NotHandled tells the caller that msg had no
+	// effect; after any other error the caller gets ErrOutcomeUnknown.
 	Handle(ctx context.Context, from *Conn, msg any) (reply any, err error)
 }
 
-// HandlerFunc makes a function a Handler.
+// HandlerFunc adapts a function to Handler.
 type HandlerFunc func(ctx context.Context, from *Conn, msg any) (any, error)
 
 // Handle implements Handler.
--- a/wire/helpers_test.go
+++ b/wire/helpers_test.go
@@ -24,7 +24,7 @@
 	return id
 }
 
-// openEndpoint starts an endpoint that is closed with the test.
+// openEndpoint starts an endpoint that is closed at the end of the test.
 func openEndpoint(c *qt.C, name string, cfg Config, h HandlerFunc) *Endpoint {
 	ep, err := cfg.Listen("127.0.0.1:0", newTestIdentity(c, name, testKey), h)
 	c.Assert(err, qt.IsNil)
@@ -38,7 +38,7 @@
 	return conn
 }
 
-// startRelay puts a relay before an endpoint's address.
+// startRelay starts a relay that forwards datagrams to upstream.
 func startRelay(c *qt.C, upstream string) *relay.Relay {
 	r, err := relay.New()
 	c.Assert(err, qt.IsNil)
@@ -47,8 +47,8 @@
 	return r
 }
 
-// awaitDroppedDatagrams waits until so many more datagrams than now were lost on this way,
-// or for a generous time.
+// awaitDroppedDatagrams waits until count more datagrams were dropped in the given
+// direction, and fails the test if that takes too long.
 func awaitDroppedDatagrams(c *qt.C, r *relay.Relay, direction relay.Direction, count int64) {
 	want := r.Dropped(direction) + count
 	ctx := contextWithTimeout(c, 20*time.Second)
@@ -58,7 +58,7 @@
 	c.Check(ctx.Err(), qt.IsNil, qt.Commentf("%d datagrams lost", r.Dropped(direction)))
 }
 
-// echo answers Gang with its payload.
+// echo answers a GangMessage with its payload.
 func echo(_ context.Context, _ *Conn, msg any) (any, error) {
 	return &GangReply{Payload: msg.(*GangMessage).Payload}, nil
 }
@@ -69,7 +69,8 @@
 	return ctx
 }
 
-// await fails the test when ch is not closed or filled in a generous time.
+// await returns the next value of ch, or the zero value once it is closed. It fails the
+// test if that takes too long.
 func await[T any](c *qt.C, ch <-chan T) T {
 	select {
 	case v := <-ch:
--- a/wire/identity.go
+++ b/wire/identity.go
@@ -14,7 +14,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// MinClusterKeySize is the least length of a cluster key in bytes.
+// MinClusterKeySize is the minimum length of a cluster key in bytes.
 const MinClusterKeySize = 16
 
 const (
@@ -24,17 +24,17 @@
 	resetDerivationInfo = "eelgrasshub wire stateless reset 1 "
 )
 
-// Certificates carry a fixed validity and are checked at a fixed time, so that
-// an instance with a wrong clock is not locked out. What expires is the
-// cluster key: operators replace it (NewIdentity's accepted).
+// Certificates have a fixed validity and are verified at a fixed time, so that an
+// instance with a wrong clock can still connect. Access is revoked by replacing the
+// cluster key (see NewIdentity).
 var (
 	validFrom        = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 	validUntil       = time.Date(9999, 12, 31, 23, 59, 59, 0, time.UTC)
 	verificationTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 )
 
-// Identity proves that a process belongs to the cluster and says who it is.
-// It is immutable.
+// Identity holds the credentials that prove that a process belongs to the cluster, and
+// its Peer. It is immutable.
 type Identity struct {
 	peer        Peer
 	key         []byte
@@ -42,10 +42,10 @@
 	roots       *x509.CertPool
 }
 
-// NewIdentity derives the cluster's certificate authority from key and signs a
-// fresh certificate for this process. Peers that hold one of the accepted keys
-// are admitted too, so that a key can be replaced without an interruption:
-// first every process accepts the new key, then uses it, then drops the old.
+// NewIdentity derives the cluster's certificate authority from key and signs a new
+// certificate for this process. Peers with one of the accepted keys are admitted too,
+// which allows key rotation without an interruption: first every process accepts the
+// new key, then uses it, then drops the old one.
 func NewIdentity(peer Peer, key []byte, accepted ...[]byte) (Identity, error) {
 	ca, signer, err := deriveClusterCA(key)
 	if err != nil {
@@ -68,10 +68,11 @@
 	return Identity{peer: peer, key: key, certificate: certificate, roots: roots}, nil
 }
 
-// Peer returns what this process says of itself in Hello.
+// Peer returns what this process sends about itself in Hello.
 func (id Identity) Peer() Peer { return id.peer }
 
-// deriveClusterCA derives the authority: every holder of the key makes the same one.
+// deriveClusterCA returns the certificate authority and its signer. Every process with
+// the same key derives the same authority.
 func deriveClusterCA(key []byte) (*x509.Certificate, ed25519.PrivateKey, error) {
 	if len(key) < MinClusterKeySize {
 		return nil, nil, eris.Errorf("cluster key has %d bytes, needs %d", len(key), MinClusterKeySize)
@@ -125,7 +126,8 @@
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: private}, nil
 }
 
-// tlsConfig serves both directions: each end checks the other.
+// tlsConfig returns the configuration for both client and server side: each end
+// verifies the other.
 func (id Identity) tlsConfig() *tls.Config {
 	return &tls.Config{
 		Certificates:           []tls.Certificate{id.certificate},
@@ -140,9 +142,10 @@
 	}
 }
 
-// statelessResetKey lets a process that restarted on the same address tell peers at
-// once that it lost their connections. The address is part of the derivation:
-// with one key for all, a peer could be made to end another's connections.
+// statelessResetKey returns the key with which a process that restarts on the same
+// address can reset the connections of its predecessor. It is derived from the address,
+// since with one key for all addresses a peer could be made to end another's
+// connections.
 func (id Identity) statelessResetKey(addr string) ([32]byte, error) {
 	var key [32]byte
 	raw, err := hkdf.Key(sha256.New, id.key, nil, resetDerivationInfo+addr, len(key))
--- a/wire/inflight.go
+++ b/wire/inflight.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// inflight counts exchanges and refuses new ones once stopped. Safe for
+// inflight counts running exchanges and rejects new ones once stopped. It is safe for
 // concurrent use.
 type inflight struct {
 	mu      sync.Mutex
@@ -11,7 +11,7 @@
 	idle    chan struct{}
 }
 
-// begin counts one exchange; false after stop.
+// begin counts one exchange. It returns false after stop.
 func (f *inflight) begin() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -29,8 +29,8 @@
 	f.closeIfIdle()
 }
 
-// stop refuses further exchanges and returns a channel that is closed when
-// none is left.
+// stop rejects further exchanges and returns a channel that is closed when none is
+// running.
 func (f *inflight) stop() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -42,7 +42,8 @@
 	return f.idle
 }
 
-// closeIfIdle closes idle once stopped and empty; n can't grow again.
+// closeIfIdle closes idle if stopped and no exchange is running. The count cannot grow
+// again then.
 func (f *inflight) closeIfIdle() {
 	if f.stopped && f.n == 0 {
 		close(f.idle)
--- a/wire/kind.go
+++ b/wire/kind.go
@@ -1,10 +1,10 @@
 package wire
 
-// Kind names a message type on the wire. Kinds are part of the protocol: never
+// Kind identifies a message type on the wire. Kinds are part of the protocol: never
 // reuse or renumber one.
 type Kind uint16
 
-// Kinds of this package's messages. Kinds from KindFirstFree on are free for
+// Kinds of this package's messages. KindFirstFree and higher ones are available to
 // other packages and tests.
 const (
 	kindError Kind = 1 + iota
--- a/wire/liveness.go
+++ b/wire/liveness.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// monitorLoop probes silent connections. One goroutine serves all connections
-// of the endpoint; a timer for each would cost more memory than it is worth.
+// monitorLoop checks the liveness of all connections. One goroutine serves the whole
+// endpoint to save the memory of a timer per connection.
 func (ep *Endpoint) monitorLoop() error {
 	ticker := time.NewTicker(max(time.Millisecond, min(ep.cfg.BusyProbeAfter, ep.cfg.PingTimeout)/2))
 	defer ticker.Stop()
@@ -22,11 +22,11 @@
 	}
 }
 
-// checkLiveness guards against a path that went silent for good while new connections
-// work: calls on it would hang until QUIC's idle timeout. It shows as silence
-// of the peer's process; a Ping that stays unanswered within PingTimeout makes
-// the connection suspected, and Pool replaces it. Only the peer's own messages
-// count as life, so neither a middle box nor the peer's kernel can fake it.
+// checkLiveness detects a connection whose path has become unresponsive, on which calls
+// would otherwise hang until QUIC's idle timeout. If a Ping is not answered within
+// PingTimeout, the connection is suspected and Pool replaces it; after SuspectTimeout
+// it is closed. Only messages from the peer's process count, which neither a middlebox
+// nor the peer's kernel can send.
 func (ep *Endpoint) checkLiveness(c *Conn) {
 	now := ep.now()
 	silence := now.Sub(c.LastReceived())
@@ -54,7 +54,7 @@
 	})
 }
 
-// probe pings once and suspects the connection when nothing at all was heard.
+// probe sends one Ping and suspects the connection if nothing was received meanwhile.
 func (c *Conn) probe() {
 	lastReceived := c.lastReceived.Load()
 	ctx, cancel := context.WithTimeout(c.quicConn.Context(), c.ep.cfg.PingTimeout)
@@ -68,7 +68,7 @@
 	c.suspectedOnce.Do(func() { close(c.suspected) })
 }
 
-// Ping exchanges Ping and Pong with the peer's process.
+// Ping sends a Ping to the peer's process and waits for the Pong.
 func (c *Conn) Ping(ctx context.Context) error {
 	_, err := c.exchange(ctx, &Ping{})
 	return err
--- a/wire/measure_bytes_test.go
+++ b/wire/measure_bytes_test.go
@@ -13,8 +13,8 @@
 	"github.com/eelgrasshub/eelgrasshub/gang"
 )
 
-// countingConn counts what a socket sends. It keeps the methods of a UDP
-// socket that quic-go looks for; they bypass it only for reading.
+// countingConn counts the packets and bytes that a socket sends. It keeps the other
+// methods of a UDP socket that quic-go uses, which only read.
 type countingConn struct {
 	*net.UDPConn
 	packets, bytes *atomic.Int64
@@ -89,8 +89,8 @@
 	})
 }
 
-// measureReportTraffic counts the bytes that both ends send for a minute, after the
-// handshake and path MTU discovery have settled.
+// measureReportTraffic logs the bytes that both ends send in a minute, after the
+// handshake and path MTU discovery have ended.
 func measureReportTraffic(t *testing.T, report *Report, interval time.Duration) {
 	c := qt.New(t)
 	var sent, sentBytes, received, receivedBytes atomic.Int64
--- a/wire/measure_memory_test.go
+++ b/wire/measure_memory_test.go
@@ -50,14 +50,14 @@
 	return m
 }
 
-// growthPerConnKB returns the growth in KB for each of n connections.
+// growthPerConnKB returns the growth in KB per connection.
 func growthPerConnKB(now, before uint64, n int) int64 {
 	return (int64(now) - int64(before)) / int64(n) / 1024
 }
 
 const dialersEnv = "EELGRASSHUB_MEASURE_DIALERS"
 
-// The accepting end alone: the dialers are another process.
+// Measures the accepting end alone: the dialers run in another process.
 func TestMeasureAcceptedConnections(t *testing.T) {
 	c := requireMeasureFlag(t)
 	if os.Getenv(dialersEnv) != "" {
@@ -106,7 +106,8 @@
 	}
 }
 
-// An availability zone's 900 agents dial one entry at once.
+// Measures how fast the 900 agents of an availability zone connect to one entry at the
+// same time.
 func TestMeasureZoneReconnect(t *testing.T) {
 	c := requireMeasureFlag(t)
 	server := openEndpoint(c, "entry", Config{}, echo)
--- a/wire/measure_test.go
+++ b/wire/measure_test.go
@@ -14,7 +14,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Figures for the notes under docs: go test ./wire -run Measure -measure -v
+// The measurements run with: go test ./wire -run Measure -measure -v
 var measure = flag.Bool("measure", false, "run the measurements; takes minutes")
 
 func requireMeasureFlag(t *testing.T) *qt.C {
@@ -24,7 +24,7 @@
 	return qt.New(t)
 }
 
-// unlimitedAccepts admits handshakes as fast as they come.
+// unlimitedAccepts does not limit the rate of handshakes.
 var unlimitedAccepts = Config{AcceptRate: 1e6, AcceptBurst: 1e6}
 
 func cpuTime() time.Duration {
@@ -33,7 +33,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// residentBytes returns the process's residentBytes set in bytes.
+// residentBytes returns the resident set size of the process.
 func residentBytes(c *qt.C) int {
 	raw, err := os.ReadFile("/proc/self/statm")
 	c.Assert(err, qt.IsNil)
--- a/wire/messages_document.go
+++ b/wire/messages_document.go
@@ -2,27 +2,29 @@
 
 import "github.com/eelgrasshub/eelgrasshub/document"
 
-// DocumentVersion is one accepted version of a service's document.
+// DocumentVersion is an accepted version of a service's document.
 type DocumentVersion = document.Version
 
-// PublishDocuments spreads document versions.
+// PublishDocuments distributes document versions.
 type PublishDocuments struct {
 	Versions []DocumentVersion `cbor:"1,keyasint,omitempty"`
 }
 
-// PublishDocumentsAck says which generations the receiver has in force afterwards.
+// PublishDocumentsAck answers PublishDocuments with the generations that are current at
+// the receiver afterwards.
 type PublishDocumentsAck struct {
 	Generations []DocumentSummary `cbor:"1,keyasint,omitempty"`
 }
 
-// FetchDocuments asks for the versions that the receiver has in force and that are higher
-// than what the sender has.
+// FetchDocuments requests the receiver's current versions that are newer than those the
+// sender has.
 type FetchDocuments struct {
 	Have []DocumentSummary `cbor:"1,keyasint,omitempty"`
 }
 
-// FetchDocumentsReply answers Fetch with as many versions as fit. Ready says that the
-// sender's own configuration is confirmed; Generations is all it has in force.
+// FetchDocumentsReply answers FetchDocuments with as many versions as fit. Generations
+// lists all current versions of the replying process. Confirmed is set if its own
+// configuration is confirmed.
 type FetchDocumentsReply struct {
 	Versions    []DocumentVersion `cbor:"1,keyasint,omitempty"`
 	Generations []DocumentSummary `cbor:"2,keyasint,omitempty"`
--- a/wire/messages_execute.go
+++ b/wire/messages_execute.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Header is one HTTP header line.
+// Header is one HTTP header field.
 type Header struct {
 	_     struct{} `cbor:",toarray"`
 	Name  string
 	Value string
 }
 
-// Outcome is how an attempt ended.
+// Outcome is the result of an attempt.
 type Outcome int
 
-// Outcomes. The zero value is invalid, so that a lost field is not a success.
+// The zero value is invalid, so that a missing field does not count as success.
 const (
-	// OutcomeDone: the whole answer is here.
+	// OutcomeDone means that the reply contains the complete response.
 	OutcomeDone Outcome = 1 + iota
-	// OutcomeRefused: the attempt did not run and never will.
+	// OutcomeRefused means that the attempt did not run and never will.
 	OutcomeRefused
-	// OutcomeUnknown: it may have run.
+	// OutcomeUnknown means that the attempt may have run.
 	OutcomeUnknown
 )
 
-// Execute asks an agent to run one attempt of a request on its target.
-// Remaining is the time left until the deadline, because clocks differ; 0
-// means none.
+// Execute asks an agent to run one attempt of a request on its target. Remaining is the
+// time left until the deadline, which does not depend on the clocks of different
+// instances; 0 means no deadline.
 type Execute struct {
 	AttemptID  string        `cbor:"1,keyasint,omitempty"`
 	RequestID  string        `cbor:"2,keyasint,omitempty"`
@@ -38,16 +38,16 @@
 	Query      string        `cbor:"10,keyasint,omitempty"`
 	Header     []Header      `cbor:"11,keyasint,omitempty"`
 	Body       []byte        `cbor:"12,keyasint,omitempty"`
-	// Hops counts the entries that passed the attempt on.
+	// Hops is the number of entries that have forwarded the attempt.
 	Hops int `cbor:"13,keyasint,omitempty"`
 }
 
-// ReasonAttempt is the Reason of an ExecuteReply where the agent's memory of
-// attempts decided. With OutcomeUnknown it says that an earlier copy of the message
-// may have run; an attempt that was sent once has then not run.
+// ReasonAttempt is the Reason of an ExecuteReply that follows from the agent's record
+// of attempts. With OutcomeUnknown it means that an earlier copy of the message may
+// have run; an attempt that was sent only once has not run then.
 const ReasonAttempt = "attempt"
 
-// ExecuteReply ends an attempt. RetryAfter goes with OutcomeRefused.
+// ExecuteReply is the result of an attempt. RetryAfter is set with OutcomeRefused.
 type ExecuteReply struct {
 	Outcome     Outcome       `cbor:"1,keyasint,omitempty"`
 	Incarnation uint64        `cbor:"2,keyasint,omitempty"`
@@ -58,34 +58,38 @@
 	Detail      string        `cbor:"7,keyasint,omitempty"`
 	RetryAfter  time.Duration `cbor:"8,keyasint,omitempty"`
 	Load        Load          `cbor:"9,keyasint,omitzero"`
-	// Congested: the agent's queue is growing; send less.
+	// Congested means that the agent's queue is growing and the sender should reduce
+	// its rate.
 	Congested bool `cbor:"10,keyasint,omitempty"`
 	Draining  bool `cbor:"11,keyasint,omitempty"`
 }
 
-// AttemptState is what an agent knows of an attempt.
+// AttemptState is the state of an attempt as known to an agent.
 type AttemptState int
 
-// Attempt states.
+// States of an attempt.
 const (
-	// AttemptUnknown: the agent can't tell (another incarnation, forgotten).
+	// AttemptUnknown means that the agent has no record, because it is another
+	// incarnation or the record has expired.
 	AttemptUnknown AttemptState = iota
-	// AttemptNotRun: it did not run, and the agent now refuses it for good.
+	// AttemptNotRun means that the attempt did not run, and that the agent will reject
+	// it from now on.
 	AttemptNotRun
 	AttemptRunning
 	AttemptAnswered
 )
 
-// ResolveAttempt asks what became of an attempt whose reply was lost. Incarnation is
-// the one of the agent that the attempt was sent to.
+// ResolveAttempt asks for the state of an attempt whose reply was lost. Incarnation is
+// that of the agent to which the attempt was sent.
 type ResolveAttempt struct {
 	AttemptID   string `cbor:"1,keyasint,omitempty"`
 	Incarnation uint64 `cbor:"2,keyasint,omitempty"`
-	// MaxWait is how long the answer may be held until a running attempt ends.
+	// MaxWait is the time for which the agent may delay its reply until a running
+	// attempt ends.
 	MaxWait time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
-// ResolveAttemptReply answers Resolve; Answer is set for AttemptAnswered.
+// ResolveAttemptReply answers ResolveAttempt. Reply is set for AttemptAnswered.
 type ResolveAttemptReply struct {
 	State AttemptState  `cbor:"1,keyasint,omitempty"`
 	Reply *ExecuteReply `cbor:"2,keyasint,omitempty"`
--- a/wire/messages_gang.go
+++ b/wire/messages_gang.go
@@ -1,13 +1,13 @@
 package wire
 
-// GangMessage carries one message of the gang protocol, encoded by that package.
-// Epoch is the sender's fencing epoch.
+// GangMessage carries one message of the gang protocol, encoded by package gang. Epoch
+// is the sender's fencing epoch.
 type GangMessage struct {
 	Payload []byte `cbor:"1,keyasint,omitempty"`
 	Epoch   uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// GangReply answers Gang.
+// GangReply answers GangMessage.
 type GangReply struct {
 	Payload []byte `cbor:"1,keyasint,omitempty"`
 }
--- a/wire/messages_hello.go
+++ b/wire/messages_hello.go
@@ -1,21 +1,21 @@
 package wire
 
-// Version of the protocol this build speaks, sent in Hello. It grows when a
-// receiver has to know which fields and kinds the peer understands.
+// Version is the protocol version of this build, sent in Hello. It is raised when a
+// receiver has to know which fields and kinds the peer supports.
 const Version = 1
 
-// Role of a process.
+// Role is the role of a process in the cluster.
 type Role string
 
-// Roles.
+// Roles of processes.
 const (
 	RoleEntry    Role = "entry"
 	RoleAgent    Role = "agent"
 	RoleOperator Role = "operator"
 )
 
-// Peer is what a process says of itself. Incarnation grows with each start of
-// the same ID. Address is where the process listens, empty if it doesn't.
+// Peer describes a process. Incarnation grows with each start of a process with the
+// same ID. Address is the address on which the process listens, if it does.
 type Peer struct {
 	ID          string `cbor:"1,keyasint,omitempty"`
 	Role        Role   `cbor:"2,keyasint,omitempty"`
@@ -26,7 +26,7 @@
 	Address     string `cbor:"7,keyasint,omitempty"`
 }
 
-// Hello is the first exchange on a connection, opened by the dialer.
+// Hello is the first message on a connection, sent by the dialer.
 type Hello struct {
 	Peer Peer `cbor:"1,keyasint"`
 }
@@ -36,13 +36,13 @@
 	Peer Peer `cbor:"1,keyasint"`
 }
 
-// Ping proves that the path and the peer's process work.
+// Ping checks that the path and the peer's process work.
 type Ping struct{}
 
 // Pong answers Ping.
 type Pong struct{}
 
-// GoAway says that the sender will close the connection. The receiver opens no
+// GoAway announces that the sender will close the connection. The receiver opens no
 // further exchanges on it and answers when its outstanding calls have ended.
 type GoAway struct{}
 
--- a/wire/messages_job.go
+++ b/wire/messages_job.go
@@ -1,19 +1,19 @@
 package wire
 
-// JobStatusRequest asks for the states of jobs.
+// JobStatusRequest asks for the status of jobs.
 type JobStatusRequest struct {
 	Service string   `cbor:"1,keyasint,omitempty"`
 	IDs     []string `cbor:"2,keyasint,omitempty"`
 }
 
-// JobState is the planner's word on one job.
+// JobState is the status of one job as known to the planner.
 type JobState struct {
 	ID string `cbor:"1,keyasint,omitempty"`
-	// Status is the job as callers see it, in the JSON of the callers' interface.
+	// Status is the job in the JSON form of the public API.
 	Status []byte `cbor:"2,keyasint,omitempty"`
 }
 
-// JobStatusReply answers JobStatus.
+// JobStatusReply answers JobStatusRequest.
 type JobStatusReply struct {
 	States []JobState `cbor:"1,keyasint,omitempty"`
 	Entry  string     `cbor:"2,keyasint,omitempty"`
--- a/wire/messages_report.go
+++ b/wire/messages_report.go
@@ -7,43 +7,46 @@
 	"github.com/eelgrasshub/eelgrasshub/gang"
 )
 
-// FieldGroups says which groups of fields a delta report carries.
+// FieldGroups is a set of groups of AgentReport fields.
 type FieldGroups uint8
 
-// Groups of an AgentReport's fields.
+// Groups of AgentReport fields. A delta report carries the groups in which a field has
+// changed.
 const (
-	// ChangedLocation: Service, Region, Zone, Rack, Address.
+	// ChangedLocation contains Service, Region, Zone, Rack, Address and CanRelay.
 	ChangedLocation FieldGroups = 1 << iota
-	// ChangedCapacity: Accelerators, Slots, Connections, Cores, MemoryMB.
+	// ChangedCapacity contains Accelerators, Slots, Connections, Cores and MemoryMB.
 	ChangedCapacity
-	// ChangedDraining: Draining.
+	// ChangedDraining contains Draining.
 	ChangedDraining
-	// ChangedLoad: Load.
+	// ChangedLoad contains Load.
 	ChangedLoad
-	// ChangedTasks: Tasks holds the changed ones, Ended the removed ones.
+	// ChangedTasks contains the changed tasks in Tasks, the removed ones in
+	// RemovedTasks, and FencingEpoch.
 	ChangedTasks
-	// ChangedGenerations: Generations.
+	// ChangedGenerations contains Generations.
 	ChangedGenerations
 	changedGroupsEnd
 )
 
-// ChangedAll is every group.
+// ChangedAll contains all groups.
 const ChangedAll = changedGroupsEnd - 1
 
-// AgentReport is what an agent says of its worker and target. A full report
-// replaces all that was known of the agent. A delta (Full false) carries the
-// groups named in Changed: all that changed after sequence Base. Who knows the
-// agent at any sequence from Base on may apply it.
+// AgentReport is the state of an agent, its worker and its target. A full report
+// replaces the receiver's state of the agent. A delta (Full is false) carries the
+// groups in Changed, with all changes after sequence BaseSequence. A receiver that
+// knows the agent's state at BaseSequence or later may apply it.
 type AgentReport struct {
 	ID          string `cbor:"1,keyasint,omitempty"`
 	Incarnation uint64 `cbor:"2,keyasint,omitempty"`
 	Sequence    uint64 `cbor:"3,keyasint,omitempty"`
-	// Age is how long ago the agent made the report, as far as relays know.
+	// Age is the time since the agent created the report, as far as known to relays.
 	Age          time.Duration `cbor:"4,keyasint,omitempty"`
 	Full         bool          `cbor:"5,keyasint,omitempty"`
 	BaseSequence uint64        `cbor:"6,keyasint,omitempty"`
 	Changed      FieldGroups   `cbor:"7,keyasint,omitempty"`
-	// Departed: the agent has stopped; this incarnation does not come back.
+	// Departed means that the agent has stopped and that this incarnation does not
+	// return.
 	Departed bool `cbor:"8,keyasint,omitempty"`
 
 	Service string `cbor:"10,keyasint,omitempty"`
@@ -58,28 +61,29 @@
 	Cores        int `cbor:"18,keyasint,omitempty"`
 	MemoryMB     int `cbor:"19,keyasint,omitempty"`
 
-	// Draining is final within an incarnation.
+	// Draining is not reset within an incarnation.
 	Draining     bool              `cbor:"20,keyasint,omitempty"`
 	Load         Load              `cbor:"21,keyasint,omitzero"`
 	Tasks        []gang.Task       `cbor:"22,keyasint,omitempty"`
 	RemovedTasks []gang.ID         `cbor:"23,keyasint,omitempty"`
 	Generations  []DocumentSummary `cbor:"24,keyasint,omitempty"`
-	// FencingEpoch is the highest planner epoch that the agent has heard of. It goes
-	// with the group ChangedTasks.
+	// FencingEpoch is the highest planner epoch known to the agent. It belongs to
+	// ChangedTasks.
 	FencingEpoch uint64 `cbor:"25,keyasint,omitempty"`
-	// PlannerTimestamp is that of the planner's last answer. It is of this report alone and
-	// in no group.
+	// PlannerTimestamp is the timestamp of the planner's last answer. It applies to
+	// this report only and belongs to no group.
 	PlannerTimestamp gang.PlannerTimestamp `cbor:"26,keyasint,omitzero"`
-	// CanRelay: the agent can relay the reports of its rack. It goes with the group
-	// ChangedPlace and does not change within an incarnation.
+	// CanRelay means that the agent can relay the reports of its rack. It belongs to
+	// ChangedLocation and is constant within an incarnation.
 	CanRelay bool `cbor:"27,keyasint,omitempty"`
 }
 
-// InvalidPlannerTimestamp is the stamp of a report that must not count as evidence of a gang,
-// however late it comes: it is in no planner's epoch.
+// InvalidPlannerTimestamp is the timestamp of a report that must never count as
+// evidence of a running gang, however late it arrives: it belongs to no planner's
+// epoch.
 var InvalidPlannerTimestamp = gang.PlannerTimestamp{Epoch: ^uint64(0)}
 
-// Load is the state of a target's queue. Marked counts answers that carried a
+// Load is the state of a target's queue. CongestionMarks counts the answers with a
 // congestion mark.
 type Load struct {
 	Running         int    `cbor:"1,keyasint,omitempty"`
@@ -87,55 +91,57 @@
 	CongestionMarks uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Report carries one or many agents' reports: an aggregator or another entry
-// may relay them. Known is the Digest of the last ReportAck with content, so
+// Report carries the reports of one or more agents, which an aggregator or another
+// entry may relay. KnownDigest is the Digest of the last ReportAck with content, so
 // that unchanged content is not repeated.
 type Report struct {
 	Reports     []AgentReport `cbor:"1,keyasint,omitempty"`
 	KnownDigest uint64        `cbor:"2,keyasint,omitempty"`
 }
 
-// ReportAck answers Report. When Digest equals the report's Known, Entries and
-// Relay are left out because they have not changed.
+// ReportAck answers Report. If Digest equals the report's KnownDigest, Entries and
+// Relay are omitted because they have not changed.
 //
-// A relay answers its members with it too. Its Entries are then those that take
-// its reports now: a member need not report to them itself.
+// A relay also answers its members with it. Entries are then those to which it delivers
+// reports, so that a member need not report to them itself.
 type ReportAck struct {
 	Entries []EntryInfo `cbor:"1,keyasint,omitempty"`
 	Digest  uint64      `cbor:"4,keyasint,omitempty"`
-	// NeedFull names agents whose delta could not be applied.
+	// NeedFull lists the agents whose delta could not be applied.
 	NeedFull []string `cbor:"5,keyasint,omitempty"`
-	// NewerIncarnations names agents that the receiver knows at a later incarnation.
+	// NewerIncarnations lists the agents of which the receiver knows a later
+	// incarnation.
 	NewerIncarnations []AgentIncarnation `cbor:"6,keyasint,omitempty"`
-	// Refused names agents whose report was shed; they report again after
-	// NextReport.
+	// Refused lists the agents whose report was rejected; they report again after
+	// NextReportIn.
 	Refused []string `cbor:"7,keyasint,omitempty"`
-	// NextReportIn, if set, is when the sender should report next at the
-	// earliest; changes that stop new work (draining, goodbye) don't wait.
+	// NextReportIn, if set, is the minimum time until the sender's next report. Changes
+	// that stop new work (draining, departure) are reported at once.
 	NextReportIn time.Duration `cbor:"8,keyasint,omitempty"`
-	// RenewedAttempts lists the attempts of the reporting agents that their planner holds
-	// whole. It and Stamp come from the entry that plans alone.
+	// RenewedAttempts lists the attempts of the reporting agents whose isolation
+	// deadline the planner extends. It and PlannerTimestamp are set only by the entry
+	// that plans.
 	RenewedAttempts  []gang.ID             `cbor:"9,keyasint,omitempty"`
 	PlannerTimestamp gang.PlannerTimestamp `cbor:"10,keyasint,omitzero"`
-	// Relay is the agent by which those of the sender's rack report, the sender
-	// itself included. The zero value: each reports by itself.
+	// Relay is the agent that relays the reports of the sender's rack, possibly the
+	// sender itself. The zero value means that each agent reports directly.
 	Relay RelayInfo `cbor:"11,keyasint,omitzero"`
 }
 
-// RelayInfo names an agent that relays reports, in one of its incarnations.
+// RelayInfo identifies one incarnation of an agent that relays reports.
 type RelayInfo struct {
 	ID          string `cbor:"1,keyasint,omitempty"`
 	Incarnation uint64 `cbor:"2,keyasint,omitempty"`
 	Address     string `cbor:"3,keyasint,omitempty"`
 }
 
-// AgentIncarnation is an agent's incarnation as the receiver knows it.
+// AgentIncarnation is the latest incarnation of an agent known to the receiver.
 type AgentIncarnation struct {
 	ID          string `cbor:"1,keyasint,omitempty"`
 	Incarnation uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// EntryInfo is where an entry is found.
+// EntryInfo is the identity and address of an entry.
 type EntryInfo struct {
 	ID          string `cbor:"1,keyasint,omitempty"`
 	Address     string `cbor:"2,keyasint,omitempty"`
@@ -143,7 +149,7 @@
 	Incarnation uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// DocumentSummary names the version of a service's document.
+// DocumentSummary identifies a version of a service's document.
 type DocumentSummary = document.Summary
 
 func init() {
--- a/wire/pool.go
+++ b/wire/pool.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Backoff of redials; both are jittered by half.
+// Backoff of redials. Each delay is randomised by up to half.
 const (
 	redialMin = 50 * time.Millisecond
 	redialMax = 5 * time.Second
 )
 
-// Pool keeps one live connection to each peer address that it was asked for.
-// It redials with jittered backoff, and dials a new connection in parallel as
-// soon as the current one is suspected; new calls move there, old ones may
-// still finish. It is safe for concurrent use.
+// Pool keeps one connection to each requested peer address. It redials with jittered
+// exponential backoff. When a connection is suspected it dials a new one; new calls use
+// that one, and running calls may still finish on the old one. It is safe for
+// concurrent use.
 type Pool struct {
 	ep     *Endpoint
 	mu     sync.Mutex
@@ -24,16 +24,16 @@
 	conns  map[string]*pooledConn
 }
 
-// NewPool returns a pool of connections dialled by ep. Close it before ep.
+// NewPool returns a Pool of connections dialled by ep. Close it before ep.
 func NewPool(ep *Endpoint) *Pool {
 	return &Pool{ep: ep, conns: map[string]*pooledConn{}}
 }
 
-// Conn returns a usable connection to addr. It waits for the first attempt to
-// dial; once an attempt has failed it fails at once with that error, until a
-// later attempt succeeds, so that a caller can turn to another peer. A peer that
-// is gone is noticed only after HandshakeTimeout: give ctx a shorter deadline
-// where that matters. Errors match ErrNotSent.
+// Conn returns a usable connection to addr. It waits for the first dial. After a dial
+// has failed it returns that error at once until a later dial succeeds, so that a
+// caller can turn to another peer. An unreachable peer is detected only after
+// HandshakeTimeout; use a ctx with a shorter deadline where that matters. Errors match
+// ErrNotHandled.
 func (p *Pool) Conn(ctx context.Context, addr string) (*Conn, error) {
 	conn, err := p.get(addr)
 	if err != nil {
@@ -42,8 +42,8 @@
 	return conn.waitUsable(ctx)
 }
 
-// Call sends msg to addr as Conn.Call does. A connection that ended before msg
-// was handled is replaced once; nothing else is retried.
+// Call sends msg to addr like Conn.Call. If the connection ended before msg was
+// handled, it is replaced once; nothing else is retried.
 func (p *Pool) Call(ctx context.Context, addr string, msg any) (any, error) {
 	c, err := p.Conn(ctx, addr)
 	if err != nil {
@@ -60,7 +60,8 @@
 	return c.Call(ctx, msg)
 }
 
-// Remove closes the connection to addr gracefully and stops redialling it.
+// Remove stops redialling addr and closes the connection, gracefully within
+// SuspectTimeout.
 func (p *Pool) Remove(addr string) {
 	p.mu.Lock()
 	conn := p.conns[addr]
@@ -71,9 +72,8 @@
 	}
 }
 
-// Drain stops redialling addr and closes the connection once the calls of both
-// ends have ended, however long they take. It returns when that is done, or with
-// ctx's error: the connection stays open then.
+// Drain stops redialling addr and drains the connection, however long its calls take.
+// If ctx ends first, it returns ctx's error and the connection stays open.
 func (p *Pool) Drain(ctx context.Context, addr string) error {
 	p.mu.Lock()
 	conn := p.conns[addr]
@@ -85,8 +85,7 @@
 	return conn.drain(ctx)
 }
 
-// Close stops all dialling. Connections stay open until their endpoint drains
-// or closes.
+// Close stops dialling. Connections stay open until the endpoint is drained or closed.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	conns := p.conns
--- a/wire/pool_test.go
+++ b/wire/pool_test.go
@@ -13,9 +13,8 @@
 	"github.com/eelgrasshub/eelgrasshub/internal/relay"
 )
 
-// shortTimeouts makes faults show soon; nothing asserts these times. A path that works
-// is suspected where an answer takes longer than PingTimeout, and closed after
-// SuspectGrace: both are far above what a busy machine needs.
+// shortTimeouts makes faults show soon. PingTimeout and SuspectTimeout still exceed the
+// delays of a busy machine, so that a working path is not suspected.
 var shortTimeouts = Config{
 	PingTimeout:    300 * time.Millisecond,
 	BusyProbeAfter: 50 * time.Millisecond,
@@ -23,10 +22,9 @@
 	SuspectTimeout: time.Second,
 }
 
-// Story: a device between entry and agent forgets the entry's flow. The entry's
-// calls vanish without an error while new connections work. A call that was
-// outstanding ends as unknown, and the next one gets through on a new
-// connection, without waiting for QUIC's idle timeout of a minute.
+// If a network device drops the state of a connection, the outstanding call must end as
+// unknown, and the next call must succeed on a new connection without waiting for
+// QUIC's idle timeout.
 func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	c := qt.New(t)
 	arrived := make(chan struct{})
@@ -60,16 +58,16 @@
 	await(c, first.Done())
 }
 
-// Story: the path is silent and callers give up. A small message was handed to
-// the network whole and may have run, although it was lost here. Of a large one
-// the end never left: it can't run, and the caller may use it elsewhere.
+// On an unresponsive path, the outcome of a cancelled small message is unknown, since
+// it was sent completely. A large one whose end was not sent is not handled.
 func TestCallOutcomeOnUnresponsivePath(t *testing.T) {
 	c := qt.New(t)
 	server := openEndpoint(c, "agent", Config{}, echo)
 	proxy := startRelay(c, server.Addr())
 	conn := dial(c, openEndpoint(c, "entry", Config{}, echo), proxy.Addr())
 	proxy.Lose(relay.Both...)
-	// Callers give up once the connection has sent what it may and sent it again.
+	// The call is cancelled once the connection has sent all it may and retransmitted
+	// it.
 	callAndCancel := func(size int) error {
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
@@ -87,9 +85,7 @@
 	c.Assert(errors.Is(err, ErrNotHandled), qt.IsTrue, qt.Commentf("%v", err))
 }
 
-// Story: a quick request stays outstanding while its worker computes for long,
-// but the path is fine. Pings are answered, so the connection must not be
-// suspected and the slow call must not be cut off.
+// A connection must not be suspected during a slow call while pings are answered.
 func TestSlowHandlerIsNotSuspected(t *testing.T) {
 	c := qt.New(t)
 	release := make(chan struct{})
@@ -117,9 +113,8 @@
 	c.Assert(await(c, done), qt.IsNil)
 }
 
-// Story: an agent's process dies without a word and another starts on its
-// address. A call of the entry must not hang until pings give up: the new
-// process answers with a stateless reset, for it can't know the connection.
+// After a crash and restart of the peer, a call must end at once by the stateless reset
+// of the new process, not by unanswered pings.
 func TestRestartedPeerResetsConnection(t *testing.T) {
 	c := qt.New(t)
 	var socket net.PacketConn
@@ -141,9 +136,8 @@
 	c.Assert(errors.As(err, &reset), qt.IsTrue, qt.Commentf("%v", err))
 }
 
-// Story: an agent's process restarts on its address. The entry's connection
-// points to a process that is gone; the pool reaches the new one, and while
-// nobody listens callers are told at once so that they can go elsewhere.
+// After a restart of the peer, the pool must connect to the new process. While nothing
+// listens, calls must fail at once.
 func TestPoolReconnectsAfterPeerRestart(t *testing.T) {
 	c := qt.New(t)
 	server, err := Listen("127.0.0.1:0", newTestIdentity(c, "agent", testKey), HandlerFunc(echo))
@@ -155,8 +149,8 @@
 	first, err := pool.Conn(contextWithTimeout(c, 20*time.Second), addr)
 	c.Assert(err, qt.IsNil)
 	c.Assert(server.Close(), qt.IsNil)
-	// Until the news of the end is here, a call may still go out on the old
-	// connection, and its outcome is unknown.
+	// Before the end of the old connection is known, a call may still use it, and its
+	// outcome is unknown.
 	await(c, first.Done())
 	_, err = pool.Call(contextWithTimeout(c, 20*time.Second), addr, GangMessage{})
 	c.Assert(errors.Is(err, ErrNotHandled), qt.IsTrue, qt.Commentf("%v", err))
--- a/wire/pooled_conn.go
+++ b/wire/pooled_conn.go
@@ -9,8 +9,8 @@
 	"gopkg.in/tomb.v2"
 )
 
-// pooledConn keeps the connection to one address. Its goroutine dials; callers read
-// the current state under mu.
+// pooledConn maintains the connection to one address. Its goroutine dials; callers read
+// the state guarded by mu.
 type pooledConn struct {
 	ep   *Endpoint
 	addr string
@@ -19,7 +19,7 @@
 	mu      sync.Mutex
 	current *Conn
 	dialErr error
-	changed chan struct{} // closed and replaced on every change
+	changed chan struct{} // closed and replaced on every change of state
 }
 
 func newLink(ep *Endpoint, addr string) *pooledConn {
@@ -28,8 +28,8 @@
 	return p
 }
 
-// waitUsable waits for a usable connection as long as no dial has failed since the
-// last one that succeeded.
+// waitUsable returns a usable connection. It waits for one unless a dial has failed
+// since the last one that succeeded.
 func (p *pooledConn) waitUsable(ctx context.Context) (*Conn, error) {
 	for {
 		c, changed, err := p.usable()
@@ -46,9 +46,9 @@
 	}
 }
 
-// usable returns a usable connection, or an error, or what to wait for. A
-// connection that ended a moment ago is not usable although the loop has not
-// begun to dial yet; changed tells when that dial has an end.
+// usable returns a usable connection, an error, or a channel to wait for. After a
+// connection has ended, there is neither a connection nor an error until the next dial
+// has ended.
 func (p *pooledConn) usable() (*Conn, <-chan struct{}, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,7 +61,7 @@
 	return nil, p.changed, nil
 }
 
-// setState changes the state and wakes the waiting callers.
+// setState applies change and wakes the waiting callers.
 func (p *pooledConn) setState(change func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -90,7 +90,7 @@
 	}
 }
 
-// dialUntilConnected tries until it has a connection; nil when the link is stopped.
+// dialUntilConnected dials until it succeeds. It returns nil if dialling is stopped.
 func (p *pooledConn) dialUntilConnected() *Conn {
 	redialBackoff := backoff.NewExponentialBackOff()
 	redialBackoff.InitialInterval = redialMin
@@ -110,9 +110,8 @@
 	}
 }
 
-// drainReplaced closes a replaced connection when its calls have ended. One that is
-// silent for good is closed by the endpoint's monitor, which also ends this
-// goroutine's wait.
+// drainReplaced drains a replaced connection in the background. If it is unresponsive,
+// the endpoint's monitor closes it, which also ends the drain.
 func (p *pooledConn) drainReplaced(c *Conn) {
 	if c == nil {
 		return
@@ -128,7 +127,7 @@
 	p.tomb.Wait()
 }
 
-// close ends dialling and leaves the connection within the suspicion grace.
+// close stops dialling and drains the connection, but closes it after SuspectTimeout.
 func (p *pooledConn) close() {
 	p.stopDialing()
 	p.mu.Lock()
@@ -144,7 +143,7 @@
 	}
 }
 
-// drain ends dialling and leaves the connection without cutting a call.
+// drain stops dialling and drains the connection.
 func (p *pooledConn) drain(ctx context.Context) error {
 	p.stopDialing()
 	p.mu.Lock()
--- a/wire/registry.go
+++ b/wire/registry.go
@@ -10,22 +10,22 @@
 	"github.com/rotisserie/eris"
 )
 
-// messageTypes is an immutable pair of maps between messageTypes and message types.
+// messageTypes maps kinds to message types and back. It is immutable.
 type messageTypes struct {
 	typeByKind map[Kind]reflect.Type
 	kindByType map[reflect.Type]Kind
 }
 
-// registry is read on every exchange and written at start-up: readers load the
-// current copy, Register replaces it.
+// registry is read on every exchange and written during initialisation. Readers load
+// the current copy; Register replaces it.
 var (
 	registryMu sync.Mutex
 	registry   atomic.Pointer[messageTypes]
 )
 
-// Register binds a kind to the struct type of prototype. It is meant for
-// package initialisation and safe for concurrent use; it panics when the kind
-// or the type is already bound.
+// Register binds a kind to the struct type of prototype. It is meant for package
+// initialisation, but is safe for concurrent use. It panics if the kind or the type is
+// already bound.
 func Register(kind Kind, prototype any) {
 	registryMu.Lock()
 	defer registryMu.Unlock()
@@ -46,7 +46,7 @@
 	registry.Store(next)
 }
 
-// kindOf returns the kind of a message given as struct or pointer to struct.
+// kindOf returns the kind of a message, which is a struct or a pointer to one.
 func kindOf(msg any) (Kind, error) {
 	t := reflect.TypeOf(msg)
 	if t != nil && t.Kind() == reflect.Pointer {
@@ -59,7 +59,7 @@
 	return kind, nil
 }
 
-// newMessage returns a pointer to a zero message of the kind.
+// newMessage returns a pointer to a new message of the kind.
 func newMessage(kind Kind) (any, error) {
 	t, ok := registry.Load().typeByKind[kind]
 	if !ok {
--- a/wire/remote_error.go
+++ b/wire/remote_error.go
@@ -2,8 +2,8 @@
 
 import "errors"
 
-// errorCode says in a remoteError why there is no reply message. Codes are
-// part of the protocol: never renumber.
+// errorCode is the reason why there is no reply message. Codes are part of the
+// protocol: never renumber one.
 type errorCode int
 
 const (
@@ -13,19 +13,19 @@
 	codeTooLarge
 	codeDraining
 	codeNoHello
-	// codeNotHandled: the handler proved that it did not act (NotRun).
+	// codeNotHandled means that the handler proved that it did not act (NotHandled).
 	codeNotHandled
 )
 
-// remoteError is the reply frame of an exchange that has no reply message.
+// remoteError is the reply frame of an exchange without a reply message.
 type remoteError struct {
 	Code errorCode `cbor:"1,keyasint,omitempty"`
 	Text string    `cbor:"2,keyasint,omitempty"`
 }
 
-// RemoteError is the cause of a CallError that the peer reported.
+// RemoteError is the cause of a CallError reported by the peer.
 type RemoteError struct {
-	// Message is the peer's own description.
+	// Message is the error text sent by the peer.
 	Message  string
 	sentinel error
 }
@@ -33,12 +33,12 @@
 // Error implements error.
 func (e *RemoteError) Error() string { return e.sentinel.Error() + ": " + e.Message }
 
-// Unwrap returns the sentinel of the peer's error code.
+// Unwrap returns the sentinel error of the peer's error code.
 func (e *RemoteError) Unwrap() error { return e.sentinel }
 
-// callError turns the peer's code into an outcome. Codes sent before the
-// handler runs prove that the message was not handled. A failed handler, and
-// any code this version does not know, proves nothing.
+// callError returns the CallError for the peer's code. Codes that are sent before the
+// handler runs prove that the message was not handled. A failed handler, and any code
+// unknown to this version, proves nothing.
 func (r *remoteError) callError() error {
 	switch r.Code {
 	case codeUnknownKind:
@@ -58,7 +58,7 @@
 	}
 }
 
-// rejectionReply builds the reply for an exchange that was not handled.
+// rejectionReply returns the reply to an exchange that was not handled.
 func rejectionReply(err error) *remoteError {
 	code := codeMalformed
 	switch {
@@ -74,7 +74,7 @@
 	return &remoteError{Code: code, Text: err.Error()}
 }
 
-// handlerErrorReply builds the reply for an exchange whose handler failed.
+// handlerErrorReply returns the reply to an exchange whose handler failed.
 func handlerErrorReply(err error) *remoteError {
 	var notHandled notHandledError
 	if errors.As(err, &notHandled) {
--- a/wire/serve.go
+++ b/wire/serve.go
@@ -7,8 +7,8 @@
 	"github.com/quic-go/quic-go"
 )
 
-// serveStream answers one exchange of the peer. A frame that did not arrive whole is
-// dropped: its sender gave up and may say that it was not handled.
+// serveStream answers one exchange of the peer. An incomplete frame gets no reply: its
+// sender has given up and may report the message as not handled.
 func (c *Conn) serveStream(stream *quic.Stream) {
 	frame, err := readFrame(activityReader{c, stream}, c.ep.cfg.MaxPayload)
 	if err != nil && !errors.Is(err, ErrFrameTooLarge) && !errors.Is(err, ErrMalformed) {
@@ -25,13 +25,13 @@
 		c.writeReply(stream, rejectionReply(err))
 		return
 	}
-	// The stream's context ends when the caller stops reading, when the
-	// reply is sent, and with the connection.
+	// The stream's context ends when the caller stops reading, when the reply is sent,
+	// or with the connection.
 	c.writeReply(stream, c.dispatch(stream.Context(), msg))
 }
 
-// dispatch serves the messages of the protocol itself and gives all others to
-// the handler.
+// dispatch handles the messages of the protocol itself and passes all others to the
+// handler.
 func (c *Conn) dispatch(ctx context.Context, msg any) any {
 	switch m := msg.(type) {
 	case *Hello:
@@ -55,7 +55,7 @@
 	return reply
 }
 
-// handleHello takes the dialer's Hello.
+// handleHello stores the dialer's identity and returns this process's.
 func (c *Conn) handleHello(m *Hello) any {
 	if c.ep.isDraining() {
 		return rejectionReply(ErrDraining)
@@ -67,8 +67,8 @@
 	return &HelloReply{Peer: c.ep.id.peer}
 }
 
-// handleGoAway answers when the last reply to this side has arrived, so that the
-// peer can close without losing it.
+// handleGoAway answers once this side has received the replies to its calls, so that
+// the peer can close the connection without losing one.
 func (c *Conn) handleGoAway(ctx context.Context) any {
 	select {
 	case <-c.beginDrain():
@@ -80,7 +80,8 @@
 func (c *Conn) writeReply(stream *quic.Stream, msg any) {
 	frame, err := encodeFrame(msg, c.ep.cfg.MaxPayload)
 	if err != nil {
-		// The handler has run: this is no proof of the opposite.
+		// The handler has run, so the error must not claim that the message was not
+		// handled.
 		frame, err = encodeFrame(handlerErrorReply(err), c.ep.cfg.MaxPayload)
 	}
 	if err != nil {
--- a/wire/stream_credits.go
+++ b/wire/stream_credits.go
@@ -6,19 +6,19 @@
 	"github.com/quic-go/quic-go"
 )
 
-// creditBatch is how many served streams are given back to the peer at once.
+// creditBatch is the number of served streams whose credit is released at once.
 const creditBatch = 8
 
-// creditBatcher gives back the credit of served streams in batches. QUIC's default
-// is to announce a new stream limit after each stream, which costs a packet
-// and its acknowledgement with every exchange: a third of a small one. The
-// price is that up to creditBatch-1 finished streams stay in memory.
+// creditBatcher releases the credit of served streams in batches. QUIC by default
+// announces a new stream limit after each stream, which costs a packet and its
+// acknowledgement per exchange. In return, up to creditBatch-1 finished streams stay in
+// memory.
 type creditBatcher struct {
 	mu     sync.Mutex
 	served []*quic.Stream
 }
 
-// add takes a served stream.
+// add queues a served stream and releases the batch when it is full.
 func (b *creditBatcher) add(stream *quic.Stream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
