--- a/store/list.go
+++ b/store/list.go
@@ -37,10 +37,10 @@
 func (c *Client) list(ctx context.Context, prefix string, keysOnly bool) (Snapshot, error) {
 	var err error
 	for range maxListAttempts {
-		l := listing{client: c, keysOnly: keysOnly}
-		err = l.fetchAll(ctx, prefix)
+		attempt := listing{client: c, keysOnly: keysOnly}
+		err = attempt.fetchAll(ctx, prefix)
 		if err == nil {
-			return l.snapshot, nil
+			return attempt.snapshot, nil
 		}
 		if !eris.Is(err, ErrCompacted) && !eris.Is(err, errStoreReplaced) {
 			return Snapshot{}, err
--- a/store/lost_call_test.go
+++ b/store/lost_call_test.go
@@ -23,28 +23,28 @@
 // interferingTransport calls afterLoss after the first failed call, or withholds the
 // first request until release is called.
 type interferingTransport struct {
-	afterLoss func()
-	withhold  bool
-	once      sync.Once
-	withheld  *http.Request
+	afterLoss       func()
+	withholdFirst   bool
+	once            sync.Once
+	withheldRequest *http.Request
 }
 
-func (m *interferingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	if m.withhold && m.withheld == nil {
+func (t *interferingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	if t.withholdFirst && t.withheldRequest == nil {
 		body, _ := io.ReadAll(r.Body)
-		m.withheld, _ = http.NewRequest(r.Method, r.URL.String(), bytes.NewReader(body))
+		t.withheldRequest, _ = http.NewRequest(r.Method, r.URL.String(), bytes.NewReader(body))
 		httptrace.ContextClientTrace(r.Context()).GotConn(httptrace.GotConnInfo{})
 		return nil, errCut
 	}
 	resp, err := http.DefaultTransport.RoundTrip(r)
-	if err != nil && m.afterLoss != nil {
-		m.once.Do(m.afterLoss)
+	if err != nil && t.afterLoss != nil {
+		t.once.Do(t.afterLoss)
 	}
 	return resp, err
 }
 
-func (m *interferingTransport) release(c *qt.C) {
-	resp, err := http.DefaultTransport.RoundTrip(m.withheld)
+func (t *interferingTransport) release(c *qt.C) {
+	resp, err := http.DefaultTransport.RoundTrip(t.withheldRequest)
 	c.Assert(err, qt.IsNil)
 	resp.Body.Close()
 }
@@ -114,7 +114,7 @@
 	transport := &interferingTransport{}
 	_, kv := startStore(t, standin.Options{}, withTransport(transport))
 	first := swapOne(c, kv, store.Swap{Key: "k", Value: []byte("old")})
-	transport.withhold = true
+	transport.withholdFirst = true
 	res := swapOne(c, kv, store.Swap{Key: "k", Expect: first.Current.Mod, Value: []byte("new")})
 	c.Assert(res.Swapped, qt.IsTrue)
 	next := swapOne(c, kv, store.Swap{Key: "k", Expect: res.Current.Mod, Value: []byte("newer")})
--- a/store/pending_swap.go
+++ b/store/pending_swap.go
@@ -13,17 +13,17 @@
 	err     error
 }
 
-func (w *pendingSwap) claim() bool { return w.claimed.CompareAndSwap(false, true) }
+func (p *pendingSwap) claim() bool { return p.claimed.CompareAndSwap(false, true) }
 
-func (w *pendingSwap) complete(res SwapResult, err error) {
-	w.result, w.err = res, err
-	close(w.done)
+func (p *pendingSwap) complete(res SwapResult, err error) {
+	p.result, p.err = res, err
+	close(p.done)
 }
 
 // abandon withdraws the swap with err if it has not been sent; otherwise its result is
 // Unknown.
-func (w *pendingSwap) abandon(err error) (SwapResult, error) {
-	if w.claim() {
+func (p *pendingSwap) abandon(err error) (SwapResult, error) {
+	if p.claim() {
 		return SwapResult{}, err
 	}
 	return SwapResult{Unknown: true}, nil
--- a/store/resolve.go
+++ b/store/resolve.go
@@ -32,14 +32,14 @@
 	retryDelay := backoff.NewExponentialBackOff()
 	retryDelay.InitialInterval = resolveBackoff
 	resend := true
-	for i := range resolveAttempts {
-		if i > 0 && !sleep(ctx, retryDelay.NextBackOff()) {
+	for attempt := range resolveAttempts {
+		if attempt > 0 && !sleep(ctx, retryDelay.NextBackOff()) {
 			break
 		}
 		var res v3json.TxnResponse
-		result := c.resendOrRead(ctx, swaps, resend, i, &res)
+		result := c.resendOrRead(ctx, swaps, resend, attempt, &res)
 		if result.ok() && validTxn(swaps, &res) {
-			c.setPreferred(i)
+			c.setPreferred(attempt)
 			return c.resolveSwaps(ctx, swaps, &res)
 		}
 		// The lease does not exist; the first copy may have taken effect before it
--- a/wire/call_test.go
+++ b/wire/call_test.go
@@ -95,10 +95,10 @@
 	client := openEndpoint(c, "entry", Config{}, echo)
 	conn := dial(c, client, server.Addr())
 	for _, test := range []struct {
-		name string
-		msg  any
-		want []error
-		ran  int32
+		name    string
+		msg     any
+		want    []error
+		handled int32
 	}{
 		{"a Go type that nobody registered", unregistered{}, []error{ErrNotHandled, ErrUnknownKind}, 0},
 		{"a frame beyond the receiver's limit", GangMessage{Payload: make([]byte, 200)}, []error{ErrNotHandled, ErrFrameTooLarge}, 0},
@@ -112,7 +112,7 @@
 		for _, want := range test.want {
 			c.Check(errors.Is(err, want), qt.IsTrue, qt.Commentf("%s: %v", test.name, err))
 		}
-		c.Check(handled.Load(), qt.Equals, test.ran, qt.Commentf(test.name))
+		c.Check(handled.Load(), qt.Equals, test.handled, qt.Commentf(test.name))
 	}
 }
 
--- a/wire/inflight.go
+++ b/wire/inflight.go
@@ -6,7 +6,7 @@
 // concurrent use.
 type inflight struct {
 	mu      sync.Mutex
-	n       int
+	running int
 	stopped bool
 	idle    chan struct{}
 }
@@ -18,14 +18,14 @@
 	if f.stopped {
 		return false
 	}
-	f.n++
+	f.running++
 	return true
 }
 
 func (f *inflight) end() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.n--
+	f.running--
 	f.closeIfIdle()
 }
 
@@ -45,7 +45,7 @@
 // closeIfIdle closes idle if stopped and no exchange is running. The count cannot grow
 // again then.
 func (f *inflight) closeIfIdle() {
-	if f.stopped && f.n == 0 {
+	if f.stopped && f.running == 0 {
 		close(f.idle)
 	}
 }
@@ -53,7 +53,7 @@
 func (f *inflight) count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.n
+	return f.running
 }
 
 func (f *inflight) isStopped() bool {
