--- a/store/call_counts.go
+++ b/store/call_counts.go
@@ -23,6 +23,7 @@
 	return c.Get + c.List + c.Commit + c.Grant + c.Renew + c.Revoke + c.Watch
 }
 
+// counters holds the CallCounts that are being updated.
 type counters struct {
 	get, list, commit, grant, renew, revoke, watch atomic.Int64
 	swaps, readBack, lost, refused                 atomic.Int64
--- a/store/lost_call_test.go
+++ b/store/lost_call_test.go
@@ -29,6 +29,7 @@
 	withheldRequest *http.Request
 }
 
+// RoundTrip implements http.RoundTripper.
 func (t *interferingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	if t.withholdFirst && t.withheldRequest == nil {
 		body, _ := io.ReadAll(r.Body)
--- a/store/standin/call_handler.go
+++ b/store/standin/call_handler.go
@@ -24,6 +24,7 @@
 func alwaysWrites[Req any](*Req) bool { return true }
 func neverWrites[Req any](*Req) bool  { return false }
 
+// ServeHTTP implements http.Handler.
 func (c callHandler[Req, Res]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	req := new(Req)
 	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -126,6 +126,7 @@
 	stream *quic.Stream
 }
 
+// Read implements io.Reader.
 func (r activityReader) Read(p []byte) (int, error) {
 	n, err := r.stream.Read(p)
 	if n > 0 {
--- a/wire/errors.go
+++ b/wire/errors.go
@@ -15,8 +15,8 @@
 	// no valid reply arrived.
 	ErrOutcomeUnknown = eris.New("outcome of the message unknown")
 
-	// ErrClosed means that the connection or endpoint is closed or draining on this
-	// side.
+	// ErrClosed means that the connection, the endpoint or the pool is closed, or that
+	// the connection is draining.
 	ErrClosed = eris.New("wire connection closed")
 	// ErrFrameTooLarge means that a frame exceeds the configured limit.
 	ErrFrameTooLarge = eris.New("frame exceeds the size limit")
