--- a/store/client.go
+++ b/store/client.go
@@ -19,7 +19,7 @@
 
 var _ Store = (*Client)(nil)
 
-// NewClient returns a Client. It sends nothing.
+// NewClient returns a Client. It makes no connection before the first call.
 func NewClient(opts Options) *Client {
 	opts = opts.withDefaults()
 	return &Client{opts: opts, limiter: rate.NewLimiter(opts.RateLimit, opts.Burst)}
