--- a/wire/pool.go
+++ b/wire/pool.go
@@ -105,7 +105,7 @@
 	}
 	conn := p.conns[addr]
 	if conn == nil {
-		conn = newLink(p.ep, addr)
+		conn = newPooledConn(p.ep, addr)
 		p.conns[addr] = conn
 	}
 	return conn, nil
--- a/wire/pooled_conn.go
+++ b/wire/pooled_conn.go
@@ -22,7 +22,7 @@
 	changed chan struct{} // closed and replaced on every change of state
 }
 
-func newLink(ep *Endpoint, addr string) *pooledConn {
+func newPooledConn(ep *Endpoint, addr string) *pooledConn {
 	p := &pooledConn{ep: ep, addr: addr, changed: make(chan struct{})}
 	p.tomb.Go(p.run)
 	return p
