--- a/wire/measure_test.go
+++ b/wire/measure_test.go
@@ -14,7 +14,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The measurements run with: go test ./wire -run Measure -measure -v
+// measure enables the measurements: go test ./wire -run Measure -measure -v
 var measure = flag.Bool("measure", false, "run the measurements; takes minutes")
 
 func requireMeasureFlag(t *testing.T) *qt.C {
