--- a/store/lost_call_test.go
+++ b/store/lost_call_test.go
@@ -18,7 +18,7 @@
 	"github.com/eelgrasshub/eelgrasshub/store/standin"
 )
 
-var errCut = errors.New("connection cut")
+var errConnectionClosed = errors.New("connection cut")
 
 // interferingTransport calls afterLoss after the first failed call, or withholds the
 // first request until release is called.
@@ -35,7 +35,7 @@
 		body, _ := io.ReadAll(r.Body)
 		t.withheldRequest, _ = http.NewRequest(r.Method, r.URL.String(), bytes.NewReader(body))
 		httptrace.ContextClientTrace(r.Context()).GotConn(httptrace.GotConnInfo{})
-		return nil, errCut
+		return nil, errConnectionClosed
 	}
 	resp, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil && t.afterLoss != nil {
