--- a/store/batcher.go
+++ b/store/batcher.go
@@ -9,120 +9,122 @@
 	"gopkg.in/tomb.v2"
 )
 
-// DefaultBatcherQueue is the queue of a Batcher made with none given.
+// DefaultBatcherQueue is the queue length of a Batcher that is created with none.
 const DefaultBatcherQueue = 4096
 
-// batchEvery is the least time between the begins of two calls of a Batcher. A
-// store that answers faster than callers arrive would otherwise get one call for
-// each of them. A lone caller does not wait.
-const batchEvery = 5 * time.Millisecond
+// minBatchInterval is the minimum time between the starts of two calls of a Batcher.
+// Without it, a store that answers faster than swaps arrive gets one call for each
+// swap. A swap that arrives after an idle interval is sent at once.
+const minBatchInterval = 5 * time.Millisecond
 
-// Batcher makes one call to the store out of the swaps of many callers. One
-// call is in flight at a time, and calls begin batchEvery apart; the next carries
-// all that came meanwhile, so calls grow with time, not with callers. It is safe
-// for concurrent use.
+// Batcher combines the swaps of concurrent callers into calls to a Store. One call is
+// in flight at a time, and calls start at least minBatchInterval apart; each carries
+// the swaps queued since the previous one. It is safe for concurrent use.
 type Batcher struct {
-	store   Store
-	queue   chan *waiter
-	tomb    tomb.Tomb
-	commits atomic.Int64
-	began   time.Time // of the last call; the run goroutine's own
+	store         Store
+	queue         chan *pendingSwap
+	tomb          tomb.Tomb
+	commits       atomic.Int64
+	lastCallStart time.Time // owned by the run goroutine
 }
 
-// NewBatcher returns a running Batcher. At most queue swaps wait for the next
-// call; zero means DefaultQueue.
-func NewBatcher(store Store, queue int) *Batcher {
-	if queue <= 0 {
-		queue = DefaultBatcherQueue
+// NewBatcher starts a Batcher on store. At most queueSize swaps wait for the next call;
+// zero means DefaultBatcherQueue.
+func NewBatcher(store Store, queueSize int) *Batcher {
+	if queueSize <= 0 {
+		queueSize = DefaultBatcherQueue
 	}
-	b := &Batcher{store: store, queue: make(chan *waiter, queue)}
+	b := &Batcher{store: store, queue: make(chan *pendingSwap, queueSize)}
 	b.tomb.Go(b.run)
 	return b
 }
 
-// Close makes the swaps that wait, refuses new ones with ErrClosed, and
-// returns when the last call has ended.
+// Close sends the queued swaps, rejects new ones with ErrClosed, and returns when the
+// last call has ended.
 func (b *Batcher) Close() {
 	b.tomb.Kill(nil)
 	_ = b.tomb.Wait()
 }
 
-// Commits returns how many times the store's Commit has been called.
+// Commits returns the number of calls to the store's Commit so far.
 func (b *Batcher) Commits() int64 { return b.commits.Load() }
 
-// Swap makes one compare-and-swap within the next call. An error means that it
-// did not take effect: ErrBusy at once where the queue is full, ErrCanceled
-// where ctx ends before it was sent, ErrClosed, or the store's own. Where ctx
-// ends later, the outcome is Unknown.
+// Swap makes one compare-and-swap as part of the next call. An error means that the
+// swap did not take effect: ErrQueueFull if the queue is full, ErrCanceled if ctx ends
+// before the swap is sent, ErrClosed, or an error of the store. If ctx ends after the
+// swap was sent, the result is Unknown.
 func (b *Batcher) Swap(ctx context.Context, s Swap) (SwapResult, error) {
 	if !b.tomb.Alive() {
 		return SwapResult{}, ErrClosed
 	}
-	w := &waiter{swap: s, done: make(chan struct{})}
+	pending := &pendingSwap{swap: s, done: make(chan struct{})}
 	select {
-	case b.queue <- w:
+	case b.queue <- pending:
 	default:
 		return SwapResult{}, ErrQueueFull
 	}
 	select {
-	case <-w.done:
-		return w.result, w.err
+	case <-pending.done:
+		return pending.result, pending.err
 	case <-ctx.Done():
-		return w.giveUp(ErrCanceled)
+		return pending.abandon(ErrCanceled)
 	case <-b.tomb.Dead():
-		// Queued after the last batch was taken, or answered by it.
-		if w.take() {
+		// The swap was queued after the last batch was collected, or that batch
+		// completed it.
+		if pending.claim() {
 			return SwapResult{}, ErrClosed
 		}
-		<-w.done
-		return w.result, w.err
+		<-pending.done
+		return pending.result, pending.err
 	}
 }
 
 func (b *Batcher) run() error {
 	for {
 		select {
-		case w := <-b.queue:
-			b.pace()
-			b.commit(b.gather(w))
+		case first := <-b.queue:
+			b.waitForInterval()
+			b.commitBatch(b.collectBatch(first))
 		case <-b.tomb.Dying():
-			return b.drain()
+			return b.drainQueue()
 		}
 	}
 }
 
-// pace waits until the next call may begin.
-func (b *Batcher) pace() {
-	timer := time.NewTimer(batchEvery - time.Since(b.began))
+// waitForInterval waits until minBatchInterval has passed since the start of the last
+// call, or until the Batcher is closed.
+func (b *Batcher) waitForInterval() {
+	timer := time.NewTimer(minBatchInterval - time.Since(b.lastCallStart))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 	case <-b.tomb.Dying():
 	}
-	b.began = time.Now()
+	b.lastCallStart = time.Now()
 }
 
-// drain makes the swaps that wait when the Batcher is closed.
-func (b *Batcher) drain() error {
+// drainQueue sends the swaps that are still queued when the Batcher is closed.
+func (b *Batcher) drainQueue() error {
 	for {
 		select {
-		case w := <-b.queue:
-			b.commit(b.gather(w))
+		case first := <-b.queue:
+			b.commitBatch(b.collectBatch(first))
 		default:
 			return nil
 		}
 	}
 }
 
-// gather takes what waits, up to one call's worth of swaps.
-func (b *Batcher) gather(first *waiter) []*waiter {
-	var batch []*waiter
+// collectBatch returns first and the queued swaps, up to maxSwapsPerCall, without those
+// whose callers have given up.
+func (b *Batcher) collectBatch(first *pendingSwap) []*pendingSwap {
+	var batch []*pendingSwap
 	next := first
 	for {
-		if next.take() {
+		if next.claim() {
 			batch = append(batch, next)
 		}
-		if len(batch) == maxSwaps {
+		if len(batch) == maxSwapsPerCall {
 			return batch
 		}
 		select {
@@ -133,54 +135,55 @@
 	}
 }
 
-// commit makes one batch. A lease that is gone fails the whole call; its swap
-// must not take those of other callers with it, so they are then made apart.
-func (b *Batcher) commit(batch []*waiter) {
+// commitBatch sends one batch. The service rejects the whole call if one swap's lease
+// does not exist, so the batch is then sent again in one call per lease, and only the
+// callers with the missing lease see the error.
+func (b *Batcher) commitBatch(batch []*pendingSwap) {
 	if len(batch) == 0 {
 		return
 	}
-	results, err := b.call(batch)
+	results, err := b.callStore(batch)
 	if eris.Is(err, ErrLeaseNotFound) && len(batch) > 1 {
-		for _, part := range byLease(batch) {
-			results, err := b.call(part)
-			finish(part, results, err)
+		for _, group := range groupByLease(batch) {
+			results, err := b.callStore(group)
+			completeAll(group, results, err)
 		}
 		return
 	}
-	finish(batch, results, err)
+	completeAll(batch, results, err)
 }
 
-func (b *Batcher) call(batch []*waiter) ([]SwapResult, error) {
+func (b *Batcher) callStore(batch []*pendingSwap) ([]SwapResult, error) {
 	swaps := make([]Swap, len(batch))
-	for i, w := range batch {
-		swaps[i] = w.swap
+	for i, pending := range batch {
+		swaps[i] = pending.swap
 	}
 	b.commits.Add(1)
 	return b.store.Commit(context.Background(), swaps)
 }
 
-// byLease groups a batch by lease, in order of first occurrence.
-func byLease(batch []*waiter) [][]*waiter {
-	index := make(map[LeaseID]int)
-	var parts [][]*waiter
-	for _, w := range batch {
-		i, ok := index[w.swap.Lease]
+// groupByLease groups a batch by lease, in the order of first occurrence.
+func groupByLease(batch []*pendingSwap) [][]*pendingSwap {
+	groupOfLease := make(map[LeaseID]int)
+	var groups [][]*pendingSwap
+	for _, pending := range batch {
+		n, ok := groupOfLease[pending.swap.Lease]
 		if !ok {
-			i = len(parts)
-			index[w.swap.Lease] = i
-			parts = append(parts, nil)
+			n = len(groups)
+			groupOfLease[pending.swap.Lease] = n
+			groups = append(groups, nil)
 		}
-		parts[i] = append(parts[i], w)
+		groups[n] = append(groups[n], pending)
 	}
-	return parts
+	return groups
 }
 
-func finish(batch []*waiter, results []SwapResult, err error) {
-	for i, w := range batch {
+func completeAll(batch []*pendingSwap, results []SwapResult, err error) {
+	for i, pending := range batch {
 		if err != nil {
-			w.finish(SwapResult{}, err)
+			pending.complete(SwapResult{}, err)
 			continue
 		}
-		w.finish(results[i], nil)
+		pending.complete(results[i], nil)
 	}
 }
--- a/store/batcher_test.go
+++ b/store/batcher_test.go
@@ -17,35 +17,34 @@
 
 func TestBatcherResults(t *testing.T) {
 	c := qt.New(t)
-	_, kv := start(t, standin.Options{})
+	_, kv := startStore(t, standin.Options{})
 	b := store.NewBatcher(kv, 0)
 	var wg sync.WaitGroup
-	var won atomic.Int64
+	var swapped atomic.Int64
 	for i := range 400 {
 		wg.Go(func() {
-			// Two callers race for each key.
+			// Two callers compete for each key.
 			key, value := fmt.Sprint(i/2), fmt.Appendf(nil, "caller %d", i)
 			res, err := b.Swap(context.Background(), store.Swap{Key: key, Value: value})
 			c.Check(err, qt.IsNil)
 			c.Check(res.Unknown, qt.IsFalse)
 			c.Check(string(res.Current.Value) == string(value), qt.Equals, res.Swapped)
 			if res.Swapped {
-				won.Add(1)
+				swapped.Add(1)
 			}
 		})
 	}
 	wg.Wait()
-	c.Assert(won.Load(), qt.Equals, int64(200))
+	c.Assert(swapped.Load(), qt.Equals, int64(200))
 	b.Close()
 	_, err := b.Swap(context.Background(), store.Swap{Key: "k"})
 	c.Assert(eris.Is(err, store.ErrClosed), qt.IsTrue)
 }
 
-// A job cannot be recorded because another caller's lease has lapsed: both
-// swaps travel in one call, and the service refuses the whole call.
-func TestBatcherLeaseGone(t *testing.T) {
+// Swaps in one call with a swap whose lease has expired must not fail with it.
+func TestBatcherIsolatesMissingLease(t *testing.T) {
 	c := qt.New(t)
-	srv, kv := start(t, standin.Options{})
+	srv, kv := startStore(t, standin.Options{})
 	srv.SetFaults(standin.Faults{DelayMillis: 50})
 	b := store.NewBatcher(kv, 0)
 	defer b.Close()
@@ -64,23 +63,22 @@
 	wg.Wait()
 }
 
-// The store hangs. Callers past the queue hear so at once instead of piling
-// up; one that gives up in the queue knows that its swap was not made, one
-// whose swap is in flight does not.
-func TestBatcherStoreHangs(t *testing.T) {
+// While the store hangs, swaps beyond the queue fail at once, a canceled swap in the
+// queue is reported as not made, and one in flight as unknown.
+func TestBatcherWithHangingStore(t *testing.T) {
 	c := qt.New(t)
-	srv, kv := start(t, standin.Options{})
+	srv, kv := startStore(t, standin.Options{})
 	srv.SetFaults(standin.Faults{Down: standin.DownHang})
 	b := store.NewBatcher(kv, 1)
 	ctx, cancel := context.WithCancel(context.Background())
-	type end struct {
+	type swapEnd struct {
 		Res store.SwapResult
 		Err error
 	}
-	ends := make(chan end, 3)
+	outcomes := make(chan swapEnd, 3)
 	swap := func() {
 		res, err := b.Swap(ctx, store.Swap{Key: "k", Value: []byte("v")})
-		ends <- end{res, err}
+		outcomes <- swapEnd{res, err}
 	}
 	go swap()
 	for srv.Counters().Txn == 0 {
@@ -88,21 +86,21 @@
 	}
 	go swap()
 	go swap()
-	c.Assert(eris.Is((<-ends).Err, store.ErrQueueFull), qt.IsTrue)
+	c.Assert(eris.Is((<-outcomes).Err, store.ErrQueueFull), qt.IsTrue)
 	cancel()
-	one, two := <-ends, <-ends
-	if one.Err == nil {
-		one, two = two, one
+	canceled, inFlight := <-outcomes, <-outcomes
+	if canceled.Err == nil {
+		canceled, inFlight = inFlight, canceled
 	}
-	c.Assert(eris.Is(one.Err, store.ErrCanceled), qt.IsTrue)
-	c.Assert(two, qt.DeepEquals, end{Res: store.SwapResult{Unknown: true}})
+	c.Assert(eris.Is(canceled.Err, store.ErrCanceled), qt.IsTrue)
+	c.Assert(inFlight, qt.DeepEquals, swapEnd{Res: store.SwapResult{Unknown: true}})
 	srv.SetFaults(standin.Faults{})
-	srv.Close() // releases the hanging call
+	srv.Close() // ends the hanging call
 	b.Close()
 }
 
 func BenchmarkGet(b *testing.B) {
-	_, kv := start(b, standin.Options{})
+	_, kv := startStore(b, standin.Options{})
 	for b.Loop() {
 		if _, _, err := kv.Get(context.Background(), "k"); err != nil {
 			b.Fatal(err)
@@ -111,7 +109,7 @@
 }
 
 func BenchmarkCommit(b *testing.B) {
-	_, kv := start(b, standin.Options{})
+	_, kv := startStore(b, standin.Options{})
 	value := make([]byte, 512)
 	for i := 0; b.Loop(); i++ {
 		swaps := []store.Swap{{Key: fmt.Sprint(i), Value: value}}
@@ -124,7 +122,7 @@
 func BenchmarkBatcher(b *testing.B) {
 	for _, callers := range []int{1, 16, 256} {
 		b.Run(fmt.Sprintf("callers=%d", callers), func(b *testing.B) {
-			srv, kv := start(b, standin.Options{})
+			srv, kv := startStore(b, standin.Options{})
 			batcher := store.NewBatcher(kv, 0)
 			defer batcher.Close()
 			var next atomic.Int64
--- a/store/fuzz_test.go
+++ b/store/fuzz_test.go
@@ -10,15 +10,16 @@
 	"time"
 )
 
-// scripted answers each call with the next status and body, the last one for good.
-type scripted struct {
+// scriptedTransport answers each call with the next status and body, and repeats the
+// last one.
+type scriptedTransport struct {
 	status []int
 	body   []string
 	calls  int
 }
 
 // RoundTrip implements http.RoundTripper.
-func (s *scripted) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s *scriptedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	i := min(s.calls, len(s.body)-1)
 	s.calls++
 	return &http.Response{
@@ -29,15 +30,15 @@
 	}, nil
 }
 
-func (s *scripted) client() *Client {
+func (s *scriptedTransport) client() *Client {
 	return NewClient(Options{Endpoints: []string{"http://store"}, HTTP: &http.Client{Transport: s}})
 }
 
-// fuzzStatus keeps the status within what net/http passes on.
+// fuzzStatus maps n to a status that net/http accepts.
 func fuzzStatus(n uint16) int { return 200 + int(n)%400 }
 
-// FuzzReads: whatever the store or something before it answers, a read returns keys
-// that were asked for, or an error, and a renewed lease has a life.
+// FuzzReads checks that for arbitrary answers a read returns an error or only requested
+// keys, and a renewal an error or a positive TTL.
 func FuzzReads(f *testing.F) {
 	for _, body := range []string{
 		`{"header":{"cluster_id":"7","revision":"12"},"kvs":[{"key":"YS8x","create_revision":"3","mod_revision":"9","value":"eA=="}]}`,
@@ -51,8 +52,8 @@
 		f.Add(uint16(303), body, uint16(0), body)
 	}
 	f.Fuzz(func(t *testing.T, s1 uint16, b1 string, s2 uint16, b2 string) {
-		answers := func() *scripted {
-			return &scripted{status: []int{fuzzStatus(s1), fuzzStatus(s2)}, body: []string{b1, b2}}
+		answers := func() *scriptedTransport {
+			return &scriptedTransport{status: []int{fuzzStatus(s1), fuzzStatus(s2)}, body: []string{b1, b2}}
 		}
 		ctx := context.Background()
 		kv, ok, err := answers().client().Get(ctx, "a/1")
@@ -74,8 +75,8 @@
 	})
 }
 
-// FuzzCommit: a swap counts as done only where the store said so or shows our bytes,
-// and each result is of its own key.
+// FuzzCommit checks that for arbitrary answers a swap is reported as made only if an
+// answer shows it, and that each result is for its own key.
 func FuzzCommit(f *testing.F) {
 	for _, body := range []string{
 		`{"header":{"revision":"12"},"succeeded":true,"responses":[{"response_txn":{"succeeded":true}},{"response_txn":{"succeeded":true}}]}`,
@@ -91,7 +92,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Millisecond)
 		defer cancel()
 		swaps := []Swap{{Key: "a", Value: []byte("ours")}, {Key: "b", Expect: 3, Value: []byte("ours too")}}
-		answers := &scripted{status: []int{fuzzStatus(s1), fuzzStatus(s2)}, body: []string{b1, b2}}
+		answers := &scriptedTransport{status: []int{fuzzStatus(s1), fuzzStatus(s2)}, body: []string{b1, b2}}
 		results, err := answers.client().Commit(ctx, swaps)
 		if err != nil {
 			return
@@ -103,16 +104,16 @@
 			if r.Swapped && r.Unknown || r.Current.Key != "" && r.Current.Key != swaps[i].Key {
 				t.Fatalf("swap of %s: %+v", swaps[i].Key, r)
 			}
-			said := strings.Contains(strings.ToLower(b1+b2), "succeeded")
-			if r.Swapped && !said && !bytes.Equal(r.Current.Value, swaps[i].Value) && !strings.Contains(strings.ToLower(b1+b2), "value") {
+			reported := strings.Contains(strings.ToLower(b1+b2), "succeeded")
+			if r.Swapped && !reported && !bytes.Equal(r.Current.Value, swaps[i].Value) && !strings.Contains(strings.ToLower(b1+b2), "value") {
 				t.Fatalf("swap of %s counts as done without proof: %+v", swaps[i].Key, r)
 			}
 		}
 	})
 }
 
-// FuzzWatch: what a watch delivers grows in revision, each change once, each of its
-// prefix.
+// FuzzWatch checks that for an arbitrary stream a watch delivers only keys with its
+// prefix, in revision order and without repetition.
 func FuzzWatch(f *testing.F) {
 	created := `{"result":{"header":{"cluster_id":"7","revision":"5"},"created":true}}`
 	for _, rest := range []string{
@@ -133,23 +134,23 @@
 			return
 		}
 		last := Revision(from) - 1
-		w := &watcher{prefix: "a/", last: last}
+		w := &watcher{prefix: "a/", lastRevision: last}
 		w.deliver = func(b WatchBatch) {
 			if b.At <= last {
 				t.Fatalf("%+v after %d", b, last)
 			}
-			at := last
+			previous := last
 			for _, e := range b.Events {
-				if e.Mod < at || e.Mod <= last || e.Mod > b.At || !strings.HasPrefix(e.Key, "a/") {
+				if e.Mod < previous || e.Mod <= last || e.Mod > b.At || !strings.HasPrefix(e.Key, "a/") {
 					t.Fatalf("%+v after %d", b, last)
 				}
-				at = e.Mod
+				previous = e.Mod
 			}
 			last = b.At
 		}
-		delivered, err := w.follow(strings.NewReader(stream), func() {})
+		delivered, err := w.readStream(strings.NewReader(stream), func() {})
 		if err == nil || from > 0 && delivered != (last >= Revision(from)) {
-			t.Fatalf("ended at %d, delivered to %d: %v", w.last, last, err)
+			t.Fatalf("ended at %d, delivered to %d: %v", w.lastRevision, last, err)
 		}
 	})
 }
--- a/store/list_test.go
+++ b/store/list_test.go
@@ -16,26 +16,26 @@
 	"github.com/eelgrasshub/eelgrasshub/store/standin"
 )
 
-// listedKeys needs three pages.
+// listedKeys fill three pages.
 const listedKeys = 2500
 
-// pagedStore is a stand-in with listedKeys keys, whose between is called after
-// each answer to a listing.
+// pagedStore is a stand-in with listedKeys keys. It calls afterPage after each answer
+// to a listing.
 type pagedStore struct {
 	*standin.Server
-	client  *store.Client
-	between func(page int)
-	pages   int
+	client    *store.Client
+	afterPage func(page int)
+	pages     int
 }
 
 func newPagedStore(c *qt.C) *pagedStore {
-	p := &pagedStore{Server: standin.New(standin.Options{}), between: func(int) {}}
-	web := httptest.NewServer(p)
-	p.client = store.NewClient(store.Options{Endpoints: []string{web.URL}, CallTimeout: 5 * time.Second})
+	p := &pagedStore{Server: standin.New(standin.Options{}), afterPage: func(int) {}}
+	httpServer := httptest.NewServer(p)
+	p.client = store.NewClient(store.Options{Endpoints: []string{httpServer.URL}, CallTimeout: 5 * time.Second})
 	c.Cleanup(func() {
 		p.client.Close()
 		p.Server.Close()
-		web.Close()
+		httpServer.Close()
 	})
 	var swaps []store.Swap
 	for i := range listedKeys {
@@ -48,48 +48,46 @@
 
 func pagedKey(i int) string { return fmt.Sprintf("jobs/%05d", i) }
 
-// ServeHTTP passes an answer on only after it was counted and between was called: a client
-// that has the last page may else be done before its handler has returned.
+// ServeHTTP counts a page and calls afterPage before it sends the answer; otherwise the
+// client could finish before they are done.
 func (p *pagedStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !strings.HasSuffix(r.URL.Path, "/range") {
 		p.Server.ServeHTTP(w, r)
 		return
 	}
-	answer := httptest.NewRecorder()
-	p.Server.ServeHTTP(answer, r)
+	recorder := httptest.NewRecorder()
+	p.Server.ServeHTTP(recorder, r)
 	p.pages++
-	p.between(p.pages)
-	w.WriteHeader(answer.Code)
-	_, _ = w.Write(answer.Body.Bytes()) // a client that is gone needs no answer
+	p.afterPage(p.pages)
+	w.WriteHeader(recorder.Code)
+	_, _ = w.Write(recorder.Body.Bytes()) // the client may have closed the connection
 }
 
-// write changes a key besides the client, as another process would.
-func (p *pagedStore) write(c *qt.C, i int, value string) {
-	other := p.direct(c)
-	defer other.Close()
-	kv, _, err := other.Get(context.Background(), pagedKey(i))
+// writeKey changes a key as another process would.
+func (p *pagedStore) writeKey(c *qt.C, i int, value string) {
+	client := p.newUncountedClient(c)
+	defer client.Close()
+	kv, _, err := client.Get(context.Background(), pagedKey(i))
 	c.Check(err, qt.IsNil)
-	c.Check(swapOne(c, other, store.Swap{Key: pagedKey(i), Expect: kv.Mod, Value: []byte(value)}).Swapped, qt.IsTrue)
+	c.Check(swapOne(c, client, store.Swap{Key: pagedKey(i), Expect: kv.Mod, Value: []byte(value)}).Swapped, qt.IsTrue)
 }
 
-// direct is a client whose calls are not counted as pages.
-func (p *pagedStore) direct(c *qt.C) *store.Client {
-	web := httptest.NewServer(p.Server)
-	c.Cleanup(web.Close)
-	return store.NewClient(store.Options{Endpoints: []string{web.URL}})
+// newUncountedClient returns a client whose calls are not counted as pages.
+func (p *pagedStore) newUncountedClient(c *qt.C) *store.Client {
+	httpServer := httptest.NewServer(p.Server)
+	c.Cleanup(httpServer.Close)
+	return store.NewClient(store.Options{Endpoints: []string{httpServer.URL}})
 }
 
-// A planner takes over and lists thousands of job records while others change.
-// Had a later page shown a newer state than the first, a job that was changed in
-// between would be missing or listed twice, and the watch from the listing's
-// revision would not bring it.
-func TestListIsOneRevision(t *testing.T) {
+// Writes between two pages must not change a listing: a key would be missing or listed
+// twice, and a watch from the listing's revision would not deliver it.
+func TestListReadsOneRevision(t *testing.T) {
 	c := qt.New(t)
 	p := newPagedStore(c)
-	p.between = func(page int) {
+	p.afterPage = func(page int) {
 		if page == 1 {
-			p.write(c, 0, "second")
-			p.write(c, listedKeys-1, "second")
+			p.writeKey(c, 0, "second")
+			p.writeKey(c, listedKeys-1, "second")
 		}
 	}
 	snap, err := p.client.List(context.Background(), "jobs/")
@@ -103,26 +101,26 @@
 	}
 }
 
-// The store compacts, or is restored from a backup, between two pages. The
-// listing begins again, and shows one state of one store.
-func TestListBeginsAgain(t *testing.T) {
+// A listing starts again if the store compacts its revision or is restored between two
+// pages.
+func TestListRestarts(t *testing.T) {
 	c := qt.New(t)
-	for name, breaks := range map[string]func(p *pagedStore){
+	for name, disrupt := range map[string]func(p *pagedStore){
 		"compacted": func(p *pagedStore) {
-			p.write(c, 7, "second")
+			p.writeKey(c, 7, "second")
 			p.Compact()
 		},
 		"restored": func(p *pagedStore) {
 			p.Restore()
-			p.write(c, 7, "second")
+			p.writeKey(c, 7, "second")
 		},
 	} {
 		c.Run(name, func(c *qt.C) {
 			p := newPagedStore(c)
 			p.Snapshot()
-			p.between = func(page int) {
+			p.afterPage = func(page int) {
 				if page == 1 {
-					breaks(p)
+					disrupt(p)
 				}
 			}
 			snap, err := p.client.List(context.Background(), "jobs/")
@@ -134,28 +132,28 @@
 	}
 }
 
-// A store that compacts without end must not keep a caller for ever.
-func TestListGivesUp(t *testing.T) {
+// A listing must end even if the store compacts after every page.
+func TestListStopsRestarting(t *testing.T) {
 	c := qt.New(t)
 	p := newPagedStore(c)
-	p.between = func(int) {
-		p.write(c, 7, fmt.Sprint(p.pages))
+	p.afterPage = func(int) {
+		p.writeKey(c, 7, fmt.Sprint(p.pages))
 		p.Compact()
 	}
 	_, err := p.client.List(context.Background(), "jobs/")
 	c.Assert(eris.Is(err, store.ErrUnavailable), qt.IsTrue, qt.Commentf("%v", err))
 }
 
-func TestListKeysLeavesValuesOut(t *testing.T) {
+func TestListKeysOmitsValues(t *testing.T) {
 	c := qt.New(t)
 	p := newPagedStore(c)
 	ctx := context.Background()
 	keys, err := p.client.ListKeys(ctx, "jobs/")
 	c.Assert(err, qt.IsNil)
-	whole, err := p.client.List(ctx, "jobs/")
+	withValues, err := p.client.List(ctx, "jobs/")
 	c.Assert(err, qt.IsNil)
-	for i := range whole.Keys {
-		whole.Keys[i].Value = nil
+	for i := range withValues.Keys {
+		withValues.Keys[i].Value = nil
 	}
-	c.Assert(keys, qt.DeepEquals, whole)
+	c.Assert(keys, qt.DeepEquals, withValues)
 }
--- a/store/standin/control_test.go
+++ b/store/standin/control_test.go
@@ -16,17 +16,17 @@
 	c := qt.New(t)
 	srv := standin.New(standin.Options{})
 	defer srv.Close()
-	web := httptest.NewServer(srv)
-	defer web.Close()
+	httpServer := httptest.NewServer(srv)
+	defer httpServer.Close()
 	post := func(path, body string) (int, string) {
-		resp, err := http.Post(web.URL+path, "application/json", strings.NewReader(body))
+		resp, err := http.Post(httpServer.URL+path, "application/json", strings.NewReader(body))
 		c.Assert(err, qt.IsNil)
 		defer resp.Body.Close()
 		got, err := io.ReadAll(resp.Body)
 		c.Assert(err, qt.IsNil)
 		return resp.StatusCode, strings.TrimSpace(string(got))
 	}
-	// The published form of a write: keys and values in base64.
+	// Keys and values are base64 in the JSON form of the API.
 	const put = `{"success":[{"request_put":{"key":"Zm9v","value":"YmFy"}}]}`
 
 	post("/standin/snapshot", "")
--- a/store/standin/entry.go
+++ b/store/standin/entry.go
@@ -6,8 +6,8 @@
 	"github.com/eelgrasshub/eelgrasshub/store/internal/v3json"
 )
 
-// entry is one key with its versions, oldest first. Entries are never changed
-// in place, so that a snapshot may share them.
+// entry is one key with its versions, oldest first. Entries are immutable, so that
+// snapshots can share them.
 type entry struct {
 	key      string
 	versions []version
@@ -20,8 +20,8 @@
 
 func entryLess(a, b entry) bool { return a.key < b.key }
 
-// at returns the key as of rev.
-func (e entry) at(rev int64) (v3json.KeyValue, bool) {
+// valueAt returns the key at revision rev.
+func (e entry) valueAt(rev int64) (v3json.KeyValue, bool) {
 	for _, v := range slices.Backward(e.versions) {
 		if v.kv.ModRevision > rev {
 			continue
@@ -34,20 +34,20 @@
 	return v3json.KeyValue{}, false
 }
 
-func (e entry) with(v version) entry {
+func (e entry) withVersion(v version) entry {
 	e.versions = append(slices.Clip(e.versions), v)
 	return e
 }
 
-// compact drops the versions that no revision from rev on can see.
+// compact drops the versions that are not visible at rev or later.
 func (e entry) compact(rev int64) entry {
-	from := 0
+	firstKept := 0
 	for i, v := range e.versions {
 		if v.kv.ModRevision <= rev {
-			from = i
+			firstKept = i
 		}
 	}
-	kept := e.versions[from:]
+	kept := e.versions[firstKept:]
 	if len(kept) == 1 && kept[0].deleted && kept[0].kv.ModRevision <= rev {
 		kept = nil
 	}
--- a/store/standin/server.go
+++ b/store/standin/server.go
@@ -11,25 +11,25 @@
 	"github.com/eelgrasshub/eelgrasshub/store/internal/v3json"
 )
 
-// Server is the stand-in: an http.Handler over one in-memory store. It is safe
-// for concurrent use. Close ends its watches.
+// Server is an http.Handler that serves one in-memory store. It is safe for concurrent
+// use.
 type Server struct {
 	opts Options
 	mux  *http.ServeMux
 	tomb tomb.Tomb
 
-	mu       sync.Mutex
-	state    *state
-	saved    *state
-	faults   Faults
-	reads    *rate.Limiter
-	writes   *rate.Limiter
-	counters Counters
-	watches  map[*watch]struct{}
-	changed  chan struct{} // closed and replaced when watches may have work
+	mu           sync.Mutex
+	state        *state
+	snapshot     *state
+	faults       Faults
+	readLimiter  *rate.Limiter
+	writeLimiter *rate.Limiter
+	counters     Counters
+	watches      map[*watch]struct{}
+	changed      chan struct{} // closed and replaced when watches have to check for changes
 }
 
-// New returns a running Server.
+// New starts a Server.
 func New(opts Options) *Server {
 	s := &Server{
 		opts:    opts.withDefaults(),
@@ -43,8 +43,7 @@
 	return s
 }
 
-// Close ends every watch and hanging call and waits for the Server's own
-// goroutine.
+// Close ends all watches and hanging calls and waits for the Server's own goroutine.
 func (s *Server) Close() {
 	s.tomb.Kill(nil)
 	_ = s.tomb.Wait()
@@ -55,7 +54,7 @@
 	s.mux.ServeHTTP(w, r)
 }
 
-// run lets leases lapse while nobody calls.
+// run removes expired leases periodically, unless Options.Now is set.
 func (s *Server) run() error {
 	if s.opts.Now != nil {
 		<-s.tomb.Dying()
@@ -73,7 +72,7 @@
 	}
 }
 
-// Expire ends the leases whose time is over by the Server's clock.
+// Expire removes the leases that have expired by the Server's clock.
 func (s *Server) Expire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,9 +80,9 @@
 }
 
 func (s *Server) expire() {
-	before := s.state.rev
-	s.state.expire(s.now())
-	s.wakeIf(before)
+	oldRevision := s.state.revision
+	s.state.expireLeases(s.now())
+	s.notifyIfChanged(oldRevision)
 }
 
 func (s *Server) now() time.Time {
@@ -93,21 +92,22 @@
 	return time.Now()
 }
 
-// wakeIf wakes the watches where the revision is no longer before.
-func (s *Server) wakeIf(before int64) {
-	if s.state.rev == before {
+// notifyIfChanged trims the history and wakes the watches if the revision differs from
+// oldRevision.
+func (s *Server) notifyIfChanged(oldRevision int64) {
+	if s.state.revision == oldRevision {
 		return
 	}
-	s.state.trim(s.opts.MaxHistory)
-	s.wake()
+	s.state.trimHistory(s.opts.MaxHistory)
+	s.notifyWatches()
 }
 
-func (s *Server) wake() {
+func (s *Server) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the active faults.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,84 +117,84 @@
 	}
 	f.CutWatches, f.FreezeWatches = false, false
 	s.faults = f
-	s.reads, s.writes = limiter(f.MaxReads), limiter(f.MaxWrites)
-	s.wake()
+	s.readLimiter, s.writeLimiter = newLimiter(f.MaxReads), newLimiter(f.MaxWrites)
+	s.notifyWatches()
 }
 
-func limiter(perSecond float64) *rate.Limiter {
+func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return nil
 	}
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-// Faults returns the faults in force; the counts of writes still to be lost
-// fall as they are used.
+// Faults returns the active faults. LoseReplies and LoseRequests count down as they are
+// used.
 func (s *Server) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// Counters returns the calls received so far.
+// Counters returns the number of calls received so far.
 func (s *Server) Counters() Counters {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counters
 }
 
-// Snapshot keeps a copy of the state for Restore.
+// Snapshot saves a copy of the state for Restore.
 func (s *Server) Snapshot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.saved = s.state.clone()
+	s.snapshot = s.state.clone()
 }
 
-// Restore goes back to the last Snapshot, or to an empty store: revisions go
-// back, leases start their time anew, watches are cut, and the identity of the
-// cluster changes, as after a restore from a backup.
+// Restore restores the last Snapshot, or an empty store, as a restore from a backup
+// does: revisions decrease, leases start again with their full TTL, watches are closed,
+// and the cluster ID changes.
 func (s *Server) Restore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	cluster := s.state.cluster
+	oldClusterID := s.state.clusterID
 	s.state = newState()
-	if s.saved != nil {
-		s.state = s.saved.clone()
+	if s.snapshot != nil {
+		s.state = s.snapshot.clone()
 	}
-	s.state.cluster = cluster + 1
+	s.state.clusterID = oldClusterID + 1
 	for _, l := range s.state.leases {
 		l.expires = s.now().Add(l.ttl)
 	}
 	for w := range s.watches {
 		w.cut = true
 	}
-	s.wake()
+	s.notifyWatches()
 }
 
-// Compact forgets all history before the newest revision.
+// Compact drops all history before the latest revision.
 func (s *Server) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.state.compact(s.state.rev)
+	s.state.compact(s.state.revision)
 }
 
-// Revision returns the newest revision.
+// Revision returns the latest revision.
 func (s *Server) Revision() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.state.rev
+	return s.state.revision
 }
 
-func (s *Server) rangeKeys(req *v3json.RangeRequest) (*v3json.RangeResponse, *failure) {
+func (s *Server) handleRange(req *v3json.RangeRequest) (*v3json.RangeResponse, *apiError) {
 	rev := req.Revision
 	if rev == 0 {
-		rev = s.state.rev
+		rev = s.state.revision
 	}
-	if rev < s.state.compacted {
-		return nil, refusal(v3json.CodeOutOfRange, v3json.MsgCompacted)
+	if rev < s.state.compactRevision {
+		return nil, newAPIError(v3json.CodeOutOfRange, v3json.MsgCompacted)
 	}
-	if rev > s.state.rev {
-		return nil, refusal(v3json.CodeOutOfRange, v3json.MsgFutureRevision)
+	if rev > s.state.revision {
+		return nil, newAPIError(v3json.CodeOutOfRange, v3json.MsgFutureRevision)
 	}
 	res := &v3json.RangeResponse{Header: s.state.header()}
 	res.Kvs = s.state.list(req.Key, req.RangeEnd, rev)
--- a/store/watch_test.go
+++ b/store/watch_test.go
@@ -16,23 +16,23 @@
 	"github.com/eelgrasshub/eelgrasshub/store/standin"
 )
 
-func serve(t testing.TB, srv *standin.Server) string {
-	web := httptest.NewServer(srv)
+func serveStandin(t testing.TB, srv *standin.Server) string {
+	httpServer := httptest.NewServer(srv)
 	t.Cleanup(func() {
 		srv.Close()
-		web.Close()
+		httpServer.Close()
 	})
-	return web.URL
+	return httpServer.URL
 }
 
-func quickIdle(o *store.Options) { o.WatchIdleTimeout = 100 * time.Millisecond }
+func shortWatchIdle(o *store.Options) { o.WatchIdleTimeout = 100 * time.Millisecond }
 
-var quickProgress = standin.Options{ProgressInterval: 20 * time.Millisecond}
+var frequentProgress = standin.Options{ProgressInterval: 20 * time.Millisecond}
 
-// collect watches from the first revision on until it has seen a key named
-// end, and returns the events.
-func collect(c *qt.C, kv store.Store, prefix string) []store.Event {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// collectEvents watches from the first revision until the key prefix+"end" is written,
+// and returns the events.
+func collectEvents(c *qt.C, kv store.Store, prefix string) []store.Event {
+	ctx, cancel := context.WithTimeout(context.Background(), generousTimeout)
 	defer cancel()
 	var events []store.Event
 	err := kv.Watch(ctx, prefix, 1, func(b store.WatchBatch) {
@@ -47,25 +47,23 @@
 	return events
 }
 
-// Entries disagree for good about what is in force: a watch was cut or went
-// silent, and the change made meanwhile was missed, or delivered twice.
-//
-// At the same time writers race for few keys while replies and requests are
-// lost: each must be told the truth about its own write.
+// A watch must deliver every change exactly once although connections are cut or become
+// unresponsive, and concurrent swaps must be reported correctly although replies and
+// requests are lost.
 func TestWatchAndSwapsUnderFaults(t *testing.T) {
 	const seed, writers, writes = 1, 4, 150
 	c := qt.New(t)
-	srv, kv := start(t, quickProgress, quickIdle)
+	srv, kv := startStore(t, frequentProgress, shortWatchIdle)
 	var watching, writing sync.WaitGroup
-	var seen []store.Event
-	watching.Go(func() { seen = collect(c, kv, "k/") })
+	var live []store.Event
+	watching.Go(func() { live = collectEvents(c, kv, "k/") })
 	results := make(map[string]store.SwapResult)
 	var mu sync.Mutex
 	for n := range writers {
 		rng := rand.New(rand.NewPCG(seed, uint64(n)))
 		writing.Go(func() {
 			for i := range writes {
-				disturb(srv, rng)
+				injectRandomFault(srv, rng)
 				value := fmt.Sprintf("%d/%d", n, i)
 				res := randomSwap(c, kv, rng, value)
 				mu.Lock()
@@ -79,31 +77,31 @@
 	swapOne(c, kv, store.Swap{Key: "k/end", Value: []byte("end")})
 	watching.Wait()
 
-	truth := collect(c, kv, "k/")
-	c.Assert(seen, qt.DeepEquals, truth)
-	made := make(map[string]int)
-	for _, e := range truth {
-		made[string(e.Value)]++
+	replayed := collectEvents(c, kv, "k/")
+	c.Assert(live, qt.DeepEquals, replayed)
+	writesByValue := make(map[string]int)
+	for _, e := range replayed {
+		writesByValue[string(e.Value)]++
 	}
 	var swapped, conflicts, unknown int
 	for value, res := range results {
 		switch {
 		case res.Swapped:
 			swapped++
-			c.Check(made[value], qt.Equals, 1, qt.Commentf("%s reported as made", value))
+			c.Check(writesByValue[value], qt.Equals, 1, qt.Commentf("%s reported as made", value))
 		case res.Unknown:
 			unknown++
-			c.Check(made[value] <= 1, qt.IsTrue)
+			c.Check(writesByValue[value] <= 1, qt.IsTrue)
 		default:
 			conflicts++
-			c.Check(made[value], qt.Equals, 0, qt.Commentf("%s reported as not made", value))
+			c.Check(writesByValue[value], qt.Equals, 0, qt.Commentf("%s reported as not made", value))
 		}
 	}
 	t.Logf("seed %d: %d swapped, %d conflicts, %d unknown, calls %+v", seed, swapped, conflicts, unknown, kv.Calls())
 	c.Assert(swapped > 0 && conflicts > 0 && kv.Calls().Lost > 0, qt.IsTrue)
 }
 
-func disturb(srv *standin.Server, rng *rand.Rand) {
+func injectRandomFault(srv *standin.Server, rng *rand.Rand) {
 	switch n := rng.IntN(80); {
 	case n < 10:
 		srv.SetFaults(standin.Faults{LoseReplies: 1 + rng.IntN(3)})
@@ -116,19 +114,19 @@
 	}
 }
 
-// randomSwap proposes value for one of three keys at the revision last read,
-// sometimes after deleting the key.
+// randomSwap writes value to one of three keys at the revision last read, sometimes
+// after deleting the key.
 func randomSwap(c *qt.C, kv store.Store, rng *rand.Rand, value string) store.SwapResult {
 	ctx := context.Background()
 	key := fmt.Sprintf("k/%d", rng.IntN(3))
-	held, _, err := kv.Get(ctx, key)
+	current, _, err := kv.Get(ctx, key)
 	c.Check(err, qt.IsNil)
-	if rng.IntN(6) == 0 && held.Mod != 0 {
-		_, err = kv.Commit(ctx, []store.Swap{{Key: key, Expect: held.Mod, Delete: true}})
+	if rng.IntN(6) == 0 && current.Mod != 0 {
+		_, err = kv.Commit(ctx, []store.Swap{{Key: key, Expect: current.Mod, Delete: true}})
 		c.Check(err, qt.IsNil)
-		held.Mod = 0
+		current.Mod = 0
 	}
-	res, err := kv.Commit(ctx, []store.Swap{{Key: key, Expect: held.Mod, Value: []byte(value)}})
+	res, err := kv.Commit(ctx, []store.Swap{{Key: key, Expect: current.Mod, Value: []byte(value)}})
 	c.Check(err, qt.IsNil)
 	if err != nil {
 		return store.SwapResult{Unknown: true}
@@ -136,13 +134,12 @@
 	return res[0]
 }
 
-// A change is in the store and never arrives: something between the two ends
-// has lost track of the connection, which stays open and silent.
-func TestWatchSilent(t *testing.T) {
+// A watch whose connection stays open without messages must be replaced.
+func TestWatchReplacesUnresponsiveConnection(t *testing.T) {
 	c := qt.New(t)
-	srv, kv := start(t, quickProgress, quickIdle)
+	srv, kv := startStore(t, frequentProgress, shortWatchIdle)
 	swapOne(c, kv, store.Swap{Key: "1", Value: []byte("v")})
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), generousTimeout)
 	defer cancel()
 	var keys []string
 	err := kv.Watch(ctx, "", 1, func(b store.WatchBatch) {
@@ -161,8 +158,8 @@
 	c.Assert(keys, qt.DeepEquals, []string{"1", "2"})
 }
 
-// A watch resumes on a store that no longer has the changes between, or was
-// rebuilt from a backup: it must say so instead of going on with a gap.
+// A watch must return ErrCompacted instead of skipping changes that the store no longer
+// has or that a restore removed.
 func TestWatchCompactedOrRestored(t *testing.T) {
 	for name, change := range map[string]func(*standin.Server){
 		"compacted": (*standin.Server).Compact,
@@ -170,7 +167,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			srv, kv := start(t, quickProgress, quickIdle)
+			srv, kv := startStore(t, frequentProgress, shortWatchIdle)
 			for i := range 5 {
 				swapOne(c, kv, store.Swap{Key: fmt.Sprint(i), Value: []byte("v")})
 			}
@@ -181,11 +178,11 @@
 	}
 }
 
-// The store is rebuilt while a watch is open; its revisions have already
-// passed the old ones when the watch is back.
-func TestWatchRestoredAndPassed(t *testing.T) {
+// A restore during a watch must be detected even if the store's revision has passed the
+// old one when the watch reconnects.
+func TestWatchRestoredBeyondOldRevision(t *testing.T) {
 	c := qt.New(t)
-	srv, kv := start(t, quickProgress, quickIdle)
+	srv, kv := startStore(t, frequentProgress, shortWatchIdle)
 	first := true
 	err := kv.Watch(context.Background(), "", 1, func(store.WatchBatch) {
 		if first {
--- a/wire/call_test.go
+++ b/wire/call_test.go
@@ -13,58 +13,56 @@
 func TestBothEndsCallOverOneConnection(t *testing.T) {
 	c := qt.New(t)
 	accepted := make(chan *Conn, 1)
-	server := open(c, "entry", Config{OnAccept: func(conn *Conn) { accepted <- conn }}, echo)
-	client := open(c, "agent", Config{}, echo)
+	server := openEndpoint(c, "entry", Config{OnAccept: func(conn *Conn) { accepted <- conn }}, echo)
+	client := openEndpoint(c, "agent", Config{}, echo)
 	conn := dial(c, client, server.Addr())
 	c.Assert(conn.Peer().ID, qt.Equals, "entry")
-	back := await(c, accepted)
-	c.Assert(back.Peer(), qt.Equals, client.Identity().Peer())
-	for _, conn := range []*Conn{conn, back} {
-		reply, err := conn.Call(within(c, 10*time.Second), GangMessage{Payload: []byte("x")})
+	serverConn := await(c, accepted)
+	c.Assert(serverConn.Peer(), qt.Equals, client.Identity().Peer())
+	for _, conn := range []*Conn{conn, serverConn} {
+		reply, err := conn.Call(contextWithTimeout(c, 10*time.Second), GangMessage{Payload: []byte("x")})
 		c.Assert(err, qt.IsNil)
 		c.Assert(reply, qt.DeepEquals, &GangReply{Payload: []byte("x")})
 	}
 }
 
-// Story: an entry sends a booking and the connection dies before the answer.
-// If it believed the booking had not run, it would send it elsewhere and the
-// space would be booked twice. The handler has the message, so the outcome must
-// be unknown. A call on the dead connection afterwards never left.
-func TestConnectionLostMidCallIsUnknown(t *testing.T) {
+// If the connection ends while the handler runs, the outcome must be unknown; otherwise
+// the caller would book the same capacity twice. A later call on the connection is not
+// handled.
+func TestLostConnectionLeavesOutcomeUnknown(t *testing.T) {
 	c := qt.New(t)
 	running := make(chan struct{})
 	cancelled := make(chan struct{})
-	server := open(c, "agent", Config{}, func(ctx context.Context, from *Conn, _ any) (any, error) {
+	server := openEndpoint(c, "agent", Config{}, func(ctx context.Context, from *Conn, _ any) (any, error) {
 		close(running)
 		from.Close()
 		<-ctx.Done()
 		close(cancelled)
 		return nil, ctx.Err()
 	})
-	client := open(c, "entry", Config{}, echo)
+	client := openEndpoint(c, "entry", Config{}, echo)
 	conn := dial(c, client, server.Addr())
-	_, err := conn.Call(within(c, 10*time.Second), GangMessage{})
+	_, err := conn.Call(contextWithTimeout(c, 10*time.Second), GangMessage{})
 	await(c, running)
 	c.Assert(errors.Is(err, ErrOutcomeUnknown), qt.IsTrue, qt.Commentf("%v", err))
 	c.Assert(errors.Is(err, ErrNotHandled), qt.IsFalse)
 	await(c, cancelled)
-	_, err = conn.Call(within(c, 10*time.Second), GangMessage{})
+	_, err = conn.Call(contextWithTimeout(c, 10*time.Second), GangMessage{})
 	c.Assert(errors.Is(err, ErrNotHandled), qt.IsTrue, qt.Commentf("%v", err))
 }
 
-// Story: a caller cancels; its worker should stop computing an answer that
-// nobody reads. The handler's context must end although the connection lives.
+// Cancelling a call must end the handler's context while the connection stays open.
 func TestCancelledCallCancelsHandler(t *testing.T) {
 	c := qt.New(t)
 	running := make(chan struct{})
 	cancelled := make(chan struct{})
-	server := open(c, "agent", Config{}, func(ctx context.Context, _ *Conn, _ any) (any, error) {
+	server := openEndpoint(c, "agent", Config{}, func(ctx context.Context, _ *Conn, _ any) (any, error) {
 		close(running)
 		<-ctx.Done()
 		close(cancelled)
 		return nil, ctx.Err()
 	})
-	client := open(c, "entry", Config{}, echo)
+	client := openEndpoint(c, "entry", Config{}, echo)
 	conn := dial(c, client, server.Addr())
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
@@ -75,16 +73,16 @@
 	c.Assert(errors.Is(err, ErrOutcomeUnknown), qt.IsTrue)
 	c.Assert(errors.Is(err, context.Canceled), qt.IsTrue)
 	await(c, cancelled)
-	c.Assert(conn.Ping(within(c, 10*time.Second)), qt.IsNil)
+	c.Assert(conn.Ping(contextWithTimeout(c, 10*time.Second)), qt.IsNil)
 }
 
 type unregistered struct{}
 
-func TestRefusalsProveThatNothingRan(t *testing.T) {
+func TestCallErrorsMatchHandlerExecution(t *testing.T) {
 	c := qt.New(t)
-	var ran atomic.Int32
-	server := open(c, "agent", Config{MaxPayload: 100}, func(_ context.Context, _ *Conn, msg any) (any, error) {
-		ran.Add(1)
+	var handled atomic.Int32
+	server := openEndpoint(c, "agent", Config{MaxPayload: 100}, func(_ context.Context, _ *Conn, msg any) (any, error) {
+		handled.Add(1)
 		switch string(msg.(*GangMessage).Payload) {
 		case "no":
 			return nil, NotHandled(errors.New("full"))
@@ -94,13 +92,13 @@
 			return nil, &CallError{Outcome: ErrNotHandled, Cause: errors.New("of another call")}
 		}
 	})
-	client := open(c, "entry", Config{}, echo)
+	client := openEndpoint(c, "entry", Config{}, echo)
 	conn := dial(c, client, server.Addr())
 	for _, test := range []struct {
-		story string
-		msg   any
-		want  []error
-		ran   int32
+		name    string
+		msg     any
+		want    []error
+		handled int32
 	}{
 		{"a Go type that nobody registered", unregistered{}, []error{ErrNotHandled, ErrUnknownKind}, 0},
 		{"a frame beyond the receiver's limit", GangMessage{Payload: make([]byte, 200)}, []error{ErrNotHandled, ErrFrameTooLarge}, 0},
@@ -109,53 +107,52 @@
 		{"a handler that failed in a call of its own", GangMessage{}, []error{ErrOutcomeUnknown, ErrHandler}, 2},
 		{"a reply beyond the limit", GangMessage{Payload: []byte("big")}, []error{ErrOutcomeUnknown, ErrHandler}, 3},
 	} {
-		_, err := conn.Call(within(c, 10*time.Second), test.msg)
+		_, err := conn.Call(contextWithTimeout(c, 10*time.Second), test.msg)
 		c.Check(errors.Is(err, ErrNotHandled) != errors.Is(err, ErrOutcomeUnknown), qt.IsTrue)
 		for _, want := range test.want {
-			c.Check(errors.Is(err, want), qt.IsTrue, qt.Commentf("%s: %v", test.story, err))
+			c.Check(errors.Is(err, want), qt.IsTrue, qt.Commentf("%s: %v", test.name, err))
 		}
-		c.Check(ran.Load(), qt.Equals, test.ran, qt.Commentf(test.story))
+		c.Check(handled.Load(), qt.Equals, test.handled, qt.Commentf(test.name))
 	}
 }
 
-// Story: an entry cancels a booking because another call of its own was not
-// sent. The booking is running; the cause of the cancellation must not make it
-// look as if it had not been sent either.
-func TestCauseDoesNotChangeTheOutcome(t *testing.T) {
+// A cancelled call must not match ErrNotHandled because the cause of the cancellation
+// is another call that was not handled.
+func TestCancelCauseDoesNotChangeOutcome(t *testing.T) {
 	c := qt.New(t)
 	running := make(chan struct{})
-	server := open(c, "agent", Config{}, func(ctx context.Context, _ *Conn, _ any) (any, error) {
+	server := openEndpoint(c, "agent", Config{}, func(ctx context.Context, _ *Conn, _ any) (any, error) {
 		close(running)
 		<-ctx.Done()
 		return nil, ctx.Err()
 	})
-	conn := dial(c, open(c, "entry", Config{}, echo), server.Addr())
+	conn := dial(c, openEndpoint(c, "entry", Config{}, echo), server.Addr())
 	ctx, cancel := context.WithCancelCause(context.Background())
 	go func() {
 		<-running
-		cancel(notSent(ErrClosed))
+		cancel(callNotHandled(ErrClosed))
 	}()
 	_, err := conn.Call(ctx, GangMessage{})
 	c.Assert(errors.Is(err, ErrOutcomeUnknown), qt.IsTrue)
 	c.Assert(errors.Is(err, ErrNotHandled), qt.IsFalse)
 }
 
-func TestWrongClusterKeyIsRefused(t *testing.T) {
+func TestWrongClusterKeyIsRejected(t *testing.T) {
 	c := qt.New(t)
-	server := open(c, "entry", Config{}, echo)
+	server := openEndpoint(c, "entry", Config{}, echo)
 	for _, test := range []struct {
-		story string
-		id    Identity
-		want  bool
+		name string
+		id   Identity
+		want bool
 	}{
-		{"a process of another cluster", identity(c, "x", otherKey), false},
-		{"it trusts us but we don't trust it", identity(c, "x", otherKey, testKey), false},
-		{"the key is being replaced: ours, other accepted", identity(c, "x", testKey, otherKey), true},
+		{"a process of another cluster", newTestIdentity(c, "x", otherKey), false},
+		{"it trusts us but we don't trust it", newTestIdentity(c, "x", otherKey, testKey), false},
+		{"the key is being replaced: ours, other accepted", newTestIdentity(c, "x", testKey, otherKey), true},
 	} {
 		client, err := Listen("127.0.0.1:0", test.id, HandlerFunc(echo))
 		c.Assert(err, qt.IsNil)
-		_, err = client.Dial(within(c, 10*time.Second), server.Addr())
-		c.Check(err == nil, qt.Equals, test.want, qt.Commentf("%s: %v", test.story, err))
+		_, err = client.Dial(contextWithTimeout(c, 10*time.Second), server.Addr())
+		c.Check(err == nil, qt.Equals, test.want, qt.Commentf("%s: %v", test.name, err))
 		c.Check(err == nil || errors.Is(err, ErrNotHandled), qt.IsTrue)
 		c.Assert(client.Close(), qt.IsNil)
 	}
--- a/wire/dial.go
+++ b/wire/dial.go
@@ -8,73 +8,73 @@
 	"github.com/rotisserie/eris"
 )
 
-// Dial opens a connection to addr, "host:port" with an IP number, and
-// exchanges Hello. Its errors match ErrNotSent.
+// Dial opens a connection to addr, an IP address and port, and exchanges Hello. Its
+// errors match ErrNotHandled.
 //
-// Each connection has a UDP socket, and so a source port, of its own: when a
-// device between the ends has lost track of a flow, a new connection from the
-// same port would be the same flow to it and go silent too.
+// Each connection has its own UDP socket and thus its own source port. If a network
+// device has lost the state of a flow, a new connection from the same port would belong
+// to that flow and be unresponsive too.
 func (ep *Endpoint) Dial(ctx context.Context, addr string) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, ep.cfg.HandshakeTimeout)
 	defer cancel()
-	c, err := ep.handshake(ctx, addr)
+	c, err := ep.dialQUIC(ctx, addr)
 	if err != nil {
-		return nil, notSent(eris.Wrapf(err, "dial %s", addr))
+		return nil, callNotHandled(eris.Wrapf(err, "dial %s", addr))
 	}
-	if !ep.start(c) {
+	if !ep.register(c) {
 		c.Close()
-		c.onEnd()
-		return nil, notSent(ErrClosed)
+		c.onClose()
+		return nil, callNotHandled(ErrClosed)
 	}
-	if err := c.hello(ctx); err != nil {
+	if err := c.sendHello(ctx); err != nil {
 		c.Close()
-		return nil, notSent(eris.Wrapf(err, "hello to %s", addr))
+		return nil, callNotHandled(eris.Wrapf(err, "hello to %s", addr))
 	}
 	return c, nil
 }
 
-func (ep *Endpoint) handshake(ctx context.Context, addr string) (*Conn, error) {
+func (ep *Endpoint) dialQUIC(ctx context.Context, addr string) (*Conn, error) {
 	remote, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
 		return nil, err
 	}
-	socket, err := ep.cfg.ListenPacket("udp", wildcard(remote))
+	socket, err := ep.cfg.ListenPacket("udp", localAddrFor(remote))
 	if err != nil {
 		return nil, err
 	}
 	transport := &quic.Transport{Conn: socket}
-	release := func() {
+	closeTransport := func() {
 		transport.Close()
 		socket.Close()
 	}
-	q, err := transport.Dial(ctx, remote, ep.id.tlsConfig(), ep.quicCfg)
+	quicConn, err := transport.Dial(ctx, remote, ep.id.tlsConfig(), ep.quicConfig)
 	if err != nil {
-		release()
+		closeTransport()
 		return nil, err
 	}
-	c := newConn(ep, q)
-	c.onEnd = release
+	c := newConn(ep, quicConn)
+	c.onClose = closeTransport
 	return c, nil
 }
 
-// wildcard is the local address that reaches remote.
-func wildcard(remote *net.UDPAddr) string {
+// localAddrFor returns the local address to bind for connections to remote.
+func localAddrFor(remote *net.UDPAddr) string {
 	if remote.IP.IsLoopback() {
 		return net.JoinHostPort(remote.IP.String(), "0")
 	}
 	return ":0"
 }
 
-// hello introduces the dialer and learns the peer.
-func (c *Conn) hello(ctx context.Context) error {
+// sendHello sends this process's identity and stores the peer's.
+func (c *Conn) sendHello(ctx context.Context) error {
 	reply, err := c.exchange(ctx, &Hello{Peer: c.ep.id.peer})
 	if err != nil {
 		return err
 	}
-	answer, ok := reply.(*HelloReply)
+	helloReply, ok := reply.(*HelloReply)
 	if !ok {
 		return eris.Wrapf(ErrMalformed, "reply %T to hello", reply)
 	}
-	c.peer.Store(&answer.Peer)
+	c.peer.Store(&helloReply.Peer)
 	return nil
 }
--- a/wire/endpoint.go
+++ b/wire/endpoint.go
@@ -13,30 +13,30 @@
 	"gopkg.in/tomb.v2"
 )
 
-// Application error codes of closed connections and cancelled streams.
+// Application error codes for closed connections and cancelled streams.
 const (
-	closeNormal  quic.ApplicationErrorCode = 0
-	closeSilent  quic.ApplicationErrorCode = 1
-	closeNoHello quic.ApplicationErrorCode = 2
-	streamCancel quic.StreamErrorCode      = 1
+	closeNormal       quic.ApplicationErrorCode = 0
+	closeUnresponsive quic.ApplicationErrorCode = 1
+	closeNoHello      quic.ApplicationErrorCode = 2
+	streamCancelled   quic.StreamErrorCode      = 1
 )
 
-// Endpoint accepts connections on one UDP socket and dials others, each from a
-// socket of its own. It is safe for concurrent use.
+// Endpoint accepts connections on one UDP socket and dials others, each from its own
+// socket. It is safe for concurrent use.
 //
-// Its goroutines live in one tomb: the accept loop, the monitor that probes
-// silent connections, and for each connection a loop and its exchanges.
+// One tomb owns its goroutines: the accept loop, the liveness monitor, and for each
+// connection a loop and its exchanges.
 type Endpoint struct {
-	cfg       Config
-	id        Identity
-	handler   Handler
-	socket    net.PacketConn
-	transport *quic.Transport
-	listener  *quic.Listener
-	quicCfg   *quic.Config
-	serving   inflight
-	accepted  atomic.Int64
-	limiter   *rate.Limiter
+	cfg           Config
+	id            Identity
+	handler       Handler
+	socket        net.PacketConn
+	transport     *quic.Transport
+	listener      *quic.Listener
+	quicConfig    *quic.Config
+	handling      inflight
+	acceptedConns atomic.Int64
+	acceptLimiter *rate.Limiter
 
 	tomb   tomb.Tomb
 	mu     sync.Mutex
@@ -44,13 +44,12 @@
 	conns  map[*Conn]struct{}
 }
 
-// Listen opens an endpoint with default settings.
+// Listen opens an endpoint with the default Config.
 func Listen(addr string, id Identity, h Handler) (*Endpoint, error) {
 	return Config{}.Listen(addr, id, h)
 }
 
-// Listen opens an endpoint on addr, "host:port" with an IP number; port 0
-// takes a free one.
+// Listen opens an endpoint on addr, an IP address and port; port 0 selects a free one.
 func (c Config) Listen(addr string, id Identity, h Handler) (*Endpoint, error) {
 	c = c.withDefaults()
 	socket, err := c.ListenPacket("udp", addr)
@@ -58,14 +57,14 @@
 		return nil, eris.Wrap(err, "open endpoint")
 	}
 	ep := &Endpoint{
-		cfg:     c,
-		id:      id,
-		handler: h,
-		socket:  socket,
-		limiter: rate.NewLimiter(rate.Limit(c.AcceptRate), c.AcceptBurst),
-		conns:   map[*Conn]struct{}{},
+		cfg:           c,
+		id:            id,
+		handler:       h,
+		socket:        socket,
+		acceptLimiter: rate.NewLimiter(rate.Limit(c.AcceptRate), c.AcceptBurst),
+		conns:         map[*Conn]struct{}{},
 	}
-	ep.quicCfg = ep.newQUICConfig()
+	ep.quicConfig = ep.newQUICConfig()
 	if err := ep.listen(); err != nil {
 		socket.Close()
 		return nil, err
@@ -76,7 +75,7 @@
 }
 
 func (ep *Endpoint) listen() error {
-	key, err := ep.id.resetKey(ep.socket.LocalAddr().String())
+	key, err := ep.id.statelessResetKey(ep.socket.LocalAddr().String())
 	if err != nil {
 		return eris.Wrap(err, "derive reset key")
 	}
@@ -84,15 +83,15 @@
 	ep.transport = &quic.Transport{
 		Conn:              ep.socket,
 		StatelessResetKey: &resetKey,
-		ConnContext:       ep.admit,
+		ConnContext:       ep.admitHandshake,
 	}
-	ep.listener, err = ep.transport.Listen(ep.id.tlsConfig(), ep.quicCfg)
+	ep.listener, err = ep.transport.Listen(ep.id.tlsConfig(), ep.quicConfig)
 	return eris.Wrap(err, "listen")
 }
 
-// newQUICConfig turns QUIC's keepalive off: an acknowledgement by the peer's
-// QUIC stack does not prove that its process works, and it would cost bytes on
-// every idle connection. The idle timeout only bounds what a bug could leak.
+// newQUICConfig disables QUIC's keep-alive: an acknowledgement from the peer's QUIC
+// stack does not prove that its process works, and would cost traffic on every idle
+// connection. The idle timeout is only a fallback against leaked connections.
 func (ep *Endpoint) newQUICConfig() *quic.Config {
 	return &quic.Config{
 		HandshakeIdleTimeout:       ep.cfg.HandshakeTimeout,
@@ -105,23 +104,23 @@
 	}
 }
 
-// admit refuses handshakes beyond the limits, before their signatures are
-// computed. Without it an availability zone whose agents return together takes
-// all processors for seconds, and running requests wait.
-func (ep *Endpoint) admit(ctx context.Context, _ *quic.ClientInfo) (context.Context, error) {
-	if ep.isDraining() || int(ep.accepted.Load()) >= ep.cfg.MaxConns || !ep.limiter.Allow() {
+// admitHandshake rejects handshakes beyond the limits before their signatures are
+// computed. Otherwise an availability zone whose agents reconnect at the same time
+// would use all processors and delay running requests.
+func (ep *Endpoint) admitHandshake(ctx context.Context, _ *quic.ClientInfo) (context.Context, error) {
+	if ep.isDraining() || int(ep.acceptedConns.Load()) >= ep.cfg.MaxConns || !ep.acceptLimiter.Allow() {
 		return nil, ErrDraining
 	}
 	return ctx, nil
 }
 
-// Addr returns the address the endpoint listens on.
+// Addr returns the address that the endpoint listens on.
 func (ep *Endpoint) Addr() string { return ep.socket.LocalAddr().String() }
 
 // Identity returns the endpoint's identity.
 func (ep *Endpoint) Identity() Identity { return ep.id }
 
-// Conns returns the open connections, accepted and dialled, in no order.
+// Conns returns the open connections, accepted and dialled, in no particular order.
 func (ep *Endpoint) Conns() []*Conn {
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
@@ -132,11 +131,11 @@
 	return conns
 }
 
-// Close closes all connections and waits for the endpoint's goroutines. The
-// contexts of running handlers are cancelled; Close waits for them to return,
-// so don't call it from a Handler. For a graceful stop call Drain first.
+// Close closes all connections and waits for the endpoint's goroutines. It cancels the
+// contexts of running handlers and waits for them to return, so it must not be called
+// from a Handler. Call Drain first for a graceful stop.
 func (ep *Endpoint) Close() error {
-	ep.shut()
+	ep.beginClose()
 	for _, c := range ep.Conns() {
 		c.Close()
 	}
@@ -147,52 +146,53 @@
 	return err
 }
 
-// shut refuses new goroutines and lets the loops end. closed is set before the
-// tomb dies, and spawn checks it under the same lock: so nobody adds a
-// goroutine to a dead tomb, which would panic.
-func (ep *Endpoint) shut() {
+// beginClose rejects new connections and ends the loops. closed is set before the tomb
+// is killed, and register checks it under the same lock, so that no goroutine is added
+// to a dead tomb, which would panic.
+func (ep *Endpoint) beginClose() {
 	ep.mu.Lock()
 	ep.closed = true
 	ep.mu.Unlock()
 	ep.tomb.Kill(nil)
 }
 
-// start registers a connection and runs its loop; false when closed.
-func (ep *Endpoint) start(c *Conn) bool {
+// register adds a connection and starts its loop. It returns false if the endpoint is
+// closed.
+func (ep *Endpoint) register(c *Conn) bool {
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
 	if ep.closed {
 		return false
 	}
 	ep.conns[c] = struct{}{}
-	ep.tomb.Go(c.loop)
+	ep.tomb.Go(c.acceptStreams)
 	return true
 }
 
-func (ep *Endpoint) forget(c *Conn) {
+func (ep *Endpoint) unregister(c *Conn) {
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
 	delete(ep.conns, c)
 }
 
-func (ep *Endpoint) isDraining() bool { return ep.serving.isStopped() }
+func (ep *Endpoint) isDraining() bool { return ep.handling.isStopped() }
 
 func (ep *Endpoint) acceptLoop() error {
 	for {
-		q, err := ep.listener.Accept(context.Background())
+		quicConn, err := ep.listener.Accept(context.Background())
 		if err != nil {
-			ep.shut()
+			ep.beginClose()
 			return nil
 		}
-		ep.accepted.Add(1)
-		c := newConn(ep, q)
-		c.onEnd = func() { ep.accepted.Add(-1) }
-		if !ep.start(c) {
+		ep.acceptedConns.Add(1)
+		c := newConn(ep, quicConn)
+		c.onClose = func() { ep.acceptedConns.Add(-1) }
+		if !ep.register(c) {
 			c.Close()
-			c.onEnd()
+			c.onClose()
 		}
 	}
 }
 
-// now is the endpoint's monotonic clock.
+// now returns the current time with its monotonic reading.
 func (ep *Endpoint) now() time.Time { return time.Now() }
--- a/wire/frame_test.go
+++ b/wire/frame_test.go
@@ -12,55 +12,54 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-func TestFrameRefusesWhatIsNotWhole(t *testing.T) {
+func TestReadFrameRejectsInvalidFrames(t *testing.T) {
 	c := qt.New(t)
-	good, err := encodeFrame(&GangMessage{Payload: []byte("abc")}, 100)
+	valid, err := encodeFrame(&GangMessage{Payload: []byte("abc")}, 100)
 	c.Assert(err, qt.IsNil)
-	huge := []byte{0xff, 0xff, 0xff, 0xff, 0, byte(KindGangMessage)}
+	oversized := []byte{0xff, 0xff, 0xff, 0xff, 0, byte(KindGangMessage)}
 	for _, test := range []struct {
-		story string
-		raw   []byte
-		want  error
+		name string
+		raw  []byte
+		want error
 	}{
-		{"whole", good, nil},
-		{"cut in the header", good[:3], io.ErrUnexpectedEOF},
-		{"cut in the payload", good[:len(good)-1], ErrMalformed},
-		{"bytes after the payload", append(bytes.Clone(good), 0), ErrMalformed},
-		{"a size beyond the limit", huge, ErrFrameTooLarge},
+		{"whole", valid, nil},
+		{"cut in the header", valid[:3], io.ErrUnexpectedEOF},
+		{"cut in the payload", valid[:len(valid)-1], ErrMalformed},
+		{"bytes after the payload", append(bytes.Clone(valid), 0), ErrMalformed},
+		{"a size beyond the limit", oversized, ErrFrameTooLarge},
 	} {
 		_, err := readFrame(bytes.NewReader(test.raw), 100)
-		c.Check(errors.Is(err, test.want), qt.IsTrue, qt.Commentf("%s: %v", test.story, err))
+		c.Check(errors.Is(err, test.want), qt.IsTrue, qt.Commentf("%s: %v", test.name, err))
 	}
 }
 
-// An announced size alone must not cost memory.
-func TestFrameAllocatesForWhatArrives(t *testing.T) {
+// Memory must be allocated for received bytes, not for the announced size.
+func TestReadFrameAllocatesForReceivedBytes(t *testing.T) {
 	c := qt.New(t)
-	announced := []byte{0, 0xff, 0xff, 0xff, 0, byte(KindGangMessage), 1, 2, 3}
-	got := testing.Benchmark(func(b *testing.B) {
+	truncated := []byte{0, 0xff, 0xff, 0xff, 0, byte(KindGangMessage), 1, 2, 3}
+	result := testing.Benchmark(func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			readFrame(bytes.NewReader(announced), DefaultMaxPayload)
+			readFrame(bytes.NewReader(truncated), DefaultMaxPayload)
 		}
 	})
-	c.Assert(got.AllocedBytesPerOp() < 3*firstRead, qt.IsTrue, qt.Commentf("%d bytes", got.AllocedBytesPerOp()))
+	c.Assert(result.AllocedBytesPerOp() < 3*initialReadBytes, qt.IsTrue, qt.Commentf("%d bytes", result.AllocedBytesPerOp()))
 }
 
-// Story: half of the fleet runs the next version, which added a field. The
-// older half must read its messages and ignore the field.
+// A receiver must ignore fields added by a newer version.
 func TestUnknownFieldsAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	payload, err := cbor.Marshal(map[int]any{1: []byte("x"), 2: 5, 99: "new"})
 	c.Assert(err, qt.IsNil)
-	msg, err := rawFrame{kind: KindGangMessage, payload: payload}.message()
+	msg, err := rawFrame{kind: KindGangMessage, payload: payload}.decode()
 	c.Assert(err, qt.IsNil)
 	c.Assert(msg, qt.DeepEquals, &GangMessage{Payload: []byte("x"), Epoch: 5})
-	_, err = rawFrame{kind: KindFirstFree}.message()
+	_, err = rawFrame{kind: KindFirstFree}.decode()
 	c.Assert(errors.Is(err, ErrUnknownKind), qt.IsTrue)
 }
 
-// FuzzFrame: whatever arrives, the decoder returns an error or a message that
-// survives another round.
+// FuzzFrame checks that arbitrary input is an error or a message that can be encoded
+// again.
 func FuzzFrame(f *testing.F) {
 	for _, msg := range []any{&Ping{}, &Execute{AttemptID: "a", Header: []Header{{Name: "A", Value: "b"}}},
 		&Report{Reports: []AgentReport{{ID: "x", Full: true, Tasks: []gang.Task{{ID: gang.ID{Job: "j"}}}}}}} {
@@ -75,7 +74,7 @@
 		if err != nil {
 			return
 		}
-		msg, err := frame.message()
+		msg, err := frame.decode()
 		if err != nil {
 			return
 		}
--- a/wire/helpers_test.go
+++ b/wire/helpers_test.go
@@ -18,15 +18,15 @@
 	otherKey = []byte("fedcba9876543210")
 )
 
-func identity(c *qt.C, name string, key []byte, accepted ...[]byte) Identity {
+func newTestIdentity(c *qt.C, name string, key []byte, accepted ...[]byte) Identity {
 	id, err := NewIdentity(Peer{ID: name, Role: RoleAgent, Incarnation: 7}, key, accepted...)
 	c.Assert(err, qt.IsNil)
 	return id
 }
 
-// open starts an endpoint that is closed with the test.
-func open(c *qt.C, name string, cfg Config, h HandlerFunc) *Endpoint {
-	ep, err := cfg.Listen("127.0.0.1:0", identity(c, name, testKey), h)
+// openEndpoint starts an endpoint that is closed at the end of the test.
+func openEndpoint(c *qt.C, name string, cfg Config, h HandlerFunc) *Endpoint {
+	ep, err := cfg.Listen("127.0.0.1:0", newTestIdentity(c, name, testKey), h)
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { c.Check(ep.Close(), qt.IsNil) })
 	return ep
@@ -38,7 +38,7 @@
 	return conn
 }
 
-// startRelay puts a relay before an endpoint's address.
+// startRelay starts a relay that forwards datagrams to upstream.
 func startRelay(c *qt.C, upstream string) *relay.Relay {
 	r, err := relay.New()
 	c.Assert(err, qt.IsNil)
@@ -47,29 +47,30 @@
 	return r
 }
 
-// awaitDropped waits until so many more datagrams than now were lost on this way,
-// or for a generous time.
-func awaitDropped(c *qt.C, r *relay.Relay, way relay.Direction, more int64) {
-	want := r.Dropped(way) + more
-	ctx := within(c, 20*time.Second)
-	for r.Dropped(way) < want && ctx.Err() == nil {
+// awaitDroppedDatagrams waits until count more datagrams were dropped in the given
+// direction, and fails the test if that takes too long.
+func awaitDroppedDatagrams(c *qt.C, r *relay.Relay, direction relay.Direction, count int64) {
+	want := r.Dropped(direction) + count
+	ctx := contextWithTimeout(c, 20*time.Second)
+	for r.Dropped(direction) < want && ctx.Err() == nil {
 		time.Sleep(time.Millisecond)
 	}
-	c.Check(ctx.Err(), qt.IsNil, qt.Commentf("%d datagrams lost", r.Dropped(way)))
+	c.Check(ctx.Err(), qt.IsNil, qt.Commentf("%d datagrams lost", r.Dropped(direction)))
 }
 
-// echo answers Gang with its payload.
+// echo answers a GangMessage with its payload.
 func echo(_ context.Context, _ *Conn, msg any) (any, error) {
 	return &GangReply{Payload: msg.(*GangMessage).Payload}, nil
 }
 
-func within(c *qt.C, limit time.Duration) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+func contextWithTimeout(c *qt.C, timeout time.Duration) context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	c.Cleanup(cancel)
 	return ctx
 }
 
-// await fails the test when ch is not closed or filled in a generous time.
+// await returns the next value of ch, or the zero value once it is closed. It fails the
+// test if that takes too long.
 func await[T any](c *qt.C, ch <-chan T) T {
 	select {
 	case v := <-ch:
--- a/wire/identity.go
+++ b/wire/identity.go
@@ -14,69 +14,70 @@
 	"github.com/rotisserie/eris"
 )
 
-// MinClusterKeySize is the least length of a cluster key in bytes.
+// MinClusterKeySize is the minimum length of a cluster key in bytes.
 const MinClusterKeySize = 16
 
 const (
-	alpn       = "eelgrasshub/1"
-	serverName = "eelgrasshub"
-	caInfo     = "eelgrasshub wire ca 1"
-	resetInfo  = "eelgrasshub wire stateless reset 1 "
+	alpnProtocol        = "eelgrasshub/1"
+	serverName          = "eelgrasshub"
+	caDerivationInfo    = "eelgrasshub wire ca 1"
+	resetDerivationInfo = "eelgrasshub wire stateless reset 1 "
 )
 
-// Certificates carry a fixed validity and are checked at a fixed time, so that
-// an instance with a wrong clock is not locked out. What expires is the
-// cluster key: operators replace it (NewIdentity's accepted).
+// Certificates have a fixed validity and are verified at a fixed time, so that an
+// instance with a wrong clock can still connect. Access is revoked by replacing the
+// cluster key (see NewIdentity).
 var (
-	validFrom  = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
-	validUntil = time.Date(9999, 12, 31, 23, 59, 59, 0, time.UTC)
-	checkedAt  = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	validFrom        = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
+	validUntil       = time.Date(9999, 12, 31, 23, 59, 59, 0, time.UTC)
+	verificationTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 )
 
-// Identity proves that a process belongs to the cluster and says who it is.
-// It is immutable.
+// Identity holds the credentials that prove that a process belongs to the cluster, and
+// its Peer. It is immutable.
 type Identity struct {
-	peer  Peer
-	key   []byte
-	leaf  tls.Certificate
-	roots *x509.CertPool
+	peer        Peer
+	key         []byte
+	certificate tls.Certificate
+	roots       *x509.CertPool
 }
 
-// NewIdentity derives the cluster's certificate authority from key and signs a
-// fresh certificate for this process. Peers that hold one of the accepted keys
-// are admitted too, so that a key can be replaced without an interruption:
-// first every process accepts the new key, then uses it, then drops the old.
+// NewIdentity derives the cluster's certificate authority from key and signs a new
+// certificate for this process. Peers with one of the accepted keys are admitted too,
+// which allows key rotation without an interruption: first every process accepts the
+// new key, then uses it, then drops the old one.
 func NewIdentity(peer Peer, key []byte, accepted ...[]byte) (Identity, error) {
-	ca, signer, err := clusterCA(key)
+	ca, signer, err := deriveClusterCA(key)
 	if err != nil {
 		return Identity{}, err
 	}
-	leaf, err := newLeaf(ca, signer)
+	certificate, err := newCertificate(ca, signer)
 	if err != nil {
 		return Identity{}, err
 	}
 	roots := x509.NewCertPool()
 	roots.AddCert(ca)
-	for _, other := range accepted {
-		otherCA, _, err := clusterCA(other)
+	for _, acceptedKey := range accepted {
+		acceptedCA, _, err := deriveClusterCA(acceptedKey)
 		if err != nil {
 			return Identity{}, err
 		}
-		roots.AddCert(otherCA)
+		roots.AddCert(acceptedCA)
 	}
 	peer.Version = Version
-	return Identity{peer: peer, key: key, leaf: leaf, roots: roots}, nil
+	return Identity{peer: peer, key: key, certificate: certificate, roots: roots}, nil
 }
 
-// Peer returns what this process says of itself in Hello.
+// Peer returns what this process sends about itself in Hello.
 func (id Identity) Peer() Peer { return id.peer }
 
-// clusterCA derives the authority: every holder of the key makes the same one.
-func clusterCA(key []byte) (*x509.Certificate, ed25519.PrivateKey, error) {
+// deriveClusterCA returns the certificate authority and its signer. Every process with
+// the same key derives the same authority.
+func deriveClusterCA(key []byte) (*x509.Certificate, ed25519.PrivateKey, error) {
 	if len(key) < MinClusterKeySize {
 		return nil, nil, eris.Errorf("cluster key has %d bytes, needs %d", len(key), MinClusterKeySize)
 	}
-	seed, err := hkdf.Key(sha256.New, key, nil, caInfo, ed25519.SeedSize)
+	seed, err := hkdf.Key(sha256.New, key, nil, caDerivationInfo, ed25519.SeedSize)
 	if err != nil {
 		return nil, nil, eris.Wrap(err, "derive cluster authority")
 	}
@@ -100,7 +101,7 @@
 	return ca, signer, err
 }
 
-func newLeaf(ca *x509.Certificate, signer ed25519.PrivateKey) (tls.Certificate, error) {
+func newCertificate(ca *x509.Certificate, signer ed25519.PrivateKey) (tls.Certificate, error) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
 		return tls.Certificate{}, eris.Wrap(err, "generate key")
@@ -125,27 +126,29 @@
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: private}, nil
 }
 
-// tlsConfig serves both directions: each end checks the other.
+// tlsConfig returns the configuration for both client and server side: each end
+// verifies the other.
 func (id Identity) tlsConfig() *tls.Config {
 	return &tls.Config{
-		Certificates:           []tls.Certificate{id.leaf},
+		Certificates:           []tls.Certificate{id.certificate},
 		RootCAs:                id.roots,
 		ClientCAs:              id.roots,
 		ClientAuth:             tls.RequireAndVerifyClientCert,
 		ServerName:             serverName,
-		NextProtos:             []string{alpn},
+		NextProtos:             []string{alpnProtocol},
 		MinVersion:             tls.VersionTLS13,
 		SessionTicketsDisabled: true,
-		Time:                   func() time.Time { return checkedAt },
+		Time:                   func() time.Time { return verificationTime },
 	}
 }
 
-// resetKey lets a process that restarted on the same address tell peers at
-// once that it lost their connections. The address is part of the derivation:
-// with one key for all, a peer could be made to end another's connections.
-func (id Identity) resetKey(addr string) ([32]byte, error) {
+// statelessResetKey returns the key with which a process that restarts on the same
+// address can reset the connections of its predecessor. It is derived from the address,
+// since with one key for all addresses a peer could be made to end another's
+// connections.
+func (id Identity) statelessResetKey(addr string) ([32]byte, error) {
 	var key [32]byte
-	raw, err := hkdf.Key(sha256.New, id.key, nil, resetInfo+addr, len(key))
+	raw, err := hkdf.Key(sha256.New, id.key, nil, resetDerivationInfo+addr, len(key))
 	copy(key[:], raw)
 	return key, err
 }
--- a/wire/inflight.go
+++ b/wire/inflight.go
@@ -2,49 +2,50 @@
 
 import "sync"
 
-// inflight counts exchanges and refuses new ones once stopped. Safe for
+// inflight counts running exchanges and rejects new ones once stopped. It is safe for
 // concurrent use.
 type inflight struct {
 	mu      sync.Mutex
-	n       int
+	running int
 	stopped bool
 	idle    chan struct{}
 }
 
-// begin counts one exchange; false after stop.
+// begin counts one exchange. It returns false after stop.
 func (f *inflight) begin() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.stopped {
 		return false
 	}
-	f.n++
+	f.running++
 	return true
 }
 
 func (f *inflight) end() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.n--
-	f.signal()
+	f.running--
+	f.closeIfIdle()
 }
 
-// stop refuses further exchanges and returns a channel that is closed when
-// none is left.
+// stop rejects further exchanges and returns a channel that is closed when none is
+// running.
 func (f *inflight) stop() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.stopped = true
 	if f.idle == nil {
 		f.idle = make(chan struct{})
-		f.signal()
+		f.closeIfIdle()
 	}
 	return f.idle
 }
 
-// signal closes idle once stopped and empty; n can't grow again.
-func (f *inflight) signal() {
-	if f.stopped && f.n == 0 {
+// closeIfIdle closes idle if stopped and no exchange is running. The count cannot grow
+// again then.
+func (f *inflight) closeIfIdle() {
+	if f.stopped && f.running == 0 {
 		close(f.idle)
 	}
 }
@@ -52,7 +53,7 @@
 func (f *inflight) count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.n
+	return f.running
 }
 
 func (f *inflight) isStopped() bool {
--- a/wire/liveness.go
+++ b/wire/liveness.go
@@ -5,46 +5,46 @@
 	"time"
 )
 
-// monitorLoop probes silent connections. One goroutine serves all connections
-// of the endpoint; a timer for each would cost more memory than it is worth.
+// monitorLoop checks the liveness of all connections. One goroutine serves the whole
+// endpoint to save the memory of a timer per connection.
 func (ep *Endpoint) monitorLoop() error {
-	tick := time.NewTicker(max(time.Millisecond, min(ep.cfg.BusyProbeAfter, ep.cfg.PingTimeout)/2))
-	defer tick.Stop()
+	ticker := time.NewTicker(max(time.Millisecond, min(ep.cfg.BusyProbeAfter, ep.cfg.PingTimeout)/2))
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ep.tomb.Dying():
 			return nil
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		for _, c := range ep.Conns() {
-			ep.check(c)
+			ep.checkLiveness(c)
 		}
 	}
 }
 
-// check guards against a path that went silent for good while new connections
-// work: calls on it would hang until QUIC's idle timeout. It shows as silence
-// of the peer's process; a Ping that stays unanswered within PingTimeout makes
-// the connection suspected, and Pool replaces it. Only the peer's own messages
-// count as life, so neither a middle box nor the peer's kernel can fake it.
-func (ep *Endpoint) check(c *Conn) {
+// checkLiveness detects a connection whose path has become unresponsive, on which calls
+// would otherwise hang until QUIC's idle timeout. If a Ping is not answered within
+// PingTimeout, the connection is suspected and Pool replaces it; after SuspectTimeout
+// it is closed. Only messages from the peer's process count, which neither a middlebox
+// nor the peer's kernel can send.
+func (ep *Endpoint) checkLiveness(c *Conn) {
 	now := ep.now()
-	quiet := now.Sub(c.LastReceived())
+	silence := now.Sub(c.LastReceived())
 	if c.peer.Load() == nil {
-		if quiet > 2*ep.cfg.HandshakeTimeout {
+		if silence > 2*ep.cfg.HandshakeTimeout {
 			c.close(closeNoHello, "no hello")
 		}
 		return
 	}
-	if c.suspect.Load() && now.Sub(c.opened)-time.Duration(c.suspectAt.Load()) > ep.cfg.SuspectTimeout {
-		c.close(closeSilent, "silent")
+	if c.suspect.Load() && now.Sub(c.opened)-time.Duration(c.suspectedAt.Load()) > ep.cfg.SuspectTimeout {
+		c.close(closeUnresponsive, "silent")
 		return
 	}
-	limit := ep.cfg.IdleProbeAfter
+	probeAfter := ep.cfg.IdleProbeAfter
 	if c.OutstandingCalls() > 0 {
-		limit = ep.cfg.BusyProbeAfter
+		probeAfter = ep.cfg.BusyProbeAfter
 	}
-	if quiet < limit || !c.probing.CompareAndSwap(false, true) {
+	if silence < probeAfter || !c.probing.CompareAndSwap(false, true) {
 		return
 	}
 	ep.tomb.Go(func() error {
@@ -54,21 +54,21 @@
 	})
 }
 
-// probe pings once and suspects the connection when nothing at all was heard.
+// probe sends one Ping and suspects the connection if nothing was received meanwhile.
 func (c *Conn) probe() {
-	before := c.heard.Load()
-	ctx, cancel := context.WithTimeout(c.q.Context(), c.ep.cfg.PingTimeout)
+	lastReceived := c.lastReceived.Load()
+	ctx, cancel := context.WithTimeout(c.quicConn.Context(), c.ep.cfg.PingTimeout)
 	defer cancel()
-	if err := c.Ping(ctx); err == nil || c.heard.Load() != before {
+	if err := c.Ping(ctx); err == nil || c.lastReceived.Load() != lastReceived {
 		return
 	}
 	if c.suspect.CompareAndSwap(false, true) {
-		c.suspectAt.Store(int64(c.ep.now().Sub(c.opened)))
+		c.suspectedAt.Store(int64(c.ep.now().Sub(c.opened)))
 	}
-	c.once.Do(func() { close(c.suspected) })
+	c.suspectedOnce.Do(func() { close(c.suspected) })
 }
 
-// Ping exchanges Ping and Pong with the peer's process.
+// Ping sends a Ping to the peer's process and waits for the Pong.
 func (c *Conn) Ping(ctx context.Context) error {
 	_, err := c.exchange(ctx, &Ping{})
 	return err
--- a/wire/measure_memory_test.go
+++ b/wire/measure_memory_test.go
@@ -17,20 +17,20 @@
 )
 
 func TestMeasureConnectionPairs(t *testing.T) {
-	c := needMeasure(t)
-	server := open(c, "entry", openWide, echo)
-	client := open(c, "agents", openWide, echo)
-	base, baseRSS := memory(), resident(c)
-	total := 0
+	c := requireMeasureFlag(t)
+	server := openEndpoint(c, "entry", unlimitedAccepts, echo)
+	client := openEndpoint(c, "agents", unlimitedAccepts, echo)
+	base, baseRSS := memStats(), residentBytes(c)
+	opened := 0
 	for _, n := range []int{100, 300, 1000} {
-		before := processorTime()
-		for ; total < n; total++ {
+		before := cpuTime()
+		for ; opened < n; opened++ {
 			dialAndCall(c, client, server.Addr())
 		}
-		now := memory()
+		now := memStats()
 		t.Logf("%d pairs: heap %d KB, stacks %d KB, resident %d KB a pair; processor since the last line %v",
-			n, grown(now.HeapAlloc, base.HeapAlloc, n), grown(now.StackInuse, base.StackInuse, n),
-			(resident(c)-baseRSS)/n/1024, processorTime()-before)
+			n, growthPerConnKB(now.HeapAlloc, base.HeapAlloc, n), growthPerConnKB(now.StackInuse, base.StackInuse, n),
+			(residentBytes(c)-baseRSS)/n/1024, cpuTime()-before)
 	}
 }
 
@@ -42,7 +42,7 @@
 	}
 }
 
-func memory() runtime.MemStats {
+func memStats() runtime.MemStats {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -50,21 +50,21 @@
 	return m
 }
 
-// grown returns the growth in KB for each of n connections.
-func grown(now, before uint64, n int) int64 {
+// growthPerConnKB returns the growth in KB per connection.
+func growthPerConnKB(now, before uint64, n int) int64 {
 	return (int64(now) - int64(before)) / int64(n) / 1024
 }
 
 const dialersEnv = "EELGRASSHUB_MEASURE_DIALERS"
 
-// The accepting end alone: the dialers are another process.
+// Measures the accepting end alone: the dialers run in another process.
 func TestMeasureAcceptedConnections(t *testing.T) {
-	c := needMeasure(t)
+	c := requireMeasureFlag(t)
 	if os.Getenv(dialersEnv) != "" {
 		t.Skip("is the dialers' process")
 	}
-	server := open(c, "entry", openWide, echo)
-	base, baseRSS, began := memory(), resident(c), processorTime()
+	server := openEndpoint(c, "entry", unlimitedAccepts, echo)
+	base, baseRSS, cpuStart := memStats(), residentBytes(c), cpuTime()
 	dialers := exec.Command(os.Args[0], "-test.run=TestMeasureDialers", "-measure")
 	dialers.Env = append(os.Environ(), dialersEnv+"="+server.Addr())
 	out, err := dialers.StdoutPipe()
@@ -78,27 +78,27 @@
 		if err != nil {
 			continue
 		}
-		processor := processorTime() - began
-		now := memory()
+		cpu := cpuTime() - cpuStart
+		now := memStats()
 		t.Logf("%d accepted: heap %d KB, stacks %d KB, resident %d KB each; processor of this end %v each",
-			n, grown(now.HeapAlloc, base.HeapAlloc, n), grown(now.StackInuse, base.StackInuse, n),
-			(resident(c)-baseRSS)/n/1024, processor/time.Duration(n))
+			n, growthPerConnKB(now.HeapAlloc, base.HeapAlloc, n), growthPerConnKB(now.StackInuse, base.StackInuse, n),
+			(residentBytes(c)-baseRSS)/n/1024, cpu/time.Duration(n))
 		fmt.Fprintln(in, "next")
 	}
 	c.Assert(dialers.Wait(), qt.IsNil)
 }
 
 func TestMeasureDialers(t *testing.T) {
-	c := needMeasure(t)
+	c := requireMeasureFlag(t)
 	addr := os.Getenv(dialersEnv)
 	if addr == "" {
 		t.Skip("is started by TestMeasureAcceptedConnections")
 	}
-	client := open(c, "agents", openWide, echo)
+	client := openEndpoint(c, "agents", unlimitedAccepts, echo)
 	input := bufio.NewScanner(os.Stdin)
-	total := 0
+	opened := 0
 	for _, n := range []int{100, 300, 1000} {
-		for ; total < n; total++ {
+		for ; opened < n; opened++ {
 			dialAndCall(c, client, addr)
 		}
 		fmt.Printf("\nconnections %d\n", n)
@@ -106,14 +106,15 @@
 	}
 }
 
-// An availability zone's 900 agents dial one entry at once.
-func TestMeasureZoneReturns(t *testing.T) {
-	c := needMeasure(t)
-	server := open(c, "entry", Config{}, echo)
-	client := open(c, "agents", Config{}, echo)
+// Measures how fast the 900 agents of an availability zone connect to one entry at the
+// same time.
+func TestMeasureZoneReconnect(t *testing.T) {
+	c := requireMeasureFlag(t)
+	server := openEndpoint(c, "entry", Config{}, echo)
+	client := openEndpoint(c, "agents", Config{}, echo)
 	const n = 900
-	began, processor := time.Now(), processorTime()
-	took := make(chan time.Duration, n)
+	start, cpu := time.Now(), cpuTime()
+	connectTimes := make(chan time.Duration, n)
 	for range n {
 		pool := NewPool(client)
 		c.Cleanup(pool.Close)
@@ -125,14 +126,14 @@
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
-			took <- time.Since(began)
+			connectTimes <- time.Since(start)
 		}()
 	}
-	all := make([]time.Duration, n)
-	for i := range all {
-		all[i] = <-took
+	sorted := make([]time.Duration, n)
+	for i := range sorted {
+		sorted[i] = <-connectTimes
 	}
-	slices.Sort(all)
+	slices.Sort(sorted)
 	t.Logf("%d agents in: half after %v, 99%% after %v, all after %v; processor of both ends %v",
-		n, all[n/2], all[n*99/100], all[n-1], processorTime()-processor)
+		n, sorted[n/2], sorted[n*99/100], sorted[n-1], cpuTime()-cpu)
 }
--- a/wire/measure_test.go
+++ b/wire/measure_test.go
@@ -14,27 +14,27 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Figures for the notes under docs: go test ./wire -run Measure -measure -v
+// measure enables the measurements: go test ./wire -run Measure -measure -v
 var measure = flag.Bool("measure", false, "run the measurements; takes minutes")
 
-func needMeasure(t *testing.T) *qt.C {
+func requireMeasureFlag(t *testing.T) *qt.C {
 	if !*measure {
 		t.Skip("needs -measure")
 	}
 	return qt.New(t)
 }
 
-// openWide admits handshakes as fast as they come.
-var openWide = Config{AcceptRate: 1e6, AcceptBurst: 1e6}
+// unlimitedAccepts does not limit the rate of handshakes.
+var unlimitedAccepts = Config{AcceptRate: 1e6, AcceptBurst: 1e6}
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// resident returns the process's resident set in bytes.
-func resident(c *qt.C) int {
+// residentBytes returns the resident set size of the process.
+func residentBytes(c *qt.C) int {
 	raw, err := os.ReadFile("/proc/self/statm")
 	c.Assert(err, qt.IsNil)
 	pages, err := strconv.Atoi(strings.Fields(string(raw))[1])
@@ -43,38 +43,38 @@
 }
 
 func TestMeasureExchange(t *testing.T) {
-	c := needMeasure(t)
-	server := open(c, "agent", Config{}, echo)
-	client := open(c, "entry", Config{}, echo)
+	c := requireMeasureFlag(t)
+	server := openEndpoint(c, "agent", Config{}, echo)
+	client := openEndpoint(c, "entry", Config{}, echo)
 	conn := dial(c, client, server.Addr())
 	msg := &GangMessage{Payload: make([]byte, 512)}
 	for _, n := range []int{2000, 20000} {
-		took := make([]time.Duration, n)
-		before := processorTime()
-		for i := range took {
-			began := time.Now()
+		latencies := make([]time.Duration, n)
+		cpuStart := cpuTime()
+		for i := range latencies {
+			start := time.Now()
 			_, err := conn.Call(context.Background(), msg)
 			c.Assert(err, qt.IsNil)
-			took[i] = time.Since(began)
+			latencies[i] = time.Since(start)
 		}
-		processor := processorTime() - before
-		slices.Sort(took)
+		cpu := cpuTime() - cpuStart
+		slices.Sort(latencies)
 		t.Logf("%d exchanges of 512 bytes each way, one after another: p50 %v p99 %v, processor %v an exchange, both ends",
-			n, took[n/2], took[n*99/100], processor/time.Duration(n))
+			n, latencies[n/2], latencies[n*99/100], cpu/time.Duration(n))
 	}
 }
 
 func TestMeasureParallelExchange(t *testing.T) {
-	c := needMeasure(t)
-	server := open(c, "agent", Config{}, echo)
-	client := open(c, "entry", Config{}, echo)
+	c := requireMeasureFlag(t)
+	server := openEndpoint(c, "agent", Config{}, echo)
+	client := openEndpoint(c, "entry", Config{}, echo)
 	conn := dial(c, client, server.Addr())
-	const each = 2000
-	before, began := processorTime(), time.Now()
+	const callsPerCaller = 2000
+	cpuStart, start := cpuTime(), time.Now()
 	done := make(chan error, 64)
 	for range cap(done) {
 		go func() {
-			for range each {
+			for range callsPerCaller {
 				if _, err := conn.Call(context.Background(), &GangMessage{Payload: make([]byte, 512)}); err != nil {
 					done <- err
 					return
@@ -86,19 +86,19 @@
 	for range cap(done) {
 		c.Assert(<-done, qt.IsNil)
 	}
-	n := time.Duration(each * cap(done))
+	n := time.Duration(callsPerCaller * cap(done))
 	t.Logf("64 callers on one connection: %.0f exchanges a second, processor %v an exchange, both ends",
-		float64(n)/time.Since(began).Seconds(), (processorTime()-before)/n)
+		float64(n)/time.Since(start).Seconds(), (cpuTime()-cpuStart)/n)
 }
 
 func TestMeasureHandshake(t *testing.T) {
-	c := needMeasure(t)
-	server := open(c, "entry", openWide, echo)
-	client := open(c, "agent", openWide, echo)
+	c := requireMeasureFlag(t)
+	server := openEndpoint(c, "entry", unlimitedAccepts, echo)
+	client := openEndpoint(c, "agent", unlimitedAccepts, echo)
 	const n = 500
-	before, began := processorTime(), time.Now()
+	cpuStart, start := cpuTime(), time.Now()
 	for range n {
 		dial(c, client, server.Addr()).Close()
 	}
-	t.Logf("dial, hello and close: %v each, processor %v of both ends", time.Since(began)/n, (processorTime()-before)/n)
+	t.Logf("dial, hello and close: %v each, processor %v of both ends", time.Since(start)/n, (cpuTime()-cpuStart)/n)
 }
--- a/wire/remote_error.go
+++ b/wire/remote_error.go
@@ -2,64 +2,64 @@
 
 import "errors"
 
-// errorCode says in a remoteError why there is no reply message. Codes are
-// part of the protocol: never renumber.
+// errorCode is the reason why there is no reply message. Codes are part of the
+// protocol: never renumber one.
 type errorCode int
 
 const (
-	codeFailed errorCode = iota
+	codeHandlerFailed errorCode = iota
 	codeUnknownKind
 	codeMalformed
 	codeTooLarge
 	codeDraining
 	codeNoHello
-	// codeNotRun: the handler proved that it did not act (NotRun).
-	codeNotRun
+	// codeNotHandled means that the handler proved that it did not act (NotHandled).
+	codeNotHandled
 )
 
-// remoteError is the reply frame of an exchange that has no reply message.
+// remoteError is the reply frame of an exchange without a reply message.
 type remoteError struct {
 	Code errorCode `cbor:"1,keyasint,omitempty"`
 	Text string    `cbor:"2,keyasint,omitempty"`
 }
 
-// RemoteError is the cause of a CallError that the peer reported.
+// RemoteError is the cause of a CallError reported by the peer.
 type RemoteError struct {
-	// Message is the peer's own description.
-	Message string
-	kind    error
+	// Message is the error text sent by the peer.
+	Message  string
+	sentinel error
 }
 
 // Error implements error.
-func (e *RemoteError) Error() string { return e.kind.Error() + ": " + e.Message }
+func (e *RemoteError) Error() string { return e.sentinel.Error() + ": " + e.Message }
 
-// Unwrap returns the sentinel of the peer's error code.
-func (e *RemoteError) Unwrap() error { return e.kind }
+// Unwrap returns the sentinel error of the peer's error code.
+func (e *RemoteError) Unwrap() error { return e.sentinel }
 
-// asCallError turns the peer's code into an outcome. Codes sent before the
-// handler runs prove that the message was not handled. A failed handler, and
-// any code this version does not know, proves nothing.
-func (r *remoteError) asCallError() error {
+// callError returns the CallError for the peer's code. Codes that are sent before the
+// handler runs prove that the message was not handled. A failed handler, and any code
+// unknown to this version, proves nothing.
+func (r *remoteError) callError() error {
 	switch r.Code {
 	case codeUnknownKind:
-		return notSent(&RemoteError{Message: r.Text, kind: ErrUnknownKind})
+		return callNotHandled(&RemoteError{Message: r.Text, sentinel: ErrUnknownKind})
 	case codeMalformed:
-		return notSent(&RemoteError{Message: r.Text, kind: ErrMalformed})
+		return callNotHandled(&RemoteError{Message: r.Text, sentinel: ErrMalformed})
 	case codeTooLarge:
-		return notSent(&RemoteError{Message: r.Text, kind: ErrFrameTooLarge})
+		return callNotHandled(&RemoteError{Message: r.Text, sentinel: ErrFrameTooLarge})
 	case codeDraining:
-		return notSent(&RemoteError{Message: r.Text, kind: ErrDraining})
+		return callNotHandled(&RemoteError{Message: r.Text, sentinel: ErrDraining})
 	case codeNoHello:
-		return notSent(&RemoteError{Message: r.Text, kind: ErrNoHello})
-	case codeNotRun:
-		return notSent(&RemoteError{Message: r.Text, kind: ErrHandler})
+		return callNotHandled(&RemoteError{Message: r.Text, sentinel: ErrNoHello})
+	case codeNotHandled:
+		return callNotHandled(&RemoteError{Message: r.Text, sentinel: ErrHandler})
 	default:
-		return outcomeUnknown(&RemoteError{Message: r.Text, kind: ErrHandler})
+		return callOutcomeUnknown(&RemoteError{Message: r.Text, sentinel: ErrHandler})
 	}
 }
 
-// refusal builds the reply for an exchange that was not handled.
-func refusal(err error) *remoteError {
+// rejectionReply returns the reply to an exchange that was not handled.
+func rejectionReply(err error) *remoteError {
 	code := codeMalformed
 	switch {
 	case errors.Is(err, ErrUnknownKind):
@@ -74,11 +74,11 @@
 	return &remoteError{Code: code, Text: err.Error()}
 }
 
-// handlerFailure builds the reply for an exchange whose handler failed.
-func handlerFailure(err error) *remoteError {
-	var proof notRunError
-	if errors.As(err, &proof) {
-		return &remoteError{Code: codeNotRun, Text: err.Error()}
+// handlerErrorReply returns the reply to an exchange whose handler failed.
+func handlerErrorReply(err error) *remoteError {
+	var notHandled notHandledError
+	if errors.As(err, &notHandled) {
+		return &remoteError{Code: codeNotHandled, Text: err.Error()}
 	}
-	return &remoteError{Code: codeFailed, Text: err.Error()}
+	return &remoteError{Code: codeHandlerFailed, Text: err.Error()}
 }
