--- a/agent/adopt.go
+++ b/agent/adopt.go
@@ -22,7 +22,7 @@
 func (g *gangs) adopt() error {
 	ctx := g.t.Context(context.Background())
 	for {
-		tasks, err := g.target.Tasks(ctx, g.incarnation)
+		tasks, err := g.target.ListTasks(ctx, g.incarnation)
 		if err == nil {
 			g.adoptTasks(tasks)
 			return nil
@@ -39,7 +39,7 @@
 	var tasks []gang.Task
 	running := 0
 	for _, s := range statuses {
-		if s.State.Final() && time.Since(s.Ended) > adoptEnded {
+		if s.State.Final() && time.Since(s.EndedAt) > adoptEnded {
 			continue
 		}
 		tasks = append(tasks, adopted(s, clock.Now()))
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -61,7 +61,7 @@
 		cfg:         cfg,
 		log:         log.WithField("agent", cfg.ID),
 		incarnation: uint64(time.Now().UnixNano()),
-		target:      target.NewClient(target.Options{Base: cfg.Target, MaxConns: cfg.Connections}),
+		target:      target.NewClient(target.Options{BaseURL: cfg.Target, MaxConns: cfg.Connections}),
 		metrics:     metrics.New(0),
 	}
 	a.docs = document.NewInForce(a.documentChanged)
--- a/agent/quick.go
+++ b/agent/quick.go
@@ -108,16 +108,16 @@
 
 func (q *quick) forward(ctx context.Context, m *wire.Execute, deadline time.Time) *wire.ExecuteReply {
 	answer, err := q.target.Do(ctx, target.Request{
-		ID:       m.RequestID,
-		Attempt:  m.Hops + 1,
-		Account:  m.Account,
-		Class:    m.Class,
-		Deadline: deadline.Sub(q.now()),
-		Method:   m.Method,
-		Path:     m.Path,
-		RawQuery: m.Query,
-		Header:   headerOf(m.Header),
-		Body:     m.Body,
+		RequestID: m.RequestID,
+		Attempt:   m.Hops + 1,
+		Account:   m.Account,
+		Class:     m.Class,
+		Remaining: deadline.Sub(q.now()),
+		Method:    m.Method,
+		Path:      m.Path,
+		RawQuery:  m.Query,
+		Header:    headerOf(m.Header),
+		Body:      m.Body,
 	})
 	switch {
 	case err == nil:
--- a/agent/quick_test.go
+++ b/agent/quick_test.go
@@ -38,7 +38,7 @@
 func newTestQuick(t *testing.T, slots int) (*quick, *testTarget) {
 	s := &testTarget{running: make(chan struct{}, 16), answer: make(chan struct{}, 16)}
 	server := httptest.NewServer(s)
-	client := target.NewClient(target.Options{Base: server.URL})
+	client := target.NewClient(target.Options{BaseURL: server.URL})
 	q := &quick{
 		gate:    newGate(admission.Options{Slots: slots}),
 		target:  client,
--- a/agent/rack_test.go
+++ b/agent/rack_test.go
@@ -124,7 +124,7 @@
 }
 
 func (r *rack) worker(id string) settings.Agent {
-	target := standin.New(standin.Options{Name: id, Accelerators: 8, Work: time.Millisecond})
+	target := standin.New(standin.Options{Name: id, Accelerators: 8, ServiceTime: time.Millisecond})
 	server := httptest.NewServer(target)
 	r.Cleanup(func() {
 		target.Close()
--- a/agent/task.go
+++ b/agent/task.go
@@ -80,7 +80,7 @@
 func (g *gangs) renewAndWait(ctx context.Context, id target.TaskID) (target.TaskStatus, error) {
 	lease, ok := g.leaseOf(ctx, id)
 	if !ok {
-		return g.target.Task(ctx, id, taskLease/renewals)
+		return g.target.GetTask(ctx, id, taskLease/renewals)
 	}
 	status, err := g.target.RenewTask(ctx, id, lease)
 	if err != nil || status.State.Final() {
@@ -89,7 +89,7 @@
 	// A status call that is held for longer than the lease lasts would let the
 	// target stop a task that is well: isolation may be much shorter than
 	// taskLease.
-	return g.target.Task(ctx, id, lease/renewals)
+	return g.target.GetTask(ctx, id, lease/renewals)
 }
 
 // leaseOf is the lease to renew; false when there is none left.
--- a/cmd/eelgrasshub/script_audit_test.go
+++ b/cmd/eelgrasshub/script_audit_test.go
@@ -21,7 +21,7 @@
 	}
 	for _, a := range audits {
 		if len(a.Violations) > 0 || a.Dropped > 0 {
-			ts.Fatalf("%s: violations %+v, %d records dropped", a.Worker, a.Violations, a.Dropped)
+			ts.Fatalf("%s: violations %+v, %d records dropped", a.WorkerName, a.Violations, a.Dropped)
 		}
 	}
 }
--- a/cmd/eelgrasshub/target_standin.go
+++ b/cmd/eelgrasshub/target_standin.go
@@ -31,7 +31,7 @@
 		Name:         c.Name,
 		Accelerators: c.Accelerators,
 		Slots:        c.Slots,
-		Work:         c.Work,
+		ServiceTime:  c.Work,
 	})
 	defer worker.Close()
 	srv := worker.HTTPServer()
--- a/internal/capacity/store_test.go
+++ b/internal/capacity/store_test.go
@@ -61,7 +61,7 @@
 
 // worker is a target stand-in and the settings of the agent beside it.
 func (s *site) worker(id, service, seed string, every time.Duration) settings.Agent {
-	target := standin.New(standin.Options{Name: id, Accelerators: 8, Work: time.Millisecond})
+	target := standin.New(standin.Options{Name: id, Accelerators: 8, ServiceTime: time.Millisecond})
 	server := httptest.NewServer(target)
 	s.Cleanup(func() {
 		target.Close()
--- a/load/audit.go
+++ b/load/audit.go
@@ -19,7 +19,7 @@
 			quick[run.Tag] = append(quick[run.Tag], run)
 		}
 		for _, run := range a.Tasks {
-			tasks[run.Tag] = append(tasks[run.Tag], workerTask{run, a.Worker})
+			tasks[run.Tag] = append(tasks[run.Tag], workerTask{run, a.WorkerName})
 		}
 		f.addWorker(a)
 	}
@@ -40,10 +40,10 @@
 
 func (f *Findings) addWorker(a standin.Audit) {
 	for _, v := range a.Violations {
-		f.Violations.add("worker %s: %s: %s", a.Worker, v.Kind, v.Detail)
+		f.Violations.add("worker %s: %s: %s", a.WorkerName, v.Kind, v.Detail)
 	}
 	if a.Dropped > 0 {
-		f.Incomplete.add("worker %s: %d records dropped", a.Worker, a.Dropped)
+		f.Incomplete.add("worker %s: %d records dropped", a.WorkerName, a.Dropped)
 	}
 }
 
--- a/load/audit_quick.go
+++ b/load/audit_quick.go
@@ -16,11 +16,11 @@
 		f.Lost.add("%s: no answer in %d tries: %s", name, len(q.Tries), lastError(q.Tries))
 	}
 	if !q.Repeatable && len(runs) > 1 {
-		f.Doubled.add("%s: ran %d times, requests %s and %s", name, len(runs), runs[0].Request, runs[1].Request)
+		f.Doubled.add("%s: ran %d times, requests %s and %s", name, len(runs), runs[0].RequestID, runs[1].RequestID)
 	}
 	ran := make([]string, len(runs))
 	for i, run := range runs {
-		ran[i] = run.Request
+		ran[i] = run.RequestID
 	}
 	if id, ok := deniedRun(q.Tries, ran); ok {
 		f.Misreported.add("%s: request %s told not run, and ran", name, id)
--- a/load/audit_test.go
+++ b/load/audit_test.go
@@ -16,7 +16,7 @@
 }
 
 func quickRan(id string) standin.QuickRun {
-	return standin.QuickRun{Request: id, Tag: "t", Completed: true, Checksum: "sum"}
+	return standin.QuickRun{RequestID: id, Tag: "t", Completed: true, Checksum: "sum"}
 }
 
 type counts struct{ lost, doubled, misreported, partial int }
--- a/load/overlap.go
+++ b/load/overlap.go
@@ -14,7 +14,7 @@
 	var found []string
 	for _, a := range audits {
 		for _, run := range a.Tasks {
-			one := workerTask{run, a.Worker}
+			one := workerTask{run, a.WorkerName}
 			for _, other := range byJob[run.Job] {
 				if run.Attempt != other.Attempt && overlap(one, other) {
 					found = append(found, fmt.Sprintf("job %s: attempt %d on %s and attempt %d on %s ran at once",
--- a/load/overlap_test.go
+++ b/load/overlap_test.go
@@ -34,8 +34,8 @@
 		{"different jobs", run("j", 1, 10, 20), run("k", 2, 10, 20), 0},
 	} {
 		got := Overlaps([]standin.Audit{
-			{Worker: "a", Tasks: []standin.TaskRun{test.one}},
-			{Worker: "b", Tasks: []standin.TaskRun{test.two}},
+			{WorkerName: "a", Tasks: []standin.TaskRun{test.one}},
+			{WorkerName: "b", Tasks: []standin.TaskRun{test.two}},
 		})
 		qt.Check(t, got, qt.HasLen, test.want, qt.Commentf(test.story))
 	}
--- a/load/run_quick.go
+++ b/load/run_quick.go
@@ -43,8 +43,8 @@
 func (r *runner) quickRequest(tag string, a *QuickArrival) *api.QuickRequest {
 	query := url.Values{}
 	query.Set(standin.ParamTag, tag)
-	query.Set(standin.ParamWorkMS, strconv.FormatFloat(a.Work.Seconds()*1000, 'f', 3, 64))
-	query.Set(standin.ParamPad, strconv.Itoa(a.Load.Pad))
+	query.Set(standin.ParamServiceTimeMS, strconv.FormatFloat(a.Work.Seconds()*1000, 'f', 3, 64))
+	query.Set(standin.ParamPaddingBytes, strconv.Itoa(a.Load.Pad))
 	req := &api.QuickRequest{
 		Call: api.Call{
 			Account:    a.Load.Account,
--- a/load/run_test.go
+++ b/load/run_test.go
@@ -39,14 +39,14 @@
 		st, err := e.worker.StartTask(r.Context(), id, target.TaskSpec{Members: 1, LeaseMS: 60_000, Payload: req.Payload})
 		e.job(w, http.StatusAccepted, st, err)
 	default:
-		st, err := e.worker.Task(r.Context(), target.TaskID{Job: name, Attempt: 1}, time.Second)
+		st, err := e.worker.GetTask(r.Context(), target.TaskID{Job: name, Attempt: 1}, time.Second)
 		e.job(w, http.StatusOK, st, err)
 	}
 }
 
 func (e *fakeEntry) quick(w http.ResponseWriter, r *http.Request, path string, body []byte) {
 	call, _ := api.ParseCall(r.Header)
-	a, err := e.worker.Do(r.Context(), target.Request{ID: "r", Account: call.Account, Class: call.Class,
+	a, err := e.worker.Do(r.Context(), target.Request{RequestID: "r", Account: call.Account, Class: call.Class,
 		Method: r.Method, Path: path, RawQuery: r.URL.RawQuery, Body: body})
 	switch {
 	case err != nil:
@@ -68,7 +68,7 @@
 	if st.State == target.TaskDone {
 		state = api.JobDone
 	}
-	api.WriteJSON(w, status, api.JobStatus{ID: st.Job, State: state, Submitted: st.Started, Started: st.Started.Add(1)})
+	api.WriteJSON(w, status, api.JobStatus{ID: st.Job, State: state, Submitted: st.StartedAt, Started: st.StartedAt.Add(1)})
 }
 
 const runPlan = `
@@ -96,7 +96,7 @@
 	worker := standin.New(standin.Options{Name: "w"})
 	wsrv := httptest.NewServer(worker)
 	defer wsrv.Close()
-	client := target.NewClient(target.Options{Base: wsrv.URL})
+	client := target.NewClient(target.Options{BaseURL: wsrv.URL})
 	defer client.Close()
 	entry := httptest.NewServer(&fakeEntry{client, denies})
 	defer entry.Close()
--- a/target/client.go
+++ b/target/client.go
@@ -10,22 +10,22 @@
 
 // Defaults of Options.
 const (
-	DefaultMaxConns    = 64
-	DefaultMaxAnswer   = 8 << 20
-	DefaultDialTimeout = 2 * time.Second
-	defaultIdleTimeout = 30 * time.Second
+	DefaultMaxConns         = 64
+	DefaultMaxResponseBytes = 8 << 20
+	DefaultDialTimeout      = 2 * time.Second
+	defaultIdleTimeout      = 30 * time.Second
 )
 
 // Options configure a Client. Zero values take the defaults.
 type Options struct {
-	// Base is the target's URL without a trailing slash.
-	Base string
+	// BaseURL is the target's URL without a trailing slash.
+	BaseURL string
 	// MaxConns bounds open connections, those of tasks included. Requests
 	// beyond wait for one; the wait ends with the context as ErrNotSent.
 	MaxConns int
-	// MaxAnswer bounds an answer's body, in bytes.
-	MaxAnswer   int64
-	DialTimeout time.Duration
+	// MaxResponseBytes bounds an answer's body, in bytes.
+	MaxResponseBytes int64
+	DialTimeout      time.Duration
 }
 
 // Client speaks to one target. It is safe for concurrent use.
@@ -40,15 +40,15 @@
 	if o.MaxConns <= 0 {
 		o.MaxConns = DefaultMaxConns
 	}
-	if o.MaxAnswer <= 0 {
-		o.MaxAnswer = DefaultMaxAnswer
+	if o.MaxResponseBytes <= 0 {
+		o.MaxResponseBytes = DefaultMaxResponseBytes
 	}
 	if o.DialTimeout <= 0 {
 		o.DialTimeout = DefaultDialTimeout
 	}
 	return &Client{
-		base:      strings.TrimRight(o.Base, "/"),
-		maxAnswer: o.MaxAnswer,
+		base:      strings.TrimRight(o.BaseURL, "/"),
+		maxAnswer: o.MaxResponseBytes,
 		transport: newTransport(o),
 	}
 }
--- a/target/client_tasks.go
+++ b/target/client_tasks.go
@@ -22,18 +22,18 @@
 	return st, err
 }
 
-// Tasks lists the tasks the worker knows: all that run and the latest ended. Starts
+// ListTasks lists the tasks the worker knows: all that run and the latest ended. Starts
 // that an earlier incarnation of the agent has sent and that are not in the list are
 // refused from then on.
-func (c *Client) Tasks(ctx context.Context, incarnation uint64) ([]TaskStatus, error) {
+func (c *Client) ListTasks(ctx context.Context, incarnation uint64) ([]TaskStatus, error) {
 	path := PathTasks + "?" + ParamIncarnation + "=" + strconv.FormatUint(incarnation, 10)
 	var list []TaskStatus
 	err := c.call(ctx, http.MethodGet, path, nil, &list)
 	return list, err
 }
 
-// Task returns a task's status, held up to wait until the task ends.
-func (c *Client) Task(ctx context.Context, id TaskID, wait time.Duration) (TaskStatus, error) {
+// GetTask returns a task's status, held up to wait until the task ends.
+func (c *Client) GetTask(ctx context.Context, id TaskID, wait time.Duration) (TaskStatus, error) {
 	path := id.Path()
 	if wait > 0 {
 		path += "?" + ParamWaitMS + "=" + strconv.FormatInt(wait.Milliseconds(), 10)
@@ -47,7 +47,7 @@
 // ended comes back without an error.
 func (c *Client) RenewTask(ctx context.Context, id TaskID, lease time.Duration) (TaskStatus, error) {
 	var st TaskStatus
-	err := c.call(ctx, http.MethodPost, id.Path()+"/renew", Renewal{LeaseMS: lease.Milliseconds()}, &st)
+	err := c.call(ctx, http.MethodPost, id.Path()+"/renew", LeaseRenewal{LeaseMS: lease.Milliseconds()}, &st)
 	return st, err
 }
 
--- a/target/client_test.go
+++ b/target/client_test.go
@@ -17,7 +17,7 @@
 
 func serve(t *testing.T, h http.HandlerFunc) *Client {
 	srv := httptest.NewServer(h)
-	client := NewClient(Options{Base: srv.URL})
+	client := NewClient(Options{BaseURL: srv.URL})
 	t.Cleanup(func() {
 		client.Close()
 		srv.Close()
@@ -29,12 +29,12 @@
 	c := qt.New(t)
 	client := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		w.Header().Set("Seen", r.Method+" "+r.URL.EscapedPath()+"?"+r.URL.RawQuery+" "+r.Header.Get(HeaderRequest)+
+		w.Header().Set("Seen", r.Method+" "+r.URL.EscapedPath()+"?"+r.URL.RawQuery+" "+r.Header.Get(HeaderRequestID)+
 			" "+r.Header.Get(HeaderAttempt)+" "+r.Header.Get(HeaderDeadline))
 		w.WriteHeader(http.StatusFound)
 		_, _ = w.Write(body)
 	})
-	a, err := client.Do(context.Background(), Request{ID: "r1", Attempt: 2, Deadline: time.Second,
+	a, err := client.Do(context.Background(), Request{RequestID: "r1", Attempt: 2, Remaining: time.Second,
 		Method: "PUT", Path: "a%2Fb/c", RawQuery: "x=1", Body: []byte("pallet")})
 	c.Assert(err, qt.IsNil)
 	c.Check(a.Status, qt.Equals, http.StatusFound)
@@ -47,7 +47,7 @@
 	qt.Assert(t, err, qt.IsNil)
 	nobody := "http://" + listener.Addr().String()
 	listener.Close()
-	qt.Check(t, errors.Is(do(NewClient(Options{Base: nobody})), ErrNotSent), qt.IsTrue)
+	qt.Check(t, errors.Is(do(NewClient(Options{BaseURL: nobody})), ErrNotSent), qt.IsTrue)
 
 	for name, tc := range map[string]struct {
 		handler http.HandlerFunc
@@ -68,7 +68,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}, ErrRefused},
 		"answer too large": {func(w http.ResponseWriter, _ *http.Request) {
-			_, _ = w.Write(make([]byte, DefaultMaxAnswer+1))
+			_, _ = w.Write(make([]byte, DefaultMaxResponseBytes+1))
 		}, ErrTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -145,7 +145,7 @@
 		<-hold
 	}))
 	defer srv.Close()
-	client := NewClient(Options{Base: srv.URL, MaxConns: 1})
+	client := NewClient(Options{BaseURL: srv.URL, MaxConns: 1})
 	defer client.Close()
 	first := make(chan error)
 	go func() { first <- do(client) }()
--- a/target/protocol.go
+++ b/target/protocol.go
@@ -7,7 +7,7 @@
 
 // Headers an agent sets on a quick request.
 const (
-	HeaderRequest = "Eelgrasshub-Request"
+	HeaderRequestID = "Eelgrasshub-Request"
 	// HeaderAttempt counts the attempts of the request, from 1.
 	HeaderAttempt = "Eelgrasshub-Attempt"
 	HeaderAccount = "Eelgrasshub-Account"
--- a/target/request.go
+++ b/target/request.go
@@ -12,14 +12,14 @@
 
 // Request is a quick request to forward.
 type Request struct {
-	ID      string
-	Attempt int
-	Account string
-	Class   string
-	// Deadline is the time that remains; 0 for none. The context bounds the
+	RequestID string
+	Attempt   int
+	Account   string
+	Class     string
+	// Remaining is the time that remains; 0 for none. The context bounds the
 	// wait; this one is only told to the target.
-	Deadline time.Duration
-	Method   string
+	Remaining time.Duration
+	Method    string
 	// Path is below the requests path, escaped, without a leading slash.
 	Path     string
 	RawQuery string
@@ -28,8 +28,8 @@
 	Body   []byte
 }
 
-// Answer is the target's own whole answer.
-type Answer struct {
+// Response is the target's own whole answer.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -38,30 +38,30 @@
 // Do forwards r once. The error is ErrNotSent, ErrRefused or ErrOutcomeUnknown
 // (by errors.Is); only the last allows that the request ran. A context that
 // ends after the request was sent gives ErrOutcomeUnknown.
-func (c *Client) Do(ctx context.Context, r Request) (Answer, error) {
+func (c *Client) Do(ctx context.Context, r Request) (Response, error) {
 	req, err := c.newRequest(ctx, r)
 	if err != nil {
-		return Answer{}, fmt.Errorf("%w: %w", ErrNotSent, err)
+		return Response{}, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	var proof sendProof
 	resp, err := c.transport.RoundTrip(req.WithContext(proof.watch(ctx)))
 	if err != nil {
 		if proof.notSent() {
-			return Answer{}, fmt.Errorf("%w: %w", ErrNotSent, err)
+			return Response{}, fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
-		return Answer{}, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
+		return Response{}, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	defer resp.Body.Close()
 	if resp.Header.Get(HeaderRefused) == "true" {
-		return Answer{}, fmt.Errorf("%w: status %d", ErrRefused, resp.StatusCode)
+		return Response{}, fmt.Errorf("%w: status %d", ErrRefused, resp.StatusCode)
 	}
 	body, err := c.readBody(req.Method, resp)
 	if err != nil {
-		return Answer{}, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
+		return Response{}, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	h := resp.Header
 	removeHopByHop(h)
-	return Answer{Status: resp.StatusCode, Header: h, Body: body}, nil
+	return Response{Status: resp.StatusCode, Header: h, Body: body}, nil
 }
 
 func (c *Client) newRequest(ctx context.Context, r Request) (*http.Request, error) {
@@ -78,13 +78,13 @@
 		req.Header = r.Header.Clone()
 	}
 	removeHopByHop(req.Header)
-	req.Header.Set(HeaderRequest, r.ID)
+	req.Header.Set(HeaderRequestID, r.RequestID)
 	req.Header.Set(HeaderAttempt, strconv.Itoa(r.Attempt))
 	req.Header.Set(HeaderAccount, r.Account)
 	req.Header.Set(HeaderClass, r.Class)
 	req.Header.Del(HeaderDeadline)
-	if r.Deadline > 0 {
-		req.Header.Set(HeaderDeadline, r.Deadline.String())
+	if r.Remaining > 0 {
+		req.Header.Set(HeaderDeadline, r.Remaining.String())
 	}
 	return req, nil
 }
--- a/target/standin/audit.go
+++ b/target/standin/audit.go
@@ -9,7 +9,7 @@
 
 // Audit is the log of what truly ran on one worker.
 type Audit struct {
-	Worker     string      `json:"worker"`
+	WorkerName string      `json:"worker"`
 	Quick      []QuickRun  `json:"quick"`
 	Tasks      []TaskRun   `json:"tasks"`
 	Violations []Violation `json:"violations"`
@@ -20,8 +20,8 @@
 
 // QuickRun is one run of a quick request.
 type QuickRun struct {
-	Request string `json:"request"`
-	Attempt int    `json:"attempt"`
+	RequestID string `json:"request"`
+	Attempt   int    `json:"attempt"`
 	// Tag is the query parameter "tag": the caller's own name for the request.
 	Tag     string    `json:"tag,omitempty"`
 	Account string    `json:"account"`
@@ -59,13 +59,13 @@
 
 // Kinds of violations.
 const (
-	// ViolationAccelerator: a start on an accelerator that another task holds.
+	// ViolationAcceleratorShared: a start on an accelerator that another task holds.
 	// The start was refused.
-	ViolationAccelerator ViolationKind = "accelerator-shared"
-	// ViolationConnections: more connections than the worker has.
-	ViolationConnections ViolationKind = "too-many-connections"
-	// ViolationReuse: a start under the id of a different task. Refused.
-	ViolationReuse ViolationKind = "task-id-reused"
+	ViolationAcceleratorShared ViolationKind = "accelerator-shared"
+	// ViolationTooManyConnections: more connections than the worker has.
+	ViolationTooManyConnections ViolationKind = "too-many-connections"
+	// ViolationTaskIDReused: a start under the id of a different task. Refused.
+	ViolationTaskIDReused ViolationKind = "task-id-reused"
 )
 
 // Violation is one breach of a rule.
@@ -80,7 +80,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := Audit{
-		Worker:     s.opts.Name,
+		WorkerName: s.opts.Name,
 		Quick:      make([]QuickRun, len(s.quickLog)),
 		Tasks:      make([]TaskRun, len(s.taskLog)),
 		Violations: append([]Violation{}, s.violations...),
@@ -117,7 +117,7 @@
 
 // room reports whether one more record fits, and counts the one that doesn't.
 func (s *Server) room() bool {
-	if len(s.quickLog)+len(s.taskLog) < s.opts.MaxRecords {
+	if len(s.quickLog)+len(s.taskLog) < s.opts.MaxAuditRecords {
 		return true
 	}
 	s.dropped++
@@ -125,7 +125,7 @@
 }
 
 func (s *Server) violate(kind ViolationKind, format string, args ...any) {
-	if len(s.violations) >= s.opts.MaxRecords {
+	if len(s.violations) >= s.opts.MaxAuditRecords {
 		s.dropped++
 		return
 	}
--- a/target/standin/conns.go
+++ b/target/standin/conns.go
@@ -56,6 +56,6 @@
 	st.counted = true
 	s.connsInUse++
 	if s.connsInUse > s.opts.Connections {
-		s.violate(ViolationConnections, "%d open, limit %d", s.connsInUse, s.opts.Connections)
+		s.violate(ViolationTooManyConnections, "%d open, limit %d", s.connsInUse, s.opts.Connections)
 	}
 }
--- a/target/standin/echo.go
+++ b/target/standin/echo.go
@@ -9,18 +9,18 @@
 // Echo is the answer to a quick request: who asked for what. A caller can tell
 // from it that the answer is whole and its own.
 type Echo struct {
-	Request string `json:"request"`
-	Attempt int    `json:"attempt"`
-	Account string `json:"account"`
-	Class   string `json:"class"`
-	Method  string `json:"method"`
+	RequestID string `json:"request"`
+	Attempt   int    `json:"attempt"`
+	Account   string `json:"account"`
+	Class     string `json:"class"`
+	Method    string `json:"method"`
 	// Path is below the requests path.
 	Path  string `json:"path"`
 	Query string `json:"query,omitempty"`
 	// BodySum is the checksum of the request's body.
 	BodySum string `json:"body_sum"`
-	// Fill pads the answer to the size asked for by the query's "pad".
-	Fill string `json:"fill,omitempty"`
+	// Padding pads the answer to the size asked for by the query's "pad".
+	Padding string `json:"fill,omitempty"`
 	// Sum is the checksum of all the fields above.
 	Sum string `json:"sum"`
 }
@@ -34,8 +34,8 @@
 func (e Echo) Checksum() string {
 	h := xxhash.New()
 	fields := []string{
-		e.Request, strconv.Itoa(e.Attempt), e.Account, e.Class,
-		e.Method, e.Path, e.Query, e.BodySum, e.Fill,
+		e.RequestID, strconv.Itoa(e.Attempt), e.Account, e.Class,
+		e.Method, e.Path, e.Query, e.BodySum, e.Padding,
 	}
 	for _, f := range fields {
 		// The length before each field keeps two fields from running together.
--- a/target/standin/faults.go
+++ b/target/standin/faults.go
@@ -19,8 +19,8 @@
 	HoldStarts bool `json:"hold_starts,omitempty"`
 	// Reject refuses quick requests and starts of tasks, without running them.
 	Reject bool `json:"reject,omitempty"`
-	// Every lets only each n-th quick request meet the faults; 0 and 1 mean all.
-	Every int `json:"every,omitempty"`
+	// EveryNth lets only each n-th quick request meet the faults; 0 and 1 mean all.
+	EveryNth int `json:"every,omitempty"`
 }
 
 // SetFaults replaces the faults. Requests held silent by the old ones end with
@@ -38,7 +38,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.quickSeen++
-	if s.faults.Every > 1 && s.quickSeen%s.faults.Every != 0 {
+	if s.faults.EveryNth > 1 && s.quickSeen%s.faults.EveryNth != 0 {
 		return Faults{}
 	}
 	return s.faults
--- a/target/standin/options.go
+++ b/target/standin/options.go
@@ -7,15 +7,15 @@
 
 // Defaults of Options: a worker of the sample deployments.
 const (
-	DefaultSlots        = 8
-	DefaultConnections  = 64
-	DefaultAccelerators = 8
-	DefaultCores        = 32
-	DefaultMemoryMB     = 64 << 10
-	DefaultWork         = 2 * time.Millisecond
-	DefaultUsageLag     = 2 * time.Second
-	DefaultMaxRecords   = 1 << 20
-	DefaultMaxEnded     = 4096
+	DefaultSlots           = 8
+	DefaultConnections     = 64
+	DefaultAccelerators    = 8
+	DefaultCores           = 32
+	DefaultMemoryMB        = 64 << 10
+	DefaultServiceTime     = 2 * time.Millisecond
+	DefaultMaxUsageAge     = 2 * time.Second
+	DefaultMaxAuditRecords = 1 << 20
+	DefaultMaxEndedTasks   = 4096
 )
 
 // Options configure a Server. Zero values take the defaults.
@@ -28,14 +28,14 @@
 	Accelerators int
 	Cores        int
 	MemoryMB     int
-	// Work is the service time of a quick request that doesn't say its own.
-	Work time.Duration
-	// UsageLag is how old reported usage may be.
-	UsageLag time.Duration
-	// MaxRecords bounds the audit log; later records are dropped and counted.
-	MaxRecords int
-	// MaxEnded bounds the ended tasks that are remembered; the oldest go first.
-	MaxEnded int
+	// ServiceTime is the service time of a quick request that doesn't say its own.
+	ServiceTime time.Duration
+	// MaxUsageAge is how old reported usage may be.
+	MaxUsageAge time.Duration
+	// MaxAuditRecords bounds the audit log; later records are dropped and counted.
+	MaxAuditRecords int
+	// MaxEndedTasks bounds the ended tasks that are remembered; the oldest go first.
+	MaxEndedTasks int
 }
 
 func (o Options) withDefaults() Options {
@@ -44,9 +44,9 @@
 	o.Accelerators = cmp.Or(o.Accelerators, DefaultAccelerators)
 	o.Cores = cmp.Or(o.Cores, DefaultCores)
 	o.MemoryMB = cmp.Or(o.MemoryMB, DefaultMemoryMB)
-	o.Work = cmp.Or(o.Work, DefaultWork)
-	o.UsageLag = cmp.Or(o.UsageLag, DefaultUsageLag)
-	o.MaxRecords = cmp.Or(o.MaxRecords, DefaultMaxRecords)
-	o.MaxEnded = cmp.Or(o.MaxEnded, DefaultMaxEnded)
+	o.ServiceTime = cmp.Or(o.ServiceTime, DefaultServiceTime)
+	o.MaxUsageAge = cmp.Or(o.MaxUsageAge, DefaultMaxUsageAge)
+	o.MaxAuditRecords = cmp.Or(o.MaxAuditRecords, DefaultMaxAuditRecords)
+	o.MaxEndedTasks = cmp.Or(o.MaxEndedTasks, DefaultMaxEndedTasks)
 	return o
 }
--- a/target/standin/quick.go
+++ b/target/standin/quick.go
@@ -16,10 +16,10 @@
 const (
 	// ParamTag is the caller's own name for the request, kept in the audit.
 	ParamTag = "tag"
-	// ParamWorkMS is the service time in milliseconds, a decimal number.
-	ParamWorkMS = "work_ms"
-	// ParamPad asks for that many bytes of filling in the answer.
-	ParamPad = "pad"
+	// ParamServiceTimeMS is the service time in milliseconds, a decimal number.
+	ParamServiceTimeMS = "work_ms"
+	// ParamPaddingBytes asks for that many bytes of filling in the answer.
+	ParamPaddingBytes = "pad"
 )
 
 const (
@@ -61,27 +61,27 @@
 }
 
 func newEcho(r *http.Request, query url.Values, body []byte) Echo {
-	pad, _ := strconv.Atoi(query.Get(ParamPad))
+	pad, _ := strconv.Atoi(query.Get(ParamPaddingBytes))
 	attempt, _ := strconv.Atoi(r.Header.Get(target.HeaderAttempt))
 	e := Echo{
-		Request: r.Header.Get(target.HeaderRequest),
-		Attempt: attempt,
-		Account: r.Header.Get(target.HeaderAccount),
-		Class:   r.Header.Get(target.HeaderClass),
-		Method:  r.Method,
-		Path:    strings.TrimPrefix(r.URL.EscapedPath(), target.PathRequests),
-		Query:   r.URL.RawQuery,
-		BodySum: BodySum(body),
-		Fill:    strings.Repeat("x", min(max(pad, 0), maxPad)),
+		RequestID: r.Header.Get(target.HeaderRequestID),
+		Attempt:   attempt,
+		Account:   r.Header.Get(target.HeaderAccount),
+		Class:     r.Header.Get(target.HeaderClass),
+		Method:    r.Method,
+		Path:      strings.TrimPrefix(r.URL.EscapedPath(), target.PathRequests),
+		Query:     r.URL.RawQuery,
+		BodySum:   BodySum(body),
+		Padding:   strings.Repeat("x", min(max(pad, 0), maxPad)),
 	}
 	e.Sum = e.Checksum()
 	return e
 }
 
 func (s *Server) workTime(query url.Values) time.Duration {
-	ms, err := strconv.ParseFloat(query.Get(ParamWorkMS), 64)
+	ms, err := strconv.ParseFloat(query.Get(ParamServiceTimeMS), 64)
 	if err != nil || ms < 0 {
-		return s.opts.Work
+		return s.opts.ServiceTime
 	}
 	return min(time.Duration(ms*float64(time.Millisecond)), maxWork)
 }
@@ -91,12 +91,12 @@
 func (s *Server) beginQuick(r *http.Request, query url.Values, work time.Duration, f Faults) (*QuickRun, time.Duration) {
 	attempt, _ := strconv.Atoi(r.Header.Get(target.HeaderAttempt))
 	run := &QuickRun{
-		Request: r.Header.Get(target.HeaderRequest),
-		Attempt: attempt,
-		Tag:     query.Get(ParamTag),
-		Account: r.Header.Get(target.HeaderAccount),
-		Class:   r.Header.Get(target.HeaderClass),
-		Start:   time.Now(),
+		RequestID: r.Header.Get(target.HeaderRequestID),
+		Attempt:   attempt,
+		Tag:       query.Get(ParamTag),
+		Account:   r.Header.Get(target.HeaderAccount),
+		Class:     r.Header.Get(target.HeaderClass),
+		Start:     time.Now(),
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/target/standin/server.go
+++ b/target/standin/server.go
@@ -107,7 +107,7 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.countConn(r.Context())
 		s.mu.Lock()
-		silent := s.faults.Hang && s.faults.Every <= 1
+		silent := s.faults.Hang && s.faults.EveryNth <= 1
 		s.mu.Unlock()
 		if silent {
 			s.hold(r)
--- a/target/standin/standin_test.go
+++ b/target/standin/standin_test.go
@@ -65,7 +65,7 @@
 		s := New(Options{})
 		_, _ = call(s, "PUT", "/tasks/j/1", spec(60_000, 1000, 3))
 		time.Sleep(900 * time.Millisecond)
-		_, _ = call(s, "POST", "/tasks/j/1/renew", target.Renewal{LeaseMS: 1000})
+		_, _ = call(s, "POST", "/tasks/j/1/renew", target.LeaseRenewal{LeaseMS: 1000})
 		time.Sleep(900 * time.Millisecond)
 		st, _ := call(s, "GET", "/tasks/j/1", nil)
 		c.Check(st.State, qt.Equals, target.TaskRunning)
@@ -102,8 +102,8 @@
 		c.Check(code, qt.Equals, 200, qt.Commentf("sent by the agent as it is"))
 		a := s.Audit()
 		c.Check(len(a.Tasks), qt.Equals, 2)
-		c.Check(a.Violations[0].Kind, qt.Equals, ViolationReuse)
-		c.Check(a.Violations[1].Kind, qt.Equals, ViolationAccelerator)
+		c.Check(a.Violations[0].Kind, qt.Equals, ViolationTaskIDReused)
+		c.Check(a.Violations[1].Kind, qt.Equals, ViolationAcceleratorShared)
 		s.Close()
 	})
 }
@@ -183,9 +183,9 @@
 					cancel()
 				}()
 			}
-			client := target.NewClient(target.Options{Base: srv.URL})
+			client := target.NewClient(target.Options{BaseURL: srv.URL})
 			defer client.Close()
-			a, err := client.Do(ctx, target.Request{ID: "r1", Attempt: 1, Method: "PUT", Path: "p", RawQuery: "tag=x&work_ms=0&pad=9", Body: []byte("b")})
+			a, err := client.Do(ctx, target.Request{RequestID: "r1", Attempt: 1, Method: "PUT", Path: "p", RawQuery: "tag=x&work_ms=0&pad=9", Body: []byte("b")})
 			c.Check(errors.Is(err, tc.err), qt.IsTrue, qt.Commentf("%v", err))
 			c.Check(a.Status, qt.Equals, tc.status)
 			runs := s.Audit().Quick
@@ -194,7 +194,7 @@
 				var e Echo
 				c.Assert(json.Unmarshal(a.Body, &e), qt.IsNil)
 				c.Check(e.Checksum(), qt.Equals, e.Sum)
-				c.Check([]string{e.Request, e.Path, runs[0].Tag, runs[0].Checksum}, qt.DeepEquals, []string{"r1", "p", "x", e.Sum})
+				c.Check([]string{e.RequestID, e.Path, runs[0].Tag, runs[0].Checksum}, qt.DeepEquals, []string{"r1", "p", "x", e.Sum})
 			}
 		})
 	}
@@ -207,14 +207,14 @@
 	srv.Start()
 	defer srv.Close()
 	for range 2 {
-		client := target.NewClient(target.Options{Base: srv.URL})
+		client := target.NewClient(target.Options{BaseURL: srv.URL})
 		defer client.Close()
 		_, err := client.Capacity(context.Background())
 		qt.Assert(t, err, qt.IsNil)
 	}
 	v := s.Audit().Violations
 	qt.Assert(t, len(v), qt.Equals, 1)
-	qt.Check(t, v[0].Kind, qt.Equals, ViolationConnections)
+	qt.Check(t, v[0].Kind, qt.Equals, ViolationTooManyConnections)
 }
 
 // TestRandomTasksNeverShareAnAccelerator drives random starts, renewals and
@@ -229,7 +229,7 @@
 			case 0, 1:
 				call(s, "PUT", path, spec(rng.Int64N(300), 1+rng.Int64N(200), rng.IntN(3)))
 			case 2:
-				call(s, "POST", path+"/renew", target.Renewal{LeaseMS: 100})
+				call(s, "POST", path+"/renew", target.LeaseRenewal{LeaseMS: 100})
 			case 3:
 				call(s, "DELETE", path, nil)
 			}
--- a/target/standin/task.go
+++ b/target/standin/task.go
@@ -77,7 +77,7 @@
 	if same {
 		return nil
 	}
-	s.violate(ViolationReuse, "%s/%d", t.id.Job, t.id.Attempt)
+	s.violate(ViolationTaskIDReused, "%s/%d", t.id.Job, t.id.Attempt)
 	return fmt.Errorf("task id is taken by a different task")
 }
 
@@ -93,7 +93,7 @@
 			return fmt.Errorf("accelerator %d: no such accelerator", a)
 		}
 		if h := s.holders[a]; h != nil {
-			s.violate(ViolationAccelerator, "accelerator %d: %s/%d while %s/%d runs",
+			s.violate(ViolationAcceleratorShared, "accelerator %d: %s/%d while %s/%d runs",
 				a, id.Job, id.Attempt, h.id.Job, h.id.Attempt)
 			return fmt.Errorf("accelerator %d is taken by %s/%d", a, h.id.Job, h.id.Attempt)
 		}
@@ -170,7 +170,7 @@
 // forget adds an ended task and drops the oldest beyond the bound.
 func (s *Server) forget(id target.TaskID) {
 	s.ended = append(s.ended, id)
-	if len(s.ended) <= s.opts.MaxEnded {
+	if len(s.ended) <= s.opts.MaxEndedTasks {
 		return
 	}
 	old := s.ended[0]
--- a/target/standin/task_status.go
+++ b/target/standin/task_status.go
@@ -39,7 +39,7 @@
 
 func (t *task) newCheckpoint(progress int64, taken time.Time) *target.Checkpoint {
 	id := fmt.Sprintf("%s-%d-%d", t.id.Job, t.spec.Member, progress)
-	return &target.Checkpoint{ID: id, ProgressMS: progress, Taken: taken}
+	return &target.Checkpoint{ID: id, ProgressMS: progress, TakenAt: taken}
 }
 
 func (t *task) status(now time.Time) target.TaskStatus {
@@ -49,7 +49,7 @@
 		Member: t.spec.Member, Members: t.spec.Members,
 		Accelerators: t.spec.Accelerators, Epoch: t.spec.Epoch,
 		ProgressMS: progress, Checkpoint: t.latestCheckpoint(progress),
-		Started: t.started, Ended: t.end,
+		StartedAt: t.started, EndedAt: t.end,
 	}
 	if !t.state.Final() {
 		st.LeaseLeftMS = max(0, t.leaseEnd.Sub(now).Milliseconds())
--- a/target/standin/tasks_http.go
+++ b/target/standin/tasks_http.go
@@ -115,12 +115,12 @@
 	for _, t := range s.tasks {
 		list = append(list, t.status(now))
 	}
-	slices.SortFunc(list, func(a, b target.TaskStatus) int { return a.Started.Compare(b.Started) })
+	slices.SortFunc(list, func(a, b target.TaskStatus) int { return a.StartedAt.Compare(b.StartedAt) })
 	writeJSON(w, list)
 }
 
 func (s *Server) renewTask(w http.ResponseWriter, r *http.Request) {
-	var renewal target.Renewal
+	var renewal target.LeaseRenewal
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&renewal)
 	if err != nil || renewal.LeaseMS <= 0 {
 		http.Error(w, "lease_ms: must be a number above 0", http.StatusBadRequest)
--- a/target/standin/worker_http.go
+++ b/target/standin/worker_http.go
@@ -24,22 +24,22 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if now.Sub(s.usage.At) >= s.opts.UsageLag {
+	if now.Sub(s.usage.SampledAt) >= s.opts.MaxUsageAge {
 		s.usage = s.sample(now)
 	}
 	writeJSON(w, s.usage)
 }
 
 func (s *Server) sample(now time.Time) target.Usage {
-	u := target.Usage{At: now, Quick: s.quickRunning, Connections: s.connsInUse, Accelerators: []int{}}
+	u := target.Usage{SampledAt: now, QuickRequests: s.quickRunning, OpenConnections: s.connsInUse, BusyAccelerators: []int{}}
 	for a, t := range s.holders {
 		if t != nil {
-			u.Accelerators = append(u.Accelerators, a)
+			u.BusyAccelerators = append(u.BusyAccelerators, a)
 		}
 	}
 	for _, t := range s.tasks {
 		if !t.state.Final() {
-			u.Tasks++
+			u.RunningTasks++
 		}
 	}
 	return u
--- a/target/task.go
+++ b/target/task.go
@@ -34,7 +34,7 @@
 	ID string `json:"id"`
 	// ProgressMS is the work it saves, in milliseconds of run time.
 	ProgressMS int64     `json:"progress_ms"`
-	Taken      time.Time `json:"taken,omitzero"`
+	TakenAt    time.Time `json:"taken,omitzero"`
 }
 
 // TaskState is the state of a task on its worker.
@@ -72,12 +72,12 @@
 	Error      string          `json:"error,omitempty"`
 	// LeaseLeftMS is the time until the lease lapses; 0 in a final state.
 	LeaseLeftMS int64     `json:"lease_left_ms"`
-	Started     time.Time `json:"started,omitzero"`
-	Ended       time.Time `json:"ended,omitzero"`
+	StartedAt   time.Time `json:"started,omitzero"`
+	EndedAt     time.Time `json:"ended,omitzero"`
 }
 
-// Renewal prolongs the lease of a running task to LeaseMS from now.
-type Renewal struct {
+// LeaseRenewal prolongs the lease of a running task to LeaseMS from now.
+type LeaseRenewal struct {
 	LeaseMS int64 `json:"lease_ms"`
 }
 
@@ -93,9 +93,9 @@
 
 // Usage is what a worker uses. It lags: At says when it was taken.
 type Usage struct {
-	At           time.Time `json:"at"`
-	Quick        int       `json:"quick"`
-	Tasks        int       `json:"tasks"`
-	Accelerators []int     `json:"accelerators"`
-	Connections  int       `json:"connections"`
+	SampledAt        time.Time `json:"at"`
+	QuickRequests    int       `json:"quick"`
+	RunningTasks     int       `json:"tasks"`
+	BusyAccelerators []int     `json:"accelerators"`
+	OpenConnections  int       `json:"connections"`
 }
--- a/trial/helpers_test.go
+++ b/trial/helpers_test.go
@@ -138,7 +138,7 @@
 		Call:     api.Call{Account: "big", Class: class, IdempotencyKey: key},
 		Service:  w.Service,
 		Path:     "consignment",
-		RawQuery: fmt.Sprintf("%s=%s&%s=%d", standin.ParamTag, tag, standin.ParamWorkMS, work.Milliseconds()),
+		RawQuery: fmt.Sprintf("%s=%s&%s=%d", standin.ParamTag, tag, standin.ParamServiceTimeMS, work.Milliseconds()),
 		Body:     []byte(tag),
 	})
 	return told{a, err}
