--- a/agent/agent.go
+++ b/agent/agent.go
@@ -49,7 +49,7 @@
 	target   *target.Client
 	quick    *quick
 	gangs    *gangs
-	docs     *document.InForce
+	docs     *document.ActiveSet
 	reports  *reports
 	metrics  *metrics.Set
 	draining atomic.Bool
@@ -64,7 +64,7 @@
 		target:      target.NewClient(target.Options{Base: cfg.Target, MaxConns: cfg.Connections}),
 		metrics:     metrics.New(0),
 	}
-	a.docs = document.NewInForce(a.documentChanged)
+	a.docs = document.NewActiveSet(a.documentChanged)
 	a.quick = a.newQuick()
 	a.gangs = a.newGangs()
 	a.reports = newReports(a)
@@ -106,7 +106,7 @@
 		Version:     wire.Version,
 		Address:     a.cfg.Listen,
 	}
-	id, err := wire.NewIdentity(peer, []byte(a.cfg.ClusterKey), a.cfg.Accepted()...)
+	id, err := wire.NewIdentity(peer, []byte(a.cfg.ClusterKey), a.cfg.AcceptedKeyBytes()...)
 	if err != nil {
 		return err
 	}
@@ -170,7 +170,7 @@
 }
 
 // documentChanged puts a new generation's weights in force and reports it.
-func (a *Agent) documentChanged(_, now *document.Held) {
+func (a *Agent) documentChanged(_, now *document.ActiveVersion) {
 	if now.Version.Service != a.cfg.Service {
 		return
 	}
--- a/agent/announce_test.go
+++ b/agent/announce_test.go
@@ -80,7 +80,7 @@
 		Accelerators: 8,
 		Slots:        8,
 		Connections:  8,
-		ReportEvery:  schema.Duration{Duration: time.Second},
+		ReportPeriod: schema.Duration{Duration: time.Second},
 	}, logrus.NewEntry(log))
 	c.Assert(err, qt.IsNil)
 	defer a.Close()
--- a/agent/handle.go
+++ b/agent/handle.go
@@ -65,7 +65,7 @@
 // then.
 func (a *Agent) publish(m *wire.PublishDocuments) *wire.PublishDocumentsAck {
 	for _, v := range m.Versions {
-		a.docs.Offer(time.Now(), v)
+		a.docs.Update(time.Now(), v)
 	}
-	return &wire.PublishDocumentsAck{Generations: a.docs.Generations()}
+	return &wire.PublishDocumentsAck{Generations: a.docs.Summaries()}
 }
--- a/agent/quick.go
+++ b/agent/quick.go
@@ -96,11 +96,11 @@
 		return refused(refusal.Reason.String(), "", refusal.RetryAfter)
 	}
 	began := q.now()
-	q.observe(m.Account, m.Class, metrics.QuickQueued, began.Sub(arrived))
+	q.observe(m.Account, m.Class, metrics.QuickQueueTime, began.Sub(arrived))
 	defer func() {
 		took := q.now().Sub(began)
 		q.gate.leave(id, took)
-		q.observe(m.Account, m.Class, metrics.QuickServed, took)
+		q.observe(m.Account, m.Class, metrics.QuickServiceTime, took)
 	}()
 	sending()
 	return q.forward(ctx, m, deadline)
--- a/agent/rack_test.go
+++ b/agent/rack_test.go
@@ -97,7 +97,7 @@
 func (r *rack) put(base uint64) {
 	text := fmt.Appendf(nil, "%s# after %d\n", documentText, base)
 	_, err := document.Put(context.Background(), r.client, document.Proposal{
-		Name: service, TOML: text, Base: base, Author: "t", Token: uuid.NewString(), At: time.Now(),
+		FileName: service, TOML: text, BaseGeneration: base, Author: "t", Token: uuid.NewString(), CreatedAt: time.Now(),
 	})
 	r.Assert(err, qt.IsNil)
 }
@@ -105,9 +105,9 @@
 func (r *rack) entryConfig(id string) settings.Entry {
 	return settings.Entry{
 		ID: id, Region: "auckland", Zone: zone, HTTPListen: loopback, QUICListen: testport.Racks.Addr(), ClusterKey: clusterKey,
-		Platform: []string{r.store}, PlatformTimeout: schema.Duration{Duration: 2 * time.Second}, PlatformBudget: 500,
-		ReportEvery: schema.Duration{Duration: time.Second}, StopGrace: schema.Duration{Duration: time.Minute},
-		RelayAbove: 1,
+		StoreURLs: []string{r.store}, StoreTimeout: schema.Duration{Duration: 2 * time.Second}, StoreRateLimit: 500,
+		ReportPeriod: schema.Duration{Duration: time.Second}, StopGrace: schema.Duration{Duration: time.Minute},
+		RelayThreshold: 1,
 	}
 }
 
@@ -134,7 +134,7 @@
 	cfg := settings.Agent{
 		ID: id, Service: service, Region: "auckland", Zone: zone, Rack: rackName, Listen: loopback, ClusterKey: clusterKey,
 		Target: server.URL, Accelerators: 8, Slots: 8, Connections: 64, Cores: 32, MemoryMB: 65536,
-		ReportEvery: schema.Duration{Duration: time.Second}, StopGrace: schema.Duration{Duration: time.Minute},
+		ReportPeriod: schema.Duration{Duration: time.Second}, StopGrace: schema.Duration{Duration: time.Minute},
 	}
 	for _, e := range r.configs {
 		cfg.Seeds = append(cfg.Seeds, e.QUICListen)
--- a/agent/relay_documents.go
+++ b/agent/relay_documents.go
@@ -22,7 +22,7 @@
 func (r *reports) offer(to *wire.Conn, m *membership.Member) {
 	held, ok := r.a.docs.Current(m.Report.Service)
 	id := m.Report.ID
-	if !ok || r.sending[id] || document.Holds(m.Report.Generations, held.Version.Summary()) {
+	if !ok || r.sending[id] || document.IncludesGeneration(m.Report.Generations, held.Version.Summary()) {
 		return
 	}
 	r.sending[id] = true
@@ -40,7 +40,7 @@
 
 // spread sends a new generation to every member at once, over the connections
 // that they hold to this relay.
-func (r *reports) spread(now *document.Held) {
+func (r *reports) spread(now *document.ActiveVersion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.announcer == nil {
--- a/agent/relay_test.go
+++ b/agent/relay_test.go
@@ -116,11 +116,11 @@
 	until(c, "the entry is ready", func() bool { return client.Ready(ctx) == nil })
 	payload, err := json.Marshal(standin.TaskPayload{Tag: "gang", RunMS: (14 * time.Second).Milliseconds()})
 	c.Assert(err, qt.IsNil)
-	job, err := client.Submit(ctx, service, api.JobRequest{Account: "grower", Class: "score", Accelerators: 24, Payload: payload}, "k")
+	job, err := client.SubmitJob(ctx, service, api.JobRequest{Account: "grower", Class: "score", Accelerators: 24, Payload: payload}, "k")
 	c.Assert(err, qt.IsNil)
 	await := func(state api.JobState) (last api.JobStatus) {
 		until(c, "the job is "+string(state), func() bool {
-			last, err = client.Job(ctx, service, job.ID, 0)
+			last, err = client.GetJob(ctx, service, job.ID, 0)
 			return err == nil && last.State == state
 		})
 		return last
--- a/agent/reports.go
+++ b/agent/reports.go
@@ -72,7 +72,7 @@
 // start announces the agent to the entries of its settings.
 func (r *reports) start() {
 	cfg := membership.ReportRouterConfig{
-		ReporterConfig:   membership.ReporterConfig{Period: r.a.cfg.ReportEvery.Duration, Coalesce: reportCoalesce},
+		ReporterConfig:   membership.ReporterConfig{Period: r.a.cfg.ReportPeriod.Duration, Coalesce: reportCoalesce},
 		GangReportPeriod: gangReportEvery,
 		MaxEntries:       maxEntries,
 	}
@@ -135,7 +135,7 @@
 }
 
 func (r *reports) generations() {
-	r.set(func(s *wire.AgentReport) { s.Generations = r.a.docs.Generations() })
+	r.set(func(s *wire.AgentReport) { s.Generations = r.a.docs.Summaries() })
 }
 
 func (r *reports) drain() {
--- a/api/api_test.go
+++ b/api/api_test.go
@@ -16,8 +16,8 @@
 func TestReasonsThatAllowARunNeverClaimNotRun(t *testing.T) {
 	c := qt.New(t)
 	mayHaveRun := []Reason{
-		ReasonOutcomeLost, ReasonDeadlineRunning, ReasonKeyInDoubt,
-		ReasonAcceptanceLost, ReasonCancelLost, ReasonUnknownJob, ReasonJobUnavailable, ReasonInternal, "of-a-newer-entry", "",
+		ReasonOutcomeLost, ReasonDeadlineWhileRunning, ReasonEarlierAttemptInDoubt,
+		ReasonAcceptanceLost, ReasonCancellationLost, ReasonUnknownJob, ReasonJobStateUnavailable, ReasonInternal, "of-a-newer-entry", "",
 	}
 	for _, r := range mayHaveRun {
 		c.Check(NewProblem(r, "").Outcome(), qt.Equals, OutcomeUnknown, qt.Commentf("%s", r))
@@ -30,10 +30,10 @@
 
 func TestProblemRoundTrip(t *testing.T) {
 	c := qt.New(t)
-	p := Busy(ReasonQueueFull, "40 wait", 1500*time.Millisecond)
-	p.Request = "r1"
+	p := NewRetryableProblem(ReasonQueueFull, "40 wait", 1500*time.Millisecond)
+	p.RequestID = "r1"
 	w := httptest.NewRecorder()
-	p.WriteTo(w)
+	p.WriteResponse(w)
 	c.Check(w.Code, qt.Equals, http.StatusTooManyRequests)
 	c.Check(w.Header().Get(HeaderRetryAfter), qt.Equals, "2")
 	c.Check(w.Header().Get(HeaderOutcome), qt.Equals, "not-run")
@@ -59,9 +59,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := http.Header{}
-			Call{Account: "a", Class: "c"}.SetHeader(h)
+			CallOptions{Account: "a", Class: "c"}.SetHeader(h)
 			h.Set(tc.header, tc.value)
-			_, p := ParseCall(h)
+			_, p := ParseCallOptions(h)
 			qt.Assert(t, p != nil, qt.IsTrue)
 			qt.Check(t, p.Field, qt.Equals, tc.field)
 			qt.Check(t, p.Outcome(), qt.Equals, OutcomeNotRun)
@@ -71,10 +71,10 @@
 
 func TestParseCallRoundTrip(t *testing.T) {
 	no := false
-	want := Call{Account: "a", Class: "c", Deadline: time.Second, Repeatable: &no, IdempotencyKey: "k"}
+	want := CallOptions{Account: "a", Class: "c", Deadline: time.Second, Repeatable: &no, IdempotencyKey: "k"}
 	h := http.Header{}
 	want.SetHeader(h)
-	got, p := ParseCall(h)
+	got, p := ParseCallOptions(h)
 	qt.Assert(t, p == nil, qt.IsTrue, qt.Commentf("%v", p))
 	qt.Check(t, got, qt.DeepEquals, want)
 }
@@ -92,7 +92,7 @@
 			var r JobRequest
 			p := Decode(strings.NewReader(tc.text), 1000, &r)
 			if p == nil {
-				p = r.Check()
+				p = r.Validate()
 			}
 			qt.Assert(t, p != nil, qt.IsTrue)
 			qt.Check(t, p.Field, qt.Equals, tc.field)
@@ -110,7 +110,7 @@
 				w.WriteHeader(status)
 			}))
 			defer srv.Close()
-			a, err := NewClient(srv.URL, nil).Request(context.Background(), QuickRequest{Service: "s"})
+			a, err := NewClient(srv.URL, nil).SendQuick(context.Background(), QuickRequest{Service: "s"})
 			qt.Assert(t, err, qt.IsNil)
 			qt.Check(t, a.Outcome, qt.Equals, OutcomeUnknown)
 		})
@@ -125,9 +125,9 @@
 		_, _ = w.Write([]byte("half"))
 	}))
 	client := NewClient(srv.URL, nil)
-	_, err := client.Request(context.Background(), QuickRequest{Service: "s"})
+	_, err := client.SendQuick(context.Background(), QuickRequest{Service: "s"})
 	c.Check(errors.Is(err, ErrOutcomeUnknown), qt.IsTrue, qt.Commentf("cut body: %v", err))
 	srv.Close()
-	_, err = client.Submit(context.Background(), "s", JobRequest{}, "")
+	_, err = client.SubmitJob(context.Background(), "s", JobRequest{}, "")
 	c.Check(errors.Is(err, ErrNotSent), qt.IsTrue, qt.Commentf("nobody listens: %v", err))
 }
--- a/api/call.go
+++ b/api/call.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Call is what the headers of a request say about how to treat it.
-type Call struct {
+// CallOptions is what the headers of a request say about how to treat it.
+type CallOptions struct {
 	Account string
 	Class   string
 	// Deadline is the time the caller still waits; 0 for the class's default.
@@ -15,45 +15,45 @@
 	// Repeatable is nil for the class's default.
 	Repeatable     *bool
 	IdempotencyKey string
-	// First vouches that nothing was delivered under the key before. Only then
+	// FirstDelivery vouches that nothing was delivered under the key before. Only then
 	// can "not run" be said of a request that must not run twice while the
 	// platform's store is out: without it, an earlier delivery may have run.
-	First bool
+	FirstDelivery bool
 }
 
-// ParseCall reads and checks the headers of a quick request.
-func ParseCall(h http.Header) (Call, *Problem) {
-	c := Call{
+// ParseCallOptions reads and checks the headers of a quick request.
+func ParseCallOptions(h http.Header) (CallOptions, *Problem) {
+	c := CallOptions{
 		Account:        h.Get(HeaderAccount),
 		Class:          h.Get(HeaderClass),
 		IdempotencyKey: h.Get(HeaderIdempotencyKey),
 	}
 	if p := checkName(HeaderAccount, c.Account); p != nil {
-		return Call{}, p
+		return CallOptions{}, p
 	}
 	if p := checkName(HeaderClass, c.Class); p != nil {
-		return Call{}, p
+		return CallOptions{}, p
 	}
 	if p := checkKey(c.IdempotencyKey); p != nil {
-		return Call{}, p
+		return CallOptions{}, p
 	}
 	var p *Problem
 	if c.Deadline, p = parseDeadline(h.Get(HeaderDeadline)); p != nil {
-		return Call{}, p
+		return CallOptions{}, p
 	}
 	if c.Repeatable, p = parseBool(h, HeaderRepeatable); p != nil {
-		return Call{}, p
+		return CallOptions{}, p
 	}
-	first, p := parseBool(h, HeaderFirst)
+	first, p := parseBool(h, HeaderFirstDelivery)
 	if p != nil {
-		return Call{}, p
+		return CallOptions{}, p
 	}
-	c.First = first != nil && *first
+	c.FirstDelivery = first != nil && *first
 	return c, nil
 }
 
 // SetHeader writes the call's headers.
-func (c Call) SetHeader(h http.Header) {
+func (c CallOptions) SetHeader(h http.Header) {
 	h.Set(HeaderAccount, c.Account)
 	h.Set(HeaderClass, c.Class)
 	if c.Deadline > 0 {
@@ -65,19 +65,19 @@
 	if c.IdempotencyKey != "" {
 		h.Set(HeaderIdempotencyKey, c.IdempotencyKey)
 	}
-	if c.First {
-		h.Set(HeaderFirst, strconv.FormatBool(true))
+	if c.FirstDelivery {
+		h.Set(HeaderFirstDelivery, strconv.FormatBool(true))
 	}
 }
 
-// CheckIdempotencyKey checks the key of a request or a job; empty is allowed.
-func CheckIdempotencyKey(key string) *Problem {
+// ValidateIdempotencyKey checks the key of a request or a job; empty is allowed.
+func ValidateIdempotencyKey(key string) *Problem {
 	return checkKey(key)
 }
 
 func checkKey(key string) *Problem {
 	if len(key) > MaxIdempotencyKeyLen {
-		return Invalid(HeaderIdempotencyKey, "longer than "+strconv.Itoa(MaxIdempotencyKeyLen)+" bytes")
+		return NewInvalidProblem(HeaderIdempotencyKey, "longer than "+strconv.Itoa(MaxIdempotencyKeyLen)+" bytes")
 	}
 	return nil
 }
@@ -85,9 +85,9 @@
 func checkName(field, name string) *Problem {
 	switch {
 	case name == "":
-		return Invalid(field, "missing")
+		return NewInvalidProblem(field, "missing")
 	case len(name) > MaxNameLen:
-		return Invalid(field, "longer than "+strconv.Itoa(MaxNameLen)+" bytes")
+		return NewInvalidProblem(field, "longer than "+strconv.Itoa(MaxNameLen)+" bytes")
 	}
 	return nil
 }
@@ -98,10 +98,10 @@
 	}
 	d, err := time.ParseDuration(s)
 	if err != nil {
-		return 0, Invalid(HeaderDeadline, "not a duration: "+strconv.Quote(s))
+		return 0, NewInvalidProblem(HeaderDeadline, "not a duration: "+strconv.Quote(s))
 	}
 	if d <= 0 {
-		return 0, Invalid(HeaderDeadline, "must be more than 0")
+		return 0, NewInvalidProblem(HeaderDeadline, "must be more than 0")
 	}
 	return d, nil
 }
@@ -114,5 +114,5 @@
 		v := s == "true"
 		return &v, nil
 	}
-	return nil, Invalid(name, `must be "true" or "false"`)
+	return nil, NewInvalidProblem(name, `must be "true" or "false"`)
 }
--- a/api/client.go
+++ b/api/client.go
@@ -20,8 +20,8 @@
 	ErrOutcomeUnknown = errors.New("api: outcome is not known")
 )
 
-// MaxAnswerLen bounds an answer read by Client, in bytes.
-const MaxAnswerLen = 16 << 20
+// MaxResponseLen bounds an answer read by Client, in bytes.
+const MaxResponseLen = 16 << 20
 
 // Client calls one entry, or the balancer before several.
 type Client struct {
@@ -67,12 +67,12 @@
 		return rawAnswer{}, sendError(err)
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, MaxAnswerLen+1))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, MaxResponseLen+1))
 	if err != nil {
 		return rawAnswer{}, fmt.Errorf("%w: answer cut short: %w", ErrOutcomeUnknown, err)
 	}
-	if len(text) > MaxAnswerLen {
-		return rawAnswer{}, fmt.Errorf("%w: answer is longer than %d bytes", ErrOutcomeUnknown, MaxAnswerLen)
+	if len(text) > MaxResponseLen {
+		return rawAnswer{}, fmt.Errorf("%w: answer is longer than %d bytes", ErrOutcomeUnknown, MaxResponseLen)
 	}
 	return rawAnswer{resp.StatusCode, resp.Header, text}, nil
 }
--- a/api/client_jobs.go
+++ b/api/client_jobs.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Submit submits a job. With a key it may be repeated, also through another
+// SubmitJob submits a job. With a key it may be repeated, also through another
 // entry. The error is a *Problem, ErrNotSent or ErrOutcomeUnknown.
-func (c *Client) Submit(ctx context.Context, service string, r JobRequest, key string) (JobStatus, error) {
+func (c *Client) SubmitJob(ctx context.Context, service string, r JobRequest, key string) (JobStatus, error) {
 	h := http.Header{}
 	if key != "" {
 		h.Set(HeaderIdempotencyKey, key)
@@ -19,8 +19,8 @@
 	return st, err
 }
 
-// Job returns the status of a job, held up to wait until the job ends.
-func (c *Client) Job(ctx context.Context, service, id string, wait time.Duration) (JobStatus, error) {
+// GetJob returns the status of a job, held up to wait until the job ends.
+func (c *Client) GetJob(ctx context.Context, service, id string, wait time.Duration) (JobStatus, error) {
 	path := JobPath(service, id)
 	if wait > 0 {
 		path += "?" + ParamWait + "=" + url.QueryEscape(wait.String())
@@ -30,16 +30,16 @@
 	return st, err
 }
 
-// Cancel asks to cancel a job; it may be repeated. The status comes back as it
+// CancelJob asks to cancel a job; it may be repeated. The status comes back as it
 // was when the cancellation was accepted.
-func (c *Client) Cancel(ctx context.Context, service, id string) (JobStatus, error) {
+func (c *Client) CancelJob(ctx context.Context, service, id string) (JobStatus, error) {
 	var st JobStatus
 	err := c.callJSON(ctx, http.MethodDelete, JobPath(service, id), nil, nil, &st)
 	return st, err
 }
 
-// CancelAll asks to cancel up to MaxCancelIDs jobs.
-func (c *Client) CancelAll(ctx context.Context, service string, ids []string) (CancelResponse, error) {
+// CancelJobs asks to cancel up to MaxCancelIDs jobs.
+func (c *Client) CancelJobs(ctx context.Context, service string, ids []string) (CancelResponse, error) {
 	var resp CancelResponse
 	err := c.callJSON(ctx, http.MethodPost, CancelPath(service), nil, CancelRequest{IDs: ids}, &resp)
 	return resp, err
--- a/api/client_quick.go
+++ b/api/client_quick.go
@@ -7,7 +7,7 @@
 
 // QuickRequest is a quick request to one service.
 type QuickRequest struct {
-	Call
+	CallOptions
 	Service string
 	// Method is POST when empty.
 	Method string
@@ -18,22 +18,22 @@
 	Body     []byte
 }
 
-// Answer is how a quick request ended.
-type Answer struct {
+// QuickResponse is how a quick request ended.
+type QuickResponse struct {
 	Outcome Outcome
-	// Request is the id the entry gave it.
-	Request string
-	Status  int
-	Header  http.Header
+	// RequestID is the id the entry gave it.
+	RequestID string
+	Status    int
+	Header    http.Header
 	// Body is the target's own whole body when Outcome is OutcomeDone.
 	Body []byte
 	// Problem is set when Outcome is not OutcomeDone and an entry said why.
 	Problem *Problem
 }
 
-// Request makes a quick request. The error is ErrNotSent or ErrOutcomeUnknown;
+// SendQuick makes a quick request. The error is ErrNotSent or ErrOutcomeUnknown;
 // a problem that the entry answered with is part of the Answer.
-func (c *Client) Request(ctx context.Context, r QuickRequest) (Answer, error) {
+func (c *Client) SendQuick(ctx context.Context, r QuickRequest) (QuickResponse, error) {
 	h := http.Header{}
 	if r.Header != nil {
 		h = r.Header.Clone()
@@ -49,18 +49,18 @@
 	}
 	raw, err := c.exchange(ctx, method, path, h, r.Body)
 	if err != nil {
-		return Answer{Outcome: OutcomeUnknown}, err
+		return QuickResponse{Outcome: OutcomeUnknown}, err
 	}
 	return newAnswer(raw), nil
 }
 
-func newAnswer(raw rawAnswer) Answer {
-	a := Answer{
-		Outcome: ParseOutcome(raw.header.Get(HeaderOutcome)),
-		Request: raw.header.Get(HeaderRequest),
-		Status:  raw.status,
-		Header:  raw.header,
-		Body:    raw.body,
+func newAnswer(raw rawAnswer) QuickResponse {
+	a := QuickResponse{
+		Outcome:   ParseOutcome(raw.header.Get(HeaderOutcome)),
+		RequestID: raw.header.Get(HeaderRequestID),
+		Status:    raw.status,
+		Header:    raw.header,
+		Body:      raw.body,
 	}
 	if a.Outcome != OutcomeDone {
 		a.Problem = raw.problem()
--- a/api/decode.go
+++ b/api/decode.go
@@ -16,7 +16,7 @@
 func Decode(r io.Reader, limit int64, v any) *Problem {
 	text, err := io.ReadAll(io.LimitReader(r, limit+1))
 	if err != nil {
-		return Invalid("body", "cut short: "+err.Error())
+		return NewInvalidProblem("body", "cut short: "+err.Error())
 	}
 	if int64(len(text)) > limit {
 		return &Problem{Reason: ReasonTooLarge, Field: "body",
@@ -28,7 +28,7 @@
 		return decodeProblem(err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return Invalid("body", "more than one JSON value")
+		return NewInvalidProblem("body", "more than one JSON value")
 	}
 	return nil
 }
@@ -36,13 +36,13 @@
 func decodeProblem(err error) *Problem {
 	var mistyped *json.UnmarshalTypeError
 	if errors.As(err, &mistyped) {
-		return Invalid(orBody(mistyped.Field), "must be "+jsonType(mistyped.Type)+", not "+mistyped.Value)
+		return NewInvalidProblem(orBody(mistyped.Field), "must be "+jsonType(mistyped.Type)+", not "+mistyped.Value)
 	}
 	// encoding/json has no typed error for an unknown field.
 	if name, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
-		return Invalid(orBody(strings.Trim(name, `"`)), "no such field")
+		return NewInvalidProblem(orBody(strings.Trim(name, `"`)), "no such field")
 	}
-	return Invalid("body", err.Error())
+	return NewInvalidProblem("body", err.Error())
 }
 
 // orBody names the whole body where no field of it can be named.
@@ -57,7 +57,7 @@
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
-		NewProblem(ReasonInternal, "answer can't be encoded").WriteTo(w)
+		NewProblem(ReasonInternal, "answer can't be encoded").WriteResponse(w)
 		return
 	}
 	w.Header().Set("Content-Type", ContentTypeJSON)
--- a/api/fuzz_test.go
+++ b/api/fuzz_test.go
@@ -17,7 +17,7 @@
 		t.Fatalf("refused as %+v", p)
 	}
 	w := httptest.NewRecorder()
-	p.WriteTo(w)
+	p.WriteResponse(w)
 	var back Problem
 	if err := json.Unmarshal(w.Body.Bytes(), &back); err != nil || back.Reason != p.Reason {
 		t.Fatalf("%+v is read back as %+v: %v", p, back, err)
@@ -38,11 +38,11 @@
 		h := http.Header{}
 		for name, v := range map[string]string{
 			HeaderAccount: account, HeaderClass: class, HeaderDeadline: deadline,
-			HeaderRepeatable: repeatable, HeaderIdempotencyKey: key, HeaderFirst: first,
+			HeaderRepeatable: repeatable, HeaderIdempotencyKey: key, HeaderFirstDelivery: first,
 		} {
 			h.Set(name, v)
 		}
-		c, p := ParseCall(h)
+		c, p := ParseCallOptions(h)
 		if p != nil {
 			checkProblem(t, p)
 			if h.Get(p.Field) != "" && p.Detail == "missing" {
@@ -55,7 +55,7 @@
 		}
 		again := http.Header{}
 		c.SetHeader(again)
-		if back, p := ParseCall(again); p != nil || !reflect.DeepEqual(back, c) {
+		if back, p := ParseCallOptions(again); p != nil || !reflect.DeepEqual(back, c) {
 			t.Fatalf("%+v is passed on as %+v, %v", c, back, p)
 		}
 	})
@@ -79,7 +79,7 @@
 		var r JobRequest
 		p := Decode(bytes.NewReader(body), MaxBodyLen, &r)
 		if p == nil {
-			p = r.Check()
+			p = r.Validate()
 		}
 		if p != nil {
 			checkProblem(t, p)
@@ -90,7 +90,7 @@
 			t.Fatalf("%+v can't be passed on: %v", r, err)
 		}
 		var back JobRequest
-		if p := Decode(bytes.NewReader(text), 2*MaxBodyLen, &back); p != nil || back.Check() != nil || back.Accelerators != r.Accelerators {
+		if p := Decode(bytes.NewReader(text), 2*MaxBodyLen, &back); p != nil || back.Validate() != nil || back.Accelerators != r.Accelerators {
 			t.Fatalf("%s is read back as %+v: %v", text, back, p)
 		}
 	})
--- a/api/header.go
+++ b/api/header.go
@@ -14,14 +14,14 @@
 	// HeaderIdempotencyKey makes a retry of the same request recognisable,
 	// also when it arrives at another entry.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderFirst "true" vouches that nothing was delivered under the key before,
+	// HeaderFirstDelivery "true" vouches that nothing was delivered under the key before,
 	// nor is meanwhile; see Call.First.
-	HeaderFirst = "Eelgrasshub-First-Delivery"
+	HeaderFirstDelivery = "Eelgrasshub-First-Delivery"
 
 	// HeaderOutcome carries the Outcome of an answer.
 	HeaderOutcome = "Eelgrasshub-Outcome"
-	// HeaderRequest carries the id the entry gave the request.
-	HeaderRequest = "Eelgrasshub-Request"
+	// HeaderRequestID carries the id the entry gave the request.
+	HeaderRequestID = "Eelgrasshub-Request"
 	// HeaderRetryAfter is in whole seconds, rounded up (RFC 9110).
 	HeaderRetryAfter = "Retry-After"
 )
--- a/api/job.go
+++ b/api/job.go
@@ -47,8 +47,8 @@
 	Payload json.RawMessage `json:"payload,omitempty"`
 }
 
-// Check reports the first field that breaks the contract, or nil.
-func (r *JobRequest) Check() *Problem {
+// Validate reports the first field that breaks the contract, or nil.
+func (r *JobRequest) Validate() *Problem {
 	if p := checkName("account", r.Account); p != nil {
 		return p
 	}
@@ -57,15 +57,15 @@
 	}
 	switch {
 	case r.Accelerators < 1:
-		return Invalid("accelerators", "must be at least 1")
+		return NewInvalidProblem("accelerators", "must be at least 1")
 	case r.Adjacency != "" && !r.Adjacency.Valid():
-		return Invalid("adjacency", `must be "worker", "rack", "zone" or "any"`)
+		return NewInvalidProblem("adjacency", `must be "worker", "rack", "zone" or "any"`)
 	case r.Estimate < 0:
-		return Invalid("estimate", "must not be negative")
+		return NewInvalidProblem("estimate", "must not be negative")
 	case r.Cores < 0:
-		return Invalid("cores", "must not be negative")
+		return NewInvalidProblem("cores", "must not be negative")
 	case r.MemoryMB < 0:
-		return Invalid("memory_mb", "must not be negative")
+		return NewInvalidProblem("memory_mb", "must not be negative")
 	case len(r.Payload) > MaxPayloadLen:
 		return &Problem{Reason: ReasonTooLarge, Field: "payload",
 			Detail: "longer than " + strconv.Itoa(MaxPayloadLen) + " bytes"}
@@ -129,20 +129,20 @@
 	IDs []string `json:"ids"`
 }
 
-// Check reports what breaks the contract, or nil.
-func (r *CancelRequest) Check() *Problem {
+// Validate reports what breaks the contract, or nil.
+func (r *CancelRequest) Validate() *Problem {
 	switch {
 	case len(r.IDs) == 0:
-		return Invalid("ids", "missing")
+		return NewInvalidProblem("ids", "missing")
 	case len(r.IDs) > MaxCancelIDs:
-		return Invalid("ids", "more than "+strconv.Itoa(MaxCancelIDs))
+		return NewInvalidProblem("ids", "more than "+strconv.Itoa(MaxCancelIDs))
 	}
 	return nil
 }
 
 // CancelResponse lists what became of each id of a CancelRequest.
 type CancelResponse struct {
-	// Accepted are being cancelled, or had ended already.
-	Accepted []string `json:"accepted,omitempty"`
-	Unknown  []string `json:"unknown,omitempty"`
+	// AcceptedIDs are being cancelled, or had ended already.
+	AcceptedIDs []string `json:"accepted,omitempty"`
+	UnknownIDs  []string `json:"unknown,omitempty"`
 }
--- a/api/job_report.go
+++ b/api/job_report.go
@@ -12,12 +12,12 @@
 	// WaitStarting: it is placed; its workers' reservations, or the store's word
 	// that its start is on record, are awaited.
 	WaitStarting WaitReason = "starting"
-	// WaitStoreOut: the platform's store does not answer, and it has no permit to
+	// WaitStoreUnavailable: the platform's store does not answer, and it has no permit to
 	// start without a record of its start.
-	WaitStoreOut WaitReason = "store-out"
-	// WaitHeld: an earlier planner may have started it on a permit, and it is not
+	WaitStoreUnavailable WaitReason = "store-out"
+	// WaitPredecessorInDoubt: an earlier planner may have started it on a permit, and it is not
 	// known yet whether it did.
-	WaitHeld WaitReason = "predecessor-in-doubt"
+	WaitPredecessorInDoubt WaitReason = "predecessor-in-doubt"
 	// WaitRebuilding: after a change of planner its record has not been read yet.
 	WaitRebuilding WaitReason = "rebuilding"
 	// WaitEnding: it has ended or does not start any more; its end is being put on
@@ -31,34 +31,34 @@
 	Service string        `json:"service"`
 	State   JobState      `json:"state"`
 	Planner ReportPlanner `json:"planner"`
-	// At is when the planner answered, Decided the time of the decision that is
+	// AnsweredAt is when the planner answered, Decided the time of the decision that is
 	// explained, zero where none is. The planner decides at each change: an old
 	// decision says that nothing has changed since.
-	At      time.Time `json:"at"`
-	Decided time.Time `json:"decided,omitzero"`
-	// Waits is nil for a job that has an attempt or has ended.
-	Waits *JobWait `json:"waits,omitempty"`
+	AnsweredAt time.Time `json:"at"`
+	DecidedAt  time.Time `json:"decided,omitzero"`
+	// Wait is nil for a job that has an attempt or has ended.
+	Wait *JobWait `json:"waits,omitempty"`
 }
 
 // JobWait is why a job waits.
 type JobWait struct {
-	Reason   WaitReason `json:"reason"`
-	Sentence string     `json:"sentence"`
+	Reason      WaitReason `json:"reason"`
+	Explanation string     `json:"sentence"`
 	// Until is when the reason is expected to end, where that is known; of a
 	// reserved place, when it is expected to be complete.
 	Until time.Time `json:"until,omitzero"`
-	// First is the job that goes first, FirstReason why that one waits where both
+	// FirstJob is the job that goes first, FirstReason why that one waits where both
 	// are of one queue, and Ahead how many of that queue go first.
-	First       string     `json:"first,omitempty"`
-	FirstReason WaitReason `json:"first_reason,omitempty"`
-	Ahead       int        `json:"ahead,omitempty"`
-	// AheadMore: more go first than were counted.
-	AheadMore bool `json:"ahead_more,omitempty"`
+	FirstJob       string     `json:"first,omitempty"`
+	FirstJobReason WaitReason `json:"first_reason,omitempty"`
+	JobsAhead      int        `json:"ahead,omitempty"`
+	// AheadTruncated: more go first than were counted.
+	AheadTruncated bool `json:"ahead_more,omitempty"`
 	// Accelerators and Adjacency are what it needs; Free is free in all, Largest in
 	// one unit, and Units says how many units have how many.
 	Accelerators int         `json:"accelerators"`
 	Adjacency    Adjacency   `json:"adjacency"`
 	Free         int         `json:"free,omitempty"`
-	Largest      int         `json:"largest,omitempty"`
-	Units        []FreeUnits `json:"units,omitempty"`
+	LargestFree  int         `json:"largest,omitempty"`
+	FreeUnits    []FreeUnits `json:"units,omitempty"`
 }
--- a/api/page_test.go
+++ b/api/page_test.go
@@ -19,8 +19,8 @@
 		qt.Check(t, strings.Contains(string(page), row), qt.IsTrue, qt.Commentf("no row %q", row))
 	}
 	for _, h := range []string{
-		HeaderAccount, HeaderClass, HeaderDeadline, HeaderRepeatable, HeaderIdempotencyKey, HeaderFirst,
-		HeaderOutcome, HeaderRequest, HeaderRetryAfter,
+		HeaderAccount, HeaderClass, HeaderDeadline, HeaderRepeatable, HeaderIdempotencyKey, HeaderFirstDelivery,
+		HeaderOutcome, HeaderRequestID, HeaderRetryAfter,
 	} {
 		qt.Check(t, strings.Contains(string(page), "\n| `"+h+"` | "), qt.IsTrue, qt.Commentf("no row for %s", h))
 	}
--- a/api/problem.go
+++ b/api/problem.go
@@ -19,8 +19,8 @@
 	Detail string
 	// Field names the header or JSON field at fault, for ReasonInvalid.
 	Field string
-	// Request is the id of the request, when it has one.
-	Request string
+	// RequestID is the id of the request, when it has one.
+	RequestID string
 	// RetryAfter is when to come back; 0 where coming back is of no use.
 	RetryAfter time.Duration
 }
@@ -30,13 +30,13 @@
 	return &Problem{Reason: reason, Detail: detail}
 }
 
-// Busy makes a Problem that tells the caller when to come back.
-func Busy(reason Reason, detail string, retryAfter time.Duration) *Problem {
+// NewRetryableProblem makes a Problem that tells the caller when to come back.
+func NewRetryableProblem(reason Reason, detail string, retryAfter time.Duration) *Problem {
 	return &Problem{Reason: reason, Detail: detail, RetryAfter: retryAfter}
 }
 
-// Invalid makes a Problem about one header or JSON field.
-func Invalid(field, detail string) *Problem {
+// NewInvalidProblem makes a Problem about one header or JSON field.
+func NewInvalidProblem(field, detail string) *Problem {
 	return &Problem{Reason: ReasonInvalid, Field: field, Detail: detail}
 }
 
@@ -57,8 +57,8 @@
 	return s
 }
 
-// WriteTo answers an HTTP request with the problem.
-func (p *Problem) WriteTo(w http.ResponseWriter) {
+// WriteResponse answers an HTTP request with the problem.
+func (p *Problem) WriteResponse(w http.ResponseWriter) {
 	body, err := json.Marshal(p)
 	if err != nil {
 		panic("api: problem can't be encoded: " + err.Error())
@@ -67,8 +67,8 @@
 	h.Set("Content-Type", ContentTypeProblem)
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	h.Set(HeaderOutcome, string(p.Outcome()))
-	if p.Request != "" {
-		h.Set(HeaderRequest, p.Request)
+	if p.RequestID != "" {
+		h.Set(HeaderRequestID, p.RequestID)
 	}
 	if p.RetryAfter > 0 {
 		h.Set(HeaderRetryAfter, strconv.FormatInt(wholeSeconds(p.RetryAfter), 10))
--- a/api/problem_json.go
+++ b/api/problem_json.go
@@ -26,7 +26,7 @@
 		Status:       p.Reason.Status(),
 		Detail:       p.Detail,
 		Field:        p.Field,
-		Request:      p.Request,
+		Request:      p.RequestID,
 		Reason:       p.Reason,
 		Outcome:      p.Outcome(),
 		RetryAfterMS: p.RetryAfter.Milliseconds(),
@@ -50,7 +50,7 @@
 		Reason:     j.Reason,
 		Detail:     j.Detail,
 		Field:      j.Field,
-		Request:    j.Request,
+		RequestID:  j.Request,
 		RetryAfter: time.Duration(j.RetryAfterMS) * time.Millisecond,
 	}
 	return nil
--- a/api/reason.go
+++ b/api/reason.go
@@ -27,8 +27,8 @@
 	ReasonQueueFull Reason = "queue-full"
 	// ReasonAccountLimit: the client account has too much work waiting.
 	ReasonAccountLimit Reason = "account-limit"
-	// ReasonDeadline: the deadline passed, or would pass, before the start.
-	ReasonDeadline Reason = "deadline-before-start"
+	// ReasonDeadlineBeforeStart: the deadline passed, or would pass, before the start.
+	ReasonDeadlineBeforeStart Reason = "deadline-before-start"
 	// ReasonNoTarget: no target that accepts work is known.
 	ReasonNoTarget Reason = "no-target"
 	// ReasonRefused: every target tried refused the request before its start.
@@ -39,31 +39,31 @@
 	ReasonDraining Reason = "draining"
 	// ReasonNoPlanner: no entry that plans the service answers just now.
 	ReasonNoPlanner Reason = "no-planner"
-	// ReasonStoreDown: the job could not be made safe, so it was not accepted.
-	ReasonStoreDown Reason = "store-unavailable"
-	// ReasonCancelled: cancelled before its start.
-	ReasonCancelled Reason = "cancelled-before-start"
+	// ReasonStoreUnavailable: the job could not be made safe, so it was not accepted.
+	ReasonStoreUnavailable Reason = "store-unavailable"
+	// ReasonCancelledBeforeStart: cancelled before its start.
+	ReasonCancelledBeforeStart Reason = "cancelled-before-start"
 )
 
 // Reasons for which the request may have run, or may still run.
 const (
 	// ReasonOutcomeLost: it was sent to a target whose answer did not come back whole.
 	ReasonOutcomeLost Reason = "outcome-lost"
-	// ReasonDeadlineRunning: the deadline passed after the start.
-	ReasonDeadlineRunning Reason = "deadline-while-running"
-	// ReasonKeyInDoubt: an earlier attempt with this idempotency key may have
+	// ReasonDeadlineWhileRunning: the deadline passed after the start.
+	ReasonDeadlineWhileRunning Reason = "deadline-while-running"
+	// ReasonEarlierAttemptInDoubt: an earlier attempt with this idempotency key may have
 	// run or still runs, and its answer isn't known.
-	ReasonKeyInDoubt Reason = "earlier-attempt-in-doubt"
+	ReasonEarlierAttemptInDoubt Reason = "earlier-attempt-in-doubt"
 	// ReasonAcceptanceLost: the store's reply was lost; the job may be accepted.
 	ReasonAcceptanceLost Reason = "acceptance-lost"
-	// ReasonCancelLost: the store's reply was lost; the cancellation, or part of a
+	// ReasonCancellationLost: the store's reply was lost; the cancellation, or part of a
 	// wave, may have taken effect. It may be repeated.
-	ReasonCancelLost Reason = "cancellation-lost"
+	ReasonCancellationLost Reason = "cancellation-lost"
 	// ReasonUnknownJob: no record of the job. It may have run and been forgotten.
 	ReasonUnknownJob Reason = "unknown-job"
-	// ReasonJobUnavailable: whoever knows the job can't be asked just now. It says
+	// ReasonJobStateUnavailable: whoever knows the job can't be asked just now. It says
 	// nothing of whether there is such a job.
-	ReasonJobUnavailable Reason = "job-state-unavailable"
+	ReasonJobStateUnavailable Reason = "job-state-unavailable"
 	// ReasonInternal: a broken invariant; nothing is claimed.
 	ReasonInternal Reason = "internal"
 )
@@ -75,33 +75,33 @@
 }
 
 var reasons = map[Reason]reasonInfo{
-	ReasonInvalid:        {OutcomeNotRun, http.StatusBadRequest, "request is not valid"},
-	ReasonTooLarge:       {OutcomeNotRun, http.StatusRequestEntityTooLarge, "request is too large"},
-	ReasonNoRoute:        {OutcomeNotRun, http.StatusNotFound, "no such path or method"},
-	ReasonUnknownService: {OutcomeNotRun, http.StatusNotFound, "service is not known"},
-	ReasonUnknownAccount: {OutcomeNotRun, http.StatusForbidden, "client account is not declared"},
-	ReasonUnknownClass:   {OutcomeNotRun, http.StatusBadRequest, "class is not declared"},
-	ReasonKeyReused:      {OutcomeNotRun, http.StatusUnprocessableEntity, "idempotency key belongs to another request"},
-	ReasonImpossible:     {OutcomeNotRun, http.StatusUnprocessableEntity, "job can never run as declared"},
-	ReasonQueueFull:      {OutcomeNotRun, http.StatusTooManyRequests, "queue is full"},
-	ReasonAccountLimit:   {OutcomeNotRun, http.StatusTooManyRequests, "client account is over its limit"},
-	ReasonDeadline:       {OutcomeNotRun, http.StatusServiceUnavailable, "deadline before the start"},
-	ReasonNoTarget:       {OutcomeNotRun, http.StatusServiceUnavailable, "no target available"},
-	ReasonRefused:        {OutcomeNotRun, http.StatusServiceUnavailable, "refused by the targets tried"},
-	ReasonNotReady:       {OutcomeNotRun, http.StatusServiceUnavailable, "entry is not ready"},
-	ReasonDraining:       {OutcomeNotRun, http.StatusServiceUnavailable, "entry is leaving"},
-	ReasonNoPlanner:      {OutcomeNotRun, http.StatusServiceUnavailable, "no planner just now"},
-	ReasonStoreDown:      {OutcomeNotRun, http.StatusServiceUnavailable, "store is not available"},
-	ReasonCancelled:      {OutcomeNotRun, http.StatusConflict, "cancelled before the start"},
+	ReasonInvalid:              {OutcomeNotRun, http.StatusBadRequest, "request is not valid"},
+	ReasonTooLarge:             {OutcomeNotRun, http.StatusRequestEntityTooLarge, "request is too large"},
+	ReasonNoRoute:              {OutcomeNotRun, http.StatusNotFound, "no such path or method"},
+	ReasonUnknownService:       {OutcomeNotRun, http.StatusNotFound, "service is not known"},
+	ReasonUnknownAccount:       {OutcomeNotRun, http.StatusForbidden, "client account is not declared"},
+	ReasonUnknownClass:         {OutcomeNotRun, http.StatusBadRequest, "class is not declared"},
+	ReasonKeyReused:            {OutcomeNotRun, http.StatusUnprocessableEntity, "idempotency key belongs to another request"},
+	ReasonImpossible:           {OutcomeNotRun, http.StatusUnprocessableEntity, "job can never run as declared"},
+	ReasonQueueFull:            {OutcomeNotRun, http.StatusTooManyRequests, "queue is full"},
+	ReasonAccountLimit:         {OutcomeNotRun, http.StatusTooManyRequests, "client account is over its limit"},
+	ReasonDeadlineBeforeStart:  {OutcomeNotRun, http.StatusServiceUnavailable, "deadline before the start"},
+	ReasonNoTarget:             {OutcomeNotRun, http.StatusServiceUnavailable, "no target available"},
+	ReasonRefused:              {OutcomeNotRun, http.StatusServiceUnavailable, "refused by the targets tried"},
+	ReasonNotReady:             {OutcomeNotRun, http.StatusServiceUnavailable, "entry is not ready"},
+	ReasonDraining:             {OutcomeNotRun, http.StatusServiceUnavailable, "entry is leaving"},
+	ReasonNoPlanner:            {OutcomeNotRun, http.StatusServiceUnavailable, "no planner just now"},
+	ReasonStoreUnavailable:     {OutcomeNotRun, http.StatusServiceUnavailable, "store is not available"},
+	ReasonCancelledBeforeStart: {OutcomeNotRun, http.StatusConflict, "cancelled before the start"},
 
-	ReasonOutcomeLost:     {OutcomeUnknown, http.StatusGatewayTimeout, "outcome is not known"},
-	ReasonDeadlineRunning: {OutcomeUnknown, http.StatusGatewayTimeout, "deadline passed while running"},
-	ReasonKeyInDoubt:      {OutcomeUnknown, http.StatusGatewayTimeout, "outcome of an earlier attempt is not known"},
-	ReasonAcceptanceLost:  {OutcomeUnknown, http.StatusGatewayTimeout, "acceptance is not known"},
-	ReasonCancelLost:      {OutcomeUnknown, http.StatusGatewayTimeout, "cancellation is not known"},
-	ReasonUnknownJob:      {OutcomeUnknown, http.StatusNotFound, "job is not known"},
-	ReasonJobUnavailable:  {OutcomeUnknown, http.StatusServiceUnavailable, "state of the job can't be read just now"},
-	ReasonInternal:        {OutcomeUnknown, http.StatusInternalServerError, "internal error"},
+	ReasonOutcomeLost:           {OutcomeUnknown, http.StatusGatewayTimeout, "outcome is not known"},
+	ReasonDeadlineWhileRunning:  {OutcomeUnknown, http.StatusGatewayTimeout, "deadline passed while running"},
+	ReasonEarlierAttemptInDoubt: {OutcomeUnknown, http.StatusGatewayTimeout, "outcome of an earlier attempt is not known"},
+	ReasonAcceptanceLost:        {OutcomeUnknown, http.StatusGatewayTimeout, "acceptance is not known"},
+	ReasonCancellationLost:      {OutcomeUnknown, http.StatusGatewayTimeout, "cancellation is not known"},
+	ReasonUnknownJob:            {OutcomeUnknown, http.StatusNotFound, "job is not known"},
+	ReasonJobStateUnavailable:   {OutcomeUnknown, http.StatusServiceUnavailable, "state of the job can't be read just now"},
+	ReasonInternal:              {OutcomeUnknown, http.StatusInternalServerError, "internal error"},
 }
 
 // Outcome is what the reason allows to be claimed. A reason that isn't in the
--- a/api/report.go
+++ b/api/report.go
@@ -8,19 +8,19 @@
 	Service string `json:"service"`
 	// Planner is the entry that plans, and since when.
 	Planner ReportPlanner `json:"planner"`
-	// At is when the planner put the report together, Age how old that was when it
+	// CreatedAt is when the planner put the report together, Age how old that was when it
 	// answered, by its own clock. Decided is the time of the last decision.
-	At      time.Time `json:"at"`
-	Age     Duration  `json:"age"`
-	Decided time.Time `json:"decided"`
+	CreatedAt time.Time `json:"at"`
+	Age       Duration  `json:"age"`
+	DecidedAt time.Time `json:"decided"`
 	// Settling: after a change of planner, records or workers are still coming in.
 	Settling bool `json:"settling,omitempty"`
-	// StoreOut: the platform's store did not answer the planner or its entry. Only
+	// StoreUnavailable: the platform's store did not answer the planner or its entry. Only
 	// jobs that have a permit start meanwhile.
-	StoreOut bool            `json:"store_out,omitempty"`
-	Capacity ReportCapacity  `json:"capacity"`
-	Workers  ReportWorkers   `json:"workers"`
-	Accounts []ReportAccount `json:"accounts"`
+	StoreUnavailable bool            `json:"store_out,omitempty"`
+	Capacity         ReportCapacity  `json:"capacity"`
+	Workers          ReportWorkers   `json:"workers"`
+	Accounts         []ReportAccount `json:"accounts"`
 }
 
 // ReportPlanner names who plans a service.
@@ -64,13 +64,13 @@
 
 // WorkerList is how many workers are in a state, and the first of them.
 type WorkerList struct {
-	Count   int          `json:"count"`
-	Workers []WorkerNote `json:"workers,omitempty"`
+	Count   int            `json:"count"`
+	Workers []WorkerStatus `json:"workers,omitempty"`
 }
 
-// WorkerNote is a worker that gets no new work, since when it is lost or until
+// WorkerStatus is a worker that gets no new work, since when it is lost or until
 // when it is quarantined.
-type WorkerNote struct {
+type WorkerStatus struct {
 	ID      string    `json:"id"`
 	Since   time.Time `json:"since,omitzero"`
 	Until   time.Time `json:"until,omitzero"`
@@ -85,7 +85,7 @@
 	Guaranteed int `json:"guaranteed"`
 	Used       int `json:"used"`
 	Borrowed   int `json:"borrowed"`
-	Owed       int `json:"owed"`
+	Unplaced   int `json:"owed"`
 	// Evictions of its gangs since the planner's term began, and what they lost.
 	Evictions              int           `json:"evictions"`
 	LostAcceleratorSeconds float64       `json:"lost_accelerator_seconds"`
@@ -102,15 +102,15 @@
 	// Withheld jobs wait too, but not for a place: for the store, or for word of what
 	// an earlier planner started.
 	Withheld int `json:"withheld,omitempty"`
-	// Oldest is how long the job that waits longest has waited.
-	Oldest Duration `json:"oldest"`
-	// Waited is the waits of jobs from acceptance to first start, since the start
+	// LongestWait is how long the job that waits longest has waited.
+	LongestWait Duration `json:"oldest"`
+	// WaitTimes is the waits of jobs from acceptance to first start, since the start
 	// of the planner's entry.
-	Waited Waits `json:"waited"`
+	WaitTimes WaitTimes `json:"waited"`
 }
 
-// Waits is a histogram of waiting times in short.
-type Waits struct {
+// WaitTimes is a histogram of waiting times in short.
+type WaitTimes struct {
 	Count int64    `json:"count"`
 	P50   Duration `json:"p50"`
 	P90   Duration `json:"p90"`
--- a/api/status.go
+++ b/api/status.go
@@ -11,14 +11,14 @@
 	Ready       bool      `json:"ready"`
 	Draining    bool      `json:"draining"`
 	Since       time.Time `json:"since,omitzero"`
-	// Duties are the planner duties this entry holds.
-	Duties      []Duty       `json:"duties"`
+	// Leaderships are the planner duties this entry holds.
+	Leaderships []Leadership `json:"duties"`
 	Generations []Generation `json:"generations"`
 	Members     []Member     `json:"members"`
 }
 
-// Duty is a planner duty, held under a lease of the store.
-type Duty struct {
+// Leadership is a planner duty, held under a lease of the store.
+type Leadership struct {
 	Service string `json:"service"`
 	Region  string `json:"region,omitempty"`
 	// Epoch is the fencing epoch of the lease.
@@ -44,8 +44,8 @@
 	// Generation is of the service's document, as the member reported it.
 	Generation uint64 `json:"generation"`
 	// Since is when the answering entry first heard of that generation there.
-	Since time.Time `json:"since,omitzero"`
-	Heard time.Time `json:"heard,omitzero"`
+	Since       time.Time `json:"since,omitzero"`
+	LastContact time.Time `json:"heard,omitzero"`
 	// Relay is the agent by which the member's last report came; empty: itself.
 	Relay string `json:"relay,omitempty"`
 }
--- a/cmd/eelgrasshub/config_put.go
+++ b/cmd/eelgrasshub/config_put.go
@@ -56,13 +56,13 @@
 	store := c.client()
 	defer store.Close()
 	v, err := document.Put(ctx, store, document.Proposal{
-		Name:    c.Args.File,
-		TOML:    text,
-		Base:    base,
-		Author:  author,
-		Token:   uuid.NewString(),
-		At:      time.Now(),
-		InForce: c.inForce(ctx, store, doc.Service),
+		FileName:         c.Args.File,
+		TOML:             text,
+		BaseGeneration:   base,
+		Author:           author,
+		Token:            uuid.NewString(),
+		CreatedAt:        time.Now(),
+		ActiveGeneration: c.inForce(ctx, store, doc.Service),
 	})
 	if err != nil {
 		return err
--- a/cmd/eelgrasshub/fit.go
+++ b/cmd/eelgrasshub/fit.go
@@ -10,7 +10,7 @@
 )
 
 // fit is a document.FitCheck by the scheduler's own placement.
-func fit(t *document.Topology, accounts []document.Account) []document.Misfit {
+func fit(t *document.Topology, accounts []document.Account) []document.PlacementProblem {
 	policy := scheduler.Policy{Generation: 1}
 	for _, a := range accounts {
 		policy.Accounts = append(policy.Accounts, planner.AccountPolicy(a))
@@ -19,7 +19,7 @@
 	if err == nil {
 		return nil
 	}
-	return []document.Misfit{misfitOf(err, policy)}
+	return []document.PlacementProblem{misfitOf(err, policy)}
 }
 
 // workersOf is the expected topology as idle workers.
@@ -40,8 +40,8 @@
 	return workers
 }
 
-func misfitOf(err error, p scheduler.Policy) document.Misfit {
-	m := document.Misfit{Reason: err.Error()}
+func misfitOf(err error, p scheduler.Policy) document.PlacementProblem {
+	m := document.PlacementProblem{Reason: err.Error()}
 	var shape *scheduler.ShapeError
 	if !errors.As(err, &shape) {
 		return m
--- a/cmd/eelgrasshub/job_cancel.go
+++ b/cmd/eelgrasshub/job_cancel.go
@@ -16,7 +16,7 @@
 func (c *jobCancelCmd) Execute([]string) error {
 	ctx, cancel := commandContext()
 	defer cancel()
-	resp, err := c.client().CancelAll(ctx, c.Service, c.Args.IDs)
+	resp, err := c.client().CancelJobs(ctx, c.Service, c.Args.IDs)
 	if err != nil {
 		return err
 	}
--- a/cmd/eelgrasshub/job_status.go
+++ b/cmd/eelgrasshub/job_status.go
@@ -45,7 +45,7 @@
 	until := time.Now().Add(c.Wait)
 	for {
 		left := max(time.Until(until), 0)
-		status, err := c.client().Job(ctx, c.Service, c.Args.ID, min(left, waitStep))
+		status, err := c.client().GetJob(ctx, c.Service, c.Args.ID, min(left, waitStep))
 		if err != nil || status.State.Final() || left == 0 {
 			return status, err
 		}
--- a/cmd/eelgrasshub/job_submit.go
+++ b/cmd/eelgrasshub/job_submit.go
@@ -37,7 +37,7 @@
 	if c.Payload != "" {
 		req.Payload = json.RawMessage(c.Payload)
 	}
-	status, err := c.client().Submit(ctx, c.Service, req, c.Key)
+	status, err := c.client().SubmitJob(ctx, c.Service, req, c.Key)
 	if err != nil {
 		return err
 	}
--- a/cmd/eelgrasshub/report_table.go
+++ b/cmd/eelgrasshub/report_table.go
@@ -24,11 +24,11 @@
 	p := r.Planner
 	fmt.Fprintf(w, "service %s, planned by entry %s in region %s since %s (epoch %d, generation %d)\n",
 		r.Service, p.Entry, p.Region, clockTime(p.Since), p.Epoch, p.Generation)
-	fmt.Fprintf(w, "as of %s, %s old; last decision %s\n", clockTime(r.At), rounded(r.Age), clockTime(r.Decided))
+	fmt.Fprintf(w, "as of %s, %s old; last decision %s\n", clockTime(r.CreatedAt), rounded(r.Age), clockTime(r.DecidedAt))
 	if r.Settling {
 		fmt.Fprintln(w, "settling: the planner has just taken over, and records or workers are still coming in")
 	}
-	if r.StoreOut {
+	if r.StoreUnavailable {
 		fmt.Fprintln(w, "the platform's store does not answer: only jobs that have a permit start meanwhile")
 	}
 }
@@ -57,7 +57,7 @@
 func printAccounts(w io.Writer, accounts []api.ReportAccount) {
 	fmt.Fprintln(w, "\nACCOUNT\tGUARANTEED\tUSED\tBORROWED\tOWED\tEVICTIONS\tLOST ACCELERATOR SECONDS")
 	for _, a := range accounts {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%.0f\n", a.Account, a.Guaranteed, a.Used, a.Borrowed, a.Owed, a.Evictions, a.LostAcceleratorSeconds)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%.0f\n", a.Account, a.Guaranteed, a.Used, a.Borrowed, a.Unplaced, a.Evictions, a.LostAcceleratorSeconds)
 	}
 }
 
@@ -66,22 +66,22 @@
 	for _, a := range accounts {
 		for _, c := range a.Classes {
 			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%d\n", a.Account, c.Class,
-				c.Running, c.RunningAccelerators, c.Waiting, c.WaitingAccelerators, c.Withheld, rounded(c.Oldest),
-				rounded(c.Waited.P50), rounded(c.Waited.P90), rounded(c.Waited.P99), c.Waited.Count)
+				c.Running, c.RunningAccelerators, c.Waiting, c.WaitingAccelerators, c.Withheld, rounded(c.LongestWait),
+				rounded(c.WaitTimes.P50), rounded(c.WaitTimes.P90), rounded(c.WaitTimes.P99), c.WaitTimes.Count)
 		}
 	}
 }
 
 func printWorkers(w io.Writer, all api.ReportWorkers) {
 	fmt.Fprintln(w, "\nWORKERS\tCOUNT\tFIRST OF THEM")
-	fmt.Fprintf(w, "quarantined\t%d\t%s\n", all.Quarantined.Count, notes(all.Quarantined, func(n api.WorkerNote) string {
+	fmt.Fprintf(w, "quarantined\t%d\t%s\n", all.Quarantined.Count, notes(all.Quarantined, func(n api.WorkerStatus) string {
 		if n.Probing {
 			return n.ID + " on probe"
 		}
 		return n.ID + " until " + clockTime(n.Until)
 	}))
-	fmt.Fprintf(w, "draining\t%d\t%s\n", all.Draining.Count, notes(all.Draining, func(n api.WorkerNote) string { return n.ID }))
-	fmt.Fprintf(w, "lost\t%d\t%s\n", all.Lost.Count, notes(all.Lost, func(n api.WorkerNote) string {
+	fmt.Fprintf(w, "draining\t%d\t%s\n", all.Draining.Count, notes(all.Draining, func(n api.WorkerStatus) string { return n.ID }))
+	fmt.Fprintf(w, "lost\t%d\t%s\n", all.Lost.Count, notes(all.Lost, func(n api.WorkerStatus) string {
 		return n.ID + " since " + clockTime(n.Since)
 	}))
 }
@@ -89,7 +89,7 @@
 // shownWorkers bounds the workers in a row of the table; JSON has more.
 const shownWorkers = 8
 
-func notes(l api.WorkerList, text func(api.WorkerNote) string) string {
+func notes(l api.WorkerList, text func(api.WorkerStatus) string) string {
 	var parts []string
 	for _, n := range l.Workers[:min(len(l.Workers), shownWorkers)] {
 		parts = append(parts, text(n))
@@ -101,13 +101,13 @@
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "job\t%s\n", r.ID)
 	fmt.Fprintf(w, "state\t%s\n", r.State)
-	if r.Waits != nil {
-		printWait(w, r.Waits)
+	if r.Wait != nil {
+		printWait(w, r.Wait)
 	}
 	fmt.Fprintf(w, "planned by\tentry %s since %s (epoch %d)\n", r.Planner.Entry, clockTime(r.Planner.Since), r.Planner.Epoch)
-	fmt.Fprintf(w, "as of\t%s\n", clockTime(r.At))
-	if !r.Decided.IsZero() {
-		fmt.Fprintf(w, "decided\t%s\n", clockTime(r.Decided))
+	fmt.Fprintf(w, "as of\t%s\n", clockTime(r.AnsweredAt))
+	if !r.DecidedAt.IsZero() {
+		fmt.Fprintf(w, "decided\t%s\n", clockTime(r.DecidedAt))
 	}
 	return w.Flush()
 }
@@ -115,7 +115,7 @@
 func printWait(w io.Writer, j *api.JobWait) {
 	fmt.Fprintf(w, "needs\t%d accelerators, adjacent: %s\n", j.Accelerators, j.Adjacency)
 	fmt.Fprintf(w, "waits\t%s\n", j.Reason)
-	fmt.Fprintf(w, "because\t%s\n", j.Sentence)
+	fmt.Fprintf(w, "because\t%s\n", j.Explanation)
 	if !j.Until.IsZero() {
 		fmt.Fprintf(w, "until\t%s\n", clockTime(j.Until))
 	}
--- a/cmd/eelgrasshub/script_request_test.go
+++ b/cmd/eelgrasshub/script_request_test.go
@@ -32,7 +32,7 @@
 // sentRequest is a request under way.
 type sentRequest struct {
 	ended  chan struct{}
-	answer api.Answer
+	answer api.QuickResponse
 	err    error
 }
 
@@ -49,12 +49,12 @@
 		defer close(sent.ended)
 		ctx, cancel := context.WithTimeout(context.Background(), pollLimit)
 		defer cancel()
-		sent.answer, sent.err = api.NewClient(f.Entry, nil).Request(ctx, api.QuickRequest{
-			Call:     api.Call{Account: f.Account, Class: f.Class, IdempotencyKey: f.Key},
-			Service:  f.Service,
-			Path:     "check",
-			RawQuery: f.Query,
-			Body:     []byte("consignment"),
+		sent.answer, sent.err = api.NewClient(f.Entry, nil).SendQuick(ctx, api.QuickRequest{
+			CallOptions: api.CallOptions{Account: f.Account, Class: f.Class, IdempotencyKey: f.Key},
+			Service:     f.Service,
+			Path:        "check",
+			RawQuery:    f.Query,
+			Body:        []byte("consignment"),
 		})
 	}()
 }
@@ -76,7 +76,7 @@
 	ts.Check(os.WriteFile(ts.MkAbs(args[1]), sent.answer.Body, 0o644))
 }
 
-func describe(a api.Answer) string {
+func describe(a api.QuickResponse) string {
 	if a.Problem != nil {
 		return a.Problem.Error()
 	}
--- a/document/bounds.go
+++ b/document/bounds.go
@@ -17,7 +17,7 @@
 // millions of blocks. It is accepted, since without a topology no sum is checked; the
 // planner makes each block, is killed for its memory, and so is every entry that
 // takes the duty over.
-func checkBounds(d *Document, f *schema.File) {
+func checkBounds(d *Document, f *schema.Result) {
 	blocks := 0
 	for _, a := range d.Accounts {
 		for _, g := range a.Guaranteed {
@@ -25,16 +25,16 @@
 		}
 	}
 	if blocks > MaxBlocks {
-		f.Add("account", "%d guaranteed shapes in all, counted by count, want at most %d", blocks, MaxBlocks)
+		f.AddProblem("account", "%d guaranteed shapes in all, counted by count, want at most %d", blocks, MaxBlocks)
 	}
 	if d.Topology == nil {
 		return
 	}
 	workers := 0
 	for _, z := range d.Topology.Zones {
-		workers += z.Workers()
+		workers += z.WorkerCount()
 	}
 	if workers > MaxWorkers {
-		f.Add("topology", "%d workers, want at most %d", workers, MaxWorkers)
+		f.AddProblem("topology", "%d workers, want at most %d", workers, MaxWorkers)
 	}
 }
--- a/document/conflict.go
+++ b/document/conflict.go
@@ -21,16 +21,16 @@
 
 // ConflictError tells the operator who was faster and what differs.
 type ConflictError struct {
-	Base    uint64  // generation the operator began with
-	Current Version // what the store holds now
-	Diff    string  // unified line diff from Current to the operator's text
+	BaseGeneration uint64  // generation the operator began with
+	Current        Version // what the store holds now
+	Diff           string  // unified line diff from Current to the operator's text
 }
 
 // Error names both generations and the other author, with the diff.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("%s of %s: your base is generation %d, the store holds generation %d by %s of %s; nothing was written\n%s",
-		ErrConflict, e.Current.Service, e.Base, e.Current.Generation, e.Current.Author,
-		e.Current.At.Format("2006-01-02 15:04:05Z"), e.Diff)
+		ErrConflict, e.Current.Service, e.BaseGeneration, e.Current.Generation, e.Current.Author,
+		e.Current.CreatedAt.Format("2006-01-02 15:04:05Z"), e.Diff)
 }
 
 // Unwrap makes errors.Is find ErrConflict.
@@ -40,10 +40,10 @@
 
 func conflict(p Proposal, current Version) error {
 	return &ConflictError{
-		Base:    p.Base,
-		Current: current,
+		BaseGeneration: p.BaseGeneration,
+		Current:        current,
 		Diff: string(diff.Diff(
 			fmt.Sprintf("generation %d in the store", current.Generation), current.TOML,
-			fmt.Sprintf("yours, based on generation %d", p.Base), p.TOML)),
+			fmt.Sprintf("yours, based on generation %d", p.BaseGeneration), p.TOML)),
 	}
 }
--- a/document/cross.go
+++ b/document/cross.go
@@ -8,7 +8,7 @@
 )
 
 // checkCross checks what no single key can tell.
-func checkCross(d *Document, f *schema.File) {
+func checkCross(d *Document, f *schema.Result) {
 	checkNames(f, "account", len(d.Accounts), func(i int) string { return d.Accounts[i].Name })
 	checkNames(f, "class", len(d.Classes), func(i int) string { return d.Classes[i].Name })
 	for i := range d.Classes {
@@ -23,23 +23,23 @@
 	}
 }
 
-func checkNames(f *schema.File, table string, n int, name func(int) string) {
+func checkNames(f *schema.Result, table string, n int, name func(int) string) {
 	first := map[string]int{}
 	for i := range n {
 		if name(i) == "" {
 			continue
 		}
 		if j, ok := first[name(i)]; ok {
-			f.Add(fmt.Sprintf("%s[%d].name", table, i), "%q is the name of %s[%d] already", name(i), table, j)
+			f.AddProblem(fmt.Sprintf("%s[%d].name", table, i), "%q is the name of %s[%d] already", name(i), table, j)
 			continue
 		}
 		first[name(i)] = i
 	}
 }
 
-func checkClass(c *Class, path string, f *schema.File) {
+func checkClass(c *Class, path string, f *schema.Result) {
 	if !c.Repeatable && c.Retries > 0 {
-		f.Add(path+".retries", "got %d, want 0: the class is not repeatable and runs at most once", c.Retries)
+		f.AddProblem(path+".retries", "got %d, want 0: the class is not repeatable and runs at most once", c.Retries)
 	}
 	if c.Kind == Quick {
 		checkQuick(path, f)
@@ -51,17 +51,17 @@
 	// A borrower is evicted when the guarantee is claimed. Work that can be
 	// neither resumed nor run again would be lost, or the guarantee broken.
 	if c.MayBorrow && !c.Checkpointable && !c.Repeatable {
-		f.Add(path+".may_borrow", "got true, want false: the class is neither checkpointable nor repeatable, so it cannot be evicted")
+		f.AddProblem(path+".may_borrow", "got true, want false: the class is neither checkpointable nor repeatable, so it cannot be evicted")
 	}
 	if c.MaxRun.Duration > c.Deadline.Duration {
-		f.Add(path+".max_run", "got %s, want at most the deadline of %s", c.MaxRun, c.Deadline)
+		f.AddProblem(path+".max_run", "got %s, want at most the deadline of %s", c.MaxRun, c.Deadline)
 	}
 }
 
-func checkQuick(path string, f *schema.File) {
+func checkQuick(path string, f *schema.Result) {
 	for _, key := range []string{"priority", "urgent", "checkpointable", "may_borrow", "max_run"} {
-		if f.Index.Set(path + "." + key) {
-			f.Add(path+"."+key, `only for kind = "job"`)
+		if f.Index.IsSet(path + "." + key) {
+			f.AddProblem(path+"."+key, `only for kind = "job"`)
 		}
 	}
 }
@@ -71,10 +71,10 @@
 // reports of an agent arrive, or gangs would never count as whole.
 const minLossMargin = 9 * time.Second
 
-func checkLossMargin(d *Document, f *schema.File) {
+func checkLossMargin(d *Document, f *schema.Result) {
 	least := d.Gang.IsolationTimeout.Duration + minLossMargin
 	if d.Gang.LossTimeout.Duration < least {
-		f.Add("gang.loss_timeout", "got %s, want at least %s: gang.isolation_timeout and %s more",
+		f.AddProblem("gang.loss_timeout", "got %s, want at least %s: gang.isolation_timeout and %s more",
 			d.Gang.LossTimeout, schema.Duration{Duration: least}, schema.Duration{Duration: minLossMargin})
 	}
 }
@@ -82,18 +82,18 @@
 // checkSizes refuses shapes larger than any place of the topology, and sums
 // above its total. Whether the shapes fit together as blocks is the FitCheck's
 // question.
-func checkSizes(d *Document, f *schema.File) {
+func checkSizes(d *Document, f *schema.Result) {
 	sum := 0
 	for i, a := range d.Accounts {
 		for j, g := range a.Guaranteed {
 			sum += g.Accelerators * g.Count
 			if most := d.Topology.largest(g.Adjacent); g.Accelerators > most {
-				f.Add(guaranteePath(i, j)+".accelerators", "got %d, want at most %d, the largest %s of the topology",
+				f.AddProblem(guaranteePath(i, j)+".accelerators", "got %d, want at most %d, the largest %s of the topology",
 					g.Accelerators, most, g.Adjacent)
 			}
 		}
 	}
-	if total := d.Topology.Total(); sum > total {
-		f.Add("topology", "holds %d accelerators, the guaranteed shapes need %d", total, sum)
+	if total := d.Topology.TotalAccelerators(); sum > total {
+		f.AddProblem("topology", "holds %d accelerators, the guaranteed shapes need %d", total, sum)
 	}
 }
--- a/document/decision.go
+++ b/document/decision.go
@@ -1,36 +1,36 @@
 package document
 
-// Decision is what became of an offered version.
-type Decision int
+// UpdateResult is what became of an offered version.
+type UpdateResult int
 
 // The decisions on an offer.
 const (
-	Accepted    Decision = iota + 1 // in force from now on
-	Known                           // in force already
-	Older                           // below the generation in force; ignored
-	Conflicting                     // of a split history; the later of the two is in force, with a higher generation
-	Refused                         // cannot be read by this binary; the one in force is kept
+	UpdateAccepted    UpdateResult = iota + 1 // in force from now on
+	UpdateUnchanged                           // in force already
+	UpdateOlder                               // below the generation in force; ignored
+	UpdateConflicting                         // of a split history; the later of the two is in force, with a higher generation
+	UpdateRefused                             // cannot be read by this binary; the one in force is kept
 )
 
 // String returns the decision in lower case.
-func (d Decision) String() string {
+func (d UpdateResult) String() string {
 	switch d {
-	case Accepted:
+	case UpdateAccepted:
 		return "accepted"
-	case Known:
+	case UpdateUnchanged:
 		return "known"
-	case Older:
+	case UpdateOlder:
 		return "older"
-	case Conflicting:
+	case UpdateConflicting:
 		return "conflicting"
-	case Refused:
+	case UpdateRefused:
 		return "refused"
 	}
 	return "undecided"
 }
 
-// Counts is how many offers met each decision since the start of the process.
-type Counts struct {
+// UpdateCounts is how many offers met each decision since the start of the process.
+type UpdateCounts struct {
 	Accepted    int64 `json:"accepted"`
 	Older       int64 `json:"older"`
 	Conflicting int64 `json:"conflicting"`
--- a/document/exchange.go
+++ b/document/exchange.go
@@ -6,9 +6,9 @@
 	Ahead   []Summary // ours that the peer should be offered
 }
 
-// Generations names every version in force, sorted by service. It is what
+// Summaries names every version in force, sorted by service. It is what
 // processes tell each other.
-func (f *InForce) Generations() []Summary {
+func (f *ActiveSet) Summaries() []Summary {
 	held := f.All()
 	list := make([]Summary, len(held))
 	for i, h := range held {
@@ -18,7 +18,7 @@
 }
 
 // Missing returns those of a peer's versions that we should be offered.
-func (f *InForce) Missing(peer []Summary) []Summary {
+func (f *ActiveSet) Missing(peer []Summary) []Summary {
 	return f.Compare(peer).Missing
 }
 
@@ -26,15 +26,15 @@
 // text is to be offered both ways, to end a split. A version that this binary
 // refused is not missing: fetching it again on every exchange would help
 // nobody.
-func (f *InForce) Compare(peer []Summary) Comparison {
-	ours, theirs := byService(f.Generations()), byService(peer)
+func (f *ActiveSet) Compare(peer []Summary) Comparison {
+	ours, theirs := byService(f.Summaries()), byService(peer)
 	var c Comparison
 	for _, s := range peer {
 		if offers(s, ours[s.Service]) && !f.hasRefused(s) {
 			c.Missing = append(c.Missing, s)
 		}
 	}
-	for _, s := range f.Generations() {
+	for _, s := range f.Summaries() {
 		if offers(s, theirs[s.Service]) {
 			c.Ahead = append(c.Ahead, s)
 		}
@@ -55,15 +55,15 @@
 	return s.Generation > held.Generation || s.Generation == held.Generation && s.Digest != held.Digest
 }
 
-func (f *InForce) hasRefused(s Summary) bool {
+func (f *ActiveSet) hasRefused(s Summary) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.refused[s.Service] == s
 }
 
-// Newer returns the versions in force that a peer with the given versions
+// NewerThan returns the versions in force that a peer with the given versions
 // lacks, up to maxBytes of text but at least one.
-func (f *InForce) Newer(peer []Summary, maxBytes int) []Version {
+func (f *ActiveSet) NewerThan(peer []Summary, maxBytes int) []Version {
 	var list []Version
 	size := 0
 	for _, s := range f.Compare(peer).Ahead {
--- a/document/feeder.go
+++ b/document/feeder.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// FeederConfig is the timing of a Feeder.
-type FeederConfig struct {
-	Store         bool          // whether this process reads the store; agents do not
-	Confirmations int           // distinct ready peers that stand in for the store
-	AskRounds     int           // rounds of asking peers, AskEvery apart, before fewer or none have to do
-	AnswerAge     time.Duration // from question to answer, above which it confirms nothing
-	AskEvery      time.Duration // between two rounds of asking peers
-	RelistEvery   time.Duration // between two listings of the store
-	RetryAfter    time.Duration // from a write back to the listing that checks it
+// SyncerConfig is the timing of a Feeder.
+type SyncerConfig struct {
+	ReadsStore            bool          // whether this process reads the store; agents do not
+	RequiredConfirmations int           // distinct ready peers that stand in for the store
+	QueryRounds           int           // rounds of asking peers, AskEvery apart, before fewer or none have to do
+	MaxAnswerAge          time.Duration // from question to answer, above which it confirms nothing
+	QueryPeriod           time.Duration // between two rounds of asking peers
+	ListPeriod            time.Duration // between two listings of the store
+	WriteBackCheckDelay   time.Duration // from a write back to the listing that checks it
 }
 
-// DefaultFeederConfig returns the timing for a process that reads the store,
+// DefaultSyncerConfig returns the timing for a process that reads the store,
 // or one that does not.
-func DefaultFeederConfig(store bool) FeederConfig {
-	return FeederConfig{
-		Store:         store,
-		Confirmations: 2,
-		AskRounds:     4,
-		AnswerAge:     2 * time.Second,
-		AskEvery:      500 * time.Millisecond,
-		RelistEvery:   10 * time.Second,
-		RetryAfter:    time.Second,
+func DefaultSyncerConfig(store bool) SyncerConfig {
+	return SyncerConfig{
+		ReadsStore:            store,
+		RequiredConfirmations: 2,
+		QueryRounds:           4,
+		MaxAnswerAge:          2 * time.Second,
+		QueryPeriod:           500 * time.Millisecond,
+		ListPeriod:            10 * time.Second,
+		WriteBackCheckDelay:   time.Second,
 	}
 }
 
@@ -33,7 +33,7 @@
 	maxAskedAtOnce = 4
 )
 
-// Feeder decides from where a process takes its documents, when they are
+// Syncer decides from where a process takes its documents, when they are
 // confirmed, and when the store is to be repaired. It is pure but for the
 // InForce it offers to; one goroutine owns it.
 //
@@ -48,9 +48,9 @@
 //
 // An answer counts only while it is fresh. A late one, asked for by an earlier
 // incarnation of this process, shows what the peer held long ago.
-type Feeder struct {
-	config  FeederConfig
-	inForce *InForce
+type Syncer struct {
+	config  SyncerConfig
+	inForce *ActiveSet
 
 	started   time.Time
 	storeSeen bool
@@ -63,62 +63,62 @@
 	listAt    time.Time
 }
 
-// NewFeeder returns a Feeder that is not ready.
-func NewFeeder(now time.Time, config FeederConfig, inForce *InForce) *Feeder {
-	return &Feeder{
+// NewSyncer returns a Feeder that is not ready.
+func NewSyncer(now time.Time, config SyncerConfig, inForce *ActiveSet) *Syncer {
+	return &Syncer{
 		config:    config,
 		inForce:   inForce,
 		started:   now,
 		confirmed: map[string]bool{},
 		askAt:     now,
-		listAt:    now.Add(config.RelistEvery),
+		listAt:    now.Add(config.ListPeriod),
 	}
 }
 
 // Ready reports whether the configuration is confirmed. It stays so.
-func (f *Feeder) Ready() bool {
+func (f *Syncer) Ready() bool {
 	return f.ready
 }
 
-// Step takes one event and returns what to do, in order.
-func (f *Feeder) Step(now time.Time, event FeederEvent) []FeederAction {
-	var actions []FeederAction
+// HandleEvent takes one event and returns what to do, in order.
+func (f *Syncer) HandleEvent(now time.Time, event SyncerEvent) []SyncerAction {
+	var actions []SyncerAction
 	switch e := event.(type) {
 	case StoreListed:
 		actions = f.listed(now, e)
 	case StoreChanged:
-		if f.inForce.Offer(now, e.Document.Version) != Refused {
+		if f.inForce.Update(now, e.Document.Version) != UpdateRefused {
 			f.changed(now, e.Document.Version)
 		}
 	case StoreDeleted:
 		f.changed(now, Version{Service: e.Service})
-	case PeersKnown:
-		f.peers = e.IDs[:min(len(e.IDs), maxPeersKnown)]
+	case PeersUpdated:
+		f.peers = e.PeerIDs[:min(len(e.PeerIDs), maxPeersKnown)]
 	case PeerAnswered:
 		f.peerAnswered(now, e)
-	case StoreFailed, FeederTick:
+	case StoreFailed, SyncerTick:
 	}
 	actions = append(actions, f.becomeReady(now)...)
 	return append(actions, f.due(now)...)
 }
 
-func (f *Feeder) listed(now time.Time, e StoreListed) []FeederAction {
+func (f *Syncer) listed(now time.Time, e StoreListed) []SyncerAction {
 	f.storeSeen = true
-	f.listAt = now.Add(f.config.RelistEvery)
-	var actions []FeederAction
+	f.listAt = now.Add(f.config.ListPeriod)
+	var actions []SyncerAction
 	listed := map[string]bool{}
 	for _, service := range e.Unreadable {
 		listed[service] = true
 	}
 	for _, d := range e.Documents {
 		listed[d.Version.Service] = true
-		if f.inForce.Offer(now, d.Version) != Refused {
+		if f.inForce.Update(now, d.Version) != UpdateRefused {
 			actions = append(actions, f.repair(now, d)...)
 		}
 	}
 	for _, h := range f.inForce.All() {
 		if service := h.Version.Service; !listed[service] {
-			actions = append(actions, f.repair(now, Stored{Version: Version{Service: service}})...)
+			actions = append(actions, f.repair(now, StoredVersion{Version: Version{Service: service}})...)
 		}
 	}
 	return actions
@@ -129,7 +129,7 @@
 // again from the backup, so that an old event can name the revision of a newer
 // write, and a compare-and-swap on it would remove that write. A listing is
 // read now.
-func (f *Feeder) changed(now time.Time, v Version) {
+func (f *Syncer) changed(now time.Time, v Version) {
 	h, ok := f.inForce.Current(v.Service)
 	if ok && h.Version.Generation > v.Generation {
 		f.listAt = now
@@ -139,59 +139,59 @@
 // repair writes back where a listing shows less than this process holds, once
 // it was offered what the store holds. It guards against a store restored from
 // a backup, which shows as a lower generation than the one in force, or none.
-func (f *Feeder) repair(now time.Time, d Stored) []FeederAction {
+func (f *Syncer) repair(now time.Time, d StoredVersion) []SyncerAction {
 	h, ok := f.inForce.Current(d.Version.Service)
 	if !ok || h.Version.Generation <= d.Version.Generation {
 		return nil
 	}
-	if at := now.Add(f.config.RetryAfter); at.Before(f.listAt) {
+	if at := now.Add(f.config.WriteBackCheckDelay); at.Before(f.listAt) {
 		f.listAt = at // to see whether it held
 	}
-	return []FeederAction{WriteBack{Version: h.Version, Expect: d.Revision, Replaced: d.Version}}
+	return []SyncerAction{WriteBack{Version: h.Version, Expect: d.Revision, Replaced: d.Version}}
 }
 
-func (f *Feeder) peerAnswered(now time.Time, e PeerAnswered) {
+func (f *Syncer) peerAnswered(now time.Time, e PeerAnswered) {
 	for _, v := range e.Versions {
-		f.inForce.Offer(now, v)
+		f.inForce.Update(now, v)
 	}
-	fresh := !e.Asked.Before(f.started) && now.Sub(e.Asked) <= f.config.AnswerAge
+	fresh := !e.QueriedAt.Before(f.started) && now.Sub(e.QueriedAt) <= f.config.MaxAnswerAge
 	if !e.Ready || !fresh {
 		return
 	}
-	if len(f.inForce.Missing(e.Generations)) == 0 && len(f.confirmed) < maxPeersKnown {
+	if len(f.inForce.Missing(e.Summaries)) == 0 && len(f.confirmed) < maxPeersKnown {
 		f.confirmed[e.Peer] = true
 	}
 }
 
-func (f *Feeder) becomeReady(now time.Time) []FeederAction {
+func (f *Syncer) becomeReady(now time.Time) []SyncerAction {
 	if f.ready {
 		return nil
 	}
 	waited := f.waited(now)
-	source := FromStore
+	source := ConfirmedByStore
 	switch {
 	case f.storeSeen && (len(f.confirmed) > 0 || waited):
 	case f.confirmedByPeers(waited):
-		source = FromPeers
+		source = ConfirmedByPeers
 	default:
 		return nil
 	}
 	f.ready = true
-	return []FeederAction{BecomeReady{Source: source}}
+	return []SyncerAction{MarkReady{Source: source}}
 }
 
 // waited is true where peers had their chance to answer: enough rounds, the
 // last of them a short while ago.
-func (f *Feeder) waited(now time.Time) bool {
-	since := now.Sub(f.askAt.Add(-f.config.AskEvery))
-	return f.rounds >= f.config.AskRounds && since >= f.config.AskEvery && since <= f.config.AnswerAge
+func (f *Syncer) waited(now time.Time) bool {
+	since := now.Sub(f.askAt.Add(-f.config.QueryPeriod))
+	return f.rounds >= f.config.QueryRounds && since >= f.config.QueryPeriod && since <= f.config.MaxAnswerAge
 }
 
 // confirmedByPeers needs Confirmations answers, or as many as peers are known
 // where these are fewer after AskRounds. A process without peers is not
 // confirmed.
-func (f *Feeder) confirmedByPeers(waited bool) bool {
-	need := f.config.Confirmations
+func (f *Syncer) confirmedByPeers(waited bool) bool {
+	need := f.config.RequiredConfirmations
 	if waited {
 		need = min(need, max(len(f.peers), 1))
 	}
@@ -199,24 +199,24 @@
 }
 
 // due returns the actions whose time has come.
-func (f *Feeder) due(now time.Time) []FeederAction {
-	var actions []FeederAction
+func (f *Syncer) due(now time.Time) []SyncerAction {
+	var actions []SyncerAction
 	if !f.ready && !now.Before(f.askAt) {
-		f.askAt = now.Add(f.config.AskEvery)
+		f.askAt = now.Add(f.config.QueryPeriod)
 		f.rounds++
 		if ids := f.nextPeers(); len(ids) > 0 {
-			actions = append(actions, AskPeers{IDs: ids})
+			actions = append(actions, QueryPeers{PeerIDs: ids})
 		}
 	}
-	if f.config.Store && f.storeSeen && !now.Before(f.listAt) {
-		f.listAt = now.Add(f.config.RelistEvery)
+	if f.config.ReadsStore && f.storeSeen && !now.Before(f.listAt) {
+		f.listAt = now.Add(f.config.ListPeriod)
 		actions = append(actions, ListStore{})
 	}
 	return actions
 }
 
 // nextPeers returns a few peers that have not confirmed yet, in turn.
-func (f *Feeder) nextPeers() []string {
+func (f *Syncer) nextPeers() []string {
 	var ids []string
 	for range f.peers {
 		id := f.peers[f.asked%len(f.peers)]
--- a/document/feeder_action.go
+++ b/document/feeder_action.go
@@ -2,17 +2,17 @@
 
 import "github.com/eelgrasshub/eelgrasshub/store"
 
-// FeederAction is what a Feeder asks its shell to do.
-type FeederAction interface{ feederAction() }
+// SyncerAction is what a Feeder asks its shell to do.
+type SyncerAction interface{ feederAction() }
 
 // ListStore asks for a new listing, followed by a watch from it.
 type ListStore struct{}
 
-// AskPeers asks for the versions of these peers.
-type AskPeers struct{ IDs []string }
+// QueryPeers asks for the versions of these peers.
+type QueryPeers struct{ PeerIDs []string }
 
-// BecomeReady says, once, that the configuration held is confirmed.
-type BecomeReady struct{ Source Source }
+// MarkReady says, once, that the configuration held is confirmed.
+type MarkReady struct{ Source ConfirmationSource }
 
 // WriteBack puts Version into the store, which holds an older one or none:
 // compare-and-swap on Expect. A failed swap needs no retry; the next listing
@@ -23,16 +23,16 @@
 	Replaced Version // what the store holds; zero where it holds none
 }
 
-func (ListStore) feederAction()   {}
-func (AskPeers) feederAction()    {}
-func (BecomeReady) feederAction() {}
-func (WriteBack) feederAction()   {}
+func (ListStore) feederAction()  {}
+func (QueryPeers) feederAction() {}
+func (MarkReady) feederAction()  {}
+func (WriteBack) feederAction()  {}
 
-// Source is who confirmed a fresh process's configuration.
-type Source string
+// ConfirmationSource is who confirmed a fresh process's configuration.
+type ConfirmationSource string
 
 // The sources of a confirmation.
 const (
-	FromStore Source = "store"
-	FromPeers Source = "peers"
+	ConfirmedByStore ConfirmationSource = "store"
+	ConfirmedByPeers ConfirmationSource = "peers"
 )
--- a/document/feeder_event.go
+++ b/document/feeder_event.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// FeederEvent is what a Feeder is told.
-type FeederEvent interface{ feederEvent() }
+// SyncerEvent is what a Feeder is told.
+type SyncerEvent interface{ feederEvent() }
 
 // StoreListed: a full listing of the documents arrived. Unreadable names the
 // services whose stored value this binary cannot read; it is left alone.
 type StoreListed struct {
-	Documents  []Stored
+	Documents  []StoredVersion
 	Unreadable []string
 }
 
 // StoreChanged: a watch delivered a document.
-type StoreChanged struct{ Document Stored }
+type StoreChanged struct{ Document StoredVersion }
 
 // StoreDeleted: a watch saw the document of a service deleted.
 type StoreDeleted struct{ Service string }
@@ -21,26 +21,26 @@
 // StoreFailed: a listing or a watch failed; the store may be out.
 type StoreFailed struct{}
 
-// PeersKnown: these are all peers known now, by the name that Ask takes.
-type PeersKnown struct{ IDs []string }
+// PeersUpdated: these are all peers known now, by the name that Ask takes.
+type PeersUpdated struct{ PeerIDs []string }
 
 // PeerAnswered: a peer told which versions it holds and sent those that we
 // lacked, as far as they fit into one answer.
 type PeerAnswered struct {
-	Peer        string
-	Asked       time.Time // when we sent the question, on our clock; zero for news that we did not ask for
-	Ready       bool      // its own configuration is confirmed
-	Generations []Summary
-	Versions    []Version
+	Peer      string
+	QueriedAt time.Time // when we sent the question, on our clock; zero for news that we did not ask for
+	Ready     bool      // its own configuration is confirmed
+	Summaries []Summary
+	Versions  []Version
 }
 
-// FeederTick lets time pass. Send one several times a second.
-type FeederTick struct{}
+// SyncerTick lets time pass. Send one several times a second.
+type SyncerTick struct{}
 
 func (StoreListed) feederEvent()  {}
 func (StoreChanged) feederEvent() {}
 func (StoreDeleted) feederEvent() {}
 func (StoreFailed) feederEvent()  {}
-func (PeersKnown) feederEvent()   {}
+func (PeersUpdated) feederEvent() {}
 func (PeerAnswered) feederEvent() {}
-func (FeederTick) feederEvent()   {}
+func (SyncerTick) feederEvent()   {}
--- a/document/feeder_test.go
+++ b/document/feeder_test.go
@@ -12,23 +12,23 @@
 // script drives one fresh Feeder in virtual time and keeps its actions.
 type script struct {
 	now     time.Time
-	inForce *document.InForce
-	feeder  *document.Feeder
-	actions []document.FeederAction
+	inForce *document.ActiveSet
+	feeder  *document.Syncer
+	actions []document.SyncerAction
 }
 
 func newScript(store bool) *script {
-	s := &script{now: time.Unix(100, 0), inForce: document.NewInForce(nil)}
-	s.feeder = document.NewFeeder(s.now, document.DefaultFeederConfig(store), s.inForce)
+	s := &script{now: time.Unix(100, 0), inForce: document.NewActiveSet(nil)}
+	s.feeder = document.NewSyncer(s.now, document.DefaultSyncerConfig(store), s.inForce)
 	return s
 }
 
-func (s *script) step(event document.FeederEvent) []document.FeederAction {
-	if a, ok := event.(document.PeerAnswered); ok && a.Asked.IsZero() {
-		a.Asked = s.now
+func (s *script) step(event document.SyncerEvent) []document.SyncerAction {
+	if a, ok := event.(document.PeerAnswered); ok && a.QueriedAt.IsZero() {
+		a.QueriedAt = s.now
 		event = a
 	}
-	actions := s.feeder.Step(s.now, event)
+	actions := s.feeder.HandleEvent(s.now, event)
 	s.actions = append(s.actions, actions...)
 	return actions
 }
@@ -37,14 +37,14 @@
 	const tick = 200 * time.Millisecond
 	for ; d > 0; d -= tick {
 		s.now = s.now.Add(min(d, tick))
-		s.step(document.FeederTick{})
+		s.step(document.SyncerTick{})
 	}
 }
 
 func answer(peer string, ready bool, versions ...document.Version) document.PeerAnswered {
 	a := document.PeerAnswered{Peer: peer, Ready: ready, Versions: versions}
 	for _, v := range versions {
-		a.Generations = append(a.Generations, v.Summary())
+		a.Summaries = append(a.Summaries, v.Summary())
 	}
 	return a
 }
@@ -64,14 +64,14 @@
 	c := qt.New(t)
 	s := newScript(true)
 	s.step(document.StoreFailed{})
-	s.step(document.PeersKnown{IDs: []string{"a", "b", "c"}})
+	s.step(document.PeersUpdated{PeerIDs: []string{"a", "b", "c"}})
 	s.step(answer("a", true, version(6, "old")))
 	s.wait(10 * time.Second)
 	c.Assert(s.feeder.Ready(), qt.IsFalse)
 	s.step(answer("b", true, version(7, "current")))
 	c.Assert(s.feeder.Ready(), qt.IsTrue)
 	c.Assert(s.generation(), qt.Equals, uint64(7))
-	c.Assert(s.actions[len(s.actions)-1], qt.Equals, document.FeederAction(document.BecomeReady{Source: document.FromPeers}))
+	c.Assert(s.actions[len(s.actions)-1], qt.Equals, document.SyncerAction(document.MarkReady{Source: document.ConfirmedByPeers}))
 }
 
 // All processes start at once while the store is out. Each asks the others,
@@ -79,7 +79,7 @@
 func TestFreshPeersConfirmNothing(t *testing.T) {
 	c := qt.New(t)
 	s := newScript(true)
-	s.step(document.PeersKnown{IDs: []string{"a", "b"}})
+	s.step(document.PeersUpdated{PeerIDs: []string{"a", "b"}})
 	s.step(answer("a", false))
 	s.step(answer("b", false, version(3, "unconfirmed")))
 	s.wait(time.Minute)
@@ -92,7 +92,7 @@
 func TestOnlyPeerIsEnoughWhereNoOtherIsKnown(t *testing.T) {
 	c := qt.New(t)
 	s := newScript(false)
-	s.step(document.PeersKnown{IDs: []string{"a"}})
+	s.step(document.PeersUpdated{PeerIDs: []string{"a"}})
 	s.step(answer("a", true, version(3, "three")))
 	c.Assert(s.feeder.Ready(), qt.IsFalse) // others may become known yet
 	s.wait(4 * time.Second)
@@ -104,9 +104,9 @@
 func TestLateAnswerDoesNotConfirm(t *testing.T) {
 	c := qt.New(t)
 	s := newScript(false)
-	s.step(document.PeersKnown{IDs: []string{"a"}})
+	s.step(document.PeersUpdated{PeerIDs: []string{"a"}})
 	late := answer("a", true, version(3, "three"))
-	late.Asked = s.now.Add(-time.Second)
+	late.QueriedAt = s.now.Add(-time.Second)
 	s.step(late)
 	s.wait(time.Minute)
 	c.Assert(s.feeder.Ready(), qt.IsFalse)
@@ -118,13 +118,13 @@
 func TestPausedAtStartStillAsks(t *testing.T) {
 	c := qt.New(t)
 	s := newScript(true)
-	s.step(document.StoreListed{Documents: []document.Stored{{Version: version(5, "five"), Revision: 9}}})
-	s.step(document.PeersKnown{IDs: []string{"a"}})
+	s.step(document.StoreListed{Documents: []document.StoredVersion{{Version: version(5, "five"), Revision: 9}}})
+	s.step(document.PeersUpdated{PeerIDs: []string{"a"}})
 	s.now = s.now.Add(time.Hour)
-	actions := s.step(document.FeederTick{})
+	actions := s.step(document.SyncerTick{})
 	c.Assert(s.feeder.Ready(), qt.IsFalse)
-	c.Assert(actions, qt.Contains, document.FeederAction(document.ListStore{}))
-	c.Assert(s.actions, qt.Any(qt.DeepEquals), document.FeederAction(document.AskPeers{IDs: []string{"a"}}))
+	c.Assert(actions, qt.Contains, document.SyncerAction(document.ListStore{}))
+	c.Assert(s.actions, qt.Any(qt.DeepEquals), document.SyncerAction(document.QueryPeers{PeerIDs: []string{"a"}}))
 }
 
 // A peer announces a generation but its text does not fit into the answer, or
@@ -132,7 +132,7 @@
 func TestAnswerWithoutItsTextDoesNotConfirm(t *testing.T) {
 	c := qt.New(t)
 	s := newScript(false)
-	s.step(document.PeersKnown{IDs: []string{"a"}})
+	s.step(document.PeersUpdated{PeerIDs: []string{"a"}})
 	empty := answer("a", true, version(3, "three"))
 	empty.Versions = nil
 	s.step(empty)
@@ -145,8 +145,8 @@
 func TestFreshProcessWaitsForPeerBesidesStore(t *testing.T) {
 	c := qt.New(t)
 	s := newScript(true)
-	s.step(document.PeersKnown{IDs: []string{"a"}})
-	s.step(document.StoreListed{Documents: []document.Stored{{Version: version(5, "five"), Revision: 9}}})
+	s.step(document.PeersUpdated{PeerIDs: []string{"a"}})
+	s.step(document.StoreListed{Documents: []document.StoredVersion{{Version: version(5, "five"), Revision: 9}}})
 	c.Assert(s.feeder.Ready(), qt.IsFalse)
 	s.step(answer("a", true, version(7, "seven")))
 	c.Assert(s.feeder.Ready(), qt.IsTrue)
@@ -161,7 +161,7 @@
 	held := version(7, "seven")
 	at := func(generation uint64, mark string, after time.Duration) document.Version {
 		v := version(generation, mark)
-		v.At = held.At.Add(after)
+		v.CreatedAt = held.CreatedAt.Add(after)
 		return v
 	}
 	for _, test := range []struct {
@@ -185,11 +185,11 @@
 		t.Run(test.story, func(t *testing.T) {
 			c := qt.New(t)
 			s := newScript(true)
-			s.inForce.Offer(s.now, held)
+			s.inForce.Update(s.now, held)
 			s.wait(time.Second)
 			var listed document.StoreListed
 			if test.stored.Generation > 0 {
-				listed.Documents = []document.Stored{{Version: test.stored, Revision: 4}}
+				listed.Documents = []document.StoredVersion{{Version: test.stored, Revision: 4}}
 			}
 			actions := s.step(listed)
 			now, _ := s.inForce.Current("dispatch")
@@ -210,15 +210,15 @@
 // names the revision that a newer write has now: written back on it, the old
 // version would replace the newer one. Only a listing repairs.
 func TestWatchAloneRepairsNothing(t *testing.T) {
-	for _, event := range []document.FeederEvent{
-		document.StoreChanged{Document: document.Stored{Version: version(5, "five"), Revision: 4}},
+	for _, event := range []document.SyncerEvent{
+		document.StoreChanged{Document: document.StoredVersion{Version: version(5, "five"), Revision: 4}},
 		document.StoreDeleted{Service: "dispatch"},
 	} {
 		c := qt.New(t)
 		s := newScript(true)
-		s.step(document.StoreListed{Documents: []document.Stored{{Version: version(7, "seven"), Revision: 9}}})
+		s.step(document.StoreListed{Documents: []document.StoredVersion{{Version: version(7, "seven"), Revision: 9}}})
 		s.now = s.now.Add(time.Second)
-		c.Assert(s.step(event), qt.DeepEquals, []document.FeederAction{document.ListStore{}})
+		c.Assert(s.step(event), qt.DeepEquals, []document.SyncerAction{document.ListStore{}})
 	}
 }
 
@@ -227,7 +227,7 @@
 func TestUnreadableDocumentIsLeftAlone(t *testing.T) {
 	c := qt.New(t)
 	s := newScript(true)
-	s.inForce.Offer(s.now, version(7, "seven"))
+	s.inForce.Update(s.now, version(7, "seven"))
 	c.Assert(s.step(document.StoreListed{Unreadable: []string{"dispatch"}}), qt.HasLen, 0)
 }
 
@@ -236,5 +236,5 @@
 	s := newScript(true)
 	s.step(document.StoreListed{})
 	s.wait(11 * time.Second)
-	c.Assert(s.actions, qt.Contains, document.FeederAction(document.ListStore{}))
+	c.Assert(s.actions, qt.Contains, document.SyncerAction(document.ListStore{}))
 }
--- a/document/fleet_model_test.go
+++ b/document/fleet_model_test.go
@@ -20,8 +20,8 @@
 // process is one incarnation: its floor is lost with it.
 type process struct {
 	id      string
-	inForce *document.InForce
-	feeder  *document.Feeder
+	inForce *document.ActiveSet
+	feeder  *document.Syncer
 	floor   uint64 // highest generation seen in force here
 }
 
@@ -39,9 +39,9 @@
 	store     *fakeStore
 	procs     []*process
 	backups   []backup
-	answers   []document.PeerAnswered // on their way, perhaps late
-	old       []document.Stored       // what a watch may deliver again
-	acked     document.Version        // the latest that an operator was told success for
+	answers   []document.PeerAnswered  // on their way, perhaps late
+	old       []document.StoredVersion // what a watch may deliver again
+	acked     document.Version         // the latest that an operator was told success for
 	puts      int
 	writeBack int
 	everyone  []held // what all ready processes held, by time
@@ -63,8 +63,8 @@
 }
 
 func (f *fleet) start(i int) {
-	p := &process{id: fmt.Sprint("p", i), inForce: document.NewInForce(nil)}
-	p.feeder = document.NewFeeder(time.Now(), document.DefaultFeederConfig(true), p.inForce)
+	p := &process{id: fmt.Sprint("p", i), inForce: document.NewActiveSet(nil)}
+	p.feeder = document.NewSyncer(time.Now(), document.DefaultSyncerConfig(true), p.inForce)
 	f.procs[i] = p
 	var others []string
 	for j := range processes {
@@ -72,7 +72,7 @@
 			others = append(others, fmt.Sprint("p", j))
 		}
 	}
-	f.feed(p, document.PeersKnown{IDs: others})
+	f.feed(p, document.PeersUpdated{PeerIDs: others})
 }
 
 func (f *fleet) generation(p *process) uint64 {
@@ -84,15 +84,15 @@
 }
 
 // feed steps a process and checks it.
-func (f *fleet) feed(p *process, event document.FeederEvent) {
-	for _, action := range p.feeder.Step(time.Now(), event) {
+func (f *fleet) feed(p *process, event document.SyncerEvent) {
+	for _, action := range p.feeder.HandleEvent(time.Now(), event) {
 		switch a := action.(type) {
 		case document.WriteBack:
 			f.repair(a)
-		case document.BecomeReady:
+		case document.MarkReady:
 			f.checkReady(p, a.Source)
-		case document.AskPeers:
-			for _, id := range a.IDs {
+		case document.QueryPeers:
+			for _, id := range a.PeerIDs {
 				f.ask(p, f.procs[int(id[1]-'0')], false)
 			}
 		}
@@ -113,7 +113,7 @@
 }
 
 func (f *fleet) list(p *process) {
-	snapshot, err := f.store.List(context.Background(), document.Prefix)
+	snapshot, err := f.store.List(context.Background(), document.StoreKeyPrefix)
 	if err != nil {
 		f.feed(p, document.StoreFailed{})
 		return
@@ -122,7 +122,7 @@
 	for _, kv := range snapshot.Keys {
 		v, err := document.UnmarshalVersion(kv.Value)
 		f.c.Assert(err, qt.IsNil)
-		l.Documents = append(l.Documents, document.Stored{Version: v, Revision: kv.Mod})
+		l.Documents = append(l.Documents, document.StoredVersion{Version: v, Revision: kv.Mod})
 	}
 	f.old = append(f.old, l.Documents...)
 	f.feed(p, l)
@@ -134,11 +134,11 @@
 		return
 	}
 	a := document.PeerAnswered{
-		Peer:        from.id,
-		Asked:       time.Now(),
-		Ready:       from.feeder.Ready(),
-		Generations: from.inForce.Generations(),
-		Versions:    from.inForce.Newer(to.inForce.Generations(), 1),
+		Peer:      from.id,
+		QueriedAt: time.Now(),
+		Ready:     from.feeder.Ready(),
+		Summaries: from.inForce.Summaries(),
+		Versions:  from.inForce.NewerThan(to.inForce.Summaries(), 1),
 	}
 	if late {
 		f.answers = append(f.answers, a)
@@ -157,7 +157,7 @@
 	f.puts++
 	p := proposal(fmt.Sprint("put", f.puts), base.Generation)
 	if f.rng.IntN(2) == 0 { // this operator reaches a process
-		p.InForce = f.generation(f.pick())
+		p.ActiveGeneration = f.generation(f.pick())
 	}
 	if v, err := document.Put(ctx, f.store, p); err == nil {
 		f.acked = v
--- a/document/fleet_test.go
+++ b/document/fleet_test.go
@@ -23,14 +23,14 @@
 	n := 0
 	for i, p := range f.procs {
 		h, ok := p.inForce.Current("dispatch")
-		if ok && i != without && !h.Version.At.Before(f.acked.At) {
+		if ok && i != without && !h.Version.CreatedAt.Before(f.acked.CreatedAt) {
 			n++
 		}
 	}
 	if kv, ok := in.keys[document.StoreKey("dispatch")]; ok {
 		v, err := document.UnmarshalVersion(kv.Value)
 		f.c.Assert(err, qt.IsNil)
-		if !v.At.Before(f.acked.At) {
+		if !v.CreatedAt.Before(f.acked.CreatedAt) {
 			n++
 		}
 	}
@@ -78,7 +78,7 @@
 	case n < 98:
 		f.restore()
 	default:
-		f.feed(p, document.FeederTick{})
+		f.feed(p, document.SyncerTick{})
 	}
 	f.noteEveryone()
 }
@@ -101,7 +101,7 @@
 
 // checkReady: seconds after all ready processes have a generation, and while
 // one of them lives, no process becomes ready with a lower one.
-func (f *fleet) checkReady(p *process, source document.Source) {
+func (f *fleet) checkReady(p *process, source document.ConfirmationSource) {
 	var highest uint64
 	for _, q := range f.procs {
 		if q != nil && q != p && q.feeder.Ready() {
@@ -113,7 +113,7 @@
 			f.everyone = f.everyone[:i] // nobody is left who could tell
 			break
 		}
-		settled := time.Since(e.at) > document.DefaultFeederConfig(true).AnswerAge
+		settled := time.Since(e.at) > document.DefaultSyncerConfig(true).MaxAnswerAge
 		f.c.Assert(settled && f.generation(p) < e.generation, qt.IsFalse, qt.Commentf(
 			"seed %d: %s became ready from %s with generation %d after all had held %d",
 			f.seed, p.id, source, f.generation(p), e.generation))
@@ -144,10 +144,10 @@
 	for _, p := range f.procs {
 		f.c.Assert(f.generation(p), qt.Equals, stored.Generation, qt.Commentf("seed %d: %s", f.seed, p.id))
 		if stored.Generation > 0 {
-			f.c.Assert(p.inForce.Generations()[0], qt.Equals, stored.Summary(), qt.Commentf("seed %d: %s", f.seed, p.id))
+			f.c.Assert(p.inForce.Summaries()[0], qt.Equals, stored.Summary(), qt.Commentf("seed %d: %s", f.seed, p.id))
 		}
 	}
-	f.c.Assert(stored.At.Before(f.acked.At), qt.IsFalse, qt.Commentf(
+	f.c.Assert(stored.CreatedAt.Before(f.acked.CreatedAt), qt.IsFalse, qt.Commentf(
 		"seed %d: acknowledged generation %d by %s, in force at the end %d by %s",
 		f.seed, f.acked.Generation, f.acked.Author, stored.Generation, stored.Author))
 }
--- a/document/follow.go
+++ b/document/follow.go
@@ -61,7 +61,7 @@
 	w.step(w.listing(snapshot))
 	done := make(chan error, 1)
 	w.tomb.Go(func() error {
-		done <- w.store.Watch(ctx, Prefix, snapshot.At+1, w.deliver)
+		done <- w.store.Watch(ctx, StoreKeyPrefix, snapshot.At+1, w.deliver)
 		return nil
 	})
 	select {
@@ -79,7 +79,7 @@
 	for _, kv := range s.Keys {
 		d, ok := w.read(kv)
 		if !ok {
-			l.Unreadable = append(l.Unreadable, kv.Key[len(Prefix):])
+			l.Unreadable = append(l.Unreadable, kv.Key[len(StoreKeyPrefix):])
 			continue
 		}
 		l.Documents = append(l.Documents, d)
@@ -91,7 +91,7 @@
 	w.lister.changed(b)
 	for _, e := range b.Events {
 		if e.Deleted {
-			w.step(StoreDeleted{Service: e.Key[len(Prefix):]})
+			w.step(StoreDeleted{Service: e.Key[len(StoreKeyPrefix):]})
 			continue
 		}
 		if d, ok := w.read(e.KeyValue); ok {
@@ -101,11 +101,11 @@
 }
 
 // read skips what is not a version: it is not ours to repair.
-func (w *Watcher) read(kv store.KeyValue) (Stored, bool) {
+func (w *Watcher) read(kv store.KeyValue) (StoredVersion, bool) {
 	d, err := stored(kv)
 	if err != nil {
 		w.unreadable.Add(1)
-		return Stored{}, false
+		return StoredVersion{}, false
 	}
 	return d, true
 }
--- a/document/fork.go
+++ b/document/fork.go
@@ -8,24 +8,24 @@
 // back. Both operators were told success. This shows as a lower generation
 // that is later, a higher one that is earlier, or an equal one with another
 // text.
-func relate(held, offered Version) Decision {
+func relate(held, offered Version) UpdateResult {
 	same := offered.Generation == held.Generation && offered.Digest == held.Digest
 	switch {
 	case same:
-		return Known
+		return UpdateUnchanged
 	case offered.Generation > held.Generation && !later(held, offered):
-		return Accepted
+		return UpdateAccepted
 	case offered.Generation < held.Generation && !later(offered, held):
-		return Older
+		return UpdateOlder
 	}
-	return Conflicting
+	return UpdateConflicting
 }
 
 // later orders two versions by time, then by token, so that all processes
 // agree.
 func later(a, b Version) bool {
-	if !a.At.Equal(b.At) {
-		return a.At.After(b.At)
+	if !a.CreatedAt.Equal(b.CreatedAt) {
+		return a.CreatedAt.After(b.CreatedAt)
 	}
 	return a.Token > b.Token
 }
--- a/document/get.go
+++ b/document/get.go
@@ -8,8 +8,8 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// Stored is a version together with the store's revision of it.
-type Stored struct {
+// StoredVersion is a version together with the store's revision of it.
+type StoredVersion struct {
 	Version  Version
 	Revision store.Revision
 }
@@ -22,21 +22,21 @@
 }
 
 // read returns a zero Stored where the store holds no document of service.
-func read(ctx context.Context, store store.Store, service string) (Stored, error) {
+func read(ctx context.Context, store store.Store, service string) (StoredVersion, error) {
 	kv, ok, err := store.Get(ctx, StoreKey(service))
 	if err != nil || !ok {
-		return Stored{}, err
+		return StoredVersion{}, err
 	}
 	return stored(kv)
 }
 
-func stored(kv store.KeyValue) (Stored, error) {
+func stored(kv store.KeyValue) (StoredVersion, error) {
 	v, err := UnmarshalVersion(kv.Value)
 	if err != nil {
-		return Stored{}, eris.Wrapf(err, "key %s", kv.Key)
+		return StoredVersion{}, eris.Wrapf(err, "key %s", kv.Key)
 	}
 	if StoreKey(v.Service) != kv.Key {
-		return Stored{}, eris.Wrapf(ErrBadVersion, "key %s holds service %q", kv.Key, v.Service)
+		return StoredVersion{}, eris.Wrapf(ErrInvalidVersion, "key %s holds service %q", kv.Key, v.Service)
 	}
-	return Stored{Version: v, Revision: kv.Mod}, nil
+	return StoredVersion{Version: v, Revision: kv.Mod}, nil
 }
--- a/document/inforce.go
+++ b/document/inforce.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// InForce holds the version in force of every service in one process. Reads
+// ActiveSet holds the version in force of every service in one process. Reads
 // take no lock: writers copy the table, change the copy and publish it
 // (read-copy-update). It is safe for concurrent use.
 //
@@ -17,9 +17,9 @@
 // guards against configuration that goes back: a watch restarted from an old
 // revision, a peer with an old copy, a store restored from a backup. Each of
 // them shows as an offer with a lower generation, and Offer is the only way in.
-type InForce struct {
-	table    atomic.Pointer[map[string]*Held]
-	onChange func(old, now *Held)
+type ActiveSet struct {
+	table    atomic.Pointer[map[string]*ActiveVersion]
+	onChange func(old, now *ActiveVersion)
 
 	mu      sync.Mutex         // serialises writers
 	refused map[string]Summary // last version refused, by service
@@ -27,31 +27,31 @@
 	accepted, older, conflicting, refusals atomic.Int64
 }
 
-// NewInForce returns a table without documents. onChange may be nil; it is
+// NewActiveSet returns a table without documents. onChange may be nil; it is
 // called after each change, in order, with old nil for a first version. It
 // must not call Offer.
-func NewInForce(onChange func(old, now *Held)) *InForce {
-	f := &InForce{onChange: onChange, refused: map[string]Summary{}}
-	f.table.Store(&map[string]*Held{})
+func NewActiveSet(onChange func(old, now *ActiveVersion)) *ActiveSet {
+	f := &ActiveSet{onChange: onChange, refused: map[string]Summary{}}
+	f.table.Store(&map[string]*ActiveVersion{})
 	return f
 }
 
 // Current returns what is in force for service.
-func (f *InForce) Current(service string) (*Held, bool) {
+func (f *ActiveSet) Current(service string) (*ActiveVersion, bool) {
 	h, ok := (*f.table.Load())[service]
 	return h, ok
 }
 
 // All returns what is in force, sorted by service.
-func (f *InForce) All() []*Held {
-	return slices.SortedFunc(maps.Values(*f.table.Load()), func(a, b *Held) int {
+func (f *ActiveSet) All() []*ActiveVersion {
+	return slices.SortedFunc(maps.Values(*f.table.Load()), func(a, b *ActiveVersion) int {
 		return strings.Compare(a.Version.Service, b.Version.Service)
 	})
 }
 
 // Counts returns the decisions so far.
-func (f *InForce) Counts() Counts {
-	return Counts{
+func (f *ActiveSet) Counts() UpdateCounts {
+	return UpdateCounts{
 		Accepted:    f.accepted.Load(),
 		Older:       f.older.Load(),
 		Conflicting: f.conflicting.Load(),
@@ -59,13 +59,13 @@
 	}
 }
 
-// Offer puts v in force where its generation is higher than the one in force,
+// Update puts v in force where its generation is higher than the one in force,
 // whatever the source. A version that this binary cannot read is refused, and
 // the one in force stays: an older binary must not drop its configuration
 // because the operators use a newer one. Of two split histories the later
 // version is in force afterwards, with a generation above both.
-func (f *InForce) Offer(now time.Time, v Version) Decision {
-	if d := f.decide(v); d == Known || d == Older {
+func (f *ActiveSet) Update(now time.Time, v Version) UpdateResult {
+	if d := f.decide(v); d == UpdateUnchanged || d == UpdateOlder {
 		return f.count(d)
 	}
 	// Parsing is slow, so it is done without the lock.
@@ -84,38 +84,38 @@
 	return doc
 }
 
-func (f *InForce) decide(v Version) Decision {
+func (f *ActiveSet) decide(v Version) UpdateResult {
 	h, ok := f.Current(v.Service)
 	switch {
 	case v.Generation == 0:
-		return Older
+		return UpdateOlder
 	case !ok:
-		return Accepted
+		return UpdateAccepted
 	}
 	return relate(h.Version, v)
 }
 
-func (f *InForce) take(now time.Time, v Version, doc *Document) Decision {
+func (f *ActiveSet) take(now time.Time, v Version, doc *Document) UpdateResult {
 	d := f.decide(v)
-	if d == Known || d == Older {
+	if d == UpdateUnchanged || d == UpdateOlder {
 		return d
 	}
 	if doc == nil {
 		f.refused[v.Service] = v.Summary()
-		return Refused
+		return UpdateRefused
 	}
-	if d == Conflicting {
+	if d == UpdateConflicting {
 		held, _ := f.Current(v.Service)
 		if later(held.Version, v) {
 			doc = held.Document
 		}
 		v = joinFork(held.Version, v)
 	}
-	f.publish(&Held{Version: v, Document: doc, Since: now})
+	f.publish(&ActiveVersion{Version: v, Document: doc, Since: now})
 	return d
 }
 
-func (f *InForce) publish(h *Held) {
+func (f *ActiveSet) publish(h *ActiveVersion) {
 	old := *f.table.Load()
 	next := maps.Clone(old)
 	next[h.Version.Service] = h
@@ -126,15 +126,15 @@
 	}
 }
 
-func (f *InForce) count(d Decision) Decision {
+func (f *ActiveSet) count(d UpdateResult) UpdateResult {
 	switch d {
-	case Accepted:
+	case UpdateAccepted:
 		f.accepted.Add(1)
-	case Older:
+	case UpdateOlder:
 		f.older.Add(1)
-	case Conflicting:
+	case UpdateConflicting:
 		f.conflicting.Add(1)
-	case Refused:
+	case UpdateRefused:
 		f.refusals.Add(1)
 	}
 	return d
--- a/document/inforce_test.go
+++ b/document/inforce_test.go
@@ -19,7 +19,7 @@
 		Generation: generation,
 		Token:      fmt.Sprintf("token-%016s", mark),
 		Author:     mark,
-		At:         time.Unix(int64(generation), 0).UTC(),
+		CreatedAt:  time.Unix(int64(generation), 0).UTC(),
 		TOML:       toml,
 		Digest:     document.DigestOf(toml),
 	}
@@ -42,24 +42,24 @@
 	for _, test := range []struct {
 		story string
 		offer document.Version
-		want  document.Decision
+		want  document.UpdateResult
 	}{
-		{"an operator put a new generation", version(3, "new"), document.Accepted},
-		{"a watch restarted from an old revision", version(1, "old"), document.Older},
-		{"a peer has the same", version(2, "held"), document.Known},
-		{"the operators use a newer binary", newerFormat(3), document.Refused},
-		{"the text does not match its digest", damaged, document.Refused},
-		{"the text is another service's", foreign, document.Refused},
-		{"no generation", document.Version{Service: "dispatch"}, document.Older},
+		{"an operator put a new generation", version(3, "new"), document.UpdateAccepted},
+		{"a watch restarted from an old revision", version(1, "old"), document.UpdateOlder},
+		{"a peer has the same", version(2, "held"), document.UpdateUnchanged},
+		{"the operators use a newer binary", newerFormat(3), document.UpdateRefused},
+		{"the text does not match its digest", damaged, document.UpdateRefused},
+		{"the text is another service's", foreign, document.UpdateRefused},
+		{"no generation", document.Version{Service: "dispatch"}, document.UpdateOlder},
 	} {
 		t.Run(test.story, func(t *testing.T) {
 			c := qt.New(t)
-			f := document.NewInForce(nil)
-			c.Assert(f.Offer(time.Unix(1, 0), version(2, "held")), qt.Equals, document.Accepted)
-			c.Assert(f.Offer(time.Unix(2, 0), test.offer), qt.Equals, test.want)
+			f := document.NewActiveSet(nil)
+			c.Assert(f.Update(time.Unix(1, 0), version(2, "held")), qt.Equals, document.UpdateAccepted)
+			c.Assert(f.Update(time.Unix(2, 0), test.offer), qt.Equals, test.want)
 			held, ok := f.Current("dispatch")
 			c.Assert(ok, qt.IsTrue)
-			accepted := test.want == document.Accepted
+			accepted := test.want == document.UpdateAccepted
 			c.Assert(held.Version.Generation == 3, qt.Equals, accepted)
 			c.Assert(held.Document.Owner == "held", qt.Equals, !accepted)
 		})
@@ -69,7 +69,7 @@
 func TestSubscriberSeesChangesInOrder(t *testing.T) {
 	c := qt.New(t)
 	var seen []string
-	f := document.NewInForce(func(old, now *document.Held) {
+	f := document.NewActiveSet(func(old, now *document.ActiveVersion) {
 		from := uint64(0)
 		if old != nil {
 			from = old.Version.Generation
@@ -77,25 +77,25 @@
 		seen = append(seen, fmt.Sprint(from, "-", now.Version.Generation))
 	})
 	for _, g := range []uint64{1, 3, 2, 4} {
-		f.Offer(time.Unix(0, 0), version(g, fmt.Sprint(g)))
+		f.Update(time.Unix(0, 0), version(g, fmt.Sprint(g)))
 	}
 	c.Assert(seen, qt.DeepEquals, []string{"0-1", "1-3", "3-4"})
 }
 
 func TestCompareForExchange(t *testing.T) {
 	c := qt.New(t)
-	a, b := document.NewInForce(nil), document.NewInForce(nil)
+	a, b := document.NewActiveSet(nil), document.NewActiveSet(nil)
 	now := time.Unix(0, 0)
-	a.Offer(now, version(2, "two"))
-	b.Offer(now, version(3, "three"))
-	c.Assert(a.Missing(b.Generations()), qt.DeepEquals, []document.Summary{version(3, "three").Summary()})
-	c.Assert(b.Newer(a.Generations(), 1), qt.DeepEquals, []document.Version{version(3, "three")})
-	c.Assert(b.Compare(a.Generations()).Missing, qt.HasLen, 0)
+	a.Update(now, version(2, "two"))
+	b.Update(now, version(3, "three"))
+	c.Assert(a.Missing(b.Summaries()), qt.DeepEquals, []document.Summary{version(3, "three").Summary()})
+	c.Assert(b.NewerThan(a.Summaries(), 1), qt.DeepEquals, []document.Version{version(3, "three")})
+	c.Assert(b.Compare(a.Summaries()).Missing, qt.HasLen, 0)
 
 	refused := newerFormat(4)
-	a.Offer(now, refused)
+	a.Update(now, refused)
 	c.Assert(a.Missing([]document.Summary{refused.Summary()}), qt.HasLen, 0)
-	c.Assert(a.Counts(), qt.Equals, document.Counts{Accepted: 1, Refused: 1})
+	c.Assert(a.Counts(), qt.Equals, document.UpdateCounts{Accepted: 1, Refused: 1})
 }
 
 func TestVersionRoundTrip(t *testing.T) {
@@ -107,10 +107,10 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(got, qt.DeepEquals, v)
 	_, err = document.UnmarshalVersion(data[:len(data)-1])
-	c.Assert(err, qt.ErrorIs, document.ErrBadVersion)
+	c.Assert(err, qt.ErrorIs, document.ErrInvalidVersion)
 	data[len(data)-1]++
 	_, err = document.UnmarshalVersion(data)
-	c.Assert(err, qt.ErrorIs, document.ErrBadVersion)
+	c.Assert(err, qt.ErrorIs, document.ErrInvalidVersion)
 }
 
 // Several sources offer at once while requests read: no reader may see the
@@ -118,13 +118,13 @@
 func TestConcurrentOffersNeverGoDown(t *testing.T) {
 	c := qt.New(t)
 	const highest, sources = 40, 4
-	f := document.NewInForce(nil)
+	f := document.NewActiveSet(nil)
 	var wg sync.WaitGroup
 	for source := range sources {
 		wg.Go(func() {
 			for i := range highest {
 				g := uint64((i*7+source*11)%highest + 1)
-				f.Offer(time.Unix(0, 0), version(g, fmt.Sprint(g)))
+				f.Update(time.Unix(0, 0), version(g, fmt.Sprint(g)))
 			}
 		})
 	}
--- a/document/lister.go
+++ b/document/lister.go
@@ -37,7 +37,7 @@
 	if l.seen == nil || l.parts >= wholeEvery {
 		return l.whole(ctx)
 	}
-	keys, err := l.store.ListKeys(ctx, Prefix)
+	keys, err := l.store.ListKeys(ctx, StoreKeyPrefix)
 	if err != nil {
 		return store.Snapshot{}, err
 	}
@@ -66,7 +66,7 @@
 }
 
 func (l *lister) whole(ctx context.Context) (store.Snapshot, error) {
-	s, err := l.store.List(ctx, Prefix)
+	s, err := l.store.List(ctx, StoreKeyPrefix)
 	if err != nil {
 		return store.Snapshot{}, err
 	}
--- a/document/parse.go
+++ b/document/parse.go
@@ -10,17 +10,17 @@
 // megabyte; the envelope needs some of it.
 const MaxBytes = 512 << 10
 
-// Misfit is one guaranteed shape that does not fit together with the others.
-type Misfit struct {
+// PlacementProblem is one guaranteed shape that does not fit together with the others.
+type PlacementProblem struct {
 	Account   int // position in Accounts
 	Guarantee int // position in Guaranteed
 	Reason    string
 }
 
-// FitCheck places every guaranteed shape of every account at once on the
+// PlacementCheck places every guaranteed shape of every account at once on the
 // expected topology and returns those that find no place. It is a function
 // value so that this package does not depend on the placement code.
-type FitCheck func(t *Topology, accounts []Account) []Misfit
+type PlacementCheck func(t *Topology, accounts []Account) []PlacementProblem
 
 // Parse reads and checks the document in data. The error is a schema.Problems
 // with every problem found; name is the file's name in it.
@@ -30,7 +30,7 @@
 
 // Check is Parse with, in addition, the fit of the guaranteed shapes on the
 // document's topology, where it has one. A nil fit checks sums and sizes only.
-func Check(name string, data []byte, fit FitCheck) (*Document, error) {
+func Check(name string, data []byte, fit PlacementCheck) (*Document, error) {
 	if len(data) > MaxBytes {
 		reason := fmt.Sprintf("is %d bytes long, want at most %d", len(data), MaxBytes)
 		return nil, schema.Problems{{File: name, Reason: reason}}
@@ -38,7 +38,7 @@
 	d, f := schema.Decode[Document](name, data)
 	for i := range d.Classes {
 		d.Classes[i].fillDerived(func(key string) bool {
-			return f.Index.Set(fmt.Sprintf("class[%d].%s", i, key))
+			return f.Index.IsSet(fmt.Sprintf("class[%d].%s", i, key))
 		})
 	}
 	f.Validate(&d)
@@ -52,9 +52,9 @@
 	return &d, nil
 }
 
-func addMisfits(d *Document, f *schema.File, fit FitCheck) {
+func addMisfits(d *Document, f *schema.Result, fit PlacementCheck) {
 	for _, m := range fit(d.Topology, d.Accounts) {
-		f.Add(guaranteePath(m.Account, m.Guarantee), "%s", m.Reason)
+		f.AddProblem(guaranteePath(m.Account, m.Guarantee), "%s", m.Reason)
 	}
 }
 
--- a/document/parse_test.go
+++ b/document/parse_test.go
@@ -29,7 +29,7 @@
 			d, err := document.Parse(name, readSample(c, name))
 			c.Assert(err, qt.IsNil)
 			c.Assert(d.Accounts, qt.HasLen, 4)
-			c.Assert(d.Topology.Total(), qt.Equals, 11*8)
+			c.Assert(d.Topology.TotalAccelerators(), qt.Equals, 11*8)
 		})
 	}
 }
@@ -61,10 +61,10 @@
 // placement code can tell, and the operator sees which shape and line.
 func TestCheckNamesTheShapeThatDoesNotFit(t *testing.T) {
 	c := qt.New(t)
-	fit := func(topology *document.Topology, accounts []document.Account) []document.Misfit {
+	fit := func(topology *document.Topology, accounts []document.Account) []document.PlacementProblem {
 		c.Assert(topology.Zones, qt.HasLen, 3)
 		c.Assert(accounts, qt.HasLen, 4)
-		return []document.Misfit{{Account: 0, Guarantee: 1, Reason: "no worker is left"}}
+		return []document.PlacementProblem{{Account: 0, Guarantee: 1, Reason: "no worker is left"}}
 	}
 	_, err := document.Check("dispatch.toml", readSample(c, "dispatch.toml"), fit)
 	c.Assert(err, qt.ErrorMatches, `dispatch.toml:15: account\[0\].guaranteed\[1\]: no worker is left`)
--- a/document/put.go
+++ b/document/put.go
@@ -11,16 +11,16 @@
 
 // Proposal is an operator's new version of a document.
 type Proposal struct {
-	Name   string // of the file, for messages
-	TOML   []byte
-	Base   uint64 // generation the operator edited; 0 where there is none yet
-	Author string
-	Token  string    // unique to this proposal; a retry of it carries the same
-	At     time.Time // the operator's clock
-	// InForce is the highest generation that a running process reported, 0
+	FileName       string // of the file, for messages
+	TOML           []byte
+	BaseGeneration uint64 // generation the operator edited; 0 where there is none yet
+	Author         string
+	Token          string    // unique to this proposal; a retry of it carries the same
+	CreatedAt      time.Time // the operator's clock
+	// ActiveGeneration is the highest generation that a running process reported, 0
 	// where none could be asked. It keeps a put away from a store that was
 	// restored and not yet repaired.
-	InForce uint64
+	ActiveGeneration uint64
 }
 
 // minToken is the shortest token taken: a UUID without dashes has 32.
@@ -36,7 +36,7 @@
 // proposal may be put again. Put keeps trying to learn a lost outcome until
 // ctx ends.
 func Put(ctx context.Context, store store.Store, p Proposal) (Version, error) {
-	d, err := Parse(p.Name, p.TOML)
+	d, err := Parse(p.FileName, p.TOML)
 	if err != nil {
 		return Version{}, err
 	}
@@ -50,12 +50,12 @@
 	if taken := current.Version.Token == p.Token; taken {
 		return current.Version, nil // an earlier try of this proposal
 	}
-	if current.Version.Generation != p.Base {
+	if current.Version.Generation != p.BaseGeneration {
 		return Version{}, conflict(p, current.Version)
 	}
-	if p.InForce > current.Version.Generation {
+	if p.ActiveGeneration > current.Version.Generation {
 		return Version{}, eris.Wrapf(ErrStoreBehind, "store generation %d, in force %d, nothing was written",
-			current.Version.Generation, p.InForce)
+			current.Version.Generation, p.ActiveGeneration)
 	}
 	next := succeed(current.Version, p)
 	next.Service = d.Service
@@ -70,8 +70,8 @@
 // operator's clock is behind the one before: a version that is later in time
 // than another of the same document was accepted later.
 func succeed(current Version, p Proposal) Version {
-	at := p.At.UTC().Truncate(clockStep)
-	if floor := current.At.Add(clockStep); at.Before(floor) {
+	at := p.CreatedAt.UTC().Truncate(clockStep)
+	if floor := current.CreatedAt.Add(clockStep); at.Before(floor) {
 		at = floor
 	}
 	return Version{
@@ -79,7 +79,7 @@
 		Token:      p.Token,
 		Replaces:   current.Token,
 		Author:     p.Author,
-		At:         at,
+		CreatedAt:  at,
 		TOML:       p.TOML,
 		Digest:     DigestOf(p.TOML),
 	}
--- a/document/put_test.go
+++ b/document/put_test.go
@@ -32,12 +32,12 @@
 
 func proposal(mark string, base uint64) document.Proposal {
 	return document.Proposal{
-		Name:   mark + ".toml",
-		TOML:   text("dispatch", mark),
-		Base:   base,
-		Author: mark,
-		Token:  fmt.Sprintf("token-%016s", mark),
-		At:     time.Now(),
+		FileName:       mark + ".toml",
+		TOML:           text("dispatch", mark),
+		BaseGeneration: base,
+		Author:         mark,
+		Token:          fmt.Sprintf("token-%016s", mark),
+		CreatedAt:      time.Now(),
 	}
 }
 
@@ -52,11 +52,11 @@
 	first, err := document.Put(ctx, kv, proposal("first", 0))
 	c.Assert(err, qt.IsNil)
 	late := proposal("second", 1)
-	late.At = first.At.Add(-time.Hour) // an operator's clock that is behind
+	late.CreatedAt = first.CreatedAt.Add(-time.Hour) // an operator's clock that is behind
 	second, err := document.Put(ctx, kv, late)
 	c.Assert(err, qt.IsNil)
 	c.Assert(second.Generation, qt.Equals, uint64(2))
-	c.Assert(second.At.After(first.At), qt.IsTrue)
+	c.Assert(second.CreatedAt.After(first.CreatedAt), qt.IsTrue)
 
 	got, _, err := document.Get(ctx, kv, "dispatch")
 	c.Assert(err, qt.IsNil)
@@ -93,7 +93,7 @@
 	_, err := document.Put(context.Background(), kv, proposal("old", 0))
 	c.Assert(err, qt.IsNil)
 	p := proposal("new", 1)
-	p.InForce = 3
+	p.ActiveGeneration = 3
 	_, err = document.Put(context.Background(), kv, p)
 	c.Assert(err, qt.ErrorIs, document.ErrStoreBehind)
 }
--- a/document/schema/decode.go
+++ b/document/schema/decode.go
@@ -9,23 +9,23 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// File is the outcome of reading one file.
-type File struct {
-	Name     string
+// Result is the outcome of reading one file.
+type Result struct {
+	FileName string
 	Index    *Index
 	Problems Problems
 	broken   bool // nothing could be decoded
 }
 
-// Add notes a problem of the key at path, at the line that sets it. Where a
+// AddProblem notes a problem of the key at path, at the line that sets it. Where a
 // problem of the same key stands already, it adds nothing: a value that was
 // not decoded, or is out of range, says nothing in a later check.
-func (f *File) Add(path, format string, args ...any) {
+func (f *Result) AddProblem(path, format string, args ...any) {
 	if f.broken || f.reported(path) {
 		return
 	}
 	f.Problems = append(f.Problems, Problem{
-		File:   f.Name,
+		File:   f.FileName,
 		Line:   f.Index.Line(path),
 		Key:    path,
 		Reason: fmt.Sprintf(format, args...),
@@ -35,9 +35,9 @@
 // Decode reads data into a T and fills in the defaults. The T is filled as far
 // as possible, so that Validate and the caller's own checks can report
 // everything at once; it is usable only where File holds no problems then.
-func Decode[T any](name string, data []byte) (T, *File) {
+func Decode[T any](name string, data []byte) (T, *Result) {
 	var into T
-	f := &File{Name: name, Index: newIndex(data)}
+	f := &Result{FileName: name, Index: newIndex(data)}
 	if !f.decode(data, &into) {
 		f.broken = true
 		return into, f
@@ -48,7 +48,7 @@
 
 // Validate checks the ranges of from, a pointer to what Decode returned. After
 // a syntax error it adds nothing.
-func (f *File) Validate(from any) {
+func (f *Result) Validate(from any) {
 	var failed validator.ValidationErrors
 	if f.broken || !errors.As(validate.Struct(from), &failed) {
 		return
@@ -56,13 +56,13 @@
 	keys := keysOf(reflect.TypeOf(from).Elem(), "", nil)
 	for _, fe := range failed {
 		path := pathOf(fe)
-		f.Add(path, "%s", reason(fe, keys, path))
+		f.AddProblem(path, "%s", reason(fe, keys, path))
 	}
 }
 
 // reported is true where a problem of the same key, or of a table that holds
 // it, stands already.
-func (f *File) reported(path string) bool {
+func (f *Result) reported(path string) bool {
 	for _, p := range f.Problems {
 		inside := strings.HasPrefix(path, p.Key+".") || strings.HasPrefix(path, p.Key+"[")
 		if p.Key != "" && (p.Key == path || inside) {
--- a/document/schema/defaults.go
+++ b/document/schema/defaults.go
@@ -30,7 +30,7 @@
 		return
 	}
 	text, ok := f.Tag.Lookup("default")
-	if !ok || x.Set(path) || f.Tag.Get("derived") != "" {
+	if !ok || x.IsSet(path) || f.Tag.Get("derived") != "" {
 		return
 	}
 	setText(v, text)
--- a/document/schema/index.go
+++ b/document/schema/index.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// Set reports whether the file sets path.
-func (x *Index) Set(path string) bool {
+// IsSet reports whether the file sets path.
+func (x *Index) IsSet(path string) bool {
 	_, ok := x.lines[path]
 	return ok
 }
--- a/document/schema/key.go
+++ b/document/schema/key.go
@@ -8,13 +8,13 @@
 
 // Key describes one key of a struct type, from its tags.
 type Key struct {
-	Path    string // without positions in arrays: account.weight
-	Type    string // as an operator knows it: integer, text, duration, ...
-	Default string // empty where there is none
-	Accepts string // accepted values with their unit, empty where any will do
-	Each    string // the same for each element of a list of plain values
-	Table   bool   // holds keys of its own
-	Secret  bool   // the value never appears in a message
+	Path         string // without positions in arrays: account.weight
+	Type         string // as an operator knows it: integer, text, duration, ...
+	Default      string // empty where there is none
+	ValueRange   string // accepted values with their unit, empty where any will do
+	ElementRange string // the same for each element of a list of plain values
+	IsTable      bool   // holds keys of its own
+	IsSecret     bool   // the value never appears in a message
 
 	duration bool
 }
@@ -29,12 +29,12 @@
 // Range words what the key accepts, with the elements of a list.
 func (k Key) Range() string {
 	switch {
-	case k.Each == "":
-		return k.Accepts
-	case k.Accepts == "":
-		return "each " + k.Each
+	case k.ElementRange == "":
+		return k.ValueRange
+	case k.ValueRange == "":
+		return "each " + k.ElementRange
 	}
-	return k.Accepts + ", each " + k.Each
+	return k.ValueRange + ", each " + k.ElementRange
 }
 
 // Keys lists the keys of struct type T and of the tables below it.
@@ -55,7 +55,7 @@
 		}
 		k := keyOf(f, join(prefix, name))
 		keys = append(keys, k)
-		if k.Table {
+		if k.IsTable {
 			keys = keysOf(tableType(f.Type), k.Path, keys)
 		}
 	}
@@ -65,13 +65,13 @@
 func keyOf(f reflect.StructField, path string) Key {
 	whole, each := accepts(f)
 	return Key{
-		Path:    path,
-		Type:    typeName(f.Type),
-		Default: f.Tag.Get("default"),
-		Accepts: whole,
-		Each:    each,
-		Table:   tableType(f.Type) != nil,
-		Secret:  f.Tag.Get("secret") == "true",
+		Path:         path,
+		Type:         typeName(f.Type),
+		Default:      f.Tag.Get("default"),
+		ValueRange:   whole,
+		ElementRange: each,
+		IsTable:      tableType(f.Type) != nil,
+		IsSecret:     f.Tag.Get("secret") == "true",
 
 		duration: f.Type == durationType,
 	}
--- a/document/schema/reason.go
+++ b/document/schema/reason.go
@@ -12,7 +12,7 @@
 	k, _ := lookup(keys, path)
 	accepts := k.Range()
 	if strings.HasSuffix(path, "]") {
-		accepts = k.Each
+		accepts = k.ElementRange
 	}
 	if fe.Tag() == "required" {
 		return strings.TrimSuffix("is required: "+accepts, ": ")
@@ -20,7 +20,7 @@
 	if fe.Kind() == reflect.Slice {
 		return fmt.Sprintf("got %d, want %s", reflect.ValueOf(fe.Value()).Len(), accepts)
 	}
-	if k.Secret {
+	if k.IsSecret {
 		return "want " + accepts
 	}
 	if fe.Kind() == reflect.String {
--- a/document/schema/toml.go
+++ b/document/schema/toml.go
@@ -16,7 +16,7 @@
 
 // decode returns false where the syntax is broken, so that nothing else can
 // be said about the file.
-func (f *File) decode(data []byte, into any) bool {
+func (f *Result) decode(data []byte, into any) bool {
 	keys := keysOf(reflect.TypeOf(into).Elem(), "", nil)
 	data = f.blankBareDurations(data, keys)
 	for range maxTypeErrors {
@@ -32,7 +32,7 @@
 			f.addUnknown(data, strict)
 			return true
 		case !errors.As(err, &broken):
-			f.Problems = append(f.Problems, Problem{File: f.Name, Reason: err.Error()})
+			f.Problems = append(f.Problems, Problem{File: f.FileName, Reason: err.Error()})
 			return false
 		}
 		rest, ok := f.addTypeError(data, broken, keys)
@@ -44,46 +44,46 @@
 	return true
 }
 
-func (f *File) addUnknown(data []byte, strict *toml.StrictMissingError) {
+func (f *Result) addUnknown(data []byte, strict *toml.StrictMissingError) {
 	for _, e := range strict.Errors {
 		line, col := e.Position()
 		path := strings.Join(e.Key(), ".")
 		if at, ok := f.Index.at(offsetOf(data, line, col)); ok {
 			path = at.path
 		}
-		f.Problems = append(f.Problems, Problem{File: f.Name, Line: line, Key: path, Reason: "unknown key"})
+		f.Problems = append(f.Problems, Problem{File: f.FileName, Line: line, Key: path, Reason: "unknown key"})
 	}
 }
 
 // addTypeError notes the error and returns data without the expression that
 // caused it, so that the next pass finds the next error. It returns false
 // where no single value is to blame, such as for a key set twice.
-func (f *File) addTypeError(data []byte, broken *toml.DecodeError, keys []Key) ([]byte, bool) {
+func (f *Result) addTypeError(data []byte, broken *toml.DecodeError, keys []Key) ([]byte, bool) {
 	line, col := broken.Position()
 	offset := offsetOf(data, line, col)
 	at, ok := f.Index.at(offset)
 	if f.Index.syntax != nil || !ok || at.offset == offset || offset >= at.end {
 		f.Problems = append(f.Problems, Problem{
-			File:   f.Name,
+			File:   f.FileName,
 			Line:   line,
 			Key:    at.path,
 			Reason: strings.TrimPrefix(broken.Error(), "toml: "),
 		})
 		return nil, false
 	}
-	f.Add(at.path, "wrong type, want %s", want(keys, at.path))
+	f.AddProblem(at.path, "wrong type, want %s", want(keys, at.path))
 	return blank(data, at.start, at.end), true
 }
 
 // blankBareDurations notes durations that are not text. The decoder names no
 // line for them, so that they are looked for before it runs.
-func (f *File) blankBareDurations(data []byte, keys []Key) []byte {
+func (f *Result) blankBareDurations(data []byte, keys []Key) []byte {
 	for _, e := range f.Index.entries {
 		k, ok := lookup(keys, e.path)
 		if !ok || !k.duration || e.value == unstable.String {
 			continue
 		}
-		f.Add(e.path, "wrong type, want %s", want(keys, e.path))
+		f.AddProblem(e.path, "wrong type, want %s", want(keys, e.path))
 		data = blank(data, e.start, e.end)
 	}
 	return data
--- a/document/topology.go
+++ b/document/topology.go
@@ -14,8 +14,8 @@
 	Racks []int  `toml:"racks" validate:"min=1,max=4096,dive,min=1,max=1024" unit:"racks"`
 }
 
-// Workers counts the workers of the zone.
-func (z TopologyZone) Workers() int {
+// WorkerCount counts the workers of the zone.
+func (z TopologyZone) WorkerCount() int {
 	n := 0
 	for _, workers := range z.Racks {
 		n += workers
@@ -23,11 +23,11 @@
 	return n
 }
 
-// Total counts the accelerators of all workers.
-func (t *Topology) Total() int {
+// TotalAccelerators counts the accelerators of all workers.
+func (t *Topology) TotalAccelerators() int {
 	n := 0
 	for _, z := range t.Zones {
-		n += z.Workers() * t.Accelerators
+		n += z.WorkerCount() * t.Accelerators
 	}
 	return n
 }
@@ -47,10 +47,10 @@
 		}
 	case SameZone:
 		for _, z := range t.Zones {
-			most = max(most, z.Workers()*t.Accelerators)
+			most = max(most, z.WorkerCount()*t.Accelerators)
 		}
 	default:
-		return t.Total()
+		return t.TotalAccelerators()
 	}
 	return most
 }
--- a/document/version.go
+++ b/document/version.go
@@ -8,13 +8,13 @@
 	"github.com/rotisserie/eris"
 )
 
-// Prefix is where documents live in the platform's store; the service's name
+// StoreKeyPrefix is where documents live in the platform's store; the service's name
 // follows.
-const Prefix = "documents/"
+const StoreKeyPrefix = "documents/"
 
 // StoreKey returns the key of a service's document in the platform's store.
 func StoreKey(service string) string {
-	return Prefix + service
+	return StoreKeyPrefix + service
 }
 
 // Version is one numbered version of a service's document, as stored and as
@@ -25,7 +25,7 @@
 	Token      string    `cbor:"3,keyasint"` // unique to the put that made it
 	Replaces   string    `cbor:"4,keyasint"` // token of the version before it
 	Author     string    `cbor:"5,keyasint"`
-	At         time.Time `cbor:"6,keyasint"` // grows along the generations of a document
+	CreatedAt  time.Time `cbor:"6,keyasint"` // grows along the generations of a document
 	TOML       []byte    `cbor:"7,keyasint"`
 	Digest     Digest    `cbor:"8,keyasint"`
 }
@@ -42,16 +42,16 @@
 	return Summary{Service: v.Service, Generation: v.Generation, Digest: v.Digest}
 }
 
-// Holds reports whether have names the generation of want's service, or a later one.
-func Holds(have []Summary, want Summary) bool {
+// IncludesGeneration reports whether have names the generation of want's service, or a later one.
+func IncludesGeneration(have []Summary, want Summary) bool {
 	return slices.ContainsFunc(have, func(s Summary) bool {
 		return s.Service == want.Service && s.Generation >= want.Generation
 	})
 }
 
-// ErrBadVersion: bytes that are not a Version, or whose text does not match
+// ErrInvalidVersion: bytes that are not a Version, or whose text does not match
 // its digest.
-var ErrBadVersion = eris.New("not a stored document version")
+var ErrInvalidVersion = eris.New("not a stored document version")
 
 var encoding = newEncoding()
 
@@ -69,7 +69,7 @@
 // process, so that several processes may write the same version back to the
 // store and each recognises it.
 func (v Version) Marshal() ([]byte, error) {
-	v.At = v.At.UTC()
+	v.CreatedAt = v.CreatedAt.UTC()
 	return encoding.Marshal(v)
 }
 
@@ -77,11 +77,11 @@
 func UnmarshalVersion(data []byte) (Version, error) {
 	var v Version
 	if err := cbor.Unmarshal(data, &v); err != nil {
-		return Version{}, eris.Wrap(ErrBadVersion, err.Error())
+		return Version{}, eris.Wrap(ErrInvalidVersion, err.Error())
 	}
-	v.At = v.At.UTC()
+	v.CreatedAt = v.CreatedAt.UTC()
 	if v.Generation == 0 || DigestOf(v.TOML) != v.Digest {
-		return Version{}, eris.Wrapf(ErrBadVersion, "service %q generation %d", v.Service, v.Generation)
+		return Version{}, eris.Wrapf(ErrInvalidVersion, "service %q generation %d", v.Service, v.Generation)
 	}
 	return v, nil
 }
--- a/document/watcher.go
+++ b/document/watcher.go
@@ -20,17 +20,17 @@
 	askTimeout   = 2 * time.Second
 )
 
-// Ask sends our generations to a peer and returns its answer. Peer and Asked of
+// PeerQuery sends our generations to a peer and returns its answer. Peer and Asked of
 // it are filled in by the Watcher.
-type Ask func(ctx context.Context, peer string, have []Summary) (PeerAnswered, error)
+type PeerQuery func(ctx context.Context, peer string, have []Summary) (PeerAnswered, error)
 
 // Watcher runs a Feeder against the store and the peers: it lists and watches
 // the documents, asks peers while the process is not ready, and repairs a
 // restored store. It is safe for concurrent use.
 type Watcher struct {
 	store   store.Store // nil in a process that does not read the store
-	ask     Ask
-	inForce *InForce
+	ask     PeerQuery
+	inForce *ActiveSet
 	log     logrus.FieldLogger
 
 	tomb   tomb.Tomb
@@ -38,7 +38,7 @@
 	relist chan struct{}
 
 	mu      sync.Mutex // owns feeder and stopped
-	feeder  *Feeder
+	feeder  *Syncer
 	stopped bool
 
 	lister lister // owned by follow and the watch that it waits for
@@ -55,8 +55,8 @@
 }
 
 // NewWatcher starts a Watcher. store may be nil, ask may be nil. Stop ends it.
-func NewWatcher(store store.Store, ask Ask, inForce *InForce, config FeederConfig, log logrus.FieldLogger) *Watcher {
-	config.Store = store != nil
+func NewWatcher(store store.Store, ask PeerQuery, inForce *ActiveSet, config SyncerConfig, log logrus.FieldLogger) *Watcher {
+	config.ReadsStore = store != nil
 	w := &Watcher{
 		store:   store,
 		lister:  lister{store: store},
@@ -65,7 +65,7 @@
 		log:     log,
 		ready:   make(chan struct{}),
 		relist:  make(chan struct{}, 1),
-		feeder:  NewFeeder(time.Now(), config, inForce),
+		feeder:  NewSyncer(time.Now(), config, inForce),
 	}
 	w.tomb.Go(func() error {
 		w.tomb.Go(w.tick)
@@ -102,40 +102,40 @@
 
 // SetPeers names all peers known now.
 func (w *Watcher) SetPeers(ids []string) {
-	w.step(PeersKnown{IDs: ids})
+	w.step(PeersUpdated{PeerIDs: ids})
 }
 
-// Offered passes on versions that a peer sent unasked. They come into force
+// ReceiveVersions passes on versions that a peer sent unasked. They come into force
 // like any other, but confirm nothing.
-func (w *Watcher) Offered(peer string, versions []Version) {
+func (w *Watcher) ReceiveVersions(peer string, versions []Version) {
 	w.step(PeerAnswered{Peer: peer, Versions: versions})
 }
 
 // step holds the lock also over the actions, none of which waits: so they keep
 // the order of the steps, and none starts a goroutine in a dead tomb.
-func (w *Watcher) step(event FeederEvent) {
+func (w *Watcher) step(event SyncerEvent) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.stopped {
 		return
 	}
-	for _, a := range w.feeder.Step(time.Now(), event) {
+	for _, a := range w.feeder.HandleEvent(time.Now(), event) {
 		w.do(a)
 	}
 }
 
-func (w *Watcher) do(action FeederAction) {
+func (w *Watcher) do(action SyncerAction) {
 	switch a := action.(type) {
 	case ListStore:
 		select {
 		case w.relist <- struct{}{}:
 		default:
 		}
-	case BecomeReady:
+	case MarkReady:
 		w.log.WithField("source", a.Source).Info("configuration confirmed")
 		close(w.ready)
-	case AskPeers:
-		for _, id := range a.IDs {
+	case QueryPeers:
+		for _, id := range a.PeerIDs {
 			w.spawn(func() { w.askPeer(id) })
 		}
 	case WriteBack:
@@ -156,7 +156,7 @@
 	for {
 		select {
 		case <-ticker.C:
-			w.step(FeederTick{})
+			w.step(SyncerTick{})
 		case <-w.tomb.Dying():
 			return nil
 		}
@@ -170,11 +170,11 @@
 	ctx, cancel := context.WithTimeout(w.tomb.Context(context.Background()), askTimeout)
 	defer cancel()
 	asked := time.Now()
-	answer, err := w.ask(ctx, id, w.inForce.Generations())
+	answer, err := w.ask(ctx, id, w.inForce.Summaries())
 	if err != nil {
 		return // asked again at the next round
 	}
-	answer.Peer, answer.Asked = id, asked
+	answer.Peer, answer.QueriedAt = id, asked
 	w.step(answer)
 }
 
--- a/document/watcher_test.go
+++ b/document/watcher_test.go
@@ -23,9 +23,9 @@
 
 // watch starts a Watcher in a bubble of virtual time and stops it at the end,
 // which also shows that it leaves no goroutine behind.
-func watch(t *testing.T, kv store.Store, ask document.Ask) (*document.InForce, *document.Watcher) {
-	f := document.NewInForce(nil)
-	w := document.NewWatcher(kv, ask, f, document.DefaultFeederConfig(kv != nil), quiet())
+func watch(t *testing.T, kv store.Store, ask document.PeerQuery) (*document.ActiveSet, *document.Watcher) {
+	f := document.NewActiveSet(nil)
+	w := document.NewWatcher(kv, ask, f, document.DefaultSyncerConfig(kv != nil), quiet())
 	t.Cleanup(func() { qt.Check(t, w.Stop(), qt.IsNil) })
 	return f, w
 }
@@ -35,7 +35,7 @@
 	c.Assert(err, qt.IsNil)
 }
 
-func generationOf(f *document.InForce) uint64 {
+func generationOf(f *document.ActiveSet) uint64 {
 	h, ok := f.Current("dispatch")
 	if !ok {
 		return 0
--- a/entry/catchup.go
+++ b/entry/catchup.go
@@ -25,7 +25,7 @@
 				continue // the next report starts another fetch
 			}
 			for _, v := range answer.Versions {
-				e.documents.Offer(time.Now(), v)
+				e.documents.Update(time.Now(), v)
 			}
 		}
 	}()
--- a/entry/delivery_outcome.go
+++ b/entry/delivery_outcome.go
@@ -34,14 +34,14 @@
 func (v *delivery) notRunProblem(finished attempts.Finished) *api.Problem {
 	switch finished.Reason {
 	case attempts.ReasonStoreUnavailable:
-		return api.Busy(api.ReasonStoreDown, "the platform's store could not be asked whether the key was used before", retryAfterOrDefault(finished.RetryAfter))
+		return api.NewRetryableProblem(api.ReasonStoreUnavailable, "the platform's store could not be asked whether the key was used before", retryAfterOrDefault(finished.RetryAfter))
 	case attempts.ReasonDeadline:
-		return api.NewProblem(api.ReasonDeadline, "the deadline passed before the start")
+		return api.NewProblem(api.ReasonDeadlineBeforeStart, "the deadline passed before the start")
 	case attempts.ReasonKeyReused:
 		return api.NewProblem(api.ReasonKeyReused, "the key belongs to a request with another content")
 	}
 	if v.reply == nil && v.lastErr == nil {
-		return api.Busy(api.ReasonRefused, "the attempt was proved not to have run", retryAfterOrDefault(finished.RetryAfter))
+		return api.NewRetryableProblem(api.ReasonRefused, "the attempt was proved not to have run", retryAfterOrDefault(finished.RetryAfter))
 	}
 	return attemptProblem(v.reply, v.lastErr, false)
 }
@@ -49,9 +49,9 @@
 func unknownProblem(finished attempts.Finished) *api.Problem {
 	switch finished.Reason {
 	case attempts.ReasonDeadline:
-		return api.NewProblem(api.ReasonDeadlineRunning, "the deadline passed after the start")
+		return api.NewProblem(api.ReasonDeadlineWhileRunning, "the deadline passed after the start")
 	case attempts.ReasonStoreUnavailable:
-		return api.NewProblem(api.ReasonKeyInDoubt, "the platform's store can't say whether the key was used before")
+		return api.NewProblem(api.ReasonEarlierAttemptInDoubt, "the platform's store can't say whether the key was used before")
 	case attempts.ReasonKeyReused:
 		return api.NewProblem(api.ReasonKeyReused, "the key belongs to a request with another content")
 	default:
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -14,7 +14,7 @@
 
 // applyDocument applies a new generation to routing, elections and planner, and sends it
 // to the agents of the service. It must not block.
-func (e *Entry) applyDocument(_, held *document.Held) {
+func (e *Entry) applyDocument(_, held *document.ActiveVersion) {
 	e.log.WithField("service", held.Version.Service).WithField("generation", held.Version.Generation).Info("document in force")
 	e.metrics.Add(metrics.DocumentsApplied, 1)
 	e.dispatcher(held.Version.Service).applyDocument(held.Document)
@@ -44,7 +44,7 @@
 // askPeer implements document.Ask: it sends another entry the generations held here and
 // returns the versions that are newer there.
 func (e *Entry) askPeer(ctx context.Context, peer string, _ []document.Summary) (document.PeerAnswered, error) {
-	got, err := e.pool.Call(ctx, peer, &wire.FetchDocuments{Have: e.documents.Generations()})
+	got, err := e.pool.Call(ctx, peer, &wire.FetchDocuments{Have: e.documents.Summaries()})
 	if err != nil {
 		return document.PeerAnswered{}, err
 	}
@@ -53,10 +53,10 @@
 		return document.PeerAnswered{}, errBadReply
 	}
 	return document.PeerAnswered{
-		Peer:        peer,
-		Ready:       reply.Confirmed,
-		Generations: reply.Generations,
-		Versions:    reply.Versions,
+		Peer:      peer,
+		Ready:     reply.Confirmed,
+		Summaries: reply.Generations,
+		Versions:  reply.Versions,
 	}, nil
 }
 
@@ -65,7 +65,7 @@
 	ready := e.checkConfirmed() == nil
 	return &wire.FetchDocumentsReply{
 		Confirmed:   ready,
-		Generations: e.documents.Generations(),
-		Versions:    e.documents.Newer(m.Have, maxExchangeBytes),
+		Generations: e.documents.Summaries(),
+		Versions:    e.documents.NewerThan(m.Have, maxExchangeBytes),
 	}
 }
--- a/entry/elections.go
+++ b/entry/elections.go
@@ -49,7 +49,7 @@
 
 // setDocument starts the candidacy for a service, or passes the new generation to its
 // planner.
-func (es *elections) setDocument(held *document.Held) {
+func (es *elections) setDocument(held *document.ActiveVersion) {
 	es.mu.Lock()
 	defer es.mu.Unlock()
 	service := held.Version.Service
@@ -185,13 +185,13 @@
 }
 
 // leaderships lists the planner leaderships of this entry for the status page.
-func (es *elections) leaderships() []api.Duty {
+func (es *elections) leaderships() []api.Leadership {
 	es.mu.Lock()
 	defer es.mu.Unlock()
-	out := []api.Duty{}
+	out := []api.Leadership{}
 	for _, el := range es.byService {
 		if el.planner != nil {
-			out = append(out, api.Duty{Service: el.service, Region: es.entry.cfg.Region, Epoch: el.epoch, Since: el.electedAt})
+			out = append(out, api.Leadership{Service: el.service, Region: es.entry.cfg.Region, Epoch: el.epoch, Since: el.electedAt})
 		}
 	}
 	return out
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -40,7 +40,7 @@
 	listener           net.Listener
 	server             *http.Server
 
-	documents     *document.InForce
+	documents     *document.ActiveSet
 	watcher       *document.Watcher
 	jobs          *jobs.Store
 	claims        *claimStore
@@ -89,9 +89,9 @@
 }
 
 func (e *Entry) openStoreClients() {
-	coordinationBudget := max(1, e.cfg.PlatformBudget/coordinationDivisor)
+	coordinationBudget := max(1, e.cfg.StoreRateLimit/coordinationDivisor)
 	e.coordinationClient = e.newStoreClient(coordinationBudget)
-	e.workClient = e.newStoreClient(e.cfg.PlatformBudget - coordinationBudget)
+	e.workClient = e.newStoreClient(e.cfg.StoreRateLimit - coordinationBudget)
 	e.store = e.coordinationClient
 	e.batcher = store.NewBatcher(e.workClient, 0)
 	e.jobs = jobs.NewStore(e.cfg.Region, e.workClient, e.batcher)
@@ -108,8 +108,8 @@
 
 func (e *Entry) newStoreClient(budget int) *store.Client {
 	return store.NewClient(store.Options{
-		Endpoints:   e.cfg.Platform,
-		CallTimeout: e.cfg.PlatformTimeout.Duration,
+		Endpoints:   e.cfg.StoreURLs,
+		CallTimeout: e.cfg.StoreTimeout.Duration,
 		RateLimit:   rate.Limit(budget),
 		Burst:       budget,
 	})
@@ -125,7 +125,7 @@
 		Version:     wire.Version,
 		Address:     e.cfg.Advertise,
 	}
-	id, err := wire.NewIdentity(peer, []byte(e.cfg.ClusterKey), e.cfg.Accepted()...)
+	id, err := wire.NewIdentity(peer, []byte(e.cfg.ClusterKey), e.cfg.AcceptedKeyBytes()...)
 	if err != nil {
 		return err
 	}
@@ -172,8 +172,8 @@
 	e.registry.onChange = e.peersChanged
 	e.elections = newElections(e)
 	e.members = newMembers(e)
-	e.documents = document.NewInForce(e.applyDocument)
-	e.watcher = document.NewWatcher(e.store, e.askPeer, e.documents, document.DefaultFeederConfig(true), e.log)
+	e.documents = document.NewActiveSet(e.applyDocument)
+	e.watcher = document.NewWatcher(e.store, e.askPeer, e.documents, document.DefaultSyncerConfig(true), e.log)
 	e.watcher.SetPeers(e.cfg.Peers)
 	e.server = &http.Server{
 		Handler:           e.routes(),
--- a/entry/http.go
+++ b/entry/http.go
@@ -30,7 +30,7 @@
 }
 
 func noRoute(w http.ResponseWriter, r *http.Request) {
-	api.NewProblem(api.ReasonNoRoute, r.Method+" "+r.URL.Path+" is not part of the interface").WriteTo(w)
+	api.NewProblem(api.ReasonNoRoute, r.Method+" "+r.URL.Path+" is not part of the interface").WriteResponse(w)
 }
 
 func (e *Entry) healthz(w http.ResponseWriter, _ *http.Request) {
@@ -40,7 +40,7 @@
 // readyz tells the load balancer whether to send new work to this entry.
 func (e *Entry) readyz(w http.ResponseWriter, _ *http.Request) {
 	if p := e.checkReady(); p != nil {
-		p.WriteTo(w)
+		p.WriteResponse(w)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
@@ -49,13 +49,13 @@
 // checkReady returns the problem that keeps this entry from taking new work, or nil.
 func (e *Entry) checkReady() *api.Problem {
 	if e.draining.Load() {
-		return api.Busy(api.ReasonDraining, "this entry is leaving", defaultRetryAfter)
+		return api.NewRetryableProblem(api.ReasonDraining, "this entry is leaving", defaultRetryAfter)
 	}
 	if p := e.checkConfirmed(); p != nil {
 		return p
 	}
 	if e.awaitsFirstAgent(time.Now()) {
-		return api.Busy(api.ReasonNotReady, "no agent has announced itself here yet", defaultRetryAfter)
+		return api.NewRetryableProblem(api.ReasonNotReady, "no agent has announced itself here yet", defaultRetryAfter)
 	}
 	return nil
 }
--- a/entry/http_jobs.go
+++ b/entry/http_jobs.go
@@ -32,7 +32,7 @@
 func (e *Entry) submitJob(w http.ResponseWriter, r *http.Request) {
 	rec, problem := e.parseJob(r)
 	if problem != nil {
-		problem.WriteTo(w)
+		problem.WriteResponse(w)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), storeTimeout)
@@ -40,7 +40,7 @@
 	accepted, err := e.jobs.Accept(ctx, rec)
 	w.Header().Set("Location", api.JobPath(rec.Service, rec.ID))
 	if err != nil {
-		acceptProblem(err).WriteTo(w)
+		acceptProblem(err).WriteResponse(w)
 		return
 	}
 	e.metrics.Add(metrics.JobsAccepted, 1)
@@ -60,7 +60,7 @@
 	if p := api.Decode(r.Body, api.MaxBodyLen, &req); p != nil {
 		return jobs.Record{}, p
 	}
-	if p := req.Check(); p != nil {
+	if p := req.Validate(); p != nil {
 		return jobs.Record{}, p
 	}
 	class, problem := checkClass(held.Document, req.Account, req.Class, document.Job)
@@ -68,7 +68,7 @@
 		return jobs.Record{}, problem
 	}
 	key := r.Header.Get(api.HeaderIdempotencyKey)
-	if p := api.CheckIdempotencyKey(key); p != nil {
+	if p := api.ValidateIdempotencyKey(key); p != nil {
 		return jobs.Record{}, p
 	}
 	return jobs.Record{
@@ -119,9 +119,9 @@
 	case eris.Is(err, jobs.ErrIdempotencyKeyReused):
 		return api.NewProblem(api.ReasonKeyReused, "the key belongs to a job with another content")
 	case eris.Is(err, jobs.ErrOutcomeUnknown):
-		return api.Busy(api.ReasonAcceptanceLost, "the platform's store did not say whether it took the job; ask at Location, or submit it again with the same idempotency key", defaultRetryAfter)
+		return api.NewRetryableProblem(api.ReasonAcceptanceLost, "the platform's store did not say whether it took the job; ask at Location, or submit it again with the same idempotency key", defaultRetryAfter)
 	default:
-		return api.Busy(api.ReasonStoreDown, "the platform's store can't make the job safe: "+err.Error(), defaultRetryAfter)
+		return api.NewRetryableProblem(api.ReasonStoreUnavailable, "the platform's store can't make the job safe: "+err.Error(), defaultRetryAfter)
 	}
 }
 
@@ -131,13 +131,13 @@
 	service, id := pat.Param(r, "service"), pat.Param(r, "id")
 	waitEnd, problem := statusWaitEnd(r, time.Now())
 	if problem != nil {
-		problem.WriteTo(w)
+		problem.WriteResponse(w)
 		return
 	}
 	for {
 		status, problem := e.lookUpStatus(r.Context(), service, id)
 		if problem != nil {
-			problem.WriteTo(w)
+			problem.WriteResponse(w)
 			return
 		}
 		if status.State.Final() || time.Now().After(waitEnd) || r.Context().Err() != nil {
@@ -163,7 +163,7 @@
 	}
 	wait, err := time.ParseDuration(text)
 	if err != nil || wait < 0 {
-		return now, api.Invalid(api.ParamWait, "not a duration such as 10s")
+		return now, api.NewInvalidProblem(api.ParamWait, "not a duration such as 10s")
 	}
 	return now.Add(min(wait, maxRequestWait)), nil
 }
@@ -174,7 +174,7 @@
 	defer cancel()
 	cancelled, err := e.jobs.Cancel(ctx, pat.Param(r, "service"), pat.Param(r, "id"), time.Now())
 	if err != nil {
-		cancelProblem(err).WriteTo(w)
+		cancelProblem(err).WriteResponse(w)
 		return
 	}
 	api.WriteJSON(w, http.StatusAccepted, recordStatus(cancelled.Record))
@@ -188,27 +188,27 @@
 	case eris.Is(err, jobs.ErrNotFound):
 		return api.NewProblem(api.ReasonUnknownJob, "no record of the job")
 	case eris.Is(err, jobs.ErrOutcomeUnknown):
-		return api.Busy(api.ReasonCancelLost, "the platform's store did not say whether it took the cancellation; it may be repeated", defaultRetryAfter)
+		return api.NewRetryableProblem(api.ReasonCancellationLost, "the platform's store did not say whether it took the cancellation; it may be repeated", defaultRetryAfter)
 	}
-	return api.Busy(api.ReasonStoreDown, "the platform's store did not take the cancellation; it may be repeated: "+err.Error(), defaultRetryAfter)
+	return api.NewRetryableProblem(api.ReasonStoreUnavailable, "the platform's store did not take the cancellation; it may be repeated: "+err.Error(), defaultRetryAfter)
 }
 
 // cancelJobs cancels several jobs; their writes share calls to the store.
 func (e *Entry) cancelJobs(w http.ResponseWriter, r *http.Request) {
 	var req api.CancelRequest
 	if p := api.Decode(r.Body, api.MaxBodyLen, &req); p != nil {
-		p.WriteTo(w)
+		p.WriteResponse(w)
 		return
 	}
-	if p := req.Check(); p != nil {
-		p.WriteTo(w)
+	if p := req.Validate(); p != nil {
+		p.WriteResponse(w)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), maxRequestWait)
 	defer cancel()
 	resp, problem := e.cancelAll(ctx, pat.Param(r, "service"), req.IDs)
 	if problem != nil {
-		problem.WriteTo(w)
+		problem.WriteResponse(w)
 		return
 	}
 	api.WriteJSON(w, http.StatusAccepted, resp)
--- a/entry/http_jobs_test.go
+++ b/entry/http_jobs_test.go
@@ -79,7 +79,7 @@
 	c := qt.New(t)
 	path := api.JobPath("dispatch", "a")
 	p := requestCancel(c, http.MethodDelete, path, "", swapReply{SwapResult: store.SwapResult{Unknown: true}})
-	c.Check(p.Reason, qt.Equals, api.ReasonCancelLost)
+	c.Check(p.Reason, qt.Equals, api.ReasonCancellationLost)
 	c.Check(p.Outcome(), qt.Equals, api.OutcomeUnknown)
 	p = requestCancel(c, http.MethodDelete, path, "", swapReply{err: store.ErrUnavailable})
 	c.Check(p.Outcome(), qt.Equals, api.OutcomeNotRun)
@@ -92,10 +92,10 @@
 	path := api.CancelPath("dispatch")
 	p := requestCancel(c, http.MethodPost, path, `{"ids": ["a", "b"]}`,
 		swapReply{SwapResult: store.SwapResult{Swapped: true}}, swapReply{err: store.ErrUnavailable})
-	c.Check(p.Reason, qt.Equals, api.ReasonCancelLost)
+	c.Check(p.Reason, qt.Equals, api.ReasonCancellationLost)
 	c.Check(p.Detail, qt.Contains, "1 of the jobs are cancelled, 0 may be")
 	p = requestCancel(c, http.MethodPost, path, `{"ids": ["a", "b"]}`,
 		swapReply{err: store.ErrUnavailable}, swapReply{SwapResult: store.SwapResult{Unknown: true}})
-	c.Check(p.Reason, qt.Equals, api.ReasonCancelLost)
+	c.Check(p.Reason, qt.Equals, api.ReasonCancellationLost)
 	c.Check(p.Detail, qt.Contains, "0 of the jobs are cancelled, 1 may be")
 }
--- a/entry/http_quick.go
+++ b/entry/http_quick.go
@@ -21,15 +21,15 @@
 	startedAt := time.Now()
 	q, problem := e.parseQuickRequest(r, startedAt)
 	if problem != nil {
-		problem.WriteTo(w)
+		problem.WriteResponse(w)
 		return
 	}
-	w.Header().Set(api.HeaderRequest, q.id)
+	w.Header().Set(api.HeaderRequestID, q.id)
 	reply, problem := e.dispatcher(q.service).do(r.Context(), q)
 	if problem != nil {
-		problem.Request = q.id
+		problem.RequestID = q.id
 		e.observeQuickRequest(q, problem.Outcome(), time.Since(startedAt))
-		problem.WriteTo(w)
+		problem.WriteResponse(w)
 		return
 	}
 	e.observeQuickRequest(q, api.OutcomeDone, time.Since(startedAt))
@@ -46,7 +46,7 @@
 	if !ok {
 		return nil, api.NewProblem(api.ReasonUnknownService, "no document in force names the service "+service)
 	}
-	params, problem := api.ParseCall(r.Header)
+	params, problem := api.ParseCallOptions(r.Header)
 	if problem != nil {
 		return nil, problem
 	}
@@ -64,7 +64,7 @@
 		account:       params.Account,
 		class:         params.Class,
 		key:           params.IdempotencyKey,
-		firstDelivery: params.First,
+		firstDelivery: params.FirstDelivery,
 		repeatable:    valueOr(params.Repeatable, class.Repeatable),
 		retries:       class.Retries,
 		deadline:      now.Add(effectiveDeadline(params.Deadline, class.Deadline.Duration)),
@@ -83,7 +83,7 @@
 	case <-e.watcher.Ready():
 		return nil
 	default:
-		return api.Busy(api.ReasonNotReady, "the configuration is not confirmed yet", defaultRetryAfter)
+		return api.NewRetryableProblem(api.ReasonNotReady, "the configuration is not confirmed yet", defaultRetryAfter)
 	}
 }
 
@@ -110,7 +110,7 @@
 	case errors.As(err, &tooLarge):
 		return nil, api.NewProblem(api.ReasonTooLarge, "the body is larger than allowed")
 	case err != nil:
-		return nil, api.Invalid("body", "it was cut short")
+		return nil, api.NewInvalidProblem("body", "it was cut short")
 	}
 	return body, nil
 }
--- a/entry/http_test.go
+++ b/entry/http_test.go
@@ -15,7 +15,7 @@
 func TestAllRequestMethodsAreRouted(t *testing.T) {
 	c := qt.New(t)
 	e := &Entry{}
-	e.watcher = document.NewWatcher(nil, nil, document.NewInForce(nil), document.DefaultFeederConfig(false), nil)
+	e.watcher = document.NewWatcher(nil, nil, document.NewActiveSet(nil), document.DefaultSyncerConfig(false), nil)
 	c.Cleanup(func() { c.Check(e.watcher.Stop(), qt.IsNil) })
 	for _, method := range []string{
 		http.MethodGet, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete,
--- a/entry/inspect.go
+++ b/entry/inspect.go
@@ -23,14 +23,14 @@
 
 func (e *Entry) serveInspect(w http.ResponseWriter, r *http.Request, m wire.InspectRequest) {
 	if p := e.checkServiceKnown(m.Service); p != nil {
-		p.WriteTo(w)
+		p.WriteResponse(w)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), storeTimeout)
 	defer cancel()
 	body, problem := e.queryPlanner(ctx, &m)
 	if problem != nil {
-		problem.WriteTo(w)
+		problem.WriteResponse(w)
 		return
 	}
 	api.WriteJSON(w, http.StatusOK, body)
@@ -81,7 +81,7 @@
 // noPlanner returns the problem for a service whose planner can't be asked. Another entry
 // takes over from a failed one within sessionTTL, so the caller is to retry after that.
 func noPlanner(service, detail string) *api.Problem {
-	return api.Busy(api.ReasonNoPlanner, "no planner of "+service+" answers: "+detail, sessionTTL)
+	return api.NewRetryableProblem(api.ReasonNoPlanner, "no planner of "+service+" answers: "+detail, sessionTTL)
 }
 
 // answerInspect answers queryPlanner of another entry. It does not forward: two entries
--- a/entry/inspect_job.go
+++ b/entry/inspect_job.go
@@ -31,14 +31,14 @@
 	if !answered {
 		return nil, noPlanner(service, "the planner of entry "+e.cfg.ID+" has ended or is too busy")
 	}
-	out := &api.JobReport{ID: id, Service: service, Planner: e.plannerInfo(service), At: time.Now()}
+	out := &api.JobReport{ID: id, Service: service, Planner: e.plannerInfo(service), AnsweredAt: time.Now()}
 	if !known || wait.Stage == planner.StageLoadingRecords {
 		return e.explainRecord(ctx, out)
 	}
 	out.State = plannerStatus(wait.Status).State
-	out.Waits = jobWait(&wait)
+	out.Wait = jobWait(&wait)
 	if wait.Stage == planner.StageQueued {
-		out.Decided = wait.Explanation.At
+		out.DecidedAt = wait.Explanation.At
 	}
 	return out, nil
 }
@@ -52,9 +52,9 @@
 	case planner.StageStarting:
 		return jobWaitWithoutPlacement(spec, api.WaitStarting, sentenceStarting)
 	case planner.StageStoreUnavailable:
-		return jobWaitWithoutPlacement(spec, api.WaitStoreOut, sentenceStoreOut)
+		return jobWaitWithoutPlacement(spec, api.WaitStoreUnavailable, sentenceStoreOut)
 	case planner.StageUnresolvedPermit:
-		return jobWaitWithoutPlacement(spec, api.WaitHeld, sentenceHeld)
+		return jobWaitWithoutPlacement(spec, api.WaitPredecessorInDoubt, sentenceHeld)
 	case planner.StageEnding:
 		return jobWaitWithoutPlacement(spec, api.WaitEnding, sentenceEnding)
 	}
@@ -72,13 +72,13 @@
 		return nil, &api.Problem{Reason: api.ReasonUnknownJob, Field: "job", Detail: "no record of a job " + out.ID + " in the service " + out.Service}
 	case err != nil:
 		return nil, &api.Problem{
-			Reason: api.ReasonJobUnavailable, Field: "job", RetryAfter: defaultRetryAfter,
+			Reason: api.ReasonJobStateUnavailable, Field: "job", RetryAfter: defaultRetryAfter,
 			Detail: "the planner does not know the job, and the platform's store can't be asked: " + err.Error(),
 		}
 	}
 	out.State = api.JobState(rec.State)
 	if rec.State == jobs.Queued {
-		out.Waits = jobWaitWithoutPlacement(rec.Spec, api.WaitRebuilding, sentenceRebuilding)
+		out.Wait = jobWaitWithoutPlacement(rec.Spec, api.WaitRebuilding, sentenceRebuilding)
 	}
 	return out, nil
 }
@@ -87,7 +87,7 @@
 func jobWaitWithoutPlacement(spec jobs.Spec, reason api.WaitReason, sentence string) *api.JobWait {
 	return &api.JobWait{
 		Reason:       reason,
-		Sentence:     sentence,
+		Explanation:  sentence,
 		Accelerators: spec.Accelerators,
 		Adjacency:    api.Adjacency(spec.Adjacency),
 	}
@@ -98,20 +98,20 @@
 		return nil
 	}
 	out := &api.JobWait{
-		Reason:       api.WaitReason(e.Reason.String()),
-		Sentence:     e.Sentence(),
-		Until:        e.Until,
-		First:        string(e.First),
-		Ahead:        e.Ahead,
-		AheadMore:    e.AheadTruncated,
-		Accelerators: e.Accelerators,
-		Adjacency:    api.Adjacency(e.Span.String()),
-		Free:         e.Free,
-		Largest:      e.Largest,
-		Units:        apiFreeUnits(e.Units),
+		Reason:         api.WaitReason(e.Reason.String()),
+		Explanation:    e.Sentence(),
+		Until:          e.Until,
+		FirstJob:       string(e.First),
+		JobsAhead:      e.Ahead,
+		AheadTruncated: e.AheadTruncated,
+		Accelerators:   e.Accelerators,
+		Adjacency:      api.Adjacency(e.Span.String()),
+		Free:           e.Free,
+		LargestFree:    e.Largest,
+		FreeUnits:      apiFreeUnits(e.Units),
 	}
 	if e.Reason == scheduler.WaitBehind {
-		out.FirstReason = api.WaitReason(e.FirstReason.String())
+		out.FirstJobReason = api.WaitReason(e.FirstReason.String())
 	}
 	return out
 }
--- a/entry/inspect_service.go
+++ b/entry/inspect_service.go
@@ -26,16 +26,16 @@
 	out.Service = service
 	out.Planner = e.plannerInfo(service)
 	out.Planner.Generation = r.Generation
-	out.StoreOut = r.StoreUnavailable || !e.storeProbe.check(ctx, e.workClient, service)
+	out.StoreUnavailable = r.StoreUnavailable || !e.storeProbe.check(ctx, e.workClient, service)
 	return out, nil
 }
 
 func apiReport(r *planner.Report, now time.Time) *api.Report {
 	out := &api.Report{
-		At:       r.TakenAt,
-		Age:      api.Duration(max(0, now.Sub(r.TakenAt))),
-		Decided:  r.At,
-		Settling: r.Settling || !r.RecordsLoaded,
+		CreatedAt: r.TakenAt,
+		Age:       api.Duration(max(0, now.Sub(r.TakenAt))),
+		DecidedAt: r.At,
+		Settling:  r.Settling || !r.RecordsLoaded,
 		Capacity: api.ReportCapacity{
 			Accelerators:  r.Stats.Accelerators,
 			Free:          r.Stats.Free,
@@ -82,7 +82,7 @@
 		Guaranteed:             a.Guaranteed,
 		Used:                   a.Used,
 		Borrowed:               a.Borrowed,
-		Owed:                   a.Unplaced,
+		Unplaced:               a.Unplaced,
 		Evictions:              a.Evicted.Gangs,
 		LostAcceleratorSeconds: a.Evicted.AcceleratorSeconds,
 		Classes:                []api.ReportClass{},
@@ -94,19 +94,19 @@
 			RunningAccelerators: c.RunningAccelerators,
 			Waiting:             c.Waiting,
 			WaitingAccelerators: c.WaitingAccelerators,
-			Waited:              apiWaits(waitSummaries[c.Class]),
+			WaitTimes:           apiWaits(waitSummaries[c.Class]),
 		}
 		if !c.OldestSubmission.IsZero() {
-			class.Oldest = api.Duration(max(0, now.Sub(c.OldestSubmission)).Round(time.Millisecond))
+			class.LongestWait = api.Duration(max(0, now.Sub(c.OldestSubmission)).Round(time.Millisecond))
 		}
 		out.Classes = append(out.Classes, class)
 	}
 	return out
 }
 
-func apiWaits(summary metrics.Summary) api.Waits {
+func apiWaits(summary metrics.Summary) api.WaitTimes {
 	us := func(n int64) api.Duration { return api.Duration(time.Duration(n) * time.Microsecond) }
-	return api.Waits{Count: summary.Count, P50: us(summary.P50), P90: us(summary.P90), P99: us(summary.P99), Max: us(summary.Max)}
+	return api.WaitTimes{Count: summary.Count, P50: us(summary.P50), P90: us(summary.P90), P99: us(summary.P99), Max: us(summary.Max)}
 }
 
 func apiFreeUnits(units []scheduler.FreeUnits) []api.FreeUnits {
@@ -120,7 +120,7 @@
 func apiWorkerList(l scheduler.WorkerList) api.WorkerList {
 	out := api.WorkerList{Count: l.Count}
 	for _, w := range l.Workers {
-		out.Workers = append(out.Workers, api.WorkerNote{ID: string(w.ID), Since: w.Since, Until: w.Until, Probing: w.Probing})
+		out.Workers = append(out.Workers, api.WorkerStatus{ID: string(w.ID), Since: w.Since, Until: w.Until, Probing: w.Probing})
 	}
 	return out
 }
--- a/entry/inspect_test.go
+++ b/entry/inspect_test.go
@@ -16,7 +16,7 @@
 	page, err := os.ReadFile("../docs/OPERATIONS.md")
 	qt.Assert(t, err, qt.IsNil)
 	reasons := []string{
-		string(api.WaitStarting), string(api.WaitStoreOut), string(api.WaitRebuilding), string(api.WaitEnding), string(api.WaitHeld),
+		string(api.WaitStarting), string(api.WaitStoreUnavailable), string(api.WaitRebuilding), string(api.WaitEnding), string(api.WaitPredecessorInDoubt),
 	}
 	for r := scheduler.WaitNone; r <= scheduler.WaitNoCores; r++ {
 		reasons = append(reasons, r.String())
--- a/entry/jobs.go
+++ b/entry/jobs.go
@@ -44,9 +44,9 @@
 			defer mu.Unlock()
 			switch {
 			case err == nil:
-				resp.Accepted = append(resp.Accepted, id)
+				resp.AcceptedIDs = append(resp.AcceptedIDs, id)
 			case eris.Is(err, jobs.ErrNotFound):
-				resp.Unknown = append(resp.Unknown, id)
+				resp.UnknownIDs = append(resp.UnknownIDs, id)
 			case eris.Is(err, jobs.ErrOutcomeUnknown):
 				unknownOutcomes++
 				return err
@@ -57,7 +57,7 @@
 		})
 	}
 	if err := group.Wait(); err != nil {
-		return resp, bulkCancelProblem(err, len(resp.Accepted), unknownOutcomes)
+		return resp, bulkCancelProblem(err, len(resp.AcceptedIDs), unknownOutcomes)
 	}
 	return resp, nil
 }
@@ -67,7 +67,7 @@
 func bulkCancelProblem(err error, cancelled, unknownOutcomes int) *api.Problem {
 	p := cancelProblem(err)
 	if cancelled+unknownOutcomes > 0 {
-		p.Reason = api.ReasonCancelLost
+		p.Reason = api.ReasonCancellationLost
 		p.Detail = strconv.Itoa(cancelled) + " of the jobs are cancelled, " + strconv.Itoa(unknownOutcomes) + " may be: " + p.Detail
 	}
 	return p
@@ -113,7 +113,7 @@
 	case eris.Is(err, jobs.ErrNotFound):
 		return api.JobStatus{}, api.NewProblem(api.ReasonUnknownJob, "no record of the job")
 	default:
-		return api.JobStatus{}, api.Busy(api.ReasonJobUnavailable, "neither the planner nor the platform's store can be asked: "+err.Error(), defaultRetryAfter)
+		return api.JobStatus{}, api.NewRetryableProblem(api.ReasonJobStateUnavailable, "neither the planner nor the platform's store can be asked: "+err.Error(), defaultRetryAfter)
 	}
 }
 
@@ -178,7 +178,7 @@
 		return api.ReasonOutcomeLost
 	case jobs.Cancelled:
 		if r.Attempt == 0 {
-			return api.ReasonCancelled
+			return api.ReasonCancelledBeforeStart
 		}
 	}
 	return ""
--- a/entry/members.go
+++ b/entry/members.go
@@ -34,12 +34,12 @@
 func newMembers(e *Entry) *members {
 	return &members{
 		entry:            e,
-		table:            membership.NewTable(membership.Config{ReportPeriod: e.cfg.ReportEvery.Duration}),
+		table:            membership.NewTable(membership.Config{ReportPeriod: e.cfg.ReportPeriod.Duration}),
 		sending:          make(map[string]bool),
 		serviceOf:        make(map[string]string),
 		generationSeenAt: make(map[string]time.Time),
 		lastRelay:        make(map[string]string),
-		relays:           newRelays(e.cfg.RelayAbove),
+		relays:           newRelays(e.cfg.RelayThreshold),
 	}
 }
 
--- a/entry/members_documents.go
+++ b/entry/members_documents.go
@@ -20,7 +20,7 @@
 	if ok && hasNewerGeneration(member.Report.Generations, held.Version.Summary()) {
 		m.entry.fetchNewerDocuments()
 	}
-	if !ok || document.Holds(member.Report.Generations, held.Version.Summary()) {
+	if !ok || document.IncludesGeneration(member.Report.Generations, held.Version.Summary()) {
 		return
 	}
 	if m.isRelayed(id) && time.Since(held.Since) < relayDocumentGrace {
--- a/entry/prober.go
+++ b/entry/prober.go
@@ -124,7 +124,7 @@
 	err := p.entry.store.Revoke(ctx, peer.lease)
 	switch {
 	case err == nil:
-		p.entry.metrics.Add(metrics.DeadEntriesRevoked, 1)
+		p.entry.metrics.Add(metrics.DeadEntryLeasesRevoked, 1)
 		p.entry.log.WithFields(logrus.Fields{"peer": peer.ID, "address": peer.Address}).Info("entry's process is gone, lease revoked")
 	case eris.Is(err, store.ErrLeaseNotFound):
 		return nil // revoked by another entry, or expired
--- a/entry/prober_test.go
+++ b/entry/prober_test.go
@@ -49,7 +49,7 @@
 	text, err := os.ReadFile("../testdata/documents/dispatch.toml")
 	c.Assert(err, qt.IsNil)
 	_, err = document.Put(context.Background(), s.client, document.Proposal{
-		Name: service, TOML: text, Author: "t", Token: uuid.NewString(), At: now,
+		FileName: service, TOML: text, Author: "t", Token: uuid.NewString(), CreatedAt: now,
 	})
 	c.Assert(err, qt.IsNil)
 	return s
@@ -60,9 +60,9 @@
 	log.SetOutput(io.Discard)
 	e, err := entry.Start(settings.Entry{
 		ID: id, Region: "auckland", Zone: "z1", HTTPListen: "127.0.0.1:0", QUICListen: "127.0.0.1:0",
-		Advertise: advertise, ClusterKey: "key of a test on loopback, long enough", Platform: []string{storeURL},
-		PlatformTimeout: schema.Duration{Duration: time.Second}, PlatformBudget: 500,
-		ReportEvery: schema.Duration{Duration: time.Second}, StopGrace: schema.Duration{Duration: time.Minute},
+		Advertise: advertise, ClusterKey: "key of a test on loopback, long enough", StoreURLs: []string{storeURL},
+		StoreTimeout: schema.Duration{Duration: time.Second}, StoreRateLimit: 500,
+		ReportPeriod: schema.Duration{Duration: time.Second}, StopGrace: schema.Duration{Duration: time.Minute},
 	}, logrus.NewEntry(log))
 	s.Assert(err, qt.IsNil)
 	s.Cleanup(e.Close)
--- a/entry/problem.go
+++ b/entry/problem.go
@@ -18,17 +18,17 @@
 func pickProblem(r routing.Refusal, maybeRan bool) *api.Problem {
 	if maybeRan {
 		// Only a repeatable request can have had an attempt before.
-		return api.Busy(api.ReasonOutcomeLost, "an attempt may have run, and no other target took the request", retryAfterOrDefault(r.RetryAfter))
+		return api.NewRetryableProblem(api.ReasonOutcomeLost, "an attempt may have run, and no other target took the request", retryAfterOrDefault(r.RetryAfter))
 	}
 	switch r.Reason {
 	case routing.NoTargets:
-		return api.Busy(api.ReasonNoTarget, "no target accepts work now", retryAfterOrDefault(r.RetryAfter))
+		return api.NewRetryableProblem(api.ReasonNoTarget, "no target accepts work now", retryAfterOrDefault(r.RetryAfter))
 	case routing.DeadlineExceeded:
-		return api.NewProblem(api.ReasonDeadline, "the deadline has passed")
+		return api.NewProblem(api.ReasonDeadlineBeforeStart, "the deadline has passed")
 	case routing.AccountOverShare:
-		return api.Busy(api.ReasonAccountLimit, "the client account uses its share of the targets already", retryAfterOrDefault(r.RetryAfter))
+		return api.NewRetryableProblem(api.ReasonAccountLimit, "the client account uses its share of the targets already", retryAfterOrDefault(r.RetryAfter))
 	default:
-		return api.Busy(api.ReasonQueueFull, "all targets are saturated", retryAfterOrDefault(r.RetryAfter))
+		return api.NewRetryableProblem(api.ReasonQueueFull, "all targets are saturated", retryAfterOrDefault(r.RetryAfter))
 	}
 }
 
@@ -39,9 +39,9 @@
 	case maybeRan:
 		return api.NewProblem(api.ReasonOutcomeLost, "the answer of the target was lost: "+failureText(reply, err))
 	case err != nil && errors.Is(err, wire.ErrDraining):
-		return api.Busy(api.ReasonRefused, "the target is leaving", defaultRetryAfter)
+		return api.NewRetryableProblem(api.ReasonRefused, "the target is leaving", defaultRetryAfter)
 	case err != nil:
-		return api.Busy(api.ReasonNoTarget, "the target could not be reached", defaultRetryAfter)
+		return api.NewRetryableProblem(api.ReasonNoTarget, "the target could not be reached", defaultRetryAfter)
 	default:
 		return refusedProblem(reply)
 	}
@@ -50,13 +50,13 @@
 func refusedProblem(reply *wire.ExecuteReply) *api.Problem {
 	switch reply.Reason {
 	case admission.ReasonDeadline.String():
-		return api.Busy(api.ReasonDeadline, "it could not have been answered in time", reply.RetryAfter)
+		return api.NewRetryableProblem(api.ReasonDeadlineBeforeStart, "it could not have been answered in time", reply.RetryAfter)
 	case admission.ReasonAccountQueueFull.String():
-		return api.Busy(api.ReasonAccountLimit, "the client account has too many requests queued", retryAfterOrDefault(reply.RetryAfter))
+		return api.NewRetryableProblem(api.ReasonAccountLimit, "the client account has too many requests queued", retryAfterOrDefault(reply.RetryAfter))
 	case admission.ReasonOverload.String():
-		return api.Busy(api.ReasonQueueFull, "the target is overloaded", retryAfterOrDefault(reply.RetryAfter))
+		return api.NewRetryableProblem(api.ReasonQueueFull, "the target is overloaded", retryAfterOrDefault(reply.RetryAfter))
 	default:
-		return api.Busy(api.ReasonRefused, reply.Reason+" "+reply.Detail, retryAfterOrDefault(reply.RetryAfter))
+		return api.NewRetryableProblem(api.ReasonRefused, reply.Reason+" "+reply.Detail, retryAfterOrDefault(reply.RetryAfter))
 	}
 }
 
--- a/entry/status.go
+++ b/entry/status.go
@@ -18,7 +18,7 @@
 		Ready:       e.checkReady() == nil,
 		Draining:    e.draining.Load(),
 		Since:       e.startedAt,
-		Duties:      e.elections.leaderships(),
+		Leaderships: e.elections.leaderships(),
 		Generations: []api.Generation{},
 		Members:     []api.Member{},
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -40,13 +40,13 @@
 	failureDetector  failureDetector
 	fetchingConfig   atomic.Bool // a configuration is being fetched from a peer
 	counters         Counters
-	jobWaits         metrics.Latencies // from acceptance to first start, by account and queue
-	jobCompletions   metrics.Latencies // from acceptance to end, by account, queue and state
-	callLatencies    metrics.Latencies // client calls, by kind and outcome
-	workerDepartures metrics.Sums      // ended worker incarnations, by service and kind of departure
-	lostWork         metrics.Sums      // core-seconds of discarded work, by queue and cause
-	savedWork        metrics.Sums      // core-seconds of discarded runs kept by checkpoints, by queue and cause
-	lateJobs         metrics.Sums      // jobs that missed their objective, by queue and reason
+	jobWaits         metrics.LabeledLatencies // from acceptance to first start, by account and queue
+	jobCompletions   metrics.LabeledLatencies // from acceptance to end, by account, queue and state
+	callLatencies    metrics.LabeledLatencies // client calls, by kind and outcome
+	workerDepartures metrics.LabeledSums      // ended worker incarnations, by service and kind of departure
+	lostWork         metrics.LabeledSums      // core-seconds of discarded work, by queue and cause
+	savedWork        metrics.LabeledSums      // core-seconds of discarded runs kept by checkpoints, by queue and cause
+	lateJobs         metrics.LabeledSums      // jobs that missed their objective, by queue and reason
 
 	mu   sync.Mutex
 	term *term // current or last term of this gateway as planner
--- a/internal/capacity/agent_test.go
+++ b/internal/capacity/agent_test.go
@@ -116,10 +116,10 @@
 	gangJob := s.job(client, names[0], "gang", 16, 18*time.Second)
 	watch("one of two members of a gang of 16 runs")
 	time.Sleep(8 * time.Second)
-	status, err := client.Job(context.Background(), names[0], gangJob, 0)
+	status, err := client.GetJob(context.Background(), names[0], gangJob, 0)
 	c.Assert(err, qt.IsNil)
 	c.Logf("the gang, report every %v: %s in attempt %d, %s", every, status.State, status.Attempt, status.Detail)
-	_, err = client.Cancel(context.Background(), names[0], gangJob)
+	_, err = client.CancelJob(context.Background(), names[0], gangJob)
 	c.Assert(err, qt.IsNil)
 	for i := range 16 {
 		s.job(client, names[0], fmt.Sprint("small-", i), 1, time.Minute)
--- a/internal/capacity/death_test.go
+++ b/internal/capacity/death_test.go
@@ -66,8 +66,8 @@
 		n, rounds, quantile(first, 0.5), quantile(first, 1), quantile(all, 0.5), quantile(all, 1), quantile(ran, 0.5), quantile(ran, 1), loadAverage())
 }
 
-func duties(c *qt.C, client *api.Client) []api.Duty {
+func duties(c *qt.C, client *api.Client) []api.Leadership {
 	status, err := client.Status(context.Background())
 	c.Assert(err, qt.IsNil)
-	return status.Duties
+	return status.Leaderships
 }
--- a/internal/capacity/listing_test.go
+++ b/internal/capacity/listing_test.go
@@ -60,17 +60,17 @@
 	for _, name := range services(94) {
 		text := strings.Replace(string(sample), `service = "dispatch"`, `service = "`+name+`"`, 1)
 		_, err := document.Put(context.Background(), store, document.Proposal{
-			Name: name, TOML: []byte(text), Author: "tests", Token: "token-of-" + name, At: time.Now(),
+			FileName: name, TOML: []byte(text), Author: "tests", Token: "token-of-" + name, CreatedAt: time.Now(),
 		})
 		c.Assert(err, qt.IsNil)
 	}
-	cfg := document.DefaultFeederConfig(true)
-	cfg.RelistEvery = 400 * time.Millisecond
+	cfg := document.DefaultSyncerConfig(true)
+	cfg.ListPeriod = 400 * time.Millisecond
 	before := counted.bytes.Load()
-	_, err = store.List(context.Background(), document.Prefix)
+	_, err = store.List(context.Background(), document.StoreKeyPrefix)
 	c.Assert(err, qt.IsNil)
 	first := counted.bytes.Load() - before
-	w := document.NewWatcher(store, nil, document.NewInForce(nil), cfg, quiet())
+	w := document.NewWatcher(store, nil, document.NewActiveSet(nil), cfg, quiet())
 	<-w.Ready()
 	answers, bytes := counted.answers.Load(), counted.bytes.Load()
 	time.Sleep(5 * time.Second)
--- a/internal/capacity/planner_test.go
+++ b/internal/capacity/planner_test.go
@@ -92,7 +92,7 @@
 	start := func(epoch uint64) *planner.Planner {
 		return planner.Start(planner.Config{
 			Service: "service", Epoch: epoch, Store: s.client, Jobs: store, Agents: agents, Metrics: metrics.New(0), Log: quiet(),
-			Document: &document.Held{Document: doc, Version: document.Version{Service: "service", Generation: 1}}, Retention: noRetention{},
+			Document: &document.ActiveVersion{Document: doc, Version: document.Version{Service: "service", Generation: 1}}, Retention: noRetention{},
 		})
 	}
 	running := func(p *planner.Planner) bool {
--- a/internal/capacity/relays_test.go
+++ b/internal/capacity/relays_test.go
@@ -75,7 +75,7 @@
 func (s *site) relayingEntry(every time.Duration) (settings.Entry, *relay) {
 	cfg := s.entry("entry-1", every)
 	cfg.QUICListen = testport.Capacity.Addr()
-	cfg.RelayAbove = 1
+	cfg.RelayThreshold = 1
 	proxy := newRelay(s.C, cfg.QUICListen)
 	cfg.Advertise = proxy.socket.LocalAddr().String()
 	return cfg, proxy
--- a/internal/capacity/site_test.go
+++ b/internal/capacity/site_test.go
@@ -47,7 +47,7 @@
 func (s *site) put(service string, base uint64) document.Version {
 	text := append(documentText(service, 4), fmt.Sprintf("# after generation %d\n", base)...)
 	v, err := document.Put(context.Background(), s.client, document.Proposal{
-		Name: service, TOML: text, Base: base, Author: "t", Token: uuid.NewString(), At: time.Now(),
+		FileName: service, TOML: text, BaseGeneration: base, Author: "t", Token: uuid.NewString(), CreatedAt: time.Now(),
 	})
 	s.Assert(err, qt.IsNil)
 	return v
@@ -56,8 +56,8 @@
 func (s *site) entry(id string, reportEvery time.Duration) settings.Entry {
 	return settings.Entry{
 		ID: id, Region: region, Zone: "z1", HTTPListen: loopback, QUICListen: loopback, ClusterKey: clusterKey,
-		Platform: []string{s.url}, PlatformTimeout: schema.Duration{Duration: 2 * time.Second}, PlatformBudget: 500,
-		ReportEvery: schema.Duration{Duration: reportEvery}, StopGrace: schema.Duration{Duration: time.Minute},
+		StoreURLs: []string{s.url}, StoreTimeout: schema.Duration{Duration: 2 * time.Second}, StoreRateLimit: 500,
+		ReportPeriod: schema.Duration{Duration: reportEvery}, StopGrace: schema.Duration{Duration: time.Minute},
 	}
 }
 
--- a/internal/capacity/spread_test.go
+++ b/internal/capacity/spread_test.go
@@ -54,7 +54,7 @@
 	for _, e := range entries {
 		status, err := api.NewClient("http://"+e.HTTPAddr(), nil).Status(context.Background())
 		c.Assert(err, qt.IsNil)
-		out = append(out, len(status.Duties))
+		out = append(out, len(status.Leaderships))
 	}
 	return out
 }
--- a/internal/capacity/standin.go
+++ b/internal/capacity/standin.go
@@ -29,7 +29,7 @@
 	tomb  tomb.Tomb
 	ep    *wire.Endpoint
 	pool  *wire.Pool
-	docs  *document.InForce
+	docs  *document.ActiveSet
 
 	kickEntry, kickRelay chan struct{}
 
@@ -41,7 +41,7 @@
 
 func startStandin(f *Fleet, id, service, rack string) (*standinAgent, error) {
 	a := &standinAgent{fleet: f, kickEntry: make(chan struct{}, 1), kickRelay: make(chan struct{}, 1)}
-	a.docs = document.NewInForce(a.documentChanged)
+	a.docs = document.NewActiveSet(a.documentChanged)
 	peer := wire.Peer{ID: id, Role: wire.RoleAgent, Incarnation: uint64(time.Now().UnixNano()), Region: region, Zone: "z1", Version: wire.Version}
 	identity, err := wire.NewIdentity(peer, []byte(clusterKey))
 	if err != nil {
@@ -76,12 +76,12 @@
 		return nil, errNotHandled
 	}
 	for _, v := range m.Versions {
-		a.docs.Offer(time.Now(), v)
+		a.docs.Update(time.Now(), v)
 	}
-	return &wire.PublishDocumentsAck{Generations: a.docs.Generations()}, nil
+	return &wire.PublishDocumentsAck{Generations: a.docs.Summaries()}, nil
 }
 
-func (a *standinAgent) documentChanged(_, now *document.Held) {
+func (a *standinAgent) documentChanged(_, now *document.ActiveVersion) {
 	a.fleet.inForce(now.Version.Generation)
 	a.set(func(s *wire.AgentReport) {
 		s.Generations = []wire.DocumentSummary{now.Version.Summary()}
--- a/internal/capacity/store_test.go
+++ b/internal/capacity/store_test.go
@@ -71,7 +71,7 @@
 	return settings.Agent{
 		ID: id, Service: service, Region: region, Zone: "z1", Rack: "r1", Listen: loopback, Seeds: []string{seed}, ClusterKey: clusterKey,
 		Target: server.URL, Accelerators: 8, Slots: 8, Connections: 64, Cores: 32, MemoryMB: 65536,
-		ReportEvery: schema.Duration{Duration: every}, StopGrace: schema.Duration{Duration: time.Minute},
+		ReportPeriod: schema.Duration{Duration: every}, StopGrace: schema.Duration{Duration: time.Minute},
 	}
 }
 
@@ -110,9 +110,9 @@
 		for i := range rate * int(span.Seconds()) {
 			<-ticker.C
 			wg.Go(func() {
-				a, err := client.Request(context.Background(), api.QuickRequest{
+				a, err := client.SendQuick(context.Background(), api.QuickRequest{
 					Service: service, Path: "x",
-					Call: api.Call{Account: "account-1", Class: "booking", IdempotencyKey: fmt.Sprintf("%d-%d", rate, i)},
+					CallOptions: api.CallOptions{Account: "account-1", Class: "booking", IdempotencyKey: fmt.Sprintf("%d-%d", rate, i)},
 				})
 				mu.Lock()
 				defer mu.Unlock()
@@ -142,7 +142,7 @@
 	for i := range 50 {
 		began := time.Now()
 		id := s.job(client, service, fmt.Sprint("gang-", i), 16, time.Millisecond)
-		status, err := client.Job(context.Background(), service, id, 5*time.Second)
+		status, err := client.GetJob(context.Background(), service, id, 5*time.Second)
 		c.Assert(err, qt.IsNil)
 		c.Check(status.State, qt.Equals, api.JobDone)
 		took = append(took, time.Since(began))
@@ -175,7 +175,7 @@
 func (s *site) job(client *api.Client, service, key string, accelerators int, run time.Duration) string {
 	payload, err := json.Marshal(standin.TaskPayload{Tag: key, RunMS: run.Milliseconds()})
 	s.Check(err, qt.IsNil)
-	status, err := client.Submit(context.Background(), service, api.JobRequest{
+	status, err := client.SubmitJob(context.Background(), service, api.JobRequest{
 		Account: "account-1", Class: "long", Accelerators: accelerators, Payload: payload,
 	}, key)
 	s.Check(err, qt.IsNil)
--- a/load/audit_test.go
+++ b/load/audit_test.go
@@ -87,7 +87,7 @@
 	stray := job(api.JobDone)
 	stray.Result = []byte(`[{"tag":"t"},{"tag":"other"}]`)
 	early := job(api.JobCancelled)
-	early.Reason = api.ReasonCancelled
+	early.Reason = api.ReasonCancelledBeforeStart
 	for name, tc := range map[string]struct {
 		job  JobResult
 		runs runs
--- a/load/run_cancel.go
+++ b/load/run_cancel.go
@@ -23,7 +23,7 @@
 	for chunk := range slices.Chunk(ids, api.MaxCancelIDs) {
 		for n := range r.entries {
 			client, _ := r.entry(n)
-			if _, err := client.CancelAll(ctx, r.plan.Service, chunk); err == nil {
+			if _, err := client.CancelJobs(ctx, r.plan.Service, chunk); err == nil {
 				break
 			}
 		}
--- a/load/run_jobs.go
+++ b/load/run_jobs.go
@@ -82,7 +82,7 @@
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
 	client, name := r.entry(n)
-	st, err := client.Submit(ctx, r.plan.Service, *req, j.Tag)
+	st, err := client.SubmitJob(ctx, r.plan.Service, *req, j.Tag)
 	t := Try{Entry: name, Answered: true, Request: st.ID}
 	var p *api.Problem
 	switch {
@@ -90,7 +90,7 @@
 		t.Outcome = api.OutcomeDone
 		r.accepted(j, st)
 	case errors.As(err, &p):
-		t.Outcome, t.Reason, t.Request = p.Outcome(), p.Reason, p.Request
+		t.Outcome, t.Reason, t.Request = p.Outcome(), p.Reason, p.RequestID
 		j.Reason = p.Reason
 	default:
 		t = failedTry(name, err)
@@ -137,7 +137,7 @@
 func (r *runner) poll(ctx context.Context, client *api.Client, id string) (api.JobStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*pollWait)
 	defer cancel()
-	return client.Job(ctx, r.plan.Service, id, pollWait)
+	return client.GetJob(ctx, r.plan.Service, id, pollWait)
 }
 
 func (r *runner) setOpen(j *JobResult, open bool) {
--- a/load/run_quick.go
+++ b/load/run_quick.go
@@ -46,7 +46,7 @@
 	query.Set(standin.ParamWorkMS, strconv.FormatFloat(a.Work.Seconds()*1000, 'f', 3, 64))
 	query.Set(standin.ParamPad, strconv.Itoa(a.Load.Pad))
 	req := &api.QuickRequest{
-		Call: api.Call{
+		CallOptions: api.CallOptions{
 			Account:    a.Load.Account,
 			Class:      a.Load.Class,
 			Deadline:   time.Duration(a.Load.Deadline),
@@ -69,7 +69,7 @@
 	var tries []Try
 	for i := range maxTries {
 		one := *req
-		one.First = i == 0 && !resent && req.IdempotencyKey != ""
+		one.FirstDelivery = i == 0 && !resent && req.IdempotencyKey != ""
 		t := r.askQuick(ctx, n+i, &one)
 		tries = append(tries, t)
 		if t.Answered || !sleepUntil(ctx, time.Now().Add(betweenTries)) {
@@ -83,11 +83,11 @@
 	ctx, cancel := context.WithTimeout(ctx, req.Deadline+patience)
 	defer cancel()
 	client, name := r.entry(n)
-	ans, err := client.Request(ctx, *req)
+	ans, err := client.SendQuick(ctx, *req)
 	if err != nil {
 		return failedTry(name, err)
 	}
-	t := Try{Entry: name, Answered: true, Outcome: ans.Outcome, Request: ans.Request}
+	t := Try{Entry: name, Answered: true, Outcome: ans.Outcome, Request: ans.RequestID}
 	if ans.Problem != nil {
 		t.Reason = ans.Problem.Reason
 	}
--- a/load/run_test.go
+++ b/load/run_test.go
@@ -45,14 +45,14 @@
 }
 
 func (e *fakeEntry) quick(w http.ResponseWriter, r *http.Request, path string, body []byte) {
-	call, _ := api.ParseCall(r.Header)
+	call, _ := api.ParseCallOptions(r.Header)
 	a, err := e.worker.Do(r.Context(), target.Request{ID: "r", Account: call.Account, Class: call.Class,
 		Method: r.Method, Path: path, RawQuery: r.URL.RawQuery, Body: body})
 	switch {
 	case err != nil:
-		api.NewProblem(api.ReasonOutcomeLost, err.Error()).WriteTo(w)
+		api.NewProblem(api.ReasonOutcomeLost, err.Error()).WriteResponse(w)
 	case e.denies:
-		api.NewProblem(api.ReasonRefused, "").WriteTo(w)
+		api.NewProblem(api.ReasonRefused, "").WriteResponse(w)
 	default:
 		w.Header().Set(api.HeaderOutcome, string(api.OutcomeDone))
 		_, _ = w.Write(a.Body)
@@ -61,7 +61,7 @@
 
 func (e *fakeEntry) job(w http.ResponseWriter, status int, st target.TaskStatus, err error) {
 	if err != nil {
-		api.NewProblem(api.ReasonInternal, err.Error()).WriteTo(w)
+		api.NewProblem(api.ReasonInternal, err.Error()).WriteResponse(w)
 		return
 	}
 	state := api.JobRunning
--- a/metrics/counter.go
+++ b/metrics/counter.go
@@ -30,11 +30,11 @@
 	ReservationsRefused
 	// DocumentsApplied counts generations of documents put in force.
 	DocumentsApplied
-	// DutiesHandedOver counts planner duties given to the entry preferred for them.
-	DutiesHandedOver
-	// DeadEntriesRevoked counts leases of other entries ended because their process
+	// LeadershipsHandedOver counts planner duties given to the entry preferred for them.
+	LeadershipsHandedOver
+	// DeadEntryLeasesRevoked counts leases of other entries ended because their process
 	// was gone.
-	DeadEntriesRevoked
+	DeadEntryLeasesRevoked
 	// RelaysFailed counts relays of the rack that left a report unanswered.
 	RelaysFailed
 
@@ -49,21 +49,21 @@
 }
 
 var counters = [numCounters]Description{
-	PairsOverflowed:      {"pairs_overflowed", "observations", "went to the pair named other"},
-	RequestsRetried:      {"requests_retried", "attempts", "further attempts of quick requests"},
-	RequestsDeduplicated: {"requests_deduplicated", "requests", "answered from an earlier attempt with the same key"},
-	JobsAccepted:         {"jobs_accepted", "jobs", "made safe in the store"},
-	JobsEvicted:          {"jobs_evicted", "jobs", "running, and stopped to give capacity to others"},
-	GangsStarted:         {"gangs_started", "gangs", "started on all their members"},
-	PermitsWritten:       {"permits_written", "jobs", "allowed to start without a write to the store"},
-	PermitsUsed:          {"permits_used", "attempts", "started without a write to the store"},
-	PermitsReturned:      {"permits_returned", "jobs", "allowed to start, and given back at the end of a planner's term"},
-	GangsAborted:         {"gangs_aborted", "gangs", "given up before all members started"},
-	ReservationsRefused:  {"reservations_refused", "reservations", "refused by an agent"},
-	DocumentsApplied:     {"documents_applied", "generations", "put in force"},
-	DutiesHandedOver:     {"duties_handed_over", "duties", "given to the entry preferred for them"},
-	DeadEntriesRevoked:   {"dead_entries_revoked", "leases", "of other entries, ended because their process was gone"},
-	RelaysFailed:         {"relays_failed", "relays", "left a report unanswered, so that the agent reports itself"},
+	PairsOverflowed:        {"pairs_overflowed", "observations", "went to the pair named other"},
+	RequestsRetried:        {"requests_retried", "attempts", "further attempts of quick requests"},
+	RequestsDeduplicated:   {"requests_deduplicated", "requests", "answered from an earlier attempt with the same key"},
+	JobsAccepted:           {"jobs_accepted", "jobs", "made safe in the store"},
+	JobsEvicted:            {"jobs_evicted", "jobs", "running, and stopped to give capacity to others"},
+	GangsStarted:           {"gangs_started", "gangs", "started on all their members"},
+	PermitsWritten:         {"permits_written", "jobs", "allowed to start without a write to the store"},
+	PermitsUsed:            {"permits_used", "attempts", "started without a write to the store"},
+	PermitsReturned:        {"permits_returned", "jobs", "allowed to start, and given back at the end of a planner's term"},
+	GangsAborted:           {"gangs_aborted", "gangs", "given up before all members started"},
+	ReservationsRefused:    {"reservations_refused", "reservations", "refused by an agent"},
+	DocumentsApplied:       {"documents_applied", "generations", "put in force"},
+	LeadershipsHandedOver:  {"duties_handed_over", "duties", "given to the entry preferred for them"},
+	DeadEntryLeasesRevoked: {"dead_entries_revoked", "leases", "of other entries, ended because their process was gone"},
+	RelaysFailed:           {"relays_failed", "relays", "left a report unanswered, so that the agent reports itself"},
 }
 
 // Describe returns what the counter means.
--- a/metrics/doc.go
+++ b/metrics/doc.go
@@ -3,6 +3,6 @@
 // A [Set] belongs to one role of a process, since a trial runs many roles in
 // one process. Histograms are kept for each client account and class; the
 // number of such pairs is bounded, and pairs beyond it share one named
-// [Other]. All durations are shown in microseconds. Values count from the start
+// [OtherLabel]. All durations are shown in microseconds. Values count from the start
 // of the process.
 package metrics
--- a/metrics/label.go
+++ b/metrics/label.go
@@ -9,7 +9,7 @@
 // bounded returns the label under which a metric with these labels counts another.
 func bounded[T any](labels map[string]T, label string) string {
 	if _, known := labels[label]; !known && len(labels) >= mostLabels {
-		return Other
+		return OtherLabel
 	}
 	return label
 }
--- a/metrics/latencies.go
+++ b/metrics/latencies.go
@@ -18,15 +18,15 @@
 	latencyDigits = 2
 )
 
-// Latencies is histograms of times by label, such as an account and a queue. It is safe
+// LabeledLatencies is histograms of times by label, such as an account and a queue. It is safe
 // for concurrent use; the zero value is empty.
-type Latencies struct {
+type LabeledLatencies struct {
 	mu     sync.Mutex
 	labels map[string]*hdrhistogram.Histogram
 }
 
 // Observe counts one time under a label.
-func (l *Latencies) Observe(label string, d time.Duration) {
+func (l *LabeledLatencies) Observe(label string, d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.histogram(label)
@@ -34,7 +34,7 @@
 	_ = h.RecordValue(min(max(d.Microseconds(), 0), mostLatency.Microseconds()))
 }
 
-func (l *Latencies) histogram(label string) *hdrhistogram.Histogram {
+func (l *LabeledLatencies) histogram(label string) *hdrhistogram.Histogram {
 	if l.labels == nil {
 		l.labels = map[string]*hdrhistogram.Histogram{}
 	}
@@ -49,7 +49,7 @@
 
 // WriteText writes each histogram's count, median, 99th percentile and maximum as lines
 // NAME{label="...",stat="..."} VALUE, in microseconds.
-func (l *Latencies) WriteText(w io.Writer, name string) {
+func (l *LabeledLatencies) WriteText(w io.Writer, name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, label := range slices.Sorted(maps.Keys(l.labels)) {
--- a/metrics/latencies_test.go
+++ b/metrics/latencies_test.go
@@ -13,7 +13,7 @@
 
 func TestLatenciesByLabel(t *testing.T) {
 	c := qt.New(t)
-	var l metrics.Latencies
+	var l metrics.LabeledLatencies
 	for i := range 100 {
 		l.Observe("big/score", time.Duration(i+1)*time.Millisecond)
 	}
@@ -26,12 +26,12 @@
 
 func TestLabelsAreBounded(t *testing.T) {
 	c := qt.New(t)
-	var l metrics.Latencies
+	var l metrics.LabeledLatencies
 	for i := range 500 {
 		l.Observe(fmt.Sprint(i), time.Millisecond)
 	}
 	var out strings.Builder
 	l.WriteText(&out, "x")
 	c.Check(strings.Count(out.String(), "\n") <= 201*4, qt.IsTrue)
-	c.Check(out.String(), qt.Contains, `label="`+metrics.Other+`",stat="count"} 300`)
+	c.Check(out.String(), qt.Contains, `label="`+metrics.OtherLabel+`",stat="count"} 300`)
 }
--- a/metrics/publish.go
+++ b/metrics/publish.go
@@ -8,8 +8,8 @@
 	"net/http"
 )
 
-// ErrPublished: the name is taken in this process.
-var ErrPublished = errors.New("metrics: name is published already")
+// ErrAlreadyPublished: the name is taken in this process.
+var ErrAlreadyPublished = errors.New("metrics: name is published already")
 
 var _ expvar.Var = (*Set)(nil)
 
@@ -27,7 +27,7 @@
 // after the other.
 func (s *Set) Publish(name string) error {
 	if expvar.Get(name) != nil {
-		return fmt.Errorf("%w: %s", ErrPublished, name)
+		return fmt.Errorf("%w: %s", ErrAlreadyPublished, name)
 	}
 	expvar.Publish(name, s)
 	return nil
--- a/metrics/set.go
+++ b/metrics/set.go
@@ -11,8 +11,8 @@
 // deployments uses a few timings of two dozen pairs.
 const DefaultMaxPairs = 48
 
-// Other is the client account and the class of pairs beyond the bound.
-const Other = "other"
+// OtherLabel is the client account and the class of pairs beyond the bound.
+const OtherLabel = "other"
 
 type pair struct {
 	account string
@@ -121,7 +121,7 @@
 	for p, h := range *s.pairs.Load() {
 		snap.addAll(p, h)
 	}
-	snap.addAll(pair{Other, Other}, &s.other)
+	snap.addAll(pair{OtherLabel, OtherLabel}, &s.other)
 	return snap
 }
 
--- a/metrics/set_test.go
+++ b/metrics/set_test.go
@@ -56,7 +56,7 @@
 		}
 	}
 	c.Check(total, qt.Equals, int64(400))
-	c.Check(snap.Timings[Other][Other]["quick_done"].Count, qt.Equals, snap.Counters["pairs_overflowed"])
+	c.Check(snap.Timings[OtherLabel][OtherLabel]["quick_done"].Count, qt.Equals, snap.Counters["pairs_overflowed"])
 	c.Check(snap.Counters["requests_retried"], qt.Equals, int64(400))
 }
 
@@ -65,7 +65,7 @@
 	s.Gauge("queued", func() int64 { return 7 })
 	name := fmt.Sprintf("entry/%p", s) // of its own also when the test is repeated
 	qt.Assert(t, s.Publish(name), qt.IsNil)
-	qt.Check(t, errors.Is(New(0).Publish(name), ErrPublished), qt.IsTrue)
+	qt.Check(t, errors.Is(New(0).Publish(name), ErrAlreadyPublished), qt.IsTrue)
 	qt.Check(t, s.Snapshot().Gauges["queued"], qt.Equals, int64(7))
 }
 
--- a/metrics/sums.go
+++ b/metrics/sums.go
@@ -8,14 +8,14 @@
 	"sync"
 )
 
-// Sums is sums of amounts by label. It is safe for concurrent use; the zero value is empty.
-type Sums struct {
+// LabeledSums is sums of amounts by label. It is safe for concurrent use; the zero value is empty.
+type LabeledSums struct {
 	mu     sync.Mutex
 	labels map[string]float64
 }
 
 // Add adds an amount under a label. Labels beyond mostLabels share Other.
-func (s *Sums) Add(label string, amount float64) {
+func (s *LabeledSums) Add(label string, amount float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.labels == nil {
@@ -25,7 +25,7 @@
 }
 
 // WriteText writes one line for each label.
-func (s *Sums) WriteText(w io.Writer, name string) {
+func (s *LabeledSums) WriteText(w io.Writer, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, label := range slices.Sorted(maps.Keys(s.labels)) {
--- a/metrics/sums_test.go
+++ b/metrics/sums_test.go
@@ -12,7 +12,7 @@
 
 func TestSumsAddUpByLabel(t *testing.T) {
 	c := qt.New(t)
-	var s metrics.Sums
+	var s metrics.LabeledSums
 	s.Add("q/evicted", 1.5)
 	s.Add("q/evicted", 2)
 	s.Add("q/drained", 1)
@@ -24,12 +24,12 @@
 // Labels come from callers' accounts and queues: their number must not fill the memory.
 func TestSumsAreBounded(t *testing.T) {
 	c := qt.New(t)
-	var s metrics.Sums
+	var s metrics.LabeledSums
 	for i := range 1000 {
 		s.Add(fmt.Sprint(i), 1)
 	}
 	var out strings.Builder
 	s.WriteText(&out, "lost")
 	c.Check(strings.Count(out.String(), "\n") < 300, qt.IsTrue)
-	c.Check(strings.Contains(out.String(), metrics.Other), qt.IsTrue)
+	c.Check(strings.Contains(out.String(), metrics.OtherLabel), qt.IsTrue)
 }
--- a/metrics/timing.go
+++ b/metrics/timing.go
@@ -12,12 +12,12 @@
 	QuickNotRun
 	// QuickUnknown is from the arrival to the word that it may have run.
 	QuickUnknown
-	// QuickQueued is the wait in the agent's queue.
-	QuickQueued
-	// QuickServed is the time the target took.
-	QuickServed
-	// JobWaited is from the acceptance of a job to its first start.
-	JobWaited
+	// QuickQueueTime is the wait in the agent's queue.
+	QuickQueueTime
+	// QuickServiceTime is the time the target took.
+	QuickServiceTime
+	// JobWaitTime is from the acceptance of a job to its first start.
+	JobWaitTime
 	// JobDone is from the acceptance of a job to its success.
 	JobDone
 	// JobFailed is from the acceptance of a job to its failure.
@@ -35,17 +35,17 @@
 const unitTiming = "microseconds"
 
 var timings = [numTimings]Description{
-	QuickDone:    {"quick_done", unitTiming, "arrival of a quick request to its whole answer"},
-	QuickNotRun:  {"quick_not_run", unitTiming, "arrival to the word that it did not run"},
-	QuickUnknown: {"quick_unknown", unitTiming, "arrival to the word that it may have run"},
-	QuickQueued:  {"quick_queued", unitTiming, "wait in the agent's queue"},
-	QuickServed:  {"quick_served", unitTiming, "time the target took"},
-	JobWaited:    {"job_waited", unitTiming, "acceptance of a job to its first start"},
-	JobDone:      {"job_done", unitTiming, "acceptance of a job to its success"},
-	JobFailed:    {"job_failed", unitTiming, "acceptance of a job to its failure"},
-	JobCancelled: {"job_cancelled", unitTiming, "acceptance of a job to its cancelled end"},
-	JobRejected:  {"job_rejected", unitTiming, "acceptance of a job to its rejection"},
-	JobUnknown:   {"job_unknown", unitTiming, "acceptance of a job to the loss of its outcome"},
+	QuickDone:        {"quick_done", unitTiming, "arrival of a quick request to its whole answer"},
+	QuickNotRun:      {"quick_not_run", unitTiming, "arrival to the word that it did not run"},
+	QuickUnknown:     {"quick_unknown", unitTiming, "arrival to the word that it may have run"},
+	QuickQueueTime:   {"quick_queued", unitTiming, "wait in the agent's queue"},
+	QuickServiceTime: {"quick_served", unitTiming, "time the target took"},
+	JobWaitTime:      {"job_waited", unitTiming, "acceptance of a job to its first start"},
+	JobDone:          {"job_done", unitTiming, "acceptance of a job to its success"},
+	JobFailed:        {"job_failed", unitTiming, "acceptance of a job to its failure"},
+	JobCancelled:     {"job_cancelled", unitTiming, "acceptance of a job to its cancelled end"},
+	JobRejected:      {"job_rejected", unitTiming, "acceptance of a job to its rejection"},
+	JobUnknown:       {"job_unknown", unitTiming, "acceptance of a job to the loss of its outcome"},
 }
 
 // Describe returns what the timing means.
--- a/planner/config.go
+++ b/planner/config.go
@@ -38,7 +38,7 @@
 	Metrics *metrics.Set
 	Log     *logrus.Entry
 	// Document is the document in force at the start of the term.
-	Document  *document.Held
+	Document  *document.ActiveVersion
 	Retention RetentionLease
 }
 
--- a/planner/coordinator.go
+++ b/planner/coordinator.go
@@ -105,7 +105,7 @@
 	}
 	if !j.started {
 		j.started = true
-		p.cfg.Metrics.Observe(j.stored.Spec.Account, j.stored.Spec.Class, metrics.JobWaited, time.Since(j.stored.Submitted))
+		p.cfg.Metrics.Observe(j.stored.Spec.Account, j.stored.Spec.Class, metrics.JobWaitTime, time.Since(j.stored.Submitted))
 	}
 	p.cfg.Metrics.Add(metrics.GangsStarted, 1)
 	p.stepScheduler(scheduler.GangStarted{Job: scheduler.JobID(j.stored.ID), Attempt: j.attempt})
--- a/planner/helpers_test.go
+++ b/planner/helpers_test.go
@@ -151,7 +151,7 @@
 	server   *standin.Server
 	store    store.Store
 	jobs     *jobs.Store
-	document *document.Held
+	document *document.ActiveVersion
 }
 
 func newBench(t *testing.T) *bench {
@@ -175,7 +175,7 @@
 		server:   server,
 		store:    kv,
 		jobs:     jobs.NewStore("r", kv, swaps),
-		document: &document.Held{Document: doc, Version: document.Version{Generation: 1}},
+		document: &document.ActiveVersion{Document: doc, Version: document.Version{Generation: 1}},
 	}
 }
 
--- a/planner/permit_test.go
+++ b/planner/permit_test.go
@@ -212,7 +212,7 @@
 	shortTimeouts := *b.document.Document
 	shortTimeouts.Gang.IsolationTimeout.Duration = 500 * time.Millisecond
 	shortTimeouts.Gang.LossTimeout.Duration = 4 * time.Second
-	second.SetDocument(&document.Held{Document: &shortTimeouts, Version: b.document.Version})
+	second.SetDocument(&document.ActiveVersion{Document: &shortTimeouts, Version: b.document.Version})
 	b.eventually("it runs", report, func() bool { return agents.largeJobRuns("waits") })
 	b.c.Assert(agents.startsOf("waits"), qt.Equals, largeJob/8)
 }
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -22,7 +22,7 @@
 	work chan func()
 
 	sched             *scheduler.Scheduler
-	doc               *document.Held
+	doc               *document.ActiveVersion
 	jobs              map[string]*job
 	workers           map[string]*worker
 	recentlyEnded     *lru.Cache[string, jobs.Stored]
@@ -81,7 +81,7 @@
 }
 
 // SetDocument puts a new generation of the document in force.
-func (p *Planner) SetDocument(h *document.Held) {
+func (p *Planner) SetDocument(h *document.ActiveVersion) {
 	p.post(func() {
 		p.doc = h
 		p.stepScheduler(scheduler.PolicyChanged{Policy: schedulerPolicy(h)})
--- a/planner/policy.go
+++ b/planner/policy.go
@@ -7,7 +7,7 @@
 )
 
 // schedulerPolicy returns the scheduler's policy for a document.
-func schedulerPolicy(h *document.Held) scheduler.Policy {
+func schedulerPolicy(h *document.ActiveVersion) scheduler.Policy {
 	d := h.Document
 	p := scheduler.Policy{
 		Generation:        h.Version.Generation,
--- a/planner/report.go
+++ b/planner/report.go
@@ -80,7 +80,7 @@
 }
 
 func waitTimes(s metrics.Snapshot) map[string]map[string]metrics.Summary {
-	metric := metrics.JobWaited.Describe().Name
+	metric := metrics.JobWaitTime.Describe().Name
 	out := make(map[string]map[string]metrics.Summary, len(s.Timings))
 	for account, classes := range s.Timings {
 		out[account] = make(map[string]metrics.Summary, len(classes))
--- a/settings/agent.go
+++ b/settings/agent.go
@@ -26,7 +26,7 @@
 	Cores        int `toml:"cores" default:"32" validate:"min=1,max=4096" unit:"cores"`
 	MemoryMB     int `toml:"memory_mb" default:"65536" validate:"min=1" unit:"MiB"`
 
-	ReportEvery schema.Duration `toml:"report_every" default:"1s" validate:"min=100ms,max=60s"`
+	ReportPeriod schema.Duration `toml:"report_every" default:"1s" validate:"min=100ms,max=60s"`
 	// StopGrace bounds a graceful stop.
 	StopGrace schema.Duration `toml:"stop_grace" default:"15m" validate:"min=1s,max=168h"`
 }
