--- a/settings/entry.go
+++ b/settings/entry.go
@@ -24,15 +24,15 @@
 	ClusterKey   string   `toml:"cluster_key" validate:"required,min=16" secret:"true"`
 	AcceptedKeys []string `toml:"accepted_keys" validate:"dive,min=16" secret:"true"`
 
-	// Platform are base URLs of the platform's key-value service.
-	Platform        []string        `toml:"platform" validate:"required,min=1,dive,baseurl"`
-	PlatformTimeout schema.Duration `toml:"platform_timeout" default:"2s" validate:"min=10ms,max=60s"`
-	PlatformBudget  int             `toml:"platform_budget" default:"500" validate:"min=10,max=100000" unit:"calls a second"`
+	// StoreURLs are base URLs of the platform's key-value service.
+	StoreURLs      []string        `toml:"platform" validate:"required,min=1,dive,baseurl"`
+	StoreTimeout   schema.Duration `toml:"platform_timeout" default:"2s" validate:"min=10ms,max=60s"`
+	StoreRateLimit int             `toml:"platform_budget" default:"500" validate:"min=10,max=100000" unit:"calls a second"`
 
-	ReportEvery schema.Duration `toml:"report_every" default:"1s" validate:"min=100ms,max=60s"`
-	// RelayAbove is the number of agents known to this entry above which it names
+	ReportPeriod schema.Duration `toml:"report_every" default:"1s" validate:"min=100ms,max=60s"`
+	// RelayThreshold is the number of agents known to this entry above which it names
 	// a relay for each rack; 0 names none.
-	RelayAbove int `toml:"relay_above" default:"100" validate:"min=0,max=1000000" unit:"agents"`
+	RelayThreshold int `toml:"relay_above" default:"100" validate:"min=0,max=1000000" unit:"agents"`
 	// DrainDelay is how long a stopping entry still serves new requests, until
 	// the balancer has seen that it is not ready.
 	DrainDelay schema.Duration `toml:"drain_delay" default:"3s" validate:"min=0s,max=60s"`
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -25,18 +25,18 @@
 	// Advice is the address of the operators' advice service, where there is one.
 	Advice string `toml:"advice" validate:"omitempty,addr"`
 
-	MaxHold      schema.Duration `toml:"max_hold" default:"6s" validate:"min=100ms,max=1h"`
-	StopTime     schema.Duration `toml:"stop_time" default:"900ms" validate:"min=0s,max=10m"`
-	Restore      schema.Duration `toml:"restore" default:"500ms" validate:"min=0s,max=10m"`
-	RemoteFactor float64         `toml:"remote_factor" default:"3" validate:"min=1,max=1000"`
-	Reclaim      schema.Duration `toml:"reclaim" default:"3s" validate:"min=100ms,max=1h"`
-	Harm         schema.Duration `toml:"harm" default:"4s" validate:"min=100ms,max=1h"`
-	Retention    schema.Duration `toml:"retention" default:"120s" validate:"min=1s,max=168h"`
-	// KeyLife is how long a key that was taken away may still be honoured.
-	KeyLife schema.Duration `toml:"key_life" default:"5s" validate:"min=2s,max=1h"`
-	// CordonWithin is how soon after its acknowledgement nothing may start in a cordoned
+	MaxLease            schema.Duration `toml:"max_hold" default:"6s" validate:"min=100ms,max=1h"`
+	StopTime            schema.Duration `toml:"stop_time" default:"900ms" validate:"min=0s,max=10m"`
+	RestoreTime         schema.Duration `toml:"restore" default:"500ms" validate:"min=0s,max=10m"`
+	RemoteSlowdown      float64         `toml:"remote_factor" default:"3" validate:"min=1,max=1000"`
+	MaxReclaimWait      schema.Duration `toml:"reclaim" default:"3s" validate:"min=100ms,max=1h"`
+	MaxLatencyViolation schema.Duration `toml:"harm" default:"4s" validate:"min=100ms,max=1h"`
+	Retention           schema.Duration `toml:"retention" default:"120s" validate:"min=1s,max=168h"`
+	// KeyRevocationDelay is how long a key that was taken away may still be honoured.
+	KeyRevocationDelay schema.Duration `toml:"key_life" default:"5s" validate:"min=2s,max=1h"`
+	// CordonDeadline is how soon after its acknowledgement nothing may start in a cordoned
 	// availability zone any more.
-	CordonWithin schema.Duration `toml:"cordon_within" default:"5s" validate:"min=3s,max=1h"`
+	CordonDeadline schema.Duration `toml:"cordon_within" default:"5s" validate:"min=3s,max=1h"`
 	// StopGrace bounds a graceful stop.
 	StopGrace schema.Duration `toml:"stop_grace" default:"6s" validate:"min=1s,max=168h"`
 	// Cores and LinkMbps are what the instance gives this process, by which gateways choose
--- a/settings/node_agent.go
+++ b/settings/node_agent.go
@@ -23,11 +23,11 @@
 	Store       string   `toml:"store" validate:"required,addr"`
 	// Worker is the address of the worker on this instance.
 	Worker string `toml:"worker" validate:"required,addr"`
-	// Orders is how the worker takes its orders: by calls, or by the answers to its
+	// OrderDelivery is how the worker takes its orders: by calls, or by the answers to its
 	// heartbeats.
-	Orders string `toml:"orders" default:"push" validate:"oneof=push heartbeat"`
+	OrderDelivery string `toml:"orders" default:"push" validate:"oneof=push heartbeat"`
 
-	MaxHold schema.Duration `toml:"max_hold" default:"6s" validate:"min=100ms,max=1h"`
+	MaxLease schema.Duration `toml:"max_hold" default:"6s" validate:"min=100ms,max=1h"`
 	// StopGrace bounds a graceful stop.
 	StopGrace schema.Duration `toml:"stop_grace" default:"2s" validate:"min=1s,max=168h"`
 }
--- a/trial/cluster.go
+++ b/trial/cluster.go
@@ -123,12 +123,12 @@
 // Put puts a new generation of the document, edited from the generation base.
 func (c *Cluster) Put(ctx context.Context, text []byte, base uint64) (document.Version, error) {
 	return document.Put(ctx, c.client, document.Proposal{
-		Name:   "trial",
-		TOML:   text,
-		Base:   base,
-		Author: "trial",
-		Token:  uuid.NewString(),
-		At:     time.Now(),
+		FileName:       "trial",
+		TOML:           text,
+		BaseGeneration: base,
+		Author:         "trial",
+		Token:          uuid.NewString(),
+		CreatedAt:      time.Now(),
 	})
 }
 
--- a/trial/entrynode.go
+++ b/trial/entrynode.go
@@ -39,18 +39,18 @@
 	}
 	n := &EntryNode{ID: id, link: link, log: o}
 	n.cfg = settings.Entry{
-		ID:              id,
-		Region:          region,
-		Zone:            zone,
-		HTTPListen:      loopback,
-		QUICListen:      loopback,
-		ClusterKey:      clusterKey,
-		Platform:        []string{link.url()},
-		PlatformTimeout: schema.Duration{Duration: o.StoreTimeout},
-		PlatformBudget:  storeBudget,
-		ReportEvery:     schema.Duration{Duration: o.ReportEvery},
-		DrainDelay:      schema.Duration{Duration: o.DrainDelay},
-		StopGrace:       schema.Duration{Duration: time.Minute},
+		ID:             id,
+		Region:         region,
+		Zone:           zone,
+		HTTPListen:     loopback,
+		QUICListen:     loopback,
+		ClusterKey:     clusterKey,
+		StoreURLs:      []string{link.url()},
+		StoreTimeout:   schema.Duration{Duration: o.StoreTimeout},
+		StoreRateLimit: storeBudget,
+		ReportPeriod:   schema.Duration{Duration: o.ReportEvery},
+		DrainDelay:     schema.Duration{Duration: o.DrainDelay},
+		StopGrace:      schema.Duration{Duration: time.Minute},
 	}
 	if !o.Relays {
 		return n, nil
--- a/trial/helpers_test.go
+++ b/trial/helpers_test.go
@@ -128,18 +128,18 @@
 
 // told is how a request ended for its caller.
 type told struct {
-	api.Answer
+	api.QuickResponse
 	err error
 }
 
 // request makes a quick request whose tag names it in the audits.
 func (w *world) request(entry int, class, tag, key string, work time.Duration) told {
-	a, err := w.Entries[entry].Client().Request(w.ctx, api.QuickRequest{
-		Call:     api.Call{Account: "big", Class: class, IdempotencyKey: key},
-		Service:  w.Service,
-		Path:     "consignment",
-		RawQuery: fmt.Sprintf("%s=%s&%s=%d", standin.ParamTag, tag, standin.ParamWorkMS, work.Milliseconds()),
-		Body:     []byte(tag),
+	a, err := w.Entries[entry].Client().SendQuick(w.ctx, api.QuickRequest{
+		CallOptions: api.CallOptions{Account: "big", Class: class, IdempotencyKey: key},
+		Service:     w.Service,
+		Path:        "consignment",
+		RawQuery:    fmt.Sprintf("%s=%s&%s=%d", standin.ParamTag, tag, standin.ParamWorkMS, work.Milliseconds()),
+		Body:        []byte(tag),
 	})
 	return told{a, err}
 }
@@ -195,7 +195,7 @@
 	w.Helper()
 	payload, err := json.Marshal(standin.TaskPayload{Tag: key, RunMS: run.Milliseconds()})
 	w.Assert(err, qt.IsNil)
-	s, err := w.Entries[entry].Client().Submit(w.ctx, w.Service, api.JobRequest{
+	s, err := w.Entries[entry].Client().SubmitJob(w.ctx, w.Service, api.JobRequest{
 		Account:      account,
 		Class:        "long",
 		Accelerators: accelerators,
@@ -211,7 +211,7 @@
 	var s api.JobStatus
 	w.eventually(func() error {
 		var err error
-		s, err = w.Entries[entry].Client().Job(w.ctx, w.Service, id, 0)
+		s, err = w.Entries[entry].Client().GetJob(w.ctx, w.Service, id, 0)
 		if err != nil {
 			return err
 		}
--- a/trial/jobs_test.go
+++ b/trial/jobs_test.go
@@ -159,13 +159,13 @@
 		tags[id] = key
 	}
 	w.job(0, ids[0], api.JobRunning)
-	resp, err := w.Entries[1].Client().CancelAll(w.ctx, w.Service, ids)
+	resp, err := w.Entries[1].Client().CancelJobs(w.ctx, w.Service, ids)
 	w.Assert(err, qt.IsNil)
-	w.Check(resp.Accepted, qt.HasLen, len(ids))
+	w.Check(resp.AcceptedIDs, qt.HasLen, len(ids))
 
 	for i, id := range ids {
 		s := w.job(i%2, id, api.JobCancelled, api.JobDone)
-		if s.Reason == api.ReasonCancelled {
+		if s.Reason == api.ReasonCancelledBeforeStart {
 			w.Check(w.attempts(tags[id]), qt.HasLen, 0, qt.Commentf("%s: told not run", id))
 		}
 	}
--- a/trial/quick_test.go
+++ b/trial/quick_test.go
@@ -33,7 +33,7 @@
 			keyed := w.request(0, "booking", "keyed", "k", time.Millisecond)
 			w.Check(keyed.Outcome, qt.Not(qt.Equals), api.OutcomeDone)
 			w.Assert(keyed.Problem, qt.IsNotNil)
-			w.Check(keyed.Problem.Reason, qt.Equals, api.ReasonKeyInDoubt)
+			w.Check(keyed.Problem.Reason, qt.Equals, api.ReasonEarlierAttemptInDoubt)
 			w.Check(keyed.Problem.RetryAfter > 0, qt.IsTrue)
 			runs, _ := w.runs("keyed")
 			w.Check(runs, qt.HasLen, 0)
--- a/trial/reclaim.go
+++ b/trial/reclaim.go
@@ -135,7 +135,7 @@
 		return 0, err
 	}
 	j := load.JobResult{Tag: tag, Account: account, Class: r.class.Name, Repeatable: r.class.Repeatable, Scheduled: time.Now()}
-	s, err := r.c.Entries[0].Client().Submit(ctx, r.c.Service, api.JobRequest{
+	s, err := r.c.Entries[0].Client().SubmitJob(ctx, r.c.Service, api.JobRequest{
 		Account:      account,
 		Class:        r.class.Name,
 		Accelerators: g.Accelerators,
@@ -190,7 +190,7 @@
 	var s api.JobStatus
 	err := Poll(ctx, func(ctx context.Context) error {
 		var err error
-		s, err = r.c.Entries[0].Client().Job(ctx, r.c.Service, id, 0)
+		s, err = r.c.Entries[0].Client().GetJob(ctx, r.c.Service, id, 0)
 		if err == nil && !s.State.Final() {
 			err = fmt.Errorf("job %s is %s", id, s.State)
 		}
@@ -205,7 +205,7 @@
 	for _, j := range r.result.Jobs {
 		ids = append(ids, j.ID)
 	}
-	if _, err := r.c.Entries[0].Client().CancelAll(ctx, r.c.Service, ids); err != nil {
+	if _, err := r.c.Entries[0].Client().CancelJobs(ctx, r.c.Service, ids); err != nil {
 		return err
 	}
 	for i := range r.result.Jobs {
--- a/trial/together_test.go
+++ b/trial/together_test.go
@@ -134,7 +134,7 @@
 	if err != nil {
 		return "", err
 	}
-	s, err := w.Entries[entry].Client().Submit(w.ctx, w.Service, api.JobRequest{
+	s, err := w.Entries[entry].Client().SubmitJob(w.ctx, w.Service, api.JobRequest{
 		Account:      "big",
 		Class:        "long",
 		Accelerators: accelerators,
--- a/trial/worker.go
+++ b/trial/worker.go
@@ -54,7 +54,7 @@
 		Connections:  standin.DefaultConnections,
 		Cores:        standin.DefaultCores,
 		MemoryMB:     standin.DefaultMemoryMB,
-		ReportEvery:  schema.Duration{Duration: o.ReportEvery},
+		ReportPeriod: schema.Duration{Duration: o.ReportEvery},
 		StopGrace:    schema.Duration{Duration: time.Minute},
 	}
 	return w, nil
