--- a/agent/rack_test.go
+++ b/agent/rack_test.go
@@ -104,7 +104,7 @@
 
 func (r *rack) entryConfig(id string) settings.Entry {
 	return settings.Entry{
-		ID: id, Region: "auckland", Zone: zone, HTTPListen: loopback, QUICListen: testport.Racks.Addr(), ClusterKey: clusterKey,
+		ID: id, Region: "auckland", Zone: zone, HTTPListen: loopback, QUICListen: testport.Racks.FreeAddr(), ClusterKey: clusterKey,
 		Platform: []string{r.store}, PlatformTimeout: schema.Duration{Duration: 2 * time.Second}, PlatformBudget: 500,
 		ReportEvery: schema.Duration{Duration: time.Second}, StopGrace: schema.Duration{Duration: time.Minute},
 		RelayAbove: 1,
--- a/cmd/eelgrasshub/load.go
+++ b/cmd/eelgrasshub/load.go
@@ -57,7 +57,7 @@
 			return err
 		}
 	}
-	if err := load.Report(os.Stdout, result, findings, load.Samples{}); err != nil {
+	if err := load.WriteReport(os.Stdout, result, findings, load.Samples{}); err != nil {
 		return err
 	}
 	if !findings.Clean() {
--- a/cmd/eelgrasshub/script_audit_test.go
+++ b/cmd/eelgrasshub/script_audit_test.go
@@ -16,7 +16,7 @@
 func apartCmd(ts *testscript.TestScript, neg bool, args []string) {
 	usage(ts, neg, len(args) > 0, "apart URL...")
 	audits := fetchAudits(ts, args)
-	for _, found := range load.Overlaps(audits) {
+	for _, found := range load.OverlappingAttempts(audits) {
 		ts.Fatalf("%s", found)
 	}
 	for _, a := range audits {
--- a/cmd/eelgrasshub/script_commands_test.go
+++ b/cmd/eelgrasshub/script_commands_test.go
@@ -30,7 +30,7 @@
 func addrCmd(ts *testscript.TestScript, neg bool, args []string) {
 	usage(ts, neg, len(args) > 0, "addr NAME...")
 	for _, name := range args {
-		ts.Setenv(name, testport.Scripts.Addr())
+		ts.Setenv(name, testport.Scripts.FreeAddr())
 	}
 }
 
--- a/cmd/eelgrasshub/trial.go
+++ b/cmd/eelgrasshub/trial.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return false, err
 	}
-	if err := load.Report(os.Stdout, out.Result, out.Findings, out.Samples); err != nil {
+	if err := load.WriteReport(os.Stdout, out.Result, out.Findings, out.Samples); err != nil {
 		return false, err
 	}
 	fmt.Printf("took %s, seed %d\n\n", time.Since(began).Round(time.Second), o.Plan.Seed)
@@ -105,5 +105,5 @@
 	if err != nil {
 		return trial.RunOptions{}, err
 	}
-	return trial.RunOptions{Document: document, Plan: plan, Faults: c.Faults, Log: faults, ProcessLog: processes}, nil
+	return trial.RunOptions{Document: document, Plan: plan, Faults: c.Faults, FaultLog: faults, ProcessLog: processes}, nil
 }
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -19,7 +19,7 @@
 	lastHeard map[string]time.Duration
 	// capacity is the reported Config.PlanningCapacity of each gateway.
 	capacity map[string]float64
-	rotation rotation.Turn
+	rotation rotation.Selector
 }
 
 const (
@@ -76,7 +76,7 @@
 	live := m.live()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.rotation.Take(live, maxSampleSize)
+	return m.rotation.Next(live, maxSampleSize)
 }
 
 // setCapacity records the planning capacity that a gateway reported.
--- a/internal/capacity/agent_test.go
+++ b/internal/capacity/agent_test.go
@@ -91,7 +91,7 @@
 	names := services(1)
 	s := newSite(c, names...)
 	cfg := s.entry("entry-1", every)
-	cfg.QUICListen = testport.Capacity.Addr()
+	cfg.QUICListen = testport.Capacity.FreeAddr()
 	r := newRelay(c, cfg.QUICListen)
 	cfg.Advertise = r.socket.LocalAddr().String()
 	e, err := entry.Start(cfg, quiet())
@@ -110,7 +110,7 @@
 		time.Sleep(span)
 		bytes, after := r.bytes.Load()-bytes, p.usage()
 		c.Logf("agent, report every %v, %s: processor %.2f%% of a core, heap %d KB stacks %d KB resident %d KB goroutines %d, %.0f B/s both ways | load %s",
-			every, what, 100*after.Since(before).Seconds()/span.Seconds(), after.Heap>>10, after.Stacks>>10, after.Resident>>10, after.Goroutines, float64(bytes)/2/span.Seconds(), loadAverage())
+			every, what, 100*after.ProcessorTimeSince(before).Seconds()/span.Seconds(), after.Heap>>10, after.Stacks>>10, after.Resident>>10, after.Goroutines, float64(bytes)/2/span.Seconds(), loadAverage())
 	}
 	watch("idle")
 	gangJob := s.job(client, names[0], "gang", 16, 18*time.Second)
--- a/internal/capacity/callcount.go
+++ b/internal/capacity/callcount.go
@@ -11,10 +11,10 @@
 	"sync"
 )
 
-// CallCount counts the calls to a store by kind and by the first part of the
+// CallCounter counts the calls to a store by kind and by the first part of the
 // key they concern ("txn jobs"). Calls that concern a lease count under the key
 // last written with it. It is safe for concurrent use.
-type CallCount struct {
+type CallCounter struct {
 	store http.Handler
 
 	mu     sync.Mutex
@@ -22,13 +22,13 @@
 	leases map[string]string
 }
 
-// NewCallCount returns a handler that counts and passes on.
-func NewCallCount(store http.Handler) *CallCount {
-	return &CallCount{store: store, calls: make(map[string]int), leases: make(map[string]string)}
+// NewCallCounter returns a handler that counts and passes on.
+func NewCallCounter(store http.Handler) *CallCounter {
+	return &CallCounter{store: store, calls: make(map[string]int), leases: make(map[string]string)}
 }
 
 // ServeHTTP implements http.Handler.
-func (c *CallCount) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *CallCounter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -41,7 +41,7 @@
 	c.store.ServeHTTP(w, r)
 }
 
-func (c *CallCount) count(kind string, call any) {
+func (c *CallCounter) count(kind string, call any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	found := &concern{}
@@ -87,7 +87,7 @@
 }
 
 // Calls returns the calls so far.
-func (c *CallCount) Calls() map[string]int {
+func (c *CallCounter) Calls() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.calls)
--- a/internal/capacity/entry_test.go
+++ b/internal/capacity/entry_test.go
@@ -65,12 +65,12 @@
 	b, reports = bytes()-b, f.Reports.Load()-reports
 	after := p.usage()
 	each := func(a, b uint64) float64 { return (float64(a) - float64(b)) / float64(n) / 1024 }
-	processor := after.Since(before)
+	processor := after.ProcessorTimeSince(before)
 	c.Logf("agents %d services %d every %v loads %v | empty heap %d KB resident %d KB | heap %.1f KB stacks %.1f KB resident %.1f KB goroutines %.1f an agent | processor %.1f us/s an agent, %.1f us a report, %.2f%% of a core | %.0f B/s an agent both ways, %.0f B a report | known after %v, empty %.2f%% of a core | load %s",
 		n, serviceCount, every, loads, empty.Heap>>10, empty.Resident>>10, each(after.Heap, empty.Heap), each(after.Stacks, empty.Stacks), each(after.Resident, empty.Resident),
 		float64(after.Goroutines-empty.Goroutines)/float64(n),
 		float64(processor.Microseconds())/float64(n)/span.Seconds(), float64(processor.Microseconds())/float64(max(1, reports)), 100*processor.Seconds()/span.Seconds(),
-		float64(b)/float64(n)/span.Seconds(), float64(b)/float64(max(1, reports)), known.Round(time.Millisecond), 100*(empty.Since(start)).Seconds()/settle.Seconds(), loadAverage())
+		float64(b)/float64(n)/span.Seconds(), float64(b)/float64(max(1, reports)), known.Round(time.Millisecond), 100*(empty.ProcessorTimeSince(start)).Seconds()/settle.Seconds(), loadAverage())
 }
 
 // TestMeasureNews gives the traffic of agents whose own documents do not change
@@ -103,7 +103,7 @@
 		}
 		bytes, reports = traffic()-bytes, f.Reports.Load()-reports
 		c.Logf("%d agents, %d services, one document of another service changes each second: %v | %.0f B a report both ways, entry's processor %.0f us a report | load %s",
-			n, serviceCount, changes, float64(bytes)/float64(reports), float64(p.usage().Since(before).Microseconds())/float64(reports), loadAverage())
+			n, serviceCount, changes, float64(bytes)/float64(reports), float64(p.usage().ProcessorTimeSince(before).Microseconds())/float64(reports), loadAverage())
 	}
 }
 
@@ -124,7 +124,7 @@
 	f := NewFleet(p.ready[0], every, false)
 	c.Cleanup(f.Stop)
 	for round := range 3 {
-		failed, shed, bytes := f.Failed.Load(), f.Shed.Load(), f.Traffic.SentBytes.Load()+f.Traffic.ReceivedBytes.Load()
+		failed, shed, bytes := f.Failed.Load(), f.Refused.Load(), f.Traffic.SentBytes.Load()+f.Traffic.ReceivedBytes.Load()
 		before := p.usage()
 		admitted := f.Admitted.Load()
 		began := time.Now()
@@ -134,8 +134,8 @@
 		took := time.Since(began)
 		after := p.usage()
 		c.Logf("%d return, round %d: dialled within %v, all admitted after %v, entry's processor %v (%.2f ms an agent), heap %d MB resident %d MB, failed %d shed %d, %.1f KB an agent both ways | load %s",
-			n, round, opened.Round(time.Millisecond), took.Round(time.Millisecond), after.Since(before).Round(time.Millisecond),
-			float64((after.Processor-before.Processor).Microseconds())/1000/float64(n), after.Heap>>20, after.Resident>>20, f.Failed.Load()-failed, f.Shed.Load()-shed,
+			n, round, opened.Round(time.Millisecond), took.Round(time.Millisecond), after.ProcessorTimeSince(before).Round(time.Millisecond),
+			float64((after.Processor-before.Processor).Microseconds())/1000/float64(n), after.Heap>>20, after.Resident>>20, f.Failed.Load()-failed, f.Refused.Load()-shed,
 			float64(f.Traffic.SentBytes.Load()+f.Traffic.ReceivedBytes.Load()-bytes)/1024/float64(n), loadAverage())
 		f.Stop()
 		time.Sleep(settle)
@@ -171,16 +171,16 @@
 		began := time.Now()
 		v := s.put(names[0], generation)
 		accepted := time.Since(began)
-		eventually(c, "in force", func() bool { return len(f.Reached(v.Generation)) == n })
+		eventually(c, "in force", func() bool { return len(f.AppliedAt(v.Generation)) == n })
 		reported := eventually(c, "reported", func() bool { _, inForce := s.alive(p.ready[1], v.Generation); return inForce == n })
 		after := p.usage()
 		var took []time.Duration
-		for _, at := range f.Reached(v.Generation) {
+		for _, at := range f.AppliedAt(v.Generation) {
 			took = append(took, at.Sub(began))
 		}
 		c.Logf("%d agents, document of %d bytes: accepted after %v, in force p50 %v p99 %v max %v, all reported %v later | entry's processor %v, %.1f KB an agent both ways | calls %v | load %s",
 			n, len(v.TOML), accepted.Round(time.Microsecond), quantile(took, 0.5), quantile(took, 0.99), quantile(took, 1), reported.Round(time.Millisecond),
-			after.Since(before).Round(time.Millisecond), float64(f.Traffic.SentBytes.Load()+f.Traffic.ReceivedBytes.Load()-bytes)/1024/float64(n), grown(s.calls.Calls(), calls, 1), loadAverage())
+			after.ProcessorTimeSince(before).Round(time.Millisecond), float64(f.Traffic.SentBytes.Load()+f.Traffic.ReceivedBytes.Load()-bytes)/1024/float64(n), grown(s.calls.Calls(), calls, 1), loadAverage())
 	}
 }
 
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -17,11 +17,11 @@
 // concurrent use.
 type Fleet struct {
 	Traffic Traffic
-	// Reports counts answered reports, Failed those without an answer, Shed
+	// Reports counts answered reports, Failed those without an answer, Refused
 	// those that the entry refused. Admitted counts agents, by the first answer
 	// that did not refuse them.
-	// Relayed counts reports answered by a relay.
-	Reports, Failed, Shed, Admitted, Relayed atomic.Int64
+	// RelayReports counts reports answered by a relay.
+	Reports, Failed, Refused, Admitted, RelayReports atomic.Int64
 
 	entry string
 	every time.Duration
@@ -39,10 +39,10 @@
 	return &Fleet{entry: entry, every: every, loads: loads, reached: make(map[uint64][]time.Time)}
 }
 
-// Rack spreads the stand-ins over racks of n each, "rack-0" first. They report by
+// SetRackSize spreads the stand-ins over racks of n each, "rack-0" first. They report by
 // the relay that the entry names there, and are none themselves. Call it before
 // Add.
-func (f *Fleet) Rack(n int) { f.rack = n }
+func (f *Fleet) SetRackSize(n int) { f.rack = n }
 
 func (f *Fleet) rackOf(i int) string {
 	if f.rack == 0 {
@@ -87,8 +87,8 @@
 	f.reached[generation] = append(f.reached[generation], time.Now())
 }
 
-// Reached returns when each agent that has it put a generation in force.
-func (f *Fleet) Reached(generation uint64) []time.Time {
+// AppliedAt returns when each agent that has it put a generation in force.
+func (f *Fleet) AppliedAt(generation uint64) []time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]time.Time(nil), f.reached[generation]...)
--- a/internal/capacity/planner_test.go
+++ b/internal/capacity/planner_test.go
@@ -136,9 +136,9 @@
 		after := ReadUsage()
 		calls2, idle := s.calls.Calls(), ReadUsage()
 		time.Sleep(4 * time.Second)
-		rest := ReadUsage().Since(idle)
+		rest := ReadUsage().ProcessorTimeSince(idle)
 		c.Logf("%d jobs: takeover: records listed and taken in after %v, all known to the scheduler (as published every 250 ms) after %v, processor %v (store stand-in included), heap grown %d KB; at rest %.2f%% of a core; calls %s, at rest %s a second | load %s",
-			n, listed.Round(time.Millisecond), resumed.Round(time.Millisecond), after.Since(used).Round(time.Millisecond), (int64(after.Heap)-int64(used.Heap))>>10, 100*rest.Seconds()/4,
+			n, listed.Round(time.Millisecond), resumed.Round(time.Millisecond), after.ProcessorTimeSince(used).Round(time.Millisecond), (int64(after.Heap)-int64(used.Heap))>>10, 100*rest.Seconds()/4,
 			grown(calls2, calls, 1), grown(s.calls.Calls(), calls2, 4), loadAverage())
 		idle = ReadUsage()
 		const rounds = 20
@@ -146,7 +146,7 @@
 			agents.report(p)
 			p.Status(context.Background(), last) // all before it are done then
 		}
-		observed := ReadUsage().Since(idle)
+		observed := ReadUsage().ProcessorTimeSince(idle)
 		c.Logf("%d jobs: a report of 8 tasks costs the planner %.1f us", n, float64(observed.Microseconds())/rounds/float64(len(agents.members)))
 		p.Stop()
 	}
--- a/internal/capacity/relays_test.go
+++ b/internal/capacity/relays_test.go
@@ -39,7 +39,7 @@
 		c.Cleanup(a.Close)
 	}
 	f := NewFleet(cfg.Advertise, every, true)
-	f.Rack(rackSize - 1)
+	f.SetRackSize(rackSize - 1)
 	c.Cleanup(f.Stop)
 	for range n / rackSize {
 		c.Assert(f.Add(rackSize-1, names...), qt.IsNil)
@@ -53,7 +53,7 @@
 	p = startProcess(c, entryEnv, cfg)
 	began := p.usage()
 	took := eventually(c, "all report by relays again", relayed)
-	c.Logf("%d agents, restarted entry: all by relays after %v, processor %v", n, took.Round(time.Millisecond), p.usage().Since(began).Round(time.Millisecond))
+	c.Logf("%d agents, restarted entry: all by relays after %v, processor %v", n, took.Round(time.Millisecond), p.usage().ProcessorTimeSince(began).Round(time.Millisecond))
 	s.watchRacks(p, proxy, n, every, "after a restart of the entry")
 }
 
@@ -63,7 +63,7 @@
 	bytes, before := proxy.bytes.Load(), p.usage()
 	time.Sleep(span)
 	bytes, after := proxy.bytes.Load()-bytes, p.usage()
-	processor := after.Since(before)
+	processor := after.ProcessorTimeSince(before)
 	s.Logf("%d agents in racks of %d every %v, %s: processor %.1f us/s an agent, %.2f%% of a core | heap %d MB stacks %d KB resident %d MB goroutines %d | %.1f B/s an agent, %.1f KB/s both ways | not by relays %d | load %s",
 		n, rackSize, every, what, float64(processor.Microseconds())/float64(n)/span.Seconds(), 100*processor.Seconds()/span.Seconds(),
 		after.Heap>>20, after.Stacks>>10, after.Resident>>20, after.Goroutines,
@@ -74,7 +74,7 @@
 // that counts bytes.
 func (s *site) relayingEntry(every time.Duration) (settings.Entry, *relay) {
 	cfg := s.entry("entry-1", every)
-	cfg.QUICListen = testport.Capacity.Addr()
+	cfg.QUICListen = testport.Capacity.FreeAddr()
 	cfg.RelayAbove = 1
 	proxy := newRelay(s.C, cfg.QUICListen)
 	cfg.Advertise = proxy.socket.LocalAddr().String()
@@ -123,7 +123,7 @@
 	entry := startProcess(c, entryEnv, cfg)
 	p := startProcess(c, agentEnv, s.inRack(0, names[0], cfg.Advertise, every))
 	f := NewFleet(cfg.Advertise, every, loads)
-	f.Rack(rackSize - 1)
+	f.SetRackSize(rackSize - 1)
 	c.Cleanup(f.Stop)
 	c.Assert(f.Add(rackSize-1, names...), qt.IsNil)
 	eventually(c, "all report by the relay", func() bool { return s.relayed(entry.ready[1]) == rackSize-1 })
@@ -135,17 +135,17 @@
 	up, down = proxy.bytes.Load()-up, members()-down
 	after := p.usage()
 	c.Logf("relay of %d agents, report every %v, loads %v: processor %.2f%% of a core, heap %d KB stacks %d KB resident %d KB goroutines %d | members %.0f B/s, entry %.0f B/s both ways | load %s",
-		rackSize, every, loads, 100*after.Since(before).Seconds()/span.Seconds(), after.Heap>>10, after.Stacks>>10, after.Resident>>10, after.Goroutines,
+		rackSize, every, loads, 100*after.ProcessorTimeSince(before).Seconds()/span.Seconds(), after.Heap>>10, after.Stacks>>10, after.Resident>>10, after.Goroutines,
 		float64(down)/span.Seconds(), float64(up)/span.Seconds(), loadAverage())
 	for generation := range uint64(3) {
 		up, down, before = proxy.bytes.Load(), members(), p.usage()
 		began := time.Now()
 		v := s.put(names[0], generation+1)
-		eventually(c, "in force", func() bool { return len(f.Reached(v.Generation)) == rackSize-1 })
+		eventually(c, "in force", func() bool { return len(f.AppliedAt(v.Generation)) == rackSize-1 })
 		took := time.Since(began)
 		eventually(c, "reported", func() bool { _, all := s.alive(entry.ready[1], v.Generation); return all == rackSize })
 		time.Sleep(settle)
 		c.Logf("a document of %d bytes: in force at all members after %v | members %.1f KB, entry %.1f KB both ways, processor %v", len(v.TOML),
-			took.Round(time.Microsecond), float64(members()-down)/1024, float64(proxy.bytes.Load()-up)/1024, p.usage().Since(before).Round(time.Millisecond))
+			took.Round(time.Microsecond), float64(members()-down)/1024, float64(proxy.bytes.Load()-up)/1024, p.usage().ProcessorTimeSince(before).Round(time.Millisecond))
 	}
 }
--- a/internal/capacity/site_test.go
+++ b/internal/capacity/site_test.go
@@ -21,14 +21,14 @@
 type site struct {
 	*qt.C
 	server *kvstandin.Server
-	calls  *CallCount
+	calls  *CallCounter
 	url    string
 	client *store.Client
 }
 
 func newSite(c *qt.C, services ...string) *site {
 	s := &site{C: c, server: kvstandin.New(kvstandin.Options{})}
-	s.calls = NewCallCount(s.server)
+	s.calls = NewCallCounter(s.server)
 	http := httptest.NewServer(s.calls)
 	s.url = http.URL
 	s.client = store.NewClient(store.Options{Endpoints: []string{s.url}, CallTimeout: 10 * time.Second, RateLimit: 1e6, Burst: 1e6})
--- a/internal/capacity/standin.go
+++ b/internal/capacity/standin.go
@@ -171,7 +171,7 @@
 		a.admitted = true
 		a.fleet.Admitted.Add(1)
 	}
-	a.fleet.Shed.Add(int64(len(ack.Refused)))
+	a.fleet.Refused.Add(int64(len(ack.Refused)))
 	a.announcer.HandleAck(time.Now(), a.fleet.entry, ack)
 	a.wake()
 }
@@ -205,7 +205,7 @@
 		a.wake()
 		return
 	}
-	a.fleet.Relayed.Add(1)
+	a.fleet.RelayReports.Add(1)
 	a.announcer.HandleRelayAck(time.Now(), to, ack)
 }
 
--- a/internal/capacity/store_test.go
+++ b/internal/capacity/store_test.go
@@ -51,7 +51,7 @@
 	after := ReadUsage()
 	idle := s.calls.Calls()
 	c.Logf("%d entries, %d services: to begin with %s; then a second %s; processor %.2f%% of a core with the stand-in, heap %d KB | load %s",
-		entries, n, grown(settled, began, 1), grown(idle, settled, span.Seconds()), 100*after.Since(before).Seconds()/span.Seconds(), (int64(after.Heap)-int64(used.Heap))>>10, loadAverage())
+		entries, n, grown(settled, began, 1), grown(idle, settled, span.Seconds()), 100*after.ProcessorTimeSince(before).Seconds()/span.Seconds(), (int64(after.Heap)-int64(used.Heap))>>10, loadAverage())
 	for generation := range uint64(10) {
 		s.put(names[0], generation+1)
 	}
--- a/internal/capacity/usage.go
+++ b/internal/capacity/usage.go
@@ -32,9 +32,9 @@
 	return u
 }
 
-// Since returns the processor time used between two readings, without the
+// ProcessorTimeSince returns the processor time used between two readings, without the
 // reading itself.
-func (u Usage) Since(before Usage) time.Duration {
+func (u Usage) ProcessorTimeSince(before Usage) time.Duration {
 	return u.Processor - before.Processor - before.Reading
 }
 
--- a/internal/relay/direction.go
+++ b/internal/relay/direction.go
@@ -5,10 +5,10 @@
 
 // Directions of a flow.
 const (
-	Up   Direction = iota // to the upstream
-	Down                  // back from it
+	ToUpstream   Direction = iota // to the upstream
+	FromUpstream                  // back from it
 	directions
 )
 
-// Both are all directions.
-var Both = []Direction{Up, Down}
+// BothDirections are all directions.
+var BothDirections = []Direction{ToUpstream, FromUpstream}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -53,9 +53,9 @@
 	return nil
 }
 
-// Lose makes every flow known so far lose for good what goes these ways. Neither
+// DropFlows makes every flow known so far lose for good what goes these ways. Neither
 // end is told. It returns how many flows this changed.
-func (r *Relay) Lose(ways ...Direction) int {
+func (r *Relay) DropFlows(ways ...Direction) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	changed := 0
@@ -67,8 +67,8 @@
 	return changed
 }
 
-// Mute loses all that goes this way, of new flows too, until it is set back.
-func (r *Relay) Mute(way Direction, muted bool) { r.muted[way].Store(muted) }
+// BlockDirection loses all that goes this way, of new flows too, until it is set back.
+func (r *Relay) BlockDirection(way Direction, muted bool) { r.muted[way].Store(muted) }
 
 // Dropped counts the datagrams that were lost on this way.
 func (r *Relay) Dropped(way Direction) int64 { return r.dropped[way].Load() }
@@ -92,7 +92,7 @@
 		if err != nil {
 			return
 		}
-		if f := r.flow(from); f != nil && r.passes(f, Up) {
+		if f := r.flow(from); f != nil && r.passes(f, ToUpstream) {
 			_, _ = f.up.Write(buf[:n]) // a lost datagram is what UDP allows
 		}
 	}
@@ -136,7 +136,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err == nil && r.passes(f, Down) {
+		if err == nil && r.passes(f, FromUpstream) {
 			_, _ = r.socket.WriteToUDPAddrPort(buf[:n], to)
 		}
 	}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -65,18 +65,18 @@
 }
 
 func TestFlowsLostInOneDirection(t *testing.T) {
-	for _, way := range Both {
+	for _, way := range BothDirections {
 		c := qt.New(t)
 		r := start(c)
 		known := dial(c, r)
 		exchange(c, known, "before")
-		c.Assert(r.Lose(way), qt.Equals, 1)
-		c.Assert(r.Lose(way), qt.Equals, 0)
+		c.Assert(r.DropFlows(way), qt.Equals, 1)
+		c.Assert(r.DropFlows(way), qt.Equals, 0)
 		_, err := known.Write([]byte("lost"))
 		c.Assert(err, qt.IsNil)
 		awaitDropped(c, r, way, 1)
 		exchange(c, dial(c, r), "new flow")
-		c.Assert(r.Dropped(Up)+r.Dropped(Down), qt.Equals, int64(1))
+		c.Assert(r.Dropped(ToUpstream)+r.Dropped(FromUpstream), qt.Equals, int64(1))
 	}
 }
 
@@ -84,10 +84,10 @@
 	c := qt.New(t)
 	r := start(c)
 	conn := dial(c, r)
-	r.Mute(Down, true)
+	r.BlockDirection(FromUpstream, true)
 	_, err := conn.Write([]byte("lost"))
 	c.Assert(err, qt.IsNil)
-	awaitDropped(c, r, Down, 1)
-	r.Mute(Down, false)
+	awaitDropped(c, r, FromUpstream, 1)
+	r.BlockDirection(FromUpstream, false)
 	exchange(c, conn, "after")
 }
--- a/internal/rotation/rotation.go
+++ b/internal/rotation/rotation.go
@@ -3,13 +3,13 @@
 
 import "slices"
 
-// Turn is where the next choice begins. The zero value begins with the first. It is not safe
+// Selector is where the next choice begins. The zero value begins with the first. It is not safe
 // for concurrent use.
-type Turn struct{ next int }
+type Selector struct{ next int }
 
-// Take returns at most most of all, from where the last call ended, so that calls in a row
+// Next returns at most most of all, from where the last call ended, so that calls in a row
 // cover all of a list that stays as it is. The result is the caller's own.
-func (t *Turn) Take(all []string, most int) []string {
+func (t *Selector) Next(all []string, most int) []string {
 	if len(all) <= most {
 		return slices.Clone(all)
 	}
--- a/internal/rotation/rotation_test.go
+++ b/internal/rotation/rotation_test.go
@@ -10,11 +10,11 @@
 
 func TestCallsInARowCoverAll(t *testing.T) {
 	c := qt.New(t)
-	var turn rotation.Turn
+	var turn rotation.Selector
 	all := []string{"a", "b", "c", "d", "e"}
-	c.Check(turn.Take(all, 2), qt.DeepEquals, []string{"a", "b"})
-	c.Check(turn.Take(all, 2), qt.DeepEquals, []string{"c", "d"})
-	c.Check(turn.Take(all, 2), qt.DeepEquals, []string{"e", "a"})
-	c.Check(turn.Take(all, 5), qt.DeepEquals, all)
-	c.Check(turn.Take(nil, 2), qt.HasLen, 0)
+	c.Check(turn.Next(all, 2), qt.DeepEquals, []string{"a", "b"})
+	c.Check(turn.Next(all, 2), qt.DeepEquals, []string{"c", "d"})
+	c.Check(turn.Next(all, 2), qt.DeepEquals, []string{"e", "a"})
+	c.Check(turn.Next(all, 5), qt.DeepEquals, all)
+	c.Check(turn.Next(nil, 2), qt.HasLen, 0)
 }
--- a/internal/testport/testport.go
+++ b/internal/testport/testport.go
@@ -34,9 +34,9 @@
 	next = map[Range]int{}
 )
 
-// Addr returns an address on loopback whose port is free for TCP and UDP, and that this
+// FreeAddr returns an address on loopback whose port is free for TCP and UDP, and that this
 // process was not given before. It panics where the whole range is taken.
-func (r Range) Addr() string {
+func (r Range) FreeAddr() string {
 	mu.Lock()
 	defer mu.Unlock()
 	at, begun := next[r]
--- a/internal/testport/testport_test.go
+++ b/internal/testport/testport_test.go
@@ -14,15 +14,15 @@
 	r := testport.Range{From: 30_100, To: 30_200}
 	seen := map[string]bool{}
 	for range 50 {
-		addr := r.Addr()
+		addr := r.FreeAddr()
 		c.Assert(seen[addr], qt.IsFalse)
 		seen[addr] = true
 	}
-	addr := r.Addr()
+	addr := r.FreeAddr()
 	l, err := net.Listen("tcp", addr)
 	c.Assert(err, qt.IsNil)
 	defer l.Close()
 	for range 60 {
-		c.Assert(r.Addr(), qt.Not(qt.Equals), addr)
+		c.Assert(r.FreeAddr(), qt.Not(qt.Equals), addr)
 	}
 }
--- a/load/audit.go
+++ b/load/audit.go
@@ -43,7 +43,7 @@
 		f.Violations.add("worker %s: %s: %s", a.Worker, v.Kind, v.Detail)
 	}
 	if a.Dropped > 0 {
-		f.Incomplete.add("worker %s: %d records dropped", a.Worker, a.Dropped)
+		f.IncompleteAudits.add("worker %s: %d records dropped", a.Worker, a.Dropped)
 	}
 }
 
@@ -56,11 +56,11 @@
 		return "", false
 	}
 	if allDenied(tries) {
-		return tries[0].Request, true
+		return tries[0].RequestID, true
 	}
 	for i, t := range tries {
-		if denied(t) && t.Request != "" && !sharedID(tries, i) && slices.Contains(ran, t.Request) {
-			return t.Request, true
+		if denied(t) && t.RequestID != "" && !sharedID(tries, i) && slices.Contains(ran, t.RequestID) {
+			return t.RequestID, true
 		}
 	}
 	return "", false
@@ -77,7 +77,7 @@
 
 func sharedID(tries []Try, i int) bool {
 	for k, t := range tries {
-		if k != i && t.Request == tries[i].Request {
+		if k != i && t.RequestID == tries[i].RequestID {
 			return true
 		}
 	}
--- a/load/audit_jobs.go
+++ b/load/audit_jobs.go
@@ -29,8 +29,8 @@
 	switch {
 	case j.ID != "" && !j.State.Final():
 		f.Lost.add("%s: accepted, last seen %s", name, j.State)
-	case j.ID == "" && outcomeOf(j.Submits) == "" && !allNotSent(j.Submits):
-		f.Lost.add("%s: no answer to its submission: %s", name, lastError(j.Submits))
+	case j.ID == "" && outcomeOf(j.Submissions) == "" && !allNotSent(j.Submissions):
+		f.Lost.add("%s: no answer to its submission: %s", name, lastError(j.Submissions))
 	}
 }
 
@@ -41,7 +41,7 @@
 	}
 	told := j.State == api.JobRejected ||
 		j.State == api.JobCancelled && j.Reason != "" && j.Reason.Outcome() == api.OutcomeNotRun ||
-		j.ID == "" && allDenied(j.Submits)
+		j.ID == "" && allDenied(j.Submissions)
 	if told {
 		f.Misreported.add("%s: told not run (%s %s), and ran on %s", name, j.State, j.Reason, runs[0].worker)
 	}
@@ -96,10 +96,10 @@
 
 func (f *Findings) auditMembers(name string, a attempt) {
 	if n := a.started(); n < a.members {
-		f.Partial.add("%s attempt %d: %d of %d members ever started", name, a.Attempt, n, a.members)
+		f.PartialGangs.add("%s attempt %d: %d of %d members ever started", name, a.Attempt, n, a.members)
 	}
 	if n := len(a.runs); n > a.started() {
-		f.Doubled.add("%s attempt %d: %d runs of %d members", name, a.Attempt, n, a.started())
+		f.DuplicateRuns.add("%s attempt %d: %d runs of %d members", name, a.Attempt, n, a.started())
 	}
 }
 
@@ -108,9 +108,9 @@
 		before, a := &attempts[i-1], &attempts[i]
 		switch {
 		case a.Job != before.Job:
-			f.Doubled.add("%s: one submission ran as jobs %s and %s", name, before.Job, a.Job)
+			f.DuplicateRuns.add("%s: one submission ran as jobs %s and %s", name, before.Job, a.Job)
 		case !j.Repeatable && repeats(attempts[:i], a):
-			f.Doubled.add("%s: not repeatable, attempt %d repeats work of an earlier one", name, a.Attempt)
+			f.DuplicateRuns.add("%s: not repeatable, attempt %d repeats work of an earlier one", name, a.Attempt)
 		}
 	}
 }
@@ -154,7 +154,7 @@
 		best = max(best, n)
 	}
 	if best > 0 {
-		f.Partial.add("%s: told done, %d members completed in its best attempt", name, best)
+		f.PartialGangs.add("%s: told done, %d members completed in its best attempt", name, best)
 		return
 	}
 	f.Misreported.add("%s: told done, no member completed", name)
--- a/load/audit_quick.go
+++ b/load/audit_quick.go
@@ -16,7 +16,7 @@
 		f.Lost.add("%s: no answer in %d tries: %s", name, len(q.Tries), lastError(q.Tries))
 	}
 	if !q.Repeatable && len(runs) > 1 {
-		f.Doubled.add("%s: ran %d times, requests %s and %s", name, len(runs), runs[0].Request, runs[1].Request)
+		f.DuplicateRuns.add("%s: ran %d times, requests %s and %s", name, len(runs), runs[0].Request, runs[1].Request)
 	}
 	ran := make([]string, len(runs))
 	for i, run := range runs {
@@ -34,9 +34,9 @@
 	switch {
 	case !t.Answered || t.Outcome != api.OutcomeDone:
 	case t.BodyError != "":
-		f.Misreported.add("%s: request %s told done: %s", name, t.Request, t.BodyError)
-	case !completed(runs, t.Sum):
-		f.Misreported.add("%s: request %s told done, no completed run gave that answer", name, t.Request)
+		f.Misreported.add("%s: request %s told done: %s", name, t.RequestID, t.BodyError)
+	case !completed(runs, t.Checksum):
+		f.Misreported.add("%s: request %s told done, no completed run gave that answer", name, t.RequestID)
 	}
 }
 
@@ -62,5 +62,5 @@
 	if len(tries) == 0 {
 		return "never sent"
 	}
-	return tries[len(tries)-1].Error
+	return tries[len(tries)-1].TransportError
 }
--- a/load/audit_test.go
+++ b/load/audit_test.go
@@ -12,7 +12,7 @@
 )
 
 func answered(id string, o api.Outcome) Try {
-	return Try{Answered: true, Request: id, Outcome: o, Sum: "sum"}
+	return Try{Answered: true, RequestID: id, Outcome: o, Checksum: "sum"}
 }
 
 func quickRan(id string) standin.QuickRun {
@@ -22,7 +22,7 @@
 type counts struct{ lost, doubled, misreported, partial int }
 
 func countsOf(f Findings) counts {
-	return counts{f.Lost.Count, f.Doubled.Count, f.Misreported.Count, f.Partial.Count}
+	return counts{f.Lost.Count, f.DuplicateRuns.Count, f.Misreported.Count, f.PartialGangs.Count}
 }
 
 func TestAuditOfQuickRequests(t *testing.T) {
@@ -32,7 +32,7 @@
 	stray := done
 	stray.BodyError = "body answers another"
 	other := done
-	other.Sum = "another"
+	other.Checksum = "another"
 	type runs = []standin.QuickRun
 	for name, tc := range map[string]struct {
 		repeatable bool
@@ -81,7 +81,7 @@
 		return runs{ran("a", attempt, 0, o, restored, reached), ran("a", attempt, 1, o, restored, reached)}
 	}
 	accepted := []Try{answered("a", api.OutcomeDone)}
-	job := func(s api.JobState) JobResult { return JobResult{ID: "a", State: s, Submits: accepted} }
+	job := func(s api.JobState) JobResult { return JobResult{ID: "a", State: s, Submissions: accepted} }
 	again := job(api.JobDone)
 	again.Repeatable = true
 	stray := job(api.JobDone)
@@ -96,9 +96,9 @@
 		"done":                            {job(api.JobDone), gang(1, ok, 0, 9), counts{}},
 		"rejected":                        {job(api.JobRejected), nil, counts{}},
 		"still running":                   {job(api.JobRunning), gang(1, target.TaskRunning, 0, 0), counts{lost: 1}},
-		"submission without an answer":    {JobResult{Submits: []Try{{}}}, nil, counts{lost: 1}},
-		"submission refused":              {JobResult{Submits: []Try{answered("", api.OutcomeNotRun)}}, nil, counts{}},
-		"submission refused, ran":         {JobResult{Submits: []Try{answered("", api.OutcomeNotRun)}}, gang(1, ok, 0, 9), counts{misreported: 1}},
+		"submission without an answer":    {JobResult{Submissions: []Try{{}}}, nil, counts{lost: 1}},
+		"submission refused":              {JobResult{Submissions: []Try{answered("", api.OutcomeNotRun)}}, nil, counts{}},
+		"submission refused, ran":         {JobResult{Submissions: []Try{answered("", api.OutcomeNotRun)}}, gang(1, ok, 0, 9), counts{misreported: 1}},
 		"rejected, ran":                   {job(api.JobRejected), gang(1, ok, 0, 9), counts{misreported: 1}},
 		"cancelled before start, ran":     {early, gang(1, stopped, 0, 2), counts{misreported: 1}},
 		"cancelled while running":         {job(api.JobCancelled), gang(1, stopped, 0, 2), counts{}},
@@ -127,7 +127,7 @@
 	f := Audit(Result{}, []standin.Audit{a})
 	qt.Check(t, f.Violations.Count, qt.Equals, 9)
 	qt.Check(t, len(f.Violations.Examples), qt.Equals, maxExamples)
-	qt.Check(t, f.Incomplete.Count, qt.Equals, 1)
+	qt.Check(t, f.IncompleteAudits.Count, qt.Equals, 1)
 	qt.Check(t, f.Clean(), qt.IsFalse)
 }
 
--- a/load/findings.go
+++ b/load/findings.go
@@ -21,22 +21,22 @@
 type Findings struct {
 	// Lost: no final outcome, or an accepted job without a final state.
 	Lost Finding
-	// Doubled: work that ran more than once against its caller's word.
-	Doubled Finding
+	// DuplicateRuns: work that ran more than once against its caller's word.
+	DuplicateRuns Finding
 	// Misreported: told not run but ran, or told done without a completed run
 	// or with an answer that isn't its own and whole.
 	Misreported Finding
-	// Partial: a gang of which some members ran, or completed, without others.
-	Partial Finding
+	// PartialGangs: a gang of which some members ran, or completed, without others.
+	PartialGangs Finding
 	// Violations are those the workers recorded.
 	Violations Finding
-	// Incomplete: an audit log dropped records, so that it proves nothing.
-	Incomplete Finding
+	// IncompleteAudits: an audit log dropped records, so that it proves nothing.
+	IncompleteAudits Finding
 }
 
 // Clean reports whether nothing was found.
 func (f *Findings) Clean() bool {
-	n := f.Lost.Count + f.Doubled.Count + f.Misreported.Count +
-		f.Partial.Count + f.Violations.Count + f.Incomplete.Count
+	n := f.Lost.Count + f.DuplicateRuns.Count + f.Misreported.Count +
+		f.PartialGangs.Count + f.Violations.Count + f.IncompleteAudits.Count
 	return n == 0
 }
--- a/load/overlap.go
+++ b/load/overlap.go
@@ -6,10 +6,10 @@
 	"github.com/eelgrasshub/eelgrasshub/target/standin"
 )
 
-// Overlaps lists where an attempt of a job began while a member of another attempt
+// OverlappingAttempts lists where an attempt of a job began while a member of another attempt
 // of it still ran, by the workers' logs. One that still runs overlaps whatever
 // began after it.
-func Overlaps(audits []standin.Audit) []string {
+func OverlappingAttempts(audits []standin.Audit) []string {
 	byJob := make(map[string][]workerTask)
 	var found []string
 	for _, a := range audits {
--- a/load/overlap_test.go
+++ b/load/overlap_test.go
@@ -33,7 +33,7 @@
 		{"members of one attempt", run("j", 1, 10, 20), run("j", 1, 10, 20), 0},
 		{"different jobs", run("j", 1, 10, 20), run("k", 2, 10, 20), 0},
 	} {
-		got := Overlaps([]standin.Audit{
+		got := OverlappingAttempts([]standin.Audit{
 			{Worker: "a", Tasks: []standin.TaskRun{test.one}},
 			{Worker: "b", Tasks: []standin.TaskRun{test.two}},
 		})
--- a/load/plan_read.go
+++ b/load/plan_read.go
@@ -59,7 +59,7 @@
 		return errors.New("service: missing")
 	case p.Duration <= 0:
 		return errors.New("duration: must be more than 0")
-	case p.Drain <= 0:
+	case p.DrainTimeout <= 0:
 		return errors.New("drain: must be more than 0")
 	}
 	for i, q := range p.Quick {
@@ -68,7 +68,7 @@
 		}
 		// A drain that ends before the caller's patience would count answers
 		// that are still due as lost.
-		if p.Drain < q.Deadline+Duration(patience) {
+		if p.DrainTimeout < q.Deadline+Duration(patience) {
 			return fmt.Errorf("drain: must be at least the deadline of quick[%d] and %s", i, patience)
 		}
 	}
@@ -85,7 +85,7 @@
 			return fmt.Errorf("burst[%d].factor: must be at least 1", i)
 		}
 	}
-	for i, w := range p.CancelWaves {
+	for i, w := range p.BulkCancellations {
 		if !isShare(w.Share) {
 			return fmt.Errorf("cancel_wave[%d].share: must be from 0 to 1", i)
 		}
@@ -103,10 +103,10 @@
 		return errors.New("rate: must be more than 0")
 	case q.Deadline <= 0:
 		return errors.New("deadline: must be more than 0")
-	case !isShare(q.Resent):
+	case !isShare(q.ResendShare):
 		return errors.New("resent: must be from 0 to 1")
 	}
-	return q.Work.check("work")
+	return q.ServiceTime.check("work")
 }
 
 func (j *JobLoad) check() error {
@@ -119,11 +119,11 @@
 		return errors.New("rate: must be more than 0")
 	case len(j.Sizes) == 0:
 		return errors.New("sizes: missing")
-	case j.Misdeclared != 0 && j.Misdeclared < 1:
+	case j.EstimateErrorFactor != 0 && j.EstimateErrorFactor < 1:
 		return errors.New("misdeclared: must be 0, or at least 1")
-	case !isShare(j.Failing):
+	case !isShare(j.FailureShare):
 		return errors.New("failing: must be from 0 to 1")
-	case !isShare(j.Resent):
+	case !isShare(j.ResendShare):
 		return errors.New("resent: must be from 0 to 1")
 	}
 	for i, s := range j.Sizes {
@@ -131,10 +131,10 @@
 			return fmt.Errorf("sizes[%d].%w", i, err)
 		}
 	}
-	return j.Run.check("run")
+	return j.RunTime.check("run")
 }
 
-func (s *Size) check() error {
+func (s *GangSize) check() error {
 	switch {
 	case s.Accelerators < 1:
 		return errors.New("accelerators: must be at least 1")
--- a/load/plan_test.go
+++ b/load/plan_test.go
@@ -45,7 +45,7 @@
 		if a.At >= 50*time.Second && a.At < 60*time.Second {
 			inBurst++
 		}
-		longest = max(longest, a.Quick.Work)
+		longest = max(longest, a.Quick.ServiceTime)
 	}
 	// Means 4500 and 2500; four standard deviations allowed.
 	c.Check(abs(len(list)-inBurst-4500) < 270, qt.IsTrue, qt.Commentf("%d outside", len(list)-inBurst))
@@ -69,7 +69,7 @@
 				impossible++
 			default:
 				possible++
-				work += float64(a.Job.Size.Accelerators) * a.Job.Run.Seconds()
+				work += float64(a.Job.Size.Accelerators) * a.Job.RunTime.Seconds()
 			}
 			if a.Job != nil && a.Job.Fail {
 				failing++
--- a/load/report.go
+++ b/load/report.go
@@ -13,13 +13,13 @@
 	"github.com/eelgrasshub/eelgrasshub/api"
 )
 
-// Report writes a run as tables: outcomes and times per client account and
+// WriteReport writes a run as tables: outcomes and times per client account and
 // class, the samples if there are any, and the findings.
-func Report(w io.Writer, r Result, f Findings, s Samples) error {
+func WriteReport(w io.Writer, r Result, f Findings, s Samples) error {
 	var b bytes.Buffer
 	t := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "%s (%s): %d quick requests, %d jobs, sent at most %s late\n",
-		r.Plan, r.Service, len(r.Quick), len(r.Jobs), ms(r.MaxLag))
+		r.Plan, r.Service, len(r.Quick), len(r.Jobs), ms(r.MaxSendDelay))
 	reportQuick(t, r.Quick)
 	reportJobs(t, r.Jobs)
 	reportSamples(t, s)
@@ -62,7 +62,7 @@
 			o := q.Outcome()
 			n[o]++
 			if o == api.OutcomeDone {
-				took = append(took, q.Took)
+				took = append(took, q.Latency)
 			}
 		}
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%s\n", k.account, k.class,
@@ -82,10 +82,10 @@
 		for _, j := range groups[k] {
 			n[finalState(j)]++
 			if j.State == api.JobDone {
-				took = append(took, j.Took)
+				took = append(took, j.TurnaroundTime)
 			}
-			if j.Waited > 0 {
-				waited = append(waited, j.Waited)
+			if j.StartDelay > 0 {
+				waited = append(waited, j.StartDelay)
 			}
 		}
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\n", k.account, k.class,
@@ -102,9 +102,9 @@
 		return j.State
 	case j.ID != "":
 		return ""
-	case allDenied(j.Submits):
+	case allDenied(j.Submissions):
 		return api.JobRejected
-	case outcomeOf(j.Submits) == api.OutcomeUnknown:
+	case outcomeOf(j.Submissions) == api.OutcomeUnknown:
 		return api.JobUnknown
 	}
 	return ""
@@ -116,7 +116,7 @@
 		step := max(1, n/10)
 		for i := 0; i < n; i += step {
 			f := s.Fragmentation[i]
-			fmt.Fprintf(w, "%s\t%d\t%d\t%d\n", f.At.Round(100*time.Millisecond), f.Free, f.Stranded, f.Waiting)
+			fmt.Fprintf(w, "%s\t%d\t%d\t%d\n", f.At.Round(100*time.Millisecond), f.FreeAccelerators, f.StrandedAccelerators, f.WaitingJobs)
 		}
 		fmt.Fprintf(w, "stranded, mean over time\t%.2f accelerators\n", meanStranded(s.Fragmentation))
 	}
@@ -126,7 +126,7 @@
 		for _, r := range s.Reclaims {
 			if r.Honoured {
 				honoured++
-				took = append(took, r.Took)
+				took = append(took, r.StartDelay)
 			}
 		}
 		fmt.Fprintln(w, "guarantees claimed\thonoured\tp50\tp90\tp99")
@@ -138,25 +138,25 @@
 func meanStranded(list []FragmentationSample) float64 {
 	span := list[len(list)-1].At - list[0].At
 	if span <= 0 {
-		return float64(list[0].Stranded)
+		return float64(list[0].StrandedAccelerators)
 	}
 	area := 0.0
 	for i := 1; i < len(list); i++ {
-		area += float64(list[i-1].Stranded) * float64(list[i].At-list[i-1].At)
+		area += float64(list[i-1].StrandedAccelerators) * float64(list[i].At-list[i-1].At)
 	}
 	return area / float64(span)
 }
 
 func reportFindings(w io.Writer, f Findings) {
 	fmt.Fprintln(w, "lost\tdoubled\tmisreported\tpartial gangs\tworker violations\taudits cut")
-	fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\n", f.Lost.Count, f.Doubled.Count,
-		f.Misreported.Count, f.Partial.Count, f.Violations.Count, f.Incomplete.Count)
+	fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\n", f.Lost.Count, f.DuplicateRuns.Count,
+		f.Misreported.Count, f.PartialGangs.Count, f.Violations.Count, f.IncompleteAudits.Count)
 	for _, kind := range []struct {
 		name string
 		Finding
 	}{
-		{"lost", f.Lost}, {"doubled", f.Doubled}, {"misreported", f.Misreported},
-		{"partial", f.Partial}, {"violation", f.Violations}, {"audit", f.Incomplete},
+		{"lost", f.Lost}, {"doubled", f.DuplicateRuns}, {"misreported", f.Misreported},
+		{"partial", f.PartialGangs}, {"violation", f.Violations}, {"audit", f.IncompleteAudits},
 	} {
 		for _, e := range kind.Examples {
 			fmt.Fprintf(w, "%s: %s\n", kind.name, e)
--- a/load/result.go
+++ b/load/result.go
@@ -9,13 +9,13 @@
 
 // Result is what callers saw during one run.
 type Result struct {
-	Plan    string
-	Service string
-	Began   time.Time
-	Quick   []QuickResult
-	Jobs    []JobResult
-	// MaxLag is the longest time by which an arrival was sent late.
-	MaxLag time.Duration
+	Plan      string
+	Service   string
+	StartedAt time.Time
+	Quick     []QuickResult
+	Jobs      []JobResult
+	// MaxSendDelay is the longest time by which an arrival was sent late.
+	MaxSendDelay time.Duration
 }
 
 // Try is one exchange about a request with one entry.
@@ -27,15 +27,15 @@
 	// NotSent says that there was no connection: this try had no effect.
 	NotSent bool
 	Outcome api.Outcome
-	// Request is the id the entry gave it.
-	Request string
-	Reason  api.Reason
-	// Sum is the checksum of the whole echoed answer of a done try.
-	Sum string
+	// RequestID is the id the entry gave it.
+	RequestID string
+	Reason    api.Reason
+	// Checksum is the checksum of the whole echoed answer of a done try.
+	Checksum string
 	// BodyError says why a body told as done isn't the request's own and whole.
 	BodyError string
-	// Error is that of the transport.
-	Error string
+	// TransportError is that of the transport.
+	TransportError string
 }
 
 // QuickResult is one quick request as its caller saw it.
@@ -46,9 +46,9 @@
 	Repeatable bool
 	Scheduled  time.Time
 	Tries      []Try
-	// Took is from the scheduled time to the answer the caller could use, or to
+	// Latency is from the scheduled time to the answer the caller could use, or to
 	// the last one.
-	Took time.Duration
+	Latency time.Duration
 }
 
 // Outcome is what the caller knows in the end: the best of the tries. It is
@@ -77,24 +77,24 @@
 	Account    string
 	Class      string
 	Repeatable bool
-	Size       Size
+	Size       GangSize
 	Scheduled  time.Time
-	// Submits are the tries to submit it.
-	Submits []Try
+	// Submissions are the tries to submit it.
+	Submissions []Try
 	// ID is empty when the job was not accepted.
 	ID string
-	// OtherIDs are different ids that further submits with the same key gave.
-	OtherIDs []string
-	// CancelAsked says that a cancellation was sent.
-	CancelAsked bool
+	// ConflictingIDs are different ids that further submits with the same key gave.
+	ConflictingIDs []string
+	// CancelRequested says that a cancellation was sent.
+	CancelRequested bool
 	// State is the last seen.
 	State   api.JobState
 	Reason  api.Reason
 	Attempt int
 	Result  json.RawMessage
-	// Waited is from the submission to the start of the latest attempt, by the
+	// StartDelay is from the submission to the start of the latest attempt, by the
 	// system's own word; 0 when it never started.
-	Waited time.Duration
-	// Took is from the scheduled time to the final state.
-	Took time.Duration
+	StartDelay time.Duration
+	// TurnaroundTime is from the scheduled time to the final state.
+	TurnaroundTime time.Duration
 }
--- a/load/run.go
+++ b/load/run.go
@@ -12,8 +12,8 @@
 	"github.com/eelgrasshub/eelgrasshub/api"
 )
 
-// ErrNoEntry: Run was given no entry.
-var ErrNoEntry = errors.New("load: no entry given")
+// ErrNoEntries: Run was given no entry.
+var ErrNoEntries = errors.New("load: no entry given")
 
 const (
 	maxTries = 4
@@ -49,7 +49,7 @@
 // part of the plan.
 func Run(ctx context.Context, p Plan, entries []string) (Result, error) {
 	if len(entries) == 0 {
-		return Result{}, ErrNoEntry
+		return Result{}, ErrNoEntries
 	}
 	transport := &http.Transport{MaxIdleConns: connections, MaxIdleConnsPerHost: connections}
 	defer transport.CloseIdleConnections()
@@ -60,15 +60,15 @@
 	schedule := p.Schedule()
 	r.makeRoom(schedule)
 	r.began = time.Now()
-	r.end = r.began.Add(time.Duration(p.Duration + p.Drain))
+	r.end = r.began.Add(time.Duration(p.Duration + p.DrainTimeout))
 	ctx, cancel := context.WithDeadline(ctx, r.end)
 	defer cancel()
-	for i := range p.CancelWaves {
+	for i := range p.BulkCancellations {
 		r.wg.Go(func() { r.cancelWave(ctx, i) })
 	}
 	r.dispatch(ctx, schedule)
 	r.wg.Wait()
-	res := Result{Plan: p.Name, Service: p.Service, Began: r.began, Quick: r.quick, Jobs: r.jobs, MaxLag: r.maxLag}
+	res := Result{Plan: p.Name, Service: p.Service, StartedAt: r.began, Quick: r.quick, Jobs: r.jobs, MaxSendDelay: r.maxLag}
 	if time.Now().Before(r.end) {
 		return res, ctx.Err()
 	}
--- a/load/run_cancel.go
+++ b/load/run_cancel.go
@@ -14,7 +14,7 @@
 // tried at all entries until one answers; a job that stays uncancelled just
 // runs to its end.
 func (r *runner) cancelWave(ctx context.Context, i int) {
-	wave := r.plan.CancelWaves[i]
+	wave := r.plan.BulkCancellations[i]
 	if !sleepUntil(ctx, r.began.Add(time.Duration(wave.At))) {
 		return
 	}
@@ -30,7 +30,7 @@
 	}
 }
 
-func (r *runner) pick(rng *rand.Rand, wave CancelWave) []string {
+func (r *runner) pick(rng *rand.Rand, wave BulkCancellation) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var open []*JobResult
@@ -43,7 +43,7 @@
 	var ids []string
 	for _, j := range open {
 		if rng.Float64() < wave.Share {
-			j.CancelAsked = true
+			j.CancelRequested = true
 			ids = append(ids, j.ID)
 		}
 	}
--- a/load/run_jobs.go
+++ b/load/run_jobs.go
@@ -36,21 +36,21 @@
 		r.follow(ctx, n, j)
 		r.setOpen(j, false)
 	}
-	j.Took = time.Since(j.Scheduled)
+	j.TurnaroundTime = time.Since(j.Scheduled)
 }
 
 func jobRequest(tag string, a *JobArrival) *api.JobRequest {
 	payload, err := json.Marshal(standin.TaskPayload{
 		Tag:               tag,
-		RunMS:             a.Run.Milliseconds(),
+		RunMS:             a.RunTime.Milliseconds(),
 		Fail:              a.Fail,
-		FailAfterMS:       a.Run.Milliseconds() / 2,
-		CheckpointEveryMS: time.Duration(a.Load.CheckpointEvery).Milliseconds(),
+		FailAfterMS:       a.RunTime.Milliseconds() / 2,
+		CheckpointEveryMS: time.Duration(a.Load.CheckpointInterval).Milliseconds(),
 	})
 	if err != nil {
 		panic("load: payload can't be encoded: " + err.Error())
 	}
-	checkpointable := a.Load.CheckpointEvery > 0
+	checkpointable := a.Load.CheckpointInterval > 0
 	return &api.JobRequest{
 		Account:        a.Load.Account,
 		Class:          a.Load.Class,
@@ -83,25 +83,25 @@
 	defer cancel()
 	client, name := r.entry(n)
 	st, err := client.Submit(ctx, r.plan.Service, *req, j.Tag)
-	t := Try{Entry: name, Answered: true, Request: st.ID}
+	t := Try{Entry: name, Answered: true, RequestID: st.ID}
 	var p *api.Problem
 	switch {
 	case err == nil:
 		t.Outcome = api.OutcomeDone
 		r.accepted(j, st)
 	case errors.As(err, &p):
-		t.Outcome, t.Reason, t.Request = p.Outcome(), p.Reason, p.Request
+		t.Outcome, t.Reason, t.RequestID = p.Outcome(), p.Reason, p.Request
 		j.Reason = p.Reason
 	default:
 		t = failedTry(name, err)
 	}
-	j.Submits = append(j.Submits, t)
+	j.Submissions = append(j.Submissions, t)
 	return t
 }
 
 func (r *runner) accepted(j *JobResult, st api.JobStatus) {
 	if j.ID != "" && st.ID != j.ID {
-		j.OtherIDs = append(j.OtherIDs, st.ID)
+		j.ConflictingIDs = append(j.ConflictingIDs, st.ID)
 		return
 	}
 	j.ID = st.ID
@@ -114,7 +114,7 @@
 	j.Attempt = st.Attempt
 	j.Result = st.Result
 	if !st.Started.IsZero() {
-		j.Waited = st.Started.Sub(st.Submitted)
+		j.StartDelay = st.Started.Sub(st.Submitted)
 	}
 }
 
--- a/load/run_quick.go
+++ b/load/run_quick.go
@@ -31,11 +31,11 @@
 		wg.Go(func() { second = r.tryQuick(ctx, n+1, req, true) })
 	}
 	q.Tries = r.tryQuick(ctx, n, req, a.Quick.Resend)
-	q.Took = time.Since(q.Scheduled)
+	q.Latency = time.Since(q.Scheduled)
 	useful := outcomeOf(q.Tries) == api.OutcomeDone
 	wg.Wait()
 	if len(second) > 0 && !useful {
-		q.Took = time.Since(q.Scheduled)
+		q.Latency = time.Since(q.Scheduled)
 	}
 	q.Tries = append(q.Tries, second...)
 }
@@ -43,8 +43,8 @@
 func (r *runner) quickRequest(tag string, a *QuickArrival) *api.QuickRequest {
 	query := url.Values{}
 	query.Set(standin.ParamTag, tag)
-	query.Set(standin.ParamWorkMS, strconv.FormatFloat(a.Work.Seconds()*1000, 'f', 3, 64))
-	query.Set(standin.ParamPad, strconv.Itoa(a.Load.Pad))
+	query.Set(standin.ParamWorkMS, strconv.FormatFloat(a.ServiceTime.Seconds()*1000, 'f', 3, 64))
+	query.Set(standin.ParamPad, strconv.Itoa(a.Load.ResponsePadding))
 	req := &api.QuickRequest{
 		Call: api.Call{
 			Account:    a.Load.Account,
@@ -87,16 +87,16 @@
 	if err != nil {
 		return failedTry(name, err)
 	}
-	t := Try{Entry: name, Answered: true, Outcome: ans.Outcome, Request: ans.Request}
+	t := Try{Entry: name, Answered: true, Outcome: ans.Outcome, RequestID: ans.Request}
 	if ans.Problem != nil {
 		t.Reason = ans.Problem.Reason
 	}
 	if ans.Outcome == api.OutcomeDone {
-		t.Sum, t.BodyError = checkEcho(req, ans.Body)
+		t.Checksum, t.BodyError = checkEcho(req, ans.Body)
 	}
 	return t
 }
 
 func failedTry(entry string, err error) Try {
-	return Try{Entry: entry, NotSent: errors.Is(err, api.ErrNotSent), Error: err.Error()}
+	return Try{Entry: entry, NotSent: errors.Is(err, api.ErrNotSent), TransportError: err.Error()}
 }
--- a/load/run_test.go
+++ b/load/run_test.go
@@ -127,7 +127,7 @@
 		Fragmentation: []FragmentationSample{{0, 8, 4, 1}, {time.Second, 8, 0, 0}, {4 * time.Second, 8, 0, 0}},
 		Reclaims:      []ReclaimSample{{"a", time.Second, true}},
 	}
-	c.Assert(Report(&out, r, f, samples), qt.IsNil)
+	c.Assert(WriteReport(&out, r, f, samples), qt.IsNil)
 	c.Check(out.String(), qt.Contains, "stranded, mean over time  1.00 accelerators")
 	c.Check(out.String(), qt.Contains, "1000.0ms")
 }
--- a/load/samples.go
+++ b/load/samples.go
@@ -12,19 +12,19 @@
 type FragmentationSample struct {
 	// At is from the beginning of the run.
 	At time.Duration
-	// Free is the number of free accelerators.
-	Free int
-	// Stranded is how many of them lie in pieces too small for the jobs that
+	// FreeAccelerators is the number of free accelerators.
+	FreeAccelerators int
+	// StrandedAccelerators is how many of them lie in pieces too small for the jobs that
 	// wait.
-	Stranded int
-	// Waiting is the number of waiting jobs.
-	Waiting int
+	StrandedAccelerators int
+	// WaitingJobs is the number of waiting jobs.
+	WaitingJobs int
 }
 
 // ReclaimSample is one claim of a guaranteed shape that others were using.
 type ReclaimSample struct {
 	Account string
-	// Took is from the demand to the start on the shape.
-	Took     time.Duration
-	Honoured bool
+	// StartDelay is from the demand to the start on the shape.
+	StartDelay time.Duration
+	Honoured   bool
 }
--- a/load/schedule.go
+++ b/load/schedule.go
@@ -22,16 +22,16 @@
 
 // QuickArrival is one quick request.
 type QuickArrival struct {
-	Load   *QuickLoad
-	Work   time.Duration
-	Resend bool
+	Load        *QuickLoad
+	ServiceTime time.Duration
+	Resend      bool
 }
 
 // JobArrival is one job.
 type JobArrival struct {
-	Load *JobLoad
-	Size Size
-	Run  time.Duration
+	Load    *JobLoad
+	Size    GangSize
+	RunTime time.Duration
 	// Estimate is the declared run time; 0 when not declared.
 	Estimate time.Duration
 	Fail     bool
@@ -68,7 +68,7 @@
 		list = append(list, Arrival{
 			At:    at,
 			Tag:   "q" + strconv.Itoa(i) + "-" + strconv.Itoa(len(list)),
-			Quick: &QuickArrival{Load: l, Work: l.Work.draw(rng), Resend: rng.Float64() < l.Resent},
+			Quick: &QuickArrival{Load: l, ServiceTime: l.ServiceTime.draw(rng), Resend: rng.Float64() < l.ResendShare},
 		})
 	}
 	return list
@@ -79,17 +79,17 @@
 	rng := rand.New(rand.NewPCG(p.Seed, streamJob+uint64(i)))
 	var list []Arrival
 	for _, at := range p.arrivals(rng, l.Rate, KindJob, l.Account) {
-		run := l.Run.draw(rng)
+		run := l.RunTime.draw(rng)
 		list = append(list, Arrival{
 			At:  at,
 			Tag: "j" + strconv.Itoa(i) + "-" + strconv.Itoa(len(list)),
 			Job: &JobArrival{
 				Load:     l,
 				Size:     l.drawSize(rng),
-				Run:      run,
+				RunTime:  run,
 				Estimate: l.declare(rng, run),
-				Fail:     rng.Float64() < l.Failing,
-				Resend:   rng.Float64() < l.Resent,
+				Fail:     rng.Float64() < l.FailureShare,
+				Resend:   rng.Float64() < l.ResendShare,
 			},
 		})
 	}
@@ -98,7 +98,7 @@
 
 // arrivals draws a Poisson process whose rate follows the bursts, by thinning
 // one of the highest rate.
-func (p *Plan) arrivals(rng *rand.Rand, rate float64, kind Kind, account string) []time.Duration {
+func (p *Plan) arrivals(rng *rand.Rand, rate float64, kind ArrivalKind, account string) []time.Duration {
 	highest := 1.0
 	for _, b := range p.Bursts {
 		if b.matches(kind, account) {
@@ -119,7 +119,7 @@
 	}
 }
 
-func (p *Plan) factorAt(t time.Duration, kind Kind, account string) float64 {
+func (p *Plan) factorAt(t time.Duration, kind ArrivalKind, account string) float64 {
 	factor := 1.0
 	for _, b := range p.Bursts {
 		since := t - time.Duration(b.At)
@@ -130,7 +130,7 @@
 	return factor
 }
 
-func (b *Burst) matches(kind Kind, account string) bool {
+func (b *Burst) matches(kind ArrivalKind, account string) bool {
 	return b.Kind == kind && (b.Account == "" || b.Account == account)
 }
 
@@ -139,7 +139,7 @@
 	return time.Duration(min(v, float64(l.Max)))
 }
 
-func (l *JobLoad) drawSize(rng *rand.Rand) Size {
+func (l *JobLoad) drawSize(rng *rand.Rand) GangSize {
 	total := 0.0
 	for _, s := range l.Sizes {
 		total += s.Weight
@@ -157,9 +157,9 @@
 // declare draws a run time that is wrong by up to the factor, either way, and
 // evenly on a logarithmic scale.
 func (l *JobLoad) declare(rng *rand.Rand, run time.Duration) time.Duration {
-	if l.Misdeclared == 0 {
+	if l.EstimateErrorFactor == 0 {
 		return 0
 	}
-	wrong := math.Pow(l.Misdeclared, 2*rng.Float64()-1)
+	wrong := math.Pow(l.EstimateErrorFactor, 2*rng.Float64()-1)
 	return time.Duration(float64(run) * wrong).Round(time.Millisecond)
 }
--- a/nodeagent/planner_finder.go
+++ b/nodeagent/planner_finder.go
@@ -28,7 +28,7 @@
 	lastFailed     plannerID
 	lastFailedAt   time.Duration
 	gateways       []string // most recently learned first
-	rotation       rotation.Turn
+	rotation       rotation.Selector
 	lostSince      time.Duration
 	registryReadAt time.Duration
 }
@@ -79,7 +79,7 @@
 func (f *plannerFinder) chooseGateways() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.rotation.Take(f.gateways, maxQueried)
+	return f.rotation.Next(f.gateways, maxQueried)
 }
 
 // queryGateways queries gateways concurrently and returns the first planner that is accepted.
--- a/trial/cluster.go
+++ b/trial/cluster.go
@@ -59,7 +59,7 @@
 		return err
 	}
 	c.client = store.NewClient(store.Options{Endpoints: []string{c.link.url()}})
-	v, err := c.Put(ctx, o.Document, 0)
+	v, err := c.PutDocument(ctx, o.Document, 0)
 	if err != nil {
 		return err
 	}
@@ -70,7 +70,7 @@
 	if err := c.startWorkers(places, o); err != nil {
 		return err
 	}
-	return c.WaitInForce(ctx, v.Generation)
+	return c.WaitForDocument(ctx, v.Generation)
 }
 
 func (c *Cluster) startEntries(places []site, o Options) error {
@@ -113,15 +113,15 @@
 			return err
 		}
 		c.Workers = append(c.Workers, w)
-		if err := w.Start(); err != nil {
+		if err := w.StartAgent(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Put puts a new generation of the document, edited from the generation base.
-func (c *Cluster) Put(ctx context.Context, text []byte, base uint64) (document.Version, error) {
+// PutDocument puts a new generation of the document, edited from the generation base.
+func (c *Cluster) PutDocument(ctx context.Context, text []byte, base uint64) (document.Version, error) {
 	return document.Put(ctx, c.client, document.Proposal{
 		Name:   "trial",
 		TOML:   text,
@@ -132,15 +132,15 @@
 	})
 }
 
-// WaitInForce waits until every entry that runs is ready and sees every agent
+// WaitForDocument waits until every entry that runs is ready and sees every agent
 // that runs alive, all with this generation or a later one.
-func (c *Cluster) WaitInForce(ctx context.Context, generation uint64) error {
-	return Poll(ctx, func(ctx context.Context) error { return c.inForce(ctx, generation) })
+func (c *Cluster) WaitForDocument(ctx context.Context, generation uint64) error {
+	return WaitFor(ctx, func(ctx context.Context) error { return c.inForce(ctx, generation) })
 }
 
 func (c *Cluster) inForce(ctx context.Context, generation uint64) error {
 	for _, n := range c.Entries {
-		if !n.Up() {
+		if !n.Running() {
 			continue
 		}
 		s, err := n.Client().Status(ctx)
@@ -154,18 +154,18 @@
 	return nil
 }
 
-// Stats are those of the planner. False: no entry holds the duty.
-func (c *Cluster) Stats() (scheduler.Stats, bool) {
-	n := c.Planner()
+// PlannerStats are those of the planner. False: no entry holds the duty.
+func (c *Cluster) PlannerStats() (scheduler.Stats, bool) {
+	n := c.PlannerEntry()
 	if n == nil {
 		return scheduler.Stats{}, false
 	}
-	return n.Stats(c.Service)
+	return n.PlannerStats(c.Service)
 }
 
-// Planner returns the entry that holds the planner duty, or nil. While an entry
+// PlannerEntry returns the entry that holds the planner duty, or nil. While an entry
 // does not know yet that it was succeeded, it is the one with the higher epoch.
-func (c *Cluster) Planner() *EntryNode {
+func (c *Cluster) PlannerEntry() *EntryNode {
 	var best *EntryNode
 	var highest uint64
 	for _, n := range c.Entries {
--- a/trial/document_test.go
+++ b/trial/document_test.go
@@ -36,10 +36,10 @@
 	// An instance is replaced while the store is out. The new entry knows nothing.
 	// It takes the generation in force from the other entry and is not ready
 	// before; then it serves.
-	w := start(t, func(o *trial.Options) { o.Relays = true })
-	v, err := w.Put(w.ctx, changed, 1)
+	w := start(t, func(o *trial.Options) { o.UDPRelays = true })
+	v, err := w.PutDocument(w.ctx, changed, 1)
 	w.Assert(err, qt.IsNil)
-	w.Assert(w.WaitInForce(w.ctx, v.Generation), qt.IsNil)
+	w.Assert(w.WaitForDocument(w.ctx, v.Generation), qt.IsNil)
 	w.Entries[0].Kill()
 	w.Store.SetFaults(store.Faults{Down: store.DownRefuse})
 	w.Assert(w.Entries[0].Start(), qt.IsNil)
@@ -51,18 +51,18 @@
 	// The platform restores its store from a backup taken before the last change.
 	// A new entry finds the old generation there and the later one at its peer. It
 	// is never ready with the old one, and the store gets the later one back.
-	w := start(t, func(o *trial.Options) { o.Relays = true })
+	w := start(t, func(o *trial.Options) { o.UDPRelays = true })
 	w.Store.Snapshot()
-	v, err := w.Put(w.ctx, changed, 1)
+	v, err := w.PutDocument(w.ctx, changed, 1)
 	w.Assert(err, qt.IsNil)
-	w.Assert(w.WaitInForce(w.ctx, v.Generation), qt.IsNil)
+	w.Assert(w.WaitForDocument(w.ctx, v.Generation), qt.IsNil)
 	w.Entries[0].Kill()
 	w.Store.Restore()
 	w.Assert(w.Entries[0].Start(), qt.IsNil)
 	w.watchReady(w.Entries[0], v.Generation)
-	w.Assert(w.WaitInForce(w.ctx, v.Generation), qt.IsNil)
+	w.Assert(w.WaitForDocument(w.ctx, v.Generation), qt.IsNil)
 	w.eventually(func() error {
-		_, err := w.Put(w.ctx, changed, v.Generation)
+		_, err := w.PutDocument(w.ctx, changed, v.Generation)
 		return err
 	})
 }
@@ -71,17 +71,17 @@
 	// One entry has lost its way to the store. A change put meanwhile reaches it,
 	// and through it nobody goes back: every process has it.
 	w := start(t, nil)
-	w.Entries[0].CutStore(true)
-	v, err := w.Put(w.ctx, changed, 1)
+	w.Entries[0].SetStorePartitioned(true)
+	v, err := w.PutDocument(w.ctx, changed, 1)
 	w.Assert(err, qt.IsNil)
-	w.Assert(w.WaitInForce(w.ctx, v.Generation), qt.IsNil)
+	w.Assert(w.WaitForDocument(w.ctx, v.Generation), qt.IsNil)
 }
 
 func TestEntryWithoutADocumentIsNotReady(t *testing.T) {
 	// All entries are replaced while the store is out. None knows any generation,
 	// so none is ready or takes work; callers hear that it was not run and when to
 	// come back. When the store is back they are.
-	w := start(t, func(o *trial.Options) { o.Relays = true })
+	w := start(t, func(o *trial.Options) { o.UDPRelays = true })
 	w.Store.SetFaults(store.Faults{Down: store.DownHang})
 	for _, n := range w.Entries {
 		n.Kill()
--- a/trial/entrynode.go
+++ b/trial/entrynode.go
@@ -15,8 +15,8 @@
 	"github.com/eelgrasshub/eelgrasshub/settings"
 )
 
-// ErrDown: the process does not run now.
-var ErrDown = errors.New("trial: the process does not run")
+// ErrNotRunning: the process does not run now.
+var ErrNotRunning = errors.New("trial: the process does not run")
 
 // EntryNode is one entry of a Cluster. It is safe for concurrent use.
 type EntryNode struct {
@@ -48,11 +48,11 @@
 		Platform:        []string{link.url()},
 		PlatformTimeout: schema.Duration{Duration: o.StoreTimeout},
 		PlatformBudget:  storeBudget,
-		ReportEvery:     schema.Duration{Duration: o.ReportEvery},
+		ReportEvery:     schema.Duration{Duration: o.ReportPeriod},
 		DrainDelay:      schema.Duration{Duration: o.DrainDelay},
 		StopGrace:       schema.Duration{Duration: time.Minute},
 	}
-	if !o.Relays {
+	if !o.UDPRelays {
 		return n, nil
 	}
 	if n.relay, err = relay.New(); err != nil {
@@ -105,7 +105,7 @@
 	n.link.setCut(true)
 	if n.relay != nil {
 		_ = n.relay.SetUpstream("")
-		n.relay.Lose(relay.Both...)
+		n.relay.DropFlows(relay.BothDirections...)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -127,18 +127,18 @@
 	return e.Stop(ctx)
 }
 
-// CutStore takes the store away from this entry, or gives it back.
-func (n *EntryNode) CutStore(cut bool) { n.link.setCut(cut) }
+// SetStorePartitioned takes the store away from this entry, or gives it back.
+func (n *EntryNode) SetStorePartitioned(cut bool) { n.link.setCut(cut) }
 
-// SilenceFlows makes the open connections to this entry go silent for good,
+// DropAllFlows makes the open connections to this entry go silent for good,
 // while new ones work, and returns how many. It needs Options.Relays.
-func (n *EntryNode) SilenceFlows() int { return n.LoseFlows(relay.Both...) }
+func (n *EntryNode) DropAllFlows() int { return n.DropFlows(relay.BothDirections...) }
 
-// LoseFlows is SilenceFlows for what goes these ways only: Up is towards the entry.
-func (n *EntryNode) LoseFlows(ways ...relay.Direction) int { return n.relay.Lose(ways...) }
+// DropFlows is SilenceFlows for what goes these ways only: Up is towards the entry.
+func (n *EntryNode) DropFlows(ways ...relay.Direction) int { return n.relay.DropFlows(ways...) }
 
-// Up says whether the entry runs.
-func (n *EntryNode) Up() bool {
+// Running says whether the entry runs.
+func (n *EntryNode) Running() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.now != nil
@@ -154,8 +154,8 @@
 // Client returns a client of this entry as it runs now.
 func (n *EntryNode) Client() *api.Client { return api.NewClient(n.URL(), nil) }
 
-// Stats are those of the service's planner, if this entry holds the duty.
-func (n *EntryNode) Stats(service string) (scheduler.Stats, bool) {
+// PlannerStats are those of the service's planner, if this entry holds the duty.
+func (n *EntryNode) PlannerStats(service string) (scheduler.Stats, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.now == nil {
--- a/trial/faults.go
+++ b/trial/faults.go
@@ -14,39 +14,39 @@
 // Fault is one failure, or its end, at a time of a run.
 type Fault struct {
 	// At is a share of the run's duration.
-	At   float64
-	Name string
-	Do   func(ctx context.Context, c *Cluster) error
+	At     float64
+	Name   string
+	Inject func(ctx context.Context, c *Cluster) error
 }
 
 // stopLimit bounds the planned stop of an agent during a run.
 const stopLimit = 20 * time.Second
 
-// Faults is the schedule of a run with faults: each kind of failure once, and
+// FaultSchedule is the schedule of a run with faults: each kind of failure once, and
 // some of them while another one lasts.
-func Faults(document []byte) []Fault {
+func FaultSchedule(document []byte) []Fault {
 	changed := append(slices.Clone(document), "\n# changed during the run\n"...)
 	return []Fault{
 		{0.10, "replies of the store lost", onStore(store.Faults{LoseReplies: 5})},
 		{0.15, "document changed", func(ctx context.Context, c *Cluster) error {
-			_, err := c.Put(ctx, changed, 1)
+			_, err := c.PutDocument(ctx, changed, 1)
 			return err
 		}},
 		{0.20, "agent killed", func(_ context.Context, c *Cluster) error {
-			c.Workers[1].Kill()
+			c.Workers[1].KillAgent()
 			return nil
 		}},
 		{0.25, "connections of an entry silent", func(_ context.Context, c *Cluster) error {
-			c.Entries[0].SilenceFlows()
+			c.Entries[0].DropAllFlows()
 			return nil
 		}},
-		{0.30, "agent started again", func(_ context.Context, c *Cluster) error { return c.Workers[1].Start() }},
+		{0.30, "agent started again", func(_ context.Context, c *Cluster) error { return c.Workers[1].StartAgent() }},
 		{0.35, "store out", onStore(store.Faults{Down: store.DownRefuse})},
 		{0.45, "target fails everything", onTarget(2, standin.Faults{FailQuick: true, FailTasks: true})},
 		{0.55, "store back, and loses replies", onStore(store.Faults{LoseReplies: 3})},
 		{0.60, "target well again", onTarget(2, standin.Faults{})},
 		{0.65, "entry killed", func(_ context.Context, c *Cluster) error {
-			n := c.Planner()
+			n := c.PlannerEntry()
 			if n == nil {
 				n = c.Entries[0]
 			}
@@ -62,7 +62,7 @@
 			}
 			return nil
 		}},
-		{0.90, "stopped agent started again", func(_ context.Context, c *Cluster) error { return c.Workers[3].Start() }},
+		{0.90, "stopped agent started again", func(_ context.Context, c *Cluster) error { return c.Workers[3].StartAgent() }},
 	}
 }
 
@@ -86,15 +86,15 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, stopLimit)
 			defer cancel()
-			_ = c.Workers[i].Stop(ctx) // what is cut shows in the audit
+			_ = c.Workers[i].StopAgent(ctx) // what is cut shows in the audit
 		}()
 		return nil
 	}
 }
 
-// Inject carries out the faults over the duration of a run. It returns the first
+// InjectFaults carries out the faults over the duration of a run. It returns the first
 // error, or ctx's.
-func (c *Cluster) Inject(ctx context.Context, faults []Fault, duration time.Duration, log *logrus.Entry) error {
+func (c *Cluster) InjectFaults(ctx context.Context, faults []Fault, duration time.Duration, log *logrus.Entry) error {
 	began := time.Now()
 	for _, f := range faults {
 		at := began.Add(time.Duration(f.At * float64(duration)))
@@ -104,7 +104,7 @@
 		case <-time.After(time.Until(at)):
 		}
 		log.WithField("at", time.Since(began).Round(time.Millisecond)).Info(f.Name)
-		if err := f.Do(ctx, c); err != nil {
+		if err := f.Inject(ctx, c); err != nil {
 			return err
 		}
 	}
--- a/trial/helpers_test.go
+++ b/trial/helpers_test.go
@@ -109,7 +109,7 @@
 	c := qt.New(t)
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	c.Cleanup(cancel)
-	o := trial.Options{Document: []byte(documentText), ReportEvery: 200 * time.Millisecond}
+	o := trial.Options{Document: []byte(documentText), ReportPeriod: 200 * time.Millisecond}
 	if change != nil {
 		change(&o)
 	}
@@ -122,7 +122,7 @@
 // eventually waits until try says nothing is missing.
 func (w *world) eventually(try func() error) {
 	w.Helper()
-	err := trial.Poll(w.ctx, func(context.Context) error { return try() })
+	err := trial.WaitFor(w.ctx, func(context.Context) error { return try() })
 	w.Assert(err, qt.IsNil)
 }
 
@@ -259,7 +259,7 @@
 		}
 	}
 	w.Check(whole, qt.Equals, 1, qt.Commentf("%s: whole attempts", tag))
-	w.Check(load.Overlaps(w.Audits()), qt.HasLen, 0)
+	w.Check(load.OverlappingAttempts(w.Audits()), qt.HasLen, 0)
 }
 
 // checkViolations checks that no worker's rule was broken.
--- a/trial/jobs_test.go
+++ b/trial/jobs_test.go
@@ -65,10 +65,10 @@
 	// gang whole and lets it run on; the caller sees one attempt. The job that
 	// waited runs after it.
 	w := start(t, func(o *trial.Options) {
-		o.Relays = true
+		o.UDPRelays = true
 		o.Document = patient // the takeover has to end before isolation does
 	})
-	planner := w.Planner()
+	planner := w.PlannerEntry()
 	other := w.other(planner)
 	running := w.submit(other, "big", "running", 24, 6*time.Second)
 	w.job(other, running, api.JobRunning)
@@ -86,7 +86,7 @@
 	// The entry with the planner duty is stopped as planned while a gang runs. It
 	// hands the duty over; the gang runs on and the next job starts.
 	w := start(t, func(o *trial.Options) { o.Document = patient })
-	planner := w.Planner()
+	planner := w.PlannerEntry()
 	other := w.other(planner)
 	running := w.submit(other, "big", "running", 16, 3*time.Second)
 	w.job(other, running, api.JobRunning)
@@ -107,7 +107,7 @@
 	job := w.submit(0, "big", "gang", 16, 8*time.Second)
 	placed := w.job(0, job, api.JobRunning).Placement
 	w.Assert(placed, qt.HasLen, 2)
-	w.worker(placed[0].Agent).Fail()
+	w.worker(placed[0].Agent).KillInstance()
 
 	s := w.job(0, job, api.JobDone)
 	w.Check(s.Attempt > 1, qt.IsTrue)
@@ -122,7 +122,7 @@
 	// New entries start with nothing but the store and the agents' reports. Every
 	// accepted job ends, each done by exactly one whole attempt.
 	w := start(t, func(o *trial.Options) {
-		o.Relays = true
+		o.UDPRelays = true
 		o.Document = patient
 	})
 	ids := make(map[string]string)
--- a/trial/once_test.go
+++ b/trial/once_test.go
@@ -15,7 +15,7 @@
 	// A caller books cargo space. While the target works, the entry's instance
 	// dies and the caller sees its connection break. It repeats the booking with
 	// the same key through the other entry and gets the answer of the one run.
-	w := start(t, func(o *trial.Options) { o.Relays = true })
+	w := start(t, func(o *trial.Options) { o.UDPRelays = true })
 	first := w.send(0, "booking", "book", "k1", 1500*time.Millisecond)
 	w.whereItRuns("book")
 	w.Entries[0].Kill()
@@ -34,8 +34,8 @@
 	w := start(t, nil)
 	first := w.send(0, "booking", "book", "k1", 1500*time.Millisecond)
 	worker := w.whereItRuns("book")
-	worker.Kill()
-	w.Assert(worker.Start(), qt.IsNil)
+	worker.KillAgent()
+	w.Assert(worker.StartAgent(), qt.IsNil)
 
 	w.Check((<-first).Outcome, qt.Equals, api.OutcomeUnknown)
 	for i := range w.Entries {
@@ -54,7 +54,7 @@
 	worker := w.whereItRuns("book")
 	check := w.send(0, "check", "check", "", time.Second)
 	w.whereItRuns("check")
-	worker.Kill()
+	worker.KillAgent()
 
 	w.Check((<-booking).Outcome, qt.Equals, api.OutcomeUnknown)
 	w.checkDone(<-check, "check")
--- a/trial/options.go
+++ b/trial/options.go
@@ -13,7 +13,7 @@
 // Defaults of Options.
 const (
 	DefaultEntries       = 2
-	DefaultReportEvery   = time.Second
+	DefaultReportPeriod  = time.Second
 	DefaultStoreTimeout  = time.Second
 	DefaultDrainDelay    = 100 * time.Millisecond
 	defaultWorkersInRack = 3
@@ -27,14 +27,14 @@
 	// Workers is how many workers there are where the document has no topology.
 	Workers int
 	Entries int
-	// Relays puts a UDP relay before each entry, which SilenceFlows and a silent
+	// UDPRelays puts a UDP relay before each entry, which SilenceFlows and a silent
 	// death of the entry need. Each packet then takes one hop more.
-	Relays bool
+	UDPRelays bool
 	// Target are the options of the workers' stand-ins; Name, Slots, Connections
 	// and Accelerators are set by the Cluster.
 	Target standin.Options
 
-	ReportEvery  time.Duration
+	ReportPeriod time.Duration
 	StoreTimeout time.Duration
 	DrainDelay   time.Duration
 
@@ -45,7 +45,7 @@
 func (o Options) withDefaults() Options {
 	o.Entries = cmp.Or(o.Entries, DefaultEntries)
 	o.Workers = cmp.Or(o.Workers, defaultWorkersInRack)
-	o.ReportEvery = cmp.Or(o.ReportEvery, DefaultReportEvery)
+	o.ReportPeriod = cmp.Or(o.ReportPeriod, DefaultReportPeriod)
 	o.StoreTimeout = cmp.Or(o.StoreTimeout, DefaultStoreTimeout)
 	o.DrainDelay = cmp.Or(o.DrainDelay, DefaultDrainDelay)
 	if o.Log == nil {
--- a/trial/permits_test.go
+++ b/trial/permits_test.go
@@ -37,7 +37,7 @@
 	// It finds the job with the agents and lets it run on: it is not started again.
 	w := start(t, func(o *trial.Options) { o.Document = patient })
 	_, waits := w.waitForPermit()
-	planner := w.Planner()
+	planner := w.PlannerEntry()
 	other := w.other(planner)
 	w.Store.SetFaults(store.Faults{Down: store.DownRefuse})
 	w.eventually(func() error {
--- a/trial/quick_test.go
+++ b/trial/quick_test.go
@@ -123,12 +123,12 @@
 	others := w.stream("check", 5*time.Millisecond)
 	slow := w.send(0, "check", "slow", "", time.Second)
 	leaving := w.whereItRuns("slow")
-	w.Assert(leaving.Drain(), qt.IsNil)
+	w.Assert(leaving.DrainAgent(), qt.IsNil)
 	for i := range 40 {
 		tag := fmt.Sprintf("after-%d", i)
 		w.checkDone(w.request(i%2, "check", tag, "", time.Millisecond), tag)
 	}
-	w.Assert(leaving.Stop(w.ctx), qt.IsNil)
+	w.Assert(leaving.StopAgent(w.ctx), qt.IsNil)
 	w.checkDone(<-slow, "slow")
 	w.checkDone(w.request(0, "check", "gone", "", time.Second), "gone")
 	w.checkAllDone(others.stop())
@@ -143,11 +143,11 @@
 	// Something between agents and entries loses track of all open connections:
 	// they are silent for good, and neither end is told. New ones work. Requests go
 	// on, those that were under way too, because they may run twice.
-	w := start(t, func(o *trial.Options) { o.Relays = true })
+	w := start(t, func(o *trial.Options) { o.UDPRelays = true })
 	others := w.stream("check", 5*time.Millisecond)
 	for _, n := range w.Entries {
 		w.whereItRuns("check-0-0")
-		w.Check(n.SilenceFlows() > 0, qt.IsTrue)
+		w.Check(n.DropAllFlows() > 0, qt.IsTrue)
 		w.checkDone(w.request(0, "check", "one-"+n.ID, "", 2*time.Second), "one-"+n.ID)
 		w.checkDone(w.request(1, "check", "two-"+n.ID, "", 2*time.Second), "two-"+n.ID)
 	}
@@ -170,7 +170,7 @@
 	// Requests go to other targets. That none of them waits for the new connection
 	// is TestDeadAgentIsNotWaitedFor's of package entry.
 	w := start(t, nil)
-	w.Workers[0].Kill()
+	w.Workers[0].KillAgent()
 	for i := range 20 {
 		tag := fmt.Sprintf("check-%d", i)
 		w.checkDone(w.request(i%2, "check", tag, "", 0), tag)
@@ -181,11 +181,11 @@
 	// Callers ask at the same time for answers of different sizes, from targets of
 	// which one is slow and answers out of order, while connections go silent.
 	// Each gets the whole answer to its own request, or none.
-	w := start(t, func(o *trial.Options) { o.Relays = true })
+	w := start(t, func(o *trial.Options) { o.UDPRelays = true })
 	w.Workers[1].Target.SetFaults(standin.Faults{SlowFactor: 10})
 	others := w.stream("own", 3*time.Millisecond)
 	w.checkDone(w.request(0, "check", "wait", "", 500*time.Millisecond), "wait")
-	w.Entries[0].SilenceFlows()
+	w.Entries[0].DropAllFlows()
 	w.checkDone(w.request(1, "check", "wait-2", "", time.Second), "wait-2")
 	for tag, a := range others.stop() {
 		if a.Outcome == api.OutcomeDone {
@@ -197,7 +197,7 @@
 func TestFreshEntryIsReadyOnlyWithTargets(t *testing.T) {
 	// An entry's instance is replaced. The balancer sends requests as soon as the
 	// entry says that it is ready; none of them is refused for want of a target.
-	w := start(t, func(o *trial.Options) { o.Relays = true })
+	w := start(t, func(o *trial.Options) { o.UDPRelays = true })
 	w.Entries[0].Kill()
 	w.Assert(w.Entries[0].Start(), qt.IsNil)
 	w.eventually(func() error { return w.Entries[0].Client().Ready(w.ctx) })
--- a/trial/reclaim.go
+++ b/trial/reclaim.go
@@ -43,11 +43,11 @@
 
 var errNoBorrowers = errors.New("trial: the document has no class that may borrow")
 
-// Reclaim fills the idle cluster with work that borrows, and then lets every
+// MeasureReclaim fills the idle cluster with work that borrows, and then lets every
 // other client account claim its largest guaranteed shape, one after the other.
 // The result tells of all jobs made, for the audit.
-func (c *Cluster) Reclaim(ctx context.Context, doc *document.Document) ([]load.ReclaimSample, load.Result, error) {
-	r := &reclaimer{c: c, doc: doc, result: load.Result{Plan: "reclaim", Service: c.Service, Began: time.Now()}}
+func (c *Cluster) MeasureReclaim(ctx context.Context, doc *document.Document) ([]load.ReclaimSample, load.Result, error) {
+	r := &reclaimer{c: c, doc: doc, result: load.Result{Plan: "reclaim", Service: c.Service, StartedAt: time.Now()}}
 	for i := range doc.Classes {
 		if doc.Classes[i].MayBorrow && r.class == nil {
 			r.class = &doc.Classes[i]
@@ -112,8 +112,8 @@
 
 func (r *reclaimer) settle(ctx context.Context) error {
 	free, since := -1, time.Now()
-	return Poll(ctx, func(context.Context) error {
-		s, ok := r.c.Stats()
+	return WaitFor(ctx, func(context.Context) error {
+		s, ok := r.c.PlannerStats()
 		if !ok || s.Free != free {
 			free, since = s.Free, time.Now()
 		}
@@ -165,9 +165,9 @@
 	limited, cancel := context.WithTimeout(ctx, claimLimit)
 	defer cancel()
 	status, err := r.final(limited, r.result.Jobs[n].ID)
-	sample := load.ReclaimSample{Account: a.Name, Took: claimLimit}
+	sample := load.ReclaimSample{Account: a.Name, StartDelay: claimLimit}
 	if err == nil && status.State == api.JobDone {
-		sample.Took = r.started(r.result.Jobs[n].Tag).Sub(r.result.Jobs[n].Scheduled)
+		sample.StartDelay = r.started(r.result.Jobs[n].Tag).Sub(r.result.Jobs[n].Scheduled)
 		sample.Honoured = true
 	}
 	return sample, ctx.Err()
@@ -188,7 +188,7 @@
 
 func (r *reclaimer) final(ctx context.Context, id string) (api.JobStatus, error) {
 	var s api.JobStatus
-	err := Poll(ctx, func(ctx context.Context) error {
+	err := WaitFor(ctx, func(ctx context.Context) error {
 		var err error
 		s, err = r.c.Entries[0].Client().Job(ctx, r.c.Service, id, 0)
 		if err == nil && !s.State.Final() {
@@ -214,7 +214,7 @@
 		if err != nil {
 			return err
 		}
-		j.CancelAsked = true
+		j.CancelRequested = true
 		j.State, j.Reason, j.Attempt, j.Result = s.State, s.Reason, s.Attempt, s.Result
 	}
 	return nil
--- a/trial/run.go
+++ b/trial/run.go
@@ -17,14 +17,14 @@
 	Plan     load.Plan
 	// Faults injects failures during the load.
 	Faults bool
-	// Log names each fault as it is injected.
-	Log *logrus.Entry
+	// FaultLog names each fault as it is injected.
+	FaultLog *logrus.Entry
 	// ProcessLog takes the lines of the processes; discarded by default.
 	ProcessLog *logrus.Entry
 }
 
-// Outcome is what a run showed.
-type Outcome struct {
+// RunResult is what a run showed.
+type RunResult struct {
 	Result   load.Result
 	Samples  load.Samples
 	Findings load.Findings
@@ -39,23 +39,23 @@
 
 // Run runs one service on its plan in a cluster of its own, measures it, claims
 // its guarantees and audits all of it.
-func Run(ctx context.Context, o RunOptions) (Outcome, error) {
+func Run(ctx context.Context, o RunOptions) (RunResult, error) {
 	doc, err := document.Parse("trial", o.Document)
 	if err != nil {
-		return Outcome{}, err
+		return RunResult{}, err
 	}
 	c, err := startFor(ctx, o)
 	if err != nil {
-		return Outcome{}, err
+		return RunResult{}, err
 	}
 	defer c.Close()
-	var out Outcome
+	var out RunResult
 	if err := c.underLoad(ctx, o, &out); err != nil {
 		return out, err
 	}
 	reclaim, cancel := context.WithTimeout(ctx, reclaimLimit)
 	defer cancel()
-	samples, claims, err := c.Reclaim(reclaim, doc)
+	samples, claims, err := c.MeasureReclaim(reclaim, doc)
 	if err != nil {
 		return out, err
 	}
@@ -69,11 +69,11 @@
 func startFor(ctx context.Context, o RunOptions) (*Cluster, error) {
 	ctx, cancel := context.WithTimeout(ctx, startLimit)
 	defer cancel()
-	return New(ctx, Options{Document: o.Document, Relays: o.Faults, Log: o.ProcessLog})
+	return New(ctx, Options{Document: o.Document, UDPRelays: o.Faults, Log: o.ProcessLog})
 }
 
 // underLoad makes the load, with samples and faults beside it.
-func (c *Cluster) underLoad(ctx context.Context, o RunOptions, out *Outcome) error {
+func (c *Cluster) underLoad(ctx context.Context, o RunOptions, out *RunResult) error {
 	sampling, stop := context.WithCancel(ctx)
 	defer stop()
 	var group errgroup.Group
@@ -83,7 +83,7 @@
 	})
 	if o.Faults {
 		group.Go(func() error {
-			return c.Inject(ctx, Faults(o.Document), time.Duration(o.Plan.Duration), o.Log)
+			return c.InjectFaults(ctx, FaultSchedule(o.Document), time.Duration(o.Plan.Duration), o.FaultLog)
 		})
 	}
 	result, err := load.Run(ctx, o.Plan, c.URLs())
--- a/trial/sampler.go
+++ b/trial/sampler.go
@@ -24,12 +24,12 @@
 		case <-ctx.Done():
 			return list
 		case now := <-ticker.C:
-			if s, ok := c.Stats(); ok {
+			if s, ok := c.PlannerStats(); ok {
 				list = append(list, load.FragmentationSample{
-					At:       now.Sub(began),
-					Free:     s.Free,
-					Stranded: int(math.Round(s.Fragmentation)),
-					Waiting:  waiting(s),
+					At:                   now.Sub(began),
+					FreeAccelerators:     s.Free,
+					StrandedAccelerators: int(math.Round(s.Fragmentation)),
+					WaitingJobs:          waiting(s),
 				})
 			}
 		}
--- a/trial/silent_test.go
+++ b/trial/silent_test.go
@@ -19,16 +19,16 @@
 	// answers are lost. Neither end is told. Requests whose callers hear of no answer
 	// are answered when they are repeated, a booking runs once and its caller gets that
 	// run's answer, and a gang runs on.
-	for name, way := range map[string]relay.Direction{"requests lost": relay.Down, "answers lost": relay.Up} {
+	for name, way := range map[string]relay.Direction{"requests lost": relay.FromUpstream, "answers lost": relay.ToUpstream} {
 		t.Run(name, func(t *testing.T) {
 			w := start(t, func(o *trial.Options) {
-				o.Relays = true
+				o.UDPRelays = true
 				o.Document = patient
 			})
 			gang := w.submit(0, "big", "gang", 16, 2*time.Second)
 			w.job(0, gang, api.JobRunning)
 			for _, n := range w.Entries {
-				w.Check(n.LoseFlows(way) > 0, qt.IsTrue)
+				w.Check(n.DropFlows(way) > 0, qt.IsTrue)
 			}
 			answers := make(map[string]<-chan told)
 			for i := range 8 {
--- a/trial/together_test.go
+++ b/trial/together_test.go
@@ -21,8 +21,8 @@
 	// nothing starts, and quick requests go on. When the store is back the other
 	// entry takes over: the gang runs again, whole, the end of the job that went on
 	// is found with its agent, and what waited runs.
-	w := start(t, func(o *trial.Options) { o.Relays = true })
-	planner := w.Planner()
+	w := start(t, func(o *trial.Options) { o.UDPRelays = true })
+	planner := w.PlannerEntry()
 	other := w.other(planner)
 	gang := w.submit(other, "big", "gang", 16, 8*time.Second)
 	one := w.submit(other, "big", "one", 8, 5*time.Second)
@@ -59,7 +59,7 @@
 	// replies, and while the entry asks what became of them it dies. The callers see
 	// their connections break and submit again through the other entry, twice. Each
 	// gets one job, which runs once.
-	w := start(t, func(o *trial.Options) { o.Relays = true })
+	w := start(t, func(o *trial.Options) { o.UDPRelays = true })
 	const n = 6
 	before := w.Store.Counters().Txn
 	w.Store.SetFaults(store.Faults{DelayMillis: 200, LoseReplies: 3})
@@ -103,12 +103,12 @@
 	}
 	w.whereItRuns("book-0")
 	for _, worker := range w.Workers {
-		worker.Kill()
+		worker.KillAgent()
 	}
 	for _, worker := range w.Workers {
-		w.Assert(worker.Start(), qt.IsNil)
+		w.Assert(worker.StartAgent(), qt.IsNil)
 	}
-	w.Assert(w.WaitInForce(w.ctx, 1), qt.IsNil)
+	w.Assert(w.WaitForDocument(w.ctx, 1), qt.IsNil)
 	for tag, answer := range bookings {
 		a := <-answer
 		runs, _ := w.runs(tag)
@@ -162,14 +162,14 @@
 	dying := w.worker(placed[0].Agent)
 	w.eventually(func() error { return unless(dying.Target.HeldStarts() > 0, "no start has arrived") })
 	earlier := dying.Target.AgentIncarnation()
-	dying.Kill()
-	w.Assert(dying.Start(), qt.IsNil)
+	dying.KillAgent()
+	w.Assert(dying.StartAgent(), qt.IsNil)
 	// What arrives before the agent has asked for its target's tasks is in the list, and
 	// adopted.
 	w.eventually(func() error {
 		return unless(dying.Target.AgentIncarnation() > earlier, "the agent has not asked its target")
 	})
-	w.Assert(w.WaitInForce(w.ctx, 1), qt.IsNil)
+	w.Assert(w.WaitForDocument(w.ctx, 1), qt.IsNil)
 	for _, worker := range w.Workers {
 		worker.Target.SetFaults(standin.Faults{})
 	}
--- a/trial/wait.go
+++ b/trial/wait.go
@@ -8,9 +8,9 @@
 	"github.com/eelgrasshub/eelgrasshub/api"
 )
 
-// Poll tries until try succeeds or ctx ends; the error then says why the last
+// WaitFor tries until try succeeds or ctx ends; the error then says why the last
 // try failed.
-func Poll(ctx context.Context, try func(context.Context) error) error {
+func WaitFor(ctx context.Context, try func(context.Context) error) error {
 	for {
 		err := try(ctx)
 		if err == nil {
@@ -38,7 +38,7 @@
 	}
 	for _, w := range c.Workers {
 		m := members[w.ID]
-		if w.Up() && (m.State != "alive" || m.Generation < generation) {
+		if w.AgentRunning() && (m.State != "alive" || m.Generation < generation) {
 			return fmt.Errorf("%s sees %s in state %q with generation %d, not %d", s.ID, w.ID, m.State, m.Generation, generation)
 		}
 	}
--- a/trial/worker.go
+++ b/trial/worker.go
@@ -54,15 +54,15 @@
 		Connections:  standin.DefaultConnections,
 		Cores:        standin.DefaultCores,
 		MemoryMB:     standin.DefaultMemoryMB,
-		ReportEvery:  schema.Duration{Duration: o.ReportEvery},
+		ReportEvery:  schema.Duration{Duration: o.ReportPeriod},
 		StopGrace:    schema.Duration{Duration: time.Minute},
 	}
 	return w, nil
 }
 
-// Start starts the agent, also again after it has ended: a new incarnation,
+// StartAgent starts the agent, also again after it has ended: a new incarnation,
 // which knows nothing of the earlier one.
-func (w *Worker) Start() error {
+func (w *Worker) StartAgent() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.now != nil {
@@ -76,9 +76,9 @@
 	return nil
 }
 
-// Kill ends the agent at once, without draining or a goodbye. Its connections
+// KillAgent ends the agent at once, without draining or a goodbye. Its connections
 // are closed, as those of a killed process are. The target runs on.
-func (w *Worker) Kill() {
+func (w *Worker) KillAgent() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.now != nil {
@@ -87,16 +87,16 @@
 	}
 }
 
-// Fail ends the whole instance: agent, target and all that runs there, for good.
-func (w *Worker) Fail() {
-	w.Kill()
+// KillInstance ends the whole instance: agent, target and all that runs there, for good.
+func (w *Worker) KillInstance() {
+	w.KillAgent()
 	_ = w.server.Close()
 	w.Target.Close()
 }
 
-// Stop is a planned stop of the agent. It returns an error if work in progress
+// StopAgent is a planned stop of the agent. It returns an error if work in progress
 // was left behind.
-func (w *Worker) Stop(ctx context.Context) error {
+func (w *Worker) StopAgent(ctx context.Context) error {
 	w.mu.Lock()
 	a := w.now
 	w.now = nil
@@ -107,22 +107,22 @@
 	return a.Stop(ctx)
 }
 
-// Drain lets the agent refuse new work and run on.
-func (w *Worker) Drain() error {
+// DrainAgent lets the agent refuse new work and run on.
+func (w *Worker) DrainAgent() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.now == nil {
-		return ErrDown
+		return ErrNotRunning
 	}
 	w.now.Drain()
 	return nil
 }
 
-// Up says whether the agent runs.
-func (w *Worker) Up() bool {
+// AgentRunning says whether the agent runs.
+func (w *Worker) AgentRunning() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.now != nil
 }
 
-func (w *Worker) close() { w.Fail() }
+func (w *Worker) close() { w.KillInstance() }
--- a/wire/drain_test.go
+++ b/wire/drain_test.go
@@ -75,7 +75,7 @@
 		answered <- err
 	}()
 	await(c, running)
-	path.Mute(relay.Down, true)
+	path.BlockDirection(relay.FromUpstream, true)
 	close(release)
 	drained := make(chan error, 1)
 	go func() { drained <- server.Drain(context.Background()) }()
@@ -83,14 +83,14 @@
 	sent := make(chan struct{})
 	go func() {
 		defer close(sent)
-		awaitDropped(c, path, relay.Down, repeated)
+		awaitDropped(c, path, relay.FromUpstream, repeated)
 	}()
 	select {
 	case <-drained:
 		c.Error("drained before the reply had arrived")
 	case <-sent:
 	}
-	path.Mute(relay.Down, false)
+	path.BlockDirection(relay.FromUpstream, false)
 	c.Assert(await(c, answered), qt.IsNil)
 	c.Assert(await(c, drained), qt.IsNil)
 }
--- a/wire/pool_test.go
+++ b/wire/pool_test.go
@@ -50,7 +50,7 @@
 		lost <- err
 	}()
 	await(c, arrived)
-	path.Lose(relay.Both...)
+	path.DropFlows(relay.BothDirections...)
 	await(c, first.Suspected())
 	reply, err := pool.Call(within(c, 20*time.Second), path.Addr(), GangMessage{Payload: []byte("x")})
 	c.Assert(err, qt.IsNil)
@@ -68,7 +68,7 @@
 	server := open(c, "agent", Config{}, echo)
 	path := startRelay(c, server.Addr())
 	conn := dial(c, open(c, "entry", Config{}, echo), path.Addr())
-	path.Lose(relay.Both...)
+	path.DropFlows(relay.BothDirections...)
 	// Callers give up once the connection has sent what it may and sent it again.
 	giveUp := func(size int) error {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -77,7 +77,7 @@
 			_, err := conn.Call(ctx, GangMessage{Payload: make([]byte, size)})
 			ended <- err
 		}()
-		awaitDropped(c, path, relay.Up, repeated)
+		awaitDropped(c, path, relay.ToUpstream, repeated)
 		cancel()
 		return await(c, ended)
 	}
