--- a/wire/drain_test.go
+++ b/wire/drain_test.go
@@ -73,7 +73,7 @@
 		answered <- err
 	}()
 	await(c, running)
-	proxy.Mute(relay.Down, true)
+	proxy.BlockDirection(relay.FromUpstream, true)
 	close(release)
 	drained := make(chan error, 1)
 	go func() { drained <- server.Drain(context.Background()) }()
@@ -81,14 +81,14 @@
 	retransmitted := make(chan struct{})
 	go func() {
 		defer close(retransmitted)
-		awaitDroppedDatagrams(c, proxy, relay.Down, retransmissions)
+		awaitDroppedDatagrams(c, proxy, relay.FromUpstream, retransmissions)
 	}()
 	select {
 	case <-drained:
 		c.Error("drained before the reply had arrived")
 	case <-retransmitted:
 	}
-	proxy.Mute(relay.Down, false)
+	proxy.BlockDirection(relay.FromUpstream, false)
 	c.Assert(await(c, answered), qt.IsNil)
 	c.Assert(await(c, drained), qt.IsNil)
 }
--- a/wire/pool_test.go
+++ b/wire/pool_test.go
@@ -48,7 +48,7 @@
 		callErr <- err
 	}()
 	await(c, arrived)
-	proxy.Lose(relay.Both...)
+	proxy.DropFlows(relay.BothDirections...)
 	await(c, first.Suspected())
 	reply, err := pool.Call(contextWithTimeout(c, 20*time.Second), proxy.Addr(), GangMessage{Payload: []byte("x")})
 	c.Assert(err, qt.IsNil)
@@ -65,7 +65,7 @@
 	server := openEndpoint(c, "agent", Config{}, echo)
 	proxy := startRelay(c, server.Addr())
 	conn := dial(c, openEndpoint(c, "entry", Config{}, echo), proxy.Addr())
-	proxy.Lose(relay.Both...)
+	proxy.DropFlows(relay.BothDirections...)
 	// The call is cancelled once the connection has sent all it may and retransmitted
 	// it.
 	callAndCancel := func(size int) error {
@@ -75,7 +75,7 @@
 			_, err := conn.Call(ctx, GangMessage{Payload: make([]byte, size)})
 			ended <- err
 		}()
-		awaitDroppedDatagrams(c, proxy, relay.Up, retransmissions)
+		awaitDroppedDatagrams(c, proxy, relay.ToUpstream, retransmissions)
 		cancel()
 		return await(c, ended)
 	}
