--- a/agent/agent.go
+++ b/agent/agent.go
@@ -23,19 +23,19 @@
 // age is far below the life of an idempotency key's claim, which its safety
 // needs; see attempts.TableConfig.
 const (
-	attemptEntries = 65536
-	attemptBytes   = 32 << 20
-	attemptMaxAge  = 5 * time.Minute
-	clockSkew      = time.Minute
+	maxAttemptEntries     = 65536
+	maxAttemptAnswerBytes = 32 << 20
+	maxAttemptAge         = 5 * time.Minute
+	maxClockSkew          = time.Minute
 )
 
-// defaultIsolation holds until a document is in force: shorter than any loss
+// defaultIsolationTimeout holds until a document is in force: shorter than any loss
 // timeout a document may name would make gangs stop needlessly, longer would let
 // them run on beside their successors. It is the document's own default.
-const defaultIsolation = 10 * time.Second
+const defaultIsolationTimeout = 10 * time.Second
 
-// reportCoalesce is the least time between two reports to one entry.
-const reportCoalesce = 20 * time.Millisecond
+// reportCoalesceDelay is the least time between two reports to one entry.
+const reportCoalesceDelay = 20 * time.Millisecond
 
 // Agent is one running agent. Its methods are safe for concurrent use.
 type Agent struct {
@@ -43,55 +43,55 @@
 	log         *logrus.Entry
 	incarnation uint64
 
-	t        tomb.Tomb
-	ep       *wire.Endpoint
-	pool     *wire.Pool
-	target   *target.Client
-	quick    *quick
-	gangs    *gangs
-	docs     *document.ActiveSet
-	reports  *reports
-	metrics  *metrics.Set
-	draining atomic.Bool
+	tomb          tomb.Tomb
+	endpoint      *wire.Endpoint
+	pool          *wire.Pool
+	targetClient  *target.Client
+	quickExecutor *quickExecutor
+	gangRunner    *gangRunner
+	documents     *document.ActiveSet
+	reporter      *reporter
+	metrics       *metrics.Set
+	draining      atomic.Bool
 }
 
 // Start starts an agent. Stop or Close ends it.
 func Start(cfg settings.Agent, log *logrus.Entry) (*Agent, error) {
 	a := &Agent{
-		cfg:         cfg,
-		log:         log.WithField("agent", cfg.ID),
-		incarnation: uint64(time.Now().UnixNano()),
-		target:      target.NewClient(target.Options{BaseURL: cfg.Target, MaxConns: cfg.Connections}),
-		metrics:     metrics.New(0),
+		cfg:          cfg,
+		log:          log.WithField("agent", cfg.ID),
+		incarnation:  uint64(time.Now().UnixNano()),
+		targetClient: target.NewClient(target.Options{BaseURL: cfg.Target, MaxConns: cfg.Connections}),
+		metrics:      metrics.New(0),
 	}
-	a.docs = document.NewActiveSet(a.documentChanged)
-	a.quick = a.newQuick()
-	a.gangs = a.newGangs()
-	a.reports = newReports(a)
+	a.documents = document.NewActiveSet(a.documentChanged)
+	a.quickExecutor = a.newQuickExecutor()
+	a.gangRunner = a.newGangRunner()
+	a.reporter = newReporter(a)
 	if err := a.listen(); err != nil {
 		return nil, err
 	}
-	a.gauges()
-	a.t.Go(func() error {
-		a.gangs.start()
-		a.t.Go(a.announce)
+	a.registerGauges()
+	a.tomb.Go(func() error {
+		a.gangRunner.start()
+		a.tomb.Go(a.startReporting)
 		return nil
 	})
-	a.log.WithFields(logrus.Fields{"address": a.ep.Addr(), "incarnation": a.incarnation}).Info("agent started")
+	a.log.WithFields(logrus.Fields{"address": a.endpoint.Addr(), "incarnation": a.incarnation}).Info("agent started")
 	return a, nil
 }
 
-// announce begins to report once the target's tasks are known.
+// startReporting begins to report once the target's tasks are known.
 //
 // The failure this guards against: a restarted agent reports before it has asked its
 // target what runs there. A report of a new incarnation that lists no task is the
 // proof that the tasks of the earlier one are gone, so the planner gives up a gang
 // that runs on, and starts its job again or tells its caller that nothing is known.
-func (a *Agent) announce() error {
+func (a *Agent) startReporting() error {
 	select {
-	case <-a.gangs.adopted:
-		a.reports.start()
-	case <-a.t.Dying():
+	case <-a.gangRunner.tasksRecovered:
+		a.reporter.start()
+	case <-a.tomb.Dying():
 	}
 	return nil
 }
@@ -110,55 +110,55 @@
 	if err != nil {
 		return err
 	}
-	a.ep, err = wire.Listen(a.cfg.Listen, id, wire.HandlerFunc(a.handle))
+	a.endpoint, err = wire.Listen(a.cfg.Listen, id, wire.HandlerFunc(a.handle))
 	if err != nil {
 		return err
 	}
-	a.pool = wire.NewPool(a.ep)
+	a.pool = wire.NewPool(a.endpoint)
 	return nil
 }
 
-func (a *Agent) newQuick() *quick {
-	return &quick{
-		gate:    newGate(admission.Options{Slots: a.cfg.Slots}),
-		target:  a.target,
-		weights: a.weight,
-		table: attempts.NewTable(attempts.TableConfig{
+func (a *Agent) newQuickExecutor() *quickExecutor {
+	return &quickExecutor{
+		gate:          newAdmissionGate(admission.Options{Slots: a.cfg.Slots}),
+		targetClient:  a.targetClient,
+		accountWeight: a.accountWeight,
+		attempts: attempts.NewTable(attempts.TableConfig{
 			Incarnation:    a.incarnation,
-			MaxEntries:     attemptEntries,
-			MaxAnswerBytes: attemptBytes,
-			MaxAge:         attemptMaxAge,
-			MaxClockSkew:   clockSkew,
+			MaxEntries:     maxAttemptEntries,
+			MaxAnswerBytes: maxAttemptAnswerBytes,
+			MaxAge:         maxAttemptAge,
+			MaxClockSkew:   maxClockSkew,
 		}),
-		running: make(map[attempts.ID]chan struct{}),
-		observe: a.metrics.Observe,
-		now:     time.Now,
+		runningAttempts: make(map[attempts.ID]chan struct{}),
+		observeDuration: a.metrics.Observe,
+		now:             time.Now,
 	}
 }
 
-func (a *Agent) newGangs() *gangs {
-	return &gangs{
-		t:      &a.t,
-		log:    a.log,
-		target: a.target,
-		work:   make(chan func(), memberQueue),
+func (a *Agent) newGangRunner() *gangRunner {
+	return &gangRunner{
+		tomb:         &a.tomb,
+		log:          a.log,
+		targetClient: a.targetClient,
+		events:       make(chan func(), memberQueueSize),
 
-		adopted:     make(chan struct{}),
-		incarnation: a.incarnation,
+		tasksRecovered: make(chan struct{}),
+		incarnation:    a.incarnation,
 
 		member: gang.NewMember(gang.MemberConfig{
 			Accelerators:     a.cfg.Accelerators,
 			Incarnation:      a.incarnation,
-			IsolationTimeout: defaultIsolation,
+			IsolationTimeout: defaultIsolationTimeout,
 		}),
-		push:    a.pushReply,
-		changed: func(m *gang.Member) { a.reports.tasks(m.Tasks(), m.Fence(), m.Timestamp()) },
+		pushReply:    a.pushReply,
+		stateChanged: func(m *gang.Member) { a.reporter.setTasks(m.Tasks(), m.Fence(), m.Timestamp()) },
 	}
 }
 
-// weight is the client account's weight by the document in force.
-func (a *Agent) weight(account string) int {
-	held, ok := a.docs.Current(a.cfg.Service)
+// accountWeight is the client account's accountWeight by the document in force.
+func (a *Agent) accountWeight(account string) int {
+	held, ok := a.documents.Current(a.cfg.Service)
 	if !ok {
 		return 1
 	}
@@ -175,10 +175,10 @@
 		return
 	}
 	a.log.WithField("generation", now.Version.Generation).Info("document in force")
-	a.quick.gate.event(admissionPolicy(now.Document))
-	a.gangs.setIsolation(now.Document.Gang.IsolationTimeout.Duration)
-	a.reports.generations()
-	a.reports.spread(now)
+	a.quickExecutor.gate.postEvent(admissionPolicy(now.Document))
+	a.gangRunner.setIsolationTimeout(now.Document.Gang.IsolationTimeout.Duration)
+	a.reporter.updateGenerations()
+	a.reporter.pushDocument(now)
 }
 
 // Drain makes the agent refuse new work and tell all entries so.
@@ -187,9 +187,9 @@
 		return
 	}
 	a.log.Info("draining: no new work")
-	a.quick.gate.event(admission.Drain{})
-	a.gangs.event(gang.Drain{})
-	a.reports.drain()
+	a.quickExecutor.gate.postEvent(admission.Drain{})
+	a.gangRunner.postEvent(gang.Drain{})
+	a.reporter.setDraining()
 }
 
 // Stop drains, waits for the work in progress until ctx ends, says goodbye and
@@ -197,47 +197,47 @@
 // tasks then run on at the target under their leases.
 func (a *Agent) Stop(ctx context.Context) error {
 	a.Drain()
-	err := a.idle(ctx)
-	a.reports.goodbye(ctx)
-	if drainErr := a.ep.Drain(ctx); err == nil {
+	err := a.waitIdle(ctx)
+	a.reporter.sendDeparture(ctx)
+	if drainErr := a.endpoint.Drain(ctx); err == nil {
 		err = drainErr
 	}
 	a.Close()
 	return err
 }
 
-// idlePoll is how often a stopping agent looks whether its work has ended.
-const idlePoll = 20 * time.Millisecond
+// idlePollInterval is how often a stopping agent looks whether its work has ended.
+const idlePollInterval = 20 * time.Millisecond
 
-func (a *Agent) idle(ctx context.Context) error {
-	for a.busy(ctx) {
+func (a *Agent) waitIdle(ctx context.Context) error {
+	for a.hasWork(ctx) {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(idlePoll):
+		case <-time.After(idlePollInterval):
 		}
 	}
 	return nil
 }
 
-func (a *Agent) busy(ctx context.Context) bool {
-	running, queued := a.quick.gate.depth()
-	return running+queued > 0 || a.gangs.busy(ctx)
+func (a *Agent) hasWork(ctx context.Context) bool {
+	running, queued := a.quickExecutor.gate.depth()
+	return running+queued > 0 || a.gangRunner.hasActiveTasks(ctx)
 }
 
 // Close ends the agent at once.
 func (a *Agent) Close() {
-	a.t.Kill(nil)
+	a.tomb.Kill(nil)
 	a.pool.Close()
-	_ = a.ep.Close()
-	_ = a.t.Wait()
-	a.quick.gate.stop()
-	a.target.Close()
+	_ = a.endpoint.Close()
+	_ = a.tomb.Wait()
+	a.quickExecutor.gate.stopTimer()
+	a.targetClient.Close()
 	a.log.Info("agent stopped")
 }
 
 // Addr returns the address the agent listens on.
-func (a *Agent) Addr() string { return a.ep.Addr() }
+func (a *Agent) Addr() string { return a.endpoint.Addr() }
 
-// random is the jitter of reports.
-func random() float64 { return rand.Float64() }
+// reportJitter is the jitter of reports.
+func reportJitter() float64 { return rand.Float64() }
--- a/agent/execute_reply.go
+++ b/agent/execute_reply.go
@@ -10,7 +10,7 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-func refused(reason, detail string, after time.Duration) *wire.ExecuteReply {
+func refusedReply(reason, detail string, after time.Duration) *wire.ExecuteReply {
 	return &wire.ExecuteReply{
 		Outcome:    wire.OutcomeRefused,
 		Reason:     reason,
@@ -19,11 +19,11 @@
 	}
 }
 
-func unknown(reason, detail string) *wire.ExecuteReply {
+func unknownReply(reason, detail string) *wire.ExecuteReply {
 	return &wire.ExecuteReply{Outcome: wire.OutcomeUnknown, Reason: reason, Detail: detail}
 }
 
-func decodeAnswer(data []byte) *wire.ExecuteReply {
+func decodeReply(data []byte) *wire.ExecuteReply {
 	var r wire.ExecuteReply
 	if err := cbor.Unmarshal(data, &r); err != nil {
 		panic(eris.Wrap(err, "agent: an answer of our own making can't be read"))
@@ -31,7 +31,7 @@
 	return &r
 }
 
-func headerOf(lines []wire.Header) http.Header {
+func httpHeader(lines []wire.Header) http.Header {
 	h := make(http.Header, len(lines))
 	for _, l := range lines {
 		h.Add(l.Name, l.Value)
--- a/agent/first_report_test.go
+++ b/agent/first_report_test.go
@@ -18,11 +18,11 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-const testKey = "a key for tests only"
+const testClusterKey = "a key for tests only"
 
-// listenEntry is an entry that hands on each report.
-func listenEntry(c *qt.C, reports chan<- wire.AgentReport) string {
-	id, err := wire.NewIdentity(wire.Peer{ID: "entry", Role: wire.RoleEntry}, []byte(testKey))
+// startFakeEntry is an entry that hands on each report.
+func startFakeEntry(c *qt.C, reports chan<- wire.AgentReport) string {
+	id, err := wire.NewIdentity(wire.Peer{ID: "entry", Role: wire.RoleEntry}, []byte(testClusterKey))
 	c.Assert(err, qt.IsNil)
 	ep, err := wire.Listen("127.0.0.1:0", id, wire.HandlerFunc(func(_ context.Context, _ *wire.Conn, msg any) (any, error) {
 		for _, r := range msg.(*wire.Report).Reports {
@@ -39,7 +39,7 @@
 // a report has come, or for so long that one surely would.
 func slowTarget(c *qt.C, reports chan wire.AgentReport) string {
 	running := []target.TaskStatus{{
-		TaskID:       target.TaskID{Job: "j", Attempt: 1<<numberBits | 1},
+		TaskID:       target.TaskID{Job: "j", Attempt: 1<<attemptNumberBits | 1},
 		State:        target.TaskRunning,
 		Members:      2,
 		Accelerators: []int{0},
@@ -65,7 +65,7 @@
 // overtakes the question what runs there lists no task, which proves to the planner
 // that the member is gone: it gives up a gang that runs on. The first report of the
 // new incarnation has to list the task, however late the target answers.
-func TestFirstReportListsTheTargetsTasks(t *testing.T) {
+func TestFirstReportListsTargetTasks(t *testing.T) {
 	c := qt.New(t)
 	reports := make(chan wire.AgentReport, 1000)
 	log := logrus.New()
@@ -74,8 +74,8 @@
 		ID:           "agent",
 		Service:      "s",
 		Listen:       "127.0.0.1:0",
-		Seeds:        []string{listenEntry(c, reports)},
-		ClusterKey:   testKey,
+		Seeds:        []string{startFakeEntry(c, reports)},
+		ClusterKey:   testClusterKey,
 		Target:       slowTarget(c, reports),
 		Accelerators: 8,
 		Slots:        8,
--- a/agent/gang_runner.go
+++ b/agent/gang_runner.go
@@ -15,98 +15,98 @@
 )
 
 const (
-	// taskLease is how long the target runs a task after this agent's last
+	// maxTaskLease is how long the target runs a task after this agent's last
 	// renewal: the time in which accelerators come free when the agent dies.
-	taskLease = 15 * time.Second
-	// renewals is how often a lease is renewed before it could lapse.
-	renewals = 4
-	// adoptRetry is the pause between attempts to list the target's tasks.
-	adoptRetry = 500 * time.Millisecond
-	// adoptEnded is how long ago a task may have ended for a restarted agent to
+	maxTaskLease = 15 * time.Second
+	// renewalsPerLease is how often a lease is renewed before it could lapse.
+	renewalsPerLease = 4
+	// targetRetryInterval is the pause between attempts to list the target's tasks.
+	targetRetryInterval = 500 * time.Millisecond
+	// endedTaskRetention is how long ago a task may have ended for a restarted agent to
 	// report its result: an earlier end has been reported by the earlier life.
-	adoptEnded = time.Hour
-	// memberQueue bounds events that wait for the member's goroutine.
-	memberQueue = 1024
+	endedTaskRetention = time.Hour
+	// memberQueueSize bounds events that wait for the member's goroutine.
+	memberQueueSize = 1024
 )
 
-// gangs runs the gang.Member of this worker. Its loop goroutine alone touches
+// gangRunner runs the gang.Member of this worker. Its loop goroutine alone touches
 // the member; everyone else sends it functions.
-type gangs struct {
-	t      *tomb.Tomb
-	log    *logrus.Entry
-	target *target.Client
-	work   chan func()
-	member *gang.Member
+type gangRunner struct {
+	tomb         *tomb.Tomb
+	log          *logrus.Entry
+	targetClient *target.Client
+	events       chan func()
+	member       *gang.Member
 	// incarnation is the agent's.
 	incarnation uint64
 	timer       *time.Timer
 
-	// adopted is closed once the member knows the target's tasks.
-	adopted chan struct{}
+	// tasksRecovered is closed once the member knows the target's tasks.
+	tasksRecovered chan struct{}
 
-	// replies holds the reply of the Step in progress to the message it handled.
-	reply *gang.Reply
-	// push sends a reply that no message asked for, to the entry it names.
-	push func(to string, r gang.Reply)
-	// changed tells the reporter that the member may no longer be what it
+	// replies holds the currentReply of the Step in progress to the message it handled.
+	currentReply *gang.Reply
+	// pushReply sends a reply that no message asked for, to the entry it names.
+	pushReply func(to string, r gang.Reply)
+	// stateChanged tells the reporter that the member may no longer be what it
 	// reported. It is called on the loop's goroutine.
-	changed func(m *gang.Member)
+	stateChanged func(m *gang.Member)
 }
 
 // start adopts what the target runs and then serves. It returns at once.
-func (g *gangs) start() {
+func (g *gangRunner) start() {
 	g.timer = time.NewTimer(time.Hour)
-	g.t.Go(g.loop)
-	g.t.Go(g.adopt)
+	g.tomb.Go(g.loop)
+	g.tomb.Go(g.recoverTasks)
 }
 
-func (g *gangs) loop() error {
+func (g *gangRunner) loop() error {
 	defer g.timer.Stop()
 	for {
 		select {
-		case <-g.t.Dying():
+		case <-g.tomb.Dying():
 			return nil
-		case f := <-g.work:
+		case f := <-g.events:
 			f()
 		case <-g.timer.C:
-			g.step(gang.Tick{})
+			g.handleEvent(gang.Tick{})
 		}
 	}
 }
 
-// do runs f on the loop's goroutine and waits for it. False: the agent stops.
-func (g *gangs) do(ctx context.Context, f func()) bool {
+// call runs f on the loop's goroutine and waits for it. False: the agent stops.
+func (g *gangRunner) call(ctx context.Context, f func()) bool {
 	done := make(chan struct{})
 	run := func() {
 		f()
 		close(done)
 	}
 	select {
-	case g.work <- run:
+	case g.events <- run:
 	case <-ctx.Done():
 		return false
-	case <-g.t.Dying():
+	case <-g.tomb.Dying():
 		return false
 	}
 	select {
 	case <-done:
 		return true
-	case <-g.t.Dying():
+	case <-g.tomb.Dying():
 		return false
 	}
 }
 
-// event hands an event to the member without waiting for its effects.
-func (g *gangs) event(ev gang.MemberEvent) {
+// postEvent hands an postEvent to the member without waiting for its effects.
+func (g *gangRunner) postEvent(ev gang.MemberEvent) {
 	select {
-	case g.work <- func() { g.step(ev) }:
-	case <-g.t.Dying():
+	case g.events <- func() { g.handleEvent(ev) }:
+	case <-g.tomb.Dying():
 	}
 }
 
-// handle answers one message of a coordinator. A nil reply means that the
+// handleMessage answers one message of a coordinator. A nil reply means that the
 // message could not be read or that the agent stops.
-func (g *gangs) handle(ctx context.Context, from string, m *wire.GangMessage) *gang.Reply {
+func (g *gangRunner) handleMessage(ctx context.Context, from string, m *wire.GangMessage) *gang.Reply {
 	var env gang.Envelope
 	if err := cbor.Unmarshal(m.Payload, &env); err != nil {
 		return nil
@@ -116,54 +116,54 @@
 		return nil
 	}
 	var reply *gang.Reply
-	g.do(ctx, func() {
-		g.reply = nil
-		g.step(gang.Received{From: from, Message: msg})
-		reply, g.reply = g.reply, nil
+	g.call(ctx, func() {
+		g.currentReply = nil
+		g.handleEvent(gang.Received{From: from, Message: msg})
+		reply, g.currentReply = g.currentReply, nil
 	})
 	return reply
 }
 
-// step runs on the loop's goroutine.
-func (g *gangs) step(ev gang.MemberEvent) {
+// handleEvent runs on the loop's goroutine.
+func (g *gangRunner) handleEvent(ev gang.MemberEvent) {
 	_, answering := ev.(gang.Received)
 	for _, a := range g.member.Step(clock.Now(), ev) {
 		switch a := a.(type) {
 		case gang.SendReply:
 			g.sendReply(a, answering)
 		case gang.StartTask:
-			g.t.Go(func() error { return g.run(a) })
+			g.tomb.Go(func() error { return g.startTask(a) })
 		case gang.StopTask:
-			g.t.Go(func() error { return g.stopTask(a) })
+			g.tomb.Go(func() error { return g.stopTask(a) })
 		case gang.TickAt:
 			g.timer.Reset(clock.Until(a.At))
 		}
 	}
-	g.changed(g.member)
+	g.stateChanged(g.member)
 }
 
-func (g *gangs) sendReply(a gang.SendReply, answering bool) {
-	if answering && g.reply == nil {
-		g.reply = &a.Reply
+func (g *gangRunner) sendReply(a gang.SendReply, answering bool) {
+	if answering && g.currentReply == nil {
+		g.currentReply = &a.Reply
 		return
 	}
-	g.push(a.To, a.Reply)
+	g.pushReply(a.To, a.Reply)
 }
 
-// leaseFor is the lease of a task. One of several members gets none beyond its
+// leaseDuration is the lease of a task. One of several members gets none beyond its
 // isolation deadline: if this agent dies, the target must have stopped the task
 // by the time after which a planner starts the gang elsewhere.
-func leaseFor(t gang.Task) time.Duration {
+func leaseDuration(t gang.Task) time.Duration {
 	if t.Members <= 1 {
-		return taskLease
+		return maxTaskLease
 	}
-	return min(taskLease, clock.Until(time.Unix(0, t.RunUntil)))
+	return min(maxTaskLease, clock.Until(time.Unix(0, t.RunUntil)))
 }
 
-// busy says whether any attempt holds accelerators or runs.
-func (g *gangs) busy(ctx context.Context) bool {
+// hasActiveTasks says whether any attempt holds accelerators or runs.
+func (g *gangRunner) hasActiveTasks(ctx context.Context) bool {
 	busy := false
-	g.do(ctx, func() {
+	g.call(ctx, func() {
 		for _, t := range g.member.Tasks() {
 			busy = busy || t.State != gang.StateEnded
 		}
@@ -171,9 +171,9 @@
 	return busy
 }
 
-func (g *gangs) setIsolation(d time.Duration) {
+func (g *gangRunner) setIsolationTimeout(d time.Duration) {
 	select {
-	case g.work <- func() { g.member.SetIsolationTimeout(d) }:
-	case <-g.t.Dying():
+	case g.events <- func() { g.member.SetIsolationTimeout(d) }:
+	case <-g.tomb.Dying():
 	}
 }
--- a/agent/message_handlers.go
+++ b/agent/message_handlers.go
@@ -19,34 +19,34 @@
 	case *wire.Execute:
 		return a.execute(ctx, m), nil
 	case *wire.ResolveAttempt:
-		return a.resolve(ctx, m), nil
+		return a.resolveAttempt(ctx, m), nil
 	case *wire.GangMessage:
-		return a.gang(ctx, from, m)
+		return a.handleGangMessage(ctx, from, m)
 	case *wire.PublishDocuments:
-		return a.publish(m), nil
+		return a.publishDocuments(m), nil
 	case *wire.Report:
-		return a.reports.serve(from, m)
+		return a.reporter.handleMemberReport(from, m)
 	default:
 		return nil, errNotHandled
 	}
 }
 
 func (a *Agent) execute(ctx context.Context, m *wire.Execute) *wire.ExecuteReply {
-	reply := a.quick.execute(ctx, m)
+	reply := a.quickExecutor.execute(ctx, m)
 	reply.Incarnation = a.incarnation
 	return reply
 }
 
-// resolve answers for this incarnation only: an earlier one's memory is gone.
-func (a *Agent) resolve(ctx context.Context, m *wire.ResolveAttempt) *wire.ResolveAttemptReply {
+// resolveAttempt answers for this incarnation only: an earlier one's memory is gone.
+func (a *Agent) resolveAttempt(ctx context.Context, m *wire.ResolveAttempt) *wire.ResolveAttemptReply {
 	if m.Incarnation != a.incarnation {
 		return &wire.ResolveAttemptReply{State: wire.AttemptUnknown}
 	}
-	return a.quick.resolveName(ctx, m.AttemptID, m.MaxWait)
+	return a.quickExecutor.resolveByName(ctx, m.AttemptID, m.MaxWait)
 }
 
-func (a *Agent) gang(ctx context.Context, from *wire.Conn, m *wire.GangMessage) (any, error) {
-	reply := a.gangs.handle(ctx, from.Peer().ID, m)
+func (a *Agent) handleGangMessage(ctx context.Context, from *wire.Conn, m *wire.GangMessage) (any, error) {
+	reply := a.gangRunner.handleMessage(ctx, from.Peer().ID, m)
 	if reply == nil {
 		return nil, errNotHandled
 	}
@@ -61,11 +61,11 @@
 	return &wire.GangReply{Payload: data}
 }
 
-// publish takes documents that an entry sends and answers with what is in force
+// publishDocuments takes documents that an entry sends and answers with what is in force
 // then.
-func (a *Agent) publish(m *wire.PublishDocuments) *wire.PublishDocumentsAck {
+func (a *Agent) publishDocuments(m *wire.PublishDocuments) *wire.PublishDocumentsAck {
 	for _, v := range m.Versions {
-		a.docs.Update(time.Now(), v)
+		a.documents.Update(time.Now(), v)
 	}
-	return &wire.PublishDocumentsAck{Generations: a.docs.Summaries()}
+	return &wire.PublishDocumentsAck{Generations: a.documents.Summaries()}
 }
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -7,8 +7,8 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// quickTiming is the timing of an attempt that ended so.
-func quickTiming(o wire.Outcome) metrics.Timing {
+// outcomeTiming is the timing of an attempt that ended so.
+func outcomeTiming(o wire.Outcome) metrics.Timing {
 	switch o {
 	case wire.OutcomeDone:
 		return metrics.QuickDone
@@ -19,19 +19,19 @@
 	}
 }
 
-// gauges shows what other parts count by themselves.
-func (a *Agent) gauges() {
+// registerGauges shows what other parts count by themselves.
+func (a *Agent) registerGauges() {
 	a.metrics.Gauge("running", func() int64 {
-		running, _ := a.quick.gate.depth()
+		running, _ := a.quickExecutor.gate.depth()
 		return int64(running)
 	})
 	a.metrics.Gauge("queued", func() int64 {
-		_, queued := a.quick.gate.depth()
+		_, queued := a.quickExecutor.gate.depth()
 		return int64(queued)
 	})
-	a.metrics.Gauge("attempts_remembered", func() int64 { return int64(a.quick.remembered()) })
-	a.metrics.Gauge("relayed_agents", func() int64 { return int64(a.reports.members()) })
-	a.metrics.Gauge("connections", func() int64 { return int64(len(a.ep.Conns())) })
+	a.metrics.Gauge("attempts_remembered", func() int64 { return int64(a.quickExecutor.attemptCount()) })
+	a.metrics.Gauge("relayed_agents", func() int64 { return int64(a.reporter.memberCount()) })
+	a.metrics.Gauge("connections", func() int64 { return int64(len(a.endpoint.Conns())) })
 }
 
 // MetricsHandler serves the metrics in the form of /debug/vars.
--- a/agent/quick_executor_test.go
+++ b/agent/quick_executor_test.go
@@ -23,51 +23,51 @@
 // testTarget counts what it runs and answers when told to.
 type testTarget struct {
 	runs    atomic.Int64
-	running chan struct{} // one for each request that has begun
-	answer  chan struct{} // one for each request that may end
+	started chan struct{} // one for each request that has begun
+	release chan struct{} // one for each request that may end
 }
 
 func (s *testTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	s.runs.Add(1)
-	s.running <- struct{}{}
-	<-s.answer
+	s.started <- struct{}{}
+	<-s.release
 	_, _ = w.Write(append([]byte("answer to "), body...))
 }
 
-func newTestQuick(t *testing.T, slots int) (*quick, *testTarget) {
-	s := &testTarget{running: make(chan struct{}, 16), answer: make(chan struct{}, 16)}
+func newTestExecutor(t *testing.T, slots int) (*quickExecutor, *testTarget) {
+	s := &testTarget{started: make(chan struct{}, 16), release: make(chan struct{}, 16)}
 	server := httptest.NewServer(s)
 	client := target.NewClient(target.Options{BaseURL: server.URL})
-	q := &quick{
-		gate:    newGate(admission.Options{Slots: slots}),
-		target:  client,
-		weights: func(string) int { return 1 },
-		table: attempts.NewTable(attempts.TableConfig{
+	q := &quickExecutor{
+		gate:          newAdmissionGate(admission.Options{Slots: slots}),
+		targetClient:  client,
+		accountWeight: func(string) int { return 1 },
+		attempts: attempts.NewTable(attempts.TableConfig{
 			Incarnation:    testIncarnation,
 			MaxEntries:     100,
 			MaxAnswerBytes: 1 << 20,
 			MaxAge:         time.Minute,
 			MaxClockSkew:   time.Minute,
 		}),
-		running: make(map[attempts.ID]chan struct{}),
-		observe: func(string, string, metrics.Timing, time.Duration) {},
-		now:     time.Now,
+		runningAttempts: make(map[attempts.ID]chan struct{}),
+		observeDuration: func(string, string, metrics.Timing, time.Duration) {},
+		now:             time.Now,
 	}
 	t.Cleanup(func() {
-		close(s.answer)
+		close(s.release)
 		client.Close()
 		server.Close()
-		q.gate.stop()
+		q.gate.stopTimer()
 	})
 	return q, s
 }
 
-func attemptID(sequence uint64) attempts.ID {
+func newAttemptID(sequence uint64) attempts.ID {
 	return attempts.ID{Issued: time.Now().UnixNano(), Entry: 1, Sequence: sequence, Incarnation: testIncarnation}
 }
 
-func message(id attempts.ID) *wire.Execute {
+func executeMessage(id attempts.ID) *wire.Execute {
 	return &wire.Execute{
 		AttemptID: id.String(),
 		RequestID: "r",
@@ -83,18 +83,18 @@
 // An entry dies while the booking that it sent is running. The caller asks again
 // through another entry, which asks the agent what became of the attempt: it gets
 // the one run's whole answer, and nothing runs a second time.
-func TestEntryGoneWhileRunning(t *testing.T) {
+func TestEntryDiesWhileAttemptRuns(t *testing.T) {
 	c := qt.New(t)
-	q, s := newTestQuick(t, 1)
-	id := attemptID(1)
+	q, s := newTestExecutor(t, 1)
+	id := newAttemptID(1)
 	ctx, die := context.WithCancel(context.Background())
-	go q.execute(ctx, message(id))
-	<-s.running
+	go q.execute(ctx, executeMessage(id))
+	<-s.started
 	die()
 
 	resolved := make(chan *wire.ResolveAttemptReply, 1)
-	go func() { resolved <- q.resolveName(context.Background(), id.String(), time.Minute) }()
-	s.answer <- struct{}{}
+	go func() { resolved <- q.resolveByName(context.Background(), id.String(), time.Minute) }()
+	s.release <- struct{}{}
 	r := <-resolved
 	c.Assert(r.State, qt.Equals, wire.AttemptAnswered)
 	c.Assert(string(r.Reply.Body), qt.Equals, "answer to pallet")
@@ -103,51 +103,51 @@
 
 // An entry dies while the booking that it sent waits for a slot. Nobody waits for
 // it any more, so it must not run, and whoever asks is told so for good.
-func TestEntryGoneWhileQueued(t *testing.T) {
+func TestEntryDiesWhileAttemptQueued(t *testing.T) {
 	c := qt.New(t)
-	q, s := newTestQuick(t, 1)
-	go q.execute(context.Background(), message(attemptID(1)))
-	<-s.running // the only slot is taken
+	q, s := newTestExecutor(t, 1)
+	go q.execute(context.Background(), executeMessage(newAttemptID(1)))
+	<-s.started // the only slot is taken
 
-	id := attemptID(2)
+	id := newAttemptID(2)
 	ctx, die := context.WithCancel(context.Background())
 	ended := make(chan *wire.ExecuteReply, 1)
-	go func() { ended <- q.execute(ctx, message(id)) }()
+	go func() { ended <- q.execute(ctx, executeMessage(id)) }()
 	for _, queued := q.gate.depth(); queued == 0; _, queued = q.gate.depth() {
 		time.Sleep(time.Millisecond)
 	}
 	die()
 	c.Assert((<-ended).Outcome, qt.Equals, wire.OutcomeRefused)
-	c.Assert(q.resolveName(context.Background(), id.String(), time.Minute).State, qt.Equals, wire.AttemptNotRun)
-	c.Assert(q.execute(context.Background(), message(id)).Outcome, qt.Equals, wire.OutcomeRefused)
+	c.Assert(q.resolveByName(context.Background(), id.String(), time.Minute).State, qt.Equals, wire.AttemptNotRun)
+	c.Assert(q.execute(context.Background(), executeMessage(id)).Outcome, qt.Equals, wire.OutcomeRefused)
 	c.Assert(s.runs.Load(), qt.Equals, int64(1))
 }
 
 // A question about an attempt overtakes the attempt. Once the agent has answered
 // "not run", the attempt must not run when it arrives after all.
-func TestQuestionForbidsLateAttempt(t *testing.T) {
+func TestResolveRefusesLateAttempt(t *testing.T) {
 	c := qt.New(t)
-	q, s := newTestQuick(t, 1)
-	id := attemptID(1)
-	c.Assert(q.resolveName(context.Background(), id.String(), 0).State, qt.Equals, wire.AttemptNotRun)
-	c.Assert(q.execute(context.Background(), message(id)).Outcome, qt.Equals, wire.OutcomeRefused)
+	q, s := newTestExecutor(t, 1)
+	id := newAttemptID(1)
+	c.Assert(q.resolveByName(context.Background(), id.String(), 0).State, qt.Equals, wire.AttemptNotRun)
+	c.Assert(q.execute(context.Background(), executeMessage(id)).Outcome, qt.Equals, wire.OutcomeRefused)
 	c.Assert(s.runs.Load(), qt.Equals, int64(0))
 }
 
 // Two entries deliver one booking at the same moment, and the second one's
 // question about the first attempt arrives before the attempt. It waits for it:
 // otherwise both deliveries forbid each other and the booking is not made.
-func TestQuestionWaitsForArrival(t *testing.T) {
+func TestResolveWaitsForArrival(t *testing.T) {
 	c := qt.New(t)
-	q, s := newTestQuick(t, 1)
+	q, s := newTestExecutor(t, 1)
 	frozen := time.Now()
 	q.now = func() time.Time { return frozen } // the wait has no end but the arrival
-	id := attemptID(1)
+	id := newAttemptID(1)
 	resolved := make(chan *wire.ResolveAttemptReply, 1)
-	go func() { resolved <- q.resolveName(context.Background(), id.String(), time.Minute) }()
-	go q.execute(context.Background(), message(id))
-	<-s.running
-	s.answer <- struct{}{}
+	go func() { resolved <- q.resolveByName(context.Background(), id.String(), time.Minute) }()
+	go q.execute(context.Background(), executeMessage(id))
+	<-s.started
+	s.release <- struct{}{}
 	c.Assert((<-resolved).State, qt.Equals, wire.AttemptAnswered)
 	c.Assert(s.runs.Load(), qt.Equals, int64(1))
 }
--- a/agent/rack_helpers_test.go
+++ b/agent/rack_helpers_test.go
@@ -33,41 +33,41 @@
 )
 
 const (
-	service    = "dispatch"
-	zone       = "wharf"
-	rackName   = "rack-1"
-	clusterKey = "key of a test on loopback"
-	loopback   = "127.0.0.1:0"
-	// patience bounds the wait for a state; it is no claim about time.
-	patience = time.Minute
+	serviceName     = "dispatch"
+	zoneName        = "wharf"
+	rackName        = "rack-1"
+	clusterKey      = "key of a test on loopback"
+	loopbackAddress = "127.0.0.1:0"
+	// waitTimeout bounds the wait for a state; it is no claim about time.
+	waitTimeout = time.Minute
 )
 
-// rack is one rack of agents and the entries they report to, which name a relay
+// testRack is one testRack of agents and the entries they report to, which name a relay
 // from the first agents on.
-type rack struct {
+type testRack struct {
 	*qt.C
-	store   string
-	client  *store.Client
-	entries []*entry.Entry
-	configs []settings.Entry
-	agents  map[string]*agent.Agent
+	storeURL     string
+	storeClient  *store.Client
+	entries      []*entry.Entry
+	entryConfigs []settings.Entry
+	agents       map[string]*agent.Agent
 }
 
-func newRack(c *qt.C, entries int) *rack {
+func newTestRack(c *qt.C, entries int) *testRack {
 	server := kvstandin.New(kvstandin.Options{})
 	front := httptest.NewServer(server)
-	r := &rack{C: c, store: front.URL, agents: make(map[string]*agent.Agent)}
-	r.client = store.NewClient(store.Options{Endpoints: []string{r.store}, CallTimeout: 10 * time.Second, RateLimit: 1e6, Burst: 1e6})
+	r := &testRack{C: c, storeURL: front.URL, agents: make(map[string]*agent.Agent)}
+	r.storeClient = store.NewClient(store.Options{Endpoints: []string{r.storeURL}, CallTimeout: 10 * time.Second, RateLimit: 1e6, Burst: 1e6})
 	c.Cleanup(func() {
-		r.client.Close()
+		r.storeClient.Close()
 		server.Close()
 		front.CloseClientConnections()
 		front.Close()
 	})
-	r.put(0)
+	r.putDocument(0)
 	for i := range entries {
 		cfg := r.entryConfig(fmt.Sprint("entry-", i))
-		r.configs = append(r.configs, cfg)
+		r.entryConfigs = append(r.entryConfigs, cfg)
 		r.entries = append(r.entries, nil)
 		r.startEntry(i)
 	}
@@ -93,37 +93,37 @@
 loss_timeout = "20s"
 `
 
-// put puts the document that follows the generation.
-func (r *rack) put(base uint64) {
+// putDocument puts the document that follows the generation.
+func (r *testRack) putDocument(base uint64) {
 	text := fmt.Appendf(nil, "%s# after %d\n", documentText, base)
-	_, err := document.Put(context.Background(), r.client, document.Proposal{
-		FileName: service, TOML: text, BaseGeneration: base, Author: "t", Token: uuid.NewString(), CreatedAt: time.Now(),
+	_, err := document.Put(context.Background(), r.storeClient, document.Proposal{
+		FileName: serviceName, TOML: text, BaseGeneration: base, Author: "t", Token: uuid.NewString(), CreatedAt: time.Now(),
 	})
 	r.Assert(err, qt.IsNil)
 }
 
-func (r *rack) entryConfig(id string) settings.Entry {
+func (r *testRack) entryConfig(id string) settings.Entry {
 	return settings.Entry{
-		ID: id, Region: "auckland", Zone: zone, HTTPListen: loopback, QUICListen: testport.Racks.FreeAddr(), ClusterKey: clusterKey,
-		StoreURLs: []string{r.store}, StoreTimeout: schema.Duration{Duration: 2 * time.Second}, StoreRateLimit: 500,
+		ID: id, Region: "auckland", Zone: zoneName, HTTPListen: loopbackAddress, QUICListen: testport.Racks.FreeAddr(), ClusterKey: clusterKey,
+		StoreURLs: []string{r.storeURL}, StoreTimeout: schema.Duration{Duration: 2 * time.Second}, StoreRateLimit: 500,
 		ReportPeriod: schema.Duration{Duration: time.Second}, StopGrace: schema.Duration{Duration: time.Minute},
 		RelayThreshold: 1,
 	}
 }
 
-func (r *rack) startEntry(i int) {
-	e, err := entry.Start(r.configs[i], quiet())
+func (r *testRack) startEntry(i int) {
+	e, err := entry.Start(r.entryConfigs[i], discardLogger())
 	r.Assert(err, qt.IsNil)
 	r.entries[i] = e
 }
 
-func quiet() *logrus.Entry {
+func discardLogger() *logrus.Entry {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return logrus.NewEntry(log)
 }
 
-func (r *rack) worker(id string) settings.Agent {
+func (r *testRack) agentConfig(id string) settings.Agent {
 	target := standin.New(standin.Options{Name: id, Accelerators: 8, ServiceTime: time.Millisecond})
 	server := httptest.NewServer(target)
 	r.Cleanup(func() {
@@ -132,26 +132,26 @@
 		server.Close()
 	})
 	cfg := settings.Agent{
-		ID: id, Service: service, Region: "auckland", Zone: zone, Rack: rackName, Listen: loopback, ClusterKey: clusterKey,
+		ID: id, Service: serviceName, Region: "auckland", Zone: zoneName, Rack: rackName, Listen: loopbackAddress, ClusterKey: clusterKey,
 		Target: server.URL, Accelerators: 8, Slots: 8, Connections: 64, Cores: 32, MemoryMB: 65536,
 		ReportPeriod: schema.Duration{Duration: time.Second}, StopGrace: schema.Duration{Duration: time.Minute},
 	}
-	for _, e := range r.configs {
+	for _, e := range r.entryConfigs {
 		cfg.Seeds = append(cfg.Seeds, e.QUICListen)
 	}
 	return cfg
 }
 
-// names returns n agents of the rack, the one that entries name as relay first.
-func names(n int) []string {
-	view := &membership.ServiceView{Name: service}
+// agentIDs returns n agents of the rack, the one that entries name as relay first.
+func agentIDs(n int) []string {
+	view := &membership.ServiceView{Name: serviceName}
 	var ids []string
 	for i := range n {
 		ids = append(ids, fmt.Sprint("worker-", i))
-		report := wire.AgentReport{ID: ids[i], Service: service, Zone: zone, Rack: rackName, CanRelay: true}
+		report := wire.AgentReport{ID: ids[i], Service: serviceName, Zone: zoneName, Rack: rackName, CanRelay: true}
 		view.Members = append(view.Members, &membership.Member{Report: report})
 	}
-	first := membership.ChooseRelays(view, n)[membership.Rack{Zone: zone, Name: rackName}].ID
+	first := membership.ChooseRelays(view, n)[membership.Rack{Zone: zoneName, Name: rackName}].ID
 	for i, id := range ids {
 		if id == first {
 			ids[0], ids[i] = ids[i], ids[0]
@@ -160,24 +160,24 @@
 	return ids
 }
 
-func (r *rack) startAgents(ids ...string) {
+func (r *testRack) startAgents(ids ...string) {
 	for _, id := range ids {
-		a, err := agent.Start(r.worker(id), quiet())
+		a, err := agent.Start(r.agentConfig(id), discardLogger())
 		r.Assert(err, qt.IsNil)
 		r.agents[id] = a
 		r.Cleanup(a.Close)
 	}
 }
 
-// startProcess starts an agent as a process of its own, which can be killed and
+// startAgentProcess starts an agent as a process of its own, which can be killed and
 // frozen.
-func (r *rack) startProcess(id string, accelerators int) *os.Process {
-	cfg := r.worker(id)
+func (r *testRack) startAgentProcess(id string, accelerators int) *os.Process {
+	cfg := r.agentConfig(id)
 	cfg.Accelerators = accelerators
 	text, err := json.Marshal(cfg)
 	r.Assert(err, qt.IsNil)
 	cmd := exec.Command(os.Args[0], "-test.run=^TestAgentProcess$")
-	cmd.Env = append(os.Environ(), processEnv+"="+string(text))
+	cmd.Env = append(os.Environ(), agentProcessEnv+"="+string(text))
 	in, err := cmd.StdinPipe()
 	r.Assert(err, qt.IsNil)
 	r.Assert(cmd.Start(), qt.IsNil)
@@ -190,26 +190,26 @@
 	return cmd.Process
 }
 
-const processEnv = "EELGRASSHUB_RACK_AGENT"
+const agentProcessEnv = "EELGRASSHUB_RACK_AGENT"
 
 // TestAgentProcess is the agent of startProcess; it tests nothing itself. It
 // ends with its input.
 func TestAgentProcess(t *testing.T) {
-	text := os.Getenv(processEnv)
+	text := os.Getenv(agentProcessEnv)
 	if text == "" {
 		t.Skip("is started by other tests")
 	}
 	c := qt.New(t)
 	var cfg settings.Agent
 	c.Assert(json.Unmarshal([]byte(text), &cfg), qt.IsNil)
-	a, err := agent.Start(cfg, quiet())
+	a, err := agent.Start(cfg, discardLogger())
 	c.Assert(err, qt.IsNil)
 	defer a.Close()
 	_, _ = bufio.NewReader(os.Stdin).ReadString(0)
 }
 
-// seen is what an entry shows of its agents, by id.
-func (r *rack) seen(i int) map[string]api.Member {
+// agentsSeenBy is what an entry shows of its agents, by id.
+func (r *testRack) agentsSeenBy(i int) map[string]api.Member {
 	out := make(map[string]api.Member)
 	status, err := api.NewClient("http://"+r.entries[i].HTTPAddr(), nil).Status(context.Background())
 	r.Assert(err, qt.IsNil)
@@ -221,10 +221,10 @@
 	return out
 }
 
-// until waits for a state.
-func until(c *qt.C, what string, reached func() bool) {
+// waitUntil waits for a state.
+func waitUntil(c *qt.C, what string, reached func() bool) {
 	c.Helper()
-	for began := time.Now(); time.Since(began) < patience; time.Sleep(10 * time.Millisecond) {
+	for began := time.Now(); time.Since(began) < waitTimeout; time.Sleep(10 * time.Millisecond) {
 		if reached() {
 			return
 		}
@@ -232,14 +232,14 @@
 	c.Fatalf("never happened: %s", what)
 }
 
-// eventually waits until each entry shows what is wanted. always, if set, must
+// waitOnAllEntries waits until each entry shows what is wanted. always, if set, must
 // hold all the time.
-func (r *rack) eventually(what string, wanted func(map[string]api.Member) bool, always func(map[string]api.Member) string) {
+func (r *testRack) waitOnAllEntries(what string, wanted func(map[string]api.Member) bool, always func(map[string]api.Member) string) {
 	r.Helper()
-	until(r.C, what, func() bool {
+	waitUntil(r.C, what, func() bool {
 		reached := true
 		for i := range r.entries {
-			seen := r.seen(i)
+			seen := r.agentsSeenBy(i)
 			if always != nil {
 				r.Assert(always(seen), qt.Equals, "", qt.Commentf("before: %s", what))
 			}
@@ -249,8 +249,8 @@
 	})
 }
 
-// by says that the agents' reports come by the relay; empty: by themselves.
-func by(relay string, ids []string) func(map[string]api.Member) bool {
+// reportVia says that the agents' reports come reportVia the relay; empty: reportVia themselves.
+func reportVia(relay string, ids []string) func(map[string]api.Member) bool {
 	return func(seen map[string]api.Member) bool {
 		for _, id := range ids {
 			if m := seen[id]; m.ID == "" || m.Relay != relay {
@@ -261,8 +261,8 @@
 	}
 }
 
-// alive says which of the agents is not shown as alive.
-func alive(ids []string) func(map[string]api.Member) string {
+// notAlive says which of the agents is not shown as notAlive.
+func notAlive(ids []string) func(map[string]api.Member) string {
 	return func(seen map[string]api.Member) string {
 		var bad []string
 		for _, id := range ids {
--- a/agent/relay_reports.go
+++ b/agent/relay_reports.go
@@ -7,36 +7,36 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// errPaused: this process stood still, so a report may have waited here for long.
-var errPaused = wire.NotHandled(eris.New("the age of the report is not known"))
+// errReportAgeUnknown: this process stood still, so a report may have waited here for long.
+var errReportAgeUnknown = wire.NotHandled(eris.New("the age of the report is not known"))
 
-// serve answers the report of another agent of the rack, whose relay this one is.
-func (r *reports) serve(from *wire.Conn, m *wire.Report) (any, error) {
+// handleMemberReport answers the report of another agent of the rack, whose relay this one is.
+func (r *reporter) handleMemberReport(from *wire.Conn, m *wire.Report) (any, error) {
 	if len(m.Reports) != 1 || m.Reports[0].ID != from.Peer().ID {
 		return nil, errNotHandled // nobody relays relayed reports
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.announcer == nil {
-		return nil, errPaused
+	if r.router == nil {
+		return nil, errReportAgeUnknown
 	}
-	ack, news := r.announcer.HandleMemberReport(clock.Now(), m)
+	ack, news := r.router.HandleMemberReport(clock.Now(), m)
 	if ack == nil {
-		return nil, errPaused
+		return nil, errReportAgeUnknown
 	}
 	if news {
-		r.wake()
+		r.wakeAll()
 	}
 	r.offerDocuments(from, m.Reports[0].ID)
 	return ack, nil
 }
 
-// members returns how many agents report by this one.
-func (r *reports) members() int {
+// memberCount returns how many agents report by this one.
+func (r *reporter) memberCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.announcer == nil {
+	if r.router == nil {
 		return 0
 	}
-	return len(r.announcer.Members())
+	return len(r.router.Members())
 }
--- a/agent/relay_test.go
+++ b/agent/relay_test.go
@@ -19,25 +19,25 @@
 // the rack may look dead because of it: the other agents find their reports
 // unanswered and report themselves, long before any entry suspects them.
 func TestRelayKilled(t *testing.T) {
-	relayGone(t, syscall.SIGKILL)
+	testRelayFailure(t, syscall.SIGKILL)
 }
 
 // Story: the relay's process stands still; its sockets go on taking packets, and
 // its connections stay open. Its members hear no answer and report themselves.
-func TestRelayFrozen(t *testing.T) {
-	relayGone(t, syscall.SIGSTOP)
+func TestRelaySuspended(t *testing.T) {
+	testRelayFailure(t, syscall.SIGSTOP)
 }
 
-func relayGone(t *testing.T, how syscall.Signal) {
+func testRelayFailure(t *testing.T, how syscall.Signal) {
 	t.Parallel()
 	c := qt.New(t)
-	r := newRack(c, 2)
-	ids := names(5)
-	process := r.startProcess(ids[0], 8)
+	r := newTestRack(c, 2)
+	ids := agentIDs(5)
+	process := r.startAgentProcess(ids[0], 8)
 	r.startAgents(ids[1:]...)
-	r.eventually("all report by the relay", by(ids[0], ids[1:]), nil)
+	r.waitOnAllEntries("all report by the relay", reportVia(ids[0], ids[1:]), nil)
 	c.Assert(process.Signal(how), qt.IsNil)
-	r.eventually("all report themselves", by("", ids[1:]), alive(ids[1:]))
+	r.waitOnAllEntries("all report themselves", reportVia("", ids[1:]), notAlive(ids[1:]))
 }
 
 // Story: the relay is replaced in a planned way. It drains, names itself no
@@ -45,45 +45,45 @@
 func TestRelayDrains(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	r := newRack(c, 1)
-	ids := names(5)
+	r := newTestRack(c, 1)
+	ids := agentIDs(5)
 	r.startAgents(ids...)
-	r.eventually("all report by the relay", by(ids[0], ids[1:]), nil)
+	r.waitOnAllEntries("all report by the relay", reportVia(ids[0], ids[1:]), nil)
 	r.agents[ids[0]].Drain()
-	r.eventually("the relay is not offered", func(seen map[string]api.Member) bool {
+	r.waitOnAllEntries("the relay is not offered", func(seen map[string]api.Member) bool {
 		return seen[ids[0]].State == "draining"
-	}, alive(ids[1:]))
-	r.eventually("all report by another one", func(seen map[string]api.Member) bool {
+	}, notAlive(ids[1:]))
+	r.waitOnAllEntries("all report by another one", func(seen map[string]api.Member) bool {
 		others := map[string]int{}
 		for _, id := range ids[1:] {
 			others[seen[id].Relay]++
 		}
 		return others[ids[0]] == 0 && len(others) == 2 && others[""] == 1
-	}, alive(ids[1:]))
+	}, notAlive(ids[1:]))
 }
 
 // Story: an entry restarts and knows nobody. The relay has told its predecessor
 // of all members, so that what it sends next are changes of what the entry does
 // not know; it has to send all of each again.
-func TestEntryRestartsBehindARelay(t *testing.T) {
+func TestEntryRestartsBehindRelay(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	r := newRack(c, 2)
-	ids := names(5)
+	r := newTestRack(c, 2)
+	ids := agentIDs(5)
 	r.startAgents(ids...)
-	r.eventually("all report by the relay", by(ids[0], ids[1:]), nil)
+	r.waitOnAllEntries("all report by the relay", reportVia(ids[0], ids[1:]), nil)
 	r.entries[1].Close()
 	r.startEntry(1)
-	r.eventually("all report by the relay again", by(ids[0], ids[1:]), nil)
+	r.waitOnAllEntries("all report by the relay again", reportVia(ids[0], ids[1:]), nil)
 }
 
 // Story: an operator changes the document. Entries send it to relays alone, and
 // the relay has to bring it to its members.
-func TestDocumentReachesMembersOfARelay(t *testing.T) {
+func TestDocumentReachesRelayMembers(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	r := newRack(c, 1)
-	ids := names(5)
+	r := newTestRack(c, 1)
+	ids := agentIDs(5)
 	r.startAgents(ids...)
 	inForce := func(generation uint64) func(map[string]api.Member) bool {
 		return func(seen map[string]api.Member) bool {
@@ -92,35 +92,35 @@
 					return false
 				}
 			}
-			return by(ids[0], ids[1:])(seen)
+			return reportVia(ids[0], ids[1:])(seen)
 		}
 	}
-	r.eventually("the first generation", inForce(1), nil)
-	r.put(1)
-	r.eventually("the second generation", inForce(2), nil)
+	r.waitOnAllEntries("the first generation", inForce(1), nil)
+	r.putDocument(1)
+	r.waitOnAllEntries("the second generation", inForce(2), nil)
 }
 
 // Story: a gang runs on all workers of a rack whose relay dies. Its members are
 // whole by the evidence of their own reports; if the relay had carried it, they
 // would have stopped for isolation, and the gang would have run a second time.
-func TestGangOutlivesItsRelay(t *testing.T) {
+func TestGangSurvivesRelayFailure(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	r := newRack(c, 2)
-	ids := names(5)
-	process := r.startProcess(ids[0], 0) // no part of the gang
+	r := newTestRack(c, 2)
+	ids := agentIDs(5)
+	process := r.startAgentProcess(ids[0], 0) // no part of the gang
 	r.startAgents(ids[1:]...)
-	r.eventually("all report by the relay", by(ids[0], ids[1:]), nil)
+	r.waitOnAllEntries("all report by the relay", reportVia(ids[0], ids[1:]), nil)
 	client := api.NewClient("http://"+r.entries[0].HTTPAddr(), nil)
 	ctx := context.Background()
-	until(c, "the entry is ready", func() bool { return client.Ready(ctx) == nil })
+	waitUntil(c, "the entry is ready", func() bool { return client.Ready(ctx) == nil })
 	payload, err := json.Marshal(standin.TaskPayload{Tag: "gang", RunMS: (14 * time.Second).Milliseconds()})
 	c.Assert(err, qt.IsNil)
-	job, err := client.SubmitJob(ctx, service, api.JobRequest{Account: "grower", Class: "score", Accelerators: 24, Payload: payload}, "k")
+	job, err := client.SubmitJob(ctx, serviceName, api.JobRequest{Account: "grower", Class: "score", Accelerators: 24, Payload: payload}, "k")
 	c.Assert(err, qt.IsNil)
 	await := func(state api.JobState) (last api.JobStatus) {
-		until(c, "the job is "+string(state), func() bool {
-			last, err = client.GetJob(ctx, service, job.ID, 0)
+		waitUntil(c, "the job is "+string(state), func() bool {
+			last, err = client.GetJob(ctx, serviceName, job.ID, 0)
 			return err == nil && last.State == state
 		})
 		return last
@@ -135,56 +135,56 @@
 // Story: a target is about to leave. Its relay has taken the news and dies before
 // it passes it on. Callers must not be sent there for as long as that goes
 // unnoticed: the agent tells the entries itself.
-func TestMemberDrainsWhileItsRelayDies(t *testing.T) {
+func TestDrainReachesEntriesWithoutRelay(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	r := newRack(c, 2)
-	ids := names(5)
-	relay := r.startStandin(ids[0], answerFor(r.configs[0].QUICListen, r.configs[1].QUICListen))
+	r := newTestRack(c, 2)
+	ids := agentIDs(5)
+	relay := r.startFakeRelay(ids[0], ackWithEntries(r.entryConfigs[0].QUICListen, r.entryConfigs[1].QUICListen))
 	r.startAgents(ids[1:]...)
-	relay.asked(ids[1:], 3)
+	relay.waitForReports(ids[1:], 3)
 	r.agents[ids[1]].Drain()
-	r.eventually("the member is seen to drain", func(seen map[string]api.Member) bool {
+	r.waitOnAllEntries("the member is seen to drain", func(seen map[string]api.Member) bool {
 		return seen[ids[1]].State == "draining"
 	}, nil)
 }
 
 // Story: the relay has lost its way to one entry. That entry would take the whole
 // rack for dead; the members report to it themselves.
-func TestRelayCutOffFromAnEntry(t *testing.T) {
+func TestRelayCannotReachEntry(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	r := newRack(c, 2)
-	ids := names(5)
-	relay := r.startStandin(ids[0], answerFor(r.configs[0].QUICListen))
+	r := newTestRack(c, 2)
+	ids := agentIDs(5)
+	relay := r.startFakeRelay(ids[0], ackWithEntries(r.entryConfigs[0].QUICListen))
 	r.startAgents(ids[1:]...)
-	relay.asked(ids[1:], 3)
-	r.put(1)
-	r.heardBy(1, ids[1:], 2)
+	relay.waitForReports(ids[1:], 3)
+	r.putDocument(1)
+	r.waitForGeneration(1, ids[1:], 2)
 }
 
 // Story: entries name a relay whose instance is then given an older binary, which
 // does not know what a report to an agent is. The members report themselves.
-func TestRelayOfAnOlderBinary(t *testing.T) {
+func TestRelayOfOlderVersion(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	r := newRack(c, 1)
-	ids := names(5)
-	relay := r.startStandin(ids[0], func(wire.RelayInfo) (any, error) { return nil, errOlder })
+	r := newTestRack(c, 1)
+	ids := agentIDs(5)
+	relay := r.startFakeRelay(ids[0], func(wire.RelayInfo) (any, error) { return nil, errUnknownMessage })
 	r.startAgents(ids[1:]...)
-	relay.asked(ids[1:], 1)
-	r.put(1)
-	r.heardBy(0, ids[1:], 2)
+	relay.waitForReports(ids[1:], 1)
+	r.putDocument(1)
+	r.waitForGeneration(0, ids[1:], 2)
 }
 
-var errOlder = errors.New("not a message for an agent")
+var errUnknownMessage = errors.New("not a message for an agent")
 
-// heardBy waits until the entry heard of the generation from all agents.
-func (r *rack) heardBy(i int, ids []string, generation uint64) {
+// waitForGeneration waits until the entry heard of the generation from all agents.
+func (r *testRack) waitForGeneration(i int, ids []string, generation uint64) {
 	r.Helper()
-	until(r.C, r.configs[i].ID+" hears the agents", func() bool {
+	waitUntil(r.C, r.entryConfigs[i].ID+" hears the agents", func() bool {
 		heard := 0
-		seen := r.seen(i)
+		seen := r.agentsSeenBy(i)
 		for _, id := range ids {
 			if m := seen[id]; m.State == "alive" && m.Generation >= generation {
 				heard++
--- a/agent/report_to_entry.go
+++ b/agent/report_to_entry.go
@@ -10,86 +10,86 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// report sends one report. False: the entry has left and is no longer reported
+// reportToEntry sends one reportToEntry. False: the entry has left and is no longer reported
 // to.
-func (r *reports) report(link *entryLink) bool {
+func (r *reporter) reportToEntry(link *entryLoop) bool {
 	r.mu.Lock()
 	sent := clock.Now()
-	r.freshLoad(sent)
-	msg := r.announcer.Report(sent, link.addr)
+	r.updateLoad(sent)
+	msg := r.router.Report(sent, link.address)
 	r.mu.Unlock()
 
-	ack, ok := r.call(link.addr, msg)
+	ack, ok := r.sendReport(link.address, msg)
 	if !ok {
-		return r.failed(link)
+		return r.handleFailure(link)
 	}
-	r.acked(link, sent, ack)
+	r.handleAck(link, sent, ack)
 	return true
 }
 
-// freshLoad is called with the lock held.
-func (r *reports) freshLoad(now time.Time) {
-	r.state.Load = r.load()
-	r.announcer.SetState(now, r.state)
+// updateLoad is called with the lock held.
+func (r *reporter) updateLoad(now time.Time) {
+	r.ownReport.Load = r.currentLoad()
+	r.router.SetState(now, r.ownReport)
 }
 
-func (r *reports) call(addr string, msg *wire.Report) (*wire.ReportAck, bool) {
-	ctx, cancel := context.WithTimeout(r.a.t.Context(context.Background()), reportTimeout)
+func (r *reporter) sendReport(addr string, msg *wire.Report) (*wire.ReportAck, bool) {
+	ctx, cancel := context.WithTimeout(r.agent.tomb.Context(context.Background()), reportTimeout)
 	defer cancel()
-	got, err := r.a.pool.Call(ctx, addr, msg)
+	got, err := r.agent.pool.Call(ctx, addr, msg)
 	ack, ok := got.(*wire.ReportAck)
 	return ack, err == nil && ok
 }
 
-// failed backs off. An entry that was only named by another one and does not
+// handleFailure backs off. An entry that was only named by another one and does not
 // answer is dropped; it is named again when it is back.
-func (r *reports) failed(link *entryLink) bool {
+func (r *reporter) handleFailure(link *entryLoop) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	failures := r.announcer.HandleFailure(clock.Now(), link.addr)
-	if link.seed || failures < dropAfter {
+	failures := r.router.HandleFailure(clock.Now(), link.address)
+	if link.isSeed || failures < maxUnansweredReports {
 		return true
 	}
-	r.announcer.RemoveEntry(link.addr)
-	delete(r.entries, link.addr)
+	r.router.RemoveEntry(link.address)
+	delete(r.entries, link.address)
 	return false
 }
 
-// dropAfter is how many reports in a row an entry leaves unanswered before it is
+// maxUnansweredReports is how many reports in a row an entry leaves unanswered before it is
 // dropped.
-const dropAfter = 20
+const maxUnansweredReports = 20
 
-func (r *reports) acked(link *entryLink, sent time.Time, ack *wire.ReportAck) {
+func (r *reporter) handleAck(link *entryLoop, sent time.Time, ack *wire.ReportAck) {
 	if ack.PlannerTimestamp.Epoch != 0 {
-		r.a.gangs.event(gang.ReportAnswered{SentAt: sent, Renewed: ack.RenewedAttempts, Timestamp: ack.PlannerTimestamp})
+		r.agent.gangRunner.postEvent(gang.ReportAnswered{SentAt: sent, Renewed: ack.RenewedAttempts, Timestamp: ack.PlannerTimestamp})
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	added := r.announcer.HandleAck(clock.Now(), link.addr, ack)
+	added := r.router.HandleAck(clock.Now(), link.address, ack)
 	for _, addr := range added {
-		r.begin(addr, false)
+		r.startEntryLoop(addr, false)
 	}
-	r.relayMoved()
+	r.relayChanged()
 }
 
-// goodbye tells all entries, and the relay, that this incarnation has ended.
-func (r *reports) goodbye(ctx context.Context) {
+// sendDeparture tells all entries, and the relay, that this incarnation has ended.
+func (r *reporter) sendDeparture(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	r.mu.Lock()
-	if r.announcer == nil {
+	if r.router == nil {
 		r.mu.Unlock()
 		return // nobody has heard of this incarnation
 	}
-	msg := r.announcer.DepartureReport()
+	msg := r.router.DepartureReport()
 	var wg sync.WaitGroup
 	tell := func(addr string) {
-		wg.Go(func() { _, _ = r.a.pool.Call(ctx, addr, msg) }) // an entry that misses it finds out by silence
+		wg.Go(func() { _, _ = r.agent.pool.Call(ctx, addr, msg) }) // an entry that misses it finds out by silence
 	}
 	for addr := range r.entries {
 		tell(addr)
 	}
-	if relay, ok := r.announcer.Relay(); ok {
+	if relay, ok := r.router.Relay(); ok {
 		tell(relay.Address)
 	}
 	r.mu.Unlock()
--- a/agent/report_to_relay.go
+++ b/agent/report_to_relay.go
@@ -8,77 +8,77 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// relayLink is the loop that reports to the relay of the rack.
-type relayLink struct {
-	kick chan struct{}
-	now  wire.RelayInfo // the one that loops and log know of
+// relayLoop is the loop that reports to the relay of the rack.
+type relayLoop struct {
+	wake    chan struct{}
+	current wire.RelayInfo // the one that loops and log know of
 }
 
-// relayLoop reports to the relay as long as there is one.
-func (r *reports) relayLoop() error {
-	return r.repeat(tickEvery, r.relay.kick, r.untilRelayDue, func() bool {
+// runRelayLoop reports to the relay as long as there is one.
+func (r *reporter) runRelayLoop() error {
+	return r.runReportLoop(tickPeriod, r.relayLoop.wake, r.untilRelayDue, func() bool {
 		r.reportToRelay()
 		return true
 	})
 }
 
-func (r *reports) untilRelayDue() time.Duration {
+func (r *reporter) untilRelayDue() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := clock.Now()
-	due, ok := r.announcer.RelayDue(now)
+	due, ok := r.router.RelayDue(now)
 	if !ok {
-		return tickEvery
+		return tickPeriod
 	}
 	return due.Sub(now)
 }
 
-func (r *reports) reportToRelay() {
+func (r *reporter) reportToRelay() {
 	r.mu.Lock()
 	sent := clock.Now()
-	r.freshLoad(sent)
-	to, ok := r.announcer.Relay()
+	r.updateLoad(sent)
+	to, ok := r.router.Relay()
 	if !ok {
 		r.mu.Unlock()
 		return
 	}
-	msg := r.announcer.ReportToRelay(sent)
+	msg := r.router.ReportToRelay(sent)
 	r.mu.Unlock()
 
-	ack, answered := r.call(to.Address, msg)
+	ack, answered := r.sendReport(to.Address, msg)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !answered {
-		r.announcer.HandleRelayFailure(clock.Now(), to)
-		r.a.metrics.Add(metrics.RelaysFailed, 1)
-		r.relayMoved()
+		r.router.HandleRelayFailure(clock.Now(), to)
+		r.agent.metrics.Add(metrics.RelaysFailed, 1)
+		r.relayChanged()
 		return
 	}
-	for _, addr := range r.announcer.HandleRelayAck(clock.Now(), to, ack) {
-		r.begin(addr, false)
+	for _, addr := range r.router.HandleRelayAck(clock.Now(), to, ack) {
+		r.startEntryLoop(addr, false)
 	}
 	if ack.Entries != nil {
-		r.wake() // the relay may no longer reach one
+		r.wakeAll() // the relay may no longer reach one
 	}
-	r.relayMoved()
+	r.relayChanged()
 }
 
-// relayMoved lets the loops know when the relay is another one than before. It
+// relayChanged lets the loops know when the relay is another one than before. It
 // is called with the lock held.
-func (r *reports) relayMoved() {
-	now, _ := r.announcer.Relay()
-	before := r.relay.now
+func (r *reporter) relayChanged() {
+	now, _ := r.router.Relay()
+	before := r.relayLoop.current
 	if now == before {
 		return
 	}
-	r.relay.now = now
-	r.wake()
+	r.relayLoop.current = now
+	r.wakeAll()
 	if before.Address != "" && before.Address != now.Address {
-		r.release(before.Address)
+		r.drainConnection(before.Address)
 	}
-	log := r.a.log.WithField("relay", now.ID)
+	log := r.agent.log.WithField("relay", now.ID)
 	if now.ID == "" {
-		log = r.a.log.WithField("left", before.ID)
+		log = r.agent.log.WithField("left", before.ID)
 	}
 	log.Info("way of reports changed")
 }
--- a/agent/task_id.go
+++ b/agent/task_id.go
@@ -10,27 +10,27 @@
 // The target knows an attempt by one number: the epoch in the upper half, the
 // planner's counter in the lower. Both stay far below 2^31: an epoch grows with
 // each change of planner, the counter with each start under it.
-const numberBits = 32
+const attemptNumberBits = 32
 
-func targetID(id gang.ID) target.TaskID {
-	return target.TaskID{Job: id.Job, Attempt: int(id.Epoch<<numberBits | id.Number)}
+func toTargetID(id gang.ID) target.TaskID {
+	return target.TaskID{Job: id.Job, Attempt: int(id.Epoch<<attemptNumberBits | id.Number)}
 }
 
-func gangID(id target.TaskID) gang.ID {
+func toGangID(id target.TaskID) gang.ID {
 	n := uint64(id.Attempt)
 	return gang.ID{
 		Job:    id.Job,
-		Epoch:  n >> numberBits,
-		Number: n & (1<<numberBits - 1),
+		Epoch:  n >> attemptNumberBits,
+		Number: n & (1<<attemptNumberBits - 1),
 	}
 }
 
-// adopted turns a task that the target still runs into the member's account of
+// recoveredTask turns a task that the target still runs into the member's account of
 // it. It was started, so it had been committed. Its lease tells how long the
 // agent's earlier life let it run without hearing that the gang is whole.
-func adopted(s target.TaskStatus, now time.Time) gang.Task {
+func recoveredTask(s target.TaskStatus, now time.Time) gang.Task {
 	t := gang.Task{
-		ID:           gangID(s.TaskID),
+		ID:           toGangID(s.TaskID),
 		State:        gang.StateRunning,
 		Accelerators: s.Accelerators,
 		Members:      s.Members,
@@ -40,9 +40,9 @@
 	}
 	if s.State.Final() {
 		t.State = gang.StateEnded
-		t.Result = resultOf(s.State)
+		t.Result = resultOfState(s.State)
 		t.Checkpointed = s.Checkpoint != nil
-		t.Detail = detailOf(s)
+		t.Detail = taskDetail(s)
 	}
 	return t
 }
--- a/agent/task_recovery.go
+++ b/agent/task_recovery.go
@@ -11,7 +11,7 @@
 	"github.com/eelgrasshub/eelgrasshub/target"
 )
 
-// adopt asks the target what it runs. Until then an accelerator that looks
+// recoverTasks asks the target what it runs. Until then an accelerator that looks
 // free may be in use by a task of the agent's earlier life, so the member
 // refuses everything.
 //
@@ -19,30 +19,30 @@
 // way when the agent dies: it would run a part of a gang that was given up meanwhile,
 // on accelerators that look free, and no agent would know of it. Either the task is in
 // the list, or the target refuses it.
-func (g *gangs) adopt() error {
-	ctx := g.t.Context(context.Background())
+func (g *gangRunner) recoverTasks() error {
+	ctx := g.tomb.Context(context.Background())
 	for {
-		tasks, err := g.target.ListTasks(ctx, g.incarnation)
+		tasks, err := g.targetClient.ListTasks(ctx, g.incarnation)
 		if err == nil {
-			g.adoptTasks(tasks)
+			g.addRecoveredTasks(tasks)
 			return nil
 		}
 		select {
-		case <-time.After(adoptRetry):
-		case <-g.t.Dying():
+		case <-time.After(targetRetryInterval):
+		case <-g.tomb.Dying():
 			return nil
 		}
 	}
 }
 
-func (g *gangs) adoptTasks(statuses []target.TaskStatus) {
+func (g *gangRunner) addRecoveredTasks(statuses []target.TaskStatus) {
 	var tasks []gang.Task
 	running := 0
 	for _, s := range statuses {
-		if s.State.Final() && time.Since(s.EndedAt) > adoptEnded {
+		if s.State.Final() && time.Since(s.EndedAt) > endedTaskRetention {
 			continue
 		}
-		tasks = append(tasks, adopted(s, clock.Now()))
+		tasks = append(tasks, recoveredTask(s, clock.Now()))
 		if !s.State.Final() {
 			running++
 		}
@@ -50,13 +50,13 @@
 	if len(tasks) > 0 {
 		g.log.WithFields(logrus.Fields{"running": running, "ended": len(tasks) - running}).Info("adopted the target's tasks")
 	}
-	if !g.do(context.Background(), func() { g.step(gang.TasksRecovered{Tasks: tasks}) }) {
+	if !g.call(context.Background(), func() { g.handleEvent(gang.TasksRecovered{Tasks: tasks}) }) {
 		return // the agent stops
 	}
-	close(g.adopted)
+	close(g.tasksRecovered)
 	for _, t := range tasks {
 		if t.State != gang.StateEnded {
-			g.t.Go(func() error { return g.watch(t.ID) })
+			g.tomb.Go(func() error { return g.watchTask(t.ID) })
 		}
 	}
 }
