--- a/target/client.go
+++ b/target/client.go
@@ -30,9 +30,9 @@
 
 // Client speaks to one target. It is safe for concurrent use.
 type Client struct {
-	base      string
-	maxAnswer int64
-	transport *http.Transport
+	baseURL          string
+	maxResponseBytes int64
+	transport        *http.Transport
 }
 
 // NewClient makes a client. It opens no connection yet.
@@ -47,9 +47,9 @@
 		o.DialTimeout = DefaultDialTimeout
 	}
 	return &Client{
-		base:      strings.TrimRight(o.BaseURL, "/"),
-		maxAnswer: o.MaxResponseBytes,
-		transport: newTransport(o),
+		baseURL:          strings.TrimRight(o.BaseURL, "/"),
+		maxResponseBytes: o.MaxResponseBytes,
+		transport:        newTransport(o),
 	}
 }
 
--- a/target/client_tasks.go
+++ b/target/client_tasks.go
@@ -18,7 +18,7 @@
 // is ErrConflict, and nothing was started.
 func (c *Client) StartTask(ctx context.Context, id TaskID, spec TaskSpec) (TaskStatus, error) {
 	var st TaskStatus
-	err := c.call(ctx, http.MethodPut, id.Path(), spec, &st)
+	err := c.callJSON(ctx, http.MethodPut, id.Path(), spec, &st)
 	return st, err
 }
 
@@ -28,7 +28,7 @@
 func (c *Client) ListTasks(ctx context.Context, incarnation uint64) ([]TaskStatus, error) {
 	path := PathTasks + "?" + ParamIncarnation + "=" + strconv.FormatUint(incarnation, 10)
 	var list []TaskStatus
-	err := c.call(ctx, http.MethodGet, path, nil, &list)
+	err := c.callJSON(ctx, http.MethodGet, path, nil, &list)
 	return list, err
 }
 
@@ -39,7 +39,7 @@
 		path += "?" + ParamWaitMS + "=" + strconv.FormatInt(wait.Milliseconds(), 10)
 	}
 	var st TaskStatus
-	err := c.call(ctx, http.MethodGet, path, nil, &st)
+	err := c.callJSON(ctx, http.MethodGet, path, nil, &st)
 	return st, err
 }
 
@@ -47,14 +47,14 @@
 // ended comes back without an error.
 func (c *Client) RenewTask(ctx context.Context, id TaskID, lease time.Duration) (TaskStatus, error) {
 	var st TaskStatus
-	err := c.call(ctx, http.MethodPost, id.Path()+"/renew", LeaseRenewal{LeaseMS: lease.Milliseconds()}, &st)
+	err := c.callJSON(ctx, http.MethodPost, id.Path()+"/renew", LeaseRenewal{LeaseMS: lease.Milliseconds()}, &st)
 	return st, err
 }
 
 // CheckpointTask takes a checkpoint now and returns the status that holds it.
 func (c *Client) CheckpointTask(ctx context.Context, id TaskID) (TaskStatus, error) {
 	var st TaskStatus
-	err := c.call(ctx, http.MethodPost, id.Path()+"/checkpoint", nil, &st)
+	err := c.callJSON(ctx, http.MethodPost, id.Path()+"/checkpoint", nil, &st)
 	return st, err
 }
 
@@ -68,27 +68,27 @@
 		path += "?" + ParamCheckpoint + "=true"
 	}
 	var st TaskStatus
-	err := c.call(ctx, http.MethodDelete, path, nil, &st)
+	err := c.callJSON(ctx, http.MethodDelete, path, nil, &st)
 	return st, err
 }
 
 // Capacity returns what the worker has in all.
 func (c *Client) Capacity(ctx context.Context) (Capacity, error) {
 	var v Capacity
-	err := c.call(ctx, http.MethodGet, PathCapacity, nil, &v)
+	err := c.callJSON(ctx, http.MethodGet, PathCapacity, nil, &v)
 	return v, err
 }
 
 // Usage returns what the worker used when Usage.At was taken.
 func (c *Client) Usage(ctx context.Context) (Usage, error) {
 	var v Usage
-	err := c.call(ctx, http.MethodGet, PathUsage, nil, &v)
+	err := c.callJSON(ctx, http.MethodGet, PathUsage, nil, &v)
 	return v, err
 }
 
-// call makes one exchange of JSON. All calls are idempotent, so net/http may
+// callJSON makes one exchange of JSON. All calls are idempotent, so net/http may
 // repeat them.
-func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
+func (c *Client) callJSON(ctx context.Context, method, path string, in, out any) error {
 	var body io.Reader
 	if in != nil {
 		text, err := json.Marshal(in)
@@ -97,13 +97,13 @@
 		}
 		body = bytes.NewReader(text)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, body)
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, body)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	req.Header.Set("Content-Type", "application/json")
-	var proof sendProof
-	resp, err := c.transport.RoundTrip(req.WithContext(proof.watch(ctx)))
+	var proof sendTracker
+	resp, err := c.transport.RoundTrip(req.WithContext(proof.withTrace(ctx)))
 	if err != nil {
 		if proof.notSent() {
 			return fmt.Errorf("%w: %w", ErrNotSent, err)
@@ -115,10 +115,10 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
-	return decodeCall(resp.StatusCode, text, out)
+	return decodeResponse(resp.StatusCode, text, out)
 }
 
-func decodeCall(status int, text []byte, out any) error {
+func decodeResponse(status int, text []byte, out any) error {
 	switch status {
 	case http.StatusOK:
 		if err := json.Unmarshal(text, out); err != nil {
--- a/target/client_test.go
+++ b/target/client_test.go
@@ -15,7 +15,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func serve(t *testing.T, h http.HandlerFunc) *Client {
+func startTarget(t *testing.T, h http.HandlerFunc) *Client {
 	srv := httptest.NewServer(h)
 	client := NewClient(Options{BaseURL: srv.URL})
 	t.Cleanup(func() {
@@ -25,9 +25,9 @@
 	return client
 }
 
-func TestDoForwardsAndReturnsTheWholeAnswer(t *testing.T) {
+func TestDoReturnsWholeResponse(t *testing.T) {
 	c := qt.New(t)
-	client := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	client := startTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		w.Header().Set("Seen", r.Method+" "+r.URL.EscapedPath()+"?"+r.URL.RawQuery+" "+r.Header.Get(HeaderRequestID)+
 			" "+r.Header.Get(HeaderAttempt)+" "+r.Header.Get(HeaderDeadline))
@@ -47,7 +47,7 @@
 	qt.Assert(t, err, qt.IsNil)
 	nobody := "http://" + listener.Addr().String()
 	listener.Close()
-	qt.Check(t, errors.Is(do(NewClient(Options{BaseURL: nobody})), ErrNotSent), qt.IsTrue)
+	qt.Check(t, errors.Is(doPost(NewClient(Options{BaseURL: nobody})), ErrNotSent), qt.IsTrue)
 
 	for name, tc := range map[string]struct {
 		handler http.HandlerFunc
@@ -72,20 +72,20 @@
 		}, ErrTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
-			err := do(serve(t, tc.handler))
+			err := doPost(startTarget(t, tc.handler))
 			qt.Check(t, errors.Is(err, tc.want), qt.IsTrue, qt.Commentf("%v", err))
 		})
 	}
 }
 
-func do(c *Client) error {
+func doPost(c *Client) error {
 	_, err := c.Do(context.Background(), Request{Method: "POST"})
 	return err
 }
 
-func TestCallerGoneAfterTheSendIsUnknown(t *testing.T) {
+func TestCancelAfterSendIsUnknown(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	client := serve(t, func(_ http.ResponseWriter, r *http.Request) {
+	client := startTarget(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body) // net/http sees a caller go only then
 		cancel()
 		<-r.Context().Done()
@@ -94,12 +94,12 @@
 	qt.Check(t, errors.Is(err, ErrOutcomeUnknown), qt.IsTrue, qt.Commentf("%v", err))
 }
 
-func TestBrokenReusedConnectionIsNotRepeated(t *testing.T) {
+func TestBrokenReusedConnectionIsNotRetried(t *testing.T) {
 	// A grower's space is booked twice: a GET with an Idempotency-Key goes out
 	// on a reused connection, the target runs it and the connection breaks
 	// before the answer. net/http would send it again by itself.
 	var runs atomic.Int32
-	client := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	client := startTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery == "warm" {
 			return
 		}
@@ -113,29 +113,29 @@
 	qt.Check(t, runs.Load(), qt.Equals, int32(1))
 }
 
-func TestSealedConnectionProvesNothingWasSent(t *testing.T) {
+func TestClosedConnectionProvesNotSent(t *testing.T) {
 	// A caller is told "not run", then the transport's writer wakes up and sends
 	// the request after all. A sealed connection refuses that late write.
 	c := qt.New(t)
 	near, far := net.Pipe()
 	defer far.Close()
 	conn := &trackedConn{Conn: near}
-	var proof sendProof
-	proof.conns = []grant{{conn, conn.count()}}
+	var proof sendTracker
+	proof.uses = []connUse{{conn, conn.writeCount()}}
 	c.Check(proof.notSent(), qt.IsTrue)
 	_, err := conn.Write([]byte("late"))
-	c.Check(err, qt.Equals, errSealed)
+	c.Check(err, qt.Equals, errConnClosed)
 
 	near, far = net.Pipe()
 	go func() { _, _ = bufio.NewReader(far).ReadByte() }()
 	conn = &trackedConn{Conn: near}
-	proof.conns = []grant{{conn, conn.count()}}
+	proof.uses = []connUse{{conn, conn.writeCount()}}
 	_, _ = conn.Write([]byte("x"))
 	c.Check(proof.notSent(), qt.IsFalse)
 	far.Close()
 }
 
-func TestWaitForAConnectionEndsAsNotSent(t *testing.T) {
+func TestCancelWhileWaitingForConnectionIsNotSent(t *testing.T) {
 	// All connections are busy and the caller's time ends while it waits for
 	// one: nothing went out, so it must hear "not run" rather than "unknown".
 	hold := make(chan struct{})
@@ -148,7 +148,7 @@
 	client := NewClient(Options{BaseURL: srv.URL, MaxConns: 1})
 	defer client.Close()
 	first := make(chan error)
-	go func() { first <- do(client) }()
+	go func() { first <- doPost(client) }()
 	<-entered
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/target/request.go
+++ b/target/request.go
@@ -43,8 +43,8 @@
 	if err != nil {
 		return Response{}, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	var proof sendProof
-	resp, err := c.transport.RoundTrip(req.WithContext(proof.watch(ctx)))
+	var proof sendTracker
+	resp, err := c.transport.RoundTrip(req.WithContext(proof.withTrace(ctx)))
 	if err != nil {
 		if proof.notSent() {
 			return Response{}, fmt.Errorf("%w: %w", ErrNotSent, err)
@@ -65,11 +65,11 @@
 }
 
 func (c *Client) newRequest(ctx context.Context, r Request) (*http.Request, error) {
-	url := c.base + PathRequests + r.Path
+	url := c.baseURL + PathRequests + r.Path
 	if r.RawQuery != "" {
 		url += "?" + r.RawQuery
 	}
-	req, err := http.NewRequestWithContext(ctx, r.Method, url, &onceBody{rest: r.Body})
+	req, err := http.NewRequestWithContext(ctx, r.Method, url, &singleUseBody{remaining: r.Body})
 	if err != nil {
 		return nil, err
 	}
@@ -89,58 +89,58 @@
 	return req, nil
 }
 
-// onceBody is a request body that can't be rewound.
+// singleUseBody is a request body that can't be rewound.
 //
 // The failure it guards against: net/http repeats a GET, or any request with an
 // Idempotency-Key, by itself when a reused connection breaks before the answer.
 // The target would run a request twice that was sent once. A body that is
 // neither nil nor rewindable makes the transport give the error back instead.
-type onceBody struct {
-	rest []byte
+type singleUseBody struct {
+	remaining []byte
 }
 
 // Read implements io.Reader.
-func (b *onceBody) Read(p []byte) (int, error) {
-	if len(b.rest) == 0 {
+func (b *singleUseBody) Read(p []byte) (int, error) {
+	if len(b.remaining) == 0 {
 		return 0, io.EOF
 	}
-	n := copy(p, b.rest)
-	b.rest = b.rest[n:]
+	n := copy(p, b.remaining)
+	b.remaining = b.remaining[n:]
 	return n, nil
 }
 
 // Close implements io.Closer.
-func (b *onceBody) Close() error {
+func (b *singleUseBody) Close() error {
 	return nil
 }
 
-var errNoLength = errors.New("answer without a length: its end can't be told from a cut")
+var errUnknownLength = errors.New("answer without a length: its end can't be told from a cut")
 
 // readBody reads the whole body or fails. A body that ends with the connection
 // is refused: a cut by a dying target looks like its end.
 func (c *Client) readBody(method string, resp *http.Response) ([]byte, error) {
 	chunked := len(resp.TransferEncoding) > 0
 	if resp.ContentLength < 0 && !chunked && method != http.MethodHead {
-		return nil, errNoLength
+		return nil, errUnknownLength
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, c.maxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, c.maxResponseBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if int64(len(body)) > c.maxAnswer {
+	if int64(len(body)) > c.maxResponseBytes {
 		return nil, ErrTooLarge
 	}
 	return body, nil
 }
 
-var hopByHop = []string{
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Content-Length", "Expect",
 }
 
 func removeHopByHop(h http.Header) {
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		h.Del(name)
 	}
 }
--- a/target/send_proof.go
+++ b/target/send_proof.go
@@ -6,42 +6,42 @@
 	"sync"
 )
 
-// sendProof watches the connections one request was given.
-type sendProof struct {
-	mu     sync.Mutex
-	conns  []grant
-	opaque bool
+// sendTracker watches the connections one request was given.
+type sendTracker struct {
+	mu        sync.Mutex
+	uses      []connUse
+	untracked bool
 }
 
-type grant struct {
-	conn   *trackedConn
-	before uint64
+type connUse struct {
+	conn         *trackedConn
+	writesBefore uint64
 }
 
-// watch returns a context that reports connections to p.
-func (p *sendProof) watch(ctx context.Context) context.Context {
-	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: p.got})
+// withTrace returns a context that reports connections to p.
+func (p *sendTracker) withTrace(ctx context.Context) context.Context {
+	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: p.gotConn})
 }
 
-func (p *sendProof) got(info httptrace.GotConnInfo) {
+func (p *sendTracker) gotConn(info httptrace.GotConnInfo) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	conn, ok := info.Conn.(*trackedConn)
 	if !ok {
-		p.opaque = true
+		p.untracked = true
 		return
 	}
-	p.conns = append(p.conns, grant{conn, conn.count()})
+	p.uses = append(p.uses, connUse{conn, conn.writeCount()})
 }
 
 // notSent ends the request's connections and reports whether none of them
 // carried a byte of it. Call it only after the request failed.
-func (p *sendProof) notSent() bool {
+func (p *sendTracker) notSent() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	none := !p.opaque
-	for _, g := range p.conns {
-		if g.conn.seal() != g.before {
+	none := !p.untracked
+	for _, g := range p.uses {
+		if g.conn.closeAndCount() != g.writesBefore {
 			none = false
 		}
 	}
--- a/target/standin/audit.go
+++ b/target/standin/audit.go
@@ -84,7 +84,7 @@
 		Quick:      make([]QuickRun, len(s.quickLog)),
 		Tasks:      make([]TaskRun, len(s.taskLog)),
 		Violations: append([]Violation{}, s.violations...),
-		Dropped:    s.dropped,
+		Dropped:    s.droppedRecords,
 	}
 	for i, r := range s.quickLog {
 		a.Quick[i] = *r
@@ -99,13 +99,13 @@
 func (s *Server) ResetAudit() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.quickLog = keep(s.quickLog, func(r *QuickRun) bool { return r.End.IsZero() })
-	s.taskLog = keep(s.taskLog, func(r *TaskRun) bool { return r.End.IsZero() })
+	s.quickLog = filter(s.quickLog, func(r *QuickRun) bool { return r.End.IsZero() })
+	s.taskLog = filter(s.taskLog, func(r *TaskRun) bool { return r.End.IsZero() })
 	s.violations = nil
-	s.dropped = 0
+	s.droppedRecords = 0
 }
 
-func keep[T any](list []*T, ok func(*T) bool) []*T {
+func filter[T any](list []*T, ok func(*T) bool) []*T {
 	var kept []*T
 	for _, r := range list {
 		if ok(r) {
@@ -115,18 +115,18 @@
 	return kept
 }
 
-// room reports whether one more record fits, and counts the one that doesn't.
-func (s *Server) room() bool {
+// canRecord reports whether one more record fits, and counts the one that doesn't.
+func (s *Server) canRecord() bool {
 	if len(s.quickLog)+len(s.taskLog) < s.opts.MaxAuditRecords {
 		return true
 	}
-	s.dropped++
+	s.droppedRecords++
 	return false
 }
 
-func (s *Server) violate(kind ViolationKind, format string, args ...any) {
+func (s *Server) recordViolation(kind ViolationKind, format string, args ...any) {
 	if len(s.violations) >= s.opts.MaxAuditRecords {
-		s.dropped++
+		s.droppedRecords++
 		return
 	}
 	v := Violation{Kind: kind, At: time.Now(), Detail: fmt.Sprintf(format, args...)}
--- a/target/standin/connections.go
+++ b/target/standin/connections.go
@@ -9,53 +9,53 @@
 // connState is one connection. Only those that carried a request of the target
 // protocol count, so that fetching an audit doesn't.
 type connState struct {
-	counted bool
+	isCounted bool
 }
 
-type connKey struct{}
+type connStateKey struct{}
 
 // HTTPServer returns a server for s that counts its connections.
 func (s *Server) HTTPServer() *http.Server {
 	return &http.Server{
 		Handler:     s,
-		ConnContext: s.openConn,
-		ConnState:   s.connChanged,
+		ConnContext: s.trackConn,
+		ConnState:   s.handleConnState,
 	}
 }
 
-func (s *Server) openConn(ctx context.Context, c net.Conn) context.Context {
+func (s *Server) trackConn(ctx context.Context, c net.Conn) context.Context {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st := &connState{}
 	s.conns[c] = st
-	return context.WithValue(ctx, connKey{}, st)
+	return context.WithValue(ctx, connStateKey{}, st)
 }
 
-func (s *Server) connChanged(c net.Conn, state http.ConnState) {
+func (s *Server) handleConnState(c net.Conn, state http.ConnState) {
 	if state != http.StateClosed && state != http.StateHijacked {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if st := s.conns[c]; st != nil && st.counted {
-		s.connsInUse--
+	if st := s.conns[c]; st != nil && st.isCounted {
+		s.protocolConns--
 	}
 	delete(s.conns, c)
 }
 
 func (s *Server) countConn(ctx context.Context) {
-	st, ok := ctx.Value(connKey{}).(*connState)
+	st, ok := ctx.Value(connStateKey{}).(*connState)
 	if !ok {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if st.counted {
+	if st.isCounted {
 		return
 	}
-	st.counted = true
-	s.connsInUse++
-	if s.connsInUse > s.opts.Connections {
-		s.violate(ViolationTooManyConnections, "%d open, limit %d", s.connsInUse, s.opts.Connections)
+	st.isCounted = true
+	s.protocolConns++
+	if s.protocolConns > s.opts.Connections {
+		s.recordViolation(ViolationTooManyConnections, "%d open, limit %d", s.protocolConns, s.opts.Connections)
 	}
 }
--- a/target/standin/faults.go
+++ b/target/standin/faults.go
@@ -29,22 +29,22 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	close(s.released)
-	s.released = make(chan struct{})
+	close(s.faultsChanged)
+	s.faultsChanged = make(chan struct{})
 }
 
-// quickFaults returns the faults that the next quick request meets.
-func (s *Server) quickFaults() Faults {
+// nextQuickFaults returns the faults that the next quick request meets.
+func (s *Server) nextQuickFaults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.quickSeen++
-	if s.faults.EveryNth > 1 && s.quickSeen%s.faults.EveryNth != 0 {
+	s.quickCount++
+	if s.faults.EveryNth > 1 && s.quickCount%s.faults.EveryNth != 0 {
 		return Faults{}
 	}
 	return s.faults
 }
 
-func (f Faults) slow() float64 {
+func (f Faults) slowdown() float64 {
 	if f.SlowFactor > 0 {
 		return f.SlowFactor
 	}
--- a/target/standin/quick_requests.go
+++ b/target/standin/quick_requests.go
@@ -23,39 +23,39 @@
 )
 
 const (
-	maxWork = time.Hour
-	maxPad  = 4 << 20
-	maxBody = 8 << 20
+	maxRunTime      = time.Hour
+	maxPaddingBytes = 4 << 20
+	maxBodyBytes    = 8 << 20
 )
 
-// quick runs a quick request. A run that began goes on to its end, also when
+// handleQuick runs a handleQuick request. A run that began goes on to its end, also when
 // the caller is gone: that is what makes an outcome unknown.
-func (s *Server) quick(w http.ResponseWriter, r *http.Request) {
-	faults := s.quickFaults()
+func (s *Server) handleQuick(w http.ResponseWriter, r *http.Request) {
+	faults := s.nextQuickFaults()
 	if faults.Reject {
-		refuse(w)
+		writeRefusal(w)
 		return
 	}
 	if faults.Hang {
-		s.hold(r)
+		s.hang(r)
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
-		refuse(w)
+		writeRefusal(w)
 		return
 	}
 	query := r.URL.Query()
 	echo := newEcho(r, query, body)
-	run, took := s.beginQuick(r, query, s.workTime(query), faults)
+	run, took := s.startQuick(r, query, s.serviceTime(query), faults)
 	completed := s.sleep(took)
 	s.endQuick(run, r, completed, echo.Sum)
 	if !completed {
 		panic(http.ErrAbortHandler)
 	}
-	s.answerQuick(w, r, faults, echo)
+	s.respondQuick(w, r, faults, echo)
 }
 
-func refuse(w http.ResponseWriter) {
+func writeRefusal(w http.ResponseWriter) {
 	w.Header().Set(target.HeaderRefused, "true")
 	http.Error(w, "refused", http.StatusServiceUnavailable)
 }
@@ -72,23 +72,23 @@
 		Path:      strings.TrimPrefix(r.URL.EscapedPath(), target.PathRequests),
 		Query:     r.URL.RawQuery,
 		BodySum:   BodySum(body),
-		Padding:   strings.Repeat("x", min(max(pad, 0), maxPad)),
+		Padding:   strings.Repeat("x", min(max(pad, 0), maxPaddingBytes)),
 	}
 	e.Sum = e.Checksum()
 	return e
 }
 
-func (s *Server) workTime(query url.Values) time.Duration {
+func (s *Server) serviceTime(query url.Values) time.Duration {
 	ms, err := strconv.ParseFloat(query.Get(ParamServiceTimeMS), 64)
 	if err != nil || ms < 0 {
 		return s.opts.ServiceTime
 	}
-	return min(time.Duration(ms*float64(time.Millisecond)), maxWork)
+	return min(time.Duration(ms*float64(time.Millisecond)), maxRunTime)
 }
 
-// beginQuick logs the start and returns how long the run takes: more requests
+// startQuick logs the start and returns how long the run takes: more requests
 // at once than slots share the slots.
-func (s *Server) beginQuick(r *http.Request, query url.Values, work time.Duration, f Faults) (*QuickRun, time.Duration) {
+func (s *Server) startQuick(r *http.Request, query url.Values, work time.Duration, f Faults) (*QuickRun, time.Duration) {
 	attempt, _ := strconv.Atoi(r.Header.Get(target.HeaderAttempt))
 	run := &QuickRun{
 		RequestID: r.Header.Get(target.HeaderRequestID),
@@ -101,11 +101,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.quickRunning++
-	if s.room() {
+	if s.canRecord() {
 		s.quickLog = append(s.quickLog, run)
 	}
 	crowd := max(1, float64(s.quickRunning)/float64(s.opts.Slots))
-	return run, time.Duration(float64(work) * crowd * f.slow())
+	return run, time.Duration(float64(work) * crowd * f.slowdown())
 }
 
 func (s *Server) endQuick(run *QuickRun, r *http.Request, completed bool, sum string) {
@@ -118,9 +118,9 @@
 	run.Checksum = sum
 }
 
-func (s *Server) answerQuick(w http.ResponseWriter, r *http.Request, f Faults, echo Echo) {
+func (s *Server) respondQuick(w http.ResponseWriter, r *http.Request, f Faults, echo Echo) {
 	if f.HangAfterRun {
-		s.hold(r)
+		s.hang(r)
 	}
 	text, err := json.Marshal(echo)
 	if err != nil {
--- a/target/standin/server.go
+++ b/target/standin/server.go
@@ -24,41 +24,41 @@
 // Server is a stand-in worker. It is an http.Handler, safe for concurrent use.
 // Serve it by [Server.HTTPServer] to have its connections counted.
 type Server struct {
-	opts   Options
-	mux    *goji.Mux
-	closed chan struct{}
-	held   atomic.Int64
-
-	mu           sync.Mutex
-	faults       Faults
-	released     chan struct{} // closed when the faults change
-	quickSeen    int
-	quickRunning int
-	tasks        map[target.TaskID]*task
-	ended        []target.TaskID // oldest first
-	holders      []*task         // by accelerator
-	epochs       map[string]uint64
-	agent        uint64 // highest incarnation of the agent heard of
-	conns        map[any]*connState
-	connsInUse   int
-	usage        target.Usage
-	quickLog     []*QuickRun
-	taskLog      []*TaskRun
-	violations   []Violation
-	dropped      int
+	opts       Options
+	mux        *goji.Mux
+	closed     chan struct{}
+	heldStarts atomic.Int64
+
+	mu                 sync.Mutex
+	faults             Faults
+	faultsChanged      chan struct{} // closed when the faults change
+	quickCount         int
+	quickRunning       int
+	tasks              map[target.TaskID]*task
+	endedTasks         []target.TaskID // oldest first
+	acceleratorHolders []*task         // by accelerator
+	jobEpochs          map[string]uint64
+	agentIncarnation   uint64 // highest incarnation of the agent heard of
+	conns              map[any]*connState
+	protocolConns      int
+	usage              target.Usage
+	quickLog           []*QuickRun
+	taskLog            []*TaskRun
+	violations         []Violation
+	droppedRecords     int
 }
 
 // New makes a stand-in without faults.
 func New(o Options) *Server {
 	o = o.withDefaults()
 	s := &Server{
-		opts:     o,
-		closed:   make(chan struct{}),
-		released: make(chan struct{}),
-		tasks:    map[target.TaskID]*task{},
-		holders:  make([]*task, o.Accelerators),
-		epochs:   map[string]uint64{},
-		conns:    map[any]*connState{},
+		opts:               o,
+		closed:             make(chan struct{}),
+		faultsChanged:      make(chan struct{}),
+		tasks:              map[target.TaskID]*task{},
+		acceleratorHolders: make([]*task, o.Accelerators),
+		jobEpochs:          map[string]uint64{},
+		conns:              map[any]*connState{},
 	}
 	s.mux = s.routes()
 	return s
@@ -75,7 +75,7 @@
 	}
 	close(s.closed)
 	for _, t := range s.tasks {
-		s.finish(t, target.TaskStopped, "worker stopped")
+		s.finishTask(t, target.TaskStopped, "worker stopped")
 	}
 }
 
@@ -89,41 +89,41 @@
 	m.HandleFunc(pat.Get(PathAudit), s.getAudit)
 	m.HandleFunc(pat.Delete(PathAudit), s.deleteAudit)
 	m.HandleFunc(pat.Post(PathFaults), s.postFaults)
-	m.HandleFunc(pat.New(target.PathRequests+"*"), s.worker(s.quick))
-	m.HandleFunc(pat.Get(target.PathTasks), s.worker(s.listTasks))
-	m.HandleFunc(pat.Put(taskRoute), s.worker(s.putTask))
-	m.HandleFunc(pat.Get(taskRoute), s.worker(s.getTask))
-	m.HandleFunc(pat.Delete(taskRoute), s.worker(s.deleteTask))
-	m.HandleFunc(pat.Post(taskRoute+"/renew"), s.worker(s.renewTask))
-	m.HandleFunc(pat.Post(taskRoute+"/checkpoint"), s.worker(s.checkpointTask))
-	m.HandleFunc(pat.Get(target.PathCapacity), s.worker(s.getCapacity))
-	m.HandleFunc(pat.Get(target.PathUsage), s.worker(s.getUsage))
+	m.HandleFunc(pat.New(target.PathRequests+"*"), s.protocolHandler(s.handleQuick))
+	m.HandleFunc(pat.Get(target.PathTasks), s.protocolHandler(s.listTasks))
+	m.HandleFunc(pat.Put(taskRoute), s.protocolHandler(s.putTask))
+	m.HandleFunc(pat.Get(taskRoute), s.protocolHandler(s.getTask))
+	m.HandleFunc(pat.Delete(taskRoute), s.protocolHandler(s.deleteTask))
+	m.HandleFunc(pat.Post(taskRoute+"/renew"), s.protocolHandler(s.renewTask))
+	m.HandleFunc(pat.Post(taskRoute+"/checkpoint"), s.protocolHandler(s.checkpointTask))
+	m.HandleFunc(pat.Get(target.PathCapacity), s.protocolHandler(s.getCapacity))
+	m.HandleFunc(pat.Get(target.PathUsage), s.protocolHandler(s.getUsage))
 	return m
 }
 
-// worker wraps a handler of the target protocol: its connection counts as one
-// of the worker's, and a silent worker answers nothing.
-func (s *Server) worker(h http.HandlerFunc) http.HandlerFunc {
+// protocolHandler wraps a handler of the target protocol: its connection counts as one
+// of the protocolHandler's, and a silent protocolHandler answers nothing.
+func (s *Server) protocolHandler(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.countConn(r.Context())
 		s.mu.Lock()
 		silent := s.faults.Hang && s.faults.EveryNth <= 1
 		s.mu.Unlock()
 		if silent {
-			s.hold(r)
+			s.hang(r)
 		}
 		h(w, r)
 	}
 }
 
-// hold keeps silent until the caller gives up, the faults change or the
+// hang keeps silent until the caller gives up, the faults change or the
 // stand-in is closed, and ends the connection. It doesn't return.
-func (s *Server) hold(r *http.Request) {
+func (s *Server) hang(r *http.Request) {
 	s.mu.Lock()
-	released := s.released
+	released := s.faultsChanged
 	s.mu.Unlock()
 	// net/http notices that the caller is gone only after the body was read.
-	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, maxBody))
+	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes))
 	select {
 	case <-r.Context().Done():
 	case <-released:
@@ -132,16 +132,16 @@
 	panic(http.ErrAbortHandler)
 }
 
-// holdStart delays a start for as long as the faults say so.
-func (s *Server) holdStart() {
+// delayStart delays a start for as long as the faults say so.
+func (s *Server) delayStart() {
 	s.mu.Lock()
-	held, released := s.faults.HoldStarts, s.released
+	held, released := s.faults.HoldStarts, s.faultsChanged
 	s.mu.Unlock()
 	if !held {
 		return
 	}
-	s.held.Add(1)
-	defer s.held.Add(-1)
+	s.heldStarts.Add(1)
+	defer s.heldStarts.Add(-1)
 	select {
 	case <-released:
 	case <-s.closed:
@@ -152,11 +152,11 @@
 func (s *Server) AgentIncarnation() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.agent
+	return s.agentIncarnation
 }
 
 // HeldStarts is how many starts are on their way, held by Faults.HoldStarts.
-func (s *Server) HeldStarts() int { return int(s.held.Load()) }
+func (s *Server) HeldStarts() int { return int(s.heldStarts.Load()) }
 
 // sleep waits for d and reports false if the stand-in was closed first.
 func (s *Server) sleep(d time.Duration) bool {
@@ -176,11 +176,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, t := range s.tasks {
-		t.forgotten = true
-		s.finish(t, target.TaskStopped, "worker restarted")
+		t.lostInRestart = true
+		s.finishTask(t, target.TaskStopped, "worker restarted")
 	}
 	s.tasks = map[target.TaskID]*task{}
-	s.epochs = map[string]uint64{}
-	s.ended = nil
-	s.agent = 0
+	s.jobEpochs = map[string]uint64{}
+	s.endedTasks = nil
+	s.agentIncarnation = 0
 }
--- a/target/standin/standin_test.go
+++ b/target/standin/standin_test.go
@@ -17,8 +17,8 @@
 	"github.com/eelgrasshub/eelgrasshub/target"
 )
 
-// call serves one request without a socket, so that it runs in virtual time.
-func call(s *Server, method, path string, body any) (target.TaskStatus, int) {
+// serveRequest serves one request without a socket, so that it runs in virtual time.
+func serveRequest(s *Server, method, path string, body any) (target.TaskStatus, int) {
 	text, _ := json.Marshal(body)
 	w := httptest.NewRecorder()
 	s.ServeHTTP(w, httptest.NewRequest(method, path, bytes.NewReader(text)))
@@ -27,29 +27,29 @@
 	return st, w.Code
 }
 
-func spec(runMS, leaseMS int64, accelerators ...int) target.TaskSpec {
+func newTaskSpec(runMS, leaseMS int64, accelerators ...int) target.TaskSpec {
 	payload, _ := json.Marshal(TaskPayload{Tag: "t", RunMS: runMS, CheckpointEveryMS: 100})
 	return target.TaskSpec{Members: 1, Accelerators: accelerators, Checkpointable: true, LeaseMS: leaseMS, Payload: payload}
 }
 
-func TestTaskRunsToItsEndAndResumesFromACheckpoint(t *testing.T) {
+func TestTaskCompletesAndResumesFromCheckpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		s := New(Options{})
-		sp := spec(1000, 5000, 0, 1)
-		_, code := call(s, "PUT", "/tasks/j/1", sp)
+		sp := newTaskSpec(1000, 5000, 0, 1)
+		_, code := serveRequest(s, "PUT", "/tasks/j/1", sp)
 		c.Assert(code, qt.Equals, 200)
 		time.Sleep(250 * time.Millisecond)
-		st, _ := call(s, "GET", "/tasks/j/1", nil)
+		st, _ := serveRequest(s, "GET", "/tasks/j/1", nil)
 		c.Check(st.Checkpoint.ProgressMS, qt.Equals, int64(200))
-		st, _ = call(s, "DELETE", "/tasks/j/1?checkpoint=true", nil)
+		st, _ = serveRequest(s, "DELETE", "/tasks/j/1?checkpoint=true", nil)
 		c.Check(st.State, qt.Equals, target.TaskStopped)
 		c.Check(st.Checkpoint.ProgressMS, qt.Equals, int64(250))
 
 		sp.Restore = st.Checkpoint
-		_, _ = call(s, "PUT", "/tasks/j/2", sp)
+		_, _ = serveRequest(s, "PUT", "/tasks/j/2", sp)
 		begin := time.Now()
-		st, _ = call(s, "GET", "/tasks/j/2?wait_ms=10000", nil)
+		st, _ = serveRequest(s, "GET", "/tasks/j/2?wait_ms=10000", nil)
 		c.Check(st.State, qt.Equals, target.TaskDone)
 		c.Check(time.Since(begin), qt.Equals, 750*time.Millisecond)
 		run := s.Audit().Tasks[1]
@@ -57,48 +57,48 @@
 	})
 }
 
-func TestTaskWhoseAgentDiedFreesItsAccelerators(t *testing.T) {
+func TestExpiredLeaseFreesAccelerators(t *testing.T) {
 	// An agent dies. Its task holds accelerators that no one else can free, and
 	// a gang waits for them for good. The worker ends the task with its lease.
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		s := New(Options{})
-		_, _ = call(s, "PUT", "/tasks/j/1", spec(60_000, 1000, 3))
+		_, _ = serveRequest(s, "PUT", "/tasks/j/1", newTaskSpec(60_000, 1000, 3))
 		time.Sleep(900 * time.Millisecond)
-		_, _ = call(s, "POST", "/tasks/j/1/renew", target.LeaseRenewal{LeaseMS: 1000})
+		_, _ = serveRequest(s, "POST", "/tasks/j/1/renew", target.LeaseRenewal{LeaseMS: 1000})
 		time.Sleep(900 * time.Millisecond)
-		st, _ := call(s, "GET", "/tasks/j/1", nil)
+		st, _ := serveRequest(s, "GET", "/tasks/j/1", nil)
 		c.Check(st.State, qt.Equals, target.TaskRunning)
 		time.Sleep(200 * time.Millisecond)
-		st, _ = call(s, "GET", "/tasks/j/1", nil)
+		st, _ = serveRequest(s, "GET", "/tasks/j/1", nil)
 		c.Check(st.State, qt.Equals, target.TaskExpired)
-		_, code := call(s, "PUT", "/tasks/k/1", spec(10, 1000, 3))
+		_, code := serveRequest(s, "PUT", "/tasks/k/1", newTaskSpec(10, 1000, 3))
 		c.Check(code, qt.Equals, 200)
 		s.Close()
 	})
 }
 
-func TestStartsThatAreRefused(t *testing.T) {
+func TestRefusedStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		s := New(Options{})
-		first := spec(1000, 5000, 0)
+		first := newTaskSpec(1000, 5000, 0)
 		first.Epoch = 7
-		_, _ = call(s, "PUT", "/tasks/j/1", first)
-		_, code := call(s, "PUT", "/tasks/j/1", first)
+		_, _ = serveRequest(s, "PUT", "/tasks/j/1", first)
+		_, code := serveRequest(s, "PUT", "/tasks/j/1", first)
 		c.Check(code, qt.Equals, 200, qt.Commentf("the same start again"))
-		_, code = call(s, "PUT", "/tasks/j/1", spec(1, 5000, 1))
+		_, code = serveRequest(s, "PUT", "/tasks/j/1", newTaskSpec(1, 5000, 1))
 		c.Check(code, qt.Equals, 409, qt.Commentf("another task under the id"))
-		_, code = call(s, "PUT", "/tasks/k/1", spec(1000, 5000, 0))
+		_, code = serveRequest(s, "PUT", "/tasks/k/1", newTaskSpec(1000, 5000, 0))
 		c.Check(code, qt.Equals, 409, qt.Commentf("taken accelerator"))
-		_, code = call(s, "PUT", "/tasks/j/2", spec(1000, 5000, 5))
+		_, code = serveRequest(s, "PUT", "/tasks/j/2", newTaskSpec(1000, 5000, 5))
 		c.Check(code, qt.Equals, 409, qt.Commentf("older epoch"))
-		_, _ = call(s, "GET", "/tasks?incarnation=4", nil)
-		earlier, now := spec(1000, 5000, 6), spec(1000, 5000, 6)
+		_, _ = serveRequest(s, "GET", "/tasks?incarnation=4", nil)
+		earlier, now := newTaskSpec(1000, 5000, 6), newTaskSpec(1000, 5000, 6)
 		earlier.Incarnation, now.Incarnation = 3, 4
-		_, code = call(s, "PUT", "/tasks/l/1", earlier)
+		_, code = serveRequest(s, "PUT", "/tasks/l/1", earlier)
 		c.Check(code, qt.Equals, 409, qt.Commentf("sent by an earlier life of the agent"))
-		_, code = call(s, "PUT", "/tasks/m/1", now)
+		_, code = serveRequest(s, "PUT", "/tasks/m/1", now)
 		c.Check(code, qt.Equals, 200, qt.Commentf("sent by the agent as it is"))
 		a := s.Audit()
 		c.Check(len(a.Tasks), qt.Equals, 2)
@@ -108,28 +108,28 @@
 	})
 }
 
-func TestLateStartAfterAStopDoesNotRun(t *testing.T) {
+func TestStartAfterStopDoesNotRun(t *testing.T) {
 	// A gang is given up while one start is still under way. The stop overtakes
 	// it on another connection; the late start would run a part of the gang.
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		s := New(Options{})
-		_, code := call(s, "DELETE", "/tasks/j/1", nil)
+		_, code := serveRequest(s, "DELETE", "/tasks/j/1", nil)
 		c.Check(code, qt.Equals, 200)
-		st, _ := call(s, "PUT", "/tasks/j/1", spec(10, 1000, 0))
+		st, _ := serveRequest(s, "PUT", "/tasks/j/1", newTaskSpec(10, 1000, 0))
 		c.Check(st.State, qt.Equals, target.TaskStopped)
 		c.Check(len(s.Audit().Tasks), qt.Equals, 0)
 	})
 }
 
-func TestMoreRequestsThanSlotsAreSlower(t *testing.T) {
+func TestRequestsBeyondSlotsRunSlower(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Options{Slots: 1})
 		begin := time.Now()
 		done := make(chan time.Duration, 2)
 		for range 2 {
 			go func() {
-				call(s, "POST", "/requests/a?work_ms=100", nil)
+				serveRequest(s, "POST", "/requests/a?work_ms=100", nil)
 				done <- time.Since(begin)
 			}()
 		}
@@ -138,11 +138,11 @@
 	})
 }
 
-// awaitSilence returns when a request has arrived and n runs have ended.
-func (s *Server) awaitSilence(n int) {
+// waitForHang returns when a request has arrived and n runs have ended.
+func (s *Server) waitForHang(n int) {
 	for {
 		s.mu.Lock()
-		there := s.connsInUse > 0 && len(s.quickLog) == n && s.quickRunning == 0
+		there := s.protocolConns > 0 && len(s.quickLog) == n && s.quickRunning == 0
 		s.mu.Unlock()
 		if there {
 			return
@@ -151,7 +151,7 @@
 	}
 }
 
-func TestQuickFaultsAndTheirAudit(t *testing.T) {
+func TestQuickFaults(t *testing.T) {
 	for name, tc := range map[string]struct {
 		faults  Faults
 		err     error
@@ -179,7 +179,7 @@
 			defer cancel()
 			if tc.waitCut {
 				go func() {
-					s.awaitSilence(tc.runs)
+					s.waitForHang(tc.runs)
 					cancel()
 				}()
 			}
@@ -200,7 +200,7 @@
 	}
 }
 
-func TestConnectionsBeyondTheLimitAreRecorded(t *testing.T) {
+func TestConnectionLimitViolationIsRecorded(t *testing.T) {
 	s := New(Options{Connections: 1})
 	srv := httptest.NewUnstartedServer(nil)
 	srv.Config = s.HTTPServer()
@@ -217,9 +217,9 @@
 	qt.Check(t, v[0].Kind, qt.Equals, ViolationTooManyConnections)
 }
 
-// TestRandomTasksNeverShareAnAccelerator drives random starts, renewals and
+// TestRandomTasksNeverShareAccelerator drives random starts, renewals and
 // stops through virtual time and checks the log that audits rely on.
-func TestRandomTasksNeverShareAnAccelerator(t *testing.T) {
+func TestRandomTasksNeverShareAccelerator(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rng := rand.New(rand.NewPCG(1, 2))
 		s := New(Options{Accelerators: 3})
@@ -227,11 +227,11 @@
 			path := fmt.Sprintf("/tasks/j%d/1", rng.IntN(i/10+5))
 			switch rng.IntN(4) {
 			case 0, 1:
-				call(s, "PUT", path, spec(rng.Int64N(300), 1+rng.Int64N(200), rng.IntN(3)))
+				serveRequest(s, "PUT", path, newTaskSpec(rng.Int64N(300), 1+rng.Int64N(200), rng.IntN(3)))
 			case 2:
-				call(s, "POST", path+"/renew", target.LeaseRenewal{LeaseMS: 100})
+				serveRequest(s, "POST", path+"/renew", target.LeaseRenewal{LeaseMS: 100})
 			case 3:
-				call(s, "DELETE", path, nil)
+				serveRequest(s, "DELETE", path, nil)
 			}
 			time.Sleep(time.Duration(rng.IntN(40)) * time.Millisecond)
 		}
@@ -245,7 +245,7 @@
 			qt.Assert(t, r.End.IsZero(), qt.IsFalse)
 			lastEnd[a] = r.End
 		}
-		for _, h := range s.holders {
+		for _, h := range s.acceleratorHolders {
 			qt.Assert(t, h, qt.IsNil)
 		}
 	})
--- a/target/standin/task.go
+++ b/target/standin/task.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	failTaskAfterMS = 1
-	leaseLapsed     = "lease was not renewed"
+	injectedFailureAfterMS = 1
+	reasonLeaseExpired     = "lease was not renewed"
 )
 
 // task is one task on the worker. The server's mutex guards it.
@@ -19,56 +19,56 @@
 	id      target.TaskID
 	spec    target.TaskSpec
 	payload TaskPayload
-	// slow multiplies its run time.
-	slow  float64
-	state target.TaskState
-	err   string
-	// frozen is the progress in a final state.
-	frozen     int64
-	checkpoint *target.Checkpoint
-	run        *TaskRun
-	started    time.Time
-	end        time.Time
-	leaseEnd   time.Time
-	endTimer   *time.Timer
-	leaseTimer *time.Timer
-	done       chan struct{} // closed in a final state
-	forgotten  bool          // the worker was restarted since
+	// slowdown multiplies its run time.
+	slowdown  float64
+	state     target.TaskState
+	errorText string
+	// finalProgressMS is the progress in a final state.
+	finalProgressMS int64
+	checkpoint      *target.Checkpoint
+	auditRun        *TaskRun
+	startedAt       time.Time
+	endedAt         time.Time
+	leaseExpiresAt  time.Time
+	endTimer        *time.Timer
+	leaseTimer      *time.Timer
+	done            chan struct{} // closed in a final state
+	lostInRestart   bool          // the worker was restarted since
 }
 
-// start runs the task or returns the same one started before. The error says
-// which rule refuses the start; nothing has run then.
-func (s *Server) start(id target.TaskID, spec target.TaskSpec, p TaskPayload) (*task, error) {
+// startTask runs the task or returns the same one started before. The error says
+// which rule refuses the startTask; nothing has run then.
+func (s *Server) startTask(id target.TaskID, spec target.TaskSpec, p TaskPayload) (*task, error) {
 	if t := s.tasks[id]; t != nil {
-		return t, s.sameTask(t, spec)
+		return t, s.checkSameTask(t, spec)
 	}
 	if err := s.checkSpec(id, spec); err != nil {
 		return nil, err
 	}
-	t := &task{id: id, spec: spec, payload: p, slow: s.faults.slow(), state: target.TaskRunning,
-		started: time.Now(), checkpoint: spec.Restore, done: make(chan struct{})}
+	t := &task{id: id, spec: spec, payload: p, slowdown: s.faults.slowdown(), state: target.TaskRunning,
+		startedAt: time.Now(), checkpoint: spec.Restore, done: make(chan struct{})}
 	if s.faults.FailTasks {
 		t.payload.Fail = true
-		t.payload.FailAfterMS = t.restored() + failTaskAfterMS
+		t.payload.FailAfterMS = t.restoredMS() + injectedFailureAfterMS
 	}
 	s.tasks[id] = t
-	s.epochs[id.Job] = spec.Epoch
-	s.agent = max(s.agent, spec.Incarnation)
+	s.jobEpochs[id.Job] = spec.Epoch
+	s.agentIncarnation = max(s.agentIncarnation, spec.Incarnation)
 	for _, a := range spec.Accelerators {
-		s.holders[a] = t
+		s.acceleratorHolders[a] = t
 	}
-	s.logTask(t)
-	left := max(0, t.payload.workMS()-t.restored())
-	t.endTimer = time.AfterFunc(time.Duration(float64(msToDuration(left))*t.slow), func() { s.workEnded(t) })
-	t.leaseEnd = t.started.Add(msToDuration(spec.LeaseMS))
-	t.leaseTimer = time.AfterFunc(msToDuration(spec.LeaseMS), func() { s.leaseEnded(t) })
+	s.recordTask(t)
+	left := max(0, t.payload.totalWorkMS()-t.restoredMS())
+	t.endTimer = time.AfterFunc(time.Duration(float64(msToDuration(left))*t.slowdown), func() { s.handleEndTimer(t) })
+	t.leaseExpiresAt = t.startedAt.Add(msToDuration(spec.LeaseMS))
+	t.leaseTimer = time.AfterFunc(msToDuration(spec.LeaseMS), func() { s.handleLeaseTimer(t) })
 	return t, nil
 }
 
-// sameTask reports a start under the id of a task with other content. A lease
+// checkSameTask reports a start under the id of a task with other content. A lease
 // or epoch of another attempt to start it is no difference.
-func (s *Server) sameTask(t *task, spec target.TaskSpec) error {
-	if t.run == nil {
+func (s *Server) checkSameTask(t *task, spec target.TaskSpec) error {
+	if t.auditRun == nil {
 		return nil // stopped before its start
 	}
 	same := slices.Equal(t.spec.Accelerators, spec.Accelerators) &&
@@ -77,23 +77,23 @@
 	if same {
 		return nil
 	}
-	s.violate(ViolationTaskIDReused, "%s/%d", t.id.Job, t.id.Attempt)
+	s.recordViolation(ViolationTaskIDReused, "%s/%d", t.id.Job, t.id.Attempt)
 	return fmt.Errorf("task id is taken by a different task")
 }
 
 func (s *Server) checkSpec(id target.TaskID, spec target.TaskSpec) error {
-	if spec.Epoch < s.epochs[id.Job] {
-		return fmt.Errorf("epoch %d is older than %d", spec.Epoch, s.epochs[id.Job])
+	if spec.Epoch < s.jobEpochs[id.Job] {
+		return fmt.Errorf("epoch %d is older than %d", spec.Epoch, s.jobEpochs[id.Job])
 	}
-	if spec.Incarnation < s.agent {
-		return fmt.Errorf("the agent was restarted since: incarnation %d is older than %d", spec.Incarnation, s.agent)
+	if spec.Incarnation < s.agentIncarnation {
+		return fmt.Errorf("the agent was restarted since: incarnation %d is older than %d", spec.Incarnation, s.agentIncarnation)
 	}
 	for _, a := range spec.Accelerators {
-		if a < 0 || a >= len(s.holders) {
+		if a < 0 || a >= len(s.acceleratorHolders) {
 			return fmt.Errorf("accelerator %d: no such accelerator", a)
 		}
-		if h := s.holders[a]; h != nil {
-			s.violate(ViolationAcceleratorShared, "accelerator %d: %s/%d while %s/%d runs",
+		if h := s.acceleratorHolders[a]; h != nil {
+			s.recordViolation(ViolationAcceleratorShared, "accelerator %d: %s/%d while %s/%d runs",
 				a, id.Job, id.Attempt, h.id.Job, h.id.Attempt)
 			return fmt.Errorf("accelerator %d is taken by %s/%d", a, h.id.Job, h.id.Attempt)
 		}
@@ -101,8 +101,8 @@
 	return nil
 }
 
-func (s *Server) logTask(t *task) {
-	t.run = &TaskRun{
+func (s *Server) recordTask(t *task) {
+	t.auditRun = &TaskRun{
 		TaskID:       t.id,
 		Tag:          t.payload.Tag,
 		Account:      t.spec.Account,
@@ -110,82 +110,82 @@
 		Member:       t.spec.Member,
 		Members:      t.spec.Members,
 		Accelerators: t.spec.Accelerators,
-		RestoredMS:   t.restored(),
-		Start:        t.started,
+		RestoredMS:   t.restoredMS(),
+		Start:        t.startedAt,
 		Outcome:      target.TaskRunning,
 	}
-	if s.room() {
-		s.taskLog = append(s.taskLog, t.run)
+	if s.canRecord() {
+		s.taskLog = append(s.taskLog, t.auditRun)
 	}
 }
 
-// workEnded ends a task whose work is done. After a pause of the whole worker both
+// handleEndTimer ends a task whose work is done. After a pause of the whole worker both
 // timers are due, and what was due first counts: a lease that has lapsed.
-func (s *Server) workEnded(t *task) {
+func (s *Server) handleEndTimer(t *task) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Now().After(t.leaseEnd) {
-		s.finish(t, target.TaskExpired, leaseLapsed)
+	if time.Now().After(t.leaseExpiresAt) {
+		s.finishTask(t, target.TaskExpired, reasonLeaseExpired)
 		return
 	}
 	if t.payload.Fail {
-		s.finish(t, target.TaskFailed, "failed as told")
+		s.finishTask(t, target.TaskFailed, "failed as told")
 		return
 	}
-	s.finish(t, target.TaskDone, "")
+	s.finishTask(t, target.TaskDone, "")
 }
 
-// leaseEnded stops a task whose agent is gone, so that its accelerators come
+// handleLeaseTimer stops a task whose agent is gone, so that its accelerators come
 // free without it. A renewal that came meanwhile has moved leaseEnd.
-func (s *Server) leaseEnded(t *task) {
+func (s *Server) handleLeaseTimer(t *task) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Now().Before(t.leaseEnd) {
+	if time.Now().Before(t.leaseExpiresAt) {
 		return
 	}
-	s.finish(t, target.TaskExpired, leaseLapsed)
+	s.finishTask(t, target.TaskExpired, reasonLeaseExpired)
 }
 
-// finish brings t to a final state; one that has ended stays as it is.
-func (s *Server) finish(t *task, state target.TaskState, reason string) {
+// finishTask brings t to a final state; one that has ended stays as it is.
+func (s *Server) finishTask(t *task, state target.TaskState, reason string) {
 	if t.state.Final() {
 		return
 	}
-	t.frozen = t.progress(time.Now())
+	t.finalProgressMS = t.progressMS(time.Now())
 	if state == target.TaskDone || state == target.TaskFailed {
-		t.frozen = max(t.restored(), t.payload.workMS())
+		t.finalProgressMS = max(t.restoredMS(), t.payload.totalWorkMS())
 	}
-	t.checkpoint = t.latestCheckpoint(t.frozen)
-	t.state, t.err, t.end = state, reason, time.Now()
+	t.checkpoint = t.latestCheckpoint(t.finalProgressMS)
+	t.state, t.errorText, t.endedAt = state, reason, time.Now()
 	t.endTimer.Stop()
 	t.leaseTimer.Stop()
-	t.run.End, t.run.Outcome, t.run.ProgressMS = t.end, state, t.frozen
+	t.auditRun.End, t.auditRun.Outcome, t.auditRun.ProgressMS = t.endedAt, state, t.finalProgressMS
 	for _, a := range t.spec.Accelerators {
-		s.holders[a] = nil
+		s.acceleratorHolders[a] = nil
 	}
-	s.forget(t.id)
+	s.rememberEnded(t.id)
 	close(t.done)
 }
 
-// forget adds an ended task and drops the oldest beyond the bound.
-func (s *Server) forget(id target.TaskID) {
-	s.ended = append(s.ended, id)
-	if len(s.ended) <= s.opts.MaxEndedTasks {
+// rememberEnded adds an ended task and drops the oldest beyond the bound.
+func (s *Server) rememberEnded(id target.TaskID) {
+	s.endedTasks = append(s.endedTasks, id)
+	if len(s.endedTasks) <= s.opts.MaxEndedTasks {
 		return
 	}
-	old := s.ended[0]
-	s.ended = s.ended[1:]
+	old := s.endedTasks[0]
+	s.endedTasks = s.endedTasks[1:]
 	delete(s.tasks, old)
-	delete(s.epochs, old.Job)
+	delete(s.jobEpochs, old.Job)
 }
 
-// bury marks a task stopped that never started here.
-func (s *Server) bury(id target.TaskID) *task {
+// addStoppedTask marks a task stopped that never started here.
+func (s *Server) addStoppedTask(id target.TaskID) *task {
 	now := time.Now()
-	t := &task{id: id, state: target.TaskStopped, err: "stopped before its start",
-		started: now, end: now, done: make(chan struct{})}
+	t := &task{id: id, state: target.TaskStopped, errorText: "stopped before its start",
+		startedAt: now, endedAt: now, done: make(chan struct{})}
 	close(t.done)
 	s.tasks[id] = t
-	s.forget(id)
+	s.rememberEnded(id)
 	return t
 }
--- a/target/standin/task_payload.go
+++ b/target/standin/task_payload.go
@@ -30,7 +30,7 @@
 	ProgressMS int64  `json:"progress_ms"`
 }
 
-func parsePayload(text json.RawMessage) (TaskPayload, error) {
+func parseTaskPayload(text json.RawMessage) (TaskPayload, error) {
 	var p TaskPayload
 	if len(text) == 0 {
 		return p, nil
@@ -38,14 +38,14 @@
 	if err := json.Unmarshal(text, &p); err != nil {
 		return p, fmt.Errorf("payload: %w", err)
 	}
-	if p.RunMS < 0 || p.RunMS > maxWork.Milliseconds() {
-		return p, fmt.Errorf("payload: run_ms: must be from 0 to %d", maxWork.Milliseconds())
+	if p.RunMS < 0 || p.RunMS > maxRunTime.Milliseconds() {
+		return p, fmt.Errorf("payload: run_ms: must be from 0 to %d", maxRunTime.Milliseconds())
 	}
 	return p, nil
 }
 
-// workMS is the progress at which the task ends.
-func (p TaskPayload) workMS() int64 {
+// totalWorkMS is the progress at which the task ends.
+func (p TaskPayload) totalWorkMS() int64 {
 	if p.Fail && p.FailAfterMS > 0 {
 		return min(p.FailAfterMS, p.RunMS)
 	}
--- a/target/standin/tasks_http.go
+++ b/target/standin/tasks_http.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	taskRoute = target.PathTasks + "/:job/:attempt"
-	maxWait   = time.Minute
+	taskRoute     = target.PathTasks + "/:job/:attempt"
+	maxStatusWait = time.Minute
 )
 
-func taskID(r *http.Request) (target.TaskID, error) {
+func parseTaskID(r *http.Request) (target.TaskID, error) {
 	attempt, err := strconv.Atoi(pat.Param(r, "attempt"))
 	if err != nil {
 		return target.TaskID{}, fmt.Errorf("attempt: must be a number")
@@ -27,17 +27,17 @@
 }
 
 func (s *Server) putTask(w http.ResponseWriter, r *http.Request) {
-	id, err := taskID(r)
+	id, err := parseTaskID(r)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	var spec target.TaskSpec
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&spec); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&spec); err != nil {
 		http.Error(w, "spec: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	payload, err := parsePayload(spec.Payload)
+	payload, err := parseTaskPayload(spec.Payload)
 	if err == nil && spec.LeaseMS <= 0 {
 		err = fmt.Errorf("lease_ms: must be more than 0")
 	}
@@ -45,14 +45,14 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s.holdStart()
+	s.delayStart()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.Reject {
 		http.Error(w, "refused", http.StatusServiceUnavailable)
 		return
 	}
-	t, err := s.start(id, spec, payload)
+	t, err := s.startTask(id, spec, payload)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusConflict)
 		return
@@ -60,9 +60,9 @@
 	writeJSON(w, t.status(time.Now()))
 }
 
-// find returns the task named by the request, or answers the request itself.
-func (s *Server) find(w http.ResponseWriter, r *http.Request) *task {
-	id, err := taskID(r)
+// findTask returns the task named by the request, or answers the request itself.
+func (s *Server) findTask(w http.ResponseWriter, r *http.Request) *task {
+	id, err := parseTaskID(r)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return nil
@@ -76,18 +76,18 @@
 
 func (s *Server) getTask(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	t := s.find(w, r)
+	t := s.findTask(w, r)
 	s.mu.Unlock()
 	if t == nil {
 		return
 	}
 	ms, _ := strconv.ParseInt(r.URL.Query().Get(target.ParamWaitMS), 10, 64)
 	if ms > 0 {
-		s.waitTask(r, t, min(msToDuration(ms), maxWait))
+		s.waitTask(r, t, min(msToDuration(ms), maxStatusWait))
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if t.forgotten {
+	if t.lostInRestart {
 		panic(http.ErrAbortHandler) // its process has crashed under the call
 	}
 	writeJSON(w, t.status(time.Now()))
@@ -109,7 +109,7 @@
 	incarnation, _ := strconv.ParseUint(r.URL.Query().Get(target.ParamIncarnation), 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.agent = max(s.agent, incarnation)
+	s.agentIncarnation = max(s.agentIncarnation, incarnation)
 	now := time.Now()
 	list := []target.TaskStatus{}
 	for _, t := range s.tasks {
@@ -121,20 +121,20 @@
 
 func (s *Server) renewTask(w http.ResponseWriter, r *http.Request) {
 	var renewal target.LeaseRenewal
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&renewal)
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&renewal)
 	if err != nil || renewal.LeaseMS <= 0 {
 		http.Error(w, "lease_ms: must be a number above 0", http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.find(w, r)
+	t := s.findTask(w, r)
 	if t == nil {
 		return
 	}
 	now := time.Now()
 	if !t.state.Final() {
-		t.leaseEnd = now.Add(msToDuration(renewal.LeaseMS))
+		t.leaseExpiresAt = now.Add(msToDuration(renewal.LeaseMS))
 		t.leaseTimer.Reset(msToDuration(renewal.LeaseMS))
 	}
 	writeJSON(w, t.status(now))
@@ -143,19 +143,19 @@
 func (s *Server) checkpointTask(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.find(w, r)
+	t := s.findTask(w, r)
 	if t == nil {
 		return
 	}
 	now := time.Now()
 	if !t.state.Final() && t.spec.Checkpointable {
-		t.checkpoint = t.newCheckpoint(t.progress(now), now)
+		t.checkpoint = t.newCheckpoint(t.progressMS(now), now)
 	}
 	writeJSON(w, t.status(now))
 }
 
 func (s *Server) deleteTask(w http.ResponseWriter, r *http.Request) {
-	id, err := taskID(r)
+	id, err := parseTaskID(r)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -165,12 +165,12 @@
 	now := time.Now()
 	t := s.tasks[id]
 	if t == nil {
-		t = s.bury(id)
+		t = s.addStoppedTask(id)
 	}
 	save := r.URL.Query().Get(target.ParamCheckpoint) == "true"
 	if save && !t.state.Final() && t.spec.Checkpointable {
-		t.checkpoint = t.newCheckpoint(t.progress(now), now)
+		t.checkpoint = t.newCheckpoint(t.progressMS(now), now)
 	}
-	s.finish(t, target.TaskStopped, "stopped by the agent")
+	s.finishTask(t, target.TaskStopped, "stopped by the agent")
 	writeJSON(w, t.status(now))
 }
--- a/target/standin/usage_http.go
+++ b/target/standin/usage_http.go
@@ -25,14 +25,14 @@
 	defer s.mu.Unlock()
 	now := time.Now()
 	if now.Sub(s.usage.SampledAt) >= s.opts.MaxUsageAge {
-		s.usage = s.sample(now)
+		s.usage = s.sampleUsage(now)
 	}
 	writeJSON(w, s.usage)
 }
 
-func (s *Server) sample(now time.Time) target.Usage {
-	u := target.Usage{SampledAt: now, QuickRequests: s.quickRunning, OpenConnections: s.connsInUse, BusyAccelerators: []int{}}
-	for a, t := range s.holders {
+func (s *Server) sampleUsage(now time.Time) target.Usage {
+	u := target.Usage{SampledAt: now, QuickRequests: s.quickRunning, OpenConnections: s.protocolConns, BusyAccelerators: []int{}}
+	for a, t := range s.acceleratorHolders {
 		if t != nil {
 			u.BusyAccelerators = append(u.BusyAccelerators, a)
 		}
@@ -55,7 +55,7 @@
 }
 
 func (s *Server) postFaults(w http.ResponseWriter, r *http.Request) {
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	d.DisallowUnknownFields()
 	var f Faults
 	if err := d.Decode(&f); err != nil {
--- a/target/tracked_conn.go
+++ b/target/tracked_conn.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-var errSealed = errors.New("target: connection is sealed")
+var errConnClosed = errors.New("target: connection is sealed")
 
 // trackedConn proves whether bytes of a request were written.
 //
@@ -19,31 +19,31 @@
 	net.Conn
 	mu     sync.Mutex
 	writes uint64
-	sealed bool
+	closed bool
 }
 
 // Write implements net.Conn.
 func (c *trackedConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
-	if c.sealed {
+	if c.closed {
 		c.mu.Unlock()
-		return 0, errSealed
+		return 0, errConnClosed
 	}
 	c.writes++
 	c.mu.Unlock()
 	return c.Conn.Write(p)
 }
 
-func (c *trackedConn) count() uint64 {
+func (c *trackedConn) writeCount() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
 }
 
-// seal ends all writes and returns how many there were.
-func (c *trackedConn) seal() uint64 {
+// closeAndCount ends all writes and returns how many there were.
+func (c *trackedConn) closeAndCount() uint64 {
 	c.mu.Lock()
-	c.sealed = true
+	c.closed = true
 	n := c.writes
 	c.mu.Unlock()
 	_ = c.Conn.Close()
