--- a/agent/admission_gate.go
+++ b/agent/admission_gate.go
@@ -29,24 +29,24 @@
 // acquireSlot waits for a slot. The refusal is nil when the request may run; leave
 // must follow then. When ctx ends first, the request has not run and ctx's error
 // is returned.
-func (g *admissionGate) acquireSlot(ctx context.Context, a admission.Arrived) (admission.ID, *admission.Refuse, error) {
-	decided := make(chan admission.Action, 1)
+func (g *admissionGate) acquireSlot(ctx context.Context, arrival admission.Arrived) (admission.ID, *admission.Refuse, error) {
+	decision := make(chan admission.Action, 1)
 	g.mu.Lock()
 	g.lastID++
-	a.ID = g.lastID
-	g.waiting[a.ID] = decided
-	g.handleEvent(a)
+	arrival.ID = g.lastID
+	g.waiting[arrival.ID] = decision
+	g.handleEvent(arrival)
 	g.mu.Unlock()
 
 	select {
-	case d := <-decided:
-		return a.ID, asRefusal(d), nil
+	case d := <-decision:
+		return arrival.ID, asRefusal(d), nil
 	case <-ctx.Done():
 	}
-	if d := g.cancel(a.ID, decided); d != nil {
-		return a.ID, asRefusal(d), nil
+	if d := g.cancel(arrival.ID, decision); d != nil {
+		return arrival.ID, asRefusal(d), nil
 	}
-	return a.ID, nil, ctx.Err()
+	return arrival.ID, nil, ctx.Err()
 }
 
 func asRefusal(a admission.Action) *admission.Refuse {
@@ -58,11 +58,11 @@
 
 // cancel takes a request out of the queue, or returns the decision that came
 // first.
-func (g *admissionGate) cancel(id admission.ID, decided chan admission.Action) admission.Action {
+func (g *admissionGate) cancel(id admission.ID, decision chan admission.Action) admission.Action {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	select {
-	case d := <-decided:
+	case d := <-decision:
 		return d
 	default:
 	}
@@ -72,8 +72,8 @@
 }
 
 // releaseSlot frees the slot of a request that ran for took.
-func (g *admissionGate) releaseSlot(id admission.ID, took time.Duration) {
-	g.postEvent(admission.Finished{ID: id, SlotTime: took})
+func (g *admissionGate) releaseSlot(id admission.ID, slotTime time.Duration) {
+	g.postEvent(admission.Finished{ID: id, SlotTime: slotTime})
 }
 
 func (g *admissionGate) postEvent(ev admission.Event) {
@@ -110,9 +110,9 @@
 }
 
 func (g *admissionGate) deliver(id admission.ID, a admission.Action) {
-	decided := g.waiting[id]
+	decision := g.waiting[id]
 	delete(g.waiting, id)
-	decided <- a
+	decision <- a
 }
 
 func (g *admissionGate) scheduleTick(at time.Time) {
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -158,11 +158,11 @@
 
 // accountWeight is the client account's accountWeight by the document in force.
 func (a *Agent) accountWeight(account string) int {
-	held, ok := a.documents.Current(a.cfg.Service)
+	current, ok := a.documents.Current(a.cfg.Service)
 	if !ok {
 		return 1
 	}
-	acc, ok := held.Document.Account(account)
+	acc, ok := current.Document.Account(account)
 	if !ok {
 		return 1
 	}
@@ -170,15 +170,15 @@
 }
 
 // documentChanged puts a new generation's weights in force and reports it.
-func (a *Agent) documentChanged(_, now *document.ActiveVersion) {
-	if now.Version.Service != a.cfg.Service {
+func (a *Agent) documentChanged(_, current *document.ActiveVersion) {
+	if current.Version.Service != a.cfg.Service {
 		return
 	}
-	a.log.WithField("generation", now.Version.Generation).Info("document in force")
-	a.quickExecutor.gate.postEvent(admissionPolicy(now.Document))
-	a.gangRunner.setIsolationTimeout(now.Document.Gang.IsolationTimeout.Duration)
+	a.log.WithField("generation", current.Version.Generation).Info("document in force")
+	a.quickExecutor.gate.postEvent(admissionPolicy(current.Document))
+	a.gangRunner.setIsolationTimeout(current.Document.Gang.IsolationTimeout.Duration)
 	a.reporter.updateGenerations()
-	a.reporter.pushDocument(now)
+	a.reporter.pushDocument(current)
 }
 
 // Drain makes the agent refuse new work and tell all entries so.
--- a/agent/at_most_once.go
+++ b/agent/at_most_once.go
@@ -14,14 +14,14 @@
 // lock, so that two copies of a message can't both be fresh.
 func (q *quickExecutor) executeOnce(ctx context.Context, id attempts.ID, m *wire.Execute) *wire.ExecuteReply {
 	q.mu.Lock()
-	verdict, answer := q.attempts.Begin(q.now(), id)
-	if verdict == attempts.BeginRun {
+	result, answer := q.attempts.Begin(q.now(), id)
+	if result == attempts.BeginRun {
 		q.runningAttempts[id] = make(chan struct{})
 	}
 	done := q.runningAttempts[id]
 	q.mu.Unlock()
 
-	switch verdict {
+	switch result {
 	case attempts.BeginRun:
 		return q.runFirst(ctx, id, m)
 	case attempts.BeginJoin:
@@ -39,10 +39,10 @@
 func (q *quickExecutor) runFirst(ctx context.Context, id attempts.ID, m *wire.Execute) *wire.ExecuteReply {
 	// Once the target has been asked, the end of the entry's connection must not
 	// end the exchange: the request runs on, and the retry wants its answer.
-	run, cancel := context.WithTimeout(context.WithoutCancel(ctx), remainingTime(m)+atMostOnceGrace)
+	runCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), remainingTime(m)+atMostOnceGrace)
 	defer cancel()
 	sent := false
-	reply := q.queueAndForward(ctx, run, m, func() { sent = true })
+	reply := q.queueAndForward(ctx, runCtx, m, func() { sent = true })
 
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -80,10 +80,10 @@
 			return unknownReply(reasonAnswerLost, "the attempt still runs")
 		}
 	}
-	r := q.resolve(id)
-	switch r.State {
+	resolved := q.resolve(id)
+	switch resolved.State {
 	case wire.AttemptAnswered:
-		return r.Reply
+		return resolved.Reply
 	case wire.AttemptNotRun:
 		return refusedReply(wire.ReasonAttempt, "the attempt was refused", 0)
 	default:
@@ -135,7 +135,7 @@
 // other's attempt: the question about the first overtakes the first, and both
 // callers hear that nothing ran.
 func (q *quickExecutor) waitForArrival(ctx context.Context, id attempts.ID, wait time.Duration) {
-	for until := q.now().Add(wait); !q.isKnown(id) && q.now().Before(until); {
+	for deadline := q.now().Add(wait); !q.isKnown(id) && q.now().Before(deadline); {
 		select {
 		case <-time.After(arrivalPollInterval):
 		case <-ctx.Done():
--- a/agent/execute_reply.go
+++ b/agent/execute_reply.go
@@ -10,12 +10,12 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-func refusedReply(reason, detail string, after time.Duration) *wire.ExecuteReply {
+func refusedReply(reason, detail string, retryAfter time.Duration) *wire.ExecuteReply {
 	return &wire.ExecuteReply{
 		Outcome:    wire.OutcomeRefused,
 		Reason:     reason,
 		Detail:     detail,
-		RetryAfter: after,
+		RetryAfter: retryAfter,
 	}
 }
 
--- a/agent/fake_relay_test.go
+++ b/agent/fake_relay_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-func (r *testRack) startFakeRelay(id string, answer func(wire.RelayInfo) (any, error)) *fakeRelay {
-	s := &fakeRelay{c: r.C, reply: answer, reportCounts: make(map[string]int), done: make(chan struct{})}
+func (r *testRack) startFakeRelay(id string, reply func(wire.RelayInfo) (any, error)) *fakeRelay {
+	s := &fakeRelay{c: r.C, reply: reply, reportCounts: make(map[string]int), done: make(chan struct{})}
 	peer := wire.Peer{ID: id, Role: wire.RoleAgent, Incarnation: 1, Region: "auckland", Zone: zoneName, Version: wire.Version}
 	identity, err := wire.NewIdentity(peer, []byte(clusterKey))
 	r.Assert(err, qt.IsNil)
@@ -61,10 +61,10 @@
 }
 
 // reportTo reports the stand-in itself to an entry.
-func (s *fakeRelay) reportTo(entry string) {
+func (s *fakeRelay) reportTo(entryAddr string) {
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		_, _ = s.pool.Call(ctx, entry, &wire.Report{Reports: []wire.AgentReport{s.report}}) // an entry that starts answers the next one
+		_, _ = s.pool.Call(ctx, entryAddr, &wire.Report{Reports: []wire.AgentReport{s.report}}) // an entry that starts answers the next one
 		cancel()
 		select {
 		case <-s.done:
@@ -85,17 +85,17 @@
 }
 
 // waitForReports waits until each agent has sent so many reports to the stand-in.
-func (s *fakeRelay) waitForReports(ids []string, times int) {
+func (s *fakeRelay) waitForReports(ids []string, minReports int) {
 	s.c.Helper()
 	waitUntil(s.c, "the agents report to the relay", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		done := 0
+		ready := 0
 		for _, id := range ids {
-			if s.reportCounts[id] >= times {
-				done++
+			if s.reportCounts[id] >= minReports {
+				ready++
 			}
 		}
-		return done == len(ids)
+		return ready == len(ids)
 	})
 }
--- a/agent/first_report_test.go
+++ b/agent/first_report_test.go
@@ -24,15 +24,15 @@
 func startFakeEntry(c *qt.C, reports chan<- wire.AgentReport) string {
 	id, err := wire.NewIdentity(wire.Peer{ID: "entry", Role: wire.RoleEntry}, []byte(testClusterKey))
 	c.Assert(err, qt.IsNil)
-	ep, err := wire.Listen("127.0.0.1:0", id, wire.HandlerFunc(func(_ context.Context, _ *wire.Conn, msg any) (any, error) {
+	endpoint, err := wire.Listen("127.0.0.1:0", id, wire.HandlerFunc(func(_ context.Context, _ *wire.Conn, msg any) (any, error) {
 		for _, r := range msg.(*wire.Report).Reports {
 			reports <- r
 		}
 		return &wire.ReportAck{}, nil
 	}))
 	c.Assert(err, qt.IsNil)
-	c.Cleanup(func() { c.Check(ep.Close(), qt.IsNil) })
-	return ep.Addr()
+	c.Cleanup(func() { c.Check(endpoint.Close(), qt.IsNil) })
+	return endpoint.Addr()
 }
 
 // slowTarget runs one task of a gang, and lets whoever asks for its tasks wait until
--- a/agent/gang_runner.go
+++ b/agent/gang_runner.go
@@ -66,8 +66,8 @@
 		select {
 		case <-g.tomb.Dying():
 			return nil
-		case f := <-g.events:
-			f()
+		case handle := <-g.events:
+			handle()
 		case <-g.timer.C:
 			g.handleEvent(gang.Tick{})
 		}
@@ -126,11 +126,11 @@
 
 // handleEvent runs on the loop's goroutine.
 func (g *gangRunner) handleEvent(ev gang.MemberEvent) {
-	_, answering := ev.(gang.Received)
+	_, isMessage := ev.(gang.Received)
 	for _, a := range g.member.Step(clock.Now(), ev) {
 		switch a := a.(type) {
 		case gang.SendReply:
-			g.sendReply(a, answering)
+			g.sendReply(a, isMessage)
 		case gang.StartTask:
 			g.tomb.Go(func() error { return g.startTask(a) })
 		case gang.StopTask:
@@ -142,8 +142,8 @@
 	g.stateChanged(g.member)
 }
 
-func (g *gangRunner) sendReply(a gang.SendReply, answering bool) {
-	if answering && g.currentReply == nil {
+func (g *gangRunner) sendReply(a gang.SendReply, isMessage bool) {
+	if isMessage && g.currentReply == nil {
 		g.currentReply = &a.Reply
 		return
 	}
@@ -162,13 +162,13 @@
 
 // hasActiveTasks says whether any attempt holds accelerators or runs.
 func (g *gangRunner) hasActiveTasks(ctx context.Context) bool {
-	busy := false
+	active := false
 	g.call(ctx, func() {
 		for _, t := range g.member.Tasks() {
-			busy = busy || t.State != gang.StateEnded
+			active = active || t.State != gang.StateEnded
 		}
 	})
-	return busy
+	return active
 }
 
 func (g *gangRunner) setIsolationTimeout(d time.Duration) {
--- a/agent/gang_task.go
+++ b/agent/gang_task.go
@@ -13,23 +13,23 @@
 )
 
 // startTask starts a task and follows it to its end.
-func (g *gangRunner) startTask(a gang.StartTask) error {
+func (g *gangRunner) startTask(action gang.StartTask) error {
 	var spec target.TaskSpec
-	if err := cbor.Unmarshal(a.Spec, &spec); err != nil {
-		g.taskEnded(a.Task.ID, gang.TaskFailed, false, "task spec: "+err.Error())
+	if err := cbor.Unmarshal(action.Spec, &spec); err != nil {
+		g.taskEnded(action.Task.ID, gang.TaskFailed, false, "task spec: "+err.Error())
 		return nil
 	}
-	spec.Accelerators = a.Task.Accelerators
-	spec.LeaseMS = max(1, leaseDuration(a.Task).Milliseconds())
-	spec.Epoch = a.Task.ID.Epoch
+	spec.Accelerators = action.Task.Accelerators
+	spec.LeaseMS = max(1, leaseDuration(action.Task).Milliseconds())
+	spec.Epoch = action.Task.ID.Epoch
 	spec.Incarnation = g.incarnation
 	ctx, cancel := context.WithTimeout(g.tomb.Context(context.Background()), maxTaskLease)
 	defer cancel()
-	_, err := g.targetClient.StartTask(ctx, toTargetID(a.Task.ID), spec)
+	_, err := g.targetClient.StartTask(ctx, toTargetID(action.Task.ID), spec)
 	if err != nil {
-		return g.handleStartFailure(a.Task.ID, err)
+		return g.handleStartFailure(action.Task.ID, err)
 	}
-	return g.watchTask(a.Task.ID)
+	return g.watchTask(action.Task.ID)
 }
 
 // handleStartFailure makes sure that a start whose outcome is not known does not run
@@ -48,11 +48,11 @@
 
 // watchTask renews a task's lease and waits for its end.
 func (g *gangRunner) watchTask(id gang.ID) error {
-	tid := toTargetID(id)
-	lost := time.Now().Add(maxTaskLease)
+	targetTaskID := toTargetID(id)
+	leaseExpiresAt := time.Now().Add(maxTaskLease)
 	for {
 		ctx, cancel := context.WithTimeout(g.tomb.Context(context.Background()), maxTaskLease)
-		status, err := g.renewAndWait(ctx, tid)
+		status, err := g.renewAndWait(ctx, targetTaskID)
 		cancel()
 		select {
 		case <-g.tomb.Dying():
@@ -64,8 +64,8 @@
 			g.taskEnded(id, resultOfState(status.State), status.Checkpoint != nil, taskDetail(status))
 			return nil
 		case err == nil:
-			lost = time.Now().Add(maxTaskLease)
-		case errors.Is(err, target.ErrUnknownTask), time.Now().After(lost):
+			leaseExpiresAt = time.Now().Add(maxTaskLease)
+		case errors.Is(err, target.ErrUnknownTask), time.Now().After(leaseExpiresAt):
 			// The target had the task and has crashed since: another life of it answers at
 			// its address, which runs nothing of the last. Or the lease that it last heard of
 			// has lapsed: it has stopped the task, or it is gone itself.
@@ -113,21 +113,21 @@
 }
 
 // stopTask asks the target to stop; watch then sees the end.
-func (g *gangRunner) stopTask(a gang.StopTask) error {
+func (g *gangRunner) stopTask(action gang.StopTask) error {
 	ctx, cancel := context.WithTimeout(g.tomb.Context(context.Background()), maxTaskLease)
 	defer cancel()
-	if _, err := g.targetClient.StopTask(ctx, toTargetID(a.ID), a.Checkpoint); err != nil {
-		g.log.WithError(err).WithField("job", a.ID.Job).Warn("target did not stop the task")
+	if _, err := g.targetClient.StopTask(ctx, toTargetID(action.ID), action.Checkpoint); err != nil {
+		g.log.WithError(err).WithField("job", action.ID.Job).Warn("target did not stop the task")
 	}
 	return nil
 }
 
-func (g *gangRunner) taskEnded(id gang.ID, r gang.Result, checkpointed bool, detail string) {
-	g.postEvent(gang.TaskEnded{ID: id, Result: r, Checkpointed: checkpointed, Detail: detail})
+func (g *gangRunner) taskEnded(id gang.ID, result gang.Result, checkpointed bool, detail string) {
+	g.postEvent(gang.TaskEnded{ID: id, Result: result, Checkpointed: checkpointed, Detail: detail})
 }
 
-func resultOfState(s target.TaskState) gang.Result {
-	switch s {
+func resultOfState(state target.TaskState) gang.Result {
+	switch state {
 	case target.TaskDone:
 		return gang.Succeeded
 	case target.TaskFailed:
@@ -141,14 +141,14 @@
 
 // taskDetail is the task's result, its error, or the checkpoint that a stopped task
 // can go on from.
-func taskDetail(s target.TaskStatus) string {
-	if s.Error != "" {
-		return s.Error
+func taskDetail(status target.TaskStatus) string {
+	if status.Error != "" {
+		return status.Error
 	}
-	if s.State == target.TaskStopped && s.Checkpoint != nil {
-		if data, err := json.Marshal(s.Checkpoint); err == nil {
+	if status.State == target.TaskStopped && status.Checkpoint != nil {
+		if data, err := json.Marshal(status.Checkpoint); err == nil {
 			return string(data)
 		}
 	}
-	return string(s.Result)
+	return string(status.Result)
 }
--- a/agent/message_handlers.go
+++ b/agent/message_handlers.go
@@ -63,8 +63,8 @@
 
 // publishDocuments takes documents that an entry sends and answers with what is in force
 // then.
-func (a *Agent) publishDocuments(m *wire.PublishDocuments) *wire.PublishDocumentsAck {
-	for _, v := range m.Versions {
+func (a *Agent) publishDocuments(msg *wire.PublishDocuments) *wire.PublishDocumentsAck {
+	for _, v := range msg.Versions {
 		a.documents.Update(time.Now(), v)
 	}
 	return &wire.PublishDocumentsAck{Generations: a.documents.Summaries()}
--- a/agent/quick_executor.go
+++ b/agent/quick_executor.go
@@ -52,10 +52,10 @@
 // execute runs one attempt and returns its end. ctx ends when the entry no
 // longer waits.
 func (q *quickExecutor) execute(ctx context.Context, m *wire.Execute) *wire.ExecuteReply {
-	began := q.now()
+	start := q.now()
 	reply := q.dispatch(ctx, m)
 	reply.Load, reply.Congested, reply.Draining = q.load()
-	q.observeDuration(m.Account, m.Class, outcomeTiming(reply.Outcome), q.now().Sub(began))
+	q.observeDuration(m.Account, m.Class, outcomeTiming(reply.Outcome), q.now().Sub(start))
 	return reply
 }
 
@@ -79,10 +79,10 @@
 
 // queueAndForward queues the request under wait, then forwards it under ctx. sending is
 // called just before the target is asked.
-func (q *quickExecutor) queueAndForward(wait, ctx context.Context, m *wire.Execute, sending func()) *wire.ExecuteReply {
+func (q *quickExecutor) queueAndForward(queueCtx, forwardCtx context.Context, m *wire.Execute, beforeSend func()) *wire.ExecuteReply {
 	arrived := q.now()
 	deadline := arrived.Add(remainingTime(m))
-	id, refusal, err := q.gate.acquireSlot(wait, admission.Arrived{
+	id, refusal, err := q.gate.acquireSlot(queueCtx, admission.Arrived{
 		Account:  m.Account,
 		Class:    m.Class,
 		Weight:   q.accountWeight(m.Account),
@@ -95,19 +95,19 @@
 	if refusal != nil {
 		return refusedReply(refusal.Reason.String(), "", refusal.RetryAfter)
 	}
-	began := q.now()
-	q.observeDuration(m.Account, m.Class, metrics.QuickQueueTime, began.Sub(arrived))
+	started := q.now()
+	q.observeDuration(m.Account, m.Class, metrics.QuickQueueTime, started.Sub(arrived))
 	defer func() {
-		took := q.now().Sub(began)
-		q.gate.releaseSlot(id, took)
-		q.observeDuration(m.Account, m.Class, metrics.QuickServiceTime, took)
+		slotTime := q.now().Sub(started)
+		q.gate.releaseSlot(id, slotTime)
+		q.observeDuration(m.Account, m.Class, metrics.QuickServiceTime, slotTime)
 	}()
-	sending()
-	return q.forward(ctx, m, deadline)
+	beforeSend()
+	return q.forward(forwardCtx, m, deadline)
 }
 
 func (q *quickExecutor) forward(ctx context.Context, m *wire.Execute, deadline time.Time) *wire.ExecuteReply {
-	answer, err := q.targetClient.Do(ctx, target.Request{
+	response, err := q.targetClient.Do(ctx, target.Request{
 		RequestID: m.RequestID,
 		Attempt:   m.Hops + 1,
 		Account:   m.Account,
@@ -123,9 +123,9 @@
 	case err == nil:
 		return &wire.ExecuteReply{
 			Outcome: wire.OutcomeDone,
-			Status:  answer.Status,
-			Header:  wireHeader(answer.Header),
-			Body:    answer.Body,
+			Status:  response.Status,
+			Header:  wireHeader(response.Header),
+			Body:    response.Body,
 		}
 	case errors.Is(err, target.ErrNotSent), errors.Is(err, target.ErrRefused):
 		return refusedReply(reasonTargetRefused, err.Error(), 0)
--- a/agent/quick_executor_test.go
+++ b/agent/quick_executor_test.go
@@ -27,17 +27,17 @@
 	release chan struct{} // one for each request that may end
 }
 
-func (s *testTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (t *testTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
-	s.runs.Add(1)
-	s.started <- struct{}{}
-	<-s.release
+	t.runs.Add(1)
+	t.started <- struct{}{}
+	<-t.release
 	_, _ = w.Write(append([]byte("answer to "), body...))
 }
 
 func newTestExecutor(t *testing.T, slots int) (*quickExecutor, *testTarget) {
-	s := &testTarget{started: make(chan struct{}, 16), release: make(chan struct{}, 16)}
-	server := httptest.NewServer(s)
+	backend := &testTarget{started: make(chan struct{}, 16), release: make(chan struct{}, 16)}
+	server := httptest.NewServer(backend)
 	client := target.NewClient(target.Options{BaseURL: server.URL})
 	q := &quickExecutor{
 		gate:          newAdmissionGate(admission.Options{Slots: slots}),
@@ -55,12 +55,12 @@
 		now:             time.Now,
 	}
 	t.Cleanup(func() {
-		close(s.release)
+		close(backend.release)
 		client.Close()
 		server.Close()
 		q.gate.stopTimer()
 	})
-	return q, s
+	return q, backend
 }
 
 func newAttemptID(sequence uint64) attempts.ID {
@@ -85,53 +85,53 @@
 // the one run's whole answer, and nothing runs a second time.
 func TestEntryDiesWhileAttemptRuns(t *testing.T) {
 	c := qt.New(t)
-	q, s := newTestExecutor(t, 1)
+	q, backend := newTestExecutor(t, 1)
 	id := newAttemptID(1)
-	ctx, die := context.WithCancel(context.Background())
+	ctx, entryDies := context.WithCancel(context.Background())
 	go q.execute(ctx, executeMessage(id))
-	<-s.started
-	die()
+	<-backend.started
+	entryDies()
 
 	resolved := make(chan *wire.ResolveAttemptReply, 1)
 	go func() { resolved <- q.resolveByName(context.Background(), id.String(), time.Minute) }()
-	s.release <- struct{}{}
+	backend.release <- struct{}{}
 	r := <-resolved
 	c.Assert(r.State, qt.Equals, wire.AttemptAnswered)
 	c.Assert(string(r.Reply.Body), qt.Equals, "answer to pallet")
-	c.Assert(s.runs.Load(), qt.Equals, int64(1))
+	c.Assert(backend.runs.Load(), qt.Equals, int64(1))
 }
 
 // An entry dies while the booking that it sent waits for a slot. Nobody waits for
 // it any more, so it must not run, and whoever asks is told so for good.
 func TestEntryDiesWhileAttemptQueued(t *testing.T) {
 	c := qt.New(t)
-	q, s := newTestExecutor(t, 1)
+	q, backend := newTestExecutor(t, 1)
 	go q.execute(context.Background(), executeMessage(newAttemptID(1)))
-	<-s.started // the only slot is taken
+	<-backend.started // the only slot is taken
 
 	id := newAttemptID(2)
-	ctx, die := context.WithCancel(context.Background())
+	ctx, entryDies := context.WithCancel(context.Background())
 	ended := make(chan *wire.ExecuteReply, 1)
 	go func() { ended <- q.execute(ctx, executeMessage(id)) }()
 	for _, queued := q.gate.depth(); queued == 0; _, queued = q.gate.depth() {
 		time.Sleep(time.Millisecond)
 	}
-	die()
+	entryDies()
 	c.Assert((<-ended).Outcome, qt.Equals, wire.OutcomeRefused)
 	c.Assert(q.resolveByName(context.Background(), id.String(), time.Minute).State, qt.Equals, wire.AttemptNotRun)
 	c.Assert(q.execute(context.Background(), executeMessage(id)).Outcome, qt.Equals, wire.OutcomeRefused)
-	c.Assert(s.runs.Load(), qt.Equals, int64(1))
+	c.Assert(backend.runs.Load(), qt.Equals, int64(1))
 }
 
 // A question about an attempt overtakes the attempt. Once the agent has answered
 // "not run", the attempt must not run when it arrives after all.
 func TestResolveRefusesLateAttempt(t *testing.T) {
 	c := qt.New(t)
-	q, s := newTestExecutor(t, 1)
+	q, backend := newTestExecutor(t, 1)
 	id := newAttemptID(1)
 	c.Assert(q.resolveByName(context.Background(), id.String(), 0).State, qt.Equals, wire.AttemptNotRun)
 	c.Assert(q.execute(context.Background(), executeMessage(id)).Outcome, qt.Equals, wire.OutcomeRefused)
-	c.Assert(s.runs.Load(), qt.Equals, int64(0))
+	c.Assert(backend.runs.Load(), qt.Equals, int64(0))
 }
 
 // Two entries deliver one booking at the same moment, and the second one's
@@ -139,15 +139,15 @@
 // otherwise both deliveries forbid each other and the booking is not made.
 func TestResolveWaitsForArrival(t *testing.T) {
 	c := qt.New(t)
-	q, s := newTestExecutor(t, 1)
-	frozen := time.Now()
-	q.now = func() time.Time { return frozen } // the wait has no end but the arrival
+	q, backend := newTestExecutor(t, 1)
+	now := time.Now()
+	q.now = func() time.Time { return now } // the wait has no end but the arrival
 	id := newAttemptID(1)
 	resolved := make(chan *wire.ResolveAttemptReply, 1)
 	go func() { resolved <- q.resolveByName(context.Background(), id.String(), time.Minute) }()
 	go q.execute(context.Background(), executeMessage(id))
-	<-s.started
-	s.release <- struct{}{}
+	<-backend.started
+	backend.release <- struct{}{}
 	c.Assert((<-resolved).State, qt.Equals, wire.AttemptAnswered)
-	c.Assert(s.runs.Load(), qt.Equals, int64(1))
+	c.Assert(backend.runs.Load(), qt.Equals, int64(1))
 }
--- a/agent/rack_helpers_test.go
+++ b/agent/rack_helpers_test.go
@@ -54,15 +54,15 @@
 }
 
 func newTestRack(c *qt.C, entries int) *testRack {
-	server := kvstandin.New(kvstandin.Options{})
-	front := httptest.NewServer(server)
-	r := &testRack{C: c, storeURL: front.URL, agents: make(map[string]*agent.Agent)}
+	standinStore := kvstandin.New(kvstandin.Options{})
+	storeServer := httptest.NewServer(standinStore)
+	r := &testRack{C: c, storeURL: storeServer.URL, agents: make(map[string]*agent.Agent)}
 	r.storeClient = store.NewClient(store.Options{Endpoints: []string{r.storeURL}, CallTimeout: 10 * time.Second, RateLimit: 1e6, Burst: 1e6})
 	c.Cleanup(func() {
 		r.storeClient.Close()
-		server.Close()
-		front.CloseClientConnections()
-		front.Close()
+		standinStore.Close()
+		storeServer.CloseClientConnections()
+		storeServer.Close()
 	})
 	r.putDocument(0)
 	for i := range entries {
@@ -94,10 +94,10 @@
 `
 
 // putDocument puts the document that follows the generation.
-func (r *testRack) putDocument(base uint64) {
-	text := fmt.Appendf(nil, "%s# after %d\n", documentText, base)
+func (r *testRack) putDocument(baseGeneration uint64) {
+	text := fmt.Appendf(nil, "%s# after %d\n", documentText, baseGeneration)
 	_, err := document.Put(context.Background(), r.storeClient, document.Proposal{
-		FileName: serviceName, TOML: text, BaseGeneration: base, Author: "t", Token: uuid.NewString(), CreatedAt: time.Now(),
+		FileName: serviceName, TOML: text, BaseGeneration: baseGeneration, Author: "t", Token: uuid.NewString(), CreatedAt: time.Now(),
 	})
 	r.Assert(err, qt.IsNil)
 }
@@ -124,10 +124,10 @@
 }
 
 func (r *testRack) agentConfig(id string) settings.Agent {
-	target := standin.New(standin.Options{Name: id, Accelerators: 8, ServiceTime: time.Millisecond})
-	server := httptest.NewServer(target)
+	standinTarget := standin.New(standin.Options{Name: id, Accelerators: 8, ServiceTime: time.Millisecond})
+	server := httptest.NewServer(standinTarget)
 	r.Cleanup(func() {
-		target.Close()
+		standinTarget.Close()
 		server.CloseClientConnections()
 		server.Close()
 	})
@@ -151,9 +151,9 @@
 		report := wire.AgentReport{ID: ids[i], Service: serviceName, Zone: zoneName, Rack: rackName, CanRelay: true}
 		view.Members = append(view.Members, &membership.Member{Report: report})
 	}
-	first := membership.ChooseRelays(view, n)[membership.Rack{Zone: zoneName, Name: rackName}].ID
+	relayID := membership.ChooseRelays(view, n)[membership.Rack{Zone: zoneName, Name: rackName}].ID
 	for i, id := range ids {
-		if id == first {
+		if id == relayID {
 			ids[0], ids[i] = ids[i], ids[0]
 		}
 	}
@@ -178,11 +178,11 @@
 	r.Assert(err, qt.IsNil)
 	cmd := exec.Command(os.Args[0], "-test.run=^TestAgentProcess$")
 	cmd.Env = append(os.Environ(), agentProcessEnv+"="+string(text))
-	in, err := cmd.StdinPipe()
+	stdin, err := cmd.StdinPipe()
 	r.Assert(err, qt.IsNil)
 	r.Assert(cmd.Start(), qt.IsNil)
 	r.Cleanup(func() {
-		_ = in.Close()
+		_ = stdin.Close()
 		_ = cmd.Process.Signal(syscall.SIGCONT)
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
@@ -210,42 +210,42 @@
 
 // agentsSeenBy is what an entry shows of its agents, by id.
 func (r *testRack) agentsSeenBy(i int) map[string]api.Member {
-	out := make(map[string]api.Member)
+	members := make(map[string]api.Member)
 	status, err := api.NewClient("http://"+r.entries[i].HTTPAddr(), nil).Status(context.Background())
 	r.Assert(err, qt.IsNil)
 	for _, m := range status.Members {
 		if m.Role == string(wire.RoleAgent) {
-			out[m.ID] = m
+			members[m.ID] = m
 		}
 	}
-	return out
+	return members
 }
 
 // waitUntil waits for a state.
-func waitUntil(c *qt.C, what string, reached func() bool) {
+func waitUntil(c *qt.C, description string, condition func() bool) {
 	c.Helper()
-	for began := time.Now(); time.Since(began) < waitTimeout; time.Sleep(10 * time.Millisecond) {
-		if reached() {
+	for start := time.Now(); time.Since(start) < waitTimeout; time.Sleep(10 * time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
-	c.Fatalf("never happened: %s", what)
+	c.Fatalf("never happened: %s", description)
 }
 
 // waitOnAllEntries waits until each entry shows what is wanted. always, if set, must
 // hold all the time.
-func (r *testRack) waitOnAllEntries(what string, wanted func(map[string]api.Member) bool, always func(map[string]api.Member) string) {
+func (r *testRack) waitOnAllEntries(description string, condition func(map[string]api.Member) bool, invariant func(map[string]api.Member) string) {
 	r.Helper()
-	waitUntil(r.C, what, func() bool {
-		reached := true
+	waitUntil(r.C, description, func() bool {
+		allReached := true
 		for i := range r.entries {
-			seen := r.agentsSeenBy(i)
-			if always != nil {
-				r.Assert(always(seen), qt.Equals, "", qt.Commentf("before: %s", what))
+			agents := r.agentsSeenBy(i)
+			if invariant != nil {
+				r.Assert(invariant(agents), qt.Equals, "", qt.Commentf("before: %s", description))
 			}
-			reached = reached && wanted(seen)
+			allReached = allReached && condition(agents)
 		}
-		return reached
+		return allReached
 	})
 }
 
@@ -264,12 +264,12 @@
 // notAlive says which of the agents is not shown as notAlive.
 func notAlive(ids []string) func(map[string]api.Member) string {
 	return func(seen map[string]api.Member) string {
-		var bad []string
+		var problems []string
 		for _, id := range ids {
 			if m := seen[id]; m.State != "alive" {
-				bad = append(bad, id+" is "+m.State)
+				problems = append(problems, id+" is "+m.State)
 			}
 		}
-		return strings.Join(bad, ", ")
+		return strings.Join(problems, ", ")
 	}
 }
--- a/agent/relay_documents.go
+++ b/agent/relay_documents.go
@@ -11,36 +11,36 @@
 // offerDocuments sends a member what it lacks of its service's document, so that
 // entries send it to the relay alone. A push that was lost is repeated after the
 // member's next report. It is called with the lock held.
-func (r *reporter) offerDocuments(from *wire.Conn, id string) {
+func (r *reporter) offerDocuments(conn *wire.Conn, memberID string) {
 	for _, m := range r.router.Members() {
-		if m.Report.ID == id {
-			r.offerDocument(from, m)
+		if m.Report.ID == memberID {
+			r.offerDocument(conn, m)
 		}
 	}
 }
 
-func (r *reporter) offerDocument(to *wire.Conn, m *membership.Member) {
-	held, ok := r.agent.documents.Current(m.Report.Service)
-	id := m.Report.ID
-	if !ok || r.sendingDocuments[id] || document.IncludesGeneration(m.Report.Generations, held.Version.Summary()) {
+func (r *reporter) offerDocument(conn *wire.Conn, member *membership.Member) {
+	current, ok := r.agent.documents.Current(member.Report.Service)
+	memberID := member.Report.ID
+	if !ok || r.sendingDocuments[memberID] || document.IncludesGeneration(member.Report.Generations, current.Version.Summary()) {
 		return
 	}
-	r.sendingDocuments[id] = true
-	go r.sendDocument(to, id, held.Version) // ends with its timeout; the caller may be outside of the tomb
+	r.sendingDocuments[memberID] = true
+	go r.sendDocument(conn, memberID, current.Version) // ends with its timeout; the caller may be outside of the tomb
 }
 
-func (r *reporter) sendDocument(to *wire.Conn, id string, v wire.DocumentVersion) {
+func (r *reporter) sendDocument(conn *wire.Conn, memberID string, version wire.DocumentVersion) {
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	_, _ = to.Call(ctx, &wire.PublishDocuments{Versions: []wire.DocumentVersion{v}}) // its next report shows what it lacks
+	_, _ = conn.Call(ctx, &wire.PublishDocuments{Versions: []wire.DocumentVersion{version}}) // its next report shows what it lacks
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.sendingDocuments, id)
+	delete(r.sendingDocuments, memberID)
 }
 
 // pushDocument sends a new generation to every member at once, over the connections
 // that they hold to this relay.
-func (r *reporter) pushDocument(now *document.ActiveVersion) {
+func (r *reporter) pushDocument(current *document.ActiveVersion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.router == nil {
@@ -48,7 +48,7 @@
 	}
 	members := make(map[string]*membership.Member)
 	for _, m := range r.router.Members() {
-		if m.Report.Service == now.Version.Service {
+		if m.Report.Service == current.Version.Service {
 			members[m.Report.ID] = m
 		}
 	}
--- a/agent/relay_reports.go
+++ b/agent/relay_reports.go
@@ -20,11 +20,11 @@
 	if r.router == nil {
 		return nil, errReportAgeUnknown
 	}
-	ack, news := r.router.HandleMemberReport(clock.Now(), m)
+	ack, urgent := r.router.HandleMemberReport(clock.Now(), m)
 	if ack == nil {
 		return nil, errReportAgeUnknown
 	}
-	if news {
+	if urgent {
 		r.wakeAll()
 	}
 	r.offerDocuments(from, m.Reports[0].ID)
--- a/agent/relay_test.go
+++ b/agent/relay_test.go
@@ -28,7 +28,7 @@
 	testRelayFailure(t, syscall.SIGSTOP)
 }
 
-func testRelayFailure(t *testing.T, how syscall.Signal) {
+func testRelayFailure(t *testing.T, signal syscall.Signal) {
 	t.Parallel()
 	c := qt.New(t)
 	r := newTestRack(c, 2)
@@ -36,7 +36,7 @@
 	process := r.startAgentProcess(ids[0], 8)
 	r.startAgents(ids[1:]...)
 	r.waitOnAllEntries("all report by the relay", reportVia(ids[0], ids[1:]), nil)
-	c.Assert(process.Signal(how), qt.IsNil)
+	c.Assert(process.Signal(signal), qt.IsNil)
 	r.waitOnAllEntries("all report themselves", reportVia("", ids[1:]), notAlive(ids[1:]))
 }
 
@@ -54,11 +54,11 @@
 		return seen[ids[0]].State == "draining"
 	}, notAlive(ids[1:]))
 	r.waitOnAllEntries("all report by another one", func(seen map[string]api.Member) bool {
-		others := map[string]int{}
+		reportsVia := map[string]int{}
 		for _, id := range ids[1:] {
-			others[seen[id].Relay]++
+			reportsVia[seen[id].Relay]++
 		}
-		return others[ids[0]] == 0 && len(others) == 2 && others[""] == 1
+		return reportsVia[ids[0]] == 0 && len(reportsVia) == 2 && reportsVia[""] == 1
 	}, notAlive(ids[1:]))
 }
 
@@ -85,7 +85,7 @@
 	r := newTestRack(c, 1)
 	ids := agentIDs(5)
 	r.startAgents(ids...)
-	inForce := func(generation uint64) func(map[string]api.Member) bool {
+	allAtGeneration := func(generation uint64) func(map[string]api.Member) bool {
 		return func(seen map[string]api.Member) bool {
 			for _, id := range ids {
 				if seen[id].Generation != generation {
@@ -95,9 +95,9 @@
 			return reportVia(ids[0], ids[1:])(seen)
 		}
 	}
-	r.waitOnAllEntries("the first generation", inForce(1), nil)
+	r.waitOnAllEntries("the first generation", allAtGeneration(1), nil)
 	r.putDocument(1)
-	r.waitOnAllEntries("the second generation", inForce(2), nil)
+	r.waitOnAllEntries("the second generation", allAtGeneration(2), nil)
 }
 
 // Story: a gang runs on all workers of a rack whose relay dies. Its members are
@@ -118,18 +118,18 @@
 	c.Assert(err, qt.IsNil)
 	job, err := client.SubmitJob(ctx, serviceName, api.JobRequest{Account: "grower", Class: "score", Accelerators: 24, Payload: payload}, "k")
 	c.Assert(err, qt.IsNil)
-	await := func(state api.JobState) (last api.JobStatus) {
+	waitForState := func(state api.JobState) (last api.JobStatus) {
 		waitUntil(c, "the job is "+string(state), func() bool {
 			last, err = client.GetJob(ctx, serviceName, job.ID, 0)
 			return err == nil && last.State == state
 		})
 		return last
 	}
-	await(api.JobRunning)
+	waitForState(api.JobRunning)
 	time.Sleep(6 * time.Second) // longer than the isolation timeout: the relay is there, and must not be needed
-	c.Assert(await(api.JobRunning).Attempt, qt.Equals, 1)
+	c.Assert(waitForState(api.JobRunning).Attempt, qt.Equals, 1)
 	_ = process.Signal(syscall.SIGSTOP)
-	c.Assert(await(api.JobDone).Attempt, qt.Equals, 1)
+	c.Assert(waitForState(api.JobDone).Attempt, qt.Equals, 1)
 }
 
 // Story: a target is about to leave. Its relay has taken the news and dies before
@@ -183,13 +183,13 @@
 func (r *testRack) waitForGeneration(i int, ids []string, generation uint64) {
 	r.Helper()
 	waitUntil(r.C, r.entryConfigs[i].ID+" hears the agents", func() bool {
-		heard := 0
-		seen := r.agentsSeenBy(i)
+		updated := 0
+		agents := r.agentsSeenBy(i)
 		for _, id := range ids {
-			if m := seen[id]; m.State == "alive" && m.Generation >= generation {
-				heard++
+			if m := agents[id]; m.State == "alive" && m.Generation >= generation {
+				updated++
 			}
 		}
-		return heard == len(ids)
+		return updated == len(ids)
 	})
 }
--- a/agent/report_to_entry.go
+++ b/agent/report_to_entry.go
@@ -12,18 +12,18 @@
 
 // reportToEntry sends one reportToEntry. False: the entry has left and is no longer reported
 // to.
-func (r *reporter) reportToEntry(link *entryLoop) bool {
+func (r *reporter) reportToEntry(entry *entryLoop) bool {
 	r.mu.Lock()
-	sent := clock.Now()
-	r.updateLoad(sent)
-	msg := r.router.Report(sent, link.address)
+	sentAt := clock.Now()
+	r.updateLoad(sentAt)
+	msg := r.router.Report(sentAt, entry.address)
 	r.mu.Unlock()
 
-	ack, ok := r.sendReport(link.address, msg)
+	ack, ok := r.sendReport(entry.address, msg)
 	if !ok {
-		return r.handleFailure(link)
+		return r.handleFailure(entry)
 	}
-	r.handleAck(link, sent, ack)
+	r.handleAck(entry, sentAt, ack)
 	return true
 }
 
@@ -36,22 +36,22 @@
 func (r *reporter) sendReport(addr string, msg *wire.Report) (*wire.ReportAck, bool) {
 	ctx, cancel := context.WithTimeout(r.agent.tomb.Context(context.Background()), reportTimeout)
 	defer cancel()
-	got, err := r.agent.pool.Call(ctx, addr, msg)
-	ack, ok := got.(*wire.ReportAck)
+	reply, err := r.agent.pool.Call(ctx, addr, msg)
+	ack, ok := reply.(*wire.ReportAck)
 	return ack, err == nil && ok
 }
 
 // handleFailure backs off. An entry that was only named by another one and does not
 // answer is dropped; it is named again when it is back.
-func (r *reporter) handleFailure(link *entryLoop) bool {
+func (r *reporter) handleFailure(entry *entryLoop) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	failures := r.router.HandleFailure(clock.Now(), link.address)
-	if link.isSeed || failures < maxUnansweredReports {
+	failures := r.router.HandleFailure(clock.Now(), entry.address)
+	if entry.isSeed || failures < maxUnansweredReports {
 		return true
 	}
-	r.router.RemoveEntry(link.address)
-	delete(r.entries, link.address)
+	r.router.RemoveEntry(entry.address)
+	delete(r.entries, entry.address)
 	return false
 }
 
@@ -59,14 +59,14 @@
 // dropped.
 const maxUnansweredReports = 20
 
-func (r *reporter) handleAck(link *entryLoop, sent time.Time, ack *wire.ReportAck) {
+func (r *reporter) handleAck(entry *entryLoop, sentAt time.Time, ack *wire.ReportAck) {
 	if ack.PlannerTimestamp.Epoch != 0 {
-		r.agent.gangRunner.postEvent(gang.ReportAnswered{SentAt: sent, Renewed: ack.RenewedAttempts, Timestamp: ack.PlannerTimestamp})
+		r.agent.gangRunner.postEvent(gang.ReportAnswered{SentAt: sentAt, Renewed: ack.RenewedAttempts, Timestamp: ack.PlannerTimestamp})
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	added := r.router.HandleAck(clock.Now(), link.address, ack)
-	for _, addr := range added {
+	newEntries := r.router.HandleAck(clock.Now(), entry.address, ack)
+	for _, addr := range newEntries {
 		r.startEntryLoop(addr, false)
 	}
 	r.relayChanged()
@@ -83,14 +83,14 @@
 	}
 	msg := r.router.DepartureReport()
 	var wg sync.WaitGroup
-	tell := func(addr string) {
+	notify := func(addr string) {
 		wg.Go(func() { _, _ = r.agent.pool.Call(ctx, addr, msg) }) // an entry that misses it finds out by silence
 	}
 	for addr := range r.entries {
-		tell(addr)
+		notify(addr)
 	}
 	if relay, ok := r.router.Relay(); ok {
-		tell(relay.Address)
+		notify(relay.Address)
 	}
 	r.mu.Unlock()
 	wg.Wait()
--- a/agent/report_to_relay.go
+++ b/agent/report_to_relay.go
@@ -35,26 +35,26 @@
 
 func (r *reporter) reportToRelay() {
 	r.mu.Lock()
-	sent := clock.Now()
-	r.updateLoad(sent)
-	to, ok := r.router.Relay()
+	sentAt := clock.Now()
+	r.updateLoad(sentAt)
+	relay, ok := r.router.Relay()
 	if !ok {
 		r.mu.Unlock()
 		return
 	}
-	msg := r.router.ReportToRelay(sent)
+	msg := r.router.ReportToRelay(sentAt)
 	r.mu.Unlock()
 
-	ack, answered := r.sendReport(to.Address, msg)
+	ack, answered := r.sendReport(relay.Address, msg)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !answered {
-		r.router.HandleRelayFailure(clock.Now(), to)
+		r.router.HandleRelayFailure(clock.Now(), relay)
 		r.agent.metrics.Add(metrics.RelaysFailed, 1)
 		r.relayChanged()
 		return
 	}
-	for _, addr := range r.router.HandleRelayAck(clock.Now(), to, ack) {
+	for _, addr := range r.router.HandleRelayAck(clock.Now(), relay, ack) {
 		r.startEntryLoop(addr, false)
 	}
 	if ack.Entries != nil {
@@ -66,19 +66,19 @@
 // relayChanged lets the loops know when the relay is another one than before. It
 // is called with the lock held.
 func (r *reporter) relayChanged() {
-	now, _ := r.router.Relay()
-	before := r.relayLoop.current
-	if now == before {
+	current, _ := r.router.Relay()
+	previous := r.relayLoop.current
+	if current == previous {
 		return
 	}
-	r.relayLoop.current = now
+	r.relayLoop.current = current
 	r.wakeAll()
-	if before.Address != "" && before.Address != now.Address {
-		r.drainConnection(before.Address)
+	if previous.Address != "" && previous.Address != current.Address {
+		r.drainConnection(previous.Address)
 	}
-	log := r.agent.log.WithField("relay", now.ID)
-	if now.ID == "" {
-		log = r.agent.log.WithField("left", before.ID)
+	log := r.agent.log.WithField("relay", current.ID)
+	if current.ID == "" {
+		log = r.agent.log.WithField("left", previous.ID)
 	}
 	log.Info("way of reports changed")
 }
--- a/agent/reporter.go
+++ b/agent/reporter.go
@@ -90,10 +90,10 @@
 }
 
 // startEntryLoop starts the reports to an entry. It is called with the lock held.
-func (r *reporter) startEntryLoop(addr string, seed bool) {
-	link := &entryLoop{address: addr, isSeed: seed, wake: make(chan struct{}, 1)}
-	r.entries[addr] = link
-	r.agent.tomb.Go(func() error { return r.runEntryLoop(link) })
+func (r *reporter) startEntryLoop(addr string, isSeed bool) {
+	entry := &entryLoop{address: addr, isSeed: isSeed, wake: make(chan struct{}, 1)}
+	r.entries[addr] = entry
+	r.agent.tomb.Go(func() error { return r.runEntryLoop(entry) })
 }
 
 // updateState changes the reported state and wakes all loops.
@@ -111,8 +111,8 @@
 
 // wakeAll is called with the lock held.
 func (r *reporter) wakeAll() {
-	for _, link := range r.entries {
-		signal(link.wake)
+	for _, entry := range r.entries {
+		signal(entry.wake)
 	}
 	signal(r.relayLoop.wake)
 }
@@ -124,13 +124,13 @@
 	}
 }
 
-func (r *reporter) setTasks(tasks []gang.Task, fence uint64, stamp gang.PlannerTimestamp) {
+func (r *reporter) setTasks(tasks []gang.Task, fencingEpoch uint64, timestamp gang.PlannerTimestamp) {
 	r.mu.Lock()
-	r.plannerTimestamp = stamp
+	r.plannerTimestamp = timestamp
 	r.mu.Unlock()
 	r.updateState(func(s *wire.AgentReport) {
 		s.Tasks = tasks
-		s.FencingEpoch = fence
+		s.FencingEpoch = fencingEpoch
 	})
 }
 
@@ -148,42 +148,42 @@
 	return wire.Load{Running: running, Queued: queued}
 }
 
-func (r *reporter) runEntryLoop(link *entryLoop) error {
-	due := func() time.Duration { return r.untilEntryDue(link) }
-	return r.runReportLoop(0, link.wake, due, func() bool { return r.reportToEntry(link) })
+func (r *reporter) runEntryLoop(entry *entryLoop) error {
+	untilDue := func() time.Duration { return r.untilEntryDue(entry) }
+	return r.runReportLoop(0, entry.wake, untilDue, func() bool { return r.reportToEntry(entry) })
 }
 
 // runReportLoop reports first after a wait, and then whenever it is due: as due says, which
 // is asked again after each report and each kick. It ends with the agent, or when
 // report returns false.
-func (r *reporter) runReportLoop(first time.Duration, kick <-chan struct{}, due func() time.Duration, report func() bool) error {
-	timer := time.NewTimer(first)
+func (r *reporter) runReportLoop(initialWait time.Duration, wake <-chan struct{}, untilDue func() time.Duration, report func() bool) error {
+	timer := time.NewTimer(initialWait)
 	defer timer.Stop()
 	for {
 		select {
 		case <-r.agent.tomb.Dying():
 			return nil
 		case <-timer.C:
-		case <-kick:
+		case <-wake:
 		}
-		if wait := due(); wait > 0 {
+		if wait := untilDue(); wait > 0 {
 			timer.Reset(wait)
 			continue
 		}
 		if !report() {
 			return nil
 		}
-		timer.Reset(due())
+		timer.Reset(untilDue())
 	}
 }
 
-func (r *reporter) untilEntryDue(link *entryLoop) time.Duration {
+func (r *reporter) untilEntryDue(entry *entryLoop) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := clock.Now()
-	due := r.router.Due(now, link.address)
-	if r.router.ConnectionIdle(now, link.address) {
-		r.drainConnection(link.address)
+	due := r.router.Due(now, entry.address)
+	if r.router.ConnectionIdle(now, entry.address) {
+		r.drainConnection(entry.address)
 	}
 	return due.Sub(now)
 }
--- a/agent/task_id.go
+++ b/agent/task_id.go
@@ -17,32 +17,32 @@
 }
 
 func toGangID(id target.TaskID) gang.ID {
-	n := uint64(id.Attempt)
+	attempt := uint64(id.Attempt)
 	return gang.ID{
 		Job:    id.Job,
-		Epoch:  n >> attemptNumberBits,
-		Number: n & (1<<attemptNumberBits - 1),
+		Epoch:  attempt >> attemptNumberBits,
+		Number: attempt & (1<<attemptNumberBits - 1),
 	}
 }
 
 // recoveredTask turns a task that the target still runs into the member's account of
 // it. It was started, so it had been committed. Its lease tells how long the
 // agent's earlier life let it run without hearing that the gang is whole.
-func recoveredTask(s target.TaskStatus, now time.Time) gang.Task {
-	t := gang.Task{
-		ID:           toGangID(s.TaskID),
+func recoveredTask(status target.TaskStatus, now time.Time) gang.Task {
+	task := gang.Task{
+		ID:           toGangID(status.TaskID),
 		State:        gang.StateRunning,
-		Accelerators: s.Accelerators,
-		Members:      s.Members,
+		Accelerators: status.Accelerators,
+		Members:      status.Members,
 		Committed:    true,
 		Started:      true,
-		RunUntil:     now.Add(time.Duration(s.LeaseLeftMS) * time.Millisecond).UnixNano(),
+		RunUntil:     now.Add(time.Duration(status.LeaseLeftMS) * time.Millisecond).UnixNano(),
 	}
-	if s.State.Final() {
-		t.State = gang.StateEnded
-		t.Result = resultOfState(s.State)
-		t.Checkpointed = s.Checkpoint != nil
-		t.Detail = taskDetail(s)
+	if status.State.Final() {
+		task.State = gang.StateEnded
+		task.Result = resultOfState(status.State)
+		task.Checkpointed = status.Checkpoint != nil
+		task.Detail = taskDetail(status)
 	}
-	return t
+	return task
 }
--- a/agent/task_recovery.go
+++ b/agent/task_recovery.go
@@ -38,12 +38,12 @@
 func (g *gangRunner) addRecoveredTasks(statuses []target.TaskStatus) {
 	var tasks []gang.Task
 	running := 0
-	for _, s := range statuses {
-		if s.State.Final() && time.Since(s.EndedAt) > endedTaskRetention {
+	for _, status := range statuses {
+		if status.State.Final() && time.Since(status.EndedAt) > endedTaskRetention {
 			continue
 		}
-		tasks = append(tasks, recoveredTask(s, clock.Now()))
-		if !s.State.Final() {
+		tasks = append(tasks, recoveredTask(status, clock.Now()))
+		if !status.State.Final() {
 			running++
 		}
 	}
@@ -54,9 +54,9 @@
 		return // the agent stops
 	}
 	close(g.tasksRecovered)
-	for _, t := range tasks {
-		if t.State != gang.StateEnded {
-			g.tomb.Go(func() error { return g.watchTask(t.ID) })
+	for _, task := range tasks {
+		if task.State != gang.StateEnded {
+			g.tomb.Go(func() error { return g.watchTask(task.ID) })
 		}
 	}
 }
--- a/target/client_tasks.go
+++ b/target/client_tasks.go
@@ -88,49 +88,49 @@
 
 // callJSON makes one exchange of JSON. All calls are idempotent, so net/http may
 // repeat them.
-func (c *Client) callJSON(ctx context.Context, method, path string, in, out any) error {
+func (c *Client) callJSON(ctx context.Context, method, path string, input, output any) error {
 	var body io.Reader
-	if in != nil {
-		text, err := json.Marshal(in)
+	if input != nil {
+		data, err := json.Marshal(input)
 		if err != nil {
 			return fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
-		body = bytes.NewReader(text)
+		body = bytes.NewReader(data)
 	}
 	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, body)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	req.Header.Set("Content-Type", "application/json")
-	var proof sendTracker
-	resp, err := c.transport.RoundTrip(req.WithContext(proof.withTrace(ctx)))
+	var tracker sendTracker
+	resp, err := c.transport.RoundTrip(req.WithContext(tracker.withTrace(ctx)))
 	if err != nil {
-		if proof.notSent() {
+		if tracker.notSent() {
 			return fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
 		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	defer resp.Body.Close()
-	text, err := c.readBody(method, resp)
+	respBody, err := c.readBody(method, resp)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
-	return decodeResponse(resp.StatusCode, text, out)
+	return decodeResponse(resp.StatusCode, respBody, output)
 }
 
-func decodeResponse(status int, text []byte, out any) error {
+func decodeResponse(status int, body []byte, output any) error {
 	switch status {
 	case http.StatusOK:
-		if err := json.Unmarshal(text, out); err != nil {
+		if err := json.Unmarshal(body, output); err != nil {
 			return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 		}
 		return nil
 	case http.StatusNotFound:
 		return ErrUnknownTask
 	case http.StatusConflict:
-		return fmt.Errorf("%w: %s", ErrConflict, strings.TrimSpace(string(text)))
+		return fmt.Errorf("%w: %s", ErrConflict, strings.TrimSpace(string(body)))
 	case http.StatusBadRequest, http.StatusServiceUnavailable:
-		return fmt.Errorf("%w: status %d: %s", ErrRefused, status, strings.TrimSpace(string(text)))
+		return fmt.Errorf("%w: status %d: %s", ErrRefused, status, strings.TrimSpace(string(body)))
 	}
 	return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, status)
 }
--- a/target/client_test.go
+++ b/target/client_test.go
@@ -34,20 +34,20 @@
 		w.WriteHeader(http.StatusFound)
 		_, _ = w.Write(body)
 	})
-	a, err := client.Do(context.Background(), Request{RequestID: "r1", Attempt: 2, Remaining: time.Second,
+	resp, err := client.Do(context.Background(), Request{RequestID: "r1", Attempt: 2, Remaining: time.Second,
 		Method: "PUT", Path: "a%2Fb/c", RawQuery: "x=1", Body: []byte("pallet")})
 	c.Assert(err, qt.IsNil)
-	c.Check(a.Status, qt.Equals, http.StatusFound)
-	c.Check(string(a.Body), qt.Equals, "pallet")
-	c.Check(a.Header.Get("Seen"), qt.Equals, "PUT /requests/a%2Fb/c?x=1 r1 2 1s")
+	c.Check(resp.Status, qt.Equals, http.StatusFound)
+	c.Check(string(resp.Body), qt.Equals, "pallet")
+	c.Check(resp.Header.Get("Seen"), qt.Equals, "PUT /requests/a%2Fb/c?x=1 r1 2 1s")
 }
 
 func TestDoErrors(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	nobody := "http://" + listener.Addr().String()
+	closedURL := "http://" + listener.Addr().String()
 	listener.Close()
-	qt.Check(t, errors.Is(doPost(NewClient(Options{BaseURL: nobody})), ErrNotSent), qt.IsTrue)
+	qt.Check(t, errors.Is(doPost(NewClient(Options{BaseURL: closedURL})), ErrNotSent), qt.IsTrue)
 
 	for name, tc := range map[string]struct {
 		handler http.HandlerFunc
@@ -117,43 +117,43 @@
 	// A caller is told "not run", then the transport's writer wakes up and sends
 	// the request after all. A sealed connection refuses that late write.
 	c := qt.New(t)
-	near, far := net.Pipe()
-	defer far.Close()
-	conn := &trackedConn{Conn: near}
-	var proof sendTracker
-	proof.uses = []connUse{{conn, conn.writeCount()}}
-	c.Check(proof.notSent(), qt.IsTrue)
+	clientEnd, serverEnd := net.Pipe()
+	defer serverEnd.Close()
+	conn := &trackedConn{Conn: clientEnd}
+	var tracker sendTracker
+	tracker.uses = []connUse{{conn, conn.writeCount()}}
+	c.Check(tracker.notSent(), qt.IsTrue)
 	_, err := conn.Write([]byte("late"))
 	c.Check(err, qt.Equals, errConnClosed)
 
-	near, far = net.Pipe()
-	go func() { _, _ = bufio.NewReader(far).ReadByte() }()
-	conn = &trackedConn{Conn: near}
-	proof.uses = []connUse{{conn, conn.writeCount()}}
+	clientEnd, serverEnd = net.Pipe()
+	go func() { _, _ = bufio.NewReader(serverEnd).ReadByte() }()
+	conn = &trackedConn{Conn: clientEnd}
+	tracker.uses = []connUse{{conn, conn.writeCount()}}
 	_, _ = conn.Write([]byte("x"))
-	c.Check(proof.notSent(), qt.IsFalse)
-	far.Close()
+	c.Check(tracker.notSent(), qt.IsFalse)
+	serverEnd.Close()
 }
 
 func TestCancelWhileWaitingForConnectionIsNotSent(t *testing.T) {
 	// All connections are busy and the caller's time ends while it waits for
 	// one: nothing went out, so it must hear "not run" rather than "unknown".
-	hold := make(chan struct{})
-	entered := make(chan struct{})
+	release := make(chan struct{})
+	handlerEntered := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
-		close(entered)
-		<-hold
+		close(handlerEntered)
+		<-release
 	}))
 	defer srv.Close()
 	client := NewClient(Options{BaseURL: srv.URL, MaxConns: 1})
 	defer client.Close()
 	first := make(chan error)
 	go func() { first <- doPost(client) }()
-	<-entered
+	<-handlerEntered
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_, err := client.Do(ctx, Request{Method: "POST"})
 	qt.Check(t, errors.Is(err, ErrNotSent), qt.IsTrue, qt.Commentf("%v", err))
-	close(hold)
+	close(release)
 	qt.Check(t, <-first, qt.IsNil)
 }
--- a/target/request.go
+++ b/target/request.go
@@ -43,10 +43,10 @@
 	if err != nil {
 		return Response{}, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	var proof sendTracker
-	resp, err := c.transport.RoundTrip(req.WithContext(proof.withTrace(ctx)))
+	var tracker sendTracker
+	resp, err := c.transport.RoundTrip(req.WithContext(tracker.withTrace(ctx)))
 	if err != nil {
-		if proof.notSent() {
+		if tracker.notSent() {
 			return Response{}, fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
 		return Response{}, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
--- a/target/standin/audit.go
+++ b/target/standin/audit.go
@@ -105,10 +105,10 @@
 	s.droppedRecords = 0
 }
 
-func filter[T any](list []*T, ok func(*T) bool) []*T {
+func filter[T any](records []*T, keep func(*T) bool) []*T {
 	var kept []*T
-	for _, r := range list {
-		if ok(r) {
+	for _, r := range records {
+		if keep(r) {
 			kept = append(kept, r)
 		}
 	}
--- a/target/standin/quick_requests.go
+++ b/target/standin/quick_requests.go
@@ -46,8 +46,8 @@
 	}
 	query := r.URL.Query()
 	echo := newEcho(r, query, body)
-	run, took := s.startQuick(r, query, s.serviceTime(query), faults)
-	completed := s.sleep(took)
+	run, runTime := s.startQuick(r, query, s.serviceTime(query), faults)
+	completed := s.sleep(runTime)
 	s.endQuick(run, r, completed, echo.Sum)
 	if !completed {
 		panic(http.ErrAbortHandler)
@@ -61,7 +61,7 @@
 }
 
 func newEcho(r *http.Request, query url.Values, body []byte) Echo {
-	pad, _ := strconv.Atoi(query.Get(ParamPaddingBytes))
+	paddingBytes, _ := strconv.Atoi(query.Get(ParamPaddingBytes))
 	attempt, _ := strconv.Atoi(r.Header.Get(target.HeaderAttempt))
 	e := Echo{
 		RequestID: r.Header.Get(target.HeaderRequestID),
@@ -72,7 +72,7 @@
 		Path:      strings.TrimPrefix(r.URL.EscapedPath(), target.PathRequests),
 		Query:     r.URL.RawQuery,
 		BodySum:   BodySum(body),
-		Padding:   strings.Repeat("x", min(max(pad, 0), maxPaddingBytes)),
+		Padding:   strings.Repeat("x", min(max(paddingBytes, 0), maxPaddingBytes)),
 	}
 	e.Sum = e.Checksum()
 	return e
@@ -88,7 +88,7 @@
 
 // startQuick logs the start and returns how long the run takes: more requests
 // at once than slots share the slots.
-func (s *Server) startQuick(r *http.Request, query url.Values, work time.Duration, f Faults) (*QuickRun, time.Duration) {
+func (s *Server) startQuick(r *http.Request, query url.Values, serviceTime time.Duration, f Faults) (*QuickRun, time.Duration) {
 	attempt, _ := strconv.Atoi(r.Header.Get(target.HeaderAttempt))
 	run := &QuickRun{
 		RequestID: r.Header.Get(target.HeaderRequestID),
@@ -104,25 +104,25 @@
 	if s.canRecord() {
 		s.quickLog = append(s.quickLog, run)
 	}
-	crowd := max(1, float64(s.quickRunning)/float64(s.opts.Slots))
-	return run, time.Duration(float64(work) * crowd * f.slowdown())
+	contention := max(1, float64(s.quickRunning)/float64(s.opts.Slots))
+	return run, time.Duration(float64(serviceTime) * contention * f.slowdown())
 }
 
-func (s *Server) endQuick(run *QuickRun, r *http.Request, completed bool, sum string) {
+func (s *Server) endQuick(run *QuickRun, r *http.Request, completed bool, checksum string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.quickRunning--
 	run.End = time.Now()
 	run.Completed = completed
 	run.Abandoned = r.Context().Err() != nil
-	run.Checksum = sum
+	run.Checksum = checksum
 }
 
 func (s *Server) respondQuick(w http.ResponseWriter, r *http.Request, f Faults, echo Echo) {
 	if f.HangAfterRun {
 		s.hang(r)
 	}
-	text, err := json.Marshal(echo)
+	data, err := json.Marshal(echo)
 	if err != nil {
 		panic("standin: echo can't be encoded: " + err.Error())
 	}
@@ -131,12 +131,12 @@
 		status = http.StatusInternalServerError
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
+	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	w.WriteHeader(status)
 	if f.CutBody {
-		_, _ = w.Write(text[:len(text)/2])
+		_, _ = w.Write(data[:len(data)/2])
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}
-	_, _ = w.Write(text)
+	_, _ = w.Write(data)
 }
--- a/target/standin/server.go
+++ b/target/standin/server.go
@@ -107,9 +107,9 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.countConn(r.Context())
 		s.mu.Lock()
-		silent := s.faults.Hang && s.faults.EveryNth <= 1
+		hang := s.faults.Hang && s.faults.EveryNth <= 1
 		s.mu.Unlock()
-		if silent {
+		if hang {
 			s.hang(r)
 		}
 		h(w, r)
@@ -120,13 +120,13 @@
 // stand-in is closed, and ends the connection. It doesn't return.
 func (s *Server) hang(r *http.Request) {
 	s.mu.Lock()
-	released := s.faultsChanged
+	faultsChanged := s.faultsChanged
 	s.mu.Unlock()
 	// net/http notices that the caller is gone only after the body was read.
 	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes))
 	select {
 	case <-r.Context().Done():
-	case <-released:
+	case <-faultsChanged:
 	case <-s.closed:
 	}
 	panic(http.ErrAbortHandler)
@@ -135,15 +135,15 @@
 // delayStart delays a start for as long as the faults say so.
 func (s *Server) delayStart() {
 	s.mu.Lock()
-	held, released := s.faults.HoldStarts, s.faultsChanged
+	hold, faultsChanged := s.faults.HoldStarts, s.faultsChanged
 	s.mu.Unlock()
-	if !held {
+	if !hold {
 		return
 	}
 	s.heldStarts.Add(1)
 	defer s.heldStarts.Add(-1)
 	select {
-	case <-released:
+	case <-faultsChanged:
 	case <-s.closed:
 	}
 }
--- a/target/standin/standin_test.go
+++ b/target/standin/standin_test.go
@@ -19,9 +19,9 @@
 
 // serveRequest serves one request without a socket, so that it runs in virtual time.
 func serveRequest(s *Server, method, path string, body any) (target.TaskStatus, int) {
-	text, _ := json.Marshal(body)
+	data, _ := json.Marshal(body)
 	w := httptest.NewRecorder()
-	s.ServeHTTP(w, httptest.NewRequest(method, path, bytes.NewReader(text)))
+	s.ServeHTTP(w, httptest.NewRequest(method, path, bytes.NewReader(data)))
 	var st target.TaskStatus
 	_ = json.Unmarshal(w.Body.Bytes(), &st)
 	return st, w.Code
@@ -36,8 +36,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		s := New(Options{})
-		sp := newTaskSpec(1000, 5000, 0, 1)
-		_, code := serveRequest(s, "PUT", "/tasks/j/1", sp)
+		spec := newTaskSpec(1000, 5000, 0, 1)
+		_, code := serveRequest(s, "PUT", "/tasks/j/1", spec)
 		c.Assert(code, qt.Equals, 200)
 		time.Sleep(250 * time.Millisecond)
 		st, _ := serveRequest(s, "GET", "/tasks/j/1", nil)
@@ -46,8 +46,8 @@
 		c.Check(st.State, qt.Equals, target.TaskStopped)
 		c.Check(st.Checkpoint.ProgressMS, qt.Equals, int64(250))
 
-		sp.Restore = st.Checkpoint
-		_, _ = serveRequest(s, "PUT", "/tasks/j/2", sp)
+		spec.Restore = st.Checkpoint
+		_, _ = serveRequest(s, "PUT", "/tasks/j/2", spec)
 		begin := time.Now()
 		st, _ = serveRequest(s, "GET", "/tasks/j/2?wait_ms=10000", nil)
 		c.Check(st.State, qt.Equals, target.TaskDone)
@@ -94,11 +94,11 @@
 		_, code = serveRequest(s, "PUT", "/tasks/j/2", newTaskSpec(1000, 5000, 5))
 		c.Check(code, qt.Equals, 409, qt.Commentf("older epoch"))
 		_, _ = serveRequest(s, "GET", "/tasks?incarnation=4", nil)
-		earlier, now := newTaskSpec(1000, 5000, 6), newTaskSpec(1000, 5000, 6)
-		earlier.Incarnation, now.Incarnation = 3, 4
-		_, code = serveRequest(s, "PUT", "/tasks/l/1", earlier)
+		oldIncarnation, currentIncarnation := newTaskSpec(1000, 5000, 6), newTaskSpec(1000, 5000, 6)
+		oldIncarnation.Incarnation, currentIncarnation.Incarnation = 3, 4
+		_, code = serveRequest(s, "PUT", "/tasks/l/1", oldIncarnation)
 		c.Check(code, qt.Equals, 409, qt.Commentf("sent by an earlier life of the agent"))
-		_, code = serveRequest(s, "PUT", "/tasks/m/1", now)
+		_, code = serveRequest(s, "PUT", "/tasks/m/1", currentIncarnation)
 		c.Check(code, qt.Equals, 200, qt.Commentf("sent by the agent as it is"))
 		a := s.Audit()
 		c.Check(len(a.Tasks), qt.Equals, 2)
@@ -139,12 +139,12 @@
 }
 
 // waitForHang returns when a request has arrived and n runs have ended.
-func (s *Server) waitForHang(n int) {
+func (s *Server) waitForHang(wantRuns int) {
 	for {
 		s.mu.Lock()
-		there := s.protocolConns > 0 && len(s.quickLog) == n && s.quickRunning == 0
+		hanging := s.protocolConns > 0 && len(s.quickLog) == wantRuns && s.quickRunning == 0
 		s.mu.Unlock()
-		if there {
+		if hanging {
 			return
 		}
 		time.Sleep(time.Millisecond)
@@ -153,11 +153,11 @@
 
 func TestQuickFaults(t *testing.T) {
 	for name, tc := range map[string]struct {
-		faults  Faults
-		err     error
-		status  int
-		runs    int
-		waitCut bool
+		faults     Faults
+		err        error
+		status     int
+		runs       int
+		cancelCall bool
 	}{
 		"none":           {Faults{}, nil, 200, 1, false},
 		"fails all":      {Faults{FailQuick: true}, nil, 500, 1, false},
@@ -177,7 +177,7 @@
 			defer s.Close()
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			if tc.waitCut {
+			if tc.cancelCall {
 				go func() {
 					s.waitForHang(tc.runs)
 					cancel()
@@ -245,8 +245,8 @@
 			qt.Assert(t, r.End.IsZero(), qt.IsFalse)
 			lastEnd[a] = r.End
 		}
-		for _, h := range s.acceleratorHolders {
-			qt.Assert(t, h, qt.IsNil)
+		for _, holder := range s.acceleratorHolders {
+			qt.Assert(t, holder, qt.IsNil)
 		}
 	})
 }
--- a/target/standin/task.go
+++ b/target/standin/task.go
@@ -58,8 +58,8 @@
 		s.acceleratorHolders[a] = t
 	}
 	s.recordTask(t)
-	left := max(0, t.payload.totalWorkMS()-t.restoredMS())
-	t.endTimer = time.AfterFunc(time.Duration(float64(msToDuration(left))*t.slowdown), func() { s.handleEndTimer(t) })
+	remainingMS := max(0, t.payload.totalWorkMS()-t.restoredMS())
+	t.endTimer = time.AfterFunc(time.Duration(float64(msToDuration(remainingMS))*t.slowdown), func() { s.handleEndTimer(t) })
 	t.leaseExpiresAt = t.startedAt.Add(msToDuration(spec.LeaseMS))
 	t.leaseTimer = time.AfterFunc(msToDuration(spec.LeaseMS), func() { s.handleLeaseTimer(t) })
 	return t, nil
@@ -92,10 +92,10 @@
 		if a < 0 || a >= len(s.acceleratorHolders) {
 			return fmt.Errorf("accelerator %d: no such accelerator", a)
 		}
-		if h := s.acceleratorHolders[a]; h != nil {
+		if holder := s.acceleratorHolders[a]; holder != nil {
 			s.recordViolation(ViolationAcceleratorShared, "accelerator %d: %s/%d while %s/%d runs",
-				a, id.Job, id.Attempt, h.id.Job, h.id.Attempt)
-			return fmt.Errorf("accelerator %d is taken by %s/%d", a, h.id.Job, h.id.Attempt)
+				a, id.Job, id.Attempt, holder.id.Job, holder.id.Attempt)
+			return fmt.Errorf("accelerator %d is taken by %s/%d", a, holder.id.Job, holder.id.Attempt)
 		}
 	}
 	return nil
@@ -173,10 +173,10 @@
 	if len(s.endedTasks) <= s.opts.MaxEndedTasks {
 		return
 	}
-	old := s.endedTasks[0]
+	oldest := s.endedTasks[0]
 	s.endedTasks = s.endedTasks[1:]
-	delete(s.tasks, old)
-	delete(s.jobEpochs, old.Job)
+	delete(s.tasks, oldest)
+	delete(s.jobEpochs, oldest.Job)
 }
 
 // addStoppedTask marks a task stopped that never started here.
--- a/target/standin/task_payload.go
+++ b/target/standin/task_payload.go
@@ -30,18 +30,18 @@
 	ProgressMS int64  `json:"progress_ms"`
 }
 
-func parseTaskPayload(text json.RawMessage) (TaskPayload, error) {
-	var p TaskPayload
-	if len(text) == 0 {
-		return p, nil
+func parseTaskPayload(data json.RawMessage) (TaskPayload, error) {
+	var payload TaskPayload
+	if len(data) == 0 {
+		return payload, nil
 	}
-	if err := json.Unmarshal(text, &p); err != nil {
-		return p, fmt.Errorf("payload: %w", err)
+	if err := json.Unmarshal(data, &payload); err != nil {
+		return payload, fmt.Errorf("payload: %w", err)
 	}
-	if p.RunMS < 0 || p.RunMS > maxRunTime.Milliseconds() {
-		return p, fmt.Errorf("payload: run_ms: must be from 0 to %d", maxRunTime.Milliseconds())
+	if payload.RunMS < 0 || payload.RunMS > maxRunTime.Milliseconds() {
+		return payload, fmt.Errorf("payload: run_ms: must be from 0 to %d", maxRunTime.Milliseconds())
 	}
-	return p, nil
+	return payload, nil
 }
 
 // totalWorkMS is the progress at which the task ends.
--- a/target/standin/task_status.go
+++ b/target/standin/task_status.go
@@ -19,36 +19,36 @@
 	if t.state.Final() {
 		return t.finalProgressMS
 	}
-	ran := float64(now.Sub(t.startedAt).Milliseconds()) / t.slowdown
-	return min(t.restoredMS()+int64(ran), max(t.restoredMS(), t.payload.totalWorkMS()))
+	ranMS := float64(now.Sub(t.startedAt).Milliseconds()) / t.slowdown
+	return min(t.restoredMS()+int64(ranMS), max(t.restoredMS(), t.payload.totalWorkMS()))
 }
 
 // latestCheckpoint is the last one taken at or before the progress.
-func (t *task) latestCheckpoint(progress int64) *target.Checkpoint {
-	every := t.payload.CheckpointEveryMS
-	if !t.spec.Checkpointable || every <= 0 {
+func (t *task) latestCheckpoint(progressMS int64) *target.Checkpoint {
+	intervalMS := t.payload.CheckpointEveryMS
+	if !t.spec.Checkpointable || intervalMS <= 0 {
 		return t.checkpoint
 	}
-	at := progress / every * every
-	if at <= 0 || t.checkpoint != nil && t.checkpoint.ProgressMS >= at {
+	checkpointMS := progressMS / intervalMS * intervalMS
+	if checkpointMS <= 0 || t.checkpoint != nil && t.checkpoint.ProgressMS >= checkpointMS {
 		return t.checkpoint
 	}
-	since := time.Duration(float64(msToDuration(at-t.restoredMS())) * t.slowdown)
-	return t.newCheckpoint(at, t.startedAt.Add(since))
+	sinceStart := time.Duration(float64(msToDuration(checkpointMS-t.restoredMS())) * t.slowdown)
+	return t.newCheckpoint(checkpointMS, t.startedAt.Add(sinceStart))
 }
 
-func (t *task) newCheckpoint(progress int64, taken time.Time) *target.Checkpoint {
-	id := fmt.Sprintf("%s-%d-%d", t.id.Job, t.spec.Member, progress)
-	return &target.Checkpoint{ID: id, ProgressMS: progress, TakenAt: taken}
+func (t *task) newCheckpoint(progressMS int64, takenAt time.Time) *target.Checkpoint {
+	id := fmt.Sprintf("%s-%d-%d", t.id.Job, t.spec.Member, progressMS)
+	return &target.Checkpoint{ID: id, ProgressMS: progressMS, TakenAt: takenAt}
 }
 
 func (t *task) status(now time.Time) target.TaskStatus {
-	progress := t.progressMS(now)
+	progressMS := t.progressMS(now)
 	st := target.TaskStatus{
 		TaskID: t.id, State: t.state, Error: t.errorText,
 		Member: t.spec.Member, Members: t.spec.Members,
 		Accelerators: t.spec.Accelerators, Epoch: t.spec.Epoch,
-		ProgressMS: progress, Checkpoint: t.latestCheckpoint(progress),
+		ProgressMS: progressMS, Checkpoint: t.latestCheckpoint(progressMS),
 		StartedAt: t.startedAt, EndedAt: t.endedAt,
 	}
 	if !t.state.Final() {
@@ -61,10 +61,10 @@
 }
 
 func (t *task) result() json.RawMessage {
-	text, err := json.Marshal(TaskResult{TaskID: t.id, Tag: t.payload.Tag,
+	data, err := json.Marshal(TaskResult{TaskID: t.id, Tag: t.payload.Tag,
 		Member: t.spec.Member, Members: t.spec.Members, ProgressMS: t.finalProgressMS})
 	if err != nil {
 		panic("standin: result can't be encoded: " + err.Error())
 	}
-	return text
+	return data
 }
--- a/target/standin/tasks_http.go
+++ b/target/standin/tasks_http.go
@@ -167,8 +167,8 @@
 	if t == nil {
 		t = s.addStoppedTask(id)
 	}
-	save := r.URL.Query().Get(target.ParamCheckpoint) == "true"
-	if save && !t.state.Final() && t.spec.Checkpointable {
+	takeCheckpoint := r.URL.Query().Get(target.ParamCheckpoint) == "true"
+	if takeCheckpoint && !t.state.Final() && t.spec.Checkpointable {
 		t.checkpoint = t.newCheckpoint(t.progressMS(now), now)
 	}
 	s.finishTask(t, target.TaskStopped, "stopped by the agent")
--- a/target/standin/usage_http.go
+++ b/target/standin/usage_http.go
@@ -67,11 +67,11 @@
 }
 
 func writeJSON(w http.ResponseWriter, v any) {
-	text, err := json.Marshal(v)
+	data, err := json.Marshal(v)
 	if err != nil {
 		panic("standin: answer can't be encoded: " + err.Error())
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	_, _ = w.Write(text)
+	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
+	_, _ = w.Write(data)
 }
