--- a/agent/admission_gate.go
+++ b/agent/admission_gate.go
@@ -8,9 +8,8 @@
 	"github.com/eelgrasshub/eelgrasshub/admission"
 )
 
-// admissionGate runs an admission.Queue for concurrent requests: each waits in enter
-// until the queue says run or refuse. The lock is held for one Step, which is
-// a few microseconds.
+// admissionGate makes an admission.Queue usable from many goroutines: each request waits
+// in acquireSlot until the queue runs or refuses it.
 type admissionGate struct {
 	mu      sync.Mutex
 	queue   *admission.Queue
@@ -26,9 +25,9 @@
 	}
 }
 
-// acquireSlot waits for a slot. The refusal is nil when the request may run; leave
-// must follow then. When ctx ends first, the request has not run and ctx's error
-// is returned.
+// acquireSlot waits for a slot. If the refusal and the error are nil the request may run,
+// and the caller must call releaseSlot. If ctx ends first, acquireSlot returns its error
+// and the request does not run.
 func (g *admissionGate) acquireSlot(ctx context.Context, arrival admission.Arrived) (admission.ID, *admission.Refuse, error) {
 	decision := make(chan admission.Action, 1)
 	g.mu.Lock()
@@ -56,8 +55,8 @@
 	return nil
 }
 
-// cancel takes a request out of the queue, or returns the decision that came
-// first.
+// cancel removes a request from the queue and returns nil, or returns the decision if one
+// was already made.
 func (g *admissionGate) cancel(id admission.ID, decision chan admission.Action) admission.Action {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -71,7 +70,7 @@
 	return nil
 }
 
-// releaseSlot frees the slot of a request that ran for took.
+// releaseSlot frees the slot of a request that held it for slotTime.
 func (g *admissionGate) releaseSlot(id admission.ID, slotTime time.Duration) {
 	g.postEvent(admission.Finished{ID: id, SlotTime: slotTime})
 }
@@ -88,14 +87,15 @@
 	return g.queue.Load(time.Now())
 }
 
-// depth returns how many requests run and wait, without counting out marks.
+// depth returns the numbers of running and queued requests.
 func (g *admissionGate) depth() (running, queued int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.queue.Depth()
 }
 
-// handleEvent is called with the lock held.
+// handleEvent passes an event to the queue and carries out the resulting actions. The
+// caller holds the lock.
 func (g *admissionGate) handleEvent(ev admission.Event) {
 	for _, a := range g.queue.HandleEvent(time.Now(), ev) {
 		switch a := a.(type) {
@@ -122,7 +122,7 @@
 	g.timer = time.AfterFunc(time.Until(at), func() { g.postEvent(admission.Tick{}) })
 }
 
-// stopTimer ends the timer.
+// stopTimer stops the timer of the next Tick.
 func (g *admissionGate) stopTimer() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/agent/admission_policy.go
+++ b/agent/admission_policy.go
@@ -5,7 +5,7 @@
 	"github.com/eelgrasshub/eelgrasshub/document"
 )
 
-// admissionPolicy is the part of a document that the agent's queue obeys.
+// admissionPolicy returns the admission settings of a document.
 func admissionPolicy(d *document.Document) admission.PolicyChanged {
 	p := admission.PolicyChanged{
 		Weights:            make(map[string]int, len(d.Accounts)),
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -19,9 +19,9 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// Bounds of what an agent remembers of attempts that must not run twice. The
-// age is far below the life of an idempotency key's claim, which its safety
-// needs; see attempts.TableConfig.
+// Limits on the records of attempts that must not run twice. maxAttemptAge plus
+// maxClockSkew must be less than the lifetime of an idempotency key's claim; see
+// attempts.TableConfig.
 const (
 	maxAttemptEntries     = 65536
 	maxAttemptAnswerBytes = 32 << 20
@@ -29,15 +29,14 @@
 	maxClockSkew          = time.Minute
 )
 
-// defaultIsolationTimeout holds until a document is in force: shorter than any loss
-// timeout a document may name would make gangs stop needlessly, longer would let
-// them run on beside their successors. It is the document's own default.
+// defaultIsolationTimeout applies until the agent has a document and equals the
+// document's default. A longer one could let a gang run on beside its successor.
 const defaultIsolationTimeout = 10 * time.Second
 
-// reportCoalesceDelay is the least time between two reports to one entry.
+// reportCoalesceDelay is the minimum time between two reports to one entry.
 const reportCoalesceDelay = 20 * time.Millisecond
 
-// Agent is one running agent. Its methods are safe for concurrent use.
+// Agent is a running agent. Its methods are safe for concurrent use.
 type Agent struct {
 	cfg         settings.Agent
 	log         *logrus.Entry
@@ -55,7 +54,7 @@
 	draining      atomic.Bool
 }
 
-// Start starts an agent. Stop or Close ends it.
+// Start starts an agent. The caller ends it with Stop or Close.
 func Start(cfg settings.Agent, log *logrus.Entry) (*Agent, error) {
 	a := &Agent{
 		cfg:          cfg,
@@ -81,12 +80,11 @@
 	return a, nil
 }
 
-// startReporting begins to report once the target's tasks are known.
+// startReporting starts the reports once the target's tasks are known.
 //
-// The failure this guards against: a restarted agent reports before it has asked its
-// target what runs there. A report of a new incarnation that lists no task is the
-// proof that the tasks of the earlier one are gone, so the planner gives up a gang
-// that runs on, and starts its job again or tells its caller that nothing is known.
+// A report of a new incarnation that lists no tasks proves to the planner that the tasks
+// of the previous incarnation are gone. Sent too early, it would make the planner give
+// up a gang that still runs and start its job a second time.
 func (a *Agent) startReporting() error {
 	select {
 	case <-a.gangRunner.tasksRecovered:
@@ -156,7 +154,7 @@
 	}
 }
 
-// accountWeight is the client account's accountWeight by the document in force.
+// accountWeight returns the client account's weight in the current document, or 1.
 func (a *Agent) accountWeight(account string) int {
 	current, ok := a.documents.Current(a.cfg.Service)
 	if !ok {
@@ -169,7 +167,7 @@
 	return acc.Weight
 }
 
-// documentChanged puts a new generation's weights in force and reports it.
+// documentChanged applies a new generation of the service's document and reports it.
 func (a *Agent) documentChanged(_, current *document.ActiveVersion) {
 	if current.Version.Service != a.cfg.Service {
 		return
@@ -181,7 +179,7 @@
 	a.reporter.pushDocument(current)
 }
 
-// Drain makes the agent refuse new work and tell all entries so.
+// Drain makes the agent refuse new work and report that it is draining.
 func (a *Agent) Drain() {
 	if a.draining.Swap(true) {
 		return
@@ -192,9 +190,9 @@
 	a.reporter.setDraining()
 }
 
-// Stop drains, waits for the work in progress until ctx ends, says goodbye and
-// ends the agent. It returns ctx's error if work was still in progress: gang
-// tasks then run on at the target under their leases.
+// Stop drains the agent, waits until its work has ended or ctx is done, sends a
+// departure notice and closes the agent. It returns ctx's error if work was still in
+// progress; gang tasks then continue at the target under their leases.
 func (a *Agent) Stop(ctx context.Context) error {
 	a.Drain()
 	err := a.waitIdle(ctx)
@@ -206,7 +204,7 @@
 	return err
 }
 
-// idlePollInterval is how often a stopping agent looks whether its work has ended.
+// idlePollInterval is how often a stopping agent checks whether its work has ended.
 const idlePollInterval = 20 * time.Millisecond
 
 func (a *Agent) waitIdle(ctx context.Context) error {
@@ -225,7 +223,7 @@
 	return running+queued > 0 || a.gangRunner.hasActiveTasks(ctx)
 }
 
-// Close ends the agent at once.
+// Close ends the agent without draining it.
 func (a *Agent) Close() {
 	a.tomb.Kill(nil)
 	a.pool.Close()
@@ -239,5 +237,5 @@
 // Addr returns the address the agent listens on.
 func (a *Agent) Addr() string { return a.endpoint.Addr() }
 
-// reportJitter is the jitter of reports.
+// reportJitter returns a random number in [0, 1) that spreads reports over time.
 func reportJitter() float64 { return rand.Float64() }
--- a/agent/at_most_once.go
+++ b/agent/at_most_once.go
@@ -10,8 +10,8 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// executeOnce runs an attempt that must not run twice. The table decides under the
-// lock, so that two copies of a message can't both be fresh.
+// executeOnce runs an attempt that must not run twice. The attempt begins under the lock,
+// so that of two copies of a message only one runs.
 func (q *quickExecutor) executeOnce(ctx context.Context, id attempts.ID, m *wire.Execute) *wire.ExecuteReply {
 	q.mu.Lock()
 	result, answer := q.attempts.Begin(q.now(), id)
@@ -35,10 +35,10 @@
 	}
 }
 
-// runFirst runs a fresh attempt and notes its end in the table before it replies.
+// runFirst runs an attempt that has not run and records its outcome before it replies.
 func (q *quickExecutor) runFirst(ctx context.Context, id attempts.ID, m *wire.Execute) *wire.ExecuteReply {
-	// Once the target has been asked, the end of the entry's connection must not
-	// end the exchange: the request runs on, and the retry wants its answer.
+	// Once the request was sent, a lost connection to the entry must not cancel it:
+	// it runs on at the target, and a retry needs the answer.
 	runCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), remainingTime(m)+atMostOnceGrace)
 	defer cancel()
 	sent := false
@@ -70,8 +70,8 @@
 	}
 }
 
-// joinRunning waits for the end of the same attempt, begun by an earlier copy of the
-// message.
+// joinRunning waits for the end of an attempt that an earlier copy of the message
+// started.
 func (q *quickExecutor) joinRunning(ctx context.Context, id attempts.ID, done <-chan struct{}) *wire.ExecuteReply {
 	if done != nil {
 		select {
@@ -91,8 +91,8 @@
 	}
 }
 
-// resolve says what became of an attempt. An attempt that never arrived is
-// refused from then on.
+// resolve returns the state of an attempt. An attempt that has not arrived is recorded
+// as not run, and is refused if it arrives later.
 func (q *quickExecutor) resolve(id attempts.ID) *wire.ResolveAttemptReply {
 	q.mu.Lock()
 	status, answer := q.attempts.Resolve(id)
@@ -112,9 +112,8 @@
 	}
 }
 
-// resolveByName is resolve for the text form of an attempt's id. Where the attempt
-// runs, the answer is held until it ends, at most for wait: whoever asks wants
-// the end, and would ask again.
+// resolveByName is resolve for the text form of an attempt's ID. It waits up to wait for
+// a running attempt to end, since the caller would otherwise poll.
 func (q *quickExecutor) resolveByName(ctx context.Context, name string, wait time.Duration) *wire.ResolveAttemptReply {
 	id, err := attempts.ParseID(name)
 	if err != nil {
@@ -130,10 +129,9 @@
 	return q.resolve(id)
 }
 
-// waitForArrival gives an attempt that is on its way the time to arrive. Without
-// it, two deliveries of one request through two entries at once forbid each
-// other's attempt: the question about the first overtakes the first, and both
-// callers hear that nothing ran.
+// waitForArrival gives an attempt time to arrive before it is resolved. Otherwise, when
+// two entries deliver one request at the same time, each may resolve the other's attempt
+// before it arrives, and neither runs.
 func (q *quickExecutor) waitForArrival(ctx context.Context, id attempts.ID, wait time.Duration) {
 	for deadline := q.now().Add(wait); !q.isKnown(id) && q.now().Before(deadline); {
 		select {
@@ -160,7 +158,7 @@
 	}
 }
 
-// attemptCount returns how many attempts the table holds.
+// attemptCount returns the number of recorded attempts.
 func (q *quickExecutor) attemptCount() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/agent/doc.go
+++ b/agent/doc.go
@@ -1,9 +1,9 @@
-// Package agent is the process beside each target. It owns the truth about its
-// worker: which quick requests wait and run, which accelerators are granted to
-// which gang, and which attempts have been seen.
+// Package agent implements the process that runs beside each target. It is the
+// authority on its worker: which quick requests wait and run, which accelerators are
+// reserved for which gang, and which attempts have arrived.
 //
-// The decisions are those of the pure packages admission, attempts, gang and
-// document; this package gives them a clock, sockets and goroutines. An agent
-// keeps nothing on disk: after a restart it has a new incarnation, has forgotten
-// all attempts, and asks its target what still runs there.
+// The packages admission, attempts, gang and document make the decisions without I/O;
+// this package adds clocks, sockets and goroutines. An agent stores nothing on disk:
+// after a restart it has a new incarnation and no record of earlier attempts, and asks
+// its target which tasks still run.
 package agent
--- a/agent/gang_runner.go
+++ b/agent/gang_runner.go
@@ -15,45 +15,45 @@
 )
 
 const (
-	// maxTaskLease is how long the target runs a task after this agent's last
-	// renewal: the time in which accelerators come free when the agent dies.
+	// maxTaskLease is the longest lease of a task at the target. It bounds the time
+	// until accelerators come free after the agent has died.
 	maxTaskLease = 15 * time.Second
-	// renewalsPerLease is how often a lease is renewed before it could lapse.
+	// renewalsPerLease is how often a lease is renewed within its duration.
 	renewalsPerLease = 4
-	// targetRetryInterval is the pause between attempts to list the target's tasks.
+	// targetRetryInterval is the pause before a failed call to the target is repeated.
 	targetRetryInterval = 500 * time.Millisecond
-	// endedTaskRetention is how long ago a task may have ended for a restarted agent to
-	// report its result: an earlier end has been reported by the earlier life.
+	// endedTaskRetention is the age up to which a restarted agent reports tasks that
+	// ended. The previous incarnation has reported older ones.
 	endedTaskRetention = time.Hour
-	// memberQueueSize bounds events that wait for the member's goroutine.
+	// memberQueueSize bounds the functions that wait for the loop goroutine.
 	memberQueueSize = 1024
 )
 
-// gangRunner runs the gang.Member of this worker. Its loop goroutine alone touches
-// the member; everyone else sends it functions.
+// gangRunner runs the gang.Member of this worker. Only the loop goroutine accesses the
+// member; other goroutines send functions to it.
 type gangRunner struct {
 	tomb         *tomb.Tomb
 	log          *logrus.Entry
 	targetClient *target.Client
 	events       chan func()
 	member       *gang.Member
-	// incarnation is the agent's.
+	// incarnation is that of the agent.
 	incarnation uint64
 	timer       *time.Timer
 
-	// tasksRecovered is closed once the member knows the target's tasks.
+	// tasksRecovered is closed once the member knows the tasks at the target.
 	tasksRecovered chan struct{}
 
-	// replies holds the currentReply of the Step in progress to the message it handled.
+	// currentReply is the member's first reply to the message being handled.
 	currentReply *gang.Reply
-	// pushReply sends a reply that no message asked for, to the entry it names.
+	// pushReply sends a reply that does not answer a message to the named entry.
 	pushReply func(to string, r gang.Reply)
-	// stateChanged tells the reporter that the member may no longer be what it
-	// reported. It is called on the loop's goroutine.
+	// stateChanged is called on the loop goroutine after each event, when the
+	// member's state may differ from what was last reported.
 	stateChanged func(m *gang.Member)
 }
 
-// start adopts what the target runs and then serves. It returns at once.
+// start starts the goroutines that recover the target's tasks and handle events.
 func (g *gangRunner) start() {
 	g.timer = time.NewTimer(time.Hour)
 	g.tomb.Go(g.loop)
@@ -74,7 +74,8 @@
 	}
 }
 
-// call runs f on the loop's goroutine and waits for it. False: the agent stops.
+// call runs f on the loop goroutine and waits for it. It returns false if ctx ended before
+// f was queued or if the agent is stopping; f may not have run then.
 func (g *gangRunner) call(ctx context.Context, f func()) bool {
 	done := make(chan struct{})
 	run := func() {
@@ -96,7 +97,7 @@
 	}
 }
 
-// postEvent hands an postEvent to the member without waiting for its effects.
+// postEvent queues an event for the member without waiting until it is handled.
 func (g *gangRunner) postEvent(ev gang.MemberEvent) {
 	select {
 	case g.events <- func() { g.handleEvent(ev) }:
@@ -104,8 +105,8 @@
 	}
 }
 
-// handleMessage answers one message of a coordinator. A nil reply means that the
-// message could not be read or that the agent stops.
+// handleMessage returns the member's reply to a coordinator's message, or nil if the
+// message is invalid or the agent is stopping.
 func (g *gangRunner) handleMessage(ctx context.Context, from string, m *wire.GangMessage) *gang.Reply {
 	var env gang.Envelope
 	if err := cbor.Unmarshal(m.Payload, &env); err != nil {
@@ -124,7 +125,8 @@
 	return reply
 }
 
-// handleEvent runs on the loop's goroutine.
+// handleEvent passes an event to the member and carries out the resulting actions. It
+// runs on the loop goroutine.
 func (g *gangRunner) handleEvent(ev gang.MemberEvent) {
 	_, isMessage := ev.(gang.Received)
 	for _, a := range g.member.Step(clock.Now(), ev) {
@@ -150,9 +152,9 @@
 	g.pushReply(a.To, a.Reply)
 }
 
-// leaseDuration is the lease of a task. One of several members gets none beyond its
-// isolation deadline: if this agent dies, the target must have stopped the task
-// by the time after which a planner starts the gang elsewhere.
+// leaseDuration returns the lease of a task at the target. For a task of several members
+// it ends by the isolation deadline, so that the target has stopped the task before a
+// planner starts the gang elsewhere, even if this agent dies.
 func leaseDuration(t gang.Task) time.Duration {
 	if t.Members <= 1 {
 		return maxTaskLease
@@ -160,7 +162,7 @@
 	return min(maxTaskLease, clock.Until(time.Unix(0, t.RunUntil)))
 }
 
-// hasActiveTasks says whether any attempt holds accelerators or runs.
+// hasActiveTasks reports whether any task has not ended, reservations included.
 func (g *gangRunner) hasActiveTasks(ctx context.Context) bool {
 	active := false
 	g.call(ctx, func() {
--- a/agent/gang_task.go
+++ b/agent/gang_task.go
@@ -12,7 +12,7 @@
 	"github.com/eelgrasshub/eelgrasshub/target"
 )
 
-// startTask starts a task and follows it to its end.
+// startTask starts a task at the target and watches it until it ends.
 func (g *gangRunner) startTask(action gang.StartTask) error {
 	var spec target.TaskSpec
 	if err := cbor.Unmarshal(action.Spec, &spec); err != nil {
@@ -32,8 +32,8 @@
 	return g.watchTask(action.Task.ID)
 }
 
-// handleStartFailure makes sure that a start whose outcome is not known does not run
-// on unseen: the target marks the task as stopped, and refuses a late start.
+// handleStartFailure stops a task whose start failed or has an unknown outcome, so that it
+// does not run unnoticed. The target then also refuses a start that arrives late.
 func (g *gangRunner) handleStartFailure(id gang.ID, err error) error {
 	g.log.WithError(err).WithField("job", id.Job).Warn("target did not start the task")
 	ctx, cancel := context.WithTimeout(g.tomb.Context(context.Background()), maxTaskLease)
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// watchTask renews a task's lease and waits for its end.
+// watchTask renews a task's lease and reports the task's end to the member.
 func (g *gangRunner) watchTask(id gang.ID) error {
 	targetTaskID := toTargetID(id)
 	leaseExpiresAt := time.Now().Add(maxTaskLease)
@@ -66,9 +66,8 @@
 		case err == nil:
 			leaseExpiresAt = time.Now().Add(maxTaskLease)
 		case errors.Is(err, target.ErrUnknownTask), time.Now().After(leaseExpiresAt):
-			// The target had the task and has crashed since: another life of it answers at
-			// its address, which runs nothing of the last. Or the lease that it last heard of
-			// has lapsed: it has stopped the task, or it is gone itself.
+			// Either the target has restarted and lost the task, or the last lease that it
+			// received has expired, so that it has stopped the task or is down itself.
 			g.taskEnded(id, gang.TaskLost, false, err.Error())
 			return nil
 		default:
@@ -86,13 +85,13 @@
 	if err != nil || status.State.Final() {
 		return status, err
 	}
-	// A status call that is held for longer than the lease lasts would let the
-	// target stop a task that is well: isolation may be much shorter than
-	// taskLease.
+	// The wait must be shorter than the lease, or the target would stop a healthy task.
+	// The lease may be much shorter than maxTaskLease.
 	return g.targetClient.GetTask(ctx, id, lease/renewalsPerLease)
 }
 
-// currentLease is the lease to renew; false when there is none left.
+// currentLease returns the lease to request at the next renewal, and false if the task may
+// no longer be renewed.
 func (g *gangRunner) currentLease(ctx context.Context, id target.TaskID) (time.Duration, bool) {
 	lease := maxTaskLease
 	g.call(ctx, func() {
@@ -112,7 +111,7 @@
 	}
 }
 
-// stopTask asks the target to stop; watch then sees the end.
+// stopTask asks the target to stop a task. watchTask then reports its end.
 func (g *gangRunner) stopTask(action gang.StopTask) error {
 	ctx, cancel := context.WithTimeout(g.tomb.Context(context.Background()), maxTaskLease)
 	defer cancel()
@@ -139,8 +138,8 @@
 	}
 }
 
-// taskDetail is the task's result, its error, or the checkpoint that a stopped task
-// can go on from.
+// taskDetail returns the task's error, the checkpoint from which a stopped task can
+// resume, or the task's result.
 func taskDetail(status target.TaskStatus) string {
 	if status.Error != "" {
 		return status.Error
--- a/agent/message_handlers.go
+++ b/agent/message_handlers.go
@@ -13,7 +13,8 @@
 
 var errNotHandled = eris.New("not a message for an agent")
 
-// handle serves what entries send, and the agents that this one relays for.
+// handle serves messages from entries, and reports from the agents that use this one as
+// their relay.
 func (a *Agent) handle(ctx context.Context, from *wire.Conn, msg any) (any, error) {
 	switch m := msg.(type) {
 	case *wire.Execute:
@@ -37,7 +38,8 @@
 	return reply
 }
 
-// resolveAttempt answers for this incarnation only: an earlier one's memory is gone.
+// resolveAttempt answers for attempts of this incarnation only, since the records of
+// earlier ones are lost.
 func (a *Agent) resolveAttempt(ctx context.Context, m *wire.ResolveAttempt) *wire.ResolveAttemptReply {
 	if m.Incarnation != a.incarnation {
 		return &wire.ResolveAttemptReply{State: wire.AttemptUnknown}
@@ -61,8 +63,8 @@
 	return &wire.GangReply{Payload: data}
 }
 
-// publishDocuments takes documents that an entry sends and answers with what is in force
-// then.
+// publishDocuments offers documents from an entry or relay to the agent's table and
+// returns the generations it then holds.
 func (a *Agent) publishDocuments(msg *wire.PublishDocuments) *wire.PublishDocumentsAck {
 	for _, v := range msg.Versions {
 		a.documents.Update(time.Now(), v)
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// outcomeTiming is the timing of an attempt that ended so.
+// outcomeTiming returns the timing metric for an attempt with the given outcome.
 func outcomeTiming(o wire.Outcome) metrics.Timing {
 	switch o {
 	case wire.OutcomeDone:
@@ -19,7 +19,7 @@
 	}
 }
 
-// registerGauges shows what other parts count by themselves.
+// registerGauges registers gauges for values that other components maintain.
 func (a *Agent) registerGauges() {
 	a.metrics.Gauge("running", func() int64 {
 		running, _ := a.quickExecutor.gate.depth()
@@ -34,7 +34,7 @@
 	a.metrics.Gauge("connections", func() int64 { return int64(len(a.endpoint.Conns())) })
 }
 
-// MetricsHandler serves the metrics in the form of /debug/vars.
+// MetricsHandler serves the metrics in the format of /debug/vars.
 func (a *Agent) MetricsHandler() http.Handler {
 	return a.metrics.Handler("eelgrasshub")
 }
--- a/agent/quick_executor.go
+++ b/agent/quick_executor.go
@@ -13,35 +13,35 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// Reasons in an ExecuteReply, besides those of admission.
+// Reasons in an ExecuteReply, in addition to those of package admission.
 const (
-	reasonTargetRefused = "target"    // the target could not be reached or refused
-	reasonCancelled     = "cancelled" // the caller gave up before the start
-	reasonAnswerLost    = "lost"      // the target's answer did not come back whole
+	reasonTargetRefused = "target"    // the target could not be reached, or refused the request
+	reasonCancelled     = "cancelled" // the entry stopped waiting before the request ran
+	reasonAnswerLost    = "lost"      // the request may have run, but its answer was not received in full
 )
 
-// atMostOnceGrace is how much longer than its deadline a request that is not
-// repeatable may take at the target. It goes on using its slot there anyway,
-// and its answer is wanted by a retry under the same key.
+// atMostOnceGrace is how long after its deadline an at-most-once request may still run at
+// the target. It occupies its slot there anyway, and a retry under the same idempotency
+// key needs its answer.
 const atMostOnceGrace = 30 * time.Second
 
-// arrivalWait is how long a question about an attempt waits for it to arrive,
-// arrivalPollInterval how often it looks.
+// arrivalWait is the longest wait for an attempt to arrive before it is resolved,
+// arrivalPollInterval the interval of the checks.
 const (
 	arrivalWait         = 50 * time.Millisecond
 	arrivalPollInterval = 2 * time.Millisecond
 )
 
-// defaultRequestTimeout bounds a request that came without a deadline.
+// defaultRequestTimeout applies to requests without a deadline.
 const defaultRequestTimeout = 10 * time.Minute
 
-// quickExecutor runs quickExecutor requests on the target. It is safe for concurrent use.
+// quickExecutor runs quick requests at the target. It is safe for concurrent use.
 type quickExecutor struct {
 	gate          *admissionGate
 	targetClient  *target.Client
 	accountWeight func(account string) int
 
-	mu              sync.Mutex // guards table and running
+	mu              sync.Mutex // guards attempts and runningAttempts
 	attempts        *attempts.Table
 	runningAttempts map[attempts.ID]chan struct{}
 
@@ -49,8 +49,8 @@
 	now             func() time.Time
 }
 
-// execute runs one attempt and returns its end. ctx ends when the entry no
-// longer waits.
+// execute runs one attempt and returns its outcome and the agent's load. ctx ends when
+// the entry no longer waits for the reply.
 func (q *quickExecutor) execute(ctx context.Context, m *wire.Execute) *wire.ExecuteReply {
 	start := q.now()
 	reply := q.dispatch(ctx, m)
@@ -77,8 +77,8 @@
 	return q.executeOnce(ctx, id, m)
 }
 
-// queueAndForward queues the request under wait, then forwards it under ctx. sending is
-// called just before the target is asked.
+// queueAndForward queues the request under queueCtx, then forwards it to the target under
+// forwardCtx. It calls beforeSend just before the request is sent.
 func (q *quickExecutor) queueAndForward(queueCtx, forwardCtx context.Context, m *wire.Execute, beforeSend func()) *wire.ExecuteReply {
 	arrived := q.now()
 	deadline := arrived.Add(remainingTime(m))
--- a/agent/relay_documents.go
+++ b/agent/relay_documents.go
@@ -8,9 +8,9 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// offerDocuments sends a member what it lacks of its service's document, so that
-// entries send it to the relay alone. A push that was lost is repeated after the
-// member's next report. It is called with the lock held.
+// offerDocuments sends the current document of its service to a member that lacks it, so
+// that entries need to send documents only to the relay. A push that fails is repeated
+// after the member's next report. The caller holds the lock.
 func (r *reporter) offerDocuments(conn *wire.Conn, memberID string) {
 	for _, m := range r.router.Members() {
 		if m.Report.ID == memberID {
@@ -26,20 +26,20 @@
 		return
 	}
 	r.sendingDocuments[memberID] = true
-	go r.sendDocument(conn, memberID, current.Version) // ends with its timeout; the caller may be outside of the tomb
+	go r.sendDocument(conn, memberID, current.Version) // bounded by its timeout; not started by the tomb, as the caller may run outside of it
 }
 
 func (r *reporter) sendDocument(conn *wire.Conn, memberID string, version wire.DocumentVersion) {
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	_, _ = conn.Call(ctx, &wire.PublishDocuments{Versions: []wire.DocumentVersion{version}}) // its next report shows what it lacks
+	_, _ = conn.Call(ctx, &wire.PublishDocuments{Versions: []wire.DocumentVersion{version}}) // retried after the next report
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.sendingDocuments, memberID)
 }
 
-// pushDocument sends a new generation to every member at once, over the connections
-// that they hold to this relay.
+// pushDocument sends a new generation to all members of the service over the connections
+// that they opened to this relay.
 func (r *reporter) pushDocument(current *document.ActiveVersion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/agent/relay_reports.go
+++ b/agent/relay_reports.go
@@ -7,13 +7,15 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// errReportAgeUnknown: this process stood still, so a report may have waited here for long.
+// errReportAgeUnknown rejects a report that may have waited while this process was
+// suspended, so that its age is unknown.
 var errReportAgeUnknown = wire.NotHandled(eris.New("the age of the report is not known"))
 
-// handleMemberReport answers the report of another agent of the rack, whose relay this one is.
+// handleMemberReport answers the report of another agent that uses this one as its
+// relay.
 func (r *reporter) handleMemberReport(from *wire.Conn, m *wire.Report) (any, error) {
 	if len(m.Reports) != 1 || m.Reports[0].ID != from.Peer().ID {
-		return nil, errNotHandled // nobody relays relayed reports
+		return nil, errNotHandled // a relay accepts only an agent's own report
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -31,7 +33,7 @@
 	return ack, nil
 }
 
-// memberCount returns how many agents report by this one.
+// memberCount returns the number of agents that report through this one.
 func (r *reporter) memberCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/agent/report_to_entry.go
+++ b/agent/report_to_entry.go
@@ -10,8 +10,8 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// reportToEntry sends one reportToEntry. False: the entry has left and is no longer reported
-// to.
+// reportToEntry sends one report. It returns false if the entry was removed and is no
+// longer reported to.
 func (r *reporter) reportToEntry(entry *entryLoop) bool {
 	r.mu.Lock()
 	sentAt := clock.Now()
@@ -27,7 +27,7 @@
 	return true
 }
 
-// updateLoad is called with the lock held.
+// updateLoad puts the current load into the agent's state. The caller holds the lock.
 func (r *reporter) updateLoad(now time.Time) {
 	r.ownReport.Load = r.currentLoad()
 	r.router.SetState(now, r.ownReport)
@@ -41,8 +41,9 @@
 	return ack, err == nil && ok
 }
 
-// handleFailure backs off. An entry that was only named by another one and does not
-// answer is dropped; it is named again when it is back.
+// handleFailure records an unanswered report and reports whether to keep reporting to the
+// entry. An entry that is not a seed is removed after maxUnansweredReports; other
+// entries name it again when it is back.
 func (r *reporter) handleFailure(entry *entryLoop) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,8 +56,8 @@
 	return false
 }
 
-// maxUnansweredReports is how many reports in a row an entry leaves unanswered before it is
-// dropped.
+// maxUnansweredReports is the number of consecutive unanswered reports after which an
+// entry that is not a seed is removed.
 const maxUnansweredReports = 20
 
 func (r *reporter) handleAck(entry *entryLoop, sentAt time.Time, ack *wire.ReportAck) {
@@ -72,19 +73,19 @@
 	r.relayChanged()
 }
 
-// sendDeparture tells all entries, and the relay, that this incarnation has ended.
+// sendDeparture notifies all entries and the relay that this incarnation has ended.
 func (r *reporter) sendDeparture(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	r.mu.Lock()
 	if r.router == nil {
 		r.mu.Unlock()
-		return // nobody has heard of this incarnation
+		return // this incarnation has never reported
 	}
 	msg := r.router.DepartureReport()
 	var wg sync.WaitGroup
 	notify := func(addr string) {
-		wg.Go(func() { _, _ = r.agent.pool.Call(ctx, addr, msg) }) // an entry that misses it finds out by silence
+		wg.Go(func() { _, _ = r.agent.pool.Call(ctx, addr, msg) }) // best effort: an entry that misses it detects the lack of reports
 	}
 	for addr := range r.entries {
 		notify(addr)
--- a/agent/report_to_relay.go
+++ b/agent/report_to_relay.go
@@ -8,13 +8,13 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// relayLoop is the loop that reports to the relay of the rack.
+// relayLoop is the state of the loop that reports to the rack's relay.
 type relayLoop struct {
 	wake    chan struct{}
-	current wire.RelayInfo // the one that loops and log know of
+	current wire.RelayInfo // the relay at the last call of relayChanged
 }
 
-// runRelayLoop reports to the relay as long as there is one.
+// runRelayLoop reports to the relay whenever there is one, until the agent stops.
 func (r *reporter) runRelayLoop() error {
 	return r.runReportLoop(tickPeriod, r.relayLoop.wake, r.untilRelayDue, func() bool {
 		r.reportToRelay()
@@ -58,13 +58,13 @@
 		r.startEntryLoop(addr, false)
 	}
 	if ack.Entries != nil {
-		r.wakeAll() // the relay may no longer reach one
+		r.wakeAll() // an entry may no longer be reached by the relay
 	}
 	r.relayChanged()
 }
 
-// relayChanged lets the loops know when the relay is another one than before. It
-// is called with the lock held.
+// relayChanged wakes all loops if the agent's relay has changed, and closes the
+// connection to the previous one. The caller holds the lock.
 func (r *reporter) relayChanged() {
 	current, _ := r.router.Relay()
 	previous := r.relayLoop.current
--- a/agent/reporter.go
+++ b/agent/reporter.go
@@ -12,33 +12,32 @@
 )
 
 const (
-	// reportTimeout bounds one report; its failure shows a silent path.
+	// reportTimeout bounds the wait for the answer to one report.
 	reportTimeout = time.Second
 	// gangReportPeriod is the longest period of reports while a task of several
-	// members runs: its gang counts as whole by them, and stops without.
+	// members runs. The answers renew the task's attempt; without them it stops.
 	gangReportPeriod = time.Second
-	// maxEntries bounds the entries an agent reports to.
+	// maxEntries bounds the number of entries an agent reports to.
 	maxEntries = 16
 )
 
-// reporter announces the agent to the entries, by itself or by the relay of its
-// rack, and relays the reporter of others. There is no list of targets anywhere:
-// an entry knows the agents that report to it. The entries are those of the
-// settings and those that entries name in their answers. It is safe for
-// concurrent use.
+// reporter reports the agent to the entries, directly or through the relay of its rack,
+// and relays the reports of other agents. Entries learn of agents only by these reports.
+// An agent reports to the entries in its settings and to those that entries and relays
+// name in their answers. It is safe for concurrent use.
 type reporter struct {
 	agent *Agent
 
 	mu               sync.Mutex
-	router           *membership.ReportRouter // nil until the agent is announced
+	router           *membership.ReportRouter // nil until start
 	ownReport        wire.AgentReport
 	plannerTimestamp gang.PlannerTimestamp
 	entries          map[string]*entryLoop // by address
 	relayLoop        *relayLoop
-	sendingDocuments map[string]bool // members to which a document is on its way
+	sendingDocuments map[string]bool // IDs of members to which a document is being sent
 }
 
-// entryLoop is the loop that reports to one entry.
+// entryLoop is the state of the loop that reports to one entry.
 type entryLoop struct {
 	address string
 	isSeed  bool
@@ -69,7 +68,7 @@
 	}
 }
 
-// start announces the agent to the entries of its settings.
+// start starts the reports to the seed entries and to the relay.
 func (r *reporter) start() {
 	cfg := membership.ReportRouterConfig{
 		ReporterConfig:   membership.ReporterConfig{Period: r.agent.cfg.ReportPeriod.Duration, Coalesce: reportCoalesceDelay},
@@ -89,7 +88,7 @@
 	r.agent.tomb.Go(r.runTicker)
 }
 
-// startEntryLoop starts the reports to an entry. It is called with the lock held.
+// startEntryLoop starts the loop that reports to an entry. The caller holds the lock.
 func (r *reporter) startEntryLoop(addr string, isSeed bool) {
 	entry := &entryLoop{address: addr, isSeed: isSeed, wake: make(chan struct{}, 1)}
 	r.entries[addr] = entry
@@ -102,14 +101,14 @@
 	defer r.mu.Unlock()
 	change(&r.ownReport)
 	if r.router == nil {
-		return // not announced yet
+		return // not started yet
 	}
 	r.router.SetTimestamp(r.plannerTimestamp)
 	r.router.SetState(clock.Now(), r.ownReport)
 	r.wakeAll()
 }
 
-// wakeAll is called with the lock held.
+// wakeAll wakes all loops. The caller holds the lock.
 func (r *reporter) wakeAll() {
 	for _, entry := range r.entries {
 		signal(entry.wake)
@@ -142,7 +141,7 @@
 	r.updateState(func(s *wire.AgentReport) { s.Draining = true })
 }
 
-// currentLoad is taken into the state just before a report.
+// currentLoad returns the load for the next report.
 func (r *reporter) currentLoad() wire.Load {
 	running, queued := r.agent.quickExecutor.gate.depth()
 	return wire.Load{Running: running, Queued: queued}
@@ -153,8 +152,8 @@
 	return r.runReportLoop(0, entry.wake, untilDue, func() bool { return r.reportToEntry(entry) })
 }
 
-// runReportLoop reports first after a wait, and then whenever it is due: as due says, which
-// is asked again after each report and each kick. It ends with the agent, or when
+// runReportLoop waits for initialWait or a wake-up, then calls report whenever it is due.
+// It calls untilDue after each report and each wake-up. It ends when the agent stops or
 // report returns false.
 func (r *reporter) runReportLoop(initialWait time.Duration, wake <-chan struct{}, untilDue func() time.Duration, report func() bool) error {
 	timer := time.NewTimer(initialWait)
@@ -188,16 +187,17 @@
 	return due.Sub(now)
 }
 
-// drainConnection closes a connection that is not used any more. What the entry still
-// waits for on it ends first.
+// drainConnection closes an unused connection once the calls in progress on it have
+// ended.
 func (r *reporter) drainConnection(addr string) {
 	r.agent.tomb.Go(func() error {
-		_ = r.agent.pool.Drain(r.agent.tomb.Context(context.Background()), addr) // the agent ends
+		_ = r.agent.pool.Drain(r.agent.tomb.Context(context.Background()), addr) // fails only when the agent stops
 		return nil
 	})
 }
 
-// tickPeriod is the period in which members that went silent are dropped.
+// tickPeriod is the interval at which the relay drops unresponsive members, and the
+// wait of the relay loop while there is no relay.
 const tickPeriod = time.Second
 
 func (r *reporter) runTicker() error {
@@ -215,8 +215,8 @@
 	}
 }
 
-// pushReply sends a gang reply that no message asked for to the entry that
-// planned the attempt. A lost one is made up for by the next report.
+// pushReply sends a gang reply that does not answer a message to the entry that planned
+// the attempt. If it is lost, the next report conveys the same state.
 func (a *Agent) pushReply(to string, reply gang.Reply) {
 	a.tomb.Go(func() error {
 		for _, c := range a.endpoint.Conns() {
--- a/agent/task_id.go
+++ b/agent/task_id.go
@@ -7,9 +7,8 @@
 	"github.com/eelgrasshub/eelgrasshub/target"
 )
 
-// The target knows an attempt by one number: the epoch in the upper half, the
-// planner's counter in the lower. Both stay far below 2^31: an epoch grows with
-// each change of planner, the counter with each start under it.
+// attemptNumberBits splits the target's attempt number: the planner's epoch is in the
+// upper bits, its counter of starts in the lower. Each stays far below 2^31.
 const attemptNumberBits = 32
 
 func toTargetID(id gang.ID) target.TaskID {
@@ -25,9 +24,9 @@
 	}
 }
 
-// recoveredTask turns a task that the target still runs into the member's account of
-// it. It was started, so it had been committed. Its lease tells how long the
-// agent's earlier life let it run without hearing that the gang is whole.
+// recoveredTask returns the member's record of a task that the target lists. The task
+// was started, so it had been committed. Its remaining lease tells how long the previous
+// incarnation allowed it to run without a renewal of its attempt.
 func recoveredTask(status target.TaskStatus, now time.Time) gang.Task {
 	task := gang.Task{
 		ID:           toGangID(status.TaskID),
--- a/agent/task_recovery.go
+++ b/agent/task_recovery.go
@@ -11,14 +11,12 @@
 	"github.com/eelgrasshub/eelgrasshub/target"
 )
 
-// recoverTasks asks the target what it runs. Until then an accelerator that looks
-// free may be in use by a task of the agent's earlier life, so the member
-// refuses everything.
+// recoverTasks asks the target which tasks it runs, and retries until it answers. Until
+// then the member refuses reservations, since a task that a previous incarnation of the
+// agent started may use any accelerator.
 //
-// The question also fences the earlier life. A start that it sent may still be on its
-// way when the agent dies: it would run a part of a gang that was given up meanwhile,
-// on accelerators that look free, and no agent would know of it. Either the task is in
-// the list, or the target refuses it.
+// The call also fences previous incarnations: a start that one of them sent and that is
+// not in the list is refused by the target when it arrives.
 func (g *gangRunner) recoverTasks() error {
 	ctx := g.tomb.Context(context.Background())
 	for {
@@ -51,7 +49,7 @@
 		g.log.WithFields(logrus.Fields{"running": running, "ended": len(tasks) - running}).Info("adopted the target's tasks")
 	}
 	if !g.call(context.Background(), func() { g.handleEvent(gang.TasksRecovered{Tasks: tasks}) }) {
-		return // the agent stops
+		return // the agent is stopping
 	}
 	close(g.tasksRecovered)
 	for _, task := range tasks {
