--- a/target/client.go
+++ b/target/client.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Defaults of Options.
+// Defaults for zero fields of Options.
 const (
 	DefaultMaxConns         = 64
 	DefaultMaxResponseBytes = 8 << 20
@@ -20,22 +20,22 @@
 type Options struct {
 	// BaseURL is the target's URL without a trailing slash.
 	BaseURL string
-	// MaxConns bounds open connections, those of tasks included. Requests
-	// beyond wait for one; the wait ends with the context as ErrNotSent.
+	// MaxConns bounds the open connections, including those of task calls. Further
+	// requests wait for one; if the context ends first they fail with ErrNotSent.
 	MaxConns int
-	// MaxResponseBytes bounds an answer's body, in bytes.
+	// MaxResponseBytes bounds the body of a response.
 	MaxResponseBytes int64
 	DialTimeout      time.Duration
 }
 
-// Client speaks to one target. It is safe for concurrent use.
+// Client calls one target. It is safe for concurrent use.
 type Client struct {
 	baseURL          string
 	maxResponseBytes int64
 	transport        *http.Transport
 }
 
-// NewClient makes a client. It opens no connection yet.
+// NewClient returns a client. It opens connections only when they are needed.
 func NewClient(o Options) *Client {
 	if o.MaxConns <= 0 {
 		o.MaxConns = DefaultMaxConns
@@ -53,7 +53,7 @@
 	}
 }
 
-// Close ends idle connections. Requests in progress end undisturbed.
+// Close closes idle connections. Requests in progress are not interrupted.
 func (c *Client) Close() {
 	c.transport.CloseIdleConnections()
 }
@@ -72,7 +72,7 @@
 		MaxIdleConns:        o.MaxConns,
 		MaxIdleConnsPerHost: o.MaxConns,
 		IdleConnTimeout:     defaultIdleTimeout,
-		// The body is the target's own: no decoding on the way.
+		// The body is passed on unchanged.
 		DisableCompression: true,
 	}
 }
--- a/target/client_tasks.go
+++ b/target/client_tasks.go
@@ -12,19 +12,18 @@
 	"time"
 )
 
-// StartTask starts the task, or returns the status of the same task started
-// before: it may be repeated after ErrOutcomeUnknown. Another spec under the
-// same id, a taken accelerator, an older epoch or an earlier incarnation of the agent
-// is ErrConflict, and nothing was started.
+// StartTask starts the task, or returns the status of the same task if it was started
+// before, so it may be repeated after ErrOutcomeUnknown. It fails with ErrConflict and
+// starts nothing if the ID belongs to a task with a different spec, an accelerator is in
+// use, or the epoch or the agent's incarnation is older than one the target has received.
 func (c *Client) StartTask(ctx context.Context, id TaskID, spec TaskSpec) (TaskStatus, error) {
 	var st TaskStatus
 	err := c.callJSON(ctx, http.MethodPut, id.Path(), spec, &st)
 	return st, err
 }
 
-// ListTasks lists the tasks the worker knows: all that run and the latest ended. Starts
-// that an earlier incarnation of the agent has sent and that are not in the list are
-// refused from then on.
+// ListTasks lists all running tasks and those that ended last. From then on the target
+// refuses starts of earlier incarnations of the agent that are not in the list.
 func (c *Client) ListTasks(ctx context.Context, incarnation uint64) ([]TaskStatus, error) {
 	path := PathTasks + "?" + ParamIncarnation + "=" + strconv.FormatUint(incarnation, 10)
 	var list []TaskStatus
@@ -32,7 +31,8 @@
 	return list, err
 }
 
-// GetTask returns a task's status, held up to wait until the task ends.
+// GetTask returns a task's status. The target holds the call up to wait until the task
+// ends.
 func (c *Client) GetTask(ctx context.Context, id TaskID, wait time.Duration) (TaskStatus, error) {
 	path := id.Path()
 	if wait > 0 {
@@ -43,25 +43,24 @@
 	return st, err
 }
 
-// RenewTask prolongs the lease to lease from now. The status of a task that
-// ended comes back without an error.
+// RenewTask sets the lease to end after the given duration from now. For a task that has
+// ended it returns the status without an error.
 func (c *Client) RenewTask(ctx context.Context, id TaskID, lease time.Duration) (TaskStatus, error) {
 	var st TaskStatus
 	err := c.callJSON(ctx, http.MethodPost, id.Path()+"/renew", LeaseRenewal{LeaseMS: lease.Milliseconds()}, &st)
 	return st, err
 }
 
-// CheckpointTask takes a checkpoint now and returns the status that holds it.
+// CheckpointTask takes a checkpoint and returns the status that contains it.
 func (c *Client) CheckpointTask(ctx context.Context, id TaskID) (TaskStatus, error) {
 	var st TaskStatus
 	err := c.callJSON(ctx, http.MethodPost, id.Path()+"/checkpoint", nil, &st)
 	return st, err
 }
 
-// StopTask stops the task, after a checkpoint if asked for, and returns its
-// final status. Stopping a task that ended changes nothing. A task the worker
-// doesn't know is marked as stopped, so that a start that arrives late, after
-// the agent gave it up, is refused a run.
+// StopTask stops the task, after taking a checkpoint if requested, and returns its final
+// status. It does not change a task that has ended. An unknown task is recorded as
+// stopped, so that a start that arrives late does not run.
 func (c *Client) StopTask(ctx context.Context, id TaskID, checkpoint bool) (TaskStatus, error) {
 	path := id.Path()
 	if checkpoint {
@@ -72,22 +71,22 @@
 	return st, err
 }
 
-// Capacity returns what the worker has in all.
+// Capacity returns the worker's total capacity.
 func (c *Client) Capacity(ctx context.Context) (Capacity, error) {
 	var v Capacity
 	err := c.callJSON(ctx, http.MethodGet, PathCapacity, nil, &v)
 	return v, err
 }
 
-// Usage returns what the worker used when Usage.At was taken.
+// Usage returns the worker's usage at Usage.SampledAt.
 func (c *Client) Usage(ctx context.Context) (Usage, error) {
 	var v Usage
 	err := c.callJSON(ctx, http.MethodGet, PathUsage, nil, &v)
 	return v, err
 }
 
-// callJSON makes one exchange of JSON. All calls are idempotent, so net/http may
-// repeat them.
+// callJSON sends a request with a JSON body and decodes the JSON response. All calls are
+// idempotent, so net/http may retry them.
 func (c *Client) callJSON(ctx context.Context, method, path string, input, output any) error {
 	var body io.Reader
 	if input != nil {
--- a/target/client_test.go
+++ b/target/client_test.go
@@ -86,7 +86,7 @@
 func TestCancelAfterSendIsUnknown(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	client := startTarget(t, func(_ http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body) // net/http sees a caller go only then
+		_, _ = io.Copy(io.Discard, r.Body) // net/http detects a closed connection only after the body was read
 		cancel()
 		<-r.Context().Done()
 	})
@@ -95,9 +95,8 @@
 }
 
 func TestBrokenReusedConnectionIsNotRetried(t *testing.T) {
-	// A grower's space is booked twice: a GET with an Idempotency-Key goes out
-	// on a reused connection, the target runs it and the connection breaks
-	// before the answer. net/http would send it again by itself.
+	// A GET with an Idempotency-Key on a reused connection runs, then the connection
+	// breaks. net/http would retry it and run it twice.
 	var runs atomic.Int32
 	client := startTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery == "warm" {
@@ -114,8 +113,7 @@
 }
 
 func TestClosedConnectionProvesNotSent(t *testing.T) {
-	// A caller is told "not run", then the transport's writer wakes up and sends
-	// the request after all. A sealed connection refuses that late write.
+	// The transport must not send a request after it was reported as not sent.
 	c := qt.New(t)
 	clientEnd, serverEnd := net.Pipe()
 	defer serverEnd.Close()
@@ -136,8 +134,8 @@
 }
 
 func TestCancelWhileWaitingForConnectionIsNotSent(t *testing.T) {
-	// All connections are busy and the caller's time ends while it waits for
-	// one: nothing went out, so it must hear "not run" rather than "unknown".
+	// A context that ends while all connections are busy must give ErrNotSent, not
+	// ErrOutcomeUnknown.
 	release := make(chan struct{})
 	handlerEntered := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
--- a/target/doc.go
+++ b/target/doc.go
@@ -1,10 +1,9 @@
-// Package target is the HTTP protocol between an agent and the target beside
-// it, and the agent's client for it.
+// Package target defines the HTTP protocol between an agent and the target on the same
+// instance, and implements the agent's client.
 //
-// Quick requests are forwarded once. Tasks are the members of gang jobs; they
-// run under leases, so that accelerators come free when the agent dies.
+// Quick requests are forwarded once. Tasks are the members of gang jobs; they run under
+// leases, so that accelerators come free when the agent dies.
 //
-// The client never repeats a quick request by itself, and it tells a request
-// that provably was not sent ([ErrNotSent]) from one that may have run
-// ([ErrOutcomeUnknown]).
+// The client never retries a quick request. It distinguishes a request that provably was
+// not sent ([ErrNotSent]) from one that may have run ([ErrOutcomeUnknown]).
 package target
--- a/target/errors.go
+++ b/target/errors.go
@@ -3,16 +3,18 @@
 import "errors"
 
 var (
-	// ErrNotSent: no byte of the request left this process, so it did not run.
+	// ErrNotSent means that no byte of the request was sent, so it did not run.
 	ErrNotSent = errors.New("target: request was not sent")
-	// ErrRefused: the target said that it did not run the request and won't.
+	// ErrRefused means that the target has not run the request and will not.
 	ErrRefused = errors.New("target: request was refused")
-	// ErrOutcomeUnknown: the request may have run, or may still run.
+	// ErrOutcomeUnknown means that the request may have run or may still run.
 	ErrOutcomeUnknown = errors.New("target: outcome is not known")
-	// ErrTooLarge: the answer exceeds its bound. It comes with ErrOutcomeUnknown.
+	// ErrTooLarge means that the response exceeds MaxResponseBytes. It is wrapped
+	// together with ErrOutcomeUnknown.
 	ErrTooLarge = errors.New("target: answer is too large")
-	// ErrUnknownTask: the worker has no record of the task.
+	// ErrUnknownTask means that the target has no record of the task.
 	ErrUnknownTask = errors.New("target: no such task")
-	// ErrConflict: the task's id, an accelerator or an epoch is taken by other work.
+	// ErrConflict means that the task's ID or an accelerator is in use by other work, or
+	// that the epoch or incarnation is outdated.
 	ErrConflict = errors.New("target: conflict")
 )
--- a/target/protocol.go
+++ b/target/protocol.go
@@ -5,19 +5,19 @@
 	"strconv"
 )
 
-// Headers an agent sets on a quick request.
+// Headers that an agent sets on a quick request.
 const (
 	HeaderRequestID = "Eelgrasshub-Request"
-	// HeaderAttempt counts the attempts of the request, from 1.
+	// HeaderAttempt is the number of the attempt, counted from 1.
 	HeaderAttempt = "Eelgrasshub-Attempt"
 	HeaderAccount = "Eelgrasshub-Account"
 	HeaderClass   = "Eelgrasshub-Class"
-	// HeaderDeadline is the time that remains, as a Go duration.
+	// HeaderDeadline is the remaining time as a Go duration.
 	HeaderDeadline = "Eelgrasshub-Deadline"
 )
 
-// HeaderRefused is set to "true" by a target that did not run a quick request
-// and never will. Without it any status is the target's own answer.
+// HeaderRefused is set to "true" by a target that has not run a quick request and will
+// not. Without it, any status is the response of the request itself.
 const HeaderRefused = "Eelgrasshub-Refused"
 
 // Paths below the target's base URL.
@@ -28,24 +28,25 @@
 	PathUsage    = "/usage"
 )
 
-// Query parameters of tasks.
+// Query parameters of the calls on tasks.
 const (
-	// ParamWaitMS bounds how long a task's status is held until it changes.
+	// ParamWaitMS bounds how long the response with a task's status is held until the
+	// task ends, in milliseconds.
 	ParamWaitMS = "wait_ms"
-	// ParamCheckpoint "true" asks for a checkpoint before a stop.
+	// ParamCheckpoint set to "true" requests a checkpoint before the stop.
 	ParamCheckpoint = "checkpoint"
-	// ParamIncarnation names the agent's incarnation when it asks for the list of
-	// tasks. From the answer on, starts of earlier ones are refused.
+	// ParamIncarnation is the incarnation of the agent that lists the tasks. Once it is
+	// answered, starts of earlier incarnations are refused.
 	ParamIncarnation = "incarnation"
 )
 
-// TaskID names one member's run of one attempt of a job on this worker.
+// TaskID identifies one member's run of an attempt of a job on this worker.
 type TaskID struct {
 	Job     string `json:"job"`
 	Attempt int    `json:"attempt"`
 }
 
-// Path is the task's path below the base URL.
+// Path returns the task's path below the base URL.
 func (id TaskID) Path() string {
 	return PathTasks + "/" + url.PathEscape(id.Job) + "/" + strconv.Itoa(id.Attempt)
 }
--- a/target/request.go
+++ b/target/request.go
@@ -16,28 +16,28 @@
 	Attempt   int
 	Account   string
 	Class     string
-	// Remaining is the time that remains; 0 for none. The context bounds the
-	// wait; this one is only told to the target.
+	// Remaining is the time until the deadline, or 0 without one. It is only passed to
+	// the target; the context bounds the wait.
 	Remaining time.Duration
 	Method    string
-	// Path is below the requests path, escaped, without a leading slash.
+	// Path is relative to PathRequests, escaped, without a leading slash.
 	Path     string
 	RawQuery string
-	// Header is copied, less the hop-by-hop fields.
+	// Header is copied without hop-by-hop fields.
 	Header http.Header
 	Body   []byte
 }
 
-// Response is the target's own whole answer.
+// Response is the target's complete response.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Do forwards r once. The error is ErrNotSent, ErrRefused or ErrOutcomeUnknown
-// (by errors.Is); only the last allows that the request ran. A context that
-// ends after the request was sent gives ErrOutcomeUnknown.
+// Do forwards r once. The error wraps ErrNotSent, ErrRefused or ErrOutcomeUnknown; only
+// with the last may the request have run. If the context ends after the request was sent,
+// the error is ErrOutcomeUnknown.
 func (c *Client) Do(ctx context.Context, r Request) (Response, error) {
 	req, err := c.newRequest(ctx, r)
 	if err != nil {
@@ -89,12 +89,11 @@
 	return req, nil
 }
 
-// singleUseBody is a request body that can't be rewound.
+// singleUseBody is a request body that cannot be rewound.
 //
-// The failure it guards against: net/http repeats a GET, or any request with an
-// Idempotency-Key, by itself when a reused connection breaks before the answer.
-// The target would run a request twice that was sent once. A body that is
-// neither nil nor rewindable makes the transport give the error back instead.
+// net/http retries a GET, or a request with an Idempotency-Key, when a reused connection
+// breaks before the response, and the target would run it twice. With a body that is
+// neither nil nor rewindable the transport returns the error instead.
 type singleUseBody struct {
 	remaining []byte
 }
@@ -116,8 +115,8 @@
 
 var errUnknownLength = errors.New("answer without a length: its end can't be told from a cut")
 
-// readBody reads the whole body or fails. A body that ends with the connection
-// is refused: a cut by a dying target looks like its end.
+// readBody reads the whole body. It rejects a body that is delimited by the end of the
+// connection, since a truncated one looks the same.
 func (c *Client) readBody(method string, resp *http.Response) ([]byte, error) {
 	chunked := len(resp.TransferEncoding) > 0
 	if resp.ContentLength < 0 && !chunked && method != http.MethodHead {
--- a/target/send_tracker.go
+++ b/target/send_tracker.go
@@ -6,7 +6,8 @@
 	"sync"
 )
 
-// sendTracker watches the connections one request was given.
+// sendTracker records the connections that a request was given, to prove whether any of
+// its bytes were sent.
 type sendTracker struct {
 	mu        sync.Mutex
 	uses      []connUse
@@ -18,7 +19,7 @@
 	writesBefore uint64
 }
 
-// withTrace returns a context that reports connections to p.
+// withTrace returns a context that records the connections of a request in p.
 func (p *sendTracker) withTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: p.gotConn})
 }
@@ -34,8 +35,8 @@
 	p.uses = append(p.uses, connUse{conn, conn.writeCount()})
 }
 
-// notSent ends the request's connections and reports whether none of them
-// carried a byte of it. Call it only after the request failed.
+// notSent closes the request's connections and reports whether none of them has sent a
+// byte of it. Call it only after the request has failed.
 func (p *sendTracker) notSent() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/target/standin/audit.go
+++ b/target/standin/audit.go
@@ -7,14 +7,14 @@
 	"github.com/eelgrasshub/eelgrasshub/target"
 )
 
-// Audit is the log of what truly ran on one worker.
+// Audit is the log of what actually ran on one worker.
 type Audit struct {
 	WorkerName string      `json:"worker"`
 	Quick      []QuickRun  `json:"quick"`
 	Tasks      []TaskRun   `json:"tasks"`
 	Violations []Violation `json:"violations"`
-	// Dropped counts records beyond the bound. An audit with dropped records
-	// proves nothing.
+	// Dropped is the number of records beyond MaxAuditRecords. If it is not 0 the audit
+	// is incomplete.
 	Dropped int `json:"dropped"`
 }
 
@@ -22,17 +22,17 @@
 type QuickRun struct {
 	RequestID string `json:"request"`
 	Attempt   int    `json:"attempt"`
-	// Tag is the query parameter "tag": the caller's own name for the request.
+	// Tag is the query parameter ParamTag, by which the caller identifies the request.
 	Tag     string    `json:"tag,omitempty"`
 	Account string    `json:"account"`
 	Class   string    `json:"class"`
 	Start   time.Time `json:"start"`
-	// End is zero while it runs.
+	// End is zero while the request runs.
 	End       time.Time `json:"end,omitzero"`
 	Completed bool      `json:"completed"`
-	// Abandoned says that the connection was gone at the end of the run.
+	// Abandoned reports whether the caller's connection was closed by the end of the run.
 	Abandoned bool `json:"abandoned,omitempty"`
-	// Checksum is that of the answer's Echo.
+	// Checksum is that of the Echo in the response.
 	Checksum string `json:"checksum,omitempty"`
 }
 
@@ -45,37 +45,38 @@
 	Member       int    `json:"member"`
 	Members      int    `json:"members"`
 	Accelerators []int  `json:"accelerators"`
-	// RestoredMS is the progress it began with, ProgressMS where it ended.
+	// RestoredMS is the progress at the start, ProgressMS that at the end.
 	RestoredMS int64     `json:"restored_ms"`
 	ProgressMS int64     `json:"progress_ms"`
 	Start      time.Time `json:"start"`
-	// End is zero while it runs.
+	// End is zero while the task runs.
 	End     time.Time        `json:"end,omitzero"`
 	Outcome target.TaskState `json:"outcome"`
 }
 
-// ViolationKind names a rule of the worker that was broken by its user.
+// ViolationKind identifies a rule of the worker that its agent has broken.
 type ViolationKind string
 
 // Kinds of violations.
 const (
-	// ViolationAcceleratorShared: a start on an accelerator that another task holds.
+	// ViolationAcceleratorShared is a start on an accelerator that another task uses.
 	// The start was refused.
 	ViolationAcceleratorShared ViolationKind = "accelerator-shared"
-	// ViolationTooManyConnections: more connections than the worker has.
+	// ViolationTooManyConnections means that more connections were open than
+	// Options.Connections.
 	ViolationTooManyConnections ViolationKind = "too-many-connections"
-	// ViolationTaskIDReused: a start under the id of a different task. Refused.
+	// ViolationTaskIDReused is a start under the ID of a different task. It was refused.
 	ViolationTaskIDReused ViolationKind = "task-id-reused"
 )
 
-// Violation is one breach of a rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	Kind   ViolationKind `json:"kind"`
 	At     time.Time     `json:"at"`
 	Detail string        `json:"detail"`
 }
 
-// Audit returns a copy of the log.
+// Audit returns a copy of the audit log.
 func (s *Server) Audit() Audit {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +96,7 @@
 	return a
 }
 
-// ResetAudit forgets the log, but for runs in progress.
+// ResetAudit clears the log except for runs in progress.
 func (s *Server) ResetAudit() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,7 +116,8 @@
 	return kept
 }
 
-// canRecord reports whether one more record fits, and counts the one that doesn't.
+// canRecord reports whether the log has space for one more record, and counts a dropped
+// record otherwise.
 func (s *Server) canRecord() bool {
 	if len(s.quickLog)+len(s.taskLog) < s.opts.MaxAuditRecords {
 		return true
--- a/target/standin/connections.go
+++ b/target/standin/connections.go
@@ -6,15 +6,15 @@
 	"net/http"
 )
 
-// connState is one connection. Only those that carried a request of the target
-// protocol count, so that fetching an audit doesn't.
+// connState is the state of one connection. Only connections that carried a request of
+// the target protocol are counted, so that fetching an audit has no effect.
 type connState struct {
 	isCounted bool
 }
 
 type connStateKey struct{}
 
-// HTTPServer returns a server for s that counts its connections.
+// HTTPServer returns an HTTP server for s that counts its connections.
 func (s *Server) HTTPServer() *http.Server {
 	return &http.Server{
 		Handler:     s,
--- a/target/standin/doc.go
+++ b/target/standin/doc.go
@@ -1,7 +1,6 @@
-// Package standin is a stand-in for a target and its worker, for tests, trials
-// and load runs.
+// Package standin implements a fake target and worker for tests, trials and load runs.
 //
-// It runs quick requests and tasks as the target protocol says, keeps a log of
-// what truly ran, and shows faults on demand. What the system told its callers
-// is audited against that log.
+// It serves the target protocol, injects faults on request and keeps an audit log of
+// what actually ran, against which the answers that the system gave its callers are
+// checked.
 package standin
--- a/target/standin/faults.go
+++ b/target/standin/faults.go
@@ -1,30 +1,30 @@
 package standin
 
-// Faults are what the stand-in does wrong. The zero value is none.
+// Faults configure the faults to inject. The zero value injects none.
 type Faults struct {
-	// SlowFactor multiplies run times when above 0.
+	// SlowFactor multiplies run times if it is above 0.
 	SlowFactor float64 `json:"slow_factor,omitempty"`
 	// FailQuick answers quick requests with status 500 after running them.
 	FailQuick bool `json:"fail_quick,omitempty"`
-	// FailTasks lets every task fail soon after its start.
+	// FailTasks makes every task fail soon after its start.
 	FailTasks bool `json:"fail_tasks,omitempty"`
-	// Hang keeps silent before running anything.
+	// Hang leaves requests unanswered without running them.
 	Hang bool `json:"hang,omitempty"`
-	// HangAfterRun runs a quick request and then keeps silent.
+	// HangAfterRun runs quick requests and leaves them unanswered.
 	HangAfterRun bool `json:"hang_after_run,omitempty"`
-	// CutBody runs a quick request and closes the connection mid-body.
+	// CutBody runs quick requests and closes the connection in the middle of the body.
 	CutBody bool `json:"cut_body,omitempty"`
-	// HoldStarts holds starts of tasks on their way until the faults change, also
-	// when whoever sent one is gone.
+	// HoldStarts delays starts of tasks until the faults change, even if the caller has
+	// disconnected.
 	HoldStarts bool `json:"hold_starts,omitempty"`
-	// Reject refuses quick requests and starts of tasks, without running them.
+	// Reject refuses quick requests and starts of tasks without running them.
 	Reject bool `json:"reject,omitempty"`
-	// EveryNth lets only each n-th quick request meet the faults; 0 and 1 mean all.
+	// EveryNth applies the faults only to every n-th quick request; 0 and 1 mean all.
 	EveryNth int `json:"every,omitempty"`
 }
 
-// SetFaults replaces the faults. Requests held silent by the old ones end with
-// their connection closed.
+// SetFaults replaces the faults. The connections of requests that hang because of the
+// previous ones are closed.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -33,7 +33,7 @@
 	s.faultsChanged = make(chan struct{})
 }
 
-// nextQuickFaults returns the faults that the next quick request meets.
+// nextQuickFaults returns the faults that apply to the next quick request.
 func (s *Server) nextQuickFaults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/target/standin/options.go
+++ b/target/standin/options.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Defaults of Options: a worker of the sample deployments.
+// Defaults for zero fields of Options.
 const (
 	DefaultSlots           = 8
 	DefaultConnections     = 64
@@ -20,21 +20,22 @@
 
 // Options configure a Server. Zero values take the defaults.
 type Options struct {
-	// Name of the worker in its audit.
+	// Name is the worker's name in its audit.
 	Name string
-	// Slots is how many quick requests run at once at full speed.
+	// Slots is the number of quick requests that run at once at full speed.
 	Slots        int
 	Connections  int
 	Accelerators int
 	Cores        int
 	MemoryMB     int
-	// ServiceTime is the service time of a quick request that doesn't say its own.
+	// ServiceTime is the service time of a quick request without ParamServiceTimeMS.
 	ServiceTime time.Duration
-	// MaxUsageAge is how old reported usage may be.
+	// MaxUsageAge is the maximum age of reported usage.
 	MaxUsageAge time.Duration
-	// MaxAuditRecords bounds the audit log; later records are dropped and counted.
+	// MaxAuditRecords bounds the audit log; further records are dropped and counted.
 	MaxAuditRecords int
-	// MaxEndedTasks bounds the ended tasks that are remembered; the oldest go first.
+	// MaxEndedTasks bounds the number of ended tasks that are kept; the oldest are
+	// dropped first.
 	MaxEndedTasks int
 }
 
--- a/target/standin/quick_requests.go
+++ b/target/standin/quick_requests.go
@@ -12,13 +12,13 @@
 	"github.com/eelgrasshub/eelgrasshub/target"
 )
 
-// Query parameters of a quick request that the stand-in understands.
+// Query parameters of a quick request.
 const (
-	// ParamTag is the caller's own name for the request, kept in the audit.
+	// ParamTag identifies the request in the audit for the caller.
 	ParamTag = "tag"
 	// ParamServiceTimeMS is the service time in milliseconds, a decimal number.
 	ParamServiceTimeMS = "work_ms"
-	// ParamPaddingBytes asks for that many bytes of filling in the answer.
+	// ParamPaddingBytes is the number of bytes of padding in the response.
 	ParamPaddingBytes = "pad"
 )
 
@@ -28,8 +28,8 @@
 	maxBodyBytes    = 8 << 20
 )
 
-// handleQuick runs a handleQuick request. A run that began goes on to its end, also when
-// the caller is gone: that is what makes an outcome unknown.
+// handleQuick runs a quick request. A run that has begun continues after the caller has
+// disconnected; the caller then does not know its outcome.
 func (s *Server) handleQuick(w http.ResponseWriter, r *http.Request) {
 	faults := s.nextQuickFaults()
 	if faults.Reject {
@@ -86,8 +86,8 @@
 	return min(time.Duration(ms*float64(time.Millisecond)), maxRunTime)
 }
 
-// startQuick logs the start and returns how long the run takes: more requests
-// at once than slots share the slots.
+// startQuick records the start of a run and returns its run time, which grows when more
+// requests run than there are slots.
 func (s *Server) startQuick(r *http.Request, query url.Values, serviceTime time.Duration, f Faults) (*QuickRun, time.Duration) {
 	attempt, _ := strconv.Atoi(r.Header.Get(target.HeaderAttempt))
 	run := &QuickRun{
--- a/target/standin/server.go
+++ b/target/standin/server.go
@@ -13,16 +13,16 @@
 	"github.com/eelgrasshub/eelgrasshub/target"
 )
 
-// Paths of the stand-in's own controls, below its base URL.
+// Paths for controlling the stand-in, below its base URL.
 const (
-	// PathAudit answers an Audit to GET; DELETE resets the log.
+	// PathAudit returns an Audit for GET and resets the log for DELETE.
 	PathAudit = "/standin/audit"
-	// PathFaults takes Faults by POST.
+	// PathFaults accepts Faults by POST.
 	PathFaults = "/standin/faults"
 )
 
-// Server is a stand-in worker. It is an http.Handler, safe for concurrent use.
-// Serve it by [Server.HTTPServer] to have its connections counted.
+// Server is a fake target and worker. It is an http.Handler, safe for concurrent use.
+// Serve it with [Server.HTTPServer] to have its connections counted.
 type Server struct {
 	opts       Options
 	mux        *goji.Mux
@@ -36,9 +36,9 @@
 	quickRunning       int
 	tasks              map[target.TaskID]*task
 	endedTasks         []target.TaskID // oldest first
-	acceleratorHolders []*task         // by accelerator
+	acceleratorHolders []*task         // by accelerator index
 	jobEpochs          map[string]uint64
-	agentIncarnation   uint64 // highest incarnation of the agent heard of
+	agentIncarnation   uint64 // highest one received from the agent
 	conns              map[any]*connState
 	protocolConns      int
 	usage              target.Usage
@@ -48,7 +48,7 @@
 	droppedRecords     int
 }
 
-// New makes a stand-in without faults.
+// New returns a stand-in that injects no faults.
 func New(o Options) *Server {
 	o = o.withDefaults()
 	s := &Server{
@@ -64,7 +64,7 @@
 	return s
 }
 
-// Close stops all tasks and ends held requests. It doesn't end connections.
+// Close stops all tasks and releases hanging requests. It does not close connections.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,8 +101,8 @@
 	return m
 }
 
-// protocolHandler wraps a handler of the target protocol: its connection counts as one
-// of the protocolHandler's, and a silent protocolHandler answers nothing.
+// protocolHandler wraps a handler of the target protocol. It counts the connection as one
+// of the worker's, and with Faults.Hang leaves the request unanswered.
 func (s *Server) protocolHandler(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.countConn(r.Context())
@@ -116,13 +116,13 @@
 	}
 }
 
-// hang keeps silent until the caller gives up, the faults change or the
-// stand-in is closed, and ends the connection. It doesn't return.
+// hang waits until the caller disconnects, the faults change or the stand-in is closed,
+// and then closes the connection. It does not return.
 func (s *Server) hang(r *http.Request) {
 	s.mu.Lock()
 	faultsChanged := s.faultsChanged
 	s.mu.Unlock()
-	// net/http notices that the caller is gone only after the body was read.
+	// net/http detects that the caller has disconnected only after the body was read.
 	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes))
 	select {
 	case <-r.Context().Done():
@@ -132,7 +132,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// delayStart delays a start for as long as the faults say so.
+// delayStart delays the start of a task while Faults.HoldStarts is set.
 func (s *Server) delayStart() {
 	s.mu.Lock()
 	hold, faultsChanged := s.faults.HoldStarts, s.faultsChanged
@@ -148,17 +148,17 @@
 	}
 }
 
-// AgentIncarnation is the highest of the agent that the stand-in has heard of.
+// AgentIncarnation returns the highest incarnation of the agent received.
 func (s *Server) AgentIncarnation() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.agentIncarnation
 }
 
-// HeldStarts is how many starts are on their way, held by Faults.HoldStarts.
+// HeldStarts returns the number of starts that Faults.HoldStarts delays.
 func (s *Server) HeldStarts() int { return int(s.heldStarts.Load()) }
 
-// sleep waits for d and reports false if the stand-in was closed first.
+// sleep waits for d and returns false if the stand-in was closed first.
 func (s *Server) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -170,8 +170,8 @@
 	}
 }
 
-// Restart ends all tasks and forgets all that is known, as a process does that crashes and is
-// back at the same address. Runs in the audit stay.
+// Restart ends all tasks and discards all state but the audit, like a process that has
+// crashed and runs again at the same address.
 func (s *Server) Restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/target/standin/standin_test.go
+++ b/target/standin/standin_test.go
@@ -17,7 +17,7 @@
 	"github.com/eelgrasshub/eelgrasshub/target"
 )
 
-// serveRequest serves one request without a socket, so that it runs in virtual time.
+// serveRequest serves a request without a socket, so that it runs in virtual time.
 func serveRequest(s *Server, method, path string, body any) (target.TaskStatus, int) {
 	data, _ := json.Marshal(body)
 	w := httptest.NewRecorder()
@@ -58,8 +58,7 @@
 }
 
 func TestExpiredLeaseFreesAccelerators(t *testing.T) {
-	// An agent dies. Its task holds accelerators that no one else can free, and
-	// a gang waits for them for good. The worker ends the task with its lease.
+	// Accelerators must not stay occupied for good after an agent has died.
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		s := New(Options{})
@@ -109,8 +108,7 @@
 }
 
 func TestStartAfterStopDoesNotRun(t *testing.T) {
-	// A gang is given up while one start is still under way. The stop overtakes
-	// it on another connection; the late start would run a part of the gang.
+	// A start that arrives after its stop must not run part of a gang that was given up.
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		s := New(Options{})
@@ -138,7 +136,7 @@
 	})
 }
 
-// waitForHang returns when a request has arrived and n runs have ended.
+// waitForHang waits until a request hangs and wantRuns runs have ended.
 func (s *Server) waitForHang(wantRuns int) {
 	for {
 		s.mu.Lock()
@@ -217,8 +215,8 @@
 	qt.Check(t, v[0].Kind, qt.Equals, ViolationTooManyConnections)
 }
 
-// TestRandomTasksNeverShareAccelerator drives random starts, renewals and
-// stops through virtual time and checks the log that audits rely on.
+// Starts tasks at random and renews and stops them, in virtual time, and checks that the
+// audit log shows no overlapping runs on an accelerator.
 func TestRandomTasksNeverShareAccelerator(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rng := rand.New(rand.NewPCG(1, 2))
--- a/target/standin/task.go
+++ b/target/standin/task.go
@@ -19,11 +19,11 @@
 	id      target.TaskID
 	spec    target.TaskSpec
 	payload TaskPayload
-	// slowdown multiplies its run time.
+	// slowdown multiplies the run time.
 	slowdown  float64
 	state     target.TaskState
 	errorText string
-	// finalProgressMS is the progress in a final state.
+	// finalProgressMS is the progress once the state is final.
 	finalProgressMS int64
 	checkpoint      *target.Checkpoint
 	auditRun        *TaskRun
@@ -32,12 +32,12 @@
 	leaseExpiresAt  time.Time
 	endTimer        *time.Timer
 	leaseTimer      *time.Timer
-	done            chan struct{} // closed in a final state
-	lostInRestart   bool          // the worker was restarted since
+	done            chan struct{} // closed when the state becomes final
+	lostInRestart   bool          // the worker has been restarted since
 }
 
-// startTask runs the task or returns the same one started before. The error says
-// which rule refuses the startTask; nothing has run then.
+// startTask starts the task or returns the same one if it was started before. The error
+// tells why the start was refused, in which case nothing has run.
 func (s *Server) startTask(id target.TaskID, spec target.TaskSpec, p TaskPayload) (*task, error) {
 	if t := s.tasks[id]; t != nil {
 		return t, s.checkSameTask(t, spec)
@@ -65,8 +65,8 @@
 	return t, nil
 }
 
-// checkSameTask reports a start under the id of a task with other content. A lease
-// or epoch of another attempt to start it is no difference.
+// checkSameTask returns an error if the task under this ID was started with a different
+// spec. Leases and epochs are not compared: they differ when a start is repeated.
 func (s *Server) checkSameTask(t *task, spec target.TaskSpec) error {
 	if t.auditRun == nil {
 		return nil // stopped before its start
@@ -119,8 +119,8 @@
 	}
 }
 
-// handleEndTimer ends a task whose work is done. After a pause of the whole worker both
-// timers are due, and what was due first counts: a lease that has lapsed.
+// handleEndTimer ends a task whose work is done. If the whole worker was suspended both
+// timers are due, and an expired lease takes precedence.
 func (s *Server) handleEndTimer(t *task) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,8 +135,8 @@
 	s.finishTask(t, target.TaskDone, "")
 }
 
-// handleLeaseTimer stops a task whose agent is gone, so that its accelerators come
-// free without it. A renewal that came meanwhile has moved leaseEnd.
+// handleLeaseTimer stops a task whose lease has expired, so that the accelerators of a
+// dead agent come free. If the lease was renewed meanwhile, leaseExpiresAt is later.
 func (s *Server) handleLeaseTimer(t *task) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,7 +146,7 @@
 	s.finishTask(t, target.TaskExpired, reasonLeaseExpired)
 }
 
-// finishTask brings t to a final state; one that has ended stays as it is.
+// finishTask brings t to a final state unless it is in one already.
 func (s *Server) finishTask(t *task, state target.TaskState, reason string) {
 	if t.state.Final() {
 		return
@@ -167,7 +167,7 @@
 	close(t.done)
 }
 
-// rememberEnded adds an ended task and drops the oldest beyond the bound.
+// rememberEnded adds an ended task and drops the oldest beyond MaxEndedTasks.
 func (s *Server) rememberEnded(id target.TaskID) {
 	s.endedTasks = append(s.endedTasks, id)
 	if len(s.endedTasks) <= s.opts.MaxEndedTasks {
@@ -179,7 +179,7 @@
 	delete(s.jobEpochs, oldest.Job)
 }
 
-// addStoppedTask marks a task stopped that never started here.
+// addStoppedTask records a task that never started here as stopped.
 func (s *Server) addStoppedTask(id target.TaskID) *task {
 	now := time.Now()
 	t := &task{id: id, state: target.TaskStopped, errorText: "stopped before its start",
--- a/target/standin/task_payload.go
+++ b/target/standin/task_payload.go
@@ -8,16 +8,16 @@
 	"github.com/eelgrasshub/eelgrasshub/target"
 )
 
-// TaskPayload is the payload of a task that the stand-in understands.
+// TaskPayload is the payload of a task for the stand-in.
 type TaskPayload struct {
-	// Tag is the caller's own name for the job, kept in the audit.
+	// Tag identifies the job in the audit for the caller.
 	Tag string `json:"tag,omitempty"`
 	// RunMS is the run time in milliseconds.
 	RunMS int64 `json:"run_ms"`
-	// Fail lets the task fail after FailAfterMS of progress, or at its end.
+	// Fail makes the task fail after FailAfterMS of progress, or at its end.
 	Fail        bool  `json:"fail,omitempty"`
 	FailAfterMS int64 `json:"fail_after_ms,omitempty"`
-	// CheckpointEveryMS takes a checkpoint at each multiple; 0 for none.
+	// CheckpointEveryMS is the interval of checkpoints; 0 for none.
 	CheckpointEveryMS int64 `json:"checkpoint_every_ms,omitempty"`
 }
 
@@ -44,7 +44,7 @@
 	return payload, nil
 }
 
-// totalWorkMS is the progress at which the task ends.
+// totalWorkMS returns the progress at which the task ends.
 func (p TaskPayload) totalWorkMS() int64 {
 	if p.Fail && p.FailAfterMS > 0 {
 		return min(p.FailAfterMS, p.RunMS)
--- a/target/standin/task_status.go
+++ b/target/standin/task_status.go
@@ -23,7 +23,7 @@
 	return min(t.restoredMS()+int64(ranMS), max(t.restoredMS(), t.payload.totalWorkMS()))
 }
 
-// latestCheckpoint is the last one taken at or before the progress.
+// latestCheckpoint returns the last checkpoint taken at or before the given progress.
 func (t *task) latestCheckpoint(progressMS int64) *target.Checkpoint {
 	intervalMS := t.payload.CheckpointEveryMS
 	if !t.spec.Checkpointable || intervalMS <= 0 {
--- a/target/standin/tasks_http.go
+++ b/target/standin/tasks_http.go
@@ -60,7 +60,8 @@
 	writeJSON(w, t.status(time.Now()))
 }
 
-// findTask returns the task named by the request, or answers the request itself.
+// findTask returns the task that the request names, or responds with an error and returns
+// nil. The caller holds the lock.
 func (s *Server) findTask(w http.ResponseWriter, r *http.Request) *task {
 	id, err := parseTaskID(r)
 	if err != nil {
@@ -88,7 +89,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if t.lostInRestart {
-		panic(http.ErrAbortHandler) // its process has crashed under the call
+		panic(http.ErrAbortHandler) // the stand-in was restarted during the call
 	}
 	writeJSON(w, t.status(time.Now()))
 }
@@ -104,7 +105,7 @@
 	}
 }
 
-// listTasks answers an agent that was started, and fences its earlier lives.
+// listTasks lists the tasks for a restarted agent and fences its earlier incarnations.
 func (s *Server) listTasks(w http.ResponseWriter, r *http.Request) {
 	incarnation, _ := strconv.ParseUint(r.URL.Query().Get(target.ParamIncarnation), 10, 64)
 	s.mu.Lock()
--- a/target/standin/usage_http.go
+++ b/target/standin/usage_http.go
@@ -19,7 +19,7 @@
 	})
 }
 
-// getUsage answers with the last sample until it is UsageLag old.
+// getUsage responds with the last sample until it is MaxUsageAge old.
 func (s *Server) getUsage(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/target/tracked_conn.go
+++ b/target/tracked_conn.go
@@ -8,13 +8,12 @@
 
 var errConnClosed = errors.New("target: connection is sealed")
 
-// trackedConn proves whether bytes of a request were written.
+// trackedConn counts the writes on a connection, since net/http's error does not tell
+// whether a request was sent before a reused connection broke.
 //
-// The failure it guards against: a reused connection turns out dead, and
-// net/http's error doesn't say if the request went out. The agent would have to
-// tell the caller "unknown" for a request that never left. Writes are counted
-// before they reach the socket, and seal ends all further writes before the
-// count is read, so that no late write of the transport can follow the proof.
+// A write is counted before it reaches the socket, and closeAndCount refuses further
+// writes before it returns the count, so that the transport cannot send a request that
+// was already reported as not sent.
 type trackedConn struct {
 	net.Conn
 	mu     sync.Mutex
@@ -22,7 +21,7 @@
 	closed bool
 }
 
-// Write implements net.Conn.
+// Write implements net.Conn. It fails after closeAndCount.
 func (c *trackedConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	if c.closed {
@@ -40,7 +39,7 @@
 	return c.writes
 }
 
-// closeAndCount ends all writes and returns how many there were.
+// closeAndCount closes the connection to further writes and returns their number.
 func (c *trackedConn) closeAndCount() uint64 {
 	c.mu.Lock()
 	c.closed = true
