--- a/agent/fake_relay_test.go
+++ b/agent/fake_relay_test.go
@@ -10,8 +10,8 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// fakeRelay is an agent that entries name as relay, and that answers its
-// members as a test wants without passing anything on.
+// fakeRelay is an agent that entries name as relay. It replies to its members as the test
+// specifies and relays nothing.
 type fakeRelay struct {
 	c        *qt.C
 	endpoint *wire.Endpoint
@@ -21,10 +21,10 @@
 	done     chan struct{}
 
 	mu           sync.Mutex
-	reportCounts map[string]int // reports by agent
+	reportCounts map[string]int // number of reports by agent ID
 }
 
-// ackWithEntries answers as a relay that reaches the entries.
+// ackWithEntries returns a reply of a relay that reaches the given entries.
 func ackWithEntries(entries ...string) func(wire.RelayInfo) (any, error) {
 	return func(self wire.RelayInfo) (any, error) {
 		ack := &wire.ReportAck{Relay: self, Digest: 1}
@@ -60,11 +60,11 @@
 	return s
 }
 
-// reportTo reports the stand-in itself to an entry.
+// reportTo reports the fake relay itself to an entry until the test ends.
 func (s *fakeRelay) reportTo(entryAddr string) {
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		_, _ = s.pool.Call(ctx, entryAddr, &wire.Report{Reports: []wire.AgentReport{s.report}}) // an entry that starts answers the next one
+		_, _ = s.pool.Call(ctx, entryAddr, &wire.Report{Reports: []wire.AgentReport{s.report}}) // an entry that is still starting answers a later one
 		cancel()
 		select {
 		case <-s.done:
@@ -84,7 +84,7 @@
 	return s.reply(wire.RelayInfo{ID: s.report.ID, Incarnation: 1, Address: s.endpoint.Addr()})
 }
 
-// waitForReports waits until each agent has sent so many reports to the stand-in.
+// waitForReports waits until each agent has sent minReports reports to the fake relay.
 func (s *fakeRelay) waitForReports(ids []string, minReports int) {
 	s.c.Helper()
 	waitUntil(s.c, "the agents report to the relay", func() bool {
--- a/agent/first_report_test.go
+++ b/agent/first_report_test.go
@@ -20,7 +20,8 @@
 
 const testClusterKey = "a key for tests only"
 
-// startFakeEntry is an entry that hands on each report.
+// startFakeEntry starts an entry that passes all reports to the channel, and returns its
+// address.
 func startFakeEntry(c *qt.C, reports chan<- wire.AgentReport) string {
 	id, err := wire.NewIdentity(wire.Peer{ID: "entry", Role: wire.RoleEntry}, []byte(testClusterKey))
 	c.Assert(err, qt.IsNil)
@@ -35,8 +36,9 @@
 	return endpoint.Addr()
 }
 
-// slowTarget runs one task of a gang, and lets whoever asks for its tasks wait until
-// a report has come, or for so long that one surely would.
+// slowTarget starts a target with one running task of a gang, and returns its URL. It
+// delays the list of tasks until the agent has sent a report, or for long enough that a
+// premature report would have been sent.
 func slowTarget(c *qt.C, reports chan wire.AgentReport) string {
 	running := []target.TaskStatus{{
 		TaskID:       target.TaskID{Job: "j", Attempt: 1<<attemptNumberBits | 1},
@@ -61,10 +63,8 @@
 	return server.URL
 }
 
-// An agent is restarted while a member of a gang runs at its target. A report that
-// overtakes the question what runs there lists no task, which proves to the planner
-// that the member is gone: it gives up a gang that runs on. The first report of the
-// new incarnation has to list the task, however late the target answers.
+// A restarted agent must not report before it knows its target's tasks: a first report
+// without the running task would make the planner give up a gang that runs on.
 func TestFirstReportListsTargetTasks(t *testing.T) {
 	c := qt.New(t)
 	reports := make(chan wire.AgentReport, 1000)
--- a/agent/quick_executor_test.go
+++ b/agent/quick_executor_test.go
@@ -20,11 +20,11 @@
 
 const testIncarnation = 7
 
-// testTarget counts what it runs and answers when told to.
+// testTarget counts its runs and answers them when the test allows it.
 type testTarget struct {
 	runs    atomic.Int64
-	started chan struct{} // one for each request that has begun
-	release chan struct{} // one for each request that may end
+	started chan struct{} // receives one value per request that has started
+	release chan struct{} // takes one value per request that may end
 }
 
 func (t *testTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -80,9 +80,8 @@
 	}
 }
 
-// An entry dies while the booking that it sent is running. The caller asks again
-// through another entry, which asks the agent what became of the attempt: it gets
-// the one run's whole answer, and nothing runs a second time.
+// An entry dies while its attempt runs. Another entry must get the answer of that run,
+// and the request must not run twice.
 func TestEntryDiesWhileAttemptRuns(t *testing.T) {
 	c := qt.New(t)
 	q, backend := newTestExecutor(t, 1)
@@ -101,13 +100,13 @@
 	c.Assert(backend.runs.Load(), qt.Equals, int64(1))
 }
 
-// An entry dies while the booking that it sent waits for a slot. Nobody waits for
-// it any more, so it must not run, and whoever asks is told so for good.
+// An entry dies while its attempt is queued. The attempt must not run, and must be
+// reported as not run from then on.
 func TestEntryDiesWhileAttemptQueued(t *testing.T) {
 	c := qt.New(t)
 	q, backend := newTestExecutor(t, 1)
 	go q.execute(context.Background(), executeMessage(newAttemptID(1)))
-	<-backend.started // the only slot is taken
+	<-backend.started // the only slot is in use
 
 	id := newAttemptID(2)
 	ctx, entryDies := context.WithCancel(context.Background())
@@ -123,8 +122,7 @@
 	c.Assert(backend.runs.Load(), qt.Equals, int64(1))
 }
 
-// A question about an attempt overtakes the attempt. Once the agent has answered
-// "not run", the attempt must not run when it arrives after all.
+// An attempt that arrives after it was resolved as not run must not run.
 func TestResolveRefusesLateAttempt(t *testing.T) {
 	c := qt.New(t)
 	q, backend := newTestExecutor(t, 1)
@@ -134,14 +132,13 @@
 	c.Assert(backend.runs.Load(), qt.Equals, int64(0))
 }
 
-// Two entries deliver one booking at the same moment, and the second one's
-// question about the first attempt arrives before the attempt. It waits for it:
-// otherwise both deliveries forbid each other and the booking is not made.
+// An attempt is resolved just before it arrives. Without the wait, two entries that
+// deliver one request at the same time could each prevent the other's attempt.
 func TestResolveWaitsForArrival(t *testing.T) {
 	c := qt.New(t)
 	q, backend := newTestExecutor(t, 1)
 	now := time.Now()
-	q.now = func() time.Time { return now } // the wait has no end but the arrival
+	q.now = func() time.Time { return now } // time stands still, so only the arrival ends the wait
 	id := newAttemptID(1)
 	resolved := make(chan *wire.ResolveAttemptReply, 1)
 	go func() { resolved <- q.resolveByName(context.Background(), id.String(), time.Minute) }()
--- a/agent/rack_helpers_test.go
+++ b/agent/rack_helpers_test.go
@@ -38,12 +38,12 @@
 	rackName        = "rack-1"
 	clusterKey      = "key of a test on loopback"
 	loopbackAddress = "127.0.0.1:0"
-	// waitTimeout bounds the wait for a state; it is no claim about time.
+	// waitTimeout bounds the wait for a state. The tests do not check how long it takes.
 	waitTimeout = time.Minute
 )
 
-// testRack is one testRack of agents and the entries they report to, which name a relay
-// from the first agents on.
+// testRack is a rack of agents and the entries that they report to. Entries name a relay
+// as soon as they know two agents.
 type testRack struct {
 	*qt.C
 	storeURL     string
@@ -93,7 +93,7 @@
 loss_timeout = "20s"
 `
 
-// putDocument puts the document that follows the generation.
+// putDocument stores the document generation that follows baseGeneration.
 func (r *testRack) putDocument(baseGeneration uint64) {
 	text := fmt.Appendf(nil, "%s# after %d\n", documentText, baseGeneration)
 	_, err := document.Put(context.Background(), r.storeClient, document.Proposal{
@@ -142,7 +142,8 @@
 	return cfg
 }
 
-// agentIDs returns n agents of the rack, the one that entries name as relay first.
+// agentIDs returns n IDs of agents of the rack, first that of the agent that entries name
+// as relay.
 func agentIDs(n int) []string {
 	view := &membership.ServiceView{Name: serviceName}
 	var ids []string
@@ -169,8 +170,8 @@
 	}
 }
 
-// startAgentProcess starts an agent as a process of its own, which can be killed and
-// frozen.
+// startAgentProcess starts an agent as a separate process, which a test can kill or
+// suspend.
 func (r *testRack) startAgentProcess(id string, accelerators int) *os.Process {
 	cfg := r.agentConfig(id)
 	cfg.Accelerators = accelerators
@@ -192,8 +193,8 @@
 
 const agentProcessEnv = "EELGRASSHUB_RACK_AGENT"
 
-// TestAgentProcess is the agent of startProcess; it tests nothing itself. It
-// ends with its input.
+// TestAgentProcess runs the agent of startAgentProcess until its standard input is closed.
+// It is skipped otherwise.
 func TestAgentProcess(t *testing.T) {
 	text := os.Getenv(agentProcessEnv)
 	if text == "" {
@@ -208,7 +209,7 @@
 	_, _ = bufio.NewReader(os.Stdin).ReadString(0)
 }
 
-// agentsSeenBy is what an entry shows of its agents, by id.
+// agentsSeenBy returns the agents in the status of entry i, by ID.
 func (r *testRack) agentsSeenBy(i int) map[string]api.Member {
 	members := make(map[string]api.Member)
 	status, err := api.NewClient("http://"+r.entries[i].HTTPAddr(), nil).Status(context.Background())
@@ -221,7 +222,7 @@
 	return members
 }
 
-// waitUntil waits for a state.
+// waitUntil polls until the condition holds, and fails the test after waitTimeout.
 func waitUntil(c *qt.C, description string, condition func() bool) {
 	c.Helper()
 	for start := time.Now(); time.Since(start) < waitTimeout; time.Sleep(10 * time.Millisecond) {
@@ -232,8 +233,8 @@
 	c.Fatalf("never happened: %s", description)
 }
 
-// waitOnAllEntries waits until each entry shows what is wanted. always, if set, must
-// hold all the time.
+// waitOnAllEntries waits until the condition holds for the agents seen by each entry. If
+// invariant is not nil, it must return an empty string at each check.
 func (r *testRack) waitOnAllEntries(description string, condition func(map[string]api.Member) bool, invariant func(map[string]api.Member) string) {
 	r.Helper()
 	waitUntil(r.C, description, func() bool {
@@ -249,7 +250,8 @@
 	})
 }
 
-// reportVia says that the agents' reports come reportVia the relay; empty: reportVia themselves.
+// reportVia returns a condition that all agents report through the given relay, or
+// directly if it is empty.
 func reportVia(relay string, ids []string) func(map[string]api.Member) bool {
 	return func(seen map[string]api.Member) bool {
 		for _, id := range ids {
@@ -261,7 +263,7 @@
 	}
 }
 
-// notAlive says which of the agents is not shown as notAlive.
+// notAlive returns an invariant that lists the agents that are not alive.
 func notAlive(ids []string) func(map[string]api.Member) string {
 	return func(seen map[string]api.Member) string {
 		var problems []string
--- a/agent/relay_test.go
+++ b/agent/relay_test.go
@@ -15,15 +15,14 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// Story: the instance with the relay of a rack dies without a word. No target of
-// the rack may look dead because of it: the other agents find their reports
-// unanswered and report themselves, long before any entry suspects them.
+// The process of a rack's relay is killed. The other agents must report directly before
+// any entry considers one of them unresponsive.
 func TestRelayKilled(t *testing.T) {
 	testRelayFailure(t, syscall.SIGKILL)
 }
 
-// Story: the relay's process stands still; its sockets go on taking packets, and
-// its connections stay open. Its members hear no answer and report themselves.
+// The relay's process is suspended, so that its connections stay open. Its members must
+// notice that their reports are not answered and report directly.
 func TestRelaySuspended(t *testing.T) {
 	testRelayFailure(t, syscall.SIGSTOP)
 }
@@ -40,8 +39,7 @@
 	r.waitOnAllEntries("all report themselves", reportVia("", ids[1:]), notAlive(ids[1:]))
 }
 
-// Story: the relay is replaced in a planned way. It drains, names itself no
-// longer, and its members go on with the next one that entries name.
+// When a relay drains, its members must switch to the next relay that entries name.
 func TestRelayDrains(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -62,9 +60,8 @@
 	}, notAlive(ids[1:]))
 }
 
-// Story: an entry restarts and knows nobody. The relay has told its predecessor
-// of all members, so that what it sends next are changes of what the entry does
-// not know; it has to send all of each again.
+// A restarted entry does not know the members of a relay, so that changes are not enough:
+// the relay must send it full reports again.
 func TestEntryRestartsBehindRelay(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -77,8 +74,7 @@
 	r.waitOnAllEntries("all report by the relay again", reportVia(ids[0], ids[1:]), nil)
 }
 
-// Story: an operator changes the document. Entries send it to relays alone, and
-// the relay has to bring it to its members.
+// Entries send a new document only to relays, which must pass it to their members.
 func TestDocumentReachesRelayMembers(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -100,15 +96,14 @@
 	r.waitOnAllEntries("the second generation", allAtGeneration(2), nil)
 }
 
-// Story: a gang runs on all workers of a rack whose relay dies. Its members are
-// whole by the evidence of their own reports; if the relay had carried it, they
-// would have stopped for isolation, and the gang would have run a second time.
+// A gang must not depend on the relay: if its members' reports went through it, they would
+// stop for isolation when it dies, and the gang would run a second time.
 func TestGangSurvivesRelayFailure(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	r := newTestRack(c, 2)
 	ids := agentIDs(5)
-	process := r.startAgentProcess(ids[0], 0) // no part of the gang
+	process := r.startAgentProcess(ids[0], 0) // has no accelerators, so it is not part of the gang
 	r.startAgents(ids[1:]...)
 	r.waitOnAllEntries("all report by the relay", reportVia(ids[0], ids[1:]), nil)
 	client := api.NewClient("http://"+r.entries[0].HTTPAddr(), nil)
@@ -126,15 +121,14 @@
 		return last
 	}
 	waitForState(api.JobRunning)
-	time.Sleep(6 * time.Second) // longer than the isolation timeout: the relay is there, and must not be needed
+	time.Sleep(6 * time.Second) // longer than the isolation timeout: the gang must not need the running relay
 	c.Assert(waitForState(api.JobRunning).Attempt, qt.Equals, 1)
 	_ = process.Signal(syscall.SIGSTOP)
 	c.Assert(waitForState(api.JobDone).Attempt, qt.Equals, 1)
 }
 
-// Story: a target is about to leave. Its relay has taken the news and dies before
-// it passes it on. Callers must not be sent there for as long as that goes
-// unnoticed: the agent tells the entries itself.
+// A relay receives the report that a member drains, but does not pass it on. The member
+// must tell the entries itself, so that no more requests are sent to it.
 func TestDrainReachesEntriesWithoutRelay(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -149,8 +143,8 @@
 	}, nil)
 }
 
-// Story: the relay has lost its way to one entry. That entry would take the whole
-// rack for dead; the members report to it themselves.
+// A relay cannot reach one entry. The members must report to that entry directly, or it
+// would consider the whole rack dead.
 func TestRelayCannotReachEntry(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -163,8 +157,8 @@
 	r.waitForGeneration(1, ids[1:], 2)
 }
 
-// Story: entries name a relay whose instance is then given an older binary, which
-// does not know what a report to an agent is. The members report themselves.
+// The relay is replaced by an older version that does not understand reports of other
+// agents. The members must report directly.
 func TestRelayOfOlderVersion(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -179,7 +173,8 @@
 
 var errUnknownMessage = errors.New("not a message for an agent")
 
-// waitForGeneration waits until the entry heard of the generation from all agents.
+// waitForGeneration waits until entry i sees all agents alive with at least the given
+// document generation.
 func (r *testRack) waitForGeneration(i int, ids []string, generation uint64) {
 	r.Helper()
 	waitUntil(r.C, r.entryConfigs[i].ID+" hears the agents", func() bool {
