--- a/agent/agent.go
+++ b/agent/agent.go
@@ -139,7 +139,7 @@
 		tomb:         &a.tomb,
 		log:          a.log,
 		targetClient: a.targetClient,
-		events:       make(chan func(), memberQueueSize),
+		workQueue:    make(chan func(), workQueueSize),
 
 		tasksRecovered: make(chan struct{}),
 		incarnation:    a.incarnation,
--- a/agent/gang_runner.go
+++ b/agent/gang_runner.go
@@ -25,8 +25,8 @@
 	// endedTaskRetention is the age up to which a restarted agent reports tasks that
 	// ended. The previous incarnation has reported older ones.
 	endedTaskRetention = time.Hour
-	// memberQueueSize bounds the functions that wait for the loop goroutine.
-	memberQueueSize = 1024
+	// workQueueSize bounds the functions that wait for the loop goroutine.
+	workQueueSize = 1024
 )
 
 // gangRunner runs the gang.Member of this worker. Only the loop goroutine accesses the
@@ -35,7 +35,7 @@
 	tomb         *tomb.Tomb
 	log          *logrus.Entry
 	targetClient *target.Client
-	events       chan func()
+	workQueue    chan func()
 	member       *gang.Member
 	// incarnation is that of the agent.
 	incarnation uint64
@@ -66,7 +66,7 @@
 		select {
 		case <-g.tomb.Dying():
 			return nil
-		case handle := <-g.events:
+		case handle := <-g.workQueue:
 			handle()
 		case <-g.timer.C:
 			g.handleEvent(gang.Tick{})
@@ -83,7 +83,7 @@
 		close(done)
 	}
 	select {
-	case g.events <- run:
+	case g.workQueue <- run:
 	case <-ctx.Done():
 		return false
 	case <-g.tomb.Dying():
@@ -100,7 +100,7 @@
 // postEvent queues an event for the member without waiting until it is handled.
 func (g *gangRunner) postEvent(ev gang.MemberEvent) {
 	select {
-	case g.events <- func() { g.handleEvent(ev) }:
+	case g.workQueue <- func() { g.handleEvent(ev) }:
 	case <-g.tomb.Dying():
 	}
 }
@@ -175,7 +175,7 @@
 
 func (g *gangRunner) setIsolationTimeout(d time.Duration) {
 	select {
-	case g.events <- func() { g.member.SetIsolationTimeout(d) }:
+	case g.workQueue <- func() { g.member.SetIsolationTimeout(d) }:
 	case <-g.tomb.Dying():
 	}
 }
