--- a/agent/gang_runner.go
+++ b/agent/gang_runner.go
@@ -44,7 +44,8 @@
 	// tasksRecovered is closed once the member knows the tasks at the target.
 	tasksRecovered chan struct{}
 
-	// currentReply is the member's first reply to the message being handled.
+	// currentReply is the member's reply to the message being handled; further ones go
+	// to pushReply.
 	currentReply *gang.Reply
 	// pushReply sends a reply that does not answer a message to the named entry.
 	pushReply func(to string, r gang.Reply)
