--- a/agent/execute_reply.go
+++ b/agent/execute_reply.go
@@ -31,7 +31,7 @@
 	return &r
 }
 
-func httpHeader(lines []wire.Header) http.Header {
+func toHTTPHeader(lines []wire.Header) http.Header {
 	h := make(http.Header, len(lines))
 	for _, l := range lines {
 		h.Add(l.Name, l.Value)
@@ -39,7 +39,7 @@
 	return h
 }
 
-func wireHeader(h http.Header) []wire.Header {
+func toWireHeader(h http.Header) []wire.Header {
 	lines := make([]wire.Header, 0, len(h))
 	for name, values := range h {
 		for _, v := range values {
--- a/agent/quick_executor.go
+++ b/agent/quick_executor.go
@@ -15,9 +15,9 @@
 
 // Reasons in an ExecuteReply, in addition to those of package admission.
 const (
-	reasonTargetRefused = "target"    // the target could not be reached, or refused the request
-	reasonCancelled     = "cancelled" // the entry stopped waiting before the request ran
-	reasonAnswerLost    = "lost"      // the request may have run, but its answer was not received in full
+	reasonTargetUnavailable = "target"    // the target could not be reached, or refused the request
+	reasonCancelled         = "cancelled" // the entry stopped waiting before the request ran
+	reasonAnswerLost        = "lost"      // the request may have run, but its answer was not received in full
 )
 
 // atMostOnceGrace is how long after its deadline an at-most-once request may still run at
@@ -116,7 +116,7 @@
 		Method:    m.Method,
 		Path:      m.Path,
 		RawQuery:  m.Query,
-		Header:    httpHeader(m.Header),
+		Header:    toHTTPHeader(m.Header),
 		Body:      m.Body,
 	})
 	switch {
@@ -124,11 +124,11 @@
 		return &wire.ExecuteReply{
 			Outcome: wire.OutcomeDone,
 			Status:  response.Status,
-			Header:  wireHeader(response.Header),
+			Header:  toWireHeader(response.Header),
 			Body:    response.Body,
 		}
 	case errors.Is(err, target.ErrNotSent), errors.Is(err, target.ErrRefused):
-		return refusedReply(reasonTargetRefused, err.Error(), 0)
+		return refusedReply(reasonTargetUnavailable, err.Error(), 0)
 	default:
 		return unknownReply(reasonAnswerLost, err.Error())
 	}
--- a/target/standin/audit.go
+++ b/target/standin/audit.go
@@ -82,15 +82,15 @@
 	defer s.mu.Unlock()
 	a := Audit{
 		WorkerName: s.opts.Name,
-		Quick:      make([]QuickRun, len(s.quickLog)),
-		Tasks:      make([]TaskRun, len(s.taskLog)),
+		Quick:      make([]QuickRun, len(s.quickRuns)),
+		Tasks:      make([]TaskRun, len(s.taskRuns)),
 		Violations: append([]Violation{}, s.violations...),
 		Dropped:    s.droppedRecords,
 	}
-	for i, r := range s.quickLog {
+	for i, r := range s.quickRuns {
 		a.Quick[i] = *r
 	}
-	for i, r := range s.taskLog {
+	for i, r := range s.taskRuns {
 		a.Tasks[i] = *r
 	}
 	return a
@@ -100,8 +100,8 @@
 func (s *Server) ResetAudit() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.quickLog = filter(s.quickLog, func(r *QuickRun) bool { return r.End.IsZero() })
-	s.taskLog = filter(s.taskLog, func(r *TaskRun) bool { return r.End.IsZero() })
+	s.quickRuns = filter(s.quickRuns, func(r *QuickRun) bool { return r.End.IsZero() })
+	s.taskRuns = filter(s.taskRuns, func(r *TaskRun) bool { return r.End.IsZero() })
 	s.violations = nil
 	s.droppedRecords = 0
 }
@@ -119,7 +119,7 @@
 // canRecord reports whether the log has space for one more record, and counts a dropped
 // record otherwise.
 func (s *Server) canRecord() bool {
-	if len(s.quickLog)+len(s.taskLog) < s.opts.MaxAuditRecords {
+	if len(s.quickRuns)+len(s.taskRuns) < s.opts.MaxAuditRecords {
 		return true
 	}
 	s.droppedRecords++
--- a/target/standin/faults.go
+++ b/target/standin/faults.go
@@ -37,8 +37,8 @@
 func (s *Server) nextQuickFaults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.quickCount++
-	if s.faults.EveryNth > 1 && s.quickCount%s.faults.EveryNth != 0 {
+	s.quickReceived++
+	if s.faults.EveryNth > 1 && s.quickReceived%s.faults.EveryNth != 0 {
 		return Faults{}
 	}
 	return s.faults
--- a/target/standin/quick_requests.go
+++ b/target/standin/quick_requests.go
@@ -102,7 +102,7 @@
 	defer s.mu.Unlock()
 	s.quickRunning++
 	if s.canRecord() {
-		s.quickLog = append(s.quickLog, run)
+		s.quickRuns = append(s.quickRuns, run)
 	}
 	contention := max(1, float64(s.quickRunning)/float64(s.opts.Slots))
 	return run, time.Duration(float64(serviceTime) * contention * f.slowdown())
--- a/target/standin/server.go
+++ b/target/standin/server.go
@@ -32,7 +32,7 @@
 	mu                 sync.Mutex
 	faults             Faults
 	faultsChanged      chan struct{} // closed when the faults change
-	quickCount         int
+	quickReceived      int
 	quickRunning       int
 	tasks              map[target.TaskID]*task
 	endedTasks         []target.TaskID // oldest first
@@ -41,9 +41,9 @@
 	agentIncarnation   uint64 // highest one received from the agent
 	conns              map[any]*connState
 	protocolConns      int
-	usage              target.Usage
-	quickLog           []*QuickRun
-	taskLog            []*TaskRun
+	lastUsage          target.Usage
+	quickRuns          []*QuickRun
+	taskRuns           []*TaskRun
 	violations         []Violation
 	droppedRecords     int
 }
--- a/target/standin/standin_test.go
+++ b/target/standin/standin_test.go
@@ -140,7 +140,7 @@
 func (s *Server) waitForHang(wantRuns int) {
 	for {
 		s.mu.Lock()
-		hanging := s.protocolConns > 0 && len(s.quickLog) == wantRuns && s.quickRunning == 0
+		hanging := s.protocolConns > 0 && len(s.quickRuns) == wantRuns && s.quickRunning == 0
 		s.mu.Unlock()
 		if hanging {
 			return
--- a/target/standin/task.go
+++ b/target/standin/task.go
@@ -115,7 +115,7 @@
 		Outcome:      target.TaskRunning,
 	}
 	if s.canRecord() {
-		s.taskLog = append(s.taskLog, t.auditRun)
+		s.taskRuns = append(s.taskRuns, t.auditRun)
 	}
 }
 
--- a/target/standin/usage_http.go
+++ b/target/standin/usage_http.go
@@ -24,10 +24,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if now.Sub(s.usage.SampledAt) >= s.opts.MaxUsageAge {
-		s.usage = s.sampleUsage(now)
+	if now.Sub(s.lastUsage.SampledAt) >= s.opts.MaxUsageAge {
+		s.lastUsage = s.sampleUsage(now)
 	}
-	writeJSON(w, s.usage)
+	writeJSON(w, s.lastUsage)
 }
 
 func (s *Server) sampleUsage(now time.Time) target.Usage {
