--- a/agent/agent.go
+++ b/agent/agent.go
@@ -157,11 +157,11 @@
 
 // accountWeight returns the client account's weight in the current document, or 1.
 func (a *Agent) accountWeight(account string) int {
-	current, ok := a.documents.Current(a.cfg.Service)
+	active, ok := a.documents.Current(a.cfg.Service)
 	if !ok {
 		return 1
 	}
-	acc, ok := current.Document.Account(account)
+	acc, ok := active.Document.Account(account)
 	if !ok {
 		return 1
 	}
@@ -169,15 +169,15 @@
 }
 
 // documentChanged applies a new generation of the service's document and reports it.
-func (a *Agent) documentChanged(_, current *document.ActiveVersion) {
-	if current.Version.Service != a.cfg.Service {
+func (a *Agent) documentChanged(_, active *document.ActiveVersion) {
+	if active.Version.Service != a.cfg.Service {
 		return
 	}
-	a.log.WithField("generation", current.Version.Generation).Info("document in force")
-	a.quickExecutor.gate.postEvent(admissionPolicy(current.Document))
-	a.gangRunner.setIsolationTimeout(current.Document.Gang.IsolationTimeout.Duration)
+	a.log.WithField("generation", active.Version.Generation).Info("document in force")
+	a.quickExecutor.gate.postEvent(admissionPolicy(active.Document))
+	a.gangRunner.setIsolationTimeout(active.Document.Gang.IsolationTimeout.Duration)
 	a.reporter.updateGenerations()
-	a.reporter.pushDocument(current)
+	a.reporter.pushDocument(active)
 }
 
 // Drain makes the agent refuse new work and report that it is draining.
--- a/agent/rack_helpers_test.go
+++ b/agent/rack_helpers_test.go
@@ -253,9 +253,9 @@
 // reportVia returns a condition that all agents report through the given relay, or
 // directly if it is empty.
 func reportVia(relay string, ids []string) func(map[string]api.Member) bool {
-	return func(seen map[string]api.Member) bool {
+	return func(agents map[string]api.Member) bool {
 		for _, id := range ids {
-			if m := seen[id]; m.ID == "" || m.Relay != relay {
+			if m := agents[id]; m.ID == "" || m.Relay != relay {
 				return false
 			}
 		}
@@ -265,10 +265,10 @@
 
 // notAlive returns an invariant that lists the agents that are not alive.
 func notAlive(ids []string) func(map[string]api.Member) string {
-	return func(seen map[string]api.Member) string {
+	return func(agents map[string]api.Member) string {
 		var problems []string
 		for _, id := range ids {
-			if m := seen[id]; m.State != "alive" {
+			if m := agents[id]; m.State != "alive" {
 				problems = append(problems, id+" is "+m.State)
 			}
 		}
--- a/agent/relay_documents.go
+++ b/agent/relay_documents.go
@@ -20,13 +20,13 @@
 }
 
 func (r *reporter) offerDocument(conn *wire.Conn, member *membership.Member) {
-	current, ok := r.agent.documents.Current(member.Report.Service)
+	active, ok := r.agent.documents.Current(member.Report.Service)
 	memberID := member.Report.ID
-	if !ok || r.sendingDocuments[memberID] || document.IncludesGeneration(member.Report.Generations, current.Version.Summary()) {
+	if !ok || r.sendingDocuments[memberID] || document.IncludesGeneration(member.Report.Generations, active.Version.Summary()) {
 		return
 	}
 	r.sendingDocuments[memberID] = true
-	go r.sendDocument(conn, memberID, current.Version) // bounded by its timeout; not started by the tomb, as the caller may run outside of it
+	go r.sendDocument(conn, memberID, active.Version) // bounded by its timeout; not started by the tomb, as the caller may run outside of it
 }
 
 func (r *reporter) sendDocument(conn *wire.Conn, memberID string, version wire.DocumentVersion) {
@@ -40,7 +40,7 @@
 
 // pushDocument sends a new generation to all members of the service over the connections
 // that they opened to this relay.
-func (r *reporter) pushDocument(current *document.ActiveVersion) {
+func (r *reporter) pushDocument(active *document.ActiveVersion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.router == nil {
@@ -48,7 +48,7 @@
 	}
 	members := make(map[string]*membership.Member)
 	for _, m := range r.router.Members() {
-		if m.Report.Service == current.Version.Service {
+		if m.Report.Service == active.Version.Service {
 			members[m.Report.ID] = m
 		}
 	}
--- a/agent/relay_test.go
+++ b/agent/relay_test.go
@@ -48,13 +48,13 @@
 	r.startAgents(ids...)
 	r.waitOnAllEntries("all report by the relay", reportVia(ids[0], ids[1:]), nil)
 	r.agents[ids[0]].Drain()
-	r.waitOnAllEntries("the relay is not offered", func(seen map[string]api.Member) bool {
-		return seen[ids[0]].State == "draining"
+	r.waitOnAllEntries("the relay is not offered", func(agents map[string]api.Member) bool {
+		return agents[ids[0]].State == "draining"
 	}, notAlive(ids[1:]))
-	r.waitOnAllEntries("all report by another one", func(seen map[string]api.Member) bool {
+	r.waitOnAllEntries("all report by another one", func(agents map[string]api.Member) bool {
 		reportsVia := map[string]int{}
 		for _, id := range ids[1:] {
-			reportsVia[seen[id].Relay]++
+			reportsVia[agents[id].Relay]++
 		}
 		return reportsVia[ids[0]] == 0 && len(reportsVia) == 2 && reportsVia[""] == 1
 	}, notAlive(ids[1:]))
@@ -82,13 +82,13 @@
 	ids := agentIDs(5)
 	r.startAgents(ids...)
 	allAtGeneration := func(generation uint64) func(map[string]api.Member) bool {
-		return func(seen map[string]api.Member) bool {
+		return func(agents map[string]api.Member) bool {
 			for _, id := range ids {
-				if seen[id].Generation != generation {
+				if agents[id].Generation != generation {
 					return false
 				}
 			}
-			return reportVia(ids[0], ids[1:])(seen)
+			return reportVia(ids[0], ids[1:])(agents)
 		}
 	}
 	r.waitOnAllEntries("the first generation", allAtGeneration(1), nil)
@@ -138,8 +138,8 @@
 	r.startAgents(ids[1:]...)
 	relay.waitForReports(ids[1:], 3)
 	r.agents[ids[1]].Drain()
-	r.waitOnAllEntries("the member is seen to drain", func(seen map[string]api.Member) bool {
-		return seen[ids[1]].State == "draining"
+	r.waitOnAllEntries("the member is seen to drain", func(agents map[string]api.Member) bool {
+		return agents[ids[1]].State == "draining"
 	}, nil)
 }
 
--- a/target/send_tracker.go
+++ b/target/send_tracker.go
@@ -20,28 +20,28 @@
 }
 
 // withTrace returns a context that records the connections of a request in p.
-func (p *sendTracker) withTrace(ctx context.Context) context.Context {
-	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: p.gotConn})
+func (t *sendTracker) withTrace(ctx context.Context) context.Context {
+	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: t.gotConn})
 }
 
-func (p *sendTracker) gotConn(info httptrace.GotConnInfo) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (t *sendTracker) gotConn(info httptrace.GotConnInfo) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	conn, ok := info.Conn.(*trackedConn)
 	if !ok {
-		p.untracked = true
+		t.untracked = true
 		return
 	}
-	p.uses = append(p.uses, connUse{conn, conn.writeCount()})
+	t.uses = append(t.uses, connUse{conn, conn.writeCount()})
 }
 
 // notSent closes the request's connections and reports whether none of them has sent a
 // byte of it. Call it only after the request has failed.
-func (p *sendTracker) notSent() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	none := !p.untracked
-	for _, g := range p.uses {
+func (t *sendTracker) notSent() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	none := !t.untracked
+	for _, g := range t.uses {
 		if g.conn.closeAndCount() != g.writesBefore {
 			none = false
 		}
--- a/target/standin/standin_test.go
+++ b/target/standin/standin_test.go
@@ -236,12 +236,12 @@
 		s.Close()
 		runs := s.Audit().Tasks
 		qt.Assert(t, len(runs) > 200, qt.IsTrue, qt.Commentf("%d runs", len(runs)))
-		lastEnd := map[int]time.Time{}
+		lastEndByAccelerator := map[int]time.Time{}
 		for _, r := range runs { // in order of their start
 			a := r.Accelerators[0]
-			qt.Assert(t, r.Start.Before(lastEnd[a]), qt.IsFalse, qt.Commentf("%+v", r))
+			qt.Assert(t, r.Start.Before(lastEndByAccelerator[a]), qt.IsFalse, qt.Commentf("%+v", r))
 			qt.Assert(t, r.End.IsZero(), qt.IsFalse)
-			lastEnd[a] = r.End
+			lastEndByAccelerator[a] = r.End
 		}
 		for _, holder := range s.acceleratorHolders {
 			qt.Assert(t, holder, qt.IsNil)
