--- a/agent/agent.go
+++ b/agent/agent.go
@@ -155,7 +155,7 @@
 	}
 }
 
-// accountWeight returns the client account's weight in the current document, or 1.
+// accountWeight returns the client account's weight in the active document, or 1.
 func (a *Agent) accountWeight(account string) int {
 	active, ok := a.documents.Current(a.cfg.Service)
 	if !ok {
--- a/agent/relay_documents.go
+++ b/agent/relay_documents.go
@@ -8,7 +8,7 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// offerDocuments sends the current document of its service to a member that lacks it, so
+// offerDocuments sends the active document of its service to a member that lacks it, so
 // that entries need to send documents only to the relay. A push that fails is repeated
 // after the member's next report. The caller holds the lock.
 func (r *reporter) offerDocuments(conn *wire.Conn, memberID string) {
--- a/target/client.go
+++ b/target/client.go
@@ -25,7 +25,8 @@
 	MaxConns int
 	// MaxResponseBytes bounds the body of a response.
 	MaxResponseBytes int64
-	DialTimeout      time.Duration
+	// DialTimeout bounds the time to open a connection.
+	DialTimeout time.Duration
 }
 
 // Client calls one target. It is safe for concurrent use.
--- a/target/request.go
+++ b/target/request.go
@@ -13,9 +13,10 @@
 // Request is a quick request to forward.
 type Request struct {
 	RequestID string
-	Attempt   int
-	Account   string
-	Class     string
+	// Attempt is the number of the attempt, counted from 1.
+	Attempt int
+	Account string
+	Class   string
 	// Remaining is the time until the deadline, or 0 without one. It is only passed to
 	// the target; the context bounds the wait.
 	Remaining time.Duration
--- a/target/send_tracker.go
+++ b/target/send_tracker.go
@@ -11,9 +11,10 @@
 type sendTracker struct {
 	mu        sync.Mutex
 	uses      []connUse
-	untracked bool
+	untracked bool // a connection is not a trackedConn, so nothing can be proved
 }
 
+// connUse is a connection with the number of its writes when the request received it.
 type connUse struct {
 	conn         *trackedConn
 	writesBefore uint64
--- a/target/standin/audit.go
+++ b/target/standin/audit.go
@@ -28,8 +28,9 @@
 	Class   string    `json:"class"`
 	Start   time.Time `json:"start"`
 	// End is zero while the request runs.
-	End       time.Time `json:"end,omitzero"`
-	Completed bool      `json:"completed"`
+	End time.Time `json:"end,omitzero"`
+	// Completed reports whether the run ended before the stand-in was closed.
+	Completed bool `json:"completed"`
 	// Abandoned reports whether the caller's connection was closed by the end of the run.
 	Abandoned bool `json:"abandoned,omitempty"`
 	// Checksum is that of the Echo in the response.
--- a/target/standin/connections.go
+++ b/target/standin/connections.go
@@ -12,6 +12,7 @@
 	isCounted bool
 }
 
+// connStateKey is the context key of a connection's connState.
 type connStateKey struct{}
 
 // HTTPServer returns an HTTP server for s that counts its connections.
--- a/target/standin/server.go
+++ b/target/standin/server.go
@@ -32,7 +32,7 @@
 	mu                 sync.Mutex
 	faults             Faults
 	faultsChanged      chan struct{} // closed when the faults change
-	quickReceived      int
+	quickReceived      int           // number of quick requests that consulted the faults
 	quickRunning       int
 	tasks              map[target.TaskID]*task
 	endedTasks         []target.TaskID // oldest first
@@ -40,7 +40,7 @@
 	jobEpochs          map[string]uint64
 	agentIncarnation   uint64 // highest one received from the agent
 	conns              map[any]*connState
-	protocolConns      int
+	protocolConns      int // open connections that carried a protocol request
 	lastUsage          target.Usage
 	quickRuns          []*QuickRun
 	taskRuns           []*TaskRun
--- a/target/standin/task.go
+++ b/target/standin/task.go
@@ -10,6 +10,7 @@
 )
 
 const (
+	// injectedFailureAfterMS is the progress after which Faults.FailTasks makes a task fail.
 	injectedFailureAfterMS = 1
 	reasonLeaseExpired     = "lease was not renewed"
 )
