--- a/api/api_test.go
+++ b/api/api_test.go
@@ -13,7 +13,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestReasonsThatAllowARunNeverClaimNotRun(t *testing.T) {
+func TestUncertainReasonsHaveUnknownOutcome(t *testing.T) {
 	c := qt.New(t)
 	mayHaveRun := []Reason{
 		ReasonOutcomeLost, ReasonDeadlineWhileRunning, ReasonEarlierAttemptInDoubt,
@@ -42,7 +42,7 @@
 	c.Check(&back, qt.DeepEquals, p)
 }
 
-func TestProblemThatContradictsItselfIsRefused(t *testing.T) {
+func TestProblemRejectsContradictoryOutcome(t *testing.T) {
 	var p Problem
 	err := json.Unmarshal([]byte(`{"reason":"outcome-lost","outcome":"not-run"}`), &p)
 	qt.Assert(t, err, qt.ErrorMatches, `.*outcome: "not-run" contradicts reason "outcome-lost"`)
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestClientTrustsOnlyAnEntrysWord(t *testing.T) {
+func TestClientRequiresOutcomeHeader(t *testing.T) {
 	// The balancer before the entries answers 503 by itself while an entry that
 	// took the request still runs it. Without an entry's outcome header the
 	// caller must not read that as "not run", nor a 200 as "done".
--- a/api/call.go
+++ b/api/call.go
@@ -28,13 +28,13 @@
 		Class:          h.Get(HeaderClass),
 		IdempotencyKey: h.Get(HeaderIdempotencyKey),
 	}
-	if p := checkName(HeaderAccount, c.Account); p != nil {
+	if p := validateName(HeaderAccount, c.Account); p != nil {
 		return CallOptions{}, p
 	}
-	if p := checkName(HeaderClass, c.Class); p != nil {
+	if p := validateName(HeaderClass, c.Class); p != nil {
 		return CallOptions{}, p
 	}
-	if p := checkKey(c.IdempotencyKey); p != nil {
+	if p := validateKey(c.IdempotencyKey); p != nil {
 		return CallOptions{}, p
 	}
 	var p *Problem
@@ -72,17 +72,17 @@
 
 // ValidateIdempotencyKey checks the key of a request or a job; empty is allowed.
 func ValidateIdempotencyKey(key string) *Problem {
-	return checkKey(key)
+	return validateKey(key)
 }
 
-func checkKey(key string) *Problem {
+func validateKey(key string) *Problem {
 	if len(key) > MaxIdempotencyKeyLen {
 		return NewInvalidProblem(HeaderIdempotencyKey, "longer than "+strconv.Itoa(MaxIdempotencyKeyLen)+" bytes")
 	}
 	return nil
 }
 
-func checkName(field, name string) *Problem {
+func validateName(field, name string) *Problem {
 	switch {
 	case name == "":
 		return NewInvalidProblem(field, "missing")
--- a/api/client.go
+++ b/api/client.go
@@ -42,19 +42,19 @@
 	}
 }
 
-// rawAnswer is a whole answer of whoever answered.
-type rawAnswer struct {
+// rawResponse is a whole answer of whoever answered.
+type rawResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// exchange sends one request and reads the whole answer. The error is
+// send sends one request and reads the whole answer. The error is
 // ErrNotSent or ErrOutcomeUnknown.
-func (c *Client) exchange(ctx context.Context, method, path string, h http.Header, body []byte) (rawAnswer, error) {
+func (c *Client) send(ctx context.Context, method, path string, h http.Header, body []byte) (rawResponse, error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
-		return rawAnswer{}, fmt.Errorf("%w: %w", ErrNotSent, err)
+		return rawResponse{}, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	// A body that net/http can't rewind keeps it from repeating a request by
 	// itself after a broken connection.
@@ -64,17 +64,17 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return rawAnswer{}, sendError(err)
+		return rawResponse{}, sendError(err)
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(resp.Body, MaxResponseLen+1))
 	if err != nil {
-		return rawAnswer{}, fmt.Errorf("%w: answer cut short: %w", ErrOutcomeUnknown, err)
+		return rawResponse{}, fmt.Errorf("%w: answer cut short: %w", ErrOutcomeUnknown, err)
 	}
 	if len(text) > MaxResponseLen {
-		return rawAnswer{}, fmt.Errorf("%w: answer is longer than %d bytes", ErrOutcomeUnknown, MaxResponseLen)
+		return rawResponse{}, fmt.Errorf("%w: answer is longer than %d bytes", ErrOutcomeUnknown, MaxResponseLen)
 	}
-	return rawAnswer{resp.StatusCode, resp.Header, text}, nil
+	return rawResponse{resp.StatusCode, resp.Header, text}, nil
 }
 
 func sendError(err error) error {
@@ -86,7 +86,7 @@
 }
 
 // problem returns the Problem an entry answered with, or nil.
-func (a rawAnswer) problem() *Problem {
+func (a rawResponse) problem() *Problem {
 	if a.header.Get("Content-Type") != ContentTypeProblem {
 		return nil
 	}
@@ -97,8 +97,8 @@
 	return p
 }
 
-// callJSON makes a call whose answer is JSON. The error may be a *Problem.
-func (c *Client) callJSON(ctx context.Context, method, path string, h http.Header, in, out any) error {
+// doJSON makes a call whose answer is JSON. The error may be a *Problem.
+func (c *Client) doJSON(ctx context.Context, method, path string, h http.Header, in, out any) error {
 	var body []byte
 	if in != nil {
 		var err error
@@ -110,7 +110,7 @@
 		h = http.Header{}
 	}
 	h.Set("Content-Type", ContentTypeJSON)
-	a, err := c.exchange(ctx, method, path, h, body)
+	a, err := c.send(ctx, method, path, h, body)
 	if err != nil {
 		return err
 	}
--- a/api/client_jobs.go
+++ b/api/client_jobs.go
@@ -15,7 +15,7 @@
 		h.Set(HeaderIdempotencyKey, key)
 	}
 	var st JobStatus
-	err := c.callJSON(ctx, http.MethodPost, JobsPath(service), h, r, &st)
+	err := c.doJSON(ctx, http.MethodPost, JobsPath(service), h, r, &st)
 	return st, err
 }
 
@@ -26,7 +26,7 @@
 		path += "?" + ParamWait + "=" + url.QueryEscape(wait.String())
 	}
 	var st JobStatus
-	err := c.callJSON(ctx, http.MethodGet, path, nil, nil, &st)
+	err := c.doJSON(ctx, http.MethodGet, path, nil, nil, &st)
 	return st, err
 }
 
@@ -34,25 +34,25 @@
 // was when the cancellation was accepted.
 func (c *Client) CancelJob(ctx context.Context, service, id string) (JobStatus, error) {
 	var st JobStatus
-	err := c.callJSON(ctx, http.MethodDelete, JobPath(service, id), nil, nil, &st)
+	err := c.doJSON(ctx, http.MethodDelete, JobPath(service, id), nil, nil, &st)
 	return st, err
 }
 
 // CancelJobs asks to cancel up to MaxCancelIDs jobs.
 func (c *Client) CancelJobs(ctx context.Context, service string, ids []string) (CancelResponse, error) {
 	var resp CancelResponse
-	err := c.callJSON(ctx, http.MethodPost, CancelPath(service), nil, CancelRequest{IDs: ids}, &resp)
+	err := c.doJSON(ctx, http.MethodPost, CancelPath(service), nil, CancelRequest{IDs: ids}, &resp)
 	return resp, err
 }
 
 // Status returns the entry's status.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var st Status
-	err := c.callJSON(ctx, http.MethodGet, PathStatus, nil, nil, &st)
+	err := c.doJSON(ctx, http.MethodGet, PathStatus, nil, nil, &st)
 	return st, err
 }
 
 // Ready returns nil when the entry accepts new work.
 func (c *Client) Ready(ctx context.Context) error {
-	return c.callJSON(ctx, http.MethodGet, PathReadyz, nil, nil, nil)
+	return c.doJSON(ctx, http.MethodGet, PathReadyz, nil, nil, nil)
 }
--- a/api/client_quick.go
+++ b/api/client_quick.go
@@ -47,14 +47,14 @@
 	if method == "" {
 		method = http.MethodPost
 	}
-	raw, err := c.exchange(ctx, method, path, h, r.Body)
+	raw, err := c.send(ctx, method, path, h, r.Body)
 	if err != nil {
 		return QuickResponse{Outcome: OutcomeUnknown}, err
 	}
-	return newAnswer(raw), nil
+	return newQuickResponse(raw), nil
 }
 
-func newAnswer(raw rawAnswer) QuickResponse {
+func newQuickResponse(raw rawResponse) QuickResponse {
 	a := QuickResponse{
 		Outcome:   ParseOutcome(raw.header.Get(HeaderOutcome)),
 		RequestID: raw.header.Get(HeaderRequestID),
--- a/api/decode.go
+++ b/api/decode.go
@@ -36,17 +36,17 @@
 func decodeProblem(err error) *Problem {
 	var mistyped *json.UnmarshalTypeError
 	if errors.As(err, &mistyped) {
-		return NewInvalidProblem(orBody(mistyped.Field), "must be "+jsonType(mistyped.Type)+", not "+mistyped.Value)
+		return NewInvalidProblem(fieldOrBody(mistyped.Field), "must be "+describeJSONType(mistyped.Type)+", not "+mistyped.Value)
 	}
 	// encoding/json has no typed error for an unknown field.
 	if name, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
-		return NewInvalidProblem(orBody(strings.Trim(name, `"`)), "no such field")
+		return NewInvalidProblem(fieldOrBody(strings.Trim(name, `"`)), "no such field")
 	}
 	return NewInvalidProblem("body", err.Error())
 }
 
-// orBody names the whole body where no field of it can be named.
-func orBody(field string) string {
+// fieldOrBody names the whole body where no field of it can be named.
+func fieldOrBody(field string) string {
 	if field == "" {
 		return "body"
 	}
--- a/api/duration.go
+++ b/api/duration.go
@@ -18,23 +18,23 @@
 func (d *Duration) UnmarshalJSON(text []byte) error {
 	var s string
 	if err := json.Unmarshal(text, &s); err != nil {
-		return notDuration(text)
+		return invalidDuration(text)
 	}
 	v, err := time.ParseDuration(s)
 	if err != nil {
-		return notDuration(text)
+		return invalidDuration(text)
 	}
 	*d = Duration(v)
 	return nil
 }
 
-// maxShown bounds how much of a wrong value an error repeats, in bytes.
-const maxShown = 64
+// maxQuotedLen bounds how much of a wrong value an error repeats, in bytes.
+const maxQuotedLen = 64
 
-// notDuration is the error to which the decoder adds the field's name.
-func notDuration(text []byte) error {
+// invalidDuration is the error to which the decoder adds the field's name.
+func invalidDuration(text []byte) error {
 	return &json.UnmarshalTypeError{
-		Value: string(text[:min(len(text), maxShown)]),
+		Value: string(text[:min(len(text), maxQuotedLen)]),
 		Type:  reflect.TypeFor[Duration](),
 	}
 }
--- a/api/job.go
+++ b/api/job.go
@@ -49,10 +49,10 @@
 
 // Validate reports the first field that breaks the contract, or nil.
 func (r *JobRequest) Validate() *Problem {
-	if p := checkName("account", r.Account); p != nil {
+	if p := validateName("account", r.Account); p != nil {
 		return p
 	}
-	if p := checkName("class", r.Class); p != nil {
+	if p := validateName("class", r.Class); p != nil {
 		return p
 	}
 	switch {
--- a/api/json_type.go
+++ b/api/json_type.go
@@ -2,15 +2,15 @@
 
 import "reflect"
 
-// jsonType is what a caller writes for a value of type t, who knows JSON and not
+// describeJSONType is what a caller writes for a value of type t, who knows JSON and not
 // this program's types.
-func jsonType(t reflect.Type) string {
+func describeJSONType(t reflect.Type) string {
 	if t == reflect.TypeFor[Duration]() {
 		return `a duration such as "10m"`
 	}
 	switch t.Kind() {
 	case reflect.Pointer:
-		return jsonType(t.Elem())
+		return describeJSONType(t.Elem())
 	case reflect.Bool:
 		return "true or false"
 	case reflect.Int, reflect.Int64:
--- a/api/page_test.go
+++ b/api/page_test.go
@@ -11,7 +11,7 @@
 
 // Callers program against the page of the interface. A reason or a header without
 // its row, or with another status or outcome, fails here.
-func TestInterfacePageIsComplete(t *testing.T) {
+func TestInterfacePageListsReasonsAndHeaders(t *testing.T) {
 	page, err := os.ReadFile("../docs/INTERFACE.md")
 	qt.Assert(t, err, qt.IsNil)
 	for r, info := range reasons {
--- a/api/problem.go
+++ b/api/problem.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-const problemType = "urn:eelgrasshub:problem:"
+const problemTypePrefix = "urn:eelgrasshub:problem:"
 
 // Problem is the answer to a request that did not end as done (RFC 9457). It
 // is an error. Its outcome and status follow from Reason and can't be set.
@@ -71,13 +71,13 @@
 		h.Set(HeaderRequestID, p.RequestID)
 	}
 	if p.RetryAfter > 0 {
-		h.Set(HeaderRetryAfter, strconv.FormatInt(wholeSeconds(p.RetryAfter), 10))
+		h.Set(HeaderRetryAfter, strconv.FormatInt(ceilSeconds(p.RetryAfter), 10))
 	}
 	w.WriteHeader(p.Reason.Status())
 	// A failed write means that the caller is gone; nothing is left to tell.
 	_, _ = w.Write(body)
 }
 
-func wholeSeconds(d time.Duration) int64 {
+func ceilSeconds(d time.Duration) int64 {
 	return int64((d + time.Second - 1) / time.Second)
 }
--- a/api/problem_json.go
+++ b/api/problem_json.go
@@ -21,7 +21,7 @@
 // MarshalJSON encodes the problem as problem details.
 func (p *Problem) MarshalJSON() ([]byte, error) {
 	return json.Marshal(problemJSON{
-		Type:         problemType + string(p.Reason),
+		Type:         problemTypePrefix + string(p.Reason),
 		Title:        p.Reason.title(),
 		Status:       p.Reason.Status(),
 		Detail:       p.Detail,
--- a/cmd/eelgrasshub/advise.go
+++ b/cmd/eelgrasshub/advise.go
@@ -7,8 +7,8 @@
 	"github.com/eelgrasshub/eelgrasshub/api"
 )
 
-// advised adds when to try again to the error of a call that an entry refused.
-func advised(err error) error {
+// withRetryAdvice adds when to try again to the error of a call that an entry refused.
+func withRetryAdvice(err error) error {
 	var p *api.Problem
 	if errors.As(err, &p) && p.RetryAfter > 0 {
 		return fmt.Errorf("%w; try again in %s", err, p.RetryAfter)
--- a/cmd/eelgrasshub/command.go
+++ b/cmd/eelgrasshub/command.go
@@ -4,11 +4,11 @@
 
 // command is one subcommand, or a group of them.
 type command struct {
-	name  string
-	short string
-	long  string
-	data  any // implements flags.Commander, or is empty for a group
-	sub   []command
+	name        string
+	short       string
+	long        string
+	data        any // implements flags.Commander, or is empty for a group
+	subcommands []command
 }
 
 func (c command) add(parent *flags.Command) {
@@ -20,7 +20,7 @@
 	if err != nil {
 		panic("command " + c.name + ": " + err.Error())
 	}
-	for _, s := range c.sub {
+	for _, s := range c.subcommands {
 		s.add(cmd)
 	}
 }
--- a/cmd/eelgrasshub/config.go
+++ b/cmd/eelgrasshub/config.go
@@ -30,7 +30,7 @@
 		name:  "config",
 		short: "check, read and change service documents",
 		long:  "A service's document is the operators' one lever. These commands speak to the platform's store directly.",
-		sub: []command{
+		subcommands: []command{
 			configCheckCommand(),
 			configGetCommand(),
 			configPutCommand(),
--- a/cmd/eelgrasshub/config_check.go
+++ b/cmd/eelgrasshub/config_check.go
@@ -45,6 +45,6 @@
 	if err != nil {
 		return err
 	}
-	_, err = document.Check(name, data, fit)
+	_, err = document.Check(name, data, checkPlacement)
 	return err
 }
--- a/cmd/eelgrasshub/config_get.go
+++ b/cmd/eelgrasshub/config_get.go
@@ -9,9 +9,9 @@
 	"github.com/eelgrasshub/eelgrasshub/document"
 )
 
-// baseMark is the first line of a document that config get wrote. It tells
+// generationPrefix is the first line of a document that config get wrote. It tells
 // config put which generation was edited.
-const baseMark = "# eelgrasshub generation "
+const generationPrefix = "# eelgrasshub generation "
 
 // configGetCmd prints the document that the store holds.
 type configGetCmd struct {
@@ -44,7 +44,7 @@
 	if !ok {
 		return fmt.Errorf("the store holds no document of the service %q; put a first one with config put", c.Args.Service)
 	}
-	text := []byte(baseMark + strconv.FormatUint(v.Generation, 10) + "\n" + string(v.TOML))
+	text := []byte(generationPrefix + strconv.FormatUint(v.Generation, 10) + "\n" + string(v.TOML))
 	if c.Output == "" {
 		_, err = os.Stdout.Write(text)
 		return err
@@ -52,14 +52,14 @@
 	return os.WriteFile(c.Output, text, 0o644)
 }
 
-// splitBase takes the line that config get wrote off a document. Without it the
+// splitGeneration takes the line that config get wrote off a document. Without it the
 // base is 0: a first document.
-func splitBase(data []byte) (uint64, []byte) {
+func splitGeneration(data []byte) (uint64, []byte) {
 	line, rest, ok := strings.Cut(string(data), "\n")
-	if !ok || !strings.HasPrefix(line, baseMark) {
+	if !ok || !strings.HasPrefix(line, generationPrefix) {
 		return 0, data
 	}
-	base, err := strconv.ParseUint(strings.TrimSpace(strings.TrimPrefix(line, baseMark)), 10, 64)
+	base, err := strconv.ParseUint(strings.TrimSpace(strings.TrimPrefix(line, generationPrefix)), 10, 64)
 	if err != nil {
 		return 0, data
 	}
--- a/cmd/eelgrasshub/config_put.go
+++ b/cmd/eelgrasshub/config_put.go
@@ -39,11 +39,11 @@
 	if err != nil {
 		return err
 	}
-	base, text := splitBase(data)
+	base, text := splitGeneration(data)
 	if c.Base >= 0 {
 		base = uint64(c.Base)
 	}
-	doc, err := document.Check(c.Args.File, text, fit)
+	doc, err := document.Check(c.Args.File, text, checkPlacement)
 	if err != nil {
 		return err
 	}
@@ -62,7 +62,7 @@
 		Author:           author,
 		Token:            uuid.NewString(),
 		CreatedAt:        time.Now(),
-		ActiveGeneration: c.inForce(ctx, store, doc.Service),
+		ActiveGeneration: c.activeGeneration(ctx, store, doc.Service),
 	})
 	if err != nil {
 		return err
@@ -83,14 +83,14 @@
 	return u.Username, nil
 }
 
-// inForce is the highest generation that a running entry reports, 0 where none
+// activeGeneration is the highest generation that a running entry reports, 0 where none
 // can be asked.
-func (c *configPutCmd) inForce(ctx context.Context, store store.Store, service string) uint64 {
+func (c *configPutCmd) activeGeneration(ctx context.Context, store store.Store, service string) uint64 {
 	if c.Region == "" {
 		return 0
 	}
 	highest := uint64(0)
-	for _, s := range askEntries(ctx, store, c.Region) {
+	for _, s := range queryEntries(ctx, store, c.Region) {
 		for _, g := range s.Status.Generations {
 			if g.Service == service {
 				highest = max(highest, g.Generation)
--- a/cmd/eelgrasshub/config_status.go
+++ b/cmd/eelgrasshub/config_status.go
@@ -40,31 +40,31 @@
 	ctx, cancel := commandContext()
 	defer cancel()
 	if c.Entry != "" {
-		return printStatus(os.Stdout, []entryStatus{askEntry(ctx, c.Entry, c.Entry)})
+		return printStatus(os.Stdout, []entryStatus{queryEntry(ctx, c.Entry, c.Entry)})
 	}
 	store := c.client()
 	defer store.Close()
-	all := askEntries(ctx, store, c.Region)
+	all := queryEntries(ctx, store, c.Region)
 	if len(all) == 0 {
 		return fmt.Errorf("no entry of region %q is registered, or the store can't be asked; name one with --entry", c.Region)
 	}
 	return printStatus(os.Stdout, all)
 }
 
-// askEntries asks every entry that is registered in the region.
-func askEntries(ctx context.Context, store store.Store, region string) []entryStatus {
+// queryEntries asks every entry that is registered in the region.
+func queryEntries(ctx context.Context, store store.Store, region string) []entryStatus {
 	registered, err := entry.ListRegistrations(ctx, store, region)
 	if err != nil {
 		return nil
 	}
 	var out []entryStatus
 	for _, r := range registered {
-		out = append(out, askEntry(ctx, r.ID, "http://"+r.HTTP))
+		out = append(out, queryEntry(ctx, r.ID, "http://"+r.HTTP))
 	}
 	return out
 }
 
-func askEntry(ctx context.Context, name, url string) entryStatus {
+func queryEntry(ctx context.Context, name, url string) entryStatus {
 	s, err := api.NewClient(url, nil).Status(ctx)
 	return entryStatus{Name: name, Status: s, Err: err}
 }
--- a/cmd/eelgrasshub/counter_text.go
+++ b/cmd/eelgrasshub/counter_text.go
@@ -9,9 +9,9 @@
 	"unicode"
 )
 
-// counterText serves the counters of a struct of atomic integers as text, one a line:
+// counterHandler serves the counters of a struct of atomic integers as text, one a line:
 // eelgrasshub_NAME VALUE.
-func counterText(counts any) http.Handler {
+func counterHandler(counts any) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 		v := reflect.ValueOf(counts).Elem()
@@ -20,13 +20,13 @@
 			if !ok {
 				continue
 			}
-			_, _ = fmt.Fprintf(w, "eelgrasshub_%s %d\n", snake(v.Type().Field(i).Name), n.Load())
+			_, _ = fmt.Fprintf(w, "eelgrasshub_%s %d\n", toSnakeCase(v.Type().Field(i).Name), n.Load())
 		}
 	})
 }
 
-// snake turns a Go name into one of metrics.
-func snake(name string) string {
+// toSnakeCase turns a Go name into one of metrics.
+func toSnakeCase(name string) string {
 	var out strings.Builder
 	for i, r := range name {
 		if unicode.IsUpper(r) && i > 0 {
@@ -39,7 +39,7 @@
 
 // MetricsHandler implements metered.
 func (r *gatewayRole) MetricsHandler() http.Handler {
-	counters := counterText(r.gateway.Counters())
+	counters := counterHandler(r.gateway.Counters())
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		counters.ServeHTTP(w, req)
 		r.gateway.WriteMetrics(w)
--- a/cmd/eelgrasshub/fit.go
+++ b/cmd/eelgrasshub/fit.go
@@ -9,21 +9,21 @@
 	"github.com/eelgrasshub/eelgrasshub/scheduler"
 )
 
-// fit is a document.FitCheck by the scheduler's own placement.
-func fit(t *document.Topology, accounts []document.Account) []document.PlacementProblem {
+// checkPlacement is a document.FitCheck by the scheduler's own placement.
+func checkPlacement(t *document.Topology, accounts []document.Account) []document.PlacementProblem {
 	policy := scheduler.Policy{Generation: 1}
 	for _, a := range accounts {
 		policy.Accounts = append(policy.Accounts, planner.AccountPolicy(a))
 	}
-	err := scheduler.CheckPolicy(policy, workersOf(t))
+	err := scheduler.CheckPolicy(policy, idleWorkers(t))
 	if err == nil {
 		return nil
 	}
-	return []document.PlacementProblem{misfitOf(err, policy)}
+	return []document.PlacementProblem{placementProblem(err, policy)}
 }
 
-// workersOf is the expected topology as idle workers.
-func workersOf(t *document.Topology) []scheduler.Worker {
+// idleWorkers is the expected topology as idle workers.
+func idleWorkers(t *document.Topology) []scheduler.Worker {
 	var workers []scheduler.Worker
 	for _, zone := range t.Zones {
 		for rack, count := range zone.Racks {
@@ -40,7 +40,7 @@
 	return workers
 }
 
-func misfitOf(err error, p scheduler.Policy) document.PlacementProblem {
+func placementProblem(err error, p scheduler.Policy) document.PlacementProblem {
 	m := document.PlacementProblem{Reason: err.Error()}
 	var shape *scheduler.ShapeError
 	if !errors.As(err, &shape) {
--- a/cmd/eelgrasshub/gateway.go
+++ b/cmd/eelgrasshub/gateway.go
@@ -32,7 +32,7 @@
 
 // Execute implements flags.Commander.
 func (c *gatewayCmd) Execute([]string) error {
-	quiet()
+	disableBufferWarning()
 	cfg, err := settings.Load[settings.Gateway](c.Settings)
 	if err != nil {
 		return err
@@ -81,15 +81,15 @@
 }
 
 const (
-	// drainTime is how long a stopping gateway still takes new calls: the balancer
+	// readinessDelay is how long a stopping gateway still takes new calls: the balancer
 	// probes once a second and needs two misses.
-	drainTime = 2500 * time.Millisecond
-	// stopMargin is kept from the grace for the last steps.
-	stopMargin = 500 * time.Millisecond
+	readinessDelay = 2500 * time.Millisecond
+	// shutdownMargin is kept from the grace for the last steps.
+	shutdownMargin = 500 * time.Millisecond
 	// Limits of callers' connections until the operators' configuration says more.
-	headerTimeout = 3 * time.Second
-	idleTimeout   = 15 * time.Second
-	headerBytes   = 16 << 10
+	readHeaderTimeout = 3 * time.Second
+	idleTimeout       = 15 * time.Second
+	maxHeaderBytes    = 16 << 10
 )
 
 // listenHTTP serves a handler on an address until the server is shut down.
@@ -100,9 +100,9 @@
 	}
 	srv := &http.Server{
 		Handler:           h,
-		ReadHeaderTimeout: headerTimeout,
+		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    headerBytes,
+		MaxHeaderBytes:    maxHeaderBytes,
 	}
 	go func() {
 		if err := srv.Serve(l); err != http.ErrServerClosed {
@@ -115,11 +115,11 @@
 // serveUntilSignal serves until SIGTERM, and logs SIGHUP: what a gateway reads from its
 // settings does not change within its life.
 func (r *gatewayRole) serveUntilSignal(grace time.Duration) error {
-	awaitStop(r.log)
-	ctx, cancel := context.WithTimeout(context.Background(), grace-stopMargin)
+	waitForStopSignal(r.log)
+	ctx, cancel := context.WithTimeout(context.Background(), grace-shutdownMargin)
 	defer cancel()
 	r.gateway.Drain(ctx)
-	time.Sleep(min(drainTime, grace/2))
+	time.Sleep(min(readinessDelay, grace/2))
 	if err := r.callers.Shutdown(ctx); err != nil {
 		r.log.WithError(err).Warn("calls in progress were cut")
 	}
@@ -129,8 +129,8 @@
 	return r.gateway.Stop(ctx)
 }
 
-// awaitStop returns at SIGTERM or SIGINT.
-func awaitStop(log logrus.FieldLogger) {
+// waitForStopSignal returns at SIGTERM or SIGINT.
+func waitForStopSignal(log logrus.FieldLogger) {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	for s := range signals {
@@ -142,8 +142,8 @@
 	}
 }
 
-// quiet silences the QUIC library's notice about socket buffers, which goes around the
+// disableBufferWarning silences the QUIC library's notice about socket buffers, which goes around the
 // process's own log.
-func quiet() {
+func disableBufferWarning() {
 	_ = os.Setenv("QUIC_GO_DISABLE_RECEIVE_BUFFER_WARNING", "true") // can't fail for a valid name
 }
--- a/cmd/eelgrasshub/job.go
+++ b/cmd/eelgrasshub/job.go
@@ -21,7 +21,7 @@
 	return command{
 		name:  "job",
 		short: "submit, follow and cancel gang jobs",
-		sub: []command{
+		subcommands: []command{
 			jobSubmitCommand(),
 			jobStatusCommand(),
 			jobCancelCommand(),
--- a/cmd/eelgrasshub/job_status.go
+++ b/cmd/eelgrasshub/job_status.go
@@ -8,8 +8,8 @@
 	"github.com/eelgrasshub/eelgrasshub/api"
 )
 
-// waitStep is how long one status request is held at most.
-const waitStep = 10 * time.Second
+// maxStatusWait is how long one status request is held at most.
+const maxStatusWait = 10 * time.Second
 
 // jobStatusCmd shows one job.
 type jobStatusCmd struct {
@@ -28,7 +28,7 @@
 func (c *jobStatusCmd) Execute([]string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Wait+commandTimeout)
 	defer cancel()
-	status, err := c.follow(ctx)
+	status, err := c.waitForEnd(ctx)
 	if err != nil {
 		return err
 	}
@@ -41,11 +41,11 @@
 	return nil
 }
 
-func (c *jobStatusCmd) follow(ctx context.Context) (api.JobStatus, error) {
+func (c *jobStatusCmd) waitForEnd(ctx context.Context) (api.JobStatus, error) {
 	until := time.Now().Add(c.Wait)
 	for {
 		left := max(time.Until(until), 0)
-		status, err := c.client().GetJob(ctx, c.Service, c.Args.ID, min(left, waitStep))
+		status, err := c.client().GetJob(ctx, c.Service, c.Args.ID, min(left, maxStatusWait))
 		if err != nil || status.State.Final() || left == 0 {
 			return status, err
 		}
--- a/cmd/eelgrasshub/load.go
+++ b/cmd/eelgrasshub/load.go
@@ -31,7 +31,7 @@
 	}
 }
 
-var errFindings = errors.New("what callers were told is contradicted by what ran")
+var errContradictions = errors.New("what callers were told is contradicted by what ran")
 
 // Execute implements flags.Commander.
 func (c *loadCmd) Execute([]string) error {
@@ -61,7 +61,7 @@
 		return err
 	}
 	if !findings.Clean() {
-		return errFindings
+		return errContradictions
 	}
 	return nil
 }
--- a/cmd/eelgrasshub/log_writer.go
+++ b/cmd/eelgrasshub/log_writer.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// logLines is how many lines wait for a slow reader; more are dropped, since a
+	// logQueueLen is how many lines wait for a slow reader; more are dropped, since a
 	// process must never wait for whoever reads its log.
-	logLines = 4096
-	// logFlush bounds the wait for the last lines at the end of a process.
-	logFlush = 200 * time.Millisecond
+	logQueueLen = 4096
+	// logFlushTimeout bounds the wait for the last lines at the end of a process.
+	logFlushTimeout = 200 * time.Millisecond
 )
 
 // logWriter passes lines on without blocking, and counts those it had to drop.
@@ -28,7 +28,7 @@
 }
 
 func newLogWriter(out io.Writer) *logWriter {
-	w := &logWriter{out: out, lines: make(chan []byte, logLines), stop: make(chan struct{}), done: make(chan struct{})}
+	w := &logWriter{out: out, lines: make(chan []byte, logQueueLen), stop: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -59,20 +59,20 @@
 	for {
 		select {
 		case line := <-w.lines:
-			w.pass(line)
+			w.write(line)
 			continue
 		default:
 		}
 		select {
 		case line := <-w.lines:
-			w.pass(line)
+			w.write(line)
 		case <-w.stop:
 			return
 		}
 	}
 }
 
-func (w *logWriter) pass(line []byte) {
+func (w *logWriter) write(line []byte) {
 	if n := w.dropped.Swap(0); n > 0 {
 		_, _ = fmt.Fprintf(w.out, "{\"level\":\"warning\",\"msg\":\"log lines dropped\",\"count\":%d}\n", n)
 	}
@@ -84,6 +84,6 @@
 	close(w.stop)
 	select {
 	case <-w.done:
-	case <-time.After(logFlush):
+	case <-time.After(logFlushTimeout):
 	}
 }
--- a/cmd/eelgrasshub/log_writer_test.go
+++ b/cmd/eelgrasshub/log_writer_test.go
@@ -8,14 +8,14 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// slowReader takes nothing until it is let go.
-type slowReader struct {
+// blockedWriter takes nothing until it is let go.
+type blockedWriter struct {
 	gate chan struct{}
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (r *slowReader) Write(p []byte) (int, error) {
+func (r *blockedWriter) Write(p []byte) (int, error) {
 	<-r.gate
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -24,11 +24,11 @@
 
 // Whoever reads the log stands still. The process goes on, and says afterwards how many
 // lines are missing.
-func TestLogNeverBlocks(t *testing.T) {
+func TestLogWriterNeverBlocks(t *testing.T) {
 	c := qt.New(t)
-	r := &slowReader{gate: make(chan struct{})}
+	r := &blockedWriter{gate: make(chan struct{})}
 	w := newLogWriter(r)
-	for range logLines + 100 {
+	for range logQueueLen + 100 {
 		_, err := w.Write([]byte("line\n"))
 		c.Assert(err, qt.IsNil)
 	}
@@ -36,5 +36,5 @@
 	w.Close()
 	<-w.done
 	c.Check(r.text.String(), qt.Contains, "log lines dropped")
-	c.Check(strings.Count(r.text.String(), "line\n") <= logLines+2, qt.IsTrue)
+	c.Check(strings.Count(r.text.String(), "line\n") <= logQueueLen+2, qt.IsTrue)
 }
--- a/cmd/eelgrasshub/main.go
+++ b/cmd/eelgrasshub/main.go
@@ -29,7 +29,7 @@
 	if err == nil {
 		return exitOK
 	}
-	return report(err)
+	return exitCode(err)
 }
 
 func newParser() *flags.Parser {
@@ -41,7 +41,7 @@
 	return parser
 }
 
-func report(err error) int {
+func exitCode(err error) int {
 	flagErr, isFlag := err.(*flags.Error)
 	if isFlag && flagErr.Type == flags.ErrHelp {
 		fmt.Println(flagErr.Message)
--- a/cmd/eelgrasshub/node_agent.go
+++ b/cmd/eelgrasshub/node_agent.go
@@ -25,7 +25,7 @@
 
 // Execute implements flags.Commander.
 func (c *nodeAgentCmd) Execute([]string) error {
-	quiet()
+	disableBufferWarning()
 	cfg, err := settings.Load[settings.NodeAgent](c.Settings)
 	if err != nil {
 		return err
@@ -44,12 +44,12 @@
 	if err != nil {
 		return err
 	}
-	stopMetrics, err := serveMetrics(cfg.MetricsListen, agentMetrics{a})
+	stopMetrics, err := serveMetrics(cfg.MetricsListen, nodeAgentMetrics{a})
 	if err != nil {
 		return err
 	}
 	defer stopMetrics()
-	awaitStop(log)
+	waitForStopSignal(log)
 	ctx, cancel := context.WithTimeout(context.Background(), cfg.StopGrace.Duration)
 	defer cancel()
 	if err := registry.Shutdown(ctx); err != nil {
@@ -58,7 +58,7 @@
 	return a.Stop(ctx)
 }
 
-type agentMetrics struct{ agent *nodeagent.Agent }
+type nodeAgentMetrics struct{ agent *nodeagent.Agent }
 
 // MetricsHandler implements metered.
-func (m agentMetrics) MetricsHandler() http.Handler { return counterText(m.agent.Counters()) }
+func (m nodeAgentMetrics) MetricsHandler() http.Handler { return counterHandler(m.agent.Counters()) }
--- a/cmd/eelgrasshub/report.go
+++ b/cmd/eelgrasshub/report.go
@@ -32,11 +32,11 @@
 	defer cancel()
 	client := api.NewClient(c.Entry, nil)
 	if c.Job != "" {
-		return c.job(ctx, client)
+		return c.printJob(ctx, client)
 	}
 	r, err := client.Report(ctx, c.Args.Service)
 	if err != nil {
-		return advised(err)
+		return withRetryAdvice(err)
 	}
 	if c.JSON {
 		return printJSON(r)
@@ -44,10 +44,10 @@
 	return printReport(os.Stdout, r)
 }
 
-func (c *reportCmd) job(ctx context.Context, client *api.Client) error {
+func (c *reportCmd) printJob(ctx context.Context, client *api.Client) error {
 	r, err := client.JobReport(ctx, c.Args.Service, c.Job)
 	if err != nil {
-		return advised(err)
+		return withRetryAdvice(err)
 	}
 	if c.JSON {
 		return printJSON(r)
--- a/cmd/eelgrasshub/report_table.go
+++ b/cmd/eelgrasshub/report_table.go
@@ -23,8 +23,8 @@
 func printHeading(w io.Writer, r api.Report) {
 	p := r.Planner
 	fmt.Fprintf(w, "service %s, planned by entry %s in region %s since %s (epoch %d, generation %d)\n",
-		r.Service, p.Entry, p.Region, clockTime(p.Since), p.Epoch, p.Generation)
-	fmt.Fprintf(w, "as of %s, %s old; last decision %s\n", clockTime(r.CreatedAt), rounded(r.Age), clockTime(r.DecidedAt))
+		r.Service, p.Entry, p.Region, formatTime(p.Since), p.Epoch, p.Generation)
+	fmt.Fprintf(w, "as of %s, %s old; last decision %s\n", formatTime(r.CreatedAt), roundToMillis(r.Age), formatTime(r.DecidedAt))
 	if r.Settling {
 		fmt.Fprintln(w, "settling: the planner has just taken over, and records or workers are still coming in")
 	}
@@ -39,11 +39,11 @@
 		r.Workers.Usable, c.Accelerators, c.Free, c.Reserved, c.Fragmentation, c.Evicting)
 	fmt.Fprintln(w, "\nADJACENT\tFREE IN ONE UNIT (UNITS)")
 	for _, a := range []api.Adjacency{api.AdjacentWorker, api.AdjacentRack, api.AdjacentZone, api.AdjacentAny} {
-		fmt.Fprintf(w, "%s\t%s\n", a, unitList(c.FreeUnits[a]))
+		fmt.Fprintf(w, "%s\t%s\n", a, formatUnits(c.FreeUnits[a]))
 	}
 }
 
-func unitList(units []api.FreeUnits) string {
+func formatUnits(units []api.FreeUnits) string {
 	if len(units) == 0 {
 		return "none"
 	}
@@ -66,32 +66,32 @@
 	for _, a := range accounts {
 		for _, c := range a.Classes {
 			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%d\n", a.Account, c.Class,
-				c.Running, c.RunningAccelerators, c.Waiting, c.WaitingAccelerators, c.Withheld, rounded(c.LongestWait),
-				rounded(c.WaitTimes.P50), rounded(c.WaitTimes.P90), rounded(c.WaitTimes.P99), c.WaitTimes.Count)
+				c.Running, c.RunningAccelerators, c.Waiting, c.WaitingAccelerators, c.Withheld, roundToMillis(c.LongestWait),
+				roundToMillis(c.WaitTimes.P50), roundToMillis(c.WaitTimes.P90), roundToMillis(c.WaitTimes.P99), c.WaitTimes.Count)
 		}
 	}
 }
 
 func printWorkers(w io.Writer, all api.ReportWorkers) {
 	fmt.Fprintln(w, "\nWORKERS\tCOUNT\tFIRST OF THEM")
-	fmt.Fprintf(w, "quarantined\t%d\t%s\n", all.Quarantined.Count, notes(all.Quarantined, func(n api.WorkerStatus) string {
+	fmt.Fprintf(w, "quarantined\t%d\t%s\n", all.Quarantined.Count, workerList(all.Quarantined, func(n api.WorkerStatus) string {
 		if n.Probing {
 			return n.ID + " on probe"
 		}
-		return n.ID + " until " + clockTime(n.Until)
+		return n.ID + " until " + formatTime(n.Until)
 	}))
-	fmt.Fprintf(w, "draining\t%d\t%s\n", all.Draining.Count, notes(all.Draining, func(n api.WorkerStatus) string { return n.ID }))
-	fmt.Fprintf(w, "lost\t%d\t%s\n", all.Lost.Count, notes(all.Lost, func(n api.WorkerStatus) string {
-		return n.ID + " since " + clockTime(n.Since)
+	fmt.Fprintf(w, "draining\t%d\t%s\n", all.Draining.Count, workerList(all.Draining, func(n api.WorkerStatus) string { return n.ID }))
+	fmt.Fprintf(w, "lost\t%d\t%s\n", all.Lost.Count, workerList(all.Lost, func(n api.WorkerStatus) string {
+		return n.ID + " since " + formatTime(n.Since)
 	}))
 }
 
-// shownWorkers bounds the workers in a row of the table; JSON has more.
-const shownWorkers = 8
+// maxWorkersShown bounds the workers in a row of the table; JSON has more.
+const maxWorkersShown = 8
 
-func notes(l api.WorkerList, text func(api.WorkerStatus) string) string {
+func workerList(l api.WorkerList, text func(api.WorkerStatus) string) string {
 	var parts []string
-	for _, n := range l.Workers[:min(len(l.Workers), shownWorkers)] {
+	for _, n := range l.Workers[:min(len(l.Workers), maxWorkersShown)] {
 		parts = append(parts, text(n))
 	}
 	return strings.Join(parts, ", ")
@@ -104,10 +104,10 @@
 	if r.Wait != nil {
 		printWait(w, r.Wait)
 	}
-	fmt.Fprintf(w, "planned by\tentry %s since %s (epoch %d)\n", r.Planner.Entry, clockTime(r.Planner.Since), r.Planner.Epoch)
-	fmt.Fprintf(w, "as of\t%s\n", clockTime(r.AnsweredAt))
+	fmt.Fprintf(w, "planned by\tentry %s since %s (epoch %d)\n", r.Planner.Entry, formatTime(r.Planner.Since), r.Planner.Epoch)
+	fmt.Fprintf(w, "as of\t%s\n", formatTime(r.AnsweredAt))
 	if !r.DecidedAt.IsZero() {
-		fmt.Fprintf(w, "decided\t%s\n", clockTime(r.DecidedAt))
+		fmt.Fprintf(w, "decided\t%s\n", formatTime(r.DecidedAt))
 	}
 	return w.Flush()
 }
@@ -117,12 +117,12 @@
 	fmt.Fprintf(w, "waits\t%s\n", j.Reason)
 	fmt.Fprintf(w, "because\t%s\n", j.Explanation)
 	if !j.Until.IsZero() {
-		fmt.Fprintf(w, "until\t%s\n", clockTime(j.Until))
+		fmt.Fprintf(w, "until\t%s\n", formatTime(j.Until))
 	}
 }
 
-func clockTime(t time.Time) string { return t.UTC().Format(time.RFC3339) }
+func formatTime(t time.Time) string { return t.UTC().Format(time.RFC3339) }
 
-func rounded(d api.Duration) time.Duration {
+func roundToMillis(d api.Duration) time.Duration {
 	return time.Duration(d).Round(time.Millisecond)
 }
--- a/cmd/eelgrasshub/role.go
+++ b/cmd/eelgrasshub/role.go
@@ -11,14 +11,14 @@
 	LogLevel string `long:"log-level" default:"info" description:"least level of log lines: debug, info, warn or error"`
 }
 
-// metered is a role with metrics.
-type metered interface {
+// metricsProvider is a role with metrics.
+type metricsProvider interface {
 	MetricsHandler() http.Handler
 }
 
 // serveMetrics serves a role's metrics on a local address until stop is called.
 // An empty address means none.
-func serveMetrics(addr string, role metered) (stop func(), err error) {
+func serveMetrics(addr string, role metricsProvider) (stop func(), err error) {
 	if addr == "" {
 		return func() {}, nil
 	}
--- a/cmd/eelgrasshub/script_audit_test.go
+++ b/cmd/eelgrasshub/script_audit_test.go
@@ -14,7 +14,7 @@
 // apartCmd checks with the targets' logs that no attempt of a job ran while
 // another one of it did, and that no worker's rule was broken: apart URL...
 func apartCmd(ts *testscript.TestScript, neg bool, args []string) {
-	usage(ts, neg, len(args) > 0, "apart URL...")
+	checkUsage(ts, neg, len(args) > 0, "apart URL...")
 	audits := fetchAudits(ts, args)
 	for _, found := range load.OverlappingAttempts(audits) {
 		ts.Fatalf("%s", found)
@@ -29,7 +29,7 @@
 // wholeCmd checks with the targets' logs that one attempt of a job, and no other,
 // was done by any member, and that one by all: whole TAG URL...
 func wholeCmd(ts *testscript.TestScript, neg bool, args []string) {
-	usage(ts, neg, len(args) > 1, "whole TAG URL...")
+	checkUsage(ts, neg, len(args) > 1, "whole TAG URL...")
 	done := make(map[int]int) // members, by attempt
 	members := 0
 	for _, a := range fetchAudits(ts, args[1:]) {
@@ -53,7 +53,7 @@
 // ranCmd checks how often a quick request ran, by the targets' logs: ran N TAG
 // URL...
 func ranCmd(ts *testscript.TestScript, neg bool, args []string) {
-	usage(ts, neg, len(args) > 2, "ran N TAG URL...")
+	checkUsage(ts, neg, len(args) > 2, "ran N TAG URL...")
 	want, err := strconv.Atoi(args[0])
 	ts.Check(err)
 	got := 0
@@ -70,7 +70,7 @@
 }
 
 func fetchAudits(ts *testscript.TestScript, urls []string) []standin.Audit {
-	ctx, cancel := context.WithTimeout(context.Background(), pollLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 	defer cancel()
 	var audits []standin.Audit
 	for _, url := range urls {
--- a/cmd/eelgrasshub/script_commands_test.go
+++ b/cmd/eelgrasshub/script_commands_test.go
@@ -20,15 +20,15 @@
 )
 
 const (
-	// pollLimit bounds every wait of a script.
-	pollLimit = 30 * time.Second
-	pollEvery = 50 * time.Millisecond
+	// pollTimeout bounds every wait of a script.
+	pollTimeout = 30 * time.Second
+	pollPeriod  = 50 * time.Millisecond
 )
 
 // addrCmd sets variables to loopback addresses whose port is free for TCP and
 // UDP: addr NAME...
 func addrCmd(ts *testscript.TestScript, neg bool, args []string) {
-	usage(ts, neg, len(args) > 0, "addr NAME...")
+	checkUsage(ts, neg, len(args) > 0, "addr NAME...")
 	for _, name := range args {
 		ts.Setenv(name, testport.Scripts.FreeAddr())
 	}
@@ -36,7 +36,7 @@
 
 // expandCmd replaces $NAME in files by the script's variables: expand FILE...
 func expandCmd(ts *testscript.TestScript, neg bool, args []string) {
-	usage(ts, neg, len(args) > 0, "expand FILE...")
+	checkUsage(ts, neg, len(args) > 0, "expand FILE...")
 	for _, name := range args {
 		text := os.Expand(ts.ReadFile(name), ts.Getenv)
 		ts.Check(os.WriteFile(ts.MkAbs(name), []byte(text), 0o644))
@@ -47,15 +47,15 @@
 // name, and $X is the script's variable X_NAME, or X where there is none: settings
 // TEMPLATE NAME...
 func settingsCmd(ts *testscript.TestScript, neg bool, args []string) {
-	usage(ts, neg, len(args) > 1, "settings TEMPLATE NAME...")
+	checkUsage(ts, neg, len(args) > 1, "settings TEMPLATE NAME...")
 	template := ts.ReadFile(args[0])
 	for _, name := range args[1:] {
-		text := os.Expand(template, func(key string) string { return variableOf(ts, name, key) })
+		text := os.Expand(template, func(key string) string { return processVariable(ts, name, key) })
 		ts.Check(os.WriteFile(ts.MkAbs(name+".toml"), []byte(text), 0o644))
 	}
 }
 
-func variableOf(ts *testscript.TestScript, process, key string) string {
+func processVariable(ts *testscript.TestScript, process, key string) string {
 	if key == "ID" {
 		return process
 	}
@@ -68,7 +68,7 @@
 // exitsCmd runs a program that has to end with the given code; stdout and
 // stderr can be matched after it: exits CODE PROGRAM ARGS...
 func exitsCmd(ts *testscript.TestScript, neg bool, args []string) {
-	usage(ts, neg, len(args) > 1, "exits CODE PROGRAM ARGS...")
+	checkUsage(ts, neg, len(args) > 1, "exits CODE PROGRAM ARGS...")
 	want, err := strconv.Atoi(args[0])
 	ts.Check(err)
 	err = ts.Exec(args[1], args[2:]...)
@@ -87,9 +87,9 @@
 // pollCmd runs a program until it succeeds and its output matches: poll REGEXP
 // PROGRAM ARGS...
 func pollCmd(ts *testscript.TestScript, neg bool, args []string) {
-	usage(ts, neg, len(args) > 1, "poll REGEXP PROGRAM ARGS...")
+	checkUsage(ts, neg, len(args) > 1, "poll REGEXP PROGRAM ARGS...")
 	want := regexp.MustCompile(args[0])
-	until(ts, args, func() error {
+	retryUntilSuccess(ts, args, func() error {
 		if err := ts.Exec(args[1], args[2:]...); err != nil {
 			return err
 		}
@@ -103,11 +103,11 @@
 // fetchCmd asks the URLs in turn until one answers 200 with a body that matches:
 // fetch REGEXP URL...
 func fetchCmd(ts *testscript.TestScript, neg bool, args []string) {
-	usage(ts, neg, len(args) > 1, "fetch REGEXP URL...")
+	checkUsage(ts, neg, len(args) > 1, "fetch REGEXP URL...")
 	want := regexp.MustCompile(args[0])
 	next := 0
-	until(ts, args, func() error {
-		body, err := get(args[1+next%(len(args)-1)])
+	retryUntilSuccess(ts, args, func() error {
+		body, err := httpGet(args[1+next%(len(args)-1)])
 		next++
 		if err == nil && !want.Match(body) {
 			err = fmt.Errorf("body does not match:\n%s", body)
@@ -116,8 +116,8 @@
 	})
 }
 
-func get(url string) ([]byte, error) {
-	client := http.Client{Timeout: pollLimit}
+func httpGet(url string) ([]byte, error) {
+	client := http.Client{Timeout: pollTimeout}
 	resp, err := client.Get(url)
 	if err != nil {
 		return nil, err
@@ -130,28 +130,28 @@
 	return body, err
 }
 
-func until(ts *testscript.TestScript, what []string, try func() error) {
-	deadline := time.Now().Add(pollLimit)
+func retryUntilSuccess(ts *testscript.TestScript, what []string, try func() error) {
+	deadline := time.Now().Add(pollTimeout)
 	for {
 		err := try()
 		if err == nil {
 			return
 		}
 		if time.Now().After(deadline) {
-			ts.Fatalf("%q: not within %s: %v", what, pollLimit, err)
+			ts.Fatalf("%q: not within %s: %v", what, pollTimeout, err)
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollPeriod)
 	}
 }
 
 // jsonenvCmd sets a variable to a string in a JSON value. The path's parts are
 // fields of objects and indexes of lists: jsonenv NAME FILE PATH
 func jsonenvCmd(ts *testscript.TestScript, neg bool, args []string) {
-	usage(ts, neg, len(args) == 3, "jsonenv NAME FILE PATH")
+	checkUsage(ts, neg, len(args) == 3, "jsonenv NAME FILE PATH")
 	var value any
 	ts.Check(json.Unmarshal([]byte(ts.ReadFile(args[1])), &value))
 	for _, part := range strings.Split(args[2], ".") {
-		value = partOf(value, part)
+		value = jsonElement(value, part)
 	}
 	text, ok := value.(string)
 	if !ok {
@@ -160,8 +160,8 @@
 	ts.Setenv(args[0], text)
 }
 
-// partOf is a field of an object or an element of a list, or nil.
-func partOf(value any, name string) any {
+// jsonElement is a field of an object or an element of a list, or nil.
+func jsonElement(value any, name string) any {
 	switch v := value.(type) {
 	case map[string]any:
 		return v[name]
@@ -176,13 +176,13 @@
 // terminateCmd sends SIGTERM to every process that the script has started:
 // terminate
 func terminateCmd(ts *testscript.TestScript, neg bool, args []string) {
-	usage(ts, neg, len(args) == 0, "terminate")
+	checkUsage(ts, neg, len(args) == 0, "terminate")
 	for _, cmd := range ts.BackgroundCmds() {
 		ts.Check(cmd.Process.Signal(syscall.SIGTERM))
 	}
 }
 
-func usage(ts *testscript.TestScript, neg, ok bool, text string) {
+func checkUsage(ts *testscript.TestScript, neg, ok bool, text string) {
 	if neg || !ok {
 		ts.Fatalf("usage: %s", text)
 	}
--- a/cmd/eelgrasshub/script_request_test.go
+++ b/cmd/eelgrasshub/script_request_test.go
@@ -29,9 +29,9 @@
 // requestsKey is under which a script keeps its requests by name.
 type requestsKey struct{}
 
-// sentRequest is a request under way.
-type sentRequest struct {
-	ended  chan struct{}
+// pendingRequest is a request under way.
+type pendingRequest struct {
+	done   chan struct{}
 	answer api.QuickResponse
 	err    error
 }
@@ -39,15 +39,15 @@
 // requestCmd sends a quick request and goes on at once: request --entry URL
 // ... NAME
 func requestCmd(ts *testscript.TestScript, neg bool, args []string) {
-	usage(ts, neg, len(args) > 0, "request --entry=URL --service=S --account=A --class=C [--key=K] [--query=Q] NAME")
+	checkUsage(ts, neg, len(args) > 0, "request --entry=URL --service=S --account=A --class=C [--key=K] [--query=Q] NAME")
 	var f requestFlags
 	_, err := flags.NewParser(&f, flags.None).ParseArgs(args)
 	ts.Check(err)
-	sent := &sentRequest{ended: make(chan struct{})}
+	sent := &pendingRequest{done: make(chan struct{})}
 	requestsOf(ts)[f.Args.Name] = sent
 	go func() {
-		defer close(sent.ended)
-		ctx, cancel := context.WithTimeout(context.Background(), pollLimit)
+		defer close(sent.done)
+		ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 		defer cancel()
 		sent.answer, sent.err = api.NewClient(f.Entry, nil).SendQuick(ctx, api.QuickRequest{
 			CallOptions: api.CallOptions{Account: f.Account, Class: f.Class, IdempotencyKey: f.Key},
@@ -63,20 +63,20 @@
 // body to the file NAME. Several outcomes are parted by a bar: answer
 // OUTCOME[|OUTCOME...] NAME
 func answerCmd(ts *testscript.TestScript, neg bool, args []string) {
-	usage(ts, neg, len(args) == 2, "answer OUTCOME[|OUTCOME...] NAME")
+	checkUsage(ts, neg, len(args) == 2, "answer OUTCOME[|OUTCOME...] NAME")
 	sent := requestsOf(ts)[args[1]]
 	if sent == nil {
 		ts.Fatalf("no request %q", args[1])
 	}
-	<-sent.ended // bounded by the request's own context
+	<-sent.done // bounded by the request's own context
 	ts.Check(sent.err)
 	if got := string(sent.answer.Outcome); !slices.Contains(strings.Split(args[0], "|"), got) {
-		ts.Fatalf("outcome %q, want %q: %s", got, args[0], describe(sent.answer))
+		ts.Fatalf("outcome %q, want %q: %s", got, args[0], describeResponse(sent.answer))
 	}
 	ts.Check(os.WriteFile(ts.MkAbs(args[1]), sent.answer.Body, 0o644))
 }
 
-func describe(a api.QuickResponse) string {
+func describeResponse(a api.QuickResponse) string {
 	if a.Problem != nil {
 		return a.Problem.Error()
 	}
@@ -84,8 +84,8 @@
 }
 
 // requestsOf are the requests of one script.
-func requestsOf(ts *testscript.TestScript) map[string]*sentRequest {
-	requests, ok := ts.Value(requestsKey{}).(map[string]*sentRequest)
+func requestsOf(ts *testscript.TestScript) map[string]*pendingRequest {
+	requests, ok := ts.Value(requestsKey{}).(map[string]*pendingRequest)
 	if !ok {
 		ts.Fatalf("the script has no requests: Setup is missing")
 	}
--- a/cmd/eelgrasshub/script_signal_test.go
+++ b/cmd/eelgrasshub/script_signal_test.go
@@ -8,8 +8,8 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// signals are those that scripts may send, by name.
-var signals = map[string]syscall.Signal{
+// signalsByName are those that scripts may send, by name.
+var signalsByName = map[string]syscall.Signal{
 	"STOP": syscall.SIGSTOP,
 	"CONT": syscall.SIGCONT,
 	"KILL": syscall.SIGKILL,
@@ -20,13 +20,13 @@
 // passes has to wake or kill what it has stopped, or its end is waited for in vain:
 // signal NAME ARG...
 func signalCmd(ts *testscript.TestScript, neg bool, args []string) {
-	usage(ts, neg, len(args) > 1, "signal STOP|CONT|KILL ARG...")
-	sig, ok := signals[args[0]]
+	checkUsage(ts, neg, len(args) > 1, "signal STOP|CONT|KILL ARG...")
+	sig, ok := signalsByName[args[0]]
 	if !ok {
 		ts.Fatalf("no signal %q", args[0])
 	}
 	for _, arg := range args[1:] {
-		cmd := startedWith(ts, arg)
+		cmd := processWithArg(ts, arg)
 		ts.Check(cmd.Process.Signal(sig))
 		if sig == syscall.SIGSTOP {
 			// One that fails leaves it stopped.
@@ -35,8 +35,8 @@
 	}
 }
 
-// startedWith is the one process of the script that has the argument.
-func startedWith(ts *testscript.TestScript, arg string) *exec.Cmd {
+// processWithArg is the one process of the script that has the argument.
+func processWithArg(ts *testscript.TestScript, arg string) *exec.Cmd {
 	var found []*exec.Cmd
 	for _, cmd := range ts.BackgroundCmds() {
 		if slices.Contains(cmd.Args, arg) {
--- a/cmd/eelgrasshub/script_test.go
+++ b/cmd/eelgrasshub/script_test.go
@@ -20,7 +20,7 @@
 		RequireExplicitExec: true,
 		RequireUniqueNames:  true,
 		Setup: func(env *testscript.Env) error {
-			env.Values[requestsKey{}] = make(map[string]*sentRequest)
+			env.Values[requestsKey{}] = make(map[string]*pendingRequest)
 			return nil
 		},
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
--- a/document/bounds_test.go
+++ b/document/bounds_test.go
@@ -12,7 +12,7 @@
 
 // An operator's generator writes one shape too often. Each number is in range; the
 // planner of every entry in turn would run out of memory over the sum.
-func TestSumsThatNoProcessCanHoldAreRefused(t *testing.T) {
+func TestParseRejectsExcessiveTotals(t *testing.T) {
 	c := qt.New(t)
 	const head = "service = \"s\"\nowner = \"o\"\n[[class]]\nname = \"c\"\nkind = \"job\"\n"
 	account := func(shapes, count int) string {
--- a/document/class.go
+++ b/document/class.go
@@ -41,21 +41,21 @@
 }
 
 const (
-	quickDeadline     = 10 // seconds
-	jobDeadline       = 24 * 60 * 60
-	repeatableRetries = 1
+	defaultQuickDeadline     = 10 // seconds
+	defaultJobDeadline       = 24 * 60 * 60
+	defaultRepeatableRetries = 1
 )
 
-// fillDerived sets the keys whose default depends on another key.
-func (c *Class) fillDerived(set func(key string) bool) {
+// fillDerivedDefaults sets the keys whose default depends on another key.
+func (c *Class) fillDerivedDefaults(set func(key string) bool) {
 	if !set("deadline") {
-		c.Deadline = schema.Seconds(quickDeadline)
+		c.Deadline = schema.Seconds(defaultQuickDeadline)
 		if c.Kind == Job {
-			c.Deadline = schema.Seconds(jobDeadline)
+			c.Deadline = schema.Seconds(defaultJobDeadline)
 		}
 	}
 	if !set("retries") && c.Repeatable {
-		c.Retries = repeatableRetries
+		c.Retries = defaultRepeatableRetries
 	}
 	if !set("may_borrow") && c.Kind == Job {
 		c.MayBorrow = c.Repeatable || c.Checkpointable
--- a/document/conflict.go
+++ b/document/conflict.go
@@ -38,7 +38,7 @@
 	return ErrConflict
 }
 
-func conflict(p Proposal, current Version) error {
+func newConflictError(p Proposal, current Version) error {
 	return &ConflictError{
 		BaseGeneration: p.BaseGeneration,
 		Current:        current,
--- a/document/cross.go
+++ b/document/cross.go
@@ -7,23 +7,23 @@
 	"github.com/eelgrasshub/eelgrasshub/document/schema"
 )
 
-// checkCross checks what no single key can tell.
-func checkCross(d *Document, f *schema.Result) {
-	checkNames(f, "account", len(d.Accounts), func(i int) string { return d.Accounts[i].Name })
-	checkNames(f, "class", len(d.Classes), func(i int) string { return d.Classes[i].Name })
+// checkConsistency checks what no single key can tell.
+func checkConsistency(d *Document, f *schema.Result) {
+	checkUniqueNames(f, "account", len(d.Accounts), func(i int) string { return d.Accounts[i].Name })
+	checkUniqueNames(f, "class", len(d.Classes), func(i int) string { return d.Classes[i].Name })
 	for i := range d.Classes {
 		checkClass(&d.Classes[i], fmt.Sprintf("class[%d]", i), f)
 	}
 	checkLossMargin(d, f)
-	checkBounds(d, f)
+	checkTotals(d, f)
 	if d.Topology != nil {
 		zones := d.Topology.Zones
-		checkNames(f, "topology.zone", len(zones), func(i int) string { return zones[i].Name })
-		checkSizes(d, f)
+		checkUniqueNames(f, "topology.zone", len(zones), func(i int) string { return zones[i].Name })
+		checkShapeSizes(d, f)
 	}
 }
 
-func checkNames(f *schema.Result, table string, n int, name func(int) string) {
+func checkUniqueNames(f *schema.Result, table string, n int, name func(int) string) {
 	first := map[string]int{}
 	for i := range n {
 		if name(i) == "" {
@@ -42,7 +42,7 @@
 		f.AddProblem(path+".retries", "got %d, want 0: the class is not repeatable and runs at most once", c.Retries)
 	}
 	if c.Kind == Quick {
-		checkQuick(path, f)
+		checkQuickClass(path, f)
 		return
 	}
 	if c.Kind != Job {
@@ -58,7 +58,7 @@
 	}
 }
 
-func checkQuick(path string, f *schema.Result) {
+func checkQuickClass(path string, f *schema.Result) {
 	for _, key := range []string{"priority", "urgent", "checkpointable", "may_borrow", "max_run"} {
 		if f.Index.IsSet(path + "." + key) {
 			f.AddProblem(path+"."+key, `only for kind = "job"`)
@@ -79,15 +79,15 @@
 	}
 }
 
-// checkSizes refuses shapes larger than any place of the topology, and sums
+// checkShapeSizes refuses shapes larger than any place of the topology, and sums
 // above its total. Whether the shapes fit together as blocks is the FitCheck's
 // question.
-func checkSizes(d *Document, f *schema.Result) {
+func checkShapeSizes(d *Document, f *schema.Result) {
 	sum := 0
 	for i, a := range d.Accounts {
 		for j, g := range a.Guaranteed {
 			sum += g.Accelerators * g.Count
-			if most := d.Topology.largest(g.Adjacent); g.Accelerators > most {
+			if most := d.Topology.largestUnit(g.Adjacent); g.Accelerators > most {
 				f.AddProblem(guaranteePath(i, j)+".accelerators", "got %d, want at most %d, the largest %s of the topology",
 					g.Accelerators, most, g.Adjacent)
 			}
--- a/document/digest.go
+++ b/document/digest.go
@@ -8,8 +8,8 @@
 // Digest identifies the TOML text of a version.
 type Digest [sha256.Size]byte
 
-// digestShown is how many bytes of a digest are shown to people.
-const digestShown = 6
+// displayedDigestLen is how many bytes of a digest are shown to people.
+const displayedDigestLen = 6
 
 // DigestOf returns the digest of toml.
 func DigestOf(toml []byte) Digest {
@@ -18,5 +18,5 @@
 
 // String returns the first bytes in hexadecimal, enough to tell versions apart.
 func (d Digest) String() string {
-	return hex.EncodeToString(d[:digestShown])
+	return hex.EncodeToString(d[:displayedDigestLen])
 }
--- a/document/exchange.go
+++ b/document/exchange.go
@@ -30,12 +30,12 @@
 	ours, theirs := byService(f.Summaries()), byService(peer)
 	var c Comparison
 	for _, s := range peer {
-		if offers(s, ours[s.Service]) && !f.hasRefused(s) {
+		if shouldOffer(s, ours[s.Service]) && !f.wasRefused(s) {
 			c.Missing = append(c.Missing, s)
 		}
 	}
 	for _, s := range f.Summaries() {
-		if offers(s, theirs[s.Service]) {
+		if shouldOffer(s, theirs[s.Service]) {
 			c.Ahead = append(c.Ahead, s)
 		}
 	}
@@ -50,15 +50,15 @@
 	return m
 }
 
-// offers is true where a holder of held should be offered s.
-func offers(s, held Summary) bool {
+// shouldOffer is true where a holder of held should be offered s.
+func shouldOffer(s, held Summary) bool {
 	return s.Generation > held.Generation || s.Generation == held.Generation && s.Digest != held.Digest
 }
 
-func (f *ActiveSet) hasRefused(s Summary) bool {
+func (f *ActiveSet) wasRefused(s Summary) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.refused[s.Service] == s
+	return f.lastRefused[s.Service] == s
 }
 
 // NewerThan returns the versions in force that a peer with the given versions
--- a/document/fake_test.go
+++ b/document/fake_test.go
@@ -11,30 +11,30 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// fault is what happens to one swap.
-type fault int
+// swapFault is what happens to one swap.
+type swapFault int
 
 const (
-	none           fault = iota
-	lostAfter            // takes effect, the reply is lost
-	lostBefore           // never arrives, the caller cannot tell
-	lostAndDelayed       // the reply is lost; takes effect before one of the next calls
+	noFault             swapFault = iota
+	replyLost                     // takes effect, the reply is lost
+	requestLost                   // never arrives, the caller cannot tell
+	replyLostAndDelayed           // the reply is lost; takes effect before one of the next calls
 )
 
 // fakeStore is the platform's store with faults, without leases.
 type fakeStore struct {
 	store.Store // nil: leases are not used here
 
-	mu      sync.Mutex
-	source  uint64 // changes with each restore
-	rev     store.Revision
-	keys    map[string]store.KeyValue
-	events  []store.Event
-	floor   store.Revision // events up to it are compacted
-	changed chan struct{}  // closed at the next change
-	down    bool
-	next    func() fault // of each swap; nil for none
-	calls   int
+	mu                sync.Mutex
+	source            uint64 // changes with each restore
+	revision          store.Revision
+	keys              map[string]store.KeyValue
+	events            []store.Event
+	compactedRevision store.Revision // events up to it are compacted
+	changed           chan struct{}  // closed at the next change
+	down              bool
+	nextFault         func() swapFault // of each swap; nil for none
+	calls             int
 	// valuesRead counts the documents sent in answer to listings.
 	valuesRead int
 	delayed    []delayedSwap
@@ -44,35 +44,35 @@
 // delayedSwap takes effect when the store has taken so many calls.
 type delayedSwap struct {
 	store.Swap
-	at int
+	dueCall int
 }
 
-// maxDelay is how many calls a delayed swap is late by at most.
-const maxDelay = 4
+// maxDelayedCalls is how many calls a delayed swap is late by at most.
+const maxDelayedCalls = 4
 
 func newFakeStore() *fakeStore {
 	return &fakeStore{keys: map[string]store.KeyValue{}, changed: make(chan struct{})}
 }
 
-// backup is a copy of the store at one moment.
-type backup struct {
-	rev  store.Revision
-	keys map[string]store.KeyValue
+// storeBackup is a copy of the store at one moment.
+type storeBackup struct {
+	revision store.Revision
+	keys     map[string]store.KeyValue
 }
 
-func (s *fakeStore) backup() backup {
+func (s *fakeStore) backup() storeBackup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return backup{rev: s.rev, keys: maps.Clone(s.keys)}
+	return storeBackup{revision: s.revision, keys: maps.Clone(s.keys)}
 }
 
-func (s *fakeStore) restore(b backup) {
+func (s *fakeStore) restore(b storeBackup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.source++
-	s.rev, s.keys, s.delayed = b.rev, maps.Clone(b.keys), nil
-	s.events, s.floor = nil, b.rev
-	s.signal()
+	s.revision, s.keys, s.delayed = b.revision, maps.Clone(b.keys), nil
+	s.events, s.compactedRevision = nil, b.revision
+	s.notifyWatches()
 }
 
 // counts returns how many calls came, and how many documents listings sent.
@@ -88,7 +88,7 @@
 	s.down = down
 }
 
-func (s *fakeStore) signal() {
+func (s *fakeStore) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -97,27 +97,27 @@
 	if s.keys[w.Key].Mod != w.Expect {
 		return false
 	}
-	s.rev++
-	kv := store.KeyValue{Key: w.Key, Value: w.Value, Mod: s.rev}
+	s.revision++
+	kv := store.KeyValue{Key: w.Key, Value: w.Value, Mod: s.revision}
 	s.keys[w.Key] = kv
 	s.events = append(s.events, store.Event{KeyValue: kv})
-	s.signal()
+	s.notifyWatches()
 	return true
 }
 
-// travel takes virtual time, so that calls of several callers interleave.
-func (s *fakeStore) travel() {
+// simulateLatency takes virtual time, so that calls of several callers interleave.
+func (s *fakeStore) simulateLatency() {
 	s.mu.Lock()
 	d := s.latency * time.Duration(1+s.calls%3)
 	s.mu.Unlock()
 	time.Sleep(d)
 }
 
-// enter lets delayed writes arrive, then reports an outage.
-func (s *fakeStore) enter(ctx context.Context) error {
+// beginCall lets delayed writes arrive, then reports an outage.
+func (s *fakeStore) beginCall(ctx context.Context) error {
 	s.calls++
 	s.delayed = slices.DeleteFunc(s.delayed, func(d delayedSwap) bool {
-		due := d.at <= s.calls
+		due := d.dueCall <= s.calls
 		if due {
 			s.swap(d.Swap)
 		}
@@ -130,10 +130,10 @@
 }
 
 func (s *fakeStore) Get(ctx context.Context, key string) (store.KeyValue, bool, error) {
-	s.travel()
+	s.simulateLatency()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.enter(ctx); err != nil {
+	if err := s.beginCall(ctx); err != nil {
 		return store.KeyValue{}, false, err
 	}
 	kv, ok := s.keys[key]
@@ -143,10 +143,10 @@
 func (s *fakeStore) List(ctx context.Context, prefix string) (store.Snapshot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.enter(ctx); err != nil {
+	if err := s.beginCall(ctx); err != nil {
 		return store.Snapshot{}, err
 	}
-	snapshot := store.Snapshot{At: s.rev, Source: s.source}
+	snapshot := store.Snapshot{At: s.revision, Source: s.source}
 	for key, kv := range s.keys {
 		if strings.HasPrefix(key, prefix) {
 			snapshot.Keys = append(snapshot.Keys, kv)
@@ -168,27 +168,27 @@
 }
 
 func (s *fakeStore) Commit(ctx context.Context, swaps []store.Swap) ([]store.SwapResult, error) {
-	s.travel()
+	s.simulateLatency()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.enter(ctx); err != nil {
+	if err := s.beginCall(ctx); err != nil {
 		return nil, err
 	}
 	results := make([]store.SwapResult, len(swaps))
 	for i, w := range swaps {
-		f := none
-		if s.next != nil {
-			f = s.next()
+		f := noFault
+		if s.nextFault != nil {
+			f = s.nextFault()
 		}
-		results[i].Unknown = f != none
+		results[i].Unknown = f != noFault
 		switch f {
-		case none:
+		case noFault:
 			results[i].Swapped = s.swap(w)
 			results[i].Current = s.keys[w.Key]
-		case lostAfter:
+		case replyLost:
 			s.swap(w)
-		case lostAndDelayed:
-			s.delayed = append(s.delayed, delayedSwap{Swap: w, at: s.calls + 1 + s.calls%maxDelay})
+		case replyLostAndDelayed:
+			s.delayed = append(s.delayed, delayedSwap{Swap: w, dueCall: s.calls + 1 + s.calls%maxDelayedCalls})
 		}
 	}
 	return results, nil
@@ -197,14 +197,14 @@
 func (s *fakeStore) Watch(ctx context.Context, prefix string, from store.Revision, deliver func(store.WatchBatch)) error {
 	for {
 		s.mu.Lock()
-		changed, compacted := s.changed, from <= s.floor
+		changed, compacted := s.changed, from <= s.compactedRevision
 		var batch store.WatchBatch
 		for _, e := range s.events {
 			if e.Mod >= from && strings.HasPrefix(e.Key, prefix) {
 				batch.Events = append(batch.Events, e)
 			}
 		}
-		batch.At = s.rev
+		batch.At = s.revision
 		s.mu.Unlock()
 		if compacted {
 			return store.ErrCompacted
--- a/document/feeder.go
+++ b/document/feeder.go
@@ -29,8 +29,8 @@
 
 // Bounds of what a Feeder keeps and asks at once.
 const (
-	maxPeersKnown  = 64
-	maxAskedAtOnce = 4
+	maxPeers         = 64
+	maxPeersPerRound = 4
 )
 
 // Syncer decides from where a process takes its documents, when they are
@@ -49,29 +49,29 @@
 // An answer counts only while it is fresh. A late one, asked for by an earlier
 // incarnation of this process, shows what the peer held long ago.
 type Syncer struct {
-	config  SyncerConfig
-	inForce *ActiveSet
-
-	started   time.Time
-	storeSeen bool
-	peers     []string
-	confirmed map[string]bool // peers that answered, are ready and have nothing we lack
-	ready     bool
-	askAt     time.Time
-	rounds    int // of asking
-	asked     int // rotates over the peers
-	listAt    time.Time
+	config SyncerConfig
+	active *ActiveSet
+
+	startedAt   time.Time
+	storeListed bool
+	peers       []string
+	confirmed   map[string]bool // peers that answered, are ready and have nothing we lack
+	ready       bool
+	nextQueryAt time.Time
+	queryRounds int // of asking
+	nextPeer    int // rotates over the peers
+	nextListAt  time.Time
 }
 
 // NewSyncer returns a Feeder that is not ready.
 func NewSyncer(now time.Time, config SyncerConfig, inForce *ActiveSet) *Syncer {
 	return &Syncer{
-		config:    config,
-		inForce:   inForce,
-		started:   now,
-		confirmed: map[string]bool{},
-		askAt:     now,
-		listAt:    now.Add(config.ListPeriod),
+		config:      config,
+		active:      inForce,
+		startedAt:   now,
+		confirmed:   map[string]bool{},
+		nextQueryAt: now,
+		nextListAt:  now.Add(config.ListPeriod),
 	}
 }
 
@@ -85,26 +85,26 @@
 	var actions []SyncerAction
 	switch e := event.(type) {
 	case StoreListed:
-		actions = f.listed(now, e)
+		actions = f.handleStoreListed(now, e)
 	case StoreChanged:
-		if f.inForce.Update(now, e.Document.Version) != UpdateRefused {
-			f.changed(now, e.Document.Version)
+		if f.active.Update(now, e.Document.Version) != UpdateRefused {
+			f.relistIfStale(now, e.Document.Version)
 		}
 	case StoreDeleted:
-		f.changed(now, Version{Service: e.Service})
+		f.relistIfStale(now, Version{Service: e.Service})
 	case PeersUpdated:
-		f.peers = e.PeerIDs[:min(len(e.PeerIDs), maxPeersKnown)]
+		f.peers = e.PeerIDs[:min(len(e.PeerIDs), maxPeers)]
 	case PeerAnswered:
-		f.peerAnswered(now, e)
+		f.handlePeerAnswered(now, e)
 	case StoreFailed, SyncerTick:
 	}
-	actions = append(actions, f.becomeReady(now)...)
-	return append(actions, f.due(now)...)
+	actions = append(actions, f.checkReady(now)...)
+	return append(actions, f.dueActions(now)...)
 }
 
-func (f *Syncer) listed(now time.Time, e StoreListed) []SyncerAction {
-	f.storeSeen = true
-	f.listAt = now.Add(f.config.ListPeriod)
+func (f *Syncer) handleStoreListed(now time.Time, e StoreListed) []SyncerAction {
+	f.storeListed = true
+	f.nextListAt = now.Add(f.config.ListPeriod)
 	var actions []SyncerAction
 	listed := map[string]bool{}
 	for _, service := range e.Unreadable {
@@ -112,66 +112,66 @@
 	}
 	for _, d := range e.Documents {
 		listed[d.Version.Service] = true
-		if f.inForce.Update(now, d.Version) != UpdateRefused {
-			actions = append(actions, f.repair(now, d)...)
+		if f.active.Update(now, d.Version) != UpdateRefused {
+			actions = append(actions, f.writeBackIfStale(now, d)...)
 		}
 	}
-	for _, h := range f.inForce.All() {
+	for _, h := range f.active.All() {
 		if service := h.Version.Service; !listed[service] {
-			actions = append(actions, f.repair(now, StoredVersion{Version: Version{Service: service}})...)
+			actions = append(actions, f.writeBackIfStale(now, StoredVersion{Version: Version{Service: service}})...)
 		}
 	}
 	return actions
 }
 
-// changed brings a listing forward where a watch shows less than this process
+// relistIfStale brings a listing forward where a watch shows less than this process
 // holds. It does not repair by itself: a restored store counts its revisions
 // again from the backup, so that an old event can name the revision of a newer
 // write, and a compare-and-swap on it would remove that write. A listing is
 // read now.
-func (f *Syncer) changed(now time.Time, v Version) {
-	h, ok := f.inForce.Current(v.Service)
+func (f *Syncer) relistIfStale(now time.Time, v Version) {
+	h, ok := f.active.Current(v.Service)
 	if ok && h.Version.Generation > v.Generation {
-		f.listAt = now
+		f.nextListAt = now
 	}
 }
 
-// repair writes back where a listing shows less than this process holds, once
+// writeBackIfStale writes back where a listing shows less than this process holds, once
 // it was offered what the store holds. It guards against a store restored from
 // a backup, which shows as a lower generation than the one in force, or none.
-func (f *Syncer) repair(now time.Time, d StoredVersion) []SyncerAction {
-	h, ok := f.inForce.Current(d.Version.Service)
+func (f *Syncer) writeBackIfStale(now time.Time, d StoredVersion) []SyncerAction {
+	h, ok := f.active.Current(d.Version.Service)
 	if !ok || h.Version.Generation <= d.Version.Generation {
 		return nil
 	}
-	if at := now.Add(f.config.WriteBackCheckDelay); at.Before(f.listAt) {
-		f.listAt = at // to see whether it held
+	if at := now.Add(f.config.WriteBackCheckDelay); at.Before(f.nextListAt) {
+		f.nextListAt = at // to see whether it held
 	}
 	return []SyncerAction{WriteBack{Version: h.Version, Expect: d.Revision, Replaced: d.Version}}
 }
 
-func (f *Syncer) peerAnswered(now time.Time, e PeerAnswered) {
+func (f *Syncer) handlePeerAnswered(now time.Time, e PeerAnswered) {
 	for _, v := range e.Versions {
-		f.inForce.Update(now, v)
+		f.active.Update(now, v)
 	}
-	fresh := !e.QueriedAt.Before(f.started) && now.Sub(e.QueriedAt) <= f.config.MaxAnswerAge
+	fresh := !e.QueriedAt.Before(f.startedAt) && now.Sub(e.QueriedAt) <= f.config.MaxAnswerAge
 	if !e.Ready || !fresh {
 		return
 	}
-	if len(f.inForce.Missing(e.Summaries)) == 0 && len(f.confirmed) < maxPeersKnown {
+	if len(f.active.Missing(e.Summaries)) == 0 && len(f.confirmed) < maxPeers {
 		f.confirmed[e.Peer] = true
 	}
 }
 
-func (f *Syncer) becomeReady(now time.Time) []SyncerAction {
+func (f *Syncer) checkReady(now time.Time) []SyncerAction {
 	if f.ready {
 		return nil
 	}
-	waited := f.waited(now)
+	waited := f.queriesExhausted(now)
 	source := ConfirmedByStore
 	switch {
-	case f.storeSeen && (len(f.confirmed) > 0 || waited):
-	case f.confirmedByPeers(waited):
+	case f.storeListed && (len(f.confirmed) > 0 || waited):
+	case f.hasEnoughPeers(waited):
 		source = ConfirmedByPeers
 	default:
 		return nil
@@ -180,17 +180,17 @@
 	return []SyncerAction{MarkReady{Source: source}}
 }
 
-// waited is true where peers had their chance to answer: enough rounds, the
+// queriesExhausted is true where peers had their chance to answer: enough rounds, the
 // last of them a short while ago.
-func (f *Syncer) waited(now time.Time) bool {
-	since := now.Sub(f.askAt.Add(-f.config.QueryPeriod))
-	return f.rounds >= f.config.QueryRounds && since >= f.config.QueryPeriod && since <= f.config.MaxAnswerAge
+func (f *Syncer) queriesExhausted(now time.Time) bool {
+	since := now.Sub(f.nextQueryAt.Add(-f.config.QueryPeriod))
+	return f.queryRounds >= f.config.QueryRounds && since >= f.config.QueryPeriod && since <= f.config.MaxAnswerAge
 }
 
-// confirmedByPeers needs Confirmations answers, or as many as peers are known
+// hasEnoughPeers needs Confirmations answers, or as many as peers are known
 // where these are fewer after AskRounds. A process without peers is not
 // confirmed.
-func (f *Syncer) confirmedByPeers(waited bool) bool {
+func (f *Syncer) hasEnoughPeers(waited bool) bool {
 	need := f.config.RequiredConfirmations
 	if waited {
 		need = min(need, max(len(f.peers), 1))
@@ -198,33 +198,33 @@
 	return len(f.confirmed) >= need
 }
 
-// due returns the actions whose time has come.
-func (f *Syncer) due(now time.Time) []SyncerAction {
+// dueActions returns the actions whose time has come.
+func (f *Syncer) dueActions(now time.Time) []SyncerAction {
 	var actions []SyncerAction
-	if !f.ready && !now.Before(f.askAt) {
-		f.askAt = now.Add(f.config.QueryPeriod)
-		f.rounds++
-		if ids := f.nextPeers(); len(ids) > 0 {
+	if !f.ready && !now.Before(f.nextQueryAt) {
+		f.nextQueryAt = now.Add(f.config.QueryPeriod)
+		f.queryRounds++
+		if ids := f.nextPeersToQuery(); len(ids) > 0 {
 			actions = append(actions, QueryPeers{PeerIDs: ids})
 		}
 	}
-	if f.config.ReadsStore && f.storeSeen && !now.Before(f.listAt) {
-		f.listAt = now.Add(f.config.ListPeriod)
+	if f.config.ReadsStore && f.storeListed && !now.Before(f.nextListAt) {
+		f.nextListAt = now.Add(f.config.ListPeriod)
 		actions = append(actions, ListStore{})
 	}
 	return actions
 }
 
-// nextPeers returns a few peers that have not confirmed yet, in turn.
-func (f *Syncer) nextPeers() []string {
+// nextPeersToQuery returns a few peers that have not confirmed yet, in turn.
+func (f *Syncer) nextPeersToQuery() []string {
 	var ids []string
 	for range f.peers {
-		id := f.peers[f.asked%len(f.peers)]
-		f.asked++
+		id := f.peers[f.nextPeer%len(f.peers)]
+		f.nextPeer++
 		if !f.confirmed[id] {
 			ids = append(ids, id)
 		}
-		if len(ids) == maxAskedAtOnce {
+		if len(ids) == maxPeersPerRound {
 			break
 		}
 	}
--- a/document/feeder_action.go
+++ b/document/feeder_action.go
@@ -3,7 +3,7 @@
 import "github.com/eelgrasshub/eelgrasshub/store"
 
 // SyncerAction is what a Feeder asks its shell to do.
-type SyncerAction interface{ feederAction() }
+type SyncerAction interface{ syncerAction() }
 
 // ListStore asks for a new listing, followed by a watch from it.
 type ListStore struct{}
@@ -23,10 +23,10 @@
 	Replaced Version // what the store holds; zero where it holds none
 }
 
-func (ListStore) feederAction()  {}
-func (QueryPeers) feederAction() {}
-func (MarkReady) feederAction()  {}
-func (WriteBack) feederAction()  {}
+func (ListStore) syncerAction()  {}
+func (QueryPeers) syncerAction() {}
+func (MarkReady) syncerAction()  {}
+func (WriteBack) syncerAction()  {}
 
 // ConfirmationSource is who confirmed a fresh process's configuration.
 type ConfirmationSource string
--- a/document/feeder_event.go
+++ b/document/feeder_event.go
@@ -3,7 +3,7 @@
 import "time"
 
 // SyncerEvent is what a Feeder is told.
-type SyncerEvent interface{ feederEvent() }
+type SyncerEvent interface{ syncerEvent() }
 
 // StoreListed: a full listing of the documents arrived. Unreadable names the
 // services whose stored value this binary cannot read; it is left alone.
@@ -37,10 +37,10 @@
 // SyncerTick lets time pass. Send one several times a second.
 type SyncerTick struct{}
 
-func (StoreListed) feederEvent()  {}
-func (StoreChanged) feederEvent() {}
-func (StoreDeleted) feederEvent() {}
-func (StoreFailed) feederEvent()  {}
-func (PeersUpdated) feederEvent() {}
-func (PeerAnswered) feederEvent() {}
-func (SyncerTick) feederEvent()   {}
+func (StoreListed) syncerEvent()  {}
+func (StoreChanged) syncerEvent() {}
+func (StoreDeleted) syncerEvent() {}
+func (StoreFailed) syncerEvent()  {}
+func (PeersUpdated) syncerEvent() {}
+func (PeerAnswered) syncerEvent() {}
+func (SyncerTick) syncerEvent()   {}
--- a/document/feeder_test.go
+++ b/document/feeder_test.go
@@ -9,39 +9,39 @@
 	"github.com/eelgrasshub/eelgrasshub/document"
 )
 
-// script drives one fresh Feeder in virtual time and keeps its actions.
-type script struct {
+// syncerTest drives one fresh Feeder in virtual time and keeps its actions.
+type syncerTest struct {
 	now     time.Time
-	inForce *document.ActiveSet
-	feeder  *document.Syncer
+	active  *document.ActiveSet
+	syncer  *document.Syncer
 	actions []document.SyncerAction
 }
 
-func newScript(store bool) *script {
-	s := &script{now: time.Unix(100, 0), inForce: document.NewActiveSet(nil)}
-	s.feeder = document.NewSyncer(s.now, document.DefaultSyncerConfig(store), s.inForce)
+func newSyncerTest(store bool) *syncerTest {
+	s := &syncerTest{now: time.Unix(100, 0), active: document.NewActiveSet(nil)}
+	s.syncer = document.NewSyncer(s.now, document.DefaultSyncerConfig(store), s.active)
 	return s
 }
 
-func (s *script) step(event document.SyncerEvent) []document.SyncerAction {
+func (s *syncerTest) handle(event document.SyncerEvent) []document.SyncerAction {
 	if a, ok := event.(document.PeerAnswered); ok && a.QueriedAt.IsZero() {
 		a.QueriedAt = s.now
 		event = a
 	}
-	actions := s.feeder.HandleEvent(s.now, event)
+	actions := s.syncer.HandleEvent(s.now, event)
 	s.actions = append(s.actions, actions...)
 	return actions
 }
 
-func (s *script) wait(d time.Duration) {
+func (s *syncerTest) advance(d time.Duration) {
 	const tick = 200 * time.Millisecond
 	for ; d > 0; d -= tick {
 		s.now = s.now.Add(min(d, tick))
-		s.step(document.SyncerTick{})
+		s.handle(document.SyncerTick{})
 	}
 }
 
-func answer(peer string, ready bool, versions ...document.Version) document.PeerAnswered {
+func peerAnswer(peer string, ready bool, versions ...document.Version) document.PeerAnswered {
 	a := document.PeerAnswered{Peer: peer, Ready: ready, Versions: versions}
 	for _, v := range versions {
 		a.Summaries = append(a.Summaries, v.Summary())
@@ -49,8 +49,8 @@
 	return a
 }
 
-func (s *script) generation() uint64 {
-	h, ok := s.inForce.Current("dispatch")
+func (s *syncerTest) generation() uint64 {
+	h, ok := s.active.Current("dispatch")
 	if !ok {
 		return 0
 	}
@@ -60,96 +60,96 @@
 // A process starts while the store is out. The first peer to answer has an old
 // copy, the second the current one. Ready after the first, it would serve with
 // a configuration that everyone else has left behind.
-func TestFreshProcessDuringOutageAsksSeveralPeers(t *testing.T) {
+func TestReadyDuringOutageNeedsSeveralPeers(t *testing.T) {
 	c := qt.New(t)
-	s := newScript(true)
-	s.step(document.StoreFailed{})
-	s.step(document.PeersUpdated{PeerIDs: []string{"a", "b", "c"}})
-	s.step(answer("a", true, version(6, "old")))
-	s.wait(10 * time.Second)
-	c.Assert(s.feeder.Ready(), qt.IsFalse)
-	s.step(answer("b", true, version(7, "current")))
-	c.Assert(s.feeder.Ready(), qt.IsTrue)
+	s := newSyncerTest(true)
+	s.handle(document.StoreFailed{})
+	s.handle(document.PeersUpdated{PeerIDs: []string{"a", "b", "c"}})
+	s.handle(peerAnswer("a", true, version(6, "old")))
+	s.advance(10 * time.Second)
+	c.Assert(s.syncer.Ready(), qt.IsFalse)
+	s.handle(peerAnswer("b", true, version(7, "current")))
+	c.Assert(s.syncer.Ready(), qt.IsTrue)
 	c.Assert(s.generation(), qt.Equals, uint64(7))
 	c.Assert(s.actions[len(s.actions)-1], qt.Equals, document.SyncerAction(document.MarkReady{Source: document.ConfirmedByPeers}))
 }
 
 // All processes start at once while the store is out. Each asks the others,
 // who know nothing: none may become ready.
-func TestFreshPeersConfirmNothing(t *testing.T) {
+func TestUnreadyPeersDoNotConfirm(t *testing.T) {
 	c := qt.New(t)
-	s := newScript(true)
-	s.step(document.PeersUpdated{PeerIDs: []string{"a", "b"}})
-	s.step(answer("a", false))
-	s.step(answer("b", false, version(3, "unconfirmed")))
-	s.wait(time.Minute)
-	c.Assert(s.feeder.Ready(), qt.IsFalse)
-	s.step(document.StoreListed{})
-	s.wait(time.Second)
-	c.Assert(s.feeder.Ready(), qt.IsTrue)
-}
-
-func TestOnlyPeerIsEnoughWhereNoOtherIsKnown(t *testing.T) {
+	s := newSyncerTest(true)
+	s.handle(document.PeersUpdated{PeerIDs: []string{"a", "b"}})
+	s.handle(peerAnswer("a", false))
+	s.handle(peerAnswer("b", false, version(3, "unconfirmed")))
+	s.advance(time.Minute)
+	c.Assert(s.syncer.Ready(), qt.IsFalse)
+	s.handle(document.StoreListed{})
+	s.advance(time.Second)
+	c.Assert(s.syncer.Ready(), qt.IsTrue)
+}
+
+func TestSinglePeerConfirms(t *testing.T) {
 	c := qt.New(t)
-	s := newScript(false)
-	s.step(document.PeersUpdated{PeerIDs: []string{"a"}})
-	s.step(answer("a", true, version(3, "three")))
-	c.Assert(s.feeder.Ready(), qt.IsFalse) // others may become known yet
-	s.wait(4 * time.Second)
-	c.Assert(s.feeder.Ready(), qt.IsTrue)
+	s := newSyncerTest(false)
+	s.handle(document.PeersUpdated{PeerIDs: []string{"a"}})
+	s.handle(peerAnswer("a", true, version(3, "three")))
+	c.Assert(s.syncer.Ready(), qt.IsFalse) // others may become known yet
+	s.advance(4 * time.Second)
+	c.Assert(s.syncer.Ready(), qt.IsTrue)
 }
 
 // A process restarts. An answer that its earlier incarnation asked for arrives
 // with what the peer held long ago. Counted, it would confirm an old copy.
 func TestLateAnswerDoesNotConfirm(t *testing.T) {
 	c := qt.New(t)
-	s := newScript(false)
-	s.step(document.PeersUpdated{PeerIDs: []string{"a"}})
-	late := answer("a", true, version(3, "three"))
+	s := newSyncerTest(false)
+	s.handle(document.PeersUpdated{PeerIDs: []string{"a"}})
+	late := peerAnswer("a", true, version(3, "three"))
 	late.QueriedAt = s.now.Add(-time.Second)
-	s.step(late)
-	s.wait(time.Minute)
-	c.Assert(s.feeder.Ready(), qt.IsFalse)
+	s.handle(late)
+	s.advance(time.Minute)
+	c.Assert(s.syncer.Ready(), qt.IsFalse)
 	c.Assert(s.generation(), qt.Equals, uint64(3))
 }
 
 // A process is paused right after it read the store, which was restored. It
 // wakes long after, with no peer asked: time alone must not make it ready.
-func TestPausedAtStartStillAsks(t *testing.T) {
+func TestPauseAtStartDoesNotMakeReady(t *testing.T) {
 	c := qt.New(t)
-	s := newScript(true)
-	s.step(document.StoreListed{Documents: []document.StoredVersion{{Version: version(5, "five"), Revision: 9}}})
-	s.step(document.PeersUpdated{PeerIDs: []string{"a"}})
+	s := newSyncerTest(true)
+	s.handle(document.StoreListed{Documents: []document.StoredVersion{{Version: version(5, "five"), Revision: 9}}})
+	s.handle(document.PeersUpdated{PeerIDs: []string{"a"}})
 	s.now = s.now.Add(time.Hour)
-	actions := s.step(document.SyncerTick{})
-	c.Assert(s.feeder.Ready(), qt.IsFalse)
+	actions := s.handle(document.SyncerTick{})
+	c.Assert(s.syncer.Ready(), qt.IsFalse)
 	c.Assert(actions, qt.Contains, document.SyncerAction(document.ListStore{}))
 	c.Assert(s.actions, qt.Any(qt.DeepEquals), document.SyncerAction(document.QueryPeers{PeerIDs: []string{"a"}}))
 }
 
 // A peer announces a generation but its text does not fit into the answer, or
 // got lost. It has not confirmed what we hold.
-func TestAnswerWithoutItsTextDoesNotConfirm(t *testing.T) {
+func TestAnswerWithoutTextDoesNotConfirm(t *testing.T) {
 	c := qt.New(t)
-	s := newScript(false)
-	s.step(document.PeersUpdated{PeerIDs: []string{"a"}})
-	empty := answer("a", true, version(3, "three"))
+	s := newSyncerTest(false)
+	s.handle(document.PeersUpdated{PeerIDs: []string{"a"}})
+	empty := peerAnswer("a", true, version(3, "three"))
 	empty.Versions = nil
-	s.step(empty)
-	s.wait(time.Minute)
-	c.Assert(s.feeder.Ready(), qt.IsFalse)
+	s.handle(empty)
+	s.advance(time.Minute)
+	c.Assert(s.syncer.Ready(), qt.IsFalse)
 }
 
 // A fresh process reads a store that was restored from a backup, a moment
 // before a peer tells it the current generation.
-func TestFreshProcessWaitsForPeerBesidesStore(t *testing.T) {
+func TestReadyNeedsPeerBesidesStore(t *testing.T) {
 	c := qt.New(t)
-	s := newScript(true)
-	s.step(document.PeersUpdated{PeerIDs: []string{"a"}})
-	s.step(document.StoreListed{Documents: []document.StoredVersion{{Version: version(5, "five"), Revision: 9}}})
-	c.Assert(s.feeder.Ready(), qt.IsFalse)
-	s.step(answer("a", true, version(7, "seven")))
-	c.Assert(s.feeder.Ready(), qt.IsTrue)
+	s := newSyncerTest(true)
+	s.handle(document.PeersUpdated{PeerIDs: []string{"a"}})
+	s.handle(document.StoreListed{Documents: []document.StoredVersion{{Version: version(5, "five"), Revision: 9}}})
+	c.Assert(s.syncer.Ready(), qt.IsFalse)
+	s.handle(peerAnswer("a", true, version(7, "seven")))
+	c.Assert(s.syncer.Ready(), qt.IsTrue)
 	c.Assert(s.generation(), qt.Equals, uint64(7))
 }
 
@@ -179,20 +179,20 @@
 		{"it was restored again, to a higher earlier one", at(9, "before", -time.Second), "seven", 10, true},
 		{"it holds the same", held, "seven", 7, false},
 		{"it holds a successor", version(8, "eight"), "eight", 8, false},
-		{"it holds a newer format", newerFormat(9), "seven", 7, false},
-		{"it holds a newer format put since", newerFormat(7), "seven", 7, false},
+		{"it holds a newer format", unknownKeyVersion(9), "seven", 7, false},
+		{"it holds a newer format put since", unknownKeyVersion(7), "seven", 7, false},
 	} {
 		t.Run(test.story, func(t *testing.T) {
 			c := qt.New(t)
-			s := newScript(true)
-			s.inForce.Update(s.now, held)
-			s.wait(time.Second)
+			s := newSyncerTest(true)
+			s.active.Update(s.now, held)
+			s.advance(time.Second)
 			var listed document.StoreListed
 			if test.stored.Generation > 0 {
 				listed.Documents = []document.StoredVersion{{Version: test.stored, Revision: 4}}
 			}
-			actions := s.step(listed)
-			now, _ := s.inForce.Current("dispatch")
+			actions := s.handle(listed)
+			now, _ := s.active.Current("dispatch")
 			c.Assert(now.Version.Author, qt.Equals, test.author)
 			c.Assert(now.Document.Owner, qt.Equals, test.author)
 			c.Assert(now.Version.Generation, qt.Equals, test.generation)
@@ -209,32 +209,32 @@
 // A restored store counts its revisions again. An event from before the restore
 // names the revision that a newer write has now: written back on it, the old
 // version would replace the newer one. Only a listing repairs.
-func TestWatchAloneRepairsNothing(t *testing.T) {
+func TestWatchEventsDoNotWriteBack(t *testing.T) {
 	for _, event := range []document.SyncerEvent{
 		document.StoreChanged{Document: document.StoredVersion{Version: version(5, "five"), Revision: 4}},
 		document.StoreDeleted{Service: "dispatch"},
 	} {
 		c := qt.New(t)
-		s := newScript(true)
-		s.step(document.StoreListed{Documents: []document.StoredVersion{{Version: version(7, "seven"), Revision: 9}}})
+		s := newSyncerTest(true)
+		s.handle(document.StoreListed{Documents: []document.StoredVersion{{Version: version(7, "seven"), Revision: 9}}})
 		s.now = s.now.Add(time.Second)
-		c.Assert(s.step(event), qt.DeepEquals, []document.SyncerAction{document.ListStore{}})
+		c.Assert(s.handle(event), qt.DeepEquals, []document.SyncerAction{document.ListStore{}})
 	}
 }
 
 // A stored value that this binary cannot read may be of a newer one. It must
 // not be taken for a missing document and written over.
-func TestUnreadableDocumentIsLeftAlone(t *testing.T) {
+func TestUnreadableDocumentIsNotOverwritten(t *testing.T) {
 	c := qt.New(t)
-	s := newScript(true)
-	s.inForce.Update(s.now, version(7, "seven"))
-	c.Assert(s.step(document.StoreListed{Unreadable: []string{"dispatch"}}), qt.HasLen, 0)
+	s := newSyncerTest(true)
+	s.active.Update(s.now, version(7, "seven"))
+	c.Assert(s.handle(document.StoreListed{Unreadable: []string{"dispatch"}}), qt.HasLen, 0)
 }
 
-func TestStoreIsListedAgain(t *testing.T) {
+func TestStoreIsListedPeriodically(t *testing.T) {
 	c := qt.New(t)
-	s := newScript(true)
-	s.step(document.StoreListed{})
-	s.wait(11 * time.Second)
+	s := newSyncerTest(true)
+	s.handle(document.StoreListed{})
+	s.advance(11 * time.Second)
 	c.Assert(s.actions, qt.Contains, document.SyncerAction(document.ListStore{}))
 }
--- a/document/fleet_model_test.go
+++ b/document/fleet_model_test.go
@@ -13,109 +13,109 @@
 )
 
 const (
-	processes  = 4
-	fleetSteps = 250
+	processCount    = 4
+	simulationSteps = 250
 )
 
 // process is one incarnation: its floor is lost with it.
 type process struct {
 	id      string
-	inForce *document.ActiveSet
-	feeder  *document.Syncer
-	floor   uint64 // highest generation seen in force here
+	active  *document.ActiveSet
+	syncer  *document.Syncer
+	highest uint64 // highest generation seen in force here
 }
 
-// held is a generation that all ready processes held at one time.
-type held struct {
+// commonGeneration is a generation that all ready processes commonGeneration at one time.
+type commonGeneration struct {
 	generation uint64
 	at         time.Time
 }
 
-// fleet is a store, processes around it and operators, in virtual time.
-type fleet struct {
-	c         *qt.C
-	rng       *rand.Rand
-	seed      uint64
-	store     *fakeStore
-	procs     []*process
-	backups   []backup
-	answers   []document.PeerAnswered  // on their way, perhaps late
-	old       []document.StoredVersion // what a watch may deliver again
-	acked     document.Version         // the latest that an operator was told success for
-	puts      int
-	writeBack int
-	everyone  []held // what all ready processes held, by time
+// simulation is a store, processes around it and operators, in virtual time.
+type simulation struct {
+	c                 *qt.C
+	rng               *rand.Rand
+	seed              uint64
+	store             *fakeStore
+	processes         []*process
+	backups           []storeBackup
+	delayedAnswers    []document.PeerAnswered  // on their way, perhaps late
+	oldEvents         []document.StoredVersion // what a watch may deliver again
+	lastAcknowledged  document.Version         // the latest that an operator was told success for
+	puts              int
+	writeBacks        int
+	commonGenerations []commonGeneration // what all ready processes held, by time
 }
 
-func newFleet(c *qt.C, seed uint64) *fleet {
-	f := &fleet{c: c, rng: rand.New(rand.NewPCG(seed, 7)), seed: seed, store: newFakeStore()}
-	f.store.next = func() fault {
+func newSimulation(c *qt.C, seed uint64) *simulation {
+	f := &simulation{c: c, rng: rand.New(rand.NewPCG(seed, 7)), seed: seed, store: newFakeStore()}
+	f.store.nextFault = func() swapFault {
 		if f.rng.IntN(4) > 0 {
-			return none
+			return noFault
 		}
-		return fault(1 + f.rng.IntN(3))
+		return swapFault(1 + f.rng.IntN(3))
 	}
-	f.procs = make([]*process, processes)
-	for i := range processes {
+	f.processes = make([]*process, processCount)
+	for i := range processCount {
 		f.start(i)
 	}
 	return f
 }
 
-func (f *fleet) start(i int) {
-	p := &process{id: fmt.Sprint("p", i), inForce: document.NewActiveSet(nil)}
-	p.feeder = document.NewSyncer(time.Now(), document.DefaultSyncerConfig(true), p.inForce)
-	f.procs[i] = p
+func (f *simulation) start(i int) {
+	p := &process{id: fmt.Sprint("p", i), active: document.NewActiveSet(nil)}
+	p.syncer = document.NewSyncer(time.Now(), document.DefaultSyncerConfig(true), p.active)
+	f.processes[i] = p
 	var others []string
-	for j := range processes {
+	for j := range processCount {
 		if j != i {
 			others = append(others, fmt.Sprint("p", j))
 		}
 	}
-	f.feed(p, document.PeersUpdated{PeerIDs: others})
+	f.handle(p, document.PeersUpdated{PeerIDs: others})
 }
 
-func (f *fleet) generation(p *process) uint64 {
-	h, ok := p.inForce.Current("dispatch")
+func (f *simulation) generation(p *process) uint64 {
+	h, ok := p.active.Current("dispatch")
 	if !ok {
 		return 0
 	}
 	return h.Version.Generation
 }
 
-// feed steps a process and checks it.
-func (f *fleet) feed(p *process, event document.SyncerEvent) {
-	for _, action := range p.feeder.HandleEvent(time.Now(), event) {
+// handle steps a process and checks it.
+func (f *simulation) handle(p *process, event document.SyncerEvent) {
+	for _, action := range p.syncer.HandleEvent(time.Now(), event) {
 		switch a := action.(type) {
 		case document.WriteBack:
-			f.repair(a)
+			f.writeBack(a)
 		case document.MarkReady:
 			f.checkReady(p, a.Source)
 		case document.QueryPeers:
 			for _, id := range a.PeerIDs {
-				f.ask(p, f.procs[int(id[1]-'0')], false)
+				f.query(p, f.processes[int(id[1]-'0')], false)
 			}
 		}
 	}
 	g := f.generation(p)
-	f.c.Assert(g >= p.floor, qt.IsTrue, qt.Commentf("seed %d: %s went from generation %d back to %d", f.seed, p.id, p.floor, g))
-	p.floor = g
+	f.c.Assert(g >= p.highest, qt.IsTrue, qt.Commentf("seed %d: %s went from generation %d back to %d", f.seed, p.id, p.highest, g))
+	p.highest = g
 }
 
-func (f *fleet) repair(a document.WriteBack) {
+func (f *simulation) writeBack(a document.WriteBack) {
 	value, err := a.Version.Marshal()
 	f.c.Assert(err, qt.IsNil)
 	swap := store.Swap{Key: document.StoreKey("dispatch"), Expect: a.Expect, Value: value}
 	results, err := f.store.Commit(context.Background(), []store.Swap{swap})
 	if err == nil && results[0].Swapped {
-		f.writeBack++
+		f.writeBacks++
 	}
 }
 
-func (f *fleet) list(p *process) {
+func (f *simulation) list(p *process) {
 	snapshot, err := f.store.List(context.Background(), document.StoreKeyPrefix)
 	if err != nil {
-		f.feed(p, document.StoreFailed{})
+		f.handle(p, document.StoreFailed{})
 		return
 	}
 	var l document.StoreListed
@@ -124,30 +124,30 @@
 		f.c.Assert(err, qt.IsNil)
 		l.Documents = append(l.Documents, document.StoredVersion{Version: v, Revision: kv.Mod})
 	}
-	f.old = append(f.old, l.Documents...)
-	f.feed(p, l)
+	f.oldEvents = append(f.oldEvents, l.Documents...)
+	f.handle(p, l)
 }
 
-// ask lets from answer; the answer arrives now, or joins those on their way.
-func (f *fleet) ask(to, from *process, late bool) {
+// query lets from answer; the answer arrives now, or joins those on their way.
+func (f *simulation) query(to, from *process, late bool) {
 	if from == nil || to == from {
 		return
 	}
 	a := document.PeerAnswered{
 		Peer:      from.id,
 		QueriedAt: time.Now(),
-		Ready:     from.feeder.Ready(),
-		Summaries: from.inForce.Summaries(),
-		Versions:  from.inForce.NewerThan(to.inForce.Summaries(), 1),
+		Ready:     from.syncer.Ready(),
+		Summaries: from.active.Summaries(),
+		Versions:  from.active.NewerThan(to.active.Summaries(), 1),
 	}
 	if late {
-		f.answers = append(f.answers, a)
+		f.delayedAnswers = append(f.delayedAnswers, a)
 		return
 	}
-	f.feed(to, a)
+	f.handle(to, a)
 }
 
-func (f *fleet) put() {
+func (f *simulation) put() {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	base, _, err := document.Get(ctx, f.store, "dispatch")
@@ -157,13 +157,13 @@
 	f.puts++
 	p := proposal(fmt.Sprint("put", f.puts), base.Generation)
 	if f.rng.IntN(2) == 0 { // this operator reaches a process
-		p.ActiveGeneration = f.generation(f.pick())
+		p.ActiveGeneration = f.generation(f.randomProcess())
 	}
 	if v, err := document.Put(ctx, f.store, p); err == nil {
-		f.acked = v
+		f.lastAcknowledged = v
 	}
 }
 
-func (f *fleet) pick() *process {
-	return f.procs[f.rng.IntN(processes)]
+func (f *simulation) randomProcess() *process {
+	return f.processes[f.rng.IntN(processCount)]
 }
--- a/document/follow.go
+++ b/document/follow.go
@@ -9,32 +9,32 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// follow lists and watches until the Watcher ends. Each watch lasts until the
+// followStore lists and watches until the Watcher ends. Each watch lasts until the
 // next listing is due: a watch whose connection went silent, or whose revision
 // a restored store has not reached again, would wait for good.
-func (w *Watcher) follow() error {
+func (w *Watcher) followStore() error {
 	for w.tomb.Alive() {
-		err := w.session()
+		err := w.listAndWatch()
 		if !w.tomb.Alive() || err == nil {
 			continue
 		}
 		if !errors.Is(err, store.ErrCompacted) {
-			w.failures.Add(1)
-			w.step(StoreFailed{})
-			w.setReachable(false)
+			w.storeFailures.Add(1)
+			w.handleEvent(StoreFailed{})
+			w.setStoreReachable(false)
 		}
-		w.sleep(retryPause + rand.N(retryPause))
+		w.sleep(retryDelay + rand.N(retryDelay))
 	}
 	return nil
 }
 
-// setReachable logs a change. Only the goroutine of follow calls it.
-func (w *Watcher) setReachable(now bool) {
-	if now == !w.out {
+// setStoreReachable logs a change. Only the goroutine of follow calls it.
+func (w *Watcher) setStoreReachable(now bool) {
+	if now == !w.storeDown {
 		return
 	}
-	w.out = !now
-	if w.out {
+	w.storeDown = !now
+	if w.storeDown {
 		w.log.Warn("store of documents not reachable, the documents held stay in force")
 		return
 	}
@@ -48,20 +48,20 @@
 	}
 }
 
-// session lists once and watches until a listing is due. It returns nil when
+// listAndWatch lists once and watches until a listing is due. It returns nil when
 // it ended for that reason.
-func (w *Watcher) session() error {
+func (w *Watcher) listAndWatch() error {
 	ctx, cancel := context.WithCancel(w.tomb.Context(context.Background()))
 	defer cancel()
 	snapshot, err := w.lister.list(ctx)
 	if err != nil {
 		return err
 	}
-	w.setReachable(true)
-	w.step(w.listing(snapshot))
+	w.setStoreReachable(true)
+	w.handleEvent(w.decodeSnapshot(snapshot))
 	done := make(chan error, 1)
 	w.tomb.Go(func() error {
-		done <- w.store.Watch(ctx, StoreKeyPrefix, snapshot.At+1, w.deliver)
+		done <- w.store.Watch(ctx, StoreKeyPrefix, snapshot.At+1, w.handleWatchBatch)
 		return nil
 	})
 	select {
@@ -74,10 +74,10 @@
 	}
 }
 
-func (w *Watcher) listing(s store.Snapshot) StoreListed {
+func (w *Watcher) decodeSnapshot(s store.Snapshot) StoreListed {
 	var l StoreListed
 	for _, kv := range s.Keys {
-		d, ok := w.read(kv)
+		d, ok := w.decode(kv)
 		if !ok {
 			l.Unreadable = append(l.Unreadable, kv.Key[len(StoreKeyPrefix):])
 			continue
@@ -87,22 +87,22 @@
 	return l
 }
 
-func (w *Watcher) deliver(b store.WatchBatch) {
-	w.lister.changed(b)
+func (w *Watcher) handleWatchBatch(b store.WatchBatch) {
+	w.lister.applyWatchBatch(b)
 	for _, e := range b.Events {
 		if e.Deleted {
-			w.step(StoreDeleted{Service: e.Key[len(StoreKeyPrefix):]})
+			w.handleEvent(StoreDeleted{Service: e.Key[len(StoreKeyPrefix):]})
 			continue
 		}
-		if d, ok := w.read(e.KeyValue); ok {
-			w.step(StoreChanged{Document: d})
+		if d, ok := w.decode(e.KeyValue); ok {
+			w.handleEvent(StoreChanged{Document: d})
 		}
 	}
 }
 
-// read skips what is not a version: it is not ours to repair.
-func (w *Watcher) read(kv store.KeyValue) (StoredVersion, bool) {
-	d, err := stored(kv)
+// decode skips what is not a version: it is not ours to repair.
+func (w *Watcher) decode(kv store.KeyValue) (StoredVersion, bool) {
+	d, err := decodeStored(kv)
 	if err != nil {
 		w.unreadable.Add(1)
 		return StoredVersion{}, false
--- a/document/fork.go
+++ b/document/fork.go
@@ -1,6 +1,6 @@
 package document
 
-// relate decides on an offered version by generation and time alone.
+// compareVersions decides on an offered version by generation and time alone.
 //
 // Generations of one history grow together with At, which Put sees to. Where
 // the two disagree, the histories have split: the store was restored from a
@@ -8,34 +8,34 @@
 // back. Both operators were told success. This shows as a lower generation
 // that is later, a higher one that is earlier, or an equal one with another
 // text.
-func relate(held, offered Version) UpdateResult {
+func compareVersions(held, offered Version) UpdateResult {
 	same := offered.Generation == held.Generation && offered.Digest == held.Digest
 	switch {
 	case same:
 		return UpdateUnchanged
-	case offered.Generation > held.Generation && !later(held, offered):
+	case offered.Generation > held.Generation && !isLater(held, offered):
 		return UpdateAccepted
-	case offered.Generation < held.Generation && !later(offered, held):
+	case offered.Generation < held.Generation && !isLater(offered, held):
 		return UpdateOlder
 	}
 	return UpdateConflicting
 }
 
-// later orders two versions by time, then by token, so that all processes
+// isLater orders two versions by time, then by token, so that all processes
 // agree.
-func later(a, b Version) bool {
+func isLater(a, b Version) bool {
 	if !a.CreatedAt.Equal(b.CreatedAt) {
 		return a.CreatedAt.After(b.CreatedAt)
 	}
 	return a.Token > b.Token
 }
 
-// joinFork ends a split: the later version wins and gets a generation above both,
+// resolveFork ends a split: the later version wins and gets a generation above both,
 // so that the generation in force grows in every process. All processes come
 // to the same text and generation from the same pair.
-func joinFork(a, b Version) Version {
+func resolveFork(a, b Version) Version {
 	winner, loser := a, b
-	if later(b, a) {
+	if isLater(b, a) {
 		winner, loser = b, a
 	}
 	winner.Replaces = loser.Token
--- a/document/fuzz_test.go
+++ b/document/fuzz_test.go
@@ -14,7 +14,7 @@
 // and never stops the process.
 func FuzzParse(f *testing.F) {
 	for _, pattern := range []string{"*.toml", "bad/*.txtar"} {
-		files, err := filepath.Glob(filepath.Join(samples, pattern))
+		files, err := filepath.Glob(filepath.Join(samplesDir, pattern))
 		if err != nil {
 			f.Fatal(err)
 		}
--- a/document/get.go
+++ b/document/get.go
@@ -17,20 +17,20 @@
 // Get reads the version of service that the store holds. The second result is
 // false where there is none.
 func Get(ctx context.Context, store store.Store, service string) (Version, bool, error) {
-	s, err := read(ctx, store, service)
+	s, err := readStored(ctx, store, service)
 	return s.Version, s.Revision != 0, err
 }
 
-// read returns a zero Stored where the store holds no document of service.
-func read(ctx context.Context, store store.Store, service string) (StoredVersion, error) {
+// readStored returns a zero Stored where the store holds no document of service.
+func readStored(ctx context.Context, store store.Store, service string) (StoredVersion, error) {
 	kv, ok, err := store.Get(ctx, StoreKey(service))
 	if err != nil || !ok {
 		return StoredVersion{}, err
 	}
-	return stored(kv)
+	return decodeStored(kv)
 }
 
-func stored(kv store.KeyValue) (StoredVersion, error) {
+func decodeStored(kv store.KeyValue) (StoredVersion, error) {
 	v, err := UnmarshalVersion(kv.Value)
 	if err != nil {
 		return StoredVersion{}, eris.Wrapf(err, "key %s", kv.Key)
--- a/document/inforce.go
+++ b/document/inforce.go
@@ -18,33 +18,33 @@
 // revision, a peer with an old copy, a store restored from a backup. Each of
 // them shows as an offer with a lower generation, and Offer is the only way in.
 type ActiveSet struct {
-	table    atomic.Pointer[map[string]*ActiveVersion]
+	versions atomic.Pointer[map[string]*ActiveVersion]
 	onChange func(old, now *ActiveVersion)
 
-	mu      sync.Mutex         // serialises writers
-	refused map[string]Summary // last version refused, by service
+	mu          sync.Mutex         // serialises writers
+	lastRefused map[string]Summary // last version refused, by service
 
-	accepted, older, conflicting, refusals atomic.Int64
+	accepted, older, conflicting, refused atomic.Int64
 }
 
 // NewActiveSet returns a table without documents. onChange may be nil; it is
 // called after each change, in order, with old nil for a first version. It
 // must not call Offer.
 func NewActiveSet(onChange func(old, now *ActiveVersion)) *ActiveSet {
-	f := &ActiveSet{onChange: onChange, refused: map[string]Summary{}}
-	f.table.Store(&map[string]*ActiveVersion{})
+	f := &ActiveSet{onChange: onChange, lastRefused: map[string]Summary{}}
+	f.versions.Store(&map[string]*ActiveVersion{})
 	return f
 }
 
 // Current returns what is in force for service.
 func (f *ActiveSet) Current(service string) (*ActiveVersion, bool) {
-	h, ok := (*f.table.Load())[service]
+	h, ok := (*f.versions.Load())[service]
 	return h, ok
 }
 
 // All returns what is in force, sorted by service.
 func (f *ActiveSet) All() []*ActiveVersion {
-	return slices.SortedFunc(maps.Values(*f.table.Load()), func(a, b *ActiveVersion) int {
+	return slices.SortedFunc(maps.Values(*f.versions.Load()), func(a, b *ActiveVersion) int {
 		return strings.Compare(a.Version.Service, b.Version.Service)
 	})
 }
@@ -55,7 +55,7 @@
 		Accepted:    f.accepted.Load(),
 		Older:       f.older.Load(),
 		Conflicting: f.conflicting.Load(),
-		Refused:     f.refusals.Load(),
+		Refused:     f.refused.Load(),
 	}
 }
 
@@ -65,14 +65,14 @@
 // because the operators use a newer one. Of two split histories the later
 // version is in force afterwards, with a generation above both.
 func (f *ActiveSet) Update(now time.Time, v Version) UpdateResult {
-	if d := f.decide(v); d == UpdateUnchanged || d == UpdateOlder {
-		return f.count(d)
+	if d := f.compare(v); d == UpdateUnchanged || d == UpdateOlder {
+		return f.countResult(d)
 	}
 	// Parsing is slow, so it is done without the lock.
 	doc := parseVersion(v)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.count(f.take(now, v, doc))
+	return f.countResult(f.apply(now, v, doc))
 }
 
 // parseVersion returns nil where v cannot be read or contradicts itself.
@@ -84,7 +84,7 @@
 	return doc
 }
 
-func (f *ActiveSet) decide(v Version) UpdateResult {
+func (f *ActiveSet) compare(v Version) UpdateResult {
 	h, ok := f.Current(v.Service)
 	switch {
 	case v.Generation == 0:
@@ -92,41 +92,41 @@
 	case !ok:
 		return UpdateAccepted
 	}
-	return relate(h.Version, v)
+	return compareVersions(h.Version, v)
 }
 
-func (f *ActiveSet) take(now time.Time, v Version, doc *Document) UpdateResult {
-	d := f.decide(v)
+func (f *ActiveSet) apply(now time.Time, v Version, doc *Document) UpdateResult {
+	d := f.compare(v)
 	if d == UpdateUnchanged || d == UpdateOlder {
 		return d
 	}
 	if doc == nil {
-		f.refused[v.Service] = v.Summary()
+		f.lastRefused[v.Service] = v.Summary()
 		return UpdateRefused
 	}
 	if d == UpdateConflicting {
 		held, _ := f.Current(v.Service)
-		if later(held.Version, v) {
+		if isLater(held.Version, v) {
 			doc = held.Document
 		}
-		v = joinFork(held.Version, v)
+		v = resolveFork(held.Version, v)
 	}
 	f.publish(&ActiveVersion{Version: v, Document: doc, Since: now})
 	return d
 }
 
 func (f *ActiveSet) publish(h *ActiveVersion) {
-	old := *f.table.Load()
+	old := *f.versions.Load()
 	next := maps.Clone(old)
 	next[h.Version.Service] = h
-	f.table.Store(&next)
-	delete(f.refused, h.Version.Service)
+	f.versions.Store(&next)
+	delete(f.lastRefused, h.Version.Service)
 	if f.onChange != nil {
 		f.onChange(old[h.Version.Service], h)
 	}
 }
 
-func (f *ActiveSet) count(d UpdateResult) UpdateResult {
+func (f *ActiveSet) countResult(d UpdateResult) UpdateResult {
 	switch d {
 	case UpdateAccepted:
 		f.accepted.Add(1)
@@ -135,7 +135,7 @@
 	case UpdateConflicting:
 		f.conflicting.Add(1)
 	case UpdateRefused:
-		f.refusals.Add(1)
+		f.refused.Add(1)
 	}
 	return d
 }
--- a/document/inforce_test.go
+++ b/document/inforce_test.go
@@ -13,7 +13,7 @@
 )
 
 func version(generation uint64, mark string) document.Version {
-	toml := text("dispatch", mark)
+	toml := documentText("dispatch", mark)
 	return document.Version{
 		Service:    "dispatch",
 		Generation: generation,
@@ -25,19 +25,19 @@
 	}
 }
 
-// newerFormat is a version with a key that this binary does not know.
-func newerFormat(generation uint64) document.Version {
+// unknownKeyVersion is a version with a key that this binary does not know.
+func unknownKeyVersion(generation uint64) document.Version {
 	v := version(generation, "newer")
 	v.TOML = append([]byte("quantum = true\n"), v.TOML...)
 	v.Digest = document.DigestOf(v.TOML)
 	return v
 }
 
-func TestOffer(t *testing.T) {
+func TestActiveSetUpdate(t *testing.T) {
 	damaged := version(3, "damaged")
 	damaged.Digest[0]++
 	foreign := version(3, "foreign")
-	foreign.TOML = text("slotbook", "foreign")
+	foreign.TOML = documentText("slotbook", "foreign")
 	foreign.Digest = document.DigestOf(foreign.TOML)
 	for _, test := range []struct {
 		story string
@@ -47,7 +47,7 @@
 		{"an operator put a new generation", version(3, "new"), document.UpdateAccepted},
 		{"a watch restarted from an old revision", version(1, "old"), document.UpdateOlder},
 		{"a peer has the same", version(2, "held"), document.UpdateUnchanged},
-		{"the operators use a newer binary", newerFormat(3), document.UpdateRefused},
+		{"the operators use a newer binary", unknownKeyVersion(3), document.UpdateRefused},
 		{"the text does not match its digest", damaged, document.UpdateRefused},
 		{"the text is another service's", foreign, document.UpdateRefused},
 		{"no generation", document.Version{Service: "dispatch"}, document.UpdateOlder},
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestSubscriberSeesChangesInOrder(t *testing.T) {
+func TestOnChangeOrder(t *testing.T) {
 	c := qt.New(t)
 	var seen []string
 	f := document.NewActiveSet(func(old, now *document.ActiveVersion) {
@@ -82,7 +82,7 @@
 	c.Assert(seen, qt.DeepEquals, []string{"0-1", "1-3", "3-4"})
 }
 
-func TestCompareForExchange(t *testing.T) {
+func TestCompareWithPeer(t *testing.T) {
 	c := qt.New(t)
 	a, b := document.NewActiveSet(nil), document.NewActiveSet(nil)
 	now := time.Unix(0, 0)
@@ -92,7 +92,7 @@
 	c.Assert(b.NewerThan(a.Summaries(), 1), qt.DeepEquals, []document.Version{version(3, "three")})
 	c.Assert(b.Compare(a.Summaries()).Missing, qt.HasLen, 0)
 
-	refused := newerFormat(4)
+	refused := unknownKeyVersion(4)
 	a.Update(now, refused)
 	c.Assert(a.Missing([]document.Summary{refused.Summary()}), qt.HasLen, 0)
 	c.Assert(a.Counts(), qt.Equals, document.UpdateCounts{Accepted: 1, Refused: 1})
@@ -115,7 +115,7 @@
 
 // Several sources offer at once while requests read: no reader may see the
 // generation go down, and the highest stays.
-func TestConcurrentOffersNeverGoDown(t *testing.T) {
+func TestConcurrentUpdatesNeverDecreaseGeneration(t *testing.T) {
 	c := qt.New(t)
 	const highest, sources = 40, 4
 	f := document.NewActiveSet(nil)
--- a/document/lister_test.go
+++ b/document/lister_test.go
@@ -15,12 +15,12 @@
 // With many services the documents that every entry lists again and again would
 // use up what a node may send and receive. What has not changed, or came by the
 // watch, is not read again.
-func TestListingReadsOnlyWhatChanged(t *testing.T) {
+func TestListReadsOnlyChangedDocuments(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		kv := newFakeStore()
 		mustPut(c, kv, "one", 0)
-		f, w := watch(t, kv, nil)
+		f, w := startWatcher(t, kv, nil)
 		<-w.Ready()
 		mustPut(c, kv, "two", 1)
 		before, _ := kv.counts()
@@ -34,12 +34,12 @@
 
 // The watch hears nothing any more while its connection looks well, and the
 // document changes. The next listing sees another revision and reads it.
-func TestListingFindsWhatTheWatchMissed(t *testing.T) {
+func TestListFindsChangeMissedByWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		kv := newFakeStore()
 		mustPut(c, kv, "one", 0)
-		f, w := watch(t, deafStore{kv}, nil)
+		f, w := startWatcher(t, silentWatchStore{kv}, nil)
 		<-w.Ready()
 		mustPut(c, kv, "two", 1)
 		time.Sleep(15 * time.Second)
@@ -47,10 +47,10 @@
 	})
 }
 
-// deafStore's watches never deliver.
-type deafStore struct{ *fakeStore }
+// silentWatchStore's watches never deliver.
+type silentWatchStore struct{ *fakeStore }
 
-func (s deafStore) Watch(ctx context.Context, _ string, _ store.Revision, _ func(store.WatchBatch)) error {
+func (s silentWatchStore) Watch(ctx context.Context, _ string, _ store.Revision, _ func(store.WatchBatch)) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
@@ -59,14 +59,14 @@
 // the next listing an operator puts again. The store has counted its revisions
 // again meanwhile: the new document has the revision at which the process saw
 // another one. It must be read, and the two texts be settled.
-func TestListingAfterRestoreTrustsNoRevision(t *testing.T) {
+func TestListAfterRestoreIgnoresCachedRevisions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		kv := newFakeStore()
 		mustPut(c, kv, "one", 0)
 		old := kv.backup()
 		mustPut(c, kv, "two", 1)
-		f, w := watch(t, deafStore{kv}, nil)
+		f, w := startWatcher(t, silentWatchStore{kv}, nil)
 		<-w.Ready()
 		kv.restore(old)
 		time.Sleep(time.Second) // the later text wins
--- a/document/parse.go
+++ b/document/parse.go
@@ -37,14 +37,14 @@
 	}
 	d, f := schema.Decode[Document](name, data)
 	for i := range d.Classes {
-		d.Classes[i].fillDerived(func(key string) bool {
+		d.Classes[i].fillDerivedDefaults(func(key string) bool {
 			return f.Index.IsSet(fmt.Sprintf("class[%d].%s", i, key))
 		})
 	}
 	f.Validate(&d)
-	checkCross(&d, f)
+	checkConsistency(&d, f)
 	if len(f.Problems) == 0 && fit != nil && d.Topology != nil {
-		addMisfits(&d, f, fit)
+		addPlacementProblems(&d, f, fit)
 	}
 	if err := f.Problems.Err(); err != nil {
 		return nil, err
@@ -52,7 +52,7 @@
 	return &d, nil
 }
 
-func addMisfits(d *Document, f *schema.Result, fit PlacementCheck) {
+func addPlacementProblems(d *Document, f *schema.Result, fit PlacementCheck) {
 	for _, m := range fit(d.Topology, d.Accounts) {
 		f.AddProblem(guaranteePath(m.Account, m.Guarantee), "%s", m.Reason)
 	}
--- a/document/parse_test.go
+++ b/document/parse_test.go
@@ -12,17 +12,17 @@
 	"github.com/eelgrasshub/eelgrasshub/document"
 )
 
-var update = flag.Bool("update", false, "write the golden error texts anew")
+var updateGolden = flag.Bool("update", false, "write the golden error texts anew")
 
-const samples = "../testdata/documents"
+const samplesDir = "../testdata/documents"
 
 func readSample(c *qt.C, name string) []byte {
-	data, err := os.ReadFile(filepath.Join(samples, name))
+	data, err := os.ReadFile(filepath.Join(samplesDir, name))
 	c.Assert(err, qt.IsNil)
 	return data
 }
 
-func TestSamplesParse(t *testing.T) {
+func TestParseSamples(t *testing.T) {
 	for _, name := range []string{"dispatch.toml", "slotbook.toml"} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -36,8 +36,8 @@
 
 // An operator with several mistakes in one document sees all of them in one
 // run, each with its line, key and what is accepted.
-func TestBadSamples(t *testing.T) {
-	files, err := filepath.Glob(samples + "/bad/*.txtar")
+func TestParseReportsAllProblems(t *testing.T) {
+	files, err := filepath.Glob(samplesDir + "/bad/*.txtar")
 	qt.Assert(t, err, qt.IsNil)
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
@@ -47,7 +47,7 @@
 			_, err = document.Parse(a.Files[0].Name, a.Files[0].Data)
 			c.Assert(err, qt.IsNotNil)
 			got := err.Error() + "\n"
-			if *update {
+			if *updateGolden {
 				a.Files[1].Data = []byte(got)
 				c.Assert(os.WriteFile(file, txtar.Format(a), 0o644), qt.IsNil)
 				return
@@ -59,7 +59,7 @@
 
 // The shapes fit by size and sum, but not together as blocks: only the
 // placement code can tell, and the operator sees which shape and line.
-func TestCheckNamesTheShapeThatDoesNotFit(t *testing.T) {
+func TestCheckReportsUnplacedShape(t *testing.T) {
 	c := qt.New(t)
 	fit := func(topology *document.Topology, accounts []document.Account) []document.PlacementProblem {
 		c.Assert(topology.Zones, qt.HasLen, 3)
--- a/document/put.go
+++ b/document/put.go
@@ -23,11 +23,11 @@
 	ActiveGeneration uint64
 }
 
-// minToken is the shortest token taken: a UUID without dashes has 32.
-const minToken = 16
+// minTokenLen is the shortest token taken: a UUID without dashes has 32.
+const minTokenLen = 16
 
-// clockStep is how much At grows at least along the generations.
-const clockStep = time.Millisecond
+// minTimeStep is how much At grows at least along the generations.
+const minTimeStep = time.Millisecond
 
 // Put writes a proposal by compare-and-swap and returns the version it became.
 // Success means that the store took the write. ErrConflict, ErrStoreBehind and
@@ -40,10 +40,10 @@
 	if err != nil {
 		return Version{}, err
 	}
-	if len(p.Token) < minToken || p.Author == "" {
-		return Version{}, eris.Errorf("proposal needs an author and a token of %d characters", minToken)
+	if len(p.Token) < minTokenLen || p.Author == "" {
+		return Version{}, eris.Errorf("proposal needs an author and a token of %d characters", minTokenLen)
 	}
-	current, err := read(ctx, store, d.Service)
+	current, err := readStored(ctx, store, d.Service)
 	if err != nil {
 		return Version{}, eris.Wrap(err, "nothing was written")
 	}
@@ -51,27 +51,27 @@
 		return current.Version, nil // an earlier try of this proposal
 	}
 	if current.Version.Generation != p.BaseGeneration {
-		return Version{}, conflict(p, current.Version)
+		return Version{}, newConflictError(p, current.Version)
 	}
 	if p.ActiveGeneration > current.Version.Generation {
 		return Version{}, eris.Wrapf(ErrStoreBehind, "store generation %d, in force %d, nothing was written",
 			current.Version.Generation, p.ActiveGeneration)
 	}
-	next := succeed(current.Version, p)
+	next := nextVersion(current.Version, p)
 	next.Service = d.Service
-	w, err := newWrite(store, p, next, current.Revision)
+	w, err := newPendingWrite(store, p, next, current.Revision)
 	if err != nil {
 		return Version{}, err
 	}
 	return w.run(ctx)
 }
 
-// succeed returns the version that follows current. At grows also where the
+// nextVersion returns the version that follows current. At grows also where the
 // operator's clock is behind the one before: a version that is later in time
 // than another of the same document was accepted later.
-func succeed(current Version, p Proposal) Version {
-	at := p.CreatedAt.UTC().Truncate(clockStep)
-	if floor := current.CreatedAt.Add(clockStep); at.Before(floor) {
+func nextVersion(current Version, p Proposal) Version {
+	at := p.CreatedAt.UTC().Truncate(minTimeStep)
+	if floor := current.CreatedAt.Add(minTimeStep); at.Before(floor) {
 		at = floor
 	}
 	return Version{
--- a/document/put_test.go
+++ b/document/put_test.go
@@ -16,8 +16,8 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// text returns a small document of service; mark tells texts apart.
-func text(service, mark string) []byte {
+// documentText returns a small document of service; mark tells texts apart.
+func documentText(service, mark string) []byte {
 	return fmt.Appendf(nil, `service = %q
 owner = "%s"
 
@@ -33,7 +33,7 @@
 func proposal(mark string, base uint64) document.Proposal {
 	return document.Proposal{
 		FileName:       mark + ".toml",
-		TOML:           text("dispatch", mark),
+		TOML:           documentText("dispatch", mark),
 		BaseGeneration: base,
 		Author:         mark,
 		Token:          fmt.Sprintf("token-%016s", mark),
@@ -87,7 +87,7 @@
 
 // The store was restored from a backup, the processes hold a higher
 // generation. A put on the old one would be lost when they write theirs back.
-func TestPutWaitsForRestoredStore(t *testing.T) {
+func TestPutRefusesStoreBehind(t *testing.T) {
 	c := qt.New(t)
 	kv := newFakeStore()
 	_, err := document.Put(context.Background(), kv, proposal("old", 0))
@@ -98,7 +98,7 @@
 	c.Assert(err, qt.ErrorIs, document.ErrStoreBehind)
 }
 
-func TestPutRefusesBadText(t *testing.T) {
+func TestPutRefusesInvalidDocument(t *testing.T) {
 	c := qt.New(t)
 	p := proposal("bad", 0)
 	p.TOML = []byte("service = 3\n")
@@ -108,10 +108,10 @@
 
 // Every reply is lost and the store never answers again: the operator is told
 // that the outcome is not known, neither success nor "not written".
-func TestPutUnknownWhenNeverSettled(t *testing.T) {
+func TestPutOutcomeUnknownWithoutReplies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := newFakeStore()
-		kv.next = func() fault { return lostBefore }
+		kv.nextFault = func() swapFault { return requestLost }
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		_, err := document.Put(ctx, kv, proposal("first", 0))
@@ -122,27 +122,27 @@
 // Operators put on the same base at the same time while replies get lost,
 // before and after the write, and late requests arrive after the read back.
 // Exactly one may be told success; it must be the one that the store holds.
-func TestPutRaceUnderLostReplies(t *testing.T) {
+func TestConcurrentPutsWithLostReplies(t *testing.T) {
 	const runs, operators = 400, 3
 	unknown := 0
 	for seed := range uint64(runs) {
-		synctest.Test(t, func(t *testing.T) { unknown += race(t, seed, operators) })
+		synctest.Test(t, func(t *testing.T) { unknown += runConcurrentPuts(t, seed, operators) })
 	}
 	t.Logf("%d runs of %d operators, %d outcomes not known", runs, operators, unknown)
 }
 
-func race(t *testing.T, seed uint64, operators int) (unknown int) {
+func runConcurrentPuts(t *testing.T, seed uint64, operators int) (unknown int) {
 	c := qt.New(t)
 	rng := rand.New(rand.NewPCG(seed, 1))
 	kv := newFakeStore()
 	kv.latency = time.Millisecond
 	left := 20 // the store heals after so many swaps
-	kv.next = func() fault {
+	kv.nextFault = func() swapFault {
 		left--
 		if left < 0 || rng.IntN(2) == 0 {
-			return none
+			return noFault
 		}
-		return fault(1 + rng.IntN(3))
+		return swapFault(1 + rng.IntN(3))
 	}
 	versions := make([]document.Version, operators)
 	errs := make([]error, operators)
@@ -160,8 +160,8 @@
 		})
 	}
 	wg.Wait()
-	kv.next = nil
-	for range maxDelay { // what is still on its way arrives
+	kv.nextFault = nil
+	for range maxDelayedCalls { // what is still on its way arrives
 		_, _, err := document.Get(context.Background(), kv, "dispatch")
 		c.Assert(err, qt.IsNil)
 	}
--- a/document/schema/accept.go
+++ b/document/schema/accept.go
@@ -5,22 +5,22 @@
 	"strings"
 )
 
-// accepts words the validate tag of f for an operator: the value, or the
+// describeRanges words the validate tag of f for an operator: the value, or the
 // length of a list, and of a list of plain values what each element may be.
-func accepts(f reflect.StructField) (whole, each string) {
+func describeRanges(f reflect.StructField) (whole, each string) {
 	list, element, dives := strings.Cut(f.Tag.Get("validate"), ",dive,")
 	if !dives {
 		list, element, dives = strings.Cut(f.Tag.Get("validate"), "dive,")
 	}
-	whole = acceptedBy(rulesOf(list), unitOf(f))
+	whole = describeRules(parseRules(list), unitOf(f))
 	if dives {
-		each = acceptedBy(rulesOf(element), unitOfType(f.Type.Elem()))
+		each = describeRules(parseRules(element), unitOfType(f.Type.Elem()))
 	}
 	return whole, each
 }
 
-func acceptedBy(rules map[string]string, unit string) string {
-	for rule, words := range customRules {
+func describeRules(rules map[string]string, unit string) string {
+	for rule, words := range ruleDescriptions {
 		if _, ok := rules[rule]; ok {
 			return words
 		}
@@ -28,14 +28,14 @@
 	if choices, ok := rules["oneof"]; ok {
 		return `one of "` + strings.Join(strings.Fields(choices), `", "`) + `"`
 	}
-	words := span(rules["min"], rules["max"])
+	words := describeBounds(rules["min"], rules["max"])
 	if words == "" || unit == "" {
 		return words
 	}
 	return words + " " + unit
 }
 
-func rulesOf(tag string) map[string]string {
+func parseRules(tag string) map[string]string {
 	rules := map[string]string{}
 	for rule := range strings.SplitSeq(tag, ",") {
 		name, param, _ := strings.Cut(rule, "=")
@@ -44,7 +44,7 @@
 	return rules
 }
 
-func span(low, high string) string {
+func describeBounds(low, high string) string {
 	switch {
 	case low != "" && high != "":
 		return low + " to " + high
--- a/document/schema/decode.go
+++ b/document/schema/decode.go
@@ -11,17 +11,17 @@
 
 // Result is the outcome of reading one file.
 type Result struct {
-	FileName string
-	Index    *Index
-	Problems Problems
-	broken   bool // nothing could be decoded
+	FileName    string
+	Index       *Index
+	Problems    Problems
+	undecodable bool // nothing could be decoded
 }
 
 // AddProblem notes a problem of the key at path, at the line that sets it. Where a
 // problem of the same key stands already, it adds nothing: a value that was
 // not decoded, or is out of range, says nothing in a later check.
 func (f *Result) AddProblem(path, format string, args ...any) {
-	if f.broken || f.reported(path) {
+	if f.undecodable || f.hasProblem(path) {
 		return
 	}
 	f.Problems = append(f.Problems, Problem{
@@ -39,7 +39,7 @@
 	var into T
 	f := &Result{FileName: name, Index: newIndex(data)}
 	if !f.decode(data, &into) {
-		f.broken = true
+		f.undecodable = true
 		return into, f
 	}
 	fillDefaults(reflect.ValueOf(&into).Elem(), "", f.Index)
@@ -50,19 +50,19 @@
 // a syntax error it adds nothing.
 func (f *Result) Validate(from any) {
 	var failed validator.ValidationErrors
-	if f.broken || !errors.As(validate.Struct(from), &failed) {
+	if f.undecodable || !errors.As(validate.Struct(from), &failed) {
 		return
 	}
-	keys := keysOf(reflect.TypeOf(from).Elem(), "", nil)
+	keys := collectKeys(reflect.TypeOf(from).Elem(), "", nil)
 	for _, fe := range failed {
-		path := pathOf(fe)
-		f.AddProblem(path, "%s", reason(fe, keys, path))
+		path := keyPath(fe)
+		f.AddProblem(path, "%s", describeFailure(fe, keys, path))
 	}
 }
 
-// reported is true where a problem of the same key, or of a table that holds
+// hasProblem is true where a problem of the same key, or of a table that holds
 // it, stands already.
-func (f *Result) reported(path string) bool {
+func (f *Result) hasProblem(path string) bool {
 	for _, p := range f.Problems {
 		inside := strings.HasPrefix(path, p.Key+".") || strings.HasPrefix(path, p.Key+"[")
 		if p.Key != "" && (p.Key == path || inside) {
--- a/document/schema/defaults.go
+++ b/document/schema/defaults.go
@@ -20,7 +20,7 @@
 			fillDefaults(v.Field(i), prefix, x)
 			continue
 		}
-		fillField(v.Field(i), f, join(prefix, name), x)
+		fillField(v.Field(i), f, joinPath(prefix, name), x)
 	}
 }
 
@@ -33,7 +33,7 @@
 	if !ok || x.IsSet(path) || f.Tag.Get("derived") != "" {
 		return
 	}
-	setText(v, text)
+	setFromText(v, text)
 }
 
 func fillTables(v reflect.Value, path string, x *Index) {
@@ -51,9 +51,9 @@
 	}
 }
 
-// setText parses a default tag. A tag that does not parse is a broken
+// setFromText parses a default tag. A tag that does not parse is a broken
 // invariant of the program.
-func setText(v reflect.Value, text string) {
+func setFromText(v reflect.Value, text string) {
 	if u, ok := v.Addr().Interface().(encoding.TextUnmarshaler); ok {
 		must(u.UnmarshalText([]byte(text)))
 		return
--- a/document/schema/index.go
+++ b/document/schema/index.go
@@ -7,8 +7,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// entry is one key as written in a file.
-type entry struct {
+// keyEntry is one key as written in a file.
+type keyEntry struct {
 	path   string // with positions in arrays: account[1].weight
 	offset int    // of the key
 	line   int
@@ -19,15 +19,15 @@
 
 // Index tells which keys a file sets and on which line.
 type Index struct {
-	entries []entry // in file order
-	lines   map[string]int
-	syntax  error          // of the parser; nil for a well-formed file
-	counts  map[string]int // tables seen so far of each array of tables
+	entries     []keyEntry // in file order
+	lines       map[string]int
+	syntaxErr   error          // of the parser; nil for a well-formed file
+	tableCounts map[string]int // tables seen so far of each array of tables
 }
 
 // newIndex scans data up to the first syntax error.
 func newIndex(data []byte) *Index {
-	x := &Index{lines: map[string]int{}, counts: map[string]int{}}
+	x := &Index{lines: map[string]int{}, tableCounts: map[string]int{}}
 	var p unstable.Parser
 	p.Reset(data)
 	table := ""
@@ -35,15 +35,15 @@
 		e := p.Expression()
 		switch e.Kind {
 		case unstable.Table:
-			table = x.table(&p, e, false)
+			table = x.addTable(&p, e, false)
 		case unstable.ArrayTable:
-			table = x.table(&p, e, true)
+			table = x.addTable(&p, e, true)
 		case unstable.KeyValue:
 			start := int(e.Raw.Offset)
-			x.keyValue(&p, table, e, start, start+int(e.Raw.Length))
+			x.addKeyValue(&p, table, e, start, start+int(e.Raw.Length))
 		}
 	}
-	x.syntax = p.Error()
+	x.syntaxErr = p.Error()
 	return x
 }
 
@@ -68,10 +68,10 @@
 	return ok
 }
 
-// at returns the last entry that begins at or before offset: the key whose
+// entryAt returns the last entry that begins entryAt or before offset: the key whose
 // value holds that byte.
-func (x *Index) at(offset int) (entry, bool) {
-	var found entry
+func (x *Index) entryAt(offset int) (keyEntry, bool) {
+	var found keyEntry
 	ok := false
 	for _, e := range x.entries {
 		if e.offset <= offset && (!ok || e.offset >= found.offset) {
@@ -81,35 +81,35 @@
 	return found, ok
 }
 
-func (x *Index) add(e entry) {
+func (x *Index) add(e keyEntry) {
 	x.entries = append(x.entries, e)
 	if _, ok := x.lines[e.path]; !ok {
 		x.lines[e.path] = e.line
 	}
 }
 
-func (x *Index) table(p *unstable.Parser, e *unstable.Node, array bool) string {
+func (x *Index) addTable(p *unstable.Parser, e *unstable.Node, array bool) string {
 	path := ""
 	it := e.Key()
 	for it.Next() {
 		part := it.Node()
-		path = join(path, string(part.Data))
+		path = joinPath(path, string(part.Data))
 		if array && it.IsLast() {
 			x.lines[path] = p.Shape(part.Raw).Start.Line
-			x.counts[path]++
+			x.tableCounts[path]++
 		}
-		if n := x.counts[path]; n > 0 {
+		if n := x.tableCounts[path]; n > 0 {
 			path = fmt.Sprintf("%s[%d]", path, n-1)
 		}
 		if it.IsLast() {
 			offset := int(part.Raw.Offset)
-			x.add(entry{path: path, offset: offset, line: p.Shape(part.Raw).Start.Line})
+			x.add(keyEntry{path: path, offset: offset, line: p.Shape(part.Raw).Start.Line})
 		}
 	}
 	return path
 }
 
-func (x *Index) keyValue(p *unstable.Parser, prefix string, n *unstable.Node, start, end int) {
+func (x *Index) addKeyValue(p *unstable.Parser, prefix string, n *unstable.Node, start, end int) {
 	path := prefix
 	it := n.Key()
 	var first unstable.Range
@@ -117,10 +117,10 @@
 		if first.Length == 0 {
 			first = it.Node().Raw
 		}
-		path = join(path, string(it.Node().Data))
+		path = joinPath(path, string(it.Node().Data))
 	}
 	line := p.Shape(first).Start.Line
-	x.add(entry{
+	x.add(keyEntry{
 		path:   path,
 		offset: int(first.Offset),
 		line:   line,
@@ -128,16 +128,16 @@
 		end:    end,
 		value:  n.Value().Kind,
 	})
-	x.value(p, path, n.Value(), start, end)
+	x.addValue(p, path, n.Value(), start, end)
 }
 
-func (x *Index) value(p *unstable.Parser, path string, v *unstable.Node, start, end int) {
+func (x *Index) addValue(p *unstable.Parser, path string, v *unstable.Node, start, end int) {
 	switch v.Kind {
 	case unstable.InlineTable:
 		it := v.Children()
 		for it.Next() {
 			if it.Node().Kind == unstable.KeyValue {
-				x.keyValue(p, path, it.Node(), start, end)
+				x.addKeyValue(p, path, it.Node(), start, end)
 			}
 		}
 	case unstable.Array:
@@ -149,13 +149,13 @@
 			}
 			element := fmt.Sprintf("%s[%d]", path, i)
 			x.lines[element] = p.Shape(it.Node().Raw).Start.Line
-			x.value(p, element, it.Node(), start, end)
+			x.addValue(p, element, it.Node(), start, end)
 			i++
 		}
 	}
 }
 
-func join(prefix, key string) string {
+func joinPath(prefix, key string) string {
 	if prefix == "" {
 		return key
 	}
--- a/document/schema/key.go
+++ b/document/schema/key.go
@@ -16,14 +16,14 @@
 	IsTable      bool   // holds keys of its own
 	IsSecret     bool   // the value never appears in a message
 
-	duration bool
+	isDuration bool
 }
 
-var positions = regexp.MustCompile(`\[\d+\]`)
+var indexPattern = regexp.MustCompile(`\[\d+\]`)
 
-// generic strips the positions in arrays from a path.
-func generic(path string) string {
-	return positions.ReplaceAllString(path, "")
+// stripIndexes strips the positions in arrays from a path.
+func stripIndexes(path string) string {
+	return indexPattern.ReplaceAllString(path, "")
 }
 
 // Range words what the key accepts, with the elements of a list.
@@ -39,10 +39,10 @@
 
 // Keys lists the keys of struct type T and of the tables below it.
 func Keys[T any]() []Key {
-	return keysOf(reflect.TypeFor[T](), "", nil)
+	return collectKeys(reflect.TypeFor[T](), "", nil)
 }
 
-func keysOf(t reflect.Type, prefix string, keys []Key) []Key {
+func collectKeys(t reflect.Type, prefix string, keys []Key) []Key {
 	for i := range t.NumField() {
 		f := t.Field(i)
 		name := tomlName(f)
@@ -50,20 +50,20 @@
 			continue
 		}
 		if f.Anonymous {
-			keys = keysOf(f.Type, prefix, keys)
+			keys = collectKeys(f.Type, prefix, keys)
 			continue
 		}
-		k := keyOf(f, join(prefix, name))
+		k := newKey(f, joinPath(prefix, name))
 		keys = append(keys, k)
 		if k.IsTable {
-			keys = keysOf(tableType(f.Type), k.Path, keys)
+			keys = collectKeys(tableType(f.Type), k.Path, keys)
 		}
 	}
 	return keys
 }
 
-func keyOf(f reflect.StructField, path string) Key {
-	whole, each := accepts(f)
+func newKey(f reflect.StructField, path string) Key {
+	whole, each := describeRanges(f)
 	return Key{
 		Path:         path,
 		Type:         typeName(f.Type),
@@ -73,7 +73,7 @@
 		IsTable:      tableType(f.Type) != nil,
 		IsSecret:     f.Tag.Get("secret") == "true",
 
-		duration: f.Type == durationType,
+		isDuration: f.Type == durationType,
 	}
 }
 
--- a/document/schema/reason.go
+++ b/document/schema/reason.go
@@ -8,8 +8,8 @@
 	"github.com/go-playground/validator/v10"
 )
 
-func reason(fe validator.FieldError, keys []Key, path string) string {
-	k, _ := lookup(keys, path)
+func describeFailure(fe validator.FieldError, keys []Key, path string) string {
+	k, _ := findKey(keys, path)
 	accepts := k.Range()
 	if strings.HasSuffix(path, "]") {
 		accepts = k.ElementRange
--- a/document/schema/toml.go
+++ b/document/schema/toml.go
@@ -17,8 +17,8 @@
 // decode returns false where the syntax is broken, so that nothing else can
 // be said about the file.
 func (f *Result) decode(data []byte, into any) bool {
-	keys := keysOf(reflect.TypeOf(into).Elem(), "", nil)
-	data = f.blankBareDurations(data, keys)
+	keys := collectKeys(reflect.TypeOf(into).Elem(), "", nil)
+	data = f.rejectBareDurations(data, keys)
 	for range maxTypeErrors {
 		reflect.ValueOf(into).Elem().SetZero()
 		dec := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields()
@@ -29,7 +29,7 @@
 		case err == nil:
 			return true
 		case errors.As(err, &strict):
-			f.addUnknown(data, strict)
+			f.addUnknownKeys(data, strict)
 			return true
 		case !errors.As(err, &broken):
 			f.Problems = append(f.Problems, Problem{File: f.FileName, Reason: err.Error()})
@@ -44,11 +44,11 @@
 	return true
 }
 
-func (f *Result) addUnknown(data []byte, strict *toml.StrictMissingError) {
+func (f *Result) addUnknownKeys(data []byte, strict *toml.StrictMissingError) {
 	for _, e := range strict.Errors {
 		line, col := e.Position()
 		path := strings.Join(e.Key(), ".")
-		if at, ok := f.Index.at(offsetOf(data, line, col)); ok {
+		if at, ok := f.Index.entryAt(byteOffset(data, line, col)); ok {
 			path = at.path
 		}
 		f.Problems = append(f.Problems, Problem{File: f.FileName, Line: line, Key: path, Reason: "unknown key"})
@@ -60,9 +60,9 @@
 // where no single value is to blame, such as for a key set twice.
 func (f *Result) addTypeError(data []byte, broken *toml.DecodeError, keys []Key) ([]byte, bool) {
 	line, col := broken.Position()
-	offset := offsetOf(data, line, col)
-	at, ok := f.Index.at(offset)
-	if f.Index.syntax != nil || !ok || at.offset == offset || offset >= at.end {
+	offset := byteOffset(data, line, col)
+	at, ok := f.Index.entryAt(offset)
+	if f.Index.syntaxErr != nil || !ok || at.offset == offset || offset >= at.end {
 		f.Problems = append(f.Problems, Problem{
 			File:   f.FileName,
 			Line:   line,
@@ -71,26 +71,26 @@
 		})
 		return nil, false
 	}
-	f.AddProblem(at.path, "wrong type, want %s", want(keys, at.path))
-	return blank(data, at.start, at.end), true
+	f.AddProblem(at.path, "wrong type, want %s", describeExpected(keys, at.path))
+	return blankRange(data, at.start, at.end), true
 }
 
-// blankBareDurations notes durations that are not text. The decoder names no
+// rejectBareDurations notes durations that are not text. The decoder names no
 // line for them, so that they are looked for before it runs.
-func (f *Result) blankBareDurations(data []byte, keys []Key) []byte {
+func (f *Result) rejectBareDurations(data []byte, keys []Key) []byte {
 	for _, e := range f.Index.entries {
-		k, ok := lookup(keys, e.path)
-		if !ok || !k.duration || e.value == unstable.String {
+		k, ok := findKey(keys, e.path)
+		if !ok || !k.isDuration || e.value == unstable.String {
 			continue
 		}
-		f.AddProblem(e.path, "wrong type, want %s", want(keys, e.path))
-		data = blank(data, e.start, e.end)
+		f.AddProblem(e.path, "wrong type, want %s", describeExpected(keys, e.path))
+		data = blankRange(data, e.start, e.end)
 	}
 	return data
 }
 
-// blank returns a copy of data with spaces from start to end; line ends stay.
-func blank(data []byte, start, end int) []byte {
+// blankRange returns a copy of data with spaces from start to end; line ends stay.
+func blankRange(data []byte, start, end int) []byte {
 	rest := bytes.Clone(data)
 	for i := start; i < end; i++ {
 		if rest[i] != '\n' {
@@ -100,8 +100,8 @@
 	return rest
 }
 
-func want(keys []Key, path string) string {
-	k, ok := lookup(keys, path)
+func describeExpected(keys []Key, path string) string {
+	k, ok := findKey(keys, path)
 	if !ok {
 		return "another type"
 	}
@@ -115,8 +115,8 @@
 	return k.Type + ", " + accepts
 }
 
-func lookup(keys []Key, path string) (Key, bool) {
-	path = generic(path)
+func findKey(keys []Key, path string) (Key, bool) {
+	path = stripIndexes(path)
 	for _, k := range keys {
 		if k.Path == path {
 			return k, true
@@ -125,7 +125,7 @@
 	return Key{}, false
 }
 
-func offsetOf(data []byte, line, col int) int {
+func byteOffset(data []byte, line, col int) int {
 	offset := 0
 	for range line - 1 {
 		next := bytes.IndexByte(data[offset:], '\n')
--- a/document/schema/validate.go
+++ b/document/schema/validate.go
@@ -11,9 +11,9 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// customRules names the rules added to the validator and words what each
+// ruleDescriptions names the rules added to the validator and words what each
 // accepts.
-var customRules = map[string]string{
+var ruleDescriptions = map[string]string{
 	"name":    "1 to 63 lower-case letters, digits and dashes, a letter first",
 	"addr":    "an IP number or host name with a port, such as 10.0.0.7:7443",
 	"baseurl": "a URL such as http://127.0.0.1:8080",
@@ -29,13 +29,13 @@
 	v.RegisterCustomTypeFunc(func(f reflect.Value) any {
 		return f.Interface().(Duration).Duration
 	}, Duration{})
-	register(v, "name", namePattern.MatchString)
-	register(v, "addr", isAddr)
-	register(v, "baseurl", isBaseURL)
+	registerRule(v, "name", namePattern.MatchString)
+	registerRule(v, "addr", isAddr)
+	registerRule(v, "baseurl", isBaseURL)
 	return v
 }
 
-func register(v *validator.Validate, rule string, ok func(string) bool) {
+func registerRule(v *validator.Validate, rule string, ok func(string) bool) {
 	err := v.RegisterValidation(rule, func(f validator.FieldLevel) bool {
 		return ok(f.Field().String())
 	})
@@ -58,8 +58,8 @@
 	return err == nil && u.Host != "" && (u.Scheme == "http" || u.Scheme == "https")
 }
 
-// pathOf drops the type name and embedded structs from a validator namespace.
-func pathOf(fe validator.FieldError) string {
+// keyPath drops the type name and embedded structs from a validator namespace.
+func keyPath(fe validator.FieldError) string {
 	parts := strings.Split(fe.Namespace(), ".")[1:]
 	kept := parts[:0]
 	for _, p := range parts {
--- a/document/topology.go
+++ b/document/topology.go
@@ -32,9 +32,9 @@
 	return n
 }
 
-// largest returns the most accelerators that one place of the given adjacency
+// largestUnit returns the most accelerators that one place of the given adjacency
 // holds.
-func (t *Topology) largest(a Adjacency) int {
+func (t *Topology) largestUnit(a Adjacency) int {
 	most := 0
 	switch a {
 	case SameWorker:
--- a/document/version.go
+++ b/document/version.go
@@ -53,9 +53,9 @@
 // its digest.
 var ErrInvalidVersion = eris.New("not a stored document version")
 
-var encoding = newEncoding()
+var cborMode = newCBORMode()
 
-func newEncoding() cbor.EncMode {
+func newCBORMode() cbor.EncMode {
 	options := cbor.CoreDetEncOptions()
 	options.Time = cbor.TimeRFC3339Nano
 	mode, err := options.EncMode()
@@ -70,7 +70,7 @@
 // store and each recognises it.
 func (v Version) Marshal() ([]byte, error) {
 	v.CreatedAt = v.CreatedAt.UTC()
-	return encoding.Marshal(v)
+	return cborMode.Marshal(v)
 }
 
 // UnmarshalVersion reads the stored form.
--- a/document/watcher.go
+++ b/document/watcher.go
@@ -14,10 +14,10 @@
 
 // Pauses of a Watcher.
 const (
-	tickEvery    = 200 * time.Millisecond
-	retryPause   = 500 * time.Millisecond // after a listing or watch ended, plus up to as much again
+	tickPeriod   = 200 * time.Millisecond
+	retryDelay   = 500 * time.Millisecond // after a listing or watch ended, plus up to as much again
 	writeTimeout = 5 * time.Second
-	askTimeout   = 2 * time.Second
+	queryTimeout = 2 * time.Second
 )
 
 // PeerQuery sends our generations to a peer and returns its answer. Peer and Asked of
@@ -28,23 +28,23 @@
 // the documents, asks peers while the process is not ready, and repairs a
 // restored store. It is safe for concurrent use.
 type Watcher struct {
-	store   store.Store // nil in a process that does not read the store
-	ask     PeerQuery
-	inForce *ActiveSet
-	log     logrus.FieldLogger
+	store  store.Store // nil in a process that does not read the store
+	query  PeerQuery
+	active *ActiveSet
+	log    logrus.FieldLogger
 
 	tomb   tomb.Tomb
 	ready  chan struct{}
 	relist chan struct{}
 
 	mu      sync.Mutex // owns feeder and stopped
-	feeder  *Syncer
+	syncer  *Syncer
 	stopped bool
 
-	lister lister // owned by follow and the watch that it waits for
-	out    bool   // the store failed last; owned by follow
+	lister    lister // owned by follow and the watch that it waits for
+	storeDown bool   // the store failed last; owned by follow
 
-	writeBacks, failures, unreadable atomic.Int64
+	writeBacks, storeFailures, unreadable atomic.Int64
 }
 
 // WatcherCounts counts what a Watcher did since the start of the process.
@@ -58,19 +58,19 @@
 func NewWatcher(store store.Store, ask PeerQuery, inForce *ActiveSet, config SyncerConfig, log logrus.FieldLogger) *Watcher {
 	config.ReadsStore = store != nil
 	w := &Watcher{
-		store:   store,
-		lister:  lister{store: store},
-		ask:     ask,
-		inForce: inForce,
-		log:     log,
-		ready:   make(chan struct{}),
-		relist:  make(chan struct{}, 1),
-		feeder:  NewSyncer(time.Now(), config, inForce),
+		store:  store,
+		lister: lister{store: store},
+		query:  ask,
+		active: inForce,
+		log:    log,
+		ready:  make(chan struct{}),
+		relist: make(chan struct{}, 1),
+		syncer: NewSyncer(time.Now(), config, inForce),
 	}
 	w.tomb.Go(func() error {
-		w.tomb.Go(w.tick)
+		w.tomb.Go(w.runTicker)
 		if store != nil {
-			w.tomb.Go(w.follow)
+			w.tomb.Go(w.followStore)
 		}
 		return nil
 	})
@@ -95,36 +95,36 @@
 func (w *Watcher) Counts() WatcherCounts {
 	return WatcherCounts{
 		WriteBacks:    w.writeBacks.Load(),
-		StoreFailures: w.failures.Load(),
+		StoreFailures: w.storeFailures.Load(),
 		Unreadable:    w.unreadable.Load(),
 	}
 }
 
 // SetPeers names all peers known now.
 func (w *Watcher) SetPeers(ids []string) {
-	w.step(PeersUpdated{PeerIDs: ids})
+	w.handleEvent(PeersUpdated{PeerIDs: ids})
 }
 
 // ReceiveVersions passes on versions that a peer sent unasked. They come into force
 // like any other, but confirm nothing.
 func (w *Watcher) ReceiveVersions(peer string, versions []Version) {
-	w.step(PeerAnswered{Peer: peer, Versions: versions})
+	w.handleEvent(PeerAnswered{Peer: peer, Versions: versions})
 }
 
-// step holds the lock also over the actions, none of which waits: so they keep
+// handleEvent holds the lock also over the actions, none of which waits: so they keep
 // the order of the steps, and none starts a goroutine in a dead tomb.
-func (w *Watcher) step(event SyncerEvent) {
+func (w *Watcher) handleEvent(event SyncerEvent) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.stopped {
 		return
 	}
-	for _, a := range w.feeder.HandleEvent(time.Now(), event) {
-		w.do(a)
+	for _, a := range w.syncer.HandleEvent(time.Now(), event) {
+		w.perform(a)
 	}
 }
 
-func (w *Watcher) do(action SyncerAction) {
+func (w *Watcher) perform(action SyncerAction) {
 	switch a := action.(type) {
 	case ListStore:
 		select {
@@ -136,7 +136,7 @@
 		close(w.ready)
 	case QueryPeers:
 		for _, id := range a.PeerIDs {
-			w.spawn(func() { w.askPeer(id) })
+			w.spawn(func() { w.queryPeer(id) })
 		}
 	case WriteBack:
 		w.spawn(func() { w.writeBack(a) })
@@ -150,32 +150,32 @@
 	})
 }
 
-func (w *Watcher) tick() error {
-	ticker := time.NewTicker(tickEvery)
+func (w *Watcher) runTicker() error {
+	ticker := time.NewTicker(tickPeriod)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			w.step(SyncerTick{})
+			w.handleEvent(SyncerTick{})
 		case <-w.tomb.Dying():
 			return nil
 		}
 	}
 }
 
-func (w *Watcher) askPeer(id string) {
-	if w.ask == nil {
+func (w *Watcher) queryPeer(id string) {
+	if w.query == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(w.tomb.Context(context.Background()), askTimeout)
+	ctx, cancel := context.WithTimeout(w.tomb.Context(context.Background()), queryTimeout)
 	defer cancel()
 	asked := time.Now()
-	answer, err := w.ask(ctx, id, w.inForce.Summaries())
+	answer, err := w.query(ctx, id, w.active.Summaries())
 	if err != nil {
 		return // asked again at the next round
 	}
 	answer.Peer, answer.QueriedAt = id, asked
-	w.step(answer)
+	w.handleEvent(answer)
 }
 
 func (w *Watcher) writeBack(a WriteBack) {
--- a/document/watcher_test.go
+++ b/document/watcher_test.go
@@ -15,17 +15,17 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-func quiet() logrus.FieldLogger {
+func discardLogger() logrus.FieldLogger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-// watch starts a Watcher in a bubble of virtual time and stops it at the end,
+// startWatcher starts a Watcher in a bubble of virtual time and stops it at the end,
 // which also shows that it leaves no goroutine behind.
-func watch(t *testing.T, kv store.Store, ask document.PeerQuery) (*document.ActiveSet, *document.Watcher) {
+func startWatcher(t *testing.T, kv store.Store, ask document.PeerQuery) (*document.ActiveSet, *document.Watcher) {
 	f := document.NewActiveSet(nil)
-	w := document.NewWatcher(kv, ask, f, document.DefaultSyncerConfig(kv != nil), quiet())
+	w := document.NewWatcher(kv, ask, f, document.DefaultSyncerConfig(kv != nil), discardLogger())
 	t.Cleanup(func() { qt.Check(t, w.Stop(), qt.IsNil) })
 	return f, w
 }
@@ -48,7 +48,7 @@
 		c := qt.New(t)
 		kv := newFakeStore()
 		mustPut(c, kv, "one", 0)
-		f, w := watch(t, kv, nil)
+		f, w := startWatcher(t, kv, nil)
 		<-w.Ready()
 		c.Assert(generationOf(f), qt.Equals, uint64(1))
 		mustPut(c, kv, "two", 1)
@@ -66,7 +66,7 @@
 		mustPut(c, kv, "one", 0)
 		old := kv.backup()
 		mustPut(c, kv, "two", 1)
-		f, w := watch(t, kv, nil)
+		f, w := startWatcher(t, kv, nil)
 		<-w.Ready()
 		kv.restore(old)
 		time.Sleep(15 * time.Second)
@@ -83,7 +83,7 @@
 
 // The store is out when a process starts. It takes the document from two peers
 // and is ready; it follows the store when that returns.
-func TestWatcherStartsWithStoreOut(t *testing.T) {
+func TestWatcherStartsWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		kv := newFakeStore()
@@ -92,9 +92,9 @@
 		c.Assert(err, qt.IsNil)
 		kv.setDown(true)
 		var asked atomic.Int64
-		f, w := watch(t, kv, func(context.Context, string, []document.Summary) (document.PeerAnswered, error) {
+		f, w := startWatcher(t, kv, func(context.Context, string, []document.Summary) (document.PeerAnswered, error) {
 			asked.Add(1)
-			return answer("", true, v), nil
+			return peerAnswer("", true, v), nil
 		})
 		w.SetPeers([]string{"a", "b", "c"})
 		<-w.Ready()
@@ -118,7 +118,7 @@
 		swap := store.Swap{Key: document.StoreKey("slotbook"), Value: []byte("not a document")}
 		_, err := kv.Commit(context.Background(), []store.Swap{swap})
 		c.Assert(err, qt.IsNil)
-		f, w := watch(t, kv, nil)
+		f, w := startWatcher(t, kv, nil)
 		<-w.Ready()
 		c.Assert(generationOf(f), qt.Equals, uint64(1))
 		c.Assert(w.Counts().Unreadable, qt.Equals, int64(1))
--- a/metrics/counter.go
+++ b/metrics/counter.go
@@ -48,7 +48,7 @@
 	Help string
 }
 
-var counters = [numCounters]Description{
+var counterDescriptions = [numCounters]Description{
 	PairsOverflowed:        {"pairs_overflowed", "observations", "went to the pair named other"},
 	RequestsRetried:        {"requests_retried", "attempts", "further attempts of quick requests"},
 	RequestsDeduplicated:   {"requests_deduplicated", "requests", "answered from an earlier attempt with the same key"},
@@ -68,15 +68,15 @@
 
 // Describe returns what the counter means.
 func (c Counter) Describe() Description {
-	return counters[c]
+	return counterDescriptions[c]
 }
 
 // Counters lists all counters.
 func Counters() []Counter {
-	return upTo(numCounters)
+	return enumerate(numCounters)
 }
 
-func upTo[T ~uint8](n T) []T {
+func enumerate[T ~uint8](n T) []T {
 	list := make([]T, n)
 	for i := range list {
 		list[i] = T(i)
--- a/metrics/histogram.go
+++ b/metrics/histogram.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	lowest  = time.Microsecond
-	highest = 24 * time.Hour
-	// figures keeps an observation within 1 percent, at 31 KB a histogram.
-	figures = 2
+	minDuration = time.Microsecond
+	maxDuration = 24 * time.Hour
+	// significantDigits keeps an observation within 1 percent, at 31 KB a histogram.
+	significantDigits = 2
 )
 
 // histogram is an HdrHistogram under a lock held for one record.
@@ -21,12 +21,12 @@
 }
 
 func newHistogram() *histogram {
-	return &histogram{h: hdrhistogram.New(1, int64(highest/lowest), figures)}
+	return &histogram{h: hdrhistogram.New(1, int64(maxDuration/minDuration), significantDigits)}
 }
 
 // record clamps to the range, so that an observation is never lost.
 func (h *histogram) record(d time.Duration) {
-	us := int64(min(max(d, lowest), highest) / lowest)
+	us := int64(min(max(d, minDuration), maxDuration) / minDuration)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if err := h.h.RecordValue(us); err != nil {
--- a/metrics/label.go
+++ b/metrics/label.go
@@ -2,19 +2,19 @@
 
 import "strings"
 
-// mostLabels bounds the labels of one metric, which come from callers' accounts and queues;
+// maxLabels bounds the labels of one metric, which come from callers' accounts and queues;
 // labels beyond it share Other.
-const mostLabels = 200
+const maxLabels = 200
 
-// bounded returns the label under which a metric with these labels counts another.
-func bounded[T any](labels map[string]T, label string) string {
-	if _, known := labels[label]; !known && len(labels) >= mostLabels {
+// boundedLabel returns the label under which a metric with these labels counts another.
+func boundedLabel[T any](labels map[string]T, label string) string {
+	if _, known := labels[label]; !known && len(labels) >= maxLabels {
 		return OtherLabel
 	}
 	return label
 }
 
-// quoted returns a label as the text format writes it.
-func quoted(label string) string {
+// quoteLabel returns a label as the text format writes it.
+func quoteLabel(label string) string {
 	return `"` + strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`).Replace(label) + `"`
 }
--- a/metrics/latencies.go
+++ b/metrics/latencies.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// mostLatency is the longest time that is told apart, a day.
-	mostLatency = 24 * time.Hour
-	// latencyDigits keeps values to 1%.
-	latencyDigits = 2
+	// maxLatency is the longest time that is told apart, a day.
+	maxLatency = 24 * time.Hour
+	// latencySignificantDigits keeps values to 1%.
+	latencySignificantDigits = 2
 )
 
 // LabeledLatencies is histograms of times by label, such as an account and a queue. It is safe
@@ -31,17 +31,17 @@
 	defer l.mu.Unlock()
 	h := l.histogram(label)
 	// RecordValue fails only beyond the histogram's range, which min excludes.
-	_ = h.RecordValue(min(max(d.Microseconds(), 0), mostLatency.Microseconds()))
+	_ = h.RecordValue(min(max(d.Microseconds(), 0), maxLatency.Microseconds()))
 }
 
 func (l *LabeledLatencies) histogram(label string) *hdrhistogram.Histogram {
 	if l.labels == nil {
 		l.labels = map[string]*hdrhistogram.Histogram{}
 	}
-	label = bounded(l.labels, label)
+	label = boundedLabel(l.labels, label)
 	h, ok := l.labels[label]
 	if !ok {
-		h = hdrhistogram.New(1, mostLatency.Microseconds(), latencyDigits)
+		h = hdrhistogram.New(1, maxLatency.Microseconds(), latencySignificantDigits)
 		l.labels[label] = h
 	}
 	return h
@@ -64,7 +64,7 @@
 			{"max", h.Max()},
 		} {
 			// A reader that is gone needs no further lines.
-			_, _ = fmt.Fprintf(w, "%s{label=%s,stat=\"%s\"} %d\n", name, quoted(label), v.stat, v.value)
+			_, _ = fmt.Fprintf(w, "%s{label=%s,stat=\"%s\"} %d\n", name, quoteLabel(label), v.stat, v.value)
 		}
 	}
 }
--- a/metrics/latencies_test.go
+++ b/metrics/latencies_test.go
@@ -24,7 +24,7 @@
 	c.Check(out.String(), qt.Contains, `wait_us{label="od\"d",stat="count"} 1`)
 }
 
-func TestLabelsAreBounded(t *testing.T) {
+func TestLatencyLabelsAreBounded(t *testing.T) {
 	c := qt.New(t)
 	var l metrics.LabeledLatencies
 	for i := range 500 {
--- a/metrics/set.go
+++ b/metrics/set.go
@@ -65,7 +65,7 @@
 
 // Observe records a duration for a client account and class.
 func (s *Set) Observe(account, class string, t Timing, d time.Duration) {
-	slot := &s.histogramsOf(pair{account, class})[t]
+	slot := &s.histogramsFor(pair{account, class})[t]
 	h := slot.Load()
 	if h == nil {
 		slot.CompareAndSwap(nil, newHistogram())
@@ -74,7 +74,7 @@
 	h.record(d)
 }
 
-func (s *Set) histogramsOf(p pair) *histograms {
+func (s *Set) histogramsFor(p pair) *histograms {
 	pairs := *s.pairs.Load()
 	if h := pairs[p]; h != nil {
 		return h
@@ -119,16 +119,16 @@
 		snap.Counters[c.Describe().Name] = s.Count(c)
 	}
 	for p, h := range *s.pairs.Load() {
-		snap.addAll(p, h)
+		snap.addTimings(p, h)
 	}
-	snap.addAll(pair{OtherLabel, OtherLabel}, &s.other)
+	snap.addTimings(pair{OtherLabel, OtherLabel}, &s.other)
 	return snap
 }
 
-func (s *Snapshot) addAll(p pair, hs *histograms) {
+func (s *Snapshot) addTimings(p pair, hs *histograms) {
 	for _, t := range Timings() {
 		if h := hs[t].Load(); h != nil {
-			s.add(p, t, h.summary())
+			s.addTiming(p, t, h.summary())
 		}
 	}
 }
--- a/metrics/set_test.go
+++ b/metrics/set_test.go
@@ -12,7 +12,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestPercentilesOfOnePair(t *testing.T) {
+func TestPercentiles(t *testing.T) {
 	c := qt.New(t)
 	s := New(0)
 	for i := 1; i <= 100; i++ {
@@ -32,7 +32,7 @@
 	c.Check(vars.Entry.Timings["growers"]["booking"]["quick_done"].Count, qt.Equals, int64(2))
 }
 
-func TestPairsAreBoundedAndNoObservationIsLost(t *testing.T) {
+func TestPairsAreBounded(t *testing.T) {
 	// Callers send made-up class names. Each new pair costs memory until the
 	// entry is killed for it; so pairs beyond the bound are counted together.
 	c := qt.New(t)
@@ -60,7 +60,7 @@
 	c.Check(snap.Counters["requests_retried"], qt.Equals, int64(400))
 }
 
-func TestPublishRefusesATakenName(t *testing.T) {
+func TestPublishRefusesDuplicateName(t *testing.T) {
 	s := New(0)
 	s.Gauge("queued", func() int64 { return 7 })
 	name := fmt.Sprintf("entry/%p", s) // of its own also when the test is repeated
--- a/metrics/snapshot.go
+++ b/metrics/snapshot.go
@@ -17,7 +17,7 @@
 	Max   int64 `json:"max"`
 }
 
-func (s *Snapshot) add(p pair, t Timing, sum Summary) {
+func (s *Snapshot) addTiming(p pair, t Timing, sum Summary) {
 	classes := s.Timings[p.account]
 	if classes == nil {
 		classes = map[string]map[string]Summary{}
--- a/metrics/sums.go
+++ b/metrics/sums.go
@@ -21,7 +21,7 @@
 	if s.labels == nil {
 		s.labels = map[string]float64{}
 	}
-	s.labels[bounded(s.labels, label)] += amount
+	s.labels[boundedLabel(s.labels, label)] += amount
 }
 
 // WriteText writes one line for each label.
@@ -30,6 +30,6 @@
 	defer s.mu.Unlock()
 	for _, label := range slices.Sorted(maps.Keys(s.labels)) {
 		// A reader that is gone needs no further lines.
-		_, _ = fmt.Fprintf(w, "%s{label=%s} %g\n", name, quoted(label), s.labels[label])
+		_, _ = fmt.Fprintf(w, "%s{label=%s} %g\n", name, quoteLabel(label), s.labels[label])
 	}
 }
--- a/metrics/sums_test.go
+++ b/metrics/sums_test.go
@@ -22,7 +22,7 @@
 }
 
 // Labels come from callers' accounts and queues: their number must not fill the memory.
-func TestSumsAreBounded(t *testing.T) {
+func TestSumLabelsAreBounded(t *testing.T) {
 	c := qt.New(t)
 	var s metrics.LabeledSums
 	for i := range 1000 {
--- a/metrics/timing.go
+++ b/metrics/timing.go
@@ -32,28 +32,28 @@
 	numTimings
 )
 
-const unitTiming = "microseconds"
+const timingUnit = "microseconds"
 
-var timings = [numTimings]Description{
-	QuickDone:        {"quick_done", unitTiming, "arrival of a quick request to its whole answer"},
-	QuickNotRun:      {"quick_not_run", unitTiming, "arrival to the word that it did not run"},
-	QuickUnknown:     {"quick_unknown", unitTiming, "arrival to the word that it may have run"},
-	QuickQueueTime:   {"quick_queued", unitTiming, "wait in the agent's queue"},
-	QuickServiceTime: {"quick_served", unitTiming, "time the target took"},
-	JobWaitTime:      {"job_waited", unitTiming, "acceptance of a job to its first start"},
-	JobDone:          {"job_done", unitTiming, "acceptance of a job to its success"},
-	JobFailed:        {"job_failed", unitTiming, "acceptance of a job to its failure"},
-	JobCancelled:     {"job_cancelled", unitTiming, "acceptance of a job to its cancelled end"},
-	JobRejected:      {"job_rejected", unitTiming, "acceptance of a job to its rejection"},
-	JobUnknown:       {"job_unknown", unitTiming, "acceptance of a job to the loss of its outcome"},
+var timingDescriptions = [numTimings]Description{
+	QuickDone:        {"quick_done", timingUnit, "arrival of a quick request to its whole answer"},
+	QuickNotRun:      {"quick_not_run", timingUnit, "arrival to the word that it did not run"},
+	QuickUnknown:     {"quick_unknown", timingUnit, "arrival to the word that it may have run"},
+	QuickQueueTime:   {"quick_queued", timingUnit, "wait in the agent's queue"},
+	QuickServiceTime: {"quick_served", timingUnit, "time the target took"},
+	JobWaitTime:      {"job_waited", timingUnit, "acceptance of a job to its first start"},
+	JobDone:          {"job_done", timingUnit, "acceptance of a job to its success"},
+	JobFailed:        {"job_failed", timingUnit, "acceptance of a job to its failure"},
+	JobCancelled:     {"job_cancelled", timingUnit, "acceptance of a job to its cancelled end"},
+	JobRejected:      {"job_rejected", timingUnit, "acceptance of a job to its rejection"},
+	JobUnknown:       {"job_unknown", timingUnit, "acceptance of a job to the loss of its outcome"},
 }
 
 // Describe returns what the timing means.
 func (t Timing) Describe() Description {
-	return timings[t]
+	return timingDescriptions[t]
 }
 
 // Timings lists all timings.
 func Timings() []Timing {
-	return upTo(numTimings)
+	return enumerate(numTimings)
 }
--- a/settings/accepted.go
+++ b/settings/accepted.go
@@ -1,12 +1,12 @@
 package settings
 
 // AcceptedKeyBytes returns AcceptedKeys as the transport takes them.
-func (e Entry) AcceptedKeyBytes() [][]byte { return keys(e.AcceptedKeys) }
+func (e Entry) AcceptedKeyBytes() [][]byte { return toByteSlices(e.AcceptedKeys) }
 
 // AcceptedKeyBytes returns AcceptedKeys as the transport takes them.
-func (a Agent) AcceptedKeyBytes() [][]byte { return keys(a.AcceptedKeys) }
+func (a Agent) AcceptedKeyBytes() [][]byte { return toByteSlices(a.AcceptedKeys) }
 
-func keys(texts []string) [][]byte {
+func toByteSlices(texts []string) [][]byte {
 	out := make([][]byte, 0, len(texts))
 	for _, t := range texts {
 		out = append(out, []byte(t))
--- a/settings/fuzz_test.go
+++ b/settings/fuzz_test.go
@@ -12,9 +12,9 @@
 // fuzzSecret is longer than what a fuzz test would find by chance.
 const fuzzSecret = "vongole-secret-0123456789"
 
-// addSamples seeds a fuzz test with the sample settings and with what an operator
+// addSeeds seeds a fuzz test with the sample settings and with what an operator
 // may have left behind after the secret.
-func addSamples(f *testing.F, pattern string) {
+func addSeeds(f *testing.F, pattern string) {
 	files, err := filepath.Glob("../testdata/settings/" + pattern)
 	if err != nil || len(files) == 0 {
 		f.Fatal(err, files)
@@ -37,9 +37,9 @@
 	}
 }
 
-// fuzzText is a file with a secret between what comes before and after. It is empty
+// fuzzInput is a file with a secret between what comes before and after. It is empty
 // where the secret would be in a text of several lines, so of another key.
-func fuzzText(before, after string) []byte {
+func fuzzInput(before, after string) []byte {
 	if strings.Contains(before, `"""`) || strings.Contains(before, "'''") {
 		return nil
 	}
@@ -65,18 +65,18 @@
 
 // FuzzEntry: an operator's file may be cut, mistyped or merged by hand.
 func FuzzEntry(f *testing.F) {
-	addSamples(f, "*-entry.toml")
+	addSeeds(f, "*-entry.toml")
 	f.Fuzz(func(t *testing.T, before, after string) {
-		s, err := settings.Parse[settings.Entry]("fuzz.toml", fuzzText(before, after))
+		s, err := settings.Parse[settings.Entry]("fuzz.toml", fuzzInput(before, after))
 		checkParsed(t, s.ID, err)
 	})
 }
 
 // FuzzAgent is FuzzEntry for the settings of an agent.
 func FuzzAgent(f *testing.F) {
-	addSamples(f, "*-agent.toml")
+	addSeeds(f, "*-agent.toml")
 	f.Fuzz(func(t *testing.T, before, after string) {
-		s, err := settings.Parse[settings.Agent]("fuzz.toml", fuzzText(before, after))
+		s, err := settings.Parse[settings.Agent]("fuzz.toml", fuzzInput(before, after))
 		checkParsed(t, s.ID, err)
 	})
 }
--- a/settings/page_test.go
+++ b/settings/page_test.go
@@ -12,8 +12,8 @@
 	"github.com/eelgrasshub/eelgrasshub/settings"
 )
 
-// rowOf returns the row of a key in a section of the reference page.
-func rowOf(section, path string) string {
+// findRow returns the row of a key in a section of the reference page.
+func findRow(section, path string) string {
 	for line := range strings.Lines(section) {
 		if strings.HasPrefix(line, "| `"+path+"` |") {
 			return line
@@ -24,7 +24,7 @@
 
 // An operator looks a key up. A key that was added, renamed or given another
 // default without its row on the page fails here.
-func TestReferencePageNamesEveryKey(t *testing.T) {
+func TestReferencePageListsEveryKey(t *testing.T) {
 	data, err := os.ReadFile("../docs/CONFIGURATION.md")
 	qt.Assert(t, err, qt.IsNil)
 	page := string(data)
@@ -45,7 +45,7 @@
 			section, _, _ = strings.Cut(section, "\n## ")
 			rows := 0
 			for _, k := range test.keys {
-				row := rowOf(section, k.Path)
+				row := findRow(section, k.Path)
 				c.Check(row, qt.Not(qt.Equals), "", qt.Commentf("no row for %s", k.Path))
 				c.Check(row, qt.Contains, "| "+k.Range()+" |", qt.Commentf("%s", k.Path))
 				if k.Default != "" {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/eelgrasshub/eelgrasshub/settings"
 )
 
-func TestSamplesLoad(t *testing.T) {
+func TestLoadSamples(t *testing.T) {
 	c := qt.New(t)
 	for _, deployment := range []string{"tidewater", "peachline"} {
 		file := filepath.Join("../testdata/settings", deployment)
@@ -49,13 +49,13 @@
 entry.toml:12: colour: unknown key`)
 }
 
-func TestFileThatIsNotThere(t *testing.T) {
+func TestLoadMissingFile(t *testing.T) {
 	_, err := settings.Load[settings.Agent]("nowhere.toml")
 	qt.Assert(t, err, qt.ErrorMatches, `.*nowhere.toml.*no such file.*`)
 }
 
 // A key set to zero is not a key left out: its default must not replace it.
-func TestZeroIsKept(t *testing.T) {
+func TestExplicitZeroIsKept(t *testing.T) {
 	c := qt.New(t)
 	const text = `id = "w"
 service = "s"
