--- a/cmd/eelgrasshub/trial.go
+++ b/cmd/eelgrasshub/trial.go
@@ -41,7 +41,7 @@
 
 // Execute implements flags.Commander.
 func (c *trialCmd) Execute([]string) error {
-	dirty := 0
+	failed := 0
 	for _, s := range samples {
 		if c.Service != "" && c.Service != s.service {
 			continue
@@ -51,31 +51,31 @@
 			return fmt.Errorf("%s: %w", s.service, err)
 		}
 		if !clean {
-			dirty++
+			failed++
 		}
 	}
-	if dirty > 0 {
-		return fmt.Errorf("%d services: what callers were told is contradicted by what ran", dirty)
+	if failed > 0 {
+		return fmt.Errorf("%d services: what callers were told is contradicted by what ran", failed)
 	}
 	return nil
 }
 
 // run runs one service and reports whether its audit is clean.
 func (c *trialCmd) run(s sample) (bool, error) {
-	o, err := c.options(s)
+	options, err := c.options(s)
 	if err != nil {
 		return false, err
 	}
-	began := time.Now()
-	out, err := trial.Run(context.Background(), o)
+	start := time.Now()
+	result, err := trial.Run(context.Background(), options)
 	if err != nil {
 		return false, err
 	}
-	if err := load.WriteReport(os.Stdout, out.Result, out.Findings, out.Samples); err != nil {
+	if err := load.WriteReport(os.Stdout, result.Result, result.Findings, result.Samples); err != nil {
 		return false, err
 	}
-	fmt.Printf("took %s, seed %d\n\n", time.Since(began).Round(time.Second), o.Plan.Seed)
-	return out.Findings.Clean(), nil
+	fmt.Printf("took %s, seed %d\n\n", time.Since(start).Round(time.Second), options.Plan.Seed)
+	return result.Findings.Clean(), nil
 }
 
 func (c *trialCmd) options(s sample) (trial.RunOptions, error) {
--- a/document/active_set.go
+++ b/document/active_set.go
@@ -31,31 +31,31 @@
 // called after each change, in order, with old nil for a first version. It
 // must not call Offer.
 func NewActiveSet(onChange func(old, now *ActiveVersion)) *ActiveSet {
-	f := &ActiveSet{onChange: onChange, lastRefused: map[string]Summary{}}
-	f.versions.Store(&map[string]*ActiveVersion{})
-	return f
+	a := &ActiveSet{onChange: onChange, lastRefused: map[string]Summary{}}
+	a.versions.Store(&map[string]*ActiveVersion{})
+	return a
 }
 
 // Current returns what is in force for service.
-func (f *ActiveSet) Current(service string) (*ActiveVersion, bool) {
-	h, ok := (*f.versions.Load())[service]
+func (a *ActiveSet) Current(service string) (*ActiveVersion, bool) {
+	h, ok := (*a.versions.Load())[service]
 	return h, ok
 }
 
 // All returns what is in force, sorted by service.
-func (f *ActiveSet) All() []*ActiveVersion {
-	return slices.SortedFunc(maps.Values(*f.versions.Load()), func(a, b *ActiveVersion) int {
+func (a *ActiveSet) All() []*ActiveVersion {
+	return slices.SortedFunc(maps.Values(*a.versions.Load()), func(a, b *ActiveVersion) int {
 		return strings.Compare(a.Version.Service, b.Version.Service)
 	})
 }
 
 // Counts returns the decisions so far.
-func (f *ActiveSet) Counts() UpdateCounts {
+func (a *ActiveSet) Counts() UpdateCounts {
 	return UpdateCounts{
-		Accepted:    f.accepted.Load(),
-		Older:       f.older.Load(),
-		Conflicting: f.conflicting.Load(),
-		Refused:     f.refused.Load(),
+		Accepted:    a.accepted.Load(),
+		Older:       a.older.Load(),
+		Conflicting: a.conflicting.Load(),
+		Refused:     a.refused.Load(),
 	}
 }
 
@@ -64,15 +64,15 @@
 // the one in force stays: an older binary must not drop its configuration
 // because the operators use a newer one. Of two split histories the later
 // version is in force afterwards, with a generation above both.
-func (f *ActiveSet) Update(now time.Time, v Version) UpdateResult {
-	if d := f.compare(v); d == UpdateUnchanged || d == UpdateOlder {
-		return f.countResult(d)
+func (a *ActiveSet) Update(now time.Time, v Version) UpdateResult {
+	if result := a.compare(v); result == UpdateUnchanged || result == UpdateOlder {
+		return a.countResult(result)
 	}
 	// Parsing is slow, so it is done without the lock.
 	doc := parseVersion(v)
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.countResult(f.apply(now, v, doc))
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.countResult(a.apply(now, v, doc))
 }
 
 // parseVersion returns nil where v cannot be read or contradicts itself.
@@ -84,8 +84,8 @@
 	return doc
 }
 
-func (f *ActiveSet) compare(v Version) UpdateResult {
-	h, ok := f.Current(v.Service)
+func (a *ActiveSet) compare(v Version) UpdateResult {
+	h, ok := a.Current(v.Service)
 	switch {
 	case v.Generation == 0:
 		return UpdateOlder
@@ -95,47 +95,47 @@
 	return compareVersions(h.Version, v)
 }
 
-func (f *ActiveSet) apply(now time.Time, v Version, doc *Document) UpdateResult {
-	d := f.compare(v)
-	if d == UpdateUnchanged || d == UpdateOlder {
-		return d
+func (a *ActiveSet) apply(now time.Time, v Version, doc *Document) UpdateResult {
+	result := a.compare(v)
+	if result == UpdateUnchanged || result == UpdateOlder {
+		return result
 	}
 	if doc == nil {
-		f.lastRefused[v.Service] = v.Summary()
+		a.lastRefused[v.Service] = v.Summary()
 		return UpdateRefused
 	}
-	if d == UpdateConflicting {
-		held, _ := f.Current(v.Service)
-		if isLater(held.Version, v) {
-			doc = held.Document
+	if result == UpdateConflicting {
+		active, _ := a.Current(v.Service)
+		if isLater(active.Version, v) {
+			doc = active.Document
 		}
-		v = resolveFork(held.Version, v)
+		v = resolveFork(active.Version, v)
 	}
-	f.publish(&ActiveVersion{Version: v, Document: doc, Since: now})
-	return d
+	a.publish(&ActiveVersion{Version: v, Document: doc, Since: now})
+	return result
 }
 
-func (f *ActiveSet) publish(h *ActiveVersion) {
-	old := *f.versions.Load()
+func (a *ActiveSet) publish(h *ActiveVersion) {
+	old := *a.versions.Load()
 	next := maps.Clone(old)
 	next[h.Version.Service] = h
-	f.versions.Store(&next)
-	delete(f.lastRefused, h.Version.Service)
-	if f.onChange != nil {
-		f.onChange(old[h.Version.Service], h)
+	a.versions.Store(&next)
+	delete(a.lastRefused, h.Version.Service)
+	if a.onChange != nil {
+		a.onChange(old[h.Version.Service], h)
 	}
 }
 
-func (f *ActiveSet) countResult(d UpdateResult) UpdateResult {
-	switch d {
+func (a *ActiveSet) countResult(result UpdateResult) UpdateResult {
+	switch result {
 	case UpdateAccepted:
-		f.accepted.Add(1)
+		a.accepted.Add(1)
 	case UpdateOlder:
-		f.older.Add(1)
+		a.older.Add(1)
 	case UpdateConflicting:
-		f.conflicting.Add(1)
+		a.conflicting.Add(1)
 	case UpdateRefused:
-		f.refused.Add(1)
+		a.refused.Add(1)
 	}
-	return d
+	return result
 }
--- a/document/active_set_test.go
+++ b/document/active_set_test.go
@@ -12,13 +12,13 @@
 	"github.com/eelgrasshub/eelgrasshub/document"
 )
 
-func version(generation uint64, mark string) document.Version {
-	toml := documentText("dispatch", mark)
+func version(generation uint64, label string) document.Version {
+	toml := documentText("dispatch", label)
 	return document.Version{
 		Service:    "dispatch",
 		Generation: generation,
-		Token:      fmt.Sprintf("token-%016s", mark),
-		Author:     mark,
+		Token:      fmt.Sprintf("token-%016s", label),
+		Author:     label,
 		CreatedAt:  time.Unix(int64(generation), 0).UTC(),
 		TOML:       toml,
 		Digest:     document.DigestOf(toml),
@@ -40,9 +40,9 @@
 	foreign.TOML = documentText("slotbook", "foreign")
 	foreign.Digest = document.DigestOf(foreign.TOML)
 	for _, test := range []struct {
-		story string
-		offer document.Version
-		want  document.UpdateResult
+		name    string
+		offered document.Version
+		want    document.UpdateResult
 	}{
 		{"an operator put a new generation", version(3, "new"), document.UpdateAccepted},
 		{"a watch restarted from an old revision", version(1, "old"), document.UpdateOlder},
@@ -52,16 +52,16 @@
 		{"the text is another service's", foreign, document.UpdateRefused},
 		{"no generation", document.Version{Service: "dispatch"}, document.UpdateOlder},
 	} {
-		t.Run(test.story, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			f := document.NewActiveSet(nil)
-			c.Assert(f.Update(time.Unix(1, 0), version(2, "held")), qt.Equals, document.UpdateAccepted)
-			c.Assert(f.Update(time.Unix(2, 0), test.offer), qt.Equals, test.want)
-			held, ok := f.Current("dispatch")
+			set := document.NewActiveSet(nil)
+			c.Assert(set.Update(time.Unix(1, 0), version(2, "held")), qt.Equals, document.UpdateAccepted)
+			c.Assert(set.Update(time.Unix(2, 0), test.offered), qt.Equals, test.want)
+			active, ok := set.Current("dispatch")
 			c.Assert(ok, qt.IsTrue)
 			accepted := test.want == document.UpdateAccepted
-			c.Assert(held.Version.Generation == 3, qt.Equals, accepted)
-			c.Assert(held.Document.Owner == "held", qt.Equals, !accepted)
+			c.Assert(active.Version.Generation == 3, qt.Equals, accepted)
+			c.Assert(active.Document.Owner == "held", qt.Equals, !accepted)
 		})
 	}
 }
@@ -69,7 +69,7 @@
 func TestOnChangeOrder(t *testing.T) {
 	c := qt.New(t)
 	var seen []string
-	f := document.NewActiveSet(func(old, now *document.ActiveVersion) {
+	set := document.NewActiveSet(func(old, now *document.ActiveVersion) {
 		from := uint64(0)
 		if old != nil {
 			from = old.Version.Generation
@@ -77,7 +77,7 @@
 		seen = append(seen, fmt.Sprint(from, "-", now.Version.Generation))
 	})
 	for _, g := range []uint64{1, 3, 2, 4} {
-		f.Update(time.Unix(0, 0), version(g, fmt.Sprint(g)))
+		set.Update(time.Unix(0, 0), version(g, fmt.Sprint(g)))
 	}
 	c.Assert(seen, qt.DeepEquals, []string{"0-1", "1-3", "3-4"})
 }
@@ -118,13 +118,13 @@
 func TestConcurrentUpdatesNeverDecreaseGeneration(t *testing.T) {
 	c := qt.New(t)
 	const highest, sources = 40, 4
-	f := document.NewActiveSet(nil)
+	set := document.NewActiveSet(nil)
 	var wg sync.WaitGroup
 	for source := range sources {
 		wg.Go(func() {
 			for i := range highest {
 				g := uint64((i*7+source*11)%highest + 1)
-				f.Update(time.Unix(0, 0), version(g, fmt.Sprint(g)))
+				set.Update(time.Unix(0, 0), version(g, fmt.Sprint(g)))
 			}
 		})
 	}
@@ -139,12 +139,12 @@
 			over = true
 		default:
 		}
-		if h, ok := f.Current("dispatch"); ok {
+		if h, ok := set.Current("dispatch"); ok {
 			c.Assert(h.Version.Generation >= last, qt.IsTrue)
 			last = h.Version.Generation
 		}
 		runtime.Gosched()
 	}
-	h, _ := f.Current("dispatch")
+	h, _ := set.Current("dispatch")
 	c.Assert(h.Version.Generation, qt.Equals, uint64(highest))
 }
--- a/document/class.go
+++ b/document/class.go
@@ -47,17 +47,17 @@
 )
 
 // fillDerivedDefaults sets the keys whose default depends on another key.
-func (c *Class) fillDerivedDefaults(set func(key string) bool) {
-	if !set("deadline") {
+func (c *Class) fillDerivedDefaults(isSet func(key string) bool) {
+	if !isSet("deadline") {
 		c.Deadline = schema.Seconds(defaultQuickDeadline)
 		if c.Kind == Job {
 			c.Deadline = schema.Seconds(defaultJobDeadline)
 		}
 	}
-	if !set("retries") && c.Repeatable {
+	if !isSet("retries") && c.Repeatable {
 		c.Retries = defaultRepeatableRetries
 	}
-	if !set("may_borrow") && c.Kind == Job {
+	if !isSet("may_borrow") && c.Kind == Job {
 		c.MayBorrow = c.Repeatable || c.Checkpointable
 	}
 }
--- a/document/consistency.go
+++ b/document/consistency.go
@@ -8,41 +8,41 @@
 )
 
 // checkConsistency checks what no single key can tell.
-func checkConsistency(d *Document, f *schema.Result) {
-	checkUniqueNames(f, "account", len(d.Accounts), func(i int) string { return d.Accounts[i].Name })
-	checkUniqueNames(f, "class", len(d.Classes), func(i int) string { return d.Classes[i].Name })
+func checkConsistency(d *Document, result *schema.Result) {
+	checkUniqueNames(result, "account", len(d.Accounts), func(i int) string { return d.Accounts[i].Name })
+	checkUniqueNames(result, "class", len(d.Classes), func(i int) string { return d.Classes[i].Name })
 	for i := range d.Classes {
-		checkClass(&d.Classes[i], fmt.Sprintf("class[%d]", i), f)
+		checkClass(&d.Classes[i], fmt.Sprintf("class[%d]", i), result)
 	}
-	checkLossMargin(d, f)
-	checkTotals(d, f)
+	checkLossMargin(d, result)
+	checkTotals(d, result)
 	if d.Topology != nil {
 		zones := d.Topology.Zones
-		checkUniqueNames(f, "topology.zone", len(zones), func(i int) string { return zones[i].Name })
-		checkShapeSizes(d, f)
+		checkUniqueNames(result, "topology.zone", len(zones), func(i int) string { return zones[i].Name })
+		checkShapeSizes(d, result)
 	}
 }
 
-func checkUniqueNames(f *schema.Result, table string, n int, name func(int) string) {
+func checkUniqueNames(result *schema.Result, table string, count int, name func(int) string) {
 	first := map[string]int{}
-	for i := range n {
+	for i := range count {
 		if name(i) == "" {
 			continue
 		}
 		if j, ok := first[name(i)]; ok {
-			f.AddProblem(fmt.Sprintf("%s[%d].name", table, i), "%q is the name of %s[%d] already", name(i), table, j)
+			result.AddProblem(fmt.Sprintf("%s[%d].name", table, i), "%q is the name of %s[%d] already", name(i), table, j)
 			continue
 		}
 		first[name(i)] = i
 	}
 }
 
-func checkClass(c *Class, path string, f *schema.Result) {
+func checkClass(c *Class, path string, result *schema.Result) {
 	if !c.Repeatable && c.Retries > 0 {
-		f.AddProblem(path+".retries", "got %d, want 0: the class is not repeatable and runs at most once", c.Retries)
+		result.AddProblem(path+".retries", "got %d, want 0: the class is not repeatable and runs at most once", c.Retries)
 	}
 	if c.Kind == Quick {
-		checkQuickClass(path, f)
+		checkQuickClass(path, result)
 		return
 	}
 	if c.Kind != Job {
@@ -51,17 +51,17 @@
 	// A borrower is evicted when the guarantee is claimed. Work that can be
 	// neither resumed nor run again would be lost, or the guarantee broken.
 	if c.MayBorrow && !c.Checkpointable && !c.Repeatable {
-		f.AddProblem(path+".may_borrow", "got true, want false: the class is neither checkpointable nor repeatable, so it cannot be evicted")
+		result.AddProblem(path+".may_borrow", "got true, want false: the class is neither checkpointable nor repeatable, so it cannot be evicted")
 	}
 	if c.MaxRun.Duration > c.Deadline.Duration {
-		f.AddProblem(path+".max_run", "got %s, want at most the deadline of %s", c.MaxRun, c.Deadline)
+		result.AddProblem(path+".max_run", "got %s, want at most the deadline of %s", c.MaxRun, c.Deadline)
 	}
 }
 
-func checkQuickClass(path string, f *schema.Result) {
+func checkQuickClass(path string, result *schema.Result) {
 	for _, key := range []string{"priority", "urgent", "checkpointable", "may_borrow", "max_run"} {
-		if f.Index.IsSet(path + "." + key) {
-			f.AddProblem(path+"."+key, `only for kind = "job"`)
+		if result.Index.IsSet(path + "." + key) {
+			result.AddProblem(path+"."+key, `only for kind = "job"`)
 		}
 	}
 }
@@ -71,29 +71,29 @@
 // reports of an agent arrive, or gangs would never count as whole.
 const minLossMargin = 9 * time.Second
 
-func checkLossMargin(d *Document, f *schema.Result) {
-	least := d.Gang.IsolationTimeout.Duration + minLossMargin
-	if d.Gang.LossTimeout.Duration < least {
-		f.AddProblem("gang.loss_timeout", "got %s, want at least %s: gang.isolation_timeout and %s more",
-			d.Gang.LossTimeout, schema.Duration{Duration: least}, schema.Duration{Duration: minLossMargin})
+func checkLossMargin(d *Document, result *schema.Result) {
+	minimum := d.Gang.IsolationTimeout.Duration + minLossMargin
+	if d.Gang.LossTimeout.Duration < minimum {
+		result.AddProblem("gang.loss_timeout", "got %s, want at least %s: gang.isolation_timeout and %s more",
+			d.Gang.LossTimeout, schema.Duration{Duration: minimum}, schema.Duration{Duration: minLossMargin})
 	}
 }
 
 // checkShapeSizes refuses shapes larger than any place of the topology, and sums
 // above its total. Whether the shapes fit together as blocks is the FitCheck's
 // question.
-func checkShapeSizes(d *Document, f *schema.Result) {
+func checkShapeSizes(d *Document, result *schema.Result) {
 	sum := 0
 	for i, a := range d.Accounts {
 		for j, g := range a.Guaranteed {
 			sum += g.Accelerators * g.Count
-			if most := d.Topology.largestUnit(g.Adjacent); g.Accelerators > most {
-				f.AddProblem(guaranteePath(i, j)+".accelerators", "got %d, want at most %d, the largest %s of the topology",
-					g.Accelerators, most, g.Adjacent)
+			if maximum := d.Topology.largestUnit(g.Adjacent); g.Accelerators > maximum {
+				result.AddProblem(guaranteePath(i, j)+".accelerators", "got %d, want at most %d, the largest %s of the topology",
+					g.Accelerators, maximum, g.Adjacent)
 			}
 		}
 	}
 	if total := d.Topology.TotalAccelerators(); sum > total {
-		f.AddProblem("topology", "holds %d accelerators, the guaranteed shapes need %d", total, sum)
+		result.AddProblem("topology", "holds %d accelerators, the guaranteed shapes need %d", total, sum)
 	}
 }
--- a/document/fork.go
+++ b/document/fork.go
@@ -8,14 +8,14 @@
 // back. Both operators were told success. This shows as a lower generation
 // that is later, a higher one that is earlier, or an equal one with another
 // text.
-func compareVersions(held, offered Version) UpdateResult {
-	same := offered.Generation == held.Generation && offered.Digest == held.Digest
+func compareVersions(active, offered Version) UpdateResult {
+	same := offered.Generation == active.Generation && offered.Digest == active.Digest
 	switch {
 	case same:
 		return UpdateUnchanged
-	case offered.Generation > held.Generation && !isLater(held, offered):
+	case offered.Generation > active.Generation && !isLater(active, offered):
 		return UpdateAccepted
-	case offered.Generation < held.Generation && !isLater(offered, held):
+	case offered.Generation < active.Generation && !isLater(offered, active):
 		return UpdateOlder
 	}
 	return UpdateConflicting
--- a/document/get.go
+++ b/document/get.go
@@ -17,8 +17,8 @@
 // Get reads the version of service that the store holds. The second result is
 // false where there is none.
 func Get(ctx context.Context, store store.Store, service string) (Version, bool, error) {
-	s, err := readStored(ctx, store, service)
-	return s.Version, s.Revision != 0, err
+	stored, err := readStored(ctx, store, service)
+	return stored.Version, stored.Revision != 0, err
 }
 
 // readStored returns a zero Stored where the store holds no document of service.
--- a/document/lister.go
+++ b/document/lister.go
@@ -80,18 +80,18 @@
 	s := keys
 	s.Keys = nil
 	for _, kv := range keys.Keys {
-		whole := l.cached[kv.Key]
-		if whole.Mod != kv.Mod {
-			now, ok, err := l.store.Get(ctx, kv.Key)
+		value := l.cached[kv.Key]
+		if value.Mod != kv.Mod {
+			latest, ok, err := l.store.Get(ctx, kv.Key)
 			if err != nil {
 				return store.Snapshot{}, eris.Wrapf(err, "key %s", kv.Key)
 			}
 			if !ok {
 				continue // deleted since; the watch brings that as well
 			}
-			whole = now
+			value = latest
 		}
-		s.Keys = append(s.Keys, whole)
+		s.Keys = append(s.Keys, value)
 	}
 	l.cacheSnapshot(s)
 	return s, nil
--- a/document/lister_test.go
+++ b/document/lister_test.go
@@ -20,7 +20,7 @@
 		c := qt.New(t)
 		kv := newFakeStore()
 		mustPut(c, kv, "one", 0)
-		f, w := startWatcher(t, kv, nil)
+		active, w := startWatcher(t, kv, nil)
 		<-w.Ready()
 		mustPut(c, kv, "two", 1)
 		before, _ := kv.counts()
@@ -28,7 +28,7 @@
 		calls, values := kv.counts()
 		c.Assert(calls-before > 20, qt.IsTrue)
 		c.Assert(values, qt.Equals, 1)
-		c.Assert(generationOf(f), qt.Equals, uint64(2))
+		c.Assert(generationOf(active), qt.Equals, uint64(2))
 	})
 }
 
@@ -39,11 +39,11 @@
 		c := qt.New(t)
 		kv := newFakeStore()
 		mustPut(c, kv, "one", 0)
-		f, w := startWatcher(t, silentWatchStore{kv}, nil)
+		active, w := startWatcher(t, silentWatchStore{kv}, nil)
 		<-w.Ready()
 		mustPut(c, kv, "two", 1)
 		time.Sleep(15 * time.Second)
-		c.Assert(generationOf(f), qt.Equals, uint64(2))
+		c.Assert(generationOf(active), qt.Equals, uint64(2))
 	})
 }
 
@@ -66,7 +66,7 @@
 		mustPut(c, kv, "one", 0)
 		old := kv.backup()
 		mustPut(c, kv, "two", 1)
-		f, w := startWatcher(t, silentWatchStore{kv}, nil)
+		active, w := startWatcher(t, silentWatchStore{kv}, nil)
 		<-w.Ready()
 		kv.restore(old)
 		time.Sleep(time.Second) // the later text wins
@@ -74,8 +74,8 @@
 		time.Sleep(15 * time.Second)
 		stored, _, err := document.Get(context.Background(), kv, "dispatch")
 		c.Assert(err, qt.IsNil)
-		held, _ := f.Current("dispatch")
-		c.Assert(string(held.Version.TOML), qt.Equals, string(stored.TOML))
+		current, _ := active.Current("dispatch")
+		c.Assert(string(current.Version.TOML), qt.Equals, string(stored.TOML))
 		c.Assert(string(stored.TOML), qt.Contains, "other two")
 	})
 }
--- a/document/parse.go
+++ b/document/parse.go
@@ -30,31 +30,31 @@
 
 // Check is Parse with, in addition, the fit of the guaranteed shapes on the
 // document's topology, where it has one. A nil fit checks sums and sizes only.
-func Check(name string, data []byte, fit PlacementCheck) (*Document, error) {
+func Check(name string, data []byte, checkPlacement PlacementCheck) (*Document, error) {
 	if len(data) > MaxBytes {
 		reason := fmt.Sprintf("is %d bytes long, want at most %d", len(data), MaxBytes)
 		return nil, schema.Problems{{File: name, Reason: reason}}
 	}
-	d, f := schema.Decode[Document](name, data)
+	d, result := schema.Decode[Document](name, data)
 	for i := range d.Classes {
 		d.Classes[i].fillDerivedDefaults(func(key string) bool {
-			return f.Index.IsSet(fmt.Sprintf("class[%d].%s", i, key))
+			return result.Index.IsSet(fmt.Sprintf("class[%d].%s", i, key))
 		})
 	}
-	f.Validate(&d)
-	checkConsistency(&d, f)
-	if len(f.Problems) == 0 && fit != nil && d.Topology != nil {
-		addPlacementProblems(&d, f, fit)
+	result.Validate(&d)
+	checkConsistency(&d, result)
+	if len(result.Problems) == 0 && checkPlacement != nil && d.Topology != nil {
+		addPlacementProblems(&d, result, checkPlacement)
 	}
-	if err := f.Problems.Err(); err != nil {
+	if err := result.Problems.Err(); err != nil {
 		return nil, err
 	}
 	return &d, nil
 }
 
-func addPlacementProblems(d *Document, f *schema.Result, fit PlacementCheck) {
-	for _, m := range fit(d.Topology, d.Accounts) {
-		f.AddProblem(guaranteePath(m.Account, m.Guarantee), "%s", m.Reason)
+func addPlacementProblems(d *Document, result *schema.Result, checkPlacement PlacementCheck) {
+	for _, m := range checkPlacement(d.Topology, d.Accounts) {
+		result.AddProblem(guaranteePath(m.Account, m.Guarantee), "%s", m.Reason)
 	}
 }
 
--- a/document/pending_write.go
+++ b/document/pending_write.go
@@ -40,19 +40,19 @@
 
 // run sends the write until its outcome is known or ctx ends.
 func (w *pendingWrite) run(ctx context.Context) (Version, error) {
-	pause := backoff.NewExponentialBackOff()
-	pause.MaxInterval = maxRetryDelay
-	pause.RandomizationFactor = 0 // one operator's command: nobody to spread from
-	final := false
+	retryPolicy := backoff.NewExponentialBackOff()
+	retryPolicy.MaxInterval = maxRetryDelay
+	retryPolicy.RandomizationFactor = 0 // one operator's command: nobody to spread from
+	outcomeKnown := false
 	v, err := backoff.Retry(ctx, func() (Version, error) {
 		v, known, err := w.send(ctx)
-		final = known
+		outcomeKnown = known
 		if known && err != nil {
 			return Version{}, backoff.Permanent(err)
 		}
 		return v, err
-	}, backoff.WithBackOff(pause), backoff.WithMaxElapsedTime(0))
-	if err != nil && !final {
+	}, backoff.WithBackOff(retryPolicy), backoff.WithMaxElapsedTime(0))
+	if err != nil && !outcomeKnown {
 		return Version{}, eris.Wrap(ErrOutcomeUnknown, err.Error())
 	}
 	return v, err
@@ -62,19 +62,19 @@
 // guards a repeated send against a store restored in between, which counts its
 // revisions again: the revision we expect can then be that of another write.
 func (w *pendingWrite) baseUnchanged(ctx context.Context) (bool, error) {
-	now, err := readStored(ctx, w.store, w.version.Service)
-	return now.Version.Token == w.version.Replaces && now.Revision == w.swaps[0].Expect, err
+	stored, err := readStored(ctx, w.store, w.version.Service)
+	return stored.Version.Token == w.version.Replaces && stored.Revision == w.swaps[0].Expect, err
 }
 
 // send sends the swap once. The second result is false while the outcome of
 // this or an earlier send is not known.
 func (w *pendingWrite) send(ctx context.Context) (Version, bool, error) {
 	if w.mayHaveApplied {
-		standing, err := w.baseUnchanged(ctx)
+		unchanged, err := w.baseUnchanged(ctx)
 		if err != nil {
 			return Version{}, false, err
 		}
-		if !standing {
+		if !unchanged {
 			return w.resolveOutcome(ctx)
 		}
 	}
@@ -96,14 +96,14 @@
 // resolveOutcome tells, after a swap that failed, whether an earlier send of it took
 // effect.
 func (w *pendingWrite) resolveOutcome(ctx context.Context) (Version, bool, error) {
-	now, err := readStored(ctx, w.store, w.version.Service)
+	stored, err := readStored(ctx, w.store, w.version.Service)
 	if err != nil && w.mayHaveApplied {
 		return Version{}, false, err
 	}
 	if err != nil {
 		return Version{}, true, eris.Wrapf(ErrConflict, "nothing was written, and the winner could not be read: %v", err)
 	}
-	v := now.Version
+	v := stored.Version
 	if v.Token == w.version.Token {
 		return v, true, nil
 	}
--- a/document/put.go
+++ b/document/put.go
@@ -57,13 +57,13 @@
 		return Version{}, eris.Wrapf(ErrStoreBehind, "store generation %d, in force %d, nothing was written",
 			current.Version.Generation, p.ActiveGeneration)
 	}
-	next := nextVersion(current.Version, p)
-	next.Service = d.Service
-	w, err := newPendingWrite(store, p, next, current.Revision)
+	version := nextVersion(current.Version, p)
+	version.Service = d.Service
+	write, err := newPendingWrite(store, p, version, current.Revision)
 	if err != nil {
 		return Version{}, err
 	}
-	return w.run(ctx)
+	return write.run(ctx)
 }
 
 // nextVersion returns the version that follows current. At grows also where the
@@ -71,8 +71,8 @@
 // than another of the same document was accepted later.
 func nextVersion(current Version, p Proposal) Version {
 	at := p.CreatedAt.UTC().Truncate(minTimeStep)
-	if floor := current.CreatedAt.Add(minTimeStep); at.Before(floor) {
-		at = floor
+	if earliest := current.CreatedAt.Add(minTimeStep); at.Before(earliest) {
+		at = earliest
 	}
 	return Version{
 		Generation: current.Generation + 1,
--- a/document/put_test.go
+++ b/document/put_test.go
@@ -17,7 +17,7 @@
 )
 
 // documentText returns a small document of service; mark tells texts apart.
-func documentText(service, mark string) []byte {
+func documentText(service, label string) []byte {
 	return fmt.Appendf(nil, `service = %q
 owner = "%s"
 
@@ -27,16 +27,16 @@
 [[class]]
 name = "risk-check"
 kind = "quick"
-`, service, mark)
+`, service, label)
 }
 
-func proposal(mark string, base uint64) document.Proposal {
+func proposal(label string, base uint64) document.Proposal {
 	return document.Proposal{
-		FileName:       mark + ".toml",
-		TOML:           documentText("dispatch", mark),
+		FileName:       label + ".toml",
+		TOML:           documentText("dispatch", label),
 		BaseGeneration: base,
-		Author:         mark,
-		Token:          fmt.Sprintf("token-%016s", mark),
+		Author:         label,
+		Token:          fmt.Sprintf("token-%016s", label),
 		CreatedAt:      time.Now(),
 	}
 }
@@ -72,8 +72,8 @@
 	c := qt.New(t)
 	kv := newFakeStore()
 	ctx := context.Background()
-	for base, mark := range []string{"old", "fast"} {
-		_, err := document.Put(ctx, kv, proposal(mark, uint64(base)))
+	for base, label := range []string{"old", "fast"} {
+		_, err := document.Put(ctx, kv, proposal(label, uint64(base)))
 		c.Assert(err, qt.IsNil)
 	}
 	_, err := document.Put(ctx, kv, proposal("slow", 1))
@@ -136,24 +136,24 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	kv := newFakeStore()
 	kv.latency = time.Millisecond
-	left := 20 // the store heals after so many swaps
+	faultsLeft := 20 // the store heals after so many swaps
 	kv.nextFault = func() swapFault {
-		left--
-		if left < 0 || rng.IntN(2) == 0 {
+		faultsLeft--
+		if faultsLeft < 0 || rng.IntN(2) == 0 {
 			return noFault
 		}
 		return swapFault(1 + rng.IntN(3))
 	}
 	versions := make([]document.Version, operators)
 	errs := make([]error, operators)
-	pauses := make([]time.Duration, operators)
-	for i := range pauses {
-		pauses[i] = time.Duration(rng.IntN(3))*time.Millisecond + time.Duration(i)*time.Microsecond
+	delays := make([]time.Duration, operators)
+	for i := range delays {
+		delays[i] = time.Duration(rng.IntN(3))*time.Millisecond + time.Duration(i)*time.Microsecond
 	}
 	var wg sync.WaitGroup
-	for i, pause := range pauses {
+	for i, delay := range delays {
 		wg.Go(func() {
-			time.Sleep(pause)
+			time.Sleep(delay)
 			ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 			defer cancel()
 			versions[i], errs[i] = document.Put(ctx, kv, proposal(fmt.Sprintf("operator%d", i), 0))
@@ -165,15 +165,15 @@
 		_, _, err := document.Get(context.Background(), kv, "dispatch")
 		c.Assert(err, qt.IsNil)
 	}
-	held, ok, err := document.Get(context.Background(), kv, "dispatch")
+	stored, ok, err := document.Get(context.Background(), kv, "dispatch")
 	c.Assert(err, qt.IsNil)
 	c.Assert(ok, qt.IsTrue, qt.Commentf("seed %d", seed))
 	for i, err := range errs {
-		won := held.Author == fmt.Sprintf("operator%d", i)
+		won := stored.Author == fmt.Sprintf("operator%d", i)
 		switch {
 		case err == nil:
-			c.Assert(won, qt.IsTrue, qt.Commentf("seed %d: operator %d was told success, the store holds %s", seed, i, held.Author))
-			c.Assert(versions[i], qt.DeepEquals, held)
+			c.Assert(won, qt.IsTrue, qt.Commentf("seed %d: operator %d was told success, the store holds %s", seed, i, stored.Author))
+			c.Assert(versions[i], qt.DeepEquals, stored)
 		case errors.Is(err, document.ErrConflict):
 			c.Assert(won, qt.IsFalse, qt.Commentf("seed %d: operator %d was told conflict, the store holds its write", seed, i))
 		default:
--- a/document/schema/decode.go
+++ b/document/schema/decode.go
@@ -20,13 +20,13 @@
 // AddProblem notes a problem of the key at path, at the line that sets it. Where a
 // problem of the same key stands already, it adds nothing: a value that was
 // not decoded, or is out of range, says nothing in a later check.
-func (f *Result) AddProblem(path, format string, args ...any) {
-	if f.undecodable || f.hasProblem(path) {
+func (r *Result) AddProblem(path, format string, args ...any) {
+	if r.undecodable || r.hasProblem(path) {
 		return
 	}
-	f.Problems = append(f.Problems, Problem{
-		File:   f.FileName,
-		Line:   f.Index.Line(path),
+	r.Problems = append(r.Problems, Problem{
+		File:   r.FileName,
+		Line:   r.Index.Line(path),
 		Key:    path,
 		Reason: fmt.Sprintf(format, args...),
 	})
@@ -36,36 +36,36 @@
 // as possible, so that Validate and the caller's own checks can report
 // everything at once; it is usable only where File holds no problems then.
 func Decode[T any](name string, data []byte) (T, *Result) {
-	var into T
-	f := &Result{FileName: name, Index: newIndex(data)}
-	if !f.decode(data, &into) {
-		f.undecodable = true
-		return into, f
+	var value T
+	result := &Result{FileName: name, Index: newIndex(data)}
+	if !result.decode(data, &value) {
+		result.undecodable = true
+		return value, result
 	}
-	fillDefaults(reflect.ValueOf(&into).Elem(), "", f.Index)
-	return into, f
+	fillDefaults(reflect.ValueOf(&value).Elem(), "", result.Index)
+	return value, result
 }
 
 // Validate checks the ranges of from, a pointer to what Decode returned. After
 // a syntax error it adds nothing.
-func (f *Result) Validate(from any) {
+func (r *Result) Validate(value any) {
 	var failed validator.ValidationErrors
-	if f.undecodable || !errors.As(validate.Struct(from), &failed) {
+	if r.undecodable || !errors.As(validate.Struct(value), &failed) {
 		return
 	}
-	keys := collectKeys(reflect.TypeOf(from).Elem(), "", nil)
+	keys := collectKeys(reflect.TypeOf(value).Elem(), "", nil)
 	for _, fe := range failed {
 		path := keyPath(fe)
-		f.AddProblem(path, "%s", describeFailure(fe, keys, path))
+		r.AddProblem(path, "%s", describeFailure(fe, keys, path))
 	}
 }
 
 // hasProblem is true where a problem of the same key, or of a table that holds
 // it, stands already.
-func (f *Result) hasProblem(path string) bool {
-	for _, p := range f.Problems {
-		inside := strings.HasPrefix(path, p.Key+".") || strings.HasPrefix(path, p.Key+"[")
-		if p.Key != "" && (p.Key == path || inside) {
+func (r *Result) hasProblem(path string) bool {
+	for _, p := range r.Problems {
+		isChild := strings.HasPrefix(path, p.Key+".") || strings.HasPrefix(path, p.Key+"[")
+		if p.Key != "" && (p.Key == path || isChild) {
 			return true
 		}
 	}
--- a/document/schema/defaults.go
+++ b/document/schema/defaults.go
@@ -9,44 +9,44 @@
 
 // fillDefaults sets every field that the file leaves out to the value of its
 // default tag. A key that the file sets to zero or false keeps that value.
-func fillDefaults(v reflect.Value, prefix string, x *Index) {
+func fillDefaults(v reflect.Value, prefix string, index *Index) {
 	for i := range v.NumField() {
-		f := v.Type().Field(i)
-		name := tomlName(f)
+		field := v.Type().Field(i)
+		name := tomlName(field)
 		if name == "" {
 			continue
 		}
-		if f.Anonymous {
-			fillDefaults(v.Field(i), prefix, x)
+		if field.Anonymous {
+			fillDefaults(v.Field(i), prefix, index)
 			continue
 		}
-		fillField(v.Field(i), f, joinPath(prefix, name), x)
+		fillField(v.Field(i), field, joinPath(prefix, name), index)
 	}
 }
 
-func fillField(v reflect.Value, f reflect.StructField, path string, x *Index) {
-	if tableType(f.Type) != nil {
-		fillTables(v, path, x)
+func fillField(v reflect.Value, field reflect.StructField, path string, index *Index) {
+	if tableType(field.Type) != nil {
+		fillTables(v, path, index)
 		return
 	}
-	text, ok := f.Tag.Lookup("default")
-	if !ok || x.IsSet(path) || f.Tag.Get("derived") != "" {
+	text, ok := field.Tag.Lookup("default")
+	if !ok || index.IsSet(path) || field.Tag.Get("derived") != "" {
 		return
 	}
 	setFromText(v, text)
 }
 
-func fillTables(v reflect.Value, path string, x *Index) {
+func fillTables(v reflect.Value, path string, index *Index) {
 	switch v.Kind() {
 	case reflect.Struct:
-		fillDefaults(v, path, x)
+		fillDefaults(v, path, index)
 	case reflect.Pointer:
 		if !v.IsNil() {
-			fillTables(v.Elem(), path, x)
+			fillTables(v.Elem(), path, index)
 		}
 	case reflect.Slice:
 		for i := range v.Len() {
-			fillTables(v.Index(i), fmt.Sprintf("%s[%d]", path, i), x)
+			fillTables(v.Index(i), fmt.Sprintf("%s[%d]", path, i), index)
 		}
 	}
 }
--- a/document/schema/failure.go
+++ b/document/schema/failure.go
@@ -10,21 +10,21 @@
 
 func describeFailure(fe validator.FieldError, keys []Key, path string) string {
 	k, _ := findKey(keys, path)
-	accepts := k.Range()
+	accepted := k.Range()
 	if strings.HasSuffix(path, "]") {
-		accepts = k.ElementRange
+		accepted = k.ElementRange
 	}
 	if fe.Tag() == "required" {
-		return strings.TrimSuffix("is required: "+accepts, ": ")
+		return strings.TrimSuffix("is required: "+accepted, ": ")
 	}
 	if fe.Kind() == reflect.Slice {
-		return fmt.Sprintf("got %d, want %s", reflect.ValueOf(fe.Value()).Len(), accepts)
+		return fmt.Sprintf("got %d, want %s", reflect.ValueOf(fe.Value()).Len(), accepted)
 	}
 	if k.IsSecret {
-		return "want " + accepts
+		return "want " + accepted
 	}
 	if fe.Kind() == reflect.String {
-		return fmt.Sprintf("got %q, want %s", fe.Value(), accepts)
+		return fmt.Sprintf("got %q, want %s", fe.Value(), accepted)
 	}
-	return fmt.Sprintf("got %v, want %s", fe.Value(), accepts)
+	return fmt.Sprintf("got %v, want %s", fe.Value(), accepted)
 }
--- a/document/schema/key.go
+++ b/document/schema/key.go
@@ -44,46 +44,46 @@
 
 func collectKeys(t reflect.Type, prefix string, keys []Key) []Key {
 	for i := range t.NumField() {
-		f := t.Field(i)
-		name := tomlName(f)
+		field := t.Field(i)
+		name := tomlName(field)
 		if name == "" {
 			continue
 		}
-		if f.Anonymous {
-			keys = collectKeys(f.Type, prefix, keys)
+		if field.Anonymous {
+			keys = collectKeys(field.Type, prefix, keys)
 			continue
 		}
-		k := newKey(f, joinPath(prefix, name))
+		k := newKey(field, joinPath(prefix, name))
 		keys = append(keys, k)
 		if k.IsTable {
-			keys = collectKeys(tableType(f.Type), k.Path, keys)
+			keys = collectKeys(tableType(field.Type), k.Path, keys)
 		}
 	}
 	return keys
 }
 
-func newKey(f reflect.StructField, path string) Key {
-	whole, each := describeRanges(f)
+func newKey(field reflect.StructField, path string) Key {
+	valueRange, elementRange := describeRanges(field)
 	return Key{
 		Path:         path,
-		Type:         typeName(f.Type),
-		Default:      f.Tag.Get("default"),
-		ValueRange:   whole,
-		ElementRange: each,
-		IsTable:      tableType(f.Type) != nil,
-		IsSecret:     f.Tag.Get("secret") == "true",
+		Type:         typeName(field.Type),
+		Default:      field.Tag.Get("default"),
+		ValueRange:   valueRange,
+		ElementRange: elementRange,
+		IsTable:      tableType(field.Type) != nil,
+		IsSecret:     field.Tag.Get("secret") == "true",
 
-		isDuration: f.Type == durationType,
+		isDuration: field.Type == durationType,
 	}
 }
 
-func tomlName(f reflect.StructField) string {
-	name, _, _ := strings.Cut(f.Tag.Get("toml"), ",")
+func tomlName(field reflect.StructField) string {
+	name, _, _ := strings.Cut(field.Tag.Get("toml"), ",")
 	if name == "-" {
 		return ""
 	}
-	if name == "" && f.Anonymous {
-		return f.Name
+	if name == "" && field.Anonymous {
+		return field.Name
 	}
 	return name
 }
--- a/document/schema/range.go
+++ b/document/schema/range.go
@@ -7,32 +7,32 @@
 
 // describeRanges words the validate tag of f for an operator: the value, or the
 // length of a list, and of a list of plain values what each element may be.
-func describeRanges(f reflect.StructField) (whole, each string) {
-	list, element, dives := strings.Cut(f.Tag.Get("validate"), ",dive,")
-	if !dives {
-		list, element, dives = strings.Cut(f.Tag.Get("validate"), "dive,")
+func describeRanges(field reflect.StructField) (valueRange, elementRange string) {
+	listRules, elementRules, hasElements := strings.Cut(field.Tag.Get("validate"), ",dive,")
+	if !hasElements {
+		listRules, elementRules, hasElements = strings.Cut(field.Tag.Get("validate"), "dive,")
 	}
-	whole = describeRules(parseRules(list), unitOf(f))
-	if dives {
-		each = describeRules(parseRules(element), unitOfType(f.Type.Elem()))
+	valueRange = describeRules(parseRules(listRules), unitOf(field))
+	if hasElements {
+		elementRange = describeRules(parseRules(elementRules), unitOfType(field.Type.Elem()))
 	}
-	return whole, each
+	return valueRange, elementRange
 }
 
 func describeRules(rules map[string]string, unit string) string {
-	for rule, words := range ruleDescriptions {
+	for rule, description := range ruleDescriptions {
 		if _, ok := rules[rule]; ok {
-			return words
+			return description
 		}
 	}
 	if choices, ok := rules["oneof"]; ok {
 		return `one of "` + strings.Join(strings.Fields(choices), `", "`) + `"`
 	}
-	words := describeBounds(rules["min"], rules["max"])
-	if words == "" || unit == "" {
-		return words
+	description := describeBounds(rules["min"], rules["max"])
+	if description == "" || unit == "" {
+		return description
 	}
-	return words + " " + unit
+	return description + " " + unit
 }
 
 func parseRules(tag string) map[string]string {
@@ -56,11 +56,11 @@
 	return ""
 }
 
-func unitOf(f reflect.StructField) string {
-	if unit := f.Tag.Get("unit"); unit != "" {
+func unitOf(field reflect.StructField) string {
+	if unit := field.Tag.Get("unit"); unit != "" {
 		return unit
 	}
-	return unitOfType(f.Type)
+	return unitOfType(field.Type)
 }
 
 func unitOfType(t reflect.Type) string {
--- a/document/schema/toml.go
+++ b/document/schema/toml.go
@@ -16,74 +16,74 @@
 
 // decode returns false where the syntax is broken, so that nothing else can
 // be said about the file.
-func (f *Result) decode(data []byte, into any) bool {
+func (r *Result) decode(data []byte, into any) bool {
 	keys := collectKeys(reflect.TypeOf(into).Elem(), "", nil)
-	data = f.rejectBareDurations(data, keys)
+	data = r.rejectBareDurations(data, keys)
 	for range maxTypeErrors {
 		reflect.ValueOf(into).Elem().SetZero()
 		dec := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields()
 		err := dec.Decode(into)
-		var strict *toml.StrictMissingError
-		var broken *toml.DecodeError
+		var unknownKeys *toml.StrictMissingError
+		var decodeErr *toml.DecodeError
 		switch {
 		case err == nil:
 			return true
-		case errors.As(err, &strict):
-			f.addUnknownKeys(data, strict)
+		case errors.As(err, &unknownKeys):
+			r.addUnknownKeys(data, unknownKeys)
 			return true
-		case !errors.As(err, &broken):
-			f.Problems = append(f.Problems, Problem{File: f.FileName, Reason: err.Error()})
+		case !errors.As(err, &decodeErr):
+			r.Problems = append(r.Problems, Problem{File: r.FileName, Reason: err.Error()})
 			return false
 		}
-		rest, ok := f.addTypeError(data, broken, keys)
+		blanked, ok := r.addTypeError(data, decodeErr, keys)
 		if !ok {
 			return false
 		}
-		data = rest
+		data = blanked
 	}
 	return true
 }
 
-func (f *Result) addUnknownKeys(data []byte, strict *toml.StrictMissingError) {
-	for _, e := range strict.Errors {
+func (r *Result) addUnknownKeys(data []byte, unknownKeys *toml.StrictMissingError) {
+	for _, e := range unknownKeys.Errors {
 		line, col := e.Position()
 		path := strings.Join(e.Key(), ".")
-		if at, ok := f.Index.entryAt(byteOffset(data, line, col)); ok {
-			path = at.path
+		if entry, ok := r.Index.entryAt(byteOffset(data, line, col)); ok {
+			path = entry.path
 		}
-		f.Problems = append(f.Problems, Problem{File: f.FileName, Line: line, Key: path, Reason: "unknown key"})
+		r.Problems = append(r.Problems, Problem{File: r.FileName, Line: line, Key: path, Reason: "unknown key"})
 	}
 }
 
 // addTypeError notes the error and returns data without the expression that
 // caused it, so that the next pass finds the next error. It returns false
 // where no single value is to blame, such as for a key set twice.
-func (f *Result) addTypeError(data []byte, broken *toml.DecodeError, keys []Key) ([]byte, bool) {
-	line, col := broken.Position()
+func (r *Result) addTypeError(data []byte, decodeErr *toml.DecodeError, keys []Key) ([]byte, bool) {
+	line, col := decodeErr.Position()
 	offset := byteOffset(data, line, col)
-	at, ok := f.Index.entryAt(offset)
-	if f.Index.syntaxErr != nil || !ok || at.offset == offset || offset >= at.end {
-		f.Problems = append(f.Problems, Problem{
-			File:   f.FileName,
+	entry, ok := r.Index.entryAt(offset)
+	if r.Index.syntaxErr != nil || !ok || entry.offset == offset || offset >= entry.end {
+		r.Problems = append(r.Problems, Problem{
+			File:   r.FileName,
 			Line:   line,
-			Key:    at.path,
-			Reason: strings.TrimPrefix(broken.Error(), "toml: "),
+			Key:    entry.path,
+			Reason: strings.TrimPrefix(decodeErr.Error(), "toml: "),
 		})
 		return nil, false
 	}
-	f.AddProblem(at.path, "wrong type, want %s", describeExpected(keys, at.path))
-	return blankRange(data, at.start, at.end), true
+	r.AddProblem(entry.path, "wrong type, want %s", describeExpected(keys, entry.path))
+	return blankRange(data, entry.start, entry.end), true
 }
 
 // rejectBareDurations notes durations that are not text. The decoder names no
 // line for them, so that they are looked for before it runs.
-func (f *Result) rejectBareDurations(data []byte, keys []Key) []byte {
-	for _, e := range f.Index.entries {
+func (r *Result) rejectBareDurations(data []byte, keys []Key) []byte {
+	for _, e := range r.Index.entries {
 		k, ok := findKey(keys, e.path)
 		if !ok || !k.isDuration || e.value == unstable.String {
 			continue
 		}
-		f.AddProblem(e.path, "wrong type, want %s", describeExpected(keys, e.path))
+		r.AddProblem(e.path, "wrong type, want %s", describeExpected(keys, e.path))
 		data = blankRange(data, e.start, e.end)
 	}
 	return data
@@ -91,13 +91,13 @@
 
 // blankRange returns a copy of data with spaces from start to end; line ends stay.
 func blankRange(data []byte, start, end int) []byte {
-	rest := bytes.Clone(data)
+	blanked := bytes.Clone(data)
 	for i := start; i < end; i++ {
-		if rest[i] != '\n' {
-			rest[i] = ' '
+		if blanked[i] != '\n' {
+			blanked[i] = ' '
 		}
 	}
-	return rest
+	return blanked
 }
 
 func describeExpected(keys []Key, path string) string {
@@ -105,14 +105,14 @@
 	if !ok {
 		return "another type"
 	}
-	accepts := k.Range()
+	accepted := k.Range()
 	switch {
-	case accepts == "":
+	case accepted == "":
 		return k.Type
-	case strings.HasPrefix(accepts, "one of"):
-		return k.Type + " " + accepts
+	case strings.HasPrefix(accepted, "one of"):
+		return k.Type + " " + accepted
 	}
-	return k.Type + ", " + accepts
+	return k.Type + ", " + accepted
 }
 
 func findKey(keys []Key, path string) (Key, bool) {
--- a/document/simulation_model_test.go
+++ b/document/simulation_model_test.go
@@ -48,34 +48,34 @@
 }
 
 func newSimulation(c *qt.C, seed uint64) *simulation {
-	f := &simulation{c: c, rng: rand.New(rand.NewPCG(seed, 7)), seed: seed, store: newFakeStore()}
-	f.store.nextFault = func() swapFault {
-		if f.rng.IntN(4) > 0 {
+	s := &simulation{c: c, rng: rand.New(rand.NewPCG(seed, 7)), seed: seed, store: newFakeStore()}
+	s.store.nextFault = func() swapFault {
+		if s.rng.IntN(4) > 0 {
 			return noFault
 		}
-		return swapFault(1 + f.rng.IntN(3))
+		return swapFault(1 + s.rng.IntN(3))
 	}
-	f.processes = make([]*process, processCount)
+	s.processes = make([]*process, processCount)
 	for i := range processCount {
-		f.start(i)
+		s.start(i)
 	}
-	return f
+	return s
 }
 
-func (f *simulation) start(i int) {
+func (s *simulation) start(i int) {
 	p := &process{id: fmt.Sprint("p", i), active: document.NewActiveSet(nil)}
 	p.syncer = document.NewSyncer(time.Now(), document.DefaultSyncerConfig(true), p.active)
-	f.processes[i] = p
+	s.processes[i] = p
 	var others []string
 	for j := range processCount {
 		if j != i {
 			others = append(others, fmt.Sprint("p", j))
 		}
 	}
-	f.handle(p, document.PeersUpdated{PeerIDs: others})
+	s.handle(p, document.PeersUpdated{PeerIDs: others})
 }
 
-func (f *simulation) generation(p *process) uint64 {
+func (s *simulation) generation(p *process) uint64 {
 	h, ok := p.active.Current("dispatch")
 	if !ok {
 		return 0
@@ -84,52 +84,52 @@
 }
 
 // handle steps a process and checks it.
-func (f *simulation) handle(p *process, event document.SyncerEvent) {
+func (s *simulation) handle(p *process, event document.SyncerEvent) {
 	for _, action := range p.syncer.HandleEvent(time.Now(), event) {
 		switch a := action.(type) {
 		case document.WriteBack:
-			f.writeBack(a)
+			s.writeBack(a)
 		case document.MarkReady:
-			f.checkReady(p, a.Source)
+			s.checkReady(p, a.Source)
 		case document.QueryPeers:
 			for _, id := range a.PeerIDs {
-				f.query(p, f.processes[int(id[1]-'0')], false)
+				s.query(p, s.processes[int(id[1]-'0')], false)
 			}
 		}
 	}
-	g := f.generation(p)
-	f.c.Assert(g >= p.highest, qt.IsTrue, qt.Commentf("seed %d: %s went from generation %d back to %d", f.seed, p.id, p.highest, g))
+	g := s.generation(p)
+	s.c.Assert(g >= p.highest, qt.IsTrue, qt.Commentf("seed %d: %s went from generation %d back to %d", s.seed, p.id, p.highest, g))
 	p.highest = g
 }
 
-func (f *simulation) writeBack(a document.WriteBack) {
+func (s *simulation) writeBack(a document.WriteBack) {
 	value, err := a.Version.Marshal()
-	f.c.Assert(err, qt.IsNil)
+	s.c.Assert(err, qt.IsNil)
 	swap := store.Swap{Key: document.StoreKey("dispatch"), Expect: a.Expect, Value: value}
-	results, err := f.store.Commit(context.Background(), []store.Swap{swap})
+	results, err := s.store.Commit(context.Background(), []store.Swap{swap})
 	if err == nil && results[0].Swapped {
-		f.writeBacks++
+		s.writeBacks++
 	}
 }
 
-func (f *simulation) list(p *process) {
-	snapshot, err := f.store.List(context.Background(), document.StoreKeyPrefix)
+func (s *simulation) list(p *process) {
+	snapshot, err := s.store.List(context.Background(), document.StoreKeyPrefix)
 	if err != nil {
-		f.handle(p, document.StoreFailed{})
+		s.handle(p, document.StoreFailed{})
 		return
 	}
-	var l document.StoreListed
+	var listed document.StoreListed
 	for _, kv := range snapshot.Keys {
 		v, err := document.UnmarshalVersion(kv.Value)
-		f.c.Assert(err, qt.IsNil)
-		l.Documents = append(l.Documents, document.StoredVersion{Version: v, Revision: kv.Mod})
+		s.c.Assert(err, qt.IsNil)
+		listed.Documents = append(listed.Documents, document.StoredVersion{Version: v, Revision: kv.Mod})
 	}
-	f.oldEvents = append(f.oldEvents, l.Documents...)
-	f.handle(p, l)
+	s.oldEvents = append(s.oldEvents, listed.Documents...)
+	s.handle(p, listed)
 }
 
 // query lets from answer; the answer arrives now, or joins those on their way.
-func (f *simulation) query(to, from *process, late bool) {
+func (s *simulation) query(to, from *process, late bool) {
 	if from == nil || to == from {
 		return
 	}
@@ -141,29 +141,29 @@
 		Versions:  from.active.NewerThan(to.active.Summaries(), 1),
 	}
 	if late {
-		f.delayedAnswers = append(f.delayedAnswers, a)
+		s.delayedAnswers = append(s.delayedAnswers, a)
 		return
 	}
-	f.handle(to, a)
+	s.handle(to, a)
 }
 
-func (f *simulation) put() {
+func (s *simulation) put() {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	base, _, err := document.Get(ctx, f.store, "dispatch")
+	base, _, err := document.Get(ctx, s.store, "dispatch")
 	if err != nil {
 		return
 	}
-	f.puts++
-	p := proposal(fmt.Sprint("put", f.puts), base.Generation)
-	if f.rng.IntN(2) == 0 { // this operator reaches a process
-		p.ActiveGeneration = f.generation(f.randomProcess())
+	s.puts++
+	p := proposal(fmt.Sprint("put", s.puts), base.Generation)
+	if s.rng.IntN(2) == 0 { // this operator reaches a process
+		p.ActiveGeneration = s.generation(s.randomProcess())
 	}
-	if v, err := document.Put(ctx, f.store, p); err == nil {
-		f.lastAcknowledged = v
+	if v, err := document.Put(ctx, s.store, p); err == nil {
+		s.lastAcknowledged = v
 	}
 }
 
-func (f *simulation) randomProcess() *process {
-	return f.processes[f.rng.IntN(processCount)]
+func (s *simulation) randomProcess() *process {
+	return s.processes[s.rng.IntN(processCount)]
 }
--- a/document/simulation_test.go
+++ b/document/simulation_test.go
@@ -19,137 +19,137 @@
 
 // countHolders counts the places that hold the latest acknowledged version or what
 // followed it. No design survives the loss of the last.
-func (f *simulation) countHolders(in storeBackup, without int) int {
+func (s *simulation) countHolders(in storeBackup, without int) int {
 	n := 0
-	for i, p := range f.processes {
+	for i, p := range s.processes {
 		h, ok := p.active.Current("dispatch")
-		if ok && i != without && !h.Version.CreatedAt.Before(f.lastAcknowledged.CreatedAt) {
+		if ok && i != without && !h.Version.CreatedAt.Before(s.lastAcknowledged.CreatedAt) {
 			n++
 		}
 	}
 	if kv, ok := in.keys[document.StoreKey("dispatch")]; ok {
 		v, err := document.UnmarshalVersion(kv.Value)
-		f.c.Assert(err, qt.IsNil)
-		if !v.CreatedAt.Before(f.lastAcknowledged.CreatedAt) {
+		s.c.Assert(err, qt.IsNil)
+		if !v.CreatedAt.Before(s.lastAcknowledged.CreatedAt) {
 			n++
 		}
 	}
 	return n
 }
 
-func (f *simulation) restart() {
-	i := f.rng.IntN(processCount)
-	if f.lastAcknowledged.Generation == 0 || f.countHolders(f.store.backup(), i) > 0 {
-		f.start(i)
+func (s *simulation) restart() {
+	i := s.rng.IntN(processCount)
+	if s.lastAcknowledged.Generation == 0 || s.countHolders(s.store.backup(), i) > 0 {
+		s.start(i)
 	}
 }
 
-func (f *simulation) restore() {
-	if len(f.backups) == 0 {
+func (s *simulation) restore() {
+	if len(s.backups) == 0 {
 		return
 	}
-	b := f.backups[f.rng.IntN(len(f.backups))]
-	if f.lastAcknowledged.Generation == 0 || f.countHolders(b, -1) > 0 {
-		f.store.restore(b)
+	b := s.backups[s.rng.IntN(len(s.backups))]
+	if s.lastAcknowledged.Generation == 0 || s.countHolders(b, -1) > 0 {
+		s.store.restore(b)
 	}
 }
 
 // step does one thing at random.
-func (f *simulation) step() {
-	time.Sleep(time.Duration(1+f.rng.IntN(100)) * time.Millisecond)
-	p := f.randomProcess()
-	switch n := f.rng.IntN(100); {
+func (s *simulation) step() {
+	time.Sleep(time.Duration(1+s.rng.IntN(100)) * time.Millisecond)
+	p := s.randomProcess()
+	switch n := s.rng.IntN(100); {
 	case n < 25:
-		f.list(p)
+		s.list(p)
 	case n < 55:
-		f.query(p, f.randomProcess(), f.rng.IntN(3) == 0)
-	case n < 65 && len(f.delayedAnswers) > 0:
-		f.handle(p, f.delayedAnswers[f.rng.IntN(len(f.delayedAnswers))])
-	case n < 75 && len(f.oldEvents) > 0:
-		f.handle(p, document.StoreChanged{Document: f.oldEvents[f.rng.IntN(len(f.oldEvents))]})
+		s.query(p, s.randomProcess(), s.rng.IntN(3) == 0)
+	case n < 65 && len(s.delayedAnswers) > 0:
+		s.handle(p, s.delayedAnswers[s.rng.IntN(len(s.delayedAnswers))])
+	case n < 75 && len(s.oldEvents) > 0:
+		s.handle(p, document.StoreChanged{Document: s.oldEvents[s.rng.IntN(len(s.oldEvents))]})
 	case n < 85:
-		f.put()
+		s.put()
 	case n < 89:
-		f.restart()
+		s.restart()
 	case n < 92:
-		f.store.setDown(f.rng.IntN(2) == 0)
+		s.store.setDown(s.rng.IntN(2) == 0)
 	case n < 95:
-		f.backups = append(f.backups, f.store.backup())
+		s.backups = append(s.backups, s.store.backup())
 	case n < 98:
-		f.restore()
+		s.restore()
 	default:
-		f.handle(p, document.SyncerTick{})
+		s.handle(p, document.SyncerTick{})
 	}
-	f.recordCommonGeneration()
+	s.recordCommonGeneration()
 }
 
 // recordCommonGeneration notes what all ready processes hold, where any is ready.
-func (f *simulation) recordCommonGeneration() {
+func (s *simulation) recordCommonGeneration() {
 	var lowest uint64
-	for _, p := range f.processes {
+	for _, p := range s.processes {
 		if !p.syncer.Ready() {
 			continue
 		}
-		if g := f.generation(p); lowest == 0 || g < lowest {
+		if g := s.generation(p); lowest == 0 || g < lowest {
 			lowest = g
 		}
 	}
-	if n := len(f.commonGenerations); lowest > 0 && (n == 0 || lowest > f.commonGenerations[n-1].generation) {
-		f.commonGenerations = append(f.commonGenerations, commonGeneration{generation: lowest, at: time.Now()})
+	if n := len(s.commonGenerations); lowest > 0 && (n == 0 || lowest > s.commonGenerations[n-1].generation) {
+		s.commonGenerations = append(s.commonGenerations, commonGeneration{generation: lowest, at: time.Now()})
 	}
 }
 
 // checkReady: seconds after all ready processes have a generation, and while
 // one of them lives, no process becomes ready with a lower one.
-func (f *simulation) checkReady(p *process, source document.ConfirmationSource) {
+func (s *simulation) checkReady(p *process, source document.ConfirmationSource) {
 	var highest uint64
-	for _, q := range f.processes {
+	for _, q := range s.processes {
 		if q != nil && q != p && q.syncer.Ready() {
-			highest = max(highest, f.generation(q))
+			highest = max(highest, s.generation(q))
 		}
 	}
-	for i, e := range f.commonGenerations {
+	for i, e := range s.commonGenerations {
 		if e.generation > highest {
-			f.commonGenerations = f.commonGenerations[:i] // nobody is left who could tell
+			s.commonGenerations = s.commonGenerations[:i] // nobody is left who could tell
 			break
 		}
-		settled := time.Since(e.at) > document.DefaultSyncerConfig(true).MaxAnswerAge
-		f.c.Assert(settled && f.generation(p) < e.generation, qt.IsFalse, qt.Commentf(
+		heldLongEnough := time.Since(e.at) > document.DefaultSyncerConfig(true).MaxAnswerAge
+		s.c.Assert(heldLongEnough && s.generation(p) < e.generation, qt.IsFalse, qt.Commentf(
 			"seed %d: %s became ready from %s with generation %d after all had held %d",
-			f.seed, p.id, source, f.generation(p), e.generation))
-		if f.generation(p) < e.generation {
-			f.commonGenerations = f.commonGenerations[:i] // not held by all long enough
+			s.seed, p.id, source, s.generation(p), e.generation))
+		if s.generation(p) < e.generation {
+			s.commonGenerations = s.commonGenerations[:i] // not held by all long enough
 			break
 		}
 	}
 }
 
 // settle ends all faults and lets everyone talk.
-func (f *simulation) settle() {
-	f.store.setDown(false)
-	f.store.nextFault = nil
+func (s *simulation) settle() {
+	s.store.setDown(false)
+	s.store.nextFault = nil
 	for range 6 {
-		for _, p := range f.processes {
-			f.list(p)
-			for _, q := range f.processes {
-				f.query(p, q, false)
+		for _, p := range s.processes {
+			s.list(p)
+			for _, q := range s.processes {
+				s.query(p, q, false)
 			}
 		}
 	}
 }
 
-func (f *simulation) checkConverged() {
-	stored, _, err := document.Get(context.Background(), f.store, "dispatch")
-	f.c.Assert(err, qt.IsNil)
-	for _, p := range f.processes {
-		f.c.Assert(f.generation(p), qt.Equals, stored.Generation, qt.Commentf("seed %d: %s", f.seed, p.id))
+func (s *simulation) checkConverged() {
+	stored, _, err := document.Get(context.Background(), s.store, "dispatch")
+	s.c.Assert(err, qt.IsNil)
+	for _, p := range s.processes {
+		s.c.Assert(s.generation(p), qt.Equals, stored.Generation, qt.Commentf("seed %d: %s", s.seed, p.id))
 		if stored.Generation > 0 {
-			f.c.Assert(p.active.Summaries()[0], qt.Equals, stored.Summary(), qt.Commentf("seed %d: %s", f.seed, p.id))
+			s.c.Assert(p.active.Summaries()[0], qt.Equals, stored.Summary(), qt.Commentf("seed %d: %s", s.seed, p.id))
 		}
 	}
-	f.c.Assert(stored.CreatedAt.Before(f.lastAcknowledged.CreatedAt), qt.IsFalse, qt.Commentf(
+	s.c.Assert(stored.CreatedAt.Before(s.lastAcknowledged.CreatedAt), qt.IsFalse, qt.Commentf(
 		"seed %d: acknowledged generation %d by %s, in force at the end %d by %s",
-		f.seed, f.lastAcknowledged.Generation, f.lastAcknowledged.Author, stored.Generation, stored.Author))
+		s.seed, s.lastAcknowledged.Generation, s.lastAcknowledged.Author, stored.Generation, stored.Author))
 }
 
 // Operators put while replies are lost, processes restart with nothing, the
@@ -161,14 +161,14 @@
 	puts, writeBacks := 0, 0
 	for seed := *simulationSeed; seed < *simulationSeed+*simulationRuns; seed++ {
 		synctest.Test(t, func(t *testing.T) {
-			f := newSimulation(qt.New(t), seed)
+			s := newSimulation(qt.New(t), seed)
 			for range simulationSteps {
-				f.step()
+				s.step()
 			}
-			f.settle()
-			f.checkConverged()
-			puts += f.puts
-			writeBacks += f.writeBacks
+			s.settle()
+			s.checkConverged()
+			puts += s.puts
+			writeBacks += s.writeBacks
 		})
 	}
 	t.Logf("%d runs from seed %d: %d puts, %d write backs", *simulationRuns, *simulationSeed, puts, writeBacks)
--- a/document/syncer.go
+++ b/document/syncer.go
@@ -64,10 +64,10 @@
 }
 
 // NewSyncer returns a Feeder that is not ready.
-func NewSyncer(now time.Time, config SyncerConfig, inForce *ActiveSet) *Syncer {
+func NewSyncer(now time.Time, config SyncerConfig, active *ActiveSet) *Syncer {
 	return &Syncer{
 		config:      config,
-		active:      inForce,
+		active:      active,
 		startedAt:   now,
 		confirmed:   map[string]bool{},
 		nextQueryAt: now,
@@ -76,49 +76,49 @@
 }
 
 // Ready reports whether the configuration is confirmed. It stays so.
-func (f *Syncer) Ready() bool {
-	return f.ready
+func (s *Syncer) Ready() bool {
+	return s.ready
 }
 
 // HandleEvent takes one event and returns what to do, in order.
-func (f *Syncer) HandleEvent(now time.Time, event SyncerEvent) []SyncerAction {
+func (s *Syncer) HandleEvent(now time.Time, event SyncerEvent) []SyncerAction {
 	var actions []SyncerAction
 	switch e := event.(type) {
 	case StoreListed:
-		actions = f.handleStoreListed(now, e)
+		actions = s.handleStoreListed(now, e)
 	case StoreChanged:
-		if f.active.Update(now, e.Document.Version) != UpdateRefused {
-			f.relistIfStale(now, e.Document.Version)
+		if s.active.Update(now, e.Document.Version) != UpdateRefused {
+			s.relistIfStale(now, e.Document.Version)
 		}
 	case StoreDeleted:
-		f.relistIfStale(now, Version{Service: e.Service})
+		s.relistIfStale(now, Version{Service: e.Service})
 	case PeersUpdated:
-		f.peers = e.PeerIDs[:min(len(e.PeerIDs), maxPeers)]
+		s.peers = e.PeerIDs[:min(len(e.PeerIDs), maxPeers)]
 	case PeerAnswered:
-		f.handlePeerAnswered(now, e)
+		s.handlePeerAnswered(now, e)
 	case StoreFailed, SyncerTick:
 	}
-	actions = append(actions, f.checkReady(now)...)
-	return append(actions, f.dueActions(now)...)
+	actions = append(actions, s.checkReady(now)...)
+	return append(actions, s.dueActions(now)...)
 }
 
-func (f *Syncer) handleStoreListed(now time.Time, e StoreListed) []SyncerAction {
-	f.storeListed = true
-	f.nextListAt = now.Add(f.config.ListPeriod)
+func (s *Syncer) handleStoreListed(now time.Time, e StoreListed) []SyncerAction {
+	s.storeListed = true
+	s.nextListAt = now.Add(s.config.ListPeriod)
 	var actions []SyncerAction
 	listed := map[string]bool{}
 	for _, service := range e.Unreadable {
 		listed[service] = true
 	}
-	for _, d := range e.Documents {
-		listed[d.Version.Service] = true
-		if f.active.Update(now, d.Version) != UpdateRefused {
-			actions = append(actions, f.writeBackIfStale(now, d)...)
+	for _, stored := range e.Documents {
+		listed[stored.Version.Service] = true
+		if s.active.Update(now, stored.Version) != UpdateRefused {
+			actions = append(actions, s.writeBackIfStale(now, stored)...)
 		}
 	}
-	for _, h := range f.active.All() {
+	for _, h := range s.active.All() {
 		if service := h.Version.Service; !listed[service] {
-			actions = append(actions, f.writeBackIfStale(now, StoredVersion{Version: Version{Service: service}})...)
+			actions = append(actions, s.writeBackIfStale(now, StoredVersion{Version: Version{Service: service}})...)
 		}
 	}
 	return actions
@@ -129,99 +129,99 @@
 // again from the backup, so that an old event can name the revision of a newer
 // write, and a compare-and-swap on it would remove that write. A listing is
 // read now.
-func (f *Syncer) relistIfStale(now time.Time, v Version) {
-	h, ok := f.active.Current(v.Service)
+func (s *Syncer) relistIfStale(now time.Time, v Version) {
+	h, ok := s.active.Current(v.Service)
 	if ok && h.Version.Generation > v.Generation {
-		f.nextListAt = now
+		s.nextListAt = now
 	}
 }
 
 // writeBackIfStale writes back where a listing shows less than this process holds, once
 // it was offered what the store holds. It guards against a store restored from
 // a backup, which shows as a lower generation than the one in force, or none.
-func (f *Syncer) writeBackIfStale(now time.Time, d StoredVersion) []SyncerAction {
-	h, ok := f.active.Current(d.Version.Service)
-	if !ok || h.Version.Generation <= d.Version.Generation {
+func (s *Syncer) writeBackIfStale(now time.Time, stored StoredVersion) []SyncerAction {
+	h, ok := s.active.Current(stored.Version.Service)
+	if !ok || h.Version.Generation <= stored.Version.Generation {
 		return nil
 	}
-	if at := now.Add(f.config.WriteBackCheckDelay); at.Before(f.nextListAt) {
-		f.nextListAt = at // to see whether it held
+	if checkAt := now.Add(s.config.WriteBackCheckDelay); checkAt.Before(s.nextListAt) {
+		s.nextListAt = checkAt // to see whether it held
 	}
-	return []SyncerAction{WriteBack{Version: h.Version, Expect: d.Revision, Replaced: d.Version}}
+	return []SyncerAction{WriteBack{Version: h.Version, Expect: stored.Revision, Replaced: stored.Version}}
 }
 
-func (f *Syncer) handlePeerAnswered(now time.Time, e PeerAnswered) {
+func (s *Syncer) handlePeerAnswered(now time.Time, e PeerAnswered) {
 	for _, v := range e.Versions {
-		f.active.Update(now, v)
+		s.active.Update(now, v)
 	}
-	fresh := !e.QueriedAt.Before(f.startedAt) && now.Sub(e.QueriedAt) <= f.config.MaxAnswerAge
+	fresh := !e.QueriedAt.Before(s.startedAt) && now.Sub(e.QueriedAt) <= s.config.MaxAnswerAge
 	if !e.Ready || !fresh {
 		return
 	}
-	if len(f.active.Missing(e.Summaries)) == 0 && len(f.confirmed) < maxPeers {
-		f.confirmed[e.Peer] = true
+	if len(s.active.Missing(e.Summaries)) == 0 && len(s.confirmed) < maxPeers {
+		s.confirmed[e.Peer] = true
 	}
 }
 
-func (f *Syncer) checkReady(now time.Time) []SyncerAction {
-	if f.ready {
+func (s *Syncer) checkReady(now time.Time) []SyncerAction {
+	if s.ready {
 		return nil
 	}
-	waited := f.queriesExhausted(now)
+	exhausted := s.queriesExhausted(now)
 	source := ConfirmedByStore
 	switch {
-	case f.storeListed && (len(f.confirmed) > 0 || waited):
-	case f.hasEnoughPeers(waited):
+	case s.storeListed && (len(s.confirmed) > 0 || exhausted):
+	case s.hasEnoughPeers(exhausted):
 		source = ConfirmedByPeers
 	default:
 		return nil
 	}
-	f.ready = true
+	s.ready = true
 	return []SyncerAction{MarkReady{Source: source}}
 }
 
 // queriesExhausted is true where peers had their chance to answer: enough rounds, the
 // last of them a short while ago.
-func (f *Syncer) queriesExhausted(now time.Time) bool {
-	since := now.Sub(f.nextQueryAt.Add(-f.config.QueryPeriod))
-	return f.queryRounds >= f.config.QueryRounds && since >= f.config.QueryPeriod && since <= f.config.MaxAnswerAge
+func (s *Syncer) queriesExhausted(now time.Time) bool {
+	sinceQuery := now.Sub(s.nextQueryAt.Add(-s.config.QueryPeriod))
+	return s.queryRounds >= s.config.QueryRounds && sinceQuery >= s.config.QueryPeriod && sinceQuery <= s.config.MaxAnswerAge
 }
 
 // hasEnoughPeers needs Confirmations answers, or as many as peers are known
 // where these are fewer after AskRounds. A process without peers is not
 // confirmed.
-func (f *Syncer) hasEnoughPeers(waited bool) bool {
-	need := f.config.RequiredConfirmations
-	if waited {
-		need = min(need, max(len(f.peers), 1))
+func (s *Syncer) hasEnoughPeers(exhausted bool) bool {
+	required := s.config.RequiredConfirmations
+	if exhausted {
+		required = min(required, max(len(s.peers), 1))
 	}
-	return len(f.confirmed) >= need
+	return len(s.confirmed) >= required
 }
 
 // dueActions returns the actions whose time has come.
-func (f *Syncer) dueActions(now time.Time) []SyncerAction {
+func (s *Syncer) dueActions(now time.Time) []SyncerAction {
 	var actions []SyncerAction
-	if !f.ready && !now.Before(f.nextQueryAt) {
-		f.nextQueryAt = now.Add(f.config.QueryPeriod)
-		f.queryRounds++
-		if ids := f.nextPeersToQuery(); len(ids) > 0 {
+	if !s.ready && !now.Before(s.nextQueryAt) {
+		s.nextQueryAt = now.Add(s.config.QueryPeriod)
+		s.queryRounds++
+		if ids := s.nextPeersToQuery(); len(ids) > 0 {
 			actions = append(actions, QueryPeers{PeerIDs: ids})
 		}
 	}
-	if f.config.ReadsStore && f.storeListed && !now.Before(f.nextListAt) {
-		f.nextListAt = now.Add(f.config.ListPeriod)
+	if s.config.ReadsStore && s.storeListed && !now.Before(s.nextListAt) {
+		s.nextListAt = now.Add(s.config.ListPeriod)
 		actions = append(actions, ListStore{})
 	}
 	return actions
 }
 
 // nextPeersToQuery returns a few peers that have not confirmed yet, in turn.
-func (f *Syncer) nextPeersToQuery() []string {
+func (s *Syncer) nextPeersToQuery() []string {
 	var ids []string
-	for range f.peers {
-		id := f.peers[f.nextPeer%len(f.peers)]
-		f.nextPeer++
-		if !f.confirmed[id] {
+	for range s.peers {
+		id := s.peers[s.nextPeer%len(s.peers)]
+		s.nextPeer++
+		if !s.confirmed[id] {
 			ids = append(ids, id)
 		}
 		if len(ids) == maxPeersPerRound {
--- a/document/syncer_test.go
+++ b/document/syncer_test.go
@@ -159,13 +159,13 @@
 // under a generation that no process has seen.
 func TestRestoredStoreIsRepaired(t *testing.T) {
 	held := version(7, "seven")
-	at := func(generation uint64, mark string, after time.Duration) document.Version {
-		v := version(generation, mark)
-		v.CreatedAt = held.CreatedAt.Add(after)
-		return v
+	versionAt := func(generation uint64, label string, after time.Duration) document.Version {
+		shifted := version(generation, label)
+		shifted.CreatedAt = held.CreatedAt.Add(after)
+		return shifted
 	}
 	for _, test := range []struct {
-		story      string
+		name       string
 		stored     document.Version
 		author     string // of what is in force afterwards
 		generation uint64
@@ -173,16 +173,16 @@
 	}{
 		{"it holds an ancestor", version(5, "five"), "seven", 7, true},
 		{"it holds nothing", document.Version{}, "seven", 7, true},
-		{"an operator put to it since", at(6, "since", time.Second), "since", 8, true},
-		{"an operator put the same generation since", at(7, "since", time.Second), "since", 8, true},
-		{"its generation has an earlier text", at(7, "before", -time.Second), "seven", 8, true},
-		{"it was restored again, to a higher earlier one", at(9, "before", -time.Second), "seven", 10, true},
+		{"an operator put to it since", versionAt(6, "since", time.Second), "since", 8, true},
+		{"an operator put the same generation since", versionAt(7, "since", time.Second), "since", 8, true},
+		{"its generation has an earlier text", versionAt(7, "before", -time.Second), "seven", 8, true},
+		{"it was restored again, to a higher earlier one", versionAt(9, "before", -time.Second), "seven", 10, true},
 		{"it holds the same", held, "seven", 7, false},
 		{"it holds a successor", version(8, "eight"), "eight", 8, false},
 		{"it holds a newer format", unknownKeyVersion(9), "seven", 7, false},
 		{"it holds a newer format put since", unknownKeyVersion(7), "seven", 7, false},
 	} {
-		t.Run(test.story, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			s := newSyncerTest(true)
 			s.active.Update(s.now, held)
@@ -192,16 +192,16 @@
 				listed.Documents = []document.StoredVersion{{Version: test.stored, Revision: 4}}
 			}
 			actions := s.handle(listed)
-			now, _ := s.active.Current("dispatch")
-			c.Assert(now.Version.Author, qt.Equals, test.author)
-			c.Assert(now.Document.Owner, qt.Equals, test.author)
-			c.Assert(now.Version.Generation, qt.Equals, test.generation)
+			active, _ := s.active.Current("dispatch")
+			c.Assert(active.Version.Author, qt.Equals, test.author)
+			c.Assert(active.Document.Owner, qt.Equals, test.author)
+			c.Assert(active.Version.Generation, qt.Equals, test.generation)
 			if !test.writeBack {
 				c.Assert(actions, qt.HasLen, 0)
 				return
 			}
 			c.Assert(actions, qt.HasLen, 1)
-			c.Assert(actions[0].(document.WriteBack).Version, qt.DeepEquals, now.Version)
+			c.Assert(actions[0].(document.WriteBack).Version, qt.DeepEquals, active.Version)
 		})
 	}
 }
--- a/document/topology.go
+++ b/document/topology.go
@@ -34,23 +34,23 @@
 
 // largestUnit returns the most accelerators that one place of the given adjacency
 // holds.
-func (t *Topology) largestUnit(a Adjacency) int {
-	most := 0
-	switch a {
+func (t *Topology) largestUnit(adjacency Adjacency) int {
+	largest := 0
+	switch adjacency {
 	case SameWorker:
 		return t.Accelerators
 	case SameRack:
 		for _, z := range t.Zones {
 			for _, workers := range z.Racks {
-				most = max(most, workers*t.Accelerators)
+				largest = max(largest, workers*t.Accelerators)
 			}
 		}
 	case SameZone:
 		for _, z := range t.Zones {
-			most = max(most, z.WorkerCount()*t.Accelerators)
+			largest = max(largest, z.WorkerCount()*t.Accelerators)
 		}
 	default:
 		return t.TotalAccelerators()
 	}
-	return most
+	return largest
 }
--- a/document/total_limits.go
+++ b/document/total_limits.go
@@ -17,7 +17,7 @@
 // millions of blocks. It is accepted, since without a topology no sum is checked; the
 // planner makes each block, is killed for its memory, and so is every entry that
 // takes the duty over.
-func checkTotals(d *Document, f *schema.Result) {
+func checkTotals(d *Document, result *schema.Result) {
 	blocks := 0
 	for _, a := range d.Accounts {
 		for _, g := range a.Guaranteed {
@@ -25,7 +25,7 @@
 		}
 	}
 	if blocks > MaxGuaranteedBlocks {
-		f.AddProblem("account", "%d guaranteed shapes in all, counted by count, want at most %d", blocks, MaxGuaranteedBlocks)
+		result.AddProblem("account", "%d guaranteed shapes in all, counted by count, want at most %d", blocks, MaxGuaranteedBlocks)
 	}
 	if d.Topology == nil {
 		return
@@ -35,6 +35,6 @@
 		workers += z.WorkerCount()
 	}
 	if workers > MaxWorkers {
-		f.AddProblem("topology", "%d workers, want at most %d", workers, MaxWorkers)
+		result.AddProblem("topology", "%d workers, want at most %d", workers, MaxWorkers)
 	}
 }
--- a/document/watcher.go
+++ b/document/watcher.go
@@ -55,17 +55,17 @@
 }
 
 // NewWatcher starts a Watcher. store may be nil, ask may be nil. Stop ends it.
-func NewWatcher(store store.Store, ask PeerQuery, inForce *ActiveSet, config SyncerConfig, log logrus.FieldLogger) *Watcher {
+func NewWatcher(store store.Store, query PeerQuery, active *ActiveSet, config SyncerConfig, log logrus.FieldLogger) *Watcher {
 	config.ReadsStore = store != nil
 	w := &Watcher{
 		store:  store,
 		lister: lister{store: store},
-		query:  ask,
-		active: inForce,
+		query:  query,
+		active: active,
 		log:    log,
 		ready:  make(chan struct{}),
 		relist: make(chan struct{}, 1),
-		syncer: NewSyncer(time.Now(), config, inForce),
+		syncer: NewSyncer(time.Now(), config, active),
 	}
 	w.tomb.Go(func() error {
 		w.tomb.Go(w.runTicker)
@@ -169,12 +169,12 @@
 	}
 	ctx, cancel := context.WithTimeout(w.tomb.Context(context.Background()), queryTimeout)
 	defer cancel()
-	asked := time.Now()
+	queriedAt := time.Now()
 	answer, err := w.query(ctx, id, w.active.Summaries())
 	if err != nil {
 		return // asked again at the next round
 	}
-	answer.Peer, answer.QueriedAt = id, asked
+	answer.Peer, answer.QueriedAt = id, queriedAt
 	w.handleEvent(answer)
 }
 
--- a/document/watcher_store.go
+++ b/document/watcher_store.go
@@ -29,11 +29,11 @@
 }
 
 // setStoreReachable logs a change. Only the goroutine of follow calls it.
-func (w *Watcher) setStoreReachable(now bool) {
-	if now == !w.storeDown {
+func (w *Watcher) setStoreReachable(reachable bool) {
+	if reachable == !w.storeDown {
 		return
 	}
-	w.storeDown = !now
+	w.storeDown = !reachable
 	if w.storeDown {
 		w.log.Warn("store of documents not reachable, the documents held stay in force")
 		return
@@ -75,16 +75,16 @@
 }
 
 func (w *Watcher) decodeSnapshot(s store.Snapshot) StoreListed {
-	var l StoreListed
+	var listed StoreListed
 	for _, kv := range s.Keys {
-		d, ok := w.decode(kv)
+		stored, ok := w.decode(kv)
 		if !ok {
-			l.Unreadable = append(l.Unreadable, kv.Key[len(StoreKeyPrefix):])
+			listed.Unreadable = append(listed.Unreadable, kv.Key[len(StoreKeyPrefix):])
 			continue
 		}
-		l.Documents = append(l.Documents, d)
+		listed.Documents = append(listed.Documents, stored)
 	}
-	return l
+	return listed
 }
 
 func (w *Watcher) handleWatchBatch(b store.WatchBatch) {
@@ -94,18 +94,18 @@
 			w.handleEvent(StoreDeleted{Service: e.Key[len(StoreKeyPrefix):]})
 			continue
 		}
-		if d, ok := w.decode(e.KeyValue); ok {
-			w.handleEvent(StoreChanged{Document: d})
+		if stored, ok := w.decode(e.KeyValue); ok {
+			w.handleEvent(StoreChanged{Document: stored})
 		}
 	}
 }
 
 // decode skips what is not a version: it is not ours to repair.
 func (w *Watcher) decode(kv store.KeyValue) (StoredVersion, bool) {
-	d, err := decodeStored(kv)
+	stored, err := decodeStored(kv)
 	if err != nil {
 		w.unreadable.Add(1)
 		return StoredVersion{}, false
 	}
-	return d, true
+	return stored, true
 }
--- a/document/watcher_test.go
+++ b/document/watcher_test.go
@@ -24,19 +24,19 @@
 // startWatcher starts a Watcher in a bubble of virtual time and stops it at the end,
 // which also shows that it leaves no goroutine behind.
 func startWatcher(t *testing.T, kv store.Store, ask document.PeerQuery) (*document.ActiveSet, *document.Watcher) {
-	f := document.NewActiveSet(nil)
-	w := document.NewWatcher(kv, ask, f, document.DefaultSyncerConfig(kv != nil), discardLogger())
+	active := document.NewActiveSet(nil)
+	w := document.NewWatcher(kv, ask, active, document.DefaultSyncerConfig(kv != nil), discardLogger())
 	t.Cleanup(func() { qt.Check(t, w.Stop(), qt.IsNil) })
-	return f, w
+	return active, w
 }
 
-func mustPut(c *qt.C, kv store.Store, mark string, base uint64) {
-	_, err := document.Put(context.Background(), kv, proposal(mark, base))
+func mustPut(c *qt.C, kv store.Store, label string, base uint64) {
+	_, err := document.Put(context.Background(), kv, proposal(label, base))
 	c.Assert(err, qt.IsNil)
 }
 
-func generationOf(f *document.ActiveSet) uint64 {
-	h, ok := f.Current("dispatch")
+func generationOf(active *document.ActiveSet) uint64 {
+	h, ok := active.Current("dispatch")
 	if !ok {
 		return 0
 	}
@@ -48,12 +48,12 @@
 		c := qt.New(t)
 		kv := newFakeStore()
 		mustPut(c, kv, "one", 0)
-		f, w := startWatcher(t, kv, nil)
+		active, w := startWatcher(t, kv, nil)
 		<-w.Ready()
-		c.Assert(generationOf(f), qt.Equals, uint64(1))
+		c.Assert(generationOf(active), qt.Equals, uint64(1))
 		mustPut(c, kv, "two", 1)
 		synctest.Wait()
-		c.Assert(generationOf(f), qt.Equals, uint64(2))
+		c.Assert(generationOf(active), qt.Equals, uint64(2))
 	})
 }
 
@@ -66,18 +66,18 @@
 		mustPut(c, kv, "one", 0)
 		old := kv.backup()
 		mustPut(c, kv, "two", 1)
-		f, w := startWatcher(t, kv, nil)
+		active, w := startWatcher(t, kv, nil)
 		<-w.Ready()
 		kv.restore(old)
 		time.Sleep(15 * time.Second)
-		c.Assert(generationOf(f), qt.Equals, uint64(2))
+		c.Assert(generationOf(active), qt.Equals, uint64(2))
 		c.Assert(w.Counts().WriteBacks, qt.Equals, int64(1))
 		stored, _, err := document.Get(context.Background(), kv, "dispatch")
 		c.Assert(err, qt.IsNil)
 		c.Assert(stored.Generation, qt.Equals, uint64(2))
 		mustPut(c, kv, "three", 2)
 		synctest.Wait()
-		c.Assert(generationOf(f), qt.Equals, uint64(3))
+		c.Assert(generationOf(active), qt.Equals, uint64(3))
 	})
 }
 
@@ -92,18 +92,18 @@
 		c.Assert(err, qt.IsNil)
 		kv.setDown(true)
 		var asked atomic.Int64
-		f, w := startWatcher(t, kv, func(context.Context, string, []document.Summary) (document.PeerAnswered, error) {
+		active, w := startWatcher(t, kv, func(context.Context, string, []document.Summary) (document.PeerAnswered, error) {
 			asked.Add(1)
 			return peerAnswer("", true, v), nil
 		})
 		w.SetPeers([]string{"a", "b", "c"})
 		<-w.Ready()
-		c.Assert(generationOf(f), qt.Equals, uint64(1))
+		c.Assert(generationOf(active), qt.Equals, uint64(1))
 		c.Assert(asked.Load() >= 2, qt.IsTrue)
 		kv.setDown(false)
 		mustPut(c, kv, "two", 1)
 		time.Sleep(2 * time.Second)
-		c.Assert(generationOf(f), qt.Equals, uint64(2))
+		c.Assert(generationOf(active), qt.Equals, uint64(2))
 		c.Assert(w.Counts().StoreFailures > 0, qt.IsTrue)
 	})
 }
@@ -118,9 +118,9 @@
 		swap := store.Swap{Key: document.StoreKey("slotbook"), Value: []byte("not a document")}
 		_, err := kv.Commit(context.Background(), []store.Swap{swap})
 		c.Assert(err, qt.IsNil)
-		f, w := startWatcher(t, kv, nil)
+		active, w := startWatcher(t, kv, nil)
 		<-w.Ready()
-		c.Assert(generationOf(f), qt.Equals, uint64(1))
+		c.Assert(generationOf(active), qt.Equals, uint64(1))
 		c.Assert(w.Counts().Unreadable, qt.Equals, int64(1))
 		c.Assert(w.Counts().WriteBacks, qt.Equals, int64(0))
 	})
--- a/settings/load.go
+++ b/settings/load.go
@@ -19,7 +19,7 @@
 
 // Parse is Load for text that is at hand; name is used in errors.
 func Parse[T Entry | Agent | Gateway | NodeAgent](name string, data []byte) (T, error) {
-	s, file := schema.Decode[T](name, data)
-	file.Validate(&s)
-	return s, file.Problems.Err()
+	s, result := schema.Decode[T](name, data)
+	result.Validate(&s)
+	return s, result.Problems.Err()
 }
