--- a/document/account.go
+++ b/document/account.go
@@ -1,6 +1,6 @@
 package document
 
-// Account is a client account: a customer of the service, its share and its
+// Account is a client account: a customer of the service, with its share and its
 // guaranteed shapes.
 type Account struct {
 	Name       string      `toml:"name" validate:"required,name"`
@@ -13,7 +13,7 @@
 // Adjacency is how close to each other the accelerators of a shape must be.
 type Adjacency string
 
-// The adjacencies, from the closest to the loosest.
+// Adjacencies, from the strictest to none.
 const (
 	SameWorker Adjacency = "worker"
 	SameRack   Adjacency = "rack"
@@ -21,8 +21,8 @@
 	Anywhere   Adjacency = "any"
 )
 
-// Guarantee is a shape that an account can claim at any moment, Count times at
-// once.
+// Guarantee is a shape of accelerators that an account may claim at any time, up to Count
+// of them at once.
 type Guarantee struct {
 	Accelerators int       `toml:"accelerators" validate:"min=1,max=4096" unit:"accelerators"`
 	Adjacent     Adjacency `toml:"adjacent" default:"worker" validate:"oneof=worker rack zone any"`
--- a/document/active_set.go
+++ b/document/active_set.go
@@ -9,47 +9,45 @@
 	"time"
 )
 
-// ActiveSet holds the version in force of every service in one process. Reads
-// take no lock: writers copy the table, change the copy and publish it
-// (read-copy-update). It is safe for concurrent use.
+// ActiveSet holds the active version of every service in one process. Reads take no lock;
+// writers copy the table and replace it (read-copy-update). It is safe for concurrent use.
 //
-// The generation of a service never decreases while the process runs. It
-// guards against configuration that goes back: a watch restarted from an old
-// revision, a peer with an old copy, a store restored from a backup. Each of
-// them shows as an offer with a lower generation, and Offer is the only way in.
+// The generation of a service never decreases while the process runs, even if a watch
+// restarts from an old revision, a peer has an old copy, or the store is restored from a
+// backup. Update is the only way to change the set.
 type ActiveSet struct {
 	versions atomic.Pointer[map[string]*ActiveVersion]
 	onChange func(old, now *ActiveVersion)
 
-	mu          sync.Mutex         // serialises writers
-	lastRefused map[string]Summary // last version refused, by service
+	mu          sync.Mutex         // serializes writers
+	lastRefused map[string]Summary // by service
 
 	accepted, older, conflicting, refused atomic.Int64
 }
 
-// NewActiveSet returns a table without documents. onChange may be nil; it is
-// called after each change, in order, with old nil for a first version. It
-// must not call Offer.
+// NewActiveSet returns an empty set. onChange, which may be nil, is called after each
+// change, in order, with old nil for the first version of a service. It must not call
+// Update.
 func NewActiveSet(onChange func(old, now *ActiveVersion)) *ActiveSet {
 	a := &ActiveSet{onChange: onChange, lastRefused: map[string]Summary{}}
 	a.versions.Store(&map[string]*ActiveVersion{})
 	return a
 }
 
-// Current returns what is in force for service.
+// Current returns the active version of service, and whether there is one.
 func (a *ActiveSet) Current(service string) (*ActiveVersion, bool) {
 	h, ok := (*a.versions.Load())[service]
 	return h, ok
 }
 
-// All returns what is in force, sorted by service.
+// All returns the active versions, sorted by service.
 func (a *ActiveSet) All() []*ActiveVersion {
 	return slices.SortedFunc(maps.Values(*a.versions.Load()), func(a, b *ActiveVersion) int {
 		return strings.Compare(a.Version.Service, b.Version.Service)
 	})
 }
 
-// Counts returns the decisions so far.
+// Counts returns the number of updates so far, by result.
 func (a *ActiveSet) Counts() UpdateCounts {
 	return UpdateCounts{
 		Accepted:    a.accepted.Load(),
@@ -59,23 +57,23 @@
 	}
 }
 
-// Update puts v in force where its generation is higher than the one in force,
-// whatever the source. A version that this binary cannot read is refused, and
-// the one in force stays: an older binary must not drop its configuration
-// because the operators use a newer one. Of two split histories the later
-// version is in force afterwards, with a generation above both.
+// Update makes v active if its generation is higher than the active one. A version that
+// this binary cannot parse is refused, so that an older binary keeps its configuration
+// when the operators use a newer one. If v belongs to a forked history, the later of the
+// two versions becomes active under a generation above both.
 func (a *ActiveSet) Update(now time.Time, v Version) UpdateResult {
 	if result := a.compare(v); result == UpdateUnchanged || result == UpdateOlder {
 		return a.countResult(result)
 	}
-	// Parsing is slow, so it is done without the lock.
+	// Parse before taking the lock, since parsing is slow.
 	doc := parseVersion(v)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.countResult(a.apply(now, v, doc))
 }
 
-// parseVersion returns nil where v cannot be read or contradicts itself.
+// parseVersion returns nil if v is invalid, belongs to another service or does not match
+// its digest.
 func parseVersion(v Version) *Document {
 	doc, err := Parse(v.Service, v.TOML)
 	if err != nil || doc.Service != v.Service || DigestOf(v.TOML) != v.Digest {
@@ -84,6 +82,7 @@
 	return doc
 }
 
+// compare classifies v against the active version of its service.
 func (a *ActiveSet) compare(v Version) UpdateResult {
 	h, ok := a.Current(v.Service)
 	switch {
@@ -95,6 +94,7 @@
 	return compareVersions(h.Version, v)
 }
 
+// apply repeats the comparison under the lock and publishes v. doc is nil if v is invalid.
 func (a *ActiveSet) apply(now time.Time, v Version, doc *Document) UpdateResult {
 	result := a.compare(v)
 	if result == UpdateUnchanged || result == UpdateOlder {
@@ -115,6 +115,7 @@
 	return result
 }
 
+// publish replaces the table by a copy with the new version. The caller holds mu.
 func (a *ActiveSet) publish(h *ActiveVersion) {
 	old := *a.versions.Load()
 	next := maps.Clone(old)
--- a/document/active_version.go
+++ b/document/active_version.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// ActiveVersion is the version in force for one service in this process. It is never
-// changed.
+// ActiveVersion is the version that is active for one service in this process. It is
+// immutable.
 type ActiveVersion struct {
 	Version  Version
 	Document *Document
-	Since    time.Time // when it came into force in this process
+	Since    time.Time // when it became active in this process
 }
--- a/document/conflict.go
+++ b/document/conflict.go
@@ -8,32 +8,33 @@
 )
 
 var (
-	// ErrConflict: another version was put since the operator's base. Nothing
-	// was written. The error is a *ConflictError.
+	// ErrConflict is returned if another version was put since the operator's base.
+	// Nothing was written. The error is a *ConflictError.
 	ErrConflict = eris.New("document conflict")
-	// ErrOutcomeUnknown: the write may or may not have taken effect.
+	// ErrOutcomeUnknown is returned if the write may or may not have taken effect.
 	ErrOutcomeUnknown = eris.New("outcome not known: run config get")
-	// ErrStoreBehind: running processes hold a higher generation than the
-	// store, which was restored from a backup. They write theirs back within
-	// seconds. Nothing was written.
+	// ErrStoreBehind is returned if running processes have a higher generation than the
+	// store, which was restored from a backup. They write theirs back within seconds.
+	// Nothing was written.
 	ErrStoreBehind = eris.New("store holds an older generation than the processes")
 )
 
-// ConflictError tells the operator who was faster and what differs.
+// ConflictError describes the version that was put first, and its difference from the
+// proposal.
 type ConflictError struct {
-	BaseGeneration uint64  // generation the operator began with
-	Current        Version // what the store holds now
+	BaseGeneration uint64  // generation that the operator edited
+	Current        Version // the version in the store
 	Diff           string  // unified line diff from Current to the operator's text
 }
 
-// Error names both generations and the other author, with the diff.
+// Error names both generations and the author of the stored one, followed by the diff.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("%s of %s: your base is generation %d, the store holds generation %d by %s of %s; nothing was written\n%s",
 		ErrConflict, e.Current.Service, e.BaseGeneration, e.Current.Generation, e.Current.Author,
 		e.Current.CreatedAt.Format("2006-01-02 15:04:05Z"), e.Diff)
 }
 
-// Unwrap makes errors.Is find ErrConflict.
+// Unwrap returns ErrConflict.
 func (e *ConflictError) Unwrap() error {
 	return ErrConflict
 }
--- a/document/consistency.go
+++ b/document/consistency.go
@@ -7,7 +7,7 @@
 	"github.com/eelgrasshub/eelgrasshub/document/schema"
 )
 
-// checkConsistency checks what no single key can tell.
+// checkConsistency validates the rules that involve several keys.
 func checkConsistency(d *Document, result *schema.Result) {
 	checkUniqueNames(result, "account", len(d.Accounts), func(i int) string { return d.Accounts[i].Name })
 	checkUniqueNames(result, "class", len(d.Classes), func(i int) string { return d.Classes[i].Name })
@@ -23,6 +23,7 @@
 	}
 }
 
+// checkUniqueNames reports names that are used more than once in an array of tables.
 func checkUniqueNames(result *schema.Result, table string, count int, name func(int) string) {
 	first := map[string]int{}
 	for i := range count {
@@ -46,10 +47,10 @@
 		return
 	}
 	if c.Kind != Job {
-		return // reported already
+		return // the invalid kind is already reported
 	}
-	// A borrower is evicted when the guarantee is claimed. Work that can be
-	// neither resumed nor run again would be lost, or the guarantee broken.
+	// A borrowing job is evicted when the guarantee is claimed. Work that can neither
+	// be resumed nor repeated would be lost.
 	if c.MayBorrow && !c.Checkpointable && !c.Repeatable {
 		result.AddProblem(path+".may_borrow", "got true, want false: the class is neither checkpointable nor repeatable, so it cannot be evicted")
 	}
@@ -58,6 +59,7 @@
 	}
 }
 
+// checkQuickClass rejects keys that apply to jobs only.
 func checkQuickClass(path string, result *schema.Result) {
 	for _, key := range []string{"priority", "urgent", "checkpointable", "may_borrow", "max_run"} {
 		if result.Index.IsSet(path + "." + key) {
@@ -66,9 +68,9 @@
 	}
 }
 
-// minLossMargin is what lies at least between a gang's isolation and its loss
-// timeout: the longest stop of a task (3 s), and twice the time in which two
-// reports of an agent arrive, or gangs would never count as whole.
+// minLossMargin is the minimum difference between the loss and the isolation timeout: the
+// longest time that a task takes to stop (3 s), plus twice the time in which two reports
+// of an agent arrive.
 const minLossMargin = 9 * time.Second
 
 func checkLossMargin(d *Document, result *schema.Result) {
@@ -79,9 +81,8 @@
 	}
 }
 
-// checkShapeSizes refuses shapes larger than any place of the topology, and sums
-// above its total. Whether the shapes fit together as blocks is the FitCheck's
-// question.
+// checkShapeSizes rejects shapes larger than any unit of the topology, and sums above its
+// total. Whether the shapes fit together is left to PlacementCheck.
 func checkShapeSizes(d *Document, result *schema.Result) {
 	sum := 0
 	for i, a := range d.Accounts {
--- a/document/digest.go
+++ b/document/digest.go
@@ -5,18 +5,18 @@
 	"encoding/hex"
 )
 
-// Digest identifies the TOML text of a version.
+// Digest is the SHA-256 hash of the TOML text of a version.
 type Digest [sha256.Size]byte
 
-// displayedDigestLen is how many bytes of a digest are shown to people.
+// displayedDigestLen is the number of bytes that String shows.
 const displayedDigestLen = 6
 
-// DigestOf returns the digest of toml.
+// DigestOf returns the digest of the given text.
 func DigestOf(toml []byte) Digest {
 	return sha256.Sum256(toml)
 }
 
-// String returns the first bytes in hexadecimal, enough to tell versions apart.
+// String returns a hexadecimal prefix of the digest.
 func (d Digest) String() string {
 	return hex.EncodeToString(d[:displayedDigestLen])
 }
--- a/document/document.go
+++ b/document/document.go
@@ -1,17 +1,16 @@
 package document
 
-// Objective is what the owner of a service weighs most.
+// Objective is the quantity that the service's scheduling optimizes.
 type Objective string
 
-// The objectives a document can name.
+// Objectives that a document may name.
 const (
-	CompletionTime Objective = "completion_time" // from request to whole answer
-	Fragmentation  Objective = "fragmentation"   // capacity in pieces too small for waiting jobs
+	CompletionTime Objective = "completion_time" // time from request to complete answer
+	Fragmentation  Objective = "fragmentation"   // free capacity in pieces too small for the waiting jobs
 )
 
-// Document is one service's configuration, parsed, with defaults filled in. It
-// is never changed after Parse returned it, so that any number of goroutines
-// may read it.
+// Document is the parsed configuration of one service, with defaults filled in. It is
+// immutable once Parse has returned it and safe for concurrent use.
 type Document struct {
 	Service   string    `toml:"service" validate:"required,name"`
 	Owner     string    `toml:"owner" validate:"required,min=1,max=120"`
@@ -27,7 +26,7 @@
 	Topology  *Topology `toml:"topology" validate:"omitempty"`
 }
 
-// Account returns the client account called name.
+// Account returns the client account with the given name.
 func (d *Document) Account(name string) (*Account, bool) {
 	for i := range d.Accounts {
 		if d.Accounts[i].Name == name {
@@ -37,7 +36,7 @@
 	return nil, false
 }
 
-// Class returns the class called name.
+// Class returns the class with the given name.
 func (d *Document) Class(name string) (*Class, bool) {
 	for i := range d.Classes {
 		if d.Classes[i].Name == name {
--- a/document/fork.go
+++ b/document/fork.go
@@ -1,13 +1,10 @@
 package document
 
-// compareVersions decides on an offered version by generation and time alone.
+// compareVersions classifies an offered version by generation and creation time.
 //
-// Generations of one history grow together with At, which Put sees to. Where
-// the two disagree, the histories have split: the store was restored from a
-// backup and an operator put to it before a process wrote the version in force
-// back. Both operators were told success. This shows as a lower generation
-// that is later, a higher one that is earlier, or an equal one with another
-// text.
+// Within one history, both increase together. If they disagree, the history has forked:
+// the store was restored from a backup, and an operator put to it before a process wrote
+// the active version back. Both operators were told success.
 func compareVersions(active, offered Version) UpdateResult {
 	same := offered.Generation == active.Generation && offered.Digest == active.Digest
 	switch {
@@ -21,8 +18,8 @@
 	return UpdateConflicting
 }
 
-// isLater orders two versions by time, then by token, so that all processes
-// agree.
+// isLater reports whether a was created after b. Ties are broken by token, so that all
+// processes agree.
 func isLater(a, b Version) bool {
 	if !a.CreatedAt.Equal(b.CreatedAt) {
 		return a.CreatedAt.After(b.CreatedAt)
@@ -30,9 +27,9 @@
 	return a.Token > b.Token
 }
 
-// resolveFork ends a split: the later version wins and gets a generation above both,
-// so that the generation in force grows in every process. All processes come
-// to the same text and generation from the same pair.
+// resolveFork merges a forked history: the later version wins and gets a generation above
+// both, so that the generation increases in every process. The result depends on the pair
+// only.
 func resolveFork(a, b Version) Version {
 	winner, loser := a, b
 	if isLater(b, a) {
--- a/document/get.go
+++ b/document/get.go
@@ -8,20 +8,20 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// StoredVersion is a version together with the store's revision of it.
+// StoredVersion is a version and its revision in the store.
 type StoredVersion struct {
 	Version  Version
 	Revision store.Revision
 }
 
-// Get reads the version of service that the store holds. The second result is
-// false where there is none.
+// Get returns the version of the service's document in the store, and whether there is
+// one.
 func Get(ctx context.Context, store store.Store, service string) (Version, bool, error) {
 	stored, err := readStored(ctx, store, service)
 	return stored.Version, stored.Revision != 0, err
 }
 
-// readStored returns a zero Stored where the store holds no document of service.
+// readStored returns a zero StoredVersion if the store has no document of the service.
 func readStored(ctx context.Context, store store.Store, service string) (StoredVersion, error) {
 	kv, ok, err := store.Get(ctx, StoreKey(service))
 	if err != nil || !ok {
@@ -30,6 +30,7 @@
 	return decodeStored(kv)
 }
 
+// decodeStored decodes a store value and checks that it belongs to its key.
 func decodeStored(kv store.KeyValue) (StoredVersion, error) {
 	v, err := UnmarshalVersion(kv.Value)
 	if err != nil {
--- a/document/lister.go
+++ b/document/lister.go
@@ -9,30 +9,29 @@
 )
 
 const (
-	// partialListsPerFull is how many listings go by before all documents are read again,
-	// should the store not tell by its Source that it was restored.
+	// partialListsPerFull is the number of listings after which all documents are read
+	// again, in case the store does not report by its Source that it was restored.
 	partialListsPerFull = 30
-	// maxSingleReads bounds the documents that one listing reads by themselves.
-	// More than these are read in one call.
+	// maxSingleReads is the maximum number of documents that one listing reads
+	// individually. If more have changed, all are read in one call.
 	maxSingleReads = 4
 )
 
-// lister lists the documents again and again, and reads only those that it has
-// not seen at their present revision. Listing them whole is a process's largest
-// use of the store where there are many services. One goroutine at a time owns
-// it: that of Watcher.follow, or of the watch that it waits for.
+// lister lists the documents repeatedly and reads only those that changed, since reading
+// all of them is expensive with many services. It is owned by one goroutine at a time:
+// that of Watcher.followStore, or that of the watch that followStore waits for.
 type lister struct {
 	store store.Store
 
-	cached       map[string]store.KeyValue // by key, from listings and the watch
+	cached       map[string]store.KeyValue // last known values by key, from listings and the watch
 	source       uint64
 	revision     store.Revision
-	partialLists int // listings since the last whole one
+	partialLists int // listings since the last full one
 }
 
-// list returns all documents at one revision or, where some had to be read by
-// themselves, these at a later one. A watch from the result's revision misses
-// nothing; it may bring such a document a second time.
+// list returns all documents at one revision, or individually read ones at a later
+// revision. A watch from the result's revision misses no change; it may deliver an
+// individually read document again.
 func (l *lister) list(ctx context.Context) (store.Snapshot, error) {
 	if l.cached == nil || l.partialLists >= partialListsPerFull {
 		return l.listAll(ctx)
@@ -48,13 +47,13 @@
 	return l.readValues(ctx, keys)
 }
 
-// storeRestored guards against a store storeRestored from a backup, which counts its
-// revisions again: a document written since can have the revision of another one
-// that was seen before, and would be taken for that one.
+// storeRestored reports whether the store was restored from a backup. A restored store
+// reuses revisions, so cached values cannot be matched by revision.
 func (l *lister) storeRestored(s store.Snapshot) bool {
 	return s.Source != l.source || s.At < l.revision
 }
 
+// countStale returns the number of keys whose cached value is missing or outdated.
 func (l *lister) countStale(keys store.Snapshot) int {
 	n := 0
 	for _, kv := range keys.Keys {
@@ -65,6 +64,7 @@
 	return n
 }
 
+// listAll reads all documents.
 func (l *lister) listAll(ctx context.Context) (store.Snapshot, error) {
 	s, err := l.store.List(ctx, StoreKeyPrefix)
 	if err != nil {
@@ -75,7 +75,8 @@
 	return s, nil
 }
 
-// readValues puts the documents into a listing of their keys.
+// readValues completes a listing of keys with the cached values, reading those that
+// changed.
 func (l *lister) readValues(ctx context.Context, keys store.Snapshot) (store.Snapshot, error) {
 	s := keys
 	s.Keys = nil
@@ -87,7 +88,7 @@
 				return store.Snapshot{}, eris.Wrapf(err, "key %s", kv.Key)
 			}
 			if !ok {
-				continue // deleted since; the watch brings that as well
+				continue // deleted since; the watch reports that too
 			}
 			value = latest
 		}
@@ -97,6 +98,7 @@
 	return s, nil
 }
 
+// cacheSnapshot replaces the cache by a complete listing.
 func (l *lister) cacheSnapshot(s store.Snapshot) {
 	l.source, l.revision = s.Source, s.At
 	l.cached = make(map[string]store.KeyValue, len(s.Keys))
@@ -105,7 +107,8 @@
 	}
 }
 
-// applyWatchBatch takes in what the watch from the last listing delivers.
+// applyWatchBatch updates the cache with the events of the watch that follows the last
+// listing.
 func (l *lister) applyWatchBatch(b store.WatchBatch) {
 	l.revision = max(l.revision, b.At)
 	for _, e := range b.Events {
--- a/document/parse.go
+++ b/document/parse.go
@@ -6,30 +6,31 @@
 	"github.com/eelgrasshub/eelgrasshub/document/schema"
 )
 
-// MaxBytes is the longest document taken. The store holds values of up to a
-// megabyte; the envelope needs some of it.
+// MaxBytes is the maximum length of a document. It leaves room for the other fields of a
+// Version in a store value, which is limited to a megabyte.
 const MaxBytes = 512 << 10
 
-// PlacementProblem is one guaranteed shape that does not fit together with the others.
+// PlacementProblem is a guaranteed shape that does not fit on the topology together with
+// the others.
 type PlacementProblem struct {
-	Account   int // position in Accounts
-	Guarantee int // position in Guaranteed
+	Account   int // index in Accounts
+	Guarantee int // index in Guaranteed
 	Reason    string
 }
 
-// PlacementCheck places every guaranteed shape of every account at once on the
-// expected topology and returns those that find no place. It is a function
-// value so that this package does not depend on the placement code.
+// PlacementCheck places all guaranteed shapes of all accounts on the topology and returns
+// those that do not fit. It is a function type so that this package does not depend on the
+// scheduler.
 type PlacementCheck func(t *Topology, accounts []Account) []PlacementProblem
 
-// Parse reads and checks the document in data. The error is a schema.Problems
-// with every problem found; name is the file's name in it.
+// Parse reads and validates the document in data. On failure the error is a
+// schema.Problems that lists every problem found; name is the file name that it reports.
 func Parse(name string, data []byte) (*Document, error) {
 	return Check(name, data, nil)
 }
 
-// Check is Parse with, in addition, the fit of the guaranteed shapes on the
-// document's topology, where it has one. A nil fit checks sums and sizes only.
+// Check is like Parse, and also checks that the guaranteed shapes fit on the document's
+// topology, if it has one. If checkPlacement is nil, only sizes and sums are checked.
 func Check(name string, data []byte, checkPlacement PlacementCheck) (*Document, error) {
 	if len(data) > MaxBytes {
 		reason := fmt.Sprintf("is %d bytes long, want at most %d", len(data), MaxBytes)
--- a/document/peer_comparison.go
+++ b/document/peer_comparison.go
@@ -1,13 +1,13 @@
 package document
 
-// Comparison is how the versions in force here relate to those of a peer.
+// Comparison is the difference between the active versions of this process and those of a
+// peer.
 type Comparison struct {
-	Missing []Summary // the peer's that we should be offered
-	Ahead   []Summary // ours that the peer should be offered
+	Missing []Summary // versions that the peer should send
+	Ahead   []Summary // versions that the peer should receive
 }
 
-// Summaries names every version in force, sorted by service. It is what
-// processes tell each other.
+// Summaries returns the summaries of all active versions, sorted by service.
 func (a *ActiveSet) Summaries() []Summary {
 	active := a.All()
 	list := make([]Summary, len(active))
@@ -17,15 +17,14 @@
 	return list
 }
 
-// Missing returns those of a peer's versions that we should be offered.
+// Missing returns those of a peer's versions that this process should fetch.
 func (a *ActiveSet) Missing(peer []Summary) []Summary {
 	return a.Compare(peer).Missing
 }
 
-// Compare relates a peer's versions to ours. An equal generation with another
-// text is to be offered both ways, to end a split. A version that this binary
-// refused is not missing: fetching it again on every exchange would help
-// nobody.
+// Compare compares a peer's versions with the active ones. Versions of the same generation
+// with different texts are exchanged both ways, to resolve the fork. A version that this
+// binary has refused is not reported as missing, since fetching it again would not help.
 func (a *ActiveSet) Compare(peer []Summary) Comparison {
 	ours, theirs := byService(a.Summaries()), byService(peer)
 	var c Comparison
@@ -50,7 +49,7 @@
 	return m
 }
 
-// shouldOffer is true where a holder of held should be offered s.
+// shouldOffer reports whether s should be sent to a process that has the version have.
 func shouldOffer(s, have Summary) bool {
 	return s.Generation > have.Generation || s.Generation == have.Generation && s.Digest != have.Digest
 }
@@ -61,8 +60,8 @@
 	return a.lastRefused[s.Service] == s
 }
 
-// NewerThan returns the versions in force that a peer with the given versions
-// lacks, up to maxBytes of text but at least one.
+// NewerThan returns the active versions that a peer with the given versions lacks. Their
+// texts total at most maxBytes, except that at least one version is returned.
 func (a *ActiveSet) NewerThan(peer []Summary, maxBytes int) []Version {
 	var list []Version
 	size := 0
--- a/document/pending_write.go
+++ b/document/pending_write.go
@@ -10,23 +10,22 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// maxRetryDelay is the longest pause between two tries to learn the outcome of
-// a write whose reply was lost.
+// maxRetryDelay is the maximum pause between two attempts to find out the outcome of a
+// write whose reply was lost.
 const maxRetryDelay = 2 * time.Second
 
-// pendingWrite is one proposal on its way into the store.
+// pendingWrite is a proposal that is being written to the store.
 //
-// It guards against a reply lost after the pendingWrite took effect, which shows as a
-// swap that fails against its own pendingWrite, or as Unknown. Reading back is not
-// enough: a request still on its way can take effect after the read. The same
-// swap is therefore sent again: whichever of the two arrives second fails,
-// since both expect the same revision, and finds the token of the first.
+// If the reply to a swap is lost, reading the key back is not enough: the request may
+// still be in flight and take effect after the read. Therefore the same swap is sent
+// again. Both expect the same revision, so only the first to arrive succeeds, and the
+// other finds its token.
 type pendingWrite struct {
 	store          store.Store
 	proposal       Proposal
 	version        Version
 	swaps          []store.Swap
-	mayHaveApplied bool // an earlier send may have taken effect
+	mayHaveApplied bool // an earlier send may have been applied
 }
 
 func newPendingWrite(kv store.Store, p Proposal, next Version, expect store.Revision) (*pendingWrite, error) {
@@ -42,7 +41,7 @@
 func (w *pendingWrite) run(ctx context.Context) (Version, error) {
 	retryPolicy := backoff.NewExponentialBackOff()
 	retryPolicy.MaxInterval = maxRetryDelay
-	retryPolicy.RandomizationFactor = 0 // one operator's command: nobody to spread from
+	retryPolicy.RandomizationFactor = 0 // a single client needs no jitter
 	outcomeKnown := false
 	v, err := backoff.Retry(ctx, func() (Version, error) {
 		v, known, err := w.send(ctx)
@@ -58,16 +57,16 @@
 	return v, err
 }
 
-// baseUnchanged is true while the store holds the version that ours replaces. It
-// guards a repeated send against a store restored in between, which counts its
-// revisions again: the revision we expect can then be that of another write.
+// baseUnchanged reports whether the store still holds the version that this write
+// replaces. A restored store reuses revisions, so before a swap is sent again its expected
+// revision may belong to another version.
 func (w *pendingWrite) baseUnchanged(ctx context.Context) (bool, error) {
 	stored, err := readStored(ctx, w.store, w.version.Service)
 	return stored.Version.Token == w.version.Replaces && stored.Revision == w.swaps[0].Expect, err
 }
 
-// send sends the swap once. The second result is false while the outcome of
-// this or an earlier send is not known.
+// send sends the swap once. The second result reports whether the outcome of this and all
+// earlier sends is known.
 func (w *pendingWrite) send(ctx context.Context) (Version, bool, error) {
 	if w.mayHaveApplied {
 		unchanged, err := w.baseUnchanged(ctx)
@@ -93,8 +92,8 @@
 	return w.resolveOutcome(ctx)
 }
 
-// resolveOutcome tells, after a swap that failed, whether an earlier send of it took
-// effect.
+// resolveOutcome determines, after a failed swap, whether an earlier send of it was
+// applied. Its results are those of send.
 func (w *pendingWrite) resolveOutcome(ctx context.Context) (Version, bool, error) {
 	stored, err := readStored(ctx, w.store, w.version.Service)
 	if err != nil && w.mayHaveApplied {
@@ -108,12 +107,12 @@
 		return v, true, nil
 	}
 	if v.Replaces == w.version.Token {
-		return w.version, true, nil // taken, and replaced since
+		return w.version, true, nil // applied, and replaced since
 	}
 	if !w.mayHaveApplied || v.Replaces == w.version.Replaces && v.Generation == w.version.Generation {
 		return Version{}, true, newConflictError(w.proposal, v)
 	}
-	// Several versions followed the base, or the store was restored: ours may
-	// have been among those that are gone.
+	// Several versions followed the base, or the store was restored: this write may
+	// have been applied and replaced in between.
 	return Version{}, true, eris.Wrap(ErrOutcomeUnknown, newConflictError(w.proposal, v).Error())
 }
--- a/document/put.go
+++ b/document/put.go
@@ -9,32 +9,31 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// Proposal is an operator's new version of a document.
+// Proposal is a new version of a document that an operator submits.
 type Proposal struct {
-	FileName       string // of the file, for messages
+	FileName       string // for error messages
 	TOML           []byte
-	BaseGeneration uint64 // generation the operator edited; 0 where there is none yet
+	BaseGeneration uint64 // generation that was edited; 0 for a first document
 	Author         string
-	Token          string    // unique to this proposal; a retry of it carries the same
-	CreatedAt      time.Time // the operator's clock
-	// ActiveGeneration is the highest generation that a running process reported, 0
-	// where none could be asked. It keeps a put away from a store that was
-	// restored and not yet repaired.
+	Token          string    // unique to this proposal and the same in its retries
+	CreatedAt      time.Time // by the operator's clock
+	// ActiveGeneration is the highest generation that a running process reported, or 0 if
+	// none was asked. With it, Put rejects writes to a store that was restored from a
+	// backup and not yet repaired.
 	ActiveGeneration uint64
 }
 
-// minTokenLen is the shortest token taken: a UUID without dashes has 32.
+// minTokenLen is the minimum length of a token: that of a UUID without dashes is 32.
 const minTokenLen = 16
 
-// minTimeStep is how much At grows at least along the generations.
+// minTimeStep is the minimum difference of CreatedAt between successive generations.
 const minTimeStep = time.Millisecond
 
-// Put writes a proposal by compare-and-swap and returns the version it became.
-// Success means that the store took the write. ErrConflict, ErrStoreBehind and
-// a refused text mean that it was not written; store.ErrUnavailable the
-// same. After ErrOutcomeUnknown the operator reads the store; the same
-// proposal may be put again. Put keeps trying to learn a lost outcome until
-// ctx ends.
+// Put writes a proposal by compare-and-swap and returns the version that was stored. After
+// a validation error, ErrConflict, ErrStoreBehind or store.ErrUnavailable, nothing was
+// written. After ErrOutcomeUnknown the proposal may or may not have been written; it may
+// be put again. Put retries until ctx ends to find out the outcome of a write whose reply
+// was lost.
 func Put(ctx context.Context, store store.Store, p Proposal) (Version, error) {
 	d, err := Parse(p.FileName, p.TOML)
 	if err != nil {
@@ -48,7 +47,7 @@
 		return Version{}, eris.Wrap(err, "nothing was written")
 	}
 	if taken := current.Version.Token == p.Token; taken {
-		return current.Version, nil // an earlier try of this proposal
+		return current.Version, nil // an earlier attempt succeeded
 	}
 	if current.Version.Generation != p.BaseGeneration {
 		return Version{}, newConflictError(p, current.Version)
@@ -66,9 +65,9 @@
 	return write.run(ctx)
 }
 
-// nextVersion returns the version that follows current. At grows also where the
-// operator's clock is behind the one before: a version that is later in time
-// than another of the same document was accepted later.
+// nextVersion returns the version that follows current. Its CreatedAt is later than that
+// of current even if the operator's clock is behind, since the order in time of two
+// versions must be that of their acceptance.
 func nextVersion(current Version, p Proposal) Version {
 	at := p.CreatedAt.UTC().Truncate(minTimeStep)
 	if earliest := current.CreatedAt.Add(minTimeStep); at.Before(earliest) {
--- a/document/schema/decode.go
+++ b/document/schema/decode.go
@@ -9,17 +9,17 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// Result is the outcome of reading one file.
+// Result is the outcome of decoding one file.
 type Result struct {
 	FileName    string
 	Index       *Index
 	Problems    Problems
-	undecodable bool // nothing could be decoded
+	undecodable bool // the syntax is invalid; no further problems are added
 }
 
-// AddProblem notes a problem of the key at path, at the line that sets it. Where a
-// problem of the same key stands already, it adds nothing: a value that was
-// not decoded, or is out of range, says nothing in a later check.
+// AddProblem reports a problem of the key at path, on the line that sets it. If the key or
+// a table that contains it already has a problem, it does nothing, since later checks of a
+// value that was not decoded are meaningless.
 func (r *Result) AddProblem(path, format string, args ...any) {
 	if r.undecodable || r.hasProblem(path) {
 		return
@@ -32,9 +32,9 @@
 	})
 }
 
-// Decode reads data into a T and fills in the defaults. The T is filled as far
-// as possible, so that Validate and the caller's own checks can report
-// everything at once; it is usable only where File holds no problems then.
+// Decode decodes data into a T and fills in the defaults. Where there are problems, T is
+// filled as far as possible, so that Validate and the caller's checks can report further
+// ones; its value must not be used then.
 func Decode[T any](name string, data []byte) (T, *Result) {
 	var value T
 	result := &Result{FileName: name, Index: newIndex(data)}
@@ -46,8 +46,8 @@
 	return value, result
 }
 
-// Validate checks the ranges of from, a pointer to what Decode returned. After
-// a syntax error it adds nothing.
+// Validate checks the tags of value, a pointer to the result of Decode. It does nothing
+// after a syntax error.
 func (r *Result) Validate(value any) {
 	var failed validator.ValidationErrors
 	if r.undecodable || !errors.As(validate.Struct(value), &failed) {
@@ -60,8 +60,8 @@
 	}
 }
 
-// hasProblem is true where a problem of the same key, or of a table that holds
-// it, stands already.
+// hasProblem reports whether a problem of the key, or of a table that contains it, was
+// already added.
 func (r *Result) hasProblem(path string) bool {
 	for _, p := range r.Problems {
 		isChild := strings.HasPrefix(path, p.Key+".") || strings.HasPrefix(path, p.Key+"[")
--- a/document/schema/defaults.go
+++ b/document/schema/defaults.go
@@ -7,8 +7,8 @@
 	"strconv"
 )
 
-// fillDefaults sets every field that the file leaves out to the value of its
-// default tag. A key that the file sets to zero or false keeps that value.
+// fillDefaults sets every field whose key the file does not set to the value of its
+// default tag. Keys that the file sets to zero or false are kept.
 func fillDefaults(v reflect.Value, prefix string, index *Index) {
 	for i := range v.NumField() {
 		field := v.Type().Field(i)
@@ -24,6 +24,7 @@
 	}
 }
 
+// fillField fills in one key, unless its default is derived from another key.
 func fillField(v reflect.Value, field reflect.StructField, path string, index *Index) {
 	if tableType(field.Type) != nil {
 		fillTables(v, path, index)
@@ -51,8 +52,8 @@
 	}
 }
 
-// setFromText parses a default tag. A tag that does not parse is a broken
-// invariant of the program.
+// setFromText parses a default tag into v. It panics on an invalid tag, which is a
+// programming error.
 func setFromText(v reflect.Value, text string) {
 	if u, ok := v.Addr().Interface().(encoding.TextUnmarshaler); ok {
 		must(u.UnmarshalText([]byte(text)))
--- a/document/schema/doc.go
+++ b/document/schema/doc.go
@@ -1,12 +1,10 @@
-// Package schema reads TOML into tagged structs strictly: unknown keys, values
-// of a wrong type and values out of range are all reported at once, each with
-// file, line, key and what is accepted.
+// Package schema decodes TOML into tagged structs strictly. Unknown keys, values of a
+// wrong type and values out of range are all reported at once, each with file, line, key
+// and the accepted values.
 //
-// A struct field is one key. Its tags are the single source of the key's name
-// (toml), default (default), unit (unit) and accepted range (validate); the
-// same tags feed the error messages and the check that the reference page
-// names every key.
+// Each struct field is one key. Its tags define the key's name (toml), default (default),
+// unit (unit) and accepted values (validate). They are also the source of the error
+// messages and of the test that the reference page lists every key.
 //
-// Everything here is a pure function of its arguments and safe for concurrent
-// use.
+// All functions are safe for concurrent use.
 package schema
--- a/document/schema/duration.go
+++ b/document/schema/duration.go
@@ -7,18 +7,18 @@
 	"github.com/rotisserie/eris"
 )
 
-// Duration is a time span written as text with a unit, such as "250ms", "10s"
-// or "4h". A bare number is refused, because its unit would be a guess.
+// Duration is a duration written as text with a unit, such as "250ms", "10s" or "4h". A
+// bare number is rejected, since its unit would be ambiguous.
 type Duration struct {
 	time.Duration
 }
 
-// Seconds returns a Duration of n whole seconds.
+// Seconds returns a Duration of n seconds.
 func Seconds(n int) Duration {
 	return Duration{time.Duration(n) * time.Second}
 }
 
-// UnmarshalText parses the text form.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// String returns the shortest text form: 1h, not 1h0m0s.
+// String returns the shortest text form, such as 1h instead of 1h0m0s.
 func (d Duration) String() string {
 	s := d.Duration.String()
 	if strings.HasSuffix(s, "m0s") {
@@ -40,7 +40,7 @@
 	return s
 }
 
-// MarshalText returns the text form.
+// MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(d.String()), nil
 }
--- a/document/schema/failure.go
+++ b/document/schema/failure.go
@@ -8,6 +8,8 @@
 	"github.com/go-playground/validator/v10"
 )
 
+// describeFailure formats a failed validation: the value, unless it is secret, and the
+// accepted values.
 func describeFailure(fe validator.FieldError, keys []Key, path string) string {
 	k, _ := findKey(keys, path)
 	accepted := k.Range()
--- a/document/schema/index.go
+++ b/document/schema/index.go
@@ -7,25 +7,25 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// keyEntry is one key as written in a file.
+// keyEntry is one key as it is written in a file.
 type keyEntry struct {
-	path   string // with positions in arrays: account[1].weight
+	path   string // with array indexes: account[1].weight
 	offset int    // of the key
 	line   int
-	start  int // of the whole key-value expression; start = end for a table
+	start  int // of the complete key-value expression; equal to end for a table
 	end    int
 	value  unstable.Kind // of the value; Invalid for a table
 }
 
-// Index tells which keys a file sets and on which line.
+// Index records which keys a file sets and on which lines.
 type Index struct {
 	entries     []keyEntry // in file order
 	lines       map[string]int
-	syntaxErr   error          // of the parser; nil for a well-formed file
-	tableCounts map[string]int // tables seen so far of each array of tables
+	syntaxErr   error          // nil if the syntax is valid
+	tableCounts map[string]int // number of tables so far in each array of tables
 }
 
-// newIndex scans data up to the first syntax error.
+// newIndex indexes data up to the first syntax error.
 func newIndex(data []byte) *Index {
 	x := &Index{lines: map[string]int{}, tableCounts: map[string]int{}}
 	var p unstable.Parser
@@ -47,8 +47,8 @@
 	return x
 }
 
-// Line returns the line that sets path, or else the line of its closest
-// parent, or else 0.
+// Line returns the line that sets path, or that of its closest parent, or 0 if there is
+// none.
 func (x *Index) Line(path string) int {
 	for {
 		if line, ok := x.lines[path]; ok {
@@ -68,8 +68,8 @@
 	return ok
 }
 
-// entryAt returns the last entry that begins entryAt or before offset: the key whose
-// value holds that byte.
+// entryAt returns the last entry that begins at or before offset, which is the key whose
+// value contains that byte.
 func (x *Index) entryAt(offset int) (keyEntry, bool) {
 	var found keyEntry
 	ok := false
@@ -88,6 +88,7 @@
 	}
 }
 
+// addTable adds a table header and returns its path.
 func (x *Index) addTable(p *unstable.Parser, e *unstable.Node, array bool) string {
 	path := ""
 	it := e.Key()
@@ -109,6 +110,8 @@
 	return path
 }
 
+// addKeyValue adds a key of the table prefix, and the keys within its value. start and end
+// delimit the top-level expression.
 func (x *Index) addKeyValue(p *unstable.Parser, prefix string, n *unstable.Node, start, end int) {
 	path := prefix
 	it := n.Key()
@@ -131,6 +134,7 @@
 	x.addValue(p, path, n.Value(), start, end)
 }
 
+// addValue adds the keys of an inline table or the lines of the elements of an array.
 func (x *Index) addValue(p *unstable.Parser, path string, v *unstable.Node, start, end int) {
 	switch v.Kind {
 	case unstable.InlineTable:
--- a/document/schema/key.go
+++ b/document/schema/key.go
@@ -6,27 +6,27 @@
 	"strings"
 )
 
-// Key describes one key of a struct type, from its tags.
+// Key describes one key of a struct type, derived from its tags.
 type Key struct {
-	Path         string // without positions in arrays: account.weight
-	Type         string // as an operator knows it: integer, text, duration, ...
-	Default      string // empty where there is none
-	ValueRange   string // accepted values with their unit, empty where any will do
-	ElementRange string // the same for each element of a list of plain values
-	IsTable      bool   // holds keys of its own
-	IsSecret     bool   // the value never appears in a message
+	Path         string // without array indexes: account.weight
+	Type         string // in an operator's terms: integer, text, duration, ...
+	Default      string // empty if there is none
+	ValueRange   string // accepted values with their unit; empty if all are
+	ElementRange string // accepted elements of a list of plain values
+	IsTable      bool   // a table or an array of tables
+	IsSecret     bool   // the value is omitted from messages
 
 	isDuration bool
 }
 
 var indexPattern = regexp.MustCompile(`\[\d+\]`)
 
-// stripIndexes strips the positions in arrays from a path.
+// stripIndexes removes the array indexes from a path.
 func stripIndexes(path string) string {
 	return indexPattern.ReplaceAllString(path, "")
 }
 
-// Range words what the key accepts, with the elements of a list.
+// Range describes the accepted values, including those of list elements.
 func (k Key) Range() string {
 	switch {
 	case k.ElementRange == "":
@@ -37,7 +37,7 @@
 	return k.ValueRange + ", each " + k.ElementRange
 }
 
-// Keys lists the keys of struct type T and of the tables below it.
+// Keys returns the keys of struct type T and of the tables below it.
 func Keys[T any]() []Key {
 	return collectKeys(reflect.TypeFor[T](), "", nil)
 }
@@ -77,6 +77,8 @@
 	}
 }
 
+// tomlName returns the key of a field, or "" if the field has none. For an embedded struct
+// it is the type's name.
 func tomlName(field reflect.StructField) string {
 	name, _, _ := strings.Cut(field.Tag.Get("toml"), ",")
 	if name == "-" {
@@ -90,8 +92,8 @@
 
 var durationType = reflect.TypeFor[Duration]()
 
-// tableType returns the struct type behind a table or an array of tables, nil
-// for a plain value.
+// tableType returns the struct type of a table or an array of tables, or nil for a plain
+// value.
 func tableType(t reflect.Type) reflect.Type {
 	for t.Kind() == reflect.Slice || t.Kind() == reflect.Pointer {
 		t = t.Elem()
@@ -102,6 +104,7 @@
 	return t
 }
 
+// typeName describes a type in an operator's terms.
 func typeName(t reflect.Type) string {
 	if t == durationType {
 		return `duration such as "250ms" or "4h"`
--- a/document/schema/problem.go
+++ b/document/schema/problem.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// Problem is one reason why a file is refused.
+// Problem is one reason why a file is rejected.
 type Problem struct {
 	File   string
-	Line   int    // 1 for the first line; 0 where no line can be named
-	Key    string // full key, such as account[0].weight; empty for the whole file
-	Reason string // what is wrong and what is accepted
+	Line   int    // starts at 1; 0 if unknown
+	Key    string // full path, such as account[0].weight; empty for the whole file
+	Reason string // what is wrong and which values are accepted
 }
 
-// String returns file:line: key: reason.
+// String returns the problem as "file:line: key: reason".
 func (p Problem) String() string {
 	var b strings.Builder
 	b.WriteString(p.File)
@@ -30,11 +30,10 @@
 	return b.String()
 }
 
-// Problems is the error of a refused file: every problem found, in the order
-// of the file.
+// Problems is the error for a rejected file. It lists every problem found.
 type Problems []Problem
 
-// Error returns one problem a line.
+// Error returns the problems, one per line.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -43,8 +42,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns the problems in file order as an error, nil where there are
-// none.
+// Err returns the problems, sorted by line, as an error, or nil if there are none.
 func (ps Problems) Err() error {
 	if len(ps) == 0 {
 		return nil
--- a/document/schema/range.go
+++ b/document/schema/range.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// describeRanges words the validate tag of f for an operator: the value, or the
-// length of a list, and of a list of plain values what each element may be.
+// describeRanges describes the validate tag of a field for an operator: the accepted
+// values or, for a list, the accepted length and elements.
 func describeRanges(field reflect.StructField) (valueRange, elementRange string) {
 	listRules, elementRules, hasElements := strings.Cut(field.Tag.Get("validate"), ",dive,")
 	if !hasElements {
--- a/document/schema/toml.go
+++ b/document/schema/toml.go
@@ -10,12 +10,12 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// maxTypeErrors bounds the passes over a file with values of a wrong type;
-// each pass finds one.
+// maxTypeErrors limits the number of passes over a file. Each pass finds one value of a
+// wrong type.
 const maxTypeErrors = 32
 
-// decode returns false where the syntax is broken, so that nothing else can
-// be said about the file.
+// decode returns false if the file cannot be decoded at all, for example because of a
+// syntax error.
 func (r *Result) decode(data []byte, into any) bool {
 	keys := collectKeys(reflect.TypeOf(into).Elem(), "", nil)
 	data = r.rejectBareDurations(data, keys)
@@ -55,9 +55,9 @@
 	}
 }
 
-// addTypeError notes the error and returns data without the expression that
-// caused it, so that the next pass finds the next error. It returns false
-// where no single value is to blame, such as for a key set twice.
+// addTypeError reports the error and returns data without the expression that caused it,
+// so that the next pass finds the next error. It returns false if no single value caused
+// it, as with a duplicate key.
 func (r *Result) addTypeError(data []byte, decodeErr *toml.DecodeError, keys []Key) ([]byte, bool) {
 	line, col := decodeErr.Position()
 	offset := byteOffset(data, line, col)
@@ -75,8 +75,8 @@
 	return blankRange(data, entry.start, entry.end), true
 }
 
-// rejectBareDurations notes durations that are not text. The decoder names no
-// line for them, so that they are looked for before it runs.
+// rejectBareDurations reports durations that are not text and blanks them. It runs before
+// the decoder, whose errors for them have no line.
 func (r *Result) rejectBareDurations(data []byte, keys []Key) []byte {
 	for _, e := range r.Index.entries {
 		k, ok := findKey(keys, e.path)
@@ -89,7 +89,7 @@
 	return data
 }
 
-// blankRange returns a copy of data with spaces from start to end; line ends stay.
+// blankRange returns a copy of data with spaces from start to end, keeping line breaks.
 func blankRange(data []byte, start, end int) []byte {
 	blanked := bytes.Clone(data)
 	for i := start; i < end; i++ {
@@ -100,6 +100,7 @@
 	return blanked
 }
 
+// describeExpected describes the type and the accepted values of a key.
 func describeExpected(keys []Key, path string) string {
 	k, ok := findKey(keys, path)
 	if !ok {
--- a/document/schema/validate.go
+++ b/document/schema/validate.go
@@ -11,8 +11,7 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// ruleDescriptions names the rules added to the validator and words what each
-// accepts.
+// ruleDescriptions describes the values that each custom validation rule accepts.
 var ruleDescriptions = map[string]string{
 	"name":    "1 to 63 lower-case letters, digits and dashes, a letter first",
 	"addr":    "an IP number or host name with a port, such as 10.0.0.7:7443",
@@ -58,7 +57,8 @@
 	return err == nil && u.Host != "" && (u.Scheme == "http" || u.Scheme == "https")
 }
 
-// keyPath drops the type name and embedded structs from a validator namespace.
+// keyPath returns the path of a key without the type name and embedded structs of the
+// validator's namespace.
 func keyPath(fe validator.FieldError) string {
 	parts := strings.Split(fe.Namespace(), ".")[1:]
 	kept := parts[:0]
--- a/document/syncer.go
+++ b/document/syncer.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// SyncerConfig is the timing of a Feeder.
+// SyncerConfig holds the limits and intervals of a Syncer.
 type SyncerConfig struct {
-	ReadsStore            bool          // whether this process reads the store; agents do not
-	RequiredConfirmations int           // distinct ready peers that stand in for the store
-	QueryRounds           int           // rounds of asking peers, AskEvery apart, before fewer or none have to do
-	MaxAnswerAge          time.Duration // from question to answer, above which it confirms nothing
-	QueryPeriod           time.Duration // between two rounds of asking peers
+	ReadsStore            bool          // false for agents, which learn of documents from entries
+	RequiredConfirmations int           // ready peers that are needed if the store does not answer
+	QueryRounds           int           // rounds after which fewer confirmations are enough
+	MaxAnswerAge          time.Duration // age, since the query, above which an answer does not confirm
+	QueryPeriod           time.Duration // between two rounds of queries to peers
 	ListPeriod            time.Duration // between two listings of the store
-	WriteBackCheckDelay   time.Duration // from a write back to the listing that checks it
+	WriteBackCheckDelay   time.Duration // from a write-back to the listing that verifies it
 }
 
-// DefaultSyncerConfig returns the timing for a process that reads the store,
-// or one that does not.
+// DefaultSyncerConfig returns the defaults for a process that reads the store, or for one
+// that does not.
 func DefaultSyncerConfig(store bool) SyncerConfig {
 	return SyncerConfig{
 		ReadsStore:            store,
@@ -27,27 +27,25 @@
 	}
 }
 
-// Bounds of what a Feeder keeps and asks at once.
+// Limits on the number of known peers and of peers queried in one round.
 const (
 	maxPeers         = 64
 	maxPeersPerRound = 4
 )
 
-// Syncer decides from where a process takes its documents, when they are
-// confirmed, and when the store is to be repaired. It is pure but for the
-// InForce it offers to; one goroutine owns it.
+// Syncer is the state machine that keeps the documents of a process up to date. It decides
+// whom to query, when the documents are confirmed, and when to repair the store. It does
+// no I/O; it updates its ActiveSet and returns actions. One goroutine owns it.
 //
-// It guards against a fresh process that goes into service with an old copy,
-// which shows as an old generation in force again after a restart during an
-// outage of the store, or after its restore. A fresh process is ready only
-// once the store answered and a ready peer had nothing higher, or else once
-// Confirmations ready peers answered. The highest generation wins. Where the
-// store answered and no ready peer does in AskRounds, the store's word has to
-// do: all processes may have started at once. Rounds are counted, not time: a
-// process that was paused has asked nobody meanwhile.
+// It prevents a new process from becoming ready with an outdated document while the store
+// is unavailable or after the store was restored. A process is ready once the store and
+// one ready peer have answered, or once RequiredConfirmations ready peers have. If the
+// store has answered and no ready peer does within QueryRounds, the store is enough, since
+// all processes may have started at once. Rounds are counted instead of time, because a
+// process that was paused has not queried anyone.
 //
-// An answer counts only while it is fresh. A late one, asked for by an earlier
-// incarnation of this process, shows what the peer held long ago.
+// Answers older than MaxAnswerAge, or to queries of an earlier incarnation, do not
+// confirm.
 type Syncer struct {
 	config SyncerConfig
 	active *ActiveSet
@@ -55,15 +53,15 @@
 	startedAt   time.Time
 	storeListed bool
 	peers       []string
-	confirmed   map[string]bool // peers that answered, are ready and have nothing we lack
+	confirmed   map[string]bool // ready peers that have no newer version
 	ready       bool
 	nextQueryAt time.Time
-	queryRounds int // of asking
-	nextPeer    int // rotates over the peers
+	queryRounds int
+	nextPeer    int // index of the next peer to query, modulo the number of peers
 	nextListAt  time.Time
 }
 
-// NewSyncer returns a Feeder that is not ready.
+// NewSyncer returns a Syncer that updates the given set. It is not ready.
 func NewSyncer(now time.Time, config SyncerConfig, active *ActiveSet) *Syncer {
 	return &Syncer{
 		config:      config,
@@ -75,12 +73,12 @@
 	}
 }
 
-// Ready reports whether the configuration is confirmed. It stays so.
+// Ready reports whether the documents are confirmed. Once true, it stays true.
 func (s *Syncer) Ready() bool {
 	return s.ready
 }
 
-// HandleEvent takes one event and returns what to do, in order.
+// HandleEvent processes an event and returns the actions to perform, in order.
 func (s *Syncer) HandleEvent(now time.Time, event SyncerEvent) []SyncerAction {
 	var actions []SyncerAction
 	switch e := event.(type) {
@@ -102,6 +100,8 @@
 	return append(actions, s.dueActions(now)...)
 }
 
+// handleStoreListed updates the set with the listed documents and writes back newer ones,
+// including those that the store lacks.
 func (s *Syncer) handleStoreListed(now time.Time, e StoreListed) []SyncerAction {
 	s.storeListed = true
 	s.nextListAt = now.Add(s.config.ListPeriod)
@@ -124,11 +124,9 @@
 	return actions
 }
 
-// relistIfStale brings a listing forward where a watch shows less than this process
-// holds. It does not repair by itself: a restored store counts its revisions
-// again from the backup, so that an old event can name the revision of a newer
-// write, and a compare-and-swap on it would remove that write. A listing is
-// read now.
+// relistIfStale schedules a listing if a watch shows an older version than the active one.
+// It does not write back: a restored store reuses revisions, so the event's revision may
+// belong to a newer write, which a compare-and-swap on it would overwrite.
 func (s *Syncer) relistIfStale(now time.Time, v Version) {
 	h, ok := s.active.Current(v.Service)
 	if ok && h.Version.Generation > v.Generation {
@@ -136,16 +134,16 @@
 	}
 }
 
-// writeBackIfStale writes back where a listing shows less than this process holds, once
-// it was offered what the store holds. It guards against a store restored from
-// a backup, which shows as a lower generation than the one in force, or none.
+// writeBackIfStale writes the active version back if a listing shows an older one or none,
+// as after the store was restored from a backup. The listed version has been passed to
+// Update before.
 func (s *Syncer) writeBackIfStale(now time.Time, stored StoredVersion) []SyncerAction {
 	h, ok := s.active.Current(stored.Version.Service)
 	if !ok || h.Version.Generation <= stored.Version.Generation {
 		return nil
 	}
 	if checkAt := now.Add(s.config.WriteBackCheckDelay); checkAt.Before(s.nextListAt) {
-		s.nextListAt = checkAt // to see whether it held
+		s.nextListAt = checkAt // to verify the write
 	}
 	return []SyncerAction{WriteBack{Version: h.Version, Expect: stored.Revision, Replaced: stored.Version}}
 }
@@ -163,6 +161,7 @@
 	}
 }
 
+// checkReady returns MarkReady when the documents become confirmed.
 func (s *Syncer) checkReady(now time.Time) []SyncerAction {
 	if s.ready {
 		return nil
@@ -180,16 +179,16 @@
 	return []SyncerAction{MarkReady{Source: source}}
 }
 
-// queriesExhausted is true where peers had their chance to answer: enough rounds, the
-// last of them a short while ago.
+// queriesExhausted reports whether peers had enough time to answer: QueryRounds rounds are
+// over, and the last of them is recent.
 func (s *Syncer) queriesExhausted(now time.Time) bool {
 	sinceQuery := now.Sub(s.nextQueryAt.Add(-s.config.QueryPeriod))
 	return s.queryRounds >= s.config.QueryRounds && sinceQuery >= s.config.QueryPeriod && sinceQuery <= s.config.MaxAnswerAge
 }
 
-// hasEnoughPeers needs Confirmations answers, or as many as peers are known
-// where these are fewer after AskRounds. A process without peers is not
-// confirmed.
+// hasEnoughPeers reports whether RequiredConfirmations peers have confirmed or, once the
+// query rounds are exhausted, all known peers if there are fewer. A process without peers
+// is never confirmed by them.
 func (s *Syncer) hasEnoughPeers(exhausted bool) bool {
 	required := s.config.RequiredConfirmations
 	if exhausted {
@@ -198,7 +197,7 @@
 	return len(s.confirmed) >= required
 }
 
-// dueActions returns the actions whose time has come.
+// dueActions returns the periodic actions that are due.
 func (s *Syncer) dueActions(now time.Time) []SyncerAction {
 	var actions []SyncerAction
 	if !s.ready && !now.Before(s.nextQueryAt) {
@@ -215,7 +214,8 @@
 	return actions
 }
 
-// nextPeersToQuery returns a few peers that have not confirmed yet, in turn.
+// nextPeersToQuery returns, in round-robin order, up to maxPeersPerRound peers that have
+// not confirmed yet.
 func (s *Syncer) nextPeersToQuery() []string {
 	var ids []string
 	for range s.peers {
--- a/document/syncer_action.go
+++ b/document/syncer_action.go
@@ -2,25 +2,25 @@
 
 import "github.com/eelgrasshub/eelgrasshub/store"
 
-// SyncerAction is what a Feeder asks its shell to do.
+// SyncerAction is an output of a Syncer that its owner performs.
 type SyncerAction interface{ syncerAction() }
 
-// ListStore asks for a new listing, followed by a watch from it.
+// ListStore requests a new listing, and a watch that starts at its revision.
 type ListStore struct{}
 
-// QueryPeers asks for the versions of these peers.
+// QueryPeers requests the versions of the given peers.
 type QueryPeers struct{ PeerIDs []string }
 
-// MarkReady says, once, that the configuration held is confirmed.
+// MarkReady reports, once, that the documents are confirmed.
 type MarkReady struct{ Source ConfirmationSource }
 
-// WriteBack puts Version into the store, which holds an older one or none:
-// compare-and-swap on Expect. A failed swap needs no retry; the next listing
-// shows whether anything is left to do.
+// WriteBack requests a compare-and-swap on Expect that stores Version in place of an older
+// one or none. A failed swap is not retried; the next listing shows whether it is still
+// needed.
 type WriteBack struct {
 	Version  Version
 	Expect   store.Revision
-	Replaced Version // what the store holds; zero where it holds none
+	Replaced Version // the version in the store; zero if there is none
 }
 
 func (ListStore) syncerAction()  {}
@@ -28,10 +28,10 @@
 func (MarkReady) syncerAction()  {}
 func (WriteBack) syncerAction()  {}
 
-// ConfirmationSource is who confirmed a fresh process's configuration.
+// ConfirmationSource is what confirmed the documents of a new process.
 type ConfirmationSource string
 
-// The sources of a confirmation.
+// Sources of a confirmation.
 const (
 	ConfirmedByStore ConfirmationSource = "store"
 	ConfirmedByPeers ConfirmationSource = "peers"
--- a/document/syncer_event.go
+++ b/document/syncer_event.go
@@ -2,39 +2,39 @@
 
 import "time"
 
-// SyncerEvent is what a Feeder is told.
+// SyncerEvent is an input of a Syncer.
 type SyncerEvent interface{ syncerEvent() }
 
-// StoreListed: a full listing of the documents arrived. Unreadable names the
-// services whose stored value this binary cannot read; it is left alone.
+// StoreListed reports a complete listing of the documents. Unreadable names the services
+// whose stored value this binary cannot decode; such values are not overwritten.
 type StoreListed struct {
 	Documents  []StoredVersion
 	Unreadable []string
 }
 
-// StoreChanged: a watch delivered a document.
+// StoreChanged reports a document that a watch delivered.
 type StoreChanged struct{ Document StoredVersion }
 
-// StoreDeleted: a watch saw the document of a service deleted.
+// StoreDeleted reports that a watch saw the document of a service deleted.
 type StoreDeleted struct{ Service string }
 
-// StoreFailed: a listing or a watch failed; the store may be out.
+// StoreFailed reports that a listing or a watch failed.
 type StoreFailed struct{}
 
-// PeersUpdated: these are all peers known now, by the name that Ask takes.
+// PeersUpdated replaces the known peers, given by the IDs that PeerQuery takes.
 type PeersUpdated struct{ PeerIDs []string }
 
-// PeerAnswered: a peer told which versions it holds and sent those that we
-// lacked, as far as they fit into one answer.
+// PeerAnswered reports the versions that a peer has, with those that this process lacks as
+// far as they fit into one answer.
 type PeerAnswered struct {
 	Peer      string
-	QueriedAt time.Time // when we sent the question, on our clock; zero for news that we did not ask for
-	Ready     bool      // its own configuration is confirmed
+	QueriedAt time.Time // by the local clock; zero for unsolicited versions
+	Ready     bool      // whether the peer's own documents are confirmed
 	Summaries []Summary
 	Versions  []Version
 }
 
-// SyncerTick lets time pass. Send one several times a second.
+// SyncerTick lets the Syncer check its timers. It is sent several times a second.
 type SyncerTick struct{}
 
 func (StoreListed) syncerEvent()  {}
--- a/document/topology.go
+++ b/document/topology.go
@@ -1,20 +1,21 @@
 package document
 
-// Topology is the capacity that the operators expect. Only the offline check
-// of the guaranteed shapes uses it; running processes learn the true workers
-// from the agents.
+// Topology is the capacity that the operators expect. Only the offline check of the
+// guaranteed shapes uses it; running processes learn of the actual workers from the
+// agents.
 type Topology struct {
 	Accelerators int            `toml:"accelerators" default:"8" validate:"min=1,max=1024" unit:"accelerators per worker"`
 	Zones        []TopologyZone `toml:"zone" validate:"min=1,max=64,dive"`
 }
 
-// TopologyZone is one availability zone of the expected capacity.
+// TopologyZone is one availability zone of the expected capacity. Racks holds the number
+// of workers in each rack.
 type TopologyZone struct {
 	Name  string `toml:"name" validate:"required,name"`
 	Racks []int  `toml:"racks" validate:"min=1,max=4096,dive,min=1,max=1024" unit:"racks"`
 }
 
-// WorkerCount counts the workers of the zone.
+// WorkerCount returns the number of workers in the zone.
 func (z TopologyZone) WorkerCount() int {
 	n := 0
 	for _, workers := range z.Racks {
@@ -23,7 +24,7 @@
 	return n
 }
 
-// TotalAccelerators counts the accelerators of all workers.
+// TotalAccelerators returns the number of accelerators of all workers.
 func (t *Topology) TotalAccelerators() int {
 	n := 0
 	for _, z := range t.Zones {
@@ -32,8 +33,8 @@
 	return n
 }
 
-// largestUnit returns the most accelerators that one place of the given adjacency
-// holds.
+// largestUnit returns the largest number of accelerators that a single unit of the given
+// adjacency (a worker, a rack, a zone) holds.
 func (t *Topology) largestUnit(adjacency Adjacency) int {
 	largest := 0
 	switch adjacency {
--- a/document/total_limits.go
+++ b/document/total_limits.go
@@ -3,20 +3,16 @@
 import "github.com/eelgrasshub/eelgrasshub/document/schema"
 
 const (
-	// MaxGuaranteedBlocks is how many guaranteed blocks all accounts may have together: more
-	// than there are accelerators at the size that the system is designed for.
+	// MaxGuaranteedBlocks is the maximum number of guaranteed shapes of all accounts,
+	// counted by Count.
 	MaxGuaranteedBlocks = 65_536
-	// MaxWorkers is how many workers a topology may have, several times that size.
+	// MaxWorkers is the maximum number of workers in a topology.
 	MaxWorkers = 131_072
 )
 
-// checkTotals refuses documents whose numbers are each within range and together
-// ask for more memory than a process has.
-//
-// The failure this guards against: a document of half a megabyte declares tens of
-// millions of blocks. It is accepted, since without a topology no sum is checked; the
-// planner makes each block, is killed for its memory, and so is every entry that
-// takes the duty over.
+// checkTotals rejects documents whose values are each within range but together need more
+// memory than a process has. The planner allocates memory for each guaranteed shape, so
+// such a document would crash the planner and every entry that takes over from it.
 func checkTotals(d *Document, result *schema.Result) {
 	blocks := 0
 	for _, a := range d.Accounts {
--- a/document/update_result.go
+++ b/document/update_result.go
@@ -1,18 +1,18 @@
 package document
 
-// UpdateResult is what became of an offered version.
+// UpdateResult is the outcome of an update of an ActiveSet.
 type UpdateResult int
 
-// The decisions on an offer.
+// Outcomes of an update.
 const (
-	UpdateAccepted    UpdateResult = iota + 1 // in force from now on
-	UpdateUnchanged                           // in force already
-	UpdateOlder                               // below the generation in force; ignored
-	UpdateConflicting                         // of a split history; the later of the two is in force, with a higher generation
-	UpdateRefused                             // cannot be read by this binary; the one in force is kept
+	UpdateAccepted    UpdateResult = iota + 1 // the version is now active
+	UpdateUnchanged                           // the version was already active
+	UpdateOlder                               // lower than the active generation; ignored
+	UpdateConflicting                         // of a forked history; the later of the two is active, under a higher generation
+	UpdateRefused                             // invalid for this binary; the active version is kept
 )
 
-// String returns the decision in lower case.
+// String returns the result in lower case.
 func (d UpdateResult) String() string {
 	switch d {
 	case UpdateAccepted:
@@ -29,7 +29,7 @@
 	return "undecided"
 }
 
-// UpdateCounts is how many offers met each decision since the start of the process.
+// UpdateCounts is the number of updates by result since the start of the process.
 type UpdateCounts struct {
 	Accepted    int64 `json:"accepted"`
 	Older       int64 `json:"older"`
--- a/document/version.go
+++ b/document/version.go
@@ -8,49 +8,49 @@
 	"github.com/rotisserie/eris"
 )
 
-// StoreKeyPrefix is where documents live in the platform's store; the service's name
-// follows.
+// StoreKeyPrefix is the prefix of the store keys of documents; the service's name follows.
 const StoreKeyPrefix = "documents/"
 
-// StoreKey returns the key of a service's document in the platform's store.
+// StoreKey returns the store key of a service's document.
 func StoreKey(service string) string {
 	return StoreKeyPrefix + service
 }
 
-// Version is one numbered version of a service's document, as stored and as
-// exchanged between processes. TOML is never changed once a Version is made.
+// Version is one numbered version of a service's document, as it is stored and exchanged
+// between processes. TOML must not be modified.
 type Version struct {
 	Service    string    `cbor:"1,keyasint"`
-	Generation uint64    `cbor:"2,keyasint"` // 1 for the first; each put adds one
-	Token      string    `cbor:"3,keyasint"` // unique to the put that made it
-	Replaces   string    `cbor:"4,keyasint"` // token of the version before it
+	Generation uint64    `cbor:"2,keyasint"` // starts at 1 and increases with each put
+	Token      string    `cbor:"3,keyasint"` // unique to the put that created the version
+	Replaces   string    `cbor:"4,keyasint"` // token of the previous version
 	Author     string    `cbor:"5,keyasint"`
-	CreatedAt  time.Time `cbor:"6,keyasint"` // grows along the generations of a document
+	CreatedAt  time.Time `cbor:"6,keyasint"` // increases with the generation
 	TOML       []byte    `cbor:"7,keyasint"`
 	Digest     Digest    `cbor:"8,keyasint"`
 }
 
-// Summary names a version without its text.
+// Summary identifies a version without its text.
 type Summary struct {
 	Service    string `cbor:"1,keyasint" json:"service"`
 	Generation uint64 `cbor:"2,keyasint" json:"generation"`
 	Digest     Digest `cbor:"3,keyasint" json:"-"`
 }
 
-// Summary returns the name of v.
+// Summary returns the summary of v.
 func (v Version) Summary() Summary {
 	return Summary{Service: v.Service, Generation: v.Generation, Digest: v.Digest}
 }
 
-// IncludesGeneration reports whether have names the generation of want's service, or a later one.
+// IncludesGeneration reports whether have contains want's generation of its service, or a
+// later one.
 func IncludesGeneration(have []Summary, want Summary) bool {
 	return slices.ContainsFunc(have, func(s Summary) bool {
 		return s.Service == want.Service && s.Generation >= want.Generation
 	})
 }
 
-// ErrInvalidVersion: bytes that are not a Version, or whose text does not match
-// its digest.
+// ErrInvalidVersion is returned for data that is not an encoded Version, or whose text
+// does not match its digest.
 var ErrInvalidVersion = eris.New("not a stored document version")
 
 var cborMode = newCBORMode()
@@ -65,15 +65,15 @@
 	return mode
 }
 
-// Marshal returns the stored form. Equal versions give equal bytes in every
-// process, so that several processes may write the same version back to the
-// store and each recognises it.
+// Marshal returns the stored form. The encoding is deterministic, so that several
+// processes that write the same version back to the store write equal bytes.
 func (v Version) Marshal() ([]byte, error) {
 	v.CreatedAt = v.CreatedAt.UTC()
 	return cborMode.Marshal(v)
 }
 
-// UnmarshalVersion reads the stored form.
+// UnmarshalVersion decodes the stored form and verifies the digest. The error wraps
+// ErrInvalidVersion.
 func UnmarshalVersion(data []byte) (Version, error) {
 	var v Version
 	if err := cbor.Unmarshal(data, &v); err != nil {
--- a/document/watcher.go
+++ b/document/watcher.go
@@ -12,21 +12,20 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// Pauses of a Watcher.
+// Intervals and timeouts of a Watcher.
 const (
 	tickPeriod   = 200 * time.Millisecond
-	retryDelay   = 500 * time.Millisecond // after a listing or watch ended, plus up to as much again
+	retryDelay   = 500 * time.Millisecond // after a listing or watch failed, plus up to the same again as jitter
 	writeTimeout = 5 * time.Second
 	queryTimeout = 2 * time.Second
 )
 
-// PeerQuery sends our generations to a peer and returns its answer. Peer and Asked of
-// it are filled in by the Watcher.
+// PeerQuery sends this process's versions to a peer and returns its answer. The Watcher
+// fills in Peer and QueriedAt.
 type PeerQuery func(ctx context.Context, peer string, have []Summary) (PeerAnswered, error)
 
-// Watcher runs a Feeder against the store and the peers: it lists and watches
-// the documents, asks peers while the process is not ready, and repairs a
-// restored store. It is safe for concurrent use.
+// Watcher runs a Syncer: it lists and watches the documents in the store, queries peers
+// until the process is ready, and repairs a restored store. It is safe for concurrent use.
 type Watcher struct {
 	store  store.Store // nil in a process that does not read the store
 	query  PeerQuery
@@ -37,24 +36,25 @@
 	ready  chan struct{}
 	relist chan struct{}
 
-	mu      sync.Mutex // owns feeder and stopped
+	mu      sync.Mutex // protects syncer and stopped
 	syncer  *Syncer
 	stopped bool
 
-	lister    lister // owned by follow and the watch that it waits for
-	storeDown bool   // the store failed last; owned by follow
+	lister    lister // owned by followStore and the watch that it waits for
+	storeDown bool   // whether the last call failed; owned by followStore
 
 	writeBacks, storeFailures, unreadable atomic.Int64
 }
 
-// WatcherCounts counts what a Watcher did since the start of the process.
+// WatcherCounts holds event counts since the start of the process.
 type WatcherCounts struct {
-	WriteBacks    int64 `json:"write_backs"`    // repairs of the store that took effect
-	StoreFailures int64 `json:"store_failures"` // listings and watches that failed
-	Unreadable    int64 `json:"unreadable"`     // stored values that are no version for this binary
+	WriteBacks    int64 `json:"write_backs"`    // successful write-backs to the store
+	StoreFailures int64 `json:"store_failures"` // failed listings and watches
+	Unreadable    int64 `json:"unreadable"`     // stored values that this binary cannot decode
 }
 
-// NewWatcher starts a Watcher. store may be nil, ask may be nil. Stop ends it.
+// NewWatcher starts a Watcher; Stop ends it. store is nil in a process that does not read
+// the store, and query may be nil.
 func NewWatcher(store store.Store, query PeerQuery, active *ActiveSet, config SyncerConfig, log logrus.FieldLogger) *Watcher {
 	config.ReadsStore = store != nil
 	w := &Watcher{
@@ -77,7 +77,7 @@
 	return w
 }
 
-// Stop ends the Watcher and waits for it.
+// Stop stops the Watcher and waits for its goroutines.
 func (w *Watcher) Stop() error {
 	w.mu.Lock()
 	w.stopped = true
@@ -86,7 +86,7 @@
 	return w.tomb.Wait()
 }
 
-// Ready is closed once the configuration is confirmed.
+// Ready returns a channel that is closed once the documents are confirmed.
 func (w *Watcher) Ready() <-chan struct{} {
 	return w.ready
 }
@@ -100,19 +100,19 @@
 	}
 }
 
-// SetPeers names all peers known now.
+// SetPeers replaces the known peers.
 func (w *Watcher) SetPeers(ids []string) {
 	w.handleEvent(PeersUpdated{PeerIDs: ids})
 }
 
-// ReceiveVersions passes on versions that a peer sent unasked. They come into force
-// like any other, but confirm nothing.
+// ReceiveVersions handles versions that a peer sent unasked. They may become active like
+// any other, but do not confirm the documents.
 func (w *Watcher) ReceiveVersions(peer string, versions []Version) {
 	w.handleEvent(PeerAnswered{Peer: peer, Versions: versions})
 }
 
-// handleEvent holds the lock also over the actions, none of which waits: so they keep
-// the order of the steps, and none starts a goroutine in a dead tomb.
+// handleEvent holds the lock while it performs the actions, none of which blocks. Thus
+// actions keep the order of their events, and no goroutine is started after Stop.
 func (w *Watcher) handleEvent(event SyncerEvent) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -143,6 +143,7 @@
 	}
 }
 
+// spawn runs f on a goroutine of the tomb.
 func (w *Watcher) spawn(f func()) {
 	w.tomb.Go(func() error {
 		f()
@@ -172,7 +173,7 @@
 	queriedAt := time.Now()
 	answer, err := w.query(ctx, id, w.active.Summaries())
 	if err != nil {
-		return // asked again at the next round
+		return // the next round queries the peer again
 	}
 	answer.Peer, answer.QueriedAt = id, queriedAt
 	w.handleEvent(answer)
@@ -188,7 +189,7 @@
 	swap := store.Swap{Key: StoreKey(a.Version.Service), Expect: a.Expect, Value: value}
 	results, err := w.store.Commit(ctx, []store.Swap{swap})
 	if err != nil || !results[0].Swapped {
-		return // the next listing shows what is left to do
+		return // the next listing shows whether it is still needed
 	}
 	w.writeBacks.Add(1)
 	w.log.WithFields(logrus.Fields{
--- a/document/watcher_store.go
+++ b/document/watcher_store.go
@@ -9,9 +9,9 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// followStore lists and watches until the Watcher ends. Each watch lasts until the
-// next listing is due: a watch whose connection went silent, or whose revision
-// a restored store has not reached again, would wait for good.
+// followStore lists and watches until the Watcher stops. Each watch ends when the next
+// listing is due, since a watch whose connection is dead, or whose revision a restored
+// store has not reached again, would wait forever.
 func (w *Watcher) followStore() error {
 	for w.tomb.Alive() {
 		err := w.listAndWatch()
@@ -28,7 +28,8 @@
 	return nil
 }
 
-// setStoreReachable logs a change. Only the goroutine of follow calls it.
+// setStoreReachable logs changes of the store's reachability. It is called on the
+// goroutine of followStore only.
 func (w *Watcher) setStoreReachable(reachable bool) {
 	if reachable == !w.storeDown {
 		return
@@ -48,8 +49,8 @@
 	}
 }
 
-// listAndWatch lists once and watches until a listing is due. It returns nil when
-// it ended for that reason.
+// listAndWatch lists the documents once and watches them until the next listing is due; it
+// returns nil in that case.
 func (w *Watcher) listAndWatch() error {
 	ctx, cancel := context.WithCancel(w.tomb.Context(context.Background()))
 	defer cancel()
@@ -100,7 +101,8 @@
 	}
 }
 
-// decode skips what is not a version: it is not ours to repair.
+// decode decodes a stored value. It counts values that are not versions; they are left as
+// they are.
 func (w *Watcher) decode(kv store.KeyValue) (StoredVersion, bool) {
 	stored, err := decodeStored(kv)
 	if err != nil {
--- a/settings/accepted_keys.go
+++ b/settings/accepted_keys.go
@@ -1,9 +1,9 @@
 package settings
 
-// AcceptedKeyBytes returns AcceptedKeys as the transport takes them.
+// AcceptedKeyBytes returns AcceptedKeys as byte slices.
 func (e Entry) AcceptedKeyBytes() [][]byte { return toByteSlices(e.AcceptedKeys) }
 
-// AcceptedKeyBytes returns AcceptedKeys as the transport takes them.
+// AcceptedKeyBytes returns AcceptedKeys as byte slices.
 func (a Agent) AcceptedKeyBytes() [][]byte { return toByteSlices(a.AcceptedKeys) }
 
 func toByteSlices(texts []string) [][]byte {
--- a/settings/agent.go
+++ b/settings/agent.go
@@ -2,7 +2,7 @@
 
 import "github.com/eelgrasshub/eelgrasshub/document/schema"
 
-// Agent is the settings of an agent and of the worker it stands beside.
+// Agent holds the settings of an agent and of the worker that it runs beside.
 type Agent struct {
 	ID      string `toml:"id" validate:"required,name"`
 	Service string `toml:"service" validate:"required,name"`
@@ -12,8 +12,8 @@
 
 	Listen        string `toml:"listen" default:"127.0.0.1:0" validate:"addr"`
 	MetricsListen string `toml:"metrics_listen" validate:"omitempty,addr"`
-	// Seeds are QUIC addresses of entries or of their balancer. Further entries
-	// are learnt from them.
+	// Seeds are QUIC addresses of entries or of their load balancer, from which the agent
+	// learns of other entries.
 	Seeds        []string `toml:"seeds" validate:"required,min=1,dive,addr"`
 	ClusterKey   string   `toml:"cluster_key" validate:"required,min=16" secret:"true"`
 	AcceptedKeys []string `toml:"accepted_keys" validate:"dive,min=16" secret:"true"`
@@ -27,6 +27,6 @@
 	MemoryMB     int `toml:"memory_mb" default:"65536" validate:"min=1" unit:"MiB"`
 
 	ReportPeriod schema.Duration `toml:"report_every" default:"1s" validate:"min=100ms,max=60s"`
-	// StopGrace bounds a graceful stop.
+	// StopGrace is the maximum duration of a graceful stop.
 	StopGrace schema.Duration `toml:"stop_grace" default:"15m" validate:"min=1s,max=168h"`
 }
--- a/settings/doc.go
+++ b/settings/doc.go
@@ -1,6 +1,6 @@
-// Package settings reads a process's own TOML settings: who it is, where it
-// listens, and whom it speaks to. How work is treated is not a setting; it is in
-// the service's document.
+// Package settings reads the TOML settings of a process: its identity, its addresses and
+// the processes that it connects to. How work is scheduled is configured by the service's
+// document instead.
 //
-// Settings are read once, at the start. The environment is not read.
+// Settings are read once, at startup. Environment variables are not used.
 package settings
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -5,24 +5,24 @@
 	"github.com/eelgrasshub/eelgrasshub/engine"
 )
 
-// Gateway is the settings of a gateway on the operators' platform.
+// Gateway holds the settings of a gateway on the operators' platform.
 type Gateway struct {
 	ID     string `toml:"id" validate:"required,name"`
 	Region string `toml:"region" validate:"required,name"`
 	Zone   string `toml:"zone" validate:"required,name"` // availability zone
 
-	// Listen is where other processes reach this one, over UDP.
+	// Listen is the UDP address at which other processes reach this one.
 	Listen        string `toml:"listen" validate:"required,addr"`
 	CallerListen  string `toml:"caller_listen" validate:"required,addr"`
 	ReadyListen   string `toml:"ready_listen" validate:"omitempty,addr"`
 	MetricsListen string `toml:"metrics_listen" validate:"omitempty,addr"`
-	// Seeds are hosts, with any port, of processes that may know gateways.
+	// Seeds are hosts, with any port, of processes that may know the gateways.
 	Seeds      []string `toml:"seeds"`
 	ClusterKey string   `toml:"cluster_key" validate:"required,min=16" secret:"true"`
 	// Store is the address of the platform's key-value store.
 	Store string `toml:"store" validate:"required,addr"`
 
-	// Advice is the address of the operators' advice service, where there is one.
+	// Advice is the address of the operators' advice service; empty if there is none.
 	Advice string `toml:"advice" validate:"omitempty,addr"`
 
 	MaxLease            schema.Duration `toml:"max_hold" default:"6s" validate:"min=100ms,max=1h"`
@@ -37,7 +37,7 @@
 	// CordonDeadline is how soon after its acknowledgement nothing may start in a cordoned
 	// availability zone any more.
 	CordonDeadline schema.Duration `toml:"cordon_within" default:"5s" validate:"min=3s,max=1h"`
-	// StopGrace bounds a graceful stop.
+	// StopGrace is the maximum duration of a graceful stop.
 	StopGrace schema.Duration `toml:"stop_grace" default:"6s" validate:"min=1s,max=168h"`
 	// Cores and LinkMbps are what the instance gives this process, by which gateways choose
 	// the one that plans after another has died.
--- a/settings/load.go
+++ b/settings/load.go
@@ -6,8 +6,8 @@
 	"github.com/eelgrasshub/eelgrasshub/document/schema"
 )
 
-// Load reads the settings in the file at path into a T, with defaults filled in.
-// The error names every problem with file, line, key and what is accepted.
+// Load reads the settings file at path and fills in defaults. The error lists every
+// problem with file, line, key and the accepted values.
 func Load[T Entry | Agent | Gateway | NodeAgent](path string) (T, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -17,7 +17,7 @@
 	return Parse[T](path, data)
 }
 
-// Parse is Load for text that is at hand; name is used in errors.
+// Parse is like Load, for text in memory. Errors refer to the text by the given name.
 func Parse[T Entry | Agent | Gateway | NodeAgent](name string, data []byte) (T, error) {
 	s, result := schema.Decode[T](name, data)
 	result.Validate(&s)
