--- a/api/call_options.go
+++ b/api/call_options.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// CallOptions is what the headers of a request say about how to treat it.
+// CallOptions are the options of a quick request, which callers send as headers.
 type CallOptions struct {
 	Account string
 	Class   string
-	// Deadline is the time the caller still waits; 0 for the class's default.
+	// Deadline is how long the caller will wait; 0 selects the class's default.
 	Deadline time.Duration
-	// Repeatable is nil for the class's default.
+	// Repeatable is nil to select the class's default.
 	Repeatable     *bool
 	IdempotencyKey string
-	// FirstDelivery vouches that nothing was delivered under the key before. Only then
-	// can "not run" be said of a request that must not run twice while the
-	// platform's store is out: without it, an earlier delivery may have run.
+	// FirstDelivery asserts that no request was delivered under the key before. While the
+	// platform's store is unavailable, a request that must not run twice is answered with
+	// "not run" only if this is set; otherwise an earlier delivery may have run.
 	FirstDelivery bool
 }
 
-// ParseCallOptions reads and checks the headers of a quick request.
+// ParseCallOptions parses and validates the headers of a quick request.
 func ParseCallOptions(h http.Header) (CallOptions, *Problem) {
 	c := CallOptions{
 		Account:        h.Get(HeaderAccount),
@@ -52,7 +52,7 @@
 	return c, nil
 }
 
-// SetHeader writes the call's headers.
+// SetHeader sets the headers that represent the options.
 func (c CallOptions) SetHeader(h http.Header) {
 	h.Set(HeaderAccount, c.Account)
 	h.Set(HeaderClass, c.Class)
@@ -70,7 +70,8 @@
 	}
 }
 
-// ValidateIdempotencyKey checks the key of a request or a job; empty is allowed.
+// ValidateIdempotencyKey validates the idempotency key of a request or a job. An empty key
+// is valid.
 func ValidateIdempotencyKey(key string) *Problem {
 	return validateKey(key)
 }
--- a/api/client.go
+++ b/api/client.go
@@ -13,51 +13,51 @@
 )
 
 var (
-	// ErrNotSent: no connection to the entry; the call had no effect.
+	// ErrNotSent is returned if no connection could be made; the call had no effect.
 	ErrNotSent = errors.New("api: request was not sent")
-	// ErrOutcomeUnknown: the call went out and no whole answer of an entry came
-	// back; it may have had its effect.
+	// ErrOutcomeUnknown is returned if the call was sent but no complete answer of an
+	// entry was received; it may have had its effect.
 	ErrOutcomeUnknown = errors.New("api: outcome is not known")
 )
 
-// MaxResponseLen bounds an answer read by Client, in bytes.
+// MaxResponseLen is the maximum length of a response that Client reads, in bytes.
 const MaxResponseLen = 16 << 20
 
-// Client calls one entry, or the balancer before several.
+// Client calls one entry, or the load balancer of several.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// NewClient makes a client of the entry at base ("http://10.0.0.1:8080").
-// transport may be nil for the default one.
+// NewClient returns a client of the entry at the given base URL, such as
+// "http://10.0.0.1:8080". A nil transport selects the default one.
 func NewClient(base string, transport http.RoundTripper) *Client {
 	return &Client{
 		base: strings.TrimRight(base, "/"),
 		http: &http.Client{
 			Transport: transport,
-			// A redirect is the target's own answer.
+			// A redirect is part of the target's answer.
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
 	}
 }
 
-// rawResponse is a whole answer of whoever answered.
+// rawResponse is a complete response, from an entry or from an intermediary.
 type rawResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// send sends one request and reads the whole answer. The error is
-// ErrNotSent or ErrOutcomeUnknown.
+// send sends one request and reads the complete response. Errors wrap ErrNotSent or
+// ErrOutcomeUnknown.
 func (c *Client) send(ctx context.Context, method, path string, h http.Header, body []byte) (rawResponse, error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
 		return rawResponse{}, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	// A body that net/http can't rewind keeps it from repeating a request by
-	// itself after a broken connection.
+	// The body cannot be rewound, so net/http does not resend the request after a
+	// connection error.
 	req.ContentLength = int64(len(body))
 	if h != nil {
 		req.Header = h
@@ -77,6 +77,7 @@
 	return rawResponse{resp.StatusCode, resp.Header, text}, nil
 }
 
+// sendError wraps a failed call: only a failure to connect proves that nothing was sent.
 func sendError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -85,7 +86,7 @@
 	return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 }
 
-// problem returns the Problem an entry answered with, or nil.
+// problem returns the Problem in the response, or nil if there is none.
 func (a rawResponse) problem() *Problem {
 	if a.header.Get("Content-Type") != ContentTypeProblem {
 		return nil
@@ -97,7 +98,8 @@
 	return p
 }
 
-// doJSON makes a call whose answer is JSON. The error may be a *Problem.
+// doJSON makes a call whose response is JSON. Errors are a *Problem, or wrap ErrNotSent or
+// ErrOutcomeUnknown.
 func (c *Client) doJSON(ctx context.Context, method, path string, h http.Header, in, out any) error {
 	var body []byte
 	if in != nil {
--- a/api/client_quick.go
+++ b/api/client_quick.go
@@ -5,34 +5,34 @@
 	"net/http"
 )
 
-// QuickRequest is a quick request to one service.
+// QuickRequest is a quick request to a service.
 type QuickRequest struct {
 	CallOptions
 	Service string
-	// Method is POST when empty.
+	// Method defaults to POST.
 	Method string
-	// Path is handed to the target, escaped, without a leading slash.
+	// Path is passed to the target. It is escaped and has no leading slash.
 	Path     string
 	RawQuery string
 	Header   http.Header
 	Body     []byte
 }
 
-// QuickResponse is how a quick request ended.
+// QuickResponse is the result of a quick request.
 type QuickResponse struct {
 	Outcome Outcome
-	// RequestID is the id the entry gave it.
+	// RequestID is assigned by the entry.
 	RequestID string
 	Status    int
 	Header    http.Header
-	// Body is the target's own whole body when Outcome is OutcomeDone.
+	// Body is the complete body of the target's answer if Outcome is OutcomeDone.
 	Body []byte
-	// Problem is set when Outcome is not OutcomeDone and an entry said why.
+	// Problem is the reason that the entry gave, if any, for another outcome.
 	Problem *Problem
 }
 
-// SendQuick makes a quick request. The error is ErrNotSent or ErrOutcomeUnknown;
-// a problem that the entry answered with is part of the Answer.
+// SendQuick sends a quick request. Errors wrap ErrNotSent or ErrOutcomeUnknown; a problem
+// that the entry reports is part of the response instead.
 func (c *Client) SendQuick(ctx context.Context, r QuickRequest) (QuickResponse, error) {
 	h := http.Header{}
 	if r.Header != nil {
--- a/api/decode.go
+++ b/api/decode.go
@@ -10,9 +10,9 @@
 	"strings"
 )
 
-// Decode reads one JSON value of at most limit bytes into v. The Problem names
-// the field and the reason. Fields that v doesn't have are refused, since a
-// misspelt "repeatable" would silently change how the work is treated.
+// Decode decodes one JSON value of at most limit bytes into v. The Problem names the field
+// and the reason. Unknown fields are rejected, since ignoring a misspelt "repeatable"
+// would change how the work is treated.
 func Decode(r io.Reader, limit int64, v any) *Problem {
 	text, err := io.ReadAll(io.LimitReader(r, limit+1))
 	if err != nil {
@@ -38,14 +38,14 @@
 	if errors.As(err, &mistyped) {
 		return NewInvalidProblem(fieldOrBody(mistyped.Field), "must be "+describeJSONType(mistyped.Type)+", not "+mistyped.Value)
 	}
-	// encoding/json has no typed error for an unknown field.
+	// encoding/json has no error type for an unknown field.
 	if name, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
 		return NewInvalidProblem(fieldOrBody(strings.Trim(name, `"`)), "no such field")
 	}
 	return NewInvalidProblem("body", err.Error())
 }
 
-// fieldOrBody names the whole body where no field of it can be named.
+// fieldOrBody returns field, or "body" if it is empty.
 func fieldOrBody(field string) string {
 	if field == "" {
 		return "body"
@@ -53,7 +53,7 @@
 	return field
 }
 
-// WriteJSON answers with v as JSON.
+// WriteJSON writes v as a JSON response.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
--- a/api/doc.go
+++ b/api/doc.go
@@ -1,13 +1,12 @@
-// Package api is the HTTP contract between callers and an entry: paths,
-// headers, JSON bodies, problem details (RFC 9457) and a client for them.
+// Package api defines the HTTP API between callers and entries: paths, headers, JSON
+// bodies, problem details (RFC 9457) and a client.
 //
-// Every quick request ends in exactly one [Outcome]. The outcome of a problem
-// follows from its [Reason] alone, so that "not run" can't be said for a reason
-// that allows the request to have run.
+// Every quick request has exactly one [Outcome]. The outcome of a problem is determined by
+// its [Reason], so that "not run" cannot be reported for a reason that allows the request
+// to have run.
 //
-// Checks return a *Problem that is nil when all is well. Compare it with nil
-// before it becomes an error: an error that holds a nil *Problem isn't nil.
+// Validation functions return a *Problem that is nil on success. Compare it with nil
+// before assigning it to an error, since an error that holds a nil *Problem is not nil.
 //
-// Values of this package are plain data, safe to copy. [Client] is safe for
-// concurrent use.
+// Values of this package may be copied. [Client] is safe for concurrent use.
 package api
--- a/api/duration.go
+++ b/api/duration.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Duration is a time.Duration written in JSON as a Go duration ("10m").
+// Duration is a time.Duration that is encoded in JSON as a Go duration string such as
+// "10m".
 type Duration time.Duration
 
 // MarshalJSON implements json.Marshaler.
@@ -28,10 +29,10 @@
 	return nil
 }
 
-// maxQuotedLen bounds how much of a wrong value an error repeats, in bytes.
+// maxQuotedLen is the maximum length of an invalid value that an error quotes, in bytes.
 const maxQuotedLen = 64
 
-// invalidDuration is the error to which the decoder adds the field's name.
+// invalidDuration returns an error to which the JSON decoder adds the name of the field.
 func invalidDuration(text []byte) error {
 	return &json.UnmarshalTypeError{
 		Value: string(text[:min(len(text), maxQuotedLen)]),
--- a/api/header.go
+++ b/api/header.go
@@ -1,48 +1,47 @@
 package api
 
-// Headers of a quick request and of its answer.
+// Headers of quick requests and their responses.
 const (
-	// HeaderAccount names the client account. Required.
+	// HeaderAccount names the client account. It is required.
 	HeaderAccount = "Eelgrasshub-Account"
-	// HeaderClass names the class of work in the service document. Required.
+	// HeaderClass names the class of work in the service's document. It is required.
 	HeaderClass = "Eelgrasshub-Class"
-	// HeaderDeadline is the time the caller still waits, as a Go duration
-	// ("250ms"). Without it the class's default holds.
+	// HeaderDeadline is how long the caller will wait, as a Go duration such as "250ms".
+	// It defaults to the class's deadline.
 	HeaderDeadline = "Eelgrasshub-Deadline"
-	// HeaderRepeatable is "true" or "false". Without it the class's default holds.
+	// HeaderRepeatable is "true" or "false". It defaults to the class's setting.
 	HeaderRepeatable = "Eelgrasshub-Repeatable"
-	// HeaderIdempotencyKey makes a retry of the same request recognisable,
-	// also when it arrives at another entry.
+	// HeaderIdempotencyKey identifies retries of the same request, also at another entry.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderFirstDelivery "true" vouches that nothing was delivered under the key before,
-	// nor is meanwhile; see Call.First.
+	// HeaderFirstDelivery is "true" if no request was, or is being, delivered under the
+	// key; see CallOptions.FirstDelivery.
 	HeaderFirstDelivery = "Eelgrasshub-First-Delivery"
 
-	// HeaderOutcome carries the Outcome of an answer.
+	// HeaderOutcome is the Outcome of the request.
 	HeaderOutcome = "Eelgrasshub-Outcome"
-	// HeaderRequestID carries the id the entry gave the request.
+	// HeaderRequestID is the request ID that the entry assigned.
 	HeaderRequestID = "Eelgrasshub-Request"
-	// HeaderRetryAfter is in whole seconds, rounded up (RFC 9110).
+	// HeaderRetryAfter is a delay in whole seconds, rounded up (RFC 9110).
 	HeaderRetryAfter = "Retry-After"
 )
 
-// Content types of bodies.
+// Content types of request and response bodies.
 const (
 	ContentTypeJSON    = "application/json"
 	ContentTypeProblem = "application/problem+json"
 )
 
-// Bounds on what a caller may send.
+// Limits on requests.
 const (
-	// MaxNameLen bounds names of accounts, classes and services, in bytes.
+	// MaxNameLen limits the names of accounts, classes and services, in bytes.
 	MaxNameLen = 64
-	// MaxIdempotencyKeyLen bounds an idempotency key, in bytes.
+	// MaxIdempotencyKeyLen limits an idempotency key, in bytes.
 	MaxIdempotencyKeyLen = 128
-	// MaxBodyLen bounds the body of a quick request, in bytes.
+	// MaxBodyLen limits the body of a quick request, in bytes.
 	MaxBodyLen = 1 << 20
-	// MaxPayloadLen bounds the payload of a job, in bytes. A job record must
-	// fit into one value of the platform's store, with room for its state.
+	// MaxPayloadLen limits the payload of a job, in bytes. A job record, with its state,
+	// must fit into one value of the platform's store.
 	MaxPayloadLen = 64 << 10
-	// MaxCancelIDs bounds the ids of one cancel request.
+	// MaxCancelIDs limits the IDs of one cancel request.
 	MaxCancelIDs = 1000
 )
--- a/api/job.go
+++ b/api/job.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Adjacency says how close to each other the accelerators of a job must be.
+// Adjacency is how close to each other the accelerators of a job must be.
 type Adjacency string
 
-// Adjacencies, from the closest to none.
+// Adjacencies, from the strictest to none.
 const (
 	AdjacentWorker Adjacency = "worker"
 	AdjacentRack   Adjacency = "rack"
@@ -17,7 +17,7 @@
 	AdjacentAny    Adjacency = "any"
 )
 
-// Valid reports whether a is one of the four adjacencies.
+// Valid reports whether a is one of the defined adjacencies.
 func (a Adjacency) Valid() bool {
 	switch a {
 	case AdjacentWorker, AdjacentRack, AdjacentZone, AdjacentAny:
@@ -30,24 +30,24 @@
 type JobRequest struct {
 	Account string `json:"account"`
 	Class   string `json:"class"`
-	// Accelerators is the size of the gang: all of them together or none.
+	// Accelerators is the size of the gang, which starts on all of them or not at all.
 	Accelerators int `json:"accelerators"`
-	// Adjacency is AdjacentAny when empty.
+	// Adjacency defaults to AdjacentAny.
 	Adjacency Adjacency `json:"adjacency,omitempty"`
-	// Estimate is the declared run time; 0 when not declared. It isn't trusted.
+	// Estimate is the run time that the caller expects; 0 if unknown. It is not trusted.
 	Estimate Duration `json:"estimate,omitempty"`
-	// Repeatable and Checkpointable are nil for the class's defaults.
+	// Repeatable and Checkpointable are nil to select the class's defaults.
 	Repeatable     *bool `json:"repeatable,omitempty"`
 	Checkpointable *bool `json:"checkpointable,omitempty"`
-	// Cores and MemoryMB are for the whole job; 0 for a share of the worker
-	// in proportion to its accelerators.
+	// Cores and MemoryMB are totals of the job; 0 selects a share of each worker in
+	// proportion to its accelerators.
 	Cores    int `json:"cores,omitempty"`
 	MemoryMB int `json:"memory_mb,omitempty"`
-	// Payload is handed to the target as it is.
+	// Payload is passed to the target unchanged.
 	Payload json.RawMessage `json:"payload,omitempty"`
 }
 
-// Validate reports the first field that breaks the contract, or nil.
+// Validate returns a Problem for the first invalid field, or nil.
 func (r *JobRequest) Validate() *Problem {
 	if p := validateName("account", r.Account); p != nil {
 		return p
@@ -73,10 +73,10 @@
 	return nil
 }
 
-// JobState is the state of a job as its caller sees it.
+// JobState is the state of a job as reported to its caller.
 type JobState string
 
-// States of a job. The last five are final and never change again.
+// States of a job. The last five are final.
 const (
 	JobQueued    JobState = "queued"
 	JobStarting  JobState = "starting"
@@ -85,13 +85,13 @@
 	JobDone      JobState = "done"
 	JobFailed    JobState = "failed"
 	JobCancelled JobState = "cancelled"
-	// JobRejected: the job provably did not run.
+	// JobRejected means that the job certainly did not run.
 	JobRejected JobState = "rejected"
-	// JobUnknown: the job may have run and its outcome is lost.
+	// JobUnknown means that the job may have run and its outcome was lost.
 	JobUnknown JobState = "unknown"
 )
 
-// Final reports whether the state never changes again.
+// Final reports whether the state is final.
 func (s JobState) Final() bool {
 	switch s {
 	case JobDone, JobFailed, JobCancelled, JobRejected, JobUnknown:
@@ -100,36 +100,36 @@
 	return false
 }
 
-// JobStatus is what a caller can learn about a job.
+// JobStatus is the status of a job as reported to its caller.
 type JobStatus struct {
 	ID    string   `json:"id"`
 	State JobState `json:"state"`
-	// Attempt counts starts, from 1; 0 before the first.
+	// Attempt is the number of starts so far.
 	Attempt int `json:"attempt"`
-	// Reason explains a state other than done.
+	// Reason explains a state other than JobDone.
 	Reason Reason `json:"reason,omitempty"`
 	Detail string `json:"detail,omitempty"`
-	// Result is the target's own, of a job done or failed.
+	// Result is the target's result, set if the job is done or failed.
 	Result    json.RawMessage `json:"result,omitempty"`
 	Placement []Placement     `json:"placement,omitempty"`
 	Submitted time.Time       `json:"submitted,omitzero"`
-	// Started is the start of the latest attempt.
+	// Started is the start time of the latest attempt.
 	Started time.Time `json:"started,omitzero"`
 	Ended   time.Time `json:"ended,omitzero"`
 }
 
-// Placement is the part of a gang on one worker.
+// Placement is the part of a gang that runs on one worker.
 type Placement struct {
 	Agent        string `json:"agent"`
 	Accelerators []int  `json:"accelerators"`
 }
 
-// CancelRequest cancels many jobs with one call.
+// CancelRequest cancels several jobs in one call.
 type CancelRequest struct {
 	IDs []string `json:"ids"`
 }
 
-// Validate reports what breaks the contract, or nil.
+// Validate returns a Problem if the request is invalid, or nil.
 func (r *CancelRequest) Validate() *Problem {
 	switch {
 	case len(r.IDs) == 0:
@@ -140,9 +140,9 @@
 	return nil
 }
 
-// CancelResponse lists what became of each id of a CancelRequest.
+// CancelResponse groups the IDs of a CancelRequest by result.
 type CancelResponse struct {
-	// AcceptedIDs are being cancelled, or had ended already.
+	// AcceptedIDs are being cancelled or had already ended.
 	AcceptedIDs []string `json:"accepted,omitempty"`
 	UnknownIDs  []string `json:"unknown,omitempty"`
 }
--- a/api/job_report.go
+++ b/api/job_report.go
@@ -2,60 +2,61 @@
 
 import "time"
 
-// WaitReason says why a job has not started. The reasons that a planner decides
-// on are those of the scheduler; docs/OPERATIONS.md lists all. One that is not
-// known is of a newer entry.
+// WaitReason is why a job has not started. It is one of the scheduler's reasons or one of
+// those below; docs/OPERATIONS.md lists all. Newer entries may send others.
 type WaitReason string
 
-// Reasons beside the scheduler's.
+// Reasons in addition to those of the scheduler.
 const (
-	// WaitStarting: it is placed; its workers' reservations, or the store's word
-	// that its start is on record, are awaited.
+	// WaitStarting means that the job is placed, and waits for its reservations or for the
+	// write of its start to the store.
 	WaitStarting WaitReason = "starting"
-	// WaitStoreUnavailable: the platform's store does not answer, and it has no permit to
-	// start without a record of its start.
+	// WaitStoreUnavailable means that the platform's store does not answer and the job has
+	// no permit to start without it.
 	WaitStoreUnavailable WaitReason = "store-out"
-	// WaitPredecessorInDoubt: an earlier planner may have started it on a permit, and it is not
-	// known yet whether it did.
+	// WaitPredecessorInDoubt means that an earlier planner may have started the job on a
+	// permit, and it is not yet known whether it did.
 	WaitPredecessorInDoubt WaitReason = "predecessor-in-doubt"
-	// WaitRebuilding: after a change of planner its record has not been read yet.
+	// WaitRebuilding means that the job's record has not been read since the change of
+	// planner.
 	WaitRebuilding WaitReason = "rebuilding"
-	// WaitEnding: it has ended or does not start any more; its end is being put on
-	// record.
+	// WaitEnding means that the job has ended, or will not start any more, and its end is
+	// being written to the store.
 	WaitEnding WaitReason = "ending"
 )
 
-// JobReport says why a job waits, if it does.
+// JobReport explains why a job waits.
 type JobReport struct {
 	ID      string        `json:"id"`
 	Service string        `json:"service"`
 	State   JobState      `json:"state"`
 	Planner ReportPlanner `json:"planner"`
-	// AnsweredAt is when the planner answered, Decided the time of the decision that is
-	// explained, zero where none is. The planner decides at each change: an old
-	// decision says that nothing has changed since.
+	// AnsweredAt is the time of the planner's answer, and DecidedAt that of the decision
+	// that it explains, if any. The planner decides at each change, so an old decision
+	// means that nothing has changed since.
 	AnsweredAt time.Time `json:"at"`
 	DecidedAt  time.Time `json:"decided,omitzero"`
 	// Wait is nil for a job that has an attempt or has ended.
 	Wait *JobWait `json:"waits,omitempty"`
 }
 
-// JobWait is why a job waits.
+// JobWait describes what a job waits for.
 type JobWait struct {
 	Reason      WaitReason `json:"reason"`
 	Explanation string     `json:"sentence"`
-	// Until is when the reason is expected to end, where that is known; of a
-	// reserved place, when it is expected to be complete.
+	// Until is when the reason is expected to end, or zero if unknown. For a reservation
+	// it is when its place is expected to be complete.
 	Until time.Time `json:"until,omitzero"`
-	// FirstJob is the job that goes first, FirstReason why that one waits where both
-	// are of one queue, and Ahead how many of that queue go first.
+	// FirstJob is the job that precedes all others. FirstJobReason is why it waits, if
+	// both are of one queue, and JobsAhead the number of preceding jobs of that queue.
 	FirstJob       string     `json:"first,omitempty"`
 	FirstJobReason WaitReason `json:"first_reason,omitempty"`
 	JobsAhead      int        `json:"ahead,omitempty"`
-	// AheadTruncated: more go first than were counted.
+	// AheadTruncated is set if more jobs precede than were counted.
 	AheadTruncated bool `json:"ahead_more,omitempty"`
-	// Accelerators and Adjacency are what it needs; Free is free in all, Largest in
-	// one unit, and Units says how many units have how many.
+	// Accelerators and Adjacency are what the job requires. Free is the total of free
+	// accelerators, LargestFree the most in one unit, and FreeUnits counts the units by
+	// their free accelerators.
 	Accelerators int         `json:"accelerators"`
 	Adjacency    Adjacency   `json:"adjacency"`
 	Free         int         `json:"free,omitempty"`
--- a/api/json_type.go
+++ b/api/json_type.go
@@ -2,8 +2,7 @@
 
 import "reflect"
 
-// describeJSONType is what a caller writes for a value of type t, who knows JSON and not
-// this program's types.
+// describeJSONType describes the JSON that a caller must send for a value of type t.
 func describeJSONType(t reflect.Type) string {
 	if t == reflect.TypeFor[Duration]() {
 		return `a duration such as "10m"`
--- a/api/outcome.go
+++ b/api/outcome.go
@@ -1,20 +1,19 @@
 package api
 
-// Outcome is what a caller is told about one request.
+// Outcome is what a caller is told about the execution of a request.
 type Outcome string
 
 const (
-	// OutcomeDone says that the answer is the target's own, and whole.
+	// OutcomeDone means that the response is the complete answer of the target.
 	OutcomeDone Outcome = "done"
-	// OutcomeNotRun says that the request provably did not run and won't.
+	// OutcomeNotRun means that the request did not run and will not.
 	OutcomeNotRun Outcome = "not-run"
-	// OutcomeUnknown says that the request may have run, or may still run.
+	// OutcomeUnknown means that the request may have run or may still run.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// ParseOutcome reads the outcome header. Anything that is not an outcome, an
-// empty header included, is OutcomeUnknown: an answer of something between the
-// caller and the entry proves nothing.
+// ParseOutcome parses the outcome header. Invalid and empty values are OutcomeUnknown,
+// since a response without an outcome may come from an intermediary.
 func ParseOutcome(s string) Outcome {
 	switch o := Outcome(s); o {
 	case OutcomeDone, OutcomeNotRun:
--- a/api/path.go
+++ b/api/path.go
@@ -2,13 +2,13 @@
 
 import "net/url"
 
-// Paths that don't belong to a service.
+// Paths of the entry itself.
 const (
-	// PathHealthz answers 200 while the process runs.
+	// PathHealthz returns 200 while the process runs.
 	PathHealthz = "/healthz"
-	// PathReadyz answers 200 while the entry accepts new work, else 503.
+	// PathReadyz returns 200 while the entry accepts new work, and 503 otherwise.
 	PathReadyz = "/readyz"
-	// PathStatus answers a Status.
+	// PathStatus returns a Status.
 	PathStatus = "/v1/status"
 )
 
@@ -22,41 +22,41 @@
 	RouteJobReport  = "/v1/services/:service/jobs/:id/report"
 )
 
-// ParamWait is the query parameter of a job's status: how long the entry may
-// hold the answer until the job ends, as a Go duration.
+// ParamWait is the query parameter of a job's status for how long the entry may delay its
+// answer until the job has ended, as a Go duration.
 const ParamWait = "wait"
 
 func servicePath(service string) string {
 	return "/v1/services/" + url.PathEscape(service)
 }
 
-// RequestPath is the path of a quick request. path is forwarded to the target
-// as given, without its leading slash.
+// RequestPath returns the path of a quick request. path is passed to the target unchanged;
+// it has no leading slash.
 func RequestPath(service, path string) string {
 	return servicePath(service) + "/requests/" + path
 }
 
-// JobsPath is the path that accepts jobs of the service.
+// JobsPath returns the path to which jobs of the service are submitted.
 func JobsPath(service string) string {
 	return servicePath(service) + "/jobs"
 }
 
-// JobPath is the path of one job, as given in Location.
+// JobPath returns the path of one job, as in the Location header.
 func JobPath(service, id string) string {
 	return JobsPath(service) + "/" + url.PathEscape(id)
 }
 
-// CancelPath is the path that cancels many jobs at once.
+// CancelPath returns the path that cancels several jobs at once.
 func CancelPath(service string) string {
 	return JobsPath(service) + ":cancel"
 }
 
-// ReportPath is the path of a service's Report.
+// ReportPath returns the path of a service's Report.
 func ReportPath(service string) string {
 	return servicePath(service) + "/report"
 }
 
-// JobReportPath is the path of one job's JobReport.
+// JobReportPath returns the path of a JobReport.
 func JobReportPath(service, id string) string {
 	return JobPath(service, id) + "/report"
 }
--- a/api/problem.go
+++ b/api/problem.go
@@ -10,37 +10,37 @@
 
 const problemTypePrefix = "urn:eelgrasshub:problem:"
 
-// Problem is the answer to a request that did not end as done (RFC 9457). It
-// is an error. Its outcome and status follow from Reason and can't be set.
+// Problem is the response to a request whose outcome is not OutcomeDone, as problem
+// details (RFC 9457). It implements error.
 type Problem struct {
-	// Reason decides outcome and status.
+	// Reason determines the outcome and the HTTP status.
 	Reason Reason
-	// Detail is for a human reader.
+	// Detail is a human-readable explanation.
 	Detail string
-	// Field names the header or JSON field at fault, for ReasonInvalid.
+	// Field names the invalid header or JSON field, for ReasonInvalid.
 	Field string
-	// RequestID is the id of the request, when it has one.
+	// RequestID is the ID of the request, if it has one.
 	RequestID string
-	// RetryAfter is when to come back; 0 where coming back is of no use.
+	// RetryAfter is when the caller should retry; 0 if a retry is pointless.
 	RetryAfter time.Duration
 }
 
-// NewProblem makes a Problem without a time to come back.
+// NewProblem returns a Problem without RetryAfter.
 func NewProblem(reason Reason, detail string) *Problem {
 	return &Problem{Reason: reason, Detail: detail}
 }
 
-// NewRetryableProblem makes a Problem that tells the caller when to come back.
+// NewRetryableProblem returns a Problem that tells the caller when to retry.
 func NewRetryableProblem(reason Reason, detail string, retryAfter time.Duration) *Problem {
 	return &Problem{Reason: reason, Detail: detail, RetryAfter: retryAfter}
 }
 
-// NewInvalidProblem makes a Problem about one header or JSON field.
+// NewInvalidProblem returns a Problem about one header or JSON field.
 func NewInvalidProblem(field, detail string) *Problem {
 	return &Problem{Reason: ReasonInvalid, Field: field, Detail: detail}
 }
 
-// Outcome is what the problem claims about the request.
+// Outcome returns the outcome of the request, which follows from the reason.
 func (p *Problem) Outcome() Outcome {
 	return p.Reason.Outcome()
 }
@@ -57,7 +57,7 @@
 	return s
 }
 
-// WriteResponse answers an HTTP request with the problem.
+// WriteResponse writes the problem as an HTTP response.
 func (p *Problem) WriteResponse(w http.ResponseWriter) {
 	body, err := json.Marshal(p)
 	if err != nil {
@@ -74,10 +74,11 @@
 		h.Set(HeaderRetryAfter, strconv.FormatInt(ceilSeconds(p.RetryAfter), 10))
 	}
 	w.WriteHeader(p.Reason.Status())
-	// A failed write means that the caller is gone; nothing is left to tell.
+	// A write fails only if the caller has disconnected.
 	_, _ = w.Write(body)
 }
 
+// ceilSeconds returns d in seconds, rounded up.
 func ceilSeconds(d time.Duration) int64 {
 	return int64((d + time.Second - 1) / time.Second)
 }
--- a/api/problem_json.go
+++ b/api/problem_json.go
@@ -33,8 +33,8 @@
 	})
 }
 
-// UnmarshalJSON decodes problem details. Text whose outcome contradicts its
-// reason is an error: neither of the two can be trusted then.
+// UnmarshalJSON decodes problem details. It returns an error if the outcome contradicts
+// the reason, since neither can be trusted then.
 func (p *Problem) UnmarshalJSON(text []byte) error {
 	var j problemJSON
 	if err := json.Unmarshal(text, &j); err != nil {
--- a/api/reason.go
+++ b/api/reason.go
@@ -2,69 +2,73 @@
 
 import "net/http"
 
-// Reason says why a request did not end as done.
+// Reason is why the outcome of a request is not OutcomeDone.
 type Reason string
 
-// Reasons for which the request provably did not run.
+// Reasons for which the request certainly did not run.
 const (
-	// ReasonInvalid: the request breaks the contract; Problem.Field names where.
+	// ReasonInvalid: the request is invalid; Problem.Field names the part at fault.
 	ReasonInvalid Reason = "invalid-request"
-	// ReasonTooLarge: the body or payload exceeds its bound.
+	// ReasonTooLarge: the body or payload exceeds its limit.
 	ReasonTooLarge Reason = "too-large"
-	// ReasonNoRoute: no such path or method.
+	// ReasonNoRoute: there is no such path or method.
 	ReasonNoRoute Reason = "no-route"
-	// ReasonUnknownService: no document in force names the service.
+	// ReasonUnknownService: there is no active document of the service.
 	ReasonUnknownService Reason = "unknown-service"
-	// ReasonUnknownAccount: the document doesn't declare the client account.
+	// ReasonUnknownAccount: the document does not declare the client account.
 	ReasonUnknownAccount Reason = "unknown-account"
-	// ReasonUnknownClass: the document doesn't declare the class.
+	// ReasonUnknownClass: the document does not declare the class.
 	ReasonUnknownClass Reason = "unknown-class"
 	// ReasonKeyReused: the idempotency key belongs to a different request.
 	ReasonKeyReused Reason = "idempotency-key-reused"
 	// ReasonImpossible: no worker could ever run the job as declared.
 	ReasonImpossible Reason = "impossible"
-	// ReasonQueueFull: too much work waits already.
+	// ReasonQueueFull: too much work is already queued.
 	ReasonQueueFull Reason = "queue-full"
-	// ReasonAccountLimit: the client account has too much work waiting.
+	// ReasonAccountLimit: the client account has too much work queued.
 	ReasonAccountLimit Reason = "account-limit"
-	// ReasonDeadlineBeforeStart: the deadline passed, or would pass, before the start.
+	// ReasonDeadlineBeforeStart: the deadline passed, or would have passed, before the
+	// start.
 	ReasonDeadlineBeforeStart Reason = "deadline-before-start"
 	// ReasonNoTarget: no target that accepts work is known.
 	ReasonNoTarget Reason = "no-target"
 	// ReasonRefused: every target tried refused the request before its start.
 	ReasonRefused Reason = "refused"
-	// ReasonNotReady: this entry knows no document or no target yet.
+	// ReasonNotReady: the entry knows no document or no target yet.
 	ReasonNotReady Reason = "not-ready"
-	// ReasonDraining: this entry is leaving; another one takes the request.
+	// ReasonDraining: the entry is shutting down; another one will take the request.
 	ReasonDraining Reason = "draining"
-	// ReasonNoPlanner: no entry that plans the service answers just now.
+	// ReasonNoPlanner: no entry that plans the service answers.
 	ReasonNoPlanner Reason = "no-planner"
-	// ReasonStoreUnavailable: the job could not be made safe, so it was not accepted.
+	// ReasonStoreUnavailable: the job could not be written to the store, so it was not
+	// accepted.
 	ReasonStoreUnavailable Reason = "store-unavailable"
-	// ReasonCancelledBeforeStart: cancelled before its start.
+	// ReasonCancelledBeforeStart: the job was cancelled before its start.
 	ReasonCancelledBeforeStart Reason = "cancelled-before-start"
 )
 
 // Reasons for which the request may have run, or may still run.
 const (
-	// ReasonOutcomeLost: it was sent to a target whose answer did not come back whole.
+	// ReasonOutcomeLost: the request was sent to a target, and no complete answer was
+	// received.
 	ReasonOutcomeLost Reason = "outcome-lost"
 	// ReasonDeadlineWhileRunning: the deadline passed after the start.
 	ReasonDeadlineWhileRunning Reason = "deadline-while-running"
 	// ReasonEarlierAttemptInDoubt: an earlier attempt with this idempotency key may have
-	// run or still runs, and its answer isn't known.
+	// run or may still run, and its answer is not known.
 	ReasonEarlierAttemptInDoubt Reason = "earlier-attempt-in-doubt"
-	// ReasonAcceptanceLost: the store's reply was lost; the job may be accepted.
+	// ReasonAcceptanceLost: the store's reply was lost; the job may have been accepted.
 	ReasonAcceptanceLost Reason = "acceptance-lost"
-	// ReasonCancellationLost: the store's reply was lost; the cancellation, or part of a
-	// wave, may have taken effect. It may be repeated.
+	// ReasonCancellationLost: the store's reply was lost; some or all of the cancellations
+	// may have taken effect. The request may be repeated.
 	ReasonCancellationLost Reason = "cancellation-lost"
-	// ReasonUnknownJob: no record of the job. It may have run and been forgotten.
+	// ReasonUnknownJob: there is no record of the job. It may have run, and its record
+	// expired.
 	ReasonUnknownJob Reason = "unknown-job"
-	// ReasonJobStateUnavailable: whoever knows the job can't be asked just now. It says
-	// nothing of whether there is such a job.
+	// ReasonJobStateUnavailable: the process that knows the job cannot be reached. The job
+	// may or may not exist.
 	ReasonJobStateUnavailable Reason = "job-state-unavailable"
-	// ReasonInternal: a broken invariant; nothing is claimed.
+	// ReasonInternal: an invariant was violated; nothing is known about the request.
 	ReasonInternal Reason = "internal"
 )
 
@@ -104,8 +108,8 @@
 	ReasonInternal:              {OutcomeUnknown, http.StatusInternalServerError, "internal error"},
 }
 
-// Outcome is what the reason allows to be claimed. A reason that isn't in the
-// table, of a newer entry for one, is OutcomeUnknown.
+// Outcome returns the outcome that the reason implies. It is OutcomeUnknown for unknown
+// reasons, which a newer entry may send.
 func (r Reason) Outcome() Outcome {
 	if info, ok := reasons[r]; ok {
 		return info.outcome
@@ -113,7 +117,7 @@
 	return OutcomeUnknown
 }
 
-// Status is the HTTP status that goes with the reason.
+// Status returns the HTTP status of the reason.
 func (r Reason) Status() int {
 	if info, ok := reasons[r]; ok {
 		return info.status
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,9 +1,10 @@
-// Package clock reads time that goes on while the machine is suspended.
+// Package clock provides a monotonic clock that keeps running while the machine is
+// suspended.
 //
-// Go's monotonic clock stands still during suspension, so a deadline kept by it
-// survives a pause that everyone else has waited out. Whatever bounds how long a
-// process may act on its own (holds, isolation, the evidence that a gang is whole)
-// is measured here instead.
+// Go's monotonic clock stops during suspension, so a deadline measured with it would
+// outlast a pause in which other processes have seen it expire. Everything that limits how
+// long a process may act on its own, such as leases and isolation timeouts, is measured
+// with this clock.
 package clock
 
 import (
@@ -17,14 +18,14 @@
 	startBoot = lease.BootTime()
 )
 
-// Now returns the wall time of the process's start plus all time since then,
-// suspension included. It never goes back and ignores later changes of the wall
-// clock, so its values compare only within one process.
+// Now returns the wall-clock time at the start of the process plus the time elapsed since,
+// including suspension. It never decreases and ignores later adjustments of the wall
+// clock, so its values can be compared only within one process.
 func Now() time.Time {
 	return startWall.Add(lease.BootTime() - startBoot)
 }
 
-// Until returns the time left until t, a value derived from Now.
+// Until returns the time left until t, which must be derived from Now.
 func Until(t time.Time) time.Duration {
 	return t.Sub(Now())
 }
--- a/metrics/counter.go
+++ b/metrics/counter.go
@@ -1,47 +1,47 @@
 package metrics
 
-// Counter names a number of events since the start of the process.
+// Counter identifies a count of events since the start of the process.
 type Counter uint8
 
-// Counters.
+// Counters of a role.
 const (
-	// PairsOverflowed counts observations that went to Other.
+	// PairsOverflowed counts observations that were recorded under OtherLabel.
 	PairsOverflowed Counter = iota
-	// RequestsRetried counts further attempts of quick requests.
+	// RequestsRetried counts attempts of quick requests after their first.
 	RequestsRetried
 	// RequestsDeduplicated counts requests answered from an earlier attempt
 	// with the same idempotency key.
 	RequestsDeduplicated
-	// JobsAccepted counts jobs made safe in the store.
+	// JobsAccepted counts jobs that were written to the store.
 	JobsAccepted
-	// JobsEvicted counts running jobs stopped to give their capacity to others.
+	// JobsEvicted counts running jobs that were stopped to free capacity for others.
 	JobsEvicted
-	// GangsStarted counts gangs started on all their members.
+	// GangsStarted counts gangs that started on all their members.
 	GangsStarted
-	// PermitsWritten counts permits to start a job without a write to the store.
+	// PermitsWritten counts stored permits to start a job without a further store write.
 	PermitsWritten
-	// PermitsUsed counts attempts that were started on one.
+	// PermitsUsed counts attempts that were started on a permit.
 	PermitsUsed
-	// PermitsReturned counts permits given back unused at the end of a term.
+	// PermitsReturned counts permits that were returned unused at the end of a planner's term.
 	PermitsReturned
-	// GangsAborted counts gangs given up before all members started.
+	// GangsAborted counts gangs that were aborted before all members started.
 	GangsAborted
 	// ReservationsRefused counts reservations that an agent refused.
 	ReservationsRefused
-	// DocumentsApplied counts generations of documents put in force.
+	// DocumentsApplied counts generations of documents that became active.
 	DocumentsApplied
-	// LeadershipsHandedOver counts planner duties given to the entry preferred for them.
+	// LeadershipsHandedOver counts planner leaderships handed over to the preferred entry.
 	LeadershipsHandedOver
-	// DeadEntryLeasesRevoked counts leases of other entries ended because their process
-	// was gone.
+	// DeadEntryLeasesRevoked counts leases of other entries that were revoked because
+	// their process had died.
 	DeadEntryLeasesRevoked
-	// RelaysFailed counts relays of the rack that left a report unanswered.
+	// RelaysFailed counts reports that the rack's relay did not answer.
 	RelaysFailed
 
 	numCounters
 )
 
-// Description says what a metric means.
+// Description documents a metric.
 type Description struct {
 	Name string
 	Unit string
@@ -66,16 +66,17 @@
 	RelaysFailed:           {"relays_failed", "relays", "left a report unanswered, so that the agent reports itself"},
 }
 
-// Describe returns what the counter means.
+// Describe returns the name, unit and help text of the counter.
 func (c Counter) Describe() Description {
 	return counterDescriptions[c]
 }
 
-// Counters lists all counters.
+// Counters returns all counters.
 func Counters() []Counter {
 	return enumerate(numCounters)
 }
 
+// enumerate returns the values 0 to n-1.
 func enumerate[T ~uint8](n T) []T {
 	list := make([]T, n)
 	for i := range list {
--- a/metrics/doc.go
+++ b/metrics/doc.go
@@ -1,8 +1,7 @@
-// Package metrics holds the counters and the histograms of one role.
+// Package metrics holds the counters and histograms of one role.
 //
-// A [Set] belongs to one role of a process, since a trial runs many roles in
-// one process. Histograms are kept for each client account and class; the
-// number of such pairs is bounded, and pairs beyond it share one named
-// [OtherLabel]. All durations are shown in microseconds. Values count from the start
-// of the process.
+// A [Set] belongs to one role of a process, since a trial runs many roles in one process.
+// Histograms are kept for each pair of client account and class. The number of pairs is
+// limited; further ones share the pair named [OtherLabel]. Durations are reported in
+// microseconds. Values accumulate from the start of the process.
 package metrics
--- a/metrics/expvar.go
+++ b/metrics/expvar.go
@@ -8,7 +8,7 @@
 	"net/http"
 )
 
-// ErrAlreadyPublished: the name is taken in this process.
+// ErrAlreadyPublished is returned if an expvar of that name exists in this process.
 var ErrAlreadyPublished = errors.New("metrics: name is published already")
 
 var _ expvar.Var = (*Set)(nil)
@@ -22,9 +22,8 @@
 	return string(text)
 }
 
-// Publish shows the set among the process's expvars under name. A Set can't be
-// taken back from there. The error is ErrPublished. Callers publish one set
-// after the other.
+// Publish publishes the set as an expvar under name, which cannot be undone. If the name
+// is in use, the error wraps ErrAlreadyPublished. It must not be called concurrently.
 func (s *Set) Publish(name string) error {
 	if expvar.Get(name) != nil {
 		return fmt.Errorf("%w: %s", ErrAlreadyPublished, name)
@@ -33,8 +32,8 @@
 	return nil
 }
 
-// Handler serves the set under name, with the process's memory statistics, in
-// the form of /debug/vars. It needs no Publish. Serve it on a local address.
+// Handler serves the set under name, along with the process's memory statistics, in the
+// format of /debug/vars. It does not need Publish. Serve it on a local address only.
 func (s *Set) Handler(name string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		vars := map[string]json.RawMessage{name: json.RawMessage(s.String())}
@@ -44,6 +43,6 @@
 		w.Header().Set("Content-Type", "application/json; charset=utf-8")
 		e := json.NewEncoder(w)
 		e.SetIndent("", "  ")
-		_ = e.Encode(vars) // a failed write means that the reader is gone
+		_ = e.Encode(vars) // fails only if the client has disconnected
 	})
 }
--- a/metrics/histogram.go
+++ b/metrics/histogram.go
@@ -10,11 +10,12 @@
 const (
 	minDuration = time.Microsecond
 	maxDuration = 24 * time.Hour
-	// significantDigits keeps an observation within 1 percent, at 31 KB a histogram.
+	// significantDigits keeps the relative error of a value below 1%; a histogram then
+	// takes 31 KB.
 	significantDigits = 2
 )
 
-// histogram is an HdrHistogram under a lock held for one record.
+// histogram is an HdrHistogram of microseconds that is safe for concurrent use.
 type histogram struct {
 	mu sync.Mutex
 	h  *hdrhistogram.Histogram
@@ -24,7 +25,7 @@
 	return &histogram{h: hdrhistogram.New(1, int64(maxDuration/minDuration), significantDigits)}
 }
 
-// record clamps to the range, so that an observation is never lost.
+// record adds d, clamped to the range of the histogram.
 func (h *histogram) record(d time.Duration) {
 	us := int64(min(max(d, minDuration), maxDuration) / minDuration)
 	h.mu.Lock()
--- a/metrics/label.go
+++ b/metrics/label.go
@@ -2,11 +2,12 @@
 
 import "strings"
 
-// maxLabels bounds the labels of one metric, which come from callers' accounts and queues;
-// labels beyond it share Other.
+// maxLabels is the maximum number of labels of one metric. Labels come from callers'
+// accounts and queues, so they could otherwise exhaust the memory; further ones share
+// OtherLabel.
 const maxLabels = 200
 
-// boundedLabel returns the label under which a metric with these labels counts another.
+// boundedLabel returns label, or OtherLabel if it is new and labels is full.
 func boundedLabel[T any](labels map[string]T, label string) string {
 	if _, known := labels[label]; !known && len(labels) >= maxLabels {
 		return OtherLabel
@@ -14,7 +15,7 @@
 	return label
 }
 
-// quoteLabel returns a label as the text format writes it.
+// quoteLabel quotes a label for the text format.
 func quoteLabel(label string) string {
 	return `"` + strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`).Replace(label) + `"`
 }
--- a/metrics/labeled_latencies.go
+++ b/metrics/labeled_latencies.go
@@ -12,28 +12,30 @@
 )
 
 const (
-	// maxLatency is the longest time that is told apart, a day.
+	// maxLatency is the upper limit of recorded durations.
 	maxLatency = 24 * time.Hour
-	// latencySignificantDigits keeps values to 1%.
+	// latencySignificantDigits keeps the relative error of a value below 1%.
 	latencySignificantDigits = 2
 )
 
-// LabeledLatencies is histograms of times by label, such as an account and a queue. It is safe
-// for concurrent use; the zero value is empty.
+// LabeledLatencies holds histograms of durations by label, such as an account and a queue.
+// It is safe for concurrent use; the zero value is empty.
 type LabeledLatencies struct {
 	mu     sync.Mutex
 	labels map[string]*hdrhistogram.Histogram
 }
 
-// Observe counts one time under a label.
+// Observe records a duration under a label. Labels beyond maxLabels share OtherLabel.
 func (l *LabeledLatencies) Observe(label string, d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.histogram(label)
-	// RecordValue fails only beyond the histogram's range, which min excludes.
+	// RecordValue fails only for values beyond the range, which are clamped.
 	_ = h.RecordValue(min(max(d.Microseconds(), 0), maxLatency.Microseconds()))
 }
 
+// histogram returns the histogram of a label, creating it at first use. The caller holds
+// mu.
 func (l *LabeledLatencies) histogram(label string) *hdrhistogram.Histogram {
 	if l.labels == nil {
 		l.labels = map[string]*hdrhistogram.Histogram{}
@@ -47,8 +49,8 @@
 	return h
 }
 
-// WriteText writes each histogram's count, median, 99th percentile and maximum as lines
-// NAME{label="...",stat="..."} VALUE, in microseconds.
+// WriteText writes the count, median, 99th percentile and maximum of each histogram as
+// lines NAME{label="...",stat="..."} VALUE, in microseconds.
 func (l *LabeledLatencies) WriteText(w io.Writer, name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,7 +65,7 @@
 			{"p99", h.ValueAtQuantile(99)},
 			{"max", h.Max()},
 		} {
-			// A reader that is gone needs no further lines.
+			// A write fails only if the client has disconnected.
 			_, _ = fmt.Fprintf(w, "%s{label=%s,stat=\"%s\"} %d\n", name, quoteLabel(label), v.stat, v.value)
 		}
 	}
--- a/metrics/set.go
+++ b/metrics/set.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// DefaultMaxPairs bounds the pairs of client account and class of a Set. With
-// every timing of every pair in use a Set takes 17 MB; an entry of the sample
-// deployments uses a few timings of two dozen pairs.
+// DefaultMaxPairs is the default maximum number of pairs of client account and class. A
+// Set with every timing of every pair in use takes 17 MB.
 const DefaultMaxPairs = 48
 
-// OtherLabel is the client account and the class of pairs beyond the bound.
+// OtherLabel is the client account and the class of pairs beyond the maximum, and the
+// label of values beyond the maximum number of labels.
 const OtherLabel = "other"
 
 type pair struct {
@@ -19,15 +19,15 @@
 	class   string
 }
 
-// histograms of one pair; each is made at its first observation.
+// histograms holds the histograms of one pair, each created at its first observation.
 type histograms [numTimings]atomic.Pointer[histogram]
 
-// Set is the metrics of one role. It is safe for concurrent use.
+// Set holds the metrics of one role. It is safe for concurrent use.
 type Set struct {
 	maxPairs int
 	counters [numCounters]atomic.Int64
-	// pairs is read without a lock on the path of a request and replaced as a
-	// whole, under mu, when a pair is new.
+	// pairs is read without a lock, since requests use it, and is copied and replaced
+	// under mu to add a pair.
 	pairs atomic.Pointer[map[pair]*histograms]
 	other histograms
 
@@ -35,7 +35,7 @@
 	gauges map[string]func() int64
 }
 
-// New makes a Set of at most maxPairs pairs; 0 means DefaultMaxPairs.
+// New returns a Set of at most maxPairs pairs; 0 means DefaultMaxPairs.
 func New(maxPairs int) *Set {
 	if maxPairs <= 0 {
 		maxPairs = DefaultMaxPairs
@@ -50,13 +50,13 @@
 	s.counters[c].Add(n)
 }
 
-// Count returns the counter's value.
+// Count returns the value of the counter.
 func (s *Set) Count(c Counter) int64 {
 	return s.counters[c].Load()
 }
 
-// Gauge shows the value that f returns under the name. f is called for each
-// snapshot, from any goroutine, and must not call the Set.
+// Gauge registers a gauge. f returns its value; it is called for each snapshot, on any
+// goroutine, and must not call methods of the Set.
 func (s *Set) Gauge(name string, f func() int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,6 +74,8 @@
 	h.record(d)
 }
 
+// histogramsFor returns the histograms of a pair, or the shared ones if there are too many
+// pairs.
 func (s *Set) histogramsFor(p pair) *histograms {
 	pairs := *s.pairs.Load()
 	if h := pairs[p]; h != nil {
@@ -107,8 +109,8 @@
 	return h
 }
 
-// Snapshot returns all values. Each is right by itself; events that happen
-// meanwhile may be in some and not in others.
+// Snapshot returns all values. It is not atomic: events that happen during the call may be
+// included in some values only.
 func (s *Set) Snapshot() Snapshot {
 	snap := Snapshot{
 		Counters: map[string]int64{},
--- a/metrics/snapshot.go
+++ b/metrics/snapshot.go
@@ -1,14 +1,14 @@
 package metrics
 
-// Snapshot is the state of a Set at one moment, in the JSON it is shown as.
+// Snapshot is the state of a Set at one time, in its JSON form.
 type Snapshot struct {
 	Counters map[string]int64 `json:"counters"`
 	Gauges   map[string]int64 `json:"gauges"`
-	// Timings are by client account, class and name of the timing.
+	// Timings is indexed by client account, class and name of the timing.
 	Timings map[string]map[string]map[string]Summary `json:"timings"`
 }
 
-// Summary is a histogram in short. All but Count are in microseconds.
+// Summary summarizes a histogram. All fields except Count are in microseconds.
 type Summary struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50"`
--- a/metrics/timing.go
+++ b/metrics/timing.go
@@ -1,32 +1,32 @@
 package metrics
 
-// Timing names a duration observed for each client account and class. The
-// count of a timing that ends with an outcome is the number of those outcomes.
+// Timing identifies a duration that is recorded for each client account and class. Where a
+// timing ends with an outcome, its count is the number of those outcomes.
 type Timing uint8
 
-// Timings.
+// Timings of quick requests and jobs.
 const (
-	// QuickDone is from the arrival of a quick request to its whole answer.
+	// QuickDone is the time from the arrival of a quick request to its complete answer.
 	QuickDone Timing = iota
-	// QuickNotRun is from the arrival to the word that it did not run.
+	// QuickNotRun is the time from arrival to the answer that the request did not run.
 	QuickNotRun
-	// QuickUnknown is from the arrival to the word that it may have run.
+	// QuickUnknown is the time from arrival to the answer that the request may have run.
 	QuickUnknown
-	// QuickQueueTime is the wait in the agent's queue.
+	// QuickQueueTime is the time in the agent's queue.
 	QuickQueueTime
-	// QuickServiceTime is the time the target took.
+	// QuickServiceTime is the time that the target took.
 	QuickServiceTime
-	// JobWaitTime is from the acceptance of a job to its first start.
+	// JobWaitTime is the time from the acceptance of a job to its first start.
 	JobWaitTime
-	// JobDone is from the acceptance of a job to its success.
+	// JobDone is the time from the acceptance of a job to its success.
 	JobDone
-	// JobFailed is from the acceptance of a job to its failure.
+	// JobFailed is the time from the acceptance of a job to its failure.
 	JobFailed
-	// JobCancelled is from the acceptance of a job to its cancelled end.
+	// JobCancelled is the time from the acceptance of a job to its end by cancellation.
 	JobCancelled
-	// JobRejected is from the acceptance of a job to its rejection.
+	// JobRejected is the time from the acceptance of a job to its rejection.
 	JobRejected
-	// JobUnknown is from the acceptance of a job to the loss of its outcome.
+	// JobUnknown is the time from the acceptance of a job to the loss of its outcome.
 	JobUnknown
 
 	numTimings
@@ -48,12 +48,12 @@
 	JobUnknown:       {"job_unknown", timingUnit, "acceptance of a job to the loss of its outcome"},
 }
 
-// Describe returns what the timing means.
+// Describe returns the name, unit and help text of the timing.
 func (t Timing) Describe() Description {
 	return timingDescriptions[t]
 }
 
-// Timings lists all timings.
+// Timings returns all timings.
 func Timings() []Timing {
 	return enumerate(numTimings)
 }
--- a/samples.go
+++ b/samples.go
@@ -1,10 +1,10 @@
-// Package eelgrasshub holds the sample documents and workloads of the two
-// deployments that the project is built for.
+// Package eelgrasshub embeds the sample documents and workloads of the two sample
+// deployments.
 package eelgrasshub
 
 import "embed"
 
-// Samples holds testdata/documents/*.toml and testdata/workloads/*.toml.
+// Samples contains testdata/documents/*.toml and testdata/workloads/*.toml.
 //
 //go:embed testdata/documents/*.toml testdata/workloads/*.toml
 var Samples embed.FS
--- a/settings/agent.go
+++ b/settings/agent.go
@@ -14,8 +14,10 @@
 	MetricsListen string `toml:"metrics_listen" validate:"omitempty,addr"`
 	// Seeds are QUIC addresses of entries or of their load balancer, from which the agent
 	// learns of other entries.
-	Seeds        []string `toml:"seeds" validate:"required,min=1,dive,addr"`
-	ClusterKey   string   `toml:"cluster_key" validate:"required,min=16" secret:"true"`
+	Seeds      []string `toml:"seeds" validate:"required,min=1,dive,addr"`
+	ClusterKey string   `toml:"cluster_key" validate:"required,min=16" secret:"true"`
+	// AcceptedKeys are accepted besides ClusterKey, so that the key can be replaced
+	// without interruption.
 	AcceptedKeys []string `toml:"accepted_keys" validate:"dive,min=16" secret:"true"`
 	// Target is the base URL of the target.
 	Target string `toml:"target" validate:"required,baseurl"`
--- a/settings/node_agent.go
+++ b/settings/node_agent.go
@@ -13,7 +13,8 @@
 	Zone   string `toml:"zone" validate:"required,name"` // availability zone
 
 	// Listen is the UDP address at which other processes reach this one.
-	Listen         string `toml:"listen" validate:"required,addr"`
+	Listen string `toml:"listen" validate:"required,addr"`
+	// RegistryListen is the HTTP address that receives the worker's heartbeats.
 	RegistryListen string `toml:"registry_listen" validate:"required,addr"`
 	MetricsListen  string `toml:"metrics_listen" validate:"omitempty,addr"`
 	// GatewayPort is the UDP port on which every gateway listens.
@@ -27,6 +28,7 @@
 	// its heartbeats.
 	OrderDelivery string `toml:"orders" default:"push" validate:"oneof=push heartbeat"`
 
+	// MaxLease is the longest lease that the worker grants to its runs.
 	MaxLease schema.Duration `toml:"max_hold" default:"6s" validate:"min=100ms,max=1h"`
 	// StopGrace is the maximum duration of a graceful stop.
 	StopGrace schema.Duration `toml:"stop_grace" default:"2s" validate:"min=1s,max=168h"`
