--- a/api/api_test.go
+++ b/api/api_test.go
@@ -101,9 +101,8 @@
 }
 
 func TestClientRequiresOutcomeHeader(t *testing.T) {
-	// The balancer before the entries answers 503 by itself while an entry that
-	// took the request still runs it. Without an entry's outcome header the
-	// caller must not read that as "not run", nor a 200 as "done".
+	// A load balancer may answer 503 while an entry still runs the request. Without an
+	// outcome header, 503 must not be read as "not run", nor 200 as "done".
 	for name, status := range map[string]int{"busy": 503, "fine": 200} {
 		t.Run(name, func(t *testing.T) {
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/api/fuzz_test.go
+++ b/api/fuzz_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// checkProblem holds what every refusal owes its caller: that nothing ran, which
-// field is at fault and why, as problem details that can be read back.
+// checkProblem checks that a rejection is "not run", names the field and the reason, and
+// can be decoded again.
 func checkProblem(t *testing.T, p *Problem) {
 	if p.Outcome() != OutcomeNotRun || p.Field == "" || p.Detail == "" {
 		t.Fatalf("refused as %+v", p)
@@ -24,8 +24,8 @@
 	}
 }
 
-// FuzzCall: whatever a caller's headers hold, they are refused with the name of the
-// header, or taken within their bounds so that another entry reads the same.
+// FuzzCall checks that headers are rejected with the name of the header, or accepted
+// within the limits such that another entry parses the same options.
 func FuzzCall(f *testing.F) {
 	f.Add("harbourline", "booking", "250ms", "true", "k1", "true")
 	f.Add("", "", "", "", "", "")
@@ -61,8 +61,8 @@
 	})
 }
 
-// FuzzJobRequest: a body is refused with the field, or taken so that its own JSON is
-// taken as the same.
+// FuzzJobRequest checks that a body is rejected with the field, or accepted such that its
+// encoding is accepted as the same request.
 func FuzzJobRequest(f *testing.F) {
 	for _, body := range []string{
 		`{"account":"a","class":"c","accelerators":8,"adjacency":"rack","estimate":"10m","payload":{"x":1}}`,
@@ -96,7 +96,7 @@
 	})
 }
 
-// FuzzDuration: what a Duration writes it reads, to the nanosecond.
+// FuzzDuration checks that durations are encoded without loss.
 func FuzzDuration(f *testing.F) {
 	f.Add(int64(0))
 	f.Add(int64(-1 << 63))
--- a/api/interface_page_test.go
+++ b/api/interface_page_test.go
@@ -9,8 +9,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Callers program against the page of the interface. A reason or a header without
-// its row, or with another status or outcome, fails here.
+// Guards against reasons or headers that are missing from the interface page, or listed
+// with another status or outcome.
 func TestInterfacePageListsReasonsAndHeaders(t *testing.T) {
 	page, err := os.ReadFile("../docs/INTERFACE.md")
 	qt.Assert(t, err, qt.IsNil)
--- a/api/report.go
+++ b/api/report.go
@@ -43,7 +43,7 @@
 	// jobs, averaged over these jobs weighted by size.
 	Fragmentation float64 `json:"fragmentation"`
 	// FreeUnits counts, for each adjacency, the units by the number of accelerators that
-	// any job could take now, in decreasing order.
+	// any job could take now. Workers and racks are listed by decreasing number.
 	FreeUnits map[Adjacency][]FreeUnits `json:"free_units"`
 	// Evicting is the number of evictions in progress.
 	Evicting int `json:"evicting"`
--- a/cmd/eelgrasshub/command.go
+++ b/cmd/eelgrasshub/command.go
@@ -2,15 +2,16 @@
 
 import "github.com/jessevdk/go-flags"
 
-// command is one subcommand, or a group of them.
+// command is a subcommand or a group of them.
 type command struct {
 	name        string
 	short       string
 	long        string
-	data        any // implements flags.Commander, or is empty for a group
+	data        any // implements flags.Commander; nil for a group
 	subcommands []command
 }
 
+// add registers the command and its subcommands with parent.
 func (c command) add(parent *flags.Command) {
 	data := c.data
 	if data == nil {
@@ -25,7 +26,7 @@
 	}
 }
 
-// commands lists every subcommand in the order that --help shows.
+// commands returns the top-level commands in the order of --help.
 func commands() []command {
 	return []command{
 		entryCommand(),
--- a/cmd/eelgrasshub/config.go
+++ b/cmd/eelgrasshub/config.go
@@ -7,12 +7,11 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// commandTimeout bounds an operator's command.
+// commandTimeout is the time limit of an operator's command.
 const commandTimeout = 15 * time.Second
 
-// storeOptions name the platform's store. Operators' commands speak to it
-// directly, so that a document can be changed while no process of the system is
-// up.
+// storeOptions select the platform's store. Operators' commands access it directly, so
+// that a document can be changed while no other process runs.
 type storeOptions struct {
 	Platform []string `long:"platform" required:"true" value-name:"URL" description:"base URL of the platform's store; may be repeated"`
 }
--- a/cmd/eelgrasshub/config_check.go
+++ b/cmd/eelgrasshub/config_check.go
@@ -7,7 +7,7 @@
 	"github.com/eelgrasshub/eelgrasshub/document"
 )
 
-// configCheckCmd checks documents without any other process.
+// configCheckCmd validates documents without contacting any process.
 type configCheckCmd struct {
 	Args struct {
 		Files []string `positional-arg-name:"FILE" required:"1"`
--- a/cmd/eelgrasshub/config_get.go
+++ b/cmd/eelgrasshub/config_get.go
@@ -9,11 +9,11 @@
 	"github.com/eelgrasshub/eelgrasshub/document"
 )
 
-// generationPrefix is the first line of a document that config get wrote. It tells
-// config put which generation was edited.
+// generationPrefix begins the first line of a document written by "config get". From it,
+// "config put" learns which generation was edited.
 const generationPrefix = "# eelgrasshub generation "
 
-// configGetCmd prints the document that the store holds.
+// configGetCmd prints the document in the store.
 type configGetCmd struct {
 	storeOptions
 	Output string `short:"o" long:"output" value-name:"FILE" description:"write to FILE instead of standard output"`
@@ -52,8 +52,8 @@
 	return os.WriteFile(c.Output, text, 0o644)
 }
 
-// splitGeneration takes the line that config get wrote off a document. Without it the
-// base is 0: a first document.
+// splitGeneration removes the line that "config get" added and returns the generation in
+// it, or 0 if there is none.
 func splitGeneration(data []byte) (uint64, []byte) {
 	line, rest, ok := strings.Cut(string(data), "\n")
 	if !ok || !strings.HasPrefix(line, generationPrefix) {
--- a/cmd/eelgrasshub/config_put.go
+++ b/cmd/eelgrasshub/config_put.go
@@ -13,7 +13,7 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// configPutCmd puts a new generation of a document.
+// configPutCmd stores a new generation of a document.
 type configPutCmd struct {
 	storeOptions
 	Base   int64  `long:"base" default:"-1" value-name:"N" description:"generation that was edited; otherwise the file's first line says it, as config get wrote it"`
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// author is who is named to an operator who loses a race.
+// author returns the name that other operators see in a conflict.
 func (c *configPutCmd) author() (string, error) {
 	if c.Author != "" {
 		return c.Author, nil
@@ -83,8 +83,8 @@
 	return u.Username, nil
 }
 
-// activeGeneration is the highest generation that a running entry reports, 0 where none
-// can be asked.
+// activeGeneration returns the highest generation that an entry reports, or 0 if none can
+// be queried.
 func (c *configPutCmd) activeGeneration(ctx context.Context, store store.Store, service string) uint64 {
 	if c.Region == "" {
 		return 0
--- a/cmd/eelgrasshub/config_status.go
+++ b/cmd/eelgrasshub/config_status.go
@@ -13,7 +13,7 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// configStatusCmd shows which process has which generation in force.
+// configStatusCmd shows the active generation of each process.
 type configStatusCmd struct {
 	storeOptions
 	Region string `long:"region" required:"true" value-name:"NAME" description:"region whose entries are asked"`
@@ -28,7 +28,7 @@
 	}
 }
 
-// entryStatus is the answer of one entry, or why there is none.
+// entryStatus is the status of one entry, or the error of the query.
 type entryStatus struct {
 	Name   string
 	Status api.Status
@@ -51,7 +51,7 @@
 	return printStatus(os.Stdout, all)
 }
 
-// queryEntries asks every entry that is registered in the region.
+// queryEntries queries every entry that is registered in the region.
 func queryEntries(ctx context.Context, store store.Store, region string) []entryStatus {
 	registered, err := entry.ListRegistrations(ctx, store, region)
 	if err != nil {
--- a/cmd/eelgrasshub/counter_handler.go
+++ b/cmd/eelgrasshub/counter_handler.go
@@ -9,7 +9,7 @@
 	"unicode"
 )
 
-// counterHandler serves the counters of a struct of atomic integers as text, one a line:
+// counterHandler serves the atomic integers of the struct that counts points to, as lines
 // eelgrasshub_NAME VALUE.
 func counterHandler(counts any) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -25,7 +25,7 @@
 	})
 }
 
-// toSnakeCase turns a Go name into one of metrics.
+// toSnakeCase converts a Go field name to a metric name.
 func toSnakeCase(name string) string {
 	var out strings.Builder
 	for i, r := range name {
@@ -37,7 +37,7 @@
 	return out.String()
 }
 
-// MetricsHandler implements metered.
+// MetricsHandler implements metricsProvider.
 func (r *gatewayRole) MetricsHandler() http.Handler {
 	counters := counterHandler(r.gateway.Counters())
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
--- a/cmd/eelgrasshub/gateway.go
+++ b/cmd/eelgrasshub/gateway.go
@@ -54,7 +54,7 @@
 	return g.serveUntilSignal(cfg.StopGrace.Duration)
 }
 
-// gatewayRole is a gateway with its listeners.
+// gatewayRole is a gateway with its HTTP servers.
 type gatewayRole struct {
 	gateway *gateway.Gateway
 	store   *platform.KVStore
@@ -81,18 +81,18 @@
 }
 
 const (
-	// readinessDelay is how long a stopping gateway still takes new calls: the balancer
-	// probes once a second and needs two misses.
+	// readinessDelay is how long a stopping gateway still accepts new calls. The load
+	// balancer probes once a second and removes it after two failed probes.
 	readinessDelay = 2500 * time.Millisecond
-	// shutdownMargin is kept from the grace for the last steps.
+	// shutdownMargin is reserved from the grace period for the last steps.
 	shutdownMargin = 500 * time.Millisecond
-	// Limits of callers' connections until the operators' configuration says more.
+	// Limits on connections of callers.
 	readHeaderTimeout = 3 * time.Second
 	idleTimeout       = 15 * time.Second
 	maxHeaderBytes    = 16 << 10
 )
 
-// listenHTTP serves a handler on an address until the server is shut down.
+// listenHTTP serves h on addr until the returned server is shut down.
 func listenHTTP(addr string, h http.Handler, log logrus.FieldLogger) (*http.Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -112,8 +112,7 @@
 	return srv, nil
 }
 
-// serveUntilSignal serves until SIGTERM, and logs SIGHUP: what a gateway reads from its
-// settings does not change within its life.
+// serveUntilSignal serves until SIGTERM or SIGINT and then stops the gateway within grace.
 func (r *gatewayRole) serveUntilSignal(grace time.Duration) error {
 	waitForStopSignal(r.log)
 	ctx, cancel := context.WithTimeout(context.Background(), grace-shutdownMargin)
@@ -124,12 +123,13 @@
 		r.log.WithError(err).Warn("calls in progress were cut")
 	}
 	if r.ready != nil {
-		_ = r.ready.Close() // probes need no last answer
+		_ = r.ready.Close() // pending probes need no response
 	}
 	return r.gateway.Stop(ctx)
 }
 
-// waitForStopSignal returns at SIGTERM or SIGINT.
+// waitForStopSignal returns on SIGTERM or SIGINT. It only logs SIGHUP, since settings are
+// read at startup.
 func waitForStopSignal(log logrus.FieldLogger) {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -142,8 +142,8 @@
 	}
 }
 
-// disableBufferWarning silences the QUIC library's notice about socket buffers, which goes around the
-// process's own log.
+// disableBufferWarning disables the QUIC library's warning about socket buffers, which
+// bypasses the process's log.
 func disableBufferWarning() {
-	_ = os.Setenv("QUIC_GO_DISABLE_RECEIVE_BUFFER_WARNING", "true") // can't fail for a valid name
+	_ = os.Setenv("QUIC_GO_DISABLE_RECEIVE_BUFFER_WARNING", "true") // cannot fail for a valid name
 }
--- a/cmd/eelgrasshub/job.go
+++ b/cmd/eelgrasshub/job.go
@@ -7,7 +7,7 @@
 	"github.com/eelgrasshub/eelgrasshub/api"
 )
 
-// entryOptions name the entry, or the balancer, that a caller speaks to.
+// entryOptions select the entry, or the load balancer, and the service.
 type entryOptions struct {
 	Entry   string `long:"entry" required:"true" value-name:"URL" description:"base URL of an entry or of the balancer"`
 	Service string `long:"service" required:"true" value-name:"NAME" description:"service that the job belongs to"`
--- a/cmd/eelgrasshub/job_status.go
+++ b/cmd/eelgrasshub/job_status.go
@@ -8,7 +8,7 @@
 	"github.com/eelgrasshub/eelgrasshub/api"
 )
 
-// maxStatusWait is how long one status request is held at most.
+// maxStatusWait is the longest wait of one status request.
 const maxStatusWait = 10 * time.Second
 
 // jobStatusCmd shows one job.
@@ -41,6 +41,7 @@
 	return nil
 }
 
+// waitForEnd polls the status until the job has ended or c.Wait has passed.
 func (c *jobStatusCmd) waitForEnd(ctx context.Context) (api.JobStatus, error) {
 	until := time.Now().Add(c.Wait)
 	for {
--- a/cmd/eelgrasshub/load.go
+++ b/cmd/eelgrasshub/load.go
@@ -31,6 +31,7 @@
 	}
 }
 
+// errContradictions is returned if the audit contradicts what callers were told.
 var errContradictions = errors.New("what callers were told is contradicted by what ran")
 
 // Execute implements flags.Commander.
@@ -66,6 +67,7 @@
 	return nil
 }
 
+// audit compares the result with the audit logs of the target stand-ins.
 func (c *loadCmd) audit(ctx context.Context, r load.Result) (load.Findings, error) {
 	var audits []standin.Audit
 	for _, url := range c.Targets {
--- a/cmd/eelgrasshub/log_writer.go
+++ b/cmd/eelgrasshub/log_writer.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// logQueueLen is how many lines wait for a slow reader; more are dropped, since a
-	// process must never wait for whoever reads its log.
+	// logQueueLen is the maximum number of queued lines. Further ones are dropped, since a
+	// process must not block on the reader of its log.
 	logQueueLen = 4096
-	// logFlushTimeout bounds the wait for the last lines at the end of a process.
+	// logFlushTimeout limits how long Close waits for queued lines to be written.
 	logFlushTimeout = 200 * time.Millisecond
 )
 
-// logWriter passes lines on without blocking, and counts those it had to drop.
+// logWriter writes lines on a goroutine of its own, without blocking the caller, and
+// counts dropped lines.
 type logWriter struct {
 	out     io.Writer
 	lines   chan []byte
@@ -33,7 +34,8 @@
 	return w
 }
 
-// startLog returns the log of a role, on standard output, and what ends it.
+// startLog returns the log of a role, which writes to standard output, and a function that
+// closes it.
 func startLog(level, node string) (*logrus.Entry, func(), error) {
 	out := newLogWriter(os.Stdout)
 	log, err := newLogTo(out, level)
@@ -43,7 +45,7 @@
 	return log.WithField("node", node), out.Close, nil
 }
 
-// Write implements io.Writer. It never fails.
+// Write implements io.Writer. It never blocks or fails.
 func (w *logWriter) Write(line []byte) (int, error) {
 	kept := append([]byte(nil), line...)
 	select {
@@ -72,14 +74,15 @@
 	}
 }
 
+// write writes a line, preceded by the number of lines dropped before it, if any.
 func (w *logWriter) write(line []byte) {
 	if n := w.dropped.Swap(0); n > 0 {
 		_, _ = fmt.Fprintf(w.out, "{\"level\":\"warning\",\"msg\":\"log lines dropped\",\"count\":%d}\n", n)
 	}
-	_, _ = w.out.Write(line) // nobody is left to tell
+	_, _ = w.out.Write(line) // an error cannot be reported anywhere
 }
 
-// Close passes on what waits, for a bounded time. Later lines are lost.
+// Close writes the queued lines, waiting at most logFlushTimeout. Later lines are lost.
 func (w *logWriter) Close() {
 	close(w.stop)
 	select {
--- a/cmd/eelgrasshub/log_writer_test.go
+++ b/cmd/eelgrasshub/log_writer_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// blockedWriter takes nothing until it is let go.
+// blockedWriter blocks every Write until gate is closed.
 type blockedWriter struct {
 	gate chan struct{}
 	mu   sync.Mutex
@@ -22,8 +22,8 @@
 	return r.text.Write(p)
 }
 
-// Whoever reads the log stands still. The process goes on, and says afterwards how many
-// lines are missing.
+// Guards against a process that blocks because its log is not read, and against lines
+// dropped without notice.
 func TestLogWriterNeverBlocks(t *testing.T) {
 	c := qt.New(t)
 	r := &blockedWriter{gate: make(chan struct{})}
--- a/cmd/eelgrasshub/main.go
+++ b/cmd/eelgrasshub/main.go
@@ -1,6 +1,5 @@
-// Command eelgrasshub is the one binary of the system: each role of a
-// deployment, the operators' commands, and the stand-ins for trials are
-// subcommands of it.
+// Command eelgrasshub contains all roles of a deployment, the operators' commands and the
+// stand-ins for trials as subcommands.
 package main
 
 import (
@@ -13,16 +12,15 @@
 // Exit codes.
 const (
 	exitOK     = 0
-	exitFailed = 1 // the command ran and failed, or found a fault
-	exitUsage  = 2 // the command line is wrong
+	exitFailed = 1 // the command failed or found an error
+	exitUsage  = 2 // the command line is invalid
 )
 
 func main() {
 	os.Exit(run(os.Args[1:]))
 }
 
-// run parses the command line and runs one subcommand. It returns the exit
-// code.
+// run parses the command line, runs a subcommand and returns the exit code.
 func run(args []string) int {
 	parser := newParser()
 	_, err := parser.ParseArgs(args)
@@ -41,6 +39,7 @@
 	return parser
 }
 
+// exitCode prints the error, or the help text, and returns the exit code.
 func exitCode(err error) int {
 	flagErr, isFlag := err.(*flags.Error)
 	if isFlag && flagErr.Type == flags.ErrHelp {
--- a/cmd/eelgrasshub/node_agent.go
+++ b/cmd/eelgrasshub/node_agent.go
@@ -9,7 +9,7 @@
 	"github.com/eelgrasshub/eelgrasshub/settings"
 )
 
-// nodeAgentCmd runs the process beside a worker of the operators' platform.
+// nodeAgentCmd runs a node agent.
 type nodeAgentCmd struct {
 	roleOptions
 }
@@ -60,5 +60,5 @@
 
 type nodeAgentMetrics struct{ agent *nodeagent.Agent }
 
-// MetricsHandler implements metered.
+// MetricsHandler implements metricsProvider.
 func (m nodeAgentMetrics) MetricsHandler() http.Handler { return counterHandler(m.agent.Counters()) }
--- a/cmd/eelgrasshub/placement_check.go
+++ b/cmd/eelgrasshub/placement_check.go
@@ -9,7 +9,7 @@
 	"github.com/eelgrasshub/eelgrasshub/scheduler"
 )
 
-// checkPlacement is a document.FitCheck by the scheduler's own placement.
+// checkPlacement implements document.PlacementCheck with the scheduler's placement.
 func checkPlacement(t *document.Topology, accounts []document.Account) []document.PlacementProblem {
 	policy := scheduler.Policy{Generation: 1}
 	for _, a := range accounts {
@@ -22,7 +22,7 @@
 	return []document.PlacementProblem{placementProblem(err, policy)}
 }
 
-// idleWorkers is the expected topology as idle workers.
+// idleWorkers returns the workers of the topology, without any work on them.
 func idleWorkers(t *document.Topology) []scheduler.Worker {
 	var workers []scheduler.Worker
 	for _, zone := range t.Zones {
@@ -40,6 +40,7 @@
 	return workers
 }
 
+// placementProblem returns the problem of the guaranteed shape that the error names.
 func placementProblem(err error, p scheduler.Policy) document.PlacementProblem {
 	m := document.PlacementProblem{Reason: err.Error()}
 	var shape *scheduler.ShapeError
--- a/cmd/eelgrasshub/platform_standin.go
+++ b/cmd/eelgrasshub/platform_standin.go
@@ -8,7 +8,7 @@
 	"github.com/eelgrasshub/eelgrasshub/store/standin"
 )
 
-// platformStandinCmd runs the stand-in of the platform's store.
+// platformStandinCmd runs a stand-in for the platform's store.
 type platformStandinCmd struct {
 	Listen   string `long:"listen" default:"127.0.0.1:0" value-name:"ADDR" description:"address to serve the etcd v3 JSON API on"`
 	LogLevel string `long:"log-level" default:"info"`
@@ -28,12 +28,12 @@
 	store := standin.New(standin.Options{})
 	defer store.Close()
 	srv := &http.Server{Handler: store}
-	// Watches are held for good, so there is nothing to wait for.
+	// A graceful shutdown would wait for watches, which never end.
 	stop := func(context.Context) error { return srv.Close() }
 	return serveStandin("platform stand-in", c.Listen, c.LogLevel, srv, stop)
 }
 
-// serveStandin serves until a signal comes, then stops.
+// serveStandin serves until a stop signal arrives, and then calls stop.
 func serveStandin(name, addr, level string, srv *http.Server, stop stopFunc) error {
 	log, err := newLog(level)
 	if err != nil {
--- a/cmd/eelgrasshub/process.go
+++ b/cmd/eelgrasshub/process.go
@@ -11,13 +11,12 @@
 	"github.com/sirupsen/logrus"
 )
 
-// newLog returns the process's log on standard error: structured, one line for
-// each change of state.
+// newLog returns a JSON log that writes to standard error.
 func newLog(level string) (*logrus.Entry, error) {
 	return newLogTo(os.Stderr, level)
 }
 
-// newLogTo is newLog with another destination.
+// newLogTo is like newLog, with another destination.
 func newLogTo(out io.Writer, level string) (*logrus.Entry, error) {
 	lvl, err := logrus.ParseLevel(level)
 	if err != nil {
@@ -30,13 +29,13 @@
 	return logrus.NewEntry(log), nil
 }
 
-// stopper is a role that ends gracefully.
+// stopper is a role that can be stopped gracefully.
 type stopper interface {
 	Stop(ctx context.Context) error
 }
 
-// serveUntilSignal waits for SIGTERM or SIGINT, then stops the role gracefully
-// within grace. A second signal ends the process at once.
+// serveUntilSignal waits for SIGTERM or SIGINT and then stops the role gracefully within
+// grace. A second signal cuts the grace short.
 func serveUntilSignal(role stopper, grace time.Duration, log *logrus.Entry) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/eelgrasshub/report.go
+++ b/cmd/eelgrasshub/report.go
@@ -7,7 +7,7 @@
 	"github.com/eelgrasshub/eelgrasshub/api"
 )
 
-// reportCmd shows what the planner of a service knows, or why one job waits.
+// reportCmd shows the planner's report on a service, or why a job waits.
 type reportCmd struct {
 	Entry string `long:"entry" required:"true" value-name:"URL" description:"base URL of any entry of the region, or of the balancer"`
 	Job   string `long:"job" value-name:"ID" description:"say why this job waits"`
--- a/cmd/eelgrasshub/report_table.go
+++ b/cmd/eelgrasshub/report_table.go
@@ -86,7 +86,7 @@
 	}))
 }
 
-// maxWorkersShown bounds the workers in a row of the table; JSON has more.
+// maxWorkersShown limits the workers in a row of the table; the JSON output has more.
 const maxWorkersShown = 8
 
 func workerList(l api.WorkerList, text func(api.WorkerStatus) string) string {
--- a/cmd/eelgrasshub/retry_advice.go
+++ b/cmd/eelgrasshub/retry_advice.go
@@ -7,7 +7,8 @@
 	"github.com/eelgrasshub/eelgrasshub/api"
 )
 
-// withRetryAdvice adds when to try again to the error of a call that an entry refused.
+// withRetryAdvice adds the time to wait before a retry to the error of an entry that gave
+// one.
 func withRetryAdvice(err error) error {
 	var p *api.Problem
 	if errors.As(err, &p) && p.RetryAfter > 0 {
--- a/cmd/eelgrasshub/role.go
+++ b/cmd/eelgrasshub/role.go
@@ -5,19 +5,19 @@
 	"net/http"
 )
 
-// roleOptions are the options of every long-running role.
+// roleOptions are the options of all long-running roles.
 type roleOptions struct {
 	Settings string `short:"s" long:"settings" required:"true" value-name:"FILE" description:"the process's settings, in TOML"`
 	LogLevel string `long:"log-level" default:"info" description:"least level of log lines: debug, info, warn or error"`
 }
 
-// metricsProvider is a role with metrics.
+// metricsProvider is a role that exports metrics.
 type metricsProvider interface {
 	MetricsHandler() http.Handler
 }
 
-// serveMetrics serves a role's metrics on a local address until stop is called.
-// An empty address means none.
+// serveMetrics serves a role's metrics on addr until stop is called. If addr is empty, it
+// does nothing.
 func serveMetrics(addr string, role metricsProvider) (stop func(), err error) {
 	if addr == "" {
 		return func() {}, nil
@@ -27,6 +27,6 @@
 		return nil, err
 	}
 	srv := &http.Server{Handler: role.MetricsHandler()}
-	go func() { _ = srv.Serve(l) }() // ends with Close
+	go func() { _ = srv.Serve(l) }() // returns after Close
 	return func() { _ = srv.Close() }, nil
 }
--- a/cmd/eelgrasshub/script_audit_test.go
+++ b/cmd/eelgrasshub/script_audit_test.go
@@ -11,8 +11,8 @@
 	"github.com/eelgrasshub/eelgrasshub/target/standin"
 )
 
-// apartCmd checks with the targets' logs that no attempt of a job ran while
-// another one of it did, and that no worker's rule was broken: apart URL...
+// apartCmd checks with the targets' audit logs that no two attempts of a job ran at the
+// same time and that no worker reported a violation: apart URL...
 func apartCmd(ts *testscript.TestScript, neg bool, args []string) {
 	checkUsage(ts, neg, len(args) > 0, "apart URL...")
 	audits := fetchAudits(ts, args)
@@ -26,11 +26,11 @@
 	}
 }
 
-// wholeCmd checks with the targets' logs that one attempt of a job, and no other,
-// was done by any member, and that one by all: whole TAG URL...
+// wholeCmd checks with the targets' audit logs that exactly one attempt of a job completed
+// on any member, and that it completed on all: whole TAG URL...
 func wholeCmd(ts *testscript.TestScript, neg bool, args []string) {
 	checkUsage(ts, neg, len(args) > 1, "whole TAG URL...")
-	done := make(map[int]int) // members, by attempt
+	done := make(map[int]int) // completed members by attempt
 	members := 0
 	for _, a := range fetchAudits(ts, args[1:]) {
 		for _, run := range a.Tasks {
@@ -50,7 +50,7 @@
 	}
 }
 
-// ranCmd checks how often a quick request ran, by the targets' logs: ran N TAG
+// ranCmd checks with the targets' audit logs how often a quick request ran: ran N TAG
 // URL...
 func ranCmd(ts *testscript.TestScript, neg bool, args []string) {
 	checkUsage(ts, neg, len(args) > 2, "ran N TAG URL...")
--- a/cmd/eelgrasshub/script_commands_test.go
+++ b/cmd/eelgrasshub/script_commands_test.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	// pollTimeout bounds every wait of a script.
+	// pollTimeout limits every wait of a script.
 	pollTimeout = 30 * time.Second
 	pollPeriod  = 50 * time.Millisecond
 )
 
-// addrCmd sets variables to loopback addresses whose port is free for TCP and
-// UDP: addr NAME...
+// addrCmd sets variables to loopback addresses whose port is free for TCP and UDP: addr
+// NAME...
 func addrCmd(ts *testscript.TestScript, neg bool, args []string) {
 	checkUsage(ts, neg, len(args) > 0, "addr NAME...")
 	for _, name := range args {
@@ -34,7 +34,7 @@
 	}
 }
 
-// expandCmd replaces $NAME in files by the script's variables: expand FILE...
+// expandCmd expands the script's variables in files: expand FILE...
 func expandCmd(ts *testscript.TestScript, neg bool, args []string) {
 	checkUsage(ts, neg, len(args) > 0, "expand FILE...")
 	for _, name := range args {
@@ -43,8 +43,8 @@
 	}
 }
 
-// settingsCmd writes NAME.toml from a template for each process. In it $ID is the
-// name, and $X is the script's variable X_NAME, or X where there is none: settings
+// settingsCmd writes NAME.toml from a template for each process. In the template, $ID is
+// the name, and $X is the script's variable X_NAME or, if that is empty, X: settings
 // TEMPLATE NAME...
 func settingsCmd(ts *testscript.TestScript, neg bool, args []string) {
 	checkUsage(ts, neg, len(args) > 1, "settings TEMPLATE NAME...")
@@ -65,8 +65,8 @@
 	return ts.Getenv(key)
 }
 
-// exitsCmd runs a program that has to end with the given code; stdout and
-// stderr can be matched after it: exits CODE PROGRAM ARGS...
+// exitsCmd runs a program that must exit with the given code. Its output can be matched
+// afterwards: exits CODE PROGRAM ARGS...
 func exitsCmd(ts *testscript.TestScript, neg bool, args []string) {
 	checkUsage(ts, neg, len(args) > 1, "exits CODE PROGRAM ARGS...")
 	want, err := strconv.Atoi(args[0])
@@ -84,8 +84,8 @@
 	}
 }
 
-// pollCmd runs a program until it succeeds and its output matches: poll REGEXP
-// PROGRAM ARGS...
+// pollCmd runs a program until it succeeds and its output matches: poll REGEXP PROGRAM
+// ARGS...
 func pollCmd(ts *testscript.TestScript, neg bool, args []string) {
 	checkUsage(ts, neg, len(args) > 1, "poll REGEXP PROGRAM ARGS...")
 	want := regexp.MustCompile(args[0])
@@ -100,8 +100,8 @@
 	})
 }
 
-// fetchCmd asks the URLs in turn until one answers 200 with a body that matches:
-// fetch REGEXP URL...
+// fetchCmd requests the URLs in turn until one returns 200 with a body that matches: fetch
+// REGEXP URL...
 func fetchCmd(ts *testscript.TestScript, neg bool, args []string) {
 	checkUsage(ts, neg, len(args) > 1, "fetch REGEXP URL...")
 	want := regexp.MustCompile(args[0])
@@ -130,6 +130,7 @@
 	return body, err
 }
 
+// retryUntilSuccess calls try until it succeeds, and fails the script after pollTimeout.
 func retryUntilSuccess(ts *testscript.TestScript, what []string, try func() error) {
 	deadline := time.Now().Add(pollTimeout)
 	for {
@@ -144,8 +145,8 @@
 	}
 }
 
-// jsonenvCmd sets a variable to a string in a JSON value. The path's parts are
-// fields of objects and indexes of lists: jsonenv NAME FILE PATH
+// jsonenvCmd sets a variable to a string in a JSON file. The parts of the path are field
+// names and list indexes: jsonenv NAME FILE PATH
 func jsonenvCmd(ts *testscript.TestScript, neg bool, args []string) {
 	checkUsage(ts, neg, len(args) == 3, "jsonenv NAME FILE PATH")
 	var value any
@@ -160,7 +161,7 @@
 	ts.Setenv(args[0], text)
 }
 
-// jsonElement is a field of an object or an element of a list, or nil.
+// jsonElement returns a field of an object or an element of a list, or nil.
 func jsonElement(value any, name string) any {
 	switch v := value.(type) {
 	case map[string]any:
@@ -173,8 +174,7 @@
 	return nil
 }
 
-// terminateCmd sends SIGTERM to every process that the script has started:
-// terminate
+// terminateCmd sends SIGTERM to every process that the script has started: terminate
 func terminateCmd(ts *testscript.TestScript, neg bool, args []string) {
 	checkUsage(ts, neg, len(args) == 0, "terminate")
 	for _, cmd := range ts.BackgroundCmds() {
@@ -182,6 +182,7 @@
 	}
 }
 
+// checkUsage fails the script if the command is negated or its arguments are not ok.
 func checkUsage(ts *testscript.TestScript, neg, ok bool, text string) {
 	if neg || !ok {
 		ts.Fatalf("usage: %s", text)
--- a/cmd/eelgrasshub/script_request_test.go
+++ b/cmd/eelgrasshub/script_request_test.go
@@ -26,18 +26,18 @@
 	} `positional-args:"true"`
 }
 
-// requestsKey is under which a script keeps its requests by name.
+// requestsKey is the key of a script's requests among its values.
 type requestsKey struct{}
 
-// pendingRequest is a request under way.
+// pendingRequest is a request that was sent. Its result may be read once done is closed.
 type pendingRequest struct {
 	done   chan struct{}
 	answer api.QuickResponse
 	err    error
 }
 
-// requestCmd sends a quick request and goes on at once: request --entry URL
-// ... NAME
+// requestCmd sends a quick request without waiting for its answer: request --entry URL ...
+// NAME
 func requestCmd(ts *testscript.TestScript, neg bool, args []string) {
 	checkUsage(ts, neg, len(args) > 0, "request --entry=URL --service=S --account=A --class=C [--key=K] [--query=Q] NAME")
 	var f requestFlags
@@ -59,16 +59,15 @@
 	}()
 }
 
-// answerCmd waits for the answer to a request, checks its outcome and writes its
-// body to the file NAME. Several outcomes are parted by a bar: answer
-// OUTCOME[|OUTCOME...] NAME
+// answerCmd waits for the answer to a request, checks its outcome and writes its body to
+// the file NAME: answer OUTCOME[|OUTCOME...] NAME
 func answerCmd(ts *testscript.TestScript, neg bool, args []string) {
 	checkUsage(ts, neg, len(args) == 2, "answer OUTCOME[|OUTCOME...] NAME")
 	sent := requestsOf(ts)[args[1]]
 	if sent == nil {
 		ts.Fatalf("no request %q", args[1])
 	}
-	<-sent.done // bounded by the request's own context
+	<-sent.done // limited by the context of the request
 	ts.Check(sent.err)
 	if got := string(sent.answer.Outcome); !slices.Contains(strings.Split(args[0], "|"), got) {
 		ts.Fatalf("outcome %q, want %q: %s", got, args[0], describeResponse(sent.answer))
@@ -83,7 +82,7 @@
 	return fmt.Sprintf("status %d", a.Status)
 }
 
-// requestsOf are the requests of one script.
+// requestsOf returns the requests of the script by name.
 func requestsOf(ts *testscript.TestScript) map[string]*pendingRequest {
 	requests, ok := ts.Value(requestsKey{}).(map[string]*pendingRequest)
 	if !ok {
--- a/cmd/eelgrasshub/script_signal_test.go
+++ b/cmd/eelgrasshub/script_signal_test.go
@@ -8,17 +8,16 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// signalsByName are those that scripts may send, by name.
+// signalsByName are the signals that scripts may send.
 var signalsByName = map[string]syscall.Signal{
 	"STOP": syscall.SIGSTOP,
 	"CONT": syscall.SIGCONT,
 	"KILL": syscall.SIGKILL,
 }
 
-// signalCmd sends a signal to those processes that the script has started with
-// ARG among their arguments, such as the name of a settings file. A script that
-// passes has to wake or kill what it has stopped, or its end is waited for in vain:
-// signal NAME ARG...
+// signalCmd sends a signal to the processes that the script has started with ARG among
+// their arguments. A script must continue or kill every process that it has stopped, since
+// its end waits for them: signal NAME ARG...
 func signalCmd(ts *testscript.TestScript, neg bool, args []string) {
 	checkUsage(ts, neg, len(args) > 1, "signal STOP|CONT|KILL ARG...")
 	sig, ok := signalsByName[args[0]]
@@ -29,13 +28,13 @@
 		cmd := processWithArg(ts, arg)
 		ts.Check(cmd.Process.Signal(sig))
 		if sig == syscall.SIGSTOP {
-			// One that fails leaves it stopped.
+			// A script that fails may leave the process stopped.
 			ts.Defer(func() { _ = cmd.Process.Signal(syscall.SIGCONT) })
 		}
 	}
 }
 
-// processWithArg is the one process of the script that has the argument.
+// processWithArg returns the only process of the script that has the argument.
 func processWithArg(ts *testscript.TestScript, arg string) *exec.Cmd {
 	var found []*exec.Cmd
 	for _, cmd := range ts.BackgroundCmds() {
--- a/cmd/eelgrasshub/script_test.go
+++ b/cmd/eelgrasshub/script_test.go
@@ -6,14 +6,13 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// TestMain puts the binary under test into the scripts' path: the test binary
-// itself, run under the name eelgrasshub.
+// TestMain runs the test binary as the program when a script executes eelgrasshub.
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){"eelgrasshub": main})
 }
 
-// TestScript runs the scenarios of separate processes. Each script starts its
-// own processes, waits by asking them, and ends them.
+// TestScript runs the scenarios with separate processes. Each script starts, polls and
+// stops its own processes.
 func TestScript(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:                 "testdata/script",
--- a/cmd/eelgrasshub/stop_func.go
+++ b/cmd/eelgrasshub/stop_func.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// stopFunc is a function as a stopper.
+// stopFunc adapts a function to a stopper.
 type stopFunc func(ctx context.Context) error
 
 // Stop implements stopper.
--- a/cmd/eelgrasshub/target_standin.go
+++ b/cmd/eelgrasshub/target_standin.go
@@ -6,7 +6,7 @@
 	"github.com/eelgrasshub/eelgrasshub/target/standin"
 )
 
-// targetStandinCmd runs a stand-in worker.
+// targetStandinCmd runs a stand-in for a worker and its target.
 type targetStandinCmd struct {
 	Listen       string        `long:"listen" default:"127.0.0.1:0" value-name:"ADDR" description:"address to serve the target protocol on"`
 	Name         string        `long:"name" default:"worker" description:"name of the worker in its audit"`
--- a/cmd/eelgrasshub/trial.go
+++ b/cmd/eelgrasshub/trial.go
@@ -11,7 +11,7 @@
 	"github.com/eelgrasshub/eelgrasshub/trial"
 )
 
-// trialCmd runs the sample services in this process.
+// trialCmd runs the sample services in one process.
 type trialCmd struct {
 	Service  string        `long:"service" value-name:"NAME" choice:"dispatch" choice:"slotbook" description:"run this sample service only"`
 	Faults   bool          `long:"faults" description:"inject failures during the run: of agents, entries, the store, connections and targets"`
@@ -29,7 +29,7 @@
 	}
 }
 
-// sample is one sample service.
+// sample is a sample service with the files that configure it.
 type sample struct {
 	service, document, workload string
 }
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// run runs one service and reports whether its audit is clean.
+// run runs one service and reports whether the audit found no contradiction.
 func (c *trialCmd) run(s sample) (bool, error) {
 	options, err := c.options(s)
 	if err != nil {
--- a/cmd/eelgrasshub/version.go
+++ b/cmd/eelgrasshub/version.go
@@ -5,7 +5,7 @@
 	"runtime/debug"
 )
 
-// versionCmd prints what this binary was built from.
+// versionCmd prints the revision that the binary was built from.
 type versionCmd struct{}
 
 func versionCommand() command {
--- a/document/active_set_test.go
+++ b/document/active_set_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// unknownKeyVersion is a version with a key that this binary does not know.
+// unknownKeyVersion returns a version with a key that this binary does not know.
 func unknownKeyVersion(generation uint64) document.Version {
 	v := version(generation, "newer")
 	v.TOML = append([]byte("quantum = true\n"), v.TOML...)
@@ -113,8 +113,8 @@
 	c.Assert(err, qt.ErrorIs, document.ErrInvalidVersion)
 }
 
-// Several sources offer at once while requests read: no reader may see the
-// generation go down, and the highest stays.
+// With concurrent updates, no reader may see the generation decrease, and the highest one
+// remains active.
 func TestConcurrentUpdatesNeverDecreaseGeneration(t *testing.T) {
 	c := qt.New(t)
 	const highest, sources = 40, 4
--- a/document/fake_store_test.go
+++ b/document/fake_store_test.go
@@ -11,50 +11,50 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// swapFault is what happens to one swap.
+// swapFault is a failure of a single swap.
 type swapFault int
 
 const (
 	noFault             swapFault = iota
-	replyLost                     // takes effect, the reply is lost
-	requestLost                   // never arrives, the caller cannot tell
-	replyLostAndDelayed           // the reply is lost; takes effect before one of the next calls
+	replyLost                     // applied, but the reply is lost
+	requestLost                   // not applied; the caller cannot tell
+	replyLostAndDelayed           // the reply is lost; applied before one of the next calls
 )
 
-// fakeStore is the platform's store with faults, without leases.
+// fakeStore is an in-memory store that injects faults. It has no leases.
 type fakeStore struct {
-	store.Store // nil: leases are not used here
+	store.Store // nil; methods for leases are not used
 
 	mu                sync.Mutex
-	source            uint64 // changes with each restore
+	source            uint64 // incremented by each restore
 	revision          store.Revision
 	keys              map[string]store.KeyValue
 	events            []store.Event
-	compactedRevision store.Revision // events up to it are compacted
-	changed           chan struct{}  // closed at the next change
+	compactedRevision store.Revision // events up to this revision are compacted
+	changed           chan struct{}  // closed on the next change
 	down              bool
-	nextFault         func() swapFault // of each swap; nil for none
+	nextFault         func() swapFault // called for each swap; nil for no faults
 	calls             int
-	// valuesRead counts the documents sent in answer to listings.
+	// valuesRead is the number of documents returned by listings.
 	valuesRead int
 	delayed    []delayedSwap
-	latency    time.Duration // of the fastest call, in virtual time
+	latency    time.Duration // minimum duration of a call, in virtual time
 }
 
-// delayedSwap takes effect when the store has taken so many calls.
+// delayedSwap is applied once the store has received dueCall calls.
 type delayedSwap struct {
 	store.Swap
 	dueCall int
 }
 
-// maxDelayedCalls is how many calls a delayed swap is late by at most.
+// maxDelayedCalls is the maximum delay of a swap, in calls.
 const maxDelayedCalls = 4
 
 func newFakeStore() *fakeStore {
 	return &fakeStore{keys: map[string]store.KeyValue{}, changed: make(chan struct{})}
 }
 
-// storeBackup is a copy of the store at one moment.
+// storeBackup is a copy of the store.
 type storeBackup struct {
 	revision store.Revision
 	keys     map[string]store.KeyValue
@@ -75,7 +75,7 @@
 	s.notifyWatches()
 }
 
-// counts returns how many calls came, and how many documents listings sent.
+// counts returns the number of calls, and of documents returned by listings.
 func (s *fakeStore) counts() (calls, valuesRead int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +105,7 @@
 	return true
 }
 
-// simulateLatency takes virtual time, so that calls of several callers interleave.
+// simulateLatency sleeps in virtual time, so that concurrent calls interleave.
 func (s *fakeStore) simulateLatency() {
 	s.mu.Lock()
 	d := s.latency * time.Duration(1+s.calls%3)
@@ -113,7 +113,7 @@
 	time.Sleep(d)
 }
 
-// beginCall lets delayed writes arrive, then reports an outage.
+// beginCall applies delayed swaps that are due, and returns an error during an outage.
 func (s *fakeStore) beginCall(ctx context.Context) error {
 	s.calls++
 	s.delayed = slices.DeleteFunc(s.delayed, func(d delayedSwap) bool {
--- a/document/fuzz_test.go
+++ b/document/fuzz_test.go
@@ -10,8 +10,7 @@
 	"github.com/eelgrasshub/eelgrasshub/document"
 )
 
-// A store or a peer may hand over any bytes. Parse refuses them with problems
-// and never stops the process.
+// FuzzParse checks that Parse rejects arbitrary input with an error and does not panic.
 func FuzzParse(f *testing.F) {
 	for _, pattern := range []string{"*.toml", "bad/*.txtar"} {
 		files, err := filepath.Glob(filepath.Join(samplesDir, pattern))
--- a/document/lister_test.go
+++ b/document/lister_test.go
@@ -12,9 +12,8 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// With many services the documents that every entry lists again and again would
-// use up what a node may send and receive. What has not changed, or came by the
-// watch, is not read again.
+// With many services, periodic listings must not read documents that have not changed or
+// were delivered by the watch.
 func TestListReadsOnlyChangedDocuments(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -32,8 +31,7 @@
 	})
 }
 
-// The watch hears nothing any more while its connection looks well, and the
-// document changes. The next listing sees another revision and reads it.
+// A listing must find a change that the watch has not delivered.
 func TestListFindsChangeMissedByWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -47,7 +45,7 @@
 	})
 }
 
-// silentWatchStore's watches never deliver.
+// silentWatchStore is a store whose watches never deliver.
 type silentWatchStore struct{ *fakeStore }
 
 func (s silentWatchStore) Watch(ctx context.Context, _ string, _ store.Revision, _ func(store.WatchBatch)) error {
@@ -55,10 +53,8 @@
 	return ctx.Err()
 }
 
-// The store is restored from a backup while the watch hears nothing, and before
-// the next listing an operator puts again. The store has counted its revisions
-// again meanwhile: the new document has the revision at which the process saw
-// another one. It must be read, and the two texts be settled.
+// After a restore, a new document may have the revision of a cached one; it must be read,
+// and the fork resolved.
 func TestListAfterRestoreIgnoresCachedRevisions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -69,7 +65,7 @@
 		active, w := startWatcher(t, silentWatchStore{kv}, nil)
 		<-w.Ready()
 		kv.restore(old)
-		time.Sleep(time.Second) // the later text wins
+		time.Sleep(time.Second) // the later version wins
 		mustPut(c, kv, "other two", 1)
 		time.Sleep(15 * time.Second)
 		stored, _, err := document.Get(context.Background(), kv, "dispatch")
--- a/document/parse_test.go
+++ b/document/parse_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// An operator with several mistakes in one document sees all of them in one
-// run, each with its line, key and what is accepted.
+// All problems of a document are reported at once, each with its line, key and accepted
+// values.
 func TestParseReportsAllProblems(t *testing.T) {
 	files, err := filepath.Glob(samplesDir + "/bad/*.txtar")
 	qt.Assert(t, err, qt.IsNil)
@@ -57,8 +57,8 @@
 	}
 }
 
-// The shapes fit by size and sum, but not together as blocks: only the
-// placement code can tell, and the operator sees which shape and line.
+// Shapes that fit by size and sum, but not together, are reported with the line of the
+// shape.
 func TestCheckReportsUnplacedShape(t *testing.T) {
 	c := qt.New(t)
 	fit := func(topology *document.Topology, accounts []document.Account) []document.PlacementProblem {
--- a/document/put_test.go
+++ b/document/put_test.go
@@ -16,7 +16,7 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// documentText returns a small document of service; mark tells texts apart.
+// documentText returns a small document of service. label makes the text unique.
 func documentText(service, label string) []byte {
 	return fmt.Appendf(nil, `service = %q
 owner = "%s"
@@ -52,7 +52,7 @@
 	first, err := document.Put(ctx, kv, proposal("first", 0))
 	c.Assert(err, qt.IsNil)
 	late := proposal("second", 1)
-	late.CreatedAt = first.CreatedAt.Add(-time.Hour) // an operator's clock that is behind
+	late.CreatedAt = first.CreatedAt.Add(-time.Hour) // the operator's clock is behind
 	second, err := document.Put(ctx, kv, late)
 	c.Assert(err, qt.IsNil)
 	c.Assert(second.Generation, qt.Equals, uint64(2))
@@ -66,8 +66,8 @@
 	c.Assert(again, qt.DeepEquals, second)
 }
 
-// Two operators edit generation 1. The slower one must not overwrite the
-// faster one's change unseen: she is told who was faster and what differs.
+// An operator must not overwrite a concurrent change; the error names the other author and
+// the difference.
 func TestPutConflictShowsDiff(t *testing.T) {
 	c := qt.New(t)
 	kv := newFakeStore()
@@ -85,8 +85,8 @@
 	c.Assert(conflict.Diff, qt.Contains, "-owner = \"fast\"\n+owner = \"slow\"\n")
 }
 
-// The store was restored from a backup, the processes hold a higher
-// generation. A put on the old one would be lost when they write theirs back.
+// A put to a restored store would be lost when the processes write their newer generation
+// back.
 func TestPutRefusesStoreBehind(t *testing.T) {
 	c := qt.New(t)
 	kv := newFakeStore()
@@ -106,8 +106,8 @@
 	c.Assert(err, qt.ErrorMatches, `(?s).*bad.toml:1: service: wrong type.*`)
 }
 
-// Every reply is lost and the store never answers again: the operator is told
-// that the outcome is not known, neither success nor "not written".
+// If no reply ever arrives, the outcome must be reported as unknown, neither as success
+// nor as "not written".
 func TestPutOutcomeUnknownWithoutReplies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := newFakeStore()
@@ -119,9 +119,8 @@
 	})
 }
 
-// Operators put on the same base at the same time while replies get lost,
-// before and after the write, and late requests arrive after the read back.
-// Exactly one may be told success; it must be the one that the store holds.
+// Among concurrent puts on the same base with lost replies and delayed requests, at most
+// one operator is told success, and only if the store has that version.
 func TestConcurrentPutsWithLostReplies(t *testing.T) {
 	const runs, operators = 400, 3
 	unknown := 0
@@ -136,7 +135,7 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	kv := newFakeStore()
 	kv.latency = time.Millisecond
-	faultsLeft := 20 // the store heals after so many swaps
+	faultsLeft := 20 // swaps before the faults end
 	kv.nextFault = func() swapFault {
 		faultsLeft--
 		if faultsLeft < 0 || rng.IntN(2) == 0 {
@@ -161,7 +160,7 @@
 	}
 	wg.Wait()
 	kv.nextFault = nil
-	for range maxDelayedCalls { // what is still on its way arrives
+	for range maxDelayedCalls { // apply delayed swaps
 		_, _, err := document.Get(context.Background(), kv, "dispatch")
 		c.Assert(err, qt.IsNil)
 	}
--- a/document/simulation_model_test.go
+++ b/document/simulation_model_test.go
@@ -17,21 +17,21 @@
 	simulationSteps = 250
 )
 
-// process is one incarnation: its floor is lost with it.
+// process is one incarnation of a process.
 type process struct {
 	id      string
 	active  *document.ActiveSet
 	syncer  *document.Syncer
-	highest uint64 // highest generation seen in force here
+	highest uint64 // highest generation that was active
 }
 
-// commonGeneration is a generation that all ready processes commonGeneration at one time.
+// commonGeneration is a generation that all ready processes had reached at a time.
 type commonGeneration struct {
 	generation uint64
 	at         time.Time
 }
 
-// simulation is a store, processes around it and operators, in virtual time.
+// simulation is a store, the processes that use it and operators, in virtual time.
 type simulation struct {
 	c                 *qt.C
 	rng               *rand.Rand
@@ -39,12 +39,12 @@
 	store             *fakeStore
 	processes         []*process
 	backups           []storeBackup
-	delayedAnswers    []document.PeerAnswered  // on their way, perhaps late
-	oldEvents         []document.StoredVersion // what a watch may deliver again
-	lastAcknowledged  document.Version         // the latest that an operator was told success for
+	delayedAnswers    []document.PeerAnswered  // answers to be delivered late, perhaps repeatedly
+	oldEvents         []document.StoredVersion // documents that a watch may deliver again
+	lastAcknowledged  document.Version         // the latest version that an operator was told success for
 	puts              int
 	writeBacks        int
-	commonGenerations []commonGeneration // what all ready processes held, by time
+	commonGenerations []commonGeneration // in increasing order
 }
 
 func newSimulation(c *qt.C, seed uint64) *simulation {
@@ -83,7 +83,8 @@
 	return h.Version.Generation
 }
 
-// handle steps a process and checks it.
+// handle passes an event to a process, performs the actions, and checks that the
+// generation has not decreased.
 func (s *simulation) handle(p *process, event document.SyncerEvent) {
 	for _, action := range p.syncer.HandleEvent(time.Now(), event) {
 		switch a := action.(type) {
@@ -128,7 +129,7 @@
 	s.handle(p, listed)
 }
 
-// query lets from answer; the answer arrives now, or joins those on their way.
+// query delivers from's answer to to, or keeps it for late delivery.
 func (s *simulation) query(to, from *process, late bool) {
 	if from == nil || to == from {
 		return
@@ -156,7 +157,7 @@
 	}
 	s.puts++
 	p := proposal(fmt.Sprint("put", s.puts), base.Generation)
-	if s.rng.IntN(2) == 0 { // this operator reaches a process
+	if s.rng.IntN(2) == 0 { // the operator can query a process
 		p.ActiveGeneration = s.generation(s.randomProcess())
 	}
 	if v, err := document.Put(ctx, s.store, p); err == nil {
--- a/document/simulation_test.go
+++ b/document/simulation_test.go
@@ -17,8 +17,9 @@
 	simulationSeed = flag.Uint64("fleet.seed", 1, "first seed of the fleet")
 )
 
-// countHolders counts the places that hold the latest acknowledged version or what
-// followed it. No design survives the loss of the last.
+// countHolders returns the number of places, excluding one process, that hold the latest
+// acknowledged version or a later one. Faults that would lose all of them are not
+// injected.
 func (s *simulation) countHolders(in storeBackup, without int) int {
 	n := 0
 	for i, p := range s.processes {
@@ -54,7 +55,7 @@
 	}
 }
 
-// step does one thing at random.
+// step performs one random event.
 func (s *simulation) step() {
 	time.Sleep(time.Duration(1+s.rng.IntN(100)) * time.Millisecond)
 	p := s.randomProcess()
@@ -83,7 +84,8 @@
 	s.recordCommonGeneration()
 }
 
-// recordCommonGeneration notes what all ready processes hold, where any is ready.
+// recordCommonGeneration records the lowest generation among the ready processes when it
+// increases.
 func (s *simulation) recordCommonGeneration() {
 	var lowest uint64
 	for _, p := range s.processes {
@@ -99,8 +101,9 @@
 	}
 }
 
-// checkReady: seconds after all ready processes have a generation, and while
-// one of them lives, no process becomes ready with a lower one.
+// checkReady checks that a process does not become ready with a lower generation than one
+// that all ready processes have had for longer than MaxAnswerAge, as long as one of them
+// still has it.
 func (s *simulation) checkReady(p *process, source document.ConfirmationSource) {
 	var highest uint64
 	for _, q := range s.processes {
@@ -110,7 +113,7 @@
 	}
 	for i, e := range s.commonGenerations {
 		if e.generation > highest {
-			s.commonGenerations = s.commonGenerations[:i] // nobody is left who could tell
+			s.commonGenerations = s.commonGenerations[:i] // no ready process has it any more
 			break
 		}
 		heldLongEnough := time.Since(e.at) > document.DefaultSyncerConfig(true).MaxAnswerAge
@@ -118,13 +121,13 @@
 			"seed %d: %s became ready from %s with generation %d after all had held %d",
 			s.seed, p.id, source, s.generation(p), e.generation))
 		if s.generation(p) < e.generation {
-			s.commonGenerations = s.commonGenerations[:i] // not held by all long enough
+			s.commonGenerations = s.commonGenerations[:i] // not active everywhere for long enough
 			break
 		}
 	}
 }
 
-// settle ends all faults and lets everyone talk.
+// settle ends all faults and lets all processes exchange their versions.
 func (s *simulation) settle() {
 	s.store.setDown(false)
 	s.store.nextFault = nil
@@ -138,6 +141,8 @@
 	}
 }
 
+// checkConverged checks that all processes and the store have the same version, which is
+// not older than the last acknowledged one.
 func (s *simulation) checkConverged() {
 	stored, _, err := document.Get(context.Background(), s.store, "dispatch")
 	s.c.Assert(err, qt.IsNil)
@@ -152,11 +157,9 @@
 		s.seed, s.lastAcknowledged.Generation, s.lastAcknowledged.Author, stored.Generation, stored.Author))
 }
 
-// Operators put while replies are lost, processes restart with nothing, the
-// store goes out and is restored from old backups, watches deliver old events
-// and peers answer late. On no process may the generation in force decrease,
-// and what an operator was told success for must not give way to anything
-// accepted before it.
+// With lost replies, restarts, store outages and restores, and late events and answers,
+// the active generation of a process must not decrease, and an acknowledged version must
+// not be replaced by an older one.
 func TestSimulationGenerationNeverDecreases(t *testing.T) {
 	puts, writeBacks := 0, 0
 	for seed := *simulationSeed; seed < *simulationSeed+*simulationRuns; seed++ {
--- a/document/syncer_test.go
+++ b/document/syncer_test.go
@@ -9,7 +9,7 @@
 	"github.com/eelgrasshub/eelgrasshub/document"
 )
 
-// syncerTest drives one fresh Feeder in virtual time and keeps its actions.
+// syncerTest drives a Syncer in virtual time and records its actions.
 type syncerTest struct {
 	now     time.Time
 	active  *document.ActiveSet
@@ -57,9 +57,8 @@
 	return h.Version.Generation
 }
 
-// A process starts while the store is out. The first peer to answer has an old
-// copy, the second the current one. Ready after the first, it would serve with
-// a configuration that everyone else has left behind.
+// A process that starts during a store outage must not become ready after a single peer,
+// which may have an outdated document.
 func TestReadyDuringOutageNeedsSeveralPeers(t *testing.T) {
 	c := qt.New(t)
 	s := newSyncerTest(true)
@@ -74,8 +73,7 @@
 	c.Assert(s.actions[len(s.actions)-1], qt.Equals, document.SyncerAction(document.MarkReady{Source: document.ConfirmedByPeers}))
 }
 
-// All processes start at once while the store is out. Each asks the others,
-// who know nothing: none may become ready.
+// If all processes start during a store outage, none may become ready from the others.
 func TestUnreadyPeersDoNotConfirm(t *testing.T) {
 	c := qt.New(t)
 	s := newSyncerTest(true)
@@ -94,13 +92,12 @@
 	s := newSyncerTest(false)
 	s.handle(document.PeersUpdated{PeerIDs: []string{"a"}})
 	s.handle(peerAnswer("a", true, version(3, "three")))
-	c.Assert(s.syncer.Ready(), qt.IsFalse) // others may become known yet
+	c.Assert(s.syncer.Ready(), qt.IsFalse) // further peers may become known
 	s.advance(4 * time.Second)
 	c.Assert(s.syncer.Ready(), qt.IsTrue)
 }
 
-// A process restarts. An answer that its earlier incarnation asked for arrives
-// with what the peer held long ago. Counted, it would confirm an old copy.
+// An answer to a query of an earlier incarnation may be outdated and must not confirm.
 func TestLateAnswerDoesNotConfirm(t *testing.T) {
 	c := qt.New(t)
 	s := newSyncerTest(false)
@@ -113,8 +110,8 @@
 	c.Assert(s.generation(), qt.Equals, uint64(3))
 }
 
-// A process is paused right after it read the store, which was restored. It
-// wakes long after, with no peer asked: time alone must not make it ready.
+// A process that was paused after it listed a restored store must not become ready by the
+// passage of time alone.
 func TestPauseAtStartDoesNotMakeReady(t *testing.T) {
 	c := qt.New(t)
 	s := newSyncerTest(true)
@@ -127,8 +124,7 @@
 	c.Assert(s.actions, qt.Any(qt.DeepEquals), document.SyncerAction(document.QueryPeers{PeerIDs: []string{"a"}}))
 }
 
-// A peer announces a generation but its text does not fit into the answer, or
-// got lost. It has not confirmed what we hold.
+// A peer that reports a newer generation without sending its text does not confirm.
 func TestAnswerWithoutTextDoesNotConfirm(t *testing.T) {
 	c := qt.New(t)
 	s := newSyncerTest(false)
@@ -140,8 +136,7 @@
 	c.Assert(s.syncer.Ready(), qt.IsFalse)
 }
 
-// A fresh process reads a store that was restored from a backup, a moment
-// before a peer tells it the current generation.
+// A new process must not become ready from a restored store before a peer has answered.
 func TestReadyNeedsPeerBesidesStore(t *testing.T) {
 	c := qt.New(t)
 	s := newSyncerTest(true)
@@ -153,10 +148,8 @@
 	c.Assert(s.generation(), qt.Equals, uint64(7))
 }
 
-// The store is restored from a backup. It lists an older generation than the
-// one in force, or none, and must get back what is in force. What an operator
-// put to it before the repair was acknowledged too: the later of the two stays,
-// under a generation that no process has seen.
+// After a restore, the store gets the active version back. If an operator has put another
+// version meanwhile, the later of the two becomes active under a new generation.
 func TestRestoredStoreIsRepaired(t *testing.T) {
 	held := version(7, "seven")
 	versionAt := func(generation uint64, label string, after time.Duration) document.Version {
@@ -167,7 +160,7 @@
 	for _, test := range []struct {
 		name       string
 		stored     document.Version
-		author     string // of what is in force afterwards
+		author     string // of the active version afterwards
 		generation uint64
 		writeBack  bool
 	}{
@@ -206,9 +199,8 @@
 	}
 }
 
-// A restored store counts its revisions again. An event from before the restore
-// names the revision that a newer write has now: written back on it, the old
-// version would replace the newer one. Only a listing repairs.
+// A restored store reuses revisions, so writing back on the revision of an old event could
+// overwrite a newer write.
 func TestWatchEventsDoNotWriteBack(t *testing.T) {
 	for _, event := range []document.SyncerEvent{
 		document.StoreChanged{Document: document.StoredVersion{Version: version(5, "five"), Revision: 4}},
@@ -222,8 +214,8 @@
 	}
 }
 
-// A stored value that this binary cannot read may be of a newer one. It must
-// not be taken for a missing document and written over.
+// A value that this binary cannot decode may be of a newer one, and must not be treated as
+// missing.
 func TestUnreadableDocumentIsNotOverwritten(t *testing.T) {
 	c := qt.New(t)
 	s := newSyncerTest(true)
--- a/document/total_limits_test.go
+++ b/document/total_limits_test.go
@@ -10,8 +10,7 @@
 	"github.com/eelgrasshub/eelgrasshub/document"
 )
 
-// An operator's generator writes one shape too often. Each number is in range; the
-// planner of every entry in turn would run out of memory over the sum.
+// Values that are each within range must not together exhaust the memory of the planner.
 func TestParseRejectsExcessiveTotals(t *testing.T) {
 	c := qt.New(t)
 	const head = "service = \"s\"\nowner = \"o\"\n[[class]]\nname = \"c\"\nkind = \"job\"\n"
--- a/document/watcher_test.go
+++ b/document/watcher_test.go
@@ -21,8 +21,8 @@
 	return log
 }
 
-// startWatcher starts a Watcher in a bubble of virtual time and stops it at the end,
-// which also shows that it leaves no goroutine behind.
+// startWatcher starts a Watcher and stops it at the end of the test. Within synctest,
+// leaked goroutines fail the test.
 func startWatcher(t *testing.T, kv store.Store, ask document.PeerQuery) (*document.ActiveSet, *document.Watcher) {
 	active := document.NewActiveSet(nil)
 	w := document.NewWatcher(kv, ask, active, document.DefaultSyncerConfig(kv != nil), discardLogger())
@@ -57,8 +57,8 @@
 	})
 }
 
-// The store is restored from a backup while processes watch it. The document
-// in force stays, the store gets it back, and an operator can go on from it.
+// After a restore, the active document must be kept and written back, and a further put
+// must succeed.
 func TestWatcherRepairsRestoredStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -81,8 +81,8 @@
 	})
 }
 
-// The store is out when a process starts. It takes the document from two peers
-// and is ready; it follows the store when that returns.
+// A process that starts during a store outage must get the document from peers, and follow
+// the store once it is back.
 func TestWatcherStartsWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -108,8 +108,8 @@
 	})
 }
 
-// Somebody wrote a value that is no document. The others still come into force
-// and the value is left alone.
+// A stored value that is not a document must be left as it is, and must not block other
+// documents.
 func TestWatcherSkipsUnreadableValue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/metrics/labeled_sums_test.go
+++ b/metrics/labeled_sums_test.go
@@ -21,7 +21,7 @@
 	c.Check(out.String(), qt.Equals, "lost{label=\"q/drained\"} 1\nlost{label=\"q/evicted\"} 3.5\n")
 }
 
-// Labels come from callers' accounts and queues: their number must not fill the memory.
+// Labels come from callers' accounts and queues, and must not exhaust the memory.
 func TestSumLabelsAreBounded(t *testing.T) {
 	c := qt.New(t)
 	var s metrics.LabeledSums
--- a/metrics/set_test.go
+++ b/metrics/set_test.go
@@ -33,8 +33,8 @@
 }
 
 func TestPairsAreBounded(t *testing.T) {
-	// Callers send made-up class names. Each new pair costs memory until the
-	// entry is killed for it; so pairs beyond the bound are counted together.
+	// Callers may send arbitrary class names, which must not exhaust the memory; pairs
+	// beyond the maximum are recorded together.
 	c := qt.New(t)
 	s := New(4)
 	var wg sync.WaitGroup
@@ -63,7 +63,7 @@
 func TestPublishRefusesDuplicateName(t *testing.T) {
 	s := New(0)
 	s.Gauge("queued", func() int64 { return 7 })
-	name := fmt.Sprintf("entry/%p", s) // of its own also when the test is repeated
+	name := fmt.Sprintf("entry/%p", s) // unique also if the test runs repeatedly
 	qt.Assert(t, s.Publish(name), qt.IsNil)
 	qt.Check(t, errors.Is(New(0).Publish(name), ErrAlreadyPublished), qt.IsTrue)
 	qt.Check(t, s.Snapshot().Gauges["queued"], qt.Equals, int64(7))
--- a/settings/fuzz_test.go
+++ b/settings/fuzz_test.go
@@ -9,11 +9,11 @@
 	"github.com/eelgrasshub/eelgrasshub/settings"
 )
 
-// fuzzSecret is longer than what a fuzz test would find by chance.
+// fuzzSecret is too long for a fuzz test to generate it by chance.
 const fuzzSecret = "vongole-secret-0123456789"
 
-// addSeeds seeds a fuzz test with the sample settings and with what an operator
-// may have left behind after the secret.
+// addSeeds seeds a fuzz test with the sample settings and with texts that may follow the
+// secret.
 func addSeeds(f *testing.F, pattern string) {
 	files, err := filepath.Glob("../testdata/settings/" + pattern)
 	if err != nil || len(files) == 0 {
@@ -37,8 +37,8 @@
 	}
 }
 
-// fuzzInput is a file with a secret between what comes before and after. It is empty
-// where the secret would be in a text of several lines, so of another key.
+// fuzzInput returns a file with the secret between before and after. It returns nil if the
+// secret could become part of a multi-line string of another key.
 func fuzzInput(before, after string) []byte {
 	if strings.Contains(before, `"""`) || strings.Contains(before, "'''") {
 		return nil
@@ -46,8 +46,7 @@
 	return []byte(before + "\ncluster_key = \"" + fuzzSecret + after)
 }
 
-// checkParsed holds what must be true of any file: a problem is named with the file,
-// and the secret is not shown, whatever is wrong around it.
+// checkParsed checks that an error names the file and does not contain the secret.
 func checkParsed(t *testing.T, id string, err error) {
 	if err == nil {
 		if id == "" {
@@ -63,7 +62,8 @@
 	}
 }
 
-// FuzzEntry: an operator's file may be cut, mistyped or merged by hand.
+// FuzzEntry guards against errors that reveal a secret or do not name the file, for
+// arbitrary settings of an entry.
 func FuzzEntry(f *testing.F) {
 	addSeeds(f, "*-entry.toml")
 	f.Fuzz(func(t *testing.T, before, after string) {
--- a/settings/reference_page_test.go
+++ b/settings/reference_page_test.go
@@ -12,7 +12,7 @@
 	"github.com/eelgrasshub/eelgrasshub/settings"
 )
 
-// findRow returns the row of a key in a section of the reference page.
+// findRow returns the row of a key in a section of the reference page, or "".
 func findRow(section, path string) string {
 	for line := range strings.Lines(section) {
 		if strings.HasPrefix(line, "| `"+path+"` |") {
@@ -22,8 +22,8 @@
 	return ""
 }
 
-// An operator looks a key up. A key that was added, renamed or given another
-// default without its row on the page fails here.
+// Guards against keys that are added, renamed or given another default or range without an
+// update of the reference page.
 func TestReferencePageListsEveryKey(t *testing.T) {
 	data, err := os.ReadFile("../docs/CONFIGURATION.md")
 	qt.Assert(t, err, qt.IsNil)
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// A process with several mistakes in its settings names all of them, with what
-// is accepted, and never shows a secret.
+// All problems of a file are reported at once, with the accepted values and without
+// secrets.
 func TestProblemsNameKeyAndReason(t *testing.T) {
 	c := qt.New(t)
 	const text = `id = "Entry 1"
@@ -54,7 +54,7 @@
 	qt.Assert(t, err, qt.ErrorMatches, `.*nowhere.toml.*no such file.*`)
 }
 
-// A key set to zero is not a key left out: its default must not replace it.
+// A default must not replace a key that is explicitly set to zero.
 func TestExplicitZeroIsKept(t *testing.T) {
 	c := qt.New(t)
 	const text = `id = "w"
