--- a/cmd/eelgrasshub/config_status.go
+++ b/cmd/eelgrasshub/config_status.go
@@ -69,8 +69,8 @@
 	return entryStatus{Name: name, Status: s, Err: err}
 }
 
-func printStatus(to io.Writer, all []entryStatus) error {
-	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
+func printStatus(out io.Writer, all []entryStatus) error {
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "PROCESS\tROLE\tSTATE\tSERVICE\tGENERATION\tSINCE")
 	for _, e := range all {
 		if e.Err != nil {
--- a/cmd/eelgrasshub/job_status.go
+++ b/cmd/eelgrasshub/job_status.go
@@ -43,11 +43,11 @@
 
 // waitForEnd polls the status until the job has ended or c.Wait has passed.
 func (c *jobStatusCmd) waitForEnd(ctx context.Context) (api.JobStatus, error) {
-	until := time.Now().Add(c.Wait)
+	deadline := time.Now().Add(c.Wait)
 	for {
-		left := max(time.Until(until), 0)
-		status, err := c.client().GetJob(ctx, c.Service, c.Args.ID, min(left, maxStatusWait))
-		if err != nil || status.State.Final() || left == 0 {
+		remaining := max(time.Until(deadline), 0)
+		status, err := c.client().GetJob(ctx, c.Service, c.Args.ID, min(remaining, maxStatusWait))
+		if err != nil || status.State.Final() || remaining == 0 {
 			return status, err
 		}
 	}
--- a/cmd/eelgrasshub/log_writer.go
+++ b/cmd/eelgrasshub/log_writer.go
@@ -47,9 +47,9 @@
 
 // Write implements io.Writer. It never blocks or fails.
 func (w *logWriter) Write(line []byte) (int, error) {
-	kept := append([]byte(nil), line...)
+	lineCopy := append([]byte(nil), line...)
 	select {
-	case w.lines <- kept:
+	case w.lines <- lineCopy:
 	default:
 		w.dropped.Add(1)
 	}
--- a/cmd/eelgrasshub/report_table.go
+++ b/cmd/eelgrasshub/report_table.go
@@ -10,8 +10,8 @@
 	"github.com/eelgrasshub/eelgrasshub/api"
 )
 
-func printReport(to io.Writer, r api.Report) error {
-	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
+func printReport(out io.Writer, r api.Report) error {
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	printHeading(w, r)
 	printCapacity(w, r)
 	printAccounts(w, r.Accounts)
@@ -97,8 +97,8 @@
 	return strings.Join(parts, ", ")
 }
 
-func printJobReport(to io.Writer, r api.JobReport) error {
-	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
+func printJobReport(out io.Writer, r api.JobReport) error {
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "job\t%s\n", r.ID)
 	fmt.Fprintf(w, "state\t%s\n", r.State)
 	if r.Wait != nil {
@@ -112,12 +112,12 @@
 	return w.Flush()
 }
 
-func printWait(w io.Writer, j *api.JobWait) {
-	fmt.Fprintf(w, "needs\t%d accelerators, adjacent: %s\n", j.Accelerators, j.Adjacency)
-	fmt.Fprintf(w, "waits\t%s\n", j.Reason)
-	fmt.Fprintf(w, "because\t%s\n", j.Explanation)
-	if !j.Until.IsZero() {
-		fmt.Fprintf(w, "until\t%s\n", formatTime(j.Until))
+func printWait(w io.Writer, wait *api.JobWait) {
+	fmt.Fprintf(w, "needs\t%d accelerators, adjacent: %s\n", wait.Accelerators, wait.Adjacency)
+	fmt.Fprintf(w, "waits\t%s\n", wait.Reason)
+	fmt.Fprintf(w, "because\t%s\n", wait.Explanation)
+	if !wait.Until.IsZero() {
+		fmt.Fprintf(w, "until\t%s\n", formatTime(wait.Until))
 	}
 }
 
--- a/cmd/eelgrasshub/script_commands_test.go
+++ b/cmd/eelgrasshub/script_commands_test.go
@@ -131,15 +131,15 @@
 }
 
 // retryUntilSuccess calls try until it succeeds, and fails the script after pollTimeout.
-func retryUntilSuccess(ts *testscript.TestScript, what []string, try func() error) {
+func retryUntilSuccess(ts *testscript.TestScript, args []string, attempt func() error) {
 	deadline := time.Now().Add(pollTimeout)
 	for {
-		err := try()
+		err := attempt()
 		if err == nil {
 			return
 		}
 		if time.Now().After(deadline) {
-			ts.Fatalf("%q: not within %s: %v", what, pollTimeout, err)
+			ts.Fatalf("%q: not within %s: %v", args, pollTimeout, err)
 		}
 		time.Sleep(pollPeriod)
 	}
--- a/cmd/eelgrasshub/script_request_test.go
+++ b/cmd/eelgrasshub/script_request_test.go
@@ -43,13 +43,13 @@
 	var f requestFlags
 	_, err := flags.NewParser(&f, flags.None).ParseArgs(args)
 	ts.Check(err)
-	sent := &pendingRequest{done: make(chan struct{})}
-	requestsOf(ts)[f.Args.Name] = sent
+	request := &pendingRequest{done: make(chan struct{})}
+	requestsOf(ts)[f.Args.Name] = request
 	go func() {
-		defer close(sent.done)
+		defer close(request.done)
 		ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 		defer cancel()
-		sent.answer, sent.err = api.NewClient(f.Entry, nil).SendQuick(ctx, api.QuickRequest{
+		request.answer, request.err = api.NewClient(f.Entry, nil).SendQuick(ctx, api.QuickRequest{
 			CallOptions: api.CallOptions{Account: f.Account, Class: f.Class, IdempotencyKey: f.Key},
 			Service:     f.Service,
 			Path:        "check",
@@ -63,16 +63,16 @@
 // the file NAME: answer OUTCOME[|OUTCOME...] NAME
 func answerCmd(ts *testscript.TestScript, neg bool, args []string) {
 	checkUsage(ts, neg, len(args) == 2, "answer OUTCOME[|OUTCOME...] NAME")
-	sent := requestsOf(ts)[args[1]]
-	if sent == nil {
+	request := requestsOf(ts)[args[1]]
+	if request == nil {
 		ts.Fatalf("no request %q", args[1])
 	}
-	<-sent.done // limited by the context of the request
-	ts.Check(sent.err)
-	if got := string(sent.answer.Outcome); !slices.Contains(strings.Split(args[0], "|"), got) {
-		ts.Fatalf("outcome %q, want %q: %s", got, args[0], describeResponse(sent.answer))
+	<-request.done // limited by the context of the request
+	ts.Check(request.err)
+	if got := string(request.answer.Outcome); !slices.Contains(strings.Split(args[0], "|"), got) {
+		ts.Fatalf("outcome %q, want %q: %s", got, args[0], describeResponse(request.answer))
 	}
-	ts.Check(os.WriteFile(ts.MkAbs(args[1]), sent.answer.Body, 0o644))
+	ts.Check(os.WriteFile(ts.MkAbs(args[1]), request.answer.Body, 0o644))
 }
 
 func describeResponse(a api.QuickResponse) string {
--- a/document/active_set.go
+++ b/document/active_set.go
@@ -36,8 +36,8 @@
 
 // Current returns the active version of service, and whether there is one.
 func (a *ActiveSet) Current(service string) (*ActiveVersion, bool) {
-	h, ok := (*a.versions.Load())[service]
-	return h, ok
+	active, ok := (*a.versions.Load())[service]
+	return active, ok
 }
 
 // All returns the active versions, sorted by service.
@@ -84,14 +84,14 @@
 
 // compare classifies v against the active version of its service.
 func (a *ActiveSet) compare(v Version) UpdateResult {
-	h, ok := a.Current(v.Service)
+	active, ok := a.Current(v.Service)
 	switch {
 	case v.Generation == 0:
 		return UpdateOlder
 	case !ok:
 		return UpdateAccepted
 	}
-	return compareVersions(h.Version, v)
+	return compareVersions(active.Version, v)
 }
 
 // apply repeats the comparison under the lock and publishes v. doc is nil if v is invalid.
@@ -116,14 +116,14 @@
 }
 
 // publish replaces the table by a copy with the new version. The caller holds mu.
-func (a *ActiveSet) publish(h *ActiveVersion) {
+func (a *ActiveSet) publish(active *ActiveVersion) {
 	old := *a.versions.Load()
-	next := maps.Clone(old)
-	next[h.Version.Service] = h
-	a.versions.Store(&next)
-	delete(a.lastRefused, h.Version.Service)
+	versions := maps.Clone(old)
+	versions[active.Version.Service] = active
+	a.versions.Store(&versions)
+	delete(a.lastRefused, active.Version.Service)
 	if a.onChange != nil {
-		a.onChange(old[h.Version.Service], h)
+		a.onChange(old[active.Version.Service], active)
 	}
 }
 
--- a/document/active_set_test.go
+++ b/document/active_set_test.go
@@ -139,12 +139,12 @@
 			over = true
 		default:
 		}
-		if h, ok := set.Current("dispatch"); ok {
-			c.Assert(h.Version.Generation >= last, qt.IsTrue)
-			last = h.Version.Generation
+		if active, ok := set.Current("dispatch"); ok {
+			c.Assert(active.Version.Generation >= last, qt.IsTrue)
+			last = active.Version.Generation
 		}
 		runtime.Gosched()
 	}
-	h, _ := set.Current("dispatch")
-	c.Assert(h.Version.Generation, qt.Equals, uint64(highest))
+	active, _ := set.Current("dispatch")
+	c.Assert(active.Version.Generation, qt.Equals, uint64(highest))
 }
--- a/document/peer_comparison.go
+++ b/document/peer_comparison.go
@@ -11,8 +11,8 @@
 func (a *ActiveSet) Summaries() []Summary {
 	active := a.All()
 	list := make([]Summary, len(active))
-	for i, h := range active {
-		list[i] = h.Version.Summary()
+	for i, version := range active {
+		list[i] = version.Version.Summary()
 	}
 	return list
 }
@@ -66,12 +66,12 @@
 	var list []Version
 	size := 0
 	for _, s := range a.Compare(peer).Ahead {
-		h, _ := a.Current(s.Service)
-		size += len(h.Version.TOML)
+		active, _ := a.Current(s.Service)
+		size += len(active.Version.TOML)
 		if len(list) > 0 && size > maxBytes {
 			break
 		}
-		list = append(list, h.Version)
+		list = append(list, active.Version)
 	}
 	return list
 }
--- a/document/pending_write.go
+++ b/document/pending_write.go
@@ -28,13 +28,13 @@
 	mayHaveApplied bool // an earlier send may have been applied
 }
 
-func newPendingWrite(kv store.Store, p Proposal, next Version, expect store.Revision) (*pendingWrite, error) {
-	value, err := next.Marshal()
+func newPendingWrite(kv store.Store, p Proposal, version Version, expect store.Revision) (*pendingWrite, error) {
+	value, err := version.Marshal()
 	if err != nil {
 		return nil, err
 	}
-	swap := store.Swap{Key: StoreKey(next.Service), Expect: expect, Value: value}
-	return &pendingWrite{store: kv, proposal: p, version: next, swaps: []store.Swap{swap}}, nil
+	swap := store.Swap{Key: StoreKey(version.Service), Expect: expect, Value: value}
+	return &pendingWrite{store: kv, proposal: p, version: version, swaps: []store.Swap{swap}}, nil
 }
 
 // run sends the write until its outcome is known or ctx ends.
--- a/document/put.go
+++ b/document/put.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return Version{}, eris.Wrap(err, "nothing was written")
 	}
-	if taken := current.Version.Token == p.Token; taken {
+	if alreadyStored := current.Version.Token == p.Token; alreadyStored {
 		return current.Version, nil // an earlier attempt succeeded
 	}
 	if current.Version.Generation != p.BaseGeneration {
--- a/document/simulation_model_test.go
+++ b/document/simulation_model_test.go
@@ -76,11 +76,11 @@
 }
 
 func (s *simulation) generation(p *process) uint64 {
-	h, ok := p.active.Current("dispatch")
+	active, ok := p.active.Current("dispatch")
 	if !ok {
 		return 0
 	}
-	return h.Version.Generation
+	return active.Version.Generation
 }
 
 // handle passes an event to a process, performs the actions, and checks that the
--- a/document/simulation_test.go
+++ b/document/simulation_test.go
@@ -20,15 +20,15 @@
 // countHolders returns the number of places, excluding one process, that hold the latest
 // acknowledged version or a later one. Faults that would lose all of them are not
 // injected.
-func (s *simulation) countHolders(in storeBackup, without int) int {
+func (s *simulation) countHolders(backup storeBackup, excluded int) int {
 	n := 0
 	for i, p := range s.processes {
-		h, ok := p.active.Current("dispatch")
-		if ok && i != without && !h.Version.CreatedAt.Before(s.lastAcknowledged.CreatedAt) {
+		active, ok := p.active.Current("dispatch")
+		if ok && i != excluded && !active.Version.CreatedAt.Before(s.lastAcknowledged.CreatedAt) {
 			n++
 		}
 	}
-	if kv, ok := in.keys[document.StoreKey("dispatch")]; ok {
+	if kv, ok := backup.keys[document.StoreKey("dispatch")]; ok {
 		v, err := document.UnmarshalVersion(kv.Value)
 		s.c.Assert(err, qt.IsNil)
 		if !v.CreatedAt.Before(s.lastAcknowledged.CreatedAt) {
--- a/document/syncer.go
+++ b/document/syncer.go
@@ -4,7 +4,7 @@
 
 // SyncerConfig holds the limits and intervals of a Syncer.
 type SyncerConfig struct {
-	ReadsStore            bool          // false for agents, which learn of documents from entries
+	ReadsStore            bool          // whether this process reads the store; false in agents
 	RequiredConfirmations int           // ready peers that are needed if the store does not answer
 	QueryRounds           int           // rounds after which fewer confirmations are enough
 	MaxAnswerAge          time.Duration // age, since the query, above which an answer does not confirm
@@ -116,8 +116,8 @@
 			actions = append(actions, s.writeBackIfStale(now, stored)...)
 		}
 	}
-	for _, h := range s.active.All() {
-		if service := h.Version.Service; !listed[service] {
+	for _, active := range s.active.All() {
+		if service := active.Version.Service; !listed[service] {
 			actions = append(actions, s.writeBackIfStale(now, StoredVersion{Version: Version{Service: service}})...)
 		}
 	}
@@ -128,8 +128,8 @@
 // It does not write back: a restored store reuses revisions, so the event's revision may
 // belong to a newer write, which a compare-and-swap on it would overwrite.
 func (s *Syncer) relistIfStale(now time.Time, v Version) {
-	h, ok := s.active.Current(v.Service)
-	if ok && h.Version.Generation > v.Generation {
+	active, ok := s.active.Current(v.Service)
+	if ok && active.Version.Generation > v.Generation {
 		s.nextListAt = now
 	}
 }
@@ -138,14 +138,14 @@
 // as after the store was restored from a backup. The listed version has been passed to
 // Update before.
 func (s *Syncer) writeBackIfStale(now time.Time, stored StoredVersion) []SyncerAction {
-	h, ok := s.active.Current(stored.Version.Service)
-	if !ok || h.Version.Generation <= stored.Version.Generation {
+	active, ok := s.active.Current(stored.Version.Service)
+	if !ok || active.Version.Generation <= stored.Version.Generation {
 		return nil
 	}
 	if checkAt := now.Add(s.config.WriteBackCheckDelay); checkAt.Before(s.nextListAt) {
 		s.nextListAt = checkAt // to verify the write
 	}
-	return []SyncerAction{WriteBack{Version: h.Version, Expect: stored.Revision, Replaced: stored.Version}}
+	return []SyncerAction{WriteBack{Version: active.Version, Expect: stored.Revision, Replaced: stored.Version}}
 }
 
 func (s *Syncer) handlePeerAnswered(now time.Time, e PeerAnswered) {
--- a/document/syncer_test.go
+++ b/document/syncer_test.go
@@ -50,11 +50,11 @@
 }
 
 func (s *syncerTest) generation() uint64 {
-	h, ok := s.active.Current("dispatch")
+	active, ok := s.active.Current("dispatch")
 	if !ok {
 		return 0
 	}
-	return h.Version.Generation
+	return active.Version.Generation
 }
 
 // A process that starts during a store outage must not become ready after a single peer,
--- a/document/watcher_test.go
+++ b/document/watcher_test.go
@@ -36,11 +36,11 @@
 }
 
 func generationOf(active *document.ActiveSet) uint64 {
-	h, ok := active.Current("dispatch")
+	current, ok := active.Current("dispatch")
 	if !ok {
 		return 0
 	}
-	return h.Version.Generation
+	return current.Version.Generation
 }
 
 func TestWatcherFollowsTheStore(t *testing.T) {
