--- a/cmd/eelgrasshub/platform_standin.go
+++ b/cmd/eelgrasshub/platform_standin.go
@@ -44,6 +44,6 @@
 		return err
 	}
 	log.WithField("address", l.Addr().String()).Info(name + " started")
-	go func() { _ = srv.Serve(l) }() // ends with stop
+	go func() { _ = srv.Serve(l) }() // returns after stop
 	return serveUntilSignal(stop, commandTimeout, log)
 }
--- a/cmd/eelgrasshub/report_table.go
+++ b/cmd/eelgrasshub/report_table.go
@@ -89,6 +89,7 @@
 // maxWorkersShown limits the workers in a row of the table; the JSON output has more.
 const maxWorkersShown = 8
 
+// workerList joins the descriptions of the first workers of a list.
 func workerList(l api.WorkerList, text func(api.WorkerStatus) string) string {
 	var parts []string
 	for _, n := range l.Workers[:min(len(l.Workers), maxWorkersShown)] {
--- a/cmd/eelgrasshub/script_commands_test.go
+++ b/cmd/eelgrasshub/script_commands_test.go
@@ -55,6 +55,7 @@
 	}
 }
 
+// processVariable returns the value of a template variable for a process.
 func processVariable(ts *testscript.TestScript, process, key string) string {
 	if key == "ID" {
 		return process
@@ -130,7 +131,8 @@
 	return body, err
 }
 
-// retryUntilSuccess calls try until it succeeds, and fails the script after pollTimeout.
+// retryUntilSuccess calls attempt until it succeeds, and fails the script after
+// pollTimeout.
 func retryUntilSuccess(ts *testscript.TestScript, args []string, attempt func() error) {
 	deadline := time.Now().Add(pollTimeout)
 	for {
--- a/document/consistency.go
+++ b/document/consistency.go
@@ -70,7 +70,7 @@
 
 // minLossMargin is the minimum difference between the loss and the isolation timeout: the
 // longest time that a task takes to stop (3 s), plus twice the time in which two reports
-// of an agent arrive.
+// of an agent arrive. With less, the members of a gang would never all count as alive.
 const minLossMargin = 9 * time.Second
 
 func checkLossMargin(d *Document, result *schema.Result) {
--- a/document/peer_comparison.go
+++ b/document/peer_comparison.go
@@ -54,6 +54,7 @@
 	return s.Generation > have.Generation || s.Generation == have.Generation && s.Digest != have.Digest
 }
 
+// wasRefused reports whether s is the last refused version of its service.
 func (a *ActiveSet) wasRefused(s Summary) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/document/schema/range.go
+++ b/document/schema/range.go
@@ -19,6 +19,8 @@
 	return valueRange, elementRange
 }
 
+// describeRules describes the values that the rules accept, or returns "" if they accept
+// any.
 func describeRules(rules map[string]string, unit string) string {
 	for rule, description := range ruleDescriptions {
 		if _, ok := rules[rule]; ok {
@@ -44,6 +46,8 @@
 	return rules
 }
 
+// describeBounds describes the range given by the min and max rules, either of which may
+// be empty.
 func describeBounds(low, high string) string {
 	switch {
 	case low != "" && high != "":
--- a/document/schema/toml.go
+++ b/document/schema/toml.go
@@ -116,6 +116,7 @@
 	return k.Type + ", " + accepted
 }
 
+// findKey returns the key at path, which may contain array indexes.
 func findKey(keys []Key, path string) (Key, bool) {
 	path = stripIndexes(path)
 	for _, k := range keys {
@@ -126,6 +127,7 @@
 	return Key{}, false
 }
 
+// byteOffset converts a position, whose line and column start at 1, to an offset in data.
 func byteOffset(data []byte, line, col int) int {
 	offset := 0
 	for range line - 1 {
--- a/document/watcher_store.go
+++ b/document/watcher_store.go
@@ -75,6 +75,7 @@
 	}
 }
 
+// decodeSnapshot converts a listing of the store to an event.
 func (w *Watcher) decodeSnapshot(s store.Snapshot) StoreListed {
 	var listed StoreListed
 	for _, kv := range s.Keys {
