--- a/cmd/eelgrasshub/placement_check.go
+++ b/cmd/eelgrasshub/placement_check.go
@@ -42,21 +42,21 @@
 
 // placementProblem returns the problem of the guaranteed shape that the error names.
 func placementProblem(err error, p scheduler.Policy) document.PlacementProblem {
-	m := document.PlacementProblem{Reason: err.Error()}
-	var shape *scheduler.ShapeError
-	if !errors.As(err, &shape) {
-		return m
+	problem := document.PlacementProblem{Reason: err.Error()}
+	var shapeErr *scheduler.ShapeError
+	if !errors.As(err, &shapeErr) {
+		return problem
 	}
 	for i, a := range p.Accounts {
-		if a.ID != shape.Account {
+		if a.ID != shapeErr.Account {
 			continue
 		}
-		m.Account = i
+		problem.Account = i
 		for j, g := range a.Guaranteed {
-			if g == shape.Shape {
-				m.Guarantee = j
+			if g == shapeErr.Shape {
+				problem.Guarantee = j
 			}
 		}
 	}
-	return m
+	return problem
 }
--- a/cmd/eelgrasshub/process.go
+++ b/cmd/eelgrasshub/process.go
@@ -18,13 +18,13 @@
 
 // newLogTo is like newLog, with another destination.
 func newLogTo(out io.Writer, level string) (*logrus.Entry, error) {
-	lvl, err := logrus.ParseLevel(level)
+	parsed, err := logrus.ParseLevel(level)
 	if err != nil {
 		return nil, err
 	}
 	log := logrus.New()
 	log.SetOutput(out)
-	log.SetLevel(lvl)
+	log.SetLevel(parsed)
 	log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano})
 	return logrus.NewEntry(log), nil
 }
--- a/document/schema/toml.go
+++ b/document/schema/toml.go
@@ -16,13 +16,13 @@
 
 // decode returns false if the file cannot be decoded at all, for example because of a
 // syntax error.
-func (r *Result) decode(data []byte, into any) bool {
-	keys := collectKeys(reflect.TypeOf(into).Elem(), "", nil)
+func (r *Result) decode(data []byte, value any) bool {
+	keys := collectKeys(reflect.TypeOf(value).Elem(), "", nil)
 	data = r.rejectBareDurations(data, keys)
 	for range maxTypeErrors {
-		reflect.ValueOf(into).Elem().SetZero()
+		reflect.ValueOf(value).Elem().SetZero()
 		dec := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields()
-		err := dec.Decode(into)
+		err := dec.Decode(value)
 		var unknownKeys *toml.StrictMissingError
 		var decodeErr *toml.DecodeError
 		switch {
--- a/document/update_result.go
+++ b/document/update_result.go
@@ -13,8 +13,8 @@
 )
 
 // String returns the result in lower case.
-func (d UpdateResult) String() string {
-	switch d {
+func (r UpdateResult) String() string {
+	switch r {
 	case UpdateAccepted:
 		return "accepted"
 	case UpdateUnchanged:
--- a/document/watcher_test.go
+++ b/document/watcher_test.go
@@ -23,9 +23,9 @@
 
 // startWatcher starts a Watcher and stops it at the end of the test. Within synctest,
 // leaked goroutines fail the test.
-func startWatcher(t *testing.T, kv store.Store, ask document.PeerQuery) (*document.ActiveSet, *document.Watcher) {
+func startWatcher(t *testing.T, kv store.Store, query document.PeerQuery) (*document.ActiveSet, *document.Watcher) {
 	active := document.NewActiveSet(nil)
-	w := document.NewWatcher(kv, ask, active, document.DefaultSyncerConfig(kv != nil), discardLogger())
+	w := document.NewWatcher(kv, query, active, document.DefaultSyncerConfig(kv != nil), discardLogger())
 	t.Cleanup(func() { qt.Check(t, w.Stop(), qt.IsNil) })
 	return active, w
 }
