--- a/internal/capacity/agent_test.go
+++ b/internal/capacity/agent_test.go
@@ -16,25 +16,25 @@
 	"github.com/eelgrasshub/eelgrasshub/internal/testport"
 )
 
-// relay passes on datagrams and counts them with their headers. Its flows end
+// countingProxy passes on datagrams and counts them with their headers. Its flows end
 // with the test.
-type relay struct {
-	bytes  atomic.Int64
-	socket *net.UDPConn
-	to     *net.UDPAddr
-	flows  map[string]*net.UDPConn
+type countingProxy struct {
+	bytes    atomic.Int64
+	socket   *net.UDPConn
+	upstream *net.UDPAddr
+	flows    map[string]*net.UDPConn
 }
 
-func newRelay(c *qt.C, upstream string) *relay {
+func newCountingProxy(c *qt.C, upstream string) *countingProxy {
 	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	c.Assert(err, qt.IsNil)
 	to, err := net.ResolveUDPAddr("udp", upstream)
 	c.Assert(err, qt.IsNil)
-	r := &relay{socket: socket, to: to, flows: make(map[string]*net.UDPConn)}
+	r := &countingProxy{socket: socket, upstream: to, flows: make(map[string]*net.UDPConn)}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		r.run()
+		r.forwardToUpstream()
 	}()
 	c.Cleanup(func() {
 		_ = socket.Close()
@@ -46,7 +46,7 @@
 	return r
 }
 
-func (r *relay) run() {
+func (r *countingProxy) forwardToUpstream() {
 	buf := make([]byte, 64<<10)
 	for {
 		n, from, err := r.socket.ReadFromUDP(buf)
@@ -55,18 +55,18 @@
 		}
 		up := r.flows[from.String()]
 		if up == nil {
-			if up, err = net.DialUDP("udp", nil, r.to); err != nil {
+			if up, err = net.DialUDP("udp", nil, r.upstream); err != nil {
 				return
 			}
 			r.flows[from.String()] = up
-			go r.back(up, from)
+			go r.forwardFromUpstream(up, from)
 		}
 		r.bytes.Add(int64(n + headerBytes))
 		_, _ = up.Write(buf[:n])
 	}
 }
 
-func (r *relay) back(up *net.UDPConn, to *net.UDPAddr) {
+func (r *countingProxy) forwardFromUpstream(up *net.UDPConn, to *net.UDPAddr) {
 	buf := make([]byte, 64<<10)
 	for {
 		n, err := up.Read(buf)
@@ -81,7 +81,7 @@
 // TestMeasureAgent gives what a real agent costs: idle, with 8 running tasks of
 // one member, and as a member of a gang of 16.
 func TestMeasureAgent(t *testing.T) {
-	needMeasure(t)
+	requireMeasure(t)
 	for _, every := range []time.Duration{time.Second, 5 * time.Second, 10 * time.Second} {
 		t.Run(fmt.Sprint("every=", every), func(t *testing.T) { measureAgent(qt.New(t), every) })
 	}
@@ -89,22 +89,22 @@
 
 func measureAgent(c *qt.C, every time.Duration) {
 	names := services(1)
-	s := newSite(c, names...)
-	cfg := s.entry("entry-1", every)
+	s := newTestRegion(c, names...)
+	cfg := s.entrySettings("entry-1", every)
 	cfg.QUICListen = testport.Capacity.FreeAddr()
-	r := newRelay(c, cfg.QUICListen)
+	r := newCountingProxy(c, cfg.QUICListen)
 	cfg.Advertise = r.socket.LocalAddr().String()
-	e, err := entry.Start(cfg, quiet())
+	e, err := entry.Start(cfg, discardLogger())
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(e.Close)
-	other, err := agent.Start(s.worker("worker-2", names[0], cfg.Advertise, every), quiet())
+	other, err := agent.Start(s.startTarget("worker-2", names[0], cfg.Advertise, every), discardLogger())
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(other.Close)
-	p := startProcess(c, agentEnv, s.worker("worker-1", names[0], cfg.Advertise, every))
-	eventually(c, "both known", func() bool { known, inForce := s.alive(e.HTTPAddr(), 1); return known == 2 && inForce == 2 })
+	p := startProcess(c, agentEnv, s.startTarget("worker-1", names[0], cfg.Advertise, every))
+	eventually(c, "both known", func() bool { known, inForce := s.countAlive(e.HTTPAddr(), 1); return known == 2 && inForce == 2 })
 	client := api.NewClient("http://"+e.HTTPAddr(), nil)
 	watch := func(what string) {
-		time.Sleep(2 * settle)
+		time.Sleep(2 * settleTime)
 		const span = 10 * time.Second
 		bytes, before := r.bytes.Load(), p.usage()
 		time.Sleep(span)
@@ -113,7 +113,7 @@
 			every, what, 100*after.ProcessorTimeSince(before).Seconds()/span.Seconds(), after.Heap>>10, after.Stacks>>10, after.Resident>>10, after.Goroutines, float64(bytes)/2/span.Seconds(), loadAverage())
 	}
 	watch("idle")
-	gangJob := s.job(client, names[0], "gang", 16, 18*time.Second)
+	gangJob := s.submitJob(client, names[0], "gang", 16, 18*time.Second)
 	watch("one of two members of a gang of 16 runs")
 	time.Sleep(8 * time.Second)
 	status, err := client.GetJob(context.Background(), names[0], gangJob, 0)
@@ -122,7 +122,7 @@
 	_, err = client.CancelJob(context.Background(), names[0], gangJob)
 	c.Assert(err, qt.IsNil)
 	for i := range 16 {
-		s.job(client, names[0], fmt.Sprint("small-", i), 1, time.Minute)
+		s.submitJob(client, names[0], fmt.Sprint("small-", i), 1, time.Minute)
 	}
 	watch("8 tasks of one member run")
 }
--- a/internal/capacity/call_counter.go
+++ b/internal/capacity/call_counter.go
@@ -17,14 +17,14 @@
 type CallCounter struct {
 	store http.Handler
 
-	mu     sync.Mutex
-	calls  map[string]int
-	leases map[string]string
+	mu        sync.Mutex
+	calls     map[string]int
+	leaseKeys map[string]string
 }
 
 // NewCallCounter returns a handler that counts and passes on.
 func NewCallCounter(store http.Handler) *CallCounter {
-	return &CallCounter{store: store, calls: make(map[string]int), leases: make(map[string]string)}
+	return &CallCounter{store: store, calls: make(map[string]int), leaseKeys: make(map[string]string)}
 }
 
 // ServeHTTP implements http.Handler.
@@ -36,28 +36,28 @@
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	var call any
 	if json.Unmarshal(body, &call) == nil {
-		c.count(r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:], call)
+		c.record(r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:], call)
 	}
 	c.store.ServeHTTP(w, r)
 }
 
-func (c *CallCounter) count(kind string, call any) {
+func (c *CallCounter) record(kind string, call any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	found := &concern{}
+	found := &callSubject{}
 	found.walk(call)
 	if found.key == "" {
-		found.key = c.leases[found.lease]
+		found.key = c.leaseKeys[found.lease]
 	} else if found.lease != "" {
-		c.leases[found.lease] = found.key
+		c.leaseKeys[found.lease] = found.key
 	}
 	c.calls[kind+" "+found.key]++
 }
 
-// concern is the first key and the lease that a call names.
-type concern struct{ key, lease string }
+// callSubject is the first key and the lease that a call names.
+type callSubject struct{ key, lease string }
 
-func (f *concern) walk(v any) {
+func (f *callSubject) walk(v any) {
 	switch v := v.(type) {
 	case []any:
 		for _, e := range v {
@@ -65,13 +65,13 @@
 		}
 	case map[string]any:
 		for name, e := range v {
-			f.take(name, e)
+			f.visitField(name, e)
 			f.walk(e)
 		}
 	}
 }
 
-func (f *concern) take(name string, v any) {
+func (f *callSubject) visitField(name string, v any) {
 	text := fmt.Sprint(v)
 	var key []byte
 	switch name {
--- a/internal/capacity/document_listing_test.go
+++ b/internal/capacity/document_listing_test.go
@@ -20,7 +20,7 @@
 // byteCounter counts the bodies that a handler writes to answers of listings.
 type byteCounter struct {
 	http.Handler
-	answers, bytes atomic.Int64
+	responses, bytes atomic.Int64
 }
 
 func (b *byteCounter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -28,7 +28,7 @@
 		b.Handler.ServeHTTP(w, r)
 		return
 	}
-	b.answers.Add(1)
+	b.responses.Add(1)
 	b.Handler.ServeHTTP(countedWriter{w, &b.bytes}, r)
 }
 
@@ -45,7 +45,7 @@
 // TestMeasureDocumentListing gives the bytes of a whole listing of 94 documents
 // of the sample's size, and of a Watcher's later ones without news.
 func TestMeasureDocumentListing(t *testing.T) {
-	c := needMeasure(t)
+	c := requireMeasure(t)
 	srv := standin.New(standin.Options{})
 	counted := &byteCounter{Handler: srv}
 	web := httptest.NewServer(counted)
@@ -70,11 +70,11 @@
 	_, err = store.List(context.Background(), document.StoreKeyPrefix)
 	c.Assert(err, qt.IsNil)
 	first := counted.bytes.Load() - before
-	w := document.NewWatcher(store, nil, document.NewActiveSet(nil), cfg, quiet())
+	w := document.NewWatcher(store, nil, document.NewActiveSet(nil), cfg, discardLogger())
 	<-w.Ready()
-	answers, bytes := counted.answers.Load(), counted.bytes.Load()
+	answers, bytes := counted.responses.Load(), counted.bytes.Load()
 	time.Sleep(5 * time.Second)
-	answers, bytes = counted.answers.Load()-answers, counted.bytes.Load()-bytes
+	answers, bytes = counted.responses.Load()-answers, counted.bytes.Load()-bytes
 	c.Assert(w.Stop(), qt.IsNil)
 	c.Logf("94 documents of %d bytes: whole listing %d bytes, %d later ones %d bytes each | load %s",
 		len(sample), first, answers, bytes/max(answers, 1), loadAverage())
--- a/internal/capacity/entry_test.go
+++ b/internal/capacity/entry_test.go
@@ -8,12 +8,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-const settle = 2 * time.Second
+const settleTime = 2 * time.Second
 
 // TestMeasureEntry gives an entry's memory, processor time and traffic with n
 // agents that report every so often, with and without a changing load.
 func TestMeasureEntry(t *testing.T) {
-	needMeasure(t)
+	requireMeasure(t)
 	for _, n := range []int{100, 300, 1000} {
 		for _, every := range []time.Duration{time.Second, 5 * time.Second, 10 * time.Second} {
 			for _, loads := range []bool{false, true} {
@@ -31,7 +31,7 @@
 // TestMeasureEntryServices is the same for many services, whose documents all
 // agents hear of.
 func TestMeasureEntryServices(t *testing.T) {
-	needMeasure(t)
+	requireMeasure(t)
 	for _, n := range []int{1, 10, 94} {
 		t.Run(fmt.Sprintf("services=%d", n), func(t *testing.T) {
 			measureEntry(qt.New(t), 300, n, time.Second, true)
@@ -41,22 +41,22 @@
 
 func measureEntry(c *qt.C, n, serviceCount int, every time.Duration, loads bool) {
 	names := services(serviceCount)
-	s := newSite(c, names...)
-	p := startProcess(c, entryEnv, s.entry("entry-1", every))
-	time.Sleep(settle)
+	s := newTestRegion(c, names...)
+	p := startProcess(c, entryEnv, s.entrySettings("entry-1", every))
+	time.Sleep(settleTime)
 	start := p.usage()
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	empty := p.usage()
-	f := NewFleet(p.ready[0], every, loads)
+	f := NewFleet(p.addresses[0], every, loads)
 	c.Cleanup(f.Stop)
 	began := time.Now()
 	c.Assert(f.Add(n, names...), qt.IsNil)
 	eventually(c, "all agents known", func() bool {
-		known, _ := s.alive(p.ready[1], 1)
+		known, _ := s.countAlive(p.addresses[1], 1)
 		return known == n
 	})
 	known := time.Since(began)
-	time.Sleep(3*settle + 3*every) // path MTU discovery ends
+	time.Sleep(3*settleTime + 3*every) // path MTU discovery ends
 	before := p.usage()
 	bytes := func() int64 { return f.Traffic.SentBytes.Load() + f.Traffic.ReceivedBytes.Load() }
 	b, reports := bytes(), f.Reports.Load()
@@ -70,34 +70,34 @@
 		n, serviceCount, every, loads, empty.Heap>>10, empty.Resident>>10, each(after.Heap, empty.Heap), each(after.Stacks, empty.Stacks), each(after.Resident, empty.Resident),
 		float64(after.Goroutines-empty.Goroutines)/float64(n),
 		float64(processor.Microseconds())/float64(n)/span.Seconds(), float64(processor.Microseconds())/float64(max(1, reports)), 100*processor.Seconds()/span.Seconds(),
-		float64(b)/float64(n)/span.Seconds(), float64(b)/float64(max(1, reports)), known.Round(time.Millisecond), 100*(empty.ProcessorTimeSince(start)).Seconds()/settle.Seconds(), loadAverage())
+		float64(b)/float64(n)/span.Seconds(), float64(b)/float64(max(1, reports)), known.Round(time.Millisecond), 100*(empty.ProcessorTimeSince(start)).Seconds()/settleTime.Seconds(), loadAverage())
 }
 
-// TestMeasureNews gives the traffic of agents whose own documents do not change
+// TestMeasureOtherServiceChanges gives the traffic of agents whose own documents do not change
 // while those of another service do.
-func TestMeasureNews(t *testing.T) {
-	needMeasure(t)
+func TestMeasureOtherServiceChanges(t *testing.T) {
+	requireMeasure(t)
 	for _, n := range []int{2, 94} {
-		t.Run(fmt.Sprintf("services=%d", n), func(t *testing.T) { measureNews(qt.New(t), n) })
+		t.Run(fmt.Sprintf("services=%d", n), func(t *testing.T) { measureOtherServiceChanges(qt.New(t), n) })
 	}
 }
 
-func measureNews(c *qt.C, serviceCount int) {
+func measureOtherServiceChanges(c *qt.C, serviceCount int) {
 	const n, every, span = 100, time.Second, 10
 	names := services(serviceCount)
-	s := newSite(c, names...)
-	p := startProcess(c, entryEnv, s.entry("entry-1", every))
-	f := NewFleet(p.ready[0], every, false)
+	s := newTestRegion(c, names...)
+	p := startProcess(c, entryEnv, s.entrySettings("entry-1", every))
+	f := NewFleet(p.addresses[0], every, false)
 	c.Cleanup(f.Stop)
 	c.Assert(f.Add(n, names[0]), qt.IsNil)
-	eventually(c, "all agents in force", func() bool { _, inForce := s.alive(p.ready[1], 1); return inForce == n })
-	time.Sleep(5 * settle)
+	eventually(c, "all agents in force", func() bool { _, inForce := s.countAlive(p.addresses[1], 1); return inForce == n })
+	time.Sleep(5 * settleTime)
 	traffic := func() int64 { return f.Traffic.SentBytes.Load() + f.Traffic.ReceivedBytes.Load() }
 	for _, changes := range []bool{false, true} {
 		bytes, reports, before := traffic(), f.Reports.Load(), p.usage()
 		for i := range span {
 			if changes {
-				s.put(names[1], uint64(i+1))
+				s.putDocument(names[1], uint64(i+1))
 			}
 			time.Sleep(time.Second)
 		}
@@ -107,21 +107,21 @@
 	}
 }
 
-// TestMeasureReturn lets all agents of an availability zone return at once.
-func TestMeasureReturn(t *testing.T) {
-	needMeasure(t)
+// TestMeasureMassReconnect lets all agents of an availability zone return at once.
+func TestMeasureMassReconnect(t *testing.T) {
+	requireMeasure(t)
 	for _, n := range []int{100, 300, 900} {
-		t.Run(fmt.Sprintf("agents=%d", n), func(t *testing.T) { measureReturn(qt.New(t), n) })
+		t.Run(fmt.Sprintf("agents=%d", n), func(t *testing.T) { measureMassReconnect(qt.New(t), n) })
 	}
 }
 
-func measureReturn(c *qt.C, n int) {
+func measureMassReconnect(c *qt.C, n int) {
 	const every = 10 * time.Second
 	names := services(1)
-	s := newSite(c, names...)
-	p := startProcess(c, entryEnv, s.entry("entry-1", every))
-	time.Sleep(settle)
-	f := NewFleet(p.ready[0], every, false)
+	s := newTestRegion(c, names...)
+	p := startProcess(c, entryEnv, s.entrySettings("entry-1", every))
+	time.Sleep(settleTime)
+	f := NewFleet(p.addresses[0], every, false)
 	c.Cleanup(f.Stop)
 	for round := range 3 {
 		failed, shed, bytes := f.Failed.Load(), f.Refused.Load(), f.Traffic.SentBytes.Load()+f.Traffic.ReceivedBytes.Load()
@@ -138,41 +138,41 @@
 			float64((after.Processor-before.Processor).Microseconds())/1000/float64(n), after.Heap>>20, after.Resident>>20, f.Failed.Load()-failed, f.Refused.Load()-shed,
 			float64(f.Traffic.SentBytes.Load()+f.Traffic.ReceivedBytes.Load()-bytes)/1024/float64(n), loadAverage())
 		f.Stop()
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 	}
 }
 
-// TestMeasureDocument gives the time from an accepted put to the generation in
+// TestMeasureDocumentDistribution gives the time from an accepted put to the generation in
 // force at each agent, and the traffic that it costs.
-func TestMeasureDocument(t *testing.T) {
-	needMeasure(t)
+func TestMeasureDocumentDistribution(t *testing.T) {
+	requireMeasure(t)
 	for _, n := range []int{100, 300, 1000} {
-		t.Run(fmt.Sprintf("agents=%d", n), func(t *testing.T) { measureDocument(qt.New(t), n) })
+		t.Run(fmt.Sprintf("agents=%d", n), func(t *testing.T) { measureDocumentDistribution(qt.New(t), n) })
 	}
 }
 
-func measureDocument(c *qt.C, n int) {
+func measureDocumentDistribution(c *qt.C, n int) {
 	const every = 10 * time.Second
 	names := services(1)
-	s := newSite(c, names...)
-	p := startProcess(c, entryEnv, s.entry("entry-1", every))
-	f := NewFleet(p.ready[0], every, false)
+	s := newTestRegion(c, names...)
+	p := startProcess(c, entryEnv, s.entrySettings("entry-1", every))
+	f := NewFleet(p.addresses[0], every, false)
 	c.Cleanup(f.Stop)
 	c.Assert(f.Add(n, names...), qt.IsNil)
 	eventually(c, "all agents in force", func() bool {
-		known, inForce := s.alive(p.ready[1], 1)
+		known, inForce := s.countAlive(p.addresses[1], 1)
 		return known == n && inForce == n
 	})
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	for generation := uint64(1); generation < 6; generation++ {
 		bytes := f.Traffic.SentBytes.Load() + f.Traffic.ReceivedBytes.Load()
 		before := p.usage()
 		calls := s.calls.Calls()
 		began := time.Now()
-		v := s.put(names[0], generation)
+		v := s.putDocument(names[0], generation)
 		accepted := time.Since(began)
 		eventually(c, "in force", func() bool { return len(f.AppliedAt(v.Generation)) == n })
-		reported := eventually(c, "reported", func() bool { _, inForce := s.alive(p.ready[1], v.Generation); return inForce == n })
+		reported := eventually(c, "reported", func() bool { _, inForce := s.countAlive(p.addresses[1], v.Generation); return inForce == n })
 		after := p.usage()
 		var took []time.Duration
 		for _, at := range f.AppliedAt(v.Generation) {
@@ -180,12 +180,12 @@
 		}
 		c.Logf("%d agents, document of %d bytes: accepted after %v, in force p50 %v p99 %v max %v, all reported %v later | entry's processor %v, %.1f KB an agent both ways | calls %v | load %s",
 			n, len(v.TOML), accepted.Round(time.Microsecond), quantile(took, 0.5), quantile(took, 0.99), quantile(took, 1), reported.Round(time.Millisecond),
-			after.ProcessorTimeSince(before).Round(time.Millisecond), float64(f.Traffic.SentBytes.Load()+f.Traffic.ReceivedBytes.Load()-bytes)/1024/float64(n), grown(s.calls.Calls(), calls, 1), loadAverage())
+			after.ProcessorTimeSince(before).Round(time.Millisecond), float64(f.Traffic.SentBytes.Load()+f.Traffic.ReceivedBytes.Load()-bytes)/1024/float64(n), callIncrease(s.calls.Calls(), calls, 1), loadAverage())
 	}
 }
 
-// grown returns the calls by cause since before, divided by n.
-func grown(now, before map[string]int, n float64) string {
+// callIncrease returns the calls by cause since before, divided by n.
+func callIncrease(now, before map[string]int, n float64) string {
 	out := make(map[string]string)
 	for cause, calls := range now {
 		if calls > before[cause] {
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -23,32 +23,32 @@
 	// RelayReports counts reports answered by a relay.
 	Reports, Failed, Refused, Admitted, RelayReports atomic.Int64
 
-	entry string
-	every time.Duration
-	loads bool
-	rack  int
+	entry        string
+	reportPeriod time.Duration
+	varyLoad     bool
+	rackSize     int
 
-	mu      sync.Mutex
-	agents  []*standinAgent
-	reached map[uint64][]time.Time // when a generation came in force, by agent
+	mu        sync.Mutex
+	agents    []*standinAgent
+	appliedAt map[uint64][]time.Time // when a generation came in force, by agent
 }
 
 // NewFleet returns a fleet without agents. With loads, the load of each agent
 // changes between any two of its reports.
 func NewFleet(entry string, every time.Duration, loads bool) *Fleet {
-	return &Fleet{entry: entry, every: every, loads: loads, reached: make(map[uint64][]time.Time)}
+	return &Fleet{entry: entry, reportPeriod: every, varyLoad: loads, appliedAt: make(map[uint64][]time.Time)}
 }
 
 // SetRackSize spreads the stand-ins over racks of n each, "rack-0" first. They report by
 // the relay that the entry names there, and are none themselves. Call it before
 // Add.
-func (f *Fleet) SetRackSize(n int) { f.rack = n }
+func (f *Fleet) SetRackSize(n int) { f.rackSize = n }
 
-func (f *Fleet) rackOf(i int) string {
-	if f.rack == 0 {
+func (f *Fleet) rackName(i int) string {
+	if f.rackSize == 0 {
 		return "rack-0"
 	}
-	return fmt.Sprint("rack-", i/f.rack)
+	return fmt.Sprint("rack-", i/f.rackSize)
 }
 
 // Add starts n agents at once, spread evenly over the services.
@@ -57,7 +57,7 @@
 	from := len(f.agents)
 	f.mu.Unlock()
 	for i := from; i < from+n; i++ {
-		a, err := startStandin(f, fmt.Sprintf("agent-%05d", i), services[i%len(services)], f.rackOf(i))
+		a, err := startStandinAgent(f, fmt.Sprintf("agent-%05d", i), services[i%len(services)], f.rackName(i))
 		if err != nil {
 			return err
 		}
@@ -81,15 +81,15 @@
 	wg.Wait()
 }
 
-func (f *Fleet) inForce(generation uint64) {
+func (f *Fleet) recordApplied(generation uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.reached[generation] = append(f.reached[generation], time.Now())
+	f.appliedAt[generation] = append(f.appliedAt[generation], time.Now())
 }
 
 // AppliedAt returns when each agent that has it put a generation in force.
 func (f *Fleet) AppliedAt(generation uint64) []time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]time.Time(nil), f.reached[generation]...)
+	return append([]time.Time(nil), f.appliedAt[generation]...)
 }
--- a/internal/capacity/leadership_handover_test.go
+++ b/internal/capacity/leadership_handover_test.go
@@ -14,38 +14,41 @@
 	"github.com/eelgrasshub/eelgrasshub/jobs"
 )
 
-// TestMeasureHandOver has a gang of two members run in each of ten services while
+// TestMeasureLeadershipHandover has a gang of two members run in each of ten services while
 // an entry that came late is handed its share of the duties. It is the run that
 // shows that hand-overs disturb no gang; the wait before them is too long for a
 // test of each commit.
-func TestMeasureHandOver(t *testing.T) {
-	c := needMeasure(t)
+func TestMeasureLeadershipHandover(t *testing.T) {
+	c := requireMeasure(t)
 	const n, run = 10, 45 * time.Second
 	names := services(n)
-	s := newSite(c, names...)
+	s := newTestRegion(c, names...)
 	begin := func(id string) *entry.Entry {
-		e, err := entry.Start(s.entry(id, time.Second), quiet())
+		e, err := entry.Start(s.entrySettings(id, time.Second), discardLogger())
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(e.Close)
 		return e
 	}
 	first := begin("entry-1")
-	eventually(c, "all duties held", func() bool { return held(c, []*entry.Entry{first})[0] == n })
+	eventually(c, "all duties held", func() bool { return countLeaderships(c, []*entry.Entry{first})[0] == n })
 	for i, name := range names {
 		for k := range 2 {
-			a, err := agent.Start(s.worker(fmt.Sprintf("worker-%d-%d", i, k), name, first.QUICAddr(), time.Second), quiet())
+			a, err := agent.Start(s.startTarget(fmt.Sprintf("worker-%d-%d", i, k), name, first.QUICAddr(), time.Second), discardLogger())
 			c.Assert(err, qt.IsNil)
 			c.Cleanup(a.Close)
 		}
 	}
-	eventually(c, "agents known", func() bool { known, inForce := s.alive(first.HTTPAddr(), 1); return known == 2*n && inForce == 2*n })
+	eventually(c, "agents known", func() bool {
+		known, inForce := s.countAlive(first.HTTPAddr(), 1)
+		return known == 2*n && inForce == 2*n
+	})
 	second := begin("entry-2")
 	client := api.NewClient("http://"+first.HTTPAddr(), nil)
 	eventually(c, "ready", func() bool { return client.Ready(context.Background()) == nil })
 	records := jobs.NewStore(region, s.client, nil)
 	ids := make(map[string]string)
 	for _, name := range names {
-		ids[name] = s.job(client, name, "gang-"+name, 16, run)
+		ids[name] = s.submitJob(client, name, "gang-"+name, 16, run)
 	}
 	moved := 0
 	for _, name := range names {
--- a/internal/capacity/measure_test.go
+++ b/internal/capacity/measure_test.go
@@ -19,7 +19,7 @@
 //	go test ./internal/capacity -run TestMeasureEntry/agents=300 -measure -v
 var measure = flag.Bool("measure", false, "run the measurements; each takes up to two minutes")
 
-func needMeasure(t testing.TB) *qt.C {
+func requireMeasure(t testing.TB) *qt.C {
 	if !*measure {
 		t.Skip("needs -measure")
 	}
@@ -36,7 +36,7 @@
 	return fields[0]
 }
 
-func quiet() *logrus.Entry {
+func discardLogger() *logrus.Entry {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return logrus.NewEntry(log)
--- a/internal/capacity/membership_table_test.go
+++ b/internal/capacity/membership_table_test.go
@@ -9,11 +9,11 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// TestMeasureTable gives the membership table's cost of a report that changes
+// TestMeasureMembershipTable gives the membership table's cost of a report that changes
 // the load, as an entry configures it (published at once) and with a pause
 // between snapshots, and its memory.
-func TestMeasureTable(t *testing.T) {
-	c := needMeasure(t)
+func TestMeasureMembershipTable(t *testing.T) {
+	c := requireMeasure(t)
 	for range 3 {
 		for _, n := range []int{180, 900, 3400, 17000} {
 			for _, pause := range []time.Duration{0, 20 * time.Millisecond} {
--- a/internal/capacity/planner_failover_test.go
+++ b/internal/capacity/planner_failover_test.go
@@ -14,41 +14,41 @@
 	"github.com/eelgrasshub/eelgrasshub/jobs"
 )
 
-// TestMeasureDeath kills the process that plans and gives the time until another
+// TestMeasurePlannerFailover kills the process that plans and gives the time until another
 // holds its duties, and until a job that comes at that moment has run.
-func TestMeasureDeath(t *testing.T) {
-	needMeasure(t)
+func TestMeasurePlannerFailover(t *testing.T) {
+	requireMeasure(t)
 	for _, n := range []int{1, 94} {
-		t.Run(fmt.Sprintf("services=%d", n), func(t *testing.T) { measureDeath(qt.New(t), n) })
+		t.Run(fmt.Sprintf("services=%d", n), func(t *testing.T) { measurePlannerFailover(qt.New(t), n) })
 	}
 }
 
-func measureDeath(c *qt.C, n int) {
+func measurePlannerFailover(c *qt.C, n int) {
 	const rounds = 5
 	names := services(n)
 	var all, first, ran []time.Duration
 	for round := range rounds {
-		s := newSite(c, names...)
-		dying := startProcess(c, entryEnv, s.entry("entry-1", time.Second))
-		planner := api.NewClient("http://"+dying.ready[1], nil)
-		eventually(c, "all duties at the first", func() bool { return len(duties(c, planner)) == n })
-		e, err := entry.Start(s.entry("entry-2", time.Second), quiet())
+		s := newTestRegion(c, names...)
+		dying := startProcess(c, entryEnv, s.entrySettings("entry-1", time.Second))
+		planner := api.NewClient("http://"+dying.addresses[1], nil)
+		eventually(c, "all duties at the first", func() bool { return len(listLeaderships(c, planner)) == n })
+		e, err := entry.Start(s.entrySettings("entry-2", time.Second), discardLogger())
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(e.Close)
 		records := jobs.NewStore(region, s.client, nil)
 		client := api.NewClient("http://"+e.HTTPAddr(), nil)
 		for i := range 4 {
-			a, err := agent.Start(s.worker(fmt.Sprint("worker-", i), names[0], e.QUICAddr(), time.Second), quiet())
+			a, err := agent.Start(s.startTarget(fmt.Sprint("worker-", i), names[0], e.QUICAddr(), time.Second), discardLogger())
 			c.Assert(err, qt.IsNil)
 			c.Cleanup(a.Close)
 		}
 		eventually(c, "ready", func() bool { return client.Ready(context.Background()) == nil })
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		began := time.Now()
 		c.Assert(dying.cmd.Process.Kill(), qt.IsNil)
 		job := make(chan time.Duration)
 		go func() {
-			id := s.job(client, names[0], fmt.Sprint("job-", round), 1, time.Millisecond)
+			id := s.submitJob(client, names[0], fmt.Sprint("job-", round), 1, time.Millisecond)
 			eventually(c, "the job is done", func() bool {
 				rec, err := records.Get(context.Background(), names[0], id)
 				return err == nil && rec.State == jobs.Done
@@ -57,7 +57,7 @@
 		}()
 		eventually(c, "first duty", func() bool { return e.Epoch(names[0]) > 0 })
 		first = append(first, time.Since(began))
-		eventually(c, "all duties", func() bool { return len(duties(c, client)) == n })
+		eventually(c, "all duties", func() bool { return len(listLeaderships(c, client)) == n })
 		all = append(all, time.Since(began))
 		ran = append(ran, <-job)
 		e.Close()
@@ -66,7 +66,7 @@
 		n, rounds, quantile(first, 0.5), quantile(first, 1), quantile(all, 0.5), quantile(all, 1), quantile(ran, 0.5), quantile(ran, 1), loadAverage())
 }
 
-func duties(c *qt.C, client *api.Client) []api.Leadership {
+func listLeaderships(c *qt.C, client *api.Client) []api.Leadership {
 	status, err := client.Status(context.Background())
 	c.Assert(err, qt.IsNil)
 	return status.Leaderships
--- a/internal/capacity/planner_takeover_test.go
+++ b/internal/capacity/planner_takeover_test.go
@@ -22,15 +22,15 @@
 
 var errNoAgent = errors.New("no such agent")
 
-// gangAgents are the gang members of many workers, whose tasks run until the
+// gangMembers are the gang members of many workers, whose tasks run until the
 // end of the measurement.
-type gangAgents struct {
+type gangMembers struct {
 	mu      sync.Mutex
 	members map[string]*gang.Member
 }
 
-func newGangAgents(n int) *gangAgents {
-	g := &gangAgents{members: make(map[string]*gang.Member)}
+func newGangMembers(n int) *gangMembers {
+	g := &gangMembers{members: make(map[string]*gang.Member)}
 	for i := range n {
 		m := gang.NewMember(gang.MemberConfig{Accelerators: 8, Incarnation: 1, IsolationTimeout: time.Hour})
 		m.Step(clock.Now(), gang.TasksRecovered{})
@@ -40,7 +40,7 @@
 }
 
 // SendGangMessage implements planner.Agents.
-func (g *gangAgents) SendGangMessage(_ context.Context, agent string, msg gang.Message) (gang.Reply, error) {
+func (g *gangMembers) SendGangMessage(_ context.Context, agent string, msg gang.Message) (gang.Reply, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.members[agent]
@@ -56,7 +56,7 @@
 	return reply, nil
 }
 
-func (g *gangAgents) report(p *planner.Planner) {
+func (g *gangMembers) reportAll(p *planner.Planner) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for name, m := range g.members {
@@ -75,23 +75,23 @@
 // TestMeasureTakeover gives the time in which a successor has all jobs of its
 // predecessor, and what the planner costs when nothing changes.
 func TestMeasureTakeover(t *testing.T) {
-	needMeasure(t)
+	requireMeasure(t)
 	for _, n := range []int{100, 1000, 5000} {
 		t.Run(fmt.Sprintf("jobs=%d", n), func(t *testing.T) { measureTakeover(qt.New(t), n) })
 	}
 }
 
 func measureTakeover(c *qt.C, n int) {
-	s := newSite(c)
+	s := newTestRegion(c)
 	swaps := store.NewBatcher(s.client, 0)
 	c.Cleanup(swaps.Close)
 	store := jobs.NewStore(region, s.client, swaps)
 	doc, err := document.Parse("service", documentText("service", 4))
 	c.Assert(err, qt.IsNil)
-	agents := newGangAgents(n/8 + 20)
+	agents := newGangMembers(n/8 + 20)
 	start := func(epoch uint64) *planner.Planner {
 		return planner.Start(planner.Config{
-			Service: "service", Epoch: epoch, Store: s.client, Jobs: store, Agents: agents, Metrics: metrics.New(0), Log: quiet(),
+			Service: "service", Epoch: epoch, Store: s.client, Jobs: store, Agents: agents, Metrics: metrics.New(0), Log: discardLogger(),
 			Document: &document.ActiveVersion{Document: doc, Version: document.Version{Service: "service", Generation: 1}}, Retention: noRetention{},
 		})
 	}
@@ -103,7 +103,7 @@
 		return total == n
 	}
 	first := start(1)
-	agents.report(first)
+	agents.reportAll(first)
 	accept := func(i int) {
 		_, err := store.Accept(context.Background(), jobs.Record{ID: fmt.Sprintf("job-%06d", i), Service: "service", Submitted: time.Now(),
 			Spec: jobs.Spec{Account: fmt.Sprint("account-", i%4), Class: "long", Accelerators: 1, Adjacency: "any", Repeatable: true, Payload: []byte(`{"command":"score","input":"a line of about fifty bytes of payload"}`)}})
@@ -121,15 +121,15 @@
 	}
 	wg.Wait()
 	accepted := time.Since(began)
-	eventually(c, "all jobs run", func() bool { agents.report(first); time.Sleep(100 * time.Millisecond); return running(first) })
-	c.Logf("%d jobs: accepted in %v, all running after %v, calls a job %s | load %s", n, accepted.Round(time.Millisecond), time.Since(began).Round(time.Millisecond), grown(s.calls.Calls(), calls, float64(n)), loadAverage())
+	eventually(c, "all jobs run", func() bool { agents.reportAll(first); time.Sleep(100 * time.Millisecond); return running(first) })
+	c.Logf("%d jobs: accepted in %v, all running after %v, calls a job %s | load %s", n, accepted.Round(time.Millisecond), time.Since(began).Round(time.Millisecond), callIncrease(s.calls.Calls(), calls, float64(n)), loadAverage())
 	first.Stop()
 	last := fmt.Sprintf("job-%06d", n-1)
 	for epoch := uint64(2); epoch < 5; epoch++ {
 		calls, used := s.calls.Calls(), ReadUsage()
 		began := time.Now()
 		p := start(epoch)
-		agents.report(p)
+		agents.reportAll(p)
 		listed := eventually(c, "listed", func() bool { _, ok := p.Status(context.Background(), last); return ok })
 		eventually(c, "all jobs run", func() bool { return running(p) })
 		resumed := time.Since(began)
@@ -139,11 +139,11 @@
 		rest := ReadUsage().ProcessorTimeSince(idle)
 		c.Logf("%d jobs: takeover: records listed and taken in after %v, all known to the scheduler (as published every 250 ms) after %v, processor %v (store stand-in included), heap grown %d KB; at rest %.2f%% of a core; calls %s, at rest %s a second | load %s",
 			n, listed.Round(time.Millisecond), resumed.Round(time.Millisecond), after.ProcessorTimeSince(used).Round(time.Millisecond), (int64(after.Heap)-int64(used.Heap))>>10, 100*rest.Seconds()/4,
-			grown(calls2, calls, 1), grown(s.calls.Calls(), calls2, 4), loadAverage())
+			callIncrease(calls2, calls, 1), callIncrease(s.calls.Calls(), calls2, 4), loadAverage())
 		idle = ReadUsage()
 		const rounds = 20
 		for range rounds {
-			agents.report(p)
+			agents.reportAll(p)
 			p.Status(context.Background(), last) // all before it are done then
 		}
 		observed := ReadUsage().ProcessorTimeSince(idle)
--- a/internal/capacity/process_test.go
+++ b/internal/capacity/process_test.go
@@ -26,17 +26,17 @@
 	// profileEnv names the file for a processor profile of that process.
 	profileEnv = "EELGRASSHUB_CAPACITY_PROFILE"
 
-	answer = "usage "
-	ready  = "ready "
+	usagePrefix = "usage "
+	readyPrefix = "ready "
 )
 
 // process is a daemon in a process of its own.
 type process struct {
-	c     *qt.C
-	cmd   *exec.Cmd
-	in    io.WriteCloser
-	lines *bufio.Scanner
-	ready []string
+	c         *qt.C
+	cmd       *exec.Cmd
+	in        io.WriteCloser
+	lines     *bufio.Scanner
+	addresses []string
 }
 
 func startProcess(c *qt.C, env string, cfg any) *process {
@@ -55,11 +55,11 @@
 	c.Assert(p.cmd.Start(), qt.IsNil)
 	p.lines = bufio.NewScanner(out)
 	c.Cleanup(p.stop)
-	p.ready = strings.Fields(p.line(ready))
+	p.addresses = strings.Fields(p.readLine(readyPrefix))
 	return p
 }
 
-func (p *process) line(prefix string) string {
+func (p *process) readLine(prefix string) string {
 	p.c.Helper()
 	for p.lines.Scan() {
 		if rest, ok := strings.CutPrefix(p.lines.Text(), prefix); ok {
@@ -74,7 +74,7 @@
 	p.c.Helper()
 	fmt.Fprintln(p.in, "usage")
 	var u Usage
-	p.c.Assert(json.Unmarshal([]byte(p.line(answer)), &u), qt.IsNil)
+	p.c.Assert(json.Unmarshal([]byte(p.readLine(usagePrefix)), &u), qt.IsNil)
 	return u
 }
 
@@ -85,30 +85,30 @@
 
 // TestProcess is the process under measurement; it measures nothing itself.
 func TestProcess(t *testing.T) {
-	c := needMeasure(t)
+	c := requireMeasure(t)
 	var addresses []string
 	switch {
 	case os.Getenv(entryEnv) != "":
 		var cfg settings.Entry
 		c.Assert(json.Unmarshal([]byte(os.Getenv(entryEnv)), &cfg), qt.IsNil)
-		e, err := entry.Start(cfg, quiet())
+		e, err := entry.Start(cfg, discardLogger())
 		c.Assert(err, qt.IsNil)
 		defer e.Close()
 		addresses = []string{e.QUICAddr(), e.HTTPAddr()}
 	case os.Getenv(agentEnv) != "":
 		var cfg settings.Agent
 		c.Assert(json.Unmarshal([]byte(os.Getenv(agentEnv)), &cfg), qt.IsNil)
-		a, err := agent.Start(cfg, quiet())
+		a, err := agent.Start(cfg, discardLogger())
 		c.Assert(err, qt.IsNil)
 		defer a.Close()
 		addresses = []string{a.Addr()}
 	default:
 		t.Skip("is started by other measurements")
 	}
-	fmt.Printf("\n%s%s\n", ready, strings.Join(addresses, " "))
+	fmt.Printf("\n%s%s\n", readyPrefix, strings.Join(addresses, " "))
 	for input := bufio.NewScanner(os.Stdin); input.Scan(); {
 		text, err := json.Marshal(ReadUsage())
 		c.Assert(err, qt.IsNil)
-		fmt.Printf("%s%s\n", answer, text)
+		fmt.Printf("%s%s\n", usagePrefix, text)
 	}
 }
--- a/internal/capacity/region_test.go
+++ b/internal/capacity/region_test.go
@@ -17,8 +17,8 @@
 	kvstandin "github.com/eelgrasshub/eelgrasshub/store/standin"
 )
 
-// site is a store with documents, before which entries are put.
-type site struct {
+// testRegion is a store with documents, before which entries are put.
+type testRegion struct {
 	*qt.C
 	server *kvstandin.Server
 	calls  *CallCounter
@@ -26,8 +26,8 @@
 	client *store.Client
 }
 
-func newSite(c *qt.C, services ...string) *site {
-	s := &site{C: c, server: kvstandin.New(kvstandin.Options{})}
+func newTestRegion(c *qt.C, services ...string) *testRegion {
+	s := &testRegion{C: c, server: kvstandin.New(kvstandin.Options{})}
 	s.calls = NewCallCounter(s.server)
 	http := httptest.NewServer(s.calls)
 	s.url = http.URL
@@ -39,12 +39,12 @@
 		http.Close()
 	})
 	for _, name := range services {
-		s.put(name, 0)
+		s.putDocument(name, 0)
 	}
 	return s
 }
 
-func (s *site) put(service string, base uint64) document.Version {
+func (s *testRegion) putDocument(service string, base uint64) document.Version {
 	text := append(documentText(service, 4), fmt.Sprintf("# after generation %d\n", base)...)
 	v, err := document.Put(context.Background(), s.client, document.Proposal{
 		FileName: service, TOML: text, BaseGeneration: base, Author: "t", Token: uuid.NewString(), CreatedAt: time.Now(),
@@ -53,7 +53,7 @@
 	return v
 }
 
-func (s *site) entry(id string, reportEvery time.Duration) settings.Entry {
+func (s *testRegion) entrySettings(id string, reportEvery time.Duration) settings.Entry {
 	return settings.Entry{
 		ID: id, Region: region, Zone: "z1", HTTPListen: loopback, QUICListen: loopback, ClusterKey: clusterKey,
 		StoreURLs: []string{s.url}, StoreTimeout: schema.Duration{Duration: 2 * time.Second}, StoreRateLimit: 500,
@@ -61,9 +61,9 @@
 	}
 }
 
-// alive counts the agents that the entry knows, and those of them that reported
+// countAlive counts the agents that the entry knows, and those of them that reported
 // the generation.
-func (s *site) alive(http string, generation uint64) (known, inForce int) {
+func (s *testRegion) countAlive(http string, generation uint64) (known, inForce int) {
 	status, err := api.NewClient("http://"+http, nil).Status(context.Background())
 	if err != nil {
 		return 0, 0
--- a/internal/capacity/relays_test.go
+++ b/internal/capacity/relays_test.go
@@ -22,7 +22,7 @@
 // dialled at first, and one that is started while they run. The load of each agent
 // changes between any two reports.
 func TestMeasureRacks(t *testing.T) {
-	needMeasure(t)
+	requireMeasure(t)
 	for _, n := range []int{200, 1000, 3400} {
 		t.Run(fmt.Sprintf("agents=%d", n), func(t *testing.T) { measureRacks(qt.New(t), n, 10*time.Second) })
 	}
@@ -30,11 +30,11 @@
 
 func measureRacks(c *qt.C, n int, every time.Duration) {
 	names := services(1)
-	s := newSite(c, names...)
-	cfg, proxy := s.relayingEntry(every)
+	s := newTestRegion(c, names...)
+	cfg, proxy := s.entrySettingsWithRelays(every)
 	p := startProcess(c, entryEnv, cfg)
 	for i := range n / rackSize {
-		a, err := agent.Start(s.inRack(i, names[0], cfg.Advertise, every), quiet())
+		a, err := agent.Start(s.startRackTarget(i, names[0], cfg.Advertise, every), discardLogger())
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(a.Close)
 	}
@@ -45,20 +45,20 @@
 		c.Assert(f.Add(rackSize-1, names...), qt.IsNil)
 		time.Sleep(100 * time.Millisecond) // handshakes stay below the admitted rate
 	}
-	relayed := func() bool { return s.relayed(p.ready[1]) == n-n/rackSize }
+	relayed := func() bool { return s.countRelayed(p.addresses[1]) == n-n/rackSize }
 	eventually(c, "all report by relays", relayed)
-	s.watchRacks(p, proxy, n, every, "dialled by all")
+	s.measureRackTraffic(p, proxy, n, every, "dialled by all")
 
 	p.stop()
 	p = startProcess(c, entryEnv, cfg)
 	began := p.usage()
 	took := eventually(c, "all report by relays again", relayed)
 	c.Logf("%d agents, restarted entry: all by relays after %v, processor %v", n, took.Round(time.Millisecond), p.usage().ProcessorTimeSince(began).Round(time.Millisecond))
-	s.watchRacks(p, proxy, n, every, "after a restart of the entry")
+	s.measureRackTraffic(p, proxy, n, every, "after a restart of the entry")
 }
 
-func (s *site) watchRacks(p *process, proxy *relay, n int, every time.Duration, what string) {
-	time.Sleep(3*settle + 2*every) // connections that are not used any more are closed
+func (s *testRegion) measureRackTraffic(p *process, proxy *countingProxy, n int, every time.Duration, what string) {
+	time.Sleep(3*settleTime + 2*every) // connections that are not used any more are closed
 	const span = 24 * time.Second
 	bytes, before := proxy.bytes.Load(), p.usage()
 	time.Sleep(span)
@@ -67,29 +67,29 @@
 	s.Logf("%d agents in racks of %d every %v, %s: processor %.1f us/s an agent, %.2f%% of a core | heap %d MB stacks %d KB resident %d MB goroutines %d | %.1f B/s an agent, %.1f KB/s both ways | not by relays %d | load %s",
 		n, rackSize, every, what, float64(processor.Microseconds())/float64(n)/span.Seconds(), 100*processor.Seconds()/span.Seconds(),
 		after.Heap>>20, after.Stacks>>10, after.Resident>>20, after.Goroutines,
-		float64(bytes)/float64(n)/span.Seconds(), float64(bytes)/1024/span.Seconds(), n-s.relayed(p.ready[1]), loadAverage())
+		float64(bytes)/float64(n)/span.Seconds(), float64(bytes)/1024/span.Seconds(), n-s.countRelayed(p.addresses[1]), loadAverage())
 }
 
-// relayingEntry is the settings of an entry that names relays, behind a proxy
+// entrySettingsWithRelays is the settings of an entry that names relays, behind a proxy
 // that counts bytes.
-func (s *site) relayingEntry(every time.Duration) (settings.Entry, *relay) {
-	cfg := s.entry("entry-1", every)
+func (s *testRegion) entrySettingsWithRelays(every time.Duration) (settings.Entry, *countingProxy) {
+	cfg := s.entrySettings("entry-1", every)
 	cfg.QUICListen = testport.Capacity.FreeAddr()
 	cfg.RelayThreshold = 1
-	proxy := newRelay(s.C, cfg.QUICListen)
+	proxy := newCountingProxy(s.C, cfg.QUICListen)
 	cfg.Advertise = proxy.socket.LocalAddr().String()
 	return cfg, proxy
 }
 
-// inRack is the settings of the real agent in a rack of the fleet.
-func (s *site) inRack(i int, service, seed string, every time.Duration) settings.Agent {
-	cfg := s.worker(fmt.Sprintf("relay-%03d", i), service, seed, every)
+// startRackTarget is the settings of the real agent in a rack of the fleet.
+func (s *testRegion) startRackTarget(i int, service, seed string, every time.Duration) settings.Agent {
+	cfg := s.startTarget(fmt.Sprintf("relay-%03d", i), service, seed, every)
 	cfg.Rack = fmt.Sprint("rack-", i)
 	return cfg
 }
 
-// relayed counts the agents that the entry hears by a relay.
-func (s *site) relayed(http string) int {
+// countRelayed counts the agents that the entry hears by a relay.
+func (s *testRegion) countRelayed(http string) int {
 	status, err := api.NewClient("http://"+http, nil).Status(context.Background())
 	if err != nil {
 		return 0
@@ -106,7 +106,7 @@
 // TestMeasureRelay gives what a relay costs the agent that is one: a real agent
 // with 19 stand-ins in its rack and one entry.
 func TestMeasureRelay(t *testing.T) {
-	needMeasure(t)
+	requireMeasure(t)
 	for _, every := range []time.Duration{time.Second, 10 * time.Second} {
 		for _, loads := range []bool{false, true} {
 			t.Run(fmt.Sprintf("every=%v/loads=%v", every, loads), func(t *testing.T) {
@@ -118,16 +118,16 @@
 
 func measureRelay(c *qt.C, every time.Duration, loads bool) {
 	names := services(1)
-	s := newSite(c, names...)
-	cfg, proxy := s.relayingEntry(every)
+	s := newTestRegion(c, names...)
+	cfg, proxy := s.entrySettingsWithRelays(every)
 	entry := startProcess(c, entryEnv, cfg)
-	p := startProcess(c, agentEnv, s.inRack(0, names[0], cfg.Advertise, every))
+	p := startProcess(c, agentEnv, s.startRackTarget(0, names[0], cfg.Advertise, every))
 	f := NewFleet(cfg.Advertise, every, loads)
 	f.SetRackSize(rackSize - 1)
 	c.Cleanup(f.Stop)
 	c.Assert(f.Add(rackSize-1, names...), qt.IsNil)
-	eventually(c, "all report by the relay", func() bool { return s.relayed(entry.ready[1]) == rackSize-1 })
-	time.Sleep(3*settle + 2*every)
+	eventually(c, "all report by the relay", func() bool { return s.countRelayed(entry.addresses[1]) == rackSize-1 })
+	time.Sleep(3*settleTime + 2*every)
 	members := func() int64 { return f.Traffic.SentBytes.Load() + f.Traffic.ReceivedBytes.Load() }
 	const span = 24 * time.Second
 	up, down, before := proxy.bytes.Load(), members(), p.usage()
@@ -140,11 +140,11 @@
 	for generation := range uint64(3) {
 		up, down, before = proxy.bytes.Load(), members(), p.usage()
 		began := time.Now()
-		v := s.put(names[0], generation+1)
+		v := s.putDocument(names[0], generation+1)
 		eventually(c, "in force", func() bool { return len(f.AppliedAt(v.Generation)) == rackSize-1 })
 		took := time.Since(began)
-		eventually(c, "reported", func() bool { _, all := s.alive(entry.ready[1], v.Generation); return all == rackSize })
-		time.Sleep(settle)
+		eventually(c, "reported", func() bool { _, all := s.countAlive(entry.addresses[1], v.Generation); return all == rackSize })
+		time.Sleep(settleTime)
 		c.Logf("a document of %d bytes: in force at all members after %v | members %.1f KB, entry %.1f KB both ways, processor %v", len(v.TOML),
 			took.Round(time.Microsecond), float64(members()-down)/1024, float64(proxy.bytes.Load()-up)/1024, p.usage().ProcessorTimeSince(before).Round(time.Millisecond))
 	}
--- a/internal/capacity/scheduler_test.go
+++ b/internal/capacity/scheduler_test.go
@@ -11,16 +11,16 @@
 	"github.com/eelgrasshub/eelgrasshub/scheduler"
 )
 
-// domain is the size of one scheduling domain.
-type domain struct {
+// domainSize is the size of one scheduling domainSize.
+type domainSize struct {
 	workers, tasks, accounts int
 }
 
 // TestMeasureScheduler gives the time of decisions and the memory of a domain
 // that is filled with running tasks, and what the planner's housekeeping costs.
 func TestMeasureScheduler(t *testing.T) {
-	needMeasure(t)
-	for _, d := range []domain{{180, 840, 1}, {3400, 15800, 94}, {17000, 79000, 94}} {
+	requireMeasure(t)
+	for _, d := range []domainSize{{180, 840, 1}, {3400, 15800, 94}, {17000, 79000, 94}} {
 		t.Run(fmt.Sprintf("workers=%d", d.workers), func(t *testing.T) {
 			for range 3 {
 				measureScheduler(qt.New(t), d)
@@ -29,8 +29,8 @@
 	}
 }
 
-// accelerators gives 42 for 17 workers, in racks of 10.
-func accelerators(worker int) int {
+// acceleratorsOf gives 42 for 17 workers, in racks of 10.
+func acceleratorsOf(worker int) int {
 	switch rack := worker / 10 % 17; {
 	case rack >= 14:
 		return 8
@@ -42,31 +42,31 @@
 	return 0
 }
 
-// filled is a scheduler whose gangs run.
-type filled struct {
-	s       *scheduler.Scheduler
-	now     time.Time
-	rng     *rand.Rand
-	jobs    int
-	tasks   int
-	running []scheduler.StartGang
+// filledScheduler is a scheduler whose gangs run.
+type filledScheduler struct {
+	scheduler *scheduler.Scheduler
+	now       time.Time
+	rng       *rand.Rand
+	jobs      int
+	tasks     int
+	running   []scheduler.StartGang
 }
 
-func (f *filled) step(ev scheduler.Event) time.Duration {
+func (f *filledScheduler) step(ev scheduler.Event) time.Duration {
 	began := time.Now()
-	actions := f.s.Step(f.now, ev)
+	actions := f.scheduler.Step(f.now, ev)
 	took := time.Since(began)
 	for _, a := range actions {
 		if a, ok := a.(scheduler.StartGang); ok {
 			f.tasks += len(a.Placement)
 			f.running = append(f.running, a)
-			f.s.Step(f.now, scheduler.GangStarted{Job: a.Job, Attempt: a.Attempt})
+			f.scheduler.Step(f.now, scheduler.GangStarted{Job: a.Job, Attempt: a.Attempt})
 		}
 	}
 	return took
 }
 
-func (f *filled) submit(accounts, size int, urgent bool) time.Duration {
+func (f *filledScheduler) submit(accounts, size int, urgent bool) time.Duration {
 	f.jobs++
 	adjacency := scheduler.AdjacentWorker
 	if size > 8 {
@@ -78,8 +78,8 @@
 	}}})
 }
 
-// end ends a running job with success.
-func (f *filled) end(k int) time.Duration {
+// endJob ends a running job with success.
+func (f *filledScheduler) endJob(k int) time.Duration {
 	a := f.running[k]
 	f.running[k] = f.running[len(f.running)-1]
 	f.running = f.running[:len(f.running)-1]
@@ -87,7 +87,7 @@
 }
 
 // cancelWaiting withdraws every job that does not run.
-func (f *filled) cancelWaiting() {
+func (f *filledScheduler) cancelWaiting() {
 	runs := make(map[scheduler.JobID]bool, len(f.running))
 	for _, a := range f.running {
 		runs[a.Job] = true
@@ -101,9 +101,9 @@
 	f.step(scheduler.JobsCancelled{IDs: ids})
 }
 
-func newFilled(d domain) *filled {
-	f := &filled{now: time.Unix(1e9, 0), rng: rand.New(rand.NewPCG(1, 2))}
-	f.s = scheduler.New(scheduler.Options{Start: f.now})
+func newFilledScheduler(d domainSize) *filledScheduler {
+	f := &filledScheduler{now: time.Unix(1e9, 0), rng: rand.New(rand.NewPCG(1, 2))}
+	f.scheduler = scheduler.New(scheduler.Options{Start: f.now})
 	policy := scheduler.Policy{Generation: 1}
 	for i := range d.accounts {
 		a := scheduler.AccountPolicy{ID: scheduler.AccountID(fmt.Sprint("a", i)), Weight: 1 + i%4}
@@ -117,7 +117,7 @@
 	for i := range d.workers {
 		up.Events = append(up.Events, scheduler.WorkerUp{Worker: scheduler.Worker{
 			ID: scheduler.WorkerID(fmt.Sprintf("w%05d", i)), Zone: fmt.Sprint("z", i/900), Rack: fmt.Sprint("r", i/10),
-			Accelerators: accelerators(i), Cores: 64, MemoryMB: 256_000,
+			Accelerators: acceleratorsOf(i), Cores: 64, MemoryMB: 256_000,
 		}})
 	}
 	f.step(up)
@@ -140,13 +140,13 @@
 	return f
 }
 
-func measureScheduler(c *qt.C, d domain) {
+func measureScheduler(c *qt.C, d domainSize) {
 	empty := ReadUsage()
 	began := time.Now()
-	f := newFilled(d)
+	f := newFilledScheduler(d)
 	fill := time.Since(began)
 	full := ReadUsage()
-	stats := f.s.Stats()
+	stats := f.scheduler.Stats()
 	c.Logf("%d workers, %d accelerators (%d free), %d tasks of %d running jobs, %d accounts: heap %d MB, filled in %v, %d steps | load %s",
 		d.workers, stats.Accelerators, stats.Free, f.tasks, len(f.running), d.accounts, (full.Heap-empty.Heap)>>20, fill.Round(time.Millisecond), f.jobs, loadAverage())
 	took := map[string][]time.Duration{}
@@ -155,12 +155,12 @@
 		f.now = f.now.Add(time.Second)
 		note("tick", f.step(scheduler.Tick{}))
 		note("submit one accelerator", f.submit(d.accounts, 1, false))
-		note("a job ends", f.end(f.rng.IntN(len(f.running))))
+		note("a job ends", f.endJob(f.rng.IntN(len(f.running))))
 		if i%10 == 0 {
 			note("submit a gang of 256", f.submit(d.accounts, 256, false))
 			note("submit an urgent gang of 8", f.submit(d.accounts, 8, true))
 			began := time.Now()
-			f.s.Stats()
+			f.scheduler.Stats()
 			note("Stats", time.Since(began))
 		}
 		if i%100 == 50 {
@@ -168,9 +168,9 @@
 		}
 	}
 	f.cancelWaiting()
-	for f.s.Stats().Free < stats.Accelerators/4 && len(f.running) > 0 {
+	for f.scheduler.Stats().Free < stats.Accelerators/4 && len(f.running) > 0 {
 		for range 50 {
-			f.end(f.rng.IntN(len(f.running)))
+			f.endJob(f.rng.IntN(len(f.running)))
 		}
 	}
 	for range 30 {
@@ -179,7 +179,7 @@
 		took256 := f.submit(d.accounts, min(256, stats.Accelerators/8), false)
 		if len(f.running) > starts {
 			note("place a gang of 256", took256)
-			f.end(len(f.running) - 1)
+			f.endJob(len(f.running) - 1)
 		}
 		starts = len(f.running)
 		took1 := f.submit(d.accounts, 1, false)
--- a/internal/capacity/standin_agent.go
+++ b/internal/capacity/standin_agent.go
@@ -25,46 +25,46 @@
 // are the real ones, quick requests and gangs are left out. It reports to one
 // entry, by itself or by the relay that the entry names, and is no relay.
 type standinAgent struct {
-	fleet *Fleet
-	tomb  tomb.Tomb
-	ep    *wire.Endpoint
-	pool  *wire.Pool
-	docs  *document.ActiveSet
-
-	kickEntry, kickRelay chan struct{}
-
-	mu        sync.Mutex
-	state     wire.AgentReport
-	announcer *membership.ReportRouter
-	admitted  bool
+	fleet    *Fleet
+	tomb     tomb.Tomb
+	endpoint *wire.Endpoint
+	pool     *wire.Pool
+	docs     *document.ActiveSet
+
+	wakeEntryLoop, wakeRelayLoop chan struct{}
+
+	mu       sync.Mutex
+	state    wire.AgentReport
+	router   *membership.ReportRouter
+	admitted bool
 }
 
-func startStandin(f *Fleet, id, service, rack string) (*standinAgent, error) {
-	a := &standinAgent{fleet: f, kickEntry: make(chan struct{}, 1), kickRelay: make(chan struct{}, 1)}
+func startStandinAgent(f *Fleet, id, service, rack string) (*standinAgent, error) {
+	a := &standinAgent{fleet: f, wakeEntryLoop: make(chan struct{}, 1), wakeRelayLoop: make(chan struct{}, 1)}
 	a.docs = document.NewActiveSet(a.documentChanged)
 	peer := wire.Peer{ID: id, Role: wire.RoleAgent, Incarnation: uint64(time.Now().UnixNano()), Region: region, Zone: "z1", Version: wire.Version}
 	identity, err := wire.NewIdentity(peer, []byte(clusterKey))
 	if err != nil {
 		return nil, err
 	}
-	a.ep, err = wire.Config{ListenPacket: f.Traffic.Listen}.Listen(loopback, identity, wire.HandlerFunc(a.handle))
+	a.endpoint, err = wire.Config{ListenPacket: f.Traffic.Listen}.Listen(loopback, identity, wire.HandlerFunc(a.handle))
 	if err != nil {
 		return nil, err
 	}
-	a.pool = wire.NewPool(a.ep)
+	a.pool = wire.NewPool(a.endpoint)
 	a.state = wire.AgentReport{
-		ID: id, Incarnation: peer.Incarnation, Service: service, Region: region, Zone: "z1", Rack: rack, Address: a.ep.Addr(),
+		ID: id, Incarnation: peer.Incarnation, Service: service, Region: region, Zone: "z1", Rack: rack, Address: a.endpoint.Addr(),
 		Accelerators: 8, Slots: 8, Connections: 64, Cores: 32, MemoryMB: 65536,
 	}
 	cfg := membership.ReportRouterConfig{
-		ReporterConfig: membership.ReporterConfig{Period: f.every, Coalesce: reportCoalesce},
+		ReporterConfig: membership.ReporterConfig{Period: f.reportPeriod, Coalesce: reportCoalesce},
 		MaxEntries:     1,
 	}
-	a.announcer = membership.NewReportRouter(cfg, a.state, rand.Float64)
-	a.announcer.AddEntry(f.entry)
+	a.router = membership.NewReportRouter(cfg, a.state, rand.Float64)
+	a.router.AddEntry(f.entry)
 	a.tomb.Go(func() error {
-		a.tomb.Go(func() error { return a.loop(a.kickEntry, a.untilDue, a.report) })
-		a.tomb.Go(func() error { return a.loop(a.kickRelay, a.untilRelayDue, a.reportToRelay) })
+		a.tomb.Go(func() error { return a.runReportLoop(a.wakeEntryLoop, a.untilReportDue, a.report) })
+		a.tomb.Go(func() error { return a.runReportLoop(a.wakeRelayLoop, a.untilRelayDue, a.reportToRelay) })
 		return nil
 	})
 	return a, nil
@@ -82,15 +82,15 @@
 }
 
 func (a *standinAgent) documentChanged(_, now *document.ActiveVersion) {
-	a.fleet.inForce(now.Version.Generation)
-	a.set(func(s *wire.AgentReport) {
+	a.fleet.recordApplied(now.Version.Generation)
+	a.updateState(func(s *wire.AgentReport) {
 		s.Generations = []wire.DocumentSummary{now.Version.Summary()}
 	})
 	a.wake()
 }
 
 func (a *standinAgent) wake() {
-	for _, kick := range []chan struct{}{a.kickEntry, a.kickRelay} {
+	for _, kick := range []chan struct{}{a.wakeEntryLoop, a.wakeRelayLoop} {
 		select {
 		case kick <- struct{}{}:
 		default:
@@ -98,14 +98,14 @@
 	}
 }
 
-func (a *standinAgent) set(change func(*wire.AgentReport)) {
+func (a *standinAgent) updateState(change func(*wire.AgentReport)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	change(&a.state)
-	a.announcer.SetState(time.Now(), a.state)
+	a.router.SetState(time.Now(), a.state)
 }
 
-func (a *standinAgent) loop(kick <-chan struct{}, until func() time.Duration, report func()) error {
+func (a *standinAgent) runReportLoop(kick <-chan struct{}, until func() time.Duration, report func()) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -124,12 +124,12 @@
 	}
 }
 
-func (a *standinAgent) untilDue() time.Duration {
+func (a *standinAgent) untilReportDue() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
-	due := a.announcer.Due(now, a.fleet.entry)
-	if a.announcer.ConnectionIdle(now, a.fleet.entry) {
+	due := a.router.Due(now, a.fleet.entry)
+	if a.router.ConnectionIdle(now, a.fleet.entry) {
 		a.tomb.Go(func() error {
 			_ = a.pool.Drain(a.tomb.Context(context.Background()), a.fleet.entry) // the stand-in ends
 			return nil
@@ -138,14 +138,14 @@
 	return due.Sub(now)
 }
 
-// load changes the load, where the fleet's does.
-func (a *standinAgent) load() {
-	if a.fleet.loads {
-		a.set(func(s *wire.AgentReport) { s.Load.Queued++ })
+// varyLoad changes the varyLoad, where the fleet's does.
+func (a *standinAgent) varyLoad() {
+	if a.fleet.varyLoad {
+		a.updateState(func(s *wire.AgentReport) { s.Load.Queued++ })
 	}
 }
 
-func (a *standinAgent) call(addr string, msg *wire.Report) (*wire.ReportAck, bool) {
+func (a *standinAgent) sendReport(addr string, msg *wire.Report) (*wire.ReportAck, bool) {
 	ctx, cancel := context.WithTimeout(a.tomb.Context(context.Background()), reportTimeout)
 	defer cancel()
 	got, err := a.pool.Call(ctx, addr, msg)
@@ -154,16 +154,16 @@
 }
 
 func (a *standinAgent) report() {
-	a.load()
+	a.varyLoad()
 	a.mu.Lock()
-	msg := a.announcer.Report(time.Now(), a.fleet.entry)
+	msg := a.router.Report(time.Now(), a.fleet.entry)
 	a.mu.Unlock()
-	ack, ok := a.call(a.fleet.entry, msg)
+	ack, ok := a.sendReport(a.fleet.entry, msg)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !ok {
 		a.fleet.Failed.Add(1)
-		a.announcer.HandleFailure(time.Now(), a.fleet.entry)
+		a.router.HandleFailure(time.Now(), a.fleet.entry)
 		return
 	}
 	a.fleet.Reports.Add(1)
@@ -172,7 +172,7 @@
 		a.fleet.Admitted.Add(1)
 	}
 	a.fleet.Refused.Add(int64(len(ack.Refused)))
-	a.announcer.HandleAck(time.Now(), a.fleet.entry, ack)
+	a.router.HandleAck(time.Now(), a.fleet.entry, ack)
 	a.wake()
 }
 
@@ -180,7 +180,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
-	due, ok := a.announcer.RelayDue(now)
+	due, ok := a.router.RelayDue(now)
 	if !ok {
 		return time.Minute // report wakes
 	}
@@ -188,30 +188,30 @@
 }
 
 func (a *standinAgent) reportToRelay() {
-	a.load()
+	a.varyLoad()
 	a.mu.Lock()
-	to, ok := a.announcer.Relay()
+	to, ok := a.router.Relay()
 	if !ok {
 		a.mu.Unlock()
 		return
 	}
-	msg := a.announcer.ReportToRelay(time.Now())
+	msg := a.router.ReportToRelay(time.Now())
 	a.mu.Unlock()
-	ack, ok := a.call(to.Address, msg)
+	ack, ok := a.sendReport(to.Address, msg)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !ok {
-		a.announcer.HandleRelayFailure(time.Now(), to)
+		a.router.HandleRelayFailure(time.Now(), to)
 		a.wake()
 		return
 	}
 	a.fleet.RelayReports.Add(1)
-	a.announcer.HandleRelayAck(time.Now(), to, ack)
+	a.router.HandleRelayAck(time.Now(), to, ack)
 }
 
 func (a *standinAgent) stop() {
 	a.tomb.Kill(nil)
 	a.pool.Close()
-	_ = a.ep.Close()
+	_ = a.endpoint.Close()
 	_ = a.tomb.Wait()
 }
--- a/internal/capacity/store_test.go
+++ b/internal/capacity/store_test.go
@@ -23,7 +23,7 @@
 // TestMeasureIdleStore counts the calls of a region in which nothing happens,
 // and those of a change of a document.
 func TestMeasureIdleStore(t *testing.T) {
-	needMeasure(t)
+	requireMeasure(t)
 	for _, entries := range []int{1, 2, 4} {
 		for _, n := range []int{1, 10, 94} {
 			t.Run(fmt.Sprintf("entries=%d/services=%d", entries, n), func(t *testing.T) {
@@ -36,11 +36,11 @@
 func measureIdleStore(c *qt.C, entries, n int) {
 	const span = 10 * time.Second
 	names := services(n)
-	s := newSite(c, names...)
+	s := newTestRegion(c, names...)
 	began := s.calls.Calls()
 	used := ReadUsage()
 	for i := range entries {
-		e, err := entry.Start(s.entry(fmt.Sprint("entry-", i), time.Second), quiet())
+		e, err := entry.Start(s.entrySettings(fmt.Sprint("entry-", i), time.Second), discardLogger())
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(e.Close)
 	}
@@ -51,16 +51,16 @@
 	after := ReadUsage()
 	idle := s.calls.Calls()
 	c.Logf("%d entries, %d services: to begin with %s; then a second %s; processor %.2f%% of a core with the stand-in, heap %d KB | load %s",
-		entries, n, grown(settled, began, 1), grown(idle, settled, span.Seconds()), 100*after.ProcessorTimeSince(before).Seconds()/span.Seconds(), (int64(after.Heap)-int64(used.Heap))>>10, loadAverage())
+		entries, n, callIncrease(settled, began, 1), callIncrease(idle, settled, span.Seconds()), 100*after.ProcessorTimeSince(before).Seconds()/span.Seconds(), (int64(after.Heap)-int64(used.Heap))>>10, loadAverage())
 	for generation := range uint64(10) {
-		s.put(names[0], generation+1)
+		s.putDocument(names[0], generation+1)
 	}
 	time.Sleep(200 * time.Millisecond)
-	c.Logf("%d entries, %d services: a change of a document %s, its watches included", entries, n, grown(s.calls.Calls(), idle, 10))
+	c.Logf("%d entries, %d services: a change of a document %s, its watches included", entries, n, callIncrease(s.calls.Calls(), idle, 10))
 }
 
-// worker is a target stand-in and the settings of the agent beside it.
-func (s *site) worker(id, service, seed string, every time.Duration) settings.Agent {
+// startTarget is a target stand-in and the settings of the agent beside it.
+func (s *testRegion) startTarget(id, service, seed string, every time.Duration) settings.Agent {
 	target := standin.New(standin.Options{Name: id, Accelerators: 8, ServiceTime: time.Millisecond})
 	server := httptest.NewServer(target)
 	s.Cleanup(func() {
@@ -75,19 +75,19 @@
 	}
 }
 
-// running starts an entry with 8 agents.
-func running(c *qt.C) (*site, *entry.Entry, *api.Client, string) {
+// startRegionWithAgents starts an entry with 8 agents.
+func startRegionWithAgents(c *qt.C) (*testRegion, *entry.Entry, *api.Client, string) {
 	names := services(1)
-	s := newSite(c, names...)
-	e, err := entry.Start(s.entry("entry-1", time.Second), quiet())
+	s := newTestRegion(c, names...)
+	e, err := entry.Start(s.entrySettings("entry-1", time.Second), discardLogger())
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(e.Close)
 	for i := range 8 {
-		a, err := agent.Start(s.worker(fmt.Sprint("worker-", i), names[0], e.QUICAddr(), time.Second), quiet())
+		a, err := agent.Start(s.startTarget(fmt.Sprint("worker-", i), names[0], e.QUICAddr(), time.Second), discardLogger())
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(a.Close)
 	}
-	eventually(c, "ready", func() bool { known, inForce := s.alive(e.HTTPAddr(), 1); return known == 8 && inForce == 8 })
+	eventually(c, "ready", func() bool { known, inForce := s.countAlive(e.HTTPAddr(), 1); return known == 8 && inForce == 8 })
 	transport := &http.Transport{MaxIdleConnsPerHost: 200}
 	c.Cleanup(transport.CloseIdleConnections)
 	client := api.NewClient("http://"+e.HTTPAddr(), transport)
@@ -98,7 +98,7 @@
 // TestMeasureKeyedRequests counts the calls of requests with an idempotency key
 // that must not run twice.
 func TestMeasureKeyedRequests(t *testing.T) {
-	s, _, client, service := running(needMeasure(t))
+	s, _, client, service := startRegionWithAgents(requireMeasure(t))
 	c := s.C
 	for _, rate := range []int{10, 100, 1000} {
 		const span = 5 * time.Second
@@ -129,19 +129,19 @@
 		wg.Wait()
 		ticker.Stop()
 		c.Logf("%d keyed requests a second: %d of %d done; calls a request %s, seconds %.1f | others %v | load %s",
-			rate, done, rate*int(span.Seconds()), grown(s.calls.Calls(), before, float64(rate)*span.Seconds()), time.Since(began).Seconds(), why, loadAverage())
+			rate, done, rate*int(span.Seconds()), callIncrease(s.calls.Calls(), before, float64(rate)*span.Seconds()), time.Since(began).Seconds(), why, loadAverage())
 	}
 }
 
 // TestMeasureJobs counts the calls of jobs from acceptance to end, and gives the
 // time that a gang of 16 needs for it when nothing is in its way.
 func TestMeasureJobs(t *testing.T) {
-	s, e, client, service := running(needMeasure(t))
+	s, e, client, service := startRegionWithAgents(requireMeasure(t))
 	c := s.C
 	var took []time.Duration
 	for i := range 50 {
 		began := time.Now()
-		id := s.job(client, service, fmt.Sprint("gang-", i), 16, time.Millisecond)
+		id := s.submitJob(client, service, fmt.Sprint("gang-", i), 16, time.Millisecond)
 		status, err := client.GetJob(context.Background(), service, id, 5*time.Second)
 		c.Assert(err, qt.IsNil)
 		c.Check(status.State, qt.Equals, api.JobDone)
@@ -152,10 +152,10 @@
 		before := s.calls.Calls()
 		var wg sync.WaitGroup
 		for i := range n {
-			wg.Go(func() { s.job(client, service, fmt.Sprintf("job-%d-%d", n, i), 1, time.Second) })
+			wg.Go(func() { s.submitJob(client, service, fmt.Sprintf("job-%d-%d", n, i), 1, time.Second) })
 		}
 		wg.Wait()
-		time.Sleep(settle) // longer than the jobs run
+		time.Sleep(settleTime) // longer than the jobs run
 		eventually(c, "jobs end", func() bool {
 			p, ok := e.Stats(service)
 			running := 0
@@ -168,11 +168,11 @@
 			return ok && running == 0
 		})
 		time.Sleep(500 * time.Millisecond)
-		c.Logf("%d jobs at once: calls a job, idle ones of the region included, %s | load %s", n, grown(s.calls.Calls(), before, float64(n)), loadAverage())
+		c.Logf("%d jobs at once: calls a job, idle ones of the region included, %s | load %s", n, callIncrease(s.calls.Calls(), before, float64(n)), loadAverage())
 	}
 }
 
-func (s *site) job(client *api.Client, service, key string, accelerators int, run time.Duration) string {
+func (s *testRegion) submitJob(client *api.Client, service, key string, accelerators int, run time.Duration) string {
 	payload, err := json.Marshal(standin.TaskPayload{Tag: key, RunMS: run.Milliseconds()})
 	s.Check(err, qt.IsNil)
 	status, err := client.SubmitJob(context.Background(), service, api.JobRequest{
--- a/internal/capacity/usage.go
+++ b/internal/capacity/usage.go
@@ -27,7 +27,7 @@
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	u.Heap, u.Stacks, u.Resident = m.HeapAlloc, m.StackInuse, resident()
+	u.Heap, u.Stacks, u.Resident = m.HeapAlloc, m.StackInuse, residentBytes()
 	u.Reading = ProcessorTime() - u.Processor
 	return u
 }
@@ -47,8 +47,8 @@
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
 }
 
-// resident returns 0 where the system does not tell.
-func resident() uint64 {
+// residentBytes returns 0 where the system does not tell.
+func residentBytes() uint64 {
 	raw, err := os.ReadFile("/proc/self/statm")
 	fields := bytes.Fields(raw)
 	if err != nil || len(fields) < 2 {
--- a/internal/relay/direction.go
+++ b/internal/relay/direction.go
@@ -7,7 +7,7 @@
 const (
 	ToUpstream   Direction = iota // to the upstream
 	FromUpstream                  // back from it
-	directions
+	directionCount
 )
 
 // BothDirections are all directions.
--- a/internal/relay/flow.go
+++ b/internal/relay/flow.go
@@ -7,15 +7,15 @@
 
 // flow is one source address and its own socket towards the upstream.
 type flow struct {
-	up   *net.UDPConn
-	lost [directions]atomic.Bool
+	upstream *net.UDPConn
+	dropped  [directionCount]atomic.Bool
 }
 
-// lose makes the flow lose what goes these ways, and says whether that is new.
-func (f *flow) lose(ways []Direction) bool {
+// drop makes the flow drop what goes these ways, and says whether that is new.
+func (f *flow) drop(ways []Direction) bool {
 	changed := false
 	for _, d := range ways {
-		if !f.lost[d].Swap(true) {
+		if !f.dropped[d].Swap(true) {
 			changed = true
 		}
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -8,15 +8,15 @@
 	"sync/atomic"
 )
 
-// datagram is larger than any that QUIC sends on loopback.
-const datagram = 64 << 10
+// maxDatagramSize is larger than any that QUIC sends on loopback.
+const maxDatagramSize = 64 << 10
 
 // Relay is a running relay. It is safe for concurrent use.
 type Relay struct {
 	socket  *net.UDPConn
 	wg      sync.WaitGroup
-	muted   [directions]atomic.Bool
-	dropped [directions]atomic.Int64
+	blocked [directionCount]atomic.Bool
+	dropped [directionCount]atomic.Int64
 
 	mu       sync.Mutex
 	upstream *net.UDPAddr // nil: nobody is there
@@ -31,7 +31,7 @@
 		return nil, err
 	}
 	r := &Relay{socket: socket, flows: make(map[netip.AddrPort]*flow)}
-	r.wg.Go(r.run)
+	r.wg.Go(r.forwardToUpstream)
 	return r, nil
 }
 
@@ -60,7 +60,7 @@
 	defer r.mu.Unlock()
 	changed := 0
 	for _, f := range r.flows {
-		if f.lose(ways) {
+		if f.drop(ways) {
 			changed++
 		}
 	}
@@ -68,7 +68,7 @@
 }
 
 // BlockDirection loses all that goes this way, of new flows too, until it is set back.
-func (r *Relay) BlockDirection(way Direction, muted bool) { r.muted[way].Store(muted) }
+func (r *Relay) BlockDirection(way Direction, muted bool) { r.blocked[way].Store(muted) }
 
 // Dropped counts the datagrams that were lost on this way.
 func (r *Relay) Dropped(way Direction) int64 { return r.dropped[way].Load() }
@@ -79,36 +79,36 @@
 	r.closed = true
 	_ = r.socket.Close()
 	for _, f := range r.flows {
-		_ = f.up.Close()
+		_ = f.upstream.Close()
 	}
 	r.mu.Unlock()
 	r.wg.Wait()
 }
 
-func (r *Relay) run() {
-	buf := make([]byte, datagram)
+func (r *Relay) forwardToUpstream() {
+	buf := make([]byte, maxDatagramSize)
 	for {
 		n, from, err := r.socket.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			return
 		}
-		if f := r.flow(from); f != nil && r.passes(f, ToUpstream) {
-			_, _ = f.up.Write(buf[:n]) // a lost datagram is what UDP allows
+		if f := r.flowFor(from); f != nil && r.shouldForward(f, ToUpstream) {
+			_, _ = f.upstream.Write(buf[:n]) // a lost datagram is what UDP allows
 		}
 	}
 }
 
-// passes says whether a datagram of the flow gets through, and counts one that
+// shouldForward says whether a datagram of the flow gets through, and counts one that
 // doesn't.
-func (r *Relay) passes(f *flow, way Direction) bool {
-	if !f.lost[way].Load() && !r.muted[way].Load() {
+func (r *Relay) shouldForward(f *flow, way Direction) bool {
+	if !f.dropped[way].Load() && !r.blocked[way].Load() {
 		return true
 	}
 	r.dropped[way].Add(1)
 	return false
 }
 
-func (r *Relay) flow(from netip.AddrPort) *flow {
+func (r *Relay) flowFor(from netip.AddrPort) *flow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if f := r.flows[from]; f != nil {
@@ -121,22 +121,22 @@
 	if err != nil {
 		return nil
 	}
-	f := &flow{up: up}
+	f := &flow{upstream: up}
 	r.flows[from] = f
-	r.wg.Go(func() { r.back(f, from) })
+	r.wg.Go(func() { r.forwardFromUpstream(f, from) })
 	return f
 }
 
-// back forwards from the upstream until the flow's socket is closed. Other errors
+// forwardFromUpstream forwards from the upstream until the flow's socket is closed. Other errors
 // are news of an upstream that is gone, which nobody hears here.
-func (r *Relay) back(f *flow, to netip.AddrPort) {
-	buf := make([]byte, datagram)
+func (r *Relay) forwardFromUpstream(f *flow, to netip.AddrPort) {
+	buf := make([]byte, maxDatagramSize)
 	for {
-		n, err := f.up.Read(buf)
+		n, err := f.upstream.Read(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err == nil && r.passes(f, FromUpstream) {
+		if err == nil && r.shouldForward(f, FromUpstream) {
 			_, _ = r.socket.WriteToUDPAddrPort(buf[:n], to)
 		}
 	}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -8,8 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// limit is a generous bound of every wait.
-const limit = 20 * time.Second
+// waitTimeout is a generous bound of every wait.
+const waitTimeout = 20 * time.Second
 
 // echoServer answers each datagram with itself.
 func echoServer(c *qt.C) string {
@@ -29,7 +29,7 @@
 	return socket.LocalAddr().String()
 }
 
-func start(c *qt.C) *Relay {
+func startRelay(c *qt.C) *Relay {
 	r, err := New()
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(r.Close)
@@ -41,7 +41,7 @@
 	conn, err := net.Dial("udp", r.Addr())
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { conn.Close() })
-	c.Assert(conn.SetDeadline(time.Now().Add(limit)), qt.IsNil)
+	c.Assert(conn.SetDeadline(time.Now().Add(waitTimeout)), qt.IsNil)
 	return conn
 }
 
@@ -55,7 +55,7 @@
 }
 
 func awaitDropped(c *qt.C, r *Relay, way Direction, n int64) {
-	for range limit / time.Millisecond {
+	for range waitTimeout / time.Millisecond {
 		if r.Dropped(way) >= n {
 			return
 		}
@@ -64,10 +64,10 @@
 	c.Fatalf("%d dropped, want %d", r.Dropped(way), n)
 }
 
-func TestFlowsLostInOneDirection(t *testing.T) {
+func TestDropFlowsOneDirection(t *testing.T) {
 	for _, way := range BothDirections {
 		c := qt.New(t)
-		r := start(c)
+		r := startRelay(c)
 		known := dial(c, r)
 		exchange(c, known, "before")
 		c.Assert(r.DropFlows(way), qt.Equals, 1)
@@ -80,9 +80,9 @@
 	}
 }
 
-func TestMuteEnds(t *testing.T) {
+func TestBlockDirectionIsReversible(t *testing.T) {
 	c := qt.New(t)
-	r := start(c)
+	r := startRelay(c)
 	conn := dial(c, r)
 	r.BlockDirection(FromUpstream, true)
 	_, err := conn.Write([]byte("lost"))
--- a/internal/rotation/rotation_test.go
+++ b/internal/rotation/rotation_test.go
@@ -8,7 +8,7 @@
 	"github.com/eelgrasshub/eelgrasshub/internal/rotation"
 )
 
-func TestCallsInARowCoverAll(t *testing.T) {
+func TestSuccessiveCallsCoverAll(t *testing.T) {
 	c := qt.New(t)
 	var turn rotation.Selector
 	all := []string{"a", "b", "c", "d", "e"}
--- a/internal/testport/testport.go
+++ b/internal/testport/testport.go
@@ -47,14 +47,14 @@
 		addr := fmt.Sprintf("127.0.0.1:%d", r.From+at%(r.To-r.From))
 		at++
 		next[r] = at
-		if free(addr) {
+		if isFree(addr) {
 			return addr
 		}
 	}
 	panic("testport: every port is taken")
 }
 
-func free(addr string) bool {
+func isFree(addr string) bool {
 	tcp, err := net.Listen("tcp", addr)
 	if err != nil {
 		return false
--- a/load/audit.go
+++ b/load/audit.go
@@ -21,7 +21,7 @@
 		for _, run := range a.Tasks {
 			tasks[run.Tag] = append(tasks[run.Tag], workerTask{run, a.WorkerName})
 		}
-		f.addWorker(a)
+		f.addWorkerRecords(a)
 	}
 	for i := range r.Quick {
 		f.auditQuick(&r.Quick[i], quick[r.Quick[i].Tag])
@@ -38,7 +38,7 @@
 	worker string
 }
 
-func (f *Findings) addWorker(a standin.Audit) {
+func (f *Findings) addWorkerRecords(a standin.Audit) {
 	for _, v := range a.Violations {
 		f.Violations.add("worker %s: %s: %s", a.WorkerName, v.Kind, v.Detail)
 	}
@@ -47,35 +47,35 @@
 	}
 }
 
-// deniedRun returns the request id of a try that was told not run although its
+// findFalseNotRun returns the request id of a try that was told not run although its
 // request ran. A run through another entry of the same request belongs to that
 // entry's try, so ids decide where they tell tries apart; where every try was
 // told not run, any run contradicts one of them.
-func deniedRun(tries []Try, ran []string) (string, bool) {
+func findFalseNotRun(tries []Try, ran []string) (string, bool) {
 	if len(ran) == 0 {
 		return "", false
 	}
-	if allDenied(tries) {
+	if allReportedNotRun(tries) {
 		return tries[0].RequestID, true
 	}
 	for i, t := range tries {
-		if denied(t) && t.RequestID != "" && !sharedID(tries, i) && slices.Contains(ran, t.RequestID) {
+		if reportedNotRun(t) && t.RequestID != "" && !hasSharedRequestID(tries, i) && slices.Contains(ran, t.RequestID) {
 			return t.RequestID, true
 		}
 	}
 	return "", false
 }
 
-func allDenied(tries []Try) bool {
+func allReportedNotRun(tries []Try) bool {
 	for _, t := range tries {
-		if !denied(t) {
+		if !reportedNotRun(t) {
 			return false
 		}
 	}
 	return len(tries) > 0
 }
 
-func sharedID(tries []Try, i int) bool {
+func hasSharedRequestID(tries []Try, i int) bool {
 	for k, t := range tries {
 		if k != i && t.RequestID == tries[i].RequestID {
 			return true
--- a/load/audit_jobs.go
+++ b/load/audit_jobs.go
@@ -13,19 +13,19 @@
 
 func (f *Findings) auditJob(j *JobResult, runs []workerTask) {
 	name := j.Account + "/" + j.Class + " " + j.Tag + " job " + j.ID
-	attempts := byAttempt(runs)
-	f.auditEnd(name, j)
-	f.auditDenial(name, j, runs)
-	f.auditOnce(name, j, attempts)
+	attempts := groupByAttempt(runs)
+	f.auditFinalState(name, j)
+	f.auditNotRun(name, j, runs)
+	f.auditDuplicateRuns(name, j, attempts)
 	for _, a := range attempts {
-		f.auditMembers(name, a)
+		f.auditGang(name, a)
 	}
 	if j.State == api.JobDone {
 		f.auditJobDone(name, j, attempts)
 	}
 }
 
-func (f *Findings) auditEnd(name string, j *JobResult) {
+func (f *Findings) auditFinalState(name string, j *JobResult) {
 	switch {
 	case j.ID != "" && !j.State.Final():
 		f.Lost.add("%s: accepted, last seen %s", name, j.State)
@@ -34,49 +34,49 @@
 	}
 }
 
-// auditDenial finds jobs told not run that ran.
-func (f *Findings) auditDenial(name string, j *JobResult, runs []workerTask) {
+// auditNotRun finds jobs told not run that ran.
+func (f *Findings) auditNotRun(name string, j *JobResult, runs []workerTask) {
 	if len(runs) == 0 {
 		return
 	}
 	told := j.State == api.JobRejected ||
 		j.State == api.JobCancelled && j.Reason != "" && j.Reason.Outcome() == api.OutcomeNotRun ||
-		j.ID == "" && allDenied(j.Submissions)
+		j.ID == "" && allReportedNotRun(j.Submissions)
 	if told {
 		f.Misreported.add("%s: told not run (%s %s), and ran on %s", name, j.State, j.Reason, runs[0].worker)
 	}
 }
 
-// attempt is what ran of one attempt of a job.
-type attempt struct {
+// attemptRuns is what ran of one attemptRuns of a job.
+type attemptRuns struct {
 	target.TaskID
 	members int
 	runs    []workerTask
 }
 
-func byAttempt(runs []workerTask) []attempt {
-	found := map[target.TaskID]*attempt{}
+func groupByAttempt(runs []workerTask) []attemptRuns {
+	found := map[target.TaskID]*attemptRuns{}
 	for _, r := range runs {
 		a := found[r.TaskID]
 		if a == nil {
-			a = &attempt{TaskID: r.TaskID, members: r.Members}
+			a = &attemptRuns{TaskID: r.TaskID, members: r.Members}
 			found[r.TaskID] = a
 		}
 		a.runs = append(a.runs, r)
 	}
-	var list []attempt
-	for _, id := range slices.SortedFunc(maps.Keys(found), compareTasks) {
+	var list []attemptRuns
+	for _, id := range slices.SortedFunc(maps.Keys(found), compareTaskIDs) {
 		list = append(list, *found[id])
 	}
 	return list
 }
 
-func compareTasks(a, b target.TaskID) int {
+func compareTaskIDs(a, b target.TaskID) int {
 	return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Attempt, b.Attempt))
 }
 
-// count returns how many different members have a run that passes.
-func (a *attempt) count(ok func(workerTask) bool) int {
+// countMembers returns how many different members have a run that passes.
+func (a *attemptRuns) countMembers(ok func(workerTask) bool) int {
 	seen := map[int]bool{}
 	for _, r := range a.runs {
 		if ok(r) {
@@ -86,51 +86,51 @@
 	return len(seen)
 }
 
-func (a *attempt) started() int {
-	return a.count(func(workerTask) bool { return true })
+func (a *attemptRuns) startedMembers() int {
+	return a.countMembers(func(workerTask) bool { return true })
 }
 
-func (a *attempt) done() int {
-	return a.count(func(r workerTask) bool { return r.Outcome == target.TaskDone })
+func (a *attemptRuns) completedMembers() int {
+	return a.countMembers(func(r workerTask) bool { return r.Outcome == target.TaskDone })
 }
 
-func (f *Findings) auditMembers(name string, a attempt) {
-	if n := a.started(); n < a.members {
+func (f *Findings) auditGang(name string, a attemptRuns) {
+	if n := a.startedMembers(); n < a.members {
 		f.PartialGangs.add("%s attempt %d: %d of %d members ever started", name, a.Attempt, n, a.members)
 	}
-	if n := len(a.runs); n > a.started() {
-		f.DuplicateRuns.add("%s attempt %d: %d runs of %d members", name, a.Attempt, n, a.started())
+	if n := len(a.runs); n > a.startedMembers() {
+		f.DuplicateRuns.add("%s attempt %d: %d runs of %d members", name, a.Attempt, n, a.startedMembers())
 	}
 }
 
-func (f *Findings) auditOnce(name string, j *JobResult, attempts []attempt) {
+func (f *Findings) auditDuplicateRuns(name string, j *JobResult, attempts []attemptRuns) {
 	for i := 1; i < len(attempts); i++ {
 		before, a := &attempts[i-1], &attempts[i]
 		switch {
 		case a.Job != before.Job:
 			f.DuplicateRuns.add("%s: one submission ran as jobs %s and %s", name, before.Job, a.Job)
-		case !j.Repeatable && repeats(attempts[:i], a):
+		case !j.Repeatable && repeatsWork(attempts[:i], a):
 			f.DuplicateRuns.add("%s: not repeatable, attempt %d repeats work of an earlier one", name, a.Attempt)
 		}
 	}
 }
 
-// repeats reports whether a, started whole, does work again that an earlier
+// repeatsWork reports whether a, started whole, does work again that an earlier
 // attempt started whole had done. One that resumes each member where the other
-// ended repeats nothing.
-func repeats(earlier []attempt, a *attempt) bool {
-	if a.started() < a.members {
+// ended repeatsWork nothing.
+func repeatsWork(earlier []attemptRuns, a *attemptRuns) bool {
+	if a.startedMembers() < a.members {
 		return false
 	}
 	for _, e := range earlier {
-		if e.Job == a.Job && e.started() == e.members && !resumes(e.runs, a.runs) {
+		if e.Job == a.Job && e.startedMembers() == e.members && !resumesProgress(e.runs, a.runs) {
 			return true
 		}
 	}
 	return false
 }
 
-func resumes(earlier, later []workerTask) bool {
+func resumesProgress(earlier, later []workerTask) bool {
 	reached := map[int]int64{}
 	for _, r := range earlier {
 		reached[r.Member] = max(reached[r.Member], r.ProgressMS)
@@ -143,12 +143,12 @@
 	return true
 }
 
-func (f *Findings) auditJobDone(name string, j *JobResult, attempts []attempt) {
+func (f *Findings) auditJobDone(name string, j *JobResult, attempts []attemptRuns) {
 	best := 0
 	for _, a := range attempts {
-		n := a.done()
+		n := a.completedMembers()
 		if n == a.members {
-			f.auditResult(name, j)
+			f.auditResultOwner(name, j)
 			return
 		}
 		best = max(best, n)
@@ -160,8 +160,8 @@
 	f.Misreported.add("%s: told done, no member completed", name)
 }
 
-// auditResult finds a result that belongs to another job.
-func (f *Findings) auditResult(name string, j *JobResult) {
+// auditResultOwner finds a result that belongs to another job.
+func (f *Findings) auditResultOwner(name string, j *JobResult) {
 	var parts []standin.TaskResult
 	if len(j.Result) == 0 || json.Unmarshal(j.Result, &parts) != nil {
 		return // a form of result that carries no tags
--- a/load/audit_quick.go
+++ b/load/audit_quick.go
@@ -5,8 +5,8 @@
 	"github.com/eelgrasshub/eelgrasshub/target/standin"
 )
 
-// denied reports whether the try can't have run by what the caller knows.
-func denied(t Try) bool {
+// reportedNotRun reports whether the try can't have run by what the caller knows.
+func reportedNotRun(t Try) bool {
 	return t.NotSent || t.Answered && t.Outcome == api.OutcomeNotRun
 }
 
@@ -22,25 +22,25 @@
 	for i, run := range runs {
 		ran[i] = run.RequestID
 	}
-	if id, ok := deniedRun(q.Tries, ran); ok {
+	if id, ok := findFalseNotRun(q.Tries, ran); ok {
 		f.Misreported.add("%s: request %s told not run, and ran", name, id)
 	}
 	for _, t := range q.Tries {
-		f.auditDone(name, t, runs)
+		f.auditDoneAnswer(name, t, runs)
 	}
 }
 
-func (f *Findings) auditDone(name string, t Try, runs []standin.QuickRun) {
+func (f *Findings) auditDoneAnswer(name string, t Try, runs []standin.QuickRun) {
 	switch {
 	case !t.Answered || t.Outcome != api.OutcomeDone:
 	case t.BodyError != "":
 		f.Misreported.add("%s: request %s told done: %s", name, t.RequestID, t.BodyError)
-	case !completed(runs, t.Checksum):
+	case !completedWithChecksum(runs, t.Checksum):
 		f.Misreported.add("%s: request %s told done, no completed run gave that answer", name, t.RequestID)
 	}
 }
 
-func completed(runs []standin.QuickRun, sum string) bool {
+func completedWithChecksum(runs []standin.QuickRun, sum string) bool {
 	for _, run := range runs {
 		if run.Completed && run.Checksum == sum {
 			return true
--- a/load/audit_test.go
+++ b/load/audit_test.go
@@ -11,23 +11,23 @@
 	"github.com/eelgrasshub/eelgrasshub/target/standin"
 )
 
-func answered(id string, o api.Outcome) Try {
+func answeredTry(id string, o api.Outcome) Try {
 	return Try{Answered: true, RequestID: id, Outcome: o, Checksum: "sum"}
 }
 
-func quickRan(id string) standin.QuickRun {
+func quickRun(id string) standin.QuickRun {
 	return standin.QuickRun{RequestID: id, Tag: "t", Completed: true, Checksum: "sum"}
 }
 
-type counts struct{ lost, doubled, misreported, partial int }
+type findingCounts struct{ lost, doubled, misreported, partial int }
 
-func countsOf(f Findings) counts {
-	return counts{f.Lost.Count, f.DuplicateRuns.Count, f.Misreported.Count, f.PartialGangs.Count}
+func countFindings(f Findings) findingCounts {
+	return findingCounts{f.Lost.Count, f.DuplicateRuns.Count, f.Misreported.Count, f.PartialGangs.Count}
 }
 
 func TestAuditOfQuickRequests(t *testing.T) {
-	done, notRun, unknown := answered("r1", api.OutcomeDone), answered("r1", api.OutcomeNotRun), answered("r1", api.OutcomeUnknown)
-	cut := quickRan("r1")
+	done, notRun, unknown := answeredTry("r1", api.OutcomeDone), answeredTry("r1", api.OutcomeNotRun), answeredTry("r1", api.OutcomeUnknown)
+	cut := quickRun("r1")
 	cut.Completed = false
 	stray := done
 	stray.BodyError = "body answers another"
@@ -38,38 +38,38 @@
 		repeatable bool
 		tries      []Try
 		runs       runs
-		want       counts
+		want       findingCounts
 	}{
-		"done once":                            {false, []Try{done}, runs{quickRan("r1")}, counts{}},
-		"not run":                              {false, []Try{notRun}, nil, counts{}},
-		"unknown, ran":                         {false, []Try{unknown}, runs{quickRan("r1")}, counts{}},
-		"no connection at all":                 {false, []Try{{NotSent: true}}, nil, counts{}},
-		"silence":                              {false, []Try{{}, {}}, nil, counts{lost: 1}},
-		"never tried":                          {false, nil, nil, counts{lost: 1}},
-		"silence, then done":                   {false, []Try{{}, done}, runs{quickRan("r1")}, counts{}},
-		"ran twice":                            {false, []Try{done}, runs{quickRan("r1"), quickRan("r2")}, counts{doubled: 1}},
-		"ran twice, may be repeated":           {true, []Try{done}, runs{quickRan("r1"), quickRan("r2")}, counts{}},
-		"told not run, ran":                    {true, []Try{notRun}, runs{quickRan("r9")}, counts{misreported: 1}},
-		"told not run, ran to the half":        {true, []Try{notRun}, runs{cut}, counts{misreported: 1}},
-		"not sent by its word, ran":            {true, []Try{{NotSent: true}}, runs{quickRan("r1")}, counts{misreported: 1}},
-		"one entry refused, the other ran it":  {false, []Try{answered("r2", api.OutcomeNotRun), done}, runs{quickRan("r1")}, counts{}},
-		"refused try ran beside the done one":  {true, []Try{answered("r2", api.OutcomeNotRun), done}, runs{quickRan("r1"), quickRan("r2")}, counts{misreported: 1}},
-		"told done, never ran":                 {true, []Try{done}, nil, counts{misreported: 1}},
-		"told done, run was cut":               {true, []Try{done}, runs{cut}, counts{misreported: 1}},
-		"told done with another's answer":      {true, []Try{stray}, runs{quickRan("r1")}, counts{misreported: 1}},
-		"told done with an answer no run gave": {true, []Try{other}, runs{quickRan("r1")}, counts{misreported: 1}},
+		"done once":                            {false, []Try{done}, runs{quickRun("r1")}, findingCounts{}},
+		"not run":                              {false, []Try{notRun}, nil, findingCounts{}},
+		"unknown, ran":                         {false, []Try{unknown}, runs{quickRun("r1")}, findingCounts{}},
+		"no connection at all":                 {false, []Try{{NotSent: true}}, nil, findingCounts{}},
+		"silence":                              {false, []Try{{}, {}}, nil, findingCounts{lost: 1}},
+		"never tried":                          {false, nil, nil, findingCounts{lost: 1}},
+		"silence, then done":                   {false, []Try{{}, done}, runs{quickRun("r1")}, findingCounts{}},
+		"ran twice":                            {false, []Try{done}, runs{quickRun("r1"), quickRun("r2")}, findingCounts{doubled: 1}},
+		"ran twice, may be repeated":           {true, []Try{done}, runs{quickRun("r1"), quickRun("r2")}, findingCounts{}},
+		"told not run, ran":                    {true, []Try{notRun}, runs{quickRun("r9")}, findingCounts{misreported: 1}},
+		"told not run, ran to the half":        {true, []Try{notRun}, runs{cut}, findingCounts{misreported: 1}},
+		"not sent by its word, ran":            {true, []Try{{NotSent: true}}, runs{quickRun("r1")}, findingCounts{misreported: 1}},
+		"one entry refused, the other ran it":  {false, []Try{answeredTry("r2", api.OutcomeNotRun), done}, runs{quickRun("r1")}, findingCounts{}},
+		"refused try ran beside the done one":  {true, []Try{answeredTry("r2", api.OutcomeNotRun), done}, runs{quickRun("r1"), quickRun("r2")}, findingCounts{misreported: 1}},
+		"told done, never ran":                 {true, []Try{done}, nil, findingCounts{misreported: 1}},
+		"told done, run was cut":               {true, []Try{done}, runs{cut}, findingCounts{misreported: 1}},
+		"told done with another's answer":      {true, []Try{stray}, runs{quickRun("r1")}, findingCounts{misreported: 1}},
+		"told done with an answer no run gave": {true, []Try{other}, runs{quickRun("r1")}, findingCounts{misreported: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := Result{Quick: []QuickResult{{Tag: "t", Repeatable: tc.repeatable, Tries: tc.tries}}}
 			f := Audit(r, []standin.Audit{{Quick: tc.runs}})
-			qt.Check(t, countsOf(f), qt.Equals, tc.want, qt.Commentf("%+v", f))
-			qt.Check(t, f.Clean(), qt.Equals, tc.want == counts{})
+			qt.Check(t, countFindings(f), qt.Equals, tc.want, qt.Commentf("%+v", f))
+			qt.Check(t, f.Clean(), qt.Equals, tc.want == findingCounts{})
 		})
 	}
 }
 
-// ran is a member's run: job, attempt, member of two, restored and reached.
-func ran(job string, attempt, member int, o target.TaskState, restored, reached int64) standin.TaskRun {
+// memberRun is a member's run: job, attempt, member of two, restored and reached.
+func memberRun(job string, attempt, member int, o target.TaskState, restored, reached int64) standin.TaskRun {
 	return standin.TaskRun{TaskID: target.TaskID{Job: job, Attempt: attempt}, Tag: "t",
 		Member: member, Members: 2, Outcome: o, RestoredMS: restored, ProgressMS: reached}
 }
@@ -78,9 +78,9 @@
 	const ok, stopped = target.TaskDone, target.TaskStopped
 	type runs = []standin.TaskRun
 	gang := func(attempt int, o target.TaskState, restored, reached int64) runs {
-		return runs{ran("a", attempt, 0, o, restored, reached), ran("a", attempt, 1, o, restored, reached)}
+		return runs{memberRun("a", attempt, 0, o, restored, reached), memberRun("a", attempt, 1, o, restored, reached)}
 	}
-	accepted := []Try{answered("a", api.OutcomeDone)}
+	accepted := []Try{answeredTry("a", api.OutcomeDone)}
 	job := func(s api.JobState) JobResult { return JobResult{ID: "a", State: s, Submissions: accepted} }
 	again := job(api.JobDone)
 	again.Repeatable = true
@@ -91,38 +91,38 @@
 	for name, tc := range map[string]struct {
 		job  JobResult
 		runs runs
-		want counts
+		want findingCounts
 	}{
-		"done":                            {job(api.JobDone), gang(1, ok, 0, 9), counts{}},
-		"rejected":                        {job(api.JobRejected), nil, counts{}},
-		"still running":                   {job(api.JobRunning), gang(1, target.TaskRunning, 0, 0), counts{lost: 1}},
-		"submission without an answer":    {JobResult{Submissions: []Try{{}}}, nil, counts{lost: 1}},
-		"submission refused":              {JobResult{Submissions: []Try{answered("", api.OutcomeNotRun)}}, nil, counts{}},
-		"submission refused, ran":         {JobResult{Submissions: []Try{answered("", api.OutcomeNotRun)}}, gang(1, ok, 0, 9), counts{misreported: 1}},
-		"rejected, ran":                   {job(api.JobRejected), gang(1, ok, 0, 9), counts{misreported: 1}},
-		"cancelled before start, ran":     {early, gang(1, stopped, 0, 2), counts{misreported: 1}},
-		"cancelled while running":         {job(api.JobCancelled), gang(1, stopped, 0, 2), counts{}},
-		"told done, stopped":              {job(api.JobDone), gang(1, stopped, 0, 2), counts{misreported: 1}},
-		"told done, never ran":            {job(api.JobDone), nil, counts{misreported: 1}},
-		"another's result":                {stray, gang(1, ok, 0, 9), counts{misreported: 1}},
-		"done, one member stopped":        {job(api.JobDone), runs{ran("a", 1, 0, ok, 0, 9), ran("a", 1, 1, stopped, 0, 4)}, counts{partial: 1}},
-		"failed, one member only started": {job(api.JobFailed), gang(1, ok, 0, 9)[:1], counts{partial: 1}},
-		"ran twice":                       {job(api.JobDone), append(gang(1, stopped, 0, 5), gang(2, ok, 0, 9)...), counts{doubled: 1}},
-		"ran twice, repeatable":           {again, append(gang(1, stopped, 0, 5), gang(2, ok, 0, 9)...), counts{}},
-		"resumed where it ended":          {job(api.JobDone), append(gang(1, stopped, 0, 5), gang(2, ok, 5, 9)...), counts{}},
-		"resumed before where it ended":   {job(api.JobDone), append(gang(1, stopped, 0, 5), gang(2, ok, 3, 9)...), counts{doubled: 1}},
-		"one submission, two jobs":        {again, append(gang(1, ok, 0, 9), ran("b", 1, 0, ok, 0, 9), ran("b", 1, 1, ok, 0, 9)), counts{doubled: 1}},
-		"one member started twice":        {again, append(gang(1, ok, 0, 9), ran("a", 1, 1, ok, 0, 9)), counts{doubled: 1}},
+		"done":                            {job(api.JobDone), gang(1, ok, 0, 9), findingCounts{}},
+		"rejected":                        {job(api.JobRejected), nil, findingCounts{}},
+		"still running":                   {job(api.JobRunning), gang(1, target.TaskRunning, 0, 0), findingCounts{lost: 1}},
+		"submission without an answer":    {JobResult{Submissions: []Try{{}}}, nil, findingCounts{lost: 1}},
+		"submission refused":              {JobResult{Submissions: []Try{answeredTry("", api.OutcomeNotRun)}}, nil, findingCounts{}},
+		"submission refused, ran":         {JobResult{Submissions: []Try{answeredTry("", api.OutcomeNotRun)}}, gang(1, ok, 0, 9), findingCounts{misreported: 1}},
+		"rejected, ran":                   {job(api.JobRejected), gang(1, ok, 0, 9), findingCounts{misreported: 1}},
+		"cancelled before start, ran":     {early, gang(1, stopped, 0, 2), findingCounts{misreported: 1}},
+		"cancelled while running":         {job(api.JobCancelled), gang(1, stopped, 0, 2), findingCounts{}},
+		"told done, stopped":              {job(api.JobDone), gang(1, stopped, 0, 2), findingCounts{misreported: 1}},
+		"told done, never ran":            {job(api.JobDone), nil, findingCounts{misreported: 1}},
+		"another's result":                {stray, gang(1, ok, 0, 9), findingCounts{misreported: 1}},
+		"done, one member stopped":        {job(api.JobDone), runs{memberRun("a", 1, 0, ok, 0, 9), memberRun("a", 1, 1, stopped, 0, 4)}, findingCounts{partial: 1}},
+		"failed, one member only started": {job(api.JobFailed), gang(1, ok, 0, 9)[:1], findingCounts{partial: 1}},
+		"ran twice":                       {job(api.JobDone), append(gang(1, stopped, 0, 5), gang(2, ok, 0, 9)...), findingCounts{doubled: 1}},
+		"ran twice, repeatable":           {again, append(gang(1, stopped, 0, 5), gang(2, ok, 0, 9)...), findingCounts{}},
+		"resumed where it ended":          {job(api.JobDone), append(gang(1, stopped, 0, 5), gang(2, ok, 5, 9)...), findingCounts{}},
+		"resumed before where it ended":   {job(api.JobDone), append(gang(1, stopped, 0, 5), gang(2, ok, 3, 9)...), findingCounts{doubled: 1}},
+		"one submission, two jobs":        {again, append(gang(1, ok, 0, 9), memberRun("b", 1, 0, ok, 0, 9), memberRun("b", 1, 1, ok, 0, 9)), findingCounts{doubled: 1}},
+		"one member started twice":        {again, append(gang(1, ok, 0, 9), memberRun("a", 1, 1, ok, 0, 9)), findingCounts{doubled: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tc.job.Tag = "t"
 			f := Audit(Result{Jobs: []JobResult{tc.job}}, []standin.Audit{{Tasks: tc.runs}})
-			qt.Check(t, countsOf(f), qt.Equals, tc.want, qt.Commentf("%+v", f))
+			qt.Check(t, countFindings(f), qt.Equals, tc.want, qt.Commentf("%+v", f))
 		})
 	}
 }
 
-func TestAuditTakesInWhatWorkersRecorded(t *testing.T) {
+func TestAuditIncludesWorkerRecords(t *testing.T) {
 	a := standin.Audit{Violations: make([]standin.Violation, 9), Dropped: 1}
 	f := Audit(Result{}, []standin.Audit{a})
 	qt.Check(t, f.Violations.Count, qt.Equals, 9)
@@ -136,6 +136,6 @@
 	for i := 100; i > 0; i-- {
 		list = append(list, time.Duration(i)*time.Millisecond)
 	}
-	qt.Check(t, percentiles(list), qt.Equals, "50.0ms\t90.0ms\t99.0ms")
-	qt.Check(t, percentiles(list[:1]), qt.Equals, "1.0ms\t1.0ms\t1.0ms")
+	qt.Check(t, formatPercentiles(list), qt.Equals, "50.0ms\t90.0ms\t99.0ms")
+	qt.Check(t, formatPercentiles(list[:1]), qt.Equals, "1.0ms\t1.0ms\t1.0ms")
 }
--- a/load/echo.go
+++ b/load/echo.go
@@ -8,9 +8,9 @@
 	"github.com/eelgrasshub/eelgrasshub/target/standin"
 )
 
-// checkEcho returns the checksum of a done answer, and what shows that it isn't
+// verifyEcho returns the checksum of a done answer, and what shows that it isn't
 // the whole answer to r.
-func checkEcho(r *api.QuickRequest, body []byte) (sum, problem string) {
+func verifyEcho(r *api.QuickRequest, body []byte) (sum, problem string) {
 	var e standin.Echo
 	if err := json.Unmarshal(body, &e); err != nil {
 		return "", fmt.Sprintf("body of %d bytes is no echo: %v", len(body), err)
--- a/load/plan_read.go
+++ b/load/plan_read.go
@@ -30,7 +30,7 @@
 	if err := d.Decode(&p); err != nil {
 		return Plan{}, decodeError(file, err)
 	}
-	if err := p.check(); err != nil {
+	if err := p.validate(); err != nil {
 		return Plan{}, fmt.Errorf("%s: %w", file, err)
 	}
 	return p, nil
@@ -51,7 +51,7 @@
 	return fmt.Errorf("%s: %w", file, err)
 }
 
-func (p *Plan) check() error {
+func (p *Plan) validate() error {
 	switch {
 	case p.Name == "":
 		return errors.New("name: missing")
@@ -63,17 +63,17 @@
 		return errors.New("drain: must be more than 0")
 	}
 	for i, q := range p.Quick {
-		if err := q.check(); err != nil {
+		if err := q.validate(); err != nil {
 			return fmt.Errorf("quick[%d].%w", i, err)
 		}
 		// A drain that ends before the caller's patience would count answers
 		// that are still due as lost.
-		if p.DrainTimeout < q.Deadline+Duration(patience) {
-			return fmt.Errorf("drain: must be at least the deadline of quick[%d] and %s", i, patience)
+		if p.DrainTimeout < q.Deadline+Duration(answerGrace) {
+			return fmt.Errorf("drain: must be at least the deadline of quick[%d] and %s", i, answerGrace)
 		}
 	}
 	for i, j := range p.Jobs {
-		if err := j.check(); err != nil {
+		if err := j.validate(); err != nil {
 			return fmt.Errorf("job[%d].%w", i, err)
 		}
 	}
@@ -86,14 +86,14 @@
 		}
 	}
 	for i, w := range p.BulkCancellations {
-		if !isShare(w.Share) {
+		if !isFraction(w.Share) {
 			return fmt.Errorf("cancel_wave[%d].share: must be from 0 to 1", i)
 		}
 	}
 	return nil
 }
 
-func (q *QuickLoad) check() error {
+func (q *QuickLoad) validate() error {
 	switch {
 	case q.Account == "":
 		return errors.New("account: missing")
@@ -103,13 +103,13 @@
 		return errors.New("rate: must be more than 0")
 	case q.Deadline <= 0:
 		return errors.New("deadline: must be more than 0")
-	case !isShare(q.ResendShare):
+	case !isFraction(q.ResendShare):
 		return errors.New("resent: must be from 0 to 1")
 	}
-	return q.ServiceTime.check("work")
+	return q.ServiceTime.validate("work")
 }
 
-func (j *JobLoad) check() error {
+func (j *JobLoad) validate() error {
 	switch {
 	case j.Account == "":
 		return errors.New("account: missing")
@@ -121,34 +121,34 @@
 		return errors.New("sizes: missing")
 	case j.EstimateErrorFactor != 0 && j.EstimateErrorFactor < 1:
 		return errors.New("misdeclared: must be 0, or at least 1")
-	case !isShare(j.FailureShare):
+	case !isFraction(j.FailureShare):
 		return errors.New("failing: must be from 0 to 1")
-	case !isShare(j.ResendShare):
+	case !isFraction(j.ResendShare):
 		return errors.New("resent: must be from 0 to 1")
 	}
 	for i, s := range j.Sizes {
-		if err := s.check(); err != nil {
+		if err := s.validate(); err != nil {
 			return fmt.Errorf("sizes[%d].%w", i, err)
 		}
 	}
-	return j.RunTime.check("run")
+	return j.RunTime.validate("run")
 }
 
-func (s *GangSize) check() error {
+func (s *GangSize) validate() error {
 	switch {
 	case s.Accelerators < 1:
 		return errors.New("accelerators: must be at least 1")
 	case s.Weight <= 0:
 		return errors.New("weight: must be more than 0")
 	case s.Adjacency != "" && !s.Adjacency.Valid():
-		return errors.New("adjacency: must be one of " + adjacencies)
+		return errors.New("adjacency: must be one of " + adjacencyNames)
 	}
 	return nil
 }
 
-const adjacencies = string(api.AdjacentWorker + ", " + api.AdjacentRack + ", " + api.AdjacentZone + ", " + api.AdjacentAny)
+const adjacencyNames = string(api.AdjacentWorker + ", " + api.AdjacentRack + ", " + api.AdjacentZone + ", " + api.AdjacentAny)
 
-func (l *LogNormal) check(key string) error {
+func (l *LogNormal) validate(key string) error {
 	switch {
 	case l.Median <= 0:
 		return errors.New(key + ".median: must be more than 0")
@@ -160,6 +160,6 @@
 	return nil
 }
 
-func isShare(v float64) bool {
+func isFraction(v float64) bool {
 	return v >= 0 && v <= 1
 }
--- a/load/report.go
+++ b/load/report.go
@@ -19,11 +19,11 @@
 	var b bytes.Buffer
 	t := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "%s (%s): %d quick requests, %d jobs, sent at most %s late\n",
-		r.Plan, r.Service, len(r.Quick), len(r.Jobs), ms(r.MaxSendDelay))
-	reportQuick(t, r.Quick)
-	reportJobs(t, r.Jobs)
-	reportSamples(t, s)
-	reportFindings(t, f)
+		r.Plan, r.Service, len(r.Quick), len(r.Jobs), formatMillis(r.MaxSendDelay))
+	writeQuickTable(t, r.Quick)
+	writeJobTable(t, r.Jobs)
+	writeSamples(t, s)
+	writeFindings(t, f)
 	if err := t.Flush(); err != nil {
 		return err
 	}
@@ -31,30 +31,30 @@
 	return err
 }
 
-type group struct {
+type accountClass struct {
 	account string
 	class   string
 }
 
-func compareGroups(a, b group) int {
+func compareAccountClasses(a, b accountClass) int {
 	return cmp.Or(cmp.Compare(a.account, b.account), cmp.Compare(a.class, b.class))
 }
 
-func groupBy[T any](list []T, key func(*T) group) ([]group, map[group][]*T) {
-	groups := map[group][]*T{}
+func groupByAccountClass[T any](list []T, key func(*T) accountClass) ([]accountClass, map[accountClass][]*T) {
+	groups := map[accountClass][]*T{}
 	for i := range list {
 		k := key(&list[i])
 		groups[k] = append(groups[k], &list[i])
 	}
-	return slices.SortedFunc(maps.Keys(groups), compareGroups), groups
+	return slices.SortedFunc(maps.Keys(groups), compareAccountClasses), groups
 }
 
-func reportQuick(w io.Writer, list []QuickResult) {
+func writeQuickTable(w io.Writer, list []QuickResult) {
 	if len(list) == 0 {
 		return
 	}
 	fmt.Fprintln(w, "account\tclass\tdone\tnot run\tunknown\tno answer\tp50\tp90\tp99")
-	keys, groups := groupBy(list, func(q *QuickResult) group { return group{q.Account, q.Class} })
+	keys, groups := groupByAccountClass(list, func(q *QuickResult) accountClass { return accountClass{q.Account, q.Class} })
 	for _, k := range keys {
 		n := map[api.Outcome]int{}
 		var took []time.Duration
@@ -66,16 +66,16 @@
 			}
 		}
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%s\n", k.account, k.class,
-			n[api.OutcomeDone], n[api.OutcomeNotRun], n[api.OutcomeUnknown], n[""], percentiles(took))
+			n[api.OutcomeDone], n[api.OutcomeNotRun], n[api.OutcomeUnknown], n[""], formatPercentiles(took))
 	}
 }
 
-func reportJobs(w io.Writer, list []JobResult) {
+func writeJobTable(w io.Writer, list []JobResult) {
 	if len(list) == 0 {
 		return
 	}
 	fmt.Fprintln(w, "account\tclass\tdone\tfailed\tcancelled\trejected\tunknown\tno end\tp50\tp90\tp99\tstart p50\tp90\tp99")
-	keys, groups := groupBy(list, func(j *JobResult) group { return group{j.Account, j.Class} })
+	keys, groups := groupByAccountClass(list, func(j *JobResult) accountClass { return accountClass{j.Account, j.Class} })
 	for _, k := range keys {
 		n := map[api.JobState]int{}
 		var took, waited []time.Duration
@@ -90,7 +90,7 @@
 		}
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\n", k.account, k.class,
 			n[api.JobDone], n[api.JobFailed], n[api.JobCancelled], n[api.JobRejected],
-			n[api.JobUnknown], n[""], percentiles(took), percentiles(waited))
+			n[api.JobUnknown], n[""], formatPercentiles(took), formatPercentiles(waited))
 	}
 }
 
@@ -102,7 +102,7 @@
 		return j.State
 	case j.ID != "":
 		return ""
-	case allDenied(j.Submissions):
+	case allReportedNotRun(j.Submissions):
 		return api.JobRejected
 	case outcomeOf(j.Submissions) == api.OutcomeUnknown:
 		return api.JobUnknown
@@ -110,7 +110,7 @@
 	return ""
 }
 
-func reportSamples(w io.Writer, s Samples) {
+func writeSamples(w io.Writer, s Samples) {
 	if n := len(s.Fragmentation); n > 0 {
 		fmt.Fprintln(w, "fragmentation at\tfree\tstranded\twaiting")
 		step := max(1, n/10)
@@ -130,7 +130,7 @@
 			}
 		}
 		fmt.Fprintln(w, "guarantees claimed\thonoured\tp50\tp90\tp99")
-		fmt.Fprintf(w, "%d\t%d\t%s\n", len(s.Reclaims), honoured, percentiles(took))
+		fmt.Fprintf(w, "%d\t%d\t%s\n", len(s.Reclaims), honoured, formatPercentiles(took))
 	}
 }
 
@@ -147,7 +147,7 @@
 	return area / float64(span)
 }
 
-func reportFindings(w io.Writer, f Findings) {
+func writeFindings(w io.Writer, f Findings) {
 	fmt.Fprintln(w, "lost\tdoubled\tmisreported\tpartial gangs\tworker violations\taudits cut")
 	fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\n", f.Lost.Count, f.DuplicateRuns.Count,
 		f.Misreported.Count, f.PartialGangs.Count, f.Violations.Count, f.IncompleteAudits.Count)
@@ -164,16 +164,16 @@
 	}
 }
 
-// percentiles formats the 50th, 90th and 99th, by the nearest rank.
-func percentiles(list []time.Duration) string {
+// formatPercentiles formats the 50th, 90th and 99th, by the nearest rank.
+func formatPercentiles(list []time.Duration) string {
 	if len(list) == 0 {
 		return "-\t-\t-"
 	}
 	slices.Sort(list)
-	rank := func(p int) string { return ms(list[(len(list)*p+99)/100-1]) }
+	rank := func(p int) string { return formatMillis(list[(len(list)*p+99)/100-1]) }
 	return rank(50) + "\t" + rank(90) + "\t" + rank(99)
 }
 
-func ms(d time.Duration) string {
+func formatMillis(d time.Duration) string {
 	return fmt.Sprintf("%.1fms", float64(d)/float64(time.Millisecond))
 }
--- a/load/run.go
+++ b/load/run.go
@@ -17,29 +17,29 @@
 
 const (
 	maxTries = 4
-	// patience is how long beyond its deadline a caller waits for an answer
+	// answerGrace is how long beyond its deadline a caller waits for an answer
 	// before it counts as silence.
-	patience = 10 * time.Second
-	// betweenTries is the pause before a caller turns to the next entry.
-	betweenTries = 100 * time.Millisecond
-	connections  = 1024
+	answerGrace = 10 * time.Second
+	// retryDelay is the pause before a caller turns to the next entry.
+	retryDelay   = 100 * time.Millisecond
+	maxIdleConns = 1024
 )
 
 type runner struct {
-	plan    Plan
-	run     string // makes tags and keys differ between runs
-	began   time.Time
-	end     time.Time // no outcome is waited for beyond it
-	names   []string
-	entries []*api.Client
+	plan      Plan
+	runID     string // makes tags and keys differ between runs
+	startedAt time.Time
+	deadline  time.Time // no outcome is waited for beyond it
+	entryURLs []string
+	clients   []*api.Client
 
 	wg     sync.WaitGroup
 	quick  []QuickResult
 	jobs   []JobResult
 	maxLag time.Duration
 
-	mu   sync.Mutex
-	open map[*JobResult]bool // accepted, and not seen in a final state
+	mu       sync.Mutex
+	openJobs map[*JobResult]bool // accepted, and not seen in a final state
 }
 
 // Run makes the load of the plan against the entries, given as base URLs, and
@@ -51,32 +51,32 @@
 	if len(entries) == 0 {
 		return Result{}, ErrNoEntries
 	}
-	transport := &http.Transport{MaxIdleConns: connections, MaxIdleConnsPerHost: connections}
+	transport := &http.Transport{MaxIdleConns: maxIdleConns, MaxIdleConnsPerHost: maxIdleConns}
 	defer transport.CloseIdleConnections()
-	r := &runner{plan: p, run: uuid.NewString()[:8], names: entries, open: map[*JobResult]bool{}}
+	r := &runner{plan: p, runID: uuid.NewString()[:8], entryURLs: entries, openJobs: map[*JobResult]bool{}}
 	for _, e := range entries {
-		r.entries = append(r.entries, api.NewClient(e, transport))
+		r.clients = append(r.clients, api.NewClient(e, transport))
 	}
 	schedule := p.Schedule()
-	r.makeRoom(schedule)
-	r.began = time.Now()
-	r.end = r.began.Add(time.Duration(p.Duration + p.DrainTimeout))
-	ctx, cancel := context.WithDeadline(ctx, r.end)
+	r.allocateResults(schedule)
+	r.startedAt = time.Now()
+	r.deadline = r.startedAt.Add(time.Duration(p.Duration + p.DrainTimeout))
+	ctx, cancel := context.WithDeadline(ctx, r.deadline)
 	defer cancel()
 	for i := range p.BulkCancellations {
-		r.wg.Go(func() { r.cancelWave(ctx, i) })
+		r.wg.Go(func() { r.cancelJobs(ctx, i) })
 	}
 	r.dispatch(ctx, schedule)
 	r.wg.Wait()
-	res := Result{Plan: p.Name, Service: p.Service, StartedAt: r.began, Quick: r.quick, Jobs: r.jobs, MaxSendDelay: r.maxLag}
-	if time.Now().Before(r.end) {
+	res := Result{Plan: p.Name, Service: p.Service, StartedAt: r.startedAt, Quick: r.quick, Jobs: r.jobs, MaxSendDelay: r.maxLag}
+	if time.Now().Before(r.deadline) {
 		return res, ctx.Err()
 	}
 	return res, nil
 }
 
-// makeRoom sizes the results, so that each caller writes to its own place.
-func (r *runner) makeRoom(schedule []Arrival) {
+// allocateResults sizes the results, so that each caller writes to its own place.
+func (r *runner) allocateResults(schedule []Arrival) {
 	nq, nj := 0, 0
 	for _, a := range schedule {
 		if a.Quick != nil {
@@ -92,7 +92,7 @@
 // dispatch sends each arrival at its time, whatever became of the earlier ones.
 func (r *runner) dispatch(ctx context.Context, schedule []Arrival) {
 	for i, a := range schedule {
-		at := r.began.Add(a.At)
+		at := r.startedAt.Add(a.At)
 		if !sleepUntil(ctx, at) {
 			return
 		}
@@ -100,12 +100,12 @@
 		if a.Quick != nil {
 			r.quick = append(r.quick, QuickResult{})
 			q := &r.quick[len(r.quick)-1]
-			r.wg.Go(func() { r.doQuick(ctx, i, a, q) })
+			r.wg.Go(func() { r.runQuick(ctx, i, a, q) })
 			continue
 		}
 		r.jobs = append(r.jobs, JobResult{})
 		j := &r.jobs[len(r.jobs)-1]
-		r.wg.Go(func() { r.doJob(ctx, i, a, j) })
+		r.wg.Go(func() { r.runJob(ctx, i, a, j) })
 	}
 }
 
@@ -124,8 +124,8 @@
 	}
 }
 
-// entry returns the n-th entry, going round.
-func (r *runner) entry(n int) (*api.Client, string) {
-	n %= len(r.entries)
-	return r.entries[n], r.names[n]
+// entryAt returns the n-th entryAt, going round.
+func (r *runner) entryAt(n int) (*api.Client, string) {
+	n %= len(r.clients)
+	return r.clients[n], r.entryURLs[n]
 }
--- a/load/run_bulk_cancel.go
+++ b/load/run_bulk_cancel.go
@@ -10,19 +10,19 @@
 	"github.com/eelgrasshub/eelgrasshub/api"
 )
 
-// cancelWave cancels a share of the open jobs with few calls. Each call is
+// cancelJobs cancels a share of the open jobs with few calls. Each call is
 // tried at all entries until one answers; a job that stays uncancelled just
 // runs to its end.
-func (r *runner) cancelWave(ctx context.Context, i int) {
+func (r *runner) cancelJobs(ctx context.Context, i int) {
 	wave := r.plan.BulkCancellations[i]
-	if !sleepUntil(ctx, r.began.Add(time.Duration(wave.At))) {
+	if !sleepUntil(ctx, r.startedAt.Add(time.Duration(wave.At))) {
 		return
 	}
-	rng := rand.New(rand.NewPCG(r.plan.Seed, streamCancel+uint64(i)))
-	ids := r.pick(rng, wave)
+	rng := rand.New(rand.NewPCG(r.plan.Seed, rngStreamCancel+uint64(i)))
+	ids := r.pickJobsToCancel(rng, wave)
 	for chunk := range slices.Chunk(ids, api.MaxCancelIDs) {
-		for n := range r.entries {
-			client, _ := r.entry(n)
+		for n := range r.clients {
+			client, _ := r.entryAt(n)
 			if _, err := client.CancelJobs(ctx, r.plan.Service, chunk); err == nil {
 				break
 			}
@@ -30,11 +30,11 @@
 	}
 }
 
-func (r *runner) pick(rng *rand.Rand, wave BulkCancellation) []string {
+func (r *runner) pickJobsToCancel(rng *rand.Rand, wave BulkCancellation) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var open []*JobResult
-	for j := range r.open {
+	for j := range r.openJobs {
 		if wave.Account == "" || wave.Account == j.Account {
 			open = append(open, j)
 		}
--- a/load/run_jobs.go
+++ b/load/run_jobs.go
@@ -12,34 +12,34 @@
 
 const (
 	submitTimeout = 15 * time.Second
-	// pollWait is how long an entry may hold a job's status.
-	pollWait = 10 * time.Second
-	// betweenPolls keeps a caller from asking in a loop when an entry answers
+	// longPollWait is how long an entry may hold a job's status.
+	longPollWait = 10 * time.Second
+	// minPollInterval keeps a caller from asking in a loop when an entry answers
 	// at once.
-	betweenPolls = 50 * time.Millisecond
+	minPollInterval = 50 * time.Millisecond
 )
 
-// doJob is the caller of one job: it submits it and follows it to its end.
-func (r *runner) doJob(ctx context.Context, n int, a Arrival, j *JobResult) {
+// runJob is the caller of one job: it submits it and follows it to its end.
+func (r *runner) runJob(ctx context.Context, n int, a Arrival, j *JobResult) {
 	l := a.Job.Load
 	*j = JobResult{
-		Tag:        r.run + "-" + a.Tag,
+		Tag:        r.runID + "-" + a.Tag,
 		Account:    l.Account,
 		Class:      l.Class,
 		Repeatable: l.Repeatable,
 		Size:       a.Job.Size,
-		Scheduled:  r.began.Add(a.At),
+		Scheduled:  r.startedAt.Add(a.At),
 	}
-	r.submit(ctx, n, j, jobRequest(j.Tag, a.Job), a.Job.Resend)
+	r.submit(ctx, n, j, newJobRequest(j.Tag, a.Job), a.Job.Resend)
 	if j.ID != "" {
 		r.setOpen(j, true)
-		r.follow(ctx, n, j)
+		r.awaitFinalState(ctx, n, j)
 		r.setOpen(j, false)
 	}
 	j.TurnaroundTime = time.Since(j.Scheduled)
 }
 
-func jobRequest(tag string, a *JobArrival) *api.JobRequest {
+func newJobRequest(tag string, a *JobArrival) *api.JobRequest {
 	payload, err := json.Marshal(standin.TaskPayload{
 		Tag:               tag,
 		RunMS:             a.RunTime.Milliseconds(),
@@ -67,28 +67,28 @@
 // another one if the caller is to submit twice.
 func (r *runner) submit(ctx context.Context, n int, j *JobResult, req *api.JobRequest, again bool) {
 	for i := range maxTries {
-		t := r.askSubmit(ctx, n+i, j, req)
+		t := r.submitOnce(ctx, n+i, j, req)
 		if t.Answered && again {
 			again = false
 			continue
 		}
-		if t.Answered || !sleepUntil(ctx, time.Now().Add(betweenTries)) {
+		if t.Answered || !sleepUntil(ctx, time.Now().Add(retryDelay)) {
 			return
 		}
 	}
 }
 
-func (r *runner) askSubmit(ctx context.Context, n int, j *JobResult, req *api.JobRequest) Try {
+func (r *runner) submitOnce(ctx context.Context, n int, j *JobResult, req *api.JobRequest) Try {
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
-	client, name := r.entry(n)
+	client, name := r.entryAt(n)
 	st, err := client.SubmitJob(ctx, r.plan.Service, *req, j.Tag)
 	t := Try{Entry: name, Answered: true, RequestID: st.ID}
 	var p *api.Problem
 	switch {
 	case err == nil:
 		t.Outcome = api.OutcomeDone
-		r.accepted(j, st)
+		r.recordAccepted(j, st)
 	case errors.As(err, &p):
 		t.Outcome, t.Reason, t.RequestID = p.Outcome(), p.Reason, p.RequestID
 		j.Reason = p.Reason
@@ -99,16 +99,16 @@
 	return t
 }
 
-func (r *runner) accepted(j *JobResult, st api.JobStatus) {
+func (r *runner) recordAccepted(j *JobResult, st api.JobStatus) {
 	if j.ID != "" && st.ID != j.ID {
 		j.ConflictingIDs = append(j.ConflictingIDs, st.ID)
 		return
 	}
 	j.ID = st.ID
-	j.see(st)
+	j.update(st)
 }
 
-func (j *JobResult) see(st api.JobStatus) {
+func (j *JobResult) update(st api.JobStatus) {
 	j.State = st.State
 	j.Reason = st.Reason
 	j.Attempt = st.Attempt
@@ -118,34 +118,34 @@
 	}
 }
 
-// follow asks the entries in turn until the job has ended.
-func (r *runner) follow(ctx context.Context, n int, j *JobResult) {
+// awaitFinalState asks the entries in turn until the job has ended.
+func (r *runner) awaitFinalState(ctx context.Context, n int, j *JobResult) {
 	for !j.State.Final() {
-		client, _ := r.entry(n)
+		client, _ := r.entryAt(n)
 		n++
 		asked := time.Now()
 		st, err := r.poll(ctx, client, j.ID)
 		if err == nil {
-			j.see(st)
+			j.update(st)
 		}
-		if !j.State.Final() && !sleepUntil(ctx, asked.Add(betweenPolls)) {
+		if !j.State.Final() && !sleepUntil(ctx, asked.Add(minPollInterval)) {
 			return
 		}
 	}
 }
 
 func (r *runner) poll(ctx context.Context, client *api.Client, id string) (api.JobStatus, error) {
-	ctx, cancel := context.WithTimeout(ctx, 2*pollWait)
+	ctx, cancel := context.WithTimeout(ctx, 2*longPollWait)
 	defer cancel()
-	return client.GetJob(ctx, r.plan.Service, id, pollWait)
+	return client.GetJob(ctx, r.plan.Service, id, longPollWait)
 }
 
 func (r *runner) setOpen(j *JobResult, open bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if open {
-		r.open[j] = true
+		r.openJobs[j] = true
 		return
 	}
-	delete(r.open, j)
+	delete(r.openJobs, j)
 }
--- a/load/run_quick.go
+++ b/load/run_quick.go
@@ -12,25 +12,25 @@
 	"github.com/eelgrasshub/eelgrasshub/target/standin"
 )
 
-// doQuick is the caller of one quick request. It turns to the next entry when
+// runQuick is the caller of one quick request. It turns to the next entry when
 // an entry doesn't answer: with the same key, or because the request may be
 // repeated.
-func (r *runner) doQuick(ctx context.Context, n int, a Arrival, q *QuickResult) {
+func (r *runner) runQuick(ctx context.Context, n int, a Arrival, q *QuickResult) {
 	l := a.Quick.Load
 	*q = QuickResult{
-		Tag:        r.run + "-" + a.Tag,
+		Tag:        r.runID + "-" + a.Tag,
 		Account:    l.Account,
 		Class:      l.Class,
 		Repeatable: l.Repeatable,
-		Scheduled:  r.began.Add(a.At),
+		Scheduled:  r.startedAt.Add(a.At),
 	}
-	req := r.quickRequest(q.Tag, a.Quick)
+	req := r.newQuickRequest(q.Tag, a.Quick)
 	var second []Try
 	var wg sync.WaitGroup
 	if a.Quick.Resend {
-		wg.Go(func() { second = r.tryQuick(ctx, n+1, req, true) })
+		wg.Go(func() { second = r.sendQuick(ctx, n+1, req, true) })
 	}
-	q.Tries = r.tryQuick(ctx, n, req, a.Quick.Resend)
+	q.Tries = r.sendQuick(ctx, n, req, a.Quick.Resend)
 	q.Latency = time.Since(q.Scheduled)
 	useful := outcomeOf(q.Tries) == api.OutcomeDone
 	wg.Wait()
@@ -40,7 +40,7 @@
 	q.Tries = append(q.Tries, second...)
 }
 
-func (r *runner) quickRequest(tag string, a *QuickArrival) *api.QuickRequest {
+func (r *runner) newQuickRequest(tag string, a *QuickArrival) *api.QuickRequest {
 	query := url.Values{}
 	query.Set(standin.ParamTag, tag)
 	query.Set(standin.ParamServiceTimeMS, strconv.FormatFloat(a.ServiceTime.Seconds()*1000, 'f', 3, 64))
@@ -63,26 +63,26 @@
 	return req
 }
 
-// tryQuick asks one entry after the other until one answers. resent says that the
+// sendQuick asks one entry after the other until one answers. resent says that the
 // request is delivered elsewhere too, so that no delivery is surely the first.
-func (r *runner) tryQuick(ctx context.Context, n int, req *api.QuickRequest, resent bool) []Try {
+func (r *runner) sendQuick(ctx context.Context, n int, req *api.QuickRequest, resent bool) []Try {
 	var tries []Try
 	for i := range maxTries {
 		one := *req
 		one.FirstDelivery = i == 0 && !resent && req.IdempotencyKey != ""
-		t := r.askQuick(ctx, n+i, &one)
+		t := r.sendQuickOnce(ctx, n+i, &one)
 		tries = append(tries, t)
-		if t.Answered || !sleepUntil(ctx, time.Now().Add(betweenTries)) {
+		if t.Answered || !sleepUntil(ctx, time.Now().Add(retryDelay)) {
 			break
 		}
 	}
 	return tries
 }
 
-func (r *runner) askQuick(ctx context.Context, n int, req *api.QuickRequest) Try {
-	ctx, cancel := context.WithTimeout(ctx, req.Deadline+patience)
+func (r *runner) sendQuickOnce(ctx context.Context, n int, req *api.QuickRequest) Try {
+	ctx, cancel := context.WithTimeout(ctx, req.Deadline+answerGrace)
 	defer cancel()
-	client, name := r.entry(n)
+	client, name := r.entryAt(n)
 	ans, err := client.SendQuick(ctx, *req)
 	if err != nil {
 		return failedTry(name, err)
@@ -92,7 +92,7 @@
 		t.Reason = ans.Problem.Reason
 	}
 	if ans.Outcome == api.OutcomeDone {
-		t.Checksum, t.BodyError = checkEcho(req, ans.Body)
+		t.Checksum, t.BodyError = verifyEcho(req, ans.Body)
 	}
 	return t
 }
--- a/load/run_test.go
+++ b/load/run_test.go
@@ -21,8 +21,8 @@
 // fakeEntry hands everything to one worker; a job's id is its key.
 type fakeEntry struct {
 	worker *target.Client
-	// denies lets it tell "not run" of quick requests that it ran.
-	denies bool
+	// reportsNotRun lets it tell "not run" of quick requests that it ran.
+	reportsNotRun bool
 }
 
 func (e *fakeEntry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -31,27 +31,27 @@
 	kind, name, _ := strings.Cut(rest, "/")
 	switch {
 	case kind == "requests":
-		e.quick(w, r, name, body)
+		e.serveQuick(w, r, name, body)
 	case r.Method == http.MethodPost:
 		id := target.TaskID{Job: r.Header.Get(api.HeaderIdempotencyKey), Attempt: 1}
 		var req api.JobRequest
 		_ = json.Unmarshal(body, &req)
 		st, err := e.worker.StartTask(r.Context(), id, target.TaskSpec{Members: 1, LeaseMS: 60_000, Payload: req.Payload})
-		e.job(w, http.StatusAccepted, st, err)
+		e.writeJobStatus(w, http.StatusAccepted, st, err)
 	default:
 		st, err := e.worker.GetTask(r.Context(), target.TaskID{Job: name, Attempt: 1}, time.Second)
-		e.job(w, http.StatusOK, st, err)
+		e.writeJobStatus(w, http.StatusOK, st, err)
 	}
 }
 
-func (e *fakeEntry) quick(w http.ResponseWriter, r *http.Request, path string, body []byte) {
+func (e *fakeEntry) serveQuick(w http.ResponseWriter, r *http.Request, path string, body []byte) {
 	call, _ := api.ParseCallOptions(r.Header)
 	a, err := e.worker.Do(r.Context(), target.Request{RequestID: "r", Account: call.Account, Class: call.Class,
 		Method: r.Method, Path: path, RawQuery: r.URL.RawQuery, Body: body})
 	switch {
 	case err != nil:
 		api.NewProblem(api.ReasonOutcomeLost, err.Error()).WriteResponse(w)
-	case e.denies:
+	case e.reportsNotRun:
 		api.NewProblem(api.ReasonRefused, "").WriteResponse(w)
 	default:
 		w.Header().Set(api.HeaderOutcome, string(api.OutcomeDone))
@@ -59,7 +59,7 @@
 	}
 }
 
-func (e *fakeEntry) job(w http.ResponseWriter, status int, st target.TaskStatus, err error) {
+func (e *fakeEntry) writeJobStatus(w http.ResponseWriter, status int, st target.TaskStatus, err error) {
 	if err != nil {
 		api.NewProblem(api.ReasonInternal, err.Error()).WriteResponse(w)
 		return
@@ -92,7 +92,7 @@
 resent = 0.5
 `
 
-func runAgainst(t *testing.T, denies bool) (Result, Findings) {
+func runAgainstEntries(t *testing.T, denies bool) (Result, Findings) {
 	worker := standin.New(standin.Options{Name: "w"})
 	wsrv := httptest.NewServer(worker)
 	defer wsrv.Close()
@@ -111,9 +111,9 @@
 	return r, Audit(r, []standin.Audit{a})
 }
 
-func TestRunThroughOneEntryWhileTheOtherIsGone(t *testing.T) {
+func TestRunWithOneEntryDown(t *testing.T) {
 	c := qt.New(t)
-	r, f := runAgainst(t, false)
+	r, f := runAgainstEntries(t, false)
 	c.Check(f.Clean(), qt.IsTrue, qt.Commentf("%+v", f))
 	c.Assert(len(r.Quick) > 0 && len(r.Jobs) > 0, qt.IsTrue)
 	for _, q := range r.Quick {
@@ -132,7 +132,7 @@
 	c.Check(out.String(), qt.Contains, "1000.0ms")
 }
 
-func TestRunFindsAnEntryThatDenies(t *testing.T) {
-	r, f := runAgainst(t, true)
+func TestAuditDetectsFalseNotRun(t *testing.T) {
+	r, f := runAgainstEntries(t, true)
 	qt.Check(t, f.Misreported.Count, qt.Equals, len(r.Quick))
 }
--- a/load/schedule.go
+++ b/load/schedule.go
@@ -44,10 +44,10 @@
 func (p *Plan) Schedule() []Arrival {
 	var all []Arrival
 	for i := range p.Quick {
-		all = append(all, p.quickStream(i)...)
+		all = append(all, p.quickArrivals(i)...)
 	}
 	for i := range p.Jobs {
-		all = append(all, p.jobStream(i)...)
+		all = append(all, p.jobArrivals(i)...)
 	}
 	slices.SortStableFunc(all, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
 	return all
@@ -55,16 +55,16 @@
 
 // Streams of the generator, one range for each kind.
 const (
-	streamQuick  = 1 << 32
-	streamJob    = 2 << 32
-	streamCancel = 3 << 32
+	rngStreamQuick  = 1 << 32
+	rngStreamJob    = 2 << 32
+	rngStreamCancel = 3 << 32
 )
 
-func (p *Plan) quickStream(i int) []Arrival {
+func (p *Plan) quickArrivals(i int) []Arrival {
 	l := &p.Quick[i]
-	rng := rand.New(rand.NewPCG(p.Seed, streamQuick+uint64(i)))
+	rng := rand.New(rand.NewPCG(p.Seed, rngStreamQuick+uint64(i)))
 	var list []Arrival
-	for _, at := range p.arrivals(rng, l.Rate, KindQuick, l.Account) {
+	for _, at := range p.drawArrivalTimes(rng, l.Rate, KindQuick, l.Account) {
 		list = append(list, Arrival{
 			At:    at,
 			Tag:   "q" + strconv.Itoa(i) + "-" + strconv.Itoa(len(list)),
@@ -74,11 +74,11 @@
 	return list
 }
 
-func (p *Plan) jobStream(i int) []Arrival {
+func (p *Plan) jobArrivals(i int) []Arrival {
 	l := &p.Jobs[i]
-	rng := rand.New(rand.NewPCG(p.Seed, streamJob+uint64(i)))
+	rng := rand.New(rand.NewPCG(p.Seed, rngStreamJob+uint64(i)))
 	var list []Arrival
-	for _, at := range p.arrivals(rng, l.Rate, KindJob, l.Account) {
+	for _, at := range p.drawArrivalTimes(rng, l.Rate, KindJob, l.Account) {
 		run := l.RunTime.draw(rng)
 		list = append(list, Arrival{
 			At:  at,
@@ -87,7 +87,7 @@
 				Load:     l,
 				Size:     l.drawSize(rng),
 				RunTime:  run,
-				Estimate: l.declare(rng, run),
+				Estimate: l.drawEstimate(rng, run),
 				Fail:     rng.Float64() < l.FailureShare,
 				Resend:   rng.Float64() < l.ResendShare,
 			},
@@ -96,9 +96,9 @@
 	return list
 }
 
-// arrivals draws a Poisson process whose rate follows the bursts, by thinning
+// drawArrivalTimes draws a Poisson process whose rate follows the bursts, by thinning
 // one of the highest rate.
-func (p *Plan) arrivals(rng *rand.Rand, rate float64, kind ArrivalKind, account string) []time.Duration {
+func (p *Plan) drawArrivalTimes(rng *rand.Rand, rate float64, kind ArrivalKind, account string) []time.Duration {
 	highest := 1.0
 	for _, b := range p.Bursts {
 		if b.matches(kind, account) {
@@ -113,13 +113,13 @@
 		if t >= time.Duration(p.Duration) {
 			return list
 		}
-		if rng.Float64()*highest < p.factorAt(t, kind, account) {
+		if rng.Float64()*highest < p.burstFactor(t, kind, account) {
 			list = append(list, t)
 		}
 	}
 }
 
-func (p *Plan) factorAt(t time.Duration, kind ArrivalKind, account string) float64 {
+func (p *Plan) burstFactor(t time.Duration, kind ArrivalKind, account string) float64 {
 	factor := 1.0
 	for _, b := range p.Bursts {
 		since := t - time.Duration(b.At)
@@ -154,9 +154,9 @@
 	return l.Sizes[len(l.Sizes)-1]
 }
 
-// declare draws a run time that is wrong by up to the factor, either way, and
+// drawEstimate draws a run time that is wrong by up to the factor, either way, and
 // evenly on a logarithmic scale.
-func (l *JobLoad) declare(rng *rand.Rand, run time.Duration) time.Duration {
+func (l *JobLoad) drawEstimate(rng *rand.Rand, run time.Duration) time.Duration {
 	if l.EstimateErrorFactor == 0 {
 		return 0
 	}
--- a/trial/cluster.go
+++ b/trial/cluster.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	loopback    = "127.0.0.1:0"
-	region      = "trial"
-	clusterKey  = "key of a trial on loopback"
-	storeBudget = 500 // calls a second, as an entry's default
-
-	rebindTries = 50
-	rebindPause = 20 * time.Millisecond
-	pollEvery   = 10 * time.Millisecond
+	loopback      = "127.0.0.1:0"
+	region        = "trial"
+	clusterKey    = "key of a trial on loopback"
+	storeCallRate = 500 // calls a second, as an entry's default
+
+	maxStartAttempts = 50
+	startRetryDelay  = 20 * time.Millisecond
+	pollInterval     = 10 * time.Millisecond
 )
 
 // Cluster is a whole deployment of one service. Its fields don't change after
@@ -33,8 +33,8 @@
 	Entries []*EntryNode
 	Workers []*Worker
 
-	link   *storeLink
-	client *store.Client
+	storeProxy  *storeProxy
+	storeClient *store.Client
 }
 
 // New starts a cluster, puts its document and waits until every entry is ready
@@ -46,24 +46,24 @@
 		return nil, err
 	}
 	c := &Cluster{Service: doc.Service, Store: kvstandin.New(kvstandin.Options{})}
-	if err := c.begin(ctx, doc, o); err != nil {
+	if err := c.startAll(ctx, doc, o); err != nil {
 		c.Close()
 		return nil, err
 	}
 	return c, nil
 }
 
-func (c *Cluster) begin(ctx context.Context, doc *document.Document, o Options) error {
+func (c *Cluster) startAll(ctx context.Context, doc *document.Document, o Options) error {
 	var err error
-	if c.link, err = newStoreLink(c.Store); err != nil {
+	if c.storeProxy, err = newStoreProxy(c.Store); err != nil {
 		return err
 	}
-	c.client = store.NewClient(store.Options{Endpoints: []string{c.link.url()}})
+	c.storeClient = store.NewClient(store.Options{Endpoints: []string{c.storeProxy.url()}})
 	v, err := c.PutDocument(ctx, o.Document, 0)
 	if err != nil {
 		return err
 	}
-	places := sites(doc, o.Workers)
+	places := workerLocations(doc, o.Workers)
 	if err := c.startEntries(places, o); err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 	return c.WaitForDocument(ctx, v.Generation)
 }
 
-func (c *Cluster) startEntries(places []site, o Options) error {
+func (c *Cluster) startEntries(places []workerLocation, o Options) error {
 	for i := range o.Entries {
 		zone := places[i*len(places)/o.Entries].zone
 		n, err := newEntryNode(fmt.Sprintf("entry-%d", i+1), zone, c.Store, o)
@@ -83,7 +83,7 @@
 		c.Entries = append(c.Entries, n)
 	}
 	for _, n := range c.Entries {
-		n.cfg.Peers = c.peersOf(n)
+		n.cfg.Peers = c.peerAddresses(n)
 		if err := n.Start(); err != nil {
 			return err
 		}
@@ -91,21 +91,21 @@
 	return nil
 }
 
-// peersOf are the other entries where their addresses are fixed beforehand.
-func (c *Cluster) peersOf(n *EntryNode) []string {
+// peerAddresses are the other entries where their addresses are fixed beforehand.
+func (c *Cluster) peerAddresses(n *EntryNode) []string {
 	var peers []string
 	for _, other := range c.Entries {
-		if other != n && other.relay != nil {
-			peers = append(peers, other.relay.Addr())
+		if other != n && other.udpRelay != nil {
+			peers = append(peers, other.udpRelay.Addr())
 		}
 	}
 	return peers
 }
 
-func (c *Cluster) startWorkers(places []site, o Options) error {
+func (c *Cluster) startWorkers(places []workerLocation, o Options) error {
 	var seeds []string
 	for _, n := range c.Entries {
-		seeds = append(seeds, n.addr())
+		seeds = append(seeds, n.peerAddr())
 	}
 	for _, s := range places {
 		w, err := newWorker(s, c.Service, seeds, o)
@@ -122,7 +122,7 @@
 
 // PutDocument puts a new generation of the document, edited from the generation base.
 func (c *Cluster) PutDocument(ctx context.Context, text []byte, base uint64) (document.Version, error) {
-	return document.Put(ctx, c.client, document.Proposal{
+	return document.Put(ctx, c.storeClient, document.Proposal{
 		FileName:       "trial",
 		TOML:           text,
 		BaseGeneration: base,
@@ -135,10 +135,10 @@
 // WaitForDocument waits until every entry that runs is ready and sees every agent
 // that runs alive, all with this generation or a later one.
 func (c *Cluster) WaitForDocument(ctx context.Context, generation uint64) error {
-	return WaitFor(ctx, func(ctx context.Context) error { return c.inForce(ctx, generation) })
+	return WaitFor(ctx, func(ctx context.Context) error { return c.checkDocument(ctx, generation) })
 }
 
-func (c *Cluster) inForce(ctx context.Context, generation uint64) error {
+func (c *Cluster) checkDocument(ctx context.Context, generation uint64) error {
 	for _, n := range c.Entries {
 		if !n.Running() {
 			continue
@@ -147,7 +147,7 @@
 		if err != nil {
 			return err
 		}
-		if err := c.entryInForce(s, generation); err != nil {
+		if err := c.checkEntryDocument(s, generation); err != nil {
 			return err
 		}
 	}
@@ -202,11 +202,11 @@
 	for _, n := range c.Entries {
 		n.close()
 	}
-	if c.client != nil {
-		c.client.Close()
+	if c.storeClient != nil {
+		c.storeClient.Close()
 	}
-	if c.link != nil {
-		c.link.close()
+	if c.storeProxy != nil {
+		c.storeProxy.close()
 	}
 	c.Store.Close()
 }
--- a/trial/combined_faults_test.go
+++ b/trial/combined_faults_test.go
@@ -15,51 +15,51 @@
 	"github.com/eelgrasshub/eelgrasshub/trial"
 )
 
-func TestPlannerDiesWhileTheStoreIsOut(t *testing.T) {
+func TestPlannerFailureDuringStoreOutage(t *testing.T) {
 	// The store is out, and then the entry that plans dies: nobody can take over. A
 	// gang of two workers stops by isolation, a job of one worker runs to its end,
 	// nothing starts, and quick requests go on. When the store is back the other
 	// entry takes over: the gang runs again, whole, the end of the job that went on
 	// is found with its agent, and what waited runs.
-	w := start(t, func(o *trial.Options) { o.UDPRelays = true })
+	w := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
 	planner := w.PlannerEntry()
-	other := w.other(planner)
+	other := w.otherEntry(planner)
 	gang := w.submit(other, "big", "gang", 16, 8*time.Second)
 	one := w.submit(other, "big", "one", 8, 5*time.Second)
-	w.job(other, gang, api.JobRunning)
-	w.job(other, one, api.JobRunning)
+	w.awaitJob(other, gang, api.JobRunning)
+	w.awaitJob(other, one, api.JobRunning)
 	waits := w.submit(other, "big", "waits", 32, 100*time.Millisecond)
 	w.Store.SetFaults(store.Faults{Down: store.DownRefuse})
 	planner.Kill()
 
 	w.eventually(func() error {
-		over := allEnded(w.attempts("gang"), 2) && allEnded(w.attempts("one"), 1)
-		return unless(over, "the gang or the job of one worker still runs")
+		over := allEnded(w.jobAttempts("gang"), 2) && allEnded(w.jobAttempts("one"), 1)
+		return errorUnless(over, "the gang or the job of one worker still runs")
 	})
 	w.checkDone(w.request(other, "check", "check", "", time.Millisecond), "check")
 	refused, err := w.trySubmit(other, "late", 8)
 	w.Check(err, qt.IsNotNil)
 	w.Check(refused, qt.Equals, "")
-	w.Check(w.attempts("waits"), qt.HasLen, 0)
-	w.Check(w.attempts("gang"), qt.HasLen, 1)
+	w.Check(w.jobAttempts("waits"), qt.HasLen, 0)
+	w.Check(w.jobAttempts("gang"), qt.HasLen, 1)
 	w.Store.SetFaults(store.Faults{})
 
-	w.Check(w.job(other, one, api.JobDone).Attempt, qt.Equals, 1)
-	w.Check(w.job(other, gang, api.JobDone).Attempt > 1, qt.IsTrue)
-	w.job(other, waits, api.JobDone)
-	w.job(other, w.submit(other, "big", "late", 8, 100*time.Millisecond), api.JobDone)
+	w.Check(w.awaitJob(other, one, api.JobDone).Attempt, qt.Equals, 1)
+	w.Check(w.awaitJob(other, gang, api.JobDone).Attempt > 1, qt.IsTrue)
+	w.awaitJob(other, waits, api.JobDone)
+	w.awaitJob(other, w.submit(other, "big", "late", 8, 100*time.Millisecond), api.JobDone)
 	for _, tag := range []string{"gang", "one", "waits", "late"} {
 		w.checkRanOnce(tag)
 	}
-	w.checkViolations()
+	w.checkNoViolations()
 }
 
-func TestEntryDiesWhileTheStoreTakesJobs(t *testing.T) {
+func TestEntryFailureDuringJobSubmission(t *testing.T) {
 	// Callers submit jobs with keys. The store is slow, takes them and loses its
 	// replies, and while the entry asks what became of them it dies. The callers see
 	// their connections break and submit again through the other entry, twice. Each
 	// gets one job, which runs once.
-	w := start(t, func(o *trial.Options) { o.UDPRelays = true })
+	w := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
 	const n = 6
 	before := w.Store.Counters().Txn
 	w.Store.SetFaults(store.Faults{DelayMillis: 200, LoseReplies: 3})
@@ -70,7 +70,7 @@
 			ended <- err
 		}()
 	}
-	w.eventually(func() error { return unless(w.Store.Counters().Txn > before, "no write has begun") })
+	w.eventually(func() error { return errorUnless(w.Store.Counters().Txn > before, "no write has begun") })
 	w.Entries[0].Kill()
 	for range n {
 		w.Check(errors.Is(<-ended, api.ErrOutcomeUnknown), qt.IsTrue)
@@ -81,27 +81,27 @@
 		key := fmt.Sprint("job-", i)
 		id := w.submit(1, "big", key, 8, 100*time.Millisecond)
 		w.Check(w.submit(1, "big", key, 8, 100*time.Millisecond), qt.Equals, id)
-		w.job(1, id, api.JobDone)
+		w.awaitJob(1, id, api.JobDone)
 		w.checkRanOnce(key)
 	}
-	w.checkViolations()
+	w.checkNoViolations()
 }
 
-func TestAllAgentsReturnWhileTheStoreIsSlow(t *testing.T) {
+func TestAllAgentsRestartWithSlowStore(t *testing.T) {
 	// Every agent of an availability zone dies and is back at once, with a gang and
 	// bookings running at their targets, while the store takes most of its callers'
 	// patience for each call. Whoever hears "not run" may rely on it, no booking runs
 	// twice, the gang runs on to its end, and the zone takes work of its full size again.
-	w := start(t, func(o *trial.Options) { o.Document = patient })
+	w := startTestCluster(t, func(o *trial.Options) { o.Document = defaultGangDocument })
 	gang := w.submit(0, "big", "gang", 16, 3*time.Second)
-	w.job(0, gang, api.JobRunning)
+	w.awaitJob(0, gang, api.JobRunning)
 	w.Store.SetFaults(store.Faults{DelayMillis: 600})
-	bookings := make(map[string]<-chan told)
+	bookings := make(map[string]<-chan callResult)
 	for i := range 8 {
 		tag := fmt.Sprint("book-", i)
-		bookings[tag] = w.send(i%2, "booking", tag, "", time.Second)
+		bookings[tag] = w.requestAsync(i%2, "booking", tag, "", time.Second)
 	}
-	w.whereItRuns("book-0")
+	w.awaitWorkerOf("book-0")
 	for _, worker := range w.Workers {
 		worker.KillAgent()
 	}
@@ -111,7 +111,7 @@
 	w.Assert(w.WaitForDocument(w.ctx, 1), qt.IsNil)
 	for tag, answer := range bookings {
 		a := <-answer
-		runs, _ := w.runs(tag)
+		runs, _ := w.quickRuns(tag)
 		w.Check(len(runs) <= 1, qt.IsTrue, qt.Commentf("%s ran %d times", tag, len(runs)))
 		told := a.Outcome != api.OutcomeNotRun || len(runs) == 0
 		w.Check(told, qt.IsTrue, qt.Commentf("%s: told not run, and ran", tag))
@@ -121,15 +121,15 @@
 		tag := fmt.Sprint("check-", i)
 		w.checkDone(w.request(i%2, "check", tag, "", time.Millisecond), tag)
 	}
-	w.Check(w.job(0, gang, api.JobDone).Attempt, qt.Equals, 1)
-	w.job(1, whole, api.JobDone)
+	w.Check(w.awaitJob(0, gang, api.JobDone).Attempt, qt.Equals, 1)
+	w.awaitJob(1, whole, api.JobDone)
 	w.checkRanOnce("gang")
 	w.checkRanOnce("whole")
-	w.checkViolations()
+	w.checkNoViolations()
 }
 
 // trySubmit is submit of a short job, for a caller who may be refused.
-func (w *world) trySubmit(entry int, key string, accelerators int) (string, error) {
+func (w *testCluster) trySubmit(entry int, key string, accelerators int) (string, error) {
 	payload, err := json.Marshal(standin.TaskPayload{Tag: key, RunMS: 100})
 	if err != nil {
 		return "", err
@@ -143,42 +143,42 @@
 	return s.ID, err
 }
 
-// firstAttempt is the number that targets know the first attempt of a cluster's
+// firstAttemptNumber is the number that targets know the first attempt of a cluster's
 // first planner by.
-const firstAttempt = 1<<32 | 1
+const firstAttemptNumber = 1<<32 | 1
 
-func TestAgentRestartsDuringAStart(t *testing.T) {
+func TestAgentRestartDuringGangStart(t *testing.T) {
 	// A gang is being started, and one start is held up on its way to the target. The
 	// agent that sent it dies and is back; the planner gives the attempt up and starts
 	// the gang again. Then the start of the earlier life arrives. It must not run: a
 	// part of a gang that was given up would hold accelerators that look free.
-	w := start(t, func(o *trial.Options) { o.Document = patient })
+	w := startTestCluster(t, func(o *trial.Options) { o.Document = defaultGangDocument })
 	for _, worker := range w.Workers {
 		worker.Target.SetFaults(standin.Faults{HoldStarts: true})
 	}
 	gang := w.submit(0, "big", "gang", 16, 300*time.Millisecond)
-	placed := w.job(0, gang, api.JobStarting).Placement
+	placed := w.awaitJob(0, gang, api.JobStarting).Placement
 	w.Assert(placed, qt.HasLen, 2)
-	dying := w.worker(placed[0].Agent)
-	w.eventually(func() error { return unless(dying.Target.HeldStarts() > 0, "no start has arrived") })
+	dying := w.workerByID(placed[0].Agent)
+	w.eventually(func() error { return errorUnless(dying.Target.HeldStarts() > 0, "no start has arrived") })
 	earlier := dying.Target.AgentIncarnation()
 	dying.KillAgent()
 	w.Assert(dying.StartAgent(), qt.IsNil)
 	// What arrives before the agent has asked for its target's tasks is in the list, and
 	// adopted.
 	w.eventually(func() error {
-		return unless(dying.Target.AgentIncarnation() > earlier, "the agent has not asked its target")
+		return errorUnless(dying.Target.AgentIncarnation() > earlier, "the agent has not asked its target")
 	})
 	w.Assert(w.WaitForDocument(w.ctx, 1), qt.IsNil)
 	for _, worker := range w.Workers {
 		worker.Target.SetFaults(standin.Faults{})
 	}
 
-	w.Check(w.job(0, gang, api.JobDone).Attempt > 1, qt.IsTrue)
-	w.eventually(func() error { return unless(dying.Target.HeldStarts() == 0, "a start is still held") })
+	w.Check(w.awaitJob(0, gang, api.JobDone).Attempt > 1, qt.IsTrue)
+	w.eventually(func() error { return errorUnless(dying.Target.HeldStarts() == 0, "a start is still held") })
 	for _, run := range dying.Target.Audit().Tasks {
-		w.Check(run.Attempt, qt.Not(qt.Equals), firstAttempt)
+		w.Check(run.Attempt, qt.Not(qt.Equals), firstAttemptNumber)
 	}
 	w.checkRanOnce("gang")
-	w.checkViolations()
+	w.checkNoViolations()
 }
--- a/trial/document_test.go
+++ b/trial/document_test.go
@@ -11,12 +11,12 @@
 	"github.com/eelgrasshub/eelgrasshub/trial"
 )
 
-// changed is the tests' document as an operator edits it.
-var changed = []byte(documentText + "\n# changed\n")
+// changedDocument is the tests' document as an operator edits it.
+var changedDocument = []byte(documentText + "\n# changed\n")
 
-// watchReady asks an entry's status until it is ready, and fails where it is
+// awaitReadyWith asks an entry's status until it is ready, and fails where it is
 // ready with an older generation than the one in force.
-func (w *world) watchReady(n *trial.EntryNode, want uint64) {
+func (w *testCluster) awaitReadyWith(n *trial.EntryNode, want uint64) {
 	w.Helper()
 	w.eventually(func() error {
 		s, err := n.Client().Status(w.ctx)
@@ -32,56 +32,56 @@
 	})
 }
 
-func TestFreshEntryTakesTheDocumentFromItsPeer(t *testing.T) {
+func TestNewEntryGetsDocumentFromPeer(t *testing.T) {
 	// An instance is replaced while the store is out. The new entry knows nothing.
 	// It takes the generation in force from the other entry and is not ready
 	// before; then it serves.
-	w := start(t, func(o *trial.Options) { o.UDPRelays = true })
-	v, err := w.PutDocument(w.ctx, changed, 1)
+	w := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
+	v, err := w.PutDocument(w.ctx, changedDocument, 1)
 	w.Assert(err, qt.IsNil)
 	w.Assert(w.WaitForDocument(w.ctx, v.Generation), qt.IsNil)
 	w.Entries[0].Kill()
 	w.Store.SetFaults(store.Faults{Down: store.DownRefuse})
 	w.Assert(w.Entries[0].Start(), qt.IsNil)
-	w.watchReady(w.Entries[0], v.Generation)
+	w.awaitReadyWith(w.Entries[0], v.Generation)
 	w.checkDone(w.request(0, "check", "served", "", 0), "served")
 }
 
-func TestRestoredStoreDoesNotBringBackAnOldDocument(t *testing.T) {
+func TestStoreRestoreDoesNotRevertDocument(t *testing.T) {
 	// The platform restores its store from a backup taken before the last change.
 	// A new entry finds the old generation there and the later one at its peer. It
 	// is never ready with the old one, and the store gets the later one back.
-	w := start(t, func(o *trial.Options) { o.UDPRelays = true })
+	w := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
 	w.Store.Snapshot()
-	v, err := w.PutDocument(w.ctx, changed, 1)
+	v, err := w.PutDocument(w.ctx, changedDocument, 1)
 	w.Assert(err, qt.IsNil)
 	w.Assert(w.WaitForDocument(w.ctx, v.Generation), qt.IsNil)
 	w.Entries[0].Kill()
 	w.Store.Restore()
 	w.Assert(w.Entries[0].Start(), qt.IsNil)
-	w.watchReady(w.Entries[0], v.Generation)
+	w.awaitReadyWith(w.Entries[0], v.Generation)
 	w.Assert(w.WaitForDocument(w.ctx, v.Generation), qt.IsNil)
 	w.eventually(func() error {
-		_, err := w.PutDocument(w.ctx, changed, v.Generation)
+		_, err := w.PutDocument(w.ctx, changedDocument, v.Generation)
 		return err
 	})
 }
 
-func TestDocumentChangeWhileAnEntryIsCutFromTheStore(t *testing.T) {
+func TestDocumentChangeReachesEntryWithoutStore(t *testing.T) {
 	// One entry has lost its way to the store. A change put meanwhile reaches it,
 	// and through it nobody goes back: every process has it.
-	w := start(t, nil)
+	w := startTestCluster(t, nil)
 	w.Entries[0].SetStorePartitioned(true)
-	v, err := w.PutDocument(w.ctx, changed, 1)
+	v, err := w.PutDocument(w.ctx, changedDocument, 1)
 	w.Assert(err, qt.IsNil)
 	w.Assert(w.WaitForDocument(w.ctx, v.Generation), qt.IsNil)
 }
 
-func TestEntryWithoutADocumentIsNotReady(t *testing.T) {
+func TestEntryWithoutDocumentIsNotReady(t *testing.T) {
 	// All entries are replaced while the store is out. None knows any generation,
 	// so none is ready or takes work; callers hear that it was not run and when to
 	// come back. When the store is back they are.
-	w := start(t, func(o *trial.Options) { o.UDPRelays = true })
+	w := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
 	w.Store.SetFaults(store.Faults{Down: store.DownHang})
 	for _, n := range w.Entries {
 		n.Kill()
@@ -97,7 +97,7 @@
 	}
 	w.Store.SetFaults(store.Faults{})
 	for i, n := range w.Entries {
-		w.watchReady(n, 1)
+		w.awaitReadyWith(n, 1)
 		w.checkDone(w.request(i, "check", n.ID, "", 0), n.ID)
 	}
 }
--- a/trial/entry_node.go
+++ b/trial/entry_node.go
@@ -22,22 +22,22 @@
 type EntryNode struct {
 	ID string
 
-	link  *storeLink
-	relay *relay.Relay // nil without relays
-
-	mu  sync.Mutex
-	cfg settings.Entry
-	now *entry.Entry // nil while it is down
-	log Options
-	url string
+	storeProxy *storeProxy
+	udpRelay   *relay.Relay // nil without relays
+
+	mu      sync.Mutex
+	cfg     settings.Entry
+	current *entry.Entry // nil while it is down
+	options Options
+	url     string
 }
 
 func newEntryNode(id, zone string, store http.Handler, o Options) (*EntryNode, error) {
-	link, err := newStoreLink(store)
+	link, err := newStoreProxy(store)
 	if err != nil {
 		return nil, err
 	}
-	n := &EntryNode{ID: id, link: link, log: o}
+	n := &EntryNode{ID: id, storeProxy: link, options: o}
 	n.cfg = settings.Entry{
 		ID:             id,
 		Region:         region,
@@ -47,7 +47,7 @@
 		ClusterKey:     clusterKey,
 		StoreURLs:      []string{link.url()},
 		StoreTimeout:   schema.Duration{Duration: o.StoreTimeout},
-		StoreRateLimit: storeBudget,
+		StoreRateLimit: storeCallRate,
 		ReportPeriod:   schema.Duration{Duration: o.ReportPeriod},
 		DrainDelay:     schema.Duration{Duration: o.DrainDelay},
 		StopGrace:      schema.Duration{Duration: time.Minute},
@@ -55,11 +55,11 @@
 	if !o.UDPRelays {
 		return n, nil
 	}
-	if n.relay, err = relay.New(); err != nil {
+	if n.udpRelay, err = relay.New(); err != nil {
 		link.close()
 		return nil, err
 	}
-	n.cfg.Advertise = n.relay.Addr()
+	n.cfg.Advertise = n.udpRelay.Addr()
 	return n, nil
 }
 
@@ -68,33 +68,33 @@
 func (n *EntryNode) Start() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.now != nil {
+	if n.current != nil {
 		return nil
 	}
-	n.link.setCut(false)
-	e, err := n.start()
+	n.storeProxy.setPartitioned(false)
+	e, err := n.startWithRetry()
 	if err != nil {
 		return err
 	}
-	n.now = e
+	n.current = e
 	n.url = "http://" + e.HTTPAddr()
 	n.cfg.HTTPListen = e.HTTPAddr()
-	if n.relay != nil {
-		return n.relay.SetUpstream(e.QUICAddr())
+	if n.udpRelay != nil {
+		return n.udpRelay.SetUpstream(e.QUICAddr())
 	}
 	n.cfg.QUICListen = e.QUICAddr()
 	return nil
 }
 
-// start tries for a while: the socket of the earlier life may be closing.
-func (n *EntryNode) start() (*entry.Entry, error) {
+// startWithRetry tries for a while: the socket of the earlier life may be closing.
+func (n *EntryNode) startWithRetry() (*entry.Entry, error) {
 	var err error
-	for range rebindTries {
+	for range maxStartAttempts {
 		var e *entry.Entry
-		if e, err = entry.Start(n.cfg, n.log.Log); err == nil {
+		if e, err = entry.Start(n.cfg, n.options.Log); err == nil {
 			return e, nil
 		}
-		time.Sleep(rebindPause)
+		time.Sleep(startRetryDelay)
 	}
 	return nil, err
 }
@@ -102,24 +102,24 @@
 // Kill ends the entry as the death of its instance does: it tells nobody. Without
 // relays its connections are closed, which their other ends notice at once.
 func (n *EntryNode) Kill() {
-	n.link.setCut(true)
-	if n.relay != nil {
-		_ = n.relay.SetUpstream("")
-		n.relay.DropFlows(relay.BothDirections...)
+	n.storeProxy.setPartitioned(true)
+	if n.udpRelay != nil {
+		_ = n.udpRelay.SetUpstream("")
+		n.udpRelay.DropFlows(relay.BothDirections...)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.now != nil {
-		n.now.Close()
-		n.now = nil
+	if n.current != nil {
+		n.current.Close()
+		n.current = nil
 	}
 }
 
 // Stop is a planned stop. It returns an error if work in progress was cut.
 func (n *EntryNode) Stop(ctx context.Context) error {
 	n.mu.Lock()
-	e := n.now
-	n.now = nil
+	e := n.current
+	n.current = nil
 	n.mu.Unlock()
 	if e == nil {
 		return nil
@@ -128,20 +128,20 @@
 }
 
 // SetStorePartitioned takes the store away from this entry, or gives it back.
-func (n *EntryNode) SetStorePartitioned(cut bool) { n.link.setCut(cut) }
+func (n *EntryNode) SetStorePartitioned(cut bool) { n.storeProxy.setPartitioned(cut) }
 
 // DropAllFlows makes the open connections to this entry go silent for good,
 // while new ones work, and returns how many. It needs Options.Relays.
 func (n *EntryNode) DropAllFlows() int { return n.DropFlows(relay.BothDirections...) }
 
 // DropFlows is SilenceFlows for what goes these ways only: Up is towards the entry.
-func (n *EntryNode) DropFlows(ways ...relay.Direction) int { return n.relay.DropFlows(ways...) }
+func (n *EntryNode) DropFlows(ways ...relay.Direction) int { return n.udpRelay.DropFlows(ways...) }
 
 // Running says whether the entry runs.
 func (n *EntryNode) Running() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.now != nil
+	return n.current != nil
 }
 
 // URL is where callers reach the entry. It stays the same over restarts.
@@ -158,26 +158,26 @@
 func (n *EntryNode) PlannerStats(service string) (scheduler.Stats, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.now == nil {
+	if n.current == nil {
 		return scheduler.Stats{}, false
 	}
-	return n.now.Stats(service)
+	return n.current.Stats(service)
 }
 
 // epoch is that of the planner duty held here, or 0.
 func (n *EntryNode) epoch(service string) uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.now == nil {
+	if n.current == nil {
 		return 0
 	}
-	return n.now.Epoch(service)
+	return n.current.Epoch(service)
 }
 
-// addr is where agents and other entries reach it.
-func (n *EntryNode) addr() string {
-	if n.relay != nil {
-		return n.relay.Addr()
+// peerAddr is where agents and other entries reach it.
+func (n *EntryNode) peerAddr() string {
+	if n.udpRelay != nil {
+		return n.udpRelay.Addr()
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -186,8 +186,8 @@
 
 func (n *EntryNode) close() {
 	n.Kill()
-	n.link.close()
-	if n.relay != nil {
-		n.relay.Close()
+	n.storeProxy.close()
+	if n.udpRelay != nil {
+		n.udpRelay.Close()
 	}
 }
--- a/trial/faults.go
+++ b/trial/faults.go
@@ -19,15 +19,15 @@
 	Inject func(ctx context.Context, c *Cluster) error
 }
 
-// stopLimit bounds the planned stop of an agent during a run.
-const stopLimit = 20 * time.Second
+// stopTimeout bounds the planned stop of an agent during a run.
+const stopTimeout = 20 * time.Second
 
 // FaultSchedule is the schedule of a run with faults: each kind of failure once, and
 // some of them while another one lasts.
 func FaultSchedule(document []byte) []Fault {
 	changed := append(slices.Clone(document), "\n# changed during the run\n"...)
 	return []Fault{
-		{0.10, "replies of the store lost", onStore(store.Faults{LoseReplies: 5})},
+		{0.10, "replies of the store lost", setStoreFaults(store.Faults{LoseReplies: 5})},
 		{0.15, "document changed", func(ctx context.Context, c *Cluster) error {
 			_, err := c.PutDocument(ctx, changed, 1)
 			return err
@@ -41,10 +41,10 @@
 			return nil
 		}},
 		{0.30, "agent started again", func(_ context.Context, c *Cluster) error { return c.Workers[1].StartAgent() }},
-		{0.35, "store out", onStore(store.Faults{Down: store.DownRefuse})},
-		{0.45, "target fails everything", onTarget(2, standin.Faults{FailQuick: true, FailTasks: true})},
-		{0.55, "store back, and loses replies", onStore(store.Faults{LoseReplies: 3})},
-		{0.60, "target well again", onTarget(2, standin.Faults{})},
+		{0.35, "store out", setStoreFaults(store.Faults{Down: store.DownRefuse})},
+		{0.45, "target fails everything", setTargetFaults(2, standin.Faults{FailQuick: true, FailTasks: true})},
+		{0.55, "store back, and loses replies", setStoreFaults(store.Faults{LoseReplies: 3})},
+		{0.60, "target well again", setTargetFaults(2, standin.Faults{})},
 		{0.65, "entry killed", func(_ context.Context, c *Cluster) error {
 			n := c.PlannerEntry()
 			if n == nil {
@@ -53,7 +53,7 @@
 			n.Kill()
 			return nil
 		}},
-		{0.75, "agent stopped as planned", stopWorker(3)},
+		{0.75, "agent stopped as planned", stopAgentInBackground(3)},
 		{0.85, "entry started again", func(_ context.Context, c *Cluster) error {
 			for _, n := range c.Entries {
 				if err := n.Start(); err != nil {
@@ -66,25 +66,25 @@
 	}
 }
 
-func onStore(f store.Faults) func(context.Context, *Cluster) error {
+func setStoreFaults(f store.Faults) func(context.Context, *Cluster) error {
 	return func(_ context.Context, c *Cluster) error {
 		c.Store.SetFaults(f)
 		return nil
 	}
 }
 
-func onTarget(i int, f standin.Faults) func(context.Context, *Cluster) error {
+func setTargetFaults(i int, f standin.Faults) func(context.Context, *Cluster) error {
 	return func(_ context.Context, c *Cluster) error {
 		c.Workers[i].Target.SetFaults(f)
 		return nil
 	}
 }
 
-// stopWorker stops an agent in the background, since it waits for its work.
-func stopWorker(i int) func(context.Context, *Cluster) error {
+// stopAgentInBackground stops an agent in the background, since it waits for its work.
+func stopAgentInBackground(i int) func(context.Context, *Cluster) error {
 	return func(ctx context.Context, c *Cluster) error {
 		go func() {
-			ctx, cancel := context.WithTimeout(ctx, stopLimit)
+			ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 			defer cancel()
 			_ = c.Workers[i].StopAgent(ctx) // what is cut shows in the audit
 		}()
--- a/trial/helpers_test.go
+++ b/trial/helpers_test.go
@@ -29,8 +29,8 @@
 	os.Exit(m.Run())
 }
 
-// limit bounds a whole test: every wait in it ends with its context.
-const limit = 90 * time.Second
+// testTimeout bounds a whole test: every wait in it ends with its context.
+const testTimeout = 90 * time.Second
 
 const documentText = `
 service = "tiny"
@@ -81,33 +81,33 @@
 // Gangs that have to run on need more isolation than that of the tests' document: a
 // busy machine that pauses their agents for two seconds stops them, and rightly so.
 var (
-	// patient is the tests' document with the default gang timeouts.
-	patient = withGang("")
-	// outlasted has timeouts that an outage outlasts in a test.
-	outlasted = withGang("[gang]\nisolation_timeout = \"6s\"\nloss_timeout = \"15s\"\n")
+	// defaultGangDocument is the tests' document with the default gang timeouts.
+	defaultGangDocument = documentWithGang("")
+	// outageDocument has timeouts that an outage outlasts in a test.
+	outageDocument = documentWithGang("[gang]\nisolation_timeout = \"6s\"\nloss_timeout = \"15s\"\n")
 )
 
-// longLoss is the loss timeout of the document outlasted.
-const longLoss = 15 * time.Second
+// outageLossTimeout is the loss timeout of the document outlasted.
+const outageLossTimeout = 15 * time.Second
 
-// withGang is the tests' document with another section for gangs.
-func withGang(section string) []byte {
+// documentWithGang is the tests' document with another section for gangs.
+func documentWithGang(section string) []byte {
 	before, _, _ := strings.Cut(documentText, "[gang]")
 	_, after, _ := strings.Cut(documentText, "[topology]")
 	return []byte(before + section + "[topology]" + after)
 }
 
-// world is a cluster under test.
-type world struct {
+// testCluster is a cluster under test.
+type testCluster struct {
 	*qt.C
 	*trial.Cluster
 	ctx context.Context
 }
 
-func start(t *testing.T, change func(*trial.Options)) *world {
+func startTestCluster(t *testing.T, change func(*trial.Options)) *testCluster {
 	t.Parallel()
 	c := qt.New(t)
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	c.Cleanup(cancel)
 	o := trial.Options{Document: []byte(documentText), ReportPeriod: 200 * time.Millisecond}
 	if change != nil {
@@ -116,24 +116,24 @@
 	cluster, err := trial.New(ctx, o)
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(cluster.Close)
-	return &world{C: c, Cluster: cluster, ctx: ctx}
+	return &testCluster{C: c, Cluster: cluster, ctx: ctx}
 }
 
 // eventually waits until try says nothing is missing.
-func (w *world) eventually(try func() error) {
+func (w *testCluster) eventually(try func() error) {
 	w.Helper()
 	err := trial.WaitFor(w.ctx, func(context.Context) error { return try() })
 	w.Assert(err, qt.IsNil)
 }
 
-// told is how a request ended for its caller.
-type told struct {
+// callResult is how a request ended for its caller.
+type callResult struct {
 	api.QuickResponse
 	err error
 }
 
 // request makes a quick request whose tag names it in the audits.
-func (w *world) request(entry int, class, tag, key string, work time.Duration) told {
+func (w *testCluster) request(entry int, class, tag, key string, work time.Duration) callResult {
 	a, err := w.Entries[entry].Client().SendQuick(w.ctx, api.QuickRequest{
 		CallOptions: api.CallOptions{Account: "big", Class: class, IdempotencyKey: key},
 		Service:     w.Service,
@@ -141,18 +141,18 @@
 		RawQuery:    fmt.Sprintf("%s=%s&%s=%d", standin.ParamTag, tag, standin.ParamServiceTimeMS, work.Milliseconds()),
 		Body:        []byte(tag),
 	})
-	return told{a, err}
+	return callResult{a, err}
 }
 
-// send is request in the background.
-func (w *world) send(entry int, class, tag, key string, work time.Duration) <-chan told {
-	answers := make(chan told, 1)
+// requestAsync is request in the background.
+func (w *testCluster) requestAsync(entry int, class, tag, key string, work time.Duration) <-chan callResult {
+	answers := make(chan callResult, 1)
 	go func() { answers <- w.request(entry, class, tag, key, work) }()
 	return answers
 }
 
 // checkDone checks that the answer is whole and the caller's own.
-func (w *world) checkDone(a told, tag string) {
+func (w *testCluster) checkDone(a callResult, tag string) {
 	w.Helper()
 	w.Assert(a.err, qt.IsNil)
 	w.Assert(a.Outcome, qt.Equals, api.OutcomeDone, qt.Commentf("%s: %v", tag, a.Problem))
@@ -162,8 +162,8 @@
 	w.Check(echo.BodySum, qt.Equals, standin.BodySum([]byte(tag)))
 }
 
-// runs are the runs of a quick request, by its tag, and where.
-func (w *world) runs(tag string) (runs []standin.QuickRun, workers []*trial.Worker) {
+// quickRuns are the quickRuns of a quick request, by its tag, and where.
+func (w *testCluster) quickRuns(tag string) (runs []standin.QuickRun, workers []*trial.Worker) {
 	for i, a := range w.Audits() {
 		for _, r := range a.Quick {
 			if r.Tag == tag {
@@ -175,12 +175,12 @@
 	return runs, workers
 }
 
-// whereItRuns waits for a request to start and returns the worker.
-func (w *world) whereItRuns(tag string) *trial.Worker {
+// awaitWorkerOf waits for a request to start and returns the worker.
+func (w *testCluster) awaitWorkerOf(tag string) *trial.Worker {
 	w.Helper()
 	var at *trial.Worker
 	w.eventually(func() error {
-		_, workers := w.runs(tag)
+		_, workers := w.quickRuns(tag)
 		if len(workers) == 0 {
 			return errors.New(tag + " has not started")
 		}
@@ -191,7 +191,7 @@
 }
 
 // submit accepts a job whose key names it in the audits.
-func (w *world) submit(entry int, account, key string, accelerators int, run time.Duration) string {
+func (w *testCluster) submit(entry int, account, key string, accelerators int, run time.Duration) string {
 	w.Helper()
 	payload, err := json.Marshal(standin.TaskPayload{Tag: key, RunMS: run.Milliseconds()})
 	w.Assert(err, qt.IsNil)
@@ -205,8 +205,8 @@
 	return s.ID
 }
 
-// job waits until a job is in one of the states, asking an entry that runs.
-func (w *world) job(entry int, id string, states ...api.JobState) api.JobStatus {
+// awaitJob waits until a awaitJob is in one of the states, asking an entry that runs.
+func (w *testCluster) awaitJob(entry int, id string, states ...api.JobState) api.JobStatus {
 	w.Helper()
 	var s api.JobStatus
 	w.eventually(func() error {
@@ -225,8 +225,8 @@
 	return s
 }
 
-// attempts are the task runs of a job in the audits, by attempt.
-func (w *world) attempts(tag string) map[int][]standin.TaskRun {
+// jobAttempts are the task runs of a job in the audits, by attempt.
+func (w *testCluster) jobAttempts(tag string) map[int][]standin.TaskRun {
 	all := make(map[int][]standin.TaskRun)
 	for _, a := range w.Audits() {
 		for _, r := range a.Tasks {
@@ -240,10 +240,10 @@
 
 // checkRanOnce checks that exactly one attempt of a job ended with all of its
 // members done, that no other attempt did, and that no two ran at once.
-func (w *world) checkRanOnce(tag string) {
+func (w *testCluster) checkRanOnce(tag string) {
 	w.Helper()
 	whole := 0
-	for n, members := range w.attempts(tag) {
+	for n, members := range w.jobAttempts(tag) {
 		done := 0
 		for _, m := range members {
 			if m.Outcome == target.TaskDone {
@@ -262,8 +262,8 @@
 	w.Check(load.OverlappingAttempts(w.Audits()), qt.HasLen, 0)
 }
 
-// checkViolations checks that no worker's rule was broken.
-func (w *world) checkViolations() {
+// checkNoViolations checks that no worker's rule was broken.
+func (w *testCluster) checkNoViolations() {
 	w.Helper()
 	for _, a := range w.Audits() {
 		w.Check(a.Violations, qt.HasLen, 0)
--- a/trial/idempotency_test.go
+++ b/trial/idempotency_test.go
@@ -11,29 +11,29 @@
 	"github.com/eelgrasshub/eelgrasshub/trial"
 )
 
-func TestBookingIsRetriedAfterItsEntryDied(t *testing.T) {
+func TestKeyedRequestIsRetriedAfterEntryFailure(t *testing.T) {
 	// A caller books cargo space. While the target works, the entry's instance
 	// dies and the caller sees its connection break. It repeats the booking with
 	// the same key through the other entry and gets the answer of the one run.
-	w := start(t, func(o *trial.Options) { o.UDPRelays = true })
-	first := w.send(0, "booking", "book", "k1", 1500*time.Millisecond)
-	w.whereItRuns("book")
+	w := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
+	first := w.requestAsync(0, "booking", "book", "k1", 1500*time.Millisecond)
+	w.awaitWorkerOf("book")
 	w.Entries[0].Kill()
 
 	broken := <-first
 	w.Check(broken.Outcome, qt.Equals, api.OutcomeUnknown)
 	w.checkDone(w.request(1, "booking", "book", "k1", 1500*time.Millisecond), "book")
-	runs, _ := w.runs("book")
+	runs, _ := w.quickRuns("book")
 	w.Check(runs, qt.HasLen, 1)
 }
 
-func TestAgentRestartNeverTurnsARunIntoNotRun(t *testing.T) {
+func TestAgentRestartDoesNotReportNotRun(t *testing.T) {
 	// The agent beside the target is restarted while a booking runs there. It has
 	// forgotten the booking, the target works on. The caller must not hear "not
 	// run", neither then nor on a retry with the key, or it books a second time.
-	w := start(t, nil)
-	first := w.send(0, "booking", "book", "k1", 1500*time.Millisecond)
-	worker := w.whereItRuns("book")
+	w := startTestCluster(t, nil)
+	first := w.requestAsync(0, "booking", "book", "k1", 1500*time.Millisecond)
+	worker := w.awaitWorkerOf("book")
 	worker.KillAgent()
 	w.Assert(worker.StartAgent(), qt.IsNil)
 
@@ -42,37 +42,37 @@
 		again := w.request(i, "booking", "book", "k1", 1500*time.Millisecond)
 		w.Check(again.Outcome, qt.Equals, api.OutcomeUnknown)
 	}
-	runs, _ := w.runs("book")
+	runs, _ := w.quickRuns("book")
 	w.Check(runs, qt.HasLen, 1)
 }
 
-func TestBookingAtAKilledAgentEndsBeforeItsDeadline(t *testing.T) {
+func TestAgentFailureEndsRequestsBeforeDeadline(t *testing.T) {
 	// The agent dies for good while bookings without a key run there. Each caller
 	// hears "unknown"; requests that may run twice go to another target instead.
-	w := start(t, nil)
-	booking := w.send(0, "booking", "book", "", time.Second)
-	worker := w.whereItRuns("book")
-	check := w.send(0, "check", "check", "", time.Second)
-	w.whereItRuns("check")
+	w := startTestCluster(t, nil)
+	booking := w.requestAsync(0, "booking", "book", "", time.Second)
+	worker := w.awaitWorkerOf("book")
+	check := w.requestAsync(0, "check", "check", "", time.Second)
+	w.awaitWorkerOf("check")
 	worker.KillAgent()
 
 	w.Check((<-booking).Outcome, qt.Equals, api.OutcomeUnknown)
 	w.checkDone(<-check, "check")
 }
 
-func TestSameKeyThroughBothEntriesAtOnce(t *testing.T) {
+func TestConcurrentRequestsWithSameKeyRunOnce(t *testing.T) {
 	// An impatient caller sends the same booking through both entries at once.
 	// One runs it, both answer with that run.
-	w := start(t, nil)
+	w := startTestCluster(t, nil)
 	for i := range 10 {
 		tag := fmt.Sprintf("book-%d", i)
-		one := w.send(0, "booking", tag, tag, 50*time.Millisecond)
-		two := w.send(1, "booking", tag, tag, 50*time.Millisecond)
+		one := w.requestAsync(0, "booking", tag, tag, 50*time.Millisecond)
+		two := w.requestAsync(1, "booking", tag, tag, 50*time.Millisecond)
 		a, b := <-one, <-two
 		w.checkDone(a, tag)
 		w.checkDone(b, tag)
 		w.Check(string(a.Body), qt.Equals, string(b.Body))
-		runs, _ := w.runs(tag)
+		runs, _ := w.quickRuns(tag)
 		w.Check(runs, qt.HasLen, 1)
 	}
 }
--- a/trial/one_way_loss_test.go
+++ b/trial/one_way_loss_test.go
@@ -12,7 +12,7 @@
 	"github.com/eelgrasshub/eelgrasshub/trial"
 )
 
-func TestConnectionsLoseOneDirection(t *testing.T) {
+func TestOneWayPacketLoss(t *testing.T) {
 	// Something between agents and entries loses for good what goes one way on all
 	// open connections, and lets the other way through. What entries send is lost
 	// while the agents' reports arrive; or requests arrive and run while their
@@ -21,43 +21,43 @@
 	// run's answer, and a gang runs on.
 	for name, way := range map[string]relay.Direction{"requests lost": relay.FromUpstream, "answers lost": relay.ToUpstream} {
 		t.Run(name, func(t *testing.T) {
-			w := start(t, func(o *trial.Options) {
+			w := startTestCluster(t, func(o *trial.Options) {
 				o.UDPRelays = true
-				o.Document = patient
+				o.Document = defaultGangDocument
 			})
 			gang := w.submit(0, "big", "gang", 16, 2*time.Second)
-			w.job(0, gang, api.JobRunning)
+			w.awaitJob(0, gang, api.JobRunning)
 			for _, n := range w.Entries {
 				w.Check(n.DropFlows(way) > 0, qt.IsTrue)
 			}
-			answers := make(map[string]<-chan told)
+			answers := make(map[string]<-chan callResult)
 			for i := range 8 {
 				check, booking := fmt.Sprint("check-", i), fmt.Sprint("booking-", i)
-				answers[check] = w.send(i%2, "check", check, "", 20*time.Millisecond)
-				answers[booking] = w.send(i%2, "booking", booking, booking, 20*time.Millisecond)
+				answers[check] = w.requestAsync(i%2, "check", check, "", 20*time.Millisecond)
+				answers[booking] = w.requestAsync(i%2, "booking", booking, booking, 20*time.Millisecond)
 			}
 			for i := range 8 {
 				check, booking := fmt.Sprint("check-", i), fmt.Sprint("booking-", i)
-				w.checkAnswered(i, "check", check, <-answers[check])
-				w.checkAnswered(i, "booking", booking, <-answers[booking])
-				runs, _ := w.runs(booking)
+				w.checkAnsweredAfterRetry(i, "check", check, <-answers[check])
+				w.checkAnsweredAfterRetry(i, "booking", booking, <-answers[booking])
+				runs, _ := w.quickRuns(booking)
 				w.Check(runs, qt.HasLen, 1)
 			}
-			w.Check(w.job(1, gang, api.JobDone).Attempt, qt.Equals, 1)
+			w.Check(w.awaitJob(1, gang, api.JobDone).Attempt, qt.Equals, 1)
 			w.checkRanOnce("gang")
-			w.checkViolations()
+			w.checkNoViolations()
 		})
 	}
 }
 
-// checkAnswered checks the answer to a request with its tag as key, which its caller
+// checkAnsweredAfterRetry checks the answer to a request with its tag as key, which its caller
 // repeats until it has the whole of it. It must not have been told "not run" of one
 // that ran.
-func (w *world) checkAnswered(entry int, class, tag string, a told) {
+func (w *testCluster) checkAnsweredAfterRetry(entry int, class, tag string, a callResult) {
 	w.Helper()
 	w.Assert(a.err, qt.IsNil)
 	if a.Outcome == api.OutcomeNotRun {
-		runs, _ := w.runs(tag)
+		runs, _ := w.quickRuns(tag)
 		w.Check(runs, qt.HasLen, 0)
 	}
 	w.eventually(func() error {
@@ -65,7 +65,7 @@
 			return nil
 		}
 		a = w.request(entry%2, class, tag, tag, 20*time.Millisecond)
-		return unless(a.Outcome == api.OutcomeDone, tag+" is not answered")
+		return errorUnless(a.Outcome == api.OutcomeDone, tag+" is not answered")
 	})
 	w.checkDone(a, tag)
 }
--- a/trial/options.go
+++ b/trial/options.go
@@ -12,11 +12,11 @@
 
 // Defaults of Options.
 const (
-	DefaultEntries       = 2
-	DefaultReportPeriod  = time.Second
-	DefaultStoreTimeout  = time.Second
-	DefaultDrainDelay    = 100 * time.Millisecond
-	defaultWorkersInRack = 3
+	DefaultEntries      = 2
+	DefaultReportPeriod = time.Second
+	DefaultStoreTimeout = time.Second
+	DefaultDrainDelay   = 100 * time.Millisecond
+	defaultWorkers      = 3
 )
 
 // Options configure a Cluster. Zero values take the defaults.
@@ -44,7 +44,7 @@
 
 func (o Options) withDefaults() Options {
 	o.Entries = cmp.Or(o.Entries, DefaultEntries)
-	o.Workers = cmp.Or(o.Workers, defaultWorkersInRack)
+	o.Workers = cmp.Or(o.Workers, defaultWorkers)
 	o.ReportPeriod = cmp.Or(o.ReportPeriod, DefaultReportPeriod)
 	o.StoreTimeout = cmp.Or(o.StoreTimeout, DefaultStoreTimeout)
 	o.DrainDelay = cmp.Or(o.DrainDelay, DefaultDrainDelay)
--- a/trial/permits_test.go
+++ b/trial/permits_test.go
@@ -11,57 +11,57 @@
 	"github.com/eelgrasshub/eelgrasshub/trial"
 )
 
-func TestAcceptedJobStartsWhileTheStoreIsOut(t *testing.T) {
+func TestPermittedJobStartsDuringStoreOutage(t *testing.T) {
 	// The store goes out while a job waits behind another one. The first ends, and
 	// the one that waited runs to its end on its permit. Every lease has lapsed by
 	// then, so whoever plans after the outage has a new epoch and no record of where
 	// the job ran. Its caller hears that it is done, and it ran once.
-	w := start(t, nil)
-	running, waits := w.waitForPermit()
+	w := startTestCluster(t, nil)
+	running, waits := w.awaitPermit()
 	w.Store.SetFaults(store.Faults{Down: store.DownRefuse})
 	w.eventually(func() error {
-		return unless(allEnded(w.attempts("waits"), 3), "the job that waited has not run")
+		return errorUnless(allEnded(w.jobAttempts("waits"), 3), "the job that waited has not run")
 	})
 	w.Store.SetFaults(store.Faults{})
 
-	w.job(0, waits, api.JobDone)
-	w.job(1, running, api.JobDone)
+	w.awaitJob(0, waits, api.JobDone)
+	w.awaitJob(1, running, api.JobDone)
 	w.checkRanOnce("running")
 	w.checkRanOnce("waits")
-	w.checkViolations()
+	w.checkNoViolations()
 }
 
-func TestPlannerDiesAfterAStartOnAPermit(t *testing.T) {
+func TestPlannerFailoverAfterStartOnPermit(t *testing.T) {
 	// The store is out, a job starts on its permit, and the planner's entry is killed
 	// for good. The other entry takes over when the store is back, within isolation.
 	// It finds the job with the agents and lets it run on: it is not started again.
-	w := start(t, func(o *trial.Options) { o.Document = patient })
-	_, waits := w.waitForPermit()
+	w := startTestCluster(t, func(o *trial.Options) { o.Document = defaultGangDocument })
+	_, waits := w.awaitPermit()
 	planner := w.PlannerEntry()
-	other := w.other(planner)
+	other := w.otherEntry(planner)
 	w.Store.SetFaults(store.Faults{Down: store.DownRefuse})
 	w.eventually(func() error {
-		return unless(len(w.attempts("waits")) > 0, "the job that waited does not run")
+		return errorUnless(len(w.jobAttempts("waits")) > 0, "the job that waited does not run")
 	})
 	planner.Kill()
 	w.Store.SetFaults(store.Faults{})
 
-	w.job(other, waits, api.JobDone)
-	w.Check(w.attempts("waits"), qt.HasLen, 1)
+	w.awaitJob(other, waits, api.JobDone)
+	w.Check(w.jobAttempts("waits"), qt.HasLen, 1)
 	w.checkRanOnce("waits")
-	w.checkViolations()
+	w.checkNoViolations()
 }
 
-// waitForPermit leaves the job "running" running and "waits" behind it with a
+// awaitPermit leaves the job "running" running and "waits" behind it with a
 // permit, which shows as an attempt of a job that is still queued. It returns
 // their ids.
-func (w *world) waitForPermit() (running, waits string) {
+func (w *testCluster) awaitPermit() (running, waits string) {
 	w.Helper()
 	running = w.submit(0, "big", "running", 24, 6*time.Second)
-	w.job(0, running, api.JobRunning)
+	w.awaitJob(0, running, api.JobRunning)
 	waits = w.submit(1, "big", "waits", 24, 6*time.Second)
 	w.eventually(func() error {
-		return unless(w.job(0, waits, api.JobQueued).Attempt > 0, "no permit")
+		return errorUnless(w.awaitJob(0, waits, api.JobQueued).Attempt > 0, "no permit")
 	})
 	return running, waits
 }
--- a/trial/quick_requests_test.go
+++ b/trial/quick_requests_test.go
@@ -15,14 +15,14 @@
 	"github.com/eelgrasshub/eelgrasshub/trial"
 )
 
-func TestQuickRequestsGoOnWhileTheStoreIsOut(t *testing.T) {
+func TestQuickRequestsDuringStoreOutage(t *testing.T) {
 	// The store refuses every call, or leaves it unanswered. Quick requests never
 	// need it and go on. A booking with a key can't be proved to be the first
 	// under it: the caller is told that this is why, before any deadline has passed,
 	// and when to come back, and the booking doesn't run. Without a key it runs.
 	for _, down := range []string{store.DownRefuse, store.DownHang} {
 		t.Run(down, func(t *testing.T) {
-			w := start(t, nil)
+			w := startTestCluster(t, nil)
 			w.Store.SetFaults(store.Faults{Down: down})
 			for i := range 20 {
 				tag := fmt.Sprintf("check-%d", i)
@@ -35,51 +35,51 @@
 			w.Assert(keyed.Problem, qt.IsNotNil)
 			w.Check(keyed.Problem.Reason, qt.Equals, api.ReasonEarlierAttemptInDoubt)
 			w.Check(keyed.Problem.RetryAfter > 0, qt.IsTrue)
-			runs, _ := w.runs("keyed")
+			runs, _ := w.quickRuns("keyed")
 			w.Check(runs, qt.HasLen, 0)
 
 			w.Store.SetFaults(store.Faults{})
 			w.eventually(func() error {
 				again := w.request(1, "booking", "keyed", "k", time.Millisecond)
-				return unless(again.Outcome == api.OutcomeDone, fmt.Sprint(again.Problem))
+				return errorUnless(again.Outcome == api.OutcomeDone, fmt.Sprint(again.Problem))
 			})
-			runs, _ = w.runs("keyed")
+			runs, _ = w.quickRuns("keyed")
 			w.Check(runs, qt.HasLen, 1)
 		})
 	}
 }
 
-// traffic is callers that send checks one after the other through all entries. A
+// backgroundTraffic is callers that send checks one after the other through all entries. A
 // caller that is told when to come back does so: one that doesn't would be refused
 // many times in the moment of a failure.
-type traffic struct {
-	w     *world
-	name  string
-	work  time.Duration
-	ended chan struct{}
-	wg    sync.WaitGroup
+type backgroundTraffic struct {
+	cluster *testCluster
+	name    string
+	work    time.Duration
+	stopped chan struct{}
+	wg      sync.WaitGroup
 
 	mu      sync.Mutex
-	answers map[string]told
+	answers map[string]callResult
 }
 
-func (w *world) stream(name string, work time.Duration) *traffic {
-	s := &traffic{w: w, name: name, work: work, ended: make(chan struct{}), answers: make(map[string]told)}
+func (w *testCluster) startTraffic(name string, work time.Duration) *backgroundTraffic {
+	s := &backgroundTraffic{cluster: w, name: name, work: work, stopped: make(chan struct{}), answers: make(map[string]callResult)}
 	for c := range 4 {
-		s.wg.Go(func() { s.caller(c) })
+		s.wg.Go(func() { s.runCaller(c) })
 	}
 	return s
 }
 
-func (s *traffic) caller(c int) {
+func (s *backgroundTraffic) runCaller(c int) {
 	for i := 0; ; i++ {
 		select {
-		case <-s.ended:
+		case <-s.stopped:
 			return
 		default:
 		}
 		tag := fmt.Sprintf("%s-%d-%d", s.name, c, i)
-		a := s.w.request((c+i)%2, "check", tag, "", s.work)
+		a := s.cluster.request((c+i)%2, "check", tag, "", s.work)
 		s.mu.Lock()
 		s.answers[tag] = a
 		s.mu.Unlock()
@@ -89,24 +89,24 @@
 	}
 }
 
-// await waits until there are so many answers.
-func (s *traffic) await(n int) {
-	s.w.Helper()
-	s.w.eventually(func() error {
+// awaitAnswers waits until there are so many answers.
+func (s *backgroundTraffic) awaitAnswers(n int) {
+	s.cluster.Helper()
+	s.cluster.eventually(func() error {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return unless(len(s.answers) >= n, fmt.Sprintf("%d answers of %d", len(s.answers), n))
+		return errorUnless(len(s.answers) >= n, fmt.Sprintf("%d answers of %d", len(s.answers), n))
 	})
 }
 
 // stop ends the callers and returns the answers.
-func (s *traffic) stop() map[string]told {
-	close(s.ended)
+func (s *backgroundTraffic) stop() map[string]callResult {
+	close(s.stopped)
 	s.wg.Wait()
 	return s.answers
 }
 
-func (w *world) checkAllDone(answers map[string]told) {
+func (w *testCluster) checkAllDone(answers map[string]callResult) {
 	w.Helper()
 	w.Check(len(answers) > 0, qt.IsTrue)
 	for tag, a := range answers {
@@ -114,15 +114,15 @@
 	}
 }
 
-func TestLeavingTargetGetsNoNewWork(t *testing.T) {
+func TestDrainingTargetGetsNoNewWork(t *testing.T) {
 	// A target is taken out as planned, under load and with the store out. What
 	// runs there ends, every caller gets its answer, and what is sent from then on
 	// runs elsewhere, while the target still works on what it had.
-	w := start(t, nil)
+	w := startTestCluster(t, nil)
 	w.Store.SetFaults(store.Faults{Down: store.DownRefuse})
-	others := w.stream("check", 5*time.Millisecond)
-	slow := w.send(0, "check", "slow", "", time.Second)
-	leaving := w.whereItRuns("slow")
+	others := w.startTraffic("check", 5*time.Millisecond)
+	slow := w.requestAsync(0, "check", "slow", "", time.Second)
+	leaving := w.awaitWorkerOf("slow")
 	w.Assert(leaving.DrainAgent(), qt.IsNil)
 	for i := range 40 {
 		tag := fmt.Sprintf("after-%d", i)
@@ -139,19 +139,19 @@
 	}
 }
 
-func TestSilentConnections(t *testing.T) {
+func TestBlackholedConnections(t *testing.T) {
 	// Something between agents and entries loses track of all open connections:
 	// they are silent for good, and neither end is told. New ones work. Requests go
 	// on, those that were under way too, because they may run twice.
-	w := start(t, func(o *trial.Options) { o.UDPRelays = true })
-	others := w.stream("check", 5*time.Millisecond)
+	w := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
+	others := w.startTraffic("check", 5*time.Millisecond)
 	for _, n := range w.Entries {
-		w.whereItRuns("check-0-0")
+		w.awaitWorkerOf("check-0-0")
 		w.Check(n.DropAllFlows() > 0, qt.IsTrue)
 		w.checkDone(w.request(0, "check", "one-"+n.ID, "", 2*time.Second), "one-"+n.ID)
 		w.checkDone(w.request(1, "check", "two-"+n.ID, "", 2*time.Second), "two-"+n.ID)
 	}
-	others.await(500) // however fast the machine, a share of these
+	others.awaitAnswers(500) // however fast the machine, a share of these
 	answers := others.stop()
 	lost := 0
 	for tag, a := range answers {
@@ -165,11 +165,11 @@
 	w.Check(len(answers)/10 > lost, qt.IsTrue, qt.Commentf("%d of %d", lost, len(answers)))
 }
 
-func TestRequestsTurnAwayFromADeadAgent(t *testing.T) {
+func TestRequestsAvoidDeadAgent(t *testing.T) {
 	// An agent dies. Its connections are gone, and a new one to it is not answered.
 	// Requests go to other targets. That none of them waits for the new connection
 	// is TestDeadAgentIsNotWaitedFor's of package entry.
-	w := start(t, nil)
+	w := startTestCluster(t, nil)
 	w.Workers[0].KillAgent()
 	for i := range 20 {
 		tag := fmt.Sprintf("check-%d", i)
@@ -177,13 +177,13 @@
 	}
 }
 
-func TestEveryCallerGetsItsOwnAnswer(t *testing.T) {
+func TestCallersGetTheirOwnAnswers(t *testing.T) {
 	// Callers ask at the same time for answers of different sizes, from targets of
 	// which one is slow and answers out of order, while connections go silent.
 	// Each gets the whole answer to its own request, or none.
-	w := start(t, func(o *trial.Options) { o.UDPRelays = true })
+	w := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
 	w.Workers[1].Target.SetFaults(standin.Faults{SlowFactor: 10})
-	others := w.stream("own", 3*time.Millisecond)
+	others := w.startTraffic("own", 3*time.Millisecond)
 	w.checkDone(w.request(0, "check", "wait", "", 500*time.Millisecond), "wait")
 	w.Entries[0].DropAllFlows()
 	w.checkDone(w.request(1, "check", "wait-2", "", time.Second), "wait-2")
@@ -194,10 +194,10 @@
 	}
 }
 
-func TestFreshEntryIsReadyOnlyWithTargets(t *testing.T) {
+func TestNewEntryIsReadyOnlyWithTargets(t *testing.T) {
 	// An entry's instance is replaced. The balancer sends requests as soon as the
 	// entry says that it is ready; none of them is refused for want of a target.
-	w := start(t, func(o *trial.Options) { o.UDPRelays = true })
+	w := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
 	w.Entries[0].Kill()
 	w.Assert(w.Entries[0].Start(), qt.IsNil)
 	w.eventually(func() error { return w.Entries[0].Client().Ready(w.ctx) })
--- a/trial/reclaim.go
+++ b/trial/reclaim.go
@@ -16,48 +16,48 @@
 )
 
 const (
-	// borrowRun is the run time of the borrowers: longer than any claim waits.
-	borrowRun = time.Minute
-	// borrowCheckpoint is how often a borrower's work is safe.
-	borrowCheckpoint = 100 * time.Millisecond
-	// claimRun is the run time of a claim.
-	claimRun = 200 * time.Millisecond
-	// claimLimit is how long a claim may wait; beyond it the guarantee counts
+	// borrowerRunTime is the run time of the borrowers: longer than any claim waits.
+	borrowerRunTime = time.Minute
+	// checkpointInterval is how often a borrower's work is safe.
+	checkpointInterval = 100 * time.Millisecond
+	// claimRunTime is the run time of a claim.
+	claimRunTime = 200 * time.Millisecond
+	// claimTimeout is how long a claim may wait; beyond it the guarantee counts
 	// as not honoured.
-	claimLimit = 20 * time.Second
-	// steady is for how long nothing may start before the borrowers count as
+	claimTimeout = 20 * time.Second
+	// steadyPeriod is for how long nothing may start before the borrowers count as
 	// settled.
-	steady = time.Second
+	steadyPeriod = time.Second
 )
 
-// reclaimer measures how long a client account waits for its guaranteed shape
+// reclaimMeasurement measures how long a client account waits for its guaranteed shape
 // while others use the capacity.
-type reclaimer struct {
-	c     *Cluster
-	doc   *document.Document
-	class *document.Class
+type reclaimMeasurement struct {
+	cluster        *Cluster
+	doc            *document.Document
+	borrowingClass *document.Class
 	// borrower is the account with the smallest guarantee.
 	borrower string
 	result   load.Result
 }
 
-var errNoBorrowers = errors.New("trial: the document has no class that may borrow")
+var errNoBorrowingClass = errors.New("trial: the document has no class that may borrow")
 
 // MeasureReclaim fills the idle cluster with work that borrows, and then lets every
 // other client account claim its largest guaranteed shape, one after the other.
 // The result tells of all jobs made, for the audit.
 func (c *Cluster) MeasureReclaim(ctx context.Context, doc *document.Document) ([]load.ReclaimSample, load.Result, error) {
-	r := &reclaimer{c: c, doc: doc, result: load.Result{Plan: "reclaim", Service: c.Service, StartedAt: time.Now()}}
+	r := &reclaimMeasurement{cluster: c, doc: doc, result: load.Result{Plan: "reclaim", Service: c.Service, StartedAt: time.Now()}}
 	for i := range doc.Classes {
-		if doc.Classes[i].MayBorrow && r.class == nil {
-			r.class = &doc.Classes[i]
+		if doc.Classes[i].MayBorrow && r.borrowingClass == nil {
+			r.borrowingClass = &doc.Classes[i]
 		}
 	}
-	if r.class == nil {
-		return nil, r.result, errNoBorrowers
+	if r.borrowingClass == nil {
+		return nil, r.result, errNoBorrowingClass
 	}
-	r.borrower = smallest(doc.Accounts)
-	if err := r.fill(ctx); err != nil {
+	r.borrower = smallestGuarantee(doc.Accounts)
+	if err := r.submitBorrowers(ctx); err != nil {
 		return nil, r.result, err
 	}
 	var samples []load.ReclaimSample
@@ -72,10 +72,10 @@
 		}
 		samples = append(samples, sample)
 	}
-	return samples, r.result, r.end(ctx)
+	return samples, r.result, r.cancelAndRecord(ctx)
 }
 
-func guaranteed(a document.Account) int {
+func guaranteedAccelerators(a document.Account) int {
 	sum := 0
 	for _, g := range a.Guaranteed {
 		sum += g.Accelerators * g.Count
@@ -83,61 +83,61 @@
 	return sum
 }
 
-func smallest(accounts []document.Account) string {
+func smallestGuarantee(accounts []document.Account) string {
 	best := accounts[0]
 	for _, a := range accounts {
-		if guaranteed(a) < guaranteed(best) {
+		if guaranteedAccelerators(a) < guaranteedAccelerators(best) {
 			best = a
 		}
 	}
 	return best.Name
 }
 
-// fill submits borrowers of four accelerators until all capacity could be
+// submitBorrowers submits borrowers of four accelerators until all capacity could be
 // theirs, and waits until no more of them start.
-func (r *reclaimer) fill(ctx context.Context) error {
+func (r *reclaimMeasurement) submitBorrowers(ctx context.Context) error {
 	const size = 4
 	accelerators := 0
-	for _, s := range sites(r.doc, len(r.c.Workers)) {
+	for _, s := range workerLocations(r.doc, len(r.cluster.Workers)) {
 		accelerators += s.accelerators
 	}
 	for range accelerators / size {
 		shape := document.Guarantee{Accelerators: size, Adjacent: document.SameWorker}
-		if _, err := r.submit(ctx, r.borrower, shape, borrowRun); err != nil {
+		if _, err := r.submit(ctx, r.borrower, shape, borrowerRunTime); err != nil {
 			return err
 		}
 	}
-	return r.settle(ctx)
+	return r.awaitSteadyState(ctx)
 }
 
-func (r *reclaimer) settle(ctx context.Context) error {
+func (r *reclaimMeasurement) awaitSteadyState(ctx context.Context) error {
 	free, since := -1, time.Now()
 	return WaitFor(ctx, func(context.Context) error {
-		s, ok := r.c.PlannerStats()
+		s, ok := r.cluster.PlannerStats()
 		if !ok || s.Free != free {
 			free, since = s.Free, time.Now()
 		}
-		if !ok || s.Starts == 0 || time.Since(since) < steady {
+		if !ok || s.Starts == 0 || time.Since(since) < steadyPeriod {
 			return fmt.Errorf("borrowers have not settled: %d accelerators free", free)
 		}
 		return nil
 	})
 }
 
-func (r *reclaimer) submit(ctx context.Context, account string, g document.Guarantee, run time.Duration) (int, error) {
+func (r *reclaimMeasurement) submit(ctx context.Context, account string, g document.Guarantee, run time.Duration) (int, error) {
 	tag := "reclaim-" + uuid.NewString()
 	payload, err := json.Marshal(standin.TaskPayload{
 		Tag:               tag,
 		RunMS:             run.Milliseconds(),
-		CheckpointEveryMS: borrowCheckpoint.Milliseconds(),
+		CheckpointEveryMS: checkpointInterval.Milliseconds(),
 	})
 	if err != nil {
 		return 0, err
 	}
-	j := load.JobResult{Tag: tag, Account: account, Class: r.class.Name, Repeatable: r.class.Repeatable, Scheduled: time.Now()}
-	s, err := r.c.Entries[0].Client().SubmitJob(ctx, r.c.Service, api.JobRequest{
+	j := load.JobResult{Tag: tag, Account: account, Class: r.borrowingClass.Name, Repeatable: r.borrowingClass.Repeatable, Scheduled: time.Now()}
+	s, err := r.cluster.Entries[0].Client().SubmitJob(ctx, r.cluster.Service, api.JobRequest{
 		Account:      account,
-		Class:        r.class.Name,
+		Class:        r.borrowingClass.Name,
 		Accelerators: g.Accelerators,
 		Adjacency:    api.Adjacency(g.Adjacent),
 		Payload:      payload,
@@ -151,32 +151,32 @@
 }
 
 // claim lets an account demand its largest shape.
-func (r *reclaimer) claim(ctx context.Context, a *document.Account) (load.ReclaimSample, error) {
+func (r *reclaimMeasurement) claim(ctx context.Context, a *document.Account) (load.ReclaimSample, error) {
 	shape := a.Guaranteed[0]
 	for _, g := range a.Guaranteed {
 		if g.Accelerators > shape.Accelerators {
 			shape = g
 		}
 	}
-	n, err := r.submit(ctx, a.Name, shape, claimRun)
+	n, err := r.submit(ctx, a.Name, shape, claimRunTime)
 	if err != nil {
 		return load.ReclaimSample{}, err
 	}
-	limited, cancel := context.WithTimeout(ctx, claimLimit)
+	limited, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	status, err := r.final(limited, r.result.Jobs[n].ID)
-	sample := load.ReclaimSample{Account: a.Name, StartDelay: claimLimit}
+	status, err := r.awaitFinalState(limited, r.result.Jobs[n].ID)
+	sample := load.ReclaimSample{Account: a.Name, StartDelay: claimTimeout}
 	if err == nil && status.State == api.JobDone {
-		sample.StartDelay = r.started(r.result.Jobs[n].Tag).Sub(r.result.Jobs[n].Scheduled)
+		sample.StartDelay = r.startTime(r.result.Jobs[n].Tag).Sub(r.result.Jobs[n].Scheduled)
 		sample.Honoured = true
 	}
 	return sample, ctx.Err()
 }
 
-// started is when the last member of a gang started, by the workers' logs.
-func (r *reclaimer) started(tag string) time.Time {
+// startTime is when the last member of a gang startTime, by the workers' logs.
+func (r *reclaimMeasurement) startTime(tag string) time.Time {
 	var last time.Time
-	for _, a := range r.c.Audits() {
+	for _, a := range r.cluster.Audits() {
 		for _, run := range a.Tasks {
 			if run.Tag == tag && run.Start.After(last) {
 				last = run.Start
@@ -186,11 +186,11 @@
 	return last
 }
 
-func (r *reclaimer) final(ctx context.Context, id string) (api.JobStatus, error) {
+func (r *reclaimMeasurement) awaitFinalState(ctx context.Context, id string) (api.JobStatus, error) {
 	var s api.JobStatus
 	err := WaitFor(ctx, func(ctx context.Context) error {
 		var err error
-		s, err = r.c.Entries[0].Client().GetJob(ctx, r.c.Service, id, 0)
+		s, err = r.cluster.Entries[0].Client().GetJob(ctx, r.cluster.Service, id, 0)
 		if err == nil && !s.State.Final() {
 			err = fmt.Errorf("job %s is %s", id, s.State)
 		}
@@ -199,18 +199,18 @@
 	return s, err
 }
 
-// end cancels what still runs and notes how every job ended.
-func (r *reclaimer) end(ctx context.Context) error {
+// cancelAndRecord cancels what still runs and notes how every job ended.
+func (r *reclaimMeasurement) cancelAndRecord(ctx context.Context) error {
 	var ids []string
 	for _, j := range r.result.Jobs {
 		ids = append(ids, j.ID)
 	}
-	if _, err := r.c.Entries[0].Client().CancelJobs(ctx, r.c.Service, ids); err != nil {
+	if _, err := r.cluster.Entries[0].Client().CancelJobs(ctx, r.cluster.Service, ids); err != nil {
 		return err
 	}
 	for i := range r.result.Jobs {
 		j := &r.result.Jobs[i]
-		s, err := r.final(ctx, j.ID)
+		s, err := r.awaitFinalState(ctx, j.ID)
 		if err != nil {
 			return err
 		}
--- a/trial/run.go
+++ b/trial/run.go
@@ -31,10 +31,10 @@
 }
 
 const (
-	// startLimit bounds the start of a cluster.
-	startLimit = 30 * time.Second
-	// reclaimLimit bounds the claims of guarantees.
-	reclaimLimit = 90 * time.Second
+	// startTimeout bounds the start of a cluster.
+	startTimeout = 30 * time.Second
+	// reclaimTimeout bounds the claims of guarantees.
+	reclaimTimeout = 90 * time.Second
 )
 
 // Run runs one service on its plan in a cluster of its own, measures it, claims
@@ -44,16 +44,16 @@
 	if err != nil {
 		return RunResult{}, err
 	}
-	c, err := startFor(ctx, o)
+	c, err := startCluster(ctx, o)
 	if err != nil {
 		return RunResult{}, err
 	}
 	defer c.Close()
 	var out RunResult
-	if err := c.underLoad(ctx, o, &out); err != nil {
+	if err := c.runLoad(ctx, o, &out); err != nil {
 		return out, err
 	}
-	reclaim, cancel := context.WithTimeout(ctx, reclaimLimit)
+	reclaim, cancel := context.WithTimeout(ctx, reclaimTimeout)
 	defer cancel()
 	samples, claims, err := c.MeasureReclaim(reclaim, doc)
 	if err != nil {
@@ -66,14 +66,14 @@
 	return out, nil
 }
 
-func startFor(ctx context.Context, o RunOptions) (*Cluster, error) {
-	ctx, cancel := context.WithTimeout(ctx, startLimit)
+func startCluster(ctx context.Context, o RunOptions) (*Cluster, error) {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	return New(ctx, Options{Document: o.Document, UDPRelays: o.Faults, Log: o.ProcessLog})
 }
 
-// underLoad makes the load, with samples and faults beside it.
-func (c *Cluster) underLoad(ctx context.Context, o RunOptions, out *RunResult) error {
+// runLoad makes the load, with samples and faults beside it.
+func (c *Cluster) runLoad(ctx context.Context, o RunOptions, out *RunResult) error {
 	sampling, stop := context.WithCancel(ctx)
 	defer stop()
 	var group errgroup.Group
--- a/trial/sampler.go
+++ b/trial/sampler.go
@@ -9,14 +9,14 @@
 	"github.com/eelgrasshub/eelgrasshub/scheduler"
 )
 
-// sampleEvery is the period of samples.
-const sampleEvery = 200 * time.Millisecond
+// sampleInterval is the period of samples.
+const sampleInterval = 200 * time.Millisecond
 
 // SampleFragmentation samples the planner until ctx ends. While no entry holds
 // the duty there are no samples.
 func (c *Cluster) SampleFragmentation(ctx context.Context) []load.FragmentationSample {
 	began := time.Now()
-	ticker := time.NewTicker(sampleEvery)
+	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	var list []load.FragmentationSample
 	for {
@@ -29,14 +29,14 @@
 					At:                   now.Sub(began),
 					FreeAccelerators:     s.Free,
 					StrandedAccelerators: int(math.Round(s.Fragmentation)),
-					WaitingJobs:          waiting(s),
+					WaitingJobs:          countWaitingJobs(s),
 				})
 			}
 		}
 	}
 }
 
-func waiting(s scheduler.Stats) int {
+func countWaitingJobs(s scheduler.Stats) int {
 	n := 0
 	for _, a := range s.Accounts {
 		for _, jobs := range a.Waiting {
--- a/trial/store_proxy.go
+++ b/trial/store_proxy.go
@@ -6,51 +6,51 @@
 	"sync"
 )
 
-// storeLink is one process's way to the store. Cutting it takes the store away
+// storeProxy is one process's way to the store. Cutting it takes the store away
 // from this process only, and keeps a process that dies from giving its leases
 // back on the way out.
-type storeLink struct {
+type storeProxy struct {
 	listener net.Listener
 	server   *http.Server
 	store    http.Handler
 
-	mu    sync.Mutex
-	cut   bool
-	conns map[net.Conn]struct{}
+	mu          sync.Mutex
+	partitioned bool
+	conns       map[net.Conn]struct{}
 }
 
-func newStoreLink(store http.Handler) (*storeLink, error) {
+func newStoreProxy(store http.Handler) (*storeProxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	link := &storeLink{listener: l, store: store, conns: make(map[net.Conn]struct{})}
-	link.server = &http.Server{Handler: http.HandlerFunc(link.serve), ConnState: link.track}
+	link := &storeProxy{listener: l, store: store, conns: make(map[net.Conn]struct{})}
+	link.server = &http.Server{Handler: http.HandlerFunc(link.serve), ConnState: link.trackConn}
 	go func() { _ = link.server.Serve(l) }() // ends with close
 	return link, nil
 }
 
-func (l *storeLink) url() string { return "http://" + l.listener.Addr().String() }
+func (l *storeProxy) url() string { return "http://" + l.listener.Addr().String() }
 
-func (l *storeLink) serve(w http.ResponseWriter, r *http.Request) {
-	if l.isCut() {
+func (l *storeProxy) serve(w http.ResponseWriter, r *http.Request) {
+	if l.isPartitioned() {
 		panic(http.ErrAbortHandler) // closes the connection without an answer
 	}
 	l.store.ServeHTTP(w, r)
 }
 
-func (l *storeLink) isCut() bool {
+func (l *storeProxy) isPartitioned() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.cut
+	return l.partitioned
 }
 
-// setCut breaks all connections at once, those of watches included, and every
+// setPartitioned breaks all connections at once, those of watches included, and every
 // call until it is set back.
-func (l *storeLink) setCut(cut bool) {
+func (l *storeProxy) setPartitioned(cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut = cut
+	l.partitioned = cut
 	if !cut {
 		return
 	}
@@ -59,7 +59,7 @@
 	}
 }
 
-func (l *storeLink) track(c net.Conn, s http.ConnState) {
+func (l *storeProxy) trackConn(c net.Conn, s http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch s {
@@ -70,4 +70,4 @@
 	}
 }
 
-func (l *storeLink) close() { _ = l.server.Close() }
+func (l *storeProxy) close() { _ = l.server.Close() }
--- a/trial/wait.go
+++ b/trial/wait.go
@@ -19,13 +19,13 @@
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("%w; last: %w", ctx.Err(), err)
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// entryInForce says what is missing at one entry.
-func (c *Cluster) entryInForce(s api.Status, generation uint64) error {
+// checkEntryDocument says what is missing at one entry.
+func (c *Cluster) checkEntryDocument(s api.Status, generation uint64) error {
 	if !s.Ready {
 		return fmt.Errorf("%s is not ready", s.ID)
 	}
--- a/trial/worker.go
+++ b/trial/worker.go
@@ -21,14 +21,14 @@
 
 	server   *http.Server
 	listener net.Listener
-	log      Options
+	options  Options
 
-	mu  sync.Mutex
-	cfg settings.Agent
-	now *agent.Agent // nil while it is down
+	mu      sync.Mutex
+	cfg     settings.Agent
+	current *agent.Agent // nil while it is down
 }
 
-func newWorker(s site, service string, seeds []string, o Options) (*Worker, error) {
+func newWorker(s workerLocation, service string, seeds []string, o Options) (*Worker, error) {
 	l, err := net.Listen("tcp", loopback)
 	if err != nil {
 		return nil, err
@@ -36,7 +36,7 @@
 	target := o.Target
 	target.Name = s.name
 	target.Accelerators = s.accelerators
-	w := &Worker{ID: s.name, Target: standin.New(target), listener: l, log: o}
+	w := &Worker{ID: s.name, Target: standin.New(target), listener: l, options: o}
 	w.server = w.Target.HTTPServer()
 	go func() { _ = w.server.Serve(l) }() // ends with close
 	w.cfg = settings.Agent{
@@ -65,14 +65,14 @@
 func (w *Worker) StartAgent() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.now != nil {
+	if w.current != nil {
 		return nil
 	}
-	a, err := agent.Start(w.cfg, w.log.Log)
+	a, err := agent.Start(w.cfg, w.options.Log)
 	if err != nil {
 		return err
 	}
-	w.now = a
+	w.current = a
 	return nil
 }
 
@@ -81,9 +81,9 @@
 func (w *Worker) KillAgent() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.now != nil {
-		w.now.Close()
-		w.now = nil
+	if w.current != nil {
+		w.current.Close()
+		w.current = nil
 	}
 }
 
@@ -98,8 +98,8 @@
 // was left behind.
 func (w *Worker) StopAgent(ctx context.Context) error {
 	w.mu.Lock()
-	a := w.now
-	w.now = nil
+	a := w.current
+	w.current = nil
 	w.mu.Unlock()
 	if a == nil {
 		return nil
@@ -111,10 +111,10 @@
 func (w *Worker) DrainAgent() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.now == nil {
+	if w.current == nil {
 		return ErrNotRunning
 	}
-	w.now.Drain()
+	w.current.Drain()
 	return nil
 }
 
@@ -122,7 +122,7 @@
 func (w *Worker) AgentRunning() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.now != nil
+	return w.current != nil
 }
 
 func (w *Worker) close() { w.KillInstance() }
--- a/trial/worker_location.go
+++ b/trial/worker_location.go
@@ -7,15 +7,15 @@
 	"github.com/eelgrasshub/eelgrasshub/target/standin"
 )
 
-// site is where one worker stands.
-type site struct {
+// workerLocation is where one worker stands.
+type workerLocation struct {
 	name, zone, rack string
 	accelerators     int
 }
 
-// sites lists the workers of a document, zone by zone and rack by rack. One
+// workerLocations lists the workers of a document, zone by zone and rack by rack. One
 // without a topology gets the given number of workers in one rack.
-func sites(d *document.Document, workers int) []site {
+func workerLocations(d *document.Document, workers int) []workerLocation {
 	t := d.Topology
 	if t == nil {
 		t = &document.Topology{
@@ -23,12 +23,12 @@
 			Zones:        []document.TopologyZone{{Name: "z1", Racks: []int{workers}}},
 		}
 	}
-	var all []site
+	var all []workerLocation
 	for _, zone := range t.Zones {
 		for k, count := range zone.Racks {
 			rack := fmt.Sprintf("%s-r%d", zone.Name, k+1)
 			for i := range count {
-				all = append(all, site{
+				all = append(all, workerLocation{
 					name:         fmt.Sprintf("%s-w%d", rack, i+1),
 					zone:         zone.Name,
 					rack:         rack,
