--- a/internal/capacity/agent_test.go
+++ b/internal/capacity/agent_test.go
@@ -97,10 +97,10 @@
 	e, err := entry.Start(cfg, discardLogger())
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(e.Close)
-	other, err := agent.Start(s.startTarget("worker-2", names[0], cfg.Advertise, every), discardLogger())
+	other, err := agent.Start(s.agentSettings("worker-2", names[0], cfg.Advertise, every), discardLogger())
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(other.Close)
-	p := startProcess(c, agentEnv, s.startTarget("worker-1", names[0], cfg.Advertise, every))
+	p := startProcess(c, agentSettingsEnv, s.agentSettings("worker-1", names[0], cfg.Advertise, every))
 	eventually(c, "both known", func() bool { known, inForce := s.countAlive(e.HTTPAddr(), 1); return known == 2 && inForce == 2 })
 	client := api.NewClient("http://"+e.HTTPAddr(), nil)
 	watch := func(what string) {
--- a/internal/capacity/entry_test.go
+++ b/internal/capacity/entry_test.go
@@ -42,7 +42,7 @@
 func measureEntry(c *qt.C, n, serviceCount int, every time.Duration, loads bool) {
 	names := services(serviceCount)
 	s := newTestRegion(c, names...)
-	p := startProcess(c, entryEnv, s.entrySettings("entry-1", every))
+	p := startProcess(c, entrySettingsEnv, s.entrySettings("entry-1", every))
 	time.Sleep(settleTime)
 	start := p.usage()
 	time.Sleep(settleTime)
@@ -86,7 +86,7 @@
 	const n, every, span = 100, time.Second, 10
 	names := services(serviceCount)
 	s := newTestRegion(c, names...)
-	p := startProcess(c, entryEnv, s.entrySettings("entry-1", every))
+	p := startProcess(c, entrySettingsEnv, s.entrySettings("entry-1", every))
 	f := NewFleet(p.addresses[0], every, false)
 	c.Cleanup(f.Stop)
 	c.Assert(f.Add(n, names[0]), qt.IsNil)
@@ -119,7 +119,7 @@
 	const every = 10 * time.Second
 	names := services(1)
 	s := newTestRegion(c, names...)
-	p := startProcess(c, entryEnv, s.entrySettings("entry-1", every))
+	p := startProcess(c, entrySettingsEnv, s.entrySettings("entry-1", every))
 	time.Sleep(settleTime)
 	f := NewFleet(p.addresses[0], every, false)
 	c.Cleanup(f.Stop)
@@ -155,7 +155,7 @@
 	const every = 10 * time.Second
 	names := services(1)
 	s := newTestRegion(c, names...)
-	p := startProcess(c, entryEnv, s.entrySettings("entry-1", every))
+	p := startProcess(c, entrySettingsEnv, s.entrySettings("entry-1", every))
 	f := NewFleet(p.addresses[0], every, false)
 	c.Cleanup(f.Stop)
 	c.Assert(f.Add(n, names...), qt.IsNil)
--- a/internal/capacity/leadership_handover_test.go
+++ b/internal/capacity/leadership_handover_test.go
@@ -33,7 +33,7 @@
 	eventually(c, "all duties held", func() bool { return countLeaderships(c, []*entry.Entry{first})[0] == n })
 	for i, name := range names {
 		for k := range 2 {
-			a, err := agent.Start(s.startTarget(fmt.Sprintf("worker-%d-%d", i, k), name, first.QUICAddr(), time.Second), discardLogger())
+			a, err := agent.Start(s.agentSettings(fmt.Sprintf("worker-%d-%d", i, k), name, first.QUICAddr(), time.Second), discardLogger())
 			c.Assert(err, qt.IsNil)
 			c.Cleanup(a.Close)
 		}
--- a/internal/capacity/planner_failover_test.go
+++ b/internal/capacity/planner_failover_test.go
@@ -29,7 +29,7 @@
 	var all, first, ran []time.Duration
 	for round := range rounds {
 		s := newTestRegion(c, names...)
-		dying := startProcess(c, entryEnv, s.entrySettings("entry-1", time.Second))
+		dying := startProcess(c, entrySettingsEnv, s.entrySettings("entry-1", time.Second))
 		planner := api.NewClient("http://"+dying.addresses[1], nil)
 		eventually(c, "all duties at the first", func() bool { return len(listLeaderships(c, planner)) == n })
 		e, err := entry.Start(s.entrySettings("entry-2", time.Second), discardLogger())
@@ -38,7 +38,7 @@
 		records := jobs.NewStore(region, s.client, nil)
 		client := api.NewClient("http://"+e.HTTPAddr(), nil)
 		for i := range 4 {
-			a, err := agent.Start(s.startTarget(fmt.Sprint("worker-", i), names[0], e.QUICAddr(), time.Second), discardLogger())
+			a, err := agent.Start(s.agentSettings(fmt.Sprint("worker-", i), names[0], e.QUICAddr(), time.Second), discardLogger())
 			c.Assert(err, qt.IsNil)
 			c.Cleanup(a.Close)
 		}
--- a/internal/capacity/process_test.go
+++ b/internal/capacity/process_test.go
@@ -21,8 +21,8 @@
 // environment, so that its usage is its own. It answers each line of input with
 // its usage and ends with its input.
 const (
-	entryEnv = "EELGRASSHUB_CAPACITY_ENTRY"
-	agentEnv = "EELGRASSHUB_CAPACITY_AGENT"
+	entrySettingsEnv = "EELGRASSHUB_CAPACITY_ENTRY"
+	agentSettingsEnv = "EELGRASSHUB_CAPACITY_AGENT"
 	// profileEnv names the file for a processor profile of that process.
 	profileEnv = "EELGRASSHUB_CAPACITY_PROFILE"
 
@@ -88,16 +88,16 @@
 	c := requireMeasure(t)
 	var addresses []string
 	switch {
-	case os.Getenv(entryEnv) != "":
+	case os.Getenv(entrySettingsEnv) != "":
 		var cfg settings.Entry
-		c.Assert(json.Unmarshal([]byte(os.Getenv(entryEnv)), &cfg), qt.IsNil)
+		c.Assert(json.Unmarshal([]byte(os.Getenv(entrySettingsEnv)), &cfg), qt.IsNil)
 		e, err := entry.Start(cfg, discardLogger())
 		c.Assert(err, qt.IsNil)
 		defer e.Close()
 		addresses = []string{e.QUICAddr(), e.HTTPAddr()}
-	case os.Getenv(agentEnv) != "":
+	case os.Getenv(agentSettingsEnv) != "":
 		var cfg settings.Agent
-		c.Assert(json.Unmarshal([]byte(os.Getenv(agentEnv)), &cfg), qt.IsNil)
+		c.Assert(json.Unmarshal([]byte(os.Getenv(agentSettingsEnv)), &cfg), qt.IsNil)
 		a, err := agent.Start(cfg, discardLogger())
 		c.Assert(err, qt.IsNil)
 		defer a.Close()
--- a/internal/capacity/relays_test.go
+++ b/internal/capacity/relays_test.go
@@ -32,9 +32,9 @@
 	names := services(1)
 	s := newTestRegion(c, names...)
 	cfg, proxy := s.entrySettingsWithRelays(every)
-	p := startProcess(c, entryEnv, cfg)
+	p := startProcess(c, entrySettingsEnv, cfg)
 	for i := range n / rackSize {
-		a, err := agent.Start(s.startRackTarget(i, names[0], cfg.Advertise, every), discardLogger())
+		a, err := agent.Start(s.rackAgentSettings(i, names[0], cfg.Advertise, every), discardLogger())
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(a.Close)
 	}
@@ -47,17 +47,17 @@
 	}
 	relayed := func() bool { return s.countRelayed(p.addresses[1]) == n-n/rackSize }
 	eventually(c, "all report by relays", relayed)
-	s.measureRackTraffic(p, proxy, n, every, "dialled by all")
+	s.measureSteadyState(p, proxy, n, every, "dialled by all")
 
 	p.stop()
-	p = startProcess(c, entryEnv, cfg)
+	p = startProcess(c, entrySettingsEnv, cfg)
 	began := p.usage()
 	took := eventually(c, "all report by relays again", relayed)
 	c.Logf("%d agents, restarted entry: all by relays after %v, processor %v", n, took.Round(time.Millisecond), p.usage().ProcessorTimeSince(began).Round(time.Millisecond))
-	s.measureRackTraffic(p, proxy, n, every, "after a restart of the entry")
+	s.measureSteadyState(p, proxy, n, every, "after a restart of the entry")
 }
 
-func (s *testRegion) measureRackTraffic(p *process, proxy *countingProxy, n int, every time.Duration, what string) {
+func (s *testRegion) measureSteadyState(p *process, proxy *countingProxy, n int, every time.Duration, what string) {
 	time.Sleep(3*settleTime + 2*every) // connections that are not used any more are closed
 	const span = 24 * time.Second
 	bytes, before := proxy.bytes.Load(), p.usage()
@@ -81,9 +81,9 @@
 	return cfg, proxy
 }
 
-// startRackTarget is the settings of the real agent in a rack of the fleet.
-func (s *testRegion) startRackTarget(i int, service, seed string, every time.Duration) settings.Agent {
-	cfg := s.startTarget(fmt.Sprintf("relay-%03d", i), service, seed, every)
+// rackAgentSettings is the settings of the real agent in a rack of the fleet.
+func (s *testRegion) rackAgentSettings(i int, service, seed string, every time.Duration) settings.Agent {
+	cfg := s.agentSettings(fmt.Sprintf("relay-%03d", i), service, seed, every)
 	cfg.Rack = fmt.Sprint("rack-", i)
 	return cfg
 }
@@ -120,8 +120,8 @@
 	names := services(1)
 	s := newTestRegion(c, names...)
 	cfg, proxy := s.entrySettingsWithRelays(every)
-	entry := startProcess(c, entryEnv, cfg)
-	p := startProcess(c, agentEnv, s.startRackTarget(0, names[0], cfg.Advertise, every))
+	entry := startProcess(c, entrySettingsEnv, cfg)
+	p := startProcess(c, agentSettingsEnv, s.rackAgentSettings(0, names[0], cfg.Advertise, every))
 	f := NewFleet(cfg.Advertise, every, loads)
 	f.SetRackSize(rackSize - 1)
 	c.Cleanup(f.Stop)
--- a/internal/capacity/store_test.go
+++ b/internal/capacity/store_test.go
@@ -59,8 +59,8 @@
 	c.Logf("%d entries, %d services: a change of a document %s, its watches included", entries, n, callIncrease(s.calls.Calls(), idle, 10))
 }
 
-// startTarget is a target stand-in and the settings of the agent beside it.
-func (s *testRegion) startTarget(id, service, seed string, every time.Duration) settings.Agent {
+// agentSettings is a target stand-in and the settings of the agent beside it.
+func (s *testRegion) agentSettings(id, service, seed string, every time.Duration) settings.Agent {
 	target := standin.New(standin.Options{Name: id, Accelerators: 8, ServiceTime: time.Millisecond})
 	server := httptest.NewServer(target)
 	s.Cleanup(func() {
@@ -83,7 +83,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(e.Close)
 	for i := range 8 {
-		a, err := agent.Start(s.startTarget(fmt.Sprint("worker-", i), names[0], e.QUICAddr(), time.Second), discardLogger())
+		a, err := agent.Start(s.agentSettings(fmt.Sprint("worker-", i), names[0], e.QUICAddr(), time.Second), discardLogger())
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(a.Close)
 	}
--- a/load/overlapping_attempts_test.go
+++ b/load/overlapping_attempts_test.go
@@ -10,7 +10,7 @@
 	"github.com/eelgrasshub/eelgrasshub/target/standin"
 )
 
-func TestOverlaps(t *testing.T) {
+func TestOverlappingAttempts(t *testing.T) {
 	at := func(s int) time.Time {
 		if s == 0 {
 			return time.Time{}
--- a/load/run.go
+++ b/load/run.go
@@ -33,10 +33,10 @@
 	entryURLs []string
 	clients   []*api.Client
 
-	wg     sync.WaitGroup
-	quick  []QuickResult
-	jobs   []JobResult
-	maxLag time.Duration
+	wg           sync.WaitGroup
+	quick        []QuickResult
+	jobs         []JobResult
+	maxSendDelay time.Duration
 
 	mu       sync.Mutex
 	openJobs map[*JobResult]bool // accepted, and not seen in a final state
@@ -68,7 +68,7 @@
 	}
 	r.dispatch(ctx, schedule)
 	r.wg.Wait()
-	res := Result{Plan: p.Name, Service: p.Service, StartedAt: r.startedAt, Quick: r.quick, Jobs: r.jobs, MaxSendDelay: r.maxLag}
+	res := Result{Plan: p.Name, Service: p.Service, StartedAt: r.startedAt, Quick: r.quick, Jobs: r.jobs, MaxSendDelay: r.maxSendDelay}
 	if time.Now().Before(r.deadline) {
 		return res, ctx.Err()
 	}
@@ -96,7 +96,7 @@
 		if !sleepUntil(ctx, at) {
 			return
 		}
-		r.maxLag = max(r.maxLag, time.Since(at))
+		r.maxSendDelay = max(r.maxSendDelay, time.Since(at))
 		if a.Quick != nil {
 			r.quick = append(r.quick, QuickResult{})
 			q := &r.quick[len(r.quick)-1]
