--- a/internal/capacity/agent_test.go
+++ b/internal/capacity/agent_test.go
@@ -28,9 +28,9 @@
 func newCountingProxy(c *qt.C, upstream string) *countingProxy {
 	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	c.Assert(err, qt.IsNil)
-	to, err := net.ResolveUDPAddr("udp", upstream)
+	upstreamAddr, err := net.ResolveUDPAddr("udp", upstream)
 	c.Assert(err, qt.IsNil)
-	r := &countingProxy{socket: socket, upstream: to, flows: make(map[string]*net.UDPConn)}
+	r := &countingProxy{socket: socket, upstream: upstreamAddr, flows: make(map[string]*net.UDPConn)}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -87,42 +87,42 @@
 	}
 }
 
-func measureAgent(c *qt.C, every time.Duration) {
+func measureAgent(c *qt.C, reportPeriod time.Duration) {
 	names := services(1)
 	s := newTestRegion(c, names...)
-	cfg := s.entrySettings("entry-1", every)
+	cfg := s.entrySettings("entry-1", reportPeriod)
 	cfg.QUICListen = testport.Capacity.FreeAddr()
 	r := newCountingProxy(c, cfg.QUICListen)
 	cfg.Advertise = r.socket.LocalAddr().String()
 	e, err := entry.Start(cfg, discardLogger())
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(e.Close)
-	other, err := agent.Start(s.agentSettings("worker-2", names[0], cfg.Advertise, every), discardLogger())
+	other, err := agent.Start(s.agentSettings("worker-2", names[0], cfg.Advertise, reportPeriod), discardLogger())
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(other.Close)
-	p := startProcess(c, agentSettingsEnv, s.agentSettings("worker-1", names[0], cfg.Advertise, every))
+	p := startProcess(c, agentSettingsEnv, s.agentSettings("worker-1", names[0], cfg.Advertise, reportPeriod))
 	eventually(c, "both known", func() bool { known, inForce := s.countAlive(e.HTTPAddr(), 1); return known == 2 && inForce == 2 })
 	client := api.NewClient("http://"+e.HTTPAddr(), nil)
-	watch := func(what string) {
+	measureUsage := func(what string) {
 		time.Sleep(2 * settleTime)
 		const span = 10 * time.Second
 		bytes, before := r.bytes.Load(), p.usage()
 		time.Sleep(span)
 		bytes, after := r.bytes.Load()-bytes, p.usage()
 		c.Logf("agent, report every %v, %s: processor %.2f%% of a core, heap %d KB stacks %d KB resident %d KB goroutines %d, %.0f B/s both ways | load %s",
-			every, what, 100*after.ProcessorTimeSince(before).Seconds()/span.Seconds(), after.Heap>>10, after.Stacks>>10, after.Resident>>10, after.Goroutines, float64(bytes)/2/span.Seconds(), loadAverage())
+			reportPeriod, what, 100*after.ProcessorTimeSince(before).Seconds()/span.Seconds(), after.Heap>>10, after.Stacks>>10, after.Resident>>10, after.Goroutines, float64(bytes)/2/span.Seconds(), loadAverage())
 	}
-	watch("idle")
+	measureUsage("idle")
 	gangJob := s.submitJob(client, names[0], "gang", 16, 18*time.Second)
-	watch("one of two members of a gang of 16 runs")
+	measureUsage("one of two members of a gang of 16 runs")
 	time.Sleep(8 * time.Second)
 	status, err := client.GetJob(context.Background(), names[0], gangJob, 0)
 	c.Assert(err, qt.IsNil)
-	c.Logf("the gang, report every %v: %s in attempt %d, %s", every, status.State, status.Attempt, status.Detail)
+	c.Logf("the gang, report every %v: %s in attempt %d, %s", reportPeriod, status.State, status.Attempt, status.Detail)
 	_, err = client.CancelJob(context.Background(), names[0], gangJob)
 	c.Assert(err, qt.IsNil)
 	for i := range 16 {
 		s.submitJob(client, names[0], fmt.Sprint("small-", i), 1, time.Minute)
 	}
-	watch("8 tasks of one member run")
+	measureUsage("8 tasks of one member run")
 }
--- a/internal/capacity/call_counter.go
+++ b/internal/capacity/call_counter.go
@@ -44,44 +44,44 @@
 func (c *CallCounter) record(kind string, call any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	found := &callSubject{}
-	found.walk(call)
-	if found.key == "" {
-		found.key = c.leaseKeys[found.lease]
-	} else if found.lease != "" {
-		c.leaseKeys[found.lease] = found.key
+	subject := &callSubject{}
+	subject.walk(call)
+	if subject.key == "" {
+		subject.key = c.leaseKeys[subject.lease]
+	} else if subject.lease != "" {
+		c.leaseKeys[subject.lease] = subject.key
 	}
-	c.calls[kind+" "+found.key]++
+	c.calls[kind+" "+subject.key]++
 }
 
 // callSubject is the first key and the lease that a call names.
 type callSubject struct{ key, lease string }
 
-func (f *callSubject) walk(v any) {
+func (s *callSubject) walk(v any) {
 	switch v := v.(type) {
 	case []any:
 		for _, e := range v {
-			f.walk(e)
+			s.walk(e)
 		}
 	case map[string]any:
 		for name, e := range v {
-			f.visitField(name, e)
-			f.walk(e)
+			s.visitField(name, e)
+			s.walk(e)
 		}
 	}
 }
 
-func (f *callSubject) visitField(name string, v any) {
+func (s *callSubject) visitField(name string, v any) {
 	text := fmt.Sprint(v)
 	var key []byte
 	switch name {
 	case "key":
-		if f.key == "" && json.Unmarshal([]byte(`"`+text+`"`), &key) == nil {
-			f.key, _, _ = strings.Cut(string(key), "/")
+		if s.key == "" && json.Unmarshal([]byte(`"`+text+`"`), &key) == nil {
+			s.key, _, _ = strings.Cut(string(key), "/")
 		}
 	case "lease", "ID":
 		if text != "0" {
-			f.lease = text
+			s.lease = text
 		}
 	}
 }
--- a/internal/capacity/document_listing_test.go
+++ b/internal/capacity/document_listing_test.go
@@ -72,10 +72,10 @@
 	first := counted.bytes.Load() - before
 	w := document.NewWatcher(store, nil, document.NewActiveSet(nil), cfg, discardLogger())
 	<-w.Ready()
-	answers, bytes := counted.responses.Load(), counted.bytes.Load()
+	responses, bytes := counted.responses.Load(), counted.bytes.Load()
 	time.Sleep(5 * time.Second)
-	answers, bytes = counted.responses.Load()-answers, counted.bytes.Load()-bytes
+	responses, bytes = counted.responses.Load()-responses, counted.bytes.Load()-bytes
 	c.Assert(w.Stop(), qt.IsNil)
 	c.Logf("94 documents of %d bytes: whole listing %d bytes, %d later ones %d bytes each | load %s",
-		len(sample), first, answers, bytes/max(answers, 1), loadAverage())
+		len(sample), first, responses, bytes/max(responses, 1), loadAverage())
 }
--- a/internal/capacity/election_spread_test.go
+++ b/internal/capacity/election_spread_test.go
@@ -50,11 +50,11 @@
 
 // countLeaderships counts the duties of each entry.
 func countLeaderships(c *qt.C, entries []*entry.Entry) []int {
-	var out []int
+	var counts []int
 	for _, e := range entries {
 		status, err := api.NewClient("http://"+e.HTTPAddr(), nil).Status(context.Background())
 		c.Assert(err, qt.IsNil)
-		out = append(out, len(status.Leaderships))
+		counts = append(counts, len(status.Leaderships))
 	}
-	return out
+	return counts
 }
--- a/internal/capacity/entry_test.go
+++ b/internal/capacity/entry_test.go
@@ -39,15 +39,15 @@
 	}
 }
 
-func measureEntry(c *qt.C, n, serviceCount int, every time.Duration, loads bool) {
+func measureEntry(c *qt.C, n, serviceCount int, reportPeriod time.Duration, varyLoad bool) {
 	names := services(serviceCount)
 	s := newTestRegion(c, names...)
-	p := startProcess(c, entrySettingsEnv, s.entrySettings("entry-1", every))
+	p := startProcess(c, entrySettingsEnv, s.entrySettings("entry-1", reportPeriod))
 	time.Sleep(settleTime)
 	start := p.usage()
 	time.Sleep(settleTime)
 	empty := p.usage()
-	f := NewFleet(p.addresses[0], every, loads)
+	f := NewFleet(p.addresses[0], reportPeriod, varyLoad)
 	c.Cleanup(f.Stop)
 	began := time.Now()
 	c.Assert(f.Add(n, names...), qt.IsNil)
@@ -56,20 +56,20 @@
 		return known == n
 	})
 	known := time.Since(began)
-	time.Sleep(3*settleTime + 3*every) // path MTU discovery ends
+	time.Sleep(3*settleTime + 3*reportPeriod) // path MTU discovery ends
 	before := p.usage()
 	bytes := func() int64 { return f.Traffic.SentBytes.Load() + f.Traffic.ReceivedBytes.Load() }
 	b, reports := bytes(), f.Reports.Load()
-	span := max(8*time.Second, 2*every)
+	span := max(8*time.Second, 2*reportPeriod)
 	time.Sleep(span)
 	b, reports = bytes()-b, f.Reports.Load()-reports
 	after := p.usage()
-	each := func(a, b uint64) float64 { return (float64(a) - float64(b)) / float64(n) / 1024 }
-	processor := after.ProcessorTimeSince(before)
+	perAgentKB := func(a, b uint64) float64 { return (float64(a) - float64(b)) / float64(n) / 1024 }
+	processorTime := after.ProcessorTimeSince(before)
 	c.Logf("agents %d services %d every %v loads %v | empty heap %d KB resident %d KB | heap %.1f KB stacks %.1f KB resident %.1f KB goroutines %.1f an agent | processor %.1f us/s an agent, %.1f us a report, %.2f%% of a core | %.0f B/s an agent both ways, %.0f B a report | known after %v, empty %.2f%% of a core | load %s",
-		n, serviceCount, every, loads, empty.Heap>>10, empty.Resident>>10, each(after.Heap, empty.Heap), each(after.Stacks, empty.Stacks), each(after.Resident, empty.Resident),
+		n, serviceCount, reportPeriod, varyLoad, empty.Heap>>10, empty.Resident>>10, perAgentKB(after.Heap, empty.Heap), perAgentKB(after.Stacks, empty.Stacks), perAgentKB(after.Resident, empty.Resident),
 		float64(after.Goroutines-empty.Goroutines)/float64(n),
-		float64(processor.Microseconds())/float64(n)/span.Seconds(), float64(processor.Microseconds())/float64(max(1, reports)), 100*processor.Seconds()/span.Seconds(),
+		float64(processorTime.Microseconds())/float64(n)/span.Seconds(), float64(processorTime.Microseconds())/float64(max(1, reports)), 100*processorTime.Seconds()/span.Seconds(),
 		float64(b)/float64(n)/span.Seconds(), float64(b)/float64(max(1, reports)), known.Round(time.Millisecond), 100*(empty.ProcessorTimeSince(start)).Seconds()/settleTime.Seconds(), loadAverage())
 }
 
@@ -124,18 +124,18 @@
 	f := NewFleet(p.addresses[0], every, false)
 	c.Cleanup(f.Stop)
 	for round := range 3 {
-		failed, shed, bytes := f.Failed.Load(), f.Refused.Load(), f.Traffic.SentBytes.Load()+f.Traffic.ReceivedBytes.Load()
+		failed, refused, bytes := f.Failed.Load(), f.Refused.Load(), f.Traffic.SentBytes.Load()+f.Traffic.ReceivedBytes.Load()
 		before := p.usage()
 		admitted := f.Admitted.Load()
 		began := time.Now()
 		c.Assert(f.Add(n, names...), qt.IsNil)
-		opened := time.Since(began)
+		connectTime := time.Since(began)
 		eventually(c, "all agents reported", func() bool { return f.Admitted.Load()-admitted == int64(n) })
 		took := time.Since(began)
 		after := p.usage()
 		c.Logf("%d return, round %d: dialled within %v, all admitted after %v, entry's processor %v (%.2f ms an agent), heap %d MB resident %d MB, failed %d shed %d, %.1f KB an agent both ways | load %s",
-			n, round, opened.Round(time.Millisecond), took.Round(time.Millisecond), after.ProcessorTimeSince(before).Round(time.Millisecond),
-			float64((after.Processor-before.Processor).Microseconds())/1000/float64(n), after.Heap>>20, after.Resident>>20, f.Failed.Load()-failed, f.Refused.Load()-shed,
+			n, round, connectTime.Round(time.Millisecond), took.Round(time.Millisecond), after.ProcessorTimeSince(before).Round(time.Millisecond),
+			float64((after.Processor-before.Processor).Microseconds())/1000/float64(n), after.Heap>>20, after.Resident>>20, f.Failed.Load()-failed, f.Refused.Load()-refused,
 			float64(f.Traffic.SentBytes.Load()+f.Traffic.ReceivedBytes.Load()-bytes)/1024/float64(n), loadAverage())
 		f.Stop()
 		time.Sleep(settleTime)
@@ -174,12 +174,12 @@
 		eventually(c, "in force", func() bool { return len(f.AppliedAt(v.Generation)) == n })
 		reported := eventually(c, "reported", func() bool { _, inForce := s.countAlive(p.addresses[1], v.Generation); return inForce == n })
 		after := p.usage()
-		var took []time.Duration
+		var applyTimes []time.Duration
 		for _, at := range f.AppliedAt(v.Generation) {
-			took = append(took, at.Sub(began))
+			applyTimes = append(applyTimes, at.Sub(began))
 		}
 		c.Logf("%d agents, document of %d bytes: accepted after %v, in force p50 %v p99 %v max %v, all reported %v later | entry's processor %v, %.1f KB an agent both ways | calls %v | load %s",
-			n, len(v.TOML), accepted.Round(time.Microsecond), quantile(took, 0.5), quantile(took, 0.99), quantile(took, 1), reported.Round(time.Millisecond),
+			n, len(v.TOML), accepted.Round(time.Microsecond), quantile(applyTimes, 0.5), quantile(applyTimes, 0.99), quantile(applyTimes, 1), reported.Round(time.Millisecond),
 			after.ProcessorTimeSince(before).Round(time.Millisecond), float64(f.Traffic.SentBytes.Load()+f.Traffic.ReceivedBytes.Load()-bytes)/1024/float64(n), callIncrease(s.calls.Calls(), calls, 1), loadAverage())
 	}
 }
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -35,8 +35,8 @@
 
 // NewFleet returns a fleet without agents. With loads, the load of each agent
 // changes between any two of its reports.
-func NewFleet(entry string, every time.Duration, loads bool) *Fleet {
-	return &Fleet{entry: entry, reportPeriod: every, varyLoad: loads, appliedAt: make(map[uint64][]time.Time)}
+func NewFleet(entry string, reportPeriod time.Duration, varyLoad bool) *Fleet {
+	return &Fleet{entry: entry, reportPeriod: reportPeriod, varyLoad: varyLoad, appliedAt: make(map[uint64][]time.Time)}
 }
 
 // SetRackSize spreads the stand-ins over racks of n each, "rack-0" first. They report by
--- a/internal/capacity/leadership_handover_test.go
+++ b/internal/capacity/leadership_handover_test.go
@@ -23,13 +23,13 @@
 	const n, run = 10, 45 * time.Second
 	names := services(n)
 	s := newTestRegion(c, names...)
-	begin := func(id string) *entry.Entry {
+	startEntry := func(id string) *entry.Entry {
 		e, err := entry.Start(s.entrySettings(id, time.Second), discardLogger())
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(e.Close)
 		return e
 	}
-	first := begin("entry-1")
+	first := startEntry("entry-1")
 	eventually(c, "all duties held", func() bool { return countLeaderships(c, []*entry.Entry{first})[0] == n })
 	for i, name := range names {
 		for k := range 2 {
@@ -42,7 +42,7 @@
 		known, inForce := s.countAlive(first.HTTPAddr(), 1)
 		return known == 2*n && inForce == 2*n
 	})
-	second := begin("entry-2")
+	second := startEntry("entry-2")
 	client := api.NewClient("http://"+first.HTTPAddr(), nil)
 	eventually(c, "ready", func() bool { return client.Ready(context.Background()) == nil })
 	records := jobs.NewStore(region, s.client, nil)
@@ -50,7 +50,7 @@
 	for _, name := range names {
 		ids[name] = s.submitJob(client, name, "gang-"+name, 16, run)
 	}
-	moved := 0
+	transferred := 0
 	for _, name := range names {
 		var rec jobs.Stored
 		eventually(c, "the gang is done", func() bool {
@@ -60,8 +60,8 @@
 		})
 		c.Check(rec.Attempt, qt.Equals, uint64(1), qt.Commentf("%s", name))
 		if second.Epoch(name) > 0 {
-			moved++
+			transferred++
 		}
 	}
-	c.Logf("%d services with a running gang of two members each: %d duties were handed over, no gang was disturbed unless said above | load %s", n, moved, loadAverage())
+	c.Logf("%d services with a running gang of two members each: %d duties were handed over, no gang was disturbed unless said above | load %s", n, transferred, loadAverage())
 }
--- a/internal/capacity/membership_table_test.go
+++ b/internal/capacity/membership_table_test.go
@@ -17,7 +17,7 @@
 	for range 3 {
 		for _, n := range []int{180, 900, 3400, 17000} {
 			for _, pause := range []time.Duration{0, 20 * time.Millisecond} {
-				empty := ReadUsage()
+				usageBefore := ReadUsage()
 				table := membership.NewTable(membership.Config{JoinBurst: 1e6, PublishInterval: pause})
 				now := time.Unix(1e9, 0)
 				reports := make([]wire.AgentReport, n)
@@ -28,9 +28,9 @@
 					}
 				}
 				table.Step(now, membership.Reports{Batch: reports})
-				full := ReadUsage()
+				usageAfter := ReadUsage()
 				const rounds = 2000
-				began := ProcessorTime()
+				processorBefore := ProcessorTime()
 				for i := range rounds {
 					r := &reports[i%n]
 					r.Sequence++
@@ -38,7 +38,7 @@
 					table.Step(now, membership.Reports{Batch: []wire.AgentReport{{ID: r.ID, Incarnation: 1, Sequence: r.Sequence, BaseSequence: r.Sequence - 1, Changed: wire.ChangedLoad, Load: wire.Load{Queued: i}}}})
 				}
 				c.Logf("%d members, snapshot pause %v: %.1f us a report, heap %.2f KB a member | load %s", n, pause,
-					float64((ProcessorTime()-began).Microseconds())/rounds, (float64(full.Heap)-float64(empty.Heap))/1024/float64(n), loadAverage())
+					float64((ProcessorTime()-processorBefore).Microseconds())/rounds, (float64(usageAfter.Heap)-float64(usageBefore.Heap))/1024/float64(n), loadAverage())
 			}
 		}
 	}
--- a/internal/capacity/planner_failover_test.go
+++ b/internal/capacity/planner_failover_test.go
@@ -26,44 +26,44 @@
 func measurePlannerFailover(c *qt.C, n int) {
 	const rounds = 5
 	names := services(n)
-	var all, first, ran []time.Duration
+	var allElected, firstElected, jobsDone []time.Duration
 	for round := range rounds {
 		s := newTestRegion(c, names...)
-		dying := startProcess(c, entrySettingsEnv, s.entrySettings("entry-1", time.Second))
-		planner := api.NewClient("http://"+dying.addresses[1], nil)
-		eventually(c, "all duties at the first", func() bool { return len(listLeaderships(c, planner)) == n })
-		e, err := entry.Start(s.entrySettings("entry-2", time.Second), discardLogger())
+		firstEntry := startProcess(c, entrySettingsEnv, s.entrySettings("entry-1", time.Second))
+		firstClient := api.NewClient("http://"+firstEntry.addresses[1], nil)
+		eventually(c, "all duties at the first", func() bool { return len(listLeaderships(c, firstClient)) == n })
+		secondEntry, err := entry.Start(s.entrySettings("entry-2", time.Second), discardLogger())
 		c.Assert(err, qt.IsNil)
-		c.Cleanup(e.Close)
+		c.Cleanup(secondEntry.Close)
 		records := jobs.NewStore(region, s.client, nil)
-		client := api.NewClient("http://"+e.HTTPAddr(), nil)
+		secondClient := api.NewClient("http://"+secondEntry.HTTPAddr(), nil)
 		for i := range 4 {
-			a, err := agent.Start(s.agentSettings(fmt.Sprint("worker-", i), names[0], e.QUICAddr(), time.Second), discardLogger())
+			a, err := agent.Start(s.agentSettings(fmt.Sprint("worker-", i), names[0], secondEntry.QUICAddr(), time.Second), discardLogger())
 			c.Assert(err, qt.IsNil)
 			c.Cleanup(a.Close)
 		}
-		eventually(c, "ready", func() bool { return client.Ready(context.Background()) == nil })
+		eventually(c, "ready", func() bool { return secondClient.Ready(context.Background()) == nil })
 		time.Sleep(settleTime)
 		began := time.Now()
-		c.Assert(dying.cmd.Process.Kill(), qt.IsNil)
+		c.Assert(firstEntry.cmd.Process.Kill(), qt.IsNil)
 		job := make(chan time.Duration)
 		go func() {
-			id := s.submitJob(client, names[0], fmt.Sprint("job-", round), 1, time.Millisecond)
+			id := s.submitJob(secondClient, names[0], fmt.Sprint("job-", round), 1, time.Millisecond)
 			eventually(c, "the job is done", func() bool {
 				rec, err := records.Get(context.Background(), names[0], id)
 				return err == nil && rec.State == jobs.Done
 			})
 			job <- time.Since(began)
 		}()
-		eventually(c, "first duty", func() bool { return e.Epoch(names[0]) > 0 })
-		first = append(first, time.Since(began))
-		eventually(c, "all duties", func() bool { return len(listLeaderships(c, client)) == n })
-		all = append(all, time.Since(began))
-		ran = append(ran, <-job)
-		e.Close()
+		eventually(c, "first duty", func() bool { return secondEntry.Epoch(names[0]) > 0 })
+		firstElected = append(firstElected, time.Since(began))
+		eventually(c, "all duties", func() bool { return len(listLeaderships(c, secondClient)) == n })
+		allElected = append(allElected, time.Since(began))
+		jobsDone = append(jobsDone, <-job)
+		secondEntry.Close()
 	}
 	c.Logf("%d services, %d deaths of the planner's process: another holds the first duty after p50 %v max %v, all after p50 %v max %v; a job submitted at the death has run after p50 %v max %v | load %s",
-		n, rounds, quantile(first, 0.5), quantile(first, 1), quantile(all, 0.5), quantile(all, 1), quantile(ran, 0.5), quantile(ran, 1), loadAverage())
+		n, rounds, quantile(firstElected, 0.5), quantile(firstElected, 1), quantile(allElected, 0.5), quantile(allElected, 1), quantile(jobsDone, 0.5), quantile(jobsDone, 1), loadAverage())
 }
 
 func listLeaderships(c *qt.C, client *api.Client) []api.Leadership {
--- a/internal/capacity/planner_takeover_test.go
+++ b/internal/capacity/planner_takeover_test.go
@@ -95,7 +95,7 @@
 			Document: &document.ActiveVersion{Document: doc, Version: document.Version{Service: "service", Generation: 1}}, Retention: noRetention{},
 		})
 	}
-	running := func(p *planner.Planner) bool {
+	allRunning := func(p *planner.Planner) bool {
 		total := 0
 		for _, a := range p.Stats().Accounts {
 			total += a.Running
@@ -121,33 +121,33 @@
 	}
 	wg.Wait()
 	accepted := time.Since(began)
-	eventually(c, "all jobs run", func() bool { agents.reportAll(first); time.Sleep(100 * time.Millisecond); return running(first) })
+	eventually(c, "all jobs run", func() bool { agents.reportAll(first); time.Sleep(100 * time.Millisecond); return allRunning(first) })
 	c.Logf("%d jobs: accepted in %v, all running after %v, calls a job %s | load %s", n, accepted.Round(time.Millisecond), time.Since(began).Round(time.Millisecond), callIncrease(s.calls.Calls(), calls, float64(n)), loadAverage())
 	first.Stop()
 	last := fmt.Sprintf("job-%06d", n-1)
 	for epoch := uint64(2); epoch < 5; epoch++ {
-		calls, used := s.calls.Calls(), ReadUsage()
+		calls, usageBefore := s.calls.Calls(), ReadUsage()
 		began := time.Now()
 		p := start(epoch)
 		agents.reportAll(p)
 		listed := eventually(c, "listed", func() bool { _, ok := p.Status(context.Background(), last); return ok })
-		eventually(c, "all jobs run", func() bool { return running(p) })
+		eventually(c, "all jobs run", func() bool { return allRunning(p) })
 		resumed := time.Since(began)
 		after := ReadUsage()
-		calls2, idle := s.calls.Calls(), ReadUsage()
+		callsAfter, idleUsage := s.calls.Calls(), ReadUsage()
 		time.Sleep(4 * time.Second)
-		rest := ReadUsage().ProcessorTimeSince(idle)
+		idleProcessorTime := ReadUsage().ProcessorTimeSince(idleUsage)
 		c.Logf("%d jobs: takeover: records listed and taken in after %v, all known to the scheduler (as published every 250 ms) after %v, processor %v (store stand-in included), heap grown %d KB; at rest %.2f%% of a core; calls %s, at rest %s a second | load %s",
-			n, listed.Round(time.Millisecond), resumed.Round(time.Millisecond), after.ProcessorTimeSince(used).Round(time.Millisecond), (int64(after.Heap)-int64(used.Heap))>>10, 100*rest.Seconds()/4,
-			callIncrease(calls2, calls, 1), callIncrease(s.calls.Calls(), calls2, 4), loadAverage())
-		idle = ReadUsage()
+			n, listed.Round(time.Millisecond), resumed.Round(time.Millisecond), after.ProcessorTimeSince(usageBefore).Round(time.Millisecond), (int64(after.Heap)-int64(usageBefore.Heap))>>10, 100*idleProcessorTime.Seconds()/4,
+			callIncrease(callsAfter, calls, 1), callIncrease(s.calls.Calls(), callsAfter, 4), loadAverage())
+		idleUsage = ReadUsage()
 		const rounds = 20
 		for range rounds {
 			agents.reportAll(p)
 			p.Status(context.Background(), last) // all before it are done then
 		}
-		observed := ReadUsage().ProcessorTimeSince(idle)
-		c.Logf("%d jobs: a report of 8 tasks costs the planner %.1f us", n, float64(observed.Microseconds())/rounds/float64(len(agents.members)))
+		reportProcessorTime := ReadUsage().ProcessorTimeSince(idleUsage)
+		c.Logf("%d jobs: a report of 8 tasks costs the planner %.1f us", n, float64(reportProcessorTime.Microseconds())/rounds/float64(len(agents.members)))
 		p.Stop()
 	}
 }
--- a/internal/capacity/region_test.go
+++ b/internal/capacity/region_test.go
@@ -29,14 +29,14 @@
 func newTestRegion(c *qt.C, services ...string) *testRegion {
 	s := &testRegion{C: c, server: kvstandin.New(kvstandin.Options{})}
 	s.calls = NewCallCounter(s.server)
-	http := httptest.NewServer(s.calls)
-	s.url = http.URL
+	httpServer := httptest.NewServer(s.calls)
+	s.url = httpServer.URL
 	s.client = store.NewClient(store.Options{Endpoints: []string{s.url}, CallTimeout: 10 * time.Second, RateLimit: 1e6, Burst: 1e6})
 	c.Cleanup(func() {
 		s.client.Close()
 		s.server.Close()
-		http.CloseClientConnections()
-		http.Close()
+		httpServer.CloseClientConnections()
+		httpServer.Close()
 	})
 	for _, name := range services {
 		s.putDocument(name, 0)
@@ -53,18 +53,18 @@
 	return v
 }
 
-func (s *testRegion) entrySettings(id string, reportEvery time.Duration) settings.Entry {
+func (s *testRegion) entrySettings(id string, reportPeriod time.Duration) settings.Entry {
 	return settings.Entry{
 		ID: id, Region: region, Zone: "z1", HTTPListen: loopback, QUICListen: loopback, ClusterKey: clusterKey,
 		StoreURLs: []string{s.url}, StoreTimeout: schema.Duration{Duration: 2 * time.Second}, StoreRateLimit: 500,
-		ReportPeriod: schema.Duration{Duration: reportEvery}, StopGrace: schema.Duration{Duration: time.Minute},
+		ReportPeriod: schema.Duration{Duration: reportPeriod}, StopGrace: schema.Duration{Duration: time.Minute},
 	}
 }
 
 // countAlive counts the agents that the entry knows, and those of them that reported
 // the generation.
-func (s *testRegion) countAlive(http string, generation uint64) (known, inForce int) {
-	status, err := api.NewClient("http://"+http, nil).Status(context.Background())
+func (s *testRegion) countAlive(httpAddr string, generation uint64) (known, inForce int) {
+	status, err := api.NewClient("http://"+httpAddr, nil).Status(context.Background())
 	if err != nil {
 		return 0, 0
 	}
--- a/internal/capacity/relays_test.go
+++ b/internal/capacity/relays_test.go
@@ -28,52 +28,52 @@
 	}
 }
 
-func measureRacks(c *qt.C, n int, every time.Duration) {
+func measureRacks(c *qt.C, n int, reportPeriod time.Duration) {
 	names := services(1)
 	s := newTestRegion(c, names...)
-	cfg, proxy := s.entrySettingsWithRelays(every)
+	cfg, proxy := s.entrySettingsWithRelays(reportPeriod)
 	p := startProcess(c, entrySettingsEnv, cfg)
 	for i := range n / rackSize {
-		a, err := agent.Start(s.rackAgentSettings(i, names[0], cfg.Advertise, every), discardLogger())
+		a, err := agent.Start(s.rackAgentSettings(i, names[0], cfg.Advertise, reportPeriod), discardLogger())
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(a.Close)
 	}
-	f := NewFleet(cfg.Advertise, every, true)
+	f := NewFleet(cfg.Advertise, reportPeriod, true)
 	f.SetRackSize(rackSize - 1)
 	c.Cleanup(f.Stop)
 	for range n / rackSize {
 		c.Assert(f.Add(rackSize-1, names...), qt.IsNil)
 		time.Sleep(100 * time.Millisecond) // handshakes stay below the admitted rate
 	}
-	relayed := func() bool { return s.countRelayed(p.addresses[1]) == n-n/rackSize }
-	eventually(c, "all report by relays", relayed)
-	s.measureSteadyState(p, proxy, n, every, "dialled by all")
+	allRelayed := func() bool { return s.countRelayed(p.addresses[1]) == n-n/rackSize }
+	eventually(c, "all report by relays", allRelayed)
+	s.measureSteadyState(p, proxy, n, reportPeriod, "dialled by all")
 
 	p.stop()
 	p = startProcess(c, entrySettingsEnv, cfg)
 	began := p.usage()
-	took := eventually(c, "all report by relays again", relayed)
+	took := eventually(c, "all report by relays again", allRelayed)
 	c.Logf("%d agents, restarted entry: all by relays after %v, processor %v", n, took.Round(time.Millisecond), p.usage().ProcessorTimeSince(began).Round(time.Millisecond))
-	s.measureSteadyState(p, proxy, n, every, "after a restart of the entry")
+	s.measureSteadyState(p, proxy, n, reportPeriod, "after a restart of the entry")
 }
 
-func (s *testRegion) measureSteadyState(p *process, proxy *countingProxy, n int, every time.Duration, what string) {
-	time.Sleep(3*settleTime + 2*every) // connections that are not used any more are closed
+func (s *testRegion) measureSteadyState(p *process, proxy *countingProxy, n int, reportPeriod time.Duration, what string) {
+	time.Sleep(3*settleTime + 2*reportPeriod) // connections that are not used any more are closed
 	const span = 24 * time.Second
 	bytes, before := proxy.bytes.Load(), p.usage()
 	time.Sleep(span)
 	bytes, after := proxy.bytes.Load()-bytes, p.usage()
-	processor := after.ProcessorTimeSince(before)
+	processorTime := after.ProcessorTimeSince(before)
 	s.Logf("%d agents in racks of %d every %v, %s: processor %.1f us/s an agent, %.2f%% of a core | heap %d MB stacks %d KB resident %d MB goroutines %d | %.1f B/s an agent, %.1f KB/s both ways | not by relays %d | load %s",
-		n, rackSize, every, what, float64(processor.Microseconds())/float64(n)/span.Seconds(), 100*processor.Seconds()/span.Seconds(),
+		n, rackSize, reportPeriod, what, float64(processorTime.Microseconds())/float64(n)/span.Seconds(), 100*processorTime.Seconds()/span.Seconds(),
 		after.Heap>>20, after.Stacks>>10, after.Resident>>20, after.Goroutines,
 		float64(bytes)/float64(n)/span.Seconds(), float64(bytes)/1024/span.Seconds(), n-s.countRelayed(p.addresses[1]), loadAverage())
 }
 
 // entrySettingsWithRelays is the settings of an entry that names relays, behind a proxy
 // that counts bytes.
-func (s *testRegion) entrySettingsWithRelays(every time.Duration) (settings.Entry, *countingProxy) {
-	cfg := s.entrySettings("entry-1", every)
+func (s *testRegion) entrySettingsWithRelays(reportPeriod time.Duration) (settings.Entry, *countingProxy) {
+	cfg := s.entrySettings("entry-1", reportPeriod)
 	cfg.QUICListen = testport.Capacity.FreeAddr()
 	cfg.RelayThreshold = 1
 	proxy := newCountingProxy(s.C, cfg.QUICListen)
@@ -82,15 +82,15 @@
 }
 
 // rackAgentSettings is the settings of the real agent in a rack of the fleet.
-func (s *testRegion) rackAgentSettings(i int, service, seed string, every time.Duration) settings.Agent {
-	cfg := s.agentSettings(fmt.Sprintf("relay-%03d", i), service, seed, every)
+func (s *testRegion) rackAgentSettings(i int, service, seed string, reportPeriod time.Duration) settings.Agent {
+	cfg := s.agentSettings(fmt.Sprintf("relay-%03d", i), service, seed, reportPeriod)
 	cfg.Rack = fmt.Sprint("rack-", i)
 	return cfg
 }
 
 // countRelayed counts the agents that the entry hears by a relay.
-func (s *testRegion) countRelayed(http string) int {
-	status, err := api.NewClient("http://"+http, nil).Status(context.Background())
+func (s *testRegion) countRelayed(httpAddr string) int {
+	status, err := api.NewClient("http://"+httpAddr, nil).Status(context.Background())
 	if err != nil {
 		return 0
 	}
@@ -116,29 +116,29 @@
 	}
 }
 
-func measureRelay(c *qt.C, every time.Duration, loads bool) {
+func measureRelay(c *qt.C, reportPeriod time.Duration, varyLoad bool) {
 	names := services(1)
 	s := newTestRegion(c, names...)
-	cfg, proxy := s.entrySettingsWithRelays(every)
+	cfg, proxy := s.entrySettingsWithRelays(reportPeriod)
 	entry := startProcess(c, entrySettingsEnv, cfg)
-	p := startProcess(c, agentSettingsEnv, s.rackAgentSettings(0, names[0], cfg.Advertise, every))
-	f := NewFleet(cfg.Advertise, every, loads)
+	p := startProcess(c, agentSettingsEnv, s.rackAgentSettings(0, names[0], cfg.Advertise, reportPeriod))
+	f := NewFleet(cfg.Advertise, reportPeriod, varyLoad)
 	f.SetRackSize(rackSize - 1)
 	c.Cleanup(f.Stop)
 	c.Assert(f.Add(rackSize-1, names...), qt.IsNil)
 	eventually(c, "all report by the relay", func() bool { return s.countRelayed(entry.addresses[1]) == rackSize-1 })
-	time.Sleep(3*settleTime + 2*every)
-	members := func() int64 { return f.Traffic.SentBytes.Load() + f.Traffic.ReceivedBytes.Load() }
+	time.Sleep(3*settleTime + 2*reportPeriod)
+	memberTraffic := func() int64 { return f.Traffic.SentBytes.Load() + f.Traffic.ReceivedBytes.Load() }
 	const span = 24 * time.Second
-	up, down, before := proxy.bytes.Load(), members(), p.usage()
+	entryBytes, memberBytes, before := proxy.bytes.Load(), memberTraffic(), p.usage()
 	time.Sleep(span)
-	up, down = proxy.bytes.Load()-up, members()-down
+	entryBytes, memberBytes = proxy.bytes.Load()-entryBytes, memberTraffic()-memberBytes
 	after := p.usage()
 	c.Logf("relay of %d agents, report every %v, loads %v: processor %.2f%% of a core, heap %d KB stacks %d KB resident %d KB goroutines %d | members %.0f B/s, entry %.0f B/s both ways | load %s",
-		rackSize, every, loads, 100*after.ProcessorTimeSince(before).Seconds()/span.Seconds(), after.Heap>>10, after.Stacks>>10, after.Resident>>10, after.Goroutines,
-		float64(down)/span.Seconds(), float64(up)/span.Seconds(), loadAverage())
+		rackSize, reportPeriod, varyLoad, 100*after.ProcessorTimeSince(before).Seconds()/span.Seconds(), after.Heap>>10, after.Stacks>>10, after.Resident>>10, after.Goroutines,
+		float64(memberBytes)/span.Seconds(), float64(entryBytes)/span.Seconds(), loadAverage())
 	for generation := range uint64(3) {
-		up, down, before = proxy.bytes.Load(), members(), p.usage()
+		entryBytes, memberBytes, before = proxy.bytes.Load(), memberTraffic(), p.usage()
 		began := time.Now()
 		v := s.putDocument(names[0], generation+1)
 		eventually(c, "in force", func() bool { return len(f.AppliedAt(v.Generation)) == rackSize-1 })
@@ -146,6 +146,6 @@
 		eventually(c, "reported", func() bool { _, all := s.countAlive(entry.addresses[1], v.Generation); return all == rackSize })
 		time.Sleep(settleTime)
 		c.Logf("a document of %d bytes: in force at all members after %v | members %.1f KB, entry %.1f KB both ways, processor %v", len(v.TOML),
-			took.Round(time.Microsecond), float64(members()-down)/1024, float64(proxy.bytes.Load()-up)/1024, p.usage().ProcessorTimeSince(before).Round(time.Millisecond))
+			took.Round(time.Microsecond), float64(memberTraffic()-memberBytes)/1024, float64(proxy.bytes.Load()-entryBytes)/1024, p.usage().ProcessorTimeSince(before).Round(time.Millisecond))
 	}
 }
--- a/internal/capacity/scheduler_test.go
+++ b/internal/capacity/scheduler_test.go
@@ -88,13 +88,13 @@
 
 // cancelWaiting withdraws every job that does not run.
 func (f *filledScheduler) cancelWaiting() {
-	runs := make(map[scheduler.JobID]bool, len(f.running))
+	isRunning := make(map[scheduler.JobID]bool, len(f.running))
 	for _, a := range f.running {
-		runs[a.Job] = true
+		isRunning[a.Job] = true
 	}
 	var ids []scheduler.JobID
 	for i := 1; i <= f.jobs; i++ {
-		if id := scheduler.JobID(fmt.Sprint("job-", i)); !runs[id] {
+		if id := scheduler.JobID(fmt.Sprint("job-", i)); !isRunning[id] {
 			ids = append(ids, id)
 		}
 	}
@@ -113,14 +113,14 @@
 		policy.Accounts = append(policy.Accounts, a)
 	}
 	f.step(scheduler.PolicyChanged{Policy: policy})
-	var up scheduler.Batch
+	var workersUp scheduler.Batch
 	for i := range d.workers {
-		up.Events = append(up.Events, scheduler.WorkerUp{Worker: scheduler.Worker{
+		workersUp.Events = append(workersUp.Events, scheduler.WorkerUp{Worker: scheduler.Worker{
 			ID: scheduler.WorkerID(fmt.Sprintf("w%05d", i)), Zone: fmt.Sprint("z", i/900), Rack: fmt.Sprint("r", i/10),
 			Accelerators: acceleratorsOf(i), Cores: 64, MemoryMB: 256_000,
 		}})
 	}
-	f.step(up)
+	f.step(workersUp)
 	sizes := []int{1, 1, 1, 1, 2, 2, 4, 8, 8, 16, 32, 64, 128, 256}
 	for misses := 0; misses < 50; {
 		f.now = f.now.Add(time.Millisecond)
@@ -141,30 +141,30 @@
 }
 
 func measureScheduler(c *qt.C, d domainSize) {
-	empty := ReadUsage()
+	usageBefore := ReadUsage()
 	began := time.Now()
 	f := newFilledScheduler(d)
-	fill := time.Since(began)
-	full := ReadUsage()
+	fillTime := time.Since(began)
+	usageAfter := ReadUsage()
 	stats := f.scheduler.Stats()
 	c.Logf("%d workers, %d accelerators (%d free), %d tasks of %d running jobs, %d accounts: heap %d MB, filled in %v, %d steps | load %s",
-		d.workers, stats.Accelerators, stats.Free, f.tasks, len(f.running), d.accounts, (full.Heap-empty.Heap)>>20, fill.Round(time.Millisecond), f.jobs, loadAverage())
+		d.workers, stats.Accelerators, stats.Free, f.tasks, len(f.running), d.accounts, (usageAfter.Heap-usageBefore.Heap)>>20, fillTime.Round(time.Millisecond), f.jobs, loadAverage())
 	took := map[string][]time.Duration{}
-	note := func(what string, t time.Duration) { took[what] = append(took[what], t) }
+	record := func(what string, t time.Duration) { took[what] = append(took[what], t) }
 	for i := range 300 {
 		f.now = f.now.Add(time.Second)
-		note("tick", f.step(scheduler.Tick{}))
-		note("submit one accelerator", f.submit(d.accounts, 1, false))
-		note("a job ends", f.endJob(f.rng.IntN(len(f.running))))
+		record("tick", f.step(scheduler.Tick{}))
+		record("submit one accelerator", f.submit(d.accounts, 1, false))
+		record("a job ends", f.endJob(f.rng.IntN(len(f.running))))
 		if i%10 == 0 {
-			note("submit a gang of 256", f.submit(d.accounts, 256, false))
-			note("submit an urgent gang of 8", f.submit(d.accounts, 8, true))
+			record("submit a gang of 256", f.submit(d.accounts, 256, false))
+			record("submit an urgent gang of 8", f.submit(d.accounts, 8, true))
 			began := time.Now()
 			f.scheduler.Stats()
-			note("Stats", time.Since(began))
+			record("Stats", time.Since(began))
 		}
 		if i%100 == 50 {
-			note("a worker is lost", f.step(scheduler.WorkerDown{ID: scheduler.WorkerID(fmt.Sprintf("w%05d", f.rng.IntN(d.workers)))}))
+			record("a worker is lost", f.step(scheduler.WorkerDown{ID: scheduler.WorkerID(fmt.Sprintf("w%05d", f.rng.IntN(d.workers)))}))
 		}
 	}
 	f.cancelWaiting()
@@ -178,13 +178,13 @@
 		starts := len(f.running)
 		took256 := f.submit(d.accounts, min(256, stats.Accelerators/8), false)
 		if len(f.running) > starts {
-			note("place a gang of 256", took256)
+			record("place a gang of 256", took256)
 			f.endJob(len(f.running) - 1)
 		}
 		starts = len(f.running)
 		took1 := f.submit(d.accounts, 1, false)
 		if len(f.running) > starts {
-			note("place one accelerator", took1)
+			record("place one accelerator", took1)
 		}
 	}
 	for _, what := range []string{"tick", "submit one accelerator", "a job ends", "submit a gang of 256", "submit an urgent gang of 8", "Stats", "a worker is lost", "place a gang of 256", "place one accelerator"} {
--- a/internal/capacity/standin_agent.go
+++ b/internal/capacity/standin_agent.go
@@ -90,9 +90,9 @@
 }
 
 func (a *standinAgent) wake() {
-	for _, kick := range []chan struct{}{a.wakeEntryLoop, a.wakeRelayLoop} {
+	for _, wakeChannel := range []chan struct{}{a.wakeEntryLoop, a.wakeRelayLoop} {
 		select {
-		case kick <- struct{}{}:
+		case wakeChannel <- struct{}{}:
 		default:
 		}
 	}
@@ -105,7 +105,7 @@
 	a.router.SetState(time.Now(), a.state)
 }
 
-func (a *standinAgent) runReportLoop(kick <-chan struct{}, until func() time.Duration, report func()) error {
+func (a *standinAgent) runReportLoop(wake <-chan struct{}, untilDue func() time.Duration, report func()) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -113,14 +113,14 @@
 		case <-a.tomb.Dying():
 			return nil
 		case <-timer.C:
-		case <-kick:
+		case <-wake:
 		}
-		if wait := until(); wait > 0 {
+		if wait := untilDue(); wait > 0 {
 			timer.Reset(wait)
 			continue
 		}
 		report()
-		timer.Reset(until())
+		timer.Reset(untilDue())
 	}
 }
 
--- a/internal/capacity/store_test.go
+++ b/internal/capacity/store_test.go
@@ -37,30 +37,30 @@
 	const span = 10 * time.Second
 	names := services(n)
 	s := newTestRegion(c, names...)
-	began := s.calls.Calls()
-	used := ReadUsage()
+	initialCalls := s.calls.Calls()
+	usageAtStart := ReadUsage()
 	for i := range entries {
 		e, err := entry.Start(s.entrySettings(fmt.Sprint("entry-", i), time.Second), discardLogger())
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(e.Close)
 	}
 	time.Sleep(5 * time.Second)
-	settled := s.calls.Calls()
+	settledCalls := s.calls.Calls()
 	before := ReadUsage()
 	time.Sleep(span)
 	after := ReadUsage()
-	idle := s.calls.Calls()
+	idleCalls := s.calls.Calls()
 	c.Logf("%d entries, %d services: to begin with %s; then a second %s; processor %.2f%% of a core with the stand-in, heap %d KB | load %s",
-		entries, n, callIncrease(settled, began, 1), callIncrease(idle, settled, span.Seconds()), 100*after.ProcessorTimeSince(before).Seconds()/span.Seconds(), (int64(after.Heap)-int64(used.Heap))>>10, loadAverage())
+		entries, n, callIncrease(settledCalls, initialCalls, 1), callIncrease(idleCalls, settledCalls, span.Seconds()), 100*after.ProcessorTimeSince(before).Seconds()/span.Seconds(), (int64(after.Heap)-int64(usageAtStart.Heap))>>10, loadAverage())
 	for generation := range uint64(10) {
 		s.putDocument(names[0], generation+1)
 	}
 	time.Sleep(200 * time.Millisecond)
-	c.Logf("%d entries, %d services: a change of a document %s, its watches included", entries, n, callIncrease(s.calls.Calls(), idle, 10))
+	c.Logf("%d entries, %d services: a change of a document %s, its watches included", entries, n, callIncrease(s.calls.Calls(), idleCalls, 10))
 }
 
 // agentSettings is a target stand-in and the settings of the agent beside it.
-func (s *testRegion) agentSettings(id, service, seed string, every time.Duration) settings.Agent {
+func (s *testRegion) agentSettings(id, service, seed string, reportPeriod time.Duration) settings.Agent {
 	target := standin.New(standin.Options{Name: id, Accelerators: 8, ServiceTime: time.Millisecond})
 	server := httptest.NewServer(target)
 	s.Cleanup(func() {
@@ -71,7 +71,7 @@
 	return settings.Agent{
 		ID: id, Service: service, Region: region, Zone: "z1", Rack: "r1", Listen: loopback, Seeds: []string{seed}, ClusterKey: clusterKey,
 		Target: server.URL, Accelerators: 8, Slots: 8, Connections: 64, Cores: 32, MemoryMB: 65536,
-		ReportPeriod: schema.Duration{Duration: every}, StopGrace: schema.Duration{Duration: time.Minute},
+		ReportPeriod: schema.Duration{Duration: reportPeriod}, StopGrace: schema.Duration{Duration: time.Minute},
 	}
 }
 
@@ -102,10 +102,10 @@
 	c := s.C
 	for _, rate := range []int{10, 100, 1000} {
 		const span = 5 * time.Second
-		before, began := s.calls.Calls(), time.Now()
+		callsBefore, began := s.calls.Calls(), time.Now()
 		var wg sync.WaitGroup
 		var mu sync.Mutex
-		done, why := 0, make(map[string]int)
+		done, otherOutcomes := 0, make(map[string]int)
 		ticker := time.NewTicker(time.Second / time.Duration(rate))
 		for i := range rate * int(span.Seconds()) {
 			<-ticker.C
@@ -118,18 +118,18 @@
 				defer mu.Unlock()
 				switch {
 				case err != nil:
-					why[err.Error()]++
+					otherOutcomes[err.Error()]++
 				case a.Outcome == api.OutcomeDone:
 					done++
 				case a.Problem != nil:
-					why[a.Problem.Error()]++
+					otherOutcomes[a.Problem.Error()]++
 				}
 			})
 		}
 		wg.Wait()
 		ticker.Stop()
 		c.Logf("%d keyed requests a second: %d of %d done; calls a request %s, seconds %.1f | others %v | load %s",
-			rate, done, rate*int(span.Seconds()), callIncrease(s.calls.Calls(), before, float64(rate)*span.Seconds()), time.Since(began).Seconds(), why, loadAverage())
+			rate, done, rate*int(span.Seconds()), callIncrease(s.calls.Calls(), callsBefore, float64(rate)*span.Seconds()), time.Since(began).Seconds(), otherOutcomes, loadAverage())
 	}
 }
 
@@ -149,7 +149,7 @@
 	}
 	c.Logf("gang of 16 on an idle site, from submission to its end after 1 ms of work: p50 %v p99 %v | load %s", quantile(took, 0.5), quantile(took, 0.99), loadAverage())
 	for _, n := range []int{8, 64} {
-		before := s.calls.Calls()
+		callsBefore := s.calls.Calls()
 		var wg sync.WaitGroup
 		for i := range n {
 			wg.Go(func() { s.submitJob(client, service, fmt.Sprintf("job-%d-%d", n, i), 1, time.Second) })
@@ -168,7 +168,7 @@
 			return ok && running == 0
 		})
 		time.Sleep(500 * time.Millisecond)
-		c.Logf("%d jobs at once: calls a job, idle ones of the region included, %s | load %s", n, callIncrease(s.calls.Calls(), before, float64(n)), loadAverage())
+		c.Logf("%d jobs at once: calls a job, idle ones of the region included, %s | load %s", n, callIncrease(s.calls.Calls(), callsBefore, float64(n)), loadAverage())
 	}
 }
 
--- a/internal/relay/flow.go
+++ b/internal/relay/flow.go
@@ -12,9 +12,9 @@
 }
 
 // drop makes the flow drop what goes these ways, and says whether that is new.
-func (f *flow) drop(ways []Direction) bool {
+func (f *flow) drop(directions []Direction) bool {
 	changed := false
-	for _, d := range ways {
+	for _, d := range directions {
 		if !f.dropped[d].Swap(true) {
 			changed = true
 		}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -55,12 +55,12 @@
 
 // DropFlows makes every flow known so far lose for good what goes these ways. Neither
 // end is told. It returns how many flows this changed.
-func (r *Relay) DropFlows(ways ...Direction) int {
+func (r *Relay) DropFlows(directions ...Direction) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	changed := 0
 	for _, f := range r.flows {
-		if f.drop(ways) {
+		if f.drop(directions) {
 			changed++
 		}
 	}
@@ -68,10 +68,12 @@
 }
 
 // BlockDirection loses all that goes this way, of new flows too, until it is set back.
-func (r *Relay) BlockDirection(way Direction, muted bool) { r.blocked[way].Store(muted) }
+func (r *Relay) BlockDirection(direction Direction, blocked bool) {
+	r.blocked[direction].Store(blocked)
+}
 
 // Dropped counts the datagrams that were lost on this way.
-func (r *Relay) Dropped(way Direction) int64 { return r.dropped[way].Load() }
+func (r *Relay) Dropped(direction Direction) int64 { return r.dropped[direction].Load() }
 
 // Close ends the relay and all of its flows.
 func (r *Relay) Close() {
@@ -100,11 +102,11 @@
 
 // shouldForward says whether a datagram of the flow gets through, and counts one that
 // doesn't.
-func (r *Relay) shouldForward(f *flow, way Direction) bool {
-	if !f.dropped[way].Load() && !r.blocked[way].Load() {
+func (r *Relay) shouldForward(f *flow, direction Direction) bool {
+	if !f.dropped[direction].Load() && !r.blocked[direction].Load() {
 		return true
 	}
-	r.dropped[way].Add(1)
+	r.dropped[direction].Add(1)
 	return false
 }
 
@@ -117,11 +119,11 @@
 	if r.closed || r.upstream == nil {
 		return nil
 	}
-	up, err := net.DialUDP("udp", nil, r.upstream)
+	upstream, err := net.DialUDP("udp", nil, r.upstream)
 	if err != nil {
 		return nil
 	}
-	f := &flow{upstream: up}
+	f := &flow{upstream: upstream}
 	r.flows[from] = f
 	r.wg.Go(func() { r.forwardFromUpstream(f, from) })
 	return f
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -54,27 +54,27 @@
 	c.Assert(string(buf[:n]), qt.Equals, text)
 }
 
-func awaitDropped(c *qt.C, r *Relay, way Direction, n int64) {
+func awaitDropped(c *qt.C, r *Relay, direction Direction, n int64) {
 	for range waitTimeout / time.Millisecond {
-		if r.Dropped(way) >= n {
+		if r.Dropped(direction) >= n {
 			return
 		}
 		time.Sleep(time.Millisecond)
 	}
-	c.Fatalf("%d dropped, want %d", r.Dropped(way), n)
+	c.Fatalf("%d dropped, want %d", r.Dropped(direction), n)
 }
 
 func TestDropFlowsOneDirection(t *testing.T) {
-	for _, way := range BothDirections {
+	for _, direction := range BothDirections {
 		c := qt.New(t)
 		r := startRelay(c)
-		known := dial(c, r)
-		exchange(c, known, "before")
-		c.Assert(r.DropFlows(way), qt.Equals, 1)
-		c.Assert(r.DropFlows(way), qt.Equals, 0)
-		_, err := known.Write([]byte("lost"))
+		existing := dial(c, r)
+		exchange(c, existing, "before")
+		c.Assert(r.DropFlows(direction), qt.Equals, 1)
+		c.Assert(r.DropFlows(direction), qt.Equals, 0)
+		_, err := existing.Write([]byte("lost"))
 		c.Assert(err, qt.IsNil)
-		awaitDropped(c, r, way, 1)
+		awaitDropped(c, r, direction, 1)
 		exchange(c, dial(c, r), "new flow")
 		c.Assert(r.Dropped(ToUpstream)+r.Dropped(FromUpstream), qt.Equals, int64(1))
 	}
--- a/internal/rotation/rotation.go
+++ b/internal/rotation/rotation.go
@@ -9,11 +9,11 @@
 
 // Next returns at most most of all, from where the last call ended, so that calls in a row
 // cover all of a list that stays as it is. The result is the caller's own.
-func (t *Selector) Next(all []string, most int) []string {
-	if len(all) <= most {
+func (s *Selector) Next(all []string, n int) []string {
+	if len(all) <= n {
 		return slices.Clone(all)
 	}
-	from := t.next % len(all)
-	t.next += most
-	return slices.Concat(all[from:], all[:from])[:most]
+	start := s.next % len(all)
+	s.next += n
+	return slices.Concat(all[start:], all[:start])[:n]
 }
--- a/internal/rotation/rotation_test.go
+++ b/internal/rotation/rotation_test.go
@@ -10,11 +10,11 @@
 
 func TestSuccessiveCallsCoverAll(t *testing.T) {
 	c := qt.New(t)
-	var turn rotation.Selector
+	var selector rotation.Selector
 	all := []string{"a", "b", "c", "d", "e"}
-	c.Check(turn.Next(all, 2), qt.DeepEquals, []string{"a", "b"})
-	c.Check(turn.Next(all, 2), qt.DeepEquals, []string{"c", "d"})
-	c.Check(turn.Next(all, 2), qt.DeepEquals, []string{"e", "a"})
-	c.Check(turn.Next(all, 5), qt.DeepEquals, all)
-	c.Check(turn.Next(nil, 2), qt.HasLen, 0)
+	c.Check(selector.Next(all, 2), qt.DeepEquals, []string{"a", "b"})
+	c.Check(selector.Next(all, 2), qt.DeepEquals, []string{"c", "d"})
+	c.Check(selector.Next(all, 2), qt.DeepEquals, []string{"e", "a"})
+	c.Check(selector.Next(all, 5), qt.DeepEquals, all)
+	c.Check(selector.Next(nil, 2), qt.HasLen, 0)
 }
--- a/internal/testport/testport.go
+++ b/internal/testport/testport.go
@@ -39,14 +39,14 @@
 func (r Range) FreeAddr() string {
 	mu.Lock()
 	defer mu.Unlock()
-	at, begun := next[r]
-	if !begun {
-		at = rand.IntN(r.To - r.From)
+	offset, found := next[r]
+	if !found {
+		offset = rand.IntN(r.To - r.From)
 	}
 	for range r.To - r.From {
-		addr := fmt.Sprintf("127.0.0.1:%d", r.From+at%(r.To-r.From))
-		at++
-		next[r] = at
+		addr := fmt.Sprintf("127.0.0.1:%d", r.From+offset%(r.To-r.From))
+		offset++
+		next[r] = offset
 		if isFree(addr) {
 			return addr
 		}
--- a/load/audit.go
+++ b/load/audit.go
@@ -51,15 +51,15 @@
 // request ran. A run through another entry of the same request belongs to that
 // entry's try, so ids decide where they tell tries apart; where every try was
 // told not run, any run contradicts one of them.
-func findFalseNotRun(tries []Try, ran []string) (string, bool) {
-	if len(ran) == 0 {
+func findFalseNotRun(tries []Try, ranIDs []string) (string, bool) {
+	if len(ranIDs) == 0 {
 		return "", false
 	}
 	if allReportedNotRun(tries) {
 		return tries[0].RequestID, true
 	}
 	for i, t := range tries {
-		if reportedNotRun(t) && t.RequestID != "" && !hasSharedRequestID(tries, i) && slices.Contains(ran, t.RequestID) {
+		if reportedNotRun(t) && t.RequestID != "" && !hasSharedRequestID(tries, i) && slices.Contains(ranIDs, t.RequestID) {
 			return t.RequestID, true
 		}
 	}
--- a/load/audit_jobs.go
+++ b/load/audit_jobs.go
@@ -39,10 +39,10 @@
 	if len(runs) == 0 {
 		return
 	}
-	told := j.State == api.JobRejected ||
+	toldNotRun := j.State == api.JobRejected ||
 		j.State == api.JobCancelled && j.Reason != "" && j.Reason.Outcome() == api.OutcomeNotRun ||
 		j.ID == "" && allReportedNotRun(j.Submissions)
-	if told {
+	if toldNotRun {
 		f.Misreported.add("%s: told not run (%s %s), and ran on %s", name, j.State, j.Reason, runs[0].worker)
 	}
 }
@@ -105,10 +105,10 @@
 
 func (f *Findings) auditDuplicateRuns(name string, j *JobResult, attempts []attemptRuns) {
 	for i := 1; i < len(attempts); i++ {
-		before, a := &attempts[i-1], &attempts[i]
+		previous, a := &attempts[i-1], &attempts[i]
 		switch {
-		case a.Job != before.Job:
-			f.DuplicateRuns.add("%s: one submission ran as jobs %s and %s", name, before.Job, a.Job)
+		case a.Job != previous.Job:
+			f.DuplicateRuns.add("%s: one submission ran as jobs %s and %s", name, previous.Job, a.Job)
 		case !j.Repeatable && repeatsWork(attempts[:i], a):
 			f.DuplicateRuns.add("%s: not repeatable, attempt %d repeats work of an earlier one", name, a.Attempt)
 		}
@@ -144,17 +144,17 @@
 }
 
 func (f *Findings) auditJobDone(name string, j *JobResult, attempts []attemptRuns) {
-	best := 0
+	mostCompleted := 0
 	for _, a := range attempts {
 		n := a.completedMembers()
 		if n == a.members {
 			f.auditResultOwner(name, j)
 			return
 		}
-		best = max(best, n)
+		mostCompleted = max(mostCompleted, n)
 	}
-	if best > 0 {
-		f.PartialGangs.add("%s: told done, %d members completed in its best attempt", name, best)
+	if mostCompleted > 0 {
+		f.PartialGangs.add("%s: told done, %d members completed in its best attempt", name, mostCompleted)
 		return
 	}
 	f.Misreported.add("%s: told done, no member completed", name)
@@ -162,11 +162,11 @@
 
 // auditResultOwner finds a result that belongs to another job.
 func (f *Findings) auditResultOwner(name string, j *JobResult) {
-	var parts []standin.TaskResult
-	if len(j.Result) == 0 || json.Unmarshal(j.Result, &parts) != nil {
+	var taskResults []standin.TaskResult
+	if len(j.Result) == 0 || json.Unmarshal(j.Result, &taskResults) != nil {
 		return // a form of result that carries no tags
 	}
-	for _, p := range parts {
+	for _, p := range taskResults {
 		if p.Tag != "" && p.Tag != j.Tag {
 			f.Misreported.add("%s: told the result of %s", name, p.Tag)
 			return
--- a/load/audit_quick.go
+++ b/load/audit_quick.go
@@ -18,11 +18,11 @@
 	if !q.Repeatable && len(runs) > 1 {
 		f.DuplicateRuns.add("%s: ran %d times, requests %s and %s", name, len(runs), runs[0].RequestID, runs[1].RequestID)
 	}
-	ran := make([]string, len(runs))
+	requestIDs := make([]string, len(runs))
 	for i, run := range runs {
-		ran[i] = run.RequestID
+		requestIDs[i] = run.RequestID
 	}
-	if id, ok := findFalseNotRun(q.Tries, ran); ok {
+	if id, ok := findFalseNotRun(q.Tries, requestIDs); ok {
 		f.Misreported.add("%s: request %s told not run, and ran", name, id)
 	}
 	for _, t := range q.Tries {
--- a/load/audit_test.go
+++ b/load/audit_test.go
@@ -27,12 +27,12 @@
 
 func TestAuditOfQuickRequests(t *testing.T) {
 	done, notRun, unknown := answeredTry("r1", api.OutcomeDone), answeredTry("r1", api.OutcomeNotRun), answeredTry("r1", api.OutcomeUnknown)
-	cut := quickRun("r1")
-	cut.Completed = false
-	stray := done
-	stray.BodyError = "body answers another"
-	other := done
-	other.Checksum = "another"
+	incompleteRun := quickRun("r1")
+	incompleteRun.Completed = false
+	wrongBody := done
+	wrongBody.BodyError = "body answers another"
+	wrongChecksum := done
+	wrongChecksum.Checksum = "another"
 	type runs = []standin.QuickRun
 	for name, tc := range map[string]struct {
 		repeatable bool
@@ -50,14 +50,14 @@
 		"ran twice":                            {false, []Try{done}, runs{quickRun("r1"), quickRun("r2")}, findingCounts{doubled: 1}},
 		"ran twice, may be repeated":           {true, []Try{done}, runs{quickRun("r1"), quickRun("r2")}, findingCounts{}},
 		"told not run, ran":                    {true, []Try{notRun}, runs{quickRun("r9")}, findingCounts{misreported: 1}},
-		"told not run, ran to the half":        {true, []Try{notRun}, runs{cut}, findingCounts{misreported: 1}},
+		"told not run, ran to the half":        {true, []Try{notRun}, runs{incompleteRun}, findingCounts{misreported: 1}},
 		"not sent by its word, ran":            {true, []Try{{NotSent: true}}, runs{quickRun("r1")}, findingCounts{misreported: 1}},
 		"one entry refused, the other ran it":  {false, []Try{answeredTry("r2", api.OutcomeNotRun), done}, runs{quickRun("r1")}, findingCounts{}},
 		"refused try ran beside the done one":  {true, []Try{answeredTry("r2", api.OutcomeNotRun), done}, runs{quickRun("r1"), quickRun("r2")}, findingCounts{misreported: 1}},
 		"told done, never ran":                 {true, []Try{done}, nil, findingCounts{misreported: 1}},
-		"told done, run was cut":               {true, []Try{done}, runs{cut}, findingCounts{misreported: 1}},
-		"told done with another's answer":      {true, []Try{stray}, runs{quickRun("r1")}, findingCounts{misreported: 1}},
-		"told done with an answer no run gave": {true, []Try{other}, runs{quickRun("r1")}, findingCounts{misreported: 1}},
+		"told done, run was cut":               {true, []Try{done}, runs{incompleteRun}, findingCounts{misreported: 1}},
+		"told done with another's answer":      {true, []Try{wrongBody}, runs{quickRun("r1")}, findingCounts{misreported: 1}},
+		"told done with an answer no run gave": {true, []Try{wrongChecksum}, runs{quickRun("r1")}, findingCounts{misreported: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := Result{Quick: []QuickResult{{Tag: "t", Repeatable: tc.repeatable, Tries: tc.tries}}}
@@ -82,12 +82,12 @@
 	}
 	accepted := []Try{answeredTry("a", api.OutcomeDone)}
 	job := func(s api.JobState) JobResult { return JobResult{ID: "a", State: s, Submissions: accepted} }
-	again := job(api.JobDone)
-	again.Repeatable = true
-	stray := job(api.JobDone)
-	stray.Result = []byte(`[{"tag":"t"},{"tag":"other"}]`)
-	early := job(api.JobCancelled)
-	early.Reason = api.ReasonCancelledBeforeStart
+	repeatableJob := job(api.JobDone)
+	repeatableJob.Repeatable = true
+	wrongResult := job(api.JobDone)
+	wrongResult.Result = []byte(`[{"tag":"t"},{"tag":"other"}]`)
+	cancelledBeforeStart := job(api.JobCancelled)
+	cancelledBeforeStart.Reason = api.ReasonCancelledBeforeStart
 	for name, tc := range map[string]struct {
 		job  JobResult
 		runs runs
@@ -100,19 +100,19 @@
 		"submission refused":              {JobResult{Submissions: []Try{answeredTry("", api.OutcomeNotRun)}}, nil, findingCounts{}},
 		"submission refused, ran":         {JobResult{Submissions: []Try{answeredTry("", api.OutcomeNotRun)}}, gang(1, ok, 0, 9), findingCounts{misreported: 1}},
 		"rejected, ran":                   {job(api.JobRejected), gang(1, ok, 0, 9), findingCounts{misreported: 1}},
-		"cancelled before start, ran":     {early, gang(1, stopped, 0, 2), findingCounts{misreported: 1}},
+		"cancelled before start, ran":     {cancelledBeforeStart, gang(1, stopped, 0, 2), findingCounts{misreported: 1}},
 		"cancelled while running":         {job(api.JobCancelled), gang(1, stopped, 0, 2), findingCounts{}},
 		"told done, stopped":              {job(api.JobDone), gang(1, stopped, 0, 2), findingCounts{misreported: 1}},
 		"told done, never ran":            {job(api.JobDone), nil, findingCounts{misreported: 1}},
-		"another's result":                {stray, gang(1, ok, 0, 9), findingCounts{misreported: 1}},
+		"another's result":                {wrongResult, gang(1, ok, 0, 9), findingCounts{misreported: 1}},
 		"done, one member stopped":        {job(api.JobDone), runs{memberRun("a", 1, 0, ok, 0, 9), memberRun("a", 1, 1, stopped, 0, 4)}, findingCounts{partial: 1}},
 		"failed, one member only started": {job(api.JobFailed), gang(1, ok, 0, 9)[:1], findingCounts{partial: 1}},
 		"ran twice":                       {job(api.JobDone), append(gang(1, stopped, 0, 5), gang(2, ok, 0, 9)...), findingCounts{doubled: 1}},
-		"ran twice, repeatable":           {again, append(gang(1, stopped, 0, 5), gang(2, ok, 0, 9)...), findingCounts{}},
+		"ran twice, repeatable":           {repeatableJob, append(gang(1, stopped, 0, 5), gang(2, ok, 0, 9)...), findingCounts{}},
 		"resumed where it ended":          {job(api.JobDone), append(gang(1, stopped, 0, 5), gang(2, ok, 5, 9)...), findingCounts{}},
 		"resumed before where it ended":   {job(api.JobDone), append(gang(1, stopped, 0, 5), gang(2, ok, 3, 9)...), findingCounts{doubled: 1}},
-		"one submission, two jobs":        {again, append(gang(1, ok, 0, 9), memberRun("b", 1, 0, ok, 0, 9), memberRun("b", 1, 1, ok, 0, 9)), findingCounts{doubled: 1}},
-		"one member started twice":        {again, append(gang(1, ok, 0, 9), memberRun("a", 1, 1, ok, 0, 9)), findingCounts{doubled: 1}},
+		"one submission, two jobs":        {repeatableJob, append(gang(1, ok, 0, 9), memberRun("b", 1, 0, ok, 0, 9), memberRun("b", 1, 1, ok, 0, 9)), findingCounts{doubled: 1}},
+		"one member started twice":        {repeatableJob, append(gang(1, ok, 0, 9), memberRun("a", 1, 1, ok, 0, 9)), findingCounts{doubled: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tc.job.Tag = "t"
--- a/load/overlapping_attempts.go
+++ b/load/overlapping_attempts.go
@@ -14,14 +14,14 @@
 	var found []string
 	for _, a := range audits {
 		for _, run := range a.Tasks {
-			one := workerTask{run, a.WorkerName}
+			current := workerTask{run, a.WorkerName}
 			for _, other := range byJob[run.Job] {
-				if run.Attempt != other.Attempt && overlap(one, other) {
+				if run.Attempt != other.Attempt && overlap(current, other) {
 					found = append(found, fmt.Sprintf("job %s: attempt %d on %s and attempt %d on %s ran at once",
-						run.Job, run.Attempt, one.worker, other.Attempt, other.worker))
+						run.Job, run.Attempt, current.worker, other.Attempt, other.worker))
 				}
 			}
-			byJob[run.Job] = append(byJob[run.Job], one)
+			byJob[run.Job] = append(byJob[run.Job], current)
 		}
 	}
 	return found
--- a/load/overlapping_attempts_test.go
+++ b/load/overlapping_attempts_test.go
@@ -21,9 +21,9 @@
 		return standin.TaskRun{TaskID: target.TaskID{Job: job, Attempt: attempt}, Start: at(start), End: at(end)}
 	}
 	for _, test := range []struct {
-		story    string
-		one, two standin.TaskRun
-		want     int
+		name          string
+		first, second standin.TaskRun
+		want          int
 	}{
 		{"one after the other", run("j", 1, 10, 20), run("j", 2, 20, 30), 0},
 		{"the later one is first in the logs", run("j", 2, 20, 30), run("j", 1, 10, 20), 0},
@@ -34,9 +34,9 @@
 		{"different jobs", run("j", 1, 10, 20), run("k", 2, 10, 20), 0},
 	} {
 		got := OverlappingAttempts([]standin.Audit{
-			{WorkerName: "a", Tasks: []standin.TaskRun{test.one}},
-			{WorkerName: "b", Tasks: []standin.TaskRun{test.two}},
+			{WorkerName: "a", Tasks: []standin.TaskRun{test.first}},
+			{WorkerName: "b", Tasks: []standin.TaskRun{test.second}},
 		})
-		qt.Check(t, got, qt.HasLen, test.want, qt.Commentf(test.story))
+		qt.Check(t, got, qt.HasLen, test.want, qt.Commentf(test.name))
 	}
 }
--- a/load/plan_read.go
+++ b/load/plan_read.go
@@ -40,13 +40,13 @@
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
 		e := strict.Errors[0]
-		row, _ := e.Position()
-		return fmt.Errorf("%s:%d: %s: no such key", file, row, strings.Join(e.Key(), "."))
+		line, _ := e.Position()
+		return fmt.Errorf("%s:%d: %s: no such key", file, line, strings.Join(e.Key(), "."))
 	}
 	var de *toml.DecodeError
 	if errors.As(err, &de) {
-		row, _ := de.Position()
-		return fmt.Errorf("%s:%d: %s: %w", file, row, strings.Join(de.Key(), "."), err)
+		line, _ := de.Position()
+		return fmt.Errorf("%s:%d: %s: %w", file, line, strings.Join(de.Key(), "."), err)
 	}
 	return fmt.Errorf("%s: %w", file, err)
 }
--- a/load/plan_test.go
+++ b/load/plan_test.go
@@ -40,17 +40,17 @@
 	c.Assert(err, qt.IsNil)
 	list := p.Schedule()
 	c.Check(list, qt.DeepEquals, p.Schedule())
-	inBurst, longest := 0, time.Duration(0)
+	inBurst, longestWork := 0, time.Duration(0)
 	for _, a := range list {
 		if a.At >= 50*time.Second && a.At < 60*time.Second {
 			inBurst++
 		}
-		longest = max(longest, a.Quick.ServiceTime)
+		longestWork = max(longestWork, a.Quick.ServiceTime)
 	}
 	// Means 4500 and 2500; four standard deviations allowed.
 	c.Check(abs(len(list)-inBurst-4500) < 270, qt.IsTrue, qt.Commentf("%d outside", len(list)-inBurst))
 	c.Check(abs(inBurst-2500) < 200, qt.IsTrue, qt.Commentf("%d inside", inBurst))
-	c.Check(longest > 10*time.Millisecond && longest <= 100*time.Millisecond, qt.IsTrue)
+	c.Check(longestWork > 10*time.Millisecond && longestWork <= 100*time.Millisecond, qt.IsTrue)
 }
 
 func abs(n int) int {
@@ -58,25 +58,25 @@
 }
 
 func TestSampleWorkloads(t *testing.T) {
-	for file, tooLarge := range map[string]int{"tidewater": 9, "peachline": 32} {
+	for file, unplaceableSize := range map[string]int{"tidewater": 9, "peachline": 32} {
 		p, err := ReadPlan("../testdata/workloads/" + file + ".toml")
 		qt.Assert(t, err, qt.IsNil)
-		work, possible, impossible, failing := 0.0, 0, 0, 0
+		work, placeable, unplaceable, failing := 0.0, 0, 0, 0
 		for _, a := range p.Schedule() {
 			switch {
 			case a.Job == nil:
-			case a.Job.Size.Accelerators == tooLarge:
-				impossible++
+			case a.Job.Size.Accelerators == unplaceableSize:
+				unplaceable++
 			default:
-				possible++
+				placeable++
 				work += float64(a.Job.Size.Accelerators) * a.Job.RunTime.Seconds()
 			}
 			if a.Job != nil && a.Job.Fail {
 				failing++
 			}
 		}
-		t.Logf("%s: %d jobs, %.0f accelerator-seconds in %s", file, possible, work, time.Duration(p.Duration))
+		t.Logf("%s: %d jobs, %.0f accelerator-seconds in %s", file, placeable, work, time.Duration(p.Duration))
 		qt.Check(t, work < 88*time.Duration(p.Duration).Seconds(), qt.IsTrue, qt.Commentf("more work than the workers can do"))
-		qt.Check(t, impossible > 0 && failing > 0, qt.IsTrue, qt.Commentf("%d impossible, %d failing", impossible, failing))
+		qt.Check(t, unplaceable > 0 && failing > 0, qt.IsTrue, qt.Commentf("%d impossible, %d failing", unplaceable, failing))
 	}
 }
--- a/load/report.go
+++ b/load/report.go
@@ -57,16 +57,16 @@
 	keys, groups := groupByAccountClass(list, func(q *QuickResult) accountClass { return accountClass{q.Account, q.Class} })
 	for _, k := range keys {
 		n := map[api.Outcome]int{}
-		var took []time.Duration
+		var latencies []time.Duration
 		for _, q := range groups[k] {
 			o := q.Outcome()
 			n[o]++
 			if o == api.OutcomeDone {
-				took = append(took, q.Latency)
+				latencies = append(latencies, q.Latency)
 			}
 		}
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%s\n", k.account, k.class,
-			n[api.OutcomeDone], n[api.OutcomeNotRun], n[api.OutcomeUnknown], n[""], formatPercentiles(took))
+			n[api.OutcomeDone], n[api.OutcomeNotRun], n[api.OutcomeUnknown], n[""], formatPercentiles(latencies))
 	}
 }
 
@@ -78,19 +78,19 @@
 	keys, groups := groupByAccountClass(list, func(j *JobResult) accountClass { return accountClass{j.Account, j.Class} })
 	for _, k := range keys {
 		n := map[api.JobState]int{}
-		var took, waited []time.Duration
+		var turnaroundTimes, startDelays []time.Duration
 		for _, j := range groups[k] {
 			n[finalState(j)]++
 			if j.State == api.JobDone {
-				took = append(took, j.TurnaroundTime)
+				turnaroundTimes = append(turnaroundTimes, j.TurnaroundTime)
 			}
 			if j.StartDelay > 0 {
-				waited = append(waited, j.StartDelay)
+				startDelays = append(startDelays, j.StartDelay)
 			}
 		}
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\n", k.account, k.class,
 			n[api.JobDone], n[api.JobFailed], n[api.JobCancelled], n[api.JobRejected],
-			n[api.JobUnknown], n[""], formatPercentiles(took), formatPercentiles(waited))
+			n[api.JobUnknown], n[""], formatPercentiles(turnaroundTimes), formatPercentiles(startDelays))
 	}
 }
 
@@ -121,16 +121,16 @@
 		fmt.Fprintf(w, "stranded, mean over time\t%.2f accelerators\n", meanStranded(s.Fragmentation))
 	}
 	if len(s.Reclaims) > 0 {
-		var took []time.Duration
+		var startDelays []time.Duration
 		honoured := 0
 		for _, r := range s.Reclaims {
 			if r.Honoured {
 				honoured++
-				took = append(took, r.StartDelay)
+				startDelays = append(startDelays, r.StartDelay)
 			}
 		}
 		fmt.Fprintln(w, "guarantees claimed\thonoured\tp50\tp90\tp99")
-		fmt.Fprintf(w, "%d\t%d\t%s\n", len(s.Reclaims), honoured, formatPercentiles(took))
+		fmt.Fprintf(w, "%d\t%d\t%s\n", len(s.Reclaims), honoured, formatPercentiles(startDelays))
 	}
 }
 
@@ -170,8 +170,8 @@
 		return "-\t-\t-"
 	}
 	slices.Sort(list)
-	rank := func(p int) string { return formatMillis(list[(len(list)*p+99)/100-1]) }
-	return rank(50) + "\t" + rank(90) + "\t" + rank(99)
+	atPercentile := func(p int) string { return formatMillis(list[(len(list)*p+99)/100-1]) }
+	return atPercentile(50) + "\t" + atPercentile(90) + "\t" + atPercentile(99)
 }
 
 func formatMillis(d time.Duration) string {
--- a/load/run.go
+++ b/load/run.go
@@ -77,16 +77,16 @@
 
 // allocateResults sizes the results, so that each caller writes to its own place.
 func (r *runner) allocateResults(schedule []Arrival) {
-	nq, nj := 0, 0
+	quickCount, jobCount := 0, 0
 	for _, a := range schedule {
 		if a.Quick != nil {
-			nq++
+			quickCount++
 		} else {
-			nj++
+			jobCount++
 		}
 	}
-	r.quick = make([]QuickResult, 0, nq)
-	r.jobs = make([]JobResult, 0, nj)
+	r.quick = make([]QuickResult, 0, quickCount)
+	r.jobs = make([]JobResult, 0, jobCount)
 }
 
 // dispatch sends each arrival at its time, whatever became of the earlier ones.
--- a/load/run_bulk_cancel.go
+++ b/load/run_bulk_cancel.go
@@ -14,12 +14,12 @@
 // tried at all entries until one answers; a job that stays uncancelled just
 // runs to its end.
 func (r *runner) cancelJobs(ctx context.Context, i int) {
-	wave := r.plan.BulkCancellations[i]
-	if !sleepUntil(ctx, r.startedAt.Add(time.Duration(wave.At))) {
+	cancellation := r.plan.BulkCancellations[i]
+	if !sleepUntil(ctx, r.startedAt.Add(time.Duration(cancellation.At))) {
 		return
 	}
 	rng := rand.New(rand.NewPCG(r.plan.Seed, rngStreamCancel+uint64(i)))
-	ids := r.pickJobsToCancel(rng, wave)
+	ids := r.pickJobsToCancel(rng, cancellation)
 	for chunk := range slices.Chunk(ids, api.MaxCancelIDs) {
 		for n := range r.clients {
 			client, _ := r.entryAt(n)
@@ -30,19 +30,19 @@
 	}
 }
 
-func (r *runner) pickJobsToCancel(rng *rand.Rand, wave BulkCancellation) []string {
+func (r *runner) pickJobsToCancel(rng *rand.Rand, cancellation BulkCancellation) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var open []*JobResult
+	var candidates []*JobResult
 	for j := range r.openJobs {
-		if wave.Account == "" || wave.Account == j.Account {
-			open = append(open, j)
+		if cancellation.Account == "" || cancellation.Account == j.Account {
+			candidates = append(candidates, j)
 		}
 	}
-	slices.SortFunc(open, func(a, b *JobResult) int { return cmp.Compare(a.Tag, b.Tag) })
+	slices.SortFunc(candidates, func(a, b *JobResult) int { return cmp.Compare(a.Tag, b.Tag) })
 	var ids []string
-	for _, j := range open {
-		if rng.Float64() < wave.Share {
+	for _, j := range candidates {
+		if rng.Float64() < cancellation.Share {
 			j.CancelRequested = true
 			ids = append(ids, j.ID)
 		}
--- a/load/run_jobs.go
+++ b/load/run_jobs.go
@@ -20,7 +20,7 @@
 )
 
 // runJob is the caller of one job: it submits it and follows it to its end.
-func (r *runner) runJob(ctx context.Context, n int, a Arrival, j *JobResult) {
+func (r *runner) runJob(ctx context.Context, entryIndex int, a Arrival, j *JobResult) {
 	l := a.Job.Load
 	*j = JobResult{
 		Tag:        r.runID + "-" + a.Tag,
@@ -30,10 +30,10 @@
 		Size:       a.Job.Size,
 		Scheduled:  r.startedAt.Add(a.At),
 	}
-	r.submit(ctx, n, j, newJobRequest(j.Tag, a.Job), a.Job.Resend)
+	r.submit(ctx, entryIndex, j, newJobRequest(j.Tag, a.Job), a.Job.Resend)
 	if j.ID != "" {
 		r.setOpen(j, true)
-		r.awaitFinalState(ctx, n, j)
+		r.awaitFinalState(ctx, entryIndex, j)
 		r.setOpen(j, false)
 	}
 	j.TurnaroundTime = time.Since(j.Scheduled)
@@ -65,11 +65,11 @@
 
 // submit asks one entry after the other until one answers, and once more
 // another one if the caller is to submit twice.
-func (r *runner) submit(ctx context.Context, n int, j *JobResult, req *api.JobRequest, again bool) {
+func (r *runner) submit(ctx context.Context, entryIndex int, j *JobResult, req *api.JobRequest, resubmit bool) {
 	for i := range maxTries {
-		t := r.submitOnce(ctx, n+i, j, req)
-		if t.Answered && again {
-			again = false
+		t := r.submitOnce(ctx, entryIndex+i, j, req)
+		if t.Answered && resubmit {
+			resubmit = false
 			continue
 		}
 		if t.Answered || !sleepUntil(ctx, time.Now().Add(retryDelay)) {
@@ -78,12 +78,12 @@
 	}
 }
 
-func (r *runner) submitOnce(ctx context.Context, n int, j *JobResult, req *api.JobRequest) Try {
+func (r *runner) submitOnce(ctx context.Context, entryIndex int, j *JobResult, req *api.JobRequest) Try {
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
-	client, name := r.entryAt(n)
+	client, entryURL := r.entryAt(entryIndex)
 	st, err := client.SubmitJob(ctx, r.plan.Service, *req, j.Tag)
-	t := Try{Entry: name, Answered: true, RequestID: st.ID}
+	t := Try{Entry: entryURL, Answered: true, RequestID: st.ID}
 	var p *api.Problem
 	switch {
 	case err == nil:
@@ -93,7 +93,7 @@
 		t.Outcome, t.Reason, t.RequestID = p.Outcome(), p.Reason, p.RequestID
 		j.Reason = p.Reason
 	default:
-		t = failedTry(name, err)
+		t = failedTry(entryURL, err)
 	}
 	j.Submissions = append(j.Submissions, t)
 	return t
@@ -119,16 +119,16 @@
 }
 
 // awaitFinalState asks the entries in turn until the job has ended.
-func (r *runner) awaitFinalState(ctx context.Context, n int, j *JobResult) {
+func (r *runner) awaitFinalState(ctx context.Context, entryIndex int, j *JobResult) {
 	for !j.State.Final() {
-		client, _ := r.entryAt(n)
-		n++
-		asked := time.Now()
+		client, _ := r.entryAt(entryIndex)
+		entryIndex++
+		polledAt := time.Now()
 		st, err := r.poll(ctx, client, j.ID)
 		if err == nil {
 			j.update(st)
 		}
-		if !j.State.Final() && !sleepUntil(ctx, asked.Add(minPollInterval)) {
+		if !j.State.Final() && !sleepUntil(ctx, polledAt.Add(minPollInterval)) {
 			return
 		}
 	}
--- a/load/run_quick.go
+++ b/load/run_quick.go
@@ -15,7 +15,7 @@
 // runQuick is the caller of one quick request. It turns to the next entry when
 // an entry doesn't answer: with the same key, or because the request may be
 // repeated.
-func (r *runner) runQuick(ctx context.Context, n int, a Arrival, q *QuickResult) {
+func (r *runner) runQuick(ctx context.Context, entryIndex int, a Arrival, q *QuickResult) {
 	l := a.Quick.Load
 	*q = QuickResult{
 		Tag:        r.runID + "-" + a.Tag,
@@ -25,19 +25,19 @@
 		Scheduled:  r.startedAt.Add(a.At),
 	}
 	req := r.newQuickRequest(q.Tag, a.Quick)
-	var second []Try
+	var resendTries []Try
 	var wg sync.WaitGroup
 	if a.Quick.Resend {
-		wg.Go(func() { second = r.sendQuick(ctx, n+1, req, true) })
+		wg.Go(func() { resendTries = r.sendQuick(ctx, entryIndex+1, req, true) })
 	}
-	q.Tries = r.sendQuick(ctx, n, req, a.Quick.Resend)
+	q.Tries = r.sendQuick(ctx, entryIndex, req, a.Quick.Resend)
 	q.Latency = time.Since(q.Scheduled)
-	useful := outcomeOf(q.Tries) == api.OutcomeDone
+	firstDone := outcomeOf(q.Tries) == api.OutcomeDone
 	wg.Wait()
-	if len(second) > 0 && !useful {
+	if len(resendTries) > 0 && !firstDone {
 		q.Latency = time.Since(q.Scheduled)
 	}
-	q.Tries = append(q.Tries, second...)
+	q.Tries = append(q.Tries, resendTries...)
 }
 
 func (r *runner) newQuickRequest(tag string, a *QuickArrival) *api.QuickRequest {
@@ -65,12 +65,12 @@
 
 // sendQuick asks one entry after the other until one answers. resent says that the
 // request is delivered elsewhere too, so that no delivery is surely the first.
-func (r *runner) sendQuick(ctx context.Context, n int, req *api.QuickRequest, resent bool) []Try {
+func (r *runner) sendQuick(ctx context.Context, entryIndex int, req *api.QuickRequest, resent bool) []Try {
 	var tries []Try
 	for i := range maxTries {
-		one := *req
-		one.FirstDelivery = i == 0 && !resent && req.IdempotencyKey != ""
-		t := r.sendQuickOnce(ctx, n+i, &one)
+		delivery := *req
+		delivery.FirstDelivery = i == 0 && !resent && req.IdempotencyKey != ""
+		t := r.sendQuickOnce(ctx, entryIndex+i, &delivery)
 		tries = append(tries, t)
 		if t.Answered || !sleepUntil(ctx, time.Now().Add(retryDelay)) {
 			break
@@ -79,15 +79,15 @@
 	return tries
 }
 
-func (r *runner) sendQuickOnce(ctx context.Context, n int, req *api.QuickRequest) Try {
+func (r *runner) sendQuickOnce(ctx context.Context, entryIndex int, req *api.QuickRequest) Try {
 	ctx, cancel := context.WithTimeout(ctx, req.Deadline+answerGrace)
 	defer cancel()
-	client, name := r.entryAt(n)
+	client, entryURL := r.entryAt(entryIndex)
 	ans, err := client.SendQuick(ctx, *req)
 	if err != nil {
-		return failedTry(name, err)
+		return failedTry(entryURL, err)
 	}
-	t := Try{Entry: name, Answered: true, Outcome: ans.Outcome, RequestID: ans.RequestID}
+	t := Try{Entry: entryURL, Answered: true, Outcome: ans.Outcome, RequestID: ans.RequestID}
 	if ans.Problem != nil {
 		t.Reason = ans.Problem.Reason
 	}
--- a/load/run_test.go
+++ b/load/run_test.go
@@ -92,21 +92,21 @@
 resent = 0.5
 `
 
-func runAgainstEntries(t *testing.T, denies bool) (Result, Findings) {
+func runAgainstEntries(t *testing.T, reportsNotRun bool) (Result, Findings) {
 	worker := standin.New(standin.Options{Name: "w"})
-	wsrv := httptest.NewServer(worker)
-	defer wsrv.Close()
-	client := target.NewClient(target.Options{BaseURL: wsrv.URL})
+	workerServer := httptest.NewServer(worker)
+	defer workerServer.Close()
+	client := target.NewClient(target.Options{BaseURL: workerServer.URL})
 	defer client.Close()
-	entry := httptest.NewServer(&fakeEntry{client, denies})
+	entry := httptest.NewServer(&fakeEntry{client, reportsNotRun})
 	defer entry.Close()
-	gone := httptest.NewServer(nil)
-	gone.Close()
+	downEntry := httptest.NewServer(nil)
+	downEntry.Close()
 	p, err := ParsePlan("p.toml", []byte(runPlan))
 	qt.Assert(t, err, qt.IsNil)
-	r, err := Run(context.Background(), p, []string{entry.URL, gone.URL})
+	r, err := Run(context.Background(), p, []string{entry.URL, downEntry.URL})
 	qt.Assert(t, err, qt.IsNil)
-	a, err := FetchAudit(context.Background(), wsrv.URL)
+	a, err := FetchAudit(context.Background(), workerServer.URL)
 	qt.Assert(t, err, qt.IsNil)
 	return r, Audit(r, []standin.Audit{a})
 }
--- a/load/schedule.go
+++ b/load/schedule.go
@@ -79,15 +79,15 @@
 	rng := rand.New(rand.NewPCG(p.Seed, rngStreamJob+uint64(i)))
 	var list []Arrival
 	for _, at := range p.drawArrivalTimes(rng, l.Rate, KindJob, l.Account) {
-		run := l.RunTime.draw(rng)
+		runTime := l.RunTime.draw(rng)
 		list = append(list, Arrival{
 			At:  at,
 			Tag: "j" + strconv.Itoa(i) + "-" + strconv.Itoa(len(list)),
 			Job: &JobArrival{
 				Load:     l,
 				Size:     l.drawSize(rng),
-				RunTime:  run,
-				Estimate: l.drawEstimate(rng, run),
+				RunTime:  runTime,
+				Estimate: l.drawEstimate(rng, runTime),
 				Fail:     rng.Float64() < l.FailureShare,
 				Resend:   rng.Float64() < l.ResendShare,
 			},
@@ -99,21 +99,21 @@
 // drawArrivalTimes draws a Poisson process whose rate follows the bursts, by thinning
 // one of the highest rate.
 func (p *Plan) drawArrivalTimes(rng *rand.Rand, rate float64, kind ArrivalKind, account string) []time.Duration {
-	highest := 1.0
+	maxFactor := 1.0
 	for _, b := range p.Bursts {
 		if b.matches(kind, account) {
-			highest *= b.Factor
+			maxFactor *= b.Factor
 		}
 	}
 	var list []time.Duration
 	at := 0.0
 	for {
-		at += rng.ExpFloat64() / (rate * highest)
+		at += rng.ExpFloat64() / (rate * maxFactor)
 		t := time.Duration(at * float64(time.Second))
 		if t >= time.Duration(p.Duration) {
 			return list
 		}
-		if rng.Float64()*highest < p.burstFactor(t, kind, account) {
+		if rng.Float64()*maxFactor < p.burstFactor(t, kind, account) {
 			list = append(list, t)
 		}
 	}
@@ -122,8 +122,8 @@
 func (p *Plan) burstFactor(t time.Duration, kind ArrivalKind, account string) float64 {
 	factor := 1.0
 	for _, b := range p.Bursts {
-		since := t - time.Duration(b.At)
-		if b.matches(kind, account) && since >= 0 && since < time.Duration(b.Length) {
+		offset := t - time.Duration(b.At)
+		if b.matches(kind, account) && offset >= 0 && offset < time.Duration(b.Length) {
 			factor *= b.Factor
 		}
 	}
@@ -156,10 +156,10 @@
 
 // drawEstimate draws a run time that is wrong by up to the factor, either way, and
 // evenly on a logarithmic scale.
-func (l *JobLoad) drawEstimate(rng *rand.Rand, run time.Duration) time.Duration {
+func (l *JobLoad) drawEstimate(rng *rand.Rand, runTime time.Duration) time.Duration {
 	if l.EstimateErrorFactor == 0 {
 		return 0
 	}
-	wrong := math.Pow(l.EstimateErrorFactor, 2*rng.Float64()-1)
-	return time.Duration(float64(run) * wrong).Round(time.Millisecond)
+	errorFactor := math.Pow(l.EstimateErrorFactor, 2*rng.Float64()-1)
+	return time.Duration(float64(runTime) * errorFactor).Round(time.Millisecond)
 }
--- a/trial/cluster.go
+++ b/trial/cluster.go
@@ -63,19 +63,19 @@
 	if err != nil {
 		return err
 	}
-	places := workerLocations(doc, o.Workers)
-	if err := c.startEntries(places, o); err != nil {
+	locations := workerLocations(doc, o.Workers)
+	if err := c.startEntries(locations, o); err != nil {
 		return err
 	}
-	if err := c.startWorkers(places, o); err != nil {
+	if err := c.startWorkers(locations, o); err != nil {
 		return err
 	}
 	return c.WaitForDocument(ctx, v.Generation)
 }
 
-func (c *Cluster) startEntries(places []workerLocation, o Options) error {
+func (c *Cluster) startEntries(locations []workerLocation, o Options) error {
 	for i := range o.Entries {
-		zone := places[i*len(places)/o.Entries].zone
+		zone := locations[i*len(locations)/o.Entries].zone
 		n, err := newEntryNode(fmt.Sprintf("entry-%d", i+1), zone, c.Store, o)
 		if err != nil {
 			return err
@@ -102,13 +102,13 @@
 	return peers
 }
 
-func (c *Cluster) startWorkers(places []workerLocation, o Options) error {
+func (c *Cluster) startWorkers(locations []workerLocation, o Options) error {
 	var seeds []string
 	for _, n := range c.Entries {
 		seeds = append(seeds, n.peerAddr())
 	}
-	for _, s := range places {
-		w, err := newWorker(s, c.Service, seeds, o)
+	for _, location := range locations {
+		w, err := newWorker(location, c.Service, seeds, o)
 		if err != nil {
 			return err
 		}
@@ -166,14 +166,14 @@
 // PlannerEntry returns the entry that holds the planner duty, or nil. While an entry
 // does not know yet that it was succeeded, it is the one with the higher epoch.
 func (c *Cluster) PlannerEntry() *EntryNode {
-	var best *EntryNode
+	var planner *EntryNode
 	var highest uint64
 	for _, n := range c.Entries {
 		if epoch := n.epoch(c.Service); epoch > highest {
-			best, highest = n, epoch
+			planner, highest = n, epoch
 		}
 	}
-	return best
+	return planner
 }
 
 // Audits returns what truly ran, worker by worker.
--- a/trial/combined_faults_test.go
+++ b/trial/combined_faults_test.go
@@ -28,25 +28,25 @@
 	one := w.submit(other, "big", "one", 8, 5*time.Second)
 	w.awaitJob(other, gang, api.JobRunning)
 	w.awaitJob(other, one, api.JobRunning)
-	waits := w.submit(other, "big", "waits", 32, 100*time.Millisecond)
+	waiting := w.submit(other, "big", "waits", 32, 100*time.Millisecond)
 	w.Store.SetFaults(store.Faults{Down: store.DownRefuse})
 	planner.Kill()
 
 	w.eventually(func() error {
-		over := allEnded(w.jobAttempts("gang"), 2) && allEnded(w.jobAttempts("one"), 1)
-		return errorUnless(over, "the gang or the job of one worker still runs")
+		bothEnded := allEnded(w.jobAttempts("gang"), 2) && allEnded(w.jobAttempts("one"), 1)
+		return errorUnless(bothEnded, "the gang or the job of one worker still runs")
 	})
 	w.checkDone(w.request(other, "check", "check", "", time.Millisecond), "check")
-	refused, err := w.trySubmit(other, "late", 8)
+	lateID, err := w.trySubmit(other, "late", 8)
 	w.Check(err, qt.IsNotNil)
-	w.Check(refused, qt.Equals, "")
+	w.Check(lateID, qt.Equals, "")
 	w.Check(w.jobAttempts("waits"), qt.HasLen, 0)
 	w.Check(w.jobAttempts("gang"), qt.HasLen, 1)
 	w.Store.SetFaults(store.Faults{})
 
 	w.Check(w.awaitJob(other, one, api.JobDone).Attempt, qt.Equals, 1)
 	w.Check(w.awaitJob(other, gang, api.JobDone).Attempt > 1, qt.IsTrue)
-	w.awaitJob(other, waits, api.JobDone)
+	w.awaitJob(other, waiting, api.JobDone)
 	w.awaitJob(other, w.submit(other, "big", "late", 8, 100*time.Millisecond), api.JobDone)
 	for _, tag := range []string{"gang", "one", "waits", "late"} {
 		w.checkRanOnce(tag)
@@ -113,16 +113,16 @@
 		a := <-answer
 		runs, _ := w.quickRuns(tag)
 		w.Check(len(runs) <= 1, qt.IsTrue, qt.Commentf("%s ran %d times", tag, len(runs)))
-		told := a.Outcome != api.OutcomeNotRun || len(runs) == 0
-		w.Check(told, qt.IsTrue, qt.Commentf("%s: told not run, and ran", tag))
+		consistent := a.Outcome != api.OutcomeNotRun || len(runs) == 0
+		w.Check(consistent, qt.IsTrue, qt.Commentf("%s: told not run, and ran", tag))
 	}
-	whole := w.submit(1, "big", "whole", 32, 100*time.Millisecond)
+	fullCluster := w.submit(1, "big", "whole", 32, 100*time.Millisecond)
 	for i := range 8 {
 		tag := fmt.Sprint("check-", i)
 		w.checkDone(w.request(i%2, "check", tag, "", time.Millisecond), tag)
 	}
 	w.Check(w.awaitJob(0, gang, api.JobDone).Attempt, qt.Equals, 1)
-	w.awaitJob(1, whole, api.JobDone)
+	w.awaitJob(1, fullCluster, api.JobDone)
 	w.checkRanOnce("gang")
 	w.checkRanOnce("whole")
 	w.checkNoViolations()
@@ -159,15 +159,15 @@
 	gang := w.submit(0, "big", "gang", 16, 300*time.Millisecond)
 	placed := w.awaitJob(0, gang, api.JobStarting).Placement
 	w.Assert(placed, qt.HasLen, 2)
-	dying := w.workerByID(placed[0].Agent)
-	w.eventually(func() error { return errorUnless(dying.Target.HeldStarts() > 0, "no start has arrived") })
-	earlier := dying.Target.AgentIncarnation()
-	dying.KillAgent()
-	w.Assert(dying.StartAgent(), qt.IsNil)
+	restarting := w.workerByID(placed[0].Agent)
+	w.eventually(func() error { return errorUnless(restarting.Target.HeldStarts() > 0, "no start has arrived") })
+	oldIncarnation := restarting.Target.AgentIncarnation()
+	restarting.KillAgent()
+	w.Assert(restarting.StartAgent(), qt.IsNil)
 	// What arrives before the agent has asked for its target's tasks is in the list, and
 	// adopted.
 	w.eventually(func() error {
-		return errorUnless(dying.Target.AgentIncarnation() > earlier, "the agent has not asked its target")
+		return errorUnless(restarting.Target.AgentIncarnation() > oldIncarnation, "the agent has not asked its target")
 	})
 	w.Assert(w.WaitForDocument(w.ctx, 1), qt.IsNil)
 	for _, worker := range w.Workers {
@@ -175,8 +175,8 @@
 	}
 
 	w.Check(w.awaitJob(0, gang, api.JobDone).Attempt > 1, qt.IsTrue)
-	w.eventually(func() error { return errorUnless(dying.Target.HeldStarts() == 0, "a start is still held") })
-	for _, run := range dying.Target.Audit().Tasks {
+	w.eventually(func() error { return errorUnless(restarting.Target.HeldStarts() == 0, "a start is still held") })
+	for _, run := range restarting.Target.Audit().Tasks {
 		w.Check(run.Attempt, qt.Not(qt.Equals), firstAttemptNumber)
 	}
 	w.checkRanOnce("gang")
--- a/trial/entry_node.go
+++ b/trial/entry_node.go
@@ -33,11 +33,11 @@
 }
 
 func newEntryNode(id, zone string, store http.Handler, o Options) (*EntryNode, error) {
-	link, err := newStoreProxy(store)
+	proxy, err := newStoreProxy(store)
 	if err != nil {
 		return nil, err
 	}
-	n := &EntryNode{ID: id, storeProxy: link, options: o}
+	n := &EntryNode{ID: id, storeProxy: proxy, options: o}
 	n.cfg = settings.Entry{
 		ID:             id,
 		Region:         region,
@@ -45,7 +45,7 @@
 		HTTPListen:     loopback,
 		QUICListen:     loopback,
 		ClusterKey:     clusterKey,
-		StoreURLs:      []string{link.url()},
+		StoreURLs:      []string{proxy.url()},
 		StoreTimeout:   schema.Duration{Duration: o.StoreTimeout},
 		StoreRateLimit: storeCallRate,
 		ReportPeriod:   schema.Duration{Duration: o.ReportPeriod},
@@ -56,7 +56,7 @@
 		return n, nil
 	}
 	if n.udpRelay, err = relay.New(); err != nil {
-		link.close()
+		proxy.close()
 		return nil, err
 	}
 	n.cfg.Advertise = n.udpRelay.Addr()
@@ -128,14 +128,16 @@
 }
 
 // SetStorePartitioned takes the store away from this entry, or gives it back.
-func (n *EntryNode) SetStorePartitioned(cut bool) { n.storeProxy.setPartitioned(cut) }
+func (n *EntryNode) SetStorePartitioned(partitioned bool) { n.storeProxy.setPartitioned(partitioned) }
 
 // DropAllFlows makes the open connections to this entry go silent for good,
 // while new ones work, and returns how many. It needs Options.Relays.
 func (n *EntryNode) DropAllFlows() int { return n.DropFlows(relay.BothDirections...) }
 
 // DropFlows is SilenceFlows for what goes these ways only: Up is towards the entry.
-func (n *EntryNode) DropFlows(ways ...relay.Direction) int { return n.udpRelay.DropFlows(ways...) }
+func (n *EntryNode) DropFlows(directions ...relay.Direction) int {
+	return n.udpRelay.DropFlows(directions...)
+}
 
 // Running says whether the entry runs.
 func (n *EntryNode) Running() bool {
--- a/trial/faults.go
+++ b/trial/faults.go
@@ -25,11 +25,11 @@
 // FaultSchedule is the schedule of a run with faults: each kind of failure once, and
 // some of them while another one lasts.
 func FaultSchedule(document []byte) []Fault {
-	changed := append(slices.Clone(document), "\n# changed during the run\n"...)
+	changedDocument := append(slices.Clone(document), "\n# changed during the run\n"...)
 	return []Fault{
 		{0.10, "replies of the store lost", setStoreFaults(store.Faults{LoseReplies: 5})},
 		{0.15, "document changed", func(ctx context.Context, c *Cluster) error {
-			_, err := c.PutDocument(ctx, changed, 1)
+			_, err := c.PutDocument(ctx, changedDocument, 1)
 			return err
 		}},
 		{0.20, "agent killed", func(_ context.Context, c *Cluster) error {
@@ -95,15 +95,15 @@
 // InjectFaults carries out the faults over the duration of a run. It returns the first
 // error, or ctx's.
 func (c *Cluster) InjectFaults(ctx context.Context, faults []Fault, duration time.Duration, log *logrus.Entry) error {
-	began := time.Now()
+	startedAt := time.Now()
 	for _, f := range faults {
-		at := began.Add(time.Duration(f.At * float64(duration)))
+		at := startedAt.Add(time.Duration(f.At * float64(duration)))
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(time.Until(at)):
 		}
-		log.WithField("at", time.Since(began).Round(time.Millisecond)).Info(f.Name)
+		log.WithField("at", time.Since(startedAt).Round(time.Millisecond)).Info(f.Name)
 		if err := f.Inject(ctx, c); err != nil {
 			return err
 		}
--- a/trial/helpers_test.go
+++ b/trial/helpers_test.go
@@ -120,9 +120,9 @@
 }
 
 // eventually waits until try says nothing is missing.
-func (w *testCluster) eventually(try func() error) {
+func (w *testCluster) eventually(check func() error) {
 	w.Helper()
-	err := trial.WaitFor(w.ctx, func(context.Context) error { return try() })
+	err := trial.WaitFor(w.ctx, func(context.Context) error { return check() })
 	w.Assert(err, qt.IsNil)
 }
 
@@ -178,16 +178,16 @@
 // awaitWorkerOf waits for a request to start and returns the worker.
 func (w *testCluster) awaitWorkerOf(tag string) *trial.Worker {
 	w.Helper()
-	var at *trial.Worker
+	var worker *trial.Worker
 	w.eventually(func() error {
 		_, workers := w.quickRuns(tag)
 		if len(workers) == 0 {
 			return errors.New(tag + " has not started")
 		}
-		at = workers[0]
+		worker = workers[0]
 		return nil
 	})
-	return at
+	return worker
 }
 
 // submit accepts a job whose key names it in the audits.
@@ -242,7 +242,7 @@
 // members done, that no other attempt did, and that no two ran at once.
 func (w *testCluster) checkRanOnce(tag string) {
 	w.Helper()
-	whole := 0
+	completeAttempts := 0
 	for n, members := range w.jobAttempts(tag) {
 		done := 0
 		for _, m := range members {
@@ -253,12 +253,12 @@
 		switch done {
 		case 0:
 		case members[0].Members:
-			whole++
+			completeAttempts++
 		default:
 			w.Errorf("%s: attempt %d: %d of %d members done", tag, n, done, members[0].Members)
 		}
 	}
-	w.Check(whole, qt.Equals, 1, qt.Commentf("%s: whole attempts", tag))
+	w.Check(completeAttempts, qt.Equals, 1, qt.Commentf("%s: whole attempts", tag))
 	w.Check(load.OverlappingAttempts(w.Audits()), qt.HasLen, 0)
 }
 
--- a/trial/idempotency_test.go
+++ b/trial/idempotency_test.go
@@ -20,8 +20,8 @@
 	w.awaitWorkerOf("book")
 	w.Entries[0].Kill()
 
-	broken := <-first
-	w.Check(broken.Outcome, qt.Equals, api.OutcomeUnknown)
+	firstResult := <-first
+	w.Check(firstResult.Outcome, qt.Equals, api.OutcomeUnknown)
 	w.checkDone(w.request(1, "booking", "book", "k1", 1500*time.Millisecond), "book")
 	runs, _ := w.quickRuns("book")
 	w.Check(runs, qt.HasLen, 1)
@@ -39,8 +39,8 @@
 
 	w.Check((<-first).Outcome, qt.Equals, api.OutcomeUnknown)
 	for i := range w.Entries {
-		again := w.request(i, "booking", "book", "k1", 1500*time.Millisecond)
-		w.Check(again.Outcome, qt.Equals, api.OutcomeUnknown)
+		retry := w.request(i, "booking", "book", "k1", 1500*time.Millisecond)
+		w.Check(retry.Outcome, qt.Equals, api.OutcomeUnknown)
 	}
 	runs, _ := w.quickRuns("book")
 	w.Check(runs, qt.HasLen, 1)
@@ -66,9 +66,9 @@
 	w := startTestCluster(t, nil)
 	for i := range 10 {
 		tag := fmt.Sprintf("book-%d", i)
-		one := w.requestAsync(0, "booking", tag, tag, 50*time.Millisecond)
-		two := w.requestAsync(1, "booking", tag, tag, 50*time.Millisecond)
-		a, b := <-one, <-two
+		first := w.requestAsync(0, "booking", tag, tag, 50*time.Millisecond)
+		second := w.requestAsync(1, "booking", tag, tag, 50*time.Millisecond)
+		a, b := <-first, <-second
 		w.checkDone(a, tag)
 		w.checkDone(b, tag)
 		w.Check(string(a.Body), qt.Equals, string(b.Body))
--- a/trial/jobs_test.go
+++ b/trial/jobs_test.go
@@ -23,8 +23,8 @@
 	w := startTestCluster(t, func(o *trial.Options) { o.Document = outageDocument })
 	running := w.submit(0, "big", "running", 16, outageLossTimeout+4*time.Second)
 	w.awaitJob(0, running, api.JobRunning)
-	waits := w.submit(1, "big", "waits", 32, 100*time.Millisecond)
-	w.awaitJob(1, waits, api.JobQueued)
+	waiting := w.submit(1, "big", "waits", 32, 100*time.Millisecond)
+	w.awaitJob(1, waiting, api.JobQueued)
 	w.Store.SetFaults(store.Faults{Down: store.DownRefuse})
 	outage := time.Now()
 	w.eventually(func() error {
@@ -34,7 +34,7 @@
 	w.Store.SetFaults(store.Faults{})
 
 	w.Check(w.awaitJob(0, running, api.JobDone).Attempt, qt.Equals, 1)
-	w.awaitJob(1, waits, api.JobDone)
+	w.awaitJob(1, waiting, api.JobDone)
 	w.checkRanOnce("running")
 	w.checkRanOnce("waits")
 	w.checkNoViolations()
@@ -47,8 +47,8 @@
 	w := startTestCluster(t, func(o *trial.Options) { o.Document = defaultGangDocument })
 	running := w.submit(0, "big", "running", 16, 8*time.Second)
 	w.awaitJob(0, running, api.JobRunning)
-	waits := w.submit(1, "small", "waits", 32, 100*time.Millisecond)
-	w.awaitJob(1, waits, api.JobQueued)
+	waiting := w.submit(1, "small", "waits", 32, 100*time.Millisecond)
+	w.awaitJob(1, waiting, api.JobQueued)
 	w.Store.SetFaults(store.Faults{Down: store.DownRefuse})
 	w.eventually(func() error {
 		return errorUnless(allEnded(w.jobAttempts("running"), 2), "the gang still runs")
@@ -72,11 +72,11 @@
 	other := w.otherEntry(planner)
 	running := w.submit(other, "big", "running", 24, 6*time.Second)
 	w.awaitJob(other, running, api.JobRunning)
-	waits := w.submit(other, "big", "waits", 24, 100*time.Millisecond)
+	waiting := w.submit(other, "big", "waits", 24, 100*time.Millisecond)
 	planner.Kill()
 
 	w.Check(w.awaitJob(other, running, api.JobDone).Attempt, qt.Equals, 1)
-	w.awaitJob(other, waits, api.JobDone)
+	w.awaitJob(other, waiting, api.JobDone)
 	w.checkRanOnce("running")
 	w.checkRanOnce("waits")
 	w.checkNoViolations()
@@ -180,10 +180,10 @@
 	// runs once.
 	w := startTestCluster(t, nil)
 	w.Store.SetFaults(store.Faults{LoseReplies: 1})
-	one := w.submit(0, "big", "job", 8, 100*time.Millisecond)
-	two := w.submit(1, "big", "job", 8, 100*time.Millisecond)
-	w.Check(one, qt.Equals, two)
-	w.awaitJob(1, one, api.JobDone)
+	first := w.submit(0, "big", "job", 8, 100*time.Millisecond)
+	second := w.submit(1, "big", "job", 8, 100*time.Millisecond)
+	w.Check(first, qt.Equals, second)
+	w.awaitJob(1, first, api.JobDone)
 	w.checkRanOnce("job")
 }
 
@@ -212,9 +212,9 @@
 
 func (w *testCluster) workerByID(id string) *trial.Worker {
 	w.Helper()
-	for _, one := range w.Workers {
-		if one.ID == id {
-			return one
+	for _, worker := range w.Workers {
+		if worker.ID == id {
+			return worker
 		}
 	}
 	w.Fatalf("no worker %s", id)
--- a/trial/one_way_loss_test.go
+++ b/trial/one_way_loss_test.go
@@ -19,7 +19,7 @@
 	// answers are lost. Neither end is told. Requests whose callers hear of no answer
 	// are answered when they are repeated, a booking runs once and its caller gets that
 	// run's answer, and a gang runs on.
-	for name, way := range map[string]relay.Direction{"requests lost": relay.FromUpstream, "answers lost": relay.ToUpstream} {
+	for name, direction := range map[string]relay.Direction{"requests lost": relay.FromUpstream, "answers lost": relay.ToUpstream} {
 		t.Run(name, func(t *testing.T) {
 			w := startTestCluster(t, func(o *trial.Options) {
 				o.UDPRelays = true
@@ -28,7 +28,7 @@
 			gang := w.submit(0, "big", "gang", 16, 2*time.Second)
 			w.awaitJob(0, gang, api.JobRunning)
 			for _, n := range w.Entries {
-				w.Check(n.DropFlows(way) > 0, qt.IsTrue)
+				w.Check(n.DropFlows(direction) > 0, qt.IsTrue)
 			}
 			answers := make(map[string]<-chan callResult)
 			for i := range 8 {
--- a/trial/quick_requests_test.go
+++ b/trial/quick_requests_test.go
@@ -40,8 +40,8 @@
 
 			w.Store.SetFaults(store.Faults{})
 			w.eventually(func() error {
-				again := w.request(1, "booking", "keyed", "k", time.Millisecond)
-				return errorUnless(again.Outcome == api.OutcomeDone, fmt.Sprint(again.Problem))
+				retry := w.request(1, "booking", "keyed", "k", time.Millisecond)
+				return errorUnless(retry.Outcome == api.OutcomeDone, fmt.Sprint(retry.Problem))
 			})
 			runs, _ = w.quickRuns("keyed")
 			w.Check(runs, qt.HasLen, 1)
@@ -120,21 +120,21 @@
 	// runs elsewhere, while the target still works on what it had.
 	w := startTestCluster(t, nil)
 	w.Store.SetFaults(store.Faults{Down: store.DownRefuse})
-	others := w.startTraffic("check", 5*time.Millisecond)
+	traffic := w.startTraffic("check", 5*time.Millisecond)
 	slow := w.requestAsync(0, "check", "slow", "", time.Second)
-	leaving := w.awaitWorkerOf("slow")
-	w.Assert(leaving.DrainAgent(), qt.IsNil)
+	draining := w.awaitWorkerOf("slow")
+	w.Assert(draining.DrainAgent(), qt.IsNil)
 	for i := range 40 {
 		tag := fmt.Sprintf("after-%d", i)
 		w.checkDone(w.request(i%2, "check", tag, "", time.Millisecond), tag)
 	}
-	w.Assert(leaving.StopAgent(w.ctx), qt.IsNil)
+	w.Assert(draining.StopAgent(w.ctx), qt.IsNil)
 	w.checkDone(<-slow, "slow")
 	w.checkDone(w.request(0, "check", "gone", "", time.Second), "gone")
-	w.checkAllDone(others.stop())
-	for _, r := range leaving.Target.Audit().Quick {
-		late := strings.HasPrefix(r.Tag, "after") || r.Tag == "gone"
-		w.Check(late, qt.IsFalse, qt.Commentf("%s ran at the leaving target", r.Tag))
+	w.checkAllDone(traffic.stop())
+	for _, r := range draining.Target.Audit().Quick {
+		sentAfterDrain := strings.HasPrefix(r.Tag, "after") || r.Tag == "gone"
+		w.Check(sentAfterDrain, qt.IsFalse, qt.Commentf("%s ran at the leaving target", r.Tag))
 		w.Check(r.Completed && !r.Abandoned, qt.IsTrue)
 	}
 }
@@ -144,15 +144,15 @@
 	// they are silent for good, and neither end is told. New ones work. Requests go
 	// on, those that were under way too, because they may run twice.
 	w := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
-	others := w.startTraffic("check", 5*time.Millisecond)
+	traffic := w.startTraffic("check", 5*time.Millisecond)
 	for _, n := range w.Entries {
 		w.awaitWorkerOf("check-0-0")
 		w.Check(n.DropAllFlows() > 0, qt.IsTrue)
 		w.checkDone(w.request(0, "check", "one-"+n.ID, "", 2*time.Second), "one-"+n.ID)
 		w.checkDone(w.request(1, "check", "two-"+n.ID, "", 2*time.Second), "two-"+n.ID)
 	}
-	others.awaitAnswers(500) // however fast the machine, a share of these
-	answers := others.stop()
+	traffic.awaitAnswers(500) // however fast the machine, a share of these
+	answers := traffic.stop()
 	lost := 0
 	for tag, a := range answers {
 		if a.Outcome != api.OutcomeDone {
@@ -183,11 +183,11 @@
 	// Each gets the whole answer to its own request, or none.
 	w := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
 	w.Workers[1].Target.SetFaults(standin.Faults{SlowFactor: 10})
-	others := w.startTraffic("own", 3*time.Millisecond)
+	traffic := w.startTraffic("own", 3*time.Millisecond)
 	w.checkDone(w.request(0, "check", "wait", "", 500*time.Millisecond), "wait")
 	w.Entries[0].DropAllFlows()
 	w.checkDone(w.request(1, "check", "wait-2", "", time.Second), "wait-2")
-	for tag, a := range others.stop() {
+	for tag, a := range traffic.stop() {
 		if a.Outcome == api.OutcomeDone {
 			w.checkDone(a, tag)
 		}
--- a/trial/reclaim.go
+++ b/trial/reclaim.go
@@ -111,14 +111,14 @@
 }
 
 func (r *reclaimMeasurement) awaitSteadyState(ctx context.Context) error {
-	free, since := -1, time.Now()
+	lastFree, unchangedSince := -1, time.Now()
 	return WaitFor(ctx, func(context.Context) error {
 		s, ok := r.cluster.PlannerStats()
-		if !ok || s.Free != free {
-			free, since = s.Free, time.Now()
+		if !ok || s.Free != lastFree {
+			lastFree, unchangedSince = s.Free, time.Now()
 		}
-		if !ok || s.Starts == 0 || time.Since(since) < steadyPeriod {
-			return fmt.Errorf("borrowers have not settled: %d accelerators free", free)
+		if !ok || s.Starts == 0 || time.Since(unchangedSince) < steadyPeriod {
+			return fmt.Errorf("borrowers have not settled: %d accelerators free", lastFree)
 		}
 		return nil
 	})
@@ -162,9 +162,9 @@
 	if err != nil {
 		return load.ReclaimSample{}, err
 	}
-	limited, cancel := context.WithTimeout(ctx, claimTimeout)
+	claimCtx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	status, err := r.awaitFinalState(limited, r.result.Jobs[n].ID)
+	status, err := r.awaitFinalState(claimCtx, r.result.Jobs[n].ID)
 	sample := load.ReclaimSample{Account: a.Name, StartDelay: claimTimeout}
 	if err == nil && status.State == api.JobDone {
 		sample.StartDelay = r.startTime(r.result.Jobs[n].Tag).Sub(r.result.Jobs[n].Scheduled)
@@ -175,15 +175,15 @@
 
 // startTime is when the last member of a gang startTime, by the workers' logs.
 func (r *reclaimMeasurement) startTime(tag string) time.Time {
-	var last time.Time
+	var latest time.Time
 	for _, a := range r.cluster.Audits() {
 		for _, run := range a.Tasks {
-			if run.Tag == tag && run.Start.After(last) {
-				last = run.Start
+			if run.Tag == tag && run.Start.After(latest) {
+				latest = run.Start
 			}
 		}
 	}
-	return last
+	return latest
 }
 
 func (r *reclaimMeasurement) awaitFinalState(ctx context.Context, id string) (api.JobStatus, error) {
--- a/trial/run.go
+++ b/trial/run.go
@@ -53,15 +53,15 @@
 	if err := c.runLoad(ctx, o, &out); err != nil {
 		return out, err
 	}
-	reclaim, cancel := context.WithTimeout(ctx, reclaimTimeout)
+	reclaimCtx, cancel := context.WithTimeout(ctx, reclaimTimeout)
 	defer cancel()
-	samples, claims, err := c.MeasureReclaim(reclaim, doc)
+	samples, reclaimResult, err := c.MeasureReclaim(reclaimCtx, doc)
 	if err != nil {
 		return out, err
 	}
 	out.Samples.Reclaims = samples
 	audited := out.Result
-	audited.Jobs = append(audited.Jobs[:len(audited.Jobs):len(audited.Jobs)], claims.Jobs...)
+	audited.Jobs = append(audited.Jobs[:len(audited.Jobs):len(audited.Jobs)], reclaimResult.Jobs...)
 	out.Findings = load.Audit(audited, c.Audits())
 	return out, nil
 }
@@ -74,11 +74,11 @@
 
 // runLoad makes the load, with samples and faults beside it.
 func (c *Cluster) runLoad(ctx context.Context, o RunOptions, out *RunResult) error {
-	sampling, stop := context.WithCancel(ctx)
+	sampleCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	var group errgroup.Group
 	group.Go(func() error {
-		out.Samples.Fragmentation = c.SampleFragmentation(sampling)
+		out.Samples.Fragmentation = c.SampleFragmentation(sampleCtx)
 		return nil
 	})
 	if o.Faults {
@@ -89,8 +89,8 @@
 	result, err := load.Run(ctx, o.Plan, c.URLs())
 	stop()
 	out.Result = result
-	if other := group.Wait(); err == nil {
-		err = other
+	if groupErr := group.Wait(); err == nil {
+		err = groupErr
 	}
 	return err
 }
--- a/trial/sampler.go
+++ b/trial/sampler.go
@@ -15,7 +15,7 @@
 // SampleFragmentation samples the planner until ctx ends. While no entry holds
 // the duty there are no samples.
 func (c *Cluster) SampleFragmentation(ctx context.Context) []load.FragmentationSample {
-	began := time.Now()
+	startedAt := time.Now()
 	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	var list []load.FragmentationSample
@@ -26,7 +26,7 @@
 		case now := <-ticker.C:
 			if s, ok := c.PlannerStats(); ok {
 				list = append(list, load.FragmentationSample{
-					At:                   now.Sub(began),
+					At:                   now.Sub(startedAt),
 					FreeAccelerators:     s.Free,
 					StrandedAccelerators: int(math.Round(s.Fragmentation)),
 					WaitingJobs:          countWaitingJobs(s),
--- a/trial/store_proxy.go
+++ b/trial/store_proxy.go
@@ -24,50 +24,50 @@
 	if err != nil {
 		return nil, err
 	}
-	link := &storeProxy{listener: l, store: store, conns: make(map[net.Conn]struct{})}
-	link.server = &http.Server{Handler: http.HandlerFunc(link.serve), ConnState: link.trackConn}
-	go func() { _ = link.server.Serve(l) }() // ends with close
-	return link, nil
+	proxy := &storeProxy{listener: l, store: store, conns: make(map[net.Conn]struct{})}
+	proxy.server = &http.Server{Handler: http.HandlerFunc(proxy.serve), ConnState: proxy.trackConn}
+	go func() { _ = proxy.server.Serve(l) }() // ends with close
+	return proxy, nil
 }
 
-func (l *storeProxy) url() string { return "http://" + l.listener.Addr().String() }
+func (p *storeProxy) url() string { return "http://" + p.listener.Addr().String() }
 
-func (l *storeProxy) serve(w http.ResponseWriter, r *http.Request) {
-	if l.isPartitioned() {
+func (p *storeProxy) serve(w http.ResponseWriter, r *http.Request) {
+	if p.isPartitioned() {
 		panic(http.ErrAbortHandler) // closes the connection without an answer
 	}
-	l.store.ServeHTTP(w, r)
+	p.store.ServeHTTP(w, r)
 }
 
-func (l *storeProxy) isPartitioned() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.partitioned
+func (p *storeProxy) isPartitioned() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.partitioned
 }
 
 // setPartitioned breaks all connections at once, those of watches included, and every
 // call until it is set back.
-func (l *storeProxy) setPartitioned(cut bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.partitioned = cut
-	if !cut {
+func (p *storeProxy) setPartitioned(partitioned bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.partitioned = partitioned
+	if !partitioned {
 		return
 	}
-	for c := range l.conns {
+	for c := range p.conns {
 		_ = c.Close()
 	}
 }
 
-func (l *storeProxy) trackConn(c net.Conn, s http.ConnState) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (p *storeProxy) trackConn(c net.Conn, s http.ConnState) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	switch s {
 	case http.StateNew:
-		l.conns[c] = struct{}{}
+		p.conns[c] = struct{}{}
 	case http.StateClosed, http.StateHijacked:
-		delete(l.conns, c)
+		delete(p.conns, c)
 	}
 }
 
-func (l *storeProxy) close() { _ = l.server.Close() }
+func (p *storeProxy) close() { _ = p.server.Close() }
--- a/trial/wait.go
+++ b/trial/wait.go
@@ -10,9 +10,9 @@
 
 // WaitFor tries until try succeeds or ctx ends; the error then says why the last
 // try failed.
-func WaitFor(ctx context.Context, try func(context.Context) error) error {
+func WaitFor(ctx context.Context, check func(context.Context) error) error {
 	for {
-		err := try(ctx)
+		err := check(ctx)
 		if err == nil {
 			return nil
 		}
--- a/trial/worker.go
+++ b/trial/worker.go
@@ -28,28 +28,28 @@
 	current *agent.Agent // nil while it is down
 }
 
-func newWorker(s workerLocation, service string, seeds []string, o Options) (*Worker, error) {
+func newWorker(location workerLocation, service string, seeds []string, o Options) (*Worker, error) {
 	l, err := net.Listen("tcp", loopback)
 	if err != nil {
 		return nil, err
 	}
 	target := o.Target
-	target.Name = s.name
-	target.Accelerators = s.accelerators
-	w := &Worker{ID: s.name, Target: standin.New(target), listener: l, options: o}
+	target.Name = location.name
+	target.Accelerators = location.accelerators
+	w := &Worker{ID: location.name, Target: standin.New(target), listener: l, options: o}
 	w.server = w.Target.HTTPServer()
 	go func() { _ = w.server.Serve(l) }() // ends with close
 	w.cfg = settings.Agent{
-		ID:           s.name,
+		ID:           location.name,
 		Service:      service,
 		Region:       region,
-		Zone:         s.zone,
-		Rack:         s.rack,
+		Zone:         location.zone,
+		Rack:         location.rack,
 		Listen:       loopback,
 		Seeds:        seeds,
 		ClusterKey:   clusterKey,
 		Target:       "http://" + l.Addr().String(),
-		Accelerators: s.accelerators,
+		Accelerators: location.accelerators,
 		Slots:        standin.DefaultSlots,
 		Connections:  standin.DefaultConnections,
 		Cores:        standin.DefaultCores,
--- a/trial/worker_location.go
+++ b/trial/worker_location.go
@@ -23,12 +23,12 @@
 			Zones:        []document.TopologyZone{{Name: "z1", Racks: []int{workers}}},
 		}
 	}
-	var all []workerLocation
+	var locations []workerLocation
 	for _, zone := range t.Zones {
-		for k, count := range zone.Racks {
-			rack := fmt.Sprintf("%s-r%d", zone.Name, k+1)
+		for rackIndex, count := range zone.Racks {
+			rack := fmt.Sprintf("%s-r%d", zone.Name, rackIndex+1)
 			for i := range count {
-				all = append(all, workerLocation{
+				locations = append(locations, workerLocation{
 					name:         fmt.Sprintf("%s-w%d", rack, i+1),
 					zone:         zone.Name,
 					rack:         rack,
@@ -37,5 +37,5 @@
 			}
 		}
 	}
-	return all
+	return locations
 }
