--- a/load/audit.go
+++ b/load/audit.go
@@ -6,10 +6,9 @@
 	"github.com/eelgrasshub/eelgrasshub/target/standin"
 )
 
-// Audit compares what callers were told with what truly ran. The audits must be
-// those of all workers of the service, taken after the run: a missing one makes
-// done work look as if it never ran. Runs whose tag isn't in the result are
-// passed over.
+// Audit compares what callers were told with what ran. audits must come from all workers of
+// the service and be taken after the run; otherwise completed work looks as if it never ran.
+// Runs whose tag is not in the result are ignored.
 func Audit(r Result, audits []standin.Audit) Findings {
 	var f Findings
 	quick := map[string][]standin.QuickRun{}
@@ -32,7 +31,7 @@
 	return f
 }
 
-// workerTask is a task's run and the worker it ran on.
+// workerTask is a task run and the name of its worker.
 type workerTask struct {
 	standin.TaskRun
 	worker string
@@ -47,10 +46,9 @@
 	}
 }
 
-// findFalseNotRun returns the request id of a try that was told not run although its
-// request ran. A run through another entry of the same request belongs to that
-// entry's try, so ids decide where they tell tries apart; where every try was
-// told not run, any run contradicts one of them.
+// findFalseNotRun returns the request ID of a try that was reported as not run although its
+// request ran. A run through another entry belongs to that entry's try, so a run contradicts a
+// try only if the ID belongs to that try alone, or if every try was reported as not run.
 func findFalseNotRun(tries []Try, ranIDs []string) (string, bool) {
 	if len(ranIDs) == 0 {
 		return "", false
--- a/load/audit_jobs.go
+++ b/load/audit_jobs.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// auditNotRun finds jobs told not run that ran.
+// auditNotRun reports a job that ran although its caller was told that it did not.
 func (f *Findings) auditNotRun(name string, j *JobResult, runs []workerTask) {
 	if len(runs) == 0 {
 		return
@@ -47,7 +47,7 @@
 	}
 }
 
-// attemptRuns is what ran of one attemptRuns of a job.
+// attemptRuns holds the task runs of one attempt of a job.
 type attemptRuns struct {
 	target.TaskID
 	members int
@@ -75,7 +75,7 @@
 	return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Attempt, b.Attempt))
 }
 
-// countMembers returns how many different members have a run that passes.
+// countMembers returns the number of distinct members that have a run for which ok is true.
 func (a *attemptRuns) countMembers(ok func(workerTask) bool) int {
 	seen := map[int]bool{}
 	for _, r := range a.runs {
@@ -115,9 +115,9 @@
 	}
 }
 
-// repeatsWork reports whether a, started whole, does work again that an earlier
-// attempt started whole had done. One that resumes each member where the other
-// ended repeatsWork nothing.
+// repeatsWork reports whether a, with all members started, repeats work of an earlier attempt
+// that also started completely. An attempt that resumes every member from the progress that
+// the earlier one reached repeats nothing.
 func repeatsWork(earlier []attemptRuns, a *attemptRuns) bool {
 	if a.startedMembers() < a.members {
 		return false
@@ -160,11 +160,11 @@
 	f.Misreported.add("%s: told done, no member completed", name)
 }
 
-// auditResultOwner finds a result that belongs to another job.
+// auditResultOwner reports a result that belongs to another job.
 func (f *Findings) auditResultOwner(name string, j *JobResult) {
 	var taskResults []standin.TaskResult
 	if len(j.Result) == 0 || json.Unmarshal(j.Result, &taskResults) != nil {
-		return // a form of result that carries no tags
+		return // the result carries no tags
 	}
 	for _, p := range taskResults {
 		if p.Tag != "" && p.Tag != j.Tag {
--- a/load/audit_quick.go
+++ b/load/audit_quick.go
@@ -5,7 +5,8 @@
 	"github.com/eelgrasshub/eelgrasshub/target/standin"
 )
 
-// reportedNotRun reports whether the try can't have run by what the caller knows.
+// reportedNotRun reports whether the caller can conclude from the try that the request did not
+// run.
 func reportedNotRun(t Try) bool {
 	return t.NotSent || t.Answered && t.Outcome == api.OutcomeNotRun
 }
--- a/load/audit_test.go
+++ b/load/audit_test.go
@@ -68,7 +68,8 @@
 	}
 }
 
-// memberRun is a member's run: job, attempt, member of two, restored and reached.
+// memberRun is the run of one member of a gang of two, with its restored and reached progress
+// in milliseconds.
 func memberRun(job string, attempt, member int, o target.TaskState, restored, reached int64) standin.TaskRun {
 	return standin.TaskRun{TaskID: target.TaskID{Job: job, Attempt: attempt}, Tag: "t",
 		Member: member, Members: 2, Outcome: o, RestoredMS: restored, ProgressMS: reached}
--- a/load/echo.go
+++ b/load/echo.go
@@ -8,8 +8,8 @@
 	"github.com/eelgrasshub/eelgrasshub/target/standin"
 )
 
-// verifyEcho returns the checksum of a done answer, and what shows that it isn't
-// the whole answer to r.
+// verifyEcho returns the checksum in the body of an answer, and a description of the problem if
+// the body is not the complete answer to r.
 func verifyEcho(r *api.QuickRequest, body []byte) (sum, problem string) {
 	var e standin.Echo
 	if err := json.Unmarshal(body, &e); err != nil {
--- a/load/fetch.go
+++ b/load/fetch.go
@@ -10,7 +10,7 @@
 	"github.com/eelgrasshub/eelgrasshub/target/standin"
 )
 
-// FetchAudit reads the log of the stand-in worker at base.
+// FetchAudit fetches the audit log of the stand-in worker at the base URL.
 func FetchAudit(ctx context.Context, base string) (standin.Audit, error) {
 	var a standin.Audit
 	url := strings.TrimRight(base, "/") + standin.PathAudit
--- a/load/findings.go
+++ b/load/findings.go
@@ -4,7 +4,7 @@
 
 const maxExamples = 5
 
-// Finding is one kind of breach and its first examples.
+// Finding counts violations of one kind and holds the first maxExamples of them.
 type Finding struct {
 	Count    int
 	Examples []string
@@ -17,24 +17,24 @@
 	}
 }
 
-// Findings are the breaches of what callers were promised.
+// Findings holds the violations of what callers were promised, by kind.
 type Findings struct {
-	// Lost: no final outcome, or an accepted job without a final state.
+	// Lost counts requests without a known outcome and accepted jobs without a final state.
 	Lost Finding
-	// DuplicateRuns: work that ran more than once against its caller's word.
+	// DuplicateRuns counts work that ran more than once although its caller did not allow it.
 	DuplicateRuns Finding
-	// Misreported: told not run but ran, or told done without a completed run
-	// or with an answer that isn't its own and whole.
+	// Misreported counts work that was reported as not run but ran, or as done without a
+	// completed run or with an incomplete or foreign answer.
 	Misreported Finding
-	// PartialGangs: a gang of which some members ran, or completed, without others.
+	// PartialGangs counts gangs of which only some members started or completed.
 	PartialGangs Finding
-	// Violations are those the workers recorded.
+	// Violations counts the violations that the workers recorded.
 	Violations Finding
-	// IncompleteAudits: an audit log dropped records, so that it proves nothing.
+	// IncompleteAudits counts audit logs that dropped records and so prove nothing.
 	IncompleteAudits Finding
 }
 
-// Clean reports whether nothing was found.
+// Clean reports whether there are no findings.
 func (f *Findings) Clean() bool {
 	n := f.Lost.Count + f.DuplicateRuns.Count + f.Misreported.Count +
 		f.PartialGangs.Count + f.Violations.Count + f.IncompleteAudits.Count
--- a/load/overlapping_attempts.go
+++ b/load/overlapping_attempts.go
@@ -6,9 +6,8 @@
 	"github.com/eelgrasshub/eelgrasshub/target/standin"
 )
 
-// OverlappingAttempts lists where an attempt of a job began while a member of another attempt
-// of it still ran, by the workers' logs. One that still runs overlaps whatever
-// began after it.
+// OverlappingAttempts describes each pair of runs of different attempts of the same job that
+// overlap in time by the workers' logs. A run without an end overlaps every later one.
 func OverlappingAttempts(audits []standin.Audit) []string {
 	byJob := make(map[string][]workerTask)
 	var found []string
--- a/load/plan.go
+++ b/load/plan.go
@@ -16,15 +16,15 @@
 	return err
 }
 
-// Plan is a workload file.
+// Plan is the content of a workload file.
 type Plan struct {
 	Name    string `toml:"name"`
 	Service string `toml:"service"`
-	// Seed fixes the schedule.
+	// Seed is the seed of all random draws of the schedule.
 	Seed uint64 `toml:"seed"`
-	// Duration is the time over which arrivals are scheduled.
+	// Duration is the period in which arrivals are scheduled.
 	Duration Duration `toml:"duration"`
-	// DrainTimeout is how long after that outcomes are waited for.
+	// DrainTimeout is how long to wait for outcomes after Duration.
 	DrainTimeout      Duration           `toml:"drain"`
 	Quick             []QuickLoad        `toml:"quick"`
 	Jobs              []JobLoad          `toml:"job"`
@@ -32,80 +32,81 @@
 	BulkCancellations []BulkCancellation `toml:"cancel_wave"`
 }
 
-// QuickLoad is a stream of quick requests of one client account and class.
+// QuickLoad describes a stream of quick requests of one client account and class.
 type QuickLoad struct {
 	Account string `toml:"account"`
 	Class   string `toml:"class"`
 	// Rate is the mean number of arrivals per second.
 	Rate     float64  `toml:"rate"`
 	Deadline Duration `toml:"deadline"`
-	// ServiceTime is the service time at the target.
+	// ServiceTime is the time that the target works on a request.
 	ServiceTime LogNormal `toml:"work"`
-	// ResponsePadding is the size of the answer's filling in bytes.
+	// ResponsePadding is the number of padding bytes in the answer.
 	ResponsePadding int `toml:"pad"`
-	// Repeatable says what the service document says of the class; the audit
-	// holds the system to it. The header is sent as well.
+	// Repeatable must match the class in the service document; the audit relies on it. It is
+	// also sent as a request header.
 	Repeatable bool `toml:"repeatable"`
-	// ResendShare is the share of requests that the caller sends once more through
-	// another entry, with the same idempotency key, while the first still runs.
+	// ResendShare is the share of requests, from 0 to 1, that the caller sends a second time
+	// through another entry, with the same idempotency key, while the first is in progress.
 	ResendShare float64 `toml:"resent"`
 }
 
-// JobLoad is a stream of jobs of one client account and class.
+// JobLoad describes a stream of jobs of one client account and class.
 type JobLoad struct {
 	Account string     `toml:"account"`
 	Class   string     `toml:"class"`
 	Rate    float64    `toml:"rate"`
 	Sizes   []GangSize `toml:"sizes"`
-	// RunTime is the true run time.
+	// RunTime is the actual run time of a job.
 	RunTime LogNormal `toml:"run"`
-	// EstimateErrorFactor is the factor by which a declared run time is wrong at most,
-	// either way; 1 declares the truth and 0 declares nothing.
+	// EstimateErrorFactor is the largest factor by which a declared run time is too high or too
+	// low. With 1 the declared time is exact; with 0 none is declared.
 	EstimateErrorFactor float64 `toml:"misdeclared"`
 	Repeatable          bool    `toml:"repeatable"`
-	// CheckpointInterval is the time between checkpoints; 0 for none.
+	// CheckpointInterval is the time between checkpoints; 0 disables them.
 	CheckpointInterval Duration `toml:"checkpoint_every"`
-	// FailureShare is the share of jobs that fail by themselves.
+	// FailureShare is the share of jobs, from 0 to 1, that fail on their own.
 	FailureShare float64 `toml:"failing"`
-	// ResendShare is the share of jobs submitted once more through another entry.
+	// ResendShare is the share of jobs, from 0 to 1, that are submitted a second time through
+	// another entry.
 	ResendShare float64 `toml:"resent"`
 }
 
-// GangSize is one size of gang and how often it is drawn.
+// GangSize is one size of gang and its relative frequency.
 type GangSize struct {
 	Accelerators int           `toml:"accelerators"`
 	Adjacency    api.Adjacency `toml:"adjacency"`
 	Weight       float64       `toml:"weight"`
 }
 
-// LogNormal is a heavy-tailed distribution of durations.
+// LogNormal is a log-normal distribution of durations, cut off at Max.
 type LogNormal struct {
 	Median Duration `toml:"median"`
-	// Sigma is the standard deviation of the logarithm; 0 always draws Median.
+	// Sigma is the standard deviation of the logarithm; with 0 every draw is Median.
 	Sigma float64  `toml:"sigma"`
 	Max   Duration `toml:"max"`
 }
 
-// ArrivalKind is what a burst multiplies.
+// ArrivalKind selects the arrivals that a burst multiplies.
 type ArrivalKind string
 
-// Kinds of arrivals.
+// Valid values of ArrivalKind.
 const (
 	KindQuick ArrivalKind = "quick"
 	KindJob   ArrivalKind = "job"
 )
 
-// Burst multiplies the rate of a kind of arrivals for a time.
+// Burst multiplies the rate of one kind of arrival for a period.
 type Burst struct {
 	Kind   ArrivalKind `toml:"kind"`
 	At     Duration    `toml:"at"`
 	Length Duration    `toml:"length"`
 	Factor float64     `toml:"factor"`
-	// Account limits the burst to one client account; empty means all.
+	// Account limits the burst to one client account; empty means all accounts.
 	Account string `toml:"account"`
 }
 
-// BulkCancellation cancels a share of the jobs that have not ended at that time.
+// BulkCancellation cancels a share of the jobs that have not ended at a given time.
 type BulkCancellation struct {
 	At      Duration `toml:"at"`
 	Share   float64  `toml:"share"`
--- a/load/plan_read.go
+++ b/load/plan_read.go
@@ -12,8 +12,7 @@
 	"github.com/eelgrasshub/eelgrasshub/api"
 )
 
-// ReadPlan reads a workload file. The error names the file, the key and the
-// reason.
+// ReadPlan reads and validates a workload file. Errors name the file, the key and the reason.
 func ReadPlan(file string) (Plan, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -22,7 +21,8 @@
 	return ParsePlan(file, text)
 }
 
-// ParsePlan parses the text of a workload file; file is for errors only.
+// ParsePlan parses and validates the text of a workload file. The file name is used in errors
+// only.
 func ParsePlan(file string, text []byte) (Plan, error) {
 	var p Plan
 	d := toml.NewDecoder(bytes.NewReader(text))
@@ -66,8 +66,8 @@
 		if err := q.validate(); err != nil {
 			return fmt.Errorf("quick[%d].%w", i, err)
 		}
-		// A drain that ends before the caller's patience would count answers
-		// that are still due as lost.
+		// An answer can arrive up to answerGrace after the deadline; a shorter drain would
+		// count it as lost.
 		if p.DrainTimeout < q.Deadline+Duration(answerGrace) {
 			return fmt.Errorf("drain: must be at least the deadline of quick[%d] and %s", i, answerGrace)
 		}
--- a/load/plan_test.go
+++ b/load/plan_test.go
@@ -47,7 +47,7 @@
 		}
 		longestWork = max(longestWork, a.Quick.ServiceTime)
 	}
-	// Means 4500 and 2500; four standard deviations allowed.
+	// The expected values are 4500 and 2500; the bounds are four standard deviations.
 	c.Check(abs(len(list)-inBurst-4500) < 270, qt.IsTrue, qt.Commentf("%d outside", len(list)-inBurst))
 	c.Check(abs(inBurst-2500) < 200, qt.IsTrue, qt.Commentf("%d inside", inBurst))
 	c.Check(longestWork > 10*time.Millisecond && longestWork <= 100*time.Millisecond, qt.IsTrue)
--- a/load/report.go
+++ b/load/report.go
@@ -13,8 +13,8 @@
 	"github.com/eelgrasshub/eelgrasshub/api"
 )
 
-// WriteReport writes a run as tables: outcomes and times per client account and
-// class, the samples if there are any, and the findings.
+// WriteReport writes tables of the outcomes and times per client account and class, the
+// samples if there are any, and the findings.
 func WriteReport(w io.Writer, r Result, f Findings, s Samples) error {
 	var b bytes.Buffer
 	t := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
@@ -94,8 +94,8 @@
 	}
 }
 
-// finalState is empty for a job without an end. A submission told not run
-// counts as rejected.
+// finalState returns the job's final state, or "" if it has none. A submission that was
+// reported as not run counts as rejected.
 func finalState(j *JobResult) api.JobState {
 	switch {
 	case j.State.Final():
@@ -134,7 +134,8 @@
 	}
 }
 
-// meanStranded weighs each sample by the time until the next one.
+// meanStranded returns the average of the stranded accelerators, weighting each sample by the
+// time until the next one.
 func meanStranded(list []FragmentationSample) float64 {
 	span := list[len(list)-1].At - list[0].At
 	if span <= 0 {
@@ -164,7 +165,7 @@
 	}
 }
 
-// formatPercentiles formats the 50th, 90th and 99th, by the nearest rank.
+// formatPercentiles formats the 50th, 90th and 99th percentile by the nearest-rank method.
 func formatPercentiles(list []time.Duration) string {
 	if len(list) == 0 {
 		return "-\t-\t-"
--- a/load/result.go
+++ b/load/result.go
@@ -7,38 +7,37 @@
 	"github.com/eelgrasshub/eelgrasshub/api"
 )
 
-// Result is what callers saw during one run.
+// Result holds what the callers observed during one run.
 type Result struct {
 	Plan      string
 	Service   string
 	StartedAt time.Time
 	Quick     []QuickResult
 	Jobs      []JobResult
-	// MaxSendDelay is the longest time by which an arrival was sent late.
+	// MaxSendDelay is the longest delay between an arrival's scheduled and actual send time.
 	MaxSendDelay time.Duration
 }
 
-// Try is one exchange about a request with one entry.
+// Try is one exchange with one entry about a request or a submission.
 type Try struct {
 	Entry string
-	// Answered says that an entry answered, rather than silence or a broken
-	// connection.
+	// Answered reports whether an entry answered; false after a timeout or a broken connection.
 	Answered bool
-	// NotSent says that there was no connection: this try had no effect.
+	// NotSent reports that no connection was established, so the try had no effect.
 	NotSent bool
 	Outcome api.Outcome
-	// RequestID is the id the entry gave it.
+	// RequestID is the ID that the entry assigned.
 	RequestID string
 	Reason    api.Reason
-	// Checksum is the checksum of the whole echoed answer of a done try.
+	// Checksum is the checksum in the echoed answer of a try with the outcome done.
 	Checksum string
-	// BodyError says why a body told as done isn't the request's own and whole.
+	// BodyError describes why the body of a done answer is incomplete or not the request's own.
 	BodyError string
-	// TransportError is that of the transport.
+	// TransportError is the error text if no entry answered.
 	TransportError string
 }
 
-// QuickResult is one quick request as its caller saw it.
+// QuickResult is one quick request as its caller observed it.
 type QuickResult struct {
 	Tag        string
 	Account    string
@@ -46,13 +45,13 @@
 	Repeatable bool
 	Scheduled  time.Time
 	Tries      []Try
-	// Latency is from the scheduled time to the answer the caller could use, or to
-	// the last one.
+	// Latency is the time from Scheduled to the end of the caller's tries. Those of a resend count
+	// only if the first ones gave no done answer.
 	Latency time.Duration
 }
 
-// Outcome is what the caller knows in the end: the best of the tries. It is
-// empty when no try was answered.
+// Outcome returns the most informative outcome of the tries: done, then unknown, then not run.
+// It is empty if no try was answered.
 func (q *QuickResult) Outcome() api.Outcome {
 	return outcomeOf(q.Tries)
 }
@@ -71,7 +70,7 @@
 	return best
 }
 
-// JobResult is one job as its caller saw it.
+// JobResult is one job as its caller observed it.
 type JobResult struct {
 	Tag        string
 	Account    string
@@ -79,22 +78,23 @@
 	Repeatable bool
 	Size       GangSize
 	Scheduled  time.Time
-	// Submissions are the tries to submit it.
+	// Submissions are the tries to submit the job.
 	Submissions []Try
-	// ID is empty when the job was not accepted.
+	// ID is empty if the job was not accepted.
 	ID string
-	// ConflictingIDs are different ids that further submits with the same key gave.
+	// ConflictingIDs are IDs other than ID that submissions with the same key returned.
 	ConflictingIDs []string
-	// CancelRequested says that a cancellation was sent.
+	// CancelRequested reports whether the caller sent a cancellation.
 	CancelRequested bool
-	// State is the last seen.
+	// State is the last observed state.
 	State   api.JobState
 	Reason  api.Reason
 	Attempt int
 	Result  json.RawMessage
-	// StartDelay is from the submission to the start of the latest attempt, by the
-	// system's own word; 0 when it never started.
+	// StartDelay is the time from the submission to the start of the latest attempt, as the
+	// system reports it; 0 if the job never started.
 	StartDelay time.Duration
-	// TurnaroundTime is from the scheduled time to the final state.
+	// TurnaroundTime is the time from Scheduled to the final state, or to the end of the wait
+	// for it.
 	TurnaroundTime time.Duration
 }
--- a/load/run.go
+++ b/load/run.go
@@ -12,24 +12,23 @@
 	"github.com/eelgrasshub/eelgrasshub/api"
 )
 
-// ErrNoEntries: Run was given no entry.
+// ErrNoEntries is returned by Run if it is given no entries.
 var ErrNoEntries = errors.New("load: no entry given")
 
 const (
 	maxTries = 4
-	// answerGrace is how long beyond its deadline a caller waits for an answer
-	// before it counts as silence.
+	// answerGrace is how long after the request's deadline a caller waits for an answer.
 	answerGrace = 10 * time.Second
-	// retryDelay is the pause before a caller turns to the next entry.
+	// retryDelay is the pause before a caller retries with the next entry.
 	retryDelay   = 100 * time.Millisecond
 	maxIdleConns = 1024
 )
 
 type runner struct {
 	plan      Plan
-	runID     string // makes tags and keys differ between runs
+	runID     string // prefix of tags and keys, unique to this run
 	startedAt time.Time
-	deadline  time.Time // no outcome is waited for beyond it
+	deadline  time.Time // end of the drain time
 	entryURLs []string
 	clients   []*api.Client
 
@@ -39,14 +38,13 @@
 	maxSendDelay time.Duration
 
 	mu       sync.Mutex
-	openJobs map[*JobResult]bool // accepted, and not seen in a final state
+	openJobs map[*JobResult]bool // accepted jobs without a known final state
 }
 
-// Run makes the load of the plan against the entries, given as base URLs, and
-// returns when every outcome is known or the plan's drain time is over.
-// Requests go round the entries, as a balancer does. The error is ErrNoEntry,
-// or the context's when it ended the run early; the result is then that of a
-// part of the plan.
+// Run sends the requests and jobs of the plan to the entries, given as base URLs, in rotation.
+// It returns when every outcome is known or the plan's drain time is over. The error is
+// ErrNoEntries, or the context's error if it ended the run early; the result then covers only
+// a part of the plan.
 func Run(ctx context.Context, p Plan, entries []string) (Result, error) {
 	if len(entries) == 0 {
 		return Result{}, ErrNoEntries
@@ -75,7 +73,8 @@
 	return res, nil
 }
 
-// allocateResults sizes the results, so that each caller writes to its own place.
+// allocateResults preallocates the result slices so that appending never moves an element
+// that a caller goroutine writes to.
 func (r *runner) allocateResults(schedule []Arrival) {
 	quickCount, jobCount := 0, 0
 	for _, a := range schedule {
@@ -89,7 +88,7 @@
 	r.jobs = make([]JobResult, 0, jobCount)
 }
 
-// dispatch sends each arrival at its time, whatever became of the earlier ones.
+// dispatch starts each arrival at its scheduled time, independently of earlier arrivals.
 func (r *runner) dispatch(ctx context.Context, schedule []Arrival) {
 	for i, a := range schedule {
 		at := r.startedAt.Add(a.At)
@@ -124,7 +123,7 @@
 	}
 }
 
-// entryAt returns the n-th entryAt, going round.
+// entryAt returns the client and the base URL of an entry; n wraps around.
 func (r *runner) entryAt(n int) (*api.Client, string) {
 	n %= len(r.clients)
 	return r.clients[n], r.entryURLs[n]
--- a/load/run_bulk_cancel.go
+++ b/load/run_bulk_cancel.go
@@ -10,9 +10,8 @@
 	"github.com/eelgrasshub/eelgrasshub/api"
 )
 
-// cancelJobs cancels a share of the open jobs with few calls. Each call is
-// tried at all entries until one answers; a job that stays uncancelled just
-// runs to its end.
+// cancelJobs cancels a share of the open jobs in batches. Each batch is tried at all entries
+// until one answers; if none does, its jobs run on.
 func (r *runner) cancelJobs(ctx context.Context, i int) {
 	cancellation := r.plan.BulkCancellations[i]
 	if !sleepUntil(ctx, r.startedAt.Add(time.Duration(cancellation.At))) {
--- a/load/run_jobs.go
+++ b/load/run_jobs.go
@@ -12,14 +12,14 @@
 
 const (
 	submitTimeout = 15 * time.Second
-	// longPollWait is how long an entry may hold a job's status.
+	// longPollWait is how long an entry may hold a status request open.
 	longPollWait = 10 * time.Second
-	// minPollInterval keeps a caller from asking in a loop when an entry answers
-	// at once.
+	// minPollInterval bounds the rate of status requests if an entry answers at once.
 	minPollInterval = 50 * time.Millisecond
 )
 
-// runJob is the caller of one job: it submits it and follows it to its end.
+// runJob submits a job and follows it to its final state. It runs in a goroutine of its own,
+// which owns j; cancelJobs sets only CancelRequested.
 func (r *runner) runJob(ctx context.Context, entryIndex int, a Arrival, j *JobResult) {
 	l := a.Job.Load
 	*j = JobResult{
@@ -63,8 +63,8 @@
 	}
 }
 
-// submit asks one entry after the other until one answers, and once more
-// another one if the caller is to submit twice.
+// submit tries the entries in turn until one answers. With resubmit, it goes on to the next
+// entry after the first answer.
 func (r *runner) submit(ctx context.Context, entryIndex int, j *JobResult, req *api.JobRequest, resubmit bool) {
 	for i := range maxTries {
 		t := r.submitOnce(ctx, entryIndex+i, j, req)
@@ -118,7 +118,7 @@
 	}
 }
 
-// awaitFinalState asks the entries in turn until the job has ended.
+// awaitFinalState polls the entries in turn until the job has ended or ctx is done.
 func (r *runner) awaitFinalState(ctx context.Context, entryIndex int, j *JobResult) {
 	for !j.State.Final() {
 		client, _ := r.entryAt(entryIndex)
--- a/load/run_quick.go
+++ b/load/run_quick.go
@@ -12,9 +12,8 @@
 	"github.com/eelgrasshub/eelgrasshub/target/standin"
 )
 
-// runQuick is the caller of one quick request. It turns to the next entry when
-// an entry doesn't answer: with the same key, or because the request may be
-// repeated.
+// runQuick sends one quick request. If an entry does not answer, it retries with the next one,
+// using the same idempotency key or relying on the request being repeatable.
 func (r *runner) runQuick(ctx context.Context, entryIndex int, a Arrival, q *QuickResult) {
 	l := a.Quick.Load
 	*q = QuickResult{
@@ -63,8 +62,8 @@
 	return req
 }
 
-// sendQuick asks one entry after the other until one answers. resent says that the
-// request is delivered elsewhere too, so that no delivery is surely the first.
+// sendQuick tries the entries in turn until one answers. resent reports whether the request is
+// also sent through another entry, in which case no delivery is certainly the first.
 func (r *runner) sendQuick(ctx context.Context, entryIndex int, req *api.QuickRequest, resent bool) []Try {
 	var tries []Try
 	for i := range maxTries {
--- a/load/run_test.go
+++ b/load/run_test.go
@@ -18,10 +18,10 @@
 	"github.com/eelgrasshub/eelgrasshub/target/standin"
 )
 
-// fakeEntry hands everything to one worker; a job's id is its key.
+// fakeEntry forwards everything to one worker; a job's ID is its idempotency key.
 type fakeEntry struct {
 	worker *target.Client
-	// reportsNotRun lets it tell "not run" of quick requests that it ran.
+	// reportsNotRun makes it answer "not run" to quick requests that ran.
 	reportsNotRun bool
 }
 
--- a/load/samples.go
+++ b/load/samples.go
@@ -2,29 +2,27 @@
 
 import "time"
 
-// Samples are measurements taken inside the system during the run.
+// Samples holds measurements taken inside the system during the run.
 type Samples struct {
 	Fragmentation []FragmentationSample
 	Reclaims      []ReclaimSample
 }
 
-// FragmentationSample is the state of one service's capacity at a time.
+// FragmentationSample is the free capacity of one service at a point in time.
 type FragmentationSample struct {
-	// At is from the beginning of the run.
-	At time.Duration
-	// FreeAccelerators is the number of free accelerators.
+	// At is the time since the start of the run.
+	At               time.Duration
 	FreeAccelerators int
-	// StrandedAccelerators is how many of them lie in pieces too small for the jobs that
-	// wait.
+	// StrandedAccelerators is the number of free accelerators in pieces too small for the
+	// waiting jobs.
 	StrandedAccelerators int
-	// WaitingJobs is the number of waiting jobs.
-	WaitingJobs int
+	WaitingJobs          int
 }
 
-// ReclaimSample is one claim of a guaranteed shape that others were using.
+// ReclaimSample is one claim of a guaranteed shape that other accounts were using.
 type ReclaimSample struct {
 	Account string
-	// StartDelay is from the demand to the start on the shape.
+	// StartDelay is the time from the claim to its start on the shape.
 	StartDelay time.Duration
 	Honoured   bool
 }
--- a/load/schedule.go
+++ b/load/schedule.go
@@ -11,36 +11,35 @@
 
 // Arrival is one scheduled request or job.
 type Arrival struct {
-	// At is from the beginning of the run.
+	// At is the time since the start of the run.
 	At time.Duration
-	// Tag names it within the schedule.
+	// Tag identifies the arrival within the schedule.
 	Tag string
-	// Quick or Job is set, the other nil.
+	// Exactly one of Quick and Job is set.
 	Quick *QuickArrival
 	Job   *JobArrival
 }
 
-// QuickArrival is one quick request.
+// QuickArrival holds the drawn parameters of one quick request.
 type QuickArrival struct {
 	Load        *QuickLoad
 	ServiceTime time.Duration
 	Resend      bool
 }
 
-// JobArrival is one job.
+// JobArrival holds the drawn parameters of one job.
 type JobArrival struct {
 	Load    *JobLoad
 	Size    GangSize
 	RunTime time.Duration
-	// Estimate is the declared run time; 0 when not declared.
+	// Estimate is the declared run time; 0 if none is declared.
 	Estimate time.Duration
 	Fail     bool
 	Resend   bool
 }
 
-// Schedule draws all arrivals in order of time. It is the same for the same
-// plan. Each stream draws from its own generator, so that a change of one
-// leaves the others as they were.
+// Schedule draws all arrivals, ordered by time. The same plan always gives the same schedule.
+// Each stream has its own random generator, so that changing one leaves the others unchanged.
 func (p *Plan) Schedule() []Arrival {
 	var all []Arrival
 	for i := range p.Quick {
@@ -53,7 +52,7 @@
 	return all
 }
 
-// Streams of the generator, one range for each kind.
+// Bases of the random generators' stream numbers; the index within the plan is added.
 const (
 	rngStreamQuick  = 1 << 32
 	rngStreamJob    = 2 << 32
@@ -96,8 +95,8 @@
 	return list
 }
 
-// drawArrivalTimes draws a Poisson process whose rate follows the bursts, by thinning
-// one of the highest rate.
+// drawArrivalTimes draws a Poisson process whose rate follows the bursts, by thinning a
+// process with the highest rate.
 func (p *Plan) drawArrivalTimes(rng *rand.Rand, rate float64, kind ArrivalKind, account string) []time.Duration {
 	maxFactor := 1.0
 	for _, b := range p.Bursts {
@@ -154,8 +153,8 @@
 	return l.Sizes[len(l.Sizes)-1]
 }
 
-// drawEstimate draws a run time that is wrong by up to the factor, either way, and
-// evenly on a logarithmic scale.
+// drawEstimate draws a declared run time that differs from the actual one by at most the
+// estimate error factor, uniformly on a logarithmic scale.
 func (l *JobLoad) drawEstimate(rng *rand.Rand, runTime time.Duration) time.Duration {
 	if l.EstimateErrorFactor == 0 {
 		return 0
