--- a/trial/cluster.go
+++ b/trial/cluster.go
@@ -18,15 +18,15 @@
 	loopback      = "127.0.0.1:0"
 	region        = "trial"
 	clusterKey    = "key of a trial on loopback"
-	storeCallRate = 500 // calls a second, as an entry's default
+	storeCallRate = 500 // calls per second; the default of an entry's settings
 
 	maxStartAttempts = 50
 	startRetryDelay  = 20 * time.Millisecond
 	pollInterval     = 10 * time.Millisecond
 )
 
-// Cluster is a whole deployment of one service. Its fields don't change after
-// New; its methods are safe for concurrent use.
+// Cluster is a deployment of one service. Its fields do not change after New; its methods are
+// safe for concurrent use.
 type Cluster struct {
 	Service string
 	Store   *kvstandin.Server
@@ -37,8 +37,8 @@
 	storeClient *store.Client
 }
 
-// New starts a cluster, puts its document and waits until every entry is ready
-// and knows every agent with the document in force. Close ends it.
+// New starts a cluster, stores its document and waits until every entry is ready and knows
+// every agent with the current document. Close stops it.
 func New(ctx context.Context, o Options) (*Cluster, error) {
 	o = o.withDefaults()
 	doc, err := document.Parse("trial", o.Document)
@@ -91,7 +91,8 @@
 	return nil
 }
 
-// peerAddresses are the other entries where their addresses are fixed beforehand.
+// peerAddresses returns the addresses of the other entries that have a UDP relay; the others'
+// addresses are not known before they start.
 func (c *Cluster) peerAddresses(n *EntryNode) []string {
 	var peers []string
 	for _, other := range c.Entries {
@@ -120,7 +121,7 @@
 	return nil
 }
 
-// PutDocument puts a new generation of the document, edited from the generation base.
+// PutDocument stores a new generation of the document, edited from the generation base.
 func (c *Cluster) PutDocument(ctx context.Context, text []byte, base uint64) (document.Version, error) {
 	return document.Put(ctx, c.storeClient, document.Proposal{
 		FileName:       "trial",
@@ -132,8 +133,8 @@
 	})
 }
 
-// WaitForDocument waits until every entry that runs is ready and sees every agent
-// that runs alive, all with this generation or a later one.
+// WaitForDocument waits until every running entry is ready and sees every running agent alive,
+// all of them with this generation or a later one.
 func (c *Cluster) WaitForDocument(ctx context.Context, generation uint64) error {
 	return WaitFor(ctx, func(ctx context.Context) error { return c.checkDocument(ctx, generation) })
 }
@@ -154,7 +155,8 @@
 	return nil
 }
 
-// PlannerStats are those of the planner. False: no entry holds the duty.
+// PlannerStats returns the statistics of the active planner; false if no entry is the planner
+// leader.
 func (c *Cluster) PlannerStats() (scheduler.Stats, bool) {
 	n := c.PlannerEntry()
 	if n == nil {
@@ -163,8 +165,8 @@
 	return n.PlannerStats(c.Service)
 }
 
-// PlannerEntry returns the entry that holds the planner duty, or nil. While an entry
-// does not know yet that it was succeeded, it is the one with the higher epoch.
+// PlannerEntry returns the entry that leads the planner election, or nil. If a superseded
+// leader does not know of its successor yet, the entry with the higher epoch is returned.
 func (c *Cluster) PlannerEntry() *EntryNode {
 	var planner *EntryNode
 	var highest uint64
@@ -176,7 +178,7 @@
 	return planner
 }
 
-// Audits returns what truly ran, worker by worker.
+// Audits returns the audit log of each worker's target.
 func (c *Cluster) Audits() []standin.Audit {
 	audits := make([]standin.Audit, 0, len(c.Workers))
 	for _, w := range c.Workers {
@@ -185,7 +187,7 @@
 	return audits
 }
 
-// URLs are the callers' interfaces of all entries.
+// URLs returns the base URLs of the entries' HTTP APIs.
 func (c *Cluster) URLs() []string {
 	urls := make([]string, 0, len(c.Entries))
 	for _, n := range c.Entries {
@@ -194,7 +196,7 @@
 	return urls
 }
 
-// Close ends everything at once.
+// Close stops everything immediately, without draining.
 func (c *Cluster) Close() {
 	for _, w := range c.Workers {
 		w.close()
--- a/trial/combined_faults_test.go
+++ b/trial/combined_faults_test.go
@@ -16,11 +16,9 @@
 )
 
 func TestPlannerFailureDuringStoreOutage(t *testing.T) {
-	// The store is out, and then the entry that plans dies: nobody can take over. A
-	// gang of two workers stops by isolation, a job of one worker runs to its end,
-	// nothing starts, and quick requests go on. When the store is back the other
-	// entry takes over: the gang runs again, whole, the end of the job that went on
-	// is found with its agent, and what waited runs.
+	// The planner's entry dies during a store outage, so that nobody can take over. The gang must
+	// stop at its isolation timeout and run again when the store is back; the job of one worker
+	// must end in its first attempt, and the waiting job must run.
 	w := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
 	planner := w.PlannerEntry()
 	other := w.otherEntry(planner)
@@ -55,10 +53,9 @@
 }
 
 func TestEntryFailureDuringJobSubmission(t *testing.T) {
-	// Callers submit jobs with keys. The store is slow, takes them and loses its
-	// replies, and while the entry asks what became of them it dies. The callers see
-	// their connections break and submit again through the other entry, twice. Each
-	// gets one job, which runs once.
+	// The store is slow and loses its replies, and the entry dies before it knows whether the jobs
+	// were stored. Submissions with the same keys through the other entry must give one job each,
+	// which runs once.
 	w := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
 	const n = 6
 	before := w.Store.Counters().Txn
@@ -88,10 +85,9 @@
 }
 
 func TestAllAgentsRestartWithSlowStore(t *testing.T) {
-	// Every agent of an availability zone dies and is back at once, with a gang and
-	// bookings running at their targets, while the store takes most of its callers'
-	// patience for each call. Whoever hears "not run" may rely on it, no booking runs
-	// twice, the gang runs on to its end, and the zone takes work of its full size again.
+	// All agents of a zone restart at once while the store is slow. A request reported as not run
+	// must not have run, no booking may run twice, the gang must run on, and the zone's full
+	// capacity must become available again.
 	w := startTestCluster(t, func(o *trial.Options) { o.Document = defaultGangDocument })
 	gang := w.submit(0, "big", "gang", 16, 3*time.Second)
 	w.awaitJob(0, gang, api.JobRunning)
@@ -128,7 +124,7 @@
 	w.checkNoViolations()
 }
 
-// trySubmit is submit of a short job, for a caller who may be refused.
+// trySubmit submits a short job and returns the error if it is refused.
 func (w *testCluster) trySubmit(entry int, key string, accelerators int) (string, error) {
 	payload, err := json.Marshal(standin.TaskPayload{Tag: key, RunMS: 100})
 	if err != nil {
@@ -143,15 +139,13 @@
 	return s.ID, err
 }
 
-// firstAttemptNumber is the number that targets know the first attempt of a cluster's
-// first planner by.
+// firstAttemptNumber is the number by which targets know the first attempt of the first planner.
 const firstAttemptNumber = 1<<32 | 1
 
 func TestAgentRestartDuringGangStart(t *testing.T) {
-	// A gang is being started, and one start is held up on its way to the target. The
-	// agent that sent it dies and is back; the planner gives the attempt up and starts
-	// the gang again. Then the start of the earlier life arrives. It must not run: a
-	// part of a gang that was given up would hold accelerators that look free.
+	// A start request is delayed on its way to the target until after its agent has restarted and
+	// the planner has given up the attempt. It must not run, or it would hold accelerators that the
+	// planner counts as free.
 	w := startTestCluster(t, func(o *trial.Options) { o.Document = defaultGangDocument })
 	for _, worker := range w.Workers {
 		worker.Target.SetFaults(standin.Faults{HoldStarts: true})
@@ -164,8 +158,7 @@
 	oldIncarnation := restarting.Target.AgentIncarnation()
 	restarting.KillAgent()
 	w.Assert(restarting.StartAgent(), qt.IsNil)
-	// What arrives before the agent has asked for its target's tasks is in the list, and
-	// adopted.
+	// A start that arrives before the agent has listed its target's tasks would be adopted.
 	w.eventually(func() error {
 		return errorUnless(restarting.Target.AgentIncarnation() > oldIncarnation, "the agent has not asked its target")
 	})
--- a/trial/doc.go
+++ b/trial/doc.go
@@ -1,9 +1,7 @@
-// Package trial runs every role of a deployment in one process: the platform's
-// store and the workers by their stand-ins, entries and agents as they are, all
-// over real sockets on loopback. Its handles inject the failures that a
-// deployment meets: processes that die, outages of the store, lost replies,
-// connections that go silent, targets that misbehave.
+// Package trial runs a whole deployment in one process, over real sockets on loopback: entries
+// and agents, and stand-ins of the platform's store and of the targets. It can inject failures:
+// dying processes, store outages, lost store replies, blackholed connections and faulty
+// targets.
 //
-// It is for tests, trials and load runs. Everything started by a Cluster ends
-// with its Close.
+// It is for tests, trials and load runs. Cluster.Close stops everything that a Cluster started.
 package trial
--- a/trial/document_test.go
+++ b/trial/document_test.go
@@ -11,11 +11,11 @@
 	"github.com/eelgrasshub/eelgrasshub/trial"
 )
 
-// changedDocument is the tests' document as an operator edits it.
+// changedDocument is the tests' document after an edit.
 var changedDocument = []byte(documentText + "\n# changed\n")
 
-// awaitReadyWith asks an entry's status until it is ready, and fails where it is
-// ready with an older generation than the one in force.
+// awaitReadyWith waits until the entry is ready, and fails if it is ready with another
+// generation than want.
 func (w *testCluster) awaitReadyWith(n *trial.EntryNode, want uint64) {
 	w.Helper()
 	w.eventually(func() error {
@@ -33,9 +33,8 @@
 }
 
 func TestNewEntryGetsDocumentFromPeer(t *testing.T) {
-	// An instance is replaced while the store is out. The new entry knows nothing.
-	// It takes the generation in force from the other entry and is not ready
-	// before; then it serves.
+	// An entry restarted during a store outage must take the current generation from its peer
+	// before it becomes ready.
 	w := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
 	v, err := w.PutDocument(w.ctx, changedDocument, 1)
 	w.Assert(err, qt.IsNil)
@@ -48,9 +47,8 @@
 }
 
 func TestStoreRestoreDoesNotRevertDocument(t *testing.T) {
-	// The platform restores its store from a backup taken before the last change.
-	// A new entry finds the old generation there and the later one at its peer. It
-	// is never ready with the old one, and the store gets the later one back.
+	// The store is restored from a backup that is older than the current document. A new entry
+	// must not become ready with the old one, and the store must get the newer one back.
 	w := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
 	w.Store.Snapshot()
 	v, err := w.PutDocument(w.ctx, changedDocument, 1)
@@ -68,8 +66,7 @@
 }
 
 func TestDocumentChangeReachesEntryWithoutStore(t *testing.T) {
-	// One entry has lost its way to the store. A change put meanwhile reaches it,
-	// and through it nobody goes back: every process has it.
+	// A change must reach an entry that cannot reach the store.
 	w := startTestCluster(t, nil)
 	w.Entries[0].SetStorePartitioned(true)
 	v, err := w.PutDocument(w.ctx, changedDocument, 1)
@@ -78,9 +75,8 @@
 }
 
 func TestEntryWithoutDocumentIsNotReady(t *testing.T) {
-	// All entries are replaced while the store is out. None knows any generation,
-	// so none is ready or takes work; callers hear that it was not run and when to
-	// come back. When the store is back they are.
+	// Entries that start without any document must refuse requests as not run, with a retry delay,
+	// until the store is back.
 	w := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
 	w.Store.SetFaults(store.Faults{Down: store.DownHang})
 	for _, n := range w.Entries {
--- a/trial/entry_node.go
+++ b/trial/entry_node.go
@@ -15,7 +15,7 @@
 	"github.com/eelgrasshub/eelgrasshub/settings"
 )
 
-// ErrNotRunning: the process does not run now.
+// ErrNotRunning is returned if the process is not running.
 var ErrNotRunning = errors.New("trial: the process does not run")
 
 // EntryNode is one entry of a Cluster. It is safe for concurrent use.
@@ -23,11 +23,11 @@
 	ID string
 
 	storeProxy *storeProxy
-	udpRelay   *relay.Relay // nil without relays
+	udpRelay   *relay.Relay // nil unless Options.UDPRelays is set
 
 	mu      sync.Mutex
 	cfg     settings.Entry
-	current *entry.Entry // nil while it is down
+	current *entry.Entry // nil while the entry is not running
 	options Options
 	url     string
 }
@@ -63,8 +63,7 @@
 	return n, nil
 }
 
-// Start starts the entry, also again after it has ended: a new incarnation at
-// the same address.
+// Start starts the entry, also after it has stopped: a new incarnation at the same address.
 func (n *EntryNode) Start() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -86,7 +85,7 @@
 	return nil
 }
 
-// startWithRetry tries for a while: the socket of the earlier life may be closing.
+// startWithRetry retries, since the previous incarnation's socket may still be closing.
 func (n *EntryNode) startWithRetry() (*entry.Entry, error) {
 	var err error
 	for range maxStartAttempts {
@@ -99,8 +98,8 @@
 	return nil, err
 }
 
-// Kill ends the entry as the death of its instance does: it tells nobody. Without
-// relays its connections are closed, which their other ends notice at once.
+// Kill stops the entry as a crash of its instance does, without notifying anyone. Without UDP
+// relays its connections are closed, which the peers notice at once.
 func (n *EntryNode) Kill() {
 	n.storeProxy.setPartitioned(true)
 	if n.udpRelay != nil {
@@ -115,7 +114,7 @@
 	}
 }
 
-// Stop is a planned stop. It returns an error if work in progress was cut.
+// Stop stops the entry gracefully. It returns an error if work in progress was cut off.
 func (n *EntryNode) Stop(ctx context.Context) error {
 	n.mu.Lock()
 	e := n.current
@@ -127,36 +126,38 @@
 	return e.Stop(ctx)
 }
 
-// SetStorePartitioned takes the store away from this entry, or gives it back.
+// SetStorePartitioned cuts this entry off from the store, or reconnects it.
 func (n *EntryNode) SetStorePartitioned(partitioned bool) { n.storeProxy.setPartitioned(partitioned) }
 
-// DropAllFlows makes the open connections to this entry go silent for good,
-// while new ones work, and returns how many. It needs Options.Relays.
+// DropAllFlows silently drops all further packets of the open connections to this entry, in
+// both directions, and returns how many connections that affects. New connections work. It
+// needs Options.UDPRelays.
 func (n *EntryNode) DropAllFlows() int { return n.DropFlows(relay.BothDirections...) }
 
-// DropFlows is SilenceFlows for what goes these ways only: Up is towards the entry.
+// DropFlows is like DropAllFlows for the given directions only; relay.ToUpstream is towards
+// the entry.
 func (n *EntryNode) DropFlows(directions ...relay.Direction) int {
 	return n.udpRelay.DropFlows(directions...)
 }
 
-// Running says whether the entry runs.
+// Running reports whether the entry is running.
 func (n *EntryNode) Running() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.current != nil
 }
 
-// URL is where callers reach the entry. It stays the same over restarts.
+// URL returns the base URL of the entry's HTTP API. It does not change when the entry restarts.
 func (n *EntryNode) URL() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.url
 }
 
-// Client returns a client of this entry as it runs now.
+// Client returns an API client for the entry's current URL.
 func (n *EntryNode) Client() *api.Client { return api.NewClient(n.URL(), nil) }
 
-// PlannerStats are those of the service's planner, if this entry holds the duty.
+// PlannerStats returns the statistics of the service's planner if this entry leads its election.
 func (n *EntryNode) PlannerStats(service string) (scheduler.Stats, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -166,7 +167,7 @@
 	return n.current.Stats(service)
 }
 
-// epoch is that of the planner duty held here, or 0.
+// epoch returns the epoch of this entry's planner leadership, or 0 if it is not the leader.
 func (n *EntryNode) epoch(service string) uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -176,7 +177,7 @@
 	return n.current.Epoch(service)
 }
 
-// peerAddr is where agents and other entries reach it.
+// peerAddr returns the address for agents and other entries.
 func (n *EntryNode) peerAddr() string {
 	if n.udpRelay != nil {
 		return n.udpRelay.Addr()
--- a/trial/faults.go
+++ b/trial/faults.go
@@ -11,19 +11,19 @@
 	"github.com/eelgrasshub/eelgrasshub/target/standin"
 )
 
-// Fault is one failure, or its end, at a time of a run.
+// Fault is a failure, or the end of one, at a point in time of a run.
 type Fault struct {
-	// At is a share of the run's duration.
+	// At is a fraction of the run's duration, from 0 to 1.
 	At     float64
 	Name   string
 	Inject func(ctx context.Context, c *Cluster) error
 }
 
-// stopTimeout bounds the planned stop of an agent during a run.
+// stopTimeout bounds the graceful stop of an agent.
 const stopTimeout = 20 * time.Second
 
-// FaultSchedule is the schedule of a run with faults: each kind of failure once, and
-// some of them while another one lasts.
+// FaultSchedule returns the faults of a run: each kind of failure once, some of them while
+// another one lasts.
 func FaultSchedule(document []byte) []Fault {
 	changedDocument := append(slices.Clone(document), "\n# changed during the run\n"...)
 	return []Fault{
@@ -80,20 +80,20 @@
 	}
 }
 
-// stopAgentInBackground stops an agent in the background, since it waits for its work.
+// stopAgentInBackground returns a function that stops an agent gracefully without waiting for it.
 func stopAgentInBackground(i int) func(context.Context, *Cluster) error {
 	return func(ctx context.Context, c *Cluster) error {
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 			defer cancel()
-			_ = c.Workers[i].StopAgent(ctx) // what is cut shows in the audit
+			_ = c.Workers[i].StopAgent(ctx) // work that was cut off shows in the audit
 		}()
 		return nil
 	}
 }
 
-// InjectFaults carries out the faults over the duration of a run. It returns the first
-// error, or ctx's.
+// InjectFaults injects the faults over the duration of a run. It returns the first error, or
+// ctx's error.
 func (c *Cluster) InjectFaults(ctx context.Context, faults []Fault, duration time.Duration, log *logrus.Entry) error {
 	startedAt := time.Now()
 	for _, f := range faults {
--- a/trial/helpers_test.go
+++ b/trial/helpers_test.go
@@ -20,7 +20,7 @@
 	"github.com/eelgrasshub/eelgrasshub/trial"
 )
 
-// TestMain lets four clusters run beside each other: they wait most of the time.
+// TestMain runs up to four clusters in parallel; they are idle most of the time.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("test.parallel", "4"); err != nil {
@@ -29,7 +29,7 @@
 	os.Exit(m.Run())
 }
 
-// testTimeout bounds a whole test: every wait in it ends with its context.
+// testTimeout bounds a whole test.
 const testTimeout = 90 * time.Second
 
 const documentText = `
@@ -78,26 +78,26 @@
 racks = [4]
 `
 
-// Gangs that have to run on need more isolation than that of the tests' document: a
-// busy machine that pauses their agents for two seconds stops them, and rightly so.
+// Gangs that must not stop need a longer isolation timeout than the tests' document has: on a
+// busy machine, agents may pause for its two seconds.
 var (
 	// defaultGangDocument is the tests' document with the default gang timeouts.
 	defaultGangDocument = documentWithGang("")
-	// outageDocument has timeouts that an outage outlasts in a test.
+	// outageDocument has timeouts that a store outage in a test can exceed.
 	outageDocument = documentWithGang("[gang]\nisolation_timeout = \"6s\"\nloss_timeout = \"15s\"\n")
 )
 
-// outageLossTimeout is the loss timeout of the document outlasted.
+// outageLossTimeout is the loss timeout of outageDocument.
 const outageLossTimeout = 15 * time.Second
 
-// documentWithGang is the tests' document with another section for gangs.
+// documentWithGang returns the tests' document with another gang section.
 func documentWithGang(section string) []byte {
 	before, _, _ := strings.Cut(documentText, "[gang]")
 	_, after, _ := strings.Cut(documentText, "[topology]")
 	return []byte(before + section + "[topology]" + after)
 }
 
-// testCluster is a cluster under test.
+// testCluster is a cluster with the assertions and the context of its test.
 type testCluster struct {
 	*qt.C
 	*trial.Cluster
@@ -119,20 +119,20 @@
 	return &testCluster{C: c, Cluster: cluster, ctx: ctx}
 }
 
-// eventually waits until try says nothing is missing.
+// eventually retries until try returns nil.
 func (w *testCluster) eventually(check func() error) {
 	w.Helper()
 	err := trial.WaitFor(w.ctx, func(context.Context) error { return check() })
 	w.Assert(err, qt.IsNil)
 }
 
-// callResult is how a request ended for its caller.
+// callResult is the result of a quick request for its caller.
 type callResult struct {
 	api.QuickResponse
 	err error
 }
 
-// request makes a quick request whose tag names it in the audits.
+// request sends a quick request; tag identifies it in the audits.
 func (w *testCluster) request(entry int, class, tag, key string, work time.Duration) callResult {
 	a, err := w.Entries[entry].Client().SendQuick(w.ctx, api.QuickRequest{
 		CallOptions: api.CallOptions{Account: "big", Class: class, IdempotencyKey: key},
@@ -144,14 +144,14 @@
 	return callResult{a, err}
 }
 
-// requestAsync is request in the background.
+// requestAsync calls request in the background.
 func (w *testCluster) requestAsync(entry int, class, tag, key string, work time.Duration) <-chan callResult {
 	answers := make(chan callResult, 1)
 	go func() { answers <- w.request(entry, class, tag, key, work) }()
 	return answers
 }
 
-// checkDone checks that the answer is whole and the caller's own.
+// checkDone checks that the answer is complete and belongs to the request with this tag.
 func (w *testCluster) checkDone(a callResult, tag string) {
 	w.Helper()
 	w.Assert(a.err, qt.IsNil)
@@ -162,7 +162,7 @@
 	w.Check(echo.BodySum, qt.Equals, standin.BodySum([]byte(tag)))
 }
 
-// quickRuns are the quickRuns of a quick request, by its tag, and where.
+// quickRuns returns the runs of a quick request in the audits, and the worker of each.
 func (w *testCluster) quickRuns(tag string) (runs []standin.QuickRun, workers []*trial.Worker) {
 	for i, a := range w.Audits() {
 		for _, r := range a.Quick {
@@ -175,7 +175,7 @@
 	return runs, workers
 }
 
-// awaitWorkerOf waits for a request to start and returns the worker.
+// awaitWorkerOf waits until a request has started and returns its worker.
 func (w *testCluster) awaitWorkerOf(tag string) *trial.Worker {
 	w.Helper()
 	var worker *trial.Worker
@@ -190,7 +190,7 @@
 	return worker
 }
 
-// submit accepts a job whose key names it in the audits.
+// submit submits a job; key is its idempotency key and its tag in the audits.
 func (w *testCluster) submit(entry int, account, key string, accelerators int, run time.Duration) string {
 	w.Helper()
 	payload, err := json.Marshal(standin.TaskPayload{Tag: key, RunMS: run.Milliseconds()})
@@ -205,7 +205,7 @@
 	return s.ID
 }
 
-// awaitJob waits until a awaitJob is in one of the states, asking an entry that runs.
+// awaitJob waits until the given entry reports the job in one of the states.
 func (w *testCluster) awaitJob(entry int, id string, states ...api.JobState) api.JobStatus {
 	w.Helper()
 	var s api.JobStatus
@@ -225,7 +225,7 @@
 	return s
 }
 
-// jobAttempts are the task runs of a job in the audits, by attempt.
+// jobAttempts returns the task runs of a job in the audits, by attempt.
 func (w *testCluster) jobAttempts(tag string) map[int][]standin.TaskRun {
 	all := make(map[int][]standin.TaskRun)
 	for _, a := range w.Audits() {
@@ -238,8 +238,8 @@
 	return all
 }
 
-// checkRanOnce checks that exactly one attempt of a job ended with all of its
-// members done, that no other attempt did, and that no two ran at once.
+// checkRanOnce checks that exactly one attempt of a job completed with all its members, that
+// no other attempt completed any, and that no two attempts of any job overlapped.
 func (w *testCluster) checkRanOnce(tag string) {
 	w.Helper()
 	completeAttempts := 0
@@ -262,7 +262,7 @@
 	w.Check(load.OverlappingAttempts(w.Audits()), qt.HasLen, 0)
 }
 
-// checkNoViolations checks that no worker's rule was broken.
+// checkNoViolations checks that no worker recorded a violation or dropped records.
 func (w *testCluster) checkNoViolations() {
 	w.Helper()
 	for _, a := range w.Audits() {
--- a/trial/idempotency_test.go
+++ b/trial/idempotency_test.go
@@ -12,9 +12,8 @@
 )
 
 func TestKeyedRequestIsRetriedAfterEntryFailure(t *testing.T) {
-	// A caller books cargo space. While the target works, the entry's instance
-	// dies and the caller sees its connection break. It repeats the booking with
-	// the same key through the other entry and gets the answer of the one run.
+	// An entry dies while a keyed request runs. A retry with the same key through the other entry
+	// must return the answer of the one run.
 	w := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
 	first := w.requestAsync(0, "booking", "book", "k1", 1500*time.Millisecond)
 	w.awaitWorkerOf("book")
@@ -28,9 +27,8 @@
 }
 
 func TestAgentRestartDoesNotReportNotRun(t *testing.T) {
-	// The agent beside the target is restarted while a booking runs there. It has
-	// forgotten the booking, the target works on. The caller must not hear "not
-	// run", neither then nor on a retry with the key, or it books a second time.
+	// An agent restarts while a keyed request runs at its target. Neither the request nor a retry
+	// with the key may be reported as not run, or the caller would run it a second time.
 	w := startTestCluster(t, nil)
 	first := w.requestAsync(0, "booking", "book", "k1", 1500*time.Millisecond)
 	worker := w.awaitWorkerOf("book")
@@ -47,8 +45,8 @@
 }
 
 func TestAgentFailureEndsRequestsBeforeDeadline(t *testing.T) {
-	// The agent dies for good while bookings without a key run there. Each caller
-	// hears "unknown"; requests that may run twice go to another target instead.
+	// An agent dies while requests without a key run. A non-repeatable one must end as unknown, and
+	// a repeatable one must be retried at another target.
 	w := startTestCluster(t, nil)
 	booking := w.requestAsync(0, "booking", "book", "", time.Second)
 	worker := w.awaitWorkerOf("book")
@@ -61,8 +59,8 @@
 }
 
 func TestConcurrentRequestsWithSameKeyRunOnce(t *testing.T) {
-	// An impatient caller sends the same booking through both entries at once.
-	// One runs it, both answer with that run.
+	// The same keyed request is sent through both entries at once. It must run once, and both
+	// callers must get that run's answer.
 	w := startTestCluster(t, nil)
 	for i := range 10 {
 		tag := fmt.Sprintf("book-%d", i)
--- a/trial/jobs_test.go
+++ b/trial/jobs_test.go
@@ -16,10 +16,9 @@
 )
 
 func TestGangSurvivesLongStoreOutage(t *testing.T) {
-	// The store is out for longer than the isolation and the loss timeout, with a
-	// gang of two workers running and a job accepted that waits. The planner's
-	// lease lapses, but it goes on keeping the gang whole: it runs to its end on
-	// its first attempt, and the job that waits starts when the store is back.
+	// The store is out for longer than the isolation and loss timeouts. The planner's lease
+	// expires, but the running gang must end in its first attempt, and a waiting job must start
+	// once the store is back.
 	w := startTestCluster(t, func(o *trial.Options) { o.Document = outageDocument })
 	running := w.submit(0, "big", "running", 16, outageLossTimeout+4*time.Second)
 	w.awaitJob(0, running, api.JobRunning)
@@ -41,9 +40,8 @@
 }
 
 func TestNoEvictionDuringStoreOutage(t *testing.T) {
-	// The store is out, and a job of another client account waits for more than is
-	// free. No start can be recorded, so to evict the gang that runs would lose its
-	// work and leave the accelerators idle. It runs to its end on its first attempt.
+	// During a store outage no start can be recorded, so evicting a running gang for a waiting job
+	// would only lose its work.
 	w := startTestCluster(t, func(o *trial.Options) { o.Document = defaultGangDocument })
 	running := w.submit(0, "big", "running", 16, 8*time.Second)
 	w.awaitJob(0, running, api.JobRunning)
@@ -60,13 +58,11 @@
 }
 
 func TestGangSurvivesPlannerFailover(t *testing.T) {
-	// The entry with the planner duty dies while a gang runs and another job
-	// waits for its accelerators. The other entry takes the duty over, finds the
-	// gang whole and lets it run on; the caller sees one attempt. The job that
-	// waited runs after it.
+	// The planner's entry dies. Its successor must keep the running gang in its first attempt and
+	// start the waiting job afterwards.
 	w := startTestCluster(t, func(o *trial.Options) {
 		o.UDPRelays = true
-		o.Document = defaultGangDocument // the takeover has to end before isolation does
+		o.Document = defaultGangDocument // the takeover must end before the isolation timeout
 	})
 	planner := w.PlannerEntry()
 	other := w.otherEntry(planner)
@@ -83,8 +79,8 @@
 }
 
 func TestGracefulStopOfPlannerEntry(t *testing.T) {
-	// The entry with the planner duty is stopped as planned while a gang runs. It
-	// hands the duty over; the gang runs on and the next job starts.
+	// A graceful stop of the planner's entry must hand over leadership without disturbing the
+	// running gang.
 	w := startTestCluster(t, func(o *trial.Options) { o.Document = defaultGangDocument })
 	planner := w.PlannerEntry()
 	other := w.otherEntry(planner)
@@ -100,9 +96,8 @@
 }
 
 func TestGangRestartsAfterWorkerLoss(t *testing.T) {
-	// A gang runs on two workers and the instance of one dies, agent and target.
-	// The part on the other worker must not go on alone: it is stopped, and the
-	// job runs again, whole, on workers that live.
+	// The instance of one of a gang's two workers fails. The other member must be stopped, and the
+	// whole gang must run again on live workers.
 	w := startTestCluster(t, nil)
 	job := w.submit(0, "big", "gang", 16, 8*time.Second)
 	placed := w.awaitJob(0, job, api.JobRunning).Placement
@@ -118,9 +113,8 @@
 }
 
 func TestAcceptedJobsSurviveRestartOfAllEntries(t *testing.T) {
-	// Every entry dies at once, with jobs running and more jobs accepted than fit.
-	// New entries start with nothing but the store and the agents' reports. Every
-	// accepted job ends, each done by exactly one whole attempt.
+	// All entries die with jobs running and waiting. New entries, which have only the store and the
+	// agents' reports, must complete every accepted job in exactly one attempt.
 	w := startTestCluster(t, func(o *trial.Options) {
 		o.UDPRelays = true
 		o.Document = defaultGangDocument
@@ -146,9 +140,8 @@
 }
 
 func TestBulkCancellation(t *testing.T) {
-	// Callers cancel 300 jobs at once, of which some run and most wait. Each ends
-	// as cancelled or done; one told "cancelled before it started" never ran; all
-	// accelerators come free for the next job.
+	// Each of many jobs cancelled at once must end as cancelled or done, must never have run if its
+	// caller was told so, and must free its accelerators.
 	w := startTestCluster(t, nil)
 	var ids []string
 	tags := make(map[string]string)
@@ -175,9 +168,8 @@
 }
 
 func TestResubmittedJobRunsOnceAfterLostStoreReply(t *testing.T) {
-	// The store takes the job and its reply is lost; the caller also repeats the
-	// submission with its key through the other entry. There is one job, and it
-	// runs once.
+	// The store accepts a job but its reply is lost, and the caller submits it again with the same
+	// key through the other entry. There must be one job, which runs once.
 	w := startTestCluster(t, nil)
 	w.Store.SetFaults(store.Faults{LoseReplies: 1})
 	first := w.submit(0, "big", "job", 8, 100*time.Millisecond)
@@ -188,8 +180,8 @@
 }
 
 func TestFaultyWorkerDoesNotFailJobs(t *testing.T) {
-	// One worker fails whatever it starts, at once, and so always looks idle.
-	// Jobs that are well end as done elsewhere.
+	// A worker that fails every task at once looks idle. Its failures must not fail jobs that can
+	// complete on other workers.
 	w := startTestCluster(t, nil)
 	w.Workers[0].Target.SetFaults(standin.Faults{FailTasks: true})
 	var ids []string
@@ -202,7 +194,7 @@
 	w.checkNoViolations()
 }
 
-// otherEntry is the index of an entry that is not n.
+// otherEntry returns the index of the entry that is not n.
 func (w *testCluster) otherEntry(n *trial.EntryNode) int {
 	if w.Entries[0] == n {
 		return 1
@@ -221,7 +213,7 @@
 	return nil
 }
 
-// allEnded says whether every member of a job's only attempt has ended.
+// allEnded reports whether the job had a single attempt, with so many members, all ended.
 func allEnded(attempts map[int][]standin.TaskRun, members int) bool {
 	if len(attempts) != 1 {
 		return false
--- a/trial/one_way_loss_test.go
+++ b/trial/one_way_loss_test.go
@@ -13,12 +13,8 @@
 )
 
 func TestOneWayPacketLoss(t *testing.T) {
-	// Something between agents and entries loses for good what goes one way on all
-	// open connections, and lets the other way through. What entries send is lost
-	// while the agents' reports arrive; or requests arrive and run while their
-	// answers are lost. Neither end is told. Requests whose callers hear of no answer
-	// are answered when they are repeated, a booking runs once and its caller gets that
-	// run's answer, and a gang runs on.
+	// All open connections lose the packets of one direction without notice to either end.
+	// Repeated requests must be answered, keyed ones must run once, and a gang must run on.
 	for name, direction := range map[string]relay.Direction{"requests lost": relay.FromUpstream, "answers lost": relay.ToUpstream} {
 		t.Run(name, func(t *testing.T) {
 			w := startTestCluster(t, func(o *trial.Options) {
@@ -50,9 +46,8 @@
 	}
 }
 
-// checkAnsweredAfterRetry checks the answer to a request with its tag as key, which its caller
-// repeats until it has the whole of it. It must not have been told "not run" of one
-// that ran.
+// checkAnsweredAfterRetry repeats a request, with its tag as the key, until it gets the
+// complete answer. The first answer must not be "not run" if the request ran.
 func (w *testCluster) checkAnsweredAfterRetry(entry int, class, tag string, a callResult) {
 	w.Helper()
 	w.Assert(a.err, qt.IsNil)
--- a/trial/options.go
+++ b/trial/options.go
@@ -10,7 +10,7 @@
 	"github.com/eelgrasshub/eelgrasshub/target/standin"
 )
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	DefaultEntries      = 2
 	DefaultReportPeriod = time.Second
@@ -19,26 +19,27 @@
 	defaultWorkers      = 3
 )
 
-// Options configure a Cluster. Zero values take the defaults.
+// Options configures a Cluster. Zero values select the defaults.
 type Options struct {
-	// Document is the service document that is put first. Its topology says how
-	// many workers there are, in which racks and availability zones.
+	// Document is the initial service document. Its topology gives the workers with their racks
+	// and availability zones.
 	Document []byte
-	// Workers is how many workers there are where the document has no topology.
+	// Workers is the number of workers if the document has no topology.
 	Workers int
 	Entries int
-	// UDPRelays puts a UDP relay before each entry, which SilenceFlows and a silent
-	// death of the entry need. Each packet then takes one hop more.
+	// UDPRelays puts a UDP relay in front of each entry. DropFlows, DropAllFlows and a Kill that
+	// the peers do not notice at once need it.
 	UDPRelays bool
-	// Target are the options of the workers' stand-ins; Name, Slots, Connections
-	// and Accelerators are set by the Cluster.
+	// Target holds the options of the workers' stand-in targets. The Cluster sets Name and
+	// Accelerators; Slots and Connections must stay unset, as the agents are configured with their
+	// defaults.
 	Target standin.Options
 
 	ReportPeriod time.Duration
 	StoreTimeout time.Duration
 	DrainDelay   time.Duration
 
-	// Log takes the lines of all processes; discarded by default.
+	// Log receives the log of all processes; discarded by default.
 	Log *logrus.Entry
 }
 
--- a/trial/permits_test.go
+++ b/trial/permits_test.go
@@ -12,10 +12,8 @@
 )
 
 func TestPermittedJobStartsDuringStoreOutage(t *testing.T) {
-	// The store goes out while a job waits behind another one. The first ends, and
-	// the one that waited runs to its end on its permit. Every lease has lapsed by
-	// then, so whoever plans after the outage has a new epoch and no record of where
-	// the job ran. Its caller hears that it is done, and it ran once.
+	// A waiting job must start on its permit during a store outage. All leases expire meanwhile, so
+	// the next planner has a new epoch and no record of the run; the job must still run only once.
 	w := startTestCluster(t, nil)
 	running, waiting := w.awaitPermit()
 	w.Store.SetFaults(store.Faults{Down: store.DownRefuse})
@@ -32,9 +30,8 @@
 }
 
 func TestPlannerFailoverAfterStartOnPermit(t *testing.T) {
-	// The store is out, a job starts on its permit, and the planner's entry is killed
-	// for good. The other entry takes over when the store is back, within isolation.
-	// It finds the job with the agents and lets it run on: it is not started again.
+	// The planner dies after it started a job on a permit. The other entry must find the running
+	// job through the agents' reports and not start it again.
 	w := startTestCluster(t, func(o *trial.Options) { o.Document = defaultGangDocument })
 	_, waiting := w.awaitPermit()
 	planner := w.PlannerEntry()
@@ -52,9 +49,8 @@
 	w.checkNoViolations()
 }
 
-// awaitPermit leaves the job "running" running and "waits" behind it with a
-// permit, which shows as an attempt of a job that is still queued. It returns
-// their ids.
+// awaitPermit starts a job and waits until a second one, queued behind it, has a permit: an
+// attempt number while its state is queued. It returns the IDs of both.
 func (w *testCluster) awaitPermit() (running, waiting string) {
 	w.Helper()
 	running = w.submit(0, "big", "running", 24, 6*time.Second)
--- a/trial/quick_requests_test.go
+++ b/trial/quick_requests_test.go
@@ -16,10 +16,8 @@
 )
 
 func TestQuickRequestsDuringStoreOutage(t *testing.T) {
-	// The store refuses every call, or leaves it unanswered. Quick requests never
-	// need it and go on. A booking with a key can't be proved to be the first
-	// under it: the caller is told that this is why, before any deadline has passed,
-	// and when to come back, and the booking doesn't run. Without a key it runs.
+	// Quick requests must not need the store. Only a keyed non-repeatable one must be refused with
+	// ReasonKeyInDoubt and a retry delay, and must not run, until the store is back.
 	for _, down := range []string{store.DownRefuse, store.DownHang} {
 		t.Run(down, func(t *testing.T) {
 			w := startTestCluster(t, nil)
@@ -49,9 +47,8 @@
 	}
 }
 
-// backgroundTraffic is callers that send checks one after the other through all entries. A
-// caller that is told when to come back does so: one that doesn't would be refused
-// many times in the moment of a failure.
+// backgroundTraffic is a group of callers that send repeatable requests in sequence through all
+// entries. They honour the retry delay of an answer.
 type backgroundTraffic struct {
 	cluster *testCluster
 	name    string
@@ -84,12 +81,12 @@
 		s.answers[tag] = a
 		s.mu.Unlock()
 		if a.Problem != nil {
-			time.Sleep(a.Problem.RetryAfter) // as the caller is asked to
+			time.Sleep(a.Problem.RetryAfter) // honours the entry's retry delay
 		}
 	}
 }
 
-// awaitAnswers waits until there are so many answers.
+// awaitAnswers waits until there are at least n answers.
 func (s *backgroundTraffic) awaitAnswers(n int) {
 	s.cluster.Helper()
 	s.cluster.eventually(func() error {
@@ -99,7 +96,7 @@
 	})
 }
 
-// stop ends the callers and returns the answers.
+// stop stops the callers and returns all answers.
 func (s *backgroundTraffic) stop() map[string]callResult {
 	close(s.stopped)
 	s.wg.Wait()
@@ -115,9 +112,8 @@
 }
 
 func TestDrainingTargetGetsNoNewWork(t *testing.T) {
-	// A target is taken out as planned, under load and with the store out. What
-	// runs there ends, every caller gets its answer, and what is sent from then on
-	// runs elsewhere, while the target still works on what it had.
+	// A target is drained under load during a store outage. Its running work must complete, and
+	// requests sent later must run on other targets.
 	w := startTestCluster(t, nil)
 	w.Store.SetFaults(store.Faults{Down: store.DownRefuse})
 	traffic := w.startTraffic("check", 5*time.Millisecond)
@@ -140,9 +136,8 @@
 }
 
 func TestBlackholedConnections(t *testing.T) {
-	// Something between agents and entries loses track of all open connections:
-	// they are silent for good, and neither end is told. New ones work. Requests go
-	// on, those that were under way too, because they may run twice.
+	// All open connections are blackholed without notice to either end, while new ones work.
+	// Nearly all repeatable requests, including those in progress, must still be answered.
 	w := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
 	traffic := w.startTraffic("check", 5*time.Millisecond)
 	for _, n := range w.Entries {
@@ -151,7 +146,7 @@
 		w.checkDone(w.request(0, "check", "one-"+n.ID, "", 2*time.Second), "one-"+n.ID)
 		w.checkDone(w.request(1, "check", "two-"+n.ID, "", 2*time.Second), "two-"+n.ID)
 	}
-	traffic.awaitAnswers(500) // however fast the machine, a share of these
+	traffic.awaitAnswers(500) // enough answers for the share below
 	answers := traffic.stop()
 	lost := 0
 	for tag, a := range answers {
@@ -166,9 +161,8 @@
 }
 
 func TestRequestsAvoidDeadAgent(t *testing.T) {
-	// An agent dies. Its connections are gone, and a new one to it is not answered.
-	// Requests go to other targets. That none of them waits for the new connection
-	// is TestDeadAgentIsNotWaitedFor's of package entry.
+	// Requests must go to other targets after an agent died. That none of them waits for a new
+	// connection to it is checked by TestCallToDeadAgentFailsEarly of package entry.
 	w := startTestCluster(t, nil)
 	w.Workers[0].KillAgent()
 	for i := range 20 {
@@ -178,9 +172,8 @@
 }
 
 func TestCallersGetTheirOwnAnswers(t *testing.T) {
-	// Callers ask at the same time for answers of different sizes, from targets of
-	// which one is slow and answers out of order, while connections go silent.
-	// Each gets the whole answer to its own request, or none.
+	// With a slow target, concurrent callers and blackholed connections, each caller must get the
+	// complete answer to its own request or none.
 	w := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
 	w.Workers[1].Target.SetFaults(standin.Faults{SlowFactor: 10})
 	traffic := w.startTraffic("own", 3*time.Millisecond)
@@ -195,8 +188,7 @@
 }
 
 func TestNewEntryIsReadyOnlyWithTargets(t *testing.T) {
-	// An entry's instance is replaced. The balancer sends requests as soon as the
-	// entry says that it is ready; none of them is refused for want of a target.
+	// A new entry must not report that it is ready before it has targets for its requests.
 	w := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
 	w.Entries[0].Kill()
 	w.Assert(w.Entries[0].Start(), qt.IsNil)
--- a/trial/reclaim.go
+++ b/trial/reclaim.go
@@ -16,22 +16,19 @@
 )
 
 const (
-	// borrowerRunTime is the run time of the borrowers: longer than any claim waits.
-	borrowerRunTime = time.Minute
-	// checkpointInterval is how often a borrower's work is safe.
+	// borrowerRunTime is longer than any claim waits.
+	borrowerRunTime    = time.Minute
 	checkpointInterval = 100 * time.Millisecond
-	// claimRunTime is the run time of a claim.
-	claimRunTime = 200 * time.Millisecond
-	// claimTimeout is how long a claim may wait; beyond it the guarantee counts
-	// as not honoured.
+	claimRunTime       = 200 * time.Millisecond
+	// claimTimeout is how long a claim may wait before the guarantee counts as not honoured.
 	claimTimeout = 20 * time.Second
-	// steadyPeriod is for how long nothing may start before the borrowers count as
-	// settled.
+	// steadyPeriod is how long the number of free accelerators must stay the same before the
+	// borrowers count as placed.
 	steadyPeriod = time.Second
 )
 
-// reclaimMeasurement measures how long a client account waits for its guaranteed shape
-// while others use the capacity.
+// reclaimMeasurement measures how long client accounts wait for their guaranteed shapes while
+// another account uses the capacity.
 type reclaimMeasurement struct {
 	cluster        *Cluster
 	doc            *document.Document
@@ -43,9 +40,9 @@
 
 var errNoBorrowingClass = errors.New("trial: the document has no class that may borrow")
 
-// MeasureReclaim fills the idle cluster with work that borrows, and then lets every
-// other client account claim its largest guaranteed shape, one after the other.
-// The result tells of all jobs made, for the audit.
+// MeasureReclaim fills the idle cluster with borrowing jobs and then lets every other client
+// account claim its largest guaranteed shape, one after the other. The result holds all jobs
+// submitted, for the audit.
 func (c *Cluster) MeasureReclaim(ctx context.Context, doc *document.Document) ([]load.ReclaimSample, load.Result, error) {
 	r := &reclaimMeasurement{cluster: c, doc: doc, result: load.Result{Plan: "reclaim", Service: c.Service, StartedAt: time.Now()}}
 	for i := range doc.Classes {
@@ -93,8 +90,8 @@
 	return best.Name
 }
 
-// submitBorrowers submits borrowers of four accelerators until all capacity could be
-// theirs, and waits until no more of them start.
+// submitBorrowers submits borrowing jobs of four accelerators, enough for the whole capacity,
+// and waits until no more of them start.
 func (r *reclaimMeasurement) submitBorrowers(ctx context.Context) error {
 	const size = 4
 	accelerators := 0
@@ -150,7 +147,7 @@
 	return len(r.result.Jobs) - 1, nil
 }
 
-// claim lets an account demand its largest shape.
+// claim submits a job of the account's largest guaranteed shape and measures its start delay.
 func (r *reclaimMeasurement) claim(ctx context.Context, a *document.Account) (load.ReclaimSample, error) {
 	shape := a.Guaranteed[0]
 	for _, g := range a.Guaranteed {
@@ -173,7 +170,7 @@
 	return sample, ctx.Err()
 }
 
-// startTime is when the last member of a gang startTime, by the workers' logs.
+// startTime returns when the last member of a gang started, by the workers' audit logs.
 func (r *reclaimMeasurement) startTime(tag string) time.Time {
 	var latest time.Time
 	for _, a := range r.cluster.Audits() {
@@ -199,7 +196,7 @@
 	return s, err
 }
 
-// cancelAndRecord cancels what still runs and notes how every job ended.
+// cancelAndRecord cancels the jobs that still run and records every job's final state.
 func (r *reclaimMeasurement) cancelAndRecord(ctx context.Context) error {
 	var ids []string
 	for _, j := range r.result.Jobs {
--- a/trial/run.go
+++ b/trial/run.go
@@ -11,19 +11,19 @@
 	"github.com/eelgrasshub/eelgrasshub/load"
 )
 
-// RunOptions say what a run does.
+// RunOptions configures Run.
 type RunOptions struct {
 	Document []byte
 	Plan     load.Plan
 	// Faults injects failures during the load.
 	Faults bool
-	// FaultLog names each fault as it is injected.
+	// FaultLog receives a line for each injected fault.
 	FaultLog *logrus.Entry
-	// ProcessLog takes the lines of the processes; discarded by default.
+	// ProcessLog receives the log of the processes; discarded by default.
 	ProcessLog *logrus.Entry
 }
 
-// RunResult is what a run showed.
+// RunResult holds the observations of a run.
 type RunResult struct {
 	Result   load.Result
 	Samples  load.Samples
@@ -31,14 +31,14 @@
 }
 
 const (
-	// startTimeout bounds the start of a cluster.
+	// startTimeout bounds the start of the cluster.
 	startTimeout = 30 * time.Second
-	// reclaimTimeout bounds the claims of guarantees.
+	// reclaimTimeout bounds the reclaim measurement.
 	reclaimTimeout = 90 * time.Second
 )
 
-// Run runs one service on its plan in a cluster of its own, measures it, claims
-// its guarantees and audits all of it.
+// Run starts a cluster, sends it the load of the plan, measures the reclaim of guarantees and
+// audits all requests and jobs.
 func Run(ctx context.Context, o RunOptions) (RunResult, error) {
 	doc, err := document.Parse("trial", o.Document)
 	if err != nil {
@@ -72,7 +72,7 @@
 	return New(ctx, Options{Document: o.Document, UDPRelays: o.Faults, Log: o.ProcessLog})
 }
 
-// runLoad makes the load, with samples and faults beside it.
+// runLoad sends the load, with sampling and fault injection in parallel.
 func (c *Cluster) runLoad(ctx context.Context, o RunOptions, out *RunResult) error {
 	sampleCtx, stop := context.WithCancel(ctx)
 	defer stop()
--- a/trial/sampler.go
+++ b/trial/sampler.go
@@ -9,11 +9,10 @@
 	"github.com/eelgrasshub/eelgrasshub/scheduler"
 )
 
-// sampleInterval is the period of samples.
 const sampleInterval = 200 * time.Millisecond
 
-// SampleFragmentation samples the planner until ctx ends. While no entry holds
-// the duty there are no samples.
+// SampleFragmentation samples the planner's statistics until ctx is done. It takes no samples
+// while no entry is the planner leader.
 func (c *Cluster) SampleFragmentation(ctx context.Context) []load.FragmentationSample {
 	startedAt := time.Now()
 	ticker := time.NewTicker(sampleInterval)
--- a/trial/store_proxy.go
+++ b/trial/store_proxy.go
@@ -6,9 +6,8 @@
 	"sync"
 )
 
-// storeProxy is one process's way to the store. Cutting it takes the store away
-// from this process only, and keeps a process that dies from giving its leases
-// back on the way out.
+// storeProxy is one process's connection to the store. Partitioning it cuts off this process
+// only, and keeps a killed process from releasing its leases on shutdown.
 type storeProxy struct {
 	listener net.Listener
 	server   *http.Server
@@ -26,7 +25,7 @@
 	}
 	proxy := &storeProxy{listener: l, store: store, conns: make(map[net.Conn]struct{})}
 	proxy.server = &http.Server{Handler: http.HandlerFunc(proxy.serve), ConnState: proxy.trackConn}
-	go func() { _ = proxy.server.Serve(l) }() // ends with close
+	go func() { _ = proxy.server.Serve(l) }() // returns after close
 	return proxy, nil
 }
 
@@ -45,8 +44,8 @@
 	return p.partitioned
 }
 
-// setPartitioned breaks all connections at once, those of watches included, and every
-// call until it is set back.
+// setPartitioned closes all connections, including those of watches, and fails every call
+// until it is reset.
 func (p *storeProxy) setPartitioned(partitioned bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/trial/target_restart_test.go
+++ b/trial/target_restart_test.go
@@ -10,14 +10,13 @@
 	"github.com/eelgrasshub/eelgrasshub/trial"
 )
 
-// taskLease is how long an agent took a task for running that its target did not know.
+// taskLease is the lease of a task, for which an agent could take a task for running that its
+// target has lost.
 const taskLease = 15 * time.Second
 
 func TestTaskLostInTargetRestartStartsAgain(t *testing.T) {
-	// A target crashes under a member of a gang and is back at its address within a
-	// moment, with no task. Its agent took the answer that there is no such task for one
-	// more failure to reach it, and the gang waited until the task's lease was over: for
-	// fifteen seconds the caller's job stood still beside idle accelerators.
+	// A restarted target answers that it does not know a gang member's task. The agent must report
+	// the task as ended at once, not only when its lease expires.
 	w := startTestCluster(t, func(o *trial.Options) { o.Document = outageDocument })
 	id := w.submit(0, "big", "gang", 16, 5*time.Second)
 	w.awaitJob(0, id, api.JobRunning)
@@ -31,7 +30,7 @@
 	w.checkRanOnce("gang")
 }
 
-// workerOfMember returns a worker on which a member of a job has started.
+// workerOfMember returns a worker on which a member of the job has started.
 func (w *testCluster) workerOfMember(tag string) *trial.Worker {
 	w.Helper()
 	for i, a := range w.Audits() {
--- a/trial/wait.go
+++ b/trial/wait.go
@@ -8,8 +8,8 @@
 	"github.com/eelgrasshub/eelgrasshub/api"
 )
 
-// WaitFor tries until try succeeds or ctx ends; the error then says why the last
-// try failed.
+// WaitFor calls check repeatedly until it returns nil or ctx is done. The error then wraps the
+// last error of check.
 func WaitFor(ctx context.Context, check func(context.Context) error) error {
 	for {
 		err := check(ctx)
@@ -24,7 +24,8 @@
 	}
 }
 
-// checkEntryDocument says what is missing at one entry.
+// checkEntryDocument returns an error if the entry is not ready, or if it or one of the running
+// agents that it knows lacks the generation.
 func (c *Cluster) checkEntryDocument(s api.Status, generation uint64) error {
 	if !s.Ready {
 		return fmt.Errorf("%s is not ready", s.ID)
--- a/trial/worker.go
+++ b/trial/worker.go
@@ -13,8 +13,8 @@
 	"github.com/eelgrasshub/eelgrasshub/target/standin"
 )
 
-// Worker is one worker of a Cluster: a target stand-in and the agent beside it.
-// It is safe for concurrent use.
+// Worker is one worker of a Cluster: a stand-in target and its agent. It is safe for concurrent
+// use.
 type Worker struct {
 	ID     string
 	Target *standin.Server
@@ -25,7 +25,7 @@
 
 	mu      sync.Mutex
 	cfg     settings.Agent
-	current *agent.Agent // nil while it is down
+	current *agent.Agent // nil while the agent is not running
 }
 
 func newWorker(location workerLocation, service string, seeds []string, o Options) (*Worker, error) {
@@ -38,7 +38,7 @@
 	target.Accelerators = location.accelerators
 	w := &Worker{ID: location.name, Target: standin.New(target), listener: l, options: o}
 	w.server = w.Target.HTTPServer()
-	go func() { _ = w.server.Serve(l) }() // ends with close
+	go func() { _ = w.server.Serve(l) }() // returns after KillInstance
 	w.cfg = settings.Agent{
 		ID:           location.name,
 		Service:      service,
@@ -60,8 +60,8 @@
 	return w, nil
 }
 
-// StartAgent starts the agent, also again after it has ended: a new incarnation,
-// which knows nothing of the earlier one.
+// StartAgent starts the agent, also after it has stopped: a new incarnation without any state
+// of the previous one.
 func (w *Worker) StartAgent() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// KillAgent ends the agent at once, without draining or a goodbye. Its connections
-// are closed, as those of a killed process are. The target runs on.
+// KillAgent stops the agent immediately, without draining or a departure notice. Its
+// connections are closed, as those of a killed process are. The target runs on.
 func (w *Worker) KillAgent() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -87,15 +87,14 @@
 	}
 }
 
-// KillInstance ends the whole instance: agent, target and all that runs there, for good.
+// KillInstance stops the whole instance for good: the agent, the target and all its work.
 func (w *Worker) KillInstance() {
 	w.KillAgent()
 	_ = w.server.Close()
 	w.Target.Close()
 }
 
-// StopAgent is a planned stop of the agent. It returns an error if work in progress
-// was left behind.
+// StopAgent stops the agent gracefully. It returns an error if work in progress was left behind.
 func (w *Worker) StopAgent(ctx context.Context) error {
 	w.mu.Lock()
 	a := w.current
@@ -107,7 +106,7 @@
 	return a.Stop(ctx)
 }
 
-// DrainAgent lets the agent refuse new work and run on.
+// DrainAgent makes the agent refuse new work while it runs on.
 func (w *Worker) DrainAgent() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -118,7 +117,7 @@
 	return nil
 }
 
-// AgentRunning says whether the agent runs.
+// AgentRunning reports whether the agent is running.
 func (w *Worker) AgentRunning() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/trial/worker_location.go
+++ b/trial/worker_location.go
@@ -7,13 +7,13 @@
 	"github.com/eelgrasshub/eelgrasshub/target/standin"
 )
 
-// workerLocation is where one worker stands.
+// workerLocation is the name and place of one worker.
 type workerLocation struct {
 	name, zone, rack string
 	accelerators     int
 }
 
-// workerLocations lists the workers of a document, zone by zone and rack by rack. One
+// workerLocations lists the workers of a document, zone by zone and rack by rack. A document
 // without a topology gets the given number of workers in one rack.
 func workerLocations(d *document.Document, workers int) []workerLocation {
 	t := d.Topology
