--- a/internal/capacity/agent_test.go
+++ b/internal/capacity/agent_test.go
@@ -16,8 +16,8 @@
 	"github.com/eelgrasshub/eelgrasshub/internal/testport"
 )
 
-// countingProxy passes on datagrams and counts them with their headers. Its flows end
-// with the test.
+// countingProxy is a UDP proxy that counts the forwarded bytes, including headers. It stops at
+// the end of the test.
 type countingProxy struct {
 	bytes    atomic.Int64
 	socket   *net.UDPConn
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestMeasureAgent gives what a real agent costs: idle, with 8 running tasks of
-// one member, and as a member of a gang of 16.
+// TestMeasureAgent measures a real agent that is idle, that runs one of two members of a gang,
+// and that runs 8 tasks of one-member jobs.
 func TestMeasureAgent(t *testing.T) {
 	requireMeasure(t)
 	for _, every := range []time.Duration{time.Second, 5 * time.Second, 10 * time.Second} {
--- a/internal/capacity/call_counter.go
+++ b/internal/capacity/call_counter.go
@@ -11,9 +11,9 @@
 	"sync"
 )
 
-// CallCounter counts the calls to a store by kind and by the first part of the
-// key they concern ("txn jobs"). Calls that concern a lease count under the key
-// last written with it. It is safe for concurrent use.
+// CallCounter is a handler that counts the calls to a store by method and by the first segment
+// of their key, such as "txn jobs". Calls that name only a lease count under the key last
+// written with that lease. It is safe for concurrent use.
 type CallCounter struct {
 	store http.Handler
 
@@ -22,7 +22,7 @@
 	leaseKeys map[string]string
 }
 
-// NewCallCounter returns a handler that counts and passes on.
+// NewCallCounter returns a handler that counts the calls and forwards them to the store.
 func NewCallCounter(store http.Handler) *CallCounter {
 	return &CallCounter{store: store, calls: make(map[string]int), leaseKeys: make(map[string]string)}
 }
@@ -54,7 +54,7 @@
 	c.calls[kind+" "+subject.key]++
 }
 
-// callSubject is the first key and the lease that a call names.
+// callSubject is the first segment of the first key, and the lease, that a call names.
 type callSubject struct{ key, lease string }
 
 func (s *callSubject) walk(v any) {
@@ -86,7 +86,7 @@
 	}
 }
 
-// Calls returns the calls so far.
+// Calls returns the numbers of calls so far.
 func (c *CallCounter) Calls() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/capacity/document_listing_test.go
+++ b/internal/capacity/document_listing_test.go
@@ -17,7 +17,7 @@
 	"github.com/eelgrasshub/eelgrasshub/store/standin"
 )
 
-// byteCounter counts the bodies that a handler writes to answers of listings.
+// byteCounter counts the answers to range calls and the bytes of their bodies.
 type byteCounter struct {
 	http.Handler
 	responses, bytes atomic.Int64
@@ -42,8 +42,8 @@
 	return w.ResponseWriter.Write(p)
 }
 
-// TestMeasureDocumentListing gives the bytes of a whole listing of 94 documents
-// of the sample's size, and of a Watcher's later ones without news.
+// TestMeasureDocumentListing measures the bytes of a full listing of 94 documents, and of a
+// Watcher's later listings without changes.
 func TestMeasureDocumentListing(t *testing.T) {
 	c := requireMeasure(t)
 	srv := standin.New(standin.Options{})
--- a/internal/capacity/election_spread_test.go
+++ b/internal/capacity/election_spread_test.go
@@ -12,8 +12,8 @@
 	"github.com/eelgrasshub/eelgrasshub/entry"
 )
 
-// TestMeasureElectionSpread shows how many duties each of four entries holds, from their
-// start on, and what their moves cost the store.
+// TestMeasureElectionSpread measures how the planner leaderships spread over four entries after
+// their start, and the store calls that this costs.
 func TestMeasureElectionSpread(t *testing.T) {
 	requireMeasure(t)
 	for _, late := range []bool{false, true} {
@@ -23,8 +23,8 @@
 	}
 }
 
-// measureElectionSpread starts the entries together, or three of them late: when the first
-// holds all duties.
+// measureElectionSpread starts the entries together or, with late, three of them after the first
+// leads all elections.
 func measureElectionSpread(c *qt.C, n int, late bool) {
 	s := newTestRegion(c, services(n)...)
 	var entries []*entry.Entry
@@ -48,7 +48,7 @@
 	}
 }
 
-// countLeaderships counts the duties of each entry.
+// countLeaderships returns the number of planner leaderships of each entry.
 func countLeaderships(c *qt.C, entries []*entry.Entry) []int {
 	var counts []int
 	for _, e := range entries {
--- a/internal/capacity/entry_test.go
+++ b/internal/capacity/entry_test.go
@@ -10,15 +10,15 @@
 
 const settleTime = 2 * time.Second
 
-// TestMeasureEntry gives an entry's memory, processor time and traffic with n
-// agents that report every so often, with and without a changing load.
+// TestMeasureEntry measures the memory, processor time and traffic of an entry by the number of
+// agents and their report period, with constant and changing loads.
 func TestMeasureEntry(t *testing.T) {
 	requireMeasure(t)
 	for _, n := range []int{100, 300, 1000} {
 		for _, every := range []time.Duration{time.Second, 5 * time.Second, 10 * time.Second} {
 			for _, loads := range []bool{false, true} {
 				if !loads && every > time.Second {
-					continue // what the load adds is seen at one second
+					continue // the effect of changing loads is measured at one second
 				}
 				t.Run(fmt.Sprintf("agents=%d/every=%v/loads=%v", n, every, loads), func(t *testing.T) {
 					measureEntry(qt.New(t), n, 1, every, loads)
@@ -28,8 +28,7 @@
 	}
 }
 
-// TestMeasureEntryServices is the same for many services, whose documents all
-// agents hear of.
+// TestMeasureEntryServices is like TestMeasureEntry for many services.
 func TestMeasureEntryServices(t *testing.T) {
 	requireMeasure(t)
 	for _, n := range []int{1, 10, 94} {
@@ -56,7 +55,7 @@
 		return known == n
 	})
 	known := time.Since(began)
-	time.Sleep(3*settleTime + 3*reportPeriod) // path MTU discovery ends
+	time.Sleep(3*settleTime + 3*reportPeriod) // until path MTU discovery has ended
 	before := p.usage()
 	bytes := func() int64 { return f.Traffic.SentBytes.Load() + f.Traffic.ReceivedBytes.Load() }
 	b, reports := bytes(), f.Reports.Load()
@@ -73,8 +72,8 @@
 		float64(b)/float64(n)/span.Seconds(), float64(b)/float64(max(1, reports)), known.Round(time.Millisecond), 100*(empty.ProcessorTimeSince(start)).Seconds()/settleTime.Seconds(), loadAverage())
 }
 
-// TestMeasureOtherServiceChanges gives the traffic of agents whose own documents do not change
-// while those of another service do.
+// TestMeasureOtherServiceChanges measures the traffic of agents while the document of another
+// service changes.
 func TestMeasureOtherServiceChanges(t *testing.T) {
 	requireMeasure(t)
 	for _, n := range []int{2, 94} {
@@ -107,7 +106,8 @@
 	}
 }
 
-// TestMeasureMassReconnect lets all agents of an availability zone return at once.
+// TestMeasureMassReconnect measures how an entry admits all agents of an availability zone at
+// once.
 func TestMeasureMassReconnect(t *testing.T) {
 	requireMeasure(t)
 	for _, n := range []int{100, 300, 900} {
@@ -142,8 +142,8 @@
 	}
 }
 
-// TestMeasureDocumentDistribution gives the time from an accepted put to the generation in
-// force at each agent, and the traffic that it costs.
+// TestMeasureDocumentDistribution measures the time from a document change until each agent
+// applies it, and the traffic.
 func TestMeasureDocumentDistribution(t *testing.T) {
 	requireMeasure(t)
 	for _, n := range []int{100, 300, 1000} {
@@ -184,7 +184,7 @@
 	}
 }
 
-// callIncrease returns the calls by cause since before, divided by n.
+// callIncrease formats the calls made since before, by kind and key, divided by n.
 func callIncrease(now, before map[string]int, n float64) string {
 	out := make(map[string]string)
 	for cause, calls := range now {
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -13,14 +13,12 @@
 	loopback   = "127.0.0.1:0"
 )
 
-// Fleet is many stand-in agents of one entry. Its methods are safe for
-// concurrent use.
+// Fleet is a group of stand-in agents of one entry. Its methods are safe for concurrent use.
 type Fleet struct {
 	Traffic Traffic
-	// Reports counts answered reports, Failed those without an answer, Refused
-	// those that the entry refused. Admitted counts agents, by the first answer
-	// that did not refuse them.
-	// RelayReports counts reports answered by a relay.
+	// Reports counts answered reports, Failed those without an answer, Refused those that the
+	// entry refused and RelayReports those that a relay answered. Admitted counts agents that
+	// got a first answer without a refusal.
 	Reports, Failed, Refused, Admitted, RelayReports atomic.Int64
 
 	entry        string
@@ -30,18 +28,18 @@
 
 	mu        sync.Mutex
 	agents    []*standinAgent
-	appliedAt map[uint64][]time.Time // when a generation came in force, by agent
+	appliedAt map[uint64][]time.Time // times at which agents applied a generation
 }
 
-// NewFleet returns a fleet without agents. With loads, the load of each agent
-// changes between any two of its reports.
+// NewFleet returns a fleet without agents. With varyLoad, the load of each agent changes before
+// each of its reports.
 func NewFleet(entry string, reportPeriod time.Duration, varyLoad bool) *Fleet {
 	return &Fleet{entry: entry, reportPeriod: reportPeriod, varyLoad: varyLoad, appliedAt: make(map[uint64][]time.Time)}
 }
 
-// SetRackSize spreads the stand-ins over racks of n each, "rack-0" first. They report by
-// the relay that the entry names there, and are none themselves. Call it before
-// Add.
+// SetRackSize spreads the agents over racks of n, starting with "rack-0". They report through
+// the relay that the entry names for their rack, and do not act as relays. It must be called
+// before Add.
 func (f *Fleet) SetRackSize(n int) { f.rackSize = n }
 
 func (f *Fleet) rackName(i int) string {
@@ -51,7 +49,7 @@
 	return fmt.Sprint("rack-", i/f.rackSize)
 }
 
-// Add starts n agents at once, spread evenly over the services.
+// Add starts n agents, spread evenly over the services.
 func (f *Fleet) Add(n int, services ...string) error {
 	f.mu.Lock()
 	from := len(f.agents)
@@ -68,7 +66,7 @@
 	return nil
 }
 
-// Stop ends all agents at once; the fleet may be filled again.
+// Stop stops all agents concurrently. The fleet can be filled again.
 func (f *Fleet) Stop() {
 	f.mu.Lock()
 	agents := f.agents
@@ -87,7 +85,7 @@
 	f.appliedAt[generation] = append(f.appliedAt[generation], time.Now())
 }
 
-// AppliedAt returns when each agent that has it put a generation in force.
+// AppliedAt returns the times at which agents applied a generation, one for each that did.
 func (f *Fleet) AppliedAt(generation uint64) []time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/capacity/leadership_handover_test.go
+++ b/internal/capacity/leadership_handover_test.go
@@ -14,10 +14,8 @@
 	"github.com/eelgrasshub/eelgrasshub/jobs"
 )
 
-// TestMeasureLeadershipHandover has a gang of two members run in each of ten services while
-// an entry that came late is handed its share of the duties. It is the run that
-// shows that hand-overs disturb no gang; the wait before them is too long for a
-// test of each commit.
+// TestMeasureLeadershipHandover checks that no gang is disturbed when an entry that starts late
+// takes over some of the planner leaderships of ten services.
 func TestMeasureLeadershipHandover(t *testing.T) {
 	c := requireMeasure(t)
 	const n, run = 10, 45 * time.Second
--- a/internal/capacity/measure_test.go
+++ b/internal/capacity/measure_test.go
@@ -14,7 +14,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Figures for docs/CAPACITY.md, one test at a time:
+// Run one measurement of docs/CAPACITY.md at a time:
 //
 //	go test ./internal/capacity -run TestMeasureEntry/agents=300 -measure -v
 var measure = flag.Bool("measure", false, "run the measurements; each takes up to two minutes")
@@ -26,7 +26,8 @@
 	return qt.New(t)
 }
 
-// loadAverage belongs to each figure: other work shares the machine.
+// loadAverage returns the machine's load average, which is logged with each measurement, since
+// other processes may share the machine.
 func loadAverage() string {
 	raw, _ := os.ReadFile("/proc/loadavg")
 	fields := strings.Fields(string(raw))
@@ -50,7 +51,7 @@
 	return all[min(len(all)-1, int(q*float64(len(all))))].Round(time.Microsecond)
 }
 
-// documentText is a document of common size without a topology.
+// documentText returns a document with the given accounts, three classes and no topology.
 func documentText(service string, accounts int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "service = %q\nowner = \"Tests\"\n", service)
@@ -77,7 +78,7 @@
 	return []byte(b.String())
 }
 
-// eventually waits for what a measurement needs before it begins.
+// eventually waits until done returns true and returns the time that it took.
 func eventually(c *qt.C, what string, done func() bool) time.Duration {
 	c.Helper()
 	began := time.Now()
--- a/internal/capacity/membership_table_test.go
+++ b/internal/capacity/membership_table_test.go
@@ -9,9 +9,8 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// TestMeasureMembershipTable gives the membership table's cost of a report that changes
-// the load, as an entry configures it (published at once) and with a pause
-// between snapshots, and its memory.
+// TestMeasureMembershipTable measures the memory of the membership table and its processor time
+// for a report that changes the load, with snapshots published at once and with an interval.
 func TestMeasureMembershipTable(t *testing.T) {
 	c := requireMeasure(t)
 	for range 3 {
--- a/internal/capacity/planner_failover_test.go
+++ b/internal/capacity/planner_failover_test.go
@@ -14,8 +14,8 @@
 	"github.com/eelgrasshub/eelgrasshub/jobs"
 )
 
-// TestMeasurePlannerFailover kills the process that plans and gives the time until another
-// holds its duties, and until a job that comes at that moment has run.
+// TestMeasurePlannerFailover kills the planner's process and measures the time until another
+// entry leads its elections, and until a job submitted at that moment has run.
 func TestMeasurePlannerFailover(t *testing.T) {
 	requireMeasure(t)
 	for _, n := range []int{1, 94} {
--- a/internal/capacity/planner_takeover_test.go
+++ b/internal/capacity/planner_takeover_test.go
@@ -22,8 +22,8 @@
 
 var errNoAgent = errors.New("no such agent")
 
-// gangMembers are the gang members of many workers, whose tasks run until the
-// end of the measurement.
+// gangMembers holds the gang members of many workers, whose tasks run until the end of the
+// measurement.
 type gangMembers struct {
 	mu      sync.Mutex
 	members map[string]*gang.Member
@@ -39,7 +39,7 @@
 	return g
 }
 
-// SendGangMessage implements planner.Agents.
+// SendGangMessage implements planner.AgentClient.
 func (g *gangMembers) SendGangMessage(_ context.Context, agent string, msg gang.Message) (gang.Reply, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -72,8 +72,8 @@
 func (noRetention) Current(context.Context) (store.LeaseID, error) { return 0, nil }
 func (noRetention) Invalidate(store.LeaseID)                       {}
 
-// TestMeasureTakeover gives the time in which a successor has all jobs of its
-// predecessor, and what the planner costs when nothing changes.
+// TestMeasureTakeover measures how long a new planner takes to recover all jobs of its
+// predecessor, and the cost of a planner while nothing changes.
 func TestMeasureTakeover(t *testing.T) {
 	requireMeasure(t)
 	for _, n := range []int{100, 1000, 5000} {
@@ -144,7 +144,7 @@
 		const rounds = 20
 		for range rounds {
 			agents.reportAll(p)
-			p.Status(context.Background(), last) // all before it are done then
+			p.Status(context.Background(), last) // waits until the planner has handled the reports
 		}
 		reportProcessorTime := ReadUsage().ProcessorTimeSince(idleUsage)
 		c.Logf("%d jobs: a report of 8 tasks costs the planner %.1f us", n, float64(reportProcessorTime.Microseconds())/rounds/float64(len(agents.members)))
--- a/internal/capacity/process_test.go
+++ b/internal/capacity/process_test.go
@@ -17,13 +17,12 @@
 	"github.com/eelgrasshub/eelgrasshub/settings"
 )
 
-// A process under measurement is this test binary with its settings in the
-// environment, so that its usage is its own. It answers each line of input with
-// its usage and ends with its input.
+// A measured process is this test binary, started with its settings in the environment. It
+// answers each line of input with its usage and exits when its input ends.
 const (
 	entrySettingsEnv = "EELGRASSHUB_CAPACITY_ENTRY"
 	agentSettingsEnv = "EELGRASSHUB_CAPACITY_AGENT"
-	// profileEnv names the file for a processor profile of that process.
+	// profileEnv names the file for a CPU profile of the measured process.
 	profileEnv = "EELGRASSHUB_CAPACITY_PROFILE"
 
 	usagePrefix = "usage "
@@ -83,7 +82,7 @@
 	_ = p.cmd.Wait()
 }
 
-// TestProcess is the process under measurement; it measures nothing itself.
+// TestProcess runs the measured daemon in the child process.
 func TestProcess(t *testing.T) {
 	c := requireMeasure(t)
 	var addresses []string
--- a/internal/capacity/region_test.go
+++ b/internal/capacity/region_test.go
@@ -17,7 +17,7 @@
 	kvstandin "github.com/eelgrasshub/eelgrasshub/store/standin"
 )
 
-// testRegion is a store with documents, before which entries are put.
+// testRegion is a store with documents, for which entries and agents can be started.
 type testRegion struct {
 	*qt.C
 	server *kvstandin.Server
@@ -61,8 +61,8 @@
 	}
 }
 
-// countAlive counts the agents that the entry knows, and those of them that reported
-// the generation.
+// countAlive returns the number of live agents that the entry knows, and of those that reported
+// at least the generation.
 func (s *testRegion) countAlive(httpAddr string, generation uint64) (known, inForce int) {
 	status, err := api.NewClient("http://"+httpAddr, nil).Status(context.Background())
 	if err != nil {
--- a/internal/capacity/relays_test.go
+++ b/internal/capacity/relays_test.go
@@ -14,13 +14,12 @@
 	"github.com/eelgrasshub/eelgrasshub/settings"
 )
 
-// rackSize is the number of agents in a rack of the size to build for.
+// rackSize is the number of agents in a rack.
 const rackSize = 20
 
-// TestMeasureRacks gives what an entry costs whose agents report by relays: one
-// real agent and 19 stand-ins in each rack. It measures an entry that all agents
-// dialled at first, and one that is started while they run. The load of each agent
-// changes between any two reports.
+// TestMeasureRacks measures an entry whose agents report through relays: one real agent and 19
+// stand-ins in each rack. It measures an entry that all agents dialled at first, and one that
+// is restarted while they run. Loads change before each report.
 func TestMeasureRacks(t *testing.T) {
 	requireMeasure(t)
 	for _, n := range []int{200, 1000, 3400} {
@@ -43,7 +42,7 @@
 	c.Cleanup(f.Stop)
 	for range n / rackSize {
 		c.Assert(f.Add(rackSize-1, names...), qt.IsNil)
-		time.Sleep(100 * time.Millisecond) // handshakes stay below the admitted rate
+		time.Sleep(100 * time.Millisecond) // keeps handshakes below the admitted rate
 	}
 	allRelayed := func() bool { return s.countRelayed(p.addresses[1]) == n-n/rackSize }
 	eventually(c, "all report by relays", allRelayed)
@@ -58,7 +57,7 @@
 }
 
 func (s *testRegion) measureSteadyState(p *process, proxy *countingProxy, n int, reportPeriod time.Duration, what string) {
-	time.Sleep(3*settleTime + 2*reportPeriod) // connections that are not used any more are closed
+	time.Sleep(3*settleTime + 2*reportPeriod) // until unused connections are closed
 	const span = 24 * time.Second
 	bytes, before := proxy.bytes.Load(), p.usage()
 	time.Sleep(span)
@@ -70,8 +69,8 @@
 		float64(bytes)/float64(n)/span.Seconds(), float64(bytes)/1024/span.Seconds(), n-s.countRelayed(p.addresses[1]), loadAverage())
 }
 
-// entrySettingsWithRelays is the settings of an entry that names relays, behind a proxy
-// that counts bytes.
+// entrySettingsWithRelays returns the settings of an entry that names relays, and the proxy in
+// front of it that counts bytes.
 func (s *testRegion) entrySettingsWithRelays(reportPeriod time.Duration) (settings.Entry, *countingProxy) {
 	cfg := s.entrySettings("entry-1", reportPeriod)
 	cfg.QUICListen = testport.Capacity.FreeAddr()
@@ -81,14 +80,14 @@
 	return cfg, proxy
 }
 
-// rackAgentSettings is the settings of the real agent in a rack of the fleet.
+// rackAgentSettings returns the settings of the real agent in a rack of the fleet.
 func (s *testRegion) rackAgentSettings(i int, service, seed string, reportPeriod time.Duration) settings.Agent {
 	cfg := s.agentSettings(fmt.Sprintf("relay-%03d", i), service, seed, reportPeriod)
 	cfg.Rack = fmt.Sprint("rack-", i)
 	return cfg
 }
 
-// countRelayed counts the agents that the entry hears by a relay.
+// countRelayed returns the number of agents that report to the entry through a relay.
 func (s *testRegion) countRelayed(httpAddr string) int {
 	status, err := api.NewClient("http://"+httpAddr, nil).Status(context.Background())
 	if err != nil {
@@ -103,8 +102,7 @@
 	return relayed
 }
 
-// TestMeasureRelay gives what a relay costs the agent that is one: a real agent
-// with 19 stand-ins in its rack and one entry.
+// TestMeasureRelay measures a real agent that is the relay of 19 stand-ins in its rack.
 func TestMeasureRelay(t *testing.T) {
 	requireMeasure(t)
 	for _, every := range []time.Duration{time.Second, 10 * time.Second} {
--- a/internal/capacity/scheduler_test.go
+++ b/internal/capacity/scheduler_test.go
@@ -11,13 +11,12 @@
 	"github.com/eelgrasshub/eelgrasshub/scheduler"
 )
 
-// domainSize is the size of one scheduling domainSize.
 type domainSize struct {
 	workers, tasks, accounts int
 }
 
-// TestMeasureScheduler gives the time of decisions and the memory of a domain
-// that is filled with running tasks, and what the planner's housekeeping costs.
+// TestMeasureScheduler measures the time of scheduling decisions, and the memory, of a domain
+// filled with running tasks.
 func TestMeasureScheduler(t *testing.T) {
 	requireMeasure(t)
 	for _, d := range []domainSize{{180, 840, 1}, {3400, 15800, 94}, {17000, 79000, 94}} {
@@ -29,7 +28,9 @@
 	}
 }
 
-// acceleratorsOf gives 42 for 17 workers, in racks of 10.
+// acceleratorsOf returns the number of accelerators of a worker. Racks have 10 workers; of each
+// 17 racks, three have workers with 8 accelerators, three with 4, three with 2 and eight with
+// none.
 func acceleratorsOf(worker int) int {
 	switch rack := worker / 10 % 17; {
 	case rack >= 14:
@@ -42,7 +43,7 @@
 	return 0
 }
 
-// filledScheduler is a scheduler whose gangs run.
+// filledScheduler is a scheduler filled with running gangs.
 type filledScheduler struct {
 	scheduler *scheduler.Scheduler
 	now       time.Time
@@ -78,7 +79,7 @@
 	}}})
 }
 
-// endJob ends a running job with success.
+// endJob ends a running job successfully.
 func (f *filledScheduler) endJob(k int) time.Duration {
 	a := f.running[k]
 	f.running[k] = f.running[len(f.running)-1]
@@ -86,7 +87,7 @@
 	return f.step(scheduler.GangEnded{Job: a.Job, Attempt: a.Attempt, Outcome: scheduler.Done})
 }
 
-// cancelWaiting withdraws every job that does not run.
+// cancelWaiting cancels every job that is not running.
 func (f *filledScheduler) cancelWaiting() {
 	isRunning := make(map[scheduler.JobID]bool, len(f.running))
 	for _, a := range f.running {
--- a/internal/capacity/standin_agent.go
+++ b/internal/capacity/standin_agent.go
@@ -21,9 +21,9 @@
 	reportCoalesce = 20 * time.Millisecond
 )
 
-// standinAgent is a stand-in of an agent: the transport, the reporter and the documents
-// are the real ones, quick requests and gangs are left out. It reports to one
-// entry, by itself or by the relay that the entry names, and is no relay.
+// standinAgent is an agent without quick requests and gangs. Its transport, reporting and
+// documents are the real ones. It reports to one entry, directly or through the relay that the
+// entry names, and does not act as a relay.
 type standinAgent struct {
 	fleet    *Fleet
 	tomb     tomb.Tomb
@@ -131,14 +131,14 @@
 	due := a.router.Due(now, a.fleet.entry)
 	if a.router.ConnectionIdle(now, a.fleet.entry) {
 		a.tomb.Go(func() error {
-			_ = a.pool.Drain(a.tomb.Context(context.Background()), a.fleet.entry) // the stand-in ends
+			_ = a.pool.Drain(a.tomb.Context(context.Background()), a.fleet.entry) // fails only when the stand-in stops
 			return nil
 		})
 	}
 	return due.Sub(now)
 }
 
-// varyLoad changes the varyLoad, where the fleet's does.
+// varyLoad changes the reported load if the fleet is configured so.
 func (a *standinAgent) varyLoad() {
 	if a.fleet.varyLoad {
 		a.updateState(func(s *wire.AgentReport) { s.Load.Queued++ })
@@ -182,7 +182,7 @@
 	now := time.Now()
 	due, ok := a.router.RelayDue(now)
 	if !ok {
-		return time.Minute // report wakes
+		return time.Minute // report wakes this loop after each answer
 	}
 	return due.Sub(now)
 }
--- a/internal/capacity/store_test.go
+++ b/internal/capacity/store_test.go
@@ -20,8 +20,7 @@
 	"github.com/eelgrasshub/eelgrasshub/target/standin"
 )
 
-// TestMeasureIdleStore counts the calls of a region in which nothing happens,
-// and those of a change of a document.
+// TestMeasureIdleStore counts the store calls of an idle region, and those of a document change.
 func TestMeasureIdleStore(t *testing.T) {
 	requireMeasure(t)
 	for _, entries := range []int{1, 2, 4} {
@@ -59,7 +58,7 @@
 	c.Logf("%d entries, %d services: a change of a document %s, its watches included", entries, n, callIncrease(s.calls.Calls(), idleCalls, 10))
 }
 
-// agentSettings is a target stand-in and the settings of the agent beside it.
+// agentSettings starts a stand-in target and returns the settings of an agent for it.
 func (s *testRegion) agentSettings(id, service, seed string, reportPeriod time.Duration) settings.Agent {
 	target := standin.New(standin.Options{Name: id, Accelerators: 8, ServiceTime: time.Millisecond})
 	server := httptest.NewServer(target)
@@ -75,7 +74,8 @@
 	}
 }
 
-// startRegionWithAgents starts an entry with 8 agents.
+// startRegionWithAgents starts an entry with 8 agents, and waits until it is ready. It returns
+// the region, the entry, its client and the service.
 func startRegionWithAgents(c *qt.C) (*testRegion, *entry.Entry, *api.Client, string) {
 	names := services(1)
 	s := newTestRegion(c, names...)
@@ -95,8 +95,8 @@
 	return s, e, client, names[0]
 }
 
-// TestMeasureKeyedRequests counts the calls of requests with an idempotency key
-// that must not run twice.
+// TestMeasureKeyedRequests counts the store calls of non-repeatable requests with an idempotency
+// key.
 func TestMeasureKeyedRequests(t *testing.T) {
 	s, _, client, service := startRegionWithAgents(requireMeasure(t))
 	c := s.C
@@ -133,8 +133,8 @@
 	}
 }
 
-// TestMeasureJobs counts the calls of jobs from acceptance to end, and gives the
-// time that a gang of 16 needs for it when nothing is in its way.
+// TestMeasureJobs measures how long a gang of 16 takes from submission to its end on an idle
+// region, and counts the store calls of jobs.
 func TestMeasureJobs(t *testing.T) {
 	s, e, client, service := startRegionWithAgents(requireMeasure(t))
 	c := s.C
@@ -155,7 +155,7 @@
 			wg.Go(func() { s.submitJob(client, service, fmt.Sprintf("job-%d-%d", n, i), 1, time.Second) })
 		}
 		wg.Wait()
-		time.Sleep(settleTime) // longer than the jobs run
+		time.Sleep(settleTime) // longer than the jobs' run time
 		eventually(c, "jobs end", func() bool {
 			p, ok := e.Stats(service)
 			running := 0
--- a/internal/capacity/traffic.go
+++ b/internal/capacity/traffic.go
@@ -8,14 +8,14 @@
 // headerBytes is the size of the IPv4 and UDP headers of a packet.
 const headerBytes = 20 + 8
 
-// Traffic counts the packets of many sockets, headers included. It is safe for
-// concurrent use.
+// Traffic counts the packets and bytes of its sockets, including IP and UDP headers. It is safe
+// for concurrent use.
 type Traffic struct {
 	Sent, SentBytes, Received, ReceivedBytes atomic.Int64
 }
 
-// Listen opens a UDP socket whose packets are counted. It hides the socket's
-// batch calls from QUIC, which would bypass the counter.
+// Listen opens a UDP socket whose packets are counted. The returned type hides the batch calls
+// of the socket, with which QUIC would bypass the counter.
 func (t *Traffic) Listen(_, addr string) (net.PacketConn, error) {
 	local, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
@@ -50,12 +50,12 @@
 	return c.PacketConn.WriteTo(b, to)
 }
 
-// SetReadBuffer implements the interface that QUIC looks for.
+// SetReadBuffer implements an optional interface of quic-go.
 func (c *countedSocket) SetReadBuffer(n int) error {
 	return c.PacketConn.(*net.UDPConn).SetReadBuffer(n)
 }
 
-// SetWriteBuffer is as SetReadBuffer.
+// SetWriteBuffer implements an optional interface of quic-go.
 func (c *countedSocket) SetWriteBuffer(n int) error {
 	return c.PacketConn.(*net.UDPConn).SetWriteBuffer(n)
 }
--- a/internal/capacity/usage.go
+++ b/internal/capacity/usage.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// Usage is what this process has used so far.
+// Usage holds the resources that this process has used so far.
 type Usage struct {
-	Processor  time.Duration // user and system
-	Reading    time.Duration // of it, spent by reading this
-	Heap       uint64        // live bytes
+	Processor  time.Duration // user and system time
+	Reading    time.Duration // processor time spent on ReadUsage itself
+	Heap       uint64        // bytes in live objects
 	Stacks     uint64        // bytes
 	Resident   uint64        // bytes
 	Goroutines int
 }
 
-// ReadUsage reads the usage after two collections. Their processor time is in
-// Reading, and not yet in Processor.
+// ReadUsage reads the usage after two garbage collections, whose processor time counts as
+// Reading and not as Processor.
 func ReadUsage() Usage {
 	u := Usage{Processor: ProcessorTime(), Goroutines: runtime.NumGoroutine()}
 	runtime.GC()
@@ -32,13 +32,13 @@
 	return u
 }
 
-// ProcessorTimeSince returns the processor time used between two readings, without the
-// reading itself.
+// ProcessorTimeSince returns the processor time used between two readings, without that of the
+// first reading itself.
 func (u Usage) ProcessorTimeSince(before Usage) time.Duration {
 	return u.Processor - before.Processor - before.Reading
 }
 
-// ProcessorTime returns the process's processor time, user and system.
+// ProcessorTime returns the user and system time of this process, or 0 on an error.
 func ProcessorTime() time.Duration {
 	var r syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &r); err != nil {
@@ -47,7 +47,7 @@
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
 }
 
-// residentBytes returns 0 where the system does not tell.
+// residentBytes returns the resident set size, or 0 if the system does not provide it.
 func residentBytes() uint64 {
 	raw, err := os.ReadFile("/proc/self/statm")
 	fields := bytes.Fields(raw)
--- a/internal/relay/direction.go
+++ b/internal/relay/direction.go
@@ -1,14 +1,14 @@
 package relay
 
-// Direction says which way a datagram goes.
+// Direction is the direction of a datagram.
 type Direction int
 
-// Directions of a flow.
+// Valid values of Direction.
 const (
-	ToUpstream   Direction = iota // to the upstream
-	FromUpstream                  // back from it
+	ToUpstream   Direction = iota // towards the upstream
+	FromUpstream                  // from the upstream to the source
 	directionCount
 )
 
-// BothDirections are all directions.
+// BothDirections lists both directions.
 var BothDirections = []Direction{ToUpstream, FromUpstream}
--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -1,6 +1,4 @@
-// Package relay stands in for a device between two ends of UDP that keeps track
-// of flows. It forwards datagrams to one upstream address, and can lose the flows
-// that it knows, for good and in one direction or both, while new ones work.
-//
-// It is for tests and trials.
+// Package relay is a UDP relay for tests and trials. It stands in for a network device that
+// tracks flows: it forwards datagrams to one upstream address and can silently drop the flows
+// that it knows, in one or both directions, while new flows work.
 package relay
--- a/internal/relay/flow.go
+++ b/internal/relay/flow.go
@@ -5,13 +5,14 @@
 	"sync/atomic"
 )
 
-// flow is one source address and its own socket towards the upstream.
+// flow holds the socket that forwards the datagrams of one source address to the upstream.
 type flow struct {
 	upstream *net.UDPConn
 	dropped  [directionCount]atomic.Bool
 }
 
-// drop makes the flow drop what goes these ways, and says whether that is new.
+// drop makes the flow drop all datagrams of the directions, and reports whether any of them was
+// not dropped before.
 func (f *flow) drop(directions []Direction) bool {
 	changed := false
 	for _, d := range directions {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -8,10 +8,10 @@
 	"sync/atomic"
 )
 
-// maxDatagramSize is larger than any that QUIC sends on loopback.
+// maxDatagramSize exceeds the size of any datagram that QUIC sends on loopback.
 const maxDatagramSize = 64 << 10
 
-// Relay is a running relay. It is safe for concurrent use.
+// Relay forwards datagrams between sources and one upstream. It is safe for concurrent use.
 type Relay struct {
 	socket  *net.UDPConn
 	wg      sync.WaitGroup
@@ -19,12 +19,12 @@
 	dropped [directionCount]atomic.Int64
 
 	mu       sync.Mutex
-	upstream *net.UDPAddr // nil: nobody is there
+	upstream *net.UDPAddr // nil: new flows are dropped
 	flows    map[netip.AddrPort]*flow
 	closed   bool
 }
 
-// New returns a running relay without an upstream. Close ends it.
+// New returns a running relay without an upstream. Close stops it.
 func New() (*Relay, error) {
 	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -35,10 +35,11 @@
 	return r, nil
 }
 
-// Addr is where the relay receives.
+// Addr returns the address on which the relay receives.
 func (r *Relay) Addr() string { return r.socket.LocalAddr().String() }
 
-// SetUpstream directs new flows to addr, or nowhere when it is empty.
+// SetUpstream sets the address to which new flows are forwarded. If addr is empty, they are
+// dropped.
 func (r *Relay) SetUpstream(addr string) error {
 	var upstream *net.UDPAddr
 	if addr != "" {
@@ -53,8 +54,8 @@
 	return nil
 }
 
-// DropFlows makes every flow known so far lose for good what goes these ways. Neither
-// end is told. It returns how many flows this changed.
+// DropFlows drops, for good and without notice to either end, all further datagrams of the
+// flows known so far in these directions. It returns the number of flows that this changed.
 func (r *Relay) DropFlows(directions ...Direction) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -67,15 +68,16 @@
 	return changed
 }
 
-// BlockDirection loses all that goes this way, of new flows too, until it is set back.
+// BlockDirection drops all datagrams of a direction, those of new flows included, until it is
+// called with false.
 func (r *Relay) BlockDirection(direction Direction, blocked bool) {
 	r.blocked[direction].Store(blocked)
 }
 
-// Dropped counts the datagrams that were lost on this way.
+// Dropped returns the number of datagrams dropped in a direction by DropFlows or BlockDirection.
 func (r *Relay) Dropped(direction Direction) int64 { return r.dropped[direction].Load() }
 
-// Close ends the relay and all of its flows.
+// Close stops the relay and all of its flows.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.closed = true
@@ -95,13 +97,13 @@
 			return
 		}
 		if f := r.flowFor(from); f != nil && r.shouldForward(f, ToUpstream) {
-			_, _ = f.upstream.Write(buf[:n]) // a lost datagram is what UDP allows
+			_, _ = f.upstream.Write(buf[:n]) // UDP may lose datagrams
 		}
 	}
 }
 
-// shouldForward says whether a datagram of the flow gets through, and counts one that
-// doesn't.
+// shouldForward reports whether a datagram of the flow is to be forwarded, and counts it as
+// dropped if not.
 func (r *Relay) shouldForward(f *flow, direction Direction) bool {
 	if !f.dropped[direction].Load() && !r.blocked[direction].Load() {
 		return true
@@ -129,8 +131,8 @@
 	return f
 }
 
-// forwardFromUpstream forwards from the upstream until the flow's socket is closed. Other errors
-// are news of an upstream that is gone, which nobody hears here.
+// forwardFromUpstream forwards datagrams from the upstream until the flow's socket is closed.
+// It ignores other errors, such as those of an upstream that is gone.
 func (r *Relay) forwardFromUpstream(f *flow, to netip.AddrPort) {
 	buf := make([]byte, maxDatagramSize)
 	for {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -8,10 +8,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// waitTimeout is a generous bound of every wait.
+// waitTimeout bounds each wait of a test.
 const waitTimeout = 20 * time.Second
 
-// echoServer answers each datagram with itself.
+// echoServer starts a server that echoes each datagram, and returns its address.
 func echoServer(c *qt.C) string {
 	socket, err := net.ListenPacket("udp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
--- a/internal/rotation/rotation.go
+++ b/internal/rotation/rotation.go
@@ -1,14 +1,14 @@
-// Package rotation chooses a few of many in turn.
+// Package rotation selects a few items of a list at a time, in rotation.
 package rotation
 
 import "slices"
 
-// Selector is where the next choice begins. The zero value begins with the first. It is not safe
-// for concurrent use.
+// Selector remembers where the next selection starts. The zero value starts at the first item.
+// It is not safe for concurrent use.
 type Selector struct{ next int }
 
-// Next returns at most most of all, from where the last call ended, so that calls in a row
-// cover all of a list that stays as it is. The result is the caller's own.
+// Next returns at most n items of all, starting after those of the previous call, so that
+// successive calls cover all of an unchanged list. The caller owns the result.
 func (s *Selector) Next(all []string, n int) []string {
 	if len(all) <= n {
 		return slices.Clone(all)
--- a/internal/testport/testport.go
+++ b/internal/testport/testport.go
@@ -1,10 +1,9 @@
-// Package testport finds loopback addresses for test processes that are told where to
-// listen before they start.
+// Package testport finds free loopback addresses for test processes that must know their
+// listen address before they start.
 //
-// A port that the kernel gave out and that was closed again may be given to any socket
-// until its owner-to-be binds it; tests that open many connections beside each other did
-// meet that. So ports come from below the kernel's own range, each caller has a range of
-// its own, and none is handed out twice by a process.
+// The kernel may hand out a port that was just closed to any other socket before the test
+// process binds it. So the ports lie below the kernel's ephemeral range, each package has a
+// range of its own, and a port is reused only after the whole range was handed out.
 package testport
 
 import (
@@ -14,14 +13,14 @@
 	"sync"
 )
 
-// Range is the ports from From up to To, which must lie below 32768, where the kernel's
-// own choice begins.
+// Range holds the ports from From up to, but not including, To. To must be at most 32768, where
+// the kernel's ephemeral range starts.
 type Range struct {
 	From, To int
 }
 
-// Ranges of the packages that need ports. They are disjoint, since packages are tested at
-// the same time.
+// Ranges of the packages that need ports. They are disjoint, since packages are tested in
+// parallel.
 var (
 	Scripts  = Range{10_000, 20_000}
 	Platform = Range{20_000, 30_000}
@@ -34,8 +33,8 @@
 	next = map[Range]int{}
 )
 
-// FreeAddr returns an address on loopback whose port is free for TCP and UDP, and that this
-// process was not given before. It panics where the whole range is taken.
+// FreeAddr returns a loopback address whose port is free for TCP and UDP. It goes through the
+// range in order from a random start, and panics if no port is free.
 func (r Range) FreeAddr() string {
 	mu.Lock()
 	defer mu.Unlock()
