--- a/internal/capacity/agent_test.go
+++ b/internal/capacity/agent_test.go
@@ -89,31 +89,31 @@
 
 func measureAgent(c *qt.C, reportPeriod time.Duration) {
 	names := services(1)
-	s := newTestRegion(c, names...)
-	cfg := s.entrySettings("entry-1", reportPeriod)
+	region := newTestRegion(c, names...)
+	cfg := region.entrySettings("entry-1", reportPeriod)
 	cfg.QUICListen = testport.Capacity.FreeAddr()
-	r := newCountingProxy(c, cfg.QUICListen)
-	cfg.Advertise = r.socket.LocalAddr().String()
+	proxy := newCountingProxy(c, cfg.QUICListen)
+	cfg.Advertise = proxy.socket.LocalAddr().String()
 	e, err := entry.Start(cfg, discardLogger())
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(e.Close)
-	other, err := agent.Start(s.agentSettings("worker-2", names[0], cfg.Advertise, reportPeriod), discardLogger())
+	other, err := agent.Start(region.agentSettings("worker-2", names[0], cfg.Advertise, reportPeriod), discardLogger())
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(other.Close)
-	p := startProcess(c, agentSettingsEnv, s.agentSettings("worker-1", names[0], cfg.Advertise, reportPeriod))
-	eventually(c, "both known", func() bool { known, inForce := s.countAlive(e.HTTPAddr(), 1); return known == 2 && inForce == 2 })
+	p := startProcess(c, agentSettingsEnv, region.agentSettings("worker-1", names[0], cfg.Advertise, reportPeriod))
+	eventually(c, "both known", func() bool { known, inForce := region.countAlive(e.HTTPAddr(), 1); return known == 2 && inForce == 2 })
 	client := api.NewClient("http://"+e.HTTPAddr(), nil)
 	measureUsage := func(what string) {
 		time.Sleep(2 * settleTime)
 		const span = 10 * time.Second
-		bytes, before := r.bytes.Load(), p.usage()
+		bytes, before := proxy.bytes.Load(), p.usage()
 		time.Sleep(span)
-		bytes, after := r.bytes.Load()-bytes, p.usage()
+		bytes, after := proxy.bytes.Load()-bytes, p.usage()
 		c.Logf("agent, report every %v, %s: processor %.2f%% of a core, heap %d KB stacks %d KB resident %d KB goroutines %d, %.0f B/s both ways | load %s",
 			reportPeriod, what, 100*after.ProcessorTimeSince(before).Seconds()/span.Seconds(), after.Heap>>10, after.Stacks>>10, after.Resident>>10, after.Goroutines, float64(bytes)/2/span.Seconds(), loadAverage())
 	}
 	measureUsage("idle")
-	gangJob := s.submitJob(client, names[0], "gang", 16, 18*time.Second)
+	gangJob := region.submitJob(client, names[0], "gang", 16, 18*time.Second)
 	measureUsage("one of two members of a gang of 16 runs")
 	time.Sleep(8 * time.Second)
 	status, err := client.GetJob(context.Background(), names[0], gangJob, 0)
@@ -122,7 +122,7 @@
 	_, err = client.CancelJob(context.Background(), names[0], gangJob)
 	c.Assert(err, qt.IsNil)
 	for i := range 16 {
-		s.submitJob(client, names[0], fmt.Sprint("small-", i), 1, time.Minute)
+		region.submitJob(client, names[0], fmt.Sprint("small-", i), 1, time.Minute)
 	}
 	measureUsage("8 tasks of one member run")
 }
--- a/internal/capacity/election_spread_test.go
+++ b/internal/capacity/election_spread_test.go
@@ -26,10 +26,10 @@
 // measureElectionSpread starts the entries together or, with late, three of them after the first
 // leads all elections.
 func measureElectionSpread(c *qt.C, n int, late bool) {
-	s := newTestRegion(c, services(n)...)
+	region := newTestRegion(c, services(n)...)
 	var entries []*entry.Entry
 	for i := range 4 {
-		e, err := entry.Start(s.entrySettings(fmt.Sprint("entry-", i), time.Second), discardLogger())
+		e, err := entry.Start(region.entrySettings(fmt.Sprint("entry-", i), time.Second), discardLogger())
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(e.Close)
 		entries = append(entries, e)
@@ -38,10 +38,10 @@
 		}
 	}
 	began := time.Now()
-	calls := s.calls.Calls()
+	calls := region.calls.Calls()
 	for range 8 {
 		time.Sleep(10 * time.Second)
-		now := s.calls.Calls()
+		now := region.calls.Calls()
 		c.Logf("%d services, three late: %v, %v after the last start: duties held %v; calls a second %s | load %s",
 			n, late, time.Since(began).Round(time.Second), countLeaderships(c, entries), callIncrease(now, calls, 10), loadAverage())
 		calls = now
--- a/internal/capacity/entry_test.go
+++ b/internal/capacity/entry_test.go
@@ -40,8 +40,8 @@
 
 func measureEntry(c *qt.C, n, serviceCount int, reportPeriod time.Duration, varyLoad bool) {
 	names := services(serviceCount)
-	s := newTestRegion(c, names...)
-	p := startProcess(c, entrySettingsEnv, s.entrySettings("entry-1", reportPeriod))
+	region := newTestRegion(c, names...)
+	p := startProcess(c, entrySettingsEnv, region.entrySettings("entry-1", reportPeriod))
 	time.Sleep(settleTime)
 	start := p.usage()
 	time.Sleep(settleTime)
@@ -51,7 +51,7 @@
 	began := time.Now()
 	c.Assert(f.Add(n, names...), qt.IsNil)
 	eventually(c, "all agents known", func() bool {
-		known, _ := s.countAlive(p.addresses[1], 1)
+		known, _ := region.countAlive(p.addresses[1], 1)
 		return known == n
 	})
 	known := time.Since(began)
@@ -84,19 +84,19 @@
 func measureOtherServiceChanges(c *qt.C, serviceCount int) {
 	const n, every, span = 100, time.Second, 10
 	names := services(serviceCount)
-	s := newTestRegion(c, names...)
-	p := startProcess(c, entrySettingsEnv, s.entrySettings("entry-1", every))
+	region := newTestRegion(c, names...)
+	p := startProcess(c, entrySettingsEnv, region.entrySettings("entry-1", every))
 	f := NewFleet(p.addresses[0], every, false)
 	c.Cleanup(f.Stop)
 	c.Assert(f.Add(n, names[0]), qt.IsNil)
-	eventually(c, "all agents in force", func() bool { _, inForce := s.countAlive(p.addresses[1], 1); return inForce == n })
+	eventually(c, "all agents in force", func() bool { _, inForce := region.countAlive(p.addresses[1], 1); return inForce == n })
 	time.Sleep(5 * settleTime)
 	traffic := func() int64 { return f.Traffic.SentBytes.Load() + f.Traffic.ReceivedBytes.Load() }
 	for _, changes := range []bool{false, true} {
 		bytes, reports, before := traffic(), f.Reports.Load(), p.usage()
 		for i := range span {
 			if changes {
-				s.putDocument(names[1], uint64(i+1))
+				region.putDocument(names[1], uint64(i+1))
 			}
 			time.Sleep(time.Second)
 		}
@@ -118,8 +118,8 @@
 func measureMassReconnect(c *qt.C, n int) {
 	const every = 10 * time.Second
 	names := services(1)
-	s := newTestRegion(c, names...)
-	p := startProcess(c, entrySettingsEnv, s.entrySettings("entry-1", every))
+	region := newTestRegion(c, names...)
+	p := startProcess(c, entrySettingsEnv, region.entrySettings("entry-1", every))
 	time.Sleep(settleTime)
 	f := NewFleet(p.addresses[0], every, false)
 	c.Cleanup(f.Stop)
@@ -154,25 +154,25 @@
 func measureDocumentDistribution(c *qt.C, n int) {
 	const every = 10 * time.Second
 	names := services(1)
-	s := newTestRegion(c, names...)
-	p := startProcess(c, entrySettingsEnv, s.entrySettings("entry-1", every))
+	region := newTestRegion(c, names...)
+	p := startProcess(c, entrySettingsEnv, region.entrySettings("entry-1", every))
 	f := NewFleet(p.addresses[0], every, false)
 	c.Cleanup(f.Stop)
 	c.Assert(f.Add(n, names...), qt.IsNil)
 	eventually(c, "all agents in force", func() bool {
-		known, inForce := s.countAlive(p.addresses[1], 1)
+		known, inForce := region.countAlive(p.addresses[1], 1)
 		return known == n && inForce == n
 	})
 	time.Sleep(settleTime)
 	for generation := uint64(1); generation < 6; generation++ {
 		bytes := f.Traffic.SentBytes.Load() + f.Traffic.ReceivedBytes.Load()
 		before := p.usage()
-		calls := s.calls.Calls()
+		calls := region.calls.Calls()
 		began := time.Now()
-		v := s.putDocument(names[0], generation)
+		v := region.putDocument(names[0], generation)
 		accepted := time.Since(began)
 		eventually(c, "in force", func() bool { return len(f.AppliedAt(v.Generation)) == n })
-		reported := eventually(c, "reported", func() bool { _, inForce := s.countAlive(p.addresses[1], v.Generation); return inForce == n })
+		reported := eventually(c, "reported", func() bool { _, inForce := region.countAlive(p.addresses[1], v.Generation); return inForce == n })
 		after := p.usage()
 		var applyTimes []time.Duration
 		for _, at := range f.AppliedAt(v.Generation) {
@@ -180,7 +180,7 @@
 		}
 		c.Logf("%d agents, document of %d bytes: accepted after %v, in force p50 %v p99 %v max %v, all reported %v later | entry's processor %v, %.1f KB an agent both ways | calls %v | load %s",
 			n, len(v.TOML), accepted.Round(time.Microsecond), quantile(applyTimes, 0.5), quantile(applyTimes, 0.99), quantile(applyTimes, 1), reported.Round(time.Millisecond),
-			after.ProcessorTimeSince(before).Round(time.Millisecond), float64(f.Traffic.SentBytes.Load()+f.Traffic.ReceivedBytes.Load()-bytes)/1024/float64(n), callIncrease(s.calls.Calls(), calls, 1), loadAverage())
+			after.ProcessorTimeSince(before).Round(time.Millisecond), float64(f.Traffic.SentBytes.Load()+f.Traffic.ReceivedBytes.Load()-bytes)/1024/float64(n), callIncrease(region.calls.Calls(), calls, 1), loadAverage())
 	}
 }
 
--- a/internal/capacity/region_test.go
+++ b/internal/capacity/region_test.go
@@ -27,43 +27,43 @@
 }
 
 func newTestRegion(c *qt.C, services ...string) *testRegion {
-	s := &testRegion{C: c, server: kvstandin.New(kvstandin.Options{})}
-	s.calls = NewCallCounter(s.server)
-	httpServer := httptest.NewServer(s.calls)
-	s.url = httpServer.URL
-	s.client = store.NewClient(store.Options{Endpoints: []string{s.url}, CallTimeout: 10 * time.Second, RateLimit: 1e6, Burst: 1e6})
+	r := &testRegion{C: c, server: kvstandin.New(kvstandin.Options{})}
+	r.calls = NewCallCounter(r.server)
+	httpServer := httptest.NewServer(r.calls)
+	r.url = httpServer.URL
+	r.client = store.NewClient(store.Options{Endpoints: []string{r.url}, CallTimeout: 10 * time.Second, RateLimit: 1e6, Burst: 1e6})
 	c.Cleanup(func() {
-		s.client.Close()
-		s.server.Close()
+		r.client.Close()
+		r.server.Close()
 		httpServer.CloseClientConnections()
 		httpServer.Close()
 	})
 	for _, name := range services {
-		s.putDocument(name, 0)
+		r.putDocument(name, 0)
 	}
-	return s
+	return r
 }
 
-func (s *testRegion) putDocument(service string, base uint64) document.Version {
+func (r *testRegion) putDocument(service string, base uint64) document.Version {
 	text := append(documentText(service, 4), fmt.Sprintf("# after generation %d\n", base)...)
-	v, err := document.Put(context.Background(), s.client, document.Proposal{
+	v, err := document.Put(context.Background(), r.client, document.Proposal{
 		FileName: service, TOML: text, BaseGeneration: base, Author: "t", Token: uuid.NewString(), CreatedAt: time.Now(),
 	})
-	s.Assert(err, qt.IsNil)
+	r.Assert(err, qt.IsNil)
 	return v
 }
 
-func (s *testRegion) entrySettings(id string, reportPeriod time.Duration) settings.Entry {
+func (r *testRegion) entrySettings(id string, reportPeriod time.Duration) settings.Entry {
 	return settings.Entry{
 		ID: id, Region: region, Zone: "z1", HTTPListen: loopback, QUICListen: loopback, ClusterKey: clusterKey,
-		StoreURLs: []string{s.url}, StoreTimeout: schema.Duration{Duration: 2 * time.Second}, StoreRateLimit: 500,
+		StoreURLs: []string{r.url}, StoreTimeout: schema.Duration{Duration: 2 * time.Second}, StoreRateLimit: 500,
 		ReportPeriod: schema.Duration{Duration: reportPeriod}, StopGrace: schema.Duration{Duration: time.Minute},
 	}
 }
 
 // countAlive returns the number of live agents that the entry knows, and of those that reported
 // at least the generation.
-func (s *testRegion) countAlive(httpAddr string, generation uint64) (known, inForce int) {
+func (r *testRegion) countAlive(httpAddr string, generation uint64) (known, inForce int) {
 	status, err := api.NewClient("http://"+httpAddr, nil).Status(context.Background())
 	if err != nil {
 		return 0, 0
--- a/internal/capacity/relays_test.go
+++ b/internal/capacity/relays_test.go
@@ -29,11 +29,11 @@
 
 func measureRacks(c *qt.C, n int, reportPeriod time.Duration) {
 	names := services(1)
-	s := newTestRegion(c, names...)
-	cfg, proxy := s.entrySettingsWithRelays(reportPeriod)
+	region := newTestRegion(c, names...)
+	cfg, proxy := region.entrySettingsWithRelays(reportPeriod)
 	p := startProcess(c, entrySettingsEnv, cfg)
 	for i := range n / rackSize {
-		a, err := agent.Start(s.rackAgentSettings(i, names[0], cfg.Advertise, reportPeriod), discardLogger())
+		a, err := agent.Start(region.rackAgentSettings(i, names[0], cfg.Advertise, reportPeriod), discardLogger())
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(a.Close)
 	}
@@ -44,51 +44,51 @@
 		c.Assert(f.Add(rackSize-1, names...), qt.IsNil)
 		time.Sleep(100 * time.Millisecond) // keeps handshakes below the admitted rate
 	}
-	allRelayed := func() bool { return s.countRelayed(p.addresses[1]) == n-n/rackSize }
+	allRelayed := func() bool { return region.countRelayed(p.addresses[1]) == n-n/rackSize }
 	eventually(c, "all report by relays", allRelayed)
-	s.measureSteadyState(p, proxy, n, reportPeriod, "dialled by all")
+	region.measureSteadyState(p, proxy, n, reportPeriod, "dialled by all")
 
 	p.stop()
 	p = startProcess(c, entrySettingsEnv, cfg)
 	began := p.usage()
 	took := eventually(c, "all report by relays again", allRelayed)
 	c.Logf("%d agents, restarted entry: all by relays after %v, processor %v", n, took.Round(time.Millisecond), p.usage().ProcessorTimeSince(began).Round(time.Millisecond))
-	s.measureSteadyState(p, proxy, n, reportPeriod, "after a restart of the entry")
+	region.measureSteadyState(p, proxy, n, reportPeriod, "after a restart of the entry")
 }
 
-func (s *testRegion) measureSteadyState(p *process, proxy *countingProxy, n int, reportPeriod time.Duration, what string) {
+func (r *testRegion) measureSteadyState(p *process, proxy *countingProxy, n int, reportPeriod time.Duration, what string) {
 	time.Sleep(3*settleTime + 2*reportPeriod) // until unused connections are closed
 	const span = 24 * time.Second
 	bytes, before := proxy.bytes.Load(), p.usage()
 	time.Sleep(span)
 	bytes, after := proxy.bytes.Load()-bytes, p.usage()
 	processorTime := after.ProcessorTimeSince(before)
-	s.Logf("%d agents in racks of %d every %v, %s: processor %.1f us/s an agent, %.2f%% of a core | heap %d MB stacks %d KB resident %d MB goroutines %d | %.1f B/s an agent, %.1f KB/s both ways | not by relays %d | load %s",
+	r.Logf("%d agents in racks of %d every %v, %s: processor %.1f us/s an agent, %.2f%% of a core | heap %d MB stacks %d KB resident %d MB goroutines %d | %.1f B/s an agent, %.1f KB/s both ways | not by relays %d | load %s",
 		n, rackSize, reportPeriod, what, float64(processorTime.Microseconds())/float64(n)/span.Seconds(), 100*processorTime.Seconds()/span.Seconds(),
 		after.Heap>>20, after.Stacks>>10, after.Resident>>20, after.Goroutines,
-		float64(bytes)/float64(n)/span.Seconds(), float64(bytes)/1024/span.Seconds(), n-s.countRelayed(p.addresses[1]), loadAverage())
+		float64(bytes)/float64(n)/span.Seconds(), float64(bytes)/1024/span.Seconds(), n-r.countRelayed(p.addresses[1]), loadAverage())
 }
 
 // entrySettingsWithRelays returns the settings of an entry that names relays, and the proxy in
 // front of it that counts bytes.
-func (s *testRegion) entrySettingsWithRelays(reportPeriod time.Duration) (settings.Entry, *countingProxy) {
-	cfg := s.entrySettings("entry-1", reportPeriod)
+func (r *testRegion) entrySettingsWithRelays(reportPeriod time.Duration) (settings.Entry, *countingProxy) {
+	cfg := r.entrySettings("entry-1", reportPeriod)
 	cfg.QUICListen = testport.Capacity.FreeAddr()
 	cfg.RelayThreshold = 1
-	proxy := newCountingProxy(s.C, cfg.QUICListen)
+	proxy := newCountingProxy(r.C, cfg.QUICListen)
 	cfg.Advertise = proxy.socket.LocalAddr().String()
 	return cfg, proxy
 }
 
 // rackAgentSettings returns the settings of the real agent in a rack of the fleet.
-func (s *testRegion) rackAgentSettings(i int, service, seed string, reportPeriod time.Duration) settings.Agent {
-	cfg := s.agentSettings(fmt.Sprintf("relay-%03d", i), service, seed, reportPeriod)
+func (r *testRegion) rackAgentSettings(i int, service, seed string, reportPeriod time.Duration) settings.Agent {
+	cfg := r.agentSettings(fmt.Sprintf("relay-%03d", i), service, seed, reportPeriod)
 	cfg.Rack = fmt.Sprint("rack-", i)
 	return cfg
 }
 
 // countRelayed returns the number of agents that report to the entry through a relay.
-func (s *testRegion) countRelayed(httpAddr string) int {
+func (r *testRegion) countRelayed(httpAddr string) int {
 	status, err := api.NewClient("http://"+httpAddr, nil).Status(context.Background())
 	if err != nil {
 		return 0
@@ -116,15 +116,15 @@
 
 func measureRelay(c *qt.C, reportPeriod time.Duration, varyLoad bool) {
 	names := services(1)
-	s := newTestRegion(c, names...)
-	cfg, proxy := s.entrySettingsWithRelays(reportPeriod)
+	region := newTestRegion(c, names...)
+	cfg, proxy := region.entrySettingsWithRelays(reportPeriod)
 	entry := startProcess(c, entrySettingsEnv, cfg)
-	p := startProcess(c, agentSettingsEnv, s.rackAgentSettings(0, names[0], cfg.Advertise, reportPeriod))
+	p := startProcess(c, agentSettingsEnv, region.rackAgentSettings(0, names[0], cfg.Advertise, reportPeriod))
 	f := NewFleet(cfg.Advertise, reportPeriod, varyLoad)
 	f.SetRackSize(rackSize - 1)
 	c.Cleanup(f.Stop)
 	c.Assert(f.Add(rackSize-1, names...), qt.IsNil)
-	eventually(c, "all report by the relay", func() bool { return s.countRelayed(entry.addresses[1]) == rackSize-1 })
+	eventually(c, "all report by the relay", func() bool { return region.countRelayed(entry.addresses[1]) == rackSize-1 })
 	time.Sleep(3*settleTime + 2*reportPeriod)
 	memberTraffic := func() int64 { return f.Traffic.SentBytes.Load() + f.Traffic.ReceivedBytes.Load() }
 	const span = 24 * time.Second
@@ -138,10 +138,10 @@
 	for generation := range uint64(3) {
 		entryBytes, memberBytes, before = proxy.bytes.Load(), memberTraffic(), p.usage()
 		began := time.Now()
-		v := s.putDocument(names[0], generation+1)
+		v := region.putDocument(names[0], generation+1)
 		eventually(c, "in force", func() bool { return len(f.AppliedAt(v.Generation)) == rackSize-1 })
 		took := time.Since(began)
-		eventually(c, "reported", func() bool { _, all := s.countAlive(entry.addresses[1], v.Generation); return all == rackSize })
+		eventually(c, "reported", func() bool { _, all := region.countAlive(entry.addresses[1], v.Generation); return all == rackSize })
 		time.Sleep(settleTime)
 		c.Logf("a document of %d bytes: in force at all members after %v | members %.1f KB, entry %.1f KB both ways, processor %v", len(v.TOML),
 			took.Round(time.Microsecond), float64(memberTraffic()-memberBytes)/1024, float64(proxy.bytes.Load()-entryBytes)/1024, p.usage().ProcessorTimeSince(before).Round(time.Millisecond))
--- a/internal/capacity/store_test.go
+++ b/internal/capacity/store_test.go
@@ -35,34 +35,34 @@
 func measureIdleStore(c *qt.C, entries, n int) {
 	const span = 10 * time.Second
 	names := services(n)
-	s := newTestRegion(c, names...)
-	initialCalls := s.calls.Calls()
+	region := newTestRegion(c, names...)
+	initialCalls := region.calls.Calls()
 	usageAtStart := ReadUsage()
 	for i := range entries {
-		e, err := entry.Start(s.entrySettings(fmt.Sprint("entry-", i), time.Second), discardLogger())
+		e, err := entry.Start(region.entrySettings(fmt.Sprint("entry-", i), time.Second), discardLogger())
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(e.Close)
 	}
 	time.Sleep(5 * time.Second)
-	settledCalls := s.calls.Calls()
+	settledCalls := region.calls.Calls()
 	before := ReadUsage()
 	time.Sleep(span)
 	after := ReadUsage()
-	idleCalls := s.calls.Calls()
+	idleCalls := region.calls.Calls()
 	c.Logf("%d entries, %d services: to begin with %s; then a second %s; processor %.2f%% of a core with the stand-in, heap %d KB | load %s",
 		entries, n, callIncrease(settledCalls, initialCalls, 1), callIncrease(idleCalls, settledCalls, span.Seconds()), 100*after.ProcessorTimeSince(before).Seconds()/span.Seconds(), (int64(after.Heap)-int64(usageAtStart.Heap))>>10, loadAverage())
 	for generation := range uint64(10) {
-		s.putDocument(names[0], generation+1)
+		region.putDocument(names[0], generation+1)
 	}
 	time.Sleep(200 * time.Millisecond)
-	c.Logf("%d entries, %d services: a change of a document %s, its watches included", entries, n, callIncrease(s.calls.Calls(), idleCalls, 10))
+	c.Logf("%d entries, %d services: a change of a document %s, its watches included", entries, n, callIncrease(region.calls.Calls(), idleCalls, 10))
 }
 
 // agentSettings starts a stand-in target and returns the settings of an agent for it.
-func (s *testRegion) agentSettings(id, service, seed string, reportPeriod time.Duration) settings.Agent {
+func (r *testRegion) agentSettings(id, service, seed string, reportPeriod time.Duration) settings.Agent {
 	target := standin.New(standin.Options{Name: id, Accelerators: 8, ServiceTime: time.Millisecond})
 	server := httptest.NewServer(target)
-	s.Cleanup(func() {
+	r.Cleanup(func() {
 		target.Close()
 		server.CloseClientConnections()
 		server.Close()
@@ -78,31 +78,31 @@
 // the region, the entry, its client and the service.
 func startRegionWithAgents(c *qt.C) (*testRegion, *entry.Entry, *api.Client, string) {
 	names := services(1)
-	s := newTestRegion(c, names...)
-	e, err := entry.Start(s.entrySettings("entry-1", time.Second), discardLogger())
+	region := newTestRegion(c, names...)
+	e, err := entry.Start(region.entrySettings("entry-1", time.Second), discardLogger())
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(e.Close)
 	for i := range 8 {
-		a, err := agent.Start(s.agentSettings(fmt.Sprint("worker-", i), names[0], e.QUICAddr(), time.Second), discardLogger())
+		a, err := agent.Start(region.agentSettings(fmt.Sprint("worker-", i), names[0], e.QUICAddr(), time.Second), discardLogger())
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(a.Close)
 	}
-	eventually(c, "ready", func() bool { known, inForce := s.countAlive(e.HTTPAddr(), 1); return known == 8 && inForce == 8 })
+	eventually(c, "ready", func() bool { known, inForce := region.countAlive(e.HTTPAddr(), 1); return known == 8 && inForce == 8 })
 	transport := &http.Transport{MaxIdleConnsPerHost: 200}
 	c.Cleanup(transport.CloseIdleConnections)
 	client := api.NewClient("http://"+e.HTTPAddr(), transport)
 	eventually(c, "ready", func() bool { return client.Ready(context.Background()) == nil })
-	return s, e, client, names[0]
+	return region, e, client, names[0]
 }
 
 // TestMeasureKeyedRequests counts the store calls of non-repeatable requests with an idempotency
 // key.
 func TestMeasureKeyedRequests(t *testing.T) {
-	s, _, client, service := startRegionWithAgents(requireMeasure(t))
-	c := s.C
+	region, _, client, service := startRegionWithAgents(requireMeasure(t))
+	c := region.C
 	for _, rate := range []int{10, 100, 1000} {
 		const span = 5 * time.Second
-		callsBefore, began := s.calls.Calls(), time.Now()
+		callsBefore, began := region.calls.Calls(), time.Now()
 		var wg sync.WaitGroup
 		var mu sync.Mutex
 		done, otherOutcomes := 0, make(map[string]int)
@@ -129,19 +129,19 @@
 		wg.Wait()
 		ticker.Stop()
 		c.Logf("%d keyed requests a second: %d of %d done; calls a request %s, seconds %.1f | others %v | load %s",
-			rate, done, rate*int(span.Seconds()), callIncrease(s.calls.Calls(), callsBefore, float64(rate)*span.Seconds()), time.Since(began).Seconds(), otherOutcomes, loadAverage())
+			rate, done, rate*int(span.Seconds()), callIncrease(region.calls.Calls(), callsBefore, float64(rate)*span.Seconds()), time.Since(began).Seconds(), otherOutcomes, loadAverage())
 	}
 }
 
 // TestMeasureJobs measures how long a gang of 16 takes from submission to its end on an idle
 // region, and counts the store calls of jobs.
 func TestMeasureJobs(t *testing.T) {
-	s, e, client, service := startRegionWithAgents(requireMeasure(t))
-	c := s.C
+	region, e, client, service := startRegionWithAgents(requireMeasure(t))
+	c := region.C
 	var took []time.Duration
 	for i := range 50 {
 		began := time.Now()
-		id := s.submitJob(client, service, fmt.Sprint("gang-", i), 16, time.Millisecond)
+		id := region.submitJob(client, service, fmt.Sprint("gang-", i), 16, time.Millisecond)
 		status, err := client.GetJob(context.Background(), service, id, 5*time.Second)
 		c.Assert(err, qt.IsNil)
 		c.Check(status.State, qt.Equals, api.JobDone)
@@ -149,10 +149,10 @@
 	}
 	c.Logf("gang of 16 on an idle site, from submission to its end after 1 ms of work: p50 %v p99 %v | load %s", quantile(took, 0.5), quantile(took, 0.99), loadAverage())
 	for _, n := range []int{8, 64} {
-		callsBefore := s.calls.Calls()
+		callsBefore := region.calls.Calls()
 		var wg sync.WaitGroup
 		for i := range n {
-			wg.Go(func() { s.submitJob(client, service, fmt.Sprintf("job-%d-%d", n, i), 1, time.Second) })
+			wg.Go(func() { region.submitJob(client, service, fmt.Sprintf("job-%d-%d", n, i), 1, time.Second) })
 		}
 		wg.Wait()
 		time.Sleep(settleTime) // longer than the jobs' run time
@@ -168,16 +168,16 @@
 			return ok && running == 0
 		})
 		time.Sleep(500 * time.Millisecond)
-		c.Logf("%d jobs at once: calls a job, idle ones of the region included, %s | load %s", n, callIncrease(s.calls.Calls(), callsBefore, float64(n)), loadAverage())
+		c.Logf("%d jobs at once: calls a job, idle ones of the region included, %s | load %s", n, callIncrease(region.calls.Calls(), callsBefore, float64(n)), loadAverage())
 	}
 }
 
-func (s *testRegion) submitJob(client *api.Client, service, key string, accelerators int, run time.Duration) string {
+func (r *testRegion) submitJob(client *api.Client, service, key string, accelerators int, run time.Duration) string {
 	payload, err := json.Marshal(standin.TaskPayload{Tag: key, RunMS: run.Milliseconds()})
-	s.Check(err, qt.IsNil)
+	r.Check(err, qt.IsNil)
 	status, err := client.SubmitJob(context.Background(), service, api.JobRequest{
 		Account: "account-1", Class: "long", Accelerators: accelerators, Payload: payload,
 	}, key)
-	s.Check(err, qt.IsNil)
+	r.Check(err, qt.IsNil)
 	return status.ID
 }
--- a/trial/document_test.go
+++ b/trial/document_test.go
@@ -16,18 +16,18 @@
 
 // awaitReadyWith waits until the entry is ready, and fails if it is ready with another
 // generation than want.
-func (w *testCluster) awaitReadyWith(n *trial.EntryNode, want uint64) {
-	w.Helper()
-	w.eventually(func() error {
-		s, err := n.Client().Status(w.ctx)
+func (tc *testCluster) awaitReadyWith(n *trial.EntryNode, want uint64) {
+	tc.Helper()
+	tc.eventually(func() error {
+		s, err := n.Client().Status(tc.ctx)
 		if err != nil {
 			return err
 		}
 		if !s.Ready {
 			return fmt.Errorf("%s is not ready", n.ID)
 		}
-		w.Assert(s.Generations, qt.HasLen, 1)
-		w.Assert(s.Generations[0].Generation, qt.Equals, want)
+		tc.Assert(s.Generations, qt.HasLen, 1)
+		tc.Assert(s.Generations[0].Generation, qt.Equals, want)
 		return nil
 	})
 }
@@ -35,65 +35,65 @@
 func TestNewEntryGetsDocumentFromPeer(t *testing.T) {
 	// An entry restarted during a store outage must take the current generation from its peer
 	// before it becomes ready.
-	w := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
-	v, err := w.PutDocument(w.ctx, changedDocument, 1)
-	w.Assert(err, qt.IsNil)
-	w.Assert(w.WaitForDocument(w.ctx, v.Generation), qt.IsNil)
-	w.Entries[0].Kill()
-	w.Store.SetFaults(store.Faults{Down: store.DownRefuse})
-	w.Assert(w.Entries[0].Start(), qt.IsNil)
-	w.awaitReadyWith(w.Entries[0], v.Generation)
-	w.checkDone(w.request(0, "check", "served", "", 0), "served")
+	tc := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
+	v, err := tc.PutDocument(tc.ctx, changedDocument, 1)
+	tc.Assert(err, qt.IsNil)
+	tc.Assert(tc.WaitForDocument(tc.ctx, v.Generation), qt.IsNil)
+	tc.Entries[0].Kill()
+	tc.Store.SetFaults(store.Faults{Down: store.DownRefuse})
+	tc.Assert(tc.Entries[0].Start(), qt.IsNil)
+	tc.awaitReadyWith(tc.Entries[0], v.Generation)
+	tc.checkDone(tc.request(0, "check", "served", "", 0), "served")
 }
 
 func TestStoreRestoreDoesNotRevertDocument(t *testing.T) {
 	// The store is restored from a backup that is older than the current document. A new entry
 	// must not become ready with the old one, and the store must get the newer one back.
-	w := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
-	w.Store.Snapshot()
-	v, err := w.PutDocument(w.ctx, changedDocument, 1)
-	w.Assert(err, qt.IsNil)
-	w.Assert(w.WaitForDocument(w.ctx, v.Generation), qt.IsNil)
-	w.Entries[0].Kill()
-	w.Store.Restore()
-	w.Assert(w.Entries[0].Start(), qt.IsNil)
-	w.awaitReadyWith(w.Entries[0], v.Generation)
-	w.Assert(w.WaitForDocument(w.ctx, v.Generation), qt.IsNil)
-	w.eventually(func() error {
-		_, err := w.PutDocument(w.ctx, changedDocument, v.Generation)
+	tc := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
+	tc.Store.Snapshot()
+	v, err := tc.PutDocument(tc.ctx, changedDocument, 1)
+	tc.Assert(err, qt.IsNil)
+	tc.Assert(tc.WaitForDocument(tc.ctx, v.Generation), qt.IsNil)
+	tc.Entries[0].Kill()
+	tc.Store.Restore()
+	tc.Assert(tc.Entries[0].Start(), qt.IsNil)
+	tc.awaitReadyWith(tc.Entries[0], v.Generation)
+	tc.Assert(tc.WaitForDocument(tc.ctx, v.Generation), qt.IsNil)
+	tc.eventually(func() error {
+		_, err := tc.PutDocument(tc.ctx, changedDocument, v.Generation)
 		return err
 	})
 }
 
 func TestDocumentChangeReachesEntryWithoutStore(t *testing.T) {
 	// A change must reach an entry that cannot reach the store.
-	w := startTestCluster(t, nil)
-	w.Entries[0].SetStorePartitioned(true)
-	v, err := w.PutDocument(w.ctx, changedDocument, 1)
-	w.Assert(err, qt.IsNil)
-	w.Assert(w.WaitForDocument(w.ctx, v.Generation), qt.IsNil)
+	tc := startTestCluster(t, nil)
+	tc.Entries[0].SetStorePartitioned(true)
+	v, err := tc.PutDocument(tc.ctx, changedDocument, 1)
+	tc.Assert(err, qt.IsNil)
+	tc.Assert(tc.WaitForDocument(tc.ctx, v.Generation), qt.IsNil)
 }
 
 func TestEntryWithoutDocumentIsNotReady(t *testing.T) {
 	// Entries that start without any document must refuse requests as not run, with a retry delay,
 	// until the store is back.
-	w := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
-	w.Store.SetFaults(store.Faults{Down: store.DownHang})
-	for _, n := range w.Entries {
+	tc := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
+	tc.Store.SetFaults(store.Faults{Down: store.DownHang})
+	for _, n := range tc.Entries {
 		n.Kill()
 	}
-	for _, n := range w.Entries {
-		w.Assert(n.Start(), qt.IsNil)
+	for _, n := range tc.Entries {
+		tc.Assert(n.Start(), qt.IsNil)
 	}
-	for i := range w.Entries {
-		a := w.request(i, "check", "early", "", 0)
-		w.Check(a.Outcome, qt.Equals, api.OutcomeNotRun)
-		w.Assert(a.Problem, qt.IsNotNil)
-		w.Check(a.Problem.RetryAfter > 0, qt.IsTrue)
+	for i := range tc.Entries {
+		a := tc.request(i, "check", "early", "", 0)
+		tc.Check(a.Outcome, qt.Equals, api.OutcomeNotRun)
+		tc.Assert(a.Problem, qt.IsNotNil)
+		tc.Check(a.Problem.RetryAfter > 0, qt.IsTrue)
 	}
-	w.Store.SetFaults(store.Faults{})
-	for i, n := range w.Entries {
-		w.awaitReadyWith(n, 1)
-		w.checkDone(w.request(i, "check", n.ID, "", 0), n.ID)
+	tc.Store.SetFaults(store.Faults{})
+	for i, n := range tc.Entries {
+		tc.awaitReadyWith(n, 1)
+		tc.checkDone(tc.request(i, "check", n.ID, "", 0), n.ID)
 	}
 }
--- a/trial/helpers_test.go
+++ b/trial/helpers_test.go
@@ -120,10 +120,10 @@
 }
 
 // eventually retries until try returns nil.
-func (w *testCluster) eventually(check func() error) {
-	w.Helper()
-	err := trial.WaitFor(w.ctx, func(context.Context) error { return check() })
-	w.Assert(err, qt.IsNil)
+func (tc *testCluster) eventually(check func() error) {
+	tc.Helper()
+	err := trial.WaitFor(tc.ctx, func(context.Context) error { return check() })
+	tc.Assert(err, qt.IsNil)
 }
 
 // callResult is the result of a quick request for its caller.
@@ -133,10 +133,10 @@
 }
 
 // request sends a quick request; tag identifies it in the audits.
-func (w *testCluster) request(entry int, class, tag, key string, work time.Duration) callResult {
-	a, err := w.Entries[entry].Client().SendQuick(w.ctx, api.QuickRequest{
+func (tc *testCluster) request(entry int, class, tag, key string, work time.Duration) callResult {
+	a, err := tc.Entries[entry].Client().SendQuick(tc.ctx, api.QuickRequest{
 		CallOptions: api.CallOptions{Account: "big", Class: class, IdempotencyKey: key},
-		Service:     w.Service,
+		Service:     tc.Service,
 		Path:        "consignment",
 		RawQuery:    fmt.Sprintf("%s=%s&%s=%d", standin.ParamTag, tag, standin.ParamServiceTimeMS, work.Milliseconds()),
 		Body:        []byte(tag),
@@ -145,30 +145,30 @@
 }
 
 // requestAsync calls request in the background.
-func (w *testCluster) requestAsync(entry int, class, tag, key string, work time.Duration) <-chan callResult {
+func (tc *testCluster) requestAsync(entry int, class, tag, key string, work time.Duration) <-chan callResult {
 	answers := make(chan callResult, 1)
-	go func() { answers <- w.request(entry, class, tag, key, work) }()
+	go func() { answers <- tc.request(entry, class, tag, key, work) }()
 	return answers
 }
 
 // checkDone checks that the answer is complete and belongs to the request with this tag.
-func (w *testCluster) checkDone(a callResult, tag string) {
-	w.Helper()
-	w.Assert(a.err, qt.IsNil)
-	w.Assert(a.Outcome, qt.Equals, api.OutcomeDone, qt.Commentf("%s: %v", tag, a.Problem))
+func (tc *testCluster) checkDone(a callResult, tag string) {
+	tc.Helper()
+	tc.Assert(a.err, qt.IsNil)
+	tc.Assert(a.Outcome, qt.Equals, api.OutcomeDone, qt.Commentf("%s: %v", tag, a.Problem))
 	var echo standin.Echo
-	w.Assert(json.Unmarshal(a.Body, &echo), qt.IsNil)
-	w.Check(echo.Sum, qt.Equals, echo.Checksum())
-	w.Check(echo.BodySum, qt.Equals, standin.BodySum([]byte(tag)))
+	tc.Assert(json.Unmarshal(a.Body, &echo), qt.IsNil)
+	tc.Check(echo.Sum, qt.Equals, echo.Checksum())
+	tc.Check(echo.BodySum, qt.Equals, standin.BodySum([]byte(tag)))
 }
 
 // quickRuns returns the runs of a quick request in the audits, and the worker of each.
-func (w *testCluster) quickRuns(tag string) (runs []standin.QuickRun, workers []*trial.Worker) {
-	for i, a := range w.Audits() {
+func (tc *testCluster) quickRuns(tag string) (runs []standin.QuickRun, workers []*trial.Worker) {
+	for i, a := range tc.Audits() {
 		for _, r := range a.Quick {
 			if r.Tag == tag {
 				runs = append(runs, r)
-				workers = append(workers, w.Workers[i])
+				workers = append(workers, tc.Workers[i])
 			}
 		}
 	}
@@ -176,11 +176,11 @@
 }
 
 // awaitWorkerOf waits until a request has started and returns its worker.
-func (w *testCluster) awaitWorkerOf(tag string) *trial.Worker {
-	w.Helper()
+func (tc *testCluster) awaitWorkerOf(tag string) *trial.Worker {
+	tc.Helper()
 	var worker *trial.Worker
-	w.eventually(func() error {
-		_, workers := w.quickRuns(tag)
+	tc.eventually(func() error {
+		_, workers := tc.quickRuns(tag)
 		if len(workers) == 0 {
 			return errors.New(tag + " has not started")
 		}
@@ -191,27 +191,27 @@
 }
 
 // submit submits a job; key is its idempotency key and its tag in the audits.
-func (w *testCluster) submit(entry int, account, key string, accelerators int, run time.Duration) string {
-	w.Helper()
+func (tc *testCluster) submit(entry int, account, key string, accelerators int, run time.Duration) string {
+	tc.Helper()
 	payload, err := json.Marshal(standin.TaskPayload{Tag: key, RunMS: run.Milliseconds()})
-	w.Assert(err, qt.IsNil)
-	s, err := w.Entries[entry].Client().SubmitJob(w.ctx, w.Service, api.JobRequest{
+	tc.Assert(err, qt.IsNil)
+	s, err := tc.Entries[entry].Client().SubmitJob(tc.ctx, tc.Service, api.JobRequest{
 		Account:      account,
 		Class:        "long",
 		Accelerators: accelerators,
 		Payload:      payload,
 	}, key)
-	w.Assert(err, qt.IsNil)
+	tc.Assert(err, qt.IsNil)
 	return s.ID
 }
 
 // awaitJob waits until the given entry reports the job in one of the states.
-func (w *testCluster) awaitJob(entry int, id string, states ...api.JobState) api.JobStatus {
-	w.Helper()
+func (tc *testCluster) awaitJob(entry int, id string, states ...api.JobState) api.JobStatus {
+	tc.Helper()
 	var s api.JobStatus
-	w.eventually(func() error {
+	tc.eventually(func() error {
 		var err error
-		s, err = w.Entries[entry].Client().GetJob(w.ctx, w.Service, id, 0)
+		s, err = tc.Entries[entry].Client().GetJob(tc.ctx, tc.Service, id, 0)
 		if err != nil {
 			return err
 		}
@@ -226,9 +226,9 @@
 }
 
 // jobAttempts returns the task runs of a job in the audits, by attempt.
-func (w *testCluster) jobAttempts(tag string) map[int][]standin.TaskRun {
+func (tc *testCluster) jobAttempts(tag string) map[int][]standin.TaskRun {
 	all := make(map[int][]standin.TaskRun)
-	for _, a := range w.Audits() {
+	for _, a := range tc.Audits() {
 		for _, r := range a.Tasks {
 			if r.Tag == tag {
 				all[r.Attempt] = append(all[r.Attempt], r)
@@ -240,10 +240,10 @@
 
 // checkRanOnce checks that exactly one attempt of a job completed with all its members, that
 // no other attempt completed any, and that no two attempts of any job overlapped.
-func (w *testCluster) checkRanOnce(tag string) {
-	w.Helper()
+func (tc *testCluster) checkRanOnce(tag string) {
+	tc.Helper()
 	completeAttempts := 0
-	for n, members := range w.jobAttempts(tag) {
+	for n, members := range tc.jobAttempts(tag) {
 		done := 0
 		for _, m := range members {
 			if m.Outcome == target.TaskDone {
@@ -255,18 +255,18 @@
 		case members[0].Members:
 			completeAttempts++
 		default:
-			w.Errorf("%s: attempt %d: %d of %d members done", tag, n, done, members[0].Members)
+			tc.Errorf("%s: attempt %d: %d of %d members done", tag, n, done, members[0].Members)
 		}
 	}
-	w.Check(completeAttempts, qt.Equals, 1, qt.Commentf("%s: whole attempts", tag))
-	w.Check(load.OverlappingAttempts(w.Audits()), qt.HasLen, 0)
+	tc.Check(completeAttempts, qt.Equals, 1, qt.Commentf("%s: whole attempts", tag))
+	tc.Check(load.OverlappingAttempts(tc.Audits()), qt.HasLen, 0)
 }
 
 // checkNoViolations checks that no worker recorded a violation or dropped records.
-func (w *testCluster) checkNoViolations() {
-	w.Helper()
-	for _, a := range w.Audits() {
-		w.Check(a.Violations, qt.HasLen, 0)
-		w.Check(a.Dropped, qt.Equals, 0)
+func (tc *testCluster) checkNoViolations() {
+	tc.Helper()
+	for _, a := range tc.Audits() {
+		tc.Check(a.Violations, qt.HasLen, 0)
+		tc.Check(a.Dropped, qt.Equals, 0)
 	}
 }
--- a/trial/jobs_test.go
+++ b/trial/jobs_test.go
@@ -19,197 +19,197 @@
 	// The store is out for longer than the isolation and loss timeouts. The planner's lease
 	// expires, but the running gang must end in its first attempt, and a waiting job must start
 	// once the store is back.
-	w := startTestCluster(t, func(o *trial.Options) { o.Document = outageDocument })
-	running := w.submit(0, "big", "running", 16, outageLossTimeout+4*time.Second)
-	w.awaitJob(0, running, api.JobRunning)
-	waiting := w.submit(1, "big", "waits", 32, 100*time.Millisecond)
-	w.awaitJob(1, waiting, api.JobQueued)
-	w.Store.SetFaults(store.Faults{Down: store.DownRefuse})
+	tc := startTestCluster(t, func(o *trial.Options) { o.Document = outageDocument })
+	running := tc.submit(0, "big", "running", 16, outageLossTimeout+4*time.Second)
+	tc.awaitJob(0, running, api.JobRunning)
+	waiting := tc.submit(1, "big", "waits", 32, 100*time.Millisecond)
+	tc.awaitJob(1, waiting, api.JobQueued)
+	tc.Store.SetFaults(store.Faults{Down: store.DownRefuse})
 	outage := time.Now()
-	w.eventually(func() error {
-		return errorUnless(allEnded(w.jobAttempts("running"), 2) && time.Since(outage) > outageLossTimeout, "the gang still runs")
+	tc.eventually(func() error {
+		return errorUnless(allEnded(tc.jobAttempts("running"), 2) && time.Since(outage) > outageLossTimeout, "the gang still runs")
 	})
-	w.Check(w.jobAttempts("waits"), qt.HasLen, 0)
-	w.Store.SetFaults(store.Faults{})
-
-	w.Check(w.awaitJob(0, running, api.JobDone).Attempt, qt.Equals, 1)
-	w.awaitJob(1, waiting, api.JobDone)
-	w.checkRanOnce("running")
-	w.checkRanOnce("waits")
-	w.checkNoViolations()
+	tc.Check(tc.jobAttempts("waits"), qt.HasLen, 0)
+	tc.Store.SetFaults(store.Faults{})
+
+	tc.Check(tc.awaitJob(0, running, api.JobDone).Attempt, qt.Equals, 1)
+	tc.awaitJob(1, waiting, api.JobDone)
+	tc.checkRanOnce("running")
+	tc.checkRanOnce("waits")
+	tc.checkNoViolations()
 }
 
 func TestNoEvictionDuringStoreOutage(t *testing.T) {
 	// During a store outage no start can be recorded, so evicting a running gang for a waiting job
 	// would only lose its work.
-	w := startTestCluster(t, func(o *trial.Options) { o.Document = defaultGangDocument })
-	running := w.submit(0, "big", "running", 16, 8*time.Second)
-	w.awaitJob(0, running, api.JobRunning)
-	waiting := w.submit(1, "small", "waits", 32, 100*time.Millisecond)
-	w.awaitJob(1, waiting, api.JobQueued)
-	w.Store.SetFaults(store.Faults{Down: store.DownRefuse})
-	w.eventually(func() error {
-		return errorUnless(allEnded(w.jobAttempts("running"), 2), "the gang still runs")
+	tc := startTestCluster(t, func(o *trial.Options) { o.Document = defaultGangDocument })
+	running := tc.submit(0, "big", "running", 16, 8*time.Second)
+	tc.awaitJob(0, running, api.JobRunning)
+	waiting := tc.submit(1, "small", "waits", 32, 100*time.Millisecond)
+	tc.awaitJob(1, waiting, api.JobQueued)
+	tc.Store.SetFaults(store.Faults{Down: store.DownRefuse})
+	tc.eventually(func() error {
+		return errorUnless(allEnded(tc.jobAttempts("running"), 2), "the gang still runs")
 	})
-	w.Store.SetFaults(store.Faults{})
+	tc.Store.SetFaults(store.Faults{})
 
-	w.Check(w.awaitJob(0, running, api.JobDone, api.JobQueued, api.JobRunning).Attempt, qt.Equals, 1)
-	w.checkRanOnce("running")
+	tc.Check(tc.awaitJob(0, running, api.JobDone, api.JobQueued, api.JobRunning).Attempt, qt.Equals, 1)
+	tc.checkRanOnce("running")
 }
 
 func TestGangSurvivesPlannerFailover(t *testing.T) {
 	// The planner's entry dies. Its successor must keep the running gang in its first attempt and
 	// start the waiting job afterwards.
-	w := startTestCluster(t, func(o *trial.Options) {
+	tc := startTestCluster(t, func(o *trial.Options) {
 		o.UDPRelays = true
 		o.Document = defaultGangDocument // the takeover must end before the isolation timeout
 	})
-	planner := w.PlannerEntry()
-	other := w.otherEntry(planner)
-	running := w.submit(other, "big", "running", 24, 6*time.Second)
-	w.awaitJob(other, running, api.JobRunning)
-	waiting := w.submit(other, "big", "waits", 24, 100*time.Millisecond)
+	planner := tc.PlannerEntry()
+	other := tc.otherEntry(planner)
+	running := tc.submit(other, "big", "running", 24, 6*time.Second)
+	tc.awaitJob(other, running, api.JobRunning)
+	waiting := tc.submit(other, "big", "waits", 24, 100*time.Millisecond)
 	planner.Kill()
 
-	w.Check(w.awaitJob(other, running, api.JobDone).Attempt, qt.Equals, 1)
-	w.awaitJob(other, waiting, api.JobDone)
-	w.checkRanOnce("running")
-	w.checkRanOnce("waits")
-	w.checkNoViolations()
+	tc.Check(tc.awaitJob(other, running, api.JobDone).Attempt, qt.Equals, 1)
+	tc.awaitJob(other, waiting, api.JobDone)
+	tc.checkRanOnce("running")
+	tc.checkRanOnce("waits")
+	tc.checkNoViolations()
 }
 
 func TestGracefulStopOfPlannerEntry(t *testing.T) {
 	// A graceful stop of the planner's entry must hand over leadership without disturbing the
 	// running gang.
-	w := startTestCluster(t, func(o *trial.Options) { o.Document = defaultGangDocument })
-	planner := w.PlannerEntry()
-	other := w.otherEntry(planner)
-	running := w.submit(other, "big", "running", 16, 3*time.Second)
-	w.awaitJob(other, running, api.JobRunning)
-	w.Assert(planner.Stop(w.ctx), qt.IsNil)
-	next := w.submit(other, "small", "next", 8, 100*time.Millisecond)
-
-	w.awaitJob(other, next, api.JobDone)
-	w.Check(w.awaitJob(other, running, api.JobDone).Attempt, qt.Equals, 1)
-	w.checkRanOnce("running")
-	w.checkNoViolations()
+	tc := startTestCluster(t, func(o *trial.Options) { o.Document = defaultGangDocument })
+	planner := tc.PlannerEntry()
+	other := tc.otherEntry(planner)
+	running := tc.submit(other, "big", "running", 16, 3*time.Second)
+	tc.awaitJob(other, running, api.JobRunning)
+	tc.Assert(planner.Stop(tc.ctx), qt.IsNil)
+	next := tc.submit(other, "small", "next", 8, 100*time.Millisecond)
+
+	tc.awaitJob(other, next, api.JobDone)
+	tc.Check(tc.awaitJob(other, running, api.JobDone).Attempt, qt.Equals, 1)
+	tc.checkRanOnce("running")
+	tc.checkNoViolations()
 }
 
 func TestGangRestartsAfterWorkerLoss(t *testing.T) {
 	// The instance of one of a gang's two workers fails. The other member must be stopped, and the
 	// whole gang must run again on live workers.
-	w := startTestCluster(t, nil)
-	job := w.submit(0, "big", "gang", 16, 8*time.Second)
-	placed := w.awaitJob(0, job, api.JobRunning).Placement
-	w.Assert(placed, qt.HasLen, 2)
-	w.workerByID(placed[0].Agent).KillInstance()
-
-	s := w.awaitJob(0, job, api.JobDone)
-	w.Check(s.Attempt > 1, qt.IsTrue)
+	tc := startTestCluster(t, nil)
+	job := tc.submit(0, "big", "gang", 16, 8*time.Second)
+	placed := tc.awaitJob(0, job, api.JobRunning).Placement
+	tc.Assert(placed, qt.HasLen, 2)
+	tc.workerByID(placed[0].Agent).KillInstance()
+
+	s := tc.awaitJob(0, job, api.JobDone)
+	tc.Check(s.Attempt > 1, qt.IsTrue)
 	for _, p := range s.Placement {
-		w.Check(p.Agent, qt.Not(qt.Equals), placed[0].Agent)
+		tc.Check(p.Agent, qt.Not(qt.Equals), placed[0].Agent)
 	}
-	w.checkRanOnce("gang")
+	tc.checkRanOnce("gang")
 }
 
 func TestAcceptedJobsSurviveRestartOfAllEntries(t *testing.T) {
 	// All entries die with jobs running and waiting. New entries, which have only the store and the
 	// agents' reports, must complete every accepted job in exactly one attempt.
-	w := startTestCluster(t, func(o *trial.Options) {
+	tc := startTestCluster(t, func(o *trial.Options) {
 		o.UDPRelays = true
 		o.Document = defaultGangDocument
 	})
 	ids := make(map[string]string)
 	for i := range 12 {
 		key := fmt.Sprintf("job-%d", i)
-		ids[key] = w.submit(i%2, "big", key, 8+8*(i%2), 1500*time.Millisecond)
+		ids[key] = tc.submit(i%2, "big", key, 8+8*(i%2), 1500*time.Millisecond)
 	}
-	w.awaitJob(0, ids["job-0"], api.JobRunning)
-	for _, n := range w.Entries {
+	tc.awaitJob(0, ids["job-0"], api.JobRunning)
+	for _, n := range tc.Entries {
 		n.Kill()
 	}
-	for _, n := range w.Entries {
-		w.Assert(n.Start(), qt.IsNil)
+	for _, n := range tc.Entries {
+		tc.Assert(n.Start(), qt.IsNil)
 	}
 
 	for key, id := range ids {
-		w.awaitJob(0, id, api.JobDone)
-		w.checkRanOnce(key)
+		tc.awaitJob(0, id, api.JobDone)
+		tc.checkRanOnce(key)
 	}
-	w.checkNoViolations()
+	tc.checkNoViolations()
 }
 
 func TestBulkCancellation(t *testing.T) {
 	// Each of many jobs cancelled at once must end as cancelled or done, must never have run if its
 	// caller was told so, and must free its accelerators.
-	w := startTestCluster(t, nil)
+	tc := startTestCluster(t, nil)
 	var ids []string
 	tags := make(map[string]string)
 	for i := range 300 {
 		key := fmt.Sprintf("job-%d", i)
-		id := w.submit(i%2, "big", key, 8, 20*time.Second)
+		id := tc.submit(i%2, "big", key, 8, 20*time.Second)
 		ids = append(ids, id)
 		tags[id] = key
 	}
-	w.awaitJob(0, ids[0], api.JobRunning)
-	resp, err := w.Entries[1].Client().CancelJobs(w.ctx, w.Service, ids)
-	w.Assert(err, qt.IsNil)
-	w.Check(resp.AcceptedIDs, qt.HasLen, len(ids))
+	tc.awaitJob(0, ids[0], api.JobRunning)
+	resp, err := tc.Entries[1].Client().CancelJobs(tc.ctx, tc.Service, ids)
+	tc.Assert(err, qt.IsNil)
+	tc.Check(resp.AcceptedIDs, qt.HasLen, len(ids))
 
 	for i, id := range ids {
-		s := w.awaitJob(i%2, id, api.JobCancelled, api.JobDone)
+		s := tc.awaitJob(i%2, id, api.JobCancelled, api.JobDone)
 		if s.Reason == api.ReasonCancelledBeforeStart {
-			w.Check(w.jobAttempts(tags[id]), qt.HasLen, 0, qt.Commentf("%s: told not run", id))
+			tc.Check(tc.jobAttempts(tags[id]), qt.HasLen, 0, qt.Commentf("%s: told not run", id))
 		}
 	}
-	next := w.submit(0, "big", "next", 32, 100*time.Millisecond)
-	w.awaitJob(0, next, api.JobDone)
-	w.checkNoViolations()
+	next := tc.submit(0, "big", "next", 32, 100*time.Millisecond)
+	tc.awaitJob(0, next, api.JobDone)
+	tc.checkNoViolations()
 }
 
 func TestResubmittedJobRunsOnceAfterLostStoreReply(t *testing.T) {
 	// The store accepts a job but its reply is lost, and the caller submits it again with the same
 	// key through the other entry. There must be one job, which runs once.
-	w := startTestCluster(t, nil)
-	w.Store.SetFaults(store.Faults{LoseReplies: 1})
-	first := w.submit(0, "big", "job", 8, 100*time.Millisecond)
-	second := w.submit(1, "big", "job", 8, 100*time.Millisecond)
-	w.Check(first, qt.Equals, second)
-	w.awaitJob(1, first, api.JobDone)
-	w.checkRanOnce("job")
+	tc := startTestCluster(t, nil)
+	tc.Store.SetFaults(store.Faults{LoseReplies: 1})
+	first := tc.submit(0, "big", "job", 8, 100*time.Millisecond)
+	second := tc.submit(1, "big", "job", 8, 100*time.Millisecond)
+	tc.Check(first, qt.Equals, second)
+	tc.awaitJob(1, first, api.JobDone)
+	tc.checkRanOnce("job")
 }
 
 func TestFaultyWorkerDoesNotFailJobs(t *testing.T) {
 	// A worker that fails every task at once looks idle. Its failures must not fail jobs that can
 	// complete on other workers.
-	w := startTestCluster(t, nil)
-	w.Workers[0].Target.SetFaults(standin.Faults{FailTasks: true})
+	tc := startTestCluster(t, nil)
+	tc.Workers[0].Target.SetFaults(standin.Faults{FailTasks: true})
 	var ids []string
 	for i := range 8 {
-		ids = append(ids, w.submit(i%2, "big", fmt.Sprintf("job-%d", i), 8, 300*time.Millisecond))
+		ids = append(ids, tc.submit(i%2, "big", fmt.Sprintf("job-%d", i), 8, 300*time.Millisecond))
 	}
 	for _, id := range ids {
-		w.awaitJob(0, id, api.JobDone)
+		tc.awaitJob(0, id, api.JobDone)
 	}
-	w.checkNoViolations()
+	tc.checkNoViolations()
 }
 
 // otherEntry returns the index of the entry that is not n.
-func (w *testCluster) otherEntry(n *trial.EntryNode) int {
-	if w.Entries[0] == n {
+func (tc *testCluster) otherEntry(n *trial.EntryNode) int {
+	if tc.Entries[0] == n {
 		return 1
 	}
 	return 0
 }
 
-func (w *testCluster) workerByID(id string) *trial.Worker {
-	w.Helper()
-	for _, worker := range w.Workers {
+func (tc *testCluster) workerByID(id string) *trial.Worker {
+	tc.Helper()
+	for _, worker := range tc.Workers {
 		if worker.ID == id {
 			return worker
 		}
 	}
-	w.Fatalf("no worker %s", id)
+	tc.Fatalf("no worker %s", id)
 	return nil
 }
 
--- a/trial/one_way_loss_test.go
+++ b/trial/one_way_loss_test.go
@@ -17,50 +17,50 @@
 	// Repeated requests must be answered, keyed ones must run once, and a gang must run on.
 	for name, direction := range map[string]relay.Direction{"requests lost": relay.FromUpstream, "answers lost": relay.ToUpstream} {
 		t.Run(name, func(t *testing.T) {
-			w := startTestCluster(t, func(o *trial.Options) {
+			tc := startTestCluster(t, func(o *trial.Options) {
 				o.UDPRelays = true
 				o.Document = defaultGangDocument
 			})
-			gang := w.submit(0, "big", "gang", 16, 2*time.Second)
-			w.awaitJob(0, gang, api.JobRunning)
-			for _, n := range w.Entries {
-				w.Check(n.DropFlows(direction) > 0, qt.IsTrue)
+			gang := tc.submit(0, "big", "gang", 16, 2*time.Second)
+			tc.awaitJob(0, gang, api.JobRunning)
+			for _, n := range tc.Entries {
+				tc.Check(n.DropFlows(direction) > 0, qt.IsTrue)
 			}
 			answers := make(map[string]<-chan callResult)
 			for i := range 8 {
 				check, booking := fmt.Sprint("check-", i), fmt.Sprint("booking-", i)
-				answers[check] = w.requestAsync(i%2, "check", check, "", 20*time.Millisecond)
-				answers[booking] = w.requestAsync(i%2, "booking", booking, booking, 20*time.Millisecond)
+				answers[check] = tc.requestAsync(i%2, "check", check, "", 20*time.Millisecond)
+				answers[booking] = tc.requestAsync(i%2, "booking", booking, booking, 20*time.Millisecond)
 			}
 			for i := range 8 {
 				check, booking := fmt.Sprint("check-", i), fmt.Sprint("booking-", i)
-				w.checkAnsweredAfterRetry(i, "check", check, <-answers[check])
-				w.checkAnsweredAfterRetry(i, "booking", booking, <-answers[booking])
-				runs, _ := w.quickRuns(booking)
-				w.Check(runs, qt.HasLen, 1)
+				tc.checkAnsweredAfterRetry(i, "check", check, <-answers[check])
+				tc.checkAnsweredAfterRetry(i, "booking", booking, <-answers[booking])
+				runs, _ := tc.quickRuns(booking)
+				tc.Check(runs, qt.HasLen, 1)
 			}
-			w.Check(w.awaitJob(1, gang, api.JobDone).Attempt, qt.Equals, 1)
-			w.checkRanOnce("gang")
-			w.checkNoViolations()
+			tc.Check(tc.awaitJob(1, gang, api.JobDone).Attempt, qt.Equals, 1)
+			tc.checkRanOnce("gang")
+			tc.checkNoViolations()
 		})
 	}
 }
 
 // checkAnsweredAfterRetry repeats a request, with its tag as the key, until it gets the
 // complete answer. The first answer must not be "not run" if the request ran.
-func (w *testCluster) checkAnsweredAfterRetry(entry int, class, tag string, a callResult) {
-	w.Helper()
-	w.Assert(a.err, qt.IsNil)
+func (tc *testCluster) checkAnsweredAfterRetry(entry int, class, tag string, a callResult) {
+	tc.Helper()
+	tc.Assert(a.err, qt.IsNil)
 	if a.Outcome == api.OutcomeNotRun {
-		runs, _ := w.quickRuns(tag)
-		w.Check(runs, qt.HasLen, 0)
+		runs, _ := tc.quickRuns(tag)
+		tc.Check(runs, qt.HasLen, 0)
 	}
-	w.eventually(func() error {
+	tc.eventually(func() error {
 		if a.Outcome == api.OutcomeDone {
 			return nil
 		}
-		a = w.request(entry%2, class, tag, tag, 20*time.Millisecond)
+		a = tc.request(entry%2, class, tag, tag, 20*time.Millisecond)
 		return errorUnless(a.Outcome == api.OutcomeDone, tag+" is not answered")
 	})
-	w.checkDone(a, tag)
+	tc.checkDone(a, tag)
 }
--- a/trial/target_restart_test.go
+++ b/trial/target_restart_test.go
@@ -17,29 +17,29 @@
 func TestTaskLostInTargetRestartStartsAgain(t *testing.T) {
 	// A restarted target answers that it does not know a gang member's task. The agent must report
 	// the task as ended at once, not only when its lease expires.
-	w := startTestCluster(t, func(o *trial.Options) { o.Document = outageDocument })
-	id := w.submit(0, "big", "gang", 16, 5*time.Second)
-	w.awaitJob(0, id, api.JobRunning)
+	tc := startTestCluster(t, func(o *trial.Options) { o.Document = outageDocument })
+	id := tc.submit(0, "big", "gang", 16, 5*time.Second)
+	tc.awaitJob(0, id, api.JobRunning)
 	restarted := time.Now()
-	w.workerOfMember("gang").Target.Restart()
-	w.eventually(func() error {
-		return errorUnless(len(w.jobAttempts("gang")) == 2, "the gang has not started again")
+	tc.workerOfMember("gang").Target.Restart()
+	tc.eventually(func() error {
+		return errorUnless(len(tc.jobAttempts("gang")) == 2, "the gang has not started again")
 	})
-	w.Check(time.Since(restarted) < taskLease/2, qt.IsTrue, qt.Commentf("%v", time.Since(restarted)))
-	w.awaitJob(0, id, api.JobDone)
-	w.checkRanOnce("gang")
+	tc.Check(time.Since(restarted) < taskLease/2, qt.IsTrue, qt.Commentf("%v", time.Since(restarted)))
+	tc.awaitJob(0, id, api.JobDone)
+	tc.checkRanOnce("gang")
 }
 
 // workerOfMember returns a worker on which a member of the job has started.
-func (w *testCluster) workerOfMember(tag string) *trial.Worker {
-	w.Helper()
-	for i, a := range w.Audits() {
+func (tc *testCluster) workerOfMember(tag string) *trial.Worker {
+	tc.Helper()
+	for i, a := range tc.Audits() {
 		for _, r := range a.Tasks {
 			if r.Tag == tag {
-				return w.Workers[i]
+				return tc.Workers[i]
 			}
 		}
 	}
-	w.Fatalf("%s has not started", tag)
+	tc.Fatalf("%s has not started", tag)
 	return nil
 }
