--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	region     = "r"
+	regionName = "r"
 	clusterKey = "key of a measurement on loopback"
 	loopback   = "127.0.0.1:0"
 )
--- a/internal/capacity/leadership_handover_test.go
+++ b/internal/capacity/leadership_handover_test.go
@@ -43,7 +43,7 @@
 	second := startEntry("entry-2")
 	client := api.NewClient("http://"+first.HTTPAddr(), nil)
 	eventually(c, "ready", func() bool { return client.Ready(context.Background()) == nil })
-	records := jobs.NewStore(region, s.client, nil)
+	records := jobs.NewStore(regionName, s.client, nil)
 	ids := make(map[string]string)
 	for _, name := range names {
 		ids[name] = s.submitJob(client, name, "gang-"+name, 16, run)
--- a/internal/capacity/planner_failover_test.go
+++ b/internal/capacity/planner_failover_test.go
@@ -35,7 +35,7 @@
 		secondEntry, err := entry.Start(s.entrySettings("entry-2", time.Second), discardLogger())
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(secondEntry.Close)
-		records := jobs.NewStore(region, s.client, nil)
+		records := jobs.NewStore(regionName, s.client, nil)
 		secondClient := api.NewClient("http://"+secondEntry.HTTPAddr(), nil)
 		for i := range 4 {
 			a, err := agent.Start(s.agentSettings(fmt.Sprint("worker-", i), names[0], secondEntry.QUICAddr(), time.Second), discardLogger())
--- a/internal/capacity/planner_takeover_test.go
+++ b/internal/capacity/planner_takeover_test.go
@@ -85,7 +85,7 @@
 	s := newTestRegion(c)
 	swaps := store.NewBatcher(s.client, 0)
 	c.Cleanup(swaps.Close)
-	store := jobs.NewStore(region, s.client, swaps)
+	store := jobs.NewStore(regionName, s.client, swaps)
 	doc, err := document.Parse("service", documentText("service", 4))
 	c.Assert(err, qt.IsNil)
 	agents := newGangMembers(n/8 + 20)
--- a/internal/capacity/region_test.go
+++ b/internal/capacity/region_test.go
@@ -55,7 +55,7 @@
 
 func (r *testRegion) entrySettings(id string, reportPeriod time.Duration) settings.Entry {
 	return settings.Entry{
-		ID: id, Region: region, Zone: "z1", HTTPListen: loopback, QUICListen: loopback, ClusterKey: clusterKey,
+		ID: id, Region: regionName, Zone: "z1", HTTPListen: loopback, QUICListen: loopback, ClusterKey: clusterKey,
 		StoreURLs: []string{r.url}, StoreTimeout: schema.Duration{Duration: 2 * time.Second}, StoreRateLimit: 500,
 		ReportPeriod: schema.Duration{Duration: reportPeriod}, StopGrace: schema.Duration{Duration: time.Minute},
 	}
--- a/internal/capacity/standin_agent.go
+++ b/internal/capacity/standin_agent.go
@@ -42,7 +42,7 @@
 func startStandinAgent(f *Fleet, id, service, rack string) (*standinAgent, error) {
 	a := &standinAgent{fleet: f, wakeEntryLoop: make(chan struct{}, 1), wakeRelayLoop: make(chan struct{}, 1)}
 	a.docs = document.NewActiveSet(a.documentChanged)
-	peer := wire.Peer{ID: id, Role: wire.RoleAgent, Incarnation: uint64(time.Now().UnixNano()), Region: region, Zone: "z1", Version: wire.Version}
+	peer := wire.Peer{ID: id, Role: wire.RoleAgent, Incarnation: uint64(time.Now().UnixNano()), Region: regionName, Zone: "z1", Version: wire.Version}
 	identity, err := wire.NewIdentity(peer, []byte(clusterKey))
 	if err != nil {
 		return nil, err
@@ -53,7 +53,7 @@
 	}
 	a.pool = wire.NewPool(a.endpoint)
 	a.state = wire.AgentReport{
-		ID: id, Incarnation: peer.Incarnation, Service: service, Region: region, Zone: "z1", Rack: rack, Address: a.endpoint.Addr(),
+		ID: id, Incarnation: peer.Incarnation, Service: service, Region: regionName, Zone: "z1", Rack: rack, Address: a.endpoint.Addr(),
 		Accelerators: 8, Slots: 8, Connections: 64, Cores: 32, MemoryMB: 65536,
 	}
 	cfg := membership.ReportRouterConfig{
--- a/internal/capacity/store_test.go
+++ b/internal/capacity/store_test.go
@@ -68,7 +68,7 @@
 		server.Close()
 	})
 	return settings.Agent{
-		ID: id, Service: service, Region: region, Zone: "z1", Rack: "r1", Listen: loopback, Seeds: []string{seed}, ClusterKey: clusterKey,
+		ID: id, Service: service, Region: regionName, Zone: "z1", Rack: "r1", Listen: loopback, Seeds: []string{seed}, ClusterKey: clusterKey,
 		Target: server.URL, Accelerators: 8, Slots: 8, Connections: 64, Cores: 32, MemoryMB: 65536,
 		ReportPeriod: schema.Duration{Duration: reportPeriod}, StopGrace: schema.Duration{Duration: time.Minute},
 	}
