--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -17,8 +17,8 @@
 type Fleet struct {
 	Traffic Traffic
 	// Reports counts answered reports, Failed those without an answer, Refused those that the
-	// entry refused and RelayReports those that a relay answered. Admitted counts agents that
-	// got a first answer without a refusal.
+	// entry refused and RelayReports those that a relay answered. Admitted counts the agents
+	// with at least one report that was not refused.
 	Reports, Failed, Refused, Admitted, RelayReports atomic.Int64
 
 	entry        string
--- a/internal/capacity/leadership_handover_test.go
+++ b/internal/capacity/leadership_handover_test.go
@@ -20,9 +20,9 @@
 	c := requireMeasure(t)
 	const n, run = 10, 45 * time.Second
 	names := services(n)
-	s := newTestRegion(c, names...)
+	region := newTestRegion(c, names...)
 	startEntry := func(id string) *entry.Entry {
-		e, err := entry.Start(s.entrySettings(id, time.Second), discardLogger())
+		e, err := entry.Start(region.entrySettings(id, time.Second), discardLogger())
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(e.Close)
 		return e
@@ -31,22 +31,22 @@
 	eventually(c, "all duties held", func() bool { return countLeaderships(c, []*entry.Entry{first})[0] == n })
 	for i, name := range names {
 		for k := range 2 {
-			a, err := agent.Start(s.agentSettings(fmt.Sprintf("worker-%d-%d", i, k), name, first.QUICAddr(), time.Second), discardLogger())
+			a, err := agent.Start(region.agentSettings(fmt.Sprintf("worker-%d-%d", i, k), name, first.QUICAddr(), time.Second), discardLogger())
 			c.Assert(err, qt.IsNil)
 			c.Cleanup(a.Close)
 		}
 	}
 	eventually(c, "agents known", func() bool {
-		known, inForce := s.countAlive(first.HTTPAddr(), 1)
+		known, inForce := region.countAlive(first.HTTPAddr(), 1)
 		return known == 2*n && inForce == 2*n
 	})
 	second := startEntry("entry-2")
 	client := api.NewClient("http://"+first.HTTPAddr(), nil)
 	eventually(c, "ready", func() bool { return client.Ready(context.Background()) == nil })
-	records := jobs.NewStore(regionName, s.client, nil)
+	records := jobs.NewStore(regionName, region.client, nil)
 	ids := make(map[string]string)
 	for _, name := range names {
-		ids[name] = s.submitJob(client, name, "gang-"+name, 16, run)
+		ids[name] = region.submitJob(client, name, "gang-"+name, 16, run)
 	}
 	transferred := 0
 	for _, name := range names {
--- a/internal/capacity/planner_failover_test.go
+++ b/internal/capacity/planner_failover_test.go
@@ -28,17 +28,17 @@
 	names := services(n)
 	var allElected, firstElected, jobsDone []time.Duration
 	for round := range rounds {
-		s := newTestRegion(c, names...)
-		firstEntry := startProcess(c, entrySettingsEnv, s.entrySettings("entry-1", time.Second))
+		region := newTestRegion(c, names...)
+		firstEntry := startProcess(c, entrySettingsEnv, region.entrySettings("entry-1", time.Second))
 		firstClient := api.NewClient("http://"+firstEntry.addresses[1], nil)
 		eventually(c, "all duties at the first", func() bool { return len(listLeaderships(c, firstClient)) == n })
-		secondEntry, err := entry.Start(s.entrySettings("entry-2", time.Second), discardLogger())
+		secondEntry, err := entry.Start(region.entrySettings("entry-2", time.Second), discardLogger())
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(secondEntry.Close)
-		records := jobs.NewStore(regionName, s.client, nil)
+		records := jobs.NewStore(regionName, region.client, nil)
 		secondClient := api.NewClient("http://"+secondEntry.HTTPAddr(), nil)
 		for i := range 4 {
-			a, err := agent.Start(s.agentSettings(fmt.Sprint("worker-", i), names[0], secondEntry.QUICAddr(), time.Second), discardLogger())
+			a, err := agent.Start(region.agentSettings(fmt.Sprint("worker-", i), names[0], secondEntry.QUICAddr(), time.Second), discardLogger())
 			c.Assert(err, qt.IsNil)
 			c.Cleanup(a.Close)
 		}
@@ -48,7 +48,7 @@
 		c.Assert(firstEntry.cmd.Process.Kill(), qt.IsNil)
 		job := make(chan time.Duration)
 		go func() {
-			id := s.submitJob(secondClient, names[0], fmt.Sprint("job-", round), 1, time.Millisecond)
+			id := region.submitJob(secondClient, names[0], fmt.Sprint("job-", round), 1, time.Millisecond)
 			eventually(c, "the job is done", func() bool {
 				rec, err := records.Get(context.Background(), names[0], id)
 				return err == nil && rec.State == jobs.Done
--- a/internal/capacity/planner_takeover_test.go
+++ b/internal/capacity/planner_takeover_test.go
@@ -82,16 +82,16 @@
 }
 
 func measureTakeover(c *qt.C, n int) {
-	s := newTestRegion(c)
-	swaps := store.NewBatcher(s.client, 0)
+	region := newTestRegion(c)
+	swaps := store.NewBatcher(region.client, 0)
 	c.Cleanup(swaps.Close)
-	store := jobs.NewStore(regionName, s.client, swaps)
+	store := jobs.NewStore(regionName, region.client, swaps)
 	doc, err := document.Parse("service", documentText("service", 4))
 	c.Assert(err, qt.IsNil)
 	agents := newGangMembers(n/8 + 20)
 	start := func(epoch uint64) *planner.Planner {
 		return planner.Start(planner.Config{
-			Service: "service", Epoch: epoch, Store: s.client, Jobs: store, Agents: agents, Metrics: metrics.New(0), Log: discardLogger(),
+			Service: "service", Epoch: epoch, Store: region.client, Jobs: store, Agents: agents, Metrics: metrics.New(0), Log: discardLogger(),
 			Document: &document.ActiveVersion{Document: doc, Version: document.Version{Service: "service", Generation: 1}}, Retention: noRetention{},
 		})
 	}
@@ -109,7 +109,7 @@
 			Spec: jobs.Spec{Account: fmt.Sprint("account-", i%4), Class: "long", Accelerators: 1, Adjacency: "any", Repeatable: true, Payload: []byte(`{"command":"score","input":"a line of about fifty bytes of payload"}`)}})
 		c.Check(err, qt.IsNil)
 	}
-	calls, began := s.calls.Calls(), time.Now()
+	calls, began := region.calls.Calls(), time.Now()
 	var wg sync.WaitGroup
 	const callers = 100
 	for k := range callers {
@@ -122,11 +122,11 @@
 	wg.Wait()
 	accepted := time.Since(began)
 	eventually(c, "all jobs run", func() bool { agents.reportAll(first); time.Sleep(100 * time.Millisecond); return allRunning(first) })
-	c.Logf("%d jobs: accepted in %v, all running after %v, calls a job %s | load %s", n, accepted.Round(time.Millisecond), time.Since(began).Round(time.Millisecond), callIncrease(s.calls.Calls(), calls, float64(n)), loadAverage())
+	c.Logf("%d jobs: accepted in %v, all running after %v, calls a job %s | load %s", n, accepted.Round(time.Millisecond), time.Since(began).Round(time.Millisecond), callIncrease(region.calls.Calls(), calls, float64(n)), loadAverage())
 	first.Stop()
 	last := fmt.Sprintf("job-%06d", n-1)
 	for epoch := uint64(2); epoch < 5; epoch++ {
-		calls, usageBefore := s.calls.Calls(), ReadUsage()
+		calls, usageBefore := region.calls.Calls(), ReadUsage()
 		began := time.Now()
 		p := start(epoch)
 		agents.reportAll(p)
@@ -134,12 +134,12 @@
 		eventually(c, "all jobs run", func() bool { return allRunning(p) })
 		resumed := time.Since(began)
 		after := ReadUsage()
-		callsAfter, idleUsage := s.calls.Calls(), ReadUsage()
+		callsAfter, idleUsage := region.calls.Calls(), ReadUsage()
 		time.Sleep(4 * time.Second)
 		idleProcessorTime := ReadUsage().ProcessorTimeSince(idleUsage)
 		c.Logf("%d jobs: takeover: records listed and taken in after %v, all known to the scheduler (as published every 250 ms) after %v, processor %v (store stand-in included), heap grown %d KB; at rest %.2f%% of a core; calls %s, at rest %s a second | load %s",
 			n, listed.Round(time.Millisecond), resumed.Round(time.Millisecond), after.ProcessorTimeSince(usageBefore).Round(time.Millisecond), (int64(after.Heap)-int64(usageBefore.Heap))>>10, 100*idleProcessorTime.Seconds()/4,
-			callIncrease(callsAfter, calls, 1), callIncrease(s.calls.Calls(), callsAfter, 4), loadAverage())
+			callIncrease(callsAfter, calls, 1), callIncrease(region.calls.Calls(), callsAfter, 4), loadAverage())
 		idleUsage = ReadUsage()
 		const rounds = 20
 		for range rounds {
