--- a/internal/capacity/agent_test.go
+++ b/internal/capacity/agent_test.go
@@ -101,16 +101,16 @@
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(other.Close)
 	p := startProcess(c, agentSettingsEnv, region.agentSettings("worker-1", names[0], cfg.Advertise, reportPeriod))
-	eventually(c, "both known", func() bool { known, inForce := region.countAlive(e.HTTPAddr(), 1); return known == 2 && inForce == 2 })
+	eventually(c, "both known", func() bool { known, applied := region.countAlive(e.HTTPAddr(), 1); return known == 2 && applied == 2 })
 	client := api.NewClient("http://"+e.HTTPAddr(), nil)
-	measureUsage := func(what string) {
+	measureUsage := func(label string) {
 		time.Sleep(2 * settleTime)
 		const span = 10 * time.Second
 		bytes, before := proxy.bytes.Load(), p.usage()
 		time.Sleep(span)
 		bytes, after := proxy.bytes.Load()-bytes, p.usage()
 		c.Logf("agent, report every %v, %s: processor %.2f%% of a core, heap %d KB stacks %d KB resident %d KB goroutines %d, %.0f B/s both ways | load %s",
-			reportPeriod, what, 100*after.ProcessorTimeSince(before).Seconds()/span.Seconds(), after.Heap>>10, after.Stacks>>10, after.Resident>>10, after.Goroutines, float64(bytes)/2/span.Seconds(), loadAverage())
+			reportPeriod, label, 100*after.ProcessorTimeSince(before).Seconds()/span.Seconds(), after.Heap>>10, after.Stacks>>10, after.Resident>>10, after.Goroutines, float64(bytes)/2/span.Seconds(), loadAverage())
 	}
 	measureUsage("idle")
 	gangJob := region.submitJob(client, names[0], "gang", 16, 18*time.Second)
--- a/internal/capacity/entry_test.go
+++ b/internal/capacity/entry_test.go
@@ -58,10 +58,10 @@
 	time.Sleep(3*settleTime + 3*reportPeriod) // until path MTU discovery has ended
 	before := p.usage()
 	bytes := func() int64 { return f.Traffic.SentBytes.Load() + f.Traffic.ReceivedBytes.Load() }
-	b, reports := bytes(), f.Reports.Load()
+	totalBytes, reports := bytes(), f.Reports.Load()
 	span := max(8*time.Second, 2*reportPeriod)
 	time.Sleep(span)
-	b, reports = bytes()-b, f.Reports.Load()-reports
+	totalBytes, reports = bytes()-totalBytes, f.Reports.Load()-reports
 	after := p.usage()
 	perAgentKB := func(a, b uint64) float64 { return (float64(a) - float64(b)) / float64(n) / 1024 }
 	processorTime := after.ProcessorTimeSince(before)
@@ -69,7 +69,7 @@
 		n, serviceCount, reportPeriod, varyLoad, empty.Heap>>10, empty.Resident>>10, perAgentKB(after.Heap, empty.Heap), perAgentKB(after.Stacks, empty.Stacks), perAgentKB(after.Resident, empty.Resident),
 		float64(after.Goroutines-empty.Goroutines)/float64(n),
 		float64(processorTime.Microseconds())/float64(n)/span.Seconds(), float64(processorTime.Microseconds())/float64(max(1, reports)), 100*processorTime.Seconds()/span.Seconds(),
-		float64(b)/float64(n)/span.Seconds(), float64(b)/float64(max(1, reports)), known.Round(time.Millisecond), 100*(empty.ProcessorTimeSince(start)).Seconds()/settleTime.Seconds(), loadAverage())
+		float64(totalBytes)/float64(n)/span.Seconds(), float64(totalBytes)/float64(max(1, reports)), known.Round(time.Millisecond), 100*(empty.ProcessorTimeSince(start)).Seconds()/settleTime.Seconds(), loadAverage())
 }
 
 // TestMeasureOtherServiceChanges measures the traffic of agents while the document of another
@@ -89,7 +89,7 @@
 	f := NewFleet(p.addresses[0], every, false)
 	c.Cleanup(f.Stop)
 	c.Assert(f.Add(n, names[0]), qt.IsNil)
-	eventually(c, "all agents in force", func() bool { _, inForce := region.countAlive(p.addresses[1], 1); return inForce == n })
+	eventually(c, "all agents in force", func() bool { _, applied := region.countAlive(p.addresses[1], 1); return applied == n })
 	time.Sleep(5 * settleTime)
 	traffic := func() int64 { return f.Traffic.SentBytes.Load() + f.Traffic.ReceivedBytes.Load() }
 	for _, changes := range []bool{false, true} {
@@ -160,8 +160,8 @@
 	c.Cleanup(f.Stop)
 	c.Assert(f.Add(n, names...), qt.IsNil)
 	eventually(c, "all agents in force", func() bool {
-		known, inForce := region.countAlive(p.addresses[1], 1)
-		return known == n && inForce == n
+		known, applied := region.countAlive(p.addresses[1], 1)
+		return known == n && applied == n
 	})
 	time.Sleep(settleTime)
 	for generation := uint64(1); generation < 6; generation++ {
@@ -172,7 +172,7 @@
 		v := region.putDocument(names[0], generation)
 		accepted := time.Since(began)
 		eventually(c, "in force", func() bool { return len(f.AppliedAt(v.Generation)) == n })
-		reported := eventually(c, "reported", func() bool { _, inForce := region.countAlive(p.addresses[1], v.Generation); return inForce == n })
+		reported := eventually(c, "reported", func() bool { _, applied := region.countAlive(p.addresses[1], v.Generation); return applied == n })
 		after := p.usage()
 		var applyTimes []time.Duration
 		for _, at := range f.AppliedAt(v.Generation) {
--- a/internal/capacity/leadership_handover_test.go
+++ b/internal/capacity/leadership_handover_test.go
@@ -27,21 +27,21 @@
 		c.Cleanup(e.Close)
 		return e
 	}
-	first := startEntry("entry-1")
-	eventually(c, "all duties held", func() bool { return countLeaderships(c, []*entry.Entry{first})[0] == n })
+	firstEntry := startEntry("entry-1")
+	eventually(c, "all duties held", func() bool { return countLeaderships(c, []*entry.Entry{firstEntry})[0] == n })
 	for i, name := range names {
 		for k := range 2 {
-			a, err := agent.Start(region.agentSettings(fmt.Sprintf("worker-%d-%d", i, k), name, first.QUICAddr(), time.Second), discardLogger())
+			a, err := agent.Start(region.agentSettings(fmt.Sprintf("worker-%d-%d", i, k), name, firstEntry.QUICAddr(), time.Second), discardLogger())
 			c.Assert(err, qt.IsNil)
 			c.Cleanup(a.Close)
 		}
 	}
 	eventually(c, "agents known", func() bool {
-		known, inForce := region.countAlive(first.HTTPAddr(), 1)
-		return known == 2*n && inForce == 2*n
+		known, applied := region.countAlive(firstEntry.HTTPAddr(), 1)
+		return known == 2*n && applied == 2*n
 	})
-	second := startEntry("entry-2")
-	client := api.NewClient("http://"+first.HTTPAddr(), nil)
+	secondEntry := startEntry("entry-2")
+	client := api.NewClient("http://"+firstEntry.HTTPAddr(), nil)
 	eventually(c, "ready", func() bool { return client.Ready(context.Background()) == nil })
 	records := jobs.NewStore(regionName, region.client, nil)
 	ids := make(map[string]string)
@@ -57,7 +57,7 @@
 			return err == nil && rec.State == jobs.Done
 		})
 		c.Check(rec.Attempt, qt.Equals, uint64(1), qt.Commentf("%s", name))
-		if second.Epoch(name) > 0 {
+		if secondEntry.Epoch(name) > 0 {
 			transferred++
 		}
 	}
--- a/internal/capacity/measure_test.go
+++ b/internal/capacity/measure_test.go
@@ -43,12 +43,12 @@
 	return logrus.NewEntry(log)
 }
 
-func quantile(all []time.Duration, q float64) time.Duration {
-	if len(all) == 0 {
+func quantile(durations []time.Duration, q float64) time.Duration {
+	if len(durations) == 0 {
 		return 0
 	}
-	slices.Sort(all)
-	return all[min(len(all)-1, int(q*float64(len(all))))].Round(time.Microsecond)
+	slices.Sort(durations)
+	return durations[min(len(durations)-1, int(q*float64(len(durations))))].Round(time.Microsecond)
 }
 
 // documentText returns a document with the given accounts, three classes and no topology.
--- a/internal/capacity/planner_takeover_test.go
+++ b/internal/capacity/planner_takeover_test.go
@@ -89,7 +89,7 @@
 	doc, err := document.Parse("service", documentText("service", 4))
 	c.Assert(err, qt.IsNil)
 	agents := newGangMembers(n/8 + 20)
-	start := func(epoch uint64) *planner.Planner {
+	startPlanner := func(epoch uint64) *planner.Planner {
 		return planner.Start(planner.Config{
 			Service: "service", Epoch: epoch, Store: region.client, Jobs: store, Agents: agents, Metrics: metrics.New(0), Log: discardLogger(),
 			Document: &document.ActiveVersion{Document: doc, Version: document.Version{Service: "service", Generation: 1}}, Retention: noRetention{},
@@ -102,8 +102,8 @@
 		}
 		return total == n
 	}
-	first := start(1)
-	agents.reportAll(first)
+	firstPlanner := startPlanner(1)
+	agents.reportAll(firstPlanner)
 	accept := func(i int) {
 		_, err := store.Accept(context.Background(), jobs.Record{ID: fmt.Sprintf("job-%06d", i), Service: "service", Submitted: time.Now(),
 			Spec: jobs.Spec{Account: fmt.Sprint("account-", i%4), Class: "long", Accelerators: 1, Adjacency: "any", Repeatable: true, Payload: []byte(`{"command":"score","input":"a line of about fifty bytes of payload"}`)}})
@@ -121,16 +121,20 @@
 	}
 	wg.Wait()
 	accepted := time.Since(began)
-	eventually(c, "all jobs run", func() bool { agents.reportAll(first); time.Sleep(100 * time.Millisecond); return allRunning(first) })
+	eventually(c, "all jobs run", func() bool {
+		agents.reportAll(firstPlanner)
+		time.Sleep(100 * time.Millisecond)
+		return allRunning(firstPlanner)
+	})
 	c.Logf("%d jobs: accepted in %v, all running after %v, calls a job %s | load %s", n, accepted.Round(time.Millisecond), time.Since(began).Round(time.Millisecond), callIncrease(region.calls.Calls(), calls, float64(n)), loadAverage())
-	first.Stop()
-	last := fmt.Sprintf("job-%06d", n-1)
+	firstPlanner.Stop()
+	lastJobID := fmt.Sprintf("job-%06d", n-1)
 	for epoch := uint64(2); epoch < 5; epoch++ {
 		calls, usageBefore := region.calls.Calls(), ReadUsage()
 		began := time.Now()
-		p := start(epoch)
+		p := startPlanner(epoch)
 		agents.reportAll(p)
-		listed := eventually(c, "listed", func() bool { _, ok := p.Status(context.Background(), last); return ok })
+		listed := eventually(c, "listed", func() bool { _, ok := p.Status(context.Background(), lastJobID); return ok })
 		eventually(c, "all jobs run", func() bool { return allRunning(p) })
 		resumed := time.Since(began)
 		after := ReadUsage()
@@ -144,7 +148,7 @@
 		const rounds = 20
 		for range rounds {
 			agents.reportAll(p)
-			p.Status(context.Background(), last) // waits until the planner has handled the reports
+			p.Status(context.Background(), lastJobID) // waits until the planner has handled the reports
 		}
 		reportProcessorTime := ReadUsage().ProcessorTimeSince(idleUsage)
 		c.Logf("%d jobs: a report of 8 tasks costs the planner %.1f us", n, float64(reportProcessorTime.Microseconds())/rounds/float64(len(agents.members)))
--- a/internal/capacity/region_test.go
+++ b/internal/capacity/region_test.go
@@ -63,7 +63,7 @@
 
 // countAlive returns the number of live agents that the entry knows, and of those that reported
 // at least the generation.
-func (r *testRegion) countAlive(httpAddr string, generation uint64) (known, inForce int) {
+func (r *testRegion) countAlive(httpAddr string, generation uint64) (known, applied int) {
 	status, err := api.NewClient("http://"+httpAddr, nil).Status(context.Background())
 	if err != nil {
 		return 0, 0
@@ -73,10 +73,10 @@
 			known++
 		}
 		if m.State == "alive" && m.Generation >= generation {
-			inForce++
+			applied++
 		}
 	}
-	return known, inForce
+	return known, applied
 }
 
 func services(n int) []string {
--- a/internal/capacity/relays_test.go
+++ b/internal/capacity/relays_test.go
@@ -56,7 +56,7 @@
 	region.measureSteadyState(p, proxy, n, reportPeriod, "after a restart of the entry")
 }
 
-func (r *testRegion) measureSteadyState(p *process, proxy *countingProxy, n int, reportPeriod time.Duration, what string) {
+func (r *testRegion) measureSteadyState(p *process, proxy *countingProxy, n int, reportPeriod time.Duration, label string) {
 	time.Sleep(3*settleTime + 2*reportPeriod) // until unused connections are closed
 	const span = 24 * time.Second
 	bytes, before := proxy.bytes.Load(), p.usage()
@@ -64,7 +64,7 @@
 	bytes, after := proxy.bytes.Load()-bytes, p.usage()
 	processorTime := after.ProcessorTimeSince(before)
 	r.Logf("%d agents in racks of %d every %v, %s: processor %.1f us/s an agent, %.2f%% of a core | heap %d MB stacks %d KB resident %d MB goroutines %d | %.1f B/s an agent, %.1f KB/s both ways | not by relays %d | load %s",
-		n, rackSize, reportPeriod, what, float64(processorTime.Microseconds())/float64(n)/span.Seconds(), 100*processorTime.Seconds()/span.Seconds(),
+		n, rackSize, reportPeriod, label, float64(processorTime.Microseconds())/float64(n)/span.Seconds(), 100*processorTime.Seconds()/span.Seconds(),
 		after.Heap>>20, after.Stacks>>10, after.Resident>>20, after.Goroutines,
 		float64(bytes)/float64(n)/span.Seconds(), float64(bytes)/1024/span.Seconds(), n-r.countRelayed(p.addresses[1]), loadAverage())
 }
--- a/internal/capacity/store_test.go
+++ b/internal/capacity/store_test.go
@@ -87,7 +87,7 @@
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(a.Close)
 	}
-	eventually(c, "ready", func() bool { known, inForce := region.countAlive(e.HTTPAddr(), 1); return known == 8 && inForce == 8 })
+	eventually(c, "ready", func() bool { known, applied := region.countAlive(e.HTTPAddr(), 1); return known == 8 && applied == 8 })
 	transport := &http.Transport{MaxIdleConnsPerHost: 200}
 	c.Cleanup(transport.CloseIdleConnections)
 	client := api.NewClient("http://"+e.HTTPAddr(), transport)
--- a/load/plan.go
+++ b/load/plan.go
@@ -41,7 +41,7 @@
 	Deadline Duration `toml:"deadline"`
 	// ServiceTime is the time that the target works on a request.
 	ServiceTime LogNormal `toml:"work"`
-	// ResponsePadding is the number of padding bytes in the answer.
+	// ResponsePadding is the number of padding bytes in the response.
 	ResponsePadding int `toml:"pad"`
 	// Repeatable must match the class in the service document; the audit relies on it. It is
 	// also sent as a request header.
@@ -79,7 +79,7 @@
 	Weight       float64       `toml:"weight"`
 }
 
-// LogNormal is a log-normal distribution of durations, cut off at Max.
+// LogNormal is a log-normal distribution of durations, capped at Max.
 type LogNormal struct {
 	Median Duration `toml:"median"`
 	// Sigma is the standard deviation of the logarithm; with 0 every draw is Median.
@@ -106,7 +106,8 @@
 	Account string `toml:"account"`
 }
 
-// BulkCancellation cancels a share of the jobs that have not ended at a given time.
+// BulkCancellation cancels, at a point in time, a share of the jobs that have not ended. An
+// empty Account selects those of all accounts.
 type BulkCancellation struct {
 	At      Duration `toml:"at"`
 	Share   float64  `toml:"share"`
--- a/trial/cluster.go
+++ b/trial/cluster.go
@@ -38,7 +38,7 @@
 }
 
 // New starts a cluster, stores its document and waits until every entry is ready and knows
-// every agent with the current document. Close stops it.
+// every agent with that document active. Close stops it.
 func New(ctx context.Context, o Options) (*Cluster, error) {
 	o = o.withDefaults()
 	doc, err := document.Parse("trial", o.Document)
@@ -134,7 +134,7 @@
 }
 
 // WaitForDocument waits until every running entry is ready and sees every running agent alive,
-// all of them with this generation or a later one.
+// all of them with this generation or a later one active.
 func (c *Cluster) WaitForDocument(ctx context.Context, generation uint64) error {
 	return WaitFor(ctx, func(ctx context.Context) error { return c.checkDocument(ctx, generation) })
 }
--- a/trial/document_test.go
+++ b/trial/document_test.go
@@ -33,7 +33,7 @@
 }
 
 func TestNewEntryGetsDocumentFromPeer(t *testing.T) {
-	// An entry restarted during a store outage must take the current generation from its peer
+	// An entry restarted during a store outage must take the active generation from its peer
 	// before it becomes ready.
 	tc := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
 	v, err := tc.PutDocument(tc.ctx, changedDocument, 1)
@@ -47,8 +47,8 @@
 }
 
 func TestStoreRestoreDoesNotRevertDocument(t *testing.T) {
-	// The store is restored from a backup that is older than the current document. A new entry
-	// must not become ready with the old one, and the store must get the newer one back.
+	// The store is restored from a backup that is older than the active document. A new entry must
+	// not become ready with the old one, and the store must get the newer one back.
 	tc := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
 	tc.Store.Snapshot()
 	v, err := tc.PutDocument(tc.ctx, changedDocument, 1)
--- a/trial/helpers_test.go
+++ b/trial/helpers_test.go
@@ -119,7 +119,7 @@
 	return &testCluster{C: c, Cluster: cluster, ctx: ctx}
 }
 
-// eventually retries until try returns nil.
+// eventually retries until check returns nil.
 func (tc *testCluster) eventually(check func() error) {
 	tc.Helper()
 	err := trial.WaitFor(tc.ctx, func(context.Context) error { return check() })
--- a/trial/reclaim.go
+++ b/trial/reclaim.go
@@ -121,11 +121,11 @@
 	})
 }
 
-func (r *reclaimMeasurement) submit(ctx context.Context, account string, g document.Guarantee, run time.Duration) (int, error) {
+func (r *reclaimMeasurement) submit(ctx context.Context, account string, g document.Guarantee, runTime time.Duration) (int, error) {
 	tag := "reclaim-" + uuid.NewString()
 	payload, err := json.Marshal(standin.TaskPayload{
 		Tag:               tag,
-		RunMS:             run.Milliseconds(),
+		RunMS:             runTime.Milliseconds(),
 		CheckpointEveryMS: checkpointInterval.Milliseconds(),
 	})
 	if err != nil {
@@ -155,16 +155,16 @@
 			shape = g
 		}
 	}
-	n, err := r.submit(ctx, a.Name, shape, claimRunTime)
+	jobIndex, err := r.submit(ctx, a.Name, shape, claimRunTime)
 	if err != nil {
 		return load.ReclaimSample{}, err
 	}
 	claimCtx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	status, err := r.awaitFinalState(claimCtx, r.result.Jobs[n].ID)
+	status, err := r.awaitFinalState(claimCtx, r.result.Jobs[jobIndex].ID)
 	sample := load.ReclaimSample{Account: a.Name, StartDelay: claimTimeout}
 	if err == nil && status.State == api.JobDone {
-		sample.StartDelay = r.startTime(r.result.Jobs[n].Tag).Sub(r.result.Jobs[n].Scheduled)
+		sample.StartDelay = r.startTime(r.result.Jobs[jobIndex].Tag).Sub(r.result.Jobs[jobIndex].Scheduled)
 		sample.Honoured = true
 	}
 	return sample, ctx.Err()
