--- a/load/audit_test.go
+++ b/load/audit_test.go
@@ -19,7 +19,7 @@
 	return standin.QuickRun{RequestID: id, Tag: "t", Completed: true, Checksum: "sum"}
 }
 
-type findingCounts struct{ lost, doubled, misreported, partial int }
+type findingCounts struct{ lost, duplicateRuns, misreported, partialGangs int }
 
 func countFindings(f Findings) findingCounts {
 	return findingCounts{f.Lost.Count, f.DuplicateRuns.Count, f.Misreported.Count, f.PartialGangs.Count}
@@ -47,7 +47,7 @@
 		"silence":                              {false, []Try{{}, {}}, nil, findingCounts{lost: 1}},
 		"never tried":                          {false, nil, nil, findingCounts{lost: 1}},
 		"silence, then done":                   {false, []Try{{}, done}, runs{quickRun("r1")}, findingCounts{}},
-		"ran twice":                            {false, []Try{done}, runs{quickRun("r1"), quickRun("r2")}, findingCounts{doubled: 1}},
+		"ran twice":                            {false, []Try{done}, runs{quickRun("r1"), quickRun("r2")}, findingCounts{duplicateRuns: 1}},
 		"ran twice, may be repeated":           {true, []Try{done}, runs{quickRun("r1"), quickRun("r2")}, findingCounts{}},
 		"told not run, ran":                    {true, []Try{notRun}, runs{quickRun("r9")}, findingCounts{misreported: 1}},
 		"told not run, ran to the half":        {true, []Try{notRun}, runs{incompleteRun}, findingCounts{misreported: 1}},
@@ -106,14 +106,14 @@
 		"told done, stopped":              {job(api.JobDone), gang(1, stopped, 0, 2), findingCounts{misreported: 1}},
 		"told done, never ran":            {job(api.JobDone), nil, findingCounts{misreported: 1}},
 		"another's result":                {wrongResult, gang(1, ok, 0, 9), findingCounts{misreported: 1}},
-		"done, one member stopped":        {job(api.JobDone), runs{memberRun("a", 1, 0, ok, 0, 9), memberRun("a", 1, 1, stopped, 0, 4)}, findingCounts{partial: 1}},
-		"failed, one member only started": {job(api.JobFailed), gang(1, ok, 0, 9)[:1], findingCounts{partial: 1}},
-		"ran twice":                       {job(api.JobDone), append(gang(1, stopped, 0, 5), gang(2, ok, 0, 9)...), findingCounts{doubled: 1}},
+		"done, one member stopped":        {job(api.JobDone), runs{memberRun("a", 1, 0, ok, 0, 9), memberRun("a", 1, 1, stopped, 0, 4)}, findingCounts{partialGangs: 1}},
+		"failed, one member only started": {job(api.JobFailed), gang(1, ok, 0, 9)[:1], findingCounts{partialGangs: 1}},
+		"ran twice":                       {job(api.JobDone), append(gang(1, stopped, 0, 5), gang(2, ok, 0, 9)...), findingCounts{duplicateRuns: 1}},
 		"ran twice, repeatable":           {repeatableJob, append(gang(1, stopped, 0, 5), gang(2, ok, 0, 9)...), findingCounts{}},
 		"resumed where it ended":          {job(api.JobDone), append(gang(1, stopped, 0, 5), gang(2, ok, 5, 9)...), findingCounts{}},
-		"resumed before where it ended":   {job(api.JobDone), append(gang(1, stopped, 0, 5), gang(2, ok, 3, 9)...), findingCounts{doubled: 1}},
-		"one submission, two jobs":        {repeatableJob, append(gang(1, ok, 0, 9), memberRun("b", 1, 0, ok, 0, 9), memberRun("b", 1, 1, ok, 0, 9)), findingCounts{doubled: 1}},
-		"one member started twice":        {repeatableJob, append(gang(1, ok, 0, 9), memberRun("a", 1, 1, ok, 0, 9)), findingCounts{doubled: 1}},
+		"resumed before where it ended":   {job(api.JobDone), append(gang(1, stopped, 0, 5), gang(2, ok, 3, 9)...), findingCounts{duplicateRuns: 1}},
+		"one submission, two jobs":        {repeatableJob, append(gang(1, ok, 0, 9), memberRun("b", 1, 0, ok, 0, 9), memberRun("b", 1, 1, ok, 0, 9)), findingCounts{duplicateRuns: 1}},
+		"one member started twice":        {repeatableJob, append(gang(1, ok, 0, 9), memberRun("a", 1, 1, ok, 0, 9)), findingCounts{duplicateRuns: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tc.job.Tag = "t"
--- a/trial/cluster.go
+++ b/trial/cluster.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	loopback      = "127.0.0.1:0"
-	region        = "trial"
-	clusterKey    = "key of a trial on loopback"
-	storeCallRate = 500 // calls per second; the default of an entry's settings
+	loopback       = "127.0.0.1:0"
+	region         = "trial"
+	clusterKey     = "key of a trial on loopback"
+	storeRateLimit = 500 // calls per second; the default of an entry's settings
 
 	maxStartAttempts = 50
 	startRetryDelay  = 20 * time.Millisecond
--- a/trial/entry_node.go
+++ b/trial/entry_node.go
@@ -47,7 +47,7 @@
 		ClusterKey:     clusterKey,
 		StoreURLs:      []string{proxy.url()},
 		StoreTimeout:   schema.Duration{Duration: o.StoreTimeout},
-		StoreRateLimit: storeCallRate,
+		StoreRateLimit: storeRateLimit,
 		ReportPeriod:   schema.Duration{Duration: o.ReportPeriod},
 		DrainDelay:     schema.Duration{Duration: o.DrainDelay},
 		StopGrace:      schema.Duration{Duration: time.Minute},
