--- a/load/overlapping_attempts.go
+++ b/load/overlapping_attempts.go
@@ -10,20 +10,20 @@
 // overlap in time by the workers' logs. A run without an end overlaps every later one.
 func OverlappingAttempts(audits []standin.Audit) []string {
 	byJob := make(map[string][]workerTask)
-	var found []string
+	var overlaps []string
 	for _, a := range audits {
 		for _, run := range a.Tasks {
 			current := workerTask{run, a.WorkerName}
 			for _, other := range byJob[run.Job] {
 				if run.Attempt != other.Attempt && overlap(current, other) {
-					found = append(found, fmt.Sprintf("job %s: attempt %d on %s and attempt %d on %s ran at once",
+					overlaps = append(overlaps, fmt.Sprintf("job %s: attempt %d on %s and attempt %d on %s ran at once",
 						run.Job, run.Attempt, current.worker, other.Attempt, other.worker))
 				}
 			}
 			byJob[run.Job] = append(byJob[run.Job], current)
 		}
 	}
-	return found
+	return overlaps
 }
 
 func overlap(a, b workerTask) bool {
--- a/load/report.go
+++ b/load/report.go
@@ -16,18 +16,18 @@
 // WriteReport writes tables of the outcomes and times per client account and class, the
 // samples if there are any, and the findings.
 func WriteReport(w io.Writer, r Result, f Findings, s Samples) error {
-	var b bytes.Buffer
-	t := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "%s (%s): %d quick requests, %d jobs, sent at most %s late\n",
+	var buffer bytes.Buffer
+	table := tabwriter.NewWriter(&buffer, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(table, "%s (%s): %d quick requests, %d jobs, sent at most %s late\n",
 		r.Plan, r.Service, len(r.Quick), len(r.Jobs), formatMillis(r.MaxSendDelay))
-	writeQuickTable(t, r.Quick)
-	writeJobTable(t, r.Jobs)
-	writeSamples(t, s)
-	writeFindings(t, f)
-	if err := t.Flush(); err != nil {
+	writeQuickTable(table, r.Quick)
+	writeJobTable(table, r.Jobs)
+	writeSamples(table, s)
+	writeFindings(table, f)
+	if err := table.Flush(); err != nil {
 		return err
 	}
-	_, err := w.Write(b.Bytes())
+	_, err := w.Write(buffer.Bytes())
 	return err
 }
 
@@ -137,15 +137,15 @@
 // meanStranded returns the average of the stranded accelerators, weighting each sample by the
 // time until the next one.
 func meanStranded(list []FragmentationSample) float64 {
-	span := list[len(list)-1].At - list[0].At
-	if span <= 0 {
+	duration := list[len(list)-1].At - list[0].At
+	if duration <= 0 {
 		return float64(list[0].StrandedAccelerators)
 	}
-	area := 0.0
+	weightedSum := 0.0
 	for i := 1; i < len(list); i++ {
-		area += float64(list[i-1].StrandedAccelerators) * float64(list[i].At-list[i-1].At)
+		weightedSum += float64(list[i-1].StrandedAccelerators) * float64(list[i].At-list[i-1].At)
 	}
-	return area / float64(span)
+	return weightedSum / float64(duration)
 }
 
 func writeFindings(w io.Writer, f Findings) {
--- a/load/run_jobs.go
+++ b/load/run_jobs.go
@@ -99,22 +99,22 @@
 	return t
 }
 
-func (r *runner) recordAccepted(j *JobResult, st api.JobStatus) {
-	if j.ID != "" && st.ID != j.ID {
-		j.ConflictingIDs = append(j.ConflictingIDs, st.ID)
+func (r *runner) recordAccepted(j *JobResult, status api.JobStatus) {
+	if j.ID != "" && status.ID != j.ID {
+		j.ConflictingIDs = append(j.ConflictingIDs, status.ID)
 		return
 	}
-	j.ID = st.ID
-	j.update(st)
+	j.ID = status.ID
+	j.update(status)
 }
 
-func (j *JobResult) update(st api.JobStatus) {
-	j.State = st.State
-	j.Reason = st.Reason
-	j.Attempt = st.Attempt
-	j.Result = st.Result
-	if !st.Started.IsZero() {
-		j.StartDelay = st.Started.Sub(st.Submitted)
+func (j *JobResult) update(status api.JobStatus) {
+	j.State = status.State
+	j.Reason = status.Reason
+	j.Attempt = status.Attempt
+	j.Result = status.Result
+	if !status.Started.IsZero() {
+		j.StartDelay = status.Started.Sub(status.Submitted)
 	}
 }
 
--- a/trial/quick_requests_test.go
+++ b/trial/quick_requests_test.go
@@ -17,7 +17,7 @@
 
 func TestQuickRequestsDuringStoreOutage(t *testing.T) {
 	// Quick requests must not need the store. Only a keyed non-repeatable one must be refused with
-	// ReasonKeyInDoubt and a retry delay, and must not run, until the store is back.
+	// ReasonEarlierAttemptInDoubt and a retry delay, and must not run, until the store is back.
 	for _, down := range []string{store.DownRefuse, store.DownHang} {
 		t.Run(down, func(t *testing.T) {
 			tc := startTestCluster(t, nil)
@@ -61,25 +61,25 @@
 }
 
 func (tc *testCluster) startTraffic(name string, work time.Duration) *backgroundTraffic {
-	s := &backgroundTraffic{cluster: tc, name: name, work: work, stopped: make(chan struct{}), answers: make(map[string]callResult)}
+	b := &backgroundTraffic{cluster: tc, name: name, work: work, stopped: make(chan struct{}), answers: make(map[string]callResult)}
 	for c := range 4 {
-		s.wg.Go(func() { s.runCaller(c) })
+		b.wg.Go(func() { b.runCaller(c) })
 	}
-	return s
+	return b
 }
 
-func (s *backgroundTraffic) runCaller(c int) {
+func (b *backgroundTraffic) runCaller(caller int) {
 	for i := 0; ; i++ {
 		select {
-		case <-s.stopped:
+		case <-b.stopped:
 			return
 		default:
 		}
-		tag := fmt.Sprintf("%s-%d-%d", s.name, c, i)
-		a := s.cluster.request((c+i)%2, "check", tag, "", s.work)
-		s.mu.Lock()
-		s.answers[tag] = a
-		s.mu.Unlock()
+		tag := fmt.Sprintf("%s-%d-%d", b.name, caller, i)
+		a := b.cluster.request((caller+i)%2, "check", tag, "", b.work)
+		b.mu.Lock()
+		b.answers[tag] = a
+		b.mu.Unlock()
 		if a.Problem != nil {
 			time.Sleep(a.Problem.RetryAfter) // honours the entry's retry delay
 		}
@@ -87,20 +87,20 @@
 }
 
 // awaitAnswers waits until there are at least n answers.
-func (s *backgroundTraffic) awaitAnswers(n int) {
-	s.cluster.Helper()
-	s.cluster.eventually(func() error {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		return errorUnless(len(s.answers) >= n, fmt.Sprintf("%d answers of %d", len(s.answers), n))
+func (b *backgroundTraffic) awaitAnswers(n int) {
+	b.cluster.Helper()
+	b.cluster.eventually(func() error {
+		b.mu.Lock()
+		defer b.mu.Unlock()
+		return errorUnless(len(b.answers) >= n, fmt.Sprintf("%d answers of %d", len(b.answers), n))
 	})
 }
 
 // stop stops the callers and returns all answers.
-func (s *backgroundTraffic) stop() map[string]callResult {
-	close(s.stopped)
-	s.wg.Wait()
-	return s.answers
+func (b *backgroundTraffic) stop() map[string]callResult {
+	close(b.stopped)
+	b.wg.Wait()
+	return b.answers
 }
 
 func (tc *testCluster) checkAllDone(answers map[string]callResult) {
