--- a/engine/progress.go
+++ b/engine/progress.go
@@ -38,10 +38,10 @@
 
 // TaskCrashes counts the worker crashes under one task.
 type TaskCrashes struct {
-	Index   int `json:"i,omitempty"`
-	Total   int `json:"t"`
-	Startup int `json:"e,omitempty"`
-	Certain int `json:"c,omitempty"`
+	Index     int `json:"i,omitempty"`
+	Total     int `json:"t"`
+	Startup   int `json:"e,omitempty"`
+	Confirmed int `json:"c,omitempty"`
 }
 
 // MemberPlacement names the worker that may hold the run of a unit's member.
@@ -68,7 +68,7 @@
 	}
 	for _, index := range slices.Sorted(maps.Keys(u.crashes)) {
 		c := u.crashes[index]
-		p.Crashes = append(p.Crashes, TaskCrashes{Index: index, Total: c.total, Startup: c.startup, Certain: c.confirmed})
+		p.Crashes = append(p.Crashes, TaskCrashes{Index: index, Total: c.total, Startup: c.startup, Confirmed: c.confirmed})
 	}
 	return p
 }
--- a/engine/restore.go
+++ b/engine/restore.go
@@ -94,7 +94,7 @@
 	u.failures = up.Failures
 	u.checkpoint = up.Checkpoint
 	for _, c := range up.Crashes {
-		u.setCrashCount(c.Index, crashCount{total: c.Total, startup: c.Startup, confirmed: c.Certain})
+		u.setCrashCount(c.Index, crashCount{total: c.Total, startup: c.Startup, confirmed: c.Confirmed})
 	}
 	for _, place := range up.Placements {
 		w := e.workers[place.Worker]
