--- a/engine/advice.go
+++ b/engine/advice.go
@@ -134,18 +134,18 @@
 // candidatesFor returns the workers with enough total capacity for a member of u, those with
 // enough free capacity first.
 func (r *round) candidatesFor(u *unit) []*worker {
-	var withRoom, withoutRoom []*worker
+	var withCapacity, withoutCapacity []*worker
 	for _, w := range r.usable.workers {
 		if w.info.Service != u.job.spec.Service || !w.hasLabel(u.spec().Label) || !u.demand().FitsIn(w.info.Capacity) {
 			continue
 		}
 		if u.demand().FitsIn(w.free()) {
-			withRoom = append(withRoom, w)
+			withCapacity = append(withCapacity, w)
 		} else {
-			withoutRoom = append(withoutRoom, w)
+			withoutCapacity = append(withoutCapacity, w)
 		}
 	}
-	return append(withRoom, withoutRoom...)
+	return append(withCapacity, withoutCapacity...)
 }
 
 // dependenciesEndSoon reports whether the steps that u depends on are expected to end within
--- a/engine/archive.go
+++ b/engine/archive.go
@@ -69,7 +69,7 @@
 // canArchive reports whether the records of an ended job may be replaced by its outcome: all
 // changes are stored, nothing runs, and the revisions of the records to remove are known.
 func (j *job) canArchive() bool {
-	return j.storedVersion == j.version && j.revision != 0 && (!j.canceled || j.cancelRevision != 0) && j.hasNoPlacements()
+	return j.storedVersion == j.version && j.revision != 0 && (!j.cancelled || j.cancelRevision != 0) && j.hasNoPlacements()
 }
 
 // endedJob returns the write that archives the job. now and wall are the same instant.
@@ -116,7 +116,7 @@
 	}
 	j := e.addJob(now, JobSubmitted{Job: workload.Job{ID: ev.ID, Queue: ev.Outcome.Queue, Account: ev.Outcome.Account}, Age: ev.Age})
 	j.state, j.reason = ev.Outcome.State, ev.Outcome.Reason
-	j.canceled = j.state == workload.Cancelled
+	j.cancelled = j.state == workload.Cancelled
 	j.endedAt = now - ev.Age
 	j.outcomeRevision = ev.OutcomeRevision
 	j.cancelRevision = e.earlyCancels[ev.ID]
--- a/engine/bench_fleet_test.go
+++ b/engine/bench_fleet_test.go
@@ -79,7 +79,7 @@
 		if f.now%(50*time.Millisecond) == 0 {
 			f.e.HandleEvent(f.now, Tick{WallTime: time.Unix(1000, 0).Add(f.now)})
 		}
-		f.act()
+		f.executeActions()
 	}
 }
 
@@ -120,25 +120,25 @@
 		r.Running = append(r.Running, RunStatus{Run: run.id, Percent: percent, Checkpoint: fmt.Sprint(percent / 10)})
 	}
 	r.Ended = w.ended
-	verdict := f.e.Report(f.now, r)
-	for len(w.ended) > 0 && w.ended[0].Sequence <= verdict.AckedEnds {
+	answer := f.e.Report(f.now, r)
+	for len(w.ended) > 0 && w.ended[0].Sequence <= answer.AckedEnds {
 		w.ended = w.ended[1:]
 	}
 }
 
-// act carries out orders and applies writes.
-func (f *benchFleet) act() {
+// executeActions carries out orders and applies writes.
+func (f *benchFleet) executeActions() {
 	for _, action := range f.e.Decide(f.now) {
 		o, ok := action.(Orders)
 		if !ok {
 			continue
 		}
 		w := f.workers[workerIndex(o.Worker)]
-		ended := OrdersCompleted{Worker: o.Worker}
+		completed := OrdersCompleted{Worker: o.Worker}
 		for _, s := range o.Starts {
 			runTime := time.Duration((0.3 + 2*f.rng.Float64()) * float64(4*time.Second))
 			w.running[s.Run.Task] = &benchRun{id: s.Run, startedAt: f.now, endsAt: f.now + runTime}
-			ended.Starts = append(ended.Starts, StartResult{Run: s.Run, Outcome: StartOK})
+			completed.Starts = append(completed.Starts, StartResult{Run: s.Run, Outcome: StartOK})
 		}
 		for _, run := range o.Stops {
 			if r := w.running[run.Task]; r != nil && r.id == run {
@@ -147,7 +147,7 @@
 				delete(w.running, run.Task)
 			}
 		}
-		f.e.HandleEvent(f.now, ended)
+		f.e.HandleEvent(f.now, completed)
 	}
 	if w := f.e.PendingChanges(f.now, time.Unix(1000, 0).Add(f.now), 15); !w.Empty() {
 		f.e.HandleEvent(f.now, WriteApplied{Write: w})
--- a/engine/crash.go
+++ b/engine/crash.go
@@ -85,10 +85,10 @@
 
 // countCrash counts a crash of w for the tasks that ran there, in the order of places, and
 // fails the jobs of tasks that exceed the limit.
-func (e *Engine) countCrash(now time.Duration, w *worker, places []*placement, t crashEvidence) {
-	blamed, onlySuspect := t.blamedRuns(places)
-	for _, p := range places {
-		if !t.mayHaveRun(p) {
+func (e *Engine) countCrash(now time.Duration, w *worker, placements []*placement, evidence crashEvidence) {
+	blamed, onlySuspect := evidence.blamedRuns(placements)
+	for _, p := range placements {
+		if !evidence.mayHaveRun(p) {
 			continue
 		}
 		u := p.unit
@@ -97,7 +97,7 @@
 		if blamed[p] {
 			c.startup++
 		}
-		if t.certainlyRan(p) {
+		if evidence.certainlyRan(p) {
 			c.confirmed++
 		}
 		u.setCrashCount(p.index, c)
--- a/engine/crash_evidence.go
+++ b/engine/crash_evidence.go
@@ -6,15 +6,15 @@
 type crashEvidence struct {
 	// known is set if the agent had polled the worker. proven then holds the runs that it had
 	// seen for StartupCrashWindow, and ended those that were over before the crash.
-	known  bool
-	proven map[workload.RunID]bool
-	ended  map[workload.RunID]bool
+	known       bool
+	pastStartup map[workload.RunID]bool
+	ended       map[workload.RunID]bool
 }
 
 func (r *Report) crashEvidence() crashEvidence {
-	evidence := crashEvidence{known: r.Terminated && r.Polled, proven: map[workload.RunID]bool{}, ended: map[workload.RunID]bool{}}
+	evidence := crashEvidence{known: r.Terminated && r.Polled, pastStartup: map[workload.RunID]bool{}, ended: map[workload.RunID]bool{}}
 	for _, run := range r.Running {
-		evidence.proven[run.Run] = true
+		evidence.pastStartup[run.Run] = true
 	}
 	for _, end := range r.Ended {
 		evidence.ended[end.Run] = true
@@ -44,7 +44,7 @@
 	case !ev.mayHaveRun(p) || p.pastStartup():
 		return false
 	case ev.known:
-		return !ev.proven[p.runID()]
+		return !ev.pastStartup[p.runID()]
 	}
 	return p.startedAt != 0 && p.worker.unresponsive
 }
--- a/engine/crash_test.go
+++ b/engine/crash_test.go
@@ -187,14 +187,14 @@
 			if tc.set != nil {
 				tc.set(d)
 			}
-			innocent := d.submit(1, "other", taskStep(6, 1))
+			healthy := d.submit(1, "other", taskStep(6, 1))
 			crashing := d.submit(0, "other", tc.step)
 			d.crashesWorker = func(r workload.RunID) bool { return r.Task.Job == crashing && r.Task.Index == tc.crashing }
 			d.settle()
 			d.handleStarts()
 			d.advanceWorkers(40 * time.Second)
 			c.Assert(d.jobState(crashing), qt.Equals, workload.Failed)
-			c.Assert(d.jobState(innocent), qt.Equals, workload.Completed)
+			c.Assert(d.jobState(healthy), qt.Equals, workload.Completed)
 		})
 	}
 }
@@ -205,11 +205,11 @@
 	c := qt.New(t)
 	d := newCrashScenario(c, 2)
 	d.crashesWorker = func(r workload.RunID) bool { return r.Task.Job == "job1" || r.Task.Job == "job4" }
-	var innocent []workload.JobID
+	var healthy []workload.JobID
 	for i := range 12 {
 		id := d.submit(i%2, "other", taskStep(1, 2))
 		if !d.crashesWorker(workload.RunID{Task: workload.TaskID{Job: id}}) {
-			innocent = append(innocent, id)
+			healthy = append(healthy, id)
 		}
 		if i%4 == 3 {
 			d.settle()
@@ -220,7 +220,7 @@
 	d.advanceWorkers(60 * time.Second)
 	c.Check(d.jobState("job1"), qt.Equals, workload.Failed)
 	c.Check(d.jobState("job4"), qt.Equals, workload.Failed)
-	for _, id := range innocent {
+	for _, id := range healthy {
 		c.Check(d.jobState(id), qt.Equals, workload.Completed, qt.Commentf("%s", id))
 	}
 }
@@ -300,11 +300,11 @@
 				d.tick()
 			}
 			c.Assert(d.starts, qt.HasLen, 2)
-			left := Report{Worker: w.info, Terminated: true, Crashed: true, Polled: true}
+			gone := Report{Worker: w.info, Terminated: true, Crashed: true, Polled: true}
 			if tc.ended {
-				left.Ended = []RunEnd{{Sequence: 1, Run: first, Reason: EndLeaseExpired}}
+				gone.Ended = []RunEnd{{Sequence: 1, Run: first, Reason: EndLeaseExpired}}
 			}
-			d.report(left)
+			d.report(gone)
 			c.Check(d.e.jobs[id].units[0].crashCountOf(0).total, qt.Equals, tc.count)
 		})
 	}
--- a/engine/durations.go
+++ b/engine/durations.go
@@ -87,8 +87,8 @@
 	if p.stopping {
 		return max(e.params.StopTime-(now-p.stopSentAt), minRemaining)
 	}
-	if left, ok := p.rate.remaining(now); ok {
-		return max(left, minRemaining)
+	if remaining, ok := p.rate.remaining(now); ok {
+		return max(remaining, minRemaining)
 	}
 	estimate := e.estimate(p.unit)
 	if p.state != placementRunning {
--- a/engine/ending.go
+++ b/engine/ending.go
@@ -10,20 +10,20 @@
 
 // handleRunEnd handles the reported end of one run. It returns the job that must be stored
 // before the worker may forget the end, or nil if the end changes nothing.
-func (e *Engine) handleRunEnd(now time.Duration, w *worker, row RunEnd) *job {
-	delete(w.orphans, row.Run)
-	p := w.placements[row.Run.Task]
-	if p == nil || p.runNumber != row.Run.Number {
+func (e *Engine) handleRunEnd(now time.Duration, w *worker, end RunEnd) *job {
+	delete(w.orphans, end.Run)
+	p := w.placements[end.Run.Task]
+	if p == nil || p.runNumber != end.Run.Number {
 		return nil
 	}
-	reason := row.Reason
-	if row.Void && (reason == EndDone || reason == EndFailed) {
+	reason := end.Reason
+	if end.Void && (reason == EndDone || reason == EndFailed) {
 		e.logDecision(p, "end does not count", "the worker's lease lapsed after it")
 		reason = EndLeaseExpired
 	}
 	u := p.unit
-	if row.Checkpoint != "" {
-		u.checkpoint = row.Checkpoint
+	if end.Checkpoint != "" {
+		u.checkpoint = end.Checkpoint
 		p.checkpointAt = now // the checkpoint covers all work up to the end
 	}
 	e.applyRunEnd(now, p, reason)
@@ -179,12 +179,12 @@
 	}
 	o := e.ordersFor(p.worker)
 	o.Stops = append(o.Stops, p.runID())
-	e.logDecision(p, "stop", p.stopWaitReason(now))
+	e.logDecision(p, "stop", p.stopRetryDetail(now))
 	p.stopsSent++
 }
 
-// stopWaitReason describes for logs why a stop is ordered again; it is empty for the first order.
-func (p *placement) stopWaitReason(now time.Duration) string {
+// stopRetryDetail describes for logs why a stop is ordered again; it is empty for the first order.
+func (p *placement) stopRetryDetail(now time.Duration) string {
 	if p.stopsSent == 0 {
 		return ""
 	}
--- a/engine/evict.go
+++ b/engine/evict.go
@@ -27,7 +27,7 @@
 // free anyway, and the victims lose no more work than u consists of. An account's guarantee that
 // would be broken, or a job that would end far too late, justify higher losses.
 func (r *round) evict(u *unit) bool {
-	if u.job.spec.QueuePolicy.Priority != 0 || r.e.awaitingKnownWorkers(r.now) {
+	if u.job.spec.QueuePolicy.Priority != 0 || r.e.awaitingRecordedWorkers(r.now) {
 		return false
 	}
 	if len(u.claims) > 0 {
--- a/engine/eviction_cache_test.go
+++ b/engine/eviction_cache_test.go
@@ -32,17 +32,17 @@
 
 // evictionWithoutCache is like evictions but surveys all workers again after each member.
 func evictionWithoutCache(r *round, u *unit, set *domain) (victims []*unit, cost float64, ok bool) {
-	c := r.newVictimSearch(u, set)
-	defer c.close()
+	search := r.newVictimSearch(u, set)
+	defer search.close()
 	for range u.size {
-		c.invalidateAll()
-		site, way := c.next()
-		if site == nil {
+		search.invalidateAll()
+		best, choice := search.next()
+		if best == nil {
 			return nil, 0, false
 		}
-		c.commit(site, way)
-		victims = append(victims, way.victims...)
-		cost += way.cost
+		search.commit(best, choice)
+		victims = append(victims, choice.victims...)
+		cost += choice.cost
 	}
 	return victims, cost, true
 }
--- a/engine/fit.go
+++ b/engine/fit.go
@@ -83,10 +83,10 @@
 // preferredDomains returns the domains in which u runs at full speed: its preferred rack, each
 // single rack for a gang with SameRack, else all workers.
 func (r *round) preferredDomains(u *unit) domainSet {
-	if r.nearUnit != u {
-		r.nearUnit, r.nearDomains = u, r.findPreferredDomains(u)
+	if r.preferredUnit != u {
+		r.preferredUnit, r.preferredCache = u, r.findPreferredDomains(u)
 	}
-	return r.nearDomains
+	return r.preferredCache
 }
 
 func (r *round) findPreferredDomains(u *unit) domainSet {
@@ -179,7 +179,7 @@
 		return nil, 0
 	}
 	need := u.demand().Accelerators
-	candidates := r.options[:0]
+	candidates := r.candidates[:0]
 	total := 0
 	for _, w := range set.workers {
 		free := r.availableFor(u, w)
@@ -197,7 +197,7 @@
 		o.crashRisk = r.crashRisk(u, w)
 		candidates = append(candidates, o)
 	}
-	r.options = candidates
+	r.candidates = candidates
 	if total < u.size {
 		return nil, 0
 	}
--- a/engine/forecast.go
+++ b/engine/forecast.go
@@ -122,7 +122,7 @@
 
 // newFitForecast starts a forecast with the current free capacity.
 func newFitForecast(r *round, u *unit, set *domain) *fitForecast {
-	f := &r.outlook
+	f := &r.forecast
 	*f = fitForecast{unit: u, demand: u.demand(), workers: f.workers[:0], freeCapacity: f.freeCapacity[:0], fitting: f.fitting[:0]}
 	for _, w := range set.workers {
 		if !r.eligible(u, w) {
--- a/engine/forecast_test.go
+++ b/engine/forecast_test.go
@@ -26,8 +26,8 @@
 		return 0
 	}
 	for _, rel := range set.upcomingReleases(r) {
-		at := slices.Index(f.workers, rel.worker)
-		f.freeCapacity[at] = f.freeCapacity[at].Add(rel.freed)
+		index := slices.Index(f.workers, rel.worker)
+		f.freeCapacity[index] = f.freeCapacity[index].Add(rel.freed)
 		if count() >= u.size {
 			return rel.at
 		}
--- a/engine/handle_report.go
+++ b/engine/handle_report.go
@@ -32,7 +32,7 @@
 	}
 	first := !w.attached
 	w.attached = true
-	e.noteGeneration(w, r.Generation)
+	e.recordGeneration(w, r.Generation)
 	granted := e.updateLease(now, w, r)
 	if r.Polled {
 		e.settleSuperseded(now, w, r)
--- a/engine/headroom_test.go
+++ b/engine/headroom_test.go
@@ -30,7 +30,7 @@
 }
 
 // Work that can't be deferred any longer uses the headroom.
-func TestWorkThatCannotWaitUsesHeadroom(t *testing.T) {
+func TestNonDeferrableWorkUsesHeadroom(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 3)
 	d.finishUrgentGang()
--- a/engine/helpers_test.go
+++ b/engine/helpers_test.go
@@ -92,7 +92,7 @@
 			continue
 		}
 		busy = true
-		ended := OrdersCompleted{Worker: o.Worker}
+		completed := OrdersCompleted{Worker: o.Worker}
 		for _, s := range o.Starts {
 			d.starts = append(d.starts, s)
 			d.startedOn[s.Run] = o.Worker
@@ -100,14 +100,14 @@
 			if d.startOutcome != nil {
 				result = d.startOutcome(s)
 			}
-			ended.Starts = append(ended.Starts, StartResult{Run: s.Run, Outcome: result})
+			completed.Starts = append(completed.Starts, StartResult{Run: s.Run, Outcome: result})
 		}
 		d.stops = append(d.stops, o.Stops...)
 		for _, p := range o.Paces {
 			d.paces = append(d.paces, p)
-			ended.Paces = append(ended.Paces, PaceResult{PaceOrder: p, Applied: !d.dropPaceReplies})
+			completed.Paces = append(completed.Paces, PaceResult{PaceOrder: p, Applied: !d.dropPaceReplies})
 		}
-		d.handle(ended)
+		d.handle(completed)
 	}
 	if w := d.e.PendingChanges(d.now, time.Unix(1000, 0), 15); !w.Empty() {
 		busy = true
@@ -171,11 +171,11 @@
 }
 
 // reportRuns reports all runs of a worker as row describes them.
-func (d *driver) reportRuns(id WorkerID, row func(p *placement) RunStatus) {
+func (d *driver) reportRuns(id WorkerID, status func(p *placement) RunStatus) {
 	w := d.e.workers[id]
 	r := Report{Epoch: d.e.epoch, Polled: true, Worker: w.info}
 	for _, p := range w.sortedPlacements() {
-		status := row(p)
+		status := status(p)
 		status.Run = p.runID()
 		r.Running = append(r.Running, status)
 	}
--- a/engine/job.go
+++ b/engine/job.go
@@ -19,7 +19,7 @@
 	state              workload.State
 	reason             string
 	started            bool // a task has started
-	canceled           bool
+	cancelled          bool
 	// cancelRevision is the store revision of the cancellation, 0 if there is none.
 	cancelRevision int64
 	endedAt        time.Duration
--- a/engine/jobs.go
+++ b/engine/jobs.go
@@ -59,10 +59,10 @@
 		return
 	}
 	j.cancelRevision = max(j.cancelRevision, ev.Revision)
-	if j.canceled || j.state.Final() {
+	if j.cancelled || j.state.Final() {
 		return
 	}
-	j.canceled = true
+	j.cancelled = true
 	e.finish(now, j, workload.Cancelled, "cancelled by the caller")
 }
 
--- a/engine/longrunning_test.go
+++ b/engine/longrunning_test.go
@@ -105,7 +105,7 @@
 
 // Occurrences start when they are due and not before, even if they overlap. The job completes with
 // the last one.
-func TestOccurrencesAreStartedWhenDue(t *testing.T) {
+func TestOccurrencesStartWhenDue(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 3)
 	wall := func() time.Time { return time.Unix(1000, 0).Add(d.now) }
--- a/engine/pace_control.go
+++ b/engine/pace_control.go
@@ -99,27 +99,27 @@
 // controlPaces lowers or raises the limits of best-effort runs according to the tail latencies
 // of their neighbours.
 func (e *Engine) controlPaces(now time.Duration, w *worker, sensitive, bestEffort []*placement) {
-	s := &w.paceControl
+	control := &w.paceControl
 	ratio := worstLatencyRatio(sensitive)
 	if ratio < 1 {
-		s.violationSince = 0
-	} else if s.violationSince == 0 {
-		s.violationSince = now
+		control.violationSince = 0
+	} else if control.violationSince == 0 {
+		control.violationSince = now
 	}
-	mustPause := s.inViolationFor(now, e.params.MaxLatencyViolation, pauseAfterShare)
-	if now-s.changedAt < paceSettleTime && !mustPause {
+	mustPause := control.inViolationFor(now, e.params.MaxLatencyViolation, pauseAfterShare)
+	if now-control.changedAt < paceSettleTime && !mustPause {
 		return
 	}
 	switch {
 	case mustPause:
 		e.throttle(now, w, sensitive, bestEffort, ratio, 0)
-		if s.inViolationFor(now, e.params.MaxLatencyViolation, stopAfterShare) {
+		if control.inViolationFor(now, e.params.MaxLatencyViolation, stopAfterShare) {
 			e.stopUnconfirmed(now, bestEffort)
 		}
 	case ratio >= 1:
 		e.throttle(now, w, sensitive, bestEffort, ratio, 0.5)
 	case ratio > latencyRatioCeiling:
-		e.throttle(now, w, sensitive, s.pickToThrottle(e, now, sensitive, bestEffort), ratio, 0.5)
+		e.throttle(now, w, sensitive, control.pickToThrottle(e, now, sensitive, bestEffort), ratio, 0.5)
 	case ratio > 0 && ratio < latencyRatioFloor:
 		e.raisePace(now, w, sensitive, bestEffort)
 	}
--- a/engine/pace_control_sim_test.go
+++ b/engine/pace_control_sim_test.go
@@ -69,8 +69,8 @@
 // reportedRatio returns the noisy average of the last half second, as the worker reports it.
 func (h *simHost) reportedRatio() float64 {
 	sum := 0.0
-	for _, s := range h.recentRatios {
-		sum += s
+	for _, ratio := range h.recentRatios {
+		sum += ratio
 	}
 	return sum / float64(len(h.recentRatios)) * (0.92 + 0.16*h.rng.Float64())
 }
--- a/engine/pace_control_test.go
+++ b/engine/pace_control_test.go
@@ -39,9 +39,9 @@
 	return d, service, bestEffort
 }
 
-// reportFor lets all workers report for a while, with the given ratio of tail latency to
+// reportLatencyFor lets all workers report for a while, with the given ratio of tail latency to
 // target.
-func (d *driver) reportFor(by time.Duration, ratio func(now time.Duration) float64) {
+func (d *driver) reportLatencyFor(by time.Duration, ratio func(now time.Duration) float64) {
 	for end := d.now + by; d.now < end; d.now += 100 * time.Millisecond {
 		if d.now%(500*time.Millisecond) == 0 {
 			for _, w := range d.e.sortedWorkers() {
@@ -105,7 +105,7 @@
 	d := newDriver(t, 1)
 	id := d.submit(2, "", bestEffortStep(1))
 	d.settle()
-	d.reportFor(time.Second, constant(0))
+	d.reportLatencyFor(time.Second, constant(0))
 	c.Check(d.orderedPaces(id), qt.DeepEquals, []int{100})
 	d.submit(1, "", latencySensitiveStep(1))
 	d.settle()
@@ -117,22 +117,22 @@
 func TestBestEffortRunIsPausedWithinViolationLimit(t *testing.T) {
 	c := qt.New(t)
 	d, _, id := colocatedDriver(t)
-	d.reportFor(8*time.Second, constant(0.4))
+	d.reportLatencyFor(8*time.Second, constant(0.4))
 	c.Assert(d.orderedPaces(id)[0] >= 60, qt.IsTrue, qt.Commentf("%v", d.orderedPaces(id)))
-	d.reportFor(2*time.Second, constant(1.4))
+	d.reportLatencyFor(2*time.Second, constant(1.4))
 	c.Check(d.orderedPaces(id), qt.DeepEquals, []int{0})
-	d.reportFor(6*time.Second, constant(0.4))
+	d.reportLatencyFor(6*time.Second, constant(0.4))
 	c.Check(d.orderedPaces(id)[0] > initialTolerance, qt.IsTrue, qt.Commentf("%v", d.orderedPaces(id)))
 }
 
 // Guards against a limit that stays in force after the latency-sensitive task has ended.
-func TestBestEffortRunAloneHasFullPace(t *testing.T) {
+func TestBestEffortRunAloneGetsFullPace(t *testing.T) {
 	c := qt.New(t)
 	d, service, id := colocatedDriver(t)
 	d.handle(CancelRequested{Job: service})
 	d.settle()
 	d.endRuns(service, EndStopped)
-	d.reportFor(time.Second, constant(0))
+	d.reportLatencyFor(time.Second, constant(0))
 	c.Check(d.orderedPaces(id), qt.DeepEquals, []int{100})
 }
 
@@ -146,15 +146,15 @@
 	d.dropPaceReplies = true
 	d.submit(2, "", bestEffortStep(1))
 	d.settle()
-	d.reportFor(2*time.Second, constant(0.7))
+	d.reportLatencyFor(2*time.Second, constant(0.7))
 	c.Check(len(d.paces) >= 4, qt.IsTrue, qt.Commentf("%d", len(d.paces)))
 	d.dropPaceReplies = false
 	before := len(d.paces)
-	d.reportFor(4*time.Second, constant(0.7))
+	d.reportLatencyFor(4*time.Second, constant(0.7))
 	c.Check(len(d.paces) >= before+3, qt.IsTrue, qt.Commentf("in doubt, ordered %d times", len(d.paces)-before))
-	d.reportFor(12*time.Second, constant(0.7))
+	d.reportLatencyFor(12*time.Second, constant(0.7))
 	before = len(d.paces)
-	d.reportFor(4*time.Second, constant(0.7))
+	d.reportLatencyFor(4*time.Second, constant(0.7))
 	c.Check(d.paces, qt.HasLen, before)
 }
 
@@ -163,10 +163,10 @@
 func TestSuccessorResetsPaces(t *testing.T) {
 	c := qt.New(t)
 	d, _, id := colocatedDriver(t)
-	d.reportFor(8*time.Second, constant(0.4))
+	d.reportLatencyFor(8*time.Second, constant(0.4))
 	d.takeOver()
 	d.paces = nil
-	d.reportFor(600*time.Millisecond, constant(0.7))
+	d.reportLatencyFor(600*time.Millisecond, constant(0.7))
 	c.Check(d.orderedPaces(id), qt.DeepEquals, []int{initialTolerance})
 }
 
@@ -200,9 +200,9 @@
 	d.dropPaceReplies = true
 	id := d.submit(2, "", bestEffortStep(1))
 	d.settle()
-	d.reportFor(2*time.Second, constant(1.3))
+	d.reportLatencyFor(2*time.Second, constant(1.3))
 	c.Check(d.stops, qt.HasLen, 0)
-	d.reportFor(1500*time.Millisecond, constant(1.3))
+	d.reportLatencyFor(1500*time.Millisecond, constant(1.3))
 	c.Assert(d.stops, qt.Not(qt.HasLen), 0)
 	c.Check(d.stops[0].Task.Job, qt.Equals, id)
 }
--- a/engine/plan.go
+++ b/engine/plan.go
@@ -18,12 +18,12 @@
 	rackNames    []string // sorted
 	protected    map[*job]bool
 	reservations int // number of reservations made
-	// nearDomains caches the preferred domains of nearUnit.
-	nearUnit    *unit
-	nearDomains domainSet
-	// outlook and options are reused to avoid allocations.
-	outlook fitForecast
-	options []candidate
+	// nearDomains caches the preferred domains of preferredUnit.
+	preferredUnit  *unit
+	preferredCache domainSet
+	// forecast and options are reused to avoid allocations.
+	forecast   fitForecast
+	candidates []candidate
 	// headroomTarget is the number of accelerators to keep free on the headroom racks.
 	headroomTarget int
 	// blockedSteps holds the steps that had a unit which did not fit in this round.
--- a/engine/probation.go
+++ b/engine/probation.go
@@ -28,11 +28,11 @@
 		if p.unit == u || p.state == placementAdopted {
 			continue
 		}
-		crashes, unproven := p.unit.crashCountOf(p.index), !p.pastStartup()
-		if unproven && crashes.startup > 0 {
+		crashes, inStartup := p.unit.crashCountOf(p.index), !p.pastStartup()
+		if inStartup && crashes.startup > 0 {
 			return false // on probation there
 		}
-		if unproven {
+		if inStartup {
 			maxWait = max(maxWait, maxProbationWait)
 		}
 		if crashes.onLastAttempt() {
--- a/engine/restore.go
+++ b/engine/restore.go
@@ -28,8 +28,8 @@
 // evictions unnecessary.
 const workerReturnWait = 400 * time.Millisecond
 
-// awaitingKnownWorkers reports whether recorded workers are still expected to report.
-func (e *Engine) awaitingKnownWorkers(now time.Duration) bool {
+// awaitingRecordedWorkers reports whether recorded workers are still expected to report.
+func (e *Engine) awaitingRecordedWorkers(now time.Duration) bool {
 	if now-e.startedAt > workerReturnWait {
 		return false
 	}
@@ -76,7 +76,7 @@
 	j.version = p.Version
 	j.storedVersion = p.Version
 	if j.state.Final() {
-		j.canceled = j.state == workload.Cancelled
+		j.cancelled = j.state == workload.Cancelled
 		j.endedAt = now
 	}
 	for j.createdOccurrences < p.CreatedOccurrences {
--- a/engine/sim_checks_test.go
+++ b/engine/sim_checks_test.go
@@ -7,56 +7,56 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// violated fails the test with the simulated time.
-func (w *simWorld) violated(format string, args ...any) {
+// reportViolation fails the test with the simulated time.
+func (w *simCluster) reportViolation(format string, args ...any) {
 	w.t.Errorf("at %v: %s", w.now, fmt.Sprintf(format, args...))
 }
 
 // checkCapacity checks that a worker is not over its capacity, stopping runs included.
-func (w *simWorld) checkCapacity(sw *simWorker) {
+func (w *simCluster) checkCapacity(sw *simWorker) {
 	if used := sw.used(); !used.FitsIn(w.capacityOf(sw)) {
-		w.violated("worker %s holds %+v of %+v", sw.info.ID, used, sw.info.Capacity)
+		w.reportViolation("worker %s holds %+v of %+v", sw.info.ID, used, sw.info.Capacity)
 	}
 }
 
 // checkStart checks the rules for a run that starts now.
-func (w *simWorld) checkStart(sw *simWorker, s StartOrder) {
+func (w *simCluster) checkStart(sw *simWorker, s StartOrder) {
 	w.counts["starts"]++
 	task := s.Run.Task
 	w.checkCrashingStart(task)
 	j := w.jobs[task.Job]
 	if j == nil {
-		w.violated("start of %s, which nobody submitted", task)
+		w.reportViolation("start of %s, which nobody submitted", task)
 		return
 	}
 	if w.ackedDone[task] {
-		w.violated("start of %s after its end was taken note of", task)
+		w.reportViolation("start of %s after its end was taken note of", task)
 	}
 	for _, other := range w.workers {
 		if r := other.running[task]; r != nil && !other.dead {
-			w.violated("start of %s on %s while it runs on %s", task, sw.info.ID, other.info.ID)
+			w.reportViolation("start of %s on %s while it runs on %s", task, sw.info.ID, other.info.ID)
 		}
 	}
 	step := &j.Steps[task.Step]
-	for _, before := range step.DependsOn {
-		for i := range j.Steps[before].Count {
-			if !w.ranToEnd[workload.TaskID{Job: task.Job, Step: before, Index: i}] {
-				w.violated("start of %s before step %d was done", task, before)
+	for _, dep := range step.DependsOn {
+		for i := range j.Steps[dep].Count {
+			if !w.ranToEnd[workload.TaskID{Job: task.Job, Step: dep, Index: i}] {
+				w.reportViolation("start of %s before step %d was done", task, dep)
 			}
 		}
 	}
 	if !sw.hasLabel(step.Label) {
-		w.violated("start of %s on %s without label %s", task, sw.info.ID, step.Label)
+		w.reportViolation("start of %s on %s without label %s", task, sw.info.ID, step.Label)
 	}
 	if limit := j.QueuePolicy.MaxAttempts; limit > 0 && w.ackedFailures[task] >= limit {
-		w.violated("start of %s after %d failed attempts", task, w.ackedFailures[task])
+		w.reportViolation("start of %s after %d failed attempts", task, w.ackedFailures[task])
 	}
 	w.checkMaxPerWorker(sw, task, step)
 	w.checkCordon(sw, task)
 }
 
 // checkMaxPerWorker checks the step's limit of tasks per worker.
-func (w *simWorld) checkMaxPerWorker(sw *simWorker, task workload.TaskID, step *workload.Step) {
+func (w *simCluster) checkMaxPerWorker(sw *simWorker, task workload.TaskID, step *workload.Step) {
 	if step.MaxPerWorker == 0 {
 		return
 	}
@@ -67,7 +67,7 @@
 		}
 	}
 	if n > step.MaxPerWorker {
-		w.violated("%d tasks of step %d of %s on %s", n, task.Step, task.Job, sw.info.ID)
+		w.reportViolation("%d tasks of step %d of %s on %s", n, task.Step, task.Job, sw.info.ID)
 	}
 }
 
@@ -75,39 +75,39 @@
 	return (&worker{info: sw.info}).hasLabel(label)
 }
 
-// noteEnd records an end as the worker lists it.
-func (w *simWorld) noteEnd(_ *simWorker, r *simRun, why EndReason) {
-	w.counts[string(why)]++
-	if why == EndFailed {
-		w.crashes.failed[r.id.Task]++
+// recordEnd records an end as the worker lists it.
+func (w *simCluster) recordEnd(_ *simWorker, r *simRun, reason EndReason) {
+	w.counts[string(reason)]++
+	if reason == EndFailed {
+		w.crashes.failedEnds[r.id.Task]++
 	}
-	if why == EndDone {
+	if reason == EndDone {
 		w.ranToEnd[r.id.Task] = true
 	}
-	if why == EndGangIncomplete && w.calm && w.now-w.calmSince > 4*time.Second {
-		w.violated("%s of a gang was left alone without a fault", r.id.Task)
+	if reason == EndGangIncomplete && w.faultsEnded && w.now-w.faultsEndedAt > 4*time.Second {
+		w.reportViolation("%s of a gang was left alone without a fault", r.id.Task)
 	}
 }
 
 // checkArchived checks that a job whose records are replaced by its outcome has ended and no
 // longer runs.
-func (w *simWorld) checkArchived(j EndedJob) {
+func (w *simCluster) checkArchived(j EndedJob) {
 	w.counts["records replaced"]++
 	if !j.Outcome.State.Final() {
-		w.violated("records of %s are replaced while it is %s", j.ID, j.Outcome.State)
+		w.reportViolation("records of %s are replaced while it is %s", j.ID, j.Outcome.State)
 	}
 	for _, sw := range w.workers {
 		for task := range sw.running {
 			if !sw.dead && task.Job == j.ID {
-				w.violated("records of %s are replaced while %s runs on %s", j.ID, task, sw.info.ID)
+				w.reportViolation("records of %s are replaced while %s runs on %s", j.ID, task, sw.info.ID)
 			}
 		}
 	}
 }
 
-// noteAckedEnd records an end that the planner has acknowledged, unless the lease expired
+// recordAckedEnd records an end that the planner has acknowledged, unless the lease expired
 // before that.
-func (w *simWorld) noteAckedEnd(end RunEnd, void bool) {
+func (w *simCluster) recordAckedEnd(end RunEnd, void bool) {
 	if void {
 		return
 	}
@@ -120,7 +120,7 @@
 }
 
 // members returns the present members of a run's gang, with their workers.
-func (w *simWorld) members(r *simRun) (found []*simRun, at []*simWorker) {
+func (w *simCluster) members(r *simRun) (found []*simRun, on []*simWorker) {
 	for _, sw := range w.workers {
 		if sw.dead {
 			continue
@@ -129,36 +129,36 @@
 			t := o.id.Task
 			if t.Job == r.id.Task.Job && t.Step == r.id.Task.Step && o.id.Number == r.id.Number {
 				found = append(found, o)
-				at = append(at, sw)
+				on = append(on, sw)
 			}
 		}
 	}
-	return found, at
+	return found, on
 }
 
 // gangComplete reports whether all members of a gang's run are present.
-func (w *simWorld) gangComplete(r *simRun) bool {
+func (w *simCluster) gangComplete(r *simRun) bool {
 	found, _ := w.members(r)
 	return len(found) == r.step.Count
 }
 
 // endGang ends the remaining members of a gang.
-func (w *simWorld) endGang(r *simRun) {
+func (w *simCluster) endGang(r *simRun) {
 	if !r.step.Gang {
 		return
 	}
-	found, at := w.members(r)
+	found, on := w.members(r)
 	for i, o := range found {
-		at[i].end(o, EndGangBroken)
+		on[i].end(o, EndGangBroken)
 	}
 }
 
 // finish ends a task, or all members of a gang, as done.
-func (w *simWorld) finish(r *simRun) {
-	found, at := w.members(r)
+func (w *simCluster) finish(r *simRun) {
+	found, on := w.members(r)
 	for i, o := range found {
 		if r.step.Gang || o == r {
-			at[i].end(o, EndDone)
+			on[i].end(o, EndDone)
 		}
 	}
 }
--- a/engine/sim_cordon_test.go
+++ b/engine/sim_cordon_test.go
@@ -16,8 +16,8 @@
 
 // Guards against starts in a zone that has been cordoned for longer than simCordonDeadline, while
 // planners change, orders are delayed and the faults of planFaults occur.
-func TestRandomWorldsWithCordons(t *testing.T) {
-	runWorlds(t, *simCordonSeeds, func(w *simWorld, seed uint64) {
+func TestSimulationWithCordons(t *testing.T) {
+	runSimulations(t, *simCordonSeeds, func(w *simCluster, seed uint64) {
 		w.planFaults(faultTime)
 		w.planCordons(faultTime)
 		w.cordons.delayOrders = true
@@ -40,16 +40,16 @@
 
 // simCordons holds the cordons in force and what planners know of them.
 type simCordons struct {
-	since       map[string]time.Duration // by zone
-	revision    int64
-	known       catalog.Cordons // by the current planner
-	previous    catalog.Cordons // by the current planner before the last change
-	delayOrders bool            // delay some orders
+	cordonedSince map[string]time.Duration // by zone
+	revision      int64
+	known         catalog.Cordons // by the current planner
+	previous      catalog.Cordons // by the current planner before the last change
+	delayOrders   bool            // delay some orders
 }
 
 // successorCordons returns what a new planner knows at first, which may be less than its
 // predecessor knew.
-func (w *simWorld) successorCordons() catalog.Cordons {
+func (w *simCluster) successorCordons() catalog.Cordons {
 	c := &w.cordons
 	if newest := c.known; c.delayOrders && w.rng.IntN(2) == 0 {
 		c.known = c.previous
@@ -59,7 +59,7 @@
 }
 
 // updateCordons tells the planner of newer cordons.
-func (w *simWorld) updateCordons(cordons catalog.Cordons) {
+func (w *simCluster) updateCordons(cordons catalog.Cordons) {
 	if cordons.Revision > w.cordons.known.Revision {
 		w.cordons.previous, w.cordons.known = w.cordons.known, cordons
 		w.engine.HandleEvent(w.now, CordonsChanged{cordons})
@@ -67,8 +67,8 @@
 }
 
 // planCordons schedules the changes of cordons.
-func (w *simWorld) planCordons(end time.Duration) {
-	w.cordons.since = map[string]time.Duration{}
+func (w *simCluster) planCordons(end time.Duration) {
+	w.cordons.cordonedSince = map[string]time.Duration{}
 	for range 4 + w.rng.IntN(8) {
 		at := time.Duration(w.rng.Int64N(int64(end)))
 		duration := time.Duration(500+w.rng.IntN(8000)) * time.Millisecond
@@ -81,21 +81,21 @@
 }
 
 // setCordon changes a cordon and tells the planner after a delay.
-func (w *simWorld) setCordon(zone string, on bool) {
+func (w *simCluster) setCordon(zone string, on bool) {
 	w.cordons.revision++
 	w.counts["cordons"]++
-	if _, before := w.cordons.since[zone]; !on {
-		delete(w.cordons.since, zone)
+	if _, before := w.cordons.cordonedSince[zone]; !on {
+		delete(w.cordons.cordonedSince, zone)
 	} else if !before {
-		w.cordons.since[zone] = w.now
+		w.cordons.cordonedSince[zone] = w.now
 	}
-	cordons := catalog.Cordons{Zones: slices.Sorted(maps.Keys(w.cordons.since)), Revision: w.cordons.revision}
+	cordons := catalog.Cordons{Zones: slices.Sorted(maps.Keys(w.cordons.cordonedSince)), Revision: w.cordons.revision}
 	w.after(time.Duration(w.rng.Int64N(int64(simCordonDelay))), func() { w.updateCordons(cordons) })
 }
 
 // orderLatency returns the time that an order takes to reach its agent.
-func (w *simWorld) orderLatency() time.Duration {
-	if w.cordons.delayOrders && !w.calm && w.rng.IntN(10) == 0 {
+func (w *simCluster) orderLatency() time.Duration {
+	if w.cordons.delayOrders && !w.faultsEnded && w.rng.IntN(10) == 0 {
 		return time.Duration(w.rng.Int64N(int64(simMaxOrderDelay)))
 	}
 	return w.latency()
@@ -110,7 +110,7 @@
 
 // refusesForCordon reports whether the agent knows of a cordon that the orders do not account
 // for.
-func (w *simWorld) refusesForCordon(sw *simWorker, o Orders) bool {
+func (w *simCluster) refusesForCordon(sw *simWorker, o Orders) bool {
 	refused := o.CordonsRevision <= sw.cordons.Revision && sw.cordons.Contains(sw.info.Zone)
 	if refused {
 		w.counts["refused for a cordon"]++
@@ -120,8 +120,8 @@
 
 // checkCordon checks that nothing starts in a zone that was cordoned longer ago than
 // simCordonDeadline.
-func (w *simWorld) checkCordon(sw *simWorker, task workload.TaskID) {
-	if since, cordoned := w.cordons.since[sw.info.Zone]; cordoned && !w.lateOrder && w.now-since > simCordonDeadline {
-		w.violated("start of %s in zone %s, %v after that was cordoned", task, sw.info.Zone, w.now-since)
+func (w *simCluster) checkCordon(sw *simWorker, task workload.TaskID) {
+	if since, cordoned := w.cordons.cordonedSince[sw.info.Zone]; cordoned && !w.executingLateOrder && w.now-since > simCordonDeadline {
+		w.reportViolation("start of %s in zone %s, %v after that was cordoned", task, sw.info.Zone, w.now-since)
 	}
 }
--- a/engine/sim_crash_test.go
+++ b/engine/sim_crash_test.go
@@ -14,25 +14,25 @@
 
 // Guards against tasks that keep crashing workers, starts on workers whose capacity has shrunk,
 // and jobs that fail without cause, together with the faults of TestRandomWorlds.
-func TestRandomWorldsWithCrashingTasks(t *testing.T) {
-	runWorlds(t, *simCrashSeeds, func(w *simWorld, _ uint64) {
+func TestSimulationWithCrashingTasks(t *testing.T) {
+	runSimulations(t, *simCrashSeeds, func(w *simCluster, _ uint64) {
 		w.planFaults(faultTime)
 		w.addCrashingTasks()
 	})
 }
 
 // addCrashingTasks makes some tasks crash their workers and some workers lose capacity.
-func (w *simWorld) addCrashingTasks() {
-	w.crashes.share = 12
+func (w *simCluster) addCrashingTasks() {
+	w.crashes.crashingOneIn = 12
 	w.planShrinks(faultTime)
 }
 
 // simCrashes counts worker crashes and failures by task.
 type simCrashes struct {
-	share            int                     // one in so many tasks crashes its workers; 0: none
-	under            map[workload.TaskID]int // workers that crashed under the task, whatever the cause
+	crashingOneIn    int                     // one in so many tasks crashes its workers; 0: none
+	workersCrashed   map[workload.TaskID]int // workers that crashed under the task, whatever the cause
 	startsAfterThird map[workload.TaskID]int // starts of crashing tasks after the third crash
-	failed           map[workload.TaskID]int // listed ends as failed, acknowledged or not
+	failedEnds       map[workload.TaskID]int // listed ends as failed, acknowledged or not
 }
 
 // capacityGrace is how long the planner may take to learn of lost capacity.
@@ -45,8 +45,8 @@
 }
 
 // reportCrash reports a crashed worker, unless its agent was lost with it or is cut off.
-func (w *simWorld) reportCrash(sw *simWorker) {
-	if w.crashes.share == 0 && !w.reusesNames || sw.cut || sw.leavesAt != 0 || len(sw.info.ID)%3 == 0 && !w.calm {
+func (w *simCluster) reportCrash(sw *simWorker) {
+	if w.crashes.crashingOneIn == 0 && !w.reusesNames || sw.disconnected || sw.leavesAt != 0 || len(sw.info.ID)%3 == 0 && !w.faultsEnded {
 		return
 	}
 	r := Report{Worker: sw.info, Terminated: true, Crashed: true, Superseded: sw.info.Name != "", Polled: sw.lastPolledAt != 0, Ended: sw.lastEnded}
@@ -58,13 +58,13 @@
 	w.engine.Report(w.now, r)
 }
 
-// notePoll records what the agent saw in a poll.
-func (w *simWorker) notePoll(now time.Duration, r Report) {
+// recordPoll records what the agent saw in a poll.
+func (w *simWorker) recordPoll(now time.Duration, r Report) {
 	seenSince := map[workload.RunID]time.Duration{}
-	for _, row := range r.Running {
-		seenSince[row.Run] = now
-		if since, shown := w.seenSince[row.Run]; shown {
-			seenSince[row.Run] = since
+	for _, status := range r.Running {
+		seenSince[status.Run] = now
+		if since, seen := w.seenSince[status.Run]; seen {
+			seenSince[status.Run] = since
 		}
 	}
 	w.seenSince, w.lastPolledAt, w.lastEnded = seenSince, now, r.Ended
@@ -72,8 +72,8 @@
 
 // crashDelay reports whether a task crashes its workers, and how long after the start. It
 // depends on the task alone, so it is the same on all workers.
-func (w *simWorld) crashDelay(task workload.TaskID) (time.Duration, bool) {
-	if w.crashes.share == 0 {
+func (w *simCluster) crashDelay(task workload.TaskID) (time.Duration, bool) {
+	if w.crashes.crashingOneIn == 0 {
 		return 0, false
 	}
 	hash := 0
@@ -81,7 +81,7 @@
 		hash = 31*hash + int(b)
 	}
 	hash = (hash + 7*task.Step) % 7919
-	if hash%w.crashes.share != 0 || task.Index != 0 {
+	if hash%w.crashes.crashingOneIn != 0 || task.Index != 0 {
 		return 0, false
 	}
 	if hash%5 == 0 {
@@ -90,15 +90,15 @@
 	return 10 * time.Millisecond, true
 }
 
-// note counts a crash for all tasks that ran on the worker.
-func (c *simCrashes) note(sw *simWorker) {
+// record counts a crash for all tasks that ran on the worker.
+func (c *simCrashes) record(sw *simWorker) {
 	for task := range sw.running {
-		c.under[task]++
+		c.workersCrashed[task]++
 	}
 }
 
 // scheduleCrash schedules the crash of a worker that has started a crashing task.
-func (w *simWorld) scheduleCrash(sw *simWorker, task workload.TaskID) {
+func (w *simCluster) scheduleCrash(sw *simWorker, task workload.TaskID) {
 	after, ok := w.crashDelay(task)
 	if !ok {
 		return
@@ -118,68 +118,68 @@
 }
 
 // checkCrashingStart checks that a crashing task is not started too often.
-func (w *simWorld) checkCrashingStart(task workload.TaskID) {
-	if _, ok := w.crashDelay(task); !ok || w.crashes.under[task] < 3 {
+func (w *simCluster) checkCrashingStart(task workload.TaskID) {
+	if _, ok := w.crashDelay(task); !ok || w.crashes.workersCrashed[task] < 3 {
 		return
 	}
 	w.crashes.startsAfterThird[task]++
 	if w.crashes.startsAfterThird[task] >= 3 {
-		w.violated("%s is started three times more after %d workers have crashed under it", task, w.crashes.under[task])
+		w.reportViolation("%s is started three times more after %d workers have crashed under it", task, w.crashes.workersCrashed[task])
 	}
 }
 
 // planShrinks schedules losses of capacity.
-func (w *simWorld) planShrinks(end time.Duration) {
+func (w *simCluster) planShrinks(end time.Duration) {
 	for range w.rng.IntN(12) {
 		i := w.rng.IntN(len(w.workers))
 		at := time.Duration(w.rng.Int64N(int64(end)))
-		lasts := time.Duration(1000+w.rng.IntN(15000)) * time.Millisecond
+		duration := time.Duration(1000+w.rng.IntN(15000)) * time.Millisecond
 		parts := w.rng.IntN(8)
-		w.events = append(w.events, simEvent{at, func() { w.shrink(w.workers[i], parts, lasts) }})
+		w.events = append(w.events, simEvent{at, func() { w.shrink(w.workers[i], parts, duration) }})
 	}
 }
 
-func (w *simWorld) shrink(sw *simWorker, parts int, lasts time.Duration) {
+func (w *simCluster) shrink(sw *simWorker, parts int, duration time.Duration) {
 	if _, already := w.shrinks[sw]; already || sw.dead {
 		return
 	}
-	whole := sw.info.Capacity
+	original := sw.info.Capacity
 	w.counts["shrinks"]++
-	w.shrinks[sw] = simShrink{original: whole, at: w.now}
+	w.shrinks[sw] = simShrink{original: original, at: w.now}
 	sw.info.Capacity = workload.Resources{
-		MilliCPU: whole.MilliCPU * parts / 8, MemoryMB: whole.MemoryMB * parts / 8, Accelerators: parts,
+		MilliCPU: original.MilliCPU * parts / 8, MemoryMB: original.MemoryMB * parts / 8, Accelerators: parts,
 	}
-	w.after(lasts, func() {
+	w.after(duration, func() {
 		delete(w.shrinks, sw)
-		sw.info.Capacity = whole
+		sw.info.Capacity = original
 	})
 }
 
 // capacityOf returns the capacity that a start may use. Orders that are carried out late were
 // based on the earlier capacity.
-func (w *simWorld) capacityOf(sw *simWorker) workload.Resources {
+func (w *simCluster) capacityOf(sw *simWorker) workload.Resources {
 	s, shrunk := w.shrinks[sw]
-	if shrunk && (w.lateOrder || w.now-s.at < capacityGrace) {
+	if shrunk && (w.executingLateOrder || w.now-s.at < capacityGrace) {
 		return s.original
 	}
 	return sw.info.Capacity
 }
 
 // checkFailedJobs checks that each failed job has tasks that failed or crashed workers.
-func (w *simWorld) checkFailedJobs() {
+func (w *simCluster) checkFailedJobs() {
 	for _, id := range w.order {
 		found, _ := w.engine.Lookup(id)
 		_, crashing := w.crashingStep(w.jobs[id])
 		switch {
 		case found.State == workload.Failed && !w.mayFail(w.jobs[id]):
-			w.violated("job %s is failed without cause: %s", id, found.Reason)
+			w.reportViolation("job %s is failed without cause: %s", id, found.Reason)
 		case found.State == workload.Failed && !crashing && strings.Contains(found.Reason, "crashed"):
 			w.counts["given up, not crashing"]++
 		}
 	}
 }
 
-func (w *simWorld) crashingStep(j *workload.Job) (step int, ok bool) {
+func (w *simCluster) crashingStep(j *workload.Job) (step int, ok bool) {
 	for s := range j.Steps {
 		if _, crashes := w.crashDelay(workload.TaskID{Job: j.ID, Step: s}); crashes {
 			return s, true
@@ -189,26 +189,26 @@
 }
 
 // mayFail reports whether a job may be shown as failed.
-func (w *simWorld) mayFail(j *workload.Job) bool {
+func (w *simCluster) mayFail(j *workload.Job) bool {
 	for s := range j.Steps {
-		ofGang := 0
+		gangFailures := 0
 		for i := range j.Steps[s].Count {
 			task := workload.TaskID{Job: j.ID, Step: s, Index: i}
-			if w.crashes.failed[task] >= j.QueuePolicy.MaxAttempts || w.crashes.under[task] >= 2 {
+			if w.crashes.failedEnds[task] >= j.QueuePolicy.MaxAttempts || w.crashes.workersCrashed[task] >= 2 {
 				return true
 			}
-			ofGang += w.crashes.failed[task]
+			gangFailures += w.crashes.failedEnds[task]
 		}
-		if j.Steps[s].Gang && ofGang >= j.QueuePolicy.MaxAttempts {
+		if j.Steps[s].Gang && gangFailures >= j.QueuePolicy.MaxAttempts {
 			return true // a different member may have failed each time
 		}
 	}
 	return false
 }
 
-// pollWhileCutOff is a poll by an agent that is cut off from the planner.
-func (w *simWorker) pollWhileCutOff(now time.Duration) {
-	if w.world.crashes.share == 0 {
+// pollWhileDisconnected is a poll by an agent that is cut off from the planner.
+func (w *simWorker) pollWhileDisconnected(now time.Duration) {
+	if w.cluster.crashes.crashingOneIn == 0 {
 		return
 	}
 	absent := w.absent
--- a/engine/sim_reused_names_test.go
+++ b/engine/sim_reused_names_test.go
@@ -13,8 +13,8 @@
 // Guards against double runs when crashed workers return under the same name and receive orders
 // meant for their previous incarnation, together with the faults of TestRandomWorlds and, with
 // even seeds, those of TestRandomWorldsWithCrashingTasks.
-func TestRandomWorldsWithReusedWorkerNames(t *testing.T) {
-	runWorlds(t, *simNameSeeds, func(w *simWorld, seed uint64) {
+func TestSimulationWithReusedWorkerNames(t *testing.T) {
+	runSimulations(t, *simNameSeeds, func(w *simCluster, seed uint64) {
 		w.reuseNames()
 		w.planFaults(faultTime)
 		w.planCrashes(faultTime)
@@ -26,7 +26,7 @@
 }
 
 // reuseNames makes the workers keep their names in later incarnations.
-func (w *simWorld) reuseNames() {
+func (w *simCluster) reuseNames() {
 	w.reusesNames = true
 	for i, sw := range w.workers {
 		sw.info.Name = simWorkerName(i)
@@ -36,7 +36,7 @@
 func simWorkerName(worker int) string { return fmt.Sprint("w", worker) }
 
 // planCrashes schedules crashes of workers, some of them simultaneous.
-func (w *simWorld) planCrashes(end time.Duration) {
+func (w *simCluster) planCrashes(end time.Duration) {
 	for range 5 + w.rng.IntN(15) {
 		at := time.Duration(w.rng.Int64N(int64(end)))
 		for range 1 + w.rng.IntN(4) {
@@ -47,7 +47,7 @@
 }
 
 // planAgentRestarts schedules failed polls, some of them followed by a restart of the agent.
-func (w *simWorld) planAgentRestarts(end time.Duration) {
+func (w *simCluster) planAgentRestarts(end time.Duration) {
 	for range 5 + w.rng.IntN(15) {
 		at := time.Duration(w.rng.Int64N(int64(end)))
 		i, restart := w.rng.IntN(len(w.workers)), w.rng.IntN(2) == 0
@@ -75,7 +75,7 @@
 }
 
 // downtime returns how long a worker is away after a crash.
-func (w *simWorld) downtime() time.Duration {
+func (w *simCluster) downtime() time.Duration {
 	if w.reusesNames {
 		return time.Duration(20+w.rng.IntN(1200)) * time.Millisecond
 	}
@@ -84,7 +84,7 @@
 
 // recipient returns the worker that orders for an incarnation reach now, or nil. Until the
 // agent has noticed a new incarnation under the same name, that one receives them.
-func (w *simWorld) recipient(id WorkerID) *simWorker {
+func (w *simCluster) recipient(id WorkerID) *simWorker {
 	for _, sw := range w.workers {
 		if sw.info.ID == id && !sw.dead {
 			return sw
@@ -99,8 +99,8 @@
 // unfenceable reports whether late orders for an earlier incarnation start runs that the
 // planner has given up, before anything has fenced the new one. The worker can't tell such
 // orders from current ones, so the simulation drops them.
-func (w *simWorld) unfenceable(sw *simWorker, o Orders) bool {
-	if !w.lateOrder || sw.fenced {
+func (w *simCluster) unfenceable(sw *simWorker, o Orders) bool {
+	if !w.executingLateOrder || sw.fenced {
 		return false
 	}
 	return slices.ContainsFunc(o.Starts, func(s StartOrder) bool {
@@ -120,13 +120,13 @@
 		return
 	}
 	w.previous, previous.next = previous, w
-	w.cut = previous.cut
-	if w.world.rng.IntN(3) == 0 {
+	w.disconnected = previous.disconnected
+	if w.cluster.rng.IntN(3) == 0 {
 		return
 	}
 	w.orderFence = previous.orderFence
 	w.orderFence.Generation += GenerationStep
-	w.world.after(time.Duration(w.world.rng.Int64N(int64(fenceDelay))), func() { w.raiseFence(w.orderFence) })
+	w.cluster.after(time.Duration(w.cluster.rng.Int64N(int64(fenceDelay))), func() { w.raiseFence(w.orderFence) })
 }
 
 // latest returns the current incarnation of the worker.
--- a/engine/sim_test.go
+++ b/engine/sim_test.go
@@ -18,24 +18,24 @@
 // Guards against overcommitted workers, tasks that run twice and jobs that never settle, while
 // planners die, workers crash, drain or are cut off, orders are late and the store is
 // unavailable.
-func TestRandomWorlds(t *testing.T) {
-	runWorlds(t, *simSeedCount, func(w *simWorld, _ uint64) { w.planFaults(faultTime) })
+func TestSimulation(t *testing.T) {
+	runSimulations(t, *simSeedCount, func(w *simCluster, _ uint64) { w.planFaults(faultTime) })
 }
 
 // faultTime is how long faults occur and jobs are submitted.
 const faultTime = 50 * time.Second
 
-// runWorlds runs one world per seed with the events that plan adds.
-func runWorlds(t *testing.T, seeds int, plan func(w *simWorld, seed uint64)) {
+// runSimulations runs one world per seed with the events that plan adds.
+func runSimulations(t *testing.T, seeds int, plan func(w *simCluster, seed uint64)) {
 	for i := range seeds {
 		seed := *simFirstSeed + uint64(i)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			w := newSimWorld(t, seed)
+			w := newSimCluster(t, seed)
 			plan(w, seed)
 			w.planSubmissions(faultTime)
 			w.runToEnd()
-			if w.crashes.share > 0 {
+			if w.crashes.crashingOneIn > 0 {
 				w.checkFailedJobs()
 			}
 			t.Log(w.counts)
@@ -44,7 +44,7 @@
 }
 
 // runToEnd runs the planned events, ends the faults, and checks that all jobs settle.
-func (w *simWorld) runToEnd() {
+func (w *simCluster) runToEnd() {
 	w.run(faultTime)
 	w.endFaults()
 	w.run(150 * time.Second)
@@ -52,7 +52,7 @@
 }
 
 // planSubmissions schedules submissions and some cancellations.
-func (w *simWorld) planSubmissions(end time.Duration) {
+func (w *simCluster) planSubmissions(end time.Duration) {
 	for at := 100 * time.Millisecond; at < end; at += time.Duration(100+w.rng.IntN(900)) * time.Millisecond {
 		j := w.randomJob(len(w.events))
 		cancelAt := time.Duration(0)
@@ -63,7 +63,7 @@
 	}
 }
 
-func (w *simWorld) submit(j *workload.Job, cancelAt time.Duration) {
+func (w *simCluster) submit(j *workload.Job, cancelAt time.Duration) {
 	w.jobs[j.ID] = j
 	w.order = append(w.order, j.ID)
 	revision := int64(len(w.order))
@@ -84,7 +84,7 @@
 }
 
 // randomJob returns a job with one to three random steps.
-func (w *simWorld) randomJob(n int) *workload.Job {
+func (w *simCluster) randomJob(n int) *workload.Job {
 	pick := func(values ...int) int { return values[w.rng.IntN(len(values))] }
 	account := []string{"big", "small"}[w.rng.IntN(2)]
 	j := &workload.Job{
@@ -123,7 +123,7 @@
 }
 
 // planFaults schedules faults until end.
-func (w *simWorld) planFaults(end time.Duration) {
+func (w *simCluster) planFaults(end time.Duration) {
 	at := func() time.Duration { return time.Duration(w.rng.Int64N(int64(end))) }
 	span := func(maxMillis int) time.Duration { return time.Duration(200+w.rng.IntN(maxMillis)) * time.Millisecond }
 	for range w.rng.IntN(5) {
@@ -131,7 +131,7 @@
 	}
 	for range w.rng.IntN(8) {
 		i, d := w.rng.IntN(len(w.workers)), span(12000)
-		w.events = append(w.events, simEvent{at(), func() { w.cutOff(i, d) }})
+		w.events = append(w.events, simEvent{at(), func() { w.disconnect(i, d) }})
 	}
 	for range w.rng.IntN(4) {
 		i := w.rng.IntN(len(w.workers))
@@ -153,16 +153,16 @@
 // missingLabel is a label that no worker has.
 const missingLabel = "nowhere"
 
-func (w *simWorld) cutOff(i int, d time.Duration) {
+func (w *simCluster) disconnect(i int, d time.Duration) {
 	sw := w.workers[i]
-	sw.cut = true
-	w.after(d, func() { sw.cut = false })
+	sw.disconnected = true
+	w.after(d, func() { sw.disconnected = false })
 }
 
 // crash ends an incarnation; the next one starts after downtime.
-func (w *simWorld) crash(i int) {
+func (w *simCluster) crash(i int) {
 	if sw := w.workers[i]; !sw.dead && sw.leavesAt == 0 {
-		w.crashes.note(sw)
+		w.crashes.record(sw)
 	}
 	w.workers[i].dead = true
 	w.after(w.downtime(), func() {
@@ -173,7 +173,7 @@
 	})
 }
 
-func (w *simWorld) drain(i int) {
+func (w *simCluster) drain(i int) {
 	sw := w.workers[i]
 	if sw.dead || sw.leavesAt != 0 {
 		return
@@ -182,17 +182,17 @@
 	w.after(2500*time.Millisecond, func() { w.crash(i) })
 }
 
-func (w *simWorld) endFaults() {
-	w.calm = true
-	w.calmSince = w.now
+func (w *simCluster) endFaults() {
+	w.faultsEnded = true
+	w.faultsEndedAt = w.now
 	w.storeDown = false
 	for _, sw := range w.workers {
-		sw.cut = false
+		sw.disconnected = false
 	}
 }
 
 // checkSettled checks that every job has ended and the engine counts no capacity as used.
-func (w *simWorld) checkSettled() {
+func (w *simCluster) checkSettled() {
 	for _, id := range w.order {
 		found, ok := w.engine.Lookup(id)
 		if ok && w.waitsForMissingLabel(w.jobs[id], found.State) {
@@ -200,7 +200,7 @@
 			continue
 		}
 		if !ok || !found.State.Final() {
-			w.violated("job %s is %s (%v): %+v", id, found.State, ok, w.jobs[id].Steps)
+			w.reportViolation("job %s is %s (%v): %+v", id, found.State, ok, w.jobs[id].Steps)
 			continue
 		}
 		w.counts[string(found.State)]++
@@ -210,13 +210,13 @@
 	}
 	for _, known := range w.engine.workers {
 		if known.used != (workload.Resources{}) {
-			w.violated("worker %s counts %+v as taken by %d", known.info.ID, known.used, len(known.placements))
+			w.reportViolation("worker %s counts %+v as taken by %d", known.info.ID, known.used, len(known.placements))
 		}
 	}
 }
 
 // waitsForMissingLabel reports whether the job has reached a step whose label no worker has.
-func (w *simWorld) waitsForMissingLabel(j *workload.Job, state workload.State) bool {
+func (w *simCluster) waitsForMissingLabel(j *workload.Job, state workload.State) bool {
 	if state.Final() {
 		return false
 	}
@@ -233,12 +233,12 @@
 	return false
 }
 
-func (w *simWorld) checkCompleted(j *workload.Job) {
+func (w *simCluster) checkCompleted(j *workload.Job) {
 	for s := range j.Steps {
 		for i := range j.Steps[s].Count {
 			task := workload.TaskID{Job: j.ID, Step: s, Index: i}
 			if !w.ranToEnd[task] {
-				w.violated("job %s is completed, and %s has not ended so", j.ID, task)
+				w.reportViolation("job %s is completed, and %s has not ended so", j.ID, task)
 			}
 		}
 	}
--- a/engine/sim_worker_test.go
+++ b/engine/sim_worker_test.go
@@ -22,7 +22,7 @@
 // simWorker simulates a worker and its agent: fence, lease, runs and ends. It starts whatever
 // it is ordered to.
 type simWorker struct {
-	world      *simWorld
+	cluster    *simCluster
 	info       WorkerInfo
 	fence      Fence
 	leaseEnd   time.Duration
@@ -38,7 +38,7 @@
 	grantedUntil time.Duration
 	ackedEnds    int64
 	absent       []workload.RunID
-	cut          bool
+	disconnected bool
 	dead         bool
 	cordons      catalog.Cordons // as last learned from the planner
 	// previous and next are the neighbouring incarnations under the same name.
@@ -76,17 +76,17 @@
 		return StartSuperseded
 	}
 	w.leaseEnd = max(w.leaseEnd, until)
-	w.world.checkStart(w, s)
-	j := w.world.jobs[s.Run.Task.Job]
+	w.cluster.checkStart(w, s)
+	j := w.cluster.jobs[s.Run.Task.Job]
 	step := &j.Steps[s.Run.Task.Step]
 	r := &simRun{id: s.Run, step: step, startedAt: now}
-	r.endsAt = now + time.Duration(float64(step.Estimate)*(0.5+w.world.rng.Float64()))
-	if r.fails = w.world.rng.IntN(40) == 0; r.fails {
+	r.endsAt = now + time.Duration(float64(step.Estimate)*(0.5+w.cluster.rng.Float64()))
+	if r.fails = w.cluster.rng.IntN(40) == 0; r.fails {
 		r.endsAt = now + step.Estimate/4
 	}
 	w.running[s.Run.Task] = r
-	w.world.checkCapacity(w)
-	w.world.scheduleCrash(w, s.Run.Task)
+	w.cluster.checkCapacity(w)
+	w.cluster.scheduleCrash(w, s.Run.Task)
 	return StartOK
 }
 
@@ -102,24 +102,24 @@
 		return true
 	}
 	if r.stopsAt == 0 {
-		r.stopsAt = now + time.Duration(w.world.rng.IntN(800))*time.Millisecond
+		r.stopsAt = now + time.Duration(w.cluster.rng.IntN(800))*time.Millisecond
 	}
 	return true
 }
 
-func (w *simWorker) end(r *simRun, why EndReason) {
+func (w *simWorker) end(r *simRun, reason EndReason) {
 	delete(w.running, r.id.Task)
 	w.highestRun[r.id.Task] = max(w.highestRun[r.id.Task], r.id.Number)
 	w.lastEnd++
-	end := RunEnd{Sequence: w.lastEnd, Run: r.id, Reason: why}
-	if r.step.Checkpoints && why != EndDone {
+	end := RunEnd{Sequence: w.lastEnd, Run: r.id, Reason: reason}
+	if r.step.Checkpoints && reason != EndDone {
 		end.Checkpoint = fmt.Sprintf("%s-%d", r.id.Task, r.id.Number)
 	}
 	w.ended = append(w.ended, end)
-	if w.world.crashes.share > 0 {
+	if w.cluster.crashes.crashingOneIn > 0 {
 		w.lastEnded = slices.Clone(w.ended) // the agent's last poll includes all ends
 	}
-	w.world.noteEnd(w, r, why)
+	w.cluster.recordEnd(w, r, reason)
 }
 
 // advance lets the worker's runs and lease proceed to now.
@@ -141,16 +141,16 @@
 		switch {
 		case r.stopsAt != 0 && now >= r.stopsAt:
 			w.end(r, EndStopped)
-			w.world.endGang(r)
-		case r.step.Gang && !w.world.gangComplete(r):
+			w.cluster.endGang(r)
+		case r.step.Gang && !w.cluster.gangComplete(r):
 			if now-r.startedAt > 3*time.Second {
 				w.end(r, EndGangIncomplete)
 			}
 		case now >= r.endsAt && r.fails:
 			w.end(r, EndFailed)
-			w.world.endGang(r)
+			w.cluster.endGang(r)
 		case now >= r.endsAt:
-			w.world.finish(r)
+			w.cluster.finish(r)
 		}
 	}
 }
@@ -189,7 +189,7 @@
 		end.Void = end.Sequence <= w.voidEnds
 		r.Ended = append(r.Ended, end)
 	}
-	w.notePoll(now, r)
+	w.recordPoll(now, r)
 	r.ConfirmedAbsent = w.absent
 	w.absent = nil
 	return r
@@ -216,7 +216,7 @@
 func (w *simWorker) forgetEnds(acked int64) {
 	w.ackedEnds = max(w.ackedEnds, acked)
 	for len(w.ended) > 0 && w.ended[0].Sequence <= w.ackedEnds {
-		w.world.noteAckedEnd(w.ended[0], w.ended[0].Sequence <= w.voidEnds)
+		w.cluster.recordAckedEnd(w.ended[0], w.ended[0].Sequence <= w.voidEnds)
 		w.ended = w.ended[1:]
 	}
 }
--- a/engine/sim_world_test.go
+++ b/engine/sim_world_test.go
@@ -24,22 +24,22 @@
 	do func()
 }
 
-// simWorld simulates callers, workers with their agents, a store, and successive planners. It
+// simCluster simulates callers, workers with their agents, a store, and successive planners. It
 // checks the engine's guarantees by what the workers see.
-type simWorld struct {
-	t            testing.TB
-	rng          *rand.Rand
-	now          time.Duration
-	events       []simEvent
-	calm         bool // no more faults
-	calmSince    time.Duration
-	jobs         map[workload.JobID]*workload.Job
-	order        []workload.JobID
-	cancels      map[workload.JobID]bool
-	workers      []*simWorker
-	incarnations int
-	reusesNames  bool // later incarnations of a worker keep its name
-	cordons      simCordons
+type simCluster struct {
+	t             testing.TB
+	rng           *rand.Rand
+	now           time.Duration
+	events        []simEvent
+	faultsEnded   bool // no more faults
+	faultsEndedAt time.Duration
+	jobs          map[workload.JobID]*workload.Job
+	order         []workload.JobID
+	cancels       map[workload.JobID]bool
+	workers       []*simWorker
+	incarnations  int
+	reusesNames   bool // later incarnations of a worker keep its name
+	cordons       simCordons
 
 	// State of the store.
 	records       map[workload.JobID][]byte
@@ -52,17 +52,17 @@
 	storeDown bool // the store rejects writes
 
 	// Facts observed at the workers.
-	ranToEnd      map[workload.TaskID]bool // a run has ended as done, acknowledged or not
-	ackedDone     map[workload.TaskID]bool // such an end was acknowledged
-	ackedFailures map[workload.TaskID]int  // acknowledged ends as failed
-	crashes       simCrashes
-	lateOrder     bool                     // set while an order is carried out late
-	shrinks       map[*simWorker]simShrink // workers with reduced capacity
-	counts        map[string]int
+	ranToEnd           map[workload.TaskID]bool // a run has ended as done, acknowledged or not
+	ackedDone          map[workload.TaskID]bool // such an end was acknowledged
+	ackedFailures      map[workload.TaskID]int  // acknowledged ends as failed
+	crashes            simCrashes
+	executingLateOrder bool                     // set while an order is carried out late
+	shrinks            map[*simWorker]simShrink // workers with reduced capacity
+	counts             map[string]int
 }
 
-func newSimWorld(t testing.TB, seed uint64) *simWorld {
-	w := &simWorld{
+func newSimCluster(t testing.TB, seed uint64) *simCluster {
+	w := &simCluster{
 		t:             t,
 		rng:           rand.New(rand.NewPCG(seed, 7)),
 		jobs:          map[workload.JobID]*workload.Job{},
@@ -73,7 +73,7 @@
 		ranToEnd:      map[workload.TaskID]bool{},
 		ackedDone:     map[workload.TaskID]bool{},
 		ackedFailures: map[workload.TaskID]int{},
-		crashes:       simCrashes{under: map[workload.TaskID]int{}, startsAfterThird: map[workload.TaskID]int{}, failed: map[workload.TaskID]int{}},
+		crashes:       simCrashes{workersCrashed: map[workload.TaskID]int{}, startsAfterThird: map[workload.TaskID]int{}, failedEnds: map[workload.TaskID]int{}},
 		shrinks:       map[*simWorker]simShrink{},
 		counts:        map[string]int{},
 	}
@@ -84,7 +84,7 @@
 	return w
 }
 
-func (w *simWorld) addWorker(i int) {
+func (w *simCluster) addWorker(i int) {
 	w.incarnations++
 	info := WorkerInfo{
 		ID:       WorkerID(fmt.Sprintf("w%d-%d", i, w.incarnations)),
@@ -98,7 +98,7 @@
 	if w.reusesNames {
 		info.Name = simWorkerName(i)
 	}
-	sw := &simWorker{world: w, info: info, running: map[workload.TaskID]*simRun{}, highestRun: map[workload.TaskID]int{}}
+	sw := &simWorker{cluster: w, info: info, running: map[workload.TaskID]*simRun{}, highestRun: map[workload.TaskID]int{}}
 	if i < len(w.workers) {
 		sw.succeed(w.workers[i])
 		w.workers[i] = sw
@@ -108,16 +108,16 @@
 	w.reportLater(sw)
 }
 
-func (w *simWorld) after(d time.Duration, do func()) {
+func (w *simCluster) after(d time.Duration, do func()) {
 	w.events = append(w.events, simEvent{w.now + d, do})
 }
 
-func (w *simWorld) latency() time.Duration {
+func (w *simCluster) latency() time.Duration {
 	return time.Duration(1+w.rng.IntN(5)) * time.Millisecond
 }
 
 // takeOver starts the next planner from the stored records.
-func (w *simWorld) takeOver() {
+func (w *simCluster) takeOver() {
 	w.epoch++
 	w.writing = false
 	e := New(Params{
@@ -148,7 +148,7 @@
 }
 
 // restoreEnded passes the stored outcomes to a planner that has started planning.
-func (w *simWorld) restoreEnded(e *Engine) {
+func (w *simCluster) restoreEnded(e *Engine) {
 	if e != w.engine {
 		return
 	}
@@ -169,10 +169,10 @@
 	}
 }
 
-func (w *simWorld) wall() time.Time { return time.Unix(1_000_000, 0).Add(w.now) }
+func (w *simCluster) wall() time.Time { return time.Unix(1_000_000, 0).Add(w.now) }
 
 // run simulates the world until end.
-func (w *simWorld) run(end time.Duration) {
+func (w *simCluster) run(end time.Duration) {
 	for ; w.now < end && !w.t.Failed(); w.now += simStep {
 		w.runDueEvents()
 		for _, worker := range w.workers {
@@ -183,11 +183,11 @@
 		if w.now%(50*time.Millisecond) == 0 {
 			w.engine.HandleEvent(w.now, Tick{WallTime: w.wall()})
 		}
-		w.carryOutDecisions()
+		w.executeDecisions()
 	}
 }
 
-func (w *simWorld) runDueEvents() {
+func (w *simCluster) runDueEvents() {
 	for {
 		i := slices.IndexFunc(w.events, func(e simEvent) bool { return e.at <= w.now })
 		if i < 0 {
@@ -199,8 +199,8 @@
 	}
 }
 
-// carryOutDecisions delivers the planner's orders and writes its changes.
-func (w *simWorld) carryOutDecisions() {
+// executeDecisions delivers the planner's orders and writes its changes.
+func (w *simCluster) executeDecisions() {
 	e := w.engine
 	for _, action := range e.Decide(w.now) {
 		if d, ok := action.(Decision); ok && d.Kind == "carried over" {
@@ -233,7 +233,7 @@
 }
 
 // write stores changes if their planner is still current.
-func (w *simWorld) write(e *Engine, change Write, encoded [][]byte) {
+func (w *simCluster) write(e *Engine, change Write, encoded [][]byte) {
 	if e != w.engine {
 		return
 	}
@@ -260,9 +260,9 @@
 }
 
 // deliver delivers orders to a worker. Some are not answered and are carried out late.
-func (w *simWorld) deliver(e *Engine, epoch uint64, o Orders) {
+func (w *simCluster) deliver(e *Engine, epoch uint64, o Orders) {
 	sw := w.recipient(o.Worker)
-	if sw == nil || sw.cut || epoch < sw.orderFence.Epoch {
+	if sw == nil || sw.disconnected || epoch < sw.orderFence.Epoch {
 		w.answerOrders(e, o, StartNotDelivered)
 		return
 	}
@@ -272,18 +272,18 @@
 	}
 	sw.raiseFence(Fence{Epoch: epoch})
 	fence := sw.orderFence
-	if !w.calm && w.rng.IntN(25) == 0 {
+	if !w.faultsEnded && w.rng.IntN(25) == 0 {
 		w.counts["late orders"]++
 		until := sw.grantedUntil
 		w.after(time.Duration(2+w.rng.IntN(10))*time.Second, func() {
-			w.lateOrder = true
-			w.carryOut(sw, fence, o, until)
-			w.lateOrder = false
+			w.executingLateOrder = true
+			w.executeOrders(sw, fence, o, until)
+			w.executingLateOrder = false
 		})
 		w.answerOrders(e, o, StartUnknown)
 		return
 	}
-	results := w.carryOut(sw, fence, o, sw.grantedUntil)
+	results := w.executeOrders(sw, fence, o, sw.grantedUntil)
 	w.after(w.latency(), func() {
 		if e == w.engine {
 			e.HandleEvent(w.now, OrdersCompleted{Worker: o.Worker, Starts: results})
@@ -291,7 +291,7 @@
 	})
 }
 
-func (w *simWorld) carryOut(sw *simWorker, fence Fence, o Orders, until time.Duration) []StartResult {
+func (w *simCluster) executeOrders(sw *simWorker, fence Fence, o Orders, until time.Duration) []StartResult {
 	if sw.dead && sw.next != nil {
 		sw, until = sw.latest(), w.now+simMaxLease // by the clock of the incarnation that was meant
 		if w.unfenceable(sw, o) {
@@ -313,7 +313,7 @@
 	return results
 }
 
-func (w *simWorld) answerOrders(e *Engine, o Orders, outcome StartOutcome) {
+func (w *simCluster) answerOrders(e *Engine, o Orders, outcome StartOutcome) {
 	var results []StartResult
 	for _, s := range o.Starts {
 		results = append(results, StartResult{Run: s.Run, Outcome: outcome})
@@ -324,27 +324,27 @@
 }
 
 // reportLater schedules the agent's periodic reports.
-func (w *simWorld) reportLater(sw *simWorker) {
+func (w *simCluster) reportLater(sw *simWorker) {
 	w.after(time.Duration(20+w.rng.IntN(80))*time.Millisecond, func() {
 		if sw.dead {
 			return
 		}
 		w.reportLater(sw)
-		if sw.cut {
-			sw.pollWhileCutOff(w.now)
+		if sw.disconnected {
+			sw.pollWhileDisconnected(w.now)
 			return
 		}
 		e, sent := w.engine, w.now
 		sw.reported = true
 		r := sw.report(w.now)
 		w.after(w.latency(), func() {
-			if e != w.engine || sw.cut {
+			if e != w.engine || sw.disconnected {
 				return
 			}
 			answer := e.Report(w.now, r)
 			cordons := w.cordons.known
 			w.after(w.latency(), func() {
-				if !sw.cut {
+				if !sw.disconnected {
 					sw.handleAnswer(w.now, sent, e.epoch, answer)
 					sw.updateCordons(cordons)
 				}
--- a/engine/stuck_test.go
+++ b/engine/stuck_test.go
@@ -34,7 +34,7 @@
 	stuck := d.submit(1, "", taskStep(1, 8))
 	d.settle()
 	from := d.now
-	for len(d.stops) == 0 && d.now-from < minStuckTimeUnproven {
+	for len(d.stops) == 0 && d.now-from < minStuckTimeNoProgress {
 		for _, w := range d.e.sortedWorkers() {
 			d.reportRuns(w.info.ID, func(p *placement) RunStatus {
 				if p.unit.job.spec.ID == stuck {
@@ -57,7 +57,7 @@
 	d := newDriver(t, 2)
 	id := d.submit(1, "", taskStep(1, 8))
 	d.settle()
-	began, longest := d.now, time.Duration(0)
+	startedAt, longest := d.now, time.Duration(0)
 	runs := len(d.starts)
 	for range 600 {
 		for _, w := range d.e.sortedWorkers() {
@@ -70,9 +70,9 @@
 		d.now += 100 * time.Millisecond
 		d.tick()
 		if len(d.starts) > runs {
-			runs, began = len(d.starts), d.now
+			runs, startedAt = len(d.starts), d.now
 		}
-		longest = max(longest, d.now-began)
+		longest = max(longest, d.now-startedAt)
 	}
 	c.Check(d.e.jobs[id].state.Final(), qt.IsFalse)
 	c.Check(longest > 20*time.Second, qt.IsTrue, qt.Commentf("%v, %d runs", longest, runs))
--- a/engine/superseded.go
+++ b/engine/superseded.go
@@ -60,9 +60,9 @@
 	e.dropSuperseded(w)
 }
 
-// noteGeneration records a generation that the agent has raised itself, so that a restarted
+// recordGeneration records a generation that the agent has raised itself, so that a restarted
 // agent and later incarnations get no lower one.
-func (e *Engine) noteGeneration(w *worker, generation uint64) {
+func (e *Engine) recordGeneration(w *worker, generation uint64) {
 	w.generation = max(w.generation, generation)
 	e.lastGeneration = max(e.lastGeneration, generation)
 }
--- a/engine/tick.go
+++ b/engine/tick.go
@@ -18,10 +18,10 @@
 	// at least for minStuckTime, or minStuckTimeUnproven while no run of its queue has shown
 	// any. The time doubles with each move, as some tasks never report progress and must still
 	// be able to finish.
-	stuckEstimateShare   = 0.2
-	minStuckTime         = 1600 * time.Millisecond
-	minStuckTimeUnproven = 2500 * time.Millisecond
-	maxStalls            = 16 // limits the doubling
+	stuckEstimateShare     = 0.2
+	minStuckTime           = 1600 * time.Millisecond
+	minStuckTimeNoProgress = 2500 * time.Millisecond
+	maxStalls              = 16 // limits the doubling
 )
 
 func (e *Engine) tick(now time.Duration, ev Tick) {
@@ -78,7 +78,7 @@
 	if p.worker.unresponsive || now-p.worker.lastPolledAt > maxPollAge {
 		return false // the last poll is too old to judge by
 	}
-	minTime := minStuckTimeUnproven
+	minTime := minStuckTimeNoProgress
 	if e.tracker.progressQueues[p.unit.job.spec.Queue] {
 		minTime = minStuckTime
 	}
--- a/engine/victims.go
+++ b/engine/victims.go
@@ -161,9 +161,9 @@
 	for _, v := range choice.victims {
 		search.chosen[v] = true
 		for _, p := range v.placements {
-			if at := p.worker.round.index; at >= 0 {
-				search.workers[at].free = search.workers[at].free.Add(p.demand)
-				search.workers[at].choiceValid = false
+			if index := p.worker.round.index; index >= 0 {
+				search.workers[index].free = search.workers[index].free.Add(p.demand)
+				search.workers[index].choiceValid = false
 			}
 		}
 		if v.spec().LongRunning {
--- a/runtimes/model_test.go
+++ b/runtimes/model_test.go
@@ -16,7 +16,7 @@
 
 // meanErrors returns the mean absolute log error of three estimates: the model's, the
 // declaration, and the mean of past durations.
-func meanErrors(l runGenerator) (model, declaration, mean float64) {
+func meanErrors(generate runGenerator) (model, declaration, mean float64) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	m := runtimes.New()
 	logError := func(estimate, actual time.Duration) float64 {
@@ -24,7 +24,7 @@
 	}
 	sum, n := 0.0, 0.0
 	for i := range 400 {
-		declared, took := l(rng)
+		declared, took := generate(rng)
 		if i >= 10 {
 			model += logError(m.Estimate("q", declared), took)
 			declaration += logError(declared, took)
