--- a/engine/bench_fleet_test.go
+++ b/engine/bench_fleet_test.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// executeActions carries out orders and applies writes.
+// executeActions applies orders and writes.
 func (f *benchFleet) executeActions() {
 	for _, action := range f.e.Decide(f.now) {
 		o, ok := action.(Orders)
--- a/engine/crash.go
+++ b/engine/crash.go
@@ -7,22 +7,11 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// A task may crash the worker that starts it. The worker loses its state and reports no end of
-// the run, so the run does not count as a failed attempt. Without a limit such a task would
-// crash one worker after another, with all other tasks that run there.
-//
-// So the job's record counts the worker crashes of each task, and the job fails after a few.
-// Most tasks on a crashed worker are innocent. To find the culprit:
-//
-//   - A crash counts as a startup crash only if the run had been observed for less than
-//     StartupCrashWindow. A run observed for longer clears its task's startup crashes.
-//   - A run may not have been present at the crash: its start got no answer, or its agent
-//     was disconnected. With fewer than minConfirmedCrashes confirmed crashes, one more
-//     crash is tolerated.
-//   - Among the runs that had just started, only those with the most previous startup
-//     crashes are suspected.
-//   - A task with a startup crash is retried on a worker where nothing else has just
-//     started, and nothing else is started there meanwhile; see probation.go.
+// A task may crash the worker that starts it. The worker then reports no end of the run, so the
+// run does not count as a failed attempt, and the task could crash one worker after another. So the
+// job's record counts the worker crashes of each task, and the job fails after a few. To spare tasks
+// that only share a worker with the cause, crashes at startup are counted separately, and tasks
+// suspected of one are retried on probation; see probation.go.
 const (
 	// StartupCrashWindow is how long a run must be observed before a crash of its worker is no
 	// longer attributed to its start. Images are loaded and accelerators set up by then.
@@ -35,7 +24,8 @@
 	// the planner was lost too.
 	maxCrashes = 3
 	// minConfirmedCrashes is how many of the crashes must be confirmed; with fewer, one more
-	// crash is tolerated.
+	// crash is tolerated, since a run whose start was not answered or whose agent was
+	// disconnected may not have been present.
 	minConfirmedCrashes = 2
 	// crashResetAfter is how long a run must last to clear its task's count, since tasks that
 	// run for weeks outlive many machines.
@@ -83,7 +73,7 @@
 	}
 }
 
-// countCrash counts a crash of w for the tasks that ran there, in the order of places, and
+// countCrash counts a crash of w for the tasks that ran there, in the order of placements, and
 // fails the jobs of tasks that exceed the limit.
 func (e *Engine) countCrash(now time.Duration, w *worker, placements []*placement, evidence crashEvidence) {
 	blamed, onlySuspect := evidence.blamedRuns(placements)
--- a/engine/crash_evidence.go
+++ b/engine/crash_evidence.go
@@ -4,8 +4,8 @@
 
 // crashEvidence is what an agent knows about the runs of a crashed worker.
 type crashEvidence struct {
-	// known is set if the agent had polled the worker. proven then holds the runs that it had
-	// seen for StartupCrashWindow, and ended those that were over before the crash.
+	// known is set if the agent had polled the worker. pastStartup then holds the runs that it
+	// had observed for StartupCrashWindow, and ended those that were over before the crash.
 	known       bool
 	pastStartup map[workload.RunID]bool
 	ended       map[workload.RunID]bool
--- a/engine/crash_test.go
+++ b/engine/crash_test.go
@@ -225,8 +225,7 @@
 	}
 }
 
-// Workers fail and leave repeatedly under a running job for reasons of their own. The job must not
-// fail.
+// Guards against failing a job because its workers repeatedly crash or leave for unrelated reasons.
 func TestUnrelatedWorkerFailuresDoNotFailJob(t *testing.T) {
 	c := qt.New(t)
 	d := newCrashScenario(c, 3)
--- a/engine/discard.go
+++ b/engine/discard.go
@@ -12,7 +12,7 @@
 // The causes of runs that ended without completing their work.
 const (
 	causeNone            Cause = ""
-	CauseEvicted         Cause = "evicted"              // to make room for a unit with precedence
+	CauseEvicted         Cause = "evicted"              // to free capacity for a unit with precedence
 	CauseCancelled       Cause = "cancelled"            // by the caller
 	CauseJobFailed       Cause = "job failed"           // another of its tasks failed for good
 	CauseFailed          Cause = "failed"               // reported as failed, through its own fault or the worker's
--- a/engine/durations.go
+++ b/engine/durations.go
@@ -12,7 +12,7 @@
 	runTimes *runtimes.Model
 	// stopTime is a moving average of the time that stopped tasks took to end.
 	stopTime time.Duration
-	// progressQueues holds the queues of which a run has shown progress.
+	// progressQueues holds the queues of which a run has reported progress.
 	progressQueues map[string]bool
 }
 
@@ -34,10 +34,7 @@
 }
 
 // learnRunTime records the length of a completed run, for a gang that of the first member to
-// end.
-//
-// Adopted runs are skipped because their actual start times are unknown and would distort the
-// estimates of their queue.
+// end. It skips runs whose length does not represent their queue.
 func (e *Engine) learnRunTime(now time.Duration, p *placement) {
 	if p.adopted {
 		return // its actual start time is unknown
--- a/engine/event.go
+++ b/engine/event.go
@@ -44,7 +44,7 @@
 	Paces  []PaceResult
 }
 
-// WriteApplied reports that a write returned by Engine.Changes took effect.
+// WriteApplied reports that a write returned by Engine.PendingChanges took effect.
 type WriteApplied struct{ Write Write }
 
 // CatalogChanged replaces the operators' configuration.
--- a/engine/evict.go
+++ b/engine/evict.go
@@ -10,22 +10,21 @@
 const claimGrace = 1500 * time.Millisecond
 
 // evictRetryInterval is the minimum time between two victim searches for the same unit. A search
-// looks at all running units, and the cost of evicting them only grows while they run.
+// examines all running units, and the cost of evicting them only grows while they run.
 const evictRetryInterval = 50 * time.Millisecond
 
-// eviction is a set of victims that makes room for a unit.
+// eviction is a set of victims whose capacity suffices for a unit.
 type eviction struct {
 	victims []*unit
 	cost    float64 // lost work in core-seconds
 	slots   map[*worker]int
 }
 
-// evict stops units that may be evicted so that u can start, and keeps their capacity for u. It
-// reports whether capacity is being freed for u.
-//
-// It evicts only if waiting is worse: if u could not meet its objective with capacity that becomes
-// free anyway, and the victims lose no more work than u consists of. An account's guarantee that
-// would be broken, or a job that would end far too late, justify higher losses.
+// evict stops victims so that u can start, and claims their capacity for u. It reports whether
+// capacity is being freed for u. Unless an account's guarantee is about to be broken, it evicts
+// only if capacity is not expected to become free soon (see Policy.EvictionWaitShare) and if the
+// victims lose at most Policy.EvictionCostFactor times u's own work, which counts more if the
+// job would end far too late.
 func (r *round) evict(u *unit) bool {
 	if u.job.spec.QueuePolicy.Priority != 0 || r.e.awaitingRecordedWorkers(r.now) {
 		return false
@@ -95,8 +94,8 @@
 	return best
 }
 
-// planEviction makes room for the members of u one by one, each on the worker where that loses
-// the least work. It returns nil if there is no room for all of them.
+// planEviction chooses victims for the members of u one by one, each on the worker where that
+// loses the least work. It returns nil if not all members can be placed.
 func (r *round) planEviction(u *unit, set *domain) *eviction {
 	search := r.newVictimSearch(u, set)
 	defer search.close()
@@ -189,7 +188,7 @@
 				continue
 			}
 			if p.unit.spec().Checkpoints && untilLeave > 2*e.params.StopTime && !r.fitsElsewhere(p.unit) {
-				continue // it makes progress here until there is room elsewhere
+				continue // it makes progress here until it fits elsewhere
 			}
 			e.logDecision(p, "move", "the worker leaves")
 			r.stopUnit(p.unit, CauseDrained)
--- a/engine/evict_test.go
+++ b/engine/evict_test.go
@@ -25,7 +25,7 @@
 	c.Check(d.runs(guaranteed), qt.HasLen, 0, qt.Commentf("the room is not free yet"))
 }
 
-// Deferrable work is evicted for the same job at once.
+// Guards against delaying the eviction of lower-priority work for an urgent job.
 func TestDeferrableWorkIsEvictedForUrgentWorkAtOnce(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 1)
--- a/engine/eviction_cache_test.go
+++ b/engine/eviction_cache_test.go
@@ -30,7 +30,7 @@
 	return d, d.e.jobs[id].units[0]
 }
 
-// evictionWithoutCache is like evictions but surveys all workers again after each member.
+// evictionWithoutCache is like planEviction but examines all workers again after each member.
 func evictionWithoutCache(r *round, u *unit, set *domain) (victims []*unit, cost float64, ok bool) {
 	search := r.newVictimSearch(u, set)
 	defer search.close()
--- a/engine/fit.go
+++ b/engine/fit.go
@@ -34,10 +34,9 @@
 const maxWaitBesideIdleFleet = 2 * time.Second
 
 // waitedBesideIdleFleet reports whether u has waited maxWaitBesideIdleFleet for its preferred
-// workers while more than half of its service's capacity was free.
-//
-// It guards against endless waiting: forecasts rely on declared durations, which may be too
-// short, and capacity that becomes free may go to units ahead of u.
+// workers while more than half of its service's capacity was free. It guards against endless
+// waiting: forecasts may be too optimistic, and capacity that becomes free may go to units ahead
+// of u.
 func (r *round) waitedBesideIdleFleet(u *unit) bool {
 	if !r.serviceMostlyIdle(u) {
 		u.fleetIdleSince = 0
--- a/engine/forecast.go
+++ b/engine/forecast.go
@@ -81,10 +81,7 @@
 
 // forecastFit returns after what delay u is expected to fit on the workers of a set if nothing else
 // is placed there, and the number of members for each worker. It returns never if u does not fit
-// within limit.
-//
-// A release changes the count on its own worker only, so the total is updated instead of counting
-// all workers again.
+// within limit. The count of fitting members is updated with each release, not computed again.
 func (r *round) forecastFit(u *unit, set *domain, limit time.Duration) (time.Duration, map[*worker]int) {
 	f := newFitForecast(r, u, set)
 	defer f.close()
@@ -110,7 +107,7 @@
 }
 
 // fitForecast is the capacity for one unit on a set of workers as releases are added. At most one
-// is open at a time, as it uses worker.round.at.
+// is open at a time, as it uses worker.round.index.
 type fitForecast struct {
 	unit         *unit
 	demand       workload.Resources
--- a/engine/handle_report.go
+++ b/engine/handle_report.go
@@ -110,12 +110,10 @@
 }
 
 // updateLease updates the expiry of the worker's lease and reports whether the answer to the
-// report extends it. Every grant is counted, even if no worker answer follows: the agent may
-// use it to extend the lease and then be lost before its next report.
-//
-// Reports about an unresponsive worker must not postpone the expiry, or its runs would never be
-// restarted elsewhere. The expiry follows the remaining time that the agent reports; if the
-// agent does not know it, the last grant bounds the lease.
+// report extends it. Every grant counts, as the agent may extend the lease by it and be lost
+// before its next report. Without a grant, a report about an unresponsive worker must not postpone
+// the expiry, or its runs would never be restarted elsewhere: the lease ends after the remaining
+// time that the agent reports or, if the agent does not know it, by the last grant.
 func (e *Engine) updateLease(now time.Duration, w *worker, r Report) bool {
 	wasUnresponsive := w.unresponsive
 	w.unresponsive = r.Unresponsive
@@ -212,7 +210,7 @@
 }
 
 // countMissedPolls counts the polls that do not list a running task and stops the task after
-// maxMissedPolls. The answer to the stop tells whether the run exists.
+// maxMissedPolls. The answer to the stop shows whether the run exists.
 func (e *Engine) countMissedPolls(now time.Duration, w *worker, listed map[workload.RunID]bool) {
 	for _, p := range w.sortedPlacements() {
 		if p.state != placementRunning || p.stopping || listed[p.runID()] {
--- a/engine/late_start_test.go
+++ b/engine/late_start_test.go
@@ -49,8 +49,8 @@
 	c.Check(d.e.workers[on].usable(d.now), qt.IsFalse, qt.Commentf("its room is taken until it is gone"))
 }
 
-// The same after a change of planner: the successor has read the cancelled job from the store and
-// never ordered the task.
+// Guards against a late start that a successor does not stop, because it never ordered the task
+// and knows its job only as cancelled.
 func TestSuccessorStopsLateStartOfCancelledJob(t *testing.T) {
 	for _, recorded := range []bool{true, false} {
 		c := qt.New(t)
--- a/engine/lateness.go
+++ b/engine/lateness.go
@@ -15,7 +15,7 @@
 	finalRun      time.Duration // the run that completed; 0 if its start is not known
 }
 
-// LateReason is the largest part of a late job's time.
+// LateReason names the largest part of a late job's time.
 type LateReason string
 
 // Values of LateReason.
@@ -38,7 +38,7 @@
 
 func (JobLate) isAction() {}
 
-// mainReason returns the reason that stands for the longest part.
+// mainReason returns the reason for the longest part.
 func (s timeBreakdown) mainReason() LateReason {
 	reason, longest := LateByEarlierWork, time.Duration(0)
 	for _, part := range []struct {
--- a/engine/longrunning.go
+++ b/engine/longrunning.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Long-running steps (Step.LongRunning) serve users for as long as their job lives. Their tasks are
+// Tasks of long-running steps (Step.LongRunning) serve users until their job is cancelled. They are
 // restarted whenever they end, spread over workers and racks, and stopped by the scheduler only
 // within MaxUnavailable.
 
@@ -13,7 +13,7 @@
 	// stableAfter is how long a task must have run for it to be restarted without a delay.
 	stableAfter = 10 * time.Second
 	// initialRestartDelay and maxRestartDelay bound the delay before restarting a task that ended
-	// sooner. It is short, as users wait, but prevents a task that can't run from causing
+	// sooner. The delay is short, as users wait, but prevents a task that can't run from causing
 	// continuous writes and orders.
 	initialRestartDelay = 100 * time.Millisecond
 	maxRestartDelay     = 2 * time.Second
--- a/engine/pace.go
+++ b/engine/pace.go
@@ -67,7 +67,7 @@
 	o.Paces = append(o.Paces, PaceOrder{Run: p.runID(), Percent: p.pace.percent})
 }
 
-// resendPace repeats the current limit while it may not be in force.
+// resendPace repeats the current limit while it may not have taken effect.
 //
 // An unanswered order to speed up may take effect after a later, confirmed order to slow down.
 // The run would then disturb its neighbours, and its reports do not show its speed.
--- a/engine/pace_control.go
+++ b/engine/pace_control.go
@@ -5,20 +5,11 @@
 	"time"
 )
 
-// Best-effort tasks (Step.BestEffortCPU) use the processor time that others leave and may disturb
-// latency-sensitive tasks (Step.TailLatencyTarget) on the same worker. Each poll brings the tail
-// latencies of the latter, from which the speed limits of the former are set:
-//
-//   - a best-effort task starts at the limit known to be tolerated for its pair of images;
-//   - above latencyRatioCeiling the limit of the most likely cause is halved, above the target
-//     all limits are, and again once that had time to take effect; after pauseAfterShare of
-//     Params.MaxLatencyViolation all best-effort tasks are paused, and after stopAfterShare
-//     those whose limit the worker has not confirmed are stopped;
-//   - below latencyRatioFloor the limit of one best-effort task is raised by a step, so that
-//     the effect can be attributed to its pair of images.
-//
-// This is additive increase and multiplicative decrease, as in congestion control: the load of
-// the latency-sensitive tasks is unknown and changes within seconds.
+// Best-effort tasks (Step.BestEffortCPU) use the processor time that others leave and may slow
+// latency-sensitive tasks (Step.TailLatencyTarget) on the same worker. Each poll reports the tail
+// latencies of the latter, and the speed limits of the former follow by additive increase and
+// multiplicative decrease, as in congestion control: the load of the latency-sensitive tasks is
+// unknown and changes within seconds.
 const (
 	// latencyRatioCeiling and latencyRatioFloor are ratios of tail latency to its target.
 	latencyRatioCeiling = 0.85
@@ -96,8 +87,11 @@
 	e.controlPaces(now, w, sensitive, bestEffort)
 }
 
-// controlPaces lowers or raises the limits of best-effort runs according to the tail latencies
-// of their neighbours.
+// controlPaces adjusts the limits of best-effort runs. Above latencyRatioCeiling it halves the limit
+// of the most likely cause, above the target all limits, and again once that had time to take
+// effect; if the violation lasts, it pauses all of them and then stops those whose limit is not
+// confirmed. Below latencyRatioFloor it raises a single limit, so that the effect can be
+// attributed to one pair of images.
 func (e *Engine) controlPaces(now time.Duration, w *worker, sensitive, bestEffort []*placement) {
 	control := &w.paceControl
 	ratio := worstLatencyRatio(sensitive)
--- a/engine/pace_control_test.go
+++ b/engine/pace_control_test.go
@@ -39,8 +39,8 @@
 	return d, service, bestEffort
 }
 
-// reportLatencyFor lets all workers report for a while, with the given ratio of tail latency to
-// target.
+// reportLatencyFor makes all workers report for the given time, with the given ratio of tail latency
+// to target.
 func (d *driver) reportLatencyFor(by time.Duration, ratio func(now time.Duration) float64) {
 	for end := d.now + by; d.now < end; d.now += 100 * time.Millisecond {
 		if d.now%(500*time.Millisecond) == 0 {
@@ -125,7 +125,7 @@
 	c.Check(d.orderedPaces(id)[0] > initialTolerance, qt.IsTrue, qt.Commentf("%v", d.orderedPaces(id)))
 }
 
-// Guards against a limit that stays in force after the latency-sensitive task has ended.
+// Guards against a limit that remains after the latency-sensitive task has ended.
 func TestBestEffortRunAloneGetsFullPace(t *testing.T) {
 	c := qt.New(t)
 	d, service, id := colocatedDriver(t)
--- a/engine/params.go
+++ b/engine/params.go
@@ -25,7 +25,7 @@
 }
 
 const (
-	// clockDriftFactor is the largest ratio of real time to the time a slow worker clock shows.
+	// clockDriftFactor is the largest ratio of real time to the time measured by a slow worker clock.
 	clockDriftFactor = 1.03
 	// leaseExpirySlack covers the time an agent takes to handle the answer that grants a lease.
 	leaseExpirySlack = 150 * time.Millisecond
--- a/engine/plan.go
+++ b/engine/plan.go
@@ -18,10 +18,10 @@
 	rackNames    []string // sorted
 	protected    map[*job]bool
 	reservations int // number of reservations made
-	// nearDomains caches the preferred domains of preferredUnit.
+	// preferredCache holds the preferred domains of preferredUnit.
 	preferredUnit  *unit
 	preferredCache domainSet
-	// forecast and options are reused to avoid allocations.
+	// forecast and candidates are reused to avoid allocations.
 	forecast   fitForecast
 	candidates []candidate
 	// headroomTarget is the number of accelerators to keep free on the headroom racks.
@@ -36,7 +36,7 @@
 	claimed workload.Resources
 	// reserved is the capacity kept free for waiting units.
 	reserved []reservation
-	// index is the worker's position in the current outlook or clearing; -1 if it is in none.
+	// index is the worker's position in the open fitForecast or victimSearch; -1 if it is in none.
 	index int
 }
 
--- a/engine/policy.go
+++ b/engine/policy.go
@@ -44,7 +44,7 @@
 	// DrainMoves stops runs early that can't end before their draining worker leaves.
 	DrainMoves bool `toml:"drain_moves" default:"true"`
 	// Probation retries a task that may have crashed its worker where nothing else has just
-	// started, and starts nothing next to it until it is proven; without it, tasks that share
+	// started, and starts nothing next to it until it is past startup; without it, tasks that share
 	// workers with a crashing task may be given up with it.
 	Probation bool `toml:"probation" default:"true"`
 	// StoreCheckpoints stores the checkpoints of running work.
--- a/engine/probation.go
+++ b/engine/probation.go
@@ -3,7 +3,7 @@
 import "time"
 
 // A task suspected of crashing its worker is retried on probation: on a worker where nothing
-// else has just started, and where nothing else is started until the run is proven. Otherwise
+// else has just started, and where nothing else is started until the run is past startup. Otherwise
 // tasks that happened to start beside a crashing one would share its crash count and be given
 // up with it.
 const (
--- a/engine/queue.go
+++ b/engine/queue.go
@@ -6,13 +6,9 @@
 	"time"
 )
 
-// queue returns the waiting units in scheduling order:
-//
-//  1. units of jobs within their account's guarantee,
-//  2. by queue priority, 0 first,
-//  3. by the latest start time that meets the job's objective; units
-//     that can't meet it come last,
-//  4. by acceptance.
+// queue returns the waiting units in scheduling order: first units of jobs within their account's
+// guarantee, then by queue priority (0 first), then by the latest start that meets the job's
+// objective (units that can't meet it last), then by acceptance.
 func (e *Engine) queue(now time.Duration, protected map[*job]bool) []*unit {
 	var ranked []rankedUnit
 	for _, j := range e.orderedJobs {
--- a/engine/restore.go
+++ b/engine/restore.go
@@ -17,7 +17,7 @@
 	w.leaseExpiresAt += e.inheritedLeaseExtra
 	w.lastReport = now - reportTimeout
 	if previous := e.workers[e.workerByAgent[info.Agent]]; previous != nil && previous.info.SharesName(info) {
-		// The agent's next report tells which of the two is current.
+		// The agent's next report shows which of the two is current.
 		e.supersede(previous, DepartureCrashed, crashEvidence{})
 	}
 	e.workerByAgent[info.Agent] = info.ID
--- a/engine/sim_world_test.go
+++ b/engine/sim_cluster_test.go
@@ -25,13 +25,13 @@
 }
 
 // simCluster simulates callers, workers with their agents, a store, and successive planners. It
-// checks the engine's guarantees by what the workers see.
+// checks the engine's guarantees on the workers, which know what actually runs.
 type simCluster struct {
 	t             testing.TB
 	rng           *rand.Rand
 	now           time.Duration
 	events        []simEvent
-	faultsEnded   bool // no more faults
+	faultsEnded   bool
 	faultsEndedAt time.Duration
 	jobs          map[workload.JobID]*workload.Job
 	order         []workload.JobID
@@ -51,7 +51,7 @@
 	writing   bool
 	storeDown bool // the store rejects writes
 
-	// Facts observed at the workers.
+	// Events observed on the workers.
 	ranToEnd           map[workload.TaskID]bool // a run has ended as done, acknowledged or not
 	ackedDone          map[workload.TaskID]bool // such an end was acknowledged
 	ackedFailures      map[workload.TaskID]int  // acknowledged ends as failed
@@ -171,7 +171,7 @@
 
 func (w *simCluster) wall() time.Time { return time.Unix(1_000_000, 0).Add(w.now) }
 
-// run simulates the world until end.
+// run simulates until end.
 func (w *simCluster) run(end time.Duration) {
 	for ; w.now < end && !w.t.Failed(); w.now += simStep {
 		w.runDueEvents()
--- a/engine/sim_cordon_test.go
+++ b/engine/sim_cordon_test.go
@@ -38,7 +38,7 @@
 	simCordonDeadline = 2*simCordonDelay + simMaxOrderDelay + 500*time.Millisecond
 )
 
-// simCordons holds the cordons in force and what planners know of them.
+// simCordons holds the actual cordons and those that planners know.
 type simCordons struct {
 	cordonedSince map[string]time.Duration // by zone
 	revision      int64
@@ -58,7 +58,7 @@
 	return c.known
 }
 
-// updateCordons tells the planner of newer cordons.
+// updateCordons passes newer cordons to the planner.
 func (w *simCluster) updateCordons(cordons catalog.Cordons) {
 	if cordons.Revision > w.cordons.known.Revision {
 		w.cordons.previous, w.cordons.known = w.cordons.known, cordons
@@ -80,7 +80,7 @@
 	}
 }
 
-// setCordon changes a cordon and tells the planner after a delay.
+// setCordon changes a cordon and informs the planner after a delay.
 func (w *simCluster) setCordon(zone string, on bool) {
 	w.cordons.revision++
 	w.counts["cordons"]++
@@ -93,7 +93,7 @@
 	w.after(time.Duration(w.rng.Int64N(int64(simCordonDelay))), func() { w.updateCordons(cordons) })
 }
 
-// orderLatency returns the time that an order takes to reach its agent.
+// orderLatency returns the time until an order reaches its agent.
 func (w *simCluster) orderLatency() time.Duration {
 	if w.cordons.delayOrders && !w.faultsEnded && w.rng.IntN(10) == 0 {
 		return time.Duration(w.rng.Int64N(int64(simMaxOrderDelay)))
@@ -101,7 +101,7 @@
 	return w.latency()
 }
 
-// updateCordons takes over the cordons that the planner knew when it answered a report.
+// updateCordons stores the cordons that the planner knew when it answered a report.
 func (w *simWorker) updateCordons(known catalog.Cordons) {
 	if known.Revision > w.cordons.Revision {
 		w.cordons = known
--- a/engine/sim_crash_test.go
+++ b/engine/sim_crash_test.go
@@ -13,7 +13,7 @@
 var simCrashSeeds = flag.Int("sim-crash-seeds", 6, "how many randomised worlds with crashing tasks are played")
 
 // Guards against tasks that keep crashing workers, starts on workers whose capacity has shrunk,
-// and jobs that fail without cause, together with the faults of TestRandomWorlds.
+// and jobs that fail without cause, together with the faults of TestSimulation.
 func TestSimulationWithCrashingTasks(t *testing.T) {
 	runSimulations(t, *simCrashSeeds, func(w *simCluster, _ uint64) {
 		w.planFaults(faultTime)
@@ -29,8 +29,8 @@
 
 // simCrashes counts worker crashes and failures by task.
 type simCrashes struct {
-	crashingOneIn    int                     // one in so many tasks crashes its workers; 0: none
-	workersCrashed   map[workload.TaskID]int // workers that crashed under the task, whatever the cause
+	crashingOneIn    int                     // one task in this many crashes its workers; 0: none
+	workersCrashed   map[workload.TaskID]int // worker crashes during runs of the task, whatever the cause
 	startsAfterThird map[workload.TaskID]int // starts of crashing tasks after the third crash
 	failedEnds       map[workload.TaskID]int // listed ends as failed, acknowledged or not
 }
@@ -44,7 +44,7 @@
 	at       time.Duration
 }
 
-// reportCrash reports a crashed worker, unless its agent was lost with it or is cut off.
+// reportCrash reports a crashed worker, unless its agent was lost with it or is disconnected.
 func (w *simCluster) reportCrash(sw *simWorker) {
 	if w.crashes.crashingOneIn == 0 && !w.reusesNames || sw.disconnected || sw.leavesAt != 0 || len(sw.info.ID)%3 == 0 && !w.faultsEnded {
 		return
@@ -58,7 +58,7 @@
 	w.engine.Report(w.now, r)
 }
 
-// recordPoll records what the agent saw in a poll.
+// recordPoll records the runs and ends that the agent observed in a poll.
 func (w *simWorker) recordPoll(now time.Duration, r Report) {
 	seenSince := map[workload.RunID]time.Duration{}
 	for _, status := range r.Running {
@@ -188,7 +188,7 @@
 	return 0, false
 }
 
-// mayFail reports whether a job may be shown as failed.
+// mayFail reports whether a job may be reported as failed.
 func (w *simCluster) mayFail(j *workload.Job) bool {
 	for s := range j.Steps {
 		gangFailures := 0
@@ -206,7 +206,7 @@
 	return false
 }
 
-// pollWhileDisconnected is a poll by an agent that is cut off from the planner.
+// pollWhileDisconnected polls the worker while its agent is disconnected from the planner.
 func (w *simWorker) pollWhileDisconnected(now time.Duration) {
 	if w.cluster.crashes.crashingOneIn == 0 {
 		return
--- a/engine/sim_reused_names_test.go
+++ b/engine/sim_reused_names_test.go
@@ -10,9 +10,8 @@
 
 var simNameSeeds = flag.Int("sim-name-seeds", 6, "how many randomised worlds are played in which workers keep their names")
 
-// Guards against double runs when crashed workers return under the same name and receive orders
-// meant for their previous incarnation, together with the faults of TestRandomWorlds and, with
-// even seeds, those of TestRandomWorldsWithCrashingTasks.
+// Guards against tasks that run twice when crashed workers return under the same name and receive
+// orders meant for their previous incarnation.
 func TestSimulationWithReusedWorkerNames(t *testing.T) {
 	runSimulations(t, *simNameSeeds, func(w *simCluster, seed uint64) {
 		w.reuseNames()
@@ -74,7 +73,7 @@
 	}
 }
 
-// downtime returns how long a worker is away after a crash.
+// downtime returns the time from a crash of a worker to its next incarnation.
 func (w *simCluster) downtime() time.Duration {
 	if w.reusesNames {
 		return time.Duration(20+w.rng.IntN(1200)) * time.Millisecond
--- a/engine/sim_test.go
+++ b/engine/sim_test.go
@@ -15,9 +15,8 @@
 	simFirstSeed = flag.Uint64("sim-first", 1, "the seed of the first")
 )
 
-// Guards against overcommitted workers, tasks that run twice and jobs that never settle, while
-// planners die, workers crash, drain or are cut off, orders are late and the store is
-// unavailable.
+// Guards against overcommitted workers, tasks that run twice and jobs that never end, while planners
+// change, workers crash, drain or are disconnected, orders are late and the store is unavailable.
 func TestSimulation(t *testing.T) {
 	runSimulations(t, *simSeedCount, func(w *simCluster, _ uint64) { w.planFaults(faultTime) })
 }
@@ -25,7 +24,7 @@
 // faultTime is how long faults occur and jobs are submitted.
 const faultTime = 50 * time.Second
 
-// runSimulations runs one world per seed with the events that plan adds.
+// runSimulations runs one simulation per seed with the events that plan adds.
 func runSimulations(t *testing.T, seeds int, plan func(w *simCluster, seed uint64)) {
 	for i := range seeds {
 		seed := *simFirstSeed + uint64(i)
@@ -43,7 +42,7 @@
 	}
 }
 
-// runToEnd runs the planned events, ends the faults, and checks that all jobs settle.
+// runToEnd runs the planned events, ends the faults, and checks that all jobs end.
 func (w *simCluster) runToEnd() {
 	w.run(faultTime)
 	w.endFaults()
--- a/engine/sim_worker_test.go
+++ b/engine/sim_worker_test.go
@@ -44,7 +44,7 @@
 	// previous and next are the neighbouring incarnations under the same name.
 	previous, next *simWorker
 	leavesAt       time.Duration // when it leaves; 0: not draining
-	// What the agent saw in its last poll.
+	// Results of the agent's last poll.
 	seenSince    map[workload.RunID]time.Duration
 	lastPolledAt time.Duration
 	lastEnded    []RunEnd
@@ -122,7 +122,7 @@
 	w.cluster.recordEnd(w, r, reason)
 }
 
-// advance lets the worker's runs and lease proceed to now.
+// advance ends the runs that are over by now and, if it has expired, the lease.
 func (w *simWorker) advance(now time.Duration) {
 	if now >= w.leaseEnd {
 		if len(w.running) > 0 || len(w.ended) > 0 {
--- a/engine/superseded.go
+++ b/engine/superseded.go
@@ -6,12 +6,10 @@
 )
 
 // supersession records how an incarnation ended that is followed by another one under the same
-// name.
-//
-// Calls carry the worker's name only, so an unanswered start meant for the previous incarnation
-// may still be carried out by the next one, and its task could run twice if it were restarted
-// elsewhere at once. The placements are therefore kept until the next incarnation has answered
-// under a fence that no earlier order carries, as it refuses those orders from then on.
+// name. Calls carry only the name, so an unanswered start meant for the previous incarnation may
+// still take effect on the next one, and its task could run twice if it were restarted elsewhere.
+// The placements are therefore kept until the next incarnation has answered under a fence that no
+// earlier order carries, as it refuses those orders from then on.
 type supersession struct {
 	departure Departure
 	evidence  crashEvidence
@@ -36,8 +34,8 @@
 	e.endIncarnation(now, previous, e.departureOfReplaced(previous), crashEvidence{})
 }
 
-// supersede records that another incarnation follows w under the same name. The first account
-// of how w ended is kept, unless it is not the agent's.
+// supersede records that another incarnation follows w under the same name. Later evidence of
+// how w ended replaces earlier evidence only until the agent has provided some.
 func (e *Engine) supersede(w *worker, departure Departure, evidence crashEvidence) {
 	w.attached = false
 	if w.supersession == nil {
--- a/engine/tick.go
+++ b/engine/tick.go
@@ -14,9 +14,9 @@
 	// maxPollAge is the oldest poll by which a run may be judged stuck. Agents poll at least
 	// once a second.
 	maxPollAge = 1500 * time.Millisecond
-	// A task is moved when it has shown no progress for stuckEstimateShare of its estimate, and
-	// at least for minStuckTime, or minStuckTimeUnproven while no run of its queue has shown
-	// any. The time doubles with each move, as some tasks never report progress and must still
+	// A task is moved when it has reported no progress for stuckEstimateShare of its estimate,
+	// and at least for minStuckTime, or minStuckTimeNoProgress while no run of its queue has
+	// reported any. The time doubles with each move, as some tasks never report progress and must still
 	// be able to finish.
 	stuckEstimateShare     = 0.2
 	minStuckTime           = 1600 * time.Millisecond
@@ -67,7 +67,7 @@
 	}
 }
 
-// isStuck reports whether a run has shown no progress for so long that it should be moved.
+// isStuck reports whether a run has reported no progress for so long that it should be moved.
 func (e *Engine) isStuck(now time.Duration, p *placement) bool {
 	if !e.params.Policy.MoveStuckTasks || p.state != placementRunning || p.stopping || p.unit.ending() || p.rate.lastPercent >= 99 {
 		return false
--- a/engine/unit.go
+++ b/engine/unit.go
@@ -54,7 +54,7 @@
 	// the restart of a long-running task that ended soon after its start.
 	invalidBackoff, restartBackoff backoff
 	notBefore                      time.Duration
-	// nextWaitLog is when the log may next say what the unit waits for.
+	// nextWaitLog is the earliest time of the next log entry about what the unit waits for.
 	nextWaitLog time.Duration
 	stallCount  int // how often it was stopped as stuck
 	// avoidedWorkers are workers where a run failed or got stuck, with the end of the
--- a/engine/unreadable_test.go
+++ b/engine/unreadable_test.go
@@ -6,8 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against ignoring a worker whose stored record is unreadable. Its next report replaces
-// it.
+// Guards against ignoring a worker whose stored record is unreadable after it has reported.
 func TestWorkerWithUnreadableRecordIsUsedOnceItReports(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 0)
--- a/engine/unresponsive_test.go
+++ b/engine/unresponsive_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// reportUnresponsive lets the agent of worker id report for a while that the worker does not
-// answer and that its lease, if known, ends at leaseEnd. The other workers report as usual.
+// reportUnresponsive makes the agent of worker id report for the given time that the worker does
+// not answer and that its lease, if known, ends at leaseEnd. The other workers report as usual.
 func (d *driver) reportUnresponsive(id WorkerID, by, leaseEnd time.Duration, leaseKnown bool) {
 	info := d.e.workers[id].info
 	const between = 20 * time.Millisecond
--- a/engine/victims.go
+++ b/engine/victims.go
@@ -10,7 +10,7 @@
 )
 
 // victimSearch finds victims whose eviction frees enough capacity for a unit, one member at a
-// time. At most one search is open at a time, as it uses worker.round.at.
+// time. At most one search is open at a time, as it uses worker.round.index.
 type victimSearch struct {
 	round   *round
 	unit    *unit
@@ -26,12 +26,12 @@
 	placed int
 	// candidates are the units that may be evicted, the cheapest first.
 	candidates []*unit
-	// choice is how to make room for one more member; it is computed if choiceValid is set.
+	// choice holds the victims for one more member; it is valid only if choiceValid is set.
 	choice      victimChoice
 	choiceValid bool
 }
 
-// victimChoice is a set of victims that makes room for one more member on one worker.
+// victimChoice is a set of victims that frees capacity for one more member on one worker.
 type victimChoice struct {
 	victims []*unit
 	cost    float64
@@ -107,7 +107,7 @@
 }
 
 // chooseVictims chooses victims on a worker so that one more member fits. It adds the cheapest
-// units until there is room, then drops those that are not needed, the costliest first.
+// units until the member fits, then drops those that are not needed, the costliest first.
 func (search *victimSearch) chooseVictims(wv *workerVictims) victimChoice {
 	w := wv.worker
 	if search.round.e.limitPerWorker(search.unit, w, wv.placed+1) < wv.placed+1 {
--- a/engine/write.go
+++ b/engine/write.go
@@ -15,7 +15,7 @@
 	Workers []WorkerInfo
 	// RemovedWorkers are workers whose records are removed.
 	RemovedWorkers []WorkerID
-	// EndedJobs are jobs whose records are replaced by their outcomes, ForgottenJobs those
+	// EndedJobs are jobs whose records are replaced by their outcomes, ExpiredJobs those
 	// whose outcomes are removed.
 	EndedJobs   []EndedJob
 	ExpiredJobs []ExpiredJob
--- a/workload/job.go
+++ b/workload/job.go
@@ -23,8 +23,8 @@
 
 // QueuePolicy is how a queue schedules its jobs.
 type QueuePolicy struct {
-	Priority    int `json:"priority,omitempty" cbor:"1,keyasint,omitempty"` // 0 is the highest and may evict the others
-	MaxAttempts int `json:"max_attempts,omitempty" cbor:"2,keyasint,omitempty"`
+	Priority    int `json:"priority,omitempty" cbor:"1,keyasint,omitempty"`     // 0 is the highest and may evict the others
+	MaxAttempts int `json:"max_attempts,omitempty" cbor:"2,keyasint,omitempty"` // failed runs of a task until its job fails; 0 means no limit
 	// Stretch is the factor by which the job's completion time may exceed the duration of its
 	// critical path.
 	Stretch float64 `json:"stretch,omitempty" cbor:"3,keyasint,omitempty"`
