--- a/engine/helpers_test.go
+++ b/engine/helpers_test.go
@@ -170,12 +170,12 @@
 	})
 }
 
-// reportRuns reports all runs of a worker as row describes them.
-func (d *driver) reportRuns(id WorkerID, status func(p *placement) RunStatus) {
+// reportRuns reports all runs of a worker with the status that statusOf returns.
+func (d *driver) reportRuns(id WorkerID, statusOf func(p *placement) RunStatus) {
 	w := d.e.workers[id]
 	r := Report{Epoch: d.e.epoch, Polled: true, Worker: w.info}
 	for _, p := range w.sortedPlacements() {
-		status := status(p)
+		status := statusOf(p)
 		status.Run = p.runID()
 		r.Running = append(r.Running, status)
 	}
