--- a/gang/sim_agent_test.go
+++ b/gang/sim_agent_test.go
@@ -14,13 +14,13 @@
 	incarnation    uint64
 	tasks          []Task // at the target
 	endedWhileDown []Task // tasks that ended while the process was down
-	upOrDownSince  time.Time
+	stateChangedAt time.Time
 	reportedAt     time.Time
 }
 
 func (a *simAgent) restart() {
 	a.incarnation++
-	a.upOrDownSince = a.sim.now
+	a.stateChangedAt = a.sim.now
 	a.member = NewMember(MemberConfig{
 		Accelerators:     simAccelerators,
 		Incarnation:      a.incarnation,
@@ -35,11 +35,11 @@
 func (a *simAgent) crash() {
 	// An agent that restarts all the time would keep renewing its recovered
 	// tasks.
-	if a.member == nil || a.sim.now.Sub(a.upOrDownSince) < simFenceWait {
+	if a.member == nil || a.sim.now.Sub(a.stateChangedAt) < simFenceWait {
 		return
 	}
 	a.member = nil
-	a.upOrDownSince = a.sim.now
+	a.stateChangedAt = a.sim.now
 	if a.sim.chance(0.5) {
 		a.sim.after(a.sim.delay(), a.restart)
 		return
@@ -86,7 +86,7 @@
 // the agent is down.
 func (a *simAgent) expireLeases() {
 	for _, t := range slices.Clone(a.tasks) {
-		expiry := a.upOrDownSince.Add(simIsolationTimeout)
+		expiry := a.stateChangedAt.Add(simIsolationTimeout)
 		if until := time.Unix(0, t.RunUntil); t.Members > 1 && until.Before(expiry) {
 			expiry = until
 		}
--- a/gang/sim_check_test.go
+++ b/gang/sim_check_test.go
@@ -15,7 +15,7 @@
 type simHistory struct {
 	recorded           map[ID]bool
 	permits            map[simPermitKey]bool
-	toldNotRun         map[string]bool // jobs whose callers were told that they did not run
+	reportedNotRun     map[string]bool // jobs whose callers were told that they did not run
 	committed          map[simAgentAttempt]bool
 	commitCount        map[ID]int
 	stopped            map[simAgentAttempt]bool
@@ -31,7 +31,7 @@
 	return simHistory{
 		recorded:           map[ID]bool{},
 		permits:            map[simPermitKey]bool{},
-		toldNotRun:         map[string]bool{},
+		reportedNotRun:     map[string]bool{},
 		committed:          map[simAgentAttempt]bool{},
 		commitCount:        map[ID]int{},
 		stopped:            map[simAgentAttempt]bool{},
@@ -71,7 +71,7 @@
 	switch {
 	case !history.recorded[t.ID] && !s.hadPermit(t.ID):
 		s.fail("%v started without a record or a permit", t.ID)
-	case history.toldNotRun[t.ID.Job]:
+	case history.reportedNotRun[t.ID.Job]:
 		s.fail("%v started after its caller was told that it did not run", t.ID)
 	case history.commitCount[t.ID] != t.Members:
 		s.fail("%v started with %d of %d committed", t.ID, history.commitCount[t.ID], t.Members)
--- a/gang/sim_permit_test.go
+++ b/gang/sim_permit_test.go
@@ -142,7 +142,7 @@
 		rec.revision++
 		rec.state = simEnded
 		if claimNotRun {
-			p.sim.tellNotRun(job)
+			p.sim.reportNotRun(job)
 		}
 	}, func(bool) {})
 }
@@ -161,7 +161,7 @@
 func (p *simPlanner) agentViews() []AgentView {
 	var views []AgentView
 	for i, a := range p.sim.agents {
-		if p.incarnations[i] != 0 && p.sim.now.Sub(p.heardAt[i]) <= simLossTimeout {
+		if p.incarnations[i] != 0 && p.sim.now.Sub(p.lastReportAt[i]) <= simLossTimeout {
 			views = append(views, AgentView{a.name, p.incarnations[i], p.fencedAt[i], p.fenceSentAt[i], p.tasks[i]})
 		}
 	}
@@ -239,7 +239,7 @@
 	case s.store.down || rec.state == simEnded || rec.cancelRequested:
 		return
 	case rec.state == simQueued && rec.attempts == 0:
-		s.tellNotRun(job)
+		s.reportNotRun(job)
 		rec.state = simEnded
 	case rec.state == simQueued:
 		rec.state = simEnded
@@ -249,14 +249,14 @@
 	rec.revision++
 }
 
-// tellNotRun records that a caller was told that the job did not run.
-func (s *simulation) tellNotRun(job int) {
+// reportNotRun records that a caller was told that the job did not run.
+func (s *simulation) reportNotRun(job int) {
 	name := s.jobs[job].name
 	if ran := s.history.attemptsByJob[name]; len(ran) > 0 {
 		s.fail("job %s told not run after it ran as %v", name, ran)
 	}
-	s.history.toldNotRun[name] = true
-	s.stats.toldNotRun++
+	s.history.reportedNotRun[name] = true
+	s.stats.reportedNotRun++
 }
 
 func (s *simulation) jobIndex(name string) int {
--- a/gang/sim_planner_test.go
+++ b/gang/sim_planner_test.go
@@ -34,11 +34,11 @@
 
 // simRun is one coordinator and, after its end, the write of its outcome.
 type simRun struct {
-	job             int
-	coord           *Coordinator
-	outcome         *Ended
-	decidedRevision int // revision of the record that the attempt is based on
-	startedAt       time.Time
+	job          int
+	coord        *Coordinator
+	outcome      *Ended
+	baseRevision int // revision of the record that the attempt is based on
+	startedAt    time.Time
 	// onPermit is set if no record names the attempt, placing while its
 	// placement is being recorded.
 	onPermit, mayHaveStarted, placing bool
@@ -52,7 +52,7 @@
 	storeUnreachable bool
 	disconnected     map[string]bool
 	records          []simRecord
-	heardAt          []time.Time
+	lastReportAt     []time.Time
 	incarnations     []uint64 // by agent; zero if unknown
 	fencedAt         []time.Time
 	fenceSentAt      []time.Time
@@ -66,12 +66,12 @@
 
 func (p *simPlanner) name() string { return fmt.Sprint("planner ", p.epoch) }
 
-// whenAwake runs f now, or after the planner's pause.
-func (p *simPlanner) whenAwake(f func()) {
+// whenNotPaused runs f now, or after the planner's pause.
+func (p *simPlanner) whenNotPaused(f func()) {
 	switch {
 	case p.dead:
 	case p.paused:
-		p.sim.after(time.Second, func() { p.whenAwake(f) })
+		p.sim.after(time.Second, func() { p.whenNotPaused(f) })
 	default:
 		f()
 	}
@@ -88,7 +88,7 @@
 				op()
 			}
 		})
-		s.after(s.delay(), func() { p.whenAwake(func() { done(false) }) })
+		s.after(s.delay(), func() { p.whenNotPaused(func() { done(false) }) })
 		return
 	}
 	s.after(s.delay()/4, func() {
@@ -97,7 +97,7 @@
 			op()
 		}
 		ok = ok && !(s.faultsEnabled && s.chance(0.1))
-		s.after(s.delay()/4, func() { p.whenAwake(func() { done(ok) }) })
+		s.after(s.delay()/4, func() { p.whenNotPaused(func() { done(ok) }) })
 	})
 }
 
@@ -111,7 +111,7 @@
 	}
 	for _, r := range slices.Clone(p.runs) {
 		for _, m := range r.coord.Plan().Members {
-			if p.sim.now.Sub(p.heardAt[p.sim.agentIndex(m.Agent)]) > simLossTimeout {
+			if p.sim.now.Sub(p.lastReportAt[p.sim.agentIndex(m.Agent)]) > simLossTimeout {
 				p.step(r, MemberLost{m.Agent})
 			}
 		}
@@ -179,7 +179,7 @@
 }
 
 func (p *simPlanner) start(r *simRun) {
-	r.decidedRevision = p.records[r.job].revision
+	r.baseRevision = p.records[r.job].revision
 	p.runs = append(p.runs, r)
 	p.step(r, Begin{})
 }
@@ -237,7 +237,7 @@
 		return
 	}
 	result := RecordUnknown
-	expect := r.decidedRevision
+	expect := r.baseRevision
 	write := func() {
 		rec := &p.sim.store.records[r.job]
 		if (rec.state == simQueued || rec.state == simPermitted) && rec.revision == expect {
@@ -261,12 +261,12 @@
 // holds according to the records that the planner has read.
 func (p *simPlanner) recordOnPermit(r *simRun) {
 	result := RecordConflict
-	if p.permitUsable(r.job) && p.records[r.job].revision == r.decidedRevision {
+	if p.permitUsable(r.job) && p.records[r.job].revision == r.baseRevision {
 		r.mayHaveStarted, r.startedAt = true, p.sim.now
 		p.sim.stats.onPermit++
 		result = RecordWritten
 	}
-	p.sim.after(0, func() { p.whenAwake(func() { p.step(r, Recorded{result}) }) })
+	p.sim.after(0, func() { p.whenNotPaused(func() { p.step(r, Recorded{result}) }) })
 }
 
 func (p *simPlanner) writeOutcome(r *simRun) {
@@ -316,7 +316,7 @@
 }
 
 func (p *simPlanner) handleReply(a *simAgent, r Reply) {
-	p.whenAwake(func() {
+	p.whenNotPaused(func() {
 		for _, run := range slices.Clone(p.runs) {
 			p.step(run, ReplyReceived{a.name, r})
 		}
@@ -325,9 +325,9 @@
 
 // handleReport applies a report, answers it, and stops orphaned tasks.
 func (p *simPlanner) handleReport(a *simAgent, sent time.Time, r Reported) {
-	p.whenAwake(func() {
+	p.whenNotPaused(func() {
 		i := p.sim.agentIndex(a.name)
-		p.heardAt[i] = p.sim.now
+		p.lastReportAt[i] = p.sim.now
 		p.applyReport(i, r)
 		var renewed []ID
 		for _, run := range slices.Clone(p.runs) {
--- a/gang/sim_test.go
+++ b/gang/sim_test.go
@@ -26,7 +26,7 @@
 	t.Logf("%d worlds from seed %d: %+v", *simRuns, *simSeed, sum)
 	if sum.starts == 0 || sum.done == 0 || sum.notStarted == 0 || sum.lost == 0 ||
 		sum.superseded == 0 || sum.recovered == 0 || sum.isolated == 0 ||
-		sum.onPermit == 0 || sum.adoptable == 0 || sum.notFound == 0 || sum.permitsReturned == 0 || sum.toldNotRun == 0 {
+		sum.onPermit == 0 || sum.adoptable == 0 || sum.notFound == 0 || sum.permitsReturned == 0 || sum.reportedNotRun == 0 {
 		t.Fatalf("the worlds did not reach all kinds of ends: %+v", sum)
 	}
 }
@@ -43,6 +43,6 @@
 	s.adoptable += o.adoptable
 	s.notFound += o.notFound
 	s.permitsReturned += o.permitsReturned
-	s.toldNotRun += o.toldNotRun
+	s.reportedNotRun += o.reportedNotRun
 	s.overlaps += o.overlaps
 }
--- a/gang/simulation_test.go
+++ b/gang/simulation_test.go
@@ -76,7 +76,7 @@
 	stats         simStats
 }
 
-type simStats struct{ starts, done, notStarted, lost, superseded, recovered, isolated, onPermit, adoptable, notFound, permitsReturned, toldNotRun, overlaps int }
+type simStats struct{ starts, done, notStarted, lost, superseded, recovered, isolated, onPermit, adoptable, notFound, permitsReturned, reportedNotRun, overlaps int }
 
 func newSimulation(t testing.TB, seed uint64) *simulation {
 	s := &simulation{
@@ -222,7 +222,7 @@
 	p.fencedAt, p.fenceSentAt = make([]time.Time, len(s.agents)), make([]time.Time, len(s.agents))
 	p.tasks = make([][]Task, len(s.agents))
 	for range s.agents {
-		p.heardAt = append(p.heardAt, s.now)
+		p.lastReportAt = append(p.lastReportAt, s.now)
 		p.incarnations = append(p.incarnations, 0)
 	}
 	s.planners = append(s.planners, p)
--- a/planner/job.go
+++ b/planner/job.go
@@ -25,11 +25,11 @@
 	stored  jobs.Stored
 	phase   Phase
 	attempt scheduler.Attempt
-	// decidedRevision is the revision of the record that the attempt is based
+	// baseRevision is the revision of the record that the attempt is based
 	// on.
-	decidedRevision store.Revision
-	coord           *gang.Coordinator // nil if no attempt is being made
-	wakeTimer       *time.Timer       // for the coordinator's next Wake
+	baseRevision store.Revision
+	coord        *gang.Coordinator // nil if no attempt is being made
+	wakeTimer    *time.Timer       // for the coordinator's next Wake
 	// lastEnded is how the last attempt ended. It distinguishes failed from
 	// unknown when the scheduler gives the job up.
 	lastEnded gang.Ended
--- a/planner/job_end.go
+++ b/planner/job_end.go
@@ -69,7 +69,7 @@
 }
 
 func (p *Planner) handleFinalWritten(j *job, got jobs.Stored, err error) {
-	p.noteStoreError(err)
+	p.handleStoreError(err)
 	switch {
 	case err == nil:
 		p.forgetJob(j, got)
--- a/planner/outage.go
+++ b/planner/outage.go
@@ -14,9 +14,9 @@
 // store answers.
 const probeJobID = "-"
 
-// noteStoreError handles the outcome of a write. If the store did not answer
+// handleStoreError handles the outcome of a write. If the store did not answer
 // it is treated as unavailable until a probe succeeds.
-func (p *Planner) noteStoreError(err error) {
+func (p *Planner) handleStoreError(err error) {
 	if p.storeUnavailable || !eris.Is(err, store.ErrUnavailable) && !eris.Is(err, jobs.ErrOutcomeUnknown) {
 		return
 	}
--- a/planner/permit.go
+++ b/planner/permit.go
@@ -134,7 +134,7 @@
 // the watch delivers the permit in case it was written.
 func (p *Planner) handlePermitWritten(j *job, baseRev store.Revision, got jobs.Stored, err error) {
 	j.permit.writing = false
-	p.noteStoreError(err)
+	p.handleStoreError(err)
 	switch {
 	case err == nil:
 		p.cfg.Metrics.Add(metrics.PermitsWritten, 1)
@@ -150,8 +150,8 @@
 	if got.Rev > j.stored.Rev {
 		j.updateRecord(got)
 	}
-	if j.decidedRevision == baseRev {
-		j.decidedRevision = got.Rev
+	if j.baseRevision == baseRev {
+		j.baseRevision = got.Rev
 	}
 }
 
@@ -202,7 +202,7 @@
 
 func (p *Planner) handlePlacementWritten(j *job, baseRev store.Revision, got jobs.Stored, err error) {
 	j.permit.placing = false
-	p.noteStoreError(err)
+	p.handleStoreError(err)
 	switch {
 	case p.jobs[j.stored.ID] != j:
 	case err == nil:
--- a/planner/scheduler_step.go
+++ b/planner/scheduler_step.go
@@ -60,7 +60,7 @@
 		return
 	}
 	j.attempt = a.Attempt
-	j.decidedRevision = j.stored.Rev
+	j.baseRevision = j.stored.Rev
 	j.phase = Starting
 	p.attachCoordinator(j, gang.NewCoordinator(p.attemptConfig(j), plan))
 	p.postFromLoop(func() { p.stepCoordinator(j, gang.Begin{}) })
--- a/planner/start_record.go
+++ b/planner/start_record.go
@@ -14,7 +14,7 @@
 // the watch delivered meanwhile: that may be a cancellation, whose caller was
 // told that the job did not run, or the start of another planner.
 func (p *Planner) recordStart(j *job, plan gang.Plan) {
-	if j.stored.Rev != j.decidedRevision {
+	if j.stored.Rev != j.baseRevision {
 		result := gang.RecordConflict
 		if recordNamesAttempt(j.stored.Record, plan.ID) {
 			result = gang.RecordWritten // an earlier try of this write, delivered by the watch
@@ -43,7 +43,7 @@
 }
 
 func (p *Planner) handleStartWritten(j *job, id gang.ID, got jobs.Stored, err error) {
-	p.noteStoreError(err)
+	p.handleStoreError(err)
 	if j.coord == nil || j.coord.Plan().ID != id {
 		return
 	}
@@ -60,7 +60,7 @@
 	case eris.Is(err, jobs.ErrConflict) && p.isOwnPermit(got.Record) && !got.CancelRequested:
 		// The write of this permit had an unknown outcome. Try again on the
 		// permit.
-		p.applyOwnWrite(j, got, j.decidedRevision)
+		p.applyOwnWrite(j, got, j.baseRevision)
 		p.recordStart(j, j.coord.Plan())
 		return
 	case eris.Is(err, jobs.ErrConflict), eris.Is(err, jobs.ErrNotFound):
--- a/planner/takeover.go
+++ b/planner/takeover.go
@@ -49,10 +49,10 @@
 	}
 }
 
-// noteOccupied records that a task of an unresolved job uses accelerators that
+// markOccupied records that a task of an unresolved job uses accelerators that
 // the scheduler considers free, so that refusals of the worker are not counted
 // as faults.
-func (p *Planner) noteOccupied(w *worker, t gang.Task) {
+func (p *Planner) markOccupied(w *worker, t gang.Task) {
 	if j := p.jobs[t.ID.Job]; j != nil && j.unresolved && t.State != gang.StateEnded {
 		w.mayHoldUntil = clock.Now().Add(p.doc.Document.Gang.HoldTimeout.Duration)
 	}
--- a/planner/worker.go
+++ b/planner/worker.go
@@ -104,8 +104,8 @@
 	}
 	for _, t := range w.lastReport.Tasks {
 		p.markUnresolvedAgain(t)
-		p.noteOccupied(w, t)
-		if p.isAccountedFor(id, t) {
+		p.markOccupied(w, t)
+		if p.isExpectedTask(id, t) {
 			continue
 		}
 		if msg, ok := gang.OrphanStop(t, w.lastReport.Incarnation, p.cfg.Epoch); ok {
@@ -114,7 +114,7 @@
 	}
 }
 
-func (p *Planner) isAccountedFor(agent string, t gang.Task) bool {
+func (p *Planner) isExpectedTask(agent string, t gang.Task) bool {
 	j := p.jobs[t.ID.Job]
 	if j == nil {
 		return false
--- a/scheduler/baseline_test.go
+++ b/scheduler/baseline_test.go
@@ -247,23 +247,23 @@
 	if b.partitioned || b.guaranteedSums[j.Account] == 0 || b.usedByAccount[j.Account]+j.Accelerators > b.guaranteedSums[j.Account] {
 		return nil
 	}
-	coming := 0
+	expectedFree := 0
 	for i, w := range b.workers {
-		coming += w.Accelerators - b.busy[i]
+		expectedFree += w.Accelerators - b.busy[i]
 	}
 	var out []Action
 	for _, x := range b.jobs {
 		if x.stopping {
-			coming += x.Accelerators
+			expectedFree += x.Accelerators
 		}
 	}
-	for coming < j.Accelerators {
+	for expectedFree < j.Accelerators {
 		y := b.youngestBorrower(j.Account)
 		if y == nil {
 			return out
 		}
 		y.stopping = true
-		coming += y.Accelerators
+		expectedFree += y.Accelerators
 		out = append(out, StopGang{Job: y.ID, Attempt: y.attempt, Checkpoint: y.Checkpointable, Reason: StopReclaim})
 	}
 	return out
--- a/scheduler/borrowing.go
+++ b/scheduler/borrowing.go
@@ -14,7 +14,7 @@
 		return
 	}
 	k := j.key()
-	j.borrowingEnded = s.fitsMinShare(&k) && s.fitsBesideBlocks(demand{j.Accelerators, j.Adjacency})
+	j.borrowingEnded = s.fitsMinShare(&k) && s.fitsWithAllBlocks(demand{j.Accelerators, j.Adjacency})
 }
 
 // resumeBorrowing lets jobs borrow again that no longer fit beside all blocks
@@ -27,7 +27,7 @@
 	s.borrowingGen = s.shrinkGen
 	var resumed []*job
 	for _, j := range s.jobs {
-		if j.borrowingEnded && j.queue != nil && !s.fitsBesideBlocks(demand{j.Accelerators, j.Adjacency}) {
+		if j.borrowingEnded && j.queue != nil && !s.fitsWithAllBlocks(demand{j.Accelerators, j.Adjacency}) {
 			resumed = append(resumed, j)
 		}
 	}
@@ -43,17 +43,17 @@
 	return slices.ContainsFunc(s.accountList, func(a *account) bool { return len(a.blocks) > 0 })
 }
 
-// fitsBesideBlocks reports whether a shape fits on idle workers together with
+// fitsWithAllBlocks reports whether a shape fits on idle workers together with
 // all guaranteed blocks.
-func (s *Scheduler) fitsBesideBlocks(d demand) bool {
-	if gen := s.topologyGen + s.shrinkGen; s.fitsBesideGen != gen {
-		s.fitsBesideGen = gen
-		clear(s.fitsBeside)
+func (s *Scheduler) fitsWithAllBlocks(d demand) bool {
+	if gen := s.topologyGen + s.shrinkGen; s.fitsWithBlocksGen != gen {
+		s.fitsWithBlocksGen = gen
+		clear(s.fitsWithBlocks)
 	}
-	fits, ok := s.fitsBeside[d]
+	fits, ok := s.fitsWithBlocks[d]
 	if !ok {
 		fits = s.allBlocksFitWith(Shape{d.accelerators, d.span, 1})
-		s.fitsBeside[d] = fits
+		s.fitsWithBlocks[d] = fits
 	}
 	return fits
 }
--- a/scheduler/compare_test.go
+++ b/scheduler/compare_test.go
@@ -34,13 +34,13 @@
 	for _, x := range r.completion {
 		mean += x / float64(len(r.completion))
 	}
-	us := 0.0
+	meanMicros := 0.0
 	for _, x := range r.decisionTimes {
-		us += x / float64(len(r.decisionTimes))
+		meanMicros += x / float64(len(r.decisionTimes))
 	}
 	return fmt.Sprintf("%-22s gang wait p50 %7.0f p99 %7.0f | small p50 %6.1f p99 %6.0f | completion mean %6.0f p99 %6.0f | frag %9.0f idle %9.0f | lost %8.0f in %4d | unfinished %d rejected %d | decide %5.0f us",
 		name, quantile(r.gangs, .5), quantile(r.gangs, .99), quantile(r.smallJobs, .5), quantile(r.smallJobs, .99),
-		mean, quantile(r.completion, .99), r.fragmentation, r.idle, r.lostWork, r.evictions, r.unfinished, r.rejected, us)
+		mean, quantile(r.completion, .99), r.fragmentation, r.idle, r.lostWork, r.evictions, r.unfinished, r.rejected, meanMicros)
 }
 
 // withoutGuarantees returns the site with no guaranteed shapes.
--- a/scheduler/end.go
+++ b/scheduler/end.go
@@ -64,10 +64,10 @@
 	j := r.job
 	j.failures++
 	s.recordFailure(r, worker)
-	strikes := s.countHealthyWorkerFailures(j)
-	if strikes >= s.policy.JobFailureWorkers || j.failures >= s.policy.MaxAttempts {
+	failedWorkers := s.countHealthyWorkerFailures(j)
+	if failedWorkers >= s.policy.JobFailureWorkers || j.failures >= s.policy.MaxAttempts {
 		s.clearWorkerFailures(j)
-		s.endJob(j, RejectFaulty, fmt.Sprintf("failed %d times, on %d healthy workers", j.failures, strikes))
+		s.endJob(j, RejectFaulty, fmt.Sprintf("failed %d times, on %d healthy workers", j.failures, failedWorkers))
 		return
 	}
 	s.requeue(r)
--- a/scheduler/explain_test.go
+++ b/scheduler/explain_test.go
@@ -67,32 +67,32 @@
 // checkPredictions compares what is predicted to start, or to wait, with the
 // next decision.
 func (m *model) checkPredictions(counts reasonCounts) {
-	var promised, denied []JobID
+	var expectedStarts, expectedWaits []JobID
 	// Unbound blocks take reserved capacity before the queue is tried.
 	binds := m.s.bindsNext()
 	for _, id := range m.order {
 		switch e, _ := m.s.Explain(id); e.Reason {
 		case WaitFitsNow:
-			promised = append(promised, id)
+			expectedStarts = append(expectedStarts, id)
 			counts[WaitFitsNow]++
 		case WaitNextDecision, WaitReclaim, WaitReserved, WaitBehind, WaitNone:
 			// These may start, or are not the first of their queue.
 		case WaitReservations:
 			if !binds {
-				denied = append(denied, id)
+				expectedWaits = append(expectedWaits, id)
 			}
 		default:
-			denied = append(denied, id)
+			expectedWaits = append(expectedWaits, id)
 		}
 	}
 	m.now = m.s.now // no time passes
 	m.step(Tick{})
-	for _, id := range promised {
+	for _, id := range expectedStarts {
 		if m.jobs[id] == nil || m.jobs[id].place == nil {
 			m.fatalf("job %q fits now and did not start", id)
 		}
 	}
-	for _, id := range denied {
+	for _, id := range expectedWaits {
 		if j := m.jobs[id]; j != nil && j.place != nil {
 			m.fatalf("job %q was said to wait and started", id)
 		}
@@ -156,7 +156,7 @@
 // claims, optionally as if there were no reservations. Attempts whose footprint
 // is above 1 hold more than they were granted.
 func (m *model) recountOpen(ignoreReservations bool) map[WorkerID]int {
-	held, coming, claimed, reserved := map[nodeID]int{}, map[nodeID]int{}, map[nodeID]int{}, map[nodeID]int{}
+	held, stopping, claimed, reserved := map[nodeID]int{}, map[nodeID]int{}, map[nodeID]int{}, map[nodeID]int{}
 	for _, j := range m.s.jobs {
 		if j.run == nil {
 			continue
@@ -164,7 +164,7 @@
 		for _, p := range j.run.held {
 			held[p.node] += p.count
 			if !j.run.protected && j.run.state == runStopping {
-				coming[p.node] += p.count
+				stopping[p.node] += p.count
 			}
 		}
 	}
@@ -184,7 +184,7 @@
 			continue
 		}
 		idle := m.workers[id].Accelerators - held[n.id]
-		free[id] = max(0, max(0, min(idle, idle+coming[n.id]-claimed[n.id]))-reserved[n.id])
+		free[id] = max(0, max(0, min(idle, idle+stopping[n.id]-claimed[n.id]))-reserved[n.id])
 	}
 	return free
 }
--- a/scheduler/place_cheapest.go
+++ b/scheduler/place_cheapest.go
@@ -10,17 +10,17 @@
 // around a node, on the workers with the lowest eviction cost per accelerator.
 // It returns nil if the workers compared don't hold the shape.
 func (s *Scheduler) cheapestPlaceAround(center nodeID, shape Shape) []allocation {
-	type offer struct {
+	type candidate struct {
 		allocation
 		cost float64
 	}
-	var offers []offer
+	var candidates []candidate
 	for _, id := range s.nodesInUnit(s.nodes[center], shape.Adjacency) {
 		p := allocation{node: id, count: min(int(s.bindable.values[id]), shape.Accelerators)}
 		cost := s.placeEvictionCost([]allocation{p}, p.count)
-		offers = append(offers, offer{p, cost / float64(p.count)})
+		candidates = append(candidates, candidate{p, cost / float64(p.count)})
 	}
-	slices.SortStableFunc(offers, func(a, b offer) int {
+	slices.SortStableFunc(candidates, func(a, b candidate) int {
 		switch {
 		case a.cost < b.cost:
 			return -1
@@ -31,7 +31,7 @@
 	})
 	need := shape.Accelerators
 	var out []allocation
-	for _, o := range offers {
+	for _, o := range candidates {
 		k := min(need, o.count)
 		out = append(out, allocation{node: o.node, count: k})
 		if need -= k; need == 0 {
--- a/scheduler/reclaim_test.go
+++ b/scheduler/reclaim_test.go
@@ -39,7 +39,7 @@
 // evictYoungest returns the work that would be lost by evicting the youngest
 // borrowers until every guaranteed shape fits as a block, and for how many
 // shapes evicting only until the sum is free would have sufficed.
-func evictYoungest(s *Scheduler, accounts []AccountPolicy) (lost float64, sumsHonoured int) {
+func evictYoungest(s *Scheduler, accounts []AccountPolicy) (lost float64, satisfiedBySum int) {
 	free := index{}
 	free.installed = &free
 	for range s.open.zones {
@@ -80,7 +80,7 @@
 					bySum = bySum || place != nil && free.total()-r.size() < g.Accelerators
 				}
 				if bySum {
-					sumsHonoured++
+					satisfiedBySum++
 				}
 				for _, p := range place {
 					free.set(s.nodes[p.node], int(free.values[p.node])-p.count)
@@ -88,7 +88,7 @@
 			}
 		}
 	}
-	return lost, sumsHonoured
+	return lost, satisfiedBySum
 }
 
 // claimAllShapes claims every guaranteed shape at once and ends the attempts
@@ -144,18 +144,18 @@
 // benchmarkReclaim lets accounts claim all their shapes at once on 20 sites
 // full of borrowers.
 func benchmarkReclaim(b *testing.B, site site, accounts []AccountPolicy) {
-	var claims, started, sumsHonoured int
+	var claims, started, satisfiedBySum int
 	var lostByScheduler, lostByYoungest float64
 	for seed := range uint64(20) {
 		s, now := siteFullOfBorrowers(site, seed)
 		s.Step(now, Tick{})
-		lost, honoured := evictYoungest(s, accounts)
+		lost, bySum := evictYoungest(s, accounts)
 		lostByYoungest += lost
-		sumsHonoured += honoured
-		n, ok, mine := claimAllShapes(s, now, accounts)
-		claims, started, lostByScheduler = claims+n, started+ok, lostByScheduler+mine
+		satisfiedBySum += bySum
+		n, ok, schedulerLost := claimAllShapes(s, now, accounts)
+		claims, started, lostByScheduler = claims+n, started+ok, lostByScheduler+schedulerLost
 	}
-	b.Logf("%d claims: honoured %d, by sums alone %d; work lost %.0f, evicting the youngest %.0f accelerator seconds", claims, started, sumsHonoured, lostByScheduler, lostByYoungest)
+	b.Logf("%d claims: honoured %d, by sums alone %d; work lost %.0f, evicting the youngest %.0f accelerator seconds", claims, started, satisfiedBySum, lostByScheduler, lostByYoungest)
 	b.ReportMetric(lostByScheduler/lostByYoungest, "lost/youngest")
 	b.ReportMetric(float64(started)/float64(claims), "honoured")
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -48,8 +48,8 @@
 	claims              []*claim
 	unbound             []*block // guaranteed blocks that no worker can hold now
 	degraded            map[shapeKey]int
-	fitsBeside          map[demand]bool // whether a shape fits on idle workers together with all blocks
-	fitsBesideGen       uint64          // topologyGen+shrinkGen for which fitsBeside holds
+	fitsWithBlocks      map[demand]bool // whether a shape fits on idle workers together with all blocks
+	fitsWithBlocksGen   uint64          // topologyGen+shrinkGen for which fitsBeside holds
 	shrinkGen           uint64          // changes when the topology shrinks or the policy changes
 	borrowingGen        uint64          // shrinkGen when resumeBorrowing last ran
 	repackGen           uint64          // capacityGen when the unbound blocks were last tried
@@ -71,17 +71,17 @@
 // account are rejected, so PolicyChanged must come first.
 func New(o Options) *Scheduler {
 	s := &Scheduler{
-		now:          o.Start,
-		settlingEnds: o.Start.Add(o.SettlingPeriod),
-		policy:       Policy{}.WithDefaults(),
-		nodeByID:     map[WorkerID]*node{},
-		zoneByID:     map[string]int32{},
-		rackByID:     map[rackKey]int32{},
-		accounts:     map[AccountID]*account{},
-		jobs:         map[JobID]*job{},
-		degraded:     map[shapeKey]int{},
-		fitsBeside:   map[demand]bool{},
-		runTimes:     newRunTimePredictor(),
+		now:            o.Start,
+		settlingEnds:   o.Start.Add(o.SettlingPeriod),
+		policy:         Policy{}.WithDefaults(),
+		nodeByID:       map[WorkerID]*node{},
+		zoneByID:       map[string]int32{},
+		rackByID:       map[rackKey]int32{},
+		accounts:       map[AccountID]*account{},
+		jobs:           map[JobID]*job{},
+		degraded:       map[shapeKey]int{},
+		fitsWithBlocks: map[demand]bool{},
+		runTimes:       newRunTimePredictor(),
 	}
 	for _, idx := range s.indexes() {
 		idx.installed = &s.installed
--- a/scheduler/simulator_test.go
+++ b/scheduler/simulator_test.go
@@ -25,7 +25,7 @@
 type timedEvent struct {
 	at  time.Time
 	seq int
-	do  func()
+	run func()
 }
 
 type timedEventHeap []timedEvent
@@ -135,7 +135,7 @@
 	for len(x.heap) > 0 && x.heap[0].at.Before(limit) {
 		t := heap.Pop(&x.heap).(timedEvent)
 		x.now = t.at
-		t.do()
+		t.run()
 	}
 	x.countUnfinished()
 	return &x.result
@@ -184,11 +184,11 @@
 	}
 	x.schedule(startDelay+j.simulatedJob.runTime-j.checkpointed, func() { x.end(j, a.Attempt, Done, "") })
 	if j.Checkpointable {
-		x.checkpointLater(j, a.Attempt)
+		x.scheduleCheckpoint(j, a.Attempt)
 	}
 }
 
-func (x *simulator) checkpointLater(j *simulatedAttempt, n Attempt) {
+func (x *simulator) scheduleCheckpoint(j *simulatedAttempt, n Attempt) {
 	if j.simulatedJob.runTime-j.checkpointed < checkpointEvery {
 		return
 	}
@@ -196,7 +196,7 @@
 		if j.running && j.number == n && !j.stopping {
 			x.checkpoint(j)
 			x.queueEvent(CheckpointTaken{j.ID, x.now})
-			x.checkpointLater(j, n)
+			x.scheduleCheckpoint(j, n)
 		}
 	})
 }
