--- a/gang/search.go
+++ b/gang/search.go
@@ -51,7 +51,7 @@
 }
 
 // complete reports whether all members of the gang know the attempt.
-func (r *foundAttempt) complete() bool { return len(r.plan.Members) == r.gangSize }
+func (a *foundAttempt) complete() bool { return len(a.plan.Members) == a.gangSize }
 
 // SearchResult is the conclusion of a Search about one job.
 type SearchResult uint8
@@ -105,19 +105,19 @@
 		return
 	}
 	attempts := s.attemptsByJob[t.ID.Job]
-	i := slices.IndexFunc(attempts, func(r foundAttempt) bool { return r.plan.ID == t.ID })
+	i := slices.IndexFunc(attempts, func(a foundAttempt) bool { return a.plan.ID == t.ID })
 	if i < 0 {
 		i = len(attempts)
 		attempts = append(attempts, foundAttempt{plan: Plan{ID: t.ID}, gangSize: t.Members})
 	}
-	r := &attempts[i]
-	r.plan.Members = append(r.plan.Members, PlannedMember{
+	found := &attempts[i]
+	found.plan.Members = append(found.plan.Members, PlannedMember{
 		Agent:        v.Agent,
 		Incarnation:  v.Incarnation,
 		Accelerators: t.Accelerators,
 	})
 	status := memberStatus{task: t}
-	r.mustWait = r.mustWait || v.FencedAt.IsZero() || !status.reached(StateCommitted)
+	found.mustWait = found.mustWait || v.FencedAt.IsZero() || !status.reached(StateCommitted)
 	s.attemptsByJob[t.ID.Job] = attempts
 }
 
@@ -152,13 +152,13 @@
 	var latest *foundAttempt
 	anyFound := false
 	for i := range s.attemptsByJob[job] {
-		r := &s.attemptsByJob[job][i]
-		if r.plan.ID.Epoch != epoch {
+		found := &s.attemptsByJob[job][i]
+		if found.plan.ID.Epoch != epoch {
 			continue
 		}
 		anyFound = true
-		if r.complete() && (latest == nil || r.plan.ID.Compare(latest.plan.ID) > 0) {
-			latest = r
+		if found.complete() && (latest == nil || found.plan.ID.Compare(latest.plan.ID) > 0) {
+			latest = found
 		}
 	}
 	return latest, anyFound
--- a/gang/sim_permit_test.go
+++ b/gang/sim_permit_test.go
@@ -94,18 +94,18 @@
 // permit.
 func (p *simPlanner) resolvePermit(job int) {
 	rec := p.records[job]
-	h := p.unresolved[job]
-	if h == nil || h.epoch != rec.permitEpoch {
-		h = &simUnresolved{epoch: rec.permitEpoch, since: p.sim.now}
-		p.unresolved[job] = h
+	u := p.unresolved[job]
+	if u == nil || u.epoch != rec.permitEpoch {
+		u = &simUnresolved{epoch: rec.permitEpoch, since: p.sim.now}
+		p.unresolved[job] = u
 	}
-	if h.notFound {
+	if u.notFound {
 		p.afterSearch(job)
 		return
 	}
 	p.raiseFences()
 	search := NewSearch(SearchConfig{LossTimeout: simLossTimeout, FenceWait: simFenceWait}, p.sim.now, p.agentViews())
-	result, plan := search.Resolve(p.sim.jobs[job].name, rec.permitEpoch, h.since)
+	result, plan := search.Resolve(p.sim.jobs[job].name, rec.permitEpoch, u.since)
 	switch result {
 	case Adoptable:
 		p.sim.stats.adoptable++
@@ -113,9 +113,9 @@
 		co := ResumeCoordinator(p.permitConfig(), plan)
 		p.start(&simRun{job: job, coord: co, onPermit: true})
 	case Incomplete:
-		h.incomplete = true
+		u.incomplete = true
 	case NotFound:
-		h.notFound = true
+		u.notFound = true
 	}
 }
 
@@ -194,7 +194,7 @@
 // the search found none.
 func (p *simPlanner) resolveAgain(t Task) {
 	job := p.sim.jobIndex(t.ID.Job)
-	if h := p.unresolved[job]; h != nil && h.notFound && h.epoch == t.ID.Epoch && !p.hasRun(job) {
+	if u := p.unresolved[job]; u != nil && u.notFound && u.epoch == t.ID.Epoch && !p.hasRun(job) {
 		delete(p.unresolved, job)
 	}
 }
@@ -215,8 +215,8 @@
 	if rec.permitEpoch == p.epoch {
 		return false
 	}
-	h := p.unresolved[job]
-	return h == nil || !h.notFound && !h.incomplete
+	u := p.unresolved[job]
+	return u == nil || !u.notFound && !u.incomplete
 }
 
 func (p *simPlanner) permitConfig() Config {
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -81,10 +81,10 @@
 }
 
 // SetDocument puts a new generation of the document in force.
-func (p *Planner) SetDocument(h *document.ActiveVersion) {
+func (p *Planner) SetDocument(doc *document.ActiveVersion) {
 	p.post(func() {
-		p.doc = h
-		p.stepScheduler(scheduler.PolicyChanged{Policy: schedulerPolicy(h)})
+		p.doc = doc
+		p.stepScheduler(scheduler.PolicyChanged{Policy: schedulerPolicy(doc)})
 	})
 }
 
--- a/planner/policy.go
+++ b/planner/policy.go
@@ -7,10 +7,10 @@
 )
 
 // schedulerPolicy returns the scheduler's policy for a document.
-func schedulerPolicy(h *document.ActiveVersion) scheduler.Policy {
-	d := h.Document
+func schedulerPolicy(active *document.ActiveVersion) scheduler.Policy {
+	d := active.Document
 	p := scheduler.Policy{
-		Generation:        h.Version.Generation,
+		Generation:        active.Version.Generation,
 		Objective:         scheduler.CompletionTime,
 		FailureThreshold:  d.Health.FailureThreshold,
 		JobFailureWorkers: d.Health.JobFailureWorkers,
--- a/scheduler/explain_blocked.go
+++ b/scheduler/explain_blocked.go
@@ -43,8 +43,8 @@
 	if q.noPlaceStamp == s.capacityStamp(q) {
 		return false
 	}
-	filler, _ := s.findPreemptibleBackfill(j, &q.key)
-	return filler != nil || s.findTimedBackfill(j, &q.key) != nil
+	place, _ := s.findPreemptibleBackfill(j, &q.key)
+	return place != nil || s.findTimedBackfill(j, &q.key) != nil
 }
 
 // mayClaimAgain reports whether blocks of the account have gained room for a
@@ -107,17 +107,17 @@
 // reservedDeltas returns by how much open capacity would grow on each node
 // without reservations.
 func (s *Scheduler) reservedDeltas() indexDeltas {
-	c := indexDeltas{}
+	deltas := indexDeltas{}
 	for _, x := range s.claims {
 		if x.guaranteed() {
 			continue
 		}
 		for _, p := range x.allocations {
 			n := s.nodes[p.node]
-			c[p.node] = n.free() - n.open()
+			deltas[p.node] = n.free() - n.open()
 		}
 	}
-	return c
+	return deltas
 }
 
 // overShare reports whether first precedes a job because its account has a
--- a/scheduler/explain_next.go
+++ b/scheduler/explain_next.go
@@ -22,11 +22,11 @@
 	if !j.mayBorrow() || s.withinGuarantee(j) {
 		x = &s.unguaranteed
 	}
-	var c indexDeltas
+	var deltas indexDeltas
 	if s.avoidsFailedNodes(q, j) {
-		c = withoutNodes(x, j.failedNodes)
+		deltas = withoutNodes(x, j.failedNodes)
 	}
-	return s.largestFit(x, &q.key, c) >= j.Accelerators
+	return s.largestFit(x, &q.key, deltas) >= j.Accelerators
 }
 
 // bindsNext reports whether the next decision tries to bind blocks, ends a
--- a/scheduler/largest_fit.go
+++ b/scheduler/largest_fit.go
@@ -15,11 +15,11 @@
 
 // withoutNodes returns deltas that set the values of nodes to 0.
 func withoutNodes(x *index, nodes []nodeID) indexDeltas {
-	c := make(indexDeltas, len(nodes))
+	deltas := make(indexDeltas, len(nodes))
 	for _, id := range nodes {
-		c[id] = -int(x.values[id])
+		deltas[id] = -int(x.values[id])
 	}
-	return c
+	return deltas
 }
 
 // largestFit returns the most accelerators of a job of the key that one unit of
--- a/scheduler/predict.go
+++ b/scheduler/predict.go
@@ -67,20 +67,20 @@
 	return runTimePredictor{table}
 }
 
-func (l runTimePredictor) add(j *Job, d time.Duration) {
+func (p runTimePredictor) add(j *Job, d time.Duration) {
 	k := classKey{j.Account, j.Class}
-	r, ok := l.histories.Get(k)
+	r, ok := p.histories.Get(k)
 	if !ok {
 		r = &runTimeHistory{}
-		l.histories.Add(k, r)
+		p.histories.Add(k, r)
 	}
 	r.add(d)
 }
 
 // predict returns the q quantile of the whole run time of a job that has run
 // for elapsed. It reports false if only the declared estimate is known.
-func (l runTimePredictor) predict(j *Job, elapsed time.Duration, q float64) (time.Duration, bool) {
-	r, ok := l.histories.Get(classKey{j.Account, j.Class})
+func (p runTimePredictor) predict(j *Job, elapsed time.Duration, q float64) (time.Duration, bool) {
+	r, ok := p.histories.Get(classKey{j.Account, j.Class})
 	if ok && len(r.ring) >= minRunsToPredict {
 		return r.quantileAbove(elapsed, q), true
 	}
--- a/scheduler/report.go
+++ b/scheduler/report.go
@@ -40,10 +40,10 @@
 	Probing bool
 }
 
-func (l *WorkerList) add(n WorkerStatus) {
+func (l *WorkerList) add(w WorkerStatus) {
 	l.Count++
 	if len(l.Workers) < maxListedWorkers {
-		l.Workers = append(l.Workers, n)
+		l.Workers = append(l.Workers, w)
 	}
 }
 
