--- a/gang/coordinator_end.go
+++ b/gang/coordinator_end.go
@@ -55,13 +55,10 @@
 }
 
 // lostMembersStoppedAt returns when lost members have certainly stopped by
-// isolation, or zero if there is nothing to wait for.
-//
-// The loss timeout alone is not enough for a successor: a predecessor that
-// still reaches all members renews the lost one until it learns that another
-// one is fenced. The gang could otherwise start elsewhere while the lost
-// member still runs alone. If no member was ever reached, whatever the
-// predecessor renews is complete.
+// isolation, or zero if there is nothing to wait for. A predecessor that still
+// reaches all members renews a lost one until it learns that another one is
+// fenced. A successor therefore waits FenceWait from the first fence, or the
+// gang could start elsewhere while the lost member still runs.
 func (c *Coordinator) lostMembersStoppedAt() time.Time {
 	var firstFenced time.Time
 	if !c.successor || !c.anyMember(func(m *memberStatus) bool { return m.lost && m.task.State != StateEnded }) {
--- a/gang/coordinator_event.go
+++ b/gang/coordinator_event.go
@@ -15,8 +15,8 @@
 }
 
 // Reported is a periodic report of an agent with all of its Member.Tasks. It
-// makes up for lost replies; a report of a new incarnation without the task
-// proves that the task is gone.
+// replaces lost replies; a report of a new incarnation without the task proves
+// that the task no longer exists.
 type Reported struct {
 	From        string
 	Incarnation uint64
@@ -47,7 +47,7 @@
 // Recorded answers a Record action.
 type Recorded struct{ Result RecordResult }
 
-// MemberLost reports that nothing was heard from the agent for the loss
+// MemberLost reports that the agent has been unresponsive for the loss
 // timeout. The loss timeout is longer than Config.LivenessWindow,
 // MemberConfig.IsolationTimeout and the time in which a task stops together,
 // so a task of several members has stopped there by itself.
--- a/gang/member_grant.go
+++ b/gang/member_grant.go
@@ -49,12 +49,9 @@
 }
 
 // evictTombstones drops the oldest tombstones above the limit, acknowledged
-// ones first.
-//
-// A forgotten attempt must not look like an unknown one: late copies of its
-// messages would run it a second time, and a Seal would prove that it never
-// committed. Attempts up to highestForgotten that are not known are therefore
-// answered with Forgotten.
+// ones first. Unknown attempts up to highestForgotten are answered with
+// Forgotten: late copies of their messages must not run them again, and a Seal
+// must not prove that they never committed.
 func (m *Member) evictTombstones() {
 	for m.tombstones > m.config.MaxTombstones {
 		oldest := m.oldestTombstone()
--- a/gang/outcome.go
+++ b/gang/outcome.go
@@ -17,9 +17,8 @@
 	Stopped
 	// Failed means that a task ended by itself with an error.
 	Failed
-	// Superseded means that a planner with a higher epoch is in charge.
-	// Nothing is known of the attempt, and the caller must not change the
-	// job's record.
+	// Superseded means that there is a planner with a higher epoch. Nothing is
+	// known of the attempt, and the caller must not change the job's record.
 	Superseded
 )
 
--- a/gang/protocol_test.go
+++ b/gang/protocol_test.go
@@ -119,8 +119,8 @@
 	c.Assert(co.AllMembersAlive(t0.Add(7*time.Second)), qt.IsFalse)
 }
 
-// One member refuses because its accelerator is in use. The other members must
-// release their reservations at once.
+// If one member refuses, the other members must release their reservations at
+// once.
 func TestRefusalReleasesReservations(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
@@ -133,9 +133,8 @@
 	c.Assert(cl.members["a"].FreeAccelerators(), qt.HasLen, 2)
 }
 
-// A successor resolves an attempt as not started while its planner is paused
-// before its commits. Members must refuse the commits when the planner
-// resumes.
+// Members must refuse the commits of a planner that was paused while a
+// successor resolved its attempt as not started.
 func TestPausedPlannerIsFenced(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
@@ -148,8 +147,8 @@
 	c.Assert(cl.members["a"].Tasks(), qt.HasLen, 0)
 }
 
-// The planner dies after its commits. The successor can't know whether the
-// start was sent, so it must complete the attempt without starting it twice.
+// A successor can't know whether a committed attempt was started, so it must
+// complete the attempt without starting it twice.
 func TestSuccessorResumesCommittedAttempt(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
@@ -164,9 +163,8 @@
 	c.Assert(next.AllMembersAlive(t0), qt.IsTrue)
 }
 
-// Only one member was started and has ended with success when a successor
-// takes over. Starting the other one now would report a gang as done that
-// never ran together.
+// If only one member was started and has succeeded, starting the other would
+// report a gang as done that never ran together.
 func TestSuccessorDoesNotCompletePartialRun(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
@@ -183,8 +181,8 @@
 	c.Assert(e.Members[1].Started, qt.IsFalse)
 }
 
-// An agent restarts after it has committed and forgets that. The job may have
-// run, so the attempt must not be reported as not started.
+// An attempt whose member restarted after its commit may have run and must not
+// be reported as not started.
 func TestRestartedMemberDoesNotProveNotStarted(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
@@ -199,9 +197,8 @@
 	c.Assert(cl.members["a"].FreeAccelerators(), qt.HasLen, 2)
 }
 
-// The predecessor still renews both members while its successor reaches only
-// b, after the loss timeout of a. Ending the attempt at once would let the job
-// start elsewhere while a still runs alone.
+// A successor must not end an attempt while a lost member that the predecessor
+// renews may still run alone.
 func TestSuccessorWaitsForIsolation(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
@@ -222,9 +219,8 @@
 	c.Assert(e.CauseAgent, qt.Equals, "a")
 }
 
-// A successor ended the attempt on one member before its start. The
-// predecessor sees this in a report and must not conclude that the attempt was
-// not started, because the successor may have started the other member.
+// A predecessor must not conclude from a report with a higher fence that an
+// attempt was not started: its successor may have started it.
 func TestReportWithHigherFenceSupersedes(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
@@ -241,8 +237,8 @@
 	c.Assert(lastEnded(c, cl.step(old, t0, r)).Outcome, qt.Equals, Superseded)
 }
 
-// After an agent's restart its target may still run tasks. Until these are
-// known, their accelerators look free and must not be assigned.
+// Accelerators must not be assigned before a restarted agent knows which tasks
+// its target still runs.
 func TestReservationsRefusedBeforeRecovery(t *testing.T) {
 	c := qt.New(t)
 	m := NewMember(MemberConfig{Accelerators: 2, Incarnation: 2, IsolationTimeout: time.Minute})
@@ -282,9 +278,8 @@
 	c.Assert(len(m.attempts) <= 4, qt.IsTrue)
 }
 
-// A disconnected member of a gang must stop by itself before the gang starts
-// elsewhere, even if its agent restarts meanwhile. A job with one member runs
-// on.
+// A disconnected member of a gang must stop by itself, even if its agent
+// restarts meanwhile. A job with one member must run on.
 func TestIsolatedMemberStops(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -320,9 +315,8 @@
 	return false
 }
 
-// A start that is delivered only after the first member has stopped by
-// isolation would let the second one run alone, so the attempt is aborted
-// before that.
+// An attempt must be aborted before a delayed start could let one member run
+// after another has stopped by isolation.
 func TestStartTimeoutAborts(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a", "b")
@@ -339,8 +333,8 @@
 	c.Assert(cl.members["a"].Tasks()[0].State, qt.Equals, StateStopping)
 }
 
-// A planner that resumes after a pause must not take reports queued before it
-// as current, or it would renew a member whose gang has ended.
+// A planner that resumes after a pause must not take queued reports as current,
+// or it would renew a member whose gang has ended.
 func TestQueuedReportDoesNotProveAlive(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster("a")
@@ -359,9 +353,8 @@
 	}
 }
 
-// Members that a successor knows only from reports still obey its predecessor,
-// which could end the attempt on one of them while the successor starts the
-// others.
+// A successor must not start members known only from reports: the predecessor
+// could still end the attempt on one of them.
 func TestReportsDoNotReplaceSealReplies(t *testing.T) {
 	c := qt.New(t)
 	co := ResumeCoordinator(testConfig(2), testPlan("a", "b"))
--- a/gang/refusal.go
+++ b/gang/refusal.go
@@ -16,7 +16,7 @@
 	StaleEpoch
 	// WrongIncarnation means that the message was for another incarnation.
 	WrongIncarnation
-	// NotReady means that the agent has not learned yet which tasks its target
+	// NotReady means that the agent does not know yet which tasks its target
 	// runs.
 	NotReady
 	// AlreadyEnded means that the attempt has ended on this member.
--- a/gang/search.go
+++ b/gang/search.go
@@ -22,24 +22,20 @@
 
 // SearchConfig is the timing of a Search.
 type SearchConfig struct {
-	// LossTimeout is how long a silent agent is waited for before it counts as
+	// LossTimeout is how long an agent may be unresponsive before it counts as
 	// lost.
 	LossTimeout time.Duration
 	// FenceWait is Config.FenceWait.
 	FenceWait time.Duration
 }
 
-// Search looks through the agents' reports for attempts that predecessors
-// started on permits, which name no members. It uses the reports known at one
-// moment.
-//
-// A planner that holds a permit may start the job without a record and then
-// die or be cut off. Without the search its successor would start the job a
-// second time.
+// Search looks through the agents' reports at one moment for attempts that
+// predecessors started on permits, which name no members. Without it, a
+// successor could start such a job a second time.
 type Search struct {
 	config        SearchConfig
 	now           time.Time
-	allFenced     bool // all agents are, see isFenced
+	allFenced     bool // isFenced holds for all agents
 	attemptsByJob map[string][]foundAttempt
 }
 
@@ -58,8 +54,8 @@
 
 // Results of a Search.
 const (
-	// SearchPending means that the job may be running somewhere; its tasks
-	// must not be stopped.
+	// SearchPending means that the job may still run somewhere; its tasks must
+	// not be stopped.
 	SearchPending SearchResult = iota
 	// Adoptable means that all members know the attempt of the returned plan.
 	// ResumeCoordinator finds out how far it got or how it ended.
@@ -122,16 +118,14 @@
 }
 
 // Resolve returns what is known of a job whose permit belongs to the given
-// epoch and which the successor has been looking for since began.
-//
-// It waits for the loss timeout, so that agents never heard from count as
-// lost, and until all others have been fenced for FenceWait. By then a gang
-// with a member on one of these was reported by all members or has stopped by
-// isolation; a gang without one may still run completely, which repeatable
-// jobs allow.
+// epoch and which the successor has been looking for since began. An intact
+// attempt is adopted at once, an ended one only after a wait, since the job may
+// have been started again elsewhere.
 //
-// An intact attempt is adopted at once. One that has ended is not, since the
-// job may have been started again elsewhere.
+// The wait ends when the loss timeout has passed and all agents that are not
+// lost have been fenced for FenceWait. By then a gang with a member on one of
+// these was reported by all members or has stopped by isolation. A gang that is
+// entirely on lost agents may still run, which repeatable jobs allow.
 func (s *Search) Resolve(job string, epoch uint64, began time.Time) (SearchResult, Plan) {
 	latest, anyFound := s.latestComplete(job, epoch)
 	waiting := s.now.Sub(began) < s.config.LossTimeout || !s.allFenced
--- a/gang/search_test.go
+++ b/gang/search_test.go
@@ -7,10 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A planner that is gone started job "j" on a permit, on agents "a" and "b".
-// Each row is what its successor knows at some moment and must conclude: an
-// agent that is not fenced, or only just was, may still start or run part of
-// the gang.
+// A successor must not end its search while an agent that is not fenced, or
+// only just was, may still start or run part of a gang.
 func TestSearch(t *testing.T) {
 	const lossTimeout, fenceWait = 20 * time.Second, 15 * time.Second
 	began := time.Unix(1000, 0)
@@ -66,8 +64,8 @@
 	}
 }
 
-// Two attempts were made on one permit and a task of the aborted one is left.
-// The successor must resume the latest one.
+// If agents hold two attempts made on one permit, the successor must resume the
+// latest one.
 func TestSearchAdoptsLatestAttempt(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
--- a/gang/sim_check_test.go
+++ b/gang/sim_check_test.go
@@ -15,7 +15,7 @@
 type simHistory struct {
 	recorded           map[ID]bool
 	permits            map[simPermitKey]bool
-	reportedNotRun     map[string]bool // jobs whose callers were told that they did not run
+	reportedNotRun     map[string]bool // jobs reported to their callers as not run
 	committed          map[simAgentAttempt]bool
 	commitCount        map[ID]int
 	stopped            map[simAgentAttempt]bool
--- a/gang/sim_permit_test.go
+++ b/gang/sim_permit_test.go
@@ -249,7 +249,7 @@
 	rec.revision++
 }
 
-// reportNotRun records that a caller was told that the job did not run.
+// reportNotRun records that a job was reported to its caller as not run.
 func (s *simulation) reportNotRun(job int) {
 	name := s.jobs[job].name
 	if ran := s.history.attemptsByJob[name]; len(ran) > 0 {
--- a/gang/sim_planner_test.go
+++ b/gang/sim_planner_test.go
@@ -66,7 +66,8 @@
 
 func (p *simPlanner) name() string { return fmt.Sprint("planner ", p.epoch) }
 
-// whenNotPaused runs f now, or after the planner's pause.
+// whenNotPaused runs f now, or after the planner's pause. A stopped planner
+// runs nothing.
 func (p *simPlanner) whenNotPaused(f func()) {
 	switch {
 	case p.dead:
@@ -77,8 +78,8 @@
 	}
 }
 
-// storeCall runs an operation at the store. Its reply may be lost after it
-// took effect, and it may take effect long after the planner has given it up.
+// storeCall runs an operation at the store. Its reply may be lost, and it may
+// take effect long after the planner has stopped waiting for it.
 func (p *simPlanner) storeCall(op func(), done func(ok bool)) {
 	s := p.sim
 	reachable := func() bool { return !s.store.down && !p.storeUnreachable }
--- a/gang/sim_test.go
+++ b/gang/sim_test.go
@@ -11,9 +11,8 @@
 	simSeed = flag.Uint64("gang.seed", 1, "seed of the first world")
 )
 
-// TestRandomFailures simulates agents, planners, a store and a network that
-// all fail, and checks each start, each outcome and the final state against
-// what actually happened. A longer run:
+// Checks every start, every outcome and the final state while agents, planners,
+// the store and the network fail. A longer run:
 //
 //	go test ./gang -run RandomFailures -v -gang.worlds 5000 -gang.seed 1000
 func TestRandomFailures(t *testing.T) {
--- a/planner/config.go
+++ b/planner/config.go
@@ -37,7 +37,7 @@
 	Agents  AgentClient
 	Metrics *metrics.Set
 	Log     *logrus.Entry
-	// Document is the document in force at the start of the term.
+	// Document is the active document at the start of the term.
 	Document  *document.ActiveVersion
 	Retention RetentionLease
 }
--- a/planner/explain.go
+++ b/planner/explain.go
@@ -43,11 +43,9 @@
 )
 
 // Explain reports why a job waits. Known is false if there is no record of the
-// job. Answered is false if the context or the term ended first.
-//
-// It is safe for concurrent use. However often it is called, the workers are
-// traversed at most once a second for each queue of jobs that need more cores
-// or memory than come with an accelerator, and never for other jobs.
+// job. Answered is false if the context or the term ended first. Explain is
+// safe for concurrent use and traverses the workers at most once a second for
+// each queue of jobs, however often it is called.
 func (p *Planner) Explain(ctx context.Context, id string) (wait WaitStatus, known, answered bool) {
 	type answer struct {
 		wait  WaitStatus
--- a/planner/permit_test.go
+++ b/planner/permit_test.go
@@ -17,13 +17,12 @@
 	"github.com/eelgrasshub/eelgrasshub/store/standin"
 )
 
-// largeJob is so many of the accelerators of allWorkers that no two such jobs
-// run at once, and none beside the job that is not repeatable.
+// largeJob is the size of jobs so large that no two of them run at once on
+// allWorkers, and none together with the job that is not repeatable.
 const largeJob = 48
 
-// While the store is unavailable, a job with a permit must start on the
-// accelerators of a gang that ends, although jobs without permits are ahead of
-// it in the queue. Each job must run and end once.
+// While the store is unavailable, a job with a permit must start when a gang
+// ends, ahead of jobs without permits, and each job must run and end once.
 func TestPermittedJobStartsDuringOutage(t *testing.T) {
 	b := newBench(t)
 	for i := range b.document.Document.Accounts {
@@ -57,9 +56,8 @@
 	b.c.Assert(agents.startsOf("waits"), qt.Equals, largeJob/8)
 }
 
-// A job starts on its permit while the store is unavailable, and its planner
-// stops. The successor must find it at the agents and not start it a second
-// time.
+// The successor of a planner that started a job on a permit during an outage
+// must find the job at the agents and not start it again.
 func TestSuccessorFindsJobStartedOnPermit(t *testing.T) {
 	for _, done := range []bool{false, true} {
 		b := newBench(t)
@@ -90,9 +88,8 @@
 	}
 }
 
-// A job with a permit is cancelled while its planner is disconnected from the
-// store and starts it. The caller must not be told that it did not run, and
-// the job must be stopped and end as cancelled.
+// A job that was started on a permit after its cancellation must be stopped and
+// end as cancelled, and not be reported as not run.
 func TestCancelWhilePlannerIsDisconnected(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents(allWorkers...)
@@ -114,8 +111,8 @@
 	b.c.Assert(final.Attempt, qt.Not(qt.Equals), uint64(0)) // 0 would claim that it did not run
 }
 
-// A planner that has not used a job's permit must report a cancelled job as
-// not run, so that the caller may submit it elsewhere.
+// A cancelled job whose permit was not used must be reported as not run, so
+// that the caller may submit it elsewhere.
 func TestCancelWithUnusedPermitReportsNotRun(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents(allWorkers...)
@@ -130,8 +127,8 @@
 	b.c.Assert(final.Members, qt.HasLen, 0)
 }
 
-// When a planner is stopped or superseded, its successor must not wait for the
-// loss timeout before it starts jobs whose permits were never used.
+// The successor of a stopped or superseded planner must not wait for the loss
+// timeout before it starts jobs whose permits were never used.
 func TestUnusedPermitsAreReturned(t *testing.T) {
 	for _, planned := range []bool{true, false} {
 		b := newBench(t)
@@ -160,9 +157,8 @@
 	}
 }
 
-// A term ends after the store has written a permit and before the planner
-// knows it. Unless that permit is returned too, the successor delays the job
-// for the loss timeout.
+// A permit whose write is unconfirmed when the term ends must be returned too,
+// or the successor delays the job for the loss timeout.
 func TestUnconfirmedPermitIsReturned(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents(allWorkers...)
@@ -185,9 +181,8 @@
 	b.c.Assert(b.state("waits"), qt.Equals, jobs.Queued)
 }
 
-// A planner stops without returning an unused permit. Its successor must start
-// the job only once the agents are fenced and unreachable members have
-// stopped, and jobs without permits at once.
+// A successor must delay a job with a permit that was not returned until
+// predecessors can't run it any more, but no other jobs.
 func TestSuccessorDelaysJobWithUnusedPermit(t *testing.T) {
 	b := newBench(t)
 	b.document.Document.Gang.LossTimeout.Duration = time.Hour
@@ -217,10 +212,8 @@
 	b.c.Assert(agents.startsOf("waits"), qt.Equals, largeJob/8)
 }
 
-// The outcome of writing a placement is unknown, and the attempt is lost. The
-// job must not be started on its permit again: a successor that reads the
-// placement would resolve only the first attempt and start the job a second
-// time.
+// After the outcome of writing a placement is unknown, the job must not start
+// on its permit again: a successor could start it a second time.
 func TestRecordedPlacementVoidsPermit(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents(allWorkers...)
@@ -370,8 +363,8 @@
 	return env.planner(epoch, agents), disconnected
 }
 
-// Workers that refuse a job because an unresolved job of a predecessor uses
-// their accelerators must not be quarantined.
+// A worker must not be quarantined for refusing a job because an unresolved job
+// of a predecessor uses its accelerators.
 func TestWorkersOfUnresolvedJobAreNotAtFault(t *testing.T) {
 	b := newBench(t)
 	p := b.planner(2, newFakeAgents())
@@ -392,9 +385,8 @@
 	<-done
 }
 
-// A job that may have run partially must not end as rejected when its deadline
-// passes or it turns out to be too large, since that claims that it did not
-// run.
+// A job that may have run must not end as rejected for its deadline or its
+// size, since that state claims that it did not run.
 func TestJobThatMayHaveRunIsNotRejected(t *testing.T) {
 	b := newBench(t)
 	p := b.planner(1, newFakeAgents())
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -46,7 +46,7 @@
 func Start(cfg Config) *Planner {
 	recent, err := lru.New[string, jobs.Stored](maxRecentlyEnded)
 	if err != nil {
-		panic(err) // only for a size below 1
+		panic(err) // the size is a positive constant
 	}
 	p := &Planner{
 		cfg:            cfg,
@@ -80,7 +80,7 @@
 	return p.tomb.Dead()
 }
 
-// SetDocument puts a new generation of the document in force.
+// SetDocument activates a new generation of the document.
 func (p *Planner) SetDocument(doc *document.ActiveVersion) {
 	p.post(func() {
 		p.doc = doc
@@ -148,8 +148,8 @@
 	}
 }
 
-// endSuperseded ends the term because a higher epoch is in charge. Nothing may
-// be written any more. Epoch is 0 if the higher one is not known.
+// endSuperseded ends the term because another planner has a higher epoch. Nothing
+// may be written any more. epoch is 0 if the higher one is not known.
 func (p *Planner) endSuperseded(reason string, epoch uint64) {
 	if !p.superseded {
 		p.cfg.Log.WithField("higher_epoch", epoch).Warn("planner superseded: " + reason)
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -17,7 +17,7 @@
 // document. With fewer, a job that is not repeatable may rightly wait forever.
 var allWorkers = []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 
-// A job starts on two workers at once, and its end is recorded.
+// A job must start on two workers at once, and its end must be recorded.
 func TestGangStartsAndEnds(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents(allWorkers...)
@@ -31,8 +31,8 @@
 	b.c.Assert(agents.startsOf("j"), qt.Equals, 2)
 }
 
-// A job is cancelled while its accelerators are being reserved. It must not
-// run, and its accelerators must become free for the next job.
+// A job cancelled while its accelerators are being reserved must not run, and
+// they must become free for the next job.
 func TestCancelDuringReservationPreventsStart(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents("a")
@@ -57,8 +57,8 @@
 	b.c.Assert(b.state("j"), qt.Equals, jobs.Cancelled)
 }
 
-// A planner that has lost its leadership still writes job records beside its
-// successor. Only one of them may start the job, and the job must end once.
+// A planner that has lost its leadership and its successor must together start
+// a job once, although both write job records.
 func TestPredecessorAndSuccessorStartOnce(t *testing.T) {
 	for _, repeatable := range []bool{true, false} {
 		b := newBench(t)
@@ -79,8 +79,8 @@
 	}
 }
 
-// A successor must take over a running gang from the job's record and the
-// agents' reports, neither starting it again nor losing its end.
+// A successor must take over a running gang from its record and the agents'
+// reports, neither starting it again nor losing its end.
 func TestSuccessorAdoptsRunningGang(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents(allWorkers...)
@@ -102,10 +102,8 @@
 	b.c.Assert(agents.startsOf("j"), qt.Equals, 2)
 }
 
-// An agent is lost with a task, and the job's next attempt is aborted before
-// its start is recorded, so that the record still names the lost attempt. When
-// the agent is back, the task must be stopped, or it keeps its accelerators
-// from the job.
+// A task left on an agent that was lost must be stopped when the agent returns,
+// although the record still names its attempt.
 func TestOrphanIsStoppedAfterRefusal(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents("a")
@@ -127,8 +125,8 @@
 	})
 }
 
-// A gang ends while the store is unavailable. Its end must be recorded once
-// the store is back.
+// The end of a gang while the store is unavailable must be recorded once the
+// store is available again.
 func TestEndIsWrittenAfterOutage(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents("a")
@@ -167,9 +165,8 @@
 	return <-known
 }
 
-// After a restore of the store, a planner gets an epoch below one that agents
-// have heard of. Unless it reports that epoch, no later term gets a higher one
-// and nothing is started any more.
+// A planner whose epoch is below one that agents know must report that epoch,
+// or no later term gets a higher one and nothing starts.
 func TestSupersedingEpochIsReported(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents("a")
@@ -180,9 +177,8 @@
 	b.c.Assert(p.SupersedingEpoch(), qt.Equals, uint64(9))
 }
 
-// A delayed watch delivers the record of a job's start after the planner has
-// forgotten the ended job. The planner must not take it for an attempt of
-// another planner.
+// The record of a start that a delayed watch delivers after the job has ended
+// must not be taken for an attempt of another planner.
 func TestDelayedWatchDoesNotReviveEndedJob(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents("a")
--- a/planner/policy.go
+++ b/planner/policy.go
@@ -57,8 +57,8 @@
 }
 
 // schedulerJob returns the scheduler's view of a record. Priority, urgency and
-// borrowing are taken from the class in force now, so that operators can
-// change them for waiting jobs.
+// borrowing are taken from the class in the active document, so that operators
+// can change them for waiting jobs.
 func schedulerJob(r jobs.Record, d *document.Document) scheduler.Job {
 	j := scheduler.Job{
 		ID:             scheduler.JobID(r.ID),
--- a/planner/report.go
+++ b/planner/report.go
@@ -30,7 +30,7 @@
 	// StoreUnavailable is set if the store did not answer a write of this
 	// planner and has not answered since.
 	StoreUnavailable bool
-	// Generation is the generation of the document in force.
+	// Generation is the generation of the active document.
 	Generation uint64
 	// RecordsLoaded is set once all job records have been read.
 	RecordsLoaded bool
@@ -40,7 +40,7 @@
 
 // reportCache holds the last report and what is needed to build explanations.
 type reportCache struct {
-	mu      sync.Mutex // held while a report is built, so that concurrent callers share it
+	mu      sync.Mutex // held while a report is built, so that concurrent callers share one
 	last    Report
 	takenAt time.Time // when last was built, by clock.Now
 
--- a/planner/start_record.go
+++ b/planner/start_record.go
@@ -70,8 +70,8 @@
 	p.stepCoordinator(j, gang.Recorded{Result: result})
 }
 
-// notifyRecorded tells the attempt's coordinator the result of recording its
-// start without a write.
+// notifyRecorded passes the result of recording a start without a write to
+// the attempt's coordinator.
 func (p *Planner) notifyRecorded(j *job, id gang.ID, r gang.RecordResult) {
 	if j.coord != nil && j.coord.Plan().ID == id {
 		p.stepCoordinator(j, gang.Recorded{Result: r})
--- a/planner/start_record_test.go
+++ b/planner/start_record_test.go
@@ -12,9 +12,8 @@
 	"github.com/eelgrasshub/eelgrasshub/scheduler"
 )
 
-// The watch delivers a cancellation just before the planner records the start.
-// Writing over that version of the record would run a job whose caller was
-// told that it did not run.
+// Writing a start over a cancellation that the watch has delivered would run a
+// job whose caller was told that it did not run.
 func TestStartIsNotRecordedOverCancellation(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents("a")
@@ -45,8 +44,8 @@
 	b.c.Assert(agents.startsOf("j"), qt.Equals, 0)
 }
 
-// A worker that refuses attempts while the messages that end earlier holds are
-// under way must not be quarantined.
+// A worker must not be quarantined for refusing attempts while messages that
+// release earlier reservations are still under way.
 func TestRefusalsAfterAbortsAreNotFailures(t *testing.T) {
 	b := newBench(t)
 	agents := newFakeAgents("a")
--- a/planner/worker.go
+++ b/planner/worker.go
@@ -114,6 +114,8 @@
 	}
 }
 
+// isExpectedTask reports whether the task belongs to an attempt that the
+// planner coordinates, that a record names or that a search may still need.
 func (p *Planner) isExpectedTask(agent string, t gang.Task) bool {
 	j := p.jobs[t.ID.Job]
 	if j == nil {
@@ -129,8 +131,8 @@
 	return r.Epoch == t.ID.Epoch && r.Number == t.ID.Number && j.endedAttempt != t.ID
 }
 
-// handleAgentLost handles an agent that was silent for the loss timeout or has
-// left.
+// handleAgentLost handles an agent that has not reported for the loss timeout
+// or has left.
 func (p *Planner) handleAgentLost(id string, w *worker) {
 	if !w.up {
 		return
--- a/scheduler/account.go
+++ b/scheduler/account.go
@@ -3,7 +3,7 @@
 // account is the state of one client account.
 type account struct {
 	policy            AccountPolicy
-	declared          bool // in the policy in force
+	declared          bool // in the active policy
 	queueByKey        map[queueKey]*queue
 	queueList         []*queue // the queues, oldest first, for a deterministic order
 	waiting           int
@@ -11,7 +11,7 @@
 	cpuJobCores       int // cores in use by jobs without accelerators
 	running           int
 	blocks            []*block
-	blockGen          uint64 // changes when room in its blocks may have grown
+	blockGen          uint64 // changes when unused capacity of its blocks may have grown
 	evicted           EvictionTotals
 }
 
--- a/scheduler/backfill_test.go
+++ b/scheduler/backfill_test.go
@@ -7,9 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestCheckpointableJobBackfillsReservation verifies that a checkpointable job
-// runs on idle reserved capacity and is stopped once the rest of the
-// reservation is free. A job that would lose its work must not run there.
+// A checkpointable job must run on idle reserved capacity until the reservation
+// is otherwise complete; a job that would lose its work must not.
 func TestCheckpointableJobBackfillsReservation(t *testing.T) {
 	b := newHarness(t, Policy{Accounts: []AccountPolicy{{ID: "a"}, {ID: "b"}}}, eightAcceleratorWorkers(2)...)
 	b.submit(Job{ID: "busy", Account: "a", Accelerators: 8, Adjacency: AdjacentWorker, Estimate: time.Hour})
@@ -27,9 +26,8 @@
 	b.Assert(actionsOf[StartGang](b.endAttempt("saves", Stopped, ""))[0].Job, qt.Equals, JobID("gang"))
 }
 
-// TestGangPreemptsCheckpointableJob verifies that a reservation evicts a
-// checkpointable job that is more than half as large as the gang, however often
-// it was evicted before.
+// A reservation must evict a checkpointable job that is more than half as large
+// as the gang, however often it was evicted before.
 func TestGangPreemptsCheckpointableJob(t *testing.T) {
 	b := newHarness(t, Policy{Accounts: []AccountPolicy{{ID: "a"}, {ID: "b"}}}, eightAcceleratorWorkers(3)...)
 	b.submit(Job{ID: "saves", Account: "a", Accelerators: 16, Checkpointable: true, Estimate: time.Hour})
@@ -40,9 +38,8 @@
 	b.Assert(actionsOf[StopGang](b.step(Tick{})), qt.DeepEquals, []StopGang{{Job: "saves", Attempt: 1, Checkpoint: true, Reason: StopReclaim}})
 }
 
-// TestBlockedReservationIsNotBackfilledAgain verifies that a reservation that
-// waits only for a block to move is not backfilled: the job would be stopped
-// and started over and over.
+// Backfilling a reservation that waits only for a block to move would stop and
+// start the job over and over.
 func TestBlockedReservationIsNotBackfilledAgain(t *testing.T) {
 	b := newHarness(t, ownerAndGuest, eightAcceleratorWorkers(3)...)
 	protected := Job{ID: "protected", Account: "guest", Accelerators: 8, Adjacency: AdjacentWorker, Class: "f", Estimate: 2 * time.Hour}
--- a/scheduler/baseline_test.go
+++ b/scheduler/baseline_test.go
@@ -8,11 +8,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// baseline is the scheduler that benchmarks compare against. It starts jobs in
-// order of arrival by first fit, without reservations or predictions, and
-// passes over jobs that don't fit. Guarantees are sums: an account below the
-// sum of its shapes has the youngest borrowers evicted until enough
-// accelerators are free.
+// baseline is the scheduler that benchmarks compare against: first fit in order
+// of arrival, without reservations or predictions, skipping jobs that don't
+// fit. Guarantees are sums: an account below the sum of its shapes has the
+// youngest borrowers evicted until enough accelerators are free.
 type baseline struct {
 	// strict lets no job pass the first one in the queue.
 	strict bool
@@ -82,8 +81,8 @@
 	return append(out, b.startQueued()...)
 }
 
-// applyPolicy puts the policy of a batch in force after the workers of the
-// batch are added, since the simulator sends the policy first.
+// applyPolicy applies the policy of a batch after its workers are added, since
+// the simulator sends the policy first.
 func (b *baseline) applyPolicy() {
 	for _, a := range b.policy.Accounts {
 		for _, g := range a.Guaranteed {
@@ -169,8 +168,8 @@
 	return out
 }
 
-// firstFit takes the first workers in order that have room within one unit of a
-// span.
+// firstFit takes the first workers in order that have enough free accelerators
+// within one unit of a span.
 func (b *baseline) firstFit(a AccountID, need int, span Adjacency) []allocation {
 	have := map[string]int{}
 	unitName := func(w *Worker) string {
@@ -304,9 +303,8 @@
 	return free
 }
 
-// TestBaselinePartitionsWorkers verifies that the baseline sets workers aside
-// although the simulator sends the policy before the workers. Otherwise
-// benchmarks would compare against first fit without guarantees.
+// The baseline must partition workers although the simulator sends the policy
+// first, or benchmarks would compare against first fit without guarantees.
 func TestBaselinePartitionsWorkers(t *testing.T) {
 	p := newBaseline(false)
 	p.partitioned = true
--- a/scheduler/borrowing.go
+++ b/scheduler/borrowing.go
@@ -6,9 +6,8 @@
 )
 
 // stopBorrowing keeps a job that has just lost work to a claim off capacity
-// that blocks may need, if it fits beside all blocks on idle workers. Such a
-// job can't be evicted for a claim again; otherwise a long job could borrow, be
-// evicted and start over again and again.
+// that blocks may need, if it fits on idle workers together with all blocks.
+// Otherwise a long job could borrow, be evicted and start over again and again.
 func (s *Scheduler) stopBorrowing(j *job) {
 	if j.Accelerators == 0 || j.Checkpointable || j.borrowingEnded || !s.hasGuarantees() {
 		return
@@ -17,9 +16,9 @@
 	j.borrowingEnded = s.fitsMinShare(&k) && s.fitsWithAllBlocks(demand{j.Accelerators, j.Adjacency})
 }
 
-// resumeBorrowing lets jobs borrow again that no longer fit beside all blocks
-// because workers are gone or the policy guarantees more. They would otherwise
-// wait forever while unused guaranteed capacity is idle.
+// resumeBorrowing lets jobs borrow again that no longer fit together with all
+// blocks, because workers were lost or the policy guarantees more. They would
+// otherwise wait forever while unused guaranteed capacity is idle.
 func (s *Scheduler) resumeBorrowing() {
 	if s.borrowingGen == s.shrinkGen {
 		return
--- a/scheduler/check.go
+++ b/scheduler/check.go
@@ -10,11 +10,10 @@
 var ErrInvariant = errors.New("scheduler invariant broken")
 
 // Check recounts the whole state from attempts, claims and blocks and compares
-// it with the maintained counts. It verifies that no accelerator is held twice,
-// that no gang is held in part, that every job is in exactly one place, and
-// that the unused blocks of all accounts except the unbound ones fit at once
-// into capacity that is free or held by evictable work. Its cost is linear in
-// workers and jobs.
+// it with the maintained counts. It also verifies that no accelerator is held
+// twice, that no gang is held in part, that every job is in exactly one place,
+// and that all bound unused blocks fit at once into capacity that is free or
+// held by evictable work. Its cost is linear in workers and jobs.
 func (s *Scheduler) Check() error {
 	for _, f := range []func() error{s.checkJobs, s.checkNodes, s.checkBlocks, s.checkQueues} {
 		if err := f(); err != nil {
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -18,7 +18,7 @@
 // Open capacity is idle and neither claimed nor reserved, whether or not unused
 // blocks are bound to it. A borrower is an evictable attempt that runs outside
 // the blocks of its account. A claim sets capacity aside for one job: either
-// room in the blocks of its account, for which borrowers are evicted, or a
+// unused capacity of its account's blocks, for which borrowers are evicted, or a
 // reservation, which waits for other work to end.
 //
 // # Guarantees
--- a/scheduler/event.go
+++ b/scheduler/event.go
@@ -14,7 +14,7 @@
 	// WorkerDraining reports that a worker takes no new work but finishes what
 	// it runs.
 	WorkerDraining struct{ ID WorkerID }
-	// PolicyChanged puts a policy in force.
+	// PolicyChanged activates a policy.
 	PolicyChanged struct{ Policy Policy }
 	// JobsSubmitted queues jobs. Jobs that are already known are ignored.
 	JobsSubmitted struct{ Jobs []Job }
--- a/scheduler/explain.go
+++ b/scheduler/explain.go
@@ -8,13 +8,13 @@
 )
 
 // Explain returns why a job has not started, as of the last decision. It
-// reports false for a job that is not known. It changes no scheduling state,
-// except that it counts as a use of the run times recorded for the job's class.
+// reports false for a job that is not known. It changes no scheduling state
+// except that it counts as a use of the run times recorded for the job's class,
+// and must run on the goroutine that owns the Scheduler.
 //
 // WaitFitsNow guarantees that the next Step starts the job unless its event or
 // the passing of time changes the state first. WaitNoPlace, WaitNoCapacity and
-// WaitOverShare guarantee that open capacity has no place for the job. Explain
-// must run on the goroutine that owns the Scheduler.
+// WaitOverShare guarantee that open capacity has no place for the job.
 func (s *Scheduler) Explain(id JobID) (Explanation, bool) {
 	state := s.newExplainState()
 	return s.explain(id, func(q *queue, j *job) Explanation { return s.explainHead(q, j, state) })
--- a/scheduler/explain_blocked.go
+++ b/scheduler/explain_blocked.go
@@ -47,8 +47,9 @@
 	return place != nil || s.findTimedBackfill(j, &q.key) != nil
 }
 
-// mayClaimAgain reports whether blocks of the account have gained room for a
-// job since its queue last tried to claim it.
+// mayClaimAgain reports whether a job may fit into blocks of its account again,
+// because their unused capacity may have grown since its queue last tried to
+// claim them.
 func (s *Scheduler) mayClaimAgain(q *queue, j *job) bool {
 	if q.noClaimStamp >= s.claimStamp(j.account, afterOpen) {
 		return false
--- a/scheduler/explain_next.go
+++ b/scheduler/explain_next.go
@@ -72,7 +72,7 @@
 	return true
 }
 
-// mayClaim reports whether a job of an account may claim room in its blocks
+// mayClaim reports whether a job of an account may claim one of its blocks
 // before open capacity is given out.
 func (s *Scheduler) mayClaim(a *account) bool {
 	for _, q := range a.queueList {
--- a/scheduler/explain_test.go
+++ b/scheduler/explain_test.go
@@ -11,9 +11,8 @@
 // reasonCounts counts the explanations in a randomised run by reason.
 type reasonCounts map[WaitReason]int
 
-// TestExplanationsMatchDecisions compares every explanation with the next
-// decision and with a search of all workers that shares no code with the
-// indexes.
+// Every explanation must agree with the next decision and with a search of all
+// workers that does not use the indexes.
 func TestExplanationsMatchDecisions(t *testing.T) {
 	counts := reasonCounts{}
 	for seed := range uint64(12) {
@@ -76,7 +75,7 @@
 			expectedStarts = append(expectedStarts, id)
 			counts[WaitFitsNow]++
 		case WaitNextDecision, WaitReclaim, WaitReserved, WaitBehind, WaitNone:
-			// These may start, or are not the first of their queue.
+			// These may or may not start in the next decision.
 		case WaitReservations:
 			if !binds {
 				expectedWaits = append(expectedWaits, id)
@@ -231,8 +230,8 @@
 	return u
 }
 
-// TestOverShareNamesFirstJob verifies that a job that waits for a job of an
-// account with a lower share is told which one.
+// The explanation of a job that waits for a job of an account with a lower
+// share must name that job.
 func TestOverShareNamesFirstJob(t *testing.T) {
 	c := qt.New(t)
 	p := Policy{Generation: 1, Accounts: []AccountPolicy{{ID: "heavy"}, {ID: "light"}}}
@@ -250,8 +249,8 @@
 	c.Check(ok, qt.IsFalse)
 }
 
-// TestLargeJobIsSettlingNotImpossible verifies that a job too large for the
-// workers registered so far is not called impossible while settling.
+// A job too large for the workers registered so far must not be called
+// impossible while settling.
 func TestLargeJobIsSettlingNotImpossible(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(1e6, 0)
--- a/scheduler/guarantee.go
+++ b/scheduler/guarantee.go
@@ -23,8 +23,8 @@
 }
 
 // claimStamp identifies the state of an account's blocks, and a phase. A queue
-// that found no room in the blocks is not tried again up to the same stamp. It
-// is never 0.
+// whose first job fits into no block is not tried again up to the same stamp.
+// It is never 0.
 func (s *Scheduler) claimStamp(a *account, p claimPhase) uint64 {
 	return (a.blockGen+1)*2 + uint64(p)
 }
@@ -33,7 +33,7 @@
 func (s *Scheduler) phaseStamp(p claimPhase) uint64 { return s.steps*2 + uint64(p) }
 
 // nextClaimant returns the queue whose first job precedes the others among
-// those that may still find room in the blocks of an account, or nil.
+// those that may still fit into the blocks of an account, or nil.
 func (s *Scheduler) nextClaimant(a *account, p claimPhase) *queue {
 	var best *queue
 	for _, q := range a.queueList {
@@ -58,8 +58,7 @@
 	return j
 }
 
-// claimBlocks claims room in the blocks of an account for the first job of a
-// queue.
+// claimBlocks claims blocks of an account for the first job of a queue.
 func (s *Scheduler) claimBlocks(q *queue, p claimPhase) {
 	j := s.firstUnclaimed(q)
 	c, yields := s.findClaim(j, &q.key, p)
@@ -170,8 +169,8 @@
 	return true
 }
 
-// claimBlock claims room in one block. An unused block is first moved to the
-// place where the claim evicts least.
+// claimBlock claims unused capacity of one block. An unused block is first
+// moved to the place where the claim evicts least.
 func (s *Scheduler) claimBlock(j *job, k *queueKey, b *block) *claim {
 	if b.used == 0 && s.fitsMinShare(k) {
 		s.moveToCheapestPlace(b, k)
@@ -179,8 +178,8 @@
 	return s.newClaim(j, s.blockUsesFor(b, k))
 }
 
-// claimSeveralBlocks claims room in several blocks for a gang that may be
-// spread over the domain.
+// claimSeveralBlocks claims unused capacity of several blocks for a gang that
+// may be spread over the domain.
 func (s *Scheduler) claimSeveralBlocks(j *job, k *queueKey) *claim {
 	if !s.fitsMinShare(k) {
 		return nil
--- a/scheduler/guarantee_test.go
+++ b/scheduler/guarantee_test.go
@@ -33,9 +33,8 @@
 	return starts
 }
 
-// TestJobUsesUnusedBlockAtOnce verifies that jobs of an account claim its
-// unused block on a full site at once, even if they don't have exactly the
-// shape of the block.
+// Jobs must claim an unused block of their account on a full site at once, even
+// if they don't have exactly its shape.
 func TestJobUsesUnusedBlockAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -59,8 +58,8 @@
 	}
 }
 
-// TestSmallJobYieldsBlockToLargerJob verifies that a small job does not take
-// the block that a larger job of the account needs, unless it is urgent.
+// A small job must not take the block that a larger job of the account needs,
+// unless it is urgent.
 func TestSmallJobYieldsBlockToLargerJob(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -83,9 +82,8 @@
 	}
 }
 
-// TestAccountBeyondGuaranteeYieldsBeforeReclaim verifies that an account that
-// already uses more than its guarantee waits for ReclaimAfter before a small
-// job of it evicts others.
+// A small job of an account that uses more than its guarantee must wait for
+// ReclaimAfter before it evicts others.
 func TestAccountBeyondGuaranteeYieldsBeforeReclaim(t *testing.T) {
 	b := newHarness(t, rackOwnerAndGuests, eightAcceleratorWorkers(4)...)
 	b.submit(Job{ID: "borrowed", Account: "owner", Accelerators: 24, Adjacency: AdjacentZone, Repeatable: true, Submitted: b.now})
@@ -95,9 +93,8 @@
 	b.Assert(b.finishStops(b.step(Tick{}))[0].Job, qt.Equals, JobID("o"))
 }
 
-// TestJobWithinGuaranteeIsNotEvicted verifies that a job within the guarantee
-// of its account is evicted neither for a gang without a guarantee nor for
-// another account's claim.
+// A job within its account's guarantee must not be evicted for a gang without a
+// guarantee or for another account's claim.
 func TestJobWithinGuaranteeIsNotEvicted(t *testing.T) {
 	p := rackOwnerAndGuests
 	p.Objective = Fragmentation
@@ -124,9 +121,8 @@
 	}
 }
 
-// TestReservationDoesNotPreemptWithinGuarantee verifies that a reservation does
-// not evict a restored job that runs outside its account's unused block but
-// within the guarantee.
+// A reservation must not evict a restored job that runs outside its account's
+// unused block but within the guarantee.
 func TestReservationDoesNotPreemptWithinGuarantee(t *testing.T) {
 	b := newHarness(t, rackOwnerAndGuests, eightAcceleratorWorkers(4)...)
 	b.step(JobRestored{Job: Job{ID: "o", Account: "owner", Accelerators: 8, Repeatable: true}, Attempt: 1, Placement: Placement{{"w0", []int{0, 1, 2, 3, 4, 5, 6, 7}}}, Started: b.now})
@@ -139,9 +135,8 @@
 	b.Assert(actionsOf[StopGang](out), qt.HasLen, 0)
 }
 
-// TestProtectedRunYieldsToUnboundBlock verifies that a protected job that may
-// borrow becomes evictable when a block loses its worker and has no other
-// place. The guarantee must not show as degraded.
+// A protected job that may borrow must become evictable when a block can be
+// bound nowhere else, instead of degrading the guarantee.
 func TestProtectedRunYieldsToUnboundBlock(t *testing.T) {
 	p := Policy{Accounts: []AccountPolicy{
 		{ID: "owner", Guaranteed: []Shape{{8, AdjacentWorker, 1}}},
@@ -160,9 +155,8 @@
 	b.Assert(b.s.jobs["o"].run.protected, qt.IsFalse)
 }
 
-// TestNoBorrowStaysOffOthersGuarantees verifies that a repeatable job that may
-// not borrow waits instead of running on capacity guaranteed to another
-// account, and is not evicted.
+// A repeatable job that may not borrow must wait instead of running, and being
+// evicted, on capacity guaranteed to another account.
 func TestNoBorrowStaysOffOthersGuarantees(t *testing.T) {
 	b := newHarness(t, ownerAndGuest, eightAcceleratorWorkers(2)...)
 	job := Job{Account: "guest", Accelerators: 8, Adjacency: AdjacentWorker, Repeatable: true, NoBorrow: true}
@@ -174,9 +168,8 @@
 	b.Assert(actionsOf[StartGang](out), qt.HasLen, 1)
 }
 
-// TestBlockIsUnboundUnderRunThatLeftIt verifies that if a job that can't be
-// evicted loses one of its blocks, its other block does not count as unused
-// while the job holds its worker.
+// If a job that can't be evicted loses one of its blocks, its other block must
+// not count as unused while the job holds its worker.
 func TestBlockIsUnboundUnderRunThatLeftIt(t *testing.T) {
 	p := Policy{Accounts: []AccountPolicy{{ID: "owner", Guaranteed: []Shape{{8, AdjacentWorker, 2}}}}}
 	b := newHarness(t, p, eightAcceleratorWorkers(2)...)
@@ -185,9 +178,8 @@
 	b.Assert(actionsOf[GuaranteeDegraded](out), qt.DeepEquals, []GuaranteeDegraded{{"owner", Shape{8, AdjacentWorker, 2}, 2}})
 }
 
-// TestJobLargerThanItsBlockUsesBlock verifies that a job that may not borrow
-// can use what its own account's unused block is bound to. Otherwise it would
-// wait forever.
+// A job that may not borrow and is larger than its account's unused block must
+// be able to use the block's capacity, or it waits forever.
 func TestJobLargerThanItsBlockUsesBlock(t *testing.T) {
 	b := newHarness(t, rackOwnerAndGuests, eightAcceleratorWorkers(4)...)
 	out := b.submit(Job{ID: "o", Account: "owner", Accelerators: 24, Repeatable: true, NoBorrow: true})
@@ -196,9 +188,8 @@
 	b.Assert(b.s.unbound, qt.HasLen, 0)
 }
 
-// TestEvictedJobStopsBorrowing verifies that a job that has lost work to a
-// claim does not borrow again while it fits beside all blocks. It would be
-// evicted repeatedly.
+// A job that has lost work to a claim must not borrow again while it fits
+// together with all blocks, or it is evicted repeatedly.
 func TestEvictedJobStopsBorrowing(t *testing.T) {
 	b := newHarness(t, rackOwnerAndGuests, eightAcceleratorWorkers(4)...)
 	b.submit(Job{ID: "large", Account: "guest", Accelerators: 16, Repeatable: true, Submitted: b.now})
@@ -211,9 +202,8 @@
 	b.Assert(b.s.jobs["large"].run.protected, qt.IsTrue)
 }
 
-// TestJobResumesBorrowingOnSmallerSite verifies that a job that stopped
-// borrowing after an eviction borrows again when a worker is lost and it no
-// longer fits beside all blocks. Otherwise it would wait forever.
+// A job that stopped borrowing must borrow again when it no longer fits
+// together with all blocks, or it waits forever.
 func TestJobResumesBorrowingOnSmallerSite(t *testing.T) {
 	b := newHarness(t, rackOwnerAndGuests, eightAcceleratorWorkers(4)...)
 	b.submit(Job{ID: "large", Account: "guest", Accelerators: 16, Repeatable: true, Submitted: b.now})
@@ -228,9 +218,8 @@
 	b.Assert(b.s.jobs["large"].run != nil, qt.IsTrue, qt.Commentf("%+v", starts))
 }
 
-// TestProtectedRunStaysWhileOthersUseTheirBlocks verifies that protected jobs
-// stay protected when another account's block is unbound because of a larger
-// job of that account.
+// A protected job must stay protected when another account's block is unbound
+// because of a larger job of that account.
 func TestProtectedRunStaysWhileOthersUseTheirBlocks(t *testing.T) {
 	p := rackOwnerAndGuests
 	p.Accounts = append(p.Accounts, AccountPolicy{ID: "small", Guaranteed: []Shape{{2, AdjacentWorker, 1}}})
@@ -242,9 +231,8 @@
 	b.Assert(b.s.jobs["s"].run.protected, qt.IsTrue)
 }
 
-// TestOversizedJobRebindsItsBlockForOthers verifies that the unused block of an
-// account makes room for a block of another account that is in the way of a job
-// larger than the account's own block.
+// Blocks of other accounts in the way of a job larger than its own account's
+// block must be bound where that block was.
 func TestOversizedJobRebindsItsBlockForOthers(t *testing.T) {
 	p := rackOwnerAndGuests
 	p.Accounts = append(p.Accounts, AccountPolicy{ID: "other", Guaranteed: []Shape{{8, AdjacentWorker, 2}}})
@@ -254,8 +242,8 @@
 	b.Assert(actionsOf[StartGang](b.submit(Job{ID: "o", Account: "owner", Accelerators: 24, Adjacency: AdjacentRack})), qt.HasLen, 1)
 }
 
-// TestUnusedBlocksMoveTogetherForLargerJob verifies that unused blocks of an
-// account are bound in one rack for a job that needs several of them together.
+// Unused blocks of an account must be bound in one rack for a job that needs
+// several of them together.
 func TestUnusedBlocksMoveTogetherForLargerJob(t *testing.T) {
 	p := Policy{Accounts: []AccountPolicy{{ID: "owner", Guaranteed: []Shape{{8, AdjacentWorker, 2}}}, {ID: "guest"}}}
 	b := newHarness(t, p, eightAcceleratorWorkers(6)...)
--- a/scheduler/guarantee_use.go
+++ b/scheduler/guarantee_use.go
@@ -12,8 +12,7 @@
 
 // coveredByGuarantee reports whether evicting the attempt would leave its
 // account with less than its guarantee. Such an attempt runs outside the
-// blocks, because a larger job waited or the block was in use, but the account
-// has not used its guarantee up.
+// blocks, because a larger job waited or the block was in use.
 func (r *run) coveredByGuarantee() bool { return !guaranteesMetWithout([]*run{r}) }
 
 // guaranteesMetWithout reports whether the accounts of all attempts would still
--- a/scheduler/model_test.go
+++ b/scheduler/model_test.go
@@ -313,9 +313,8 @@
 	m.step(Batch{append(evs, JobsSubmitted{waiting})})
 }
 
-// claimAllGuarantees brings every worker up and lets all accounts claim all
-// their shapes at once. All claims must start once the evicted work has
-// stopped.
+// claimAllGuarantees brings every worker up and claims all guaranteed shapes at
+// once. All claims must start once the evicted work has stopped.
 func (m *model) claimAllGuarantees() {
 	for _, id := range m.ids {
 		if !m.up[id] {
@@ -362,8 +361,7 @@
 	}
 }
 
-// TestRandomisedRun applies random events and checks the invariants and the
-// model after each one.
+// Checks the invariants and the model after each random event.
 func TestRandomisedRun(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
@@ -376,8 +374,7 @@
 	}
 }
 
-// TestRandomisedRunLong is TestRandomisedRun with the length and seed of the
-// flags.
+// Runs TestRandomisedRun with the length and seed of the flags.
 func TestRandomisedRunLong(t *testing.T) {
 	if *longSteps == 0 {
 		t.Skip("set -scheduler.long")
--- a/scheduler/open.go
+++ b/scheduler/open.go
@@ -179,7 +179,8 @@
 	return place
 }
 
-// tryCPUJob starts a job without accelerators if a worker has room.
+// tryCPUJob starts a job without accelerators if a worker has the cores and
+// memory left.
 func (s *Scheduler) tryCPUJob(j *job) bool {
 	n := s.placeCPU(j.Cores, j.MemoryMB)
 	if n == nil && j.cpuNode != nil && j.cpuNode.freeCPUCores >= j.Cores && j.cpuNode.freeCPUMem >= j.MemoryMB {
--- a/scheduler/policy.go
+++ b/scheduler/policy.go
@@ -35,7 +35,7 @@
 const DefaultMaxQueued = 20_000
 
 // Policy is the part of a service document that configures the scheduler. A
-// policy whose Generation is lower than that of the one in force is ignored.
+// policy whose Generation is lower than that of the active one is ignored.
 // Fields after Accounts take their defaults if they are zero.
 type Policy struct {
 	Generation uint64
--- a/scheduler/policy_change.go
+++ b/scheduler/policy_change.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// applyPolicy puts a policy in force. Blocks that stay guaranteed keep their
+// applyPolicy activates a policy. Blocks that stay guaranteed keep their
 // bindings and the jobs in them.
 func (s *Scheduler) applyPolicy(p Policy) {
 	if p.Generation < s.policy.Generation {
--- a/scheduler/predict.go
+++ b/scheduler/predict.go
@@ -13,7 +13,8 @@
 	maxClasses = 4096
 	// maxRunsPerClass is the number of most recent run times kept per class.
 	maxRunsPerClass = 31
-	// minRunsToPredict is the number of run times needed before they are used.
+	// minRunsToPredict is the number of recorded run times needed for a
+	// prediction.
 	minRunsToPredict = 4
 	// defaultRunTime is assumed if neither run times nor an estimate are known.
 	defaultRunTime = time.Hour
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -43,7 +43,7 @@
 	length  int
 
 	noPlaceStamp uint64 // capacityStamp at which no place was found
-	noClaimStamp uint64 // claimStamp at which no block had room
+	noClaimStamp uint64 // claimStamp at which no block could hold the job
 	// yieldUntil is when the first job need no longer yield blocks to larger
 	// jobs, and yieldedPhase the phase in which it last did.
 	yieldUntil       time.Time
--- a/scheduler/reason.go
+++ b/scheduler/reason.go
@@ -14,7 +14,7 @@
 	RejectWorkerSize
 	// RejectQueueFull means that the account already has MaxQueued jobs waiting.
 	RejectQueueFull
-	// RejectUnknownAccount means that the policy in force has no such account.
+	// RejectUnknownAccount means that the active policy has no such account.
 	RejectUnknownAccount
 	// RejectInvalid means that a field of the job is out of range.
 	RejectInvalid
--- a/scheduler/reclaim_test.go
+++ b/scheduler/reclaim_test.go
@@ -9,7 +9,7 @@
 )
 
 // siteFullOfBorrowers returns a scheduler whose site is full of evictable jobs
-// of an account without guarantees. They started one after another, some with
+// of an account without guarantees, started at different times, some with
 // checkpoints.
 func siteFullOfBorrowers(site site, seed uint64) (*Scheduler, time.Time) {
 	rng := rand.New(rand.NewPCG(seed, 3))
@@ -36,9 +36,9 @@
 	return s, now.Add(time.Minute)
 }
 
-// evictYoungest returns the work that would be lost by evicting the youngest
-// borrowers until every guaranteed shape fits as a block, and for how many
-// shapes evicting only until the sum is free would have sufficed.
+// evictYoungest returns the work lost if the youngest borrowers are evicted
+// until every guaranteed shape fits as a block, and how many shapes would fit
+// after evicting only until the sum is free.
 func evictYoungest(s *Scheduler, accounts []AccountPolicy) (lost float64, satisfiedBySum int) {
 	free := index{}
 	free.installed = &free
--- a/scheduler/report_test.go
+++ b/scheduler/report_test.go
@@ -9,8 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestReportMatchesModel compares the sums of the report with the model in
-// every state of a random run.
+// The sums of the report must match the model in every state of a random run.
 func TestReportMatchesModel(t *testing.T) {
 	m := newModel(t, 5, 20)
 	for range 400 {
@@ -44,8 +43,7 @@
 	}
 }
 
-// TestSentences verifies that sentences contain the numbers of the explanation
-// and that every reason has one.
+// Every reason must have a sentence, with the numbers of the explanation.
 func TestSentences(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(0, 0)
--- a/scheduler/restore.go
+++ b/scheduler/restore.go
@@ -71,7 +71,7 @@
 
 // bindRestored binds an unused block of the account around a restored attempt
 // if one fits. Otherwise the attempt runs outside the blocks; if it may not be
-// evicted, blocks that no longer fit beside it are unbound.
+// evicted, blocks that no longer fit on its nodes are unbound.
 func (s *Scheduler) bindRestored(r *run) {
 	if s.bindBlockToRun(r) {
 		return
--- a/scheduler/scenario_test.go
+++ b/scheduler/scenario_test.go
@@ -64,9 +64,8 @@
 
 var ownerAndGuest = Policy{Accounts: []AccountPolicy{{ID: "owner", Guaranteed: []Shape{{8, AdjacentWorker, 1}}}, {ID: "guest"}}}
 
-// TestGuaranteedShapeFitsOnOneWorker verifies that jobs that can't be evicted
-// leave a whole worker for a guaranteed shape of 8, not only 8 free
-// accelerators in all.
+// Jobs that can't be evicted must leave a whole worker for a guaranteed shape
+// of 8, not only 8 free accelerators in all.
 func TestGuaranteedShapeFitsOnOneWorker(t *testing.T) {
 	b := newHarness(t, ownerAndGuest, eightAcceleratorWorkers(2)...)
 	var guests []Job
@@ -77,8 +76,8 @@
 	b.Assert(actionsOf[StartGang](b.submit(Job{ID: "o", Account: "owner", Accelerators: 8, Adjacency: AdjacentWorker})), qt.HasLen, 1)
 }
 
-// TestCancelledClaimStopsEvictions verifies that cancelling a claim stops the
-// evictions that it has not sent yet because of MaxEvictions.
+// Cancelling a claim must stop the evictions that it has not sent yet because
+// of MaxEvictions.
 func TestCancelledClaimStopsEvictions(t *testing.T) {
 	p := ownerAndGuest
 	p.MaxEvictions = 2
@@ -95,8 +94,8 @@
 	}
 }
 
-// TestEvictionLosesLeastWork verifies that a claim evicts a checkpointable job
-// rather than one that would lose its work.
+// A claim must evict a checkpointable job rather than one that would lose its
+// work.
 func TestEvictionLosesLeastWork(t *testing.T) {
 	b := newHarness(t, ownerAndGuest, eightAcceleratorWorkers(2)...)
 	b.submit(Job{ID: "old", Account: "guest", Accelerators: 8, Adjacency: AdjacentWorker, Checkpointable: true})
@@ -109,8 +108,7 @@
 	b.Assert(stops, qt.DeepEquals, []StopGang{{Job: "old", Attempt: 1, Checkpoint: true, Reason: StopReclaim}})
 }
 
-// TestImpossibleJobsAreRejectedAtOnce verifies the reasons with which jobs that
-// can never run are rejected.
+// A job that can never run must be rejected at once, with the right reason.
 func TestImpossibleJobsAreRejectedAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -133,8 +131,8 @@
 	}
 }
 
-// TestGangIsNotStarvedBySmallJobs verifies that a gang that needs the whole
-// site starts although small jobs keep arriving.
+// A gang that needs the whole site must start although small jobs keep
+// arriving.
 func TestGangIsNotStarvedBySmallJobs(t *testing.T) {
 	b := newHarness(t, Policy{Accounts: []AccountPolicy{{ID: "a"}, {ID: "b"}}}, eightAcceleratorWorkers(2)...)
 	for i := range 400 {
@@ -156,9 +154,8 @@
 	b.Fatal("the gang never started")
 }
 
-// TestFaultyWorkerIsQuarantinedAndProbed verifies that a worker on which every
-// job fails is quarantined, that the jobs are not rejected, and that it returns
-// after a single successful probe.
+// A worker on which every job fails must be quarantined without rejecting the
+// jobs, and return after one successful probe.
 func TestFaultyWorkerIsQuarantinedAndProbed(t *testing.T) {
 	b := newHarness(t, Policy{Accounts: []AccountPolicy{{ID: "a"}}, QuarantineFor: time.Minute}, eightAcceleratorWorkers(3)...)
 	var out []Action
@@ -186,8 +183,8 @@
 	b.Assert(probes, qt.Equals, 1)
 }
 
-// TestFaultyJobDoesNotQuarantineWorkers verifies that a job that fails on every
-// worker is rejected and that its failures quarantine no worker.
+// A job that fails on every worker must be rejected without quarantining any
+// worker.
 func TestFaultyJobDoesNotQuarantineWorkers(t *testing.T) {
 	b := newHarness(t, Policy{Accounts: []AccountPolicy{{ID: "a"}}}, eightAcceleratorWorkers(4)...)
 	b.submit(Job{ID: "bad", Account: "a", Accelerators: 1, Repeatable: true})
@@ -202,8 +199,8 @@
 	b.Assert(actionsOf[QuarantineWorker](out), qt.HasLen, 0)
 }
 
-// TestNotRepeatableJobRunsOnce verifies that a job that must not run twice is
-// rejected, not restarted, when its worker is lost.
+// A job that must not run twice must be rejected, not restarted, when its
+// worker is lost.
 func TestNotRepeatableJobRunsOnce(t *testing.T) {
 	b := newHarness(t, Policy{Accounts: []AccountPolicy{{ID: "a"}}}, eightAcceleratorWorkers(2)...)
 	b.submit(Job{ID: "once", Account: "a", Accelerators: 1})
@@ -214,9 +211,8 @@
 	b.Assert(actionsOf[RejectJob](out)[0].Reason, qt.Equals, RejectNotRepeatable)
 }
 
-// TestLostWorkerDegradesAndRestoresGuarantee verifies that the loss of a worker
-// reports the guarantee that no longer fits, and its return reports it
-// restored.
+// The loss of a worker must report the guarantee that no longer fits, and its
+// return must report it restored.
 func TestLostWorkerDegradesAndRestoresGuarantee(t *testing.T) {
 	b := newHarness(t, Policy{Accounts: []AccountPolicy{{ID: "owner", Guaranteed: []Shape{{8, AdjacentWorker, 2}}}}}, eightAcceleratorWorkers(2)...)
 	out := b.step(WorkerDown{"w1"})
@@ -225,8 +221,7 @@
 	b.Assert(actionsOf[GuaranteeRestored](out), qt.HasLen, 1)
 }
 
-// TestCheckPolicyRefusesShapesThatDoNotFit verifies that CheckPolicy names the
-// shape that does not fit.
+// CheckPolicy must name the shape that does not fit.
 func TestCheckPolicyRefusesShapesThatDoNotFit(t *testing.T) {
 	c := qt.New(t)
 	p := Policy{Accounts: []AccountPolicy{{ID: "a", Guaranteed: []Shape{{8, AdjacentWorker, 1}}}, {ID: "b", Guaranteed: []Shape{{6, AdjacentWorker, 2}}}}}
@@ -235,8 +230,7 @@
 	c.Assert(err, qt.DeepEquals, &ShapeError{Account: "b", Shape: Shape{6, AdjacentWorker, 2}, Missing: 1})
 }
 
-// TestObjectiveDecidesOrder verifies that CompletionTime starts the oldest job
-// first and Fragmentation the largest.
+// CompletionTime must start the oldest job first, Fragmentation the largest.
 func TestObjectiveDecidesOrder(t *testing.T) {
 	for o, first := range map[Objective]JobID{CompletionTime: "small", Fragmentation: "large"} {
 		b := newHarness(t, Policy{Objective: o, Accounts: []AccountPolicy{{ID: "a"}}}, eightAcceleratorWorkers(1)...)
@@ -246,9 +240,8 @@
 	}
 }
 
-// TestJobThatCrashesWorkersIsRejected verifies that a job whose attempts are
-// lost soon after their start, again and again, is rejected although none
-// reports a failure.
+// A job whose attempts are repeatedly lost soon after their start must be
+// rejected although none reports a failure.
 func TestJobThatCrashesWorkersIsRejected(t *testing.T) {
 	b := newHarness(t, Policy{Accounts: []AccountPolicy{{ID: "a"}}}, eightAcceleratorWorkers(12)...)
 	b.submit(Job{ID: "bad", Account: "a", Accelerators: 8, Repeatable: true})
@@ -266,8 +259,7 @@
 	b.Assert(actionsOf[RejectJob](out)[0].Reason, qt.Equals, RejectFaulty)
 }
 
-// TestLateLossesDoNotRejectLongJob verifies that losing workers long after the
-// start does not count against a job.
+// Losing workers long after the start must not count against a job.
 func TestLateLossesDoNotRejectLongJob(t *testing.T) {
 	b := newHarness(t, Policy{Accounts: []AccountPolicy{{ID: "a"}}}, eightAcceleratorWorkers(12)...)
 	b.submit(Job{ID: "long", Account: "a", Accelerators: 8, Repeatable: true})
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -46,7 +46,7 @@
 	seq                 uint64
 	delayed             delayHeap
 	claims              []*claim
-	unbound             []*block // guaranteed blocks that no worker can hold now
+	unbound             []*block // guaranteed blocks that no workers can hold now
 	degraded            map[shapeKey]int
 	fitsWithBlocks      map[demand]bool // whether a shape fits on idle workers together with all blocks
 	fitsWithBlocksGen   uint64          // topologyGen+shrinkGen for which fitsBeside holds
--- a/scheduler/settling_test.go
+++ b/scheduler/settling_test.go
@@ -7,9 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestImpossibleJobIsRejectedWhenSettlingEnds verifies that a job that can
-// never run is rejected when settling ends after a takeover, although no other
-// event follows.
+// A job that can never run must be rejected when settling ends after a
+// takeover, although no other event follows.
 func TestImpossibleJobIsRejectedWhenSettlingEnds(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
--- a/scheduler/wait_reason.go
+++ b/scheduler/wait_reason.go
@@ -10,9 +10,9 @@
 	// WaitFitsNow means that the next decision starts the job, if nothing
 	// changes before.
 	WaitFitsNow
-	// WaitNextDecision means that a place, or room in the blocks of the
-	// account, has turned up since the queue was last tried. A later decision
-	// tries the job, after those that precede it.
+	// WaitNextDecision means that a place, in open capacity or in the blocks of
+	// the account, may have become available since the queue was last tried. A
+	// later decision tries the job, after those that precede it.
 	WaitNextDecision
 	// WaitRetry means that an attempt failed or was refused, and the delay
 	// before the next one is not over.
--- a/scheduler/yield.go
+++ b/scheduler/yield.go
@@ -2,8 +2,8 @@
 
 // claimsBefore orders the jobs of one account that claim its blocks: urgent
 // ones first, then aged ones, then by priority. Among equals the larger job
-// precedes, since a small job in a block leaves no room for it, until the small
-// one has waited for ReclaimAfter.
+// precedes until the smaller one has waited for ReclaimAfter, since a small job
+// can make a block too small for a larger one.
 func (s *Scheduler) claimsBefore(a, b *job) bool {
 	if a.Urgent != b.Urgent || s.aged(a) || s.aged(b) || a.Priority != b.Priority {
 		return s.precedesInAccount(a, b)
@@ -26,8 +26,8 @@
 
 // yieldsBlock reports whether a job does not use a block yet, because a larger
 // job of the account precedes it and could use the block, or because the
-// account already runs as much outside its blocks as they have room for. Urgent
-// jobs and those as large as the block never yield.
+// account would run more outside its blocks than is unused in them. Urgent jobs
+// and those as large as the block never yield.
 func (s *Scheduler) yieldsBlock(j *job, k *queueKey, b *block) bool {
 	if k.urgent || k.accelerators >= b.shape.Accelerators || s.yieldExpired(j) {
 		return false
