--- a/gang/simulation_test.go
+++ b/gang/simulation_test.go
@@ -162,19 +162,19 @@
 func (s *simulation) injectFault() {
 	switch s.rng.IntN(70) {
 	case 0:
-		s.anyAgent().crash()
+		s.randomAgent().crash()
 	case 1:
-		s.anyAgent().loseTasks()
+		s.randomAgent().loseTasks()
 	case 2, 3:
 		s.store.down = !s.store.down
 	case 4, 5:
-		p := s.anyPlanner()
+		p := s.randomPlanner()
 		p.paused = !p.paused
 	case 6, 7:
-		p := s.anyPlanner()
+		p := s.randomPlanner()
 		p.storeUnreachable = !p.storeUnreachable
 	case 8, 9, 10:
-		a, p := s.anyAgent(), s.anyPlanner()
+		a, p := s.randomAgent(), s.randomPlanner()
 		p.disconnected[a.name] = !p.disconnected[a.name]
 	case 11:
 		s.addPlanner()
@@ -190,15 +190,15 @@
 	case 12:
 		s.keepPlanners(max(1, len(s.planners)-1))
 	case 13, 14, 15, 16, 17, 18:
-		p := s.anyPlanner()
+		p := s.randomPlanner()
 		if len(p.runs) > 0 && !p.paused {
 			p.step(p.runs[s.rng.IntN(len(p.runs))], Abort{Checkpoint: s.chance(0.5)})
 		}
 	}
 }
 
-func (s *simulation) anyAgent() *simAgent     { return s.agents[s.rng.IntN(len(s.agents))] }
-func (s *simulation) anyPlanner() *simPlanner { return s.planners[s.rng.IntN(len(s.planners))] }
+func (s *simulation) randomAgent() *simAgent     { return s.agents[s.rng.IntN(len(s.agents))] }
+func (s *simulation) randomPlanner() *simPlanner { return s.planners[s.rng.IntN(len(s.planners))] }
 
 // endFaults ends all faults and replaces all planners by a new one.
 func (s *simulation) endFaults() {
--- a/scheduler/explain_next.go
+++ b/scheduler/explain_next.go
@@ -100,7 +100,7 @@
 			continue
 		}
 		q := s.nextOpen(a)
-		if q != nil && (first == nil || s.precedesOverall(s.firstUnclaimed(q), s.firstUnclaimed(first))) {
+		if q != nil && (first == nil || s.precedesAcrossAccounts(s.firstUnclaimed(q), s.firstUnclaimed(first))) {
 			first = q
 		}
 	}
--- a/scheduler/explain_state.go
+++ b/scheduler/explain_state.go
@@ -28,7 +28,7 @@
 func (s *Scheduler) firstWaiting() *job {
 	var first *job
 	for _, a := range s.accountList {
-		if j := s.firstOfAccount(a); j != nil && (first == nil || s.precedesOverall(j, first)) {
+		if j := s.firstOfAccount(a); j != nil && (first == nil || s.precedesAcrossAccounts(j, first)) {
 			first = j
 		}
 	}
--- a/scheduler/open.go
+++ b/scheduler/open.go
@@ -57,7 +57,7 @@
 func (s *Scheduler) firstInOrder(heads []*queue) int {
 	best := 0
 	for i := 1; i < len(heads); i++ {
-		if s.precedesOverall(s.firstUnclaimed(heads[i]), s.firstUnclaimed(heads[best])) {
+		if s.precedesAcrossAccounts(s.firstUnclaimed(heads[i]), s.firstUnclaimed(heads[best])) {
 			best = i
 		}
 	}
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -27,9 +27,9 @@
 	return a.seq < b.seq
 }
 
-// precedesOverall orders the first jobs of different accounts: urgent ones
+// precedesAcrossAccounts orders the first jobs of different accounts: urgent ones
 // first, then aged ones, then by the weighted share of their accounts.
-func (s *Scheduler) precedesOverall(a, b *job) bool {
+func (s *Scheduler) precedesAcrossAccounts(a, b *job) bool {
 	if a.Urgent != b.Urgent {
 		return a.Urgent
 	}
--- a/scheduler/policy.go
+++ b/scheduler/policy.go
@@ -85,16 +85,16 @@
 func (p Policy) WithDefaults() Policy {
 	p.MaxReservations = orInt(p.MaxReservations, 4)
 	p.ReservedSharePercent = orInt(p.ReservedSharePercent, 40)
-	p.ReserveAfter = orTime(p.ReserveAfter, time.Second)
-	p.AgeAfter = orTime(p.AgeAfter, 10*time.Minute)
-	p.ReclaimAfter = orTime(p.ReclaimAfter, 10*time.Second)
+	p.ReserveAfter = orDuration(p.ReserveAfter, time.Second)
+	p.AgeAfter = orDuration(p.AgeAfter, 10*time.Minute)
+	p.ReclaimAfter = orDuration(p.ReclaimAfter, 10*time.Second)
 	p.MaxEvictions = orInt(p.MaxEvictions, 64)
 	p.FailureThreshold = orInt(p.FailureThreshold, 3)
 	p.JobFailureWorkers = orInt(p.JobFailureWorkers, 3)
 	p.MaxAttempts = orInt(p.MaxAttempts, 8)
-	p.RetryAfter = orTime(p.RetryAfter, time.Second)
-	p.QuarantineFor = orTime(p.QuarantineFor, 30*time.Second)
-	p.QuarantineMax = orTime(p.QuarantineMax, time.Hour)
+	p.RetryAfter = orDuration(p.RetryAfter, time.Second)
+	p.QuarantineFor = orDuration(p.QuarantineFor, 30*time.Second)
+	p.QuarantineMax = orDuration(p.QuarantineMax, time.Hour)
 	p.CPUSharePercent = orInt(p.CPUSharePercent, 25)
 	return p
 }
@@ -106,7 +106,7 @@
 	return def
 }
 
-func orTime(v, def time.Duration) time.Duration {
+func orDuration(v, def time.Duration) time.Duration {
 	if v > 0 {
 		return v
 	}
--- a/scheduler/policy_change.go
+++ b/scheduler/policy_change.go
@@ -23,7 +23,7 @@
 	}
 	s.dropUndeclaredAccounts()
 	if oldCPUShare != s.policy.CPUSharePercent {
-		s.resizeCPU()
+		s.recomputeCPUShare()
 	}
 	s.capacityGen++
 	s.topologyGen++
@@ -98,8 +98,8 @@
 	})
 }
 
-// resizeCPU recomputes all counts that depend on CPUSharePercent.
-func (s *Scheduler) resizeCPU() {
+// recomputeCPUShare recomputes all counts that depend on CPUSharePercent.
+func (s *Scheduler) recomputeCPUShare() {
 	s.cpuJobCores, s.minCoresPerAccelerator, s.minMemPerAccelerator = 0, 0, 0
 	for _, n := range s.nodes {
 		s.cpuJobCores += n.cpuBudget(s.policy.CPUSharePercent)
--- a/scheduler/predict.go
+++ b/scheduler/predict.go
@@ -85,7 +85,7 @@
 	if ok && len(r.ring) >= minRunsToPredict {
 		return r.quantileAbove(elapsed, q), true
 	}
-	d := orTime(j.Estimate, defaultRunTime)
+	d := orDuration(j.Estimate, defaultRunTime)
 	if d <= elapsed {
 		d = 2 * elapsed
 	}
--- a/scheduler/report_test.go
+++ b/scheduler/report_test.go
@@ -44,7 +44,7 @@
 }
 
 // Every reason must have a sentence, with the numbers of the explanation.
-func TestSentences(t *testing.T) {
+func TestEveryReasonHasSentence(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(0, 0)
 	e := Explanation{Job: "j", Reason: WaitNoPlace, Accelerators: 16, Span: AdjacentRack, Free: 20, Largest: 12, Units: []FreeUnits{{12, 1}, {4, 2}}, First: "k"}
