--- a/planner/policy.go
+++ b/planner/policy.go
@@ -7,10 +7,10 @@
 )
 
 // schedulerPolicy returns the scheduler's policy for a document.
-func schedulerPolicy(h *document.ActiveVersion) scheduler.Policy {
-	d := h.Document
+func schedulerPolicy(active *document.ActiveVersion) scheduler.Policy {
+	d := active.Document
 	p := scheduler.Policy{
-		Generation:        h.Version.Generation,
+		Generation:        active.Version.Generation,
 		Objective:         scheduler.CompletionTime,
 		FailureThreshold:  d.Health.FailureThreshold,
 		JobFailureWorkers: d.Health.JobFailureWorkers,
@@ -57,8 +57,8 @@
 }
 
 // schedulerJob returns the scheduler's view of a record. Priority, urgency and
-// borrowing are taken from the class in force now, so that operators can
-// change them for waiting jobs.
+// borrowing are taken from the class in the active document, so that operators
+// can change them for waiting jobs.
 func schedulerJob(r jobs.Record, d *document.Document) scheduler.Job {
 	j := scheduler.Job{
 		ID:             scheduler.JobID(r.ID),
--- a/planner/worker.go
+++ b/planner/worker.go
@@ -104,8 +104,8 @@
 	}
 	for _, t := range w.lastReport.Tasks {
 		p.markUnresolvedAgain(t)
-		p.noteOccupied(w, t)
-		if p.isAccountedFor(id, t) {
+		p.markOccupied(w, t)
+		if p.isExpectedTask(id, t) {
 			continue
 		}
 		if msg, ok := gang.OrphanStop(t, w.lastReport.Incarnation, p.cfg.Epoch); ok {
@@ -114,7 +114,9 @@
 	}
 }
 
-func (p *Planner) isAccountedFor(agent string, t gang.Task) bool {
+// isExpectedTask reports whether the task belongs to an attempt that the
+// planner coordinates, that a record names or that a search may still need.
+func (p *Planner) isExpectedTask(agent string, t gang.Task) bool {
 	j := p.jobs[t.ID.Job]
 	if j == nil {
 		return false
@@ -129,8 +131,8 @@
 	return r.Epoch == t.ID.Epoch && r.Number == t.ID.Number && j.endedAttempt != t.ID
 }
 
-// handleAgentLost handles an agent that was silent for the loss timeout or has
-// left.
+// handleAgentLost handles an agent that has not reported for the loss timeout
+// or has left.
 func (p *Planner) handleAgentLost(id string, w *worker) {
 	if !w.up {
 		return
--- a/scheduler/borrowing.go
+++ b/scheduler/borrowing.go
@@ -6,20 +6,19 @@
 )
 
 // stopBorrowing keeps a job that has just lost work to a claim off capacity
-// that blocks may need, if it fits beside all blocks on idle workers. Such a
-// job can't be evicted for a claim again; otherwise a long job could borrow, be
-// evicted and start over again and again.
+// that blocks may need, if it fits on idle workers together with all blocks.
+// Otherwise a long job could borrow, be evicted and start over again and again.
 func (s *Scheduler) stopBorrowing(j *job) {
 	if j.Accelerators == 0 || j.Checkpointable || j.borrowingEnded || !s.hasGuarantees() {
 		return
 	}
 	k := j.key()
-	j.borrowingEnded = s.fitsMinShare(&k) && s.fitsBesideBlocks(demand{j.Accelerators, j.Adjacency})
+	j.borrowingEnded = s.fitsMinShare(&k) && s.fitsWithAllBlocks(demand{j.Accelerators, j.Adjacency})
 }
 
-// resumeBorrowing lets jobs borrow again that no longer fit beside all blocks
-// because workers are gone or the policy guarantees more. They would otherwise
-// wait forever while unused guaranteed capacity is idle.
+// resumeBorrowing lets jobs borrow again that no longer fit together with all
+// blocks, because workers were lost or the policy guarantees more. They would
+// otherwise wait forever while unused guaranteed capacity is idle.
 func (s *Scheduler) resumeBorrowing() {
 	if s.borrowingGen == s.shrinkGen {
 		return
@@ -27,7 +26,7 @@
 	s.borrowingGen = s.shrinkGen
 	var resumed []*job
 	for _, j := range s.jobs {
-		if j.borrowingEnded && j.queue != nil && !s.fitsBesideBlocks(demand{j.Accelerators, j.Adjacency}) {
+		if j.borrowingEnded && j.queue != nil && !s.fitsWithAllBlocks(demand{j.Accelerators, j.Adjacency}) {
 			resumed = append(resumed, j)
 		}
 	}
@@ -43,17 +42,17 @@
 	return slices.ContainsFunc(s.accountList, func(a *account) bool { return len(a.blocks) > 0 })
 }
 
-// fitsBesideBlocks reports whether a shape fits on idle workers together with
+// fitsWithAllBlocks reports whether a shape fits on idle workers together with
 // all guaranteed blocks.
-func (s *Scheduler) fitsBesideBlocks(d demand) bool {
-	if gen := s.topologyGen + s.shrinkGen; s.fitsBesideGen != gen {
-		s.fitsBesideGen = gen
-		clear(s.fitsBeside)
+func (s *Scheduler) fitsWithAllBlocks(d demand) bool {
+	if gen := s.topologyGen + s.shrinkGen; s.fitsWithBlocksGen != gen {
+		s.fitsWithBlocksGen = gen
+		clear(s.fitsWithBlocks)
 	}
-	fits, ok := s.fitsBeside[d]
+	fits, ok := s.fitsWithBlocks[d]
 	if !ok {
 		fits = s.allBlocksFitWith(Shape{d.accelerators, d.span, 1})
-		s.fitsBeside[d] = fits
+		s.fitsWithBlocks[d] = fits
 	}
 	return fits
 }
--- a/scheduler/explain_next.go
+++ b/scheduler/explain_next.go
@@ -22,11 +22,11 @@
 	if !j.mayBorrow() || s.withinGuarantee(j) {
 		x = &s.unguaranteed
 	}
-	var c indexDeltas
+	var deltas indexDeltas
 	if s.avoidsFailedNodes(q, j) {
-		c = withoutNodes(x, j.failedNodes)
+		deltas = withoutNodes(x, j.failedNodes)
 	}
-	return s.largestFit(x, &q.key, c) >= j.Accelerators
+	return s.largestFit(x, &q.key, deltas) >= j.Accelerators
 }
 
 // bindsNext reports whether the next decision tries to bind blocks, ends a
@@ -72,7 +72,7 @@
 	return true
 }
 
-// mayClaim reports whether a job of an account may claim room in its blocks
+// mayClaim reports whether a job of an account may claim one of its blocks
 // before open capacity is given out.
 func (s *Scheduler) mayClaim(a *account) bool {
 	for _, q := range a.queueList {
@@ -100,7 +100,7 @@
 			continue
 		}
 		q := s.nextOpen(a)
-		if q != nil && (first == nil || s.precedesOverall(s.firstUnclaimed(q), s.firstUnclaimed(first))) {
+		if q != nil && (first == nil || s.precedesAcrossAccounts(s.firstUnclaimed(q), s.firstUnclaimed(first))) {
 			first = q
 		}
 	}
--- a/scheduler/open.go
+++ b/scheduler/open.go
@@ -57,7 +57,7 @@
 func (s *Scheduler) firstInOrder(heads []*queue) int {
 	best := 0
 	for i := 1; i < len(heads); i++ {
-		if s.precedesOverall(s.firstUnclaimed(heads[i]), s.firstUnclaimed(heads[best])) {
+		if s.precedesAcrossAccounts(s.firstUnclaimed(heads[i]), s.firstUnclaimed(heads[best])) {
 			best = i
 		}
 	}
@@ -179,7 +179,8 @@
 	return place
 }
 
-// tryCPUJob starts a job without accelerators if a worker has room.
+// tryCPUJob starts a job without accelerators if a worker has the cores and
+// memory left.
 func (s *Scheduler) tryCPUJob(j *job) bool {
 	n := s.placeCPU(j.Cores, j.MemoryMB)
 	if n == nil && j.cpuNode != nil && j.cpuNode.freeCPUCores >= j.Cores && j.cpuNode.freeCPUMem >= j.MemoryMB {
--- a/scheduler/policy_change.go
+++ b/scheduler/policy_change.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// applyPolicy puts a policy in force. Blocks that stay guaranteed keep their
+// applyPolicy activates a policy. Blocks that stay guaranteed keep their
 // bindings and the jobs in them.
 func (s *Scheduler) applyPolicy(p Policy) {
 	if p.Generation < s.policy.Generation {
@@ -23,7 +23,7 @@
 	}
 	s.dropUndeclaredAccounts()
 	if oldCPUShare != s.policy.CPUSharePercent {
-		s.resizeCPU()
+		s.recomputeCPUShare()
 	}
 	s.capacityGen++
 	s.topologyGen++
@@ -98,8 +98,8 @@
 	})
 }
 
-// resizeCPU recomputes all counts that depend on CPUSharePercent.
-func (s *Scheduler) resizeCPU() {
+// recomputeCPUShare recomputes all counts that depend on CPUSharePercent.
+func (s *Scheduler) recomputeCPUShare() {
 	s.cpuJobCores, s.minCoresPerAccelerator, s.minMemPerAccelerator = 0, 0, 0
 	for _, n := range s.nodes {
 		s.cpuJobCores += n.cpuBudget(s.policy.CPUSharePercent)
--- a/scheduler/predict.go
+++ b/scheduler/predict.go
@@ -13,7 +13,8 @@
 	maxClasses = 4096
 	// maxRunsPerClass is the number of most recent run times kept per class.
 	maxRunsPerClass = 31
-	// minRunsToPredict is the number of run times needed before they are used.
+	// minRunsToPredict is the number of recorded run times needed for a
+	// prediction.
 	minRunsToPredict = 4
 	// defaultRunTime is assumed if neither run times nor an estimate are known.
 	defaultRunTime = time.Hour
@@ -67,24 +68,24 @@
 	return runTimePredictor{table}
 }
 
-func (l runTimePredictor) add(j *Job, d time.Duration) {
+func (p runTimePredictor) add(j *Job, d time.Duration) {
 	k := classKey{j.Account, j.Class}
-	r, ok := l.histories.Get(k)
+	r, ok := p.histories.Get(k)
 	if !ok {
 		r = &runTimeHistory{}
-		l.histories.Add(k, r)
+		p.histories.Add(k, r)
 	}
 	r.add(d)
 }
 
 // predict returns the q quantile of the whole run time of a job that has run
 // for elapsed. It reports false if only the declared estimate is known.
-func (l runTimePredictor) predict(j *Job, elapsed time.Duration, q float64) (time.Duration, bool) {
-	r, ok := l.histories.Get(classKey{j.Account, j.Class})
+func (p runTimePredictor) predict(j *Job, elapsed time.Duration, q float64) (time.Duration, bool) {
+	r, ok := p.histories.Get(classKey{j.Account, j.Class})
 	if ok && len(r.ring) >= minRunsToPredict {
 		return r.quantileAbove(elapsed, q), true
 	}
-	d := orTime(j.Estimate, defaultRunTime)
+	d := orDuration(j.Estimate, defaultRunTime)
 	if d <= elapsed {
 		d = 2 * elapsed
 	}
