--- a/agent/at_most_once.go
+++ b/agent/at_most_once.go
@@ -112,9 +112,9 @@
 	}
 }
 
-// resolveByName is resolve for the text form of an attempt's ID. It waits up to wait for
+// resolveAndWait is resolve for the text form of an attempt's ID. It waits up to wait for
 // a running attempt to end, since the caller would otherwise poll.
-func (q *quickExecutor) resolveByName(ctx context.Context, name string, wait time.Duration) *wire.ResolveAttemptReply {
+func (q *quickExecutor) resolveAndWait(ctx context.Context, name string, wait time.Duration) *wire.ResolveAttemptReply {
 	id, err := attempts.ParseID(name)
 	if err != nil {
 		return &wire.ResolveAttemptReply{State: wire.AttemptUnknown}
--- a/agent/message_handlers.go
+++ b/agent/message_handlers.go
@@ -44,7 +44,7 @@
 	if m.Incarnation != a.incarnation {
 		return &wire.ResolveAttemptReply{State: wire.AttemptUnknown}
 	}
-	return a.quickExecutor.resolveByName(ctx, m.AttemptID, m.MaxWait)
+	return a.quickExecutor.resolveAndWait(ctx, m.AttemptID, m.MaxWait)
 }
 
 func (a *Agent) handleGangMessage(ctx context.Context, from *wire.Conn, m *wire.GangMessage) (any, error) {
--- a/agent/quick_executor_test.go
+++ b/agent/quick_executor_test.go
@@ -92,7 +92,7 @@
 	entryDies()
 
 	resolved := make(chan *wire.ResolveAttemptReply, 1)
-	go func() { resolved <- q.resolveByName(context.Background(), id.String(), time.Minute) }()
+	go func() { resolved <- q.resolveAndWait(context.Background(), id.String(), time.Minute) }()
 	backend.release <- struct{}{}
 	r := <-resolved
 	c.Assert(r.State, qt.Equals, wire.AttemptAnswered)
@@ -117,7 +117,7 @@
 	}
 	entryDies()
 	c.Assert((<-ended).Outcome, qt.Equals, wire.OutcomeRefused)
-	c.Assert(q.resolveByName(context.Background(), id.String(), time.Minute).State, qt.Equals, wire.AttemptNotRun)
+	c.Assert(q.resolveAndWait(context.Background(), id.String(), time.Minute).State, qt.Equals, wire.AttemptNotRun)
 	c.Assert(q.execute(context.Background(), executeMessage(id)).Outcome, qt.Equals, wire.OutcomeRefused)
 	c.Assert(backend.runs.Load(), qt.Equals, int64(1))
 }
@@ -127,7 +127,7 @@
 	c := qt.New(t)
 	q, backend := newTestExecutor(t, 1)
 	id := newAttemptID(1)
-	c.Assert(q.resolveByName(context.Background(), id.String(), 0).State, qt.Equals, wire.AttemptNotRun)
+	c.Assert(q.resolveAndWait(context.Background(), id.String(), 0).State, qt.Equals, wire.AttemptNotRun)
 	c.Assert(q.execute(context.Background(), executeMessage(id)).Outcome, qt.Equals, wire.OutcomeRefused)
 	c.Assert(backend.runs.Load(), qt.Equals, int64(0))
 }
@@ -141,7 +141,7 @@
 	q.now = func() time.Time { return now } // time stands still, so only the arrival ends the wait
 	id := newAttemptID(1)
 	resolved := make(chan *wire.ResolveAttemptReply, 1)
-	go func() { resolved <- q.resolveByName(context.Background(), id.String(), time.Minute) }()
+	go func() { resolved <- q.resolveAndWait(context.Background(), id.String(), time.Minute) }()
 	go q.execute(context.Background(), executeMessage(id))
 	<-backend.started
 	backend.release <- struct{}{}
--- a/agent/relay_documents.go
+++ b/agent/relay_documents.go
@@ -8,18 +8,18 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// offerDocuments sends the active document of its service to a member that lacks it, so
+// sendMissingDocument sends the active document of its service to a member that lacks it, so
 // that entries need to send documents only to the relay. A push that fails is repeated
 // after the member's next report. The caller holds the lock.
-func (r *reporter) offerDocuments(conn *wire.Conn, memberID string) {
+func (r *reporter) sendMissingDocument(conn *wire.Conn, memberID string) {
 	for _, m := range r.router.Members() {
 		if m.Report.ID == memberID {
-			r.offerDocument(conn, m)
+			r.sendIfMissing(conn, m)
 		}
 	}
 }
 
-func (r *reporter) offerDocument(conn *wire.Conn, member *membership.Member) {
+func (r *reporter) sendIfMissing(conn *wire.Conn, member *membership.Member) {
 	active, ok := r.agent.documents.Current(member.Report.Service)
 	memberID := member.Report.ID
 	if !ok || r.sendingDocuments[memberID] || document.IncludesGeneration(member.Report.Generations, active.Version.Summary()) {
@@ -57,7 +57,7 @@
 	}
 	for _, c := range r.agent.endpoint.Conns() {
 		if m := members[c.Peer().ID]; m != nil && c.Usable() {
-			r.offerDocument(c, m)
+			r.sendIfMissing(c, m)
 		}
 	}
 }
--- a/agent/relay_reports.go
+++ b/agent/relay_reports.go
@@ -29,7 +29,7 @@
 	if urgent {
 		r.wakeAll()
 	}
-	r.offerDocuments(from, m.Reports[0].ID)
+	r.sendMissingDocument(from, m.Reports[0].ID)
 	return ack, nil
 }
 
--- a/agent/report_to_entry.go
+++ b/agent/report_to_entry.go
@@ -70,7 +70,7 @@
 	for _, addr := range newEntries {
 		r.startEntryLoop(addr, false)
 	}
-	r.relayChanged()
+	r.updateRelay()
 }
 
 // sendDeparture notifies all entries and the relay that this incarnation has ended.
--- a/agent/report_to_relay.go
+++ b/agent/report_to_relay.go
@@ -51,7 +51,7 @@
 	if !answered {
 		r.router.HandleRelayFailure(clock.Now(), relay)
 		r.agent.metrics.Add(metrics.RelaysFailed, 1)
-		r.relayChanged()
+		r.updateRelay()
 		return
 	}
 	for _, addr := range r.router.HandleRelayAck(clock.Now(), relay, ack) {
@@ -60,12 +60,12 @@
 	if ack.Entries != nil {
 		r.wakeAll() // an entry may no longer be reached by the relay
 	}
-	r.relayChanged()
+	r.updateRelay()
 }
 
-// relayChanged wakes all loops if the agent's relay has changed, and closes the
+// updateRelay wakes all loops if the agent's relay has changed, and closes the
 // connection to the previous one. The caller holds the lock.
-func (r *reporter) relayChanged() {
+func (r *reporter) updateRelay() {
 	current, _ := r.router.Relay()
 	previous := r.relayLoop.current
 	if current == previous {
--- a/attempts/evict.go
+++ b/attempts/evict.go
@@ -47,9 +47,9 @@
 // arrived, and they may not begin, so that an evicted refusal stays in force.
 // Records that are still there keep their status.
 func (t *Table) evict() {
-	for t.bytes > t.config.MaxAnswerBytes {
+	for t.answerBytes > t.config.MaxAnswerBytes {
 		r, _ := t.answered.DeleteMin()
-		t.bytes -= len(r.answer)
+		t.answerBytes -= len(r.answer)
 		r.answer = nil
 		r.status = StatusRan
 		t.answerLost.ReplaceOrInsert(r)
@@ -66,7 +66,7 @@
 			continue
 		}
 		delete(t.records, r.id)
-		t.bytes -= len(r.answer)
+		t.answerBytes -= len(r.answer)
 		if r.id.Compare(t.highestEvicted) > 0 {
 			t.highestEvicted = r.id
 		}
--- a/attempts/simulation_test.go
+++ b/attempts/simulation_test.go
@@ -76,13 +76,13 @@
 
 // simDelivery is one delivery of a key and the entry that handles it.
 type simDelivery struct {
-	sim        *simulation
-	key        string
-	number     int // of the deliveries of the key, from 0
-	hasKey     bool
-	req        *Request
-	own        Claim
-	toldNotRun bool
+	sim            *simulation
+	key            string
+	number         int // of the deliveries of the key, from 0
+	hasKey         bool
+	req            *Request
+	own            Claim
+	answeredNotRun bool
 }
 
 func newSimulation(t *testing.T, seed uint64) *simulation {
@@ -333,7 +333,7 @@
 	if other := d.sim.executed[d.key]; other != nil {
 		d.sim.fail(d, "ran a second time")
 	}
-	if d.toldNotRun {
+	if d.answeredNotRun {
 		d.sim.fail(d, "ran after not run was told")
 	}
 	d.sim.executed[d.key] = d
@@ -349,7 +349,7 @@
 			d.sim.fail(d, "told done")
 		}
 	case NotRun:
-		d.toldNotRun = true
+		d.answeredNotRun = true
 		if executed != nil && executed.number <= d.number {
 			d.sim.fail(d, "told not run although it ran")
 		}
--- a/attempts/table.go
+++ b/attempts/table.go
@@ -29,7 +29,7 @@
 	notRun         *btree.BTreeG[*record]
 	answered       *btree.BTreeG[*record]
 	answerLost     *btree.BTreeG[*record]
-	bytes          int       // total size of the answers
+	answerBytes    int       // total size of the answers
 	highestEvicted ID        // attempts up to it without a record may neither begin nor be proved not run
 	now            time.Time // time of the last Begin of an attempt without a record
 }
@@ -79,7 +79,7 @@
 	r := t.runningRecord(id)
 	r.status = StatusAnswered
 	r.answer = answer
-	t.bytes += len(answer)
+	t.answerBytes += len(answer)
 	t.answered.ReplaceOrInsert(r)
 	t.evict()
 }
@@ -120,7 +120,7 @@
 func (t *Table) Len() int { return len(t.records) }
 
 // AnswerBytes returns the total size of the answers kept.
-func (t *Table) AnswerBytes() int { return t.bytes }
+func (t *Table) AnswerBytes() int { return t.answerBytes }
 
 // beginResult returns the result of another Begin of a recorded attempt.
 func (r *record) beginResult() BeginResult {
--- a/entry/agents.go
+++ b/entry/agents.go
@@ -93,14 +93,14 @@
 		return c, nil
 	}
 	if addr == "" {
-		return nil, notSent(errUnreachable)
+		return nil, notHandled(errUnreachable)
 	}
 	c, err := a.dial(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
 	if check == verifiedConn && !answersPing(ctx, c) {
-		return nil, notSent(errUnresponsive)
+		return nil, notHandled(errUnresponsive)
 	}
 	return c, nil
 }
@@ -120,7 +120,7 @@
 	return a.pool.Conn(ctx, addr)
 }
 
-func notSent(cause error) error {
+func notHandled(cause error) error {
 	return &wire.CallError{Outcome: wire.ErrNotHandled, Cause: cause}
 }
 
--- a/entry/delivery_send.go
+++ b/entry/delivery_send.go
@@ -23,12 +23,12 @@
 	case err != nil || reply == nil:
 		ev.Event = attempts.ConnectionLost{ID: c.ID}
 	default:
-		ev.Event = begunEvent(c.ID, reply)
+		ev.Event = beginReplyEvent(c.ID, reply)
 	}
 	v.emit(ev)
 }
 
-func begunEvent(id attempts.ID, r *wire.ExecuteReply) attempts.BeginReply {
+func beginReplyEvent(id attempts.ID, r *wire.ExecuteReply) attempts.BeginReply {
 	b := attempts.BeginReply{ID: id}
 	switch {
 	case r.Outcome == wire.OutcomeDone:
@@ -59,10 +59,10 @@
 		v.emit(deliveryEvent{unresolvedAttempt: c.ID}) // sent again after resolveInterval
 		return
 	}
-	v.emit(deliveryEvent{Event: resolvedEvent(c.ID, reply)})
+	v.emit(deliveryEvent{Event: resolveReplyEvent(c.ID, reply)})
 }
 
-func resolvedEvent(id attempts.ID, r *wire.ResolveAttemptReply) attempts.ResolveReply {
+func resolveReplyEvent(id attempts.ID, r *wire.ResolveAttemptReply) attempts.ResolveReply {
 	ev := attempts.ResolveReply{ID: id}
 	switch {
 	case r.State == wire.AttemptNotRun:
--- a/entry/dispatcher.go
+++ b/entry/dispatcher.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// routingQuery describes the next attempt to the router.
-func (d *dispatcher) routingQuery(q *quickRequest, attemptNumber int, tried []routing.TargetID) routing.PickInfo {
+// pickInfo describes the next attempt to the router.
+func (d *dispatcher) pickInfo(q *quickRequest, attemptNumber int, tried []routing.TargetID) routing.PickInfo {
 	return routing.PickInfo{
 		Account:    q.account,
 		Attempt:    attemptNumber,
--- a/entry/inspect_job.go
+++ b/entry/inspect_job.go
@@ -14,11 +14,11 @@
 
 // Sentences of the wait reasons that the scheduler does not produce.
 const (
-	sentenceStarting   = "it is placed, and waits for its workers' reservations or for its start to be on record"
-	sentenceStoreOut   = "the platform's store does not answer, and it has no permit to start without a record of its start"
-	sentenceHeld       = "a planner before this one may have started it while the store was out; the workers are searched for it"
-	sentenceRebuilding = "the planner has just taken over and is still reading the records of jobs"
-	sentenceEnding     = "it has ended or does not start any more; its end is being put on record"
+	sentenceStarting         = "it is placed, and waits for its workers' reservations or for its start to be on record"
+	sentenceStoreUnavailable = "the platform's store does not answer, and it has no permit to start without a record of its start"
+	sentenceUnresolvedPermit = "a planner before this one may have started it while the store was out; the workers are searched for it"
+	sentenceRebuilding       = "the planner has just taken over and is still reading the records of jobs"
+	sentenceEnding           = "it has ended or does not start any more; its end is being put on record"
 )
 
 // explainLocal returns what this entry's planner knows about one job.
@@ -52,9 +52,9 @@
 	case planner.StageStarting:
 		return jobWaitWithoutPlacement(spec, api.WaitStarting, sentenceStarting)
 	case planner.StageStoreUnavailable:
-		return jobWaitWithoutPlacement(spec, api.WaitStoreUnavailable, sentenceStoreOut)
+		return jobWaitWithoutPlacement(spec, api.WaitStoreUnavailable, sentenceStoreUnavailable)
 	case planner.StageUnresolvedPermit:
-		return jobWaitWithoutPlacement(spec, api.WaitPredecessorInDoubt, sentenceHeld)
+		return jobWaitWithoutPlacement(spec, api.WaitPredecessorInDoubt, sentenceUnresolvedPermit)
 	case planner.StageEnding:
 		return jobWaitWithoutPlacement(spec, api.WaitEnding, sentenceEnding)
 	}
--- a/entry/nonrepeatable.go
+++ b/entry/nonrepeatable.go
@@ -51,7 +51,7 @@
 func (d *dispatcher) doNonRepeatable(ctx context.Context, q *quickRequest) (*wire.ExecuteReply, *api.Problem) {
 	var tried []routing.TargetID
 	for attemptNumber := 0; ; attemptNumber++ {
-		ticket, refusal := d.router.Pick(d.now(), d.routingQuery(q, attemptNumber, tried))
+		ticket, refusal := d.router.Pick(d.now(), d.pickInfo(q, attemptNumber, tried))
 		if !refusal.OK() {
 			return nil, pickProblem(refusal, false)
 		}
--- a/entry/pick.go
+++ b/entry/pick.go
@@ -23,7 +23,7 @@
 func (d *dispatcher) pick(ctx context.Context, q *quickRequest, attemptNumber int, tried []routing.TargetID, maybeRan bool) (routing.Ticket, routing.Refusal) {
 	giveUpAt := d.now().Add(repickTimeout)
 	for {
-		ticket, refusal := d.router.Pick(d.now(), d.routingQuery(q, attemptNumber, tried))
+		ticket, refusal := d.router.Pick(d.now(), d.pickInfo(q, attemptNumber, tried))
 		wait := max(refusal.RetryAfter, repickInterval)
 		noTimeLeft := refusal.Reason == routing.DeadlineExceeded || d.now().Add(wait).After(giveUpAt)
 		if refusal.OK() || !maybeRan || noTimeLeft || ctx.Err() != nil {
--- a/entry/policy.go
+++ b/entry/policy.go
@@ -12,8 +12,8 @@
 // because the failures of one target may affect only a few accounts.
 const accountRetryShareFactor = 2
 
-// retryBudget returns the retry budget that a document declares.
-func retryBudget(d *document.Document) routing.RetryPolicy {
+// retryPolicy returns the retry budget that a document declares.
+func retryPolicy(d *document.Document) routing.RetryPolicy {
 	return routing.RetryPolicy{
 		Share:        d.Routing.RetryShare,
 		AccountShare: accountRetryShareFactor * d.Routing.RetryShare,
@@ -25,7 +25,7 @@
 func (d *dispatcher) applyDocument(doc *document.Document) {
 	weights := relativeWeights(doc)
 	d.weights.Store(&weights)
-	d.router.SetRetryPolicy(retryBudget(doc))
+	d.router.SetRetryPolicy(retryPolicy(doc))
 }
 
 // maxInFlight returns how many requests this entry may have at one target.
--- a/entry/prober_test.go
+++ b/entry/prober_test.go
@@ -89,9 +89,9 @@
 	return strings.Contains(w.Body.String(), `"dead_entries_revoked": 1`)
 }
 
-// silentPort returns a UDP port that never answers, and a channel with one item per
+// unresponsivePort returns a UDP port that never answers, and a channel with one item per
 // packet received.
-func silentPort(c *qt.C) (net.PacketConn, <-chan struct{}) {
+func unresponsivePort(c *qt.C) (net.PacketConn, <-chan struct{}) {
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	probes := make(chan struct{}, 1000)
@@ -141,7 +141,7 @@
 // planning.
 func TestLeadershipOfUnresponsiveEntryIsKept(t *testing.T) {
 	s := newTwoEntries(qt.New(t))
-	port, probes := silentPort(s.C)
+	port, probes := unresponsivePort(s.C)
 	first := s.start("entry-1", s.firstStore.URL, port.LocalAddr().String())
 	waitFor(func() bool { return first.Epoch(service) == 1 })
 	second := s.start("entry-2", s.secondStoreURL, "")
@@ -157,7 +157,7 @@
 // other entry leads under a higher epoch, and the first one registers again.
 func TestFalseSuspicionRevokesLeaseOnce(t *testing.T) {
 	s := newTwoEntries(qt.New(t))
-	port, probes := silentPort(s.C)
+	port, probes := unresponsivePort(s.C)
 	first := s.start("entry-1", s.firstStore.URL, port.LocalAddr().String())
 	waitFor(func() bool { return first.Epoch(service) == 1 })
 	second := s.start("entry-2", s.secondStoreURL, "")
--- a/target/standin/task.go
+++ b/target/standin/task.go
@@ -164,12 +164,12 @@
 	for _, a := range t.spec.Accelerators {
 		s.acceleratorHolders[a] = nil
 	}
-	s.rememberEnded(t.id)
+	s.addEndedTask(t.id)
 	close(t.done)
 }
 
-// rememberEnded adds an ended task and drops the oldest beyond MaxEndedTasks.
-func (s *Server) rememberEnded(id target.TaskID) {
+// addEndedTask adds an ended task and drops the oldest beyond MaxEndedTasks.
+func (s *Server) addEndedTask(id target.TaskID) {
 	s.endedTasks = append(s.endedTasks, id)
 	if len(s.endedTasks) <= s.opts.MaxEndedTasks {
 		return
@@ -187,6 +187,6 @@
 		startedAt: now, endedAt: now, done: make(chan struct{})}
 	close(t.done)
 	s.tasks[id] = t
-	s.rememberEnded(id)
+	s.addEndedTask(id)
 	return t
 }
