--- a/admission/admit.go
+++ b/admission/admit.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// minRetryAfter is the shortest delay that a refused request is told to wait.
+// minRetryAfter is the shortest retry delay returned with a refusal.
 const minRetryAfter = 10 * time.Millisecond
 
 // admit decides whether an arrival may be queued. If not, it returns the reason and
--- a/admission/event.go
+++ b/admission/event.go
@@ -24,8 +24,9 @@
 	SlotTime time.Duration // for which it held the slot
 }
 
-// Cancelled reports that nobody waits for the request any longer. A queued request
-// is removed without an action; a running one keeps its slot until Finished.
+// Cancelled reports that the caller no longer waits for the request. A queued
+// request is removed without an action; a running one keeps its slot until
+// Finished.
 type Cancelled struct{ ID ID }
 
 // SlotsChanged sets the number of requests that may run at the same time.
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -30,8 +30,8 @@
 )
 
 // defaultIsolationTimeout applies until the agent has a document and equals the
-// document's default. A shorter one would stop gangs needlessly, a longer one could let a
-// gang run on beside its successor.
+// document's default. A shorter one would stop gangs needlessly; with a longer one a gang
+// could still run when its successor starts.
 const defaultIsolationTimeout = 10 * time.Second
 
 // reportCoalesceDelay is the minimum time between two reports to one entry.
--- a/agent/at_most_once.go
+++ b/agent/at_most_once.go
@@ -112,10 +112,10 @@
 	}
 }
 
-// resolveAndWait is resolve for the text form of an attempt's ID. It waits up to wait for
-// a running attempt to end, since the caller would otherwise poll.
-func (q *quickExecutor) resolveAndWait(ctx context.Context, name string, wait time.Duration) *wire.ResolveAttemptReply {
-	id, err := attempts.ParseID(name)
+// resolveAndWait resolves the attempt with the given text form of its ID. It first waits
+// up to wait for a running attempt to end, so that the caller need not poll often.
+func (q *quickExecutor) resolveAndWait(ctx context.Context, idText string, wait time.Duration) *wire.ResolveAttemptReply {
+	id, err := attempts.ParseID(idText)
 	if err != nil {
 		return &wire.ResolveAttemptReply{State: wire.AttemptUnknown}
 	}
--- a/agent/message_handlers.go
+++ b/agent/message_handlers.go
@@ -63,7 +63,7 @@
 	return &wire.GangReply{Payload: data}
 }
 
-// publishDocuments offers documents from an entry or relay to the agent's table and
+// publishDocuments adds documents from an entry or relay to the agent's active set and
 // returns the generations it then holds.
 func (a *Agent) publishDocuments(msg *wire.PublishDocuments) *wire.PublishDocumentsAck {
 	for _, v := range msg.Versions {
--- a/agent/quick_executor.go
+++ b/agent/quick_executor.go
@@ -45,7 +45,7 @@
 	attempts        *attempts.Table
 	runningAttempts map[attempts.ID]chan struct{}
 
-	observeDuration func(account, class string, t metrics.Timing, took time.Duration)
+	observeDuration func(account, class string, t metrics.Timing, duration time.Duration)
 	now             func() time.Time
 }
 
--- a/agent/rack_helpers_test.go
+++ b/agent/rack_helpers_test.go
@@ -42,8 +42,8 @@
 	waitTimeout = time.Minute
 )
 
-// testRack is a rack of agents and the entries that they report to. Entries name a relay
-// as soon as they know two agents.
+// testRack is a rack of agents and the entries that they report to. The relay threshold
+// of the entries is so low that every rack large enough gets a relay.
 type testRack struct {
 	*qt.C
 	storeURL     string
--- a/agent/relay_documents.go
+++ b/agent/relay_documents.go
@@ -8,8 +8,8 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// sendMissingDocument sends the active document of its service to a member that lacks it, so
-// that entries need to send documents only to the relay. A push that fails is repeated
+// sendMissingDocument sends a member the active document of its service if it lacks it,
+// so that entries need to send documents only to the relay. A push that fails is repeated
 // after the member's next report. The caller holds the lock.
 func (r *reporter) sendMissingDocument(conn *wire.Conn, memberID string) {
 	for _, m := range r.router.Members() {
--- a/agent/report_to_relay.go
+++ b/agent/report_to_relay.go
@@ -11,7 +11,7 @@
 // relayLoop is the state of the loop that reports to the rack's relay.
 type relayLoop struct {
 	wake    chan struct{}
-	current wire.RelayInfo // the relay at the last call of relayChanged
+	current wire.RelayInfo // the relay at the last call of updateRelay
 }
 
 // runRelayLoop reports to the relay whenever there is one, until the agent stops.
--- a/attempts/doc.go
+++ b/attempts/doc.go
@@ -1,5 +1,5 @@
-// Package attempts makes requests that must not run twice run at most once, and
-// proves that a request which did not run has not.
+// Package attempts runs non-repeatable requests at most once, and tells those that
+// provably did not run from those that may have.
 //
 // A Table (one per agent) records the attempts that reached the agent. A Request
 // (one per delivery, at an entry) claims the request's key in the platform's
--- a/attempts/evict.go
+++ b/attempts/evict.go
@@ -44,7 +44,7 @@
 //
 // highestEvicted is the highest ID ever evicted. Attempts up to it that have no
 // record are Unknown, so that an evicted run is not taken for one that never
-// arrived, and they may not begin, so that an evicted refusal stays in force.
+// arrived, and they may not begin, so that an evicted refusal stays final.
 // Records that are still there keep their status.
 func (t *Table) evict() {
 	for t.answerBytes > t.config.MaxAnswerBytes {
--- a/attempts/request_claim.go
+++ b/attempts/request_claim.go
@@ -55,10 +55,10 @@
 	r.resolve(c)
 }
 
-// finishWithoutStore answers a request that was not sent because the store is
+// finishWithoutStore finishes a request that was not sent because the store is
 // unavailable. An earlier delivery of the key may have run, which only the store
-// knows. If the caller were told NotRun, it could make the request again under
-// another key and have it run twice.
+// knows. After NotRun, the caller could make the request again under another key
+// and have it run twice.
 func (r *Request) finishWithoutStore() {
 	if r.config.FirstDelivery && r.state == stateClaiming {
 		r.finishNotRun(ReasonStoreUnavailable)
--- a/attempts/simulation_test.go
+++ b/attempts/simulation_test.go
@@ -20,9 +20,8 @@
 	simArrivalPeriod = 100 * time.Second // period in which keys are delivered
 )
 
-// TestRandomFailures delivers requests, most of their keys several times, through
-// entries that pause, agents that restart and a store that fails. It checks what
-// callers are told against what ran. A longer run:
+// TestRandomFailures checks the callers' answers against what ran, while entries
+// pause, agents restart and the store fails. A longer run:
 // go test ./attempts -run RandomFailures -v -attempts.worlds 50000
 func TestRandomFailures(t *testing.T) {
 	outcomes := map[Outcome]int{}
--- a/entry/agents.go
+++ b/entry/agents.go
@@ -83,7 +83,7 @@
 )
 
 // conn returns a connection to the agent: the one that the agent opened, or one dialed
-// now. Its errors match wire.ErrNotSent.
+// now. Its errors match wire.ErrNotHandled.
 func (a *agentConns) conn(ctx context.Context, id string, check connCheck) (*wire.Conn, error) {
 	a.mu.RLock()
 	c := a.conns[id]
@@ -134,7 +134,7 @@
 // exchange is cancelled and call returns early with wire.ErrOutcomeUnknown.
 //
 // Either end may close an idle connection just as it is chosen. Such a call fails with
-// both wire.ErrClosed and wire.ErrNotSent, and is retried once on a new connection.
+// both wire.ErrClosed and wire.ErrNotHandled, and is retried once on a new connection.
 func (a *agentConns) call(ctx context.Context, id string, msg any, check connCheck) (any, error) {
 	c, err := a.conn(ctx, id, check)
 	if err != nil {
--- a/entry/catchup.go
+++ b/entry/catchup.go
@@ -9,8 +9,8 @@
 
 // fetchNewerDocuments fetches from the other entries the document versions that this one
 // lacks. It returns at once, and does nothing while an earlier fetch is running. Without
-// it, an entry that can't reach the store would miss a new generation that is in force
-// everywhere else; the entry learns of it from agents' reports.
+// it, an entry that can't reach the store would miss a new generation that is active
+// everywhere else; it learns of the generation from agents' reports.
 func (e *Entry) fetchNewerDocuments() {
 	if e.catchingUp.Swap(true) {
 		return
@@ -33,9 +33,9 @@
 
 // hasNewerGeneration reports whether an agent has a later generation of the service than
 // the one held here.
-func hasNewerGeneration(reported []wire.DocumentSummary, held wire.DocumentSummary) bool {
+func hasNewerGeneration(reported []wire.DocumentSummary, active wire.DocumentSummary) bool {
 	for _, g := range reported {
-		if g.Service == held.Service && g.Generation > held.Generation {
+		if g.Service == active.Service && g.Generation > active.Generation {
 			return true
 		}
 	}
--- a/entry/delivery_outcome.go
+++ b/entry/delivery_outcome.go
@@ -8,8 +8,9 @@
 	"github.com/eelgrasshub/eelgrasshub/routing"
 )
 
-// routingOutcome tells the router how the own attempt went. If the own attempt was not
-// sent or has no result, the router learns nothing about its target.
+// routingOutcome returns the outcome of this delivery's own attempt for the router. It is
+// Abandoned if the attempt was not sent or has no result, which says nothing about the
+// target.
 func (v *delivery) routingOutcome(ctx context.Context) routing.Outcome {
 	latency := v.dispatcher.now().Sub(v.startedAt)
 	if !v.attemptSent || (v.reply == nil && v.lastErr == nil) {
--- a/entry/dispatcher.go
+++ b/entry/dispatcher.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// pickInfo describes the next attempt to the router.
+// pickInfo describes the next attempt for the router.
 func (d *dispatcher) pickInfo(q *quickRequest, attemptNumber int, tried []routing.TargetID) routing.PickInfo {
 	return routing.PickInfo{
 		Account:    q.account,
@@ -73,7 +73,7 @@
 	now           func() time.Time
 	count         func(c metrics.Counter, n int64)
 
-	// weights holds the relative weight of each account by the document in force.
+	// weights holds the relative weight of each account in the active document.
 	weights atomic.Pointer[map[string]float64]
 
 	mu sync.Mutex // serializes SetTargets, as the router requires
--- a/entry/doc.go
+++ b/entry/doc.go
@@ -16,7 +16,7 @@
 //	session, registry*, registration     registration of this entry and discovery of others
 //	elections, balance, handover         planner leaderships and their distribution
 //	prober, udp_probe                    detection of entries whose process has ended
-//	documents, catchup, policy           the documents in force
+//	documents, catchup, policy           the active documents
 //	status, inspect*, storeprobe,
 //	stats, metrics                       what operators see
 package entry
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -14,16 +14,16 @@
 
 // applyDocument applies a new generation to routing, elections and planner, and sends it
 // to the agents of the service. It must not block.
-func (e *Entry) applyDocument(_, held *document.ActiveVersion) {
-	e.log.WithField("service", held.Version.Service).WithField("generation", held.Version.Generation).Info("document in force")
+func (e *Entry) applyDocument(_, active *document.ActiveVersion) {
+	e.log.WithField("service", active.Version.Service).WithField("generation", active.Version.Generation).Info("document in force")
 	e.metrics.Add(metrics.DocumentsApplied, 1)
-	e.dispatcher(held.Version.Service).applyDocument(held.Document)
-	e.elections.setDocument(held)
-	e.members.updateRouter(held.Version.Service)
-	e.members.publish(held.Version)
+	e.dispatcher(active.Version.Service).applyDocument(active.Document)
+	e.elections.setDocument(active)
+	e.members.updateRouter(active.Version.Service)
+	e.members.publish(active.Version)
 }
 
-// peersChanged updates the list of entries that agents are told of, and the peers that
+// peersChanged updates the list of entries that is sent to agents, and the peers that
 // the watcher asks while the store is unavailable.
 func (e *Entry) peersChanged(others []entryRecord) {
 	e.updateSharedAck(others)
@@ -41,8 +41,8 @@
 	return addrs
 }
 
-// askPeer implements document.Ask: it sends another entry the generations held here and
-// returns the versions that are newer there.
+// askPeer implements document.PeerQuery: it sends another entry the generations held here
+// and returns the versions that are newer there.
 func (e *Entry) askPeer(ctx context.Context, peer string, _ []document.Summary) (document.PeerAnswered, error) {
 	got, err := e.pool.Call(ctx, peer, &wire.FetchDocuments{Have: e.documents.Summaries()})
 	if err != nil {
--- a/entry/elections.go
+++ b/entry/elections.go
@@ -22,9 +22,9 @@
 // under the lease of the entry's session. It is safe for concurrent use.
 //
 // A planner is not stopped when its lease expires: during an outage of the store every
-// lease expires, and without a planner, gangs of several members would stop by isolation.
-// Agents and job records reject what a superseded planner sends, and it ends when it
-// learns of its successor.
+// lease expires, and without a planner, gangs of several members would reach their
+// isolation deadline and stop. Agents and job records reject what a superseded planner
+// sends, and it ends when it learns of its successor.
 type elections struct {
 	entry *Entry
 
@@ -49,16 +49,16 @@
 
 // setDocument starts the candidacy for a service, or passes the new generation to its
 // planner.
-func (es *elections) setDocument(held *document.ActiveVersion) {
+func (es *elections) setDocument(active *document.ActiveVersion) {
 	es.mu.Lock()
 	defer es.mu.Unlock()
-	service := held.Version.Service
+	service := active.Version.Service
 	if es.stopped || !es.entry.servesService(service) {
 		return
 	}
 	if el := es.byService[service]; el != nil {
 		if el.planner != nil {
-			el.planner.SetDocument(held)
+			el.planner.SetDocument(active)
 		}
 		return
 	}
@@ -81,15 +81,15 @@
 		Election:   es.entry.cfg.Region + "/" + el.service,
 		Instance:   es.entry.cfg.ID,
 		ClaimDelay: func() time.Duration { return es.candidacyDelay(el.service) },
-		OnChange:   func(held lease.Leadership, ok bool) { es.leadershipChanged(el, held, ok) },
+		OnChange:   func(l lease.Leadership, ok bool) { es.leadershipChanged(el, l, ok) },
 		Log:        es.entry.log,
 	})
 }
 
 // leadershipChanged is called from the candidate's goroutine and must not block.
-func (es *elections) leadershipChanged(el *election, held lease.Leadership, ok bool) {
+func (es *elections) leadershipChanged(el *election, l lease.Leadership, ok bool) {
 	if ok {
-		go es.elected(el, held.Epoch)
+		go es.elected(el, l.Epoch)
 	}
 }
 
@@ -112,7 +112,7 @@
 // startPlanner starts the planner of a term and passes the reports of all known agents to
 // it.
 func (es *elections) startPlanner(el *election, epoch uint64) {
-	held, ok := es.entry.documents.Current(el.service)
+	active, ok := es.entry.documents.Current(el.service)
 	if !ok {
 		return
 	}
@@ -124,7 +124,7 @@
 		Agents:    gangClient{es.entry.agents},
 		Metrics:   es.entry.metrics,
 		Log:       es.entry.log.WithFields(logrus.Fields{"service": el.service, "epoch": epoch}),
-		Document:  held,
+		Document:  active,
 		Retention: es.entry.retention,
 	})
 	es.mu.Lock()
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -89,9 +89,9 @@
 }
 
 func (e *Entry) openStoreClients() {
-	coordinationBudget := max(1, e.cfg.StoreRateLimit/coordinationDivisor)
-	e.coordinationClient = e.newStoreClient(coordinationBudget)
-	e.workClient = e.newStoreClient(e.cfg.StoreRateLimit - coordinationBudget)
+	coordinationRate := max(1, e.cfg.StoreRateLimit/coordinationDivisor)
+	e.coordinationClient = e.newStoreClient(coordinationRate)
+	e.workClient = e.newStoreClient(e.cfg.StoreRateLimit - coordinationRate)
 	e.store = e.coordinationClient
 	e.batcher = store.NewBatcher(e.workClient, 0)
 	e.jobs = jobs.NewStore(e.cfg.Region, e.workClient, e.batcher)
@@ -100,18 +100,17 @@
 	e.attemptIssuer = &attemptIssuer{claims: e.claims, entryIncarnation: e.incarnation}
 }
 
-// coordinationDivisor sets the part of the store's call budget that is reserved for
-// leases, registrations and documents: the budget divided by this number. With a shared
-// budget, a burst of keyed requests could delay lease renewals and cost the entry its
-// planner leaderships.
+// coordinationDivisor divides the rate limit of store calls: the quotient is reserved for
+// leases, registrations and documents. With a shared limit, a burst of keyed requests
+// could delay lease renewals and cost the entry its planner leaderships.
 const coordinationDivisor = 2
 
-func (e *Entry) newStoreClient(budget int) *store.Client {
+func (e *Entry) newStoreClient(callsPerSecond int) *store.Client {
 	return store.NewClient(store.Options{
 		Endpoints:   e.cfg.StoreURLs,
 		CallTimeout: e.cfg.StoreTimeout.Duration,
-		RateLimit:   rate.Limit(budget),
-		Burst:       budget,
+		RateLimit:   rate.Limit(callsPerSecond),
+		Burst:       callsPerSecond,
 	})
 }
 
@@ -148,10 +147,10 @@
 	return err
 }
 
-// A connection with calls outstanding that has been silent for busyProbeDelay is pinged,
-// and is suspected when the ping is not answered within pingTimeout; a repeatable request
-// is then retried elsewhere. Both are far above a round trip within a region, and their
-// sum is well below the deadlines of quick requests.
+// A connection that has calls outstanding and has received nothing for busyProbeDelay is
+// pinged, and is suspected when the ping is not answered within pingTimeout; a repeatable
+// request is then retried elsewhere. Both are far above a round trip within a region, and
+// their sum is well below the deadlines of quick requests.
 const (
 	busyProbeDelay = 150 * time.Millisecond
 	pingTimeout    = 250 * time.Millisecond
--- a/entry/handle.go
+++ b/entry/handle.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// handleTaskEnd passes to the planner the reply that an agent sends unasked when a task
-// ends.
+// handleTaskEnd passes to the planner the unsolicited reply that an agent sends when a
+// task ends.
 func (e *Entry) handleTaskEnd(from *wire.Conn, m *wire.GangMessage) (any, error) {
 	reply, err := decodeGangReply(m.Payload)
 	if err != nil {
--- a/entry/http_jobs.go
+++ b/entry/http_jobs.go
@@ -52,7 +52,7 @@
 		return jobs.Record{}, p
 	}
 	service := pat.Param(r, "service")
-	held, ok := e.documents.Current(service)
+	active, ok := e.documents.Current(service)
 	if !ok {
 		return jobs.Record{}, api.NewProblem(api.ReasonUnknownService, "no document in force names the service "+service)
 	}
@@ -63,7 +63,7 @@
 	if p := req.Validate(); p != nil {
 		return jobs.Record{}, p
 	}
-	class, problem := checkClass(held.Document, req.Account, req.Class, document.Job)
+	class, problem := checkClass(active.Document, req.Account, req.Class, document.Job)
 	if problem != nil {
 		return jobs.Record{}, problem
 	}
--- a/entry/http_quick.go
+++ b/entry/http_quick.go
@@ -36,13 +36,13 @@
 	writeReply(w, reply)
 }
 
-// parseQuickRequest reads a request and checks it against the document in force.
+// parseQuickRequest reads a request and checks it against the active document.
 func (e *Entry) parseQuickRequest(r *http.Request, now time.Time) (*quickRequest, *api.Problem) {
 	if p := e.checkConfirmed(); p != nil {
 		return nil, p
 	}
 	service := pat.Param(r, "service")
-	held, ok := e.documents.Current(service)
+	active, ok := e.documents.Current(service)
 	if !ok {
 		return nil, api.NewProblem(api.ReasonUnknownService, "no document in force names the service "+service)
 	}
@@ -50,7 +50,7 @@
 	if problem != nil {
 		return nil, problem
 	}
-	class, problem := checkClass(held.Document, params.Account, params.Class, document.Quick)
+	class, problem := checkClass(active.Document, params.Account, params.Class, document.Quick)
 	if problem != nil {
 		return nil, problem
 	}
@@ -164,7 +164,7 @@
 	return !omittedHeaders[name] && !strings.HasPrefix(name, systemHeaderPrefix)
 }
 
-// writeReply hands the target's whole answer to the caller.
+// writeReply writes the target's whole answer to the caller.
 func writeReply(w http.ResponseWriter, reply *wire.ExecuteReply) {
 	h := w.Header()
 	for _, header := range reply.Header {
--- a/entry/inspect_job.go
+++ b/entry/inspect_job.go
@@ -12,7 +12,7 @@
 	"github.com/eelgrasshub/eelgrasshub/scheduler"
 )
 
-// Sentences of the wait reasons that the scheduler does not produce.
+// Explanations of the wait reasons that the scheduler does not produce.
 const (
 	sentenceStarting         = "it is placed, and waits for its workers' reservations or for its start to be on record"
 	sentenceStoreUnavailable = "the platform's store does not answer, and it has no permit to start without a record of its start"
--- a/entry/members.go
+++ b/entry/members.go
@@ -125,7 +125,7 @@
 	return actions
 }
 
-// dropLocked requires m.mu.
+// dropLocked removes what is kept about an agent. The caller holds m.mu.
 func (m *members) dropLocked(id string) {
 	delete(m.serviceOf, id)
 	delete(m.lastRelay, id)
@@ -201,7 +201,7 @@
 	}
 }
 
-// count returns how many agents are remembered, including those that have left.
+// count returns how many agents are in the table, including those that have left.
 func (m *members) count() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -261,8 +261,8 @@
 	}
 }
 
-// ackDigest returns a digest of an ack's content, by which the entry omits what the agent
-// already has.
+// ackDigest returns a digest of an ack's content, which lets the entry omit what the
+// agent already has.
 func ackDigest(ack *wire.ReportAck) uint64 {
 	data, err := cbor.Marshal(ack)
 	if err != nil {
--- a/entry/members_documents.go
+++ b/entry/members_documents.go
@@ -12,18 +12,18 @@
 // publishTimeout limits the sending of documents to one agent.
 const publishTimeout = 3 * time.Second
 
-// sendMissingDocument sends an agent its service's document if it lacks the generation in
-// force.
+// sendMissingDocument sends an agent its service's document if it lacks the active
+// generation.
 func (m *members) sendMissingDocument(member *membership.Member) {
 	id := member.Report.ID
-	held, ok := m.entry.documents.Current(member.Report.Service)
-	if ok && hasNewerGeneration(member.Report.Generations, held.Version.Summary()) {
+	active, ok := m.entry.documents.Current(member.Report.Service)
+	if ok && hasNewerGeneration(member.Report.Generations, active.Version.Summary()) {
 		m.entry.fetchNewerDocuments()
 	}
-	if !ok || document.IncludesGeneration(member.Report.Generations, held.Version.Summary()) {
+	if !ok || document.IncludesGeneration(member.Report.Generations, active.Version.Summary()) {
 		return
 	}
-	if m.isRelayed(id) && time.Since(held.Since) < relayDocumentGrace {
+	if m.isRelayed(id) && time.Since(active.Since) < relayDocumentGrace {
 		return
 	}
 	m.mu.Lock()
@@ -31,7 +31,7 @@
 	m.sending[id] = true
 	m.mu.Unlock()
 	if !alreadySending {
-		go m.sendDocument(id, wire.DocumentVersion(held.Version))
+		go m.sendDocument(id, wire.DocumentVersion(active.Version))
 	}
 }
 
--- a/entry/members_planner.go
+++ b/entry/members_planner.go
@@ -12,8 +12,8 @@
 )
 
 // informPlanner passes a member's report to the planner, if it runs here, and adds the
-// planner's part to the ack. A relay gets no answer for its members' gangs: the members
-// ask for it themselves.
+// planner's part to the ack. The ack of a relayed report has no such part: an agent with
+// a task of several members also reports directly.
 func (m *members) informPlanner(member *membership.Member, r wire.AgentReport, receivedAt time.Time, ack *wire.ReportAck, relayed bool) {
 	if r.Departed || member.Report.Incarnation != r.Incarnation {
 		return
--- a/entry/pick.go
+++ b/entry/pick.go
@@ -17,8 +17,8 @@
 
 // pick chooses the target of the next attempt. If an earlier attempt may have run, a
 // refusal by the router is retried for up to repickTimeout: when all connections fail at
-// once, the router refuses until new ones are open, and the caller would be told
-// "unknown" with most of its deadline left. Targets that were already tried are then
+// once, the router refuses until new ones are open, and the request would otherwise end
+// as "unknown" with most of its deadline left. Targets that were already tried are then
 // allowed again, since their connections have been replaced by then.
 func (d *dispatcher) pick(ctx context.Context, q *quickRequest, attemptNumber int, tried []routing.TargetID, maybeRan bool) (routing.Ticket, routing.Refusal) {
 	giveUpAt := d.now().Add(repickTimeout)
--- a/entry/pick_test.go
+++ b/entry/pick_test.go
@@ -10,9 +10,8 @@
 	"github.com/eelgrasshub/eelgrasshub/routing"
 )
 
-// Guards against answering "unknown" while new connections are being opened, when all
-// connections failed at once. A request of which nothing was sent is still refused at
-// once.
+// Guards against answering "unknown" while new connections are being opened after all
+// have failed, and against delaying the refusal of a request of which nothing was sent.
 func TestLostAttemptWaitsForTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/entry/policy.go
+++ b/entry/policy.go
@@ -7,12 +7,12 @@
 	"github.com/eelgrasshub/eelgrasshub/routing"
 )
 
-// accountRetryShareFactor relates the share of its first attempts that one client account
-// may spend on retries to the share allowed for all accounts together. It is above 1
-// because the failures of one target may affect only a few accounts.
+// accountRetryShareFactor is the ratio of the retry share allowed to one client account
+// to the share allowed to all accounts together. It is above 1 because the failures of
+// one target may affect only a few accounts.
 const accountRetryShareFactor = 2
 
-// retryPolicy returns the retry budget that a document declares.
+// retryPolicy returns the retry policy that a document declares.
 func retryPolicy(d *document.Document) routing.RetryPolicy {
 	return routing.RetryPolicy{
 		Share:        d.Routing.RetryShare,
@@ -21,7 +21,7 @@
 	}
 }
 
-// applyDocument applies a document in force to the requests of its service.
+// applyDocument applies an active document to the requests of its service.
 func (d *dispatcher) applyDocument(doc *document.Document) {
 	weights := relativeWeights(doc)
 	d.weights.Store(&weights)
@@ -30,11 +30,11 @@
 
 // maxInFlight returns how many requests this entry may have at one target.
 func (e *Entry) maxInFlight(service string) int {
-	held, ok := e.documents.Current(service)
+	active, ok := e.documents.Current(service)
 	if !ok {
 		return math.MaxInt
 	}
-	return held.Document.Routing.MaxInFlight
+	return active.Document.Routing.MaxInFlight
 }
 
 // relativeWeights returns each account's weight divided by the mean weight of all
--- a/entry/prober.go
+++ b/entry/prober.go
@@ -26,16 +26,14 @@
 )
 
 // prober revokes the leases of entries whose process has ended, so that candidates need
-// not wait for the leases to expire.
-//
-// The proof is that no process listens on the peer's port: its instance answers with ICMP
-// port unreachable, seen as a refused connection. A peer that is unresponsive,
-// partitioned, paused or overloaded does not refuse; its lease has to expire.
+// not wait for the leases to expire. The proof is that no process listens on the peer's
+// port: its instance answers with ICMP port unreachable, seen as a refused connection. A
+// peer that is unresponsive, partitioned, paused or overloaded does not refuse; its lease
+// has to expire.
 //
 // A false positive, such as a firewall that refuses in the peer's place, is safe: the
 // peer loses its leaderships as it would by expiry, agents reject its lower epoch, and
-// job records are written by compare-and-swap. It costs one planner start for each of its
-// leaderships, and happens at most once per incarnation.
+// job records are written by compare-and-swap. It happens at most once per incarnation.
 type prober struct {
 	entry *Entry
 
--- a/entry/registry_write_test.go
+++ b/entry/registry_write_test.go
@@ -13,8 +13,7 @@
 )
 
 // Guards against an old process that registers again after it was replaced under its id:
-// agents and entries would turn to it, and both processes would revoke each other's
-// leases.
+// it would receive its successor's calls and revoke the successor's lease.
 func TestEarlierIncarnationDoesNotReplaceLater(t *testing.T) {
 	c := qt.New(t)
 	srv := standin.New(standin.Options{})
--- a/entry/sharedlease.go
+++ b/entry/sharedlease.go
@@ -13,8 +13,8 @@
 const (
 	// jobRetention is how long the record of an ended job is kept, at least.
 	jobRetention = 24 * time.Hour
-	// leaseSharePeriod is how long one store lease is used for new keys. A key therefore
-	// lives for between ttl and ttl + leaseSharePeriod.
+	// leaseSharePeriod is how long one store lease is used for new keys. A key is thus
+	// kept for between ttl and ttl + leaseSharePeriod.
 	leaseSharePeriod = time.Hour
 )
 
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -6,7 +6,7 @@
 
 // Stop stops the entry gracefully: it reports not ready, hands its leaderships over,
 // finishes requests in progress and then closes all connections. When ctx ends first, it
-// cuts off what is left and returns ctx's error.
+// closes the remaining connections at once and returns ctx's error.
 func (e *Entry) Stop(ctx context.Context) error {
 	e.draining.Store(true)
 	e.log.Info("draining")
--- a/entry/storeprobe.go
+++ b/entry/storeprobe.go
@@ -30,7 +30,7 @@
 }
 
 // check reads one small key, unless the last result is still valid. A call refused by
-// this entry's own call budget counts as available.
+// this entry's own rate limit counts as available.
 func (p *storeProbe) check(ctx context.Context, kv store.Store, service string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/entry/storeprobe_test.go
+++ b/entry/storeprobe_test.go
@@ -12,7 +12,7 @@
 )
 
 // Guards against reporting the store as unavailable because an earlier caller went away
-// or this entry's call budget is used up.
+// or this entry's rate limit is exceeded.
 func TestStoreProbeReportsOnlyStoreFailures(t *testing.T) {
 	c := qt.New(t)
 	server := standin.New(standin.Options{})
@@ -20,7 +20,7 @@
 	kv := store.NewClient(store.Options{Endpoints: []string{web.URL}, RateLimit: 1e-9, Burst: 1})
 	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	for range 2 { // the second call finds the budget used up
+	for range 2 { // the second call exceeds the rate limit
 		c.Check((&storeProbe{}).check(cancelled, kv, "s"), qt.IsTrue)
 	}
 	c.Check(kv.Calls().Refused, qt.Equals, int64(1))
--- a/entry/udp_probe.go
+++ b/entry/udp_probe.go
@@ -38,8 +38,8 @@
 }
 
 // portRefused sends one probe and reports whether it was refused. Without a refusal it
-// takes peerProbeInterval. It uses a connected socket, since only that is told of a
-// refusal.
+// takes peerProbeInterval. It uses a connected socket, since refusals are reported only
+// on those.
 func portRefused(ctx context.Context, addr string) bool {
 	conn, err := net.Dial("udp", addr)
 	if err != nil {
--- a/routing/retry_after.go
+++ b/routing/retry_after.go
@@ -32,9 +32,9 @@
 	return Refusal{Reason: NoTargets, RetryAfter: max(minRetryAfter, time.Duration(nextTrialAt-now))}
 }
 
-// RetryAfter returns when a client should send a request again that an agent
-// refused and that is not retried by the entry. Each call counts one more request
-// that is expected back.
+// RetryAfter returns the delay after which a client should retry a request that
+// an agent refused and that the entry does not retry. Each call counts one more
+// request that is expected to be retried.
 func (r *Router) RetryAfter(account string) time.Duration {
 	return r.accounts.get(account).retrySchedule.next()
 }
--- a/routing/retry_schedule.go
+++ b/routing/retry_schedule.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// retrySchedule spreads out the refused requests of a client account: each is told
-// to come back when the service, at its current rate, will have served those
-// refused before it. With the same delay for all, they would return at once and
-// be refused again.
+// retrySchedule spreads out the retries of a client account's refused requests:
+// each gets the delay after which the service, at its current rate, will have
+// served those refused before it. With the same delay for all, they would be
+// retried at once and refused again.
 type retrySchedule struct {
-	expected       atomic.Int64 // refused requests that have not come back
+	expected       atomic.Int64 // refused requests that have not been retried
 	answerInterval atomic.Int64 // moving average of the time between answers, nanoseconds
 	lastAnswerAt   atomic.Int64 // Unix nanoseconds; 0 before the first answer
 }
@@ -35,8 +35,8 @@
 	r.answerInterval.Store(average + int64(answerIntervalWeight*float64(interval-average)))
 }
 
-// next counts one more refused request and returns the delay after which it should
-// come back.
+// next counts one more refused request and returns the delay after which it
+// should be retried.
 func (r *retrySchedule) next() time.Duration {
 	interval := max(1, r.answerInterval.Load())
 	maxExpected := int64(maxRetryAfter) / interval
@@ -48,8 +48,8 @@
 	return max(minRetryAfter, wait)
 }
 
-// recordAccepted takes one request off those expected back, because an attempt of
-// the account was accepted.
+// recordAccepted removes one request from those expected to be retried, because
+// an attempt of the account was accepted.
 func (r *retrySchedule) recordAccepted() {
 	if expected := r.expected.Load(); expected > 0 {
 		r.expected.CompareAndSwap(expected, expected-1)
--- a/routing/router.go
+++ b/routing/router.go
@@ -110,10 +110,10 @@
 	return false
 }
 
-// refundRetry pays for the attempt that follows a refusal by a draining target.
-// Otherwise a planned stop would use up the budget and fail requests that other
-// targets could serve. It can't amplify load, as the draining target gets no new
-// attempts.
+// refundRetry adds one retry to both budgets, for the attempt that follows a
+// refusal by a draining target. Otherwise a planned stop would use up the budget
+// and fail requests that other targets could serve. It can't amplify load, as the
+// draining target gets no new attempts.
 func (r *Router) refundRetry(a *accountState) {
 	a.retryBudget.refund()
 	r.retryBudget.refund()
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -192,8 +192,8 @@
 	}
 }
 
-// Guards against refused requests that all return at the same time: each must be told
-// a later time, at the rate at which the account is served.
+// Guards against refused requests that are all retried at the same time: each
+// must get a later time, at the rate at which the account is served.
 func TestRetryAfterIsStaggered(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter("a")
--- a/target/send_tracker.go
+++ b/target/send_tracker.go
@@ -20,7 +20,7 @@
 	writesBefore uint64
 }
 
-// withTrace returns a context that records the connections of a request in p.
+// withTrace returns a context that records the connections of a request in t.
 func (t *sendTracker) withTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: t.gotConn})
 }
@@ -42,8 +42,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	none := !t.untracked
-	for _, g := range t.uses {
-		if g.conn.closeAndCount() != g.writesBefore {
+	for _, use := range t.uses {
+		if use.conn.closeAndCount() != use.writesBefore {
 			none = false
 		}
 	}
--- a/target/standin/standin_test.go
+++ b/target/standin/standin_test.go
@@ -183,14 +183,14 @@
 			}
 			client := target.NewClient(target.Options{BaseURL: srv.URL})
 			defer client.Close()
-			a, err := client.Do(ctx, target.Request{RequestID: "r1", Attempt: 1, Method: "PUT", Path: "p", RawQuery: "tag=x&work_ms=0&pad=9", Body: []byte("b")})
+			resp, err := client.Do(ctx, target.Request{RequestID: "r1", Attempt: 1, Method: "PUT", Path: "p", RawQuery: "tag=x&work_ms=0&pad=9", Body: []byte("b")})
 			c.Check(errors.Is(err, tc.err), qt.IsTrue, qt.Commentf("%v", err))
-			c.Check(a.Status, qt.Equals, tc.status)
+			c.Check(resp.Status, qt.Equals, tc.status)
 			runs := s.Audit().Quick
 			c.Assert(len(runs), qt.Equals, tc.runs)
 			if tc.err == nil {
 				var e Echo
-				c.Assert(json.Unmarshal(a.Body, &e), qt.IsNil)
+				c.Assert(json.Unmarshal(resp.Body, &e), qt.IsNil)
 				c.Check(e.Checksum(), qt.Equals, e.Sum)
 				c.Check([]string{e.RequestID, e.Path, runs[0].Tag, runs[0].Checksum}, qt.DeepEquals, []string{"r1", "p", "x", e.Sum})
 			}
