--- a/entry/elections.go
+++ b/entry/elections.go
@@ -216,7 +216,7 @@
 	if es.planner(service) != nil {
 		return "", false
 	}
-	p, _, ok := es.entry.registry.planner(service)
+	p, _, ok := es.entry.registry.leader(service)
 	return p.Address, ok
 }
 
--- a/entry/inspect.go
+++ b/entry/inspect.go
@@ -52,7 +52,7 @@
 	if e.elections.planner(m.Service) != nil {
 		return e.inspectLocal(ctx, m)
 	}
-	peer, _, ok := e.registry.planner(m.Service)
+	peer, _, ok := e.registry.leader(m.Service)
 	if !ok {
 		return nil, noPlanner(m.Service, "no entry has registered the duty; entry "+e.cfg.ID+" was asked")
 	}
--- a/entry/registry.go
+++ b/entry/registry.go
@@ -118,8 +118,8 @@
 	})
 }
 
-// planner returns the other entry with the highest epoch for the service, and that epoch.
-func (r *registry) planner(service string) (entryRecord, uint64, bool) {
+// leader returns the other entry with the highest epoch for the service, and that epoch.
+func (r *registry) leader(service string) (entryRecord, uint64, bool) {
 	var best entryRecord
 	var epoch uint64
 	for _, p := range r.others() {
