--- a/agent/message_handlers.go
+++ b/agent/message_handlers.go
@@ -44,7 +44,7 @@
 	if m.Incarnation != a.incarnation {
 		return &wire.ResolveAttemptReply{State: wire.AttemptUnknown}
 	}
-	return a.quickExecutor.resolveByName(ctx, m.AttemptID, m.MaxWait)
+	return a.quickExecutor.resolveAndWait(ctx, m.AttemptID, m.MaxWait)
 }
 
 func (a *Agent) handleGangMessage(ctx context.Context, from *wire.Conn, m *wire.GangMessage) (any, error) {
@@ -63,7 +63,7 @@
 	return &wire.GangReply{Payload: data}
 }
 
-// publishDocuments offers documents from an entry or relay to the agent's table and
+// publishDocuments adds documents from an entry or relay to the agent's active set and
 // returns the generations it then holds.
 func (a *Agent) publishDocuments(msg *wire.PublishDocuments) *wire.PublishDocumentsAck {
 	for _, v := range msg.Versions {
--- a/attempts/evict.go
+++ b/attempts/evict.go
@@ -44,12 +44,12 @@
 //
 // highestEvicted is the highest ID ever evicted. Attempts up to it that have no
 // record are Unknown, so that an evicted run is not taken for one that never
-// arrived, and they may not begin, so that an evicted refusal stays in force.
+// arrived, and they may not begin, so that an evicted refusal stays final.
 // Records that are still there keep their status.
 func (t *Table) evict() {
-	for t.bytes > t.config.MaxAnswerBytes {
+	for t.answerBytes > t.config.MaxAnswerBytes {
 		r, _ := t.answered.DeleteMin()
-		t.bytes -= len(r.answer)
+		t.answerBytes -= len(r.answer)
 		r.answer = nil
 		r.status = StatusRan
 		t.answerLost.ReplaceOrInsert(r)
@@ -66,7 +66,7 @@
 			continue
 		}
 		delete(t.records, r.id)
-		t.bytes -= len(r.answer)
+		t.answerBytes -= len(r.answer)
 		if r.id.Compare(t.highestEvicted) > 0 {
 			t.highestEvicted = r.id
 		}
--- a/entry/agents.go
+++ b/entry/agents.go
@@ -83,7 +83,7 @@
 )
 
 // conn returns a connection to the agent: the one that the agent opened, or one dialed
-// now. Its errors match wire.ErrNotSent.
+// now. Its errors match wire.ErrNotHandled.
 func (a *agentConns) conn(ctx context.Context, id string, check connCheck) (*wire.Conn, error) {
 	a.mu.RLock()
 	c := a.conns[id]
@@ -93,14 +93,14 @@
 		return c, nil
 	}
 	if addr == "" {
-		return nil, notSent(errUnreachable)
+		return nil, notHandled(errUnreachable)
 	}
 	c, err := a.dial(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
 	if check == verifiedConn && !answersPing(ctx, c) {
-		return nil, notSent(errUnresponsive)
+		return nil, notHandled(errUnresponsive)
 	}
 	return c, nil
 }
@@ -120,7 +120,7 @@
 	return a.pool.Conn(ctx, addr)
 }
 
-func notSent(cause error) error {
+func notHandled(cause error) error {
 	return &wire.CallError{Outcome: wire.ErrNotHandled, Cause: cause}
 }
 
@@ -134,7 +134,7 @@
 // exchange is cancelled and call returns early with wire.ErrOutcomeUnknown.
 //
 // Either end may close an idle connection just as it is chosen. Such a call fails with
-// both wire.ErrClosed and wire.ErrNotSent, and is retried once on a new connection.
+// both wire.ErrClosed and wire.ErrNotHandled, and is retried once on a new connection.
 func (a *agentConns) call(ctx context.Context, id string, msg any, check connCheck) (any, error) {
 	c, err := a.conn(ctx, id, check)
 	if err != nil {
--- a/entry/dispatcher.go
+++ b/entry/dispatcher.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// routingQuery describes the next attempt to the router.
-func (d *dispatcher) routingQuery(q *quickRequest, attemptNumber int, tried []routing.TargetID) routing.PickInfo {
+// pickInfo describes the next attempt for the router.
+func (d *dispatcher) pickInfo(q *quickRequest, attemptNumber int, tried []routing.TargetID) routing.PickInfo {
 	return routing.PickInfo{
 		Account:    q.account,
 		Attempt:    attemptNumber,
@@ -73,7 +73,7 @@
 	now           func() time.Time
 	count         func(c metrics.Counter, n int64)
 
-	// weights holds the relative weight of each account by the document in force.
+	// weights holds the relative weight of each account in the active document.
 	weights atomic.Pointer[map[string]float64]
 
 	mu sync.Mutex // serializes SetTargets, as the router requires
