--- a/membership/random_reports_test.go
+++ b/membership/random_reports_test.go
@@ -171,12 +171,12 @@
 
 func (s *reportSimulation) relayReports(from int) {
 	to := 1 - from
-	batch, cursor := s.tables[from].Relay(s.now, s.cursors[from])
+	batch, cursor := s.tables[from].RelayBatch(s.now, s.cursors[from])
 	s.network = append(s.network, packet{to, Reports{Batch: batch, Relayed: true}, func(now time.Time, actions []Action) {
 		var ack wire.ReportAck
 		FillAck(&ack, actions)
 		s.cursors[from] = max(s.cursors[from], cursor)
-		s.apply(to, Reports{Batch: s.tables[from].RelayFull(now, ack.NeedFull), Relayed: true})
+		s.apply(to, Reports{Batch: s.tables[from].FullReports(now, ack.NeedFull), Relayed: true})
 	}})
 }
 
--- a/membership/relayer.go
+++ b/membership/relayer.go
@@ -94,7 +94,7 @@
 // the cursor to pass to HandleAck with the entry's answer.
 func (r *Relayer) Batch(now time.Time, entry string) ([]wire.AgentReport, Cursor) {
 	state := r.stateOf(entry)
-	batch, cursor := r.table.Relay(now, state.cursor)
+	batch, cursor := r.table.RelayBatch(now, state.cursor)
 	var due []string
 	for id, at := range state.fullReportsDue {
 		if !now.Before(at) {
@@ -103,7 +103,7 @@
 	}
 	slices.Sort(due)
 	batch = slices.DeleteFunc(batch, func(a wire.AgentReport) bool { return slices.Contains(due, a.ID) })
-	batch = append(batch, r.table.RelayFull(now, due)...)
+	batch = append(batch, r.table.FullReports(now, due)...)
 	for i := range batch {
 		r.clearEvidence(&batch[i])
 	}
@@ -166,8 +166,8 @@
 	return earliest, !earliest.IsZero()
 }
 
-// Forget drops the state of an entry that the relay no longer reports to.
-func (r *Relayer) Forget(entry string) { delete(r.entryStates, entry) }
+// RemoveEntry drops the state of an entry that the relay no longer reports to.
+func (r *Relayer) RemoveEntry(entry string) { delete(r.entryStates, entry) }
 
 func (r *Relayer) stateOf(addr string) *entryState {
 	state := r.entryStates[addr]
--- a/membership/report_router.go
+++ b/membership/report_router.go
@@ -75,8 +75,8 @@
 		r.plannerAnsweredAt = time.Time{}
 	}
 	delete(r.entries, addr)
-	r.reporter.Forget(addr)
-	r.relayer.Forget(addr)
+	r.reporter.RemoveReceiver(addr)
+	r.relayer.RemoveEntry(addr)
 }
 
 // SetState sets the agent's whole state.
@@ -139,8 +139,8 @@
 	}
 	r.notePlanner(now, l, false) // otherwise a gang that starts now would wait for plannerAnswerTimeout
 	*l = entryLink{viaRelay: true, viaRelaySince: now}
-	r.reporter.Forget(addr)
-	r.relayer.Forget(addr)
+	r.reporter.RemoveReceiver(addr)
+	r.relayer.RemoveEntry(addr)
 }
 
 // batchReportDue returns when the entry must receive changes of members, or a full
--- a/membership/report_router_relay.go
+++ b/membership/report_router_relay.go
@@ -28,7 +28,7 @@
 
 func (r *ReportRouter) leaveRelay() {
 	if relay, ok := r.route.Relay(); ok {
-		r.reporter.Forget(relay.ID)
+		r.reporter.RemoveReceiver(relay.ID)
 		r.route.Clear()
 	}
 }
@@ -88,7 +88,7 @@
 	r.reporter.HandleAck(now, from.ID, r.toRelay.sequence, ack)
 	r.route.HandleAck(now, r.toRelay.sentAt, ack)
 	if relay, _ := r.route.Relay(); relay != from {
-		r.reporter.Forget(from.ID)
+		r.reporter.RemoveReceiver(from.ID)
 		return nil
 	}
 	return r.addEntries(ack.Entries)
@@ -100,7 +100,7 @@
 	if relay, ok := r.route.Relay(); !ok || relay != from {
 		return
 	}
-	r.reporter.Forget(from.ID)
+	r.reporter.RemoveReceiver(from.ID)
 	r.route.HandleFailure(now)
 }
 
--- a/membership/reporter.go
+++ b/membership/reporter.go
@@ -135,8 +135,8 @@
 	return wire.AgentReport{ID: r.state.ID, Incarnation: r.state.Incarnation, Departed: true}
 }
 
-// Forget drops the state of a receiver that the agent no longer reports to.
-func (r *Reporter) Forget(to string) { delete(r.receivers, to) }
+// RemoveReceiver drops the state of a receiver that the agent no longer reports to.
+func (r *Reporter) RemoveReceiver(to string) { delete(r.receivers, to) }
 
 // delta returns what changed after the sequence base.
 func (r *Reporter) delta(base uint64) wire.AgentReport {
--- a/membership/table_relay.go
+++ b/membership/table_relay.go
@@ -13,10 +13,10 @@
 // receiver has acknowledged the batch.
 type Cursor uint64
 
-// Relay returns the reports received directly from agents since the cursor: deltas for
+// RelayBatch returns the reports received directly from agents since the cursor: deltas for
 // changes, reports without content for agents that merely reported again, and departure
 // notices. The receiver passes them to Step as Reports with Relayed set.
-func (t *Table) Relay(now time.Time, since Cursor) ([]wire.AgentReport, Cursor) {
+func (t *Table) RelayBatch(now time.Time, since Cursor) ([]wire.AgentReport, Cursor) {
 	var batch []wire.AgentReport
 	for _, r := range t.records {
 		if !r.direct || r.livenessVersion <= uint64(since) {
@@ -32,8 +32,8 @@
 	return batch, Cursor(t.version)
 }
 
-// RelayFull returns full reports of the members that a receiver named in NeedFull.
-func (t *Table) RelayFull(now time.Time, ids []string) []wire.AgentReport {
+// FullReports returns full reports of the members that a receiver named in NeedFull.
+func (t *Table) FullReports(now time.Time, ids []string) []wire.AgentReport {
 	var batch []wire.AgentReport
 	for _, id := range ids {
 		if r := t.records[id]; r != nil && r.member != nil {
