--- a/document/lister_test.go
+++ b/document/lister_test.go
@@ -37,7 +37,7 @@
 		c := qt.New(t)
 		kv := newFakeStore()
 		mustPut(c, kv, "one", 0)
-		active, w := startWatcher(t, silentWatchStore{kv}, nil)
+		active, w := startWatcher(t, unresponsiveWatchStore{kv}, nil)
 		<-w.Ready()
 		mustPut(c, kv, "two", 1)
 		time.Sleep(15 * time.Second)
@@ -45,10 +45,10 @@
 	})
 }
 
-// silentWatchStore is a store whose watches never deliver.
-type silentWatchStore struct{ *fakeStore }
+// unresponsiveWatchStore is a store whose watches never deliver.
+type unresponsiveWatchStore struct{ *fakeStore }
 
-func (s silentWatchStore) Watch(ctx context.Context, _ string, _ store.Revision, _ func(store.WatchBatch)) error {
+func (s unresponsiveWatchStore) Watch(ctx context.Context, _ string, _ store.Revision, _ func(store.WatchBatch)) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
@@ -62,7 +62,7 @@
 		mustPut(c, kv, "one", 0)
 		old := kv.backup()
 		mustPut(c, kv, "two", 1)
-		active, w := startWatcher(t, silentWatchStore{kv}, nil)
+		active, w := startWatcher(t, unresponsiveWatchStore{kv}, nil)
 		<-w.Ready()
 		kv.restore(old)
 		time.Sleep(time.Second) // the later version wins
--- a/lease/elector_test.go
+++ b/lease/elector_test.go
@@ -31,7 +31,7 @@
 				t.Fatalf("seed %d: %s", seed, err)
 			}
 		}
-		if err := s.runUntilLed(); err != "" {
+		if err := s.runUntilLeader(); err != "" {
 			t.Fatalf("seed %d: %s", seed, err)
 		}
 		leaderships += s.leaderships
--- a/lease/session_simulation_test.go
+++ b/lease/session_simulation_test.go
@@ -109,7 +109,7 @@
 				t.Fatalf("seed %d: %s", seed, err)
 			}
 		}
-		if err := s.runUntilLed(); err != "" {
+		if err := s.runUntilLeader(); err != "" {
 			t.Fatalf("seed %d: %s", seed, err)
 		}
 		leaderships += s.leaderships
--- a/lease/simulation_test.go
+++ b/lease/simulation_test.go
@@ -156,8 +156,8 @@
 	return s.store.holderLease != 0 && s.store.holderLease == c.claimLease
 }
 
-// runUntilLed runs without faults until there is a leader.
-func (s *simulation) runUntilLed() string {
+// runUntilLeader runs without faults until there is a leader.
+func (s *simulation) runUntilLeader() string {
 	for _, c := range s.candidates {
 		c.pausedUntil = 0
 	}
--- a/membership/apply.go
+++ b/membership/apply.go
@@ -17,10 +17,10 @@
 		next.Tasks = nil
 	}
 	if groups&wire.ChangedLocation != 0 {
-		copyPlace(&next, r)
+		copyLocation(&next, r)
 	}
 	if groups&wire.ChangedCapacity != 0 {
-		copySize(&next, r)
+		copyCapacity(&next, r)
 	}
 	if groups&wire.ChangedDraining != 0 {
 		next.Draining = base.Draining || r.Draining
@@ -42,7 +42,7 @@
 	return next, groups
 }
 
-func copyPlace(to *wire.AgentReport, r wire.AgentReport) {
+func copyLocation(to *wire.AgentReport, r wire.AgentReport) {
 	to.Service = r.Service
 	to.Region = r.Region
 	to.Zone = r.Zone
@@ -51,7 +51,7 @@
 	to.CanRelay = r.CanRelay
 }
 
-func copySize(to *wire.AgentReport, r wire.AgentReport) {
+func copyCapacity(to *wire.AgentReport, r wire.AgentReport) {
 	to.Accelerators = r.Accelerators
 	to.Slots = r.Slots
 	to.Connections = r.Connections
--- a/membership/diff.go
+++ b/membership/diff.go
@@ -15,8 +15,8 @@
 			groups |= group
 		}
 	}
-	addUnlessEqual(placeOf(a) == placeOf(b), wire.ChangedLocation)
-	addUnlessEqual(sizeOf(a) == sizeOf(b), wire.ChangedCapacity)
+	addUnlessEqual(locationOf(a) == locationOf(b), wire.ChangedLocation)
+	addUnlessEqual(capacityOf(a) == capacityOf(b), wire.ChangedCapacity)
 	addUnlessEqual(a.Draining == b.Draining, wire.ChangedDraining)
 	addUnlessEqual(a.Load == b.Load, wire.ChangedLoad)
 	addUnlessEqual(a.FencingEpoch == b.FencingEpoch && sameTasks(a.Tasks, b.Tasks), wire.ChangedTasks)
@@ -24,11 +24,11 @@
 	return groups
 }
 
-func placeOf(r wire.AgentReport) [5]string {
+func locationOf(r wire.AgentReport) [5]string {
 	return [5]string{r.Service, r.Region, r.Zone, r.Rack, r.Address}
 }
 
-func sizeOf(r wire.AgentReport) [5]int {
+func capacityOf(r wire.AgentReport) [5]int {
 	return [5]int{r.Accelerators, r.Slots, r.Connections, r.Cores, r.MemoryMB}
 }
 
--- a/membership/random_relays_test.go
+++ b/membership/random_relays_test.go
@@ -21,9 +21,9 @@
 	pollInterval   = 50 * time.Millisecond
 	callTimeout    = time.Second
 	// Bounds that hold where nothing hinders the agent and the entry themselves.
-	maxSilence       = 17 * time.Second
-	maxDrainingShown = 3 * time.Second
-	maxGangSilence   = 2500 * time.Millisecond
+	maxContactAge          = 17 * time.Second
+	maxDrainingSchedulable = 3 * time.Second
+	maxGangContactAge      = 2500 * time.Millisecond
 )
 
 // rackAgent is an agent of the rack: a ReportRouter and its network calls.
@@ -307,16 +307,16 @@
 		return
 	}
 	unhindered := laterOf(laterOf(a.runningSince, e.runningSince), laterOf(s.lossyUntil, s.cutUntil[min(a.id, e.addr)+max(a.id, e.addr)]))
-	if s.now.Sub(unhindered) > maxSilence {
-		s.c.Assert(r != nil && s.now.Sub(r.lastContact) <= maxSilence, qt.IsTrue, qt.Commentf("%s was not heard by %s", a.id, e.addr))
+	if s.now.Sub(unhindered) > maxContactAge {
+		s.c.Assert(r != nil && s.now.Sub(r.lastContact) <= maxContactAge, qt.IsTrue, qt.Commentf("%s was not heard by %s", a.id, e.addr))
 	}
-	if !a.drainingSince.IsZero() && s.now.Sub(laterOf(unhindered, a.drainingSince)) > maxDrainingShown {
+	if !a.drainingSince.IsZero() && s.now.Sub(laterOf(unhindered, a.drainingSince)) > maxDrainingSchedulable {
 		schedulable := slices.Contains(schedulableIDs(e.table), a.id)
 		s.c.Assert(schedulable, qt.IsFalse, qt.Commentf("%s drains since %v and is offered by %s", a.id, s.now.Sub(a.drainingSince), e.addr))
 	}
-	if i == s.planner && !a.inGangSince.IsZero() && s.now.Sub(laterOf(laterOf(unhindered, a.inGangSince), s.planningSince)) > maxGangSilence {
+	if i == s.planner && !a.inGangSince.IsZero() && s.now.Sub(laterOf(laterOf(unhindered, a.inGangSince), s.planningSince)) > maxGangContactAge {
 		sinceDirect := s.now.Sub(e.lastDirectReport[a.id])
-		s.c.Assert(sinceDirect <= maxGangSilence, qt.IsTrue, qt.Commentf("%s has a gang, and its planner did not hear it itself for %v", a.id, sinceDirect))
+		s.c.Assert(sinceDirect <= maxGangContactAge, qt.IsTrue, qt.Commentf("%s has a gang, and its planner did not hear it itself for %v", a.id, sinceDirect))
 	}
 }
 
--- a/membership/relay_timing.go
+++ b/membership/relay_timing.go
@@ -25,5 +25,5 @@
 	// relayMemberTimeout is the time after which a relay drops a member that stopped
 	// reporting to it. The member reports directly by then, or is dead.
 	relayMemberTimeout = 10 * time.Second
-	relayMaxMembers    = 256
+	maxRelayMembers    = 256
 )
--- a/membership/relayer.go
+++ b/membership/relayer.go
@@ -32,7 +32,7 @@
 			LostAfter:    relayMemberTimeout,
 			ForgetAfter:  time.Minute,
 			ReportPeriod: RelayHeartbeat,
-			MaxMembers:   relayMaxMembers,
+			MaxMembers:   maxRelayMembers,
 		}),
 		entryStates:       make(map[string]*entryState),
 		newerIncarnations: make(map[string]wire.AgentIncarnation),
@@ -67,12 +67,12 @@
 func (r *Relayer) Tick(now time.Time) {
 	for _, a := range r.table.Step(now, Tick{}) {
 		if lost, ok := a.(Lost); ok {
-			r.forgetMember(lost.Member.Report.ID)
+			r.dropMember(lost.Member.Report.ID)
 		}
 	}
 }
 
-func (r *Relayer) forgetMember(id string) {
+func (r *Relayer) dropMember(id string) {
 	delete(r.newerIncarnations, id)
 	for _, state := range r.entryStates {
 		delete(state.fullReportsDue, id)
--- a/membership/report_router_test.go
+++ b/membership/report_router_test.go
@@ -12,7 +12,7 @@
 
 // A gang that starts just after its members' reports moved to the relay must reach the
 // planner at once. Waiting for plannerAnswerTimeout would isolate the gang.
-func TestGangStartsRightAfterTheRelayTookOver(t *testing.T) {
+func TestNewGangReportsToPlannerDirectly(t *testing.T) {
 	c := qt.New(t)
 	relay := wire.RelayInfo{ID: "r", Incarnation: 1, Address: "r"}
 	a := NewReportRouter(ReportRouterConfig{GangReportPeriod: time.Second, MaxEntries: 4}, fullReport("a", 1, 0), func() float64 { return 0.5 })
--- a/membership/reporter.go
+++ b/membership/reporter.go
@@ -18,14 +18,14 @@
 // receivers and relays. A delta holds what changed since the last report that its
 // receiver acknowledged.
 type Reporter struct {
-	cfg          ReporterConfig
-	random       func() float64
-	state        wire.AgentReport
-	groupSeq     [groupCount]uint64
-	taskSeq      map[gang.ID]uint64
-	ended        []endedTask
-	forgottenSeq uint64 // latest sequence of an ended task that was dropped
-	receivers    map[string]*receiver
+	cfg            ReporterConfig
+	random         func() float64
+	state          wire.AgentReport
+	groupSeq       [groupCount]uint64
+	taskSeq        map[gang.ID]uint64
+	ended          []endedTask
+	lastDroppedSeq uint64 // latest sequence of an ended task that was dropped
+	receivers      map[string]*receiver
 }
 
 type endedTask struct {
@@ -109,7 +109,7 @@
 	if n <= 0 {
 		return
 	}
-	r.forgottenSeq = r.ended[n-1].seq
+	r.lastDroppedSeq = r.ended[n-1].seq
 	r.ended = slices.Clone(r.ended[n:])
 }
 
@@ -124,7 +124,7 @@
 	rc := r.receiver(now, to)
 	rc.sentAt = now
 	rc.due = now.Add(r.withJitter(r.cfg.Period))
-	if rc.acked == 0 || rc.acked < r.forgottenSeq {
+	if rc.acked == 0 || rc.acked < r.lastDroppedSeq {
 		return r.state
 	}
 	return r.delta(rc.acked)
--- a/membership/reporter_test.go
+++ b/membership/reporter_test.go
@@ -42,7 +42,7 @@
 
 // An agent that begins to drain must report at once, even to an entry that refuses
 // reports; otherwise callers are sent to an agent that is leaving.
-func TestDrainingDoesNotWait(t *testing.T) {
+func TestDrainingIsReportedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	r := newReporter()
 	r.Report(startTime, "x")
--- a/membership/table_relay.go
+++ b/membership/table_relay.go
@@ -83,10 +83,10 @@
 // copyGroups copies the groups except tasks and draining.
 func copyGroups(to *wire.AgentReport, from wire.AgentReport, groups wire.FieldGroups) {
 	if groups&wire.ChangedLocation != 0 {
-		copyPlace(to, from)
+		copyLocation(to, from)
 	}
 	if groups&wire.ChangedCapacity != 0 {
-		copySize(to, from)
+		copyCapacity(to, from)
 	}
 	if groups&wire.ChangedLoad != 0 {
 		to.Load = from.Load
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -74,7 +74,7 @@
 
 // Draining reaches the entry before the agent's first report, which was made earlier.
 // The report must not make the agent schedulable; only its next incarnation is.
-func TestDrainingOvertakesTheFirstReport(t *testing.T) {
+func TestDrainingBeforeFirstReport(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(Config{})
 	table.Step(startTime, Draining{ID: "a", Incarnation: 2})
@@ -103,7 +103,7 @@
 
 // 900 agents of an availability zone return at once. Admission must stay within its
 // rate, each agent must get in with few attempts, and all must be in soon.
-func TestZoneReturnsAtOnce(t *testing.T) {
+func TestZoneReconnectIsRateLimited(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(Config{JoinsPerSecond: 200, JoinBurst: 50})
 	due := map[string]time.Duration{}
