--- a/document/parse.go
+++ b/document/parse.go
@@ -54,8 +54,8 @@
 }
 
 func addPlacementProblems(d *Document, result *schema.Result, checkPlacement PlacementCheck) {
-	for _, m := range checkPlacement(d.Topology, d.Accounts) {
-		result.AddProblem(guaranteePath(m.Account, m.Guarantee), "%s", m.Reason)
+	for _, problem := range checkPlacement(d.Topology, d.Accounts) {
+		result.AddProblem(guaranteePath(problem.Account, problem.Guarantee), "%s", problem.Reason)
 	}
 }
 
--- a/document/parse_test.go
+++ b/document/parse_test.go
@@ -61,11 +61,11 @@
 // shape.
 func TestCheckReportsUnplacedShape(t *testing.T) {
 	c := qt.New(t)
-	fit := func(topology *document.Topology, accounts []document.Account) []document.PlacementProblem {
+	checkPlacement := func(topology *document.Topology, accounts []document.Account) []document.PlacementProblem {
 		c.Assert(topology.Zones, qt.HasLen, 3)
 		c.Assert(accounts, qt.HasLen, 4)
 		return []document.PlacementProblem{{Account: 0, Guarantee: 1, Reason: "no worker is left"}}
 	}
-	_, err := document.Check("dispatch.toml", readSample(c, "dispatch.toml"), fit)
+	_, err := document.Check("dispatch.toml", readSample(c, "dispatch.toml"), checkPlacement)
 	c.Assert(err, qt.ErrorMatches, `dispatch.toml:15: account\[0\].guaranteed\[1\]: no worker is left`)
 }
--- a/document/watcher_test.go
+++ b/document/watcher_test.go
@@ -91,15 +91,15 @@
 		v, _, err := document.Get(context.Background(), kv, "dispatch")
 		c.Assert(err, qt.IsNil)
 		kv.setDown(true)
-		var asked atomic.Int64
+		var queries atomic.Int64
 		active, w := startWatcher(t, kv, func(context.Context, string, []document.Summary) (document.PeerAnswered, error) {
-			asked.Add(1)
+			queries.Add(1)
 			return peerAnswer("", true, v), nil
 		})
 		w.SetPeers([]string{"a", "b", "c"})
 		<-w.Ready()
 		c.Assert(generationOf(active), qt.Equals, uint64(1))
-		c.Assert(asked.Load() >= 2, qt.IsTrue)
+		c.Assert(queries.Load() >= 2, qt.IsTrue)
 		kv.setDown(false)
 		mustPut(c, kv, "two", 1)
 		time.Sleep(2 * time.Second)
--- a/internal/capacity/agent_test.go
+++ b/internal/capacity/agent_test.go
@@ -30,51 +30,51 @@
 	c.Assert(err, qt.IsNil)
 	upstreamAddr, err := net.ResolveUDPAddr("udp", upstream)
 	c.Assert(err, qt.IsNil)
-	r := &countingProxy{socket: socket, upstream: upstreamAddr, flows: make(map[string]*net.UDPConn)}
+	p := &countingProxy{socket: socket, upstream: upstreamAddr, flows: make(map[string]*net.UDPConn)}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		r.forwardToUpstream()
+		p.forwardToUpstream()
 	}()
 	c.Cleanup(func() {
 		_ = socket.Close()
 		<-done
-		for _, up := range r.flows {
+		for _, up := range p.flows {
 			_ = up.Close()
 		}
 	})
-	return r
+	return p
 }
 
-func (r *countingProxy) forwardToUpstream() {
+func (p *countingProxy) forwardToUpstream() {
 	buf := make([]byte, 64<<10)
 	for {
-		n, from, err := r.socket.ReadFromUDP(buf)
+		n, from, err := p.socket.ReadFromUDP(buf)
 		if err != nil {
 			return
 		}
-		up := r.flows[from.String()]
+		up := p.flows[from.String()]
 		if up == nil {
-			if up, err = net.DialUDP("udp", nil, r.upstream); err != nil {
+			if up, err = net.DialUDP("udp", nil, p.upstream); err != nil {
 				return
 			}
-			r.flows[from.String()] = up
-			go r.forwardFromUpstream(up, from)
+			p.flows[from.String()] = up
+			go p.forwardFromUpstream(up, from)
 		}
-		r.bytes.Add(int64(n + headerBytes))
+		p.bytes.Add(int64(n + headerBytes))
 		_, _ = up.Write(buf[:n])
 	}
 }
 
-func (r *countingProxy) forwardFromUpstream(up *net.UDPConn, to *net.UDPAddr) {
+func (p *countingProxy) forwardFromUpstream(up *net.UDPConn, to *net.UDPAddr) {
 	buf := make([]byte, 64<<10)
 	for {
 		n, err := up.Read(buf)
 		if err != nil {
 			return
 		}
-		r.bytes.Add(int64(n + headerBytes))
-		_, _ = r.socket.WriteToUDP(buf[:n], to)
+		p.bytes.Add(int64(n + headerBytes))
+		_, _ = p.socket.WriteToUDP(buf[:n], to)
 	}
 }
 
--- a/lease/watch_cache.go
+++ b/lease/watch_cache.go
@@ -20,50 +20,50 @@
 func newWatchCache() *watchCache { return &watchCache{changed: make(chan struct{})} }
 
 // reset replaces the content by a listing.
-func (v *watchCache) reset(snap store.Snapshot) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.listed, v.revision = true, snap.At
-	v.keys = make(map[string]store.KeyValue, len(snap.Keys))
+func (w *watchCache) reset(snap store.Snapshot) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.listed, w.revision = true, snap.At
+	w.keys = make(map[string]store.KeyValue, len(snap.Keys))
 	for _, kv := range snap.Keys {
-		v.keys[kv.Key] = kv
+		w.keys[kv.Key] = kv
 	}
-	v.notify()
+	w.notify()
 }
 
 // apply applies a batch of the watch.
-func (v *watchCache) apply(b store.WatchBatch) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
+func (w *watchCache) apply(b store.WatchBatch) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	for _, e := range b.Events {
 		if e.Deleted {
-			delete(v.keys, e.Key)
+			delete(w.keys, e.Key)
 			continue
 		}
-		v.keys[e.Key] = e.KeyValue
+		w.keys[e.Key] = e.KeyValue
 	}
-	v.revision = b.At
-	v.notify()
+	w.revision = b.At
+	w.notify()
 }
 
-func (v *watchCache) notify() {
-	close(v.changed)
-	v.changed = make(chan struct{})
+func (w *watchCache) notify() {
+	close(w.changed)
+	w.changed = make(chan struct{})
 }
 
 // get returns a key. ready reports whether the cache has reached minRevision; changed
 // is closed at the next change.
-func (v *watchCache) get(key string, minRevision store.Revision) (kv store.KeyValue, ok, ready bool, changed <-chan struct{}) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	kv, ok = v.keys[key]
-	return kv, ok, v.listed && v.revision >= minRevision, v.changed
+func (w *watchCache) get(key string, minRevision store.Revision) (kv store.KeyValue, ok, ready bool, changed <-chan struct{}) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	kv, ok = w.keys[key]
+	return kv, ok, w.listed && w.revision >= minRevision, w.changed
 }
 
 // awaitKey returns a key once the cache has reached minRevision.
-func (v *watchCache) awaitKey(ctx context.Context, key string, minRevision store.Revision) (store.KeyValue, bool, error) {
+func (w *watchCache) awaitKey(ctx context.Context, key string, minRevision store.Revision) (store.KeyValue, bool, error) {
 	for {
-		kv, ok, ready, changed := v.get(key, minRevision)
+		kv, ok, ready, changed := w.get(key, minRevision)
 		if ready {
 			return kv, ok, nil
 		}
--- a/membership/admission_limiter.go
+++ b/membership/admission_limiter.go
@@ -15,17 +15,17 @@
 }
 
 // admit takes a token, or returns after what time to try again.
-func (p *admissionLimiter) admit(now time.Time) (bool, time.Duration) {
-	if !p.last.IsZero() {
-		passed := now.Sub(p.last).Seconds() * p.rate
-		p.tokens = min(p.burst, p.tokens+passed)
-		p.waiting = max(0, p.waiting-passed)
+func (l *admissionLimiter) admit(now time.Time) (bool, time.Duration) {
+	if !l.last.IsZero() {
+		passed := now.Sub(l.last).Seconds() * l.rate
+		l.tokens = min(l.burst, l.tokens+passed)
+		l.waiting = max(0, l.waiting-passed)
 	}
-	p.last = now
-	if p.tokens >= 1 {
-		p.tokens--
+	l.last = now
+	if l.tokens >= 1 {
+		l.tokens--
 		return true, 0
 	}
-	p.waiting++
-	return false, time.Duration(p.waiting / p.rate * float64(time.Second))
+	l.waiting++
+	return false, time.Duration(l.waiting / l.rate * float64(time.Second))
 }
--- a/membership/apply.go
+++ b/membership/apply.go
@@ -66,8 +66,8 @@
 	for _, t := range r.Tasks {
 		replaced[t.ID] = true
 	}
-	for _, key := range r.RemovedTasks {
-		replaced[key] = true
+	for _, id := range r.RemovedTasks {
+		replaced[id] = true
 	}
 	next := make([]gang.Task, 0, len(old)+len(r.Tasks))
 	for _, t := range old {
--- a/membership/diff.go
+++ b/membership/diff.go
@@ -37,12 +37,12 @@
 	if len(a) != len(b) {
 		return false
 	}
-	byKey := make(map[gang.ID]gang.Task, len(a))
+	byID := make(map[gang.ID]gang.Task, len(a))
 	for _, t := range a {
-		byKey[t.ID] = t
+		byID[t.ID] = t
 	}
 	for _, t := range b {
-		if old, ok := byKey[t.ID]; !ok || !old.Equal(t) {
+		if old, ok := byID[t.ID]; !ok || !old.Equal(t) {
 			return false
 		}
 	}
--- a/membership/random_relays_test.go
+++ b/membership/random_relays_test.go
@@ -306,15 +306,15 @@
 	if !a.up || a.frozenUntil.After(s.now) {
 		return
 	}
-	unhindered := laterOf(laterOf(a.runningSince, e.runningSince), laterOf(s.lossyUntil, s.cutUntil[min(a.id, e.addr)+max(a.id, e.addr)]))
-	if s.now.Sub(unhindered) > maxContactAge {
+	healthySince := laterOf(laterOf(a.runningSince, e.runningSince), laterOf(s.lossyUntil, s.cutUntil[min(a.id, e.addr)+max(a.id, e.addr)]))
+	if s.now.Sub(healthySince) > maxContactAge {
 		s.c.Assert(r != nil && s.now.Sub(r.lastContact) <= maxContactAge, qt.IsTrue, qt.Commentf("%s was not heard by %s", a.id, e.addr))
 	}
-	if !a.drainingSince.IsZero() && s.now.Sub(laterOf(unhindered, a.drainingSince)) > maxDrainingSchedulable {
+	if !a.drainingSince.IsZero() && s.now.Sub(laterOf(healthySince, a.drainingSince)) > maxDrainingSchedulable {
 		schedulable := slices.Contains(schedulableIDs(e.table), a.id)
 		s.c.Assert(schedulable, qt.IsFalse, qt.Commentf("%s drains since %v and is offered by %s", a.id, s.now.Sub(a.drainingSince), e.addr))
 	}
-	if i == s.planner && !a.inGangSince.IsZero() && s.now.Sub(laterOf(laterOf(unhindered, a.inGangSince), s.planningSince)) > maxGangContactAge {
+	if i == s.planner && !a.inGangSince.IsZero() && s.now.Sub(laterOf(laterOf(healthySince, a.inGangSince), s.planningSince)) > maxGangContactAge {
 		sinceDirect := s.now.Sub(e.lastDirectReport[a.id])
 		s.c.Assert(sinceDirect <= maxGangContactAge, qt.IsTrue, qt.Commentf("%s has a gang, and its planner did not hear it itself for %v", a.id, sinceDirect))
 	}
--- a/wire/liveness.go
+++ b/wire/liveness.go
@@ -29,9 +29,9 @@
 // nor the peer's kernel can send.
 func (ep *Endpoint) checkLiveness(c *Conn) {
 	now := ep.now()
-	silence := now.Sub(c.LastReceived())
+	sinceReceived := now.Sub(c.LastReceived())
 	if c.peer.Load() == nil {
-		if silence > 2*ep.cfg.HandshakeTimeout {
+		if sinceReceived > 2*ep.cfg.HandshakeTimeout {
 			c.close(closeNoHello, "no hello")
 		}
 		return
@@ -44,7 +44,7 @@
 	if c.OutstandingCalls() > 0 {
 		probeAfter = ep.cfg.BusyProbeAfter
 	}
-	if silence < probeAfter || !c.probing.CompareAndSwap(false, true) {
+	if sinceReceived < probeAfter || !c.probing.CompareAndSwap(false, true) {
 		return
 	}
 	ep.tomb.Go(func() error {
