--- a/lease/candidate.go
+++ b/lease/candidate.go
@@ -129,13 +129,12 @@
 
 // ForceTakeover tells a waiting candidate that the current leader is believed to be
 // dead: the candidate deletes the leader's holder key instead of waiting for its lease
-// to expire. It reports whether the candidate was waiting. With a Session it has no
-// effect.
+// to expire. It reports whether the candidate was waiting. It has no effect with a
+// Session.
 //
-// A leader that is alive notices at its next renewal, and may consider itself the
-// leader until its lease would have expired. Use this only for elections whose every
-// effect is guarded by the epoch. The new leader must allow for what a live predecessor
-// may still promise for one TTL.
+// A leader that is alive may act as leader until its next renewal, for at most one TTL.
+// Use this only for elections whose every effect is guarded by the epoch, and allow for
+// what a live predecessor may still grant in that time.
 func (c *Candidate) ForceTakeover() bool {
 	select {
 	case c.takeoverRequested <- struct{}{}:
--- a/lease/candidate_store.go
+++ b/lease/candidate_store.go
@@ -22,7 +22,7 @@
 	// read returns a key as of the Candidate's own last write, or later.
 	read(ctx context.Context, key string) (store.KeyValue, bool, error)
 	// verify returns Verified with whether the holder key has the value claim, or
-	// Failed. held tells that the key had this value when it was last verified.
+	// Failed. held means that the key had this value when it was last verified.
 	verify(ctx context.Context, claim []byte, held bool) Event
 	// renew returns Renewed or Failed.
 	renew(ctx context.Context, lease store.LeaseID) Event
--- a/lease/candidate_test.go
+++ b/lease/candidate_test.go
@@ -134,10 +134,8 @@
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(42))
 }
 
-// Two candidates, restarted now and then, compete while the store has every kind of
-// fault: never may both lead at once, and each leadership must have a higher epoch. Two
-// of the outages outlast the leases. Four times the leader resigns while the store
-// works, and the other candidate must take over.
+// While the store has every kind of fault, two candidates may never lead at once, epochs
+// must grow, and a candidate must take over when the leader resigns.
 func TestCandidatesUnderFaults(t *testing.T) {
 	const seed, rounds = 1, 60
 	t.Cleanup(func() { goleak.VerifyNone(t) })
@@ -206,9 +204,9 @@
 	}
 }
 
-// checkSingleLeader asks the first candidate again after the second, so that a change
-// of leader between two questions is not taken for two leaders. Equal epochs in both
-// answers mean that the first led all the time.
+// checkSingleLeader queries the first candidate again after the second, so that a change
+// of leader in between is not mistaken for two leaders. Equal epochs in both answers
+// mean that the first led all the time.
 func checkSingleLeader(c *qt.C, one, other *lease.Candidate) {
 	first, ok1 := one.Current()
 	second, ok2 := other.Current()
--- a/lease/clock.go
+++ b/lease/clock.go
@@ -8,7 +8,7 @@
 
 // BootTime returns the time since the machine started, including the time it was
 // suspended. Go's monotonic clock stops during suspension, so a leader that resumes
-// would take a lease that expired long ago for valid.
+// would consider a lease valid that expired long ago.
 func BootTime() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/lease/elector_test.go
+++ b/lease/elector_test.go
@@ -15,12 +15,8 @@
 
 const stepsPerRun = 5000
 
-// Two processes lead at once, or the newer leader's orders are refused because the
-// older one has the higher epoch, when calls are slow, messages are lost or late, and
-// processes pause at any point.
-//
-// The choices are weighted and need uniform numbers, so a plain generator is used:
-// rapid prefers small ones.
+// With slow calls, lost or late messages and paused processes, two candidates must never
+// lead at once, and a successor must not have a lower epoch.
 func TestElectorRandom(t *testing.T) {
 	leaderships := 0
 	for seed := range *runCount {
--- a/lease/fence.go
+++ b/lease/fence.go
@@ -3,13 +3,11 @@
 import "sync/atomic"
 
 // Fence is used by a receiver of a leader's orders: it keeps the highest epoch seen and
-// refuses orders with a lower one. One Fence serves one election. The zero value
-// accepts any epoch. It is safe for concurrent use.
+// refuses orders with a lower one, which come from a leader that was replaced. One Fence
+// serves one election. The zero value accepts any epoch. It is safe for concurrent use.
 //
-// It guards against a leader that was paused or disconnected while another took over,
-// and whose orders arrive after those of its successor. A receiver that restarts begins
-// with an empty Fence, and must not accept orders until no order can arrive that the
-// lost Fence would have refused.
+// A receiver that restarts begins with an empty Fence, and must not accept orders until
+// no order can arrive that the lost Fence would have refused.
 type Fence struct {
 	highest atomic.Uint64
 }
--- a/lease/handover_test.go
+++ b/lease/handover_test.go
@@ -37,9 +37,8 @@
 	c.Assert(held.Epoch, qt.Equals, uint64(6))
 }
 
-// A candidate that believes the leader to be dead must take over under a higher epoch
-// without waiting for its lease to expire. The leader, which is alive, must find its
-// holder key gone at its next renewal.
+// A forced takeover must not wait for the leader's lease to expire, and the replaced
+// leader, which is alive, must detect it at its next renewal.
 func TestForceTakeoverReplacesLeaderAtOnce(t *testing.T) {
 	c := qt.New(t)
 	env := newTestEnv(t, standin.Options{})
--- a/lease/session.go
+++ b/lease/session.go
@@ -12,9 +12,8 @@
 )
 
 // Session keeps one lease of the store for a whole process: for the Candidates of any
-// number of elections, and for keys of the caller's own. A Candidate with a lease of
-// its own makes two calls in each third of its TTL; a Session makes as many in total,
-// however many Candidates it has. It is safe for concurrent use.
+// number of elections, and for keys of the caller's own. It makes two calls in each
+// third of its TTL, however many Candidates it has. It is safe for concurrent use.
 //
 // When the lease is lost (expired, revoked by another process, or missing in a restored
 // store), all Candidates end their leaderships and compete again under the next lease,
--- a/lease/session_lease.go
+++ b/lease/session_lease.go
@@ -26,12 +26,11 @@
 
 // sessionLease keeps one lease of a Session until it is lost.
 //
-// A renewal proves that the lease is valid but not that its keys exist: a store
-// restored from a backup may have the lease without the holder keys. The sessionLease
-// therefore rewrites a key of its own after each claim and reads it after each renewal.
-// Finding the last value proves that the store still has that write and all before it,
-// including the claims. Later changes of a single holder key, such as a deletion by an
-// operator, are detected by the watch.
+// A renewal does not prove that the keys of the lease exist: a store restored from a
+// backup may have the lease without the holder keys. The sessionLease therefore rewrites
+// a key of its own after each claim and reads it after each renewal: finding the last
+// value proves that the store still has all earlier writes. The watch detects later
+// changes of a holder key, such as a deletion by an operator.
 type sessionLease struct {
 	session        *Session
 	id             store.LeaseID
@@ -238,7 +237,7 @@
 }
 
 // writeKey writes the Session's key. If the key has a value that this process never
-// wrote, the store has lost history, and the lease is given up.
+// wrote, the store has lost history, and the lease is abandoned.
 func (l *sessionLease) writeKey(ctx context.Context) error {
 	value := record{Instance: l.session.opts.Instance, Token: uuid.NewString()}.encode()
 	l.mu.Lock()
--- a/lease/session_simulation_test.go
+++ b/lease/session_simulation_test.go
@@ -17,7 +17,7 @@
 	id              store.LeaseID // zero: none yet
 	claims          map[store.LeaseID]bool
 	renewedAt       time.Duration // on the candidate's clock
-	reportedRenewal time.Duration // the last renewal that the Elector was told of
+	reportedRenewal time.Duration // the last renewal passed to the Elector
 	renewalSentAt   *time.Duration
 }
 
@@ -88,11 +88,8 @@
 	return m.apply(c.action, c.sent)
 }
 
-// Three processes share one lease each between their elections and end a leadership by
-// deleting the holder key, which does not undo a claim in flight. Two may never lead at
-// once, nor may a successor have the lower epoch. In adversarial runs the leases of
-// live leaders are revoked as well: two may then be valid until the first one's next
-// renewal, but the owner of the holder key must have the highest epoch.
+// TestElectorRandom for candidates in a Session, whose release does not undo a claim in
+// flight. In adversarial runs the leases of live leaders are revoked as well.
 func TestElectorInSessionRandom(t *testing.T) {
 	leaderships := 0
 	for seed := range *runCount {
--- a/lease/session_test.go
+++ b/lease/session_test.go
@@ -107,9 +107,8 @@
 	}
 }
 
-// The store is restored from a backup that has the process's lease and two of its
-// holder keys but not the third, while the process's watch is frozen. Renewals still
-// succeed, so the process must detect by itself that a claim is missing.
+// After a restore from a backup with the lease but without one of the holder keys,
+// renewals still succeed; the process must detect that a claim is missing.
 func TestSessionInRestoredStore(t *testing.T) {
 	c := qt.New(t)
 	env := newTestEnv(t, standin.Options{})
@@ -179,9 +178,8 @@
 	}
 }
 
-// The creation of a holder key takes effect long after its Candidate gave the claim up.
-// Nobody leads, but the key lives as long as the Session's lease and would block the
-// election forever if it were not removed.
+// A holder key whose creation takes effect after its Candidate abandoned the claim must
+// be removed; otherwise it blocks the election as long as the Session exists.
 func TestSessionRemovesLateClaim(t *testing.T) {
 	c := qt.New(t)
 	env := newTestEnv(t, standin.Options{})
@@ -201,9 +199,8 @@
 	c.Assert((<-other.gained[0]).Epoch, qt.Equals, uint64(3))
 }
 
-// Two processes compete in five elections while the store has every kind of fault:
-// never may both lead one election, each leadership must have a higher epoch than those
-// before, and in the end each election must have a leader.
+// While the store has every kind of fault, two processes may never lead one election at
+// once and epochs must grow; in the end each election must have a leader.
 func TestSessionsUnderFaults(t *testing.T) {
 	const seed, rounds, elections = 7, 60, 5
 	c := qt.New(t)
--- a/lease/shared_lease_store.go
+++ b/lease/shared_lease_store.go
@@ -10,11 +10,11 @@
 
 // sharedLeaseStore lets a Candidate use the lease of a Session.
 //
-// Ending a leadership can't revoke that lease, and so does not undo a creation of the
-// holder key that is still in flight. If the creation takes effect late, nobody leads
-// but the key exists for as long as the Session. Such a key is bound to the Session's
-// own lease while this Candidate claims nothing; awaitVacant deletes it. A Candidate
-// that will not compete again makes the Session abandon its lease instead.
+// Ending a leadership can't revoke that lease, so a creation of the holder key that is
+// still in flight may take effect later and block the election while nobody leads.
+// awaitVacant deletes such a key, which is bound to the Session's lease although this
+// Candidate has no claim. A Candidate that will not compete again makes the Session
+// abandon its lease instead.
 type sharedLeaseStore struct {
 	session   *Session
 	holderKey string
--- a/lease/slow_store_test.go
+++ b/lease/slow_store_test.go
@@ -9,9 +9,8 @@
 	"github.com/eelgrasshub/eelgrasshub/lease"
 )
 
-// The store takes 320 ms for each answer, so the five calls of a claim use up most of a
-// lease of 2 s. Without a renewal during the claim the lease expires before the first
-// regular renewal is verified, and nobody keeps the leadership.
+// On a slow store the calls of a claim take most of the TTL. Without a renewal during
+// the claim, the lease expires before the first regular renewal is verified.
 func TestClaimOnSlowStoreIsRenewedInTime(t *testing.T) {
 	const (
 		ttl     = 2 * time.Second
