--- a/membership/action.go
+++ b/membership/action.go
@@ -6,8 +6,8 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// Action is returned by Table.Step: a change of a member, or something that the sender
-// of the reports has to be told.
+// Action is returned by Table.Step: a change of a member, or information for the sender
+// of the reports.
 type Action interface{ action() }
 
 // Joined: the member is new, returned after it was lost, or restarted. After a restart,
--- a/membership/admission_limiter.go
+++ b/membership/admission_limiter.go
@@ -2,19 +2,18 @@
 
 import "time"
 
-// admissionLimiter is a token bucket that also counts the senders it turned away, so
-// that each is told to return after those before it.
+// admissionLimiter is a token bucket that also counts the rejected senders, so that each
+// gets a later retry time than those before it.
 type admissionLimiter struct {
 	rate   float64 // tokens per second
 	burst  float64
 	tokens float64
-	// waiting is the number of senders that were turned away and are not due to return
-	// yet.
+	// waiting is the number of rejected senders whose retry time has not come yet.
 	waiting float64
 	last    time.Time
 }
 
-// admit takes a token, or returns after what time to try again.
+// admit takes a token, or returns the delay after which to try again.
 func (l *admissionLimiter) admit(now time.Time) (bool, time.Duration) {
 	if !l.last.IsZero() {
 		passed := now.Sub(l.last).Seconds() * l.rate
--- a/membership/admit.go
+++ b/membership/admit.go
@@ -7,11 +7,11 @@
 )
 
 // admit creates a record for an unknown agent, or returns nil. A departure notice or
-// draining creates one too, so that a report that it overtook can't undo it.
+// draining creates one too, so that an earlier report that arrives later can't undo it.
 //
-// An availability zone that returns at once sends hundreds of full reports in a moment.
-// Reports beyond the admission rate are refused before anything is stored, and each
-// refused sender is told a later time to try again than the one before.
+// Reports beyond the admission rate are refused before anything is stored, since a whole
+// availability zone may reconnect at once. Each refused sender gets a later retry time
+// than the one before.
 func (t *Table) admit(now time.Time, report *wire.AgentReport, relayed bool) *record {
 	terminal := report.Departed || report.Draining
 	if !report.Full && !terminal {
--- a/membership/random_relays_test.go
+++ b/membership/random_relays_test.go
@@ -20,7 +20,7 @@
 	maxOneWayDelay = 200 * time.Millisecond
 	pollInterval   = 50 * time.Millisecond
 	callTimeout    = time.Second
-	// Bounds that hold where nothing hinders the agent and the entry themselves.
+	// Bounds that hold while the agent and the entry run and are connected.
 	maxContactAge          = 17 * time.Second
 	maxDrainingSchedulable = 3 * time.Second
 	maxGangContactAge      = 2500 * time.Millisecond
@@ -33,7 +33,7 @@
 	state         wire.AgentReport
 	router        *ReportRouter
 	callPending   map[string]bool
-	lastRan       time.Time // last moment in which it ran
+	lastRan       time.Time // when it ran last
 	incarnation   uint64
 	drainingSince time.Time
 	inGangSince   time.Time
@@ -268,7 +268,7 @@
 	return ack
 }
 
-// checkNoEvidence checks that a relayed report can't renew a gang.
+// checkNoEvidence checks that a relayed report of a gang's member can't renew the gang.
 func (s *relaySimulation) checkNoEvidence(from *rackAgent, r wire.AgentReport) {
 	truth := s.reports.sentStates[reportVersion{r.ID, r.Incarnation, r.Sequence}]
 	if r.ID == from.id || len(truth.Tasks) == 0 {
@@ -394,12 +394,8 @@
 	s.recordState(a)
 }
 
-// The agents of a rack report through one of them while each, including the relay, is
-// killed, frozen, drained or disconnected, entries restart, and planner leadership
-// moves. Entries must show what the agent said and never go back, must not take a dead
-// agent for alive or miss a live one, must not list a draining one as schedulable, even
-// if its relay dies at that moment, and a gang's planner must receive its members'
-// reports directly.
+// While agents and relays fail, entries must not show a dead agent as alive, a live one as
+// lost or a draining one as schedulable; planners must get gang reports directly.
 func TestRandomRelays(t *testing.T) {
 	c := qt.New(t)
 	for run := range uint64(*runsFlag) {
--- a/membership/random_reports_test.go
+++ b/membership/random_reports_test.go
@@ -42,8 +42,8 @@
 	network    []packet
 	sentStates map[reportVersion]wire.AgentReport
 	lastShown  [2]map[string]reportVersion // latest version shown by each table
-	drained    [2]map[string]uint64        // incarnation that each table knows to drain
-	left       [2]map[string]uint64        // incarnation that each table knows to have ended
+	drained    [2]map[string]uint64        // latest incarnation that each table knows to be draining
+	left       [2]map[string]uint64        // latest incarnation that each table knows to have left
 }
 
 type agent struct {
@@ -230,9 +230,8 @@
 	}
 }
 
-// Agents restart, drain and leave while their reports are delayed, reordered, repeated,
-// lost and relayed. A table must show what the agent said at that sequence, never go
-// back, and never list a draining agent as schedulable.
+// With delayed, reordered, repeated, lost and relayed reports, a table must show the state
+// that the agent reported, never go back, and never list a draining agent as schedulable.
 func TestRandomReports(t *testing.T) {
 	c := qt.New(t)
 	for run := range uint64(*runsFlag) {
--- a/membership/relay_route.go
+++ b/membership/relay_route.go
@@ -11,9 +11,7 @@
 // It is not safe for concurrent use.
 //
 // A relay is relied on only while its last answer is recent, and only for the entries
-// that the answer lists. If a relay is dead, frozen, disconnected from an entry, or
-// unable to relay, its answer is missing or lacks the entry, and the agent reports to
-// that entry directly again.
+// that the answer lists. The agent reports to all other entries directly.
 type RelayRoute struct {
 	self         string
 	relay        wire.RelayInfo
@@ -36,8 +34,8 @@
 
 // OfferRelay handles the relay that an entry named for the agent's rack. An agent that
 // has a relay keeps it: entries that know different agents name different relays, and
-// following each would make the agent switch back and forth. The relay itself tells
-// when another one is to be used.
+// following each would make the agent switch back and forth. The relay's own answer
+// names another one when it is to be replaced.
 func (r *RelayRoute) OfferRelay(now time.Time, relay wire.RelayInfo) {
 	if _, ok := r.Relay(); !ok {
 		r.switchTo(now, relay)
--- a/membership/relayer.go
+++ b/membership/relayer.go
@@ -9,7 +9,7 @@
 )
 
 // Relayer is the state of a relay: the members that report to it, and what each entry
-// has been told of them. It is not safe for concurrent use. Times passed to it must not
+// has received about them. It is not safe for concurrent use. Times passed to it must not
 // go back and should come from a clock that advances during suspension, because they
 // determine the age of reports.
 type Relayer struct {
@@ -40,7 +40,7 @@
 }
 
 // HandleReport processes a member's report. It returns the answer, without the list of
-// entries, and whether the entries must be told without waiting for the relay's next
+// entries, and whether the entries must be informed without waiting for the relay's next
 // report. That is always so for a full report: the member reported directly until now,
 // and the entries' last report of it may be a period old.
 func (r *Relayer) HandleReport(now time.Time, report wire.AgentReport) (*wire.ReportAck, bool) {
@@ -112,7 +112,7 @@
 
 // clearEvidence marks the relayed report of a gang's member as no evidence that the
 // gang runs. Without a timestamp it would count from its receipt, and the planner would
-// renew the other members of a gang whose member here has stopped since.
+// renew the gang's other members although this one may have stopped since.
 func (r *Relayer) clearEvidence(a *wire.AgentReport) {
 	record := r.table.records[a.ID]
 	if record == nil || record.member == nil {
--- a/membership/report_router.go
+++ b/membership/report_router.go
@@ -114,14 +114,10 @@
 	return due
 }
 
-// reportsViaRelay reports whether the agent leaves its reports to an entry to its
-// relay.
-//
-// A draining agent reports directly, so that the change is not lost with a relay that
-// dies at that moment. So does a member of a gang to the entry with planner leadership:
-// the planner keeps the gang running on the evidence of its members' reports. A relay
-// would make that evidence older, and its death would stop the gang until it is
-// noticed.
+// reportsViaRelay reports whether the agent's reports reach an entry through its relay.
+// A draining agent reports directly, so that the change is not lost if the relay dies. So
+// does a member of a gang to the entry with planner leadership: the planner keeps the
+// gang running only while its members' reports are recent, and a relay delays them.
 func (r *ReportRouter) reportsViaRelay(now time.Time, addr string) bool {
 	if r.draining || !r.route.ForwardsTo(now, addr) {
 		return false
@@ -205,9 +201,8 @@
 	return r.addEntries(ack.Entries)
 }
 
-// notePlanner records whether the entry has planner leadership. When the entry that
-// planned does not any more, the member of a gang must look for the next planner at
-// once.
+// notePlanner records whether the entry has planner leadership. When the entry loses it,
+// the member of a gang reports to all entries directly, to reach the next planner.
 func (r *ReportRouter) notePlanner(now time.Time, l *entryLink, isPlanner bool) {
 	if isPlanner {
 		r.plannerAnsweredAt = now
--- a/membership/report_router_relay.go
+++ b/membership/report_router_relay.go
@@ -105,7 +105,7 @@
 }
 
 // HandleMemberReport answers a report that another agent sent to this one as its relay.
-// urgent reports whether the entries must be told at once. An agent that is not the
+// urgent reports whether the entries must be informed at once. An agent that is not the
 // relay does not accept the report and names the relay if it knows one. A nil answer
 // means that the report was not accepted because its age is unknown.
 func (r *ReportRouter) HandleMemberReport(now time.Time, report *wire.Report) (ack *wire.ReportAck, urgent bool) {
@@ -175,8 +175,8 @@
 
 // recentlyPaused reports whether this process was paused a moment ago. Reports that
 // waited in its sockets would count as new when they are read, so a relay that was
-// frozen for a minute would make members that died since look alive. A pause shows as
-// an overdue Tick, to the first call of Tick or HandleMemberReport after it.
+// frozen for a minute would report members that died since as alive. The first call of
+// Tick or HandleMemberReport after a pause detects it by the overdue Tick.
 func (r *ReportRouter) recentlyPaused(now time.Time) bool {
 	if !r.lastTick.IsZero() && now.Sub(r.lastTick) > pauseThreshold {
 		r.pauseDetectedAt = now
--- a/membership/reporter_test.go
+++ b/membership/reporter_test.go
@@ -60,9 +60,8 @@
 	c.Assert(r.Report(startTime, "x").Draining, qt.IsTrue)
 }
 
-// After a late acknowledgement of an early report, a delta would omit ended tasks that
-// the agent has already dropped, and the planner would keep their accelerators
-// reserved.
+// After a late acknowledgement, a delta would omit ended tasks that the agent has already
+// dropped, and the planner would keep their accelerators reserved.
 func TestLateAcknowledgementNeedsFullReport(t *testing.T) {
 	c := qt.New(t)
 	r := newReporter()
--- a/membership/table.go
+++ b/membership/table.go
@@ -7,8 +7,8 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-// Table holds the members. Step, Relay, RelayFull and the other methods must be called
-// by one goroutine; only Snapshot is safe for concurrent use.
+// Table holds the members. All methods must be called by one goroutine, except Snapshot,
+// which is safe for concurrent use.
 type Table struct {
 	cfg           Config
 	records       map[string]*record
--- a/membership/table_relay.go
+++ b/membership/table_relay.go
@@ -50,8 +50,8 @@
 	return out
 }
 
-// relayReport returns a delta of the groups that changed since the version. Its Base is
-// the latest sequence at which one of the omitted groups changed: a receiver with that
+// relayReport returns a delta of the groups that changed since the version. BaseSequence
+// is the latest sequence at which one of the omitted groups changed: a receiver with that
 // sequence or a later one lacks nothing. Changed task lists are sent as full reports,
 // because a delta of them would depend on what the receiver has.
 func (r *record) relayReport(now time.Time, since uint64) wire.AgentReport {
