--- a/store/client_test.go
+++ b/store/client_test.go
@@ -13,8 +13,8 @@
 	"github.com/eelgrasshub/eelgrasshub/store/standin"
 )
 
-// generousTimeout exceeds any pause of a busy machine, so that no call is taken for
-// lost unless the test injects the fault.
+// generousTimeout exceeds any pause of a busy machine, so that a call is lost only if the
+// test injects the fault.
 const generousTimeout = time.Minute
 
 // startStore returns a stand-in and a client for it with generousTimeout as call
--- a/store/resolve.go
+++ b/store/resolve.go
@@ -18,16 +18,13 @@
 	maxVersionReads = 8
 )
 
-// resolveLostCommit determines the results of swaps whose reply was lost. A plain retry
-// would conflict with the client's own write if the first attempt took effect.
+// resolveLostCommit determines the results of swaps whose reply was lost. The client
+// recognizes its own write by the value, because every proposed value is unique.
 //
-// A swap that expects an existing revision is sent again: revisions do not recur unless
-// the store is restored from a backup, so it takes effect at most once, however many
-// copies arrive and however late. Reading the key back would not be enough, since the
-// first copy may still be in transit. A swap that creates a key is only read back: if
-// the key was created and deleted meanwhile, sending the swap again would create it a
-// second time. In both cases the value identifies the write, because every proposed
-// value is unique.
+// A swap that expects an existing revision is sent again, since the first copy may still
+// be in transit: revisions do not recur unless the store is restored from a backup, so it
+// takes effect at most once. A swap that creates a key is only read back: if the key was
+// created and deleted meanwhile, a second copy would create it again.
 func (c *Client) resolveLostCommit(ctx context.Context, swaps []Swap) []SwapResult {
 	retryDelay := backoff.NewExponentialBackOff()
 	retryDelay.InitialInterval = resolveBackoff
--- a/store/watch_test.go
+++ b/store/watch_test.go
@@ -47,9 +47,8 @@
 	return events
 }
 
-// A watch must deliver every change exactly once although connections are cut or become
-// unresponsive, and concurrent swaps must be reported correctly although replies and
-// requests are lost.
+// With cut or unresponsive connections and lost calls, a watch must deliver every change
+// exactly once, and the results of concurrent swaps must be correct.
 func TestWatchAndSwapsUnderFaults(t *testing.T) {
 	const seed, writers, writes = 1, 4, 150
 	c := qt.New(t)
--- a/wire/call.go
+++ b/wire/call.go
@@ -47,7 +47,7 @@
 		return callNotHandled(contextCause(ctx, err))
 	}
 	// A failed Close is not final: the peer may have stopped reading because it
-	// rejected the frame, and its reply tells so.
+	// rejected the frame, and its reply says so.
 	_ = stream.Close()
 	return nil
 }
--- a/wire/call_test.go
+++ b/wire/call_test.go
@@ -27,8 +27,7 @@
 }
 
 // If the connection ends while the handler runs, the outcome must be unknown; otherwise
-// the caller would book the same capacity twice. A later call on the connection is not
-// handled.
+// the caller could send the message again and book the same capacity twice.
 func TestLostConnectionLeavesOutcomeUnknown(t *testing.T) {
 	c := qt.New(t)
 	running := make(chan struct{})
--- a/wire/messages_report.go
+++ b/wire/messages_report.go
@@ -91,8 +91,8 @@
 	CongestionMarks uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Report carries the reports of one or more agents, which an aggregator or another
-// entry may relay. KnownDigest is the Digest of the last ReportAck with content, so
+// Report carries the reports of one or more agents, which a relay or another entry may
+// forward. KnownDigest is the Digest of the last ReportAck with content, so
 // that unchanged content is not repeated.
 type Report struct {
 	Reports     []AgentReport `cbor:"1,keyasint,omitempty"`
--- a/wire/pool_test.go
+++ b/wire/pool_test.go
@@ -23,8 +23,7 @@
 }
 
 // If a network device drops the state of a connection, the outstanding call must end as
-// unknown, and the next call must succeed on a new connection without waiting for
-// QUIC's idle timeout.
+// unknown, and the next one must succeed on a new connection before QUIC's idle timeout.
 func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	c := qt.New(t)
 	arrived := make(chan struct{})
