--- a/document/fork.go
+++ b/document/fork.go
@@ -4,7 +4,7 @@
 //
 // Within one history, both increase together. If they disagree, the history has forked:
 // the store was restored from a backup, and an operator put to it before a process wrote
-// the active version back. Both operators were told success.
+// the active version back. Both puts were reported as successful.
 func compareVersions(active, offered Version) UpdateResult {
 	same := offered.Generation == active.Generation && offered.Digest == active.Digest
 	switch {
--- a/document/pending_write.go
+++ b/document/pending_write.go
@@ -14,12 +14,10 @@
 // write whose reply was lost.
 const maxRetryDelay = 2 * time.Second
 
-// pendingWrite is a proposal that is being written to the store.
-//
-// If the reply to a swap is lost, reading the key back is not enough: the request may
-// still be in flight and take effect after the read. Therefore the same swap is sent
-// again. Both expect the same revision, so only the first to arrive succeeds, and the
-// other finds its token.
+// pendingWrite is a proposal that is being written to the store. If the reply to a swap is
+// lost, the same swap is sent again, since the request may still be in flight and take
+// effect after a read. Both expect the same revision, so only the first to arrive
+// succeeds, and the other finds its token.
 type pendingWrite struct {
 	store          store.Store
 	proposal       Proposal
--- a/document/put_test.go
+++ b/document/put_test.go
@@ -120,7 +120,7 @@
 }
 
 // Among concurrent puts on the same base with lost replies and delayed requests, at most
-// one operator is told success, and only if the store has that version.
+// one may be reported as successful, and only if the store has that version.
 func TestConcurrentPutsWithLostReplies(t *testing.T) {
 	const runs, operators = 400, 3
 	unknown := 0
--- a/document/simulation_model_test.go
+++ b/document/simulation_model_test.go
@@ -41,7 +41,7 @@
 	backups           []storeBackup
 	delayedAnswers    []document.PeerAnswered  // answers to be delivered late, perhaps repeatedly
 	oldEvents         []document.StoredVersion // documents that a watch may deliver again
-	lastAcknowledged  document.Version         // the latest version that an operator was told success for
+	lastAcknowledged  document.Version         // the latest version whose put succeeded
 	puts              int
 	writeBacks        int
 	commonGenerations []commonGeneration // in increasing order
--- a/document/simulation_test.go
+++ b/document/simulation_test.go
@@ -157,9 +157,8 @@
 		s.seed, s.lastAcknowledged.Generation, s.lastAcknowledged.Author, stored.Generation, stored.Author))
 }
 
-// With lost replies, restarts, store outages and restores, and late events and answers,
-// the active generation of a process must not decrease, and an acknowledged version must
-// not be replaced by an older one.
+// Despite outages, restores, restarts and late events, the active generation of a process
+// must not decrease, and an older version must not replace an acknowledged one.
 func TestSimulationGenerationNeverDecreases(t *testing.T) {
 	puts, writeBacks := 0, 0
 	for seed := *simulationSeed; seed < *simulationSeed+*simulationRuns; seed++ {
--- a/document/syncer.go
+++ b/document/syncer.go
@@ -37,15 +37,12 @@
 // whom to query, when the documents are confirmed, and when to repair the store. It does
 // no I/O; it updates its ActiveSet and returns actions. One goroutine owns it.
 //
-// It prevents a new process from becoming ready with an outdated document while the store
-// is unavailable or after the store was restored. A process is ready once the store and
-// one ready peer have answered, or once RequiredConfirmations ready peers have. If the
-// store has answered and no ready peer does within QueryRounds, the store is enough, since
-// all processes may have started at once. Rounds are counted instead of time, because a
-// process that was paused has not queried anyone.
-//
-// Answers older than MaxAnswerAge, or to queries of an earlier incarnation, do not
-// confirm.
+// A process is ready once the store and one ready peer have answered, or once
+// RequiredConfirmations ready peers have; so it does not become ready with an outdated
+// document during a store outage or after a restore. If no ready peer answers within
+// QueryRounds, the store is enough, since all processes may have started at once. Rounds
+// are counted instead of time, because a paused process has queried no one. Answers older
+// than MaxAnswerAge, or to queries of an earlier incarnation, do not confirm.
 type Syncer struct {
 	config SyncerConfig
 	active *ActiveSet
--- a/document/watcher.go
+++ b/document/watcher.go
@@ -105,8 +105,8 @@
 	w.handleEvent(PeersUpdated{PeerIDs: ids})
 }
 
-// ReceiveVersions handles versions that a peer sent unasked. They may become active like
-// any other, but do not confirm the documents.
+// ReceiveVersions handles versions that a peer sent without a query. They may become
+// active like any other, but do not confirm the documents.
 func (w *Watcher) ReceiveVersions(peer string, versions []Version) {
 	w.handleEvent(PeerAnswered{Peer: peer, Versions: versions})
 }
--- a/internal/capacity/relays_test.go
+++ b/internal/capacity/relays_test.go
@@ -17,9 +17,8 @@
 // rackSize is the number of agents in a rack.
 const rackSize = 20
 
-// TestMeasureRacks measures an entry whose agents report through relays: one real agent and 19
-// stand-ins in each rack. It measures an entry that all agents dialled at first, and one that
-// is restarted while they run. Loads change before each report.
+// TestMeasureRacks measures an entry, before and after its restart, whose agents report through
+// relays: one real agent and 19 stand-ins in each rack, with changing loads.
 func TestMeasureRacks(t *testing.T) {
 	requireMeasure(t)
 	for _, n := range []int{200, 1000, 3400} {
--- a/load/findings.go
+++ b/load/findings.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// Findings holds the violations of what callers were promised, by kind.
+// Findings holds the violations of the guarantees given to callers, by kind.
 type Findings struct {
 	// Lost counts requests without a known outcome and accepted jobs without a final state.
 	Lost Finding
--- a/trial/combined_faults_test.go
+++ b/trial/combined_faults_test.go
@@ -16,9 +16,8 @@
 )
 
 func TestPlannerFailureDuringStoreOutage(t *testing.T) {
-	// The planner's entry dies during a store outage, so that nobody can take over. The gang must
-	// stop at its isolation timeout and run again when the store is back; the job of one worker
-	// must end in its first attempt, and the waiting job must run.
+	// The planner's entry dies during a store outage, so that no other entry can take over. The gang
+	// must stop and run again after the outage, and other jobs must run once.
 	tc := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
 	planner := tc.PlannerEntry()
 	other := tc.otherEntry(planner)
@@ -53,9 +52,8 @@
 }
 
 func TestEntryFailureDuringJobSubmission(t *testing.T) {
-	// The store is slow and loses its replies, and the entry dies before it knows whether the jobs
-	// were stored. Submissions with the same keys through the other entry must give one job each,
-	// which runs once.
+	// The entry dies before it knows whether the jobs were stored. Submissions with the same keys
+	// through the other entry must give one job each, which runs once.
 	tc := startTestCluster(t, func(o *trial.Options) { o.UDPRelays = true })
 	const n = 6
 	before := tc.Store.Counters().Txn
@@ -85,9 +83,8 @@
 }
 
 func TestAllAgentsRestartWithSlowStore(t *testing.T) {
-	// All agents of a zone restart at once while the store is slow. A request reported as not run
-	// must not have run, no booking may run twice, the gang must run on, and the zone's full
-	// capacity must become available again.
+	// All agents of a zone restart at once while the store is slow. No booking may run twice or be
+	// misreported, the gang must run on, and the full capacity must become available again.
 	tc := startTestCluster(t, func(o *trial.Options) { o.Document = defaultGangDocument })
 	gang := tc.submit(0, "big", "gang", 16, 3*time.Second)
 	tc.awaitJob(0, gang, api.JobRunning)
@@ -143,9 +140,8 @@
 const firstAttemptNumber = 1<<32 | 1
 
 func TestAgentRestartDuringGangStart(t *testing.T) {
-	// A start request is delayed on its way to the target until after its agent has restarted and
-	// the planner has given up the attempt. It must not run, or it would hold accelerators that the
-	// planner counts as free.
+	// A start request that reaches the target after its agent has restarted and the planner has
+	// aborted the attempt must not run, or it would hold accelerators that count as free.
 	tc := startTestCluster(t, func(o *trial.Options) { o.Document = defaultGangDocument })
 	for _, worker := range tc.Workers {
 		worker.Target.SetFaults(standin.Faults{HoldStarts: true})
@@ -158,7 +154,7 @@
 	oldIncarnation := restarting.Target.AgentIncarnation()
 	restarting.KillAgent()
 	tc.Assert(restarting.StartAgent(), qt.IsNil)
-	// A start that arrives before the agent has listed its target's tasks would be adopted.
+	// A start that arrives before the agent has listed its target's tasks would be recovered.
 	tc.eventually(func() error {
 		return errorUnless(restarting.Target.AgentIncarnation() > oldIncarnation, "the agent has not asked its target")
 	})
--- a/trial/jobs_test.go
+++ b/trial/jobs_test.go
@@ -16,9 +16,8 @@
 )
 
 func TestGangSurvivesLongStoreOutage(t *testing.T) {
-	// The store is out for longer than the isolation and loss timeouts. The planner's lease
-	// expires, but the running gang must end in its first attempt, and a waiting job must start
-	// once the store is back.
+	// The store is unavailable for longer than the gang timeouts and the planner's lease. The running
+	// gang must end in its first attempt, and a waiting job must start after the outage.
 	tc := startTestCluster(t, func(o *trial.Options) { o.Document = outageDocument })
 	running := tc.submit(0, "big", "running", 16, outageLossTimeout+4*time.Second)
 	tc.awaitJob(0, running, api.JobRunning)
--- a/trial/target_restart_test.go
+++ b/trial/target_restart_test.go
@@ -10,8 +10,8 @@
 	"github.com/eelgrasshub/eelgrasshub/trial"
 )
 
-// taskLease is the lease of a task, for which an agent could take a task for running that its
-// target has lost.
+// taskLease is the lease of a task: the longest time for which an agent could consider a task
+// running that its target has lost.
 const taskLease = 15 * time.Second
 
 func TestTaskLostInTargetRestartStartsAgain(t *testing.T) {
