--- a/api/api_test.go
+++ b/api/api_test.go
@@ -48,7 +48,7 @@
 	qt.Assert(t, err, qt.ErrorMatches, `.*outcome: "not-run" contradicts reason "outcome-lost"`)
 }
 
-func TestParseCallNamesTheHeader(t *testing.T) {
+func TestParseCallOptionsNamesHeader(t *testing.T) {
 	for name, tc := range map[string]struct{ header, value, field string }{
 		"no account":            {HeaderAccount, "", HeaderAccount},
 		"long class":            {HeaderClass, strings.Repeat("c", MaxNameLen+1), HeaderClass},
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestParseCallRoundTrip(t *testing.T) {
+func TestCallOptionsRoundTrip(t *testing.T) {
 	no := false
 	want := CallOptions{Account: "a", Class: "c", Deadline: time.Second, Repeatable: &no, IdempotencyKey: "k"}
 	h := http.Header{}
