--- a/membership/random_relays_test.go
+++ b/membership/random_relays_test.go
@@ -20,10 +20,10 @@
 	maxOneWayDelay = 200 * time.Millisecond
 	pollInterval   = 50 * time.Millisecond
 	callTimeout    = time.Second
-	// Bounds that hold where nothing hinders the agent and the entry themselves.
-	maxSilence       = 17 * time.Second
-	maxDrainingShown = 3 * time.Second
-	maxGangSilence   = 2500 * time.Millisecond
+	// Bounds that hold while the agent and the entry run and are connected.
+	maxContactAge          = 17 * time.Second
+	maxDrainingSchedulable = 3 * time.Second
+	maxGangContactAge      = 2500 * time.Millisecond
 )
 
 // rackAgent is an agent of the rack: a ReportRouter and its network calls.
@@ -33,7 +33,7 @@
 	state         wire.AgentReport
 	router        *ReportRouter
 	callPending   map[string]bool
-	lastRan       time.Time // last moment in which it ran
+	lastRan       time.Time // when it ran last
 	incarnation   uint64
 	drainingSince time.Time
 	inGangSince   time.Time
@@ -268,7 +268,7 @@
 	return ack
 }
 
-// checkNoEvidence checks that a relayed report can't renew a gang.
+// checkNoEvidence checks that a relayed report of a gang's member can't renew the gang.
 func (s *relaySimulation) checkNoEvidence(from *rackAgent, r wire.AgentReport) {
 	truth := s.reports.sentStates[reportVersion{r.ID, r.Incarnation, r.Sequence}]
 	if r.ID == from.id || len(truth.Tasks) == 0 {
@@ -306,17 +306,17 @@
 	if !a.up || a.frozenUntil.After(s.now) {
 		return
 	}
-	unhindered := laterOf(laterOf(a.runningSince, e.runningSince), laterOf(s.lossyUntil, s.cutUntil[min(a.id, e.addr)+max(a.id, e.addr)]))
-	if s.now.Sub(unhindered) > maxSilence {
-		s.c.Assert(r != nil && s.now.Sub(r.lastContact) <= maxSilence, qt.IsTrue, qt.Commentf("%s was not heard by %s", a.id, e.addr))
+	healthySince := laterOf(laterOf(a.runningSince, e.runningSince), laterOf(s.lossyUntil, s.cutUntil[min(a.id, e.addr)+max(a.id, e.addr)]))
+	if s.now.Sub(healthySince) > maxContactAge {
+		s.c.Assert(r != nil && s.now.Sub(r.lastContact) <= maxContactAge, qt.IsTrue, qt.Commentf("%s was not heard by %s", a.id, e.addr))
 	}
-	if !a.drainingSince.IsZero() && s.now.Sub(laterOf(unhindered, a.drainingSince)) > maxDrainingShown {
+	if !a.drainingSince.IsZero() && s.now.Sub(laterOf(healthySince, a.drainingSince)) > maxDrainingSchedulable {
 		schedulable := slices.Contains(schedulableIDs(e.table), a.id)
 		s.c.Assert(schedulable, qt.IsFalse, qt.Commentf("%s drains since %v and is offered by %s", a.id, s.now.Sub(a.drainingSince), e.addr))
 	}
-	if i == s.planner && !a.inGangSince.IsZero() && s.now.Sub(laterOf(laterOf(unhindered, a.inGangSince), s.planningSince)) > maxGangSilence {
+	if i == s.planner && !a.inGangSince.IsZero() && s.now.Sub(laterOf(laterOf(healthySince, a.inGangSince), s.planningSince)) > maxGangContactAge {
 		sinceDirect := s.now.Sub(e.lastDirectReport[a.id])
-		s.c.Assert(sinceDirect <= maxGangSilence, qt.IsTrue, qt.Commentf("%s has a gang, and its planner did not hear it itself for %v", a.id, sinceDirect))
+		s.c.Assert(sinceDirect <= maxGangContactAge, qt.IsTrue, qt.Commentf("%s has a gang, and its planner did not hear it itself for %v", a.id, sinceDirect))
 	}
 }
 
@@ -394,12 +394,8 @@
 	s.recordState(a)
 }
 
-// The agents of a rack report through one of them while each, including the relay, is
-// killed, frozen, drained or disconnected, entries restart, and planner leadership
-// moves. Entries must show what the agent said and never go back, must not take a dead
-// agent for alive or miss a live one, must not list a draining one as schedulable, even
-// if its relay dies at that moment, and a gang's planner must receive its members'
-// reports directly.
+// While agents and relays fail, entries must not show a dead agent as alive, a live one as
+// lost or a draining one as schedulable; planners must get gang reports directly.
 func TestRandomRelays(t *testing.T) {
 	c := qt.New(t)
 	for run := range uint64(*runsFlag) {
--- a/membership/relayer.go
+++ b/membership/relayer.go
@@ -9,7 +9,7 @@
 )
 
 // Relayer is the state of a relay: the members that report to it, and what each entry
-// has been told of them. It is not safe for concurrent use. Times passed to it must not
+// has received about them. It is not safe for concurrent use. Times passed to it must not
 // go back and should come from a clock that advances during suspension, because they
 // determine the age of reports.
 type Relayer struct {
@@ -32,7 +32,7 @@
 			LostAfter:    relayMemberTimeout,
 			ForgetAfter:  time.Minute,
 			ReportPeriod: RelayHeartbeat,
-			MaxMembers:   relayMaxMembers,
+			MaxMembers:   maxRelayMembers,
 		}),
 		entryStates:       make(map[string]*entryState),
 		newerIncarnations: make(map[string]wire.AgentIncarnation),
@@ -40,7 +40,7 @@
 }
 
 // HandleReport processes a member's report. It returns the answer, without the list of
-// entries, and whether the entries must be told without waiting for the relay's next
+// entries, and whether the entries must be informed without waiting for the relay's next
 // report. That is always so for a full report: the member reported directly until now,
 // and the entries' last report of it may be a period old.
 func (r *Relayer) HandleReport(now time.Time, report wire.AgentReport) (*wire.ReportAck, bool) {
@@ -67,12 +67,12 @@
 func (r *Relayer) Tick(now time.Time) {
 	for _, a := range r.table.Step(now, Tick{}) {
 		if lost, ok := a.(Lost); ok {
-			r.forgetMember(lost.Member.Report.ID)
+			r.dropMember(lost.Member.Report.ID)
 		}
 	}
 }
 
-func (r *Relayer) forgetMember(id string) {
+func (r *Relayer) dropMember(id string) {
 	delete(r.newerIncarnations, id)
 	for _, state := range r.entryStates {
 		delete(state.fullReportsDue, id)
@@ -94,7 +94,7 @@
 // the cursor to pass to HandleAck with the entry's answer.
 func (r *Relayer) Batch(now time.Time, entry string) ([]wire.AgentReport, Cursor) {
 	state := r.stateOf(entry)
-	batch, cursor := r.table.Relay(now, state.cursor)
+	batch, cursor := r.table.RelayBatch(now, state.cursor)
 	var due []string
 	for id, at := range state.fullReportsDue {
 		if !now.Before(at) {
@@ -103,7 +103,7 @@
 	}
 	slices.Sort(due)
 	batch = slices.DeleteFunc(batch, func(a wire.AgentReport) bool { return slices.Contains(due, a.ID) })
-	batch = append(batch, r.table.RelayFull(now, due)...)
+	batch = append(batch, r.table.FullReports(now, due)...)
 	for i := range batch {
 		r.clearEvidence(&batch[i])
 	}
@@ -112,7 +112,7 @@
 
 // clearEvidence marks the relayed report of a gang's member as no evidence that the
 // gang runs. Without a timestamp it would count from its receipt, and the planner would
-// renew the other members of a gang whose member here has stopped since.
+// renew the gang's other members although this one may have stopped since.
 func (r *Relayer) clearEvidence(a *wire.AgentReport) {
 	record := r.table.records[a.ID]
 	if record == nil || record.member == nil {
@@ -166,8 +166,8 @@
 	return earliest, !earliest.IsZero()
 }
 
-// Forget drops the state of an entry that the relay no longer reports to.
-func (r *Relayer) Forget(entry string) { delete(r.entryStates, entry) }
+// RemoveEntry drops the state of an entry that the relay no longer reports to.
+func (r *Relayer) RemoveEntry(entry string) { delete(r.entryStates, entry) }
 
 func (r *Relayer) stateOf(addr string) *entryState {
 	state := r.entryStates[addr]
--- a/membership/reporter_test.go
+++ b/membership/reporter_test.go
@@ -42,7 +42,7 @@
 
 // An agent that begins to drain must report at once, even to an entry that refuses
 // reports; otherwise callers are sent to an agent that is leaving.
-func TestDrainingDoesNotWait(t *testing.T) {
+func TestDrainingIsReportedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	r := newReporter()
 	r.Report(startTime, "x")
@@ -60,9 +60,8 @@
 	c.Assert(r.Report(startTime, "x").Draining, qt.IsTrue)
 }
 
-// After a late acknowledgement of an early report, a delta would omit ended tasks that
-// the agent has already dropped, and the planner would keep their accelerators
-// reserved.
+// After a late acknowledgement, a delta would omit ended tasks that the agent has already
+// dropped, and the planner would keep their accelerators reserved.
 func TestLateAcknowledgementNeedsFullReport(t *testing.T) {
 	c := qt.New(t)
 	r := newReporter()
--- a/membership/table_relay.go
+++ b/membership/table_relay.go
@@ -13,10 +13,10 @@
 // receiver has acknowledged the batch.
 type Cursor uint64
 
-// Relay returns the reports received directly from agents since the cursor: deltas for
+// RelayBatch returns the reports received directly from agents since the cursor: deltas for
 // changes, reports without content for agents that merely reported again, and departure
 // notices. The receiver passes them to Step as Reports with Relayed set.
-func (t *Table) Relay(now time.Time, since Cursor) ([]wire.AgentReport, Cursor) {
+func (t *Table) RelayBatch(now time.Time, since Cursor) ([]wire.AgentReport, Cursor) {
 	var batch []wire.AgentReport
 	for _, r := range t.records {
 		if !r.direct || r.livenessVersion <= uint64(since) {
@@ -32,8 +32,8 @@
 	return batch, Cursor(t.version)
 }
 
-// RelayFull returns full reports of the members that a receiver named in NeedFull.
-func (t *Table) RelayFull(now time.Time, ids []string) []wire.AgentReport {
+// FullReports returns full reports of the members that a receiver named in NeedFull.
+func (t *Table) FullReports(now time.Time, ids []string) []wire.AgentReport {
 	var batch []wire.AgentReport
 	for _, id := range ids {
 		if r := t.records[id]; r != nil && r.member != nil {
@@ -50,8 +50,8 @@
 	return out
 }
 
-// relayReport returns a delta of the groups that changed since the version. Its Base is
-// the latest sequence at which one of the omitted groups changed: a receiver with that
+// relayReport returns a delta of the groups that changed since the version. BaseSequence
+// is the latest sequence at which one of the omitted groups changed: a receiver with that
 // sequence or a later one lacks nothing. Changed task lists are sent as full reports,
 // because a delta of them would depend on what the receiver has.
 func (r *record) relayReport(now time.Time, since uint64) wire.AgentReport {
@@ -83,10 +83,10 @@
 // copyGroups copies the groups except tasks and draining.
 func copyGroups(to *wire.AgentReport, from wire.AgentReport, groups wire.FieldGroups) {
 	if groups&wire.ChangedLocation != 0 {
-		copyPlace(to, from)
+		copyLocation(to, from)
 	}
 	if groups&wire.ChangedCapacity != 0 {
-		copySize(to, from)
+		copyCapacity(to, from)
 	}
 	if groups&wire.ChangedLoad != 0 {
 		to.Load = from.Load
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -74,7 +74,7 @@
 
 // Draining reaches the entry before the agent's first report, which was made earlier.
 // The report must not make the agent schedulable; only its next incarnation is.
-func TestDrainingOvertakesTheFirstReport(t *testing.T) {
+func TestDrainingBeforeFirstReport(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(Config{})
 	table.Step(startTime, Draining{ID: "a", Incarnation: 2})
@@ -103,7 +103,7 @@
 
 // 900 agents of an availability zone return at once. Admission must stay within its
 // rate, each agent must get in with few attempts, and all must be in soon.
-func TestZoneReturnsAtOnce(t *testing.T) {
+func TestZoneReconnectIsRateLimited(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(Config{JoinsPerSecond: 200, JoinBurst: 50})
 	due := map[string]time.Duration{}
@@ -139,20 +139,20 @@
 	c := qt.New(t)
 	a, b := NewTable(Config{}), NewTable(Config{})
 	a.Step(startTime, directReports(fullReport("x", 1, 1)))
-	batch, cursor := a.Relay(startTime, 0)
+	batch, cursor := a.RelayBatch(startTime, 0)
 	b.Step(startTime, Reports{Batch: batch, Relayed: true})
 	c.Assert(schedulableIDs(b), qt.DeepEquals, []string{"x"})
-	back, _ := b.Relay(startTime, 0)
+	back, _ := b.RelayBatch(startTime, 0)
 	c.Assert(back, qt.HasLen, 0)
 
 	now := startTime.Add(20 * time.Second)
 	a.Step(now, directReports(wire.AgentReport{ID: "x", Incarnation: 1, Sequence: 1, BaseSequence: 1}))
-	batch, cursor = a.Relay(now.Add(time.Second), cursor)
+	batch, cursor = a.RelayBatch(now.Add(time.Second), cursor)
 	c.Assert(batch, qt.DeepEquals, []wire.AgentReport{{ID: "x", Incarnation: 1, Sequence: 1, BaseSequence: 1, Age: time.Second}})
 	b.Step(now.Add(time.Second), Reports{Batch: batch, Relayed: true})
 	c.Assert(actionNames(b.Step(startTime.Add(44*time.Second), Tick{})), qt.HasLen, 0)
 
 	a.Step(now, directReports(wire.AgentReport{ID: "x", Incarnation: 1, Departed: true}))
-	batch, _ = a.Relay(now, cursor)
+	batch, _ = a.RelayBatch(now, cursor)
 	c.Assert(actionNames(b.Step(startTime.Add(45*time.Second), Reports{Batch: batch, Relayed: true})), qt.DeepEquals, []string{"Left"})
 }
