--- a/gateway/config.go
+++ b/gateway/config.go
@@ -24,7 +24,7 @@
 type Advisor interface {
 	// Advise returns a ticket for each worker that may run the step, and how long the tickets
 	// are valid. The call may take as long as the queue's policy allows.
-	Advise(ctx context.Context, ask engine.AdviceRequest) (tickets map[engine.WorkerID]string, valid time.Duration, err error)
+	Advise(ctx context.Context, request engine.AdviceRequest) (tickets map[engine.WorkerID]string, valid time.Duration, err error)
 }
 
 // Config configures a Gateway.
--- a/gateway/term_advice.go
+++ b/gateway/term_advice.go
@@ -11,16 +11,16 @@
 const adviceTimeout = 10 * time.Second
 
 // advise calls the advice service and passes its response to the engine.
-func (t *term) advise(ask engine.AdviceRequest) {
-	response := engine.AdviceResponse{Request: ask, Failed: true}
+func (t *term) advise(request engine.AdviceRequest) {
+	response := engine.AdviceResponse{Request: request, Failed: true}
 	if t.g.cfg.Advisor != nil {
 		ctx, cancel := context.WithTimeout(t.tomb.Context(context.Background()), adviceTimeout)
 		defer cancel()
-		tickets, valid, err := t.g.cfg.Advisor.Advise(ctx, ask)
+		tickets, valid, err := t.g.cfg.Advisor.Advise(ctx, request)
 		if err != nil {
-			t.log.WithError(err).WithField("job", ask.Job).Warn("no advice")
+			t.log.WithError(err).WithField("job", request.Job).Warn("no advice")
 		} else {
-			response = engine.AdviceResponse{Request: ask, Tickets: tickets, Lifetime: valid}
+			response = engine.AdviceResponse{Request: request, Tickets: tickets, Lifetime: valid}
 		}
 	}
 	t.postEvent(response)
--- a/gateway/term_report.go
+++ b/gateway/term_report.go
@@ -12,7 +12,7 @@
 // handleReport processes an agent's report and fills in the reply.
 func (t *term) handleReport(ctx context.Context, conn *wire.Conn, m *link.Report, reply *link.ReportReply) *link.ReportReply {
 	type answer struct {
-		verdict engine.ReportAnswer
+		result  engine.ReportAnswer
 		written <-chan struct{}
 	}
 	a, ok := queryEngine(t, func(now time.Duration) answer {
@@ -23,18 +23,18 @@
 	if !ok {
 		return reply
 	}
-	verdict := a.verdict
-	if verdict.EndsPending && len(m.Report.Ended) > 0 {
-		verdict.AckedEnds = t.awaitWrite(ctx, m.Report.Worker.ID, verdict, a.written)
+	result := a.result
+	if result.EndsPending && len(m.Report.Ended) > 0 {
+		result.AckedEnds = t.awaitWrite(ctx, m.Report.Worker.ID, result, a.written)
 	}
 	if !t.active() && !t.extendingGrants() {
 		return reply
 	}
 	reply.Epoch = t.epoch
-	reply.Attached = verdict.Attached
-	reply.AckedEnds = verdict.AckedEnds
-	reply.PollOften = verdict.PollOften
-	reply.Generation = verdict.Generation
+	reply.Attached = result.Attached
+	reply.AckedEnds = result.AckedEnds
+	reply.PollOften = result.PollOften
+	reply.Generation = result.Generation
 	if cordons, ok := t.g.currentConfig.Cordons(); ok {
 		reply.Cordoned = cordons.Contains(m.Report.Worker.Zone)
 		reply.CordonsRevision = cordons.Revision
@@ -44,16 +44,16 @@
 
 // awaitWrite waits until a worker's reported ends are written, for at most reportWriteWait, and
 // returns up to which number they are.
-func (t *term) awaitWrite(ctx context.Context, id engine.WorkerID, verdict engine.ReportAnswer, written <-chan struct{}) int64 {
+func (t *term) awaitWrite(ctx context.Context, id engine.WorkerID, result engine.ReportAnswer, written <-chan struct{}) int64 {
 	deadline := time.NewTimer(reportWriteWait)
 	defer deadline.Stop()
 	for {
 		select {
 		case <-written:
 		case <-deadline.C:
-			return verdict.AckedEnds
+			return result.AckedEnds
 		case <-ctx.Done():
-			return verdict.AckedEnds
+			return result.AckedEnds
 		}
 		type answer struct {
 			ackedEnds   int64
@@ -65,11 +65,11 @@
 			return answer{ackedEnds, endsPending, t.nextWrite()}
 		})
 		if !ok {
-			return verdict.AckedEnds
+			return result.AckedEnds
 		}
-		verdict.AckedEnds, written = a.ackedEnds, a.written
+		result.AckedEnds, written = a.ackedEnds, a.written
 		if !a.endsPending {
-			return verdict.AckedEnds
+			return result.AckedEnds
 		}
 	}
 }
--- a/records/planner_store_test.go
+++ b/records/planner_store_test.go
@@ -41,9 +41,9 @@
 }
 
 // submit stores jobs.
-func submit(c *qt.C, intake *records.JobStore, ids ...workload.JobID) {
+func submit(c *qt.C, jobStore *records.JobStore, ids ...workload.JobID) {
 	for _, id := range ids {
-		outcome, _ := intake.Submit(context.Background(), newJob(id))
+		outcome, _ := jobStore.Submit(context.Background(), newJob(id))
 		c.Assert(outcome, qt.Equals, link.OutcomeStored)
 	}
 }
