--- a/gateway/config.go
+++ b/gateway/config.go
@@ -44,7 +44,7 @@
 	Advisor Advisor
 	Engine  engine.Params
 	// KeyRevocationDelay is how long a revoked API key may still be accepted. A configuration
-	// is trusted for authentication for less than that.
+	// is used for authentication for less than that after its last confirmation.
 	KeyRevocationDelay time.Duration
 	// CordonDeadline is the time after the acknowledgement of a cordon by which nothing starts
 	// in the zone any more. Zero selects DefaultCordonDeadline.
@@ -64,7 +64,7 @@
 	// its worker after the cordons were checked.
 	cordonMargin = 2 * time.Second
 	// plannerLeaseTTL bounds how long there is no planner after the planner's instance failed.
-	// It leaves room for several renewals against a slow store.
+	// It allows for several renewals against a slow store.
 	plannerLeaseTTL = 2 * time.Second
 	// plannerLeaseMaxPause bounds the pause between attempts to acquire the lease during a
 	// store outage, and so the time without a planner after the store is back.
--- a/gateway/failure_detector.go
+++ b/gateway/failure_detector.go
@@ -10,12 +10,11 @@
 	"github.com/eelgrasshub/eelgrasshub/link"
 )
 
-// The planner lease cannot be short, since it must outlast a slow store. To replace a failed
-// planner before its lease expires, the other gateways query its liveness. The first successor
-// that the planner has named deposes it if it has not answered within the detection timeout and
-// the store serves that gateway; the others wait a little longer. Deposing a planner that is
-// still alive is safe: its writes are conditional on its epoch, and workers refuse orders of an
-// older epoch.
+// To replace a failed planner before its lease expires, the other gateways query its liveness.
+// The first successor that the planner has named deposes it if it has not answered within the
+// detection timeout and the store serves that gateway; the others wait a little longer. Deposing
+// a planner that is still alive is safe: its writes are conditional on its epoch, and workers
+// refuse orders of an older epoch.
 const (
 	// livenessInterval is the pause between liveness queries of a preferred successor. Other
 	// gateways query less often, since they matter only if the successors have failed too, and
@@ -83,7 +82,7 @@
 }
 
 // shouldQuery reports whether this gateway should query the planner now. A new planner is
-// queried at once, so that it is not deposed for the silence of its predecessor.
+// queried at once, so that it is not deposed because its predecessor did not answer.
 func (d *failureDetector) shouldQuery(now time.Duration, self, planner string, epoch uint64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -111,8 +110,8 @@
 	d.lastQueryAt = now
 }
 
-// recordCheck records that the silence was checked, and restarts its measurement if this
-// process was stalled since the last check. The mutex is held.
+// recordCheck records the time of a check. If this process was stalled since the last one, it
+// restarts the measurement of the time without an answer. The mutex is held.
 func (d *failureDetector) recordCheck(now time.Duration) {
 	if d.unansweredSince != 0 && now-d.lastCheckAt > selfStallThreshold {
 		d.unansweredSince = now
@@ -174,7 +173,7 @@
 	sent := lease.BootTime()
 	raw, err := g.pool.Call(ctx, planner, &link.LivenessQuery{})
 	if err != nil {
-		return // a missing answer is noticed by suspects
+		return // suspects detects a missing answer
 	}
 	g.failureDetector.recordLatency(lease.BootTime() - sent)
 	if reply, ok := raw.(*link.LivenessReply); ok && reply.Epoch == epoch {
--- a/gateway/failure_detector_test.go
+++ b/gateway/failure_detector_test.go
@@ -119,8 +119,8 @@
 	simulate(4*second, 9*second, 4*second)
 }
 
-// A gateway that last queried the failed planner long ago must not depose the new one for that
-// silence.
+// A gateway that last queried the failed planner long ago must not count the time since then
+// against the new one.
 func TestDetectorResetsForNewPlanner(t *testing.T) {
 	c := qt.New(t)
 	d := &failureDetector{}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -199,7 +199,7 @@
 	return g.term
 }
 
-// plannerLeaseChanged is called by the lease holder's goroutine when this gateway acquires or
+// plannerLeaseChanged is called by the lease candidate's goroutine when this gateway acquires or
 // loses the planner lease.
 func (g *Gateway) plannerLeaseChanged(held lease.Leadership, ok bool) {
 	g.mu.Lock()
--- a/gateway/jobs.go
+++ b/gateway/jobs.go
@@ -70,8 +70,7 @@
 
 // shouldTryStore reports whether to call the store directly. After a failure it returns false
 // until the store has answered another call of this process, or storeRetryAfter has passed. The
-// configuration is polled all the time, so a direct attempt would only delay the caller and
-// learn nothing new.
+// configuration is polled all the time, so a direct attempt would only delay the caller.
 func (g *Gateway) shouldTryStore() bool {
 	failedAt := time.Duration(g.storeFailedAt.Load())
 	sinceFailure := lease.BootTime() - failedAt
@@ -91,7 +90,7 @@
 }
 
 // relay asks peers, one after the other, to write a record, and returns the first outcome other
-// than OutcomeNotDone. A peer whose reply is lost may have written the record.
+// than OutcomeNotStored. A peer whose reply is lost may have written the record.
 func (g *Gateway) relay(ctx context.Context, msg any) link.WriteOutcome {
 	for _, address := range g.relayCandidates() {
 		if ctx.Err() != nil {
@@ -106,8 +105,8 @@
 }
 
 // relayCandidates returns the peers to relay calls through, the planner first. It omits peers
-// that recently reported that the store does not serve them: a call to one would only delay a
-// certain refusal, and one that is cut short leaves the outcome unknown.
+// that recently reported that the store does not serve them: such a call would only be refused
+// later, or time out and leave the outcome unknown.
 func (g *Gateway) relayCandidates() []string {
 	_, planner := g.planner.get()
 	candidates := g.members.knownPeers()
@@ -125,7 +124,7 @@
 }
 
 // callPeer sends msg to a peer, which carries out the call for this gateway. The error is
-// wire.ErrNotSent if the peer has certainly not received the message.
+// wire.ErrNotHandled if the peer has certainly not handled the message.
 func (g *Gateway) callPeer(ctx context.Context, address string, msg any) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
--- a/gateway/lookup.go
+++ b/gateway/lookup.go
@@ -8,12 +8,12 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// LookupStatus tells whether the state of a job could be determined.
+// LookupStatus is the result of looking up the state of a job.
 type LookupStatus int
 
-// Results of Gateway.State.
+// Results of Gateway.JobStatus.
 const (
-	LookupUnavailable LookupStatus = iota // neither the planner nor the records could be read
+	LookupUnavailable LookupStatus = iota // neither the planner nor the records could be reached
 	LookupFound
 	LookupNotFound
 )
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// live returns the gateways heard from within memberTTL, including this one, sorted.
+// live returns the live gateways, including this one, sorted by address.
 func (m *members) live() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -99,7 +99,7 @@
 	return out[:min(len(out), maxSuccessors)]
 }
 
-// livePeers returns the other gateways heard from within memberTTL.
+// livePeers returns the live gateways other than this one.
 func (m *members) livePeers() []string {
 	return slices.DeleteFunc(m.live(), func(a string) bool { return a == m.self })
 }
--- a/gateway/notifications.go
+++ b/gateway/notifications.go
@@ -39,7 +39,7 @@
 
 // handleNotice passes a notice to the active term. A notice may be delayed until its job has
 // run and ended and another planner has taken over. Before the new planner has loaded the
-// outcomes of ended jobs, such a job would look newly submitted and run again, so submissions
+// outcomes of ended jobs, it would take such a job for a new one and run it again, so submissions
 // are ignored until then. The watch delivers all jobs submitted since the term began.
 func (g *Gateway) handleNotice(n *link.RecordNotice) {
 	t := g.currentTerm()
@@ -54,8 +54,8 @@
 	}
 }
 
-// outcomeOfCallError returns the outcome of a relayed write that failed with err: it is
-// certainly not done only if the message was not sent.
+// outcomeOfCallError returns the outcome of a relayed write that failed with err. It is
+// OutcomeNotStored only if the peer has certainly not handled the message.
 func outcomeOfCallError(err error) link.WriteOutcome {
 	if errors.Is(err, wire.ErrNotHandled) {
 		return link.OutcomeNotStored
--- a/gateway/store_relay.go
+++ b/gateway/store_relay.go
@@ -15,12 +15,10 @@
 // enough for a store that is slow for all gateways.
 const directCallTimeout = 500 * time.Millisecond
 
-// storeRelay is the store as used by the planner. Calls that the store does not take from this
-// gateway are made by a peer.
-//
-// It keeps the planner working if the store is unreachable from its instance alone; otherwise
-// its lease would expire and nothing could start until another gateway takes over. Writes
-// through a peer carry the same conditions, so a deposed planner cannot write this way either.
+// storeRelay is the store as used by the planner. A peer makes the calls that the store does not
+// take from this gateway, so that the planner keeps its lease if the store is unreachable from
+// its instance alone. Writes through a peer carry the same conditions, so a deposed planner
+// cannot write this way either.
 type storeRelay struct {
 	store.TransactionalStore
 	g *Gateway
@@ -58,8 +56,8 @@
 	return err
 }
 
-// CommitIf implements store.Atomic. A direct attempt with an unknown outcome is not repeated
-// through a peer; the caller retries until the outcome is known.
+// CommitIf implements store.TransactionalStore. A direct attempt with an unknown outcome is not
+// repeated through a peer; the caller retries until the outcome is known.
 func (s *storeRelay) CommitIf(ctx context.Context, conditions []store.Condition, swaps []store.Swap) (out store.CommitOutcome, err error) {
 	msg := &link.StoreCall{Op: link.StoreCommit, Conditions: conditions, Swaps: swaps}
 	reply, err := s.call(ctx, msg, func(ctx context.Context) (err error) {
@@ -122,7 +120,7 @@
 }
 
 // callThroughPeers asks peers that the store serves, one after the other, to make a call, until
-// one has. It returns nil if certainly none has.
+// one returns a result. It returns nil if none does; a commit has then certainly not been made.
 func (g *Gateway) callThroughPeers(ctx context.Context, msg *link.StoreCall) *link.StoreReply {
 	for _, address := range g.relayCandidates() {
 		if ctx.Err() != nil {
--- a/gateway/store_status.go
+++ b/gateway/store_status.go
@@ -5,16 +5,11 @@
 	"time"
 )
 
-// During a store outage for all gateways the planner lease expires and no gateway can acquire
-// it. If nothing were granted any more, every run would be lost when its worker's lease expires
-// a few seconds later. So a planner whose lease has expired continues to grant worker leases,
-// and does nothing else, while every other live gateway reports that the store does not serve
-// it either. It stops as soon as one reports otherwise, does not answer or knows a newer
-// planner, and after maxGrantExtension at the latest.
-//
-// A successor must know how long its predecessor may have granted leases to workers that it
-// cannot reach. If it was in contact with the predecessor and the store served it all the time,
-// it has reported that, and there was no extension. Otherwise it assumes maxGrantExtension.
+// During a store outage for all gateways, a planner whose lease has expired continues to grant
+// worker leases, so that the runs survive, and does nothing else. It stops as soon as another
+// live gateway reports that the store serves it, does not answer or knows a newer planner, and
+// after maxGrantExtension at the latest. A successor that cannot rule out such an extension of
+// its predecessor's grants assumes maxGrantExtension.
 const (
 	// maxGrantExtension bounds how long a planner grants worker leases after its own lease has
 	// expired. Together with both lease times it covers outages of more than twelve seconds.
@@ -92,7 +87,8 @@
 }
 
 // predecessorExtension returns how long a predecessor may have granted worker leases after its
-// own lease expired; zero if this gateway knows that it did not.
+// own lease expired. That is zero if this gateway was in contact with it and the store served this
+// gateway all the time: its reports would have ended an extension.
 func (s *storeStatus) predecessorExtension(now time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gateway/term.go
+++ b/gateway/term.go
@@ -26,7 +26,7 @@
 	// ordersTimeout bounds one set of orders to an agent: its attempts and a margin.
 	ordersTimeout = 1500 * time.Millisecond
 	// writeRetryDelay is the pause after a failed write. It grows to maxWriteRetryDelay, since
-	// each call costs something even if a store in an outage refuses it.
+	// each call loads the store even if it refuses the call.
 	writeRetryDelay    = 50 * time.Millisecond
 	maxWriteRetryDelay = 250 * time.Millisecond
 	// maxRecordsPerWrite is the number of records in one write; see platform.MaxSwaps.
@@ -41,7 +41,7 @@
 	epoch uint64
 	tomb  tomb.Tomb
 	inbox chan func(now time.Duration)
-	// frozen is set when the lease is lost. Nothing is ordered any more, leases are granted
+	// frozen is set when the lease is lost. No orders are sent any more, leases are granted
 	// only under extendingGrants, and job states are served only while no newer planner is
 	// known.
 	frozen atomic.Bool
--- a/gateway/term_load.go
+++ b/gateway/term_load.go
@@ -123,7 +123,7 @@
 }
 
 // postSubmissions passes listed submissions and cancellations to the engine, which ignores
-// those that it knows.
+// known ones.
 func (t *term) postSubmissions(submitted records.Submissions) {
 	for _, j := range submitted.Jobs {
 		t.postEvent(j.JobSubmitted)
--- a/link/orders.go
+++ b/link/orders.go
@@ -7,8 +7,7 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// Orders is sent by the planner to a node agent. All orders in it are carried out concurrently,
-// except that Paces follow the starts.
+// Orders is sent by the planner to a node agent, which carries out the orders concurrently.
 type Orders struct {
 	Epoch  uint64           `cbor:"1,keyasint"`
 	Worker engine.WorkerID  `cbor:"2,keyasint"`
@@ -16,11 +15,11 @@
 	// Paces are carried out after the starts.
 	Paces  []engine.PaceOrder `cbor:"5,keyasint,omitempty"`
 	Starts []Start            `cbor:"6,keyasint,omitempty"`
-	// Specs holds each distinct specification of the starts once. The tasks of a job share one of
-	// up to four kilobytes, and a worker may start many of them at a time.
+	// Specs holds each distinct specification of the starts once. All tasks of a job have the same
+	// one of up to four kilobytes, and a worker may start many of them at a time.
 	Specs []string `cbor:"7,keyasint,omitempty"`
-	// CordonsRevision is the store's revision up to which the planner knew the cordons when it decided
-	// on the starts. An agent that knows of a later cordon refuses the starts.
+	// CordonsRevision is the store revision up to which the planner knew the cordons when it
+	// decided on the starts. An agent that knows of a later cordon refuses the starts.
 	CordonsRevision int64 `cbor:"8,keyasint,omitempty"`
 }
 
--- a/link/peer.go
+++ b/link/peer.go
@@ -11,12 +11,12 @@
 	// Epoch and Planner are those of the newest planner that the sender knows of.
 	Epoch   uint64 `cbor:"3,keyasint,omitempty"`
 	Planner string `cbor:"4,keyasint,omitempty"`
-	// WantConfig: the sender has not been able to confirm its configuration recently.
+	// WantConfig is set if the sender could not confirm its configuration recently.
 	WantConfig bool `cbor:"5,keyasint,omitempty"`
 	// PlanningCapacity is the sender's gateway.Config.PlanningCapacity.
 	PlanningCapacity float64 `cbor:"6,keyasint,omitempty"`
-	// WantConfigText: the reply should contain the configuration document if it is newer than the
-	// sender's. Gateways request it separately and from one peer at a time, since several
+	// WantConfigText requests the configuration document if it is newer than the sender's.
+	// Gateways request it separately and from one peer at a time, since several
 	// documents of hundreds of kilobytes at once could overload a slow link.
 	WantConfigText bool `cbor:"7,keyasint,omitempty"`
 }
@@ -32,12 +32,12 @@
 	ConfigVersion int64         `cbor:"4,keyasint,omitempty"`
 	ConfigAge     time.Duration `cbor:"5,keyasint,omitempty"`
 	Config        []byte        `cbor:"6,keyasint,omitempty"`
-	// StoreReachable: the store has recently replied to the sender.
+	// StoreReachable reports whether the store has recently replied to the sender.
 	StoreReachable bool `cbor:"7,keyasint,omitempty"`
-	// Successors are the gateways that should replace the sender if it is the active planner and
-	// dies, in order of preference.
+	// Successors are the gateways that should replace the sender, in order of preference, if it is
+	// the active planner and fails.
 	Successors []string `cbor:"8,keyasint,omitempty"`
-	// Cordons are the cordons that the sender knows of, nil if it has not read them.
+	// Cordons are the cordons known to the sender, nil if it has not read them.
 	Cordons *Cordons `cbor:"9,keyasint,omitempty"`
 }
 
--- a/link/records.go
+++ b/link/records.go
@@ -5,8 +5,8 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// JobQuery asks a gateway for the state of a job. With ReadRecords the gateway reads the records
-// in the store if it does not know the job. That serves a sender that cannot read the store.
+// JobQuery asks a gateway for the state of a job. With ReadRecords, which is for senders that
+// cannot reach the store, the gateway reads the records if it does not know the job.
 type JobQuery struct {
 	Job         workload.JobID `cbor:"1,keyasint"`
 	ReadRecords bool           `cbor:"2,keyasint,omitempty"`
@@ -14,9 +14,9 @@
 
 // JobQueryReply answers JobQuery.
 type JobQueryReply struct {
-	// Known: State, Queue and Account are set.
+	// Known reports whether State, Queue and Account are set.
 	Known bool `cbor:"1,keyasint,omitempty"`
-	// NotFound: the job certainly does not exist.
+	// NotFound is set if the job certainly does not exist.
 	NotFound bool           `cbor:"2,keyasint,omitempty"`
 	State    workload.State `cbor:"3,keyasint,omitempty"`
 	Queue    string         `cbor:"4,keyasint,omitempty"`
--- a/link/store.go
+++ b/link/store.go
@@ -6,16 +6,16 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-// StoreOp is an operation on the store that a gateway may make on behalf of another.
+// StoreOp is an operation on the store that a gateway may perform on behalf of another.
 type StoreOp int
 
 // Operations, and the fields of StoreCall that they use.
 const (
-	StoreGet    StoreOp = iota + 1 // of StoreCall.Key
-	StoreList                      // of the keys below StoreCall.Key
-	StoreRenew                     // of StoreCall.Lease
-	StoreRevoke                    // of StoreCall.Lease
-	StoreCommit                    // store.Atomic.CommitIf
+	StoreGet    StoreOp = iota + 1 // reads Key
+	StoreList                      // lists the keys with the prefix Key
+	StoreRenew                     // renews Lease
+	StoreRevoke                    // revokes Lease
+	StoreCommit                    // commits Swaps under Conditions
 )
 
 // String returns the operation's name in logs.
--- a/nodeagent/config.go
+++ b/nodeagent/config.go
@@ -16,7 +16,7 @@
 	Seeds      []string
 	ClusterKey []byte
 	Worker     Worker
-	// ListGateways reads the gateway registry. It is called if no known gateway answers. It may
+	// ListGateways reads the gateway registry. It is called if no known gateway answers, and may
 	// be nil.
 	ListGateways func() ([]string, error)
 	// MaxLease is the longest lease that a worker grants.
--- a/nodeagent/cordon.go
+++ b/nodeagent/cordon.go
@@ -21,7 +21,8 @@
 // refuses reports whether starts that were decided with the cordons at a revision are refused.
 func (c *cordonState) refuses(revision int64) bool { return c.active && revision <= c.revision }
 
-// startsRefused reports whether starts that were already admitted must not be retried.
+// startsRefused reports whether admitted starts that were decided with the cordons at a revision
+// must not be retried.
 func (a *Agent) startsRefused(revision int64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/nodeagent/incarnation.go
+++ b/nodeagent/incarnation.go
@@ -49,15 +49,15 @@
 	// firstSeen is when a poll first returned each running run.
 	firstSeen map[workload.RunID]time.Duration
 	ended     []engine.RunEnd
-	voidEnds  map[int64]bool // ends before an expiry of the lease
+	voidEnds  map[int64]bool // sequence numbers of ends before an expiry of the lease
 	// confirmedStops are runs whose stop was confirmed, with the time of the confirmation.
 	confirmedStops  map[workload.RunID]time.Duration
 	absent          []workload.RunID
 	unreportedPolls int // answered polls not yet reported to a planner
 	// lastAnswerStale is set if the last answer was discarded as older than an earlier one.
 	lastAnswerStale bool
-	// pollsInReport is how many of them the report in progress covers. A reported poll must not
-	// be counted again, since it says nothing about runs that started after it.
+	// pollsInReport is how many of unreportedPolls the report in progress covers. A reported poll
+	// must not be counted again, since it does not cover runs that started after it.
 	pollsInReport int
 }
 
--- a/nodeagent/name_reuse_test.go
+++ b/nodeagent/name_reuse_test.go
@@ -109,9 +109,8 @@
 	return Heartbeat{Info: engine.WorkerInfo{ID: id, Name: "w", Service: "s"}, Sequence: sequence}
 }
 
-// A start that got no answer may be delayed until the worker has restarted under the same name.
-// The first poll that the new incarnation answers must carry a higher fence and acknowledge
-// none of its ends, even if the restart is still unknown.
+// The first poll that a new incarnation with the same name answers must carry a higher fence than
+// delayed starts, and acknowledge none of its ends, even if the restart is still unknown.
 func TestNextIncarnationFencedByFirstAnsweredPoll(t *testing.T) {
 	c := qt.New(t)
 	a, w := startNameReusingAgent(c)
@@ -198,9 +197,8 @@
 	})
 }
 
-// The restart of a worker is first noticed by the heartbeat of the new incarnation. The poll
-// that distinguishes the two is the first call that it answers, so it must fence it and
-// acknowledge none of its ends.
+// If the heartbeat of a new incarnation is the first sign of a restart, the poll that tells it from
+// the previous one must carry a higher fence and acknowledge none of its ends.
 func TestUndetectedRestartFencedByPoll(t *testing.T) {
 	c := qt.New(t)
 	a, w := startNameReusingAgent(c)
--- a/nodeagent/unresponsive.go
+++ b/nodeagent/unresponsive.go
@@ -25,9 +25,9 @@
 	return true
 }
 
-// markUnresponsive records that the worker does not answer. From now on another incarnation may
-// have its name, which has seen no fence, and delayed orders to this one may reach it. So polls
-// carry a higher fence than any order so far: the first one that is answered fences whichever
+// markUnresponsive records that the worker does not answer. From now on another incarnation that
+// has seen no fence may have its name, and delayed orders to this one may reach it. So polls carry
+// a higher fence than any order so far: the first one that is answered fences whichever
 // incarnation answers.
 func (inc *incarnation) markUnresponsive(now time.Duration) {
 	inc.unresponsive = true
@@ -58,13 +58,10 @@
 	return unresponsivePollInterval
 }
 
-// nextAck returns the number up to which the next poll acknowledges ends, or 0 if the worker
-// has already received it.
-//
-// The worker may have restarted unnoticed under the same name, and the new incarnation numbers
-// its ends from 1. It would forget ends that nobody has seen, and completed tasks would run
-// again. So an acknowledgement is repeated only until a poll that carried it is answered, and
-// never while the worker is unresponsive.
+// nextAck returns the number up to which the next poll acknowledges ends, or 0 for none. An
+// acknowledgement is sent only until a poll that carried it is answered, and never while the
+// worker is unresponsive: a new incarnation under the same name numbers its ends from 1, would
+// drop ends that are not recorded, and completed tasks would run again.
 func (inc *incarnation) nextAck() int64 {
 	if inc.unresponsive || inc.recordedEnds <= inc.ackedEnds {
 		return 0
--- a/nodeagent/unresponsive_test.go
+++ b/nodeagent/unresponsive_test.go
@@ -38,9 +38,8 @@
 
 func (w *crashableWorker) Identify(context.Context) (string, error) { return "w", nil }
 
-// Polls of a crashed worker fail at once. If each failure were reported and each reply
-// triggered an extra poll, agent and planner would loop at network speed, and the planner would
-// never see the lease expire.
+// Polls of a crashed worker fail at once. They must not make agent and planner exchange polls and
+// reports in a tight loop that keeps the lease from expiring.
 func TestUnresponsiveWorkerPollAndReportRateBounded(t *testing.T) {
 	c := qt.New(t)
 	var reports atomic.Int64
--- a/records/archive_test.go
+++ b/records/archive_test.go
@@ -68,7 +68,7 @@
 }
 
 // A duplicate submission that arrives after the job has ended finds the outcome and does not
-// run the job again. A job of another account with that ID is a mismatch.
+// run the job again. A job of another account with that ID is rejected.
 func TestResubmissionFindsOutcome(t *testing.T) {
 	c, srv, kv := openStore(t)
 	ctx := context.Background()
--- a/records/job_store.go
+++ b/records/job_store.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// createPrecluded reports whether the current keys rule the creation out: the key exists, or
-// the condition does not hold.
+// createPrecluded reports whether create cannot succeed any more: the key exists, or the
+// condition does not hold.
 func createPrecluded(current []store.KeyValue, condition store.Condition, swap store.Swap) bool {
 	for _, kv := range current {
 		if kv.Key == swap.Key && kv.Mod != 0 || kv.Key == condition.Key && kv.Mod != condition.Revision {
--- a/records/planner_store.go
+++ b/records/planner_store.go
@@ -46,8 +46,7 @@
 //
 // Unreadable records are skipped, so that a single one cannot stop all planning. A job whose
 // own record or progress is unreadable is left out, since starting it could run it twice. A
-// worker whose record is unreadable is restored by its key alone, so that the runs it may hold
-// are waited for.
+// worker whose record is unreadable is restored by its key alone, since it may have runs.
 func (ps *PlannerStore) Load(ctx context.Context, wall time.Time) (PlannerState, error) {
 	workers, err := ps.store.List(ctx, workerPrefix)
 	if err != nil {
--- a/records/planner_store_test.go
+++ b/records/planner_store_test.go
@@ -152,8 +152,7 @@
 }
 
 // Unreadable records must not keep a planner from loading the others. A job with unreadable
-// progress is left out, since it may have run; a worker with an unreadable record is kept,
-// since it may hold runs.
+// progress is left out, and a worker with an unreadable record kept, since they may have runs.
 func TestUnreadableRecordsAreSkipped(t *testing.T) {
 	c, srv, kv := openStore(t)
 	ctx := context.Background()
