--- a/gateway/store_relay.go
+++ b/gateway/store_relay.go
@@ -126,7 +126,7 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		reply := g.storeCallThrough(ctx, address, msg)
+		reply := g.storeCallThroughPeer(ctx, address, msg)
 		if reply != nil && reply.Failure != link.StoreUnavailable {
 			return reply
 		}
@@ -134,7 +134,7 @@
 	return nil
 }
 
-func (g *Gateway) storeCallThrough(ctx context.Context, address string, msg *link.StoreCall) *link.StoreReply {
+func (g *Gateway) storeCallThroughPeer(ctx context.Context, address string, msg *link.StoreCall) *link.StoreReply {
 	raw, err := g.callPeer(ctx, address, msg)
 	reply, ok := raw.(*link.StoreReply)
 	switch {
