--- a/records/planner_store_test.go
+++ b/records/planner_store_test.go
@@ -41,9 +41,9 @@
 }
 
 // submit stores jobs.
-func submit(c *qt.C, intake *records.JobStore, ids ...workload.JobID) {
+func submit(c *qt.C, jobStore *records.JobStore, ids ...workload.JobID) {
 	for _, id := range ids {
-		outcome, _ := intake.Submit(context.Background(), newJob(id))
+		outcome, _ := jobStore.Submit(context.Background(), newJob(id))
 		c.Assert(outcome, qt.Equals, link.OutcomeStored)
 	}
 }
@@ -152,8 +152,7 @@
 }
 
 // Unreadable records must not keep a planner from loading the others. A job with unreadable
-// progress is left out, since it may have run; a worker with an unreadable record is kept,
-// since it may hold runs.
+// progress is left out, and a worker with an unreadable record kept, since they may have runs.
 func TestUnreadableRecordsAreSkipped(t *testing.T) {
 	c, srv, kv := openStore(t)
 	ctx := context.Background()
