--- a/admission/account_set_test.go
+++ b/admission/account_set_test.go
@@ -13,8 +13,8 @@
 func TestStateOfPastAccountsIsBounded(t *testing.T) {
 	q := New(Options{})
 	for i := range ID(10_000) {
-		q.HandleEvent(time.Time{}, Arrived{ID: i, Account: fmt.Sprint(i)})
-		q.HandleEvent(time.Time{}, Finished{ID: i, SlotTime: time.Hour})
+		q.Step(time.Time{}, Arrived{ID: i, Account: fmt.Sprint(i)})
+		q.Step(time.Time{}, Finished{ID: i, SlotTime: time.Hour})
 	}
 	qt.Assert(t, q.accounts.idle.Len(), qt.Equals, maxIdleAccounts)
 	qt.Assert(t, q.accounts.active, qt.HasLen, 0)
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -59,7 +59,7 @@
 		if len(running) > 0 && running[0].at <= next {
 			done := heap.Pop(&running).(completion)
 			now = done.at
-			apply(q.HandleEvent(at(now), admission.Finished{ID: done.id, SlotTime: 10 * time.Millisecond}))
+			apply(q.Step(at(now), admission.Finished{ID: done.id, SlotTime: 10 * time.Millisecond}))
 			continue
 		}
 		now = next
@@ -72,7 +72,7 @@
 				ev.Account = "light"
 			}
 		}
-		apply(q.HandleEvent(at(now), ev))
+		apply(q.Step(at(now), ev))
 	}
 	return waits
 }
@@ -88,7 +88,7 @@
 }
 
 // Measures one arrival and one completion, with a request of each account queued.
-func BenchmarkHandleEvent(b *testing.B) {
+func BenchmarkStep(b *testing.B) {
 	for _, accounts := range []int{1, 4, 100, 1000} {
 		b.Run(fmt.Sprint("accounts=", accounts), func(b *testing.B) {
 			q := admission.New(admission.Options{Slots: 1})
@@ -96,7 +96,7 @@
 			var running admission.ID
 			arrive := func() {
 				id++
-				q.HandleEvent(at(0), admission.Arrived{ID: id, Account: fmt.Sprint(int(id) % accounts), Deadline: at(time.Hour)})
+				q.Step(at(0), admission.Arrived{ID: id, Account: fmt.Sprint(int(id) % accounts), Deadline: at(time.Hour)})
 			}
 			for range accounts + 1 {
 				arrive()
@@ -104,7 +104,7 @@
 			running = oldest
 			b.ReportAllocs()
 			for b.Loop() {
-				for _, action := range q.HandleEvent(at(0), admission.Finished{ID: running, SlotTime: time.Millisecond}) {
+				for _, action := range q.Step(at(0), admission.Finished{ID: running, SlotTime: time.Millisecond}) {
 					if run, ok := action.(admission.Run); ok {
 						running = run.ID
 					}
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -8,7 +8,7 @@
 // the observed service times, requests over the queue bounds and, in lasting
 // congestion, requests that would wait longer than the target sojourn time.
 //
-// The package does no I/O and reads no clock: HandleEvent takes the time and one
+// The package does no I/O and reads no clock: Step takes the time and one
 // event and returns the actions to carry out. A Queue belongs to one goroutine.
 //
 // Every Arrived is answered by exactly one Run or Refuse, unless a Cancelled
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// HandleEvent handles one event and returns the actions to carry out, in order. The
+// Step handles one event and returns the actions to carry out, in order. The
 // slice is valid until the next call.
-func (q *Queue) HandleEvent(now time.Time, ev Event) []Action {
+func (q *Queue) Step(now time.Time, ev Event) []Action {
 	q.actions = q.actions[:0]
 	switch ev := ev.(type) {
 	case Arrived:
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -21,8 +21,8 @@
 	o.Slots = 1
 	q := admission.New(o)
 	for id := range admission.ID(100) {
-		q.HandleEvent(at(0), admission.Arrived{ID: 1000 + id})
-		q.HandleEvent(at(time.Second), admission.Finished{ID: 1000 + id, SlotTime: 10 * time.Millisecond})
+		q.Step(at(0), admission.Arrived{ID: 1000 + id})
+		q.Step(at(time.Second), admission.Finished{ID: 1000 + id, SlotTime: 10 * time.Millisecond})
 	}
 	return q
 }
@@ -32,12 +32,12 @@
 func TestDrainServesTheQueueAndRefusesArrivals(t *testing.T) {
 	c := qt.New(t)
 	q := admission.New(admission.Options{Slots: 1})
-	c.Assert(q.HandleEvent(at(0), admission.Arrived{ID: 1}), qt.DeepEquals, actions{admission.Run{ID: 1}})
-	c.Assert(q.HandleEvent(at(0), admission.Arrived{ID: 2}), qt.HasLen, 0)
-	q.HandleEvent(at(1), admission.Drain{})
+	c.Assert(q.Step(at(0), admission.Arrived{ID: 1}), qt.DeepEquals, actions{admission.Run{ID: 1}})
+	c.Assert(q.Step(at(0), admission.Arrived{ID: 2}), qt.HasLen, 0)
+	q.Step(at(1), admission.Drain{})
 	refuse := admission.Refuse{ID: 3, Reason: admission.ReasonDraining}
-	c.Assert(q.HandleEvent(at(2), admission.Arrived{ID: 3}), qt.DeepEquals, actions{refuse})
-	c.Assert(q.HandleEvent(at(3), admission.Finished{ID: 1, SlotTime: 3}), qt.DeepEquals, actions{admission.Run{ID: 2}})
+	c.Assert(q.Step(at(2), admission.Arrived{ID: 3}), qt.DeepEquals, actions{refuse})
+	c.Assert(q.Step(at(3), admission.Finished{ID: 1, SlotTime: 3}), qt.DeepEquals, actions{admission.Run{ID: 2}})
 }
 
 // Guards against queueing a request that would miss its deadline because of the
@@ -46,9 +46,9 @@
 	c := qt.New(t)
 	q := newTrainedQueue(admission.Options{})
 	for id := range admission.ID(5) {
-		q.HandleEvent(at(time.Second), admission.Arrived{ID: id})
+		q.Step(at(time.Second), admission.Arrived{ID: id})
 	}
-	got := q.HandleEvent(at(time.Second), admission.Arrived{ID: 9, Deadline: at(time.Second + 35*time.Millisecond)})
+	got := q.Step(at(time.Second), admission.Arrived{ID: 9, Deadline: at(time.Second + 35*time.Millisecond)})
 	c.Assert(got, qt.DeepEquals, actions{admission.Refuse{ID: 9, Reason: admission.ReasonDeadline, RetryAfter: 40 * time.Millisecond}})
 }
 
@@ -57,11 +57,11 @@
 func TestQueuedRequestIsRefusedOnceItCannotMeetItsDeadline(t *testing.T) {
 	c := qt.New(t)
 	q := newTrainedQueue(admission.Options{})
-	q.HandleEvent(at(time.Second), admission.Arrived{ID: 1})
+	q.Step(at(time.Second), admission.Arrived{ID: 1})
 	wake := at(time.Second + 40*time.Millisecond)
-	got := q.HandleEvent(at(time.Second), admission.Arrived{ID: 2, Deadline: at(time.Second + 50*time.Millisecond)})
+	got := q.Step(at(time.Second), admission.Arrived{ID: 2, Deadline: at(time.Second + 50*time.Millisecond)})
 	c.Assert(got, qt.DeepEquals, actions{admission.WakeAt{Time: wake}})
-	got = q.HandleEvent(wake, admission.Tick{})
+	got = q.Step(wake, admission.Tick{})
 	c.Assert(got, qt.DeepEquals, actions{admission.Refuse{ID: 2, Reason: admission.ReasonDeadline, RetryAfter: 10 * time.Millisecond}})
 }
 
@@ -70,11 +70,11 @@
 	c := qt.New(t)
 	q := newTrainedQueue(admission.Options{})
 	for id := range admission.ID(200) {
-		q.HandleEvent(at(time.Second), admission.Arrived{ID: id, Account: "flood"})
+		q.Step(at(time.Second), admission.Arrived{ID: id, Account: "flood"})
 	}
-	q.HandleEvent(at(time.Second), admission.Finished{ID: 0, SlotTime: 50 * time.Millisecond})
-	q.HandleEvent(at(time.Second), admission.Arrived{ID: 500, Account: "light"})
-	got := q.HandleEvent(at(time.Second), admission.Finished{ID: 1, SlotTime: 50 * time.Millisecond})
+	q.Step(at(time.Second), admission.Finished{ID: 0, SlotTime: 50 * time.Millisecond})
+	q.Step(at(time.Second), admission.Arrived{ID: 500, Account: "light"})
+	got := q.Step(at(time.Second), admission.Finished{ID: 1, SlotTime: 50 * time.Millisecond})
 	c.Assert(got, qt.DeepEquals, actions{admission.Run{ID: 500}})
 }
 
@@ -83,7 +83,7 @@
 func TestSharesOfSlotTimeFollowWeights(t *testing.T) {
 	c := qt.New(t)
 	q := newTrainedQueue(admission.Options{})
-	q.HandleEvent(at(0), admission.PolicyChanged{Weights: map[string]int{"a": 3, "b": 1}})
+	q.Step(at(0), admission.PolicyChanged{Weights: map[string]int{"a": 3, "b": 1}})
 	slotTime := map[string]time.Duration{"a": 10 * time.Millisecond, "b": 40 * time.Millisecond}
 	used := map[string]time.Duration{}
 	owner := map[admission.ID]string{}
@@ -91,7 +91,7 @@
 	arrive := func(account string) []admission.Action {
 		lastID++
 		owner[lastID] = account
-		return q.HandleEvent(at(time.Second), admission.Arrived{ID: lastID, Account: account})
+		return q.Step(at(time.Second), admission.Arrived{ID: lastID, Account: account})
 	}
 	run := arrive("a")
 	for range 20 {
@@ -102,7 +102,7 @@
 		id := run[0].(admission.Run).ID
 		account := owner[id]
 		used[account] += slotTime[account]
-		run = append(actions{}, q.HandleEvent(at(time.Second), admission.Finished{ID: id, SlotTime: slotTime[account]})...)
+		run = append(actions{}, q.Step(at(time.Second), admission.Finished{ID: id, SlotTime: slotTime[account]})...)
 		arrive(account)
 	}
 	ratio := used["a"].Seconds() / used["b"].Seconds()
@@ -113,7 +113,7 @@
 // is idle, which would also prevent observing a shorter time.
 func TestFreeSlotIsUsedDespiteExpectedServiceTime(t *testing.T) {
 	q := newTrainedQueue(admission.Options{})
-	got := q.HandleEvent(at(0), admission.Arrived{ID: 1, Deadline: at(time.Millisecond)})
+	got := q.Step(at(0), admission.Arrived{ID: 1, Deadline: at(time.Millisecond)})
 	qt.Assert(t, got, qt.DeepEquals, actions{admission.Run{ID: 1}})
 }
 
@@ -122,18 +122,18 @@
 func TestClassThatWasTooSlowIsAdmittedAgain(t *testing.T) {
 	c := qt.New(t)
 	q := newTrainedQueue(admission.Options{})
-	q.HandleEvent(at(0), admission.Arrived{ID: 1, Class: "check"})
-	q.HandleEvent(at(0), admission.Finished{ID: 1, SlotTime: time.Second})
+	q.Step(at(0), admission.Arrived{ID: 1, Class: "check"})
+	q.Step(at(0), admission.Finished{ID: 1, SlotTime: time.Second})
 	lastID := admission.ID(10)
-	q.HandleEvent(at(0), admission.Arrived{ID: lastID})
+	q.Step(at(0), admission.Arrived{ID: lastID})
 	for n := 1; ; n++ {
 		c.Assert(n < 2000, qt.IsTrue)
 		lastID++
-		q.HandleEvent(at(0), admission.Arrived{ID: lastID})
-		got := q.HandleEvent(at(0), admission.Arrived{ID: 1, Class: "check", Deadline: at(100 * time.Millisecond)})
+		q.Step(at(0), admission.Arrived{ID: lastID})
+		got := q.Step(at(0), admission.Arrived{ID: 1, Class: "check", Deadline: at(100 * time.Millisecond)})
 		if _, refused := got[0].(admission.Refuse); !refused {
 			return
 		}
-		q.HandleEvent(at(0), admission.Finished{ID: lastID - 1, SlotTime: 10 * time.Millisecond})
+		q.Step(at(0), admission.Finished{ID: lastID - 1, SlotTime: 10 * time.Millisecond})
 	}
 }
--- a/admission/random_events_test.go
+++ b/admission/random_events_test.go
@@ -124,7 +124,7 @@
 
 func (rr *randomRun) apply(ev admission.Event) {
 	before := len(rr.running)
-	for _, action := range rr.queue.HandleEvent(at(rr.now), ev) {
+	for _, action := range rr.queue.Step(at(rr.now), ev) {
 		switch action := action.(type) {
 		case admission.Run:
 			r, ok := rr.removeQueued(action.ID)
--- a/agent/admission_gate.go
+++ b/agent/admission_gate.go
@@ -97,7 +97,7 @@
 // handleEvent passes an event to the queue and carries out the resulting actions. The
 // caller holds the lock.
 func (g *admissionGate) handleEvent(ev admission.Event) {
-	for _, a := range g.queue.HandleEvent(time.Now(), ev) {
+	for _, a := range g.queue.Step(time.Now(), ev) {
 		switch a := a.(type) {
 		case admission.Run:
 			g.deliver(a.ID, a)
--- a/attempts/attempts_test.go
+++ b/attempts/attempts_test.go
@@ -39,7 +39,7 @@
 func handleEvents(r *Request, events ...Event) Action {
 	var last []Action
 	for i, ev := range events {
-		last = r.HandleEvent(testStart.Add(time.Duration(i)*time.Second), ev)
+		last = r.Step(testStart.Add(time.Duration(i)*time.Second), ev)
 	}
 	if len(last) == 0 {
 		return nil
@@ -102,7 +102,7 @@
 	r := newTestRequest(true)
 	got := handleEvents(r, Start{}, ClaimReply{Result: ClaimWritten}, ConnectionLost{testID(1)})
 	c.Assert(got, qt.Equals, Action(SendResolve{testClaim(1)}))
-	got = r.HandleEvent(testStart.Add(10*time.Second), Wake{})[0]
+	got = r.Step(testStart.Add(10*time.Second), Wake{})[0]
 	c.Assert(got, qt.DeepEquals, Action(Finished{Outcome: Unknown, Reason: ReasonDeadline}))
 }
 
@@ -112,16 +112,16 @@
 	c := qt.New(t)
 	late := testStart.Add(2 * time.Minute)
 	r := newTestRequest(false)
-	r.HandleEvent(testStart, Start{})
-	got := r.HandleEvent(late, ClaimReply{Result: ClaimWritten})[0]
+	r.Step(testStart, Start{})
+	got := r.Step(late, ClaimReply{Result: ClaimWritten})[0]
 	c.Assert(got, qt.DeepEquals, Action(Finished{Outcome: Unknown, Reason: ReasonDeadline}))
 
 	result, _ := newTestTable().Begin(late, testID(1))
 	c.Assert(result, qt.Equals, BeginRefuse)
 	r = newTestRequest(false)
 	handleEvents(r, Start{}, ClaimReply{Result: ClaimWritten})
-	r.HandleEvent(testStart.Add(2*time.Second), BeginReply{ID: testID(1), Result: BeginRefuse})
-	got = r.HandleEvent(late, ClaimReply{Result: ClaimWritten})[0]
+	r.Step(testStart.Add(2*time.Second), BeginReply{ID: testID(1), Result: BeginRefuse})
+	got = r.Step(late, ClaimReply{Result: ClaimWritten})[0]
 	c.Assert(got.(Finished).Outcome, qt.Equals, Unknown)
 }
 
@@ -192,9 +192,9 @@
 	now := time.Unix(1000, 0)
 	own := Claim{ID: ID{Issued: now.UnixNano(), Entry: 1, Sequence: 1, Incarnation: 7}, Agent: "a"}
 	r := NewRequest(RequestConfig{HasKey: true, Deadline: now.Add(time.Second), PollInterval: time.Second, MaxAge: time.Minute}, own)
-	r.HandleEvent(now, Start{})
-	r.HandleEvent(now, ClaimReply{Result: ClaimWritten})
-	r.HandleEvent(now, BeginReply{ID: own.ID, Result: BeginRefuse})
-	actions := r.HandleEvent(now, ClaimReply{Result: ClaimGone})
+	r.Step(now, Start{})
+	r.Step(now, ClaimReply{Result: ClaimWritten})
+	r.Step(now, BeginReply{ID: own.ID, Result: BeginRefuse})
+	actions := r.Step(now, ClaimReply{Result: ClaimGone})
 	c.Assert(actions[0].(Finished).Outcome, qt.Equals, NotRun)
 }
--- a/attempts/request.go
+++ b/attempts/request.go
@@ -53,8 +53,8 @@
 	return &Request{config: c, own: own}
 }
 
-// HandleEvent handles one event and returns the actions to carry out, in order.
-func (r *Request) HandleEvent(now time.Time, ev Event) []Action {
+// Step handles one event and returns the actions to carry out, in order.
+func (r *Request) Step(now time.Time, ev Event) []Action {
 	r.now, r.actions = now, nil
 	if r.state == stateFinished {
 		return nil
--- a/attempts/request_action.go
+++ b/attempts/request_action.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Action is something for the caller of HandleEvent to do: WriteClaim,
+// Action is something for the caller of Step to do: WriteClaim,
 // ReplaceClaim, ReleaseClaim, SendBegin, SendResolve, WakeAt or Finished.
 type Action interface{ action() }
 
--- a/attempts/request_event.go
+++ b/attempts/request_event.go
@@ -1,6 +1,6 @@
 package attempts
 
-// Event is an input of Request.HandleEvent: Start, ClaimReply, BeginReply,
+// Event is an input of Request.Step: Start, ClaimReply, BeginReply,
 // ResolveReply, ConnectionLost or Wake.
 type Event interface{ event() }
 
--- a/attempts/simulation_test.go
+++ b/attempts/simulation_test.go
@@ -175,7 +175,7 @@
 // actions. The caller's answer is checked at the time of the decision.
 func (d *simDelivery) step(ev Event) {
 	s := d.sim
-	actions := d.req.HandleEvent(s.now, ev)
+	actions := d.req.Step(s.now, ev)
 	for _, act := range actions {
 		if f, ok := act.(Finished); ok {
 			d.checkFinished(f)
--- a/document/simulation_model_test.go
+++ b/document/simulation_model_test.go
@@ -86,7 +86,7 @@
 // handle passes an event to a process, performs the actions, and checks that the
 // generation has not decreased.
 func (s *simulation) handle(p *process, event document.SyncerEvent) {
-	for _, action := range p.syncer.HandleEvent(time.Now(), event) {
+	for _, action := range p.syncer.Step(time.Now(), event) {
 		switch a := action.(type) {
 		case document.WriteBack:
 			s.writeBack(a)
--- a/document/syncer.go
+++ b/document/syncer.go
@@ -75,8 +75,8 @@
 	return s.ready
 }
 
-// HandleEvent processes an event and returns the actions to perform, in order.
-func (s *Syncer) HandleEvent(now time.Time, event SyncerEvent) []SyncerAction {
+// Step processes an event and returns the actions to perform, in order.
+func (s *Syncer) Step(now time.Time, event SyncerEvent) []SyncerAction {
 	var actions []SyncerAction
 	switch e := event.(type) {
 	case StoreListed:
--- a/document/syncer_test.go
+++ b/document/syncer_test.go
@@ -28,7 +28,7 @@
 		a.QueriedAt = s.now
 		event = a
 	}
-	actions := s.syncer.HandleEvent(s.now, event)
+	actions := s.syncer.Step(s.now, event)
 	s.actions = append(s.actions, actions...)
 	return actions
 }
--- a/document/watcher.go
+++ b/document/watcher.go
@@ -119,7 +119,7 @@
 	if w.stopped {
 		return
 	}
-	for _, a := range w.syncer.HandleEvent(time.Now(), event) {
+	for _, a := range w.syncer.Step(time.Now(), event) {
 		w.perform(a)
 	}
 }
--- a/engine/bench_fleet_test.go
+++ b/engine/bench_fleet_test.go
@@ -50,7 +50,7 @@
 	for i := range 24 {
 		accounts[fmt.Sprint("account", i)] = catalog.Account{GuaranteedAccelerators: 16}
 	}
-	f.e.HandleEvent(f.now, CatalogChanged{Catalog: &catalog.Catalog{Accounts: accounts}})
+	f.e.Step(f.now, CatalogChanged{Catalog: &catalog.Catalog{Accounts: accounts}})
 	for i := range workers {
 		rack := fmt.Sprint("r", i/rackSize)
 		f.workers = append(f.workers, &benchWorker{
@@ -77,7 +77,7 @@
 			}
 		}
 		if f.now%(50*time.Millisecond) == 0 {
-			f.e.HandleEvent(f.now, Tick{WallTime: time.Unix(1000, 0).Add(f.now)})
+			f.e.Step(f.now, Tick{WallTime: time.Unix(1000, 0).Add(f.now)})
 		}
 		f.executeActions()
 	}
@@ -103,7 +103,7 @@
 	}
 	j.Queue = fmt.Sprint("q", j.QueuePolicy.Priority)
 	j.Steps = []workload.Step{step}
-	f.e.HandleEvent(f.now, JobSubmitted{Job: j, Revision: int64(f.jobs)})
+	f.e.Step(f.now, JobSubmitted{Job: j, Revision: int64(f.jobs)})
 }
 
 func (f *benchFleet) report(w *benchWorker) {
@@ -147,10 +147,10 @@
 				delete(w.running, run.Task)
 			}
 		}
-		f.e.HandleEvent(f.now, completed)
+		f.e.Step(f.now, completed)
 	}
 	if w := f.e.PendingChanges(f.now, time.Unix(1000, 0).Add(f.now), 15); !w.Empty() {
-		f.e.HandleEvent(f.now, WriteApplied{Write: w})
+		f.e.Step(f.now, WriteApplied{Write: w})
 	}
 }
 
--- a/engine/bench_test.go
+++ b/engine/bench_test.go
@@ -17,7 +17,7 @@
 		MaxLease: 6 * time.Second, StopTime: 200 * time.Millisecond, RemoteSlowdown: 3,
 		MaxReclaimWait: 3 * time.Second, Retention: time.Minute,
 	}, 1, now, 0)
-	e.HandleEvent(now, CatalogChanged{Catalog: &catalog.Catalog{}})
+	e.Step(now, CatalogChanged{Catalog: &catalog.Catalog{}})
 	for i := range workers {
 		e.Report(now, Report{Epoch: 1, Polled: true, Worker: WorkerInfo{
 			ID: WorkerID(fmt.Sprintf("w%05d", i)), Agent: fmt.Sprint("agent", i), Service: "s", Rack: fmt.Sprint("r", i/12),
@@ -30,14 +30,14 @@
 			if w.Empty() {
 				return
 			}
-			e.HandleEvent(now, WriteApplied{Write: w})
+			e.Step(now, WriteApplied{Write: w})
 		}
 	}
 	store()
 	submit := func(n, priority, count, accelerators int, asGang bool) {
 		step := taskStep(count, accelerators)
 		step.Gang, step.SameRack = asGang, asGang
-		e.HandleEvent(now, JobSubmitted{Revision: int64(n), Job: workload.Job{
+		e.Step(now, JobSubmitted{Revision: int64(n), Job: workload.Job{
 			ID: workload.JobID(fmt.Sprintf("job%06d", n)), Queue: fmt.Sprint("q", priority), Service: "s",
 			Steps: []workload.Step{step}, QueuePolicy: workload.QueuePolicy{Priority: priority, Stretch: 3},
 		}})
--- a/engine/doc.go
+++ b/engine/doc.go
@@ -1,5 +1,5 @@
 // Package engine decides where and when the tasks of accepted jobs run. It contains the
-// planner's logic without network, clock or log: HandleEvent and Report take the time and an
+// planner's logic without network, clock or log: Step and Report take the time and an
 // input, Decide returns the resulting actions. An Engine is owned by one goroutine.
 //
 // # Guarantees
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -92,9 +92,9 @@
 	}
 }
 
-// HandleEvent processes one event. Reports of agents are passed to Report instead, which answers
+// Step processes one event. Reports of agents are passed to Report instead, which answers
 // them.
-func (e *Engine) HandleEvent(now time.Duration, event Event) {
+func (e *Engine) Step(now time.Duration, event Event) {
 	switch ev := event.(type) {
 	case JobSubmitted:
 		e.submit(now, ev)
--- a/engine/event.go
+++ b/engine/event.go
@@ -7,7 +7,7 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// Event is an input of Engine.HandleEvent.
+// Event is an input of Engine.Step.
 type Event interface{ isEvent() }
 
 // JobSubmitted adds a job that has been stored. Revision is the store revision of its acceptance.
--- a/engine/helpers_test.go
+++ b/engine/helpers_test.go
@@ -57,7 +57,7 @@
 
 func (d *driver) report(r Report) ReportAnswer { return d.e.Report(d.now, r) }
 
-func (d *driver) handle(ev Event) { d.e.HandleEvent(d.now, ev) }
+func (d *driver) handle(ev Event) { d.e.Step(d.now, ev) }
 
 // settle applies all writes and orders, answering starts with StartOK, until there are no more. It
 // fails the test if the engine does not settle.
--- a/engine/sim_cluster_test.go
+++ b/engine/sim_cluster_test.go
@@ -124,11 +124,11 @@
 		MaxLease: simMaxLease, StopTime: 900 * time.Millisecond, RemoteSlowdown: 3, RestoreTime: 500 * time.Millisecond, MaxReclaimWait: 3 * time.Second, Retention: time.Hour,
 	}, w.epoch, w.now, 0)
 	w.engine = e
-	e.HandleEvent(w.now, CatalogChanged{Catalog: &catalog.Catalog{Accounts: map[string]catalog.Account{"big": {GuaranteedAccelerators: 32}}}})
-	e.HandleEvent(w.now, CordonsChanged{w.successorCordons()})
-	e.HandleEvent(w.now, Tick{WallTime: w.wall()})
+	e.Step(w.now, CatalogChanged{Catalog: &catalog.Catalog{Accounts: map[string]catalog.Account{"big": {GuaranteedAccelerators: 32}}}})
+	e.Step(w.now, CordonsChanged{w.successorCordons()})
+	e.Step(w.now, Tick{WallTime: w.wall()})
 	for _, id := range slices.Sorted(keysOf(w.workerRecords)) {
-		e.HandleEvent(w.now, WorkerRestored{Info: w.workerRecords[id]})
+		e.Step(w.now, WorkerRestored{Info: w.workerRecords[id]})
 	}
 	for i, id := range w.order {
 		if _, ended := w.outcomes[id]; ended {
@@ -141,7 +141,7 @@
 				w.t.Fatal(err)
 			}
 		}
-		e.HandleEvent(w.now, ev)
+		e.Step(w.now, ev)
 	}
 	w.after(time.Duration(w.rng.IntN(3000))*time.Millisecond, func() { w.restoreEnded(e) })
 	w.counts["terms"]++
@@ -154,7 +154,7 @@
 	}
 	for _, id := range w.order {
 		if outcome, ended := w.outcomes[id]; ended {
-			e.HandleEvent(w.now, EndedJobRestored{ID: id, Outcome: outcome, OutcomeRevision: 1})
+			e.Step(w.now, EndedJobRestored{ID: id, Outcome: outcome, OutcomeRevision: 1})
 		}
 	}
 }
@@ -181,7 +181,7 @@
 			}
 		}
 		if w.now%(50*time.Millisecond) == 0 {
-			w.engine.HandleEvent(w.now, Tick{WallTime: w.wall()})
+			w.engine.Step(w.now, Tick{WallTime: w.wall()})
 		}
 		w.executeDecisions()
 	}
@@ -254,7 +254,7 @@
 	w.after(w.latency(), func() {
 		if e == w.engine {
 			w.writing = false
-			e.HandleEvent(w.now, WriteApplied{Write: change})
+			e.Step(w.now, WriteApplied{Write: change})
 		}
 	})
 }
@@ -286,7 +286,7 @@
 	results := w.executeOrders(sw, fence, o, sw.grantedUntil)
 	w.after(w.latency(), func() {
 		if e == w.engine {
-			e.HandleEvent(w.now, OrdersCompleted{Worker: o.Worker, Starts: results})
+			e.Step(w.now, OrdersCompleted{Worker: o.Worker, Starts: results})
 		}
 	})
 }
@@ -319,7 +319,7 @@
 		results = append(results, StartResult{Run: s.Run, Outcome: outcome})
 	}
 	if e == w.engine {
-		e.HandleEvent(w.now, OrdersCompleted{Worker: o.Worker, Starts: results})
+		e.Step(w.now, OrdersCompleted{Worker: o.Worker, Starts: results})
 	}
 }
 
--- a/engine/sim_cordon_test.go
+++ b/engine/sim_cordon_test.go
@@ -62,7 +62,7 @@
 func (w *simCluster) updateCordons(cordons catalog.Cordons) {
 	if cordons.Revision > w.cordons.known.Revision {
 		w.cordons.previous, w.cordons.known = w.cordons.known, cordons
-		w.engine.HandleEvent(w.now, CordonsChanged{cordons})
+		w.engine.Step(w.now, CordonsChanged{cordons})
 	}
 }
 
--- a/engine/sim_test.go
+++ b/engine/sim_test.go
@@ -69,7 +69,7 @@
 	e := w.engine
 	w.after(w.latency(), func() {
 		if e == w.engine {
-			e.HandleEvent(w.now, JobSubmitted{Job: *j, Revision: revision})
+			e.Step(w.now, JobSubmitted{Job: *j, Revision: revision})
 		}
 	})
 	if cancelAt == 0 {
@@ -77,9 +77,9 @@
 	}
 	w.after(cancelAt, func() {
 		w.cancels[j.ID] = true
-		w.engine.HandleEvent(w.now, CancelRequested{Job: j.ID})
+		w.engine.Step(w.now, CancelRequested{Job: j.ID})
 	})
-	w.after(cancelAt+time.Second, func() { w.engine.HandleEvent(w.now, CancelRequested{Job: j.ID, Revision: revision}) })
+	w.after(cancelAt+time.Second, func() { w.engine.Step(w.now, CancelRequested{Job: j.ID, Revision: revision}) })
 }
 
 // randomJob returns a job with one to three random steps.
--- a/entry/delivery.go
+++ b/entry/delivery.go
@@ -85,7 +85,7 @@
 // in progress must complete.
 func (v *delivery) run() attempts.Finished {
 	defer v.timer.Stop()
-	actions := v.stateMachine.HandleEvent(v.dispatcher.now(), attempts.Start{})
+	actions := v.stateMachine.Step(v.dispatcher.now(), attempts.Start{})
 	for {
 		for _, a := range actions {
 			if finished, ok := a.(attempts.Finished); ok {
@@ -96,9 +96,9 @@
 		select {
 		case ev := <-v.events:
 			v.recordReply(ev)
-			actions = v.stateMachine.HandleEvent(v.dispatcher.now(), v.checkAgentTimeout(ev))
+			actions = v.stateMachine.Step(v.dispatcher.now(), v.checkAgentTimeout(ev))
 		case <-v.timer.C:
-			actions = v.stateMachine.HandleEvent(v.dispatcher.now(), attempts.Wake{})
+			actions = v.stateMachine.Step(v.dispatcher.now(), attempts.Wake{})
 		}
 	}
 }
--- a/gateway/term.go
+++ b/gateway/term.go
@@ -141,7 +141,7 @@
 }
 
 func (t *term) postEvent(ev engine.Event) {
-	t.enqueue(func(now time.Duration) { t.engine.HandleEvent(now, ev) })
+	t.enqueue(func(now time.Duration) { t.engine.Step(now, ev) })
 }
 
 func (t *term) updateCatalog(c *catalog.Catalog) { t.postEvent(engine.CatalogChanged{Catalog: c}) }
@@ -160,7 +160,7 @@
 			f(lease.BootTime())
 			t.drainInbox()
 		case <-ticker.C:
-			t.engine.HandleEvent(lease.BootTime(), engine.Tick{WallTime: time.Now()})
+			t.engine.Step(lease.BootTime(), engine.Tick{WallTime: time.Now()})
 		case <-replan.C:
 		case err := <-writeErr:
 			if err != nil && isPermanent(err) {
@@ -173,7 +173,7 @@
 				t.log.WithError(err).Warn("records not written; the duty's lease has lapsed")
 				continue
 			}
-			t.engine.HandleEvent(lease.BootTime(), engine.WriteApplied{Write: *pending})
+			t.engine.Step(lease.BootTime(), engine.WriteApplied{Write: *pending})
 			t.notifyWriteDone()
 			pending = nil
 		case <-t.tomb.Dying():
--- a/gateway/term_load.go
+++ b/gateway/term_load.go
@@ -54,17 +54,17 @@
 	now := lease.BootTime()
 	t.logUnreadable(state.Unreadable)
 	if view, ok := t.g.currentConfig.Snapshot(); ok {
-		t.engine.HandleEvent(now, engine.CatalogChanged{Catalog: view.Catalog})
+		t.engine.Step(now, engine.CatalogChanged{Catalog: view.Catalog})
 	}
 	if cordons, ok := t.g.currentConfig.Cordons(); ok {
-		t.engine.HandleEvent(now, engine.CordonsChanged{Cordons: cordons})
+		t.engine.Step(now, engine.CordonsChanged{Cordons: cordons})
 	}
-	t.engine.HandleEvent(now, engine.Tick{WallTime: time.Now()})
+	t.engine.Step(now, engine.Tick{WallTime: time.Now()})
 	for _, w := range state.Workers {
-		t.engine.HandleEvent(now, engine.WorkerRestored{Info: w})
+		t.engine.Step(now, engine.WorkerRestored{Info: w})
 	}
 	for _, j := range state.Jobs {
-		t.engine.HandleEvent(now, j)
+		t.engine.Step(now, j)
 	}
 }
 
--- a/routing/simulation_routing_test.go
+++ b/routing/simulation_routing_test.go
@@ -109,7 +109,7 @@
 }
 
 func (s *simulation) stepAgent(agent *agentSim, ev admission.Event) {
-	for _, action := range append([]admission.Action(nil), agent.queue.HandleEvent(at(s.now), ev)...) {
+	for _, action := range append([]admission.Action(nil), agent.queue.Step(at(s.now), ev)...) {
 		switch action := action.(type) {
 		case admission.Run:
 			s.runRequest(agent, action.ID)
