--- a/engine/advice_test.go
+++ b/engine/advice_test.go
@@ -52,7 +52,7 @@
 	request := d.nextAdviceRequest()
 	c.Assert(request, qt.IsNotNil)
 	c.Check(d.starts, qt.HasLen, 0)
-	c.Check(d.nextAdviceRequest(), qt.IsNil, qt.Commentf("one question at a time"))
+	c.Check(d.nextAdviceRequest(), qt.IsNil, qt.Commentf("at most one request in flight"))
 	d.handle(AdviceResponse{Request: *request, Tickets: map[WorkerID]string{"w1": "t1"}, Lifetime: 3 * time.Second})
 	again := d.nextAdviceRequest()
 	c.Assert(d.starts, qt.HasLen, 1)
--- a/engine/checkpoints_test.go
+++ b/engine/checkpoints_test.go
@@ -33,7 +33,7 @@
 	}
 	d.starts = nil
 	d.settle()
-	c.Assert(d.starts, qt.HasLen, 1, qt.Commentf("%v", d.runs(id)))
+	c.Assert(d.starts, qt.HasLen, 1, qt.Commentf("runs: %v", d.runs(id)))
 	c.Check(d.starts[0].Checkpoint, qt.Equals, "saved-2")
 }
 
--- a/engine/crash.go
+++ b/engine/crash.go
@@ -92,7 +92,7 @@
 		}
 		u.setCrashCount(p.index, c)
 		u.avoidAgent(now, w.info.Agent)
-		e.logDecision(p, "worker crashed under it", c.String())
+		e.logDecision(p, "worker crashed during run", c.String())
 		e.markChanged(u.job)
 		if c.exceedsLimit(onlySuspect) && !u.job.state.Final() {
 			e.finish(now, u.job, workload.Failed, fmt.Sprintf("%d workers crashed under task %s", c.total, p.taskID()))
@@ -102,7 +102,7 @@
 
 // String formats the count for logs.
 func (c crashCount) String() string {
-	return fmt.Sprintf("%d times; %d early, %d certain", c.total, c.startup, c.confirmed)
+	return fmt.Sprintf("%d crashes, %d at startup, %d confirmed", c.total, c.startup, c.confirmed)
 }
 
 // exceedsLimit reports whether the task is given up. onlySuspect means that no other job's run
--- a/engine/crash_test.go
+++ b/engine/crash_test.go
@@ -132,7 +132,7 @@
 			d.startsAfterThirdCrash[run.Task]++
 		}
 		d.c.Assert(d.startsAfterThirdCrash[run.Task] < 3, qt.IsTrue, qt.Commentf(
-			"%v: %v is started three times more after three workers have crashed under it", d.now, run))
+			"at %v: %v was started three more times after its task had crashed three workers", d.now, run))
 		d.crashesByTask[run.Task]++
 		d.crash(w)
 		takeOver = d.replacePlanner
@@ -169,10 +169,10 @@
 		set      func(d *crashScenario)
 	}{
 		{name: "one task of several", step: taskStep(3, 2), crashing: 1},
-		{name: "on workers of its own", step: taskStep(1, 8)},
+		{name: "alone on its worker", step: taskStep(1, 8)},
 		{name: "member of a gang", step: gangStep(6, 4), crashing: 4},
-		{name: "planners die with it", step: taskStep(1, 2), set: func(d *crashScenario) { d.replacePlanner = true }},
-		{name: "starts get no answer", step: taskStep(1, 2), set: func(d *crashScenario) {
+		{name: "planner replaced after each crash", step: taskStep(1, 2), set: func(d *crashScenario) { d.replacePlanner = true }},
+		{name: "starts are unanswered", step: taskStep(1, 2), set: func(d *crashScenario) {
 			d.startOutcome = func(o StartOrder) StartOutcome {
 				if d.crashesWorker(o.Run) {
 					return StartUnknown
@@ -221,7 +221,7 @@
 	c.Check(d.jobState("job1"), qt.Equals, workload.Failed)
 	c.Check(d.jobState("job4"), qt.Equals, workload.Failed)
 	for _, id := range healthy {
-		c.Check(d.jobState(id), qt.Equals, workload.Completed, qt.Commentf("%s", id))
+		c.Check(d.jobState(id), qt.Equals, workload.Completed, qt.Commentf("job %s", id))
 	}
 }
 
@@ -282,7 +282,7 @@
 		name  string
 		ended bool
 		count int
-	}{{"the run was there", false, 1}, {"the run was over", true, 0}} {
+	}{{"run was present", false, 1}, {"run had ended", true, 0}} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := qt.New(t)
 			d := newCrashScenario(c, 2)
--- a/engine/departure.go
+++ b/engine/departure.go
@@ -45,9 +45,9 @@
 func (p *placement) observedRunTime() string {
 	switch {
 	case p.lastSeenAt == 0:
-		return "no look has shown this run"
+		return "never observed as running"
 	case p.adopted:
-		return fmt.Sprintf("a predecessor's run, shown for %v", (p.lastSeenAt - p.startedAt).Round(time.Millisecond))
+		return fmt.Sprintf("started by a previous planner, observed as running for %v", (p.lastSeenAt - p.startedAt).Round(time.Millisecond))
 	}
-	return fmt.Sprintf("shown until %v after its start", (p.lastSeenAt - p.startedAt).Round(time.Millisecond))
+	return fmt.Sprintf("last observed as running %v after its start", (p.lastSeenAt - p.startedAt).Round(time.Millisecond))
 }
--- a/engine/discard_test.go
+++ b/engine/discard_test.go
@@ -32,7 +32,7 @@
 	d.settle()
 	got := d.sumDiscarded()
 	c.Check(got.lost, qt.HasLen, 1)
-	c.Check(got.lost[CauseCancelled] > 100 && got.lost[CauseCancelled] < 150, qt.IsTrue, qt.Commentf("%v", got.lost))
+	c.Check(got.lost[CauseCancelled] > 100 && got.lost[CauseCancelled] < 150, qt.IsTrue, qt.Commentf("lost: %v", got.lost))
 }
 
 // When a gang member fails, all lost work has that failure as its cause. A gang that is done loses
@@ -70,8 +70,8 @@
 	d.report(Report{Worker: w.info, Terminated: true})
 	d.settle()
 	got := d.sumDiscarded()
-	c.Check(got.lost[CauseWorkerLost] > 60 && got.lost[CauseWorkerLost] < 80, qt.IsTrue, qt.Commentf("%v", got.lost))
-	c.Check(got.saved[CauseWorkerLost] > 60, qt.IsTrue, qt.Commentf("%v", got.saved))
+	c.Check(got.lost[CauseWorkerLost] > 60 && got.lost[CauseWorkerLost] < 80, qt.IsTrue, qt.Commentf("lost: %v", got.lost))
+	c.Check(got.saved[CauseWorkerLost] > 60, qt.IsTrue, qt.Commentf("saved: %v", got.saved))
 }
 
 // A job is late because it waited for another one that ran longer than declared. The waiting time
--- a/engine/ending.go
+++ b/engine/ending.go
@@ -18,7 +18,7 @@
 	}
 	reason := end.Reason
 	if end.Void && (reason == EndDone || reason == EndFailed) {
-		e.logDecision(p, "end does not count", "the worker's lease lapsed after it")
+		e.logDecision(p, "end ignored", "the worker's lease expired after the run ended")
 		reason = EndLeaseExpired
 	}
 	u := p.unit
@@ -188,11 +188,11 @@
 	if p.stopsSent == 0 {
 		return ""
 	}
-	waited := fmt.Sprintf("ordered %d times before", p.stopsSent)
+	waited := fmt.Sprintf("stop ordered %d times before", p.stopsSent)
 	if p.worker.unresponsive {
-		return fmt.Sprintf("%s; the worker does not answer, its lease is over in %d ms", waited, (p.worker.leaseExpiresAt - now).Milliseconds())
+		return fmt.Sprintf("%s; the worker does not answer, its lease expires in %d ms", waited, (p.worker.leaseExpiresAt - now).Milliseconds())
 	}
-	return fmt.Sprintf("%s; the worker last answered %d ms ago and lists no end", waited, (now - p.worker.lastPolledAt).Milliseconds())
+	return fmt.Sprintf("%s; the worker last answered %d ms ago and reports no end of the run", waited, (now - p.worker.lastPolledAt).Milliseconds())
 }
 
 // handleLostRun ends a placement whose run is certainly over though no end was reported.
--- a/engine/evict.go
+++ b/engine/evict.go
@@ -45,7 +45,7 @@
 		return false
 	}
 	for _, v := range best.victims {
-		r.e.logDecision(v.placements[0], "evict", fmt.Sprintf("for %s, %.0f core-seconds lost of all its victims", u.job.spec.ID, best.cost))
+		r.e.logDecision(v.placements[0], "evict", fmt.Sprintf("to make room for job %s; all its victims lose %.0f core-seconds", u.job.spec.ID, best.cost))
 		r.stopUnit(v, CauseEvicted)
 	}
 	u.claims = best.slots
@@ -190,7 +190,7 @@
 			if p.unit.spec().Checkpoints && untilLeave > 2*e.params.StopTime && !r.fitsElsewhere(p.unit) {
 				continue // it makes progress here until it fits elsewhere
 			}
-			e.logDecision(p, "move", "the worker leaves")
+			e.logDecision(p, "move", "the worker is draining and leaves before the run can end")
 			r.stopUnit(p.unit, CauseDrained)
 		}
 	}
--- a/engine/evict_test.go
+++ b/engine/evict_test.go
@@ -22,7 +22,7 @@
 	c.Check(d.stops, qt.HasLen, 0)
 	d.advance(100*time.Millisecond + 2*replanInterval)
 	c.Check(d.stops, qt.HasLen, 1)
-	c.Check(d.runs(guaranteed), qt.HasLen, 0, qt.Commentf("the room is not free yet"))
+	c.Check(d.runs(guaranteed), qt.HasLen, 0, qt.Commentf("the victim still holds its capacity"))
 }
 
 // Guards against delaying the eviction of lower-priority work for an urgent job.
--- a/engine/fit_test.go
+++ b/engine/fit_test.go
@@ -18,7 +18,7 @@
 	d.settle()
 	d.advance(12 * time.Second)
 	id := d.submitRackGang()
-	c.Check(d.runs(id), qt.HasLen, 0, qt.Commentf("room nearby is expected in a moment"))
+	c.Check(d.runs(id), qt.HasLen, 0, qt.Commentf("capacity on the rack is expected to become free soon"))
 	d.advance(maxWaitBesideIdleFleet + 500*time.Millisecond)
 	c.Check(d.runs(id), qt.HasLen, 2)
 }
--- a/engine/headroom_test.go
+++ b/engine/headroom_test.go
@@ -21,7 +21,7 @@
 	deferrable.Estimate = 8 * time.Second
 	id := d.submit(2, "", deferrable)
 	d.settle()
-	c.Check(len(d.starts)-2, qt.Equals, 72-16, qt.Commentf("all but the gang's room"))
+	c.Check(len(d.starts)-2, qt.Equals, 72-16, qt.Commentf("all but the headroom for the gang"))
 	urgent := d.submit(0, "", gangStep(2, 8))
 	d.settle()
 	c.Check(d.runs(urgent), qt.HasLen, 2)
@@ -40,7 +40,7 @@
 	short.Estimate = time.Second
 	d.submit(2, "", short)
 	d.settle()
-	c.Check(d.starts, qt.HasLen, 2+24, qt.Commentf("three times a second and one more: no slack to speak of"))
+	c.Check(d.starts, qt.HasLen, 2+24, qt.Commentf("a stretch of 3 and a target latency of 1 s leave too little slack to defer"))
 }
 
 // finishUrgentGang runs an urgent gang of two workers to its end, so that its size is known.
@@ -61,7 +61,7 @@
 	late.Estimate = 20 * time.Second
 	id := d.submit(2, "", late)
 	d.settle()
-	c.Assert(d.runs(id), qt.HasLen, 0, qt.Commentf("it can wait"))
+	c.Assert(d.runs(id), qt.HasLen, 0, qt.Commentf("the job is deferrable"))
 	d.advance(maxDeferral + time.Second)
 	c.Check(d.runs(id), qt.HasLen, 1)
 }
--- a/engine/helpers_test.go
+++ b/engine/helpers_test.go
@@ -67,7 +67,7 @@
 			return
 		}
 	}
-	d.t.Fatal("the engine does not come to rest")
+	d.t.Fatal("the engine did not settle within 20 rounds")
 }
 
 // decideAndStore applies the actions of one Decide and one write, answers starts with outcome, and
--- a/engine/late_start_test.go
+++ b/engine/late_start_test.go
@@ -46,7 +46,7 @@
 	d.settle()
 	c.Assert(d.runs(run.Task.Job), qt.HasLen, 0)
 	c.Check(d.reportStopsRun(run, on), qt.IsTrue)
-	c.Check(d.e.workers[on].usable(d.now), qt.IsFalse, qt.Commentf("its room is taken until it is gone"))
+	c.Check(d.e.workers[on].usable(d.now), qt.IsFalse, qt.Commentf("not usable until the run has stopped"))
 }
 
 // Guards against a late start that a successor does not stop, because it never ordered the task
@@ -63,7 +63,7 @@
 		}
 		d.takeOver()
 		d.report(Report{Epoch: d.e.epoch, Worker: info})
-		c.Check(d.reportStopsRun(run, on), qt.IsTrue, qt.Commentf("placement on record: %v", recorded))
+		c.Check(d.reportStopsRun(run, on), qt.IsTrue, qt.Commentf("placement still stored: %v", recorded))
 		c.Check(d.e.workers[on].usable(d.now), qt.IsFalse)
 	}
 }
--- a/engine/longrunning_test.go
+++ b/engine/longrunning_test.go
@@ -54,7 +54,7 @@
 		d.endRuns(id, reason)
 		d.settle()
 		d.advance(7 * time.Second)
-		c.Assert(d.runs(id), qt.HasLen, 1, qt.Commentf("after %s", reason))
+		c.Assert(d.runs(id), qt.HasLen, 1, qt.Commentf("after the end %q", reason))
 	}
 	found, _ := d.e.Lookup(id)
 	c.Check(found.State, qt.Equals, workload.Running)
@@ -79,7 +79,7 @@
 			stopped++
 		}
 	}
-	c.Check(stopped <= 1, qt.IsTrue, qt.Commentf("%d stopped", stopped))
+	c.Check(stopped <= 1, qt.IsTrue, qt.Commentf("%d tasks stopped", stopped))
 }
 
 // Long-running tasks can't be evicted, so they must not use capacity that is guaranteed to accounts.
--- a/runtimes/model_test.go
+++ b/runtimes/model_test.go
@@ -47,8 +47,8 @@
 		took := logNormal(rng, 2500*time.Millisecond, 0.4)
 		return time.Duration((0.1 + 1.8*rng.Float64()) * float64(took)), took
 	})
-	qt.Check(t, model < 0.7*declaration, qt.IsTrue, qt.Commentf("%.2f, declared %.2f", model, declaration))
-	qt.Check(t, model < mean, qt.IsTrue, qt.Commentf("%.2f, mean %.2f", model, mean))
+	qt.Check(t, model < 0.7*declaration, qt.IsTrue, qt.Commentf("model error %.2f, declaration error %.2f", model, declaration))
+	qt.Check(t, model < mean, qt.IsTrue, qt.Commentf("model error %.2f, mean error %.2f", model, mean))
 }
 
 // Durations vary widely and are declared well: the declaration is the better estimate.
@@ -57,8 +57,8 @@
 		took := logNormal(rng, 10*time.Second, 1.2)
 		return logNormal(rng, took, 0.1), took
 	})
-	qt.Check(t, model < 1.1*declaration, qt.IsTrue, qt.Commentf("%.2f, declared %.2f", model, declaration))
-	qt.Check(t, model < 0.3*mean, qt.IsTrue, qt.Commentf("%.2f, mean %.2f", model, mean))
+	qt.Check(t, model < 1.1*declaration, qt.IsTrue, qt.Commentf("model error %.2f, declaration error %.2f", model, declaration))
+	qt.Check(t, model < 0.3*mean, qt.IsTrue, qt.Commentf("model error %.2f, mean error %.2f", model, mean))
 }
 
 // Declarations are always wrong by the same factor.
@@ -67,7 +67,7 @@
 		took := logNormal(rng, 10*time.Second, 0.8)
 		return took / 3, took
 	})
-	qt.Check(t, model < 0.2*declaration, qt.IsTrue, qt.Commentf("%.2f, declared %.2f", model, declaration))
+	qt.Check(t, model < 0.2*declaration, qt.IsTrue, qt.Commentf("model error %.2f, declaration error %.2f", model, declaration))
 }
 
 func TestEstimateWithoutHistoryIsTheDeclaration(t *testing.T) {
@@ -79,7 +79,7 @@
 	c.Check(m.Version(), qt.Equals, 0)
 	m.Observe("q", 0, 4*time.Second)
 	c.Check(m.Estimate("q", 0).Round(time.Millisecond), qt.Equals, 4*time.Second)
-	c.Check(m.Estimate("q", time.Second), qt.Equals, time.Second, qt.Commentf("one run of another length says nothing yet"))
+	c.Check(m.Estimate("q", time.Second), qt.Equals, time.Second, qt.Commentf("a single run has no weight yet"))
 }
 
 // A run of hours that was declared to take seconds must not dominate the estimates.
@@ -90,5 +90,5 @@
 	}
 	m.Observe("q", 2*time.Second, 5*time.Hour)
 	got := m.Estimate("q", 2*time.Second)
-	qt.Check(t, got < 5*time.Second, qt.IsTrue, qt.Commentf("%v", got))
+	qt.Check(t, got < 5*time.Second, qt.IsTrue, qt.Commentf("estimate: %v", got))
 }
