--- a/engine/durations_test.go
+++ b/engine/durations_test.go
@@ -27,7 +27,7 @@
 		d.report(Report{Epoch: d.e.epoch, Polled: true, Worker: d.e.workers[worker].info, Ended: ended})
 	}
 	d.settle()
-	c.Check(d.e.tracker.runTimes.Version(), qt.Equals, 0, qt.Commentf("nothing was learned"))
+	c.Check(d.e.tracker.runTimes.Version(), qt.Equals, 0, qt.Commentf("no run time may be learned"))
 	c.Check(d.e.tracker.runTimes.Estimate("q1", time.Second), qt.Equals, time.Second)
 	c.Check(d.late, qt.HasLen, 0)
 }
--- a/engine/handle_report.go
+++ b/engine/handle_report.go
@@ -206,7 +206,7 @@
 	if p == nil || p.runNumber != run.Number || !p.stopping {
 		return
 	}
-	e.handleLostRun(now, p, CauseStartUnanswered, "stopped before it was there")
+	e.handleLostRun(now, p, CauseStartUnanswered, "stopped before it started")
 }
 
 // countMissedPolls counts the polls that do not list a running task and stops the task after
@@ -234,7 +234,7 @@
 func (e *Engine) dropUnconfirmedAdopted(now time.Duration, w *worker) {
 	for _, p := range w.sortedPlacements() {
 		if p.state == placementAdopted {
-			e.handleLostRun(now, p, CauseTakeover, "not there under the new epoch")
+			e.handleLostRun(now, p, CauseTakeover, "not listed by the worker under the new epoch")
 		}
 	}
 	for _, p := range w.sortedPlacements() {
@@ -256,7 +256,7 @@
 		defer e.countCrash(now, w, slices.Concat(w.placementsAtExpiry, placements), evidence)
 	}
 	for _, p := range placements {
-		e.handleLostRun(now, p, CauseWorkerLost, fmt.Sprintf("its worker %s; %s", departure, p.observedRunTime()))
+		e.handleLostRun(now, p, CauseWorkerLost, fmt.Sprintf("the worker is gone (%s); %s", departure, p.observedRunTime()))
 	}
 	e.removeWorker(w)
 }
--- a/engine/lateness.go
+++ b/engine/lateness.go
@@ -54,7 +54,7 @@
 
 // detail describes the parts for the log.
 func (s timeBreakdown) detail(lateBy, declared time.Duration) string {
-	return fmt.Sprintf("%d ms late; room %d ms, store %d ms, runs in vain %d ms, run %d ms of %d declared",
+	return fmt.Sprintf("%d ms late; waited %d ms for capacity and %d ms for the store, discarded runs took %d ms, the final run %d ms of %d ms declared",
 		lateBy.Milliseconds(), s.capacityWait.Milliseconds(), s.storeWait.Milliseconds(),
 		s.discardedRuns.Milliseconds(), s.finalRun.Milliseconds(), declared.Milliseconds())
 }
--- a/engine/orders.go
+++ b/engine/orders.go
@@ -98,22 +98,22 @@
 var startOutcomeNames = [...]string{
 	StartUnknown:      "unknown",
 	StartOK:           "ok",
-	StartNotDelivered: "not sent",
-	StartNoCapacity:   "no room",
+	StartNotDelivered: "not delivered",
+	StartNoCapacity:   "no capacity",
 	StartSuperseded:   "run number too low",
-	StartExpired:      "too late",
-	StartFenced:       "newer planner",
+	StartExpired:      "order expired",
+	StartFenced:       "fenced by a newer planner",
 	StartUnhealthy:    "unhealthy",
 	StartInvalid:      "invalid",
 	StartDraining:     "draining",
-	StartNoTicket:     "ticket not valid",
+	StartNoTicket:     "invalid ticket",
 	StartCordoned:     "zone cordoned",
 }
 
 // String returns the outcome's name for logs.
 func (o StartOutcome) String() string {
 	if o < 0 || int(o) >= len(startOutcomeNames) {
-		return "unnamed"
+		return "unknown outcome"
 	}
 	return startOutcomeNames[o]
 }
--- a/engine/pace_control.go
+++ b/engine/pace_control.go
@@ -130,7 +130,7 @@
 		if p.pace.confirmed || !p.unit.mayStop(0) {
 			continue
 		}
-		e.logDecision(p, "move", "the worker does not hold it back")
+		e.logDecision(p, "move", "the worker has not confirmed its speed limit")
 		e.stopUnit(now, p.unit, CauseInterference)
 	}
 }
@@ -177,7 +177,7 @@
 		for _, s := range sensitive {
 			e.interference.observeViolation(pairOf(p, s), p.pace.percent, ratio)
 		}
-		e.logDecision(p, "hold back", fmt.Sprintf("from %d%%, tail latency at %.2f of its target", p.pace.percent, ratio))
+		e.logDecision(p, "slow down", fmt.Sprintf("from %d%% of full speed, a neighbour's tail latency is %.2f of its target", p.pace.percent, ratio))
 		e.setPace(now, p, int(factor*float64(p.pace.percent)))
 		w.paceControl.changedAt = now
 	}
@@ -203,7 +203,7 @@
 	}
 	step := max(minRaiseStep, e.toleratedPace(best, sensitive)-best.pace.percent)
 	percent := min(fullPace, best.pace.percent+step)
-	e.logDecision(best, "let go", fmt.Sprintf("from %d%% to %d%%", best.pace.percent, percent))
+	e.logDecision(best, "speed up", fmt.Sprintf("from %d%% to %d%% of full speed", best.pace.percent, percent))
 	e.setPace(now, best, percent)
 	w.paceControl.changedAt = now
 	w.paceControl.lastRaised = best
--- a/engine/pace_control_sim_test.go
+++ b/engine/pace_control_sim_test.go
@@ -150,8 +150,8 @@
 	for _, row := range []struct {
 		name string
 		sum  sum
-	}{{"never", paused}, {"full speed", full}, {"held back", controlled}} {
-		t.Logf("%-10s work of %.2f tasks, %.3f of the time over the target, longest %.2f s", row.name, row.sum.worked, row.sum.overTime, row.sum.longest)
+	}{{"paused", paused}, {"full speed", full}, {"controlled", controlled}} {
+		t.Logf("%-10s work of %.2f tasks, %.3f of the time over the target, longest violation %.2f s", row.name, row.sum.worked, row.sum.overTime, row.sum.longest)
 	}
 	c := qt.New(t)
 	c.Check(controlled.longest < 4, qt.IsTrue)
--- a/engine/pace_control_test.go
+++ b/engine/pace_control_test.go
@@ -118,11 +118,11 @@
 	c := qt.New(t)
 	d, _, id := colocatedDriver(t)
 	d.reportLatencyFor(8*time.Second, constant(0.4))
-	c.Assert(d.orderedPaces(id)[0] >= 60, qt.IsTrue, qt.Commentf("%v", d.orderedPaces(id)))
+	c.Assert(d.orderedPaces(id)[0] >= 60, qt.IsTrue, qt.Commentf("limits %v", d.orderedPaces(id)))
 	d.reportLatencyFor(2*time.Second, constant(1.4))
 	c.Check(d.orderedPaces(id), qt.DeepEquals, []int{0})
 	d.reportLatencyFor(6*time.Second, constant(0.4))
-	c.Check(d.orderedPaces(id)[0] > initialTolerance, qt.IsTrue, qt.Commentf("%v", d.orderedPaces(id)))
+	c.Check(d.orderedPaces(id)[0] > initialTolerance, qt.IsTrue, qt.Commentf("limits %v", d.orderedPaces(id)))
 }
 
 // Guards against a limit that remains after the latency-sensitive task has ended.
@@ -147,11 +147,11 @@
 	d.submit(2, "", bestEffortStep(1))
 	d.settle()
 	d.reportLatencyFor(2*time.Second, constant(0.7))
-	c.Check(len(d.paces) >= 4, qt.IsTrue, qt.Commentf("%d", len(d.paces)))
+	c.Check(len(d.paces) >= 4, qt.IsTrue, qt.Commentf("%d limits ordered", len(d.paces)))
 	d.dropPaceReplies = false
 	before := len(d.paces)
 	d.reportLatencyFor(4*time.Second, constant(0.7))
-	c.Check(len(d.paces) >= before+3, qt.IsTrue, qt.Commentf("in doubt, ordered %d times", len(d.paces)-before))
+	c.Check(len(d.paces) >= before+3, qt.IsTrue, qt.Commentf("%d limits ordered within lateOrderWindow", len(d.paces)-before))
 	d.reportLatencyFor(12*time.Second, constant(0.7))
 	before = len(d.paces)
 	d.reportLatencyFor(4*time.Second, constant(0.7))
--- a/engine/plan.go
+++ b/engine/plan.go
@@ -159,7 +159,7 @@
 	for _, w := range workers {
 		oldestReport = max(oldestReport, r.now-w.lastReport)
 	}
-	return fmt.Sprintf("%d tasks, waited %d ms, workers reported up to %d ms ago", len(workers), (r.now - u.waitingSince).Milliseconds(), oldestReport.Milliseconds())
+	return fmt.Sprintf("%d tasks, waited %d ms, oldest worker report %d ms ago", len(workers), (r.now - u.waitingSince).Milliseconds(), oldestReport.Milliseconds())
 }
 
 func (r *round) releaseClaims(u *unit) {
--- a/engine/postpone_test.go
+++ b/engine/postpone_test.go
@@ -21,7 +21,7 @@
 	d.handle(CancelRequested{Job: first, Revision: 9})
 	d.decideAndStore(StartOK)
 	c.Check(d.runs(second), qt.HasLen, 0)
-	c.Check(d.stops, qt.HasLen, 1, qt.Commentf("a stop that is decided leaves at once"))
+	c.Check(d.stops, qt.HasLen, 1, qt.Commentf("a decided stop must be sent at once"))
 	until, due := d.e.NextPlanning()
 	c.Check(due, qt.IsTrue)
 	d.now = until
--- a/engine/refused_test.go
+++ b/engine/refused_test.go
@@ -25,7 +25,7 @@
 			c.Check(len(d.starts) <= 20, qt.IsTrue, qt.Commentf("%d starts", len(d.starts)))
 			d.startOutcome = nil
 			d.advanceWorkers(8 * time.Second)
-			c.Check(d.jobState(id), qt.Equals, workload.Completed, qt.Commentf("it is tried again once that is over"))
+			c.Check(d.jobState(id), qt.Equals, workload.Completed, qt.Commentf("it must be retried when starts are accepted again"))
 		})
 	}
 }
--- a/engine/reserve.go
+++ b/engine/reserve.go
@@ -14,11 +14,11 @@
 		return
 	}
 	u.nextWaitLog = r.now + waitLogInterval
-	needs := fmt.Sprintf("step %d needs %d times %+v", u.step, u.size, u.demand())
+	needs := fmt.Sprintf("step %d needs %d x %+v", u.step, u.size, u.demand())
 	waited := (r.now - u.waitingSince).Milliseconds()
-	detail := fmt.Sprintf("for %d ms, %s, no room in sight on %d workers", waited, needs, len(r.usable.workers))
+	detail := fmt.Sprintf("for %d ms; %s; not expected to fit on any of %d workers", waited, needs, len(r.usable.workers))
 	if slots != nil {
-		detail = fmt.Sprintf("for %d ms, %s, room expected in %d ms on %d workers", waited, needs, at.Milliseconds(), len(slots))
+		detail = fmt.Sprintf("for %d ms; %s; expected to fit in %d ms on %d workers", waited, needs, at.Milliseconds(), len(slots))
 	}
 	r.e.logJobDecision(u.job, "waits", detail)
 }
--- a/engine/reserve_test.go
+++ b/engine/reserve_test.go
@@ -64,6 +64,6 @@
 // Guards against starvation of a large gang by small jobs that arrive after it.
 func TestLargeGangIsNotStarvedBySmallJobs(t *testing.T) {
 	c := qt.New(t)
-	c.Check(gangWaitAmongSmallJobs(t, 0), qt.Equals, never, qt.Commentf("the failure itself"))
+	c.Check(gangWaitAmongSmallJobs(t, 0), qt.Equals, never, qt.Commentf("without reservations the gang must starve"))
 	c.Check(gangWaitAmongSmallJobs(t, DefaultPolicy().Reservations) < 10*time.Second, qt.IsTrue)
 }
--- a/engine/resize.go
+++ b/engine/resize.go
@@ -34,5 +34,5 @@
 
 // String returns the change for the log.
 func (r WorkerResized) String() string {
-	return fmt.Sprintf("%+v before, %+v now, %+v taken", r.Before, r.After, r.Used)
+	return fmt.Sprintf("capacity %+v before, %+v now, %+v in use", r.Before, r.After, r.Used)
 }
--- a/engine/resize_test.go
+++ b/engine/resize_test.go
@@ -32,14 +32,14 @@
 	d.report(d.resizedReport(0, 4))
 	second := d.submit(1, "other", taskStep(1, 3))
 	d.settle()
-	c.Check(d.runs(second), qt.HasLen, 0, qt.Commentf("three of four accelerators are taken"))
+	c.Check(d.runs(second), qt.HasLen, 0, qt.Commentf("three of four accelerators are in use"))
 	third := d.submit(1, "other", taskStep(1, 1))
 	d.settle()
 	c.Check(d.runs(third), qt.HasLen, 1)
 
 	d.report(d.resizedReport(0, 8))
 	d.settle()
-	c.Check(d.runs(second), qt.HasLen, 1, qt.Commentf("its room has grown again"))
+	c.Check(d.runs(second), qt.HasLen, 1, qt.Commentf("the worker's capacity has grown again"))
 }
 
 // Guards against sending a start when the worker's capacity shrank after the placement was
--- a/engine/sim_checks_test.go
+++ b/engine/sim_checks_test.go
@@ -15,7 +15,7 @@
 // checkCapacity checks that a worker is not over its capacity, stopping runs included.
 func (w *simCluster) checkCapacity(sw *simWorker) {
 	if used := sw.used(); !used.FitsIn(w.capacityOf(sw)) {
-		w.reportViolation("worker %s holds %+v of %+v", sw.info.ID, used, sw.info.Capacity)
+		w.reportViolation("worker %s uses %+v of %+v", sw.info.ID, used, sw.info.Capacity)
 	}
 }
 
@@ -26,11 +26,11 @@
 	w.checkCrashingStart(task)
 	j := w.jobs[task.Job]
 	if j == nil {
-		w.reportViolation("start of %s, which nobody submitted", task)
+		w.reportViolation("start of %s, whose job was never submitted", task)
 		return
 	}
 	if w.ackedDone[task] {
-		w.reportViolation("start of %s after its end was taken note of", task)
+		w.reportViolation("start of %s after its end was acknowledged", task)
 	}
 	for _, other := range w.workers {
 		if r := other.running[task]; r != nil && !other.dead {
@@ -41,7 +41,7 @@
 	for _, dep := range step.DependsOn {
 		for i := range j.Steps[dep].Count {
 			if !w.ranToEnd[workload.TaskID{Job: task.Job, Step: dep, Index: i}] {
-				w.reportViolation("start of %s before step %d was done", task, dep)
+				w.reportViolation("start of %s before step %d, which it depends on, was done", task, dep)
 			}
 		}
 	}
@@ -67,7 +67,7 @@
 		}
 	}
 	if n > step.MaxPerWorker {
-		w.reportViolation("%d tasks of step %d of %s on %s", n, task.Step, task.Job, sw.info.ID)
+		w.reportViolation("%d tasks of step %d of job %s on worker %s, more than its limit", n, task.Step, task.Job, sw.info.ID)
 	}
 }
 
@@ -85,7 +85,7 @@
 		w.ranToEnd[r.id.Task] = true
 	}
 	if reason == EndGangIncomplete && w.faultsEnded && w.now-w.faultsEndedAt > 4*time.Second {
-		w.reportViolation("%s of a gang was left alone without a fault", r.id.Task)
+		w.reportViolation("gang member %s ended for missing members without a fault", r.id.Task)
 	}
 }
 
@@ -94,12 +94,12 @@
 func (w *simCluster) checkArchived(j EndedJob) {
 	w.counts["records replaced"]++
 	if !j.Outcome.State.Final() {
-		w.reportViolation("records of %s are replaced while it is %s", j.ID, j.Outcome.State)
+		w.reportViolation("records of job %s are replaced while it is %s", j.ID, j.Outcome.State)
 	}
 	for _, sw := range w.workers {
 		for task := range sw.running {
 			if !sw.dead && task.Job == j.ID {
-				w.reportViolation("records of %s are replaced while %s runs on %s", j.ID, task, sw.info.ID)
+				w.reportViolation("records of job %s are replaced while %s runs on %s", j.ID, task, sw.info.ID)
 			}
 		}
 	}
--- a/engine/sim_cluster_test.go
+++ b/engine/sim_cluster_test.go
@@ -295,10 +295,10 @@
 	if sw.dead && sw.next != nil {
 		sw, until = sw.latest(), w.now+simMaxLease // by the clock of the incarnation that was meant
 		if w.unfenceable(sw, o) {
-			w.counts["too early to be refused"]++
+			w.counts["unfenceable orders dropped"]++
 			return nil
 		}
-		w.counts["orders to the next life"]++
+		w.counts["orders to the next incarnation"]++
 	}
 	if sw.dead {
 		return nil
--- a/engine/sim_cordon_test.go
+++ b/engine/sim_cordon_test.go
@@ -12,7 +12,7 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-var simCordonSeeds = flag.Int("sim-cordon-seeds", 6, "how many randomised worlds are played with cordoned zones")
+var simCordonSeeds = flag.Int("sim-cordon-seeds", 6, "number of random worlds with cordoned zones")
 
 // Guards against starts in a zone that has been cordoned for longer than simCordonDeadline, while
 // planners change, orders are delayed and the faults of planFaults occur.
@@ -122,6 +122,6 @@
 // simCordonDeadline.
 func (w *simCluster) checkCordon(sw *simWorker, task workload.TaskID) {
 	if since, cordoned := w.cordons.cordonedSince[sw.info.Zone]; cordoned && !w.executingLateOrder && w.now-since > simCordonDeadline {
-		w.reportViolation("start of %s in zone %s, %v after that was cordoned", task, sw.info.Zone, w.now-since)
+		w.reportViolation("start of %s in zone %s, %v after the zone was cordoned", task, sw.info.Zone, w.now-since)
 	}
 }
--- a/engine/sim_crash_test.go
+++ b/engine/sim_crash_test.go
@@ -10,7 +10,7 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-var simCrashSeeds = flag.Int("sim-crash-seeds", 6, "how many randomised worlds with crashing tasks are played")
+var simCrashSeeds = flag.Int("sim-crash-seeds", 6, "number of random worlds with crashing tasks")
 
 // Guards against tasks that keep crashing workers, starts on workers whose capacity has shrunk,
 // and jobs that fail without cause, together with the faults of TestSimulation.
@@ -124,7 +124,7 @@
 	}
 	w.crashes.startsAfterThird[task]++
 	if w.crashes.startsAfterThird[task] >= 3 {
-		w.reportViolation("%s is started three times more after %d workers have crashed under it", task, w.crashes.workersCrashed[task])
+		w.reportViolation("%s was started three more times after %d workers had crashed under it", task, w.crashes.workersCrashed[task])
 	}
 }
 
@@ -172,9 +172,9 @@
 		_, crashing := w.crashingStep(w.jobs[id])
 		switch {
 		case found.State == workload.Failed && !w.mayFail(w.jobs[id]):
-			w.reportViolation("job %s is failed without cause: %s", id, found.Reason)
+			w.reportViolation("job %s failed without cause: %s", id, found.Reason)
 		case found.State == workload.Failed && !crashing && strings.Contains(found.Reason, "crashed"):
-			w.counts["given up, not crashing"]++
+			w.counts["failed for crashes of other tasks"]++
 		}
 	}
 }
--- a/engine/sim_reused_names_test.go
+++ b/engine/sim_reused_names_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-var simNameSeeds = flag.Int("sim-name-seeds", 6, "how many randomised worlds are played in which workers keep their names")
+var simNameSeeds = flag.Int("sim-name-seeds", 6, "number of random worlds in which workers keep their names")
 
 // Guards against tasks that run twice when crashed workers return under the same name and receive
 // orders meant for their previous incarnation.
--- a/engine/sim_test.go
+++ b/engine/sim_test.go
@@ -10,9 +10,9 @@
 )
 
 var (
-	simSeedCount = flag.Int("sim-seeds", 6, "how many randomised worlds are played")
-	simTracedJob = flag.String("sim-job", "", "the job whose decisions are shown")
-	simFirstSeed = flag.Uint64("sim-first", 1, "the seed of the first")
+	simSeedCount = flag.Int("sim-seeds", 6, "number of random worlds")
+	simTracedJob = flag.String("sim-job", "", "job whose decisions are logged")
+	simFirstSeed = flag.Uint64("sim-first", 1, "seed of the first random world")
 )
 
 // Guards against overcommitted workers, tasks that run twice and jobs that never end, while planners
@@ -199,7 +199,7 @@
 			continue
 		}
 		if !ok || !found.State.Final() {
-			w.reportViolation("job %s is %s (%v): %+v", id, found.State, ok, w.jobs[id].Steps)
+			w.reportViolation("job %s has not settled: state %s, known %v, steps %+v", id, found.State, ok, w.jobs[id].Steps)
 			continue
 		}
 		w.counts[string(found.State)]++
@@ -209,7 +209,7 @@
 	}
 	for _, known := range w.engine.workers {
 		if known.used != (workload.Resources{}) {
-			w.reportViolation("worker %s counts %+v as taken by %d", known.info.ID, known.used, len(known.placements))
+			w.reportViolation("worker %s has %+v in use by %d placements after all jobs settled", known.info.ID, known.used, len(known.placements))
 		}
 	}
 }
@@ -237,7 +237,7 @@
 		for i := range j.Steps[s].Count {
 			task := workload.TaskID{Job: j.ID, Step: s, Index: i}
 			if !w.ranToEnd[task] {
-				w.reportViolation("job %s is completed, and %s has not ended so", j.ID, task)
+				w.reportViolation("job %s is completed but %s has not ended as done", j.ID, task)
 			}
 		}
 	}
--- a/engine/stuck_test.go
+++ b/engine/stuck_test.go
@@ -48,7 +48,7 @@
 	}
 	c.Assert(d.stops, qt.HasLen, 1)
 	c.Check(d.stops[0].Task.Job, qt.Equals, stuck)
-	c.Check(d.now-from < 2*time.Second, qt.IsTrue, qt.Commentf("%v", d.now-from))
+	c.Check(d.now-from < 2*time.Second, qt.IsTrue, qt.Commentf("stopped after %v", d.now-from))
 }
 
 // Guards against moving a task again and again when its queue reports no progress at all.
@@ -75,7 +75,7 @@
 		longest = max(longest, d.now-startedAt)
 	}
 	c.Check(d.e.jobs[id].state.Final(), qt.IsFalse)
-	c.Check(longest > 20*time.Second, qt.IsTrue, qt.Commentf("%v, %d runs", longest, runs))
+	c.Check(longest > 20*time.Second, qt.IsTrue, qt.Commentf("longest run %v, %d runs", longest, runs))
 }
 
 // Guards against moving a task as stuck while its worker is not being polled successfully.
--- a/engine/superseded.go
+++ b/engine/superseded.go
@@ -90,7 +90,7 @@
 	w.addPlacement(p)
 	p.missedPolls = 0
 	p.progressedAt = now
-	e.logDecision(p, "carried over", "ordered of an earlier life of this worker")
+	e.logDecision(p, "carried over", "ordered from an earlier incarnation of this worker")
 	e.markChanged(p.unit.job)
 }
 
--- a/engine/tick.go
+++ b/engine/tick.go
@@ -43,7 +43,7 @@
 		w.leaseExpired = true
 		w.placementsAtExpiry = w.sortedPlacements()
 		for _, p := range w.sortedPlacements() {
-			e.handleLostRun(now, p, CauseLeaseExpired, "the worker's lease lapsed")
+			e.handleLostRun(now, p, CauseLeaseExpired, "the worker's lease expired")
 		}
 		// Runs that it lists later were not placed by this planner.
 		w.attached = false
@@ -58,7 +58,7 @@
 		}
 		e.resendPace(now, p)
 		if e.isStuck(now, p) {
-			e.logDecision(p, "stuck", fmt.Sprintf("at %d%% for %v", p.rate.lastPercent, now-p.progressedAt))
+			e.logDecision(p, "stuck", fmt.Sprintf("no progress beyond %d%% for %v", p.rate.lastPercent, now-p.progressedAt))
 			e.countWorkerFailure(now, p)
 			e.avoidWorker(now, p)
 			p.unit.stallCount = min(p.unit.stallCount+1, maxStalls)
--- a/engine/unresponsive_test.go
+++ b/engine/unresponsive_test.go
@@ -38,13 +38,13 @@
 	dead := d.startedOn[d.starts[0].Run]
 	end := d.now + 6*time.Second
 	d.reportUnresponsive(dead, time.Second, end, true)
-	c.Check(d.runs(id)[dead], qt.HasLen, 1, qt.Commentf("it may still run there"))
+	c.Check(d.runs(id)[dead], qt.HasLen, 1, qt.Commentf("it may still run on the unresponsive worker"))
 	d.reportUnresponsive(dead, 6*time.Second, end, true)
 	d.endRuns(id, EndStopped) // the other member was ordered to stop
 	d.settle()
 	runs := d.runs(id)
 	c.Check(runs[dead], qt.HasLen, 0)
-	c.Check(runs, qt.HasLen, 2, qt.Commentf("it runs on two of the others"))
+	c.Check(runs, qt.HasLen, 2, qt.Commentf("it must run on two of the other workers"))
 }
 
 // Guards against a wrong expiry when a restarted agent does not know the lease: the last grant
@@ -58,7 +58,7 @@
 	unresponsive := d.startedOn[d.starts[0].Run]
 	granted := d.now
 	d.reportUnresponsive(unresponsive, 5*time.Second, 0, false)
-	c.Check(d.runs(id)[unresponsive], qt.HasLen, 1, qt.Commentf("it may still run there"))
+	c.Check(d.runs(id)[unresponsive], qt.HasLen, 1, qt.Commentf("it may still run on the unresponsive worker"))
 	d.reportUnresponsive(unresponsive, d.e.params.leaseExpiry(granted)-d.now+time.Second, 0, false)
 	c.Check(d.runs(id)[unresponsive], qt.HasLen, 0)
 }
@@ -78,9 +78,9 @@
 	c.Check(answer.Attached, qt.IsTrue)
 	granted := d.now
 	d.reportUnresponsive(unresponsive, 5*time.Second, 0, false)
-	c.Check(d.runs(id)[unresponsive], qt.HasLen, 1, qt.Commentf("the lease may last for six seconds from the grant"))
+	c.Check(d.runs(id)[unresponsive], qt.HasLen, 1, qt.Commentf("the lease may last six seconds from the grant"))
 	answer = d.report(Report{Epoch: 1, Worker: info, Unresponsive: true})
-	c.Check(answer.Attached, qt.IsFalse, qt.Commentf("nothing is granted that is not counted"))
+	c.Check(answer.Attached, qt.IsFalse, qt.Commentf("the answer must not grant a lease"))
 	d.reportUnresponsive(unresponsive, d.e.params.leaseExpiry(granted)-d.now+time.Second, 0, false)
 	c.Check(d.runs(id)[unresponsive], qt.HasLen, 0)
 }
