--- a/engine/crash_test.go
+++ b/engine/crash_test.go
@@ -80,7 +80,7 @@
 		d.report(Report{Worker: w.info, Terminated: true, Crashed: true, Polled: true, Running: crash.pastStartup})
 		d.incarnations++
 		next := w.info
-		next.ID = WorkerID(fmt.Sprintf("%s-life%d", agent, d.incarnations))
+		next.ID = WorkerID(fmt.Sprintf("%s-incarnation%d", agent, d.incarnations))
 		d.report(Report{Epoch: d.e.epoch, Polled: true, Worker: next})
 	}
 }
@@ -245,7 +245,7 @@
 			d.report(Report{Worker: w.info, Terminated: true})
 			d.incarnations++
 			next := w.info
-			next.ID = WorkerID(fmt.Sprintf("%s-life%d", w.info.Agent, d.incarnations))
+			next.ID = WorkerID(fmt.Sprintf("%s-incarnation%d", w.info.Agent, d.incarnations))
 			d.report(Report{Epoch: d.e.epoch, Polled: true, Worker: next})
 			d.advanceWorkers(500 * time.Millisecond)
 		}
--- a/engine/eviction_cache_test.go
+++ b/engine/eviction_cache_test.go
@@ -76,5 +76,5 @@
 			c.Assert(slots < u.size, qt.IsTrue, qt.Commentf("seed %d", seed))
 		}
 	}
-	c.Check(evictions > 50 && fullSets > 50, qt.IsTrue, qt.Commentf("%d evictions, %d full sets", evictions, fullSets))
+	c.Check(evictions > 50 && fullSets > 50, qt.IsTrue, qt.Commentf("%d evictions, %d full domains", evictions, fullSets))
 }
--- a/engine/pace_control_sim_test.go
+++ b/engine/pace_control_sim_test.go
@@ -86,7 +86,7 @@
 	d.settle()
 	for i, weight := range []float64{0.1, 0.4, 1.0} {
 		s := bestEffortStep(1)
-		s.Image = fmt.Sprint("fills", i)
+		s.Image = fmt.Sprint("best-effort", i)
 		s.Estimate = time.Hour
 		h.weights[s.Image] = weight * (0.7 + 0.6*h.rng.Float64())
 		d.submit(2, "", s)
--- a/engine/pace_control_test.go
+++ b/engine/pace_control_test.go
@@ -14,7 +14,7 @@
 // latencySensitiveStep returns a step of n long-running tasks with a tail-latency target.
 func latencySensitiveStep(n int) workload.Step {
 	s := longRunningStep(n, 0, 0)
-	s.Image = "serves"
+	s.Image = "latency-sensitive"
 	s.TailLatencyTarget = tailTarget
 	return s
 }
@@ -22,7 +22,7 @@
 // bestEffortStep returns a step of n best-effort tasks.
 func bestEffortStep(n int) workload.Step {
 	s := taskStep(n, 0)
-	s.Image = "fills"
+	s.Image = "best-effort"
 	s.BestEffortCPU = true
 	s.Checkpoints = true
 	return s
--- a/engine/reserve.go
+++ b/engine/reserve.go
@@ -16,7 +16,7 @@
 	u.nextWaitLog = r.now + waitLogInterval
 	needs := fmt.Sprintf("step %d needs %d x %+v", u.step, u.size, u.demand())
 	waited := (r.now - u.waitingSince).Milliseconds()
-	detail := fmt.Sprintf("for %d ms; %s; not expected to fit on any of %d workers", waited, needs, len(r.usable.workers))
+	detail := fmt.Sprintf("for %d ms; %s; not expected to fit on the %d usable workers", waited, needs, len(r.usable.workers))
 	if slots != nil {
 		detail = fmt.Sprintf("for %d ms; %s; expected to fit in %d ms on %d workers", waited, needs, at.Milliseconds(), len(slots))
 	}
--- a/engine/sim_checks_test.go
+++ b/engine/sim_checks_test.go
@@ -34,7 +34,7 @@
 	}
 	for _, other := range w.workers {
 		if r := other.running[task]; r != nil && !other.dead {
-			w.reportViolation("start of %s on %s while it runs on %s", task, sw.info.ID, other.info.ID)
+			w.reportViolation("start of %s on worker %s while it runs on worker %s", task, sw.info.ID, other.info.ID)
 		}
 	}
 	step := &j.Steps[task.Step]
@@ -46,7 +46,7 @@
 		}
 	}
 	if !sw.hasLabel(step.Label) {
-		w.reportViolation("start of %s on %s without label %s", task, sw.info.ID, step.Label)
+		w.reportViolation("start of %s on worker %s, which lacks label %s", task, sw.info.ID, step.Label)
 	}
 	if limit := j.QueuePolicy.MaxAttempts; limit > 0 && w.ackedFailures[task] >= limit {
 		w.reportViolation("start of %s after %d failed attempts", task, w.ackedFailures[task])
@@ -99,7 +99,7 @@
 	for _, sw := range w.workers {
 		for task := range sw.running {
 			if !sw.dead && task.Job == j.ID {
-				w.reportViolation("records of job %s are replaced while %s runs on %s", j.ID, task, sw.info.ID)
+				w.reportViolation("records of job %s are replaced while %s runs on worker %s", j.ID, task, sw.info.ID)
 			}
 		}
 	}
--- a/engine/sim_cluster_test.go
+++ b/engine/sim_cluster_test.go
@@ -144,7 +144,7 @@
 		e.HandleEvent(w.now, ev)
 	}
 	w.after(time.Duration(w.rng.IntN(3000))*time.Millisecond, func() { w.restoreEnded(e) })
-	w.counts["terms"]++
+	w.counts["planner terms"]++
 }
 
 // restoreEnded passes the stored outcomes to a planner that has started planning.
--- a/engine/sim_cordon_test.go
+++ b/engine/sim_cordon_test.go
@@ -83,7 +83,7 @@
 // setCordon changes a cordon and informs the planner after a delay.
 func (w *simCluster) setCordon(zone string, on bool) {
 	w.cordons.revision++
-	w.counts["cordons"]++
+	w.counts["cordon changes"]++
 	if _, before := w.cordons.cordonedSince[zone]; !on {
 		delete(w.cordons.cordonedSince, zone)
 	} else if !before {
--- a/engine/sim_crash_test.go
+++ b/engine/sim_crash_test.go
@@ -144,7 +144,7 @@
 		return
 	}
 	original := sw.info.Capacity
-	w.counts["shrinks"]++
+	w.counts["capacity losses"]++
 	w.shrinks[sw] = simShrink{original: original, at: w.now}
 	sw.info.Capacity = workload.Resources{
 		MilliCPU: original.MilliCPU * parts / 8, MemoryMB: original.MemoryMB * parts / 8, Accelerators: parts,
--- a/engine/unschedulable.go
+++ b/engine/unschedulable.go
@@ -62,7 +62,7 @@
 	case fitting == 0:
 		return fmt.Sprintf("a task of step %d (%+v, label %q) fits none of %d workers of service %s", u.step, s.Need, s.Label, workers, u.job.spec.Service)
 	case fitting < u.size:
-		return fmt.Sprintf("step %d needs capacity for %d tasks at once, all workers together have it for %d", u.step, u.size, fitting)
+		return fmt.Sprintf("step %d needs capacity for %d tasks at once, but all matching workers together have capacity for %d", u.step, u.size, fitting)
 	}
 	return ""
 }
