--- a/engine/evict.go
+++ b/engine/evict.go
@@ -45,7 +45,7 @@
 		return false
 	}
 	for _, v := range best.victims {
-		r.e.logDecision(v.placements[0], "evict", fmt.Sprintf("to make room for job %s; all its victims lose %.0f core-seconds", u.job.spec.ID, best.cost))
+		r.e.logDecision(v.placements[0], "evict", fmt.Sprintf("to free capacity for job %s; all its victims lose %.0f core-seconds", u.job.spec.ID, best.cost))
 		r.stopUnit(v, CauseEvicted)
 	}
 	u.claims = best.slots
--- a/engine/handle_report.go
+++ b/engine/handle_report.go
@@ -206,7 +206,7 @@
 	if p == nil || p.runNumber != run.Number || !p.stopping {
 		return
 	}
-	e.handleLostRun(now, p, CauseStartUnanswered, "stopped before it started")
+	e.handleLostRun(now, p, CauseStartUnanswered, "stop confirmed, and the run is not present on the worker")
 }
 
 // countMissedPolls counts the polls that do not list a running task and stops the task after
