--- a/engine/sim_cluster_test.go
+++ b/engine/sim_cluster_test.go
@@ -144,7 +144,7 @@
 		e.Step(w.now, ev)
 	}
 	w.after(time.Duration(w.rng.IntN(3000))*time.Millisecond, func() { w.restoreEnded(e) })
-	w.counts["terms"]++
+	w.counts["planner terms"]++
 }
 
 // restoreEnded passes the stored outcomes to a planner that has started planning.
@@ -295,10 +295,10 @@
 	if sw.dead && sw.next != nil {
 		sw, until = sw.latest(), w.now+simMaxLease // by the clock of the incarnation that was meant
 		if w.unfenceable(sw, o) {
-			w.counts["too early to be refused"]++
+			w.counts["unfenceable orders dropped"]++
 			return nil
 		}
-		w.counts["orders to the next life"]++
+		w.counts["orders to the next incarnation"]++
 	}
 	if sw.dead {
 		return nil
