--- a/scheduler/check.go
+++ b/scheduler/check.go
@@ -36,10 +36,10 @@
 			}
 		}
 		if places != 1 {
-			return invariantError("job %q is in %d places", id, places)
+			return invariantError("job %q is in %d of queue, attempt and delay heap, want exactly 1", id, places)
 		}
 		if j.claim != nil && j.queue == nil {
-			return invariantError("job %q holds a claim but does not wait", id)
+			return invariantError("job %q holds a claim but is not queued", id)
 		}
 		if err := s.checkRun(j.run); err != nil {
 			return err
@@ -56,17 +56,17 @@
 	for _, h := range r.held {
 		granted += h.granted
 		if bits.OnesCount64(h.mask) != h.count {
-			return invariantError("job %q holds %d accelerators for a piece of %d", r.job.ID, bits.OnesCount64(h.mask), h.count)
+			return invariantError("job %q has %d accelerators in its mask on one worker, counted %d", r.job.ID, bits.OnesCount64(h.mask), h.count)
 		}
 	}
 	for _, use := range r.blockUses {
 		shared += use.count
 	}
 	if granted != r.job.Accelerators {
-		return invariantError("job %q of %d accelerators was granted %d", r.job.ID, r.job.Accelerators, granted)
+		return invariantError("job %q requested %d accelerators and was granted %d", r.job.ID, r.job.Accelerators, granted)
 	}
 	if shared != 0 && shared != r.size() {
-		return invariantError("job %q holds %d of a guarantee and %d in all", r.job.ID, shared, r.size())
+		return invariantError("job %q uses %d accelerators of blocks but holds %d", r.job.ID, shared, r.size())
 	}
 	return s.checkSpan(r)
 }
@@ -75,7 +75,7 @@
 	for _, h := range r.held {
 		a, b := s.nodes[r.held[0].node], s.nodes[h.node]
 		if a.up && b.up && unitOf(a, r.job.Adjacency) != unitOf(b, r.job.Adjacency) {
-			return invariantError("job %q is spread wider than a %s", r.job.ID, r.job.Adjacency)
+			return invariantError("job %q is not within one %s", r.job.ID, r.job.Adjacency)
 		}
 	}
 	return nil
@@ -93,7 +93,7 @@
 		}
 		for _, h := range j.run.held {
 			if used[h.node]&h.mask != 0 {
-				return invariantError("an accelerator of worker %q is held twice", s.nodes[h.node].ID)
+				return invariantError("an accelerator of worker %q is held by two attempts", s.nodes[h.node].ID)
 			}
 			used[h.node] |= h.mask
 			j.run.recount(&want[h.node], h.count)
@@ -103,13 +103,13 @@
 	for i, n := range s.nodes {
 		got := nodeCounts{n.held, n.protected, n.evictable, n.stopping, n.bound, n.claimed, n.reserved}
 		if got != want[i] || n.usedMask != used[i] {
-			return invariantError("worker %q counts %+v, recounted %+v", n.ID, got, want[i])
+			return invariantError("counts of worker %q are %+v, recounted %+v", n.ID, got, want[i])
 		}
 		if n.bound > 0 && n.protected+n.bound > n.capacity() {
-			return invariantError("worker %q has %d, of which %d are protected and %d bound", n.ID, n.capacity(), n.protected, n.bound)
+			return invariantError("worker %q has %d accelerators but %d protected and %d bound ones", n.ID, n.capacity(), n.protected, n.bound)
 		}
 		if int(s.open.values[i]) != n.open() || int(s.bindable.values[i]) != n.bindable() {
-			return invariantError("the indexes of worker %q are stale", n.ID)
+			return invariantError("index values of worker %q differ from its counts", n.ID)
 		}
 	}
 	return nil
@@ -162,7 +162,7 @@
 		}
 	}
 	if unbound != len(s.unbound) {
-		return invariantError("%d blocks have no place, %d are listed", unbound, len(s.unbound))
+		return invariantError("%d blocks are unbound, but %d are listed as unbound", unbound, len(s.unbound))
 	}
 	return nil
 }
@@ -173,15 +173,15 @@
 		sum += p.count
 		used += p.used
 		if p.used < 0 || p.used > p.count {
-			return invariantError("a block of account %q uses %d of a part of %d", b.account.policy.ID, p.used, p.count)
+			return invariantError("part of a block of account %q has %d accelerators in use of %d", b.account.policy.ID, p.used, p.count)
 		}
 		n := s.nodes[p.node]
 		if !n.usable() || unitOf(n, b.shape.Adjacency) != unitOf(s.nodes[b.parts[0].node], b.shape.Adjacency) {
-			return invariantError("a block of account %q lies on worker %q outside its span", b.account.policy.ID, n.ID)
+			return invariantError("block of account %q is bound to worker %q, which is unusable or outside its span", b.account.policy.ID, n.ID)
 		}
 	}
 	if sum != b.shape.Accelerators || used != b.used {
-		return invariantError("a block of account %q of %d has parts of %d", b.account.policy.ID, b.shape.Accelerators, sum)
+		return invariantError("block of account %q has %d accelerators, but its parts have %d or their use is miscounted", b.account.policy.ID, b.shape.Accelerators, sum)
 	}
 	return nil
 }
@@ -193,17 +193,17 @@
 			n := 0
 			for j := q.head; j != nil; j = j.next {
 				if j.queue != q || j.next != nil && j.next.seq < j.seq {
-					return invariantError("the queue of job %q is out of order", j.ID)
+					return invariantError("queue of job %q is out of order or mislinked", j.ID)
 				}
 				n++
 			}
 			if n != q.length {
-				return invariantError("a queue of account %q counts %d of %d", a.policy.ID, q.length, n)
+				return invariantError("queue of account %q counts %d jobs, recounted %d", a.policy.ID, q.length, n)
 			}
 			waiting += n
 		}
 		if waiting != a.waiting {
-			return invariantError("account %q counts %d of %d waiting", a.policy.ID, a.waiting, waiting)
+			return invariantError("account %q counts %d waiting jobs, recounted %d", a.policy.ID, a.waiting, waiting)
 		}
 	}
 	return nil
--- a/scheduler/explain_test.go
+++ b/scheduler/explain_test.go
@@ -30,7 +30,7 @@
 		WaitNone, WaitFitsNow, WaitRetry, WaitReclaim, WaitReserved, WaitBehind, WaitYields, WaitDegraded,
 		WaitGuaranteed, WaitReservations, WaitOverShare, WaitNoPlace, WaitNoCapacity,
 	} {
-		qt.Check(t, counts[r] > 0, qt.IsTrue, qt.Commentf("%v was never told", r))
+		qt.Check(t, counts[r] > 0, qt.IsTrue, qt.Commentf("reason %v never occurred", r))
 	}
 }
 
@@ -55,7 +55,7 @@
 	for _, id := range m.order {
 		e, ok := m.s.Explain(id)
 		if !ok {
-			m.fatalf("live job %q is not explained", id)
+			m.fatalf("live job %q has no explanation", id)
 		}
 		counts[e.Reason]++
 		m.checkExplanation(m.jobs[id], e, open, withoutReservations)
@@ -88,61 +88,61 @@
 	m.step(Tick{})
 	for _, id := range expectedStarts {
 		if m.jobs[id] == nil || m.jobs[id].place == nil {
-			m.fatalf("job %q fits now and did not start", id)
+			m.fatalf("job %q was predicted to start and did not", id)
 		}
 	}
 	for _, id := range expectedWaits {
 		if j := m.jobs[id]; j != nil && j.place != nil {
-			m.fatalf("job %q was said to wait and started", id)
+			m.fatalf("job %q was predicted to wait and started", id)
 		}
 	}
 }
 
 // checkExplanation verifies one explanation against a search of all workers.
 func (m *model) checkExplanation(j *modelJob, e Explanation, open, withoutReservations map[WorkerID]int) {
-	fail := func(why string) { m.fatalf("job %q is said to wait by %+v: %s", j.ID, e, why) }
+	fail := func(why string) { m.fatalf("wrong explanation of job %q: %+v: %s", j.ID, e, why) }
 	if (e.Reason == WaitNone) != (j.place != nil) {
-		fail("it has an attempt or not")
+		fail("attempt is missing or exists")
 	}
 	x := m.s.jobs[j.ID]
 	switch e.Reason {
 	case WaitNoPlace, WaitNoCapacity, WaitOverShare:
 		if m.fitsBySearch(j, open, nil) {
-			fail("there is a place")
+			fail("search found a place")
 		}
 		if (e.Free >= j.Accelerators) != (m.total(open) >= j.Accelerators) {
-			fail("free accelerators")
+			fail("number of free accelerators differs")
 		}
 		if e.Reason == WaitOverShare && m.s.weightedShare(m.s.jobs[e.First].account) >= m.s.weightedShare(x.account) {
-			fail("the share of the first is not lower")
+			fail("share of the first job's account is not lower")
 		}
 	case WaitNextDecision:
 		if q := x.queue; q.noPlaceStamp == m.s.capacityStamp(q) && q.noClaimStamp >= m.s.claimStamp(x.account, afterOpen) {
-			fail("its queue was tried and is not tried again")
+			fail("queue was tried and will not be tried again")
 		}
 	case WaitReservations:
 		if m.fitsBySearch(j, open, nil) || !m.fitsBySearch(j, withoutReservations, nil) {
-			fail("a place with or without reservations")
+			fail("place exists despite reservations, or not even without them")
 		}
 	case WaitFailedWorkers:
 		if !m.fitsBySearch(j, open, nil) || m.fitsBySearch(j, open, x.failedNodes) {
-			fail("a place with or without the workers it failed on")
+			fail("no place at all, or a place on other workers")
 		}
 	case WaitGuaranteed:
 		if x.mayBorrow() || !m.fitsBySearch(j, open, nil) {
-			fail("a place that is bound to a guarantee")
+			fail("job may borrow, or there is no place")
 		}
 	case WaitReclaim:
 		if e.Evicting == 0 || len(x.claim.blockUses) == 0 {
-			fail("it waits for nothing")
+			fail("no claim or no evictions in progress")
 		}
 	case WaitBehind:
 		if x.queue.head == x || m.s.jobs[e.First].queue != x.queue || e.Ahead == 0 {
-			fail("its queue")
+			fail("job is first, or First is in another queue")
 		}
 	case WaitRetry:
 		if x.queue != nil || !e.Until.After(e.At) {
-			fail("its delay")
+			fail("job is queued, or Until is not in the future")
 		}
 	case WaitDegraded:
 		if len(m.degraded) == 0 {
--- a/scheduler/model_test.go
+++ b/scheduler/model_test.go
@@ -84,10 +84,10 @@
 			m.startJob(a)
 		case StopGang:
 			if j := m.jobs[a.Job]; j == nil || j.attempt != a.Attempt {
-				m.fatalf("stop of %v, which does not run", a)
+				m.fatalf("stop of an attempt that does not exist: %v", a)
 			}
 			if r := m.s.jobs[a.Job].run; a.Reason == StopReclaim && len(r.blockUses) > 0 {
-				m.fatalf("job %q is evicted from the guarantee of its account", a.Job)
+				m.fatalf("job %q was evicted from blocks of its own account", a.Job)
 			}
 			m.jobs[a.Job].stopping = true
 		case RejectJob:
@@ -102,7 +102,7 @@
 		m.fatalf("after %T: %v", ev, err)
 	}
 	if len(m.s.jobs) != len(m.jobs) {
-		m.fatalf("%d jobs live, the scheduler knows %d", len(m.jobs), len(m.s.jobs))
+		m.fatalf("model has %d live jobs, scheduler has %d", len(m.jobs), len(m.s.jobs))
 	}
 }
 
@@ -114,13 +114,13 @@
 func (m *model) startJob(a StartGang) {
 	j := m.jobs[a.Job]
 	if j == nil || j.attempt >= a.Attempt || j.place != nil {
-		m.fatalf("start of %v beside %+v", a, j)
+		m.fatalf("unexpected start %v in state %+v", a, j)
 	}
 	j.attempt, j.place, j.running, j.stopping = a.Attempt, a.Placement, false, false
 	r := m.s.jobs[a.Job].run
 	probe := !m.s.nodes[r.held[0].node].usable()
 	if !j.mayBorrow() && !r.protected && !probe {
-		m.fatalf("job %q may not borrow and runs where it can be evicted", a.Job)
+		m.fatalf("job %q may not borrow but can be evicted", a.Job)
 	}
 	total := 0
 	for _, g := range a.Placement {
@@ -131,13 +131,13 @@
 		for _, x := range g.Accelerators {
 			k := fmt.Sprint(g.Worker, "/", x)
 			if other, ok := m.holders[k]; ok || x >= m.workers[g.Worker].Accelerators {
-				m.fatalf("accelerator %s granted to %q and %q", k, a.Job, other)
+				m.fatalf("accelerator %s was granted to %q but does not exist or is held by %q", k, a.Job, other)
 			}
 			m.holders[k] = a.Job
 		}
 	}
 	if total != j.Accelerators {
-		m.fatalf("job %q got %d of %d", a.Job, total, j.Accelerators)
+		m.fatalf("job %q was granted %d accelerators, requested %d", a.Job, total, j.Accelerators)
 	}
 }
 
@@ -350,7 +350,7 @@
 	m.finishStops()
 	for _, j := range claims {
 		if m.jobs[j.ID].place == nil {
-			m.fatalf("guaranteed shape of account %q, %d within one %s, was not reclaimed", j.Account, j.Accelerators, j.Adjacency)
+			m.fatalf("claim of account %q for %d accelerators within one %s did not start", j.Account, j.Accelerators, j.Adjacency)
 		}
 	}
 }
--- a/scheduler/reclaim_test.go
+++ b/scheduler/reclaim_test.go
@@ -155,7 +155,7 @@
 		n, ok, schedulerLost := claimAllShapes(s, now, accounts)
 		claims, started, lostByScheduler = claims+n, started+ok, lostByScheduler+schedulerLost
 	}
-	b.Logf("%d claims: honoured %d, by sums alone %d; work lost %.0f, evicting the youngest %.0f accelerator seconds", claims, started, satisfiedBySum, lostByScheduler, lostByYoungest)
+	b.Logf("%d claims: %d started, %d would have fitted by sums alone; accelerator seconds lost: %.0f, by evicting the youngest %.0f", claims, started, satisfiedBySum, lostByScheduler, lostByYoungest)
 	b.ReportMetric(lostByScheduler/lostByYoungest, "lost/youngest")
 	b.ReportMetric(float64(started)/float64(claims), "honoured")
 }
--- a/scheduler/report_test.go
+++ b/scheduler/report_test.go
@@ -38,7 +38,7 @@
 			}
 		}
 		if running != 0 || waiting != 0 || (unplaced > 0) != (len(m.degraded) > 0) || up != m.s.Stats().Workers+r.Quarantined.Count {
-			t.Fatalf("off by %d running, %d waiting; owed %d, degraded %v; %d up: %+v", running, waiting, unplaced, m.degraded, up, r)
+			t.Fatalf("report differs from model by %d running accelerators and %d waiting jobs; %d unplaced, degraded %v, %d workers up: %+v", running, waiting, unplaced, m.degraded, up, r)
 		}
 	}
 }
@@ -57,7 +57,7 @@
 	}
 }
 
-var largeScale = flag.Bool("scheduler.size", false, "measure explanations at 17,000 workers and 70,000 jobs; without it they run at today's size")
+var largeScale = flag.Bool("scheduler.size", false, "run report benchmarks with 17,000 workers and 70,000 jobs instead of the small site")
 
 // loadedScheduler returns a scheduler under load and the ids of its jobs: the
 // small site with 500 jobs, or the large one with 70,000 if the flag is set.
--- a/scheduler/scenario_test.go
+++ b/scheduler/scenario_test.go
@@ -247,7 +247,7 @@
 	b.submit(Job{ID: "bad", Account: "a", Accelerators: 8, Repeatable: true})
 	var out []Action
 	for i := 0; b.s.jobs["bad"] != nil; i++ {
-		b.Assert(i < 10, qt.IsTrue, qt.Commentf("started once more after %d workers", i))
+		b.Assert(i < 10, qt.IsTrue, qt.Commentf("job started again after %d lost workers", i))
 		r := b.s.jobs["bad"].run
 		at := b.s.nodes[r.held[0].node].Worker
 		b.step(GangStarted{"bad", r.attempt})
--- a/scheduler/settling_test.go
+++ b/scheduler/settling_test.go
@@ -31,7 +31,7 @@
 	}
 	job := Job{ID: "j", Account: "a", Accelerators: 32, Adjacency: AdjacentRack, Repeatable: true, Submitted: start}
 	c.Assert(step(start, JobsSubmitted{Jobs: []Job{job}}), qt.HasLen, 0)
-	c.Assert(wake.After(start), qt.IsTrue, qt.Commentf("nobody would wake the scheduler"))
+	c.Assert(wake.After(start), qt.IsTrue, qt.Commentf("no WakeAt for the end of settling"))
 	rejected := step(wake, Tick{})
 	c.Assert(rejected, qt.HasLen, 1)
 	c.Assert(rejected[0].Reason, qt.Equals, RejectAdjacency)
--- a/scheduler/simulator_test.go
+++ b/scheduler/simulator_test.go
@@ -173,7 +173,7 @@
 	for _, g := range a.Placement {
 		x.free[g.Worker] -= len(g.Accelerators)
 		if x.free[g.Worker] < 0 {
-			panic("an accelerator is granted twice")
+			panic("scheduler granted more accelerators than a worker has free")
 		}
 		faulty = faulty || g.Worker == x.faultyWorker
 	}
