--- a/gang/member_grant.go
+++ b/gang/member_grant.go
@@ -27,7 +27,7 @@
 func (m *Member) assignAccelerators(a *attempt) {
 	for _, i := range a.task.Accelerators {
 		if m.owners[i] != nil {
-			panic("gang: accelerator granted twice")
+			panic("gang: accelerator assigned to two attempts")
 		}
 		m.owners[i] = a
 	}
--- a/jobs/record.go
+++ b/jobs/record.go
@@ -66,7 +66,7 @@
 func decode(kv store.KeyValue) (Stored, error) {
 	var r Record
 	if err := json.Unmarshal(kv.Value, &r); err != nil {
-		return Stored{}, eris.Wrapf(err, "job record %s", kv.Key)
+		return Stored{}, eris.Wrapf(err, "decode job record %s", kv.Key)
 	}
 	return Stored{Record: r, Rev: kv.Mod}, nil
 }
--- a/jobs/store.go
+++ b/jobs/store.go
@@ -96,7 +96,7 @@
 // deletes it when the retention has passed.
 func (s *Store) End(ctx context.Context, r Stored, retention store.LeaseID) (Stored, error) {
 	if !r.State.Ended() {
-		panic("jobs: End with state " + string(r.State))
+		panic("jobs: End called with state that is not final: " + string(r.State))
 	}
 	return s.commit(ctx, r, retention)
 }
@@ -163,7 +163,7 @@
 	r.Token = uuid.NewString()
 	value, err := json.Marshal(r.Record)
 	if err != nil {
-		return Stored{}, eris.Wrapf(err, "job %s", r.ID)
+		return Stored{}, eris.Wrapf(err, "encode record of job %s", r.ID)
 	}
 	res, err := s.swaps.Swap(ctx, store.Swap{
 		Key:    s.key(r.Service, r.ID),
--- a/planner/attempt_end.go
+++ b/planner/attempt_end.go
@@ -14,7 +14,7 @@
 // the job if the outcome is final.
 func (p *Planner) handleAttemptEnded(j *job, e gang.Ended) {
 	if e.Outcome == gang.Superseded {
-		p.endSuperseded("an agent refused our epoch", 0)
+		p.endSuperseded("an agent refused this planner's epoch", 0)
 		return
 	}
 	id, attempt := scheduler.JobID(j.stored.ID), j.attempt
--- a/planner/outage.go
+++ b/planner/outage.go
@@ -20,7 +20,7 @@
 	if p.storeUnavailable || !eris.Is(err, store.ErrUnavailable) && !eris.Is(err, jobs.ErrOutcomeUnknown) {
 		return
 	}
-	p.cfg.Log.Warn("store out: only jobs with a permit are started")
+	p.cfg.Log.Warn("store unavailable: starting only jobs with a permit")
 	p.storeUnavailable = true
 	p.probeStore()
 }
@@ -43,7 +43,7 @@
 // handleStoreRecovered resubmits the jobs that were withheld because of the
 // store.
 func (p *Planner) handleStoreRecovered() {
-	p.cfg.Log.Info("store back")
+	p.cfg.Log.Info("store available again")
 	p.storeUnavailable = false
 	var withheld []*job
 	for _, j := range p.jobs {
--- a/planner/permit.go
+++ b/planner/permit.go
@@ -246,7 +246,7 @@
 
 func (p *Planner) returnPermit(ctx context.Context, r jobs.Stored) {
 	if _, err := p.cfg.Jobs.Update(ctx, r.WithoutPermit()); err != nil {
-		p.cfg.Log.WithError(err).WithField("job", r.ID).Info("permit not returned; the successor has to find out")
+		p.cfg.Log.WithError(err).WithField("job", r.ID).Info("failed to return unused permit: the successor has to search for the job")
 		return
 	}
 	p.cfg.Metrics.Add(metrics.PermitsReturned, 1)
@@ -259,7 +259,7 @@
 func (p *Planner) returnUnconfirmedPermit(ctx context.Context, id string) {
 	r, err := p.cfg.Jobs.Get(ctx, p.cfg.Service, id)
 	if err != nil {
-		p.cfg.Log.WithError(err).WithField("job", id).Info("permit on its way not looked for")
+		p.cfg.Log.WithError(err).WithField("job", id).Info("failed to read job with unconfirmed permit: the successor has to search for it")
 		return
 	}
 	if p.isOwnPermit(r.Record) && !r.CancelRequested {
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -164,7 +164,7 @@
 	if r.Epoch <= p.cfg.Epoch {
 		return false
 	}
-	p.endSuperseded("a job's record names a higher epoch", r.Epoch)
+	p.endSuperseded("a job record names a higher epoch", r.Epoch)
 	return true
 }
 
--- a/planner/record_watch.go
+++ b/planner/record_watch.go
@@ -70,7 +70,7 @@
 func (p *Planner) handleRecord(kv store.KeyValue, newJobs []scheduler.Job) []scheduler.Job {
 	r, err := jobs.Decode(kv)
 	if err != nil {
-		p.cfg.Log.WithError(err).Error("job record can't be read; it is left alone")
+		p.cfg.Log.WithError(err).Error("failed to decode job record: ignoring it")
 		return newJobs
 	}
 	if p.jobs[r.ID] != nil {
--- a/planner/scheduler_step.go
+++ b/planner/scheduler_step.go
@@ -33,11 +33,11 @@
 	case scheduler.WakeAt:
 		p.schedulerTimer.Reset(time.Until(a.At))
 	case scheduler.GuaranteeDegraded:
-		p.guaranteeLog(a.Account, a.Shape).WithField("missing", a.Missing).Warn("guarantee degraded: blocks fit nowhere now")
+		p.guaranteeLog(a.Account, a.Shape).WithField("missing", a.Missing).Warn("guarantee degraded: blocks of accelerators can't be placed")
 	case scheduler.GuaranteeRestored:
 		p.guaranteeLog(a.Account, a.Shape).Info("guarantee restored")
 	case scheduler.QuarantineWorker:
-		p.cfg.Log.WithFields(logrus.Fields{"agent": a.Worker, "until": a.Until}).Warn("worker quarantined: what it starts fails")
+		p.cfg.Log.WithFields(logrus.Fields{"agent": a.Worker, "until": a.Until}).Warn("worker quarantined: repeated failures on it")
 	case scheduler.WorkerHealthy:
 		p.cfg.Log.WithField("agent", a.Worker).Info("worker healthy again")
 	}
--- a/planner/worker.go
+++ b/planner/worker.go
@@ -54,7 +54,7 @@
 func (p *Planner) applyReport(r AgentReport) {
 	id := string(r.Worker.ID)
 	if r.Fence > p.cfg.Epoch {
-		p.endSuperseded("an agent has heard of a higher epoch", r.Fence)
+		p.endSuperseded("an agent reported a higher epoch", r.Fence)
 		return
 	}
 	w := p.workers[id]
