--- a/gang/protocol_test.go
+++ b/gang/protocol_test.go
@@ -287,9 +287,9 @@
 		runUntil time.Duration
 		stops    bool
 	}{
-		{"part of a gang", 2, 0, true},
-		{"whole job", 1, 0, false},
-		{"restart just before the end", 2, time.Second, true},
+		{"member of a gang", 2, 0, true},
+		{"job with one member", 1, 0, false},
+		{"agent restart just before the deadline", 2, time.Second, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
--- a/gang/sim_check_test.go
+++ b/gang/sim_check_test.go
@@ -74,7 +74,7 @@
 	case history.reportedNotRun[t.ID.Job]:
 		s.fail("%v started after its caller was told that it did not run", t.ID)
 	case history.commitCount[t.ID] != t.Members:
-		s.fail("%v started with %d of %d committed", t.ID, history.commitCount[t.ID], t.Members)
+		s.fail("%v started with %d of %d members committed", t.ID, history.commitCount[t.ID], t.Members)
 	case history.reportedNotStarted[t.ID]:
 		s.fail("%v started after it was reported as not started", t.ID)
 	case history.started[a.key(t.ID)]:
@@ -83,7 +83,7 @@
 	for _, other := range a.tasks {
 		for _, i := range other.Accelerators {
 			if slices.Contains(t.Accelerators, i) {
-				s.fail("accelerator %d of %s in %v and %v", i, a.name, other.ID, t.ID)
+				s.fail("accelerator %d of %s is assigned to both %v and %v", i, a.name, other.ID, t.ID)
 			}
 		}
 	}
@@ -105,7 +105,7 @@
 		return
 	}
 	if len(ran) > 0 && !job.repeatable {
-		s.fail("job %s is not repeatable and starts as %v after %v", job.name, t.ID, ran)
+		s.fail("job %s is not repeatable, but starts as %v after %v", job.name, t.ID, ran)
 	}
 	for _, old := range ran {
 		if s.isRunning(old) {
@@ -173,7 +173,7 @@
 		s.stats.done++
 		for _, m := range e.Members {
 			if !s.history.succeeded[simAgentAttempt{m.Agent, id}] {
-				s.fail("%v reported as done, not so on %s", id, m.Agent)
+				s.fail("%v reported as done, but its task on %s did not succeed", id, m.Agent)
 			}
 		}
 	case Superseded:
@@ -193,12 +193,12 @@
 func (s *simulation) checkNothingLeft() {
 	for i, r := range s.store.records {
 		if r.state != simEnded {
-			s.fail("job %s is still in state %d", s.jobs[i].name, r.state)
+			s.fail("job %s has not ended, its record is in state %d", s.jobs[i].name, r.state)
 		}
 	}
 	for _, a := range s.agents {
 		if free := a.member.FreeAccelerators(); len(free) != simAccelerators || len(a.tasks) > 0 {
-			s.fail("%s still holds %v, %d tasks", a.name, a.member.Tasks(), len(a.tasks))
+			s.fail("%s still has attempts %v and %d tasks at its target", a.name, a.member.Tasks(), len(a.tasks))
 		}
 	}
 }
--- a/gang/sim_test.go
+++ b/gang/sim_test.go
@@ -7,8 +7,8 @@
 )
 
 var (
-	simRuns = flag.Int("gang.worlds", 40, "number of randomised worlds")
-	simSeed = flag.Uint64("gang.seed", 1, "seed of the first world")
+	simRuns = flag.Int("gang.worlds", 40, "number of random simulations")
+	simSeed = flag.Uint64("gang.seed", 1, "seed of the first simulation")
 )
 
 // Checks every start, every outcome and the final state while agents, planners,
@@ -22,11 +22,11 @@
 		s.run(600*time.Second, 1500*time.Second)
 		sum.add(s.stats)
 	}
-	t.Logf("%d worlds from seed %d: %+v", *simRuns, *simSeed, sum)
+	t.Logf("%d simulations from seed %d: %+v", *simRuns, *simSeed, sum)
 	if sum.starts == 0 || sum.done == 0 || sum.notStarted == 0 || sum.lost == 0 ||
 		sum.superseded == 0 || sum.recovered == 0 || sum.isolated == 0 ||
 		sum.onPermit == 0 || sum.adoptable == 0 || sum.notFound == 0 || sum.permitsReturned == 0 || sum.reportedNotRun == 0 {
-		t.Fatalf("the worlds did not reach all kinds of ends: %+v", sum)
+		t.Fatalf("the simulations did not cover all outcomes: %+v", sum)
 	}
 }
 
--- a/planner/helpers_test.go
+++ b/planner/helpers_test.go
@@ -22,7 +22,7 @@
 	"github.com/eelgrasshub/eelgrasshub/store/standin"
 )
 
-var errUnreachable = errors.New("no path to the agent")
+var errUnreachable = errors.New("agent unreachable")
 
 // fakeAgents is a set of gang members without targets: a task runs until the
 // test ends it.
--- a/planner/permit_test.go
+++ b/planner/permit_test.go
@@ -32,26 +32,26 @@
 	p := b.planner(1, agents)
 	report := func() { agents.report(p) }
 	b.accept("runs", largeJob, true)
-	b.eventually("the first runs", report, func() bool { return agents.largeJobRuns("runs") })
+	b.eventually("the first job runs", report, func() bool { return agents.largeJobRuns("runs") })
 	others := []string{"settlement", "1", "2", "3", "4", "5", "6", "7"}
 	for _, id := range others {
 		b.acceptLongWaiting(id, 24, false)
 	}
 	b.acceptLongWaiting("waits", largeJob, true)
-	b.eventually("one has a permit", report, func() bool { return b.hasPermit("waits") })
+	b.eventually("the waiting job has a permit", report, func() bool { return b.hasPermit("waits") })
 
 	b.server.SetFaults(standin.Faults{Down: standin.DownRefuse})
 	agents.finish()
-	b.eventually("the next runs", report, func() bool { return agents.largeJobRuns("waits") })
+	b.eventually("the waiting job runs", report, func() bool { return agents.largeJobRuns("waits") })
 	for _, id := range others {
 		b.c.Assert(agents.startsOf(id), qt.Equals, 0)
 	}
 	agents.finish()
 	b.server.SetFaults(standin.Faults{})
-	b.eventually("both ends are on record", report, func() bool {
+	b.eventually("both ends are recorded", report, func() bool {
 		return b.state("runs") == jobs.Done && b.state("waits") == jobs.Done
 	})
-	b.eventually("the other one runs", report, func() bool { return agents.allMembersRun("settlement", 3) })
+	b.eventually("the job without a permit runs", report, func() bool { return agents.allMembersRun("settlement", 3) })
 	b.c.Assert(agents.startsOf("runs"), qt.Equals, largeJob/8)
 	b.c.Assert(agents.startsOf("waits"), qt.Equals, largeJob/8)
 }
@@ -67,7 +67,7 @@
 		b.startInOutage(first, agents)
 		if done {
 			agents.finish()
-			b.eventually("its planner knows the end", report, func() bool {
+			b.eventually("its planner knows that it has ended", report, func() bool {
 				s, ok := first.Status(context.Background(), "waits")
 				return ok && s.Phase == Running && len(s.Members) == 0
 			})
@@ -78,12 +78,12 @@
 		second := b.planner(2, agents)
 		report = func() { agents.report(second) }
 		if !done {
-			b.eventually("its placement is on record", report, func() bool {
+			b.eventually("its placement is recorded", report, func() bool {
 				return b.state("waits") == jobs.Starting && !b.hasPermit("waits")
 			})
 			agents.finish()
 		}
-		b.eventually("its end is on record", report, func() bool { return b.state("waits") == jobs.Done })
+		b.eventually("its end is recorded", report, func() bool { return b.state("waits") == jobs.Done })
 		b.c.Assert(agents.startsOf("waits"), qt.Equals, largeJob/8)
 	}
 }
@@ -104,7 +104,7 @@
 	b.eventually("the job runs", report, func() bool { return agents.largeJobRuns("waits") })
 
 	disconnected.Store(false)
-	b.eventually("it is cancelled", report, func() bool { return b.state("waits") == jobs.Cancelled })
+	b.eventually("the job is cancelled", report, func() bool { return b.state("waits") == jobs.Cancelled })
 	b.c.Assert(agents.runningMembers("waits"), qt.Equals, 0)
 	final, err := b.jobs.Get(context.Background(), "dispatch", "waits")
 	b.c.Assert(err, qt.IsNil)
@@ -120,7 +120,7 @@
 	b.startWithPermitWaiting(p, agents)
 	_, err := b.jobs.Cancel(context.Background(), "dispatch", "waits", time.Now())
 	b.c.Assert(err, qt.IsNil)
-	b.eventually("it is cancelled", func() { agents.report(p) }, func() bool { return b.state("waits") == jobs.Cancelled })
+	b.eventually("the job is cancelled", func() { agents.report(p) }, func() bool { return b.state("waits") == jobs.Cancelled })
 	final, err := b.jobs.Get(context.Background(), "dispatch", "waits")
 	b.c.Assert(err, qt.IsNil)
 	b.c.Assert(final.Attempt, qt.Equals, uint64(0))
@@ -144,14 +144,14 @@
 		second := b.planner(2, agents)
 		if !planned {
 			// Until the agents are fenced the first planner may start the job.
-			b.eventually("all agents refuse the first", func() { agents.report(second) }, func() bool { return agents.allFenced(2) })
+			b.eventually("all agents refuse the first planner", func() { agents.report(second) }, func() bool { return agents.allFenced(2) })
 		}
 		agents.finish()
 		report := func() {
 			agents.report(second)
 			agents.report(first)
 		}
-		b.eventually("it runs", report, func() bool { return agents.largeJobRuns("waits") })
+		b.eventually("the job runs", report, func() bool { return agents.largeJobRuns("waits") })
 		b.c.Assert(agents.startsOf("waits"), qt.Equals, largeJob/8)
 		b.c.Assert(agents.epochsOf("waits"), qt.DeepEquals, map[uint64]bool{2: true})
 	}
@@ -165,11 +165,11 @@
 	p := b.planner(1, agents)
 	report := func() { agents.report(p) }
 	b.accept("runs", largeJob, true)
-	b.eventually("the first runs", report, func() bool { return agents.largeJobRuns("runs") })
+	b.eventually("the first job runs", report, func() bool { return agents.largeJobRuns("runs") })
 	b.acceptLongWaiting("waits", largeJob, true)
 	before, err := b.jobs.Get(context.Background(), "dispatch", "waits")
 	b.c.Assert(err, qt.IsNil)
-	b.eventually("the next has a permit", report, func() bool { return b.hasPermit("waits") })
+	b.eventually("the waiting job has a permit", report, func() bool { return b.hasPermit("waits") })
 
 	p.post(func() {
 		j := p.jobs["waits"]
@@ -196,7 +196,7 @@
 
 	second := b.planner(2, agents)
 	report := func() { agents.report(second) }
-	b.eventually("all agents refuse the first", report, func() bool { return agents.allFenced(2) })
+	b.eventually("all agents refuse the first planner", report, func() bool { return agents.allFenced(2) })
 	for _, id := range []string{"later", "last"} {
 		b.accept(id, 16, true)
 		b.eventually(id+" runs", report, func() bool { return agents.allMembersRun(id, 2) })
@@ -208,7 +208,7 @@
 	shortTimeouts.Gang.IsolationTimeout.Duration = 500 * time.Millisecond
 	shortTimeouts.Gang.LossTimeout.Duration = 4 * time.Second
 	second.SetDocument(&document.ActiveVersion{Document: &shortTimeouts, Version: b.document.Version})
-	b.eventually("it runs", report, func() bool { return agents.largeJobRuns("waits") })
+	b.eventually("the job runs", report, func() bool { return agents.largeJobRuns("waits") })
 	b.c.Assert(agents.startsOf("waits"), qt.Equals, largeJob/8)
 }
 
@@ -262,9 +262,9 @@
 func (b *bench) startWithPermitWaiting(p *Planner, agents *fakeAgents) {
 	report := func() { agents.report(p) }
 	b.accept("runs", largeJob, true)
-	b.eventually("the first runs", report, func() bool { return agents.largeJobRuns("runs") })
+	b.eventually("the first job runs", report, func() bool { return agents.largeJobRuns("runs") })
 	b.acceptLongWaiting("waits", largeJob, true)
-	b.eventually("the next has a permit", report, func() bool { return b.hasPermit("waits") })
+	b.eventually("the waiting job has a permit", report, func() bool { return b.hasPermit("waits") })
 }
 
 func (b *bench) hasPermit(id string) bool {
@@ -368,7 +368,7 @@
 func TestWorkersOfUnresolvedJobAreNotAtFault(t *testing.T) {
 	b := newBench(t)
 	p := b.planner(2, newFakeAgents())
-	b.eventually("records read", func() {}, func() bool { return p.areRecordsLoaded() })
+	b.eventually("the records are loaded", func() {}, func() bool { return p.areRecordsLoaded() })
 	done := make(chan struct{})
 	p.post(func() {
 		defer close(done)
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -27,7 +27,7 @@
 	b.eventually("both members started", report, func() bool { return agents.startsOf("j") == 2 })
 	b.c.Assert(b.state("j"), qt.Equals, jobs.Starting)
 	agents.finish()
-	b.eventually("the end on record", report, func() bool { return b.state("j") == jobs.Done })
+	b.eventually("the end is recorded", report, func() bool { return b.state("j") == jobs.Done })
 	b.c.Assert(agents.startsOf("j"), qt.Equals, 2)
 }
 
@@ -97,7 +97,7 @@
 		return ok && s.Phase == Running
 	})
 	agents.finish()
-	b.eventually("its end is on record", report, func() bool { return b.state("j") == jobs.Done })
+	b.eventually("its end is recorded", report, func() bool { return b.state("j") == jobs.Done })
 	b.eventually("the waiting job starts", report, func() bool { return agents.startsOf("waits") == 2 })
 	b.c.Assert(agents.startsOf("j"), qt.Equals, 2)
 }
@@ -110,17 +110,17 @@
 	p := b.planner(1, agents)
 	report := func() { agents.report(p) }
 	b.accept("j", 8, true)
-	b.eventually("it runs", report, func() bool { return agents.startsOf("j") == 1 })
+	b.eventually("the job runs", report, func() bool { return agents.startsOf("j") == 1 })
 	disconnected := agents.disconnect("a")
 	draining := newFakeAgents("b").disconnect("b")
 	draining.Step(clock.Now(), gang.Drain{})
 	agents.connect("b", draining)
 	p.HandleAgentLeft("a")
-	b.eventually("no room elsewhere", report, func() bool {
+	b.eventually("the other worker refused the job", report, func() bool {
 		return p.cfg.Metrics.Snapshot().Counters["reservations_refused"] > 0
 	})
 	agents.connect("a", disconnected)
-	b.eventually("the leftover is stopped and the job starts again", report, func() bool {
+	b.eventually("the orphan is stopped and the job starts again", report, func() bool {
 		return agents.startsOf("j") == 2
 	})
 }
@@ -133,15 +133,15 @@
 	p := b.planner(1, agents)
 	report := func() { agents.report(p) }
 	b.accept("j", 8, false)
-	b.eventually("it runs", report, func() bool { return agents.startsOf("j") == 1 })
+	b.eventually("the job runs", report, func() bool { return agents.startsOf("j") == 1 })
 	b.server.SetFaults(standin.Faults{Down: standin.DownRefuse})
 	agents.finish()
-	b.eventually("the planner knows the end", report, func() bool {
+	b.eventually("the planner knows that the job has ended", report, func() bool {
 		s, ok := p.Status(context.Background(), "j")
 		return ok && len(s.Members) == 0
 	})
 	b.server.SetFaults(standin.Faults{LoseReplies: 1})
-	b.eventually("the end is on record", report, func() bool { return b.state("j") == jobs.Done })
+	b.eventually("the end is recorded", report, func() bool { return b.state("j") == jobs.Done })
 	b.c.Assert(agents.startsOf("j"), qt.Equals, 1)
 }
 
@@ -151,7 +151,7 @@
 	b := newBench(t)
 	b.document.Document.Admission.MaxJobs = 2
 	p := b.planner(1, newFakeAgents())
-	b.eventually("records read", func() {}, func() bool { return p.areRecordsLoaded() })
+	b.eventually("the records are loaded", func() {}, func() bool { return p.areRecordsLoaded() })
 	for _, id := range []string{"1", "2", "3"} {
 		b.accept(id, 8, true)
 	}
@@ -194,9 +194,9 @@
 	agents.mu.Lock()
 	delete(agents.unreachableFrom, 1)
 	agents.mu.Unlock()
-	b.eventually("it runs", report, func() bool { return agents.startsOf("j") == 1 })
+	b.eventually("the job runs", report, func() bool { return agents.startsOf("j") == 1 })
 	agents.finish()
-	b.eventually("the planner has forgotten it", report, func() bool {
+	b.eventually("the planner has forgotten the job", report, func() bool {
 		s, ok := p.Status(context.Background(), "j")
 		return ok && s.Phase == "" && s.Record.State == jobs.Done
 	})
--- a/planner/report_test.go
+++ b/planner/report_test.go
@@ -19,12 +19,12 @@
 	agents.unreachableFrom[1] = true // delays the reservations
 	report := func() { agents.report(p) }
 	b.accept("placed", 8, true)
-	b.eventually("it is placed", report, func() bool {
+	b.eventually("the job is placed", report, func() bool {
 		w, known, answered := p.Explain(context.Background(), "placed")
 		return known && answered && w.Stage == StageStarting && w.Phase == Starting
 	})
 	b.accept("large", 64, true)
-	b.eventually("the scheduler's word", report, func() bool {
+	b.eventually("the scheduler explains the wait", report, func() bool {
 		w, _, _ := p.Explain(context.Background(), "large")
 		return w.Stage == StageQueued && w.Explanation.Reason != scheduler.WaitNone && w.Explanation.Accelerators == 64
 	})
@@ -40,7 +40,7 @@
 	agents := newFakeAgents(allWorkers...)
 	p := b.planner(1, agents)
 	var last Report
-	b.eventually("all records are read", func() { agents.report(p) }, func() bool {
+	b.eventually("all records are loaded", func() { agents.report(p) }, func() bool {
 		r, ok := p.Report(context.Background())
 		last = r
 		return ok && r.RecordsLoaded && len(r.Accounts) == 4
@@ -90,21 +90,21 @@
 	p := b.planner(1, agents)
 	report := func() { agents.report(p) }
 	b.accept("runs", largeJob, true)
-	b.eventually("the first runs", report, func() bool { return agents.largeJobRuns("runs") })
+	b.eventually("the first job runs", report, func() bool { return agents.largeJobRuns("runs") })
 	b.acceptLongWaiting("once", 24, false)
 	b.acceptLongWaiting("waits", largeJob, true)
-	b.eventually("one has a permit", report, func() bool { return b.hasPermit("waits") })
+	b.eventually("one job has a permit", report, func() bool { return b.hasPermit("waits") })
 	stage := func(id string) Stage {
 		w, _, _ := p.Explain(context.Background(), id)
 		return w.Stage
 	}
 	b.server.SetFaults(standin.Faults{Down: standin.DownRefuse})
 	agents.finish()
-	b.eventually("the other one waits for the store", report, func() bool { return stage("once") == StageStoreUnavailable })
-	b.eventually("it is counted", report, func() bool {
+	b.eventually("the job without a permit waits for the store", report, func() bool { return stage("once") == StageStoreUnavailable })
+	b.eventually("the job is counted", report, func() bool {
 		r, ok := p.Report(context.Background())
 		return ok && r.StoreUnavailable && r.Withheld["harbourline"]["risk-scoring"] == 1
 	})
 	b.server.SetFaults(standin.Faults{})
-	b.eventually("it is in the queue again", report, func() bool { return stage("once") != StageStoreUnavailable })
+	b.eventually("the job is queued again", report, func() bool { return stage("once") != StageStoreUnavailable })
 }
