--- a/gang/sim_check_test.go
+++ b/gang/sim_check_test.go
@@ -72,7 +72,7 @@
 	case !history.recorded[t.ID] && !s.hadPermit(t.ID):
 		s.fail("%v started without a record or a permit", t.ID)
 	case history.reportedNotRun[t.ID.Job]:
-		s.fail("%v started after its caller was told that it did not run", t.ID)
+		s.fail("%v started after its job was reported as not run", t.ID)
 	case history.commitCount[t.ID] != t.Members:
 		s.fail("%v started with %d of %d members committed", t.ID, history.commitCount[t.ID], t.Members)
 	case history.reportedNotStarted[t.ID]:
--- a/gang/sim_permit_test.go
+++ b/gang/sim_permit_test.go
@@ -253,7 +253,7 @@
 func (s *simulation) reportNotRun(job int) {
 	name := s.jobs[job].name
 	if ran := s.history.attemptsByJob[name]; len(ran) > 0 {
-		s.fail("caller of job %s is told that it did not run after it ran as %v", name, ran)
+		s.fail("job %s is reported as not run after it ran as %v", name, ran)
 	}
 	s.history.reportedNotRun[name] = true
 	s.stats.reportedNotRun++
--- a/scheduler/guarantee_test.go
+++ b/scheduler/guarantee_test.go
@@ -67,9 +67,9 @@
 		large  int
 		want   JobID
 	}{
-		{"the larger one is the block", false, 16, "large"},
-		{"the larger one fits only alone", false, 15, "large"},
-		{"the small one is urgent", true, 16, "small"},
+		{"large job fills the block", false, 16, "large"},
+		{"large job leaves too little for the small one", false, 15, "large"},
+		{"small job is urgent", true, 16, "small"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newHarness(t, rackOwnerAndGuests, eightAcceleratorWorkers(2)...)
--- a/scheduler/scenario_test.go
+++ b/scheduler/scenario_test.go
@@ -115,11 +115,11 @@
 		job  Job
 		why  RejectReason
 	}{
-		{"more than exists", Job{Accelerators: 17}, RejectTooLarge},
-		{"more than any worker has", Job{Accelerators: 9, Adjacency: AdjacentWorker}, RejectAdjacency},
+		{"more accelerators than exist", Job{Accelerators: 17}, RejectTooLarge},
+		{"more accelerators than any worker has", Job{Accelerators: 9, Adjacency: AdjacentWorker}, RejectAdjacency},
 		{"more memory than comes with a worker", Job{Accelerators: 1, MemoryMB: 1 << 30}, RejectWorkerSize},
 		{"may not be evicted and everything else is guaranteed", Job{Accelerators: 9}, RejectTooLarge},
-		{"no capacity asked", Job{}, RejectInvalid},
+		{"no capacity requested", Job{}, RejectInvalid},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newHarness(t, ownerAndGuest, eightAcceleratorWorkers(2)...)
