--- a/entry/balance_test.go
+++ b/entry/balance_test.go
@@ -59,13 +59,13 @@
 	for i := range 94 {
 		r.leaderships["entry-0"] = append(r.leaderships["entry-0"], ownLeadership{service: fmt.Sprint("service-", i)})
 	}
-	c.Assert(r.handOverAll(), qt.IsFalse, qt.Commentf("the others are not settled"))
+	c.Assert(r.handOverAll(), qt.IsFalse, qt.Commentf("the others have been present for less than minCandidateAge"))
 	r.now = start.Add(minCandidateAge)
 	for r.handOverAll() {
 	}
 	c.Assert(r.handOvers < 94, qt.IsTrue)
 	for id := range r.presentSince {
-		c.Check(len(r.leaderships[id]) > 94/8 && len(r.leaderships[id]) < 94*3/8, qt.IsTrue, qt.Commentf("%s holds %d", id, len(r.leaderships[id])))
+		c.Check(len(r.leaderships[id]) > 94/8 && len(r.leaderships[id]) < 94*3/8, qt.IsTrue, qt.Commentf("%s holds %d leaderships", id, len(r.leaderships[id])))
 	}
 	share := len(r.leaderships["entry-3"])
 	r.handOvers = 0
@@ -75,7 +75,7 @@
 	r.now = r.now.Add(time.Minute + minCandidateAge)
 	for r.handOverAll() {
 	}
-	c.Check(r.handOvers <= share, qt.IsTrue, qt.Commentf("%d moves for a share of %d", r.handOvers, share))
+	c.Check(r.handOvers <= share, qt.IsTrue, qt.Commentf("%d hand-overs for a share of %d", r.handOvers, share))
 }
 
 // Guards against hand-overs without benefit: of a region's only leadership, to an entry
--- a/entry/delivery_send.go
+++ b/entry/delivery_send.go
@@ -83,7 +83,7 @@
 func encodeReply(r *wire.ExecuteReply) []byte {
 	data, err := cbor.Marshal(r)
 	if err != nil {
-		panic("entry: a reply that was decoded can't be encoded: " + err.Error())
+		panic("entry: execute reply can't be encoded: " + err.Error())
 	}
 	return data
 }
--- a/entry/handover.go
+++ b/entry/handover.go
@@ -54,7 +54,7 @@
 	}
 	el.planner, el.handedOverAt = nil, now
 	es.mu.Unlock()
-	es.entry.log.WithField("service", service).WithField("to", to).Info("duty handed over")
+	es.entry.log.WithField("service", service).WithField("to", to).Info("planner leadership handed over")
 	es.entry.metrics.Add(metrics.LeadershipsHandedOver, 1)
 	p.Stop() // before the successor's planner starts
 	el.candidate.Yield(epoch)
--- a/entry/inspect.go
+++ b/entry/inspect.go
@@ -95,7 +95,7 @@
 	}
 	data, err := json.Marshal(problem)
 	if err != nil {
-		panic("entry: a problem can't be encoded: " + err.Error())
+		panic("entry: problem can't be encoded: " + err.Error())
 	}
 	return &wire.InspectReply{Problem: data}
 }
--- a/entry/inspect_test.go
+++ b/entry/inspect_test.go
@@ -22,7 +22,7 @@
 		reasons = append(reasons, r.String())
 	}
 	for _, r := range reasons {
-		qt.Check(t, strings.Contains(string(page), "\n| `"+r+"` | "), qt.IsTrue, qt.Commentf("no row for %s", r))
+		qt.Check(t, strings.Contains(string(page), "\n| `"+r+"` | "), qt.IsTrue, qt.Commentf("docs/OPERATIONS.md has no row for wait reason %s", r))
 	}
 	_, table, _ := strings.Cut(string(page), "### Why does a job wait")
 	table, _, _ = strings.Cut(table, "\n## ")
--- a/entry/members.go
+++ b/entry/members.go
@@ -266,7 +266,7 @@
 func ackDigest(ack *wire.ReportAck) uint64 {
 	data, err := cbor.Marshal(ack)
 	if err != nil {
-		panic("entry: a report answer can't be encoded: " + err.Error())
+		panic("entry: report ack can't be encoded: " + err.Error())
 	}
 	return xxhash.Sum64(data)
 }
--- a/entry/prober_peers_test.go
+++ b/entry/prober_peers_test.go
@@ -32,7 +32,7 @@
 			}
 		}
 		for id, probers := range probersOf {
-			c.Check(probers, qt.Equals, min(probedPeerCount, n-1), qt.Commentf("%s of %d", id, n))
+			c.Check(probers, qt.Equals, min(probedPeerCount, n-1), qt.Commentf("probers of %s among %d entries", id, n))
 		}
 	}
 }
--- a/entry/registry_write.go
+++ b/entry/registry_write.go
@@ -45,7 +45,7 @@
 }
 
 // errLaterIncarnation: another process with this entry's id started later.
-var errLaterIncarnation = eris.New("registered by a later life of the entry")
+var errLaterIncarnation = eris.New("registered by a later incarnation of the entry")
 
 // write registers the entry. It replaces a registration of an earlier incarnation under
 // the same id, and fails with errLaterIncarnation if there is one of a later incarnation.
