--- a/admission/queue.go
+++ b/admission/queue.go
@@ -65,7 +65,7 @@
 
 func (q *Queue) handleArrived(now time.Time, ev Arrived) {
 	if q.requests[ev.ID] != nil {
-		panic("admission: an arrival's ID is in use")
+		panic("admission: Arrived with the ID of a request in the queue or running")
 	}
 	r := q.newRequest(now, ev)
 	a := q.accountFor(ev)
@@ -107,7 +107,7 @@
 func (q *Queue) handleFinished(ev Finished) {
 	r := q.requests[ev.ID]
 	if r == nil || !r.running {
-		panic("admission: a request finished that does not run")
+		panic("admission: Finished for a request that is not running")
 	}
 	delete(q.requests, ev.ID)
 	q.running--
--- a/attempts/attempts_test.go
+++ b/attempts/attempts_test.go
@@ -57,12 +57,12 @@
 		events []Event
 		want   Action
 	}{
-		{"first one has the answer", []Event{Start{}, conflict, ResolveReply{testID(2), StatusAnswered, []byte("yes")}}, Finished{Outcome: Done, Answer: []byte("yes")}},
-		{"first one still runs", []Event{Start{}, conflict, ResolveReply{testID(2), StatusRunning, nil}, Wake{}}, SendResolve{testClaim(2)}},
-		{"first one never arrived", []Event{Start{}, conflict, ResolveReply{testID(2), StatusNotRun, nil}}, ReplaceClaim{testClaim(2), testClaim(1)}},
-		{"a third one was faster", []Event{Start{}, conflict, ResolveReply{testID(2), StatusNotRun, nil}, ClaimReply{ClaimConflict, testClaim(3)}}, SendResolve{testClaim(3)}},
+		{"first delivery has the answer", []Event{Start{}, conflict, ResolveReply{testID(2), StatusAnswered, []byte("yes")}}, Finished{Outcome: Done, Answer: []byte("yes")}},
+		{"first delivery still runs", []Event{Start{}, conflict, ResolveReply{testID(2), StatusRunning, nil}, Wake{}}, SendResolve{testClaim(2)}},
+		{"first delivery never arrived", []Event{Start{}, conflict, ResolveReply{testID(2), StatusNotRun, nil}}, ReplaceClaim{testClaim(2), testClaim(1)}},
+		{"third delivery replaced the claim", []Event{Start{}, conflict, ResolveReply{testID(2), StatusNotRun, nil}, ClaimReply{ClaimConflict, testClaim(3)}}, SendResolve{testClaim(3)}},
 		{"agent restarted", []Event{Start{}, conflict, ResolveReply{testID(2), StatusUnknown, nil}}, unknown},
-		{"answer was dropped", []Event{Start{}, conflict, ResolveReply{testID(2), StatusRan, nil}}, unknown},
+		{"answer was evicted", []Event{Start{}, conflict, ResolveReply{testID(2), StatusRan, nil}}, unknown},
 		{"key of another request", []Event{Start{}, ClaimReply{ClaimConflict, Claim{ID: testID(2)}}}, Finished{Outcome: NotRun, Reason: ReasonKeyReused}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/attempts/begin_result.go
+++ b/attempts/begin_result.go
@@ -19,7 +19,7 @@
 	BeginUnknown
 )
 
-var beginResultNames = [...]string{"fresh", "joined", "repeated", "refused", "unprovable"}
+var beginResultNames = [...]string{"run", "join", "replay", "refuse", "unknown"}
 
 // String returns the result in lower case.
 func (v BeginResult) String() string {
--- a/attempts/simulation_test.go
+++ b/attempts/simulation_test.go
@@ -9,8 +9,8 @@
 )
 
 var (
-	simRuns = flag.Int("attempts.worlds", 200, "number of randomised worlds")
-	simSeed = flag.Uint64("attempts.seed", 1, "seed of the first world")
+	simRuns = flag.Int("attempts.worlds", 200, "number of randomised simulations")
+	simSeed = flag.Uint64("attempts.seed", 1, "seed of the first simulation")
 )
 
 const (
@@ -34,10 +34,10 @@
 			outcomes[o] += n
 		}
 	}
-	t.Logf("%d worlds from seed %d: %d runs; told done %d, not run %d, unknown %d",
+	t.Logf("%d simulations from seed %d: %d runs; outcomes: done %d, not run %d, unknown %d",
 		*simRuns, *simSeed, executions, outcomes[Done], outcomes[NotRun], outcomes[Unknown])
 	if outcomes[Done] == 0 || outcomes[NotRun] == 0 || outcomes[Unknown] == 0 {
-		t.Fatal("the worlds did not reach all outcomes")
+		t.Fatal("the simulations did not reach all outcomes")
 	}
 }
 
@@ -223,7 +223,7 @@
 	case next == nil:
 		// From now on a later delivery may run, before this one is answered.
 		if d.sim.executed[d.key] != nil {
-			d.sim.fail(d, "released a claim that ran")
+			d.sim.fail(d, "released the claim of a key that ran")
 		}
 		delete(d.sim.claims, d.key)
 	default:
@@ -333,7 +333,7 @@
 		d.sim.fail(d, "ran a second time")
 	}
 	if d.answeredNotRun {
-		d.sim.fail(d, "ran after not run was told")
+		d.sim.fail(d, "ran after NotRun was returned")
 	}
 	d.sim.executed[d.key] = d
 }
@@ -345,12 +345,12 @@
 	switch f.Outcome {
 	case Done:
 		if executed == nil || string(f.Answer) != "answer to "+d.key {
-			d.sim.fail(d, "told done")
+			d.sim.fail(d, "returned Done without a run or with a wrong answer")
 		}
 	case NotRun:
 		d.answeredNotRun = true
 		if executed != nil && executed.number <= d.number {
-			d.sim.fail(d, "told not run although it ran")
+			d.sim.fail(d, "returned NotRun although the key ran")
 		}
 	}
 }
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -117,7 +117,7 @@
 
 func (e *endpoint) release() {
 	if e.inflight.Add(-1) < 0 {
-		panic("routing: a ticket was handed back twice")
+		panic("routing: ticket passed to Done twice")
 	}
 }
 
