--- a/agent/agent.go
+++ b/agent/agent.go
@@ -185,7 +185,7 @@
 	if a.draining.Swap(true) {
 		return
 	}
-	a.log.Info("draining: no new work")
+	a.log.Info("draining: refusing new work")
 	a.quickExecutor.gate.postEvent(admission.Drain{})
 	a.gangRunner.postEvent(gang.Drain{})
 	a.reporter.setDraining()
--- a/agent/execute_reply.go
+++ b/agent/execute_reply.go
@@ -26,7 +26,7 @@
 func decodeReply(data []byte) *wire.ExecuteReply {
 	var r wire.ExecuteReply
 	if err := cbor.Unmarshal(data, &r); err != nil {
-		panic(eris.Wrap(err, "agent: an answer of our own making can't be read"))
+		panic(eris.Wrap(err, "agent: decode recorded reply"))
 	}
 	return &r
 }
--- a/agent/gang_task.go
+++ b/agent/gang_task.go
@@ -35,7 +35,7 @@
 // handleStartFailure stops a task whose start failed or has an unknown outcome, so that it
 // does not run unnoticed. The target then also refuses a start that arrives late.
 func (g *gangRunner) handleStartFailure(id gang.ID, err error) error {
-	g.log.WithError(err).WithField("job", id.Job).Warn("target did not start the task")
+	g.log.WithError(err).WithField("job", id.Job).Warn("failed to start task at the target")
 	ctx, cancel := context.WithTimeout(g.tomb.Context(context.Background()), maxTaskLease)
 	defer cancel()
 	if _, stopErr := g.targetClient.StopTask(ctx, toTargetID(id), false); stopErr != nil {
@@ -116,7 +116,7 @@
 	ctx, cancel := context.WithTimeout(g.tomb.Context(context.Background()), maxTaskLease)
 	defer cancel()
 	if _, err := g.targetClient.StopTask(ctx, toTargetID(action.ID), action.Checkpoint); err != nil {
-		g.log.WithError(err).WithField("job", action.ID.Job).Warn("target did not stop the task")
+		g.log.WithError(err).WithField("job", action.ID.Job).Warn("failed to stop task at the target")
 	}
 	return nil
 }
--- a/agent/message_handlers.go
+++ b/agent/message_handlers.go
@@ -58,7 +58,7 @@
 func encodeGangReply(r gang.Reply) *wire.GangReply {
 	data, err := cbor.Marshal(r)
 	if err != nil {
-		panic("agent: a gang reply can't be encoded: " + err.Error())
+		panic("agent: encode gang reply: " + err.Error())
 	}
 	return &wire.GangReply{Payload: data}
 }
--- a/agent/rack_helpers_test.go
+++ b/agent/rack_helpers_test.go
@@ -198,7 +198,7 @@
 func TestAgentProcess(t *testing.T) {
 	text := os.Getenv(agentProcessEnv)
 	if text == "" {
-		t.Skip("is started by other tests")
+		t.Skip("runs only as a subprocess of other tests")
 	}
 	c := qt.New(t)
 	var cfg settings.Agent
@@ -230,7 +230,7 @@
 			return
 		}
 	}
-	c.Fatalf("never happened: %s", description)
+	c.Fatalf("timed out waiting until %s", description)
 }
 
 // waitOnAllEntries waits until the condition holds for the agents seen by each entry. If
@@ -242,7 +242,7 @@
 		for i := range r.entries {
 			agents := r.agentsSeenBy(i)
 			if invariant != nil {
-				r.Assert(invariant(agents), qt.Equals, "", qt.Commentf("before: %s", description))
+				r.Assert(invariant(agents), qt.Equals, "", qt.Commentf("while waiting until %s", description))
 			}
 			allReached = allReached && condition(agents)
 		}
--- a/agent/relay_test.go
+++ b/agent/relay_test.go
@@ -34,9 +34,9 @@
 	ids := agentIDs(5)
 	process := r.startAgentProcess(ids[0], 8)
 	r.startAgents(ids[1:]...)
-	r.waitOnAllEntries("all report by the relay", reportVia(ids[0], ids[1:]), nil)
+	r.waitOnAllEntries("all members report through the relay", reportVia(ids[0], ids[1:]), nil)
 	c.Assert(process.Signal(signal), qt.IsNil)
-	r.waitOnAllEntries("all report themselves", reportVia("", ids[1:]), notAlive(ids[1:]))
+	r.waitOnAllEntries("all members report directly", reportVia("", ids[1:]), notAlive(ids[1:]))
 }
 
 // When a relay drains, its members must switch to the next relay that entries name.
@@ -46,12 +46,12 @@
 	r := newTestRack(c, 1)
 	ids := agentIDs(5)
 	r.startAgents(ids...)
-	r.waitOnAllEntries("all report by the relay", reportVia(ids[0], ids[1:]), nil)
+	r.waitOnAllEntries("all members report through the relay", reportVia(ids[0], ids[1:]), nil)
 	r.agents[ids[0]].Drain()
-	r.waitOnAllEntries("the relay is not offered", func(agents map[string]api.Member) bool {
+	r.waitOnAllEntries("the relay is seen draining", func(agents map[string]api.Member) bool {
 		return agents[ids[0]].State == "draining"
 	}, notAlive(ids[1:]))
-	r.waitOnAllEntries("all report by another one", func(agents map[string]api.Member) bool {
+	r.waitOnAllEntries("all members report through another relay", func(agents map[string]api.Member) bool {
 		reportsVia := map[string]int{}
 		for _, id := range ids[1:] {
 			reportsVia[agents[id].Relay]++
@@ -68,10 +68,10 @@
 	r := newTestRack(c, 2)
 	ids := agentIDs(5)
 	r.startAgents(ids...)
-	r.waitOnAllEntries("all report by the relay", reportVia(ids[0], ids[1:]), nil)
+	r.waitOnAllEntries("all members report through the relay", reportVia(ids[0], ids[1:]), nil)
 	r.entries[1].Close()
 	r.startEntry(1)
-	r.waitOnAllEntries("all report by the relay again", reportVia(ids[0], ids[1:]), nil)
+	r.waitOnAllEntries("all members report through the relay again", reportVia(ids[0], ids[1:]), nil)
 }
 
 // Entries send a new document only to relays, which must pass it to their members.
@@ -91,9 +91,9 @@
 			return reportVia(ids[0], ids[1:])(agents)
 		}
 	}
-	r.waitOnAllEntries("the first generation", allAtGeneration(1), nil)
+	r.waitOnAllEntries("all agents have the first generation", allAtGeneration(1), nil)
 	r.putDocument(1)
-	r.waitOnAllEntries("the second generation", allAtGeneration(2), nil)
+	r.waitOnAllEntries("all agents have the second generation", allAtGeneration(2), nil)
 }
 
 // A gang must not depend on the relay: if its members' reports went through it, they would
@@ -105,7 +105,7 @@
 	ids := agentIDs(5)
 	process := r.startAgentProcess(ids[0], 0) // has no accelerators, so it is not part of the gang
 	r.startAgents(ids[1:]...)
-	r.waitOnAllEntries("all report by the relay", reportVia(ids[0], ids[1:]), nil)
+	r.waitOnAllEntries("all members report through the relay", reportVia(ids[0], ids[1:]), nil)
 	client := api.NewClient("http://"+r.entries[0].HTTPAddr(), nil)
 	ctx := context.Background()
 	waitUntil(c, "the entry is ready", func() bool { return client.Ready(ctx) == nil })
@@ -138,7 +138,7 @@
 	r.startAgents(ids[1:]...)
 	relay.waitForReports(ids[1:], 3)
 	r.agents[ids[1]].Drain()
-	r.waitOnAllEntries("the member is seen to drain", func(agents map[string]api.Member) bool {
+	r.waitOnAllEntries("the member is seen draining", func(agents map[string]api.Member) bool {
 		return agents[ids[1]].State == "draining"
 	}, nil)
 }
@@ -177,7 +177,7 @@
 // document generation.
 func (r *testRack) waitForGeneration(i int, ids []string, generation uint64) {
 	r.Helper()
-	waitUntil(r.C, r.entryConfigs[i].ID+" hears the agents", func() bool {
+	waitUntil(r.C, r.entryConfigs[i].ID+" sees the agents with the new generation", func() bool {
 		updated := 0
 		agents := r.agentsSeenBy(i)
 		for _, id := range ids {
--- a/agent/report_to_relay.go
+++ b/agent/report_to_relay.go
@@ -80,5 +80,5 @@
 	if current.ID == "" {
 		log = r.agent.log.WithField("left", previous.ID)
 	}
-	log.Info("way of reports changed")
+	log.Info("report route changed")
 }
--- a/agent/task_recovery.go
+++ b/agent/task_recovery.go
@@ -46,7 +46,7 @@
 		}
 	}
 	if len(tasks) > 0 {
-		g.log.WithFields(logrus.Fields{"running": running, "ended": len(tasks) - running}).Info("adopted the target's tasks")
+		g.log.WithFields(logrus.Fields{"running": running, "ended": len(tasks) - running}).Info("recovered tasks from the target")
 	}
 	if !g.call(context.Background(), func() { g.handleEvent(gang.TasksRecovered{Tasks: tasks}) }) {
 		return // the agent is stopping
--- a/target/client_test.go
+++ b/target/client_test.go
@@ -58,7 +58,7 @@
 			w.Header().Set("Content-Length", "100")
 			_, _ = io.WriteString(w, "half")
 		}, ErrOutcomeUnknown},
-		"end of the body can't be told from a cut": {func(w http.ResponseWriter, _ *http.Request) {
+		"body of unknown length": {func(w http.ResponseWriter, _ *http.Request) {
 			conn, _, _ := http.NewResponseController(w).Hijack()
 			_, _ = io.WriteString(conn, "HTTP/1.0 200 OK\r\n\r\nperhaps half")
 			conn.Close()
--- a/target/standin/quick_requests.go
+++ b/target/standin/quick_requests.go
@@ -124,7 +124,7 @@
 	}
 	data, err := json.Marshal(echo)
 	if err != nil {
-		panic("standin: echo can't be encoded: " + err.Error())
+		panic("standin: encode echo: " + err.Error())
 	}
 	status := http.StatusOK
 	if f.FailQuick {
--- a/target/standin/standin_test.go
+++ b/target/standin/standin_test.go
@@ -85,20 +85,20 @@
 		first.Epoch = 7
 		_, _ = serveRequest(s, "PUT", "/tasks/j/1", first)
 		_, code := serveRequest(s, "PUT", "/tasks/j/1", first)
-		c.Check(code, qt.Equals, 200, qt.Commentf("the same start again"))
+		c.Check(code, qt.Equals, 200, qt.Commentf("repeated start"))
 		_, code = serveRequest(s, "PUT", "/tasks/j/1", newTaskSpec(1, 5000, 1))
-		c.Check(code, qt.Equals, 409, qt.Commentf("another task under the id"))
+		c.Check(code, qt.Equals, 409, qt.Commentf("different task under the same ID"))
 		_, code = serveRequest(s, "PUT", "/tasks/k/1", newTaskSpec(1000, 5000, 0))
-		c.Check(code, qt.Equals, 409, qt.Commentf("taken accelerator"))
+		c.Check(code, qt.Equals, 409, qt.Commentf("accelerator in use"))
 		_, code = serveRequest(s, "PUT", "/tasks/j/2", newTaskSpec(1000, 5000, 5))
 		c.Check(code, qt.Equals, 409, qt.Commentf("older epoch"))
 		_, _ = serveRequest(s, "GET", "/tasks?incarnation=4", nil)
 		oldIncarnation, currentIncarnation := newTaskSpec(1000, 5000, 6), newTaskSpec(1000, 5000, 6)
 		oldIncarnation.Incarnation, currentIncarnation.Incarnation = 3, 4
 		_, code = serveRequest(s, "PUT", "/tasks/l/1", oldIncarnation)
-		c.Check(code, qt.Equals, 409, qt.Commentf("sent by an earlier life of the agent"))
+		c.Check(code, qt.Equals, 409, qt.Commentf("earlier incarnation of the agent"))
 		_, code = serveRequest(s, "PUT", "/tasks/m/1", currentIncarnation)
-		c.Check(code, qt.Equals, 200, qt.Commentf("sent by the agent as it is"))
+		c.Check(code, qt.Equals, 200, qt.Commentf("current incarnation of the agent"))
 		a := s.Audit()
 		c.Check(len(a.Tasks), qt.Equals, 2)
 		c.Check(a.Violations[0].Kind, qt.Equals, ViolationTaskIDReused)
@@ -157,12 +157,12 @@
 		runs       int
 		cancelCall bool
 	}{
-		"none":           {Faults{}, nil, 200, 1, false},
-		"fails all":      {Faults{FailQuick: true}, nil, 500, 1, false},
-		"rejects":        {Faults{Reject: true}, target.ErrRefused, 0, 0, false},
-		"cuts the body":  {Faults{CutBody: true}, target.ErrOutcomeUnknown, 0, 1, false},
-		"silent":         {Faults{Hang: true}, target.ErrOutcomeUnknown, 0, 0, true},
-		"silent at last": {Faults{HangAfterRun: true}, target.ErrOutcomeUnknown, 0, 1, true},
+		"none":            {Faults{}, nil, 200, 1, false},
+		"fails all":       {Faults{FailQuick: true}, nil, 500, 1, false},
+		"rejects":         {Faults{Reject: true}, target.ErrRefused, 0, 0, false},
+		"cuts the body":   {Faults{CutBody: true}, target.ErrOutcomeUnknown, 0, 1, false},
+		"hangs":           {Faults{Hang: true}, target.ErrOutcomeUnknown, 0, 0, true},
+		"hangs after run": {Faults{HangAfterRun: true}, target.ErrOutcomeUnknown, 0, 1, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
--- a/target/standin/task_status.go
+++ b/target/standin/task_status.go
@@ -64,7 +64,7 @@
 	data, err := json.Marshal(TaskResult{TaskID: t.id, Tag: t.payload.Tag,
 		Member: t.spec.Member, Members: t.spec.Members, ProgressMS: t.finalProgressMS})
 	if err != nil {
-		panic("standin: result can't be encoded: " + err.Error())
+		panic("standin: encode task result: " + err.Error())
 	}
 	return data
 }
--- a/target/standin/usage_http.go
+++ b/target/standin/usage_http.go
@@ -69,7 +69,7 @@
 func writeJSON(w http.ResponseWriter, v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
-		panic("standin: answer can't be encoded: " + err.Error())
+		panic("standin: encode response: " + err.Error())
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
--- a/target/tracked_conn.go
+++ b/target/tracked_conn.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-var errConnClosed = errors.New("target: connection is sealed")
+var errConnClosed = errors.New("target: connection is closed")
 
 // trackedConn counts the writes on a connection, since net/http's error does not tell
 // whether a request was sent before a reused connection broke.
