--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -106,7 +106,7 @@
 		arrive(account)
 	}
 	ratio := used["a"].Seconds() / used["b"].Seconds()
-	c.Assert(ratio > 2.9 && ratio < 3.1, qt.IsTrue, qt.Commentf("%f", ratio))
+	c.Assert(ratio > 2.9 && ratio < 3.1, qt.IsTrue, qt.Commentf("ratio of slot times %f", ratio))
 }
 
 // Guards against refusing a request because of its expected service time while a slot
--- a/admission/random_events_test.go
+++ b/admission/random_events_test.go
@@ -155,5 +155,5 @@
 		return
 	}
 	a, b := rr.slotTimeByAccount["a"]/time.Duration(rr.weights["a"]), rr.slotTimeByAccount["b"]/time.Duration(rr.weights["b"])
-	rr.c.Assert((a-b).Abs() <= 2*4*maxServiceTime, qt.IsTrue, qt.Commentf("%v and %v", a, b))
+	rr.c.Assert((a-b).Abs() <= 2*4*maxServiceTime, qt.IsTrue, qt.Commentf("slot times by weight: %v and %v", a, b))
 }
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -173,7 +173,7 @@
 	if active.Version.Service != a.cfg.Service {
 		return
 	}
-	a.log.WithField("generation", active.Version.Generation).Info("document in force")
+	a.log.WithField("generation", active.Version.Generation).Info("active document changed")
 	a.quickExecutor.gate.postEvent(admissionPolicy(active.Document))
 	a.gangRunner.setIsolationTimeout(active.Document.Gang.IsolationTimeout.Duration)
 	a.reporter.updateGenerations()
--- a/agent/first_report_test.go
+++ b/agent/first_report_test.go
@@ -88,6 +88,6 @@
 	case first := <-reports:
 		c.Assert(first.Tasks, qt.HasLen, 1)
 	case <-time.After(20 * time.Second):
-		c.Fatal("no report")
+		c.Fatal("the agent sent no report")
 	}
 }
--- a/attempts/outcome.go
+++ b/attempts/outcome.go
@@ -43,7 +43,7 @@
 )
 
 var reasonNames = [...]string{
-	"none", "refused", "store unavailable", "deadline", "key reused", "forgotten",
+	"none", "refused", "store unavailable", "deadline", "key reused", "outcome lost",
 }
 
 // String returns the reason in lower case.
--- a/entry/agents_test.go
+++ b/entry/agents_test.go
@@ -46,6 +46,6 @@
 	case err := <-result:
 		c.Assert(errors.Is(err, wire.ErrNotHandled), qt.IsTrue, qt.Commentf("%v", err))
 	case <-time.After(testTimeout):
-		c.Fatal("still waits for the handshake")
+		c.Fatal("the call still waits for the handshake with the dead agent")
 	}
 }
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -15,7 +15,7 @@
 // applyDocument applies a new generation to routing, elections and planner, and sends it
 // to the agents of the service. It must not block.
 func (e *Entry) applyDocument(_, active *document.ActiveVersion) {
-	e.log.WithField("service", active.Version.Service).WithField("generation", active.Version.Generation).Info("document in force")
+	e.log.WithField("service", active.Version.Service).WithField("generation", active.Version.Generation).Info("active document changed")
 	e.metrics.Add(metrics.DocumentsApplied, 1)
 	e.dispatcher(active.Version.Service).applyDocument(active.Document)
 	e.elections.setDocument(active)
--- a/routing/refusal.go
+++ b/routing/refusal.go
@@ -15,7 +15,7 @@
 	DeadlineExceeded               // the deadline has passed
 )
 
-var refusalReasonNames = [...]string{"accepted", "no targets", "all saturated", "over share", "too late"}
+var refusalReasonNames = [...]string{"accepted", "no targets", "all saturated", "account over share", "deadline exceeded"}
 
 // String returns the reason in lower case.
 func (r RefusalReason) String() string { return refusalReasonNames[r] }
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -136,7 +136,7 @@
 			retries++
 		}
 	}
-	qt.Assert(t, retries <= routing.DefaultRetryBurst+100, qt.IsTrue, qt.Commentf("%d", retries))
+	qt.Assert(t, retries <= routing.DefaultRetryBurst+100, qt.IsTrue, qt.Commentf("%d retries", retries))
 }
 
 // Guards against failed requests in a planned stop when the retry budget is used up:
@@ -170,7 +170,7 @@
 			return routing.Failed
 		})
 	}
-	c.Assert(failures < 40, qt.IsTrue, qt.Commentf("%d of 20000", failures))
+	c.Assert(failures < 40, qt.IsTrue, qt.Commentf("%d of 20000 attempts failed", failures))
 }
 
 // Guards against ejections caused by requests that fail at every target or have
