--- a/agent/agent.go
+++ b/agent/agent.go
@@ -173,7 +173,7 @@
 	if active.Version.Service != a.cfg.Service {
 		return
 	}
-	a.log.WithField("generation", active.Version.Generation).Info("document in force")
+	a.log.WithField("generation", active.Version.Generation).Info("active document changed")
 	a.quickExecutor.gate.postEvent(admissionPolicy(active.Document))
 	a.gangRunner.setIsolationTimeout(active.Document.Gang.IsolationTimeout.Duration)
 	a.reporter.updateGenerations()
@@ -185,7 +185,7 @@
 	if a.draining.Swap(true) {
 		return
 	}
-	a.log.Info("draining: no new work")
+	a.log.Info("draining: refusing new work")
 	a.quickExecutor.gate.postEvent(admission.Drain{})
 	a.gangRunner.postEvent(gang.Drain{})
 	a.reporter.setDraining()
