--- a/lease/candidate.go
+++ b/lease/candidate.go
@@ -197,9 +197,9 @@
 	if c.opts.Log != nil {
 		log := c.opts.Log.WithField("duty", c.opts.Election).WithField("epoch", held.Epoch)
 		if ok {
-			log.Info("duty gained")
+			log.Info("leadership gained")
 		} else {
-			log.Info("duty lost")
+			log.Info("leadership lost")
 		}
 	}
 	if c.opts.OnChange != nil {
--- a/lease/candidate_actions.go
+++ b/lease/candidate_actions.go
@@ -37,7 +37,7 @@
 	case BackOff:
 		return c.wait(c.backOff.NextBackOff(), false)
 	}
-	panic("lease: unknown action")
+	panic("lease: unknown action type")
 }
 
 // awaitVacant waits until the election is vacant. With ClaimDelay it lets other
--- a/lease/candidate_test.go
+++ b/lease/candidate_test.go
@@ -90,7 +90,7 @@
 	_, ok = second.Current()
 	c.Assert(ok, qt.IsTrue)
 	used := env.srv.Counters().Total() - waiting.Total()
-	c.Assert(used <= 7, qt.IsTrue, qt.Commentf("%d calls for a change of holder", used))
+	c.Assert(used <= 7, qt.IsTrue, qt.Commentf("%d calls for a change of leader", used))
 }
 
 // A candidate whose replies are lost must recognize its own writes instead of waiting
--- a/lease/clock.go
+++ b/lease/clock.go
@@ -13,7 +13,7 @@
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		// clock_gettime fails only for an unknown clock or a bad address.
-		panic("lease: clock of time since boot: " + err.Error())
+		panic("lease: read CLOCK_BOOTTIME: " + err.Error())
 	}
 	return time.Duration(ts.Nano())
 }
--- a/lease/elector_test.go
+++ b/lease/elector_test.go
@@ -32,7 +32,7 @@
 		}
 		leaderships += s.leaderships
 	}
-	t.Logf("%d runs, %d holdings", *runCount, leaderships)
+	t.Logf("%d runs, %d leaderships", *runCount, leaderships)
 	qt.Assert(t, leaderships > 5**runCount, qt.IsTrue)
 }
 
@@ -79,7 +79,7 @@
 	candidate.step(m.now, m.apply(candidate.action, candidate.sent))
 	held, ok := candidate.Leadership()
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(held.ValidUntil < expiresAt, qt.IsTrue, qt.Commentf("until %v, lapses %v", held.ValidUntil, expiresAt))
+	c.Assert(held.ValidUntil < expiresAt, qt.IsTrue, qt.Commentf("valid until %v, expires at %v", held.ValidUntil, expiresAt))
 }
 
 func TestFenceRefusesLowerEpoch(t *testing.T) {
--- a/lease/handover_test.go
+++ b/lease/handover_test.go
@@ -32,7 +32,7 @@
 		c.Assert(ok, qt.IsTrue)
 	case held = <-gained:
 	case <-delayed:
-		c.Fatal("the hesitating candidate came first")
+		c.Fatal("the candidate with a claim delay became leader first")
 	}
 	c.Assert(held.Epoch, qt.Equals, uint64(6))
 }
@@ -45,7 +45,7 @@
 	first, gained := env.startCandidate(t, 3*time.Second)
 	c.Assert((<-gained).Epoch, qt.Equals, uint64(1))
 	second, gainedBySecond := env.startCandidate(t, 10*time.Minute)
-	c.Assert(first.ForceTakeover(), qt.IsFalse, qt.Commentf("a holder has nobody to depose"))
+	c.Assert(first.ForceTakeover(), qt.IsFalse, qt.Commentf("the leader itself waits for no vacancy"))
 	for !second.ForceTakeover() {
 		time.Sleep(time.Millisecond) // it does not wait for a vacancy yet
 	}
--- a/lease/record.go
+++ b/lease/record.go
@@ -35,7 +35,7 @@
 func (r record) encode() []byte {
 	b, err := json.Marshal(r)
 	if err != nil {
-		panic("lease: record of plain fields not encodable: " + err.Error())
+		panic("lease: encode record: " + err.Error())
 	}
 	return b
 }
--- a/lease/session_lease.go
+++ b/lease/session_lease.go
@@ -16,12 +16,12 @@
 
 var (
 	// errExpired: no renewal was verified in time.
-	errExpired = eris.New("lease may have lapsed")
+	errExpired = eris.New("lease may have expired: no renewal verified in time")
 	// errKeyReplaced: the Session's key does not have a value that the Session wrote.
-	errKeyReplaced = eris.New("session's key lost or replaced")
+	errKeyReplaced = eris.New("session key missing or replaced in the store")
 	// errClaimUnresolved: a resigned Candidate's claim may still take effect, which
 	// only the end of the lease can prevent.
-	errClaimUnresolved = eris.New("claim of unknown outcome given up for good")
+	errClaimUnresolved = eris.New("lease given up: outcome of a resigned candidate's claim unknown")
 )
 
 // sessionLease keeps one lease of a Session until it is lost.
--- a/lease/session_simulation_test.go
+++ b/lease/session_simulation_test.go
@@ -111,6 +111,6 @@
 		}
 		leaderships += s.leaderships
 	}
-	t.Logf("%d runs, %d holdings", *runCount, leaderships)
+	t.Logf("%d runs, %d leaderships", *runCount, leaderships)
 	qt.Assert(t, leaderships > 5**runCount, qt.IsTrue)
 }
--- a/lease/session_test.go
+++ b/lease/session_test.go
@@ -94,7 +94,7 @@
 	for _, g := range p.gained {
 		<-g
 	}
-	c.Logf("to gain 50 duties: %+v", env.srv.Counters())
+	c.Logf("calls to win 50 elections: %+v", env.srv.Counters())
 	before := env.srv.Counters()
 	for env.srv.Counters().KeepAlive < before.KeepAlive+6 {
 		time.Sleep(time.Millisecond)
--- a/lease/simulation_test.go
+++ b/lease/simulation_test.go
@@ -137,10 +137,10 @@
 			continue
 		}
 		if !s.adversarial {
-			return fmt.Sprintf("two valid holders, epochs %d and %d", held.Epoch, otherHeld.Epoch)
+			return fmt.Sprintf("two valid leaders, epochs %d and %d", held.Epoch, otherHeld.Epoch)
 		}
 		if s.ownsHolderKey(c) && otherHeld.Epoch >= held.Epoch {
-			return fmt.Sprintf("owner of the key has epoch %d, another %d", held.Epoch, otherHeld.Epoch)
+			return fmt.Sprintf("owner of the holder key has epoch %d, another candidate %d", held.Epoch, otherHeld.Epoch)
 		}
 	}
 	if !s.adversarial && held.Epoch < s.lastLeadership.Epoch || held.Epoch == s.lastLeadership.Epoch && c != s.lastLeader {
@@ -175,5 +175,5 @@
 		}
 		s.store.now += ttl / 50
 	}
-	return "nobody holds the duty in the end"
+	return "no leader after running without faults"
 }
--- a/lease/slow_store_test.go
+++ b/lease/slow_store_test.go
@@ -27,7 +27,7 @@
 			heldFrom = now
 		}
 		if heldFrom != 0 {
-			c.Assert(ok && now < held.ValidUntil, qt.IsTrue, qt.Commentf("lost at %v, held from %v", now, heldFrom))
+			c.Assert(ok && now < held.ValidUntil, qt.IsTrue, qt.Commentf("leadership lost at %v, gained at %v", now, heldFrom))
 		}
 		sent := now
 		if sleep, ok := act.(lease.Sleep); ok {
@@ -38,7 +38,7 @@
 		now += latency
 		act = e.Step(now, successfulReply(act, sent))
 	}
-	c.Check(heldFrom > 0 && heldFrom < 4*time.Second, qt.IsTrue, qt.Commentf("held from %v", heldFrom))
+	c.Check(heldFrom > 0 && heldFrom < 4*time.Second, qt.IsTrue, qt.Commentf("leadership gained at %v", heldFrom))
 }
 
 // successfulReply returns the event of an action that was sent at sent and succeeded.
--- a/membership/random_relays_test.go
+++ b/membership/random_relays_test.go
@@ -301,22 +301,22 @@
 	r := e.table.records[a.id]
 	if r != nil && r.incarnation == a.incarnation {
 		excess := r.lastContact.Sub(a.lastRan) - 2*maxOneWayDelay - pauseThreshold
-		s.c.Assert(excess <= 0, qt.IsTrue, qt.Commentf("%s counts as heard by %s %v after it last ran", a.id, e.addr, excess))
+		s.c.Assert(excess <= 0, qt.IsTrue, qt.Commentf("last contact of %s with %s is %v later than possible since it last ran", a.id, e.addr, excess))
 	}
 	if !a.up || a.frozenUntil.After(s.now) {
 		return
 	}
 	healthySince := laterOf(laterOf(a.runningSince, e.runningSince), laterOf(s.lossyUntil, s.cutUntil[min(a.id, e.addr)+max(a.id, e.addr)]))
 	if s.now.Sub(healthySince) > maxContactAge {
-		s.c.Assert(r != nil && s.now.Sub(r.lastContact) <= maxContactAge, qt.IsTrue, qt.Commentf("%s was not heard by %s", a.id, e.addr))
+		s.c.Assert(r != nil && s.now.Sub(r.lastContact) <= maxContactAge, qt.IsTrue, qt.Commentf("no contact of %s with %s", a.id, e.addr))
 	}
 	if !a.drainingSince.IsZero() && s.now.Sub(laterOf(healthySince, a.drainingSince)) > maxDrainingSchedulable {
 		schedulable := slices.Contains(schedulableIDs(e.table), a.id)
-		s.c.Assert(schedulable, qt.IsFalse, qt.Commentf("%s drains since %v and is offered by %s", a.id, s.now.Sub(a.drainingSince), e.addr))
+		s.c.Assert(schedulable, qt.IsFalse, qt.Commentf("%s drains since %v and is schedulable at %s", a.id, s.now.Sub(a.drainingSince), e.addr))
 	}
 	if i == s.planner && !a.inGangSince.IsZero() && s.now.Sub(laterOf(laterOf(healthySince, a.inGangSince), s.planningSince)) > maxGangContactAge {
 		sinceDirect := s.now.Sub(e.lastDirectReport[a.id])
-		s.c.Assert(sinceDirect <= maxGangContactAge, qt.IsTrue, qt.Commentf("%s has a gang, and its planner did not hear it itself for %v", a.id, sinceDirect))
+		s.c.Assert(sinceDirect <= maxGangContactAge, qt.IsTrue, qt.Commentf("%s has a gang, and its planner received no direct report for %v", a.id, sinceDirect))
 	}
 }
 
--- a/membership/random_reports_test.go
+++ b/membership/random_reports_test.go
@@ -215,14 +215,14 @@
 	for _, m := range view.Schedulable {
 		r := m.Report
 		s.c.Assert(r.Draining, qt.IsFalse)
-		s.c.Assert(s.drained[i][r.ID] < r.Incarnation, qt.IsTrue, qt.Commentf("%s is offered after it drained", r.ID))
+		s.c.Assert(s.drained[i][r.ID] < r.Incarnation, qt.IsTrue, qt.Commentf("%s is schedulable after it drained", r.ID))
 	}
 	for _, m := range view.Members {
 		r := m.Report
 		last := s.lastShown[i][r.ID]
 		wentBack := r.Incarnation < last.incarnation || (r.Incarnation == last.incarnation && r.Sequence < last.sequence)
 		s.c.Assert(wentBack, qt.IsFalse, qt.Commentf("%s went back from %v to %d/%d", r.ID, last, r.Incarnation, r.Sequence))
-		s.c.Assert(s.left[i][r.ID] < r.Incarnation, qt.IsTrue, qt.Commentf("%s is back after its goodbye", r.ID))
+		s.c.Assert(s.left[i][r.ID] < r.Incarnation, qt.IsTrue, qt.Commentf("%s is back after its departure notice", r.ID))
 		current := reportVersion{r.ID, r.Incarnation, r.Sequence}
 		s.lastShown[i][r.ID] = current
 		s.c.Assert(diff(s.sentStates[current], r)&^wire.ChangedDraining, qt.Equals, wire.FieldGroups(0),
--- a/membership/report_router_test.go
+++ b/membership/report_router_test.go
@@ -26,5 +26,5 @@
 	state := fullReport("a", 1, 0)
 	state.Tasks = []gang.Task{{ID: gang.ID{Job: "j"}, Members: 2, State: gang.StateRunning}}
 	a.SetState(startTime, state)
-	c.Assert(a.Due(startTime, "x").After(startTime), qt.IsFalse, qt.Commentf("the planner hears of the gang at once"))
+	c.Assert(a.Due(startTime, "x").After(startTime), qt.IsFalse, qt.Commentf("the report of the gang is due at once"))
 }
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -56,12 +56,12 @@
 		{"a report of an older sequence", 0, directReports(fullReport("a", 2, 1)), []string{}},
 		{"a restart", 0, directReports(fullReport("a", 3, 1)), []string{"Lost", "Joined"}},
 		{"the delta of a restarted agent", 0, directReports(wire.AgentReport{ID: "a", Incarnation: 3, Sequence: 2, BaseSequence: 1}), []string{"Lost", "NeedFull"}},
-		{"a goodbye", 0, directReports(wire.AgentReport{ID: "a", Incarnation: 2, Departed: true}), []string{"Left"}},
+		{"a departure notice", 0, directReports(wire.AgentReport{ID: "a", Incarnation: 2, Departed: true}), []string{"Left"}},
 		{"draining learned from an answer", 0, Draining{ID: "a", Incarnation: 2}, []string{"Changed"}},
-		{"draining of an incarnation that is gone", 0, Draining{ID: "a", Incarnation: 1}, []string{}},
-		{"silence for a while", 26 * time.Second, Tick{}, []string{"Suspected"}},
-		{"silence for long", 61 * time.Second, Tick{}, []string{"Lost"}},
-		{"a relay that was under way for too long", 0, Reports{Batch: []wire.AgentReport{late}, Relayed: true}, []string{}},
+		{"draining of an older incarnation", 0, Draining{ID: "a", Incarnation: 1}, []string{}},
+		{"no contact for SuspectAfter", 26 * time.Second, Tick{}, []string{"Suspected"}},
+		{"no contact for LostAfter", 61 * time.Second, Tick{}, []string{"Lost"}},
+		{"a relayed report that is too old", 0, Reports{Batch: []wire.AgentReport{late}, Relayed: true}, []string{}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -112,7 +112,7 @@
 		due[fmt.Sprintf("agent-%03d", i)] = 0
 	}
 	for ms := time.Duration(0); len(due) > 0; ms += time.Millisecond {
-		c.Assert(ms < 10*time.Second, qt.IsTrue, qt.Commentf("%d agents still outside", len(due)))
+		c.Assert(ms < 10*time.Second, qt.IsTrue, qt.Commentf("%d agents not admitted", len(due)))
 		for i := range 900 {
 			id := fmt.Sprintf("agent-%03d", i)
 			if at, ok := due[id]; !ok || at > ms {
@@ -128,7 +128,7 @@
 			due[id] = ms + ack.NextReportIn
 		}
 		admitted := float64(len(table.Snapshot().Service("dispatch").Members))
-		c.Assert(admitted <= 50+200*ms.Seconds()+1, qt.IsTrue, qt.Commentf("%v in after %v", admitted, ms))
+		c.Assert(admitted <= 50+200*ms.Seconds()+1, qt.IsTrue, qt.Commentf("%v admitted after %v", admitted, ms))
 	}
 	c.Assert(tries <= 2*900, qt.IsTrue, qt.Commentf("%d tries", tries))
 }
