--- a/store/client_test.go
+++ b/store/client_test.go
@@ -91,7 +91,7 @@
 	res, err := kv.Commit(context.Background(), swaps)
 	c.Assert(err, qt.IsNil)
 	for i, r := range res {
-		c.Assert(r.Swapped, qt.Equals, i < len(swaps)-1, qt.Commentf("%d", i))
+		c.Assert(r.Swapped, qt.Equals, i < len(swaps)-1, qt.Commentf("swap %d", i))
 	}
 	c.Assert(srv.Counters().Txn, qt.Equals, int64(5))
 	_, err = kv.Commit(context.Background(), []store.Swap{{Key: "k", Value: make([]byte, 2<<20)}})
--- a/store/fuzz_test.go
+++ b/store/fuzz_test.go
@@ -58,19 +58,19 @@
 		ctx := context.Background()
 		kv, ok, err := answers().client().Get(ctx, "a/1")
 		if ok && (err != nil || kv.Key != "a/1" || kv.Mod <= 0 || kv.Created <= 0 || kv.Created > kv.Mod) {
-			t.Fatalf("asked for a/1, got %+v, %v", kv, err)
+			t.Fatalf("Get of a/1 returned %+v, error %v", kv, err)
 		}
 		snap, err := answers().client().List(ctx, "a/")
 		for _, kv := range snap.Keys {
 			if err != nil || !strings.HasPrefix(kv.Key, "a/") || kv.Mod <= 0 {
-				t.Fatalf("asked for a/, got %+v at %d, %v", kv, snap.At, err)
+				t.Fatalf("List of a/ returned %+v at revision %d, error %v", kv, snap.At, err)
 			}
 		}
 		if err == nil && snap.At <= 0 {
-			t.Fatalf("a listing as of revision %d", snap.At)
+			t.Fatalf("List returned revision %d", snap.At)
 		}
 		if ttl, err := answers().client().Renew(ctx, 5); (err == nil) != (ttl > 0) {
-			t.Fatalf("renewed for %v, %v", ttl, err)
+			t.Fatalf("Renew returned TTL %v, error %v", ttl, err)
 		}
 	})
 }
@@ -98,15 +98,15 @@
 			return
 		}
 		if len(results) != len(swaps) {
-			t.Fatalf("%d results", len(results))
+			t.Fatalf("Commit returned %d results", len(results))
 		}
 		for i, r := range results {
 			if r.Swapped && r.Unknown || r.Current.Key != "" && r.Current.Key != swaps[i].Key {
-				t.Fatalf("swap of %s: %+v", swaps[i].Key, r)
+				t.Fatalf("invalid result for the swap of %s: %+v", swaps[i].Key, r)
 			}
 			reported := strings.Contains(strings.ToLower(b1+b2), "succeeded")
 			if r.Swapped && !reported && !bytes.Equal(r.Current.Value, swaps[i].Value) && !strings.Contains(strings.ToLower(b1+b2), "value") {
-				t.Fatalf("swap of %s counts as done without proof: %+v", swaps[i].Key, r)
+				t.Fatalf("swap of %s is reported as made without evidence: %+v", swaps[i].Key, r)
 			}
 		}
 	})
@@ -137,12 +137,12 @@
 		w := &watcher{prefix: "a/", lastRevision: last}
 		w.deliver = func(b WatchBatch) {
 			if b.At <= last {
-				t.Fatalf("%+v after %d", b, last)
+				t.Fatalf("batch %+v does not advance past revision %d", b, last)
 			}
 			previous := last
 			for _, e := range b.Events {
 				if e.Mod < previous || e.Mod <= last || e.Mod > b.At || !strings.HasPrefix(e.Key, "a/") {
-					t.Fatalf("%+v after %d", b, last)
+					t.Fatalf("invalid event in batch %+v after revision %d", b, last)
 				}
 				previous = e.Mod
 			}
@@ -150,7 +150,7 @@
 		}
 		delivered, err := w.readStream(strings.NewReader(stream), func() {})
 		if err == nil || from > 0 && delivered != (last >= Revision(from)) {
-			t.Fatalf("ended at %d, delivered to %d: %v", w.lastRevision, last, err)
+			t.Fatalf("stream ended at revision %d, delivered up to %d: %v", w.lastRevision, last, err)
 		}
 	})
 }
--- a/store/lost_call_test.go
+++ b/store/lost_call_test.go
@@ -18,7 +18,7 @@
 	"github.com/eelgrasshub/eelgrasshub/store/standin"
 )
 
-var errConnectionClosed = errors.New("connection cut")
+var errConnectionClosed = errors.New("connection closed by the test")
 
 // interferingTransport calls afterLoss after the first failed call, or withholds the
 // first request until release is called.
@@ -73,10 +73,10 @@
 		{"create, request lost", lostRequest, false, false, false, false, true, ""},
 		{"create, request lost, another creates", lostRequest, false, false, true, false, true, otherValue},
 		{"update, reply lost", lostReply, true, false, false, true, false, ownValue},
-		{"update, reply lost, another overwrites it", lostReply, true, false, true, true, false, otherValue},
+		{"update, reply lost, another overwrites", lostReply, true, false, true, true, false, otherValue},
 		{"update, request lost", lostRequest, true, false, false, true, false, ownValue},
-		{"update, request lost, another is first", lostRequest, true, false, true, false, false, otherValue},
-		{"delete, reply lost: gone, by whom is unknown", lostReply, true, true, false, false, true, ""},
+		{"update, request lost, another writes first", lostRequest, true, false, true, false, false, otherValue},
+		{"delete, reply lost", lostReply, true, true, false, false, true, ""},
 		{"delete, request lost", lostRequest, true, true, false, true, false, ""},
 		{"delete, request lost, another writes first", lostRequest, true, true, true, false, false, otherValue},
 	} {
--- a/store/watch_test.go
+++ b/store/watch_test.go
@@ -87,13 +87,13 @@
 		switch {
 		case res.Swapped:
 			swapped++
-			c.Check(writesByValue[value], qt.Equals, 1, qt.Commentf("%s reported as made", value))
+			c.Check(writesByValue[value], qt.Equals, 1, qt.Commentf("value %s is reported as written", value))
 		case res.Unknown:
 			unknown++
 			c.Check(writesByValue[value] <= 1, qt.IsTrue)
 		default:
 			conflicts++
-			c.Check(writesByValue[value], qt.Equals, 0, qt.Commentf("%s reported as not made", value))
+			c.Check(writesByValue[value], qt.Equals, 0, qt.Commentf("value %s is reported as not written", value))
 		}
 	}
 	t.Logf("seed %d: %d swapped, %d conflicts, %d unknown, calls %+v", seed, swapped, conflicts, unknown, kv.Calls())
--- a/wire/call_test.go
+++ b/wire/call_test.go
@@ -99,12 +99,12 @@
 		want    []error
 		handled int32
 	}{
-		{"a Go type that nobody registered", unregistered{}, []error{ErrNotHandled, ErrUnknownKind}, 0},
-		{"a frame beyond the receiver's limit", GangMessage{Payload: make([]byte, 200)}, []error{ErrNotHandled, ErrFrameTooLarge}, 0},
-		{"a frame beyond the sender's limit", GangMessage{Payload: make([]byte, DefaultMaxPayload)}, []error{ErrNotHandled, ErrFrameTooLarge}, 0},
-		{"a handler that proves it did nothing", GangMessage{Payload: []byte("no")}, []error{ErrNotHandled, ErrHandler}, 1},
-		{"a handler that failed in a call of its own", GangMessage{}, []error{ErrOutcomeUnknown, ErrHandler}, 2},
-		{"a reply beyond the limit", GangMessage{Payload: []byte("big")}, []error{ErrOutcomeUnknown, ErrHandler}, 3},
+		{"unregistered Go type", unregistered{}, []error{ErrNotHandled, ErrUnknownKind}, 0},
+		{"frame exceeds the receiver's limit", GangMessage{Payload: make([]byte, 200)}, []error{ErrNotHandled, ErrFrameTooLarge}, 0},
+		{"frame exceeds the sender's limit", GangMessage{Payload: make([]byte, DefaultMaxPayload)}, []error{ErrNotHandled, ErrFrameTooLarge}, 0},
+		{"handler returns NotHandled", GangMessage{Payload: []byte("no")}, []error{ErrNotHandled, ErrHandler}, 1},
+		{"handler returns the error of another call", GangMessage{}, []error{ErrOutcomeUnknown, ErrHandler}, 2},
+		{"reply exceeds the limit", GangMessage{Payload: []byte("big")}, []error{ErrOutcomeUnknown, ErrHandler}, 3},
 	} {
 		_, err := conn.Call(contextWithTimeout(c, 10*time.Second), test.msg)
 		c.Check(errors.Is(err, ErrNotHandled) != errors.Is(err, ErrOutcomeUnknown), qt.IsTrue)
@@ -144,9 +144,9 @@
 		id   Identity
 		want bool
 	}{
-		{"a process of another cluster", newTestIdentity(c, "x", otherKey), false},
-		{"it trusts us but we don't trust it", newTestIdentity(c, "x", otherKey, testKey), false},
-		{"the key is being replaced: ours, other accepted", newTestIdentity(c, "x", testKey, otherKey), true},
+		{"key of another cluster", newTestIdentity(c, "x", otherKey), false},
+		{"client accepts the server's key, but not the reverse", newTestIdentity(c, "x", otherKey, testKey), false},
+		{"same key, another one accepted during key rotation", newTestIdentity(c, "x", testKey, otherKey), true},
 	} {
 		client, err := Listen("127.0.0.1:0", test.id, HandlerFunc(echo))
 		c.Assert(err, qt.IsNil)
--- a/wire/drain_test.go
+++ b/wire/drain_test.go
@@ -85,7 +85,7 @@
 	}()
 	select {
 	case <-drained:
-		c.Error("drained before the reply had arrived")
+		c.Error("endpoint drained before the reply arrived")
 	case <-retransmitted:
 	}
 	proxy.BlockDirection(relay.FromUpstream, false)
--- a/wire/endpoint.go
+++ b/wire/endpoint.go
@@ -54,7 +54,7 @@
 	c = c.withDefaults()
 	socket, err := c.ListenPacket("udp", addr)
 	if err != nil {
-		return nil, eris.Wrap(err, "open endpoint")
+		return nil, eris.Wrap(err, "open UDP socket")
 	}
 	ep := &Endpoint{
 		cfg:           c,
--- a/wire/frame_test.go
+++ b/wire/frame_test.go
@@ -22,11 +22,11 @@
 		raw  []byte
 		want error
 	}{
-		{"whole", valid, nil},
-		{"cut in the header", valid[:3], io.ErrUnexpectedEOF},
-		{"cut in the payload", valid[:len(valid)-1], ErrMalformed},
-		{"bytes after the payload", append(bytes.Clone(valid), 0), ErrMalformed},
-		{"a size beyond the limit", oversized, ErrFrameTooLarge},
+		{"complete", valid, nil},
+		{"truncated header", valid[:3], io.ErrUnexpectedEOF},
+		{"truncated payload", valid[:len(valid)-1], ErrMalformed},
+		{"trailing bytes", append(bytes.Clone(valid), 0), ErrMalformed},
+		{"size exceeds the limit", oversized, ErrFrameTooLarge},
 	} {
 		_, err := readFrame(bytes.NewReader(test.raw), 100)
 		c.Check(errors.Is(err, test.want), qt.IsTrue, qt.Commentf("%s: %v", test.name, err))
@@ -43,7 +43,7 @@
 			readFrame(bytes.NewReader(truncated), DefaultMaxPayload)
 		}
 	})
-	c.Assert(result.AllocedBytesPerOp() < 3*initialReadBytes, qt.IsTrue, qt.Commentf("%d bytes", result.AllocedBytesPerOp()))
+	c.Assert(result.AllocedBytesPerOp() < 3*initialReadBytes, qt.IsTrue, qt.Commentf("%d bytes allocated", result.AllocedBytesPerOp()))
 }
 
 // A receiver must ignore fields added by a newer version.
@@ -79,7 +79,7 @@
 			return
 		}
 		if _, err := encodeFrame(msg, 1<<20); err != nil {
-			t.Fatalf("%T does not encode: %v", msg, err)
+			t.Fatalf("decoded %T can't be encoded: %v", msg, err)
 		}
 	})
 }
--- a/wire/helpers_test.go
+++ b/wire/helpers_test.go
@@ -55,7 +55,7 @@
 	for r.Dropped(direction) < want && ctx.Err() == nil {
 		time.Sleep(time.Millisecond)
 	}
-	c.Check(ctx.Err(), qt.IsNil, qt.Commentf("%d datagrams lost", r.Dropped(direction)))
+	c.Check(ctx.Err(), qt.IsNil, qt.Commentf("%d datagrams dropped", r.Dropped(direction)))
 }
 
 // echo answers a GangMessage with its payload.
--- a/wire/measure_memory_test.go
+++ b/wire/measure_memory_test.go
@@ -61,7 +61,7 @@
 func TestMeasureAcceptedConnections(t *testing.T) {
 	c := requireMeasureFlag(t)
 	if os.Getenv(dialersEnv) != "" {
-		t.Skip("is the dialers' process")
+		t.Skip("runs only in the accepting process")
 	}
 	server := openEndpoint(c, "entry", unlimitedAccepts, echo)
 	base, baseRSS, cpuStart := memStats(), residentBytes(c), cpuTime()
@@ -92,7 +92,7 @@
 	c := requireMeasureFlag(t)
 	addr := os.Getenv(dialersEnv)
 	if addr == "" {
-		t.Skip("is started by TestMeasureAcceptedConnections")
+		t.Skip("runs only in the process started by TestMeasureAcceptedConnections")
 	}
 	client := openEndpoint(c, "agents", unlimitedAccepts, echo)
 	input := bufio.NewScanner(os.Stdin)
--- a/wire/measure_test.go
+++ b/wire/measure_test.go
@@ -19,7 +19,7 @@
 
 func requireMeasureFlag(t *testing.T) *qt.C {
 	if !*measure {
-		t.Skip("needs -measure")
+		t.Skip("requires -measure")
 	}
 	return qt.New(t)
 }
--- a/wire/registry.go
+++ b/wire/registry.go
@@ -36,10 +36,10 @@
 		maps.Copy(next.kindByType, old.kindByType)
 	}
 	if _, ok := next.typeByKind[kind]; ok || t.Kind() != reflect.Struct {
-		panic(fmt.Sprintf("wire: kind %d can't be bound to %v", kind, t))
+		panic(fmt.Sprintf("wire: kind %d can't be registered for type %v", kind, t))
 	}
 	if _, ok := next.kindByType[t]; ok {
-		panic(fmt.Sprintf("wire: %v is bound already", t))
+		panic(fmt.Sprintf("wire: type %v is already registered", t))
 	}
 	next.typeByKind[kind] = t
 	next.kindByType[t] = kind
