--- a/api/api_test.go
+++ b/api/api_test.go
@@ -125,8 +125,8 @@
 	}))
 	client := NewClient(srv.URL, nil)
 	_, err := client.SendQuick(context.Background(), QuickRequest{Service: "s"})
-	c.Check(errors.Is(err, ErrOutcomeUnknown), qt.IsTrue, qt.Commentf("cut body: %v", err))
+	c.Check(errors.Is(err, ErrOutcomeUnknown), qt.IsTrue, qt.Commentf("incomplete body: %v", err))
 	srv.Close()
 	_, err = client.SubmitJob(context.Background(), "s", JobRequest{}, "")
-	c.Check(errors.Is(err, ErrNotSent), qt.IsTrue, qt.Commentf("nobody listens: %v", err))
+	c.Check(errors.Is(err, ErrNotSent), qt.IsTrue, qt.Commentf("no listener: %v", err))
 }
--- a/api/client.go
+++ b/api/client.go
@@ -17,7 +17,7 @@
 	ErrNotSent = errors.New("api: request was not sent")
 	// ErrOutcomeUnknown is returned if the call was sent but no complete answer of an
 	// entry was received; it may have had its effect.
-	ErrOutcomeUnknown = errors.New("api: outcome is not known")
+	ErrOutcomeUnknown = errors.New("api: outcome is unknown")
 )
 
 // MaxResponseLen is the maximum length of a response that Client reads, in bytes.
@@ -69,10 +69,10 @@
 	defer resp.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(resp.Body, MaxResponseLen+1))
 	if err != nil {
-		return rawResponse{}, fmt.Errorf("%w: answer cut short: %w", ErrOutcomeUnknown, err)
+		return rawResponse{}, fmt.Errorf("%w: incomplete response: %w", ErrOutcomeUnknown, err)
 	}
 	if len(text) > MaxResponseLen {
-		return rawResponse{}, fmt.Errorf("%w: answer is longer than %d bytes", ErrOutcomeUnknown, MaxResponseLen)
+		return rawResponse{}, fmt.Errorf("%w: response is longer than %d bytes", ErrOutcomeUnknown, MaxResponseLen)
 	}
 	return rawResponse{resp.StatusCode, resp.Header, text}, nil
 }
--- a/api/fuzz_test.go
+++ b/api/fuzz_test.go
@@ -14,13 +14,13 @@
 // can be decoded again.
 func checkProblem(t *testing.T, p *Problem) {
 	if p.Outcome() != OutcomeNotRun || p.Field == "" || p.Detail == "" {
-		t.Fatalf("refused as %+v", p)
+		t.Fatalf("invalid rejection: %+v", p)
 	}
 	w := httptest.NewRecorder()
 	p.WriteResponse(w)
 	var back Problem
 	if err := json.Unmarshal(w.Body.Bytes(), &back); err != nil || back.Reason != p.Reason {
-		t.Fatalf("%+v is read back as %+v: %v", p, back, err)
+		t.Fatalf("%+v is decoded as %+v: %v", p, back, err)
 	}
 }
 
@@ -46,17 +46,17 @@
 		if p != nil {
 			checkProblem(t, p)
 			if h.Get(p.Field) != "" && p.Detail == "missing" {
-				t.Fatalf("%s is not missing", p.Field)
+				t.Fatalf("%s is reported as missing but set", p.Field)
 			}
 			return
 		}
 		if c.Account == "" || len(c.Account) > MaxNameLen || len(c.IdempotencyKey) > MaxIdempotencyKeyLen || c.Deadline < 0 || deadline != "" && c.Deadline == 0 {
-			t.Fatalf("taken as %+v", c)
+			t.Fatalf("accepted invalid options: %+v", c)
 		}
 		again := http.Header{}
 		c.SetHeader(again)
 		if back, p := ParseCallOptions(again); p != nil || !reflect.DeepEqual(back, c) {
-			t.Fatalf("%+v is passed on as %+v, %v", c, back, p)
+			t.Fatalf("%+v is parsed again as %+v, %v", c, back, p)
 		}
 	})
 }
@@ -87,11 +87,11 @@
 		}
 		text, err := json.Marshal(r)
 		if err != nil {
-			t.Fatalf("%+v can't be passed on: %v", r, err)
+			t.Fatalf("%+v cannot be encoded: %v", r, err)
 		}
 		var back JobRequest
 		if p := Decode(bytes.NewReader(text), 2*MaxBodyLen, &back); p != nil || back.Validate() != nil || back.Accelerators != r.Accelerators {
-			t.Fatalf("%s is read back as %+v: %v", text, back, p)
+			t.Fatalf("%s is decoded as %+v: %v", text, back, p)
 		}
 	})
 }
@@ -108,7 +108,7 @@
 		}
 		var back Duration
 		if err := json.Unmarshal(text, &back); err != nil || int64(back) != ns {
-			t.Fatalf("%d is written as %s and read as %d: %v", ns, text, back, err)
+			t.Fatalf("%d is encoded as %s and decoded as %d: %v", ns, text, back, err)
 		}
 	})
 }
--- a/api/problem.go
+++ b/api/problem.go
@@ -61,7 +61,7 @@
 func (p *Problem) WriteResponse(w http.ResponseWriter) {
 	body, err := json.Marshal(p)
 	if err != nil {
-		panic("api: problem can't be encoded: " + err.Error())
+		panic("api: failed to encode problem details: " + err.Error())
 	}
 	h := w.Header()
 	h.Set("Content-Type", ContentTypeProblem)
--- a/cmd/eelgrasshub/agent.go
+++ b/cmd/eelgrasshub/agent.go
@@ -14,7 +14,7 @@
 	return command{
 		name:  "agent",
 		short: "run an agent: the process beside each target",
-		long:  "Stops gracefully on SIGTERM: it takes no new work and waits for what runs, up to stop_grace. Gang tasks that still run then go on at the target under their leases.",
+		long:  "Stops gracefully on SIGTERM: it accepts no new work and waits up to stop_grace for running work. Gang tasks that still run then continue on the target under their leases.",
 		data:  &agentCmd{},
 	}
 }
--- a/cmd/eelgrasshub/config.go
+++ b/cmd/eelgrasshub/config.go
@@ -28,7 +28,7 @@
 	return command{
 		name:  "config",
 		short: "check, read and change service documents",
-		long:  "A service's document is the operators' one lever. These commands speak to the platform's store directly.",
+		long:  "A service's document configures how its work is scheduled. These commands access the platform's store directly.",
 		subcommands: []command{
 			configCheckCommand(),
 			configGetCommand(),
--- a/cmd/eelgrasshub/config_get.go
+++ b/cmd/eelgrasshub/config_get.go
@@ -26,7 +26,7 @@
 	return command{
 		name:  "get",
 		short: "print a service's document",
-		long:  "The first line names the generation, from which config put learns what was edited.",
+		long:  "The first line names the generation, so that config put knows which one was edited.",
 		data:  &configGetCmd{},
 	}
 }
@@ -42,7 +42,7 @@
 		return err
 	}
 	if !ok {
-		return fmt.Errorf("the store holds no document of the service %q; put a first one with config put", c.Args.Service)
+		return fmt.Errorf("the store has no document of service %q; create it with config put", c.Args.Service)
 	}
 	text := []byte(generationPrefix + strconv.FormatUint(v.Generation, 10) + "\n" + string(v.TOML))
 	if c.Output == "" {
--- a/cmd/eelgrasshub/config_put.go
+++ b/cmd/eelgrasshub/config_put.go
@@ -16,9 +16,9 @@
 // configPutCmd stores a new generation of a document.
 type configPutCmd struct {
 	storeOptions
-	Base   int64  `long:"base" default:"-1" value-name:"N" description:"generation that was edited; otherwise the file's first line says it, as config get wrote it"`
-	Author string `long:"author" value-name:"NAME" description:"who makes the change (default: the user running this)"`
-	Region string `long:"region" value-name:"NAME" description:"also ask this region's entries which generation is in force, as a guard against a store that was restored from a backup"`
+	Base   int64  `long:"base" default:"-1" value-name:"N" description:"generation that was edited (default: the one in the line that config get wrote)"`
+	Author string `long:"author" value-name:"NAME" description:"author of the change (default: the current user)"`
+	Region string `long:"region" value-name:"NAME" description:"also query this region's entries for the active generation, to detect a store that was restored from a backup"`
 	Args   struct {
 		File string `positional-arg-name:"FILE" required:"true"`
 	} `positional-args:"true"`
@@ -28,7 +28,7 @@
 	return command{
 		name:  "put",
 		short: "put a new generation of a document",
-		long:  "The document is checked first. Where another operator was faster, nothing is written and the difference is shown.",
+		long:  "The document is checked first. If another operator has changed it meanwhile, nothing is written and the difference is shown.",
 		data:  &configPutCmd{},
 	}
 }
@@ -78,7 +78,7 @@
 	}
 	u, err := user.Current()
 	if err != nil {
-		return "", fmt.Errorf("--author is needed: the user running this is not known: %w", err)
+		return "", fmt.Errorf("--author is required: the current user is unknown: %w", err)
 	}
 	return u.Username, nil
 }
--- a/cmd/eelgrasshub/config_status.go
+++ b/cmd/eelgrasshub/config_status.go
@@ -16,14 +16,14 @@
 // configStatusCmd shows the active generation of each process.
 type configStatusCmd struct {
 	storeOptions
-	Region string `long:"region" required:"true" value-name:"NAME" description:"region whose entries are asked"`
-	Entry  string `long:"entry" value-name:"URL" description:"ask this entry only, also while the store is out"`
+	Region string `long:"region" required:"true" value-name:"NAME" description:"region whose entries are queried"`
+	Entry  string `long:"entry" value-name:"URL" description:"query only this entry; works while the store is unavailable"`
 }
 
 func configStatusCommand() command {
 	return command{
 		name:  "status",
-		short: "show which process has which generation in force, and since when",
+		short: "show the active generation of each process, and since when",
 		data:  &configStatusCmd{},
 	}
 }
@@ -46,7 +46,7 @@
 	defer store.Close()
 	all := queryEntries(ctx, store, c.Region)
 	if len(all) == 0 {
-		return fmt.Errorf("no entry of region %q is registered, or the store can't be asked; name one with --entry", c.Region)
+		return fmt.Errorf("no entry of region %q is registered, or the store is unavailable; select an entry with --entry", c.Region)
 	}
 	return printStatus(os.Stdout, all)
 }
--- a/cmd/eelgrasshub/entry.go
+++ b/cmd/eelgrasshub/entry.go
@@ -13,8 +13,8 @@
 func entryCommand() command {
 	return command{
 		name:  "entry",
-		short: "run an entry: the process that callers reach through the balancer",
-		long:  "Stops gracefully on SIGTERM: readiness drops, duties are handed over, and requests in progress end first.",
+		short: "run an entry: the process that callers reach through the load balancer",
+		long:  "Stops gracefully on SIGTERM: it reports that it is not ready, hands over its planner leaderships and completes requests in progress.",
 		data:  &entryCmd{},
 	}
 }
--- a/cmd/eelgrasshub/gateway.go
+++ b/cmd/eelgrasshub/gateway.go
@@ -24,8 +24,8 @@
 func gatewayCommand() command {
 	return command{
 		name:  "gateway",
-		short: "run a gateway on the operators' platform: callers reach it, and one of all plans",
-		long:  "Stops gracefully on SIGTERM: readiness drops, the planner's duty is handed over, and calls in progress end first.",
+		short: "run a gateway on the operators' platform: it serves callers, and one gateway is the planner",
+		long:  "Stops gracefully on SIGTERM: it reports that it is not ready, hands over the planner lease and completes calls in progress.",
 		data:  &gatewayCmd{},
 	}
 }
@@ -106,7 +106,7 @@
 	}
 	go func() {
 		if err := srv.Serve(l); err != http.ErrServerClosed {
-			log.WithError(err).WithField("listen", addr).Error("listener ended")
+			log.WithError(err).WithField("listen", addr).Error("HTTP server failed")
 		}
 	}()
 	return srv, nil
@@ -120,7 +120,7 @@
 	r.gateway.Drain(ctx)
 	time.Sleep(min(readinessDelay, grace/2))
 	if err := r.callers.Shutdown(ctx); err != nil {
-		r.log.WithError(err).Warn("calls in progress were cut")
+		r.log.WithError(err).Warn("aborted calls in progress")
 	}
 	if r.ready != nil {
 		_ = r.ready.Close() // pending probes need no response
@@ -138,7 +138,7 @@
 			log.WithField("signal", s.String()).Info("stopping")
 			return
 		}
-		log.Info("settings file changed; what is in use stays until a restart")
+		log.Info("ignored SIGHUP: settings are read at startup only")
 	}
 }
 
--- a/cmd/eelgrasshub/job.go
+++ b/cmd/eelgrasshub/job.go
@@ -9,7 +9,7 @@
 
 // entryOptions select the entry, or the load balancer, and the service.
 type entryOptions struct {
-	Entry   string `long:"entry" required:"true" value-name:"URL" description:"base URL of an entry or of the balancer"`
+	Entry   string `long:"entry" required:"true" value-name:"URL" description:"base URL of an entry or of the load balancer"`
 	Service string `long:"service" required:"true" value-name:"NAME" description:"service that the job belongs to"`
 }
 
--- a/cmd/eelgrasshub/job_status.go
+++ b/cmd/eelgrasshub/job_status.go
@@ -14,7 +14,7 @@
 // jobStatusCmd shows one job.
 type jobStatusCmd struct {
 	entryOptions
-	Wait time.Duration `long:"wait" description:"wait up to this long for the job to end, and fail where it is not done then"`
+	Wait time.Duration `long:"wait" description:"wait up to this long for the job to end, and fail unless it is done"`
 	Args struct {
 		ID string `positional-arg-name:"ID" required:"true"`
 	} `positional-args:"true"`
--- a/cmd/eelgrasshub/job_submit.go
+++ b/cmd/eelgrasshub/job_submit.go
@@ -15,8 +15,8 @@
 	Accelerators int           `long:"accelerators" default:"1" description:"size of the gang"`
 	Adjacency    string        `long:"adjacency" default:"any" choice:"worker" choice:"rack" choice:"zone" choice:"any" description:"how close the accelerators must be"`
 	Estimate     time.Duration `long:"estimate" description:"declared run time, such as 10m"`
-	Payload      string        `long:"payload" value-name:"JSON" description:"handed to the target as it is"`
-	Key          string        `long:"key" description:"idempotency key: a repeated submission gives the same job"`
+	Payload      string        `long:"payload" value-name:"JSON" description:"payload, passed to the target unchanged"`
+	Key          string        `long:"key" description:"idempotency key: a repeated submission returns the same job"`
 }
 
 func jobSubmitCommand() command {
--- a/cmd/eelgrasshub/load.go
+++ b/cmd/eelgrasshub/load.go
@@ -13,8 +13,8 @@
 
 // loadCmd runs a workload file against entries.
 type loadCmd struct {
-	Entries  []string      `long:"entry" required:"true" value-name:"URL" description:"base URL of an entry; may be repeated, and requests go round them"`
-	Targets  []string      `long:"target" value-name:"URL" description:"base URL of a target stand-in, for the audit; all of the service's have to be given"`
+	Entries  []string      `long:"entry" required:"true" value-name:"URL" description:"base URL of an entry; may be repeated, to distribute requests in turn"`
+	Targets  []string      `long:"target" value-name:"URL" description:"base URL of a target stand-in to audit; all targets of the service must be given"`
 	Seed     uint64        `long:"seed" value-name:"N" description:"seed of the schedule (default: that of the file)"`
 	Duration time.Duration `long:"duration" value-name:"D" description:"time over which the load arrives (default: that of the file)"`
 	Args     struct {
@@ -26,13 +26,13 @@
 	return command{
 		name:  "load",
 		short: "run a workload file against entries",
-		long:  "Prints what callers saw. With the target stand-ins given, it is audited against what truly ran, and any contradiction fails the command.",
+		long:  "Prints the results as seen by callers. If target stand-ins are given, the results are audited against what actually ran, and any contradiction fails the command.",
 		data:  &loadCmd{},
 	}
 }
 
 // errContradictions is returned if the audit contradicts what callers were told.
-var errContradictions = errors.New("what callers were told is contradicted by what ran")
+var errContradictions = errors.New("audit failed: reported outcomes contradict what ran")
 
 // Execute implements flags.Commander.
 func (c *loadCmd) Execute([]string) error {
--- a/cmd/eelgrasshub/node_agent.go
+++ b/cmd/eelgrasshub/node_agent.go
@@ -18,7 +18,7 @@
 	return command{
 		name:  "node-agent",
 		short: "run the process beside a worker of the operators' platform",
-		long:  "Stops at once on SIGTERM: what runs goes on under its lease until the next agent takes it up.",
+		long:  "Stops immediately on SIGTERM. Running tasks continue under their leases until the next node agent recovers them.",
 		data:  &nodeAgentCmd{},
 	}
 }
@@ -53,7 +53,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), cfg.StopGrace.Duration)
 	defer cancel()
 	if err := registry.Shutdown(ctx); err != nil {
-		log.WithError(err).Warn("heartbeats were cut")
+		log.WithError(err).Warn("aborted heartbeats in progress")
 	}
 	return a.Stop(ctx)
 }
--- a/cmd/eelgrasshub/platform_standin.go
+++ b/cmd/eelgrasshub/platform_standin.go
@@ -18,7 +18,7 @@
 	return command{
 		name:  "platform-standin",
 		short: "run a stand-in of the platform's key-value service, for trials and tests",
-		long:  "Keeps everything in memory. Faults are set by POST /standin/faults. It is no replacement for the platform's service.",
+		long:  "Keeps everything in memory. Faults are injected by POST /standin/faults. It is not a replacement for the platform's service.",
 		data:  &platformStandinCmd{},
 	}
 }
--- a/cmd/eelgrasshub/report.go
+++ b/cmd/eelgrasshub/report.go
@@ -9,9 +9,9 @@
 
 // reportCmd shows the planner's report on a service, or why a job waits.
 type reportCmd struct {
-	Entry string `long:"entry" required:"true" value-name:"URL" description:"base URL of any entry of the region, or of the balancer"`
-	Job   string `long:"job" value-name:"ID" description:"say why this job waits"`
-	JSON  bool   `long:"json" description:"print JSON in place of tables"`
+	Entry string `long:"entry" required:"true" value-name:"URL" description:"base URL of any entry of the region, or of the load balancer"`
+	Job   string `long:"job" value-name:"ID" description:"explain why this job waits"`
+	JSON  bool   `long:"json" description:"print JSON instead of tables"`
 	Args  struct {
 		Service string `positional-arg-name:"SERVICE" required:"true"`
 	} `positional-args:"true"`
@@ -21,7 +21,7 @@
 	return command{
 		name:  "report",
 		short: "show accounts, capacity and workers of a service, or why a job waits",
-		long:  "Any entry answers; it asks the one that plans the service. Nothing is changed.",
+		long:  "Any entry answers, by querying the entry that plans the service. The command is read-only.",
 		data:  &reportCmd{},
 	}
 }
--- a/cmd/eelgrasshub/role.go
+++ b/cmd/eelgrasshub/role.go
@@ -8,7 +8,7 @@
 // roleOptions are the options of all long-running roles.
 type roleOptions struct {
 	Settings string `short:"s" long:"settings" required:"true" value-name:"FILE" description:"the process's settings, in TOML"`
-	LogLevel string `long:"log-level" default:"info" description:"least level of log lines: debug, info, warn or error"`
+	LogLevel string `long:"log-level" default:"info" description:"minimum level of log lines: debug, info, warn or error"`
 }
 
 // metricsProvider is a role that exports metrics.
--- a/cmd/eelgrasshub/script_audit_test.go
+++ b/cmd/eelgrasshub/script_audit_test.go
@@ -41,7 +41,7 @@
 		}
 	}
 	if len(done) != 1 {
-		ts.Fatalf("%s: members done by attempt: %v", args[0], done)
+		ts.Fatalf("%s: want one completed attempt, got members by attempt: %v", args[0], done)
 	}
 	for attempt, n := range done {
 		if n != members {
--- a/cmd/eelgrasshub/script_commands_test.go
+++ b/cmd/eelgrasshub/script_commands_test.go
@@ -141,7 +141,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			ts.Fatalf("%q: not within %s: %v", args, pollTimeout, err)
+			ts.Fatalf("%q: no success within %s: %v", args, pollTimeout, err)
 		}
 		time.Sleep(pollPeriod)
 	}
--- a/cmd/eelgrasshub/script_request_test.go
+++ b/cmd/eelgrasshub/script_request_test.go
@@ -86,7 +86,7 @@
 func requestsOf(ts *testscript.TestScript) map[string]*pendingRequest {
 	requests, ok := ts.Value(requestsKey{}).(map[string]*pendingRequest)
 	if !ok {
-		ts.Fatalf("the script has no requests: Setup is missing")
+		ts.Fatalf("Setup did not initialize the script's requests")
 	}
 	return requests
 }
--- a/cmd/eelgrasshub/script_signal_test.go
+++ b/cmd/eelgrasshub/script_signal_test.go
@@ -22,7 +22,7 @@
 	checkUsage(ts, neg, len(args) > 1, "signal STOP|CONT|KILL ARG...")
 	sig, ok := signalsByName[args[0]]
 	if !ok {
-		ts.Fatalf("no signal %q", args[0])
+		ts.Fatalf("unknown signal %q", args[0])
 	}
 	for _, arg := range args[1:] {
 		cmd := processWithArg(ts, arg)
--- a/cmd/eelgrasshub/target_standin.go
+++ b/cmd/eelgrasshub/target_standin.go
@@ -12,7 +12,7 @@
 	Name         string        `long:"name" default:"worker" description:"name of the worker in its audit"`
 	Accelerators int           `long:"accelerators" default:"8"`
 	Slots        int           `long:"slots" default:"8" description:"quick requests that run at once at full speed"`
-	Work         time.Duration `long:"work" default:"2ms" description:"service time of a quick request that does not say its own"`
+	Work         time.Duration `long:"work" default:"2ms" description:"service time of a quick request that does not specify it"`
 	LogLevel     string        `long:"log-level" default:"info"`
 }
 
@@ -20,7 +20,7 @@
 	return command{
 		name:  "target-standin",
 		short: "run a stand-in worker with a target, for trials and tests",
-		long:  "Runs quick requests and gang tasks as the target protocol says and keeps an audit of what truly ran: GET /standin/audit. Faults are set by POST /standin/faults. SIGTERM lets requests in progress end.",
+		long:  "Runs quick requests and gang tasks according to the target protocol and keeps an audit log of what actually ran: GET /standin/audit. Faults are injected by POST /standin/faults. On SIGTERM it completes requests in progress.",
 		data:  &targetStandinCmd{},
 	}
 }
--- a/cmd/eelgrasshub/trial.go
+++ b/cmd/eelgrasshub/trial.go
@@ -17,14 +17,14 @@
 	Faults   bool          `long:"faults" description:"inject failures during the run: of agents, entries, the store, connections and targets"`
 	Seed     uint64        `long:"seed" value-name:"N" description:"seed of the load's schedule (default: that of the workload file)"`
 	Duration time.Duration `long:"duration" value-name:"D" description:"time over which the load arrives (default: that of the workload file)"`
-	LogLevel string        `long:"log-level" default:"error" description:"least level of the processes' log lines"`
+	LogLevel string        `long:"log-level" default:"error" description:"minimum level of the processes' log lines"`
 }
 
 func trialCommand() command {
 	return command{
 		name:  "trial",
 		short: "run all roles in this process on the sample services, and audit them",
-		long:  "Both sample services run one after the other, each with its 11 workers, 2 entries and a store stand-in, over sockets on loopback, for about a minute in all. Prints what callers saw, and what of it is contradicted by what the workers truly ran; fails where anything is.",
+		long:  "Runs both sample services one after the other, each with 11 workers, 2 entries and a store stand-in, over loopback sockets, for about a minute in all. Prints the results as seen by callers and any contradictions to what the workers actually ran; fails if there are any.",
 		data:  &trialCmd{},
 	}
 }
@@ -55,7 +55,7 @@
 		}
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d services: what callers were told is contradicted by what ran", failed)
+		return fmt.Errorf("audit failed for %d services: reported outcomes contradict what ran", failed)
 	}
 	return nil
 }
--- a/document/active_set_test.go
+++ b/document/active_set_test.go
@@ -44,12 +44,12 @@
 		offered document.Version
 		want    document.UpdateResult
 	}{
-		{"an operator put a new generation", version(3, "new"), document.UpdateAccepted},
-		{"a watch restarted from an old revision", version(1, "old"), document.UpdateOlder},
-		{"a peer has the same", version(2, "held"), document.UpdateUnchanged},
-		{"the operators use a newer binary", unknownKeyVersion(3), document.UpdateRefused},
-		{"the text does not match its digest", damaged, document.UpdateRefused},
-		{"the text is another service's", foreign, document.UpdateRefused},
+		{"next generation", version(3, "new"), document.UpdateAccepted},
+		{"older generation", version(1, "old"), document.UpdateOlder},
+		{"same version", version(2, "held"), document.UpdateUnchanged},
+		{"unknown key", unknownKeyVersion(3), document.UpdateRefused},
+		{"digest mismatch", damaged, document.UpdateRefused},
+		{"text of another service", foreign, document.UpdateRefused},
 		{"no generation", document.Version{Service: "dispatch"}, document.UpdateOlder},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/document/conflict.go
+++ b/document/conflict.go
@@ -16,7 +16,7 @@
 	// ErrStoreBehind is returned if running processes have a higher generation than the
 	// store, which was restored from a backup. They write theirs back within seconds.
 	// Nothing was written.
-	ErrStoreBehind = eris.New("store holds an older generation than the processes")
+	ErrStoreBehind = eris.New("store has an older generation than running processes")
 )
 
 // ConflictError describes the version that was put first, and its difference from the
--- a/document/get.go
+++ b/document/get.go
@@ -37,7 +37,7 @@
 		return StoredVersion{}, eris.Wrapf(err, "key %s", kv.Key)
 	}
 	if StoreKey(v.Service) != kv.Key {
-		return StoredVersion{}, eris.Wrapf(ErrInvalidVersion, "key %s holds service %q", kv.Key, v.Service)
+		return StoredVersion{}, eris.Wrapf(ErrInvalidVersion, "key %s contains the document of service %q", kv.Key, v.Service)
 	}
 	return StoredVersion{Version: v, Revision: kv.Mod}, nil
 }
--- a/document/parse_test.go
+++ b/document/parse_test.go
@@ -12,7 +12,7 @@
 	"github.com/eelgrasshub/eelgrasshub/document"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden error texts anew")
+var updateGolden = flag.Bool("update", false, "rewrite the golden error texts")
 
 const samplesDir = "../testdata/documents"
 
--- a/document/pending_write.go
+++ b/document/pending_write.go
@@ -98,7 +98,7 @@
 		return Version{}, false, err
 	}
 	if err != nil {
-		return Version{}, true, eris.Wrapf(ErrConflict, "nothing was written, and the winner could not be read: %v", err)
+		return Version{}, true, eris.Wrapf(ErrConflict, "nothing was written; reading the stored version failed: %v", err)
 	}
 	v := stored.Version
 	if v.Token == w.version.Token {
--- a/document/put.go
+++ b/document/put.go
@@ -40,7 +40,7 @@
 		return Version{}, err
 	}
 	if len(p.Token) < minTokenLen || p.Author == "" {
-		return Version{}, eris.Errorf("proposal needs an author and a token of %d characters", minTokenLen)
+		return Version{}, eris.Errorf("proposal needs an author and a token of at least %d characters", minTokenLen)
 	}
 	current, err := readStored(ctx, store, d.Service)
 	if err != nil {
@@ -53,7 +53,7 @@
 		return Version{}, newConflictError(p, current.Version)
 	}
 	if p.ActiveGeneration > current.Version.Generation {
-		return Version{}, eris.Wrapf(ErrStoreBehind, "store generation %d, in force %d, nothing was written",
+		return Version{}, eris.Wrapf(ErrStoreBehind, "store has generation %d, processes have %d; nothing was written",
 			current.Version.Generation, p.ActiveGeneration)
 	}
 	version := nextVersion(current.Version, p)
--- a/document/simulation_model_test.go
+++ b/document/simulation_model_test.go
@@ -99,7 +99,7 @@
 		}
 	}
 	g := s.generation(p)
-	s.c.Assert(g >= p.highest, qt.IsTrue, qt.Commentf("seed %d: %s went from generation %d back to %d", s.seed, p.id, p.highest, g))
+	s.c.Assert(g >= p.highest, qt.IsTrue, qt.Commentf("seed %d: generation of %s decreased from %d to %d", s.seed, p.id, p.highest, g))
 	p.highest = g
 }
 
--- a/document/simulation_test.go
+++ b/document/simulation_test.go
@@ -13,8 +13,8 @@
 )
 
 var (
-	simulationRuns = flag.Uint64("fleet.runs", 150, "seeded runs of the fleet")
-	simulationSeed = flag.Uint64("fleet.seed", 1, "first seed of the fleet")
+	simulationRuns = flag.Uint64("fleet.runs", 150, "number of seeded simulation runs")
+	simulationSeed = flag.Uint64("fleet.seed", 1, "first seed of the simulation runs")
 )
 
 // countHolders returns the number of places, excluding one process, that hold the latest
@@ -118,7 +118,7 @@
 		}
 		heldLongEnough := time.Since(e.at) > document.DefaultSyncerConfig(true).MaxAnswerAge
 		s.c.Assert(heldLongEnough && s.generation(p) < e.generation, qt.IsFalse, qt.Commentf(
-			"seed %d: %s became ready from %s with generation %d after all had held %d",
+			"seed %d: %s became ready by %s with generation %d after all ready processes had %d",
 			s.seed, p.id, source, s.generation(p), e.generation))
 		if s.generation(p) < e.generation {
 			s.commonGenerations = s.commonGenerations[:i] // not active everywhere for long enough
@@ -153,7 +153,7 @@
 		}
 	}
 	s.c.Assert(stored.CreatedAt.Before(s.lastAcknowledged.CreatedAt), qt.IsFalse, qt.Commentf(
-		"seed %d: acknowledged generation %d by %s, in force at the end %d by %s",
+		"seed %d: acknowledged generation %d by %s, but generation %d by %s is active at the end",
 		s.seed, s.lastAcknowledged.Generation, s.lastAcknowledged.Author, stored.Generation, stored.Author))
 }
 
@@ -173,5 +173,5 @@
 			writeBacks += s.writeBacks
 		})
 	}
-	t.Logf("%d runs from seed %d: %d puts, %d write backs", *simulationRuns, *simulationSeed, puts, writeBacks)
+	t.Logf("%d runs from seed %d: %d puts, %d write-backs", *simulationRuns, *simulationSeed, puts, writeBacks)
 }
--- a/document/syncer_test.go
+++ b/document/syncer_test.go
@@ -164,16 +164,16 @@
 		generation uint64
 		writeBack  bool
 	}{
-		{"it holds an ancestor", version(5, "five"), "seven", 7, true},
-		{"it holds nothing", document.Version{}, "seven", 7, true},
-		{"an operator put to it since", versionAt(6, "since", time.Second), "since", 8, true},
-		{"an operator put the same generation since", versionAt(7, "since", time.Second), "since", 8, true},
-		{"its generation has an earlier text", versionAt(7, "before", -time.Second), "seven", 8, true},
-		{"it was restored again, to a higher earlier one", versionAt(9, "before", -time.Second), "seven", 10, true},
-		{"it holds the same", held, "seven", 7, false},
-		{"it holds a successor", version(8, "eight"), "eight", 8, false},
-		{"it holds a newer format", unknownKeyVersion(9), "seven", 7, false},
-		{"it holds a newer format put since", unknownKeyVersion(7), "seven", 7, false},
+		{"store has an ancestor", version(5, "five"), "seven", 7, true},
+		{"store is empty", document.Version{}, "seven", 7, true},
+		{"put after the restore", versionAt(6, "since", time.Second), "since", 8, true},
+		{"put of the same generation after the restore", versionAt(7, "since", time.Second), "since", 8, true},
+		{"earlier version of the same generation", versionAt(7, "before", -time.Second), "seven", 8, true},
+		{"earlier version of a higher generation", versionAt(9, "before", -time.Second), "seven", 10, true},
+		{"store has the same version", held, "seven", 7, false},
+		{"store has a successor", version(8, "eight"), "eight", 8, false},
+		{"store has an unknown format", unknownKeyVersion(9), "seven", 7, false},
+		{"store has an unknown format of the same generation", unknownKeyVersion(7), "seven", 7, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
--- a/document/version.go
+++ b/document/version.go
@@ -51,7 +51,7 @@
 
 // ErrInvalidVersion is returned for data that is not an encoded Version, or whose text
 // does not match its digest.
-var ErrInvalidVersion = eris.New("not a stored document version")
+var ErrInvalidVersion = eris.New("invalid document version")
 
 var cborMode = newCBORMode()
 
@@ -81,7 +81,7 @@
 	}
 	v.CreatedAt = v.CreatedAt.UTC()
 	if v.Generation == 0 || DigestOf(v.TOML) != v.Digest {
-		return Version{}, eris.Wrapf(ErrInvalidVersion, "service %q generation %d", v.Service, v.Generation)
+		return Version{}, eris.Wrapf(ErrInvalidVersion, "service %q generation %d: generation is 0 or digest does not match", v.Service, v.Generation)
 	}
 	return v, nil
 }
--- a/document/watcher.go
+++ b/document/watcher.go
@@ -132,7 +132,7 @@
 		default:
 		}
 	case MarkReady:
-		w.log.WithField("source", a.Source).Info("configuration confirmed")
+		w.log.WithField("source", a.Source).Info("documents confirmed")
 		close(w.ready)
 	case QueryPeers:
 		for _, id := range a.PeerIDs {
--- a/document/watcher_store.go
+++ b/document/watcher_store.go
@@ -36,10 +36,10 @@
 	}
 	w.storeDown = !reachable
 	if w.storeDown {
-		w.log.Warn("store of documents not reachable, the documents held stay in force")
+		w.log.Warn("document store unreachable; keeping the active documents")
 		return
 	}
-	w.log.Info("store of documents reachable again")
+	w.log.Info("document store reachable again")
 }
 
 func (w *Watcher) sleep(d time.Duration) {
--- a/metrics/expvar.go
+++ b/metrics/expvar.go
@@ -9,7 +9,7 @@
 )
 
 // ErrAlreadyPublished is returned if an expvar of that name exists in this process.
-var ErrAlreadyPublished = errors.New("metrics: name is published already")
+var ErrAlreadyPublished = errors.New("metrics: expvar is already published")
 
 var _ expvar.Var = (*Set)(nil)
 
@@ -17,7 +17,7 @@
 func (s *Set) String() string {
 	text, err := json.Marshal(s.Snapshot())
 	if err != nil {
-		panic("metrics: snapshot can't be encoded: " + err.Error())
+		panic("metrics: failed to encode snapshot: " + err.Error())
 	}
 	return string(text)
 }
--- a/metrics/histogram.go
+++ b/metrics/histogram.go
@@ -31,7 +31,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if err := h.h.RecordValue(us); err != nil {
-		panic("metrics: value in range was refused: " + err.Error())
+		panic("metrics: failed to record a value in range: " + err.Error())
 	}
 }
 
--- a/metrics/set_test.go
+++ b/metrics/set_test.go
@@ -27,7 +27,7 @@
 	sum := vars.Entry.Timings["packhouses"]["booking"]["quick_done"]
 	c.Check(sum.Count, qt.Equals, int64(100))
 	for got, want := range map[int64]int64{sum.P50: 50_000, sum.P90: 90_000, sum.P99: 99_000} {
-		c.Check(got >= want && got <= want*101/100, qt.IsTrue, qt.Commentf("%d for %d", got, want))
+		c.Check(got >= want && got <= want*101/100, qt.IsTrue, qt.Commentf("got %d, want about %d", got, want))
 	}
 	c.Check(vars.Entry.Timings["growers"]["booking"]["quick_done"].Count, qt.Equals, int64(2))
 }
@@ -73,7 +73,7 @@
 	seen := map[string]bool{}
 	check := func(d Description) {
 		qt.Check(t, d.Name != "" && d.Unit != "" && d.Help != "", qt.IsTrue, qt.Commentf("%+v", d))
-		qt.Check(t, seen[d.Name], qt.IsFalse, qt.Commentf("%s twice", d.Name))
+		qt.Check(t, seen[d.Name], qt.IsFalse, qt.Commentf("duplicate name %s", d.Name))
 		seen[d.Name] = true
 	}
 	for _, c := range Counters() {
--- a/settings/fuzz_test.go
+++ b/settings/fuzz_test.go
@@ -55,10 +55,10 @@
 		return
 	}
 	if !strings.HasPrefix(err.Error(), "fuzz.toml:") {
-		t.Fatalf("the file is not named: %v", err)
+		t.Fatalf("error does not name the file: %v", err)
 	}
 	if strings.Contains(err.Error(), fuzzSecret) {
-		t.Fatalf("a secret is shown: %v", err)
+		t.Fatalf("error contains a secret: %v", err)
 	}
 }
 
--- a/settings/reference_page_test.go
+++ b/settings/reference_page_test.go
@@ -53,7 +53,7 @@
 				}
 				rows++
 			}
-			c.Assert(strings.Count(section, "\n| `"), qt.Equals, rows, qt.Commentf("a row names a key that is gone"))
+			c.Assert(strings.Count(section, "\n| `"), qt.Equals, rows, qt.Commentf("the page has a row for a key that does not exist"))
 		})
 	}
 }
