--- a/internal/capacity/election_spread_test.go
+++ b/internal/capacity/election_spread_test.go
@@ -34,7 +34,7 @@
 		c.Cleanup(e.Close)
 		entries = append(entries, e)
 		if late && i == 0 {
-			eventually(c, "all duties held", func() bool { return countLeaderships(c, entries)[0] == n })
+			eventually(c, "first entry leads all elections", func() bool { return countLeaderships(c, entries)[0] == n })
 		}
 	}
 	began := time.Now()
@@ -42,7 +42,7 @@
 	for range 8 {
 		time.Sleep(10 * time.Second)
 		now := region.calls.Calls()
-		c.Logf("%d services, three late: %v, %v after the last start: duties held %v; calls a second %s | load %s",
+		c.Logf("%d services, three late: %v, %v after the last start: leaderships %v; calls a second %s | load %s",
 			n, late, time.Since(began).Round(time.Second), countLeaderships(c, entries), callIncrease(now, calls, 10), loadAverage())
 		calls = now
 	}
--- a/internal/capacity/entry_test.go
+++ b/internal/capacity/entry_test.go
@@ -89,7 +89,7 @@
 	f := NewFleet(p.addresses[0], every, false)
 	c.Cleanup(f.Stop)
 	c.Assert(f.Add(n, names[0]), qt.IsNil)
-	eventually(c, "all agents in force", func() bool { _, applied := region.countAlive(p.addresses[1], 1); return applied == n })
+	eventually(c, "document active on all agents", func() bool { _, applied := region.countAlive(p.addresses[1], 1); return applied == n })
 	time.Sleep(5 * settleTime)
 	traffic := func() int64 { return f.Traffic.SentBytes.Load() + f.Traffic.ReceivedBytes.Load() }
 	for _, changes := range []bool{false, true} {
@@ -133,7 +133,7 @@
 		eventually(c, "all agents reported", func() bool { return f.Admitted.Load()-admitted == int64(n) })
 		took := time.Since(began)
 		after := p.usage()
-		c.Logf("%d return, round %d: dialled within %v, all admitted after %v, entry's processor %v (%.2f ms an agent), heap %d MB resident %d MB, failed %d shed %d, %.1f KB an agent both ways | load %s",
+		c.Logf("%d return, round %d: dialled within %v, all admitted after %v, entry's processor %v (%.2f ms an agent), heap %d MB resident %d MB, failed %d refused %d, %.1f KB an agent both ways | load %s",
 			n, round, connectTime.Round(time.Millisecond), took.Round(time.Millisecond), after.ProcessorTimeSince(before).Round(time.Millisecond),
 			float64((after.Processor-before.Processor).Microseconds())/1000/float64(n), after.Heap>>20, after.Resident>>20, f.Failed.Load()-failed, f.Refused.Load()-refused,
 			float64(f.Traffic.SentBytes.Load()+f.Traffic.ReceivedBytes.Load()-bytes)/1024/float64(n), loadAverage())
@@ -159,7 +159,7 @@
 	f := NewFleet(p.addresses[0], every, false)
 	c.Cleanup(f.Stop)
 	c.Assert(f.Add(n, names...), qt.IsNil)
-	eventually(c, "all agents in force", func() bool {
+	eventually(c, "document active on all agents", func() bool {
 		known, applied := region.countAlive(p.addresses[1], 1)
 		return known == n && applied == n
 	})
@@ -171,14 +171,14 @@
 		began := time.Now()
 		v := region.putDocument(names[0], generation)
 		accepted := time.Since(began)
-		eventually(c, "in force", func() bool { return len(f.AppliedAt(v.Generation)) == n })
+		eventually(c, "document active on all agents", func() bool { return len(f.AppliedAt(v.Generation)) == n })
 		reported := eventually(c, "reported", func() bool { _, applied := region.countAlive(p.addresses[1], v.Generation); return applied == n })
 		after := p.usage()
 		var applyTimes []time.Duration
 		for _, at := range f.AppliedAt(v.Generation) {
 			applyTimes = append(applyTimes, at.Sub(began))
 		}
-		c.Logf("%d agents, document of %d bytes: accepted after %v, in force p50 %v p99 %v max %v, all reported %v later | entry's processor %v, %.1f KB an agent both ways | calls %v | load %s",
+		c.Logf("%d agents, document of %d bytes: accepted after %v, active p50 %v p99 %v max %v, all reported %v later | entry's processor %v, %.1f KB an agent both ways | calls %v | load %s",
 			n, len(v.TOML), accepted.Round(time.Microsecond), quantile(applyTimes, 0.5), quantile(applyTimes, 0.99), quantile(applyTimes, 1), reported.Round(time.Millisecond),
 			after.ProcessorTimeSince(before).Round(time.Millisecond), float64(f.Traffic.SentBytes.Load()+f.Traffic.ReceivedBytes.Load()-bytes)/1024/float64(n), callIncrease(region.calls.Calls(), calls, 1), loadAverage())
 	}
--- a/internal/capacity/leadership_handover_test.go
+++ b/internal/capacity/leadership_handover_test.go
@@ -28,7 +28,7 @@
 		return e
 	}
 	firstEntry := startEntry("entry-1")
-	eventually(c, "all duties held", func() bool { return countLeaderships(c, []*entry.Entry{firstEntry})[0] == n })
+	eventually(c, "first entry leads all elections", func() bool { return countLeaderships(c, []*entry.Entry{firstEntry})[0] == n })
 	for i, name := range names {
 		for k := range 2 {
 			a, err := agent.Start(region.agentSettings(fmt.Sprintf("worker-%d-%d", i, k), name, firstEntry.QUICAddr(), time.Second), discardLogger())
@@ -61,5 +61,5 @@
 			transferred++
 		}
 	}
-	c.Logf("%d services with a running gang of two members each: %d duties were handed over, no gang was disturbed unless said above | load %s", n, transferred, loadAverage())
+	c.Logf("%d services with a running gang of two members each: %d leaderships were handed over, no gang was disturbed unless reported above | load %s", n, transferred, loadAverage())
 }
--- a/internal/capacity/measure_test.go
+++ b/internal/capacity/measure_test.go
@@ -88,6 +88,6 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	c.Fatalf("never happened: %s", what)
+	c.Fatalf("timed out waiting for: %s", what)
 	return 0
 }
--- a/internal/capacity/planner_failover_test.go
+++ b/internal/capacity/planner_failover_test.go
@@ -31,7 +31,7 @@
 		region := newTestRegion(c, names...)
 		firstEntry := startProcess(c, entrySettingsEnv, region.entrySettings("entry-1", time.Second))
 		firstClient := api.NewClient("http://"+firstEntry.addresses[1], nil)
-		eventually(c, "all duties at the first", func() bool { return len(listLeaderships(c, firstClient)) == n })
+		eventually(c, "first entry leads all elections", func() bool { return len(listLeaderships(c, firstClient)) == n })
 		secondEntry, err := entry.Start(region.entrySettings("entry-2", time.Second), discardLogger())
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(secondEntry.Close)
@@ -55,14 +55,14 @@
 			})
 			job <- time.Since(began)
 		}()
-		eventually(c, "first duty", func() bool { return secondEntry.Epoch(names[0]) > 0 })
+		eventually(c, "second entry leads the first election", func() bool { return secondEntry.Epoch(names[0]) > 0 })
 		firstElected = append(firstElected, time.Since(began))
-		eventually(c, "all duties", func() bool { return len(listLeaderships(c, secondClient)) == n })
+		eventually(c, "second entry leads all elections", func() bool { return len(listLeaderships(c, secondClient)) == n })
 		allElected = append(allElected, time.Since(began))
 		jobsDone = append(jobsDone, <-job)
 		secondEntry.Close()
 	}
-	c.Logf("%d services, %d deaths of the planner's process: another holds the first duty after p50 %v max %v, all after p50 %v max %v; a job submitted at the death has run after p50 %v max %v | load %s",
+	c.Logf("%d services, %d failures of the planner's process: another entry leads the first election after p50 %v max %v, all after p50 %v max %v; a job submitted at the failure has run after p50 %v max %v | load %s",
 		n, rounds, quantile(firstElected, 0.5), quantile(firstElected, 1), quantile(allElected, 0.5), quantile(allElected, 1), quantile(jobsDone, 0.5), quantile(jobsDone, 1), loadAverage())
 }
 
--- a/internal/capacity/planner_takeover_test.go
+++ b/internal/capacity/planner_takeover_test.go
@@ -141,7 +141,7 @@
 		callsAfter, idleUsage := region.calls.Calls(), ReadUsage()
 		time.Sleep(4 * time.Second)
 		idleProcessorTime := ReadUsage().ProcessorTimeSince(idleUsage)
-		c.Logf("%d jobs: takeover: records listed and taken in after %v, all known to the scheduler (as published every 250 ms) after %v, processor %v (store stand-in included), heap grown %d KB; at rest %.2f%% of a core; calls %s, at rest %s a second | load %s",
+		c.Logf("%d jobs: takeover: records listed and recovered after %v, all known to the scheduler (as published every 250 ms) after %v, processor %v (store stand-in included), heap grown %d KB; idle %.2f%% of a core; calls %s, idle %s a second | load %s",
 			n, listed.Round(time.Millisecond), resumed.Round(time.Millisecond), after.ProcessorTimeSince(usageBefore).Round(time.Millisecond), (int64(after.Heap)-int64(usageBefore.Heap))>>10, 100*idleProcessorTime.Seconds()/4,
 			callIncrease(callsAfter, calls, 1), callIncrease(region.calls.Calls(), callsAfter, 4), loadAverage())
 		idleUsage = ReadUsage()
--- a/internal/capacity/process_test.go
+++ b/internal/capacity/process_test.go
@@ -65,7 +65,7 @@
 			return rest
 		}
 	}
-	p.c.Fatal("the process ended")
+	p.c.Fatal("the measured process exited")
 	return ""
 }
 
@@ -102,7 +102,7 @@
 		defer a.Close()
 		addresses = []string{a.Addr()}
 	default:
-		t.Skip("is started by other measurements")
+		t.Skip("runs only as a child process of other measurements")
 	}
 	fmt.Printf("\n%s%s\n", readyPrefix, strings.Join(addresses, " "))
 	for input := bufio.NewScanner(os.Stdin); input.Scan(); {
--- a/internal/capacity/relays_test.go
+++ b/internal/capacity/relays_test.go
@@ -138,11 +138,11 @@
 		entryBytes, memberBytes, before = proxy.bytes.Load(), memberTraffic(), p.usage()
 		began := time.Now()
 		v := region.putDocument(names[0], generation+1)
-		eventually(c, "in force", func() bool { return len(f.AppliedAt(v.Generation)) == rackSize-1 })
+		eventually(c, "document active on all agents", func() bool { return len(f.AppliedAt(v.Generation)) == rackSize-1 })
 		took := time.Since(began)
 		eventually(c, "reported", func() bool { _, all := region.countAlive(entry.addresses[1], v.Generation); return all == rackSize })
 		time.Sleep(settleTime)
-		c.Logf("a document of %d bytes: in force at all members after %v | members %.1f KB, entry %.1f KB both ways, processor %v", len(v.TOML),
+		c.Logf("a document of %d bytes: active at all members after %v | members %.1f KB, entry %.1f KB both ways, processor %v", len(v.TOML),
 			took.Round(time.Microsecond), float64(memberTraffic()-memberBytes)/1024, float64(proxy.bytes.Load()-entryBytes)/1024, p.usage().ProcessorTimeSince(before).Round(time.Millisecond))
 	}
 }
--- a/internal/capacity/standin_agent.go
+++ b/internal/capacity/standin_agent.go
@@ -14,7 +14,7 @@
 	"github.com/eelgrasshub/eelgrasshub/wire"
 )
 
-var errNotHandled = eris.New("not a message for a stand-in agent")
+var errNotHandled = eris.New("message type not handled by a stand-in agent")
 
 const (
 	reportTimeout  = time.Second
--- a/internal/capacity/store_test.go
+++ b/internal/capacity/store_test.go
@@ -49,7 +49,7 @@
 	time.Sleep(span)
 	after := ReadUsage()
 	idleCalls := region.calls.Calls()
-	c.Logf("%d entries, %d services: to begin with %s; then a second %s; processor %.2f%% of a core with the stand-in, heap %d KB | load %s",
+	c.Logf("%d entries, %d services: at the start %s; then per second %s; processor %.2f%% of a core with the stand-in, heap %d KB | load %s",
 		entries, n, callIncrease(settledCalls, initialCalls, 1), callIncrease(idleCalls, settledCalls, span.Seconds()), 100*after.ProcessorTimeSince(before).Seconds()/span.Seconds(), (int64(after.Heap)-int64(usageAtStart.Heap))>>10, loadAverage())
 	for generation := range uint64(10) {
 		region.putDocument(names[0], generation+1)
@@ -147,7 +147,7 @@
 		c.Check(status.State, qt.Equals, api.JobDone)
 		took = append(took, time.Since(began))
 	}
-	c.Logf("gang of 16 on an idle site, from submission to its end after 1 ms of work: p50 %v p99 %v | load %s", quantile(took, 0.5), quantile(took, 0.99), loadAverage())
+	c.Logf("gang of 16 on an idle region, from submission to its end after 1 ms of work: p50 %v p99 %v | load %s", quantile(took, 0.5), quantile(took, 0.99), loadAverage())
 	for _, n := range []int{8, 64} {
 		callsBefore := region.calls.Calls()
 		var wg sync.WaitGroup
--- a/internal/testport/testport.go
+++ b/internal/testport/testport.go
@@ -50,7 +50,7 @@
 			return addr
 		}
 	}
-	panic("testport: every port is taken")
+	panic("testport: no free port in the range")
 }
 
 func isFree(addr string) bool {
--- a/load/plan_test.go
+++ b/load/plan_test.go
@@ -48,8 +48,8 @@
 		longestWork = max(longestWork, a.Quick.ServiceTime)
 	}
 	// The expected values are 4500 and 2500; the bounds are four standard deviations.
-	c.Check(abs(len(list)-inBurst-4500) < 270, qt.IsTrue, qt.Commentf("%d outside", len(list)-inBurst))
-	c.Check(abs(inBurst-2500) < 200, qt.IsTrue, qt.Commentf("%d inside", inBurst))
+	c.Check(abs(len(list)-inBurst-4500) < 270, qt.IsTrue, qt.Commentf("%d outside the burst", len(list)-inBurst))
+	c.Check(abs(inBurst-2500) < 200, qt.IsTrue, qt.Commentf("%d inside the burst", inBurst))
 	c.Check(longestWork > 10*time.Millisecond && longestWork <= 100*time.Millisecond, qt.IsTrue)
 }
 
@@ -77,6 +77,6 @@
 		}
 		t.Logf("%s: %d jobs, %.0f accelerator-seconds in %s", file, placeable, work, time.Duration(p.Duration))
 		qt.Check(t, work < 88*time.Duration(p.Duration).Seconds(), qt.IsTrue, qt.Commentf("more work than the workers can do"))
-		qt.Check(t, unplaceable > 0 && failing > 0, qt.IsTrue, qt.Commentf("%d impossible, %d failing", unplaceable, failing))
+		qt.Check(t, unplaceable > 0 && failing > 0, qt.IsTrue, qt.Commentf("%d unplaceable, %d failing", unplaceable, failing))
 	}
 }
--- a/load/run.go
+++ b/load/run.go
@@ -13,7 +13,7 @@
 )
 
 // ErrNoEntries is returned by Run if it is given no entries.
-var ErrNoEntries = errors.New("load: no entry given")
+var ErrNoEntries = errors.New("load: no entries given")
 
 const (
 	maxTries = 4
--- a/load/run_jobs.go
+++ b/load/run_jobs.go
@@ -48,7 +48,7 @@
 		CheckpointEveryMS: time.Duration(a.Load.CheckpointInterval).Milliseconds(),
 	})
 	if err != nil {
-		panic("load: payload can't be encoded: " + err.Error())
+		panic("load: encode task payload: " + err.Error())
 	}
 	checkpointable := a.Load.CheckpointInterval > 0
 	return &api.JobRequest{
--- a/trial/combined_faults_test.go
+++ b/trial/combined_faults_test.go
@@ -65,7 +65,7 @@
 			ended <- err
 		}()
 	}
-	tc.eventually(func() error { return errorUnless(tc.Store.Counters().Txn > before, "no write has begun") })
+	tc.eventually(func() error { return errorUnless(tc.Store.Counters().Txn > before, "no store write has started") })
 	tc.Entries[0].Kill()
 	for range n {
 		tc.Check(errors.Is(<-ended, api.ErrOutcomeUnknown), qt.IsTrue)
@@ -107,7 +107,7 @@
 		runs, _ := tc.quickRuns(tag)
 		tc.Check(len(runs) <= 1, qt.IsTrue, qt.Commentf("%s ran %d times", tag, len(runs)))
 		consistent := a.Outcome != api.OutcomeNotRun || len(runs) == 0
-		tc.Check(consistent, qt.IsTrue, qt.Commentf("%s: told not run, and ran", tag))
+		tc.Check(consistent, qt.IsTrue, qt.Commentf("%s: reported as not run, but ran", tag))
 	}
 	fullCluster := tc.submit(1, "big", "whole", 32, 100*time.Millisecond)
 	for i := range 8 {
@@ -150,13 +150,15 @@
 	placed := tc.awaitJob(0, gang, api.JobStarting).Placement
 	tc.Assert(placed, qt.HasLen, 2)
 	restarting := tc.workerByID(placed[0].Agent)
-	tc.eventually(func() error { return errorUnless(restarting.Target.HeldStarts() > 0, "no start has arrived") })
+	tc.eventually(func() error {
+		return errorUnless(restarting.Target.HeldStarts() > 0, "no start request has arrived at the target")
+	})
 	oldIncarnation := restarting.Target.AgentIncarnation()
 	restarting.KillAgent()
 	tc.Assert(restarting.StartAgent(), qt.IsNil)
 	// A start that arrives before the agent has listed its target's tasks would be recovered.
 	tc.eventually(func() error {
-		return errorUnless(restarting.Target.AgentIncarnation() > oldIncarnation, "the agent has not asked its target")
+		return errorUnless(restarting.Target.AgentIncarnation() > oldIncarnation, "the agent has not listed its target's tasks")
 	})
 	tc.Assert(tc.WaitForDocument(tc.ctx, 1), qt.IsNil)
 	for _, worker := range tc.Workers {
@@ -164,7 +166,9 @@
 	}
 
 	tc.Check(tc.awaitJob(0, gang, api.JobDone).Attempt > 1, qt.IsTrue)
-	tc.eventually(func() error { return errorUnless(restarting.Target.HeldStarts() == 0, "a start is still held") })
+	tc.eventually(func() error {
+		return errorUnless(restarting.Target.HeldStarts() == 0, "the target still holds a start request back")
+	})
 	for _, run := range restarting.Target.Audit().Tasks {
 		tc.Check(run.Attempt, qt.Not(qt.Equals), firstAttemptNumber)
 	}
--- a/trial/entry_node.go
+++ b/trial/entry_node.go
@@ -16,7 +16,7 @@
 )
 
 // ErrNotRunning is returned if the process is not running.
-var ErrNotRunning = errors.New("trial: the process does not run")
+var ErrNotRunning = errors.New("trial: the process is not running")
 
 // EntryNode is one entry of a Cluster. It is safe for concurrent use.
 type EntryNode struct {
--- a/trial/helpers_test.go
+++ b/trial/helpers_test.go
@@ -258,7 +258,7 @@
 			tc.Errorf("%s: attempt %d: %d of %d members done", tag, n, done, members[0].Members)
 		}
 	}
-	tc.Check(completeAttempts, qt.Equals, 1, qt.Commentf("%s: whole attempts", tag))
+	tc.Check(completeAttempts, qt.Equals, 1, qt.Commentf("%s: completed attempts", tag))
 	tc.Check(load.OverlappingAttempts(tc.Audits()), qt.HasLen, 0)
 }
 
--- a/trial/jobs_test.go
+++ b/trial/jobs_test.go
@@ -158,7 +158,7 @@
 	for i, id := range ids {
 		s := tc.awaitJob(i%2, id, api.JobCancelled, api.JobDone)
 		if s.Reason == api.ReasonCancelledBeforeStart {
-			tc.Check(tc.jobAttempts(tags[id]), qt.HasLen, 0, qt.Commentf("%s: told not run", id))
+			tc.Check(tc.jobAttempts(tags[id]), qt.HasLen, 0, qt.Commentf("%s: reported as not run", id))
 		}
 	}
 	next := tc.submit(0, "big", "next", 32, 100*time.Millisecond)
--- a/trial/permits_test.go
+++ b/trial/permits_test.go
@@ -18,7 +18,7 @@
 	running, waiting := tc.awaitPermit()
 	tc.Store.SetFaults(store.Faults{Down: store.DownRefuse})
 	tc.eventually(func() error {
-		return errorUnless(allEnded(tc.jobAttempts("waits"), 3), "the job that waited has not run")
+		return errorUnless(allEnded(tc.jobAttempts("waits"), 3), "the waiting job has not run to its end")
 	})
 	tc.Store.SetFaults(store.Faults{})
 
@@ -38,7 +38,7 @@
 	other := tc.otherEntry(planner)
 	tc.Store.SetFaults(store.Faults{Down: store.DownRefuse})
 	tc.eventually(func() error {
-		return errorUnless(len(tc.jobAttempts("waits")) > 0, "the job that waited does not run")
+		return errorUnless(len(tc.jobAttempts("waits")) > 0, "the waiting job has not started")
 	})
 	planner.Kill()
 	tc.Store.SetFaults(store.Faults{})
@@ -57,7 +57,7 @@
 	tc.awaitJob(0, running, api.JobRunning)
 	waiting = tc.submit(1, "big", "waits", 24, 6*time.Second)
 	tc.eventually(func() error {
-		return errorUnless(tc.awaitJob(0, waiting, api.JobQueued).Attempt > 0, "no permit")
+		return errorUnless(tc.awaitJob(0, waiting, api.JobQueued).Attempt > 0, "the waiting job has no permit")
 	})
 	return running, waiting
 }
--- a/trial/quick_requests_test.go
+++ b/trial/quick_requests_test.go
@@ -130,7 +130,7 @@
 	tc.checkAllDone(traffic.stop())
 	for _, r := range draining.Target.Audit().Quick {
 		sentAfterDrain := strings.HasPrefix(r.Tag, "after") || r.Tag == "gone"
-		tc.Check(sentAfterDrain, qt.IsFalse, qt.Commentf("%s ran at the leaving target", r.Tag))
+		tc.Check(sentAfterDrain, qt.IsFalse, qt.Commentf("%s ran on the draining target", r.Tag))
 		tc.Check(r.Completed && !r.Abandoned, qt.IsTrue)
 	}
 }
@@ -157,7 +157,7 @@
 		}
 		tc.checkDone(a, tag)
 	}
-	tc.Check(len(answers)/10 > lost, qt.IsTrue, qt.Commentf("%d of %d", lost, len(answers)))
+	tc.Check(len(answers)/10 > lost, qt.IsTrue, qt.Commentf("%d of %d requests not answered as done", lost, len(answers)))
 }
 
 func TestRequestsAvoidDeadAgent(t *testing.T) {
--- a/trial/reclaim.go
+++ b/trial/reclaim.go
@@ -38,7 +38,7 @@
 	result   load.Result
 }
 
-var errNoBorrowingClass = errors.New("trial: the document has no class that may borrow")
+var errNoBorrowingClass = errors.New("trial: the document has no class with may_borrow")
 
 // MeasureReclaim fills the idle cluster with borrowing jobs and then lets every other client
 // account claim its largest guaranteed shape, one after the other. The result holds all jobs
@@ -115,7 +115,7 @@
 			lastFree, unchangedSince = s.Free, time.Now()
 		}
 		if !ok || s.Starts == 0 || time.Since(unchangedSince) < steadyPeriod {
-			return fmt.Errorf("borrowers have not settled: %d accelerators free", lastFree)
+			return fmt.Errorf("borrowing jobs are still starting: %d accelerators free", lastFree)
 		}
 		return nil
 	})
--- a/trial/wait.go
+++ b/trial/wait.go
@@ -18,7 +18,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%w; last: %w", ctx.Err(), err)
+			return fmt.Errorf("%w; last error: %w", ctx.Err(), err)
 		case <-time.After(pollInterval):
 		}
 	}
