--- a/internal/capacity/entry_test.go
+++ b/internal/capacity/entry_test.go
@@ -133,7 +133,7 @@
 		eventually(c, "all agents reported", func() bool { return f.Admitted.Load()-admitted == int64(n) })
 		took := time.Since(began)
 		after := p.usage()
-		c.Logf("%d return, round %d: dialled within %v, all admitted after %v, entry's processor %v (%.2f ms an agent), heap %d MB resident %d MB, failed %d refused %d, %.1f KB an agent both ways | load %s",
+		c.Logf("%d agents reconnect, round %d: dialled within %v, all admitted after %v, entry's processor %v (%.2f ms an agent), heap %d MB resident %d MB, failed %d refused %d, %.1f KB an agent both ways | load %s",
 			n, round, connectTime.Round(time.Millisecond), took.Round(time.Millisecond), after.ProcessorTimeSince(before).Round(time.Millisecond),
 			float64((after.Processor-before.Processor).Microseconds())/1000/float64(n), after.Heap>>20, after.Resident>>20, f.Failed.Load()-failed, f.Refused.Load()-refused,
 			float64(f.Traffic.SentBytes.Load()+f.Traffic.ReceivedBytes.Load()-bytes)/1024/float64(n), loadAverage())
--- a/internal/capacity/relays_test.go
+++ b/internal/capacity/relays_test.go
@@ -44,14 +44,14 @@
 		time.Sleep(100 * time.Millisecond) // keeps handshakes below the admitted rate
 	}
 	allRelayed := func() bool { return region.countRelayed(p.addresses[1]) == n-n/rackSize }
-	eventually(c, "all report by relays", allRelayed)
+	eventually(c, "all agents report through relays", allRelayed)
 	region.measureSteadyState(p, proxy, n, reportPeriod, "dialled by all")
 
 	p.stop()
 	p = startProcess(c, entrySettingsEnv, cfg)
 	began := p.usage()
-	took := eventually(c, "all report by relays again", allRelayed)
-	c.Logf("%d agents, restarted entry: all by relays after %v, processor %v", n, took.Round(time.Millisecond), p.usage().ProcessorTimeSince(began).Round(time.Millisecond))
+	took := eventually(c, "all agents report through relays again", allRelayed)
+	c.Logf("%d agents, restarted entry: all through relays after %v, processor %v", n, took.Round(time.Millisecond), p.usage().ProcessorTimeSince(began).Round(time.Millisecond))
 	region.measureSteadyState(p, proxy, n, reportPeriod, "after a restart of the entry")
 }
 
@@ -62,7 +62,7 @@
 	time.Sleep(span)
 	bytes, after := proxy.bytes.Load()-bytes, p.usage()
 	processorTime := after.ProcessorTimeSince(before)
-	r.Logf("%d agents in racks of %d every %v, %s: processor %.1f us/s an agent, %.2f%% of a core | heap %d MB stacks %d KB resident %d MB goroutines %d | %.1f B/s an agent, %.1f KB/s both ways | not by relays %d | load %s",
+	r.Logf("%d agents in racks of %d every %v, %s: processor %.1f us/s an agent, %.2f%% of a core | heap %d MB stacks %d KB resident %d MB goroutines %d | %.1f B/s an agent, %.1f KB/s both ways | not through relays %d | load %s",
 		n, rackSize, reportPeriod, label, float64(processorTime.Microseconds())/float64(n)/span.Seconds(), 100*processorTime.Seconds()/span.Seconds(),
 		after.Heap>>20, after.Stacks>>10, after.Resident>>20, after.Goroutines,
 		float64(bytes)/float64(n)/span.Seconds(), float64(bytes)/1024/span.Seconds(), n-r.countRelayed(p.addresses[1]), loadAverage())
@@ -123,7 +123,7 @@
 	f.SetRackSize(rackSize - 1)
 	c.Cleanup(f.Stop)
 	c.Assert(f.Add(rackSize-1, names...), qt.IsNil)
-	eventually(c, "all report by the relay", func() bool { return region.countRelayed(entry.addresses[1]) == rackSize-1 })
+	eventually(c, "all agents report through the relay", func() bool { return region.countRelayed(entry.addresses[1]) == rackSize-1 })
 	time.Sleep(3*settleTime + 2*reportPeriod)
 	memberTraffic := func() int64 { return f.Traffic.SentBytes.Load() + f.Traffic.ReceivedBytes.Load() }
 	const span = 24 * time.Second
--- a/internal/capacity/store_test.go
+++ b/internal/capacity/store_test.go
@@ -156,7 +156,7 @@
 		}
 		wg.Wait()
 		time.Sleep(settleTime) // longer than the jobs' run time
-		eventually(c, "jobs end", func() bool {
+		eventually(c, "all jobs have ended", func() bool {
 			p, ok := e.Stats(service)
 			running := 0
 			for _, a := range p.Accounts {
--- a/load/audit_jobs.go
+++ b/load/audit_jobs.go
@@ -28,7 +28,7 @@
 func (f *Findings) auditFinalState(name string, j *JobResult) {
 	switch {
 	case j.ID != "" && !j.State.Final():
-		f.Lost.add("%s: accepted, last seen %s", name, j.State)
+		f.Lost.add("%s: accepted, last observed state: %s", name, j.State)
 	case j.ID == "" && outcomeOf(j.Submissions) == "" && !allNotSent(j.Submissions):
 		f.Lost.add("%s: no answer to its submission: %s", name, lastError(j.Submissions))
 	}
@@ -43,7 +43,7 @@
 		j.State == api.JobCancelled && j.Reason != "" && j.Reason.Outcome() == api.OutcomeNotRun ||
 		j.ID == "" && allReportedNotRun(j.Submissions)
 	if toldNotRun {
-		f.Misreported.add("%s: told not run (%s %s), and ran on %s", name, j.State, j.Reason, runs[0].worker)
+		f.Misreported.add("%s: reported as not run (%s %s), but ran on %s", name, j.State, j.Reason, runs[0].worker)
 	}
 }
 
@@ -154,10 +154,10 @@
 		mostCompleted = max(mostCompleted, n)
 	}
 	if mostCompleted > 0 {
-		f.PartialGangs.add("%s: told done, %d members completed in its best attempt", name, mostCompleted)
+		f.PartialGangs.add("%s: reported as done, but only %d members completed in its best attempt", name, mostCompleted)
 		return
 	}
-	f.Misreported.add("%s: told done, no member completed", name)
+	f.Misreported.add("%s: reported as done, but no member completed", name)
 }
 
 // auditResultOwner reports a result that belongs to another job.
@@ -168,7 +168,7 @@
 	}
 	for _, p := range taskResults {
 		if p.Tag != "" && p.Tag != j.Tag {
-			f.Misreported.add("%s: told the result of %s", name, p.Tag)
+			f.Misreported.add("%s: reported with the result of %s", name, p.Tag)
 			return
 		}
 	}
--- a/load/audit_quick.go
+++ b/load/audit_quick.go
@@ -24,7 +24,7 @@
 		requestIDs[i] = run.RequestID
 	}
 	if id, ok := findFalseNotRun(q.Tries, requestIDs); ok {
-		f.Misreported.add("%s: request %s told not run, and ran", name, id)
+		f.Misreported.add("%s: request %s reported as not run, but ran", name, id)
 	}
 	for _, t := range q.Tries {
 		f.auditDoneAnswer(name, t, runs)
@@ -35,9 +35,9 @@
 	switch {
 	case !t.Answered || t.Outcome != api.OutcomeDone:
 	case t.BodyError != "":
-		f.Misreported.add("%s: request %s told done: %s", name, t.RequestID, t.BodyError)
+		f.Misreported.add("%s: request %s reported as done: %s", name, t.RequestID, t.BodyError)
 	case !completedWithChecksum(runs, t.Checksum):
-		f.Misreported.add("%s: request %s told done, no completed run gave that answer", name, t.RequestID)
+		f.Misreported.add("%s: request %s reported as done, but no completed run gave that answer", name, t.RequestID)
 	}
 }
 
--- a/trial/faults.go
+++ b/trial/faults.go
@@ -27,7 +27,7 @@
 func FaultSchedule(document []byte) []Fault {
 	changedDocument := append(slices.Clone(document), "\n# changed during the run\n"...)
 	return []Fault{
-		{0.10, "replies of the store lost", setStoreFaults(store.Faults{LoseReplies: 5})},
+		{0.10, "store replies lost", setStoreFaults(store.Faults{LoseReplies: 5})},
 		{0.15, "document changed", func(ctx context.Context, c *Cluster) error {
 			_, err := c.PutDocument(ctx, changedDocument, 1)
 			return err
@@ -36,15 +36,15 @@
 			c.Workers[1].KillAgent()
 			return nil
 		}},
-		{0.25, "connections of an entry silent", func(_ context.Context, c *Cluster) error {
+		{0.25, "connections of an entry blackholed", func(_ context.Context, c *Cluster) error {
 			c.Entries[0].DropAllFlows()
 			return nil
 		}},
 		{0.30, "agent started again", func(_ context.Context, c *Cluster) error { return c.Workers[1].StartAgent() }},
-		{0.35, "store out", setStoreFaults(store.Faults{Down: store.DownRefuse})},
-		{0.45, "target fails everything", setTargetFaults(2, standin.Faults{FailQuick: true, FailTasks: true})},
-		{0.55, "store back, and loses replies", setStoreFaults(store.Faults{LoseReplies: 3})},
-		{0.60, "target well again", setTargetFaults(2, standin.Faults{})},
+		{0.35, "store unavailable", setStoreFaults(store.Faults{Down: store.DownRefuse})},
+		{0.45, "target fails all work", setTargetFaults(2, standin.Faults{FailQuick: true, FailTasks: true})},
+		{0.55, "store available again, replies lost", setStoreFaults(store.Faults{LoseReplies: 3})},
+		{0.60, "target healthy again", setTargetFaults(2, standin.Faults{})},
 		{0.65, "entry killed", func(_ context.Context, c *Cluster) error {
 			n := c.PlannerEntry()
 			if n == nil {
@@ -53,7 +53,7 @@
 			n.Kill()
 			return nil
 		}},
-		{0.75, "agent stopped as planned", stopAgentInBackground(3)},
+		{0.75, "agent stopped gracefully", stopAgentInBackground(3)},
 		{0.85, "entry started again", func(_ context.Context, c *Cluster) error {
 			for _, n := range c.Entries {
 				if err := n.Start(); err != nil {
