--- a/lease/elector_test.go
+++ b/lease/elector_test.go
@@ -11,7 +11,7 @@
 	"github.com/eelgrasshub/eelgrasshub/store"
 )
 
-var runCount = flag.Int("lease.runs", 300, "randomised runs; run n has seed n")
+var runCount = flag.Int("lease.runs", 300, "number of randomized runs; run n has seed n")
 
 const stepsPerRun = 5000
 
--- a/membership/random_relays_test.go
+++ b/membership/random_relays_test.go
@@ -274,7 +274,7 @@
 	if r.ID == from.id || len(truth.Tasks) == 0 {
 		return
 	}
-	s.c.Assert(r.PlannerTimestamp, qt.Equals, wire.InvalidPlannerTimestamp, qt.Commentf("%s by %s", r.ID, from.id))
+	s.c.Assert(r.PlannerTimestamp, qt.Equals, wire.InvalidPlannerTimestamp, qt.Commentf("report of %s relayed by %s", r.ID, from.id))
 }
 
 func (s *relaySimulation) tick() {
--- a/membership/random_reports_test.go
+++ b/membership/random_reports_test.go
@@ -14,8 +14,8 @@
 )
 
 var (
-	seedFlag = flag.Uint64("seed", 1, "first seed of the randomised run")
-	runsFlag = flag.Int("runs", 20, "number of randomised runs")
+	seedFlag = flag.Uint64("seed", 1, "seed of the first randomized run")
+	runsFlag = flag.Int("runs", 20, "number of randomized runs")
 )
 
 type reportVersion struct {
@@ -222,7 +222,7 @@
 		last := s.lastShown[i][r.ID]
 		wentBack := r.Incarnation < last.incarnation || (r.Incarnation == last.incarnation && r.Sequence < last.sequence)
 		s.c.Assert(wentBack, qt.IsFalse, qt.Commentf("%s went back from %v to %d/%d", r.ID, last, r.Incarnation, r.Sequence))
-		s.c.Assert(s.left[i][r.ID] < r.Incarnation, qt.IsTrue, qt.Commentf("%s is back after its departure notice", r.ID))
+		s.c.Assert(s.left[i][r.ID] < r.Incarnation, qt.IsTrue, qt.Commentf("%s is a member after its departure notice", r.ID))
 		current := reportVersion{r.ID, r.Incarnation, r.Sequence}
 		s.lastShown[i][r.ID] = current
 		s.c.Assert(diff(s.sentStates[current], r)&^wire.ChangedDraining, qt.Equals, wire.FieldGroups(0),
--- a/membership/reporter_test.go
+++ b/membership/reporter_test.go
@@ -28,7 +28,7 @@
 	state := fullReport("a", 1, 0)
 	state.Load.Queued = 5
 	r.SetState(now, state)
-	c.Assert(r.Due(now, "x"), qt.Equals, now.Add(DefaultReportPeriod), qt.Commentf("load alone waits"))
+	c.Assert(r.Due(now, "x"), qt.Equals, now.Add(DefaultReportPeriod), qt.Commentf("a change of the load alone waits for the period"))
 	state.Tasks = []gang.Task{{ID: gang.ID{Job: "j"}}}
 	r.SetState(now, state)
 	c.Assert(r.Due(now, "x"), qt.Equals, now.Add(DefaultCoalesce))
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -49,9 +49,9 @@
 		ev      Event
 		want    []string
 	}{
-		{"a delta of an agent that is not known", 0, directReports(wire.AgentReport{ID: "b", Incarnation: 1, Sequence: 4, BaseSequence: 3}), []string{"NeedFull"}},
-		{"a delta that continues what is known", 0, directReports(delta(3, 2, wire.ChangedLoad)), []string{"Changed"}},
-		{"a delta with a gap before it", 0, directReports(delta(5, 4, wire.ChangedLoad)), []string{"NeedFull"}},
+		{"a delta of an unknown agent", 0, directReports(wire.AgentReport{ID: "b", Incarnation: 1, Sequence: 4, BaseSequence: 3}), []string{"NeedFull"}},
+		{"a delta on the known sequence", 0, directReports(delta(3, 2, wire.ChangedLoad)), []string{"Changed"}},
+		{"a delta after a gap", 0, directReports(delta(5, 4, wire.ChangedLoad)), []string{"NeedFull"}},
 		{"a report of an older incarnation", 0, directReports(fullReport("a", 1, 9)), []string{"Newer"}},
 		{"a report of an older sequence", 0, directReports(fullReport("a", 2, 1)), []string{}},
 		{"a restart", 0, directReports(fullReport("a", 3, 1)), []string{"Lost", "Joined"}},
--- a/wire/measure_bytes_test.go
+++ b/wire/measure_bytes_test.go
@@ -61,7 +61,7 @@
 		})
 	}
 	return map[string]*Report{
-		"no news":           {Reports: []AgentReport{unchanged}},
+		"unchanged":         {Reports: []AgentReport{unchanged}},
 		"delta of the load": {Reports: []AgentReport{loadDelta}},
 		"full, no tasks":    {Reports: []AgentReport{full}},
 		"full, 8 tasks":     {Reports: []AgentReport{withTasks}},
--- a/wire/measure_memory_test.go
+++ b/wire/measure_memory_test.go
@@ -134,6 +134,6 @@
 		sorted[i] = <-connectTimes
 	}
 	slices.Sort(sorted)
-	t.Logf("%d agents in: half after %v, 99%% after %v, all after %v; processor of both ends %v",
+	t.Logf("%d agents connected: half after %v, 99%% after %v, all after %v; processor of both ends %v",
 		n, sorted[n/2], sorted[n*99/100], sorted[n-1], cpuTime()-cpu)
 }
