--- a/api/api_test.go
+++ b/api/api_test.go
@@ -81,12 +81,12 @@
 
 func TestDecodeNamesTheField(t *testing.T) {
 	for name, tc := range map[string]struct{ text, field string }{
-		"misspelt":     {`{"repeatabel":false}`, "repeatabel"},
-		"wrong type":   {`{"accelerators":"8"}`, "accelerators"},
-		"two values":   {`{} {}`, "body"},
-		"cut short":    {`{"account":"a"`, "body"},
-		"no gang":      {`{"account":"a","class":"c"}`, "accelerators"},
-		"bad distance": {`{"account":"a","class":"c","accelerators":1,"adjacency":"near"}`, "adjacency"},
+		"misspelt":          {`{"repeatabel":false}`, "repeatabel"},
+		"wrong type":        {`{"accelerators":"8"}`, "accelerators"},
+		"two values":        {`{} {}`, "body"},
+		"truncated":         {`{"account":"a"`, "body"},
+		"no accelerators":   {`{"account":"a","class":"c"}`, "accelerators"},
+		"invalid adjacency": {`{"account":"a","class":"c","accelerators":1,"adjacency":"near"}`, "adjacency"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var r JobRequest
--- a/cmd/eelgrasshub/report_table.go
+++ b/cmd/eelgrasshub/report_table.go
@@ -26,10 +26,10 @@
 		r.Service, p.Entry, p.Region, formatTime(p.Since), p.Epoch, p.Generation)
 	fmt.Fprintf(w, "as of %s, %s old; last decision %s\n", formatTime(r.CreatedAt), roundToMillis(r.Age), formatTime(r.DecidedAt))
 	if r.Settling {
-		fmt.Fprintln(w, "settling: the planner has just taken over, and records or workers are still coming in")
+		fmt.Fprintln(w, "settling: the planner has just taken over, and records or workers are still arriving")
 	}
 	if r.StoreUnavailable {
-		fmt.Fprintln(w, "the platform's store does not answer: only jobs that have a permit start meanwhile")
+		fmt.Fprintln(w, "the platform's store is unavailable: until it is back, only jobs with a permit start")
 	}
 }
 
--- a/document/put_test.go
+++ b/document/put_test.go
@@ -171,10 +171,10 @@
 		won := stored.Author == fmt.Sprintf("operator%d", i)
 		switch {
 		case err == nil:
-			c.Assert(won, qt.IsTrue, qt.Commentf("seed %d: operator %d was told success, but the store has the version of %s", seed, i, stored.Author))
+			c.Assert(won, qt.IsTrue, qt.Commentf("seed %d: the put of operator %d succeeded, but the store has the version of %s", seed, i, stored.Author))
 			c.Assert(versions[i], qt.DeepEquals, stored)
 		case errors.Is(err, document.ErrConflict):
-			c.Assert(won, qt.IsFalse, qt.Commentf("seed %d: operator %d was told conflict, but the store has its version", seed, i))
+			c.Assert(won, qt.IsFalse, qt.Commentf("seed %d: the put of operator %d conflicted, but the store has its version", seed, i))
 		default:
 			c.Assert(errors.Is(err, document.ErrOutcomeUnknown) || errors.Is(err, store.ErrUnavailable), qt.IsTrue)
 			unknown++
--- a/metrics/counter.go
+++ b/metrics/counter.go
@@ -49,21 +49,21 @@
 }
 
 var counterDescriptions = [numCounters]Description{
-	PairsOverflowed:        {"pairs_overflowed", "observations", "went to the pair named other"},
+	PairsOverflowed:        {"pairs_overflowed", "observations", "recorded under the pair named other"},
 	RequestsRetried:        {"requests_retried", "attempts", "further attempts of quick requests"},
 	RequestsDeduplicated:   {"requests_deduplicated", "requests", "answered from an earlier attempt with the same key"},
-	JobsAccepted:           {"jobs_accepted", "jobs", "made safe in the store"},
-	JobsEvicted:            {"jobs_evicted", "jobs", "running, and stopped to give capacity to others"},
+	JobsAccepted:           {"jobs_accepted", "jobs", "written to the store"},
+	JobsEvicted:            {"jobs_evicted", "jobs", "stopped while running, to free capacity for others"},
 	GangsStarted:           {"gangs_started", "gangs", "started on all their members"},
-	PermitsWritten:         {"permits_written", "jobs", "allowed to start without a write to the store"},
-	PermitsUsed:            {"permits_used", "attempts", "started without a write to the store"},
-	PermitsReturned:        {"permits_returned", "jobs", "allowed to start, and given back at the end of a planner's term"},
-	GangsAborted:           {"gangs_aborted", "gangs", "given up before all members started"},
+	PermitsWritten:         {"permits_written", "jobs", "permitted to start without a further store write"},
+	PermitsUsed:            {"permits_used", "attempts", "started on a permit"},
+	PermitsReturned:        {"permits_returned", "jobs", "returned unused at the end of a planner's term"},
+	GangsAborted:           {"gangs_aborted", "gangs", "aborted before all members started"},
 	ReservationsRefused:    {"reservations_refused", "reservations", "refused by an agent"},
-	DocumentsApplied:       {"documents_applied", "generations", "put in force"},
-	LeadershipsHandedOver:  {"duties_handed_over", "duties", "given to the entry preferred for them"},
-	DeadEntryLeasesRevoked: {"dead_entries_revoked", "leases", "of other entries, ended because their process was gone"},
-	RelaysFailed:           {"relays_failed", "relays", "left a report unanswered, so that the agent reports itself"},
+	DocumentsApplied:       {"documents_applied", "generations", "activated"},
+	LeadershipsHandedOver:  {"duties_handed_over", "leaderships", "handed over to the preferred entry"},
+	DeadEntryLeasesRevoked: {"dead_entries_revoked", "leases", "of other entries, revoked because their process had died"},
+	RelaysFailed:           {"relays_failed", "reports", "not answered by the relay"},
 }
 
 // Describe returns the name, unit and help text of the counter.
--- a/metrics/timing.go
+++ b/metrics/timing.go
@@ -35,15 +35,15 @@
 const timingUnit = "microseconds"
 
 var timingDescriptions = [numTimings]Description{
-	QuickDone:        {"quick_done", timingUnit, "arrival of a quick request to its whole answer"},
-	QuickNotRun:      {"quick_not_run", timingUnit, "arrival to the word that it did not run"},
-	QuickUnknown:     {"quick_unknown", timingUnit, "arrival to the word that it may have run"},
+	QuickDone:        {"quick_done", timingUnit, "arrival of a quick request to its complete answer"},
+	QuickNotRun:      {"quick_not_run", timingUnit, "arrival to the answer that it did not run"},
+	QuickUnknown:     {"quick_unknown", timingUnit, "arrival to the answer that it may have run"},
 	QuickQueueTime:   {"quick_queued", timingUnit, "wait in the agent's queue"},
-	QuickServiceTime: {"quick_served", timingUnit, "time the target took"},
+	QuickServiceTime: {"quick_served", timingUnit, "service time of the target"},
 	JobWaitTime:      {"job_waited", timingUnit, "acceptance of a job to its first start"},
 	JobDone:          {"job_done", timingUnit, "acceptance of a job to its success"},
 	JobFailed:        {"job_failed", timingUnit, "acceptance of a job to its failure"},
-	JobCancelled:     {"job_cancelled", timingUnit, "acceptance of a job to its cancelled end"},
+	JobCancelled:     {"job_cancelled", timingUnit, "acceptance of a job to its cancellation"},
 	JobRejected:      {"job_rejected", timingUnit, "acceptance of a job to its rejection"},
 	JobUnknown:       {"job_unknown", timingUnit, "acceptance of a job to the loss of its outcome"},
 }
