--- a/api/api_test.go
+++ b/api/api_test.go
@@ -81,12 +81,12 @@
 
 func TestDecodeNamesTheField(t *testing.T) {
 	for name, tc := range map[string]struct{ text, field string }{
-		"misspelt":     {`{"repeatabel":false}`, "repeatabel"},
-		"wrong type":   {`{"accelerators":"8"}`, "accelerators"},
-		"two values":   {`{} {}`, "body"},
-		"cut short":    {`{"account":"a"`, "body"},
-		"no gang":      {`{"account":"a","class":"c"}`, "accelerators"},
-		"bad distance": {`{"account":"a","class":"c","accelerators":1,"adjacency":"near"}`, "adjacency"},
+		"misspelt":          {`{"repeatabel":false}`, "repeatabel"},
+		"wrong type":        {`{"accelerators":"8"}`, "accelerators"},
+		"two values":        {`{} {}`, "body"},
+		"truncated":         {`{"account":"a"`, "body"},
+		"no accelerators":   {`{"account":"a","class":"c"}`, "accelerators"},
+		"invalid adjacency": {`{"account":"a","class":"c","accelerators":1,"adjacency":"near"}`, "adjacency"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var r JobRequest
@@ -125,8 +125,8 @@
 	}))
 	client := NewClient(srv.URL, nil)
 	_, err := client.SendQuick(context.Background(), QuickRequest{Service: "s"})
-	c.Check(errors.Is(err, ErrOutcomeUnknown), qt.IsTrue, qt.Commentf("cut body: %v", err))
+	c.Check(errors.Is(err, ErrOutcomeUnknown), qt.IsTrue, qt.Commentf("incomplete body: %v", err))
 	srv.Close()
 	_, err = client.SubmitJob(context.Background(), "s", JobRequest{}, "")
-	c.Check(errors.Is(err, ErrNotSent), qt.IsTrue, qt.Commentf("nobody listens: %v", err))
+	c.Check(errors.Is(err, ErrNotSent), qt.IsTrue, qt.Commentf("no listener: %v", err))
 }
--- a/wire/measure_memory_test.go
+++ b/wire/measure_memory_test.go
@@ -61,7 +61,7 @@
 func TestMeasureAcceptedConnections(t *testing.T) {
 	c := requireMeasureFlag(t)
 	if os.Getenv(dialersEnv) != "" {
-		t.Skip("is the dialers' process")
+		t.Skip("runs only in the accepting process")
 	}
 	server := openEndpoint(c, "entry", unlimitedAccepts, echo)
 	base, baseRSS, cpuStart := memStats(), residentBytes(c), cpuTime()
@@ -92,7 +92,7 @@
 	c := requireMeasureFlag(t)
 	addr := os.Getenv(dialersEnv)
 	if addr == "" {
-		t.Skip("is started by TestMeasureAcceptedConnections")
+		t.Skip("runs only in the process started by TestMeasureAcceptedConnections")
 	}
 	client := openEndpoint(c, "agents", unlimitedAccepts, echo)
 	input := bufio.NewScanner(os.Stdin)
@@ -134,6 +134,6 @@
 		sorted[i] = <-connectTimes
 	}
 	slices.Sort(sorted)
-	t.Logf("%d agents in: half after %v, 99%% after %v, all after %v; processor of both ends %v",
+	t.Logf("%d agents connected: half after %v, 99%% after %v, all after %v; processor of both ends %v",
 		n, sorted[n/2], sorted[n*99/100], sorted[n-1], cpuTime()-cpu)
 }
