--- a/gateway/failure_detector.go
+++ b/gateway/failure_detector.go
@@ -187,7 +187,7 @@
 	if !g.plannerLease.ForceTakeover() {
 		return // waiting for the store, or another gateway was faster
 	}
-	g.log.WithField("planner", planner).WithField("epoch", epoch).Warn("planner does not answer; its duty is taken")
+	g.log.WithField("planner", planner).WithField("epoch", epoch).Warn("planner is unresponsive; acquiring the planner lease")
 }
 
 // predecessorExtension returns how much longer than normal the grants of a predecessor may
--- a/gateway/failure_detector_test.go
+++ b/gateway/failure_detector_test.go
@@ -27,7 +27,7 @@
 	simulateQueries(d, second, 3*second, 3*second)
 	c.Check(d.suspects(3*second, "own"), qt.IsFalse)
 	simulateQueries(d, 3*second, 3*second+350*ms, 0)
-	c.Check(d.suspects(3*second+350*ms, "own"), qt.IsFalse, qt.Commentf("it may be held up"))
+	c.Check(d.suspects(3*second+350*ms, "own"), qt.IsFalse, qt.Commentf("a single late answer is tolerated"))
 	simulateQueries(d, 3*second+350*ms, 3*second+900*ms, 0)
 	c.Check(d.suspects(3*second+900*ms, "own"), qt.IsTrue)
 }
@@ -54,7 +54,7 @@
 	d.recordQuery(4*second, "p", 2)
 	d.recordAnswer("p", 1)
 	simulateQueries(d, 4*second, 6*second, 0)
-	c.Check(d.suspects(6*second, "own"), qt.IsFalse, qt.Commentf("an answer under another epoch is none"))
+	c.Check(d.suspects(6*second, "own"), qt.IsFalse, qt.Commentf("an answer under another epoch does not count"))
 }
 
 // A deposed planner that is alive grants until its lease expires. A successor that did not
@@ -77,7 +77,7 @@
 	c.Check(d.suspects(3*second, "own"), qt.IsFalse)
 	d.recordLatency(3 * second)
 	simulateQueries(d, 3*second, 5*second, 0)
-	c.Check(d.suspects(5*second, "own"), qt.IsTrue, qt.Commentf("its lease has lapsed"))
+	c.Check(d.suspects(5*second, "own"), qt.IsTrue, qt.Commentf("its lease has expired"))
 }
 
 // The detection timeout returns to its minimum when answers are fast again.
@@ -112,10 +112,10 @@
 				return
 			}
 		}
-		c.Check(aliveUntil, qt.Equals, end, qt.Commentf("its death was not found"))
+		c.Check(aliveUntil, qt.Equals, end, qt.Commentf("the failure was not detected"))
 	}
 	simulate(second, 4*second, 4*second)
-	c.Check(queries <= int(3*second/slowLivenessInterval)+1, qt.IsTrue, qt.Commentf("%d questions in 3 s", queries))
+	c.Check(queries <= int(3*second/slowLivenessInterval)+1, qt.IsTrue, qt.Commentf("%d queries in 3 s", queries))
 	simulate(4*second, 9*second, 4*second)
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -111,7 +111,7 @@
 		changed := g.currentConfig.Changed()
 		if view, ok := g.currentConfig.Snapshot(); ok && view.Catalog.Version != lastVersion {
 			lastVersion = view.Catalog.Version
-			g.log.WithField("version", lastVersion).WithField("queues", len(view.Catalog.Queues)).Info("configuration in force")
+			g.log.WithField("version", lastVersion).WithField("queues", len(view.Catalog.Queues)).Info("configuration version changed")
 			if t := g.currentTerm(); t != nil {
 				t.updateCatalog(view.Catalog)
 			}
@@ -148,7 +148,7 @@
 		t.flush(ctx)
 	}
 	if err := g.plannerLease.Resign(ctx); err != nil {
-		g.log.WithError(err).Warn("planner's duty not handed over; its lease lapses")
+		g.log.WithError(err).Warn("planner lease not handed over; it will expire")
 	}
 }
 
@@ -212,14 +212,14 @@
 		old.freeze()
 	}
 	if !ok {
-		g.log.Info("planner's duty lost")
+		g.log.Info("planner lease lost")
 		return
 	}
 	if old != nil {
 		old.end()
 	}
 	g.planner.update(held.Epoch, g.cfg.Listen)
-	g.log.WithField("epoch", held.Epoch).Info("planner's duty taken")
+	g.log.WithField("epoch", held.Epoch).Info("planner lease acquired")
 	go g.queryPeers() // announce the new planner to all peers at once
 }
 
--- a/gateway/members_test.go
+++ b/gateway/members_test.go
@@ -46,7 +46,7 @@
 	order := []string{"g1", "g2", "g0", "g3"}
 	c.Check(d.timeout("g1"), qt.Equals, minDetectionTimeout)
 	c.Check(slices.IsSortedFunc(order, func(a, b string) int { return int(d.timeout(a) - d.timeout(b)) }), qt.IsTrue)
-	c.Check(d.timeout("g4"), qt.Equals, d.timeout("g3"), qt.Commentf("all others wait alike"))
+	c.Check(d.timeout("g4"), qt.Equals, d.timeout("g3"), qt.Commentf("all other gateways wait equally long"))
 }
 
 // Before a planner has named successors, no gateway waits longer than the detection timeout.
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -134,7 +134,7 @@
 	}
 	c, err := g.cfg.Source.Decode(reply.Config)
 	if err != nil {
-		g.log.WithError(err).Warn("configuration from a peer not understood")
+		g.log.WithError(err).Warn("failed to decode configuration from peer")
 		return
 	}
 	g.currentConfig.Update(c, reply.Config, confirmedAt)
--- a/gateway/store_status_test.go
+++ b/gateway/store_status_test.go
@@ -15,16 +15,16 @@
 	c := qt.New(t)
 	s := newStoreStatus(0)
 	others := []string{"b", "c"}
-	c.Check(s.allUnserved(second, others), qt.IsFalse, qt.Commentf("nobody was asked"))
+	c.Check(s.allUnserved(second, others), qt.IsFalse, qt.Commentf("no peer has reported"))
 	s.observePeer(second, "b", false, false)
-	c.Check(s.allUnserved(second, others), qt.IsFalse, qt.Commentf("one was not"))
+	c.Check(s.allUnserved(second, others), qt.IsFalse, qt.Commentf("one peer has not reported"))
 	s.observePeer(second, "c", false, false)
 	c.Check(s.allUnserved(second, others), qt.IsTrue)
 	s.observePeer(2*second, "b", true, false)
-	c.Check(s.allUnserved(2*second, others), qt.IsFalse, qt.Commentf("one is served again"))
+	c.Check(s.allUnserved(2*second, others), qt.IsFalse, qt.Commentf("the store serves one peer again"))
 	s.observePeer(3*second, "b", false, false)
-	c.Check(s.allUnserved(3*second, others), qt.IsFalse, qt.Commentf("the other's word is old"))
-	c.Check(s.allUnserved(3*second, nil), qt.IsTrue, qt.Commentf("there is nobody else"))
+	c.Check(s.allUnserved(3*second, others), qt.IsFalse, qt.Commentf("the other peer's report is stale"))
+	c.Check(s.allUnserved(3*second, nil), qt.IsTrue, qt.Commentf("there are no peers"))
 }
 
 // Only a gateway that was in contact with the former planner, and was served by the store all
@@ -38,11 +38,11 @@
 		answeredAt time.Duration
 		extension  time.Duration
 	}{
-		{"in touch and served", 0, 0, now - second, 0},
+		{"in contact and served", 0, 0, now - second, 0},
 		{"just started", now - 2*second, 0, now - second, maxGrantExtension},
 		{"not served lately", 0, now - 4*second, now - second, maxGrantExtension},
-		{"never in touch with the planner", 0, 0, 0, maxGrantExtension},
-		{"long out of touch", 0, 0, now - 30*second, maxGrantExtension},
+		{"never in contact with the planner", 0, 0, 0, maxGrantExtension},
+		{"out of contact for long", 0, 0, now - 30*second, maxGrantExtension},
 	}
 	for _, test := range tests {
 		s := newStoreStatus(test.startedAt)
@@ -64,7 +64,7 @@
 	c.Check(s.peerUnserved(second, "b"), qt.IsFalse)
 	s.observePeer(second, "b", false, false)
 	c.Check(s.peerUnserved(second, "b"), qt.IsTrue)
-	c.Check(s.peerUnserved(3*second, "b"), qt.IsFalse, qt.Commentf("it may be served again"))
+	c.Check(s.peerUnserved(3*second, "b"), qt.IsFalse, qt.Commentf("the report is stale"))
 	s.observePeer(4*second, "b", true, false)
 	c.Check(s.peerUnserved(4*second, "b"), qt.IsFalse)
 }
--- a/gateway/term.go
+++ b/gateway/term.go
@@ -115,7 +115,7 @@
 	}
 	t.restore(state)
 	t.loaded.Store(true)
-	t.log.WithFields(logrus.Fields{"jobs": len(state.Jobs), "workers": len(state.Workers), "revision": state.Revision}).Info("records read; planning")
+	t.log.WithFields(logrus.Fields{"jobs": len(state.Jobs), "workers": len(state.Workers), "revision": state.Revision}).Info("records loaded; planning started")
 	t.tomb.Go(func() error { return t.watchSubmissions(state.Revision) })
 	t.tomb.Go(t.loadOutcomes)
 	t.loop()
@@ -170,7 +170,7 @@
 			if err != nil {
 				// The lease has expired, so these decisions are void. The loop goes on to
 				// answer reports; pending remains set so that nothing else is written.
-				t.log.WithError(err).Warn("records not written; the duty's lease has lapsed")
+				t.log.WithError(err).Warn("records not written; the planner lease has expired")
 				continue
 			}
 			t.engine.HandleEvent(lease.BootTime(), engine.WriteApplied{Write: *pending})
--- a/gateway/term_advice.go
+++ b/gateway/term_advice.go
@@ -18,7 +18,7 @@
 		defer cancel()
 		tickets, valid, err := t.g.cfg.Advisor.Advise(ctx, request)
 		if err != nil {
-			t.log.WithError(err).WithField("job", request.Job).Warn("no advice")
+			t.log.WithError(err).WithField("job", request.Job).Warn("advice request failed")
 		} else {
 			response = engine.AdviceResponse{Request: request, Tickets: tickets, Lifetime: valid}
 		}
--- a/gateway/term_load.go
+++ b/gateway/term_load.go
@@ -18,7 +18,7 @@
 		if err == nil {
 			return state, true
 		}
-		t.log.WithError(err).Warn("records not read")
+		t.log.WithError(err).Warn("failed to load records; retrying")
 		t.pause(writeRetryDelay)
 	}
 	return records.PlannerState{}, false
@@ -43,10 +43,10 @@
 func (t *term) logUnreadable(unreadable []records.UnreadableRecord) {
 	for i, u := range unreadable {
 		if i == maxUnreadableLogged {
-			t.log.WithField("more", len(unreadable)-i).Error("further records can't be read")
+			t.log.WithField("more", len(unreadable)-i).Error("more unreadable records skipped")
 			return
 		}
-		t.log.WithField("key", u.Key).WithError(u.Err).Error("record can't be read; it is passed over")
+		t.log.WithField("key", u.Key).WithError(u.Err).Error("unreadable record skipped")
 	}
 }
 
@@ -79,7 +79,7 @@
 	for t.tomb.Alive() && !t.frozen.Load() {
 		ended, unreadable, err := t.store.LoadOutcomes(ctx, time.Now())
 		if err != nil {
-			t.log.WithError(err).Info("outcomes of ended jobs not read")
+			t.log.WithError(err).Info("failed to load outcomes of ended jobs; retrying")
 			t.pause(outcomesRetryDelay)
 			continue
 		}
@@ -88,7 +88,7 @@
 			t.postEvent(e)
 		}
 		t.outcomesLoaded.Store(true)
-		t.log.WithField("jobs", len(ended)).Info("outcomes of ended jobs read")
+		t.log.WithField("jobs", len(ended)).Info("outcomes of ended jobs loaded")
 		return nil
 	}
 	return nil
@@ -109,7 +109,7 @@
 			return nil
 		}
 		t.pause(relistInterval - (lease.BootTime() - listedAt))
-		t.log.WithError(err).Info("watch of the intake lost; listing again")
+		t.log.WithError(err).Info("watch of submissions failed; listing them again")
 		submitted, err := records.ListSubmissions(ctx, listRelay{t.g.relayedStore}, time.Now())
 		if err != nil {
 			t.pause(writeRetryDelay)
--- a/gateway/term_metrics.go
+++ b/gateway/term_metrics.go
@@ -21,7 +21,7 @@
 		"cause":              d.Cause,
 		"lost_core_seconds":  d.Lost,
 		"saved_core_seconds": d.Saved,
-	}).Info("work thrown away")
+	}).Info("work discarded")
 }
 
 // logWorkerGone counts and logs an ended worker incarnation.
--- a/gateway/term_orders.go
+++ b/gateway/term_orders.go
@@ -30,7 +30,7 @@
 		case engine.WorkDiscarded:
 			t.logDiscarded(a)
 		case engine.WorkerResized:
-			t.log.WithField("worker", a.Worker).WithField("detail", a.String()).Info("worker's room changed")
+			t.log.WithField("worker", a.Worker).WithField("detail", a.String()).Info("worker capacity changed")
 		case engine.WorkerGone:
 			t.logWorkerGone(a)
 		case engine.JobLate:
--- a/gateway/term_write.go
+++ b/gateway/term_write.go
@@ -14,7 +14,7 @@
 // lease.
 func (t *term) stepDown(err error) {
 	if t.tomb.Alive() {
-		t.log.WithError(err).Warn("term ended")
+		t.log.WithError(err).Warn("planner term ended")
 	}
 	t.freeze()
 	t.g.plannerLease.Yield(t.epoch)
@@ -45,14 +45,14 @@
 		t.g.counters.Writes.Add(1)
 		err := t.store.Write(ctx, w)
 		if err == nil && failures > 0 {
-			t.log.WithField("failures", failures).Info("records are written again")
+			t.log.WithField("failures", failures).Info("records written after earlier failures")
 		}
 		if err == nil || isPermanent(err) || !t.tomb.Alive() || t.frozen.Load() {
 			return err
 		}
 		t.g.counters.WriteFailures.Add(1)
 		if failures == 0 {
-			t.log.WithError(err).Warn("records not written")
+			t.log.WithError(err).Warn("failed to write records; retrying")
 		}
 		t.pause(delay.NextBackOff())
 	}
