--- a/nodeagent/cordon_test.go
+++ b/nodeagent/cordon_test.go
@@ -65,7 +65,7 @@
 	c.Check(executeStart(c, a, startAndStopOrders(10)), qt.Equals, engine.StartCordoned)
 	c.Check(executeStart(c, a, startAndStopOrders(20)), qt.Equals, engine.StartCordoned)
 	c.Check(w.starts.Load(), qt.Equals, int64(0))
-	c.Check(a.counters.Stops.Load(), qt.Equals, int64(2), qt.Commentf("stops are carried out all the same"))
+	c.Check(a.counters.Stops.Load(), qt.Equals, int64(2), qt.Commentf("stops are carried out regardless"))
 	c.Check(executeStart(c, a, startAndStopOrders(30)), qt.Equals, engine.StartOK)
 }
 
--- a/nodeagent/departure_test.go
+++ b/nodeagent/departure_test.go
@@ -28,12 +28,12 @@
 		endIncarnation func(a *Agent)
 		crashed        bool
 	}{
-		{"goodbye", func(a *Agent) { a.HandleDeparture("w1") }, false},
-		{"another life in its place", func(*Agent) {}, true},
-		{"another life in its place after it drained", func(a *Agent) {
+		{"departure notice", func(a *Agent) { a.HandleDeparture("w1") }, false},
+		{"another incarnation in its place", func(*Agent) {}, true},
+		{"another incarnation in its place after it drained", func(a *Agent) {
 			a.updateCurrent(Heartbeat{Info: engine.WorkerInfo{ID: "w1"}, Sequence: 2, Draining: true, Remaining: time.Second})
 		}, false},
-		{"goodbye, and a late heartbeat", func(a *Agent) {
+		{"departure notice, then a late heartbeat", func(a *Agent) {
 			a.HandleDeparture("w1")
 			a.updateCurrent(Heartbeat{Info: engine.WorkerInfo{ID: "w1"}, Sequence: 2})
 		}, false},
--- a/nodeagent/heartbeat.go
+++ b/nodeagent/heartbeat.go
@@ -21,7 +21,7 @@
 		return err
 	}
 	if currentName != hb.Info.CallName() {
-		a.log.WithField("announced", hb.Info.ID).WithField("answers", currentName).Info("heartbeat of another life passed over")
+		a.log.WithField("announced", hb.Info.ID).WithField("answers", currentName).Info("ignored heartbeat: the worker answers under another name")
 		return nil
 	}
 	inc, _ := a.current()
@@ -38,7 +38,7 @@
 	_, err := a.tryPoll(inc, 0)
 	switch {
 	case err == nil:
-		a.log.WithField("announced", hb.Info.ID).Info("heartbeat of an earlier life passed over")
+		a.log.WithField("announced", hb.Info.ID).Info("ignored heartbeat of an earlier incarnation")
 		return nil
 	case errors.Is(err, ErrOtherIncarnation), errors.Is(err, errIncarnationEnded):
 		return a.adopt(nil, hb)
@@ -73,13 +73,13 @@
 	}
 	inc.sequence = hb.Sequence
 	if hb.Info.Capacity != inc.info.Capacity {
-		a.log.WithField("worker", inc.info.ID).WithField("room", hb.Info.Capacity).WithField("before", inc.info.Capacity).Info("worker's room changed")
+		a.log.WithField("worker", inc.info.ID).WithField("room", hb.Info.Capacity).WithField("before", inc.info.Capacity).Info("worker capacity changed")
 		inc.info.Capacity = hb.Info.Capacity
 		a.requestReport()
 	}
 	if hb.Draining {
 		if !inc.draining {
-			a.log.WithField("worker", inc.info.ID).WithField("remaining_ms", hb.Remaining.Milliseconds()).Info("worker drains")
+			a.log.WithField("worker", inc.info.ID).WithField("remaining_ms", hb.Remaining.Milliseconds()).Info("worker is draining")
 			a.requestReport()
 		}
 		inc.draining = true
@@ -122,7 +122,7 @@
 		return
 	}
 	if a.incarnation.info.Name != "" && !a.incarnation.draining {
-		a.log.WithField("worker", a.incarnation.info.ID).Info("goodbye of an earlier life passed over")
+		a.log.WithField("worker", a.incarnation.info.ID).Info("ignored departure notice of an earlier incarnation")
 		return
 	}
 	a.endIncarnation(departure{})
--- a/nodeagent/incarnation_test.go
+++ b/nodeagent/incarnation_test.go
@@ -54,7 +54,7 @@
 	inc.extendLease(13 * time.Second)
 	done.Clock = 8 * time.Second
 	inc.applyStatus(done, 8*time.Second, 8*time.Second, 13*time.Second)
-	c.Check(inc.report(0, 0).Ended[0].Void, qt.IsTrue, qt.Commentf("it stays so"))
+	c.Check(inc.report(0, 0).Ended[0].Void, qt.IsTrue, qt.Commentf("the end remains void"))
 }
 
 // A run is absent only if it is not listed by a poll that was sent after its stop was
@@ -66,7 +66,7 @@
 	inc.applyStatus(WorkerStatus{Clock: time.Second}, time.Second, 3*time.Second, 0)
 	c.Check(inc.report(0, 0).ConfirmedAbsent, qt.HasLen, 0)
 	inc.applyStatus(WorkerStatus{Clock: 2 * time.Second, Running: []engine.RunStatus{{Run: run1}}}, 3*time.Second, 4*time.Second, 0)
-	c.Check(inc.report(0, 0).ConfirmedAbsent, qt.HasLen, 0, qt.Commentf("it is being stopped"))
+	c.Check(inc.report(0, 0).ConfirmedAbsent, qt.HasLen, 0, qt.Commentf("the stop is still in progress"))
 	inc.confirmedStops[run1] = 4 * time.Second
 	inc.applyStatus(WorkerStatus{Clock: 3 * time.Second}, 5*time.Second, 6*time.Second, 0)
 	c.Check(inc.report(0, 0).ConfirmedAbsent, qt.DeepEquals, []workload.RunID{run1})
@@ -79,7 +79,7 @@
 	inc := newIncarnation(engine.WorkerInfo{ID: "w"})
 	inc.extendLease(6 * time.Second)
 	c.Check(inc.leaseMayHaveExpired(5*time.Second), qt.IsFalse)
-	c.Check(inc.leaseMayHaveExpired(6*time.Second), qt.IsTrue, qt.Commentf("nothing may start before a look"))
+	c.Check(inc.leaseMayHaveExpired(6*time.Second), qt.IsTrue, qt.Commentf("nothing may start before a poll"))
 	old := engine.RunEnd{Sequence: 1, Run: run1, Reason: engine.EndDone}
 	inc.applyStatus(WorkerStatus{Clock: 7 * time.Second, Ended: []engine.RunEnd{old}}, 7*time.Second, 7*time.Second, 6*time.Second)
 	c.Check(inc.leaseMayHaveExpired(7*time.Second), qt.IsFalse)
--- a/nodeagent/name_reuse_test.go
+++ b/nodeagent/name_reuse_test.go
@@ -88,7 +88,7 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	c.Fatal("no look under the turn")
+	c.Fatal("no poll was answered under the generation")
 }
 
 // startNameReusingAgent returns an agent whose worker has announced its first incarnation. The
--- a/nodeagent/planner_change_test.go
+++ b/nodeagent/planner_change_test.go
@@ -46,7 +46,7 @@
 	defer cancel()
 	_, err := a.callPlanner(ctx, unresponsive.Addr(), &link.Report{})
 	c.Check(err, qt.Not(qt.IsNil))
-	c.Check(ctx.Err(), qt.IsNil, qt.Commentf("given up only at the timeout"))
+	c.Check(ctx.Err(), qt.IsNil, qt.Commentf("the call was abandoned only at the timeout"))
 	found, ok := f.locate(ctx)
 	c.Check(ok, qt.IsTrue)
 	c.Check(found, qt.Equals, successor)
--- a/nodeagent/planner_finder.go
+++ b/nodeagent/planner_finder.go
@@ -156,7 +156,7 @@
 	if f.address != address {
 		return
 	}
-	f.log.WithField("planner", address).WithField("cause", err).Info("planner not reached")
+	f.log.WithField("planner", address).WithField("cause", err).Info("planner unreachable")
 	f.address = ""
 	f.lastFailed, f.lastFailedAt = plannerID{address, f.epoch}, now()
 	if f.lostSince == 0 {
@@ -224,7 +224,7 @@
 	}
 	gateways, err := f.cfg.ListGateways()
 	if err != nil {
-		f.log.WithError(err).Info("register of gateways not read")
+		f.log.WithError(err).Info("failed to read gateway registry")
 		return
 	}
 	f.addGateways(gateways)
--- a/nodeagent/planner_finder_test.go
+++ b/nodeagent/planner_finder_test.go
@@ -25,7 +25,7 @@
 	f.markFailed("b", nil)
 	c.Check(f.accept(&link.PeerReply{Planner: "a", Epoch: 1}), qt.IsFalse, qt.Commentf("an older planner"))
 	f.lastFailedAt -= failedPlannerBackoff
-	c.Check(f.accept(&link.PeerReply{Planner: "b", Epoch: 2}), qt.IsTrue, qt.Commentf("it may be back"))
+	c.Check(f.accept(&link.PeerReply{Planner: "b", Epoch: 2}), qt.IsTrue, qt.Commentf("the backoff has passed"))
 }
 
 // A planner that answered under an outdated epoch is not followed again.
--- a/nodeagent/poll.go
+++ b/nodeagent/poll.go
@@ -102,13 +102,13 @@
 func (a *Agent) handlePollError(inc *incarnation, err error) time.Duration {
 	a.counters.LooksFailed.Add(1)
 	if errors.Is(err, ErrOtherIncarnation) {
-		a.log.WithField("worker", inc.info.ID).WithError(err).Info("the worker answers as another life")
+		a.log.WithField("worker", inc.info.ID).WithError(err).Info("worker answers as another incarnation")
 		a.endUnannounced(errors.Is(err, ErrSuperseded))
 		a.notifyChanged()
 		return 0
 	}
 	if errors.Is(err, ErrFenced) {
-		a.log.WithField("worker", inc.info.ID).WithField("fence", inc.fence).Warn("the worker has seen a higher fence")
+		a.log.WithField("worker", inc.info.ID).WithField("fence", inc.fence).Warn("worker refused poll: it has seen a higher fence")
 		inc.raiseRefusedFence()
 		return unresponsivePollInterval
 	}
@@ -134,7 +134,7 @@
 		a.log.WithFields(logrus.Fields{
 			"worker": inc.info.ID, "clock_ms": status.Clock.Milliseconds(), "before_ms": clockBefore.Milliseconds(),
 			"ends": len(status.Ended), "acknowledged": inc.ackedEnds,
-		}).Info("worker's answer passed over")
+		}).Info("ignored outdated poll answer")
 	}
 	inc.lastAnswerStale = !accepted
 }
--- a/nodeagent/report.go
+++ b/nodeagent/report.go
@@ -112,7 +112,7 @@
 		return
 	}
 	if reply.Epoch > a.epoch {
-		a.log.WithField("epoch", reply.Epoch).WithField("before", a.epoch).Info("planner taken up")
+		a.log.WithField("epoch", reply.Epoch).WithField("before", a.epoch).Info("following new planner")
 		a.raiseEpoch(reply.Epoch)
 		a.pollNow()
 	}
--- a/nodeagent/unresponsive_test.go
+++ b/nodeagent/unresponsive_test.go
@@ -73,7 +73,7 @@
 	const period = 2 * time.Second
 	time.Sleep(period)
 	limit := int64(3 * period / unresponsivePollInterval)
-	c.Check(w.polls.Load()-pollsBefore <= limit, qt.IsTrue, qt.Commentf("%d looks", w.polls.Load()-pollsBefore))
+	c.Check(w.polls.Load()-pollsBefore <= limit, qt.IsTrue, qt.Commentf("%d polls", w.polls.Load()-pollsBefore))
 	c.Check(reports.Load()-reportsBefore <= limit, qt.IsTrue, qt.Commentf("%d reports", reports.Load()-reportsBefore))
 }
 
--- a/nodeagent/worker.go
+++ b/nodeagent/worker.go
@@ -13,10 +13,10 @@
 
 var (
 	// ErrOtherIncarnation means that another incarnation of the worker answered.
-	ErrOtherIncarnation = eris.New("another life of the worker answered")
+	ErrOtherIncarnation = eris.New("another incarnation of the worker answered")
 	// ErrSuperseded is an ErrOtherIncarnation whose sender has the same name as the addressed
 	// incarnation. Delayed orders to the latter may still reach it.
-	ErrSuperseded = fmt.Errorf("%w under its name", ErrOtherIncarnation)
+	ErrSuperseded = fmt.Errorf("%w under the same name", ErrOtherIncarnation)
 	// ErrFenced means that the worker has seen a higher fence.
 	ErrFenced = eris.New("the worker follows a newer planner")
 )
