--- a/records/job_store.go
+++ b/records/job_store.go
@@ -176,7 +176,7 @@
 	}
 	var outcome engine.JobOutcome
 	if err := json.Unmarshal(kv.Value, &outcome); err != nil {
-		return engine.JobOutcome{}, false, eris.Wrapf(err, "outcome of job %s", id)
+		return engine.JobOutcome{}, false, eris.Wrapf(err, "decode outcome of job %s", id)
 	}
 	return outcome, true, nil
 }
@@ -207,7 +207,7 @@
 	}
 	var j workload.Job
 	if err := json.Unmarshal(kv.Value, &j); err != nil {
-		return engine.JobStatus{}, false, eris.Wrapf(err, "record of job %s", id)
+		return engine.JobStatus{}, false, eris.Wrapf(err, "decode record of job %s", id)
 	}
 	out := engine.JobStatus{State: workload.Queued, Queue: j.Queue, Account: j.Account}
 	run, ok, err := js.store.Get(ctx, runKey(id))
@@ -217,7 +217,7 @@
 	if ok {
 		var p engine.JobProgress
 		if err := json.Unmarshal(run.Value, &p); err != nil {
-			return engine.JobStatus{}, false, eris.Wrapf(err, "progress of job %s", id)
+			return engine.JobStatus{}, false, eris.Wrapf(err, "decode progress of job %s", id)
 		}
 		out.State, out.Reason = p.State, p.Reason
 	}
--- a/records/planner_store.go
+++ b/records/planner_store.go
@@ -16,10 +16,10 @@
 )
 
 // ErrDeposed means that another planner has acquired the planner lease. Nothing was written.
-var ErrDeposed = eris.New("another planner has taken the duty")
+var ErrDeposed = eris.New("another planner has acquired the planner lease")
 
 // ErrConflict means that a record has changed since this planner last wrote or read it.
-var ErrConflict = eris.New("record changed by another")
+var ErrConflict = eris.New("record changed by another writer")
 
 // PlannerStore reads and writes the planner's records during one term. One goroutine owns it,
 // except that LoadOutcomes and WatchSubmissions may run concurrently with Write.
@@ -76,7 +76,7 @@
 		var w engine.WorkerInfo
 		err := json.Unmarshal(kv.Value, &w)
 		if err == nil && w.ID != id {
-			err = eris.Errorf("is of worker %.40q", w.ID)
+			err = eris.Errorf("record names worker %.40q", w.ID)
 		}
 		if err != nil {
 			out.addUnreadable(kv.Key, err)
--- a/records/submissions.go
+++ b/records/submissions.go
@@ -65,10 +65,10 @@
 func decodeJob(kv store.KeyValue, wall time.Time) (engine.JobSubmitted, error) {
 	var j workload.Job
 	if err := json.Unmarshal(kv.Value, &j); err != nil {
-		return engine.JobSubmitted{}, eris.Wrapf(err, "record %s", kv.Key)
+		return engine.JobSubmitted{}, eris.Wrapf(err, "decode record %s", kv.Key)
 	}
 	if j.ID != jobIDOf(kv.Key, jobPrefix) || len(j.Steps) == 0 {
-		return engine.JobSubmitted{}, eris.Errorf("record %s: not a job of that id with steps", kv.Key)
+		return engine.JobSubmitted{}, eris.Errorf("record %s: job ID does not match the key, or the job has no steps", kv.Key)
 	}
 	return engine.JobSubmitted{Job: j, Revision: int64(kv.Created), Age: ageOf(j.Submitted, wall)}, nil
 }
