--- a/link/orders.go
+++ b/link/orders.go
@@ -53,7 +53,7 @@
 	out := make([]engine.StartOrder, 0, len(m.Starts))
 	for _, s := range m.Starts {
 		if s.SpecIndex < 0 || s.SpecIndex >= len(m.Specs) {
-			return nil, eris.Errorf("start of %s refers to specification %d of %d", s.Run.Task, s.SpecIndex, len(m.Specs))
+			return nil, eris.Errorf("start of %s: specification index %d is out of range, the message has %d", s.Run.Task, s.SpecIndex, len(m.Specs))
 		}
 		out = append(out, engine.StartOrder{Run: s.Run, Spec: m.Specs[s.SpecIndex], Checkpoint: s.Checkpoint, Ticket: s.Ticket})
 	}
