--- a/gateway/store_status_test.go
+++ b/gateway/store_status_test.go
@@ -40,9 +40,9 @@
 	}{
 		{"in contact and served", 0, 0, now - second, 0},
 		{"just started", now - 2*second, 0, now - second, maxGrantExtension},
-		{"not served lately", 0, now - 4*second, now - second, maxGrantExtension},
+		{"recently not served", 0, now - 4*second, now - second, maxGrantExtension},
 		{"never in contact with the planner", 0, 0, 0, maxGrantExtension},
-		{"out of contact for long", 0, 0, now - 30*second, maxGrantExtension},
+		{"contact long ago", 0, 0, now - 30*second, maxGrantExtension},
 	}
 	for _, test := range tests {
 		s := newStoreStatus(test.startedAt)
--- a/nodeagent/heartbeat.go
+++ b/nodeagent/heartbeat.go
@@ -104,7 +104,7 @@
 	a.incarnation.sequence = hb.Sequence
 	a.incarnation.draining = hb.Draining
 	a.incarnation.departsAt = now() + hb.Remaining
-	a.log.WithField("worker", hb.Info.ID).WithField("service", hb.Info.Service).Info("worker announced")
+	a.log.WithField("worker", hb.Info.ID).WithField("service", hb.Info.Service).Info("new worker incarnation")
 	a.notifyChanged()
 	return nil
 }
--- a/nodeagent/planner_finder_test.go
+++ b/nodeagent/planner_finder_test.go
@@ -23,7 +23,7 @@
 	c.Check(f.accept(&link.PeerReply{Planner: "a", Epoch: 1}), qt.IsFalse)
 	c.Check(f.accept(&link.PeerReply{Planner: "b", Epoch: 2}), qt.IsTrue)
 	f.markFailed("b", nil)
-	c.Check(f.accept(&link.PeerReply{Planner: "a", Epoch: 1}), qt.IsFalse, qt.Commentf("an older planner"))
+	c.Check(f.accept(&link.PeerReply{Planner: "a", Epoch: 1}), qt.IsFalse, qt.Commentf("the planner is older than the last one"))
 	f.lastFailedAt -= failedPlannerBackoff
 	c.Check(f.accept(&link.PeerReply{Planner: "b", Epoch: 2}), qt.IsTrue, qt.Commentf("the backoff has passed"))
 }
--- a/nodeagent/poll.go
+++ b/nodeagent/poll.go
@@ -114,7 +114,7 @@
 	}
 	at := now()
 	if !inc.unresponsive {
-		a.log.WithField("worker", inc.info.ID).WithField("acknowledged", inc.ackedEnds).WithError(err).Warn("worker does not answer")
+		a.log.WithField("worker", inc.info.ID).WithField("acknowledged", inc.ackedEnds).WithError(err).Warn("worker is unresponsive")
 		inc.markUnresponsive(at)
 	}
 	if at-inc.failureReportedAt >= unresponsivePollInterval {
