--- a/gang/coordinator_action.go
+++ b/gang/coordinator_action.go
@@ -24,8 +24,9 @@
 // Started reports that all members run.
 type Started struct{}
 
-// Ended is the last action of a coordinator. The attempt no longer runs on any
-// reachable member, and has stopped by isolation on the others.
+// Ended is the last action of a coordinator. Unless Outcome is Superseded, the
+// attempt no longer runs on any reachable member, and has stopped by isolation
+// on the others.
 type Ended struct {
 	Outcome Outcome
 	Cause   Cause
--- a/gang/coordinator_advance.go
+++ b/gang/coordinator_advance.go
@@ -34,8 +34,9 @@
 	return true
 }
 
-// abortBeforeCommit aborts an attempt that is not recorded yet if a member
-// refused or was lost, or if the holds are about to expire.
+// abortBeforeCommit aborts an attempt whose record is not confirmed yet if a
+// member refused, was lost or gave up its hold, or if the holds are about to
+// expire.
 func (c *Coordinator) abortBeforeCommit() bool {
 	for _, m := range c.members {
 		if m.refusal != Accepted {
--- a/gang/doc.go
+++ b/gang/doc.go
@@ -19,7 +19,8 @@
 //     commits before the start is in the job's record or covered by a permit.
 //   - NotStarted is reported only if no task of the attempt started and none
 //     will; a coordinator that can't prove it reports Lost or Superseded.
-//   - A member whose attempt is not renewed for IsolationTimeout stops its task.
+//   - A member of a gang of several stops its task if the attempt is not renewed
+//     for IsolationTimeout.
 //
 // See docs/design/gang-start.md for the rationale and the alternatives.
 package gang
--- a/gang/member_event.go
+++ b/gang/member_event.go
@@ -13,11 +13,12 @@
 	Message Message
 }
 
-// TasksRecovered makes a new Member ready. It lists the tasks that the target
-// still runs from before the agent's restart, and in StateEnded those that it
-// remembers. Before it all messages are refused, because an accelerator that
-// looks free may be in use. After it the target must refuse starts of earlier
-// incarnations.
+// TasksRecovered makes a new Member ready. It lists the tasks from before the
+// agent's restart: those that the target still runs, and in StateEnded with
+// their results those that have ended and that the target remembers. Before it
+// all messages are refused, because an accelerator that looks free may be in
+// use. After the listing the target must refuse a start that an earlier
+// incarnation of the agent sent.
 type TasksRecovered struct{ Tasks []Task }
 
 // TaskEnded reports the end of a task at the target, for whatever reason.
--- a/gang/member_receive.go
+++ b/gang/member_receive.go
@@ -49,8 +49,9 @@
 }
 
 // handleUnknownAttempt handles a message for an attempt that the member does
-// not know. Every message but an accepted Reserve leaves a tombstone, so that
-// a delayed Reserve can't begin the attempt after this answer.
+// not know. Unless the message is for another incarnation or the attempt may
+// have been forgotten, any message but a Reserve leaves a tombstone, so that a
+// delayed Reserve can't begin the attempt after this answer.
 func (m *Member) handleUnknownAttempt(msg Message) Refusal {
 	h := msg.Head()
 	if h.Incarnation != m.config.Incarnation {
--- a/gang/outcome.go
+++ b/gang/outcome.go
@@ -45,7 +45,7 @@
 	CauseRefused
 	// CauseTimeout means that reserving and recording took longer than the
 	// hold allows, that starting took longer than Config.StartTimeout, or that
-	// only some members were found started.
+	// a successor found a member that succeeded before others were started.
 	CauseTimeout
 	// CauseConflict means that the job's record has changed and does not name
 	// this attempt.
--- a/gang/search.go
+++ b/gang/search.go
@@ -124,8 +124,10 @@
 //
 // The wait ends when the loss timeout has passed and all agents that are not
 // lost have been fenced for FenceWait. By then a gang with a member on one of
-// these was reported by all members or has stopped by isolation. A gang that is
-// entirely on lost agents may still run, which repeatable jobs allow.
+// these was reported by all members or has stopped by isolation, since its
+// planner has learned of the fence or no longer hears from the member, and does
+// not renew the gang. A gang that is entirely on lost agents may still run,
+// which repeatable jobs allow.
 func (s *Search) Resolve(job string, epoch uint64, began time.Time) (SearchResult, Plan) {
 	latest, anyFound := s.latestComplete(job, epoch)
 	waiting := s.now.Sub(began) < s.config.LossTimeout || !s.allFenced
