--- a/scheduler/bind.go
+++ b/scheduler/bind.go
@@ -3,9 +3,10 @@
 import "slices"
 
 // rebindUnbound looks for workers for every unbound block, once per growth of
-// capacity. If greedy binding fails, it gives up reservations of work that may
-// not be evicted, then rebinds all unused blocks, and then makes protected work
-// outside the blocks evictable.
+// capacity. If greedy binding fails, it gives up reservations of jobs that may
+// not borrow, then rebinds all unused blocks, and then, if an account misses a
+// guarantee, makes protected attempts outside the blocks evictable where their
+// jobs may borrow.
 func (s *Scheduler) rebindUnbound() {
 	if len(s.unbound) == 0 || s.repackGen == s.capacityGen {
 		return
--- a/scheduler/block.go
+++ b/scheduler/block.go
@@ -44,7 +44,7 @@
 }
 
 // attach binds a block to a place. The caller has checked that the nodes have
-// the capacity.
+// enough slack.
 func (s *Scheduler) attach(b *block, place []allocation) {
 	s.removeUnbound(b)
 	b.account.blockGen++
--- a/scheduler/end.go
+++ b/scheduler/end.go
@@ -96,7 +96,7 @@
 }
 
 // requeue makes the job of an ended attempt wait again, at its old position and
-// after a backoff if it has failed.
+// after a backoff if it has failed or was lost early.
 func (s *Scheduler) requeue(r *run) {
 	j := r.job
 	s.emit(JobRequeued{Job: j.ID, Attempt: r.attempt})
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -7,7 +7,8 @@
 	count int
 }
 
-// maxCandidates bounds how many equally good units per zone are compared.
+// maxCandidates bounds how many workers, or racks with the same sum, are
+// compared per zone. Once that many racks were compared, no larger sum is tried.
 const maxCandidates = 16
 
 // findPlace returns a place for need accelerators in the narrowest unit within
@@ -25,11 +26,14 @@
 	return x.placeAny(need)
 }
 
-// placeRank orders places: a closer fit first, then the rack or zone with the
-// least left, then the smaller zone, so that large units stay whole for what
-// only they can hold.
+// placeRank ranks places. For one worker, fit is its value in the index and
+// remaining the sum of its rack; for a rack or a zone, fit is 0 and remaining
+// its own sum. zone and rack are the installed accelerators of both.
 type placeRank struct{ fit, zone, rack, remaining int }
 
+// less prefers the smaller fit, then the smaller remaining sum, then the smaller
+// zone, so that large units stay whole for what only they can hold. The size of
+// the rack is not compared.
 func (a placeRank) less(b placeRank) bool {
 	switch {
 	case a.fit != b.fit:
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -7,8 +7,8 @@
 // preempts the gang that preempted it.
 const preemptSizeRatio = 2
 
-// maxPreemptions returns how many evictions a job that loses work may have had
-// and still be preempted for a reservation.
+// maxPreemptions returns after how many evictions a job that loses work by
+// them is no longer preempted for a reservation.
 func (s *Scheduler) maxPreemptions() int {
 	if s.policy.Objective == Fragmentation {
 		return 6
@@ -61,8 +61,8 @@
 }
 
 // preempt evicts the attempts in the way of a reservation if that completes it,
-// if the wait saved outweighs the work lost, and if their accounts still use as
-// much as they are guaranteed.
+// if the wait saved outweighs the work lost, if their accounts still use as
+// much as they are guaranteed, and if MaxEvictions allows all of them at once.
 func (s *Scheduler) preempt(c *claim) {
 	victims, cost := s.preemptVictims(c)
 	if len(victims) == 0 || !guaranteesMetWithout(victims) {
--- a/scheduler/reason.go
+++ b/scheduler/reason.go
@@ -5,7 +5,7 @@
 
 const (
 	// RejectTooLarge means that the job asks for more than the whole topology
-	// has.
+	// has or, if it may not borrow, more than is not guaranteed to others.
 	RejectTooLarge RejectReason = iota
 	// RejectAdjacency means that no unit of the job's span is large enough.
 	RejectAdjacency
--- a/scheduler/report.go
+++ b/scheduler/report.go
@@ -35,8 +35,8 @@
 	ID    WorkerID
 	Since time.Time
 	Until time.Time
-	// Probing is set if the quarantine is over and a single job probes the
-	// worker.
+	// Probing is set if the quarantine is over and the worker waits for, or
+	// runs, a single probe job.
 	Probing bool
 }
 
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -49,7 +49,7 @@
 	unbound             []*block // guaranteed blocks that no workers can hold now
 	degraded            map[shapeKey]int
 	fitsWithBlocks      map[demand]bool // whether a shape fits on idle workers together with all blocks
-	fitsWithBlocksGen   uint64          // topologyGen+shrinkGen for which fitsBeside holds
+	fitsWithBlocksGen   uint64          // topologyGen+shrinkGen for which fitsWithBlocks holds
 	shrinkGen           uint64          // changes when the topology shrinks or the policy changes
 	borrowingGen        uint64          // shrinkGen when resumeBorrowing last ran
 	repackGen           uint64          // capacityGen when the unbound blocks were last tried
