--- a/entry/prober_test.go
+++ b/entry/prober_test.go
@@ -25,7 +25,7 @@
 const service = "dispatch"
 
 // twoEntries is a region of two entries and a store in which no lease expires: a
-// leadership changes only when its lease is revoked.
+// leadership changes only when its lease is released or revoked.
 type twoEntries struct {
 	*qt.C
 	client         *store.Client
