--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -28,7 +28,8 @@
 
 // placeRank ranks places. For one worker, fit is its value in the index and
 // remaining the sum of its rack; for a rack or a zone, fit is 0 and remaining
-// its own sum. zone and rack are the installed accelerators of both.
+// its own sum. zone and rack are the numbers of accelerators installed in the
+// zone and, if the place is in one rack, in the rack.
 type placeRank struct{ fit, zone, rack, remaining int }
 
 // less prefers the smaller fit, then the smaller remaining sum, then the smaller
