--- a/engine/engine.go
+++ b/engine/engine.go
@@ -43,8 +43,8 @@
 	lastPlanAt    time.Duration
 	// checkpointsWrittenAt is when checkpoints of running tasks were last stored.
 	checkpointsWrittenAt time.Duration
-	// workerAddedAt is when a worker was last added. A job that no worker could run may be
-	// schedulable since then.
+	// workerAddedAt is when a worker was last added or a worker's capacity last changed. A job
+	// that no worker could run may be schedulable since then.
 	workerAddedAt time.Duration
 	wallTime      time.Time
 
--- a/engine/evict.go
+++ b/engine/evict.go
@@ -55,7 +55,7 @@
 }
 
 // reclaimMargin is subtracted from the time by which a guaranteed job must start, since after
-// the victims have stopped the placement is stored and ordered.
+// the victims have stopped the placement is stored and ordered, and a report may come late.
 const reclaimMargin = 700 * time.Millisecond
 
 // worthEvicting reports whether evicting is better than waiting for capacity.
--- a/engine/fit.go
+++ b/engine/fit.go
@@ -79,8 +79,9 @@
 	return domainSet{domains: []*domain{r.usable}, anywhere: true}
 }
 
-// preferredDomains returns the domains in which u runs at full speed: its preferred rack, each
-// single rack for a gang with SameRack, else all workers.
+// preferredDomains returns the domains in which u runs at full speed: its preferred rack, or each
+// single rack for a gang with SameRack, if u would fit there with nothing else running; else all
+// workers.
 func (r *round) preferredDomains(u *unit) domainSet {
 	if r.preferredUnit != u {
 		r.preferredUnit, r.preferredCache = u, r.findPreferredDomains(u)
--- a/engine/handle_report.go
+++ b/engine/handle_report.go
@@ -8,8 +8,8 @@
 	"github.com/eelgrasshub/eelgrasshub/workload"
 )
 
-// maxMissedPolls is the number of consecutive polls that may miss a running task before it is
-// stopped. A single poll may be overtaken by the answer to the start.
+// maxMissedPolls is the number of consecutive polls without a running task after which it is
+// stopped. The answer to the start may overtake an earlier poll, but not that many.
 const maxMissedPolls = 3
 
 // Report processes an agent's report and returns the answer, which may extend the worker's
--- a/engine/headroom.go
+++ b/engine/headroom.go
@@ -71,8 +71,9 @@
 	return peak
 }
 
-// pickHeadroomRacks chooses the emptiest racks as headroom, enough to hold the target. The
-// present headroom racks are preferred, so that they change only if others are clearly emptier.
+// pickHeadroomRacks chooses the emptiest racks as headroom: enough to hold the target, but at
+// most maxHeadroomShare of all racks, and at least one. The present headroom racks are preferred,
+// so that they change only if others are clearly emptier.
 func (r *round) pickHeadroomRacks() {
 	if r.e.params.Policy.Headroom {
 		r.headroomTarget = r.e.urgentHistory.target(r.e.params.Policy.HeadroomShare, r.e.params.StopTime)
--- a/engine/lateness.go
+++ b/engine/lateness.go
@@ -69,7 +69,7 @@
 	return path
 }
 
-// reportLate reports a job that missed its objective when its unit last completed. The
+// reportLate reports the job of last, its last unit to complete, if it missed its objective. The
 // objective allows for the actual run time, so a run that exceeds its estimate does not make a
 // job late.
 func (e *Engine) reportLate(now time.Duration, last *unit) {
--- a/engine/longrunning.go
+++ b/engine/longrunning.go
@@ -41,7 +41,8 @@
 	return n
 }
 
-// available reports whether all members of the unit run at full progress and none is being stopped.
+// available reports whether all members of the unit run, report 100 percent, and none is being
+// stopped.
 func (u *unit) available() bool {
 	if u.state != unitActive || u.ending() || len(u.placements) < u.size {
 		return false
@@ -61,8 +62,8 @@
 }
 
 // fitsBesideGuarantees reports whether u can start without endangering guarantees. Long-running
-// tasks can't be evicted, so those outside of priority 0 must not hold more than the accelerators
-// of their service less all guarantees.
+// tasks can be evicted only within MaxUnavailable, so those outside of priority 0 must not hold
+// more than the accelerators of their service less all guarantees.
 func (r *round) fitsBesideGuarantees(u *unit) bool {
 	if !u.spec().LongRunning || u.job.spec.QueuePolicy.Priority == 0 || u.demand().Accelerators == 0 {
 		return true
--- a/engine/longrunning_test.go
+++ b/engine/longrunning_test.go
@@ -82,7 +82,8 @@
 	c.Check(stopped <= 1, qt.IsTrue, qt.Commentf("%d tasks stopped", stopped))
 }
 
-// Long-running tasks can't be evicted, so they must not use capacity that is guaranteed to accounts.
+// Guards against long-running tasks that hold capacity guaranteed to accounts, from which they
+// could not be evicted.
 func TestLongRunningTasksLeaveGuaranteesFree(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(t, 3)
--- a/engine/pace_control_sim_test.go
+++ b/engine/pace_control_sim_test.go
@@ -132,7 +132,8 @@
 }
 
 // Compares the engine's speed control with never running best-effort tasks and with running
-// them at full speed: it must do most of the work and hardly ever exceed the target.
+// them at full speed: it must do most of the work, hardly ever exceed the target, and never for
+// as long as MaxLatencyViolation.
 func TestPaceControlAgainstBaselines(t *testing.T) {
 	const seeds = 20
 	type sum struct{ worked, overTime, longest float64 }
--- a/engine/policy.go
+++ b/engine/policy.go
@@ -22,7 +22,7 @@
 	// takes.
 	EvictionWaitShare float64 `toml:"eviction_wait" default:"0" validate:"min=0,max=1"`
 	// EvictionCostFactor is how many core-seconds of other work an urgent unit may discard for each
-	// of its own.
+	// of its own, since discarded work needs capacity again.
 	EvictionCostFactor float64 `toml:"eviction_worth" default:"3" validate:"min=0,max=1000"`
 	// Reservations is the number of waiting units for which capacity is reserved in a round.
 	// This keeps large gangs from starving behind small tasks. Each costs a simulation of the
--- a/engine/probation.go
+++ b/engine/probation.go
@@ -60,9 +60,9 @@
 	u.avoidedAgents[agent] = now + agentAvoidanceTime
 }
 
-// crashRisk ranks workers for u by the expected loss from a crash, in cores: workers that
-// crashed under u recently rank last, and while u is suspected, workers with much running work
-// rank lower.
+// crashRisk ranks workers for u by the expected loss from a crash, in cores: workers of agents
+// that u avoids after a crash rank lower and, while u is suspected, so do workers with much
+// running work.
 func (r *round) crashRisk(u *unit, w *worker) float64 {
 	if len(u.crashes) == 0 {
 		return 0
--- a/engine/reserve_test.go
+++ b/engine/reserve_test.go
@@ -61,7 +61,7 @@
 	return never
 }
 
-// Guards against starvation of a large gang by small jobs that arrive after it.
+// Guards against starvation of a large gang by small jobs behind it in the queue.
 func TestLargeGangIsNotStarvedBySmallJobs(t *testing.T) {
 	c := qt.New(t)
 	c.Check(gangWaitAmongSmallJobs(t, 0), qt.Equals, never, qt.Commentf("without reservations the gang must starve"))
--- a/engine/sim_reused_names_test.go
+++ b/engine/sim_reused_names_test.go
@@ -81,8 +81,9 @@
 	return time.Second
 }
 
-// recipient returns the worker that orders for an incarnation reach now, or nil. Until the
-// agent has noticed a new incarnation under the same name, that one receives them.
+// recipient returns the worker that the agent sends orders for an incarnation to, or nil. Until
+// the agent has noticed a new incarnation under the same name, it is the dead one, and
+// executeOrders carries the orders out on the new one.
 func (w *simCluster) recipient(id WorkerID) *simWorker {
 	for _, sw := range w.workers {
 		if sw.info.ID == id && !sw.dead {
--- a/engine/tick.go
+++ b/engine/tick.go
@@ -11,13 +11,13 @@
 	replanInterval = 250 * time.Millisecond
 	// workerRetention is how long a worker with an expired lease is kept after its last report.
 	workerRetention = 60 * time.Second
-	// maxPollAge is the oldest poll by which a run may be judged stuck. Agents poll at least
-	// once a second.
+	// maxPollAge is the greatest age of a poll by which a run may be judged stuck. Agents poll at
+	// least once a second.
 	maxPollAge = 1500 * time.Millisecond
 	// A task is moved when it has reported no progress for stuckEstimateShare of its estimate,
 	// and at least for minStuckTime, or minStuckTimeNoProgress while no run of its queue has
-	// reported any. The time doubles with each move, as some tasks never report progress and must still
-	// be able to finish.
+	// reported any. The time doubles with each move, as some tasks never report progress and must
+	// still be able to finish.
 	stuckEstimateShare     = 0.2
 	minStuckTime           = 1600 * time.Millisecond
 	minStuckTimeNoProgress = 2500 * time.Millisecond
@@ -45,7 +45,7 @@
 		for _, p := range w.sortedPlacements() {
 			e.handleLostRun(now, p, CauseLeaseExpired, "the worker's lease expired")
 		}
-		// Runs that it lists later were not placed by this planner.
+		// Runs that it lists later have no placement any more.
 		w.attached = false
 	}
 	if w.leaseExpired && now-w.lastReport > workerRetention {
--- a/engine/worker.go
+++ b/engine/worker.go
@@ -48,8 +48,8 @@
 	// sortedCache holds the placements in order; nil after one was added or removed.
 	sortedCache []*placement
 	used        workload.Resources
-	// orphans are runs found there that the engine did not place, with the time of the last
-	// stop order. Until they are gone nothing is started there, since their demand is unknown.
+	// orphans are runs found there that have no placement, with the time of the last stop order.
+	// Until they are gone nothing is started there, since their demand is unknown.
 	orphans map[workload.RunID]time.Duration
 	// attached means that it reports under this engine's epoch and its own generation, so that
 	// it refuses older orders.
