--- a/admission/congestion.go
+++ b/admission/congestion.go
@@ -36,7 +36,7 @@
 }
 
 // Load returns the report to send with a reply. Marked is that of the last request
-// that finished.
+// that finished. Load does not change the queue.
 func (q *Queue) Load(now time.Time) Load {
 	l := Load{Running: q.running, Queued: q.queued, Slots: q.options.Slots, Marked: q.lastMarked, Draining: q.draining}
 	for _, a := range q.accounts.waiting {
--- a/attempts/request.go
+++ b/attempts/request.go
@@ -13,7 +13,7 @@
 	Deadline      time.Time
 	// PollInterval is the time after which a SendResolve is repeated.
 	PollInterval time.Duration
-	// RetryAfter is returned in Finished where the caller may try again.
+	// RetryAfter is returned in Finished if the caller may try again.
 	RetryAfter time.Duration
 	// MaxAge is TableConfig.MaxAge. After a pause of its entry, a delivery older than
 	// that can't prove that the request did not run, since an earlier claim of its key
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -30,7 +30,8 @@
 // Account is a client account and what it is guaranteed.
 type Account struct {
 	Name string
-	// GuaranteedAccelerators is reserved for the account's jobs of priority 0.
+	// GuaranteedAccelerators is the number guaranteed to the account's jobs of priority 0. Other
+	// work may use them until they are reclaimed.
 	GuaranteedAccelerators int
 }
 
--- a/catalog/current.go
+++ b/catalog/current.go
@@ -16,9 +16,9 @@
 	ConfirmedAt time.Duration
 }
 
-// Current holds the newest known Catalog and Cordons. Reads take no lock. Updates may come
-// from several sources (a watch of the store, peers) in any order; an older version never
-// replaces a newer one.
+// Current holds the newest known Catalog and Cordons. Snapshot and Cordons take no lock.
+// Updates may come from several sources (a watch of the store, peers) in any order; an older
+// version never replaces a newer one.
 type Current struct {
 	mu       sync.Mutex
 	snapshot atomic.Pointer[Snapshot]
--- a/routing/breaker.go
+++ b/routing/breaker.go
@@ -32,7 +32,7 @@
 	consecutiveSuccesses int
 	ejections            int   // since the last reset; determines the backoff
 	ejectedAt            int64 // start of the last ejection, Unix nanoseconds
-	unresponsive         bool  // ejected because it did not answer
+	unresponsive         bool  // its connection failed or a probe got no answer
 }
 
 func (b *breaker) recordAnswer(failed bool) {
--- a/routing/retry_schedule.go
+++ b/routing/retry_schedule.go
@@ -6,9 +6,9 @@
 )
 
 // retrySchedule spreads out the retries of a client account's refused requests:
-// each gets the delay after which the service, at its current rate, will have
-// served those refused before it. With the same delay for all, they would be
-// retried at once and refused again.
+// each gets the delay after which those refused before it will have been served,
+// at the rate at which the account is served now. With the same delay for all,
+// they would be retried at once and refused again.
 type retrySchedule struct {
 	expected       atomic.Int64 // refused requests that have not been retried
 	answerInterval atomic.Int64 // moving average of the time between answers, nanoseconds
--- a/workload/job.go
+++ b/workload/job.go
@@ -25,8 +25,8 @@
 type QueuePolicy struct {
 	Priority    int `json:"priority,omitempty" cbor:"1,keyasint,omitempty"`     // 0 is the highest and may evict the others
 	MaxAttempts int `json:"max_attempts,omitempty" cbor:"2,keyasint,omitempty"` // failed runs of a task until its job fails; 0 means no limit
-	// Stretch is the factor by which the job's completion time may exceed the duration of its
-	// critical path.
+	// Stretch times the duration of the critical path is the part of the completion objective
+	// that depends on the work; 0 counts as 1.
 	Stretch float64 `json:"stretch,omitempty" cbor:"3,keyasint,omitempty"`
 	// TargetLatency is the part of the completion objective that does not depend on the work.
 	TargetLatency time.Duration `json:"latency,omitempty" cbor:"4,keyasint,omitempty"`
