--- a/nodeagent/agent.go
+++ b/nodeagent/agent.go
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// Stop stops the agent. Runs on the worker continue until its lease expires.
+// Stop stops the agent. Runs on the worker continue as long as its lease is valid.
 func (a *Agent) Stop(ctx context.Context) error {
 	a.tomb.Kill(nil)
 	a.log.Info("node agent stopping")
--- a/nodeagent/config.go
+++ b/nodeagent/config.go
@@ -30,7 +30,7 @@
 	reportInterval = 500 * time.Millisecond
 	// reportTimeout bounds one report, including the planner's wait for the store.
 	reportTimeout = 900 * time.Millisecond
-	// plannerRetryDelay is the pause between attempts to find the planner.
+	// plannerRetryDelay is the pause before a failed report is sent again.
 	plannerRetryDelay = 80 * time.Millisecond
 	// pollWait is how long a poll waits for a run to end. Each poll renews the lease and
 	// returns the progress of the runs.
@@ -65,6 +65,7 @@
 	renewalThreshold = 3 * time.Second
 	// minExtraPollInterval is the minimum time between two extra polls.
 	minExtraPollInterval = 100 * time.Millisecond
-	// registryReadDelay is how long no planner must be known before the registry is read.
+	// registryReadDelay is how long the planner must have been unknown before the registry is
+	// read, and the minimum time between two reads.
 	registryReadDelay = 1500 * time.Millisecond
 )
--- a/nodeagent/poll.go
+++ b/nodeagent/poll.go
@@ -79,8 +79,8 @@
 }
 
 // preparePoll returns the order header and the acknowledgement of the next poll, its wait, and
-// the current lease end. Once the worker has not answered for leaseExtensionPeriod, polls no
-// longer extend its lease, so that its expiry time is certain.
+// the lease end before this poll extends it. Once the worker has not answered for
+// leaseExtensionPeriod, polls no longer extend its lease, so that its expiry time is certain.
 func (a *Agent) preparePoll(inc *incarnation, wait time.Duration) (header OrderHeader, ackedEnds int64, w, leaseEnd time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/nodeagent/unresponsive.go
+++ b/nodeagent/unresponsive.go
@@ -39,9 +39,9 @@
 }
 
 // raiseRefusedFence raises the fence of orders to a worker that refused it. A previous agent
-// process may have raised the worker's fence by itself above the planner's generation, and
-// nothing would ever run there again. A worker that follows a newer planner continues to
-// refuse.
+// process may have raised the worker's fence by itself above the planner's generation; the
+// worker would then refuse all further orders. A worker that follows a newer planner continues
+// to refuse.
 func (inc *incarnation) raiseRefusedFence() {
 	if inc.info.Name != "" {
 		inc.fence.Generation += engine.GenerationStep
