--- a/gateway/cordons.go
+++ b/gateway/cordons.go
@@ -41,8 +41,9 @@
 	}
 }
 
-// mergePeerCordons updates the cordons from a peer's reply. The age in the reply counts from
-// before the request was sent, so that it is never underestimated.
+// mergePeerCordons updates the cordons from a peer's reply. The age in the reply is counted
+// back from the time at which the request was sent, so that the cordons never appear younger
+// than they are.
 func (g *Gateway) mergePeerCordons(reply *link.PeerReply, sent time.Duration) {
 	if reply.Cordons == nil {
 		return
--- a/gateway/failure_detector.go
+++ b/gateway/failure_detector.go
@@ -28,7 +28,7 @@
 	// planner on a saturated link answers late; deposing it would interrupt its runs and move
 	// the same load to its successor.
 	detectionLatencyFactor = 3
-	// peakLatencyDecay is the factor by which the peak latency shrinks with each answer.
+	// peakLatencyDecay is the part of the peak latency that remains after each faster answer.
 	peakLatencyDecay = 0.98
 	// livenessTimeout bounds the wait for an answer. Late answers still update the peak
 	// latency; after this time the planner's lease has expired if it has failed.
@@ -181,11 +181,11 @@
 	}
 }
 
-// deposePlanner acquires the planner lease in place of a planner that is believed to have
-// failed.
+// deposePlanner makes the waiting lease candidate of this gateway replace a planner that is
+// believed to have failed.
 func (g *Gateway) deposePlanner(planner string, epoch uint64) {
 	if !g.plannerLease.ForceTakeover() {
-		return // waiting for the store, or another gateway was faster
+		return // the candidate waits for the store, or another gateway was faster
 	}
 	g.log.WithField("planner", planner).WithField("epoch", epoch).Warn("planner is unresponsive; acquiring the planner lease")
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -139,8 +139,8 @@
 	return ok && !g.stopping.Load()
 }
 
-// Drain makes the gateway not ready, waits until pending records are written, and hands over
-// the planner lease. Calls are still served meanwhile.
+// Drain makes the gateway not ready, waits until pending records are written or ctx ends, and
+// hands over the planner lease. Calls are still served meanwhile.
 func (g *Gateway) Drain(ctx context.Context) {
 	g.stopping.Store(true)
 	g.log.Info("gateway draining")
--- a/gateway/handle.go
+++ b/gateway/handle.go
@@ -44,7 +44,7 @@
 }
 
 // handleReport passes an agent's report to the current term. A gateway that is not the planner
-// only replies with the planner's address.
+// only replies with the planner's address and some gateways.
 func (g *Gateway) handleReport(ctx context.Context, from *wire.Conn, m *link.Report) *link.ReportReply {
 	g.counters.Reports.Add(1)
 	_, planner := g.planner.get()
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -121,8 +121,9 @@
 	return !g.storeStatus.peerUnserved(lease.BootTime(), address)
 }
 
-// mergePeerConfig updates the configuration from a peer's reply. The age in the reply counts
-// from before the request was sent, so that it is never underestimated.
+// mergePeerConfig updates the configuration from a peer's reply. The age in the reply is
+// counted back from the time at which the request was sent, so that the configuration never
+// appears younger than it is.
 func (g *Gateway) mergePeerConfig(reply *link.PeerReply, sent time.Duration) {
 	if reply.ConfigVersion == 0 {
 		return
--- a/gateway/store_relay.go
+++ b/gateway/store_relay.go
@@ -86,8 +86,9 @@
 	return snap, err
 }
 
-// call makes a store call directly, unless the store has just failed this gateway, and
-// otherwise through a peer. The reply is nil if the direct call was conclusive.
+// call makes a store call directly, unless the store has just failed this gateway. If the direct
+// call was not made, or certainly had no effect, it makes the call through a peer. The reply is
+// nil if no peer made the call; the error is then that of the direct call.
 func (s *storeRelay) call(ctx context.Context, msg *link.StoreCall, direct func(context.Context) error) (*link.StoreReply, error) {
 	err := error(store.ErrUnavailable)
 	if s.g.shouldTryStore() {
--- a/gateway/store_status.go
+++ b/gateway/store_status.go
@@ -88,7 +88,7 @@
 
 // predecessorExtension returns how long a predecessor may have granted worker leases after its
 // own lease expired. That is zero if this gateway was in contact with it and the store served this
-// gateway all the time: its reports would have ended an extension.
+// gateway all the time: the planner would have learned this and ended the extension.
 func (s *storeStatus) predecessorExtension(now time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gateway/term.go
+++ b/gateway/term.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// enqueue runs f on the engine's goroutine. It returns false if the term has ended.
+// enqueue queues f for the engine's goroutine. It returns false if the term has ended.
 func (t *term) enqueue(f func(now time.Duration)) bool {
 	select {
 	case t.inbox <- f:
--- a/gateway/term_orders.go
+++ b/gateway/term_orders.go
@@ -112,7 +112,7 @@
 }
 
 // callAgent returns the agent's reply. Without a reply, starts are StartNotDelivered if the
-// orders were certainly not sent, and StartUnknown otherwise.
+// agent has certainly not handled the orders, and StartUnknown otherwise.
 func (t *term) callAgent(conn *wire.Conn, orders engine.Orders) *link.OrdersReply {
 	ctx, cancel := context.WithTimeout(t.tomb.Context(context.Background()), ordersTimeout)
 	defer cancel()
--- a/gateway/term_write.go
+++ b/gateway/term_write.go
@@ -34,8 +34,8 @@
 	return &w
 }
 
-// writeUntilResolved retries a write until its outcome is certain. An attempt whose reply was
-// lost may take effect until then.
+// writeUntilResolved retries a write until its outcome is certain, or the lease is lost or the
+// term ends. An attempt whose reply was lost may take effect until then.
 func (t *term) writeUntilResolved(w engine.Write) error {
 	ctx := t.tomb.Context(context.Background())
 	delay := backoff.NewExponentialBackOff()
--- a/records/submissions.go
+++ b/records/submissions.go
@@ -19,7 +19,7 @@
 	Jobs []engine.JobRestored
 	// Revision is the store revision after which a watch of the submissions continues.
 	Revision store.Revision
-	// Unreadable are records written by others that are skipped.
+	// Unreadable are the records that cannot be decoded, such as those of another writer.
 	Unreadable []UnreadableRecord
 }
 
