--- a/lease/session_test.go
+++ b/lease/session_test.go
@@ -159,8 +159,8 @@
 	c.Assert(held.Epoch, qt.Equals, uint64(1))
 }
 
-// Another process revokes the lease of a live leader. All its leaderships must end at
-// once, and all elections must get a leader again.
+// Another process revokes the lease of a live leader. The leader must notice by its next
+// renewal, and all its elections must get a leader again with a higher epoch.
 func TestSessionRevokedByAnother(t *testing.T) {
 	c := qt.New(t)
 	env := newTestEnv(t, standin.Options{})
--- a/membership/action.go
+++ b/membership/action.go
@@ -45,7 +45,8 @@
 // Refused: the agent's report was dropped because of a limit on new members.
 type Refused struct{ ID string }
 
-// NextReport: the sender must not report again before After has passed.
+// NextReport: the sender should report again no sooner than After, except for changes that
+// can't wait, such as draining.
 type NextReport struct{ After time.Duration }
 
 func (Joined) action()     {}
--- a/store/commit.go
+++ b/store/commit.go
@@ -8,8 +8,8 @@
 
 // Commit implements Store. Swaps that fit into one call (127 swaps, 1 MiB, no key
 // twice) form one transaction and see the same state; more are sent as several calls in
-// sequence. If a call after the first fails without effect, its swaps are reported as
-// Unknown, because an error would also apply to the earlier calls.
+// sequence. If a call after the first fails without effect, its swaps and all later ones
+// are reported as Unknown, because an error would also apply to the earlier calls.
 //
 // After a lost reply, the result stays Unknown for a deletion whose key is gone, and
 // for a creation whose key does not exist or holds another value: it cannot be
--- a/wire/config.go
+++ b/wire/config.go
@@ -38,7 +38,7 @@
 	// with outstanding calls is probed with a Ping.
 	BusyProbeAfter time.Duration
 	// IdleProbeAfter is the same for a connection without outstanding calls. It should
-	// exceed the reporting period, so that reports alone keep the connection proved.
+	// exceed the reporting period, so that reports alone show that the connection works.
 	IdleProbeAfter time.Duration
 	// SuspectTimeout is the time after which a suspected connection is closed if it
 	// stays unresponsive. Its outstanding calls end with ErrOutcomeUnknown.
--- a/wire/endpoint.go
+++ b/wire/endpoint.go
@@ -104,9 +104,9 @@
 	}
 }
 
-// admitHandshake rejects handshakes beyond the limits before their signatures are
-// computed. Otherwise an availability zone whose agents reconnect at the same time
-// would use all processors and delay running requests.
+// admitHandshake rejects handshakes beyond the limits, and all while the endpoint drains,
+// before their signatures are computed. Otherwise an availability zone whose agents
+// reconnect at the same time would use all processors and delay running requests.
 func (ep *Endpoint) admitHandshake(ctx context.Context, _ *quic.ClientInfo) (context.Context, error) {
 	if ep.isDraining() || int(ep.acceptedConns.Load()) >= ep.cfg.MaxConns || !ep.acceptLimiter.Allow() {
 		return nil, ErrDraining
--- a/wire/messages_report.go
+++ b/wire/messages_report.go
@@ -118,8 +118,9 @@
 	// NextReportIn, if set, is the minimum time until the sender's next report. Changes
 	// that stop new work (draining, departure) are reported at once.
 	NextReportIn time.Duration `cbor:"8,keyasint,omitempty"`
-	// RenewedAttempts lists the attempts with several members that the reporting agents
-	// are to renew. It and PlannerTimestamp are set only by the entry that plans.
+	// RenewedAttempts lists the reporting agents' attempts with several members all of
+	// whom the planner knows to be alive, so that their tasks may run on. It and
+	// PlannerTimestamp are set only by the entry that plans.
 	RenewedAttempts  []gang.ID             `cbor:"9,keyasint,omitempty"`
 	PlannerTimestamp gang.PlannerTimestamp `cbor:"10,keyasint,omitzero"`
 	// Relay is the agent that relays the reports of the sender's rack, possibly the
