--- a/document/simulation_model_test.go
+++ b/document/simulation_model_test.go
@@ -129,7 +129,7 @@
 	s.handle(p, listed)
 }
 
-// query delivers from's answer to to, or keeps it for late delivery.
+// query delivers the answer of process from to process to, or keeps it for late delivery.
 func (s *simulation) query(to, from *process, late bool) {
 	if from == nil || to == from {
 		return
--- a/records/submissions.go
+++ b/records/submissions.go
@@ -76,7 +76,7 @@
 // maxAge bounds the computed age of a job, since the wall clock may jump.
 const maxAge = 2 * time.Minute
 
-// ageOf returns the time since since by the wall clock, limited to [0, maxAge].
+// ageOf returns how long ago since was by the wall clock, limited to [0, maxAge].
 func ageOf(since, wall time.Time) time.Duration {
 	return min(max(wall.Sub(since), 0), maxAge)
 }
